--- /dev/null
+++ b/control/benchmark_test.go
@@ -0,0 +1,140 @@
+package control
+
+import (
+	"fmt"
+	"testing"
+)
+
+// benchmarkSizes are the numbers of cache servers that the benchmarks run with.
+var benchmarkSizes = []int{12, 200, 800, 3200}
+
+// benchmarkObjects is how many distinct objects the benchmarks ask for.
+const benchmarkObjects = 2000
+
+// benchmarkWarmUp is how many requests are decided before the measured ones.
+const benchmarkWarmUp = 20
+
+// benchmarkFleet lists one location's caches with one parent for each 16 of them, and an origin.
+func benchmarkFleet(servers int) []Listing {
+	var lines []Listing
+	nextID := func() uint32 { return uint32(len(lines)+1) * 2654435761 }
+	for i := range servers {
+		lines = append(lines, Listing{ID: nextID(), Location: "here", Kind: "cache", Cell: int64(i), Phase: "ready", Units: 5})
+	}
+	for range max(2, servers/16) {
+		lines = append(lines, Listing{ID: nextID(), Location: "hub", Kind: "parent", Cell: -1, Phase: "ready", Units: 20})
+	}
+	return append(lines, Listing{ID: nextID(), Location: "hub", Kind: "origin", Cell: -2, Phase: "ready", Units: 20})
+}
+
+// benchmarkRouter makes a router with a full fleet.
+func benchmarkRouter(b *testing.B, servers int, change Settings) (*Router, []Listing) {
+	b.Helper()
+	set := site(Settings{"location.routers": []int64{0, 8, 2}, "routers": int64(10)})
+	for name, value := range change {
+		set[name] = value
+	}
+	r, err := New(start, 7, set, func(string) {})
+	if err != nil {
+		b.Fatal(err)
+	}
+	lines := benchmarkFleet(servers)
+	r.Listed(start, lines, true)
+	return r, lines
+}
+
+// benchmarkDecisions measures Where and After of one request. The clock moves by a tenth of a second a request,
+// and `inFlight` other requests wait for their answers all the time.
+func benchmarkDecisions(b *testing.B, change Settings, inFlight func(servers int) int, retrieval Retrieval) {
+	objects := make([]string, benchmarkObjects)
+	for i := range objects {
+		objects[i] = fmt.Sprintf("%016x", i*2654435761)
+	}
+	for _, servers := range benchmarkSizes {
+		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
+			r, _ := benchmarkRouter(b, servers, change)
+			now := start
+			for i := range inFlight(servers) {
+				waiting := retrieval
+				waiting.Object, waiting.HardStop = objects[i%len(objects)], forever
+				r.Where(now, &waiting)
+			}
+			decide := func(i int) {
+				now += second / 10
+				asked := retrieval
+				asked.Object, asked.HardStop = objects[i%len(objects)], now+5*second
+				if d := r.Where(now, &asked); d.Verdict != Send {
+					b.Fatalf("request %d: %+v", i, d)
+				}
+				r.After(now+second/20, &asked, Outcome{Result: Good, Spent: second / 20, Note: 1, Closed: true})
+			}
+			for i := range benchmarkWarmUp {
+				decide(i)
+			}
+			b.ReportAllocs()
+			b.ResetTimer()
+			for i := range b.N {
+				decide(i)
+			}
+		})
+	}
+}
+
+func none(int) int { return 0 }
+
+// BenchmarkDecision is an ordinary request while nothing else is in flight.
+func BenchmarkDecision(b *testing.B) {
+	benchmarkDecisions(b, nil, none, Retrieval{Product: "harmless", Group: 1})
+}
+
+// BenchmarkDecisionInFlight is an ordinary request while half as many others as there are caches are in flight.
+func BenchmarkDecisionInFlight(b *testing.B) {
+	benchmarkDecisions(b, nil, func(servers int) int { return servers / 2 }, Retrieval{Product: "harmless", Group: 1})
+}
+
+// BenchmarkDecisionMeasured is an ordinary request where weights do not tell the caches' sizes.
+func BenchmarkDecisionMeasured(b *testing.B) {
+	benchmarkDecisions(b, Settings{"units": "off"}, none, Retrieval{Product: "harmless", Group: 1})
+}
+
+// BenchmarkDecisionWrite is a request that has no home: the least loaded of all caches is looked for.
+func BenchmarkDecisionWrite(b *testing.B) {
+	benchmarkDecisions(b, nil, none, Retrieval{Product: "harmless", Group: 1, Write: true})
+}
+
+// BenchmarkListEvent is one line of the list that changes: a cache drains, and is ready again with the next.
+func BenchmarkListEvent(b *testing.B) {
+	for _, servers := range benchmarkSizes {
+		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
+			r, lines := benchmarkRouter(b, servers, nil)
+			b.ReportAllocs()
+			for i := range b.N {
+				line := lines[i/2%servers : i/2%servers+1]
+				line[0].Phase = []string{"draining", "ready"}[i%2]
+				r.Listed(start, line, false)
+			}
+		})
+	}
+}
+
+// BenchmarkTick is one run of the periodic work after a request to every cache.
+func BenchmarkTick(b *testing.B) {
+	for _, servers := range benchmarkSizes {
+		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
+			r, _ := benchmarkRouter(b, servers, nil)
+			now := start
+			for i := range 4 * servers {
+				now += second / 10
+				asked := &Retrieval{Product: "harmless", Object: fmt.Sprint(i), Group: 1, HardStop: now + 5*second}
+				r.Where(now, asked)
+				r.After(now+second/20, asked, Outcome{Result: Good, Spent: second / 20, Note: 1, Closed: true})
+			}
+			b.ReportAllocs()
+			b.ResetTimer()
+			for range b.N {
+				now += second / 10
+				r.Tick(now)
+			}
+		})
+	}
+}
