--- a/control/control.go
+++ b/control/control.go
@@ -12,8 +12,6 @@
 	"encoding/binary"
 	"fmt"
 	"hash/crc32"
-	"hash/fnv"
-	"maps"
 	"math"
 	"slices"
 )
@@ -61,6 +59,7 @@
 	muteFrom     = 1.5  // answers gone missing lately from which a second dispatch is sent to what is overdue
 	deniedFrom   = 1.5  // fills denied by parents lately from which the origin is asked for what has no room
 	overdueShare = 0.6  // of the due time after which it is
+	leastUnits   = 0.01 // size of a member that is told as smaller
 	wellShare    = 0.03 // failures for each success up to which a member is well
 	guardMargin  = 0.6  // part of a cold budget that is used: weights are rough, and chance needs room
 )
@@ -216,8 +215,7 @@
 	case kind == fills && (t.product.neverKept || t.Write):
 		limit = r.rooms[hits] // runs at the origin, and takes next to nothing of the links for fills
 	case kind > 0:
-		_, kinds, units := r.inHand(now, r.caches)
-		load = kinds[kind] * r.sharing() / units
+		load = float64(r.inTime(now)[kind]) * r.sharing() / r.units(now)
 	}
 	if t.Repeat {
 		limit *= roomCheap
@@ -276,14 +274,6 @@
 	return hits
 }
 
-// load is what a cache has in hand for its size, as seen from here. In a thin slice one dispatch tells little
-// (it seemed to fill a cache): it is drawn to the location's mean, as if one more had been seen at that.
-func (r *Router) load(now int64, m *member) float64 {
-	own, _, size := r.inHand(now, []*member{m})
-	out, _, units := r.inHand(now, r.caches)
-	return (own + out*r.sharing()/units) / (size/r.sharing() + 1)
-}
-
 // sharing is how many routers send to the location's caches now, by what answers tell is in hand there.
 func (r *Router) sharing() float64 {
 	if r.ours < sharingLeast {
@@ -292,28 +282,11 @@
 	return max(1, min(r.theirs/r.ours, r.sharers(nil)))
 }
 
-// inHand is what is out at some caches and may be in time, in all and by kind, and their size. What is late
-// does not count: in thin slices a few dispatches stuck at silent members took the room of all.
-func (r *Router) inHand(now int64, members []*member) (out float64, kinds [3]float64, units float64) {
-	for _, m := range members {
-		units += r.size(now, m)
-		for _, d := range m.out {
-			if now < d.lateFrom {
-				out, kinds[d.kind] = out+1, kinds[d.kind]+1
-			}
-		}
-	}
-	return out, kinds, max(units, 0.01)
-}
-
-// size is how many answers a cache can send at once at a client's full pace. Where weights do not tell it, it
-// is what each cache carried in time at the best, scaled to all who send there, or what is asked for now, up
-// to some times that; a young router goes by what is asked for alone. A weight of one for all was taken for
-// caches of one answer at a time, and shut the rooms on half of the traffic.
-func (r *Router) size(now int64, m *member) float64 {
-	if r.told() {
-		return m.Units
-	}
+// measuredSize is how many answers a cache can send at once at a client's full pace, where weights do not tell it:
+// what each cache carried in time at the best, scaled to all who send there, or what is asked for now, up to some
+// times that; a young router goes by what is asked for alone. A weight of one for all was taken for caches of one
+// answer at a time, and shut the rooms on half of the traffic.
+func (r *Router) measuredSize(now int64) float64 {
 	best, asked := max(1, r.carried[0].best), r.each(now, r.asked, sharingSpan, r.sharing(), r.caches)
 	if now >= r.started+rateWindow {
 		asked = min(asked, roomMost*best)
@@ -455,32 +428,16 @@
 
 // place picks the cache and the fill source by the object's hash.
 func (r *Router) place(now int64, t *Retrieval) (cache, source *member) {
-	ranked, spread := rank(t.entry.key, r.caches), 1
-	if t.product.neverKept || t.Write {
-		spread = len(ranked) // it has no home
-	} else if n := float64(len(ranked)); n > 1 && t.entry.count >= hotLeast {
-		// A hot object goes to two or three caches, the least busy of them.
-		hot := r.rate(now, t.entry.count, t.entry.counted) * n / (hotShare * r.rate(now, r.total, r.totalAt))
-		spread = max(1, min(1+int(hot), 3, len(ranked)))
-	}
-	slices.SortStableFunc(ranked[:min(spread, len(ranked))], func(a, b *member) int {
-		return cmp.Compare(r.load(now, a), r.load(now, b))
-	})
-	// Where the home has no room, another cache with plenty fills the object, if there is room for fills.
+	caches := r.cacheCandidates(now, t)
 	t.away = false
-	if cache = r.pick(now, t, ranked); cache != nil && t.entry.servedUntil > now && !r.room(now, t, cache) {
-		roomy := slices.DeleteFunc(ranked, func(m *member) bool { return r.load(now, m) >= r.rooms[0]/2 })
-		if other := r.pick(now, t, roomy); other != nil {
+	// Where the home has no room, another cache with plenty fills the object, if there is room for fills.
+	if cache = r.pick(now, t, caches); cache != nil && t.entry.servedUntil > now && !r.room(now, t, cache) {
+		caches.leaveOut(r.rooms[0] / 2)
+		if other := r.pick(now, t, caches); other != nil {
 			cache, t.away = other, true
 		}
 	}
-	sources := rank(t.entry.key, r.parents)
-	if r.origin != nil && t.denied() && r.originStands() {
-		sources = []*member{r.origin}
-	} else if r.origin != nil {
-		sources = append(sources, r.origin)
-	}
-	return cache, r.pick(now, t, sources)
+	return cache, r.pick(now, t, r.sourceCandidates(t))
 }
 
 // denied tells whether the last dispatch found its source at its bound or dead. The other parents are likely
@@ -495,8 +452,8 @@
 
 // pick takes the first member within its cold budget, not suspect (or due for a trial) and not tried for this
 // retrieval. If there is none, the first within its budget: where all are suspect, it is not they.
-func (r *Router) pick(now int64, t *Retrieval, ranked []*member) (fallback *member) {
-	for _, m := range ranked {
+func (r *Router) pick(now int64, t *Retrieval, ranked *candidates) (fallback *member) {
+	for m := ranked.next(); m != nil; m = ranked.next() {
 		if !r.fits(now, m, r.sendingTime(t)) || m.Location == r.home && !sameGroup(t, m) ||
 			r.Reach != nil && !r.Reach(m.ID) {
 			continue
@@ -541,7 +498,7 @@
 		if m == nil {
 			continue
 		}
-		m.out = append(m.out, d)
+		r.begin(m, d)
 		m.spent = append(m.spent, charge{now, r.sendingTime(t)})
 		m.savings = max(0, m.savings-r.sendingTime(t))
 		if m.suspect {
@@ -680,46 +637,6 @@
 	}
 }
 
-// Listed gives the list of members, whole or changes to it.
-func (r *Router) Listed(now int64, lines []Listing, whole bool) {
-	for _, m := range r.members {
-		m.listed = m.listed && !whole
-	}
-	for _, line := range lines {
-		m := r.members[line.ID]
-		if m == nil {
-			m = &member{heard: now, scored: now}
-			r.members[line.ID] = m
-		}
-		if line.Started > m.Started {
-			// Back from a restart: cold, empty, and no longer judged by what it was before.
-			m.coldFrom, m.good, m.bad, m.heard = line.Started, 0, 0, now
-			m.suspect, m.trial, m.off = false, false, false
-		}
-		m.Listing, m.listed, m.weight = line, line.Phase != "gone", max(line.Units, 0.01)
-		if get(r.set, "units", "off") == "live" {
-			m.weight = 1 // a weight that follows the load would move objects from home to home
-		}
-	}
-	kind := func(name string) string { return at(r.set, "kinds", int(get(r.set, name, int64(-1))), "none") }
-	r.caches, r.parents, r.origin = nil, nil, nil
-	for _, id := range slices.Sorted(maps.Keys(r.members)) {
-		m := r.members[id]
-		// Rule 3: whoever drains or is gone gets nothing new from now on, and is no source.
-		switch {
-		case !m.listed && len(m.out) == 0:
-			delete(r.members, id) // new ones come under new ids without end
-		case !m.listed || m.Phase != "ready":
-		case m.Kind == kind("kind.origin"):
-			r.origin = cmp.Or(r.origin, m)
-		case m.Kind == kind("kind.parent"):
-			r.parents = append(r.parents, m)
-		case m.Location == r.home:
-			r.caches = append(r.caches, m)
-		}
-	}
-}
-
 // Tick does the periodic work and says when to come again.
 func (r *Router) Tick(now int64) (probe []uint32, again int64) {
 	for name, purged := range r.purges {
@@ -727,13 +644,18 @@
 			delete(r.purges, name) // all caches and parents have dropped older copies by themselves
 		}
 	}
-	for _, m := range r.caches {
+	for _, m := range r.watched.members {
+		if m.role != cacheRole {
+			continue
+		}
 		r.check(now, m)
 		if m.suspect && !m.trial && now >= m.trialAt && get(r.set, "probe", false) {
 			m.trial = true
 			probe = append(probe, m.ID)
 		}
 	}
+	r.unwatch(now)
+	r.forgetFaded(now)
 	return probe, period
 }
 
@@ -826,10 +748,14 @@
 		if m == nil {
 			continue
 		}
-		m.out = slices.DeleteFunc(m.out, func(x *dispatch) bool { return x == d })
+		r.finish(m, d)
 		m.good = fade(m.good, now-m.scored, healthSpan) + good[i]
 		m.bad = fade(m.bad, now-m.scored, healthSpan) + bad[i]
 		m.scored = now
+		r.scored.add(m)
+		if m.bad >= badFrom {
+			r.watched.add(m)
+		}
 		m.off = m.off || m == d.cache && o.Result == Unreached || m == d.source && o.Result == Full && bad[1] > 0
 		silent := slices.Contains([]Result{Unreached, Late, Cancelled, Cut, Unsent}, o.Result)
 		if m == d.cache && !silent || kind > hits && o.Result == Good {
@@ -853,22 +779,16 @@
 		return
 	}
 	silent, good, bad := r.signs(now, m)
+	if silent < silentFrom && bad < badFrom {
+		return
+	}
 	peers, sure := r.caches, badShare
 	if m.Location != r.home { // late with a quarter of hundreds a parent stayed in; the last one is to
 		if peers = r.parents; slices.ContainsFunc(peers, func(p *member) bool { return p != m && !p.suspect }) {
 			sure *= max(badSure, min(1, 4/math.Sqrt(good+bad)))
 		}
 	}
-	if silent < silentFrom && bad < badFrom {
-		return
-	}
-	var allSilent, allGood, allBad float64
-	for _, peer := range peers {
-		if peer != m {
-			s, g, b := r.signs(now, peer)
-			allSilent, allGood, allBad = allSilent+s, allGood+g, allBad+b
-		}
-	}
+	allSilent, allGood, allBad := r.peerSigns(now, m)
 	silent -= allSilent / float64(max(1, len(peers)-1))
 	apart := bad/(good+bad) - allBad/max(allGood+allBad, 1)
 	if silent < silentFrom && (bad < badFrom || apart < sure) {
@@ -879,21 +799,6 @@
 	r.log(fmt.Sprintf("member %d suspect: silence %.1f, failures %.1f of %.1f", m.ID, silent, bad, good+bad))
 }
 
-// signs is the evidence on a member: the silence of what it has in hand, in answer times, and how it fared.
-func (r *Router) signs(now int64, m *member) (silent, good, bad float64) {
-	answer, longest := r.most(func(p *product) float64 { return p.answer }), 0.
-	for _, d := range m.out {
-		if d.cache == m || d.kind > hits {
-			waited := float64(now-max(d.sent, m.heard)) / 1e9 / answer
-			silent, longest = silent+min(silentMost, waited), max(longest, waited)
-		}
-	}
-	if longest < silentLeast {
-		silent = 0 // many in hand for a moment are a crowd, not silence: so it went at every start
-	}
-	return silent, fade(m.good, now-m.scored, healthSpan), fade(m.bad, now-m.scored, healthSpan)
-}
-
 // sharers is how many routers share a member: those of the location for a cache, all for another.
 func (r *Router) sharers(m *member) float64 {
 	if m == nil || m.Location == r.home {
@@ -958,23 +863,6 @@
 	return m.savings >= amount
 }
 
-// rank orders members by rendezvous hashing weighted by size, alike at every router.
-func rank(key entryKey, members []*member) []*member {
-	h := fnv.New64a()
-	h.Write(binary.LittleEndian.AppendUint64([]byte(key.object), uint64(key.part)))
-	scores := make(map[*member]float64, len(members))
-	for _, m := range members {
-		x := (h.Sum64() ^ uint64(m.ID)) * 0xff51afd7ed558ccd
-		x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
-		scores[m] = -math.Log((float64((x^x>>33)>>11)+0.5)/(1<<53)) / m.weight
-	}
-	ranked := slices.Clone(members)
-	slices.SortFunc(ranked, func(a, b *member) int {
-		return cmp.Or(cmp.Compare(scores[a], scores[b]), cmp.Compare(a.ID, b.ID))
-	})
-	return ranked
-}
-
 // chance is a draw from [0, 1) of the instance's own.
 func (r *Router) chance() float64 {
 	r.draws++
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -537,7 +537,7 @@
 		r.After(start, first, Outcome{Result: Good, Closed: true, Spent: second / 10})
 		for range 12 { // the home's room of 2 for its size, shared by two routers
 			m := r.members[home]
-			m.out = append(m.out, &dispatch{sent: start, cache: m, lateFrom: forever})
+			r.begin(m, &dispatch{sent: start, cache: m, lateFrom: forever})
 		}
 		if d := hold(r, "a"); d.Verdict != Send || d.Dispatch.Cache == home {
 			t.Errorf("verdict %v, to %d", d.Verdict, d.Dispatch.Cache)
@@ -569,7 +569,7 @@
 			if d.Verdict != c.want || d.Verdict == Send && (d.Dispatch.Held || d.Dispatch.Source != first.Source) {
 				t.Errorf("then %+v", d)
 			}
-			if _, kinds, _ := r.inHand(start, r.caches); c.want == Send && (kinds[fetches] != 1 || kinds[fills] != 0) {
+			if kinds := r.inTime(start); c.want == Send && (kinds[fetches] != 1 || kinds[fills] != 0) {
 				t.Errorf("in hand by kind: %v", kinds)
 			}
 		})
@@ -609,7 +609,7 @@
 			m, ret := r.members[1], ask("harmless", "a")
 			ret.product, ret.entry = r.products["harmless"], &entry{servedUntil: forever}
 			for range c.out {
-				m.out = append(m.out, &dispatch{sent: start, cache: m, lateFrom: forever})
+				r.begin(m, &dispatch{sent: start, cache: m, lateFrom: forever})
 			}
 			if got := r.room(start, ret, m); got != c.admits {
 				t.Errorf("admitted: %v, load %.2f", got, r.load(start, m))
--- /dev/null
+++ b/control/ranking.go
@@ -0,0 +1,252 @@
+package control
+
+import (
+	"cmp"
+	"encoding/binary"
+	"hash/fnv"
+	"math"
+	"slices"
+)
+
+const (
+	// firstBatch is how many candidates are selected at first, and batchGrowth how many times more with each
+	// further batch. Mostly the first candidate is taken.
+	firstBatch  = 4
+	hotSpread   = 3 // most caches that a hot object goes to; less than the first batch
+	batchGrowth = 8
+
+	// roundingMargin covers the rounding of a score where a bound of it stands in for it.
+	roundingMargin = 1 + 1e-12
+)
+
+// tier is a set of members in the order of their IDs. The figures that a scan needs lie side by side, so that it
+// reads little memory.
+type tier struct {
+	members []*member
+	keys    []rankKey // of the member at the same index
+}
+
+// rankKey is what a member's score in a ranking depends on.
+type rankKey struct {
+	id     uint64
+	weight float64
+}
+
+// search gives the index of a member, or where it is to be inserted.
+func (t *tier) search(m *member) (index int, found bool) {
+	return slices.BinarySearchFunc(t.members, m.ID, func(other *member, id uint32) int { return cmp.Compare(other.ID, id) })
+}
+
+// put inserts a member or, if it is in the tier already, takes over its weight.
+func (t *tier) put(m *member) {
+	index, found := t.search(m)
+	if !found {
+		t.members = slices.Insert(t.members, index, m)
+		t.keys = slices.Insert(t.keys, index, rankKey{})
+	}
+	t.keys[index] = rankKey{uint64(m.ID), m.weight}
+}
+
+// remove takes a member out.
+func (t *tier) remove(m *member) {
+	if index, found := t.search(m); found {
+		t.members = slices.Delete(t.members, index, index+1)
+		t.keys = slices.Delete(t.keys, index, index+1)
+	}
+}
+
+// clear empties the tier.
+func (t *tier) clear() {
+	clear(t.members)
+	t.members, t.keys = t.members[:0], t.keys[:0]
+}
+
+// objectHash is an object's hash, from which its members' scores are drawn.
+func (r *Router) objectHash(key entryKey) uint64 {
+	r.keyBytes = binary.LittleEndian.AppendUint64(append(r.keyBytes[:0], key.object...), uint64(key.part))
+	h := fnv.New64a()
+	h.Write(r.keyBytes)
+	return h.Sum64()
+}
+
+// uniform draws a number from (0, 1] from an object's hash and a member's ID.
+func uniform(hash, id uint64) float64 {
+	x := (hash ^ id) * 0xff51afd7ed558ccd
+	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
+	return (float64((x^x>>33)>>11) + 0.5) / (1 << 53)
+}
+
+// score is a member's place in weighted rendezvous hashing: the least comes first.
+func score(uniform, weight float64) float64 { return -math.Log(uniform) / weight }
+
+// candidate is a member of a tier with what it is ordered by.
+type candidate struct {
+	load  float64 // 0 where loads do not count
+	score float64
+	index int // in the tier
+}
+
+func (c candidate) compare(other candidate) int {
+	if order := cmp.Compare(c.load, other.load); order != 0 {
+		return order
+	}
+	if order := cmp.Compare(c.score, other.score); order != 0 {
+		return order
+	}
+	return cmp.Compare(c.index, other.index) // as the IDs
+}
+
+// candidates yields the members of a tier in the order in which an object prefers them: by rendezvous hashing
+// weighted by size, alike at every router. They are selected in batches, only as far as they are asked for.
+type candidates struct {
+	tier      *tier
+	hash      uint64
+	loads     loadScale
+	byLoad    bool // the least loaded come first
+	spread    int  // so many of the first, less than firstBatch, are ordered by load
+	limited   bool // members with a load of loadLimit or more are left out
+	loadLimit float64
+	last      *member // yielded after all of the tier; nil is none
+
+	batch     []candidate // in order
+	position  int         // of the next one in the batch
+	batchSize int         // of the next batch
+	exhausted bool        // no member comes after the batch
+	lastGiven bool
+}
+
+// rewind starts from the first candidate again.
+func (c *candidates) rewind() {
+	c.batch, c.position, c.batchSize, c.exhausted, c.lastGiven = c.batch[:0], 0, firstBatch, false, false
+}
+
+// leaveOut starts anew, without the members that have a load or more.
+func (c *candidates) leaveOut(load float64) {
+	c.limited, c.loadLimit = true, load
+	c.rewind()
+}
+
+// next gives the next candidate, or nil after the last.
+func (c *candidates) next() *member {
+	for {
+		if c.position < len(c.batch) {
+			m := c.tier.members[c.batch[c.position].index]
+			c.position++
+			if c.limited && c.loads.of(m) >= c.loadLimit {
+				continue
+			}
+			return m
+		}
+		if c.exhausted {
+			break
+		}
+		c.selectBatch()
+	}
+	if c.lastGiven {
+		return nil
+	}
+	c.lastGiven = true
+	return c.last
+}
+
+// selectBatch selects the candidates that come next after the batch.
+func (c *candidates) selectBatch() {
+	first := len(c.batch) == 0
+	after := candidate{load: math.Inf(-1)}
+	if !first {
+		after = c.batch[len(c.batch)-1]
+	}
+	c.batch, c.position = c.batch[:0], 0
+	if c.byLoad {
+		c.scanByLoad(after)
+	} else {
+		c.scanByScore(after)
+	}
+	c.exhausted = len(c.batch) < c.batchSize
+	c.batchSize *= batchGrowth
+	if first && c.spread > 1 {
+		slices.SortStableFunc(c.batch[:min(c.spread, len(c.batch))], func(a, b candidate) int {
+			return cmp.Compare(c.loads.of(c.tier.members[a.index]), c.loads.of(c.tier.members[b.index]))
+		})
+	}
+}
+
+// scanByScore fills the batch with the least by score that come after a candidate.
+func (c *candidates) scanByScore(after candidate) {
+	worst := math.Inf(1)
+	for index, key := range c.tier.keys {
+		u := uniform(c.hash, key.id)
+		if mustExceed(u, key.weight, worst) {
+			continue
+		}
+		worst = c.add(candidate{score: score(u, key.weight), index: index}, after).score
+	}
+}
+
+// scanByLoad fills the batch with the least by load, and by score among equals, that come after a candidate.
+func (c *candidates) scanByLoad(after candidate) {
+	worst := candidate{load: math.Inf(1), score: math.Inf(1)}
+	for index, key := range c.tier.keys {
+		load := c.loads.of(c.tier.members[index])
+		if load > worst.load || load < after.load {
+			continue
+		}
+		u := uniform(c.hash, key.id)
+		if load == worst.load && mustExceed(u, key.weight, worst.score) {
+			continue
+		}
+		worst = c.add(candidate{load: load, score: score(u, key.weight), index: index}, after)
+	}
+}
+
+// mustExceed tells that a score is certainly above a bound, without its logarithm: -ln(u) is at least 1-u.
+func mustExceed(uniform, weight, bound float64) bool {
+	return 1-uniform > bound*weight*roundingMargin
+}
+
+// add puts a candidate at its place in the batch, if it comes after the given one and among the batch's size. It
+// returns what a further one must come before.
+func (c *candidates) add(x, after candidate) (worst candidate) {
+	if x.compare(after) > 0 {
+		if len(c.batch) == c.batchSize && x.compare(c.batch[len(c.batch)-1]) < 0 {
+			c.batch = c.batch[:len(c.batch)-1]
+		}
+		if len(c.batch) < c.batchSize {
+			index, _ := slices.BinarySearchFunc(c.batch, x, candidate.compare)
+			c.batch = slices.Insert(c.batch, index, x)
+		}
+	}
+	if len(c.batch) < c.batchSize {
+		return candidate{load: math.Inf(1), score: math.Inf(1)}
+	}
+	return c.batch[len(c.batch)-1]
+}
+
+// cacheCandidates are the caches in the order in which they may serve a retrieval.
+func (r *Router) cacheCandidates(now int64, t *Retrieval) *candidates {
+	c := &r.cacheOrder
+	*c = candidates{tier: &r.cacheTier, hash: r.objectHash(t.entry.key), loads: r.loadScale(now), spread: 1,
+		batch: c.batch}
+	if t.product.neverKept || t.Write {
+		c.byLoad = true // it has no home
+	} else if n := float64(len(r.caches)); n > 1 && t.entry.count >= hotLeast {
+		// A hot object goes to two or three caches, the least busy of them.
+		hot := r.rate(now, t.entry.count, t.entry.counted) * n / (hotShare * r.rate(now, r.total, r.totalAt))
+		c.spread = max(1, min(1+int(hot), hotSpread, len(r.caches)))
+	}
+	c.rewind()
+	return c
+}
+
+// sourceCandidates are the parents, and last the origin, in the order in which they may fill an object.
+func (r *Router) sourceCandidates(t *Retrieval) *candidates {
+	c := &r.sourceOrder
+	*c = candidates{tier: &r.parentTier, last: r.origin, batch: c.batch}
+	if r.origin != nil && t.denied() && r.originStands() {
+		c.tier = &tier{}
+	} else {
+		c.hash = r.objectHash(t.entry.key)
+	}
+	c.rewind()
+	return c
+}
--- a/control/types.go
+++ b/control/types.go
@@ -1,6 +1,10 @@
 package control
 
-import "container/list"
+import (
+	"container/list"
+
+	"tealpath/due"
+)
 
 // Settings is what a router is told when it starts: names to plain values. Times are int64 nanoseconds,
 // shares and factors float64, counts int64, switches bool, names string; lists by product or location are
@@ -129,6 +133,9 @@
 	savings   float64 // of a cold budget's share, seconds of sending time
 	savedAt   int64
 	savingFor int64 // the cold start that they are for
+	role      role
+	isGone    bool       // it is among the router's gone members
+	inTime    kindCounts // of what is out: what may be in time
 }
 
 // charge is work sent to a member, in seconds of sending time.
@@ -146,6 +153,8 @@
 	denied        bool  // its source was at its bound, or dead
 	kind          int   // the room it counts in
 	lateFrom      int64 // from when an answer is late
+	late          bool  // that has come
+	expiry        *due.Entry[*dispatch]
 }
 
 // entry is one object of the rate table: a part is filled and kept on its own, so each is an object to the
@@ -232,4 +241,19 @@
 	carried         [2]carried // by caches of the location, by parents
 	asked           carried    // what caches would have carried, had they served all
 	spare           float64    // further dispatches put aside
+
+	cacheTier, parentTier   tier       // caches and parents, with what ranks them
+	origins                 memberList // that are ready
+	gone                    []*member  // no longer listed
+	scored                  memberList // with something in flight, or with scores that have not faded to nothing
+	watched                 memberList // which the periodic check may find suspect, or suspects
+	fadedNext               int        // index in scored that is looked at next
+	cachesInTime            kindCounts // of what is out at the caches: what may be in time
+	expiries                due.Order[*dispatch]
+	expiredAt               int64
+	unitsSum                float64 // of the caches' units, if unitsSummed
+	unitsSummed             bool
+	equalUnits              repeatedSum
+	cacheOrder, sourceOrder candidates // of the decision at hand
+	keyBytes                []byte
 }
