--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -17,6 +17,7 @@
 	"github.com/urfave/cli/v3"
 
 	"tealpath/config"
+	"tealpath/internal/clock"
 	"tealpath/operator"
 	"tealpath/process"
 )
@@ -124,7 +125,7 @@
 	})
 	defer out.Close()
 	log := zerolog.New(out).With().Timestamp().Logger()
-	err = process.New(c, file, log).Run(ctx, leave.Done(), again, func() (*config.Config, *operator.File, error) {
+	err = process.New(c, file, log, process.WithClock(clock.System())).Run(ctx, leave.Done(), again, func() (*config.Config, *operator.File, error) {
 		next, err := c.Again(os.Getenv)
 		if err != nil {
 			return nil, nil, err
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -17,6 +17,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"tealpath/control"
+	"tealpath/internal/clock"
 	"tealpath/plan/recall"
 	"tealpath/plan/start"
 	"tealpath/router"
@@ -39,6 +40,7 @@
 	silent time.Duration // in tests: waited for the next byte at most
 	calls  *start.Calls
 	lists  start.Lists
+	clock  clock.Clock
 	kept   *kept // a list known before that waits to be confirmed; nil: there is none
 
 	mu      sync.Mutex
@@ -61,9 +63,18 @@
 	list    router.Listed
 }
 
+// Option changes how a feed is made.
+type Option func(*Feed)
+
+// WithClock has a feed take its time from a clock; without it that is clock.System.
+func WithClock(c clock.Clock) Option { return func(f *Feed) { f.clock = c } }
+
 // New makes a feed that goes on behind what was known.
-func New(address string, known Past, calls *start.Calls, post func(router.Event), log func(string)) *Feed {
-	f := &Feed{address: address, last: known.Last, lists: known.lists, calls: calls, post: post, log: log}
+func New(address string, known Past, calls *start.Calls, post func(router.Event), log func(string), options ...Option) *Feed {
+	f := &Feed{address: address, last: known.Last, lists: known.lists, calls: calls, post: post, log: log, clock: clock.System()}
+	for _, option := range options {
+		option(f)
+	}
 	switch {
 	case known.listed:
 		calls.Listed()
@@ -107,7 +118,7 @@
 				}
 			})
 			if once.Err() == nil {
-				wait = f.calls.Ended(time.Now().UnixNano(), how)
+				wait = f.calls.Ended(f.clock.Now(), how)
 				if !lost {
 					lost = true
 					f.log(fmt.Sprintf("journal service lost behind event %d, %s: %v", f.last, how, err))
@@ -115,7 +126,7 @@
 			}
 		}
 		if once.Err() != nil {
-			wait = f.calls.Moved(time.Now().UnixNano()) // nothing is known of this address yet
+			wait = f.calls.Moved(f.clock.Now()) // nothing is known of this address yet
 		}
 		cut()
 	}
@@ -155,7 +166,7 @@
 		}
 		return start.Broke, err
 	}
-	f.calls.Called(time.Now().UnixNano())
+	f.calls.Called(f.clock.Now())
 	conn.SetDeadline(f.patience())
 	if err := sse.Request(conn, address, path, strconv.FormatInt(f.last, 10)); err != nil {
 		return ended(err)
@@ -229,7 +240,7 @@
 			about.Ready++
 		}
 	}
-	f.lists.Judge(time.Now().UnixNano(), about)
+	f.lists.Judge(f.clock.Now(), about)
 	f.calls.Listed()
 	f.post(f.kept.list)
 	f.post(Told{position, digest})
@@ -261,7 +272,7 @@
 	}
 	next := f.last + 1
 	if list.Whole && err == nil {
-		switch f.lists.Judge(time.Now().UnixNano(), list) {
+		switch f.lists.Judge(f.clock.Now(), list) {
 		case start.Doubt:
 			f.log(fmt.Sprintf("a list of %d members, %d ready, is asked for again before it counts", list.Members, list.Ready))
 			return fmt.Errorf("event %d: %w of %d members", pos, errDoubt, list.Members)
@@ -364,7 +375,7 @@
 			}
 			line := router.Listing{Instance: i.InstanceID, Address: i.HostPort, Listing: control.Listing{
 				Location: i.Zone, Kind: i.MachineType, Cell: i.Cell, Phase: states[i.Lifecycle], Units: 1,
-				Started: i.StartedAtMs * 1e6}}
+				Started: clock.FromUnixMilli(i.StartedAtMs)}}
 			if line.Phase == "" {
 				line.Phase = "draining" // an unknown state: nothing new is sent to it
 			}
@@ -375,7 +386,7 @@
 		}
 		return list, nil
 	case e.Expire != nil:
-		p := router.Purged{Object: e.Expire.Name, When: e.Expire.Stamp * 1e6}
+		p := router.Purged{Object: e.Expire.Name, When: clock.FromUnixMilli(e.Expire.Stamp)}
 		if e.Expire.Set != nil {
 			p.Group = *e.Expire.Set
 		} else if p.Object == "" {
--- a/front/front.go
+++ b/front/front.go
@@ -21,6 +21,7 @@
 
 	"tealpath/front/idle"
 	"tealpath/front/park"
+	"tealpath/internal/clock"
 	"tealpath/router"
 	"tealpath/thrift"
 )
@@ -69,6 +70,7 @@
 	Seed        uint64
 	Crowded     func() bool // whether others wait for the core; nil is never
 	Keep        *Keep       // nil: as the platform states it
+	Clock       clock.Clock // nil: clock.System
 }
 
 // Front serves clients on one listener.
@@ -114,6 +116,9 @@
 	if limits.Crowded == nil {
 		limits.Crowded = func() bool { return false }
 	}
+	if limits.Clock == nil {
+		limits.Clock = clock.System()
+	}
 	f := &Front{listener: listener, post: post, log: log, limits: limits, keep: limits.Keep,
 		reading: semaphore.NewWeighted(max(limits.Bytes, thrift.FrameMost)), clients: map[router.ClientID]*client{},
 		admit: idle.NewAdmission(limits.Cores),
@@ -126,6 +131,9 @@
 	return f
 }
 
+// now is the time on the process's monotonic axis, ns: what the table and the paces go by.
+func (f *Front) now() int64 { return f.limits.Clock.Now() }
+
 // SetReady says what health tells.
 func (f *Front) SetReady(ready bool) { f.ready.Store(ready) }
 
@@ -183,8 +191,7 @@
 	turn, wait := idle.Waits, int64(0)
 	for {
 		silent := f.parks() && !pending(conn)
-		now := time.Now()
-		if turn, wait = f.admit.Turn(now.UnixNano(), int64(now.Sub(since)), f.limits.Crowded(), silent); turn != idle.Waits {
+		if turn, wait = f.admit.Turn(f.now(), int64(time.Since(since)), f.limits.Crowded(), silent); turn != idle.Waits {
 			break
 		}
 		if !pause(ctx, time.Duration(wait)) {
@@ -239,7 +246,7 @@
 	client, network := f.keep.find(conn.RemoteAddr())
 	f.places.Lock()
 	defer f.places.Unlock()
-	if id, v = f.table.Open(time.Now().UnixNano(), client, network); v == idle.Taken {
+	if id, v = f.table.Open(f.now(), client, network); v == idle.Taken {
 		generation = f.table.Generation(id)
 	}
 	return id, generation, v
@@ -275,13 +282,12 @@
 	}
 	f.mu.Unlock()
 	for range roomTries {
-		now := time.Now()
 		f.places.Lock()
 		if f.table.All() < f.limits.Connections {
 			f.places.Unlock()
 			return true
 		}
-		id := f.table.Room(now.UnixNano(), int64(readingMost))
+		id := f.table.Room(f.now(), int64(readingMost))
 		f.places.Unlock()
 		if id == idle.None {
 			return false
--- a/front/rest.go
+++ b/front/rest.go
@@ -77,7 +77,7 @@
 	c.front.places.Lock()
 	defer c.front.places.Unlock()
 	if c.front.holds(c.place, c.generation) {
-		c.front.table.Move(time.Now().UnixNano(), c.place, s)
+		c.front.table.Move(c.front.now(), c.place, s)
 	}
 }
 
@@ -196,7 +196,7 @@
 		}
 		if some, _ := park.Came(fd); some {
 			// In this very instant: the lot tells of it, and it is answered.
-			f.table.Move(time.Now().UnixNano(), id, idle.Busy)
+			f.table.Move(f.now(), id, idle.Busy)
 			return false
 		}
 		f.shutParked(id)
@@ -352,10 +352,10 @@
 		wait := longest
 		for {
 			f.places.Lock()
-			id, next := f.table.Expired(time.Now().UnixNano(), f.limits.Crowded())
+			id, next := f.table.Expired(f.now(), f.limits.Crowded())
 			f.places.Unlock()
 			if id == idle.None {
-				wait = max(min(longest, time.Duration(next-time.Now().UnixNano())), time.Millisecond)
+				wait = max(min(longest, time.Duration(next-f.now())), time.Millisecond)
 				break
 			}
 			f.evict(id)
@@ -408,7 +408,7 @@
 func (f *Front) wake(ctx context.Context, keys []uint64, pace *idle.Admission, most int, since time.Time) bool {
 	for _, key := range keys {
 		for {
-			wait := time.Duration(pace.Wait(time.Now().UnixNano(), f.limits.Crowded()))
+			wait := time.Duration(pace.Wait(f.now(), f.limits.Crowded()))
 			if wait <= 0 {
 				break
 			}
@@ -470,7 +470,7 @@
 	}
 	answered := !f.at[id].fresh
 	f.at[id] = place{fd: -1}
-	f.table.Move(time.Now().UnixNano(), id, idle.Reading)
+	f.table.Move(f.now(), id, idle.Reading)
 	f.places.Unlock()
 	conn, err := f.lot.Resume(fd)
 	if err != nil {
--- a/process/process.go
+++ b/process/process.go
@@ -20,6 +20,7 @@
 	"tealpath/config"
 	"tealpath/feed"
 	"tealpath/front"
+	"tealpath/internal/clock"
 	"tealpath/operator"
 	plan "tealpath/plan/leave"
 	"tealpath/plan/links"
@@ -68,6 +69,7 @@
 type Process struct {
 	config *config.Config
 	log    zerolog.Logger
+	clock  clock.Clock
 	phase  Phase
 	inbox  chan arrival
 	front  *front.Front
@@ -87,9 +89,20 @@
 	event router.Event
 }
 
+// Option changes how a process is made.
+type Option func(*Process)
+
+// WithClock has a process take its time from a clock; without it that is clock.System.
+func WithClock(c clock.Clock) Option { return func(p *Process) { p.clock = c } }
+
 // New makes a process that has not started. With an operator's file it has what that says in common with others.
-func New(c *config.Config, file *operator.File, log zerolog.Logger) *Process {
-	return &Process{config: c, file: file, log: log.With().Str("router", c.Name).Logger(), inbox: make(chan arrival, inboxMost)}
+func New(c *config.Config, file *operator.File, log zerolog.Logger, options ...Option) *Process {
+	p := &Process{config: c, file: file, log: log.With().Str("router", c.Name).Logger(), clock: clock.System(),
+		inbox: make(chan arrival, inboxMost)}
+	for _, option := range options {
+		option(p)
+	}
+	return p
 }
 
 // Check tells what would keep a process with this configuration from serving, but for its addresses.
@@ -132,7 +145,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	post := func(e router.Event) {
 		select {
-		case p.inbox <- arrival{time.Now().UnixNano(), e}:
+		case p.inbox <- arrival{p.clock.Now(), e}:
 		case <-ctx.Done():
 		}
 	}
@@ -143,12 +156,12 @@
 	connections, keep := p.keeping()
 	p.front = front.New(listener, front.Limits{Connections: connections, Keep: keep,
 		Open:  openMost,
-		Bytes: int64(p.bytes(answerShare)), Cores: p.config.Cores, Seed: p.config.Seed,
+		Bytes: int64(p.bytes(answerShare)), Cores: p.config.Cores, Seed: p.config.Seed, Clock: p.clock,
 		Crowded: func() bool { return len(p.inbox) >= inboxMost/2 }}, post, p.line)
 	if p.file != nil && p.file.Fleet != nil {
-		p.shared, err = newSharing(ctx, p.file, p.config.Settings, p.log, func(e router.Event) {
+		p.shared, err = newSharing(ctx, p.file, p.config.Settings, p.log, p.clock, func(e router.Event) {
 			select { // a probe's result is not worth waiting for
-			case p.inbox <- arrival{time.Now().UnixNano(), e}:
+			case p.inbox <- arrival{p.clock.Now(), e}:
 			default:
 			}
 		})
@@ -176,7 +189,7 @@
 	routers, _ := p.config.Settings["routers"].(int64)
 	calls := start.NewCalls(p.config.Seed, int(routers), p.holding())
 	calls.Heed(p.grace())
-	journal := feed.New(p.config.Journal, past, calls, post, p.line)
+	journal := feed.New(p.config.Journal, past, calls, post, p.line, feed.WithClock(p.clock))
 	group.Go(func() error { return journal.Run(ctx) })
 	group.Go(func() error {
 		for {
@@ -268,7 +281,7 @@
 	if !ok || hands <= 0 {
 		hands = 1 << 14
 	}
-	now := time.Now().UnixNano()
+	now := p.clock.Now()
 	p.router, err = router.New(now, p.config.Seed, p.config.Settings, router.Limits{Hands: int(hands), Bytes: p.bytes(bodyShare),
 		Links: int(linkShare * float64(p.sockets())), Plan: p.links()})
 	if err != nil {
@@ -313,8 +326,8 @@
 
 // step takes the start on: health, and a line for a new phase of it.
 func (p *Process) step() {
-	p.front.SetReady(p.phase < Draining && p.start.Ready(time.Now().UnixNano()))
-	if phase, another := p.start.Step(time.Now().UnixNano()); another {
+	p.front.SetReady(p.phase < Draining && p.start.Ready(p.clock.Now()))
+	if phase, another := p.start.Step(p.clock.Now()); another {
 		p.line("start: " + phase.String())
 	}
 }
@@ -330,7 +343,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-leave:
-			now := time.Now().UnixNano()
+			now := p.clock.Now()
 			leave, leaving = nil, plan.New(now, p.longest())
 			p.enter(Draining)
 			p.keeper.keep(p.router, now)
@@ -356,17 +369,17 @@
 				}
 			}
 		case <-timer.C:
-			p.handle(time.Now().UnixNano(), router.Due{}, timer)
+			p.handle(p.clock.Now(), router.Due{}, timer)
 			p.step()
 		case <-p.keeper.due():
-			p.keeper.keep(p.router, time.Now().UnixNano())
+			p.keeper.keep(p.router, p.clock.Now())
 		}
 		if leaving == nil {
 			continue
 		}
 		s := plan.State{Hands: p.router.Hands(), Queued: len(p.inbox), Open: p.front.Open()}
 		s.Flushed = s.Hands == 0 && s.Queued == 0 && p.front.Flushed()
-		switch leaving.Next(time.Now().UnixNano(), s) {
+		switch leaving.Next(p.clock.Now(), s) {
 		case plan.Shut:
 			if now := time.Now(); now.Sub(shut) >= shutGap {
 				shut = now
@@ -413,7 +426,7 @@
 		case router.Close:
 			p.pool.Close(effect)
 		case router.SetTimer:
-			timer.Reset(time.Until(time.Unix(0, effect.At)))
+			timer.Reset(clock.Until(p.clock, effect.At))
 		case router.Log:
 			p.note(effect)
 		}
--- a/process/sharing.go
+++ b/process/sharing.go
@@ -21,6 +21,7 @@
 	"tealpath/fleet/peer"
 	"tealpath/fleet/probe"
 	"tealpath/front/idle"
+	"tealpath/internal/clock"
 	"tealpath/operator"
 	"tealpath/router"
 	"tealpath/upstream"
@@ -39,6 +40,7 @@
 	node    *fleet.Node
 	links   *peer.Links
 	log     zerolog.Logger
+	clock   clock.Clock // for stamps of other machines; the fleet's own spans go by bootTime
 	inbox   chan fleet.Event
 	asks    chan chan fleet.Status
 	targets atomic.Pointer[[]probe.Target]
@@ -63,6 +65,9 @@
 	return cache, parent
 }
 
+// unixMilli is the wall clock in ms. It only lifts the numbers that slots are held under (docs/duties.md): no span goes by it.
+func unixMilli(c clock.Clock) int64 { return c.Wall() / int64(time.Millisecond) }
+
 func setting[T any](set control.Settings, name string, fallback T) T {
 	if v, ok := set[name].(T); ok {
 		return v
@@ -90,7 +95,7 @@
 }
 
 // newSharing makes the fleet's part of a process, with its listener open.
-func newSharing(ctx context.Context, file *operator.File, set control.Settings, log zerolog.Logger,
+func newSharing(ctx context.Context, file *operator.File, set control.Settings, log zerolog.Logger, c clock.Clock,
 	tell func(router.Event)) (*sharing, error) {
 	f := file.Fleet
 	var draw [16]byte
@@ -104,7 +109,7 @@
 	}
 	node, err := fleet.New(bootTime(), fleet.Config{Self: self, Address: f.Listen, Weight: f.Weight, Contacts: f.Instances,
 		Duty: duty.Config{Slots: f.Slots, Lease: f.Lease, Renewal: f.Renewal, Drift: f.Drift, Voters: f.Voters},
-		Seed: binary.LittleEndian.Uint64(draw[8:]), Probe: f.Probe, Wall: time.Now().UnixMilli(), Members: f.Members})
+		Seed: binary.LittleEndian.Uint64(draw[8:]), Probe: f.Probe, Wall: unixMilli(c), Members: f.Members})
 	if err != nil {
 		return nil, fmt.Errorf("%w: fleet: %w", ErrConfig, err)
 	}
@@ -112,7 +117,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("links to instances: %w", err)
 	}
-	s := &sharing{file: file, node: node, log: log, inbox: make(chan fleet.Event, sharingInbox),
+	s := &sharing{file: file, node: node, log: log, clock: c, inbox: make(chan fleet.Event, sharingInbox),
 		asks: make(chan chan fleet.Status), views: make(chan chan fleet.MembersStatus), relist: make(chan struct{}, 1), tell: tell, probing: make(chan struct{}, probesMost),
 		held: make([]atomic.Uint64, f.Slots)}
 	s.report, _ = set["report.fields"].([]string)
@@ -147,7 +152,7 @@
 		}
 		return ""
 	}
-	ahead := time.Now().UnixNano() - bootTime() // of the boot clock
+	now, boot := s.clock.Now(), bootTime()
 	for _, l := range lines {
 		if l.Phase != "ready" || l.Kind == kind("kind.origin") && l.Kind != "" {
 			continue // who drains or is gone gets nothing new, the origin is not probed
@@ -159,7 +164,7 @@
 			span = parent.Span
 		}
 		if l.Started > 0 {
-			t.WarmAt = l.Started + span - ahead
+			t.WarmAt = min(l.Started, now) - now + boot + span // nobody started after it was told that it had
 		}
 		out = append(out, t)
 	}
@@ -198,7 +203,7 @@
 				status.BytesSent = s.bytes.Load()
 				reply <- status
 			case <-timer.C:
-				s.handle(ctx, fleet.Due{Wall: time.Now().UnixMilli()}, timer)
+				s.handle(ctx, fleet.Due{Wall: unixMilli(s.clock)}, timer)
 			}
 		}
 	})
