--- a/control/control.go
+++ b/control/control.go
@@ -91,7 +91,7 @@
 	}
 	r := &Router{set: set, log: log, seed: seed, started: now, home: get(set, "location", ""),
 		products: map[string]*product{}, members: map[uint32]*member{}, table: map[entryKey]*entry{},
-		live: list.New(), ghosts: list.New(), totalAt: now, purges: map[string]int64{},
+		live: list.New(), ghosts: list.New(), totalAt: now, purges: map[string]*purge{},
 		spare: furtherMost, rooms: roomFirst}
 	for i, name := range get[[]string](set, "product.names", nil) {
 		due, none := at(set, "product.due", i, second), int64(0)
@@ -504,7 +504,7 @@
 		r.check(now, m)
 		tried := slices.ContainsFunc(t.dispatches, func(d *dispatch) bool {
 			// A connection that broke by itself is no reason to fill the object elsewhere.
-			broke := slices.Contains([]Result{Broken, Cut, Faulty, Missing}, d.result)
+			broke := slices.Contains([]Result{Broken, Cut, Faulty, Missing, Outdated}, d.result)
 			return !broke && (d.cache == m || d.source == m)
 		})
 		trial := now >= m.trialAt && !m.trial && len(t.dispatches) == 0 && (m.Location == r.home &&
@@ -520,7 +520,7 @@
 }
 
 func (r *Router) send(now int64, t *Retrieval, cache, source *member) Decision {
-	d := &dispatch{sent: now, cache: cache, source: source, kind: t.kind(now)}
+	d := &dispatch{sent: now, cache: cache, source: source, kind: t.kind(now), issuedFrom: r.issuedFrom(t)}
 	if source == nil {
 		d.kind = hits
 	}
@@ -576,15 +576,7 @@
 	if age = e.age; age == forever {
 		age = 0
 	}
-	// Rule 5: nothing older than the last told purge, at the sending. Never 0, which means the fresh time.
-	for _, name := range []string{"o" + t.Object, groupName(t.Group)} {
-		if purged, ok := r.purges[name]; ok {
-			if limit := max(now-purged-second/1000, 1000); age == 0 || limit < age {
-				age = limit
-			}
-		}
-	}
-	return age, renew
+	return r.youngEnough(now, t, age), renew
 }
 
 // setAge sets an object's accepted age by the design's root and holds it.
@@ -671,7 +663,7 @@
 	if object == "" {
 		name = groupName(group)
 	}
-	r.purges[name] = max(r.purges[name], when)
+	r.purges[name] = r.purges[name].with(now, when)
 	for at := r.live.Front(); at != nil; at = at.Next() {
 		if e := at.Value.(*entry); e.key.object == object || object == "" && e.group == group {
 			e.purges++
@@ -691,9 +683,10 @@
 			m = &member{heard: now, scored: now}
 			r.members[line.ID] = m
 		}
-		if line.Started > m.Started {
-			// Back from a restart: cold, empty, and no longer judged by what it was before.
-			m.coldFrom, m.good, m.bad, m.heard = line.Started, 0, 0, now
+		if line.Started > 0 && line.Started != m.Started {
+			// Back from a restart: cold, empty, and no longer judged by what it was before. Earlier than the last, where the clock
+			// that tells it was set back.
+			m.coldFrom, m.coldTold, m.good, m.bad, m.heard = line.Started, now, 0, 0, now
 			m.suspect, m.trial, m.off = false, false, false
 		}
 		m.Listing, m.listed, m.weight = line, line.Phase != "gone", max(line.Units, 0.01)
@@ -722,8 +715,8 @@
 
 // Tick does the periodic work and says when to come again.
 func (r *Router) Tick(now int64) (probe []uint32, again int64) {
-	for name, purged := range r.purges {
-		if now > purged+get(r.set, "purge.takes", 10*second)+second/2 {
+	for name, p := range r.purges {
+		if now > p.told+get(r.set, "purge.takes", 10*second)+second/2 {
 			delete(r.purges, name) // all caches and parents have dropped older copies by themselves
 		}
 	}
@@ -749,7 +742,7 @@
 	switch {
 	case m.suspect && good:
 		if m.off {
-			m.coldFrom = now // likely restarted, which the list tells too late: it fell over at full load
+			m.coldFrom, m.coldTold = now, now // likely restarted, which the list tells too late: it fell over at full load
 		}
 		m.suspect, m.off, m.good, m.bad, m.heard = false, false, 0, 0, now
 		r.log(fmt.Sprintf("member %d trusted again", m.ID))
@@ -770,6 +763,9 @@
 		r.ours = fade(r.ours, now-r.sharedAt, sharingSpan) + float64(len(d.cache.out)-1)
 		r.sharedAt = now
 	}
+	if o.Result == Outdated {
+		r.distrust()
+	}
 	if o.Result == Late && d.cache.well() && d.source.well() {
 		r.mute.add(now)
 	}
@@ -928,10 +924,14 @@
 	for len(m.spent) > 0 && m.spent[0].at <= now-window {
 		m.spent = m.spent[1:]
 	}
-	if m == r.origin || m.coldFrom == 0 || now >= m.coldFrom+span {
+	if m == r.origin || m.coldFrom == 0 {
+		return true
+	}
+	cold := r.coldSince(m)
+	if now >= cold+span {
 		return true
 	}
-	capacity := r.sure(now, m) * (share + (1-share)*float64(max(0, now-m.coldFrom))/float64(span))
+	capacity := r.sure(now, m) * (share + (1-share)*float64(max(0, now-cold))/float64(span))
 	budget := guardMargin * factor * capacity * float64(window) / 1e9 / r.sharers(m)
 	if amount > budget {
 		return r.saved(now, m, amount, budget/2, window)
--- a/control/memory.go
+++ b/control/memory.go
@@ -8,7 +8,7 @@
 )
 
 // Memory is what a router has learned, for one that starts in its place: rates, what products cost to send, told purges.
-// Judgements of members are not in it: they are of moments. Times are Unix ns.
+// Judgements of members are not in it: they are of moments. Times are on the axis of the process that learned it, ns.
 type Memory struct {
 	Started, Taken int64
 	Total          float64
@@ -37,7 +37,18 @@
 // PurgeMemory is one told purge that matters still.
 type PurgeMemory struct {
 	Name string
-	When int64
+	When int64 // its stamp: Unix ns by the clock of the journal service, on no axis of ours
+}
+
+// Moved is a memory with its times moved by a span, ns: onto the axis of another process. Stamps of others stay.
+func (m Memory) Moved(by int64) Memory {
+	m.Started, m.Taken, m.TotalAt = m.Started+by, m.Taken+by, m.TotalAt+by
+	m.Objects = slices.Clone(m.Objects)
+	for i := range m.Objects {
+		m.Objects[i].Counted += by
+		m.Objects[i].Born += by
+	}
+	return m
 }
 
 // Remember gives what was learned, with so many objects at most.
@@ -48,7 +59,7 @@
 		m.Products = append(m.Products, ProductMemory{name, p.sending, p.answer, p.seen})
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.purges)) {
-		m.Purges = append(m.Purges, PurgeMemory{name, r.purges[name]})
+		m.Purges = append(m.Purges, PurgeMemory{name, r.purges[name].stamp})
 	}
 	for _, of := range []*list.List{r.live, r.ghosts} {
 		for at := of.Front(); at != nil && len(m.Objects) < most; at = at.Next() {
@@ -71,10 +82,10 @@
 		}
 	}
 	for _, p := range m.Purges {
-		r.purges[p.Name] = max(r.purges[p.Name], p.When)
+		r.purges[p.Name] = r.purges[p.Name].with(now, p.When)
 	}
 	if rates {
-		r.started, r.total, r.totalAt = m.Started+gone, m.Total, m.TotalAt+gone
+		r.started, r.total, r.totalAt = min(m.Started+gone, now), m.Total, min(m.TotalAt+gone, now)
 		for i, room := range m.Rooms {
 			r.rooms[i] = max(roomLeast, min(cmp.Or(room, roomFirst[i]), roomMost))
 		}
@@ -86,7 +97,7 @@
 		}
 		e := &entry{key: key, group: o.Group, born: min(o.Born, now), purges: o.Purges, counted: now, ghost: o.Ghost}
 		if rates {
-			e.count, e.counted = o.Count, o.Counted+gone
+			e.count, e.counted = o.Count, min(o.Counted+gone, now)
 		}
 		if e.ghost {
 			e.place = r.ghosts.PushFront(e)
--- a/control/types.go
+++ b/control/types.go
@@ -15,7 +15,7 @@
 	Cell     int64
 	Phase    string // ready, draining or gone
 	Units    float64
-	Started  int64 // when it last started; 0 is long ago
+	Started  int64 // when it last started, Unix ns by the clock of who tells it; 0 is long ago
 }
 
 // Retrieval is one thing a client asked for. The adapter fills in the exported fields and hands the same
@@ -84,6 +84,7 @@
 	Late
 	Broken
 	Cancelled
+	Outdated // a copy from before a purge that was told at the sending; see Accepts
 )
 
 // Outcome tells how one dispatch of a retrieval ended.
@@ -116,6 +117,7 @@
 	listed    bool
 	weight    float64 // in the hash
 	coldFrom  int64   // when it started, told or inferred; 0 is long ago
+	coldTold  int64   // when that was told or inferred, on our axis
 	good, bad float64
 	scored    int64
 	heard     int64 // when it last answered
@@ -146,6 +148,7 @@
 	denied        bool  // its source was at its bound, or dead
 	kind          int   // the room it counts in
 	lateFrom      int64 // from when an answer is late
+	issuedFrom    int64 // from when on a copy must have been issued, by its own stamp
 }
 
 // entry is one object of the rate table: a part is filled and kept on its own, so each is an object to the
@@ -223,8 +226,11 @@
 	live, ghosts    *list.List
 	total           float64 // all requests, decayed over the window
 	totalAt         int64
-	purges          map[string]int64 // told purges by object, and by group under its number
-	theirs, ours    float64          // in hand at caches, as told and as known, when answers came; fading
+	purges          map[string]*purge // told purges by object, and by group under its number
+	outdated        bool              // a copy from before a purge came: our axis is ahead of others' clocks
+	lead            int64             // by how much it can be ahead at most, by the youngest copy that came
+	leadKnown       bool
+	theirs, ours    float64 // in hand at caches, as told and as known, when answers came; fading
 	sharedAt        int64
 	mute, denials   lately // answers that went missing; fills that a source denied
 	tight           [3]bool
--- a/plan/recall/recall.go
+++ b/plan/recall/recall.go
@@ -1,7 +1,8 @@
 // Package recall decides what a router that starts may use of what it knew before: of a snapshot on its disk. It does no
 // input or output, reads no clock. docs/coldstart.md, "What was known before", has the rules and why.
 //
-// All times are Unix ns.
+// All times are Unix ns by the wall clock, read when the snapshot was written and when the process that reads it began: two
+// processes have no monotonic axis in common. docs/architecture.md, "Time", has what a step between the two does.
 package recall
 
 import "fmt"
@@ -18,7 +19,7 @@
 	// beliefsFor is for how long sending times, and what was asked for and purged at all, tell anything.
 	beliefsFor = 3600 * second
 
-	// ahead is by how much a snapshot may be of the future: clocks of one machine step a little.
+	// ahead is by how much a snapshot may be of the future: clocks of one machine step a little. Such a one counts as new.
 	ahead = 5 * second
 )
 
--- a/process/keeping.go
+++ b/process/keeping.go
@@ -10,6 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"tealpath/feed"
+	"tealpath/internal/clock"
 	"tealpath/plan/recall"
 	"tealpath/router"
 	"tealpath/snapshot"
@@ -19,6 +20,7 @@
 // reducer's goroutine's, which waits for no disk: files are written beside it, one at a time.
 type keeper struct {
 	path    string
+	clock   clock.Clock
 	header  recall.Header
 	last    feed.Told
 	ticker  *time.Ticker
@@ -33,7 +35,7 @@
 	if p.file == nil || p.file.Snapshot == "" {
 		return
 	}
-	p.keeper = &keeper{path: p.file.Snapshot, line: p.line, ticker: time.NewTicker(time.Duration(p.file.SnapshotEvery)),
+	p.keeper = &keeper{path: p.file.Snapshot, clock: p.clock, line: p.line, ticker: time.NewTicker(time.Duration(p.file.SnapshotEvery)),
 		header: recall.Header{Version: recall.Version, Router: p.config.Name, Deployment: xxhash.Sum64String(fmt.Sprint(p.config.Settings))}}
 	kept, err := snapshot.Read(p.keeper.path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -43,12 +45,14 @@
 		p.line("snapshot passed over: " + err.Error())
 		return
 	}
-	use, why := recall.Judge(now, p.keeper.header, kept.Header)
+	wall := p.clock.Wall() // as the process before read it: the two have no axis in common
+	use, why := recall.Judge(wall, p.keeper.header, kept.Header)
 	if use == recall.Nothing {
 		p.line("snapshot passed over: " + why)
 		return
 	}
-	p.router.Recall(now, kept.Memory, use == recall.Whole)
+	age := max(0, wall-kept.Taken)
+	p.router.Recall(now, kept.Memory.Moved(now-age-kept.Memory.Taken), use == recall.Whole)
 	line := fmt.Sprintf("snapshot of %d objects taken, %s", len(kept.Memory.Objects), use)
 	if why != "" {
 		line += ": " + why
@@ -79,7 +83,7 @@
 	}
 	s := snapshot.Snapshot{Header: k.header, Position: k.last.Position, Digest: k.last.Digest, Members: r.Listings(),
 		Memory: r.Remember(now, snapshot.ObjectsMost)}
-	s.Taken = now
+	s.Taken = k.clock.Wall() // the next process reads it, on an axis of its own
 	k.group.Go(func() {
 		defer k.writing.Unlock()
 		err := snapshot.Write(k.path, s)
--- /dev/null
+++ b/router/clock_test.go
@@ -0,0 +1,90 @@
+package router
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"tealpath/control"
+)
+
+// A cache answers with a copy from before a purge, as it finds it young enough: our axis is ahead of its clock. It is not passed
+// on, the same cache is asked once more, for a copy from after the purge was told; the next purge counts from its telling.
+func TestACopyFromBeforeAPurgeIsNotPassedOn(t *testing.T) {
+	const ahead = 600 * second
+	for _, c := range []struct {
+		name     string
+		fields   map[string]string
+		want     string
+		attempts int
+	}{
+		{"asked again", nil, "send 1, send 1, settled 1:new", 2},
+		{"never where it may run once only", map[string]string{"verb": "permits"}, "send 1, aborted 1", 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			p := newPlay(t, func(_ *Limits, s control.Settings) {
+				s["product.names"] = []string{"stills", "permits"}
+				s["product.due"] = []int64{4 * second / 10, 4 * second / 10}
+				s["product.hardStop"] = []int64{25 * second / 10, 25 * second / 10}
+				s["product.payoff"] = []float64{1, 1}
+				s["product.effect"] = []string{"harmless", "one-shot"}
+				s["product.scope"] = []string{"all", "all"}
+			})
+			p.take(Purged{Object: object, When: p.now - ahead - 50*millisecond})
+			p.pass(second)
+			p.seen = nil
+			p.ask(1, c.fields)
+			p.up()
+			if age := p.sends[0].Request.Dispatch.Age; age <= 3*second/2 {
+				t.Fatalf("age %v: the case is another", age)
+			}
+			p.answer(Answered{Result: control.Good, Issued: p.now - ahead - 3*second/2, Body: []byte(":old")})
+			if c.attempts > 1 {
+				if age := p.sends[1].Request.Dispatch.Age; age > second || p.sends[1].Link != p.sends[0].Link {
+					t.Errorf("asked again with age %v on link %d", age, p.sends[1].Link)
+				}
+				p.answer(Answered{Result: control.Good, Issued: p.now - ahead - second/2, Body: []byte(":new")})
+			}
+			if got := strings.ReplaceAll(strings.Join(p.seen[1:], ", "), "000000000000000", ""); got != c.want {
+				t.Errorf("%s\nwant %s", got, c.want)
+			}
+			if len(p.lines) != 1 || !strings.Contains(p.lines[0], "ahead of others") {
+				t.Errorf("log: %v", p.lines)
+			}
+			p.take(Purged{Object: object, When: p.now - ahead})
+			p.pass(second / 10)
+			p.ask(2, nil)
+			if age := p.sends[len(p.sends)-1].Request.Dispatch.Age; age > second/10 {
+				t.Errorf("after the next purge: age %v", age)
+			}
+		})
+	}
+}
+
+// A member that starts again under a stamp before the last, told by a clock that was set back: its links lead nowhere.
+func TestARestartUnderAnEarlierStamp(t *testing.T) {
+	p := newPlay(t, nil)
+	p.ask(1, nil)
+	p.up()
+	address := p.Router.links[p.links[0]].address
+	line := fleet[slices.IndexFunc(fleet, func(l Listing) bool { return l.Address == address })]
+	told := func(started int64) {
+		line.Started = started
+		p.take(Listed{Lines: []Listing{line}})
+	}
+	told(start)
+	p.ask(2, nil)
+	for _, link := range p.links[1:] {
+		p.take(Up{Link: link})
+	}
+	p.seen = nil
+	told(start - 600*second)
+	if !strings.Contains(strings.Join(p.seen, ", "), "close") {
+		t.Errorf("%v: no link was closed", p.seen)
+	}
+	p.seen = nil
+	told(start - 600*second)
+	if strings.Contains(strings.Join(p.seen, ", "), "close") {
+		t.Errorf("%v: told once more it is no restart", p.seen)
+	}
+}
--- a/router/events.go
+++ b/router/events.go
@@ -9,7 +9,8 @@
 	LinkID   uint64
 )
 
-// Event is something that came in from outside. All times are Unix nanoseconds.
+// Event is something that came in from outside. Stamps of other machines are Unix ns by their clocks; all other times are ns on
+// the axis of Handle.
 type Event any
 
 // Requested is a client's request that has come whole.
@@ -47,8 +48,9 @@
 	Link   LinkID
 	ID     string
 	Result control.Result
-	Same   bool // the client's copy is the one
-	Bare   bool // Faulty for nothing but this: it does not say which copy it is, and from when
+	Same   bool  // the client's copy is the one
+	Bare   bool  // Faulty for nothing but this: it does not say which copy it is, and from when
+	Issued int64 // when the origin gave out the copy, Unix ns by its clock; 0: it is no copy
 	Body   []byte
 	Note   int64
 	Waited int64
@@ -72,7 +74,7 @@
 type Purged struct {
 	Object string
 	Group  int64
-	When   int64
+	When   int64 // its stamp by the journal service
 }
 
 // Probed tells what a probe of a member found, by this instance or by another that shares the duty.
--- a/router/links.go
+++ b/router/links.go
@@ -306,7 +306,7 @@
 			r.members[line.Instance] = m
 		}
 		r.overtake(line)
-		again := m.Instance != "" && (line.Started > m.Started || line.Address != m.Address)
+		again := m.Instance != "" && (line.Started > 0 && line.Started != m.Started || line.Address != m.Address)
 		m.Listing = line
 		if again {
 			for _, l := range m.links {
--- a/router/router.go
+++ b/router/router.go
@@ -469,6 +469,9 @@
 	case e.Bare && r.of(d.hand.Product, r.neverKept):
 		e.Result = control.Good // what no cache keeps is no copy: it passed for spoilt, and was never served
 	}
+	if e.Result == control.Good && !r.decide.Accepts(r.now, &d.hand.Retrieval, d.number, e.Issued) {
+		e.Result = control.Outdated
+	}
 	if e.Result == control.Good {
 		r.finish(d.hand, Answer{Kind: Settled, Body: e.Body, Same: e.Same})
 	}
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -18,6 +18,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"tealpath/control"
+	"tealpath/internal/clock"
 	"tealpath/resp"
 	"tealpath/router"
 )
@@ -355,14 +356,14 @@
 	}
 	if result == control.Good {
 		// Without them nothing proves how old the copy is. What is never kept has neither.
-		_, err := strconv.ParseInt(fields["issued"], 10, 64)
+		issued, err := strconv.ParseInt(fields["issued"], 10, 64)
 		a.Bare = fields["issued"] == "" && fields["entity"] == "" && string(words[1]) == "served"
 		if a.Bare {
 			a.Body, result = words[3], control.Faulty
-		} else if err != nil || fields["entity"] == "" {
+		} else if err != nil || issued <= 0 || fields["entity"] == "" {
 			return a, true
 		} else {
-			a.Same, a.Body = string(words[1]) == "still_good", words[3]
+			a.Same, a.Body, a.Issued = string(words[1]) == "still_good", words[3], clock.FromUnixMilli(issued)
 		}
 	}
 	a.Result = result
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"math"
 	"net"
 	"reflect"
 	"strings"
@@ -50,28 +51,34 @@
 }
 
 func TestParse(t *testing.T) {
-	const proof = "entity=4be0c1927d55a6f3,issued=1764576000123"
+	const proof, issued = "entity=4be0c1927d55a6f3,issued=1764576000123", int64(1764576000123e6)
 	for _, c := range []struct {
 		name, in string // words parted by |
 		want     router.Answered
 		ok       bool
 	}{
 		{"served", "i|served|" + proof + ",detail=TCP_MISS,delay=12.5,use=inflight:7;x0:0.61|bytes",
-			router.Answered{ID: "i", Result: control.Good, Body: []byte("bytes"), Note: 2, Waited: 125e5,
+			router.Answered{ID: "i", Result: control.Good, Issued: issued, Body: []byte("bytes"), Note: 2, Waited: 125e5,
 				Load: []float64{7, 0, 0.61}}, true},
 		{"a report in the wire's words", "i|crashed|use=outstanding:11.128;x1:0.736|", router.Answered{ID: "i",
 			Result: control.Faulty, Load: []float64{11.128, 0.736, 0}}, true},
 		{"the copy holds", "i|still_good|" + proof + ",detail=TCP_HIT|", router.Answered{ID: "i", Result: control.Good,
-			Same: true, Body: []byte{}, Note: 1}, true},
+			Issued: issued, Same: true, Body: []byte{}, Note: 1}, true},
 		{"a miss", "i|not_here|detail=PEER_MISS|", router.Answered{ID: "i", Result: control.Missing, Note: 8}, true},
 		{"full", "i|overload|-|", router.Answered{ID: "i", Result: control.Full}, true},
 		{"an error", "i|crashed|-|", router.Answered{ID: "i", Result: control.Faulty}, true},
 		{"over already", "i|nobody|-|", router.Answered{ID: "i", Result: control.Unsent}, true},
 		{"odd notes and reports say nothing", "i|served|" + proof + ",detail=ODD,delay=long,use=??|b",
-			router.Answered{ID: "i", Result: control.Good, Body: []byte("b"), Load: []float64{0, 0, 0}}, true},
+			router.Answered{ID: "i", Result: control.Good, Issued: issued, Body: []byte("b"), Load: []float64{0, 0, 0}}, true},
 		{"no age", "i|served|entity=4be0c1927d55a6f3|b", router.Answered{ID: "i", Result: control.Faulty}, true},
 		{"an odd age", "i|served|entity=4be0c1927d55a6f3,issued=soon|b", router.Answered{ID: "i",
 			Result: control.Faulty}, true},
+		{"an age of 0", "i|served|entity=4be0c1927d55a6f3,issued=0|b", router.Answered{ID: "i", Result: control.Faulty}, true},
+		{"a negative age", "i|served|entity=4be0c1927d55a6f3,issued=-1|b", router.Answered{ID: "i", Result: control.Faulty}, true},
+		{"an age of the far future", "i|served|entity=4be0c1927d55a6f3,issued=9223372036854775807|b", router.Answered{ID: "i",
+			Result: control.Good, Issued: math.MaxInt64, Body: []byte("b")}, true},
+		{"an age beyond all numbers", "i|served|entity=4be0c1927d55a6f3,issued=9223372036854775808|b", router.Answered{ID: "i",
+			Result: control.Faulty}, true},
 		{"no tag", "i|served|issued=1764576000123|b", router.Answered{ID: "i", Result: control.Faulty}, true},
 		{"neither: it is for who knows the product to say", "i|served|detail=TCP_MISS_ROOT|done", router.Answered{ID: "i",
 			Result: control.Faulty, Bare: true, Body: []byte("done"), Note: 3}, true},
