--- a/control/members.go
+++ b/control/members.go
@@ -69,9 +69,10 @@
 		m = &member{heard: now, scored: now}
 		r.members[line.ID] = m
 	}
-	if line.Started > m.Started {
-		// Back from a restart: cold, empty, and no longer judged by what it was before.
-		m.coldFrom, m.good, m.bad, m.heard = line.Started, 0, 0, now
+	if line.Started > 0 && line.Started != m.Started {
+		// Back from a restart: cold, empty, and no longer judged by what it was before. Earlier than the last, where the clock
+		// that tells it was set back.
+		m.coldFrom, m.coldTold, m.good, m.bad, m.heard = line.Started, now, 0, 0, now
 		m.suspect, m.trial, m.off = false, false, false
 	}
 	m.Listing, m.listed, m.weight = line, line.Phase != "gone", max(line.Units, leastUnits)
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -164,11 +164,12 @@
 	}
 	terms := r.slowStartTerms(m)
 	m.recovery.forget(now - terms.window)
-	if now >= m.coldFrom+terms.span {
+	startedAt := r.coldSince(m)
+	if now >= startedAt+terms.span {
 		return true
 	}
 	mean := r.meanWork(now, 0)
-	n := terms.bears(r.sure(now, m), now-m.coldFrom) / mean
+	n := terms.bears(r.sure(now, m), now-startedAt) / mean
 	// Whole shares never break the rule: not if each router restarts within the window, nor if the member is half as
 	// large as it seems.
 	whole := mean * overloadLimit(n) / incarnations / float64(terms.routers)
