--- a/process/process.go
+++ b/process/process.go
@@ -406,6 +406,8 @@
 			p.front.Answer(effect)
 		case router.Send:
 			p.pool.Send(effect)
+		case router.Withdraw:
+			p.pool.Withdraw(effect)
 		case router.GiveUp:
 			p.pool.GiveUp(effect)
 		case router.Dial:
--- a/router/endings_test.go
+++ b/router/endings_test.go
@@ -93,7 +93,7 @@
 			p.take(Leaving{By: p.now + 300*millisecond})
 			p.pass(100 * millisecond)
 			p.up()
-			if budget := p.sends[0].Request.Budget; budget != 200*millisecond {
+			if budget := p.sends[0].Request.Until - p.now; budget != 200*millisecond {
 				p.t.Errorf("the cache is told to answer within %d ms", budget/millisecond)
 			}
 			p.pass(201 * millisecond)
--- a/router/events.go
+++ b/router/events.go
@@ -14,10 +14,11 @@
 
 // Requested is a client's request that has come whole.
 type Requested struct {
-	Client ClientID
-	Seq    int32
-	Fields map[string]string
-	Body   []byte
+	Client  ClientID
+	Seq     int32
+	Arrived int64 // the earliest that its first byte can have come; 0: with the event
+	Fields  map[string]string
+	Body    []byte
 }
 
 // Cancelled tells that a client has stopped waiting for one request.
@@ -42,6 +43,13 @@
 	Unsent []string
 }
 
+// Withdrawn tells that nothing of a request was written to its link, and nothing will be: it was withdrawn, or the time in
+// which it could be written has passed.
+type Withdrawn struct {
+	Link LinkID
+	ID   string
+}
+
 // Answered is an answer from a cache, a parent or the origin.
 type Answered struct {
 	Link   LinkID
@@ -120,10 +128,11 @@
 	Within  int64
 }
 
-// Send wants a request written to a link.
+// Send wants a request written to a link, unless that can't begin before a time.
 type Send struct {
 	Link    LinkID
 	Request Request
+	Before  int64
 }
 
 // Request is what a cache, a parent or the origin is asked. The strings and the body are the client's own.
@@ -132,7 +141,7 @@
 	Body                      []byte
 	Mine                      string // the tag of the client's copy
 	Key                       string // the client's idempotency key, by which repeats are dropped
-	Budget                    int64
+	Until                     int64  // when its answer must have come; what is left of that is told as it is written
 	Source                    string // instance from which a miss is filled; empty is no fill
 	Dispatch                  control.Dispatch
 }
@@ -143,6 +152,12 @@
 	ID   string
 }
 
+// Withdraw wants a request on a link taken back, if nothing of it is written yet; Withdrawn tells so. Otherwise it stays.
+type Withdraw struct {
+	Link LinkID
+	ID   string
+}
+
 // Close wants a link closed. No event follows.
 type Close struct{ Link LinkID }
 
--- a/router/links.go
+++ b/router/links.go
@@ -47,7 +47,7 @@
 		within = h.HardStop - r.now
 	}
 	d.request = Request{ID: h.fields["txn"], Product: h.fields["verb"], Object: h.fields["item"],
-		Part: h.fields["nth"], Body: h.body, Budget: within, Dispatch: plan}
+		Part: h.fields["nth"], Body: h.body, Until: r.now + within, Dispatch: plan}
 	if tag := h.fields["got"]; isHex(tag) {
 		d.request.Mine = tag
 	}
@@ -68,7 +68,7 @@
 	d.link.open[d.request.ID] = d
 	d.link.used = r.now
 	d.until = r.now + within
-	d.reach = min(d.until, r.now+plan.Reach)
+	d.reach = min(d.until-millisecond, r.now+plan.Reach) // with less than the wire's unit left it could not be told
 	if d.link.up {
 		r.write(d)
 		return
@@ -182,17 +182,48 @@
 	l.up, l.heard = true, r.now
 	r.limits.Plan.Stood(l.member.Instance)
 	for _, d := range r.inOpen(l) {
-		d.request.Budget = d.until - r.now
 		r.write(d)
 	}
 	r.tidy(l)
 }
 
-// write sends a dispatch on a link that is up; from now on it has until its time-out.
+// write sends a dispatch on a link that is up.
 func (r *Router) write(d *dispatch) {
+	r.arm(d)
+	r.do(Send{Link: d.link.id, Request: d.request, Before: d.reach})
+}
+
+// arm sets a dispatch's timer: to the end of the time in which it may be written, then to its time-out.
+func (r *Router) arm(d *dispatch) {
+	at := d.until
+	if r.now < d.reach {
+		at = d.reach
+	}
 	r.due.Remove(d.ends)
-	d.ends = r.due.Push(d.until, task{dispatch: d})
-	r.do(Send{Link: d.link.id, Request: d.request})
+	d.ends = r.due.Push(at, task{dispatch: d})
+}
+
+// takeBack ends a dispatch that is not written yet. On a link that is up only the link's writer can tell: Withdrawn follows.
+func (r *Router) takeBack(d *dispatch) {
+	if d.link.up {
+		r.do(Withdraw{Link: d.link.id, ID: d.request.ID})
+		return
+	}
+	r.giveUp(d)
+	r.ended(d, control.Outcome{Result: control.Unsent})
+}
+
+// withdrawn ends a dispatch that waited on a link that is up, and was not written.
+func (r *Router) withdrawn(e Withdrawn) {
+	l := r.links[e.Link]
+	if l == nil || l.open[e.ID] == nil {
+		return // it was given up meanwhile
+	}
+	d := l.open[e.ID]
+	delete(l.open, e.ID)
+	r.doubt(d)
+	r.ended(d, control.Outcome{Result: control.Unsent})
+	r.tidy(l)
 }
 
 // inOpen is what is open on a link, in the order of its sending.
@@ -258,13 +289,20 @@
 	l.past[d.request.ID] = r.now
 	if r.mayCancel {
 		r.do(GiveUp{Link: l.id, ID: d.request.ID})
+	} else {
+		r.do(Withdraw{Link: l.id, ID: d.request.ID}) // what is not written yet needs no word to the other side
 	}
-	if l.heard <= d.sent && r.now-d.sent >= r.dialWithin {
-		l.doubted = true
-	}
+	r.doubt(d)
 	r.tidy(l)
 }
 
+// doubt doubts a dispatch's link if that has been silent since for as long as a dial may take.
+func (r *Router) doubt(d *dispatch) {
+	if d.link.heard <= d.sent && r.now-d.sent >= r.dialWithin {
+		d.link.doubted = true
+	}
+}
+
 // tidy closes a doubted link once nothing is open on it.
 func (r *Router) tidy(l *link) {
 	if l.doubted && len(l.open) == 0 && !l.closed {
@@ -375,23 +413,32 @@
 	})
 }
 
-// withdraw ends dispatches that still wait for their link: written later than the grace, they would break the
-// rule on drains or on purges.
+// withdraw takes back dispatches that are not written yet: written later than the grace, they would break the rule on drains
+// or on purges.
 func (r *Router) withdraw(which func(*dispatch) bool) {
 	for _, id := range sortedKeys(r.links) {
 		l := r.links[id]
-		if l == nil || l.up {
+		if l == nil || !anyOpen(l, which) {
 			continue
 		}
 		for _, d := range r.inOpen(l) {
 			if which(d) && !d.ended {
-				r.giveUp(d)
-				r.ended(d, control.Outcome{Result: control.Unsent})
+				r.takeBack(d)
 			}
 		}
 	}
 }
 
+// anyOpen tells whether something holds for a dispatch on a link.
+func anyOpen(l *link, which func(*dispatch) bool) bool {
+	for _, d := range l.open {
+		if which(d) {
+			return true
+		}
+	}
+	return false
+}
+
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
 func inOrder(hands map[int32]*hand) []*hand {
--- a/router/router.go
+++ b/router/router.go
@@ -212,6 +212,8 @@
 		r.up(e)
 	case Down:
 		r.down(e)
+	case Withdrawn:
+		r.withdrawn(e)
 	case Answered:
 		r.answered(e)
 	case Listed:
@@ -363,6 +365,9 @@
 		return
 	}
 	h.finished = true
+	if !r.mayCancel {
+		r.takeAllBack(h) // the module calls nothing off where the caches can't be told
+	}
 	// Left to come due, they kept all of a retrieval for seconds after its end.
 	r.due.Remove(h.ends)
 	r.due.Remove(h.asks)
@@ -403,18 +408,22 @@
 				waits = false
 			}
 		}
-		for _, d := range slices.Clone(h.dispatches) {
-			if !d.ended && !d.link.up {
-				r.giveUp(d)
-				r.ended(d, control.Outcome{Result: control.Unsent})
-			}
-		}
+		r.takeAllBack(h)
 		if waits && !h.finished {
 			r.act(h, r.decide.Where(r.now, &h.Retrieval))
 		}
 	}
 }
 
+// takeAllBack ends what of a retrieval is not written yet.
+func (r *Router) takeAllBack(h *hand) {
+	for _, d := range slices.Clone(h.dispatches) {
+		if !d.ended {
+			r.takeBack(d)
+		}
+	}
+}
+
 // callOff gives dispatches up, by their numbers.
 func (r *Router) callOff(h *hand, numbers []int) {
 	for _, n := range numbers {
@@ -496,11 +505,16 @@
 	}
 }
 
-// late ends a dispatch whose time is up.
+// late ends a dispatch whose time is up, or takes it back if only the time in which it may be written is.
 func (r *Router) late(d *dispatch) {
 	if d.ended {
 		return
 	}
+	if d.link.up && r.now < d.until {
+		r.takeBack(d)
+		r.arm(d) // if it was written its answer is waited for
+		return
+	}
 	result := control.Late
 	if !d.link.up {
 		result = control.Unreached // nothing was written
@@ -533,13 +547,9 @@
 				if !d.ended {
 					// Its own time is cut, too: one that waited for its link got all of it back when that came up, and was failed
 					// where it could have been refused.
-					d.until, d.reach = min(e.By, d.until), min(e.By, d.reach)
-					at := d.reach
-					if d.link.up {
-						at = d.until
-					}
-					r.due.Remove(d.ends)
-					d.ends = r.due.Push(at, task{dispatch: d})
+					d.until, d.reach = min(e.By, d.until), min(e.By-millisecond, d.reach)
+					d.request.Until = d.until
+					r.arm(d)
 				}
 			}
 		}
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -32,6 +32,7 @@
 	lines []string // of the log
 	links []LinkID // in the order of their dialling
 	sends []Send
+	asked []Withdraw // of the links' writers
 }
 
 func newPlay(t *testing.T, change func(*Limits, control.Settings)) *play {
@@ -76,6 +77,8 @@
 			p.seen = append(p.seen, "send "+e.Request.ID)
 		case GiveUp:
 			p.seen = append(p.seen, "abort "+e.ID)
+		case Withdraw:
+			p.asked = append(p.asked, e)
 		case Log:
 			p.lines = append(p.lines, e.Line)
 		case Close:
@@ -284,7 +287,7 @@
 			p.take(Leaving{By: p.now + 300*millisecond})
 			p.ask(2, nil)
 			p.pass(301 * millisecond)
-		}, "dial, send 1, send 2, abort 1, dismissed 1, abort 2, dismissed 2"},
+		}, "dial, send 1, send 2, abort 2, dismissed 2, abort 1, dismissed 1"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/upstream/endings_test.go
+++ b/upstream/endings_test.go
@@ -33,6 +33,18 @@
 	return ours, theirs
 }
 
+// sending is a request for link 1 that may be written and answered within a time.
+func sending(id string, within time.Duration) router.Send {
+	until := time.Now().Add(within).UnixNano()
+	return router.Send{Link: 1, Request: router.Request{ID: id, Until: until}, Before: until}
+}
+
+// asking is a request as it waits to be written.
+func asking(id string, within time.Duration) item {
+	send := sending(id, within)
+	return item{request: &send}
+}
+
 // A cache closes an idle connection, and before its end is read here a request is to be written: it is known not to have run.
 func TestClosedBeforeTheRequestIsWritten(t *testing.T) {
 	ours, theirs := pair(t)
@@ -45,8 +57,8 @@
 		})
 	}
 	l := &link{wake: make(chan struct{}, 1)}
-	l.enter(item{id: "a", bytes: []byte("fetch a")})
-	l.enter(item{bytes: []byte("abort b")})
+	l.enter(asking("a", time.Second))
+	l.enter(item{abort: "b"})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	if err := l.write(ctx, ours); !errors.Is(err, errEnded) {
@@ -62,14 +74,13 @@
 	ours, theirs := pair(t)
 	theirs.Write([]byte("*4"))
 	l := &link{wake: make(chan struct{}, 1)}
-	l.enter(item{id: "a", bytes: []byte("fetch a")})
+	l.enter(asking("a", time.Second))
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error, 1)
 	go func() { over <- l.write(ctx, ours) }()
-	got := make([]byte, 7)
 	theirs.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := theirs.Read(got); err != nil || string(got) != "fetch a" {
-		t.Errorf("%q, %v", got, err)
+	if words, err := resp.Read(bufio.NewReader(theirs)); err != nil || string(words[0]) != "fetch" || string(words[1]) != "a" {
+		t.Errorf("%q, %v", words, err)
 	}
 	cancel()
 	<-over
@@ -106,7 +117,7 @@
 	begun := time.Now()
 	for e := range events {
 		if _, up := e.(router.Up); up {
-			p.Send(router.Send{Link: 1, Request: router.Request{ID: "a"}})
+			p.Send(sending("a", 10*time.Second))
 			continue
 		}
 		if _, down := e.(router.Down); !down {
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -6,13 +6,11 @@
 	"bufio"
 	"cmp"
 	"context"
-	"errors"
 	"net"
 	"slices"
 	"strconv"
 	"strings"
 	"sync"
-	"syscall"
 	"time"
 
 	"golang.org/x/sync/errgroup"
@@ -78,10 +76,18 @@
 	return p.links[id]
 }
 
-// Send queues a request on a link.
+// Send queues a request on a link. It is encoded as it is written.
 func (p *Pool) Send(e router.Send) {
 	if l := p.find(e.Link); l != nil {
-		l.enter(item{id: e.Request.ID, bytes: Fetch(e.Request)})
+		l.enter(item{request: &e})
+	}
+}
+
+// Withdraw takes back a request of which nothing is written yet, and then tells so.
+func (p *Pool) Withdraw(e router.Withdraw) {
+	if l := p.find(e.Link); l != nil && l.withdraw(e.ID) {
+		// Apart: whoever calls may be the one who takes what is told.
+		p.group.Go(func() { l.tellWithdrawn(e.ID) })
 	}
 }
 
@@ -99,52 +105,16 @@
 	}
 }
 
-type item struct {
-	id    string // empty: no request
-	bytes []byte
-}
-
 type link struct {
 	pool   *Pool
 	id     router.LinkID
 	cancel context.CancelFunc
 	wake   chan struct{}
 
-	mu    sync.Mutex
-	queue []item
-}
-
-func (l *link) enter(i item) {
-	l.mu.Lock()
-	l.queue = append(l.queue, i)
-	l.mu.Unlock()
-	select {
-	case l.wake <- struct{}{}:
-	default:
-	}
-}
-
-func (l *link) giveUp(id string) {
-	l.mu.Lock()
-	before := len(l.queue)
-	l.queue = slices.DeleteFunc(l.queue, func(i item) bool { return i.id == id })
-	unsent := len(l.queue) < before
-	l.mu.Unlock()
-	if !unsent {
-		l.enter(item{bytes: Abort(id)})
-	}
-}
-
-// unsent is the requests that were not wholly written.
-func (l *link) unsent() (ids []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, i := range l.queue {
-		if i.id != "" {
-			ids = append(ids, i.id)
-		}
-	}
-	return ids
+	mu        sync.Mutex
+	queue     []item   // nothing of these is written yet
+	partial   string   // the request that is written in part
+	withdrawn []string // requests taken out of the queue, until that has been told
 }
 
 // run dials and then reads and writes until either fails.
@@ -209,67 +179,8 @@
 	}
 }
 
-// errEnded is the other side's end that was there before a request was written.
-var errEnded = errors.New("upstream: the other side has ended")
-
-// hasEnded tells whether the other side has closed, though its reader has not seen it yet: what is written now never runs, and
-// it is known. Written all the same it went for what may have run, and one-shots were failed.
-func hasEnded(conn net.Conn) bool {
-	c, ok := conn.(syscall.Conn)
-	if !ok {
-		return false
-	}
-	raw, err := c.SyscallConn()
-	if err != nil {
-		return false
-	}
-	ended := false
-	raw.Control(func(fd uintptr) {
-		n, _, err := syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		ended = err == nil && n == 0
-	})
-	return ended
-}
-
-// write writes what is queued. What an error cuts short goes back to the queue, where unsent finds it.
-func (l *link) write(ctx context.Context, conn net.Conn) error {
-	for {
-		l.mu.Lock()
-		batch := l.queue
-		l.queue = nil
-		l.mu.Unlock()
-		if len(batch) == 0 {
-			select {
-			case <-l.wake:
-				continue
-			case <-ctx.Done():
-				return ctx.Err()
-			}
-		}
-		var out []byte
-		for _, i := range batch {
-			out = append(out, i.bytes...)
-		}
-		n, err := 0, errEnded
-		if !hasEnded(conn) {
-			n, err = conn.Write(out)
-		}
-		if err == nil {
-			continue
-		}
-		for len(batch) > 0 && n >= len(batch[0].bytes) {
-			n -= len(batch[0].bytes)
-			batch = batch[1:]
-		}
-		l.mu.Lock()
-		l.queue = append(batch, l.queue...)
-		l.mu.Unlock()
-		return err
-	}
-}
-
-// Fetch writes a request. What the client sent goes on as it came.
-func Fetch(q router.Request) []byte {
+// Fetch writes a request that is to be answered within so many ns. What the client sent goes on as it came.
+func Fetch(q router.Request, budget int64) []byte {
 	var f strings.Builder
 	add := func(name, value string) {
 		if f.Len() > 0 {
@@ -281,7 +192,7 @@
 	add("queue", q.Product)
 	add("path", q.Object)
 	add("blk", q.Part)
-	add("budget", milliseconds(q.Budget))
+	add("budget", milliseconds(budget))
 	if d := q.Dispatch; q.Source != "" {
 		add("miss", q.Source)
 		if d.Rank > 0 {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -20,7 +20,7 @@
 
 func TestFetch(t *testing.T) {
 	base := router.Request{ID: "9b1f03aa5c7e2d41", Product: "stills", Object: "7f3a9c21e0b4d655", Part: "03",
-		Body: []byte("x\r\ny"), Budget: 1500999999}
+		Body: []byte("x\r\ny")}
 	for _, c := range []struct {
 		name   string
 		change func(*router.Request)
@@ -40,7 +40,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			q := base
 			c.change(&q)
-			words, err := resp.Read(bufio.NewReader(strings.NewReader(string(Fetch(q)))))
+			words, err := resp.Read(bufio.NewReader(strings.NewReader(string(Fetch(q, 1500999999)))))
 			want := "fetch 9b1f03aa5c7e2d41 queue=stills,path=7f3a9c21e0b4d655,blk=03,budget=1500" + c.want + " x\r\ny"
 			if got := fmt.Sprintf("%s %s %s %s", words[0], words[1], words[2], words[3]); err != nil || got != want {
 				t.Errorf("%s, %v\nwant %s", got, err, want)
@@ -103,7 +103,7 @@
 // Links against a stand-in of a cache that does one thing with its first connection.
 func TestLink(t *testing.T) {
 	written, closing := make(chan struct{}), make(chan struct{})
-	request := router.Request{ID: "00000000000000aa", Product: "stills", Object: "7f3a9c21e0b4d655", Part: "0"}
+	request := sending("00000000000000aa", 10*time.Second)
 	for _, c := range []struct {
 		name  string
 		cache func(net.Conn) // nil refuses
@@ -164,7 +164,7 @@
 			fmt.Fprintf(c, "*4\r\n$1\r\n%.1s\r\n$%d\r\n%s\r\n$1\r\n-\r\n$0\r\n\r\n", first[0], len(second[0]), second[0])
 		}, func(p *Pool) {
 			<-written
-			p.GiveUp(router.GiveUp{Link: 1, ID: request.ID})
+			p.GiveUp(router.GiveUp{Link: 1, ID: request.Request.ID})
 		}, "up, answered 6, down []"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -193,7 +193,7 @@
 				switch e := (<-events).(type) {
 				case router.Up:
 					got = append(got, "up")
-					p.Send(router.Send{Link: 1, Request: request})
+					p.Send(request)
 					if c.do != nil {
 						c.do(p)
 					}
