--- a/control/control.go
+++ b/control/control.go
@@ -420,7 +420,7 @@
 // repeatable tells whether a further dispatch is allowed, by number and payoff, and does no harm: rule 2.
 func (r *Router) repeatable(now int64, t *Retrieval) bool {
 	allowed := min(int(get(r.set, "dispatches.most", int64(3))), 2+int(2*t.product.payoff/r.most(payoff)))
-	return !t.NoMore && len(t.dispatches) < allowed && now < t.HardStop && (t.product.effect == "harmless" ||
+	return !t.NoMore && len(t.dispatches) < allowed && t.comesBack(now) && (t.product.effect == "harmless" ||
 		!slices.ContainsFunc(t.dispatches, func(d *dispatch) bool {
 			return d.mayHaveRun() && (t.product.effect != "stamped" || now >= d.sent+t.product.window)
 		}))
@@ -527,7 +527,8 @@
 	if d.lateFrom = now + r.dueIn(t, r.sizedTime(t)); t.SizeKB == 0 {
 		d.lateFrom += 2 * r.dueIn(t, 0) // it may be large, and then it draws on the links still
 	}
-	out := Dispatch{Cache: cache.ID, Within: t.HardStop - now, Reach: t.unwrittenMost() - now}
+	out := Dispatch{Cache: cache.ID, Within: t.HardStop - now,
+		Reach: min(t.unwrittenMost(), t.HardStop-t.product.answerLeast()) - now}
 	for _, before := range t.dispatches {
 		if t.product.effect == "stamped" && before.mayHaveRun() { // repeats are dropped so long, late links or not
 			out.Reach = min(out.Reach, before.sent+t.product.window-now)
@@ -811,6 +812,7 @@
 		r.log(fmt.Sprintf("room for %s tight: %v, at %.2f", name, r.tight[kind], room))
 	}
 	if o.Result == Good {
+		p.answered(o.Spent)
 		p.seen = min(p.seen+1, 200)
 		p.answer += (float64(o.Spent)/1e9 - p.answer) / p.seen
 		if own > 0 || o.Note <= 1 {
--- /dev/null
+++ b/control/remaining_test.go
@@ -0,0 +1,64 @@
+package control
+
+import (
+	"fmt"
+	"testing"
+)
+
+// answers has so many retrievals of a class answered, each after some ms, all on objects of their own.
+func answers(r *Router, product string, count int, after int64) {
+	for n := range count {
+		ret := ask(product, fmt.Sprint(product, n))
+		r.Where(start, ret)
+		r.After(start+after*second/1000, ret, Outcome{Result: Good, Spent: after * second / 1000})
+	}
+}
+
+// An attempt that can't come back in its client's time doesn't begin, by the quickest answer of its class so far.
+func TestTooLittleTimeLeft(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		seen int // answers after 40 ms, and one after 20 ms before them
+		left int64
+		want Verdict
+	}{
+		{"nothing is known: it is tried", 0, 1, Send},
+		{"little is known: it is tried", 8, 1, Send},
+		{"less than the quickest took", 9, 19, Dismiss},
+		{"as long as the quickest took", 9, 20, Dismiss},
+		{"a little more than the quickest took, and half of what most take", 9, 21, Send},
+		{"no time", 0, 0, Dismiss},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := newRouter(t, nil)
+			if c.seen > 0 {
+				answers(r, "harmless", 1, 20)
+				answers(r, "harmless", c.seen, 40)
+			}
+			answers(r, "stamped", 20, 300) // another class's tell nothing
+			ret := ask("harmless", "a")
+			ret.HardStop = start + c.left*second/1000
+			if d := r.Where(start, ret); d.Verdict != c.want {
+				t.Errorf("first: verdict %v, want %v", d.Verdict, c.want)
+			}
+
+			ret = ask("harmless", "b")
+			r.Where(start, ret)
+			now := ret.HardStop - c.left*second/1000
+			if d := r.After(now, ret, Outcome{Result: Missing}); d.Verdict != c.want {
+				t.Errorf("further: verdict %v, want %v", d.Verdict, c.want)
+			}
+		})
+	}
+}
+
+// It must be on its way while it can still come back.
+func TestOnItsWayWhileItCanComeBack(t *testing.T) {
+	r := newRouter(t, nil)
+	answers(r, "harmless", 10, 300)
+	ret := ask("harmless", "a")
+	ret.HardStop = start + 500*second/1000
+	if d := r.Where(start, ret); d.Dispatch.Reach != 200*second/1000 {
+		t.Errorf("within %d ms", d.Dispatch.Reach*1000/second)
+	}
+}
--- a/control/types.go
+++ b/control/types.go
@@ -108,6 +108,7 @@
 	neverKept          bool
 	sending, answer    float64 // mean sending and answer time, seconds
 	seen               float64
+	quickest           int64   // the least time that a good answer took; 0: none has come
 	asked, taken       carried // what came of it, and what was sent on
 }
 
