--- a/process/process.go
+++ b/process/process.go
@@ -150,7 +150,7 @@
 		}
 	}
 	report, _ := p.config.Settings["report.fields"].([]string)
-	p.pool = upstream.New(ctx, report, post)
+	p.pool = upstream.New(ctx, report, post, upstream.WithClock(p.clock))
 	flow, _ := p.config.Settings["answer.bytesPerS"].(float64)
 	p.pool.Pace(flow)
 	connections, keep := p.keeping()
@@ -419,6 +419,8 @@
 			p.front.Answer(effect)
 		case router.Send:
 			p.pool.Send(effect)
+		case router.Withdraw:
+			p.pool.Withdraw(effect)
 		case router.GiveUp:
 			p.pool.GiveUp(effect)
 		case router.Dial:
