--- a/control/control.go
+++ b/control/control.go
@@ -180,15 +180,20 @@
 		!t.missed && r.denials.at(now) > deniedFrom && !r.room(now, t, cache) && r.originStands() {
 		source, t.missed = r.origin, true // its home does not hold it, and parents are at their bounds
 	}
+	if r.starved() {
+		t.starved = now
+	}
 	switch {
 	case !r.repeatable(now, t) || now >= t.unwrittenMost():
+	case t.starved > 0 && now+2*holdStep >= t.unwrittenMost():
+		// Too late for a link to come up: it was counted against the cache that it had not.
 	case cache != nil && r.room(now, t, cache):
 		if r.afford(t) {
 			return r.send(now, t, cache, source)
 		}
 	case cache != nil && r.mayHold(now, t, cache):
 		return r.send(now, t, cache, nil)
-	case now < t.arrived+t.product.due/8 && now+2*holdStep < t.unwrittenMost():
+	case now < max(t.arrived, t.starved)+t.product.due/8 && now+2*holdStep < t.unwrittenMost():
 		// What waited longer was late after all; never past the client's own time: one was lost so.
 		return Decision{}
 	}
@@ -354,6 +359,7 @@
 // feeds on itself. It hurts where one cache of few fails and more could be saved elsewhere.
 func (r *Router) afford(t *Retrieval) bool {
 	switch n := len(t.dispatches); {
+	case n > 0 && t.dispatches[n-1].result == Local: // it took no load to anybody
 	case n == 0:
 		r.spare = min(r.spare+furtherShare*t.product.payoff/r.most(payoff), furtherMost)
 	case n < 3 && (t.denied() && r.originStands() ||
@@ -420,14 +426,27 @@
 // repeatable tells whether a further dispatch is allowed, by number and payoff, and does no harm: rule 2.
 func (r *Router) repeatable(now int64, t *Retrieval) bool {
 	allowed := min(int(get(r.set, "dispatches.most", int64(3))), 2+int(2*t.product.payoff/r.most(payoff)))
-	return !t.NoMore && len(t.dispatches) < allowed && now < t.HardStop && (t.product.effect == "harmless" ||
+	return !t.NoMore && t.attempts() < allowed && now < t.HardStop && (t.product.effect == "harmless" ||
 		!slices.ContainsFunc(t.dispatches, func(d *dispatch) bool {
 			return d.mayHaveRun() && (t.product.effect != "stamped" || now >= d.sent+t.product.window)
 		}))
 }
 
+// attempts is how many of a retrieval's dispatches left this machine, or may yet.
+func (t *Retrieval) attempts() (n int) {
+	for _, d := range t.dispatches {
+		if !d.ended || d.result != Local {
+			n++
+		}
+	}
+	return n
+}
+
+// starved tells whether this machine can open no connections for now.
+func (r *Router) starved() bool { return r.Starved != nil && r.Starved() }
+
 // mayHaveRun tells whether nothing proves that a dispatch did not run.
-func (d *dispatch) mayHaveRun() bool { return !d.ended || d.result > Unsent }
+func (d *dispatch) mayHaveRun() bool { return !d.ended || d.result > Unsent && d.result != Local }
 
 // sameGroup tells whether a stamped retrieval that may have run can be repeated at m.
 func sameGroup(t *Retrieval, m *member) bool {
@@ -504,7 +523,7 @@
 		r.check(now, m)
 		tried := slices.ContainsFunc(t.dispatches, func(d *dispatch) bool {
 			// A connection that broke by itself is no reason to fill the object elsewhere.
-			broke := slices.Contains([]Result{Broken, Cut, Faulty, Missing}, d.result)
+			broke := slices.Contains([]Result{Broken, Cut, Faulty, Missing, Local}, d.result)
 			return !broke && (d.cache == m || d.source == m)
 		})
 		trial := now >= m.trialAt && !m.trial && len(t.dispatches) == 0 && (m.Location == r.home &&
@@ -831,7 +850,7 @@
 		m.bad = fade(m.bad, now-m.scored, healthSpan) + bad[i]
 		m.scored = now
 		m.off = m.off || m == d.cache && o.Result == Unreached || m == d.source && o.Result == Full && bad[1] > 0
-		silent := slices.Contains([]Result{Unreached, Late, Cancelled, Cut, Unsent}, o.Result)
+		silent := slices.Contains([]Result{Unreached, Late, Cancelled, Cut, Local, Unsent}, o.Result)
 		if m == d.cache && !silent || kind > hits && o.Result == Good {
 			m.heard = now
 		}
--- a/control/types.go
+++ b/control/types.go
@@ -72,7 +72,7 @@
 // Result is how a dispatch ended.
 type Result int
 
-// The results; those up to Unsent prove that nothing ran.
+// The results; those up to Unsent, and Local, prove that nothing ran.
 const (
 	Full Result = iota
 	Unreached
@@ -84,6 +84,7 @@
 	Late
 	Broken
 	Cancelled
+	Local // no connection could be opened, for a reason of this machine's own: nothing is held against the member
 )
 
 // Outcome tells how one dispatch of a retrieval ended.
@@ -195,6 +196,7 @@
 	product    *product
 	entry      *entry
 	arrived    int64
+	starved    int64 // when it was last held as this machine could open no connections
 	dispatches []*dispatch
 	out        int
 	done       bool
@@ -208,6 +210,10 @@
 	// in an object's ranking, as one at its cold budget is.
 	Reach func(id uint32) bool
 
+	// Starved, where it is set, tells whether this machine can open no connections for now. What finds no cache that can be
+	// reached meanwhile is held, as long as it may stay unwritten.
+	Starved func() bool
+
 	set             Settings
 	log             func(string)
 	seed            uint64
--- a/plan/links/links.go
+++ b/plan/links/links.go
@@ -225,6 +225,13 @@
 	c.next = max(c.next, now+c.refusal)
 }
 
+// NotDialled notes that a dial failed on this machine: it says nothing of the cache, which is met again.
+func (p *Plan) NotDialled(name string) {
+	if p != nil && p.caches[name] != nil {
+		p.caches[name].ahead = false
+	}
+}
+
 // Closes tells whether an idle link is to be closed before its usual time: one outside the subset, or one beyond the
 // router's share of a cache, which may be another's.
 func (p *Plan) Closes(now int64, name string, have int, idleSince int64) bool {
--- a/router/events.go
+++ b/router/events.go
@@ -36,10 +36,22 @@
 // Up tells that a link that was dialled stands.
 type Up struct{ Link LinkID }
 
-// Down tells that a link has ended or never came up. Unsent are the requests that were not wholly written.
+// Cause says whose fault the end of a link is.
+type Cause int
+
+// The causes. Local is an error of this machine's own, as a want of descriptors: it says nothing of the member.
+const (
+	Remote Cause = iota
+	Local
+)
+
+// Down tells that a link has ended or never came up. Unsent are the requests that were not wholly written; Why is an error in
+// words, where there was one.
 type Down struct {
 	Link   LinkID
 	Unsent []string
+	Cause  Cause
+	Why    string
 }
 
 // Answered is an answer from a cache, a parent or the origin.
--- a/router/links.go
+++ b/router/links.go
@@ -62,7 +62,11 @@
 	}
 	if d.link == nil {
 		d.link = &link{}
-		r.ended(d, control.Outcome{Result: control.Unsent})
+		result := control.Unsent
+		if r.shortage.Lasts(r.now) {
+			result = control.Local
+		}
+		r.ended(d, control.Outcome{Result: result})
 		return
 	}
 	d.link.open[d.request.ID] = d
@@ -98,7 +102,7 @@
 		return best
 	case spent:
 		return quiet
-	case !r.limits.Plan.May(r.now, m.Instance, len(m.links)):
+	case r.shortage.Lasts(r.now), !r.limits.Plan.May(r.now, m.Instance, len(m.links)):
 		return cmp.Or(best, quiet)
 	}
 	l := r.dial(m)
@@ -124,7 +128,7 @@
 // that can't be reached, in the order of an object's ranking.
 func (r *Router) reaches(id uint32) bool {
 	m := r.byID[id]
-	if m == nil || r.limits.Plan.May(r.now, m.Instance, len(m.links)) {
+	if m == nil || !r.shortage.Lasts(r.now) && r.limits.Plan.May(r.now, m.Instance, len(m.links)) {
 		return true
 	}
 	return r.limits.Plan.Takes(r.now, m.Instance) && slices.ContainsFunc(m.links, func(l *link) bool { return !l.doubted })
@@ -132,6 +136,9 @@
 
 // meet dials caches ahead of what is to be sent there, as the plan says.
 func (r *Router) meet() {
+	if r.shortage.Lasts(r.now) {
+		return
+	}
 	for _, name := range r.limits.Plan.Ahead(r.now) {
 		if m := r.members[name]; m != nil && len(m.links) == 0 && len(r.links) < r.limits.Links {
 			r.dial(m)
@@ -179,6 +186,7 @@
 			r.late(d)
 		}
 	}
+	r.dialPassed()
 	l.up, l.heard = true, r.now
 	r.limits.Plan.Stood(l.member.Instance)
 	for _, d := range r.inOpen(l) {
@@ -204,21 +212,42 @@
 
 // down ends what was open on a link that has ended or never came up.
 func (r *Router) down(e Down) {
-	if l := r.links[e.Link]; l != nil {
-		r.limits.Plan.Ended(r.now, l.member.Instance, l.up)
-		r.lose(l, e.Unsent)
+	l := r.links[e.Link]
+	switch {
+	case l == nil:
+		return
+	case l.up:
+		r.limits.Plan.Ended(r.now, l.member.Instance, true)
+	case e.Cause == Local:
+		r.limits.Plan.NotDialled(l.member.Instance)
+		if r.shortage.Failed(r.now) {
+			r.log("no connections can be opened, for a reason of this machine's own: " + e.Why)
+		}
+	default:
+		r.dialPassed()
+		r.limits.Plan.Ended(r.now, l.member.Instance, false)
+	}
+	r.lose(l, e.Unsent, e.Cause)
+}
+
+// dialPassed notes that a dial got as far as its member.
+func (r *Router) dialPassed() {
+	if r.shortage.Passed() {
+		r.log("connections can be opened again")
 	}
 }
 
 // lose takes a link out of use. What was not wholly written, or waited for it to come up, did not run.
-func (r *Router) lose(l *link, unsent []string) {
+func (r *Router) lose(l *link, unsent []string, cause Cause) {
 	r.unlink(l)
 	open := r.inOpen(l)
 	clear(l.open)
-	shared := false
+	shared := cause == Local // nothing is held against the member
 	for _, d := range open {
 		result := control.Broken
 		switch {
+		case !l.up && cause == Local:
+			result = control.Local
 		case !l.up:
 			result = control.Unreached
 		case slices.Contains(unsent, d.request.ID):
@@ -241,7 +270,7 @@
 		return
 	}
 	r.do(Close{Link: l.id})
-	r.lose(l, nil)
+	r.lose(l, nil, Remote)
 }
 
 // giveUp takes a dispatch off its link. A link that has said nothing since is doubted: one to a machine that
--- a/router/router.go
+++ b/router/router.go
@@ -59,6 +59,8 @@
 	armed   int64
 	leaveBy int64 // when all must be answered; 0 while not leaving
 
+	shortage *links.Shortage // of what this machine itself needs to dial
+
 	dialWithin, idleAfter, answerGrace int64
 	longest                            int64 // that a client may wait
 	streams                            int64
@@ -127,7 +129,13 @@
 	set["probe"] = false
 	var err error
 	r.decide, err = control.New(now, seed, set, r.log)
-	if limits.Plan != nil && err == nil {
+	if err != nil {
+		return r, err
+	}
+	r.shortage = links.NewShortage(r.dialWithin)
+	r.decide.Reach = r.reaches
+	r.decide.Starved = func() bool { return r.shortage.Lasts(r.now) }
+	if limits.Plan != nil {
 		r.location = setting(set, "location", "")
 		for _, name := range []string{"kind.parent", "kind.origin"} {
 			kinds := setting(set, "kinds", []string(nil))
@@ -135,9 +143,8 @@
 				r.notCaches = append(r.notCaches, kinds[i])
 			}
 		}
-		r.decide.Reach = r.reaches
 	}
-	return r, err
+	return r, nil
 }
 
 func setting[T any](set control.Settings, name string, fallback T) T {
--- a/upstream/alive.go
+++ b/upstream/alive.go
@@ -8,20 +8,29 @@
 	"net"
 	"strings"
 
+	"tealpath/neterr"
 	"tealpath/resp"
 )
 
-// ErrWithdrawn is a probe that was not written, as it may no longer be.
+// ErrWithdrawn is a probe that was not written, as it may no longer be, or as this machine could open no connection.
 var ErrWithdrawn = errors.New("withdrawn before it was written")
 
 // Alive asks a member whether it is there, on a connection of its own, and gives the load report if its answer holds
 // one, in the order of the names. may is asked immediately before the request is written: dialling takes time, and the
 // process may have stood still.
 func Alive(ctx context.Context, address, tag string, report []string, may func() bool) ([]float64, error) {
-	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+	return alive(ctx, new(net.Dialer).DialContext, address, tag, report, may)
+}
+
+func alive(ctx context.Context, dial dialFunc, address, tag string, report []string, may func() bool) ([]float64, error) {
+	dialled, err := dial(ctx, "tcp", address)
+	if neterr.IsLocal(err) {
+		return nil, fmt.Errorf("%w: %w", ErrWithdrawn, err) // this machine could not ask: that says nothing of the member
+	}
 	if err != nil {
 		return nil, err
 	}
+	conn := neterr.Conn{Conn: dialled}
 	defer conn.Close()
 	if at, ok := ctx.Deadline(); ok {
 		conn.SetDeadline(at)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -18,6 +18,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"tealpath/control"
+	"tealpath/neterr"
 	"tealpath/resp"
 	"tealpath/router"
 )
@@ -28,15 +29,20 @@
 	post   func(router.Event)
 	report []string      // names of the load report's fields
 	whole  time.Duration // for an answer that has begun to come whole; 0 is no bound
+	dial   dialFunc
 
 	mu    sync.Mutex
 	links map[router.LinkID]*link
 	group sync.WaitGroup
 }
 
+// dialFunc opens a connection, as net.Dialer.DialContext does; tests put errors of the system in its place.
+type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
+
 // New makes a pool; post takes what comes in. All its links end with the context.
 func New(ctx context.Context, report []string, post func(router.Event)) *Pool {
-	return &Pool{ctx: ctx, post: post, report: report, links: map[router.LinkID]*link{}}
+	return &Pool{ctx: ctx, post: post, report: report, links: map[router.LinkID]*link{},
+		dial: new(net.Dialer).DialContext}
 }
 
 // Pace notes how fast one answer is sent at the least, bytes a second: from that follows when one that has begun must have
@@ -64,11 +70,18 @@
 	go func() {
 		defer p.group.Done()
 		defer cancel()
-		l.run(ctx, e)
+		err := l.run(ctx, e)
 		p.mu.Lock()
 		delete(p.links, e.Link)
 		p.mu.Unlock()
-		p.post(router.Down{Link: e.Link, Unsent: l.unsent()})
+		down := router.Down{Link: e.Link, Unsent: l.unsent()}
+		if err != nil {
+			down.Why = err.Error()
+		}
+		if neterr.IsLocal(err) {
+			down.Cause = router.Local
+		}
+		p.post(down)
 	}()
 }
 
@@ -147,13 +160,22 @@
 	return ids
 }
 
-// run dials and then reads and writes until either fails.
-func (l *link) run(ctx context.Context, e router.Dial) {
-	dialer := net.Dialer{Timeout: time.Duration(e.Within)}
-	conn, err := dialer.DialContext(ctx, "tcp", e.Address)
+func (l *link) dial(ctx context.Context, e router.Dial) (net.Conn, error) {
+	if e.Within > 0 {
+		limited, cancel := context.WithTimeout(ctx, time.Duration(e.Within))
+		defer cancel()
+		ctx = limited
+	}
+	return l.pool.dial(ctx, "tcp", e.Address)
+}
+
+// run dials and then reads and writes until either fails, and tells of the first error.
+func (l *link) run(ctx context.Context, e router.Dial) error {
+	dialled, err := l.dial(ctx, e)
 	if err != nil {
-		return
+		return err
 	}
+	conn := neterr.Conn{Conn: dialled}
 	defer conn.Close()
 	l.pool.post(router.Up{Link: l.id})
 	group, ctx := errgroup.WithContext(ctx)
@@ -161,7 +183,7 @@
 	defer stop()
 	group.Go(func() error { return l.read(conn) })
 	group.Go(func() error { return l.write(ctx, conn) })
-	group.Wait()
+	return group.Wait()
 }
 
 // stallMost is for how long an answer that has begun may stand still, a lost segment included. One that stops short held up all that was
