--- a/feed/feed.go
+++ b/feed/feed.go
@@ -17,6 +17,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"tealpath/control"
+	"tealpath/neterr"
 	"tealpath/plan/recall"
 	"tealpath/plan/start"
 	"tealpath/router"
@@ -37,6 +38,7 @@
 	log    func(string)
 	odd    int           // times that the event behind the last one could not be used
 	silent time.Duration // in tests: waited for the next byte at most
+	dial   dialFunc
 	calls  *start.Calls
 	lists  start.Lists
 	kept   *kept // a list known before that waits to be confirmed; nil: there is none
@@ -46,6 +48,9 @@
 	cut     context.CancelFunc // ends the connection in hand, or the wait for the next
 }
 
+// dialFunc opens a connection, as net.Dialer.DialContext does; tests put errors of the system in its place.
+type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
+
 // Heard is posted when the service itself has spoken on a new connection.
 type Heard struct{}
 
@@ -63,7 +68,8 @@
 
 // New makes a feed that goes on behind what was known.
 func New(address string, known Past, calls *start.Calls, post func(router.Event), log func(string)) *Feed {
-	f := &Feed{address: address, last: known.Last, lists: known.lists, calls: calls, post: post, log: log}
+	f := &Feed{address: address, last: known.Last, lists: known.lists, calls: calls, post: post, log: log,
+		dial: (&net.Dialer{Timeout: dialMost}).DialContext}
 	switch {
 	case known.listed:
 		calls.Listed()
@@ -133,14 +139,16 @@
 
 // follow reads one connection; heard is called for the first that comes. It tells how the connection ended.
 func (f *Feed) follow(ctx context.Context, address string, heard func()) (start.End, error) {
-	dialer := net.Dialer{Timeout: dialMost}
-	conn, err := dialer.DialContext(ctx, "tcp", address)
+	dialled, err := f.dial(ctx, "tcp", address)
 	switch {
+	case neterr.IsLocal(err):
+		return start.NotCalled, err
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return start.Refused, err
 	case err != nil:
 		return start.Unreached, err
 	}
+	conn := neterr.Conn{Conn: dialled}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
--- a/plan/start/calls.go
+++ b/plan/start/calls.go
@@ -62,6 +62,11 @@
 	cutYoung  = second // a comment comes each second: by then what had to be told has been
 	stallPart = 3      // of the shortest grace for which an event that has begun may stand still
 	stallMost = quietMost
+
+	// A call that this machine could not make is made again soon: the service was not asked. Many routers of one machine that
+	// wait for the same descriptors come spread over as long as after a break.
+	notCalledLeast = 20 * millisecond
+	notCalledMost  = 200 * millisecond
 )
 
 // End is how a call ended, or the connection that it made.
@@ -69,6 +74,7 @@
 
 // The ends. Refused proves that nobody is there; Unreached is silence on dialling; Unanswered took the call and never said
 // anything; Broke and Silent had said something before; Cut ended or stood still inside an event, or before anything whole.
+// NotCalled is an error of this machine's own, and says nothing of the service.
 const (
 	Refused End = iota
 	Unreached
@@ -76,10 +82,11 @@
 	Broke
 	Silent
 	Cut
+	NotCalled
 )
 
 func (e End) String() string {
-	return []string{"refused", "unreached", "unanswered", "broke", "silent", "cut"}[e]
+	return []string{"refused", "unreached", "unanswered", "broke", "silent", "cut", "not called"}[e]
 }
 
 // Calls decides when one router calls the list service. It is not safe for use by two goroutines at once.
@@ -94,6 +101,7 @@
 	listed  bool  // a list of members is known
 	quiet   int64 // patience with the first byte
 	called  int64 // when the last call was made
+	missed  int64 // the last wait after a call that this machine could not make; 0 is none
 	cuts    int   // answers in a row that were cut off soon after it
 	grace   int64 // the shortest in which a router has to heed what it is told; 0 is not known
 }
@@ -157,8 +165,13 @@
 // routers spread over half of that. One that has not is called again by decorrelated jitter (Brooker, "Exponential Backoff
 // And Jitter", 2015) over as long as all routers together need at their rate; but once more before the time is over.
 func (c *Calls) Ended(now int64, how End) int64 {
+	if how == NotCalled {
+		most := max(notCalledMost, c.spread(breakRate, breakSpreadMost))
+		c.missed = min(max(2*c.missed, notCalledLeast), most)
+		return c.missed/2 + c.draw(c.missed/2)
+	}
 	spoke := c.heard
-	c.heard = false
+	c.heard, c.missed = false, 0
 	if how == Cut && c.listed && now-c.called < cutYoung && c.cuts < cutAgain {
 		c.cuts++
 		return c.draw(cutSpread)
--- a/plan/start/start_test.go
+++ b/plan/start/start_test.go
@@ -321,3 +321,23 @@
 		}
 	}
 }
+
+// A call that the own machine could not make counts neither as a break nor as a refusal: what follows is as it was before.
+func TestNotCalled(t *testing.T) {
+	for _, routers := range []int{1, 300} {
+		c, same := NewCalls(1, routers, Holding{}), NewCalls(1, routers, Holding{})
+		c.Heard()
+		same.Heard()
+		for range 20 {
+			if wait := c.Ended(0, NotCalled); wait < notCalledLeast/2 || wait > max(notCalledMost, breakSpreadMost) {
+				t.Fatalf("%d routers: a wait of %d ms", routers, wait/millisecond)
+			}
+		}
+		if !c.heard || c.by != same.by || c.last != same.last || c.once {
+			t.Errorf("%d routers: %+v, without it %+v", routers, c, same)
+		}
+		if c.Ended(0, Refused); c.missed != 0 {
+			t.Error("a later shortage does not begin anew")
+		}
+	}
+}
