--- a/upstream/endings_test.go
+++ b/upstream/endings_test.go
@@ -57,7 +57,7 @@
 			come = n == 0 && err == nil
 		})
 	}
-	l := &link{pool: &Pool{clock: clock.System()}, wake: make(chan struct{}, 1)}
+	l := &link{pool: &Pool{clock: clock.System(), write: syscall.Write}, wake: make(chan struct{}, 1)}
 	l.enter(asking("a", time.Second))
 	l.enter(item{abort: "b"})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -74,7 +74,7 @@
 func TestAnswerBeforeTheRequestIsWritten(t *testing.T) {
 	ours, theirs := pair(t)
 	theirs.Write([]byte("*4"))
-	l := &link{pool: &Pool{clock: clock.System()}, wake: make(chan struct{}, 1)}
+	l := &link{pool: &Pool{clock: clock.System(), write: syscall.Write}, wake: make(chan struct{}, 1)}
 	l.enter(asking("a", time.Second))
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error, 1)
--- a/upstream/write.go
+++ b/upstream/write.go
@@ -6,13 +6,18 @@
 	"net"
 	"slices"
 	"syscall"
+	"time"
 
+	"tealpath/internal/neterr"
 	"tealpath/router"
 )
 
 // writeMost is about how many bytes are written at once: the queue stays locked for so long.
 const writeMost = 64 << 10
 
+// transientPause is how long a write waits after an error that passes, as a want of memory in the kernel.
+const transientPause = 5 * time.Millisecond
+
 // errEnded is the other side's end that was there before a request was written.
 var errEnded = errors.New("upstream: the other side has ended")
 
@@ -145,6 +150,10 @@
 			}
 			return !step.full
 		})
+		if neterr.IsTransient(step.err) {
+			time.Sleep(transientPause)
+			continue // nothing of it is written: it is decided on anew
+		}
 		if err = errors.Join(err, step.err); err != nil || step.empty {
 			return err
 		}
@@ -185,7 +194,7 @@
 		step.err = errEnded
 		return step
 	}
-	n, err := writeOnce(fd, out)
+	n, err := l.pool.write.once(fd, out)
 	switch {
 	case errors.Is(err, syscall.EAGAIN):
 		step.full = true
@@ -231,10 +240,13 @@
 	return out, ends
 }
 
-// writeOnce writes what a descriptor takes at once.
-func writeOnce(fd int, out []byte) (int, error) {
+// systemWrite is the system's call write(2); tests put its errors in its place.
+type systemWrite func(fd int, out []byte) (int, error)
+
+// once writes what a descriptor takes at once.
+func (write systemWrite) once(fd int, out []byte) (int, error) {
 	for {
-		n, err := syscall.Write(fd, out)
+		n, err := write(fd, out)
 		if !errors.Is(err, syscall.EINTR) {
 			return max(n, 0), err
 		}
