--- /dev/null
+++ b/snapshot/compatible_test.go
@@ -0,0 +1,103 @@
+package snapshot
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"tealpath/control"
+	"tealpath/plan/recall"
+	"tealpath/router"
+)
+
+// firstFile was written by Write of commit 9be9074, from the value that is spelled out below.
+var firstFile = filepath.Join("testdata", "9be9074.snapshot")
+
+// A file that commit 9be9074 wrote is read with each field as it was, whatever the fields are called by now.
+func TestReadsFirstFile(t *testing.T) {
+	got, err := Read(firstFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Snapshot{
+		Header:   recall.Header{Version: 1, Router: "n041", Deployment: 0xc0ffee1234567890, Taken: 1764576123456789000},
+		Position: 4711,
+		Digest:   0x9e3779b97f4a7c15,
+		Members: []router.Listing{
+			{Instance: "s-00c41f7a", Address: "10.1.0.9:10080", Listing: control.Listing{ID: 2166136261, Location: "east", Kind: "std",
+				Cell: 2, Phase: "ready", Units: 4, Started: 1764576000123000000}},
+			{Instance: "s-00c41f7b", Address: "10.1.0.10:10080", Listing: control.Listing{ID: 16777619, Location: "west", Kind: "large",
+				Cell: 3, Phase: "draining", Units: 0.5}},
+			{Instance: "p-1", Address: "10.1.1.1:10080", Listing: control.Listing{ID: 7, Location: "east", Kind: "parent", Cell: -1,
+				Phase: "ready", Units: 1, Started: 1}},
+		},
+		Memory: control.Memory{
+			Started: 1764575000000000001, Taken: 1764576123456789001, Total: 812.25, TotalAt: 1764576123000000002,
+			Rooms: [3]float64{0.75, 1.5, 4},
+			Products: []control.ProductMemory{
+				{Name: "sign-off", Sending: 0.125, Answer: 0.25, Seen: 12},
+				{Name: "stills", Sending: 0.0625, Answer: 0.5, Seen: 900.5},
+			},
+			Objects: []control.ObjectMemory{
+				{Object: "7f3a9c21e0b4d655", Part: 3, Group: 17, Count: 2.5, Purges: 1.25, Counted: 1764576100000000003,
+					Born: 1764575500000000004, Ghost: true},
+				{Object: "4be0c1927d55a6f3", Part: 0, Group: 255, Count: 40.75, Purges: 0.5, Counted: 1764576120000000005,
+					Born: 1764575100000000006},
+			},
+			Purges: []control.PurgeMemory{
+				{Name: "7f3a9c21e0b4d655", When: 1764576000123000007},
+				{Name: "g17", When: 1764576000480000008},
+			},
+		},
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v\nwant %+v", got, want)
+	}
+	raw, err := os.ReadFile(firstFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	written, err := Encode(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	holds(t, "", stored(t, written), stored(t, raw))
+}
+
+// stored is a file's content as it is on the disk, without the program's types.
+func stored(t *testing.T, raw []byte) (content any) {
+	t.Helper()
+	if err := cbor.Unmarshal(raw[headBytes:], &content); err != nil {
+		t.Fatal(err)
+	}
+	return content
+}
+
+// holds checks that all that one content names is in another, under the same names: the version before reads it.
+func holds(t *testing.T, path string, have, want any) {
+	t.Helper()
+	switch want := want.(type) {
+	case map[any]any:
+		fields, _ := have.(map[any]any)
+		for name, value := range want {
+			holds(t, fmt.Sprint(path, "/", name), fields[name], value)
+		}
+	case []any:
+		items, _ := have.([]any)
+		if len(items) != len(want) {
+			t.Errorf("%s: %d items are written, %d were", path, len(items), len(want))
+			return
+		}
+		for i, value := range want {
+			holds(t, fmt.Sprint(path, "/", i), items[i], value)
+		}
+	default:
+		if !reflect.DeepEqual(have, want) {
+			t.Errorf("%s: %v is written, %v was", path, have, want)
+		}
+	}
+}
