--- a/plan/leave/leave.go
+++ b/plan/leave/leave.go
@@ -18,6 +18,9 @@
 	answerAfter = 350 * time.Millisecond
 	writeAfter  = killAfter - 100*time.Millisecond
 
+	// diskAfter is beyond the longest as well: until then a slow disk is waited for. The rest is for the log's last lines.
+	diskAfter = killAfter - 150*time.Millisecond
+
 	// shutMost is for how long clients that are told that their connections end are waited for.
 	shutMost = 250 * time.Millisecond
 )
@@ -37,6 +40,9 @@
 // AnswerBy is when the last answer is to be given, Unix ns.
 func (p *Plan) AnswerBy() int64 { return p.since + int64(p.longest+answerAfter) }
 
+// DiskBy is until when a process that has nothing else to do waits for a slow disk, Unix ns.
+func (p *Plan) DiskBy() int64 { return p.since + int64(p.longest+diskAfter) }
+
 // State is what a router that leaves still has.
 type State struct {
 	Hands   int  // retrievals in hand
--- a/process/keeping.go
+++ b/process/keeping.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"sync"
+	"sync/atomic"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
@@ -15,17 +16,96 @@
 	"tealpath/snapshot"
 )
 
+const (
+	// snapshotReadTimeout bounds how long a start waits for its snapshot: a router told to end while it starts has 0.7 s.
+	snapshotReadTimeout = 500 * time.Millisecond
+
+	// slowSnapshot is from when a write that has not ended counts as a failure of the disk.
+	slowSnapshot = 10 * time.Second
+
+	// snapshotExitTimeout is how long a process that ends without a shutdown waits for a write.
+	snapshotExitTimeout = 50 * time.Millisecond
+)
+
+var (
+	errSlowRead  = fmt.Errorf("not read within %v", snapshotReadTimeout)
+	errSlowDisk  = fmt.Errorf("the disk has not answered for %v", slowSnapshot)
+	errUnwritten = errors.New("the last one was not written before the process ended")
+)
+
 // keeper keeps what the router knows in a file, for its next start. A nil keeper keeps nothing. Its methods are the
-// reducer's goroutine's, which waits for no disk: files are written beside it, one at a time.
+// reducer's goroutine's, which waits for no disk: a goroutine of the keeper's own reads and writes the file.
 type keeper struct {
-	path    string
 	header  recall.Header
 	last    feed.Told
 	ticker  *time.Ticker
+	health  diskHealth
+	queue   chan snapshot.Snapshot
+	pending atomic.Int32 // disk operations queued or under way
+	since   time.Time    // when the last of them was queued
+	exitBy  time.Time    // until when the end of the process may wait for them; zero: no shutdown
+	stopped chan struct{}
+}
+
+// snapshotFile is what a read of the file gave.
+type snapshotFile struct {
+	snapshot.Snapshot
+	err error
+}
+
+// newKeeper starts a keeper and has it read the file as it is.
+func newKeeper(store *snapshot.Store, header recall.Header, every time.Duration, line func(string)) (*keeper, <-chan snapshotFile) {
+	k := &keeper{header: header, ticker: time.NewTicker(every), health: diskHealth{line: line}, since: time.Now(),
+		// keep queues one write at a time, and keepLast one behind it.
+		queue: make(chan snapshot.Snapshot, 2), stopped: make(chan struct{})}
+	read := make(chan snapshotFile, 1)
+	k.pending.Add(1)
+	go k.run(store, read)
+	return k, read
+}
+
+// run does all that touches the disk.
+func (k *keeper) run(store *snapshot.Store, read chan<- snapshotFile) {
+	defer close(k.stopped)
+	if err := store.RemoveTemporary(); err != nil {
+		k.health.failed(err)
+	}
+	kept, err := store.Read()
+	read <- snapshotFile{kept, err}
+	k.pending.Add(-1)
+	for s := range k.queue {
+		if err := store.Write(s); err != nil {
+			k.health.failed(err)
+		} else {
+			k.health.succeeded()
+		}
+		k.pending.Add(-1)
+	}
+}
+
+// diskHealth tells the log when writing begins to fail and when it succeeds again, once each.
+type diskHealth struct {
 	line    func(string)
-	writing sync.Mutex
+	mu      sync.Mutex
 	failing bool
-	group   sync.WaitGroup
+}
+
+func (h *diskHealth) failed(err error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if !h.failing {
+		h.line("snapshots are not kept: " + err.Error())
+	}
+	h.failing = true
+}
+
+func (h *diskHealth) succeeded() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.failing {
+		h.line("snapshots are kept again")
+	}
+	h.failing = false
 }
 
 // recall takes what a snapshot knows, as far as the rules let it, and begins to keep.
@@ -33,14 +113,20 @@
 	if p.file == nil || p.file.Snapshot == "" {
 		return
 	}
-	p.keeper = &keeper{path: p.file.Snapshot, line: p.line, ticker: time.NewTicker(time.Duration(p.file.SnapshotEvery)),
-		header: recall.Header{Version: recall.Version, Router: p.config.Name, Deployment: xxhash.Sum64String(fmt.Sprint(p.config.Settings))}}
-	kept, err := snapshot.Read(p.keeper.path)
-	if errors.Is(err, os.ErrNotExist) {
+	header := recall.Header{Version: recall.Version, Router: p.config.Name,
+		Deployment: xxhash.Sum64String(fmt.Sprint(p.config.Settings))}
+	var read <-chan snapshotFile
+	p.keeper, read = newKeeper(p.snapshots(p.file.Snapshot), header, time.Duration(p.file.SnapshotEvery), p.line)
+	kept := snapshotFile{err: errSlowRead}
+	select {
+	case kept = <-read:
+	case <-time.After(snapshotReadTimeout):
+	}
+	if errors.Is(kept.err, os.ErrNotExist) {
 		return
 	}
-	if err != nil {
-		p.line("snapshot passed over: " + err.Error())
+	if kept.err != nil {
+		p.line("snapshot passed over: " + kept.err.Error())
 		return
 	}
 	use, why := recall.Judge(now, p.keeper.header, kept.Header)
@@ -72,30 +158,52 @@
 	}
 }
 
-// keep writes what is known now.
+// keep writes what is known now, unless the disk is still busy with what was known before.
 func (k *keeper) keep(r *router.Router, now int64) {
-	if k == nil || !k.writing.TryLock() {
-		return // the one before is being written still: the disk is slow
+	switch {
+	case k == nil:
+	case k.pending.Load() == 0:
+		k.write(r, now)
+	case time.Since(k.since) > slowSnapshot:
+		k.health.failed(errSlowDisk)
+	}
+}
+
+// keepLast writes what is known as the shutdown begins, also behind a write under way. The process waits for the disk for so
+// long at most.
+func (k *keeper) keepLast(r *router.Router, now int64, within time.Duration) {
+	if k == nil {
+		return
 	}
+	k.exitBy = time.Now().Add(within)
+	k.write(r, now)
+}
+
+func (k *keeper) write(r *router.Router, now int64) {
 	s := snapshot.Snapshot{Header: k.header, Position: k.last.Position, Digest: k.last.Digest, Members: r.Listings(),
 		Memory: r.Remember(now, snapshot.ObjectsMost)}
 	s.Taken = now
-	k.group.Go(func() {
-		defer k.writing.Unlock()
-		err := snapshot.Write(k.path, s)
-		switch {
-		case err != nil && !k.failing:
-			k.line("snapshots are not kept: " + err.Error())
-		case err == nil && k.failing:
-			k.line("snapshots are kept again")
-		}
-		k.failing = err != nil
-	})
+	k.pending.Add(1)
+	k.since = time.Now()
+	k.queue <- s // with room for it: see newKeeper
 }
 
-func (k *keeper) wait() {
-	if k != nil {
-		k.ticker.Stop()
-		k.group.Wait()
+// stop ends the keeper. A disk that does not answer does not hold up the end of the process.
+func (k *keeper) stop() {
+	if k == nil {
+		return
+	}
+	k.ticker.Stop()
+	close(k.queue)
+	timeout := snapshotExitTimeout
+	if !k.exitBy.IsZero() {
+		timeout = time.Until(k.exitBy)
+	}
+	select {
+	case <-k.stopped:
+	case <-time.After(timeout):
+		if k.pending.Load() > 0 {
+			k.health.failed(errUnwritten)
+		}
 	}
 }
--- a/process/process.go
+++ b/process/process.go
@@ -25,6 +25,7 @@
 	"tealpath/plan/links"
 	"tealpath/plan/start"
 	"tealpath/router"
+	"tealpath/snapshot"
 	"tealpath/upstream"
 )
 
@@ -77,6 +78,8 @@
 	file   *operator.File
 	shared *sharing // nil: this instance shares nothing with others
 	keeper *keeper  // nil: nothing is kept for the next start
+
+	snapshots func(path string) *snapshot.Store
 }
 
 // ErrConfig is a configuration that cannot be served by.
@@ -89,7 +92,8 @@
 
 // New makes a process that has not started. With an operator's file it has what that says in common with others.
 func New(c *config.Config, file *operator.File, log zerolog.Logger) *Process {
-	return &Process{config: c, file: file, log: log.With().Str("router", c.Name).Logger(), inbox: make(chan arrival, inboxMost)}
+	return &Process{config: c, file: file, log: log.With().Str("router", c.Name).Logger(), inbox: make(chan arrival, inboxMost),
+		snapshots: snapshot.NewStore}
 }
 
 // Check tells what would keep a process with this configuration from serving, but for its addresses.
@@ -190,7 +194,7 @@
 	})
 	err = group.Wait()
 	p.pool.Wait()
-	p.keeper.wait()
+	p.keeper.stop()
 	return err
 }
 
@@ -333,7 +337,7 @@
 			now := time.Now().UnixNano()
 			leave, leaving = nil, plan.New(now, p.longest())
 			p.enter(Draining)
-			p.keeper.keep(p.router, now)
+			p.keeper.keepLast(p.router, now, time.Duration(leaving.DiskBy()-now))
 			p.front.SetReady(false)
 			p.handle(now, router.Leaving{By: leaving.AnswerBy()}, timer)
 		case a := <-p.inbox:
--- a/snapshot/compatible_test.go
+++ b/snapshot/compatible_test.go
@@ -19,7 +19,7 @@
 
 // A file that commit 9be9074 wrote is read with each field as it was, whatever the fields are called by now.
 func TestReadsFirstFile(t *testing.T) {
-	got, err := Read(firstFile)
+	got, err := NewStore(firstFile).Read()
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/snapshot/disk_test.go
@@ -0,0 +1,158 @@
+package snapshot
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"maps"
+	"os"
+	"slices"
+)
+
+// errKilled is what a process that is no more would get; nothing that it asks for is done.
+var errKilled = errors.New("killed")
+
+// inode is a file's content: as processes see it, and as a loss of power leaves it.
+type inode struct {
+	data, durable []byte
+	failed        bool // an fsync failed: what was dirty then is called clean and never reaches the disk
+}
+
+// simulatedDisk is a FileSystem in memory that fails where it is told to, stops where its process is killed, and knows what a
+// loss of power would leave.
+type simulatedDisk struct {
+	names     map[string]*inode
+	durable   map[string]*inode // as of the last SyncDir
+	calls     []string
+	fail      map[string]error // by operation, once; "write" after half of the bytes
+	killAfter int              // steps until the process is killed: each call is one, each byte of a write too
+}
+
+const never = 1 << 30
+
+func newSimulatedDisk() *simulatedDisk {
+	return &simulatedDisk{names: map[string]*inode{}, durable: map[string]*inode{}, fail: map[string]error{}, killAfter: never}
+}
+
+// step begins an operation: it is counted, killed or failed.
+func (d *simulatedDisk) step(operation string) error {
+	if d.killAfter--; d.killAfter < 0 {
+		return errKilled
+	}
+	d.calls = append(d.calls, operation)
+	err := d.fail[operation]
+	delete(d.fail, operation)
+	return err
+}
+
+func (d *simulatedDisk) Open(path string) (io.ReadCloser, error) {
+	if err := d.step("open"); err != nil {
+		return nil, err
+	}
+	if d.names[path] == nil {
+		return nil, os.ErrNotExist
+	}
+	return io.NopCloser(bytes.NewReader(d.names[path].data)), nil
+}
+
+func (d *simulatedDisk) Create(path string) (File, error) {
+	if err := d.step("create"); err != nil {
+		return nil, err
+	}
+	if d.names[path] != nil {
+		return nil, os.ErrExist
+	}
+	d.names[path] = &inode{}
+	return &simulatedFile{d, d.names[path]}, nil
+}
+
+func (d *simulatedDisk) Rename(from, to string) error {
+	if err := d.step("rename"); err != nil {
+		return err
+	}
+	if d.names[from] == nil {
+		return os.ErrNotExist
+	}
+	d.names[to] = d.names[from]
+	delete(d.names, from)
+	return nil
+}
+
+func (d *simulatedDisk) Remove(path string) error {
+	if err := d.step("remove"); err != nil {
+		return err
+	}
+	if d.names[path] == nil {
+		return os.ErrNotExist
+	}
+	delete(d.names, path)
+	return nil
+}
+
+func (d *simulatedDisk) SyncDir(string) error {
+	if err := d.step("syncdir"); err != nil {
+		return err
+	}
+	d.durable = maps.Clone(d.names)
+	return nil
+}
+
+type simulatedFile struct {
+	disk *simulatedDisk
+	*inode
+}
+
+func (f *simulatedFile) Write(raw []byte) (int, error) {
+	err := f.disk.step("write")
+	if errors.Is(err, errKilled) {
+		return 0, err
+	}
+	if err != nil {
+		raw = raw[:len(raw)/2]
+	}
+	for n := range raw {
+		if f.disk.killAfter--; f.disk.killAfter < 0 {
+			return n, errKilled
+		}
+		f.data = append(f.data, raw[n])
+	}
+	return len(raw), err
+}
+
+func (f *simulatedFile) Sync() error {
+	err := f.disk.step("sync")
+	if err == nil && !f.failed {
+		f.durable = slices.Clone(f.data)
+	}
+	f.failed = f.failed || err != nil
+	return err
+}
+
+func (f *simulatedFile) Close() error { return f.disk.step("close") }
+
+// restarted is the disk as the next process finds it.
+func (d *simulatedDisk) restarted() *simulatedDisk {
+	next := newSimulatedDisk()
+	next.names, next.durable = maps.Clone(d.names), maps.Clone(d.durable)
+	return next
+}
+
+// afterPowerLoss is each disk that a machine may come back with: with the names of the last SyncDir or those of now, and of
+// each file what an fsync wrote, or any part of what came after it.
+func (d *simulatedDisk) afterPowerLoss() (disks []*simulatedDisk) {
+	for _, names := range []map[string]*inode{d.durable, d.names} {
+		for _, part := range []float64{0, 0.5, 1} {
+			next := newSimulatedDisk()
+			for name, file := range names {
+				data := slices.Clone(file.durable)
+				if data == nil && !file.failed {
+					data = slices.Clone(file.data[:int(part*float64(len(file.data)))])
+				}
+				next.names[name] = &inode{data: data, durable: data}
+			}
+			next.durable = maps.Clone(next.names)
+			disks = append(disks, next)
+		}
+	}
+	return disks
+}
--- /dev/null
+++ b/snapshot/filesystem.go
@@ -0,0 +1,55 @@
+package snapshot
+
+import (
+	"errors"
+	"io"
+	"os"
+	"path/filepath"
+	"syscall"
+)
+
+// FileSystem is the operations on a disk that a Store needs. Tests replace it by disks that fail.
+type FileSystem interface {
+	// Open opens a file for reading.
+	Open(path string) (io.ReadCloser, error)
+	// Create makes a new file for writing. It fails with os.ErrExist where there is one.
+	Create(path string) (File, error)
+	// Rename puts a file in the place of another.
+	Rename(from, to string) error
+	// Remove deletes a file.
+	Remove(path string) error
+	// SyncDir forces the names in a directory to the disk.
+	SyncDir(path string) error
+}
+
+// File is a file that is being written.
+type File interface {
+	io.WriteCloser
+	// Sync forces the content to the disk.
+	Sync() error
+}
+
+// osFileSystem is the operating system's.
+type osFileSystem struct{}
+
+func (osFileSystem) Open(path string) (io.ReadCloser, error) { return os.Open(path) }
+
+func (osFileSystem) Create(path string) (File, error) {
+	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+}
+
+func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
+
+func (osFileSystem) Remove(path string) error { return os.Remove(path) }
+
+func (osFileSystem) SyncDir(path string) error {
+	directory, err := os.Open(filepath.Clean(path))
+	if err != nil {
+		return err
+	}
+	err = directory.Sync()
+	if errors.Is(err, syscall.EINVAL) {
+		err = nil // fsync(2): this file system has no such operation for directories
+	}
+	return errors.Join(err, directory.Close())
+}
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -8,9 +8,6 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"io"
-	"os"
-	"path/filepath"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
@@ -21,8 +18,14 @@
 )
 
 const (
-	magic     = "tealpath snapshot\n"
-	bytesMost = 8 << 20 // of a file: 10,000 objects and 1,000 members take 2 MB
+	magic = "tealpath snapshot\n"
+
+	// maxFileBytes bounds a file: 10,000 objects and 10,000 members with long names take under 4 MB.
+	maxFileBytes = 8 << 20
+
+	// maxArrayElements bounds each list of a file, maxMapPairs the fields of each structure.
+	maxArrayElements = 1 << 17
+	maxMapPairs      = 1 << 12
 
 	// ObjectsMost is how many objects of the rate table are kept.
 	ObjectsMost = 10_000
@@ -67,7 +70,7 @@
 	if binary.BigEndian.Uint64(head[4:]) != uint64(len(content)) || binary.BigEndian.Uint64(head[12:]) != xxhash.Sum64(content) {
 		return s, ErrTorn
 	}
-	mode, err := cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 12}.DecMode()
+	mode, err := cbor.DecOptions{MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs}.DecMode()
 	if err != nil {
 		return s, err
 	}
@@ -76,47 +79,3 @@
 	}
 	return s, nil
 }
-
-// Write puts a snapshot in a file's place. The file is the one before or this one, whatever ends on the way.
-func Write(path string, s Snapshot) (err error) {
-	raw, err := Encode(s)
-	if err != nil {
-		return err
-	}
-	if len(raw) > bytesMost {
-		return fmt.Errorf("a snapshot of %d bytes, %d can be", len(raw), bytesMost)
-	}
-	file, err := os.OpenFile(path+".new", os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
-	if err != nil {
-		return err
-	}
-	_, err = file.Write(raw)
-	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
-		return errors.Join(err, os.Remove(path+".new"))
-	}
-	if err := os.Rename(path+".new", path); err != nil {
-		return err
-	}
-	folder, err := os.Open(filepath.Dir(path))
-	if err != nil {
-		return err
-	}
-	return errors.Join(folder.Sync(), folder.Close())
-}
-
-// Read reads a file; os.ErrNotExist where there is none.
-func Read(path string) (Snapshot, error) {
-	file, err := os.Open(path)
-	if err != nil {
-		return Snapshot{}, err
-	}
-	defer file.Close()
-	raw, err := io.ReadAll(io.LimitReader(file, bytesMost+1))
-	switch {
-	case err != nil:
-		return Snapshot{}, err
-	case len(raw) > bytesMost:
-		return Snapshot{}, fmt.Errorf("%w: over %d bytes", ErrTorn, bytesMost)
-	}
-	return Decode(raw)
-}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -21,16 +21,16 @@
 
 func TestRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "kept")
-	if _, err := Read(path); !errors.Is(err, os.ErrNotExist) {
+	if _, err := NewStore(path).Read(); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
-	if err := Write(path, some()); err != nil {
+	if err := NewStore(path).Write(some()); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Read(path); err != nil || !reflect.DeepEqual(got, some()) {
+	if got, err := NewStore(path).Read(); err != nil || !reflect.DeepEqual(got, some()) {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if err := Write(filepath.Join(path, "no"), some()); err == nil {
+	if err := NewStore(filepath.Join(path, "no")).Write(some()); err == nil {
 		t.Error("written below a file")
 	}
 	if _, err := os.Stat(path + ".new"); !errors.Is(err, os.ErrNotExist) {
@@ -55,10 +55,10 @@
 		}
 	}
 	path := filepath.Join(t.TempDir(), "kept")
-	if err := os.WriteFile(path, make([]byte, bytesMost+1), 0o600); err != nil {
+	if err := os.WriteFile(path, make([]byte, maxFileBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Read(path); !errors.Is(err, ErrTorn) {
+	if _, err := NewStore(path).Read(); !errors.Is(err, ErrTorn) {
 		t.Error(err)
 	}
 }
--- /dev/null
+++ b/snapshot/store.go
@@ -0,0 +1,92 @@
+package snapshot
+
+import (
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+)
+
+// temporarySuffix is what the name of a file ends in while it is being written.
+const temporarySuffix = ".new"
+
+// Store keeps one snapshot in a file. It is not safe for use by two goroutines at once.
+type Store struct {
+	path  string
+	files FileSystem
+}
+
+// NewStore makes a store of the file at a path.
+func NewStore(path string) *Store { return NewStoreOn(osFileSystem{}, path) }
+
+// NewStoreOn makes a store on another file system.
+func NewStoreOn(files FileSystem, path string) *Store { return &Store{path: path, files: files} }
+
+func (s *Store) temporary() string { return s.path + temporarySuffix }
+
+// Write puts a snapshot in the file's place. Whatever fails or ends on the way, the file is the one before or this one.
+//
+// After an error it is not known which of the two a machine that loses power comes back with, and the next call writes
+// everything anew, to a new temporary file: after a failed fsync the kernel may call the pages clean that it could not write,
+// and a second fsync of the same file then succeeds with nothing written.
+func (s *Store) Write(snapshot Snapshot) error {
+	raw, err := Encode(snapshot)
+	if err != nil {
+		return err
+	}
+	if len(raw) > maxFileBytes {
+		return fmt.Errorf("a snapshot of %d bytes, %d can be", len(raw), maxFileBytes)
+	}
+	if err := s.RemoveTemporary(); err != nil {
+		return err
+	}
+	if err := s.writeTemporary(raw); err != nil {
+		return errors.Join(err, s.RemoveTemporary())
+	}
+	if err := s.files.Rename(s.temporary(), s.path); err != nil {
+		return errors.Join(err, s.RemoveTemporary())
+	}
+	return s.files.SyncDir(filepath.Dir(s.path))
+}
+
+// writeTemporary writes a whole file and forces it to the disk.
+func (s *Store) writeTemporary(raw []byte) error {
+	file, err := s.files.Create(s.temporary())
+	if err != nil {
+		return err
+	}
+	written, err := file.Write(raw)
+	if err == nil && written < len(raw) {
+		err = io.ErrShortWrite
+	}
+	if err == nil {
+		err = file.Sync()
+	}
+	return errors.Join(err, file.Close())
+}
+
+// RemoveTemporary deletes what an earlier Write, of this process or one before, has left unfinished.
+func (s *Store) RemoveTemporary() error {
+	if err := s.files.Remove(s.temporary()); err != nil && !errors.Is(err, os.ErrNotExist) {
+		return err
+	}
+	return nil
+}
+
+// Read reads the file: os.ErrNotExist where there is none, ErrTorn where it is not whole.
+func (s *Store) Read() (Snapshot, error) {
+	file, err := s.files.Open(s.path)
+	if err != nil {
+		return Snapshot{}, err
+	}
+	raw, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
+	err = errors.Join(err, file.Close())
+	switch {
+	case err != nil:
+		return Snapshot{}, err
+	case len(raw) > maxFileBytes:
+		return Snapshot{}, fmt.Errorf("%w: over %d bytes", ErrTorn, maxFileBytes)
+	}
+	return Decode(raw)
+}
