--- a/process/process.go
+++ b/process/process.go
@@ -26,6 +26,7 @@
 	"tealpath/plan/links"
 	"tealpath/plan/start"
 	"tealpath/router"
+	"tealpath/snapshot"
 	"tealpath/upstream"
 )
 
@@ -79,6 +80,8 @@
 	file   *operator.File
 	shared *sharing // nil: this instance shares nothing with others
 	keeper *keeper  // nil: nothing is kept for the next start
+
+	snapshots func(path string) *snapshot.Store
 }
 
 // ErrConfig is a configuration that cannot be served by.
@@ -98,7 +101,7 @@
 // New makes a process that has not started. With an operator's file it has what that says in common with others.
 func New(c *config.Config, file *operator.File, log zerolog.Logger, options ...Option) *Process {
 	p := &Process{config: c, file: file, log: log.With().Str("router", c.Name).Logger(), clock: clock.System(),
-		inbox: make(chan arrival, inboxMost)}
+		inbox: make(chan arrival, inboxMost), snapshots: snapshot.NewStore}
 	for _, option := range options {
 		option(p)
 	}
@@ -203,7 +206,7 @@
 	})
 	err = group.Wait()
 	p.pool.Wait()
-	p.keeper.wait()
+	p.keeper.stop()
 	return err
 }
 
@@ -346,7 +349,7 @@
 			now := p.clock.Now()
 			leave, leaving = nil, plan.New(now, p.longest())
 			p.enter(Draining)
-			p.keeper.keep(p.router, now)
+			p.keeper.keepLast(p.router, now, time.Duration(leaving.DiskBy()-now))
 			p.front.SetReady(false)
 			p.handle(now, router.Leaving{By: leaving.AnswerBy()}, timer)
 		case a := <-p.inbox:
