--- a/host/host.go
+++ b/host/host.go
@@ -13,7 +13,7 @@
 
 	"tealpath/config"
 	"tealpath/control"
-	"tealpath/due"
+	"tealpath/internal/timerqueue"
 	"tealpath/wire"
 )
 
@@ -40,7 +40,7 @@
 	name   string
 	router *control.Router
 	taken  map[string]*hand
-	due    due.Order[*hand]
+	due    timerqueue.Queue[*hand]
 	armed  int64 // when the next wake-up for a due time comes; 0 if none is set
 	asks   bool  // changes of the list come only to who subscribed
 	askAt  int64 // when that is due
@@ -350,7 +350,7 @@
 // arm sets a wake-up for the earliest due time unless one comes by then.
 func (h *Host) arm(now int64, in *instance) {
 	next := in.due.Next()
-	if next == due.Never || in.armed != 0 && in.armed <= next {
+	if next == timerqueue.Never || in.armed != 0 && in.armed <= next {
 		return
 	}
 	in.armed = next
--- /dev/null
+++ b/internal/timerqueue/queue.go
@@ -0,0 +1,95 @@
+// Package timerqueue is a priority queue of timers, ordered by time. Timers of one time leave it in the order in which they
+// were pushed, so that a run with the same input is repeated exactly. It reads no clock: whoever owns a queue asks for the
+// earliest time and pops what has come.
+package timerqueue
+
+import (
+	"container/heap"
+	"math"
+)
+
+// Never is the time of a timer that does not fire: an empty queue's Next.
+const Never = int64(math.MaxInt64)
+
+// removed is the heap index of a timer that is not in a queue any more.
+const removed = -1
+
+// Queue holds timers with a value each. Its zero value is empty and ready for use; it is not safe for concurrent use.
+type Queue[T any] struct {
+	timers timerHeap[T]
+	pushed int // timers pushed so far, from which the next takes its sequence number
+}
+
+// Timer is a handle on what was pushed, by which it can be removed before its time.
+type Timer[T any] struct {
+	at       int64
+	sequence int
+	index    int // in the heap, or removed
+	value    T
+}
+
+// Push adds a value that is to be popped at a time, in the unit of the caller's clock.
+func (queue *Queue[T]) Push(at int64, value T) *Timer[T] {
+	queue.pushed++
+	timer := &Timer[T]{at: at, sequence: queue.pushed, value: value}
+	heap.Push(&queue.timers, timer)
+	return timer
+}
+
+// Next returns the earliest time, or Never if the queue is empty.
+func (queue *Queue[T]) Next() int64 {
+	if len(queue.timers) == 0 {
+		return Never
+	}
+	return queue.timers[0].at
+}
+
+// Pop removes the earliest timer and returns its time and value. It panics on an empty queue.
+func (queue *Queue[T]) Pop() (int64, T) {
+	first := heap.Pop(&queue.timers).(*Timer[T])
+	return first.at, first.value
+}
+
+// Remove takes a timer out of the queue. A nil timer, or one that was popped or removed before, is left alone.
+func (queue *Queue[T]) Remove(timer *Timer[T]) {
+	if timer != nil && timer.index != removed {
+		heap.Remove(&queue.timers, timer.index)
+	}
+}
+
+// Len returns the number of timers in the queue.
+func (queue *Queue[T]) Len() int { return len(queue.timers) }
+
+// timerHeap implements heap.Interface and keeps each timer's index up to date.
+type timerHeap[T any] []*Timer[T]
+
+func (timers timerHeap[T]) Len() int { return len(timers) }
+
+func (timers timerHeap[T]) Less(i, j int) bool {
+	if timers[i].at != timers[j].at {
+		return timers[i].at < timers[j].at
+	}
+	return timers[i].sequence < timers[j].sequence
+}
+
+func (timers timerHeap[T]) Swap(i, j int) {
+	timers[i], timers[j] = timers[j], timers[i]
+	timers[i].index, timers[j].index = i, j
+}
+
+// Push appends a timer; heap.Push moves it to its place.
+func (timers *timerHeap[T]) Push(x any) {
+	timer := x.(*Timer[T])
+	timer.index = len(*timers)
+	*timers = append(*timers, timer)
+}
+
+// Pop removes the last timer; heap.Pop has moved the earliest there.
+func (timers *timerHeap[T]) Pop() any {
+	old := *timers
+	last := old[len(old)-1]
+	old[len(old)-1] = nil // or the array keeps it from being collected
+	last.index = removed
+	*timers = old[:len(old)-1]
+	return last
+}
--- a/lab/agreesim.go
+++ b/lab/agreesim.go
@@ -5,9 +5,9 @@
 	"math/rand/v2"
 	"slices"
 
-	"tealpath/due"
 	"tealpath/fleet/agree"
 	"tealpath/fleet/duty"
+	"tealpath/internal/timerqueue"
 	"tealpath/plan/contradict"
 )
 
@@ -53,7 +53,7 @@
 	AgreeSim
 	rng      *rand.Rand
 	now      int64
-	order    due.Order[func()]
+	order    timerqueue.Queue[func()]
 	nodes    []*agreeNode
 	voters   []string
 	result   AgreeResult
--- a/lab/coldfleet.go
+++ b/lab/coldfleet.go
@@ -19,7 +19,7 @@
 	"gonum.org/v1/plot/vg"
 
 	"tealpath/control"
-	"tealpath/due"
+	"tealpath/internal/timerqueue"
 	"tealpath/plan/links"
 	"tealpath/plan/start"
 	"tealpath/router"
@@ -93,7 +93,7 @@
 	FleetCold
 	rng     *rand.Rand
 	now     int64
-	order   due.Order[func()]
+	order   timerqueue.Queue[func()]
 	routers []*coldRouter
 	caches  []*cache.Bear
 	silent  []bool
--- a/lab/membersim.go
+++ b/lab/membersim.go
@@ -12,9 +12,9 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"tealpath/due"
 	"tealpath/fleet"
 	"tealpath/fleet/member"
+	"tealpath/internal/timerqueue"
 	"tealpath/lab/counters"
 )
 
@@ -160,7 +160,7 @@
 	MemberSim
 	rng     *rand.Rand
 	now     int64
-	order   due.Order[func()]
+	order   timerqueue.Queue[func()]
 	members []*simMember
 	byName  map[string]*simMember
 	cut     map[[2]int]bool
--- a/router/router.go
+++ b/router/router.go
@@ -12,7 +12,7 @@
 	"strings"
 
 	"tealpath/control"
-	"tealpath/due"
+	"tealpath/internal/timerqueue"
 	"tealpath/plan/links"
 )
 
@@ -54,7 +54,7 @@
 	byID    map[uint32]*member
 	links   map[LinkID]*link
 	linked  LinkID
-	due     due.Order[task]
+	due     timerqueue.Queue[task]
 	ticking int64 // when the periodic work is due
 	armed   int64
 	leaveBy int64 // when all must be answered; 0 while not leaving
@@ -80,8 +80,8 @@
 	body       []byte
 	dispatches []*dispatch
 	finished   bool
-	ends       *due.Entry[task] // the end of its time
-	asks       *due.Entry[task] // when the module wants to be asked again
+	ends       *timerqueue.Timer[task] // the end of its time
+	asks       *timerqueue.Timer[task] // when the module wants to be asked again
 }
 
 // dispatch is one sending of a retrieval.
@@ -92,8 +92,8 @@
 	link          *link
 	request       Request
 	sent, until   int64
-	reach         int64            // until when it may be written
-	ends          *due.Entry[task] // its time-out
+	reach         int64                   // until when it may be written
+	ends          *timerqueue.Timer[task] // its time-out
 	ended         bool
 }
 
