--- /dev/null
+++ b/fleet/wire_test.go
@@ -0,0 +1,117 @@
+package fleet
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"os"
+	"reflect"
+	"strings"
+	"testing"
+
+	"tealpath/fleet/duty"
+	"tealpath/fleet/member"
+)
+
+var update = flag.Bool("update", false, "write the golden files anew")
+
+// golden compares with a file of testdata, byte by byte.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := "testdata/" + name
+	if *update {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s: got %s\nwant %s", path, got, want)
+	}
+}
+
+// fullMessage has a value in each field, so that the golden file shows each field's key.
+func fullMessage() Message {
+	return Message{
+		Highest: 1,
+		Duty: &duty.Message{
+			Kind: duty.Refuse, Epoch: 2, Sent: 3,
+			Items: []duty.Item{{Slot: 4, Number: 5, Holder: duty.Holder{Name: "a", Incarnation: 6}, Left: 7}},
+		},
+		Findings: []Finding{{Target: "t", Number: 8, Good: true, Load: []float64{9}, Seq: 10}},
+		Gossip: &member.Gossip{
+			Beat: 11, Echo: 12, Digest: 13,
+			Entries: []member.Entry{{
+				Name: "b", Incarnation: 14, Start: 15, Version: 16, Address: "b:1", Weight: 17,
+				Leaving: true, Epoch: 18, Dead: true,
+			}},
+			Alerts: []member.Alert{{Subject: "c", Incarnation: 19, Version: 20, Observer: "d", Seq: 21, Kind: member.Deaf}},
+			Parts:  []uint64{22},
+		},
+	}
+}
+
+// Instances of this version and of the one before must read each other: the bytes of a message stay as they are.
+func TestMessageBytes(t *testing.T) {
+	message := fullMessage()
+	raw, err := message.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "message.hex", hex.EncodeToString(raw)+"\n")
+	back, err := Decode(raw)
+	if err != nil || !reflect.DeepEqual(back, message) {
+		t.Errorf("read back: %+v, %v", back, err)
+	}
+}
+
+// The kinds of messages go over the wire as numbers.
+func TestMessageKindNumbers(t *testing.T) {
+	for i, kind := range []duty.Kind{duty.Ask, duty.Promise, duty.Take, duty.Taken, duty.Refuse, duty.Release} {
+		if int(kind) != i+1 {
+			t.Errorf("kind %d is %d on the wire", i+1, kind)
+		}
+	}
+	for i, kind := range []member.Kind{member.Fine, member.Silent, member.Deaf, member.Rumour} {
+		if int(kind) != i {
+			t.Errorf("report kind %d is %d on the wire", i, kind)
+		}
+	}
+}
+
+// Commands print a status as JSON for operators' scripts: its fields stay as they are.
+func TestStatusJSON(t *testing.T) {
+	a := node(t, "a", 1)
+	entry := member.Entry{Name: "b", Incarnation: 2, Start: 1, Version: 1, Address: "b:1", Weight: 1, Epoch: 1}
+	a.Handle(1000*ms, Came{From: duty.Holder{Name: "b", Incarnation: 2}, Message: Message{Gossip: &member.Gossip{
+		Beat: 1, Entries: []member.Entry{entry},
+	}}})
+	for now := 1000 * ms; now < 6000*ms; now += 50 * ms {
+		for _, effect := range a.Handle(now, Due{Wall: 1}) {
+			send, ok := effect.(Send)
+			if !ok || send.Message.Duty == nil || send.To != "b" {
+				continue
+			}
+			answer := duty.Message{Kind: duty.Promise, Epoch: 1, Sent: send.Message.Duty.Sent, Items: send.Message.Duty.Items}
+			if send.Message.Duty.Kind == duty.Take {
+				answer.Kind = duty.Taken
+			}
+			if send.Message.Duty.Kind == duty.Ask || send.Message.Duty.Kind == duty.Take {
+				a.Handle(now, Came{From: duty.Holder{Name: "b", Incarnation: 2}, Message: Message{Duty: &answer}})
+			}
+		}
+	}
+	var text strings.Builder
+	encoder := json.NewEncoder(&text)
+	encoder.SetIndent("", " ")
+	if err := encoder.Encode(a.Status(6000 * ms)); err != nil {
+		t.Fatal(err)
+	}
+	if err := encoder.Encode(a.Members(6000 * ms)); err != nil {
+		t.Fatal(err)
+	}
+	golden(t, "status.json", text.String())
+}
