--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -8,7 +8,7 @@
 	"github.com/urfave/cli/v3"
 
 	"tealpath/operator"
-	"tealpath/plan/contradict"
+	"tealpath/plan/compatibility"
 )
 
 // diff says whether two operator's files may be in force side by side, and by which steps one becomes the other. Exit 1: they
@@ -17,7 +17,7 @@
 	if cmd.Args().Len() != 2 {
 		return cli.Exit("diff takes two operator's files", exitUsage)
 	}
-	var settings [2]contradict.Settings
+	var settings [2]compatibility.Settings
 	for i := range settings {
 		file, err := operator.Load(cmd.Args().Get(i), os.Getenv("LB_NAME"))
 		if err != nil {
@@ -26,9 +26,9 @@
 		settings[i] = file.Shared(0)
 	}
 	a, b := settings[0], settings[1]
-	conflicts := contradict.Between(a, b)
-	worst := contradict.Worst(conflicts)
-	steps, err := contradict.Steps(a, b)
+	conflicts := compatibility.Between(a, b)
+	worst := compatibility.Worst(conflicts)
+	steps, err := compatibility.Steps(a, b)
 	if cmd.Bool("json") {
 		type told struct {
 			Setting, Degree, Why string
@@ -37,7 +37,7 @@
 		out := struct {
 			Worst     string
 			Conflicts []told
-			Steps     []contradict.Settings
+			Steps     []compatibility.Settings
 		}{Worst: worst.String(), Steps: steps}
 		for _, c := range conflicts {
 			out.Conflicts = append(out.Conflicts, told{c.Setting, c.Degree.String(), c.Why, c.Rule})
@@ -62,7 +62,7 @@
 	switch {
 	case err != nil:
 		return cli.Exit(err, exitFailed)
-	case worst == contradict.Exclusive:
+	case worst == compatibility.Exclusive:
 		return cli.Exit("they may not run side by side: the last step takes all instances down at once, or the steps above", exitFailed)
 	}
 	return nil
--- a/fleet/agree/agree.go
+++ b/fleet/agree/agree.go
@@ -29,7 +29,7 @@
 	Content []byte
 }
 
-// Degree is how bad it is that two versions are acted on at once, as plan/contradict says it: exclusive never, else for a lease.
+// Degree is how bad it is that two versions are acted on at once, as plan/compatibility says it: exclusive never, else for a lease.
 type Degree func(a, b []byte) (exclusive bool, err error)
 
 // Config is what a node starts with.
--- a/lab/agreesim.go
+++ b/lab/agreesim.go
@@ -8,7 +8,7 @@
 	"tealpath/fleet/agree"
 	"tealpath/fleet/duty"
 	"tealpath/internal/timerqueue"
-	"tealpath/plan/contradict"
+	"tealpath/plan/compatibility"
 )
 
 // AgreeSim plays fleet/agree with real settings in simulated time, with changes and troubles drawn by seed.
@@ -61,7 +61,7 @@
 	first    map[uint64]int64
 	waiting  map[uint64]int64 // proposals until all act on them
 	forces   []float64
-	settings contradict.Settings
+	settings compatibility.Settings
 	run, off float64
 	excluded map[[2]string]bool
 }
@@ -77,7 +77,7 @@
 			r.voters = append(r.voters, x.name)
 		}
 	}
-	r.settings = contradict.Settings{Routers: s.Instances, Slots: 64, Lease: s.Lease, Drift: 0.01, PurgeTakes: 6e9,
+	r.settings = compatibility.Settings{Routers: s.Instances, Slots: 64, Lease: s.Lease, Drift: 0.01, PurgeTakes: 6e9,
 		Voters: duty.Voters{Epoch: 1, Now: r.voters}}
 	for _, x := range r.nodes {
 		r.start(x)
@@ -107,11 +107,11 @@
 	x.born, x.down, x.frozen = r.now, false, 0
 	first := r.settings
 	first.Voters = duty.Voters{Epoch: 1, Now: r.voters}
-	content, err := contradict.Encode(contradict.Settings{Routers: r.Instances, Slots: 64, Lease: r.Lease, Drift: 0.01, PurgeTakes: 6e9, Voters: first.Voters})
+	content, err := compatibility.Encode(compatibility.Settings{Routers: r.Instances, Slots: 64, Lease: r.Lease, Drift: 0.01, PurgeTakes: 6e9, Voters: first.Voters})
 	if err != nil {
 		panic(err) // the settings are this file's
 	}
-	x.node = agree.New(0, agree.Config{Self: x.name, Voters: r.voters, Lease: r.Lease, Renewal: r.Renewal, Drift: 0.01, Degree: contradict.Excludes,
+	x.node = agree.New(0, agree.Config{Self: x.name, Voters: r.voters, Lease: r.Lease, Renewal: r.Renewal, Drift: 0.01, Degree: compatibility.Excludes,
 		First: content, Mark: r.rng.Uint64()})
 	r.arm(x)
 }
@@ -190,7 +190,7 @@
 		if count[v.Number]++; r.first[v.Number] == 0 {
 			r.first[v.Number] = r.now
 		}
-		if s, err := contradict.Decode(v.Content); err == nil {
+		if s, err := compatibility.Decode(v.Content); err == nil {
 			share += 1 / float64(s.Routers)
 		}
 	}
@@ -204,7 +204,7 @@
 			pair := [2]string{string(was), string(is)}
 			excludes, known := r.excluded[pair]
 			if !known {
-				excludes, _ = contradict.Excludes(was, is)
+				excludes, _ = compatibility.Excludes(was, is)
 				r.excluded[pair] = excludes
 			}
 			if excludes {
@@ -232,7 +232,7 @@
 		if x.down || x.frozen > r.now {
 			return
 		}
-		s, err := contradict.Decode(x.node.Newest().Content)
+		s, err := compatibility.Decode(x.node.Newest().Content)
 		if err != nil {
 			panic(err) // only settings are proposed
 		}
@@ -246,7 +246,7 @@
 		case 3:
 			s.PurgeTakes = int64(4+r.rng.IntN(6)) * 1e9
 		}
-		content, err := contradict.Encode(s)
+		content, err := compatibility.Encode(s)
 		if err != nil {
 			panic(err)
 		}
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -15,7 +15,7 @@
 	"tealpath/fleet/member"
 	"tealpath/fleet/peer"
 	"tealpath/fleet/probe"
-	"tealpath/plan/contradict"
+	"tealpath/plan/compatibility"
 	"tealpath/plan/links"
 	"tealpath/plan/start"
 )
@@ -136,8 +136,8 @@
 }
 
 // Shared is what a file says of settings that instances share; routers is the deployment's number, 0 where it is not known.
-func (f *File) Shared(routers int) contradict.Settings {
-	s := contradict.Settings{Routers: routers}
+func (f *File) Shared(routers int) compatibility.Settings {
+	s := compatibility.Settings{Routers: routers}
 	if f.Links != nil {
 		s.Holds = f.Links.Holds
 	}
--- a/plan/contradict/contradict.go
+++ b/plan/compatibility/compatibility.go
@@ -1,7 +1,7 @@
-// Package contradict says which settings that instances share may be in force side by side, which not and by which rule, what is
+// Package compatibility says which settings that instances share may be in force side by side, which not and by which rule, what is
 // safe while it is unknown which of several are in force, and by which steps one becomes another. It does no input or output,
 // reads no clock. docs/agreement.md has the reasons.
-package contradict
+package compatibility
 
 import (
 	"cmp"
--- a/plan/contradict/content.go
+++ b/plan/compatibility/content.go
@@ -1,4 +1,4 @@
-package contradict
+package compatibility
 
 import (
 	"fmt"
