--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -26,9 +26,9 @@
 		settings[i] = file.Shared(0)
 	}
 	a, b := settings[0], settings[1]
-	conflicts := compatibility.Between(a, b)
-	worst := compatibility.Worst(conflicts)
-	steps, err := compatibility.Steps(a, b)
+	conflicts := compatibility.Compare(a, b)
+	worst := compatibility.WorstSeverity(conflicts)
+	steps, err := compatibility.MigrationPath(a, b)
 	if cmd.Bool("json") {
 		type told struct {
 			Setting, Degree, Why string
@@ -40,7 +40,7 @@
 			Steps     []compatibility.Settings
 		}{Worst: worst.String(), Steps: steps}
 		for _, c := range conflicts {
-			out.Conflicts = append(out.Conflicts, told{c.Setting, c.Degree.String(), c.Why, c.Rule})
+			out.Conflicts = append(out.Conflicts, told{c.Setting, c.Severity.String(), c.Reason, c.Rule})
 		}
 		if err := asJSON(out); err != nil {
 			return err
--- a/fleet/duty/duty.go
+++ b/fleet/duty/duty.go
@@ -44,8 +44,9 @@
 // Voters are those whose majority grants. Before is the set of the epoch before, in which a majority is needed as
 // well; it differs from Now by one name at most.
 type Voters struct {
-	Epoch       uint64
-	Now, Before []string
+	Epoch  uint64   `json:"Epoch"`
+	Now    []string `json:"Now"`
+	Before []string `json:"Before"`
 }
 
 // Config is what a node starts with.
--- a/lab/agreesim.go
+++ b/lab/agreesim.go
@@ -77,7 +77,7 @@
 			r.voters = append(r.voters, x.name)
 		}
 	}
-	r.settings = compatibility.Settings{Routers: s.Instances, Slots: 64, Lease: s.Lease, Drift: 0.01, PurgeTakes: 6e9,
+	r.settings = compatibility.Settings{Routers: s.Instances, Slots: 64, LeaseDuration: s.Lease, MaxClockDrift: 0.01, PurgeWindow: 6e9,
 		Voters: duty.Voters{Epoch: 1, Now: r.voters}}
 	for _, x := range r.nodes {
 		r.start(x)
@@ -107,11 +107,11 @@
 	x.born, x.down, x.frozen = r.now, false, 0
 	first := r.settings
 	first.Voters = duty.Voters{Epoch: 1, Now: r.voters}
-	content, err := compatibility.Encode(compatibility.Settings{Routers: r.Instances, Slots: 64, Lease: r.Lease, Drift: 0.01, PurgeTakes: 6e9, Voters: first.Voters})
+	content, err := compatibility.Encode(compatibility.Settings{Routers: r.Instances, Slots: 64, LeaseDuration: r.Lease, MaxClockDrift: 0.01, PurgeWindow: 6e9, Voters: first.Voters})
 	if err != nil {
 		panic(err) // the settings are this file's
 	}
-	x.node = agree.New(0, agree.Config{Self: x.name, Voters: r.voters, Lease: r.Lease, Renewal: r.Renewal, Drift: 0.01, Degree: compatibility.Excludes,
+	x.node = agree.New(0, agree.Config{Self: x.name, Voters: r.voters, Lease: r.Lease, Renewal: r.Renewal, Drift: 0.01, Degree: compatibility.Incompatible,
 		First: content, Mark: r.rng.Uint64()})
 	r.arm(x)
 }
@@ -204,7 +204,7 @@
 			pair := [2]string{string(was), string(is)}
 			excludes, known := r.excluded[pair]
 			if !known {
-				excludes, _ = compatibility.Excludes(was, is)
+				excludes, _ = compatibility.Incompatible(was, is)
 				r.excluded[pair] = excludes
 			}
 			if excludes {
@@ -242,9 +242,9 @@
 		case 1:
 			s.Routers = r.Instances + r.rng.IntN(50)
 		case 2:
-			s.Withdrawn = []string{fmt.Sprint("s-", r.rng.IntN(9))}
+			s.DrainedEndpoints = []string{fmt.Sprint("s-", r.rng.IntN(9))}
 		case 3:
-			s.PurgeTakes = int64(4+r.rng.IntN(6)) * 1e9
+			s.PurgeWindow = int64(4+r.rng.IntN(6)) * 1e9
 		}
 		content, err := compatibility.Encode(s)
 		if err != nil {
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -139,12 +139,12 @@
 func (f *File) Shared(routers int) compatibility.Settings {
 	s := compatibility.Settings{Routers: routers}
 	if f.Links != nil {
-		s.Holds = f.Links.Holds
+		s.MaxConnections = f.Links.Holds
 	}
 	if f.Fleet != nil {
-		s.Slots, s.Lease, s.Drift, s.Voters = f.Fleet.Slots, f.Fleet.Lease, f.Fleet.Drift, f.Fleet.Voters
+		s.Slots, s.LeaseDuration, s.MaxClockDrift, s.Voters = f.Fleet.Slots, f.Fleet.Lease, f.Fleet.Drift, f.Fleet.Voters
 		if f.Fleet.Probe != nil {
-			s.ProbeEach = f.Fleet.Probe.Period
+			s.ProbePeriod = f.Fleet.Probe.Period
 		}
 	}
 	return s
--- a/plan/compatibility/compatibility.go
+++ b/plan/compatibility/compatibility.go
@@ -15,36 +15,36 @@
 
 // Settings are what all instances of a fleet share. Spans are ns.
 type Settings struct {
-	Routers    int         // by which cold budgets are divided
-	Slots      int         // to which duties hash
-	Lease      int64       // of duties
-	Drift      float64     // of clocks, at most
-	Voters     duty.Voters // who grant duties
-	PurgeTakes int64       // for how long a told purge is enforced
-	Withdrawn  []string    // members that get nothing, whatever a list says
-	Holds      int         // connections that a cache holds; 0 is not said
-	ProbeEach  int64       // period of probes; 0: none
+	Routers          int         `json:"Routers"`    // by which cold budgets are divided
+	Slots            int         `json:"Slots"`      // to which duties hash
+	LeaseDuration    int64       `json:"Lease"`      // of duties
+	MaxClockDrift    float64     `json:"Drift"`      // of clocks, at most
+	Voters           duty.Voters `json:"Voters"`     // who grant duties
+	PurgeWindow      int64       `json:"PurgeTakes"` // for how long a told purge is enforced
+	DrainedEndpoints []string    `json:"Withdrawn"`  // members that get nothing, whatever a list says
+	MaxConnections   int         `json:"Holds"`      // connections that a cache holds; 0 is not said
+	ProbePeriod      int64       `json:"ProbeEach"`  // period of probes; 0: none
 }
 
-// Degree is how bad it is that two settings are in force side by side.
-type Degree int
+// Severity is how bad it is that two settings are in force side by side.
+type Severity int
 
 // The degrees. Harmless costs nothing but order. Bounded may stand for the stated time T, as the rule has slack for it.
 // Exclusive may never: no instance takes the one up before none can act on the other.
 const (
-	Harmless Degree = iota
+	Harmless Severity = iota
 	Bounded
 	Exclusive
 )
 
-func (d Degree) String() string { return []string{"harmless", "bounded", "exclusive"}[d] }
+func (d Severity) String() string { return []string{"harmless", "bounded", "exclusive"}[d] }
 
 // Conflict is one setting in which two versions differ.
 type Conflict struct {
-	Setting string
-	Degree  Degree
-	Rule    int // of the users' five; 0 is none of them
-	Why     string
+	Setting  string
+	Severity Severity
+	Rule     int // of the users' five; 0 is none of them
+	Reason   string
 }
 
 func (c Conflict) String() string {
@@ -52,12 +52,12 @@
 	if c.Rule > 0 {
 		rule = fmt.Sprintf(", rule %d", c.Rule)
 	}
-	return fmt.Sprintf("%s (%s%s): %s", c.Setting, c.Degree, rule, c.Why)
+	return fmt.Sprintf("%s (%s%s): %s", c.Setting, c.Severity, rule, c.Reason)
 }
 
-// Between says in which settings two versions differ, and how bad that is; the worst first.
-func Between(a, b Settings) (out []Conflict) {
-	add := func(differs bool, setting string, degree Degree, rule int, why string, args ...any) {
+// Compare says in which settings two versions differ, and how bad that is; the worst first.
+func Compare(a, b Settings) (out []Conflict) {
+	add := func(differs bool, setting string, degree Severity, rule int, why string, args ...any) {
 		if differs {
 			out = append(out, Conflict{setting, degree, rule, fmt.Sprintf(why, args...)})
 		}
@@ -66,26 +66,26 @@
 	add(few != many, "routers", Bounded, 4, "%d routers of which some divide by %d send %.2f of what a cold member bears",
 		many, few, float64(many)/float64(max(1, few)))
 	add(a.Slots != b.Slots, "slots", Exclusive, 0, "a duty hashes to other slots of %d than of %d: it has two owners", a.Slots, b.Slots)
-	add(a.Lease != b.Lease || a.Drift != b.Drift, "lease", Exclusive, 0,
-		"a voter counts a holder in for %d ms at a drift of %g, another for %d ms at %g: one may outlast the other", a.Lease/1e6, a.Drift, b.Lease/1e6, b.Drift)
+	add(a.LeaseDuration != b.LeaseDuration || a.MaxClockDrift != b.MaxClockDrift, "lease", Exclusive, 0,
+		"a voter counts a holder in for %d ms at a drift of %g, another for %d ms at %g: one may outlast the other", a.LeaseDuration/1e6, a.MaxClockDrift, b.LeaseDuration/1e6, b.MaxClockDrift)
 	if why := votersApart(a.Voters, b.Voters); why != "" {
 		add(true, "voters", Exclusive, 0, "%s", why)
 	}
-	add(a.PurgeTakes != b.PurgeTakes, "purge-takes", Bounded, 5, "who enforces a purge for %d ms may take a copy that others hold for purged until %d ms",
-		min(a.PurgeTakes, b.PurgeTakes)/1e6, max(a.PurgeTakes, b.PurgeTakes)/1e6)
-	for _, name := range onlyOne(a.Withdrawn, b.Withdrawn) {
+	add(a.PurgeWindow != b.PurgeWindow, "purge-takes", Bounded, 5, "who enforces a purge for %d ms may take a copy that others hold for purged until %d ms",
+		min(a.PurgeWindow, b.PurgeWindow)/1e6, max(a.PurgeWindow, b.PurgeWindow)/1e6)
+	for _, name := range onlyOne(a.DrainedEndpoints, b.DrainedEndpoints) {
 		add(true, "withdrawn", Bounded, 3, "%s is withdrawn in one alone", name)
 	}
-	add(a.Holds != b.Holds, "holds", Harmless, 0, "a cache may be asked for more connections than the lower of %d and %d for a while, and refuses them", a.Holds, b.Holds)
-	add(a.ProbeEach != b.ProbeEach, "probe-period", Harmless, 0, "each target has one owner, which goes by its own")
-	slices.SortStableFunc(out, func(x, y Conflict) int { return cmp.Compare(y.Degree, x.Degree) })
+	add(a.MaxConnections != b.MaxConnections, "holds", Harmless, 0, "a cache may be asked for more connections than the lower of %d and %d for a while, and refuses them", a.MaxConnections, b.MaxConnections)
+	add(a.ProbePeriod != b.ProbePeriod, "probe-period", Harmless, 0, "each target has one owner, which goes by its own")
+	slices.SortStableFunc(out, func(x, y Conflict) int { return cmp.Compare(y.Severity, x.Severity) })
 	return out
 }
 
-// Worst is the worst degree among conflicts.
-func Worst(conflicts []Conflict) (worst Degree) {
+// WorstSeverity is the worst degree among conflicts.
+func WorstSeverity(conflicts []Conflict) (worst Severity) {
 	for _, c := range conflicts {
-		worst = max(worst, c.Degree)
+		worst = max(worst, c.Severity)
 	}
 	return worst
 }
@@ -125,34 +125,34 @@
 
 func sameSet(a, b []string) bool { return len(onlyOne(a, b)) == 0 }
 
-// Floor is what contradicts none of several versions that may be in force: whoever does not know which of them is acts on it.
+// Conservative is what contradicts none of several versions that may be in force: whoever does not know which of them is acts on it.
 // Settings that are exclusive have no floor: ok is false where versions differ in one, and then no duty is acted for.
-func Floor(versions ...Settings) (floor Settings, ok bool) {
+func Conservative(versions ...Settings) (floor Settings, ok bool) {
 	if len(versions) == 0 {
 		return Settings{}, false
 	}
 	floor, ok = versions[0], true
-	floor.Withdrawn = slices.Clone(floor.Withdrawn)
+	floor.DrainedEndpoints = slices.Clone(floor.DrainedEndpoints)
 	for _, v := range versions[1:] {
-		ok = ok && Worst(Between(versions[0], v)) < Exclusive
-		floor.Routers = max(floor.Routers, v.Routers)          // the smallest share
-		floor.PurgeTakes = max(floor.PurgeTakes, v.PurgeTakes) // enforced for longest
-		floor.Withdrawn = append(floor.Withdrawn, v.Withdrawn...)
-		floor.ProbeEach = max(floor.ProbeEach, v.ProbeEach)
+		ok = ok && WorstSeverity(Compare(versions[0], v)) < Exclusive
+		floor.Routers = max(floor.Routers, v.Routers)             // the smallest share
+		floor.PurgeWindow = max(floor.PurgeWindow, v.PurgeWindow) // enforced for longest
+		floor.DrainedEndpoints = append(floor.DrainedEndpoints, v.DrainedEndpoints...)
+		floor.ProbePeriod = max(floor.ProbePeriod, v.ProbePeriod)
 		switch {
-		case floor.Holds == 0:
-			floor.Holds = v.Holds
-		case v.Holds > 0:
-			floor.Holds = min(floor.Holds, v.Holds)
+		case floor.MaxConnections == 0:
+			floor.MaxConnections = v.MaxConnections
+		case v.MaxConnections > 0:
+			floor.MaxConnections = min(floor.MaxConnections, v.MaxConnections)
 		}
 	}
-	floor.Withdrawn = slices.Compact(slices.Sorted(slices.Values(floor.Withdrawn)))
+	floor.DrainedEndpoints = slices.Compact(slices.Sorted(slices.Values(floor.DrainedEndpoints)))
 	return floor, ok
 }
 
-// Steps is the versions by which one becomes another so that each step but exclusive ones is at most bounded: voters change by
+// MigrationPath is the versions by which one becomes another so that each step but exclusive ones is at most bounded: voters change by
 // one at a time. Exclusive settings come last, in a step of their own. An error says what no steps can do.
-func Steps(from, to Settings) (steps []Settings, err error) {
+func MigrationPath(from, to Settings) (steps []Settings, err error) {
 	if to.Voters.Epoch < from.Voters.Epoch {
 		return nil, fmt.Errorf("voters of epoch %d can't follow those of epoch %d", to.Voters.Epoch, from.Voters.Epoch)
 	}
@@ -163,7 +163,7 @@
 		}
 	}
 	next := to
-	next.Voters, next.Slots, next.Lease, next.Drift = from.Voters, from.Slots, from.Lease, from.Drift
+	next.Voters, next.Slots, next.LeaseDuration, next.MaxClockDrift = from.Voters, from.Slots, from.LeaseDuration, from.MaxClockDrift
 	take(next)
 	lost, gained := minus(from.Voters.Now, to.Voters.Now), minus(to.Voters.Now, from.Voters.Now)
 	for len(lost)+len(gained) > 0 { // one more before one less, so that a majority bears as many failures all the way
--- a/plan/compatibility/compatibility_test.go
+++ b/plan/compatibility/compatibility_test.go
@@ -12,8 +12,8 @@
 )
 
 func some() Settings {
-	return Settings{Routers: 300, Slots: 64, Lease: 15e8, Drift: .01, Voters: duty.Voters{Epoch: 4, Now: []string{"a", "b", "c"}},
-		PurgeTakes: 6e9, Withdrawn: []string{"s-1"}, Holds: 60, ProbeEach: 1e9}
+	return Settings{Routers: 300, Slots: 64, LeaseDuration: 15e8, MaxClockDrift: .01, Voters: duty.Voters{Epoch: 4, Now: []string{"a", "b", "c"}},
+		PurgeWindow: 6e9, DrainedEndpoints: []string{"s-1"}, MaxConnections: 60, ProbePeriod: 1e9}
 }
 
 func TestBetween(t *testing.T) {
@@ -26,8 +26,8 @@
 		{"the same", func(*Settings) {}, "", 0},
 		{"fewer routers", func(s *Settings) { s.Routers = 200 }, "routers bounded", 4},
 		{"more slots", func(s *Settings) { s.Slots = 128 }, "slots exclusive", 0},
-		{"a shorter lease", func(s *Settings) { s.Lease = 1e9 }, "lease exclusive", 0},
-		{"a smaller drift", func(s *Settings) { s.Drift = .001 }, "lease exclusive", 0},
+		{"a shorter lease", func(s *Settings) { s.LeaseDuration = 1e9 }, "lease exclusive", 0},
+		{"a smaller drift", func(s *Settings) { s.MaxClockDrift = .001 }, "lease exclusive", 0},
 		{"the next voters", func(s *Settings) {
 			s.Voters = duty.Voters{Epoch: 5, Now: []string{"a", "b", "c", "d"}, Before: []string{"a", "b", "c"}}
 		}, "", 0},
@@ -39,21 +39,21 @@
 		{"others before", func(s *Settings) {
 			s.Voters = duty.Voters{Epoch: 5, Now: []string{"a", "b", "c"}, Before: []string{"a", "b"}}
 		}, "voters exclusive", 0},
-		{"purges for shorter", func(s *Settings) { s.PurgeTakes = 5e9 }, "purge-takes bounded", 5},
-		{"one more withdrawn", func(s *Settings) { s.Withdrawn = []string{"s-2", "s-1"} }, "withdrawn bounded", 3},
-		{"more connections", func(s *Settings) { s.Holds = 90 }, "holds harmless", 0},
-		{"another period", func(s *Settings) { s.ProbeEach = 2e9 }, "probe-period harmless", 0},
-		{"slots and connections", func(s *Settings) { s.Holds, s.Slots = 90, 32 }, "slots exclusive", 0},
+		{"purges for shorter", func(s *Settings) { s.PurgeWindow = 5e9 }, "purge-takes bounded", 5},
+		{"one more withdrawn", func(s *Settings) { s.DrainedEndpoints = []string{"s-2", "s-1"} }, "withdrawn bounded", 3},
+		{"more connections", func(s *Settings) { s.MaxConnections = 90 }, "holds harmless", 0},
+		{"another period", func(s *Settings) { s.ProbePeriod = 2e9 }, "probe-period harmless", 0},
+		{"slots and connections", func(s *Settings) { s.MaxConnections, s.Slots = 90, 32 }, "slots exclusive", 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a, b := some(), some()
 			c.change(&b)
-			there, back := Between(a, b), Between(b, a)
+			there, back := Compare(a, b), Compare(b, a)
 			got, rule := "", 0
 			if len(there) > 0 {
-				got, rule = there[0].Setting+" "+there[0].Degree.String(), there[0].Rule
+				got, rule = there[0].Setting+" "+there[0].Severity.String(), there[0].Rule
 			}
-			if got != c.want || rule != c.rule || Worst(there) != Worst(back) || len(there) != len(back) {
+			if got != c.want || rule != c.rule || WorstSeverity(there) != WorstSeverity(back) || len(there) != len(back) {
 				t.Errorf("%v, back %v, want %q", there, back, c.want)
 			}
 		})
@@ -68,11 +68,11 @@
 		var all []Settings
 		for range 1 + rng.IntN(4) {
 			s := some()
-			s.Routers, s.PurgeTakes, s.Holds, s.ProbeEach = 1+rng.IntN(300), int64(rng.IntN(9))*1e9, rng.IntN(3)*30, int64(rng.IntN(4))*1e9
-			s.Withdrawn = nil
+			s.Routers, s.PurgeWindow, s.MaxConnections, s.ProbePeriod = 1+rng.IntN(300), int64(rng.IntN(9))*1e9, rng.IntN(3)*30, int64(rng.IntN(4))*1e9
+			s.DrainedEndpoints = nil
 			for i := range 4 {
 				if rng.IntN(2) == 0 {
-					s.Withdrawn = append(s.Withdrawn, fmt.Sprint("s-", i))
+					s.DrainedEndpoints = append(s.DrainedEndpoints, fmt.Sprint("s-", i))
 				}
 			}
 			if rng.IntN(8) == 0 {
@@ -80,23 +80,23 @@
 			}
 			all = append(all, s)
 		}
-		floor, ok := Floor(all...)
+		floor, ok := Conservative(all...)
 		exclusive := slices.ContainsFunc(all, func(s Settings) bool { return s.Slots != all[0].Slots })
 		if ok == exclusive {
 			t.Fatalf("ok %v of %+v", ok, all)
 		}
 		for _, s := range all {
-			if floor.Routers < s.Routers || floor.PurgeTakes < s.PurgeTakes || s.Holds > 0 && floor.Holds > s.Holds || floor.ProbeEach < s.ProbeEach {
+			if floor.Routers < s.Routers || floor.PurgeWindow < s.PurgeWindow || s.MaxConnections > 0 && floor.MaxConnections > s.MaxConnections || floor.ProbePeriod < s.ProbePeriod {
 				t.Fatalf("%+v is above %+v", floor, s)
 			}
-			for _, name := range s.Withdrawn {
-				if !slices.Contains(floor.Withdrawn, name) {
+			for _, name := range s.DrainedEndpoints {
+				if !slices.Contains(floor.DrainedEndpoints, name) {
 					t.Fatalf("%s is not withdrawn in %+v", name, floor)
 				}
 			}
 		}
 	}
-	if _, ok := Floor(); ok {
+	if _, ok := Conservative(); ok {
 		t.Error("a floor of nothing")
 	}
 }
@@ -114,14 +114,14 @@
 			continue
 		}
 		to.Routers, to.Slots = 1+rng.IntN(400), 32<<rng.IntN(3)
-		steps, err := Steps(from, to)
+		steps, err := MigrationPath(from, to)
 		if err != nil {
 			t.Fatal(err)
 		}
 		at := from
 		for i, s := range steps {
-			for _, c := range Between(at, s) {
-				if c.Setting == "voters" || c.Degree == Exclusive && i < len(steps)-1 {
+			for _, c := range Compare(at, s) {
+				if c.Setting == "voters" || c.Severity == Exclusive && i < len(steps)-1 {
 					t.Fatalf("step %d of %d: %v", i, len(steps), c)
 				}
 			}
@@ -138,7 +138,7 @@
 	}
 	back := some()
 	back.Voters.Epoch = 3
-	if _, err := Steps(some(), back); err == nil || !strings.Contains(err.Error(), "can't follow") {
+	if _, err := MigrationPath(some(), back); err == nil || !strings.Contains(err.Error(), "can't follow") {
 		t.Error(err)
 	}
 }
--- a/plan/compatibility/content.go
+++ b/plan/compatibility/content.go
@@ -17,9 +17,9 @@
 	return s, nil
 }
 
-// Excludes tells whether two contents may never be acted on at once, and why the second can't be at all. It is how fleet/agree
+// Incompatible tells whether two contents may never be acted on at once, and why the second can't be at all. It is how fleet/agree
 // judges versions.
-func Excludes(a, b []byte) (bool, error) {
+func Incompatible(a, b []byte) (bool, error) {
 	was, err := Decode(a)
 	if err != nil {
 		return true, err
@@ -34,10 +34,10 @@
 	switch {
 	case is.Routers < 1:
 		return true, fmt.Errorf("cold budgets divided by %d routers", is.Routers)
-	case is.Slots < 1 || is.Lease <= 0 || is.Drift < 0 || is.Drift >= 1:
-		return true, fmt.Errorf("%d slots, a lease of %d ns, a drift of %g", is.Slots, is.Lease, is.Drift)
+	case is.Slots < 1 || is.LeaseDuration <= 0 || is.MaxClockDrift < 0 || is.MaxClockDrift >= 1:
+		return true, fmt.Errorf("%d slots, a lease of %d ns, a drift of %g", is.Slots, is.LeaseDuration, is.MaxClockDrift)
 	case is.Voters.Epoch != was.Voters.Epoch && votersApart(was.Voters, is.Voters) != "":
 		return true, fmt.Errorf("%s", votersApart(was.Voters, is.Voters))
 	}
-	return Worst(Between(was, is)) == Exclusive, nil
+	return WorstSeverity(Compare(was, is)) == Exclusive, nil
 }
