--- a/control/types.go
+++ b/control/types.go
@@ -3,7 +3,7 @@
 import (
 	"container/list"
 
-	"tealpath/due"
+	"tealpath/internal/timerqueue"
 )
 
 // Settings is what a router is told when it starts: names to plain values. Times are int64 nanoseconds,
@@ -149,7 +149,7 @@
 	kind          int   // the room it counts in
 	lateFrom      int64 // from when an answer is late
 	late          bool  // that has come
-	expiry        *due.Entry[*dispatch]
+	expiry        *timerqueue.Timer[*dispatch]
 	issuedFrom    int64 // from when on a copy must have been issued, by its own stamp
 }
 
@@ -253,7 +253,7 @@
 	watched                 memberList // which the periodic check may find suspect, or suspects
 	fadedNext               int        // index in scored that is looked at next
 	cachesInTime            kindCounts // of what is out at the caches: what may be in time
-	expiries                due.Order[*dispatch]
+	expiries                timerqueue.Queue[*dispatch]
 	expiredAt               int64
 	unitsSum                float64 // of the caches' units, if unitsSummed
 	unitsSummed             bool
