--- a/control/health.go
+++ b/control/health.go
@@ -7,11 +7,18 @@
 
 // signs is the evidence on a member: the silence of what it has in hand, in answer times, and how it fared.
 func (r *Router) signs(now int64, m *member) (silent, good, bad float64) {
+	return m.signs(now, r.slowestAnswer())
+}
+
+// slowestAnswer is the longest mean answer time of a product, in seconds.
+func (r *Router) slowestAnswer() float64 { return r.most(func(p *product) float64 { return p.answer }) }
+
+func (m *member) signs(now int64, answer float64) (silent, good, bad float64) {
 	good, bad = fade(m.good, now-m.scored, healthSpan), fade(m.bad, now-m.scored, healthSpan)
 	if len(m.out) == 0 {
 		return 0, good, bad
 	}
-	answer, longest := r.most(func(p *product) float64 { return p.answer }), 0.
+	longest := 0.
 	for _, d := range m.out {
 		if d.cache == m || d.kind > hits {
 			waited := float64(now-max(d.sent, m.heard)) / 1e9 / answer
@@ -31,9 +38,10 @@
 	if m.Location != r.home {
 		peers = parentRole
 	}
+	answer := r.slowestAnswer()
 	for _, peer := range r.scored.members {
 		if peer != m && peer.role == peers {
-			s, g, b := r.signs(now, peer)
+			s, g, b := peer.signs(now, answer)
 			silent, good, bad = silent+s, good+g, bad+b
 		}
 	}
@@ -53,12 +61,11 @@
 	for range min(fadedPerTick, len(r.scored.members)) {
 		r.fadedNext %= len(r.scored.members)
 		m := r.scored.members[r.fadedNext]
-		if _, good, bad := r.signs(now, m); len(m.out) == 0 && good == 0 && bad == 0 {
-			r.scored.remove(m)
-		} else {
+		if len(m.out) > 0 || fade(m.good, now-m.scored, healthSpan) > 0 || fade(m.bad, now-m.scored, healthSpan) > 0 {
 			r.fadedNext++
+			continue
 		}
-		if len(r.scored.members) == 0 {
+		if r.scored.remove(m); len(r.scored.members) == 0 {
 			return
 		}
 	}
--- /dev/null
+++ b/control/plain_test.go
@@ -0,0 +1,327 @@
+package control
+
+import (
+	"cmp"
+	"encoding/binary"
+	"fmt"
+	"hash/fnv"
+	"maps"
+	"math"
+	"slices"
+	"testing"
+)
+
+// This file holds the plain text of ranking, loads and evidence, which goes over all members each time. It is the
+// reference for the selection and the kept counts.
+
+// plainRank orders members by rendezvous hashing weighted by size.
+func plainRank(key entryKey, members []*member) []*member {
+	h := fnv.New64a()
+	h.Write(binary.LittleEndian.AppendUint64([]byte(key.object), uint64(key.part)))
+	scores := make(map[*member]float64, len(members))
+	for _, m := range members {
+		x := (h.Sum64() ^ uint64(m.ID)) * 0xff51afd7ed558ccd
+		x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
+		scores[m] = -math.Log((float64((x^x>>33)>>11)+0.5)/(1<<53)) / m.weight
+	}
+	ranked := slices.Clone(members)
+	slices.SortFunc(ranked, func(a, b *member) int {
+		return cmp.Or(cmp.Compare(scores[a], scores[b]), cmp.Compare(a.ID, b.ID))
+	})
+	return ranked
+}
+
+// plainInHand is what is out at some caches and may be in time, in all and by kind, and their size.
+func plainInHand(r *Router, now int64, members []*member) (out float64, kinds [3]float64, units float64) {
+	for _, m := range members {
+		if r.told() {
+			units += m.Units
+		} else {
+			units += r.measuredSize(now)
+		}
+		for _, d := range m.out {
+			if now < d.lateFrom {
+				out, kinds[d.kind] = out+1, kinds[d.kind]+1
+			}
+		}
+	}
+	return out, kinds, max(units, 0.01)
+}
+
+// plainLoads is what each cache has in hand for its size.
+func plainLoads(r *Router, now int64) map[*member]float64 {
+	out, _, units := plainInHand(r, now, r.caches)
+	loads := map[*member]float64{}
+	for _, m := range r.caches {
+		own, _, size := plainInHand(r, now, []*member{m})
+		loads[m] = (own + out*r.sharing()/units) / (size/r.sharing() + 1)
+	}
+	return loads
+}
+
+// plainSigns is the evidence on a member.
+func plainSigns(r *Router, now int64, m *member) (silent, good, bad float64) {
+	answer, longest := r.most(func(p *product) float64 { return p.answer }), 0.
+	for _, d := range m.out {
+		if d.cache == m || d.kind > hits {
+			waited := float64(now-max(d.sent, m.heard)) / 1e9 / answer
+			silent, longest = silent+min(silentMost, waited), max(longest, waited)
+		}
+	}
+	if longest < silentLeast {
+		silent = 0
+	}
+	return silent, fade(m.good, now-m.scored, healthSpan), fade(m.bad, now-m.scored, healthSpan)
+}
+
+// plainPeerSigns sums up the evidence on all peers of a member.
+func plainPeerSigns(r *Router, now int64, m *member) (silent, good, bad float64) {
+	peers := r.caches
+	if m.Location != r.home {
+		peers = r.parents
+	}
+	for _, peer := range peers {
+		if peer != m {
+			s, g, b := plainSigns(r, now, peer)
+			silent, good, bad = silent+s, good+g, bad+b
+		}
+	}
+	return silent, good, bad
+}
+
+// plainTiers sorts the members by what they may do.
+func plainTiers(r *Router) (caches, parents []*member, origin *member) {
+	for _, id := range slices.Sorted(maps.Keys(r.members)) {
+		m := r.members[id]
+		switch {
+		case !m.listed || m.Phase != "ready":
+		case m.Kind == "origin":
+			origin = cmp.Or(origin, m)
+		case m.Kind == "parent":
+			parents = append(parents, m)
+		case m.Location == r.home:
+			caches = append(caches, m)
+		}
+	}
+	return caches, parents, origin
+}
+
+// plainPlace picks the cache and the fill source from the whole ranking.
+func plainPlace(r *Router, now int64, t *Retrieval) (cache, source *member) {
+	ranked, spread := plainRank(t.entry.key, r.caches), 1
+	if t.product.neverKept || t.Write {
+		spread = len(ranked)
+	} else if n := float64(len(ranked)); n > 1 && t.entry.count >= hotLeast {
+		hot := r.rate(now, t.entry.count, t.entry.counted) * n / (hotShare * r.rate(now, r.total, r.totalAt))
+		spread = max(1, min(1+int(hot), 3, len(ranked)))
+	}
+	loads := plainLoads(r, now)
+	slices.SortStableFunc(ranked[:min(spread, len(ranked))], func(a, b *member) int { return cmp.Compare(loads[a], loads[b]) })
+	t.away = false
+	if cache = plainPick(r, now, t, ranked); cache != nil && t.entry.servedUntil > now && !r.room(now, t, cache) {
+		roomy := slices.DeleteFunc(ranked, func(m *member) bool { return loads[m] >= r.rooms[0]/2 })
+		if other := plainPick(r, now, t, roomy); other != nil {
+			cache, t.away = other, true
+		}
+	}
+	sources := plainRank(t.entry.key, r.parents)
+	if r.origin != nil && t.denied() && r.originStands() {
+		sources = []*member{r.origin}
+	} else if r.origin != nil {
+		sources = append(sources, r.origin)
+	}
+	return cache, plainPick(r, now, t, sources)
+}
+
+// plainPick picks from a whole ranking: it is given as the batch of a selection that has nothing after it.
+func plainPick(r *Router, now int64, t *Retrieval, ranked []*member) *member {
+	whole := &candidates{tier: &tier{members: ranked}, exhausted: true, lastGiven: true}
+	for i := range ranked {
+		whole.batch = append(whole.batch, candidate{index: i})
+	}
+	return r.pick(now, t, whole)
+}
+
+// routerState is what a decision on the place changes.
+type routerState struct {
+	draws   uint32
+	members map[uint32]member
+}
+
+func stateOf(r *Router) routerState {
+	s := routerState{r.draws, map[uint32]member{}}
+	for id, m := range r.members {
+		s.members[id] = *m
+	}
+	return s
+}
+
+func (s routerState) restore(r *Router) {
+	r.draws = s.draws
+	for id, m := range s.members {
+		*r.members[id] = m
+	}
+}
+
+// equal compares what a decision on the place may change.
+func (s routerState) equal(other routerState) bool {
+	return s.draws == other.draws && maps.EqualFunc(s.members, other.members, func(a, b member) bool {
+		return a.suspect == b.suspect && a.trialAt == b.trialAt && a.backoff == b.backoff && a.trial == b.trial &&
+			a.savings == b.savings && a.savedAt == b.savedAt && a.savingFor == b.savingFor && len(a.spent) == len(b.spent)
+	})
+}
+
+// differences compares what is kept with the plain sums, and gives what differs.
+func differences(r *Router, now int64) (found []string) {
+	check := func(what string, got, want any) {
+		if got != want {
+			found = append(found, fmt.Sprintf("%s: %v, plainly %v", what, got, want))
+		}
+	}
+	caches, parents, origin := plainTiers(r)
+	check("caches", slices.Equal(r.caches, caches), true)
+	check("parents", slices.Equal(r.parents, parents), true)
+	check("origin", r.origin, origin)
+	out, kinds, units := plainInHand(r, now, caches)
+	inTime := r.inTime(now)
+	check("in time", float64(inTime.sum()), out)
+	for kind := range kinds {
+		check(fmt.Sprint("in time of kind ", kind), float64(inTime[kind]), kinds[kind])
+	}
+	check("units", r.units(now), units)
+	for m, load := range plainLoads(r, now) {
+		check(fmt.Sprint("load of ", m.ID), r.load(now, m), load)
+	}
+	some := slices.Sorted(maps.Keys(r.members))
+	for i := range min(4, len(some)) {
+		m := r.members[some[(int(now)+i)%len(some)]]
+		silent, good, bad := r.peerSigns(now, m)
+		plainSilent, plainGood, plainBad := plainPeerSigns(r, now, m)
+		check(fmt.Sprint("evidence on the peers of ", m.ID), [3]float64{silent, good, bad}, [3]float64{plainSilent, plainGood, plainBad})
+	}
+	return found
+}
+
+// unwatched gives the members that the plain periodic check could find suspect, or probe, and the kept list lacks.
+func unwatched(r *Router, now int64) (found []uint32) {
+	for _, m := range r.caches {
+		silent, _, bad := plainSigns(r, now, m)
+		if _, watched := r.watched.search(m); !watched && (silent >= silentFrom || bad >= badFrom || m.suspect) {
+			found = append(found, m.ID)
+		}
+	}
+	return found
+}
+
+// propertyCases is how many drawn cases each property is tested with.
+const propertyCases = 10_000
+
+// The place of a retrieval is the one that the plain ranking gives, with the same effects on the members.
+func TestPlaceAsByThePlainRanking(t *testing.T) {
+	seen := map[string]int{}
+	for seed, cases := uint64(0), 0; cases < propertyCases; seed++ {
+		p := newDrawnPlay(t, 1000+seed)
+		for range 400 {
+			p.step()
+			if len(p.retrieval) == 0 {
+				continue
+			}
+			ret := p.retrieval[p.rng.IntN(len(p.retrieval))]
+			p.router.expire(p.now) // else the counts restored would be those of before
+			before := stateOf(p.router)
+			wantCache, wantSource := plainPlace(p.router, p.now, ret)
+			wantAway, want := ret.away, stateOf(p.router)
+			before.restore(p.router)
+			cache, source := p.router.place(p.now, ret)
+			if same := stateOf(p.router).equal(want); cache != wantCache || source != wantSource || ret.away != wantAway || !same {
+				t.Fatalf("seed %d, case %d: cache %v, source %v, away %v, plainly %v, %v, %v; the same effects: %v", seed, cases,
+					name(cache), name(source), ret.away, name(wantCache), name(wantSource), wantAway, same)
+			}
+			cases++
+			if cache != nil && cache != plainRank(ret.entry.key, p.router.caches)[0] {
+				seen["not the first"]++
+			}
+			if ret.away {
+				seen["away"]++
+			}
+		}
+	}
+	if seen["not the first"] < 500 || seen["away"] < 20 {
+		t.Errorf("the cases show little: %v", seen)
+	}
+}
+
+func name(m *member) any {
+	if m == nil {
+		return "none"
+	}
+	return m.ID
+}
+
+// What is kept as it changes equals the sums over all members to the last bit, also where the clock went back.
+func TestKeptCountsAsByPlainSums(t *testing.T) {
+	for seed, cases := uint64(0), 0; cases < propertyCases; seed++ {
+		p := newDrawnPlay(t, 5000+seed)
+		for range 400 {
+			p.step()
+			if p.rng.IntN(50) == 0 {
+				p.now += p.rng.Int64N(200 * second) // scores fade, but not yet to nothing
+			}
+			cases++
+			if found := unwatched(p.router, p.now); len(found) > 0 {
+				t.Fatalf("seed %d, case %d: %v are not watched", seed, cases, found)
+			}
+			at := p.now
+			if p.rng.IntN(4) == 0 {
+				at -= p.rng.Int64N(second)
+			}
+			if found := differences(p.router, at); len(found) > 0 {
+				t.Fatalf("seed %d, case %d: %v", seed, cases, found)
+			}
+		}
+	}
+}
+
+// Candidates come in the order of the plain ranking, to the last one, for all sizes of tiers and drawn weights.
+func TestCandidatesAsByThePlainRanking(t *testing.T) {
+	p := newDrawnPlay(t, 1)
+	for round := range propertyCases / 100 {
+		r := newRouter(t, nil)
+		var lines []Listing
+		equal := p.rng.IntN(2) == 0
+		for id := range 1 + p.rng.IntN(300) {
+			line := Listing{ID: uint32(id*7919 + 1), Location: "here", Kind: "cache", Phase: "ready", Units: 5}
+			if !equal {
+				line.Units = math.Exp(p.rng.NormFloat64() * 3)
+			}
+			lines = append(lines, line)
+		}
+		r.Listed(start, lines, true)
+		for _, m := range r.caches {
+			for range p.rng.IntN(4) * p.rng.IntN(2) {
+				r.begin(m, &dispatch{sent: start, cache: m, kind: p.rng.IntN(3), lateFrom: start + p.rng.Int64N(second)})
+			}
+		}
+		now := start + p.rng.Int64N(second)
+		for n := range 100 {
+			ret := ask("harmless", fmt.Sprint(round, n))
+			ret.product, ret.entry, ret.Write = r.products["harmless"], &entry{key: entryKey{object: ret.Object}}, n%4 == 0
+			want := plainRank(ret.entry.key, r.caches)
+			if ret.Write {
+				slices.SortStableFunc(want, func(a, b *member) int { return cmp.Compare(r.load(now, a), r.load(now, b)) })
+			}
+			got, most := r.cacheCandidates(now, ret), len(want)
+			if n%10 > 1 {
+				most = min(most, 1+p.rng.IntN(8))
+			}
+			for i := range most {
+				if m := got.next(); m != want[i] {
+					t.Fatalf("round %d, write %v, place %d of %d: %v, plainly %v", round, ret.Write, i, len(want), name(m), want[i].ID)
+				}
+			}
+			if most == len(want) && got.next() != nil {
+				t.Fatal("more candidates than members")
+			}
+		}
+	}
+}
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -186,8 +186,14 @@
 // scanByLoad fills the batch with the least by load, and by score among equals, that come after a candidate.
 func (c *candidates) scanByLoad(after candidate) {
 	worst := candidate{load: math.Inf(1), score: math.Inf(1)}
+	var before *member
+	var load float64
 	for index, key := range c.tier.keys {
-		load := c.loads.of(c.tier.members[index])
+		m := c.tier.members[index]
+		if before == nil || m.Units != before.Units || m.inTime != before.inTime { // mostly all are alike
+			load = c.loads.of(m)
+		}
+		before = m
 		if load > worst.load || load < after.load {
 			continue
 		}
