--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -118,7 +118,14 @@
 }
 
 // BenchmarkTick is one run of the periodic work after a request to every cache.
-func BenchmarkTick(b *testing.B) {
+func BenchmarkTick(b *testing.B) { benchmarkTicks(b, none) }
+
+// BenchmarkTickInFlight is the same while half as many requests as there are caches are in flight.
+func BenchmarkTickInFlight(b *testing.B) {
+	benchmarkTicks(b, func(servers int) int { return servers / 2 })
+}
+
+func benchmarkTicks(b *testing.B, inFlight func(servers int) int) {
 	for _, servers := range benchmarkSizes {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
 			r, _ := benchmarkRouter(b, servers, nil)
@@ -129,10 +136,13 @@
 				r.Where(now, asked)
 				r.After(now+second/20, asked, Outcome{Result: Good, Spent: second / 20, Note: 1, Closed: true})
 			}
+			for i := range inFlight(servers) {
+				r.Where(now, &Retrieval{Product: "harmless", Object: fmt.Sprint(i), Group: 1, HardStop: forever})
+			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				now += second / 10
+				now += second / 1000
 				r.Tick(now)
 			}
 		})
--- a/control/control.go
+++ b/control/control.go
@@ -644,11 +644,14 @@
 			delete(r.purges, name) // all caches and parents have dropped older copies by themselves
 		}
 	}
+	all := r.cacheEvidence(now)
 	for _, m := range r.watched.members {
 		if m.role != cacheRole {
 			continue
 		}
-		r.check(now, m)
+		if m.mayBeSuspect(now) && r.mayStandOut(now, m, all) {
+			r.check(now, m)
+		}
 		if m.suspect && !m.trial && now >= m.trialAt && get(r.set, "probe", false) {
 			m.trial = true
 			probe = append(probe, m.ID)
@@ -775,7 +778,7 @@
 // peers show then is no evidence: in a jam all looked suspect in turn and objects lost their homes. Half a
 // tier may fail at once and still stand out; where most fail, further dispatches must find the rest.
 func (r *Router) check(now int64, m *member) {
-	if m.suspect || m == r.origin {
+	if m.suspect || m == r.origin || !m.mayBeSuspect(now) {
 		return
 	}
 	silent, good, bad := r.signs(now, m)
--- a/control/health.go
+++ b/control/health.go
@@ -2,8 +2,35 @@
 
 import "slices"
 
-// fadedPerTick is how many members are looked at with each tick for scores that have faded to nothing.
-const fadedPerTick = 16
+const (
+	// fadedPerTick is how many members are looked at with each tick for scores that have faded to nothing.
+	fadedPerTick = 16
+
+	// evidenceMargin is more than what the order of a sum's terms can change in what a member is judged by.
+	evidenceMargin = 1e-6
+)
+
+// evidence is a sum of signs: of silence, of answers in time and of failures.
+type evidence struct{ silent, good, bad float64 }
+
+// cacheEvidence sums up the evidence on all caches of the location, if there is a member that it may concern.
+func (r *Router) cacheEvidence(now int64) (all evidence) {
+	concerned := func(m *member) bool { return m.role == cacheRole && !m.suspect && m.mayBeSuspect(now) }
+	if slices.ContainsFunc(r.watched.members, concerned) {
+		all.silent, all.good, all.bad = r.peerSigns(now, nil)
+	}
+	return all
+}
+
+// mayStandOut tells whether a cache may stand out from its peers, by the evidence on all caches. Where all look
+// alike, as in a jam, that spares the periodic check to sum up each one's peers.
+func (r *Router) mayStandOut(now int64, m *member, all evidence) bool {
+	silent, good, bad := r.signs(now, m)
+	peersGood, peersBad := all.good-good, all.bad-bad
+	silentApart := silent - (all.silent-silent)/float64(max(1, len(r.caches)-1))
+	badApart := bad/(good+bad) - peersBad/max(peersGood+peersBad, 1)
+	return silentApart >= silentFrom-evidenceMargin || bad >= badFrom && badApart >= badShare-evidenceMargin
+}
 
 // signs is the evidence on a member: the silence of what it has in hand, in answer times, and how it fared.
 func (r *Router) signs(now int64, m *member) (silent, good, bad float64) {
@@ -31,16 +58,26 @@
 	return silent, good, bad
 }
 
-// peerSigns sums up the evidence on all other caches of the location, or on all other parents. Members with
+// mayBeSuspect tells, at little cost, whether the evidence on a member could be enough for a suspicion: by the
+// number of dispatches that may be silent, and by failures as if none had faded.
+func (m *member) mayBeSuspect(now int64) bool {
+	return float64(len(m.out))*silentMost >= silentFrom || m.bad >= badFrom || now < m.scored
+}
+
+// peerSigns sums up the evidence on all other caches of the location, or on all other parents; without a member on
+// all caches. Members with
 // nothing in flight and no scores would add nothing: they are left out.
 func (r *Router) peerSigns(now int64, m *member) (silent, good, bad float64) {
-	peers := cacheRole
-	if m.Location != r.home {
-		peers = parentRole
+	peers, peerRole := r.caches, cacheRole
+	if m != nil && m.Location != r.home {
+		peers, peerRole = r.parents, parentRole
+	}
+	if len(r.scored.members) < len(peers) {
+		peers = r.scored.members
 	}
 	answer := r.slowestAnswer()
-	for _, peer := range r.scored.members {
-		if peer != m && peer.role == peers {
+	for _, peer := range peers {
+		if peer != m && peer.role == peerRole {
 			s, g, b := peer.signs(now, answer)
 			silent, good, bad = silent+s, good+g, bad+b
 		}
@@ -52,7 +89,7 @@
 // flight and too few failures.
 func (r *Router) unwatch(now int64) {
 	r.watched.members = slices.DeleteFunc(r.watched.members, func(m *member) bool {
-		return !m.suspect && len(m.out) == 0 && fade(m.bad, now-m.scored, healthSpan) < badFrom
+		return !m.suspect && len(m.out) == 0 && (m.bad < badFrom || fade(m.bad, now-m.scored, healthSpan) < badFrom)
 	})
 }
 
--- a/control/load.go
+++ b/control/load.go
@@ -86,9 +86,10 @@
 func (r *Router) units(now int64) float64 {
 	if r.told() {
 		if !r.unitsSummed {
-			r.unitsSummed, r.unitsSum = true, 0
+			r.unitsSummed, r.unitsSum, r.mostUnits = true, 0, 0
 			for _, m := range r.caches {
 				r.unitsSum += m.Units
+				r.mostUnits = max(r.mostUnits, m.Units)
 			}
 		}
 		return max(r.unitsSum, leastUnits)
@@ -121,26 +122,34 @@
 	sharing float64
 	told    bool
 	size    float64 // of each cache where weights do not tell it
+	least   float64 // load of the largest cache while it has nothing in hand: none has less
 }
 
 // loadScale prepares for the loads at a time.
 func (r *Router) loadScale(now int64) loadScale {
 	s := loadScale{sharing: r.sharing(), told: r.told()}
+	s.mean = float64(r.inTime(now).sum()) * s.sharing / r.units(now)
+	largest := r.mostUnits
 	if !s.told {
 		s.size = r.measuredSize(now)
+		largest = s.size
 	}
-	s.mean = float64(r.inTime(now).sum()) * s.sharing / r.units(now)
+	s.least = s.at(0, largest)
 	return s
 }
 
-// of is what a cache has in hand for its size, as seen from here. In a thin slice one dispatch tells little (it
-// seemed to fill a cache): it is drawn to the location's mean, as if one more had been seen at that.
+// of is what a cache has in hand for its size, as seen from here.
 func (s loadScale) of(m *member) float64 {
-	size := s.size
 	if s.told {
-		size = m.Units
+		return s.at(m.inTime.sum(), m.Units)
 	}
-	return (float64(m.inTime.sum()) + s.mean) / (max(size, leastUnits)/s.sharing + 1)
+	return s.at(m.inTime.sum(), s.size)
+}
+
+// at is the load of a cache with so many dispatches in hand. In a thin slice one dispatch tells little (it seemed
+// to fill a cache): it is drawn to the location's mean, as if one more had been seen at that.
+func (s loadScale) at(inTime int, size float64) float64 {
+	return (float64(inTime) + s.mean) / (max(size, leastUnits)/s.sharing + 1)
 }
 
 // load is what a cache has in hand for its size at a time.
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -202,11 +202,25 @@
 	return found
 }
 
-// unwatched gives the members that the plain periodic check could find suspect, or probe, and the kept list lacks.
-func unwatched(r *Router, now int64) (found []uint32) {
+// plainlySuspect tells whether the plain check would find a cache suspect.
+func plainlySuspect(r *Router, now int64, m *member) bool {
+	silent, good, bad := plainSigns(r, now, m)
+	if m.suspect || silent < silentFrom && bad < badFrom {
+		return false
+	}
+	allSilent, allGood, allBad := plainPeerSigns(r, now, m)
+	silent -= allSilent / float64(max(1, len(r.caches)-1))
+	return silent >= silentFrom || bad >= badFrom && bad/(good+bad)-allBad/max(allGood+allBad, 1) >= badShare
+}
+
+// overlooked gives the members that the plain periodic check would find suspect, or probe, and that it passes over
+// by what is kept.
+func overlooked(r *Router, now int64) (found []uint32) {
+	all := r.cacheEvidence(now)
 	for _, m := range r.caches {
-		silent, _, bad := plainSigns(r, now, m)
-		if _, watched := r.watched.search(m); !watched && (silent >= silentFrom || bad >= badFrom || m.suspect) {
+		_, watched := r.watched.search(m)
+		checked := watched && m.mayBeSuspect(now) && r.mayStandOut(now, m, all)
+		if !watched && m.suspect || !checked && plainlySuspect(r, now, m) {
 			found = append(found, m.ID)
 		}
 	}
@@ -268,8 +282,8 @@
 				p.now += p.rng.Int64N(200 * second) // scores fade, but not yet to nothing
 			}
 			cases++
-			if found := unwatched(p.router, p.now); len(found) > 0 {
-				t.Fatalf("seed %d, case %d: %v are not watched", seed, cases, found)
+			if found := overlooked(p.router, p.now); len(found) > 0 {
+				t.Fatalf("seed %d, case %d: %v are overlooked", seed, cases, found)
 			}
 			at := p.now
 			if p.rng.IntN(4) == 0 {
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -189,16 +189,17 @@
 	var before *member
 	var load float64
 	for index, key := range c.tier.keys {
+		u := uniform(c.hash, key.id)
+		exceeds := mustExceed(u, key.weight, worst.score)
+		if exceeds && worst.load <= c.loads.least {
+			continue // whatever its load is
+		}
 		m := c.tier.members[index]
 		if before == nil || m.Units != before.Units || m.inTime != before.inTime { // mostly all are alike
 			load = c.loads.of(m)
 		}
 		before = m
-		if load > worst.load || load < after.load {
-			continue
-		}
-		u := uniform(c.hash, key.id)
-		if load == worst.load && mustExceed(u, key.weight, worst.score) {
+		if load > worst.load || load < after.load || exceeds && load == worst.load {
 			continue
 		}
 		worst = c.add(candidate{load: load, score: score(u, key.weight), index: index}, after)
--- a/control/types.go
+++ b/control/types.go
@@ -251,7 +251,7 @@
 	cachesInTime            kindCounts // of what is out at the caches: what may be in time
 	expiries                due.Order[*dispatch]
 	expiredAt               int64
-	unitsSum                float64 // of the caches' units, if unitsSummed
+	unitsSum, mostUnits     float64 // of the caches' units, if unitsSummed: the sum and the largest
 	unitsSummed             bool
 	equalUnits              repeatedSum
 	cacheOrder, sourceOrder candidates // of the decision at hand
