--- a/router/links.go
+++ b/router/links.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"hash/fnv"
 	"maps"
 	"slices"
 
@@ -21,7 +20,8 @@
 // member is one instance of the list.
 type member struct {
 	Listing
-	links []*link
+	links   []*link
+	planned bool // the plan of links counts it among the caches
 }
 
 // link is one connection to a member.
@@ -114,7 +114,7 @@
 	l := &link{id: r.linked, member: m, address: m.Address, open: map[string]*dispatch{}, past: map[string]int64{},
 		heard: r.now, used: r.now}
 	m.links = append(m.links, l)
-	r.links[l.id] = l
+	r.links[l.id], r.dialling[l.id] = l, l
 	r.limits.Plan.Opened(r.now, m.Instance)
 	r.do(Dial{Link: l.id, Address: l.address, Within: r.dialWithin})
 	return l
@@ -139,20 +139,6 @@
 	}
 }
 
-// planLinks tells the plan of links which caches there are.
-func (r *Router) planLinks() {
-	if r.limits.Plan == nil {
-		return
-	}
-	var names []string
-	for _, name := range sortedKeys(r.members) {
-		if m := r.members[name]; m.Phase == "ready" && m.Location == r.location && !slices.Contains(r.notCaches, m.Kind) {
-			names = append(names, name)
-		}
-	}
-	r.limits.Plan.Members(r.now, names)
-}
-
 // quiet tells whether nothing has come on a link for a while though something is open on it: a slow answer
 // may be on its way, and whatever is asked behind it would wait for that.
 func (r *Router) quiet(l *link) bool {
@@ -180,6 +166,7 @@
 		}
 	}
 	l.up, l.heard = true, r.now
+	delete(r.dialling, l.id)
 	r.limits.Plan.Stood(l.member.Instance)
 	for _, d := range r.inOpen(l) {
 		d.request.Budget = d.until - r.now
@@ -232,6 +219,7 @@
 func (r *Router) unlink(l *link) {
 	l.closed = true
 	delete(r.links, l.id)
+	delete(r.dialling, l.id)
 	l.member.links = slices.DeleteFunc(l.member.links, func(x *link) bool { return x == l })
 }
 
@@ -275,96 +263,27 @@
 // sweep closes what has not been used for a while, before the other side does, which could cross with a
 // request; and forgets ids to which no answer will come any more.
 func (r *Router) sweep() {
-	for _, id := range sortedKeys(r.links) {
-		l := r.links[id]
-		maps.DeleteFunc(l.past, func(_ string, at int64) bool { return r.now-at > 2*r.longest })
-		if l.up && len(l.open) == 0 && (r.now-l.used > r.idleAfter/2 ||
-			r.limits.Plan.Closes(r.now, l.member.Instance, len(l.member.links), l.used)) {
-			r.shut(l)
-		}
-	}
-}
-
-// listed takes the list of members, or changes to it, and hands the whole list on.
-func (r *Router) listed(e Listed) {
-	if e.Whole {
-		named := map[string]bool{}
-		for _, line := range e.Lines {
-			named[line.Instance] = true
-		}
-		for _, m := range r.members {
-			if !named[m.Instance] {
-				m.Phase = "gone"
-			}
-		}
-	}
-	var old []*link // to what runs anew, or elsewhere: they lead nowhere
-	for _, line := range e.Lines {
-		m := r.members[line.Instance]
-		if m == nil {
-			m = &member{}
-			r.members[line.Instance] = m
+	var unused []LinkID
+	for id, l := range r.links {
+		if len(l.past) > 0 {
+			maps.DeleteFunc(l.past, func(_ string, at int64) bool { return r.now-at > 2*r.longest })
 		}
-		r.overtake(line)
-		again := m.Instance != "" && (line.Started > m.Started || line.Address != m.Address)
-		m.Listing = line
-		if again {
-			for _, l := range m.links {
-				l.doubted = true
-				old = append(old, l)
-			}
+		if r.isUnused(l) {
+			unused = append(unused, id)
 		}
 	}
-	r.number()
-	lines := make([]control.Listing, 0, len(r.members))
-	for _, name := range sortedKeys(r.members) {
-		lines = append(lines, r.members[name].Listing.Listing)
-	}
-	r.decide.Listed(r.now, lines, true)
-	r.planLinks()
-	r.withdraw(func(d *dispatch) bool {
-		return d.cache.Phase != "ready" || d.source != nil && d.source.Phase != "ready"
-	})
-	for _, l := range old {
-		r.shut(l)
-	}
-	for _, name := range sortedKeys(r.members) {
-		if m := r.members[name]; m.Phase == "gone" {
-			for _, l := range slices.Clone(m.links) {
-				l.doubted = true
-				r.tidy(l)
-			}
-			if len(m.links) == 0 {
-				delete(r.members, name)
-			}
-		}
-	}
-}
-
-// overtake takes those out whose address a later one has: what is sent to them would reach it instead, cold
-// as it may be, beside what is meant for it.
-func (r *Router) overtake(line Listing) {
-	for _, m := range r.members {
-		if m.Instance != line.Instance && m.Address == line.Address && line.Address != "" &&
-			m.Started <= line.Started && line.Phase == "ready" {
-			m.Phase = "gone"
+	slices.Sort(unused)
+	for _, id := range unused {
+		if l := r.links[id]; l != nil && r.isUnused(l) { // what was closed before it may have made it one of few
+			r.shut(l)
 		}
 	}
 }
 
-// number gives every member the module's id for it. It comes from the instance's name alone, so that hashes
-// over ids agree at every router; of two names with the same one, the later in order takes the next free.
-func (r *Router) number() {
-	clear(r.byID)
-	for _, name := range sortedKeys(r.members) {
-		h := fnv.New32a()
-		h.Write([]byte(name))
-		id := h.Sum32()
-		for r.byID[id] != nil {
-			id++
-		}
-		r.members[name].ID, r.byID[id] = id, r.members[name]
-	}
+// isUnused tells whether a link is to be closed for want of use.
+func (r *Router) isUnused(l *link) bool {
+	return l.up && len(l.open) == 0 && (r.now-l.used > r.idleAfter/2 ||
+		r.limits.Plan.Closes(r.now, l.member.Instance, len(l.member.links), l.used))
 }
 
 // purged tells the module of a purge; what was planned before it and not yet written is planned anew.
@@ -378,9 +297,9 @@
 // withdraw ends dispatches that still wait for their link: written later than the grace, they would break the
 // rule on drains or on purges.
 func (r *Router) withdraw(which func(*dispatch) bool) {
-	for _, id := range sortedKeys(r.links) {
-		l := r.links[id]
-		if l == nil || l.up {
+	for _, id := range sortedKeys(r.dialling) {
+		l := r.dialling[id]
+		if l == nil {
 			continue
 		}
 		for _, d := range r.inOpen(l) {
--- /dev/null
+++ b/router/members_test.go
@@ -0,0 +1,160 @@
+package router
+
+import (
+	"fmt"
+	"hash/fnv"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"tealpath/control"
+	"tealpath/plan/links"
+)
+
+// plainList is the list of members as it is kept without an index: each event goes over all members.
+type plainList map[string]Listing
+
+// take takes an event of the list over, and gives the whole list as it is to be handed on.
+func (l plainList) take(e Listed) (lines []control.Listing) {
+	for name, m := range l {
+		if e.Whole && !slices.ContainsFunc(e.Lines, func(line Listing) bool { return line.Instance == name }) {
+			m.Phase = "gone"
+			l[name] = m
+		}
+	}
+	for _, line := range e.Lines {
+		for name, m := range l {
+			if name != line.Instance && m.Address == line.Address && line.Address != "" && m.Started <= line.Started &&
+				line.Phase == "ready" {
+				m.Phase = "gone"
+				l[name] = m
+			}
+		}
+		l[line.Instance] = line
+	}
+	taken := map[uint32]bool{}
+	for _, name := range sortedKeys(l) {
+		h := fnv.New32a()
+		h.Write([]byte(name))
+		m := l[name]
+		for m.ID = h.Sum32(); taken[m.ID]; m.ID++ {
+		}
+		taken[m.ID], l[name] = true, m
+		lines = append(lines, m.Listing)
+	}
+	maps.DeleteFunc(l, func(_ string, m Listing) bool { return m.Phase == "gone" })
+	return lines
+}
+
+// Only what has changed is handed on; members, their IDs, the module's choices and the caches of the plan are those of
+// a list that is kept and handed on as a whole with each event.
+func TestListEventsAsByTheWholeList(t *testing.T) {
+	const events = 10_000
+	names := []string{"s-07e5ff", "s-0a3e80"} // the same hash
+	for n := range 30 {
+		names = append(names, fmt.Sprint("s-", n))
+	}
+	rng := rand.New(rand.NewPCG(1, 2))
+	drawLine := func(now int64) Listing {
+		line := Listing{names[rng.IntN(len(names))], fmt.Sprint("10.0.0.", rng.IntN(40), ":1"), control.Listing{
+			Location: []string{"here", "here", "there"}[rng.IntN(3)], Kind: []string{"cache", "cache", "parent", "origin"}[rng.IntN(4)],
+			Phase: []string{"ready", "ready", "ready", "draining", "gone"}[rng.IntN(5)], Units: float64(rng.IntN(5))}}
+		if rng.IntN(4) == 0 {
+			line.Started = now
+		}
+		return line
+	}
+	displaced := 0
+	for n := 0; n < events; {
+		var set control.Settings
+		p := newPlay(t, func(l *Limits, s control.Settings) {
+			l.Plan = links.New(links.Config{Routers: 3, Holds: 100, Self: "r"})
+			set = maps.Clone(s)
+		})
+		set["probe"] = false
+		plainModule, err := control.New(start, 7, set, func(string) {})
+		if err != nil {
+			t.Fatal(err)
+		}
+		plainModule.Reach = p.decide.Reach
+		plain := plainList{}
+		plainModule.Listed(start, plain.take(Listed{Whole: true, Lines: slices.Clone(fleet)}), true)
+		for range 200 {
+			n++
+			p.now += rng.Int64N(second)
+			e := Listed{Whole: rng.IntN(30) == 0}
+			for range rng.IntN(4) {
+				e.Lines = append(e.Lines, drawLine(p.now))
+			}
+			plainModule.Listed(p.now, plain.take(e), true)
+			p.take(e)
+			got := plainList{}
+			for name, m := range p.members {
+				got[name] = m.Listing
+			}
+			if !maps.Equal(got, plain) {
+				t.Fatalf("event %d: members\n%v\nplainly\n%v", n, got, plain)
+			}
+			caches := 0
+			for name, m := range p.members {
+				if m.planned {
+					caches++
+				}
+				if cache := m.Phase == "ready" && m.Location == "here" && m.Kind == "cache"; m.planned != cache || p.byID[m.ID] != m {
+					t.Fatalf("event %d: %s planned %v, by its ID %v", n, name, m.planned, p.byID[m.ID])
+				}
+			}
+			if kept := p.limits.Plan.Kept; kept != caches {
+				t.Fatalf("event %d: the plan knows of %d caches, there are %d", n, kept, caches)
+			}
+			displaced += p.index.displaced
+			for i := range 3 {
+				ask := control.Retrieval{Product: "stills", Object: fmt.Sprintf("%016x", 10*n+i), HardStop: p.now + second}
+				other := ask
+				d, want := p.decide.Where(p.now, &ask), plainModule.Where(p.now, &other)
+				if fmt.Sprint(d) != fmt.Sprint(want) {
+					t.Fatalf("event %d: decided %+v, plainly %+v", n, d, want)
+				}
+				end := control.Outcome{Result: control.Good, Spent: second / 100, Closed: true}
+				p.decide.After(p.now, &ask, end)
+				plainModule.After(p.now, &other, end)
+			}
+		}
+		if len(p.index.byAddress) > len(p.members) || len(p.index.gone) > 0 {
+			t.Errorf("%d addresses and %d gone members are kept for %d members", len(p.index.byAddress), len(p.index.gone), len(p.members))
+		}
+	}
+	if displaced < 100 {
+		t.Errorf("members were displaced %d times only", displaced)
+	}
+}
+
+// A list event of one line, at several sizes of the list.
+func BenchmarkListEvent(b *testing.B) {
+	for _, servers := range []int{12, 200, 800, 3200} {
+		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
+			set := control.Settings{"routers": int64(2), "location": "here", "locations": []string{"hub", "here"},
+				"location.routers": []int64{0, 2}, "kinds": []string{"cache"}, "product.names": []string{"stills"},
+				"product.due": []int64{second}, "product.hardStop": []int64{second}, "product.payoff": []float64{1},
+				"product.effect": []string{"harmless"}}
+			r, err := New(start, 7, set, Limits{Links: 8, Hands: 100, Bytes: 1 << 20})
+			if err != nil {
+				b.Fatal(err)
+			}
+			var lines []Listing
+			for n := range servers {
+				lines = append(lines, Listing{fmt.Sprintf("s-%06d", n), fmt.Sprintf("10.0.%d.%d:1", n/200, n%200), control.Listing{
+					Location: "here", Kind: "cache", Phase: "ready", Units: 5}})
+			}
+			r.Handle(start, Listed{Whole: true, Lines: lines})
+			b.ReportAllocs()
+			b.ResetTimer()
+			for i := range b.N {
+				line := lines[i/2%servers : i/2%servers+1]
+				line[0].Phase = []string{"draining", "ready"}[i%2]
+				r.Handle(start, Listed{Lines: line})
+			}
+		})
+	}
+}
--- a/router/router.go
+++ b/router/router.go
@@ -59,6 +59,9 @@
 	armed   int64
 	leaveBy int64 // when all must be answered; 0 while not leaving
 
+	dialling map[LinkID]*link // links that are not up yet
+	index    memberIndex
+
 	dialWithin, idleAfter, answerGrace int64
 	longest                            int64 // that a client may wait
 	streams                            int64
@@ -109,6 +112,7 @@
 func New(now int64, seed uint64, set control.Settings, limits Limits) (*Router, error) {
 	r := &Router{limits: limits, now: now, clients: map[ClientID]map[int32]*hand{}, ids: map[string]*hand{},
 		members: map[string]*member{}, byID: map[uint32]*member{}, links: map[LinkID]*link{},
+		dialling: map[LinkID]*link{}, index: newMemberIndex(),
 		dialWithin: setting(set, "connect.within", int64(1e9)), idleAfter: setting(set, "connect.idle", int64(30e9)),
 		answerGrace: setting(set, "answer.grace", int64(0)), streams: setting(set, "connect.streams", int64(1)),
 		mayCancel: setting(set, "cancel", false), products: setting(set, "product.names", []string(nil)),
