--- a/router/router.go
+++ b/router/router.go
@@ -60,6 +60,7 @@
 	leaveBy int64 // when all must be answered; 0 while not leaving
 
 	shortage *links.Shortage // of what this machine itself needs to dial
+	index    memberIndex
 
 	dialWithin, idleAfter, answerGrace int64
 	longest                            int64 // that a client may wait
@@ -111,6 +112,7 @@
 func New(now int64, seed uint64, set control.Settings, limits Limits) (*Router, error) {
 	r := &Router{limits: limits, now: now, clients: map[ClientID]map[int32]*hand{}, ids: map[string]*hand{},
 		members: map[string]*member{}, byID: map[uint32]*member{}, links: map[LinkID]*link{},
+		index:      newMemberIndex(),
 		dialWithin: setting(set, "connect.within", int64(1e9)), idleAfter: setting(set, "connect.idle", int64(30e9)),
 		answerGrace: setting(set, "answer.grace", int64(0)), streams: setting(set, "connect.streams", int64(1)),
 		mayCancel: setting(set, "cancel", false), products: setting(set, "product.names", []string(nil)),
