--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -10,7 +10,6 @@
 	"os/signal"
 	"runtime/debug"
 	"syscall"
-	"time"
 
 	"github.com/rs/zerolog"
 	"github.com/rs/zerolog/diode"
@@ -30,11 +29,8 @@
 	exitUsage  = 2
 )
 
-// The log is written apart, so many lines behind at most.
-const (
-	logLines = 1000
-	logPoll  = 100 * time.Millisecond
-)
+// logLines is by how many lines the log, which is written apart, may be behind.
+const logLines = 1000
 
 func main() {
 	if err := app().Run(context.Background(), os.Args); err != nil {
@@ -119,7 +115,9 @@
 	// Whoever reads the log must not hold the router up.
 	// Standard error is wrapped, as the writer would close it at its end: what keeps the router from starting
 	// went unsaid so.
-	out := diode.NewWriter(struct{ io.Writer }{os.Stderr}, logLines, logPoll, func(missed int) {
+	// Its writer is woken by each line: one that looked each 100 ms held the end of the process up by as much, and the
+	// platform kills 100 ms after the last answers are written.
+	out := diode.NewWriter(struct{ io.Writer }{os.Stderr}, logLines, 0, func(missed int) {
 		fmt.Fprintf(os.Stderr, "{\"message\":\"%d lines of the log were lost\"}\n", missed)
 	})
 	defer out.Close()
--- a/process/process.go
+++ b/process/process.go
@@ -325,6 +325,7 @@
 	defer timer.Stop()
 	var leaving *plan.Plan // nil: not leaving
 	var shut time.Time     // when resting connections were last told that they end
+	var looks <-chan time.Time
 	for {
 		select {
 		case <-ctx.Done():
@@ -332,6 +333,10 @@
 		case <-leave:
 			now := time.Now().UnixNano()
 			leave, leaving = nil, plan.New(now, p.longest())
+			// Where nothing comes the reducer's own timer is up to 100 ms apart, and the platform kills 100 ms after the plan ends.
+			each := time.NewTicker(shutGap)
+			defer each.Stop()
+			looks = each.C
 			p.enter(Draining)
 			p.keeper.keep(p.router, now)
 			p.front.SetReady(false)
@@ -360,6 +365,7 @@
 			p.step()
 		case <-p.keeper.due():
 			p.keeper.keep(p.router, time.Now().UnixNano())
+		case <-looks:
 		}
 		if leaving == nil {
 			continue
