--- a/cmd/tealpath/main_test.go
+++ b/cmd/tealpath/main_test.go
@@ -217,8 +217,17 @@
 	configure     func(name, journal string)
 }
 
-// newProgram configures a router among some caches, whose clients wait for some seconds at most.
+// newProgram configures a router among some caches, whose clients wait for some seconds at most, to be run in this process.
 func newProgram(t *testing.T, caches []*stand, journal string, deadline float64) program {
+	t.Helper()
+	p := newConfiguration(t, []string{caches[0].Addr().String(), caches[1].Addr().String()}, journal, deadline)
+	t.Setenv("LB_CONFIG", p.file)
+	t.Setenv("LB_LISTEN", p.address)
+	return p
+}
+
+// newConfiguration writes the configuration of a router among two caches.
+func newConfiguration(t *testing.T, caches []string, journal string, deadline float64) program {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -227,7 +236,7 @@
 	address := free.Addr().String()
 	free.Close()
 	lines := ""
-	for _, m := range [][2]string{{"s-a", caches[0].Addr().String()}, {"s-b", caches[1].Addr().String()},
+	for _, m := range [][2]string{{"s-a", caches[0]}, {"s-b", caches[1]},
 		{"p-a", "127.0.0.1:1"}, {"o-a", "127.0.0.1:1"}} {
 		kind := map[byte]string{'s': "cache", 'p': "parent", 'o': "origin"}[m[0][0]]
 		zone := map[string]string{"cache": "here", "parent": "hub", "origin": "hub"}[kind]
@@ -246,8 +255,6 @@
 	}
 	p.configure = func(name, journal string) { os.WriteFile(p.file, p.text(name, journal), 0o600) }
 	p.configure("n0", journal)
-	t.Setenv("LB_CONFIG", p.file)
-	t.Setenv("LB_LISTEN", address)
 	return p
 }
 
