--- a/cmd/tealpath/main_test.go
+++ b/cmd/tealpath/main_test.go
@@ -31,6 +31,7 @@
 	net.Listener
 	name  string
 	asked chan string
+	copy  func(fields string) time.Time // when the copy that it serves was issued; nil is now
 	mu    sync.Mutex
 	conns []net.Conn
 }
@@ -90,7 +91,11 @@
 			word, body = "still_good", nil
 		}
 		out := resp.Text(resp.Text(resp.Head(nil, 4), words[1]), word)
-		out = resp.Text(out, fmt.Sprintf("entity=4be0c1927d55a6f3,issued=%d,detail=TCP_MISS", time.Now().UnixMilli()))
+		issued := time.Now()
+		if s.copy != nil {
+			issued = s.copy(fields)
+		}
+		out = resp.Text(out, fmt.Sprintf("entity=4be0c1927d55a6f3,issued=%d,detail=TCP_MISS", issued.UnixMilli()))
 		conn.Write(resp.Text(out, body))
 	}
 }
@@ -217,8 +222,17 @@
 	configure     func(name, journal string)
 }
 
-// newProgram configures a router among some caches, whose clients wait for some seconds at most.
+// newProgram configures a router among some caches, whose clients wait for some seconds at most, for the whole program.
 func newProgram(t *testing.T, caches []*stand, journal string, deadline float64) program {
+	t.Helper()
+	p := configured(t, caches, journal, deadline)
+	t.Setenv("LB_CONFIG", p.file)
+	t.Setenv("LB_LISTEN", p.address)
+	return p
+}
+
+// configured is newProgram without the environment, which tests side by side can't share.
+func configured(t *testing.T, caches []*stand, journal string, deadline float64) program {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -246,8 +260,6 @@
 	}
 	p.configure = func(name, journal string) { os.WriteFile(p.file, p.text(name, journal), 0o600) }
 	p.configure("n0", journal)
-	t.Setenv("LB_CONFIG", p.file)
-	t.Setenv("LB_LISTEN", address)
 	return p
 }
 
