--- a/plan/leave/leave.go
+++ b/plan/leave/leave.go
@@ -24,17 +24,17 @@
 
 // Plan is one leaving.
 type Plan struct {
-	since   int64 // Unix ns
+	since   int64 // ns on the caller's monotonic axis
 	longest time.Duration
 	done    int64 // since when nothing is owed; 0: something is
 }
 
-// New plans a leaving that began at a time, Unix ns, for clients that wait so long at most.
+// New plans a leaving that began at a time, ns on the caller's monotonic axis, for clients that wait so long at most.
 func New(since int64, longest time.Duration) *Plan {
 	return &Plan{since: since, longest: min(longest, longestMost)}
 }
 
-// AnswerBy is when the last answer is to be given, Unix ns.
+// AnswerBy is when the last answer is to be given, on the same axis.
 func (p *Plan) AnswerBy() int64 { return p.since + int64(p.longest+answerAfter) }
 
 // State is what a router that leaves still has.
--- a/plan/links/links.go
+++ b/plan/links/links.go
@@ -2,7 +2,7 @@
 // over all routers of a location stays within what a cache holds, without talk among them. It does no input or output,
 // reads no clock, starts no goroutine; time and chance come in. docs/coldstart.md, "Links to caches", has the arithmetic.
 //
-// All times are Unix ns; spans are ns; rates are a second.
+// All times are ns on the caller's monotonic axis; spans are ns; rates are a second.
 package links
 
 import (
--- a/plan/start/calls.go
+++ b/plan/start/calls.go
@@ -2,7 +2,7 @@
 // and when again, which lists it believes, and what phase of its start it is in. It does no input or output, reads no
 // clock, starts no goroutine; time and chance come in. docs/coldstart.md has the arithmetic and the options.
 //
-// All times are Unix ns; spans are ns.
+// All times are ns on the caller's monotonic axis; spans are ns.
 package start
 
 import "math/rand/v2"
