--- a/feed/feed.go
+++ b/feed/feed.go
@@ -333,10 +333,24 @@
 	Expire *struct {
 		Name  string
 		Set   *int64
-		Stamp int64
+		Stamp purgeStamp
 	}
 }
 
+// purgeStamp is the time of a purge, Unix ms. One that is no whole number is read as 0, which is none: the purge counts from when
+// it was told. An event that can't be read is passed over in the end, and with it the purge would be.
+type purgeStamp int64
+
+// UnmarshalJSON implements json.Unmarshaler.
+func (s *purgeStamp) UnmarshalJSON(raw []byte) error {
+	ms, err := strconv.ParseInt(string(raw), 10, 64)
+	if err != nil {
+		ms = 0
+	}
+	*s = purgeStamp(ms)
+	return nil
+}
+
 // Decode reads one event: its number and what it tells, nil where that is nothing for a router.
 func Decode(raw []byte) (int64, router.Event, error) {
 	pos, told, _, err := decode(raw)
@@ -386,7 +400,7 @@
 		}
 		return list, nil
 	case e.Expire != nil:
-		p := router.Purged{Object: e.Expire.Name, When: clock.FromUnixMilli(e.Expire.Stamp)}
+		p := router.Purged{Object: e.Expire.Name, When: clock.FromUnixMilli(int64(e.Expire.Stamp))}
 		if e.Expire.Set != nil {
 			p.Group = *e.Expire.Set
 		} else if p.Object == "" {
