--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -248,6 +248,40 @@
 	}
 }
 
+// A purge that a memory brings binds the router that takes it over, whichever way that one's clock is off from the one before.
+func TestPurgesOfAMemoryWhicheverWayTheClockIsOff(t *testing.T) {
+	const purged = 2*year + second // on the world's clock
+	for _, before := range []int64{0, 3600 * second, -3600 * second, year, -year} {
+		for _, off := range []int64{0, 2 * second, -2 * second, 3600 * second, -3600 * second, year, -year} {
+			for _, rates := range []bool{false, true} {
+				t.Run(fmt.Sprintf("off by %d s, then by %d s, rates %v", before/second, off/second, rates), func(t *testing.T) {
+					make := func(now int64) *Router {
+						r, err := New(now, 7, site(nil), func(string) {})
+						if err != nil {
+							t.Fatal(err)
+						}
+						r.Listed(now, fleet, true)
+						return r
+					}
+					first := make(purged + before)
+					first.Purged(purged+before+second/10, "a", 0, purged)
+					m := first.Remember(purged+before+second, 10)
+					const world = purged + 2*second
+					next := make(world + off)
+					next.Recall(world+off, m.Moved(world+off-second-m.Taken), rates)
+					next.Tick(world + off)
+					ret := &Retrieval{Product: "stamped", Object: "a", Group: 1, HardStop: world + off + 5*second}
+					d := next.Where(world+off, ret)
+					issued := worst(world, d.Dispatch, 0)
+					if d.Verdict != Send || issued < purged && next.Accepts(world+off, ret, 0, issued) {
+						t.Errorf("a copy of %v s before the purge would be served: %+v", float64(purged-issued)/1e9, d)
+					}
+				})
+			}
+		}
+	}
+}
+
 // A memory is moved onto the axis of the process that takes it over; purges keep the stamps of who told them.
 func TestMovedMemory(t *testing.T) {
 	m := Memory{Started: 1, Taken: 20, TotalAt: 3, Objects: []ObjectMemory{{Object: "a", Counted: 4, Born: 5}},
