--- a/cmd/tealpath/main_test.go
+++ b/cmd/tealpath/main_test.go
@@ -31,6 +31,7 @@
 	net.Listener
 	name  string
 	asked chan string
+	copy  func(fields string) time.Time // when the copy that it serves was issued; nil is now
 	mu    sync.Mutex
 	conns []net.Conn
 }
@@ -90,7 +91,11 @@
 			word, body = "still_good", nil
 		}
 		out := resp.Text(resp.Text(resp.Head(nil, 4), words[1]), word)
-		out = resp.Text(out, fmt.Sprintf("entity=4be0c1927d55a6f3,issued=%d,detail=TCP_MISS", time.Now().UnixMilli()))
+		issued := time.Now()
+		if s.copy != nil {
+			issued = s.copy(fields)
+		}
+		out = resp.Text(out, fmt.Sprintf("entity=4be0c1927d55a6f3,issued=%d,detail=TCP_MISS", issued.UnixMilli()))
 		conn.Write(resp.Text(out, body))
 	}
 }
@@ -220,12 +225,18 @@
 // newProgram configures a router among some caches, whose clients wait for some seconds at most, to be run in this process.
 func newProgram(t *testing.T, caches []*stand, journal string, deadline float64) program {
 	t.Helper()
-	p := newConfiguration(t, []string{caches[0].Addr().String(), caches[1].Addr().String()}, journal, deadline)
+	p := configured(t, caches, journal, deadline)
 	t.Setenv("LB_CONFIG", p.file)
 	t.Setenv("LB_LISTEN", p.address)
 	return p
 }
 
+// configured is newProgram without the environment, which tests side by side can't share.
+func configured(t *testing.T, caches []*stand, journal string, deadline float64) program {
+	t.Helper()
+	return newConfiguration(t, []string{caches[0].Addr().String(), caches[1].Addr().String()}, journal, deadline)
+}
+
 // newConfiguration writes the configuration of a router among two caches.
 func newConfiguration(t *testing.T, caches []string, journal string, deadline float64) program {
 	t.Helper()
