--- a/front/endings_test.go
+++ b/front/endings_test.go
@@ -183,7 +183,7 @@
 	if !c.takeOut() {
 		t.Fatal("it does not rest")
 	}
-	if c.message(m) || c.enter(8) != tooLate {
+	if c.message(m, f.now()) || c.enter(8) != tooLate {
 		t.Error("taken")
 	}
 	endsGently(t, conn)
--- a/front/front.go
+++ b/front/front.go
@@ -96,6 +96,8 @@
 	refusals       int
 	refusedAt      time.Time
 
+	heart heartbeat
+
 	places sync.Mutex // locked last, for moments; guards what follows
 	table  *idle.Table
 	keep   *Keep
@@ -202,7 +204,9 @@
 		case v == idle.Taken && turn == idle.Rests && f.layToRest(conn, id, generation):
 			return true
 		case v == idle.Taken:
-			f.run(ctx, f.enter(conn, id, generation, false))
+			c := f.enter(conn, id, generation, false)
+			c.arrivals.begin(f.acceptedSince(conn, since), 0)
+			f.run(ctx, c)
 			return true
 		case v == idle.PerClient || v == idle.PerNetwork:
 			conn.Close() // a bound of the operator's own, for the one who comes
@@ -252,7 +256,7 @@
 	f.last++
 	now := time.Now()
 	c := &client{front: f, id: f.last, conn: conn, since: now, used: now, open: map[int32]bool{}, wake: make(chan struct{}, 1),
-		place: id, generation: generation, answered: answered, state: idle.Fresh}
+		place: id, generation: generation, answered: answered, state: idle.Fresh, arrivals: arrivals{Conn: conn, front: f}}
 	f.clients[c.id] = c
 	f.places.Lock()
 	f.put(id, place{client: c, fd: -1})
@@ -427,6 +431,8 @@
 	place      idle.ID
 	generation uint32
 	state      idle.State // as the table has it
+
+	arrivals arrivals // used by the reader alone
 }
 
 func (c *client) serve(ctx context.Context) {
@@ -543,7 +549,7 @@
 
 // read reads requests until the connection ends or cannot be understood any more.
 func (c *client) read(ctx context.Context) error {
-	in := bufio.NewReaderSize(c.conn, smallFrame)
+	in := bufio.NewReaderSize(&c.arrivals, smallFrame)
 	for {
 		c.conn.SetReadDeadline(c.patience())
 		if c.bad() {
@@ -568,6 +574,7 @@
 			}
 			return err
 		}
+		arrived := c.arrivals.earliest // the first byte of a frame is among what was read last
 		c.note(true)
 		c.conn.SetReadDeadline(time.Now().Add(frameMost))
 		if c.bad() {
@@ -584,7 +591,7 @@
 		if err != nil {
 			return err
 		}
-		if !c.message(m) {
+		if !c.message(m, arrived) {
 			return errShut
 		}
 		c.note(in.Buffered() > 0)
@@ -636,9 +643,9 @@
 	return frame, err
 }
 
-// message takes a message in, unless the connection was shut before that. A client that sent what cannot be used is told so,
+// message takes a message in that arrived at a time at the earliest, unless the connection was shut before that. A client that sent what cannot be used is told so,
 // and no more is read from it.
-func (c *client) message(m thrift.Message) bool {
+func (c *client) message(m thrift.Message, arrived int64) bool {
 	if c.isShut() {
 		return false
 	}
@@ -666,7 +673,7 @@
 	default:
 		switch c.enter(m.Seq) {
 		case entered:
-			c.front.post(router.Requested{Client: c.id, Seq: m.Seq, Fields: args.Fields, Body: args.Body})
+			c.front.post(router.Requested{Client: c.id, Seq: m.Seq, Arrived: arrived, Fields: args.Fields, Body: args.Body})
 		case inUse:
 			fault(thrift.BadSequence, "sequence number in use")
 		case tooMany:
--- a/front/rest.go
+++ b/front/rest.go
@@ -41,9 +41,10 @@
 
 // place is what a place of the table stands for: a client, or a parked descriptor.
 type place struct {
-	client *client
-	fd     int32 // -1: not parked
-	fresh  bool  // parked before it asked for anything
+	client   *client
+	fd       int32  // -1: not parked
+	segments uint16 // that had come when it was parked: enough to count those since
+	fresh    bool   // parked before it asked for anything
 }
 
 // put says what a place of the table stands for; places are locked.
@@ -154,7 +155,7 @@
 		f.noParking(err)
 		return false
 	}
-	f.at[c.place] = place{fd: int32(fd)}
+	f.at[c.place] = place{fd: int32(fd), segments: uint16(c.arrivals.segments)}
 	delete(f.clients, c.id)
 	return true
 }
@@ -335,6 +336,9 @@
 // key of a place, as the lot gives it back.
 func unkey(key uint64) (idle.ID, uint32) { return idle.ID(int32(key >> 32)), uint32(key) }
 
+// janitorLongest is how long the janitor waits at most: new connections may expire sooner than what was waited for.
+const janitorLongest = 100 * time.Millisecond
+
 // janitor wakes parked connections and closes those whose time is up, at the pace that the table sets.
 func (f *Front) janitor(ctx context.Context) {
 	if f.lot != nil {
@@ -348,14 +352,14 @@
 			return
 		case <-timer.C:
 		}
-		const longest = 100 * time.Millisecond // new ones may expire sooner than what was waited for
-		wait := longest
+		wait := janitorLongest
 		for {
+			f.heart.beat(f.now())
 			f.places.Lock()
 			id, next := f.table.Expired(time.Now().UnixNano(), f.limits.Crowded())
 			f.places.Unlock()
 			if id == idle.None {
-				wait = max(min(longest, time.Duration(next-time.Now().UnixNano())), time.Millisecond)
+				wait = max(min(janitorLongest, time.Duration(next-time.Now().UnixNano())), time.Millisecond)
 				break
 			}
 			f.evict(id)
@@ -370,15 +374,20 @@
 	most, pace := idle.WakeMost(f.limits.Bytes), idle.NewWaking(f.limits.Cores)
 	endings := idle.NewEnding(f.limits.Cores)
 	var keys, asking, ended []uint64
-	var returned time.Time
+	drained := time.Now() // when it was last known that all on which something had come was given
 	for {
+		called := time.Now()
 		var err error
-		before, called := returned, time.Now()
 		keys, err = f.lot.Wait(ctx, keys)
-		returned = time.Now()
-		since := returned // from when something may have been there to be read
-		if returned.Sub(called) < time.Millisecond && !before.IsZero() {
-			since = before
+		returned := time.Now()
+		since := drained // from when something may have been there to be read
+		if int64(returned.Sub(called)) >= waitedFrom {
+			now := f.now()
+			since = returned.Add(time.Duration(f.heart.woken(now) - now))
+			drained = since
+		}
+		if len(keys) < park.EventsMost {
+			drained = returned
 		}
 		if err != nil {
 			if ctx.Err() == nil {
@@ -468,7 +477,7 @@
 		f.places.Unlock()
 		return
 	}
-	answered := !f.at[id].fresh
+	answered, segments := !f.at[id].fresh, f.at[id].segments
 	f.at[id] = place{fd: -1}
 	f.table.Move(time.Now().UnixNano(), id, idle.Reading)
 	f.places.Unlock()
@@ -480,6 +489,7 @@
 		return
 	}
 	c := f.enter(conn, id, generation, answered)
+	c.arrivals.begin(f.now()-int64(time.Since(since)), uint32(segments))
 	c.reading = true
 	f.run(ctx, c)
 }
--- a/router/router.go
+++ b/router/router.go
@@ -238,8 +238,12 @@
 		turnAway(Unusable, "sequence number in use")
 		return
 	}
+	arrived := r.at
+	if e.Arrived > 0 {
+		arrived = min(e.Arrived, r.at)
+	}
 	h := &hand{client: e.Client, seq: e.Seq, fields: e.Fields, body: e.Body}
-	why := h.read(r.at)
+	why := h.read(arrived)
 	if old := r.ids[h.fields["txn"]]; why == "" && old != nil && old.NoMore {
 		// Its client closed and asks again on another connection, under the same id: that was taken for a bad client's.
 		sent := len(old.dispatches) > 0
@@ -268,7 +272,7 @@
 		return
 	}
 	// A time longer than any product's would keep it in memory for so long.
-	h.HardStop = min(h.HardStop, r.at+r.longest)
+	h.HardStop = min(h.HardStop, arrived+r.longest)
 	if r.leaveBy > 0 {
 		h.HardStop = min(h.HardStop, r.leaveBy)
 	}
@@ -283,8 +287,8 @@
 	r.act(h, r.decide.Where(r.now, &h.Retrieval))
 }
 
-// read takes from a request's fields what decisions need, and says what is wrong with them.
-func (h *hand) read(at int64) string {
+// read takes from the fields of a request that arrived at a time what decisions need, and says what is wrong with them.
+func (h *hand) read(arrived int64) string {
 	number := func(name string, most uint64) (int64, bool) {
 		n, err := strconv.ParseUint(h.fields[name], 10, 32) // digits alone: it goes on as it came
 		return int64(n), err == nil && n <= most
@@ -304,7 +308,7 @@
 		}
 	}
 	h.Retrieval = control.Retrieval{Product: h.fields["verb"], Object: h.fields["item"], Part: part, Group: group,
-		HardStop: at + limit*millisecond - wayBack, Repeat: h.fields["second"] == "1"}
+		HardStop: arrived + limit*millisecond - wayBack, Repeat: h.fields["second"] == "1"}
 	// Some deployments tell the size, in KB; without it nothing is wrong.
 	if kb, err := strconv.ParseFloat(h.fields["ram"], 64); err == nil && kb > 0 && kb < sizeMost {
 		h.SizeKB = kb
