--- a/control/control.go
+++ b/control/control.go
@@ -771,7 +771,8 @@
 		r.ours = fade(r.ours, now-r.sharedAt, sharingSpan) + float64(len(d.cache.out)-1)
 		r.sharedAt = now
 	}
-	if o.Result == Late && d.cache.well() && d.source.well() {
+	late := o.Result == Late && !p.shortOf(o.Spent)
+	if late && d.cache.well() && d.source.well() {
 		r.mute.add(now)
 	}
 	good, bad := [2]float64{}, blame[o.Result] // of the cache, of the source
@@ -780,6 +781,8 @@
 		if good = [2]float64{1, 1}; !inTime {
 			good, bad = bad, good // a cache or source that is only slow showed in no other way
 		}
+	case o.Result == Late && !late:
+		bad = [2]float64{}
 	case o.Shared: // a connection that broke is one failure: counted by all that was open on it, it made a
 		bad = [2]float64{} // healthy member suspect
 	case o.Result == Full && o.Note == 9: // notes: 9 names the cache, 6 to 8 the source
@@ -800,7 +803,7 @@
 	switch {
 	case o.Result == Good && inTime:
 		r.rooms[kind] = min(r.rooms[kind]+roomUp[r.tight[kind]], roomMost)
-	case (o.Result == Good || o.Result == Late) && !d.cache.suspect && (d.source == nil || !d.source.suspect):
+	case (o.Result == Good || late) && !d.cache.suspect && (d.source == nil || !d.source.suspect):
 		r.rooms[kind] = max(r.rooms[kind]*(1-roomDown), roomLeast)
 	}
 	room, first := r.rooms[kind], roomFirst[kind]
--- a/control/remaining.go
+++ b/control/remaining.go
@@ -21,3 +21,7 @@
 
 // comesBack tells whether an attempt that begins now can still be answered in its client's time.
 func (t *Retrieval) comesBack(now int64) bool { return now+t.product.answerLeast() < t.HardStop }
+
+// shortOf tells whether an attempt got less time than answers of its class take on the average: that none came says nothing of
+// its cache, its source or the room. Caches may drop what has very little time left.
+func (p *product) shortOf(spent int64) bool { return float64(spent)/1e9 < p.answer }
--- a/control/remaining_test.go
+++ b/control/remaining_test.go
@@ -62,3 +62,37 @@
 		t.Errorf("within %d ms", d.Dispatch.Reach*1000/second)
 	}
 }
+
+// What has little time left may be dropped without a word: that tells nothing of its cache, nor of the room for others.
+func TestLateForWantOfTime(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		left   int64 // ms
+		counts bool
+	}{{"less than answers take", 100, false}, {"more than that", 400, true}} {
+		t.Run(c.name, func(t *testing.T) {
+			r := newRouter(t, nil)
+			answers(r, "harmless", 20, 10) // an attempt may come back
+			answers(r, "harmless", 200, 150)
+			before := r.rooms
+			for n := range 100 {
+				ret := ask("harmless", fmt.Sprint("short", n))
+				ret.HardStop = start + c.left*second/1000
+				r.Where(start, ret)
+				r.After(ret.HardStop, ret, Outcome{Result: Late, Spent: c.left * second / 1000})
+			}
+			suspects := 0
+			for _, m := range r.members {
+				if m.suspect || m.bad > 0 {
+					suspects++
+				}
+			}
+			if counts := suspects > 0; counts != c.counts {
+				t.Errorf("counts against members: %v", counts)
+			}
+			if counts := r.rooms != before; counts != c.counts {
+				t.Errorf("rooms %v, before %v", r.rooms, before)
+			}
+		})
+	}
+}
