--- a/front/arrival.go
+++ b/front/arrival.go
@@ -18,6 +18,9 @@
 
 	// stillFrom is how long after one beat the next one is missed: the process has stood still since then.
 	stillFrom = int64(janitorLongest + 50*time.Millisecond)
+
+	// wakeMost is how long it may take until all is seen that came while the process stood still.
+	wakeMost = int64(20 * time.Millisecond)
 )
 
 // now is the time on the axis of the reducer's events.
@@ -48,7 +51,7 @@
 	switch {
 	case h.last > 0 && now-h.last > stillFrom:
 		return h.last
-	case h.stillUntil > 0 && now-h.stillUntil < stillFrom:
+	case h.stillUntil > 0 && now-h.stillUntil < wakeMost:
 		return h.stillSince
 	}
 	return now
