--- a/process/process.go
+++ b/process/process.go
@@ -337,13 +337,15 @@
 			p.front.SetReady(false)
 			p.handle(now, router.Leaving{By: leaving.AnswerBy()}, timer)
 		case a := <-p.inbox:
-			switch a.event.(type) {
+			switch e := a.event.(type) {
+			case router.Down:
+				a.event = p.pool.Ended(e)
 			case feed.Heard:
 				p.start.Service(a.at)
 				p.step()
 				continue
 			case feed.Told:
-				p.keeper.told(a.event.(feed.Told))
+				p.keeper.told(e)
 				continue
 			case router.Listed:
 				p.start.List()
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -63,9 +63,6 @@
 		defer p.group.Done()
 		defer cancel()
 		l.run(ctx, e)
-		p.mu.Lock()
-		delete(p.links, e.Link)
-		p.mu.Unlock()
 		p.post(router.Down{Link: e.Link, Unsent: l.unsent()})
 	}()
 }
@@ -76,6 +73,20 @@
 	return p.links[id]
 }
 
+// Ended completes what is told of a link that has ended by what was queued on it since, and forgets the link. Whoever has requests
+// sent calls it before it takes the event: one that was sent in between went for written.
+func (p *Pool) Ended(e router.Down) router.Down {
+	l := p.find(e.Link)
+	if l == nil {
+		return e
+	}
+	p.mu.Lock()
+	delete(p.links, e.Link)
+	p.mu.Unlock()
+	e.Unsent = l.unsent()
+	return e
+}
+
 // Send queues a request on a link. It is encoded as it is written.
 func (p *Pool) Send(e router.Send) {
 	if l := p.find(e.Link); l != nil {
--- a/upstream/write_test.go
+++ b/upstream/write_test.go
@@ -217,3 +217,22 @@
 		t.Errorf("unsent %v, then %v", meanwhile, after)
 	}
 }
+
+// A request that is sent after its link has ended, and before that is taken, was not written.
+func TestSentAfterTheLinkEnded(t *testing.T) {
+	events := make(chan router.Event, 4)
+	p := New(context.Background(), nil, func(e router.Event) { events <- e })
+	p.Dial(router.Dial{Link: 1, Address: "127.0.0.1:1", Within: int64(time.Second)})
+	down, ok := (<-events).(router.Down)
+	if !ok {
+		t.Fatal("its link stands")
+	}
+	p.Wait()
+	p.Send(sending("late", time.Second))
+	if got := p.Ended(down).Unsent; !slices.Equal(got, []string{"late"}) {
+		t.Errorf("unsent %v", got)
+	}
+	if p.Send(sending("later", time.Second)); len(p.links) > 0 {
+		t.Errorf("%d links are kept", len(p.links))
+	}
+}
