--- a/control/control.go
+++ b/control/control.go
@@ -534,6 +534,7 @@
 			out.Reach = min(out.Reach, before.sent+t.product.window-now)
 		}
 	}
+	d.reach = out.Reach
 	if t.dispatches = append(t.dispatches, d); len(t.dispatches) == 1 {
 		t.product.taken.add(now, r.sendingTime(t))
 	}
@@ -771,7 +772,8 @@
 		r.ours = fade(r.ours, now-r.sharedAt, sharingSpan) + float64(len(d.cache.out)-1)
 		r.sharedAt = now
 	}
-	late := o.Result == Late && !p.shortOf(o.Spent)
+	hurried := p.hurried(d, o)
+	late := o.Result == Late && !hurried
 	if late && d.cache.well() && d.source.well() {
 		r.mute.add(now)
 	}
@@ -781,7 +783,7 @@
 		if good = [2]float64{1, 1}; !inTime {
 			good, bad = bad, good // a cache or source that is only slow showed in no other way
 		}
-	case o.Result == Late && !late:
+	case hurried:
 		bad = [2]float64{}
 	case o.Shared: // a connection that broke is one failure: counted by all that was open on it, it made a
 		bad = [2]float64{} // healthy member suspect
@@ -835,7 +837,7 @@
 		m.good = fade(m.good, now-m.scored, healthSpan) + good[i]
 		m.bad = fade(m.bad, now-m.scored, healthSpan) + bad[i]
 		m.scored = now
-		m.off = m.off || m == d.cache && o.Result == Unreached || m == d.source && o.Result == Full && bad[1] > 0
+		m.off = m.off || m == d.cache && o.Result == Unreached && !hurried || m == d.source && o.Result == Full && bad[1] > 0
 		silent := slices.Contains([]Result{Unreached, Late, Cancelled, Cut, Unsent}, o.Result)
 		if m == d.cache && !silent || kind > hits && o.Result == Good {
 			m.heard = now
--- a/control/remaining.go
+++ b/control/remaining.go
@@ -22,6 +22,9 @@
 // comesBack tells whether an attempt that begins now can still be answered in its client's time.
 func (t *Retrieval) comesBack(now int64) bool { return now+t.product.answerLeast() < t.HardStop }
 
-// shortOf tells whether an attempt got less time than answers of its class take on the average: that none came says nothing of
-// its cache, its source or the room. Caches may drop what has very little time left.
-func (p *product) shortOf(spent int64) bool { return float64(spent)/1e9 < p.answer }
+// hurried tells whether an attempt's time was up sooner than answers of its class take on the average: that none came, or that it
+// was not on its way yet, says nothing of its cache, its source or the room. Caches may drop what has very little time left.
+func (p *product) hurried(d *dispatch, o Outcome) bool {
+	timeUp := o.Result == Late || o.Result == Unreached && o.Spent >= d.reach
+	return timeUp && float64(o.Spent)/1e9 < p.answer
+}
--- a/control/remaining_test.go
+++ b/control/remaining_test.go
@@ -63,13 +63,23 @@
 	}
 }
 
-// What has little time left may be dropped without a word: that tells nothing of its cache, nor of the room for others.
-func TestLateForWantOfTime(t *testing.T) {
+// What has little time left may be dropped without a word, or not be on its way yet as its time is up: that tells nothing of its
+// cache, nor of the room for others.
+func TestHurriedAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		left   int64 // ms
-		counts bool
-	}{{"less than answers take", 100, false}, {"more than that", 400, true}} {
+		result Result
+		spent  int64 // ms
+		member bool  // it counts against a member
+		room   bool  // it takes from the room
+	}{
+		{"late with less than answers take", 100, Late, 100, false, false},
+		{"late with more than that", 400, Late, 400, true, true},
+		{"no link by half of little time", 100, Unreached, 50, false, false},
+		{"no link by half of much time", 800, Unreached, 400, true, false},
+		{"refused at once", 100, Unreached, 1, true, false},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			answers(r, "harmless", 20, 10) // an attempt may come back
@@ -78,19 +88,19 @@
 			for n := range 100 {
 				ret := ask("harmless", fmt.Sprint("short", n))
 				ret.HardStop = start + c.left*second/1000
-				r.Where(start, ret)
-				r.After(ret.HardStop, ret, Outcome{Result: Late, Spent: c.left * second / 1000})
+				if d := r.Where(start, ret); n == 0 && d.Verdict != Send {
+					t.Fatalf("verdict %v", d.Verdict)
+				}
+				r.After(start+c.spent*second/1000, ret, Outcome{Result: c.result, Spent: c.spent * second / 1000})
 			}
-			suspects := 0
+			counts := false
 			for _, m := range r.members {
-				if m.suspect || m.bad > 0 {
-					suspects++
-				}
+				counts = counts || m.suspect || m.bad > 0 || m.off
 			}
-			if counts := suspects > 0; counts != c.counts {
-				t.Errorf("counts against members: %v", counts)
+			if counts != c.member {
+				t.Errorf("it counts against members: %v", counts)
 			}
-			if counts := r.rooms != before; counts != c.counts {
+			if took := r.rooms != before; took != c.room {
 				t.Errorf("rooms %v, before %v", r.rooms, before)
 			}
 		})
--- a/control/types.go
+++ b/control/types.go
@@ -146,6 +146,7 @@
 	result        Result
 	denied        bool  // its source was at its bound, or dead
 	kind          int   // the room it counts in
+	reach         int64 // for how long it may wait to be on its way
 	lateFrom      int64 // from when an answer is late
 }
 
