--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -1,10 +1,20 @@
 package main
 
 import (
+	"bufio"
+	"encoding/binary"
+	"fmt"
+	"net"
 	"regexp"
 	"strconv"
+	"strings"
+	"sync"
+	"syscall"
 	"testing"
 	"time"
+
+	"tealpath/resp"
+	"tealpath/thrift"
 )
 
 var budgetField = regexp.MustCompile(`\bbudget=(\d+)\b`)
@@ -65,3 +75,118 @@
 	}()
 	return one
 }
+
+// fetched is a request that a cache has read.
+type fetched struct {
+	id, fields string
+}
+
+// deafStand is a stand-in of a cache that takes connections and reads nothing until it is let; little goes onto the way to it.
+func deafStand(t *testing.T, name string, let <-chan struct{}, read chan<- fetched) *stand {
+	t.Helper()
+	const segment, buffer, readBuffer = 1460, 4096, 4 << 20 // bytes: what the system keeps grows with the segments
+	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
+		return raw.Control(func(fd uintptr) {
+			syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, segment)
+			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, buffer)
+		})
+	}}
+	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var all sync.WaitGroup
+	t.Cleanup(func() { listener.Close(); all.Wait() })
+	all.Go(func() {
+		for {
+			conn, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			all.Go(func() {
+				defer conn.Close()
+				<-let
+				conn.(*net.TCPConn).SetReadBuffer(readBuffer)
+				conn.SetReadDeadline(time.Now().Add(patience))
+				for in := bufio.NewReader(conn); ; {
+					words, err := resp.Read(in)
+					if err != nil {
+						return
+					}
+					if string(words[0]) == "fetch" {
+						read <- fetched{string(words[1]), string(words[2])}
+					}
+				}
+			})
+		}
+	})
+	return &stand{Listener: listener, name: name}
+}
+
+// large is a request with a body that fills the way to a deaf cache.
+func (c *client) large(object string) {
+	c.seq++
+	fields := []string{"verb", "stills", "txn", fmt.Sprintf("%016x", time.Now().UnixNano()), "limit", "3000", "item", object,
+		"nth", "0", "batch", "17"}
+	args := binary.BigEndian.AppendUint32([]byte{13, 0, 1, 11, 11}, uint32(len(fields)/2))
+	for _, f := range fields {
+		args = text(args, f)
+	}
+	args = text(append(args, 11, 0, 2), strings.Repeat("x", 200_000))
+	c.send(thrift.Call, "call", c.seq, append(args, 0))
+}
+
+// Caches that read nothing for a while: a request whose client goes meanwhile does not come to them, and one whose client stays
+// comes with what is left of its time.
+func TestNothingIsWrittenForAClientThatHasGone(t *testing.T) {
+	const deaf, limit, slack = 600 * time.Millisecond, 3 * time.Second, 150 * time.Millisecond
+	let, read := make(chan struct{}), make(chan fetched, 1000)
+	caches := []*stand{deafStand(t, "s-a", let, read), deafStand(t, "s-b", let, read)}
+	journal, _ := newJournal(t)
+	p := newProgram(t, caches, journal, limit.Seconds())
+	over := p.run(t)
+	fills := dial(t, p.address)
+	for range 8 { // more are refused: their cache has no room
+		fills.large(object(1))
+	}
+	time.Sleep(100 * time.Millisecond)
+	goes, stays := dial(t, p.address), dial(t, p.address)
+	sent := time.Now()
+	goes.call(object(1), int(limit.Milliseconds()), "txn", "00000000000000aa")
+	stays.call(object(1), int(limit.Milliseconds()), "txn", "00000000000000bb")
+	time.Sleep(50 * time.Millisecond)
+	goes.conn.Close()
+	time.Sleep(deaf)
+	close(let)
+	left := limit - time.Since(sent)
+	came := false
+	for end := time.After(time.Second); !came; {
+		select {
+		case f := <-read:
+			if f.id == "00000000000000aa" {
+				t.Error("written for a client that had gone")
+			}
+			if came = f.id == "00000000000000bb"; came {
+				ms, _ := strconv.Atoi(budgetField.FindStringSubmatch(f.fields)[1])
+				if told := time.Duration(ms) * time.Millisecond; told > left+slack {
+					t.Errorf("told of %v, with %v left", told, left)
+				}
+			}
+		case <-end:
+			t.Fatal("the request of the client that stays was not written")
+		}
+	}
+	for end := time.After(200 * time.Millisecond); ; {
+		select {
+		case f := <-read:
+			if f.id == "00000000000000aa" {
+				t.Error("written for a client that had gone")
+			}
+			continue
+		case <-end:
+		}
+		break
+	}
+	terminate()
+	ends(t, over, limit+time.Second)
+}
