--- a/control/control.go
+++ b/control/control.go
@@ -509,6 +509,7 @@
 			out.Reach = min(out.Reach, before.sent+t.product.window-now)
 		}
 	}
+	d.reach = out.Reach
 	if t.dispatches = append(t.dispatches, d); len(t.dispatches) == 1 {
 		t.product.taken.add(now, r.sendingTime(t))
 	}
@@ -709,7 +710,9 @@
 	if o.Result == Outdated {
 		r.distrust()
 	}
-	if o.Result == Late && d.cache.well() && d.source.well() {
+	hurried := p.hurried(d, o)
+	late := o.Result == Late && !hurried
+	if late && d.cache.well() && d.source.well() {
 		r.mute.add(now)
 	}
 	good, bad := [2]float64{}, blame[o.Result] // of the cache, of the source
@@ -718,6 +721,8 @@
 		if good = [2]float64{1, 1}; !inTime {
 			good, bad = bad, good // a cache or source that is only slow showed in no other way
 		}
+	case hurried:
+		bad = [2]float64{}
 	case o.Shared: // a connection that broke is one failure: counted by all that was open on it, it made a
 		bad = [2]float64{} // healthy member suspect
 	case o.Result == Full && o.Note == 9: // notes: 9 names the cache, 6 to 8 the source
@@ -738,7 +743,7 @@
 	switch {
 	case o.Result == Good && inTime:
 		r.rooms[kind] = min(r.rooms[kind]+roomUp[r.tight[kind]], roomMost)
-	case (o.Result == Good || o.Result == Late) && !d.cache.suspect && (d.source == nil || !d.source.suspect):
+	case (o.Result == Good || late) && !d.cache.suspect && (d.source == nil || !d.source.suspect):
 		r.rooms[kind] = max(r.rooms[kind]*(1-roomDown), roomLeast)
 	}
 	room, first := r.rooms[kind], roomFirst[kind]
@@ -774,7 +779,7 @@
 		if m.bad >= badFrom {
 			r.watched.add(m)
 		}
-		m.off = m.off || m == d.cache && o.Result == Unreached || m == d.source && o.Result == Full && bad[1] > 0
+		m.off = m.off || m == d.cache && o.Result == Unreached && !hurried || m == d.source && o.Result == Full && bad[1] > 0
 		silent := slices.Contains([]Result{Unreached, Late, Cancelled, Cut, Local, Unsent}, o.Result)
 		if m == d.cache && !silent || kind > hits && o.Result == Good {
 			m.heard = now
--- a/control/remaining_test.go
+++ b/control/remaining_test.go
@@ -62,3 +62,47 @@
 		t.Errorf("within %d ms", d.Dispatch.Reach*1000/second)
 	}
 }
+
+// What has little time left may be dropped without a word, or not be on its way yet as its time is up: that tells nothing of its
+// cache, nor of the room for others.
+func TestHurriedAttempts(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		left   int64 // ms
+		result Result
+		spent  int64 // ms
+		member bool  // it counts against a member
+		room   bool  // it takes from the room
+	}{
+		{"late with less than answers take", 100, Late, 100, false, false},
+		{"late with more than that", 400, Late, 400, true, true},
+		{"no link by half of little time", 100, Unreached, 50, false, false},
+		{"no link by half of much time", 800, Unreached, 400, true, false},
+		{"refused at once", 100, Unreached, 1, true, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := newRouter(t, nil)
+			answers(r, "harmless", 20, 10) // an attempt may come back
+			answers(r, "harmless", 200, 150)
+			before := r.rooms
+			for n := range 100 {
+				ret := ask("harmless", fmt.Sprint("short", n))
+				ret.HardStop = start + c.left*second/1000
+				if d := r.Where(start, ret); n == 0 && d.Verdict != Send {
+					t.Fatalf("verdict %v", d.Verdict)
+				}
+				r.After(start+c.spent*second/1000, ret, Outcome{Result: c.result, Spent: c.spent * second / 1000})
+			}
+			counts := false
+			for _, m := range r.members {
+				counts = counts || m.suspect || m.bad > 0 || m.off
+			}
+			if counts != c.member {
+				t.Errorf("it counts against members: %v", counts)
+			}
+			if took := r.rooms != before; took != c.room {
+				t.Errorf("rooms %v, before %v", r.rooms, before)
+			}
+		})
+	}
+}
--- a/front/front.go
+++ b/front/front.go
@@ -98,6 +98,8 @@
 	refusals       int
 	refusedAt      time.Time
 
+	heart heartbeat
+
 	places sync.Mutex // locked last, for moments; guards what follows
 	table  *idle.Table
 	keep   *Keep
@@ -209,7 +211,9 @@
 		case v == idle.Taken && turn == idle.Rests && f.layToRest(conn, id, generation):
 			return true
 		case v == idle.Taken:
-			f.run(ctx, f.enter(conn, id, generation, false))
+			c := f.enter(conn, id, generation, false)
+			c.arrivals.begin(f.acceptedSince(conn, since), 0)
+			f.run(ctx, c)
 			return true
 		case v == idle.PerClient || v == idle.PerNetwork:
 			conn.Close() // a bound of the operator's own, for the one who comes
@@ -259,7 +263,7 @@
 	f.last++
 	now := time.Now()
 	c := &client{front: f, id: f.last, conn: conn, since: now, used: now, open: map[int32]bool{}, wake: make(chan struct{}, 1),
-		place: id, generation: generation, answered: answered, state: idle.Fresh}
+		place: id, generation: generation, answered: answered, state: idle.Fresh, arrivals: arrivals{Conn: conn, front: f}}
 	f.clients[c.id] = c
 	f.places.Lock()
 	f.put(id, place{client: c, fd: -1})
@@ -433,6 +437,8 @@
 	place      idle.ID
 	generation uint32
 	state      idle.State // as the table has it
+
+	arrivals arrivals // used by the reader alone
 }
 
 func (c *client) serve(ctx context.Context) {
@@ -465,18 +471,20 @@
 		clear(c.open) // the client has gone
 		c.conn.Close()
 	}
-	offended, halfClosed := c.offended, len(c.open) > 0 && (errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF))
+	offended, halfClosed := c.offended, errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 	c.mu.Unlock()
-	if halfClosed && !offended {
-		// It may have gone, or read on: what is in flight is answered, what still waits is not sent for nobody.
-		c.front.post(router.HalfClosed{Client: c.id})
-	}
-	if offended {
+	switch {
+	case offended:
 		// What else it asked for is not served either, and not at the cost of others.
 		c.front.post(router.Left{Client: c.id})
 		c.abort()
+	case halfClosed:
+		c.tellHalfClosed()
 	}
 	c.signal()
+	if !offended && !halfClosed {
+		c.awaitEnd(written)
+	}
 	<-written
 	c.linger()
 	c.front.forget(c)
@@ -549,7 +557,7 @@
 
 // read reads requests until the connection ends or cannot be understood any more.
 func (c *client) read(ctx context.Context) error {
-	in := bufio.NewReaderSize(c.conn, smallFrame)
+	in := bufio.NewReaderSize(&c.arrivals, smallFrame)
 	for {
 		c.conn.SetReadDeadline(c.patience())
 		if c.bad() {
@@ -574,6 +582,7 @@
 			}
 			return err
 		}
+		arrived := c.arrivals.earliest // the first byte of a frame is among what was read last
 		c.note(true)
 		c.conn.SetReadDeadline(time.Now().Add(frameMost))
 		if c.bad() {
@@ -583,20 +592,28 @@
 			return errShut
 		}
 		frame, err := c.frame(ctx, in)
-		if err != nil {
-			return err
+		if err == nil && frame != nil {
+			err = c.takeFrame(frame, arrived)
 		}
-		m, err := thrift.Parse(frame)
 		if err != nil {
 			return err
 		}
-		if !c.message(m) {
-			return errShut
-		}
 		c.note(in.Buffered() > 0)
 	}
 }
 
+// takeFrame takes a whole frame in that arrived at a time at the earliest.
+func (c *client) takeFrame(frame []byte, arrived int64) error {
+	m, err := thrift.Parse(frame)
+	if err != nil {
+		return err
+	}
+	if !c.message(m, arrived) {
+		return errShut
+	}
+	return nil
+}
+
 // note keeps whether something is being read.
 func (c *client) note(reading bool) {
 	c.mu.Lock()
@@ -621,7 +638,7 @@
 }
 
 // frame reads one frame; large ones share a bounded memory, but only once something of them has come: a mere
-// claim costs others nothing.
+// claim costs others nothing. One for which there is none soon is refused, and nil.
 func (c *client) frame(ctx context.Context, in *bufio.Reader) ([]byte, error) {
 	size, err := thrift.FrameSize(in)
 	if err != nil {
@@ -631,10 +648,13 @@
 	if _, err := io.ReadFull(in, frame); err != nil || size <= smallFrame {
 		return frame, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, frameMost)
+	soon, cancel := context.WithTimeout(ctx, memoryWait)
 	defer cancel()
-	if err := c.front.reading.Acquire(ctx, int64(size)); err != nil {
-		return nil, err
+	if err := c.front.reading.Acquire(soon, int64(size)); err != nil {
+		if ctx.Err() != nil {
+			return nil, ctx.Err()
+		}
+		return nil, c.refuse(in, frame, size)
 	}
 	defer c.front.reading.Release(int64(size))
 	frame = append(make([]byte, 0, size), frame...)[:size]
@@ -642,9 +662,9 @@
 	return frame, err
 }
 
-// message takes a message in, unless the connection was shut before that. A client that sent what cannot be used is told so,
+// message takes a message in that arrived at a time at the earliest, unless the connection was shut before that. A client that sent what cannot be used is told so,
 // and no more is read from it.
-func (c *client) message(m thrift.Message) bool {
+func (c *client) message(m thrift.Message, arrived int64) bool {
 	if c.isShut() {
 		return false
 	}
@@ -672,7 +692,7 @@
 	default:
 		switch c.enter(m.Seq) {
 		case entered:
-			c.front.post(router.Requested{Client: c.id, Seq: m.Seq, Fields: args.Fields, Body: args.Body})
+			c.front.post(router.Requested{Client: c.id, Seq: m.Seq, Arrived: arrived, Fields: args.Fields, Body: args.Body})
 		case inUse:
 			fault(thrift.BadSequence, "sequence number in use")
 		case tooMany:
