--- a/front/endings_test.go
+++ b/front/endings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"encoding/binary"
 	"errors"
 	"io"
 	"net"
@@ -274,3 +275,15 @@
 		t.Error(err)
 	}
 }
+
+// answerOn reads one whole answer.
+func answerOn(conn net.Conn) (string, error) {
+	conn.SetReadDeadline(time.Now().Add(patience))
+	var head [4]byte
+	if _, err := io.ReadFull(conn, head[:]); err != nil {
+		return "", err
+	}
+	got := make([]byte, binary.BigEndian.Uint32(head[:]))
+	_, err := io.ReadFull(conn, got)
+	return string(got), err
+}
--- a/front/front.go
+++ b/front/front.go
@@ -21,6 +21,7 @@
 
 	"tealpath/front/idle"
 	"tealpath/front/park"
+	"tealpath/neterr"
 	"tealpath/router"
 	"tealpath/thrift"
 )
@@ -69,6 +70,7 @@
 	Seed        uint64
 	Crowded     func() bool // whether others wait for the core; nil is never
 	Keep        *Keep       // nil: as the platform states it
+	Calls       *park.Calls // of the system, for connections that rest; nil: as it has them
 }
 
 // Front serves clients on one listener.
@@ -88,6 +90,7 @@
 	crowded bool // connections are at their bound
 	group   sync.WaitGroup
 
+	calls          *park.Calls
 	lot            *park.Lot // nil: the system has none
 	refusesParking atomic.Bool
 	admit          *idle.Admission
@@ -101,6 +104,9 @@
 	keep   *Keep
 	at     []place // by the table's IDs
 
+	postponed []wakeUp // parked connections that could not be resumed for want of something; guarded by places
+	resuming  bool     // some of them are being tried again; guarded by places
+
 	closing []closing   // parked connections at their end; guarded by places
 	shut    atomic.Bool // the listener is closed as this router ends
 	closed  atomic.Bool // and nothing that was accepted is still to be taken in
@@ -111,14 +117,17 @@
 	if limits.Keep == nil {
 		limits.Keep = &Keep{Networks: []idle.Keep{{Fresh: FreshMost, Idle: int64(idleMost)}}}
 	}
+	if limits.Calls == nil {
+		limits.Calls = park.Kernel
+	}
 	if limits.Crowded == nil {
 		limits.Crowded = func() bool { return false }
 	}
-	f := &Front{listener: listener, post: post, log: log, limits: limits, keep: limits.Keep,
+	f := &Front{listener: listener, post: post, log: log, limits: limits, keep: limits.Keep, calls: limits.Calls,
 		reading: semaphore.NewWeighted(max(limits.Bytes, thrift.FrameMost)), clients: map[router.ClientID]*client{},
 		admit: idle.NewAdmission(limits.Cores),
 		table: idle.New(idle.Limits{Connections: limits.Connections, Cores: limits.Cores}, limits.Keep.Networks, limits.Seed)}
-	lot, err := park.New()
+	lot, err := park.NewOn(f.calls)
 	if f.lot = lot; err != nil {
 		f.lot = nil
 		f.noParking(err)
@@ -182,7 +191,7 @@
 func (f *Front) take(ctx context.Context, conn net.Conn, since time.Time) bool {
 	turn, wait := idle.Waits, int64(0)
 	for {
-		silent := f.parks() && !pending(conn)
+		silent := f.parks() && !f.pending(conn)
 		now := time.Now()
 		if turn, wait = f.admit.Turn(now.UnixNano(), int64(now.Sub(since)), f.limits.Crowded(), silent); turn != idle.Waits {
 			break
@@ -193,7 +202,7 @@
 		}
 	}
 	for {
-		if idle.Gone(int64(time.Since(since)), hungUp(conn)) {
+		if idle.Gone(int64(time.Since(since)), f.hungUp(conn)) {
 			conn.Close() // its client closed while it waited: what it asked for was sent for nobody, seconds later
 			return true
 		}
@@ -301,7 +310,7 @@
 		return true
 	}
 	if !c.lingering {
-		came := pending(c.conn)
+		came := c.front.pending(c.conn)
 		if came {
 			c.reading, c.used = true, time.Now() // as its reader will find soon; looked at again and again it hid the others
 			c.settle()
@@ -322,26 +331,24 @@
 }
 
 // hungUp tells whether a connection's client has closed, though what it sent before is not read yet.
-func hungUp(conn net.Conn) (up bool) {
+func (f *Front) hungUp(conn net.Conn) (up bool) {
 	if c, ok := conn.(syscall.Conn); ok {
 		if raw, err := c.SyscallConn(); err == nil {
-			raw.Control(func(fd uintptr) { up = park.HungUp(int(fd)) })
+			raw.Control(func(fd uintptr) { up = f.calls.HungUp(int(fd)) })
 		}
 	}
 	return up
 }
 
-// pending tells whether something has come on a connection that is not read yet.
-func pending(conn net.Conn) bool {
-	n := 0
+// pending tells whether something has come on a connection that is not read yet, or may have.
+func (f *Front) pending(conn net.Conn) bool {
+	content := park.Nothing
 	if c, ok := conn.(syscall.Conn); ok {
 		if raw, err := c.SyscallConn(); err == nil {
-			raw.Control(func(fd uintptr) {
-				n, _, _ = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-			})
+			raw.Control(func(fd uintptr) { content = f.calls.Came(int(fd)) })
 		}
 	}
-	return n > 0
+	return content == park.Bytes || content == park.Unknown
 }
 
 // Answer writes a final answer to its client, if that is still there. It never waits.
@@ -397,7 +404,7 @@
 			return false
 		}
 	}
-	return f.lot == nil || !f.lot.Ready()
+	return f.lot == nil || !f.lot.Ready() && !f.postpones()
 }
 
 // client is one connection.
@@ -503,8 +510,8 @@
 // linger lets the client read its last answers: closing with input unread would reset the connection, and
 // what the client had not read by then was lost to it.
 func (c *client) linger() {
-	tcp, ok := c.conn.(*net.TCPConn)
-	if !ok || tcp.CloseWrite() != nil {
+	conn, ok := c.conn.(interface{ CloseWrite() error })
+	if !ok || conn.CloseWrite() != nil {
 		return
 	}
 	c.mu.Lock()
@@ -516,8 +523,8 @@
 		most = shutMost
 	}
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(lingerGap) {
-		tcp.SetReadDeadline(end)
-		if _, err := io.CopyN(io.Discard, tcp, lingerBytes); err != nil {
+		c.conn.SetReadDeadline(end)
+		if _, err := io.CopyN(io.Discard, neterr.Reader{From: c.conn}, lingerBytes); err != nil {
 			return
 		}
 	}
@@ -530,20 +537,13 @@
 var errOffence = errors.New("front: a client sent what no usual one sends")
 
 // endsReading tells whether an error leaves the way to the client open, so that what was understood before it
-// is still answered: the client has closed its side only, or sent what cannot be understood. One that closed
-// both sides shows by the first answer to it.
-func endsReading(err error) bool {
-	for _, e := range []error{errShut, thrift.ErrFrame, thrift.ErrVersion, io.EOF, io.ErrUnexpectedEOF, os.ErrDeadlineExceeded} {
-		if errors.Is(err, e) {
-			return true
-		}
-	}
-	return false
-}
+// is still answered: the client has closed its side only, or sent what cannot be understood, or nothing proves that it has gone.
+// One that closed both sides shows by the first answer to it.
+func endsReading(err error) bool { return !neterr.IsEnd(err) }
 
 // read reads requests until the connection ends or cannot be understood any more.
 func (c *client) read(ctx context.Context) error {
-	in := bufio.NewReaderSize(c.conn, smallFrame)
+	in := bufio.NewReaderSize(neterr.Reader{From: c.conn}, smallFrame)
 	for {
 		c.conn.SetReadDeadline(c.patience())
 		if c.bad() {
@@ -557,7 +557,7 @@
 				if c.isShut() {
 					return errShut
 				}
-				if !c.idle() || pending(c.conn) {
+				if !c.idle() || c.front.pending(c.conn) {
 					continue
 				}
 				if done, why := c.rest(); !done {
@@ -739,7 +739,7 @@
 func (c *client) flushed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.queue) == 0 && !c.writing && (c.ending || c.shut || !c.reading && !pending(c.conn))
+	return len(c.queue) == 0 && !c.writing && (c.ending || c.shut || !c.reading && !c.front.pending(c.conn))
 }
 
 func (c *client) isReading() bool {
@@ -833,7 +833,10 @@
 			continue
 		}
 		c.conn.SetWriteDeadline(time.Now().Add(takeMost))
-		_, err := batch.WriteTo(c.conn)
+		err := neterr.Retry(func() error {
+			_, err := batch.WriteTo(c.conn)
+			return err
+		})
 		c.mu.Lock()
 		c.writing, c.bytes = false, c.bytes-size
 		c.mu.Unlock()
--- a/front/park/park_linux.go
+++ b/front/park/park_linux.go
@@ -9,6 +9,7 @@
 	"fmt"
 	"net"
 	"os"
+	"sync"
 	"sync/atomic"
 	"syscall"
 
@@ -19,13 +20,20 @@
 
 // Lot is one set of parked connections. Park, Close and Resume may be called by several goroutines.
 type Lot struct {
-	file *os.File // of the readiness set: waited for by Go's own poller, so that no thread hangs in it
-	fd   int
-	busy atomic.Bool // what Wait gave is being seen to
+	calls *Calls
+	file  *os.File // of the readiness set: waited for by Go's own poller, so that no thread hangs in it
+	fd    int
+	busy  atomic.Bool // what Wait gave is being seen to
+
+	mu    sync.Mutex
+	files map[int]*os.File // of descriptors that could not be resumed: as long as there is one it alone may close the descriptor
 }
 
 // New makes a lot.
-func New() (*Lot, error) {
+func New() (*Lot, error) { return NewOn(Kernel) }
+
+// NewOn makes a lot that makes its calls as it is told.
+func NewOn(calls *Calls) (*Lot, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, err
@@ -34,7 +42,7 @@
 		unix.Close(fd)
 		return nil, err
 	}
-	return &Lot{file: os.NewFile(uintptr(fd), "epoll"), fd: fd}, nil
+	return &Lot{calls: calls, file: os.NewFile(uintptr(fd), "epoll"), fd: fd, files: map[int]*os.File{}}, nil
 }
 
 // Park takes a connection's descriptor and closes the connection; key comes back with what comes on it, at once if
@@ -49,7 +57,7 @@
 		return 0, err
 	}
 	fd = -1
-	if err := raw.Control(func(own uintptr) { fd, err = unix.FcntlInt(own, unix.F_DUPFD_CLOEXEC, 0) }); err != nil {
+	if err := raw.Control(func(own uintptr) { fd, err = l.calls.Duplicate(int(own)) }); err != nil {
 		return 0, err
 	}
 	if err != nil {
@@ -84,7 +92,11 @@
 // add has a descriptor told once.
 func (l *Lot) add(fd int, key uint64) error {
 	event := unix.EpollEvent{Events: unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLONESHOT, Fd: int32(uint32(key)), Pad: int32(uint32(key >> 32))}
-	return unix.EpollCtl(l.fd, unix.EPOLL_CTL_ADD, fd, &event)
+	err := l.calls.EpollCtl(l.fd, unix.EPOLL_CTL_ADD, fd, &event)
+	if errors.Is(err, unix.EEXIST) { // left from one that had its number, where taking that out failed
+		err = l.calls.EpollCtl(l.fd, unix.EPOLL_CTL_MOD, fd, &event)
+	}
+	return err
 }
 
 // Wait waits until something has come on parked connections and gives their keys, each once. The slice is good until
@@ -101,8 +113,8 @@
 	var failed error
 	err = raw.Read(func(fd uintptr) bool {
 		l.busy.Store(true) // before it is known, so that there is no moment in which something has come unseen
-		n, err := unix.EpollWait(int(fd), events[:], 0)
-		if err != nil && !errors.Is(err, unix.EINTR) {
+		n, err := uninterrupted(func() (int, error) { return l.calls.EpollWait(int(fd), events[:], 0) })
+		if err != nil {
 			failed = err
 			return true
 		}
@@ -123,73 +135,51 @@
 	if l.busy.Load() {
 		return true
 	}
-	return Readable(l.fd)
+	return l.calls.Readable(l.fd)
 }
 
-// Resume makes a connection of a parked descriptor again, which is closed either way.
+// Resume makes a connection of a parked descriptor again. With an error the descriptor is the caller's as before, but nothing is told
+// of it any more: it is to be resumed later, or closed.
 func (l *Lot) Resume(fd int) (net.Conn, error) {
 	// Closing does not take it out of the set, as the socket lives on by another descriptor: parked again under the same
 	// number it was refused as known, and one in nine idle connections was closed at its second rest.
-	unix.EpollCtl(l.fd, unix.EPOLL_CTL_DEL, fd, nil)
-	file := os.NewFile(uintptr(fd), "")
+	l.Forget(fd)
+	l.mu.Lock()
+	file := l.files[fd]
+	delete(l.files, fd)
+	l.mu.Unlock()
+	if file == nil {
+		file = os.NewFile(uintptr(fd), "")
+	}
 	if file == nil {
 		return nil, fmt.Errorf("descriptor %d", fd)
 	}
-	defer file.Close()
-	return net.FileConn(file)
-}
-
-// Came tells what is on a parked connection: bytes, its end, or nothing.
-func Came(fd int) (some, ended bool) {
-	var one [1]byte
-	n, _, err := unix.Recvfrom(fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	conn, err := l.calls.Connect(file)
 	switch {
-	case err == nil && n == 0:
-		return false, true
 	case err == nil:
-		return true, false
-	case errors.Is(err, unix.EAGAIN), errors.Is(err, unix.EINTR):
-		return false, false
+		file.Close()
+		return conn, nil
+	case l.calls.Polled(file):
+		return fileConn{file}, nil
 	}
-	return false, true
+	l.mu.Lock()
+	l.files[fd] = file
+	l.mu.Unlock()
+	return nil, err
 }
 
-// Forget takes a descriptor out of the set: nothing is told of it any more.
-func (l *Lot) Forget(fd int) { unix.EpollCtl(l.fd, unix.EPOLL_CTL_DEL, fd, nil) }
-
-// Shut half-closes a parked connection: its other side sees the end and may still be read from.
-func Shut(fd int) { unix.Shutdown(fd, unix.SHUT_WR) }
-
-// drainMost is how much is read of what nobody waits for, at a time.
-const drainMost = 32 << 10
-
-// Drain reads and throws away what has come on a descriptor, some of it at a time, and tells whether the other side has ended.
-func Drain(fd int) (ended bool) {
-	buffer := make([]byte, 4<<10)
-	for range drainMost / len(buffer) {
-		n, _, err := unix.Recvfrom(fd, buffer, unix.MSG_DONTWAIT)
-		switch {
-		case errors.Is(err, unix.EAGAIN), errors.Is(err, unix.EINTR):
-			return false
-		case err != nil || n == 0:
-			return true
-		}
+// Forget takes a descriptor out of the set: nothing is told of it any more. Where it is not in it nothing is to be done.
+func (l *Lot) Forget(fd int) { l.calls.EpollCtl(l.fd, unix.EPOLL_CTL_DEL, fd, nil) }
+
+// Close closes a parked connection. What close(2) says is not heeded: the descriptor is free either way.
+func (l *Lot) Close(fd int) {
+	l.mu.Lock()
+	file := l.files[fd]
+	delete(l.files, fd)
+	l.mu.Unlock()
+	if file != nil {
+		file.Close()
+		return
 	}
-	return false
-}
-
-// Readable tells whether a descriptor can be read from, or a listener accepted from.
-func Readable(fd int) bool {
-	n, err := unix.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0)
-	return err == nil && n > 0
-}
-
-// HungUp tells whether the other side of a descriptor has closed, be it behind bytes that are not read yet.
-func HungUp(fd int) bool {
-	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := unix.Poll(polled, 0)
-	return err == nil && n > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	unix.Close(fd)
 }
-
-// Close closes a parked connection.
-func Close(fd int) { unix.Close(fd) }
--- a/front/park/park_other.go
+++ b/front/park/park_other.go
@@ -33,20 +33,29 @@
 // Forget is not to be had.
 func (*Lot) Forget(int) {}
 
-// Shut is not to be had.
-func Shut(int) {}
+// Close is not to be had.
+func (*Lot) Close(int) {}
+
+// Calls is nothing here.
+type Calls struct{}
+
+// Kernel is nothing here.
+var Kernel = &Calls{}
+
+// NewOn says that there is none.
+func NewOn(*Calls) (*Lot, error) { return nil, errors.ErrUnsupported }
 
 // Drain is not to be had.
-func Drain(int) bool { return true }
+func (*Calls) Drain(int) bool { return true }
 
 // Readable is not to be had.
-func Readable(int) bool { return false }
+func (*Calls) Readable(int) bool { return false }
 
 // Came is not to be had.
-func Came(int) (some, ended bool) { return false, false }
-
-// Close is not to be had.
-func Close(int) {}
+func (*Calls) Came(int) Content { return Nothing }
 
 // HungUp is told of by the system's own calls only.
-func HungUp(int) bool { return false }
+func (*Calls) HungUp(int) bool { return false }
+
+// Shut is not to be had.
+func Shut(int) {}
--- a/front/park/park_test.go
+++ b/front/park/park_test.go
@@ -58,8 +58,8 @@
 		if err != nil || len(keys) != 1 || keys[0] != key || !lot.Ready() {
 			t.Fatalf("%x, %v", keys, err)
 		}
-		if some, ended := Came(fd); !some || ended {
-			t.Errorf("came %v, ended %v", some, ended)
+		if content := Kernel.Came(fd); content != Bytes {
+			t.Errorf("content %d", content)
 		}
 		again, err := lot.Resume(fd)
 		if err != nil {
@@ -77,7 +77,7 @@
 		}
 		again.Close()
 	}
-	if some, ended := Came(-1); some || !ended {
+	if Kernel.Came(-1) != Ended {
 		t.Error("a descriptor that is none is taken for a connection")
 	}
 	lot, err := New()
--- a/front/rest.go
+++ b/front/rest.go
@@ -15,6 +15,7 @@
 
 	"tealpath/front/idle"
 	"tealpath/front/park"
+	"tealpath/neterr"
 )
 
 // Keep is how connections are kept by their clients' networks.
@@ -120,13 +121,21 @@
 	}
 }
 
+// notParked notes that a connection could not be parked: for good, or for want of something that comes back. Then it is tried again
+// once the connection has been idle for as long again.
+func (f *Front) notParked(why error) {
+	if !neterr.IsExhausted(why) {
+		f.noParking(why)
+	}
+}
+
 // wakeAll makes connections of all that rest: nothing tells any more what comes on them.
 func (f *Front) wakeAll(ctx context.Context) {
 	f.places.Lock()
 	var keys []uint64
 	for id := range f.at {
 		if f.at[id].fd >= 0 {
-			keys = append(keys, uint64(uint32(id))<<32|uint64(f.table.Generation(idle.ID(id))))
+			keys = append(keys, key(idle.ID(id), f.table.Generation(idle.ID(id))))
 		}
 	}
 	f.places.Unlock()
@@ -140,7 +149,6 @@
 	if c.isShut() {
 		return false
 	}
-	key := uint64(uint32(c.place))<<32 | uint64(c.generation)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.places.Lock()
@@ -149,9 +157,9 @@
 		return false // it has made room
 	}
 	// Within the lock: what comes at once finds the place ready.
-	fd, err := f.lot.Park(c.conn, key)
+	fd, err := f.lot.Park(c.conn, key(c.place, c.generation))
 	if err != nil {
-		f.noParking(err)
+		f.notParked(err)
 		return false
 	}
 	f.at[c.place] = place{fd: int32(fd)}
@@ -163,9 +171,9 @@
 func (f *Front) layToRest(conn net.Conn, id idle.ID, generation uint32) bool {
 	f.places.Lock()
 	defer f.places.Unlock()
-	fd, err := f.lot.Park(conn, uint64(uint32(id))<<32|uint64(generation))
+	fd, err := f.lot.Park(conn, key(id, generation))
 	if err != nil {
-		f.noParking(err)
+		f.notParked(err)
 		return false
 	}
 	f.put(id, place{fd: int32(fd), fresh: true})
@@ -194,10 +202,13 @@
 		if fd < 0 {
 			return false
 		}
-		if some, _ := park.Came(fd); some {
-			// In this very instant: the lot tells of it, and it is answered.
+		switch f.calls.Came(fd) {
+		case park.Bytes: // in this very instant: the lot tells of it, and it is answered
 			f.table.Move(time.Now().UnixNano(), id, idle.Busy)
 			return false
+		case park.Unknown: // its reader will find out
+			f.postpone(id, wakeUp{key: key(id, f.table.Generation(id)), since: time.Now()})
+			return false
 		}
 		f.shutParked(id)
 		return true
@@ -234,7 +245,7 @@
 	f.lot.Forget(fd)
 	park.Shut(fd)
 	if len(f.closing) > f.limits.Connections/closingPart {
-		park.Close(f.closing[0].fd)
+		f.lot.Close(f.closing[0].fd)
 		f.closing = f.closing[1:]
 	}
 	f.closing = append(f.closing, closing{fd, time.Now().Add(shutMost)})
@@ -249,9 +260,9 @@
 	defer f.places.Unlock()
 	now := time.Now()
 	f.closing = slices.DeleteFunc(f.closing, func(c closing) bool {
-		over := park.Drain(c.fd) || now.After(c.until)
+		over := f.calls.Drain(c.fd) || now.After(c.until)
 		if over {
-			park.Close(c.fd)
+			f.lot.Close(c.fd)
 		}
 		return over
 	})
@@ -275,7 +286,7 @@
 	f.places.Lock()
 	for id := range f.at {
 		if f.at[id].fd >= 0 {
-			if some, _ := park.Came(int(f.at[id].fd)); !some {
+			if content := f.calls.Came(int(f.at[id].fd)); content == park.Nothing || content == park.Ended {
 				f.shutParked(idle.ID(id))
 			}
 		}
@@ -306,7 +317,7 @@
 		return false
 	}
 	waits := false
-	raw.Control(func(fd uintptr) { waits = park.Readable(int(fd)) })
+	raw.Control(func(fd uintptr) { waits = f.calls.Readable(int(fd)) })
 	return waits
 }
 
@@ -332,7 +343,43 @@
 		Idle: t.Count(idle.Idle), Closing: t.Count(idle.Closing), Parked: max(0, t.All()-active), Waiting: int(f.waiting.Load())}
 }
 
+// wakeUp is a parked connection that is to be resumed, and since when something may have been there to be read.
+type wakeUp struct {
+	key   uint64
+	since time.Time
+}
+
+// postpone keeps a parked connection for the next try; places are locked. What it is owed stays owed.
+func (f *Front) postpone(id idle.ID, w wakeUp) {
+	f.table.Move(time.Now().UnixNano(), id, idle.Busy)
+	f.postponed = append(f.postponed, w)
+}
+
+// postpones tells whether parked connections wait to be resumed again.
+func (f *Front) postpones() bool {
+	f.places.Lock()
+	defer f.places.Unlock()
+	return f.resuming || len(f.postponed) > 0
+}
+
+// resumePostponed tries again what could not be resumed, and tells whether some of it still can't.
+func (f *Front) resumePostponed(ctx context.Context) bool {
+	f.places.Lock()
+	again := f.postponed
+	f.postponed, f.resuming = nil, true
+	f.places.Unlock()
+	for _, w := range again {
+		f.resume(ctx, w.key, w.since)
+	}
+	f.places.Lock()
+	defer f.places.Unlock()
+	f.resuming = false
+	return len(f.postponed) > 0
+}
+
 // key of a place, as the lot gives it back.
+func key(id idle.ID, generation uint32) uint64 { return uint64(uint32(id))<<32 | uint64(generation) }
+
 func unkey(key uint64) (idle.ID, uint32) { return idle.ID(int32(key >> 32)), uint32(key) }
 
 // janitor wakes parked connections and closes those whose time is up, at the pace that the table sets.
@@ -361,6 +408,9 @@
 			f.evict(id)
 		}
 		f.closeShut()
+		if f.resumePostponed(ctx) {
+			wait = min(wait, acceptGap)
+		}
 		timer.Reset(wait)
 	}
 }
@@ -381,6 +431,9 @@
 			since = before
 		}
 		if err != nil {
+			if neterr.IsTransient(err) && pause(ctx, acceptGap) {
+				continue
+			}
 			if ctx.Err() == nil {
 				f.noParking(err)
 				f.wakeAll(ctx)
@@ -435,8 +488,7 @@
 	if int(id) >= len(f.at) || !f.holds(id, generation) || f.at[id].fd < 0 {
 		return false
 	}
-	some, _ := park.Came(int(f.at[id].fd))
-	return some
+	return f.calls.Came(int(f.at[id].fd)) == park.Bytes
 }
 
 // parkAfter is how long an idle connection keeps what it holds.
@@ -461,14 +513,14 @@
 		return // it has made room, or its time was up
 	}
 	fd := int(f.at[id].fd)
-	if _, ended := park.Came(fd); ended || idle.Gone(int64(time.Since(since)), park.HungUp(fd)) {
-		park.Close(fd)
+	if f.calls.Came(fd) == park.Ended || idle.Gone(int64(time.Since(since)), f.calls.HungUp(fd)) {
+		f.lot.Close(fd)
 		f.at[id] = place{fd: -1}
 		f.table.Gone(id)
 		f.places.Unlock()
 		return
 	}
-	answered := !f.at[id].fresh
+	parked := f.at[id]
 	f.at[id] = place{fd: -1}
 	f.table.Move(time.Now().UnixNano(), id, idle.Reading)
 	f.places.Unlock()
@@ -476,10 +528,11 @@
 	if err != nil {
 		f.places.Lock()
 		defer f.places.Unlock()
-		f.table.Gone(id)
+		f.at[id] = parked
+		f.postpone(id, wakeUp{key, since})
 		return
 	}
-	c := f.enter(conn, id, generation, answered)
+	c := f.enter(conn, id, generation, !parked.fresh)
 	c.reading = true
 	f.run(ctx, c)
 }
@@ -490,12 +543,12 @@
 	defer f.places.Unlock()
 	for id := range f.at {
 		if f.at[id].fd >= 0 {
-			park.Close(int(f.at[id].fd))
+			f.lot.Close(int(f.at[id].fd))
 			f.at[id].fd = -1
 		}
 	}
 	for _, c := range f.closing {
-		park.Close(c.fd)
+		f.lot.Close(c.fd)
 	}
 	f.closing = nil
 }
--- a/lab/ways.go
+++ b/lab/ways.go
@@ -171,7 +171,7 @@
 	return func() {
 		for _, fd := range fds {
 			if fd >= 0 {
-				park.Close(int(fd))
+				lot.Close(int(fd))
 			}
 		}
 		for _, c := range resumed {
--- a/neterr/neterr.go
+++ b/neterr/neterr.go
@@ -22,6 +22,19 @@
 // transientErrors are those after which the same read or write may go on.
 var transientErrors = []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS, syscall.EAGAIN, syscall.EINTR}
 
+// exhaustedErrors are those of localErrors that pass once something of this machine's is given back.
+var exhaustedErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.ENOSPC}
+
+// endErrors are what a read, a write or a peek says of a connection that is over.
+var endErrors = []syscall.Errno{syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
+	syscall.ECONNREFUSED, syscall.ECONNABORTED, syscall.ENOTCONN, syscall.EBADF, syscall.ENOTSOCK}
+
+// IsExhausted tells whether this machine is out of something that a later try may find: descriptors, memory, watches.
+func IsExhausted(err error) bool { return isOneOf(err, exhaustedErrors) }
+
+// IsEnd tells whether an error proves that a connection is over, both ways. What was written before may have been read.
+func IsEnd(err error) bool { return isOneOf(err, endErrors) || errors.Is(err, net.ErrClosed) }
+
 // IsLocal tells whether an attempt to open, accept, duplicate or watch a connection failed on this machine: nothing was sent, and
 // the other side is not to be blamed. A name server that does not answer is no fault of the named one either.
 func IsLocal(err error) bool {
