--- a/front/endings_test.go
+++ b/front/endings_test.go
@@ -6,6 +6,7 @@
 	"errors"
 	"io"
 	"net"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -13,7 +14,6 @@
 
 	"tealpath/front/idle"
 	"tealpath/router"
-	"tealpath/thrift"
 )
 
 // held is a listener whose connections stay in the system's backlog until they are let in.
@@ -170,23 +170,27 @@
 	}
 }
 
-// Read before the connection was shut, and looked at after it: not taken, or it was sent on for a client that sends it again.
+// Read from a connection that is shut in that moment: not sent on, as its client may send it again, but refused before the client
+// sees the end; with no answer it was lost.
 func TestReadBeforeTheEndAndTakenAfter(t *testing.T) {
 	f, events := serving(t, keeping(10, time.Hour))
 	conn := rests(t, f, false)
 	f.mu.Lock()
 	c := f.clients[1]
 	f.mu.Unlock()
-	m, err := thrift.Parse(message(1, "call", 7, "\x00")[4:])
-	if err != nil {
-		t.Fatal(err)
-	}
-	if !c.takeOut() {
-		t.Fatal("it does not rest")
-	}
-	if c.message(m) || c.enter(8) != tooLate {
+	c.mu.Lock()
+	c.shut = true // as whoever takes it out does, before its reader is told
+	c.mu.Unlock()
+	if c.enter(9) != tooLate {
 		t.Error("taken")
 	}
+	call := func(seq uint32) []byte { return message(1, "call", seq, "\x00") }
+	conn.Write(slices.Concat(call(7), call(8), message(1, "health", 9, "\x00"), call(10)[:9]))
+	for _, seq := range []string{"\x00\x00\x00\x07", "\x00\x00\x00\x08"} {
+		if got, err := answerOn(conn); err != nil || !strings.Contains(got, "call"+seq+refusedField) {
+			t.Errorf("%q, %v", got, err)
+		}
+	}
 	endsGently(t, conn)
 	conn.Close()
 	if e := next(t, events); e != "Left" {
@@ -194,6 +198,9 @@
 	}
 }
 
+// refusedField is the start of what refuses a call: a struct as field 1.
+const refusedField = "\x0c\x00\x01"
+
 // A client that goes while nothing is open tells nobody that something waits.
 func TestHalfCloseWithNothingOpen(t *testing.T) {
 	f, events := serving(t, small)
--- a/front/front.go
+++ b/front/front.go
@@ -96,6 +96,7 @@
 	admit          *idle.Admission
 	holding        atomic.Int64 // connections that have goroutines
 	waiting        atomic.Int64 // parked connections on which something has come that is not taken in yet
+	refusing       atomic.Int64 // connections beyond the operator's bounds that are told so
 	refusals       int
 	refusedAt      time.Time
 
@@ -214,8 +215,8 @@
 			f.run(ctx, f.enter(conn, id, generation, false))
 			return true
 		case v == idle.PerClient || v == idle.PerNetwork:
-			conn.Close() // a bound of the operator's own, for the one who comes
-			f.refused(v)
+			f.refused(v) // a bound of the operator's own, for the one who comes
+			f.refuse(ctx, conn)
 			return true
 		}
 		// Closed at once instead of waiting, it took with it what the client had asked for already.
@@ -510,10 +511,6 @@
 // linger lets the client read its last answers: closing with input unread would reset the connection, and
 // what the client had not read by then was lost to it.
 func (c *client) linger() {
-	conn, ok := c.conn.(interface{ CloseWrite() error })
-	if !ok || conn.CloseWrite() != nil {
-		return
-	}
 	c.mu.Lock()
 	c.lingering = true
 	c.settle()
@@ -522,12 +519,7 @@
 	if c.isShut() {
 		most = shutMost
 	}
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(lingerGap) {
-		c.conn.SetReadDeadline(end)
-		if _, err := io.CopyN(io.Discard, neterr.Reader{From: c.conn}, lingerBytes); err != nil {
-			return
-		}
-	}
+	drain(c.conn, most)
 }
 
 // errShut ends the reading from a connection that is told that it ends.
@@ -550,7 +542,7 @@
 			return errOffence
 		}
 		if c.isShut() {
-			return errShut // asked after the deadline was set, as whoever shuts it sets one that has passed
+			return c.ended(in) // asked after the deadline was set, as whoever shuts it sets one that has passed
 		}
 		if _, err := in.Peek(1); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -574,9 +566,13 @@
 			return errOffence
 		}
 		if c.isShut() {
-			return errShut
+			return c.ended(in)
 		}
 		frame, err := c.frame(ctx, in)
+		if errors.Is(err, errRefused) {
+			c.note(in.Buffered() > 0)
+			continue
+		}
 		if err != nil {
 			return err
 		}
@@ -585,7 +581,7 @@
 			return err
 		}
 		if !c.message(m) {
-			return errShut
+			return c.ended(in)
 		}
 		c.note(in.Buffered() > 0)
 	}
@@ -625,10 +621,10 @@
 	if _, err := io.ReadFull(in, frame); err != nil || size <= smallFrame {
 		return frame, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, frameMost)
+	waiting, cancel := context.WithTimeout(ctx, readingMost)
 	defer cancel()
-	if err := c.front.reading.Acquire(ctx, int64(size)); err != nil {
-		return nil, err
+	if err := c.front.reading.Acquire(waiting, int64(size)); err != nil {
+		return nil, c.refuseLarge(in, frame, size)
 	}
 	defer c.front.reading.Release(int64(size))
 	frame = append(make([]byte, 0, size), frame...)[:size]
@@ -636,10 +632,13 @@
 	return frame, err
 }
 
-// message takes a message in, unless the connection was shut before that. A client that sent what cannot be used is told so,
+// message takes a message in, unless the connection was shut before that: then a request is refused. A client that sent what cannot be used is told so,
 // and no more is read from it.
 func (c *client) message(m thrift.Message) bool {
 	if c.isShut() {
+		if isRequest(m) {
+			c.send(refusedAnswer(m.Seq))
+		}
 		return false
 	}
 	fault := func(kind int, text string) {
@@ -670,8 +669,9 @@
 		case inUse:
 			fault(thrift.BadSequence, "sequence number in use")
 		case tooMany:
-			c.send(thrift.Answer{Method: m.Name, Seq: m.Seq, Field: 1})
+			c.send(refusedAnswer(m.Seq))
 		case tooLate:
+			c.send(refusedAnswer(m.Seq))
 			return false
 		}
 	}
@@ -833,10 +833,7 @@
 			continue
 		}
 		c.conn.SetWriteDeadline(time.Now().Add(takeMost))
-		err := neterr.Retry(func() error {
-			_, err := batch.WriteTo(c.conn)
-			return err
-		})
+		err := writeAll(c.conn, &batch)
 		c.mu.Lock()
 		c.writing, c.bytes = false, c.bytes-size
 		c.mu.Unlock()
--- a/front/local_linux_test.go
+++ b/front/local_linux_test.go
@@ -154,34 +154,42 @@
 	return l.wrap(conn), nil
 }
 
-// faultyConn fails reads and writes with an error, some bytes of a write having gone out.
+// faultyConn fails reads and writes with an error, some bytes of a write having gone out. The connection is not embedded as what it
+// is: net.Buffers would write to that itself.
 type faultyConn struct {
-	*net.TCPConn
+	net.Conn
 	read, write func() error
 }
 
+func (c faultyConn) SyscallConn() (syscall.RawConn, error) {
+	return c.Conn.(*net.TCPConn).SyscallConn()
+}
+
+func (c faultyConn) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
+
 func (c faultyConn) Read(p []byte) (int, error) {
 	if err := c.read(); err != nil {
 		return 0, os.NewSyscallError("read", err)
 	}
-	return c.TCPConn.Read(p)
+	return c.Conn.Read(p)
 }
 
 func (c faultyConn) Write(p []byte) (int, error) {
 	if err := c.write(); err != nil {
-		n, _ := c.TCPConn.Write(p[:len(p)/2])
+		n, _ := c.Conn.Write(p[:len(p)/2])
 		return n, os.NewSyscallError("write", err)
 	}
-	return c.TCPConn.Write(p)
+	return c.Conn.Write(p)
 }
 
-// fronting is a front on a listener of the test's.
+// fronting is a front on a listener of the test's. Nothing rests there: resumed, a connection would be the system's own again.
 func fronting(t *testing.T, limits Limits, accept, read, write func() error) (*Front, chan router.Event) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
+	limits.Calls = failingCalls("fcntl", unix.EINVAL, func() bool { return true })
 	events := make(chan router.Event, 1000)
 	f := New(faultyListener{listener.(*net.TCPListener), accept, func(c *net.TCPConn) net.Conn { return faultyConn{c, read, write} }}, limits,
 		func(e router.Event) { events <- e }, func(string) {})
