--- a/front/local_linux_test.go
+++ b/front/local_linux_test.go
@@ -27,13 +27,14 @@
 	"poll":       {unix.EINTR, unix.ENOMEM, unix.EINVAL},
 	"connect":    {unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.ENOBUFS}, // net.FileConn
 	"poller":     {unix.EMFILE, unix.ENOSPC},                            // and the runtime's poller does not take the file either
+	"all":        {unix.ENOMEM},
 }
 
 // failingCalls has one call fail with an error as long as it is to; EINTR fails each other call only, as it would not end.
 func failingCalls(call string, errno unix.Errno, now func() bool) *park.Calls {
 	calls, interrupted := *park.Kernel, atomic.Int64{}
 	fails := func(name string) bool {
-		return name == call && now() && (errno != unix.EINTR || interrupted.Add(1)%2 == 1)
+		return (name == call || call == "all") && now() && (errno != unix.EINTR || interrupted.Add(1)%2 == 1)
 	}
 	calls.Duplicate = func(fd int) (int, error) {
 		if fails("fcntl") {
--- a/operator/socket.go
+++ b/operator/socket.go
@@ -12,6 +12,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"tealpath/neterr"
 )
 
 // Bounds of what goes over the socket.
@@ -20,6 +22,7 @@
 	askWithin  = 5 * time.Second
 	askersMost = 8
 	answerMost = 16 << 20
+	acceptGap  = 50 * time.Millisecond // after an accept that this machine failed
 )
 
 // Handler answers one command; what it returns goes out as JSON.
@@ -48,6 +51,12 @@
 	if err := os.Chmod(path, 0o600); err != nil {
 		return fmt.Errorf("socket: %w", err)
 	}
+	return accept(ctx, listener, handlers)
+}
+
+// accept answers on a listener until the context ends. What this machine lacks for a moment ends nothing: the whole instance
+// ended with its socket.
+func accept(ctx context.Context, listener net.Listener, handlers map[string]Handler) error {
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
 	var group sync.WaitGroup
@@ -56,10 +65,17 @@
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
-			if ctx.Err() != nil {
+			switch {
+			case ctx.Err() != nil:
 				return nil
+			case !neterr.IsLocal(err):
+				return fmt.Errorf("socket: %w", err)
+			}
+			select {
+			case <-time.After(acceptGap):
+			case <-ctx.Done():
 			}
-			return fmt.Errorf("socket: %w", err)
+			continue
 		}
 		select {
 		case askers <- struct{}{}:
--- a/process/process.go
+++ b/process/process.go
@@ -20,6 +20,7 @@
 	"tealpath/config"
 	"tealpath/feed"
 	"tealpath/front"
+	"tealpath/neterr"
 	"tealpath/operator"
 	plan "tealpath/plan/leave"
 	"tealpath/plan/links"
@@ -247,7 +248,9 @@
 	journal.Move(next.Journal)
 }
 
-func isInUse(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
+// mayPass tells whether an address that could not be listened on may be had in a moment: another process lets go of it, or of what
+// this machine lacks.
+func mayPass(err error) bool { return errors.Is(err, syscall.EADDRINUSE) || neterr.IsExhausted(err) }
 
 func (p *Process) sockets() int64 { return max(p.config.Sockets, leastSockets) }
 
--- a/process/sharing.go
+++ b/process/sharing.go
@@ -321,7 +321,7 @@
 func listenSoon(ctx context.Context, leave <-chan struct{}, address string, alive net.KeepAliveConfig) (net.Listener, error) {
 	for end := time.Now().Add(addressWait); ; {
 		listener, err := (&net.ListenConfig{KeepAliveConfig: alive}).Listen(ctx, "tcp", address)
-		if err == nil || !isInUse(err) || time.Now().After(end) {
+		if err == nil || !mayPass(err) || time.Now().After(end) {
 			return listener, err
 		}
 		select {
