--- a/front/arrival.go
+++ b/front/arrival.go
@@ -69,7 +69,7 @@
 // Read reads what has come, or waits for it.
 func (a *arrivals) Read(p []byte) (int, error) {
 	called := a.front.now()
-	there := called-a.drained > awayFrom && pending(a.Conn)
+	there := called-a.drained > awayFrom && a.front.pending(a.Conn)
 	n, err := a.Conn.Read(p)
 	returned := a.front.now()
 	waited := !there && returned-called >= waitedFrom
--- a/front/departure.go
+++ b/front/departure.go
@@ -7,6 +7,7 @@
 	"os"
 	"time"
 
+	"tealpath/internal/neterr"
 	"tealpath/router"
 	"tealpath/thrift"
 )
@@ -41,12 +42,14 @@
 		case <-time.After(lingerGap):
 		}
 		c.conn.SetReadDeadline(time.Now().Add(endLook))
-		_, err := io.CopyN(io.Discard, c.conn, lingerBytes)
+		_, err := io.CopyN(io.Discard, neterr.Reader{From: c.conn}, lingerBytes)
 		switch {
 		case err == nil, errors.Is(err, os.ErrDeadlineExceeded):
 		case errors.Is(err, io.EOF):
 			c.tellHalfClosed()
 			return
+		case endsReading(err):
+			return // it proves nothing: what is open is answered all the same
 		default:
 			c.mu.Lock()
 			clear(c.open) // the client has gone
@@ -65,7 +68,7 @@
 		return err
 	}
 	if m.Type == thrift.Call && m.Name == "call" {
-		refused := thrift.Answer{Method: m.Name, Seq: m.Seq, Field: 1}
+		refused := refusedAnswer(m.Seq)
 		switch c.enter(m.Seq) {
 		case entered:
 			c.answer(refused)
@@ -76,6 +79,7 @@
 			c.offend()
 			return nil
 		case tooLate:
+			c.send(refused)
 			return errShut
 		}
 	}
--- a/front/front.go
+++ b/front/front.go
@@ -22,6 +22,7 @@
 	"tealpath/front/idle"
 	"tealpath/front/park"
 	"tealpath/internal/clock"
+	"tealpath/internal/neterr"
 	"tealpath/router"
 	"tealpath/thrift"
 )
@@ -71,6 +72,7 @@
 	Crowded     func() bool // whether others wait for the core; nil is never
 	Keep        *Keep       // nil: as the platform states it
 	Clock       clock.Clock // nil: clock.System
+	Calls       *park.Calls // of the system, for connections that rest; nil: as it has them
 }
 
 // Front serves clients on one listener.
@@ -90,11 +92,13 @@
 	crowded bool // connections are at their bound
 	group   sync.WaitGroup
 
+	calls          *park.Calls
 	lot            *park.Lot // nil: the system has none
 	refusesParking atomic.Bool
 	admit          *idle.Admission
 	holding        atomic.Int64 // connections that have goroutines
 	waiting        atomic.Int64 // parked connections on which something has come that is not taken in yet
+	refusing       atomic.Int64 // connections beyond the operator's bounds that are told so
 	refusals       int
 	refusedAt      time.Time
 
@@ -105,6 +109,9 @@
 	keep   *Keep
 	at     []place // by the table's IDs
 
+	postponed []wakeUp // parked connections that could not be resumed for want of something; guarded by places
+	resuming  bool     // some of them are being tried again; guarded by places
+
 	closing []closing   // parked connections at their end; guarded by places
 	shut    atomic.Bool // the listener is closed as this router ends
 	closed  atomic.Bool // and nothing that was accepted is still to be taken in
@@ -115,17 +122,20 @@
 	if limits.Keep == nil {
 		limits.Keep = &Keep{Networks: []idle.Keep{{Fresh: FreshMost, Idle: int64(idleMost)}}}
 	}
+	if limits.Calls == nil {
+		limits.Calls = park.Kernel
+	}
 	if limits.Crowded == nil {
 		limits.Crowded = func() bool { return false }
 	}
 	if limits.Clock == nil {
 		limits.Clock = clock.System()
 	}
-	f := &Front{listener: listener, post: post, log: log, limits: limits, keep: limits.Keep,
+	f := &Front{listener: listener, post: post, log: log, limits: limits, keep: limits.Keep, calls: limits.Calls,
 		reading: semaphore.NewWeighted(max(limits.Bytes, thrift.FrameMost)), clients: map[router.ClientID]*client{},
 		admit: idle.NewAdmission(limits.Cores),
 		table: idle.New(idle.Limits{Connections: limits.Connections, Cores: limits.Cores}, limits.Keep.Networks, limits.Seed)}
-	lot, err := park.New()
+	lot, err := park.NewOn(f.calls)
 	if f.lot = lot; err != nil {
 		f.lot = nil
 		f.noParking(err)
@@ -192,7 +202,7 @@
 func (f *Front) take(ctx context.Context, conn net.Conn, since time.Time) bool {
 	turn, wait := idle.Waits, int64(0)
 	for {
-		silent := f.parks() && !pending(conn)
+		silent := f.parks() && !f.pending(conn)
 		if turn, wait = f.admit.Turn(f.now(), int64(time.Since(since)), f.limits.Crowded(), silent); turn != idle.Waits {
 			break
 		}
@@ -202,7 +212,7 @@
 		}
 	}
 	for {
-		if idle.Gone(int64(time.Since(since)), hungUp(conn)) {
+		if idle.Gone(int64(time.Since(since)), f.hungUp(conn)) {
 			conn.Close() // its client closed while it waited: what it asked for was sent for nobody, seconds later
 			return true
 		}
@@ -216,8 +226,8 @@
 			f.run(ctx, c)
 			return true
 		case v == idle.PerClient || v == idle.PerNetwork:
-			conn.Close() // a bound of the operator's own, for the one who comes
-			f.refused(v)
+			f.refused(v) // a bound of the operator's own, for the one who comes
+			f.refuse(ctx, conn)
 			return true
 		}
 		// Closed at once instead of waiting, it took with it what the client had asked for already.
@@ -311,7 +321,7 @@
 		return true
 	}
 	if !c.lingering {
-		came := pending(c.conn)
+		came := c.front.pending(c.conn)
 		if came {
 			c.reading, c.used = true, time.Now() // as its reader will find soon; looked at again and again it hid the others
 			c.settle()
@@ -332,26 +342,24 @@
 }
 
 // hungUp tells whether a connection's client has closed, though what it sent before is not read yet.
-func hungUp(conn net.Conn) (up bool) {
+func (f *Front) hungUp(conn net.Conn) (up bool) {
 	if c, ok := conn.(syscall.Conn); ok {
 		if raw, err := c.SyscallConn(); err == nil {
-			raw.Control(func(fd uintptr) { up = park.HungUp(int(fd)) })
+			raw.Control(func(fd uintptr) { up = f.calls.HungUp(int(fd)) })
 		}
 	}
 	return up
 }
 
-// pending tells whether something has come on a connection that is not read yet.
-func pending(conn net.Conn) bool {
-	n := 0
+// pending tells whether something has come on a connection that is not read yet, or may have.
+func (f *Front) pending(conn net.Conn) bool {
+	content := park.Nothing
 	if c, ok := conn.(syscall.Conn); ok {
 		if raw, err := c.SyscallConn(); err == nil {
-			raw.Control(func(fd uintptr) {
-				n, _, _ = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-			})
+			raw.Control(func(fd uintptr) { content = f.calls.Came(int(fd)) })
 		}
 	}
-	return n > 0
+	return content == park.Bytes || content == park.Unknown
 }
 
 // Answer writes a final answer to its client, if that is still there. It never waits.
@@ -407,7 +415,7 @@
 			return false
 		}
 	}
-	return f.lot == nil || !f.lot.Ready()
+	return f.lot == nil || !f.lot.Ready() && !f.postpones()
 }
 
 // client is one connection.
@@ -517,10 +525,6 @@
 // linger lets the client read its last answers: closing with input unread would reset the connection, and
 // what the client had not read by then was lost to it.
 func (c *client) linger() {
-	tcp, ok := c.conn.(*net.TCPConn)
-	if !ok || tcp.CloseWrite() != nil {
-		return
-	}
 	c.mu.Lock()
 	c.lingering = true
 	c.settle()
@@ -529,12 +533,7 @@
 	if c.isShut() {
 		most = shutMost
 	}
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(lingerGap) {
-		tcp.SetReadDeadline(end)
-		if _, err := io.CopyN(io.Discard, tcp, lingerBytes); err != nil {
-			return
-		}
-	}
+	drain(c.conn, most)
 }
 
 // errShut ends the reading from a connection that is told that it ends.
@@ -544,34 +543,27 @@
 var errOffence = errors.New("front: a client sent what no usual one sends")
 
 // endsReading tells whether an error leaves the way to the client open, so that what was understood before it
-// is still answered: the client has closed its side only, or sent what cannot be understood. One that closed
-// both sides shows by the first answer to it.
-func endsReading(err error) bool {
-	for _, e := range []error{errShut, thrift.ErrFrame, thrift.ErrVersion, io.EOF, io.ErrUnexpectedEOF, os.ErrDeadlineExceeded} {
-		if errors.Is(err, e) {
-			return true
-		}
-	}
-	return false
-}
+// is still answered: the client has closed its side only, or sent what cannot be understood, or nothing proves that it has gone.
+// One that closed both sides shows by the first answer to it.
+func endsReading(err error) bool { return !neterr.IsEnd(err) }
 
 // read reads requests until the connection ends or cannot be understood any more.
 func (c *client) read(ctx context.Context) error {
-	in := bufio.NewReaderSize(&c.arrivals, smallFrame)
+	in := bufio.NewReaderSize(neterr.Reader{From: &c.arrivals}, smallFrame)
 	for {
 		c.conn.SetReadDeadline(c.patience())
 		if c.bad() {
 			return errOffence
 		}
 		if c.isShut() {
-			return errShut // asked after the deadline was set, as whoever shuts it sets one that has passed
+			return c.ended(in) // asked after the deadline was set, as whoever shuts it sets one that has passed
 		}
 		if _, err := in.Peek(1); err != nil {
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				if c.isShut() {
 					return errShut
 				}
-				if !c.idle() || pending(c.conn) {
+				if !c.idle() || c.front.pending(c.conn) {
 					continue
 				}
 				if done, why := c.rest(); !done {
@@ -589,11 +581,11 @@
 			return errOffence
 		}
 		if c.isShut() {
-			return errShut
+			return c.ended(in)
 		}
 		frame, err := c.frame(ctx, in)
 		if err == nil && frame != nil {
-			err = c.takeFrame(frame, arrived)
+			err = c.takeFrame(in, frame, arrived)
 		}
 		if err != nil {
 			return err
@@ -603,13 +595,13 @@
 }
 
 // takeFrame takes a whole frame in that arrived at a time at the earliest.
-func (c *client) takeFrame(frame []byte, arrived int64) error {
+func (c *client) takeFrame(in *bufio.Reader, frame []byte, arrived int64) error {
 	m, err := thrift.Parse(frame)
 	if err != nil {
 		return err
 	}
 	if !c.message(m, arrived) {
-		return errShut
+		return c.ended(in)
 	}
 	return nil
 }
@@ -662,10 +654,14 @@
 	return frame, err
 }
 
-// message takes a message in that arrived at a time at the earliest, unless the connection was shut before that. A client that sent what cannot be used is told so,
+// message takes a message in that arrived at a time at the earliest, unless the connection was shut before that: then a request
+// is refused. A client that sent what cannot be used is told so,
 // and no more is read from it.
 func (c *client) message(m thrift.Message, arrived int64) bool {
 	if c.isShut() {
+		if isRequest(m) {
+			c.send(refusedAnswer(m.Seq))
+		}
 		return false
 	}
 	fault := func(kind int, text string) {
@@ -696,8 +692,9 @@
 		case inUse:
 			fault(thrift.BadSequence, "sequence number in use")
 		case tooMany:
-			c.send(thrift.Answer{Method: m.Name, Seq: m.Seq, Field: 1})
+			c.send(refusedAnswer(m.Seq))
 		case tooLate:
+			c.send(refusedAnswer(m.Seq))
 			return false
 		}
 	}
@@ -765,7 +762,7 @@
 func (c *client) flushed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.queue) == 0 && !c.writing && (c.ending || c.shut || !c.reading && !pending(c.conn))
+	return len(c.queue) == 0 && !c.writing && (c.ending || c.shut || !c.reading && !c.front.pending(c.conn))
 }
 
 func (c *client) isReading() bool {
@@ -859,7 +856,7 @@
 			continue
 		}
 		c.conn.SetWriteDeadline(time.Now().Add(takeMost))
-		_, err := batch.WriteTo(c.conn)
+		err := writeAll(c.conn, &batch)
 		c.mu.Lock()
 		c.writing, c.bytes = false, c.bytes-size
 		c.mu.Unlock()
