--- a/feed/feed.go
+++ b/feed/feed.go
@@ -3,10 +3,12 @@
 
 import (
 	"context"
+	"encoding/binary"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
+	"math"
 	"net"
 	"os"
 	"strconv"
@@ -342,22 +344,41 @@
 	about := start.List{Position: e.Pos}
 	if l, ok := told.(router.Listed); ok {
 		about.Generation, about.Whole, about.Members = e.Hosts.Generation, l.Whole, len(l.Lines)
-		hash := xxhash.New()
 		for _, line := range l.Lines {
 			if line.Phase == "ready" {
 				about.Ready++
 			}
-			fmt.Fprintln(hash, line)
 		}
-		about.Digest = hash.Sum64()
+		about.Digest = digest(l.Lines)
 	}
 	return e.Pos, told, about, err
 }
 
+// digest tells lists apart that differ in anything.
+func digest(lines []router.Listing) uint64 {
+	hash := xxhash.New()
+	var line []byte
+	for _, l := range lines {
+		line = line[:0]
+		for _, text := range []string{l.Instance, l.Address, l.Location, l.Kind, l.Phase} {
+			line = binary.AppendUvarint(line, uint64(len(text)))
+			line = append(line, text...)
+		}
+		line = binary.BigEndian.AppendUint64(line, uint64(l.Cell))
+		line = binary.BigEndian.AppendUint64(line, math.Float64bits(l.Units))
+		line = binary.BigEndian.AppendUint64(line, uint64(l.Started))
+		hash.Write(line)
+	}
+	return hash.Sum64()
+}
+
 func (e entry) tells() (router.Event, error) {
 	switch {
 	case e.Hosts != nil:
 		list := router.Listed{Whole: e.Hosts.Reset || e.Pos == 1}
+		if n := len(e.Hosts.Instances); n > 0 {
+			list.Lines = make([]router.Listing, 0, n)
+		}
 		for _, i := range e.Hosts.Instances {
 			if i.InstanceID == "" {
 				return nil, errors.New("an instance without an id")
--- a/sse/sse.go
+++ b/sse/sse.go
@@ -13,9 +13,10 @@
 
 // Limits of what is read.
 const (
-	lineMost  = 1 << 20 // of a line; a whole list is one
-	eventMost = 1 << 21
-	headMost  = 64 // lines of an answer's head
+	lineMost   = 4 << 20 // of a line; a whole list is one: 10,000 members at 400 bytes
+	eventMost  = 4 << 20
+	headMost   = 64       // lines of an answer's head
+	bufferSize = 16 << 10 // read from the connection at a time
 )
 
 // ErrForm is input that is no such stream.
@@ -47,7 +48,7 @@
 
 // Open reads the head of the answer to a request.
 func Open(raw io.Reader) (*Stream, error) {
-	in := bufio.NewReader(raw)
+	in := bufio.NewReaderSize(raw, bufferSize)
 	status, err := readLine(in)
 	if err != nil {
 		return nil, err
@@ -78,7 +79,7 @@
 		}
 	}
 	if chunked {
-		in = bufio.NewReader(&chunks{in: in})
+		in = bufio.NewReaderSize(&chunks{in: in}, bufferSize)
 	}
 	return &Stream{in: in}, nil
 }
@@ -86,7 +87,7 @@
 // Next reads the next event or comment. An event that the stream ends in is not given.
 func (s *Stream) Next() (Event, error) {
 	var e Event
-	data, some := []byte(nil), false
+	some := false
 	s.begun = false
 	for {
 		line, err := readLine(s.in)
@@ -96,7 +97,6 @@
 		}
 		if s.begun = len(line) > 0; !s.begun {
 			if some {
-				e.Data = bytes.TrimSuffix(data, []byte("\n"))
 				return e, nil
 			}
 			e = Event{}
@@ -115,10 +115,14 @@
 		case "id":
 			e.ID = string(value)
 		case "data":
-			data, some = append(append(data, value...), '\n'), true
-			if len(data) > eventMost {
+			if !some {
+				e.Data, some = value, true // the line is this event's alone: a long list is not copied
+				continue
+			}
+			if len(e.Data)+len(value) >= eventMost {
 				return Event{}, fmt.Errorf("%w: event too long", ErrForm)
 			}
+			e.Data = append(append(e.Data, '\n'), value...)
 		}
 	}
 }
--- a/sse/sse_test.go
+++ b/sse/sse_test.go
@@ -48,6 +48,25 @@
 	}
 }
 
+// The list of the largest fleet is one line: 3,200 members with long names, and 10,000 with usual ones.
+func TestLongLists(t *testing.T) {
+	for _, c := range []struct {
+		name           string
+		members, bytes int // of each
+	}{{"3,200 with long names", 3200, 1000}, {"10,000", 10_000, 400}} {
+		t.Run(c.name, func(t *testing.T) {
+			list := strings.Repeat("x", c.members*c.bytes)
+			s, err := Open(strings.NewReader("HTTP/1.1 200 OK\r\n\r\nid: 4\ndata: " + list + "\n\n"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if e, err := s.Next(); err != nil || string(e.Data) != list {
+				t.Errorf("%d bytes, %v", len(e.Data), err)
+			}
+		})
+	}
+}
+
 var errAny = errors.New("any error")
 
 func TestRequest(t *testing.T) {
