--- a/router/endings_test.go
+++ b/router/endings_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
@@ -206,3 +207,34 @@
 		t.Errorf("a key that would pass for fields: %s", last)
 	}
 }
+
+// Of more caches than the router may have links, those that have one serve what belongs to the others.
+func TestMoreCachesThanLinks(t *testing.T) {
+	const caches, most, requests = 60, 8, 100
+	p := newPlay(t, func(l *Limits, _ control.Settings) { l.Links = most })
+	list := Listed{Whole: true, Lines: slices.Clone(fleet[2:])}
+	for n := range caches {
+		list.Lines = append(list.Lines, Listing{fmt.Sprintf("s-%02d", n), fmt.Sprintf("10.0.1.%d:1", n),
+			control.Listing{Location: "here", Kind: "cache", Phase: "ready", Units: 5}})
+	}
+	p.take(list)
+	settled := 0
+	for seq := int32(1); seq <= requests; seq++ {
+		dialled, sent := len(p.links), len(p.sends)
+		p.seen = nil
+		p.ask(seq, map[string]string{"item": fmt.Sprintf("%016x", 1000+seq), "nth": "0"})
+		if len(p.links) > dialled {
+			p.up()
+		}
+		if len(p.sends) > sent {
+			p.answer(Answered{Result: control.Good, Body: []byte("a")})
+		}
+		if slices.Contains(p.seen, fmt.Sprintf("settled %da", seq)) {
+			settled++
+		}
+		p.pass(50 * millisecond)
+	}
+	if settled != requests || len(p.links) > most {
+		t.Errorf("%d of %d were served over %d links, %d may be", settled, requests, len(p.links), most)
+	}
+}
--- a/router/links.go
+++ b/router/links.go
@@ -120,16 +120,25 @@
 	return l
 }
 
-// reaches tells whether a dispatch to a member would find a link, or may open one. It is the module's to pass over a cache
-// that can't be reached, in the order of an object's ranking.
+// reaches tells whether a dispatch to a member would find a link, or may open one: by the plan, and within the links that
+// the router may have in all. It is the module's to pass over a cache that can't be reached, in the order of an object's
+// ranking: where there are more caches than links, what has no link of its own goes to one that stands.
 func (r *Router) reaches(id uint32) bool {
 	m := r.byID[id]
-	if m == nil || r.limits.Plan.May(r.now, m.Instance, len(m.links)) {
+	if m == nil || !r.isCache(m) {
+		return true
+	}
+	if len(r.links) < r.limits.Links && r.limits.Plan.May(r.now, m.Instance, len(m.links)) {
 		return true
 	}
 	return r.limits.Plan.Takes(r.now, m.Instance) && slices.ContainsFunc(m.links, func(l *link) bool { return !l.doubted })
 }
 
+// isCache tells whether a member is a cache of this router's location.
+func (r *Router) isCache(m *member) bool {
+	return m.Location == r.location && !slices.Contains(r.notCaches, m.Kind)
+}
+
 // meet dials caches ahead of what is to be sent there, as the plan says.
 func (r *Router) meet() {
 	for _, name := range r.limits.Plan.Ahead(r.now) {
@@ -146,7 +155,7 @@
 	}
 	var names []string
 	for _, name := range sortedKeys(r.members) {
-		if m := r.members[name]; m.Phase == "ready" && m.Location == r.location && !slices.Contains(r.notCaches, m.Kind) {
+		if m := r.members[name]; m.Phase == "ready" && r.isCache(m) {
 			names = append(names, name)
 		}
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -127,17 +127,18 @@
 	set["probe"] = false
 	var err error
 	r.decide, err = control.New(now, seed, set, r.log)
-	if limits.Plan != nil && err == nil {
-		r.location = setting(set, "location", "")
-		for _, name := range []string{"kind.parent", "kind.origin"} {
-			kinds := setting(set, "kinds", []string(nil))
-			if i := setting(set, name, int64(-1)); i >= 0 && i < int64(len(kinds)) {
-				r.notCaches = append(r.notCaches, kinds[i])
-			}
+	if err != nil {
+		return nil, err
+	}
+	r.location = setting(set, "location", "")
+	for _, name := range []string{"kind.parent", "kind.origin"} {
+		kinds := setting(set, "kinds", []string(nil))
+		if i := setting(set, name, int64(-1)); i >= 0 && i < int64(len(kinds)) {
+			r.notCaches = append(r.notCaches, kinds[i])
 		}
-		r.decide.Reach = r.reaches
 	}
-	return r, err
+	r.decide.Reach = r.reaches
+	return r, nil
 }
 
 func setting[T any](set control.Settings, name string, fallback T) T {
