--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -20,7 +20,8 @@
 
 // Bounds of what one message holds.
 const (
-	findingsMost = 512
+	findingsMost = 512      // of one message
+	findingsKept = 2 * 4096 // to be told at the next beat: one of each server of the largest fleet, twice
 	loadMost     = 16
 )
 
@@ -338,7 +339,7 @@
 			if seen, known := n.seen[f.Target]; known && !seen.before(finding{f.Number, f.Seq}) {
 				continue // it came by another way
 			}
-			if len(n.found) < findingsMost {
+			if len(n.found) < findingsKept {
 				n.found = append(n.found, f)
 			}
 		}
@@ -375,7 +376,7 @@
 	n.seq++
 	e.Seq = n.seq
 	n.take(e.Finding)
-	if len(n.found) < findingsMost {
+	if len(n.found) < findingsKept {
 		n.found = append(n.found, e.Finding)
 	}
 }
@@ -390,7 +391,9 @@
 	if len(n.found) > 0 && now >= n.foundAt {
 		n.foundAt = duty.Beat(now, n.config.Self.Name, n.config.Duty.Renewal) // together, with what else goes out
 		for _, m := range n.table.Links() {
-			n.do(Send{To: m.Name, Message: Message{Findings: n.found}})
+			for part := range slices.Chunk(n.found, findingsMost) {
+				n.do(Send{To: m.Name, Message: Message{Findings: part}})
+			}
 		}
 		n.found = nil
 	}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -2,10 +2,13 @@
 
 import (
 	"bytes"
+	"fmt"
+	"strings"
 	"testing"
 
 	"tealpath/fleet/duty"
 	"tealpath/fleet/member"
+	"tealpath/fleet/peer"
 	"tealpath/fleet/probe"
 )
 
@@ -187,6 +190,63 @@
 	}
 }
 
+// What was found of all servers of the largest fleet between two beats is told, in messages that fit a frame.
+func TestFindingsOfTheLargestFleet(t *testing.T) {
+	const servers = 4096
+	n := node(t, "a", 1)
+	n.Handle(1, Due{Wall: 1e12})
+	for i := range servers {
+		n.Handle(2, Probed{Finding{Target: fmt.Sprintf("cache-server-%051d", i), Number: 7, Good: true, Load: make([]float64, loadMost)}})
+	}
+	told := map[string]bool{}
+	for now := int64(3); now < 1000*ms; now += 100 * ms {
+		for _, e := range n.Handle(now, Due{Wall: 1e12}) {
+			send, ok := e.(Send)
+			if !ok || send.To != "b" {
+				continue
+			}
+			raw, err := send.Message.Encode()
+			if err != nil || len(raw) > peer.FrameMost {
+				t.Fatalf("a message of %d bytes, %v", len(raw), err)
+			}
+			m, err := Decode(raw)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, f := range m.Findings {
+				told[f.Target] = true
+			}
+		}
+	}
+	if len(told) != servers {
+		t.Errorf("%d of %d servers were told of", len(told), servers)
+	}
+}
+
+// The largest messages fit a frame and are read.
+func TestLargestMessages(t *testing.T) {
+	name := strings.Repeat("n", 128)
+	refusal := duty.Message{Kind: duty.Refuse, Epoch: 1 << 40, Sent: 1 << 62}
+	for slot := range duty.SlotsMost {
+		refusal.Items = append(refusal.Items, duty.Item{Slot: slot, Number: 1 << 63, Holder: duty.Holder{Name: name, Incarnation: 1 << 63}, Left: 1 << 40})
+	}
+	news := member.Gossip{Beat: 1 << 40, Echo: 1 << 40, Digest: 1 << 63, Parts: make([]uint64, member.Buckets)}
+	for range member.ToldMost {
+		news.Entries = append(news.Entries, member.Entry{Name: name, Incarnation: 1 << 63, Start: 1 << 63, Version: 1 << 63,
+			Address: strings.Repeat("a", 256), Weight: 1.1, Leaving: true, Epoch: 1 << 63, Dead: true})
+		news.Alerts = append(news.Alerts, member.Alert{Subject: name, Incarnation: 1 << 63, Version: 1 << 63, Observer: name, Seq: 1 << 63, Kind: 1})
+	}
+	for what, m := range map[string]Message{"all slots refused": {Duty: &refusal}, "news": {Gossip: &news}} {
+		raw, err := m.Encode()
+		if err != nil || len(raw) > peer.FrameMost {
+			t.Errorf("%s: %d bytes, a frame holds %d; %v", what, len(raw), peer.FrameMost, err)
+		}
+		if _, err := Decode(raw); err != nil {
+			t.Errorf("%s: %v", what, err)
+		}
+	}
+}
+
 // After all of a majority restarted with wall clocks set back, an owner's number may be below one seen for its target:
 // it asks anew instead of probing for nothing.
 func TestOwnerUnderALowNumberAsksAnew(t *testing.T) {
--- a/fleet/peer/frame.go
+++ b/fleet/peer/frame.go
@@ -12,8 +12,9 @@
 // Version is the protocol's. Instances of another one are refused: what they say of members means something else to them.
 const Version = 2
 
-// FrameMost is the longest frame, in bytes: more than the members and slots that can be come to.
-const FrameMost = 256 << 10
+// FrameMost is the longest frame, in bytes: more than the members and slots that can be come to. The largest message is one
+// that refuses all slots and names their holders.
+const FrameMost = 1 << 20
 
 const helloMost = 512
 
--- a/fleet/peer/peer.go
+++ b/fleet/peer/peer.go
@@ -26,9 +26,9 @@
 const (
 	queueMost     = 64 // frames waiting for one peer
 	shakeWithin   = 2 * time.Second
-	shakeMost     = 16 // handshakes at a time
-	acceptedMost  = 512
-	sameMost      = 3 // accepted links from one name; the oldest ends
+	shakeMost     = 16   // handshakes at a time
+	acceptedMost  = 2048 // to a voter all others may come, 1,024 and more, also again before the links before are known to be dead
+	sameMost      = 3    // accepted links from one name; the oldest ends
 	writeWithin   = 2 * time.Second
 	quietMost     = time.Minute // without a frame on an accepted link
 	backOffFirst  = 50 * time.Millisecond
--- a/fleet/peer/peer_test.go
+++ b/fleet/peer/peer_test.go
@@ -264,6 +264,22 @@
 	wait(t, "the message behind 300 silent connections", func() bool { return b.count(&b.got, "a:x") == 1 })
 }
 
+// A voter that all others of a large fleet have come to, each twice over a restart, takes one more.
+func TestLinksFromTheLargestFleet(t *testing.T) {
+	r, folder := root(t, "r"), t.TempDir()
+	issue(t, r, folder, "a", time.Hour, r)
+	issue(t, r, folder, "b", time.Hour, r)
+	b := open(t, "b", load(t, folder, "b"), "127.0.0.1-127.0.0.1")
+	const others = 1024
+	b.Links.mu.Lock()
+	b.accepted += 2*others - 1
+	b.Links.mu.Unlock()
+	a := open(t, "a", load(t, folder, "a"), "127.0.0.1-127.0.0.1")
+	a.Aim(map[string]string{"b": b.address})
+	a.Send("b", []byte("x"))
+	wait(t, "the message behind the others' links", func() bool { return b.count(&b.got, "a:x") == 1 })
+}
+
 func TestQueueDropsTheOldest(t *testing.T) {
 	r, folder := root(t, "r"), t.TempDir()
 	issue(t, r, folder, "a", time.Hour, r)
--- a/lab/counters/counters.go
+++ b/lab/counters/counters.go
@@ -16,7 +16,7 @@
 // Bounds of what is kept and told.
 const (
 	// EntriesMost is how many instances are known at most; a peer that tells of more is not believed.
-	EntriesMost = 256
+	EntriesMost = 4096
 
 	nameMost    = 128
 	addressMost = 256
