--- a/plan/links/links.go
+++ b/plan/links/links.go
@@ -67,16 +67,22 @@
 
 // Plan is one router's plan. A nil plan allows all. It is not safe for use by two goroutines at once.
 type Plan struct {
-	set    Config
-	rng    *rand.Rand
-	caches map[string]*cache
-	order  []string // by preference: the first Kept are the subset
-	Kept   int      // caches of the subset
-	Each   int      // links to one of them
-	farGap int64    // between two links to one outside
+	set     Config
+	rng     *rand.Rand
+	caches  map[string]*cache
+	order   []*cache // by preference: the first Kept are the subset
+	lists   int      // that Members was given
+	counted int      // caches that Kept was computed for
+	Kept    int      // caches of the subset
+	Each    int      // links to one of them
+	farGap  int64    // between two links to one outside
 }
 
 type cache struct {
+	name    string
+	score   uint64 // of rendezvous hashing: the lowest are preferred
+	list    int    // the last one that named it
+	fresh   bool   // it was not in the list before
 	kept    bool
 	next    int64 // when a link may be opened
 	refusal int64 // the last wait after one that was refused; 0 is none
@@ -87,7 +93,9 @@
 // New makes a plan that knows no caches yet.
 func New(c Config) *Plan {
 	c.Routers = max(1, c.Routers)
-	return &Plan{set: c, rng: rand.New(rand.NewPCG(c.Seed, 0x6c696e6b)), caches: map[string]*cache{}}
+	return &Plan{set: c, rng: rand.New(rand.NewPCG(c.Seed, 0x6c696e6b)), caches: map[string]*cache{},
+		Each:   max(1, min(eachMost, c.Holds/c.Routers)),
+		farGap: int64(float64(c.Routers) / farRate(c.Holds) * float64(second))}
 }
 
 // Subset is how many of so many caches each of so many routers keeps links to, when each cache holds so many: all, if
@@ -122,33 +130,42 @@
 	if p == nil {
 		return
 	}
-	old := p.caches
-	p.caches = make(map[string]*cache, len(names))
-	p.order = slices.Clone(names)
-	score := make(map[string]uint64, len(names))
+	p.lists++
 	for _, name := range names {
-		score[name] = xxhash.Sum64String(p.set.Self + "\x00" + name)
+		if p.caches[name] == nil {
+			p.add(name)
+		}
+		p.caches[name].list = p.lists
 	}
-	// Rendezvous hashing: a cache that comes or goes changes the subset by itself alone.
-	slices.SortFunc(p.order, func(a, b string) int { return cmp.Or(cmp.Compare(score[a], score[b]), cmp.Compare(a, b)) })
-	p.order = slices.Compact(p.order)
-	p.Kept = Subset(p.set.Routers, len(p.order), p.set.Holds)
-	p.Each = max(1, min(eachMost, p.set.Holds/p.set.Routers))
-	p.farGap = int64(float64(p.set.Routers) / farRate(p.set.Holds) * float64(second))
-	for i, name := range p.order {
-		c := old[name]
-		fresh := c == nil
-		if fresh {
-			c = &cache{}
+	p.order = slices.DeleteFunc(p.order, func(c *cache) bool {
+		gone := c.list != p.lists
+		if gone {
+			delete(p.caches, c.name)
 		}
-		if kept := i < p.Kept; fresh || kept != c.kept {
-			c.kept = kept
+		return gone
+	})
+	if len(p.order) != p.counted {
+		p.counted = len(p.order)
+		p.Kept = Subset(p.set.Routers, len(p.order), p.set.Holds)
+	}
+	for i, c := range p.order {
+		if kept := i < p.Kept; c.fresh || kept != c.kept {
+			c.fresh, c.kept = false, kept
 			c.next = max(c.next, now+p.draw(p.gap(c)))
 		}
-		p.caches[name] = c
 	}
 }
 
+// add puts a cache in its place of the order. By rendezvous hashing one that comes or goes changes the subset by itself alone.
+func (p *Plan) add(name string) {
+	c := &cache{name: name, score: xxhash.Sum64String(p.set.Self + "\x00" + name), fresh: true}
+	p.caches[name] = c
+	at, _ := slices.BinarySearchFunc(p.order, c, func(a, b *cache) int {
+		return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.name, b.name))
+	})
+	p.order = slices.Insert(p.order, at, c)
+}
+
 // gap is how long all routers take to open a link each to a cache.
 func (p *Plan) gap(c *cache) int64 {
 	gap := int64(0)
@@ -243,10 +260,10 @@
 	if p == nil || p.set.Opens == 0 {
 		return nil
 	}
-	for _, name := range p.order[:p.Kept] {
-		if c := p.caches[name]; !c.ahead && now >= c.next {
+	for _, c := range p.order[:p.Kept] {
+		if !c.ahead && now >= c.next {
 			c.ahead = true
-			names = append(names, name)
+			names = append(names, c.name)
 		}
 	}
 	return names
--- a/plan/links/links_test.go
+++ b/plan/links/links_test.go
@@ -1,11 +1,14 @@
 package links
 
 import (
+	"cmp"
 	"fmt"
 	"math"
 	"math/rand/v2"
 	"slices"
 	"testing"
+
+	"github.com/cespare/xxhash/v2"
 )
 
 func names(n int) (out []string) {
@@ -202,3 +205,34 @@
 		}
 	}
 }
+
+// Whatever comes and goes, and in whichever order it is named, the plan is the one that ranking all caches anew gives.
+func TestMembersAgainstRankingAll(t *testing.T) {
+	rng := rand.New(rand.NewPCG(3, 4))
+	for play := range 100 {
+		plan := New(Config{Self: fmt.Sprint("n", play), Seed: 1, Routers: 300, Holds: 100, Opens: 50})
+		other := New(Config{Self: fmt.Sprint("n", play), Seed: 1, Routers: 300, Holds: 100, Opens: 50})
+		var listed []string
+		for step := range 100 {
+			listed = slices.DeleteFunc(listed, func(string) bool { return rng.IntN(20) == 0 })
+			for n := range rng.IntN(10) {
+				listed = append(listed, fmt.Sprintf("s-%d-%d", step, n))
+			}
+			plan.Members(int64(step), listed)
+			rng.Shuffle(len(listed), func(a, b int) { listed[a], listed[b] = listed[b], listed[a] })
+			other.Members(int64(step), listed)
+			ranked := slices.Clone(listed)
+			slices.SortFunc(ranked, func(a, b string) int {
+				return cmp.Compare(xxhash.Sum64String(plan.set.Self+"\x00"+a), xxhash.Sum64String(plan.set.Self+"\x00"+b))
+			})
+			if want := Subset(300, len(ranked), 100); plan.Kept != want || len(plan.order) != len(ranked) || len(plan.caches) != len(ranked) {
+				t.Fatalf("%d of %d caches are kept, want %d of %d", plan.Kept, len(plan.order), want, len(ranked))
+			}
+			for i, name := range ranked {
+				if plan.order[i].name != name || plan.Keeps(name) != (i < plan.Kept) || *plan.order[i] != *other.order[i] {
+					t.Fatalf("step %d, place %d: %+v and %+v, want %s", step, i, plan.order[i], other.order[i], name)
+				}
+			}
+		}
+	}
+}
--- a/router/links.go
+++ b/router/links.go
@@ -153,9 +153,9 @@
 	if r.limits.Plan == nil {
 		return
 	}
-	var names []string
-	for _, name := range sortedKeys(r.members) {
-		if m := r.members[name]; m.Phase == "ready" && r.isCache(m) {
+	var names []string // in any order: the plan has one of its own
+	for name, m := range r.members {
+		if m.Phase == "ready" && r.isCache(m) {
 			names = append(names, name)
 		}
 	}
