--- a/router/members.go
+++ b/router/members.go
@@ -182,7 +182,7 @@
 	}
 	differs := !r.index.planned
 	for _, m := range changed {
-		cache := m.Phase == "ready" && m.Location == r.location && !slices.Contains(r.notCaches, m.Kind)
+		cache := m.Phase == "ready" && r.isCache(m)
 		differs = differs || cache != m.planned
 		m.planned = cache
 	}
@@ -190,13 +190,12 @@
 		return
 	}
 	r.index.planned = true
-	var names []string
+	var names []string // in any order: the plan has one of its own
 	for name, m := range r.members {
 		if m.planned {
 			names = append(names, name)
 		}
 	}
-	slices.Sort(names)
 	r.limits.Plan.Members(r.now, names)
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -135,17 +135,15 @@
 		return r, err
 	}
 	r.shortage = links.NewShortage(r.dialWithin)
-	r.decide.Reach = r.reaches
-	r.decide.Starved = func() bool { return r.shortage.Lasts(r.now) }
-	if limits.Plan != nil {
-		r.location = setting(set, "location", "")
-		for _, name := range []string{"kind.parent", "kind.origin"} {
-			kinds := setting(set, "kinds", []string(nil))
-			if i := setting(set, name, int64(-1)); i >= 0 && i < int64(len(kinds)) {
-				r.notCaches = append(r.notCaches, kinds[i])
-			}
+	r.location = setting(set, "location", "")
+	for _, name := range []string{"kind.parent", "kind.origin"} {
+		kinds := setting(set, "kinds", []string(nil))
+		if i := setting(set, name, int64(-1)); i >= 0 && i < int64(len(kinds)) {
+			r.notCaches = append(r.notCaches, kinds[i])
 		}
 	}
+	r.decide.Reach = r.reaches
+	r.decide.Starved = func() bool { return r.shortage.Lasts(r.now) }
 	return r, nil
 }
 
