--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -40,7 +40,7 @@
 			Steps     []compatibility.Settings
 		}{Worst: worst.String(), Steps: steps}
 		for _, c := range conflicts {
-			out.Conflicts = append(out.Conflicts, told{c.Setting, c.Severity.String(), c.Reason, c.Rule})
+			out.Conflicts = append(out.Conflicts, told{c.Setting, c.Severity.String(), c.Reason, int(c.Rule)})
 		}
 		if err := asJSON(out); err != nil {
 			return err
--- /dev/null
+++ b/plan/compatibility/compare_test.go
@@ -0,0 +1,148 @@
+package compatibility
+
+import (
+	"errors"
+	"tealpath/fleet/duty"
+	"testing"
+)
+
+// exampleSettings are valid, with a value in each field.
+func exampleSettings() Settings {
+	return Settings{
+		Routers: 300, Slots: 64, LeaseDuration: 15e8, MaxClockDrift: .01,
+		Voters:      duty.Voters{Epoch: 4, Now: []string{"a", "b", "c"}},
+		PurgeWindow: 6e9, DrainedEndpoints: []string{"s-1"}, MaxConnections: 60, ProbePeriod: 1e9,
+	}
+}
+
+// nextVoters are voters one epoch after those of the example.
+func nextVoters(names, before []string) duty.Voters {
+	return duty.Voters{Epoch: 5, Now: names, Before: before}
+}
+
+// differences are changes to the example's settings, with the worst conflict that each causes.
+var differences = []struct {
+	name     string
+	change   func(*Settings)
+	setting  string // empty: no conflict
+	severity Severity
+	rule     Rule
+}{
+	{"the same", func(*Settings) {}, "", Harmless, NoRule},
+	{"fewer routers", func(s *Settings) { s.Routers = 200 }, "routers", Bounded, RuleColdBudget},
+	{"more slots", func(s *Settings) { s.Slots = 128 }, "slots", Exclusive, NoRule},
+	{"a shorter lease", func(s *Settings) { s.LeaseDuration = 1e9 }, "lease", Exclusive, NoRule},
+	{"a smaller drift", func(s *Settings) { s.MaxClockDrift = .001 }, "lease", Exclusive, NoRule},
+	{"the next voters", func(s *Settings) {
+		s.Voters = nextVoters([]string{"a", "b", "c", "d"}, []string{"a", "b", "c"})
+	}, "", Harmless, NoRule},
+	{"two changes of voters", func(s *Settings) {
+		s.Voters = nextVoters([]string{"a", "d"}, []string{"a", "b", "c"})
+	}, "voters", Exclusive, NoRule},
+	{"two epochs on", func(s *Settings) { s.Voters.Epoch = 6 }, "voters", Exclusive, NoRule},
+	{"others under the same epoch", func(s *Settings) { s.Voters.Now = []string{"a", "b"} }, "voters", Exclusive, NoRule},
+	{"others before", func(s *Settings) {
+		s.Voters = nextVoters([]string{"a", "b", "c"}, []string{"a", "b"})
+	}, "voters", Exclusive, NoRule},
+	{"purges for shorter", func(s *Settings) { s.PurgeWindow = 5e9 }, "purge-takes", Bounded, RulePurge},
+	{"one more drained", func(s *Settings) {
+		s.DrainedEndpoints = []string{"s-2", "s-1"}
+	}, "withdrawn", Bounded, RuleDrained},
+	{"more connections", func(s *Settings) { s.MaxConnections = 90 }, "holds", Harmless, NoRule},
+	{"another period", func(s *Settings) { s.ProbePeriod = 2e9 }, "probe-period", Harmless, NoRule},
+	{"slots and connections", func(s *Settings) { s.MaxConnections, s.Slots = 90, 32 }, "slots", Exclusive, NoRule},
+}
+
+func TestCompare(t *testing.T) {
+	for _, test := range differences {
+		t.Run(test.name, func(t *testing.T) {
+			a, b := exampleSettings(), exampleSettings()
+			test.change(&b)
+			there, back := Compare(a, b), Compare(b, a)
+			var worst Conflict
+			if len(there) > 0 {
+				worst = there[0]
+			}
+			if worst.Setting != test.setting || worst.Severity != test.severity || worst.Rule != test.rule {
+				t.Errorf("%v, want %s %s, rule %d", there, test.setting, test.severity, test.rule)
+			}
+			if WorstSeverity(there) != test.severity || WorstSeverity(back) != test.severity || len(there) != len(back) {
+				t.Errorf("%v, the other way %v", there, back)
+			}
+		})
+	}
+}
+
+// What `tealpath diff` prints of a conflict is read by scripts.
+func TestConflictString(t *testing.T) {
+	a, b := exampleSettings(), exampleSettings()
+	b.Slots, b.Routers, b.MaxConnections = 32, 200, 90
+	want := []string{
+		"slots (exclusive): a duty hashes to other slots of 64 than of 32: it has two owners",
+		"routers (bounded, rule 4): 300 routers of which some divide by 200 send 1.50 of what a cold member bears",
+		"holds (harmless): a cache may be asked for more connections than the lower of 60 and 90 for a while, and refuses them",
+	}
+	conflicts := Compare(a, b)
+	if len(conflicts) != len(want) {
+		t.Fatalf("%v, want %d conflicts", conflicts, len(want))
+	}
+	for i, conflict := range conflicts {
+		if conflict.String() != want[i] {
+			t.Errorf("%s\nwant %s", conflict, want[i])
+		}
+	}
+}
+
+func TestIncompatible(t *testing.T) {
+	encode := func(t *testing.T, change func(*Settings)) []byte {
+		t.Helper()
+		settings := exampleSettings()
+		change(&settings)
+		content, err := Encode(settings)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return content
+	}
+	current := encode(t, func(*Settings) {})
+	for _, test := range differences {
+		t.Run(test.name, func(t *testing.T) {
+			incompatible, _ := Incompatible(current, encode(t, test.change))
+			if incompatible != (test.severity == Exclusive) {
+				t.Errorf("incompatible: %v, but %s", incompatible, test.severity)
+			}
+		})
+	}
+	for _, test := range []struct {
+		name    string
+		setting string // that the error names
+		change  func(*Settings)
+	}{
+		{"no routers", "routers", func(s *Settings) { s.Routers = 0 }},
+		{"no slots", "slots", func(s *Settings) { s.Slots = 0 }},
+		{"no lease", "lease", func(s *Settings) { s.LeaseDuration = 0 }},
+		{"a clock that runs backwards", "drift", func(s *Settings) { s.MaxClockDrift = 1 }},
+		{"voters two epochs on", "voters", func(s *Settings) { s.Voters.Epoch = 6 }},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			incompatible, err := Incompatible(current, encode(t, test.change))
+			var settingError *SettingError
+			if !incompatible || !errors.As(err, &settingError) || settingError.Setting != test.setting {
+				t.Errorf("incompatible: %v, error %v, want one that names %s", incompatible, err, test.setting)
+			}
+		})
+	}
+	noVoters := encode(t, func(s *Settings) { s.Voters.Now = nil })
+	for name, pair := range map[string][2][]byte{
+		"no voters":             {current, noVoters},
+		"the current unread":    {[]byte("\xff"), current},
+		"the proposed unread":   {current, []byte("\xff")},
+		"the proposed is empty": {current, nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if incompatible, err := Incompatible(pair[0], pair[1]); !incompatible || err == nil {
+				t.Errorf("incompatible: %v, error %v", incompatible, err)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/plan/compatibility/migration_test.go
@@ -0,0 +1,70 @@
+package compatibility
+
+import (
+	"errors"
+	"math/rand/v2"
+	"reflect"
+	"slices"
+	"tealpath/fleet/duty"
+	"testing"
+)
+
+// Between any two drawn versions there are steps, each of which differs from the one before by at most one voter, and
+// exclusive settings change in the last alone.
+func TestMigrationPath(t *testing.T) {
+	rng := rand.New(rand.NewPCG(7, 8))
+	names := []string{"a", "b", "c", "d", "e", "f", "g"}
+	for range 2000 {
+		from, to := exampleSettings(), exampleSettings()
+		rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
+		to.Voters = duty.Voters{Epoch: 4, Now: slices.Sorted(slices.Values(names[:1+rng.IntN(6)]))}
+		if slices.Equal(to.Voters.Now, from.Voters.Now) {
+			continue
+		}
+		to.Routers, to.Slots = 1+rng.IntN(400), 32<<rng.IntN(3)
+		steps, err := MigrationPath(from, to)
+		if err != nil {
+			t.Fatal(err)
+		}
+		checkSteps(t, from, steps)
+		end := steps[len(steps)-1]
+		if !slices.Equal(end.Voters.Now, to.Voters.Now) {
+			t.Fatalf("the path ends at voters %v, not at %v", end.Voters.Now, to.Voters.Now)
+		}
+		end.Voters, to.Voters = duty.Voters{}, duty.Voters{}
+		if !reflect.DeepEqual(end, to) {
+			t.Fatalf("the path ends at %+v, not at %+v", end, to)
+		}
+	}
+}
+
+// checkSteps checks that each step of a path may follow the one before.
+func checkSteps(t *testing.T, from Settings, steps []Settings) {
+	t.Helper()
+	current := from
+	for i, step := range steps {
+		last := i == len(steps)-1
+		for _, conflict := range Compare(current, step) {
+			if conflict.Setting == "voters" || conflict.Severity == Exclusive && !last {
+				t.Fatalf("step %d of %d: %v", i, len(steps), conflict)
+			}
+		}
+		if err := step.Voters.Check(); err != nil {
+			t.Fatalf("step %d: %v", i, err)
+		}
+		current = step
+	}
+}
+
+func TestMigrationToAnEarlierEpoch(t *testing.T) {
+	back := exampleSettings()
+	back.Voters.Epoch = 3
+	_, err := MigrationPath(exampleSettings(), back)
+	var order *EpochOrderError
+	if !errors.As(err, &order) || order.From != 4 || order.To != 3 {
+		t.Fatalf("error %v", err)
+	}
+	if want := "voters of epoch 3 can't follow those of epoch 4"; err.Error() != want {
+		t.Errorf("%q, want %q", err, want)
+	}
+}
--- a/plan/compatibility/wire_test.go
+++ b/plan/compatibility/settings_test.go
@@ -17,7 +17,7 @@
 			`"Voters":{"Epoch":4,"Now":["a","b","c"],"Before":["a","b"]},` +
 			`"PurgeTakes":6000000000,"Withdrawn":["s-1"],"Holds":60,"ProbeEach":1000000000}`
 	)
-	settings := some()
+	settings := exampleSettings()
 	settings.Voters.Before = []string{"a", "b"}
 	content, err := Encode(settings)
 	if err != nil {
