--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet is what instances agree on, as one reducer: an event goes in, state changes, effects come out. It
-// joins who is there (member), who holds which slot (duty) and what is probed when (probe). It does no input or
+// joins who is there (member), who holds which slot (lease) and what is probed when (probe). It does no input or
 // output, reads no clock and is not safe for use by two goroutines at once. Times are whole nanoseconds of a clock
 // that goes on while the machine is suspended and never goes back.
 package fleet
@@ -13,7 +13,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"tealpath/fleet/duty"
+	"tealpath/fleet/lease"
 	"tealpath/fleet/member"
 	"tealpath/fleet/probe"
 )
@@ -26,11 +26,11 @@
 
 // Config is what an instance starts with.
 type Config struct {
-	Self     duty.Holder
+	Self     lease.Holder
 	Address  string // where it takes links
 	Weight   float64
 	Contacts []member.Contact // the instances of the file, the own one among them or not
-	Duty     duty.Config      // Self and Seed are filled in from here
+	Duty     lease.Config     // Self and Seed are filled in from here
 	Probe    *probe.Config    // nil: nothing is probed
 	Seed     uint64
 	Wall     int64      // ms since 1970, at the start
@@ -55,13 +55,13 @@
 // Message is what instances send each other.
 type Message struct {
 	Highest  uint64         `cbor:"2,keyasint,omitempty"` // number known
-	Duty     *duty.Message  `cbor:"3,keyasint,omitempty"`
+	Duty     *lease.Message `cbor:"3,keyasint,omitempty"`
 	Findings []Finding      `cbor:"4,keyasint,omitempty"`
 	Gossip   *member.Gossip `cbor:"5,keyasint,omitempty"`
 }
 
 var decoding = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: duty.SlotsMost, MaxMapPairs: 64, MaxNestedLevels: 8,
+	mode, err := cbor.DecOptions{MaxArrayElements: lease.SlotsMost, MaxMapPairs: 64, MaxNestedLevels: 8,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -82,7 +82,7 @@
 		return Message{}, fmt.Errorf("%d members and %d reports", len(m.Gossip.Entries), len(m.Gossip.Alerts))
 	case len(m.Findings) > findingsMost:
 		return Message{}, fmt.Errorf("%d findings", len(m.Findings))
-	case m.Duty != nil && (m.Duty.Kind < duty.Ask || m.Duty.Kind > duty.Release):
+	case m.Duty != nil && (m.Duty.Kind < lease.Ask || m.Duty.Kind > lease.Release):
 		return Message{}, fmt.Errorf("kind %d", m.Duty.Kind)
 	}
 	for _, f := range m.Findings {
@@ -98,7 +98,7 @@
 
 // Came is a message from another instance, whose name and start the link has proved.
 type Came struct {
-	From    duty.Holder
+	From    lease.Holder
 	Message Message
 }
 
@@ -118,7 +118,7 @@
 type Changed struct {
 	Contacts []member.Contact
 	Weight   float64
-	Voters   duty.Voters
+	Voters   lease.Voters
 }
 
 // Effect is what is to be done outside.
@@ -162,7 +162,7 @@
 type Timer struct{ At int64 }
 
 // periodic is one kind of periodic duty: it is told which slots are held, and says what is to be done now for those that
-// are. Each kind hashes its own duties to slots (duty.SlotOf).
+// are. Each kind hashes its own duties to slots (lease.SlotOf).
 type periodic interface {
 	Gained(now int64, slot int)
 	Lost(slot int)
@@ -186,7 +186,7 @@
 	duties  []periodic
 	config  Config
 	table   *member.Table
-	duty    *duty.Node
+	leases  *lease.Node
 	probe   *probe.Prober // nil: nothing is probed
 	effects []Effect
 	version uint64
@@ -218,16 +218,16 @@
 // New makes a node.
 func New(now int64, c Config) (*Node, error) {
 	c.Duty.Self, c.Duty.Seed = c.Self, c.Seed
-	d, err := duty.New(now, c.Duty)
+	d, err := lease.New(now, c.Duty)
 	if err != nil {
 		return nil, err
 	}
 	interval := cmp.Or(c.Members.Interval, c.Duty.Renewal)
-	n := &Node{config: c, duty: d, seen: map[string]finding{}, wanted: map[string]int64{}, started: now, table: member.New(now, member.Config{
+	n := &Node{config: c, leases: d, seen: map[string]finding{}, wanted: map[string]int64{}, started: now, table: member.New(now, member.Config{
 		Self: member.Entry{Name: c.Self.Name, Incarnation: c.Self.Incarnation, Address: c.Address, Weight: c.Weight,
 			Epoch: c.Duty.Voters.Epoch, Start: uint64(max(1, c.Wall))},
 		Contacts: c.Contacts, Interval: interval, Quiet: c.Members.Quiet, Silence: c.Duty.Silence(), Seed: c.Seed,
-		Beat: func(now int64) int64 { return duty.Beat(now, c.Self.Name, interval) }})}
+		Beat: func(now int64) int64 { return lease.Beat(now, c.Self.Name, interval) }})}
 	if c.Probe != nil {
 		if err := c.Probe.Check(); err != nil {
 			return nil, err
@@ -320,17 +320,17 @@
 		n.members(now)
 		n.gossip(tell)
 		for _, entry := range g.Entries {
-			n.duty.HeardEpoch(entry.Name, entry.Epoch)
+			n.leases.HeardEpoch(entry.Name, entry.Epoch)
 		}
 	}
-	n.duty.Known(e.Message.Highest)
+	n.leases.Known(e.Message.Highest)
 	if m := e.Message.Duty; m != nil {
-		vote := m.Kind == duty.Promise || m.Kind == duty.Taken
-		asked := m.Kind == duty.Ask || m.Kind == duty.Take
+		vote := m.Kind == lease.Promise || m.Kind == lease.Taken
+		asked := m.Kind == lease.Ask || m.Kind == lease.Take
 		switch {
 		case vote && n.table.Doubled(now, e.From.Name), asked && n.table.Doubled(now, n.config.Self.Name):
 		default:
-			n.duty.Receive(now, e.From, *m)
+			n.leases.Receive(now, e.From, *m)
 		}
 	}
 	for _, f := range e.Message.Findings {
@@ -360,7 +360,7 @@
 	if known || len(n.seen) < most {
 		n.seen[f.Target] = finding{f.Number, f.Seq}
 	}
-	n.duty.Known(f.Number)
+	n.leases.Known(f.Number)
 	n.do(Found{f})
 }
 
@@ -370,7 +370,7 @@
 	}
 	n.probe.Done(now, e.Target, e.Good)
 	if seen := n.seen[e.Target].number; e.Number < seen {
-		n.duty.Renumber(now, duty.SlotOf(e.Target, n.config.Duty.Slots), seen)
+		n.leases.Renumber(now, lease.SlotOf(e.Target, n.config.Duty.Slots), seen)
 	}
 	n.seq++
 	e.Seq = n.seq
@@ -386,9 +386,9 @@
 	n.tell(changes)
 	n.members(now)
 	n.gossip(tell)
-	n.duty.Tick(now, wall)
+	n.leases.Tick(now, wall)
 	if len(n.found) > 0 && now >= n.foundAt {
-		n.foundAt = duty.Beat(now, n.config.Self.Name, n.config.Duty.Renewal) // together, with what else goes out
+		n.foundAt = lease.Beat(now, n.config.Self.Name, n.config.Duty.Renewal) // together, with what else goes out
 		for _, m := range n.table.Links() {
 			n.do(Send{To: m.Name, Message: Message{Findings: n.found}})
 		}
@@ -424,10 +424,10 @@
 
 // Majority tells whether a majority of the voters answers, or is at least heard of: who neither holds nor tries has
 // no answers.
-func (n *Node) Majority(now int64) bool { return n.duty.Reached(now) || n.aliveVoters() }
+func (n *Node) Majority(now int64) bool { return n.leases.Reached(now) || n.aliveVoters() }
 
 func (n *Node) aliveVoters() bool {
-	v := n.duty.Voters()
+	v := n.leases.Voters()
 	if n.table.CutOff() {
 		return false // what is believed is of before
 	}
@@ -448,7 +448,7 @@
 // missing names the voters that are not heard.
 func (n *Node) missing(int64) string {
 	var names []string
-	for _, name := range n.duty.Voters().Now {
+	for _, name := range n.leases.Voters().Now {
 		if m, _ := n.table.View(name); name != n.config.Self.Name && m.State != member.Alive {
 			names = append(names, name+" "+m.State.String())
 		}
@@ -468,7 +468,7 @@
 	}
 	n.version, n.relink = n.table.Version(), false
 	if !n.leaving {
-		n.duty.Members(now, shares(n.table.Alive()))
+		n.leases.Members(now, shares(n.table.Alive()))
 	}
 	at := map[string]string{}
 	for _, m := range n.table.Links() {
@@ -490,9 +490,9 @@
 	}
 }
 
-func shares(entries []member.Entry) (out []duty.Share) {
+func shares(entries []member.Entry) (out []lease.Share) {
 	for _, e := range entries {
-		out = append(out, duty.Share{Name: e.Name, Weight: e.Weight})
+		out = append(out, lease.Share{Name: e.Name, Weight: e.Weight})
 	}
 	return out
 }
@@ -503,7 +503,7 @@
 	}
 	n.leaving = true
 	tell := n.table.Leave(now)
-	n.duty.Leave(now, shares(n.table.Alive()))
+	n.leases.Leave(now, shares(n.table.Alive()))
 	n.carry(now)
 	n.gossip(tell)
 }
@@ -511,20 +511,20 @@
 // gossip sends what members tell each other.
 func (n *Node) gossip(tell []member.Telling) {
 	for _, t := range tell {
-		n.do(Send{To: t.To, Message: Message{Gossip: &t.Gossip, Highest: n.duty.Highest()}})
+		n.do(Send{To: t.To, Message: Message{Gossip: &t.Gossip, Highest: n.leases.Highest()}})
 	}
 }
 
 func (n *Node) changed(now int64, e Changed) {
 	voters := "voters as they were"
-	if err := n.duty.Revote(now, e.Voters); err != nil {
+	if err := n.leases.Revote(now, e.Voters); err != nil {
 		n.do(Log{Line: "the voters stay as they were", Why: err.Error()})
 	} else {
 		voters = fmt.Sprintf("voters of epoch %d", e.Voters.Epoch)
 	}
-	n.table.Configure(now, e.Contacts, e.Weight, n.duty.Voters().Epoch)
+	n.table.Configure(now, e.Contacts, e.Weight, n.leases.Voters().Epoch)
 	for _, m := range n.table.All() {
-		n.duty.HeardEpoch(m.Name, m.Epoch) // a new set of voters knows of none, and entries come only when they change
+		n.leases.HeardEpoch(m.Name, m.Epoch) // a new set of voters knows of none, and entries come only when they change
 	}
 	n.do(Log{Line: fmt.Sprintf("operator's file read again: %d instances, %s", len(e.Contacts), voters)})
 }
@@ -533,12 +533,12 @@
 func (n *Node) follow(now int64) {
 	n.members(now)
 	n.carry(now)
-	next := min(n.duty.Next(), n.table.Next())
+	next := min(n.leases.Next(), n.table.Next())
 	for _, d := range n.duties {
 		if n.leaving {
 			break
 		}
-		for _, e := range d.Do(now, func(slot int) (uint64, int64, bool) { return n.duty.Owns(now, slot) }) {
+		for _, e := range d.Do(now, func(slot int) (uint64, int64, bool) { return n.leases.Owns(now, slot) }) {
 			n.do(e)
 		}
 		next = min(next, d.Next(now))
@@ -556,19 +556,19 @@
 		}
 		logs = append(logs, Log{Line: line, Slots: []int{slot}, Number: number, Why: why})
 	}
-	for _, e := range n.duty.Take() {
+	for _, e := range n.leases.Take() {
 		switch e := e.(type) {
-		case duty.Send:
+		case lease.Send:
 			m := e.Message
 			n.want(now, e.To)
 			n.do(Send{To: e.To, Message: Message{Duty: &m}})
-		case duty.Gained:
+		case lease.Gained:
 			for _, d := range n.duties {
 				d.Gained(now, e.Slot)
 			}
 			n.do(Held{e.Slot, e.Number})
 			note("slots gained", e.Slot, e.Number, "")
-		case duty.Lost:
+		case lease.Lost:
 			for _, d := range n.duties {
 				d.Lost(e.Slot)
 			}
@@ -626,5 +626,5 @@
 
 // Owns tells whether this instance may act for a slot at this instant.
 func (n *Node) Owns(now int64, slot int) (number uint64, until int64, ok bool) {
-	return n.duty.Owns(now, slot)
+	return n.leases.Owns(now, slot)
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"testing"
 
-	"tealpath/fleet/duty"
+	"tealpath/fleet/lease"
 	"tealpath/fleet/member"
 	"tealpath/fleet/probe"
 )
@@ -14,11 +14,11 @@
 func node(t testing.TB, name string, incarnation uint64) *Node {
 	t.Helper()
 	cold := probe.Cold{Share: 0.16, Factor: 2.5, Window: 1500 * ms, Span: 17000 * ms}
-	n, err := New(0, Config{Self: duty.Holder{Name: name, Incarnation: incarnation}, Address: name + ":1", Weight: 1, Seed: 1,
+	n, err := New(0, Config{Self: lease.Holder{Name: name, Incarnation: incarnation}, Address: name + ":1", Weight: 1, Seed: 1,
 		Contacts: []member.Contact{{Name: "a", Address: "a:1", Weight: 1}, {Name: "b", Address: "b:1", Weight: 1},
 			{Name: "c", Address: "c:1", Weight: 1}},
-		Duty: duty.Config{Slots: 8, Lease: 1500 * ms, Renewal: 500 * ms, Drift: 0.01,
-			Voters: duty.Voters{Epoch: 1, Now: []string{"a", "b", "c"}}},
+		Duty: lease.Config{Slots: 8, Lease: 1500 * ms, Renewal: 500 * ms, Drift: 0.01,
+			Voters: lease.Voters{Epoch: 1, Now: []string{"a", "b", "c"}}},
 		Probe: &probe.Config{Period: 1000 * ms, Within: 500 * ms, Part: 0.05, Cost: 0.001, Cache: cold, Parent: cold}})
 	if err != nil {
 		t.Fatal(err)
@@ -137,13 +137,13 @@
 	play(nodes, 0, 4000*ms, "")
 	b := nodes["b"]
 	beat := func(incarnation, beat uint64) {
-		b.Handle(4000*ms, Came{From: duty.Holder{Name: "c", Incarnation: incarnation}, Message: Message{
+		b.Handle(4000*ms, Came{From: lease.Holder{Name: "c", Incarnation: incarnation}, Message: Message{
 			Gossip: &member.Gossip{Beat: beat, Entries: []member.Entry{{Name: "c", Incarnation: incarnation, Start: beat, Version: beat, Weight: 1}}}}})
 	}
 	beat(99, 1)
 	held := owned(b, 4000*ms)
-	b.Handle(4000*ms, Came{From: duty.Holder{Name: "c", Incarnation: 99}, Message: Message{
-		Duty: &duty.Message{Kind: duty.Taken, Epoch: 1, Sent: 3999 * ms}}})
+	b.Handle(4000*ms, Came{From: lease.Holder{Name: "c", Incarnation: 99}, Message: Message{
+		Duty: &lease.Message{Kind: lease.Taken, Epoch: 1, Sent: 3999 * ms}}})
 	if !b.table.Doubled(4000*ms, "c") || held == 0 {
 		t.Fatal("the case is not one")
 	}
@@ -152,15 +152,15 @@
 		b.Handle(now, Due{Wall: now / ms})
 		beat(3, uint64(1000+now/ms))
 		beat(99, uint64(1000+now/ms))
-		var items []duty.Item
+		var items []lease.Item
 		for s := range 8 {
 			if number, _, ok := b.Owns(now, s); ok {
-				items = append(items, duty.Item{Slot: s, Number: number})
+				items = append(items, lease.Item{Slot: s, Number: number})
 			}
 		}
 		if len(items) > 0 {
-			b.Handle(now, Came{From: duty.Holder{Name: "c", Incarnation: 3},
-				Message: Message{Duty: &duty.Message{Kind: duty.Taken, Epoch: 1, Sent: now, Items: items}}})
+			b.Handle(now, Came{From: lease.Holder{Name: "c", Incarnation: 3},
+				Message: Message{Duty: &lease.Message{Kind: lease.Taken, Epoch: 1, Sent: now, Items: items}}})
 		}
 	}
 	if n := owned(b, 6000*ms); n != 0 {
@@ -171,7 +171,7 @@
 func TestFindingsUnderOldNumbersAreDropped(t *testing.T) {
 	n := node(t, "a", 1)
 	tell := func(number uint64) (found int) {
-		for _, e := range n.Handle(1, Came{From: duty.Holder{Name: "b", Incarnation: 2},
+		for _, e := range n.Handle(1, Came{From: lease.Holder{Name: "b", Incarnation: 2},
 			Message: Message{Findings: []Finding{{Target: "t", Number: number, Good: true}}}}) {
 			if _, ok := e.(Found); ok {
 				found++
@@ -195,7 +195,7 @@
 		n.Handle(0, Listed{Targets: []probe.Target{{Name: "t", Address: "x", Units: 4}}})
 	}
 	play(nodes, 0, 6000*ms, "")
-	slot := duty.SlotOf("t", 8)
+	slot := lease.SlotOf("t", 8)
 	for _, n := range nodes {
 		number, _, ok := n.Owns(6000*ms, slot)
 		if !ok {
@@ -231,7 +231,7 @@
 			}
 		}
 		if s, ok := e.(Send); ok {
-			released = released || s.Message.Duty != nil && s.Message.Duty.Kind == duty.Release
+			released = released || s.Message.Duty != nil && s.Message.Duty.Kind == lease.Release
 			left = left || s.Message.Gossip != nil && len(s.Message.Gossip.Entries) > 0 && s.Message.Gossip.Entries[0].Leaving
 		}
 	}
@@ -244,7 +244,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, m := range []Message{{Highest: 3}, {Duty: &duty.Message{Kind: duty.Take, Epoch: 1, Items: []duty.Item{{Slot: 3, Number: 9}}}},
+	for _, m := range []Message{{Highest: 3}, {Duty: &lease.Message{Kind: lease.Take, Epoch: 1, Items: []lease.Item{{Slot: 3, Number: 9}}}},
 		{Findings: []Finding{{Target: "t", Number: 4, Load: []float64{1}}}},
 		{Gossip: &member.Gossip{Beat: 2, Entries: []member.Entry{{Name: "b", Incarnation: 1, Version: 2, Weight: 1}},
 			Alerts: []member.Alert{{Subject: "b", Observer: "a", Kind: member.Deaf}}, Parts: make([]uint64, member.Buckets)}}} {
@@ -258,7 +258,7 @@
 		if err != nil {
 			return
 		}
-		n.Handle(2000*ms, Came{From: duty.Holder{Name: "b", Incarnation: 2}, Message: m})
+		n.Handle(2000*ms, Came{From: lease.Holder{Name: "b", Incarnation: 2}, Message: m})
 		n.Handle(2000*ms, Due{Wall: 1})
 	})
 }
--- a/fleet/duty/duty.go
+++ b/fleet/lease/node.go
@@ -1,11 +1,11 @@
-// Package duty decides which instance holds which slot of periodic duties. A slot is held under a lease that a
+// Package lease decides which instance holds which slot of periodic duties. A slot is held under a lease that a
 // majority of voters granted, without a disk (docs/duties.md has the protocol, the proof and the bounds; it is
 // PaxosLease by Trencséni, Gazsó and Reinhardt with one change).
 //
 // A Node is one instance, voter and holder in one. Time, messages and chance come in, effects go out: it does no
 // input or output, reads no clock, starts no goroutine and is not safe for use by two at once. Times are whole
 // nanoseconds of one clock that never goes back; its rate may be off by the drift.
-package duty
+package lease
 
 import (
 	"errors"
--- a/fleet/duty/vote.go
+++ b/fleet/lease/voter.go
@@ -1,4 +1,4 @@
-package duty
+package lease
 
 // vote is the voter's side: it answers an Ask or a Take. The slot goes to one holder at a time, whatever numbers
 // say: that clause is what two holders can never pass.
--- a/fleet/probe/probe.go
+++ b/fleet/probe/probe.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"tealpath/fleet/duty"
+	"tealpath/fleet/lease"
 )
 
 // PartMost is the largest part of a cold target's limit that may be set aside for probing: traffic of all routers
@@ -114,7 +114,7 @@
 	slices.SortFunc(p.targets, func(a, b *target) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-func (p *Prober) slot(name string) int { return duty.SlotOf(name, p.config.Slots) }
+func (p *Prober) slot(name string) int { return lease.SlotOf(name, p.config.Slots) }
 
 // Gained tells that a slot is held from now on. Its holder before may have probed just before it stopped, so the
 // first probe comes a period later, and a window later for what is or may be cold: the part that is set aside is
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -1,7 +1,7 @@
 package fleet
 
 import (
-	"tealpath/fleet/duty"
+	"tealpath/fleet/lease"
 	"tealpath/fleet/member"
 )
 
@@ -38,7 +38,7 @@
 
 // SlotStatus is what is known of one slot.
 type SlotStatus struct {
-	duty.Slot
+	lease.Slot
 	SinceMS int64 `json:"since_ms,omitempty"` // for how long this instance has held it
 	LeftMS  int64 `json:"left_ms,omitempty"`  // for how long it does still, unless it is renewed
 }
@@ -46,8 +46,8 @@
 // Status tells what this instance knows.
 func (n *Node) Status(now int64) Status {
 	s := Status{Name: n.config.Self.Name, Incarnation: n.config.Self.Incarnation, Majority: n.Majority(now),
-		Voters: n.duty.Voters().Now, Epoch: n.duty.Voters().Epoch, Stale: n.stale}
-	if s.SilentMS = max(0, n.duty.Silent()-now) / 1e6; s.SilentMS > 0 {
+		Voters: n.leases.Voters().Now, Epoch: n.leases.Voters().Epoch, Stale: n.stale}
+	if s.SilentMS = max(0, n.leases.Silent()-now) / 1e6; s.SilentMS > 0 {
 		s.Why = "this voter has just started and grants nothing yet"
 	}
 	if !s.Majority {
@@ -60,7 +60,7 @@
 		s.Members = append(s.Members, MemberStatus{Name: m.Name, Address: m.Address, State: m.State.String(),
 			SinceMS: (now - m.Since) / 1e6, Weight: m.Weight, Epoch: m.Epoch, Doubled: n.table.Doubled(now, m.Name)})
 	}
-	for _, slot := range n.duty.Slots(now) {
+	for _, slot := range n.leases.Slots(now) {
 		x := SlotStatus{Slot: slot}
 		if slot.Own {
 			x.SinceMS, x.LeftMS = (now-slot.Since)/1e6, (slot.Until-now)/1e6
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -11,7 +11,7 @@
 	"go4.org/netipx"
 
 	"tealpath/fleet"
-	"tealpath/fleet/duty"
+	"tealpath/fleet/lease"
 	"tealpath/fleet/member"
 	"tealpath/fleet/peer"
 	"tealpath/fleet/probe"
@@ -40,7 +40,7 @@
 	Listen    string // where the own instance takes links
 	Weight    float64
 	Instances []member.Contact
-	Voters    duty.Voters
+	Voters    lease.Voters
 	Slots     int
 	Lease     int64
 	Renewal   int64
@@ -214,7 +214,7 @@
 			f.walk(n, args, map[string]entry{"epoch": {needed: true, take: f.whole(&epoch, 1, 1<<40)},
 				"now": {needed: true, take: f.words(&out.Voters.Now)}, "before": {take: f.words(&out.Voters.Before)}})
 		})},
-		"slots":   {take: f.whole(&slots, 1, duty.SlotsMost)},
+		"slots":   {take: f.whole(&slots, 1, lease.SlotsMost)},
 		"lease":   {take: noting(f.span(&out.Lease, 100*time.Millisecond, time.Hour))},
 		"renewal": {take: noting(f.span(&out.Renewal, 20*time.Millisecond, time.Hour))},
 		"drift":   {take: noting(f.number(&out.Drift, 0, 0.1))},
--- a/plan/compatibility/compare.go
+++ b/plan/compatibility/compare.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"fmt"
 	"slices"
-	"tealpath/fleet/duty"
+	"tealpath/fleet/lease"
 	"time"
 )
 
@@ -180,7 +180,7 @@
 
 // votersConflict says why two sets of voters can't be in force side by side. It is empty where they can: where any majority
 // of the one meets any majority of the other, as at epochs next to each other that differ by one voter.
-func votersConflict(a, b duty.Voters) string {
+func votersConflict(a, b lease.Voters) string {
 	older, newer := a, b
 	if older.Epoch > newer.Epoch {
 		older, newer = newer, older
--- a/plan/compatibility/compare_test.go
+++ b/plan/compatibility/compare_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"errors"
-	"tealpath/fleet/duty"
+	"tealpath/fleet/lease"
 	"testing"
 )
 
@@ -10,14 +10,14 @@
 func exampleSettings() Settings {
 	return Settings{
 		Routers: 300, Slots: 64, LeaseDuration: 15e8, MaxClockDrift: .01,
-		Voters:      duty.Voters{Epoch: 4, Now: []string{"a", "b", "c"}},
+		Voters:      lease.Voters{Epoch: 4, Now: []string{"a", "b", "c"}},
 		PurgeWindow: 6e9, DrainedEndpoints: []string{"s-1"}, MaxConnections: 60, ProbePeriod: 1e9,
 	}
 }
 
 // nextVoters are voters one epoch after those of the example.
-func nextVoters(names, before []string) duty.Voters {
-	return duty.Voters{Epoch: 5, Now: names, Before: before}
+func nextVoters(names, before []string) lease.Voters {
+	return lease.Voters{Epoch: 5, Now: names, Before: before}
 }
 
 // differences are changes to the example's settings, with the worst conflict that each causes.
--- a/plan/compatibility/migration.go
+++ b/plan/compatibility/migration.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"reflect"
 	"slices"
-	"tealpath/fleet/duty"
+	"tealpath/fleet/lease"
 )
 
 // EpochOrderError is a migration to voters of an earlier epoch.
@@ -69,7 +69,7 @@
 		slices.Sort(names)
 
 		next := path.current
-		next.Voters = duty.Voters{Epoch: voters.Epoch + 1, Before: slices.Clone(voters.Now), Now: names}
+		next.Voters = lease.Voters{Epoch: voters.Epoch + 1, Before: slices.Clone(voters.Now), Now: names}
 		path.add(next)
 	}
 }
--- a/plan/compatibility/migration_test.go
+++ b/plan/compatibility/migration_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"reflect"
 	"slices"
-	"tealpath/fleet/duty"
+	"tealpath/fleet/lease"
 	"testing"
 )
 
@@ -17,7 +17,7 @@
 	for range 2000 {
 		from, to := exampleSettings(), exampleSettings()
 		rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-		to.Voters = duty.Voters{Epoch: 4, Now: slices.Sorted(slices.Values(names[:1+rng.IntN(6)]))}
+		to.Voters = lease.Voters{Epoch: 4, Now: slices.Sorted(slices.Values(names[:1+rng.IntN(6)]))}
 		if slices.Equal(to.Voters.Now, from.Voters.Now) {
 			continue
 		}
@@ -31,7 +31,7 @@
 		if !slices.Equal(end.Voters.Now, to.Voters.Now) {
 			t.Fatalf("the path ends at voters %v, not at %v", end.Voters.Now, to.Voters.Now)
 		}
-		end.Voters, to.Voters = duty.Voters{}, duty.Voters{}
+		end.Voters, to.Voters = lease.Voters{}, lease.Voters{}
 		if !reflect.DeepEqual(end, to) {
 			t.Fatalf("the path ends at %+v, not at %+v", end, to)
 		}
--- a/plan/compatibility/settings.go
+++ b/plan/compatibility/settings.go
@@ -5,7 +5,7 @@
 
 import (
 	"fmt"
-	"tealpath/fleet/duty"
+	"tealpath/fleet/lease"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -13,15 +13,15 @@
 // Settings are what all instances of a fleet share. Lengths of time are in ns. The tags are the names of the fields in CBOR,
 // among instances, and in the JSON of `tealpath diff --json`.
 type Settings struct {
-	Routers          int         `json:"Routers"`    // by which cold budgets are divided
-	Slots            int         `json:"Slots"`      // to which periodic tasks hash
-	LeaseDuration    int64       `json:"Lease"`      // for how long a voter counts a lease in
-	MaxClockDrift    float64     `json:"Drift"`      // by which a clock's rate may be off, as a share
-	Voters           duty.Voters `json:"Voters"`     // whose quorum grants leases
-	PurgeWindow      int64       `json:"PurgeTakes"` // for how long a purge is enforced
-	DrainedEndpoints []string    `json:"Withdrawn"`  // that get nothing new, whatever a list says
-	MaxConnections   int         `json:"Holds"`      // that a cache takes; 0 is not known
-	ProbePeriod      int64       `json:"ProbeEach"`  // between two health checks of a target; 0: none are made
+	Routers          int          `json:"Routers"`    // by which cold budgets are divided
+	Slots            int          `json:"Slots"`      // to which periodic tasks hash
+	LeaseDuration    int64        `json:"Lease"`      // for how long a voter counts a lease in
+	MaxClockDrift    float64      `json:"Drift"`      // by which a clock's rate may be off, as a share
+	Voters           lease.Voters `json:"Voters"`     // whose quorum grants leases
+	PurgeWindow      int64        `json:"PurgeTakes"` // for how long a purge is enforced
+	DrainedEndpoints []string     `json:"Withdrawn"`  // that get nothing new, whatever a list says
+	MaxConnections   int          `json:"Holds"`      // that a cache takes; 0 is not known
+	ProbePeriod      int64        `json:"ProbeEach"`  // between two health checks of a target; 0: none are made
 }
 
 // SettingError is a setting that no instance can act on, whatever the other settings are.
