--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -55,7 +55,7 @@
 		if err == nil && len(steps) > 1 {
 			fmt.Printf("in %d steps:\n", len(steps))
 			for i, s := range steps {
-				fmt.Printf("%d. voters of epoch %d: %v; slots %d\n", i+1, s.Voters.Epoch, s.Voters.Now, s.Slots)
+				fmt.Printf("%d. voters of epoch %d: %v; slots %d\n", i+1, s.Voters.Epoch, s.Voters.Current, s.Slots)
 			}
 		}
 	}
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -49,7 +49,7 @@
 		probing = fmt.Sprintf("members are probed every %s", time.Duration(f.Probe.Period))
 	}
 	return fmt.Sprintf("operator's file %s is usable: %d instances, %d voters of epoch %d, %d slots, lease %s, renewed every %s; %s",
-		path, len(f.Instances), len(f.Voters.Now), f.Voters.Epoch, f.Slots, time.Duration(f.Lease), time.Duration(f.Renewal), probing)
+		path, len(f.Instances), len(f.Voters.Current), f.Voters.Epoch, f.Slots, time.Duration(f.Lease), time.Duration(f.Renewal), probing)
 }
 
 // socket is where a running instance answers, by the flags of a command.
@@ -175,7 +175,7 @@
 		if x.Own {
 			since = span(x.SinceMS)
 		}
-		fmt.Fprintf(out, "%d\t%s\t%x\t%s\t%s\t%s\n", x.Slot.Slot, cmp.Or(x.Holder, "-"), x.Number, since, x.Planned, x.Why)
+		fmt.Fprintf(out, "%d\t%s\t%x\t%s\t%s\t%s\n", x.SlotStatus.Slot, cmp.Or(x.Holder, "-"), x.Ballot, since, x.Planned, x.Reason)
 	}
 	fmt.Fprintf(out, "\n%d targets are probed, %d of them here; %d probes left out to spare cold ones, %d stale findings dropped\n",
 		s.Targets, s.OwnTargets, s.Skipped, s.Stale)
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -26,7 +26,7 @@
 
 // Config is what an instance starts with.
 type Config struct {
-	Self     lease.Holder
+	Self     lease.Instance
 	Address  string // where it takes links
 	Weight   float64
 	Contacts []member.Contact // the instances of the file, the own one among them or not
@@ -61,7 +61,7 @@
 }
 
 var decoding = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: lease.SlotsMost, MaxMapPairs: 64, MaxNestedLevels: 8,
+	mode, err := cbor.DecOptions{MaxArrayElements: lease.MaxSlots, MaxMapPairs: 64, MaxNestedLevels: 8,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -82,7 +82,7 @@
 		return Message{}, fmt.Errorf("%d members and %d reports", len(m.Gossip.Entries), len(m.Gossip.Alerts))
 	case len(m.Findings) > findingsMost:
 		return Message{}, fmt.Errorf("%d findings", len(m.Findings))
-	case m.Duty != nil && (m.Duty.Kind < lease.Ask || m.Duty.Kind > lease.Release):
+	case m.Duty != nil && (m.Duty.Kind < lease.Prepare || m.Duty.Kind > lease.Release):
 		return Message{}, fmt.Errorf("kind %d", m.Duty.Kind)
 	}
 	for _, f := range m.Findings {
@@ -98,7 +98,7 @@
 
 // Came is a message from another instance, whose name and start the link has proved.
 type Came struct {
-	From    lease.Holder
+	From    lease.Instance
 	Message Message
 }
 
@@ -222,17 +222,17 @@
 	if err != nil {
 		return nil, err
 	}
-	interval := cmp.Or(c.Members.Interval, c.Duty.Renewal)
+	interval := cmp.Or(c.Members.Interval, c.Duty.RenewInterval)
 	n := &Node{config: c, leases: d, seen: map[string]finding{}, wanted: map[string]int64{}, started: now, table: member.New(now, member.Config{
 		Self: member.Entry{Name: c.Self.Name, Incarnation: c.Self.Incarnation, Address: c.Address, Weight: c.Weight,
 			Epoch: c.Duty.Voters.Epoch, Start: uint64(max(1, c.Wall))},
-		Contacts: c.Contacts, Interval: interval, Quiet: c.Members.Quiet, Silence: c.Duty.Silence(), Seed: c.Seed,
-		Beat: func(now int64) int64 { return lease.Beat(now, c.Self.Name, interval) }})}
+		Contacts: c.Contacts, Interval: interval, Quiet: c.Members.Quiet, Silence: c.Duty.RestartSilence(), Seed: c.Seed,
+		Beat: func(now int64) int64 { return lease.NextTick(now, c.Self.Name, interval) }})}
 	if c.Probe != nil {
 		if err := c.Probe.Check(); err != nil {
 			return nil, err
 		}
-		c.Probe.Slots, c.Probe.Drift = c.Duty.Slots, c.Duty.Drift
+		c.Probe.Slots, c.Probe.Drift = c.Duty.Slots, c.Duty.MaxClockDrift
 		n.probe = probe.New(*c.Probe)
 		n.duties = append(n.duties, probing{n.probe})
 	}
@@ -320,13 +320,13 @@
 		n.members(now)
 		n.gossip(tell)
 		for _, entry := range g.Entries {
-			n.leases.HeardEpoch(entry.Name, entry.Epoch)
+			n.leases.ObserveEpoch(entry.Name, entry.Epoch)
 		}
 	}
-	n.leases.Known(e.Message.Highest)
+	n.leases.ObserveBallot(e.Message.Highest)
 	if m := e.Message.Duty; m != nil {
-		vote := m.Kind == lease.Promise || m.Kind == lease.Taken
-		asked := m.Kind == lease.Ask || m.Kind == lease.Take
+		vote := m.Kind == lease.Promise || m.Kind == lease.Accept
+		asked := m.Kind == lease.Prepare || m.Kind == lease.Propose
 		switch {
 		case vote && n.table.Doubled(now, e.From.Name), asked && n.table.Doubled(now, n.config.Self.Name):
 		default:
@@ -360,7 +360,7 @@
 	if known || len(n.seen) < most {
 		n.seen[f.Target] = finding{f.Number, f.Seq}
 	}
-	n.leases.Known(f.Number)
+	n.leases.ObserveBallot(f.Number)
 	n.do(Found{f})
 }
 
@@ -370,7 +370,7 @@
 	}
 	n.probe.Done(now, e.Target, e.Good)
 	if seen := n.seen[e.Target].number; e.Number < seen {
-		n.leases.Renumber(now, lease.SlotOf(e.Target, n.config.Duty.Slots), seen)
+		n.leases.Reacquire(now, lease.SlotOf(e.Target, n.config.Duty.Slots), seen)
 	}
 	n.seq++
 	e.Seq = n.seq
@@ -388,7 +388,7 @@
 	n.gossip(tell)
 	n.leases.Tick(now, wall)
 	if len(n.found) > 0 && now >= n.foundAt {
-		n.foundAt = lease.Beat(now, n.config.Self.Name, n.config.Duty.Renewal) // together, with what else goes out
+		n.foundAt = lease.NextTick(now, n.config.Self.Name, n.config.Duty.RenewInterval) // together, with what else goes out
 		for _, m := range n.table.Links() {
 			n.do(Send{To: m.Name, Message: Message{Findings: n.found}})
 		}
@@ -407,7 +407,7 @@
 
 // majority logs whether the voters can be reached, once there was time to.
 func (n *Node) majority(now int64) {
-	if now-n.started < n.config.Duty.Silence()+2*n.config.Duty.Renewal {
+	if now-n.started < n.config.Duty.RestartSilence()+2*n.config.Duty.RenewInterval {
 		return
 	}
 	reached := n.Majority(now)
@@ -424,14 +424,14 @@
 
 // Majority tells whether a majority of the voters answers, or is at least heard of: who neither holds nor tries has
 // no answers.
-func (n *Node) Majority(now int64) bool { return n.leases.Reached(now) || n.aliveVoters() }
+func (n *Node) Majority(now int64) bool { return n.leases.HasQuorum(now) || n.aliveVoters() }
 
 func (n *Node) aliveVoters() bool {
 	v := n.leases.Voters()
 	if n.table.CutOff() {
 		return false // what is believed is of before
 	}
-	for _, set := range [][]string{v.Now, v.Before} {
+	for _, set := range [][]string{v.Current, v.Previous} {
 		alive := 0
 		for _, name := range set {
 			if m, _ := n.table.View(name); name == n.config.Self.Name || m.State == member.Alive {
@@ -448,7 +448,7 @@
 // missing names the voters that are not heard.
 func (n *Node) missing(int64) string {
 	var names []string
-	for _, name := range n.leases.Voters().Now {
+	for _, name := range n.leases.Voters().Current {
 		if m, _ := n.table.View(name); name != n.config.Self.Name && m.State != member.Alive {
 			names = append(names, name+" "+m.State.String())
 		}
@@ -468,7 +468,7 @@
 	}
 	n.version, n.relink = n.table.Version(), false
 	if !n.leaving {
-		n.leases.Members(now, shares(n.table.Alive()))
+		n.leases.SetCandidates(now, shares(n.table.Alive()))
 	}
 	at := map[string]string{}
 	for _, m := range n.table.Links() {
@@ -490,9 +490,9 @@
 	}
 }
 
-func shares(entries []member.Entry) (out []lease.Share) {
+func shares(entries []member.Entry) (out []lease.Candidate) {
 	for _, e := range entries {
-		out = append(out, lease.Share{Name: e.Name, Weight: e.Weight})
+		out = append(out, lease.Candidate{Name: e.Name, Weight: e.Weight})
 	}
 	return out
 }
@@ -503,7 +503,7 @@
 	}
 	n.leaving = true
 	tell := n.table.Leave(now)
-	n.leases.Leave(now, shares(n.table.Alive()))
+	n.leases.ReleaseAll(now, shares(n.table.Alive()))
 	n.carry(now)
 	n.gossip(tell)
 }
@@ -511,20 +511,20 @@
 // gossip sends what members tell each other.
 func (n *Node) gossip(tell []member.Telling) {
 	for _, t := range tell {
-		n.do(Send{To: t.To, Message: Message{Gossip: &t.Gossip, Highest: n.leases.Highest()}})
+		n.do(Send{To: t.To, Message: Message{Gossip: &t.Gossip, Highest: n.leases.HighestBallot()}})
 	}
 }
 
 func (n *Node) changed(now int64, e Changed) {
 	voters := "voters as they were"
-	if err := n.leases.Revote(now, e.Voters); err != nil {
+	if err := n.leases.UpdateVoters(now, e.Voters); err != nil {
 		n.do(Log{Line: "the voters stay as they were", Why: err.Error()})
 	} else {
 		voters = fmt.Sprintf("voters of epoch %d", e.Voters.Epoch)
 	}
 	n.table.Configure(now, e.Contacts, e.Weight, n.leases.Voters().Epoch)
 	for _, m := range n.table.All() {
-		n.leases.HeardEpoch(m.Name, m.Epoch) // a new set of voters knows of none, and entries come only when they change
+		n.leases.ObserveEpoch(m.Name, m.Epoch) // a new set of voters knows of none, and entries come only when they change
 	}
 	n.do(Log{Line: fmt.Sprintf("operator's file read again: %d instances, %s", len(e.Contacts), voters)})
 }
@@ -538,7 +538,7 @@
 		if n.leaving {
 			break
 		}
-		for _, e := range d.Do(now, func(slot int) (uint64, int64, bool) { return n.leases.Owns(now, slot) }) {
+		for _, e := range d.Do(now, func(slot int) (uint64, int64, bool) { return n.leases.Holds(now, slot) }) {
 			n.do(e)
 		}
 		next = min(next, d.Next(now))
@@ -556,24 +556,24 @@
 		}
 		logs = append(logs, Log{Line: line, Slots: []int{slot}, Number: number, Why: why})
 	}
-	for _, e := range n.leases.Take() {
+	for _, e := range n.leases.TakeEffects() {
 		switch e := e.(type) {
 		case lease.Send:
 			m := e.Message
 			n.want(now, e.To)
 			n.do(Send{To: e.To, Message: Message{Duty: &m}})
-		case lease.Gained:
+		case lease.Acquired:
 			for _, d := range n.duties {
 				d.Gained(now, e.Slot)
 			}
-			n.do(Held{e.Slot, e.Number})
-			note("slots gained", e.Slot, e.Number, "")
+			n.do(Held{e.Slot, e.Ballot})
+			note("slots gained", e.Slot, e.Ballot, "")
 		case lease.Lost:
 			for _, d := range n.duties {
 				d.Lost(e.Slot)
 			}
 			n.do(Held{e.Slot, 0})
-			note("slots lost", e.Slot, e.Number, e.Why)
+			note("slots lost", e.Slot, e.Ballot, e.Reason)
 		}
 	}
 	for _, l := range logs {
@@ -626,5 +626,5 @@
 
 // Owns tells whether this instance may act for a slot at this instant.
 func (n *Node) Owns(now int64, slot int) (number uint64, until int64, ok bool) {
-	return n.leases.Owns(now, slot)
+	return n.leases.Holds(now, slot)
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -14,11 +14,11 @@
 func node(t testing.TB, name string, incarnation uint64) *Node {
 	t.Helper()
 	cold := probe.Cold{Share: 0.16, Factor: 2.5, Window: 1500 * ms, Span: 17000 * ms}
-	n, err := New(0, Config{Self: lease.Holder{Name: name, Incarnation: incarnation}, Address: name + ":1", Weight: 1, Seed: 1,
+	n, err := New(0, Config{Self: lease.Instance{Name: name, Incarnation: incarnation}, Address: name + ":1", Weight: 1, Seed: 1,
 		Contacts: []member.Contact{{Name: "a", Address: "a:1", Weight: 1}, {Name: "b", Address: "b:1", Weight: 1},
 			{Name: "c", Address: "c:1", Weight: 1}},
-		Duty: lease.Config{Slots: 8, Lease: 1500 * ms, Renewal: 500 * ms, Drift: 0.01,
-			Voters: lease.Voters{Epoch: 1, Now: []string{"a", "b", "c"}}},
+		Duty: lease.Config{Slots: 8, LeaseDuration: 1500 * ms, RenewInterval: 500 * ms, MaxClockDrift: 0.01,
+			Voters: lease.Voters{Epoch: 1, Current: []string{"a", "b", "c"}}},
 		Probe: &probe.Config{Period: 1000 * ms, Within: 500 * ms, Part: 0.05, Cost: 0.001, Cache: cold, Parent: cold}})
 	if err != nil {
 		t.Fatal(err)
@@ -126,7 +126,7 @@
 	if n := owned(nodes["a"], 12000*ms); n != 0 {
 		t.Errorf("it still owns %d slots", n)
 	}
-	if s := nodes["a"].Status(12000 * ms); !logged || s.Majority || s.Why == "" || s.Slots[0].Why != "no majority of the voters answers" {
+	if s := nodes["a"].Status(12000 * ms); !logged || s.Majority || s.Why == "" || s.Slots[0].Reason != "no majority of the voters answers" {
 		t.Errorf("logged %v, %+v", logged, s)
 	}
 }
@@ -137,13 +137,13 @@
 	play(nodes, 0, 4000*ms, "")
 	b := nodes["b"]
 	beat := func(incarnation, beat uint64) {
-		b.Handle(4000*ms, Came{From: lease.Holder{Name: "c", Incarnation: incarnation}, Message: Message{
+		b.Handle(4000*ms, Came{From: lease.Instance{Name: "c", Incarnation: incarnation}, Message: Message{
 			Gossip: &member.Gossip{Beat: beat, Entries: []member.Entry{{Name: "c", Incarnation: incarnation, Start: beat, Version: beat, Weight: 1}}}}})
 	}
 	beat(99, 1)
 	held := owned(b, 4000*ms)
-	b.Handle(4000*ms, Came{From: lease.Holder{Name: "c", Incarnation: 99}, Message: Message{
-		Duty: &lease.Message{Kind: lease.Taken, Epoch: 1, Sent: 3999 * ms}}})
+	b.Handle(4000*ms, Came{From: lease.Instance{Name: "c", Incarnation: 99}, Message: Message{
+		Duty: &lease.Message{Kind: lease.Accept, Epoch: 1, SentAt: 3999 * ms}}})
 	if !b.table.Doubled(4000*ms, "c") || held == 0 {
 		t.Fatal("the case is not one")
 	}
@@ -152,15 +152,15 @@
 		b.Handle(now, Due{Wall: now / ms})
 		beat(3, uint64(1000+now/ms))
 		beat(99, uint64(1000+now/ms))
-		var items []lease.Item
+		var items []lease.SlotBallot
 		for s := range 8 {
 			if number, _, ok := b.Owns(now, s); ok {
-				items = append(items, lease.Item{Slot: s, Number: number})
+				items = append(items, lease.SlotBallot{Slot: s, Ballot: number})
 			}
 		}
 		if len(items) > 0 {
-			b.Handle(now, Came{From: lease.Holder{Name: "c", Incarnation: 3},
-				Message: Message{Duty: &lease.Message{Kind: lease.Taken, Epoch: 1, Sent: now, Items: items}}})
+			b.Handle(now, Came{From: lease.Instance{Name: "c", Incarnation: 3},
+				Message: Message{Duty: &lease.Message{Kind: lease.Accept, Epoch: 1, SentAt: now, Items: items}}})
 		}
 	}
 	if n := owned(b, 6000*ms); n != 0 {
@@ -171,7 +171,7 @@
 func TestFindingsUnderOldNumbersAreDropped(t *testing.T) {
 	n := node(t, "a", 1)
 	tell := func(number uint64) (found int) {
-		for _, e := range n.Handle(1, Came{From: lease.Holder{Name: "b", Incarnation: 2},
+		for _, e := range n.Handle(1, Came{From: lease.Instance{Name: "b", Incarnation: 2},
 			Message: Message{Findings: []Finding{{Target: "t", Number: number, Good: true}}}}) {
 			if _, ok := e.(Found); ok {
 				found++
@@ -244,7 +244,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, m := range []Message{{Highest: 3}, {Duty: &lease.Message{Kind: lease.Take, Epoch: 1, Items: []lease.Item{{Slot: 3, Number: 9}}}},
+	for _, m := range []Message{{Highest: 3}, {Duty: &lease.Message{Kind: lease.Propose, Epoch: 1, Items: []lease.SlotBallot{{Slot: 3, Ballot: 9}}}},
 		{Findings: []Finding{{Target: "t", Number: 4, Load: []float64{1}}}},
 		{Gossip: &member.Gossip{Beat: 2, Entries: []member.Entry{{Name: "b", Incarnation: 1, Version: 2, Weight: 1}},
 			Alerts: []member.Alert{{Subject: "b", Observer: "a", Kind: member.Deaf}}, Parts: make([]uint64, member.Buckets)}}} {
@@ -258,7 +258,7 @@
 		if err != nil {
 			return
 		}
-		n.Handle(2000*ms, Came{From: lease.Holder{Name: "b", Incarnation: 2}, Message: m})
+		n.Handle(2000*ms, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: m})
 		n.Handle(2000*ms, Due{Wall: 1})
 	})
 }
--- a/fleet/lease/assign.go
+++ b/fleet/lease/assign.go
@@ -9,17 +9,17 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Share is one who can hold slots, with a weight above 0.
-type Share struct {
+// Candidate is one who can hold slots, with a weight above 0.
+type Candidate struct {
 	Name   string
 	Weight float64
 }
 
-// Plan assigns slots to members: the place in members for each slot, or nil with no members. Each member gets its
+// Assign assigns slots to members: the place in members for each slot, or nil with no members. Each member gets its
 // part by weight to within one slot (largest remainders), and of all pairs of slot and member that fit the one
 // with the highest rendezvous score first, so that a member that comes or goes moves few slots. Members must be in
 // the same order everywhere, by name.
-func Plan(slots int, members []Share) []int {
+func Assign(slots int, members []Candidate) []int {
 	if len(members) == 0 {
 		return nil
 	}
@@ -51,7 +51,7 @@
 }
 
 // quotas splits slots by weight: the whole part of each fair share, and one more for the largest remainders.
-func quotas(slots int, members []Share) []int {
+func quotas(slots int, members []Candidate) []int {
 	total := 0.
 	for _, m := range members {
 		total += m.Weight
@@ -74,7 +74,7 @@
 }
 
 // place is how many members come before one in a slot's ranking.
-func place(slot int, members []Share, name string) int {
+func place(slot int, members []Candidate, name string) int {
 	own, before := 0., 0
 	for _, m := range members {
 		if m.Name == name {
@@ -90,7 +90,7 @@
 }
 
 // score is weighted rendezvous hashing (Schindelhauer and Schomaker, 2005): -w/ln(u), u drawn by the hash.
-func score(slot int, m Share) float64 {
+func score(slot int, m Candidate) float64 {
 	h := xxhash.Sum64(append(binary.LittleEndian.AppendUint32(nil, uint32(slot)), m.Name...))
 	u := (float64(h>>11) + 0.5) / (1 << 53)
 	return -m.Weight / math.Log(u)
--- a/fleet/lease/explore_test.go
+++ b/fleet/lease/explore_test.go
@@ -48,17 +48,17 @@
 func (s *space) start(i int, p planted) {
 	s.lives++
 	s.born[i], s.back[i] = s.now, 0
-	c := Config{Self: Holder{exNames[i], s.lives}, Slots: 1, Lease: exLease, Renewal: exRenewal, Drift: exDrift,
-		Voters: Voters{Epoch: 1, Now: exNames[:]}}
+	c := Config{Self: Instance{exNames[i], s.lives}, Slots: 1, LeaseDuration: exLease, RenewInterval: exRenewal, MaxClockDrift: exDrift,
+		Voters: Voters{Epoch: 1, Current: exNames[:]}}
 	if p.noDrift {
-		c.Drift = 0
+		c.MaxClockDrift = 0
 	}
 	n, err := New(0, c)
 	if err != nil {
 		panic(err)
 	}
 	n.fault = p.fault
-	n.Members(0, []Share{{exNames[i], 1}})
+	n.SetCandidates(0, []Candidate{{exNames[i], 1}})
 	s.nodes[i] = n
 }
 
@@ -73,14 +73,14 @@
 
 // collect takes a node's effects; it tells whether a number did not grow.
 func (s *space) collect(i int) (fell bool) {
-	for _, e := range s.nodes[i].Take() {
+	for _, e := range s.nodes[i].TakeEffects() {
 		switch e := e.(type) {
 		case Send:
 			// Of two alike the later one is enough; what is not delivered in the end is lost.
 			s.mail = append(s.mail, letter{from: s.nodes[i].config.Self, to: e.To, message: e.Message})
-		case Gained:
-			fell = fell || e.Number <= s.highest
-			s.highest = max(s.highest, e.Number)
+		case Acquired:
+			fell = fell || e.Ballot <= s.highest
+			s.highest = max(s.highest, e.Ballot)
 		}
 	}
 	const most = 5 // messages under way; the oldest is lost
@@ -108,7 +108,7 @@
 
 func (s *space) owners() (n int) {
 	for i, node := range s.nodes {
-		if _, _, ok := node.Owns(s.clock(i), 0); ok {
+		if _, _, ok := node.Holds(s.clock(i), 0); ok {
 			n++
 		}
 	}
@@ -137,8 +137,8 @@
 		}
 	}
 	for _, l := range s.mail {
-		put(int64(l.from.Incarnation), int64(l.to[0]), int64(l.message.Kind), l.message.Sent, int64(l.message.Items[0].Number),
-			l.message.Items[0].Left)
+		put(int64(l.from.Incarnation), int64(l.to[0]), int64(l.message.Kind), l.message.SentAt, int64(l.message.Items[0].Ballot),
+			l.message.Items[0].Remaining)
 	}
 	return xxhash.Sum64(b)
 }
--- a/fleet/lease/holder.go
+++ b/fleet/lease/holder.go
@@ -7,15 +7,15 @@
 
 // Receive takes a message from another instance. Votes are to be passed on only from names under which one
 // instance runs.
-func (n *Node) Receive(now int64, from Holder, m Message) {
+func (n *Node) Receive(now int64, from Instance, m Message) {
 	switch m.Kind {
-	case Ask, Take:
+	case Prepare, Propose:
 		for _, a := range n.vote(now, from, m) {
 			n.do(Send{To: from.Name, Message: a})
 		}
 	case Release:
 		n.released(now, from, m)
-	case Promise, Taken, Refuse:
+	case Promise, Accept, Reject:
 		n.answer(now, from.Name, m)
 	}
 }
@@ -26,22 +26,22 @@
 	if now < n.tickAt {
 		return
 	}
-	n.tickAt = Beat(now, n.config.Self.Name, n.config.Renewal/ticksPerRenewal)
+	n.tickAt = NextTick(now, n.config.Self.Name, n.config.RenewInterval/ticksPerRenewal)
 	n.wake(now)
 	n.settle(now)
 	for s := range n.holds {
 		if h := &n.holds[s]; h.held && now >= h.until {
 			why := "no majority of the voters renewed it"
-			if now >= h.until+n.config.Renewal {
+			if now >= h.until+n.config.RenewInterval {
 				why = fmt.Sprintf("this instance stood still for %d ms past its end", (now-h.until)/1e6)
 			}
 			n.drop(s, why)
 			n.release(s, h, "")
-			h.busyUntil = now + n.chance(n.config.Renewal)
+			h.busyUntil = now + n.chance(n.config.RenewInterval)
 		}
 	}
 	if now >= n.renewAt {
-		n.renewAt, n.handed = Beat(now, n.config.Self.Name, n.config.Renewal), 0
+		n.renewAt, n.handed = NextTick(now, n.config.Self.Name, n.config.RenewInterval), 0
 		n.renew(now)
 	}
 	n.handOver(now)
@@ -52,9 +52,9 @@
 // Next is when Tick has something to do.
 func (n *Node) Next() int64 { return n.tickAt }
 
-// Beat is the next moment of an instance's own grid of an interval. What is due on the same grid is done at once, and what
+// NextTick is the next moment of an instance's own grid of an interval. What is due on the same grid is done at once, and what
 // goes to one instance then goes in one write: that halved the cost of an instance that does nothing else.
-func Beat(now int64, name string, interval int64) int64 {
+func NextTick(now int64, name string, interval int64) int64 {
 	shift := int64(mark(name)) * 1e6 % interval // instances that share a clock do not all act at once
 	return now + interval - (now+shift)%interval
 }
@@ -75,7 +75,7 @@
 func (n *Node) drop(slot int, why string) {
 	h := &n.holds[slot]
 	h.held, h.freeSince = false, -1
-	n.do(Lost{Slot: slot, Number: h.number, Why: why})
+	n.do(Lost{Slot: slot, Ballot: h.number, Reason: why})
 }
 
 // release tells the voters, and the one that the slot is meant for, that the own hold or try is over. It is sent
@@ -85,7 +85,7 @@
 		return
 	}
 	m := Message{Kind: Release, Epoch: n.config.Voters.Epoch,
-		Items: []Item{{Slot: slot, Number: h.number, Holder: Holder{Name: heir}}}}
+		Items: []SlotBallot{{Slot: slot, Ballot: h.number, Holder: Instance{Name: heir}}}}
 	to := slices.Clone(n.voters)
 	if heir != "" && !slices.Contains(to, heir) {
 		to = append(to, heir)
@@ -93,7 +93,7 @@
 	h.number, h.taking = 0, false
 	for _, name := range to {
 		if name == n.config.Self.Name {
-			n.free(&n.grants[slot], n.config.Self, m.Items[0].Number)
+			n.free(&n.grants[slot], n.config.Self, m.Items[0].Ballot)
 			continue
 		}
 		n.do(Send{To: name, Message: m})
@@ -102,21 +102,21 @@
 
 // renew sends takes for all that is held, and again for what has a majority of promises.
 func (n *Node) renew(now int64) {
-	var items []Item
+	var items []SlotBallot
 	for s := range n.holds {
 		if h := &n.holds[s]; h.held || h.taking {
-			items = append(items, Item{Slot: s, Number: h.number})
+			items = append(items, SlotBallot{Slot: s, Ballot: h.number})
 		}
 	}
-	n.toVoters(now, Take, items)
+	n.toVoters(now, Propose, items)
 }
 
 // toVoters sends items to all voters; the own vote is asked directly.
-func (n *Node) toVoters(now int64, kind Kind, items []Item) {
+func (n *Node) toVoters(now int64, kind MessageKind, items []SlotBallot) {
 	if len(items) == 0 {
 		return
 	}
-	m := Message{Kind: kind, Epoch: n.config.Voters.Epoch, Sent: now, Items: items}
+	m := Message{Kind: kind, Epoch: n.config.Voters.Epoch, SentAt: now, Items: items}
 	own := false
 	for _, name := range n.voters {
 		if name == n.config.Self.Name {
@@ -139,16 +139,16 @@
 		return
 	}
 	n.heard[v], n.epochs[v] = now, m.Epoch
-	var take []Item
+	var take []SlotBallot
 	for _, i := range m.Items {
 		if i.Slot < 0 || i.Slot >= len(n.holds) {
 			continue
 		}
 		h := &n.holds[i.Slot]
 		switch {
-		case m.Kind == Refuse:
-			n.refused(now, v, m.Sent, i)
-		case h.number != i.Number || h.number == 0 || m.Sent > now:
+		case m.Kind == Reject:
+			n.refused(now, v, m.SentAt, i)
+		case h.number != i.Ballot || h.number == 0 || m.SentAt > now:
 			// an answer to what was given up
 		case m.Kind == Promise && !h.taking && !h.held:
 			h.promises |= 1 << v
@@ -156,33 +156,33 @@
 				h.taking = true
 				take = append(take, i)
 			}
-		case m.Kind == Taken && (h.taking || h.held):
-			h.acked[v] = max(h.acked[v], m.Sent)
+		case m.Kind == Accept && (h.taking || h.held):
+			h.acked[v] = max(h.acked[v], m.SentAt)
 			if h.until = n.until(h); !h.held && now < h.until {
 				h.held, h.taking, h.since = true, false, now
-				n.do(Gained{Slot: i.Slot, Number: h.number})
+				n.do(Acquired{Slot: i.Slot, Ballot: h.number})
 			}
 		}
 	}
-	n.toVoters(now, Take, take)
+	n.toVoters(now, Propose, take)
 }
 
 // refused notes who holds a slot, and gives up a try that can't have a majority any more.
-func (n *Node) refused(now int64, v int, sent int64, i Item) {
-	n.Known(i.Number)
+func (n *Node) refused(now int64, v int, sent int64, i SlotBallot) {
+	n.ObserveBallot(i.Ballot)
 	h := &n.holds[i.Slot]
 	if h.held {
 		return
 	}
-	if i.Left > 0 {
+	if i.Remaining > 0 {
 		// A holder may release before its time or die, so it is asked again each renewal; where it is the planned
 		// one and alive, that is for others to see.
-		left := min(i.Left, n.config.Lease)
+		left := min(i.Remaining, n.config.LeaseDuration)
 		if n.plan == nil || n.members[n.plan[i.Slot]].Name != i.Holder.Name {
-			left = min(left, n.config.Renewal)
+			left = min(left, n.config.RenewInterval)
 		}
-		h.holder, h.seen = i.Holder, i.Number
-		h.busyUntil = max(h.busyUntil, now+left+n.chance(n.config.Renewal/ticksPerRenewal))
+		h.holder, h.seen = i.Holder, i.Ballot
+		h.busyUntil = max(h.busyUntil, now+left+n.chance(n.config.RenewInterval/ticksPerRenewal))
 	}
 	if h.number == 0 || sent < h.asked {
 		return
@@ -197,12 +197,12 @@
 func (n *Node) giveUp(now int64, slot int) {
 	h := &n.holds[slot]
 	n.release(slot, h, "")
-	h.tryAt = now + 1 + n.chance(n.config.Renewal/ticksPerRenewal)
+	h.tryAt = now + 1 + n.chance(n.config.RenewInterval/ticksPerRenewal)
 }
 
 // handOver gives slots to those that are planned for them, a few at a time: it stops first, and releases then.
 func (n *Node) handOver(now int64) {
-	if n.plan == nil || now-n.planned < steadyRenewals*n.config.Renewal {
+	if n.plan == nil || now-n.planned < steadyRenewals*n.config.RenewInterval {
 		return
 	}
 	for s := range n.holds {
@@ -214,7 +214,7 @@
 			n.handed++
 			n.drop(s, "handed to "+heir)
 			n.release(s, h, heir)
-			h.busyUntil = now + steadyRenewals*n.config.Renewal // the heir has until then
+			h.busyUntil = now + steadyRenewals*n.config.RenewInterval // the heir has until then
 		}
 	}
 }
@@ -239,14 +239,14 @@
 		return 0
 	}
 	behind := int64(1 + place(slot, n.members, n.config.Self.Name))
-	wait := min(behind*n.config.Renewal/turnShare, turnsMost*n.config.Renewal)
+	wait := min(behind*n.config.RenewInterval/turnShare, turnsMost*n.config.RenewInterval)
 	if far := behind - nearTurns; far > 0 {
 		// That a slot is held is learned by asking alone. When all asked in turn, each of 30 instances sent 200 frames a
 		// second: those far down the ranking leave that to the first, longer the farther they are.
-		wait += min(far*farTurns, farMost) * n.config.Renewal
-		return wait + n.chance(farTurns*n.config.Renewal)
+		wait += min(far*farTurns, farMost) * n.config.RenewInterval
+		return wait + n.chance(farTurns*n.config.RenewInterval)
 	}
-	return wait + n.chance(n.config.Renewal/turnShare)
+	return wait + n.chance(n.config.RenewInterval/turnShare)
 }
 
 // attempt asks for what is free, and gives up tries that came to nothing.
@@ -254,10 +254,10 @@
 	if n.leaving || n.plan == nil {
 		return
 	}
-	var items []Item
+	var items []SlotBallot
 	for s := range n.holds {
 		h := &n.holds[s]
-		if h.number != 0 && !h.held && now-h.asked >= n.config.Renewal {
+		if h.number != 0 && !h.held && now-h.asked >= n.config.RenewInterval {
 			n.giveUp(now, s)
 		}
 		if h.number != 0 || h.freeSince < 0 || now < h.tryAt {
@@ -267,19 +267,19 @@
 		for v := range h.acked {
 			h.acked[v] = -1
 		}
-		items = append(items, Item{Slot: s, Number: h.number})
+		items = append(items, SlotBallot{Slot: s, Ballot: h.number})
 	}
 	if len(items) > 0 {
-		n.toVoters(now, Ask, items)
-		n.Known(items[0].Number) // not before: the own vote's floor must not be the number asked with
+		n.toVoters(now, Prepare, items)
+		n.ObserveBallot(items[0].Ballot) // not before: the own vote's floor must not be the number asked with
 	}
 }
 
-// Renumber gives a slot up that is held under a number below one seen for what is done under it, and asks for it anew:
+// Reacquire gives a slot up that is held under a number below one seen for what is done under it, and asks for it anew:
 // all of a majority had restarted with wall clocks set back, and nobody takes what is done under the low one.
-func (n *Node) Renumber(now int64, slot int, seen uint64) {
-	n.Known(seen)
-	if number, _, ok := n.Owns(now, slot); !ok || number >= seen || n.highest < seen {
+func (n *Node) Reacquire(now int64, slot int, seen uint64) {
+	n.ObserveBallot(seen)
+	if number, _, ok := n.Holds(now, slot); !ok || number >= seen || n.highest < seen {
 		return
 	}
 	n.drop(slot, "a higher number was seen")
@@ -297,10 +297,10 @@
 	return max(n.highest>>numberShift+1, uint64(max(n.wall, 0)))<<numberShift | mark(n.config.Self.Name)
 }
 
-// Leave stops all at once and hands it over; nothing is asked for from then on.
-func (n *Node) Leave(now int64, others []Share) {
+// ReleaseAll stops all at once and hands it over; nothing is asked for from then on.
+func (n *Node) ReleaseAll(now int64, others []Candidate) {
 	n.leaving = true
-	plan := Plan(n.config.Slots, others)
+	plan := Assign(n.config.Slots, others)
 	for s := range n.holds {
 		h := &n.holds[s]
 		if h.held {
--- a/fleet/lease/node.go
+++ b/fleet/lease/node.go
@@ -19,8 +19,8 @@
 
 // Bounds of the configuration.
 const (
-	SlotsMost  = 4096
-	VotersMost = 64 // they are held as bits of a word
+	MaxSlots  = 4096
+	MaxVoters = 64 // they are held as bits of a word
 )
 
 const (
@@ -35,8 +35,8 @@
 	numberShift     = 16
 )
 
-// Holder is one start of an instance.
-type Holder struct {
+// Instance is one start of an instance.
+type Instance struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
@@ -44,20 +44,20 @@
 // Voters are those whose majority grants. Before is the set of the epoch before, in which a majority is needed as
 // well; it differs from Now by one name at most.
 type Voters struct {
-	Epoch  uint64   `json:"Epoch"`
-	Now    []string `json:"Now"`
-	Before []string `json:"Before"`
+	Epoch    uint64   `json:"Epoch"`
+	Current  []string `json:"Now"`
+	Previous []string `json:"Before"`
 }
 
 // Config is what a node starts with.
 type Config struct {
-	Self    Holder
-	Slots   int
-	Lease   int64   // ns: for how long a voter counts a holder in
-	Renewal int64   // ns: how often a holder renews
-	Drift   float64 // by which a clock's rate may be off, as a share
-	Voters  Voters
-	Seed    uint64
+	Self          Instance
+	Slots         int
+	LeaseDuration int64   // ns: for how long a voter counts a holder in
+	RenewInterval int64   // ns: how often a holder renews
+	MaxClockDrift float64 // by which a clock's rate may be off, as a share
+	Voters        Voters
+	Seed          uint64
 }
 
 // Check tells what is wrong with a configuration.
@@ -65,27 +65,27 @@
 	switch {
 	case c.Self.Name == "":
 		return errors.New("the own name is empty")
-	case c.Slots < 1 || c.Slots > SlotsMost:
-		return fmt.Errorf("%d slots: 1 to %d can be", c.Slots, SlotsMost)
-	case c.Renewal <= 0:
+	case c.Slots < 1 || c.Slots > MaxSlots:
+		return fmt.Errorf("%d slots: 1 to %d can be", c.Slots, MaxSlots)
+	case c.RenewInterval <= 0:
 		return errors.New("the renewal interval is not above 0")
-	case c.Lease < 3*c.Renewal:
-		return fmt.Errorf("a lease of %d ms is shorter than three renewals of %d ms", c.Lease/1e6, c.Renewal/1e6)
-	case !(c.Drift >= 0 && c.Drift <= 0.1):
-		return fmt.Errorf("a drift of %v: 0 to 0.1 can be", c.Drift)
+	case c.LeaseDuration < 3*c.RenewInterval:
+		return fmt.Errorf("a lease of %d ms is shorter than three renewals of %d ms", c.LeaseDuration/1e6, c.RenewInterval/1e6)
+	case !(c.MaxClockDrift >= 0 && c.MaxClockDrift <= 0.1):
+		return fmt.Errorf("a drift of %v: 0 to 0.1 can be", c.MaxClockDrift)
 	}
 	return c.Voters.Check()
 }
 
 // Check tells what is wrong with a set of voters.
 func (v Voters) Check() error {
-	if len(v.Now) == 0 {
+	if len(v.Current) == 0 {
 		return errors.New("no voters: a majority of none grants nothing")
 	}
 	hashes := map[uint64]string{}
-	for _, set := range [][]string{v.Now, v.Before} {
-		if len(set) > VotersMost/2 {
-			return fmt.Errorf("%d voters: %d at most", len(set), VotersMost/2)
+	for _, set := range [][]string{v.Current, v.Previous} {
+		if len(set) > MaxVoters/2 {
+			return fmt.Errorf("%d voters: %d at most", len(set), MaxVoters/2)
 		}
 		seen := map[string]bool{}
 		for _, name := range set {
@@ -99,7 +99,7 @@
 			hashes[mark(name)] = name
 		}
 	}
-	if len(v.Before) > 0 && differ(v.Now, v.Before) > 1 {
+	if len(v.Previous) > 0 && differ(v.Current, v.Previous) > 1 {
 		return errors.New("voters change by one at a time: now and before differ by more")
 	}
 	return nil
@@ -120,42 +120,44 @@
 // mark is what a name adds to its numbers, so that no two instances draw the same.
 func mark(name string) uint64 { return xxhash.Sum64String(name) & (1<<numberShift - 1) }
 
-// Held is the time for which a holder acts after it sent what a majority accepted, by its own clock.
-func (c Config) Held() int64 { return int64(float64(c.Lease) * (1 - c.Drift) / (1 + c.Drift)) }
+// HoldDuration is the time for which a holder acts after it sent what a majority accepted, by its own clock.
+func (c Config) HoldDuration() int64 {
+	return int64(float64(c.LeaseDuration) * (1 - c.MaxClockDrift) / (1 + c.MaxClockDrift))
+}
 
-// Silence is for how long a voter that started without memory grants nothing.
-func (c Config) Silence() int64 {
-	return int64(math.Ceil(float64(c.Lease) * (1 + c.Drift) / (1 - c.Drift)))
+// RestartSilence is for how long a voter that started without memory grants nothing.
+func (c Config) RestartSilence() int64 {
+	return int64(math.Ceil(float64(c.LeaseDuration) * (1 + c.MaxClockDrift) / (1 - c.MaxClockDrift)))
 }
 
-// Kind is what a message is.
-type Kind uint8
+// MessageKind is what a message is.
+type MessageKind uint8
 
-// The kinds. Ask and Take go from holders to voters; Promise, Taken and Refuse come back; Release tells that a
+// The kinds. Prepare and Propose go from holders to voters; Promise, Accept and Reject come back; Release tells that a
 // holder has stopped.
 const (
-	Ask Kind = iota + 1
+	Prepare MessageKind = iota + 1
 	Promise
-	Take
-	Taken
-	Refuse
+	Propose
+	Accept
+	Reject
 	Release
 )
 
 // Message is what nodes send each other.
 type Message struct {
-	Kind  Kind   `cbor:"1,keyasint"`
-	Epoch uint64 `cbor:"2,keyasint"`
-	Sent  int64  `cbor:"3,keyasint"` // by the holder's clock; it comes back as it was
-	Items []Item `cbor:"4,keyasint"`
+	Kind   MessageKind  `cbor:"1,keyasint"`
+	Epoch  uint64       `cbor:"2,keyasint"`
+	SentAt int64        `cbor:"3,keyasint"` // by the holder's clock; it comes back as it was
+	Items  []SlotBallot `cbor:"4,keyasint"`
 }
 
-// Item is what a message says of one slot.
-type Item struct {
-	Slot   int    `cbor:"1,keyasint"`
-	Number uint64 `cbor:"2,keyasint"`
-	Holder Holder `cbor:"3,keyasint,omitempty"` // Refuse: who holds it; Release: for whom it is meant
-	Left   int64  `cbor:"4,keyasint,omitempty"` // Refuse: for how long it is held still, ns
+// SlotBallot is what a message says of one slot.
+type SlotBallot struct {
+	Slot      int      `cbor:"1,keyasint"`
+	Ballot    uint64   `cbor:"2,keyasint"`
+	Holder    Instance `cbor:"3,keyasint,omitempty"` // Refuse: who holds it; Release: for whom it is meant
+	Remaining int64    `cbor:"4,keyasint,omitempty"` // Refuse: for how long it is held still, ns
 }
 
 // Effect is what a node wants done or known outside.
@@ -167,25 +169,25 @@
 	Message Message
 }
 
-// Gained tells that a slot is held from now on; Lost that it no longer is, and why.
-type (
-	Gained struct {
-		Slot   int
-		Number uint64
-	}
-	Lost struct {
-		Slot   int
-		Number uint64
-		Why    string
-	}
-)
+// Acquired tells that a slot is held from now on.
+type Acquired struct {
+	Slot   int
+	Ballot uint64
+}
+
+// Lost tells that a slot is no longer held, and why.
+type Lost struct {
+	Slot   int
+	Ballot uint64
+	Reason string
+}
 
 // grant is a voter's side of one slot.
 type grant struct {
 	promised   uint64
-	promisedTo Holder
+	promisedTo Instance
 	promisedAt int64
-	holder     Holder
+	holder     Instance
 	number     uint64
 	until      int64
 }
@@ -200,12 +202,12 @@
 	acked     []int64 // for each voter, when the latest take that it accepted was sent; minus one is never
 	held      bool
 	since     int64
-	until     int64  // when the own hold ends
-	busyUntil int64  // until then somebody else is taken to hold it
-	freeSince int64  // from when it has looked free; -1 while it does not
-	tryAt     int64  // when it is asked for, if it is free then
-	holder    Holder // the last other one known
-	seen      uint64 // and its number
+	until     int64    // when the own hold ends
+	busyUntil int64    // until then somebody else is taken to hold it
+	freeSince int64    // from when it has looked free; -1 while it does not
+	tryAt     int64    // when it is asked for, if it is free then
+	holder    Instance // the last other one known
+	seen      uint64   // and its number
 }
 
 // Node is one instance.
@@ -224,7 +226,7 @@
 
 	grants  []grant
 	holds   []hold
-	members []Share
+	members []Candidate
 	plan    []int
 	planned int64
 	renewAt int64
@@ -247,7 +249,7 @@
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	n := &Node{config: c, started: now, mute: now + c.Silence(), settled: -1, tickAt: now, renewAt: now + c.Renewal,
+	n := &Node{config: c, started: now, mute: now + c.RestartSilence(), settled: -1, tickAt: now, renewAt: now + c.RenewInterval,
 		grants: make([]grant, c.Slots), holds: make([]hold, c.Slots), rng: *rand.NewPCG(c.Seed, c.Self.Incarnation)}
 	n.enter(c.Voters)
 	for s := range n.holds {
@@ -259,7 +261,7 @@
 // enter takes a set of voters into force. What was accepted under another does not count any more.
 func (n *Node) enter(v Voters) {
 	n.config.Voters, n.voters, n.sets, n.settled = v, nil, nil, -1
-	for _, set := range [][]string{v.Now, v.Before} {
+	for _, set := range [][]string{v.Current, v.Previous} {
 		if len(set) == 0 {
 			continue
 		}
@@ -287,39 +289,39 @@
 	}
 }
 
-// Revote takes the next set of voters, one epoch on, or says why it can't yet.
-func (n *Node) Revote(now int64, v Voters) error {
+// UpdateVoters takes the next set of voters, one epoch on, or says why it can't yet.
+func (n *Node) UpdateVoters(now int64, v Voters) error {
 	own := n.config.Voters
 	if err := v.Check(); err != nil {
 		return err
 	}
 	switch {
-	case v.Epoch == own.Epoch && slices.Equal(v.Now, own.Now) && slices.Equal(v.Before, own.Before):
+	case v.Epoch == own.Epoch && slices.Equal(v.Current, own.Current) && slices.Equal(v.Previous, own.Previous):
 		return nil
 	case v.Epoch != own.Epoch+1:
 		return fmt.Errorf("voters of epoch %d can't follow those of epoch %d", v.Epoch, own.Epoch)
-	case differ(v.Before, own.Now) > 0:
+	case differ(v.Previous, own.Current) > 0:
 		return fmt.Errorf("voters of epoch %d name others before them than are in force", v.Epoch)
-	case n.settled < 0 || now-n.settled < n.config.Silence():
-		return fmt.Errorf("a majority must have been at epoch %d for %d ms first", own.Epoch, n.config.Silence()/1e6)
+	case n.settled < 0 || now-n.settled < n.config.RestartSilence():
+		return fmt.Errorf("a majority must have been at epoch %d for %d ms first", own.Epoch, n.config.RestartSilence()/1e6)
 	}
 	n.enter(v)
 	return nil
 }
 
-// HeardEpoch notes at which epoch a member is.
-func (n *Node) HeardEpoch(name string, epoch uint64) {
+// ObserveEpoch notes at which epoch a member is.
+func (n *Node) ObserveEpoch(name string, epoch uint64) {
 	if i := slices.Index(n.voters, name); i >= 0 {
 		n.epochs[i] = epoch
 	}
 }
 
-// Members gives those believed alive, the own instance among them, by name.
-func (n *Node) Members(now int64, members []Share) {
+// SetCandidates gives those believed alive, the own instance among them, by name.
+func (n *Node) SetCandidates(now int64, members []Candidate) {
 	if slices.Equal(members, n.members) {
 		return
 	}
-	n.members, n.plan, n.planned = members, Plan(n.config.Slots, members), now
+	n.members, n.plan, n.planned = members, Assign(n.config.Slots, members), now
 	for s := range n.holds { // whose turn it is has changed; who waited goes on waiting, no longer than before
 		if h := &n.holds[s]; h.freeSince >= 0 && h.number == 0 {
 			h.tryAt = min(h.tryAt, now+n.turn(s))
@@ -327,19 +329,19 @@
 	}
 }
 
-// Known raises the highest number known to what somebody else knows.
-func (n *Node) Known(number uint64) {
+// ObserveBallot raises the highest number known to what somebody else knows.
+func (n *Node) ObserveBallot(number uint64) {
 	// A number of a far future would use them up: what a wall clock may be off is far less than a year.
 	if number>>numberShift < uint64(max(n.wall, 0))+365*24*3600*1000 || n.wall == 0 {
 		n.highest = max(n.highest, number)
 	}
 }
 
-// Highest is the highest number known.
-func (n *Node) Highest() uint64 { return n.highest }
+// HighestBallot is the highest number known.
+func (n *Node) HighestBallot() uint64 { return n.highest }
 
-// Take returns the effects since the last call, in order.
-func (n *Node) Take() []Effect {
+// TakeEffects returns the effects since the last call, in order.
+func (n *Node) TakeEffects() []Effect {
 	out := n.effects
 	n.effects = nil
 	return out
@@ -384,12 +386,12 @@
 		slices.Sort(sent)
 		end = min(end, sent[len(sent)-need])
 	}
-	return end + n.config.Held()
+	return end + n.config.HoldDuration()
 }
 
-// Owns tells whether the node may act for a slot at this moment, under which number and until when. It is to be
+// Holds tells whether the node may act for a slot at this moment, under which number and until when. It is to be
 // asked immediately before each act, with the clock just read.
-func (n *Node) Owns(now int64, slot int) (number uint64, until int64, ok bool) {
+func (n *Node) Holds(now int64, slot int) (number uint64, until int64, ok bool) {
 	if slot < 0 || slot >= len(n.holds) || !n.holds[slot].held {
 		return 0, 0, false
 	}
@@ -397,59 +399,59 @@
 	return h.number, h.until, now < h.until
 }
 
-// Slot is what a node knows of one slot, for people.
-type Slot struct {
+// SlotStatus is what a node knows of one slot, for people.
+type SlotStatus struct {
 	Slot    int    `json:"slot"`
 	Own     bool   `json:"own"`
 	Holder  string `json:"holder,omitempty"`
-	Number  uint64 `json:"number,omitempty"`
+	Ballot  uint64 `json:"number,omitempty"`
 	Planned string `json:"planned,omitempty"`
 	Since   int64  `json:"-"` // when it was gained, if own
 	Until   int64  `json:"-"`
-	Why     string `json:"why,omitempty"` // why nobody holds it
+	Reason  string `json:"why,omitempty"` // why nobody holds it
 }
 
 // Slots is what the node knows of all slots. A voter knows the holders that it granted to; others know those that
 // they were refused for.
-func (n *Node) Slots(now int64) []Slot {
-	out := make([]Slot, len(n.holds))
+func (n *Node) Slots(now int64) []SlotStatus {
+	out := make([]SlotStatus, len(n.holds))
 	for s := range out {
 		h, g := &n.holds[s], &n.grants[s]
-		o := Slot{Slot: s}
+		o := SlotStatus{Slot: s}
 		if n.plan != nil {
 			o.Planned = n.members[n.plan[s]].Name
 		}
-		number, until, own := n.Owns(now, s)
+		number, until, own := n.Holds(now, s)
 		switch {
 		case own:
-			o.Own, o.Holder, o.Number, o.Since, o.Until = true, n.config.Self.Name, number, h.since, until
+			o.Own, o.Holder, o.Ballot, o.Since, o.Until = true, n.config.Self.Name, number, h.since, until
 		case g.until > now:
-			o.Holder, o.Number, o.Until = g.holder.Name, g.number, g.until
+			o.Holder, o.Ballot, o.Until = g.holder.Name, g.number, g.until
 		case h.freeSince < 0 && h.holder.Name != "":
-			o.Holder, o.Number = h.holder.Name, h.seen
+			o.Holder, o.Ballot = h.holder.Name, h.seen
 		case now < n.mute:
-			o.Why = fmt.Sprintf("voters that have just started grant nothing for %d ms", n.config.Silence()/1e6)
-		case !n.Reached(now):
-			o.Why = "no majority of the voters answers"
+			o.Reason = fmt.Sprintf("voters that have just started grant nothing for %d ms", n.config.RestartSilence()/1e6)
+		case !n.HasQuorum(now):
+			o.Reason = "no majority of the voters answers"
 		case h.number != 0:
-			o.Why = "it is being asked for"
+			o.Reason = "it is being asked for"
 		default:
-			o.Why = "it waits for " + o.Planned + " to ask for it"
+			o.Reason = "it waits for " + o.Planned + " to ask for it"
 		}
 		out[s] = o
 	}
 	return out
 }
 
-// Reached tells whether a majority of the voters, the own vote included, answered within the last lease.
-func (n *Node) Reached(now int64) bool {
+// HasQuorum tells whether a majority of the voters, the own vote included, answered within the last lease.
+func (n *Node) HasQuorum(now int64) bool {
 	return n.majority(func(v int) bool {
-		return n.voters[v] == n.config.Self.Name || n.heard[v] >= 0 && now-n.heard[v] <= n.config.Lease
+		return n.voters[v] == n.config.Self.Name || n.heard[v] >= 0 && now-n.heard[v] <= n.config.LeaseDuration
 	})
 }
 
-// Silent tells until when this voter grants nothing; it is over if that is past.
-func (n *Node) Silent() int64 { return n.mute }
+// SilentUntil tells until when this voter grants nothing; it is over if that is past.
+func (n *Node) SilentUntil() int64 { return n.mute }
 
 // Voters is the set in force.
 func (n *Node) Voters() Voters { return n.config.Voters }
--- a/fleet/lease/node_test.go
+++ b/fleet/lease/node_test.go
@@ -31,7 +31,7 @@
 
 type letter struct {
 	at       int64
-	from     Holder
+	from     Instance
 	to       string
 	message  Message
 	sequence int
@@ -55,8 +55,8 @@
 func (w *world) start(name string) {
 	w.lives++
 	w.born[name] = w.now
-	n, err := New(0, Config{Self: Holder{name, w.lives}, Slots: 16, Lease: w.lease, Renewal: w.lease / 3, Drift: 0.01,
-		Voters: Voters{Epoch: 1, Now: w.names}, Seed: 7})
+	n, err := New(0, Config{Self: Instance{name, w.lives}, Slots: 16, LeaseDuration: w.lease, RenewInterval: w.lease / 3, MaxClockDrift: 0.01,
+		Voters: Voters{Epoch: 1, Current: w.names}, Seed: 7})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -71,14 +71,14 @@
 
 // members tells all who is there, as a table of members would after its time; frozen ones stay in for a lease.
 func (w *world) members() {
-	var all []Share
+	var all []Candidate
 	for _, name := range w.names {
 		if w.nodes[name] != nil && !w.frozen[name] {
-			all = append(all, Share{name, 1})
+			all = append(all, Candidate{name, 1})
 		}
 	}
 	for name, n := range w.nodes {
-		n.Members(w.clock(name), all)
+		n.SetCandidates(w.clock(name), all)
 	}
 }
 
@@ -106,7 +106,7 @@
 		for s := range 16 {
 			owners := 0
 			for name, n := range w.nodes {
-				if _, _, ok := n.Owns(w.clock(name), s); ok {
+				if _, _, ok := n.Holds(w.clock(name), s); ok {
 					owners++
 				}
 			}
@@ -118,7 +118,7 @@
 }
 
 func (w *world) post(name string) {
-	for _, e := range w.nodes[name].Take() {
+	for _, e := range w.nodes[name].TakeEffects() {
 		switch e := e.(type) {
 		case Send:
 			w.sent++
@@ -130,11 +130,11 @@
 				late = w.delay(name, e.To)
 			}
 			w.mail = append(w.mail, letter{at: w.now + late, from: w.nodes[name].config.Self, to: e.To, message: e.Message})
-		case Gained:
-			if e.Number <= w.most[e.Slot] {
+		case Acquired:
+			if e.Ballot <= w.most[e.Slot] {
 				w.back++
 			}
-			w.most[e.Slot], w.gained[e.Slot] = e.Number, w.now
+			w.most[e.Slot], w.gained[e.Slot] = e.Ballot, w.now
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	out := map[int]string{}
 	for name, n := range w.nodes {
 		for s := range 16 {
-			if _, _, ok := n.Owns(w.clock(name), s); ok {
+			if _, _, ok := n.Holds(w.clock(name), s); ok {
 				out[s] = name
 			}
 		}
@@ -216,7 +216,7 @@
 	w := newWorld(t, 3)
 	w.run(4 * w.lease)
 	n := w.nodes["n1"]
-	n.Leave(w.clock("n1"), []Share{{"n0", 1}, {"n2", 1}})
+	n.ReleaseAll(w.clock("n1"), []Candidate{{"n0", 1}, {"n2", 1}})
 	w.post("n1")
 	w.frozen["n1"] = true // no longer a member
 	w.members()
@@ -245,13 +245,13 @@
 			w.run(4 * w.lease)
 			w.cut = func(from, to string) bool { return tc.side[from] != tc.side[to] }
 			for name, n := range w.nodes { // each sees its own side only
-				var side []Share
+				var side []Candidate
 				for _, other := range w.names {
 					if tc.side[other] == tc.side[name] {
-						side = append(side, Share{other, 1})
+						side = append(side, Candidate{other, 1})
 					}
 				}
-				n.Members(w.clock(name), side)
+				n.SetCandidates(w.clock(name), side)
 			}
 			w.run(3 * w.lease)
 			owners := w.owners()
@@ -263,7 +263,7 @@
 			if tc.acts >= 0 && len(owners) != 16 {
 				t.Errorf("%d of 16 slots owned with a majority", len(owners))
 			}
-			if minority := w.nodes["n0"]; minority.Reached(w.clock("n0")) {
+			if minority := w.nodes["n0"]; minority.HasQuorum(w.clock("n0")) {
 				t.Error("the minority does not see that it is one")
 			}
 			w.cut = nil
@@ -314,7 +314,7 @@
 	w.run(3 * w.lease)
 	n := w.nodes["n0"]
 	for _, s := range had {
-		if _, until, ok := n.Owns(w.clock("n0"), s); ok {
+		if _, until, ok := n.Holds(w.clock("n0"), s); ok {
 			t.Errorf("slot %d is owned at the first look after the freeze, until %d at %d", s, until, w.clock("n0"))
 		}
 	}
@@ -363,32 +363,32 @@
 
 func TestVotersChangeByOne(t *testing.T) {
 	w := newWorld(t, 4)
-	old := Voters{Epoch: 1, Now: []string{"n0", "n1", "n2"}}
-	next := Voters{Epoch: 2, Now: []string{"n0", "n1", "n2", "n3"}, Before: old.Now}
+	old := Voters{Epoch: 1, Current: []string{"n0", "n1", "n2"}}
+	next := Voters{Epoch: 2, Current: []string{"n0", "n1", "n2", "n3"}, Previous: old.Current}
 	for name, n := range w.nodes {
 		n.enter(old)
 		w.nodes[name] = n
 	}
 	w.run(4 * w.lease)
-	for _, bad := range []Voters{{Epoch: 3, Now: next.Now, Before: next.Before}, {Epoch: 2, Now: next.Now, Before: next.Now},
-		{Epoch: 2, Now: []string{"n0", "n4", "n5"}, Before: old.Now}} {
-		if w.nodes["n0"].Revote(w.clock("n0"), bad) == nil {
+	for _, bad := range []Voters{{Epoch: 3, Current: next.Current, Previous: next.Previous}, {Epoch: 2, Current: next.Current, Previous: next.Current},
+		{Epoch: 2, Current: []string{"n0", "n4", "n5"}, Previous: old.Current}} {
+		if w.nodes["n0"].UpdateVoters(w.clock("n0"), bad) == nil {
 			t.Errorf("taken: %+v", bad)
 		}
 	}
 	for _, name := range w.names {
-		if err := w.nodes[name].Revote(w.clock(name), next); err != nil {
+		if err := w.nodes[name].UpdateVoters(w.clock(name), next); err != nil {
 			t.Fatal(name, err)
 		}
 		w.run(w.lease / 2)
 	}
-	third := Voters{Epoch: 3, Now: []string{"n1", "n2", "n3"}, Before: next.Now}
-	if w.nodes["n0"].Revote(w.clock("n0"), third) == nil {
+	third := Voters{Epoch: 3, Current: []string{"n1", "n2", "n3"}, Previous: next.Current}
+	if w.nodes["n0"].UpdateVoters(w.clock("n0"), third) == nil {
 		t.Error("a second step was taken before the first was settled")
 	}
 	w.run(4 * w.lease)
 	for _, name := range w.names {
-		if err := w.nodes[name].Revote(w.clock(name), third); err != nil {
+		if err := w.nodes[name].UpdateVoters(w.clock(name), third); err != nil {
 			t.Fatal(name, err)
 		}
 	}
@@ -401,13 +401,13 @@
 
 func TestPlanIsFairAndSteady(t *testing.T) {
 	for _, tc := range []struct{ slots, members int }{{64, 1}, {64, 3}, {64, 5}, {64, 16}, {3, 16}, {1, 2}} {
-		var all []Share
+		var all []Candidate
 		total := 0.
 		for i := range tc.members {
-			all = append(all, Share{fmt.Sprintf("m%02d", i), float64(1 + i%3)})
+			all = append(all, Candidate{fmt.Sprintf("m%02d", i), float64(1 + i%3)})
 			total += all[i].Weight
 		}
-		plan := Plan(tc.slots, all)
+		plan := Assign(tc.slots, all)
 		load := make([]int, tc.members)
 		for _, m := range plan {
 			load[m]++
@@ -420,7 +420,7 @@
 		if tc.members < 3 {
 			continue
 		}
-		fewer, moved := Plan(tc.slots, all[1:]), 0
+		fewer, moved := Assign(tc.slots, all[1:]), 0
 		for s, m := range plan {
 			if m != 0 && all[m] != all[1:][fewer[s]] {
 				moved++
@@ -433,18 +433,18 @@
 }
 
 func TestCheck(t *testing.T) {
-	good := Config{Self: Holder{"a", 1}, Slots: 64, Lease: 1500 * ms, Renewal: 500 * ms, Drift: 0.01,
-		Voters: Voters{Epoch: 1, Now: []string{"a", "b", "c"}}}
+	good := Config{Self: Instance{"a", 1}, Slots: 64, LeaseDuration: 1500 * ms, RenewInterval: 500 * ms, MaxClockDrift: 0.01,
+		Voters: Voters{Epoch: 1, Current: []string{"a", "b", "c"}}}
 	if err := good.Check(); err != nil {
 		t.Fatal(err)
 	}
 	for name, spoil := range map[string]func(*Config){
-		"lease":  func(c *Config) { c.Lease = 1499 * ms },
-		"none":   func(c *Config) { c.Voters.Now = nil },
-		"twice":  func(c *Config) { c.Voters.Now = []string{"a", "a"} },
-		"two":    func(c *Config) { c.Voters.Before = []string{"a"} },
+		"lease":  func(c *Config) { c.LeaseDuration = 1499 * ms },
+		"none":   func(c *Config) { c.Voters.Current = nil },
+		"twice":  func(c *Config) { c.Voters.Current = []string{"a", "a"} },
+		"two":    func(c *Config) { c.Voters.Previous = []string{"a"} },
 		"slots":  func(c *Config) { c.Slots = 0 },
-		"drift":  func(c *Config) { c.Drift = 0.5 },
+		"drift":  func(c *Config) { c.MaxClockDrift = 0.5 },
 		"nobody": func(c *Config) { c.Self.Name = "" },
 	} {
 		c := good
--- a/fleet/lease/voter.go
+++ b/fleet/lease/voter.go
@@ -2,16 +2,16 @@
 
 // vote is the voter's side: it answers an Ask or a Take. The slot goes to one holder at a time, whatever numbers
 // say: that clause is what two holders can never pass.
-func (n *Node) vote(now int64, from Holder, m Message) (answers []Message) {
+func (n *Node) vote(now int64, from Instance, m Message) (answers []Message) {
 	if now < n.mute && !n.fault.grantAtOnce {
 		return nil // who knows what was granted before the start
 	}
 	n.wake(now)
-	good := Message{Kind: Promise, Epoch: n.config.Voters.Epoch, Sent: m.Sent}
-	if m.Kind == Take {
-		good.Kind = Taken
+	good := Message{Kind: Promise, Epoch: n.config.Voters.Epoch, SentAt: m.SentAt}
+	if m.Kind == Propose {
+		good.Kind = Accept
 	}
-	bad := Message{Kind: Refuse, Epoch: n.config.Voters.Epoch, Sent: m.Sent}
+	bad := Message{Kind: Reject, Epoch: n.config.Voters.Epoch, SentAt: m.SentAt}
 	own := n.config.Voters.Epoch
 	for _, i := range m.Items {
 		if i.Slot < 0 || i.Slot >= len(n.grants) {
@@ -19,31 +19,31 @@
 		}
 		g := &n.grants[i.Slot]
 		held := now < g.until && g.holder != from
-		behind := i.Number < g.promised || i.Number == g.promised && g.promisedTo != from
-		if m.Kind == Take && i.Number >= g.number && now-g.promisedAt >= n.config.Lease {
+		behind := i.Ballot < g.promised || i.Ballot == g.promised && g.promisedTo != from
+		if m.Kind == Propose && i.Ballot >= g.number && now-g.promisedAt >= n.config.LeaseDuration {
 			behind = false // a promise that nothing came of kept a voter from its slot's holder for a whole tenure
 		}
-		if m.Kind == Ask {
+		if m.Kind == Prepare {
 			// The floor is for numbers that were known when the silence ended: their promises are forgotten.
-			behind = behind || i.Number <= n.floor || i.Number <= g.number
+			behind = behind || i.Ballot <= n.floor || i.Ballot <= g.number
 		}
 		behind = behind && !n.fault.reuseNumbers
 		if held || behind || m.Epoch != own && m.Epoch != own+1 {
-			no := Item{Slot: i.Slot, Number: max(g.promised, g.number, n.floor)}
+			no := SlotBallot{Slot: i.Slot, Ballot: max(g.promised, g.number, n.floor)}
 			if held {
-				no.Holder, no.Left = g.holder, g.until-now
+				no.Holder, no.Remaining = g.holder, g.until-now
 			}
 			bad.Items = append(bad.Items, no)
 			continue
 		}
-		if m.Kind == Ask || i.Number >= g.promised {
-			g.promised, g.promisedTo, g.promisedAt = max(g.promised, i.Number), from, now
+		if m.Kind == Prepare || i.Ballot >= g.promised {
+			g.promised, g.promisedTo, g.promisedAt = max(g.promised, i.Ballot), from, now
 		}
-		if m.Kind == Take {
-			g.holder, g.number, g.until = from, i.Number, now+n.config.Lease
-			n.Known(i.Number)
+		if m.Kind == Propose {
+			g.holder, g.number, g.until = from, i.Ballot, now+n.config.LeaseDuration
+			n.ObserveBallot(i.Ballot)
 		}
-		good.Items = append(good.Items, Item{Slot: i.Slot, Number: i.Number})
+		good.Items = append(good.Items, SlotBallot{Slot: i.Slot, Ballot: i.Ballot})
 	}
 	for _, a := range []Message{good, bad} {
 		if len(a.Items) > 0 {
@@ -61,21 +61,21 @@
 }
 
 // free ends a grant. A take under its number that is late by now is not accepted any more.
-func (n *Node) free(g *grant, from Holder, number uint64) {
+func (n *Node) free(g *grant, from Instance, number uint64) {
 	if g.holder == from && g.number == number {
-		g.holder, g.number, g.until = Holder{}, number+1, 0
+		g.holder, g.number, g.until = Instance{}, number+1, 0
 		g.promised = max(g.promised, number+1)
 	}
 }
 
 // released takes back what a holder has given up.
-func (n *Node) released(now int64, from Holder, m Message) {
+func (n *Node) released(now int64, from Instance, m Message) {
 	for _, i := range m.Items {
 		if i.Slot < 0 || i.Slot >= len(n.grants) {
 			continue
 		}
-		n.free(&n.grants[i.Slot], from, i.Number)
-		n.Known(i.Number)
+		n.free(&n.grants[i.Slot], from, i.Ballot)
+		n.ObserveBallot(i.Ballot)
 		h := &n.holds[i.Slot]
 		if h.held || h.number != 0 || n.leaving {
 			continue
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -38,7 +38,7 @@
 
 // SlotStatus is what is known of one slot.
 type SlotStatus struct {
-	lease.Slot
+	lease.SlotStatus
 	SinceMS int64 `json:"since_ms,omitempty"` // for how long this instance has held it
 	LeftMS  int64 `json:"left_ms,omitempty"`  // for how long it does still, unless it is renewed
 }
@@ -46,8 +46,8 @@
 // Status tells what this instance knows.
 func (n *Node) Status(now int64) Status {
 	s := Status{Name: n.config.Self.Name, Incarnation: n.config.Self.Incarnation, Majority: n.Majority(now),
-		Voters: n.leases.Voters().Now, Epoch: n.leases.Voters().Epoch, Stale: n.stale}
-	if s.SilentMS = max(0, n.leases.Silent()-now) / 1e6; s.SilentMS > 0 {
+		Voters: n.leases.Voters().Current, Epoch: n.leases.Voters().Epoch, Stale: n.stale}
+	if s.SilentMS = max(0, n.leases.SilentUntil()-now) / 1e6; s.SilentMS > 0 {
 		s.Why = "this voter has just started and grants nothing yet"
 	}
 	if !s.Majority {
@@ -61,7 +61,7 @@
 			SinceMS: (now - m.Since) / 1e6, Weight: m.Weight, Epoch: m.Epoch, Doubled: n.table.Doubled(now, m.Name)})
 	}
 	for _, slot := range n.leases.Slots(now) {
-		x := SlotStatus{Slot: slot}
+		x := SlotStatus{SlotStatus: slot}
 		if slot.Own {
 			x.SinceMS, x.LeftMS = (now-slot.Since)/1e6, (slot.Until-now)/1e6
 		}
--- a/fleet/wire_test.go
+++ b/fleet/wire_test.go
@@ -38,8 +38,8 @@
 	return Message{
 		Highest: 1,
 		Duty: &lease.Message{
-			Kind: lease.Refuse, Epoch: 2, Sent: 3,
-			Items: []lease.Item{{Slot: 4, Number: 5, Holder: lease.Holder{Name: "a", Incarnation: 6}, Left: 7}},
+			Kind: lease.Reject, Epoch: 2, SentAt: 3,
+			Items: []lease.SlotBallot{{Slot: 4, Ballot: 5, Holder: lease.Instance{Name: "a", Incarnation: 6}, Remaining: 7}},
 		},
 		Findings: []Finding{{Target: "t", Number: 8, Good: true, Load: []float64{9}, Seq: 10}},
 		Gossip: &member.Gossip{
@@ -70,7 +70,7 @@
 
 // The kinds of messages go over the wire as numbers.
 func TestMessageKindNumbers(t *testing.T) {
-	for i, kind := range []lease.Kind{lease.Ask, lease.Promise, lease.Take, lease.Taken, lease.Refuse, lease.Release} {
+	for i, kind := range []lease.MessageKind{lease.Prepare, lease.Promise, lease.Propose, lease.Accept, lease.Reject, lease.Release} {
 		if int(kind) != i+1 {
 			t.Errorf("kind %d is %d on the wire", i+1, kind)
 		}
@@ -86,7 +86,7 @@
 func TestStatusJSON(t *testing.T) {
 	a := node(t, "a", 1)
 	entry := member.Entry{Name: "b", Incarnation: 2, Start: 1, Version: 1, Address: "b:1", Weight: 1, Epoch: 1}
-	a.Handle(1000*ms, Came{From: lease.Holder{Name: "b", Incarnation: 2}, Message: Message{Gossip: &member.Gossip{
+	a.Handle(1000*ms, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Gossip: &member.Gossip{
 		Beat: 1, Entries: []member.Entry{entry},
 	}}})
 	for now := 1000 * ms; now < 6000*ms; now += 50 * ms {
@@ -95,12 +95,12 @@
 			if !ok || send.Message.Duty == nil || send.To != "b" {
 				continue
 			}
-			answer := lease.Message{Kind: lease.Promise, Epoch: 1, Sent: send.Message.Duty.Sent, Items: send.Message.Duty.Items}
-			if send.Message.Duty.Kind == lease.Take {
-				answer.Kind = lease.Taken
+			answer := lease.Message{Kind: lease.Promise, Epoch: 1, SentAt: send.Message.Duty.SentAt, Items: send.Message.Duty.Items}
+			if send.Message.Duty.Kind == lease.Propose {
+				answer.Kind = lease.Accept
 			}
-			if send.Message.Duty.Kind == lease.Ask || send.Message.Duty.Kind == lease.Take {
-				a.Handle(now, Came{From: lease.Holder{Name: "b", Incarnation: 2}, Message: Message{Duty: &answer}})
+			if send.Message.Duty.Kind == lease.Prepare || send.Message.Duty.Kind == lease.Propose {
+				a.Handle(now, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Duty: &answer}})
 			}
 		}
 	}
--- a/lab/agreesim.go
+++ b/lab/agreesim.go
@@ -78,7 +78,7 @@
 		}
 	}
 	r.settings = compatibility.Settings{Routers: s.Instances, Slots: 64, LeaseDuration: s.Lease, MaxClockDrift: 0.01, PurgeWindow: 6e9,
-		Voters: lease.Voters{Epoch: 1, Now: r.voters}}
+		Voters: lease.Voters{Epoch: 1, Current: r.voters}}
 	for _, x := range r.nodes {
 		r.start(x)
 	}
@@ -106,7 +106,7 @@
 	x.life++
 	x.born, x.down, x.frozen = r.now, false, 0
 	first := r.settings
-	first.Voters = lease.Voters{Epoch: 1, Now: r.voters}
+	first.Voters = lease.Voters{Epoch: 1, Current: r.voters}
 	content, err := compatibility.Encode(compatibility.Settings{Routers: r.Instances, Slots: 64, LeaseDuration: r.Lease, MaxClockDrift: 0.01, PurgeWindow: 6e9, Voters: first.Voters})
 	if err != nil {
 		panic(err) // the settings are this file's
--- a/lab/cluster.go
+++ b/lab/cluster.go
@@ -323,7 +323,7 @@
 			}
 			for _, slot := range s.Slots {
 				if slot.Own {
-					owned[slot.Slot.Slot]++
+					owned[slot.SlotStatus.Slot]++
 				}
 			}
 		}
--- a/lab/duties.go
+++ b/lab/duties.go
@@ -172,7 +172,7 @@
 		lost := map[int]uint64{}
 		for _, slot := range s.Slots {
 			if slot.Own {
-				lost[slot.Slot.Slot] = slot.Number
+				lost[slot.SlotStatus.Slot] = slot.Ballot
 			}
 		}
 		t := Takeover{Kill: k, Victim: victim, Slots: len(lost), How: kinds[k%len(kinds)]}
--- a/lab/virtual.go
+++ b/lab/virtual.go
@@ -153,9 +153,9 @@
 		}
 	}
 	cold := probe.Cold{Share: 0.16, Factor: 2.5, Window: 1500e6, Span: 17e9}
-	node, err := fleet.New(0, fleet.Config{Self: lease.Holder{Name: n.name, Incarnation: uint64(n.life)}, Address: n.name + ":1",
-		Weight: 1, Contacts: contacts, Seed: r.rng.Uint64(), Duty: lease.Config{Slots: r.Slots, Lease: r.Lease,
-			Renewal: r.Renewal, Drift: 0.01, Voters: lease.Voters{Epoch: 1, Now: voters}},
+	node, err := fleet.New(0, fleet.Config{Self: lease.Instance{Name: n.name, Incarnation: uint64(n.life)}, Address: n.name + ":1",
+		Weight: 1, Contacts: contacts, Seed: r.rng.Uint64(), Duty: lease.Config{Slots: r.Slots, LeaseDuration: r.Lease,
+			RenewInterval: r.Renewal, MaxClockDrift: 0.01, Voters: lease.Voters{Epoch: 1, Current: voters}},
 		Probe: &probe.Config{Period: 1e9, Within: 5e8, Part: 0.05, Cost: 0.001, Cache: cold, Parent: cold}})
 	if err != nil {
 		panic(err)
@@ -221,7 +221,7 @@
 			if to < 0 || r.rng.Float64() < r.loss {
 				continue
 			}
-			came := &fleet.Came{From: lease.Holder{Name: n.name, Incarnation: uint64(n.life)}, Message: e.Message}
+			came := &fleet.Came{From: lease.Instance{Name: n.name, Incarnation: uint64(n.life)}, Message: e.Message}
 			for range 1 + r.rng.IntN(21)/20 { // one in 21 comes twice
 				r.push(event{at: r.now + r.delay/2 + r.rng.Int64N(r.delay), node: to, came: came})
 			}
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -212,9 +212,9 @@
 		"listen":    {take: noting(f.address(&listen))},
 		"voters": {needed: true, take: noting(func(n *Node, args []*Node) {
 			f.walk(n, args, map[string]entry{"epoch": {needed: true, take: f.whole(&epoch, 1, 1<<40)},
-				"now": {needed: true, take: f.words(&out.Voters.Now)}, "before": {take: f.words(&out.Voters.Before)}})
+				"now": {needed: true, take: f.words(&out.Voters.Current)}, "before": {take: f.words(&out.Voters.Previous)}})
 		})},
-		"slots":   {take: f.whole(&slots, 1, lease.SlotsMost)},
+		"slots":   {take: f.whole(&slots, 1, lease.MaxSlots)},
 		"lease":   {take: noting(f.span(&out.Lease, 100*time.Millisecond, time.Hour))},
 		"renewal": {take: noting(f.span(&out.Renewal, 20*time.Millisecond, time.Hour))},
 		"drift":   {take: noting(f.number(&out.Drift, 0, 0.1))},
@@ -265,7 +265,7 @@
 	if out.Name != "" && out.Listen == "" {
 		f.add(n.Place, "%s is not among the instances, and no (listen …) says where it takes links", out.Name)
 	}
-	for _, v := range append(append([]string{}, out.Voters.Now...), out.Voters.Before...) {
+	for _, v := range append(append([]string{}, out.Voters.Current...), out.Voters.Previous...) {
 		if !known[v] && len(*f) < faultsMost {
 			f.add(places["voters"], "voter %s is not among the instances", v)
 		}
@@ -282,7 +282,7 @@
 		if err := out.Voters.Check(); err != nil {
 			f.add(places["voters"], "%v", err)
 		}
-		if out.Voters.Epoch > 1 && len(out.Voters.Before) == 0 {
+		if out.Voters.Epoch > 1 && len(out.Voters.Previous) == 0 {
 			f.add(places["voters"], "epoch %d needs (before …): the voters of the epoch before", out.Voters.Epoch)
 		}
 	}
--- a/plan/compatibility/compare.go
+++ b/plan/compatibility/compare.go
@@ -103,7 +103,7 @@
 	}
 	if after.Voters.Epoch != before.Voters.Epoch {
 		if reason := votersConflict(before.Voters, after.Voters); reason != "" {
-			return true, &SettingError{settingVoters, after.Voters.Now, reason}
+			return true, &SettingError{settingVoters, after.Voters.Current, reason}
 		}
 	}
 	return WorstSeverity(Compare(before, after)) == Exclusive, nil
@@ -186,15 +186,15 @@
 		older, newer = newer, older
 	}
 	switch {
-	case older.Epoch == newer.Epoch && slices.Equal(older.Now, newer.Now):
+	case older.Epoch == newer.Epoch && slices.Equal(older.Current, newer.Current):
 		return ""
 	case older.Epoch == newer.Epoch:
 		return fmt.Sprintf("two sets of voters under epoch %d", older.Epoch)
 	case newer.Epoch > older.Epoch+1:
 		return fmt.Sprintf("epoch %d does not follow epoch %d", newer.Epoch, older.Epoch)
-	case len(symmetricDifference(newer.Before, older.Now)) > 0:
+	case len(symmetricDifference(newer.Previous, older.Current)) > 0:
 		return fmt.Sprintf("epoch %d names others before it than epoch %d has", newer.Epoch, older.Epoch)
-	case len(symmetricDifference(older.Now, newer.Now)) > 1:
+	case len(symmetricDifference(older.Current, newer.Current)) > 1:
 		return fmt.Sprintf("epochs %d and %d differ by more than one voter", older.Epoch, newer.Epoch)
 	}
 	return ""
--- a/plan/compatibility/compare_test.go
+++ b/plan/compatibility/compare_test.go
@@ -10,14 +10,14 @@
 func exampleSettings() Settings {
 	return Settings{
 		Routers: 300, Slots: 64, LeaseDuration: 15e8, MaxClockDrift: .01,
-		Voters:      lease.Voters{Epoch: 4, Now: []string{"a", "b", "c"}},
+		Voters:      lease.Voters{Epoch: 4, Current: []string{"a", "b", "c"}},
 		PurgeWindow: 6e9, DrainedEndpoints: []string{"s-1"}, MaxConnections: 60, ProbePeriod: 1e9,
 	}
 }
 
 // nextVoters are voters one epoch after those of the example.
 func nextVoters(names, before []string) lease.Voters {
-	return lease.Voters{Epoch: 5, Now: names, Before: before}
+	return lease.Voters{Epoch: 5, Current: names, Previous: before}
 }
 
 // differences are changes to the example's settings, with the worst conflict that each causes.
@@ -40,7 +40,7 @@
 		s.Voters = nextVoters([]string{"a", "d"}, []string{"a", "b", "c"})
 	}, "voters", Exclusive, NoRule},
 	{"two epochs on", func(s *Settings) { s.Voters.Epoch = 6 }, "voters", Exclusive, NoRule},
-	{"others under the same epoch", func(s *Settings) { s.Voters.Now = []string{"a", "b"} }, "voters", Exclusive, NoRule},
+	{"others under the same epoch", func(s *Settings) { s.Voters.Current = []string{"a", "b"} }, "voters", Exclusive, NoRule},
 	{"others before", func(s *Settings) {
 		s.Voters = nextVoters([]string{"a", "b", "c"}, []string{"a", "b"})
 	}, "voters", Exclusive, NoRule},
@@ -132,7 +132,7 @@
 			}
 		})
 	}
-	noVoters := encode(t, func(s *Settings) { s.Voters.Now = nil })
+	noVoters := encode(t, func(s *Settings) { s.Voters.Current = nil })
 	for name, pair := range map[string][2][]byte{
 		"no voters":             {current, noVoters},
 		"the current unread":    {[]byte("\xff"), current},
--- a/plan/compatibility/migration.go
+++ b/plan/compatibility/migration.go
@@ -29,7 +29,7 @@
 	bounded.LeaseDuration, bounded.MaxClockDrift = from.LeaseDuration, from.MaxClockDrift
 	path.add(bounded)
 
-	path.changeVoters(to.Voters.Now)
+	path.changeVoters(to.Voters.Current)
 
 	exclusive := to
 	exclusive.Voters = path.current.Voters
@@ -55,11 +55,11 @@
 // changeVoters adds and removes voters, one a step. One more comes before one less, so that a quorum bears as many failures all
 // the way as it did at the start.
 func (path *migration) changeVoters(goal []string) {
-	start := path.current.Voters.Now
+	start := path.current.Voters.Current
 	removed, added := difference(start, goal), difference(goal, start)
 	for len(removed)+len(added) > 0 {
 		voters := path.current.Voters
-		names := slices.Clone(voters.Now)
+		names := slices.Clone(voters.Current)
 		if len(added) > 0 && (len(names) <= len(start) || len(removed) == 0) {
 			names, added = append(names, added[0]), added[1:]
 		} else {
@@ -69,7 +69,7 @@
 		slices.Sort(names)
 
 		next := path.current
-		next.Voters = lease.Voters{Epoch: voters.Epoch + 1, Before: slices.Clone(voters.Now), Now: names}
+		next.Voters = lease.Voters{Epoch: voters.Epoch + 1, Previous: slices.Clone(voters.Current), Current: names}
 		path.add(next)
 	}
 }
--- a/plan/compatibility/migration_test.go
+++ b/plan/compatibility/migration_test.go
@@ -17,8 +17,8 @@
 	for range 2000 {
 		from, to := exampleSettings(), exampleSettings()
 		rng.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
-		to.Voters = lease.Voters{Epoch: 4, Now: slices.Sorted(slices.Values(names[:1+rng.IntN(6)]))}
-		if slices.Equal(to.Voters.Now, from.Voters.Now) {
+		to.Voters = lease.Voters{Epoch: 4, Current: slices.Sorted(slices.Values(names[:1+rng.IntN(6)]))}
+		if slices.Equal(to.Voters.Current, from.Voters.Current) {
 			continue
 		}
 		to.Routers, to.Slots = 1+rng.IntN(400), 32<<rng.IntN(3)
@@ -28,8 +28,8 @@
 		}
 		checkSteps(t, from, steps)
 		end := steps[len(steps)-1]
-		if !slices.Equal(end.Voters.Now, to.Voters.Now) {
-			t.Fatalf("the path ends at voters %v, not at %v", end.Voters.Now, to.Voters.Now)
+		if !slices.Equal(end.Voters.Current, to.Voters.Current) {
+			t.Fatalf("the path ends at voters %v, not at %v", end.Voters.Current, to.Voters.Current)
 		}
 		end.Voters, to.Voters = lease.Voters{}, lease.Voters{}
 		if !reflect.DeepEqual(end, to) {
--- a/plan/compatibility/settings_test.go
+++ b/plan/compatibility/settings_test.go
@@ -18,7 +18,7 @@
 			`"PurgeTakes":6000000000,"Withdrawn":["s-1"],"Holds":60,"ProbeEach":1000000000}`
 	)
 	settings := exampleSettings()
-	settings.Voters.Before = []string{"a", "b"}
+	settings.Voters.Previous = []string{"a", "b"}
 	content, err := Encode(settings)
 	if err != nil {
 		t.Fatal(err)
--- a/process/sharing.go
+++ b/process/sharing.go
@@ -97,13 +97,13 @@
 	if _, err := rand.Read(draw[:]); err != nil {
 		return nil, err
 	}
-	self := lease.Holder{Name: f.Name, Incarnation: binary.LittleEndian.Uint64(draw[:8]) | 1}
+	self := lease.Instance{Name: f.Name, Incarnation: binary.LittleEndian.Uint64(draw[:8]) | 1}
 	keys, err := f.TLS.Load()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
 	node, err := fleet.New(bootTime(), fleet.Config{Self: self, Address: f.Listen, Weight: f.Weight, Contacts: f.Instances,
-		Duty: lease.Config{Slots: f.Slots, Lease: f.Lease, Renewal: f.Renewal, Drift: f.Drift, Voters: f.Voters},
+		Duty: lease.Config{Slots: f.Slots, LeaseDuration: f.Lease, RenewInterval: f.Renewal, MaxClockDrift: f.Drift, Voters: f.Voters},
 		Seed: binary.LittleEndian.Uint64(draw[8:]), Probe: f.Probe, Wall: time.Now().UnixMilli(), Members: f.Members})
 	if err != nil {
 		return nil, fmt.Errorf("%w: fleet: %w", ErrConfig, err)
@@ -124,7 +124,7 @@
 				s.note(fleet.Log{Line: "a message passed over", Member: name, Why: err.Error()})
 				return
 			}
-			s.post(ctx, fleet.Came{From: lease.Holder{Name: name, Incarnation: incarnation}, Message: m})
+			s.post(ctx, fleet.Came{From: lease.Instance{Name: name, Incarnation: incarnation}, Message: m})
 		}})
 	return s, nil
 }
