--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -503,7 +503,7 @@
 	}
 	n.leaving = true
 	tell := n.table.Leave(now)
-	n.leases.ReleaseAll(now, shares(n.table.Alive()))
+	n.leases.ReleaseAll(shares(n.table.Alive()))
 	n.carry(now)
 	n.gossip(tell)
 }
--- /dev/null
+++ b/fleet/lease/acquire.go
@@ -0,0 +1,89 @@
+package lease
+
+import "slices"
+
+// Who tries for a free slot, and when. Times are counted in renewals.
+const (
+	ticksPerRenewal = 8
+	steadyRenewals  = 2 // for so long a slot must be assigned to another before it is handed over
+	handOverShare   = 8 // one in so many slots is handed over in a renewal
+	turnsPerRenewal = 2 // ranks behind the assigned candidate that get their turn in one renewal
+	maxTurnRenewals = 2 // until the turn of the last of those that wait in turn
+	nearRanks       = 4 // ranks behind the assigned candidate that look after a slot; the rest leave it to them
+	farRankRenewals = 2 // that each rank farther down waits longer
+	maxFarRenewals  = 60
+)
+
+// findFree notes which slots look free.
+func (node *Node) findFree(now int64) {
+	isVoter := slices.Contains(node.voterNames, node.config.Self.Name) && now >= node.grantsFrom
+	for slot := range node.holdings {
+		own := &node.holdings[slot]
+		granted := isVoter && now < node.grants[slot].until
+		switch {
+		case own.held || now < own.busyUntil || granted:
+			own.freeSince = never
+		case !happened(own.freeSince):
+			own.freeSince, own.tryAt = now, now+node.turnDelay(slot)
+		}
+	}
+}
+
+// assignedName is the candidate that is to hold a slot; there must be candidates.
+func (node *Node) assignedName(slot int) string { return node.candidates[node.assigned[slot]].Name }
+
+// turnDelay is for how long this instance lets others try for a free slot first, with chance, ns.
+func (node *Node) turnDelay(slot int) int64 {
+	if node.assigned == nil || node.assignedName(slot) == node.config.Self.Name {
+		return 0
+	}
+	interval := node.config.RenewInterval
+	behind := int64(1 + rank(slot, node.candidates, node.config.Self.Name))
+	delay := min(behind*interval/turnsPerRenewal, maxTurnRenewals*interval)
+	far := behind - nearRanks
+	if far <= 0 {
+		return delay + node.random(interval/turnsPerRenewal)
+	}
+	// That a slot is held is learned by asking alone. When all asked in turn, each of 30 instances sent 200 frames a second:
+	// those far down the ranking leave that to the first, longer the farther they are.
+	delay += min(far*farRankRenewals, maxFarRenewals) * interval
+	return delay + node.random(farRankRenewals*interval)
+}
+
+// tryFree asks for the free slots whose turn has come, and gives up tries that came to nothing.
+func (node *Node) tryFree(now int64) {
+	if node.releasing || node.assigned == nil {
+		return
+	}
+	var items []SlotBallot
+	for slot := range node.holdings {
+		own := &node.holdings[slot]
+		if own.ballot != 0 && !own.held && now-own.preparedAt >= node.config.RenewInterval {
+			node.giveUp(now, slot)
+		}
+		if own.ballot != 0 || !happened(own.freeSince) || now < own.tryAt {
+			continue
+		}
+		own.prepare(now, node.nextBallot())
+		items = append(items, SlotBallot{Slot: slot, Ballot: own.ballot})
+	}
+	if len(items) > 0 {
+		node.askVoters(now, Prepare, items)
+		node.ObserveBallot(items[0].Ballot) // not before: the own vote's floor must not be the ballot that is asked with
+	}
+}
+
+// prepare begins a try.
+func (own *holding) prepare(now int64, ballot uint64) {
+	own.ballot, own.preparedAt = ballot, now
+	own.promises, own.rejections, own.proposing = 0, 0, false
+	for voter := range own.acceptedSentAt {
+		own.acceptedSentAt[voter] = never
+	}
+}
+
+// giveUp ends a try; the next one comes after a short random wait.
+func (node *Node) giveUp(now int64, slot int) {
+	node.release(slot, "")
+	node.holdings[slot].tryAt = now + 1 + node.random(node.config.RenewInterval/ticksPerRenewal)
+}
--- a/fleet/lease/assign.go
+++ b/fleet/lease/assign.go
@@ -9,92 +9,106 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidate is one who can hold slots, with a weight above 0.
+// Candidate is an instance that can hold slots, with a weight above 0.
 type Candidate struct {
 	Name   string
 	Weight float64
 }
 
-// Assign assigns slots to members: the place in members for each slot, or nil with no members. Each member gets its
-// part by weight to within one slot (largest remainders), and of all pairs of slot and member that fit the one
-// with the highest rendezvous score first, so that a member that comes or goes moves few slots. Members must be in
-// the same order everywhere, by name.
-func Assign(slots int, members []Candidate) []int {
-	if len(members) == 0 {
+// pairing is a slot and a candidate for it.
+type pairing struct {
+	slot, candidate int
+	score           float64
+}
+
+// Assign returns the candidate for each slot, as an index in candidates, or nil without candidates. Each candidate gets its part
+// by weight to within one slot. Of all pairs of a slot and a candidate the one with the highest rendezvous score comes first, so
+// that a candidate that comes or goes moves few slots. Candidates must be in the same order everywhere: sorted by name.
+func Assign(slots int, candidates []Candidate) []int {
+	if len(candidates) == 0 {
 		return nil
 	}
-	quota := quotas(slots, members)
-	type pair struct {
-		slot, member int
-		score        float64
+	quota := quotas(slots, candidates)
+	assigned := make([]int, slots)
+	for slot := range assigned {
+		assigned[slot] = unassigned
 	}
-	pairs := make([]pair, 0, slots*len(members))
-	for s := range slots {
-		for i, m := range members {
-			pairs = append(pairs, pair{s, i, score(s, m)})
+	for _, pair := range rankedPairings(slots, candidates) {
+		if assigned[pair.slot] == unassigned && quota[pair.candidate] > 0 {
+			assigned[pair.slot] = pair.candidate
+			quota[pair.candidate]--
 		}
 	}
-	slices.SortFunc(pairs, func(a, b pair) int {
-		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.slot, b.slot), cmp.Compare(a.member, b.member))
-	})
-	out := make([]int, slots)
-	for s := range out {
-		out[s] = -1
-	}
-	for _, p := range pairs {
-		if out[p.slot] < 0 && quota[p.member] > 0 {
-			out[p.slot] = p.member
-			quota[p.member]--
+	return assigned
+}
+
+// unassigned is a slot without a candidate.
+const unassigned = -1
+
+// rankedPairings returns all pairs of a slot and a candidate, the highest score first.
+func rankedPairings(slots int, candidates []Candidate) []pairing {
+	pairs := make([]pairing, 0, slots*len(candidates))
+	for slot := range slots {
+		for i, candidate := range candidates {
+			pairs = append(pairs, pairing{slot, i, score(slot, candidate)})
 		}
 	}
-	return out
+	slices.SortFunc(pairs, func(a, b pairing) int {
+		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.slot, b.slot), cmp.Compare(a.candidate, b.candidate))
+	})
+	return pairs
 }
 
 // quotas splits slots by weight: the whole part of each fair share, and one more for the largest remainders.
-func quotas(slots int, members []Candidate) []int {
+func quotas(slots int, candidates []Candidate) []int {
 	total := 0.
-	for _, m := range members {
-		total += m.Weight
+	for _, candidate := range candidates {
+		total += candidate.Weight
 	}
-	out, rest, order := make([]int, len(members)), make([]float64, len(members)), make([]int, len(members))
+	quota, remainder := make([]int, len(candidates)), make([]float64, len(candidates))
+	order := make([]int, len(candidates))
 	left := slots
-	for i, m := range members {
-		fair := float64(slots) * m.Weight / total
-		out[i] = int(fair)
-		rest[i], order[i] = fair-math.Floor(fair), i
-		left -= out[i]
+	for i, candidate := range candidates {
+		fair := float64(slots) * candidate.Weight / total
+		quota[i] = int(fair)
+		remainder[i] = fair - math.Floor(fair)
+		order[i] = i
+		left -= quota[i]
 	}
 	slices.SortFunc(order, func(a, b int) int {
-		return cmp.Or(cmp.Compare(rest[b], rest[a]), cmp.Compare(members[a].Name, members[b].Name))
+		return cmp.Or(cmp.Compare(remainder[b], remainder[a]), cmp.Compare(candidates[a].Name, candidates[b].Name))
 	})
 	for _, i := range order[:left] {
-		out[i]++
+		quota[i]++
 	}
-	return out
+	return quota
 }
 
-// place is how many members come before one in a slot's ranking.
-func place(slot int, members []Candidate, name string) int {
-	own, before := 0., 0
-	for _, m := range members {
-		if m.Name == name {
-			own = score(slot, m)
+// rank is how many candidates score higher for a slot than the one of a name.
+func rank(slot int, candidates []Candidate, name string) int {
+	own := 0.
+	for _, candidate := range candidates {
+		if candidate.Name == name {
+			own = score(slot, candidate)
 		}
 	}
-	for _, m := range members {
-		if m.Name != name && score(slot, m) > own {
-			before++
+	higher := 0
+	for _, candidate := range candidates {
+		if candidate.Name != name && score(slot, candidate) > own {
+			higher++
 		}
 	}
-	return before
+	return higher
 }
 
-// score is weighted rendezvous hashing (Schindelhauer and Schomaker, 2005): -w/ln(u), u drawn by the hash.
-func score(slot int, m Candidate) float64 {
-	h := xxhash.Sum64(append(binary.LittleEndian.AppendUint32(nil, uint32(slot)), m.Name...))
-	u := (float64(h>>11) + 0.5) / (1 << 53)
-	return -m.Weight / math.Log(u)
+// score is weighted rendezvous hashing: -w/ln(u), u drawn by the hash (Schindelhauer and Schomaker, "Weighted distributed hash
+// tables", 2005).
+func score(slot int, candidate Candidate) float64 {
+	key := binary.LittleEndian.AppendUint32(nil, uint32(slot))
+	key = append(key, candidate.Name...)
+	uniform := (float64(xxhash.Sum64(key)>>11) + 0.5) / (1 << 53) // the 53 bits that a float64 holds, never 0 or 1
+	return -candidate.Weight / math.Log(uniform)
 }
 
-// SlotOf is the slot of a duty's name.
+// SlotOf is the slot that the name of a periodic task hashes to.
 func SlotOf(name string, slots int) int { return int(xxhash.Sum64String(name) % uint64(slots)) }
--- a/fleet/lease/node.go
+++ b/fleet/lease/node.go
@@ -1,468 +1,200 @@
-// Package lease decides which instance holds which slot of periodic duties. A slot is held under a lease that a
-// majority of voters granted, without a disk (docs/duties.md has the protocol, the proof and the bounds; it is
-// PaxosLease by Trencséni, Gazsó and Reinhardt with one change).
+// Package lease decides which instance holds the lease on which slot. Periodic tasks hash to slots, and only the holder of
+// a slot's lease does the slot's tasks. A quorum of voters grants leases, without a disk: it is PaxosLease (Trencséni, Gazsó
+// and Reinhardt, 2012) with one change. docs/duties.md has the protocol, the proof and the bounds.
 //
-// A Node is one instance, voter and holder in one. Time, messages and chance come in, effects go out: it does no
-// input or output, reads no clock, starts no goroutine and is not safe for use by two at once. Times are whole
-// nanoseconds of one clock that never goes back; its rate may be off by the drift.
+// A Node is one instance, which is a voter, a holder or both. Time, messages and chance come in, effects go out: it does no
+// input or output, reads no clock, starts no goroutine and is not safe for concurrent use. Times are ns of one clock that
+// never goes back; its rate may be off by the configured drift.
 package lease
 
 import (
-	"errors"
-	"fmt"
-	"math"
 	"math/rand/v2"
 	"slices"
-
-	"github.com/cespare/xxhash/v2"
-)
-
-// Bounds of the configuration.
-const (
-	MaxSlots  = 4096
-	MaxVoters = 64 // they are held as bits of a word
-)
-
-const (
-	ticksPerRenewal = 8
-	steadyRenewals  = 2  // for so long another must be planned without a change before a slot is handed to it
-	turnShare       = 2  // of a renewal: what each place behind the planned one waits longer
-	turnsMost       = 2  // renewals, at most
-	nearTurns       = 4  // places behind the planned one that look after a slot; the rest leave it to them
-	farTurns        = 2  // renewals that each place farther down waits longer
-	farMost         = 60 // renewals, at most
-	handShare       = 8  // of the slots: so many are handed over in a renewal
-	numberShift     = 16
-)
-
-// Instance is one start of an instance.
-type Instance struct {
-	Name        string `cbor:"1,keyasint"`
-	Incarnation uint64 `cbor:"2,keyasint"`
-}
-
-// Voters are those whose majority grants. Before is the set of the epoch before, in which a majority is needed as
-// well; it differs from Now by one name at most.
-type Voters struct {
-	Epoch    uint64   `json:"Epoch"`
-	Current  []string `json:"Now"`
-	Previous []string `json:"Before"`
-}
-
-// Config is what a node starts with.
-type Config struct {
-	Self          Instance
-	Slots         int
-	LeaseDuration int64   // ns: for how long a voter counts a holder in
-	RenewInterval int64   // ns: how often a holder renews
-	MaxClockDrift float64 // by which a clock's rate may be off, as a share
-	Voters        Voters
-	Seed          uint64
-}
-
-// Check tells what is wrong with a configuration.
-func (c Config) Check() error {
-	switch {
-	case c.Self.Name == "":
-		return errors.New("the own name is empty")
-	case c.Slots < 1 || c.Slots > MaxSlots:
-		return fmt.Errorf("%d slots: 1 to %d can be", c.Slots, MaxSlots)
-	case c.RenewInterval <= 0:
-		return errors.New("the renewal interval is not above 0")
-	case c.LeaseDuration < 3*c.RenewInterval:
-		return fmt.Errorf("a lease of %d ms is shorter than three renewals of %d ms", c.LeaseDuration/1e6, c.RenewInterval/1e6)
-	case !(c.MaxClockDrift >= 0 && c.MaxClockDrift <= 0.1):
-		return fmt.Errorf("a drift of %v: 0 to 0.1 can be", c.MaxClockDrift)
-	}
-	return c.Voters.Check()
-}
-
-// Check tells what is wrong with a set of voters.
-func (v Voters) Check() error {
-	if len(v.Current) == 0 {
-		return errors.New("no voters: a majority of none grants nothing")
-	}
-	hashes := map[uint64]string{}
-	for _, set := range [][]string{v.Current, v.Previous} {
-		if len(set) > MaxVoters/2 {
-			return fmt.Errorf("%d voters: %d at most", len(set), MaxVoters/2)
-		}
-		seen := map[string]bool{}
-		for _, name := range set {
-			if seen[name] {
-				return fmt.Errorf("voter %s is named twice", name)
-			}
-			seen[name] = true
-			if other, taken := hashes[mark(name)]; taken && other != name {
-				return fmt.Errorf("the names %s and %s give the same mark in numbers: rename one", name, other)
-			}
-			hashes[mark(name)] = name
-		}
-	}
-	if len(v.Previous) > 0 && differ(v.Current, v.Previous) > 1 {
-		return errors.New("voters change by one at a time: now and before differ by more")
-	}
-	return nil
-}
-
-// differ counts the names that are in one set only.
-func differ(a, b []string) (n int) {
-	for _, pair := range [][2][]string{{a, b}, {b, a}} {
-		for _, name := range pair[0] {
-			if !slices.Contains(pair[1], name) {
-				n++
-			}
-		}
-	}
-	return n
-}
-
-// mark is what a name adds to its numbers, so that no two instances draw the same.
-func mark(name string) uint64 { return xxhash.Sum64String(name) & (1<<numberShift - 1) }
-
-// HoldDuration is the time for which a holder acts after it sent what a majority accepted, by its own clock.
-func (c Config) HoldDuration() int64 {
-	return int64(float64(c.LeaseDuration) * (1 - c.MaxClockDrift) / (1 + c.MaxClockDrift))
-}
-
-// RestartSilence is for how long a voter that started without memory grants nothing.
-func (c Config) RestartSilence() int64 {
-	return int64(math.Ceil(float64(c.LeaseDuration) * (1 + c.MaxClockDrift) / (1 - c.MaxClockDrift)))
-}
-
-// MessageKind is what a message is.
-type MessageKind uint8
-
-// The kinds. Prepare and Propose go from holders to voters; Promise, Accept and Reject come back; Release tells that a
-// holder has stopped.
-const (
-	Prepare MessageKind = iota + 1
-	Promise
-	Propose
-	Accept
-	Reject
-	Release
+	"time"
 )
 
-// Message is what nodes send each other.
-type Message struct {
-	Kind   MessageKind  `cbor:"1,keyasint"`
-	Epoch  uint64       `cbor:"2,keyasint"`
-	SentAt int64        `cbor:"3,keyasint"` // by the holder's clock; it comes back as it was
-	Items  []SlotBallot `cbor:"4,keyasint"`
-}
+// never is the time of what has not happened: clocks read 0 or more.
+const never = int64(-1)
 
-// SlotBallot is what a message says of one slot.
-type SlotBallot struct {
-	Slot      int      `cbor:"1,keyasint"`
-	Ballot    uint64   `cbor:"2,keyasint"`
-	Holder    Instance `cbor:"3,keyasint,omitempty"` // Refuse: who holds it; Release: for whom it is meant
-	Remaining int64    `cbor:"4,keyasint,omitempty"` // Refuse: for how long it is held still, ns
-}
+func happened(at int64) bool { return at >= 0 }
 
-// Effect is what a node wants done or known outside.
-type Effect any
+// maxBallotAhead is how far the wall clock's part of a ballot may lie ahead of the own wall clock, ms. A ballot of a far future
+// would use all of them up; what a wall clock may be off is far less than a year.
+const maxBallotAhead = 365 * 24 * 3600 * 1000
 
-// Send wants a message sent to a member; it may be lost.
-type Send struct {
-	To      string
-	Message Message
-}
+// grant is a voter's state of one slot.
+type grant struct {
+	promisedBallot uint64
+	promisedTo     Instance
+	promisedAt     int64
 
-// Acquired tells that a slot is held from now on.
-type Acquired struct {
-	Slot   int
-	Ballot uint64
+	holder Instance
+	ballot uint64
+	until  int64 // when the lease ends, by the voter's clock
 }
 
-// Lost tells that a slot is no longer held, and why.
-type Lost struct {
-	Slot   int
-	Ballot uint64
-	Reason string
-}
+// holding is a holder's state of one slot.
+type holding struct {
+	ballot     uint64 // 0: the slot is neither asked for nor held
+	preparedAt int64  // when it was asked for
+	promises   uint64 // bits of voters
+	rejections uint64 // bits of voters
+	proposing  bool   // a quorum has promised
 
-// grant is a voter's side of one slot.
-type grant struct {
-	promised   uint64
-	promisedTo Instance
-	promisedAt int64
-	holder     Instance
-	number     uint64
-	until      int64
-}
+	acceptedSentAt []int64 // for each voter, when the latest proposal that it accepted was sent, or never
+	held           bool
+	since          int64
+	until          int64 // when the own lease ends, by the holder's clock
 
-// hold is a holder's side of one slot.
-type hold struct {
-	number    uint64  // 0: neither asked for nor held
-	asked     int64   // when it was asked for
-	promises  uint64  // bits of voters
-	refusals  uint64  // bits of voters
-	taking    bool    // a majority has promised
-	acked     []int64 // for each voter, when the latest take that it accepted was sent; minus one is never
-	held      bool
-	since     int64
-	until     int64    // when the own hold ends
-	busyUntil int64    // until then somebody else is taken to hold it
-	freeSince int64    // from when it has looked free; -1 while it does not
-	tryAt     int64    // when it is asked for, if it is free then
-	holder    Instance // the last other one known
-	seen      uint64   // and its number
+	busyUntil   int64 // until then somebody else is taken to hold the slot
+	freeSince   int64 // from when it has looked free, or never
+	tryAt       int64 // when it is asked for, if it is free then
+	otherHolder Instance
+	otherBallot uint64
 }
 
 // Node is one instance.
 type Node struct {
-	config  Config
-	started int64
-	mute    int64 // until then nothing is granted
-	floor   uint64
-	highest uint64 // number known
-
-	voters  []string
-	sets    [][]int // places in voters, for each set of which a majority is needed
-	epochs  []uint64
-	heard   []int64 // when a voter last answered; -1 is never
-	settled int64   // since when a majority has been at the own epoch; -1 is not
+	config      Config
+	grantsFrom  int64  // before this the voter is silent, as it may have granted before its start
+	ballotFloor uint64 // highest ballot known when the silence ended; 0: it has not ended
+	highest     uint64 // highest ballot known
+	wallMS      int64  // ms since 1970, at the last tick
+
+	voterNames     []string
+	voterSets      [][]int  // indexes in voterNames; a quorum has a majority of each set
+	voterEpochs    []uint64 // at which a voter last was
+	voterHeardAt   []int64  // when a voter last answered, or never
+	epochSettledAt int64    // since when a quorum has been at the own epoch, or never
+
+	grants   []grant
+	holdings []holding
+
+	candidates []Candidate
+	assigned   []int // the candidate that is to hold each slot, as an index; nil without candidates
+	assignedAt int64
+
+	renewAt    int64
+	tickAt     int64
+	handedOver int // slots, since the last renewal
+	releasing  bool
 
-	grants  []grant
-	holds   []hold
-	members []Candidate
-	plan    []int
-	planned int64
-	renewAt int64
-	tickAt  int64
-	handed  int
-	leaving bool
-	wall    int64
 	rng     rand.PCG
 	effects []Effect
-
-	fault fault
 }
 
-// fault is set by tests alone: faults that a checker must find.
-type fault struct{ grantAtOnce, reuseNumbers bool }
-
-// New makes a node that knows nothing. As it can't tell whether it granted anything before, it is silent as a voter
-// for the longest grant that it could have forgotten.
-func New(now int64, c Config) (*Node, error) {
-	if err := c.Check(); err != nil {
+// New makes a node that knows nothing. It returns a *ConfigError for a faulty configuration.
+func New(now int64, config Config) (*Node, error) {
+	if err := config.Check(); err != nil {
 		return nil, err
 	}
-	n := &Node{config: c, started: now, mute: now + c.RestartSilence(), settled: -1, tickAt: now, renewAt: now + c.RenewInterval,
-		grants: make([]grant, c.Slots), holds: make([]hold, c.Slots), rng: *rand.NewPCG(c.Seed, c.Self.Incarnation)}
-	n.enter(c.Voters)
-	for s := range n.holds {
-		n.holds[s].freeSince = -1
-	}
-	return n, nil
-}
-
-// enter takes a set of voters into force. What was accepted under another does not count any more.
-func (n *Node) enter(v Voters) {
-	n.config.Voters, n.voters, n.sets, n.settled = v, nil, nil, -1
-	for _, set := range [][]string{v.Current, v.Previous} {
-		if len(set) == 0 {
-			continue
+	node := &Node{
+		config:         config,
+		grantsFrom:     now + config.RestartSilence(),
+		epochSettledAt: never,
+		tickAt:         now,
+		renewAt:        now + config.RenewInterval,
+		grants:         make([]grant, config.Slots),
+		holdings:       make([]holding, config.Slots),
+		rng:            *rand.NewPCG(config.Seed, config.Self.Incarnation),
+	}
+	node.enterEpoch(config.Voters)
+	for slot := range node.holdings {
+		node.holdings[slot].freeSince = never
+	}
+	return node, nil
+}
+
+// Receive takes a message from another instance. Votes must be passed on only from names under which one instance runs.
+func (node *Node) Receive(now int64, from Instance, message Message) {
+	switch message.Kind {
+	case Prepare, Propose:
+		for _, answer := range node.vote(now, from, message) {
+			node.emit(Send{To: from.Name, Message: answer})
 		}
-		var places []int
-		for _, name := range set {
-			at := slices.Index(n.voters, name)
-			if at < 0 {
-				at = len(n.voters)
-				n.voters = append(n.voters, name)
-			}
-			places = append(places, at)
-		}
-		n.sets = append(n.sets, places)
-	}
-	n.epochs, n.heard = make([]uint64, len(n.voters)), make([]int64, len(n.voters))
-	for i := range n.heard {
-		n.heard[i] = -1
-	}
-	for s := range n.holds {
-		if h := &n.holds[s]; h.held {
-			n.drop(s, "the voters have changed")
-			n.release(s, h, "")
-		}
-		n.holds[s].number, n.holds[s].acked = 0, make([]int64, len(n.voters))
-	}
-}
-
-// UpdateVoters takes the next set of voters, one epoch on, or says why it can't yet.
-func (n *Node) UpdateVoters(now int64, v Voters) error {
-	own := n.config.Voters
-	if err := v.Check(); err != nil {
-		return err
-	}
-	switch {
-	case v.Epoch == own.Epoch && slices.Equal(v.Current, own.Current) && slices.Equal(v.Previous, own.Previous):
-		return nil
-	case v.Epoch != own.Epoch+1:
-		return fmt.Errorf("voters of epoch %d can't follow those of epoch %d", v.Epoch, own.Epoch)
-	case differ(v.Previous, own.Current) > 0:
-		return fmt.Errorf("voters of epoch %d name others before them than are in force", v.Epoch)
-	case n.settled < 0 || now-n.settled < n.config.RestartSilence():
-		return fmt.Errorf("a majority must have been at epoch %d for %d ms first", own.Epoch, n.config.RestartSilence()/1e6)
-	}
-	n.enter(v)
-	return nil
-}
-
-// ObserveEpoch notes at which epoch a member is.
-func (n *Node) ObserveEpoch(name string, epoch uint64) {
-	if i := slices.Index(n.voters, name); i >= 0 {
-		n.epochs[i] = epoch
+	case Release:
+		node.receiveRelease(now, from, message)
+	case Promise, Accept, Reject:
+		node.receiveAnswer(now, from.Name, message)
 	}
 }
 
-// SetCandidates gives those believed alive, the own instance among them, by name.
-func (n *Node) SetCandidates(now int64, members []Candidate) {
-	if slices.Equal(members, n.members) {
+// Tick does what is due. wallMS is the wall clock, ms since 1970; it only lifts ballots.
+func (node *Node) Tick(now, wallMS int64) {
+	node.wallMS = wallMS
+	if now < node.tickAt {
 		return
 	}
-	n.members, n.plan, n.planned = members, Assign(n.config.Slots, members), now
-	for s := range n.holds { // whose turn it is has changed; who waited goes on waiting, no longer than before
-		if h := &n.holds[s]; h.freeSince >= 0 && h.number == 0 {
-			h.tryAt = min(h.tryAt, now+n.turn(s))
-		}
+	node.tickAt = NextTick(now, node.config.Self.Name, node.config.RenewInterval/ticksPerRenewal)
+	node.endSilence(now)
+	node.settleEpoch(now)
+	node.expire(now)
+	if now >= node.renewAt {
+		node.renewAt = NextTick(now, node.config.Self.Name, node.config.RenewInterval)
+		node.handedOver = 0
+		node.renew(now)
 	}
+	node.handOver(now)
+	node.findFree(now)
+	node.tryFree(now)
 }
 
-// ObserveBallot raises the highest number known to what somebody else knows.
-func (n *Node) ObserveBallot(number uint64) {
-	// A number of a far future would use them up: what a wall clock may be off is far less than a year.
-	if number>>numberShift < uint64(max(n.wall, 0))+365*24*3600*1000 || n.wall == 0 {
-		n.highest = max(n.highest, number)
-	}
-}
+// Next is when Tick has something to do.
+func (node *Node) Next() int64 { return node.tickAt }
 
-// HighestBallot is the highest number known.
-func (n *Node) HighestBallot() uint64 { return n.highest }
+// NextTick is the next instant of an instance's own grid of an interval. What is due on one grid is done at once, and what
+// then goes to one instance goes in one write: that halved the cost of an instance that does nothing else.
+func NextTick(now int64, name string, interval int64) int64 {
+	// Grids are shifted by the name, or instances that share a clock would all act at once.
+	shift := int64(nameMark(name)) * int64(time.Millisecond) % interval
+	return now + interval - (now+shift)%interval
+}
 
 // TakeEffects returns the effects since the last call, in order.
-func (n *Node) TakeEffects() []Effect {
-	out := n.effects
-	n.effects = nil
-	return out
+func (node *Node) TakeEffects() []Effect {
+	effects := node.effects
+	node.effects = nil
+	return effects
 }
 
-func (n *Node) do(e Effect) { n.effects = append(n.effects, e) }
-
-// chance draws from 0 up to below most.
-func (n *Node) chance(most int64) int64 { return int64(n.rng.Uint64() % uint64(max(most, 1))) }
+func (node *Node) emit(effect Effect) { node.effects = append(node.effects, effect) }
 
-// majority tells whether enough of every set are among those that count.
-func (n *Node) majority(counts func(voter int) bool) bool {
-	for _, set := range n.sets {
-		got := 0
-		for _, v := range set {
-			if counts(v) {
-				got++
-			}
-		}
-		if got <= len(set)/2 {
-			return false
-		}
+// SetCandidates takes the instances believed alive, the own one among them, sorted by name.
+func (node *Node) SetCandidates(now int64, candidates []Candidate) {
+	if slices.Equal(candidates, node.candidates) {
+		return
 	}
-	return true
-}
-
-// until is when the own hold on a slot ends: the latest sending that a majority of every set accepted, or a later
-// one, and the time held from then. 0 is not held.
-func (n *Node) until(h *hold) int64 {
-	end := int64(math.MaxInt64)
-	for _, set := range n.sets {
-		var sent []int64
-		for _, v := range set {
-			if h.acked[v] >= 0 {
-				sent = append(sent, h.acked[v])
-			}
+	node.candidates = candidates
+	node.assigned = Assign(node.config.Slots, candidates)
+	node.assignedAt = now
+	for slot := range node.holdings { // whose turn it is has changed; who waited goes on waiting, no longer than before
+		if own := &node.holdings[slot]; happened(own.freeSince) && own.ballot == 0 {
+			own.tryAt = min(own.tryAt, now+node.turnDelay(slot))
 		}
-		need := len(set)/2 + 1
-		if len(sent) < need {
-			return 0
-		}
-		slices.Sort(sent)
-		end = min(end, sent[len(sent)-need])
 	}
-	return end + n.config.HoldDuration()
 }
 
-// Holds tells whether the node may act for a slot at this moment, under which number and until when. It is to be
-// asked immediately before each act, with the clock just read.
-func (n *Node) Holds(now int64, slot int) (number uint64, until int64, ok bool) {
-	if slot < 0 || slot >= len(n.holds) || !n.holds[slot].held {
-		return 0, 0, false
+// ObserveBallot raises the highest ballot known to what somebody else knows.
+func (node *Node) ObserveBallot(ballot uint64) {
+	ballotMS := ballot >> nameMarkBits
+	if node.wallMS == 0 || ballotMS < uint64(max(node.wallMS, 0))+maxBallotAhead {
+		node.highest = max(node.highest, ballot)
 	}
-	h := &n.holds[slot]
-	return h.number, h.until, now < h.until
 }
 
-// SlotStatus is what a node knows of one slot, for people.
-type SlotStatus struct {
-	Slot    int    `json:"slot"`
-	Own     bool   `json:"own"`
-	Holder  string `json:"holder,omitempty"`
-	Ballot  uint64 `json:"number,omitempty"`
-	Planned string `json:"planned,omitempty"`
-	Since   int64  `json:"-"` // when it was gained, if own
-	Until   int64  `json:"-"`
-	Reason  string `json:"why,omitempty"` // why nobody holds it
-}
+// HighestBallot is the highest ballot known.
+func (node *Node) HighestBallot() uint64 { return node.highest }
 
-// Slots is what the node knows of all slots. A voter knows the holders that it granted to; others know those that
-// they were refused for.
-func (n *Node) Slots(now int64) []SlotStatus {
-	out := make([]SlotStatus, len(n.holds))
-	for s := range out {
-		h, g := &n.holds[s], &n.grants[s]
-		o := SlotStatus{Slot: s}
-		if n.plan != nil {
-			o.Planned = n.members[n.plan[s]].Name
-		}
-		number, until, own := n.Holds(now, s)
-		switch {
-		case own:
-			o.Own, o.Holder, o.Ballot, o.Since, o.Until = true, n.config.Self.Name, number, h.since, until
-		case g.until > now:
-			o.Holder, o.Ballot, o.Until = g.holder.Name, g.number, g.until
-		case h.freeSince < 0 && h.holder.Name != "":
-			o.Holder, o.Ballot = h.holder.Name, h.seen
-		case now < n.mute:
-			o.Reason = fmt.Sprintf("voters that have just started grant nothing for %d ms", n.config.RestartSilence()/1e6)
-		case !n.HasQuorum(now):
-			o.Reason = "no majority of the voters answers"
-		case h.number != 0:
-			o.Reason = "it is being asked for"
-		default:
-			o.Reason = "it waits for " + o.Planned + " to ask for it"
-		}
-		out[s] = o
-	}
-	return out
+// nextBallot is above all ballots known, and not behind the wall clock.
+func (node *Node) nextBallot() uint64 {
+	counter := max(node.highest>>nameMarkBits+1, uint64(max(node.wallMS, 0)))
+	return counter<<nameMarkBits | nameMark(node.config.Self.Name)
 }
 
-// HasQuorum tells whether a majority of the voters, the own vote included, answered within the last lease.
-func (n *Node) HasQuorum(now int64) bool {
-	return n.majority(func(v int) bool {
-		return n.voters[v] == n.config.Self.Name || n.heard[v] >= 0 && now-n.heard[v] <= n.config.LeaseDuration
-	})
+// random draws from 0 up to below a limit.
+func (node *Node) random(limit int64) int64 {
+	return int64(node.rng.Uint64() % uint64(max(limit, 1)))
 }
 
-// SilentUntil tells until when this voter grants nothing; it is over if that is past.
-func (n *Node) SilentUntil() int64 { return n.mute }
-
-// Voters is the set in force.
-func (n *Node) Voters() Voters { return n.config.Voters }
-
-// Clone gives a copy that shares nothing that changes.
-func (n *Node) Clone() *Node {
-	c := *n
-	c.grants, c.holds = slices.Clone(n.grants), slices.Clone(n.holds)
-	for s := range c.holds {
-		c.holds[s].acked = slices.Clone(c.holds[s].acked)
-	}
-	c.epochs, c.heard, c.effects = slices.Clone(n.epochs), slices.Clone(n.heard), slices.Clone(n.effects)
-	return &c
-}
+// milliseconds converts a length of time in ns, cutting off what is under a millisecond.
+func milliseconds(nanoseconds int64) int64 { return time.Duration(nanoseconds).Milliseconds() }
--- a/fleet/lease/voter.go
+++ b/fleet/lease/voter.go
@@ -1,89 +1,114 @@
 package lease
 
-// vote is the voter's side: it answers an Ask or a Take. The slot goes to one holder at a time, whatever numbers
-// say: that clause is what two holders can never pass.
-func (n *Node) vote(now int64, from Instance, m Message) (answers []Message) {
-	if now < n.mute && !n.fault.grantAtOnce {
+// vote answers a Prepare or a Propose as a voter. A slot goes to one holder at a time, whatever ballots say: that clause is
+// the change to PaxosLease, and what two holders can never pass (docs/duties.md).
+func (node *Node) vote(now int64, from Instance, message Message) []Message {
+	if now < node.grantsFrom {
 		return nil // who knows what was granted before the start
 	}
-	n.wake(now)
-	good := Message{Kind: Promise, Epoch: n.config.Voters.Epoch, SentAt: m.SentAt}
-	if m.Kind == Propose {
-		good.Kind = Accept
+	node.endSilence(now)
+	epoch := node.config.Voters.Epoch
+	granted := Message{Kind: Promise, Epoch: epoch, SentAt: message.SentAt}
+	if message.Kind == Propose {
+		granted.Kind = Accept
 	}
-	bad := Message{Kind: Reject, Epoch: n.config.Voters.Epoch, SentAt: m.SentAt}
-	own := n.config.Voters.Epoch
-	for _, i := range m.Items {
-		if i.Slot < 0 || i.Slot >= len(n.grants) {
+	rejected := Message{Kind: Reject, Epoch: epoch, SentAt: message.SentAt}
+	epochAnswered := message.Epoch == epoch || message.Epoch == epoch+1
+	for _, item := range message.Items {
+		if item.Slot < 0 || item.Slot >= len(node.grants) {
 			continue
 		}
-		g := &n.grants[i.Slot]
-		held := now < g.until && g.holder != from
-		behind := i.Ballot < g.promised || i.Ballot == g.promised && g.promisedTo != from
-		if m.Kind == Propose && i.Ballot >= g.number && now-g.promisedAt >= n.config.LeaseDuration {
-			behind = false // a promise that nothing came of kept a voter from its slot's holder for a whole tenure
-		}
-		if m.Kind == Prepare {
-			// The floor is for numbers that were known when the silence ended: their promises are forgotten.
-			behind = behind || i.Ballot <= n.floor || i.Ballot <= g.number
-		}
-		behind = behind && !n.fault.reuseNumbers
-		if held || behind || m.Epoch != own && m.Epoch != own+1 {
-			no := SlotBallot{Slot: i.Slot, Ballot: max(g.promised, g.number, n.floor)}
-			if held {
-				no.Holder, no.Remaining = g.holder, g.until-now
-			}
-			bad.Items = append(bad.Items, no)
+		current := &node.grants[item.Slot]
+		leased := now < current.until && current.holder != from
+		if leased || !epochAnswered || node.isOutdated(now, current, from, message.Kind, item.Ballot) {
+			rejected.Items = append(rejected.Items, node.rejection(now, item.Slot, leased))
 			continue
 		}
-		if m.Kind == Prepare || i.Ballot >= g.promised {
-			g.promised, g.promisedTo, g.promisedAt = max(g.promised, i.Ballot), from, now
-		}
-		if m.Kind == Propose {
-			g.holder, g.number, g.until = from, i.Ballot, now+n.config.LeaseDuration
-			n.ObserveBallot(i.Ballot)
-		}
-		good.Items = append(good.Items, SlotBallot{Slot: i.Slot, Ballot: i.Ballot})
+		node.grant(now, current, from, message.Kind, item.Ballot)
+		granted.Items = append(granted.Items, SlotBallot{Slot: item.Slot, Ballot: item.Ballot})
 	}
-	for _, a := range []Message{good, bad} {
-		if len(a.Items) > 0 {
-			answers = append(answers, a)
+	var answers []Message
+	for _, answer := range []Message{granted, rejected} {
+		if len(answer.Items) > 0 {
+			answers = append(answers, answer)
 		}
 	}
 	return answers
 }
 
-// wake ends the silence of a start. Numbers heard of until then are asked above of, as promises are forgotten.
-func (n *Node) wake(now int64) {
-	if n.floor == 0 && now >= n.mute {
-		n.floor = max(n.highest, 1)
+// isOutdated tells whether a ballot lies behind what the voter has promised or granted.
+func (node *Node) isOutdated(now int64, current *grant, from Instance, kind MessageKind, ballot uint64) bool {
+	outdated := ballot < current.promisedBallot || ballot == current.promisedBallot && current.promisedTo != from
+	if kind == Prepare {
+		// The floor is for ballots that were known when the silence ended: the promises made before it are forgotten.
+		return outdated || ballot <= node.ballotFloor || ballot <= current.ballot
+	}
+	if ballot >= current.ballot && now-current.promisedAt >= node.config.LeaseDuration {
+		return false // or a promise that nothing came of would keep a voter from its slot's holder for a whole tenure
+	}
+	return outdated
+}
+
+// rejection tells a holder the ballot that it has to be above and, where the slot is leased to another, to whom and for how long.
+func (node *Node) rejection(now int64, slot int, leased bool) SlotBallot {
+	current := &node.grants[slot]
+	item := SlotBallot{Slot: slot, Ballot: max(current.promisedBallot, current.ballot, node.ballotFloor)}
+	if leased {
+		item.Holder, item.Remaining = current.holder, current.until-now
 	}
+	return item
 }
 
-// free ends a grant. A take under its number that is late by now is not accepted any more.
-func (n *Node) free(g *grant, from Instance, number uint64) {
-	if g.holder == from && g.number == number {
-		g.holder, g.number, g.until = Instance{}, number+1, 0
-		g.promised = max(g.promised, number+1)
+// grant records a promise or, for a Propose, a lease.
+func (node *Node) grant(now int64, current *grant, to Instance, kind MessageKind, ballot uint64) {
+	if kind == Prepare || ballot >= current.promisedBallot {
+		current.promisedBallot = max(current.promisedBallot, ballot)
+		current.promisedTo, current.promisedAt = to, now
+	}
+	if kind == Propose {
+		current.holder, current.ballot = to, ballot
+		current.until = now + node.config.LeaseDuration
+		node.ObserveBallot(ballot)
+	}
+}
+
+// endSilence ends the silence of a start. Promises made before the start are forgotten, so from here on only ballots above all
+// that were heard of until now are promised.
+func (node *Node) endSilence(now int64) {
+	if node.ballotFloor == 0 && now >= node.grantsFrom {
+		node.ballotFloor = max(node.highest, 1)
+	}
+}
+
+// SilentUntil is until when this voter grants nothing; the silence is over if that is past.
+func (node *Node) SilentUntil() int64 { return node.grantsFrom }
+
+// revoke ends a lease that its holder released. A late Propose under its ballot is not accepted any more.
+func (node *Node) revoke(slot int, from Instance, ballot uint64) {
+	current := &node.grants[slot]
+	if current.holder != from || current.ballot != ballot {
+		return
 	}
+	current.holder, current.ballot, current.until = Instance{}, ballot+1, 0
+	current.promisedBallot = max(current.promisedBallot, ballot+1)
 }
 
-// released takes back what a holder has given up.
-func (n *Node) released(now int64, from Instance, m Message) {
-	for _, i := range m.Items {
-		if i.Slot < 0 || i.Slot >= len(n.grants) {
+// receiveRelease takes back what a holder has given up, and asks for it if it is this instance's turn.
+func (node *Node) receiveRelease(now int64, from Instance, message Message) {
+	for _, item := range message.Items {
+		if item.Slot < 0 || item.Slot >= len(node.grants) {
 			continue
 		}
-		n.free(&n.grants[i.Slot], from, i.Ballot)
-		n.ObserveBallot(i.Ballot)
-		h := &n.holds[i.Slot]
-		if h.held || h.number != 0 || n.leaving {
+		node.revoke(item.Slot, from, item.Ballot)
+		node.ObserveBallot(item.Ballot)
+		own := &node.holdings[item.Slot]
+		if own.held || own.ballot != 0 || node.releasing {
 			continue
 		}
-		h.busyUntil, h.freeSince, h.tryAt = 0, now, now
-		if i.Holder.Name != n.config.Self.Name {
-			h.tryAt = now + n.turn(i.Slot) // the one it is meant for comes first
+		own.busyUntil, own.freeSince, own.tryAt = 0, now, now
+		if item.Holder.Name != node.config.Self.Name {
+			own.tryAt = now + node.turnDelay(item.Slot) // the one it is meant for comes first
 		}
 	}
-	n.attempt(now)
+	node.tryFree(now)
 }
