--- a/fleet/agree/agree.go
+++ b/fleet/sharedconfig/node.go
@@ -1,10 +1,10 @@
-// Package agree has instances act on one version of what they share: voters grant leases on versions, and an instance acts on
+// Package sharedconfig has instances act on one version of what they share: voters grant leases on versions, and an instance acts on
 // one only while its own clock says that its lease on it holds. Versions that exclude each other are never acted on at once;
 // others for no longer than a lease. The package does no input or output, reads no clock and is not safe for use by two
 // goroutines at once. docs/agreement.md has the options and the bound.
 //
 // Times are ns of a clock that goes on while the machine is suspended and never goes back.
-package agree
+package sharedconfig
 
 import (
 	"cmp"
--- a/fleet/agree/agree_test.go
+++ b/fleet/sharedconfig/node_test.go
@@ -1,4 +1,4 @@
-package agree
+package sharedconfig
 
 import (
 	"errors"
--- a/lab/agreesim.go
+++ b/lab/agreesim.go
@@ -5,13 +5,13 @@
 	"math/rand/v2"
 	"slices"
 
-	"tealpath/fleet/agree"
 	"tealpath/fleet/lease"
+	"tealpath/fleet/sharedconfig"
 	"tealpath/internal/timerqueue"
 	"tealpath/plan/compatibility"
 )
 
-// AgreeSim plays fleet/agree with real settings in simulated time, with changes and troubles drawn by seed.
+// AgreeSim plays fleet/sharedconfig with real settings in simulated time, with changes and troubles drawn by seed.
 type AgreeSim struct {
 	Instances int
 	Span      int64 // ns
@@ -39,7 +39,7 @@
 
 type agreeNode struct {
 	name   string
-	node   *agree.Node
+	node   *sharedconfig.Node
 	rate   float64
 	born   int64
 	life   int
@@ -111,7 +111,7 @@
 	if err != nil {
 		panic(err) // the settings are this file's
 	}
-	x.node = agree.New(0, agree.Config{Self: x.name, Voters: r.voters, Lease: r.Lease, Renewal: r.Renewal, Drift: 0.01, Degree: compatibility.Incompatible,
+	x.node = sharedconfig.New(0, sharedconfig.Config{Self: x.name, Voters: r.voters, Lease: r.Lease, Renewal: r.Renewal, Drift: 0.01, Degree: compatibility.Incompatible,
 		First: content, Mark: r.rng.Uint64()})
 	r.arm(x)
 }
@@ -141,13 +141,13 @@
 func (r *agreeRun) carry(x *agreeNode) {
 	for _, e := range x.node.Take() {
 		switch e := e.(type) {
-		case agree.Ended:
+		case sharedconfig.Ended:
 			if e.Why == "" {
 				r.waiting[e.Number] = r.now
 			} else {
 				r.result.Refused++
 			}
-		case agree.Send:
+		case sharedconfig.Send:
 			to := r.nodes[slices.IndexFunc(r.nodes, func(y *agreeNode) bool { return y.name == e.To })]
 			if r.rng.Float64() < r.loss || to.side != x.side {
 				continue
