--- a/fleet/sharedconfig/node.go
+++ b/fleet/sharedconfig/node.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// ContentMost is the longest content, bytes.
-	ContentMost = 1 << 20
+	// MaxContentSize is the longest content, bytes.
+	MaxContentSize = 1 << 20
 
 	numberShift = 16
 	tryAgain    = 2 // renewals after which a proposal that came to nothing is made again
@@ -29,52 +29,56 @@
 	Content []byte
 }
 
-// Degree is how bad it is that two versions are acted on at once, as plan/compatibility says it: exclusive never, else for a lease.
-type Degree func(a, b []byte) (exclusive bool, err error)
+// IncompatibleFunc is how bad it is that two versions are acted on at once, as plan/compatibility says it: exclusive never, else for a lease.
+type IncompatibleFunc func(a, b []byte) (exclusive bool, err error)
 
 // Config is what a node starts with.
 type Config struct {
-	Self    string
-	Voters  []string // whose majority grants; at most 64
-	Lease   int64    // for which a voter counts an instance in
-	Renewal int64
-	Drift   float64 // by which a clock's rate may be off
-	Degree  Degree
-	First   []byte // content of number 0, from the file: what is acted on before anything was proposed
-	Mark    uint64 // of this start: numbers of two starts differ
+	Self          string
+	Voters        []string // whose majority grants; at most 64
+	LeaseDuration int64    // for which a voter counts an instance in
+	RenewInterval int64
+	MaxClockDrift float64 // by which a clock's rate may be off
+	Incompatible  IncompatibleFunc
+	Initial       []byte // content of number 0, from the file: what is acted on before anything was proposed
+	Incarnation   uint64 // of this start: numbers of two starts differ
 }
 
 // span is for how long a holder may act after it sent a renewal: its voters count it in for longer, whatever their clocks do.
-func (c Config) span() int64 { return int64(float64(c.Lease) * (1 - c.Drift) / (1 + c.Drift)) }
+func (c Config) span() int64 {
+	return int64(float64(c.LeaseDuration) * (1 - c.MaxClockDrift) / (1 + c.MaxClockDrift))
+}
 
-// Silence is for how long a voter that has just started grants nothing: it may have granted before.
-func (c Config) Silence() int64 { return int64(float64(c.Lease) * (1 + c.Drift) / (1 - c.Drift)) }
+// RestartSilence is for how long a voter that has just started grants nothing: it may have granted before.
+func (c Config) RestartSilence() int64 {
+	return int64(float64(c.LeaseDuration) * (1 + c.MaxClockDrift) / (1 - c.MaxClockDrift))
+}
 
-// Kind is what a message says.
-type Kind uint8
+// MessageKind is what a message says.
+type MessageKind uint8
 
-// The kinds. Renew asks for a lease on what is the newest here; Grant gives one; Move says to which version the voter goes
-// and has no lease to give; Propose asks to prepare a version, Prepared and Refused answer; Decide says that a majority has
-// prepared it; Want asks for a version's content.
+// The kinds. Renew asks for a lease on what is the newest here; Grant gives one; Redirect says to which version the voter goes
+// and has no lease to give; Propose asks to prepare a version, Accept and Reject answer; Commit says that a majority has
+// prepared it; Fetch asks for a version's content.
 const (
-	Renew Kind = iota + 1
+	Renew MessageKind = iota + 1
 	Grant
-	Move
+	Redirect
 	Propose
-	Prepared
-	Refused
-	Decide
-	Want
+	Accept
+	Reject
+	Commit
+	Fetch
 )
 
 // Message is what nodes send each other.
 type Message struct {
-	Kind    Kind
+	Kind    MessageKind
 	Number  uint64 // of the version it is about
 	Highest uint64 // number known
-	Sent    int64  // of the renewal that is answered, by its sender's clock
+	SentAt  int64  // of the renewal that is answered, by its sender's clock
 	Content []byte // of the version; with Propose, Decide, and to who wants it
-	Why     string // with Refused
+	Reason  string // with Refused
 }
 
 // Effect is what a node wants done or known outside.
@@ -86,17 +90,17 @@
 	Message Message
 }
 
-// Acting tells that a version is acted on from now on, until the lease ends or another takes its place; Floor that none is:
+// Activated tells that a version is acted on from now on, until the lease ends or another takes its place; Deactivated that none is:
 // what contradicts none of the versions that may be in force is to be acted on. Since is told by Node.Acts.
 type (
-	Acting struct{ Version Version }
-	Floor  struct{ Why string }
+	Activated   struct{ Version Version }
+	Deactivated struct{ Why string }
 )
 
-// Ended tells what became of a proposal made here.
-type Ended struct {
+// ProposalEnded tells what became of a proposal made here.
+type ProposalEnded struct {
 	Number uint64
-	Why    string // empty: it is in force at a majority
+	Reason string // empty: it is in force at a majority
 }
 
 // Node is one instance, voter or not.
@@ -146,7 +150,7 @@
 
 // New makes a node that knows no version but its file's.
 func New(now int64, c Config) *Node {
-	n := &Node{config: c, mute: now + c.Silence(), known: map[uint64][]byte{0: c.First}, renewAt: now, grants: make([]grant, len(c.Voters))}
+	n := &Node{config: c, mute: now + c.RestartSilence(), known: map[uint64][]byte{0: c.Initial}, renewAt: now, grants: make([]grant, len(c.Voters))}
 	for i := range n.grants {
 		n.grants[i].sent = -1
 	}
@@ -155,8 +159,8 @@
 
 func (n *Node) do(e Effect) { n.effects = append(n.effects, e) }
 
-// Take gives what is to be done, and forgets it.
-func (n *Node) Take() []Effect {
+// TakeEffects gives what is to be done, and forgets it.
+func (n *Node) TakeEffects() []Effect {
 	out := n.effects
 	n.effects = nil
 	return out
@@ -171,8 +175,8 @@
 
 func (n *Node) majority(count int) bool { return count > len(n.config.Voters)/2 }
 
-// Acts is the version that may be acted on at an instant, and until when by the own clock.
-func (n *Node) Acts(now int64) (v Version, until int64, ok bool) {
+// Active is the version that may be acted on at an instant, and until when by the own clock.
+func (n *Node) Active(now int64) (v Version, until int64, ok bool) {
 	if until = n.leased(n.acting); !n.has || now >= until {
 		return Version{}, 0, false
 	}
@@ -209,9 +213,9 @@
 		next = min(next, max(n.until, n.mute))
 	}
 	if n.proposal.Number > 0 {
-		next = min(next, n.proposed+tryAgain*n.config.Renewal)
+		next = min(next, n.proposed+tryAgain*n.config.RenewInterval)
 	}
-	if _, until, ok := n.Acts(now); ok {
+	if _, until, ok := n.Active(now); ok {
 		next = min(next, until)
 	}
 	return next
@@ -222,7 +226,7 @@
 	n.wall = wall
 	n.move(now)
 	n.look(now)
-	if n.proposal.Number > 0 && now-n.proposed >= tryAgain*n.config.Renewal {
+	if n.proposal.Number > 0 && now-n.proposed >= tryAgain*n.config.RenewInterval {
 		if n.tries++; n.tries >= triesMost {
 			n.end("no majority of the voters answered")
 		} else {
@@ -230,9 +234,9 @@
 		}
 	}
 	if now >= n.renewAt {
-		n.renewAt = now + n.config.Renewal
+		n.renewAt = now + n.config.RenewInterval
 		for _, v := range n.config.Voters {
-			n.to(now, v, Message{Kind: Renew, Number: n.newest, Sent: now})
+			n.to(now, v, Message{Kind: Renew, Number: n.newest, SentAt: now})
 		}
 	}
 }
@@ -249,17 +253,17 @@
 
 // look notes whether there is still something to act on.
 func (n *Node) look(now int64) {
-	if _, _, ok := n.Acts(now); n.has && !ok {
+	if _, _, ok := n.Active(now); n.has && !ok {
 		n.has = false
-		n.do(Floor{"no majority of the voters renewed the lease"})
+		n.do(Deactivated{"no majority of the voters renewed the lease"})
 	}
 }
 
 // Propose has content become the next version. One at a time; what becomes of it Ended tells.
 func (n *Node) Propose(now, wall int64, content []byte) error {
 	switch {
-	case len(content) > ContentMost:
-		return fmt.Errorf("%d bytes, %d can be", len(content), ContentMost)
+	case len(content) > MaxContentSize:
+		return fmt.Errorf("%d bytes, %d can be", len(content), MaxContentSize)
 	case n.proposal.Number > 0:
 		return fmt.Errorf("version %d is being proposed here", n.proposal.Number)
 	}
@@ -275,7 +279,7 @@
 	if fmt.Fprint(h, n.config.Self); n.fault.numberAgain {
 		base = n.highest>>numberShift + 1
 	} else {
-		fmt.Fprint(h, " ", n.config.Mark)
+		fmt.Fprint(h, " ", n.config.Incarnation)
 	}
 	n.proposal.Number = base<<numberShift | h.Sum64()&(1<<numberShift-1)
 	n.highest = max(n.highest, n.proposal.Number)
@@ -286,7 +290,7 @@
 }
 
 func (n *Node) end(why string) {
-	n.do(Ended{n.proposal.Number, why})
+	n.do(ProposalEnded{n.proposal.Number, why})
 	n.proposal, n.yes, n.no = Version{}, nil, nil
 }
 
@@ -339,7 +343,7 @@
 	if was == nil || is == nil {
 		return true
 	}
-	exclusive, err := n.config.Degree(was, is)
+	exclusive, err := n.config.Incompatible(was, is)
 	return exclusive || err != nil
 }
 
@@ -354,20 +358,20 @@
 		n.renewed(now, from, m)
 	case Grant:
 		n.granted(now, from, m)
-	case Move:
+	case Redirect:
 		n.learn(now, m.Number, m.Content)
 		if m.Content == nil && m.Number > n.newest {
-			n.send(from, Message{Kind: Want, Number: m.Number})
+			n.send(from, Message{Kind: Fetch, Number: m.Number})
 		}
-	case Want:
+	case Fetch:
 		if content := n.known[m.Number]; content != nil {
-			n.send(from, Message{Kind: Move, Number: m.Number, Content: content})
+			n.send(from, Message{Kind: Redirect, Number: m.Number, Content: content})
 		}
 	case Propose:
 		n.asked(now, from, m)
-	case Prepared, Refused:
+	case Accept, Reject:
 		n.answered(now, from, m)
-	case Decide:
+	case Commit:
 		n.learn(now, m.Number, m.Content)
 	}
 }
@@ -381,7 +385,7 @@
 		return
 	}
 	if m.Number > n.newest {
-		n.reply(now, from, Message{Kind: Want, Number: m.Number})
+		n.reply(now, from, Message{Kind: Fetch, Number: m.Number})
 		return
 	}
 	if n.move(now); now < n.mute {
@@ -389,25 +393,25 @@
 	}
 	if m.Number != n.current || n.next != n.current {
 		// No lease on what is left behind; what comes next is told.
-		n.reply(now, from, Message{Kind: Move, Number: n.next})
+		n.reply(now, from, Message{Kind: Redirect, Number: n.next})
 		return
 	}
-	n.until = max(n.until, now+n.config.Lease)
-	n.reply(now, from, Message{Kind: Grant, Number: n.current, Sent: m.Sent})
+	n.until = max(n.until, now+n.config.LeaseDuration)
+	n.reply(now, from, Message{Kind: Grant, Number: n.current, SentAt: m.SentAt})
 }
 
 // granted counts a voter's lease.
 func (n *Node) granted(now int64, from string, m Message) {
 	v := slices.Index(n.config.Voters, from)
-	if v < 0 || m.Sent > now || n.known[m.Number] == nil {
+	if v < 0 || m.SentAt > now || n.known[m.Number] == nil {
 		return
 	}
 	g := &n.grants[v]
-	if m.Number != g.number || m.Sent > g.sent {
-		if m.Sent < g.sent {
+	if m.Number != g.number || m.SentAt > g.sent {
+		if m.SentAt < g.sent {
 			return // an answer from before the voter moved
 		}
-		g.number, g.sent = m.Number, m.Sent
+		g.number, g.sent = m.Number, m.SentAt
 	}
 	until := n.leased(m.Number)
 	if until <= now || n.has && m.Number == n.acting {
@@ -417,16 +421,16 @@
 		return
 	}
 	n.acting, n.has = m.Number, true
-	n.do(Acting{Version{m.Number, n.known[m.Number]}})
+	n.do(Activated{Version{m.Number, n.known[m.Number]}})
 }
 
 // asked has a voter prepare a version: checked against the newest, and above all that it has prepared.
 func (n *Node) asked(now int64, from string, m Message) {
-	if !n.voter() || len(m.Content) > ContentMost {
+	if !n.voter() || len(m.Content) > MaxContentSize {
 		return
 	}
 	why := ""
-	switch _, err := n.config.Degree(n.known[n.newest], m.Content); {
+	switch _, err := n.config.Incompatible(n.known[n.newest], m.Content); {
 	case now < n.mute:
 		return // it does not know what it has prepared
 	case err != nil:
@@ -435,14 +439,14 @@
 		why = fmt.Sprintf("version %d came before it", max(n.prepared, n.newest))
 	}
 	if why != "" {
-		n.reply(now, from, Message{Kind: Refused, Number: m.Number, Why: why})
+		n.reply(now, from, Message{Kind: Reject, Number: m.Number, Reason: why})
 		return
 	}
 	n.prepared = m.Number
 	if n.fault.atPrepare {
 		n.known[m.Number], n.newest, n.current, n.next = m.Content, m.Number, m.Number, m.Number
 	}
-	n.reply(now, from, Message{Kind: Prepared, Number: m.Number})
+	n.reply(now, from, Message{Kind: Accept, Number: m.Number})
 }
 
 // answered counts the answers to a proposal.
@@ -450,9 +454,9 @@
 	if m.Number != n.proposal.Number || n.proposal.Number == 0 || !slices.Contains(n.config.Voters, from) {
 		return
 	}
-	if m.Kind == Refused {
+	if m.Kind == Reject {
 		if n.no[from] = true; !n.majority(len(n.config.Voters) - len(n.no)) {
-			n.end(cmp.Or(m.Why, "refused"))
+			n.end(cmp.Or(m.Reason, "refused"))
 		}
 		return
 	}
@@ -464,7 +468,7 @@
 	n.learn(now, v.Number, v.Content)
 	for _, voter := range n.config.Voters {
 		if voter != n.config.Self {
-			n.send(voter, Message{Kind: Decide, Number: v.Number, Content: v.Content})
+			n.send(voter, Message{Kind: Commit, Number: v.Number, Content: v.Content})
 		}
 	}
 }
--- a/fleet/sharedconfig/node_test.go
+++ b/fleet/sharedconfig/node_test.go
@@ -50,7 +50,7 @@
 	apart   int64 // for how long two versions that do not exclude each other were acted on after the later one first was
 	first   map[uint64]int64
 	used    map[uint64]string
-	ended   []Ended
+	ended   []ProposalEnded
 }
 
 type letter struct {
@@ -78,21 +78,21 @@
 func (w *world) start(m *member) {
 	w.life++
 	m.born, m.down, m.frozen = w.now, false, 0
-	m.node = New(0, Config{Self: m.name, Voters: w.voters, Lease: lease, Renewal: 500 * ms, Drift: drift, Degree: degree, First: []byte("a0"), Mark: w.life})
+	m.node = New(0, Config{Self: m.name, Voters: w.voters, LeaseDuration: lease, RenewInterval: 500 * ms, MaxClockDrift: drift, Incompatible: degree, Initial: []byte("a0"), Incarnation: w.life})
 	m.node.fault = w.fault
 }
 
 func (w *world) clock(m *member) int64 { return int64(float64(w.now-m.born) * m.rate) }
 
 func (w *world) carry(m *member) {
-	for _, e := range m.node.Take() {
+	for _, e := range m.node.TakeEffects() {
 		switch e := e.(type) {
 		case Send:
 			i := slices.IndexFunc(w.members, func(x *member) bool { return x.name == e.To })
 			if i >= 0 && w.rng.Float64() >= w.loss {
 				w.under = append(w.under, letter{w.now + 2*ms + w.rng.Int64N(20*ms), m, w.members[i], m.born, e.Message})
 			}
-		case Ended:
+		case ProposalEnded:
 			w.ended = append(w.ended, e)
 		}
 	}
@@ -130,7 +130,7 @@
 		if m.down || m.frozen > w.now {
 			continue
 		}
-		if v, _, ok := m.node.Acts(w.clock(m)); ok {
+		if v, _, ok := m.node.Active(w.clock(m)); ok {
 			acted[v.Number] = v.Content
 			if _, been := w.first[v.Number]; !been {
 				w.first[v.Number] = w.now
@@ -163,7 +163,7 @@
 // all tells whether every node acts on some content.
 func (w *world) all(content string) bool {
 	return !slices.ContainsFunc(w.members, func(m *member) bool {
-		v, _, ok := m.node.Acts(w.clock(m))
+		v, _, ok := m.node.Active(w.clock(m))
 		return !m.down && (!ok || string(v.Content) != content)
 	})
 }
@@ -186,7 +186,7 @@
 	for range 100 {
 		w.play(10 * ms)
 		for _, m := range w.members {
-			if _, _, ok := m.node.Acts(w.clock(m)); !ok {
+			if _, _, ok := m.node.Active(w.clock(m)); !ok {
 				t.Fatal("a gap")
 			}
 		}
@@ -203,7 +203,7 @@
 	}
 	propose(1, "bad")
 	w.play(second)
-	if last := w.ended[len(w.ended)-1]; last.Why != "line 1: it would break a rule" || !w.all("b1") {
+	if last := w.ended[len(w.ended)-1]; last.Reason != "line 1: it would break a rule" || !w.all("b1") {
 		t.Errorf("%+v", last)
 	}
 	propose(1, "b2") // two at once: one content in the end, and both are told
@@ -213,11 +213,11 @@
 		t.Errorf("%v", w.ended[ended:])
 	}
 	// A number of a far future, as a broken one would tell it, is not heeded: all later ones would come before it.
-	w.members[0].node.Receive(w.clock(w.members[0]), "n01", Message{Kind: Decide, Number: 1 << 63, Content: []byte("b9")})
+	w.members[0].node.Receive(w.clock(w.members[0]), "n01", Message{Kind: Commit, Number: 1 << 63, Content: []byte("b9")})
 	if w.members[0].node.Newest().Number == 1<<63 {
 		t.Error("a number of a far future is taken")
 	}
-	if err := w.members[0].node.Propose(0, 0, make([]byte, ContentMost+1)); err == nil {
+	if err := w.members[0].node.Propose(0, 0, make([]byte, MaxContentSize+1)); err == nil {
 		t.Error("too much content is taken")
 	}
 }
@@ -228,7 +228,7 @@
 	w.play(4 * second)
 	w.members[4].side = 1
 	w.play(2 * second)
-	if _, _, ok := w.members[4].node.Acts(w.clock(w.members[4])); ok {
+	if _, _, ok := w.members[4].node.Active(w.clock(w.members[4])); ok {
 		t.Error("it acts on")
 	}
 	m := w.members[0]
--- a/lab/agreesim.go
+++ b/lab/agreesim.go
@@ -111,8 +111,8 @@
 	if err != nil {
 		panic(err) // the settings are this file's
 	}
-	x.node = sharedconfig.New(0, sharedconfig.Config{Self: x.name, Voters: r.voters, Lease: r.Lease, Renewal: r.Renewal, Drift: 0.01, Degree: compatibility.Incompatible,
-		First: content, Mark: r.rng.Uint64()})
+	x.node = sharedconfig.New(0, sharedconfig.Config{Self: x.name, Voters: r.voters, LeaseDuration: r.Lease, RenewInterval: r.Renewal, MaxClockDrift: 0.01, Incompatible: compatibility.Incompatible,
+		Initial: content, Incarnation: r.rng.Uint64()})
 	r.arm(x)
 }
 
@@ -139,10 +139,10 @@
 }
 
 func (r *agreeRun) carry(x *agreeNode) {
-	for _, e := range x.node.Take() {
+	for _, e := range x.node.TakeEffects() {
 		switch e := e.(type) {
-		case sharedconfig.Ended:
-			if e.Why == "" {
+		case sharedconfig.ProposalEnded:
+			if e.Reason == "" {
 				r.waiting[e.Number] = r.now
 			} else {
 				r.result.Refused++
@@ -181,7 +181,7 @@
 			continue
 		}
 		running++
-		v, _, ok := x.node.Acts(r.clock(x))
+		v, _, ok := x.node.Active(r.clock(x))
 		if !ok {
 			r.off++
 			continue
