--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet is what instances agree on, as one reducer: an event goes in, state changes, effects come out. It
-// joins who is there (member), who holds which slot (lease) and what is probed when (probe). It does no input or
+// joins who is there (membership), who holds which slot (lease) and what is probed when (probe). It does no input or
 // output, reads no clock and is not safe for use by two goroutines at once. Times are whole nanoseconds of a clock
 // that goes on while the machine is suspended and never goes back.
 package fleet
@@ -14,7 +14,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"tealpath/fleet/lease"
-	"tealpath/fleet/member"
+	"tealpath/fleet/membership"
 	"tealpath/fleet/probe"
 )
 
@@ -29,9 +29,9 @@
 	Self     lease.Instance
 	Address  string // where it takes links
 	Weight   float64
-	Contacts []member.Contact // the instances of the file, the own one among them or not
-	Duty     lease.Config     // Self and Seed are filled in from here
-	Probe    *probe.Config    // nil: nothing is probed
+	Contacts []membership.Contact // the instances of the file, the own one among them or not
+	Duty     lease.Config         // Self and Seed are filled in from here
+	Probe    *probe.Config        // nil: nothing is probed
 	Seed     uint64
 	Wall     int64      // ms since 1970, at the start
 	Members  Membership // zero: as of the renewals
@@ -54,10 +54,10 @@
 
 // Message is what instances send each other.
 type Message struct {
-	Highest  uint64         `cbor:"2,keyasint,omitempty"` // number known
-	Duty     *lease.Message `cbor:"3,keyasint,omitempty"`
-	Findings []Finding      `cbor:"4,keyasint,omitempty"`
-	Gossip   *member.Gossip `cbor:"5,keyasint,omitempty"`
+	Highest  uint64             `cbor:"2,keyasint,omitempty"` // number known
+	Duty     *lease.Message     `cbor:"3,keyasint,omitempty"`
+	Findings []Finding          `cbor:"4,keyasint,omitempty"`
+	Gossip   *membership.Gossip `cbor:"5,keyasint,omitempty"`
 }
 
 var decoding = func() cbor.DecMode {
@@ -78,7 +78,7 @@
 		return Message{}, err
 	}
 	switch {
-	case m.Gossip != nil && len(m.Gossip.Entries)+len(m.Gossip.Alerts) > 2*member.ToldMost+2:
+	case m.Gossip != nil && len(m.Gossip.Entries)+len(m.Gossip.Alerts) > 2*membership.ToldMost+2:
 		return Message{}, fmt.Errorf("%d members and %d reports", len(m.Gossip.Entries), len(m.Gossip.Alerts))
 	case len(m.Findings) > findingsMost:
 		return Message{}, fmt.Errorf("%d findings", len(m.Findings))
@@ -116,7 +116,7 @@
 
 // Changed is a newer configuration. Contacts, weights and voters change in a running instance.
 type Changed struct {
-	Contacts []member.Contact
+	Contacts []membership.Contact
 	Weight   float64
 	Voters   lease.Voters
 }
@@ -185,7 +185,7 @@
 type Node struct {
 	duties  []periodic
 	config  Config
-	table   *member.Table
+	table   *membership.Table
 	leases  *lease.Node
 	probe   *probe.Prober // nil: nothing is probed
 	effects []Effect
@@ -223,8 +223,8 @@
 		return nil, err
 	}
 	interval := cmp.Or(c.Members.Interval, c.Duty.RenewInterval)
-	n := &Node{config: c, leases: d, seen: map[string]finding{}, wanted: map[string]int64{}, started: now, table: member.New(now, member.Config{
-		Self: member.Entry{Name: c.Self.Name, Incarnation: c.Self.Incarnation, Address: c.Address, Weight: c.Weight,
+	n := &Node{config: c, leases: d, seen: map[string]finding{}, wanted: map[string]int64{}, started: now, table: membership.New(now, membership.Config{
+		Self: membership.Entry{Name: c.Self.Name, Incarnation: c.Self.Incarnation, Address: c.Address, Weight: c.Weight,
 			Epoch: c.Duty.Voters.Epoch, Start: uint64(max(1, c.Wall))},
 		Contacts: c.Contacts, Interval: interval, Quiet: c.Members.Quiet, Silence: c.Duty.RestartSilence(), Seed: c.Seed,
 		Beat: func(now int64) int64 { return lease.NextTick(now, c.Self.Name, interval) }})}
@@ -347,7 +347,7 @@
 }
 
 // relays tells whether what one instance found goes to others by way of its neighbours: where not all are neighbours.
-func (n *Node) relays() bool { return len(n.table.Alive()) > member.NearMost+1 }
+func (n *Node) relays() bool { return len(n.table.Alive()) > membership.NearMost+1 }
 
 // take takes a finding, unless somebody probed under a higher number before: its sender may have been frozen.
 func (n *Node) take(f Finding) {
@@ -434,7 +434,7 @@
 	for _, set := range [][]string{v.Current, v.Previous} {
 		alive := 0
 		for _, name := range set {
-			if m, _ := n.table.View(name); name == n.config.Self.Name || m.State == member.Alive {
+			if m, _ := n.table.View(name); name == n.config.Self.Name || m.State == membership.Alive {
 				alive++
 			}
 		}
@@ -449,7 +449,7 @@
 func (n *Node) missing(int64) string {
 	var names []string
 	for _, name := range n.leases.Voters().Current {
-		if m, _ := n.table.View(name); name != n.config.Self.Name && m.State != member.Alive {
+		if m, _ := n.table.View(name); name != n.config.Self.Name && m.State != membership.Alive {
 			names = append(names, name+" "+m.State.String())
 		}
 	}
@@ -474,9 +474,9 @@
 	for _, m := range n.table.Links() {
 		at[m.Name] = m.Address
 	}
-	few := n.table.Count() <= member.NearMost
+	few := n.table.Count() <= membership.NearMost
 	for _, m := range n.table.All() {
-		if _, asked := n.wanted[m.Name]; m.Address != "" && m.State != member.Left && (few || asked) {
+		if _, asked := n.wanted[m.Name]; m.Address != "" && m.State != membership.Left && (few || asked) {
 			at[m.Name] = m.Address
 		}
 	}
@@ -490,7 +490,7 @@
 	}
 }
 
-func shares(entries []member.Entry) (out []lease.Candidate) {
+func shares(entries []membership.Entry) (out []lease.Candidate) {
 	for _, e := range entries {
 		out = append(out, lease.Candidate{Name: e.Name, Weight: e.Weight})
 	}
@@ -509,7 +509,7 @@
 }
 
 // gossip sends what members tell each other.
-func (n *Node) gossip(tell []member.Telling) {
+func (n *Node) gossip(tell []membership.Telling) {
 	for _, t := range tell {
 		n.do(Send{To: t.To, Message: Message{Gossip: &t.Gossip, Highest: n.leases.HighestBallot()}})
 	}
@@ -591,13 +591,13 @@
 }
 
 // tell logs what is believed anew. Many at once are one line: a zone that is lost, or all at a start.
-func (n *Node) tell(changes []member.Change) {
+func (n *Node) tell(changes []membership.Change) {
 	const eachMost = 8
-	groups := map[[2]member.State][]member.Change{}
+	groups := map[[2]membership.State][]membership.Change{}
 	for _, c := range changes {
 		switch {
 		case c.Name != n.config.Self.Name:
-			groups[[2]member.State{c.State, c.Was}] = append(groups[[2]member.State{c.State, c.Was}], c)
+			groups[[2]membership.State{c.State, c.Was}] = append(groups[[2]membership.State{c.State, c.Was}], c)
 		case c.Why == "away":
 			n.do(Log{Line: fmt.Sprintf("this instance was away for %d ms; nothing is held against others for it", n.table.Away()/1e6)})
 		case c.Why == "cut off":
@@ -606,9 +606,9 @@
 			n.do(Log{Line: "neighbours are heard again"})
 		}
 	}
-	for _, state := range []member.State{member.Unheard, member.Alive, member.Dead, member.Left} {
-		for _, was := range []member.State{member.Unheard, member.Alive, member.Dead, member.Left} {
-			group := groups[[2]member.State{state, was}]
+	for _, state := range []membership.State{membership.Unheard, membership.Alive, membership.Dead, membership.Left} {
+		for _, was := range []membership.State{membership.Unheard, membership.Alive, membership.Dead, membership.Left} {
+			group := groups[[2]membership.State{state, was}]
 			if len(group) > eachMost {
 				n.do(Log{Line: fmt.Sprintf("%d members %s", len(group), state), Why: "was " + was.String()})
 				continue
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"tealpath/fleet/lease"
-	"tealpath/fleet/member"
+	"tealpath/fleet/membership"
 	"tealpath/fleet/probe"
 )
 
@@ -15,7 +15,7 @@
 	t.Helper()
 	cold := probe.Cold{Share: 0.16, Factor: 2.5, Window: 1500 * ms, Span: 17000 * ms}
 	n, err := New(0, Config{Self: lease.Instance{Name: name, Incarnation: incarnation}, Address: name + ":1", Weight: 1, Seed: 1,
-		Contacts: []member.Contact{{Name: "a", Address: "a:1", Weight: 1}, {Name: "b", Address: "b:1", Weight: 1},
+		Contacts: []membership.Contact{{Name: "a", Address: "a:1", Weight: 1}, {Name: "b", Address: "b:1", Weight: 1},
 			{Name: "c", Address: "c:1", Weight: 1}},
 		Duty: lease.Config{Slots: 8, LeaseDuration: 1500 * ms, RenewInterval: 500 * ms, MaxClockDrift: 0.01,
 			Voters: lease.Voters{Epoch: 1, Current: []string{"a", "b", "c"}}},
@@ -138,7 +138,7 @@
 	b := nodes["b"]
 	beat := func(incarnation, beat uint64) {
 		b.Handle(4000*ms, Came{From: lease.Instance{Name: "c", Incarnation: incarnation}, Message: Message{
-			Gossip: &member.Gossip{Beat: beat, Entries: []member.Entry{{Name: "c", Incarnation: incarnation, Start: beat, Version: beat, Weight: 1}}}}})
+			Gossip: &membership.Gossip{Beat: beat, Entries: []membership.Entry{{Name: "c", Incarnation: incarnation, Start: beat, Version: beat, Weight: 1}}}}})
 	}
 	beat(99, 1)
 	held := owned(b, 4000*ms)
@@ -246,8 +246,8 @@
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{{Highest: 3}, {Duty: &lease.Message{Kind: lease.Propose, Epoch: 1, Items: []lease.SlotBallot{{Slot: 3, Ballot: 9}}}},
 		{Findings: []Finding{{Target: "t", Number: 4, Load: []float64{1}}}},
-		{Gossip: &member.Gossip{Beat: 2, Entries: []member.Entry{{Name: "b", Incarnation: 1, Version: 2, Weight: 1}},
-			Alerts: []member.Alert{{Subject: "b", Observer: "a", Kind: member.Deaf}}, Parts: make([]uint64, member.Buckets)}}} {
+		{Gossip: &membership.Gossip{Beat: 2, Entries: []membership.Entry{{Name: "b", Incarnation: 1, Version: 2, Weight: 1}},
+			Alerts: []membership.Alert{{Subject: "b", Observer: "a", Kind: membership.Deaf}}, Parts: make([]uint64, membership.Buckets)}}} {
 		raw, _ := m.Encode()
 		f.Add(raw)
 	}
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -1,7 +1,7 @@
 package fleet
 
 import (
-	"tealpath/fleet/member"
+	"tealpath/fleet/membership"
 )
 
 // MembersStatus is what one instance believes of the others, for people.
@@ -44,7 +44,7 @@
 		b := Believed{Name: m.Name, State: m.State.String(), SinceMS: (now - m.Since) / 1e6, Version: m.Version, Held: m.Held,
 			Doubled: n.table.Doubled(now, m.Name)}
 		for _, r := range m.Reports {
-			if r.Kind != member.Fine {
+			if r.Kind != membership.Fine {
 				b.Reported = append(b.Reported, r.Observer+" "+r.Kind.String())
 			}
 		}
--- a/fleet/member/rings.go
+++ b/fleet/membership/rings.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"cmp"
--- a/fleet/member/member.go
+++ b/fleet/membership/table.go
@@ -1,10 +1,10 @@
-// Package member holds who else is there, in fleets of hundreds: each instance is watched by up to eight others on rings that
+// Package membership holds who else is there, in fleets of hundreds: each instance is watched by up to eight others on rings that
 // all compute alike, is believed dead when most of them report it, and can refute; changes go round once by every
 // link, and digests find what was missed. It does no input or output, reads no clock and is not safe for use by two
 // goroutines at once. docs/membership.md has the options, the choice and the bounds.
 //
 // What it says is belief: it decides who tries for a duty, never who holds one (docs/duties.md).
-package member
+package membership
 
 import (
 	"cmp"
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -2,7 +2,7 @@
 
 import (
 	"tealpath/fleet/lease"
-	"tealpath/fleet/member"
+	"tealpath/fleet/membership"
 )
 
 // Status is what an instance knows, for people.
@@ -54,7 +54,7 @@
 		s.Why = "voters not heard: " + n.missing(now)
 	}
 	self := n.table.Self()
-	s.Members = append(s.Members, MemberStatus{Name: self.Name, Address: self.Address, State: member.Alive.String(),
+	s.Members = append(s.Members, MemberStatus{Name: self.Name, Address: self.Address, State: membership.Alive.String(),
 		SinceMS: (now - n.started) / 1e6, Weight: self.Weight, Epoch: self.Epoch, Doubled: n.doubled})
 	for _, m := range n.table.All() {
 		s.Members = append(s.Members, MemberStatus{Name: m.Name, Address: m.Address, State: m.State.String(),
--- a/fleet/wire_test.go
+++ b/fleet/wire_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"tealpath/fleet/lease"
-	"tealpath/fleet/member"
+	"tealpath/fleet/membership"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -42,13 +42,13 @@
 			Items: []lease.SlotBallot{{Slot: 4, Ballot: 5, Holder: lease.Instance{Name: "a", Incarnation: 6}, Remaining: 7}},
 		},
 		Findings: []Finding{{Target: "t", Number: 8, Good: true, Load: []float64{9}, Seq: 10}},
-		Gossip: &member.Gossip{
+		Gossip: &membership.Gossip{
 			Beat: 11, Echo: 12, Digest: 13,
-			Entries: []member.Entry{{
+			Entries: []membership.Entry{{
 				Name: "b", Incarnation: 14, Start: 15, Version: 16, Address: "b:1", Weight: 17,
 				Leaving: true, Epoch: 18, Dead: true,
 			}},
-			Alerts: []member.Alert{{Subject: "c", Incarnation: 19, Version: 20, Observer: "d", Seq: 21, Kind: member.Deaf}},
+			Alerts: []membership.Alert{{Subject: "c", Incarnation: 19, Version: 20, Observer: "d", Seq: 21, Kind: membership.Deaf}},
 			Parts:  []uint64{22},
 		},
 	}
@@ -75,7 +75,7 @@
 			t.Errorf("kind %d is %d on the wire", i+1, kind)
 		}
 	}
-	for i, kind := range []member.Kind{member.Fine, member.Silent, member.Deaf, member.Rumour} {
+	for i, kind := range []membership.Kind{membership.Fine, membership.Silent, membership.Deaf, membership.Rumour} {
 		if int(kind) != i {
 			t.Errorf("report kind %d is %d on the wire", i, kind)
 		}
@@ -85,9 +85,9 @@
 // Commands print a status as JSON for operators' scripts: its fields stay as they are.
 func TestStatusJSON(t *testing.T) {
 	a := node(t, "a", 1)
-	entry := member.Entry{Name: "b", Incarnation: 2, Start: 1, Version: 1, Address: "b:1", Weight: 1, Epoch: 1}
-	a.Handle(1000*ms, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Gossip: &member.Gossip{
-		Beat: 1, Entries: []member.Entry{entry},
+	entry := membership.Entry{Name: "b", Incarnation: 2, Start: 1, Version: 1, Address: "b:1", Weight: 1, Epoch: 1}
+	a.Handle(1000*ms, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Gossip: &membership.Gossip{
+		Beat: 1, Entries: []membership.Entry{entry},
 	}}})
 	for now := 1000 * ms; now < 6000*ms; now += 50 * ms {
 		for _, effect := range a.Handle(now, Due{Wall: 1}) {
--- a/lab/membersim.go
+++ b/lab/membersim.go
@@ -13,12 +13,12 @@
 	"gonum.org/v1/plot/vg"
 
 	"tealpath/fleet"
-	"tealpath/fleet/member"
+	"tealpath/fleet/membership"
 	"tealpath/internal/timerqueue"
 	"tealpath/lab/counters"
 )
 
-// MemberSim plays fleet/member in simulated time, by seed, or the counters that were before it.
+// MemberSim plays fleet/membership in simulated time, by seed, or the counters that were before it.
 type MemberSim struct {
 	Instances int
 	Span      int64 // ns
@@ -74,7 +74,7 @@
 	bytes  int
 }
 
-type ringSpeaker struct{ *member.Table }
+type ringSpeaker struct{ *membership.Table }
 
 func wrap(m fleet.Message) int {
 	raw, err := cbor.Marshal(m)
@@ -84,7 +84,7 @@
 	return len(raw) + 4 + 22 // a frame's length, and what TLS 1.3 adds to a record
 }
 
-func (s ringSpeaker) packets(tell []member.Telling) (out []packet) {
+func (s ringSpeaker) packets(tell []membership.Telling) (out []packet) {
 	for _, t := range tell {
 		out = append(out, packet{t.To, t.Gossip, wrap(fleet.Message{Gossip: &t.Gossip, Highest: 1 << 40})})
 	}
@@ -97,13 +97,13 @@
 }
 
 func (s ringSpeaker) heard(now int64, from string, p packet) []packet {
-	tell, _ := s.Heard(now, from, p.gossip.(member.Gossip))
+	tell, _ := s.Heard(now, from, p.gossip.(membership.Gossip))
 	return s.packets(tell)
 }
 func (s ringSpeaker) next() int64 { return s.Next() }
 func (s ringSpeaker) believes(name string) (bool, bool) {
 	v, _ := s.View(name)
-	return v.State == member.Dead, v.State == member.Alive
+	return v.State == membership.Dead, v.State == membership.Alive
 }
 func (s ringSpeaker) view() (uint64, uint64) {
 	number, digest, _ := s.Handed()
@@ -249,12 +249,12 @@
 		m.speaker = countSpeaker{counters.New(r.now, counters.Config{Self: counters.Entry{Name: m.name, Incarnation: m.life<<20 + uint64(m.at) + 1,
 			Address: m.name, Weight: 1}, Contacts: contacts, Interval: r.Interval, Silence: 5 * r.Interval, Seed: r.rng.Uint64()})}
 	} else {
-		var contacts []member.Contact
+		var contacts []membership.Contact
 		for _, x := range r.members {
-			contacts = append(contacts, member.Contact{Name: x.name, Address: x.name, Weight: 1})
+			contacts = append(contacts, membership.Contact{Name: x.name, Address: x.name, Weight: 1})
 		}
 		phase := r.rng.Int64N(r.Interval)
-		m.speaker = ringSpeaker{member.New(r.now, member.Config{Self: member.Entry{Name: m.name, Incarnation: r.rng.Uint64() | 1,
+		m.speaker = ringSpeaker{membership.New(r.now, membership.Config{Self: membership.Entry{Name: m.name, Incarnation: r.rng.Uint64() | 1,
 			Start: uint64(r.now/1e6) + 1, Address: m.name, Weight: 1}, Contacts: contacts, Interval: r.Interval, Quiet: r.Quiet,
 			Silence: 5 * r.Interval, Seed: r.rng.Uint64(), Beat: func(now int64) int64 { return now + r.Interval - (now+phase)%r.Interval }})}
 	}
--- a/lab/virtual.go
+++ b/lab/virtual.go
@@ -8,7 +8,7 @@
 
 	"tealpath/fleet"
 	"tealpath/fleet/lease"
-	"tealpath/fleet/member"
+	"tealpath/fleet/membership"
 	"tealpath/fleet/probe"
 )
 
@@ -144,10 +144,10 @@
 	}
 	n.life++
 	n.born, n.frozen, n.timer = r.now, 0, 0
-	var contacts []member.Contact
+	var contacts []membership.Contact
 	var voters []string
 	for _, other := range r.nodes {
-		contacts = append(contacts, member.Contact{Name: other.name, Address: other.name + ":1", Weight: 1})
+		contacts = append(contacts, membership.Contact{Name: other.name, Address: other.name + ":1", Weight: 1})
 		if len(voters) < 5 {
 			voters = append(voters, other.name)
 		}
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -12,7 +12,7 @@
 
 	"tealpath/fleet"
 	"tealpath/fleet/lease"
-	"tealpath/fleet/member"
+	"tealpath/fleet/membership"
 	"tealpath/fleet/peer"
 	"tealpath/fleet/probe"
 	"tealpath/plan/compatibility"
@@ -39,7 +39,7 @@
 	Name      string // the own one
 	Listen    string // where the own instance takes links
 	Weight    float64
-	Instances []member.Contact
+	Instances []membership.Contact
 	Voters    lease.Voters
 	Slots     int
 	Lease     int64
@@ -248,7 +248,7 @@
 	known := map[string]bool{}
 	for _, i := range all {
 		known[i.name] = true
-		out.Instances = append(out.Instances, member.Contact{Name: i.name, Address: i.at.String(), Weight: i.weight})
+		out.Instances = append(out.Instances, membership.Contact{Name: i.name, Address: i.at.String(), Weight: i.weight})
 		if i.at.IsValid() && !out.Allow.Contains(i.at.Addr()) {
 			f.add(i.Place, "the address %s of %s is outside the allowed sets", i.at, i.name)
 		}
@@ -305,8 +305,8 @@
 
 func (f *faults) instances(n *Node, args []*Node) (all []instance) {
 	seen, at := map[string]Place{}, map[netip.AddrPort]string{}
-	if len(args) > member.EntriesMost {
-		f.add(n.Place, "%d instances, %d can be", len(args), member.EntriesMost)
+	if len(args) > membership.EntriesMost {
+		f.add(n.Place, "%d instances, %d can be", len(args), membership.EntriesMost)
 		return nil
 	}
 	for _, item := range args {
