--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -78,8 +78,8 @@
 		return Message{}, err
 	}
 	switch {
-	case m.Gossip != nil && len(m.Gossip.Entries)+len(m.Gossip.Alerts) > 2*membership.ToldMost+2:
-		return Message{}, fmt.Errorf("%d members and %d reports", len(m.Gossip.Entries), len(m.Gossip.Alerts))
+	case m.Gossip != nil && len(m.Gossip.Entries)+len(m.Gossip.Reports) > 2*membership.MaxPerMessage+2:
+		return Message{}, fmt.Errorf("%d members and %d reports", len(m.Gossip.Entries), len(m.Gossip.Reports))
 	case len(m.Findings) > findingsMost:
 		return Message{}, fmt.Errorf("%d findings", len(m.Findings))
 	case m.Duty != nil && (m.Duty.Kind < lease.Prepare || m.Duty.Kind > lease.Release):
@@ -226,8 +226,8 @@
 	n := &Node{config: c, leases: d, seen: map[string]finding{}, wanted: map[string]int64{}, started: now, table: membership.New(now, membership.Config{
 		Self: membership.Entry{Name: c.Self.Name, Incarnation: c.Self.Incarnation, Address: c.Address, Weight: c.Weight,
 			Epoch: c.Duty.Voters.Epoch, Start: uint64(max(1, c.Wall))},
-		Contacts: c.Contacts, Interval: interval, Quiet: c.Members.Quiet, Silence: c.Duty.RestartSilence(), Seed: c.Seed,
-		Beat: func(now int64) int64 { return lease.NextTick(now, c.Self.Name, interval) }})}
+		Contacts: c.Contacts, HeartbeatInterval: interval, SilenceTimeout: c.Members.Quiet, ReplacedTimeout: c.Duty.RestartSilence(), Seed: c.Seed,
+		NextHeartbeat: func(now int64) int64 { return lease.NextTick(now, c.Self.Name, interval) }})}
 	if c.Probe != nil {
 		if err := c.Probe.Check(); err != nil {
 			return nil, err
@@ -313,9 +313,9 @@
 
 // came takes a message. A vote does not count from a name under which two may be running, nor is one given by such.
 func (n *Node) came(now int64, e Came) {
-	n.table.Met(now, e.From.Name, e.From.Incarnation)
+	n.table.ObserveIncarnation(now, e.From.Name, e.From.Incarnation)
 	if g := e.Message.Gossip; g != nil {
-		tell, changes := n.table.Heard(now, e.From.Name, *g)
+		tell, changes := n.table.Receive(now, e.From.Name, *g)
 		n.tell(changes)
 		n.members(now)
 		n.gossip(tell)
@@ -328,7 +328,7 @@
 		vote := m.Kind == lease.Promise || m.Kind == lease.Accept
 		asked := m.Kind == lease.Prepare || m.Kind == lease.Propose
 		switch {
-		case vote && n.table.Doubled(now, e.From.Name), asked && n.table.Doubled(now, n.config.Self.Name):
+		case vote && n.table.IsDuplicated(now, e.From.Name), asked && n.table.IsDuplicated(now, n.config.Self.Name):
 		default:
 			n.leases.Receive(now, e.From, *m)
 		}
@@ -347,7 +347,7 @@
 }
 
 // relays tells whether what one instance found goes to others by way of its neighbours: where not all are neighbours.
-func (n *Node) relays() bool { return len(n.table.Alive()) > membership.NearMost+1 }
+func (n *Node) relays() bool { return len(n.table.Alive()) > membership.MaxNeighbours+1 }
 
 // take takes a finding, unless somebody probed under a higher number before: its sender may have been frozen.
 func (n *Node) take(f Finding) {
@@ -389,12 +389,12 @@
 	n.leases.Tick(now, wall)
 	if len(n.found) > 0 && now >= n.foundAt {
 		n.foundAt = lease.NextTick(now, n.config.Self.Name, n.config.Duty.RenewInterval) // together, with what else goes out
-		for _, m := range n.table.Links() {
+		for _, m := range n.table.Peers() {
 			n.do(Send{To: m.Name, Message: Message{Findings: n.found}})
 		}
 		n.found = nil
 	}
-	if doubled := n.table.Doubled(now, n.config.Self.Name); doubled != n.doubled {
+	if doubled := n.table.IsDuplicated(now, n.config.Self.Name); doubled != n.doubled {
 		if n.doubled = doubled; doubled {
 			n.do(Log{Line: "another start under this name was heard: no votes are given until it is silent",
 				Member: n.config.Self.Name})
@@ -428,13 +428,13 @@
 
 func (n *Node) aliveVoters() bool {
 	v := n.leases.Voters()
-	if n.table.CutOff() {
+	if n.table.IsCutOff() {
 		return false // what is believed is of before
 	}
 	for _, set := range [][]string{v.Current, v.Previous} {
 		alive := 0
 		for _, name := range set {
-			if m, _ := n.table.View(name); name == n.config.Self.Name || m.State == membership.Alive {
+			if m, _ := n.table.Member(name); name == n.config.Self.Name || m.State == membership.Alive {
 				alive++
 			}
 		}
@@ -449,7 +449,7 @@
 func (n *Node) missing(int64) string {
 	var names []string
 	for _, name := range n.leases.Voters().Current {
-		if m, _ := n.table.View(name); name != n.config.Self.Name && m.State != membership.Alive {
+		if m, _ := n.table.Member(name); name != n.config.Self.Name && m.State != membership.Alive {
 			names = append(names, name+" "+m.State.String())
 		}
 	}
@@ -471,11 +471,11 @@
 		n.leases.SetCandidates(now, shares(n.table.Alive()))
 	}
 	at := map[string]string{}
-	for _, m := range n.table.Links() {
+	for _, m := range n.table.Peers() {
 		at[m.Name] = m.Address
 	}
-	few := n.table.Count() <= membership.NearMost
-	for _, m := range n.table.All() {
+	few := n.table.Count() <= membership.MaxNeighbours
+	for _, m := range n.table.Members() {
 		if _, asked := n.wanted[m.Name]; m.Address != "" && m.State != membership.Left && (few || asked) {
 			at[m.Name] = m.Address
 		}
@@ -509,7 +509,7 @@
 }
 
 // gossip sends what members tell each other.
-func (n *Node) gossip(tell []membership.Telling) {
+func (n *Node) gossip(tell []membership.Send) {
 	for _, t := range tell {
 		n.do(Send{To: t.To, Message: Message{Gossip: &t.Gossip, Highest: n.leases.HighestBallot()}})
 	}
@@ -523,7 +523,7 @@
 		voters = fmt.Sprintf("voters of epoch %d", e.Voters.Epoch)
 	}
 	n.table.Configure(now, e.Contacts, e.Weight, n.leases.Voters().Epoch)
-	for _, m := range n.table.All() {
+	for _, m := range n.table.Members() {
 		n.leases.ObserveEpoch(m.Name, m.Epoch) // a new set of voters knows of none, and entries come only when they change
 	}
 	n.do(Log{Line: fmt.Sprintf("operator's file read again: %d instances, %s", len(e.Contacts), voters)})
@@ -597,10 +597,10 @@
 	for _, c := range changes {
 		switch {
 		case c.Name != n.config.Self.Name:
-			groups[[2]membership.State{c.State, c.Was}] = append(groups[[2]membership.State{c.State, c.Was}], c)
-		case c.Why == "away":
+			groups[[2]membership.State{c.State, c.Previous}] = append(groups[[2]membership.State{c.State, c.Previous}], c)
+		case c.Reason == "away":
 			n.do(Log{Line: fmt.Sprintf("this instance was away for %d ms; nothing is held against others for it", n.table.Away()/1e6)})
-		case c.Why == "cut off":
+		case c.Reason == "cut off":
 			n.do(Log{Line: "nothing is heard from any neighbour: this instance seems to be cut off"})
 		default:
 			n.do(Log{Line: "neighbours are heard again"})
@@ -615,8 +615,8 @@
 			}
 			for _, c := range group {
 				why := "was " + was.String()
-				if c.Why != "" {
-					why += "; " + c.Why
+				if c.Reason != "" {
+					why += "; " + c.Reason
 				}
 				n.do(Log{Line: "member " + state.String(), Member: c.Name, Why: why})
 			}
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -138,13 +138,13 @@
 	b := nodes["b"]
 	beat := func(incarnation, beat uint64) {
 		b.Handle(4000*ms, Came{From: lease.Instance{Name: "c", Incarnation: incarnation}, Message: Message{
-			Gossip: &membership.Gossip{Beat: beat, Entries: []membership.Entry{{Name: "c", Incarnation: incarnation, Start: beat, Version: beat, Weight: 1}}}}})
+			Gossip: &membership.Gossip{Heartbeat: beat, Entries: []membership.Entry{{Name: "c", Incarnation: incarnation, Start: beat, Version: beat, Weight: 1}}}}})
 	}
 	beat(99, 1)
 	held := owned(b, 4000*ms)
 	b.Handle(4000*ms, Came{From: lease.Instance{Name: "c", Incarnation: 99}, Message: Message{
 		Duty: &lease.Message{Kind: lease.Accept, Epoch: 1, SentAt: 3999 * ms}}})
-	if !b.table.Doubled(4000*ms, "c") || held == 0 {
+	if !b.table.IsDuplicated(4000*ms, "c") || held == 0 {
 		t.Fatal("the case is not one")
 	}
 	// With a dead and c doubled, b has its own vote alone and must stop within a lease.
@@ -246,8 +246,8 @@
 func FuzzDecode(f *testing.F) {
 	for _, m := range []Message{{Highest: 3}, {Duty: &lease.Message{Kind: lease.Propose, Epoch: 1, Items: []lease.SlotBallot{{Slot: 3, Ballot: 9}}}},
 		{Findings: []Finding{{Target: "t", Number: 4, Load: []float64{1}}}},
-		{Gossip: &membership.Gossip{Beat: 2, Entries: []membership.Entry{{Name: "b", Incarnation: 1, Version: 2, Weight: 1}},
-			Alerts: []membership.Alert{{Subject: "b", Observer: "a", Kind: membership.Deaf}}, Parts: make([]uint64, membership.Buckets)}}} {
+		{Gossip: &membership.Gossip{Heartbeat: 2, Entries: []membership.Entry{{Name: "b", Incarnation: 1, Version: 2, Weight: 1}},
+			Reports: []membership.Report{{Subject: "b", Observer: "a", Kind: membership.Deaf}}, BucketDigests: make([]uint64, membership.DigestBuckets)}}} {
 		raw, _ := m.Encode()
 		f.Add(raw)
 	}
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -36,20 +36,20 @@
 
 // Members tells what this instance believes of the others.
 func (n *Node) Members(now int64) MembersStatus {
-	number, digest, since := n.table.Handed()
+	number, digest, since := n.table.ViewInfo()
 	s := MembersStatus{Name: n.config.Self.Name, View: number, Digest: digest, SinceMS: (now - since) / 1e6, Alive: len(n.table.Alive()),
-		Health: n.table.Health(), AwayMS: n.table.Away() / 1e6, CutOff: n.table.CutOff(), Links: len(n.linked), Refused: n.table.Refused()}
-	ways := n.table.Ways(now)
-	for _, m := range n.table.All() {
-		b := Believed{Name: m.Name, State: m.State.String(), SinceMS: (now - m.Since) / 1e6, Version: m.Version, Held: m.Held,
-			Doubled: n.table.Doubled(now, m.Name)}
+		Health: n.table.LocalHealth(), AwayMS: n.table.Away() / 1e6, CutOff: n.table.IsCutOff(), Links: len(n.linked), Refused: n.table.Rejected()}
+	ways := n.table.LinkStates(now)
+	for _, m := range n.table.Members() {
+		b := Believed{Name: m.Name, State: m.State.String(), SinceMS: (now - m.Since) / 1e6, Version: m.Version, Held: m.HeldOut,
+			Doubled: n.table.IsDuplicated(now, m.Name)}
 		for _, r := range m.Reports {
-			if r.Kind != membership.Fine {
+			if r.Kind != membership.Healthy {
 				b.Reported = append(b.Reported, r.Observer+" "+r.Kind.String())
 			}
 		}
 		if way, near := ways[m.Name]; near {
-			b.Near, b.InMS, b.OutMS = !way.Caller, way.In/1e6, way.Out/1e6
+			b.Near, b.InMS, b.OutMS = !way.Inbound, way.HeardAgo/1e6, way.EchoedAgo/1e6
 		}
 		s.Members = append(s.Members, b)
 	}
--- a/fleet/membership/explore_test.go
+++ b/fleet/membership/explore_test.go
@@ -67,7 +67,7 @@
 			issued[name][e.Incarnation] = e.Version
 		}
 		for _, name := range c.names {
-			for _, v := range c.tables[name].All() {
+			for _, v := range c.tables[name].Members() {
 				if v.State == Alive && v.Version > issued[v.Name][v.Incarnation] {
 					wrong = fmt.Sprintf("%s believes in version %d of %s, which it never had", name, v.Version, v.Name)
 				}
@@ -93,12 +93,12 @@
 	}
 	var first uint64
 	for i, name := range c.names {
-		for _, v := range c.tables[name].All() {
+		for _, v := range c.tables[name].Members() {
 			if own := c.tables[v.Name].Self(); v.State != Alive || v.Incarnation != own.Incarnation || v.Version != own.Version {
 				return fmt.Sprintf("in the end %s believes %s %s, version %d of %d", name, v.Name, v.State, v.Version, own.Version)
 			}
 		}
-		if _, digest, _ := c.tables[name].Handed(); i == 0 {
+		if _, digest, _ := c.tables[name].ViewInfo(); i == 0 {
 			first = digest
 		} else if digest != first {
 			return name + " hands on another view in the end"
--- a/fleet/membership/rings.go
+++ b/fleet/membership/rings.go
@@ -9,10 +9,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// NearMost is how many observers a member has at most: the one before and the one after it on each of four rings.
+// MaxNeighbours is how many observers a member has at most: the one before and the one after it on each of four rings.
 const (
-	ringCount = 4
-	NearMost  = 2 * ringCount
+	ringCount     = 4
+	MaxNeighbours = 2 * ringCount
 )
 
 // callersMost is how many that are no neighbours are answered: while views differ somebody's neighbours may not know it yet.
@@ -53,9 +53,9 @@
 	return r
 }
 
-// Near is who watches a name, and is watched by it; the name itself need not be on the rings.
-func (r *Rings) Near(name string) (out []string) {
-	if n := len(r.names); n <= NearMost+1 {
+// Neighbours is who watches a name, and is watched by it; the name itself need not be on the rings.
+func (r *Rings) Neighbours(name string) (out []string) {
+	if n := len(r.names); n <= MaxNeighbours+1 {
 		return slices.DeleteFunc(slices.Clone(r.names), func(x string) bool { return x == name })
 	}
 	hash, on := r.hash[name]
@@ -96,7 +96,7 @@
 	on := []string{t.self.Name}
 	for _, name := range t.names() {
 		m := t.members[name]
-		if m.State == Alive && !m.Held || m.State == Unheard && m.configured && now-t.begun < forgetBeats/3*t.config.Interval {
+		if m.State == Alive && !m.HeldOut || m.State == Unheard && m.configured && now-t.begun < forgetBeats/3*t.config.HeartbeatInterval {
 			on = append(on, name)
 		}
 	}
@@ -106,7 +106,7 @@
 	}
 	t.ringed, t.rings = on, NewRings(on)
 	clear(t.near)
-	near := t.rings.Near(t.self.Name)
+	near := t.rings.Neighbours(t.self.Name)
 	for _, name := range t.names() {
 		m := t.members[name]
 		if slices.Contains(near, name) {
@@ -118,7 +118,7 @@
 			t.link(m)
 		} else if m.edge != nil {
 			m.edge.caller = true
-			t.say(now, m, Fine)
+			t.say(now, m, Healthy)
 		}
 	}
 	t.fewer()
@@ -149,7 +149,7 @@
 	if near, ok := t.near[name]; ok {
 		return near
 	}
-	near := t.rings.Near(name)
+	near := t.rings.Neighbours(name)
 	t.near[name] = near
 	return near
 }
@@ -157,8 +157,8 @@
 // Count is how many are known beside the own instance.
 func (t *Table) Count() int { return len(t.members) }
 
-// Links is to whom links are to stand: neighbours, those that beat here, and one that is tried.
-func (t *Table) Links() (out []Contact) {
+// Peers is to whom links are to stand: neighbours, those that beat here, and one that is tried.
+func (t *Table) Peers() (out []Contact) {
 	for _, name := range t.edgeNames() {
 		if m := t.members[name]; m.Address != "" && m.State != Left {
 			out = append(out, Contact{name, m.Address, m.Weight})
@@ -193,10 +193,10 @@
 // settle hands the view on once it has stopped changing, or has gone on changing for long: a zone that is lost is one change.
 func (t *Table) settle(now int64) {
 	if t.heldUntil > 0 && now >= t.heldUntil {
-		t.touch(now - t.config.Interval)
+		t.touch(now - t.config.HeartbeatInterval)
 		t.heldUntil = 0
 	}
-	if t.dirty < 0 || now-t.changed < t.config.Interval/quietParts && now-t.dirty < changingMost*t.config.Interval {
+	if t.dirty < 0 || now-t.changed < t.config.HeartbeatInterval/quietParts && now-t.dirty < changingMost*t.config.HeartbeatInterval {
 		return
 	}
 	t.publish(now)
@@ -212,18 +212,18 @@
 	for _, name := range t.names() {
 		m := t.members[name]
 		if m.State != Alive {
-			m.Held = false
+			m.HeldOut = false
 			continue
 		}
 		// One that has died twice of late must stay for longer each time before it counts: a way that flaps is no way.
 		if hold := t.hold(m); now-m.Since < hold {
-			m.Held = true
+			m.HeldOut = true
 			if until := m.Since + hold; t.heldUntil == 0 || until < t.heldUntil {
 				t.heldUntil = until
 			}
 			continue
 		}
-		m.Held = false
+		m.HeldOut = false
 		view = append(view, m.Entry)
 	}
 	slices.SortFunc(view, func(a, b Entry) int { return cmp.Compare(a.Name, b.Name) })
@@ -243,15 +243,15 @@
 	if len(m.deaths) < 2 {
 		return 0
 	}
-	return min(int64(1)<<min(len(m.deaths), 10), flapMost) * t.config.Interval
+	return min(int64(1)<<min(len(m.deaths), 10), flapMost) * t.config.HeartbeatInterval
 }
 
 // Alive is who can hold duties, as of the view handed on: the own instance unless it leaves, and whoever is believed
 // alive, by name.
 func (t *Table) Alive() []Entry { return t.stable }
 
-// Handed is the view handed on: its number here, its digest, which is the same wherever the same is believed, and since when.
-func (t *Table) Handed() (number, digest uint64, since int64) {
+// ViewInfo is the view handed on: its number here, its digest, which is the same wherever the same is believed, and since when.
+func (t *Table) ViewInfo() (number, digest uint64, since int64) {
 	for _, e := range t.stable {
 		digest ^= xxhash.Sum64String(e.Name + "\x00" + string(binary.LittleEndian.AppendUint64(nil, e.Incarnation)))
 	}
@@ -266,7 +266,7 @@
 	if t.parts != nil && t.digested == t.raw {
 		return t.digest, t.parts
 	}
-	t.digested, t.digest, t.parts = t.raw, 0, make([]uint64, Buckets)
+	t.digested, t.digest, t.parts = t.raw, 0, make([]uint64, DigestBuckets)
 	add := func(e Entry) {
 		if e.Dead || e.Leaving {
 			return
@@ -284,7 +284,7 @@
 	return t.digest, t.parts
 }
 
-func bucket(name string) int { return int(xxhash.Sum64String(name) % Buckets) }
+func bucket(name string) int { return int(xxhash.Sum64String(name) % DigestBuckets) }
 
 // mark is an entry's digest.
 func mark(e Entry) uint64 {
--- a/fleet/membership/table.go
+++ b/fleet/membership/table.go
@@ -14,14 +14,14 @@
 
 // Bounds of what is kept and told.
 const (
-	// EntriesMost is how many instances are known at most; a peer that tells of more is not believed.
-	EntriesMost = 8192
+	// MaxMembers is how many instances are known at most; a peer that tells of more is not believed.
+	MaxMembers = 8192
 
-	// ToldMost is how many entries, and how many alerts, one message holds at most; the rest goes with the next.
-	ToldMost = 256
+	// MaxPerMessage is how many entries, and how many alerts, one message holds at most; the rest goes with the next.
+	MaxPerMessage = 256
 
-	// Buckets is into how many parts of all records digests are taken apart to find what differs.
-	Buckets = 64
+	// DigestBuckets is into how many parts of all records digests are taken apart to find what differs.
+	DigestBuckets = 64
 
 	nameMost    = 128
 	addressMost = 256
@@ -86,36 +86,36 @@
 	return e.Dead && !than.Dead
 }
 
-// Alert is an observer's report of a member, for one start and version of it.
-type Alert struct {
-	Subject     string `cbor:"1,keyasint"`
-	Incarnation uint64 `cbor:"2,keyasint"`
-	Version     uint64 `cbor:"3,keyasint"`
-	Observer    string `cbor:"4,keyasint"`
-	Seq         uint64 `cbor:"5,keyasint"` // grows with each report of the observer
-	Kind        Kind   `cbor:"6,keyasint"`
+// Report is an observer's report of a member, for one start and version of it.
+type Report struct {
+	Subject     string     `cbor:"1,keyasint"`
+	Incarnation uint64     `cbor:"2,keyasint"`
+	Version     uint64     `cbor:"3,keyasint"`
+	Observer    string     `cbor:"4,keyasint"`
+	Seq         uint64     `cbor:"5,keyasint"` // grows with each report of the observer
+	Kind        ReportKind `cbor:"6,keyasint"`
 }
 
-// Kind is what a report says.
-type Kind uint8
+// ReportKind is what a report says.
+type ReportKind uint8
 
-// The kinds. Silent: nothing comes from it. Deaf: it comes, and shows that nothing sent to it arrives. Fine takes a report back.
+// The kinds. Silent: nothing comes from it. Deaf: it comes, and shows that nothing sent to it arrives. Healthy takes a report back.
 const (
-	Fine Kind = iota
+	Healthy ReportKind = iota
 	Silent
 	Deaf
 )
 
-func (k Kind) String() string { return []string{"fine", "silent", "deaf"}[k] }
+func (k ReportKind) String() string { return []string{"fine", "silent", "deaf"}[k] }
 
 // Gossip is what one instance tells another.
 type Gossip struct {
-	Beat    uint64   `cbor:"1,keyasint,omitempty"` // number of the beat on this way; 0: only news
-	Echo    uint64   `cbor:"2,keyasint,omitempty"` // the last beat that came the other way
-	Digest  uint64   `cbor:"3,keyasint,omitempty"` // of all live records
-	Entries []Entry  `cbor:"4,keyasint,omitempty"`
-	Alerts  []Alert  `cbor:"5,keyasint,omitempty"`
-	Parts   []uint64 `cbor:"6,keyasint,omitempty"` // digests by bucket: what differs is asked for
+	Heartbeat     uint64   `cbor:"1,keyasint,omitempty"` // number of the beat on this way; 0: only news
+	Echo          uint64   `cbor:"2,keyasint,omitempty"` // the last beat that came the other way
+	Digest        uint64   `cbor:"3,keyasint,omitempty"` // of all live records
+	Entries       []Entry  `cbor:"4,keyasint,omitempty"`
+	Reports       []Report `cbor:"5,keyasint,omitempty"`
+	BucketDigests []uint64 `cbor:"6,keyasint,omitempty"` // digests by bucket: what differs is asked for
 }
 
 // Contact is an instance as it is configured: somebody to ask at the start.
@@ -126,13 +126,13 @@
 
 // Config is what a table starts with.
 type Config struct {
-	Self     Entry
-	Contacts []Contact             // others; those that are not reached are tried on
-	Interval int64                 // between two beats, ns
-	Quiet    int64                 // without a sign from which a neighbour is reported, ns; 0 is three intervals
-	Silence  int64                 // for how long an incarnation that was replaced still counts as possibly there, ns
-	Seed     uint64                // for chance
-	Beat     func(now int64) int64 // when the next beat is due; nil is an interval on
+	Self              Entry
+	Contacts          []Contact             // others; those that are not reached are tried on
+	HeartbeatInterval int64                 // between two beats, ns
+	SilenceTimeout    int64                 // without a sign from which a neighbour is reported, ns; 0 is three intervals
+	ReplacedTimeout   int64                 // for how long an incarnation that was replaced still counts as possibly there, ns
+	Seed              uint64                // for chance
+	NextHeartbeat     func(now int64) int64 // when the next beat is due; nil is an interval on
 
 	fault fault
 }
@@ -140,32 +140,32 @@
 // fault is set by tests alone: faults that a checker must find.
 type fault struct{ noRefuting, believeOne, blameOthers bool }
 
-// View is what is believed of one member.
-type View struct {
+// Member is what is believed of one member.
+type Member struct {
 	Entry
 	State   State
 	Since   int64 // when it got into this state
-	Heard   int64 // when it last said something new, or beat here; 0 is never
-	Reports []Alert
-	Held    bool // alive, but held out of the view handed on, as it keeps dying
+	HeardAt int64 // when it last said something new, or beat here; 0 is never
+	Reports []Report
+	HeldOut bool // alive, but held out of the view handed on, as it keeps dying
 }
 
 // Change tells that what is believed of a member has changed.
 type Change struct {
-	View
-	Was State
-	Why string
+	Member
+	Previous State
+	Reason   string
 }
 
-// Telling is a message to be sent.
-type Telling struct {
+// Send is a message to be sent.
+type Send struct {
 	To     string
 	Gossip Gossip
 }
 
 // known is one member in the table.
 type known struct {
-	View
+	Member
 	configured bool
 	lives      map[uint64]int64 // by incarnation: when it was last known to be there
 	reports    map[string]report
@@ -177,7 +177,7 @@
 
 // report is a report kept, with when it came.
 type report struct {
-	Alert
+	Report
 	at int64
 }
 
@@ -189,7 +189,7 @@
 	out     uint64
 	echoed  uint64
 	echoAt  int64 // when it last showed that it hears
-	said    Kind
+	said    ReportKind
 	saidAt  int64
 	caller  bool // it beats here, but is no neighbour by the own rings
 	differs int64
@@ -249,12 +249,12 @@
 
 // New makes a table.
 func New(now int64, c Config) *Table {
-	c.Quiet = cmp.Or(c.Quiet, silenceUsual*c.Interval)
+	c.SilenceTimeout = cmp.Or(c.SilenceTimeout, silenceUsual*c.HeartbeatInterval)
 	t := &Table{config: c, self: c.Self, members: map[string]*known{}, next: now, ticked: now,
 		rng:   rand.New(rand.NewPCG(c.Seed, c.Self.Incarnation)),
 		twins: known{lives: map[uint64]int64{}, pending: -1}, news: map[string]string{}, rumours: map[string]uint64{},
 		accusers: map[string]uint64{}, suspects: map[string]*known{}, edges: map[string]*known{}, begun: now,
-		near: map[string][]string{}, dirty: -1, stableAt: now, refuted: now - c.Interval, strayAt: now}
+		near: map[string][]string{}, dirty: -1, stableAt: now, refuted: now - c.HeartbeatInterval, strayAt: now}
 	t.self.Start = max(1, t.self.Start)
 	t.seq = t.self.Start << 16
 	t.Configure(now, c.Contacts, c.Self.Weight, c.Self.Epoch)
@@ -265,7 +265,7 @@
 
 // join takes a name into the table.
 func (t *Table) join(now int64, name string) *known {
-	m := &known{View: View{Since: now, Entry: Entry{Name: name}}, lives: map[uint64]int64{}, reports: map[string]report{},
+	m := &known{Member: Member{Since: now, Entry: Entry{Name: name}}, lives: map[uint64]int64{}, reports: map[string]report{},
 		claims: map[string]bool{}, pending: -1}
 	t.members[name] = m
 	t.raw++
@@ -315,7 +315,7 @@
 // hurry has what is new sent soon.
 func (t *Table) hurry(now int64) {
 	if t.sendAt == 0 {
-		t.sendAt = now + t.config.Interval/batchParts
+		t.sendAt = now + t.config.HeartbeatInterval/batchParts
 	}
 }
 
@@ -327,15 +327,15 @@
 }
 
 // Tick does what is due: beats, reports, judgements, news, and the view handed on.
-func (t *Table) Tick(now int64) (tell []Telling, changes []Change) {
+func (t *Table) Tick(now int64) (tell []Send, changes []Change) {
 	t.awake(now)
 	t.watch(now)
 	t.judge(now)
 	t.forget(now)
 	if now >= t.next {
-		t.next = now + t.config.Interval
-		if t.config.Beat != nil {
-			t.next = t.config.Beat(now)
+		t.next = now + t.config.HeartbeatInterval
+		if t.config.NextHeartbeat != nil {
+			t.next = t.config.NextHeartbeat(now)
 		}
 		tell = t.beats(now)
 	}
@@ -351,11 +351,11 @@
 // that was away takes all back.
 func (t *Table) awake(now int64) {
 	late := now - max(t.ticked, t.next)
-	if t.ticked = now; late <= t.config.Interval/2 {
+	if t.ticked = now; late <= t.config.HeartbeatInterval/2 {
 		return
 	}
 	t.health = min(t.health+1, healthMost)
-	if late < t.config.Interval || t.config.fault.blameOthers {
+	if late < t.config.HeartbeatInterval || t.config.fault.blameOthers {
 		return
 	}
 	t.away = late
@@ -370,71 +370,71 @@
 			}
 		}
 	}
-	t.notes = append(t.notes, Change{View: View{Entry: t.self, State: Alive, Since: now}, Was: Alive, Why: "away"})
+	t.notes = append(t.notes, Change{Member: Member{Entry: t.self, State: Alive, Since: now}, Previous: Alive, Reason: "away"})
 }
 
 // Away is for how long this instance was away when it last was, ns; 0 is never.
 func (t *Table) Away() int64 { return t.away }
 
-// Health is how this instance judges itself, from 0, well, to 8.
-func (t *Table) Health() int { return t.health }
+// LocalHealth is how this instance judges itself, from 0, well, to 8.
+func (t *Table) LocalHealth() int { return t.health }
 
-// CutOff tells whether nothing is heard from any neighbour.
-func (t *Table) CutOff() bool { return t.cutOff }
+// IsCutOff tells whether nothing is heard from any neighbour.
+func (t *Table) IsCutOff() bool { return t.cutOff }
 
 // limit is how long a neighbour may be silent.
 func (t *Table) limit() int64 {
-	return t.config.Quiet + t.config.Quiet*int64(t.health)/healthShare
+	return t.config.SilenceTimeout + t.config.SilenceTimeout*int64(t.health)/healthShare
 }
 
-// View gives what is believed of a member.
-func (t *Table) View(name string) (View, bool) {
+// Member gives what is believed of a member.
+func (t *Table) Member(name string) (Member, bool) {
 	if m := t.members[name]; m != nil {
 		return m.view(), true
 	}
-	return View{}, false
+	return Member{}, false
 }
 
-func (m *known) view() View {
-	v := m.View
+func (m *known) view() Member {
+	v := m.Member
 	for _, r := range m.reports {
-		v.Reports = append(v.Reports, r.Alert)
+		v.Reports = append(v.Reports, r.Report)
 	}
-	slices.SortFunc(v.Reports, func(a, b Alert) int { return cmp.Compare(a.Observer, b.Observer) })
+	slices.SortFunc(v.Reports, func(a, b Report) int { return cmp.Compare(a.Observer, b.Observer) })
 	return v
 }
 
 // Self is the own entry as it is told.
 func (t *Table) Self() Entry { return t.self }
 
-// All is every member but the own instance, by name.
-func (t *Table) All() []View {
-	out := make([]View, 0, len(t.members))
+// Members is every member but the own instance, by name.
+func (t *Table) Members() []Member {
+	out := make([]Member, 0, len(t.members))
 	for _, name := range t.names() {
 		out = append(out, t.members[name].view())
 	}
 	return out
 }
 
-// Way is how a neighbour is reached: when it was last heard, and when it last showed that it hears.
-type Way struct {
-	In, Out int64 // ns ago
-	Caller  bool  // it beats here, but is no neighbour by the own rings
+// LinkState is how a neighbour is reached: when it was last heard, and when it last showed that it hears.
+type LinkState struct {
+	HeardAgo, EchoedAgo int64 // ns ago
+	Inbound             bool  // it beats here, but is no neighbour by the own rings
 }
 
-// Ways is the ways to and from neighbours, by name.
-func (t *Table) Ways(now int64) map[string]Way {
-	out := map[string]Way{}
+// LinkStates is the ways to and from neighbours, by name.
+func (t *Table) LinkStates(now int64) map[string]LinkState {
+	out := map[string]LinkState{}
 	for name, m := range t.members {
 		if m.edge != nil {
-			out[name] = Way{In: now - m.edge.heard, Out: now - m.edge.echoAt, Caller: m.edge.caller}
+			out[name] = LinkState{HeardAgo: now - m.edge.heard, EchoedAgo: now - m.edge.echoAt, Inbound: m.edge.caller}
 		}
 	}
 	return out
 }
 
-// Refused is how many entries and alerts were not taken: unusable ones, and those past the bound.
-func (t *Table) Refused() int64 { return t.refused }
+// Rejected is how many entries and alerts were not taken: unusable ones, and those past the bound.
+func (t *Table) Rejected() int64 { return t.refused }
 
 // Next is when Tick has something to do.
 func (t *Table) Next() int64 {
@@ -443,27 +443,27 @@
 		next = min(next, t.sendAt)
 	}
 	if t.dirty >= 0 {
-		next = min(next, t.changed+t.config.Interval/quietParts)
+		next = min(next, t.changed+t.config.HeartbeatInterval/quietParts)
 	}
 	if t.heldUntil > 0 {
 		next = min(next, t.heldUntil)
 	}
 	limit := t.limit()
 	for _, name := range t.edgeNames() { // looked at with the beats alone, silence was found up to an interval late
-		if m := t.edges[name]; m.State == Alive && !m.edge.caller && m.edge.said == Fine {
+		if m := t.edges[name]; m.State == Alive && !m.edge.caller && m.edge.said == Healthy {
 			next = min(next, max(m.edge.heard, m.edge.since)+limit+1)
 		}
 	}
 	for _, m := range t.suspects {
 		if m.pending >= 0 && m.State == Alive {
-			next = min(next, m.pending+t.config.Interval/confirmParts)
+			next = min(next, m.pending+t.config.HeartbeatInterval/confirmParts)
 		}
 	}
 	return next
 }
 
 // Leave has the own instance tell its neighbours that it leaves, at once.
-func (t *Table) Leave(now int64) []Telling {
+func (t *Table) Leave(now int64) []Send {
 	t.self.Leaving = true
 	t.raise(now)
 	t.raw++
@@ -484,19 +484,19 @@
 		t.unlink(m)
 		t.version++
 	}
-	t.notes = append(t.notes, Change{View: m.view(), Was: was, Why: why})
+	t.notes = append(t.notes, Change{Member: m.view(), Previous: was, Reason: why})
 }
 
 // forget drops who is long gone, and what has no meaning any more.
 func (t *Table) forget(now int64) {
-	span := forgetBeats * t.config.Interval
-	if now-t.forgotAt < t.config.Interval*forgetBeats/6 {
+	span := forgetBeats * t.config.HeartbeatInterval
+	if now-t.forgotAt < t.config.HeartbeatInterval*forgetBeats/6 {
 		return
 	}
 	t.forgotAt = now
 	for _, name := range t.names() {
 		m := t.members[name]
-		if m.State != Alive && !m.configured && now-max(m.Since, m.Heard) > span {
+		if m.State != Alive && !m.configured && now-max(m.Since, m.HeardAt) > span {
 			delete(t.members, name)
 			t.unlink(m)
 			delete(t.suspects, name)
@@ -507,7 +507,7 @@
 			t.touch(now)
 			continue
 		}
-		m.deaths = slices.DeleteFunc(m.deaths, func(at int64) bool { return now-at > flapWindow*t.config.Interval })
+		m.deaths = slices.DeleteFunc(m.deaths, func(at int64) bool { return now-at > flapWindow*t.config.HeartbeatInterval })
 		m.prune(now, span)
 	}
 	t.twins.prune(now, span)
@@ -521,8 +521,8 @@
 	}
 }
 
-// Met notes which start under a name a message came from, as its link has proved.
-func (t *Table) Met(now int64, name string, incarnation uint64) {
+// ObserveIncarnation notes which start under a name a message came from, as its link has proved.
+func (t *Table) ObserveIncarnation(now int64, name string, incarnation uint64) {
 	if m := t.members[name]; m != nil {
 		if _, known := m.lives[incarnation]; known || len(m.lives) < livesMost {
 			m.lives[incarnation] = now
@@ -540,11 +540,11 @@
 	return n
 }
 
-// Doubled tells whether two starts under a name, the own one included, may both be there.
-func (t *Table) Doubled(now int64, name string) bool {
+// IsDuplicated tells whether two starts under a name, the own one included, may both be there.
+func (t *Table) IsDuplicated(now int64, name string) bool {
 	if name == t.self.Name {
-		return t.twins.there(now, t.config.Silence) > 0
+		return t.twins.there(now, t.config.ReplacedTimeout) > 0
 	}
 	m := t.members[name]
-	return m != nil && m.there(now, t.config.Silence) > 1
+	return m != nil && m.there(now, t.config.ReplacedTimeout) > 1
 }
--- a/fleet/membership/table_test.go
+++ b/fleet/membership/table_test.go
@@ -32,7 +32,7 @@
 type sent struct {
 	from        string
 	incarnation uint64
-	Telling
+	Send
 }
 
 func newCrowd(t *testing.T, n int) *crowd {
@@ -56,8 +56,8 @@
 	c.starts++
 	phase := c.rng.Int64N(interval)
 	c.tables[name] = New(c.now, Config{Self: Entry{Name: name, Incarnation: c.rng.Uint64() | 1, Start: wall, Address: name + ":1", Weight: 1},
-		Contacts: contacts, Interval: interval, Quiet: 21 * second / 10, Silence: 5 * interval, Seed: c.starts, fault: c.fault,
-		Beat: func(now int64) int64 { return now + interval - (now+phase)%interval }})
+		Contacts: contacts, HeartbeatInterval: interval, SilenceTimeout: 21 * second / 10, ReplacedTimeout: 5 * interval, Seed: c.starts, fault: c.fault,
+		NextHeartbeat: func(now int64) int64 { return now + interval - (now+phase)%interval }})
 	delete(c.down, name)
 }
 
@@ -73,8 +73,8 @@
 				c.under = append(c.under, s)
 				continue
 			}
-			c.tables[s.To].Met(c.now, s.from, s.incarnation)
-			tell, _ := c.tables[s.To].Heard(c.now, s.from, s.Gossip)
+			c.tables[s.To].ObserveIncarnation(c.now, s.from, s.incarnation)
+			tell, _ := c.tables[s.To].Receive(c.now, s.from, s.Gossip)
 			c.send(s.To, tell)
 		}
 		for _, name := range c.names {
@@ -86,7 +86,7 @@
 	}
 }
 
-func (c *crowd) send(from string, tell []Telling) {
+func (c *crowd) send(from string, tell []Send) {
 	for _, t := range tell {
 		s := sent{from, c.tables[from].self.Incarnation, t}
 		if c.under = append(c.under, s); c.twice {
@@ -101,7 +101,7 @@
 		if other == name || c.down[other] || slices.Contains(but, other) {
 			continue
 		}
-		if v, _ := c.tables[other].View(name); v.State == s {
+		if v, _ := c.tables[other].Member(name); v.State == s {
 			n++
 		}
 	}
@@ -129,7 +129,7 @@
 	}
 	var first uint64
 	for i, name := range c.names {
-		if _, digest, _ := c.tables[name].Handed(); i == 0 {
+		if _, digest, _ := c.tables[name].ViewInfo(); i == 0 {
 			first = digest
 		} else if digest != first {
 			c.t.Errorf("%s hands on another view", name)
@@ -148,8 +148,8 @@
 		r := NewRings(names)
 		near := map[string][]string{}
 		for _, name := range names {
-			near[name] = r.Near(name)
-			if len(near[name]) > NearMost || len(near[name]) < min(n-1, 4) || slices.Contains(near[name], name) {
+			near[name] = r.Neighbours(name)
+			if len(near[name]) > MaxNeighbours || len(near[name]) < min(n-1, 4) || slices.Contains(near[name], name) {
 				t.Fatalf("%d: %s is near %v", n, name, near[name])
 			}
 		}
@@ -197,11 +197,11 @@
 		}
 		more, moved := NewRings(append(slices.Clone(names), "x")), 0
 		for _, name := range names {
-			if !slices.Equal(more.Near(name), near[name]) {
+			if !slices.Equal(more.Neighbours(name), near[name]) {
 				moved++
 			}
 		}
-		if moved > NearMost {
+		if moved > MaxNeighbours {
 			t.Errorf("%d of %d have other neighbours for one that came", moved, n)
 		}
 	}
@@ -293,7 +293,7 @@
 			x.cut = c.cut
 			if x.play(5 * second); c.dead {
 				x.all("n003", Dead)
-				if x.tables["n003"].CutOff() != (c.name == "deaf") {
+				if x.tables["n003"].IsCutOff() != (c.name == "deaf") {
 					t.Error("it does not know whether it is cut off")
 				}
 				x.play(10 * second)
@@ -328,7 +328,7 @@
 			if side(name) != side(other) {
 				want = Dead
 			}
-			if v, _ := c.tables[name].View(other); name != other && v.State != want {
+			if v, _ := c.tables[name].Member(other); name != other && v.State != want {
 				t.Fatalf("%s believes %s %s", name, other, v.State)
 			}
 		}
@@ -343,7 +343,7 @@
 	c := newCrowd(t, 120)
 	c.play(4 * second)
 	c.alive()
-	before, _, _ := c.tables["n119"].Handed()
+	before, _, _ := c.tables["n119"].ViewInfo()
 	for _, name := range c.names[:40] {
 		c.down[name] = true
 	}
@@ -351,7 +351,7 @@
 	for _, name := range c.names[:40] {
 		c.all(name, Dead)
 	}
-	if after, _, _ := c.tables["n119"].Handed(); after-before > 3 {
+	if after, _, _ := c.tables["n119"].ViewInfo(); after-before > 3 {
 		t.Errorf("%d views for one loss", after-before)
 	}
 	for _, name := range c.names[40:60] {
@@ -402,21 +402,21 @@
 func TestFlapping(t *testing.T) {
 	c := newCrowd(t, 20)
 	c.play(4 * second)
-	from, _, _ := c.tables["n009"].Handed()
+	from, _, _ := c.tables["n009"].ViewInfo()
 	for range 6 {
 		c.cut = func(from, _ string) bool { return from == "n003" }
 		c.play(4 * second)
 		c.cut = func(string, string) bool { return false }
 		c.play(4 * second)
 	}
-	if to, _, _ := c.tables["n009"].Handed(); to-from > 10 {
+	if to, _, _ := c.tables["n009"].ViewInfo(); to-from > 10 {
 		t.Errorf("%d views for one that died six times", to-from)
 	}
-	if v, _ := c.tables["n009"].View("n003"); v.State != Alive || !v.Held {
+	if v, _ := c.tables["n009"].Member("n003"); v.State != Alive || !v.HeldOut {
 		t.Errorf("%+v", v)
 	}
 	c.play(40 * second)
-	if v, _ := c.tables["n009"].View("n003"); v.Held {
+	if v, _ := c.tables["n009"].Member("n003"); v.HeldOut {
 		t.Error("it is held out for good")
 	}
 	c.alive()
@@ -432,12 +432,12 @@
 	c.play(5 * second)
 	c.alive()
 	for _, name := range c.names {
-		if c.tables[name].Doubled(c.now, "n003") {
+		if c.tables[name].IsDuplicated(c.now, "n003") {
 			t.Errorf("%s holds the one that was replaced for a second one", name)
 		}
 	}
 	twin := New(c.now, Config{Self: Entry{Name: "n003", Incarnation: 77, Start: uint64(c.now / 1e6), Address: "n003:1", Weight: 1},
-		Interval: interval, Quiet: 2 * second, Silence: 5 * interval, Seed: 5,
+		HeartbeatInterval: interval, SilenceTimeout: 2 * second, ReplacedTimeout: 5 * interval, Seed: 5,
 		Contacts: []Contact{{"n001", "n001:1", 1}, {"n002", "n002:1", 1}}})
 	twice, seen := map[string]bool{}, false
 	for range 60 {
@@ -447,9 +447,9 @@
 		}
 		c.play(second / 20)
 		for _, name := range c.names {
-			twice[name] = twice[name] || c.tables[name].Doubled(c.now, "n003")
+			twice[name] = twice[name] || c.tables[name].IsDuplicated(c.now, "n003")
 		}
-		seen = seen || c.tables["n003"].Doubled(c.now, "n003")
+		seen = seen || c.tables["n003"].IsDuplicated(c.now, "n003")
 	}
 	if !twice["n001"] || !twice["n002"] || !seen {
 		t.Errorf("who hears both: %v; itself: %v", twice, seen)
@@ -477,16 +477,16 @@
 			seq := uint64(1) << 50
 			for range 100 {
 				x.play(second / 10)
-				v, _ := x.tables["n001"].View("n003")
+				v, _ := x.tables["n001"].Member("n003")
 				lie := Gossip{Entries: []Entry{v.Entry}}
 				lie.Entries[0].Dead = true
 				for _, o := range x.tables["n001"].observers("n003") {
 					seq++
-					lie.Alerts = append(lie.Alerts, Alert{"n003", v.Incarnation, v.Version, o, seq, Silent})
+					lie.Reports = append(lie.Reports, Report{"n003", v.Incarnation, v.Version, o, seq, Silent})
 				}
 				for _, to := range x.names {
 					if to != "n001" && to != "n003" {
-						x.send("n001", []Telling{{to, lie}})
+						x.send("n001", []Send{{to, lie}})
 					}
 				}
 				buried = buried || x.believe("n003", Dead) > 0
@@ -524,9 +524,9 @@
 		x.play(second / 20)
 		for _, name := range x.names[15:] {
 			for _, other := range x.names[:15] {
-				v, _ := x.tables[other].View(name)
+				v, _ := x.tables[other].Member(name)
 				for _, r := range v.Reports {
-					if r.Observer == other && r.Kind != Fine {
+					if r.Observer == other && r.Kind != Healthy {
 						reported++
 					}
 				}
@@ -544,29 +544,29 @@
 	x.play(2 * second)
 	n := x.tables["n000"]
 	long := string(make([]byte, nameMost+1))
-	before := n.Refused()
-	n.Heard(x.now, "n001", Gossip{Entries: []Entry{{Name: long, Weight: 1}, {Name: "x", Weight: 0}, {Name: "", Weight: 1}, {Name: "y", Weight: 1e9}}})
-	n.Heard(x.now, "n001", Gossip{Alerts: []Alert{{Subject: long}, {Subject: "n002", Kind: 9}}})
-	n.Heard(x.now, "n001", Gossip{Parts: make([]uint64, 3)})
-	n.Heard(x.now, "n001", Gossip{Entries: make([]Entry, ToldMost+3)})
-	if got := n.Refused() - before; got != 8 {
+	before := n.Rejected()
+	n.Receive(x.now, "n001", Gossip{Entries: []Entry{{Name: long, Weight: 1}, {Name: "x", Weight: 0}, {Name: "", Weight: 1}, {Name: "y", Weight: 1e9}}})
+	n.Receive(x.now, "n001", Gossip{Reports: []Report{{Subject: long}, {Subject: "n002", Kind: 9}}})
+	n.Receive(x.now, "n001", Gossip{BucketDigests: make([]uint64, 3)})
+	n.Receive(x.now, "n001", Gossip{Entries: make([]Entry, MaxPerMessage+3)})
+	if got := n.Rejected() - before; got != 8 {
 		t.Errorf("%d refused", got)
 	}
-	for i := range EntriesMost + 200 {
-		n.Heard(x.now, "n001", Gossip{Entries: []Entry{{Name: fmt.Sprint("z", i), Incarnation: 1, Start: 1, Weight: 1}}})
+	for i := range MaxMembers + 200 {
+		n.Receive(x.now, "n001", Gossip{Entries: []Entry{{Name: fmt.Sprint("z", i), Incarnation: 1, Start: 1, Weight: 1}}})
 	}
-	if len(n.members) > EntriesMost {
+	if len(n.members) > MaxMembers {
 		t.Errorf("%d members", len(n.members))
 	}
 	for i := range uint64(200) {
-		n.Heard(x.now, "n001", Gossip{Entries: []Entry{{Name: "z1", Incarnation: i + 2, Start: i + 2, Weight: 1}}})
+		n.Receive(x.now, "n001", Gossip{Entries: []Entry{{Name: "z1", Incarnation: i + 2, Start: i + 2, Weight: 1}}})
 	}
 	if got := len(n.members["z1"].lives); got > livesMost {
 		t.Errorf("%d starts under a name", got)
 	}
-	m, _ := n.View("n002")
+	m, _ := n.Member("n002")
 	for i := range 100 {
-		n.Heard(x.now, "n001", Gossip{Alerts: []Alert{{"n002", m.Incarnation, m.Version, fmt.Sprint("o", i), 1, Silent}}})
+		n.Receive(x.now, "n001", Gossip{Reports: []Report{{"n002", m.Incarnation, m.Version, fmt.Sprint("o", i), 1, Silent}}})
 	}
 	if got := len(n.members["n002"].reports); got > reportsMost {
 		t.Errorf("%d reports", got)
--- a/fleet/membership/talk.go
+++ b/fleet/membership/talk.go
@@ -10,17 +10,17 @@
 )
 
 // Rumour is a report's kind that says: somebody believes this one dead; it is passed on so that the member can refute.
-const Rumour Kind = 3
+const Rumour ReportKind = 3
 
 // told is a report to be passed on, but for who told it.
 type told struct {
-	Alert
+	Report
 	from string
 }
 
 // beats is what goes out at each beat: to every neighbour its number and an echo, with what is new; and now and then a try at
 // one that is not there.
-func (t *Table) beats(now int64) (out []Telling) {
+func (t *Table) beats(now int64) (out []Send) {
 	t.tryStray(now)
 	news := t.gather()
 	digest, _ := t.digests()
@@ -29,7 +29,7 @@
 		e := m.edge
 		e.out++
 		g := news.without(name)
-		g.Beat, g.Echo, g.Digest = e.out, e.in, digest
+		g.Heartbeat, g.Echo, g.Digest = e.out, e.in, digest
 		if e.echoed == 0 && !slices.ContainsFunc(g.Entries, func(x Entry) bool { return x.Name == t.self.Name }) {
 			g.Entries = append([]Entry{t.self}, g.Entries...) // it may not know this instance yet
 		}
@@ -38,12 +38,12 @@
 		}
 		if e.parts {
 			e.parts, e.asked = false, now
-			_, g.Parts = t.digests()
+			_, g.BucketDigests = t.digests()
 		}
-		out = append(out, Telling{name, g})
+		out = append(out, Send{name, g})
 	}
 	if t.stray != "" && t.strayAt == now {
-		out = append(out, Telling{t.stray, Gossip{Beat: 1, Digest: digest, Entries: []Entry{t.self}}})
+		out = append(out, Send{t.stray, Gossip{Heartbeat: 1, Digest: digest, Entries: []Entry{t.self}}})
 	}
 	return out
 }
@@ -51,7 +51,7 @@
 // tryStray draws one that is not there and may be back, or have never been heard: after a split nobody else brings the
 // sides together.
 func (t *Table) tryStray(now int64) {
-	if now-t.strayAt < strayEvery*t.config.Interval {
+	if now-t.strayAt < strayEvery*t.config.HeartbeatInterval {
 		return
 	}
 	was := t.stray
@@ -91,7 +91,7 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	for _, name := range names[:min(len(names), ToldMost)] {
+	for _, name := range names[:min(len(names), MaxPerMessage)] {
 		from := t.news[name]
 		delete(t.news, name)
 		switch m := t.members[name]; {
@@ -101,7 +101,7 @@
 			out.entries, out.from = append(out.entries, m.record()), append(out.from, from)
 		}
 	}
-	n := min(len(t.newAlerts), ToldMost)
+	n := min(len(t.newAlerts), MaxPerMessage)
 	out.alerts = t.newAlerts[:n:n]
 	t.newAlerts = slices.Clone(t.newAlerts[n:])
 	if over := len(t.newAlerts) - newsMost; over > 0 {
@@ -119,29 +119,29 @@
 	}
 	for _, a := range n.alerts {
 		if a.from != name && a.Observer != name {
-			g.Alerts = append(g.Alerts, a.Alert)
+			g.Reports = append(g.Reports, a.Report)
 		}
 	}
 	return g
 }
 
 // tellNews passes what is new on, once by every link.
-func (t *Table) tellNews(now int64) (out []Telling) {
+func (t *Table) tellNews(now int64) (out []Send) {
 	all := t.gather()
 	if t.sendAt = 0; len(t.news) > 0 || len(t.newAlerts) > 0 {
-		t.sendAt = now + t.config.Interval/batchParts
+		t.sendAt = now + t.config.HeartbeatInterval/batchParts
 	}
 	for _, name := range t.edgeNames() {
-		if g := all.without(name); len(g.Entries)+len(g.Alerts) > 0 {
-			out = append(out, Telling{name, g})
+		if g := all.without(name); len(g.Entries)+len(g.Reports) > 0 {
+			out = append(out, Send{name, g})
 		}
 	}
 	return out
 }
 
-// Heard takes what a member told, and gives what is answered at once. from is who the link has proved it is from.
-func (t *Table) Heard(now int64, from string, g Gossip) (tell []Telling, changes []Change) {
-	if len(g.Entries) > ToldMost+2 || len(g.Alerts) > ToldMost || len(g.Parts) != 0 && len(g.Parts) != Buckets {
+// Receive takes what a member told, and gives what is answered at once. from is who the link has proved it is from.
+func (t *Table) Receive(now int64, from string, g Gossip) (tell []Send, changes []Change) {
+	if len(g.Entries) > MaxPerMessage+2 || len(g.Reports) > MaxPerMessage || len(g.BucketDigests) != 0 && len(g.BucketDigests) != DigestBuckets {
 		t.refused++
 		return nil, nil
 	}
@@ -151,15 +151,15 @@
 	for _, e := range g.Entries {
 		t.take(now, e, from)
 	}
-	for _, a := range g.Alerts {
+	for _, a := range g.Reports {
 		t.report(now, a, from)
 	}
 	if m := t.members[from]; m != nil {
-		if g.Beat > 0 {
+		if g.Heartbeat > 0 {
 			tell = t.beaten(now, m, g)
 		}
-		if len(g.Parts) == Buckets {
-			tell = append(tell, t.compare(now, from, g.Parts)...)
+		if len(g.BucketDigests) == DigestBuckets {
+			tell = append(tell, t.compare(now, from, g.BucketDigests)...)
 		}
 	}
 	changes, t.notes = t.notes, nil
@@ -167,7 +167,7 @@
 }
 
 // beaten takes a beat.
-func (t *Table) beaten(now int64, m *known, g Gossip) (tell []Telling) {
+func (t *Table) beaten(now int64, m *known, g Gossip) (tell []Send) {
 	e := m.edge
 	if e == nil {
 		callers := 0
@@ -184,9 +184,9 @@
 		t.link(m)
 		t.version++
 	}
-	m.Heard, e.heard = now, now
-	if g.Beat > e.in || g.Beat == 1 {
-		e.in = g.Beat
+	m.HeardAt, e.heard = now, now
+	if g.Heartbeat > e.in || g.Heartbeat == 1 {
+		e.in = g.Heartbeat
 	}
 	if g.Echo > e.echoed {
 		e.echoed, e.echoAt = min(g.Echo, e.out), now
@@ -199,33 +199,33 @@
 		e.differs = now
 	}
 	first := e.in == 1 && e.asked == 0
-	if e.differs > 0 && (first || now-e.differs >= syncAfter*t.config.Interval && now-e.asked >= 2*syncAfter*t.config.Interval) {
+	if e.differs > 0 && (first || now-e.differs >= syncAfter*t.config.HeartbeatInterval && now-e.asked >= 2*syncAfter*t.config.HeartbeatInterval) {
 		e.asked = now
-		tell = append(tell, Telling{m.Name, Gossip{Entries: []Entry{t.self}, Parts: parts}})
+		tell = append(tell, Send{m.Name, Gossip{Entries: []Entry{t.self}, BucketDigests: parts}})
 	}
 	return tell
 }
 
 // compare answers who asks for what differs.
-func (t *Table) compare(now int64, to string, theirs []uint64) []Telling {
+func (t *Table) compare(now int64, to string, theirs []uint64) []Send {
 	_, parts := t.digests()
 	g := Gossip{}
-	begin := t.rng.IntN(Buckets)
+	begin := t.rng.IntN(DigestBuckets)
 	buckets := map[int][]string{}
 	for _, name := range t.names() {
 		b := bucket(name)
 		buckets[b] = append(buckets[b], name)
 	}
-	for i := range Buckets {
-		b := (begin + i) % Buckets
+	for i := range DigestBuckets {
+		b := (begin + i) % DigestBuckets
 		if parts[b] == theirs[b] {
 			continue
 		}
-		if b == bucket(t.self.Name) && len(g.Entries) < ToldMost {
+		if b == bucket(t.self.Name) && len(g.Entries) < MaxPerMessage {
 			g.Entries = append(g.Entries, t.self)
 		}
 		for _, name := range buckets[b] {
-			if m := t.members[name]; m.State != Unheard && len(g.Entries) < ToldMost { // its own as well: its clock may have been set back
+			if m := t.members[name]; m.State != Unheard && len(g.Entries) < MaxPerMessage { // its own as well: its clock may have been set back
 				g.Entries = append(g.Entries, m.record())
 			}
 		}
@@ -233,5 +233,5 @@
 	if len(g.Entries) == 0 {
 		return nil
 	}
-	return []Telling{{to, g}}
+	return []Send{{to, g}}
 }
--- a/fleet/membership/watch.go
+++ b/fleet/membership/watch.go
@@ -11,7 +11,7 @@
 		m := t.members[name]
 		e := m.edge
 		if e.caller {
-			if now-e.heard > forgetCalls*t.config.Interval {
+			if now-e.heard > forgetCalls*t.config.HeartbeatInterval {
 				t.unlink(m)
 				t.version++
 			}
@@ -21,7 +21,7 @@
 			continue
 		}
 		watched++
-		kind := Fine
+		kind := Healthy
 		switch {
 		case now-max(e.heard, e.since) > limit:
 			kind = Silent
@@ -29,7 +29,7 @@
 		case now-max(e.echoAt, e.since) > limit+limit/2: // it takes a way there and one back
 			kind = Deaf
 		}
-		if kind != e.said || kind != Fine && now-e.saidAt >= alertAgain*t.config.Interval {
+		if kind != e.said || kind != Healthy && now-e.saidAt >= alertAgain*t.config.HeartbeatInterval {
 			t.say(now, m, kind)
 		}
 	}
@@ -40,7 +40,7 @@
 		if cut {
 			why = "cut off"
 		}
-		t.notes = append(t.notes, Change{View: View{Entry: t.self, State: Alive, Since: now}, Was: Alive, Why: why})
+		t.notes = append(t.notes, Change{Member: Member{Entry: t.self, State: Alive, Since: now}, Previous: Alive, Reason: why})
 	}
 	if silent == 0 && t.health > 0 && now >= t.next {
 		t.health--
@@ -48,14 +48,14 @@
 }
 
 // say reports a neighbour, or takes a report back.
-func (t *Table) say(now int64, m *known, kind Kind) {
+func (t *Table) say(now int64, m *known, kind ReportKind) {
 	e := m.edge
-	if kind == Fine && e.said == Fine {
+	if kind == Healthy && e.said == Healthy {
 		return
 	}
 	e.said, e.saidAt = kind, now
 	t.seq++
-	a := Alert{m.Name, m.Incarnation, m.Version, t.self.Name, t.seq, kind}
+	a := Report{m.Name, m.Incarnation, m.Version, t.self.Name, t.seq, kind}
 	m.reports[t.self.Name] = report{a, now}
 	t.suspects[m.Name] = m
 	t.newAlerts = append(t.newAlerts, told{a, ""})
@@ -72,7 +72,7 @@
 	for _, name := range sorted(t.suspects) {
 		m := t.suspects[name]
 		for who, r := range m.reports {
-			if now-r.at > alertLife*t.config.Interval || r.Incarnation != m.Incarnation || r.Version < m.Version {
+			if now-r.at > alertLife*t.config.HeartbeatInterval || r.Incarnation != m.Incarnation || r.Version < m.Version {
 				delete(m.reports, who)
 			}
 		}
@@ -83,7 +83,7 @@
 			continue
 		}
 		for _, o := range t.observers(name) {
-			if r, ok := m.reports[o]; ok && r.Kind != Fine && t.counts(o) {
+			if r, ok := m.reports[o]; ok && r.Kind != Healthy && t.counts(o) {
 				explicit[name]++
 			}
 		}
@@ -95,7 +95,7 @@
 		count := explicit[name]
 		if count >= some {
 			for _, o := range observers {
-				if r, ok := m.reports[o]; ok && r.Kind != Fine && t.counts(o) {
+				if r, ok := m.reports[o]; ok && r.Kind != Healthy && t.counts(o) {
 					continue
 				}
 				if _, few := quorum(len(t.observers(o))); !t.counts(o) || explicit[o] >= few {
@@ -108,7 +108,7 @@
 			m.pending = -1
 		case m.pending < 0:
 			m.pending = now
-		case now-m.pending >= t.config.Interval/confirmParts:
+		case now-m.pending >= t.config.HeartbeatInterval/confirmParts:
 			t.bury(now, m, "most of its observers report it")
 		}
 	}
@@ -141,7 +141,7 @@
 		if e.Dead || e.Leaving {
 			return // word of who is gone keeps nobody in memory
 		}
-		if len(t.members) >= EntriesMost {
+		if len(t.members) >= MaxMembers {
 			t.refused++
 			return
 		}
@@ -175,12 +175,12 @@
 		m.edge = newEdge(now, m.edge.caller)
 		t.link(m)
 	}
-	m.Entry, m.Heard = e, now
+	m.Entry, m.HeardAt = e, now
 	clear(m.reports)
 	clear(m.claims)
 	m.pending = -1
 	if delete(t.suspects, m.Name); m.edge != nil {
-		m.edge.said = Fine // of this version nothing was said yet
+		m.edge.said = Healthy // of this version nothing was said yet
 	}
 	t.raw++
 	if was.Address != e.Address || was.Weight != e.Weight || was.Incarnation != e.Incarnation {
@@ -215,7 +215,7 @@
 		t.bury(now, m, "neighbours believe it dead")
 		return
 	}
-	if a := (Alert{m.Name, m.Incarnation, m.Version, "", 0, Rumour}); t.rumours[m.Name] != m.Version+1 {
+	if a := (Report{m.Name, m.Incarnation, m.Version, "", 0, Rumour}); t.rumours[m.Name] != m.Version+1 {
 		t.rumours[m.Name] = m.Version + 1
 		t.newAlerts = append(t.newAlerts, told{a, from})
 		t.hurry(now)
@@ -236,7 +236,7 @@
 		if !e.Dead && !e.Leaving && e.newer(t.self) {
 			t.twins.lives[e.Incarnation] = now
 		}
-		if e.newer(t.self) && now-t.refuted >= t.config.Interval {
+		if e.newer(t.self) && now-t.refuted >= t.config.HeartbeatInterval {
 			t.self.Start = e.Start + 1
 			t.raise(now)
 			t.raw++
@@ -245,7 +245,7 @@
 }
 
 // report takes an observer's report.
-func (t *Table) report(now int64, a Alert, from string) {
+func (t *Table) report(now int64, a Report, from string) {
 	if len(a.Subject) > nameMost || len(a.Observer) > nameMost || a.Kind > Rumour {
 		t.refused++
 		return
@@ -281,11 +281,11 @@
 }
 
 // accused refutes once enough say that this instance is not there: one way that does not work is none of its matter.
-func (t *Table) accused(now int64, a Alert) {
+func (t *Table) accused(now int64, a Report) {
 	if a.Incarnation != t.self.Incarnation || a.Version != t.self.Version || t.config.fault.noRefuting {
 		return
 	}
-	if t.accusers[a.Observer] = a.Version + 1; a.Kind == Fine {
+	if t.accusers[a.Observer] = a.Version + 1; a.Kind == Healthy {
 		delete(t.accusers, a.Observer)
 		return
 	}
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -56,9 +56,9 @@
 	self := n.table.Self()
 	s.Members = append(s.Members, MemberStatus{Name: self.Name, Address: self.Address, State: membership.Alive.String(),
 		SinceMS: (now - n.started) / 1e6, Weight: self.Weight, Epoch: self.Epoch, Doubled: n.doubled})
-	for _, m := range n.table.All() {
+	for _, m := range n.table.Members() {
 		s.Members = append(s.Members, MemberStatus{Name: m.Name, Address: m.Address, State: m.State.String(),
-			SinceMS: (now - m.Since) / 1e6, Weight: m.Weight, Epoch: m.Epoch, Doubled: n.table.Doubled(now, m.Name)})
+			SinceMS: (now - m.Since) / 1e6, Weight: m.Weight, Epoch: m.Epoch, Doubled: n.table.IsDuplicated(now, m.Name)})
 	}
 	for _, slot := range n.leases.Slots(now) {
 		x := SlotStatus{SlotStatus: slot}
--- a/fleet/wire_test.go
+++ b/fleet/wire_test.go
@@ -43,13 +43,13 @@
 		},
 		Findings: []Finding{{Target: "t", Number: 8, Good: true, Load: []float64{9}, Seq: 10}},
 		Gossip: &membership.Gossip{
-			Beat: 11, Echo: 12, Digest: 13,
+			Heartbeat: 11, Echo: 12, Digest: 13,
 			Entries: []membership.Entry{{
 				Name: "b", Incarnation: 14, Start: 15, Version: 16, Address: "b:1", Weight: 17,
 				Leaving: true, Epoch: 18, Dead: true,
 			}},
-			Alerts: []membership.Alert{{Subject: "c", Incarnation: 19, Version: 20, Observer: "d", Seq: 21, Kind: membership.Deaf}},
-			Parts:  []uint64{22},
+			Reports:       []membership.Report{{Subject: "c", Incarnation: 19, Version: 20, Observer: "d", Seq: 21, Kind: membership.Deaf}},
+			BucketDigests: []uint64{22},
 		},
 	}
 }
@@ -75,7 +75,7 @@
 			t.Errorf("kind %d is %d on the wire", i+1, kind)
 		}
 	}
-	for i, kind := range []membership.Kind{membership.Fine, membership.Silent, membership.Deaf, membership.Rumour} {
+	for i, kind := range []membership.ReportKind{membership.Healthy, membership.Silent, membership.Deaf, membership.Rumour} {
 		if int(kind) != i {
 			t.Errorf("report kind %d is %d on the wire", i, kind)
 		}
@@ -87,7 +87,7 @@
 	a := node(t, "a", 1)
 	entry := membership.Entry{Name: "b", Incarnation: 2, Start: 1, Version: 1, Address: "b:1", Weight: 1, Epoch: 1}
 	a.Handle(1000*ms, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Gossip: &membership.Gossip{
-		Beat: 1, Entries: []membership.Entry{entry},
+		Heartbeat: 1, Entries: []membership.Entry{entry},
 	}}})
 	for now := 1000 * ms; now < 6000*ms; now += 50 * ms {
 		for _, effect := range a.Handle(now, Due{Wall: 1}) {
--- a/lab/membersim.go
+++ b/lab/membersim.go
@@ -84,7 +84,7 @@
 	return len(raw) + 4 + 22 // a frame's length, and what TLS 1.3 adds to a record
 }
 
-func (s ringSpeaker) packets(tell []membership.Telling) (out []packet) {
+func (s ringSpeaker) packets(tell []membership.Send) (out []packet) {
 	for _, t := range tell {
 		out = append(out, packet{t.To, t.Gossip, wrap(fleet.Message{Gossip: &t.Gossip, Highest: 1 << 40})})
 	}
@@ -97,19 +97,19 @@
 }
 
 func (s ringSpeaker) heard(now int64, from string, p packet) []packet {
-	tell, _ := s.Heard(now, from, p.gossip.(membership.Gossip))
+	tell, _ := s.Receive(now, from, p.gossip.(membership.Gossip))
 	return s.packets(tell)
 }
 func (s ringSpeaker) next() int64 { return s.Next() }
 func (s ringSpeaker) believes(name string) (bool, bool) {
-	v, _ := s.View(name)
+	v, _ := s.Member(name)
 	return v.State == membership.Dead, v.State == membership.Alive
 }
 func (s ringSpeaker) view() (uint64, uint64) {
-	number, digest, _ := s.Handed()
+	number, digest, _ := s.ViewInfo()
 	return digest, number
 }
-func (s ringSpeaker) links() int { return len(s.Links()) }
+func (s ringSpeaker) links() int { return len(s.Peers()) }
 
 type countSpeaker struct{ *counters.Table }
 
@@ -255,8 +255,8 @@
 		}
 		phase := r.rng.Int64N(r.Interval)
 		m.speaker = ringSpeaker{membership.New(r.now, membership.Config{Self: membership.Entry{Name: m.name, Incarnation: r.rng.Uint64() | 1,
-			Start: uint64(r.now/1e6) + 1, Address: m.name, Weight: 1}, Contacts: contacts, Interval: r.Interval, Quiet: r.Quiet,
-			Silence: 5 * r.Interval, Seed: r.rng.Uint64(), Beat: func(now int64) int64 { return now + r.Interval - (now+phase)%r.Interval }})}
+			Start: uint64(r.now/1e6) + 1, Address: m.name, Weight: 1}, Contacts: contacts, HeartbeatInterval: r.Interval, SilenceTimeout: r.Quiet,
+			ReplacedTimeout: 5 * r.Interval, Seed: r.rng.Uint64(), NextHeartbeat: func(now int64) int64 { return now + r.Interval - (now+phase)%r.Interval }})}
 	}
 	r.arm(m)
 }
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -305,8 +305,8 @@
 
 func (f *faults) instances(n *Node, args []*Node) (all []instance) {
 	seen, at := map[string]Place{}, map[netip.AddrPort]string{}
-	if len(args) > membership.EntriesMost {
-		f.add(n.Place, "%d instances, %d can be", len(args), membership.EntriesMost)
+	if len(args) > membership.MaxMembers {
+		f.add(n.Place, "%d instances, %d can be", len(args), membership.MaxMembers)
 		return nil
 	}
 	for _, item := range args {
