--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -1,5 +1,5 @@
 // Package fleet is what instances agree on, as one reducer: an event goes in, state changes, effects come out. It
-// joins who is there (member), who holds which slot (duty) and what is probed when (probe). It does no input or
+// joins who is there (membership), who holds which slot (lease) and what is probed when (probe). It does no input or
 // output, reads no clock and is not safe for use by two goroutines at once. Times are whole nanoseconds of a clock
 // that goes on while the machine is suspended and never goes back.
 package fleet
@@ -13,8 +13,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"tealpath/fleet/duty"
-	"tealpath/fleet/member"
+	"tealpath/fleet/lease"
+	"tealpath/fleet/membership"
 	"tealpath/fleet/probe"
 )
 
@@ -27,12 +27,12 @@
 
 // Config is what an instance starts with.
 type Config struct {
-	Self     duty.Holder
+	Self     lease.Instance
 	Address  string // where it takes links
 	Weight   float64
-	Contacts []member.Contact // the instances of the file, the own one among them or not
-	Duty     duty.Config      // Self and Seed are filled in from here
-	Probe    *probe.Config    // nil: nothing is probed
+	Contacts []membership.Contact // the instances of the file, the own one among them or not
+	Duty     lease.Config         // Self and Seed are filled in from here
+	Probe    *probe.Config        // nil: nothing is probed
 	Seed     uint64
 	Wall     int64      // ms since 1970, at the start
 	Members  Membership // zero: as of the renewals
@@ -55,14 +55,14 @@
 
 // Message is what instances send each other.
 type Message struct {
-	Highest  uint64         `cbor:"2,keyasint,omitempty"` // number known
-	Duty     *duty.Message  `cbor:"3,keyasint,omitempty"`
-	Findings []Finding      `cbor:"4,keyasint,omitempty"`
-	Gossip   *member.Gossip `cbor:"5,keyasint,omitempty"`
+	Highest  uint64             `cbor:"2,keyasint,omitempty"` // number known
+	Duty     *lease.Message     `cbor:"3,keyasint,omitempty"`
+	Findings []Finding          `cbor:"4,keyasint,omitempty"`
+	Gossip   *membership.Gossip `cbor:"5,keyasint,omitempty"`
 }
 
 var decoding = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxArrayElements: duty.SlotsMost, MaxMapPairs: 64, MaxNestedLevels: 8,
+	mode, err := cbor.DecOptions{MaxArrayElements: lease.MaxSlots, MaxMapPairs: 64, MaxNestedLevels: 8,
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
 	if err != nil {
 		panic(err) // the options are constants
@@ -79,11 +79,11 @@
 		return Message{}, err
 	}
 	switch {
-	case m.Gossip != nil && len(m.Gossip.Entries)+len(m.Gossip.Alerts) > 2*member.ToldMost+2:
-		return Message{}, fmt.Errorf("%d members and %d reports", len(m.Gossip.Entries), len(m.Gossip.Alerts))
+	case m.Gossip != nil && len(m.Gossip.Entries)+len(m.Gossip.Reports) > 2*membership.MaxPerMessage+2:
+		return Message{}, fmt.Errorf("%d members and %d reports", len(m.Gossip.Entries), len(m.Gossip.Reports))
 	case len(m.Findings) > findingsMost:
 		return Message{}, fmt.Errorf("%d findings", len(m.Findings))
-	case m.Duty != nil && (m.Duty.Kind < duty.Ask || m.Duty.Kind > duty.Release):
+	case m.Duty != nil && (m.Duty.Kind < lease.Prepare || m.Duty.Kind > lease.Release):
 		return Message{}, fmt.Errorf("kind %d", m.Duty.Kind)
 	}
 	for _, f := range m.Findings {
@@ -99,7 +99,7 @@
 
 // Came is a message from another instance, whose name and start the link has proved.
 type Came struct {
-	From    duty.Holder
+	From    lease.Instance
 	Message Message
 }
 
@@ -117,9 +117,9 @@
 
 // Changed is a newer configuration. Contacts, weights and voters change in a running instance.
 type Changed struct {
-	Contacts []member.Contact
+	Contacts []membership.Contact
 	Weight   float64
-	Voters   duty.Voters
+	Voters   lease.Voters
 }
 
 // Effect is what is to be done outside.
@@ -163,7 +163,7 @@
 type Timer struct{ At int64 }
 
 // periodic is one kind of periodic duty: it is told which slots are held, and says what is to be done now for those that
-// are. Each kind hashes its own duties to slots (duty.SlotOf).
+// are. Each kind hashes its own duties to slots (lease.SlotOf).
 type periodic interface {
 	Gained(now int64, slot int)
 	Lost(slot int)
@@ -186,8 +186,8 @@
 type Node struct {
 	duties  []periodic
 	config  Config
-	table   *member.Table
-	duty    *duty.Node
+	table   *membership.Table
+	leases  *lease.Node
 	probe   *probe.Prober // nil: nothing is probed
 	effects []Effect
 	version uint64
@@ -219,21 +219,21 @@
 // New makes a node.
 func New(now int64, c Config) (*Node, error) {
 	c.Duty.Self, c.Duty.Seed = c.Self, c.Seed
-	d, err := duty.New(now, c.Duty)
+	d, err := lease.New(now, c.Duty)
 	if err != nil {
 		return nil, err
 	}
-	interval := cmp.Or(c.Members.Interval, c.Duty.Renewal)
-	n := &Node{config: c, duty: d, seen: map[string]finding{}, wanted: map[string]int64{}, started: now, table: member.New(now, member.Config{
-		Self: member.Entry{Name: c.Self.Name, Incarnation: c.Self.Incarnation, Address: c.Address, Weight: c.Weight,
+	interval := cmp.Or(c.Members.Interval, c.Duty.RenewInterval)
+	n := &Node{config: c, leases: d, seen: map[string]finding{}, wanted: map[string]int64{}, started: now, table: membership.New(now, membership.Config{
+		Self: membership.Entry{Name: c.Self.Name, Incarnation: c.Self.Incarnation, Address: c.Address, Weight: c.Weight,
 			Epoch: c.Duty.Voters.Epoch, Start: uint64(max(1, c.Wall))},
-		Contacts: c.Contacts, Interval: interval, Quiet: c.Members.Quiet, Silence: c.Duty.Silence(), Seed: c.Seed,
-		Beat: func(now int64) int64 { return duty.Beat(now, c.Self.Name, interval) }})}
+		Contacts: c.Contacts, HeartbeatInterval: interval, SilenceTimeout: c.Members.Quiet, ReplacedTimeout: c.Duty.RestartSilence(), Seed: c.Seed,
+		NextHeartbeat: func(now int64) int64 { return lease.NextTick(now, c.Self.Name, interval) }})}
 	if c.Probe != nil {
 		if err := c.Probe.Check(); err != nil {
 			return nil, err
 		}
-		c.Probe.Slots, c.Probe.Drift = c.Duty.Slots, c.Duty.Drift
+		c.Probe.Slots, c.Probe.Drift = c.Duty.Slots, c.Duty.MaxClockDrift
 		n.probe = probe.New(*c.Probe)
 		n.duties = append(n.duties, probing{n.probe})
 	}
@@ -314,24 +314,24 @@
 
 // came takes a message. A vote does not count from a name under which two may be running, nor is one given by such.
 func (n *Node) came(now int64, e Came) {
-	n.table.Met(now, e.From.Name, e.From.Incarnation)
+	n.table.ObserveIncarnation(now, e.From.Name, e.From.Incarnation)
 	if g := e.Message.Gossip; g != nil {
-		tell, changes := n.table.Heard(now, e.From.Name, *g)
+		tell, changes := n.table.Receive(now, e.From.Name, *g)
 		n.tell(changes)
 		n.members(now)
 		n.gossip(tell)
 		for _, entry := range g.Entries {
-			n.duty.HeardEpoch(entry.Name, entry.Epoch)
+			n.leases.ObserveEpoch(entry.Name, entry.Epoch)
 		}
 	}
-	n.duty.Known(e.Message.Highest)
+	n.leases.ObserveBallot(e.Message.Highest)
 	if m := e.Message.Duty; m != nil {
-		vote := m.Kind == duty.Promise || m.Kind == duty.Taken
-		asked := m.Kind == duty.Ask || m.Kind == duty.Take
+		vote := m.Kind == lease.Promise || m.Kind == lease.Accept
+		asked := m.Kind == lease.Prepare || m.Kind == lease.Propose
 		switch {
-		case vote && n.table.Doubled(now, e.From.Name), asked && n.table.Doubled(now, n.config.Self.Name):
+		case vote && n.table.IsDuplicated(now, e.From.Name), asked && n.table.IsDuplicated(now, n.config.Self.Name):
 		default:
-			n.duty.Receive(now, e.From, *m)
+			n.leases.Receive(now, e.From, *m)
 		}
 	}
 	for _, f := range e.Message.Findings {
@@ -348,7 +348,7 @@
 }
 
 // relays tells whether what one instance found goes to others by way of its neighbours: where not all are neighbours.
-func (n *Node) relays() bool { return len(n.table.Alive()) > member.NearMost+1 }
+func (n *Node) relays() bool { return len(n.table.Alive()) > membership.MaxNeighbours+1 }
 
 // take takes a finding, unless somebody probed under a higher number before: its sender may have been frozen.
 func (n *Node) take(f Finding) {
@@ -361,7 +361,7 @@
 	if known || len(n.seen) < most {
 		n.seen[f.Target] = finding{f.Number, f.Seq}
 	}
-	n.duty.Known(f.Number)
+	n.leases.ObserveBallot(f.Number)
 	n.do(Found{f})
 }
 
@@ -371,7 +371,7 @@
 	}
 	n.probe.Done(now, e.Target, e.Good)
 	if seen := n.seen[e.Target].number; e.Number < seen {
-		n.duty.Renumber(now, duty.SlotOf(e.Target, n.config.Duty.Slots), seen)
+		n.leases.Reacquire(now, lease.SlotOf(e.Target, n.config.Duty.Slots), seen)
 	}
 	n.seq++
 	e.Seq = n.seq
@@ -387,17 +387,17 @@
 	n.tell(changes)
 	n.members(now)
 	n.gossip(tell)
-	n.duty.Tick(now, wall)
+	n.leases.Tick(now, wall)
 	if len(n.found) > 0 && now >= n.foundAt {
-		n.foundAt = duty.Beat(now, n.config.Self.Name, n.config.Duty.Renewal) // together, with what else goes out
-		for _, m := range n.table.Links() {
+		n.foundAt = lease.NextTick(now, n.config.Self.Name, n.config.Duty.RenewInterval) // together, with what else goes out
+		for _, m := range n.table.Peers() {
 			for part := range slices.Chunk(n.found, findingsMost) {
 				n.do(Send{To: m.Name, Message: Message{Findings: part}})
 			}
 		}
 		n.found = nil
 	}
-	if doubled := n.table.Doubled(now, n.config.Self.Name); doubled != n.doubled {
+	if doubled := n.table.IsDuplicated(now, n.config.Self.Name); doubled != n.doubled {
 		if n.doubled = doubled; doubled {
 			n.do(Log{Line: "another start under this name was heard: no votes are given until it is silent",
 				Member: n.config.Self.Name})
@@ -410,7 +410,7 @@
 
 // majority logs whether the voters can be reached, once there was time to.
 func (n *Node) majority(now int64) {
-	if now-n.started < n.config.Duty.Silence()+2*n.config.Duty.Renewal {
+	if now-n.started < n.config.Duty.RestartSilence()+2*n.config.Duty.RenewInterval {
 		return
 	}
 	reached := n.Majority(now)
@@ -427,17 +427,17 @@
 
 // Majority tells whether a majority of the voters answers, or is at least heard of: who neither holds nor tries has
 // no answers.
-func (n *Node) Majority(now int64) bool { return n.duty.Reached(now) || n.aliveVoters() }
+func (n *Node) Majority(now int64) bool { return n.leases.HasQuorum(now) || n.aliveVoters() }
 
 func (n *Node) aliveVoters() bool {
-	v := n.duty.Voters()
-	if n.table.CutOff() {
+	v := n.leases.Voters()
+	if n.table.IsCutOff() {
 		return false // what is believed is of before
 	}
-	for _, set := range [][]string{v.Now, v.Before} {
+	for _, set := range [][]string{v.Current, v.Previous} {
 		alive := 0
 		for _, name := range set {
-			if m, _ := n.table.View(name); name == n.config.Self.Name || m.State == member.Alive {
+			if m, _ := n.table.Member(name); name == n.config.Self.Name || m.State == membership.Alive {
 				alive++
 			}
 		}
@@ -451,8 +451,8 @@
 // missing names the voters that are not heard.
 func (n *Node) missing(int64) string {
 	var names []string
-	for _, name := range n.duty.Voters().Now {
-		if m, _ := n.table.View(name); name != n.config.Self.Name && m.State != member.Alive {
+	for _, name := range n.leases.Voters().Current {
+		if m, _ := n.table.Member(name); name != n.config.Self.Name && m.State != membership.Alive {
 			names = append(names, name+" "+m.State.String())
 		}
 	}
@@ -471,15 +471,15 @@
 	}
 	n.version, n.relink = n.table.Version(), false
 	if !n.leaving {
-		n.duty.Members(now, shares(n.table.Alive()))
+		n.leases.SetCandidates(now, shares(n.table.Alive()))
 	}
 	at := map[string]string{}
-	for _, m := range n.table.Links() {
+	for _, m := range n.table.Peers() {
 		at[m.Name] = m.Address
 	}
-	few := n.table.Count() <= member.NearMost
-	for _, m := range n.table.All() {
-		if _, asked := n.wanted[m.Name]; m.Address != "" && m.State != member.Left && (few || asked) {
+	few := n.table.Count() <= membership.MaxNeighbours
+	for _, m := range n.table.Members() {
+		if _, asked := n.wanted[m.Name]; m.Address != "" && m.State != membership.Left && (few || asked) {
 			at[m.Name] = m.Address
 		}
 	}
@@ -493,9 +493,9 @@
 	}
 }
 
-func shares(entries []member.Entry) (out []duty.Share) {
+func shares(entries []membership.Entry) (out []lease.Candidate) {
 	for _, e := range entries {
-		out = append(out, duty.Share{Name: e.Name, Weight: e.Weight})
+		out = append(out, lease.Candidate{Name: e.Name, Weight: e.Weight})
 	}
 	return out
 }
@@ -506,28 +506,28 @@
 	}
 	n.leaving = true
 	tell := n.table.Leave(now)
-	n.duty.Leave(now, shares(n.table.Alive()))
+	n.leases.ReleaseAll(shares(n.table.Alive()))
 	n.carry(now)
 	n.gossip(tell)
 }
 
 // gossip sends what members tell each other.
-func (n *Node) gossip(tell []member.Telling) {
+func (n *Node) gossip(tell []membership.Send) {
 	for _, t := range tell {
-		n.do(Send{To: t.To, Message: Message{Gossip: &t.Gossip, Highest: n.duty.Highest()}})
+		n.do(Send{To: t.To, Message: Message{Gossip: &t.Gossip, Highest: n.leases.HighestBallot()}})
 	}
 }
 
 func (n *Node) changed(now int64, e Changed) {
 	voters := "voters as they were"
-	if err := n.duty.Revote(now, e.Voters); err != nil {
+	if err := n.leases.UpdateVoters(now, e.Voters); err != nil {
 		n.do(Log{Line: "the voters stay as they were", Why: err.Error()})
 	} else {
 		voters = fmt.Sprintf("voters of epoch %d", e.Voters.Epoch)
 	}
-	n.table.Configure(now, e.Contacts, e.Weight, n.duty.Voters().Epoch)
-	for _, m := range n.table.All() {
-		n.duty.HeardEpoch(m.Name, m.Epoch) // a new set of voters knows of none, and entries come only when they change
+	n.table.Configure(now, e.Contacts, e.Weight, n.leases.Voters().Epoch)
+	for _, m := range n.table.Members() {
+		n.leases.ObserveEpoch(m.Name, m.Epoch) // a new set of voters knows of none, and entries come only when they change
 	}
 	n.do(Log{Line: fmt.Sprintf("operator's file read again: %d instances, %s", len(e.Contacts), voters)})
 }
@@ -536,12 +536,12 @@
 func (n *Node) follow(now int64) {
 	n.members(now)
 	n.carry(now)
-	next := min(n.duty.Next(), n.table.Next())
+	next := min(n.leases.Next(), n.table.Next())
 	for _, d := range n.duties {
 		if n.leaving {
 			break
 		}
-		for _, e := range d.Do(now, func(slot int) (uint64, int64, bool) { return n.duty.Owns(now, slot) }) {
+		for _, e := range d.Do(now, func(slot int) (uint64, int64, bool) { return n.leases.Holds(now, slot) }) {
 			n.do(e)
 		}
 		next = min(next, d.Next(now))
@@ -559,24 +559,24 @@
 		}
 		logs = append(logs, Log{Line: line, Slots: []int{slot}, Number: number, Why: why})
 	}
-	for _, e := range n.duty.Take() {
+	for _, e := range n.leases.TakeEffects() {
 		switch e := e.(type) {
-		case duty.Send:
+		case lease.Send:
 			m := e.Message
 			n.want(now, e.To)
 			n.do(Send{To: e.To, Message: Message{Duty: &m}})
-		case duty.Gained:
+		case lease.Acquired:
 			for _, d := range n.duties {
 				d.Gained(now, e.Slot)
 			}
-			n.do(Held{e.Slot, e.Number})
-			note("slots gained", e.Slot, e.Number, "")
-		case duty.Lost:
+			n.do(Held{e.Slot, e.Ballot})
+			note("slots gained", e.Slot, e.Ballot, "")
+		case lease.Lost:
 			for _, d := range n.duties {
 				d.Lost(e.Slot)
 			}
 			n.do(Held{e.Slot, 0})
-			note("slots lost", e.Slot, e.Number, e.Why)
+			note("slots lost", e.Slot, e.Ballot, e.Reason)
 		}
 	}
 	for _, l := range logs {
@@ -594,32 +594,32 @@
 }
 
 // tell logs what is believed anew. Many at once are one line: a zone that is lost, or all at a start.
-func (n *Node) tell(changes []member.Change) {
+func (n *Node) tell(changes []membership.Change) {
 	const eachMost = 8
-	groups := map[[2]member.State][]member.Change{}
+	groups := map[[2]membership.State][]membership.Change{}
 	for _, c := range changes {
 		switch {
 		case c.Name != n.config.Self.Name:
-			groups[[2]member.State{c.State, c.Was}] = append(groups[[2]member.State{c.State, c.Was}], c)
-		case c.Why == "away":
+			groups[[2]membership.State{c.State, c.Previous}] = append(groups[[2]membership.State{c.State, c.Previous}], c)
+		case c.Reason == "away":
 			n.do(Log{Line: fmt.Sprintf("this instance was away for %d ms; nothing is held against others for it", n.table.Away()/1e6)})
-		case c.Why == "cut off":
+		case c.Reason == "cut off":
 			n.do(Log{Line: "nothing is heard from any neighbour: this instance seems to be cut off"})
 		default:
 			n.do(Log{Line: "neighbours are heard again"})
 		}
 	}
-	for _, state := range []member.State{member.Unheard, member.Alive, member.Dead, member.Left} {
-		for _, was := range []member.State{member.Unheard, member.Alive, member.Dead, member.Left} {
-			group := groups[[2]member.State{state, was}]
+	for _, state := range []membership.State{membership.Unheard, membership.Alive, membership.Dead, membership.Left} {
+		for _, was := range []membership.State{membership.Unheard, membership.Alive, membership.Dead, membership.Left} {
+			group := groups[[2]membership.State{state, was}]
 			if len(group) > eachMost {
 				n.do(Log{Line: fmt.Sprintf("%d members %s", len(group), state), Why: "was " + was.String()})
 				continue
 			}
 			for _, c := range group {
 				why := "was " + was.String()
-				if c.Why != "" {
-					why += "; " + c.Why
+				if c.Reason != "" {
+					why += "; " + c.Reason
 				}
 				n.do(Log{Line: "member " + state.String(), Member: c.Name, Why: why})
 			}
@@ -629,5 +629,5 @@
 
 // Owns tells whether this instance may act for a slot at this instant.
 func (n *Node) Owns(now int64, slot int) (number uint64, until int64, ok bool) {
-	return n.duty.Owns(now, slot)
+	return n.leases.Holds(now, slot)
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"tealpath/fleet/duty"
-	"tealpath/fleet/member"
+	"tealpath/fleet/lease"
+	"tealpath/fleet/membership"
 	"tealpath/fleet/peer"
 	"tealpath/fleet/probe"
 )
@@ -17,11 +17,11 @@
 func node(t testing.TB, name string, incarnation uint64) *Node {
 	t.Helper()
 	cold := probe.Cold{Share: 0.16, Factor: 2.5, Window: 1500 * ms, Span: 17000 * ms}
-	n, err := New(0, Config{Self: duty.Holder{Name: name, Incarnation: incarnation}, Address: name + ":1", Weight: 1, Seed: 1,
-		Contacts: []member.Contact{{Name: "a", Address: "a:1", Weight: 1}, {Name: "b", Address: "b:1", Weight: 1},
+	n, err := New(0, Config{Self: lease.Instance{Name: name, Incarnation: incarnation}, Address: name + ":1", Weight: 1, Seed: 1,
+		Contacts: []membership.Contact{{Name: "a", Address: "a:1", Weight: 1}, {Name: "b", Address: "b:1", Weight: 1},
 			{Name: "c", Address: "c:1", Weight: 1}},
-		Duty: duty.Config{Slots: 8, Lease: 1500 * ms, Renewal: 500 * ms, Drift: 0.01,
-			Voters: duty.Voters{Epoch: 1, Now: []string{"a", "b", "c"}}},
+		Duty: lease.Config{Slots: 8, LeaseDuration: 1500 * ms, RenewInterval: 500 * ms, MaxClockDrift: 0.01,
+			Voters: lease.Voters{Epoch: 1, Current: []string{"a", "b", "c"}}},
 		Probe: &probe.Config{Period: 1000 * ms, Within: 500 * ms, Part: 0.05, Cost: 0.001, Cache: cold, Parent: cold}})
 	if err != nil {
 		t.Fatal(err)
@@ -129,7 +129,7 @@
 	if n := owned(nodes["a"], 12000*ms); n != 0 {
 		t.Errorf("it still owns %d slots", n)
 	}
-	if s := nodes["a"].Status(12000 * ms); !logged || s.Majority || s.Why == "" || s.Slots[0].Why != "no majority of the voters answers" {
+	if s := nodes["a"].Status(12000 * ms); !logged || s.Majority || s.Why == "" || s.Slots[0].Reason != "no majority of the voters answers" {
 		t.Errorf("logged %v, %+v", logged, s)
 	}
 }
@@ -140,14 +140,14 @@
 	play(nodes, 0, 4000*ms, "")
 	b := nodes["b"]
 	beat := func(incarnation, beat uint64) {
-		b.Handle(4000*ms, Came{From: duty.Holder{Name: "c", Incarnation: incarnation}, Message: Message{
-			Gossip: &member.Gossip{Beat: beat, Entries: []member.Entry{{Name: "c", Incarnation: incarnation, Start: beat, Version: beat, Weight: 1}}}}})
+		b.Handle(4000*ms, Came{From: lease.Instance{Name: "c", Incarnation: incarnation}, Message: Message{
+			Gossip: &membership.Gossip{Heartbeat: beat, Entries: []membership.Entry{{Name: "c", Incarnation: incarnation, Start: beat, Version: beat, Weight: 1}}}}})
 	}
 	beat(99, 1)
 	held := owned(b, 4000*ms)
-	b.Handle(4000*ms, Came{From: duty.Holder{Name: "c", Incarnation: 99}, Message: Message{
-		Duty: &duty.Message{Kind: duty.Taken, Epoch: 1, Sent: 3999 * ms}}})
-	if !b.table.Doubled(4000*ms, "c") || held == 0 {
+	b.Handle(4000*ms, Came{From: lease.Instance{Name: "c", Incarnation: 99}, Message: Message{
+		Duty: &lease.Message{Kind: lease.Accept, Epoch: 1, SentAt: 3999 * ms}}})
+	if !b.table.IsDuplicated(4000*ms, "c") || held == 0 {
 		t.Fatal("the case is not one")
 	}
 	// With a dead and c doubled, b has its own vote alone and must stop within a lease.
@@ -155,15 +155,15 @@
 		b.Handle(now, Due{Wall: now / ms})
 		beat(3, uint64(1000+now/ms))
 		beat(99, uint64(1000+now/ms))
-		var items []duty.Item
+		var items []lease.SlotBallot
 		for s := range 8 {
 			if number, _, ok := b.Owns(now, s); ok {
-				items = append(items, duty.Item{Slot: s, Number: number})
+				items = append(items, lease.SlotBallot{Slot: s, Ballot: number})
 			}
 		}
 		if len(items) > 0 {
-			b.Handle(now, Came{From: duty.Holder{Name: "c", Incarnation: 3},
-				Message: Message{Duty: &duty.Message{Kind: duty.Taken, Epoch: 1, Sent: now, Items: items}}})
+			b.Handle(now, Came{From: lease.Instance{Name: "c", Incarnation: 3},
+				Message: Message{Duty: &lease.Message{Kind: lease.Accept, Epoch: 1, SentAt: now, Items: items}}})
 		}
 	}
 	if n := owned(b, 6000*ms); n != 0 {
@@ -174,7 +174,7 @@
 func TestFindingsUnderOldNumbersAreDropped(t *testing.T) {
 	n := node(t, "a", 1)
 	tell := func(number uint64) (found int) {
-		for _, e := range n.Handle(1, Came{From: duty.Holder{Name: "b", Incarnation: 2},
+		for _, e := range n.Handle(1, Came{From: lease.Instance{Name: "b", Incarnation: 2},
 			Message: Message{Findings: []Finding{{Target: "t", Number: number, Good: true}}}}) {
 			if _, ok := e.(Found); ok {
 				found++
@@ -226,17 +226,18 @@
 // The largest messages fit a frame and are read.
 func TestLargestMessages(t *testing.T) {
 	name := strings.Repeat("n", 128)
-	refusal := duty.Message{Kind: duty.Refuse, Epoch: 1 << 40, Sent: 1 << 62}
-	for slot := range duty.SlotsMost {
-		refusal.Items = append(refusal.Items, duty.Item{Slot: slot, Number: 1 << 63, Holder: duty.Holder{Name: name, Incarnation: 1 << 63}, Left: 1 << 40})
+	rejection := lease.Message{Kind: lease.Reject, Epoch: 1 << 40, SentAt: 1 << 62}
+	for slot := range lease.MaxSlots {
+		rejection.Items = append(rejection.Items, lease.SlotBallot{Slot: slot, Ballot: 1 << 63,
+			Holder: lease.Instance{Name: name, Incarnation: 1 << 63}, Remaining: 1 << 40})
 	}
-	news := member.Gossip{Beat: 1 << 40, Echo: 1 << 40, Digest: 1 << 63, Parts: make([]uint64, member.Buckets)}
-	for range member.ToldMost {
-		news.Entries = append(news.Entries, member.Entry{Name: name, Incarnation: 1 << 63, Start: 1 << 63, Version: 1 << 63,
+	news := membership.Gossip{Heartbeat: 1 << 40, Echo: 1 << 40, Digest: 1 << 63, BucketDigests: make([]uint64, membership.DigestBuckets)}
+	for range membership.MaxPerMessage {
+		news.Entries = append(news.Entries, membership.Entry{Name: name, Incarnation: 1 << 63, Start: 1 << 63, Version: 1 << 63,
 			Address: strings.Repeat("a", 256), Weight: 1.1, Leaving: true, Epoch: 1 << 63, Dead: true})
-		news.Alerts = append(news.Alerts, member.Alert{Subject: name, Incarnation: 1 << 63, Version: 1 << 63, Observer: name, Seq: 1 << 63, Kind: 1})
+		news.Reports = append(news.Reports, membership.Report{Subject: name, Incarnation: 1 << 63, Version: 1 << 63, Observer: name, Seq: 1 << 63, Kind: 1})
 	}
-	for what, m := range map[string]Message{"all slots refused": {Duty: &refusal}, "news": {Gossip: &news}} {
+	for what, m := range map[string]Message{"all slots rejected": {Duty: &rejection}, "news": {Gossip: &news}} {
 		raw, err := m.Encode()
 		if err != nil || len(raw) > peer.FrameMost {
 			t.Errorf("%s: %d bytes, a frame holds %d; %v", what, len(raw), peer.FrameMost, err)
@@ -255,7 +256,7 @@
 		n.Handle(0, Listed{Targets: []probe.Target{{Name: "t", Address: "x", Units: 4}}})
 	}
 	play(nodes, 0, 6000*ms, "")
-	slot := duty.SlotOf("t", 8)
+	slot := lease.SlotOf("t", 8)
 	for _, n := range nodes {
 		number, _, ok := n.Owns(6000*ms, slot)
 		if !ok {
@@ -291,7 +292,7 @@
 			}
 		}
 		if s, ok := e.(Send); ok {
-			released = released || s.Message.Duty != nil && s.Message.Duty.Kind == duty.Release
+			released = released || s.Message.Duty != nil && s.Message.Duty.Kind == lease.Release
 			left = left || s.Message.Gossip != nil && len(s.Message.Gossip.Entries) > 0 && s.Message.Gossip.Entries[0].Leaving
 		}
 	}
@@ -304,10 +305,10 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, m := range []Message{{Highest: 3}, {Duty: &duty.Message{Kind: duty.Take, Epoch: 1, Items: []duty.Item{{Slot: 3, Number: 9}}}},
+	for _, m := range []Message{{Highest: 3}, {Duty: &lease.Message{Kind: lease.Propose, Epoch: 1, Items: []lease.SlotBallot{{Slot: 3, Ballot: 9}}}},
 		{Findings: []Finding{{Target: "t", Number: 4, Load: []float64{1}}}},
-		{Gossip: &member.Gossip{Beat: 2, Entries: []member.Entry{{Name: "b", Incarnation: 1, Version: 2, Weight: 1}},
-			Alerts: []member.Alert{{Subject: "b", Observer: "a", Kind: member.Deaf}}, Parts: make([]uint64, member.Buckets)}}} {
+		{Gossip: &membership.Gossip{Heartbeat: 2, Entries: []membership.Entry{{Name: "b", Incarnation: 1, Version: 2, Weight: 1}},
+			Reports: []membership.Report{{Subject: "b", Observer: "a", Kind: membership.Deaf}}, BucketDigests: make([]uint64, membership.DigestBuckets)}}} {
 		raw, _ := m.Encode()
 		f.Add(raw)
 	}
@@ -318,7 +319,7 @@
 		if err != nil {
 			return
 		}
-		n.Handle(2000*ms, Came{From: duty.Holder{Name: "b", Incarnation: 2}, Message: m})
+		n.Handle(2000*ms, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: m})
 		n.Handle(2000*ms, Due{Wall: 1})
 	})
 }
--- /dev/null
+++ b/fleet/lease/node_test.go
@@ -0,0 +1,227 @@
+package lease
+
+import (
+	"errors"
+	"fmt"
+	"testing"
+)
+
+func TestStartTakesAllSlotsOnceTheSilenceIsOver(t *testing.T) {
+	for _, count := range []int{1, 3, 5} {
+		cluster := newCluster(t, count)
+		cluster.run(cluster.leaseDuration)
+		if got := len(cluster.holders()); got != 0 {
+			t.Errorf("%d instances: %d slots held within the silence of a start", count, got)
+		}
+		cluster.run(cluster.leaseDuration)
+		cluster.checkAllHeld(fmt.Sprintf("with %d instances", count))
+		for _, name := range cluster.names {
+			if held, fair := len(cluster.heldBy(name)), clusterSlots/count; held < fair-1 || held > fair+1 {
+				t.Errorf("%d instances: %s holds %d slots", count, name, held)
+			}
+		}
+		cluster.checkSafety()
+	}
+}
+
+func TestTakeoverWithinLeaseAndTwoRenewals(t *testing.T) {
+	cluster := newCluster(t, 5)
+	cluster.run(4 * cluster.leaseDuration)
+	for round := range 10 {
+		victim := cluster.names[round%5]
+		lost := cluster.heldBy(victim)
+		at := cluster.now
+		cluster.kill(victim)
+		cluster.run(cluster.leaseDuration + 2*cluster.leaseDuration/3)
+		holders := cluster.holders()
+		for _, slot := range lost {
+			if holders[slot] == "" {
+				t.Errorf("round %d: slot %d has no holder %d ms after the death", round, slot, (cluster.now-at)/ms)
+			}
+		}
+		cluster.start(victim)
+		cluster.run(4 * cluster.leaseDuration)
+		if got := len(cluster.heldBy(victim)); got < 2 || got > 4 {
+			t.Errorf("round %d: %s has %d slots after its return", round, victim, got)
+		}
+	}
+	cluster.checkSafety()
+}
+
+func TestReleaseAllHandsOverAtOnce(t *testing.T) {
+	cluster := newCluster(t, 3)
+	cluster.run(4 * cluster.leaseDuration)
+	cluster.nodes["n1"].ReleaseAll([]Candidate{{"n0", 1}, {"n2", 1}})
+	cluster.send("n1")
+	cluster.frozen["n1"] = true // no longer a member
+	cluster.updateCandidates()
+	cluster.frozen["n1"] = false
+	cluster.run(cluster.leaseDuration / 3)
+	if got := len(cluster.heldBy("n0")) + len(cluster.heldBy("n2")); got != clusterSlots {
+		t.Errorf("%d of 16 slots are held by those who stay, one renewal after the leave", got)
+	}
+	cluster.checkSafety()
+}
+
+// Splits in which the old holders live on in the minority and believe that they hold.
+func TestSplits(t *testing.T) {
+	for _, test := range []struct {
+		name  string
+		count int
+		side  map[string]int
+		acts  int // the side that has a majority; -1 none
+	}{
+		{"2|3", 5, map[string]int{"n0": 0, "n1": 0, "n2": 1, "n3": 1, "n4": 1}, 1},
+		{"1|1|3", 5, map[string]int{"n0": 0, "n1": 2, "n2": 1, "n3": 1, "n4": 1}, 1},
+		{"2|2", 4, map[string]int{"n0": 0, "n1": 0, "n2": 1, "n3": 1}, -1},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			cluster := newCluster(t, test.count)
+			cluster.run(4 * cluster.leaseDuration)
+			cluster.cut = func(from, to string) bool { return test.side[from] != test.side[to] }
+			for name, node := range cluster.nodes { // each sees its own side only
+				var side []Candidate
+				for _, other := range cluster.names {
+					if test.side[other] == test.side[name] {
+						side = append(side, Candidate{other, 1})
+					}
+				}
+				node.SetCandidates(cluster.clock(name), side)
+			}
+			cluster.run(3 * cluster.leaseDuration)
+			holders := cluster.holders()
+			for slot, holder := range holders {
+				if test.side[holder] != test.acts {
+					t.Errorf("slot %d is held by %s, on a side without a majority", slot, holder)
+				}
+			}
+			if test.acts >= 0 && len(holders) != clusterSlots {
+				t.Errorf("%d of 16 slots held with a majority", len(holders))
+			}
+			if minority := cluster.nodes["n0"]; minority.HasQuorum(cluster.clock("n0")) {
+				t.Error("the minority does not see that it is one")
+			}
+			cluster.cut = nil
+			cluster.updateCandidates()
+			cluster.run(4 * cluster.leaseDuration)
+			cluster.checkAllHeld("after the split")
+			cluster.checkSafety()
+		})
+	}
+}
+
+func TestOneWayLoss(t *testing.T) {
+	cluster := newCluster(t, 3)
+	cluster.run(4 * cluster.leaseDuration)
+	cluster.cut = func(from, to string) bool { return to == "n0" } // it sends but hears nothing
+	cluster.run(3 * cluster.leaseDuration)
+	if got := cluster.heldBy("n0"); len(got) != 0 {
+		t.Errorf("one that hears nothing holds %v", got)
+	}
+	cluster.checkSafety()
+}
+
+func TestDelayLongerThanALease(t *testing.T) {
+	cluster := newCluster(t, 3)
+	cluster.run(4 * cluster.leaseDuration)
+	cluster.delay = func(from, to string) int64 {
+		if from == "n0" || to == "n0" {
+			return 4 * cluster.leaseDuration / 3
+		}
+		return 2 * ms
+	}
+	cluster.run(6 * cluster.leaseDuration)
+	cluster.delay = nil
+	cluster.run(4 * cluster.leaseDuration)
+	cluster.checkAllHeld("once links are quick again")
+	cluster.checkSafety()
+}
+
+func TestFrozenHolderHoldsNothingWhenItWakes(t *testing.T) {
+	cluster := newCluster(t, 3)
+	cluster.run(4 * cluster.leaseDuration)
+	before := cluster.heldBy("n0")
+	cluster.frozen["n0"] = true
+	cluster.run(3 * cluster.leaseDuration)
+	node := cluster.nodes["n0"]
+	for _, slot := range before {
+		if _, until, ok := node.Holds(cluster.clock("n0"), slot); ok {
+			t.Errorf("slot %d is held at the first look after the freeze, until %d at %d", slot, until, cluster.clock("n0"))
+		}
+	}
+	cluster.frozen["n0"] = false
+	cluster.updateCandidates()
+	cluster.run(4 * cluster.leaseDuration)
+	cluster.checkAllHeld("in the end")
+	cluster.checkSafety()
+}
+
+// A majority restarts one after another within a lease: what they granted is forgotten, and nobody grants on.
+func TestMajorityRestartsWithinALease(t *testing.T) {
+	cluster := newCluster(t, 5)
+	cluster.run(4 * cluster.leaseDuration)
+	for _, name := range []string{"n1", "n2", "n3"} {
+		cluster.start(name)
+		cluster.run(cluster.leaseDuration / 5)
+	}
+	cluster.run(4 * cluster.leaseDuration)
+	cluster.checkAllHeld("in the end")
+	cluster.checkSafety()
+}
+
+func TestAllRestartTogetherWithWallClocksSetBack(t *testing.T) {
+	cluster := newCluster(t, 3)
+	cluster.run(4 * cluster.leaseDuration)
+	cluster.wallMS -= 3600e3 // also of those that go on: ballots grow from what is remembered
+	cluster.start("n1")
+	cluster.run(4 * cluster.leaseDuration)
+	cluster.wallMS += 7200e3
+	cluster.start("n2")
+	cluster.run(4 * cluster.leaseDuration)
+	for _, name := range cluster.names {
+		cluster.start(name)
+	}
+	cluster.run(3 * cluster.leaseDuration)
+	cluster.checkAllHeld("in the end")
+	cluster.checkSafety()
+}
+
+func TestVotersChangeByOne(t *testing.T) {
+	cluster := newCluster(t, 4)
+	old := Voters{Epoch: 1, Current: []string{"n0", "n1", "n2"}}
+	next := Voters{Epoch: 2, Current: []string{"n0", "n1", "n2", "n3"}, Previous: old.Current}
+	for _, node := range cluster.nodes {
+		node.enterEpoch(old)
+	}
+	cluster.run(4 * cluster.leaseDuration)
+	for _, bad := range []Voters{
+		{Epoch: 3, Current: next.Current, Previous: next.Previous},
+		{Epoch: 2, Current: next.Current, Previous: next.Current},
+		{Epoch: 2, Current: []string{"n0", "n4", "n5"}, Previous: old.Current},
+	} {
+		var wrong *ConfigError
+		if err := cluster.nodes["n0"].UpdateVoters(cluster.clock("n0"), bad); !errors.As(err, &wrong) || wrong.Setting != "voters" {
+			t.Errorf("%+v: error %v", bad, err)
+		}
+	}
+	for _, name := range cluster.names {
+		if err := cluster.nodes[name].UpdateVoters(cluster.clock(name), next); err != nil {
+			t.Fatal(name, err)
+		}
+		cluster.run(cluster.leaseDuration / 2)
+	}
+	third := Voters{Epoch: 3, Current: []string{"n1", "n2", "n3"}, Previous: next.Current}
+	var unsettled *EpochUnsettledError
+	if err := cluster.nodes["n0"].UpdateVoters(cluster.clock("n0"), third); !errors.As(err, &unsettled) || unsettled.Epoch != 2 {
+		t.Errorf("a second step before the first is settled: error %v", err)
+	}
+	cluster.run(4 * cluster.leaseDuration)
+	for _, name := range cluster.names {
+		if err := cluster.nodes[name].UpdateVoters(cluster.clock(name), third); err != nil {
+			t.Fatal(name, err)
+		}
+	}
+	cluster.run(3 * cluster.leaseDuration)
+	cluster.checkAllHeld("after two changes of the voters")
+	cluster.checkSafety()
+}
--- a/fleet/wire_test.go
+++ b/fleet/wire_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"tealpath/fleet/duty"
-	"tealpath/fleet/member"
+	"tealpath/fleet/lease"
+	"tealpath/fleet/membership"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -37,19 +37,19 @@
 func fullMessage() Message {
 	return Message{
 		Highest: 1,
-		Duty: &duty.Message{
-			Kind: duty.Refuse, Epoch: 2, Sent: 3,
-			Items: []duty.Item{{Slot: 4, Number: 5, Holder: duty.Holder{Name: "a", Incarnation: 6}, Left: 7}},
+		Duty: &lease.Message{
+			Kind: lease.Reject, Epoch: 2, SentAt: 3,
+			Items: []lease.SlotBallot{{Slot: 4, Ballot: 5, Holder: lease.Instance{Name: "a", Incarnation: 6}, Remaining: 7}},
 		},
 		Findings: []Finding{{Target: "t", Number: 8, Good: true, Load: []float64{9}, Seq: 10}},
-		Gossip: &member.Gossip{
-			Beat: 11, Echo: 12, Digest: 13,
-			Entries: []member.Entry{{
+		Gossip: &membership.Gossip{
+			Heartbeat: 11, Echo: 12, Digest: 13,
+			Entries: []membership.Entry{{
 				Name: "b", Incarnation: 14, Start: 15, Version: 16, Address: "b:1", Weight: 17,
 				Leaving: true, Epoch: 18, Dead: true,
 			}},
-			Alerts: []member.Alert{{Subject: "c", Incarnation: 19, Version: 20, Observer: "d", Seq: 21, Kind: member.Deaf}},
-			Parts:  []uint64{22},
+			Reports:       []membership.Report{{Subject: "c", Incarnation: 19, Version: 20, Observer: "d", Seq: 21, Kind: membership.Deaf}},
+			BucketDigests: []uint64{22},
 		},
 	}
 }
@@ -70,12 +70,12 @@
 
 // The kinds of messages go over the wire as numbers.
 func TestMessageKindNumbers(t *testing.T) {
-	for i, kind := range []duty.Kind{duty.Ask, duty.Promise, duty.Take, duty.Taken, duty.Refuse, duty.Release} {
+	for i, kind := range []lease.MessageKind{lease.Prepare, lease.Promise, lease.Propose, lease.Accept, lease.Reject, lease.Release} {
 		if int(kind) != i+1 {
 			t.Errorf("kind %d is %d on the wire", i+1, kind)
 		}
 	}
-	for i, kind := range []member.Kind{member.Fine, member.Silent, member.Deaf, member.Rumour} {
+	for i, kind := range []membership.ReportKind{membership.Healthy, membership.Silent, membership.Deaf, membership.Rumour} {
 		if int(kind) != i {
 			t.Errorf("report kind %d is %d on the wire", i, kind)
 		}
@@ -85,9 +85,9 @@
 // Commands print a status as JSON for operators' scripts: its fields stay as they are.
 func TestStatusJSON(t *testing.T) {
 	a := node(t, "a", 1)
-	entry := member.Entry{Name: "b", Incarnation: 2, Start: 1, Version: 1, Address: "b:1", Weight: 1, Epoch: 1}
-	a.Handle(1000*ms, Came{From: duty.Holder{Name: "b", Incarnation: 2}, Message: Message{Gossip: &member.Gossip{
-		Beat: 1, Entries: []member.Entry{entry},
+	entry := membership.Entry{Name: "b", Incarnation: 2, Start: 1, Version: 1, Address: "b:1", Weight: 1, Epoch: 1}
+	a.Handle(1000*ms, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Gossip: &membership.Gossip{
+		Heartbeat: 1, Entries: []membership.Entry{entry},
 	}}})
 	for now := 1000 * ms; now < 6000*ms; now += 50 * ms {
 		for _, effect := range a.Handle(now, Due{Wall: 1}) {
@@ -95,12 +95,12 @@
 			if !ok || send.Message.Duty == nil || send.To != "b" {
 				continue
 			}
-			answer := duty.Message{Kind: duty.Promise, Epoch: 1, Sent: send.Message.Duty.Sent, Items: send.Message.Duty.Items}
-			if send.Message.Duty.Kind == duty.Take {
-				answer.Kind = duty.Taken
+			answer := lease.Message{Kind: lease.Promise, Epoch: 1, SentAt: send.Message.Duty.SentAt, Items: send.Message.Duty.Items}
+			if send.Message.Duty.Kind == lease.Propose {
+				answer.Kind = lease.Accept
 			}
-			if send.Message.Duty.Kind == duty.Ask || send.Message.Duty.Kind == duty.Take {
-				a.Handle(now, Came{From: duty.Holder{Name: "b", Incarnation: 2}, Message: Message{Duty: &answer}})
+			if send.Message.Duty.Kind == lease.Prepare || send.Message.Duty.Kind == lease.Propose {
+				a.Handle(now, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Duty: &answer}})
 			}
 		}
 	}
--- a/lab/agreesim.go
+++ b/lab/agreesim.go
@@ -5,13 +5,13 @@
 	"math/rand/v2"
 	"slices"
 
-	"tealpath/fleet/agree"
-	"tealpath/fleet/duty"
+	"tealpath/fleet/lease"
+	"tealpath/fleet/sharedconfig"
 	"tealpath/internal/timerqueue"
 	"tealpath/plan/compatibility"
 )
 
-// AgreeSim plays fleet/agree with real settings in simulated time, with changes and troubles drawn by seed.
+// AgreeSim plays fleet/sharedconfig with real settings in simulated time, with changes and troubles drawn by seed.
 type AgreeSim struct {
 	Instances int
 	Span      int64 // ns
@@ -39,7 +39,7 @@
 
 type agreeNode struct {
 	name   string
-	node   *agree.Node
+	node   *sharedconfig.Node
 	rate   float64
 	born   int64
 	life   int
@@ -78,7 +78,7 @@
 		}
 	}
 	r.settings = compatibility.Settings{Routers: s.Instances, Slots: 64, LeaseDuration: s.Lease, MaxClockDrift: 0.01, PurgeWindow: 6e9,
-		Voters: duty.Voters{Epoch: 1, Now: r.voters}}
+		Voters: lease.Voters{Epoch: 1, Current: r.voters}}
 	for _, x := range r.nodes {
 		r.start(x)
 	}
@@ -106,13 +106,13 @@
 	x.life++
 	x.born, x.down, x.frozen = r.now, false, 0
 	first := r.settings
-	first.Voters = duty.Voters{Epoch: 1, Now: r.voters}
+	first.Voters = lease.Voters{Epoch: 1, Current: r.voters}
 	content, err := compatibility.Encode(compatibility.Settings{Routers: r.Instances, Slots: 64, LeaseDuration: r.Lease, MaxClockDrift: 0.01, PurgeWindow: 6e9, Voters: first.Voters})
 	if err != nil {
 		panic(err) // the settings are this file's
 	}
-	x.node = agree.New(0, agree.Config{Self: x.name, Voters: r.voters, Lease: r.Lease, Renewal: r.Renewal, Drift: 0.01, Degree: compatibility.Incompatible,
-		First: content, Mark: r.rng.Uint64()})
+	x.node = sharedconfig.New(0, sharedconfig.Config{Self: x.name, Voters: r.voters, LeaseDuration: r.Lease, RenewInterval: r.Renewal, MaxClockDrift: 0.01, Incompatible: compatibility.Incompatible,
+		Initial: content, Incarnation: r.rng.Uint64()})
 	r.arm(x)
 }
 
@@ -139,15 +139,15 @@
 }
 
 func (r *agreeRun) carry(x *agreeNode) {
-	for _, e := range x.node.Take() {
+	for _, e := range x.node.TakeEffects() {
 		switch e := e.(type) {
-		case agree.Ended:
-			if e.Why == "" {
+		case sharedconfig.ProposalEnded:
+			if e.Reason == "" {
 				r.waiting[e.Number] = r.now
 			} else {
 				r.result.Refused++
 			}
-		case agree.Send:
+		case sharedconfig.Send:
 			to := r.nodes[slices.IndexFunc(r.nodes, func(y *agreeNode) bool { return y.name == e.To })]
 			if r.rng.Float64() < r.loss || to.side != x.side {
 				continue
@@ -181,7 +181,7 @@
 			continue
 		}
 		running++
-		v, _, ok := x.node.Acts(r.clock(x))
+		v, _, ok := x.node.Active(r.clock(x))
 		if !ok {
 			r.off++
 			continue
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -11,8 +11,8 @@
 	"go4.org/netipx"
 
 	"tealpath/fleet"
-	"tealpath/fleet/duty"
-	"tealpath/fleet/member"
+	"tealpath/fleet/lease"
+	"tealpath/fleet/membership"
 	"tealpath/fleet/peer"
 	"tealpath/fleet/probe"
 	"tealpath/plan/compatibility"
@@ -39,8 +39,8 @@
 	Name      string // the own one
 	Listen    string // where the own instance takes links
 	Weight    float64
-	Instances []member.Contact
-	Voters    duty.Voters
+	Instances []membership.Contact
+	Voters    lease.Voters
 	Slots     int
 	Lease     int64
 	Renewal   int64
@@ -212,9 +212,9 @@
 		"listen":    {take: noting(f.address(&listen))},
 		"voters": {needed: true, take: noting(func(n *Node, args []*Node) {
 			f.walk(n, args, map[string]entry{"epoch": {needed: true, take: f.whole(&epoch, 1, 1<<40)},
-				"now": {needed: true, take: f.words(&out.Voters.Now)}, "before": {take: f.words(&out.Voters.Before)}})
+				"now": {needed: true, take: f.words(&out.Voters.Current)}, "before": {take: f.words(&out.Voters.Previous)}})
 		})},
-		"slots":   {take: f.whole(&slots, 1, duty.SlotsMost)},
+		"slots":   {take: f.whole(&slots, 1, lease.MaxSlots)},
 		"lease":   {take: noting(f.span(&out.Lease, 100*time.Millisecond, time.Hour))},
 		"renewal": {take: noting(f.span(&out.Renewal, 20*time.Millisecond, time.Hour))},
 		"drift":   {take: noting(f.number(&out.Drift, 0, 0.1))},
@@ -248,7 +248,7 @@
 	known := map[string]bool{}
 	for _, i := range all {
 		known[i.name] = true
-		out.Instances = append(out.Instances, member.Contact{Name: i.name, Address: i.at.String(), Weight: i.weight})
+		out.Instances = append(out.Instances, membership.Contact{Name: i.name, Address: i.at.String(), Weight: i.weight})
 		if i.at.IsValid() && !out.Allow.Contains(i.at.Addr()) {
 			f.add(i.Place, "the address %s of %s is outside the allowed sets", i.at, i.name)
 		}
@@ -265,7 +265,7 @@
 	if out.Name != "" && out.Listen == "" {
 		f.add(n.Place, "%s is not among the instances, and no (listen …) says where it takes links", out.Name)
 	}
-	for _, v := range append(append([]string{}, out.Voters.Now...), out.Voters.Before...) {
+	for _, v := range append(append([]string{}, out.Voters.Current...), out.Voters.Previous...) {
 		if !known[v] && len(*f) < faultsMost {
 			f.add(places["voters"], "voter %s is not among the instances", v)
 		}
@@ -282,7 +282,7 @@
 		if err := out.Voters.Check(); err != nil {
 			f.add(places["voters"], "%v", err)
 		}
-		if out.Voters.Epoch > 1 && len(out.Voters.Before) == 0 {
+		if out.Voters.Epoch > 1 && len(out.Voters.Previous) == 0 {
 			f.add(places["voters"], "epoch %d needs (before …): the voters of the epoch before", out.Voters.Epoch)
 		}
 	}
@@ -305,8 +305,8 @@
 
 func (f *faults) instances(n *Node, args []*Node) (all []instance) {
 	seen, at := map[string]Place{}, map[netip.AddrPort]string{}
-	if len(args) > member.EntriesMost {
-		f.add(n.Place, "%d instances, %d can be", len(args), member.EntriesMost)
+	if len(args) > membership.MaxMembers {
+		f.add(n.Place, "%d instances, %d can be", len(args), membership.MaxMembers)
 		return nil
 	}
 	for _, item := range args {
