--- /dev/null
+++ b/cmd/tealpath/log_test.go
@@ -0,0 +1,60 @@
+package main
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestLogIsWrittenAtTheEnd(t *testing.T) {
+	var out strings.Builder
+	w := newLogWriter(&out)
+	var want strings.Builder
+	for n := range 100 {
+		fmt.Fprintln(w, "line", n)
+		fmt.Fprintln(&want, "line", n)
+	}
+	begun := time.Now()
+	w.Close()
+	if took := time.Since(begun); took > logCloseTimeout {
+		t.Errorf("closed after %v", took)
+	}
+	if out.String() != want.String() {
+		t.Errorf("written: %q", out.String())
+	}
+	fmt.Fprintln(w, "after the end") // by a goroutine that was left behind
+}
+
+// Nobody reads: who logs and the end of the process go on, and once somebody reads, it is said how many lines were lost.
+func TestLogThatNobodyReads(t *testing.T) {
+	in, out := io.Pipe()
+	w := newLogWriter(out)
+	const lines = 3 * logLines
+	begun := time.Now()
+	for n := range lines {
+		fmt.Fprintln(w, "line", n)
+	}
+	w.Close()
+	if took := time.Since(begun); took > time.Second {
+		t.Errorf("it took %v", took)
+	}
+	go func() {
+		<-w.closed
+		out.Close()
+	}()
+	written, lost := 0, 0
+	for text := bufio.NewScanner(in); text.Scan(); {
+		n := 0
+		if _, err := fmt.Sscanf(text.Text(), "{\"message\":\"%d lines of the log were lost\"}", &n); err == nil {
+			lost += n
+		} else {
+			written++
+		}
+	}
+	if lost == 0 || written+lost != lines {
+		t.Errorf("of %d lines %d were written and %d are said to be lost", lines, written, lost)
+	}
+}
--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -5,15 +5,12 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"os/signal"
 	"runtime/debug"
 	"syscall"
-	"time"
 
 	"github.com/rs/zerolog"
-	"github.com/rs/zerolog/diode"
 	"github.com/urfave/cli/v3"
 
 	"tealpath/config"
@@ -30,12 +27,6 @@
 	exitUsage  = 2
 )
 
-// The log is written apart, so many lines behind at most.
-const (
-	logLines = 1000
-	logPoll  = 100 * time.Millisecond
-)
-
 func main() {
 	if err := app().Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "tealpath:", err)
@@ -116,12 +107,7 @@
 	if err != nil {
 		return cli.Exit(err, exitUsage)
 	}
-	// Whoever reads the log must not hold the router up.
-	// Standard error is wrapped, as the writer would close it at its end: what keeps the router from starting
-	// went unsaid so.
-	out := diode.NewWriter(struct{ io.Writer }{os.Stderr}, logLines, logPoll, func(missed int) {
-		fmt.Fprintf(os.Stderr, "{\"message\":\"%d lines of the log were lost\"}\n", missed)
-	})
+	out := newLogWriter(os.Stderr)
 	defer out.Close()
 	log := zerolog.New(out).With().Timestamp().Logger()
 	err = process.New(c, file, log).Run(ctx, leave.Done(), again, func() (*config.Config, *operator.File, error) {
