--- a/plan/leave/leave.go
+++ b/plan/leave/leave.go
@@ -18,8 +18,9 @@
 	answerAfter = 350 * time.Millisecond
 	writeAfter  = killAfter - 100*time.Millisecond
 
-	// diskAfter is beyond the longest as well: until then a slow disk is waited for. The rest is for the log's last lines.
-	diskAfter = killAfter - 150*time.Millisecond
+	// diskAfter is beyond the longest as well: until then a slow disk is waited for. The rest is for the log's last lines, which
+	// take up to 0.1 s, on a busy machine.
+	diskAfter = killAfter - 300*time.Millisecond
 
 	// shutMost is for how long clients that are told that their connections end are waited for.
 	shutMost = 250 * time.Millisecond
--- a/plan/leave/leave_test.go
+++ b/plan/leave/leave_test.go
@@ -66,3 +66,13 @@
 		}
 	}
 }
+
+// A slow disk is waited for until the last answers could be written, and the process is gone before it is killed.
+func TestDiskBy(t *testing.T) {
+	for _, longest := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, time.Minute} {
+		p := New(5*ms, longest)
+		if by := p.DiskBy(); by < p.AnswerBy() || by > 5*ms+int64(min(longest, 3*time.Second)+500*time.Millisecond) {
+			t.Errorf("%v: %d ms after the start", longest, (by-5*ms)/ms)
+		}
+	}
+}
