--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -5,14 +5,12 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"os/signal"
 	"runtime/debug"
 	"syscall"
 
 	"github.com/rs/zerolog"
-	"github.com/rs/zerolog/diode"
 	"github.com/urfave/cli/v3"
 
 	"tealpath/config"
@@ -30,9 +28,6 @@
 	exitUsage  = 2
 )
 
-// logLines is by how many lines the log, which is written apart, may be behind.
-const logLines = 1000
-
 func main() {
 	if err := app().Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "tealpath:", err)
@@ -113,14 +108,7 @@
 	if err != nil {
 		return cli.Exit(err, exitUsage)
 	}
-	// Whoever reads the log must not hold the router up.
-	// Standard error is wrapped, as the writer would close it at its end: what keeps the router from starting
-	// went unsaid so.
-	// Its writer is woken by each line: one that looked each 100 ms held the end of the process up by as much, and the
-	// platform kills 100 ms after the last answers are written.
-	out := diode.NewWriter(struct{ io.Writer }{os.Stderr}, logLines, 0, func(missed int) {
-		fmt.Fprintf(os.Stderr, "{\"message\":\"%d lines of the log were lost\"}\n", missed)
-	})
+	out := newLogWriter(os.Stderr)
 	defer out.Close()
 	log := zerolog.New(out).With().Timestamp().Logger()
 	err = process.New(c, file, log, process.WithClock(clock.System())).Run(ctx, leave.Done(), again, func() (*config.Config, *operator.File, error) {
