--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -102,6 +102,30 @@
 	benchmarkDecisions(b, nil, none, Retrieval{Product: "harmless", Group: 1, Write: true})
 }
 
+// BenchmarkDecisionFewReached is an ordinary request where one cache in 64 can be reached.
+func BenchmarkDecisionFewReached(b *testing.B) {
+	for _, servers := range benchmarkSizes {
+		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
+			r, lines := benchmarkRouter(b, servers, nil)
+			reached := map[uint32]bool{}
+			for i, line := range lines {
+				reached[line.ID] = i%64 == 0 || line.Kind != "cache"
+			}
+			r.Reach = func(id uint32) bool { return reached[id] }
+			now := start
+			b.ReportAllocs()
+			for i := range b.N {
+				now += second / 10
+				asked := &Retrieval{Product: "harmless", Object: fmt.Sprint(i % benchmarkObjects), Group: 1, HardStop: now + 5*second}
+				if d := r.Where(now, asked); d.Verdict != Send {
+					b.Fatalf("request %d: %+v", i, d)
+				}
+				r.After(now+second/20, asked, Outcome{Result: Good, Spent: second / 20, Note: 1, Closed: true})
+			}
+		})
+	}
+}
+
 // BenchmarkListEvent is one line of the list that changes: a cache drains, and is ready again with the next.
 func BenchmarkListEvent(b *testing.B) {
 	for _, servers := range benchmarkSizes {
--- a/control/health.go
+++ b/control/health.go
@@ -40,6 +40,7 @@
 // slowestAnswer is the longest mean answer time of a product, in seconds.
 func (r *Router) slowestAnswer() float64 { return r.most(func(p *product) float64 { return p.answer }) }
 
+// signs is the evidence on a member, given the longest mean answer time.
 func (m *member) signs(now int64, answer float64) (silent, good, bad float64) {
 	good, bad = fade(m.good, now-m.scored, healthSpan), fade(m.bad, now-m.scored, healthSpan)
 	if len(m.out) == 0 {
@@ -65,8 +66,7 @@
 }
 
 // peerSigns sums up the evidence on all other caches of the location, or on all other parents; without a member on
-// all caches. Members with
-// nothing in flight and no scores would add nothing: they are left out.
+// all caches. Members with nothing in flight and no scores would add nothing: they are left out.
 func (r *Router) peerSigns(now int64, m *member) (silent, good, bad float64) {
 	peers, peerRole := r.caches, cacheRole
 	if m != nil && m.Location != r.home {
--- a/control/members.go
+++ b/control/members.go
@@ -19,6 +19,7 @@
 // memberList is a list of members in the order of their IDs.
 type memberList struct{ members []*member }
 
+// search gives the index of a member, or where it is to be inserted.
 func (l *memberList) search(m *member) (index int, found bool) {
 	return slices.BinarySearchFunc(l.members, m.ID, func(other *member, id uint32) int { return cmp.Compare(other.ID, id) })
 }
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -135,7 +135,7 @@
 
 // plainPick picks from a whole ranking: it is given as the batch of a selection that has nothing after it.
 func plainPick(r *Router, now int64, t *Retrieval, ranked []*member) *member {
-	whole := &candidates{tier: &tier{members: ranked}, exhausted: true, lastGiven: true}
+	whole := &candidates{tier: &tier{memberList: memberList{ranked}}, exhausted: true, lastGiven: true}
 	for i := range ranked {
 		whole.batch = append(whole.batch, candidate{index: i})
 	}
@@ -303,7 +303,7 @@
 		r := newRouter(t, nil)
 		var lines []Listing
 		equal := p.rng.IntN(2) == 0
-		for id := range 1 + p.rng.IntN(300) {
+		for id := range 1 + p.rng.IntN([]int{8, 60, 900}[round%3]) {
 			line := Listing{ID: uint32(id*7919 + 1), Location: "here", Kind: "cache", Phase: "ready", Units: 5}
 			if !equal {
 				line.Units = math.Exp(p.rng.NormFloat64() * 3)
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -14,16 +14,16 @@
 	firstBatch  = 4
 	hotSpread   = 3 // most caches that a hot object goes to; less than the first batch
 	batchGrowth = 8
+	batchMost   = 256 // a larger batch would take longer than sorting all that is left
 
 	// roundingMargin covers the rounding of a score where a bound of it stands in for it.
 	roundingMargin = 1 + 1e-12
 )
 
-// tier is a set of members in the order of their IDs. The figures that a scan needs lie side by side, so that it
-// reads little memory.
+// tier is a list of members with the figures that a scan needs side by side, so that it reads little memory.
 type tier struct {
-	members []*member
-	keys    []rankKey // of the member at the same index
+	memberList
+	keys []rankKey // of the member at the same index
 }
 
 // rankKey is what a member's score in a ranking depends on.
@@ -32,11 +32,6 @@
 	weight float64
 }
 
-// search gives the index of a member, or where it is to be inserted.
-func (t *tier) search(m *member) (index int, found bool) {
-	return slices.BinarySearchFunc(t.members, m.ID, func(other *member, id uint32) int { return cmp.Compare(other.ID, id) })
-}
-
 // put inserts a member or, if it is in the tier already, takes over its weight.
 func (t *tier) put(m *member) {
 	index, found := t.search(m)
@@ -157,12 +152,15 @@
 		after = c.batch[len(c.batch)-1]
 	}
 	c.batch, c.position = c.batch[:0], 0
-	if c.byLoad {
+	switch {
+	case c.batchSize > batchMost:
+		c.sortRest(after)
+	case c.byLoad:
 		c.scanByLoad(after)
-	} else {
+	default:
 		c.scanByScore(after)
 	}
-	c.exhausted = len(c.batch) < c.batchSize
+	c.exhausted = len(c.batch) < c.batchSize || c.batchSize > batchMost
 	c.batchSize *= batchGrowth
 	if first && c.spread > 1 {
 		slices.SortStableFunc(c.batch[:min(c.spread, len(c.batch))], func(a, b candidate) int {
@@ -171,6 +169,20 @@
 	}
 }
 
+// sortRest fills the batch with all that come after a candidate.
+func (c *candidates) sortRest(after candidate) {
+	for index, key := range c.tier.keys {
+		x := candidate{score: score(uniform(c.hash, key.id), key.weight), index: index}
+		if c.byLoad {
+			x.load = c.loads.of(c.tier.members[index])
+		}
+		if x.compare(after) > 0 {
+			c.batch = append(c.batch, x)
+		}
+	}
+	slices.SortFunc(c.batch, candidate.compare)
+}
+
 // scanByScore fills the batch with the least by score that come after a candidate.
 func (c *candidates) scanByScore(after candidate) {
 	worst := math.Inf(1)
