--- a/front/closes_linux_test.go
+++ b/front/closes_linux_test.go
@@ -214,3 +214,31 @@
 	unknown.Store(false)
 	health(t, conn)
 }
+
+// A client at rest that asks and closes its side, and waits to be read: its request is not sent on, and refused, as it may still read.
+func TestHalfClosedAtRestIsRefused(t *testing.T) {
+	var exhausted atomic.Bool
+	limits := keeping(4, time.Hour)
+	limits.Calls = failingCalls("poller", syscall.EMFILE, exhausted.Load)
+	f, events := serving(t, limits)
+	conn, gone := rests(t, f, true), rests(t, f, true)
+	exhausted.Store(true)
+	for _, c := range []net.Conn{conn, gone} {
+		c.Write(message(1, "call", 7, "\x00"))
+		c.(*net.TCPConn).CloseWrite()
+	}
+	gone.Close()
+	until(t, "they can't be resumed", f.postpones)
+	time.Sleep(100 * time.Millisecond) // longer than a client that has closed is waited with
+	exhausted.Store(false)
+	if got, err := answerOn(conn); err != nil || !strings.Contains(got, "call\x00\x00\x00\x07"+refusedField) {
+		t.Errorf("%q, %v", got, err)
+	}
+	if rest, err := io.ReadAll(conn); err != nil || len(rest) > 0 {
+		t.Errorf("its end: %q, %v", rest, err)
+	}
+	until(t, "their places come back", func() bool { return f.all() == 0 && f.refusing.Load() == 0 })
+	if len(events) > 0 {
+		t.Errorf("%s: sent on", <-events)
+	}
+}
--- a/front/endings_test.go
+++ b/front/endings_test.go
@@ -262,6 +262,9 @@
 		gone.Write(message(1, "call", 5, "\x00"))
 		gone.Close()
 	}
+	half := dial(t, f) // it may still read: refused, and not sent on either
+	half.Write(message(1, "call", 7, "\x00"))
+	half.(*net.TCPConn).CloseWrite()
 	stays := dial(t, f)
 	stays.Write(message(1, "call", 6, "\x00"))
 	for _, conn := range ahead {
@@ -277,6 +280,9 @@
 		t.Errorf("%s of a client that had gone while it waited", e)
 	case <-time.After(300 * time.Millisecond):
 	}
+	if got, err := answerOn(half); err != nil || !strings.Contains(got, "call\x00\x00\x00\x07"+refusedField) {
+		t.Errorf("the one that closed its side alone: %q, %v", got, err)
+	}
 	f.Answer(router.Answer{Client: 41, Seq: 6, Body: []byte("whole")})
 	if _, err := io.ReadFull(stays, make([]byte, 20)); err != nil {
 		t.Error(err)
--- a/front/front.go
+++ b/front/front.go
@@ -204,7 +204,7 @@
 	}
 	for {
 		if idle.Gone(int64(time.Since(since)), f.hungUp(conn)) {
-			conn.Close() // its client closed while it waited: what it asked for was sent for nobody, seconds later
+			f.refuse(ctx, conn) // its client closed while it waited: what it asked for was sent for nobody, seconds later
 			return true
 		}
 		id, generation, v := f.open(conn)
--- a/front/rest.go
+++ b/front/rest.go
@@ -503,8 +503,8 @@
 	return len(f.clients)
 }
 
-// resume makes a connection of a parked one, or closes it if it has ended, be it behind what it sent and what has waited to be
-// read since then.
+// resume makes a connection of a parked one, or closes it if it has ended. Where its client has closed behind what it sent, and that
+// has waited to be read since then, it is refused: the client may still read.
 func (f *Front) resume(ctx context.Context, key uint64, since time.Time) {
 	id, generation := unkey(key)
 	f.places.Lock()
@@ -513,7 +513,8 @@
 		return // it has made room, or its time was up
 	}
 	fd := int(f.at[id].fd)
-	if f.calls.Came(fd) == park.Ended || idle.Gone(int64(time.Since(since)), f.calls.HungUp(fd)) {
+	gone := idle.Gone(int64(time.Since(since)), f.calls.HungUp(fd))
+	if f.calls.Came(fd) == park.Ended {
 		f.lot.Close(fd)
 		f.at[id] = place{fd: -1}
 		f.table.Gone(id)
@@ -532,6 +533,13 @@
 		f.postpone(id, wakeUp{key, since})
 		return
 	}
+	if gone {
+		f.places.Lock()
+		f.table.Gone(id)
+		f.places.Unlock()
+		f.refuse(ctx, conn)
+		return
+	}
 	c := f.enter(conn, id, generation, !parked.fresh)
 	c.reading = true
 	f.run(ctx, c)
