--- a/front/filter_linux_test.go
+++ b/front/filter_linux_test.go
@@ -27,12 +27,16 @@
 var bench = []refusal{{unix.SYS_IO_URING_SETUP, unix.ENOSYS}, {unix.SYS_SPLICE, unix.EINVAL},
 	{unix.SYS_SENDFILE, unix.ENOSYS}, {unix.SYS_EXECVE, unix.ENOSYS}, {unix.SYS_CLONE3, unix.ENOSYS}}
 
+// wakesByItsOwn is the bench's filter, with no second descriptor at waking: what reads and writes then is another type.
+const wakesByItsOwn = "as on the bench, woken by its own descriptor"
+
 // filters are what the front is tried under: whether idle connections rest there, and what is refused.
 var filters = map[string]struct {
 	rests   bool
 	refused []refusal
 }{
 	"as on the bench":                 {true, bench},
+	wakesByItsOwn:                     {true, bench},
 	"no set of descriptors":           {false, append([]refusal{{unix.SYS_EPOLL_CREATE1, unix.ENOSYS}}, bench...)},
 	"no second descriptor":            {false, append([]refusal{{unix.SYS_FCNTL, unix.EINVAL}}, bench...)},
 	"no more descriptors in the sets": {false, nil}, // injected: the runtime needs the call itself
@@ -97,7 +101,11 @@
 	}
 	var mu sync.Mutex
 	var said []string
-	f := New(listener, keeping(100, time.Hour), func(router.Event) {}, func(line string) {
+	limits := keeping(100, time.Hour)
+	if name == wakesByItsOwn {
+		limits.Calls = failingCalls("connect", unix.EMFILE, func() bool { return true })
+	}
+	f := New(listener, limits, func(router.Event) {}, func(line string) {
 		mu.Lock()
 		defer mu.Unlock()
 		said = append(said, line)
