--- a/process/local_test.go
+++ b/process/local_test.go
@@ -1,10 +1,16 @@
 package process
 
 import (
+	"context"
+	"errors"
+	"fmt"
 	"net"
 	"os"
 	"syscall"
 	"testing"
+
+	"tealpath/config"
+	"tealpath/operator"
 )
 
 // What may pass is waited for at the start; what can't is told at once.
@@ -17,3 +23,25 @@
 		}
 	}
 }
+
+// A configuration that can't be read for want of descriptors or memory is read once it can be; one that is bad is told of at once.
+func TestLoadWhenPossible(t *testing.T) {
+	for errno, tries := range map[syscall.Errno]int{syscall.EMFILE: 4, syscall.ENFILE: 4, syscall.ENOMEM: 4, syscall.ENOENT: 1, syscall.EIO: 1} {
+		calls, lines := 0, 0
+		load := func() (*config.Config, *operator.File, error) {
+			if calls++; calls <= 3 {
+				return nil, nil, fmt.Errorf("configuration: %w", &os.PathError{Op: "open", Path: "x", Err: errno})
+			}
+			return &config.Config{}, nil, nil
+		}
+		next, _, err := loadWhenPossible(t.Context(), load, func(string) { lines++ })
+		if calls != tries || (next != nil) != (tries > 1) || tries == 1 && !errors.Is(err, errno) || lines != min(tries-1, 1) {
+			t.Errorf("%v: %d calls, %v, %d lines", errno, calls, err, lines)
+		}
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if _, _, err := loadWhenPossible(ctx, func() (*config.Config, *operator.File, error) { return nil, nil, syscall.EMFILE }, func(string) {}); err == nil {
+		t.Error("it does not end with the process")
+	}
+}
--- a/process/process.go
+++ b/process/process.go
@@ -229,7 +229,7 @@
 // reload takes the journal service's address from the configuration as it is now. All else is in force from the
 // next start on; one that cannot be used changes nothing.
 func (p *Process) reload(ctx context.Context, load func() (*config.Config, *operator.File, error), journal *feed.Feed) {
-	next, file, err := load()
+	next, file, err := loadWhenPossible(ctx, load, p.line)
 	if err == nil && p.shared != nil && file != nil {
 		err = p.shared.reload(ctx, file)
 	}
