--- a/front/closes_linux_test.go
+++ b/front/closes_linux_test.go
@@ -66,6 +66,9 @@
 				t.Fatalf("%q, %v", got, err)
 			}
 		}
+		if n := f.Open(); n < 3 { // the listener, the kept one, and this
+			t.Errorf("%d are open while one is being refused", n)
+		}
 		endsGently(t, conn)
 	}
 	health(t, kept)
--- a/front/rest.go
+++ b/front/rest.go
@@ -303,7 +303,7 @@
 	}
 	f.places.Lock()
 	defer f.places.Unlock()
-	return open + f.table.All() + len(f.closing)
+	return open + f.table.All() + len(f.closing) + int(f.refusing.Load())
 }
 
 // backlog tells whether a connection waits to be accepted.
