--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -598,9 +598,9 @@
 		switch {
 		case c.Name != n.config.Self.Name:
 			groups[[2]membership.State{c.State, c.Previous}] = append(groups[[2]membership.State{c.State, c.Previous}], c)
-		case c.Reason == "away":
+		case c.Reason == membership.ReasonAway:
 			n.do(Log{Line: fmt.Sprintf("this instance was away for %d ms; nothing is held against others for it", n.table.Away()/1e6)})
-		case c.Reason == "cut off":
+		case c.Reason == membership.ReasonCutOff:
 			n.do(Log{Line: "nothing is heard from any neighbour: this instance seems to be cut off"})
 		default:
 			n.do(Log{Line: "neighbours are heard again"})
--- /dev/null
+++ b/fleet/membership/digest.go
@@ -0,0 +1,84 @@
+package membership
+
+import (
+	"encoding/binary"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// digests is a digest of all entries believed alive, and one of each bucket of them, as of a revision of the table.
+type digests struct {
+	revision uint64
+	all      uint64
+	buckets  []uint64
+}
+
+// of returns the digests of a table as it is now.
+func (digests *digests) of(table *Table) (all uint64, buckets []uint64) {
+	if digests.buckets != nil && digests.revision == table.revision {
+		return digests.all, digests.buckets
+	}
+	digests.revision, digests.all = table.revision, 0
+	digests.buckets = make([]uint64, DigestBuckets)
+	digests.add(table.self)
+	for _, member := range table.members {
+		if member.State == Alive {
+			digests.add(member.Entry)
+		}
+	}
+	return digests.all, digests.buckets
+}
+
+func (digests *digests) add(entry Entry) {
+	if entry.Dead || entry.Leaving {
+		return
+	}
+	hash := hashEntry(entry)
+	digests.all ^= hash
+	digests.buckets[bucketOf(entry.Name)] ^= hash
+}
+
+func bucketOf(name string) int { return int(xxhash.Sum64String(name) % DigestBuckets) }
+
+// hashEntry is a hash of what tells an entry from others under its name.
+func hashEntry(entry Entry) uint64 {
+	key := make([]byte, 0, 24+len(entry.Name))
+	for _, number := range []uint64{entry.Start, entry.Incarnation, entry.Version} {
+		key = binary.LittleEndian.AppendUint64(key, number)
+	}
+	return xxhash.Sum64(append(key, entry.Name...))
+}
+
+// answerBuckets sends the entries of the buckets that differ, from a drawn one on, as many as one message holds. The asker's own
+// are among them: its clock may have been set back.
+func (table *Table) answerBuckets(to string, theirs []uint64) []Send {
+	_, buckets := table.digests.of(table)
+	names := map[int][]string{}
+	for _, name := range table.sortedNames() {
+		bucket := bucketOf(name)
+		names[bucket] = append(names[bucket], name)
+	}
+	var entries []Entry
+	add := func(name string) {
+		if entry, ok := table.toldEntry(name); ok && len(entries) < MaxPerMessage {
+			entries = append(entries, entry)
+		}
+	}
+	first := table.rng.IntN(DigestBuckets)
+	for i := range DigestBuckets {
+		bucket := (first + i) % DigestBuckets
+		if buckets[bucket] == theirs[bucket] {
+			continue
+		}
+		if bucket == bucketOf(table.self.Name) {
+			add(table.self.Name)
+		}
+		for _, name := range names[bucket] {
+			add(name)
+		}
+	}
+	if len(entries) == 0 {
+		return nil
+	}
+	return []Send{{To: to, Gossip: Gossip{Entries: entries}}}
+}
--- a/fleet/membership/explore_test.go
+++ b/fleet/membership/explore_test.go
@@ -8,149 +8,176 @@
 	"testing"
 )
 
-// step is one thing that happens for a while to three members.
-type step struct {
-	name string
-	span int64
-	do   func(c *crowd)
-	undo func(c *crowd)
+// event is one thing that happens for a while to three members.
+type event struct {
+	name     string
+	duration int64
+	begin    func(cluster *testCluster)
 }
 
-// steps are all of them: nothing, each way lost, all ways to or from one, everything twice, a pause, a restart, one with
-// the wall clock set back, one leaving and coming back; each for a moment and for long enough to be believed dead.
-func steps() (out []step) {
-	heal := func(c *crowd) { c.cut, c.twice = func(string, string) bool { return false }, false }
-	add := func(name string, do func(c *crowd)) {
-		for _, span := range []int64{second * 3 / 5, 4 * second} {
-			out = append(out, step{fmt.Sprintf("%s %d ms", name, span/1e6), span, do, heal})
+// end takes back what events do to links; pauses end by themselves, and restarts stay.
+func (event) end(cluster *testCluster) { cluster.cut, cluster.twice = noCut, false }
+
+// allEvents are: nothing, each way lost, all ways to or from one, everything twice, a pause, a restart, one with the wall clock set
+// back; each for a moment and for long enough to be believed dead.
+func allEvents() []event {
+	var events []event
+	add := func(name string, begin func(cluster *testCluster)) {
+		for _, duration := range []int64{second * 3 / 5, 4 * second} {
+			events = append(events, event{fmt.Sprintf("%s %d ms", name, duration/1e6), duration, begin})
 		}
 	}
-	add("nothing", func(*crowd) {})
-	add("twice", func(c *crowd) { c.twice = true })
+	cut := func(name string, cut func(from, to string) bool) {
+		add(name, func(cluster *testCluster) { cluster.cut = cut })
+	}
+	add("nothing", func(*testCluster) {})
+	add("twice", func(cluster *testCluster) { cluster.twice = true })
 	for i := range 3 {
-		a := fmt.Sprintf("n%03d", i)
-		add("deaf "+a, func(c *crowd) { c.cut = func(_, to string) bool { return to == a } })
-		add("mute "+a, func(c *crowd) { c.cut = func(from, _ string) bool { return from == a } })
-		add("cut off "+a, func(c *crowd) { c.cut = func(from, to string) bool { return from == a || to == a } })
-		add("paused "+a, func(c *crowd) { c.paused[a] = c.now + 3*second })
-		add("restarted "+a, func(c *crowd) { c.start(a, uint64(c.now/1e6)) })
-		add("restarted with its clock set back "+a, func(c *crowd) { c.start(a, 1) })
+		name := fmt.Sprintf("n%03d", i)
+		cut("deaf "+name, func(_, to string) bool { return to == name })
+		cut("mute "+name, func(from, _ string) bool { return from == name })
+		cut("cut off "+name, func(from, to string) bool { return from == name || to == name })
+		add("paused "+name, func(cluster *testCluster) { cluster.pausedUntil[name] = cluster.now + 3*second })
+		add("restarted "+name, func(cluster *testCluster) { cluster.start(name, cluster.wallMS()) })
+		add("restarted with its clock set back "+name, func(cluster *testCluster) { cluster.start(name, 1) })
 		for j := range 3 {
-			if b := fmt.Sprintf("n%03d", j); a != b {
-				add("lost from "+a+" to "+b, func(c *crowd) { c.cut = func(from, to string) bool { return from == a && to == b } })
+			if other := fmt.Sprintf("n%03d", j); name != other {
+				cut("lost from "+name+" to "+other, func(from, to string) bool { return from == name && to == other })
 			}
 		}
 	}
-	return out
+	return events
+}
+
+// course plays events and watches what each says of itself.
+type course struct {
+	*testCluster
+	issued map[string]map[uint64]uint64 // by name and incarnation: the highest version that it has said of itself
 }
 
-// explored is what a course of steps broke; empty is nothing.
-func explored(t *testing.T, course []step, f fault) string {
-	c := newCrowd(t, 3)
-	if f != (fault{}) {
-		c.fault = f
-		for _, name := range c.names {
-			c.start(name, uint64(c.now/1e6))
+// check returns what is wrong at this instant; empty is nothing.
+func (course *course) check() string {
+	for _, name := range course.names {
+		self := course.tables[name].Self()
+		if course.issued[name] == nil {
+			course.issued[name] = map[uint64]uint64{}
 		}
-	}
-	issued := map[string]map[uint64]uint64{} // by name and incarnation: the highest version that it has said of itself
-	wrong := ""
-	look := func() {
-		for _, name := range c.names {
-			e := c.tables[name].Self()
-			if issued[name] == nil {
-				issued[name] = map[uint64]uint64{}
-			}
-			if e.Version < issued[name][e.Incarnation] {
-				wrong = name + " went back"
-			}
-			issued[name][e.Incarnation] = e.Version
+		if self.Version < course.issued[name][self.Incarnation] {
+			return name + " went back"
 		}
-		for _, name := range c.names {
-			for _, v := range c.tables[name].Members() {
-				if v.State == Alive && v.Version > issued[v.Name][v.Incarnation] {
-					wrong = fmt.Sprintf("%s believes in version %d of %s, which it never had", name, v.Version, v.Name)
-				}
+		course.issued[name][self.Incarnation] = self.Version
+	}
+	for _, name := range course.names {
+		for _, member := range course.tables[name].Members() {
+			if member.State == Alive && member.Version > course.issued[member.Name][member.Incarnation] {
+				return fmt.Sprintf("%s believes in version %d of %s, which it never had", name, member.Version, member.Name)
 			}
 		}
 	}
-	run := func(span int64) {
-		for end := c.now + span; c.now < end && wrong == ""; {
-			c.play(second / 5)
-			look()
+	return ""
+}
+
+// runChecked lets time go on until something is wrong.
+func (course *course) runChecked(duration int64) (wrong string) {
+	for end := course.now + duration; course.now < end && wrong == ""; {
+		course.run(second / 5)
+		wrong = course.check()
+	}
+	return wrong
+}
+
+// checkEnd returns what is wrong once all is over: then all believe in all, as they are now, and hand on the same view.
+func (course *course) checkEnd() string {
+	for _, name := range course.names {
+		for _, member := range course.tables[name].Members() {
+			self := course.tables[member.Name].Self()
+			if member.State != Alive || member.Incarnation != self.Incarnation || member.Version != self.Version {
+				return fmt.Sprintf("in the end %s believes %s %s, version %d of %d",
+					name, member.Name, member.State, member.Version, self.Version)
+			}
 		}
 	}
-	run(3 * second)
-	for _, s := range course {
-		s.do(c)
-		run(s.span)
-		s.undo(c)
+	if name := course.otherView(); name != "" {
+		return name + " hands on another view in the end"
 	}
-	// Whatever it was: once it is over all believe in all, as they are now, and hand on the same view.
-	run(14 * second)
-	if wrong != "" {
+	return ""
+}
+
+// explore plays a course of events and returns what it broke; empty is nothing.
+func explore(t *testing.T, events []event, fault plantedFault) string {
+	t.Helper()
+	course := &course{newFaultyCluster(t, 3, fault), map[string]map[uint64]uint64{}}
+	if wrong := course.runChecked(3 * second); wrong != "" {
 		return wrong
 	}
-	var first uint64
-	for i, name := range c.names {
-		for _, v := range c.tables[name].Members() {
-			if own := c.tables[v.Name].Self(); v.State != Alive || v.Incarnation != own.Incarnation || v.Version != own.Version {
-				return fmt.Sprintf("in the end %s believes %s %s, version %d of %d", name, v.Name, v.State, v.Version, own.Version)
-			}
-		}
-		if _, digest, _ := c.tables[name].ViewInfo(); i == 0 {
-			first = digest
-		} else if digest != first {
-			return name + " hands on another view in the end"
+	for _, event := range events {
+		event.begin(course.testCluster)
+		if wrong := course.runChecked(event.duration); wrong != "" {
+			return wrong
 		}
+		event.end(course.testCluster)
 	}
-	return ""
+	if wrong := course.runChecked(14 * second); wrong != "" {
+		return wrong
+	}
+	return course.checkEnd()
+}
+
+// exploreCourses is how many courses are drawn; TEALPATH_EXPLORE asks for more.
+func exploreCourses(usual int) int {
+	if asked, err := strconv.Atoi(os.Getenv("TEALPATH_EXPLORE")); err == nil {
+		return asked
+	}
+	return usual
 }
 
-// Every course of two steps, and drawn ones of four; with TEALPATH_EXPLORE=N so many drawn ones, and every one of three for
+// Every course of two events, and drawn ones of four; with TEALPATH_EXPLORE=N so many drawn ones, and every one of three for
 // N above 1,000,000.
 func TestExplore(t *testing.T) {
-	all, drawn := steps(), 400
-	if n, err := strconv.Atoi(os.Getenv("TEALPATH_EXPLORE")); err == nil {
-		drawn = n
-	}
+	const maxDrawn = 1_000_000
+	all, drawn := allEvents(), exploreCourses(400)
 	tried := 0
-	try := func(course ...step) {
+	try := func(events ...event) {
 		tried++
-		if wrong := explored(t, course, fault{}); wrong != "" {
+		if wrong := explore(t, events, plantedFault{}); wrong != "" {
 			names := ""
-			for _, s := range course {
-				names += s.name + "; "
+			for _, event := range events {
+				names += event.name + "; "
 			}
 			t.Fatalf("%s: %s", names, wrong)
 		}
 	}
-	for _, a := range all {
-		for _, b := range all {
+	for _, first := range all {
+		for _, next := range all {
 			if testing.Short() && tried > 200 {
 				break
 			}
-			try(a, b)
-			if drawn > 1_000_000 {
-				for _, c := range all {
-					try(a, b, c)
+			try(first, next)
+			if drawn > maxDrawn {
+				for _, third := range all {
+					try(first, next, third)
 				}
 			}
 		}
 	}
 	rng := rand.New(rand.NewPCG(7, 7))
-	for range min(drawn, 1_000_000) {
-		try(all[rng.IntN(len(all))], all[rng.IntN(len(all))], all[rng.IntN(len(all))], all[rng.IntN(len(all))])
+	draw := func() event { return all[rng.IntN(len(all))] }
+	for range min(drawn, maxDrawn) {
+		try(draw(), draw(), draw(), draw())
 	}
 	t.Logf("%d courses", tried)
-	// What must be found.
+}
+
+// A planted fault is found by courses of one event.
+func TestExploreFindsNoRefuting(t *testing.T) {
 	found := 0
-	for _, a := range all {
-		if explored(t, []step{a}, fault{noRefuting: true}) != "" {
+	for _, one := range allEvents() {
+		if explore(t, []event{one}, plantedFault{noRefuting: true}) != "" {
 			found++
 		}
 	}
 	if found == 0 {
 		t.Error("one that can't refute is not found")
 	}
+	t.Logf("found in %d courses", found)
 }
--- /dev/null
+++ b/fleet/membership/news.go
@@ -0,0 +1,113 @@
+package membership
+
+import (
+	"maps"
+	"slices"
+)
+
+// queuedReport is a report to be passed on to all but who told it.
+type queuedReport struct {
+	Report
+	from string
+}
+
+// newsQueue is what is to be passed on.
+type newsQueue struct {
+	entries map[string]string // names whose entry goes to all but who told it
+	reports []queuedReport
+	sendAt  int64 // 0: there is nothing
+}
+
+func newNewsQueue() newsQueue { return newsQueue{entries: map[string]string{}} }
+
+// schedule has what is new sent soon.
+func (queue *newsQueue) schedule(now, interval int64) {
+	if queue.sendAt == 0 {
+		queue.sendAt = now + interval/batchPart
+	}
+}
+
+// passOn has an entry passed on to all but from.
+func (table *Table) passOn(now int64, name, from string) {
+	table.news.entries[name] = from
+	table.news.schedule(now, table.config.HeartbeatInterval)
+}
+
+// passOnReport has a report passed on to all but from.
+func (table *Table) passOnReport(now int64, report Report, from string) {
+	table.news.reports = append(table.news.reports, queuedReport{report, from})
+	table.news.schedule(now, table.config.HeartbeatInterval)
+}
+
+// newsBatch is the news of one message, with who told each.
+type newsBatch struct {
+	entries []Entry
+	from    []string // of each entry
+	reports []queuedReport
+}
+
+// take takes what is new out of the queue, as much as one message holds.
+func (queue *newsQueue) take(table *Table) newsBatch {
+	var batch newsBatch
+	names := slices.Sorted(maps.Keys(queue.entries))
+	for _, name := range names[:min(len(names), MaxPerMessage)] {
+		from := queue.entries[name]
+		delete(queue.entries, name)
+		entry, ok := table.toldEntry(name)
+		if !ok {
+			continue
+		}
+		batch.entries, batch.from = append(batch.entries, entry), append(batch.from, from)
+	}
+	count := min(len(queue.reports), MaxPerMessage)
+	batch.reports = queue.reports[:count:count]
+	queue.reports = slices.Clone(queue.reports[count:])
+	if tooMany := len(queue.reports) - maxQueuedNews; tooMany > 0 {
+		queue.reports = queue.reports[tooMany:]
+	}
+	return batch
+}
+
+// toldEntry is the entry of a name as it is told, if something is to be told of it.
+func (table *Table) toldEntry(name string) (Entry, bool) {
+	if name == table.self.Name {
+		return table.self, true
+	}
+	member := table.members[name]
+	if member == nil || member.State == Unheard {
+		return Entry{}, false
+	}
+	return member.told(), true
+}
+
+// forPeer is a message of the news that a peer has not told itself.
+func (batch newsBatch) forPeer(name string) Gossip {
+	var gossip Gossip
+	for i, entry := range batch.entries {
+		if batch.from[i] != name {
+			gossip.Entries = append(gossip.Entries, entry)
+		}
+	}
+	for _, report := range batch.reports {
+		if report.from != name && report.Observer != name {
+			gossip.Reports = append(gossip.Reports, report.Report)
+		}
+	}
+	return gossip
+}
+
+// sendNews passes what is new on, once by every link.
+func (table *Table) sendNews(now int64) []Send {
+	batch := table.news.take(table)
+	table.news.sendAt = 0
+	if len(table.news.entries) > 0 || len(table.news.reports) > 0 {
+		table.news.schedule(now, table.config.HeartbeatInterval)
+	}
+	var sends []Send
+	for _, name := range table.links.sortedNames() {
+		if gossip := batch.forPeer(name); len(gossip.Entries)+len(gossip.Reports) > 0 {
+			sends = append(sends, Send{To: name, Gossip: gossip})
+		}
+	}
+	return sends
+}
--- /dev/null
+++ b/fleet/membership/view.go
@@ -0,0 +1,98 @@
+package membership
+
+import (
+	"cmp"
+	"encoding/binary"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// view is what is handed on: the entries that count, held back while what is known keeps changing.
+type view struct {
+	entries      []Entry
+	number       uint64 // of views handed on
+	handedAt     int64
+	dirtySince   int64 // since when what is known differs from the view, or never
+	changedAt    int64 // when it last changed
+	heldOutUntil int64 // when the next one that is held out may count; 0: none is
+}
+
+// touch notes that what is known differs from the view handed on.
+func (table *Table) touch(now int64) {
+	table.view.changedAt = now
+	if !happened(table.view.dirtySince) {
+		table.view.dirtySince = now
+	}
+}
+
+// settleView hands the view on once it has stopped changing, or has gone on changing for long: a zone that is lost is one change.
+func (table *Table) settleView(now int64) {
+	view, interval := &table.view, table.config.HeartbeatInterval
+	if view.heldOutUntil > 0 && now >= view.heldOutUntil {
+		table.touch(now - interval)
+		view.heldOutUntil = 0
+	}
+	quiet := now-view.changedAt >= interval/quietPart
+	tooLong := now-view.dirtySince >= table.config.intervals(maxChanging)
+	if happened(view.dirtySince) && (quiet || tooLong) {
+		table.publish(now)
+	}
+}
+
+// publish hands the view on as it is.
+func (table *Table) publish(now int64) {
+	view := &table.view
+	view.dirtySince = never
+	var entries []Entry
+	if !table.self.Leaving {
+		entries = append(entries, table.self)
+	}
+	for _, name := range table.sortedNames() {
+		member := table.members[name]
+		table.updateHeldOut(now, member)
+		if member.State == Alive && !member.HeldOut {
+			entries = append(entries, member.Entry)
+		}
+	}
+	slices.SortFunc(entries, func(a, b Entry) int { return cmp.Compare(a.Name, b.Name) })
+	same := slices.EqualFunc(entries, view.entries, sameInView)
+	view.entries = entries
+	if !same || view.number == 0 {
+		view.number++
+		view.handedAt = now
+		table.version++
+	}
+	table.updateRings(now)
+}
+
+// sameInView tells whether two entries are the same to those that the view is handed to.
+func sameInView(a, b Entry) bool {
+	return a.Name == b.Name && a.Weight == b.Weight && a.Address == b.Address && a.Incarnation == b.Incarnation
+}
+
+// updateHeldOut holds a member that keeps dying out of the view, and notes when it may count.
+func (table *Table) updateHeldOut(now int64, member *record) {
+	countsFrom := member.Since + member.holdOut(table.config.HeartbeatInterval)
+	member.HeldOut = member.State == Alive && now < countsFrom
+	if !member.HeldOut {
+		return
+	}
+	if view := &table.view; view.heldOutUntil == 0 || countsFrom < view.heldOutUntil {
+		view.heldOutUntil = countsFrom
+	}
+}
+
+// Alive is who can hold leases, as of the view handed on: the own instance unless it leaves, and whoever is believed alive, by
+// name.
+func (table *Table) Alive() []Entry { return table.view.entries }
+
+// ViewInfo is the number here of the view handed on, its digest, which is the same wherever the same is believed, and since when
+// it is handed on.
+func (table *Table) ViewInfo() (number, digest uint64, since int64) {
+	for _, entry := range table.view.entries {
+		incarnation := binary.LittleEndian.AppendUint64(nil, entry.Incarnation)
+		digest ^= xxhash.Sum64String(entry.Name + "\x00" + string(incarnation))
+	}
+	return table.view.number, digest, table.view.handedAt
+}
