--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -156,8 +156,8 @@
 		majority = "NO MAJORITY: nobody here acts"
 	}
 	fmt.Printf("%s, voters of epoch %d: %s; %s\n", s.Name, s.Epoch, strings.Join(s.Voters, " "), majority)
-	if s.Why != "" {
-		fmt.Println("why:", s.Why)
+	if s.Reason != "" {
+		fmt.Println("why:", s.Reason)
 	}
 	out := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	defer out.Flush()
@@ -178,7 +178,7 @@
 		fmt.Fprintf(out, "%d\t%s\t%x\t%s\t%s\t%s\n", x.SlotStatus.Slot, cmp.Or(x.Holder, "-"), x.Ballot, since, x.Planned, x.Reason)
 	}
 	fmt.Fprintf(out, "\n%d targets are probed, %d of them here; %d probes left out to spare cold ones, %d stale findings dropped\n",
-		s.Targets, s.OwnTargets, s.Skipped, s.Stale)
+		s.Targets, s.OwnTargets, s.Skipped, s.StaleResults)
 	fmt.Fprintf(out, "%d frames sent to other instances, %d dropped from full queues; %d probes sent\n", s.Frames, s.FramesLost, s.Probes)
 }
 
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -26,38 +26,38 @@
 
 // Config is what an instance starts with.
 type Config struct {
-	Self     lease.Instance
-	Address  string // where it takes links
-	Weight   float64
-	Contacts []membership.Contact // the instances of the file, the own one among them or not
-	Duty     lease.Config         // Self and Seed are filled in from here
-	Probe    *probe.Config        // nil: nothing is probed
-	Seed     uint64
-	Wall     int64      // ms since 1970, at the start
-	Members  Membership // zero: as of the renewals
+	Self       lease.Instance
+	Address    string // where it takes links
+	Weight     float64
+	Contacts   []membership.Contact // the instances of the file, the own one among them or not
+	Lease      lease.Config         // Self and Seed are filled in from here
+	Probe      *probe.Config        // nil: nothing is probed
+	Seed       uint64
+	WallMS     int64            // ms since 1970, at the start
+	Membership MembershipConfig // zero: as of the renewals
 }
 
-// Membership is how members watch each other.
-type Membership struct {
-	Interval int64 // between two beats, ns; 0 is a renewal
-	Quiet    int64 // without a sign from which one is reported, ns; 0 is three intervals
+// MembershipConfig is how members watch each other.
+type MembershipConfig struct {
+	HeartbeatInterval int64 // between two beats, ns; 0 is a renewal
+	SilenceTimeout    int64 // without a sign from which one is reported, ns; 0 is three intervals
 }
 
-// Finding is what a probe found.
-type Finding struct {
-	Target string    `cbor:"1,keyasint"`
-	Number uint64    `cbor:"2,keyasint"` // under which it was probed
-	Good   bool      `cbor:"3,keyasint"`
-	Load   []float64 `cbor:"4,keyasint,omitempty"`
-	Seq    uint64    `cbor:"5,keyasint,omitempty"` // grows with each finding of a number
+// ProbeResult is what a probe found.
+type ProbeResult struct {
+	Target  string    `cbor:"1,keyasint"`
+	Ballot  uint64    `cbor:"2,keyasint"` // under which it was probed
+	Healthy bool      `cbor:"3,keyasint"`
+	Load    []float64 `cbor:"4,keyasint,omitempty"`
+	Seq     uint64    `cbor:"5,keyasint,omitempty"` // grows with each finding of a number
 }
 
 // Message is what instances send each other.
 type Message struct {
-	Highest  uint64             `cbor:"2,keyasint,omitempty"` // number known
-	Duty     *lease.Message     `cbor:"3,keyasint,omitempty"`
-	Findings []Finding          `cbor:"4,keyasint,omitempty"`
-	Gossip   *membership.Gossip `cbor:"5,keyasint,omitempty"`
+	HighestBallot uint64             `cbor:"2,keyasint,omitempty"` // number known
+	Lease         *lease.Message     `cbor:"3,keyasint,omitempty"`
+	ProbeResults  []ProbeResult      `cbor:"4,keyasint,omitempty"`
+	Gossip        *membership.Gossip `cbor:"5,keyasint,omitempty"`
 }
 
 var decoding = func() cbor.DecMode {
@@ -80,12 +80,12 @@
 	switch {
 	case m.Gossip != nil && len(m.Gossip.Entries)+len(m.Gossip.Reports) > 2*membership.MaxPerMessage+2:
 		return Message{}, fmt.Errorf("%d members and %d reports", len(m.Gossip.Entries), len(m.Gossip.Reports))
-	case len(m.Findings) > findingsMost:
-		return Message{}, fmt.Errorf("%d findings", len(m.Findings))
-	case m.Duty != nil && (m.Duty.Kind < lease.Prepare || m.Duty.Kind > lease.Release):
-		return Message{}, fmt.Errorf("kind %d", m.Duty.Kind)
+	case len(m.ProbeResults) > findingsMost:
+		return Message{}, fmt.Errorf("%d findings", len(m.ProbeResults))
+	case m.Lease != nil && (m.Lease.Kind < lease.Prepare || m.Lease.Kind > lease.Release):
+		return Message{}, fmt.Errorf("kind %d", m.Lease.Kind)
 	}
-	for _, f := range m.Findings {
+	for _, f := range m.ProbeResults {
 		if len(f.Load) > loadMost {
 			return Message{}, errors.New("a load report too long")
 		}
@@ -96,26 +96,26 @@
 // Event is something that came in.
 type Event any
 
-// Came is a message from another instance, whose name and start the link has proved.
-type Came struct {
+// MessageReceived is a message from another instance, whose name and start the link has proved.
+type MessageReceived struct {
 	From    lease.Instance
 	Message Message
 }
 
-// Listed is the list of targets as it is now.
-type Listed struct{ Targets []probe.Target }
+// TargetsUpdated is the list of targets as it is now.
+type TargetsUpdated struct{ Targets []probe.Target }
 
-// Probed tells how a probe ended.
-type Probed struct{ Finding }
+// ProbeEnded tells how a probe ended.
+type ProbeEnded struct{ ProbeResult }
 
-// Due tells that it is time, or that it may be; Wall is the wall clock, ms since 1970.
-type Due struct{ Wall int64 }
+// TimerFired tells that it is time, or that it may be; Wall is the wall clock, ms since 1970.
+type TimerFired struct{ WallMS int64 }
 
-// Leaving tells that this instance is to end.
-type Leaving struct{}
+// ShutdownStarted tells that this instance is to end.
+type ShutdownStarted struct{}
 
-// Changed is a newer configuration. Contacts, weights and voters change in a running instance.
-type Changed struct {
+// ConfigChanged is a newer configuration. Contacts, weights and voters change in a running instance.
+type ConfigChanged struct {
 	Contacts []membership.Contact
 	Weight   float64
 	Voters   lease.Voters
@@ -133,33 +133,33 @@
 // Peer is an instance to which a link is to stand.
 type Peer struct{ Name, Address string }
 
-// Link wants links to these and to no others.
-type Link struct{ Peers []Peer }
+// SetPeers wants links to these and to no others.
+type SetPeers struct{ Peers []Peer }
 
-// Ask wants a target probed: written before Until by this clock, or not at all.
-type Ask struct{ probe.Probe }
+// SendProbe wants a target probed: written before Until by this clock, or not at all.
+type SendProbe struct{ probe.Probe }
 
-// Held tells under which number a slot is held from now on, 0 if it no longer is. It comes before any message that
+// LeaseChanged tells under which number a slot is held from now on, 0 if it no longer is. It comes before any message that
 // would let somebody else have the slot: what is on its way to be done under it must see that.
-type Held struct {
+type LeaseChanged struct {
 	Slot   int
-	Number uint64
+	Ballot uint64
 }
 
-// Found tells the router what a probe found, here or elsewhere.
-type Found struct{ Finding }
+// TargetProbed tells the router what a probe found, here or elsewhere.
+type TargetProbed struct{ ProbeResult }
 
 // Log wants a line logged, with the figures that caused it.
 type Log struct {
 	Line   string
 	Member string
 	Slots  []int
-	Number uint64
-	Why    string
+	Ballot uint64
+	Reason string
 }
 
-// Timer wants Due at a time.
-type Timer struct{ At int64 }
+// SetTimer wants Due at a time.
+type SetTimer struct{ At int64 }
 
 // periodic is one kind of periodic duty: it is told which slots are held, and says what is to be done now for those that
 // are. Each kind hashes its own duties to slots (lease.SlotOf).
@@ -176,7 +176,7 @@
 // Do gives the probes that are to go out.
 func (p probing) Do(now int64, owns func(slot int) (number uint64, until int64, ok bool)) (out []Effect) {
 	for _, x := range p.Due(now, owns) {
-		out = append(out, Ask{x})
+		out = append(out, SendProbe{x})
 	}
 	return out
 }
@@ -196,7 +196,7 @@
 	seen    map[string]finding // the newest finding of a target, as told
 	seq     uint64             // of the own findings
 	stale   int64              // findings under a number older than one seen
-	found   []Finding          // to be told
+	found   []ProbeResult      // to be told
 	foundAt int64              // when they are
 	reached bool
 	told    bool // whether it was ever told that there is or is no majority
@@ -217,22 +217,22 @@
 
 // New makes a node.
 func New(now int64, c Config) (*Node, error) {
-	c.Duty.Self, c.Duty.Seed = c.Self, c.Seed
-	d, err := lease.New(now, c.Duty)
+	c.Lease.Self, c.Lease.Seed = c.Self, c.Seed
+	d, err := lease.New(now, c.Lease)
 	if err != nil {
 		return nil, err
 	}
-	interval := cmp.Or(c.Members.Interval, c.Duty.RenewInterval)
+	interval := cmp.Or(c.Membership.HeartbeatInterval, c.Lease.RenewInterval)
 	n := &Node{config: c, leases: d, seen: map[string]finding{}, wanted: map[string]int64{}, started: now, table: membership.New(now, membership.Config{
 		Self: membership.Entry{Name: c.Self.Name, Incarnation: c.Self.Incarnation, Address: c.Address, Weight: c.Weight,
-			Epoch: c.Duty.Voters.Epoch, Start: uint64(max(1, c.Wall))},
-		Contacts: c.Contacts, HeartbeatInterval: interval, SilenceTimeout: c.Members.Quiet, ReplacedTimeout: c.Duty.RestartSilence(), Seed: c.Seed,
+			Epoch: c.Lease.Voters.Epoch, Start: uint64(max(1, c.WallMS))},
+		Contacts: c.Contacts, HeartbeatInterval: interval, SilenceTimeout: c.Membership.SilenceTimeout, ReplacedTimeout: c.Lease.RestartSilence(), Seed: c.Seed,
 		NextHeartbeat: func(now int64) int64 { return lease.NextTick(now, c.Self.Name, interval) }})}
 	if c.Probe != nil {
 		if err := c.Probe.Check(); err != nil {
 			return nil, err
 		}
-		c.Probe.Slots, c.Probe.Drift = c.Duty.Slots, c.Duty.MaxClockDrift
+		c.Probe.Slots, c.Probe.Drift = c.Lease.Slots, c.Lease.MaxClockDrift
 		n.probe = probe.New(*c.Probe)
 		n.duties = append(n.duties, probing{n.probe})
 	}
@@ -244,19 +244,19 @@
 	clear(n.effects)
 	n.effects = n.effects[:0]
 	switch e := e.(type) {
-	case Came:
+	case MessageReceived:
 		n.came(now, e)
-	case Listed:
+	case TargetsUpdated:
 		if n.probe != nil {
 			n.probe.Targets(now, e.Targets)
 		}
-	case Probed:
+	case ProbeEnded:
 		n.probed(now, e)
-	case Due:
-		n.due(now, e.Wall)
-	case Leaving:
+	case TimerFired:
+		n.due(now, e.WallMS)
+	case ShutdownStarted:
 		n.leave(now)
-	case Changed:
+	case ConfigChanged:
 		n.changed(now, e)
 	}
 	n.follow(now)
@@ -271,14 +271,14 @@
 func join(effects []Effect) []Effect {
 	out := make([]Effect, 0, len(effects))
 	for _, e := range effects {
-		if _, ok := e.(Held); ok {
+		if _, ok := e.(LeaseChanged); ok {
 			out = append(out, e)
 		}
 	}
 	first := map[string]int{}
 	for _, e := range effects {
 		switch e := e.(type) {
-		case Held:
+		case LeaseChanged:
 		case Send:
 			at, been := first[e.To]
 			if !been {
@@ -287,22 +287,22 @@
 				continue
 			}
 			one := out[at].(Send)
-			if one.Message.Duty != nil && e.Message.Duty != nil || one.Message.Gossip != nil && e.Message.Gossip != nil ||
-				one.Message.Findings != nil && e.Message.Findings != nil {
+			if one.Message.Lease != nil && e.Message.Lease != nil || one.Message.Gossip != nil && e.Message.Gossip != nil ||
+				one.Message.ProbeResults != nil && e.Message.ProbeResults != nil {
 				first[e.To] = len(out)
 				out = append(out, e)
 				continue
 			}
-			if e.Message.Duty != nil {
-				one.Message.Duty = e.Message.Duty
+			if e.Message.Lease != nil {
+				one.Message.Lease = e.Message.Lease
 			}
 			if e.Message.Gossip != nil {
 				one.Message.Gossip = e.Message.Gossip
 			}
-			if e.Message.Findings != nil {
-				one.Message.Findings = e.Message.Findings
+			if e.Message.ProbeResults != nil {
+				one.Message.ProbeResults = e.Message.ProbeResults
 			}
-			one.Message.Highest = max(one.Message.Highest, e.Message.Highest)
+			one.Message.HighestBallot = max(one.Message.HighestBallot, e.Message.HighestBallot)
 			out[at] = one
 		default:
 			out = append(out, e)
@@ -312,7 +312,7 @@
 }
 
 // came takes a message. A vote does not count from a name under which two may be running, nor is one given by such.
-func (n *Node) came(now int64, e Came) {
+func (n *Node) came(now int64, e MessageReceived) {
 	n.table.ObserveIncarnation(now, e.From.Name, e.From.Incarnation)
 	if g := e.Message.Gossip; g != nil {
 		tell, changes := n.table.Receive(now, e.From.Name, *g)
@@ -323,8 +323,8 @@
 			n.leases.ObserveEpoch(entry.Name, entry.Epoch)
 		}
 	}
-	n.leases.ObserveBallot(e.Message.Highest)
-	if m := e.Message.Duty; m != nil {
+	n.leases.ObserveBallot(e.Message.HighestBallot)
+	if m := e.Message.Lease; m != nil {
 		vote := m.Kind == lease.Promise || m.Kind == lease.Accept
 		asked := m.Kind == lease.Prepare || m.Kind == lease.Propose
 		switch {
@@ -333,9 +333,9 @@
 			n.leases.Receive(now, e.From, *m)
 		}
 	}
-	for _, f := range e.Message.Findings {
+	for _, f := range e.Message.ProbeResults {
 		if n.relays() {
-			if seen, known := n.seen[f.Target]; known && !seen.before(finding{f.Number, f.Seq}) {
+			if seen, known := n.seen[f.Target]; known && !seen.before(finding{f.Ballot, f.Seq}) {
 				continue // it came by another way
 			}
 			if len(n.found) < findingsMost {
@@ -350,33 +350,33 @@
 func (n *Node) relays() bool { return len(n.table.Alive()) > membership.MaxNeighbours+1 }
 
 // take takes a finding, unless somebody probed under a higher number before: its sender may have been frozen.
-func (n *Node) take(f Finding) {
+func (n *Node) take(f ProbeResult) {
 	seen, known := n.seen[f.Target]
-	if f.Number < seen.number {
+	if f.Ballot < seen.number {
 		n.stale++
 		return
 	}
 	const most = 1 << 14 // targets that peers may name
 	if known || len(n.seen) < most {
-		n.seen[f.Target] = finding{f.Number, f.Seq}
+		n.seen[f.Target] = finding{f.Ballot, f.Seq}
 	}
-	n.leases.ObserveBallot(f.Number)
-	n.do(Found{f})
+	n.leases.ObserveBallot(f.Ballot)
+	n.do(TargetProbed{f})
 }
 
-func (n *Node) probed(now int64, e Probed) {
+func (n *Node) probed(now int64, e ProbeEnded) {
 	if n.probe == nil {
 		return
 	}
-	n.probe.Done(now, e.Target, e.Good)
-	if seen := n.seen[e.Target].number; e.Number < seen {
-		n.leases.Reacquire(now, lease.SlotOf(e.Target, n.config.Duty.Slots), seen)
+	n.probe.Done(now, e.Target, e.Healthy)
+	if seen := n.seen[e.Target].number; e.Ballot < seen {
+		n.leases.Reacquire(now, lease.SlotOf(e.Target, n.config.Lease.Slots), seen)
 	}
 	n.seq++
 	e.Seq = n.seq
-	n.take(e.Finding)
+	n.take(e.ProbeResult)
 	if len(n.found) < findingsMost {
-		n.found = append(n.found, e.Finding)
+		n.found = append(n.found, e.ProbeResult)
 	}
 }
 
@@ -388,9 +388,9 @@
 	n.gossip(tell)
 	n.leases.Tick(now, wall)
 	if len(n.found) > 0 && now >= n.foundAt {
-		n.foundAt = lease.NextTick(now, n.config.Self.Name, n.config.Duty.RenewInterval) // together, with what else goes out
+		n.foundAt = lease.NextTick(now, n.config.Self.Name, n.config.Lease.RenewInterval) // together, with what else goes out
 		for _, m := range n.table.Peers() {
-			n.do(Send{To: m.Name, Message: Message{Findings: n.found}})
+			n.do(Send{To: m.Name, Message: Message{ProbeResults: n.found}})
 		}
 		n.found = nil
 	}
@@ -407,10 +407,10 @@
 
 // majority logs whether the voters can be reached, once there was time to.
 func (n *Node) majority(now int64) {
-	if now-n.started < n.config.Duty.RestartSilence()+2*n.config.Duty.RenewInterval {
+	if now-n.started < n.config.Lease.RestartSilence()+2*n.config.Lease.RenewInterval {
 		return
 	}
-	reached := n.Majority(now)
+	reached := n.HasQuorum(now)
 	if reached == n.reached && n.told || n.leaving {
 		return
 	}
@@ -419,12 +419,12 @@
 		n.do(Log{Line: "a majority of the voters is reached"})
 		return
 	}
-	n.do(Log{Line: "no majority of the voters is reached: nobody here acts for any slot", Why: n.missing(now)})
+	n.do(Log{Line: "no majority of the voters is reached: nobody here acts for any slot", Reason: n.missing(now)})
 }
 
-// Majority tells whether a majority of the voters answers, or is at least heard of: who neither holds nor tries has
+// HasQuorum tells whether a majority of the voters answers, or is at least heard of: who neither holds nor tries has
 // no answers.
-func (n *Node) Majority(now int64) bool { return n.leases.HasQuorum(now) || n.aliveVoters() }
+func (n *Node) HasQuorum(now int64) bool { return n.leases.HasQuorum(now) || n.aliveVoters() }
 
 func (n *Node) aliveVoters() bool {
 	v := n.leases.Voters()
@@ -486,7 +486,7 @@
 	}
 	if !slices.Equal(peers, n.linked) {
 		n.linked = peers
-		n.do(Link{Peers: peers})
+		n.do(SetPeers{Peers: peers})
 	}
 }
 
@@ -511,14 +511,14 @@
 // gossip sends what members tell each other.
 func (n *Node) gossip(tell []membership.Send) {
 	for _, t := range tell {
-		n.do(Send{To: t.To, Message: Message{Gossip: &t.Gossip, Highest: n.leases.HighestBallot()}})
+		n.do(Send{To: t.To, Message: Message{Gossip: &t.Gossip, HighestBallot: n.leases.HighestBallot()}})
 	}
 }
 
-func (n *Node) changed(now int64, e Changed) {
+func (n *Node) changed(now int64, e ConfigChanged) {
 	voters := "voters as they were"
 	if err := n.leases.UpdateVoters(now, e.Voters); err != nil {
-		n.do(Log{Line: "the voters stay as they were", Why: err.Error()})
+		n.do(Log{Line: "the voters stay as they were", Reason: err.Error()})
 	} else {
 		voters = fmt.Sprintf("voters of epoch %d", e.Voters.Epoch)
 	}
@@ -543,36 +543,36 @@
 		}
 		next = min(next, d.Next(now))
 	}
-	n.do(Timer{At: max(next, now+1e6)})
+	n.do(SetTimer{At: max(next, now+1e6)})
 }
 
 // carry turns the duties' effects into the node's; what was gained or lost together is one line.
 func (n *Node) carry(now int64) {
 	var logs []Log
 	note := func(line string, slot int, number uint64, why string) {
-		if last := len(logs) - 1; last >= 0 && logs[last].Line == line && logs[last].Number == number && logs[last].Why == why {
+		if last := len(logs) - 1; last >= 0 && logs[last].Line == line && logs[last].Ballot == number && logs[last].Reason == why {
 			logs[last].Slots = append(logs[last].Slots, slot)
 			return
 		}
-		logs = append(logs, Log{Line: line, Slots: []int{slot}, Number: number, Why: why})
+		logs = append(logs, Log{Line: line, Slots: []int{slot}, Ballot: number, Reason: why})
 	}
 	for _, e := range n.leases.TakeEffects() {
 		switch e := e.(type) {
 		case lease.Send:
 			m := e.Message
 			n.want(now, e.To)
-			n.do(Send{To: e.To, Message: Message{Duty: &m}})
+			n.do(Send{To: e.To, Message: Message{Lease: &m}})
 		case lease.Acquired:
 			for _, d := range n.duties {
 				d.Gained(now, e.Slot)
 			}
-			n.do(Held{e.Slot, e.Ballot})
+			n.do(LeaseChanged{e.Slot, e.Ballot})
 			note("slots gained", e.Slot, e.Ballot, "")
 		case lease.Lost:
 			for _, d := range n.duties {
 				d.Lost(e.Slot)
 			}
-			n.do(Held{e.Slot, 0})
+			n.do(LeaseChanged{e.Slot, 0})
 			note("slots lost", e.Slot, e.Ballot, e.Reason)
 		}
 	}
@@ -610,7 +610,7 @@
 		for _, was := range []membership.State{membership.Unheard, membership.Alive, membership.Dead, membership.Left} {
 			group := groups[[2]membership.State{state, was}]
 			if len(group) > eachMost {
-				n.do(Log{Line: fmt.Sprintf("%d members %s", len(group), state), Why: "was " + was.String()})
+				n.do(Log{Line: fmt.Sprintf("%d members %s", len(group), state), Reason: "was " + was.String()})
 				continue
 			}
 			for _, c := range group {
@@ -618,13 +618,13 @@
 				if c.Reason != "" {
 					why += "; " + c.Reason
 				}
-				n.do(Log{Line: "member " + state.String(), Member: c.Name, Why: why})
+				n.do(Log{Line: "member " + state.String(), Member: c.Name, Reason: why})
 			}
 		}
 	}
 }
 
-// Owns tells whether this instance may act for a slot at this instant.
-func (n *Node) Owns(now int64, slot int) (number uint64, until int64, ok bool) {
+// Holds tells whether this instance may act for a slot at this instant.
+func (n *Node) Holds(now int64, slot int) (number uint64, until int64, ok bool) {
 	return n.leases.Holds(now, slot)
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -17,7 +17,7 @@
 	n, err := New(0, Config{Self: lease.Instance{Name: name, Incarnation: incarnation}, Address: name + ":1", Weight: 1, Seed: 1,
 		Contacts: []membership.Contact{{Name: "a", Address: "a:1", Weight: 1}, {Name: "b", Address: "b:1", Weight: 1},
 			{Name: "c", Address: "c:1", Weight: 1}},
-		Duty: lease.Config{Slots: 8, LeaseDuration: 1500 * ms, RenewInterval: 500 * ms, MaxClockDrift: 0.01,
+		Lease: lease.Config{Slots: 8, LeaseDuration: 1500 * ms, RenewInterval: 500 * ms, MaxClockDrift: 0.01,
 			Voters: lease.Voters{Epoch: 1, Current: []string{"a", "b", "c"}}},
 		Probe: &probe.Config{Period: 1000 * ms, Within: 500 * ms, Part: 0.05, Cost: 0.001, Cache: cold, Parent: cold}})
 	if err != nil {
@@ -34,7 +34,7 @@
 			if n == nil {
 				continue
 			}
-			waiting := append([]Effect(nil), n.Handle(now, Due{Wall: 1e12 + now/ms})...)
+			waiting := append([]Effect(nil), n.Handle(now, TimerFired{WallMS: 1e12 + now/ms})...)
 			for from := []string{name}; len(waiting) > 0; {
 				e := waiting[0]
 				sender := from[0]
@@ -51,10 +51,10 @@
 				if err != nil {
 					panic(err)
 				}
-				came := Came{From: nodes[sender].config.Self, Message: m}
+				came := MessageReceived{From: nodes[sender].config.Self, Message: m}
 				for _, reply := range nodes[send.To].Handle(now, came) {
 					if back, ok := reply.(Send); ok && back.To == sender {
-						for _, more := range n.Handle(now, Came{From: nodes[send.To].config.Self, Message: back.Message}) {
+						for _, more := range n.Handle(now, MessageReceived{From: nodes[send.To].config.Self, Message: back.Message}) {
 							waiting = append(waiting, more)
 						}
 					}
@@ -71,7 +71,7 @@
 
 func owned(n *Node, now int64) (count int) {
 	for s := range 8 {
-		if _, _, ok := n.Owns(now, s); ok {
+		if _, _, ok := n.Holds(now, s); ok {
 			count++
 		}
 	}
@@ -81,7 +81,7 @@
 func TestThreeShareAndProbeOnce(t *testing.T) {
 	nodes := trio(t)
 	for _, n := range nodes {
-		n.Handle(0, Listed{Targets: []probe.Target{{Name: "t", Address: "x", Units: 4}}})
+		n.Handle(0, TargetsUpdated{Targets: []probe.Target{{Name: "t", Address: "x", Units: 4}}})
 	}
 	play(nodes, 0, 6000*ms, "")
 	total := 0
@@ -95,10 +95,10 @@
 	for _, name := range []string{"a", "b", "c"} {
 		again := trio(t)
 		for _, n := range again {
-			n.Handle(0, Listed{Targets: []probe.Target{{Name: "t", Address: "x", Units: 4}}})
+			n.Handle(0, TargetsUpdated{Targets: []probe.Target{{Name: "t", Address: "x", Units: 4}}})
 		}
 		for _, e := range play(again, 0, 16000*ms, name) {
-			if _, ok := e.(Ask); ok {
+			if _, ok := e.(SendProbe); ok {
 				asked++
 			}
 		}
@@ -119,14 +119,14 @@
 	alone := map[string]*Node{"a": nodes["a"]}
 	logged := false
 	for _, e := range play(alone, 6000*ms, 12000*ms, "a") {
-		if l, ok := e.(Log); ok && l.Why == "[b dead c dead]" {
+		if l, ok := e.(Log); ok && l.Reason == "[b dead c dead]" {
 			logged = true
 		}
 	}
 	if n := owned(nodes["a"], 12000*ms); n != 0 {
 		t.Errorf("it still owns %d slots", n)
 	}
-	if s := nodes["a"].Status(12000 * ms); !logged || s.Majority || s.Why == "" || s.Slots[0].Reason != "no majority of the voters answers" {
+	if s := nodes["a"].Status(12000 * ms); !logged || s.Majority || s.Reason == "" || s.Slots[0].Reason != "no majority of the voters answers" {
 		t.Errorf("logged %v, %+v", logged, s)
 	}
 }
@@ -137,30 +137,30 @@
 	play(nodes, 0, 4000*ms, "")
 	b := nodes["b"]
 	beat := func(incarnation, beat uint64) {
-		b.Handle(4000*ms, Came{From: lease.Instance{Name: "c", Incarnation: incarnation}, Message: Message{
+		b.Handle(4000*ms, MessageReceived{From: lease.Instance{Name: "c", Incarnation: incarnation}, Message: Message{
 			Gossip: &membership.Gossip{Heartbeat: beat, Entries: []membership.Entry{{Name: "c", Incarnation: incarnation, Start: beat, Version: beat, Weight: 1}}}}})
 	}
 	beat(99, 1)
 	held := owned(b, 4000*ms)
-	b.Handle(4000*ms, Came{From: lease.Instance{Name: "c", Incarnation: 99}, Message: Message{
-		Duty: &lease.Message{Kind: lease.Accept, Epoch: 1, SentAt: 3999 * ms}}})
+	b.Handle(4000*ms, MessageReceived{From: lease.Instance{Name: "c", Incarnation: 99}, Message: Message{
+		Lease: &lease.Message{Kind: lease.Accept, Epoch: 1, SentAt: 3999 * ms}}})
 	if !b.table.IsDuplicated(4000*ms, "c") || held == 0 {
 		t.Fatal("the case is not one")
 	}
 	// With a dead and c doubled, b has its own vote alone and must stop within a lease.
 	for now := 4000 * ms; now < 6000*ms; now += 20 * ms {
-		b.Handle(now, Due{Wall: now / ms})
+		b.Handle(now, TimerFired{WallMS: now / ms})
 		beat(3, uint64(1000+now/ms))
 		beat(99, uint64(1000+now/ms))
 		var items []lease.SlotBallot
 		for s := range 8 {
-			if number, _, ok := b.Owns(now, s); ok {
+			if number, _, ok := b.Holds(now, s); ok {
 				items = append(items, lease.SlotBallot{Slot: s, Ballot: number})
 			}
 		}
 		if len(items) > 0 {
-			b.Handle(now, Came{From: lease.Instance{Name: "c", Incarnation: 3},
-				Message: Message{Duty: &lease.Message{Kind: lease.Accept, Epoch: 1, SentAt: now, Items: items}}})
+			b.Handle(now, MessageReceived{From: lease.Instance{Name: "c", Incarnation: 3},
+				Message: Message{Lease: &lease.Message{Kind: lease.Accept, Epoch: 1, SentAt: now, Items: items}}})
 		}
 	}
 	if n := owned(b, 6000*ms); n != 0 {
@@ -171,9 +171,9 @@
 func TestFindingsUnderOldNumbersAreDropped(t *testing.T) {
 	n := node(t, "a", 1)
 	tell := func(number uint64) (found int) {
-		for _, e := range n.Handle(1, Came{From: lease.Instance{Name: "b", Incarnation: 2},
-			Message: Message{Findings: []Finding{{Target: "t", Number: number, Good: true}}}}) {
-			if _, ok := e.(Found); ok {
+		for _, e := range n.Handle(1, MessageReceived{From: lease.Instance{Name: "b", Incarnation: 2},
+			Message: Message{ProbeResults: []ProbeResult{{Target: "t", Ballot: number, Healthy: true}}}}) {
+			if _, ok := e.(TargetProbed); ok {
 				found++
 			}
 		}
@@ -182,8 +182,8 @@
 	if tell(7) != 1 || tell(8) != 1 || tell(7) != 0 || tell(8) != 1 {
 		t.Error("a finding under an older number was taken, or a newer one was not")
 	}
-	if s := n.Status(1); s.Stale != 1 {
-		t.Errorf("%d stale", s.Stale)
+	if s := n.Status(1); s.StaleResults != 1 {
+		t.Errorf("%d stale", s.StaleResults)
 	}
 }
 
@@ -192,20 +192,20 @@
 func TestOwnerUnderALowNumberAsksAnew(t *testing.T) {
 	nodes := trio(t)
 	for _, n := range nodes {
-		n.Handle(0, Listed{Targets: []probe.Target{{Name: "t", Address: "x", Units: 4}}})
+		n.Handle(0, TargetsUpdated{Targets: []probe.Target{{Name: "t", Address: "x", Units: 4}}})
 	}
 	play(nodes, 0, 6000*ms, "")
 	slot := lease.SlotOf("t", 8)
 	for _, n := range nodes {
-		number, _, ok := n.Owns(6000*ms, slot)
+		number, _, ok := n.Holds(6000*ms, slot)
 		if !ok {
 			continue
 		}
 		n.seen["t"] = finding{number: number + 1<<20}
-		n.Handle(6000*ms, Probed{Finding{Target: "t", Number: number, Good: true}})
+		n.Handle(6000*ms, ProbeEnded{ProbeResult{Target: "t", Ballot: number, Healthy: true}})
 		play(nodes, 6000*ms, 8000*ms, "")
 		for _, other := range nodes {
-			if again, _, ok := other.Owns(8000*ms, slot); ok && again > number+1<<20 {
+			if again, _, ok := other.Holds(8000*ms, slot); ok && again > number+1<<20 {
 				return
 			}
 		}
@@ -219,19 +219,19 @@
 	had := owned(nodes["a"], 6000*ms)
 	var released, left bool
 	stopped := map[int]bool{}
-	for _, e := range nodes["a"].Handle(6000*ms, Leaving{}) {
-		if h, ok := e.(Held); ok && h.Number == 0 {
+	for _, e := range nodes["a"].Handle(6000*ms, ShutdownStarted{}) {
+		if h, ok := e.(LeaseChanged); ok && h.Ballot == 0 {
 			stopped[h.Slot] = true
 		}
-		if s, ok := e.(Send); ok && s.Message.Duty != nil {
-			for _, i := range s.Message.Duty.Items {
+		if s, ok := e.(Send); ok && s.Message.Lease != nil {
+			for _, i := range s.Message.Lease.Items {
 				if !stopped[i.Slot] {
 					t.Errorf("slot %d is released before what is done under it is stopped", i.Slot)
 				}
 			}
 		}
 		if s, ok := e.(Send); ok {
-			released = released || s.Message.Duty != nil && s.Message.Duty.Kind == lease.Release
+			released = released || s.Message.Lease != nil && s.Message.Lease.Kind == lease.Release
 			left = left || s.Message.Gossip != nil && len(s.Message.Gossip.Entries) > 0 && s.Message.Gossip.Entries[0].Leaving
 		}
 	}
@@ -244,8 +244,8 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, m := range []Message{{Highest: 3}, {Duty: &lease.Message{Kind: lease.Propose, Epoch: 1, Items: []lease.SlotBallot{{Slot: 3, Ballot: 9}}}},
-		{Findings: []Finding{{Target: "t", Number: 4, Load: []float64{1}}}},
+	for _, m := range []Message{{HighestBallot: 3}, {Lease: &lease.Message{Kind: lease.Propose, Epoch: 1, Items: []lease.SlotBallot{{Slot: 3, Ballot: 9}}}},
+		{ProbeResults: []ProbeResult{{Target: "t", Ballot: 4, Load: []float64{1}}}},
 		{Gossip: &membership.Gossip{Heartbeat: 2, Entries: []membership.Entry{{Name: "b", Incarnation: 1, Version: 2, Weight: 1}},
 			Reports: []membership.Report{{Subject: "b", Observer: "a", Kind: membership.Deaf}}, BucketDigests: make([]uint64, membership.DigestBuckets)}}} {
 		raw, _ := m.Encode()
@@ -258,7 +258,7 @@
 		if err != nil {
 			return
 		}
-		n.Handle(2000*ms, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: m})
-		n.Handle(2000*ms, Due{Wall: 1})
+		n.Handle(2000*ms, MessageReceived{From: lease.Instance{Name: "b", Incarnation: 2}, Message: m})
+		n.Handle(2000*ms, TimerFired{WallMS: 1})
 	})
 }
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -6,22 +6,22 @@
 
 // MembersStatus is what one instance believes of the others, for people.
 type MembersStatus struct {
-	Name      string     `json:"name"`
-	View      uint64     `json:"view"`   // number of the view handed on, here
-	Digest    uint64     `json:"digest"` // the same wherever the same is believed
-	SinceMS   int64      `json:"since_ms"`
-	Alive     int        `json:"alive"`
-	Health    int        `json:"local_health"`      // 0 is well, 8 is worst
-	AwayMS    int64      `json:"away_ms,omitempty"` // for how long this instance was away, when it last was
-	CutOff    bool       `json:"cut_off,omitempty"`
-	Links     int        `json:"links"`
-	BytesSent int64      `json:"bytes_sent"`
-	Refused   int64      `json:"refused"`
-	Members   []Believed `json:"members"`
+	Name      string         `json:"name"`
+	View      uint64         `json:"view"`   // number of the view handed on, here
+	Digest    uint64         `json:"digest"` // the same wherever the same is believed
+	SinceMS   int64          `json:"since_ms"`
+	Alive     int            `json:"alive"`
+	Health    int            `json:"local_health"`      // 0 is well, 8 is worst
+	AwayMS    int64          `json:"away_ms,omitempty"` // for how long this instance was away, when it last was
+	CutOff    bool           `json:"cut_off,omitempty"`
+	Links     int            `json:"links"`
+	BytesSent int64          `json:"bytes_sent"`
+	Refused   int64          `json:"refused"`
+	Members   []MemberBelief `json:"members"`
 }
 
-// Believed is what is believed of one.
-type Believed struct {
+// MemberBelief is what is believed of one.
+type MemberBelief struct {
 	Name     string   `json:"name"`
 	State    string   `json:"state"`
 	SinceMS  int64    `json:"since_ms"`
@@ -41,7 +41,7 @@
 		Health: n.table.LocalHealth(), AwayMS: n.table.Away() / 1e6, CutOff: n.table.IsCutOff(), Links: len(n.linked), Refused: n.table.Rejected()}
 	ways := n.table.LinkStates(now)
 	for _, m := range n.table.Members() {
-		b := Believed{Name: m.Name, State: m.State.String(), SinceMS: (now - m.Since) / 1e6, Version: m.Version, Held: m.HeldOut,
+		b := MemberBelief{Name: m.Name, State: m.State.String(), SinceMS: (now - m.Since) / 1e6, Version: m.Version, Held: m.HeldOut,
 			Doubled: n.table.IsDuplicated(now, m.Name)}
 		for _, r := range m.Reports {
 			if r.Kind != membership.Healthy {
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -7,22 +7,22 @@
 
 // Status is what an instance knows, for people.
 type Status struct {
-	Name        string         `json:"name"`
-	Incarnation uint64         `json:"incarnation"`
-	Majority    bool           `json:"majority"`
-	Why         string         `json:"why,omitempty"` // why nobody acts
-	SilentMS    int64          `json:"silent_ms,omitempty"`
-	Voters      []string       `json:"voters"`
-	Epoch       uint64         `json:"epoch"`
-	Members     []MemberStatus `json:"members"`
-	Slots       []SlotStatus   `json:"slots"`
-	Targets     int            `json:"targets"`
-	OwnTargets  int            `json:"own_targets"`
-	Skipped     int64          `json:"probes_left_out"`
-	Stale       int64          `json:"stale_findings"`
-	Frames      int64          `json:"frames_sent"`    // to other instances
-	FramesLost  uint64         `json:"frames_dropped"` // from full queues
-	Probes      int64          `json:"probes_sent"`
+	Name         string         `json:"name"`
+	Incarnation  uint64         `json:"incarnation"`
+	Majority     bool           `json:"majority"`
+	Reason       string         `json:"why,omitempty"` // why nobody acts
+	SilentMS     int64          `json:"silent_ms,omitempty"`
+	Voters       []string       `json:"voters"`
+	Epoch        uint64         `json:"epoch"`
+	Members      []MemberStatus `json:"members"`
+	Slots        []SlotStatus   `json:"slots"`
+	Targets      int            `json:"targets"`
+	OwnTargets   int            `json:"own_targets"`
+	Skipped      int64          `json:"probes_left_out"`
+	StaleResults int64          `json:"stale_findings"`
+	Frames       int64          `json:"frames_sent"`    // to other instances
+	FramesLost   uint64         `json:"frames_dropped"` // from full queues
+	Probes       int64          `json:"probes_sent"`
 }
 
 // MemberStatus is what is believed of one member.
@@ -45,13 +45,13 @@
 
 // Status tells what this instance knows.
 func (n *Node) Status(now int64) Status {
-	s := Status{Name: n.config.Self.Name, Incarnation: n.config.Self.Incarnation, Majority: n.Majority(now),
-		Voters: n.leases.Voters().Current, Epoch: n.leases.Voters().Epoch, Stale: n.stale}
+	s := Status{Name: n.config.Self.Name, Incarnation: n.config.Self.Incarnation, Majority: n.HasQuorum(now),
+		Voters: n.leases.Voters().Current, Epoch: n.leases.Voters().Epoch, StaleResults: n.stale}
 	if s.SilentMS = max(0, n.leases.SilentUntil()-now) / 1e6; s.SilentMS > 0 {
-		s.Why = "this voter has just started and grants nothing yet"
+		s.Reason = "this voter has just started and grants nothing yet"
 	}
 	if !s.Majority {
-		s.Why = "voters not heard: " + n.missing(now)
+		s.Reason = "voters not heard: " + n.missing(now)
 	}
 	self := n.table.Self()
 	s.Members = append(s.Members, MemberStatus{Name: self.Name, Address: self.Address, State: membership.Alive.String(),
--- a/fleet/wire_test.go
+++ b/fleet/wire_test.go
@@ -36,12 +36,12 @@
 // fullMessage has a value in each field, so that the golden file shows each field's key.
 func fullMessage() Message {
 	return Message{
-		Highest: 1,
-		Duty: &lease.Message{
+		HighestBallot: 1,
+		Lease: &lease.Message{
 			Kind: lease.Reject, Epoch: 2, SentAt: 3,
 			Items: []lease.SlotBallot{{Slot: 4, Ballot: 5, Holder: lease.Instance{Name: "a", Incarnation: 6}, Remaining: 7}},
 		},
-		Findings: []Finding{{Target: "t", Number: 8, Good: true, Load: []float64{9}, Seq: 10}},
+		ProbeResults: []ProbeResult{{Target: "t", Ballot: 8, Healthy: true, Load: []float64{9}, Seq: 10}},
 		Gossip: &membership.Gossip{
 			Heartbeat: 11, Echo: 12, Digest: 13,
 			Entries: []membership.Entry{{
@@ -86,21 +86,21 @@
 func TestStatusJSON(t *testing.T) {
 	a := node(t, "a", 1)
 	entry := membership.Entry{Name: "b", Incarnation: 2, Start: 1, Version: 1, Address: "b:1", Weight: 1, Epoch: 1}
-	a.Handle(1000*ms, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Gossip: &membership.Gossip{
+	a.Handle(1000*ms, MessageReceived{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Gossip: &membership.Gossip{
 		Heartbeat: 1, Entries: []membership.Entry{entry},
 	}}})
 	for now := 1000 * ms; now < 6000*ms; now += 50 * ms {
-		for _, effect := range a.Handle(now, Due{Wall: 1}) {
+		for _, effect := range a.Handle(now, TimerFired{WallMS: 1}) {
 			send, ok := effect.(Send)
-			if !ok || send.Message.Duty == nil || send.To != "b" {
+			if !ok || send.Message.Lease == nil || send.To != "b" {
 				continue
 			}
-			answer := lease.Message{Kind: lease.Promise, Epoch: 1, SentAt: send.Message.Duty.SentAt, Items: send.Message.Duty.Items}
-			if send.Message.Duty.Kind == lease.Propose {
+			answer := lease.Message{Kind: lease.Promise, Epoch: 1, SentAt: send.Message.Lease.SentAt, Items: send.Message.Lease.Items}
+			if send.Message.Lease.Kind == lease.Propose {
 				answer.Kind = lease.Accept
 			}
-			if send.Message.Duty.Kind == lease.Prepare || send.Message.Duty.Kind == lease.Propose {
-				a.Handle(now, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Duty: &answer}})
+			if send.Message.Lease.Kind == lease.Prepare || send.Message.Lease.Kind == lease.Propose {
+				a.Handle(now, MessageReceived{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Lease: &answer}})
 			}
 		}
 	}
--- a/lab/membersim.go
+++ b/lab/membersim.go
@@ -86,7 +86,7 @@
 
 func (s ringSpeaker) packets(tell []membership.Send) (out []packet) {
 	for _, t := range tell {
-		out = append(out, packet{t.To, t.Gossip, wrap(fleet.Message{Gossip: &t.Gossip, Highest: 1 << 40})})
+		out = append(out, packet{t.To, t.Gossip, wrap(fleet.Message{Gossip: &t.Gossip, HighestBallot: 1 << 40})})
 	}
 	return out
 }
--- a/lab/virtual.go
+++ b/lab/virtual.go
@@ -44,7 +44,7 @@
 	seq  int
 	node int // -1: trouble
 	life int
-	came *fleet.Came
+	came *fleet.MessageReceived
 }
 
 type agenda []event
@@ -154,7 +154,7 @@
 	}
 	cold := probe.Cold{Share: 0.16, Factor: 2.5, Window: 1500e6, Span: 17e9}
 	node, err := fleet.New(0, fleet.Config{Self: lease.Instance{Name: n.name, Incarnation: uint64(n.life)}, Address: n.name + ":1",
-		Weight: 1, Contacts: contacts, Seed: r.rng.Uint64(), Duty: lease.Config{Slots: r.Slots, LeaseDuration: r.Lease,
+		Weight: 1, Contacts: contacts, Seed: r.rng.Uint64(), Lease: lease.Config{Slots: r.Slots, LeaseDuration: r.Lease,
 			RenewInterval: r.Renewal, MaxClockDrift: 0.01, Voters: lease.Voters{Epoch: 1, Current: voters}},
 		Probe: &probe.Config{Period: 1e9, Within: 5e8, Part: 0.05, Cost: 0.001, Cache: cold, Parent: cold}})
 	if err != nil {
@@ -165,7 +165,7 @@
 	for t := range r.Targets {
 		targets = append(targets, probe.Target{Name: fmt.Sprintf("t%03d", t), Address: "x", Units: 4})
 	}
-	r.carry(i, node.Handle(0, fleet.Listed{Targets: targets}))
+	r.carry(i, node.Handle(0, fleet.TargetsUpdated{Targets: targets}))
 }
 
 // vacate notes that what a start owned is no longer owned by a live instance.
@@ -198,7 +198,7 @@
 	case e.life != n.life || e.at != n.timer:
 		return // of a former start, or set anew
 	default:
-		r.carry(e.node, n.node.Handle(r.clock(n), fleet.Due{Wall: 1.7e12 + n.wall + r.now/1e6}))
+		r.carry(e.node, n.node.Handle(r.clock(n), fleet.TimerFired{WallMS: 1.7e12 + n.wall + r.now/1e6}))
 	}
 }
 
@@ -221,14 +221,14 @@
 			if to < 0 || r.rng.Float64() < r.loss {
 				continue
 			}
-			came := &fleet.Came{From: lease.Instance{Name: n.name, Incarnation: uint64(n.life)}, Message: e.Message}
+			came := &fleet.MessageReceived{From: lease.Instance{Name: n.name, Incarnation: uint64(n.life)}, Message: e.Message}
 			for range 1 + r.rng.IntN(21)/20 { // one in 21 comes twice
 				r.push(event{at: r.now + r.delay/2 + r.rng.Int64N(r.delay), node: to, came: came})
 			}
-		case fleet.Ask:
+		case fleet.SendProbe:
 			r.result.Probes++
 			r.ask(i, e)
-		case fleet.Timer:
+		case fleet.SetTimer:
 			n.timer = max(r.now+1, n.born+int64(float64(e.At)/n.rate)+1)
 			r.push(event{at: n.timer, node: i, life: n.life})
 		case fleet.Log:
@@ -244,16 +244,16 @@
 		case "slots gained":
 			r.result.Tenures++
 			switch {
-			case l.Number > r.highest[s]:
+			case l.Ballot > r.highest[s]:
 			case r.Steps:
 				r.result.Stepped++
 			default:
 				r.result.Backward++
 			}
-			r.highest[s] = max(r.highest[s], l.Number)
+			r.highest[s] = max(r.highest[s], l.Ballot)
 			for k, other := range r.nodes {
 				// A frozen one does nothing, but it believes; what counts is what it would do if it woke now.
-				if _, _, ok := other.node.Owns(r.clock(other), s); ok && k != i {
+				if _, _, ok := other.node.Holds(r.clock(other), s); ok && k != i {
 					r.result.Overlaps++
 				}
 			}
@@ -270,13 +270,13 @@
 	}
 }
 
-func (r *virtualRun) ask(i int, e fleet.Ask) {
+func (r *virtualRun) ask(i int, e fleet.SendProbe) {
 	if last, been := r.probed[e.Target]; been && last.owner != i && r.now-last.at < 1e9 {
 		r.result.Duplicated++
 	}
 	r.probed[e.Target] = virtualProbe{r.now, i}
 	n := r.nodes[i]
-	if _, _, ok := n.node.Owns(r.clock(n), e.Slot); !ok {
+	if _, _, ok := n.node.Holds(r.clock(n), e.Slot); !ok {
 		r.result.Overlaps++
 	}
 }
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -45,7 +45,7 @@
 	Lease     int64
 	Renewal   int64
 	Drift     float64
-	Members   fleet.Membership
+	Members   fleet.MembershipConfig
 	TLS       peer.Files
 	Allow     *netipx.IPSet
 	Probe     *probe.Config // nil: nothing is probed; Cold is the settings' to say
@@ -225,8 +225,8 @@
 		"allow": {needed: true, take: noting(func(n *Node, args []*Node) { f.allow(args, &allow) })},
 		"probe": {take: noting(func(n *Node, args []*Node) { out.Probe = f.probe(n, args) })},
 		"membership": {take: noting(func(n *Node, args []*Node) {
-			f.walk(n, args, map[string]entry{"interval": {take: f.span(&out.Members.Interval, 20*time.Millisecond, time.Minute)},
-				"silence": {take: f.span(&out.Members.Quiet, 50*time.Millisecond, time.Hour)}})
+			f.walk(n, args, map[string]entry{"interval": {take: f.span(&out.Members.HeartbeatInterval, 20*time.Millisecond, time.Minute)},
+				"silence": {take: f.span(&out.Members.SilenceTimeout, 50*time.Millisecond, time.Hour)}})
 		})},
 	})
 	out.Slots, out.Voters.Epoch = int(slots), uint64(epoch)
@@ -274,9 +274,9 @@
 		f.add(cmp.Or(places["lease"], places["renewal"], n.Place), "the lease of %s is shorter than three renewals of %s",
 			time.Duration(out.Lease), time.Duration(out.Renewal))
 	}
-	if m := out.Members; m.Quiet > 0 && m.Quiet < 2*cmp.Or(m.Interval, out.Renewal) {
+	if m := out.Members; m.SilenceTimeout > 0 && m.SilenceTimeout < 2*cmp.Or(m.HeartbeatInterval, out.Renewal) {
 		f.add(places["membership"], "the silence of %s is shorter than two intervals of %s: one lost beat would be reported",
-			time.Duration(m.Quiet), time.Duration(cmp.Or(m.Interval, out.Renewal)))
+			time.Duration(m.SilenceTimeout), time.Duration(cmp.Or(m.HeartbeatInterval, out.Renewal)))
 	}
 	if _, got := places["voters"]; got {
 		if err := out.Voters.Check(); err != nil {
--- a/process/sharing.go
+++ b/process/sharing.go
@@ -103,8 +103,8 @@
 		return nil, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
 	node, err := fleet.New(bootTime(), fleet.Config{Self: self, Address: f.Listen, Weight: f.Weight, Contacts: f.Instances,
-		Duty: lease.Config{Slots: f.Slots, LeaseDuration: f.Lease, RenewInterval: f.Renewal, MaxClockDrift: f.Drift, Voters: f.Voters},
-		Seed: binary.LittleEndian.Uint64(draw[8:]), Probe: f.Probe, Wall: time.Now().UnixMilli(), Members: f.Members})
+		Lease: lease.Config{Slots: f.Slots, LeaseDuration: f.Lease, RenewInterval: f.Renewal, MaxClockDrift: f.Drift, Voters: f.Voters},
+		Seed:  binary.LittleEndian.Uint64(draw[8:]), Probe: f.Probe, WallMS: time.Now().UnixMilli(), Membership: f.Members})
 	if err != nil {
 		return nil, fmt.Errorf("%w: fleet: %w", ErrConfig, err)
 	}
@@ -117,14 +117,14 @@
 		held: make([]atomic.Uint64, f.Slots)}
 	s.report, _ = set["report.fields"].([]string)
 	s.links = peer.New(peer.Config{Name: self.Name, Incarnation: self.Incarnation, Listener: listener, Keys: keys,
-		Allow: f.Allow, Log: func(line, who, why string) { s.note(fleet.Log{Line: line, Member: who, Why: why}) },
+		Allow: f.Allow, Log: func(line, who, why string) { s.note(fleet.Log{Line: line, Member: who, Reason: why}) },
 		Receive: func(name string, incarnation uint64, payload []byte) {
 			m, err := fleet.Decode(payload)
 			if err != nil {
-				s.note(fleet.Log{Line: "a message passed over", Member: name, Why: err.Error()})
+				s.note(fleet.Log{Line: "a message passed over", Member: name, Reason: err.Error()})
 				return
 			}
-			s.post(ctx, fleet.Came{From: lease.Instance{Name: name, Incarnation: incarnation}, Message: m})
+			s.post(ctx, fleet.MessageReceived{From: lease.Instance{Name: name, Incarnation: incarnation}, Message: m})
 		}})
 	return s, nil
 }
@@ -184,10 +184,10 @@
 			case e := <-s.inbox:
 				s.handle(ctx, e, timer)
 			case <-s.relist:
-				s.handle(ctx, fleet.Listed{Targets: *s.targets.Load()}, timer)
+				s.handle(ctx, fleet.TargetsUpdated{Targets: *s.targets.Load()}, timer)
 			case <-leave:
 				leave = nil
-				s.handle(ctx, fleet.Leaving{}, timer)
+				s.handle(ctx, fleet.ShutdownStarted{}, timer)
 				s.links.Flush(flushWithin)
 			case reply := <-s.asks:
 				status := s.node.Status(bootTime())
@@ -198,7 +198,7 @@
 				status.BytesSent = s.bytes.Load()
 				reply <- status
 			case <-timer.C:
-				s.handle(ctx, fleet.Due{Wall: time.Now().UnixMilli()}, timer)
+				s.handle(ctx, fleet.TimerFired{WallMS: time.Now().UnixMilli()}, timer)
 			}
 		}
 	})
@@ -233,27 +233,27 @@
 		case fleet.Send:
 			payload, err := effect.Message.Encode()
 			if err != nil {
-				s.note(fleet.Log{Line: "a message could not be written", Member: effect.To, Why: err.Error()})
+				s.note(fleet.Log{Line: "a message could not be written", Member: effect.To, Reason: err.Error()})
 				continue
 			}
 			s.frames.Add(1)
 			s.bytes.Add(int64(len(payload)) + frameCost)
 			s.links.Send(effect.To, payload)
-		case fleet.Link:
+		case fleet.SetPeers:
 			peers := make(map[string]string, len(effect.Peers))
 			for _, p := range effect.Peers {
 				peers[p.Name] = p.Address
 			}
 			s.links.Aim(peers)
-		case fleet.Held:
-			s.held[effect.Slot].Store(effect.Number)
-		case fleet.Ask:
+		case fleet.LeaseChanged:
+			s.held[effect.Slot].Store(effect.Ballot)
+		case fleet.SendProbe:
 			s.ask(ctx, effect.Probe)
-		case fleet.Found:
-			s.tell(router.Probed{Instance: effect.Target, Good: effect.Good, Load: effect.Load})
+		case fleet.TargetProbed:
+			s.tell(router.Probed{Instance: effect.Target, Good: effect.Healthy, Load: effect.Load})
 		case fleet.Log:
 			s.note(effect)
-		case fleet.Timer:
+		case fleet.SetTimer:
 			timer.Reset(time.Duration(effect.At - bootTime()))
 		}
 	}
@@ -276,7 +276,7 @@
 			return
 		}
 		s.probes.Add(1)
-		s.post(ctx, fleet.Probed{Finding: fleet.Finding{Target: p.Target, Number: p.Number, Good: err == nil, Load: load}})
+		s.post(ctx, fleet.ProbeEnded{ProbeResult: fleet.ProbeResult{Target: p.Target, Ballot: p.Number, Healthy: err == nil, Load: load}})
 	}()
 }
 
@@ -286,10 +286,10 @@
 		event = event.Str("member", l.Member)
 	}
 	if l.Slots != nil {
-		event = event.Ints("slots", l.Slots).Uint64("number", l.Number)
+		event = event.Ints("slots", l.Slots).Uint64("number", l.Ballot)
 	}
-	if l.Why != "" {
-		event = event.Str("why", l.Why)
+	if l.Reason != "" {
+		event = event.Str("why", l.Reason)
 	}
 	event.Msg(l.Line)
 }
@@ -312,7 +312,7 @@
 	}
 	s.links.Use(keys)
 	s.links.Allow(f.Allow)
-	s.post(ctx, fleet.Changed{Contacts: f.Instances, Weight: f.Weight, Voters: f.Voters})
+	s.post(ctx, fleet.ConfigChanged{Contacts: f.Instances, Weight: f.Weight, Voters: f.Voters})
 	return nil
 }
 
