--- a/fleet/members.go
+++ b/fleet/members.go
@@ -1,57 +1,177 @@
 package fleet
 
 import (
+	"fmt"
+	"maps"
+	"slices"
+	"tealpath/fleet/lease"
 	"tealpath/fleet/membership"
+	"time"
 )
 
-// MembersStatus is what one instance believes of the others, for people.
-type MembersStatus struct {
-	Name      string         `json:"name"`
-	View      uint64         `json:"view"`   // number of the view handed on, here
-	Digest    uint64         `json:"digest"` // the same wherever the same is believed
-	SinceMS   int64          `json:"since_ms"`
-	Alive     int            `json:"alive"`
-	Health    int            `json:"local_health"`      // 0 is well, 8 is worst
-	AwayMS    int64          `json:"away_ms,omitempty"` // for how long this instance was away, when it last was
-	CutOff    bool           `json:"cut_off,omitempty"`
-	Links     int            `json:"links"`
-	BytesSent int64          `json:"bytes_sent"`
-	Refused   int64          `json:"refused"`
-	Members   []MemberBelief `json:"members"`
-}
-
-// MemberBelief is what is believed of one.
-type MemberBelief struct {
-	Name     string   `json:"name"`
-	State    string   `json:"state"`
-	SinceMS  int64    `json:"since_ms"`
-	Version  uint64   `json:"version"`
-	Held     bool     `json:"held_out,omitempty"` // it keeps dying
-	Doubled  bool     `json:"doubled,omitempty"`
-	Reported []string `json:"reported_by,omitempty"` // "observer silent" or "observer deaf"
-	Near     bool     `json:"neighbour,omitempty"`
-	InMS     int64    `json:"in_ms,omitempty"`  // since it was last heard here
-	OutMS    int64    `json:"out_ms,omitempty"` // since it last showed that it hears this instance
-}
-
-// Members tells what this instance believes of the others.
-func (n *Node) Members(now int64) MembersStatus {
-	number, digest, since := n.table.ViewInfo()
-	s := MembersStatus{Name: n.config.Self.Name, View: number, Digest: digest, SinceMS: (now - since) / 1e6, Alive: len(n.table.Alive()),
-		Health: n.table.LocalHealth(), AwayMS: n.table.Away() / 1e6, CutOff: n.table.IsCutOff(), Links: len(n.linked), Refused: n.table.Rejected()}
-	ways := n.table.LinkStates(now)
-	for _, m := range n.table.Members() {
-		b := MemberBelief{Name: m.Name, State: m.State.String(), SinceMS: (now - m.Since) / 1e6, Version: m.Version, Held: m.HeldOut,
-			Doubled: n.table.IsDuplicated(now, m.Name)}
-		for _, r := range m.Reports {
-			if r.Kind != membership.Healthy {
-				b.Reported = append(b.Reported, r.Observer+" "+r.Kind.String())
-			}
+// leaseLinkDuration is for how long a link stays that a message about leases went by, ns.
+const leaseLinkDuration = int64(10 * time.Second)
+
+// maxChangesLogged is how many changes of one kind get a line each; more at once are one line: a zone that is lost, or all at a
+// start.
+const maxChangesLogged = 8
+
+// peers is to whom links are to stand.
+type peers struct {
+	linked      []Peer           // as last set
+	leaseUntil  map[string]int64 // until when a link is kept that a message about leases went by
+	leasesMoved bool             // leaseUntil has gained or lost a name
+}
+
+func newPeers() peers { return peers{leaseUntil: map[string]int64{}} }
+
+// dropExpired drops the links that no message about leases went by for long.
+func (peers *peers) dropExpired(now int64) {
+	maps.DeleteFunc(peers.leaseUntil, func(_ string, until int64) bool {
+		expired := now > until
+		peers.leasesMoved = peers.leasesMoved || expired
+		return expired
+	})
+}
+
+// receiveGossip takes what a member told.
+func (node *Node) receiveGossip(now int64, from string, gossip membership.Gossip) {
+	sends, changes := node.members.Receive(now, from, gossip)
+	node.logChanges(changes)
+	node.updateMembers(now)
+	node.sendGossip(sends)
+	for _, entry := range gossip.Entries {
+		node.leases.ObserveEpoch(entry.Name, entry.Epoch)
+	}
+}
+
+// sendGossip sends what members tell each other.
+func (node *Node) sendGossip(sends []membership.Send) {
+	for _, send := range sends {
+		message := Message{Gossip: &send.Gossip, HighestBallot: node.leases.HighestBallot()}
+		node.emit(Send{To: send.To, Message: message})
+	}
+}
+
+// updateMembers hands a change of who is alive on to the leases, and sets the peers.
+func (node *Node) updateMembers(now int64) {
+	node.peers.dropExpired(now)
+	version := node.members.Version()
+	if version == node.viewVersion && !node.peers.leasesMoved {
+		return
+	}
+	node.viewVersion, node.peers.leasesMoved = version, false
+	if !node.shuttingDown {
+		node.leases.SetCandidates(now, candidates(node.members.Alive()))
+	}
+	if wanted := node.wantedPeers(); !slices.Equal(wanted, node.peers.linked) {
+		node.peers.linked = wanted
+		node.emit(SetPeers{Peers: wanted})
+	}
+}
+
+// wantedPeers is neighbours and those that were asked about leases a moment ago; all, where all are neighbours.
+func (node *Node) wantedPeers() []Peer {
+	addresses := map[string]string{}
+	for _, contact := range node.members.Peers() {
+		addresses[contact.Name] = contact.Address
+	}
+	allAreNeighbours := node.members.Count() <= membership.MaxNeighbours
+	for _, member := range node.members.Members() {
+		_, asked := node.peers.leaseUntil[member.Name]
+		if member.Address != "" && member.State != membership.Left && (allAreNeighbours || asked) {
+			addresses[member.Name] = member.Address
+		}
+	}
+	var wanted []Peer
+	for _, name := range slices.Sorted(maps.Keys(addresses)) {
+		wanted = append(wanted, Peer{Name: name, Address: addresses[name]})
+	}
+	return wanted
+}
+
+// keepLeaseLink has a link to an instance that a message about leases goes to.
+func (node *Node) keepLeaseLink(now int64, name string) {
+	_, had := node.peers.leaseUntil[name]
+	node.peers.leaseUntil[name] = now + leaseLinkDuration
+	if !had {
+		node.peers.leasesMoved = true
+		node.updateMembers(now)
+	}
+}
+
+// candidates is who can hold leases.
+func candidates(entries []membership.Entry) []lease.Candidate {
+	var candidates []lease.Candidate
+	for _, entry := range entries {
+		candidates = append(candidates, lease.Candidate{Name: entry.Name, Weight: entry.Weight})
+	}
+	return candidates
+}
+
+// transition is a change from one state to another.
+type transition struct{ state, previous membership.State }
+
+// logChanges logs what is believed anew.
+func (node *Node) logChanges(changes []membership.Change) {
+	byTransition := map[transition][]membership.Change{}
+	for _, change := range changes {
+		if change.Name == node.config.Self.Name {
+			node.logOwnChange(change.Reason)
+			continue
+		}
+		kind := transition{change.State, change.Previous}
+		byTransition[kind] = append(byTransition[kind], change)
+	}
+	states := []membership.State{membership.Unheard, membership.Alive, membership.Dead, membership.Left}
+	for _, state := range states {
+		for _, previous := range states {
+			kind := transition{state, previous}
+			node.logTransition(kind, byTransition[kind])
 		}
-		if way, near := ways[m.Name]; near {
-			b.Near, b.InMS, b.OutMS = !way.Inbound, way.HeardAgo/1e6, way.EchoedAgo/1e6
+	}
+}
+
+// logOwnChange logs what this instance finds of itself.
+func (node *Node) logOwnChange(reason string) {
+	switch reason {
+	case membership.ReasonAway:
+		away := milliseconds(node.members.Away())
+		node.emit(Log{Line: fmt.Sprintf("this instance was away for %d ms; nothing is held against others for it", away)})
+	case membership.ReasonCutOff:
+		node.emit(Log{Line: "nothing is heard from any neighbour: this instance seems to be cut off"})
+	default:
+		node.emit(Log{Line: "neighbours are heard again"})
+	}
+}
+
+// logTransition logs the changes of one kind.
+func (node *Node) logTransition(kind transition, changes []membership.Change) {
+	was := "was " + kind.previous.String()
+	if len(changes) > maxChangesLogged {
+		node.emit(Log{Line: fmt.Sprintf("%d members %s", len(changes), kind.state), Reason: was})
+		return
+	}
+	for _, change := range changes {
+		reason := was
+		if change.Reason != "" {
+			reason += "; " + change.Reason
 		}
-		s.Members = append(s.Members, b)
+		node.emit(Log{Line: "member " + kind.state.String(), Member: change.Name, Reason: reason})
+	}
+}
+
+// logDuplicate logs whether another start under the own name is heard.
+func (node *Node) logDuplicate(now int64) {
+	self := node.config.Self.Name
+	duplicated := node.members.IsDuplicated(now, self)
+	if duplicated == node.duplicated {
+		return
+	}
+	node.duplicated = duplicated
+	line := "no other start under this name is heard any more"
+	if duplicated {
+		line = "another start under this name was heard: no votes are given until it is silent"
 	}
-	return s
+	node.emit(Log{Line: line, Member: self})
 }
--- a/fleet/wire_test.go
+++ b/fleet/message_test.go
@@ -1,16 +1,16 @@
 package fleet
 
 import (
+	"bytes"
 	"encoding/hex"
 	"encoding/json"
 	"flag"
 	"os"
 	"reflect"
 	"strings"
-	"testing"
-
 	"tealpath/fleet/lease"
 	"tealpath/fleet/membership"
+	"testing"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -84,7 +84,7 @@
 
 // Commands print a status as JSON for operators' scripts: its fields stay as they are.
 func TestStatusJSON(t *testing.T) {
-	a := node(t, "a", 1)
+	a := newNode(t, "a", 1)
 	entry := membership.Entry{Name: "b", Incarnation: 2, Start: 1, Version: 1, Address: "b:1", Weight: 1, Epoch: 1}
 	a.Handle(1000*ms, MessageReceived{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Gossip: &membership.Gossip{
 		Heartbeat: 1, Entries: []membership.Entry{entry},
@@ -115,3 +115,33 @@
 	}
 	golden(t, "status.json", text.String())
 }
+
+func FuzzDecode(f *testing.F) {
+	for _, message := range []Message{
+		{HighestBallot: 3},
+		{Lease: &lease.Message{Kind: lease.Propose, Epoch: 1, Items: []lease.SlotBallot{{Slot: 3, Ballot: 9}}}},
+		{ProbeResults: []ProbeResult{{Target: "t", Ballot: 4, Load: []float64{1}}}},
+		{Gossip: &membership.Gossip{
+			Heartbeat: 2, Entries: []membership.Entry{{Name: "b", Incarnation: 1, Version: 2, Weight: 1}},
+			Reports:       []membership.Report{{Subject: "b", Observer: "a", Kind: membership.Deaf}},
+			BucketDigests: make([]uint64, membership.DigestBuckets),
+		}},
+		fullMessage(),
+	} {
+		raw, err := message.Encode()
+		if err != nil {
+			f.Fatal(err)
+		}
+		f.Add(raw)
+	}
+	f.Add(bytes.Repeat([]byte{0x9f}, 100))
+	node := newNode(f, "a", 1)
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		message, err := Decode(raw)
+		if err != nil {
+			return
+		}
+		node.Handle(2000*ms, MessageReceived{From: lease.Instance{Name: "b", Incarnation: 2}, Message: message})
+		node.Handle(2000*ms, TimerFired{WallMS: 1})
+	})
+}
--- a/fleet/peer/keys.go
+++ b/fleet/peer/keys.go
@@ -47,8 +47,10 @@
 		}
 	}
 	for _, use := range []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth} {
-		if _, err := k.leaf.Verify(x509.VerifyOptions{DNSName: name, Roots: k.roots, Intermediates: chain, CurrentTime: at,
-			KeyUsages: []x509.ExtKeyUsage{use}}); err != nil {
+		if _, err := k.leaf.Verify(x509.VerifyOptions{
+			DNSName: name, Roots: k.roots, Intermediates: chain, CurrentTime: at,
+			KeyUsages: []x509.ExtKeyUsage{use},
+		}); err != nil {
 			return fmt.Errorf("the certificate does not prove %q: %w", name, err)
 		}
 	}
@@ -66,8 +68,10 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		k := h.Load()
 		// Without tickets: a session of before would pass with a root that is no longer believed.
-		return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{k.pair}, ClientCAs: k.roots,
-			ClientAuth: tls.RequireAndVerifyClientCert, SessionTicketsDisabled: true}, nil
+		return &tls.Config{
+			MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{k.pair}, ClientCAs: k.roots,
+			ClientAuth: tls.RequireAndVerifyClientCert, SessionTicketsDisabled: true,
+		}, nil
 	}}
 }
 
--- a/fleet/peer/peer.go
+++ b/fleet/peer/peer.go
@@ -83,8 +83,10 @@
 
 // New makes links that do not run yet.
 func New(c Config) *Links {
-	l := &Links{config: c, shakes: make(chan struct{}, shakeMost), out: map[string]*outgoing{}, in: map[string][]*incoming{},
-		complain: map[string]*complaint{}}
+	l := &Links{
+		config: c, shakes: make(chan struct{}, shakeMost), out: map[string]*outgoing{}, in: map[string][]*incoming{},
+		complain: map[string]*complaint{},
+	}
 	l.keys.Store(c.Keys)
 	return l
 }
--- a/fleet/peer/peer_test.go
+++ b/fleet/peer/peer_test.go
@@ -11,13 +11,12 @@
 	"runtime"
 	"strings"
 	"sync"
+	"tealpath/standin/keys"
 	"testing"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
 	"go4.org/netipx"
-
-	"tealpath/standin/keys"
 )
 
 const patience = 5 * time.Second
@@ -59,8 +58,10 @@
 
 func load(t *testing.T, folder, name string) *Keys {
 	t.Helper()
-	k, err := Files{filepath.Join(folder, name+".pem"), filepath.Join(folder, name+".key"),
-		filepath.Join(folder, "roots.pem")}.Load()
+	k, err := Files{
+		filepath.Join(folder, name+".pem"), filepath.Join(folder, name+".key"),
+		filepath.Join(folder, "roots.pem"),
+	}.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +75,8 @@
 		t.Fatal(err)
 	}
 	e := &end{address: listener.Addr().String()}
-	e.Links = New(Config{Name: name, Incarnation: 1, Listener: listener, Keys: k, Allow: loopback(t, allow),
+	e.Links = New(Config{
+		Name: name, Incarnation: 1, Listener: listener, Keys: k, Allow: loopback(t, allow),
 		Receive: func(from string, _ uint64, payload []byte) {
 			e.mu.Lock()
 			defer e.mu.Unlock()
@@ -84,7 +86,8 @@
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			e.logged = append(e.logged, line+" | "+who+" | "+why)
-		}})
+		},
+	})
 	ctx, stop := context.WithCancel(context.Background())
 	var over sync.WaitGroup
 	over.Go(func() { e.Run(ctx) })
@@ -203,8 +206,10 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			over := tls.Client(conn, &tls.Config{InsecureSkipVerify: true,
-				GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &tc.pair, nil }})
+			over := tls.Client(conn, &tls.Config{
+				InsecureSkipVerify:   true,
+				GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &tc.pair, nil },
+			})
 			over.Write(tc.bytes)
 			if tc.name == "half a frame" {
 				over.Close()
--- a/fleet/probe/probe.go
+++ b/fleet/probe/probe.go
@@ -8,10 +8,9 @@
 	"errors"
 	"fmt"
 	"slices"
+	"tealpath/fleet/lease"
 
 	"github.com/cespare/xxhash/v2"
-
-	"tealpath/fleet/lease"
 )
 
 // PartMost is the largest part of a cold target's limit that may be set aside for probing: traffic of all routers
@@ -173,8 +172,10 @@
 			p.skipped++
 			continue
 		}
-		out = append(out, Probe{Target: t.Name, Address: t.Address, Slot: t.slot, Number: number, Until: until,
-			Within: p.config.Within})
+		out = append(out, Probe{
+			Target: t.Name, Address: t.Address, Slot: t.slot, Number: number, Until: until,
+			Within: p.config.Within,
+		})
 	}
 	return out
 }
--- a/fleet/status.go
+++ b/fleet/status.go
@@ -3,9 +3,10 @@
 import (
 	"tealpath/fleet/lease"
 	"tealpath/fleet/membership"
+	"time"
 )
 
-// Status is what an instance knows, for people.
+// Status is what an instance knows of leases and probes, for people.
 type Status struct {
 	Name         string         `json:"name"`
 	Incarnation  uint64         `json:"incarnation"`
@@ -43,33 +44,114 @@
 	LeftMS  int64 `json:"left_ms,omitempty"`  // for how long it does still, unless it is renewed
 }
 
-// Status tells what this instance knows.
-func (n *Node) Status(now int64) Status {
-	s := Status{Name: n.config.Self.Name, Incarnation: n.config.Self.Incarnation, Majority: n.HasQuorum(now),
-		Voters: n.leases.Voters().Current, Epoch: n.leases.Voters().Epoch, StaleResults: n.stale}
-	if s.SilentMS = max(0, n.leases.SilentUntil()-now) / 1e6; s.SilentMS > 0 {
-		s.Reason = "this voter has just started and grants nothing yet"
+// MembersStatus is what one instance believes of the others, for people.
+type MembersStatus struct {
+	Name      string         `json:"name"`
+	View      uint64         `json:"view"`   // number of the view handed on, here
+	Digest    uint64         `json:"digest"` // the same wherever the same is believed
+	SinceMS   int64          `json:"since_ms"`
+	Alive     int            `json:"alive"`
+	Health    int            `json:"local_health"`      // 0 is well, 8 is worst
+	AwayMS    int64          `json:"away_ms,omitempty"` // for how long this instance was away, when it last was
+	CutOff    bool           `json:"cut_off,omitempty"`
+	Links     int            `json:"links"`
+	BytesSent int64          `json:"bytes_sent"`
+	Refused   int64          `json:"refused"`
+	Members   []MemberBelief `json:"members"`
+}
+
+// MemberBelief is what one instance believes of another.
+type MemberBelief struct {
+	Name     string   `json:"name"`
+	State    string   `json:"state"`
+	SinceMS  int64    `json:"since_ms"`
+	Version  uint64   `json:"version"`
+	Held     bool     `json:"held_out,omitempty"` // it keeps dying
+	Doubled  bool     `json:"doubled,omitempty"`
+	Reported []string `json:"reported_by,omitempty"` // "observer silent" or "observer deaf"
+	Near     bool     `json:"neighbour,omitempty"`
+	InMS     int64    `json:"in_ms,omitempty"`  // since it was last heard here
+	OutMS    int64    `json:"out_ms,omitempty"` // since it last showed that it hears this instance
+}
+
+// Status tells what this instance knows of leases and probes.
+func (node *Node) Status(now int64) Status {
+	voters := node.leases.Voters()
+	status := Status{
+		Name: node.config.Self.Name, Incarnation: node.config.Self.Incarnation, Majority: node.HasQuorum(now),
+		SilentMS: milliseconds(max(0, node.leases.SilentUntil()-now)),
+		Voters:   voters.Current, Epoch: voters.Epoch,
+		Members: node.memberStatuses(now), StaleResults: node.results.stale,
 	}
-	if !s.Majority {
-		s.Reason = "voters not heard: " + n.missing(now)
+	if status.SilentMS > 0 {
+		status.Reason = "this voter has just started and grants nothing yet"
 	}
-	self := n.table.Self()
-	s.Members = append(s.Members, MemberStatus{Name: self.Name, Address: self.Address, State: membership.Alive.String(),
-		SinceMS: (now - n.started) / 1e6, Weight: self.Weight, Epoch: self.Epoch, Doubled: n.doubled})
-	for _, m := range n.table.Members() {
-		s.Members = append(s.Members, MemberStatus{Name: m.Name, Address: m.Address, State: m.State.String(),
-			SinceMS: (now - m.Since) / 1e6, Weight: m.Weight, Epoch: m.Epoch, Doubled: n.table.IsDuplicated(now, m.Name)})
+	if !status.Majority {
+		status.Reason = "voters not heard: " + node.missingVoters()
 	}
-	for _, slot := range n.leases.Slots(now) {
-		x := SlotStatus{SlotStatus: slot}
+	for _, slot := range node.leases.Slots(now) {
+		slotStatus := SlotStatus{SlotStatus: slot}
 		if slot.Own {
-			x.SinceMS, x.LeftMS = (now-slot.Since)/1e6, (slot.Until-now)/1e6
+			slotStatus.SinceMS, slotStatus.LeftMS = milliseconds(now-slot.Since), milliseconds(slot.Until-now)
+		}
+		status.Slots = append(status.Slots, slotStatus)
+	}
+	if node.prober != nil {
+		status.Targets, status.OwnTargets = node.prober.Count()
+		status.Skipped = node.prober.Skipped()
+	}
+	return status
+}
+
+// memberStatuses is what is believed of all, the own instance first.
+func (node *Node) memberStatuses(now int64) []MemberStatus {
+	self := node.members.Self()
+	statuses := []MemberStatus{{
+		Name: self.Name, Address: self.Address, State: membership.Alive.String(), SinceMS: milliseconds(now - node.startedAt),
+		Weight: self.Weight, Epoch: self.Epoch, Doubled: node.duplicated,
+	}}
+	for _, member := range node.members.Members() {
+		statuses = append(statuses, MemberStatus{
+			Name: member.Name, Address: member.Address, State: member.State.String(), SinceMS: milliseconds(now - member.Since),
+			Weight: member.Weight, Epoch: member.Epoch, Doubled: node.members.IsDuplicated(now, member.Name),
+		})
+	}
+	return statuses
+}
+
+// Members tells what this instance believes of the others.
+func (node *Node) Members(now int64) MembersStatus {
+	number, digest, since := node.members.ViewInfo()
+	status := MembersStatus{
+		Name: node.config.Self.Name, View: number, Digest: digest, SinceMS: milliseconds(now - since),
+		Alive: len(node.members.Alive()), Health: node.members.LocalHealth(), AwayMS: milliseconds(node.members.Away()),
+		CutOff: node.members.IsCutOff(), Links: len(node.peers.linked), Refused: node.members.Rejected(),
+	}
+	links := node.members.LinkStates(now)
+	for _, member := range node.members.Members() {
+		belief := MemberBelief{
+			Name: member.Name, State: member.State.String(), SinceMS: milliseconds(now - member.Since), Version: member.Version,
+			Held: member.HeldOut, Doubled: node.members.IsDuplicated(now, member.Name), Reported: reportedBy(member),
+		}
+		if link, ok := links[member.Name]; ok {
+			belief.Near = !link.Inbound
+			belief.InMS, belief.OutMS = milliseconds(link.HeardAgo), milliseconds(link.EchoedAgo)
 		}
-		s.Slots = append(s.Slots, x)
+		status.Members = append(status.Members, belief)
 	}
-	if n.probe != nil {
-		s.Targets, s.OwnTargets = n.probe.Count()
-		s.Skipped = n.probe.Skipped()
+	return status
+}
+
+// reportedBy is who reports a member, and for what.
+func reportedBy(member membership.Member) []string {
+	var reported []string
+	for _, report := range member.Reports {
+		if report.Kind != membership.Healthy {
+			reported = append(reported, report.Observer+" "+report.Kind.String())
+		}
 	}
-	return s
+	return reported
 }
+
+// milliseconds converts a length of time in ns, cutting off what is under a millisecond.
+func milliseconds(nanoseconds int64) int64 { return time.Duration(nanoseconds).Milliseconds() }
