--- a/fleet/cluster_test.go
+++ b/fleet/cluster_test.go
@@ -17,7 +17,7 @@
 
 func newNode(t testing.TB, name string, incarnation uint64) *Node {
 	t.Helper()
-	cold := probe.Cold{Share: 0.16, Factor: 2.5, Window: 1500 * ms, Span: 17000 * ms}
+	cold := probe.ColdLimit{Share: 0.16, Factor: 2.5, Window: 1500 * ms, WarmUpDuration: 17000 * ms}
 	var contacts []membership.Contact
 	for _, contact := range clusterNames {
 		contacts = append(contacts, membership.Contact{Name: contact, Address: contact + ":1", Weight: 1})
@@ -29,7 +29,7 @@
 			Slots: testSlots, LeaseDuration: 1500 * ms, RenewInterval: 500 * ms, MaxClockDrift: 0.01,
 			Voters: lease.Voters{Epoch: 1, Current: clusterNames},
 		},
-		Probe: &probe.Config{Period: 1000 * ms, Within: 500 * ms, Part: 0.05, Cost: 0.001, Cache: cold, Parent: cold},
+		Probe: &probe.Config{Period: 1000 * ms, Timeout: 500 * ms, ColdPart: 0.05, Cost: 0.001, Cache: cold, Parent: cold},
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 // withTarget hands each node a list of one target.
 func (cluster testCluster) withTarget() testCluster {
 	for _, node := range cluster {
-		node.Handle(0, TargetsUpdated{Targets: []probe.Target{{Name: "t", Address: "x", Units: 4}}})
+		node.Handle(0, TargetsUpdated{Targets: []probe.Target{{Name: "t", Address: "x", Capacity: 4}}})
 	}
 	return cluster
 }
--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -13,8 +13,8 @@
 // periodicTask is one kind of periodic task: it is told which slots are held, and says what is to be done now for those that are.
 // Each kind hashes its own tasks to slots (lease.SlotOf).
 type periodicTask interface {
-	Gained(now int64, slot int)
-	Lost(slot int)
+	SlotAcquired(now int64, slot int)
+	SlotLost(slot int)
 	Do(now int64, holds holdsFunc) []Effect
 	Next(now int64) int64
 }
@@ -45,13 +45,13 @@
 			node.emit(Send{To: effect.To, Message: Message{Lease: &effect.Message}})
 		case lease.Acquired:
 			for _, task := range node.tasks {
-				task.Gained(now, effect.Slot)
+				task.SlotAcquired(now, effect.Slot)
 			}
 			node.emit(LeaseChanged{Slot: effect.Slot, Ballot: effect.Ballot})
 			lines.add(Log{Line: "slots gained", Slots: []int{effect.Slot}, Ballot: effect.Ballot})
 		case lease.Lost:
 			for _, task := range node.tasks {
-				task.Lost(effect.Slot)
+				task.SlotLost(effect.Slot)
 			}
 			node.emit(LeaseChanged{Slot: effect.Slot})
 			lines.add(Log{Line: "slots lost", Slots: []int{effect.Slot}, Ballot: effect.Ballot, Reason: effect.Reason})
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -75,7 +75,7 @@
 	if err := config.Probe.Check(); err != nil {
 		return nil, err
 	}
-	config.Probe.Slots, config.Probe.Drift = config.Lease.Slots, config.Lease.MaxClockDrift
+	config.Probe.Slots, config.Probe.MaxClockDrift = config.Lease.Slots, config.Lease.MaxClockDrift
 	node.prober = probe.New(*config.Probe)
 	node.tasks = append(node.tasks, probing{node.prober})
 	return node, nil
@@ -107,7 +107,7 @@
 		node.receive(now, event)
 	case TargetsUpdated:
 		if node.prober != nil {
-			node.prober.Targets(now, event.Targets)
+			node.prober.SetTargets(now, event.Targets)
 		}
 	case ProbeEnded:
 		node.endProbe(now, event.ProbeResult)
--- a/fleet/probe/probe.go
+++ b/fleet/probe/probe.go
@@ -13,39 +13,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PartMost is the largest part of a cold target's limit that may be set aside for probing: traffic of all routers
+// MaxColdPart is the largest part of a cold target's limit that may be set aside for probing: traffic of all routers
 // uses 0.6 of it, and a tenth stays for what both reckon wrongly.
-const PartMost = 0.3
+const MaxColdPart = 0.3
 
-// Cold is what a target that has just started bears, as the deployment's settings state it.
-type Cold struct {
-	Share  float64 // of its capacity, at its start
-	Factor float64 // multiple of that at which it falls over
-	Window int64   // ns: over which it is reckoned
-	Span   int64   // ns: until it is warm; 0 is never cold
+// ColdLimit is what a target that has just started bears, as the deployment's settings state it.
+type ColdLimit struct {
+	Share          float64 // of its capacity, at its start
+	Factor         float64 // multiple of that at which it falls over
+	Window         int64   // ns: over which it is reckoned
+	WarmUpDuration int64   // ns: until it is warm; 0 is never cold
 }
 
 // Config is what a Prober goes by.
 type Config struct {
-	Period int64   // ns between two probes of a target
-	Within int64   // ns by which a probe is to be answered
-	Part   float64 // of a cold target's limit
-	Cost   float64 // of a probe, in seconds of sending time
-	Drift  float64
-	Slots  int
-	Cache  Cold
-	Parent Cold
+	Period        int64   // ns between two probes of a target
+	Timeout       int64   // ns by which a probe is to be answered
+	ColdPart      float64 // of a cold target's limit
+	Cost          float64 // of a probe, in seconds of sending time
+	MaxClockDrift float64
+	Slots         int
+	Cache         ColdLimit
+	Parent        ColdLimit
 }
 
 // Check tells what is wrong with a configuration.
 func (c Config) Check() error {
 	switch {
-	case c.Period <= 0 || c.Within <= 0:
+	case c.Period <= 0 || c.Timeout <= 0:
 		return errors.New("the period and the time to answer must be above 0")
-	case c.Within > c.Period:
-		return fmt.Errorf("a probe of %d ms takes longer than the period of %d ms", c.Within/1e6, c.Period/1e6)
-	case !(c.Part > 0 && c.Part <= PartMost):
-		return fmt.Errorf("a cold part of %v: above 0 to %v can be, as traffic uses 0.6", c.Part, PartMost)
+	case c.Timeout > c.Period:
+		return fmt.Errorf("a probe of %d ms takes longer than the period of %d ms", c.Timeout/1e6, c.Period/1e6)
+	case !(c.ColdPart > 0 && c.ColdPart <= MaxColdPart):
+		return fmt.Errorf("a cold part of %v: above 0 to %v can be, as traffic uses 0.6", c.ColdPart, MaxColdPart)
 	case !(c.Cost > 0):
 		return errors.New("the cost of a probe must be above 0")
 	}
@@ -56,7 +56,7 @@
 type Target struct {
 	Name, Address string
 	Parent        bool
-	Units         float64 // its capacity, in seconds of sending a second
+	Capacity      float64 // its capacity, in seconds of sending a second
 	WarmAt        int64   // when it will be warm, by the clock of the calls; 0 is long ago
 }
 
@@ -64,9 +64,9 @@
 type Probe struct {
 	Target, Address string
 	Slot            int
-	Number          uint64
+	Ballot          uint64
 	Until           int64
-	Within          int64
+	Timeout         int64
 }
 
 // target is one member, with what its owner keeps of it.
@@ -90,8 +90,8 @@
 // New makes a prober without targets.
 func New(c Config) *Prober { return &Prober{config: c, gained: map[int]int64{}} }
 
-// Targets gives the list of targets as it is now.
-func (p *Prober) Targets(now int64, list []Target) {
+// SetTargets gives the list of targets as it is now.
+func (p *Prober) SetTargets(now int64, list []Target) {
 	old := map[string]*target{}
 	for _, t := range p.targets {
 		old[t.Name] = t
@@ -118,7 +118,7 @@
 // Gained tells that a slot is held from now on. Its holder before may have probed just before it stopped, so the
 // first probe comes a period later, and a window later for what is or may be cold: the part that is set aside is
 // then spent by one holder at a time.
-func (p *Prober) Gained(now int64, slot int) {
+func (p *Prober) SlotAcquired(now int64, slot int) {
 	p.gained[slot] = now
 	for _, t := range p.targets {
 		if t.slot == slot {
@@ -128,7 +128,7 @@
 }
 
 // Lost tells that a slot is no longer held.
-func (p *Prober) Lost(slot int) { delete(p.gained, slot) }
+func (p *Prober) SlotLost(slot int) { delete(p.gained, slot) }
 
 // first is when a target is probed first after its slot was gained.
 func (p *Prober) first(gained int64, t *target) int64 {
@@ -142,11 +142,13 @@
 }
 
 // slack is a span lengthened by what two clocks may differ in rate.
-func (p *Prober) slack(span int64) int64 { return int64(float64(span) * (1 + 2*p.config.Drift)) }
+func (p *Prober) slack(span int64) int64 {
+	return int64(float64(span) * (1 + 2*p.config.MaxClockDrift))
+}
 
 func (t *target) cold(now int64) bool { return now < t.WarmAt }
 
-func (p *Prober) cold(t *target) Cold {
+func (p *Prober) cold(t *target) ColdLimit {
 	if t.Parent {
 		return p.config.Parent
 	}
@@ -173,8 +175,8 @@
 			continue
 		}
 		out = append(out, Probe{
-			Target: t.Name, Address: t.Address, Slot: t.slot, Number: number, Until: until,
-			Within: p.config.Within,
+			Target: t.Name, Address: t.Address, Slot: t.slot, Ballot: number, Until: until,
+			Timeout: p.config.Timeout,
 		})
 	}
 	return out
@@ -186,32 +188,32 @@
 	c := p.cold(t)
 	window := p.slack(c.Window)
 	t.spent = slices.DeleteFunc(t.spent, func(at int64) bool { return at <= now-window })
-	if t.cold(now) && float64(len(t.spent)+1)*p.config.Cost > p.Budget(t.Target) {
+	if t.cold(now) && float64(len(t.spent)+1)*p.config.Cost > p.ColdBudget(t.Target) {
 		return false
 	}
 	t.spent = append(t.spent, now)
 	return true
 }
 
-// Budget is what probing may cost a target over the window while it is cold, in seconds of sending time.
-func (p *Prober) Budget(t Target) float64 {
+// ColdBudget is what probing may cost a target over the window while it is cold, in seconds of sending time.
+func (p *Prober) ColdBudget(t Target) float64 {
 	c := p.config.Cache
 	if t.Parent {
 		c = p.config.Parent
 	}
-	return p.config.Part * c.Factor * c.Share * t.Units * float64(c.Window) / 1e9
+	return p.config.ColdPart * c.Factor * c.Share * t.Capacity * float64(c.Window) / 1e9
 }
 
-// Done tells how a probe ended. One that answers again may have been restarted, which the list tells too late: it
+// ProbeEnded tells how a probe ended. One that answers again may have been restarted, which the list tells too late: it
 // counts as cold.
-func (p *Prober) Done(now int64, name string, good bool) {
+func (p *Prober) ProbeEnded(now int64, name string, good bool) {
 	at, found := slices.BinarySearchFunc(p.targets, name, func(t *target, n string) int { return cmp.Compare(t.Name, n) })
 	if !found {
 		return
 	}
 	t := p.targets[at]
 	if good && t.tried && !t.good {
-		t.WarmAt = max(t.WarmAt, now+p.cold(t).Span)
+		t.WarmAt = max(t.WarmAt, now+p.cold(t).WarmUpDuration)
 	}
 	t.good, t.tried = good, true
 }
--- a/fleet/probe/probe_test.go
+++ b/fleet/probe/probe_test.go
@@ -9,13 +9,13 @@
 const ms = int64(1e6)
 
 func config() Config {
-	cold := Cold{Share: 0.1, Factor: 2, Window: 1500 * ms, Span: 17000 * ms}
-	return Config{Period: 1000 * ms, Within: 500 * ms, Part: 0.05, Cost: 0.001, Drift: 0.01, Slots: 64, Cache: cold, Parent: cold}
+	cold := ColdLimit{Share: 0.1, Factor: 2, Window: 1500 * ms, WarmUpDuration: 17000 * ms}
+	return Config{Period: 1000 * ms, Timeout: 500 * ms, ColdPart: 0.05, Cost: 0.001, MaxClockDrift: 0.01, Slots: 64, Cache: cold, Parent: cold}
 }
 
 func targets(n int) (out []Target) {
 	for i := range n {
-		out = append(out, Target{Name: fmt.Sprint("t", i), Address: "x", Units: 1})
+		out = append(out, Target{Name: fmt.Sprint("t", i), Address: "x", Capacity: 1})
 	}
 	return out
 }
@@ -34,9 +34,9 @@
 func TestOneProbeATargetAndPeriod(t *testing.T) {
 	for _, n := range []int{3, 200} {
 		p, sent := New(config()), map[string][]int64{}
-		p.Targets(0, targets(n))
+		p.SetTargets(0, targets(n))
 		for s := range 64 {
-			p.Gained(0, s)
+			p.SlotAcquired(0, s)
 		}
 		play(p, 0, 32000*ms, always, sent)
 		for _, x := range targets(n) {
@@ -49,16 +49,16 @@
 
 func TestNothingWithoutTheSlotAtThatInstant(t *testing.T) {
 	p, sent := New(config()), map[string][]int64{}
-	p.Targets(0, targets(5))
+	p.SetTargets(0, targets(5))
 	for s := range 64 {
-		p.Gained(0, s)
+		p.SlotAcquired(0, s)
 	}
 	play(p, 0, 5000*ms, func(int) (uint64, int64, bool) { return 0, 0, false }, sent)
 	if len(sent) != 0 {
 		t.Errorf("probed without owning: %v", sent)
 	}
 	for s := range 64 {
-		p.Lost(s)
+		p.SlotLost(s)
 	}
 	play(p, 5000*ms, 9000*ms, always, sent)
 	if len(sent) != 0 {
@@ -69,18 +69,18 @@
 // A target that is gone from the list is not probed, and comes back in its turn.
 func TestTargetsThatGo(t *testing.T) {
 	p, sent := New(config()), map[string][]int64{}
-	p.Targets(0, targets(3))
+	p.SetTargets(0, targets(3))
 	for s := range 64 {
-		p.Gained(0, s)
+		p.SlotAcquired(0, s)
 	}
 	play(p, 0, 5000*ms, always, sent)
-	p.Targets(5000*ms, targets(1))
+	p.SetTargets(5000*ms, targets(1))
 	before := len(sent["t2"])
 	play(p, 5000*ms, 9000*ms, always, sent)
 	if len(sent["t2"]) != before {
 		t.Error("a target that is gone was probed")
 	}
-	p.Targets(9000*ms, targets(3))
+	p.SetTargets(9000*ms, targets(3))
 	play(p, 9000*ms, 13000*ms, always, sent)
 	if len(sent["t2"]) == before {
 		t.Error("a target that came back was not probed")
@@ -94,10 +94,10 @@
 		rng := rand.New(rand.NewPCG(seed, 1))
 		c := config()
 		c.Period = 100 * ms // far more often than the budget bears
-		c.Within = c.Period
+		c.Timeout = c.Period
 		c.Cost = 0.004
-		target := Target{Name: "t0", Address: "x", Units: 1, WarmAt: 17000 * ms}
-		budget := New(c).Budget(target)
+		target := Target{Name: "t0", Address: "x", Capacity: 1, WarmAt: 17000 * ms}
+		budget := New(c).ColdBudget(target)
 		type probe struct {
 			at    int64
 			owner int
@@ -109,8 +109,8 @@
 			clock := func(at int64) int64 { return int64(float64(at) * rate) }
 			p := New(c)
 			// The list reached it at some moment, and its clock gives its own reading of when the target is warm.
-			p.Targets(clock(now), []Target{{Name: "t0", Address: "x", Units: 1, WarmAt: clock(17000 * ms)}})
-			p.Gained(clock(now), p.targets[0].slot)
+			p.SetTargets(clock(now), []Target{{Name: "t0", Address: "x", Capacity: 1, WarmAt: clock(17000 * ms)}})
+			p.SlotAcquired(clock(now), p.targets[0].slot)
 			end := now + rng.Int64N(4000*ms)
 			for ; now < end; now += 5 * ms {
 				for range p.Due(clock(now), always) {
@@ -142,25 +142,25 @@
 	c := config()
 	c.Cost = 1 // more than any cold target bears
 	p, sent := New(c), map[string][]int64{}
-	p.Targets(0, targets(1))
-	p.Gained(0, p.targets[0].slot)
+	p.SetTargets(0, targets(1))
+	p.SlotAcquired(0, p.targets[0].slot)
 	play(p, 0, 4000*ms, always, sent)
-	p.Done(4000*ms, "t0", false)
-	p.Done(4500*ms, "t0", true)
+	p.ProbeEnded(4000*ms, "t0", false)
+	p.ProbeEnded(4500*ms, "t0", true)
 	before := len(sent["t0"])
 	play(p, 4500*ms, 9000*ms, always, sent)
 	if before == 0 || len(sent["t0"]) != before || p.Skipped() == 0 {
 		t.Errorf("probed %d times before, %d after it answered again, %d left out", before, len(sent["t0"]), p.Skipped())
 	}
-	p.Done(0, "unknown", true)
+	p.ProbeEnded(0, "unknown", true)
 }
 
 func TestCheck(t *testing.T) {
 	for name, spoil := range map[string]func(*Config){
-		"part":   func(c *Config) { c.Part = 0.31 },
-		"none":   func(c *Config) { c.Part = 0 },
+		"part":   func(c *Config) { c.ColdPart = 0.31 },
+		"none":   func(c *Config) { c.ColdPart = 0 },
 		"cost":   func(c *Config) { c.Cost = 0 },
-		"within": func(c *Config) { c.Within = 2 * c.Period },
+		"within": func(c *Config) { c.Timeout = 2 * c.Period },
 		"period": func(c *Config) { c.Period = 0 },
 	} {
 		c := config()
--- a/fleet/probes.go
+++ b/fleet/probes.go
@@ -53,7 +53,7 @@
 	if node.prober == nil {
 		return
 	}
-	node.prober.Done(now, result.Target, result.Healthy)
+	node.prober.ProbeEnded(now, result.Target, result.Healthy)
 	if seen := node.results.newest[result.Target].ballot; result.Ballot < seen {
 		node.leases.Reacquire(now, lease.SlotOf(result.Target, node.config.Lease.Slots), seen)
 	}
--- a/lab/virtual.go
+++ b/lab/virtual.go
@@ -152,18 +152,18 @@
 			voters = append(voters, other.name)
 		}
 	}
-	cold := probe.Cold{Share: 0.16, Factor: 2.5, Window: 1500e6, Span: 17e9}
+	cold := probe.ColdLimit{Share: 0.16, Factor: 2.5, Window: 1500e6, WarmUpDuration: 17e9}
 	node, err := fleet.New(0, fleet.Config{Self: lease.Instance{Name: n.name, Incarnation: uint64(n.life)}, Address: n.name + ":1",
 		Weight: 1, Contacts: contacts, Seed: r.rng.Uint64(), Lease: lease.Config{Slots: r.Slots, LeaseDuration: r.Lease,
 			RenewInterval: r.Renewal, MaxClockDrift: 0.01, Voters: lease.Voters{Epoch: 1, Current: voters}},
-		Probe: &probe.Config{Period: 1e9, Within: 5e8, Part: 0.05, Cost: 0.001, Cache: cold, Parent: cold}})
+		Probe: &probe.Config{Period: 1e9, Timeout: 5e8, ColdPart: 0.05, Cost: 0.001, Cache: cold, Parent: cold}})
 	if err != nil {
 		panic(err)
 	}
 	n.node = node
 	var targets []probe.Target
 	for t := range r.Targets {
-		targets = append(targets, probe.Target{Name: fmt.Sprintf("t%03d", t), Address: "x", Units: 4})
+		targets = append(targets, probe.Target{Name: fmt.Sprintf("t%03d", t), Address: "x", Capacity: 4})
 	}
 	r.carry(i, node.Handle(0, fleet.TargetsUpdated{Targets: targets}))
 }
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -287,7 +287,7 @@
 		}
 	}
 	if out.Probe != nil {
-		out.Probe.Slots, out.Probe.Drift = out.Slots, out.Drift
+		out.Probe.Slots, out.Probe.MaxClockDrift = out.Slots, out.Drift
 		if err := out.Probe.Check(); err != nil {
 			f.add(places["probe"], "%v", err)
 		}
@@ -348,13 +348,13 @@
 }
 
 func (f *faults) probe(n *Node, args []*Node) *probe.Config {
-	out := &probe.Config{Period: int64(usualPeriod), Within: int64(usualWithin), Part: usualPart,
+	out := &probe.Config{Period: int64(usualPeriod), Timeout: int64(usualWithin), ColdPart: usualPart,
 		Cost: usualCost.Seconds()}
 	cost := int64(usualCost)
 	f.walk(n, args, map[string]entry{
 		"period":    {take: f.span(&out.Period, 50*time.Millisecond, time.Hour)},
-		"within":    {take: f.span(&out.Within, 10*time.Millisecond, time.Minute)},
-		"cold-part": {take: f.number(&out.Part, 0.0001, 1)},
+		"within":    {take: f.span(&out.Timeout, 10*time.Millisecond, time.Minute)},
+		"cold-part": {take: f.number(&out.ColdPart, 0.0001, 1)},
 		"cost":      {take: f.span(&cost, time.Microsecond, time.Minute)},
 	})
 	out.Cost = time.Duration(cost).Seconds()
@@ -362,7 +362,7 @@
 }
 
 // Bound checks the file against the deployment's settings, and takes from them what the duties need.
-func (f *File) Bound(allowed bool, cache, parent probe.Cold) error {
+func (f *File) Bound(allowed bool, cache, parent probe.ColdLimit) error {
 	if f.Fleet == nil || f.Fleet.Probe == nil {
 		return nil
 	}
--- a/process/sharing.go
+++ b/process/sharing.go
@@ -54,11 +54,11 @@
 }
 
 // coldOf takes what cold members bear from the settings.
-func coldOf(set control.Settings) (cache, parent probe.Cold) {
-	cache = probe.Cold{Share: setting(set, "cold.share", 1.), Factor: setting(set, "cold.factor", 1.),
-		Window: setting(set, "cold.window", int64(time.Second)), Span: setting(set, "cold.span", int64(0))}
+func coldOf(set control.Settings) (cache, parent probe.ColdLimit) {
+	cache = probe.ColdLimit{Share: setting(set, "cold.share", 1.), Factor: setting(set, "cold.factor", 1.),
+		Window: setting(set, "cold.window", int64(time.Second)), WarmUpDuration: setting(set, "cold.span", int64(0))}
 	parent = cache
-	parent.Share, parent.Span = setting(set, "parent.coldShare", 1.), setting(set, "parent.coldSpan", int64(0))
+	parent.Share, parent.WarmUpDuration = setting(set, "parent.coldShare", 1.), setting(set, "parent.coldSpan", int64(0))
 	parent.Factor = setting(set, "parent.coldFactor", cache.Factor)
 	return cache, parent
 }
@@ -152,11 +152,11 @@
 		if l.Phase != "ready" || l.Kind == kind("kind.origin") && l.Kind != "" {
 			continue // who drains or is gone gets nothing new, the origin is not probed
 		}
-		t := probe.Target{Name: l.Instance, Address: l.Address, Units: l.Units,
+		t := probe.Target{Name: l.Instance, Address: l.Address, Capacity: l.Units,
 			Parent: l.Kind != "" && l.Kind == kind("kind.parent")}
-		span := cache.Span
+		span := cache.WarmUpDuration
 		if t.Parent {
-			span = parent.Span
+			span = parent.WarmUpDuration
 		}
 		if l.Started > 0 {
 			t.WarmAt = l.Started + span - ahead
@@ -268,15 +268,15 @@
 	}
 	go func() {
 		defer func() { <-s.probing }()
-		limited, cancel := context.WithTimeout(ctx, time.Duration(p.Within))
+		limited, cancel := context.WithTimeout(ctx, time.Duration(p.Timeout))
 		defer cancel()
-		load, err := upstream.Alive(limited, p.Address, fmt.Sprintf("%016x", p.Number), s.report,
-			func() bool { return bootTime() < p.Until && s.held[p.Slot].Load() == p.Number })
+		load, err := upstream.Alive(limited, p.Address, fmt.Sprintf("%016x", p.Ballot), s.report,
+			func() bool { return bootTime() < p.Until && s.held[p.Slot].Load() == p.Ballot })
 		if errors.Is(err, upstream.ErrWithdrawn) || ctx.Err() != nil {
 			return
 		}
 		s.probes.Add(1)
-		s.post(ctx, fleet.ProbeEnded{ProbeResult: fleet.ProbeResult{Target: p.Target, Ballot: p.Number, Healthy: err == nil, Load: load}})
+		s.post(ctx, fleet.ProbeEnded{ProbeResult: fleet.ProbeResult{Target: p.Target, Ballot: p.Ballot, Healthy: err == nil, Load: load}})
 	}()
 }
 
