--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -5,10 +5,11 @@
 	"math"
 	"tealpath/fleet/lease"
 	"tealpath/fleet/membership"
+	"tealpath/fleet/probe"
 )
 
 // holdsFunc tells whether a slot's lease is held at this instant, under which ballot and until when.
-type holdsFunc = func(slot int) (ballot uint64, until int64, ok bool)
+type holdsFunc = probe.HoldsFunc
 
 // periodicTask is one kind of periodic task: it is told which slots are held, and says what is to be done now for those that are.
 // Each kind hashes its own tasks to slots (lease.SlotOf).
