--- a/fleet/peer/frame.go
+++ b/fleet/peer/frame.go
@@ -9,11 +9,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Version is the protocol's. Instances of another one are refused: what they say of members means something else to them.
-const Version = 2
+// ProtocolVersion is the protocol's. Instances of another one are refused: what they say of members means something else to them.
+const ProtocolVersion = 2
 
-// FrameMost is the longest frame, in bytes: more than the members and slots that can be come to.
-const FrameMost = 256 << 10
+// MaxFrameSize is the longest frame, in bytes: more than the members and slots that can be come to.
+const MaxFrameSize = 256 << 10
 
 const helloMost = 512
 
@@ -24,8 +24,8 @@
 	Incarnation uint64 `cbor:"3,keyasint"`
 }
 
-// ErrFrame is input that is no frame.
-var ErrFrame = errors.New("malformed frame")
+// ErrMalformedFrame is input that is no frame.
+var ErrMalformedFrame = errors.New("malformed frame")
 
 // readFrame reads a frame: four bytes of length, the most significant first, and so many bytes. Memory is taken as
 // bytes come, not as the length says.
@@ -36,7 +36,7 @@
 	}
 	size := binary.BigEndian.Uint32(head[:])
 	if size == 0 || size > uint32(most) {
-		return nil, fmt.Errorf("%w: %d bytes, 1 to %d can be", ErrFrame, size, most)
+		return nil, fmt.Errorf("%w: %d bytes, 1 to %d can be", ErrMalformedFrame, size, most)
 	}
 	const step = 16 << 10
 	out := make([]byte, 0, min(int(size), step))
@@ -45,7 +45,7 @@
 		part := min(int(size)-from, step)
 		out = append(out, make([]byte, part)...)
 		if _, err := io.ReadFull(in, out[from:]); err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrFrame, err)
+			return nil, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 		}
 	}
 	return out, nil
@@ -63,10 +63,10 @@
 	}
 	var h hello
 	if err := cbor.Unmarshal(raw, &h); err != nil {
-		return hello{}, fmt.Errorf("%w: %w", ErrFrame, err)
+		return hello{}, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
 	}
-	if h.Version != Version {
-		return hello{}, fmt.Errorf("protocol version %d, this is %d", h.Version, Version)
+	if h.Version != ProtocolVersion {
+		return hello{}, fmt.Errorf("protocol version %d, this is %d", h.Version, ProtocolVersion)
 	}
 	return h, nil
 }
--- a/fleet/peer/keys.go
+++ b/fleet/peer/keys.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Files name what an instance proves itself with: its certificate with the chain to a root, its key, and the roots
+// KeyFiles name what an instance proves itself with: its certificate with the chain to a root, its key, and the roots
 // it believes, all PEM. Two roots may be in the file while one takes the place of the other.
-type Files struct{ Certificate, Key, Roots string }
+type KeyFiles struct{ Certificate, Key, Roots string }
 
 // Keys are loaded files.
 type Keys struct {
@@ -22,7 +22,7 @@
 }
 
 // Load reads the files.
-func (f Files) Load() (*Keys, error) {
+func (f KeyFiles) Load() (*Keys, error) {
 	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
 		return nil, fmt.Errorf("certificate and key: %w", err)
@@ -38,8 +38,8 @@
 	return k, nil
 }
 
-// Serves tells what keeps these keys from proving a name at a time.
-func (k *Keys) Serves(name string, at time.Time) error {
+// CheckName tells what keeps these keys from proving a name at a time.
+func (k *Keys) CheckName(name string, at time.Time) error {
 	chain := x509.NewCertPool()
 	for _, raw := range k.pair.Certificate[1:] {
 		if c, err := x509.ParseCertificate(raw); err == nil {
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// Ends is when the certificate is no longer good.
-func (k *Keys) Ends() time.Time { return k.leaf.NotAfter }
+// ExpiresAt is when the certificate is no longer good.
+func (k *Keys) ExpiresAt() time.Time { return k.leaf.NotAfter }
 
 // holder is the keys in force: new connections use them, those that stand go on.
 type holder struct{ atomic.Pointer[Keys] }
--- a/fleet/peer/peer.go
+++ b/fleet/peer/peer.go
@@ -91,11 +91,11 @@
 	return l
 }
 
-// Use takes new keys into force: new connections use them, those that stand go on.
-func (l *Links) Use(k *Keys) { l.keys.Store(k) }
+// UseKeys takes new keys into force: new connections use them, those that stand go on.
+func (l *Links) UseKeys(k *Keys) { l.keys.Store(k) }
 
-// Allow takes new address sets into force, for new connections.
-func (l *Links) Allow(set *netipx.IPSet) {
+// SetAllowed takes new address sets into force, for new connections.
+func (l *Links) SetAllowed(set *netipx.IPSet) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.config.Allow = set
@@ -123,8 +123,8 @@
 	return group.Wait()
 }
 
-// Aim has links to these names and addresses, and to no others.
-func (l *Links) Aim(peers map[string]string) {
+// SetPeers has links to these names and addresses, and to no others.
+func (l *Links) SetPeers(peers map[string]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for name, o := range l.out {
@@ -165,7 +165,7 @@
 	l.mu.Lock()
 	o := l.out[name]
 	l.mu.Unlock()
-	if o == nil || len(payload) > FrameMost {
+	if o == nil || len(payload) > MaxFrameSize {
 		return
 	}
 	o.mu.Lock()
@@ -181,8 +181,8 @@
 	}
 }
 
-// Lost is how many frames were dropped from queues.
-func (l *Links) Lost() (n uint64) {
+// Dropped is how many frames were dropped from queues.
+func (l *Links) Dropped() (n uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, o := range l.out {
@@ -254,7 +254,7 @@
 		return err
 	}
 	defer conn.Close()
-	raw, err := cbor.Marshal(hello{Version, l.config.Name, l.config.Incarnation})
+	raw, err := cbor.Marshal(hello{ProtocolVersion, l.config.Name, l.config.Incarnation})
 	if err != nil {
 		return err
 	}
@@ -270,7 +270,7 @@
 		// Nothing comes this way but an end: with TLS 1.3 also the refusal of our certificate.
 		_, err := conn.Read(make([]byte, 1))
 		if err == nil {
-			err = fmt.Errorf("%w: bytes where none belong", ErrFrame)
+			err = fmt.Errorf("%w: bytes where none belong", ErrMalformedFrame)
 		}
 		ended <- err
 	}()
@@ -379,8 +379,8 @@
 	defer l.leave(h.Name, in)
 	for {
 		conn.SetReadDeadline(time.Now().Add(quietMost))
-		payload, err := readFrame(conn, FrameMost)
-		if errors.Is(err, ErrFrame) && ctx.Err() == nil {
+		payload, err := readFrame(conn, MaxFrameSize)
+		if errors.Is(err, ErrMalformedFrame) && ctx.Err() == nil {
 			l.refuse("a link ended", h.Name, err)
 		}
 		if err != nil {
--- a/fleet/peer/peer_test.go
+++ b/fleet/peer/peer_test.go
@@ -58,7 +58,7 @@
 
 func load(t *testing.T, folder, name string) *Keys {
 	t.Helper()
-	k, err := Files{
+	k, err := KeyFiles{
 		filepath.Join(folder, name+".pem"), filepath.Join(folder, name+".key"),
 		filepath.Join(folder, "roots.pem"),
 	}.Load()
@@ -125,30 +125,30 @@
 	issue(t, old, folder, "a", time.Hour, old)
 	issue(t, old, folder, "b", time.Hour, old)
 	a, b := open(t, "a", load(t, folder, "a"), "127.0.0.1-127.0.0.9"), open(t, "b", load(t, folder, "b"), "127.0.0.1-127.0.0.9")
-	a.Aim(map[string]string{"b": b.address})
+	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("one"))
 	wait(t, "the first message", func() bool { return b.count(&b.got, "a:one") == 1 })
 	// Both roots are believed, then a proves itself by the new one: the standing link goes on.
 	for _, name := range []string{"a", "b"} {
 		issue(t, old, folder, name, time.Hour, old, next)
 	}
-	b.Use(load(t, folder, "b"))
+	b.UseKeys(load(t, folder, "b"))
 	issue(t, next, folder, "a", time.Hour, old, next)
-	a.Use(load(t, folder, "a"))
+	a.UseKeys(load(t, folder, "a"))
 	a.Send("b", []byte("two"))
 	wait(t, "a message on the standing link", func() bool { return b.count(&b.got, "a:two") == 1 })
 	if b.count(&b.logged, "refused") != 0 {
 		t.Errorf("refused: %q", b.logged)
 	}
-	a.Aim(nil)
-	a.Aim(map[string]string{"b": b.address})
+	a.SetPeers(nil)
+	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("three"))
 	wait(t, "a message under the new key", func() bool { return b.count(&b.got, "a:three") == 1 })
 	// The new root alone is believed from now on: b's old certificate is not.
 	issue(t, next, folder, "a", time.Hour, next)
-	a.Use(load(t, folder, "a"))
-	a.Aim(nil)
-	a.Aim(map[string]string{"b": b.address})
+	a.UseKeys(load(t, folder, "a"))
+	a.SetPeers(nil)
+	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("four"))
 	wait(t, "the refusal", func() bool { return a.count(&a.logged, "no link to b") > 0 })
 	if b.count(&b.got, "four") != 0 {
@@ -177,7 +177,7 @@
 		raw, _ := cbor.Marshal(h)
 		return appendFrame(nil, raw)
 	}
-	usual := first(hello{Version, "a", 1})
+	usual := first(hello{ProtocolVersion, "a", 1})
 	for _, tc := range []struct {
 		name  string
 		pair  tls.Certificate
@@ -188,7 +188,7 @@
 		{"expired", certificate(good, "a", -time.Hour), usual, "expired"},
 		{"another name's", certificate(good, "c", time.Hour), usual, "valid for c, not a"},
 		{"none", tls.Certificate{}, usual, "didn't provide a certificate"},
-		{"another version", pair, first(hello{Version + 1, "a", 1}), "protocol version"},
+		{"another version", pair, first(hello{ProtocolVersion + 1, "a", 1}), "protocol version"},
 		{"garbage", pair, bytes.Repeat([]byte{0xff}, 64), "malformed frame"},
 		{"garbage in a frame", pair, appendFrame(nil, bytes.Repeat([]byte{0xff}, 64)), "malformed frame"},
 		{"100 MB", pair, binary.BigEndian.AppendUint32(bytes.Clone(usual), 100<<20), "104857600 bytes"},
@@ -264,7 +264,7 @@
 		t.Errorf("%d are held", held)
 	}
 	a := open(t, "a", load(t, folder, "a"), "127.0.0.1-127.0.0.1")
-	a.Aim(map[string]string{"b": b.address})
+	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("x"))
 	wait(t, "the message behind 300 silent connections", func() bool { return b.count(&b.got, "a:x") == 1 })
 }
@@ -278,14 +278,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.Aim(map[string]string{"b": free.Addr().String()}) // it accepts and never answers
+	a.SetPeers(map[string]string{"b": free.Addr().String()}) // it accepts and never answers
 	began := time.Now()
 	for i := range 3 * queueMost {
 		a.Send("b", fmt.Append(nil, i))
 	}
 	a.Send("nobody", []byte("x"))
-	if time.Since(began) > time.Second || a.Lost() != 2*queueMost {
-		t.Errorf("%d of %d were dropped, in %s", a.Lost(), 3*queueMost, time.Since(began))
+	if time.Since(began) > time.Second || a.Dropped() != 2*queueMost {
+		t.Errorf("%d of %d were dropped, in %s", a.Dropped(), 3*queueMost, time.Since(began))
 	}
 	free.Close()
 }
@@ -295,7 +295,7 @@
 	f.Add([]byte{0, 0, 0, 0})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 1})
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		payload, err := readFrame(bytes.NewReader(raw), FrameMost)
+		payload, err := readFrame(bytes.NewReader(raw), MaxFrameSize)
 		if err == nil && !bytes.HasPrefix(raw, appendFrame(nil, payload)) {
 			t.Errorf("%x was read as %x", raw, payload)
 		}
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -46,7 +46,7 @@
 	Renewal   int64
 	Drift     float64
 	Members   fleet.MembershipConfig
-	TLS       peer.Files
+	TLS       peer.KeyFiles
 	Allow     *netipx.IPSet
 	Probe     *probe.Config // nil: nothing is probed; Cold is the settings' to say
 	probeAt   Place
@@ -231,7 +231,7 @@
 	})
 	out.Slots, out.Voters.Epoch = int(slots), uint64(epoch)
 	out.probeAt = places["probe"]
-	out.TLS = peer.Files{Certificate: within(folder, out.TLS.Certificate), Key: within(folder, out.TLS.Key),
+	out.TLS = peer.KeyFiles{Certificate: within(folder, out.TLS.Certificate), Key: within(folder, out.TLS.Key),
 		Roots: within(folder, out.TLS.Roots)}
 	set, err := allow.IPSet()
 	if err != nil {
@@ -295,7 +295,7 @@
 	if _, got := places["tls"]; got && out.TLS.Certificate != "" && out.TLS.Key != "" && out.TLS.Roots != "" {
 		keys, err := out.TLS.Load()
 		if err == nil && out.Name != "" {
-			err = keys.Serves(out.Name, time.Now())
+			err = keys.CheckName(out.Name, time.Now())
 		}
 		if err != nil {
 			f.add(places["tls"], "%v", err)
--- a/process/sharing.go
+++ b/process/sharing.go
@@ -191,7 +191,7 @@
 				s.links.Flush(flushWithin)
 			case reply := <-s.asks:
 				status := s.node.Status(bootTime())
-				status.Frames, status.FramesLost, status.Probes = s.frames.Load(), s.links.Lost(), s.probes.Load()
+				status.Frames, status.FramesLost, status.Probes = s.frames.Load(), s.links.Dropped(), s.probes.Load()
 				reply <- status
 			case reply := <-s.views:
 				status := s.node.Members(bootTime())
@@ -244,7 +244,7 @@
 			for _, p := range effect.Peers {
 				peers[p.Name] = p.Address
 			}
-			s.links.Aim(peers)
+			s.links.SetPeers(peers)
 		case fleet.LeaseChanged:
 			s.held[effect.Slot].Store(effect.Ballot)
 		case fleet.SendProbe:
@@ -310,8 +310,8 @@
 		old.Probe != nil && *old.Probe != *f.Probe {
 		s.note(fleet.Log{Line: "operator's file: in force after a restart only: slots, lease, renewal, drift, listen, membership, socket, probe"})
 	}
-	s.links.Use(keys)
-	s.links.Allow(f.Allow)
+	s.links.UseKeys(keys)
+	s.links.SetAllowed(f.Allow)
 	s.post(ctx, fleet.ConfigChanged{Contacts: f.Instances, Weight: f.Weight, Voters: f.Voters})
 	return nil
 }
