--- a/fleet/wire_test.go
+++ b/fleet/message_test.go
@@ -1,16 +1,16 @@
 package fleet
 
 import (
+	"bytes"
 	"encoding/hex"
 	"encoding/json"
 	"flag"
 	"os"
 	"reflect"
 	"strings"
-	"testing"
-
 	"tealpath/fleet/lease"
 	"tealpath/fleet/membership"
+	"testing"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
@@ -36,12 +36,12 @@
 // fullMessage has a value in each field, so that the golden file shows each field's key.
 func fullMessage() Message {
 	return Message{
-		Highest: 1,
-		Duty: &lease.Message{
+		HighestBallot: 1,
+		Lease: &lease.Message{
 			Kind: lease.Reject, Epoch: 2, SentAt: 3,
 			Items: []lease.SlotBallot{{Slot: 4, Ballot: 5, Holder: lease.Instance{Name: "a", Incarnation: 6}, Remaining: 7}},
 		},
-		Findings: []Finding{{Target: "t", Number: 8, Good: true, Load: []float64{9}, Seq: 10}},
+		ProbeResults: []ProbeResult{{Target: "t", Ballot: 8, Healthy: true, Load: []float64{9}, Seq: 10}},
 		Gossip: &membership.Gossip{
 			Heartbeat: 11, Echo: 12, Digest: 13,
 			Entries: []membership.Entry{{
@@ -84,23 +84,23 @@
 
 // Commands print a status as JSON for operators' scripts: its fields stay as they are.
 func TestStatusJSON(t *testing.T) {
-	a := node(t, "a", 1)
+	a := newNode(t, "a", 1)
 	entry := membership.Entry{Name: "b", Incarnation: 2, Start: 1, Version: 1, Address: "b:1", Weight: 1, Epoch: 1}
-	a.Handle(1000*ms, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Gossip: &membership.Gossip{
+	a.Handle(1000*ms, MessageReceived{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Gossip: &membership.Gossip{
 		Heartbeat: 1, Entries: []membership.Entry{entry},
 	}}})
 	for now := 1000 * ms; now < 6000*ms; now += 50 * ms {
-		for _, effect := range a.Handle(now, Due{Wall: 1}) {
+		for _, effect := range a.Handle(now, TimerFired{WallMS: 1}) {
 			send, ok := effect.(Send)
-			if !ok || send.Message.Duty == nil || send.To != "b" {
+			if !ok || send.Message.Lease == nil || send.To != "b" {
 				continue
 			}
-			answer := lease.Message{Kind: lease.Promise, Epoch: 1, SentAt: send.Message.Duty.SentAt, Items: send.Message.Duty.Items}
-			if send.Message.Duty.Kind == lease.Propose {
+			answer := lease.Message{Kind: lease.Promise, Epoch: 1, SentAt: send.Message.Lease.SentAt, Items: send.Message.Lease.Items}
+			if send.Message.Lease.Kind == lease.Propose {
 				answer.Kind = lease.Accept
 			}
-			if send.Message.Duty.Kind == lease.Prepare || send.Message.Duty.Kind == lease.Propose {
-				a.Handle(now, Came{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Duty: &answer}})
+			if send.Message.Lease.Kind == lease.Prepare || send.Message.Lease.Kind == lease.Propose {
+				a.Handle(now, MessageReceived{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Lease: &answer}})
 			}
 		}
 	}
@@ -115,3 +115,33 @@
 	}
 	golden(t, "status.json", text.String())
 }
+
+func FuzzDecode(f *testing.F) {
+	for _, message := range []Message{
+		{HighestBallot: 3},
+		{Lease: &lease.Message{Kind: lease.Propose, Epoch: 1, Items: []lease.SlotBallot{{Slot: 3, Ballot: 9}}}},
+		{ProbeResults: []ProbeResult{{Target: "t", Ballot: 4, Load: []float64{1}}}},
+		{Gossip: &membership.Gossip{
+			Heartbeat: 2, Entries: []membership.Entry{{Name: "b", Incarnation: 1, Version: 2, Weight: 1}},
+			Reports:       []membership.Report{{Subject: "b", Observer: "a", Kind: membership.Deaf}},
+			BucketDigests: make([]uint64, membership.DigestBuckets),
+		}},
+		fullMessage(),
+	} {
+		raw, err := message.Encode()
+		if err != nil {
+			f.Fatal(err)
+		}
+		f.Add(raw)
+	}
+	f.Add(bytes.Repeat([]byte{0x9f}, 100))
+	node := newNode(f, "a", 1)
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		message, err := Decode(raw)
+		if err != nil {
+			return
+		}
+		node.Handle(2000*ms, MessageReceived{From: lease.Instance{Name: "b", Incarnation: 2}, Message: message})
+		node.Handle(2000*ms, TimerFired{WallMS: 1})
+	})
+}
--- a/fleet/peer/keys.go
+++ b/fleet/peer/keys.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Files name what an instance proves itself with: its certificate with the chain to a root, its key, and the roots
+// KeyFiles name what an instance proves itself with: its certificate with the chain to a root, its key, and the roots
 // it believes, all PEM. Two roots may be in the file while one takes the place of the other.
-type Files struct{ Certificate, Key, Roots string }
+type KeyFiles struct{ Certificate, Key, Roots string }
 
 // Keys are loaded files.
 type Keys struct {
@@ -22,7 +22,7 @@
 }
 
 // Load reads the files.
-func (f Files) Load() (*Keys, error) {
+func (f KeyFiles) Load() (*Keys, error) {
 	pair, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
 		return nil, fmt.Errorf("certificate and key: %w", err)
@@ -38,8 +38,8 @@
 	return k, nil
 }
 
-// Serves tells what keeps these keys from proving a name at a time.
-func (k *Keys) Serves(name string, at time.Time) error {
+// CheckName tells what keeps these keys from proving a name at a time.
+func (k *Keys) CheckName(name string, at time.Time) error {
 	chain := x509.NewCertPool()
 	for _, raw := range k.pair.Certificate[1:] {
 		if c, err := x509.ParseCertificate(raw); err == nil {
@@ -47,16 +47,18 @@
 		}
 	}
 	for _, use := range []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth} {
-		if _, err := k.leaf.Verify(x509.VerifyOptions{DNSName: name, Roots: k.roots, Intermediates: chain, CurrentTime: at,
-			KeyUsages: []x509.ExtKeyUsage{use}}); err != nil {
+		if _, err := k.leaf.Verify(x509.VerifyOptions{
+			DNSName: name, Roots: k.roots, Intermediates: chain, CurrentTime: at,
+			KeyUsages: []x509.ExtKeyUsage{use},
+		}); err != nil {
 			return fmt.Errorf("the certificate does not prove %q: %w", name, err)
 		}
 	}
 	return nil
 }
 
-// Ends is when the certificate is no longer good.
-func (k *Keys) Ends() time.Time { return k.leaf.NotAfter }
+// ExpiresAt is when the certificate is no longer good.
+func (k *Keys) ExpiresAt() time.Time { return k.leaf.NotAfter }
 
 // holder is the keys in force: new connections use them, those that stand go on.
 type holder struct{ atomic.Pointer[Keys] }
@@ -66,8 +68,10 @@
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		k := h.Load()
 		// Without tickets: a session of before would pass with a root that is no longer believed.
-		return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{k.pair}, ClientCAs: k.roots,
-			ClientAuth: tls.RequireAndVerifyClientCert, SessionTicketsDisabled: true}, nil
+		return &tls.Config{
+			MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{k.pair}, ClientCAs: k.roots,
+			ClientAuth: tls.RequireAndVerifyClientCert, SessionTicketsDisabled: true,
+		}, nil
 	}}
 }
 
--- /dev/null
+++ b/fleet/size_test.go
@@ -0,0 +1,69 @@
+package fleet
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"tealpath/fleet/lease"
+	"tealpath/fleet/membership"
+	"tealpath/fleet/peer"
+)
+
+// What was found of all servers of the largest fleet between two beats is told, in messages that fit a frame.
+func TestProbeResultsOfTheLargestFleet(t *testing.T) {
+	const servers = 4096
+	n := newNode(t, "a", 1)
+	n.Handle(1, TimerFired{WallMS: 1e12})
+	for i := range servers {
+		n.Handle(2, ProbeEnded{ProbeResult{Target: fmt.Sprintf("cache-server-%051d", i), Ballot: 7, Healthy: true, Load: make([]float64, maxLoadFields)}})
+	}
+	told := map[string]bool{}
+	for now := int64(3); now < 1000*ms; now += 100 * ms {
+		for _, e := range n.Handle(now, TimerFired{WallMS: 1e12}) {
+			send, ok := e.(Send)
+			if !ok || send.To != "b" {
+				continue
+			}
+			raw, err := send.Message.Encode()
+			if err != nil || len(raw) > peer.MaxFrameSize {
+				t.Fatalf("a message of %d bytes, %v", len(raw), err)
+			}
+			m, err := Decode(raw)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, f := range m.ProbeResults {
+				told[f.Target] = true
+			}
+		}
+	}
+	if len(told) != servers {
+		t.Errorf("%d of %d servers were told of", len(told), servers)
+	}
+}
+
+// The largest messages fit a frame and are read.
+func TestLargestMessages(t *testing.T) {
+	name := strings.Repeat("n", 128)
+	rejection := lease.Message{Kind: lease.Reject, Epoch: 1 << 40, SentAt: 1 << 62}
+	for slot := range lease.MaxSlots {
+		rejection.Items = append(rejection.Items, lease.SlotBallot{Slot: slot, Ballot: 1 << 63,
+			Holder: lease.Instance{Name: name, Incarnation: 1 << 63}, Remaining: 1 << 40})
+	}
+	news := membership.Gossip{Heartbeat: 1 << 40, Echo: 1 << 40, Digest: 1 << 63, BucketDigests: make([]uint64, membership.DigestBuckets)}
+	for range membership.MaxPerMessage {
+		news.Entries = append(news.Entries, membership.Entry{Name: name, Incarnation: 1 << 63, Start: 1 << 63, Version: 1 << 63,
+			Address: strings.Repeat("a", 256), Weight: 1.1, Leaving: true, Epoch: 1 << 63, Dead: true})
+		news.Reports = append(news.Reports, membership.Report{Subject: name, Incarnation: 1 << 63, Version: 1 << 63, Observer: name, Seq: 1 << 63, Kind: 1})
+	}
+	for what, m := range map[string]Message{"all slots rejected": {Lease: &rejection}, "news": {Gossip: &news}} {
+		raw, err := m.Encode()
+		if err != nil || len(raw) > peer.MaxFrameSize {
+			t.Errorf("%s: %d bytes, a frame holds %d; %v", what, len(raw), peer.MaxFrameSize, err)
+		}
+		if _, err := Decode(raw); err != nil {
+			t.Errorf("%s: %v", what, err)
+		}
+	}
+}
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -45,8 +45,8 @@
 	Lease     int64
 	Renewal   int64
 	Drift     float64
-	Members   fleet.Membership
-	TLS       peer.Files
+	Members   fleet.MembershipConfig
+	TLS       peer.KeyFiles
 	Allow     *netipx.IPSet
 	Probe     *probe.Config // nil: nothing is probed; Cold is the settings' to say
 	probeAt   Place
@@ -225,13 +225,13 @@
 		"allow": {needed: true, take: noting(func(n *Node, args []*Node) { f.allow(args, &allow) })},
 		"probe": {take: noting(func(n *Node, args []*Node) { out.Probe = f.probe(n, args) })},
 		"membership": {take: noting(func(n *Node, args []*Node) {
-			f.walk(n, args, map[string]entry{"interval": {take: f.span(&out.Members.Interval, 20*time.Millisecond, time.Minute)},
-				"silence": {take: f.span(&out.Members.Quiet, 50*time.Millisecond, time.Hour)}})
+			f.walk(n, args, map[string]entry{"interval": {take: f.span(&out.Members.HeartbeatInterval, 20*time.Millisecond, time.Minute)},
+				"silence": {take: f.span(&out.Members.SilenceTimeout, 50*time.Millisecond, time.Hour)}})
 		})},
 	})
 	out.Slots, out.Voters.Epoch = int(slots), uint64(epoch)
 	out.probeAt = places["probe"]
-	out.TLS = peer.Files{Certificate: within(folder, out.TLS.Certificate), Key: within(folder, out.TLS.Key),
+	out.TLS = peer.KeyFiles{Certificate: within(folder, out.TLS.Certificate), Key: within(folder, out.TLS.Key),
 		Roots: within(folder, out.TLS.Roots)}
 	set, err := allow.IPSet()
 	if err != nil {
@@ -274,9 +274,9 @@
 		f.add(cmp.Or(places["lease"], places["renewal"], n.Place), "the lease of %s is shorter than three renewals of %s",
 			time.Duration(out.Lease), time.Duration(out.Renewal))
 	}
-	if m := out.Members; m.Quiet > 0 && m.Quiet < 2*cmp.Or(m.Interval, out.Renewal) {
+	if m := out.Members; m.SilenceTimeout > 0 && m.SilenceTimeout < 2*cmp.Or(m.HeartbeatInterval, out.Renewal) {
 		f.add(places["membership"], "the silence of %s is shorter than two intervals of %s: one lost beat would be reported",
-			time.Duration(m.Quiet), time.Duration(cmp.Or(m.Interval, out.Renewal)))
+			time.Duration(m.SilenceTimeout), time.Duration(cmp.Or(m.HeartbeatInterval, out.Renewal)))
 	}
 	if _, got := places["voters"]; got {
 		if err := out.Voters.Check(); err != nil {
@@ -287,7 +287,7 @@
 		}
 	}
 	if out.Probe != nil {
-		out.Probe.Slots, out.Probe.Drift = out.Slots, out.Drift
+		out.Probe.Slots, out.Probe.MaxClockDrift = out.Slots, out.Drift
 		if err := out.Probe.Check(); err != nil {
 			f.add(places["probe"], "%v", err)
 		}
@@ -295,7 +295,7 @@
 	if _, got := places["tls"]; got && out.TLS.Certificate != "" && out.TLS.Key != "" && out.TLS.Roots != "" {
 		keys, err := out.TLS.Load()
 		if err == nil && out.Name != "" {
-			err = keys.Serves(out.Name, time.Now())
+			err = keys.CheckName(out.Name, time.Now())
 		}
 		if err != nil {
 			f.add(places["tls"], "%v", err)
@@ -348,13 +348,13 @@
 }
 
 func (f *faults) probe(n *Node, args []*Node) *probe.Config {
-	out := &probe.Config{Period: int64(usualPeriod), Within: int64(usualWithin), Part: usualPart,
+	out := &probe.Config{Period: int64(usualPeriod), Timeout: int64(usualWithin), ColdPart: usualPart,
 		Cost: usualCost.Seconds()}
 	cost := int64(usualCost)
 	f.walk(n, args, map[string]entry{
 		"period":    {take: f.span(&out.Period, 50*time.Millisecond, time.Hour)},
-		"within":    {take: f.span(&out.Within, 10*time.Millisecond, time.Minute)},
-		"cold-part": {take: f.number(&out.Part, 0.0001, 1)},
+		"within":    {take: f.span(&out.Timeout, 10*time.Millisecond, time.Minute)},
+		"cold-part": {take: f.number(&out.ColdPart, 0.0001, 1)},
 		"cost":      {take: f.span(&cost, time.Microsecond, time.Minute)},
 	})
 	out.Cost = time.Duration(cost).Seconds()
@@ -362,7 +362,7 @@
 }
 
 // Bound checks the file against the deployment's settings, and takes from them what the duties need.
-func (f *File) Bound(allowed bool, cache, parent probe.Cold) error {
+func (f *File) Bound(allowed bool, cache, parent probe.ColdLimit) error {
 	if f.Fleet == nil || f.Fleet.Probe == nil {
 		return nil
 	}
--- a/process/sharing.go
+++ b/process/sharing.go
@@ -56,11 +56,11 @@
 }
 
 // coldOf takes what cold members bear from the settings.
-func coldOf(set control.Settings) (cache, parent probe.Cold) {
-	cache = probe.Cold{Share: setting(set, "cold.share", 1.), Factor: setting(set, "cold.factor", 1.),
-		Window: setting(set, "cold.window", int64(time.Second)), Span: setting(set, "cold.span", int64(0))}
+func coldOf(set control.Settings) (cache, parent probe.ColdLimit) {
+	cache = probe.ColdLimit{Share: setting(set, "cold.share", 1.), Factor: setting(set, "cold.factor", 1.),
+		Window: setting(set, "cold.window", int64(time.Second)), WarmUpDuration: setting(set, "cold.span", int64(0))}
 	parent = cache
-	parent.Share, parent.Span = setting(set, "parent.coldShare", 1.), setting(set, "parent.coldSpan", int64(0))
+	parent.Share, parent.WarmUpDuration = setting(set, "parent.coldShare", 1.), setting(set, "parent.coldSpan", int64(0))
 	parent.Factor = setting(set, "parent.coldFactor", cache.Factor)
 	return cache, parent
 }
@@ -108,8 +108,8 @@
 		return nil, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
 	node, err := fleet.New(bootTime(), fleet.Config{Self: self, Address: f.Listen, Weight: f.Weight, Contacts: f.Instances,
-		Duty: lease.Config{Slots: f.Slots, LeaseDuration: f.Lease, RenewInterval: f.Renewal, MaxClockDrift: f.Drift, Voters: f.Voters},
-		Seed: binary.LittleEndian.Uint64(draw[8:]), Probe: f.Probe, Wall: unixMilli(c), Members: f.Members})
+		Lease: lease.Config{Slots: f.Slots, LeaseDuration: f.Lease, RenewInterval: f.Renewal, MaxClockDrift: f.Drift, Voters: f.Voters},
+		Seed:  binary.LittleEndian.Uint64(draw[8:]), Probe: f.Probe, WallMS: unixMilli(c), Membership: f.Members})
 	if err != nil {
 		return nil, fmt.Errorf("%w: fleet: %w", ErrConfig, err)
 	}
@@ -122,14 +122,14 @@
 		held: make([]atomic.Uint64, f.Slots)}
 	s.report, _ = set["report.fields"].([]string)
 	s.links = peer.New(peer.Config{Name: self.Name, Incarnation: self.Incarnation, Listener: listener, Keys: keys,
-		Allow: f.Allow, Log: func(line, who, why string) { s.note(fleet.Log{Line: line, Member: who, Why: why}) },
+		Allow: f.Allow, Log: func(line, who, why string) { s.note(fleet.Log{Line: line, Member: who, Reason: why}) },
 		Receive: func(name string, incarnation uint64, payload []byte) {
 			m, err := fleet.Decode(payload)
 			if err != nil {
-				s.note(fleet.Log{Line: "a message passed over", Member: name, Why: err.Error()})
+				s.note(fleet.Log{Line: "a message passed over", Member: name, Reason: err.Error()})
 				return
 			}
-			s.post(ctx, fleet.Came{From: lease.Instance{Name: name, Incarnation: incarnation}, Message: m})
+			s.post(ctx, fleet.MessageReceived{From: lease.Instance{Name: name, Incarnation: incarnation}, Message: m})
 		}})
 	return s, nil
 }
@@ -157,11 +157,11 @@
 		if l.Phase != "ready" || l.Kind == kind("kind.origin") && l.Kind != "" {
 			continue // who drains or is gone gets nothing new, the origin is not probed
 		}
-		t := probe.Target{Name: l.Instance, Address: l.Address, Units: l.Units,
+		t := probe.Target{Name: l.Instance, Address: l.Address, Capacity: l.Units,
 			Parent: l.Kind != "" && l.Kind == kind("kind.parent")}
-		span := cache.Span
+		span := cache.WarmUpDuration
 		if t.Parent {
-			span = parent.Span
+			span = parent.WarmUpDuration
 		}
 		if l.Started > 0 {
 			t.WarmAt = min(l.Started, now) - now + boot + span // nobody started after it was told that it had
@@ -189,21 +189,21 @@
 			case e := <-s.inbox:
 				s.handle(ctx, e, timer)
 			case <-s.relist:
-				s.handle(ctx, fleet.Listed{Targets: *s.targets.Load()}, timer)
+				s.handle(ctx, fleet.TargetsUpdated{Targets: *s.targets.Load()}, timer)
 			case <-leave:
 				leave = nil
-				s.handle(ctx, fleet.Leaving{}, timer)
+				s.handle(ctx, fleet.ShutdownStarted{}, timer)
 				s.links.Flush(flushWithin)
 			case reply := <-s.asks:
 				status := s.node.Status(bootTime())
-				status.Frames, status.FramesLost, status.Probes = s.frames.Load(), s.links.Lost(), s.probes.Load()
+				status.Frames, status.FramesLost, status.Probes = s.frames.Load(), s.links.Dropped(), s.probes.Load()
 				reply <- status
 			case reply := <-s.views:
 				status := s.node.Members(bootTime())
 				status.BytesSent = s.bytes.Load()
 				reply <- status
 			case <-timer.C:
-				s.handle(ctx, fleet.Due{Wall: unixMilli(s.clock)}, timer)
+				s.handle(ctx, fleet.TimerFired{WallMS: unixMilli(s.clock)}, timer)
 			}
 		}
 	})
@@ -238,27 +238,27 @@
 		case fleet.Send:
 			payload, err := effect.Message.Encode()
 			if err != nil {
-				s.note(fleet.Log{Line: "a message could not be written", Member: effect.To, Why: err.Error()})
+				s.note(fleet.Log{Line: "a message could not be written", Member: effect.To, Reason: err.Error()})
 				continue
 			}
 			s.frames.Add(1)
 			s.bytes.Add(int64(len(payload)) + frameCost)
 			s.links.Send(effect.To, payload)
-		case fleet.Link:
+		case fleet.SetPeers:
 			peers := make(map[string]string, len(effect.Peers))
 			for _, p := range effect.Peers {
 				peers[p.Name] = p.Address
 			}
-			s.links.Aim(peers)
-		case fleet.Held:
-			s.held[effect.Slot].Store(effect.Number)
-		case fleet.Ask:
+			s.links.SetPeers(peers)
+		case fleet.LeaseChanged:
+			s.held[effect.Slot].Store(effect.Ballot)
+		case fleet.SendProbe:
 			s.ask(ctx, effect.Probe)
-		case fleet.Found:
-			s.tell(router.Probed{Instance: effect.Target, Good: effect.Good, Load: effect.Load})
+		case fleet.TargetProbed:
+			s.tell(router.Probed{Instance: effect.Target, Good: effect.Healthy, Load: effect.Load})
 		case fleet.Log:
 			s.note(effect)
-		case fleet.Timer:
+		case fleet.SetTimer:
 			timer.Reset(time.Duration(effect.At - bootTime()))
 		}
 	}
@@ -273,15 +273,15 @@
 	}
 	go func() {
 		defer func() { <-s.probing }()
-		limited, cancel := context.WithTimeout(ctx, time.Duration(p.Within))
+		limited, cancel := context.WithTimeout(ctx, time.Duration(p.Timeout))
 		defer cancel()
-		load, err := upstream.Alive(limited, p.Address, fmt.Sprintf("%016x", p.Number), s.report,
-			func() bool { return bootTime() < p.Until && s.held[p.Slot].Load() == p.Number })
+		load, err := upstream.Alive(limited, p.Address, fmt.Sprintf("%016x", p.Ballot), s.report,
+			func() bool { return bootTime() < p.Until && s.held[p.Slot].Load() == p.Ballot })
 		if errors.Is(err, upstream.ErrWithdrawn) || ctx.Err() != nil {
 			return
 		}
 		s.probes.Add(1)
-		s.post(ctx, fleet.Probed{Finding: fleet.Finding{Target: p.Target, Number: p.Number, Good: err == nil, Load: load}})
+		s.post(ctx, fleet.ProbeEnded{ProbeResult: fleet.ProbeResult{Target: p.Target, Ballot: p.Ballot, Healthy: err == nil, Load: load}})
 	}()
 }
 
@@ -291,10 +291,10 @@
 		event = event.Str("member", l.Member)
 	}
 	if l.Slots != nil {
-		event = event.Ints("slots", l.Slots).Uint64("number", l.Number)
+		event = event.Ints("slots", l.Slots).Uint64("number", l.Ballot)
 	}
-	if l.Why != "" {
-		event = event.Str("why", l.Why)
+	if l.Reason != "" {
+		event = event.Str("why", l.Reason)
 	}
 	event.Msg(l.Line)
 }
@@ -315,9 +315,9 @@
 		old.Probe != nil && *old.Probe != *f.Probe {
 		s.note(fleet.Log{Line: "operator's file: in force after a restart only: slots, lease, renewal, drift, listen, membership, socket, probe"})
 	}
-	s.links.Use(keys)
-	s.links.Allow(f.Allow)
-	s.post(ctx, fleet.Changed{Contacts: f.Instances, Weight: f.Weight, Voters: f.Voters})
+	s.links.UseKeys(keys)
+	s.links.SetAllowed(f.Allow)
+	s.post(ctx, fleet.ConfigChanged{Contacts: f.Instances, Weight: f.Weight, Voters: f.Voters})
 	return nil
 }
 
