--- a/upstream/local_test.go
+++ b/upstream/local_test.go
@@ -62,15 +62,18 @@
 	}
 }
 
-// faultyConn fails reads and writes with an error as often as faults says, and breaks writes up.
+// faultyConn fails reads with an error so many times, once something has been written whole, and writes, which it breaks up.
 type faultyConn struct {
 	net.Conn
 	fault        error
 	reads, tries atomic.Int64 // faults left
+	once         sync.Once
+	written      chan struct{}
 }
 
 func (c *faultyConn) Read(p []byte) (int, error) {
 	if c.reads.Add(-1) >= 0 {
+		<-c.written
 		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.fault)}
 	}
 	return c.Conn.Read(p)
@@ -81,6 +84,7 @@
 		n, _ := c.Conn.Write(p[:len(p)/2]) // a short write
 		return n, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", c.fault)}
 	}
+	defer c.once.Do(func() { close(c.written) })
 	return c.Conn.Write(p)
 }
 
@@ -143,14 +147,14 @@
 			faulty := make(chan *faultyConn, 1)
 			p.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := new(net.Dialer).DialContext(ctx, network, address)
-				f := &faultyConn{Conn: conn, fault: c.fault}
+				f := &faultyConn{Conn: conn, fault: c.fault, written: make(chan struct{})}
 				f.tries.Store(c.writes)
+				f.reads.Store(c.reads)
 				faulty <- f
 				return f, err
 			}
 			p.Dial(router.Dial{Link: 1, Address: address, Within: int64(time.Second)})
 			f := <-faulty
-			f.reads.Store(c.reads)
 			for e := range events {
 				switch e := e.(type) {
 				case router.Up:
@@ -161,8 +165,8 @@
 					}
 					p.Close(router.Close{Link: 1})
 				case router.Down:
-					if c.unsent && !slices.Equal(e.Unsent, []string{"00000000000000aa"}) || e.Cause != router.Remote {
-						t.Errorf("%+v", e)
+					if c.unsent != slices.Equal(e.Unsent, []string{"00000000000000aa"}) || e.Cause != router.Remote {
+						t.Errorf("%+v", e) // what was written whole may have run
 					}
 					p.Wait()
 					if c.answered != (f.reads.Load() < 0 && f.tries.Load() < 0) && c.answered {
