--- /dev/null
+++ b/fleet/peer/frame_test.go
@@ -0,0 +1,58 @@
+package peer
+
+import (
+	"bytes"
+	"errors"
+	"io"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// A peer of another version is told apart from one that sends garbage.
+func TestReadHello(t *testing.T) {
+	encode := func(sender hello) []byte {
+		raw, err := cbor.Marshal(sender)
+		if err != nil {
+			t.Fatal(err)
+		}
+		return appendFrame(nil, raw)
+	}
+	good := hello{ProtocolVersion, "a", 1}
+	if got, err := readHello(bytes.NewReader(encode(good))); err != nil || got != good {
+		t.Errorf("%+v, %v", got, err)
+	}
+	var version *VersionError
+	_, err := readHello(bytes.NewReader(encode(hello{ProtocolVersion - 1, "a", 1})))
+	if !errors.As(err, &version) || version.Version != ProtocolVersion-1 || err.Error() != "protocol version 1, this is 2" {
+		t.Errorf("another version: %v", err)
+	}
+	for name, raw := range map[string][]byte{
+		"garbage":      appendFrame(nil, []byte{0xff}),
+		"empty":        {0, 0, 0, 0},
+		"too long":     appendFrame(nil, make([]byte, maxHelloSize+1)),
+		"half a frame": {0, 0, 0, 2, 1},
+	} {
+		if _, err := readHello(bytes.NewReader(raw)); !errors.Is(err, ErrMalformedFrame) {
+			t.Errorf("%s: %v", name, err)
+		}
+	}
+	if _, err := readHello(bytes.NewReader(nil)); !errors.Is(err, io.EOF) {
+		t.Errorf("nothing: %v", err)
+	}
+}
+
+func FuzzFrame(f *testing.F) {
+	f.Add(appendFrame(nil, []byte("payload")))
+	f.Add([]byte{0, 0, 0, 0})
+	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 1})
+	f.Fuzz(func(t *testing.T, raw []byte) {
+		payload, err := readFrame(bytes.NewReader(raw), MaxFrameSize)
+		if err == nil && !bytes.HasPrefix(raw, appendFrame(nil, payload)) {
+			t.Errorf("%x was read as %x", raw, payload)
+		}
+		if sender, err := readHello(bytes.NewReader(raw)); err == nil && sender.Version != ProtocolVersion {
+			t.Errorf("%+v was taken", sender)
+		}
+	})
+}
--- /dev/null
+++ b/fleet/peer/incoming.go
@@ -0,0 +1,147 @@
+package peer
+
+import (
+	"context"
+	"crypto/tls"
+	"errors"
+	"fmt"
+	"net"
+	"net/netip"
+	"slices"
+	"time"
+)
+
+// errAddress is why a connection from outside the allowed sets is refused.
+var errAddress = errors.New("address")
+
+// accept takes links from others.
+func (links *Links) accept(ctx context.Context) error {
+	for {
+		conn, err := links.config.Listener.Accept()
+		switch {
+		case ctx.Err() != nil:
+			return nil
+		case errors.Is(err, net.ErrClosed):
+			return fmt.Errorf("links to instances: %w", err)
+		case err != nil:
+			links.refusals.log("links are not accepted", "", err)
+			time.Sleep(minBackoff)
+			continue
+		}
+		from, admitted := links.admit(conn)
+		if !admitted {
+			closeConn(conn)
+			continue
+		}
+		links.countAccepted(1)
+		links.group.Go(func() error {
+			defer links.countAccepted(-1)
+			links.serve(ctx, conn, from)
+			return nil
+		})
+	}
+}
+
+// admit tells whether a connection may shake hands, and takes one of the handshakes for it.
+func (links *Links) admit(conn net.Conn) (from netip.Addr, admitted bool) {
+	remote, err := netip.ParseAddrPort(conn.RemoteAddr().String())
+	from = remote.Addr()
+	links.mu.Lock()
+	full := links.accepted >= maxAccepted
+	links.mu.Unlock()
+	switch {
+	case err != nil || !links.isAllowed(from):
+		links.refusals.log("refused from outside the allowed sets", from.String(), errAddress)
+		return from, false
+	case full:
+		links.refusals.log("refused: too many links", from.String(), fmt.Errorf("%d are held", maxAccepted))
+		return from, false
+	}
+	select {
+	case links.handshakes <- struct{}{}:
+		return from, true
+	default:
+		// Who connects without end must not hold up those who belong here for longer than a handshake.
+		links.refusals.log("refused: too many handshakes", from.String(), fmt.Errorf("%d are under way", maxHandshakes))
+		return from, false
+	}
+}
+
+func (links *Links) countAccepted(change int) {
+	links.mu.Lock()
+	defer links.mu.Unlock()
+	links.accepted += change
+}
+
+// serve reads one accepted link until it ends.
+func (links *Links) serve(ctx context.Context, raw net.Conn, from netip.Addr) {
+	conn := tls.Server(raw, links.keys.serverConfig())
+	defer closeConn(raw)
+	stop := context.AfterFunc(ctx, func() { closeConn(raw) })
+	defer stop()
+	sender, err := links.handshake(ctx, conn)
+	<-links.handshakes
+	if err != nil {
+		if ctx.Err() == nil {
+			links.refusals.log("refused a link", from.String(), err)
+		}
+		return
+	}
+	links.addIncoming(sender.Name, raw)
+	defer links.removeIncoming(sender.Name, raw)
+	err = links.readFrames(conn, sender)
+	if errors.Is(err, ErrMalformedFrame) && ctx.Err() == nil {
+		links.refusals.log("a link ended", sender.Name, err)
+	}
+}
+
+// handshake shakes hands and reads who it is, within a time.
+func (links *Links) handshake(ctx context.Context, conn *tls.Conn) (hello, error) {
+	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
+		return hello{}, err
+	}
+	if err := conn.HandshakeContext(ctx); err != nil {
+		return hello{}, err
+	}
+	sender, err := readHello(conn)
+	if err != nil {
+		return hello{}, err
+	}
+	if err := provesName(conn.ConnectionState(), sender.Name); err != nil {
+		return hello{}, err
+	}
+	return sender, conn.SetDeadline(time.Time{})
+}
+
+// readFrames hands on what comes until the link ends.
+func (links *Links) readFrames(conn net.Conn, sender hello) error {
+	for {
+		if err := conn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
+			return err
+		}
+		payload, err := readFrame(conn, MaxFrameSize)
+		if err != nil {
+			return err
+		}
+		links.config.Receive(sender.Name, sender.Incarnation, payload)
+	}
+}
+
+// addIncoming bounds the links from one name: the oldest ends.
+func (links *Links) addIncoming(name string, conn net.Conn) {
+	links.mu.Lock()
+	defer links.mu.Unlock()
+	links.incoming[name] = append(links.incoming[name], conn)
+	if len(links.incoming[name]) > maxSameName {
+		closeConn(links.incoming[name][0])
+	}
+}
+
+func (links *Links) removeIncoming(name string, conn net.Conn) {
+	links.mu.Lock()
+	defer links.mu.Unlock()
+	links.incoming[name] = slices.DeleteFunc(links.incoming[name], func(other net.Conn) bool { return other == conn })
+	if len(links.incoming[name]) == 0 {
+		delete(links.incoming, name)
+	}
+}
--- a/fleet/peer/peer_test.go
+++ b/fleet/peer/links_test.go
@@ -21,35 +21,62 @@
 
 const patience = 5 * time.Second
 
-// end is one instance's links, with what they got and logged.
-type end struct {
+// instance is one instance's links, with what they received and logged.
+type instance struct {
 	*Links
 	address string
-	mu      sync.Mutex
-	got     []string
-	logged  []string
+
+	mu       sync.Mutex
+	received []string
+	logged   []string
+}
+
+// countReceived and countLogged count the messages and lines with a part.
+func (instance *instance) countReceived(part string) int {
+	return instance.count(&instance.received, part)
 }
 
-func (e *end) count(list *[]string, part string) (n int) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+func (instance *instance) countLogged(part string) int { return instance.count(&instance.logged, part) }
+
+func (instance *instance) count(list *[]string, part string) int {
+	instance.mu.Lock()
+	defer instance.mu.Unlock()
+	count := 0
 	for _, line := range *list {
 		if strings.Contains(line, part) {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
+}
+
+// forgetLogged forgets what was logged, and how often.
+func (instance *instance) forgetLogged() {
+	instance.refusals.mu.Lock()
+	clear(instance.refusals.kinds)
+	instance.refusals.mu.Unlock()
+	instance.mu.Lock()
+	instance.logged = nil
+	instance.mu.Unlock()
+}
+
+// mustClose closes a connection or listener.
+func mustClose(t *testing.T, conn closer) {
+	t.Helper()
+	if err := conn.Close(); err != nil {
+		t.Error(err)
+	}
 }
 
 func loopback(t *testing.T, text string) *netipx.IPSet {
 	t.Helper()
-	var b netipx.IPSetBuilder
-	r, err := netipx.ParseIPRange(text)
+	var builder netipx.IPSetBuilder
+	addresses, err := netipx.ParseIPRange(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.AddRange(r)
-	set, err := b.IPSet()
+	builder.AddRange(addresses)
+	set, err := builder.IPSet()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,41 +85,47 @@
 
 func load(t *testing.T, folder, name string) *Keys {
 	t.Helper()
-	k, err := KeyFiles{
-		filepath.Join(folder, name+".pem"), filepath.Join(folder, name+".key"),
-		filepath.Join(folder, "roots.pem"),
+	loaded, err := KeyFiles{
+		Certificate: filepath.Join(folder, name+".pem"),
+		Key:         filepath.Join(folder, name+".key"),
+		Roots:       filepath.Join(folder, "roots.pem"),
 	}.Load()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return k
+	return loaded
 }
 
-func open(t *testing.T, name string, k *Keys, allow string) *end {
+// open starts an instance's links.
+func open(t *testing.T, name string, loaded *Keys, allow string) *instance {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e := &end{address: listener.Addr().String()}
-	e.Links = New(Config{
-		Name: name, Incarnation: 1, Listener: listener, Keys: k, Allow: loopback(t, allow),
+	opened := &instance{address: listener.Addr().String()}
+	opened.Links = New(Config{
+		Name: name, Incarnation: 1, Listener: listener, Keys: loaded, Allow: loopback(t, allow),
 		Receive: func(from string, _ uint64, payload []byte) {
-			e.mu.Lock()
-			defer e.mu.Unlock()
-			e.got = append(e.got, from+":"+string(payload))
+			opened.mu.Lock()
+			defer opened.mu.Unlock()
+			opened.received = append(opened.received, from+":"+string(payload))
 		},
-		Log: func(line, who, why string) {
-			e.mu.Lock()
-			defer e.mu.Unlock()
-			e.logged = append(e.logged, line+" | "+who+" | "+why)
+		Log: func(line, peer, reason string) {
+			opened.mu.Lock()
+			defer opened.mu.Unlock()
+			opened.logged = append(opened.logged, line+" | "+peer+" | "+reason)
 		},
 	})
 	ctx, stop := context.WithCancel(context.Background())
-	var over sync.WaitGroup
-	over.Go(func() { e.Run(ctx) })
-	t.Cleanup(func() { stop(); over.Wait() })
-	return e
+	var running sync.WaitGroup
+	running.Go(func() {
+		if err := opened.Run(ctx); err != nil {
+			t.Error(err)
+		}
+	})
+	t.Cleanup(func() { stop(); running.Wait() })
+	return opened
 }
 
 func wait(t *testing.T, what string, done func() bool) {
@@ -104,81 +137,85 @@
 	}
 }
 
-func root(t *testing.T, name string) *keys.Root {
+func newRoot(t *testing.T, name string) *keys.Root {
 	t.Helper()
-	r, err := keys.NewRoot(name)
+	root, err := keys.NewRoot(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return root
 }
 
-func issue(t *testing.T, r *keys.Root, folder, name string, until time.Duration, roots ...*keys.Root) {
+// issue writes an instance's files, with the roots that it believes.
+func issue(t *testing.T, root *keys.Root, folder, name string, roots ...*keys.Root) {
 	t.Helper()
-	if err := r.Write(folder, name, time.Now().Add(until), roots...); err != nil {
+	if err := root.Write(folder, name, time.Now().Add(time.Hour), roots...); err != nil {
 		t.Fatal(err)
 	}
 }
 
 func TestMessagesAndKeysChangedInService(t *testing.T) {
-	old, next, folder := root(t, "old"), root(t, "next"), t.TempDir()
-	issue(t, old, folder, "a", time.Hour, old)
-	issue(t, old, folder, "b", time.Hour, old)
+	old, next, folder := newRoot(t, "old"), newRoot(t, "next"), t.TempDir()
+	issue(t, old, folder, "a", old)
+	issue(t, old, folder, "b", old)
 	a, b := open(t, "a", load(t, folder, "a"), "127.0.0.1-127.0.0.9"), open(t, "b", load(t, folder, "b"), "127.0.0.1-127.0.0.9")
 	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("one"))
-	wait(t, "the first message", func() bool { return b.count(&b.got, "a:one") == 1 })
+	wait(t, "the first message", func() bool { return b.countReceived("a:one") == 1 })
 	// Both roots are believed, then a proves itself by the new one: the standing link goes on.
 	for _, name := range []string{"a", "b"} {
-		issue(t, old, folder, name, time.Hour, old, next)
+		issue(t, old, folder, name, old, next)
 	}
 	b.UseKeys(load(t, folder, "b"))
-	issue(t, next, folder, "a", time.Hour, old, next)
+	issue(t, next, folder, "a", old, next)
 	a.UseKeys(load(t, folder, "a"))
 	a.Send("b", []byte("two"))
-	wait(t, "a message on the standing link", func() bool { return b.count(&b.got, "a:two") == 1 })
-	if b.count(&b.logged, "refused") != 0 {
+	wait(t, "a message on the standing link", func() bool { return b.countReceived("a:two") == 1 })
+	if b.countLogged("refused") != 0 {
 		t.Errorf("refused: %q", b.logged)
 	}
 	a.SetPeers(nil)
 	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("three"))
-	wait(t, "a message under the new key", func() bool { return b.count(&b.got, "a:three") == 1 })
+	wait(t, "a message under the new key", func() bool { return b.countReceived("a:three") == 1 })
 	// The new root alone is believed from now on: b's old certificate is not.
-	issue(t, next, folder, "a", time.Hour, next)
+	issue(t, next, folder, "a", next)
 	a.UseKeys(load(t, folder, "a"))
 	a.SetPeers(nil)
 	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("four"))
-	wait(t, "the refusal", func() bool { return a.count(&a.logged, "no link to b") > 0 })
-	if b.count(&b.got, "four") != 0 {
+	wait(t, "the refusal", func() bool { return a.countLogged("no link to b") > 0 })
+	if b.countReceived("four") != 0 {
 		t.Error("sent to one whose root is no longer believed")
 	}
 }
 
 // Peers that are refused: each with one bounded line, and nothing left open.
 func TestRefused(t *testing.T) {
-	good, bad, folder := root(t, "good"), root(t, "bad"), t.TempDir()
-	issue(t, good, folder, "b", time.Hour, good)
+	good, bad, folder := newRoot(t, "good"), newRoot(t, "bad"), t.TempDir()
+	issue(t, good, folder, "b", good)
 	b := open(t, "b", load(t, folder, "b"), "127.0.0.1-127.0.0.1")
-	certificate := func(r *keys.Root, name string, until time.Duration) tls.Certificate {
-		c, k, err := r.Issue(name, time.Now().Add(until))
+	certificate := func(root *keys.Root, name string, lifetime time.Duration) tls.Certificate {
+		certificate, key, err := root.Issue(name, time.Now().Add(lifetime))
 		if err != nil {
 			t.Fatal(err)
 		}
-		pair, err := tls.X509KeyPair(c, k)
+		pair, err := tls.X509KeyPair(certificate, key)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return pair
 	}
 	pair := certificate(good, "a", time.Hour)
-	first := func(h hello) []byte {
-		raw, _ := cbor.Marshal(h)
+	first := func(sender hello) []byte {
+		raw, err := cbor.Marshal(sender)
+		if err != nil {
+			t.Fatal(err)
+		}
 		return appendFrame(nil, raw)
 	}
 	usual := first(hello{ProtocolVersion, "a", 1})
-	for _, tc := range []struct {
+	for _, test := range []struct {
 		name  string
 		pair  tls.Certificate
 		bytes []byte
@@ -194,37 +231,32 @@
 		{"100 MB", pair, binary.BigEndian.AppendUint32(bytes.Clone(usual), 100<<20), "104857600 bytes"},
 		{"half a frame", pair, append(bytes.Clone(usual), 0, 0, 1, 0, 1), "malformed frame"},
 	} {
-		t.Run(tc.name, func(t *testing.T) {
-			b.Links.mu.Lock()
-			clear(b.complain)
-			b.Links.mu.Unlock()
-			b.mu.Lock()
-			b.logged = nil
-			b.mu.Unlock()
+		t.Run(test.name, func(t *testing.T) {
+			b.forgetLogged()
 			conn, err := net.Dial("tcp", b.address)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer conn.Close()
-			over := tls.Client(conn, &tls.Config{
+			defer closeConn(conn)
+			client := tls.Client(conn, &tls.Config{
 				InsecureSkipVerify:   true,
-				GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &tc.pair, nil },
+				GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &test.pair, nil },
 			})
-			over.Write(tc.bytes)
-			if tc.name == "half a frame" {
-				over.Close()
+			_, _ = client.Write(test.bytes) // it may be refused before all is written
+			if test.name == "half a frame" {
+				mustClose(t, client)
 			}
-			wait(t, tc.want, func() bool { return b.count(&b.logged, tc.want) > 0 })
+			wait(t, test.want, func() bool { return b.countLogged(test.want) > 0 })
 		})
 	}
-	if got := b.count(&b.got, ""); got != 0 {
-		t.Errorf("%d messages were taken", got)
+	if received := b.countReceived(""); received != 0 {
+		t.Errorf("%d messages were taken", received)
 	}
 }
 
 func TestAThousandConnectionsCostNothing(t *testing.T) {
-	r, folder := root(t, "r"), t.TempDir()
-	issue(t, r, folder, "b", time.Hour, r)
+	root, folder := newRoot(t, "r"), t.TempDir()
+	issue(t, root, folder, "b", root)
 	b := open(t, "b", load(t, folder, "b"), "127.0.0.9-127.0.0.9") // 127.0.0.1 is outside
 	before := runtime.NumGoroutine()
 	for range 1000 {
@@ -232,73 +264,62 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn.SetReadDeadline(time.Now().Add(patience))
+		if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+			t.Fatal(err)
+		}
 		if _, err := conn.Read(make([]byte, 1)); err == nil {
 			t.Fatal("not closed")
 		}
-		conn.Close()
+		mustClose(t, conn)
 	}
 	wait(t, "no goroutine is left", func() bool { return runtime.NumGoroutine() <= before+1 })
-	if n := b.count(&b.logged, ""); n != 1 {
-		t.Errorf("%d lines for 1,000 refusals", n)
+	if lines := b.countLogged(""); lines != 1 {
+		t.Errorf("%d lines for 1,000 refusals", lines)
 	}
 }
 
 // Connections that never shake hands are bounded, and do not keep out for good those that belong here.
 func TestSilentConnectionsAreBounded(t *testing.T) {
-	r, folder := root(t, "r"), t.TempDir()
-	issue(t, r, folder, "a", time.Hour, r)
-	issue(t, r, folder, "b", time.Hour, r)
+	root, folder := newRoot(t, "r"), t.TempDir()
+	issue(t, root, folder, "a", root)
+	issue(t, root, folder, "b", root)
 	b := open(t, "b", load(t, folder, "b"), "127.0.0.1-127.0.0.1")
 	for range 300 {
 		conn, err := net.Dial("tcp", b.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
+		defer closeConn(conn)
 	}
 	b.Links.mu.Lock()
 	held := b.accepted
 	b.Links.mu.Unlock()
-	if held > shakeMost {
+	if held > maxHandshakes {
 		t.Errorf("%d are held", held)
 	}
 	a := open(t, "a", load(t, folder, "a"), "127.0.0.1-127.0.0.1")
 	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("x"))
-	wait(t, "the message behind 300 silent connections", func() bool { return b.count(&b.got, "a:x") == 1 })
+	wait(t, "the message behind 300 silent connections", func() bool { return b.countReceived("a:x") == 1 })
 }
 
 func TestQueueDropsTheOldest(t *testing.T) {
-	r, folder := root(t, "r"), t.TempDir()
-	issue(t, r, folder, "a", time.Hour, r)
-	issue(t, r, folder, "b", time.Hour, r)
+	root, folder := newRoot(t, "r"), t.TempDir()
+	issue(t, root, folder, "a", root)
+	issue(t, root, folder, "b", root)
 	a := open(t, "a", load(t, folder, "a"), "127.0.0.1-127.0.0.1")
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	a.SetPeers(map[string]string{"b": free.Addr().String()}) // it accepts and never answers
-	began := time.Now()
-	for i := range 3 * queueMost {
+	started := time.Now()
+	for i := range 3 * maxQueue {
 		a.Send("b", fmt.Append(nil, i))
 	}
 	a.Send("nobody", []byte("x"))
-	if time.Since(began) > time.Second || a.Dropped() != 2*queueMost {
-		t.Errorf("%d of %d were dropped, in %s", a.Dropped(), 3*queueMost, time.Since(began))
+	if time.Since(started) > time.Second || a.Dropped() != 2*maxQueue {
+		t.Errorf("%d of %d were dropped, in %s", a.Dropped(), 3*maxQueue, time.Since(started))
 	}
-	free.Close()
-}
-
-func FuzzFrame(f *testing.F) {
-	f.Add(appendFrame(nil, []byte("payload")))
-	f.Add([]byte{0, 0, 0, 0})
-	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 1})
-	f.Fuzz(func(t *testing.T, raw []byte) {
-		payload, err := readFrame(bytes.NewReader(raw), MaxFrameSize)
-		if err == nil && !bytes.HasPrefix(raw, appendFrame(nil, payload)) {
-			t.Errorf("%x was read as %x", raw, payload)
-		}
-		readHello(bytes.NewReader(raw))
-	})
+	mustClose(t, free)
 }
