--- a/fleet/leases.go
+++ b/fleet/leases.go
@@ -11,7 +11,7 @@
 // holdsFunc tells whether a slot's lease is held at this instant, under which ballot and until when.
 type holdsFunc = probe.HoldsFunc
 
-// periodicTask is one kind of periodic task: it is told which slots are held, and says what is to be done now for those that are.
+// periodicTask is one kind of periodic task: it learns which slots are held, and returns what is to be done now for those that are.
 // Each kind hashes its own tasks to slots (lease.SlotOf).
 type periodicTask interface {
 	SlotAcquired(now int64, slot int)
--- a/fleet/members.go
+++ b/fleet/members.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// receiveGossip takes what a member told.
+// receiveGossip takes the gossip of a member.
 func (node *Node) receiveGossip(now int64, from string, gossip membership.Gossip) {
 	sends, changes := node.members.Receive(now, from, gossip)
 	node.logChanges(changes)
--- a/fleet/membership/digest.go
+++ b/fleet/membership/digest.go
@@ -60,7 +60,7 @@
 	}
 	var entries []Entry
 	add := func(name string) {
-		if entry, ok := table.toldEntry(name); ok && len(entries) < MaxPerMessage {
+		if entry, ok := table.announcementOf(name); ok && len(entries) < MaxPerMessage {
 			entries = append(entries, entry)
 		}
 	}
--- a/fleet/membership/heartbeat.go
+++ b/fleet/membership/heartbeat.go
@@ -31,7 +31,7 @@
 		gossip.Entries = append([]Entry{table.self}, gossip.Entries...)
 	}
 	if member.State == Dead { // so that it can refute
-		gossip.Entries = append(gossip.Entries, member.told())
+		gossip.Entries = append(gossip.Entries, member.announcement())
 	}
 	return gossip
 }
--- a/fleet/membership/member.go
+++ b/fleet/membership/member.go
@@ -107,8 +107,8 @@
 	return copied
 }
 
-// told is the entry as it is told.
-func (member *record) told() Entry {
+// announcement is the entry as it is passed on.
+func (member *record) announcement() Entry {
 	entry := member.Entry
 	entry.Dead = member.State == Dead
 	return entry
--- a/fleet/membership/message.go
+++ b/fleet/membership/message.go
@@ -14,7 +14,7 @@
 	maxWeight       = 1e6
 )
 
-// Entry is one instance as it is told among instances. Of two entries under a name the one with the higher start counts, then
+// Entry is one instance as instances pass it on to each other. Of two entries under a name the one with the higher start counts, then
 // the higher version, then the one that says dead. Start and Version are raised by the instance itself alone.
 type Entry struct {
 	Name        string  `cbor:"1,keyasint"`
--- a/fleet/membership/news.go
+++ b/fleet/membership/news.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// queuedReport is a report to be passed on to all but who told it.
+// queuedReport is a report to be passed on to all but the one it came from.
 type queuedReport struct {
 	Report
 	from string
@@ -13,7 +13,7 @@
 
 // newsQueue is what is to be passed on.
 type newsQueue struct {
-	entries map[string]string // names whose entry goes to all but who told it
+	entries map[string]string // names whose entry goes to all but the one it came from
 	reports []queuedReport
 	sendAt  int64 // 0: there is nothing
 }
@@ -39,7 +39,7 @@
 	table.news.schedule(now, table.config.HeartbeatInterval)
 }
 
-// newsBatch is the news of one message, with who told each.
+// newsBatch is the news of one message, with the sender of each.
 type newsBatch struct {
 	entries []Entry
 	from    []string // of each entry
@@ -53,7 +53,7 @@
 	for _, name := range names[:min(len(names), MaxPerMessage)] {
 		from := queue.entries[name]
 		delete(queue.entries, name)
-		entry, ok := table.toldEntry(name)
+		entry, ok := table.announcementOf(name)
 		if !ok {
 			continue
 		}
@@ -68,8 +68,8 @@
 	return batch
 }
 
-// toldEntry is the entry of a name as it is told, if something is to be told of it.
-func (table *Table) toldEntry(name string) (Entry, bool) {
+// announcementOf is the entry of a name as it is passed on, if something is to be said of it.
+func (table *Table) announcementOf(name string) (Entry, bool) {
 	if name == table.self.Name {
 		return table.self, true
 	}
@@ -77,10 +77,10 @@
 	if member == nil || member.State == Unheard {
 		return Entry{}, false
 	}
-	return member.told(), true
+	return member.announcement(), true
 }
 
-// forPeer is a message of the news that a peer has not told itself.
+// forPeer is a message of the news that did not come from a peer itself.
 func (batch newsBatch) forPeer(name string) Gossip {
 	var gossip Gossip
 	for i, entry := range batch.entries {
--- a/fleet/membership/receive.go
+++ b/fleet/membership/receive.go
@@ -3,7 +3,7 @@
 // claimsNeeded is how many neighbours must believe a member dead, so that it is believed here without reports.
 const claimsNeeded = 2
 
-// Receive takes what a member told, and returns what is answered at once. from is whom the link has proved it to be from.
+// Receive takes a message of a member, and returns what is answered at once. from is whom the link has proved it to be from.
 func (table *Table) Receive(now int64, from string, gossip Gossip) ([]Send, []Change) {
 	if !gossip.withinBounds() {
 		table.rejected++
--- a/fleet/membership/table.go
+++ b/fleet/membership/table.go
@@ -167,7 +167,7 @@
 	return table.sendNews(now)
 }
 
-// Self is the own entry as it is told.
+// Self is the own entry as it is passed on.
 func (table *Table) Self() Entry { return table.self }
 
 // Member is what is believed of a member, if it is known.
--- a/fleet/probes.go
+++ b/fleet/probes.go
@@ -30,18 +30,18 @@
 	return order.ballot < other.ballot || order.ballot == other.ballot && order.seq < other.seq
 }
 
-// probeResults is what is known and to be told of probes.
+// probeResults is what is known of probes, and what is to be passed on.
 type probeResults struct {
 	newest map[string]resultOrder // by target
 	seq    uint64                 // of the own results
 	stale  int64                  // results under a ballot below one seen
-	queued []ProbeResult          // to be told to neighbours
+	queued []ProbeResult          // to be sent to neighbours
 	sendAt int64                  // when they are
 }
 
 func newProbeResults() probeResults { return probeResults{newest: map[string]resultOrder{}} }
 
-// queue has a result told to neighbours, as far as one message holds.
+// queue has a result sent to neighbours, as far as one message holds.
 func (results *probeResults) queue(result ProbeResult) {
 	if len(results.queued) < maxProbeResults {
 		results.queued = append(results.queued, result)
@@ -63,7 +63,7 @@
 	node.results.queue(result)
 }
 
-// receiveProbeResult takes a result that another instance told.
+// receiveProbeResult takes a result from another instance.
 func (node *Node) receiveProbeResult(result ProbeResult) {
 	if node.relaysResults() {
 		newest, known := node.results.newest[result.Target]
--- a/fleet/sharedconfig/voter.go
+++ b/fleet/sharedconfig/voter.go
@@ -67,7 +67,7 @@
 	switch {
 	case now < node.grantsFrom:
 	case message.Number != state.current || state.next != state.current:
-		// No lease on what is left behind; what comes next is told.
+		// No lease on what is left behind; the version that comes next is named.
 		node.send(now, from, Message{Kind: Redirect, Number: state.next})
 	default:
 		state.leasedUntil = max(state.leasedUntil, now+node.config.LeaseDuration)
