--- a/control/control.go
+++ b/control/control.go
@@ -213,7 +213,7 @@
 	load, kind := r.load(now, cache), t.kind(now)
 	limit := r.rooms[kind]
 	switch {
-	case kind == fills && (t.product.neverKept || t.Write):
+	case kind == fills && t.neverKept():
 		limit = r.rooms[hits] // runs at the origin, and takes next to nothing of the links for fills
 	case kind > 0:
 		_, kinds, units := r.inHand(now, r.caches)
@@ -260,7 +260,7 @@
 // yet.
 func (r *Router) mayHold(now int64, t *Retrieval, cache *member) bool {
 	age, _ := r.age(now, t)
-	return t.kind(now) == fills && len(t.dispatches) == 0 && !t.product.neverKept && !t.Write &&
+	return t.kind(now) == fills && len(t.dispatches) == 0 && !t.neverKept() &&
 		(age == 0 || t.product.fresh > 0 && age >= t.product.fresh) && r.load(now, cache) < r.rooms[hits]*roomCheap
 }
 
@@ -456,7 +456,7 @@
 // place picks the cache and the fill source by the object's hash.
 func (r *Router) place(now int64, t *Retrieval) (cache, source *member) {
 	ranked, spread := rank(t.entry.key, r.caches), 1
-	if t.product.neverKept || t.Write {
+	if t.neverKept() {
 		spread = len(ranked) // it has no home
 	} else if n := float64(len(ranked)); n > 1 && t.entry.count >= hotLeast {
 		// A hot object goes to two or three caches, the least busy of them.
@@ -474,15 +474,28 @@
 			cache, t.away = other, true
 		}
 	}
-	sources := rank(t.entry.key, r.parents)
-	if r.origin != nil && t.denied() && r.originStands() {
-		sources = []*member{r.origin}
-	} else if r.origin != nil {
-		sources = append(sources, r.origin)
+	return cache, r.pick(now, t, r.sources(t))
+}
+
+// sources ranks what a miss of a retrieval may be filled from. What is never kept gains nothing from a parent: it goes
+// straight to the origin, and to parents only once that has turned it away. The parent of its hash may lie in any hub, and
+// the way to it and on to the origin cost a class of short deadlines all of its time.
+func (r *Router) sources(t *Retrieval) []*member {
+	parents := rank(t.entry.key, r.parents)
+	switch {
+	case r.origin == nil:
+		return parents
+	case t.neverKept():
+		return append([]*member{r.origin}, parents...)
+	case t.denied() && r.originStands():
+		return []*member{r.origin}
 	}
-	return cache, r.pick(now, t, sources)
+	return append(parents, r.origin)
 }
 
+// neverKept tells whether no cache or parent keeps the answer to a retrieval: it runs at the origin.
+func (t *Retrieval) neverKept() bool { return t.product.neverKept || t.Write }
+
 // denied tells whether the last dispatch found its source at its bound or dead. The other parents are likely
 // no better: one who can't fall over, the origin, is asked.
 func (t *Retrieval) denied() bool {
@@ -553,7 +566,7 @@
 		return Decision{Verdict: Send, Dispatch: out}
 	}
 	out.Source = source.ID
-	if !t.product.neverKept && !t.Write {
+	if !t.neverKept() {
 		// While fills are tight, and fetches come in time no better, a parent is first asked for what it holds.
 		out.Held = d.kind == fills && r.tight[fills] && r.rooms[fetches] < r.rooms[fills] && source != r.origin
 		out.Join = get(r.set, "joins", false)
--- /dev/null
+++ b/control/writes_test.go
@@ -0,0 +1,134 @@
+package control
+
+import (
+	"fmt"
+	"testing"
+)
+
+// writeSite has two classes: "read" is kept by caches, "write" runs at the origin and may not be repeated. Its parents lie in
+// the four hubs of a ring, its origin in the first.
+func writeSite(t *testing.T, change Settings) *Router {
+	t.Helper()
+	set := Settings{
+		"product.names": []string{"read", "write"}, "product.effect": []string{"harmless", "one-shot"},
+		"product.scope": []string{"all", "all"}, "product.window": []int64{0, 0}, "product.payoff": []float64{1, 1},
+		"product.due": []int64{second, 150 * millisecond}, "product.hardStop": []int64{5 * second, 300 * millisecond},
+		"product.fresh": []int64{8 * second, 0}, "product.neverKept": []bool{false, true},
+	}
+	for name, value := range change {
+		set[name] = value
+	}
+	r := newRouter(t, set)
+	r.Listed(start, ringFleet(), true)
+	return r
+}
+
+const (
+	millisecond = second / 1000
+	originID    = 50
+	hubs        = 4
+)
+
+// ringFleet is four caches of this location, three parents in each hub and the origin in the first.
+func ringFleet() (lines []Listing) {
+	for n := range 4 {
+		lines = append(lines, Listing{ID: uint32(1 + n), Location: "here", Kind: "cache", Cell: int64(n), Phase: "ready", Units: 5})
+	}
+	for n := range 3 * hubs {
+		lines = append(lines, Listing{ID: uint32(20 + n), Location: fmt.Sprint("hub-", n%hubs), Kind: "parent", Cell: 9,
+			Phase: "ready", Units: 20})
+	}
+	return append(lines, Listing{ID: originID, Location: "hub-0", Kind: "origin", Cell: 10, Phase: "ready", Units: 20})
+}
+
+// hubOf is the hub in which a fill source of ringFleet lies.
+func hubOf(id uint32) int {
+	if id == originID {
+		return 0
+	}
+	return int(id-20) % hubs
+}
+
+// hops is how many hubs one way from one hub of the ring to another passes.
+func hops(from, to int) int {
+	apart := (from - to + hubs) % hubs
+	return min(apart, hubs-apart)
+}
+
+// roundTrip is how long a write takes from a location at a hub by way of a source, in the middle of what deployments have:
+// 10 ms one way from the location to its hub, 35 ms from each hub to the next, 15 ms on to the origin, 45 ms of work there and
+// 30 ms for the answer's bytes.
+func roundTrip(home int, source uint32) int64 {
+	oneWay := 10 + 35*(hops(home, hubOf(source))+hops(hubOf(source), 0)) + 15
+	return int64(2*oneWay+45+30) * millisecond
+}
+
+// sendAndAnswer returns the first dispatch of a new retrieval, which is answered in time.
+func sendAndAnswer(t *testing.T, r *Router, ret *Retrieval) Dispatch {
+	t.Helper()
+	decision := r.Where(start, ret)
+	if decision.Verdict != Send {
+		t.Fatalf("%s %s is not sent: %+v", ret.Product, ret.Object, decision)
+	}
+	r.After(start, ret, Outcome{Result: Good, Note: 2, Spent: 20 * millisecond, Closed: true})
+	return decision.Dispatch
+}
+
+// A write went through the parent of its object's hash, in whichever hub that lies, and lost its time on the detour.
+func TestWritesTakeTheShortestWay(t *testing.T) {
+	for home := range hubs {
+		r := writeSite(t, nil)
+		for n := range 200 {
+			source := sendAndAnswer(t, r, ask("write", fmt.Sprint("object", n))).Source
+			if took, best := roundTrip(home, source), roundTrip(home, originID); took > best {
+				t.Fatalf("from hub %d write %d takes %d ms through source %d, %d ms straight to the origin", home, n,
+					took/millisecond, source, best/millisecond)
+			}
+		}
+	}
+}
+
+// The request's own mark counts as the class's does.
+func TestMarkedWritesGoToTheOrigin(t *testing.T) {
+	r := writeSite(t, Settings{"product.neverKept": []bool{false, false}})
+	for n := range 50 {
+		write := ask("read", fmt.Sprint("object", n))
+		write.Write = true
+		if source := sendAndAnswer(t, r, write).Source; source != originID {
+			t.Fatalf("a marked write goes to source %d", source)
+		}
+	}
+}
+
+// What caches keep is still filled from the parent of its hash.
+func TestReadsAreFilledFromParents(t *testing.T) {
+	r := writeSite(t, nil)
+	for n := range 50 {
+		if source := sendAndAnswer(t, r, ask("read", fmt.Sprint("object", n))).Source; source == originID {
+			t.Fatal("a read is filled straight from the origin")
+		}
+	}
+}
+
+// A write that the origin turned away unrun is tried once more, through a parent.
+func TestWritesTurnedAwayGoThroughAParent(t *testing.T) {
+	for _, note := range []int64{6, 7} { // the source refused; it was not reached
+		r := writeSite(t, nil)
+		write := ask("write", "object")
+		r.Where(start, write)
+		d := r.After(start+20*millisecond, write, Outcome{Result: Full, Note: note, Spent: 20 * millisecond})
+		if d.Verdict != Send || d.Dispatch.Source == originID || d.Dispatch.Source == 0 {
+			t.Errorf("after note %d: %+v", note, d)
+		}
+	}
+}
+
+// Where the list names no origin, parents are all there is.
+func TestWritesWithoutAnOriginListed(t *testing.T) {
+	r := writeSite(t, nil)
+	lines := ringFleet()
+	r.Listed(start, lines[:len(lines)-1], true)
+	if d := r.Where(start, ask("write", "object")); d.Verdict != Send || d.Dispatch.Source == 0 {
+		t.Errorf("%+v", d)
+	}
+}
