--- a/control/control.go
+++ b/control/control.go
@@ -216,7 +216,7 @@
 	load, kind := r.load(now, cache), t.kind(now)
 	limit := r.rooms[kind]
 	switch {
-	case kind == fills && (t.product.neverKept || t.Write):
+	case kind == fills && t.neverKept():
 		limit = r.rooms[hits] // runs at the origin, and takes next to nothing of the links for fills
 	case kind > 0:
 		load = float64(r.inTime(now)[kind]) * r.sharing() / r.units(now)
@@ -262,7 +262,7 @@
 // yet.
 func (r *Router) mayHold(now int64, t *Retrieval, cache *member) bool {
 	age, _ := r.age(now, t)
-	return t.kind(now) == fills && len(t.dispatches) == 0 && !t.product.neverKept && !t.Write &&
+	return t.kind(now) == fills && len(t.dispatches) == 0 && !t.neverKept() &&
 		(age == 0 || t.product.fresh > 0 && age >= t.product.fresh) && r.load(now, cache) < r.rooms[hits]*roomCheap
 }
 
@@ -458,6 +458,9 @@
 	return cache, r.pick(now, t, r.sourceCandidates(t))
 }
 
+// neverKept tells whether no cache or parent keeps the answer to a retrieval: it runs at the origin.
+func (t *Retrieval) neverKept() bool { return t.product.neverKept || t.Write }
+
 // denied tells whether the last dispatch found its source at its bound or dead. The other parents are likely
 // no better: one who can't fall over, the origin, is asked.
 func (t *Retrieval) denied() bool {
@@ -529,7 +532,7 @@
 		return Decision{Verdict: Send, Dispatch: out}
 	}
 	out.Source = source.ID
-	if !t.product.neverKept && !t.Write {
+	if !t.neverKept() {
 		// While fills are tight, and fetches come in time no better, a parent is first asked for what it holds.
 		out.Held = d.kind == fills && r.tight[fills] && r.rooms[fetches] < r.rooms[fills] && source != r.origin
 		out.Join = get(r.set, "joins", false)
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -110,7 +110,7 @@
 // plainPlace picks the cache and the fill source from the whole ranking.
 func plainPlace(r *Router, now int64, t *Retrieval) (cache, source *member) {
 	ranked, spread := plainRank(t.entry.key, r.caches), 1
-	if t.product.neverKept || t.Write {
+	if t.neverKept() {
 		spread = len(ranked)
 	} else if n := float64(len(ranked)); n > 1 && t.entry.count >= hotLeast {
 		hot := r.rate(now, t.entry.count, t.entry.counted) * n / (hotShare * r.rate(now, r.total, r.totalAt))
@@ -126,9 +126,13 @@
 		}
 	}
 	sources := plainRank(t.entry.key, r.parents)
-	if r.origin != nil && t.denied() && r.originStands() {
+	switch {
+	case r.origin == nil:
+	case t.neverKept():
+		sources = append([]*member{r.origin}, sources...)
+	case t.denied() && r.originStands():
 		sources = []*member{r.origin}
-	} else if r.origin != nil {
+	default:
 		sources = append(sources, r.origin)
 	}
 	return cache, plainPick(r, now, t, sources)
--- a/control/purges.go
+++ b/control/purges.go
@@ -61,7 +61,7 @@
 // issuedFrom is from when on a copy must have been issued, by its own stamp, where the accepted age goes by a purge's stamp;
 // 0 is no bound.
 func (r *Router) issuedFrom(t *Retrieval) (from int64) {
-	if t.product.neverKept || t.Write {
+	if t.neverKept() {
 		return 0 // no copy
 	}
 	for _, p := range r.purgesOf(t) {
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -101,18 +101,20 @@
 	spread    int  // so many of the first, less than firstBatch, are ordered by load
 	limited   bool // members with a load of loadLimit or more are left out
 	loadLimit float64
+	first     *member // yielded before all of the tier; nil is none
 	last      *member // yielded after all of the tier; nil is none
 
-	batch     []candidate // in order
-	position  int         // of the next one in the batch
-	batchSize int         // of the next batch
-	exhausted bool        // no member comes after the batch
-	lastGiven bool
+	batch                 []candidate // in order
+	position              int         // of the next one in the batch
+	batchSize             int         // of the next batch
+	exhausted             bool        // no member comes after the batch
+	firstGiven, lastGiven bool
 }
 
 // rewind starts from the first candidate again.
 func (c *candidates) rewind() {
-	c.batch, c.position, c.batchSize, c.exhausted, c.lastGiven = c.batch[:0], 0, firstBatch, false, false
+	c.batch, c.position, c.batchSize, c.exhausted = c.batch[:0], 0, firstBatch, false
+	c.firstGiven, c.lastGiven = false, false
 }
 
 // leaveOut starts anew, without the members that have a load or more.
@@ -123,6 +125,12 @@
 
 // next gives the next candidate, or nil after the last.
 func (c *candidates) next() *member {
+	if !c.firstGiven {
+		c.firstGiven = true
+		if c.first != nil {
+			return c.first
+		}
+	}
 	for {
 		if c.position < len(c.batch) {
 			m := c.tier.members[c.batch[c.position].index]
@@ -246,7 +254,7 @@
 	c := &r.cacheOrder
 	*c = candidates{tier: &r.cacheTier, hash: r.objectHash(t.entry.key), loads: r.loadScale(now), spread: 1,
 		batch: c.batch}
-	if t.product.neverKept || t.Write {
+	if t.neverKept() {
 		c.byLoad = true // it has no home
 	} else if n := float64(len(r.caches)); n > 1 && t.entry.count >= hotLeast {
 		// A hot object goes to two or three caches, the least busy of them.
@@ -257,14 +265,19 @@
 	return c
 }
 
-// sourceCandidates are the parents, and last the origin, in the order in which they may fill an object.
+// sourceCandidates are the parents, and last the origin, in the order in which they may fill an object. What is never kept
+// gains nothing from a parent: it goes straight to the origin, and to parents only once that has turned it away. The parent
+// of its hash may lie in any hub, and the way to it and on to the origin cost a class of short deadlines all of its time.
 func (r *Router) sourceCandidates(t *Retrieval) *candidates {
 	c := &r.sourceOrder
-	*c = candidates{tier: &r.parentTier, last: r.origin, batch: c.batch}
-	if r.origin != nil && t.denied() && r.originStands() {
-		c.tier = &tier{}
-	} else {
-		c.hash = r.objectHash(t.entry.key)
+	*c = candidates{tier: &r.parentTier, hash: r.objectHash(t.entry.key), batch: c.batch}
+	switch {
+	case t.neverKept():
+		c.first = r.origin
+	case r.origin != nil && t.denied() && r.originStands():
+		c.tier, c.last = &tier{}, r.origin
+	default:
+		c.last = r.origin
 	}
 	c.rewind()
 	return c
