--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -11,6 +11,7 @@
 	"strconv"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -74,7 +75,7 @@
 // runOn starts a process on a clock and waits until it listens. It ends with the test.
 func (p program) runOn(t *testing.T, c clock.Clock, file *operator.File) running {
 	t.Helper()
-	parsed, err := config.Load(func(name string) string { return map[string]string{"LB_CONFIG": p.file}[name] })
+	parsed, err := config.Load(func(name string) string { return map[string]string{"LB_CONFIG": p.file, "LB_LISTEN": p.address}[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,9 +143,19 @@
 	f := farm{caches: []*stand{newStand(t, "s-a"), newStand(t, "s-b")}}
 	f.journal, f.events = newJournal(t)
 	f.program = configured(t, f.caches, f.journal, 1.2)
+	// An address of its own: between two processes of a test another test, or its client, can take a port of the usual one.
+	_, port, err := net.SplitHostPort(f.address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	n, pid := farms.Add(1), os.Getpid()
+	f.address = net.JoinHostPort(fmt.Sprintf("127.%d.%d.%d", 1+pid%250, 1+pid/250%250, 1+n%250), port)
 	return f
 }
 
+// farms counts the farms of this test's process.
+var farms atomic.Int64
+
 // each runs a test for each step side by side, each among servers of its own.
 func each(t *testing.T, do func(t *testing.T, f farm, step time.Duration)) {
 	t.Parallel()
