--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -15,20 +15,20 @@
 const benchmarkWarmUp = 20
 
 // benchmarkFleet lists one location's caches with one parent for each 16 of them, and an origin.
-func benchmarkFleet(servers int) []Listing {
-	var lines []Listing
+func benchmarkFleet(servers int) []Endpoint {
+	var lines []Endpoint
 	nextID := func() uint32 { return uint32(len(lines)+1) * 2654435761 }
 	for i := range servers {
-		lines = append(lines, Listing{ID: nextID(), Location: "here", Kind: "cache", Cell: int64(i), Phase: "ready", Units: 5})
+		lines = append(lines, Endpoint{ID: nextID(), Location: "here", Kind: "cache", Cell: int64(i), Phase: "ready", Capacity: 5})
 	}
 	for range max(2, servers/16) {
-		lines = append(lines, Listing{ID: nextID(), Location: "hub", Kind: "parent", Cell: -1, Phase: "ready", Units: 20})
+		lines = append(lines, Endpoint{ID: nextID(), Location: "hub", Kind: "parent", Cell: -1, Phase: "ready", Capacity: 20})
 	}
-	return append(lines, Listing{ID: nextID(), Location: "hub", Kind: "origin", Cell: -2, Phase: "ready", Units: 20})
+	return append(lines, Endpoint{ID: nextID(), Location: "hub", Kind: "origin", Cell: -2, Phase: "ready", Capacity: 20})
 }
 
 // benchmarkRouter makes a router with a full fleet.
-func benchmarkRouter(b *testing.B, servers int, change Settings) (*Router, []Listing) {
+func benchmarkRouter(b *testing.B, servers int, change Settings) (*Router, []Endpoint) {
 	b.Helper()
 	set := site(Settings{"location.routers": []int64{0, 8, 2}, "routers": int64(10)})
 	for name, value := range change {
@@ -39,13 +39,13 @@
 		b.Fatal(err)
 	}
 	lines := benchmarkFleet(servers)
-	r.Listed(start, lines, true)
+	r.UpdateEndpoints(start, lines, true)
 	return r, lines
 }
 
 // benchmarkDecisions measures Where and After of one request. The clock moves by a tenth of a second a request,
 // and `inFlight` other requests wait for their answers all the time.
-func benchmarkDecisions(b *testing.B, change Settings, inFlight func(servers int) int, retrieval Retrieval) {
+func benchmarkDecisions(b *testing.B, change Settings, inFlight func(servers int) int, retrieval Request) {
 	objects := make([]string, benchmarkObjects)
 	for i := range objects {
 		objects[i] = fmt.Sprintf("%016x", i*2654435761)
@@ -56,17 +56,17 @@
 			now := start
 			for i := range inFlight(servers) {
 				waiting := retrieval
-				waiting.Object, waiting.HardStop = objects[i%len(objects)], forever
-				r.Where(now, &waiting)
+				waiting.Object, waiting.Deadline = objects[i%len(objects)], forever
+				r.Decide(now, &waiting)
 			}
 			decide := func(i int) {
 				now += second / 10
 				asked := retrieval
-				asked.Object, asked.HardStop = objects[i%len(objects)], now+5*second
-				if d := r.Where(now, &asked); d.Verdict != Send {
+				asked.Object, asked.Deadline = objects[i%len(objects)], now+5*second
+				if d := r.Decide(now, &asked); d.Verdict != Send {
 					b.Fatalf("request %d: %+v", i, d)
 				}
-				r.After(now+second/20, &asked, Outcome{Result: Good, Spent: second / 20, Note: 1, Closed: true})
+				r.AttemptEnded(now+second/20, &asked, Outcome{Result: Succeeded, Elapsed: second / 20, Note: 1, RequestEnded: true})
 			}
 			for i := range benchmarkWarmUp {
 				decide(i)
@@ -84,22 +84,22 @@
 
 // BenchmarkDecision is an ordinary request while nothing else is in flight.
 func BenchmarkDecision(b *testing.B) {
-	benchmarkDecisions(b, nil, none, Retrieval{Product: "harmless", Group: 1})
+	benchmarkDecisions(b, nil, none, Request{Class: "harmless", Group: 1})
 }
 
 // BenchmarkDecisionInFlight is an ordinary request while half as many others as there are caches are in flight.
 func BenchmarkDecisionInFlight(b *testing.B) {
-	benchmarkDecisions(b, nil, func(servers int) int { return servers / 2 }, Retrieval{Product: "harmless", Group: 1})
+	benchmarkDecisions(b, nil, func(servers int) int { return servers / 2 }, Request{Class: "harmless", Group: 1})
 }
 
 // BenchmarkDecisionMeasured is an ordinary request where weights do not tell the caches' sizes.
 func BenchmarkDecisionMeasured(b *testing.B) {
-	benchmarkDecisions(b, Settings{"units": "off"}, none, Retrieval{Product: "harmless", Group: 1})
+	benchmarkDecisions(b, Settings{"units": "off"}, none, Request{Class: "harmless", Group: 1})
 }
 
 // BenchmarkDecisionWrite is a request that has no home: the least loaded of all caches is looked for.
 func BenchmarkDecisionWrite(b *testing.B) {
-	benchmarkDecisions(b, nil, none, Retrieval{Product: "harmless", Group: 1, Write: true})
+	benchmarkDecisions(b, nil, none, Request{Class: "harmless", Group: 1, Write: true})
 }
 
 // BenchmarkDecisionFewReached is an ordinary request where one cache in 64 can be reached.
@@ -111,16 +111,16 @@
 			for i, line := range lines {
 				reached[line.ID] = i%64 == 0 || line.Kind != "cache"
 			}
-			r.Reach = func(id uint32) bool { return reached[id] }
+			r.Reachable = func(id uint32) bool { return reached[id] }
 			now := start
 			b.ReportAllocs()
 			for i := range b.N {
 				now += second / 10
-				asked := &Retrieval{Product: "harmless", Object: fmt.Sprint(i % benchmarkObjects), Group: 1, HardStop: now + 5*second}
-				if d := r.Where(now, asked); d.Verdict != Send {
+				asked := &Request{Class: "harmless", Object: fmt.Sprint(i % benchmarkObjects), Group: 1, Deadline: now + 5*second}
+				if d := r.Decide(now, asked); d.Verdict != Send {
 					b.Fatalf("request %d: %+v", i, d)
 				}
-				r.After(now+second/20, asked, Outcome{Result: Good, Spent: second / 20, Note: 1, Closed: true})
+				r.AttemptEnded(now+second/20, asked, Outcome{Result: Succeeded, Elapsed: second / 20, Note: 1, RequestEnded: true})
 			}
 		})
 	}
@@ -135,7 +135,7 @@
 			for i := range b.N {
 				line := lines[i/2%servers : i/2%servers+1]
 				line[0].Phase = []string{"draining", "ready"}[i%2]
-				r.Listed(start, line, false)
+				r.UpdateEndpoints(start, line, false)
 			}
 		})
 	}
@@ -156,12 +156,12 @@
 			now := start
 			for i := range 4 * servers {
 				now += second / 10
-				asked := &Retrieval{Product: "harmless", Object: fmt.Sprint(i), Group: 1, HardStop: now + 5*second}
-				r.Where(now, asked)
-				r.After(now+second/20, asked, Outcome{Result: Good, Spent: second / 20, Note: 1, Closed: true})
+				asked := &Request{Class: "harmless", Object: fmt.Sprint(i), Group: 1, Deadline: now + 5*second}
+				r.Decide(now, asked)
+				r.AttemptEnded(now+second/20, asked, Outcome{Result: Succeeded, Elapsed: second / 20, Note: 1, RequestEnded: true})
 			}
 			for i := range inFlight(servers) {
-				r.Where(now, &Retrieval{Product: "harmless", Object: fmt.Sprint(i), Group: 1, HardStop: forever})
+				r.Decide(now, &Request{Class: "harmless", Object: fmt.Sprint(i), Group: 1, Deadline: forever})
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -24,7 +24,7 @@
 // fill asks for new objects of a class until no more is sent, and returns how many were.
 func fill(r *Router, now int64, product string) (sent int) {
 	for ; sent < 1000; sent++ {
-		if r.Where(now, ask(product, fmt.Sprint(product, now, sent))).Verdict != Send {
+		if r.Decide(now, ask(product, fmt.Sprint(product, now, sent))).Verdict != Send {
 			break
 		}
 	}
@@ -38,7 +38,7 @@
 	if n := fill(r, start, "harmless") + fill(r, start, "stamped"); n == 0 || n >= 1000 {
 		t.Fatalf("%d sent", n)
 	}
-	if d := r.Where(start, ask("once", "write")); d.Verdict != Send {
+	if d := r.Decide(start, ask("once", "write")); d.Verdict != Send {
 		t.Errorf("a write while fills have no room: %+v", d)
 	}
 }
@@ -48,8 +48,8 @@
 	r := classes(t, nil)
 	for n := range 10 {
 		a, b := r.load(start, r.caches[0]), r.load(start, r.caches[1])
-		d := r.Where(start, ask("once", fmt.Sprint(n)))
-		if d.Verdict != Send || a != b && (d.Dispatch.Cache == r.caches[0].ID) != (a < b) {
+		d := r.Decide(start, ask("once", fmt.Sprint(n)))
+		if d.Verdict != Send || a != b && (d.Attempt.Cache == r.caches[0].ID) != (a < b) {
 			t.Errorf("loads %.2f and %.2f: %+v", a, b, d)
 		}
 	}
@@ -72,7 +72,7 @@
 	}{{0.01, 0.95}, {0.5, 0.69}} {
 		r := classes(t, Settings{"product.payoff": []float64{1, 40, 1}})
 		ret := ask("harmless", "x")
-		r.Where(start, ret)
+		r.Decide(start, ret)
 		r.classes[0].asked, r.classes[1].asked = carried{}, carried{}
 		r.classes[0].asked.add(start, 40*(1-c.rare))
 		r.classes[1].asked.add(start, 40*c.rare)
@@ -90,24 +90,24 @@
 	r.classes[1].due = r.classes[0].due
 	asked, sent := map[string]int{}, map[string]int{}
 	type open struct {
-		ret  *Retrieval
+		ret  *Request
 		ends int64
 	}
 	var hand []open
 	for now, n := start, 0; now < start+20*second; now += second / 50 {
 		for len(hand) > 0 && hand[0].ends <= now {
-			r.After(now, hand[0].ret, Outcome{Result: Good, Spent: second / 2, Sending: 0.4, Note: 2, Closed: true})
+			r.AttemptEnded(now, hand[0].ret, Outcome{Result: Succeeded, Elapsed: second / 2, SendingTime: 0.4, Note: 2, RequestEnded: true})
 			hand = hand[1:]
 		}
 		for _, product := range []string{"stamped", "harmless", "stamped", "stamped"} {
 			n++
 			ret := ask(product, fmt.Sprint(n))
 			asked[product]++
-			if r.Where(now, ret).Verdict == Send {
+			if r.Decide(now, ret).Verdict == Send {
 				sent[product]++
 				hand = append(hand, open{ret, now + second/2})
 			} else {
-				r.Departed(now, ret)
+				r.ClientGone(now, ret)
 			}
 		}
 	}
@@ -127,8 +127,8 @@
 	}{{13 * second / 10, false}, {3 * second, true}} {
 		before := r.rooms[fills]
 		ret := ask("harmless", fmt.Sprint(c.spent))
-		r.Where(start, ret)
-		r.After(start+c.spent, ret, Outcome{Result: Good, Spent: c.spent, Sending: 0.9, Note: 2, Closed: true})
+		r.Decide(start, ret)
+		r.AttemptEnded(start+c.spent, ret, Outcome{Result: Succeeded, Elapsed: c.spent, SendingTime: 0.9, Note: 2, RequestEnded: true})
 		if got := r.rooms[fills] < before; got != c.shrinks {
 			t.Errorf("an answer of 0.9 s that took %.1f s: room %.3f, was %.3f", float64(c.spent)/1e9, r.rooms[fills], before)
 		}
@@ -143,10 +143,10 @@
 		for n := range 60 {
 			now := start + int64(n)*second/10
 			ret := ask("harmless", fmt.Sprint(n))
-			for d := r.Where(now, ret); d.Verdict == Send; d = r.After(now, ret, Outcome{Result: Full, Note: 7, Number: len(ret.dispatches) - 1}) {
+			for d := r.Decide(now, ret); d.Verdict == Send; d = r.AttemptEnded(now, ret, Outcome{Result: Overloaded, Note: 7, Attempt: len(ret.dispatches) - 1}) {
 				further++
 			}
-			r.Departed(now, ret)
+			r.ClientGone(now, ret)
 			further--
 		}
 		if free := further > 60; free != (factor == 0) {
@@ -176,16 +176,16 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.Listed(start, fleet, true)
+			r.UpdateEndpoints(start, fleet, true)
 			for n, product := range []string{"stamped", "harmless", "once"} {
 				ret := ask(product, fmt.Sprint(n))
-				if d := r.Where(start, ret); d.Verdict != Send {
+				if d := r.Decide(start, ret); d.Verdict != Send {
 					t.Fatalf("%s: %+v", product, d)
 				}
 				if part := r.part(start, ret); !(part > 0.1 && part < 10) {
 					t.Errorf("%s: part %v", product, part)
 				}
-				r.After(start+second/10, ret, Outcome{Result: Good, Spent: second / 10, Note: 1, Closed: true})
+				r.AttemptEnded(start+second/10, ret, Outcome{Result: Succeeded, Elapsed: second / 10, Note: 1, RequestEnded: true})
 			}
 		})
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -1,8 +1,8 @@
 // Package control decides where objects are served, kept and filled from.
 //
-// How to call it: New makes one router. Where says where to send a retrieval (or not yet, or never), After
-// what to do once a dispatch has ended, Wait how long to wait before asking Where again. The facts come by
-// Listed, Purged, Departed, Probed and Tick. The interface's types are in types.go, the reasons in
+// How to call it: New makes one router. Decide says where to send a request (or not yet, or never), AttemptEnded
+// what to do once an attempt has ended, RecheckDelay how long to wait before asking Decide again. The facts come
+// by UpdateEndpoints, Purge, ClientGone, ProbeEnded and Tick. The interface's types are in types.go, the reasons in
 // docs/design.md. A router shares nothing, reads no clock and is not safe for use by two goroutines at once.
 package control
 
@@ -64,8 +64,8 @@
 )
 
 // blame is what an outcome counts against the cache and against the source.
-var blame = map[Result][2]float64{Full: {0.3, 0.5}, Late: {0.5, 0.5}, Faulty: {0.5, 0}, Unreached: {1, 0},
-	Broken: {1, 0}}
+var blame = map[Result][2]float64{Overloaded: {0.3, 0.5}, TimedOut: {0.5, 0.5}, ServerError: {0.5, 0}, Unreachable: {1, 0},
+	ConnectionLost: {1, 0}}
 
 // The kinds of rooms, and what is in hand in them for the caches' size at start.
 const (
@@ -103,14 +103,14 @@
 	return r, nil
 }
 
-// Where says where to send a retrieval that has come, or whose Wait has passed, or not yet, or never.
-func (r *Router) Where(now int64, t *Retrieval) Decision {
+// Decide says where to send a request that has come, or whose RecheckDelay has passed, or not yet, or never.
+func (r *Router) Decide(now int64, t *Request) Decision {
 	if t.product == nil {
-		if t.product = r.products[t.Product]; t.product == nil {
-			return Decision{Verdict: Abort}
+		if t.product = r.products[t.Class]; t.product == nil {
+			return Decision{Verdict: Fail}
 		}
 		t.product.asked.add(now, r.sendingTime(t))
-		if t.arrived, t.entry = now, r.note(now, t); !t.Repeat {
+		if t.arrived, t.entry = now, r.note(now, t); !t.ClientRetry {
 			r.asked.work = fade(r.asked.work, now-r.asked.last, sharingSpan) + r.sendingTime(t)
 			r.asked.last = now
 		}
@@ -124,31 +124,31 @@
 	return r.next(now, t)
 }
 
-// After says what to do once a dispatch has ended.
-func (r *Router) After(now int64, t *Retrieval, o Outcome) Decision {
-	if o.Number < 0 || o.Number >= len(t.dispatches) || t.dispatches[o.Number].ended {
+// AttemptEnded says what to do once an attempt has ended.
+func (r *Router) AttemptEnded(now int64, t *Request, o Outcome) Decision {
+	if o.Attempt < 0 || o.Attempt >= len(t.dispatches) || t.dispatches[o.Attempt].ended {
 		return Decision{}
 	}
-	d := t.dispatches[o.Number]
+	d := t.dispatches[o.Attempt]
 	d.ended, d.result = true, o.Result
 	t.out--
 	r.judge(now, t, d, o)
-	switch t.done = t.done || o.Closed; {
+	switch t.done = t.done || o.RequestEnded; {
 	case t.done:
 		return r.callOff(t)
 	case t.out > 0:
 		return Decision{}
-	case o.Result != Cancelled && o.Result != Broken || get(r.set, "dispatches.together", false) ||
+	case o.Result != Cancelled && o.Result != ConnectionLost || get(r.set, "dispatches.together", false) ||
 		!r.repeatable(now, t):
 		return r.next(now, t)
-	case now+2*holdStep >= t.HardStop:
+	case now+2*holdStep >= t.Deadline:
 		return r.giveUp(now, t)
 	}
 	return Decision{} // what gives it up goes another way than the next would: two were out where one may be
 }
 
-// Wait says how long to wait before asking Where again; 0 is until an outcome.
-func (r *Router) Wait(_ int64, t *Retrieval) int64 {
+// RecheckDelay says how long to wait before asking Decide again; 0 is until an outcome.
+func (r *Router) RecheckDelay(_ int64, t *Request) int64 {
 	switch {
 	case t.done:
 		return 0
@@ -158,11 +158,11 @@
 	return holdStep
 }
 
-// Departed tells that a retrieval's client left, or that it ended otherwise; dispatches may still be out.
-func (r *Router) Departed(_ int64, t *Retrieval) Decision { t.done = true; return r.callOff(t) }
+// ClientGone tells that a request's client left, or that it ended otherwise; attempts may still be out.
+func (r *Router) ClientGone(_ int64, t *Request) Decision { t.done = true; return r.callOff(t) }
 
 // callOff ends what else of a finished retrieval is out.
-func (r *Router) callOff(t *Retrieval) (d Decision) {
+func (r *Router) callOff(t *Request) (d Decision) {
 	for i, other := range t.dispatches {
 		if !other.ended && get(r.set, "cancel", false) {
 			d.Cancel = append(d.Cancel, i)
@@ -172,7 +172,7 @@
 }
 
 // next picks the next dispatch of a retrieval that has none out, or holds it, or gives it up.
-func (r *Router) next(now int64, t *Retrieval) Decision {
+func (r *Router) next(now int64, t *Request) Decision {
 	cache, source := r.place(now, t)
 	if n := len(t.dispatches); n > 0 && t.dispatches[n-1].source == nil && r.origin != nil && cache != nil &&
 		!t.missed && r.denials.at(now) > deniedFrom && !r.room(now, t, cache) && r.originStands() {
@@ -199,20 +199,20 @@
 }
 
 // unwrittenMost is until when a retrieval may stay without a dispatch that came whole to a cache.
-func (t *Retrieval) unwrittenMost() int64 {
+func (t *Request) unwrittenMost() int64 {
 	for _, d := range t.dispatches {
-		if d.mayHaveRun() || d.result == Full || d.result == Missing {
-			return t.HardStop
+		if d.mayHaveRun() || d.result == Overloaded || d.result == NotHeld {
+			return t.Deadline
 		}
 	}
-	return t.arrived + (t.HardStop-t.arrived)/2
+	return t.arrived + (t.Deadline-t.arrived)/2
 }
 
 // room keeps what is in hand to what comes in time, learned from how much does: likely hits by the cache's
 // link, likely fills by the location's. Beyond that all get late together, and the jam outlives its cause.
 // What earns least for its sending time goes first, and clients' repeats: most are late already. It covers
 // jumps in traffic, crowding, empty caches, a slow source; it hurts where answers are late for a moment only.
-func (r *Router) room(now int64, t *Retrieval, cache *member) bool {
+func (r *Router) room(now int64, t *Request, cache *member) bool {
 	load, kind := r.load(now, cache), t.kind(now)
 	limit := r.rooms[kind]
 	switch {
@@ -221,7 +221,7 @@
 	case kind > 0:
 		load = float64(r.inTime(now)[kind]) * r.sharing() / r.units(now)
 	}
-	if t.Repeat {
+	if t.ClientRetry {
 		limit *= roomCheap
 	}
 	return load < limit*r.part(now, t)
@@ -231,7 +231,7 @@
 // twice as much for their sending time ask for, twice over. A class whose answers stand more of a jam than
 // others' may go beyond the room, as it comes and goes fast; so may one that was let in far less than others:
 // else the best alone could fill the room, and one class was hardly served.
-func (r *Router) part(now int64, t *Retrieval) float64 {
+func (r *Router) part(now int64, t *Request) float64 {
 	p, least := t.product, math.Inf(1)
 	var asked, taken, better float64
 	for _, q := range r.classes {
@@ -260,7 +260,7 @@
 // holds. In a thin slice what is kept is unknown: half of what was taken for fills were hits, and a jam of
 // the sources turned all away. Only where any copy that the cache may serve will do, and nothing was asked
 // yet.
-func (r *Router) mayHold(now int64, t *Retrieval, cache *member) bool {
+func (r *Router) mayHold(now int64, t *Request, cache *member) bool {
 	age, _ := r.age(now, t)
 	return t.kind(now) == fills && len(t.dispatches) == 0 && !t.neverKept() &&
 		(age == 0 || t.product.fresh > 0 && age >= t.product.fresh) && r.load(now, cache) < r.rooms[hits]*roomCheap
@@ -268,7 +268,7 @@
 
 // kind tells which room the next dispatch counts in: that of likely hits, of likely fills, or of fetches from
 // the origin, once the source has said that it lacks the object.
-func (t *Retrieval) kind(now int64) int {
+func (t *Request) kind(now int64) int {
 	switch {
 	case t.missed:
 		return fetches
@@ -303,7 +303,7 @@
 func (r *Router) sure(now int64, m *member) float64 {
 	switch {
 	case r.told():
-		return m.Units
+		return m.Capacity
 	case m.Location == r.home:
 		return max(1, r.each(now, r.carried[0], rateWindow, r.sharing(), r.caches))
 	}
@@ -329,13 +329,13 @@
 
 // afford draws a further dispatch from what first ones have put aside, by payoff. Without this bound a jam
 // feeds on itself. It hurts where one cache of few fails and more could be saved elsewhere.
-func (r *Router) afford(t *Retrieval) bool {
+func (r *Router) afford(t *Request) bool {
 	switch n := len(t.dispatches); {
-	case n > 0 && t.dispatches[n-1].result == Local: // it took no load to anybody
+	case n > 0 && t.dispatches[n-1].result == LocalError: // it took no load to anybody
 	case n == 0:
 		r.spare = min(r.spare+furtherShare*t.product.payoff/r.most(payoff), furtherMost)
 	case n < 3 && (t.denied() && r.originStands() ||
-		slices.Contains([]Result{Missing, Cut, Broken}, t.dispatches[n-1].result)):
+		slices.Contains([]Result{NotHeld, SendInterrupted, ConnectionLost}, t.dispatches[n-1].result)):
 		// no sign of a jam; denied, where the origin can fall, is one
 	case r.spare < 1:
 		return false
@@ -347,7 +347,7 @@
 
 // rethink sends a retrieval that waits for what has become suspect elsewhere, beside its first dispatch where
 // that is allowed, else in its place.
-func (r *Router) rethink(now int64, t *Retrieval) Decision {
+func (r *Router) rethink(now int64, t *Request) Decision {
 	var stuck Decision
 	for i, d := range t.dispatches {
 		if d.ended {
@@ -371,7 +371,7 @@
 }
 
 // overdue tells whether a dispatch may have lost its answer, as some do of late, and a second can be in time.
-func (r *Router) overdue(now int64, t *Retrieval, d *dispatch) bool {
+func (r *Router) overdue(now int64, t *Request, d *dispatch) bool {
 	return r.mute.at(now) > muteFrom && get(r.set, "dispatches.together", false) &&
 		d.cache.well() && d.source.well() && float64(now-d.sent) > overdueShare*float64(r.dueIn(t, 0))
 }
@@ -396,18 +396,18 @@
 func payoff(p *product) float64 { return p.payoff }
 
 // repeatable tells whether a further dispatch is allowed, by number and payoff, and does no harm: rule 2.
-func (r *Router) repeatable(now int64, t *Retrieval) bool {
+func (r *Router) repeatable(now int64, t *Request) bool {
 	allowed := min(int(get(r.set, "dispatches.most", int64(3))), 2+int(2*t.product.payoff/r.most(payoff)))
-	return !t.NoMore && t.attempts() < allowed && t.comesBack(now) && (t.product.effect == "harmless" ||
+	return !t.NoNewAttempts && t.attempts() < allowed && t.comesBack(now) && (t.product.effect == "harmless" ||
 		!slices.ContainsFunc(t.dispatches, func(d *dispatch) bool {
 			return d.mayHaveRun() && (t.product.effect != "stamped" || now >= d.sent+t.product.window)
 		}))
 }
 
 // attempts is how many of a retrieval's dispatches left this machine, or may yet.
-func (t *Retrieval) attempts() (n int) {
+func (t *Request) attempts() (n int) {
 	for _, d := range t.dispatches {
-		if !d.ended || d.result != Local {
+		if !d.ended || d.result != LocalError {
 			n++
 		}
 	}
@@ -415,13 +415,13 @@
 }
 
 // starved tells whether this machine can open no connections for now.
-func (r *Router) starved() bool { return r.Starved != nil && r.Starved() }
+func (r *Router) starved() bool { return r.ConnectionsExhausted != nil && r.ConnectionsExhausted() }
 
 // mayHaveRun tells whether nothing proves that a dispatch did not run.
-func (d *dispatch) mayHaveRun() bool { return !d.ended || d.result > Unsent && d.result != Local }
+func (d *dispatch) mayHaveRun() bool { return !d.ended || d.result > NotSent && d.result != LocalError }
 
 // sameGroup tells whether a stamped retrieval that may have run can be repeated at m.
-func sameGroup(t *Retrieval, m *member) bool {
+func sameGroup(t *Request, m *member) bool {
 	scope := t.product.scope
 	return t.product.effect != "stamped" || !slices.ContainsFunc(t.dispatches, func(d *dispatch) bool {
 		return d.mayHaveRun() && (scope == "zone" && d.cache.Location != m.Location ||
@@ -430,22 +430,22 @@
 }
 
 // giveUp ends a retrieval at once: dismissed where the client may safely try again, else aborted.
-func (r *Router) giveUp(now int64, t *Retrieval) Decision {
+func (r *Router) giveUp(now int64, t *Request) Decision {
 	t.done, t.entry.gaveUp = true, now
 	p := t.product
 	switch anywhere := p.effect == "harmless" || p.effect == "stamped" && p.scope == "all"; {
 	case !anywhere && slices.ContainsFunc(t.dispatches, (*dispatch).mayHaveRun):
-		return Decision{Verdict: Abort}
+		return Decision{Verdict: Fail}
 	case !get(r.set, "advice", false):
-		return Decision{Verdict: Dismiss}
+		return Decision{Verdict: Reject}
 	}
 	// Soon enough to be in time, and spread: those turned away together must not come back together.
 	wait := int64(adviceShare * (1 + r.chance()) * float64(p.due))
-	return Decision{Verdict: Dismiss, Advice: min(wait, get(r.set, "advice.most", int64(0)))}
+	return Decision{Verdict: Reject, RetryAfter: min(wait, get(r.set, "advice.most", int64(0)))}
 }
 
 // place picks the cache and the fill source by the object's hash.
-func (r *Router) place(now int64, t *Retrieval) (cache, source *member) {
+func (r *Router) place(now int64, t *Request) (cache, source *member) {
 	caches := r.cacheCandidates(now, t)
 	t.away = false
 	// Where the home has no room, another cache with plenty fills the object, if there is room for fills.
@@ -459,11 +459,11 @@
 }
 
 // neverKept tells whether no cache or parent keeps the answer to a retrieval: it runs at the origin.
-func (t *Retrieval) neverKept() bool { return t.product.neverKept || t.Write }
+func (t *Request) neverKept() bool { return t.product.neverKept || t.Write }
 
 // denied tells whether the last dispatch found its source at its bound or dead. The other parents are likely
 // no better: one who can't fall over, the origin, is asked.
-func (t *Retrieval) denied() bool {
+func (t *Request) denied() bool {
 	n := len(t.dispatches)
 	return n > 0 && t.dispatches[n-1].denied
 }
@@ -473,16 +473,16 @@
 
 // pick takes the first member within its cold budget, not suspect (or due for a trial) and not tried for this
 // retrieval. If there is none, the first within its budget: where all are suspect, it is not they.
-func (r *Router) pick(now int64, t *Retrieval, ranked *candidates) (fallback *member) {
+func (r *Router) pick(now int64, t *Request, ranked *candidates) (fallback *member) {
 	for m := ranked.next(); m != nil; m = ranked.next() {
 		if !r.fits(now, m, t.product.sending) || m.Location == r.home && !sameGroup(t, m) ||
-			r.Reach != nil && !r.Reach(m.ID) {
+			r.Reachable != nil && !r.Reachable(m.ID) {
 			continue
 		}
 		r.check(now, m)
 		tried := slices.ContainsFunc(t.dispatches, func(d *dispatch) bool {
 			// A connection that broke by itself is no reason to fill the object elsewhere.
-			broke := slices.Contains([]Result{Broken, Cut, Faulty, Missing, Outdated, Local}, d.result)
+			broke := slices.Contains([]Result{ConnectionLost, SendInterrupted, ServerError, NotHeld, Stale, LocalError}, d.result)
 			return !broke && (d.cache == m || d.source == m)
 		})
 		trial := now >= m.trialAt && !m.trial && len(t.dispatches) == 0 && (m.Location == r.home &&
@@ -497,7 +497,7 @@
 	return fallback
 }
 
-func (r *Router) send(now int64, t *Retrieval, cache, source *member) Decision {
+func (r *Router) send(now int64, t *Request, cache, source *member) Decision {
 	d := &dispatch{sent: now, cache: cache, source: source, kind: t.kind(now), issuedFrom: r.issuedFrom(t)}
 	if source == nil {
 		d.kind = hits
@@ -505,14 +505,14 @@
 	if d.lateFrom = now + r.dueIn(t, r.sizedTime(t)); t.SizeKB == 0 {
 		d.lateFrom += 2 * r.dueIn(t, 0) // it may be large, and then it draws on the links still
 	}
-	out := Dispatch{Cache: cache.ID, Within: t.HardStop - now,
-		Reach: min(t.unwrittenMost(), t.HardStop-t.product.answerLeast()) - now}
+	out := Attempt{Cache: cache.ID, Timeout: t.Deadline - now,
+		SendTimeout: min(t.unwrittenMost(), t.Deadline-t.product.answerLeast()) - now}
 	for _, before := range t.dispatches {
 		if t.product.effect == "stamped" && before.mayHaveRun() { // repeats are dropped so long, late links or not
-			out.Reach = min(out.Reach, before.sent+t.product.window-now)
+			out.SendTimeout = min(out.SendTimeout, before.sent+t.product.window-now)
 		}
 	}
-	d.reach = out.Reach
+	d.reach = out.SendTimeout
 	if t.dispatches = append(t.dispatches, d); len(t.dispatches) == 1 {
 		t.product.taken.add(now, r.sendingTime(t))
 	}
@@ -528,25 +528,25 @@
 		}
 	}
 	if source == nil {
-		out.Plain = true
-		return Decision{Verdict: Send, Dispatch: out}
+		out.CacheOnly = true
+		return Decision{Verdict: Send, Attempt: out}
 	}
 	out.Source = source.ID
 	if !t.neverKept() {
 		// While fills are tight, and fetches come in time no better, a parent is first asked for what it holds.
-		out.Held = d.kind == fills && r.tight[fills] && r.rooms[fetches] < r.rooms[fills] && source != r.origin
-		out.Join = get(r.set, "joins", false)
-		out.Age, out.Renew = r.age(now, t)
+		out.ParentOnlyIfCached = d.kind == fills && r.tight[fills] && r.rooms[fetches] < r.rooms[fills] && source != r.origin
+		out.JoinFill = get(r.set, "joins", false)
+		out.MaxAge, out.RefreshBehind = r.age(now, t)
 		// Ranks shield reused objects from those asked for once; a third kept what had been hot for good.
-		if out.Rank = 1; r.reused(t.entry) {
-			out.Rank = 2
+		if out.CachePriority = 1; r.reused(t.entry) {
+			out.CachePriority = 2
 		}
 	}
-	return Decision{Verdict: Send, Dispatch: out}
+	return Decision{Verdict: Send, Attempt: out}
 }
 
 // age gives the oldest copy that will do, and whether an ageing one is renewed behind.
-func (r *Router) age(now int64, t *Retrieval) (age int64, renew bool) {
+func (r *Router) age(now int64, t *Request) (age int64, renew bool) {
 	e := t.entry
 	if e.age == 0 || now >= e.ageEnds {
 		r.setAge(now, t)
@@ -559,7 +559,7 @@
 }
 
 // setAge sets an object's accepted age by the design's root and holds it.
-func (r *Router) setAge(now int64, t *Retrieval) {
+func (r *Router) setAge(now int64, t *Request) {
 	e, p := t.entry, t.product
 	kb := cmp.Or(t.SizeKB, unsizedKB)
 	if len(r.parents) == 0 {
@@ -607,7 +607,7 @@
 
 // note counts a retrieval in the rate table. Repeats don't count, marked or guessed by what was given up on
 // here a moment ago: they would shrink ages while parents strain.
-func (r *Router) note(now int64, t *Retrieval) *entry {
+func (r *Router) note(now int64, t *Request) *entry {
 	key := entryKey{t.Object, t.Part}
 	e := r.table[key]
 	switch {
@@ -627,7 +627,7 @@
 	if r.ghosts.Len() > tableSize {
 		delete(r.table, r.ghosts.Remove(r.ghosts.Back()).(*entry).key)
 	}
-	if t.Repeat = t.Repeat || now < e.gaveUp+second && e.count < repeatMost; !t.Repeat {
+	if t.ClientRetry = t.ClientRetry || now < e.gaveUp+second && e.count < repeatMost; !t.ClientRetry {
 		e.count, e.counted = fade(e.count, now-e.counted, rateWindow)+1, now
 		r.total, r.totalAt = fade(r.total, now-r.totalAt, rateWindow)+1, now
 	}
@@ -636,8 +636,8 @@
 
 func groupName(group int64) string { return fmt.Sprint("g", group) }
 
-// Purged tells of a purge of one object with all its parts or, with no object, of a group.
-func (r *Router) Purged(now int64, object string, group int64, when int64) {
+// Purge tells of a purge of one object with all its parts or, with no object, of a group.
+func (r *Router) Purge(now int64, object string, group int64, when int64) {
 	name := "o" + object
 	if object == "" {
 		name = groupName(group)
@@ -677,8 +677,8 @@
 	return probe, period
 }
 
-// Probed tells how a probe ended.
-func (r *Router) Probed(now int64, id uint32, good bool, _ []float64) {
+// ProbeEnded tells how a probe ended.
+func (r *Router) ProbeEnded(now int64, id uint32, good bool, _ []float64) {
 	if m := r.members[id]; m != nil {
 		m.trial = false
 		r.tried(now, m, good)
@@ -700,53 +700,53 @@
 }
 
 // judge draws from an outcome what it tells of the cache, the source, the room and the product.
-func (r *Router) judge(now int64, t *Retrieval, d *dispatch, o Outcome) {
-	p, kind, own := t.product, d.kind, cmp.Or(r.sizedTime(t), o.Sending)
-	t.missed = t.missed || o.Result == Missing && kind == fills
+func (r *Router) judge(now int64, t *Request, d *dispatch, o Outcome) {
+	p, kind, own := t.product, d.kind, cmp.Or(r.sizedTime(t), o.SendingTime)
+	t.missed = t.missed || o.Result == NotHeld && kind == fills
 	// What took under twice its sending time shows no jam, in time or not: it could hardly be.
-	inTime := o.Spent <= max(r.dueIn(t, own), int64(2e9*own))
-	if i := slices.Index(get(r.set, "report.fields", []string(nil)), "inHand"); i >= 0 && i < len(o.Load) {
-		r.theirs = fade(r.theirs, now-r.sharedAt, sharingSpan) + max(o.Load[i]-1, 0)
+	inTime := o.Elapsed <= max(r.dueIn(t, own), int64(2e9*own))
+	if i := slices.Index(get(r.set, "report.fields", []string(nil)), "inHand"); i >= 0 && i < len(o.LoadReport) {
+		r.theirs = fade(r.theirs, now-r.sharedAt, sharingSpan) + max(o.LoadReport[i]-1, 0)
 		r.ours = fade(r.ours, now-r.sharedAt, sharingSpan) + float64(len(d.cache.out)-1)
 		r.sharedAt = now
 	}
-	if o.Result == Outdated {
+	if o.Result == Stale {
 		r.distrust()
 	}
 	hurried := p.hurried(d, o)
-	late := o.Result == Late && !hurried
+	late := o.Result == TimedOut && !hurried
 	if late && d.cache.well() && d.source.well() {
 		r.mute.add(now)
 	}
 	good, bad := [2]float64{}, blame[o.Result] // of the cache, of the source
 	switch {
-	case o.Result == Good || o.Result == Missing:
+	case o.Result == Succeeded || o.Result == NotHeld:
 		if good = [2]float64{1, 1}; !inTime {
 			good, bad = bad, good // a cache or source that is only slow showed in no other way
 		}
 	case hurried:
 		bad = [2]float64{}
-	case o.Shared: // a connection that broke is one failure: counted by all that was open on it, it made a
+	case o.SharedCause: // a connection that broke is one failure: counted by all that was open on it, it made a
 		bad = [2]float64{} // healthy member suspect
-	case o.Result == Full && o.Note == 9: // notes: 9 names the cache, 6 to 8 the source
+	case o.Result == Overloaded && o.Note == 9: // notes: 9 names the cache, 6 to 8 the source
 		bad[1] = 0
-	case o.Result == Full && o.Note >= 6 && o.Note <= 8:
+	case o.Result == Overloaded && o.Note >= 6 && o.Note <= 8:
 		bad, d.denied = [2]float64{0, 1}, true
 		r.denials.add(now)
 	}
 	if kind == hits {
 		good[1], bad[1] = 0, 0 // likely a hit: it tells nothing of the source
 	}
-	if work := cmp.Or(own, p.sending); o.Result == Good && inTime {
+	if work := cmp.Or(own, p.sending); o.Result == Succeeded && inTime {
 		r.carry(now, &r.carried[0], work, r.sharing(), r.caches)
 		if kind > hits && o.Note != 1 && d.source != r.origin {
 			r.carry(now, &r.carried[1], work, r.sharers(d.source), r.parents)
 		}
 	}
 	switch {
-	case o.Result == Good && inTime:
+	case o.Result == Succeeded && inTime:
 		r.rooms[kind] = min(r.rooms[kind]+roomUp[r.tight[kind]], roomMost)
-	case (o.Result == Good || late) && !d.cache.suspect && (d.source == nil || !d.source.suspect):
+	case (o.Result == Succeeded || late) && !d.cache.suspect && (d.source == nil || !d.source.suspect):
 		r.rooms[kind] = max(r.rooms[kind]*(1-roomDown), roomLeast)
 	}
 	room, first := r.rooms[kind], roomFirst[kind]
@@ -757,12 +757,12 @@
 		name := []string{"hits", "fills", "fetches"}[kind]
 		r.log(fmt.Sprintf("room for %s tight: %v, at %.2f", name, r.tight[kind], room))
 	}
-	if o.Result == Good {
-		p.answered(o.Spent)
+	if o.Result == Succeeded {
+		p.answered(o.Elapsed)
 		p.seen = min(p.seen+1, 200)
-		p.answer += (float64(o.Spent)/1e9 - p.answer) / p.seen
+		p.answer += (float64(o.Elapsed)/1e9 - p.answer) / p.seen
 		if own > 0 || o.Note <= 1 {
-			p.sending += (cmp.Or(own, float64(o.Spent)/1e9) - p.sending) / p.seen
+			p.sending += (cmp.Or(own, float64(o.Elapsed)/1e9) - p.sending) / p.seen
 		}
 		t.entry.servedUntil = now + keepSpan
 		if e := t.entry; o.Note == 2 || o.Note == 3 {
@@ -782,9 +782,9 @@
 		if m.bad >= badFrom {
 			r.watched.add(m)
 		}
-		m.off = m.off || m == d.cache && o.Result == Unreached && !hurried || m == d.source && o.Result == Full && bad[1] > 0
-		silent := slices.Contains([]Result{Unreached, Late, Cancelled, Cut, Local, Unsent}, o.Result)
-		if m == d.cache && !silent || kind > hits && o.Result == Good {
+		m.off = m.off || m == d.cache && o.Result == Unreachable && !hurried || m == d.source && o.Result == Overloaded && bad[1] > 0
+		silent := slices.Contains([]Result{Unreachable, TimedOut, Cancelled, SendInterrupted, LocalError, NotSent}, o.Result)
+		if m == d.cache && !silent || kind > hits && o.Result == Succeeded {
 			m.heard = now
 		}
 		if d.trial == m {
@@ -835,17 +835,17 @@
 }
 
 // sizedTime is a retrieval's own sending time in seconds where sizes are told, else 0.
-func (r *Router) sizedTime(t *Retrieval) float64 {
+func (r *Router) sizedTime(t *Request) float64 {
 	return t.SizeKB / max(get(r.set, "clientKBPerS", 1.), 1)
 }
 
 // dueIn is how long after its sending an answer is in time, by its own sending time or the product's mean.
-func (r *Router) dueIn(t *Retrieval, own float64) int64 {
+func (r *Router) dueIn(t *Request, own float64) int64 {
 	return t.product.due + int64(t.product.dueStretch*1e9*cmp.Or(own, t.product.sending))
 }
 
 // sendingTime is what a retrieval costs a member's link.
-func (r *Router) sendingTime(t *Retrieval) float64 { return max(t.product.sending, r.sizedTime(t)) }
+func (r *Router) sendingTime(t *Request) float64 { return max(t.product.sending, r.sizedTime(t)) }
 
 // chance is a draw from [0, 1) of the instance's own.
 func (r *Router) chance() float64 {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -27,7 +27,7 @@
 			now := start + 20*second
 			e := &entry{count: c.count, counted: now, born: now - c.born*second, purges: c.purges}
 			state := progress{product: &product{fresh: c.fresh}, entry: e}
-			r.setAge(now, &Retrieval{SizeKB: 0.1 / exchange, progress: state})
+			r.setAge(now, &Request{SizeKB: 0.1 / exchange, progress: state})
 			got := float64(e.age) / 1e9
 			if e.age == forever {
 				got = 0
@@ -53,7 +53,7 @@
 			var e *entry
 			for i := range 10 {
 				ret := ask("harmless", "a")
-				ret.Repeat = c.repeat && i > 0
+				ret.ClientRetry = c.repeat && i > 0
 				e = r.note(start+10*second, ret)
 			}
 			if got := r.scaled(start+10*second, e); math.Abs(got-c.want) > 1e-9 {
@@ -97,10 +97,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
-			r.Purged(start+c.told, c.object, 1, start)
+			r.Purge(start+c.told, c.object, 1, start)
 			now := start + c.asked
 			r.Tick(now)
-			age := r.Where(now, ask(c.product, "a")).Dispatch.Age
+			age := r.Decide(now, ask(c.product, "a")).Attempt.MaxAge
 			if c.most > 0 && (age <= 0 || age > c.most) || c.most == 0 && age != 0 {
 				t.Errorf("age %v, want at most %v", age, c.most)
 			}
@@ -113,16 +113,16 @@
 		t.Run(phase, func(t *testing.T) {
 			r := newRouter(t, nil)
 			if phase == "left out" {
-				r.Listed(start, []Listing{fleet[1], fleet[3], fleet[4]}, true)
+				r.UpdateEndpoints(start, []Endpoint{fleet[1], fleet[3], fleet[4]}, true)
 			} else {
 				cache, parent := fleet[0], fleet[2]
 				cache.Phase, parent.Phase = phase, phase
-				r.Listed(start, []Listing{cache, parent}, false)
+				r.UpdateEndpoints(start, []Endpoint{cache, parent}, false)
 			}
 			for i := range 50 {
-				d := r.Where(start+second, ask("harmless", fmt.Sprint(i)))
-				if d.Verdict == Send && (d.Dispatch.Cache == 1 || d.Dispatch.Source == 3) {
-					t.Fatalf("sent to %d with source %d", d.Dispatch.Cache, d.Dispatch.Source)
+				d := r.Decide(start+second, ask("harmless", fmt.Sprint(i)))
+				if d.Verdict == Send && (d.Attempt.Cache == 1 || d.Attempt.Source == 3) {
+					t.Fatalf("sent to %d with source %d", d.Attempt.Cache, d.Attempt.Source)
 				}
 			}
 		})
@@ -146,17 +146,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			line := fleet[c.cold]
-			line.Started = start
-			r.Listed(start, []Listing{line}, false)
+			line.StartedAt = start
+			r.UpdateEndpoints(start, []Endpoint{line}, false)
 			now, spent := start+c.since, 0.
 			for i := range 200 {
 				ret := ask("harmless", fmt.Sprint(i))
-				d := r.Where(now, ret)
-				if d.Verdict == Send && (d.Dispatch.Cache == line.ID || d.Dispatch.Source == line.ID) {
+				d := r.Decide(now, ret)
+				if d.Verdict == Send && (d.Attempt.Cache == line.ID || d.Attempt.Source == line.ID) {
 					spent += r.sendingTime(ret)
 				}
 				if d.Verdict == Send { // a hit answered at once, so that only the budget binds
-					r.After(now, ret, Outcome{Result: Good, Closed: true, Spent: second / 2})
+					r.AttemptEnded(now, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 2})
 				}
 			}
 			if spent > c.budget || spent == 0 || math.IsInf(c.budget, 1) && spent < 10 {
@@ -191,9 +191,9 @@
 					t.Fatal(err)
 				}
 				line := fleet[2]
-				line.Started = start
-				r.Listed(start, append([]Listing{line}, fleet[3:]...), true)
-				r.Listed(start, fleet[:2], false)
+				line.StartedAt = start
+				r.UpdateEndpoints(start, append([]Endpoint{line}, fleet[3:]...), true)
+				r.UpdateEndpoints(start, fleet[:2], false)
 				r.fits(start, r.members[3], 0.5) // it has been looked at since its start
 				each := c.each
 				if n%10 == 0 {
@@ -240,15 +240,15 @@
 	}{
 		{"any copy will do", "harmless", func(*Router) {}, Send},
 		{"it never expires", "stamped", func(*Router) {}, Send},
-		{"a purge was told", "harmless", func(r *Router) { r.Purged(start-second, "a", 0, start-second) }, Wait},
-		{"a purge of its group was told", "stamped", func(r *Router) { r.Purged(start-second, "", 1, start-second) }, Wait},
+		{"a purge was told", "harmless", func(r *Router) { r.Purge(start-second, "a", 0, start-second) }, Wait},
+		{"a purge of its group was told", "stamped", func(r *Router) { r.Purge(start-second, "", 1, start-second) }, Wait},
 		{"the cache is full of hits", "harmless", func(r *Router) { r.rooms[hits] = 0 }, Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := jammed(nil)
 			c.before(r)
-			d := r.Where(start, ask(c.product, "a"))
-			if d.Verdict != c.want || c.want == Send && !d.Dispatch.Plain {
+			d := r.Decide(start, ask(c.product, "a"))
+			if d.Verdict != c.want || c.want == Send && !d.Attempt.CacheOnly {
 				t.Errorf("%+v", d)
 			}
 		})
@@ -268,9 +268,9 @@
 			for range c.denials {
 				r.denials.add(start)
 			}
-			r.Where(start, ret)
-			d := r.After(start, ret, Outcome{Result: Missing})
-			if d.Verdict != c.want || c.want == Send && (d.Dispatch.Source != 5 || d.Dispatch.Plain) {
+			r.Decide(start, ret)
+			d := r.AttemptEnded(start, ret, Outcome{Result: NotHeld})
+			if d.Verdict != c.want || c.want == Send && (d.Attempt.Source != 5 || d.Attempt.CacheOnly) {
 				t.Errorf("%+v", d)
 			}
 		})
@@ -286,10 +286,10 @@
 	}{{6, 0, 5}, {7, 0, 5}, {9, 0, 0}, {6, 2, 0}} {
 		t.Run(fmt.Sprint("note ", c.note, ", the origin falls at ", c.fall), func(t *testing.T) {
 			r, ret := newRouter(t, Settings{"origin.fallFactor": c.fall}), ask("harmless", "a")
-			r.Where(start, ret)
+			r.Decide(start, ret)
 			r.spare = 0
-			d := r.After(start, ret, Outcome{Result: Full, Note: c.note})
-			if got := d.Dispatch.Source; c.want != 0 && got != c.want || c.want == 0 && got == 5 {
+			d := r.AttemptEnded(start, ret, Outcome{Result: Overloaded, Note: c.note})
+			if got := d.Attempt.Source; c.want != 0 && got != c.want || c.want == 0 && got == 5 {
 				t.Errorf("%+v", d)
 			}
 		})
@@ -303,34 +303,34 @@
 		results []Result
 		want    Verdict // after the last result
 	}{
-		{"harmless goes on after a time-out", "harmless", []Result{Late}, Send},
-		{"harmless ends by its payoff", "harmless", []Result{Full, Full, Full, Full}, Dismiss},
-		{"half the payoff, fewer dispatches", "stamped", []Result{Full, Full, Full}, Dismiss},
-		{"stamped that never ran goes anywhere", "stamped", []Result{Unreached}, Send},
-		{"stamped that may have run finds its group empty", "stamped", []Result{Broken, Broken}, Abort},
-		{"one-shot that never ran is sent again", "once", []Result{Full}, Send},
-		{"one-shot that may have run is neither repeated nor dismissed", "once", []Result{Late}, Abort},
+		{"harmless goes on after a time-out", "harmless", []Result{TimedOut}, Send},
+		{"harmless ends by its payoff", "harmless", []Result{Overloaded, Overloaded, Overloaded, Overloaded}, Reject},
+		{"half the payoff, fewer dispatches", "stamped", []Result{Overloaded, Overloaded, Overloaded}, Reject},
+		{"stamped that never ran goes anywhere", "stamped", []Result{Unreachable}, Send},
+		{"stamped that may have run finds its group empty", "stamped", []Result{ConnectionLost, ConnectionLost}, Fail},
+		{"one-shot that never ran is sent again", "once", []Result{Overloaded}, Send},
+		{"one-shot that may have run is neither repeated nor dismissed", "once", []Result{TimedOut}, Fail},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			ret, now := ask(c.product, "a"), start
-			d := r.Where(now, ret)
+			d := r.Decide(now, ret)
 			for i, result := range c.results {
 				if d.Verdict != Send {
 					t.Fatalf("dispatch %d: verdict %v", i, d.Verdict)
 				}
-				first := d.Dispatch.Cache
+				first := d.Attempt.Cache
 				now += second / 2
-				d = r.After(now, ret, Outcome{Number: i, Result: result})
-				if c.product == "stamped" && result == Broken && d.Verdict == Send && d.Dispatch.Cache != first {
+				d = r.AttemptEnded(now, ret, Outcome{Attempt: i, Result: result})
+				if c.product == "stamped" && result == ConnectionLost && d.Verdict == Send && d.Attempt.Cache != first {
 					t.Fatal("repeated outside its group")
 				}
 			}
 			if d.Verdict != c.want {
 				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
 			}
-			if again := r.Where(now, ret); d.Verdict != Send && again.Verdict != Wait {
+			if again := r.Decide(now, ret); d.Verdict != Send && again.Verdict != Wait {
 				t.Errorf("after its final answer: %v", again.Verdict)
 			}
 		})
@@ -342,12 +342,12 @@
 	for _, c := range []struct {
 		result Result
 		want   Verdict
-	}{{Broken, Send}, {Cut, Send}, {Missing, Send}, {Full, Dismiss}, {Faulty, Dismiss}, {Unreached, Dismiss}} {
+	}{{ConnectionLost, Send}, {SendInterrupted, Send}, {NotHeld, Send}, {Overloaded, Reject}, {ServerError, Reject}, {Unreachable, Reject}} {
 		t.Run(fmt.Sprint(c.result), func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
-			r.Where(start, ret)
+			r.Decide(start, ret)
 			r.spare = 0
-			if d := r.After(start, ret, Outcome{Result: c.result}); d.Verdict != c.want {
+			if d := r.AttemptEnded(start, ret, Outcome{Result: c.result}); d.Verdict != c.want {
 				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
 			}
 		})
@@ -358,19 +358,19 @@
 	for _, left := range []int64{second / 100, 83 * second / 1000, 400 * second / 1000, 5 * second} {
 		t.Run(fmt.Sprint(left), func(t *testing.T) {
 			r := newRouter(t, nil)
-			r.Listed(start, nil, true)
+			r.UpdateEndpoints(start, nil, true)
 			ret, now := ask("harmless", "a"), start
-			ret.HardStop = now + left
-			d := r.Where(now, ret)
+			ret.Deadline = now + left
+			d := r.Decide(now, ret)
 			for d.Verdict == Wait {
-				now += r.Wait(now, ret)
-				if now > ret.HardStop || now > start+second {
+				now += r.RecheckDelay(now, ret)
+				if now > ret.Deadline || now > start+second {
 					t.Fatalf("still held after %v", now-start)
 				}
-				d = r.Where(now, ret)
+				d = r.Decide(now, ret)
 			}
-			if due := r.products["harmless"].due; d.Verdict != Dismiss || d.Advice <= 0 || d.Advice >= due/2 {
-				t.Errorf("verdict %v with advice %v", d.Verdict, d.Advice)
+			if due := r.products["harmless"].due; d.Verdict != Reject || d.RetryAfter <= 0 || d.RetryAfter >= due/2 {
+				t.Errorf("verdict %v with advice %v", d.Verdict, d.RetryAfter)
 			}
 		})
 	}
@@ -383,23 +383,23 @@
 		late int64             // what these take
 		want uint32            // the suspect; 0 is none
 	}{
-		{"one that breaks connections", map[uint32]Result{1: Broken}, 0, 1},
-		{"one that cannot be reached", map[uint32]Result{2: Unreached}, 0, 2},
-		{"one that only slows down", map[uint32]Result{1: Good}, 3 * second, 1},
-		{"all alike: nobody stands out", map[uint32]Result{1: Full, 2: Full}, 0, 0},
-		{"all slow alike: nobody stands out", map[uint32]Result{1: Good, 2: Good}, 3 * second, 0},
+		{"one that breaks connections", map[uint32]Result{1: ConnectionLost}, 0, 1},
+		{"one that cannot be reached", map[uint32]Result{2: Unreachable}, 0, 2},
+		{"one that only slows down", map[uint32]Result{1: Succeeded}, 3 * second, 1},
+		{"all alike: nobody stands out", map[uint32]Result{1: Overloaded, 2: Overloaded}, 0, 0},
+		{"all slow alike: nobody stands out", map[uint32]Result{1: Succeeded, 2: Succeeded}, 3 * second, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			for i := range 40 {
 				ret := ask("harmless", fmt.Sprint(i))
-				if d := r.Where(start, ret); d.Verdict == Send {
-					o := Outcome{Result: Good, Closed: true, Note: 9}
-					if result, struck := c.bad[d.Dispatch.Cache]; struck {
-						o.Result, o.Spent = result, c.late
+				if d := r.Decide(start, ret); d.Verdict == Send {
+					o := Outcome{Result: Succeeded, RequestEnded: true, Note: 9}
+					if result, struck := c.bad[d.Attempt.Cache]; struck {
+						o.Result, o.Elapsed = result, c.late
 					}
-					r.After(start, ret, o)
+					r.AttemptEnded(start, ret, o)
 				}
 			}
 			for id := uint32(1); id <= 2; id++ {
@@ -413,8 +413,8 @@
 		r := newRouter(t, nil)
 		for i := range 20 {
 			ret := ask("harmless", fmt.Sprint(i))
-			if d := r.Where(start, ret); d.Verdict == Send && d.Dispatch.Cache == 2 {
-				r.After(start, ret, Outcome{Result: Good, Closed: true})
+			if d := r.Decide(start, ret); d.Verdict == Send && d.Attempt.Cache == 2 {
+				r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true})
 			}
 		}
 		r.Tick(start + 3*second)
@@ -430,13 +430,13 @@
 		name   string
 		result Result
 		cold   bool
-	}{{"unreached", Unreached, true}, {"only late", Late, false}} {
+	}{{"unreached", Unreachable, true}, {"only late", TimedOut, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
-			m := r.members[r.Where(start, ret).Dispatch.Cache]
+			m := r.members[r.Decide(start, ret).Attempt.Cache]
 			m.suspect = true
-			r.After(start, ret, Outcome{Result: c.result, Closed: true})
-			r.Probed(start+second, m.ID, true, nil)
+			r.AttemptEnded(start, ret, Outcome{Result: c.result, RequestEnded: true})
+			r.ProbeEnded(start+second, m.ID, true, nil)
 			if m.suspect || (m.coldFrom == start+second) != c.cold {
 				t.Errorf("suspect %v, cold from %v", m.suspect, m.coldFrom)
 			}
@@ -449,8 +449,8 @@
 	r := newRouter(t, nil)
 	for i := range 60 {
 		ret := ask("harmless", fmt.Sprint(i))
-		if d := r.Where(start, ret); d.Verdict == Send && d.Dispatch.Source == 4 {
-			r.After(start, ret, Outcome{Result: Good, Closed: true, Spent: second / 10})
+		if d := r.Decide(start, ret); d.Verdict == Send && d.Attempt.Source == 4 {
+			r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 		}
 	}
 	later := start + second
@@ -468,14 +468,14 @@
 func TestRoom(t *testing.T) {
 	hold := func(r *Router, names ...string) (last Decision) {
 		for _, name := range names {
-			last = r.Where(start, ask("harmless", name))
+			last = r.Decide(start, ask("harmless", name))
 		}
 		return last
 	}
 	t.Run("fills beyond their room are not sent", func(t *testing.T) {
 		r, sent := newRouter(t, nil), 0
 		for i := range 50 {
-			if d := hold(r, fmt.Sprint(i)); d.Verdict == Send && !d.Dispatch.Plain {
+			if d := hold(r, fmt.Sprint(i)); d.Verdict == Send && !d.Attempt.CacheOnly {
 				sent++
 			}
 		}
@@ -488,11 +488,11 @@
 			r, sent := newRouter(t, nil), 0
 			for i := range 50 {
 				ret := ask("harmless", fmt.Sprint(i))
-				if ret.Repeat = marked; !marked {
-					r.giveUp(start-second/2, &Retrieval{progress: progress{product: r.products["harmless"],
+				if ret.ClientRetry = marked; !marked {
+					r.giveUp(start-second/2, &Request{progress: progress{product: r.products["harmless"],
 						entry: r.note(start-second/2, ask("harmless", fmt.Sprint(i)))}})
 				}
-				if d := r.Where(start, ret); d.Verdict == Send && !d.Dispatch.Plain {
+				if d := r.Decide(start, ret); d.Verdict == Send && !d.Attempt.CacheOnly {
 					sent++
 				}
 			}
@@ -508,8 +508,8 @@
 			sign  float64
 		}{{5 * second, -1}, {second / 10, 1}} {
 			ret, before := ask("harmless", fmt.Sprint(c.spent)), r.rooms[1]
-			r.Where(start, ret)
-			r.After(start, ret, Outcome{Result: Good, Closed: true, Spent: c.spent})
+			r.Decide(start, ret)
+			r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: c.spent})
 			if (r.rooms[1]-before)*c.sign <= 0 {
 				t.Errorf("room from %v to %v after an answer in %v", before, r.rooms[1], c.spent)
 			}
@@ -521,8 +521,8 @@
 			r.rooms[1], r.tight[1] = 0.7, tight
 			for i := range 20 {
 				ret := ask("harmless", fmt.Sprint(i))
-				r.Where(start, ret)
-				r.After(start, ret, Outcome{Result: Good, Closed: true, Spent: second / 10})
+				r.Decide(start, ret)
+				r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 			}
 			return r.rooms[1] - 0.7
 		}
@@ -533,14 +533,14 @@
 	t.Run("a crowded home passes its hits on", func(t *testing.T) {
 		r := newRouter(t, nil)
 		first := ask("harmless", "a")
-		home := r.Where(start, first).Dispatch.Cache
-		r.After(start, first, Outcome{Result: Good, Closed: true, Spent: second / 10})
+		home := r.Decide(start, first).Attempt.Cache
+		r.AttemptEnded(start, first, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 		for range 12 { // the home's room of 2 for its size, shared by two routers
 			m := r.members[home]
 			r.begin(m, &dispatch{sent: start, cache: m, lateFrom: forever})
 		}
-		if d := hold(r, "a"); d.Verdict != Send || d.Dispatch.Cache == home {
-			t.Errorf("verdict %v, to %d", d.Verdict, d.Dispatch.Cache)
+		if d := hold(r, "a"); d.Verdict != Send || d.Attempt.Cache == home {
+			t.Errorf("verdict %v, to %d", d.Verdict, d.Attempt.Cache)
 		}
 	})
 }
@@ -550,23 +550,23 @@
 		name   string
 		result Result
 		want   Verdict
-	}{{"what it lacks goes on as a fetch", Missing, Send}, {"what it holds is served", Good, Wait}} {
+	}{{"what it lacks goes on as a fetch", NotHeld, Send}, {"what it holds is served", Succeeded, Wait}} {
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
 			r.tight[fills], r.rooms[fills] = true, 1
 			r.rooms[fetches] = roomMost
 			other := ask("harmless", "other")
-			if r.Where(start, other).Dispatch.Held {
+			if r.Decide(start, other).Attempt.ParentOnlyIfCached {
 				t.Error("asked first though fetches come in time")
 			}
-			r.After(start, other, Outcome{Result: Good, Closed: true})
+			r.AttemptEnded(start, other, Outcome{Result: Succeeded, RequestEnded: true})
 			r.rooms[fetches] = roomFirst[fetches]
-			first := r.Where(start, ret).Dispatch
-			if !first.Held {
+			first := r.Decide(start, ret).Attempt
+			if !first.ParentOnlyIfCached {
 				t.Fatal("the parent may fetch")
 			}
-			d := r.After(start, ret, Outcome{Result: c.result, Closed: c.result == Good})
-			if d.Verdict != c.want || d.Verdict == Send && (d.Dispatch.Held || d.Dispatch.Source != first.Source) {
+			d := r.AttemptEnded(start, ret, Outcome{Result: c.result, RequestEnded: c.result == Succeeded})
+			if d.Verdict != c.want || d.Verdict == Send && (d.Attempt.ParentOnlyIfCached || d.Attempt.Source != first.Source) {
 				t.Errorf("then %+v", d)
 			}
 			if kinds := r.inTime(start); c.want == Send && (kinds[fetches] != 1 || kinds[fills] != 0) {
@@ -589,9 +589,9 @@
 			for i := 0; verdict == Send; i++ { // until silent members hold all the room
 				ret := ask("harmless", fmt.Sprint(i))
 				ret.SizeKB = c.sized
-				verdict = r.Where(start, ret).Verdict
+				verdict = r.Decide(start, ret).Verdict
 			}
-			if got := r.Where(start+c.after, ask("harmless", "next")).Verdict == Send; got != c.sends {
+			if got := r.Decide(start+c.after, ask("harmless", "next")).Verdict == Send; got != c.sends {
 				t.Errorf("sent: %v", got)
 			}
 		})
@@ -619,14 +619,14 @@
 }
 
 func TestBrokenConnectionKeepsItsCache(t *testing.T) {
-	keeps := map[Result]bool{Broken: true, Faulty: true, Full: false, Unreached: false, Late: false}
+	keeps := map[Result]bool{ConnectionLost: true, ServerError: true, Overloaded: false, Unreachable: false, TimedOut: false}
 	for result, same := range keeps {
 		t.Run(fmt.Sprint(result), func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
-			first := r.Where(start, ret).Dispatch.Cache
-			d := r.After(start+second, ret, Outcome{Result: result})
-			if d.Verdict != Send || (d.Dispatch.Cache == first) != same {
-				t.Errorf("verdict %v, from cache %d to %d", d.Verdict, first, d.Dispatch.Cache)
+			first := r.Decide(start, ret).Attempt.Cache
+			d := r.AttemptEnded(start+second, ret, Outcome{Result: result})
+			if d.Verdict != Send || (d.Attempt.Cache == first) != same {
+				t.Errorf("verdict %v, from cache %d to %d", d.Verdict, first, d.Attempt.Cache)
 			}
 		})
 	}
@@ -643,10 +643,10 @@
 			for i, want := range []int64{1, c.second} {
 				now := start + rateWindow + int64(i)*c.between*second
 				ret := ask("harmless", "a")
-				if got := r.Where(now, ret).Dispatch.Rank; got != want {
+				if got := r.Decide(now, ret).Attempt.CachePriority; got != want {
 					t.Errorf("request %d kept at rank %d, want %d", i, got, want)
 				}
-				r.After(now, ret, Outcome{Result: Good, Closed: true})
+				r.AttemptEnded(now, ret, Outcome{Result: Succeeded, RequestEnded: true})
 			}
 		})
 	}
@@ -658,21 +658,21 @@
 		for i := range 20 {
 			name := fmt.Sprint(i)
 			one, other := ask("harmless", name), ask("harmless", name)
-			x, y := a.Where(start, one), b.Where(start, other)
-			a.After(start, one, Outcome{Result: Good, Closed: true})
-			b.After(start, other, Outcome{Result: Good, Closed: true})
-			if x.Dispatch.Source != y.Dispatch.Source {
-				t.Errorf("object %s: %d and %d", name, x.Dispatch.Source, y.Dispatch.Source)
+			x, y := a.Decide(start, one), b.Decide(start, other)
+			a.AttemptEnded(start, one, Outcome{Result: Succeeded, RequestEnded: true})
+			b.AttemptEnded(start, other, Outcome{Result: Succeeded, RequestEnded: true})
+			if x.Attempt.Source != y.Attempt.Source {
+				t.Errorf("object %s: %d and %d", name, x.Attempt.Source, y.Attempt.Source)
 			}
-			if x.Dispatch.Source != 3 && x.Dispatch.Source != 4 {
-				t.Errorf("object %s filled from %d", name, x.Dispatch.Source)
+			if x.Attempt.Source != 3 && x.Attempt.Source != 4 {
+				t.Errorf("object %s filled from %d", name, x.Attempt.Source)
 			}
 		}
 	})
 	t.Run("a hot object reaches both caches", func(t *testing.T) {
 		r, seen := newRouter(t, nil), map[uint32]int{}
 		for range 40 {
-			seen[r.Where(start, ask("harmless", "hot")).Dispatch.Cache]++
+			seen[r.Decide(start, ask("harmless", "hot")).Attempt.Cache]++
 		}
 		if seen[1] == 0 || seen[2] == 0 {
 			t.Errorf("dispatches by cache: %v", seen)
@@ -685,13 +685,13 @@
 	r := newRouter(t, nil)
 	for n := range 5000 {
 		now := start + int64(n)*second/10
-		lines := append([]Listing{{ID: uint32(100 + n), Location: "here", Kind: "cache", Phase: "ready", Units: 5}}, fleet...)
-		r.Listed(now, lines, true)
+		lines := append([]Endpoint{{ID: uint32(100 + n), Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}}, fleet...)
+		r.UpdateEndpoints(now, lines, true)
 		ret := ask("harmless", fmt.Sprint(n))
-		if d := r.Where(now, ret); d.Verdict != Send {
+		if d := r.Decide(now, ret); d.Verdict != Send {
 			t.Fatalf("verdict %v", d.Verdict)
 		}
-		r.After(now, ret, Outcome{Result: Good, Closed: true})
+		r.AttemptEnded(now, ret, Outcome{Result: Succeeded, RequestEnded: true})
 		r.Tick(now)
 	}
 	if len(r.members) > len(fleet)+1 {
@@ -705,15 +705,15 @@
 		result Result
 		after  int64
 		want   Verdict
-	}{{Unreached, second - 1, Send}, {Unreached, second, Dismiss}, {Cut, second, Dismiss}, {Unsent, second, Dismiss},
-		{Full, second, Send}, {Broken, second, Send}} {
+	}{{Unreachable, second - 1, Send}, {Unreachable, second, Reject}, {SendInterrupted, second, Reject}, {NotSent, second, Reject},
+		{Overloaded, second, Send}, {ConnectionLost, second, Send}} {
 		t.Run(fmt.Sprint(c.result, c.after), func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
-			ret.HardStop = start + 2*second
-			if d := r.Where(start, ret); d.Dispatch.Reach != second {
-				t.Errorf("to be on its way within %d", d.Dispatch.Reach)
+			ret.Deadline = start + 2*second
+			if d := r.Decide(start, ret); d.Attempt.SendTimeout != second {
+				t.Errorf("to be on its way within %d", d.Attempt.SendTimeout)
 			}
-			if d := r.After(start+c.after, ret, Outcome{Result: c.result}); d.Verdict != c.want {
+			if d := r.AttemptEnded(start+c.after, ret, Outcome{Result: c.result}); d.Verdict != c.want {
 				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
 			}
 		})
@@ -734,16 +734,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, Settings{"report.fields": []string{"x1", "inHand"}})
 			r.rooms = [3]float64{roomMost, roomMost, roomMost}
-			var out []*Retrieval
+			var out []*Request
 			for n := range 20 {
 				ret := ask("harmless", fmt.Sprint(n))
-				if d := r.Where(start, ret); d.Verdict == Send {
+				if d := r.Decide(start, ret); d.Verdict == Send {
 					out = append(out, ret)
 				}
 			}
 			for _, ret := range out {
 				own := float64(len(ret.dispatches[0].cache.out))
-				r.After(start+second/10, ret, Outcome{Result: Good, Closed: true, Load: c.told(own)})
+				r.AttemptEnded(start+second/10, ret, Outcome{Result: Succeeded, RequestEnded: true, LoadReport: c.told(own)})
 			}
 			if got := r.sharing(); math.Abs(got-c.want) > 0.01 {
 				t.Errorf("%d answers: %v, want %v", len(out), got, c.want)
@@ -767,19 +767,19 @@
 			r, now := newRouter(t, c.change), start
 			for n := range 300 + c.missing {
 				ret := ask("harmless", fmt.Sprint(n))
-				if d := r.Where(now, ret); d.Verdict != Send {
+				if d := r.Decide(now, ret); d.Verdict != Send {
 					t.Fatalf("verdict %v", d.Verdict)
 				}
-				o := Outcome{Result: Good, Spent: second / 10, Closed: true}
+				o := Outcome{Result: Succeeded, Elapsed: second / 10, RequestEnded: true}
 				if n >= 300 {
-					o.Result, o.Spent = Late, 5*second
+					o.Result, o.Elapsed = TimedOut, 5*second
 				}
-				r.After(now, ret, o)
+				r.AttemptEnded(now, ret, o)
 			}
 			ret := ask("harmless", "x")
-			r.Where(now, ret)
+			r.Decide(now, ret)
 			now += r.dueIn(ret, 0) * c.waited / 10
-			if d := r.Where(now, ret); d.Verdict != c.want || d.Verdict == Send && d.Dispatch.Cache == ret.dispatches[0].cache.ID {
+			if d := r.Decide(now, ret); d.Verdict != c.want || d.Verdict == Send && d.Attempt.Cache == ret.dispatches[0].cache.ID {
 				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
 			}
 		})
@@ -797,9 +797,9 @@
 		{"a large one", 2 * second, 1, false}, {"a small one", second, 0.01, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := newRouter(t, Settings{"product.dueStretch": []float64{2, 2, 2}}), ask("harmless", "a")
-			r.Where(start, ret)
+			r.Decide(start, ret)
 			kind := ret.dispatches[0].kind
-			r.After(start+c.spent, ret, Outcome{Result: Good, Spent: c.spent, Sending: c.sending, Closed: true})
+			r.AttemptEnded(start+c.spent, ret, Outcome{Result: Succeeded, Elapsed: c.spent, SendingTime: c.sending, RequestEnded: true})
 			if late := r.rooms[kind] < roomFirst[kind]; late != c.late {
 				t.Errorf("late: %v, want %v", late, c.late)
 			}
@@ -826,11 +826,11 @@
 					ret := ask("harmless", fmt.Sprint(n, m.ID))
 					d := &dispatch{sent: start, cache: r.members[1], source: m, kind: fills, lateFrom: start + second}
 					ret.product, ret.entry, ret.dispatches, ret.out = r.products["harmless"], &entry{}, []*dispatch{d}, 1
-					o := Outcome{Result: Good, Note: 2, Spent: second / 10, Closed: true}
+					o := Outcome{Result: Succeeded, Note: 2, Elapsed: second / 10, RequestEnded: true}
 					if m == slow && n%c.late == c.late-1 {
-						o.Spent = 4 * second
+						o.Elapsed = 4 * second
 					}
-					r.After(start, ret, o)
+					r.AttemptEnded(start, ret, o)
 				}
 			}
 			if slow.suspect != c.want || r.members[4].suspect != c.lost {
@@ -850,7 +850,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Listed(at, []Listing{{ID: 1, Location: "here", Kind: "cache", Phase: "ready", Units: 4}}, true)
+		r.UpdateEndpoints(at, []Endpoint{{ID: 1, Location: "here", Kind: "cache", Phase: "ready", Capacity: 4}}, true)
 		return r
 	}
 	const begun, later = 1000 * second, 1040 * second
@@ -861,18 +861,18 @@
 		if i%4 == 0 {
 			object = "b"
 		}
-		if d := r.Where(at, &Retrieval{Product: "stills", Object: object, HardStop: at + second}); d.Verdict != Send {
+		if d := r.Decide(at, &Request{Class: "stills", Object: object, Deadline: at + second}); d.Verdict != Send {
 			t.Fatal(d)
 		}
 	}
-	r.Purged(begun+9*second, "b", 0, begun+9*second)
+	r.Purge(begun+9*second, "b", 0, begun+9*second)
 	now := begun + 10*second
-	m := r.Remember(now, 10)
+	m := r.Snapshot(now, 10)
 	if len(m.Objects) != 2 || len(m.Purges) != 1 || m.Objects[1].Object != "a" {
 		t.Fatalf("%+v", m)
 	}
 	next := make(later)
-	next.Recall(later, m, true)
+	next.Restore(later, m, true)
 	rate := func(r *Router, at int64, object string) float64 {
 		e := r.table[entryKey{object, 0}]
 		return r.rate(at, e.count, e.counted)
@@ -882,15 +882,15 @@
 			t.Errorf("%s: %f before, %f after", object, was, is)
 		}
 	}
-	if again := next.Remember(later, 10); again.Objects[1].Object != "a" || again.Purges[0] != m.Purges[0] {
+	if again := next.Snapshot(later, 10); again.Objects[1].Object != "a" || again.Purges[0] != m.Purges[0] {
 		t.Errorf("%+v", again)
 	}
 	without := make(later)
-	without.Recall(later, m, false)
+	without.Restore(later, m, false)
 	if e := without.table[entryKey{"b", 0}]; e == nil || e.count != 0 || e.purges != 1 || without.total != 0 {
 		t.Errorf("%+v", e)
 	}
-	if one := r.Remember(now, 1); len(one.Objects) != 1 || one.Objects[0].Object != "a" {
+	if one := r.Snapshot(now, 1); len(one.Objects) != 1 || one.Objects[0].Object != "a" {
 		t.Errorf("%+v", one.Objects)
 	}
 }
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -17,10 +17,10 @@
 	rng       *rand.Rand
 	router    *Router
 	now       int64
-	lines     []Listing
+	lines     []Endpoint
 	nextID    uint32
-	retrieval []*Retrieval // those that are not yet finished
-	digest    hash.Hash64  // of every decision and log line
+	retrieval []*Request  // those that are not yet finished
+	digest    hash.Hash64 // of every decision and log line
 	seen      map[string]int
 	failing   map[uint32]bool // members at which most fails now
 }
@@ -60,12 +60,12 @@
 	}
 	p.router = r
 	if rng.IntN(4) == 0 {
-		r.Reach = func(id uint32) bool { return (id*2654435761+uint32(p.now/second))%7 != 0 }
+		r.Reachable = func(id uint32) bool { return (id*2654435761+uint32(p.now/second))%7 != 0 }
 	}
 	for range 1 + rng.IntN([]int{4, 40, 40, 250}[rng.IntN(4)]) {
 		p.lines = append(p.lines, p.drawLine())
 	}
-	r.Listed(start, p.lines, true)
+	r.UpdateEndpoints(start, p.lines, true)
 	return p
 }
 
@@ -92,9 +92,9 @@
 }
 
 // drawLine gives a new member.
-func (p *drawnPlay) drawLine() Listing {
-	line := Listing{ID: p.nextID*2654435761 + 17, Location: "here", Kind: "cache", Cell: int64(p.rng.IntN(4)), Phase: "ready",
-		Units: []float64{1, 5, 5, 5, 0, 7.3, 0.1, 20}[p.rng.IntN(8)]}
+func (p *drawnPlay) drawLine() Endpoint {
+	line := Endpoint{ID: p.nextID*2654435761 + 17, Location: "here", Kind: "cache", Cell: int64(p.rng.IntN(4)), Phase: "ready",
+		Capacity: []float64{1, 5, 5, 5, 0, 7.3, 0.1, 20}[p.rng.IntN(8)]}
 	p.nextID++
 	switch n := p.rng.IntN(20); {
 	case n < 4:
@@ -105,22 +105,22 @@
 		line.Location = "there"
 	}
 	if p.rng.IntN(5) == 0 {
-		line.Started = p.now
+		line.StartedAt = p.now
 	}
 	return line
 }
 
 // decided records a decision.
-func (p *drawnPlay) decided(what string, t *Retrieval, d Decision) {
+func (p *drawnPlay) decided(what string, t *Request, d Decision) {
 	// By place, not by name: renaming a field changes no decision.
-	to := d.Dispatch
-	fmt.Fprintln(p.digest, what, p.now, t.Object, int(d.Verdict), d.Advice, d.Cancel, to.Cache, to.Plain, to.Source, to.Rank, to.Age,
-		to.Join, to.Renew, to.Held, to.NoParent, to.Within, to.Reach)
+	to := d.Attempt
+	fmt.Fprintln(p.digest, what, p.now, t.Object, int(d.Verdict), d.RetryAfter, d.Cancel, to.Cache, to.CacheOnly, to.Source, to.CachePriority, to.MaxAge,
+		to.JoinFill, to.RefreshBehind, to.ParentOnlyIfCached, to.ParentNoStore, to.Timeout, to.SendTimeout)
 	p.seen[fmt.Sprint(what, d.Verdict)]++
 	if d.Verdict == Send && t.away {
 		p.seen["away"]++
 	}
-	if d.Verdict == Send && d.Dispatch.Plain {
+	if d.Verdict == Send && d.Attempt.CacheOnly {
 		p.seen["plain"]++
 	}
 }
@@ -129,17 +129,17 @@
 func (p *drawnPlay) ask() {
 	products := []string{"harmless", "harmless", "stamped", "once"}
 	object := p.rng.IntN(1 + p.rng.IntN(60))
-	t := &Retrieval{Product: products[p.rng.IntN(len(products))], Object: fmt.Sprintf("%016x", object), Group: int64(object % 5),
-		Part: int64(p.rng.IntN(2)), HardStop: p.now + int64(p.rng.IntN(3000)+200)*second/1000, Repeat: p.rng.IntN(12) == 0,
+	t := &Request{Class: products[p.rng.IntN(len(products))], Object: fmt.Sprintf("%016x", object), Group: int64(object % 5),
+		Part: int64(p.rng.IntN(2)), Deadline: p.now + int64(p.rng.IntN(3000)+200)*second/1000, ClientRetry: p.rng.IntN(12) == 0,
 		Write: p.rng.IntN(10) == 0, SizeKB: []float64{0, 0, 10, 200, 2000}[p.rng.IntN(5)]}
 	p.retrieval = append(p.retrieval, t)
-	p.decided("where", t, p.router.Where(p.now, t))
+	p.decided("where", t, p.router.Decide(p.now, t))
 }
 
 // outcome draws how a dispatch ends.
-func (p *drawnPlay) outcome(t *Retrieval, number int) Outcome {
+func (p *drawnPlay) outcome(t *Request, number int) Outcome {
 	d := t.dispatches[number]
-	o := Outcome{Number: number, Result: Good, Spent: p.now - d.sent, Note: int64(p.rng.IntN(4)), Shared: p.rng.IntN(10) == 0}
+	o := Outcome{Attempt: number, Result: Succeeded, Elapsed: p.now - d.sent, Note: int64(p.rng.IntN(4)), SharedCause: p.rng.IntN(10) == 0}
 	chance := 15
 	if p.failing[d.cache.ID] || d.source != nil && p.failing[d.source.ID] {
 		chance = 2
@@ -148,21 +148,21 @@
 		o.Result = Result(p.rng.IntN(int(Cancelled) + 1))
 		o.Note = int64(p.rng.IntN(10))
 	}
-	o.Closed = o.Result == Good || p.rng.IntN(20) == 0
+	o.RequestEnded = o.Result == Succeeded || p.rng.IntN(20) == 0
 	if p.rng.IntN(2) == 0 {
-		o.Sending = p.rng.Float64()
+		o.SendingTime = p.rng.Float64()
 	}
 	if p.rng.IntN(2) == 0 {
-		o.Load = []float64{0, float64(p.rng.IntN(30))}
+		o.LoadReport = []float64{0, float64(p.rng.IntN(30))}
 	}
 	return o
 }
 
 // end ends a drawn dispatch that is out.
-func (p *drawnPlay) end(t *Retrieval) {
+func (p *drawnPlay) end(t *Request) {
 	for number, d := range t.dispatches {
 		if !d.ended && p.rng.IntN(2) == 0 {
-			p.decided("after", t, p.router.After(p.now, t, p.outcome(t, number)))
+			p.decided("after", t, p.router.AttemptEnded(p.now, t, p.outcome(t, number)))
 			return
 		}
 	}
@@ -179,23 +179,23 @@
 		case 1, 2:
 			line.Phase = "ready"
 		case 3:
-			line.Started, line.Phase = p.now, "ready"
+			line.StartedAt, line.Phase = p.now, "ready"
 		case 4:
-			line.Units = p.rng.Float64() * 10
+			line.Capacity = p.rng.Float64() * 10
 		case 5:
 			p.lines = append(p.lines, p.drawLine())
 			i = len(p.lines) - 1
 		case 6:
 			if len(p.lines) > 2 {
 				p.lines = slices.Delete(p.lines, i, i+1)
-				p.router.Listed(p.now, p.lines, true)
+				p.router.UpdateEndpoints(p.now, p.lines, true)
 				continue
 			}
 		}
-		p.router.Listed(p.now, slices.Clone(p.lines[i:i+1]), false)
+		p.router.UpdateEndpoints(p.now, slices.Clone(p.lines[i:i+1]), false)
 	}
 	if p.rng.IntN(4) == 0 {
-		p.router.Listed(p.now, p.lines, true)
+		p.router.UpdateEndpoints(p.now, p.lines, true)
 	}
 }
 
@@ -221,16 +221,16 @@
 	case n < 88:
 		if len(p.retrieval) > 0 {
 			t := p.retrieval[p.rng.IntN(len(p.retrieval))]
-			t.NoMore = t.NoMore || p.rng.IntN(40) == 0
-			fmt.Fprintln(p.digest, r.Wait(p.now, t))
-			p.decided("again", t, r.Where(p.now, t))
+			t.NoNewAttempts = t.NoNewAttempts || p.rng.IntN(40) == 0
+			fmt.Fprintln(p.digest, r.RecheckDelay(p.now, t))
+			p.decided("again", t, r.Decide(p.now, t))
 		}
 	case n < 94:
 		probes, again := r.Tick(p.now)
 		fmt.Fprintln(p.digest, probes, again)
 		for _, id := range probes {
 			p.seen["probe"]++
-			r.Probed(p.now, id, p.rng.IntN(3) > 0, nil)
+			r.ProbeEnded(p.now, id, p.rng.IntN(3) > 0, nil)
 		}
 	case n < 96:
 		p.list()
@@ -239,7 +239,7 @@
 		if p.rng.IntN(3) == 0 {
 			object = ""
 		}
-		r.Purged(p.now, object, int64(p.rng.IntN(5)), p.now-p.rng.Int64N(second))
+		r.Purge(p.now, object, int64(p.rng.IntN(5)), p.now-p.rng.Int64N(second))
 	case n < 98:
 		if len(p.lines) > 0 {
 			id := p.lines[p.rng.IntN(len(p.lines))].ID
@@ -248,12 +248,12 @@
 	default:
 		if len(p.retrieval) > 0 {
 			t := p.retrieval[p.rng.IntN(len(p.retrieval))]
-			p.decided("departed", t, r.Departed(p.now, t))
+			p.decided("departed", t, r.ClientGone(p.now, t))
 		}
 	}
-	p.retrieval = slices.DeleteFunc(p.retrieval, func(t *Retrieval) bool {
-		if t.out == 0 && !t.done && p.now > t.HardStop {
-			r.Departed(p.now, t)
+	p.retrieval = slices.DeleteFunc(p.retrieval, func(t *Request) bool {
+		if t.out == 0 && !t.done && p.now > t.Deadline {
+			r.ClientGone(p.now, t)
 		}
 		return t.out == 0 && t.done || t.entry == nil
 	})
--- a/control/endings_test.go
+++ b/control/endings_test.go
@@ -12,23 +12,23 @@
 		after   int64 // ms from the first attempt to its end
 		want    int64 // ms within which the second must be on its way; 0: it is not sent
 	}{
-		{"late in the window", "stamped", Broken, 900, 100},
-		{"early in it", "stamped", Broken, 50, 950},
-		{"at its end", "stamped", Broken, 1000, 0},
-		{"nothing ran: no window binds", "stamped", Unreached, 900, 1600},
-		{"harmless", "harmless", Broken, 900, 4100},
+		{"late in the window", "stamped", ConnectionLost, 900, 100},
+		{"early in it", "stamped", ConnectionLost, 50, 950},
+		{"at its end", "stamped", ConnectionLost, 1000, 0},
+		{"nothing ran: no window binds", "stamped", Unreachable, 900, 1600},
+		{"harmless", "harmless", ConnectionLost, 900, 4100},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, Settings{"product.scope": []string{"all", "all", "all"}})
 			ret, now := ask(c.product, "a"), start
-			ret.HardStop = start + 5*second
-			r.Where(now, ret)
+			ret.Deadline = start + 5*second
+			r.Decide(now, ret)
 			now += c.after * second / 1000
-			d := r.After(now, ret, Outcome{Result: c.result})
+			d := r.AttemptEnded(now, ret, Outcome{Result: c.result})
 			if sent := d.Verdict == Send; sent != (c.want > 0) {
 				t.Fatalf("verdict %v", d.Verdict)
 			}
-			if got := d.Dispatch.Reach * 1000 / second; d.Verdict == Send && got != c.want {
+			if got := d.Attempt.SendTimeout * 1000 / second; d.Verdict == Send && got != c.want {
 				t.Errorf("on its way within %d ms, want %d", got, c.want)
 			}
 		})
@@ -48,26 +48,26 @@
 		then     Verdict
 	}{
 		{"called off", "harmless", false, Cancelled, 2000, Wait, Send},
-		{"its link broke", "harmless", false, Broken, 2000, Wait, Send},
-		{"it is over: nothing is out", "harmless", false, Full, 2000, Send, Wait},
+		{"its link broke", "harmless", false, ConnectionLost, 2000, Wait, Send},
+		{"it is over: nothing is out", "harmless", false, Overloaded, 2000, Send, Wait},
 		{"two may be out", "harmless", true, Cancelled, 2000, Send, Wait},
-		{"no time is left", "harmless", false, Broken, 90, Dismiss, Wait},
-		{"it may not be repeated", "once", false, Broken, 2000, Abort, Wait},
+		{"no time is left", "harmless", false, ConnectionLost, 90, Reject, Wait},
+		{"it may not be repeated", "once", false, ConnectionLost, 2000, Fail, Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, Settings{"dispatches.together": c.together})
 			ret, now := ask(c.product, "a"), start
-			ret.HardStop = start + 3*second
-			r.Where(now, ret)
-			now = ret.HardStop - c.left*second/1000
-			if d := r.After(now, ret, Outcome{Result: c.result}); d.Verdict != c.want {
+			ret.Deadline = start + 3*second
+			r.Decide(now, ret)
+			now = ret.Deadline - c.left*second/1000
+			if d := r.AttemptEnded(now, ret, Outcome{Result: c.result}); d.Verdict != c.want {
 				t.Fatalf("at once: verdict %v, want %v", d.Verdict, c.want)
 			}
-			wait := r.Wait(now, ret)
+			wait := r.RecheckDelay(now, ret)
 			if c.then == Send && (wait <= 0 || wait > 2*holdStep) {
 				t.Fatalf("asked again in %d", wait)
 			}
-			if d := r.Where(now+wait, ret); c.want == Wait && d.Verdict != c.then {
+			if d := r.Decide(now+wait, ret); c.want == Wait && d.Verdict != c.then {
 				t.Errorf("then: verdict %v, want %v", d.Verdict, c.then)
 			}
 		})
@@ -81,14 +81,14 @@
 		product string
 		result  Result
 		want    Verdict
-	}{{"harmless", "harmless", Full, Dismiss}, {"one-shot that did not run", "once", Full, Dismiss},
-		{"one-shot that may have", "once", Broken, Abort}} {
+	}{{"harmless", "harmless", Overloaded, Reject}, {"one-shot that did not run", "once", Overloaded, Reject},
+		{"one-shot that may have", "once", ConnectionLost, Fail}} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			ret := ask(c.product, "a")
-			r.Where(start, ret)
-			ret.NoMore = true
-			if d := r.After(start+1, ret, Outcome{Result: c.result}); d.Verdict != c.want {
+			r.Decide(start, ret)
+			ret.NoNewAttempts = true
+			if d := r.AttemptEnded(start+1, ret, Outcome{Result: c.result}); d.Verdict != c.want {
 				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
 			}
 		})
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -26,13 +26,13 @@
 
 const start = 1000 * second
 
-var fleet = []Listing{
-	{ID: 1, Location: "here", Kind: "cache", Cell: 1, Phase: "ready", Units: 5},
-	{ID: 2, Location: "here", Kind: "cache", Cell: 2, Phase: "ready", Units: 5},
-	{ID: 3, Location: "hub", Kind: "parent", Cell: 3, Phase: "ready", Units: 20},
-	{ID: 4, Location: "hub", Kind: "parent", Cell: 3, Phase: "ready", Units: 20},
-	{ID: 5, Location: "hub", Kind: "origin", Cell: 4, Phase: "ready", Units: 20},
-	{ID: 6, Location: "there", Kind: "cache", Cell: 5, Phase: "ready", Units: 5},
+var fleet = []Endpoint{
+	{ID: 1, Location: "here", Kind: "cache", Cell: 1, Phase: "ready", Capacity: 5},
+	{ID: 2, Location: "here", Kind: "cache", Cell: 2, Phase: "ready", Capacity: 5},
+	{ID: 3, Location: "hub", Kind: "parent", Cell: 3, Phase: "ready", Capacity: 20},
+	{ID: 4, Location: "hub", Kind: "parent", Cell: 3, Phase: "ready", Capacity: 20},
+	{ID: 5, Location: "hub", Kind: "origin", Cell: 4, Phase: "ready", Capacity: 20},
+	{ID: 6, Location: "there", Kind: "cache", Cell: 5, Phase: "ready", Capacity: 5},
 }
 
 func newRouter(t *testing.T, change Settings) *Router {
@@ -41,10 +41,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Listed(start, fleet, true)
+	r.UpdateEndpoints(start, fleet, true)
 	return r
 }
 
-func ask(product, object string) *Retrieval {
-	return &Retrieval{Product: product, Object: object, Group: 1, HardStop: start + 500*second}
+func ask(product, object string) *Request {
+	return &Request{Class: product, Object: object, Group: 1, Deadline: start + 500*second}
 }
--- a/control/load.go
+++ b/control/load.go
@@ -88,8 +88,8 @@
 		if !r.unitsSummed {
 			r.unitsSummed, r.unitsSum, r.mostUnits = true, 0, 0
 			for _, m := range r.caches {
-				r.unitsSum += m.Units
-				r.mostUnits = max(r.mostUnits, m.Units)
+				r.unitsSum += m.Capacity
+				r.mostUnits = max(r.mostUnits, m.Capacity)
 			}
 		}
 		return max(r.unitsSum, leastUnits)
@@ -141,7 +141,7 @@
 // of is what a cache has in hand for its size, as seen from here.
 func (s loadScale) of(m *member) float64 {
 	if s.told {
-		return s.at(m.inTime.sum(), m.Units)
+		return s.at(m.inTime.sum(), m.Capacity)
 	}
 	return s.at(m.inTime.sum(), s.size)
 }
--- a/control/members.go
+++ b/control/members.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Listed gives the list of members, whole or changes to it.
-func (r *Router) Listed(now int64, lines []Listing, whole bool) {
+// UpdateEndpoints gives the list of endpoints, whole or changes to it.
+func (r *Router) UpdateEndpoints(now int64, lines []Endpoint, whole bool) {
 	if whole {
 		for _, m := range r.members {
 			m.listed = false
@@ -64,19 +64,19 @@
 }
 
 // update takes over one line of the list.
-func (r *Router) update(now int64, line Listing) {
+func (r *Router) update(now int64, line Endpoint) {
 	m := r.members[line.ID]
 	if m == nil {
 		m = &member{heard: now, scored: now}
 		r.members[line.ID] = m
 	}
-	if line.Started > 0 && line.Started != m.Started {
+	if line.StartedAt > 0 && line.StartedAt != m.StartedAt {
 		// Back from a restart: cold, empty, and no longer judged by what it was before. Earlier than the last, where the clock
 		// that tells it was set back.
-		m.coldFrom, m.coldTold, m.good, m.bad, m.heard = line.Started, now, 0, 0, now
+		m.coldFrom, m.coldTold, m.good, m.bad, m.heard = line.StartedAt, now, 0, 0, now
 		m.suspect, m.trial, m.off = false, false, false
 	}
-	m.Listing, m.listed, m.weight = line, line.Phase != "gone", max(line.Units, leastUnits)
+	m.Endpoint, m.listed, m.weight = line, line.Phase != "gone", max(line.Capacity, leastUnits)
 	if get(r.set, "units", "off") == "live" {
 		m.weight = 1 // a weight that follows the load would move objects from home to home
 	}
--- a/control/memory.go
+++ b/control/memory.go
@@ -7,86 +7,90 @@
 	"slices"
 )
 
-// Memory is what a router has learned, for one that starts in its place: rates, what products cost to send, told purges.
+// Snapshot is what a router has learned, for one that starts in its place: rates, what classes cost to send, told purges.
 // Judgements of members are not in it: they are of moments. Times are on the axis of the process that learned it, ns.
-type Memory struct {
-	Started, Taken int64
-	Total          float64
-	TotalAt        int64
-	Rooms          [3]float64
-	Products       []ProductMemory // by name
-	Objects        []ObjectMemory  // the one asked for last comes last
-	Purges         []PurgeMemory   // by name
+type Snapshot struct {
+	StartedAt       int64            `cbor:"Started"` // when this began to count
+	TakenAt         int64            `cbor:"Taken"`
+	RequestCount    float64          `cbor:"Total"` // decayed
+	RequestCountAt  int64            `cbor:"TotalAt"`
+	AdmissionLimits [3]float64       `cbor:"Rooms"`
+	Classes         []ClassSnapshot  `cbor:"Products"` // by name
+	Objects         []ObjectSnapshot // the one asked for last comes last
+	Purges          []PurgeSnapshot  // by name
 }
 
-// ProductMemory is what one product's answers told.
-type ProductMemory struct {
-	Name                  string
-	Sending, Answer, Seen float64 // s, s, answers
+// ClassSnapshot is what one class's answers told.
+type ClassSnapshot struct {
+	Name         string
+	SendingTime  float64 `cbor:"Sending"` // mean, s
+	ResponseTime float64 `cbor:"Answer"`  // mean, s
+	Samples      float64 `cbor:"Seen"`    // answers that the means count for
 }
 
-// ObjectMemory is one object of the rate table.
-type ObjectMemory struct {
+// ObjectSnapshot is one object of the rate table.
+type ObjectSnapshot struct {
 	Object        string
 	Part, Group   int64
 	Count, Purges float64
-	Counted, Born int64
-	Ghost         bool
+	CountedAt     int64 `cbor:"Counted"`
+	FirstSeenAt   int64 `cbor:"Born"`
+	Evicted       bool  `cbor:"Ghost"` // from the list of objects asked for lately
 }
 
-// PurgeMemory is one told purge that matters still.
-type PurgeMemory struct {
-	Name string
-	When int64 // its stamp: Unix ns by the clock of the journal service, on no axis of ours
+// PurgeSnapshot is one told purge that matters still.
+type PurgeSnapshot struct {
+	Name     string
+	PurgedAt int64 `cbor:"When"` // its stamp: Unix ns by the clock of the journal service, on no axis of ours
 }
 
-// Moved is a memory with its times moved by a span, ns: onto the axis of another process. Stamps of others stay.
-func (m Memory) Moved(by int64) Memory {
-	m.Started, m.Taken, m.TotalAt = m.Started+by, m.Taken+by, m.TotalAt+by
+// Shifted is a snapshot with its times moved by a span, ns: onto the axis of another process. Stamps of others stay.
+func (m Snapshot) Shifted(by int64) Snapshot {
+	m.StartedAt, m.TakenAt, m.RequestCountAt = m.StartedAt+by, m.TakenAt+by, m.RequestCountAt+by
 	m.Objects = slices.Clone(m.Objects)
 	for i := range m.Objects {
-		m.Objects[i].Counted += by
-		m.Objects[i].Born += by
+		m.Objects[i].CountedAt += by
+		m.Objects[i].FirstSeenAt += by
 	}
 	return m
 }
 
-// Remember gives what was learned, with so many objects at most.
-func (r *Router) Remember(now int64, most int) Memory {
-	m := Memory{Started: r.started, Taken: now, Total: r.total, TotalAt: r.totalAt, Rooms: r.rooms}
+// Snapshot gives what was learned, with so many objects at most.
+func (r *Router) Snapshot(now int64, most int) Snapshot {
+	m := Snapshot{StartedAt: r.started, TakenAt: now, RequestCount: r.total, RequestCountAt: r.totalAt, AdmissionLimits: r.rooms}
 	for _, name := range slices.Sorted(maps.Keys(r.products)) {
 		p := r.products[name]
-		m.Products = append(m.Products, ProductMemory{name, p.sending, p.answer, p.seen})
+		m.Classes = append(m.Classes, ClassSnapshot{name, p.sending, p.answer, p.seen})
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.purges)) {
-		m.Purges = append(m.Purges, PurgeMemory{name, r.purges[name].stamp})
+		m.Purges = append(m.Purges, PurgeSnapshot{name, r.purges[name].stamp})
 	}
 	for _, of := range []*list.List{r.live, r.ghosts} {
 		for at := of.Front(); at != nil && len(m.Objects) < most; at = at.Next() {
 			e := at.Value.(*entry)
-			m.Objects = append(m.Objects, ObjectMemory{Object: e.key.object, Part: e.key.part, Group: e.group, Count: e.count,
-				Purges: e.purges, Counted: e.counted, Born: e.born, Ghost: e.ghost})
+			m.Objects = append(m.Objects, ObjectSnapshot{Object: e.key.object, Part: e.key.part, Group: e.group, Count: e.count,
+				Purges: e.purges, CountedAt: e.counted, FirstSeenAt: e.born, Evicted: e.ghost})
 		}
 	}
 	slices.Reverse(m.Objects)
 	return m
 }
 
-// Recall takes over what was learned; it is to be called before anything else. With rates, time is taken to have stood
+// Restore takes over what was learned; it is to be called before anything else. With rates, time is taken to have stood
 // still since: what was asked for so often then is so now. Without, only that objects were asked for, and purged, is kept.
-func (r *Router) Recall(now int64, m Memory, rates bool) {
-	gone := max(0, now-m.Taken)
-	for _, p := range m.Products {
-		if own := r.products[p.Name]; own != nil && p.Sending > 0 && p.Answer > 0 {
-			own.sending, own.answer, own.seen = p.Sending, p.Answer, max(own.seen, p.Seen)
+func (r *Router) Restore(now int64, m Snapshot, rates bool) {
+	gone := max(0, now-m.TakenAt)
+	for _, p := range m.Classes {
+		if own := r.products[p.Name]; own != nil && p.SendingTime > 0 && p.ResponseTime > 0 {
+			own.sending, own.answer, own.seen = p.SendingTime, p.ResponseTime, max(own.seen, p.Samples)
 		}
 	}
 	for _, p := range m.Purges {
-		r.purges[p.Name] = r.purges[p.Name].with(now, p.When)
+		r.purges[p.Name] = r.purges[p.Name].with(now, p.PurgedAt)
 	}
 	if rates {
-		r.started, r.total, r.totalAt = min(m.Started+gone, now), m.Total, min(m.TotalAt+gone, now)
-		for i, room := range m.Rooms {
+		r.started, r.total, r.totalAt = min(m.StartedAt+gone, now), m.RequestCount, min(m.RequestCountAt+gone, now)
+		for i, room := range m.AdmissionLimits {
 			r.rooms[i] = max(roomLeast, min(cmp.Or(room, roomFirst[i]), roomMost))
 		}
 	}
@@ -95,9 +99,9 @@
 		if r.table[key] != nil || len(r.table) >= 2*tableSize {
 			continue
 		}
-		e := &entry{key: key, group: o.Group, born: min(o.Born, now), purges: o.Purges, counted: now, ghost: o.Ghost}
+		e := &entry{key: key, group: o.Group, born: min(o.FirstSeenAt, now), purges: o.Purges, counted: now, ghost: o.Evicted}
 		if rates {
-			e.count, e.counted = o.Count, min(o.Counted+gone, now)
+			e.count, e.counted = o.Count, min(o.CountedAt+gone, now)
 		}
 		if e.ghost {
 			e.place = r.ghosts.PushFront(e)
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -36,7 +36,7 @@
 func plainInHand(r *Router, now int64, members []*member) (out float64, kinds [3]float64, units float64) {
 	for _, m := range members {
 		if r.told() {
-			units += m.Units
+			units += m.Capacity
 		} else {
 			units += r.measuredSize(now)
 		}
@@ -108,7 +108,7 @@
 }
 
 // plainPlace picks the cache and the fill source from the whole ranking.
-func plainPlace(r *Router, now int64, t *Retrieval) (cache, source *member) {
+func plainPlace(r *Router, now int64, t *Request) (cache, source *member) {
 	ranked, spread := plainRank(t.entry.key, r.caches), 1
 	if t.neverKept() {
 		spread = len(ranked)
@@ -139,7 +139,7 @@
 }
 
 // plainPick picks from a whole ranking: it is given as the batch of a selection that has nothing after it.
-func plainPick(r *Router, now int64, t *Retrieval, ranked []*member) *member {
+func plainPick(r *Router, now int64, t *Request, ranked []*member) *member {
 	whole := &candidates{tier: &tier{memberList: memberList{ranked}}, exhausted: true, lastGiven: true}
 	for i := range ranked {
 		whole.batch = append(whole.batch, candidate{index: i})
@@ -306,16 +306,16 @@
 	p := newDrawnPlay(t, 1)
 	for round := range propertyCases / 100 {
 		r := newRouter(t, nil)
-		var lines []Listing
+		var lines []Endpoint
 		equal := p.rng.IntN(2) == 0
 		for id := range 1 + p.rng.IntN([]int{8, 60, 900}[round%3]) {
-			line := Listing{ID: uint32(id*7919 + 1), Location: "here", Kind: "cache", Phase: "ready", Units: 5}
+			line := Endpoint{ID: uint32(id*7919 + 1), Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}
 			if !equal {
-				line.Units = math.Exp(p.rng.NormFloat64() * 3)
+				line.Capacity = math.Exp(p.rng.NormFloat64() * 3)
 			}
 			lines = append(lines, line)
 		}
-		r.Listed(start, lines, true)
+		r.UpdateEndpoints(start, lines, true)
 		for _, m := range r.caches {
 			for range p.rng.IntN(4) * p.rng.IntN(2) {
 				r.begin(m, &dispatch{sent: start, cache: m, kind: p.rng.IntN(3), lateFrom: start + p.rng.Int64N(second)})
--- a/control/purges.go
+++ b/control/purges.go
@@ -34,7 +34,7 @@
 func (p *purge) byStamp(trusted bool) bool { return trusted && p.stamp > 0 && p.stamp <= p.told }
 
 // purgesOf are the told purges of a retrieval's object and of its group, nil where there is none.
-func (r *Router) purgesOf(t *Retrieval) (of [2]*purge) {
+func (r *Router) purgesOf(t *Request) (of [2]*purge) {
 	if len(r.purges) > 0 {
 		of = [2]*purge{r.purges["o"+t.Object], r.purges[groupName(t.Group)]}
 	}
@@ -42,7 +42,7 @@
 }
 
 // youngEnough lowers an accepted age to what the told purges leave at the sending. It is never 0, which means the fresh time.
-func (r *Router) youngEnough(now int64, t *Retrieval, age int64) int64 {
+func (r *Router) youngEnough(now int64, t *Request, age int64) int64 {
 	for _, p := range r.purgesOf(t) {
 		if p == nil {
 			continue
@@ -60,7 +60,7 @@
 
 // issuedFrom is from when on a copy must have been issued, by its own stamp, where the accepted age goes by a purge's stamp;
 // 0 is no bound.
-func (r *Router) issuedFrom(t *Retrieval) (from int64) {
+func (r *Router) issuedFrom(t *Request) (from int64) {
 	if t.neverKept() {
 		return 0 // no copy
 	}
@@ -72,9 +72,9 @@
 	return from
 }
 
-// Accepts tells whether a copy may be served that a dispatch of a retrieval has brought, issued at a Unix time in ns by the
-// origin's clock; 0 or less is no copy. One that may not ends its dispatch as Outdated.
-func (r *Router) Accepts(now int64, t *Retrieval, number int, issued int64) bool {
+// AcceptsCopy tells whether a copy may be served that an attempt of a request has brought, issued at a Unix time in ns by the
+// origin's clock; 0 or less is no copy. One that may not ends its attempt as Stale.
+func (r *Router) AcceptsCopy(now int64, t *Request, number int, issued int64) bool {
 	if issued <= 0 || number < 0 || number >= len(t.dispatches) {
 		return true
 	}
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -10,9 +10,9 @@
 const year = 365 * 24 * 3600 * second
 
 // worst is the oldest copy that a cache may send at a time of the world's: one that is as old as a dispatch accepts.
-func worst(world int64, d Dispatch, fresh int64) (issued int64) {
-	if d.Age > 0 {
-		return world - d.Age
+func worst(world int64, d Attempt, fresh int64) (issued int64) {
+	if d.MaxAge > 0 {
+		return world - d.MaxAge
 	}
 	if fresh > 0 {
 		return world - fresh
@@ -37,28 +37,28 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.Listed(purged+off-second, fleet, true)
+			r.UpdateEndpoints(purged+off-second, fleet, true)
 			for at := purged + off; at < told+off; at += second {
 				r.Tick(at)
 			}
-			r.Purged(told+off, object, 1, purged)
+			r.Purge(told+off, object, 1, purged)
 			for at := told + off; at < asked+off; at += second / 10 {
 				r.Tick(at)
 			}
 			if asked > purged+6*second {
 				return false // caches have dropped it by themselves
 			}
-			ret := &Retrieval{Product: product, Object: "a", Group: 1, HardStop: asked + off + 5*second}
-			d := r.Where(asked+off, ret)
+			ret := &Request{Class: product, Object: "a", Group: 1, Deadline: asked + off + 5*second}
+			d := r.Decide(asked+off, ret)
 			for try := range 2 {
 				if d.Verdict != Send {
 					t.Errorf("try %d: %+v", try, d)
 					return true
 				}
-				issued := worst(asked, d.Dispatch, r.products[product].fresh)
-				if r.Accepts(asked+off, ret, try, issued) {
+				issued := worst(asked, d.Attempt, r.products[product].fresh)
+				if r.AcceptsCopy(asked+off, ret, try, issued) {
 					if issued < purged {
-						t.Errorf("a copy of %v before the purge is served, asked for with age %v", purged-issued, d.Dispatch.Age)
+						t.Errorf("a copy of %v before the purge is served, asked for with age %v", purged-issued, d.Attempt.MaxAge)
 					}
 					return issued < purged
 				}
@@ -69,7 +69,7 @@
 				if product != "harmless" {
 					return false // it may have run, and is not asked for again
 				}
-				d = r.After(asked+off, ret, Outcome{Number: try, Result: Outdated, Spent: second / 100})
+				d = r.AttemptEnded(asked+off, ret, Outcome{Attempt: try, Result: Stale, Elapsed: second / 100})
 			}
 			t.Error("too old twice")
 			return true
@@ -83,12 +83,12 @@
 // Where clocks agree all is as the stamp says, and no copy is turned away.
 func TestAgeByTheStampWhereClocksAgree(t *testing.T) {
 	r := newRouter(t, nil)
-	r.Purged(start+second, "a", 0, start)
+	r.Purge(start+second, "a", 0, start)
 	ret := ask("harmless", "a")
-	if d := r.Where(start+3*second, ret).Dispatch; d.Age != 3*second-purgeMargin {
-		t.Errorf("age %v", d.Age)
+	if d := r.Decide(start+3*second, ret).Attempt; d.MaxAge != 3*second-purgeMargin {
+		t.Errorf("age %v", d.MaxAge)
 	}
-	if !r.Accepts(start+3*second, ret, 0, start) || r.Accepts(start+3*second, ret, 0, start-1) {
+	if !r.AcceptsCopy(start+3*second, ret, 0, start) || r.AcceptsCopy(start+3*second, ret, 0, start-1) {
 		t.Error("a copy is judged by another moment than the stamp")
 	}
 }
@@ -112,12 +112,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
-			r.Purged(told, "a", 0, c.stamp)
+			r.Purge(told, "a", 0, c.stamp)
 			r.Tick(told)
 			ret := ask("stamped", "a")
-			d := r.Where(told+2*second, ret).Dispatch
-			if c.most > 0 && d.Age != c.most || c.most == 0 && d.Age < start {
-				t.Errorf("age %v, want %v", d.Age, c.most)
+			d := r.Decide(told+2*second, ret).Attempt
+			if c.most > 0 && d.MaxAge != c.most || c.most == 0 && d.MaxAge < start {
+				t.Errorf("age %v, want %v", d.MaxAge, c.most)
 			}
 			if from := ret.dispatches[0].issuedFrom; from != c.from {
 				t.Errorf("copies from %v on, want %v", from, c.from)
@@ -142,14 +142,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			for i, stamp := range c.stamps {
-				r.Purged(start+int64(i+1)*second, "a", 0, stamp)
+				r.Purge(start+int64(i+1)*second, "a", 0, stamp)
 			}
 			ret := ask("stamped", "a")
-			d := r.Where(start+4*second, ret).Dispatch
-			if c.age > 0 && d.Age != c.age {
-				t.Errorf("age %v, want %v", d.Age, c.age)
+			d := r.Decide(start+4*second, ret).Attempt
+			if c.age > 0 && d.MaxAge != c.age {
+				t.Errorf("age %v, want %v", d.MaxAge, c.age)
 			}
-			if last := c.stamps[len(c.stamps)-1]; c.age == 0 && (ret.dispatches[0].issuedFrom != last || r.Accepts(start+4*second, ret, 0, last-1)) {
+			if last := c.stamps[len(c.stamps)-1]; c.age == 0 && (ret.dispatches[0].issuedFrom != last || r.AcceptsCopy(start+4*second, ret, 0, last-1)) {
 				t.Errorf("copies from %v on", ret.dispatches[0].issuedFrom)
 			}
 		})
@@ -160,7 +160,7 @@
 func TestPurgesAreForgottenByOurTime(t *testing.T) {
 	r := newRouter(t, nil)
 	const told = start + 3600*second
-	r.Purged(told, "a", 0, start)
+	r.Purge(told, "a", 0, start)
 	for _, c := range []struct {
 		after int64
 		kept  bool
@@ -181,15 +181,15 @@
 				r := newRouter(t, nil)
 				if copied { // one that was on its way for 5 ms, and one that is old
 					ret := ask("harmless", "a")
-					ret.HardStop = began + off + second
-					r.Where(began+off, ret)
-					r.Accepts(began+off, ret, 0, began-second/200)
-					r.Accepts(began+off, ret, 0, began-second)
+					ret.Deadline = began + off + second
+					r.Decide(began+off, ret)
+					r.AcceptsCopy(began+off, ret, 0, began-second/200)
+					r.AcceptsCopy(began+off, ret, 0, began-second)
 				}
 				line := fleet[0]
-				line.Started = began
+				line.StartedAt = began
 				told := began + off + second
-				r.Listed(told, []Listing{line}, false)
+				r.UpdateEndpoints(told, []Endpoint{line}, false)
 				since := r.coldSince(r.members[1]) - off // on the world's clock
 				switch {
 				case since > began+second:
@@ -224,8 +224,8 @@
 			r := newRouter(t, nil)
 			for _, s := range c.starts {
 				line := fleet[0]
-				line.Started = s
-				r.Listed(start+second, []Listing{line}, false)
+				line.StartedAt = s
+				r.UpdateEndpoints(start+second, []Endpoint{line}, false)
 			}
 			m := r.members[1]
 			const much = 20. // seconds of sending time at once: no cold one bears it
@@ -239,10 +239,10 @@
 	}
 	r := newRouter(t, nil)
 	line := fleet[0]
-	line.Started = start - 30*second
-	r.Listed(start, []Listing{line}, false)
-	line.Started = start - 600*second // it started again, and the clock that tells it was set back
-	r.Listed(start+second, []Listing{line}, false)
+	line.StartedAt = start - 30*second
+	r.UpdateEndpoints(start, []Endpoint{line}, false)
+	line.StartedAt = start - 600*second // it started again, and the clock that tells it was set back
+	r.UpdateEndpoints(start+second, []Endpoint{line}, false)
 	if m := r.members[1]; m.coldTold != start+second {
 		t.Error("a start with an earlier stamp passed for none")
 	}
@@ -260,20 +260,20 @@
 						if err != nil {
 							t.Fatal(err)
 						}
-						r.Listed(now, fleet, true)
+						r.UpdateEndpoints(now, fleet, true)
 						return r
 					}
 					first := make(purged + before)
-					first.Purged(purged+before+second/10, "a", 0, purged)
-					m := first.Remember(purged+before+second, 10)
+					first.Purge(purged+before+second/10, "a", 0, purged)
+					m := first.Snapshot(purged+before+second, 10)
 					const world = purged + 2*second
 					next := make(world + off)
-					next.Recall(world+off, m.Moved(world+off-second-m.Taken), rates)
+					next.Restore(world+off, m.Shifted(world+off-second-m.TakenAt), rates)
 					next.Tick(world + off)
-					ret := &Retrieval{Product: "stamped", Object: "a", Group: 1, HardStop: world + off + 5*second}
-					d := next.Where(world+off, ret)
-					issued := worst(world, d.Dispatch, 0)
-					if d.Verdict != Send || issued < purged && next.Accepts(world+off, ret, 0, issued) {
+					ret := &Request{Class: "stamped", Object: "a", Group: 1, Deadline: world + off + 5*second}
+					d := next.Decide(world+off, ret)
+					issued := worst(world, d.Attempt, 0)
+					if d.Verdict != Send || issued < purged && next.AcceptsCopy(world+off, ret, 0, issued) {
 						t.Errorf("a copy of %v s before the purge would be served: %+v", float64(purged-issued)/1e9, d)
 					}
 				})
@@ -284,11 +284,11 @@
 
 // A memory is moved onto the axis of the process that takes it over; purges keep the stamps of who told them.
 func TestMovedMemory(t *testing.T) {
-	m := Memory{Started: 1, Taken: 20, TotalAt: 3, Objects: []ObjectMemory{{Object: "a", Counted: 4, Born: 5}},
-		Purges: []PurgeMemory{{"oa", 6}}}
-	moved := m.Moved(100)
-	if moved.Started != 101 || moved.Taken != 120 || moved.TotalAt != 103 || moved.Objects[0].Counted != 104 ||
-		moved.Objects[0].Born != 105 || moved.Purges[0].When != 6 || m.Objects[0].Counted != 4 {
+	m := Snapshot{StartedAt: 1, TakenAt: 20, RequestCountAt: 3, Objects: []ObjectSnapshot{{Object: "a", CountedAt: 4, FirstSeenAt: 5}},
+		Purges: []PurgeSnapshot{{"oa", 6}}}
+	moved := m.Shifted(100)
+	if moved.StartedAt != 101 || moved.TakenAt != 120 || moved.RequestCountAt != 103 || moved.Objects[0].CountedAt != 104 ||
+		moved.Objects[0].FirstSeenAt != 105 || moved.Purges[0].PurgedAt != 6 || m.Objects[0].CountedAt != 4 {
 		t.Errorf("%+v of %+v", moved, m)
 	}
 }
@@ -296,13 +296,13 @@
 // What a file holds that no process has written so: rates are never of the future, where they grew without bound.
 func TestRecallOfTheFuture(t *testing.T) {
 	r := newRouter(t, nil)
-	r.Recall(start, Memory{Started: start + year, Taken: start, Total: 5, TotalAt: start + year,
-		Objects: []ObjectMemory{{Object: "a", Count: 3, Counted: start + year, Born: start + year}}}, true)
+	r.Restore(start, Snapshot{StartedAt: start + year, TakenAt: start, RequestCount: 5, RequestCountAt: start + year,
+		Objects: []ObjectSnapshot{{Object: "a", Count: 3, CountedAt: start + year, FirstSeenAt: start + year}}}, true)
 	e := r.table[entryKey{"a", 0}]
 	if rate := r.rate(start, e.count, e.counted); math.IsInf(rate, 0) || rate > 3 || r.started > start || e.born > start {
 		t.Errorf("rate %v, started %v, born %v", rate, r.started, e.born)
 	}
-	if d := r.Where(start, ask("harmless", "a")); d.Verdict != Send {
+	if d := r.Decide(start, ask("harmless", "a")); d.Verdict != Send {
 		t.Errorf("%+v", d)
 	}
 }
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -215,7 +215,7 @@
 			continue // whatever its load is
 		}
 		m := c.tier.members[index]
-		if before == nil || m.Units != before.Units || m.inTime != before.inTime { // mostly all are alike
+		if before == nil || m.Capacity != before.Capacity || m.inTime != before.inTime { // mostly all are alike
 			load = c.loads.of(m)
 		}
 		before = m
@@ -250,7 +250,7 @@
 }
 
 // cacheCandidates are the caches in the order in which they may serve a retrieval.
-func (r *Router) cacheCandidates(now int64, t *Retrieval) *candidates {
+func (r *Router) cacheCandidates(now int64, t *Request) *candidates {
 	c := &r.cacheOrder
 	*c = candidates{tier: &r.cacheTier, hash: r.objectHash(t.entry.key), loads: r.loadScale(now), spread: 1,
 		batch: c.batch}
@@ -268,7 +268,7 @@
 // sourceCandidates are the parents, and last the origin, in the order in which they may fill an object. What is never kept
 // gains nothing from a parent: it goes straight to the origin, and to parents only once that has turned it away. The parent
 // of its hash may lie in any hub, and the way to it and on to the origin cost a class of short deadlines all of its time.
-func (r *Router) sourceCandidates(t *Retrieval) *candidates {
+func (r *Router) sourceCandidates(t *Request) *candidates {
 	c := &r.sourceOrder
 	*c = candidates{tier: &r.parentTier, hash: r.objectHash(t.entry.key), batch: c.batch}
 	switch {
--- a/control/remaining.go
+++ b/control/remaining.go
@@ -20,11 +20,11 @@
 }
 
 // comesBack tells whether an attempt that begins now can still be answered in its client's time.
-func (t *Retrieval) comesBack(now int64) bool { return now+t.product.answerLeast() < t.HardStop }
+func (t *Request) comesBack(now int64) bool { return now+t.product.answerLeast() < t.Deadline }
 
 // hurried tells whether an attempt's time was up sooner than answers of its class take on the average: that none came, or that it
 // was not on its way yet, says nothing of its cache, its source or the room. Caches may drop what has very little time left.
 func (p *product) hurried(d *dispatch, o Outcome) bool {
-	timeUp := o.Result == Late || o.Result == Unreached && o.Spent >= d.reach
-	return timeUp && float64(o.Spent)/1e9 < p.answer
+	timeUp := o.Result == TimedOut || o.Result == Unreachable && o.Elapsed >= d.reach
+	return timeUp && float64(o.Elapsed)/1e9 < p.answer
 }
--- a/control/remaining_test.go
+++ b/control/remaining_test.go
@@ -9,8 +9,8 @@
 func answers(r *Router, product string, count int, after int64) {
 	for n := range count {
 		ret := ask(product, fmt.Sprint(product, n))
-		r.Where(start, ret)
-		r.After(start+after*second/1000, ret, Outcome{Result: Good, Spent: after * second / 1000})
+		r.Decide(start, ret)
+		r.AttemptEnded(start+after*second/1000, ret, Outcome{Result: Succeeded, Elapsed: after * second / 1000})
 	}
 }
 
@@ -24,10 +24,10 @@
 	}{
 		{"nothing is known: it is tried", 0, 1, Send},
 		{"little is known: it is tried", 8, 1, Send},
-		{"less than the quickest took", 9, 19, Dismiss},
-		{"as long as the quickest took", 9, 20, Dismiss},
+		{"less than the quickest took", 9, 19, Reject},
+		{"as long as the quickest took", 9, 20, Reject},
 		{"a little more than the quickest took, and half of what most take", 9, 21, Send},
-		{"no time", 0, 0, Dismiss},
+		{"no time", 0, 0, Reject},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
@@ -37,15 +37,15 @@
 			}
 			answers(r, "stamped", 20, 300) // another class's tell nothing
 			ret := ask("harmless", "a")
-			ret.HardStop = start + c.left*second/1000
-			if d := r.Where(start, ret); d.Verdict != c.want {
+			ret.Deadline = start + c.left*second/1000
+			if d := r.Decide(start, ret); d.Verdict != c.want {
 				t.Errorf("first: verdict %v, want %v", d.Verdict, c.want)
 			}
 
 			ret = ask("harmless", "b")
-			r.Where(start, ret)
-			now := ret.HardStop - c.left*second/1000
-			if d := r.After(now, ret, Outcome{Result: Missing}); d.Verdict != c.want {
+			r.Decide(start, ret)
+			now := ret.Deadline - c.left*second/1000
+			if d := r.AttemptEnded(now, ret, Outcome{Result: NotHeld}); d.Verdict != c.want {
 				t.Errorf("further: verdict %v, want %v", d.Verdict, c.want)
 			}
 		})
@@ -57,9 +57,9 @@
 	r := newRouter(t, nil)
 	answers(r, "harmless", 10, 300)
 	ret := ask("harmless", "a")
-	ret.HardStop = start + 500*second/1000
-	if d := r.Where(start, ret); d.Dispatch.Reach != 200*second/1000 {
-		t.Errorf("within %d ms", d.Dispatch.Reach*1000/second)
+	ret.Deadline = start + 500*second/1000
+	if d := r.Decide(start, ret); d.Attempt.SendTimeout != 200*second/1000 {
+		t.Errorf("within %d ms", d.Attempt.SendTimeout*1000/second)
 	}
 }
 
@@ -74,11 +74,11 @@
 		member bool  // it counts against a member
 		room   bool  // it takes from the room
 	}{
-		{"late with less than answers take", 100, Late, 100, false, false},
-		{"late with more than that", 400, Late, 400, true, true},
-		{"no link by half of little time", 100, Unreached, 50, false, false},
-		{"no link by half of much time", 800, Unreached, 400, true, false},
-		{"refused at once", 100, Unreached, 1, true, false},
+		{"late with less than answers take", 100, TimedOut, 100, false, false},
+		{"late with more than that", 400, TimedOut, 400, true, true},
+		{"no link by half of little time", 100, Unreachable, 50, false, false},
+		{"no link by half of much time", 800, Unreachable, 400, true, false},
+		{"refused at once", 100, Unreachable, 1, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
@@ -87,11 +87,11 @@
 			before := r.rooms
 			for n := range 100 {
 				ret := ask("harmless", fmt.Sprint("short", n))
-				ret.HardStop = start + c.left*second/1000
-				if d := r.Where(start, ret); n == 0 && d.Verdict != Send {
+				ret.Deadline = start + c.left*second/1000
+				if d := r.Decide(start, ret); n == 0 && d.Verdict != Send {
 					t.Fatalf("verdict %v", d.Verdict)
 				}
-				r.After(start+c.spent*second/1000, ret, Outcome{Result: c.result, Spent: c.spent * second / 1000})
+				r.AttemptEnded(start+c.spent*second/1000, ret, Outcome{Result: c.result, Elapsed: c.spent * second / 1000})
 			}
 			counts := false
 			for _, m := range r.members {
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -9,25 +9,25 @@
 // counts what was asked and what was turned away in the last second.
 func played(r *Router, from, span int64, atOnce int) (asked, refused int) {
 	type open struct {
-		ret  *Retrieval
+		ret  *Request
 		ends int64
 	}
 	var hand []open
 	for now, n := from, 0; now < from+span; now += second / 100 {
 		for len(hand) > 0 && hand[0].ends <= now {
-			r.After(now, hand[0].ret, Outcome{Result: Good, Spent: second / 4, Sending: 0.2, Note: 1, Closed: true})
+			r.AttemptEnded(now, hand[0].ret, Outcome{Result: Succeeded, Elapsed: second / 4, SendingTime: 0.2, Note: 1, RequestEnded: true})
 			hand = hand[1:]
 		}
 		for len(hand) < atOnce {
 			n++
 			ret := ask("harmless", fmt.Sprint(n%40))
-			ret.HardStop = now + 5*second
-			d := r.Where(now, ret)
+			ret.Deadline = now + 5*second
+			d := r.Decide(now, ret)
 			if now >= from+span-second {
 				asked++
 			}
 			if d.Verdict != Send {
-				r.Departed(now, ret) // what waits is turned away as well: there is no end of clients
+				r.ClientGone(now, ret) // what waits is turned away as well: there is no end of clients
 				if now >= from+span-second {
 					refused++
 				}
@@ -48,12 +48,12 @@
 	}{{"off", 1}, {"live", 0.2}, {"nominal", 12}, {"rough", 12}} {
 		t.Run(c.units, func(t *testing.T) {
 			r := newRouter(t, Settings{"units": c.units, "location.routers": []int64{0, 1, 1}})
-			var lines []Listing
+			var lines []Endpoint
 			for _, line := range fleet {
-				line.Units = c.told
+				line.Capacity = c.told
 				lines = append(lines, line)
 			}
-			r.Listed(start, lines, true)
+			r.UpdateEndpoints(start, lines, true)
 			asked, refused := played(r, start, 4*second, 24) // twelve at once at each of two caches, that bear it
 			if refused > 0 || asked < 24 {
 				t.Errorf("of %d asked in the fourth second %d refused", asked, refused)
@@ -69,18 +69,18 @@
 // What is measured is no more than what was carried: where answers stop, in time or at all, rooms stay bounded.
 func TestSizesAreNoMoreThanWasCarried(t *testing.T) {
 	r := newRouter(t, Settings{"units": "off", "location.routers": []int64{0, 1, 1}})
-	var lines []Listing
+	var lines []Endpoint
 	for _, line := range fleet {
-		line.Units = 1
+		line.Capacity = 1
 		lines = append(lines, line)
 	}
-	r.Listed(start, lines, true)
+	r.UpdateEndpoints(start, lines, true)
 	played(r, start, 20*second, 8)
 	now := start + 21*second
 	sent := 0
 	for n := range 1000 {
 		ret := ask("harmless", fmt.Sprint(n%40))
-		if d := r.Where(now, ret); d.Verdict == Send {
+		if d := r.Decide(now, ret); d.Verdict == Send {
 			sent++
 		}
 	}
@@ -103,13 +103,13 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				lines := make([]Listing, len(fleet))
+				lines := make([]Endpoint, len(fleet))
 				for i, line := range fleet {
 					lines[i] = line
-					lines[i].Units = 1
+					lines[i].Capacity = 1
 				}
-				lines[2].Started = start
-				r.Listed(start, lines, true)
+				lines[2].StartedAt = start
+				r.UpdateEndpoints(start, lines, true)
 				uneven := 0.5 // one in ten has ten times what the others have
 				if n%10 == 0 {
 					uneven = 5
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -131,8 +131,8 @@
 		t.Fatal(err)
 	}
 	lines := slices.Clone(fleet)
-	lines[recoveringID-1].Started, lines[recoveringID-1].Units = start, size
-	r.Listed(start, lines, true)
+	lines[recoveringID-1].StartedAt, lines[recoveringID-1].Capacity = start, size
+	r.UpdateEndpoints(start, lines, true)
 	return r
 }
 
@@ -208,7 +208,7 @@
 			for n := range draws {
 				seed, now, id := c.of(n)
 				r := &Router{seed: seed}
-				count[int(r.phase(now, &member{Listing: Listing{ID: id}})*parts)]++
+				count[int(r.phase(now, &member{Endpoint: Endpoint{ID: id}})*parts)]++
 			}
 			for part, n := range count {
 				if mean := draws / parts; n < mean*2/3 || n > mean*4/3 { // five deviations
@@ -224,8 +224,8 @@
 	cold := func(t *testing.T, id uint32, change Settings) *Router {
 		r := newRouter(t, change)
 		line := fleet[id-1]
-		line.Started = start
-		r.Listed(start, []Listing{line}, false)
+		line.StartedAt = start
+		r.UpdateEndpoints(start, []Endpoint{line}, false)
 		return r
 	}
 	wants := func(t *testing.T, r *Router, id uint32, want float64) {
@@ -234,28 +234,28 @@
 			t.Errorf("%.2f s of work counted, not %.2f", work, want)
 		}
 	}
-	onlyCache := Listing{ID: 2, Location: "here", Phase: "gone"}
+	onlyCache := Endpoint{ID: 2, Location: "here", Phase: "gone"}
 	t.Run("a retry", func(t *testing.T) {
 		r := cold(t, 1, nil)
-		r.Listed(start, []Listing{onlyCache}, false)
+		r.UpdateEndpoints(start, []Endpoint{onlyCache}, false)
 		ret := ask("harmless", "a")
-		r.Where(start, ret)
+		r.Decide(start, ret)
 		wants(t, r, 1, 0.5)
-		if d := r.After(start, ret, Outcome{Result: Broken}); d.Verdict != Send || d.Dispatch.Cache != 1 {
+		if d := r.AttemptEnded(start, ret, Outcome{Result: ConnectionLost}); d.Verdict != Send || d.Attempt.Cache != 1 {
 			t.Fatalf("not sent again: %+v", d)
 		}
 		wants(t, r, 1, 1)
 	})
 	t.Run("a hedge", func(t *testing.T) {
 		r := cold(t, 1, nil)
-		r.Listed(start, []Listing{{ID: 2, Location: "here", Kind: "cache", Cell: 2, Phase: "draining"}}, false)
+		r.UpdateEndpoints(start, []Endpoint{{ID: 2, Location: "here", Kind: "cache", Cell: 2, Phase: "draining"}}, false)
 		ret := ask("harmless", "a")
-		r.Where(start, ret)
-		r.Listed(start, fleet[1:2], false)
+		r.Decide(start, ret)
+		r.UpdateEndpoints(start, fleet[1:2], false)
 		r.members[1].coldFrom, r.members[2].coldFrom = start, start
 		r.members[1].suspect, r.members[1].trialAt = true, forever
 		r.spare = 3
-		if d := r.Where(start+second, ret); d.Verdict != Send || d.Dispatch.Cache != 2 || ret.out != 2 {
+		if d := r.Decide(start+second, ret); d.Verdict != Send || d.Attempt.Cache != 2 || ret.out != 2 {
 			t.Fatalf("no second attempt beside the first: %+v", d)
 		}
 		wants(t, r, 1, 0.5)
@@ -263,11 +263,11 @@
 	})
 	t.Run("a fill through a parent", func(t *testing.T) {
 		r := cold(t, 3, nil)
-		r.Listed(start, []Listing{{ID: 4, Location: "hub", Phase: "gone"}}, false)
+		r.UpdateEndpoints(start, []Endpoint{{ID: 4, Location: "hub", Phase: "gone"}}, false)
 		large := ask("harmless", "a")
 		large.SizeKB = 5000 // five seconds by itself; its class's mean counts
-		if d := r.Where(start, large); d.Dispatch.Source != 3 {
-			t.Fatalf("filled from %d", d.Dispatch.Source)
+		if d := r.Decide(start, large); d.Attempt.Source != 3 {
+			t.Fatalf("filled from %d", d.Attempt.Source)
 		}
 		wants(t, r, 3, 0.5)
 	})
--- a/control/types.go
+++ b/control/types.go
@@ -11,29 +11,29 @@
 // slices of these.
 type Settings map[string]any
 
-// Listing is one line of the list of members.
-type Listing struct {
-	ID       uint32
-	Location string
-	Kind     string
-	Cell     int64
-	Phase    string // ready, draining or gone
-	Units    float64
-	Started  int64 // when it last started, Unix ns by the clock of who tells it; 0 is long ago
+// Endpoint is one line of the endpoint list. Its fields are stored by CBOR under the names in their tags.
+type Endpoint struct {
+	ID        uint32
+	Location  string
+	Kind      string
+	Cell      int64
+	Phase     string  // ready, draining or gone
+	Capacity  float64 `cbor:"Units"`   // answers that it sends at once at a client's full pace
+	StartedAt int64   `cbor:"Started"` // when it last started, Unix ns by the clock of who tells it; 0 is long ago
 }
 
-// Retrieval is one thing a client asked for. The adapter fills in the exported fields and hands the same
+// Request is one thing a client asked for. The adapter fills in the exported fields and hands the same
 // pointer to every call; the rest belongs to the module.
-type Retrieval struct {
-	Product  string
-	Object   string
-	Group    int64
-	Part     int64
-	SizeKB   float64 // 0: not told
-	HardStop int64   // when the client gives up on this try
-	Repeat   bool    // marked as a client's repeat
-	Write    bool
-	NoMore   bool // its client has closed its side: what is in flight is waited for, nothing more is sent
+type Request struct {
+	Class         string
+	Object        string
+	Group         int64
+	Part          int64
+	SizeKB        float64 // 0: not told
+	Deadline      int64   // when the client gives up on this try
+	ClientRetry   bool    // marked as a client's retry
+	Write         bool
+	NoNewAttempts bool // its client has closed its side: what is in flight is waited for, nothing more is sent
 
 	progress
 }
@@ -41,68 +41,68 @@
 // Verdict says what a Decision asks of the adapter.
 type Verdict int
 
-// The verdicts. Wait leaves the retrieval as it is; Send starts Dispatch; Dismiss and Abort are final
+// The verdicts. Wait leaves the request as it is; Send starts Decision.Attempt; Reject and Fail are final
 // answers.
 const (
 	Wait Verdict = iota
 	Send
-	Dismiss
-	Abort
+	Reject
+	Fail
 )
 
-// Dispatch tells where a retrieval goes and on which terms.
-type Dispatch struct {
-	Cache    uint32
-	Plain    bool // ask only for what the cache holds; the fields below up to Within are unused
-	Source   uint32
-	Rank     int64
-	Age      int64 // oldest copy that will do; 0 is the product's fresh time
-	Join     bool  // wait for a fill under way
-	Renew    bool  // serve an ageing copy and fetch it anew behind
-	Held     bool  // the source gives only what it holds
-	NoParent bool  // the parent keeps no copy
-	Within   int64 // this dispatch's time-out; 0 is until the client gives up
-	Reach    int64 // until then it must be on its way, else it counts as unreached
+// Attempt tells where a request goes and on which terms.
+type Attempt struct {
+	Cache              uint32
+	CacheOnly          bool // ask only for what the cache holds; the fields below up to Timeout are unused
+	Source             uint32
+	CachePriority      int64
+	MaxAge             int64 // oldest copy that will do; 0 is the class's fresh time
+	JoinFill           bool  // wait for a fill under way
+	RefreshBehind      bool  // serve an ageing copy and fetch it anew behind
+	ParentOnlyIfCached bool  // the source gives only what it holds
+	ParentNoStore      bool  // the parent keeps no copy
+	Timeout            int64 // this attempt's time-out; 0 is until the client gives up
+	SendTimeout        int64 // until then it must be on its way, else it counts as unreachable
 }
 
-// Decision is the module's answer to Where and After.
+// Decision is the module's answer to Decide and AttemptEnded.
 type Decision struct {
-	Verdict  Verdict
-	Dispatch Dispatch // with Send
-	Advice   int64    // with Dismiss: how long the client should stay away; 0 is no advice
-	Cancel   []int    // dispatches to call off, by their number in this retrieval
+	Verdict    Verdict
+	Attempt    Attempt // with Send
+	RetryAfter int64   // with Reject: how long the client should stay away; 0 is none
+	Cancel     []int   // attempts to call off, by their number in this request
 }
 
-// Result is how a dispatch ended.
+// Result is how an attempt ended.
 type Result int
 
-// The results; those up to Unsent, and Local, prove that nothing ran.
+// The results; those up to NotSent, and LocalError, prove that nothing ran.
 const (
-	Full Result = iota
-	Unreached
-	Missing
-	Cut // its connection ended before it was wholly sent
-	Unsent
-	Good
-	Faulty
-	Late
-	Broken
+	Overloaded Result = iota
+	Unreachable
+	NotHeld
+	SendInterrupted // its connection ended before it was wholly sent
+	NotSent
+	Succeeded
+	ServerError
+	TimedOut
+	ConnectionLost
 	Cancelled
-	Outdated // a copy from before a purge that was told at the sending; see Accepts
-	Local    // no connection could be opened, for a reason of this machine's own: nothing is held against the member
+	Stale      // a copy from before a purge that was told at the sending; see AcceptsCopy
+	LocalError // no connection could be opened, for a reason of this machine's own: nothing is held against the member
 )
 
-// Outcome tells how one dispatch of a retrieval ended.
+// Outcome tells how one attempt of a request ended.
 type Outcome struct {
-	Number  int // which dispatch of the retrieval, from 0
-	Result  Result
-	Spent   int64
-	Closed  bool // the retrieval is finished by this or before
-	Shared  bool // the cause was told already, with another dispatch on the same connection
-	Note    int64
-	Sending float64   // seconds that the answer took by its size; 0 is not known
-	Waited  int64     // time to the source's first byte
-	Load    []float64 // the load report, in the order of the setting report.fields; nil if none
+	Attempt         int // which attempt of the request, from 0
+	Result          Result
+	Elapsed         int64
+	RequestEnded    bool // the request is finished by this or before
+	SharedCause     bool // the cause was told already, with another attempt on the same connection
+	Note            int64
+	SendingTime     float64   // seconds that the answer took by its size; 0 is not known
+	TimeToFirstByte int64     // time to the source's first byte
+	LoadReport      []float64 // the load report, in the order of the setting report.fields; nil if none
 }
 
 // From here on: what the module keeps.
@@ -119,7 +119,7 @@
 }
 
 type member struct {
-	Listing
+	Endpoint
 	listed    bool
 	weight    float64 // in the hash
 	coldFrom  int64   // when it started, told or inferred; 0 is long ago
@@ -211,13 +211,13 @@
 
 // Router is one router's decisions.
 type Router struct {
-	// Reach, where it is set, tells whether a cache can be reached now: links to it are bounded. One that can't is passed over
+	// Reachable, where it is set, tells whether a cache can be reached now: links to it are bounded. One that can't is passed over
 	// in an object's ranking, as one at its cold budget is.
-	Reach func(id uint32) bool
+	Reachable func(id uint32) bool
 
-	// Starved, where it is set, tells whether this machine can open no connections for now. What finds no cache that can be
+	// ConnectionsExhausted, where it is set, tells whether this machine can open no connections for now. What finds no cache that can be
 	// reached meanwhile is held, as long as it may stay unwritten.
-	Starved func() bool
+	ConnectionsExhausted func() bool
 
 	set             Settings
 	log             func(string)
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -19,7 +19,7 @@
 		set[name] = value
 	}
 	r := newRouter(t, set)
-	r.Listed(start, ringFleet(), true)
+	r.UpdateEndpoints(start, ringFleet(), true)
 	return r
 }
 
@@ -30,15 +30,15 @@
 )
 
 // ringFleet is four caches of this location, three parents in each hub and the origin in the first.
-func ringFleet() (lines []Listing) {
+func ringFleet() (lines []Endpoint) {
 	for n := range 4 {
-		lines = append(lines, Listing{ID: uint32(1 + n), Location: "here", Kind: "cache", Cell: int64(n), Phase: "ready", Units: 5})
+		lines = append(lines, Endpoint{ID: uint32(1 + n), Location: "here", Kind: "cache", Cell: int64(n), Phase: "ready", Capacity: 5})
 	}
 	for n := range 3 * hubs {
-		lines = append(lines, Listing{ID: uint32(20 + n), Location: fmt.Sprint("hub-", n%hubs), Kind: "parent", Cell: 9,
-			Phase: "ready", Units: 20})
+		lines = append(lines, Endpoint{ID: uint32(20 + n), Location: fmt.Sprint("hub-", n%hubs), Kind: "parent", Cell: 9,
+			Phase: "ready", Capacity: 20})
 	}
-	return append(lines, Listing{ID: originID, Location: "hub-0", Kind: "origin", Cell: 10, Phase: "ready", Units: 20})
+	return append(lines, Endpoint{ID: originID, Location: "hub-0", Kind: "origin", Cell: 10, Phase: "ready", Capacity: 20})
 }
 
 // hubOf is the hub in which a fill source of ringFleet lies.
@@ -64,14 +64,14 @@
 }
 
 // sendAndAnswer returns the first dispatch of a new retrieval, which is answered in time.
-func sendAndAnswer(t *testing.T, r *Router, ret *Retrieval) Dispatch {
+func sendAndAnswer(t *testing.T, r *Router, ret *Request) Attempt {
 	t.Helper()
-	decision := r.Where(start, ret)
+	decision := r.Decide(start, ret)
 	if decision.Verdict != Send {
-		t.Fatalf("%s %s is not sent: %+v", ret.Product, ret.Object, decision)
+		t.Fatalf("%s %s is not sent: %+v", ret.Class, ret.Object, decision)
 	}
-	r.After(start, ret, Outcome{Result: Good, Note: 2, Spent: 20 * millisecond, Closed: true})
-	return decision.Dispatch
+	r.AttemptEnded(start, ret, Outcome{Result: Succeeded, Note: 2, Elapsed: 20 * millisecond, RequestEnded: true})
+	return decision.Attempt
 }
 
 // A write went through the parent of its object's hash, in whichever hub that lies, and lost its time on the detour.
@@ -115,9 +115,9 @@
 	for _, note := range []int64{6, 7} { // the source refused; it was not reached
 		r := writeSite(t, nil)
 		write := ask("write", "object")
-		r.Where(start, write)
-		d := r.After(start+20*millisecond, write, Outcome{Result: Full, Note: note, Spent: 20 * millisecond})
-		if d.Verdict != Send || d.Dispatch.Source == originID || d.Dispatch.Source == 0 {
+		r.Decide(start, write)
+		d := r.AttemptEnded(start+20*millisecond, write, Outcome{Result: Overloaded, Note: note, Elapsed: 20 * millisecond})
+		if d.Verdict != Send || d.Attempt.Source == originID || d.Attempt.Source == 0 {
 			t.Errorf("after note %d: %+v", note, d)
 		}
 	}
@@ -127,8 +127,8 @@
 func TestWritesWithoutAnOriginListed(t *testing.T) {
 	r := writeSite(t, nil)
 	lines := ringFleet()
-	r.Listed(start, lines[:len(lines)-1], true)
-	if d := r.Where(start, ask("write", "object")); d.Verdict != Send || d.Dispatch.Source == 0 {
+	r.UpdateEndpoints(start, lines[:len(lines)-1], true)
+	if d := r.Decide(start, ask("write", "object")); d.Verdict != Send || d.Attempt.Source == 0 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -398,8 +398,8 @@
 			line = append(line, text...)
 		}
 		line = binary.BigEndian.AppendUint64(line, uint64(l.Cell))
-		line = binary.BigEndian.AppendUint64(line, math.Float64bits(l.Units))
-		line = binary.BigEndian.AppendUint64(line, uint64(l.Started))
+		line = binary.BigEndian.AppendUint64(line, math.Float64bits(l.Capacity))
+		line = binary.BigEndian.AppendUint64(line, uint64(l.StartedAt))
 		hash.Write(line)
 	}
 	return hash.Sum64()
@@ -416,14 +416,14 @@
 			if i.InstanceID == "" {
 				return nil, errors.New("an instance without an id")
 			}
-			line := router.Listing{Instance: i.InstanceID, Address: i.HostPort, Listing: control.Listing{
-				Location: i.Zone, Kind: i.MachineType, Cell: i.Cell, Phase: states[i.Lifecycle], Units: 1,
-				Started: clock.FromUnixMilli(i.StartedAtMs)}}
+			line := router.Listing{Instance: i.InstanceID, Address: i.HostPort, Endpoint: control.Endpoint{
+				Location: i.Zone, Kind: i.MachineType, Cell: i.Cell, Phase: states[i.Lifecycle], Capacity: 1,
+				StartedAt: clock.FromUnixMilli(i.StartedAtMs)}}
 			if line.Phase == "" {
 				line.Phase = "draining" // an unknown state: nothing new is sent to it
 			}
 			if i.Weight != nil {
-				line.Units = *i.Weight
+				line.Capacity = *i.Weight
 			}
 			list.Lines = append(list.Lines, line)
 		}
--- a/feed/stamps_test.go
+++ b/feed/stamps_test.go
@@ -24,7 +24,7 @@
 				t.Errorf("%+v, %v, want %d", told, err, c.want)
 			}
 			_, told, err = Decode(fmt.Appendf(nil, `{"pos":2,"hosts":{"instances":[{"instanceId":"s-a","startedAtMs":%d}]}}`, c.ms))
-			if list, ok := told.(router.Listed); err != nil || !ok || list.Lines[0].Started != c.want {
+			if list, ok := told.(router.Listed); err != nil || !ok || list.Lines[0].StartedAt != c.want {
 				t.Errorf("%+v, %v, want %d", told, err, c.want)
 			}
 		})
--- a/host/host.go
+++ b/host/host.go
@@ -25,7 +25,7 @@
 
 // hand is a retrieval that the instance took.
 type hand struct {
-	control.Retrieval
+	control.Request
 	id       string
 	finished bool
 	out      int   // dispatches that have not ended
@@ -109,12 +109,12 @@
 				return err
 			}
 			// It is the client's now; the others are called off.
-			others := in.router.Departed(now, &t.Retrieval).Cancel
+			others := in.router.ClientGone(now, &t.Request).Cancel
 			h.cancel(in, t, slices.DeleteFunc(others, func(other int) bool { return other == int(n) }))
 		}
 	case "GONE":
 		if t := in.taken[event.Fields[1]]; t != nil {
-			in.router.Departed(now, &t.Retrieval)
+			in.router.ClientGone(now, &t.Request)
 			in.finish(t)
 		}
 	case "RECALLED":
@@ -130,7 +130,7 @@
 		if object == "0" {
 			object = ""
 		}
-		in.router.Purged(now, object, group, now-ago)
+		in.router.Purge(now, object, group, now-ago)
 	case "ECHO":
 		return h.echo(now, in, event)
 	case "TICK_DUE":
@@ -184,7 +184,7 @@
 		in.askAt = now + askAgain
 		return nil
 	}
-	lines := make([]control.Listing, len(event.Items))
+	lines := make([]control.Endpoint, len(event.Items))
 	for i, item := range event.Items {
 		id, err := strconv.ParseUint(item.Fields[0], 10, 32)
 		if err != nil {
@@ -196,10 +196,10 @@
 		if err := errors.Join(err1, err2, err3); err != nil {
 			return err
 		}
-		lines[i] = control.Listing{ID: uint32(id), Location: item.Fields[1], Kind: item.Fields[2], Cell: cell,
-			Phase: item.Fields[4], Units: units, Started: started}
+		lines[i] = control.Endpoint{ID: uint32(id), Location: item.Fields[1], Kind: item.Fields[2], Cell: cell,
+			Phase: item.Fields[4], Capacity: units, StartedAt: started}
 	}
-	in.router.Listed(now, lines, event.Fields[1] != "delta")
+	in.router.UpdateEndpoints(now, lines, event.Fields[1] != "delta")
 	return nil
 }
 
@@ -212,19 +212,19 @@
 	if err := errors.Join(err1, err2, err3, err4, err5); err != nil {
 		return err
 	}
-	t := &hand{id: event.Fields[1], Retrieval: control.Retrieval{Product: event.Fields[9],
-		Object: event.Text(8), Group: group, Part: part, SizeKB: size, HardStop: stop, Repeat: bits&2 != 0,
+	t := &hand{id: event.Fields[1], Request: control.Request{Class: event.Fields[9],
+		Object: event.Text(8), Group: group, Part: part, SizeKB: size, Deadline: stop, ClientRetry: bits&2 != 0,
 		Write: bits&4 != 0}}
 	in.taken[t.id] = t
-	h.act(now, in, t, in.router.Where(now, &t.Retrieval))
+	h.act(now, in, t, in.router.Decide(now, &t.Request))
 	return nil
 }
 
 // results says what an outcome's word means to the module.
 var results = map[string]control.Result{
-	"GOOD": control.Good, "BAD": control.Faulty, "FULL": control.Full, "LATE": control.Late,
-	"NOCONN": control.Unreached, "RST": control.Broken, "CXL": control.Cancelled, "NOP": control.Unsent,
-	"MISS": control.Missing,
+	"GOOD": control.Succeeded, "BAD": control.ServerError, "FULL": control.Overloaded, "LATE": control.TimedOut,
+	"NOCONN": control.Unreachable, "RST": control.ConnectionLost, "CXL": control.Cancelled, "NOP": control.NotSent,
+	"MISS": control.NotHeld,
 }
 
 func (h *Host) ended(now int64, in *instance, event wire.Event) error {
@@ -246,8 +246,8 @@
 		return nil
 	}
 	t.out--
-	d := in.router.After(now, &t.Retrieval, control.Outcome{Number: int(n), Result: result, Spent: spent,
-		Closed: closed, Note: note, Waited: waited, Load: load})
+	d := in.router.AttemptEnded(now, &t.Request, control.Outcome{Attempt: int(n), Result: result, Elapsed: spent,
+		RequestEnded: closed, Note: note, TimeToFirstByte: waited, LoadReport: load})
 	if closed || t.finished {
 		h.cancel(in, t, d.Cancel)
 		in.finish(t)
@@ -266,7 +266,7 @@
 	if err != nil {
 		return err
 	}
-	in.router.Probed(now, uint32(id), event.Fields[2] == "GOOD", load)
+	in.router.ProbeEnded(now, uint32(id), event.Fields[2] == "GOOD", load)
 	return nil
 }
 
@@ -276,7 +276,7 @@
 		at, t := in.due.Pop()
 		if !t.finished && t.due == at {
 			t.due = 0
-			h.act(now, in, t, in.router.Where(now, &t.Retrieval))
+			h.act(now, in, t, in.router.Decide(now, &t.Request))
 		}
 	}
 	h.arm(now, in)
@@ -289,11 +289,11 @@
 	}
 	switch d.Verdict {
 	case control.Send:
-		h.send(in, t, d.Dispatch)
-	case control.Dismiss:
-		h.out.Line("SAY_NO", in.name, t.id, wire.Seconds(d.Advice))
+		h.send(in, t, d.Attempt)
+	case control.Reject:
+		h.out.Line("SAY_NO", in.name, t.id, wire.Seconds(d.RetryAfter))
 		in.finish(t)
-	case control.Abort:
+	case control.Fail:
 		h.out.Line("FAIL", in.name, t.id)
 		in.finish(t)
 	}
@@ -307,21 +307,21 @@
 	}
 }
 
-func (h *Host) send(in *instance, t *hand, d control.Dispatch) {
+func (h *Host) send(in *instance, t *hand, d control.Attempt) {
 	t.out++
 	cache := strconv.FormatUint(uint64(d.Cache), 10)
-	if d.Plain {
-		h.out.Line("TRANSMIT", in.name, t.id, cache, wire.Seconds(d.Within))
+	if d.CacheOnly {
+		h.out.Line("TRANSMIT", in.name, t.id, cache, wire.Seconds(d.Timeout))
 		return
 	}
 	manner := 0
-	for bit, on := range []bool{d.Join, d.Held, d.NoParent, d.Renew} {
+	for bit, on := range []bool{d.JoinFill, d.ParentOnlyIfCached, d.ParentNoStore, d.RefreshBehind} {
 		if on {
 			manner += 1 << bit
 		}
 	}
-	h.out.Line("PULL_VIA", in.name, t.id, strconv.Itoa(manner), wire.Seconds(d.Age),
-		strconv.FormatUint(uint64(d.Source), 10), wire.Seconds(d.Within), cache, strconv.FormatInt(d.Rank, 10))
+	h.out.Line("PULL_VIA", in.name, t.id, strconv.Itoa(manner), wire.Seconds(d.MaxAge),
+		strconv.FormatUint(uint64(d.Source), 10), wire.Seconds(d.Timeout), cache, strconv.FormatInt(d.CachePriority, 10))
 }
 
 // finish drops a retrieval's due time, and the retrieval itself once nothing of it is out.
@@ -337,7 +337,7 @@
 	if t.finished {
 		return
 	}
-	wait := in.router.Wait(now, &t.Retrieval)
+	wait := in.router.RecheckDelay(now, &t.Request)
 	if wait <= 0 {
 		t.due = 0
 		return
--- a/lab/coldfleet.go
+++ b/lab/coldfleet.go
@@ -283,7 +283,7 @@
 	var lines []router.Listing
 	for i, c := range p.caches {
 		lines = append(lines, router.Listing{Instance: fmt.Sprintf("s-%03d", i), Address: strconv.Itoa(i),
-			Listing: control.Listing{Location: "here", Kind: "cache", Phase: "ready", Units: fleetUnits, Started: c.Started()}})
+			Endpoint: control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: fleetUnits, StartedAt: c.Started()}})
 	}
 	if x.start.List(); x.known == 0 {
 		x.known = float64(p.now-x.began) / 1e6
@@ -425,7 +425,7 @@
 	}
 	after(wait+wireTime, func() {
 		if _, up := x.links[e.Link]; up {
-			p.handle(x, router.Answered{Link: e.Link, ID: e.Request.ID, Result: control.Good, Note: note})
+			p.handle(x, router.Answered{Link: e.Link, ID: e.Request.ID, Result: control.Succeeded, Note: note})
 		}
 	})
 }
--- a/process/clock_test.go
+++ b/process/clock_test.go
@@ -26,9 +26,9 @@
 			t.Run(step.String()+", "+c.name, func(t *testing.T) {
 				clk := clocktest.Running(0)
 				s := &sharing{clock: clk, relist: make(chan struct{}, 1)}
-				line := router.Listing{Instance: "s-a", Listing: control.Listing{Phase: "ready"}}
+				line := router.Listing{Instance: "s-a", Endpoint: control.Endpoint{Phase: "ready"}}
 				if c.started != 0 {
-					line.Started = clk.Now() + c.started
+					line.StartedAt = clk.Now() + c.started
 				}
 				clk.Step(step)
 				s.list([]router.Listing{line}, control.Settings{"cold.span": span})
--- a/process/keeping.go
+++ b/process/keeping.go
@@ -138,7 +138,7 @@
 		return
 	}
 	age := max(0, wall-kept.Taken)
-	p.router.Recall(now, kept.Memory.Moved(now-age-kept.Memory.Taken), use == recall.Whole)
+	p.router.Recall(now, kept.Memory.Shifted(now-age-kept.Memory.TakenAt), use == recall.Whole)
 	line := fmt.Sprintf("snapshot of %d objects taken, %s", len(kept.Memory.Objects), use)
 	if why != "" {
 		line += ": " + why
--- a/process/sharing.go
+++ b/process/sharing.go
@@ -157,14 +157,14 @@
 		if l.Phase != "ready" || l.Kind == kind("kind.origin") && l.Kind != "" {
 			continue // who drains or is gone gets nothing new, the origin is not probed
 		}
-		t := probe.Target{Name: l.Instance, Address: l.Address, Capacity: l.Units,
+		t := probe.Target{Name: l.Instance, Address: l.Address, Capacity: l.Capacity,
 			Parent: l.Kind != "" && l.Kind == kind("kind.parent")}
 		span := cache.WarmUpDuration
 		if t.Parent {
 			span = parent.WarmUpDuration
 		}
-		if l.Started > 0 {
-			t.WarmAt = min(l.Started, now) - now + boot + span // nobody started after it was told that it had
+		if l.StartedAt > 0 {
+			t.WarmAt = min(l.StartedAt, now) - now + boot + span // nobody started after it was told that it had
 		}
 		out = append(out, t)
 	}
--- a/router/clock_test.go
+++ b/router/clock_test.go
@@ -35,15 +35,15 @@
 			p.seen = nil
 			p.ask(1, c.fields)
 			p.up()
-			if age := p.sends[0].Request.Dispatch.Age; age <= 3*second/2 {
+			if age := p.sends[0].Request.Dispatch.MaxAge; age <= 3*second/2 {
 				t.Fatalf("age %v: the case is another", age)
 			}
-			p.answer(Answered{Result: control.Good, Issued: p.now - ahead - 3*second/2, Body: []byte(":old")})
+			p.answer(Answered{Result: control.Succeeded, Issued: p.now - ahead - 3*second/2, Body: []byte(":old")})
 			if c.attempts > 1 {
-				if age := p.sends[1].Request.Dispatch.Age; age > second || p.sends[1].Link != p.sends[0].Link {
+				if age := p.sends[1].Request.Dispatch.MaxAge; age > second || p.sends[1].Link != p.sends[0].Link {
 					t.Errorf("asked again with age %v on link %d", age, p.sends[1].Link)
 				}
-				p.answer(Answered{Result: control.Good, Issued: p.now - ahead - second/2, Body: []byte(":new")})
+				p.answer(Answered{Result: control.Succeeded, Issued: p.now - ahead - second/2, Body: []byte(":new")})
 			}
 			if got := strings.ReplaceAll(strings.Join(p.seen[1:], ", "), "000000000000000", ""); got != c.want {
 				t.Errorf("%s\nwant %s", got, c.want)
@@ -54,7 +54,7 @@
 			p.take(Purged{Object: object, When: p.now - ahead})
 			p.pass(second / 10)
 			p.ask(2, nil)
-			if age := p.sends[len(p.sends)-1].Request.Dispatch.Age; age > second/10 {
+			if age := p.sends[len(p.sends)-1].Request.Dispatch.MaxAge; age > second/10 {
 				t.Errorf("after the next purge: age %v", age)
 			}
 		})
@@ -69,7 +69,7 @@
 	address := p.Router.links[p.links[0]].address
 	line := fleet[slices.IndexFunc(fleet, func(l Listing) bool { return l.Address == address })]
 	told := func(started int64) {
-		line.Started = started
+		line.StartedAt = started
 		p.take(Listed{Lines: []Listing{line}})
 	}
 	told(start)
--- a/router/endings_test.go
+++ b/router/endings_test.go
@@ -26,8 +26,8 @@
 var once = map[string]string{"verb": "permits"}
 
 func TestEndings(t *testing.T) {
-	good := Answered{Result: control.Good, Body: []byte(":bytes")}
-	bare := Answered{Result: control.Faulty, Bare: true, Body: []byte(":done")}
+	good := Answered{Result: control.Succeeded, Body: []byte(":bytes")}
+	bare := Answered{Result: control.ServerError, Bare: true, Body: []byte(":done")}
 	gone := HalfClosed{Client: 1}
 	for _, c := range []struct {
 		name string
@@ -48,7 +48,7 @@
 			p.ask(1, nil)
 			p.up()
 			p.take(gone)
-			p.answer(Answered{Result: control.Full})
+			p.answer(Answered{Result: control.Overloaded})
 			p.pass(2 * second)
 		}, "dial, send 1, dismissed 1"},
 		{"closed while in flight, and nothing comes: no second one beside it", func(p *play) {
@@ -137,7 +137,7 @@
 			p.ask(1, once)
 			p.up()
 			first := p.sends[0]
-			missing := Answered{Link: first.Link, ID: first.Request.ID, Result: control.Missing}
+			missing := Answered{Link: first.Link, ID: first.Request.ID, Result: control.NotHeld}
 			p.take(missing)
 			p.up()
 			p.take(missing)
@@ -149,7 +149,7 @@
 			"dial, send 1, settled 1:done"},
 		{"an answer that names no copy, of what is kept", func(p *play) { p.ask(1, nil); p.up(); p.answer(bare) },
 			"dial, send 1, send 1"},
-		{"another fault of what is never kept", func(p *play) { p.ask(1, once); p.up(); p.answer(Answered{Result: control.Faulty}) },
+		{"another fault of what is never kept", func(p *play) { p.ask(1, once); p.up(); p.answer(Answered{Result: control.ServerError}) },
 			"dial, send 1, aborted 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -215,7 +215,7 @@
 	list := Listed{Whole: true, Lines: slices.Clone(fleet[2:])}
 	for n := range caches {
 		list.Lines = append(list.Lines, Listing{fmt.Sprintf("s-%02d", n), fmt.Sprintf("10.0.1.%d:1", n),
-			control.Listing{Location: "here", Kind: "cache", Phase: "ready", Units: 5}})
+			control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}})
 	}
 	p.take(list)
 	settled := 0
@@ -227,7 +227,7 @@
 			p.up()
 		}
 		if len(p.sends) > sent {
-			p.answer(Answered{Result: control.Good, Body: []byte("a")})
+			p.answer(Answered{Result: control.Succeeded, Body: []byte("a")})
 		}
 		if slices.Contains(p.seen, fmt.Sprintf("settled %da", seq)) {
 			settled++
--- a/router/events.go
+++ b/router/events.go
@@ -81,7 +81,7 @@
 type Listing struct {
 	Instance string
 	Address  string
-	control.Listing
+	control.Endpoint
 }
 
 // Listed is the list of members, or changes to it.
@@ -157,7 +157,7 @@
 	Key                       string // the client's idempotency key, by which repeats are dropped
 	Until                     int64  // when its answer must have come; what is left of that is told as it is written
 	Source                    string // instance from which a miss is filled; empty is no fill
-	Dispatch                  control.Dispatch
+	Dispatch                  control.Attempt
 }
 
 // GiveUp wants a request on a link given up; if it is not yet written it is not to be.
--- a/router/links.go
+++ b/router/links.go
@@ -39,12 +39,12 @@
 }
 
 // dispatch starts a dispatch that the module decided on.
-func (r *Router) dispatch(h *hand, plan control.Dispatch) {
+func (r *Router) dispatch(h *hand, plan control.Attempt) {
 	d := &dispatch{hand: h, number: len(h.dispatches), cache: r.byID[plan.Cache], sent: r.now}
 	h.dispatches = append(h.dispatches, d)
-	within := plan.Within
-	if within <= 0 || within > h.HardStop-r.now {
-		within = h.HardStop - r.now
+	within := plan.Timeout
+	if within <= 0 || within > h.Deadline-r.now {
+		within = h.Deadline - r.now
 	}
 	d.request = Request{ID: h.fields["txn"], Product: h.fields["verb"], Object: h.fields["item"],
 		Part: h.fields["nth"], Body: h.body, Until: r.now + within, Dispatch: plan}
@@ -52,7 +52,7 @@
 		d.request.Mine = tag
 	}
 	d.request.Key = h.fields["unique"]
-	if !plan.Plain {
+	if !plan.CacheOnly {
 		if d.source = r.byID[plan.Source]; d.source != nil {
 			d.request.Source = d.source.Instance
 		}
@@ -62,9 +62,9 @@
 	}
 	if d.link == nil {
 		d.link = &link{}
-		result := control.Unsent
+		result := control.NotSent
 		if r.shortage.Lasts(r.now) {
-			result = control.Local
+			result = control.LocalError
 		}
 		r.ended(d, control.Outcome{Result: result})
 		return
@@ -72,7 +72,7 @@
 	d.link.open[d.request.ID] = d
 	d.link.used = r.now
 	d.until = r.now + within
-	d.reach = min(d.until-millisecond, r.now+plan.Reach) // with less than the wire's unit left it could not be told
+	d.reach = min(d.until-millisecond, r.now+plan.SendTimeout) // with less than the wire's unit left it could not be told
 	if d.link.up {
 		r.write(d)
 		return
@@ -214,7 +214,7 @@
 		return
 	}
 	r.giveUp(d)
-	r.ended(d, control.Outcome{Result: control.Unsent})
+	r.ended(d, control.Outcome{Result: control.NotSent})
 }
 
 // withdrawn ends a dispatch that waited on a link that is up, and was not written.
@@ -226,7 +226,7 @@
 	d := l.open[e.ID]
 	delete(l.open, e.ID)
 	r.doubt(d)
-	r.ended(d, control.Outcome{Result: control.Unsent})
+	r.ended(d, control.Outcome{Result: control.NotSent})
 	r.tidy(l)
 }
 
@@ -271,17 +271,17 @@
 	clear(l.open)
 	shared := cause == Local // nothing is held against the member
 	for _, d := range open {
-		result := control.Broken
+		result := control.ConnectionLost
 		switch {
 		case !l.up && cause == Local:
-			result = control.Local
+			result = control.LocalError
 		case !l.up:
-			result = control.Unreached
+			result = control.Unreachable
 		case slices.Contains(unsent, d.request.ID):
-			result = control.Cut
+			result = control.SendInterrupted
 		}
-		r.ended(d, control.Outcome{Result: result, Shared: shared})
-		shared = shared || result == control.Broken
+		r.ended(d, control.Outcome{Result: result, SharedCause: shared})
+		shared = shared || result == control.ConnectionLost
 	}
 }
 
@@ -363,7 +363,7 @@
 
 // purged tells the module of a purge; what was planned before it and not yet written is planned anew.
 func (r *Router) purged(e Purged) {
-	r.decide.Purged(r.now, e.Object, e.Group, e.When)
+	r.decide.Purge(r.now, e.Object, e.Group, e.When)
 	r.withdraw(func(d *dispatch) bool {
 		return d.hand.Object == e.Object || e.Object == "" && d.hand.Group == e.Group
 	})
--- a/router/local_test.go
+++ b/router/local_test.go
@@ -10,7 +10,7 @@
 
 // Errors of this machine's own: nothing was sent, nothing is held against a member, and it is tried again in time.
 func TestLocalErrors(t *testing.T) {
-	good := Answered{Result: control.Good, Body: []byte(":bytes")}
+	good := Answered{Result: control.Succeeded, Body: []byte(":bytes")}
 	fails := func(p *play) { p.take(Down{Link: p.links[len(p.links)-1], Cause: Local, Why: "no descriptors"}) }
 	for _, c := range []struct {
 		name string
@@ -125,7 +125,7 @@
 		for _, id := range sortedKeys(p.Router.links) {
 			for _, d := range p.Router.inOpen(p.Router.links[id]) {
 				if d.link.up {
-					p.take(Answered{Link: id, ID: d.request.ID, Result: control.Good, Body: []byte(":bytes")})
+					p.take(Answered{Link: id, ID: d.request.ID, Result: control.Succeeded, Body: []byte(":bytes")})
 				}
 			}
 		}
--- a/router/members.go
+++ b/router/members.go
@@ -70,7 +70,7 @@
 		r.members[line.Instance] = m
 	}
 	r.overtake(line, changed)
-	again := known && (line.Started > 0 && line.Started != m.Started || line.Address != m.Address)
+	again := known && (line.StartedAt > 0 && line.StartedAt != m.StartedAt || line.Address != m.Address)
 	id := m.ID
 	r.unindex(m)
 	m.Listing = line
@@ -101,7 +101,7 @@
 		return
 	}
 	for _, m := range r.index.byAddress[line.Address] {
-		if m.Instance != line.Instance && m.Started <= line.Started {
+		if m.Instance != line.Instance && m.StartedAt <= line.StartedAt {
 			m.Phase = "gone"
 			changed[m.Instance] = m
 		}
@@ -168,11 +168,11 @@
 	if all {
 		changed = r.members
 	}
-	lines := make([]control.Listing, 0, len(changed))
+	lines := make([]control.Endpoint, 0, len(changed))
 	for _, name := range sortedKeys(changed) {
-		lines = append(lines, changed[name].Listing.Listing)
+		lines = append(lines, changed[name].Listing.Endpoint)
 	}
-	r.decide.Listed(r.now, lines, all)
+	r.decide.UpdateEndpoints(r.now, lines, all)
 }
 
 // planLinks tells the plan of links which caches there are, if they have changed.
--- a/router/members_test.go
+++ b/router/members_test.go
@@ -16,7 +16,7 @@
 type plainList map[string]Listing
 
 // take takes an event of the list over, and gives the whole list as it is to be handed on.
-func (l plainList) take(e Listed) (lines []control.Listing) {
+func (l plainList) take(e Listed) (lines []control.Endpoint) {
 	for name, m := range l {
 		if e.Whole && !slices.ContainsFunc(e.Lines, func(line Listing) bool { return line.Instance == name }) {
 			m.Phase = "gone"
@@ -25,7 +25,7 @@
 	}
 	for _, line := range e.Lines {
 		for name, m := range l {
-			if name != line.Instance && m.Address == line.Address && line.Address != "" && m.Started <= line.Started &&
+			if name != line.Instance && m.Address == line.Address && line.Address != "" && m.StartedAt <= line.StartedAt &&
 				line.Phase == "ready" {
 				m.Phase = "gone"
 				l[name] = m
@@ -41,7 +41,7 @@
 		for m.ID = h.Sum32(); taken[m.ID]; m.ID++ {
 		}
 		taken[m.ID], l[name] = true, m
-		lines = append(lines, m.Listing)
+		lines = append(lines, m.Endpoint)
 	}
 	maps.DeleteFunc(l, func(_ string, m Listing) bool { return m.Phase == "gone" })
 	return lines
@@ -57,11 +57,11 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	drawLine := func(now int64) Listing {
-		line := Listing{names[rng.IntN(len(names))], fmt.Sprint("10.0.0.", rng.IntN(40), ":1"), control.Listing{
+		line := Listing{names[rng.IntN(len(names))], fmt.Sprint("10.0.0.", rng.IntN(40), ":1"), control.Endpoint{
 			Location: []string{"here", "here", "there"}[rng.IntN(3)], Kind: []string{"cache", "cache", "parent", "origin"}[rng.IntN(4)],
-			Phase: []string{"ready", "ready", "ready", "draining", "gone"}[rng.IntN(5)], Units: float64(rng.IntN(5))}}
+			Phase: []string{"ready", "ready", "ready", "draining", "gone"}[rng.IntN(5)], Capacity: float64(rng.IntN(5))}}
 		if rng.IntN(4) == 0 {
-			line.Started = now
+			line.StartedAt = now
 		}
 		return line
 	}
@@ -77,9 +77,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		plainModule.Reach = p.decide.Reach
+		plainModule.Reachable = p.decide.Reachable
 		plain := plainList{}
-		plainModule.Listed(start, plain.take(Listed{Whole: true, Lines: slices.Clone(fleet)}), true)
+		plainModule.UpdateEndpoints(start, plain.take(Listed{Whole: true, Lines: slices.Clone(fleet)}), true)
 		for range 200 {
 			n++
 			p.now += rng.Int64N(second)
@@ -87,7 +87,7 @@
 			for range rng.IntN(4) {
 				e.Lines = append(e.Lines, drawLine(p.now))
 			}
-			plainModule.Listed(p.now, plain.take(e), true)
+			plainModule.UpdateEndpoints(p.now, plain.take(e), true)
 			p.take(e)
 			got := plainList{}
 			for name, m := range p.members {
@@ -110,15 +110,15 @@
 			}
 			displaced += p.index.displaced
 			for i := range 3 {
-				ask := control.Retrieval{Product: "stills", Object: fmt.Sprintf("%016x", 10*n+i), HardStop: p.now + second}
+				ask := control.Request{Class: "stills", Object: fmt.Sprintf("%016x", 10*n+i), Deadline: p.now + second}
 				other := ask
-				d, want := p.decide.Where(p.now, &ask), plainModule.Where(p.now, &other)
+				d, want := p.decide.Decide(p.now, &ask), plainModule.Decide(p.now, &other)
 				if fmt.Sprint(d) != fmt.Sprint(want) {
 					t.Fatalf("event %d: decided %+v, plainly %+v", n, d, want)
 				}
-				end := control.Outcome{Result: control.Good, Spent: second / 100, Closed: true}
-				p.decide.After(p.now, &ask, end)
-				plainModule.After(p.now, &other, end)
+				end := control.Outcome{Result: control.Succeeded, Elapsed: second / 100, RequestEnded: true}
+				p.decide.AttemptEnded(p.now, &ask, end)
+				plainModule.AttemptEnded(p.now, &other, end)
 			}
 		}
 		if len(p.index.byAddress) > len(p.members) || len(p.index.gone) > 0 {
@@ -144,8 +144,8 @@
 			}
 			var lines []Listing
 			for n := range servers {
-				lines = append(lines, Listing{fmt.Sprintf("s-%06d", n), fmt.Sprintf("10.0.%d.%d:1", n/200, n%200), control.Listing{
-					Location: "here", Kind: "cache", Phase: "ready", Units: 5}})
+				lines = append(lines, Listing{fmt.Sprintf("s-%06d", n), fmt.Sprintf("10.0.%d.%d:1", n/200, n%200), control.Endpoint{
+					Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}})
 			}
 			r.Handle(start, Listed{Whole: true, Lines: lines})
 			b.ReportAllocs()
--- a/router/router.go
+++ b/router/router.go
@@ -76,7 +76,7 @@
 
 // hand is a retrieval in hand.
 type hand struct {
-	control.Retrieval
+	control.Request
 	client     ClientID
 	seq        int32
 	fields     map[string]string
@@ -142,8 +142,8 @@
 			r.notCaches = append(r.notCaches, kinds[i])
 		}
 	}
-	r.decide.Reach = r.reaches
-	r.decide.Starved = func() bool { return r.shortage.Lasts(r.now) }
+	r.decide.Reachable = r.reaches
+	r.decide.ConnectionsExhausted = func() bool { return r.shortage.Lasts(r.now) }
 	return r, nil
 }
 
@@ -229,7 +229,7 @@
 		r.purged(e)
 	case Probed:
 		if m := r.members[e.Instance]; m != nil && r.mayProbe {
-			r.decide.Probed(r.now, m.ID, e.Good, e.Load)
+			r.decide.ProbeEnded(r.now, m.ID, e.Good, e.Load)
 		}
 	case Leaving:
 		r.leaving(e)
@@ -251,19 +251,19 @@
 	}
 	h := &hand{client: e.Client, seq: e.Seq, fields: e.Fields, body: e.Body}
 	why := h.read(arrived)
-	if old := r.ids[h.fields["txn"]]; why == "" && old != nil && old.NoMore {
+	if old := r.ids[h.fields["txn"]]; why == "" && old != nil && old.NoNewAttempts {
 		// Its client closed and asks again on another connection, under the same id: that was taken for a bad client's.
 		sent := len(old.dispatches) > 0
 		r.finish(old, Answer{Kind: Aborted}) // the end of its connection waits for that
 		r.departed(old)
-		if sent && !r.of(h.Product, r.harmless) {
+		if sent && !r.of(h.Class, r.harmless) {
 			turnAway(Aborted, "") // it may have run
 			return
 		}
 	}
 	switch {
 	case why != "":
-	case !slices.Contains(r.products, h.Product):
+	case !slices.Contains(r.products, h.Class):
 		why = "field verb names no product"
 	case r.ids[h.fields["txn"]] != nil:
 		why = "field txn is in use" // answers to the one would be taken for the other's
@@ -279,9 +279,9 @@
 		return
 	}
 	// A time longer than any product's would keep it in memory for so long.
-	h.HardStop = min(h.HardStop, arrived+r.longest)
+	h.Deadline = min(h.Deadline, arrived+r.longest)
 	if r.leaveBy > 0 {
-		h.HardStop = min(h.HardStop, r.leaveBy)
+		h.Deadline = min(h.Deadline, r.leaveBy)
 	}
 	if r.clients[e.Client] == nil {
 		r.clients[e.Client] = map[int32]*hand{}
@@ -290,8 +290,8 @@
 	r.ids[h.fields["txn"]] = h
 	r.hands++
 	r.bytes += len(h.body)
-	h.ends = r.due.Push(h.HardStop+r.answerGrace, task{hand: h, last: true})
-	r.act(h, r.decide.Where(r.now, &h.Retrieval))
+	h.ends = r.due.Push(h.Deadline+r.answerGrace, task{hand: h, last: true})
+	r.act(h, r.decide.Decide(r.now, &h.Request))
 }
 
 // read takes from the fields of a request that arrived at a time what decisions need, and says what is wrong with them.
@@ -314,8 +314,8 @@
 			return "field " + f.name + " is missing or unusable"
 		}
 	}
-	h.Retrieval = control.Retrieval{Product: h.fields["verb"], Object: h.fields["item"], Part: part, Group: group,
-		HardStop: arrived + limit*millisecond - wayBack, Repeat: h.fields["second"] == "1"}
+	h.Request = control.Request{Class: h.fields["verb"], Object: h.fields["item"], Part: part, Group: group,
+		Deadline: arrived + limit*millisecond - wayBack, ClientRetry: h.fields["second"] == "1"}
 	// Some deployments tell the size, in KB; without it nothing is wrong.
 	if kb, err := strconv.ParseFloat(h.fields["ram"], 64); err == nil && kb > 0 && kb < sizeMost {
 		h.SizeKB = kb
@@ -339,10 +339,10 @@
 	}
 	switch d.Verdict {
 	case control.Send:
-		r.dispatch(h, d.Dispatch)
-	case control.Dismiss:
-		r.finish(h, Answer{Kind: Dismissed, Later: d.Advice})
-	case control.Abort:
+		r.dispatch(h, d.Attempt)
+	case control.Reject:
+		r.finish(h, Answer{Kind: Dismissed, Later: d.RetryAfter})
+	case control.Fail:
 		r.finish(h, Answer{Kind: Aborted})
 	}
 	r.callOff(h, d.Cancel)
@@ -355,7 +355,7 @@
 		return
 	}
 	r.due.Remove(h.asks)
-	if wait := r.decide.Wait(r.now, &h.Retrieval); wait > 0 {
+	if wait := r.decide.RecheckDelay(r.now, &h.Request); wait > 0 {
 		h.asks = r.due.Push(r.now+wait, task{hand: h})
 	}
 }
@@ -394,7 +394,7 @@
 // departed ends a retrieval that nobody waits for any more.
 func (r *Router) departed(h *hand) {
 	r.drop(h)
-	r.decide.Departed(r.now, &h.Retrieval)
+	r.decide.ClientGone(r.now, &h.Request)
 	all := make([]int, len(h.dispatches))
 	for i := range all {
 		all[i] = i
@@ -412,7 +412,7 @@
 // its turn came, seconds after the client had gone. One who still reads is told at once that nothing ran.
 func (r *Router) halfClosed(client ClientID) {
 	for _, h := range inOrder(r.clients[client]) {
-		h.NoMore = true
+		h.NoNewAttempts = true
 		waits := true
 		for _, d := range h.dispatches {
 			if !d.ended && d.link.up {
@@ -421,7 +421,7 @@
 		}
 		r.takeAllBack(h)
 		if waits && !h.finished {
-			r.act(h, r.decide.Where(r.now, &h.Retrieval))
+			r.act(h, r.decide.Decide(r.now, &h.Request))
 		}
 	}
 }
@@ -441,7 +441,7 @@
 		if d := h.dispatches[n]; !d.ended {
 			result := control.Cancelled
 			if !d.link.up {
-				result = control.Unsent
+				result = control.NotSent
 			}
 			r.giveUp(d)
 			r.ended(d, control.Outcome{Result: result})
@@ -457,8 +457,8 @@
 	d.ended, d.request.Body = true, nil
 	r.due.Remove(d.ends)
 	h := d.hand
-	o.Number, o.Spent, o.Closed = d.number, r.now-d.sent, h.finished
-	decision := r.decide.After(r.now, &h.Retrieval, o)
+	o.Attempt, o.Elapsed, o.RequestEnded = d.number, r.now-d.sent, h.finished
+	decision := r.decide.AttemptEnded(r.now, &h.Request, o)
 	if h.finished {
 		r.callOff(h, decision.Cancel)
 		return
@@ -478,26 +478,26 @@
 		return // it was given up, or never asked
 	}
 	delete(l.open, e.ID)
-	if !r.of(d.hand.Product, r.harmless) {
+	if !r.of(d.hand.Class, r.harmless) {
 		// Some answer twice, the second time some milliseconds late: on this link it passed for the answer to a further attempt,
 		// and one that ran was taken for one that had not.
 		l.past[e.ID] = r.now
 	}
 	switch {
 	case e.Same && d.request.Mine == "":
-		e.Result = control.Faulty // no copy was named that could be good still
-	case e.Bare && r.of(d.hand.Product, r.neverKept):
-		e.Result = control.Good // what no cache keeps is no copy: it passed for spoilt, and was never served
+		e.Result = control.ServerError // no copy was named that could be good still
+	case e.Bare && r.of(d.hand.Class, r.neverKept):
+		e.Result = control.Succeeded // what no cache keeps is no copy: it passed for spoilt, and was never served
 	}
-	if e.Result == control.Good && !r.decide.Accepts(r.now, &d.hand.Retrieval, d.number, e.Issued) {
-		e.Result = control.Outdated
+	if e.Result == control.Succeeded && !r.decide.AcceptsCopy(r.now, &d.hand.Request, d.number, e.Issued) {
+		e.Result = control.Stale
 	}
-	if e.Result == control.Good {
+	if e.Result == control.Succeeded {
 		r.finish(d.hand, Answer{Kind: Settled, Body: e.Body, Same: e.Same})
 	}
-	o := control.Outcome{Result: e.Result, Note: e.Note, Waited: e.Waited, Load: e.Load}
+	o := control.Outcome{Result: e.Result, Note: e.Note, TimeToFirstByte: e.Waited, LoadReport: e.Load}
 	if r.flow > 0 {
-		o.Sending = float64(len(e.Body)) / r.flow // a large one is due later; judged by the mean it passed for late
+		o.SendingTime = float64(len(e.Body)) / r.flow // a large one is due later; judged by the mean it passed for late
 	}
 	r.ended(d, o)
 	r.tidy(l)
@@ -515,7 +515,7 @@
 		r.finish(h, Answer{Kind: Aborted})
 		r.departed(h)
 	default:
-		r.act(what.hand, r.decide.Where(r.now, &what.hand.Retrieval))
+		r.act(what.hand, r.decide.Decide(r.now, &what.hand.Request))
 	}
 }
 
@@ -529,9 +529,9 @@
 		r.arm(d) // if it was written its answer is waited for
 		return
 	}
-	result := control.Late
+	result := control.TimedOut
 	if !d.link.up {
-		result = control.Unreached // nothing was written
+		result = control.Unreachable // nothing was written
 	}
 	r.giveUp(d)
 	r.ended(d, control.Outcome{Result: result})
@@ -551,10 +551,10 @@
 	r.leaveBy = e.By
 	for _, id := range sortedKeys(r.clients) {
 		for _, h := range inOrder(r.clients[id]) {
-			if h.HardStop <= e.By {
+			if h.Deadline <= e.By {
 				continue
 			}
-			h.HardStop = e.By
+			h.Deadline = e.By
 			r.due.Remove(h.ends)
 			h.ends = r.due.Push(e.By+r.answerGrace, task{hand: h, last: true})
 			for _, d := range h.dispatches {
@@ -580,12 +580,12 @@
 }
 
 // Remember is what the module has learned, with so many objects at most.
-func (r *Router) Remember(now int64, most int) control.Memory {
-	return r.decide.Remember(max(now, r.now), most)
+func (r *Router) Remember(now int64, most int) control.Snapshot {
+	return r.decide.Snapshot(max(now, r.now), most)
 }
 
 // Recall has the module take over what one before it had learned.
-func (r *Router) Recall(now int64, m control.Memory, rates bool) { r.decide.Recall(now, m, rates) }
+func (r *Router) Recall(now int64, m control.Snapshot, rates bool) { r.decide.Restore(now, m, rates) }
 
 // Hands is how many retrievals are in hand.
 func (r *Router) Hands() int { return r.hands }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -17,10 +17,10 @@
 )
 
 var fleet = []Listing{
-	{"s-a", "10.0.0.1:1", control.Listing{Location: "here", Kind: "cache", Phase: "ready", Units: 5}},
-	{"s-b", "10.0.0.2:1", control.Listing{Location: "here", Kind: "cache", Phase: "ready", Units: 5}},
-	{"p-a", "10.0.0.3:1", control.Listing{Location: "hub", Kind: "parent", Phase: "ready", Units: 20}},
-	{"o-a", "10.0.0.4:1", control.Listing{Location: "hub", Kind: "origin", Phase: "ready", Units: 20}},
+	{"s-a", "10.0.0.1:1", control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}},
+	{"s-b", "10.0.0.2:1", control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}},
+	{"p-a", "10.0.0.3:1", control.Endpoint{Location: "hub", Kind: "parent", Phase: "ready", Capacity: 20}},
+	{"o-a", "10.0.0.4:1", control.Endpoint{Location: "hub", Kind: "origin", Phase: "ready", Capacity: 20}},
 }
 
 // play is a reducer that is given events in turn; it answers as the connections would.
@@ -122,7 +122,7 @@
 }
 
 func TestRetrieval(t *testing.T) {
-	good := Answered{Result: control.Good, Body: []byte(":bytes")}
+	good := Answered{Result: control.Succeeded, Body: []byte(":bytes")}
 	cases := []struct {
 		name string
 		do   func(*play)
@@ -135,12 +135,12 @@
 		{"the client's copy holds", func(p *play) {
 			p.ask(1, map[string]string{"got": "4be0c1927d55a6f3"})
 			p.up()
-			p.answer(Answered{Result: control.Good, Same: true})
+			p.answer(Answered{Result: control.Succeeded, Same: true})
 		}, "dial, send 1, settled same 1"},
 		{"no copy was named that could hold", func(p *play) {
 			p.ask(1, map[string]string{"got": "a,b=c"})
 			p.up()
-			p.answer(Answered{Result: control.Good, Same: true})
+			p.answer(Answered{Result: control.Succeeded, Same: true})
 		}, "dial, send 1, send 1"},
 		{"a second one for the same member shares the link", func(p *play) {
 			p.ask(1, nil)
@@ -205,14 +205,14 @@
 		{"an answer that cannot be used goes for an error", func(p *play) {
 			p.ask(1, nil)
 			p.up()
-			p.answer(Answered{Result: control.Faulty})
+			p.answer(Answered{Result: control.ServerError})
 		}, "dial, send 1, send 1"},
 		{"what waits for its link when a purge comes is sent with the new age", func(p *play) {
 			p.ask(1, nil)
 			p.now += 200 * millisecond
 			p.take(Purged{Object: object, When: p.now - 50*millisecond})
 			p.up()
-			if age := p.sends[0].Request.Dispatch.Age; age >= 50*millisecond {
+			if age := p.sends[0].Request.Dispatch.MaxAge; age >= 50*millisecond {
 				p.t.Errorf("age %d", age)
 			}
 		}, "dial, dial, send 1"},
@@ -225,7 +225,7 @@
 			p.ask(1, nil)
 			p.up()
 			p.answer(good)
-			p.list(func(l *Listing) { l.Started = p.now })
+			p.list(func(l *Listing) { l.StartedAt = p.now })
 			p.ask(2, nil)
 		}, "dial, send 1, settled 1:bytes, close 1, dial"},
 		{"a cache at another's address is its own", func(p *play) {
@@ -262,7 +262,7 @@
 		}, "dial, send 1, unusable 2, abort 1, dial"},
 		{"a time longer than the product's is cut to that", func(p *play) {
 			p.ask(1, map[string]string{"limit": "99999999"})
-			if at := p.clients[1][1].HardStop; at != p.now+25*second/10 {
+			if at := p.clients[1][1].Deadline; at != p.now+25*second/10 {
 				p.t.Errorf("hard stop in %d", at-p.now)
 			}
 		}, "dial"},
@@ -278,8 +278,8 @@
 			p.up()
 			p.answer(good)
 			address := p.Router.links[p.links[0]].address
-			p.take(Listed{Lines: []Listing{{"s-new", address, control.Listing{Location: "here", Kind: "cache",
-				Phase: "ready", Units: 5, Started: p.now}}}})
+			p.take(Listed{Lines: []Listing{{"s-new", address, control.Endpoint{Location: "here", Kind: "cache",
+				Phase: "ready", Capacity: 5, StartedAt: p.now}}}})
 		}, "dial, send 1, settled 1:bytes, close 1"},
 		{"leaving cuts the time of all in hand and of all that come", func(p *play) {
 			p.ask(1, nil)
@@ -404,7 +404,7 @@
 		for range 8 {
 			p.pass(second)
 			p.ask(99, nil)
-			p.answer(Answered{Result: control.Good})
+			p.answer(Answered{Result: control.Succeeded})
 		}
 		if before == 0 || len(l.past) > 0 {
 			t.Errorf("%d, then %d", before, len(l.past))
@@ -449,7 +449,7 @@
 	for n := range 6000 {
 		line := fleet[0]
 		line.Instance, line.Address = fmt.Sprint("s-", n), fmt.Sprint("10.0.1.", n%7, ":1") // addresses come again
-		line.Started = p.now
+		line.StartedAt = p.now
 		gone := line
 		gone.Instance, gone.Phase = fmt.Sprint("s-", n-3), "gone"
 		p.take(Listed{Lines: []Listing{line, gone}})
@@ -462,7 +462,7 @@
 			p.take(Up{Link: id})
 		}
 		if len(p.sends) > 0 && n%3 == 0 {
-			p.answer(Answered{Result: control.Good})
+			p.answer(Answered{Result: control.Succeeded})
 		}
 		if n%10 == 0 && len(p.links) > 0 {
 			p.take(Down{Link: p.links[len(p.links)-1]})
@@ -503,7 +503,7 @@
 				}
 				p.pass(second)
 				for _, id := range p.links {
-					p.take(Answered{Link: id, ID: fmt.Sprintf("%016x", seq), Result: control.Good, Body: make([]byte, 200)})
+					p.take(Answered{Link: id, ID: fmt.Sprintf("%016x", seq), Result: control.Succeeded, Body: make([]byte, 200)})
 				}
 			}
 			if got := len(p.lines) > 0; got != c.blame {
@@ -528,7 +528,7 @@
 				p.now += millisecond
 				p.ask(2, nil)
 				p.now += millisecond
-				p.answer(Answered{Result: control.Good})
+				p.answer(Answered{Result: control.Succeeded})
 			}
 			cache := p.Router.links[p.links[0]].member
 			p.pass(second)
@@ -622,7 +622,7 @@
 	}
 	first := p.sends[0]
 	for _, s := range p.sends {
-		p.take(Answered{Link: s.Link, ID: s.Request.ID, Result: control.Good, Note: 1})
+		p.take(Answered{Link: s.Link, ID: s.Request.ID, Result: control.Succeeded, Note: 1})
 	}
 	p.take(Down{Link: first.Link}) // its objects go to the other until a link may be opened again
 	sent := len(p.sends)
--- a/router/unwritten_test.go
+++ b/router/unwritten_test.go
@@ -18,7 +18,7 @@
 
 // Requests that wait on a link that is up, as its other side reads nothing.
 func TestUnwritten(t *testing.T) {
-	good := Answered{Result: control.Good, Body: []byte(":bytes")}
+	good := Answered{Result: control.Succeeded, Body: []byte(":bytes")}
 	purge := func(p *play) {
 		p.now += 200 * millisecond
 		p.take(Purged{Object: object, When: p.now - 50*millisecond})
@@ -35,7 +35,7 @@
 			purge(p)
 			p.unwritten()
 			p.up()
-			if age := p.sends[1].Request.Dispatch.Age; age <= 0 || age >= 50*millisecond {
+			if age := p.sends[1].Request.Dispatch.MaxAge; age <= 0 || age >= 50*millisecond {
 				p.t.Errorf("age %d", age)
 			}
 		}, "dial, send 1, dial, send 1"},
@@ -152,8 +152,8 @@
 	if first == other {
 		other = p.members["s-b"]
 	}
-	p.dispatch(p.clients[1][1], control.Dispatch{Cache: other.ID, Plain: true, Reach: second})
-	p.answer(Answered{Result: control.Good, Body: []byte(":bytes")})
+	p.dispatch(p.clients[1][1], control.Attempt{Cache: other.ID, CacheOnly: true, SendTimeout: second})
+	p.answer(Answered{Result: control.Succeeded, Body: []byte(":bytes")})
 	p.take(Up{Link: p.linked})
 	if got := strings.Join(p.seen[1:], ", "); got != "send 0000000000000001, settled 1:bytes" {
 		t.Errorf("effects %s", got)
--- a/snapshot/compatible_test.go
+++ b/snapshot/compatible_test.go
@@ -28,29 +28,29 @@
 		Position: 4711,
 		Digest:   0x9e3779b97f4a7c15,
 		Members: []router.Listing{
-			{Instance: "s-00c41f7a", Address: "10.1.0.9:10080", Listing: control.Listing{ID: 2166136261, Location: "east", Kind: "std",
-				Cell: 2, Phase: "ready", Units: 4, Started: 1764576000123000000}},
-			{Instance: "s-00c41f7b", Address: "10.1.0.10:10080", Listing: control.Listing{ID: 16777619, Location: "west", Kind: "large",
-				Cell: 3, Phase: "draining", Units: 0.5}},
-			{Instance: "p-1", Address: "10.1.1.1:10080", Listing: control.Listing{ID: 7, Location: "east", Kind: "parent", Cell: -1,
-				Phase: "ready", Units: 1, Started: 1}},
+			{Instance: "s-00c41f7a", Address: "10.1.0.9:10080", Endpoint: control.Endpoint{ID: 2166136261, Location: "east", Kind: "std",
+				Cell: 2, Phase: "ready", Capacity: 4, StartedAt: 1764576000123000000}},
+			{Instance: "s-00c41f7b", Address: "10.1.0.10:10080", Endpoint: control.Endpoint{ID: 16777619, Location: "west", Kind: "large",
+				Cell: 3, Phase: "draining", Capacity: 0.5}},
+			{Instance: "p-1", Address: "10.1.1.1:10080", Endpoint: control.Endpoint{ID: 7, Location: "east", Kind: "parent", Cell: -1,
+				Phase: "ready", Capacity: 1, StartedAt: 1}},
 		},
-		Memory: control.Memory{
-			Started: 1764575000000000001, Taken: 1764576123456789001, Total: 812.25, TotalAt: 1764576123000000002,
-			Rooms: [3]float64{0.75, 1.5, 4},
-			Products: []control.ProductMemory{
-				{Name: "sign-off", Sending: 0.125, Answer: 0.25, Seen: 12},
-				{Name: "stills", Sending: 0.0625, Answer: 0.5, Seen: 900.5},
+		Memory: control.Snapshot{
+			StartedAt: 1764575000000000001, TakenAt: 1764576123456789001, RequestCount: 812.25, RequestCountAt: 1764576123000000002,
+			AdmissionLimits: [3]float64{0.75, 1.5, 4},
+			Classes: []control.ClassSnapshot{
+				{Name: "sign-off", SendingTime: 0.125, ResponseTime: 0.25, Samples: 12},
+				{Name: "stills", SendingTime: 0.0625, ResponseTime: 0.5, Samples: 900.5},
 			},
-			Objects: []control.ObjectMemory{
-				{Object: "7f3a9c21e0b4d655", Part: 3, Group: 17, Count: 2.5, Purges: 1.25, Counted: 1764576100000000003,
-					Born: 1764575500000000004, Ghost: true},
-				{Object: "4be0c1927d55a6f3", Part: 0, Group: 255, Count: 40.75, Purges: 0.5, Counted: 1764576120000000005,
-					Born: 1764575100000000006},
+			Objects: []control.ObjectSnapshot{
+				{Object: "7f3a9c21e0b4d655", Part: 3, Group: 17, Count: 2.5, Purges: 1.25, CountedAt: 1764576100000000003,
+					FirstSeenAt: 1764575500000000004, Evicted: true},
+				{Object: "4be0c1927d55a6f3", Part: 0, Group: 255, Count: 40.75, Purges: 0.5, CountedAt: 1764576120000000005,
+					FirstSeenAt: 1764575100000000006},
 			},
-			Purges: []control.PurgeMemory{
-				{Name: "7f3a9c21e0b4d655", When: 1764576000123000007},
-				{Name: "g17", When: 1764576000480000008},
+			Purges: []control.PurgeSnapshot{
+				{Name: "7f3a9c21e0b4d655", PurgedAt: 1764576000123000007},
+				{Name: "g17", PurgedAt: 1764576000480000008},
 			},
 		},
 	}
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -40,7 +40,7 @@
 	Position int64  // of the last event of the list service; 0: no list is known
 	Digest   uint64 // of that event's text
 	Members  []router.Listing
-	Memory   control.Memory
+	Memory   control.Snapshot
 }
 
 // head is what stands before the content: magic, version, length, digest.
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -14,9 +14,9 @@
 
 func some() Snapshot {
 	return Snapshot{Header: recall.Header{Version: recall.Version, Router: "n1", Deployment: 7, Taken: 99}, Position: 5, Digest: 8,
-		Members: []router.Listing{{Instance: "s-1", Address: "10.0.0.1:1", Listing: control.Listing{Phase: "ready", Units: 4}}},
-		Memory: control.Memory{Taken: 99, Objects: []control.ObjectMemory{{Object: "7f3a9c21e0b4d655", Count: 2.5, Born: 3}},
-			Products: []control.ProductMemory{{Name: "stills", Sending: .1, Answer: .2, Seen: 9}}, Purges: []control.PurgeMemory{{Name: "g3", When: 4}}}}
+		Members: []router.Listing{{Instance: "s-1", Address: "10.0.0.1:1", Endpoint: control.Endpoint{Phase: "ready", Capacity: 4}}},
+		Memory: control.Snapshot{TakenAt: 99, Objects: []control.ObjectSnapshot{{Object: "7f3a9c21e0b4d655", Count: 2.5, FirstSeenAt: 3}},
+			Classes: []control.ClassSnapshot{{Name: "stills", SendingTime: .1, ResponseTime: .2, Samples: 9}}, Purges: []control.PurgeSnapshot{{Name: "g3", PurgedAt: 4}}}}
 }
 
 func TestRoundTrip(t *testing.T) {
--- a/snapshot/store_test.go
+++ b/snapshot/store_test.go
@@ -260,13 +260,13 @@
 	for n := range 10_000 {
 		name := fmt.Sprintf("cache-server-%050d", n)
 		s.Members = append(s.Members, router.Listing{Instance: name, Address: "127.100.100.100:10080",
-			Listing: control.Listing{ID: uint32(n), Location: "a-zone-with-a-long-name", Kind: "a-kind-with-a-long-name", Cell: 1 << 20,
-				Phase: "draining", Units: 1.25, Started: 1764576000123000000}})
+			Endpoint: control.Endpoint{ID: uint32(n), Location: "a-zone-with-a-long-name", Kind: "a-kind-with-a-long-name", Cell: 1 << 20,
+				Phase: "draining", Capacity: 1.25, StartedAt: 1764576000123000000}})
 	}
 	for n := range ObjectsMost {
-		s.Memory.Objects = append(s.Memory.Objects, control.ObjectMemory{Object: fmt.Sprintf("%016x", n), Part: 1 << 20, Group: 255,
-			Count: 1.1, Purges: 2.2, Counted: 1764576000123000000, Born: 1764576000123000000})
-		s.Memory.Purges = append(s.Memory.Purges, control.PurgeMemory{Name: fmt.Sprintf("%016x", n), When: 1764576000123000000})
+		s.Memory.Objects = append(s.Memory.Objects, control.ObjectSnapshot{Object: fmt.Sprintf("%016x", n), Part: 1 << 20, Group: 255,
+			Count: 1.1, Purges: 2.2, CountedAt: 1764576000123000000, FirstSeenAt: 1764576000123000000})
+		s.Memory.Purges = append(s.Memory.Purges, control.PurgeSnapshot{Name: fmt.Sprintf("%016x", n), PurgedAt: 1764576000123000000})
 	}
 	store := NewStore(filepath.Join(t.TempDir(), "kept"))
 	if err := store.Write(s); err != nil {
--- a/upstream/local_test.go
+++ b/upstream/local_test.go
@@ -174,7 +174,7 @@
 				case router.Up:
 					p.Send(sending("00000000000000aa", 5*time.Second))
 				case router.Answered:
-					if !c.answered || e.Result != control.Good {
+					if !c.answered || e.Result != control.Succeeded {
 						t.Errorf("answered %+v", e)
 					}
 					p.Close(router.Close{Link: 1})
@@ -225,10 +225,10 @@
 		t.Fatal(err)
 	}
 	list := router.Listed{Whole: true, Lines: []router.Listing{{Instance: "o", Address: answering(t),
-		Listing: control.Listing{Location: "here", Kind: "origin", Phase: "ready", Units: 200}}}}
+		Endpoint: control.Endpoint{Location: "here", Kind: "origin", Phase: "ready", Capacity: 200}}}}
 	for i := range caches {
 		list.Lines = append(list.Lines, router.Listing{Instance: fmt.Sprint("s-", i), Address: answering(t),
-			Listing: control.Listing{Location: "here", Kind: "cache", Phase: "ready", Units: 100}})
+			Endpoint: control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: 100}})
 	}
 	go func() {
 		timer := time.NewTimer(time.Hour)
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -242,17 +242,17 @@
 	add("budget", milliseconds(budget))
 	if d := q.Dispatch; q.Source != "" {
 		add("miss", q.Source)
-		if d.Rank > 0 {
-			add("prio", strconv.FormatInt(d.Rank, 10))
+		if d.CachePriority > 0 {
+			add("prio", strconv.FormatInt(d.CachePriority, 10))
 		}
-		if d.Age > 0 {
-			add("within", milliseconds(d.Age))
+		if d.MaxAge > 0 {
+			add("within", milliseconds(d.MaxAge))
 		}
 		var how []string
 		for _, h := range []struct {
 			on   bool
 			word string
-		}{{d.Join, "ride"}, {d.Held, "have-only"}, {d.NoParent, "through"}, {d.Renew, "update"}} {
+		}{{d.JoinFill, "ride"}, {d.ParentOnlyIfCached, "have-only"}, {d.ParentNoStore, "through"}, {d.RefreshBehind, "update"}} {
 			if h.on {
 				how = append(how, h.word)
 			}
@@ -279,8 +279,8 @@
 
 // results says what an answer's word means.
 var results = map[string]control.Result{
-	"served": control.Good, "still_good": control.Good, "not_here": control.Missing, "overload": control.Full,
-	"crashed": control.Faulty, "nobody": control.Unsent,
+	"served": control.Succeeded, "still_good": control.Succeeded, "not_here": control.NotHeld, "overload": control.Overloaded,
+	"crashed": control.ServerError, "nobody": control.NotSent,
 }
 
 // notes are the words of `detail`; the first is note 1.
@@ -298,7 +298,7 @@
 	if len(words) == 0 {
 		return router.Answered{}, false
 	}
-	a := router.Answered{ID: string(words[0]), Result: control.Faulty}
+	a := router.Answered{ID: string(words[0]), Result: control.ServerError}
 	if len(words) != 4 {
 		return a, true
 	}
@@ -311,12 +311,12 @@
 		name, value, _ := strings.Cut(f, "=")
 		fields[name] = value
 	}
-	if result == control.Good {
+	if result == control.Succeeded {
 		// Without them nothing proves how old the copy is. What is never kept has neither.
 		issued, err := strconv.ParseInt(fields["issued"], 10, 64)
 		a.Bare = fields["issued"] == "" && fields["entity"] == "" && string(words[1]) == "served"
 		if a.Bare {
-			a.Body, result = words[3], control.Faulty
+			a.Body, result = words[3], control.ServerError
 		} else if err != nil || issued <= 0 || fields["entity"] == "" {
 			return a, true
 		} else {
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -27,16 +27,16 @@
 		change func(*router.Request)
 		want   string
 	}{
-		{"no fill", func(q *router.Request) { q.Dispatch.Rank = 2 }, ""},
+		{"no fill", func(q *router.Request) { q.Dispatch.CachePriority = 2 }, ""},
 		{"a fill", func(q *router.Request) { q.Source = "p-a" }, ",miss=p-a"},
 		{"all", func(q *router.Request) {
 			q.Source, q.Mine = "p-a", "4be0c1927d55a6f3"
-			q.Dispatch = control.Dispatch{Rank: 2, Age: 1500e6, Join: true, Held: true, NoParent: true, Renew: true}
+			q.Dispatch = control.Attempt{CachePriority: 2, MaxAge: 1500e6, JoinFill: true, ParentOnlyIfCached: true, ParentNoStore: true, RefreshBehind: true}
 		}, ",miss=p-a,prio=2,within=1500,f=ride+have-only+through+update,mine=4be0c1927d55a6f3"},
 		{"an idempotency key", func(q *router.Request) { q.Key = "6ad8595c69c03e9f5892348d52ee1791" },
 			",uniq=6ad8595c69c03e9f5892348d52ee1791"},
 		{"an age under a millisecond is not left out, which would mean the fresh time",
-			func(q *router.Request) { q.Source, q.Dispatch.Age = "p-a", 1000 }, ",miss=p-a,within=1"},
+			func(q *router.Request) { q.Source, q.Dispatch.MaxAge = "p-a", 1000 }, ",miss=p-a,within=1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := base
@@ -58,34 +58,34 @@
 		ok       bool
 	}{
 		{"served", "i|served|" + proof + ",detail=TCP_MISS,delay=12.5,use=inflight:7;x0:0.61|bytes",
-			router.Answered{ID: "i", Result: control.Good, Issued: issued, Body: []byte("bytes"), Note: 2, Waited: 125e5,
+			router.Answered{ID: "i", Result: control.Succeeded, Issued: issued, Body: []byte("bytes"), Note: 2, Waited: 125e5,
 				Load: []float64{7, 0, 0.61}}, true},
 		{"a report in the wire's words", "i|crashed|use=outstanding:11.128;x1:0.736|", router.Answered{ID: "i",
-			Result: control.Faulty, Load: []float64{11.128, 0.736, 0}}, true},
-		{"the copy holds", "i|still_good|" + proof + ",detail=TCP_HIT|", router.Answered{ID: "i", Result: control.Good,
+			Result: control.ServerError, Load: []float64{11.128, 0.736, 0}}, true},
+		{"the copy holds", "i|still_good|" + proof + ",detail=TCP_HIT|", router.Answered{ID: "i", Result: control.Succeeded,
 			Issued: issued, Same: true, Body: []byte{}, Note: 1}, true},
-		{"a miss", "i|not_here|detail=PEER_MISS|", router.Answered{ID: "i", Result: control.Missing, Note: 8}, true},
-		{"full", "i|overload|-|", router.Answered{ID: "i", Result: control.Full}, true},
-		{"an error", "i|crashed|-|", router.Answered{ID: "i", Result: control.Faulty}, true},
-		{"over already", "i|nobody|-|", router.Answered{ID: "i", Result: control.Unsent}, true},
+		{"a miss", "i|not_here|detail=PEER_MISS|", router.Answered{ID: "i", Result: control.NotHeld, Note: 8}, true},
+		{"full", "i|overload|-|", router.Answered{ID: "i", Result: control.Overloaded}, true},
+		{"an error", "i|crashed|-|", router.Answered{ID: "i", Result: control.ServerError}, true},
+		{"over already", "i|nobody|-|", router.Answered{ID: "i", Result: control.NotSent}, true},
 		{"odd notes and reports say nothing", "i|served|" + proof + ",detail=ODD,delay=long,use=??|b",
-			router.Answered{ID: "i", Result: control.Good, Issued: issued, Body: []byte("b"), Load: []float64{0, 0, 0}}, true},
-		{"no age", "i|served|entity=4be0c1927d55a6f3|b", router.Answered{ID: "i", Result: control.Faulty}, true},
+			router.Answered{ID: "i", Result: control.Succeeded, Issued: issued, Body: []byte("b"), Load: []float64{0, 0, 0}}, true},
+		{"no age", "i|served|entity=4be0c1927d55a6f3|b", router.Answered{ID: "i", Result: control.ServerError}, true},
 		{"an odd age", "i|served|entity=4be0c1927d55a6f3,issued=soon|b", router.Answered{ID: "i",
-			Result: control.Faulty}, true},
-		{"an age of 0", "i|served|entity=4be0c1927d55a6f3,issued=0|b", router.Answered{ID: "i", Result: control.Faulty}, true},
-		{"a negative age", "i|served|entity=4be0c1927d55a6f3,issued=-1|b", router.Answered{ID: "i", Result: control.Faulty}, true},
+			Result: control.ServerError}, true},
+		{"an age of 0", "i|served|entity=4be0c1927d55a6f3,issued=0|b", router.Answered{ID: "i", Result: control.ServerError}, true},
+		{"a negative age", "i|served|entity=4be0c1927d55a6f3,issued=-1|b", router.Answered{ID: "i", Result: control.ServerError}, true},
 		{"an age of the far future", "i|served|entity=4be0c1927d55a6f3,issued=9223372036854775807|b", router.Answered{ID: "i",
-			Result: control.Good, Issued: math.MaxInt64, Body: []byte("b")}, true},
+			Result: control.Succeeded, Issued: math.MaxInt64, Body: []byte("b")}, true},
 		{"an age beyond all numbers", "i|served|entity=4be0c1927d55a6f3,issued=9223372036854775808|b", router.Answered{ID: "i",
-			Result: control.Faulty}, true},
-		{"no tag", "i|served|issued=1764576000123|b", router.Answered{ID: "i", Result: control.Faulty}, true},
+			Result: control.ServerError}, true},
+		{"no tag", "i|served|issued=1764576000123|b", router.Answered{ID: "i", Result: control.ServerError}, true},
 		{"neither: it is for who knows the product to say", "i|served|detail=TCP_MISS_ROOT|done", router.Answered{ID: "i",
-			Result: control.Faulty, Bare: true, Body: []byte("done"), Note: 3}, true},
-		{"neither, of a copy that is to hold", "i|still_good|detail=TCP_HIT|", router.Answered{ID: "i", Result: control.Faulty}, true},
-		{"an unknown word", "i|maybe|" + proof + "|b", router.Answered{ID: "i", Result: control.Faulty}, true},
-		{"words missing", "i|served", router.Answered{ID: "i", Result: control.Faulty}, true},
-		{"a sign of life", "t|green|-|", router.Answered{ID: "t", Result: control.Faulty}, false},
+			Result: control.ServerError, Bare: true, Body: []byte("done"), Note: 3}, true},
+		{"neither, of a copy that is to hold", "i|still_good|detail=TCP_HIT|", router.Answered{ID: "i", Result: control.ServerError}, true},
+		{"an unknown word", "i|maybe|" + proof + "|b", router.Answered{ID: "i", Result: control.ServerError}, true},
+		{"words missing", "i|served", router.Answered{ID: "i", Result: control.ServerError}, true},
+		{"a sign of life", "t|green|-|", router.Answered{ID: "t", Result: control.ServerError}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var words [][]byte
