--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -16,7 +16,7 @@
 	}
 	r := newRouter(t, set)
 	for i, sending := range []float64{0.4, 0.02, 0.01} {
-		r.classes[i].sending, r.classes[i].seen = sending, 100
+		r.classes[i].sendingTime, r.classes[i].samples = sending, 100
 	}
 	return r
 }
@@ -34,7 +34,7 @@
 // Writes were turned away for want of room for fills, which they hardly use: one class was hardly served.
 func TestWritesNeedNoRoomForFills(t *testing.T) {
 	r := classes(t, nil)
-	r.rooms[fills] = 0.4
+	r.admissionLimits[fills] = 0.4
 	if n := fill(r, start, "harmless") + fill(r, start, "stamped"); n == 0 || n >= 1000 {
 		t.Fatalf("%d sent", n)
 	}
@@ -73,11 +73,11 @@
 		r := classes(t, Settings{"product.payoff": []float64{1, 40, 1}})
 		ret := ask("harmless", "x")
 		r.Decide(start, ret)
-		r.classes[0].asked, r.classes[1].asked = carried{}, carried{}
-		r.classes[0].asked.add(start, 40*(1-c.rare))
-		r.classes[1].asked.add(start, 40*c.rare)
-		r.classes[0].taken, r.classes[1].taken = r.classes[0].asked, r.classes[1].asked
-		if part := r.part(start, ret); part < c.want || part > 1 || c.rare == 0.5 && part > 0.75 {
+		r.classes[0].offered, r.classes[1].offered = decayingWork{}, decayingWork{}
+		r.classes[0].offered.add(start, 40*(1-c.rare))
+		r.classes[1].offered.add(start, 40*c.rare)
+		r.classes[0].admitted, r.classes[1].admitted = r.classes[0].offered, r.classes[1].offered
+		if part := r.admissionShare(start, ret); part < c.want || part > 1 || c.rare == 0.5 && part > 0.75 {
 			t.Errorf("rare class %.2f: part %.2f, %.2f wanted", c.rare, part, c.want)
 		}
 	}
@@ -86,8 +86,8 @@
 // The best class alone could fill the room for good; another, asked for as much, is let in beside it.
 func TestNoClassIsShutOut(t *testing.T) {
 	r := classes(t, Settings{"product.payoff": []float64{1, 40, 1}, "product.due": []int64{second / 2, second / 100, second / 2}})
-	r.classes[1].sending = 0.4 // as large as the other, and worth forty times as much; neither stands more than the other
-	r.classes[1].due = r.classes[0].due
+	r.classes[1].sendingTime = 0.4 // as large as the other, and worth forty times as much; neither stands more than the other
+	r.classes[1].objective = r.classes[0].objective
 	asked, sent := map[string]int{}, map[string]int{}
 	type open struct {
 		ret  *Request
@@ -125,12 +125,12 @@
 		spent   int64
 		shrinks bool
 	}{{13 * second / 10, false}, {3 * second, true}} {
-		before := r.rooms[fills]
+		before := r.admissionLimits[fills]
 		ret := ask("harmless", fmt.Sprint(c.spent))
 		r.Decide(start, ret)
 		r.AttemptEnded(start+c.spent, ret, Outcome{Result: Succeeded, Elapsed: c.spent, SendingTime: 0.9, Note: 2, RequestEnded: true})
-		if got := r.rooms[fills] < before; got != c.shrinks {
-			t.Errorf("an answer of 0.9 s that took %.1f s: room %.3f, was %.3f", float64(c.spent)/1e9, r.rooms[fills], before)
+		if got := r.admissionLimits[fills] < before; got != c.shrinks {
+			t.Errorf("an answer of 0.9 s that took %.1f s: room %.3f, was %.3f", float64(c.spent)/1e9, r.admissionLimits[fills], before)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 		for n := range 60 {
 			now := start + int64(n)*second/10
 			ret := ask("harmless", fmt.Sprint(n))
-			for d := r.Decide(now, ret); d.Verdict == Send; d = r.AttemptEnded(now, ret, Outcome{Result: Overloaded, Note: 7, Attempt: len(ret.dispatches) - 1}) {
+			for d := r.Decide(now, ret); d.Verdict == Send; d = r.AttemptEnded(now, ret, Outcome{Result: Overloaded, Note: 7, Attempt: len(ret.attempts) - 1}) {
 				further++
 			}
 			r.ClientGone(now, ret)
@@ -170,9 +170,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, Settings{"product.effect": []string{"harmless", "harmless", "one-shot"}})
 			for name, value := range c.change {
-				r.set[name] = value
+				r.settings[name] = value
 			}
-			r, err := New(start, 7, r.set, func(string) {})
+			r, err := New(start, 7, r.settings, func(string) {})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -182,7 +182,7 @@
 				if d := r.Decide(start, ret); d.Verdict != Send {
 					t.Fatalf("%s: %+v", product, d)
 				}
-				if part := r.part(start, ret); !(part > 0.1 && part < 10) {
+				if part := r.admissionShare(start, ret); !(part > 0.1 && part < 10) {
 					t.Errorf("%s: part %v", product, part)
 				}
 				r.AttemptEnded(start+second/10, ret, Outcome{Result: Succeeded, Elapsed: second / 10, Note: 1, RequestEnded: true})
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -25,18 +25,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			now := start + 20*second
-			e := &entry{count: c.count, counted: now, born: now - c.born*second, purges: c.purges}
-			state := progress{product: &product{fresh: c.fresh}, entry: e}
-			r.setAge(now, &Request{SizeKB: 0.1 / exchange, progress: state})
-			got := float64(e.age) / 1e9
-			if e.age == forever {
+			e := &objectRecord{requestCount: c.count, countedAt: now, firstSeenAt: now - c.born*second, purgeCount: c.purges}
+			state := requestState{class: &classState{freshDuration: c.fresh}, record: e}
+			r.computeMaxAge(now, &Request{SizeKB: 0.1 / exchangeRate, requestState: state})
+			got := float64(e.maxAge) / 1e9
+			if e.maxAge == forever {
 				got = 0
 			}
 			if math.Abs(got-c.want) > 1e-6 {
 				t.Errorf("age %v, want %v", got, c.want)
 			}
-			if held := e.age; e.age < forever && e.ageEnds != now+held {
-				t.Errorf("held until %v, want %v", e.ageEnds, now+held)
+			if held := e.maxAge; e.maxAge < forever && e.maxAgeUntil != now+held {
+				t.Errorf("held until %v, want %v", e.maxAgeUntil, now+held)
 			}
 		})
 	}
@@ -50,13 +50,13 @@
 	}{{"first tries count, scaled to the location", false, 2}, {"marked repeats do not", true, 0.2}} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
-			var e *entry
+			var e *objectRecord
 			for i := range 10 {
 				ret := ask("harmless", "a")
 				ret.ClientRetry = c.repeat && i > 0
-				e = r.note(start+10*second, ret)
+				e = r.recordRequest(start+10*second, ret)
 			}
-			if got := r.scaled(start+10*second, e); math.Abs(got-c.want) > 1e-9 {
+			if got := r.locationRate(start+10*second, e); math.Abs(got-c.want) > 1e-9 {
 				t.Errorf("rate %v, want %v", got, c.want)
 			}
 		})
@@ -65,17 +65,17 @@
 
 func TestGhostsKeepTheirRates(t *testing.T) {
 	r := newRouter(t, nil)
-	r.note(start, ask("harmless", "kept"))
-	for i := range tableSize + 5 {
-		r.note(start, ask("harmless", fmt.Sprint("other", i)))
+	r.recordRequest(start, ask("harmless", "kept"))
+	for i := range maxObjects + 5 {
+		r.recordRequest(start, ask("harmless", fmt.Sprint("other", i)))
 	}
-	e := r.table[entryKey{object: "kept"}]
-	if e == nil || !e.ghost {
+	e := r.objects[objectKey{object: "kept"}]
+	if e == nil || !e.evicted {
 		t.Fatal("an object pushed out is not among the ghosts")
 	}
-	again := r.note(start, ask("harmless", "kept"))
-	if again.ghost || again.count != 2 || r.live.Len() > tableSize {
-		t.Errorf("back from the ghosts: ghost %v, count %v, table %v", again.ghost, again.count, r.live.Len())
+	again := r.recordRequest(start, ask("harmless", "kept"))
+	if again.evicted || again.requestCount != 2 || r.recentObjects.Len() > maxObjects {
+		t.Errorf("back from the ghosts: ghost %v, count %v, table %v", again.evicted, again.requestCount, r.recentObjects.Len())
 	}
 }
 
@@ -194,15 +194,15 @@
 				line.StartedAt = start
 				r.UpdateEndpoints(start, append([]Endpoint{line}, fleet[3:]...), true)
 				r.UpdateEndpoints(start, fleet[:2], false)
-				r.fits(start, r.members[3], 0.5) // it has been looked at since its start
+				r.slowStartAdmits(start, r.endpoints[3], 0.5) // it has been looked at since its start
 				each := c.each
 				if n%10 == 0 {
 					each /= c.some
 				}
 				for now := start + c.from + int64(n)*each/routers; now < start+16*second; now += each {
-					if amount := 0.5; r.fits(now, r.members[3], amount) {
+					if amount := 0.5; r.slowStartAdmits(now, r.endpoints[3], amount) {
 						all = append(all, sending{now, amount})
-						r.members[3].charge(now, amount)
+						r.endpoints[3].charge(now, amount)
 					}
 				}
 			}
@@ -229,7 +229,7 @@
 func TestAskedForWhatIsHeld(t *testing.T) {
 	jammed := func(change Settings) *Router {
 		r := newRouter(t, change)
-		r.rooms[fills] = 0
+		r.admissionLimits[fills] = 0
 		return r
 	}
 	for _, c := range []struct {
@@ -242,7 +242,7 @@
 		{"it never expires", "stamped", func(*Router) {}, Send},
 		{"a purge was told", "harmless", func(r *Router) { r.Purge(start-second, "a", 0, start-second) }, Wait},
 		{"a purge of its group was told", "stamped", func(r *Router) { r.Purge(start-second, "", 1, start-second) }, Wait},
-		{"the cache is full of hits", "harmless", func(r *Router) { r.rooms[hits] = 0 }, Wait},
+		{"the cache is full of hits", "harmless", func(r *Router) { r.admissionLimits[hits] = 0 }, Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := jammed(nil)
@@ -266,7 +266,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := jammed(c.change), ask("harmless", "a")
 			for range c.denials {
-				r.denials.add(start)
+				r.sourceRefusals.add(start)
 			}
 			r.Decide(start, ret)
 			d := r.AttemptEnded(start, ret, Outcome{Result: NotHeld})
@@ -287,7 +287,7 @@
 		t.Run(fmt.Sprint("note ", c.note, ", the origin falls at ", c.fall), func(t *testing.T) {
 			r, ret := newRouter(t, Settings{"origin.fallFactor": c.fall}), ask("harmless", "a")
 			r.Decide(start, ret)
-			r.spare = 0
+			r.retryTokens = 0
 			d := r.AttemptEnded(start, ret, Outcome{Result: Overloaded, Note: c.note})
 			if got := d.Attempt.Source; c.want != 0 && got != c.want || c.want == 0 && got == 5 {
 				t.Errorf("%+v", d)
@@ -346,7 +346,7 @@
 		t.Run(fmt.Sprint(c.result), func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
 			r.Decide(start, ret)
-			r.spare = 0
+			r.retryTokens = 0
 			if d := r.AttemptEnded(start, ret, Outcome{Result: c.result}); d.Verdict != c.want {
 				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
 			}
@@ -369,7 +369,7 @@
 				}
 				d = r.Decide(now, ret)
 			}
-			if due := r.products["harmless"].due; d.Verdict != Reject || d.RetryAfter <= 0 || d.RetryAfter >= due/2 {
+			if due := r.classByName["harmless"].objective; d.Verdict != Reject || d.RetryAfter <= 0 || d.RetryAfter >= due/2 {
 				t.Errorf("verdict %v with advice %v", d.Verdict, d.RetryAfter)
 			}
 		})
@@ -403,7 +403,7 @@
 				}
 			}
 			for id := uint32(1); id <= 2; id++ {
-				if got := r.members[id].suspect; got != (id == c.want) {
+				if got := r.endpoints[id].ejected; got != (id == c.want) {
 					t.Errorf("cache %d suspect: %v", id, got)
 				}
 			}
@@ -418,8 +418,8 @@
 			}
 		}
 		r.Tick(start + 3*second)
-		if !r.members[1].suspect || r.members[2].suspect {
-			t.Errorf("suspect: %v, %v", r.members[1].suspect, r.members[2].suspect)
+		if !r.endpoints[1].ejected || r.endpoints[2].ejected {
+			t.Errorf("suspect: %v, %v", r.endpoints[1].ejected, r.endpoints[2].ejected)
 		}
 	})
 }
@@ -433,12 +433,12 @@
 	}{{"unreached", Unreachable, true}, {"only late", TimedOut, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
-			m := r.members[r.Decide(start, ret).Attempt.Cache]
-			m.suspect = true
+			m := r.endpoints[r.Decide(start, ret).Attempt.Cache]
+			m.ejected = true
 			r.AttemptEnded(start, ret, Outcome{Result: c.result, RequestEnded: true})
 			r.ProbeEnded(start+second, m.ID, true, nil)
-			if m.suspect || (m.coldFrom == start+second) != c.cold {
-				t.Errorf("suspect %v, cold from %v", m.suspect, m.coldFrom)
+			if m.ejected || (m.slowStartFrom == start+second) != c.cold {
+				t.Errorf("suspect %v, cold from %v", m.ejected, m.slowStartFrom)
 			}
 		})
 	}
@@ -455,13 +455,13 @@
 	}
 	later := start + second
 	for _, m := range r.caches { // they go on answering what they hold
-		m.heard = later
+		m.lastResponseAt = later
 	}
 	r.Tick(later)
-	r.check(later, r.members[3])
-	if !r.members[3].suspect || r.members[4].suspect || r.members[1].suspect || r.members[2].suspect {
-		t.Errorf("suspect: parents %v, %v, caches %v, %v", r.members[3].suspect, r.members[4].suspect,
-			r.members[1].suspect, r.members[2].suspect)
+	r.ejectIfOutlier(later, r.endpoints[3])
+	if !r.endpoints[3].ejected || r.endpoints[4].ejected || r.endpoints[1].ejected || r.endpoints[2].ejected {
+		t.Errorf("suspect: parents %v, %v, caches %v, %v", r.endpoints[3].ejected, r.endpoints[4].ejected,
+			r.endpoints[1].ejected, r.endpoints[2].ejected)
 	}
 }
 
@@ -479,7 +479,7 @@
 				sent++
 			}
 		}
-		if want := int(roomFirst[1] * 10 / 2); sent != want {
+		if want := int(initialAdmissionLimits[1] * 10 / 2); sent != want {
 			t.Errorf("%d fills in hand, want %d", sent, want)
 		}
 	})
@@ -489,14 +489,14 @@
 			for i := range 50 {
 				ret := ask("harmless", fmt.Sprint(i))
 				if ret.ClientRetry = marked; !marked {
-					r.giveUp(start-second/2, &Request{progress: progress{product: r.products["harmless"],
-						entry: r.note(start-second/2, ask("harmless", fmt.Sprint(i)))}})
+					r.rejectOrFail(start-second/2, &Request{requestState: requestState{class: r.classByName["harmless"],
+						record: r.recordRequest(start-second/2, ask("harmless", fmt.Sprint(i)))}})
 				}
 				if d := r.Decide(start, ret); d.Verdict == Send && !d.Attempt.CacheOnly {
 					sent++
 				}
 			}
-			if full := int(roomFirst[1] * 10 / 2); sent == 0 || sent >= full {
+			if full := int(initialAdmissionLimits[1] * 10 / 2); sent == 0 || sent >= full {
 				t.Errorf("%d repeats in hand, %d first tries", sent, full)
 			}
 		})
@@ -507,24 +507,24 @@
 			spent int64
 			sign  float64
 		}{{5 * second, -1}, {second / 10, 1}} {
-			ret, before := ask("harmless", fmt.Sprint(c.spent)), r.rooms[1]
+			ret, before := ask("harmless", fmt.Sprint(c.spent)), r.admissionLimits[1]
 			r.Decide(start, ret)
 			r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: c.spent})
-			if (r.rooms[1]-before)*c.sign <= 0 {
-				t.Errorf("room from %v to %v after an answer in %v", before, r.rooms[1], c.spent)
+			if (r.admissionLimits[1]-before)*c.sign <= 0 {
+				t.Errorf("room from %v to %v after an answer in %v", before, r.admissionLimits[1], c.spent)
 			}
 		}
 	})
 	t.Run("while tight it comes back faster than it grows otherwise", func(t *testing.T) {
 		grown := func(tight bool) float64 {
 			r := newRouter(t, nil)
-			r.rooms[1], r.tight[1] = 0.7, tight
+			r.admissionLimits[1], r.tight[1] = 0.7, tight
 			for i := range 20 {
 				ret := ask("harmless", fmt.Sprint(i))
 				r.Decide(start, ret)
 				r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 			}
-			return r.rooms[1] - 0.7
+			return r.admissionLimits[1] - 0.7
 		}
 		if tight, wide := grown(true), grown(false); tight < 1.5*wide || wide <= 0 {
 			t.Errorf("grew by %v while tight, %v otherwise", tight, wide)
@@ -536,8 +536,8 @@
 		home := r.Decide(start, first).Attempt.Cache
 		r.AttemptEnded(start, first, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 		for range 12 { // the home's room of 2 for its size, shared by two routers
-			m := r.members[home]
-			r.begin(m, &dispatch{sent: start, cache: m, lateFrom: forever})
+			m := r.endpoints[home]
+			r.attemptStarted(m, &attemptState{sentAt: start, cache: m, lateAt: forever})
 		}
 		if d := hold(r, "a"); d.Verdict != Send || d.Attempt.Cache == home {
 			t.Errorf("verdict %v, to %d", d.Verdict, d.Attempt.Cache)
@@ -553,14 +553,14 @@
 	}{{"what it lacks goes on as a fetch", NotHeld, Send}, {"what it holds is served", Succeeded, Wait}} {
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
-			r.tight[fills], r.rooms[fills] = true, 1
-			r.rooms[fetches] = roomMost
+			r.tight[fills], r.admissionLimits[fills] = true, 1
+			r.admissionLimits[fetches] = maxAdmissionLimit
 			other := ask("harmless", "other")
 			if r.Decide(start, other).Attempt.ParentOnlyIfCached {
 				t.Error("asked first though fetches come in time")
 			}
 			r.AttemptEnded(start, other, Outcome{Result: Succeeded, RequestEnded: true})
-			r.rooms[fetches] = roomFirst[fetches]
+			r.admissionLimits[fetches] = initialAdmissionLimits[fetches]
 			first := r.Decide(start, ret).Attempt
 			if !first.ParentOnlyIfCached {
 				t.Fatal("the parent may fetch")
@@ -569,7 +569,7 @@
 			if d.Verdict != c.want || d.Verdict == Send && (d.Attempt.ParentOnlyIfCached || d.Attempt.Source != first.Source) {
 				t.Errorf("then %+v", d)
 			}
-			if kinds := r.inTime(start); c.want == Send && (kinds[fetches] != 1 || kinds[fills] != 0) {
+			if kinds := r.inFlightWithinObjective(start); c.want == Send && (kinds[fetches] != 1 || kinds[fills] != 0) {
 				t.Errorf("in hand by kind: %v", kinds)
 			}
 		})
@@ -606,12 +606,12 @@
 	}{{1, 12, false}, {1, 9, true}, {10, 1, true}, {10, 2, false}} {
 		t.Run(fmt.Sprintf("%d in hand, one of %d routers", c.out, c.routers), func(t *testing.T) {
 			r := newRouter(t, Settings{"location.routers": []int64{0, c.routers, 2}})
-			m, ret := r.members[1], ask("harmless", "a")
-			ret.product, ret.entry = r.products["harmless"], &entry{servedUntil: forever}
+			m, ret := r.endpoints[1], ask("harmless", "a")
+			ret.class, ret.record = r.classByName["harmless"], &objectRecord{likelyHeldUntil: forever}
 			for range c.out {
-				r.begin(m, &dispatch{sent: start, cache: m, lateFrom: forever})
+				r.attemptStarted(m, &attemptState{sentAt: start, cache: m, lateAt: forever})
 			}
-			if got := r.room(start, ret, m); got != c.admits {
+			if got := r.admits(start, ret, m); got != c.admits {
 				t.Errorf("admitted: %v, load %.2f", got, r.load(start, m))
 			}
 		})
@@ -694,8 +694,8 @@
 		r.AttemptEnded(now, ret, Outcome{Result: Succeeded, RequestEnded: true})
 		r.Tick(now)
 	}
-	if len(r.members) > len(fleet)+1 {
-		t.Errorf("%d members kept", len(r.members))
+	if len(r.endpoints) > len(fleet)+1 {
+		t.Errorf("%d members kept", len(r.endpoints))
 	}
 }
 
@@ -733,7 +733,7 @@
 		{"a report of nothing", func(float64) []float64 { return []float64{0, 0} }, 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, Settings{"report.fields": []string{"x1", "inHand"}})
-			r.rooms = [3]float64{roomMost, roomMost, roomMost}
+			r.admissionLimits = [3]float64{maxAdmissionLimit, maxAdmissionLimit, maxAdmissionLimit}
 			var out []*Request
 			for n := range 20 {
 				ret := ask("harmless", fmt.Sprint(n))
@@ -742,10 +742,10 @@
 				}
 			}
 			for _, ret := range out {
-				own := float64(len(ret.dispatches[0].cache.out))
+				own := float64(len(ret.attempts[0].cache.inFlight))
 				r.AttemptEnded(start+second/10, ret, Outcome{Result: Succeeded, RequestEnded: true, LoadReport: c.told(own)})
 			}
-			if got := r.sharing(); math.Abs(got-c.want) > 0.01 {
+			if got := r.effectiveSharers(); math.Abs(got-c.want) > 0.01 {
 				t.Errorf("%d answers: %v, want %v", len(out), got, c.want)
 			}
 		})
@@ -778,8 +778,8 @@
 			}
 			ret := ask("harmless", "x")
 			r.Decide(now, ret)
-			now += r.dueIn(ret, 0) * c.waited / 10
-			if d := r.Decide(now, ret); d.Verdict != c.want || d.Verdict == Send && d.Attempt.Cache == ret.dispatches[0].cache.ID {
+			now += r.objectiveFor(ret, 0) * c.waited / 10
+			if d := r.Decide(now, ret); d.Verdict != c.want || d.Verdict == Send && d.Attempt.Cache == ret.attempts[0].cache.ID {
 				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
 			}
 		})
@@ -798,9 +798,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := newRouter(t, Settings{"product.dueStretch": []float64{2, 2, 2}}), ask("harmless", "a")
 			r.Decide(start, ret)
-			kind := ret.dispatches[0].kind
+			kind := ret.attempts[0].kind
 			r.AttemptEnded(start+c.spent, ret, Outcome{Result: Succeeded, Elapsed: c.spent, SendingTime: c.sending, RequestEnded: true})
-			if late := r.rooms[kind] < roomFirst[kind]; late != c.late {
+			if late := r.admissionLimits[kind] < initialAdmissionLimits[kind]; late != c.late {
 				t.Errorf("late: %v, want %v", late, c.late)
 			}
 		})
@@ -819,13 +819,13 @@
 		{"one in twelve of hundreds", 200, 12, false, false}, {"the last one that is left", 200, 4, true, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
-			slow := r.members[3]
-			r.members[4].suspect = c.lost
+			slow := r.endpoints[3]
+			r.endpoints[4].ejected = c.lost
 			for n := range c.answers {
-				for _, m := range []*member{slow, r.members[4]} {
+				for _, m := range []*endpointState{slow, r.endpoints[4]} {
 					ret := ask("harmless", fmt.Sprint(n, m.ID))
-					d := &dispatch{sent: start, cache: r.members[1], source: m, kind: fills, lateFrom: start + second}
-					ret.product, ret.entry, ret.dispatches, ret.out = r.products["harmless"], &entry{}, []*dispatch{d}, 1
+					d := &attemptState{sentAt: start, cache: r.endpoints[1], source: m, kind: fills, lateAt: start + second}
+					ret.class, ret.record, ret.attempts, ret.inFlight = r.classByName["harmless"], &objectRecord{}, []*attemptState{d}, 1
 					o := Outcome{Result: Succeeded, Note: 2, Elapsed: second / 10, RequestEnded: true}
 					if m == slow && n%c.late == c.late-1 {
 						o.Elapsed = 4 * second
@@ -833,8 +833,8 @@
 					r.AttemptEnded(start, ret, o)
 				}
 			}
-			if slow.suspect != c.want || r.members[4].suspect != c.lost {
-				t.Errorf("suspect %v, want %v; the other %v", slow.suspect, c.want, r.members[4].suspect)
+			if slow.ejected != c.want || r.endpoints[4].ejected != c.lost {
+				t.Errorf("suspect %v, want %v; the other %v", slow.ejected, c.want, r.endpoints[4].ejected)
 			}
 		})
 	}
@@ -874,8 +874,8 @@
 	next := make(later)
 	next.Restore(later, m, true)
 	rate := func(r *Router, at int64, object string) float64 {
-		e := r.table[entryKey{object, 0}]
-		return r.rate(at, e.count, e.counted)
+		e := r.objects[objectKey{object, 0}]
+		return r.requestRate(at, e.requestCount, e.countedAt)
 	}
 	for _, object := range []string{"a", "b"} {
 		if was, is := rate(r, now, object), rate(next, later, object); math.Abs(was-is) > 1e-9 || is == 0 {
@@ -887,7 +887,7 @@
 	}
 	without := make(later)
 	without.Restore(later, m, false)
-	if e := without.table[entryKey{"b", 0}]; e == nil || e.count != 0 || e.purges != 1 || without.total != 0 {
+	if e := without.objects[objectKey{"b", 0}]; e == nil || e.requestCount != 0 || e.purgeCount != 1 || without.requestCount != 0 {
 		t.Errorf("%+v", e)
 	}
 	if one := r.Snapshot(now, 1); len(one.Objects) != 1 || one.Objects[0].Object != "a" {
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -117,7 +117,7 @@
 	fmt.Fprintln(p.digest, what, p.now, t.Object, int(d.Verdict), d.RetryAfter, d.Cancel, to.Cache, to.CacheOnly, to.Source, to.CachePriority, to.MaxAge,
 		to.JoinFill, to.RefreshBehind, to.ParentOnlyIfCached, to.ParentNoStore, to.Timeout, to.SendTimeout)
 	p.seen[fmt.Sprint(what, d.Verdict)]++
-	if d.Verdict == Send && t.away {
+	if d.Verdict == Send && t.diverted {
 		p.seen["away"]++
 	}
 	if d.Verdict == Send && d.Attempt.CacheOnly {
@@ -138,8 +138,8 @@
 
 // outcome draws how a dispatch ends.
 func (p *drawnPlay) outcome(t *Request, number int) Outcome {
-	d := t.dispatches[number]
-	o := Outcome{Attempt: number, Result: Succeeded, Elapsed: p.now - d.sent, Note: int64(p.rng.IntN(4)), SharedCause: p.rng.IntN(10) == 0}
+	d := t.attempts[number]
+	o := Outcome{Attempt: number, Result: Succeeded, Elapsed: p.now - d.sentAt, Note: int64(p.rng.IntN(4)), SharedCause: p.rng.IntN(10) == 0}
 	chance := 15
 	if p.failing[d.cache.ID] || d.source != nil && p.failing[d.source.ID] {
 		chance = 2
@@ -160,7 +160,7 @@
 
 // end ends a drawn dispatch that is out.
 func (p *drawnPlay) end(t *Request) {
-	for number, d := range t.dispatches {
+	for number, d := range t.attempts {
 		if !d.ended && p.rng.IntN(2) == 0 {
 			p.decided("after", t, p.router.AttemptEnded(p.now, t, p.outcome(t, number)))
 			return
@@ -252,10 +252,10 @@
 		}
 	}
 	p.retrieval = slices.DeleteFunc(p.retrieval, func(t *Request) bool {
-		if t.out == 0 && !t.done && p.now > t.Deadline {
+		if t.inFlight == 0 && !t.ended && p.now > t.Deadline {
 			r.ClientGone(p.now, t)
 		}
-		return t.out == 0 && t.done || t.entry == nil
+		return t.inFlight == 0 && t.ended || t.record == nil
 	})
 }
 
--- a/control/endings_test.go
+++ b/control/endings_test.go
@@ -64,7 +64,7 @@
 				t.Fatalf("at once: verdict %v, want %v", d.Verdict, c.want)
 			}
 			wait := r.RecheckDelay(now, ret)
-			if c.then == Send && (wait <= 0 || wait > 2*holdStep) {
+			if c.then == Send && (wait <= 0 || wait > 2*holdInterval) {
 				t.Fatalf("asked again in %d", wait)
 			}
 			if d := r.Decide(now+wait, ret); c.want == Wait && d.Verdict != c.then {
--- a/control/memory.go
+++ b/control/memory.go
@@ -57,19 +57,19 @@
 
 // Snapshot gives what was learned, with so many objects at most.
 func (r *Router) Snapshot(now int64, most int) Snapshot {
-	m := Snapshot{StartedAt: r.started, TakenAt: now, RequestCount: r.total, RequestCountAt: r.totalAt, AdmissionLimits: r.rooms}
-	for _, name := range slices.Sorted(maps.Keys(r.products)) {
-		p := r.products[name]
-		m.Classes = append(m.Classes, ClassSnapshot{name, p.sending, p.answer, p.seen})
+	m := Snapshot{StartedAt: r.startedAt, TakenAt: now, RequestCount: r.requestCount, RequestCountAt: r.requestCountAt, AdmissionLimits: r.admissionLimits}
+	for _, name := range slices.Sorted(maps.Keys(r.classByName)) {
+		p := r.classByName[name]
+		m.Classes = append(m.Classes, ClassSnapshot{name, p.sendingTime, p.responseTime, p.samples})
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.purges)) {
 		m.Purges = append(m.Purges, PurgeSnapshot{name, r.purges[name].stamp})
 	}
-	for _, of := range []*list.List{r.live, r.ghosts} {
+	for _, of := range []*list.List{r.recentObjects, r.evictedObjects} {
 		for at := of.Front(); at != nil && len(m.Objects) < most; at = at.Next() {
-			e := at.Value.(*entry)
-			m.Objects = append(m.Objects, ObjectSnapshot{Object: e.key.object, Part: e.key.part, Group: e.group, Count: e.count,
-				Purges: e.purges, CountedAt: e.counted, FirstSeenAt: e.born, Evicted: e.ghost})
+			e := at.Value.(*objectRecord)
+			m.Objects = append(m.Objects, ObjectSnapshot{Object: e.key.object, Part: e.key.part, Group: e.group, Count: e.requestCount,
+				Purges: e.purgeCount, CountedAt: e.countedAt, FirstSeenAt: e.firstSeenAt, Evicted: e.evicted})
 		}
 	}
 	slices.Reverse(m.Objects)
@@ -81,33 +81,33 @@
 func (r *Router) Restore(now int64, m Snapshot, rates bool) {
 	gone := max(0, now-m.TakenAt)
 	for _, p := range m.Classes {
-		if own := r.products[p.Name]; own != nil && p.SendingTime > 0 && p.ResponseTime > 0 {
-			own.sending, own.answer, own.seen = p.SendingTime, p.ResponseTime, max(own.seen, p.Samples)
+		if own := r.classByName[p.Name]; own != nil && p.SendingTime > 0 && p.ResponseTime > 0 {
+			own.sendingTime, own.responseTime, own.samples = p.SendingTime, p.ResponseTime, max(own.samples, p.Samples)
 		}
 	}
 	for _, p := range m.Purges {
 		r.purges[p.Name] = r.purges[p.Name].with(now, p.PurgedAt)
 	}
 	if rates {
-		r.started, r.total, r.totalAt = min(m.StartedAt+gone, now), m.RequestCount, min(m.RequestCountAt+gone, now)
+		r.startedAt, r.requestCount, r.requestCountAt = min(m.StartedAt+gone, now), m.RequestCount, min(m.RequestCountAt+gone, now)
 		for i, room := range m.AdmissionLimits {
-			r.rooms[i] = max(roomLeast, min(cmp.Or(room, roomFirst[i]), roomMost))
+			r.admissionLimits[i] = max(minAdmissionLimit, min(cmp.Or(room, initialAdmissionLimits[i]), maxAdmissionLimit))
 		}
 	}
 	for _, o := range m.Objects {
-		key := entryKey{o.Object, o.Part}
-		if r.table[key] != nil || len(r.table) >= 2*tableSize {
+		key := objectKey{o.Object, o.Part}
+		if r.objects[key] != nil || len(r.objects) >= 2*maxObjects {
 			continue
 		}
-		e := &entry{key: key, group: o.Group, born: min(o.FirstSeenAt, now), purges: o.Purges, counted: now, ghost: o.Evicted}
+		e := &objectRecord{key: key, group: o.Group, firstSeenAt: min(o.FirstSeenAt, now), purgeCount: o.Purges, countedAt: now, evicted: o.Evicted}
 		if rates {
-			e.count, e.counted = o.Count, min(o.CountedAt+gone, now)
+			e.requestCount, e.countedAt = o.Count, min(o.CountedAt+gone, now)
 		}
-		if e.ghost {
-			e.place = r.ghosts.PushFront(e)
+		if e.evicted {
+			e.element = r.evictedObjects.PushFront(e)
 		} else {
-			e.place = r.live.PushFront(e)
+			e.element = r.recentObjects.PushFront(e)
 		}
-		r.table[key] = e
+		r.objects[key] = e
 	}
 }
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -16,32 +16,32 @@
 // reference for the selection and the kept counts.
 
 // plainRank orders members by rendezvous hashing weighted by size.
-func plainRank(key entryKey, members []*member) []*member {
+func plainRank(key objectKey, members []*endpointState) []*endpointState {
 	h := fnv.New64a()
 	h.Write(binary.LittleEndian.AppendUint64([]byte(key.object), uint64(key.part)))
-	scores := make(map[*member]float64, len(members))
+	scores := make(map[*endpointState]float64, len(members))
 	for _, m := range members {
 		x := (h.Sum64() ^ uint64(m.ID)) * 0xff51afd7ed558ccd
 		x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
-		scores[m] = -math.Log((float64((x^x>>33)>>11)+0.5)/(1<<53)) / m.weight
+		scores[m] = -math.Log((float64((x^x>>33)>>11)+0.5)/(1<<53)) / m.hashWeight
 	}
 	ranked := slices.Clone(members)
-	slices.SortFunc(ranked, func(a, b *member) int {
+	slices.SortFunc(ranked, func(a, b *endpointState) int {
 		return cmp.Or(cmp.Compare(scores[a], scores[b]), cmp.Compare(a.ID, b.ID))
 	})
 	return ranked
 }
 
 // plainInHand is what is out at some caches and may be in time, in all and by kind, and their size.
-func plainInHand(r *Router, now int64, members []*member) (out float64, kinds [3]float64, units float64) {
+func plainInHand(r *Router, now int64, members []*endpointState) (out float64, kinds [3]float64, units float64) {
 	for _, m := range members {
-		if r.told() {
+		if r.capacitiesConfigured() {
 			units += m.Capacity
 		} else {
-			units += r.measuredSize(now)
+			units += r.measuredCapacity(now)
 		}
-		for _, d := range m.out {
-			if now < d.lateFrom {
+		for _, d := range m.inFlight {
+			if now < d.lateAt {
 				out, kinds[d.kind] = out+1, kinds[d.kind]+1
 			}
 		}
@@ -50,35 +50,35 @@
 }
 
 // plainLoads is what each cache has in hand for its size.
-func plainLoads(r *Router, now int64) map[*member]float64 {
+func plainLoads(r *Router, now int64) map[*endpointState]float64 {
 	out, _, units := plainInHand(r, now, r.caches)
-	loads := map[*member]float64{}
+	loads := map[*endpointState]float64{}
 	for _, m := range r.caches {
-		own, _, size := plainInHand(r, now, []*member{m})
-		loads[m] = (own + out*r.sharing()/units) / (size/r.sharing() + 1)
+		own, _, size := plainInHand(r, now, []*endpointState{m})
+		loads[m] = (own + out*r.effectiveSharers()/units) / (size/r.effectiveSharers() + 1)
 	}
 	return loads
 }
 
 // plainSigns is the evidence on a member.
-func plainSigns(r *Router, now int64, m *member) (silent, good, bad float64) {
-	answer, longest := r.most(func(p *product) float64 { return p.answer }), 0.
-	for _, d := range m.out {
+func plainSigns(r *Router, now int64, m *endpointState) (silent, good, bad float64) {
+	answer, longest := r.largest(func(p *classState) float64 { return p.responseTime }), 0.
+	for _, d := range m.inFlight {
 		if d.cache == m || d.kind > hits {
-			waited := float64(now-max(d.sent, m.heard)) / 1e9 / answer
-			silent, longest = silent+min(silentMost, waited), max(longest, waited)
+			waited := float64(now-max(d.sentAt, m.lastResponseAt)) / 1e9 / answer
+			silent, longest = silent+min(maxSilencePerAttempt, waited), max(longest, waited)
 		}
 	}
-	if longest < silentLeast {
+	if longest < minSilence {
 		silent = 0
 	}
-	return silent, fade(m.good, now-m.scored, healthSpan), fade(m.bad, now-m.scored, healthSpan)
+	return silent, decay(m.successes, now-m.scoredAt, healthWindow), decay(m.failures, now-m.scoredAt, healthWindow)
 }
 
 // plainPeerSigns sums up the evidence on all peers of a member.
-func plainPeerSigns(r *Router, now int64, m *member) (silent, good, bad float64) {
+func plainPeerSigns(r *Router, now int64, m *endpointState) (silent, good, bad float64) {
 	peers := r.caches
-	if m.Location != r.home {
+	if m.Location != r.location {
 		peers = r.parents
 	}
 	for _, peer := range peers {
@@ -91,16 +91,16 @@
 }
 
 // plainTiers sorts the members by what they may do.
-func plainTiers(r *Router) (caches, parents []*member, origin *member) {
-	for _, id := range slices.Sorted(maps.Keys(r.members)) {
-		m := r.members[id]
+func plainTiers(r *Router) (caches, parents []*endpointState, origin *endpointState) {
+	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
+		m := r.endpoints[id]
 		switch {
 		case !m.listed || m.Phase != "ready":
 		case m.Kind == "origin":
 			origin = cmp.Or(origin, m)
 		case m.Kind == "parent":
 			parents = append(parents, m)
-		case m.Location == r.home:
+		case m.Location == r.location:
 			caches = append(caches, m)
 		}
 	}
@@ -108,30 +108,30 @@
 }
 
 // plainPlace picks the cache and the fill source from the whole ranking.
-func plainPlace(r *Router, now int64, t *Request) (cache, source *member) {
-	ranked, spread := plainRank(t.entry.key, r.caches), 1
-	if t.neverKept() {
+func plainPlace(r *Router, now int64, t *Request) (cache, source *endpointState) {
+	ranked, spread := plainRank(t.record.key, r.caches), 1
+	if t.isUncacheable() {
 		spread = len(ranked)
-	} else if n := float64(len(ranked)); n > 1 && t.entry.count >= hotLeast {
-		hot := r.rate(now, t.entry.count, t.entry.counted) * n / (hotShare * r.rate(now, r.total, r.totalAt))
+	} else if n := float64(len(ranked)); n > 1 && t.record.requestCount >= minHotRequests {
+		hot := r.requestRate(now, t.record.requestCount, t.record.countedAt) * n / (hotShare * r.requestRate(now, r.requestCount, r.requestCountAt))
 		spread = max(1, min(1+int(hot), 3, len(ranked)))
 	}
 	loads := plainLoads(r, now)
-	slices.SortStableFunc(ranked[:min(spread, len(ranked))], func(a, b *member) int { return cmp.Compare(loads[a], loads[b]) })
-	t.away = false
-	if cache = plainPick(r, now, t, ranked); cache != nil && t.entry.servedUntil > now && !r.room(now, t, cache) {
-		roomy := slices.DeleteFunc(ranked, func(m *member) bool { return loads[m] >= r.rooms[0]/2 })
+	slices.SortStableFunc(ranked[:min(spread, len(ranked))], func(a, b *endpointState) int { return cmp.Compare(loads[a], loads[b]) })
+	t.diverted = false
+	if cache = plainPick(r, now, t, ranked); cache != nil && t.record.likelyHeldUntil > now && !r.admits(now, t, cache) {
+		roomy := slices.DeleteFunc(ranked, func(m *endpointState) bool { return loads[m] >= r.admissionLimits[0]/2 })
 		if other := plainPick(r, now, t, roomy); other != nil {
-			cache, t.away = other, true
+			cache, t.diverted = other, true
 		}
 	}
-	sources := plainRank(t.entry.key, r.parents)
+	sources := plainRank(t.record.key, r.parents)
 	switch {
 	case r.origin == nil:
-	case t.neverKept():
-		sources = append([]*member{r.origin}, sources...)
-	case t.denied() && r.originStands():
-		sources = []*member{r.origin}
+	case t.isUncacheable():
+		sources = append([]*endpointState{r.origin}, sources...)
+	case t.sourceRefused() && r.originUnlimited():
+		sources = []*endpointState{r.origin}
 	default:
 		sources = append(sources, r.origin)
 	}
@@ -139,23 +139,23 @@
 }
 
 // plainPick picks from a whole ranking: it is given as the batch of a selection that has nothing after it.
-func plainPick(r *Router, now int64, t *Request, ranked []*member) *member {
-	whole := &candidates{tier: &tier{memberList: memberList{ranked}}, exhausted: true, lastGiven: true}
+func plainPick(r *Router, now int64, t *Request, ranked []*endpointState) *endpointState {
+	whole := &candidates{tier: &tier{endpointList: endpointList{ranked}}, exhausted: true, lastGiven: true}
 	for i := range ranked {
 		whole.batch = append(whole.batch, candidate{index: i})
 	}
-	return r.pick(now, t, whole)
+	return r.firstUsable(now, t, whole)
 }
 
 // routerState is what a decision on the place changes.
 type routerState struct {
 	draws   uint32
-	members map[uint32]member
+	members map[uint32]endpointState
 }
 
 func stateOf(r *Router) routerState {
-	s := routerState{r.draws, map[uint32]member{}}
-	for id, m := range r.members {
+	s := routerState{r.draws, map[uint32]endpointState{}}
+	for id, m := range r.endpoints {
 		s.members[id] = *m
 	}
 	return s
@@ -164,15 +164,15 @@
 func (s routerState) restore(r *Router) {
 	r.draws = s.draws
 	for id, m := range s.members {
-		*r.members[id] = m
+		*r.endpoints[id] = m
 	}
 }
 
 // equal compares what a decision on the place may change.
 func (s routerState) equal(other routerState) bool {
-	return s.draws == other.draws && maps.EqualFunc(s.members, other.members, func(a, b member) bool {
-		return a.suspect == b.suspect && a.trialAt == b.trialAt && a.backoff == b.backoff && a.trial == b.trial &&
-			reflect.DeepEqual(a.recovery, b.recovery)
+	return s.draws == other.draws && maps.EqualFunc(s.members, other.members, func(a, b endpointState) bool {
+		return a.ejected == b.ejected && a.nextProbeAt == b.nextProbeAt && a.probeBackoff == b.probeBackoff && a.probing == b.probing &&
+			reflect.DeepEqual(a.slowStart, b.slowStart)
 	})
 }
 
@@ -188,19 +188,19 @@
 	check("parents", slices.Equal(r.parents, parents), true)
 	check("origin", r.origin, origin)
 	out, kinds, units := plainInHand(r, now, caches)
-	inTime := r.inTime(now)
+	inTime := r.inFlightWithinObjective(now)
 	check("in time", float64(inTime.sum()), out)
 	for kind := range kinds {
 		check(fmt.Sprint("in time of kind ", kind), float64(inTime[kind]), kinds[kind])
 	}
-	check("units", r.units(now), units)
+	check("units", r.locationCapacity(now), units)
 	for m, load := range plainLoads(r, now) {
 		check(fmt.Sprint("load of ", m.ID), r.load(now, m), load)
 	}
-	some := slices.Sorted(maps.Keys(r.members))
+	some := slices.Sorted(maps.Keys(r.endpoints))
 	for i := range min(4, len(some)) {
-		m := r.members[some[(int(now)+i)%len(some)]]
-		silent, good, bad := r.peerSigns(now, m)
+		m := r.endpoints[some[(int(now)+i)%len(some)]]
+		silent, good, bad := r.peerEvidence(now, m)
 		plainSilent, plainGood, plainBad := plainPeerSigns(r, now, m)
 		check(fmt.Sprint("evidence on the peers of ", m.ID), [3]float64{silent, good, bad}, [3]float64{plainSilent, plainGood, plainBad})
 	}
@@ -208,14 +208,14 @@
 }
 
 // plainlySuspect tells whether the plain check would find a cache suspect.
-func plainlySuspect(r *Router, now int64, m *member) bool {
+func plainlySuspect(r *Router, now int64, m *endpointState) bool {
 	silent, good, bad := plainSigns(r, now, m)
-	if m.suspect || silent < silentFrom && bad < badFrom {
+	if m.ejected || silent < silenceThreshold && bad < failureThreshold {
 		return false
 	}
 	allSilent, allGood, allBad := plainPeerSigns(r, now, m)
 	silent -= allSilent / float64(max(1, len(r.caches)-1))
-	return silent >= silentFrom || bad >= badFrom && bad/(good+bad)-allBad/max(allGood+allBad, 1) >= badShare
+	return silent >= silenceThreshold || bad >= failureThreshold && bad/(good+bad)-allBad/max(allGood+allBad, 1) >= failureShareThreshold
 }
 
 // overlooked gives the members that the plain periodic check would find suspect, or probe, and that it passes over
@@ -224,8 +224,8 @@
 	all := r.cacheEvidence(now)
 	for _, m := range r.caches {
 		_, watched := r.watched.search(m)
-		checked := watched && m.mayBeSuspect(now) && r.mayStandOut(now, m, all)
-		if !watched && m.suspect || !checked && plainlySuspect(r, now, m) {
+		checked := watched && m.mayBeEjected(now) && r.mayBeOutlier(now, m, all)
+		if !watched && m.ejected || !checked && plainlySuspect(r, now, m) {
 			found = append(found, m.ID)
 		}
 	}
@@ -246,21 +246,21 @@
 				continue
 			}
 			ret := p.retrieval[p.rng.IntN(len(p.retrieval))]
-			p.router.expire(p.now) // else the counts restored would be those of before
+			p.router.markLate(p.now) // else the counts restored would be those of before
 			before := stateOf(p.router)
 			wantCache, wantSource := plainPlace(p.router, p.now, ret)
-			wantAway, want := ret.away, stateOf(p.router)
+			wantAway, want := ret.diverted, stateOf(p.router)
 			before.restore(p.router)
-			cache, source := p.router.place(p.now, ret)
-			if same := stateOf(p.router).equal(want); cache != wantCache || source != wantSource || ret.away != wantAway || !same {
+			cache, source := p.router.selectEndpoints(p.now, ret)
+			if same := stateOf(p.router).equal(want); cache != wantCache || source != wantSource || ret.diverted != wantAway || !same {
 				t.Fatalf("seed %d, case %d: cache %v, source %v, away %v, plainly %v, %v, %v; the same effects: %v", seed, cases,
-					name(cache), name(source), ret.away, name(wantCache), name(wantSource), wantAway, same)
+					name(cache), name(source), ret.diverted, name(wantCache), name(wantSource), wantAway, same)
 			}
 			cases++
-			if cache != nil && cache != plainRank(ret.entry.key, p.router.caches)[0] {
+			if cache != nil && cache != plainRank(ret.record.key, p.router.caches)[0] {
 				seen["not the first"]++
 			}
-			if ret.away {
+			if ret.diverted {
 				seen["away"]++
 			}
 		}
@@ -270,7 +270,7 @@
 	}
 }
 
-func name(m *member) any {
+func name(m *endpointState) any {
 	if m == nil {
 		return "none"
 	}
@@ -318,16 +318,16 @@
 		r.UpdateEndpoints(start, lines, true)
 		for _, m := range r.caches {
 			for range p.rng.IntN(4) * p.rng.IntN(2) {
-				r.begin(m, &dispatch{sent: start, cache: m, kind: p.rng.IntN(3), lateFrom: start + p.rng.Int64N(second)})
+				r.attemptStarted(m, &attemptState{sentAt: start, cache: m, kind: p.rng.IntN(3), lateAt: start + p.rng.Int64N(second)})
 			}
 		}
 		now := start + p.rng.Int64N(second)
 		for n := range 100 {
 			ret := ask("harmless", fmt.Sprint(round, n))
-			ret.product, ret.entry, ret.Write = r.products["harmless"], &entry{key: entryKey{object: ret.Object}}, n%4 == 0
-			want := plainRank(ret.entry.key, r.caches)
+			ret.class, ret.record, ret.Write = r.classByName["harmless"], &objectRecord{key: objectKey{object: ret.Object}}, n%4 == 0
+			want := plainRank(ret.record.key, r.caches)
 			if ret.Write {
-				slices.SortStableFunc(want, func(a, b *member) int { return cmp.Compare(r.load(now, a), r.load(now, b)) })
+				slices.SortStableFunc(want, func(a, b *endpointState) int { return cmp.Compare(r.load(now, a), r.load(now, b)) })
 			}
 			got, most := r.cacheCandidates(now, ret), len(want)
 			if n%10 > 1 {
--- a/control/purges.go
+++ b/control/purges.go
@@ -16,39 +16,39 @@
 const purgeMargin = second / 1000
 
 // purge is the last told purge of an object with all its parts, or of a group.
-type purge struct {
+type purgeState struct {
 	stamp int64 // Unix ns by the clock of the journal service; 0: none that can be used
 	told  int64 // when it was told here, on our axis
 }
 
 // with is what stands after one more purge was told; p is nil before the first. One with an earlier stamp than the last is told again, or one of the two
 // stamps is wrong: then neither counts.
-func (p *purge) with(now, stamp int64) *purge {
+func (p *purgeState) with(now, stamp int64) *purgeState {
 	if stamp <= 0 || p != nil && stamp < p.stamp {
 		stamp = 0
 	}
-	return &purge{stamp: stamp, told: now}
+	return &purgeState{stamp: stamp, told: now}
 }
 
 // byStamp tells whether the stamp can be right on our axis: what was told was over.
-func (p *purge) byStamp(trusted bool) bool { return trusted && p.stamp > 0 && p.stamp <= p.told }
+func (p *purgeState) byStamp(trusted bool) bool { return trusted && p.stamp > 0 && p.stamp <= p.told }
 
 // purgesOf are the told purges of a retrieval's object and of its group, nil where there is none.
-func (r *Router) purgesOf(t *Request) (of [2]*purge) {
+func (r *Router) purgesOf(t *Request) (of [2]*purgeState) {
 	if len(r.purges) > 0 {
-		of = [2]*purge{r.purges["o"+t.Object], r.purges[groupName(t.Group)]}
+		of = [2]*purgeState{r.purges["o"+t.Object], r.purges[groupName(t.Group)]}
 	}
 	return of
 }
 
 // youngEnough lowers an accepted age to what the told purges leave at the sending. It is never 0, which means the fresh time.
-func (r *Router) youngEnough(now int64, t *Request, age int64) int64 {
+func (r *Router) limitAgeByPurges(now int64, t *Request, age int64) int64 {
 	for _, p := range r.purgesOf(t) {
 		if p == nil {
 			continue
 		}
 		since := p.told
-		if p.byStamp(!r.outdated) {
+		if p.byStamp(!r.clockAhead) {
 			since = p.stamp
 		}
 		if limit := max(now-since-purgeMargin, 1000); age == 0 || limit < age {
@@ -60,12 +60,12 @@
 
 // issuedFrom is from when on a copy must have been issued, by its own stamp, where the accepted age goes by a purge's stamp;
 // 0 is no bound.
-func (r *Router) issuedFrom(t *Request) (from int64) {
-	if t.neverKept() {
+func (r *Router) minIssuedAt(t *Request) (from int64) {
+	if t.isUncacheable() {
 		return 0 // no copy
 	}
 	for _, p := range r.purgesOf(t) {
-		if p != nil && p.byStamp(!r.outdated) {
+		if p != nil && p.byStamp(!r.clockAhead) {
 			from = max(from, p.stamp)
 		}
 	}
@@ -75,20 +75,20 @@
 // AcceptsCopy tells whether a copy may be served that an attempt of a request has brought, issued at a Unix time in ns by the
 // origin's clock; 0 or less is no copy. One that may not ends its attempt as Stale.
 func (r *Router) AcceptsCopy(now int64, t *Request, number int, issued int64) bool {
-	if issued <= 0 || number < 0 || number >= len(t.dispatches) {
+	if issued <= 0 || number < 0 || number >= len(t.attempts) {
 		return true
 	}
-	if ahead := max(0, now-issued); !r.leadKnown || ahead < r.lead {
-		r.lead, r.leadKnown = ahead, true
+	if ahead := max(0, now-issued); !r.clockLeadKnown || ahead < r.maxClockLead {
+		r.maxClockLead, r.clockLeadKnown = ahead, true
 	}
-	return issued >= t.dispatches[number].issuedFrom
+	return issued >= t.attempts[number].minIssuedAt
 }
 
 // distrust notes that a cache has sent an older copy than a purge's stamp allows, within the age that was asked for: our axis is
 // ahead of the others' clocks. From then on purges count from when they are told.
-func (r *Router) distrust() {
-	if !r.outdated {
-		r.outdated = true
+func (r *Router) distrustStamps() {
+	if !r.clockAhead {
+		r.clockAhead = true
 		r.log("a copy from before a purge came: this clock is ahead of others, purges count from when they are told")
 	}
 }
@@ -96,6 +96,6 @@
 // coldSince is when a member started, on our axis. Its stamp is another machine's, and an axis that is ahead would have it
 // warm too soon (rule 4). No copy can come before its issue, so the youngest that ever came shows how far ahead the axis can
 // be at most; and nobody started after it was told that it had.
-func (r *Router) coldSince(m *member) int64 {
-	return min(m.coldFrom, m.coldTold-r.lead) + r.lead
+func (r *Router) slowStartSince(m *endpointState) int64 {
+	return min(m.slowStartFrom, m.slowStartToldAt-r.maxClockLead) + r.maxClockLead
 }
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -55,7 +55,7 @@
 					t.Errorf("try %d: %+v", try, d)
 					return true
 				}
-				issued := worst(asked, d.Attempt, r.products[product].fresh)
+				issued := worst(asked, d.Attempt, r.classByName[product].freshDuration)
 				if r.AcceptsCopy(asked+off, ret, try, issued) {
 					if issued < purged {
 						t.Errorf("a copy of %v before the purge is served, asked for with age %v", purged-issued, d.Attempt.MaxAge)
@@ -119,7 +119,7 @@
 			if c.most > 0 && d.MaxAge != c.most || c.most == 0 && d.MaxAge < start {
 				t.Errorf("age %v, want %v", d.MaxAge, c.most)
 			}
-			if from := ret.dispatches[0].issuedFrom; from != c.from {
+			if from := ret.attempts[0].minIssuedAt; from != c.from {
 				t.Errorf("copies from %v on, want %v", from, c.from)
 			}
 		})
@@ -149,8 +149,8 @@
 			if c.age > 0 && d.MaxAge != c.age {
 				t.Errorf("age %v, want %v", d.MaxAge, c.age)
 			}
-			if last := c.stamps[len(c.stamps)-1]; c.age == 0 && (ret.dispatches[0].issuedFrom != last || r.AcceptsCopy(start+4*second, ret, 0, last-1)) {
-				t.Errorf("copies from %v on", ret.dispatches[0].issuedFrom)
+			if last := c.stamps[len(c.stamps)-1]; c.age == 0 && (ret.attempts[0].minIssuedAt != last || r.AcceptsCopy(start+4*second, ret, 0, last-1)) {
+				t.Errorf("copies from %v on", ret.attempts[0].minIssuedAt)
 			}
 		})
 	}
@@ -190,7 +190,7 @@
 				line.StartedAt = began
 				told := began + off + second
 				r.UpdateEndpoints(told, []Endpoint{line}, false)
-				since := r.coldSince(r.members[1]) - off // on the world's clock
+				since := r.slowStartSince(r.endpoints[1]) - off // on the world's clock
 				switch {
 				case since > began+second:
 					t.Errorf("cold from %v s after it was told", (since-began)/second-1)
@@ -227,12 +227,12 @@
 				line.StartedAt = s
 				r.UpdateEndpoints(start+second, []Endpoint{line}, false)
 			}
-			m := r.members[1]
+			m := r.endpoints[1]
 			const much = 20. // seconds of sending time at once: no cold one bears it
-			if cold := !r.fits(start+second, m, much); cold != c.cold {
+			if cold := !r.slowStartAdmits(start+second, m, much); cold != c.cold {
 				t.Errorf("cold is %v when told", cold)
 			}
-			if warm := r.fits(start+12*second, m, much); warm != c.warm {
+			if warm := r.slowStartAdmits(start+12*second, m, much); warm != c.warm {
 				t.Errorf("warm is %v after its span", warm)
 			}
 		})
@@ -243,7 +243,7 @@
 	r.UpdateEndpoints(start, []Endpoint{line}, false)
 	line.StartedAt = start - 600*second // it started again, and the clock that tells it was set back
 	r.UpdateEndpoints(start+second, []Endpoint{line}, false)
-	if m := r.members[1]; m.coldTold != start+second {
+	if m := r.endpoints[1]; m.slowStartToldAt != start+second {
 		t.Error("a start with an earlier stamp passed for none")
 	}
 }
@@ -298,9 +298,9 @@
 	r := newRouter(t, nil)
 	r.Restore(start, Snapshot{StartedAt: start + year, TakenAt: start, RequestCount: 5, RequestCountAt: start + year,
 		Objects: []ObjectSnapshot{{Object: "a", Count: 3, CountedAt: start + year, FirstSeenAt: start + year}}}, true)
-	e := r.table[entryKey{"a", 0}]
-	if rate := r.rate(start, e.count, e.counted); math.IsInf(rate, 0) || rate > 3 || r.started > start || e.born > start {
-		t.Errorf("rate %v, started %v, born %v", rate, r.started, e.born)
+	e := r.objects[objectKey{"a", 0}]
+	if rate := r.requestRate(start, e.requestCount, e.countedAt); math.IsInf(rate, 0) || rate > 3 || r.startedAt > start || e.firstSeenAt > start {
+		t.Errorf("rate %v, started %v, born %v", rate, r.startedAt, e.firstSeenAt)
 	}
 	if d := r.Decide(start, ask("harmless", "a")); d.Verdict != Send {
 		t.Errorf("%+v", d)
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -14,7 +14,7 @@
 	firstBatch  = 4
 	hotSpread   = 3 // most caches that a hot object goes to; less than the first batch
 	batchGrowth = 8
-	batchMost   = 256 // a larger batch would take longer than sorting all that is left
+	maxBatch    = 256 // a larger batch would take longer than sorting all that is left
 
 	// roundingMargin covers the rounding of a score where a bound of it stands in for it.
 	roundingMargin = 1 + 1e-12
@@ -22,7 +22,7 @@
 
 // tier is a list of members with the figures that a scan needs side by side, so that it reads little memory.
 type tier struct {
-	memberList
+	endpointList
 	keys []rankKey // of the member at the same index
 }
 
@@ -33,31 +33,31 @@
 }
 
 // put inserts a member or, if it is in the tier already, takes over its weight.
-func (t *tier) put(m *member) {
+func (t *tier) put(m *endpointState) {
 	index, found := t.search(m)
 	if !found {
-		t.members = slices.Insert(t.members, index, m)
+		t.endpoints = slices.Insert(t.endpoints, index, m)
 		t.keys = slices.Insert(t.keys, index, rankKey{})
 	}
-	t.keys[index] = rankKey{uint64(m.ID), m.weight}
+	t.keys[index] = rankKey{uint64(m.ID), m.hashWeight}
 }
 
 // remove takes a member out.
-func (t *tier) remove(m *member) {
+func (t *tier) remove(m *endpointState) {
 	if index, found := t.search(m); found {
-		t.members = slices.Delete(t.members, index, index+1)
+		t.endpoints = slices.Delete(t.endpoints, index, index+1)
 		t.keys = slices.Delete(t.keys, index, index+1)
 	}
 }
 
 // clear empties the tier.
 func (t *tier) clear() {
-	clear(t.members)
-	t.members, t.keys = t.members[:0], t.keys[:0]
+	clear(t.endpoints)
+	t.endpoints, t.keys = t.endpoints[:0], t.keys[:0]
 }
 
 // objectHash is an object's hash, from which its members' scores are drawn.
-func (r *Router) objectHash(key entryKey) uint64 {
+func (r *Router) objectHash(key objectKey) uint64 {
 	r.keyBytes = binary.LittleEndian.AppendUint64(append(r.keyBytes[:0], key.object...), uint64(key.part))
 	h := fnv.New64a()
 	h.Write(r.keyBytes)
@@ -101,8 +101,8 @@
 	spread    int  // so many of the first, less than firstBatch, are ordered by load
 	limited   bool // members with a load of loadLimit or more are left out
 	loadLimit float64
-	first     *member // yielded before all of the tier; nil is none
-	last      *member // yielded after all of the tier; nil is none
+	first     *endpointState // yielded before all of the tier; nil is none
+	last      *endpointState // yielded after all of the tier; nil is none
 
 	batch                 []candidate // in order
 	position              int         // of the next one in the batch
@@ -124,7 +124,7 @@
 }
 
 // next gives the next candidate, or nil after the last.
-func (c *candidates) next() *member {
+func (c *candidates) next() *endpointState {
 	if !c.firstGiven {
 		c.firstGiven = true
 		if c.first != nil {
@@ -133,7 +133,7 @@
 	}
 	for {
 		if c.position < len(c.batch) {
-			m := c.tier.members[c.batch[c.position].index]
+			m := c.tier.endpoints[c.batch[c.position].index]
 			c.position++
 			if c.limited && c.loads.of(m) >= c.loadLimit {
 				continue
@@ -161,18 +161,18 @@
 	}
 	c.batch, c.position = c.batch[:0], 0
 	switch {
-	case c.batchSize > batchMost:
+	case c.batchSize > maxBatch:
 		c.sortRest(after)
 	case c.byLoad:
 		c.scanByLoad(after)
 	default:
 		c.scanByScore(after)
 	}
-	c.exhausted = len(c.batch) < c.batchSize || c.batchSize > batchMost
+	c.exhausted = len(c.batch) < c.batchSize || c.batchSize > maxBatch
 	c.batchSize *= batchGrowth
 	if first && c.spread > 1 {
 		slices.SortStableFunc(c.batch[:min(c.spread, len(c.batch))], func(a, b candidate) int {
-			return cmp.Compare(c.loads.of(c.tier.members[a.index]), c.loads.of(c.tier.members[b.index]))
+			return cmp.Compare(c.loads.of(c.tier.endpoints[a.index]), c.loads.of(c.tier.endpoints[b.index]))
 		})
 	}
 }
@@ -182,7 +182,7 @@
 	for index, key := range c.tier.keys {
 		x := candidate{score: score(uniform(c.hash, key.id), key.weight), index: index}
 		if c.byLoad {
-			x.load = c.loads.of(c.tier.members[index])
+			x.load = c.loads.of(c.tier.endpoints[index])
 		}
 		if x.compare(after) > 0 {
 			c.batch = append(c.batch, x)
@@ -206,7 +206,7 @@
 // scanByLoad fills the batch with the least by load, and by score among equals, that come after a candidate.
 func (c *candidates) scanByLoad(after candidate) {
 	worst := candidate{load: math.Inf(1), score: math.Inf(1)}
-	var before *member
+	var before *endpointState
 	var load float64
 	for index, key := range c.tier.keys {
 		u := uniform(c.hash, key.id)
@@ -214,8 +214,8 @@
 		if exceeds && worst.load <= c.loads.least {
 			continue // whatever its load is
 		}
-		m := c.tier.members[index]
-		if before == nil || m.Capacity != before.Capacity || m.inTime != before.inTime { // mostly all are alike
+		m := c.tier.endpoints[index]
+		if before == nil || m.Capacity != before.Capacity || m.withinObjective != before.withinObjective { // mostly all are alike
 			load = c.loads.of(m)
 		}
 		before = m
@@ -252,13 +252,13 @@
 // cacheCandidates are the caches in the order in which they may serve a retrieval.
 func (r *Router) cacheCandidates(now int64, t *Request) *candidates {
 	c := &r.cacheOrder
-	*c = candidates{tier: &r.cacheTier, hash: r.objectHash(t.entry.key), loads: r.loadScale(now), spread: 1,
+	*c = candidates{tier: &r.cacheTier, hash: r.objectHash(t.record.key), loads: r.loadScale(now), spread: 1,
 		batch: c.batch}
-	if t.neverKept() {
+	if t.isUncacheable() {
 		c.byLoad = true // it has no home
-	} else if n := float64(len(r.caches)); n > 1 && t.entry.count >= hotLeast {
+	} else if n := float64(len(r.caches)); n > 1 && t.record.requestCount >= minHotRequests {
 		// A hot object goes to two or three caches, the least busy of them.
-		hot := r.rate(now, t.entry.count, t.entry.counted) * n / (hotShare * r.rate(now, r.total, r.totalAt))
+		hot := r.requestRate(now, t.record.requestCount, t.record.countedAt) * n / (hotShare * r.requestRate(now, r.requestCount, r.requestCountAt))
 		c.spread = max(1, min(1+int(hot), hotSpread, len(r.caches)))
 	}
 	c.rewind()
@@ -270,11 +270,11 @@
 // of its hash may lie in any hub, and the way to it and on to the origin cost a class of short deadlines all of its time.
 func (r *Router) sourceCandidates(t *Request) *candidates {
 	c := &r.sourceOrder
-	*c = candidates{tier: &r.parentTier, hash: r.objectHash(t.entry.key), batch: c.batch}
+	*c = candidates{tier: &r.parentTier, hash: r.objectHash(t.record.key), batch: c.batch}
 	switch {
-	case t.neverKept():
+	case t.isUncacheable():
 		c.first = r.origin
-	case r.origin != nil && t.denied() && r.originStands():
+	case r.origin != nil && t.sourceRefused() && r.originUnlimited():
 		c.tier, c.last = &tier{}, r.origin
 	default:
 		c.last = r.origin
--- a/control/remaining_test.go
+++ b/control/remaining_test.go
@@ -84,7 +84,7 @@
 			r := newRouter(t, nil)
 			answers(r, "harmless", 20, 10) // an attempt may come back
 			answers(r, "harmless", 200, 150)
-			before := r.rooms
+			before := r.admissionLimits
 			for n := range 100 {
 				ret := ask("harmless", fmt.Sprint("short", n))
 				ret.Deadline = start + c.left*second/1000
@@ -94,14 +94,14 @@
 				r.AttemptEnded(start+c.spent*second/1000, ret, Outcome{Result: c.result, Elapsed: c.spent * second / 1000})
 			}
 			counts := false
-			for _, m := range r.members {
-				counts = counts || m.suspect || m.bad > 0 || m.off
+			for _, m := range r.endpoints {
+				counts = counts || m.ejected || m.failures > 0 || m.wasUnreachable
 			}
 			if counts != c.member {
 				t.Errorf("it counts against members: %v", counts)
 			}
-			if took := r.rooms != before; took != c.room {
-				t.Errorf("rooms %v, before %v", r.rooms, before)
+			if took := r.admissionLimits != before; took != c.room {
+				t.Errorf("rooms %v, before %v", r.admissionLimits, before)
 			}
 		})
 	}
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -84,7 +84,7 @@
 			sent++
 		}
 	}
-	if most := int(2 * roomMost * roomMost * 4); sent > most || sent < 8 { // four carried by each of two
+	if most := int(2 * maxAdmissionLimit * maxAdmissionLimit * 4); sent > most || sent < 8 { // four carried by each of two
 		t.Errorf("%d sent at once to caches that were seen to carry 8, %d at most were wanted", sent, most)
 	}
 }
@@ -114,12 +114,12 @@
 				if n%10 == 0 {
 					uneven = 5
 				}
-				measured := load * capacity * parents / float64(routers) * uneven / 0.95 * (0.5 + r.chance())
-				m := r.members[3]
-				r.fits(start, m, mean)
+				measured := load * capacity * parents / float64(routers) * uneven / 0.95 * (0.5 + r.random())
+				m := r.endpoints[3]
+				r.slowStartAdmits(start, m, mean)
 				for now := start + from + int64(n)*second/20/int64(routers); now < start+16*second; now += second / 20 {
-					r.carried[1].work, r.carried[1].last = measured*float64(rateWindow)/1e9, now
-					if r.fits(now, m, mean) {
+					r.carried[1].work, r.carried[1].lastAt = measured*float64(rateWindow)/1e9, now
+					if r.slowStartAdmits(now, m, mean) {
 						all = append(all, sending{now})
 						m.charge(now, mean)
 					}
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -14,16 +14,16 @@
 	// largeMultiple is the N from which the platform allows the smaller excess (full fleet's page).
 	largeMultiple = 30.
 	// breakChance is how many breaks of rule 4 are accepted a day.
-	breakChance = 1e-3
+	overloadProbability = 1e-3
 	// incarnations is how often a window may see the share of one router: a router that restarted has
 	// forgotten what it sent.
 	incarnations = 2
 	// tiltsTried and tiltSteps bound the search for the best form of Chernoff's bound; the optimum for many routers is
 	// within one, in units of the inverse mean work.
-	tiltsTried = 4.
-	tiltSteps  = 24
+	tiltRange = 4.
+	tiltSteps = 24
 	// askedLeast is the work, in seconds, that each class counts for before it was asked for.
-	askedLeast = 1e-3
+	minOfferedWork = 1e-3
 )
 
 // overloadLimit is the number of requests of mean work within the window above which a member falls. Just under
@@ -44,12 +44,12 @@
 }
 
 // slowStartTerms reads the terms for a cache or a parent.
-func (r *Router) slowStartTerms(m *member) slowStartTerms {
-	terms := slowStartTerms{share: get(r.set, "cold.share", 1.), multiple: get(r.set, "cold.factor", 1.),
-		span: get(r.set, "cold.span", int64(0)), window: get(r.set, "cold.window", second), routers: int(r.sharers(m))}
-	if m.Location != r.home {
-		terms.share, terms.span = get(r.set, "parent.coldShare", 1.), get(r.set, "parent.coldSpan", int64(0))
-		terms.multiple = get(r.set, "parent.coldFactor", terms.multiple)
+func (r *Router) slowStartTerms(m *endpointState) slowStartTerms {
+	terms := slowStartTerms{share: get(r.settings, "cold.share", 1.), multiple: get(r.settings, "cold.factor", 1.),
+		span: get(r.settings, "cold.span", int64(0)), window: get(r.settings, "cold.window", second), routers: int(r.sharers(m))}
+	if m.Location != r.location {
+		terms.share, terms.span = get(r.settings, "parent.coldShare", 1.), get(r.settings, "parent.coldSpan", int64(0))
+		terms.multiple = get(r.settings, "parent.coldFactor", terms.multiple)
 	}
 	return terms
 }
@@ -62,7 +62,7 @@
 }
 
 // recovery is what one router keeps of the slow start of one member.
-type recovery struct {
+type slowStartBudget struct {
 	sent []charge // within the last window
 
 	// A router whose share is below one request collects tokens for single ones.
@@ -78,21 +78,21 @@
 }
 
 // charge counts an attempt, be it a first one, a retry, a hedge, a probe or a fill, by the mean sending time of its class.
-func (m *member) charge(now int64, work float64) {
-	if m.coldFrom != 0 {
-		m.recovery.charge(now, work)
+func (m *endpointState) charge(now int64, work float64) {
+	if m.slowStartFrom != 0 {
+		m.slowStart.charge(now, work)
 	}
 }
 
 // forget drops what was sent up to a time.
-func (v *recovery) forget(until int64) {
+func (v *slowStartBudget) forget(until int64) {
 	for len(v.sent) > 0 && v.sent[0].at <= until {
 		v.sent = v.sent[1:]
 	}
 }
 
 // charge counts work that is sent now.
-func (v *recovery) charge(now int64, work float64) {
+func (v *slowStartBudget) charge(now int64, work float64) {
 	v.sent = append(v.sent, charge{now, work})
 	if v.tokens >= 1 {
 		v.tokens--
@@ -100,7 +100,7 @@
 }
 
 // work is what was sent within the window.
-func (v *recovery) work() (sum float64) {
+func (v *slowStartBudget) work() (sum float64) {
 	for _, c := range v.sent {
 		sum += c.amount
 	}
@@ -110,7 +110,7 @@
 // collect adds tokens at so many a window, and tells whether there is a whole one. It begins at a phase of the
 // router's own, so that no two come together by more than chance; a token lapses after a window, so that at most
 // two windows' tokens can be spent within one.
-func (v *recovery) collect(now, startedAt, window int64, rate float64, phase func(int64) float64) bool {
+func (v *slowStartBudget) collect(now, startedAt, window int64, rate float64, phase func(int64) float64) bool {
 	if v.tokensFor != startedAt {
 		v.tokensFor, v.tokensAt, v.tokens = startedAt, now, phase(now)
 	}
@@ -141,10 +141,10 @@
 // and is held to breakChance over the starts of a day. With one t for all work it holds for any mixture of classes
 // (Kelly, Notes on effective bandwidths, 1996). The t taken is the one that lets through most of usual work.
 func (t tokenTerms) rate(work, usual float64) float64 {
-	improbability := math.Log(t.starts / breakChance)
+	improbability := math.Log(t.starts / overloadProbability)
 	each := func(tilt float64) float64 { return (tilt*t.limit - improbability) / t.trials }
 	low := improbability / t.limit
-	high := low + tiltsTried/usual
+	high := low + tiltRange/usual
 	for range tiltSteps {
 		tilt := (low + high) / 2
 		rises := t.limit/t.trials/-math.Expm1(-each(tilt)) > usual/-math.Expm1(-tilt*usual)
@@ -158,35 +158,35 @@
 }
 
 // fits is rule 4: it tells whether an attempt of such work may be sent to a member now.
-func (r *Router) fits(now int64, m *member, work float64) bool {
-	if m == r.origin || m.coldFrom == 0 {
+func (r *Router) slowStartAdmits(now int64, m *endpointState, work float64) bool {
+	if m == r.origin || m.slowStartFrom == 0 {
 		return true
 	}
 	terms := r.slowStartTerms(m)
-	m.recovery.forget(now - terms.window)
-	startedAt := r.coldSince(m)
+	m.slowStart.forget(now - terms.window)
+	startedAt := r.slowStartSince(m)
 	if now >= startedAt+terms.span {
 		return true
 	}
 	mean := r.meanWork(now, 0)
-	n := terms.bears(r.sure(now, m), now-startedAt) / mean
+	n := terms.bears(r.sustainedCapacity(now, m), now-startedAt) / mean
 	// Whole shares never break the rule: not if each router restarts within the window, nor if the member is half as
 	// large as it seems.
 	whole := mean * overloadLimit(n) / incarnations / float64(terms.routers)
 	if work <= whole {
-		return m.recovery.work()+work <= whole
+		return m.slowStart.work()+work <= whole
 	}
 	tokens := tokenTerms{limit: mean * overloadLimit(n), trials: float64(incarnations * terms.routers),
-		starts: float64(len(r.members))}
+		starts: float64(len(r.endpoints))}
 	if r.leastWork() <= whole {
 		tokens.limit -= whole * float64(terms.routers) // whole shares may be spent beside the tokens
 	}
 	rate := tokens.rate(work, r.meanWork(now, whole))
-	return m.recovery.collect(now, m.coldFrom, terms.window, rate, func(now int64) float64 { return r.phase(now, m) })
+	return m.slowStart.collect(now, m.slowStartFrom, terms.window, rate, func(now int64) float64 { return r.phase(now, m) })
 }
 
 // phase is a draw from [0, 1) by the router's seed, the member and the time: a router that restarts has another one.
-func (r *Router) phase(now int64, m *member) float64 {
+func (r *Router) phase(now int64, m *endpointState) float64 {
 	key := binary.LittleEndian.AppendUint64(nil, r.seed)
 	key = binary.LittleEndian.AppendUint64(key, uint64(now))
 	h := fnv.New64a()
@@ -206,9 +206,9 @@
 func (r *Router) meanWork(now int64, above float64) float64 {
 	work, requests := 0., 0.
 	for _, p := range r.classes {
-		if p.sending > above {
-			asked := p.asked.at(now) + askedLeast
-			work, requests = work+asked, requests+asked/p.sending
+		if p.sendingTime > above {
+			asked := p.offered.at(now) + minOfferedWork
+			work, requests = work+asked, requests+asked/p.sendingTime
 		}
 	}
 	return work / requests
@@ -218,7 +218,7 @@
 func (r *Router) leastWork() float64 {
 	least := math.Inf(1)
 	for _, p := range r.classes {
-		least = min(least, p.sending)
+		least = min(least, p.sendingTime)
 	}
 	return least
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -53,12 +53,12 @@
 				}
 				rate := tokenTerms{limit: falls(n), trials: float64(incarnations * routers), starts: float64(starts)}.rate(1, 1)
 				chance := moreThan(incarnations*routers, bears, rate) * float64(starts)
-				if rate <= 0 || rate > 1 || chance > breakChance || chance < breakChance/1000 {
+				if rate <= 0 || rate > 1 || chance > overloadProbability || chance < overloadProbability/1000 {
 					t.Errorf("%d routers, %d starts, N %.1f: rate %.4f, broken on %.2g of all days", routers, starts, n, rate, chance)
 				}
 				// Asked all the time a window sees one window's tokens; then the member may also be smaller than it seems.
 				const windows = 15
-				if chance := moreThan(routers, int(falls(0.6*n)), rate) * float64(starts) * windows; chance > breakChance {
+				if chance := moreThan(routers, int(falls(0.6*n)), rate) * float64(starts) * windows; chance > overloadProbability {
 					t.Errorf("%d routers, %d starts, N %.1f: with 0.6 of the size broken on %.2g of all days", routers, starts, n, chance)
 				}
 			}
@@ -91,7 +91,7 @@
 				}
 				dist = next
 			}
-			if broken*starts > breakChance {
+			if broken*starts > overloadProbability {
 				t.Errorf("bound %d, %.2f of what is asked for is light: broken on %.2g of all days", bound, part, broken*starts)
 			}
 		}
@@ -138,7 +138,7 @@
 
 // ask has a router send all that it may.
 func (s *recovering) ask(now int64, r *Router) {
-	for m := r.members[recoveringID]; r.fits(now, m, meanWork); {
+	for m := r.endpoints[recoveringID]; r.slowStartAdmits(now, m, meanWork); {
 		m.charge(now, meanWork)
 		s.sent = append(s.sent, sentAt{now, meanWork})
 	}
@@ -172,7 +172,7 @@
 					size := n * meanWork / 2 / 0.1 / 2 // of which a tenth is there at the start
 					all := newRecovering(t, routers, size)
 					for _, r := range all.routers {
-						r.fits(start, r.members[recoveringID], meanWork) // collects from here on
+						r.slowStartAdmits(start, r.endpoints[recoveringID], meanWork) // collects from here on
 					}
 					for now := start + 4*second; now < start+14*second; now += second / 4 {
 						for i, r := range all.routers {
@@ -208,7 +208,7 @@
 			for n := range draws {
 				seed, now, id := c.of(n)
 				r := &Router{seed: seed}
-				count[int(r.phase(now, &member{Endpoint: Endpoint{ID: id}})*parts)]++
+				count[int(r.phase(now, &endpointState{Endpoint: Endpoint{ID: id}})*parts)]++
 			}
 			for part, n := range count {
 				if mean := draws / parts; n < mean*2/3 || n > mean*4/3 { // five deviations
@@ -230,7 +230,7 @@
 	}
 	wants := func(t *testing.T, r *Router, id uint32, want float64) {
 		t.Helper()
-		if work := r.members[id].recovery.work(); math.Abs(work-want) > 1e-9 {
+		if work := r.endpoints[id].slowStart.work(); math.Abs(work-want) > 1e-9 {
 			t.Errorf("%.2f s of work counted, not %.2f", work, want)
 		}
 	}
@@ -252,10 +252,10 @@
 		ret := ask("harmless", "a")
 		r.Decide(start, ret)
 		r.UpdateEndpoints(start, fleet[1:2], false)
-		r.members[1].coldFrom, r.members[2].coldFrom = start, start
-		r.members[1].suspect, r.members[1].trialAt = true, forever
-		r.spare = 3
-		if d := r.Decide(start+second, ret); d.Verdict != Send || d.Attempt.Cache != 2 || ret.out != 2 {
+		r.endpoints[1].slowStartFrom, r.endpoints[2].slowStartFrom = start, start
+		r.endpoints[1].ejected, r.endpoints[1].nextProbeAt = true, forever
+		r.retryTokens = 3
+		if d := r.Decide(start+second, ret); d.Verdict != Send || d.Attempt.Cache != 2 || ret.inFlight != 2 {
 			t.Fatalf("no second attempt beside the first: %+v", d)
 		}
 		wants(t, r, 1, 0.5)
@@ -273,11 +273,11 @@
 	})
 	t.Run("a probe", func(t *testing.T) {
 		r := cold(t, 1, Settings{"probe": true})
-		m := r.members[1]
+		m := r.endpoints[1]
 		for n := range 20 { // until nothing is left for probes either
-			m.suspect, m.trial, m.trialAt = true, false, start
+			m.ejected, m.probing, m.nextProbeAt = true, false, start
 			r.watched.add(m) // as check has it
-			m.heard = start
+			m.lastResponseAt = start
 			probe, _ := r.Tick(start)
 			if want := n < 4; slices.Contains(probe, 1) != want { // (8 + 3·√8 + 3) / 2 incarnations / 2 routers
 				t.Fatalf("probe %d sent: %v", n, !want)
--- a/control/types.go
+++ b/control/types.go
@@ -35,7 +35,7 @@
 	Write         bool
 	NoNewAttempts bool // its client has closed its side: what is in flight is waited for, nothing more is sent
 
-	progress
+	requestState
 }
 
 // Verdict says what a Decision asks of the adapter.
@@ -107,106 +107,108 @@
 
 // From here on: what the module keeps.
 
-type product struct {
-	due, fresh, window int64
-	payoff, dueStretch float64
-	effect, scope      string
-	neverKept          bool
-	sending, answer    float64 // mean sending and answer time, seconds
-	seen               float64
-	quickest           int64   // the least time that a good answer took; 0: none has come
-	asked, taken       carried // what came of it, and what was sent on
+type classState struct {
+	objective, freshDuration, keyWindow int64
+	weight, objectiveStretch            float64
+	idempotency, keyScope               string
+	uncacheable                         bool
+	sendingTime, responseTime           float64 // mean sending and answer time, seconds
+	samples                             float64
+	fastestResponse                     int64        // the least time that a good answer took; 0: none has come
+	offered, admitted                   decayingWork // what came of it, and what was sent on
 }
 
-type member struct {
+type endpointState struct {
 	Endpoint
-	listed    bool
-	weight    float64 // in the hash
-	coldFrom  int64   // when it started, told or inferred; 0 is long ago
-	coldTold  int64   // when that was told or inferred, on our axis
-	good, bad float64
-	scored    int64
-	heard     int64 // when it last answered
-	out       []*dispatch
-	suspect   bool
-	off       bool // it could not be reached since it was last trusted
-	trialAt   int64
-	backoff   int64
-	trial     bool // a trial is out
-	recovery  recovery
-	role      role
-	isGone    bool       // it is among the router's gone members
-	inTime    kindCounts // of what is out: what may be in time
+	listed              bool
+	hashWeight          float64 // in the hash
+	slowStartFrom       int64   // when it started, told or inferred; 0 is long ago
+	slowStartToldAt     int64   // when that was told or inferred, on our axis
+	successes, failures float64
+	scoredAt            int64
+	lastResponseAt      int64 // when it last answered
+	inFlight            []*attemptState
+	ejected             bool
+	wasUnreachable      bool // it could not be reached since it was last trusted
+	nextProbeAt         int64
+	probeBackoff        int64
+	probing             bool // a trial is out
+	slowStart           slowStartBudget
+	role                role
+	isDelisted          bool         // it is among the router's gone members
+	withinObjective     countsByKind // of what is out: what may be in time
 }
 
-type dispatch struct {
-	sent          int64
-	cache, source *member
-	trial         *member
+type attemptState struct {
+	sentAt        int64
+	cache, source *endpointState
+	probed        *endpointState
 	ended         bool
 	result        Result
-	denied        bool  // its source was at its bound, or dead
+	sourceRefused bool  // its source was at its bound, or dead
 	kind          int   // the room it counts in
-	reach         int64 // for how long it may wait to be on its way
-	lateFrom      int64 // from when an answer is late
-	late          bool  // that has come
-	expiry        *timerqueue.Timer[*dispatch]
-	issuedFrom    int64 // from when on a copy must have been issued, by its own stamp
+	sendTimeout   int64 // for how long it may wait to be on its way
+	lateAt        int64 // from when an answer is late
+	isLate        bool  // that has come
+	lateTimer     *timerqueue.Timer[*attemptState]
+	minIssuedAt   int64 // from when on a copy must have been issued, by its own stamp
 }
 
 // entry is one object of the rate table: a part is filled and kept on its own, so each is an object to the
 // design.
-type entry struct {
-	key         entryKey
-	group       int64
-	count       float64 // requests, decayed over the window
-	counted     int64
-	born        int64
-	purges      float64
-	age         int64 // accepted age, held until ageEnds; 0 is not set
-	ageEnds     int64
-	ghost       bool
-	gaveUp      int64 // when a retrieval of it was last given up
-	servedUntil int64 // until when it is taken to be kept
-	place       *list.Element
+type objectRecord struct {
+	key             objectKey
+	group           int64
+	requestCount    float64 // requests, decayed over the window
+	countedAt       int64
+	firstSeenAt     int64
+	purgeCount      float64
+	maxAge          int64 // accepted age, held until ageEnds; 0 is not set
+	maxAgeUntil     int64
+	evicted         bool
+	gaveUpAt        int64 // when a retrieval of it was last given up
+	likelyHeldUntil int64 // until when it is taken to be kept
+	element         *list.Element
 }
 
-type entryKey struct {
+type objectKey struct {
 	object string
 	part   int64
 }
 
 // lately counts what happened of late, fading.
-type lately struct {
-	count float64
-	last  int64
+type decayingCount struct {
+	count  float64
+	lastAt int64
 }
 
-func (l *lately) at(now int64) float64 { return fade(l.count, now-l.last, keepSpan) }
+func (l *decayingCount) at(now int64) float64 {
+	return decay(l.count, now-l.lastAt, likelyHeldDuration)
+}
 
-func (l *lately) add(now int64) { l.count, l.last = l.at(now)+1, now }
+func (l *decayingCount) add(now int64) { l.count, l.lastAt = l.at(now)+1, now }
 
 // carried is sending time lately, fading: of what came in time, or was asked for; and the best that a member had.
-type carried struct {
+type decayingWork struct {
 	work, best float64
-	last       int64
+	lastAt     int64
 }
 
-func (c *carried) at(now int64) float64 { return fade(c.work, now-c.last, rateWindow) }
+func (c *decayingWork) at(now int64) float64 { return decay(c.work, now-c.lastAt, rateWindow) }
 
-func (c *carried) add(now int64, work float64) { c.work, c.last = c.at(now)+work, now }
+func (c *decayingWork) add(now int64, work float64) { c.work, c.lastAt = c.at(now)+work, now }
 
 // progress is what the module keeps of a retrieval.
-type progress struct {
-	product    *product
-	entry      *entry
-	arrived    int64
-	starved    int64 // when it was last held as this machine could open no connections
-	dispatches []*dispatch
-	out        int
-	done       bool
-	missed     bool // its source lacks the object
-	away       bool // its home has no room: another cache is to fill it
+type requestState struct {
+	class        *classState
+	record       *objectRecord
+	arrivedAt    int64
+	exhaustedAt  int64 // when it was last held as this machine could open no connections
+	attempts     []*attemptState
+	inFlight     int
+	ended        bool
+	sourceMissed bool // its source lacks the object
+	diverted     bool // its home has no room: another cache is to fill it
 }
 
 // Router is one router's decisions.
@@ -219,46 +221,46 @@
 	// reached meanwhile is held, as long as it may stay unwritten.
 	ConnectionsExhausted func() bool
 
-	set             Settings
-	log             func(string)
-	seed            uint64
-	draws           uint32
-	started         int64
-	home            string
-	products        map[string]*product
-	classes         []*product // in the settings' order
-	members         map[uint32]*member
-	caches, parents []*member // ready, of the own location; ready, anywhere
-	origin          *member
-	table           map[entryKey]*entry
-	live, ghosts    *list.List
-	total           float64 // all requests, decayed over the window
-	totalAt         int64
-	purges          map[string]*purge // told purges by object, and by group under its number
-	outdated        bool              // a copy from before a purge came: our axis is ahead of others' clocks
-	lead            int64             // by how much it can be ahead at most, by the youngest copy that came
-	leadKnown       bool
-	theirs, ours    float64 // in hand at caches, as told and as known, when answers came; fading
-	sharedAt        int64
-	mute, denials   lately // answers that went missing; fills that a source denied
-	tight           [3]bool
-	rooms           [3]float64 // in hand that comes in time, for the caches' size, by kind
-	carried         [2]carried // by caches of the location, by parents
-	asked           carried    // what caches would have carried, had they served all
-	spare           float64    // further dispatches put aside
+	settings                      Settings
+	log                           func(string)
+	seed                          uint64
+	draws                         uint32
+	startedAt                     int64
+	location                      string
+	classByName                   map[string]*classState
+	classes                       []*classState // in the settings' order
+	endpoints                     map[uint32]*endpointState
+	caches, parents               []*endpointState // ready, of the own location; ready, anywhere
+	origin                        *endpointState
+	objects                       map[objectKey]*objectRecord
+	recentObjects, evictedObjects *list.List
+	requestCount                  float64 // all requests, decayed over the window
+	requestCountAt                int64
+	purges                        map[string]*purgeState // told purges by object, and by group under its number
+	clockAhead                    bool                   // a copy from before a purge came: our axis is ahead of others' clocks
+	maxClockLead                  int64                  // by how much it can be ahead at most, by the youngest copy that came
+	clockLeadKnown                bool
+	othersInFlight, ownInFlight   float64 // in hand at caches, as told and as known, when answers came; fading
+	inFlightReportedAt            int64
+	lostResponses, sourceRefusals decayingCount // answers that went missing; fills that a source denied
+	tight                         [3]bool
+	admissionLimits               [3]float64      // in hand that comes in time, for the caches' size, by kind
+	carried                       [2]decayingWork // by caches of the location, by parents
+	offered                       decayingWork    // what caches would have carried, had they served all
+	retryTokens                   float64         // further dispatches put aside
 
-	cacheTier, parentTier   tier       // caches and parents, with what ranks them
-	origins                 memberList // that are ready
-	gone                    []*member  // no longer listed
-	scored                  memberList // with something in flight, or with scores that have not faded to nothing
-	watched                 memberList // which the periodic check may find suspect, or suspects
-	fadedNext               int        // index in scored that is looked at next
-	cachesInTime            kindCounts // of what is out at the caches: what may be in time
-	expiries                timerqueue.Queue[*dispatch]
-	expiredAt               int64
-	unitsSum, mostUnits     float64 // of the caches' units, if unitsSummed: the sum and the largest
-	unitsSummed             bool
-	equalUnits              repeatedSum
-	cacheOrder, sourceOrder candidates // of the decision at hand
-	keyBytes                []byte
+	cacheTier, parentTier    tier             // caches and parents, with what ranks them
+	origins                  endpointList     // that are ready
+	delisted                 []*endpointState // no longer listed
+	scored                   endpointList     // with something in flight, or with scores that have not faded to nothing
+	watched                  endpointList     // which the periodic check may find suspect, or suspects
+	nextFaded                int              // index in scored that is looked at next
+	cachesWithinObjective    countsByKind     // of what is out at the caches: what may be in time
+	lateTimers               timerqueue.Queue[*attemptState]
+	lateCheckedAt            int64
+	capacitySum, maxCapacity float64 // of the caches' units, if unitsSummed: the sum and the largest
+	capacitySummed           bool
+	equalCapacitySum         repeatedSum
+	cacheOrder, sourceOrder  candidates // of the decision at hand
+	keyBytes                 []byte
 }
