--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -63,8 +63,8 @@
 				now += second / 10
 				asked := retrieval
 				asked.Object, asked.Deadline = objects[i%len(objects)], now+5*second
-				if d := r.Decide(now, &asked); d.Verdict != Send {
-					b.Fatalf("request %d: %+v", i, d)
+				if decision := r.Decide(now, &asked); decision.Verdict != Send {
+					b.Fatalf("request %d: %+v", i, decision)
 				}
 				r.AttemptEnded(now+second/20, &asked, Outcome{Result: Succeeded, Elapsed: second / 20, Note: 1, RequestEnded: true})
 			}
@@ -117,8 +117,8 @@
 			for i := range b.N {
 				now += second / 10
 				asked := &Request{Class: "harmless", Object: fmt.Sprint(i % benchmarkObjects), Group: 1, Deadline: now + 5*second}
-				if d := r.Decide(now, asked); d.Verdict != Send {
-					b.Fatalf("request %d: %+v", i, d)
+				if decision := r.Decide(now, asked); decision.Verdict != Send {
+					b.Fatalf("request %d: %+v", i, decision)
 				}
 				r.AttemptEnded(now+second/20, asked, Outcome{Result: Succeeded, Elapsed: second / 20, Note: 1, RequestEnded: true})
 			}
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -38,8 +38,8 @@
 	if n := fill(r, start, "harmless") + fill(r, start, "stamped"); n == 0 || n >= 1000 {
 		t.Fatalf("%d sent", n)
 	}
-	if d := r.Decide(start, ask("once", "write")); d.Verdict != Send {
-		t.Errorf("a write while fills have no room: %+v", d)
+	if decision := r.Decide(start, ask("once", "write")); decision.Verdict != Send {
+		t.Errorf("a write while fills have no room: %+v", decision)
 	}
 }
 
@@ -48,9 +48,9 @@
 	r := classes(t, nil)
 	for n := range 10 {
 		a, b := r.load(start, r.caches[0]), r.load(start, r.caches[1])
-		d := r.Decide(start, ask("once", fmt.Sprint(n)))
-		if d.Verdict != Send || a != b && (d.Attempt.Cache == r.caches[0].ID) != (a < b) {
-			t.Errorf("loads %.2f and %.2f: %+v", a, b, d)
+		decision := r.Decide(start, ask("once", fmt.Sprint(n)))
+		if decision.Verdict != Send || a != b && (decision.Attempt.Cache == r.caches[0].ID) != (a < b) {
+			t.Errorf("loads %.2f and %.2f: %+v", a, b, decision)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 		for n := range 60 {
 			now := start + int64(n)*second/10
 			ret := ask("harmless", fmt.Sprint(n))
-			for d := r.Decide(now, ret); d.Verdict == Send; d = r.AttemptEnded(now, ret, Outcome{Result: Overloaded, Note: 7, Attempt: len(ret.attempts) - 1}) {
+			for decision := r.Decide(now, ret); decision.Verdict == Send; decision = r.AttemptEnded(now, ret, Outcome{Result: Overloaded, Note: 7, Attempt: len(ret.attempts) - 1}) {
 				further++
 			}
 			r.ClientGone(now, ret)
@@ -179,8 +179,8 @@
 			r.UpdateEndpoints(start, fleet, true)
 			for n, product := range []string{"stamped", "harmless", "once"} {
 				ret := ask(product, fmt.Sprint(n))
-				if d := r.Decide(start, ret); d.Verdict != Send {
-					t.Fatalf("%s: %+v", product, d)
+				if decision := r.Decide(start, ret); decision.Verdict != Send {
+					t.Fatalf("%s: %+v", product, decision)
 				}
 				if part := r.admissionShare(start, ret); !(part > 0.1 && part < 10) {
 					t.Errorf("%s: part %v", product, part)
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -25,18 +25,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			now := start + 20*second
-			e := &objectRecord{requestCount: c.count, countedAt: now, firstSeenAt: now - c.born*second, purgeCount: c.purges}
-			state := requestState{class: &classState{freshDuration: c.fresh}, record: e}
+			record := &objectRecord{requestCount: c.count, countedAt: now, firstSeenAt: now - c.born*second, purgeCount: c.purges}
+			state := requestState{class: &classState{freshDuration: c.fresh}, record: record}
 			r.computeMaxAge(now, &Request{SizeKB: 0.1 / exchangeRate, requestState: state})
-			got := float64(e.maxAge) / 1e9
-			if e.maxAge == forever {
+			got := float64(record.maxAge) / 1e9
+			if record.maxAge == forever {
 				got = 0
 			}
 			if math.Abs(got-c.want) > 1e-6 {
 				t.Errorf("age %v, want %v", got, c.want)
 			}
-			if held := e.maxAge; e.maxAge < forever && e.maxAgeUntil != now+held {
-				t.Errorf("held until %v, want %v", e.maxAgeUntil, now+held)
+			if held := record.maxAge; record.maxAge < forever && record.maxAgeUntil != now+held {
+				t.Errorf("held until %v, want %v", record.maxAgeUntil, now+held)
 			}
 		})
 	}
@@ -50,13 +50,13 @@
 	}{{"first tries count, scaled to the location", false, 2}, {"marked repeats do not", true, 0.2}} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
-			var e *objectRecord
+			var record *objectRecord
 			for i := range 10 {
 				ret := ask("harmless", "a")
 				ret.ClientRetry = c.repeat && i > 0
-				e = r.recordRequest(start+10*second, ret)
+				record = r.recordRequest(start+10*second, ret)
 			}
-			if got := r.locationRate(start+10*second, e); math.Abs(got-c.want) > 1e-9 {
+			if got := r.locationRate(start+10*second, record); math.Abs(got-c.want) > 1e-9 {
 				t.Errorf("rate %v, want %v", got, c.want)
 			}
 		})
@@ -69,8 +69,8 @@
 	for i := range maxObjects + 5 {
 		r.recordRequest(start, ask("harmless", fmt.Sprint("other", i)))
 	}
-	e := r.objects[objectKey{object: "kept"}]
-	if e == nil || !e.evicted {
+	record := r.objects[objectKey{object: "kept"}]
+	if record == nil || !record.evicted {
 		t.Fatal("an object pushed out is not among the ghosts")
 	}
 	again := r.recordRequest(start, ask("harmless", "kept"))
@@ -120,9 +120,9 @@
 				r.UpdateEndpoints(start, []Endpoint{cache, parent}, false)
 			}
 			for i := range 50 {
-				d := r.Decide(start+second, ask("harmless", fmt.Sprint(i)))
-				if d.Verdict == Send && (d.Attempt.Cache == 1 || d.Attempt.Source == 3) {
-					t.Fatalf("sent to %d with source %d", d.Attempt.Cache, d.Attempt.Source)
+				decision := r.Decide(start+second, ask("harmless", fmt.Sprint(i)))
+				if decision.Verdict == Send && (decision.Attempt.Cache == 1 || decision.Attempt.Source == 3) {
+					t.Fatalf("sent to %d with source %d", decision.Attempt.Cache, decision.Attempt.Source)
 				}
 			}
 		})
@@ -151,11 +151,11 @@
 			now, spent := start+c.since, 0.
 			for i := range 200 {
 				ret := ask("harmless", fmt.Sprint(i))
-				d := r.Decide(now, ret)
-				if d.Verdict == Send && (d.Attempt.Cache == line.ID || d.Attempt.Source == line.ID) {
+				decision := r.Decide(now, ret)
+				if decision.Verdict == Send && (decision.Attempt.Cache == line.ID || decision.Attempt.Source == line.ID) {
 					spent += r.sendingTime(ret)
 				}
-				if d.Verdict == Send { // a hit answered at once, so that only the budget binds
+				if decision.Verdict == Send { // a hit answered at once, so that only the budget binds
 					r.AttemptEnded(now, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 2})
 				}
 			}
@@ -247,9 +247,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := jammed(nil)
 			c.before(r)
-			d := r.Decide(start, ask(c.product, "a"))
-			if d.Verdict != c.want || c.want == Send && !d.Attempt.CacheOnly {
-				t.Errorf("%+v", d)
+			decision := r.Decide(start, ask(c.product, "a"))
+			if decision.Verdict != c.want || c.want == Send && !decision.Attempt.CacheOnly {
+				t.Errorf("%+v", decision)
 			}
 		})
 	}
@@ -269,9 +269,9 @@
 				r.sourceRefusals.add(start)
 			}
 			r.Decide(start, ret)
-			d := r.AttemptEnded(start, ret, Outcome{Result: NotHeld})
-			if d.Verdict != c.want || c.want == Send && (d.Attempt.Source != 5 || d.Attempt.CacheOnly) {
-				t.Errorf("%+v", d)
+			decision := r.AttemptEnded(start, ret, Outcome{Result: NotHeld})
+			if decision.Verdict != c.want || c.want == Send && (decision.Attempt.Source != 5 || decision.Attempt.CacheOnly) {
+				t.Errorf("%+v", decision)
 			}
 		})
 	}
@@ -288,9 +288,9 @@
 			r, ret := newRouter(t, Settings{"origin.fallFactor": c.fall}), ask("harmless", "a")
 			r.Decide(start, ret)
 			r.retryTokens = 0
-			d := r.AttemptEnded(start, ret, Outcome{Result: Overloaded, Note: c.note})
-			if got := d.Attempt.Source; c.want != 0 && got != c.want || c.want == 0 && got == 5 {
-				t.Errorf("%+v", d)
+			decision := r.AttemptEnded(start, ret, Outcome{Result: Overloaded, Note: c.note})
+			if got := decision.Attempt.Source; c.want != 0 && got != c.want || c.want == 0 && got == 5 {
+				t.Errorf("%+v", decision)
 			}
 		})
 	}
@@ -315,22 +315,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			ret, now := ask(c.product, "a"), start
-			d := r.Decide(now, ret)
+			decision := r.Decide(now, ret)
 			for i, result := range c.results {
-				if d.Verdict != Send {
-					t.Fatalf("dispatch %d: verdict %v", i, d.Verdict)
+				if decision.Verdict != Send {
+					t.Fatalf("dispatch %d: verdict %v", i, decision.Verdict)
 				}
-				first := d.Attempt.Cache
+				first := decision.Attempt.Cache
 				now += second / 2
-				d = r.AttemptEnded(now, ret, Outcome{Attempt: i, Result: result})
-				if c.product == "stamped" && result == ConnectionLost && d.Verdict == Send && d.Attempt.Cache != first {
+				decision = r.AttemptEnded(now, ret, Outcome{Attempt: i, Result: result})
+				if c.product == "stamped" && result == ConnectionLost && decision.Verdict == Send && decision.Attempt.Cache != first {
 					t.Fatal("repeated outside its group")
 				}
 			}
-			if d.Verdict != c.want {
-				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
+			if decision.Verdict != c.want {
+				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
 			}
-			if again := r.Decide(now, ret); d.Verdict != Send && again.Verdict != Wait {
+			if again := r.Decide(now, ret); decision.Verdict != Send && again.Verdict != Wait {
 				t.Errorf("after its final answer: %v", again.Verdict)
 			}
 		})
@@ -347,8 +347,8 @@
 			r, ret := newRouter(t, nil), ask("harmless", "a")
 			r.Decide(start, ret)
 			r.retryTokens = 0
-			if d := r.AttemptEnded(start, ret, Outcome{Result: c.result}); d.Verdict != c.want {
-				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
+			if decision := r.AttemptEnded(start, ret, Outcome{Result: c.result}); decision.Verdict != c.want {
+				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
 			}
 		})
 	}
@@ -361,16 +361,16 @@
 			r.UpdateEndpoints(start, nil, true)
 			ret, now := ask("harmless", "a"), start
 			ret.Deadline = now + left
-			d := r.Decide(now, ret)
-			for d.Verdict == Wait {
+			decision := r.Decide(now, ret)
+			for decision.Verdict == Wait {
 				now += r.RecheckDelay(now, ret)
 				if now > ret.Deadline || now > start+second {
 					t.Fatalf("still held after %v", now-start)
 				}
-				d = r.Decide(now, ret)
+				decision = r.Decide(now, ret)
 			}
-			if due := r.classByName["harmless"].objective; d.Verdict != Reject || d.RetryAfter <= 0 || d.RetryAfter >= due/2 {
-				t.Errorf("verdict %v with advice %v", d.Verdict, d.RetryAfter)
+			if due := r.classByName["harmless"].objective; decision.Verdict != Reject || decision.RetryAfter <= 0 || decision.RetryAfter >= due/2 {
+				t.Errorf("verdict %v with advice %v", decision.Verdict, decision.RetryAfter)
 			}
 		})
 	}
@@ -394,12 +394,12 @@
 			r := newRouter(t, nil)
 			for i := range 40 {
 				ret := ask("harmless", fmt.Sprint(i))
-				if d := r.Decide(start, ret); d.Verdict == Send {
-					o := Outcome{Result: Succeeded, RequestEnded: true, Note: 9}
-					if result, struck := c.bad[d.Attempt.Cache]; struck {
-						o.Result, o.Elapsed = result, c.late
+				if decision := r.Decide(start, ret); decision.Verdict == Send {
+					outcome := Outcome{Result: Succeeded, RequestEnded: true, Note: 9}
+					if result, struck := c.bad[decision.Attempt.Cache]; struck {
+						outcome.Result, outcome.Elapsed = result, c.late
 					}
-					r.AttemptEnded(start, ret, o)
+					r.AttemptEnded(start, ret, outcome)
 				}
 			}
 			for id := uint32(1); id <= 2; id++ {
@@ -413,7 +413,7 @@
 		r := newRouter(t, nil)
 		for i := range 20 {
 			ret := ask("harmless", fmt.Sprint(i))
-			if d := r.Decide(start, ret); d.Verdict == Send && d.Attempt.Cache == 2 {
+			if decision := r.Decide(start, ret); decision.Verdict == Send && decision.Attempt.Cache == 2 {
 				r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true})
 			}
 		}
@@ -433,12 +433,12 @@
 	}{{"unreached", Unreachable, true}, {"only late", TimedOut, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
-			m := r.endpoints[r.Decide(start, ret).Attempt.Cache]
-			m.ejected = true
+			endpoint := r.endpoints[r.Decide(start, ret).Attempt.Cache]
+			endpoint.ejected = true
 			r.AttemptEnded(start, ret, Outcome{Result: c.result, RequestEnded: true})
-			r.ProbeEnded(start+second, m.ID, true, nil)
-			if m.ejected || (m.slowStartFrom == start+second) != c.cold {
-				t.Errorf("suspect %v, cold from %v", m.ejected, m.slowStartFrom)
+			r.ProbeEnded(start+second, endpoint.ID, true, nil)
+			if endpoint.ejected || (endpoint.slowStartFrom == start+second) != c.cold {
+				t.Errorf("suspect %v, cold from %v", endpoint.ejected, endpoint.slowStartFrom)
 			}
 		})
 	}
@@ -449,13 +449,13 @@
 	r := newRouter(t, nil)
 	for i := range 60 {
 		ret := ask("harmless", fmt.Sprint(i))
-		if d := r.Decide(start, ret); d.Verdict == Send && d.Attempt.Source == 4 {
+		if decision := r.Decide(start, ret); decision.Verdict == Send && decision.Attempt.Source == 4 {
 			r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 		}
 	}
 	later := start + second
-	for _, m := range r.caches { // they go on answering what they hold
-		m.lastResponseAt = later
+	for _, endpoint := range r.caches { // they go on answering what they hold
+		endpoint.lastResponseAt = later
 	}
 	r.Tick(later)
 	r.ejectIfOutlier(later, r.endpoints[3])
@@ -475,7 +475,7 @@
 	t.Run("fills beyond their room are not sent", func(t *testing.T) {
 		r, sent := newRouter(t, nil), 0
 		for i := range 50 {
-			if d := hold(r, fmt.Sprint(i)); d.Verdict == Send && !d.Attempt.CacheOnly {
+			if decision := hold(r, fmt.Sprint(i)); decision.Verdict == Send && !decision.Attempt.CacheOnly {
 				sent++
 			}
 		}
@@ -492,7 +492,7 @@
 					r.rejectOrFail(start-second/2, &Request{requestState: requestState{class: r.classByName["harmless"],
 						record: r.recordRequest(start-second/2, ask("harmless", fmt.Sprint(i)))}})
 				}
-				if d := r.Decide(start, ret); d.Verdict == Send && !d.Attempt.CacheOnly {
+				if decision := r.Decide(start, ret); decision.Verdict == Send && !decision.Attempt.CacheOnly {
 					sent++
 				}
 			}
@@ -536,11 +536,11 @@
 		home := r.Decide(start, first).Attempt.Cache
 		r.AttemptEnded(start, first, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 		for range 12 { // the home's room of 2 for its size, shared by two routers
-			m := r.endpoints[home]
-			r.attemptStarted(m, &attemptState{sentAt: start, cache: m, lateAt: forever})
+			endpoint := r.endpoints[home]
+			r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, lateAt: forever})
 		}
-		if d := hold(r, "a"); d.Verdict != Send || d.Attempt.Cache == home {
-			t.Errorf("verdict %v, to %d", d.Verdict, d.Attempt.Cache)
+		if decision := hold(r, "a"); decision.Verdict != Send || decision.Attempt.Cache == home {
+			t.Errorf("verdict %v, to %d", decision.Verdict, decision.Attempt.Cache)
 		}
 	})
 }
@@ -565,9 +565,9 @@
 			if !first.ParentOnlyIfCached {
 				t.Fatal("the parent may fetch")
 			}
-			d := r.AttemptEnded(start, ret, Outcome{Result: c.result, RequestEnded: c.result == Succeeded})
-			if d.Verdict != c.want || d.Verdict == Send && (d.Attempt.ParentOnlyIfCached || d.Attempt.Source != first.Source) {
-				t.Errorf("then %+v", d)
+			decision := r.AttemptEnded(start, ret, Outcome{Result: c.result, RequestEnded: c.result == Succeeded})
+			if decision.Verdict != c.want || decision.Verdict == Send && (decision.Attempt.ParentOnlyIfCached || decision.Attempt.Source != first.Source) {
+				t.Errorf("then %+v", decision)
 			}
 			if kinds := r.inFlightWithinObjective(start); c.want == Send && (kinds[fetches] != 1 || kinds[fills] != 0) {
 				t.Errorf("in hand by kind: %v", kinds)
@@ -606,13 +606,13 @@
 	}{{1, 12, false}, {1, 9, true}, {10, 1, true}, {10, 2, false}} {
 		t.Run(fmt.Sprintf("%d in hand, one of %d routers", c.out, c.routers), func(t *testing.T) {
 			r := newRouter(t, Settings{"location.routers": []int64{0, c.routers, 2}})
-			m, ret := r.endpoints[1], ask("harmless", "a")
+			endpoint, ret := r.endpoints[1], ask("harmless", "a")
 			ret.class, ret.record = r.classByName["harmless"], &objectRecord{likelyHeldUntil: forever}
 			for range c.out {
-				r.attemptStarted(m, &attemptState{sentAt: start, cache: m, lateAt: forever})
+				r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, lateAt: forever})
 			}
-			if got := r.admits(start, ret, m); got != c.admits {
-				t.Errorf("admitted: %v, load %.2f", got, r.load(start, m))
+			if got := r.admits(start, ret, endpoint); got != c.admits {
+				t.Errorf("admitted: %v, load %.2f", got, r.load(start, endpoint))
 			}
 		})
 	}
@@ -624,9 +624,9 @@
 		t.Run(fmt.Sprint(result), func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
 			first := r.Decide(start, ret).Attempt.Cache
-			d := r.AttemptEnded(start+second, ret, Outcome{Result: result})
-			if d.Verdict != Send || (d.Attempt.Cache == first) != same {
-				t.Errorf("verdict %v, from cache %d to %d", d.Verdict, first, d.Attempt.Cache)
+			decision := r.AttemptEnded(start+second, ret, Outcome{Result: result})
+			if decision.Verdict != Send || (decision.Attempt.Cache == first) != same {
+				t.Errorf("verdict %v, from cache %d to %d", decision.Verdict, first, decision.Attempt.Cache)
 			}
 		})
 	}
@@ -688,8 +688,8 @@
 		lines := append([]Endpoint{{ID: uint32(100 + n), Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}}, fleet...)
 		r.UpdateEndpoints(now, lines, true)
 		ret := ask("harmless", fmt.Sprint(n))
-		if d := r.Decide(now, ret); d.Verdict != Send {
-			t.Fatalf("verdict %v", d.Verdict)
+		if decision := r.Decide(now, ret); decision.Verdict != Send {
+			t.Fatalf("verdict %v", decision.Verdict)
 		}
 		r.AttemptEnded(now, ret, Outcome{Result: Succeeded, RequestEnded: true})
 		r.Tick(now)
@@ -710,11 +710,11 @@
 		t.Run(fmt.Sprint(c.result, c.after), func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
 			ret.Deadline = start + 2*second
-			if d := r.Decide(start, ret); d.Attempt.SendTimeout != second {
-				t.Errorf("to be on its way within %d", d.Attempt.SendTimeout)
+			if decision := r.Decide(start, ret); decision.Attempt.SendTimeout != second {
+				t.Errorf("to be on its way within %d", decision.Attempt.SendTimeout)
 			}
-			if d := r.AttemptEnded(start+c.after, ret, Outcome{Result: c.result}); d.Verdict != c.want {
-				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
+			if decision := r.AttemptEnded(start+c.after, ret, Outcome{Result: c.result}); decision.Verdict != c.want {
+				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
 			}
 		})
 	}
@@ -737,7 +737,7 @@
 			var out []*Request
 			for n := range 20 {
 				ret := ask("harmless", fmt.Sprint(n))
-				if d := r.Decide(start, ret); d.Verdict == Send {
+				if decision := r.Decide(start, ret); decision.Verdict == Send {
 					out = append(out, ret)
 				}
 			}
@@ -767,20 +767,20 @@
 			r, now := newRouter(t, c.change), start
 			for n := range 300 + c.missing {
 				ret := ask("harmless", fmt.Sprint(n))
-				if d := r.Decide(now, ret); d.Verdict != Send {
-					t.Fatalf("verdict %v", d.Verdict)
+				if decision := r.Decide(now, ret); decision.Verdict != Send {
+					t.Fatalf("verdict %v", decision.Verdict)
 				}
-				o := Outcome{Result: Succeeded, Elapsed: second / 10, RequestEnded: true}
+				outcome := Outcome{Result: Succeeded, Elapsed: second / 10, RequestEnded: true}
 				if n >= 300 {
-					o.Result, o.Elapsed = TimedOut, 5*second
+					outcome.Result, outcome.Elapsed = TimedOut, 5*second
 				}
-				r.AttemptEnded(now, ret, o)
+				r.AttemptEnded(now, ret, outcome)
 			}
 			ret := ask("harmless", "x")
 			r.Decide(now, ret)
 			now += r.objectiveFor(ret, 0) * c.waited / 10
-			if d := r.Decide(now, ret); d.Verdict != c.want || d.Verdict == Send && d.Attempt.Cache == ret.attempts[0].cache.ID {
-				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
+			if decision := r.Decide(now, ret); decision.Verdict != c.want || decision.Verdict == Send && decision.Attempt.Cache == ret.attempts[0].cache.ID {
+				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
 			}
 		})
 	}
@@ -822,15 +822,15 @@
 			slow := r.endpoints[3]
 			r.endpoints[4].ejected = c.lost
 			for n := range c.answers {
-				for _, m := range []*endpointState{slow, r.endpoints[4]} {
-					ret := ask("harmless", fmt.Sprint(n, m.ID))
-					d := &attemptState{sentAt: start, cache: r.endpoints[1], source: m, kind: fills, lateAt: start + second}
-					ret.class, ret.record, ret.attempts, ret.inFlight = r.classByName["harmless"], &objectRecord{}, []*attemptState{d}, 1
-					o := Outcome{Result: Succeeded, Note: 2, Elapsed: second / 10, RequestEnded: true}
-					if m == slow && n%c.late == c.late-1 {
-						o.Elapsed = 4 * second
+				for _, endpoint := range []*endpointState{slow, r.endpoints[4]} {
+					ret := ask("harmless", fmt.Sprint(n, endpoint.ID))
+					attempt := &attemptState{sentAt: start, cache: r.endpoints[1], source: endpoint, kind: fills, lateAt: start + second}
+					ret.class, ret.record, ret.attempts, ret.inFlight = r.classByName["harmless"], &objectRecord{}, []*attemptState{attempt}, 1
+					outcome := Outcome{Result: Succeeded, Note: 2, Elapsed: second / 10, RequestEnded: true}
+					if endpoint == slow && n%c.late == c.late-1 {
+						outcome.Elapsed = 4 * second
 					}
-					r.AttemptEnded(start, ret, o)
+					r.AttemptEnded(start, ret, outcome)
 				}
 			}
 			if slow.ejected != c.want || r.endpoints[4].ejected != c.lost {
@@ -861,8 +861,8 @@
 		if i%4 == 0 {
 			object = "b"
 		}
-		if d := r.Decide(at, &Request{Class: "stills", Object: object, Deadline: at + second}); d.Verdict != Send {
-			t.Fatal(d)
+		if decision := r.Decide(at, &Request{Class: "stills", Object: object, Deadline: at + second}); decision.Verdict != Send {
+			t.Fatal(decision)
 		}
 	}
 	r.Purge(begun+9*second, "b", 0, begun+9*second)
@@ -874,8 +874,8 @@
 	next := make(later)
 	next.Restore(later, m, true)
 	rate := func(r *Router, at int64, object string) float64 {
-		e := r.objects[objectKey{object, 0}]
-		return r.requestRate(at, e.requestCount, e.countedAt)
+		record := r.objects[objectKey{object, 0}]
+		return r.requestRate(at, record.requestCount, record.countedAt)
 	}
 	for _, object := range []string{"a", "b"} {
 		if was, is := rate(r, now, object), rate(next, later, object); math.Abs(was-is) > 1e-9 || is == 0 {
@@ -887,8 +887,8 @@
 	}
 	without := make(later)
 	without.Restore(later, m, false)
-	if e := without.objects[objectKey{"b", 0}]; e == nil || e.requestCount != 0 || e.purgeCount != 1 || without.requestCount != 0 {
-		t.Errorf("%+v", e)
+	if record := without.objects[objectKey{"b", 0}]; record == nil || record.requestCount != 0 || record.purgeCount != 1 || without.requestCount != 0 {
+		t.Errorf("%+v", record)
 	}
 	if one := r.Snapshot(now, 1); len(one.Objects) != 1 || one.Objects[0].Object != "a" {
 		t.Errorf("%+v", one.Objects)
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -111,16 +111,16 @@
 }
 
 // decided records a decision.
-func (p *drawnPlay) decided(what string, t *Request, d Decision) {
+func (p *drawnPlay) decided(what string, request *Request, decision Decision) {
 	// By place, not by name: renaming a field changes no decision.
-	to := d.Attempt
-	fmt.Fprintln(p.digest, what, p.now, t.Object, int(d.Verdict), d.RetryAfter, d.Cancel, to.Cache, to.CacheOnly, to.Source, to.CachePriority, to.MaxAge,
+	to := decision.Attempt
+	fmt.Fprintln(p.digest, what, p.now, request.Object, int(decision.Verdict), decision.RetryAfter, decision.Cancel, to.Cache, to.CacheOnly, to.Source, to.CachePriority, to.MaxAge,
 		to.JoinFill, to.RefreshBehind, to.ParentOnlyIfCached, to.ParentNoStore, to.Timeout, to.SendTimeout)
-	p.seen[fmt.Sprint(what, d.Verdict)]++
-	if d.Verdict == Send && t.diverted {
+	p.seen[fmt.Sprint(what, decision.Verdict)]++
+	if decision.Verdict == Send && request.diverted {
 		p.seen["away"]++
 	}
-	if d.Verdict == Send && d.Attempt.CacheOnly {
+	if decision.Verdict == Send && decision.Attempt.CacheOnly {
 		p.seen["plain"]++
 	}
 }
@@ -129,40 +129,40 @@
 func (p *drawnPlay) ask() {
 	products := []string{"harmless", "harmless", "stamped", "once"}
 	object := p.rng.IntN(1 + p.rng.IntN(60))
-	t := &Request{Class: products[p.rng.IntN(len(products))], Object: fmt.Sprintf("%016x", object), Group: int64(object % 5),
+	request := &Request{Class: products[p.rng.IntN(len(products))], Object: fmt.Sprintf("%016x", object), Group: int64(object % 5),
 		Part: int64(p.rng.IntN(2)), Deadline: p.now + int64(p.rng.IntN(3000)+200)*second/1000, ClientRetry: p.rng.IntN(12) == 0,
 		Write: p.rng.IntN(10) == 0, SizeKB: []float64{0, 0, 10, 200, 2000}[p.rng.IntN(5)]}
-	p.retrieval = append(p.retrieval, t)
-	p.decided("where", t, p.router.Decide(p.now, t))
+	p.retrieval = append(p.retrieval, request)
+	p.decided("where", request, p.router.Decide(p.now, request))
 }
 
 // outcome draws how a dispatch ends.
-func (p *drawnPlay) outcome(t *Request, number int) Outcome {
-	d := t.attempts[number]
-	o := Outcome{Attempt: number, Result: Succeeded, Elapsed: p.now - d.sentAt, Note: int64(p.rng.IntN(4)), SharedCause: p.rng.IntN(10) == 0}
+func (p *drawnPlay) outcome(request *Request, number int) Outcome {
+	attempt := request.attempts[number]
+	outcome := Outcome{Attempt: number, Result: Succeeded, Elapsed: p.now - attempt.sentAt, Note: int64(p.rng.IntN(4)), SharedCause: p.rng.IntN(10) == 0}
 	chance := 15
-	if p.failing[d.cache.ID] || d.source != nil && p.failing[d.source.ID] {
+	if p.failing[attempt.cache.ID] || attempt.source != nil && p.failing[attempt.source.ID] {
 		chance = 2
 	}
 	if p.rng.IntN(chance) == 0 {
-		o.Result = Result(p.rng.IntN(int(Cancelled) + 1))
-		o.Note = int64(p.rng.IntN(10))
+		outcome.Result = Result(p.rng.IntN(int(Cancelled) + 1))
+		outcome.Note = int64(p.rng.IntN(10))
 	}
-	o.RequestEnded = o.Result == Succeeded || p.rng.IntN(20) == 0
+	outcome.RequestEnded = outcome.Result == Succeeded || p.rng.IntN(20) == 0
 	if p.rng.IntN(2) == 0 {
-		o.SendingTime = p.rng.Float64()
+		outcome.SendingTime = p.rng.Float64()
 	}
 	if p.rng.IntN(2) == 0 {
-		o.LoadReport = []float64{0, float64(p.rng.IntN(30))}
+		outcome.LoadReport = []float64{0, float64(p.rng.IntN(30))}
 	}
-	return o
+	return outcome
 }
 
 // end ends a drawn dispatch that is out.
-func (p *drawnPlay) end(t *Request) {
-	for number, d := range t.attempts {
-		if !d.ended && p.rng.IntN(2) == 0 {
-			p.decided("after", t, p.router.AttemptEnded(p.now, t, p.outcome(t, number)))
+func (p *drawnPlay) end(request *Request) {
+	for number, attempt := range request.attempts {
+		if !attempt.ended && p.rng.IntN(2) == 0 {
+			p.decided("after", request, p.router.AttemptEnded(p.now, request, p.outcome(request, number)))
 			return
 		}
 	}
@@ -220,10 +220,10 @@
 		}
 	case n < 88:
 		if len(p.retrieval) > 0 {
-			t := p.retrieval[p.rng.IntN(len(p.retrieval))]
-			t.NoNewAttempts = t.NoNewAttempts || p.rng.IntN(40) == 0
-			fmt.Fprintln(p.digest, r.RecheckDelay(p.now, t))
-			p.decided("again", t, r.Decide(p.now, t))
+			request := p.retrieval[p.rng.IntN(len(p.retrieval))]
+			request.NoNewAttempts = request.NoNewAttempts || p.rng.IntN(40) == 0
+			fmt.Fprintln(p.digest, r.RecheckDelay(p.now, request))
+			p.decided("again", request, r.Decide(p.now, request))
 		}
 	case n < 94:
 		probes, again := r.Tick(p.now)
@@ -247,15 +247,15 @@
 		}
 	default:
 		if len(p.retrieval) > 0 {
-			t := p.retrieval[p.rng.IntN(len(p.retrieval))]
-			p.decided("departed", t, r.ClientGone(p.now, t))
+			request := p.retrieval[p.rng.IntN(len(p.retrieval))]
+			p.decided("departed", request, r.ClientGone(p.now, request))
 		}
 	}
-	p.retrieval = slices.DeleteFunc(p.retrieval, func(t *Request) bool {
-		if t.inFlight == 0 && !t.ended && p.now > t.Deadline {
-			r.ClientGone(p.now, t)
+	p.retrieval = slices.DeleteFunc(p.retrieval, func(request *Request) bool {
+		if request.inFlight == 0 && !request.ended && p.now > request.Deadline {
+			r.ClientGone(p.now, request)
 		}
-		return t.inFlight == 0 && t.ended || t.record == nil
+		return request.inFlight == 0 && request.ended || request.record == nil
 	})
 }
 
--- a/control/endings_test.go
+++ b/control/endings_test.go
@@ -24,11 +24,11 @@
 			ret.Deadline = start + 5*second
 			r.Decide(now, ret)
 			now += c.after * second / 1000
-			d := r.AttemptEnded(now, ret, Outcome{Result: c.result})
-			if sent := d.Verdict == Send; sent != (c.want > 0) {
-				t.Fatalf("verdict %v", d.Verdict)
+			decision := r.AttemptEnded(now, ret, Outcome{Result: c.result})
+			if sent := decision.Verdict == Send; sent != (c.want > 0) {
+				t.Fatalf("verdict %v", decision.Verdict)
 			}
-			if got := d.Attempt.SendTimeout * 1000 / second; d.Verdict == Send && got != c.want {
+			if got := decision.Attempt.SendTimeout * 1000 / second; decision.Verdict == Send && got != c.want {
 				t.Errorf("on its way within %d ms, want %d", got, c.want)
 			}
 		})
@@ -60,15 +60,15 @@
 			ret.Deadline = start + 3*second
 			r.Decide(now, ret)
 			now = ret.Deadline - c.left*second/1000
-			if d := r.AttemptEnded(now, ret, Outcome{Result: c.result}); d.Verdict != c.want {
-				t.Fatalf("at once: verdict %v, want %v", d.Verdict, c.want)
+			if decision := r.AttemptEnded(now, ret, Outcome{Result: c.result}); decision.Verdict != c.want {
+				t.Fatalf("at once: verdict %v, want %v", decision.Verdict, c.want)
 			}
 			wait := r.RecheckDelay(now, ret)
 			if c.then == Send && (wait <= 0 || wait > 2*holdInterval) {
 				t.Fatalf("asked again in %d", wait)
 			}
-			if d := r.Decide(now+wait, ret); c.want == Wait && d.Verdict != c.then {
-				t.Errorf("then: verdict %v, want %v", d.Verdict, c.then)
+			if decision := r.Decide(now+wait, ret); c.want == Wait && decision.Verdict != c.then {
+				t.Errorf("then: verdict %v, want %v", decision.Verdict, c.then)
 			}
 		})
 	}
@@ -88,8 +88,8 @@
 			ret := ask(c.product, "a")
 			r.Decide(start, ret)
 			ret.NoNewAttempts = true
-			if d := r.AttemptEnded(start+1, ret, Outcome{Result: c.result}); d.Verdict != c.want {
-				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
+			if decision := r.AttemptEnded(start+1, ret, Outcome{Result: c.result}); decision.Verdict != c.want {
+				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
 			}
 		})
 	}
--- a/control/health.go
+++ b/control/health.go
@@ -15,7 +15,9 @@
 
 // cacheEvidence sums up the evidence on all caches of the location, if there is a member that it may concern.
 func (r *Router) cacheEvidence(now int64) (all evidence) {
-	concerned := func(m *endpointState) bool { return m.role == cacheRole && !m.ejected && m.mayBeEjected(now) }
+	concerned := func(endpoint *endpointState) bool {
+		return endpoint.role == cacheRole && !endpoint.ejected && endpoint.mayBeEjected(now)
+	}
 	if slices.ContainsFunc(r.watched.endpoints, concerned) {
 		all.silent, all.good, all.bad = r.peerEvidence(now, nil)
 	}
@@ -24,8 +26,8 @@
 
 // mayStandOut tells whether a cache may stand out from its peers, by the evidence on all caches. Where all look
 // alike, as in a jam, that spares the periodic check to sum up each one's peers.
-func (r *Router) mayBeOutlier(now int64, m *endpointState, all evidence) bool {
-	silent, good, bad := r.evidenceOn(now, m)
+func (r *Router) mayBeOutlier(now int64, endpoint *endpointState, all evidence) bool {
+	silent, good, bad := r.evidenceOn(now, endpoint)
 	peersGood, peersBad := all.good-good, all.bad-bad
 	silentApart := silent - (all.silent-silent)/float64(max(1, len(r.caches)-1))
 	badApart := bad/(good+bad) - peersBad/max(peersGood+peersBad, 1)
@@ -33,25 +35,25 @@
 }
 
 // signs is the evidence on a member: the silence of what it has in hand, in answer times, and how it fared.
-func (r *Router) evidenceOn(now int64, m *endpointState) (silent, good, bad float64) {
-	return m.evidence(now, r.slowestResponseTime())
+func (r *Router) evidenceOn(now int64, endpoint *endpointState) (silent, good, bad float64) {
+	return endpoint.evidence(now, r.slowestResponseTime())
 }
 
 // slowestAnswer is the longest mean answer time of a product, in seconds.
 func (r *Router) slowestResponseTime() float64 {
-	return r.largest(func(p *classState) float64 { return p.responseTime })
+	return r.largest(func(class *classState) float64 { return class.responseTime })
 }
 
 // signs is the evidence on a member, given the longest mean answer time.
-func (m *endpointState) evidence(now int64, answer float64) (silent, good, bad float64) {
-	good, bad = decay(m.successes, now-m.scoredAt, healthWindow), decay(m.failures, now-m.scoredAt, healthWindow)
-	if len(m.inFlight) == 0 {
+func (endpoint *endpointState) evidence(now int64, answer float64) (silent, good, bad float64) {
+	good, bad = decay(endpoint.successes, now-endpoint.scoredAt, healthWindow), decay(endpoint.failures, now-endpoint.scoredAt, healthWindow)
+	if len(endpoint.inFlight) == 0 {
 		return 0, good, bad
 	}
 	longest := 0.
-	for _, d := range m.inFlight {
-		if d.cache == m || d.kind > hits {
-			waited := float64(now-max(d.sentAt, m.lastResponseAt)) / 1e9 / answer
+	for _, attempt := range endpoint.inFlight {
+		if attempt.cache == endpoint || attempt.kind > hits {
+			waited := float64(now-max(attempt.sentAt, endpoint.lastResponseAt)) / 1e9 / answer
 			silent, longest = silent+min(maxSilencePerAttempt, waited), max(longest, waited)
 		}
 	}
@@ -63,15 +65,15 @@
 
 // mayBeSuspect tells, at little cost, whether the evidence on a member could be enough for a suspicion: by the
 // number of dispatches that may be silent, and by failures as if none had faded.
-func (m *endpointState) mayBeEjected(now int64) bool {
-	return float64(len(m.inFlight))*maxSilencePerAttempt >= silenceThreshold || m.failures >= failureThreshold || now < m.scoredAt
+func (endpoint *endpointState) mayBeEjected(now int64) bool {
+	return float64(len(endpoint.inFlight))*maxSilencePerAttempt >= silenceThreshold || endpoint.failures >= failureThreshold || now < endpoint.scoredAt
 }
 
 // peerSigns sums up the evidence on all other caches of the location, or on all other parents; without a member on
 // all caches. Members with nothing in flight and no scores would add nothing: they are left out.
-func (r *Router) peerEvidence(now int64, m *endpointState) (silent, good, bad float64) {
+func (r *Router) peerEvidence(now int64, endpoint *endpointState) (silent, good, bad float64) {
 	peers, peerRole := r.caches, cacheRole
-	if m != nil && m.Location != r.location {
+	if endpoint != nil && endpoint.Location != r.location {
 		peers, peerRole = r.parents, parentRole
 	}
 	if len(r.scored.endpoints) < len(peers) {
@@ -79,7 +81,7 @@
 	}
 	answer := r.slowestResponseTime()
 	for _, peer := range peers {
-		if peer != m && peer.role == peerRole {
+		if peer != endpoint && peer.role == peerRole {
 			s, g, b := peer.evidence(now, answer)
 			silent, good, bad = silent+s, good+g, bad+b
 		}
@@ -90,8 +92,8 @@
 // unwatch leaves out of the periodic check what it can tell nothing of: members that are trusted, with nothing in
 // flight and too few failures.
 func (r *Router) unwatchTrusted(now int64) {
-	r.watched.endpoints = slices.DeleteFunc(r.watched.endpoints, func(m *endpointState) bool {
-		return !m.ejected && len(m.inFlight) == 0 && (m.failures < failureThreshold || decay(m.failures, now-m.scoredAt, healthWindow) < failureThreshold)
+	r.watched.endpoints = slices.DeleteFunc(r.watched.endpoints, func(endpoint *endpointState) bool {
+		return !endpoint.ejected && len(endpoint.inFlight) == 0 && (endpoint.failures < failureThreshold || decay(endpoint.failures, now-endpoint.scoredAt, healthWindow) < failureThreshold)
 	})
 }
 
@@ -99,12 +101,12 @@
 func (r *Router) forgetFaded(now int64) {
 	for range min(fadedPerTick, len(r.scored.endpoints)) {
 		r.nextFaded %= len(r.scored.endpoints)
-		m := r.scored.endpoints[r.nextFaded]
-		if len(m.inFlight) > 0 || decay(m.successes, now-m.scoredAt, healthWindow) > 0 || decay(m.failures, now-m.scoredAt, healthWindow) > 0 {
+		endpoint := r.scored.endpoints[r.nextFaded]
+		if len(endpoint.inFlight) > 0 || decay(endpoint.successes, now-endpoint.scoredAt, healthWindow) > 0 || decay(endpoint.failures, now-endpoint.scoredAt, healthWindow) > 0 {
 			r.nextFaded++
 			continue
 		}
-		if r.scored.remove(m); len(r.scored.endpoints) == 0 {
+		if r.scored.remove(endpoint); len(r.scored.endpoints) == 0 {
 			return
 		}
 	}
--- a/control/load.go
+++ b/control/load.go
@@ -9,33 +9,33 @@
 func (c countsByKind) sum() int { return c[hits] + c[fills] + c[fetches] }
 
 // begin notes that a dispatch is out at a member.
-func (r *Router) attemptStarted(m *endpointState, d *attemptState) {
-	m.inFlight = append(m.inFlight, d)
-	r.countInFlight(m, d, 1)
-	r.scored.add(m)
-	r.watched.add(m)
-	if d.lateTimer == nil {
-		d.lateTimer = r.lateTimers.Push(d.lateAt, d)
+func (r *Router) attemptStarted(endpoint *endpointState, attempt *attemptState) {
+	endpoint.inFlight = append(endpoint.inFlight, attempt)
+	r.countInFlight(endpoint, attempt, 1)
+	r.scored.add(endpoint)
+	r.watched.add(endpoint)
+	if attempt.lateTimer == nil {
+		attempt.lateTimer = r.lateTimers.Push(attempt.lateAt, attempt)
 	}
 }
 
 // finish notes that a dispatch is no longer out at a member.
-func (r *Router) attemptFinished(m *endpointState, d *attemptState) {
-	r.lateTimers.Remove(d.lateTimer)
-	m.inFlight = slices.DeleteFunc(m.inFlight, func(other *attemptState) bool {
-		if other == d && !d.isLate {
-			r.countInFlight(m, d, -1)
+func (r *Router) attemptFinished(endpoint *endpointState, attempt *attemptState) {
+	r.lateTimers.Remove(attempt.lateTimer)
+	endpoint.inFlight = slices.DeleteFunc(endpoint.inFlight, func(other *attemptState) bool {
+		if other == attempt && !attempt.isLate {
+			r.countInFlight(endpoint, attempt, -1)
 		}
-		return other == d
+		return other == attempt
 	})
 }
 
 // count adds to the numbers of dispatches that may be in time: the member's and, if it is a cache of the
 // location, those of all caches.
-func (r *Router) countInFlight(m *endpointState, d *attemptState, change int) {
-	m.withinObjective[d.kind] += change
-	if m.role == cacheRole {
-		r.cachesWithinObjective[d.kind] += change
+func (r *Router) countInFlight(endpoint *endpointState, attempt *attemptState, change int) {
+	endpoint.withinObjective[attempt.kind] += change
+	if endpoint.role == cacheRole {
+		r.cachesWithinObjective[attempt.kind] += change
 	}
 }
 
@@ -46,13 +46,13 @@
 	}
 	r.lateCheckedAt = now
 	for r.lateTimers.Next() <= now {
-		_, d := r.lateTimers.Pop()
-		for _, m := range []*endpointState{d.cache, d.source} {
-			if m != nil && slices.Contains(m.inFlight, d) {
-				r.countInFlight(m, d, -1)
+		_, attempt := r.lateTimers.Pop()
+		for _, endpoint := range []*endpointState{attempt.cache, attempt.source} {
+			if endpoint != nil && slices.Contains(endpoint.inFlight, attempt) {
+				r.countInFlight(endpoint, attempt, -1)
 			}
 		}
-		d.isLate = true
+		attempt.isLate = true
 	}
 }
 
@@ -60,17 +60,17 @@
 // numbers are those of its time nevertheless.
 func (r *Router) unmarkLate(now int64) {
 	var revived []*attemptState
-	for _, m := range r.endpoints {
-		for _, d := range m.inFlight {
-			if d.isLate && now < d.lateAt {
-				r.countInFlight(m, d, 1)
-				revived = append(revived, d)
+	for _, endpoint := range r.endpoints {
+		for _, attempt := range endpoint.inFlight {
+			if attempt.isLate && now < attempt.lateAt {
+				r.countInFlight(endpoint, attempt, 1)
+				revived = append(revived, attempt)
 			}
 		}
 	}
-	for _, d := range revived {
-		if d.isLate {
-			d.isLate, d.lateTimer = false, r.lateTimers.Push(d.lateAt, d)
+	for _, attempt := range revived {
+		if attempt.isLate {
+			attempt.isLate, attempt.lateTimer = false, r.lateTimers.Push(attempt.lateAt, attempt)
 		}
 	}
 }
@@ -87,9 +87,9 @@
 	if r.capacitiesConfigured() {
 		if !r.capacitySummed {
 			r.capacitySummed, r.capacitySum, r.maxCapacity = true, 0, 0
-			for _, m := range r.caches {
-				r.capacitySum += m.Capacity
-				r.maxCapacity = max(r.maxCapacity, m.Capacity)
+			for _, endpoint := range r.caches {
+				r.capacitySum += endpoint.Capacity
+				r.maxCapacity = max(r.maxCapacity, endpoint.Capacity)
 			}
 		}
 		return max(r.capacitySum, minCapacity)
@@ -139,11 +139,11 @@
 }
 
 // of is what a cache has in hand for its size, as seen from here.
-func (s loadScale) of(m *endpointState) float64 {
+func (s loadScale) of(endpoint *endpointState) float64 {
 	if s.configured {
-		return s.at(m.withinObjective.sum(), m.Capacity)
+		return s.at(endpoint.withinObjective.sum(), endpoint.Capacity)
 	}
-	return s.at(m.withinObjective.sum(), s.capacity)
+	return s.at(endpoint.withinObjective.sum(), s.capacity)
 }
 
 // at is the load of a cache with so many dispatches in hand. In a thin slice one dispatch tells little (it seemed
@@ -153,4 +153,6 @@
 }
 
 // load is what a cache has in hand for its size at a time.
-func (r *Router) load(now int64, m *endpointState) float64 { return r.loadScale(now).of(m) }
+func (r *Router) load(now int64, endpoint *endpointState) float64 {
+	return r.loadScale(now).of(endpoint)
+}
--- a/control/members.go
+++ b/control/members.go
@@ -20,20 +20,20 @@
 type endpointList struct{ endpoints []*endpointState }
 
 // search gives the index of a member, or where it is to be inserted.
-func (l *endpointList) search(m *endpointState) (index int, found bool) {
-	return slices.BinarySearchFunc(l.endpoints, m.ID, func(other *endpointState, id uint32) int { return cmp.Compare(other.ID, id) })
+func (l *endpointList) search(endpoint *endpointState) (index int, found bool) {
+	return slices.BinarySearchFunc(l.endpoints, endpoint.ID, func(other *endpointState, id uint32) int { return cmp.Compare(other.ID, id) })
 }
 
 // add inserts a member unless it is in the list.
-func (l *endpointList) add(m *endpointState) {
-	if index, found := l.search(m); !found {
-		l.endpoints = slices.Insert(l.endpoints, index, m)
+func (l *endpointList) add(endpoint *endpointState) {
+	if index, found := l.search(endpoint); !found {
+		l.endpoints = slices.Insert(l.endpoints, index, endpoint)
 	}
 }
 
 // remove takes a member out.
-func (l *endpointList) remove(m *endpointState) {
-	if index, found := l.search(m); found {
+func (l *endpointList) remove(endpoint *endpointState) {
+	if index, found := l.search(endpoint); found {
 		l.endpoints = slices.Delete(l.endpoints, index, index+1)
 	}
 }
@@ -41,8 +41,8 @@
 // UpdateEndpoints gives the list of endpoints, whole or changes to it.
 func (r *Router) UpdateEndpoints(now int64, lines []Endpoint, whole bool) {
 	if whole {
-		for _, m := range r.endpoints {
-			m.listed = false
+		for _, endpoint := range r.endpoints {
+			endpoint.listed = false
 		}
 	}
 	for _, line := range lines {
@@ -65,37 +65,37 @@
 
 // update takes over one line of the list.
 func (r *Router) update(now int64, line Endpoint) {
-	m := r.endpoints[line.ID]
-	if m == nil {
-		m = &endpointState{lastResponseAt: now, scoredAt: now}
-		r.endpoints[line.ID] = m
+	endpoint := r.endpoints[line.ID]
+	if endpoint == nil {
+		endpoint = &endpointState{lastResponseAt: now, scoredAt: now}
+		r.endpoints[line.ID] = endpoint
 	}
-	if line.StartedAt > 0 && line.StartedAt != m.StartedAt {
+	if line.StartedAt > 0 && line.StartedAt != endpoint.StartedAt {
 		// Back from a restart: cold, empty, and no longer judged by what it was before. Earlier than the last, where the clock
 		// that tells it was set back.
-		m.slowStartFrom, m.slowStartToldAt, m.successes, m.failures, m.lastResponseAt = line.StartedAt, now, 0, 0, now
-		m.ejected, m.probing, m.wasUnreachable = false, false, false
+		endpoint.slowStartFrom, endpoint.slowStartToldAt, endpoint.successes, endpoint.failures, endpoint.lastResponseAt = line.StartedAt, now, 0, 0, now
+		endpoint.ejected, endpoint.probing, endpoint.wasUnreachable = false, false, false
 	}
-	m.Endpoint, m.listed, m.hashWeight = line, line.Phase != "gone", max(line.Capacity, minCapacity)
+	endpoint.Endpoint, endpoint.listed, endpoint.hashWeight = line, line.Phase != "gone", max(line.Capacity, minCapacity)
 	if get(r.settings, "units", "off") == "live" {
-		m.hashWeight = 1 // a weight that follows the load would move objects from home to home
+		endpoint.hashWeight = 1 // a weight that follows the load would move objects from home to home
 	}
 }
 
 // roleOf is the role that a member has by its line.
-func (r *Router) roleOf(m *endpointState) role {
+func (r *Router) roleOf(endpoint *endpointState) role {
 	kind := func(name string) string {
 		return at(r.settings, "kinds", int(get(r.settings, name, int64(-1))), "none")
 	}
 	// Rule 3: whoever drains or is gone gets nothing new from now on, and is no source.
 	switch {
-	case !m.listed || m.Phase != "ready":
+	case !endpoint.listed || endpoint.Phase != "ready":
 		return noRole
-	case m.Kind == kind("kind.origin"):
+	case endpoint.Kind == kind("kind.origin"):
 		return originRole
-	case m.Kind == kind("kind.parent"):
+	case endpoint.Kind == kind("kind.parent"):
 		return parentRole
-	case m.Location == r.location:
+	case endpoint.Location == r.location:
 		return cacheRole
 	}
 	return noRole
@@ -108,51 +108,51 @@
 	r.origins.endpoints, r.delisted = nil, nil
 	r.cachesWithinObjective = countsByKind{}
 	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
-		m := r.endpoints[id]
-		m.role, m.isDelisted = noRole, false
-		r.assign(m)
+		endpoint := r.endpoints[id]
+		endpoint.role, endpoint.isDelisted = noRole, false
+		r.assign(endpoint)
 	}
 }
 
 // assign gives a member the role that it has by its line.
-func (r *Router) assign(m *endpointState) {
-	if old, now := m.role, r.roleOf(m); old != now {
-		r.leaveRole(m, old)
-		m.role = now
+func (r *Router) assign(endpoint *endpointState) {
+	if old, now := endpoint.role, r.roleOf(endpoint); old != now {
+		r.leaveRole(endpoint, old)
+		endpoint.role = now
 		if now == cacheRole {
-			r.addWithinObjective(m, 1)
+			r.addWithinObjective(endpoint, 1)
 		}
 	}
-	switch m.role {
+	switch endpoint.role {
 	case cacheRole:
-		r.cacheTier.put(m)
+		r.cacheTier.put(endpoint)
 	case parentRole:
-		r.parentTier.put(m)
+		r.parentTier.put(endpoint)
 	case originRole:
-		r.origins.add(m)
+		r.origins.add(endpoint)
 	}
-	if !m.listed && !m.isDelisted {
-		m.isDelisted = true
-		r.delisted = append(r.delisted, m)
+	if !endpoint.listed && !endpoint.isDelisted {
+		endpoint.isDelisted = true
+		r.delisted = append(r.delisted, endpoint)
 	}
 }
 
 // leave ends a member's role.
-func (r *Router) leaveRole(m *endpointState, old role) {
+func (r *Router) leaveRole(endpoint *endpointState, old role) {
 	switch old {
 	case cacheRole:
-		r.cacheTier.remove(m)
-		r.addWithinObjective(m, -1)
+		r.cacheTier.remove(endpoint)
+		r.addWithinObjective(endpoint, -1)
 	case parentRole:
-		r.parentTier.remove(m)
+		r.parentTier.remove(endpoint)
 	case originRole:
-		r.origins.remove(m)
+		r.origins.remove(endpoint)
 	}
 }
 
 // addInTime adds what is in hand at a cache to the numbers of all caches, or takes it off.
-func (r *Router) addWithinObjective(m *endpointState, sign int) {
-	for kind, n := range m.withinObjective {
+func (r *Router) addWithinObjective(endpoint *endpointState, sign int) {
+	for kind, n := range endpoint.withinObjective {
 		r.cachesWithinObjective[kind] += sign * n
 	}
 }
@@ -160,17 +160,17 @@
 // forgetGone forgets members that are no longer listed once nothing is out there: new ones come under new IDs
 // without end.
 func (r *Router) forgetDelisted() {
-	r.delisted = slices.DeleteFunc(r.delisted, func(m *endpointState) bool {
-		if m.listed {
-			m.isDelisted = false
+	r.delisted = slices.DeleteFunc(r.delisted, func(endpoint *endpointState) bool {
+		if endpoint.listed {
+			endpoint.isDelisted = false
 			return true
 		}
-		if len(m.inFlight) > 0 {
+		if len(endpoint.inFlight) > 0 {
 			return false
 		}
-		delete(r.endpoints, m.ID)
-		r.scored.remove(m)
-		r.watched.remove(m)
+		delete(r.endpoints, endpoint.ID)
+		r.scored.remove(endpoint)
+		r.watched.remove(endpoint)
 		return true
 	})
 }
--- a/control/memory.go
+++ b/control/memory.go
@@ -59,17 +59,17 @@
 func (r *Router) Snapshot(now int64, most int) Snapshot {
 	m := Snapshot{StartedAt: r.startedAt, TakenAt: now, RequestCount: r.requestCount, RequestCountAt: r.requestCountAt, AdmissionLimits: r.admissionLimits}
 	for _, name := range slices.Sorted(maps.Keys(r.classByName)) {
-		p := r.classByName[name]
-		m.Classes = append(m.Classes, ClassSnapshot{name, p.sendingTime, p.responseTime, p.samples})
+		class := r.classByName[name]
+		m.Classes = append(m.Classes, ClassSnapshot{name, class.sendingTime, class.responseTime, class.samples})
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.purges)) {
 		m.Purges = append(m.Purges, PurgeSnapshot{name, r.purges[name].stamp})
 	}
 	for _, of := range []*list.List{r.recentObjects, r.evictedObjects} {
 		for at := of.Front(); at != nil && len(m.Objects) < most; at = at.Next() {
-			e := at.Value.(*objectRecord)
-			m.Objects = append(m.Objects, ObjectSnapshot{Object: e.key.object, Part: e.key.part, Group: e.group, Count: e.requestCount,
-				Purges: e.purgeCount, CountedAt: e.countedAt, FirstSeenAt: e.firstSeenAt, Evicted: e.evicted})
+			record := at.Value.(*objectRecord)
+			m.Objects = append(m.Objects, ObjectSnapshot{Object: record.key.object, Part: record.key.part, Group: record.group, Count: record.requestCount,
+				Purges: record.purgeCount, CountedAt: record.countedAt, FirstSeenAt: record.firstSeenAt, Evicted: record.evicted})
 		}
 	}
 	slices.Reverse(m.Objects)
@@ -99,15 +99,15 @@
 		if r.objects[key] != nil || len(r.objects) >= 2*maxObjects {
 			continue
 		}
-		e := &objectRecord{key: key, group: o.Group, firstSeenAt: min(o.FirstSeenAt, now), purgeCount: o.Purges, countedAt: now, evicted: o.Evicted}
+		record := &objectRecord{key: key, group: o.Group, firstSeenAt: min(o.FirstSeenAt, now), purgeCount: o.Purges, countedAt: now, evicted: o.Evicted}
 		if rates {
-			e.requestCount, e.countedAt = o.Count, min(o.CountedAt+gone, now)
+			record.requestCount, record.countedAt = o.Count, min(o.CountedAt+gone, now)
 		}
-		if e.evicted {
-			e.element = r.evictedObjects.PushFront(e)
+		if record.evicted {
+			record.element = r.evictedObjects.PushFront(record)
 		} else {
-			e.element = r.recentObjects.PushFront(e)
+			record.element = r.recentObjects.PushFront(record)
 		}
-		r.objects[key] = e
+		r.objects[key] = record
 	}
 }
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -20,10 +20,10 @@
 	h := fnv.New64a()
 	h.Write(binary.LittleEndian.AppendUint64([]byte(key.object), uint64(key.part)))
 	scores := make(map[*endpointState]float64, len(members))
-	for _, m := range members {
-		x := (h.Sum64() ^ uint64(m.ID)) * 0xff51afd7ed558ccd
+	for _, endpoint := range members {
+		x := (h.Sum64() ^ uint64(endpoint.ID)) * 0xff51afd7ed558ccd
 		x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
-		scores[m] = -math.Log((float64((x^x>>33)>>11)+0.5)/(1<<53)) / m.hashWeight
+		scores[endpoint] = -math.Log((float64((x^x>>33)>>11)+0.5)/(1<<53)) / endpoint.hashWeight
 	}
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b *endpointState) int {
@@ -34,15 +34,15 @@
 
 // plainInHand is what is out at some caches and may be in time, in all and by kind, and their size.
 func plainInHand(r *Router, now int64, members []*endpointState) (out float64, kinds [3]float64, units float64) {
-	for _, m := range members {
+	for _, endpoint := range members {
 		if r.capacitiesConfigured() {
-			units += m.Capacity
+			units += endpoint.Capacity
 		} else {
 			units += r.measuredCapacity(now)
 		}
-		for _, d := range m.inFlight {
-			if now < d.lateAt {
-				out, kinds[d.kind] = out+1, kinds[d.kind]+1
+		for _, attempt := range endpoint.inFlight {
+			if now < attempt.lateAt {
+				out, kinds[attempt.kind] = out+1, kinds[attempt.kind]+1
 			}
 		}
 	}
@@ -53,36 +53,36 @@
 func plainLoads(r *Router, now int64) map[*endpointState]float64 {
 	out, _, units := plainInHand(r, now, r.caches)
 	loads := map[*endpointState]float64{}
-	for _, m := range r.caches {
-		own, _, size := plainInHand(r, now, []*endpointState{m})
-		loads[m] = (own + out*r.effectiveSharers()/units) / (size/r.effectiveSharers() + 1)
+	for _, endpoint := range r.caches {
+		own, _, size := plainInHand(r, now, []*endpointState{endpoint})
+		loads[endpoint] = (own + out*r.effectiveSharers()/units) / (size/r.effectiveSharers() + 1)
 	}
 	return loads
 }
 
 // plainSigns is the evidence on a member.
-func plainSigns(r *Router, now int64, m *endpointState) (silent, good, bad float64) {
-	answer, longest := r.largest(func(p *classState) float64 { return p.responseTime }), 0.
-	for _, d := range m.inFlight {
-		if d.cache == m || d.kind > hits {
-			waited := float64(now-max(d.sentAt, m.lastResponseAt)) / 1e9 / answer
+func plainSigns(r *Router, now int64, endpoint *endpointState) (silent, good, bad float64) {
+	answer, longest := r.largest(func(class *classState) float64 { return class.responseTime }), 0.
+	for _, attempt := range endpoint.inFlight {
+		if attempt.cache == endpoint || attempt.kind > hits {
+			waited := float64(now-max(attempt.sentAt, endpoint.lastResponseAt)) / 1e9 / answer
 			silent, longest = silent+min(maxSilencePerAttempt, waited), max(longest, waited)
 		}
 	}
 	if longest < minSilence {
 		silent = 0
 	}
-	return silent, decay(m.successes, now-m.scoredAt, healthWindow), decay(m.failures, now-m.scoredAt, healthWindow)
+	return silent, decay(endpoint.successes, now-endpoint.scoredAt, healthWindow), decay(endpoint.failures, now-endpoint.scoredAt, healthWindow)
 }
 
 // plainPeerSigns sums up the evidence on all peers of a member.
-func plainPeerSigns(r *Router, now int64, m *endpointState) (silent, good, bad float64) {
+func plainPeerSigns(r *Router, now int64, endpoint *endpointState) (silent, good, bad float64) {
 	peers := r.caches
-	if m.Location != r.location {
+	if endpoint.Location != r.location {
 		peers = r.parents
 	}
 	for _, peer := range peers {
-		if peer != m {
+		if peer != endpoint {
 			s, g, b := plainSigns(r, now, peer)
 			silent, good, bad = silent+s, good+g, bad+b
 		}
@@ -93,58 +93,58 @@
 // plainTiers sorts the members by what they may do.
 func plainTiers(r *Router) (caches, parents []*endpointState, origin *endpointState) {
 	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
-		m := r.endpoints[id]
+		endpoint := r.endpoints[id]
 		switch {
-		case !m.listed || m.Phase != "ready":
-		case m.Kind == "origin":
-			origin = cmp.Or(origin, m)
-		case m.Kind == "parent":
-			parents = append(parents, m)
-		case m.Location == r.location:
-			caches = append(caches, m)
+		case !endpoint.listed || endpoint.Phase != "ready":
+		case endpoint.Kind == "origin":
+			origin = cmp.Or(origin, endpoint)
+		case endpoint.Kind == "parent":
+			parents = append(parents, endpoint)
+		case endpoint.Location == r.location:
+			caches = append(caches, endpoint)
 		}
 	}
 	return caches, parents, origin
 }
 
 // plainPlace picks the cache and the fill source from the whole ranking.
-func plainPlace(r *Router, now int64, t *Request) (cache, source *endpointState) {
-	ranked, spread := plainRank(t.record.key, r.caches), 1
-	if t.isUncacheable() {
+func plainPlace(r *Router, now int64, request *Request) (cache, source *endpointState) {
+	ranked, spread := plainRank(request.record.key, r.caches), 1
+	if request.isUncacheable() {
 		spread = len(ranked)
-	} else if n := float64(len(ranked)); n > 1 && t.record.requestCount >= minHotRequests {
-		hot := r.requestRate(now, t.record.requestCount, t.record.countedAt) * n / (hotShare * r.requestRate(now, r.requestCount, r.requestCountAt))
+	} else if n := float64(len(ranked)); n > 1 && request.record.requestCount >= minHotRequests {
+		hot := r.requestRate(now, request.record.requestCount, request.record.countedAt) * n / (hotShare * r.requestRate(now, r.requestCount, r.requestCountAt))
 		spread = max(1, min(1+int(hot), 3, len(ranked)))
 	}
 	loads := plainLoads(r, now)
 	slices.SortStableFunc(ranked[:min(spread, len(ranked))], func(a, b *endpointState) int { return cmp.Compare(loads[a], loads[b]) })
-	t.diverted = false
-	if cache = plainPick(r, now, t, ranked); cache != nil && t.record.likelyHeldUntil > now && !r.admits(now, t, cache) {
-		roomy := slices.DeleteFunc(ranked, func(m *endpointState) bool { return loads[m] >= r.admissionLimits[0]/2 })
-		if other := plainPick(r, now, t, roomy); other != nil {
-			cache, t.diverted = other, true
+	request.diverted = false
+	if cache = plainPick(r, now, request, ranked); cache != nil && request.record.likelyHeldUntil > now && !r.admits(now, request, cache) {
+		roomy := slices.DeleteFunc(ranked, func(endpoint *endpointState) bool { return loads[endpoint] >= r.admissionLimits[0]/2 })
+		if other := plainPick(r, now, request, roomy); other != nil {
+			cache, request.diverted = other, true
 		}
 	}
-	sources := plainRank(t.record.key, r.parents)
+	sources := plainRank(request.record.key, r.parents)
 	switch {
 	case r.origin == nil:
-	case t.isUncacheable():
+	case request.isUncacheable():
 		sources = append([]*endpointState{r.origin}, sources...)
-	case t.sourceRefused() && r.originUnlimited():
+	case request.sourceRefused() && r.originUnlimited():
 		sources = []*endpointState{r.origin}
 	default:
 		sources = append(sources, r.origin)
 	}
-	return cache, plainPick(r, now, t, sources)
+	return cache, plainPick(r, now, request, sources)
 }
 
 // plainPick picks from a whole ranking: it is given as the batch of a selection that has nothing after it.
-func plainPick(r *Router, now int64, t *Request, ranked []*endpointState) *endpointState {
+func plainPick(r *Router, now int64, request *Request, ranked []*endpointState) *endpointState {
 	whole := &candidates{tier: &tier{endpointList: endpointList{ranked}}, exhausted: true, lastGiven: true}
 	for i := range ranked {
 		whole.batch = append(whole.batch, candidate{index: i})
 	}
-	return r.firstUsable(now, t, whole)
+	return r.firstUsable(now, request, whole)
 }
 
 // routerState is what a decision on the place changes.
@@ -155,8 +155,8 @@
 
 func stateOf(r *Router) routerState {
 	s := routerState{r.draws, map[uint32]endpointState{}}
-	for id, m := range r.endpoints {
-		s.members[id] = *m
+	for id, endpoint := range r.endpoints {
+		s.members[id] = *endpoint
 	}
 	return s
 }
@@ -194,26 +194,26 @@
 		check(fmt.Sprint("in time of kind ", kind), float64(inTime[kind]), kinds[kind])
 	}
 	check("units", r.locationCapacity(now), units)
-	for m, load := range plainLoads(r, now) {
-		check(fmt.Sprint("load of ", m.ID), r.load(now, m), load)
+	for endpoint, load := range plainLoads(r, now) {
+		check(fmt.Sprint("load of ", endpoint.ID), r.load(now, endpoint), load)
 	}
 	some := slices.Sorted(maps.Keys(r.endpoints))
 	for i := range min(4, len(some)) {
-		m := r.endpoints[some[(int(now)+i)%len(some)]]
-		silent, good, bad := r.peerEvidence(now, m)
-		plainSilent, plainGood, plainBad := plainPeerSigns(r, now, m)
-		check(fmt.Sprint("evidence on the peers of ", m.ID), [3]float64{silent, good, bad}, [3]float64{plainSilent, plainGood, plainBad})
+		endpoint := r.endpoints[some[(int(now)+i)%len(some)]]
+		silent, good, bad := r.peerEvidence(now, endpoint)
+		plainSilent, plainGood, plainBad := plainPeerSigns(r, now, endpoint)
+		check(fmt.Sprint("evidence on the peers of ", endpoint.ID), [3]float64{silent, good, bad}, [3]float64{plainSilent, plainGood, plainBad})
 	}
 	return found
 }
 
 // plainlySuspect tells whether the plain check would find a cache suspect.
-func plainlySuspect(r *Router, now int64, m *endpointState) bool {
-	silent, good, bad := plainSigns(r, now, m)
-	if m.ejected || silent < silenceThreshold && bad < failureThreshold {
+func plainlySuspect(r *Router, now int64, endpoint *endpointState) bool {
+	silent, good, bad := plainSigns(r, now, endpoint)
+	if endpoint.ejected || silent < silenceThreshold && bad < failureThreshold {
 		return false
 	}
-	allSilent, allGood, allBad := plainPeerSigns(r, now, m)
+	allSilent, allGood, allBad := plainPeerSigns(r, now, endpoint)
 	silent -= allSilent / float64(max(1, len(r.caches)-1))
 	return silent >= silenceThreshold || bad >= failureThreshold && bad/(good+bad)-allBad/max(allGood+allBad, 1) >= failureShareThreshold
 }
@@ -222,11 +222,11 @@
 // by what is kept.
 func overlooked(r *Router, now int64) (found []uint32) {
 	all := r.cacheEvidence(now)
-	for _, m := range r.caches {
-		_, watched := r.watched.search(m)
-		checked := watched && m.mayBeEjected(now) && r.mayBeOutlier(now, m, all)
-		if !watched && m.ejected || !checked && plainlySuspect(r, now, m) {
-			found = append(found, m.ID)
+	for _, endpoint := range r.caches {
+		_, watched := r.watched.search(endpoint)
+		checked := watched && endpoint.mayBeEjected(now) && r.mayBeOutlier(now, endpoint, all)
+		if !watched && endpoint.ejected || !checked && plainlySuspect(r, now, endpoint) {
+			found = append(found, endpoint.ID)
 		}
 	}
 	return found
@@ -270,11 +270,11 @@
 	}
 }
 
-func name(m *endpointState) any {
-	if m == nil {
+func name(endpoint *endpointState) any {
+	if endpoint == nil {
 		return "none"
 	}
-	return m.ID
+	return endpoint.ID
 }
 
 // What is kept as it changes equals the sums over all members to the last bit, also where the clock went back.
@@ -316,9 +316,9 @@
 			lines = append(lines, line)
 		}
 		r.UpdateEndpoints(start, lines, true)
-		for _, m := range r.caches {
+		for _, endpoint := range r.caches {
 			for range p.rng.IntN(4) * p.rng.IntN(2) {
-				r.attemptStarted(m, &attemptState{sentAt: start, cache: m, kind: p.rng.IntN(3), lateAt: start + p.rng.Int64N(second)})
+				r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, kind: p.rng.IntN(3), lateAt: start + p.rng.Int64N(second)})
 			}
 		}
 		now := start + p.rng.Int64N(second)
@@ -334,8 +334,8 @@
 				most = min(most, 1+p.rng.IntN(8))
 			}
 			for i := range most {
-				if m := got.next(); m != want[i] {
-					t.Fatalf("round %d, write %v, place %d of %d: %v, plainly %v", round, ret.Write, i, len(want), name(m), want[i].ID)
+				if endpoint := got.next(); endpoint != want[i] {
+					t.Fatalf("round %d, write %v, place %d of %d: %v, plainly %v", round, ret.Write, i, len(want), name(endpoint), want[i].ID)
 				}
 			}
 			if most == len(want) && got.next() != nil {
--- a/control/purges.go
+++ b/control/purges.go
@@ -23,33 +23,35 @@
 
 // with is what stands after one more purge was told; p is nil before the first. One with an earlier stamp than the last is told again, or one of the two
 // stamps is wrong: then neither counts.
-func (p *purgeState) with(now, stamp int64) *purgeState {
-	if stamp <= 0 || p != nil && stamp < p.stamp {
+func (purge *purgeState) with(now, stamp int64) *purgeState {
+	if stamp <= 0 || purge != nil && stamp < purge.stamp {
 		stamp = 0
 	}
 	return &purgeState{stamp: stamp, told: now}
 }
 
 // byStamp tells whether the stamp can be right on our axis: what was told was over.
-func (p *purgeState) byStamp(trusted bool) bool { return trusted && p.stamp > 0 && p.stamp <= p.told }
+func (purge *purgeState) byStamp(trusted bool) bool {
+	return trusted && purge.stamp > 0 && purge.stamp <= purge.told
+}
 
 // purgesOf are the told purges of a retrieval's object and of its group, nil where there is none.
-func (r *Router) purgesOf(t *Request) (of [2]*purgeState) {
+func (r *Router) purgesOf(request *Request) (of [2]*purgeState) {
 	if len(r.purges) > 0 {
-		of = [2]*purgeState{r.purges["o"+t.Object], r.purges[groupName(t.Group)]}
+		of = [2]*purgeState{r.purges["o"+request.Object], r.purges[groupName(request.Group)]}
 	}
 	return of
 }
 
 // youngEnough lowers an accepted age to what the told purges leave at the sending. It is never 0, which means the fresh time.
-func (r *Router) limitAgeByPurges(now int64, t *Request, age int64) int64 {
-	for _, p := range r.purgesOf(t) {
-		if p == nil {
+func (r *Router) limitAgeByPurges(now int64, request *Request, age int64) int64 {
+	for _, purge := range r.purgesOf(request) {
+		if purge == nil {
 			continue
 		}
-		since := p.told
-		if p.byStamp(!r.clockAhead) {
-			since = p.stamp
+		since := purge.told
+		if purge.byStamp(!r.clockAhead) {
+			since = purge.stamp
 		}
 		if limit := max(now-since-purgeMargin, 1000); age == 0 || limit < age {
 			age = limit
@@ -60,13 +62,13 @@
 
 // issuedFrom is from when on a copy must have been issued, by its own stamp, where the accepted age goes by a purge's stamp;
 // 0 is no bound.
-func (r *Router) minIssuedAt(t *Request) (from int64) {
-	if t.isUncacheable() {
+func (r *Router) minIssuedAt(request *Request) (from int64) {
+	if request.isUncacheable() {
 		return 0 // no copy
 	}
-	for _, p := range r.purgesOf(t) {
-		if p != nil && p.byStamp(!r.clockAhead) {
-			from = max(from, p.stamp)
+	for _, purge := range r.purgesOf(request) {
+		if purge != nil && purge.byStamp(!r.clockAhead) {
+			from = max(from, purge.stamp)
 		}
 	}
 	return from
@@ -74,14 +76,14 @@
 
 // AcceptsCopy tells whether a copy may be served that an attempt of a request has brought, issued at a Unix time in ns by the
 // origin's clock; 0 or less is no copy. One that may not ends its attempt as Stale.
-func (r *Router) AcceptsCopy(now int64, t *Request, number int, issued int64) bool {
-	if issued <= 0 || number < 0 || number >= len(t.attempts) {
+func (r *Router) AcceptsCopy(now int64, request *Request, number int, issued int64) bool {
+	if issued <= 0 || number < 0 || number >= len(request.attempts) {
 		return true
 	}
 	if ahead := max(0, now-issued); !r.clockLeadKnown || ahead < r.maxClockLead {
 		r.maxClockLead, r.clockLeadKnown = ahead, true
 	}
-	return issued >= t.attempts[number].minIssuedAt
+	return issued >= request.attempts[number].minIssuedAt
 }
 
 // distrust notes that a cache has sent an older copy than a purge's stamp allows, within the age that was asked for: our axis is
@@ -96,6 +98,6 @@
 // coldSince is when a member started, on our axis. Its stamp is another machine's, and an axis that is ahead would have it
 // warm too soon (rule 4). No copy can come before its issue, so the youngest that ever came shows how far ahead the axis can
 // be at most; and nobody started after it was told that it had.
-func (r *Router) slowStartSince(m *endpointState) int64 {
-	return min(m.slowStartFrom, m.slowStartToldAt-r.maxClockLead) + r.maxClockLead
+func (r *Router) slowStartSince(endpoint *endpointState) int64 {
+	return min(endpoint.slowStartFrom, endpoint.slowStartToldAt-r.maxClockLead) + r.maxClockLead
 }
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -49,16 +49,16 @@
 				return false // caches have dropped it by themselves
 			}
 			ret := &Request{Class: product, Object: "a", Group: 1, Deadline: asked + off + 5*second}
-			d := r.Decide(asked+off, ret)
+			decision := r.Decide(asked+off, ret)
 			for try := range 2 {
-				if d.Verdict != Send {
-					t.Errorf("try %d: %+v", try, d)
+				if decision.Verdict != Send {
+					t.Errorf("try %d: %+v", try, decision)
 					return true
 				}
-				issued := worst(asked, d.Attempt, r.classByName[product].freshDuration)
+				issued := worst(asked, decision.Attempt, r.classByName[product].freshDuration)
 				if r.AcceptsCopy(asked+off, ret, try, issued) {
 					if issued < purged {
-						t.Errorf("a copy of %v before the purge is served, asked for with age %v", purged-issued, d.Attempt.MaxAge)
+						t.Errorf("a copy of %v before the purge is served, asked for with age %v", purged-issued, decision.Attempt.MaxAge)
 					}
 					return issued < purged
 				}
@@ -69,7 +69,7 @@
 				if product != "harmless" {
 					return false // it may have run, and is not asked for again
 				}
-				d = r.AttemptEnded(asked+off, ret, Outcome{Attempt: try, Result: Stale, Elapsed: second / 100})
+				decision = r.AttemptEnded(asked+off, ret, Outcome{Attempt: try, Result: Stale, Elapsed: second / 100})
 			}
 			t.Error("too old twice")
 			return true
@@ -227,12 +227,12 @@
 				line.StartedAt = s
 				r.UpdateEndpoints(start+second, []Endpoint{line}, false)
 			}
-			m := r.endpoints[1]
+			endpoint := r.endpoints[1]
 			const much = 20. // seconds of sending time at once: no cold one bears it
-			if cold := !r.slowStartAdmits(start+second, m, much); cold != c.cold {
+			if cold := !r.slowStartAdmits(start+second, endpoint, much); cold != c.cold {
 				t.Errorf("cold is %v when told", cold)
 			}
-			if warm := r.slowStartAdmits(start+12*second, m, much); warm != c.warm {
+			if warm := r.slowStartAdmits(start+12*second, endpoint, much); warm != c.warm {
 				t.Errorf("warm is %v after its span", warm)
 			}
 		})
@@ -243,7 +243,7 @@
 	r.UpdateEndpoints(start, []Endpoint{line}, false)
 	line.StartedAt = start - 600*second // it started again, and the clock that tells it was set back
 	r.UpdateEndpoints(start+second, []Endpoint{line}, false)
-	if m := r.endpoints[1]; m.slowStartToldAt != start+second {
+	if endpoint := r.endpoints[1]; endpoint.slowStartToldAt != start+second {
 		t.Error("a start with an earlier stamp passed for none")
 	}
 }
@@ -271,10 +271,10 @@
 					next.Restore(world+off, m.Shifted(world+off-second-m.TakenAt), rates)
 					next.Tick(world + off)
 					ret := &Request{Class: "stamped", Object: "a", Group: 1, Deadline: world + off + 5*second}
-					d := next.Decide(world+off, ret)
-					issued := worst(world, d.Attempt, 0)
-					if d.Verdict != Send || issued < purged && next.AcceptsCopy(world+off, ret, 0, issued) {
-						t.Errorf("a copy of %v s before the purge would be served: %+v", float64(purged-issued)/1e9, d)
+					decision := next.Decide(world+off, ret)
+					issued := worst(world, decision.Attempt, 0)
+					if decision.Verdict != Send || issued < purged && next.AcceptsCopy(world+off, ret, 0, issued) {
+						t.Errorf("a copy of %v s before the purge would be served: %+v", float64(purged-issued)/1e9, decision)
 					}
 				})
 			}
@@ -298,11 +298,11 @@
 	r := newRouter(t, nil)
 	r.Restore(start, Snapshot{StartedAt: start + year, TakenAt: start, RequestCount: 5, RequestCountAt: start + year,
 		Objects: []ObjectSnapshot{{Object: "a", Count: 3, CountedAt: start + year, FirstSeenAt: start + year}}}, true)
-	e := r.objects[objectKey{"a", 0}]
-	if rate := r.requestRate(start, e.requestCount, e.countedAt); math.IsInf(rate, 0) || rate > 3 || r.startedAt > start || e.firstSeenAt > start {
-		t.Errorf("rate %v, started %v, born %v", rate, r.startedAt, e.firstSeenAt)
+	record := r.objects[objectKey{"a", 0}]
+	if rate := r.requestRate(start, record.requestCount, record.countedAt); math.IsInf(rate, 0) || rate > 3 || r.startedAt > start || record.firstSeenAt > start {
+		t.Errorf("rate %v, started %v, born %v", rate, r.startedAt, record.firstSeenAt)
 	}
-	if d := r.Decide(start, ask("harmless", "a")); d.Verdict != Send {
-		t.Errorf("%+v", d)
+	if decision := r.Decide(start, ask("harmless", "a")); decision.Verdict != Send {
+		t.Errorf("%+v", decision)
 	}
 }
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -33,18 +33,18 @@
 }
 
 // put inserts a member or, if it is in the tier already, takes over its weight.
-func (t *tier) put(m *endpointState) {
-	index, found := t.search(m)
+func (t *tier) put(endpoint *endpointState) {
+	index, found := t.search(endpoint)
 	if !found {
-		t.endpoints = slices.Insert(t.endpoints, index, m)
+		t.endpoints = slices.Insert(t.endpoints, index, endpoint)
 		t.keys = slices.Insert(t.keys, index, rankKey{})
 	}
-	t.keys[index] = rankKey{uint64(m.ID), m.hashWeight}
+	t.keys[index] = rankKey{uint64(endpoint.ID), endpoint.hashWeight}
 }
 
 // remove takes a member out.
-func (t *tier) remove(m *endpointState) {
-	if index, found := t.search(m); found {
+func (t *tier) remove(endpoint *endpointState) {
+	if index, found := t.search(endpoint); found {
 		t.endpoints = slices.Delete(t.endpoints, index, index+1)
 		t.keys = slices.Delete(t.keys, index, index+1)
 	}
@@ -133,12 +133,12 @@
 	}
 	for {
 		if c.position < len(c.batch) {
-			m := c.tier.endpoints[c.batch[c.position].index]
+			endpoint := c.tier.endpoints[c.batch[c.position].index]
 			c.position++
-			if c.limited && c.loads.of(m) >= c.loadLimit {
+			if c.limited && c.loads.of(endpoint) >= c.loadLimit {
 				continue
 			}
-			return m
+			return endpoint
 		}
 		if c.exhausted {
 			break
@@ -214,11 +214,11 @@
 		if exceeds && worst.load <= c.loads.least {
 			continue // whatever its load is
 		}
-		m := c.tier.endpoints[index]
-		if before == nil || m.Capacity != before.Capacity || m.withinObjective != before.withinObjective { // mostly all are alike
-			load = c.loads.of(m)
+		endpoint := c.tier.endpoints[index]
+		if before == nil || endpoint.Capacity != before.Capacity || endpoint.withinObjective != before.withinObjective { // mostly all are alike
+			load = c.loads.of(endpoint)
 		}
-		before = m
+		before = endpoint
 		if load > worst.load || load < after.load || exceeds && load == worst.load {
 			continue
 		}
@@ -250,15 +250,15 @@
 }
 
 // cacheCandidates are the caches in the order in which they may serve a retrieval.
-func (r *Router) cacheCandidates(now int64, t *Request) *candidates {
+func (r *Router) cacheCandidates(now int64, request *Request) *candidates {
 	c := &r.cacheOrder
-	*c = candidates{tier: &r.cacheTier, hash: r.objectHash(t.record.key), loads: r.loadScale(now), spread: 1,
+	*c = candidates{tier: &r.cacheTier, hash: r.objectHash(request.record.key), loads: r.loadScale(now), spread: 1,
 		batch: c.batch}
-	if t.isUncacheable() {
+	if request.isUncacheable() {
 		c.byLoad = true // it has no home
-	} else if n := float64(len(r.caches)); n > 1 && t.record.requestCount >= minHotRequests {
+	} else if n := float64(len(r.caches)); n > 1 && request.record.requestCount >= minHotRequests {
 		// A hot object goes to two or three caches, the least busy of them.
-		hot := r.requestRate(now, t.record.requestCount, t.record.countedAt) * n / (hotShare * r.requestRate(now, r.requestCount, r.requestCountAt))
+		hot := r.requestRate(now, request.record.requestCount, request.record.countedAt) * n / (hotShare * r.requestRate(now, r.requestCount, r.requestCountAt))
 		c.spread = max(1, min(1+int(hot), hotSpread, len(r.caches)))
 	}
 	c.rewind()
@@ -268,13 +268,13 @@
 // sourceCandidates are the parents, and last the origin, in the order in which they may fill an object. What is never kept
 // gains nothing from a parent: it goes straight to the origin, and to parents only once that has turned it away. The parent
 // of its hash may lie in any hub, and the way to it and on to the origin cost a class of short deadlines all of its time.
-func (r *Router) sourceCandidates(t *Request) *candidates {
+func (r *Router) sourceCandidates(request *Request) *candidates {
 	c := &r.sourceOrder
-	*c = candidates{tier: &r.parentTier, hash: r.objectHash(t.record.key), batch: c.batch}
+	*c = candidates{tier: &r.parentTier, hash: r.objectHash(request.record.key), batch: c.batch}
 	switch {
-	case t.isUncacheable():
+	case request.isUncacheable():
 		c.first = r.origin
-	case r.origin != nil && t.sourceRefused() && r.originUnlimited():
+	case r.origin != nil && request.sourceRefused() && r.originUnlimited():
 		c.tier, c.last = &tier{}, r.origin
 	default:
 		c.last = r.origin
--- a/control/remaining_test.go
+++ b/control/remaining_test.go
@@ -38,15 +38,15 @@
 			answers(r, "stamped", 20, 300) // another class's tell nothing
 			ret := ask("harmless", "a")
 			ret.Deadline = start + c.left*second/1000
-			if d := r.Decide(start, ret); d.Verdict != c.want {
-				t.Errorf("first: verdict %v, want %v", d.Verdict, c.want)
+			if decision := r.Decide(start, ret); decision.Verdict != c.want {
+				t.Errorf("first: verdict %v, want %v", decision.Verdict, c.want)
 			}
 
 			ret = ask("harmless", "b")
 			r.Decide(start, ret)
 			now := ret.Deadline - c.left*second/1000
-			if d := r.AttemptEnded(now, ret, Outcome{Result: NotHeld}); d.Verdict != c.want {
-				t.Errorf("further: verdict %v, want %v", d.Verdict, c.want)
+			if decision := r.AttemptEnded(now, ret, Outcome{Result: NotHeld}); decision.Verdict != c.want {
+				t.Errorf("further: verdict %v, want %v", decision.Verdict, c.want)
 			}
 		})
 	}
@@ -58,8 +58,8 @@
 	answers(r, "harmless", 10, 300)
 	ret := ask("harmless", "a")
 	ret.Deadline = start + 500*second/1000
-	if d := r.Decide(start, ret); d.Attempt.SendTimeout != 200*second/1000 {
-		t.Errorf("within %d ms", d.Attempt.SendTimeout*1000/second)
+	if decision := r.Decide(start, ret); decision.Attempt.SendTimeout != 200*second/1000 {
+		t.Errorf("within %d ms", decision.Attempt.SendTimeout*1000/second)
 	}
 }
 
@@ -88,14 +88,14 @@
 			for n := range 100 {
 				ret := ask("harmless", fmt.Sprint("short", n))
 				ret.Deadline = start + c.left*second/1000
-				if d := r.Decide(start, ret); n == 0 && d.Verdict != Send {
-					t.Fatalf("verdict %v", d.Verdict)
+				if decision := r.Decide(start, ret); n == 0 && decision.Verdict != Send {
+					t.Fatalf("verdict %v", decision.Verdict)
 				}
 				r.AttemptEnded(start+c.spent*second/1000, ret, Outcome{Result: c.result, Elapsed: c.spent * second / 1000})
 			}
 			counts := false
-			for _, m := range r.endpoints {
-				counts = counts || m.ejected || m.failures > 0 || m.wasUnreachable
+			for _, endpoint := range r.endpoints {
+				counts = counts || endpoint.ejected || endpoint.failures > 0 || endpoint.wasUnreachable
 			}
 			if counts != c.member {
 				t.Errorf("it counts against members: %v", counts)
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -22,11 +22,11 @@
 			n++
 			ret := ask("harmless", fmt.Sprint(n%40))
 			ret.Deadline = now + 5*second
-			d := r.Decide(now, ret)
+			decision := r.Decide(now, ret)
 			if now >= from+span-second {
 				asked++
 			}
-			if d.Verdict != Send {
+			if decision.Verdict != Send {
 				r.ClientGone(now, ret) // what waits is turned away as well: there is no end of clients
 				if now >= from+span-second {
 					refused++
@@ -80,7 +80,7 @@
 	sent := 0
 	for n := range 1000 {
 		ret := ask("harmless", fmt.Sprint(n%40))
-		if d := r.Decide(now, ret); d.Verdict == Send {
+		if decision := r.Decide(now, ret); decision.Verdict == Send {
 			sent++
 		}
 	}
@@ -115,13 +115,13 @@
 					uneven = 5
 				}
 				measured := load * capacity * parents / float64(routers) * uneven / 0.95 * (0.5 + r.random())
-				m := r.endpoints[3]
-				r.slowStartAdmits(start, m, mean)
+				endpoint := r.endpoints[3]
+				r.slowStartAdmits(start, endpoint, mean)
 				for now := start + from + int64(n)*second/20/int64(routers); now < start+16*second; now += second / 20 {
 					r.carried[1].work, r.carried[1].lastAt = measured*float64(rateWindow)/1e9, now
-					if r.slowStartAdmits(now, m, mean) {
+					if r.slowStartAdmits(now, endpoint, mean) {
 						all = append(all, sending{now})
-						m.charge(now, mean)
+						endpoint.charge(now, mean)
 					}
 				}
 			}
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -44,10 +44,10 @@
 }
 
 // slowStartTerms reads the terms for a cache or a parent.
-func (r *Router) slowStartTerms(m *endpointState) slowStartTerms {
+func (r *Router) slowStartTerms(endpoint *endpointState) slowStartTerms {
 	terms := slowStartTerms{share: get(r.settings, "cold.share", 1.), multiple: get(r.settings, "cold.factor", 1.),
-		span: get(r.settings, "cold.span", int64(0)), window: get(r.settings, "cold.window", second), routers: int(r.sharers(m))}
-	if m.Location != r.location {
+		span: get(r.settings, "cold.span", int64(0)), window: get(r.settings, "cold.window", second), routers: int(r.sharers(endpoint))}
+	if endpoint.Location != r.location {
 		terms.share, terms.span = get(r.settings, "parent.coldShare", 1.), get(r.settings, "parent.coldSpan", int64(0))
 		terms.multiple = get(r.settings, "parent.coldFactor", terms.multiple)
 	}
@@ -78,30 +78,30 @@
 }
 
 // charge counts an attempt, be it a first one, a retry, a hedge, a probe or a fill, by the mean sending time of its class.
-func (m *endpointState) charge(now int64, work float64) {
-	if m.slowStartFrom != 0 {
-		m.slowStart.charge(now, work)
+func (endpoint *endpointState) charge(now int64, work float64) {
+	if endpoint.slowStartFrom != 0 {
+		endpoint.slowStart.charge(now, work)
 	}
 }
 
 // forget drops what was sent up to a time.
-func (v *slowStartBudget) forget(until int64) {
-	for len(v.sent) > 0 && v.sent[0].at <= until {
-		v.sent = v.sent[1:]
+func (budget *slowStartBudget) forget(until int64) {
+	for len(budget.sent) > 0 && budget.sent[0].at <= until {
+		budget.sent = budget.sent[1:]
 	}
 }
 
 // charge counts work that is sent now.
-func (v *slowStartBudget) charge(now int64, work float64) {
-	v.sent = append(v.sent, charge{now, work})
-	if v.tokens >= 1 {
-		v.tokens--
+func (budget *slowStartBudget) charge(now int64, work float64) {
+	budget.sent = append(budget.sent, charge{now, work})
+	if budget.tokens >= 1 {
+		budget.tokens--
 	}
 }
 
 // work is what was sent within the window.
-func (v *slowStartBudget) work() (sum float64) {
-	for _, c := range v.sent {
+func (budget *slowStartBudget) work() (sum float64) {
+	for _, c := range budget.sent {
 		sum += c.amount
 	}
 	return sum
@@ -110,16 +110,16 @@
 // collect adds tokens at so many a window, and tells whether there is a whole one. It begins at a phase of the
 // router's own, so that no two come together by more than chance; a token lapses after a window, so that at most
 // two windows' tokens can be spent within one.
-func (v *slowStartBudget) collect(now, startedAt, window int64, rate float64, phase func(int64) float64) bool {
-	if v.tokensFor != startedAt {
-		v.tokensFor, v.tokensAt, v.tokens = startedAt, now, phase(now)
+func (budget *slowStartBudget) collect(now, startedAt, window int64, rate float64, phase func(int64) float64) bool {
+	if budget.tokensFor != startedAt {
+		budget.tokensFor, budget.tokensAt, budget.tokens = startedAt, now, phase(now)
 	}
-	v.tokens += rate * float64(max(0, now-v.tokensAt)) / float64(window)
-	v.tokensAt = now
-	if excess := math.Ceil(v.tokens - 1 - rate); excess > 0 {
-		v.tokens -= excess
+	budget.tokens += rate * float64(max(0, now-budget.tokensAt)) / float64(window)
+	budget.tokensAt = now
+	if excess := math.Ceil(budget.tokens - 1 - rate); excess > 0 {
+		budget.tokens -= excess
 	}
-	return v.tokens >= 1
+	return budget.tokens >= 1
 }
 
 // tokenTerms is what the rates of tokens follow from.
@@ -158,23 +158,23 @@
 }
 
 // fits is rule 4: it tells whether an attempt of such work may be sent to a member now.
-func (r *Router) slowStartAdmits(now int64, m *endpointState, work float64) bool {
-	if m == r.origin || m.slowStartFrom == 0 {
+func (r *Router) slowStartAdmits(now int64, endpoint *endpointState, work float64) bool {
+	if endpoint == r.origin || endpoint.slowStartFrom == 0 {
 		return true
 	}
-	terms := r.slowStartTerms(m)
-	m.slowStart.forget(now - terms.window)
-	startedAt := r.slowStartSince(m)
+	terms := r.slowStartTerms(endpoint)
+	endpoint.slowStart.forget(now - terms.window)
+	startedAt := r.slowStartSince(endpoint)
 	if now >= startedAt+terms.span {
 		return true
 	}
 	mean := r.meanWork(now, 0)
-	n := terms.bears(r.sustainedCapacity(now, m), now-startedAt) / mean
+	n := terms.bears(r.sustainedCapacity(now, endpoint), now-startedAt) / mean
 	// Whole shares never break the rule: not if each router restarts within the window, nor if the member is half as
 	// large as it seems.
 	whole := mean * overloadLimit(n) / incarnations / float64(terms.routers)
 	if work <= whole {
-		return m.slowStart.work()+work <= whole
+		return endpoint.slowStart.work()+work <= whole
 	}
 	tokens := tokenTerms{limit: mean * overloadLimit(n), trials: float64(incarnations * terms.routers),
 		starts: float64(len(r.endpoints))}
@@ -182,15 +182,15 @@
 		tokens.limit -= whole * float64(terms.routers) // whole shares may be spent beside the tokens
 	}
 	rate := tokens.rate(work, r.meanWork(now, whole))
-	return m.slowStart.collect(now, m.slowStartFrom, terms.window, rate, func(now int64) float64 { return r.phase(now, m) })
+	return endpoint.slowStart.collect(now, endpoint.slowStartFrom, terms.window, rate, func(now int64) float64 { return r.phase(now, endpoint) })
 }
 
 // phase is a draw from [0, 1) by the router's seed, the member and the time: a router that restarts has another one.
-func (r *Router) phase(now int64, m *endpointState) float64 {
+func (r *Router) phase(now int64, endpoint *endpointState) float64 {
 	key := binary.LittleEndian.AppendUint64(nil, r.seed)
 	key = binary.LittleEndian.AppendUint64(key, uint64(now))
 	h := fnv.New64a()
-	h.Write(binary.LittleEndian.AppendUint32(key, m.ID))
+	h.Write(binary.LittleEndian.AppendUint32(key, endpoint.ID))
 	return uniformDraw(h.Sum64())
 }
 
@@ -205,10 +205,10 @@
 // where nothing is.
 func (r *Router) meanWork(now int64, above float64) float64 {
 	work, requests := 0., 0.
-	for _, p := range r.classes {
-		if p.sendingTime > above {
-			asked := p.offered.at(now) + minOfferedWork
-			work, requests = work+asked, requests+asked/p.sendingTime
+	for _, class := range r.classes {
+		if class.sendingTime > above {
+			asked := class.offered.at(now) + minOfferedWork
+			work, requests = work+asked, requests+asked/class.sendingTime
 		}
 	}
 	return work / requests
@@ -217,8 +217,8 @@
 // leastWork is the mean sending time of the lightest class.
 func (r *Router) leastWork() float64 {
 	least := math.Inf(1)
-	for _, p := range r.classes {
-		least = min(least, p.sendingTime)
+	for _, class := range r.classes {
+		least = min(least, class.sendingTime)
 	}
 	return least
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -138,8 +138,8 @@
 
 // ask has a router send all that it may.
 func (s *recovering) ask(now int64, r *Router) {
-	for m := r.endpoints[recoveringID]; r.slowStartAdmits(now, m, meanWork); {
-		m.charge(now, meanWork)
+	for endpoint := r.endpoints[recoveringID]; r.slowStartAdmits(now, endpoint, meanWork); {
+		endpoint.charge(now, meanWork)
 		s.sent = append(s.sent, sentAt{now, meanWork})
 	}
 }
@@ -241,8 +241,8 @@
 		ret := ask("harmless", "a")
 		r.Decide(start, ret)
 		wants(t, r, 1, 0.5)
-		if d := r.AttemptEnded(start, ret, Outcome{Result: ConnectionLost}); d.Verdict != Send || d.Attempt.Cache != 1 {
-			t.Fatalf("not sent again: %+v", d)
+		if decision := r.AttemptEnded(start, ret, Outcome{Result: ConnectionLost}); decision.Verdict != Send || decision.Attempt.Cache != 1 {
+			t.Fatalf("not sent again: %+v", decision)
 		}
 		wants(t, r, 1, 1)
 	})
@@ -255,8 +255,8 @@
 		r.endpoints[1].slowStartFrom, r.endpoints[2].slowStartFrom = start, start
 		r.endpoints[1].ejected, r.endpoints[1].nextProbeAt = true, forever
 		r.retryTokens = 3
-		if d := r.Decide(start+second, ret); d.Verdict != Send || d.Attempt.Cache != 2 || ret.inFlight != 2 {
-			t.Fatalf("no second attempt beside the first: %+v", d)
+		if decision := r.Decide(start+second, ret); decision.Verdict != Send || decision.Attempt.Cache != 2 || ret.inFlight != 2 {
+			t.Fatalf("no second attempt beside the first: %+v", decision)
 		}
 		wants(t, r, 1, 0.5)
 		wants(t, r, 2, 0.5)
@@ -266,18 +266,18 @@
 		r.UpdateEndpoints(start, []Endpoint{{ID: 4, Location: "hub", Phase: "gone"}}, false)
 		large := ask("harmless", "a")
 		large.SizeKB = 5000 // five seconds by itself; its class's mean counts
-		if d := r.Decide(start, large); d.Attempt.Source != 3 {
-			t.Fatalf("filled from %d", d.Attempt.Source)
+		if decision := r.Decide(start, large); decision.Attempt.Source != 3 {
+			t.Fatalf("filled from %d", decision.Attempt.Source)
 		}
 		wants(t, r, 3, 0.5)
 	})
 	t.Run("a probe", func(t *testing.T) {
 		r := cold(t, 1, Settings{"probe": true})
-		m := r.endpoints[1]
+		endpoint := r.endpoints[1]
 		for n := range 20 { // until nothing is left for probes either
-			m.ejected, m.probing, m.nextProbeAt = true, false, start
-			r.watched.add(m) // as check has it
-			m.lastResponseAt = start
+			endpoint.ejected, endpoint.probing, endpoint.nextProbeAt = true, false, start
+			r.watched.add(endpoint) // as check has it
+			endpoint.lastResponseAt = start
 			probe, _ := r.Tick(start)
 			if want := n < 4; slices.Contains(probe, 1) != want { // (8 + 3·√8 + 3) / 2 incarnations / 2 routers
 				t.Fatalf("probe %d sent: %v", n, !want)
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -116,9 +116,9 @@
 		r := writeSite(t, nil)
 		write := ask("write", "object")
 		r.Decide(start, write)
-		d := r.AttemptEnded(start+20*millisecond, write, Outcome{Result: Overloaded, Note: note, Elapsed: 20 * millisecond})
-		if d.Verdict != Send || d.Attempt.Source == originID || d.Attempt.Source == 0 {
-			t.Errorf("after note %d: %+v", note, d)
+		decision := r.AttemptEnded(start+20*millisecond, write, Outcome{Result: Overloaded, Note: note, Elapsed: 20 * millisecond})
+		if decision.Verdict != Send || decision.Attempt.Source == originID || decision.Attempt.Source == 0 {
+			t.Errorf("after note %d: %+v", note, decision)
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	r := writeSite(t, nil)
 	lines := ringFleet()
 	r.UpdateEndpoints(start, lines[:len(lines)-1], true)
-	if d := r.Decide(start, ask("write", "object")); d.Verdict != Send || d.Attempt.Source == 0 {
-		t.Errorf("%+v", d)
+	if decision := r.Decide(start, ask("write", "object")); decision.Verdict != Send || decision.Attempt.Source == 0 {
+		t.Errorf("%+v", decision)
 	}
 }
