--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -16,7 +16,7 @@
 	}
 	r := newRouter(t, set)
 	for i, sending := range []float64{0.4, 0.02, 0.01} {
-		r.classes[i].sending, r.classes[i].seen = sending, 100
+		r.classes[i].sendingTime, r.classes[i].samples = sending, 100
 	}
 	return r
 }
@@ -24,7 +24,7 @@
 // fill asks for new objects of a class until no more is sent, and returns how many were.
 func fill(r *Router, now int64, product string) (sent int) {
 	for ; sent < 1000; sent++ {
-		if r.Where(now, ask(product, fmt.Sprint(product, now, sent))).Verdict != Send {
+		if r.Decide(now, ask(product, fmt.Sprint(product, now, sent))).Verdict != Send {
 			break
 		}
 	}
@@ -34,12 +34,12 @@
 // Writes were turned away for want of room for fills, which they hardly use: one class was hardly served.
 func TestWritesNeedNoRoomForFills(t *testing.T) {
 	r := classes(t, nil)
-	r.rooms[fills] = 0.4
+	r.admissionLimits[fills] = 0.4
 	if n := fill(r, start, "harmless") + fill(r, start, "stamped"); n == 0 || n >= 1000 {
 		t.Fatalf("%d sent", n)
 	}
-	if d := r.Where(start, ask("once", "write")); d.Verdict != Send {
-		t.Errorf("a write while fills have no room: %+v", d)
+	if decision := r.Decide(start, ask("once", "write")); decision.Verdict != Send {
+		t.Errorf("a write while fills have no room: %+v", decision)
 	}
 }
 
@@ -48,9 +48,9 @@
 	r := classes(t, nil)
 	for n := range 10 {
 		a, b := r.load(start, r.caches[0]), r.load(start, r.caches[1])
-		d := r.Where(start, ask("once", fmt.Sprint(n)))
-		if d.Verdict != Send || a != b && (d.Dispatch.Cache == r.caches[0].ID) != (a < b) {
-			t.Errorf("loads %.2f and %.2f: %+v", a, b, d)
+		decision := r.Decide(start, ask("once", fmt.Sprint(n)))
+		if decision.Verdict != Send || a != b && (decision.Attempt.Cache == r.caches[0].ID) != (a < b) {
+			t.Errorf("loads %.2f and %.2f: %+v", a, b, decision)
 		}
 	}
 }
@@ -72,12 +72,12 @@
 	}{{0.01, 0.95}, {0.5, 0.69}} {
 		r := classes(t, Settings{"product.payoff": []float64{1, 40, 1}})
 		ret := ask("harmless", "x")
-		r.Where(start, ret)
-		r.classes[0].asked, r.classes[1].asked = carried{}, carried{}
-		r.classes[0].asked.add(start, 40*(1-c.rare))
-		r.classes[1].asked.add(start, 40*c.rare)
-		r.classes[0].taken, r.classes[1].taken = r.classes[0].asked, r.classes[1].asked
-		if part := r.part(start, ret); part < c.want || part > 1 || c.rare == 0.5 && part > 0.75 {
+		r.Decide(start, ret)
+		r.classes[0].offered, r.classes[1].offered = decayingWork{}, decayingWork{}
+		r.classes[0].offered.add(start, 40*(1-c.rare))
+		r.classes[1].offered.add(start, 40*c.rare)
+		r.classes[0].admitted, r.classes[1].admitted = r.classes[0].offered, r.classes[1].offered
+		if part := r.admissionShare(start, ret); part < c.want || part > 1 || c.rare == 0.5 && part > 0.75 {
 			t.Errorf("rare class %.2f: part %.2f, %.2f wanted", c.rare, part, c.want)
 		}
 	}
@@ -86,28 +86,28 @@
 // The best class alone could fill the room for good; another, asked for as much, is let in beside it.
 func TestNoClassIsShutOut(t *testing.T) {
 	r := classes(t, Settings{"product.payoff": []float64{1, 40, 1}, "product.due": []int64{second / 2, second / 100, second / 2}})
-	r.classes[1].sending = 0.4 // as large as the other, and worth forty times as much; neither stands more than the other
-	r.classes[1].due = r.classes[0].due
+	r.classes[1].sendingTime = 0.4 // as large as the other, and worth forty times as much; neither stands more than the other
+	r.classes[1].objective = r.classes[0].objective
 	asked, sent := map[string]int{}, map[string]int{}
 	type open struct {
-		ret  *Retrieval
+		ret  *Request
 		ends int64
 	}
 	var hand []open
 	for now, n := start, 0; now < start+20*second; now += second / 50 {
 		for len(hand) > 0 && hand[0].ends <= now {
-			r.After(now, hand[0].ret, Outcome{Result: Good, Spent: second / 2, Sending: 0.4, Note: 2, Closed: true})
+			r.AttemptEnded(now, hand[0].ret, Outcome{Result: Succeeded, Elapsed: second / 2, SendingTime: 0.4, Note: 2, RequestEnded: true})
 			hand = hand[1:]
 		}
 		for _, product := range []string{"stamped", "harmless", "stamped", "stamped"} {
 			n++
 			ret := ask(product, fmt.Sprint(n))
 			asked[product]++
-			if r.Where(now, ret).Verdict == Send {
+			if r.Decide(now, ret).Verdict == Send {
 				sent[product]++
 				hand = append(hand, open{ret, now + second/2})
 			} else {
-				r.Departed(now, ret)
+				r.ClientGone(now, ret)
 			}
 		}
 	}
@@ -125,12 +125,12 @@
 		spent   int64
 		shrinks bool
 	}{{13 * second / 10, false}, {3 * second, true}} {
-		before := r.rooms[fills]
+		before := r.admissionLimits[fills]
 		ret := ask("harmless", fmt.Sprint(c.spent))
-		r.Where(start, ret)
-		r.After(start+c.spent, ret, Outcome{Result: Good, Spent: c.spent, Sending: 0.9, Note: 2, Closed: true})
-		if got := r.rooms[fills] < before; got != c.shrinks {
-			t.Errorf("an answer of 0.9 s that took %.1f s: room %.3f, was %.3f", float64(c.spent)/1e9, r.rooms[fills], before)
+		r.Decide(start, ret)
+		r.AttemptEnded(start+c.spent, ret, Outcome{Result: Succeeded, Elapsed: c.spent, SendingTime: 0.9, Note: 2, RequestEnded: true})
+		if got := r.admissionLimits[fills] < before; got != c.shrinks {
+			t.Errorf("an answer of 0.9 s that took %.1f s: room %.3f, was %.3f", float64(c.spent)/1e9, r.admissionLimits[fills], before)
 		}
 	}
 }
@@ -143,10 +143,10 @@
 		for n := range 60 {
 			now := start + int64(n)*second/10
 			ret := ask("harmless", fmt.Sprint(n))
-			for d := r.Where(now, ret); d.Verdict == Send; d = r.After(now, ret, Outcome{Result: Full, Note: 7, Number: len(ret.dispatches) - 1}) {
+			for decision := r.Decide(now, ret); decision.Verdict == Send; decision = r.AttemptEnded(now, ret, Outcome{Result: Overloaded, Note: 7, Attempt: len(ret.attempts) - 1}) {
 				further++
 			}
-			r.Departed(now, ret)
+			r.ClientGone(now, ret)
 			further--
 		}
 		if free := further > 60; free != (factor == 0) {
@@ -170,22 +170,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, Settings{"product.effect": []string{"harmless", "harmless", "one-shot"}})
 			for name, value := range c.change {
-				r.set[name] = value
+				r.settings[name] = value
 			}
-			r, err := New(start, 7, r.set, func(string) {})
+			r, err := New(start, 7, r.settings, func(string) {})
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.Listed(start, fleet, true)
+			r.UpdateEndpoints(start, fleet, true)
 			for n, product := range []string{"stamped", "harmless", "once"} {
 				ret := ask(product, fmt.Sprint(n))
-				if d := r.Where(start, ret); d.Verdict != Send {
-					t.Fatalf("%s: %+v", product, d)
+				if decision := r.Decide(start, ret); decision.Verdict != Send {
+					t.Fatalf("%s: %+v", product, decision)
 				}
-				if part := r.part(start, ret); !(part > 0.1 && part < 10) {
+				if part := r.admissionShare(start, ret); !(part > 0.1 && part < 10) {
 					t.Errorf("%s: part %v", product, part)
 				}
-				r.After(start+second/10, ret, Outcome{Result: Good, Spent: second / 10, Note: 1, Closed: true})
+				r.AttemptEnded(start+second/10, ret, Outcome{Result: Succeeded, Elapsed: second / 10, Note: 1, RequestEnded: true})
 			}
 		})
 	}
--- a/control/control.go
+++ b/control/control.go
@@ -1,8 +1,8 @@
 // Package control decides where objects are served, kept and filled from.
 //
-// How to call it: New makes one router. Where says where to send a retrieval (or not yet, or never), After
-// what to do once a dispatch has ended, Wait how long to wait before asking Where again. The facts come by
-// Listed, Purged, Departed, Probed and Tick. The interface's types are in types.go, the reasons in
+// How to call it: New makes one router. Decide says where to send a request (or not yet, or never), AttemptEnded
+// what to do once an attempt has ended, RecheckDelay how long to wait before asking Decide again. The facts come
+// by UpdateEndpoints, Purge, ClientGone, ProbeEnded and Tick. The interface's types are in types.go, the reasons in
 // docs/design.md. A router shares nothing, reads no clock and is not safe for use by two goroutines at once.
 package control
 
@@ -17,55 +17,55 @@
 )
 
 const (
-	second   = int64(1e9)
-	forever  = int64(math.MaxInt64 / 2)
-	period   = second / 10 // of the one periodic timer
-	holdStep = second / 20 // between two looks at a held retrieval
-
-	exchange   = 2e-2 // the design's c: missed updates that one KB of filling is worth
-	unsizedKB  = 500. // the design's b where sizes are not told
-	rateWindow = 10 * second
-	tableSize  = 10000
-	renewFrom  = 1.  // λ·age from which a copy is renewed behind
-	hotShare   = 0.1 // of this router's requests per cache
-	hotLeast   = 3.  // and so many requests in the window: a router that just started finds all hot
-
-	repeatMost = 10. // requests in the window up to which one soon after a dismissal is taken for its repeat
-	rankAgain  = 0.2 // earlier requests in the window from which an object is kept at rank 2
-
-	silentFrom   = 6.  // evidence of silence from which a member is suspect: e^-6 by chance
-	silentMost   = 2.  // of it by one dispatch
-	silentLeast  = 1.2 // answer times that one must have waited
-	badFrom      = 2.5 // failures, lately, from which a member is suspect
-	badShare     = 0.3 // part of them that has failed, beyond what its peers show
-	badSure      = 0.4 // of that part, for a parent that has answered hundreds
-	healthSpan   = 4 * second
-	trialFirst   = second // until a suspect is tried again; doubles up to trialMost
-	trialMost    = 8 * second
-	furtherShare = 0.15 // further dispatches that each first one of best payoff puts aside
-	furtherMost  = 10.
-	keepSpan     = 10 * second // for so long an object served is taken to be kept
-	roomMost     = 4.          // in hand for the caches' size
-	roomLeast    = 0.3
-	roomDown     = 0.08 // part lost by each late one
-	roomCheap    = 0.7  // least part of the room for what earns less for its bytes, and for repeats
-	roomStands   = 2.   // most part for what stands more of a jam
-	roomShut     = 1.5  // part for a class that was let in less than shutShare of what others were
-	shutShare    = 0.7
-	seenFirst    = 10. // answers that a class's first means, drawn from its due time, count for
-	adviceShare  = 0.2 // of the due time after which a dismissed client is to come back, at least
-	sharingSpan  = 2 * second
-	sharingLeast = 20.  // dispatches in hand beside those answered, over the span, that tell of the sharers
-	muteFrom     = 1.5  // answers gone missing lately from which a second dispatch is sent to what is overdue
-	deniedFrom   = 1.5  // fills denied by parents lately from which the origin is asked for what has no room
-	overdueShare = 0.6  // of the due time after which it is
-	leastUnits   = 0.01 // size of a member that is told as smaller
-	wellShare    = 0.03 // failures for each success up to which a member is well
+	second       = int64(1e9)
+	forever      = int64(math.MaxInt64 / 2)
+	tickInterval = second / 10 // of the one periodic timer
+	holdInterval = second / 20 // between two looks at a held retrieval
+
+	exchangeRate     = 2e-2 // the design's c: missed updates that one KB of filling is worth
+	defaultSizeKB    = 500. // the design's b where sizes are not told
+	rateWindow       = 10 * second
+	maxObjects       = 10000
+	refreshThreshold = 1.  // λ·age from which a copy is renewed behind
+	hotShare         = 0.1 // of this router's requests per cache
+	minHotRequests   = 3.  // and so many requests in the window: a router that just started finds all hot
+
+	maxGuessedRetryCount = 10. // requests in the window up to which one soon after a dismissal is taken for its repeat
+	reuseThreshold       = 0.2 // earlier requests in the window from which an object is kept at rank 2
+
+	silenceThreshold       = 6.  // evidence of silence from which a member is suspect: e^-6 by chance
+	maxSilencePerAttempt   = 2.  // of it by one dispatch
+	minSilence             = 1.2 // answer times that one must have waited
+	failureThreshold       = 2.5 // failures, lately, from which a member is suspect
+	failureShareThreshold  = 0.3 // part of them that has failed, beyond what its peers show
+	manyAnswersFactor      = 0.4 // of that part, for a parent that has answered hundreds
+	healthWindow           = 4 * second
+	minProbeBackoff        = second // until a suspect is tried again; doubles up to trialMost
+	maxProbeBackoff        = 8 * second
+	retryTokensPerRequest  = 0.15 // further dispatches that each first one of best payoff puts aside
+	maxRetryTokens         = 10.
+	likelyHeldDuration     = 10 * second // for so long an object served is taken to be kept
+	maxAdmissionLimit      = 4.          // in hand for the caches' size
+	minAdmissionLimit      = 0.3
+	admissionDecrease      = 0.08 // part lost by each late one
+	lowValueShare          = 0.7  // least part of the room for what earns less for its bytes, and for repeats
+	maxToleranceFactor     = 2.   // most part for what stands more of a jam
+	underservedFactor      = 1.5  // part for a class that was let in less than shutShare of what others were
+	underservedShare       = 0.7
+	initialSamples         = 10. // answers that a class's first means, drawn from its due time, count for
+	retryAfterShare        = 0.2 // of the due time after which a dismissed client is to come back, at least
+	sharingWindow          = 2 * second
+	minSharingEvidence     = 20.  // dispatches in hand beside those answered, over the span, that tell of the sharers
+	lostResponseThreshold  = 1.5  // answers gone missing lately from which a second dispatch is sent to what is overdue
+	sourceRefusalThreshold = 1.5  // fills denied by parents lately from which the origin is asked for what has no room
+	hedgeDelayShare        = 0.6  // of the due time after which it is
+	minCapacity            = 0.01 // size of a member that is told as smaller
+	maxHealthyFailureRatio = 0.03 // failures for each success up to which a member is well
 )
 
 // blame is what an outcome counts against the cache and against the source.
-var blame = map[Result][2]float64{Full: {0.3, 0.5}, Late: {0.5, 0.5}, Faulty: {0.5, 0}, Unreached: {1, 0},
-	Broken: {1, 0}}
+var failureWeights = map[Result][2]float64{Overloaded: {0.3, 0.5}, TimedOut: {0.5, 0.5}, ServerError: {0.5, 0}, Unreachable: {1, 0},
+	ConnectionLost: {1, 0}}
 
 // The kinds of rooms, and what is in hand in them for the caches' size at start.
 const (
@@ -74,10 +74,10 @@
 	fetches
 )
 
-var roomFirst = [3]float64{2, 1.2, 0.4}
+var initialAdmissionLimits = [3]float64{2, 1.2, 0.4}
 
 // roomUp is what an answer in time adds to its room, more while tight: stalls outlasted themselves by 10 s.
-var roomUp = map[bool]float64{false: 0.006, true: 0.018}
+var admissionIncrease = map[bool]float64{false: 0.006, true: 0.018}
 
 // New makes a router from its settings; log takes a short line for each change of mode.
 func New(now int64, seed uint64, set Settings, log func(string)) (*Router, error) {
@@ -87,327 +87,334 @@
 			return nil, fmt.Errorf("setting %s is missing", name)
 		}
 	}
-	r := &Router{set: set, log: log, seed: seed, started: now, home: get(set, "location", ""),
-		products: map[string]*product{}, members: map[uint32]*member{}, table: map[entryKey]*entry{},
-		live: list.New(), ghosts: list.New(), totalAt: now, purges: map[string]*purge{},
-		spare: furtherMost, rooms: roomFirst}
+	r := &Router{settings: set, log: log, seed: seed, startedAt: now, location: get(set, "location", ""),
+		classByName: map[string]*classState{}, endpoints: map[uint32]*endpointState{}, objects: map[objectKey]*objectRecord{},
+		recentObjects: list.New(), evictedObjects: list.New(), requestCountAt: now, purges: map[string]*purgeState{},
+		retryTokens: maxRetryTokens, admissionLimits: initialAdmissionLimits}
 	for i, name := range get[[]string](set, "product.names", nil) {
 		due, none := at(set, "product.due", i, second), int64(0)
-		r.products[name] = &product{due: due, fresh: at(set, "product.fresh", i, none),
-			window: at(set, "product.window", i, none), payoff: at(set, "product.payoff", i, 1.),
-			dueStretch: at(set, "product.dueStretch", i, 0.), scope: at(set, "product.scope", i, "cell"),
-			effect: at(set, "product.effect", i, "one-shot"), neverKept: at(set, "product.neverKept", i, false),
-			sending: max(float64(due)/1e9, 1e-3), answer: float64(due) / 1e9, seen: seenFirst}
-		r.classes = append(r.classes, r.products[name])
+		r.classByName[name] = &classState{objective: due, freshDuration: at(set, "product.fresh", i, none),
+			keyWindow: at(set, "product.window", i, none), weight: at(set, "product.payoff", i, 1.),
+			objectiveStretch: at(set, "product.dueStretch", i, 0.), keyScope: at(set, "product.scope", i, "cell"),
+			idempotency: at(set, "product.effect", i, "one-shot"), uncacheable: at(set, "product.neverKept", i, false),
+			sendingTime: max(float64(due)/1e9, 1e-3), responseTime: float64(due) / 1e9, samples: initialSamples}
+		r.classes = append(r.classes, r.classByName[name])
 	}
 	return r, nil
 }
 
-// Where says where to send a retrieval that has come, or whose Wait has passed, or not yet, or never.
-func (r *Router) Where(now int64, t *Retrieval) Decision {
-	if t.product == nil {
-		if t.product = r.products[t.Product]; t.product == nil {
-			return Decision{Verdict: Abort}
+// Decide says where to send a request that has come, or whose RecheckDelay has passed, or not yet, or never.
+func (r *Router) Decide(now int64, request *Request) Decision {
+	if request.class == nil {
+		if request.class = r.classByName[request.Class]; request.class == nil {
+			return Decision{Verdict: Fail}
 		}
-		t.product.asked.add(now, r.sendingTime(t))
-		if t.arrived, t.entry = now, r.note(now, t); !t.Repeat {
-			r.asked.work = fade(r.asked.work, now-r.asked.last, sharingSpan) + r.sendingTime(t)
-			r.asked.last = now
+		request.class.offered.add(now, r.sendingTime(request))
+		if request.arrivedAt, request.record = now, r.recordRequest(now, request); !request.ClientRetry {
+			r.offered.work = decay(r.offered.work, now-r.offered.lastAt, sharingWindow) + r.sendingTime(request)
+			r.offered.lastAt = now
 		}
 	}
 	switch {
-	case t.done:
+	case request.ended:
 		return Decision{}
-	case t.out > 0:
-		return r.rethink(now, t)
+	case request.inFlight > 0:
+		return r.reconsider(now, request)
 	}
-	return r.next(now, t)
+	return r.decideNext(now, request)
 }
 
-// After says what to do once a dispatch has ended.
-func (r *Router) After(now int64, t *Retrieval, o Outcome) Decision {
-	if o.Number < 0 || o.Number >= len(t.dispatches) || t.dispatches[o.Number].ended {
+// AttemptEnded says what to do once an attempt has ended.
+func (r *Router) AttemptEnded(now int64, request *Request, outcome Outcome) Decision {
+	if outcome.Attempt < 0 || outcome.Attempt >= len(request.attempts) || request.attempts[outcome.Attempt].ended {
 		return Decision{}
 	}
-	d := t.dispatches[o.Number]
-	d.ended, d.result = true, o.Result
-	t.out--
-	r.judge(now, t, d, o)
-	switch t.done = t.done || o.Closed; {
-	case t.done:
-		return r.callOff(t)
-	case t.out > 0:
+	attempt := request.attempts[outcome.Attempt]
+	attempt.ended, attempt.result = true, outcome.Result
+	request.inFlight--
+	r.observe(now, request, attempt, outcome)
+	switch request.ended = request.ended || outcome.RequestEnded; {
+	case request.ended:
+		return r.cancelOthers(request)
+	case request.inFlight > 0:
 		return Decision{}
-	case o.Result != Cancelled && o.Result != Broken || get(r.set, "dispatches.together", false) ||
-		!r.repeatable(now, t):
-		return r.next(now, t)
-	case now+2*holdStep >= t.HardStop:
-		return r.giveUp(now, t)
+	case outcome.Result != Cancelled && outcome.Result != ConnectionLost || get(r.settings, "dispatches.together", false) ||
+		!r.mayRetry(now, request):
+		return r.decideNext(now, request)
+	case now+2*holdInterval >= request.Deadline:
+		return r.rejectOrFail(now, request)
 	}
 	return Decision{} // what gives it up goes another way than the next would: two were out where one may be
 }
 
-// Wait says how long to wait before asking Where again; 0 is until an outcome.
-func (r *Router) Wait(_ int64, t *Retrieval) int64 {
+// RecheckDelay says how long to wait before asking Decide again; 0 is until an outcome.
+func (r *Router) RecheckDelay(_ int64, request *Request) int64 {
 	switch {
-	case t.done:
+	case request.ended:
 		return 0
-	case t.out > 0:
-		return period
+	case request.inFlight > 0:
+		return tickInterval
 	}
-	return holdStep
+	return holdInterval
 }
 
-// Departed tells that a retrieval's client left, or that it ended otherwise; dispatches may still be out.
-func (r *Router) Departed(_ int64, t *Retrieval) Decision { t.done = true; return r.callOff(t) }
+// ClientGone tells that a request's client left, or that it ended otherwise; attempts may still be out.
+func (r *Router) ClientGone(_ int64, request *Request) Decision {
+	request.ended = true
+	return r.cancelOthers(request)
+}
 
 // callOff ends what else of a finished retrieval is out.
-func (r *Router) callOff(t *Retrieval) (d Decision) {
-	for i, other := range t.dispatches {
-		if !other.ended && get(r.set, "cancel", false) {
-			d.Cancel = append(d.Cancel, i)
+func (r *Router) cancelOthers(request *Request) (decision Decision) {
+	for i, other := range request.attempts {
+		if !other.ended && get(r.settings, "cancel", false) {
+			decision.Cancel = append(decision.Cancel, i)
 		}
 	}
-	return d
+	return decision
 }
 
 // next picks the next dispatch of a retrieval that has none out, or holds it, or gives it up.
-func (r *Router) next(now int64, t *Retrieval) Decision {
-	cache, source := r.place(now, t)
-	if n := len(t.dispatches); n > 0 && t.dispatches[n-1].source == nil && r.origin != nil && cache != nil &&
-		!t.missed && r.denials.at(now) > deniedFrom && !r.room(now, t, cache) && r.originStands() {
-		source, t.missed = r.origin, true // its home does not hold it, and parents are at their bounds
+func (r *Router) decideNext(now int64, request *Request) Decision {
+	cache, source := r.selectEndpoints(now, request)
+	if n := len(request.attempts); n > 0 && request.attempts[n-1].source == nil && r.origin != nil && cache != nil &&
+		!request.sourceMissed && r.sourceRefusals.at(now) > sourceRefusalThreshold && !r.admits(now, request, cache) && r.originUnlimited() {
+		source, request.sourceMissed = r.origin, true // its home does not hold it, and parents are at their bounds
 	}
-	if r.starved() {
-		t.starved = now
+	if r.cannotConnect() {
+		request.exhaustedAt = now
 	}
 	switch {
-	case !r.repeatable(now, t) || now >= t.unwrittenMost():
-	case t.starved > 0 && now+2*holdStep >= t.unwrittenMost():
+	case !r.mayRetry(now, request) || now >= request.sendDeadline():
+	case request.exhaustedAt > 0 && now+2*holdInterval >= request.sendDeadline():
 		// Too late for a link to come up: it was counted against the cache that it had not.
-	case cache != nil && r.room(now, t, cache):
-		if r.afford(t) {
-			return r.send(now, t, cache, source)
+	case cache != nil && r.admits(now, request, cache):
+		if r.takeRetryToken(request) {
+			return r.sendTo(now, request, cache, source)
 		}
-	case cache != nil && r.mayHold(now, t, cache):
-		return r.send(now, t, cache, nil)
-	case now < max(t.arrived, t.starved)+t.product.due/8 && now+2*holdStep < t.unwrittenMost():
+	case cache != nil && r.mayAskCacheOnly(now, request, cache):
+		return r.sendTo(now, request, cache, nil)
+	case now < max(request.arrivedAt, request.exhaustedAt)+request.class.objective/8 && now+2*holdInterval < request.sendDeadline():
 		// What waited longer was late after all; never past the client's own time: one was lost so.
 		return Decision{}
 	}
-	return r.giveUp(now, t)
+	return r.rejectOrFail(now, request)
 }
 
 // unwrittenMost is until when a retrieval may stay without a dispatch that came whole to a cache.
-func (t *Retrieval) unwrittenMost() int64 {
-	for _, d := range t.dispatches {
-		if d.mayHaveRun() || d.result == Full || d.result == Missing {
-			return t.HardStop
+func (request *Request) sendDeadline() int64 {
+	for _, attempt := range request.attempts {
+		if attempt.mayHaveRun() || attempt.result == Overloaded || attempt.result == NotHeld {
+			return request.Deadline
 		}
 	}
-	return t.arrived + (t.HardStop-t.arrived)/2
+	return request.arrivedAt + (request.Deadline-request.arrivedAt)/2
 }
 
 // room keeps what is in hand to what comes in time, learned from how much does: likely hits by the cache's
 // link, likely fills by the location's. Beyond that all get late together, and the jam outlives its cause.
 // What earns least for its sending time goes first, and clients' repeats: most are late already. It covers
 // jumps in traffic, crowding, empty caches, a slow source; it hurts where answers are late for a moment only.
-func (r *Router) room(now int64, t *Retrieval, cache *member) bool {
-	load, kind := r.load(now, cache), t.kind(now)
-	limit := r.rooms[kind]
+func (r *Router) admits(now int64, request *Request, cache *endpointState) bool {
+	load, kind := r.load(now, cache), request.attemptKind(now)
+	limit := r.admissionLimits[kind]
 	switch {
-	case kind == fills && t.neverKept():
-		limit = r.rooms[hits] // runs at the origin, and takes next to nothing of the links for fills
+	case kind == fills && request.isUncacheable():
+		limit = r.admissionLimits[hits] // runs at the origin, and takes next to nothing of the links for fills
 	case kind > 0:
-		load = float64(r.inTime(now)[kind]) * r.sharing() / r.units(now)
+		load = float64(r.inFlightWithinObjective(now)[kind]) * r.effectiveSharers() / r.locationCapacity(now)
 	}
-	if t.Repeat {
-		limit *= roomCheap
+	if request.ClientRetry {
+		limit *= lowValueShare
 	}
-	return load < limit*r.part(now, t)
+	return load < limit*r.admissionShare(now, request)
 }
 
 // part is the part of a room that is open to a retrieval, by its class. Kept free of it is what classes worth
 // twice as much for their sending time ask for, twice over. A class whose answers stand more of a jam than
 // others' may go beyond the room, as it comes and goes fast; so may one that was let in far less than others:
 // else the best alone could fill the room, and one class was hardly served.
-func (r *Router) part(now int64, t *Retrieval) float64 {
-	p, least := t.product, math.Inf(1)
+func (r *Router) admissionShare(now int64, request *Request) float64 {
+	class, least := request.class, math.Inf(1)
 	var asked, taken, better float64
-	for _, q := range r.classes {
-		work := q.asked.at(now)
-		if asked, taken = asked+work, taken+q.taken.at(now); q.payoff/q.sending > 2*p.payoff/r.sendingTime(t) {
+	for _, other := range r.classes {
+		work := other.offered.at(now)
+		if asked, taken = asked+work, taken+other.admitted.at(now); other.weight/other.sendingTime > 2*class.weight/r.sendingTime(request) {
 			better += work
 		}
-		if q.seen > seenFirst {
-			least = min(least, q.stands())
+		if other.samples > initialSamples {
+			least = min(least, other.delayTolerance())
 		}
 	}
-	part := 1 - min(1-roomCheap, 2*better/max(asked, 0.01))
-	if p.stands() > least {
-		part *= min(roomStands, p.stands()/least)
+	part := 1 - min(1-lowValueShare, 2*better/max(asked, 0.01))
+	if class.delayTolerance() > least {
+		part *= min(maxToleranceFactor, class.delayTolerance()/least)
 	}
-	if p.taken.at(now)*asked < shutShare*taken*p.asked.at(now) {
-		part *= roomShut
+	if class.admitted.at(now)*asked < underservedShare*taken*class.offered.at(now) {
+		part *= underservedFactor
 	}
 	return part
 }
 
 // stands is how much longer than at full pace an answer of a class may take and still be in time.
-func (p *product) stands() float64 { return p.dueStretch + float64(p.due)/1e9/p.sending }
+func (class *classState) delayTolerance() float64 {
+	return class.objectiveStretch + float64(class.objective)/1e9/class.sendingTime
+}
 
 // mayHold tells whether a retrieval for which there is no room as a fill is to ask its home for what that
 // holds. In a thin slice what is kept is unknown: half of what was taken for fills were hits, and a jam of
 // the sources turned all away. Only where any copy that the cache may serve will do, and nothing was asked
 // yet.
-func (r *Router) mayHold(now int64, t *Retrieval, cache *member) bool {
-	age, _ := r.age(now, t)
-	return t.kind(now) == fills && len(t.dispatches) == 0 && !t.neverKept() &&
-		(age == 0 || t.product.fresh > 0 && age >= t.product.fresh) && r.load(now, cache) < r.rooms[hits]*roomCheap
+func (r *Router) mayAskCacheOnly(now int64, request *Request, cache *endpointState) bool {
+	age, _ := r.maxAge(now, request)
+	return request.attemptKind(now) == fills && len(request.attempts) == 0 && !request.isUncacheable() &&
+		(age == 0 || request.class.freshDuration > 0 && age >= request.class.freshDuration) && r.load(now, cache) < r.admissionLimits[hits]*lowValueShare
 }
 
 // kind tells which room the next dispatch counts in: that of likely hits, of likely fills, or of fetches from
 // the origin, once the source has said that it lacks the object.
-func (t *Retrieval) kind(now int64) int {
+func (request *Request) attemptKind(now int64) int {
 	switch {
-	case t.missed:
+	case request.sourceMissed:
 		return fetches
-	case t.entry.servedUntil <= now || t.away:
+	case request.record.likelyHeldUntil <= now || request.diverted:
 		return fills
 	}
 	return hits
 }
 
 // sharing is how many routers send to the location's caches now, by what answers tell is in hand there.
-func (r *Router) sharing() float64 {
-	if r.ours < sharingLeast {
+func (r *Router) effectiveSharers() float64 {
+	if r.ownInFlight < minSharingEvidence {
 		return r.sharers(nil)
 	}
-	return max(1, min(r.theirs/r.ours, r.sharers(nil)))
+	return max(1, min(r.othersInFlight/r.ownInFlight, r.sharers(nil)))
 }
 
 // measuredSize is how many answers a cache can send at once at a client's full pace, where weights do not tell it:
 // what each cache carried in time at the best, scaled to all who send there, or what is asked for now, up to some
 // times that; a young router goes by what is asked for alone. A weight of one for all was taken for caches of one
 // answer at a time, and shut the rooms on half of the traffic.
-func (r *Router) measuredSize(now int64) float64 {
-	best, asked := max(1, r.carried[0].best), r.each(now, r.asked, sharingSpan, r.sharing(), r.caches)
-	if now >= r.started+rateWindow {
-		asked = min(asked, roomMost*best)
+func (r *Router) measuredCapacity(now int64) float64 {
+	best, asked := max(1, r.carried[0].best), r.perEndpoint(now, r.offered, sharingWindow, r.effectiveSharers(), r.caches)
+	if now >= r.startedAt+rateWindow {
+		asked = min(asked, maxAdmissionLimit*best)
 	}
 	return max(best, asked)
 }
 
 // sure is what a member bears for sure when warm. What is measured is the mean of its tier as it goes, not
 // the best: that is chance in a thin slice, and sums up over all.
-func (r *Router) sure(now int64, m *member) float64 {
+func (r *Router) sustainedCapacity(now int64, endpoint *endpointState) float64 {
 	switch {
-	case r.told():
-		return m.Units
-	case m.Location == r.home:
-		return max(1, r.each(now, r.carried[0], rateWindow, r.sharing(), r.caches))
+	case r.capacitiesConfigured():
+		return endpoint.Capacity
+	case endpoint.Location == r.location:
+		return max(1, r.perEndpoint(now, r.carried[0], rateWindow, r.effectiveSharers(), r.caches))
 	}
-	return max(1, r.each(now, r.carried[1], rateWindow, r.sharers(m), r.parents))
+	return max(1, r.perEndpoint(now, r.carried[1], rateWindow, r.sharers(endpoint), r.parents))
 }
 
 // told tells whether weights are sizes.
-func (r *Router) told() bool {
-	return !slices.Contains([]string{"off", "live"}, get(r.set, "units", "nominal"))
+func (r *Router) capacitiesConfigured() bool {
+	return !slices.Contains([]string{"off", "live"}, get(r.settings, "units", "nominal"))
 }
 
 // carry counts what members of a tier carried in time, and keeps the best that each had over the window.
-func (r *Router) carry(now int64, c *carried, work, sharers float64, members []*member) {
-	if c.add(now, work); now >= r.started+rateWindow {
-		c.best = max(c.best, r.each(now, *c, rateWindow, sharers, members))
+func (r *Router) addCarried(now int64, c *decayingWork, work, sharers float64, members []*endpointState) {
+	if c.add(now, work); now >= r.startedAt+rateWindow {
+		c.best = max(c.best, r.perEndpoint(now, *c, rateWindow, sharers, members))
 	}
 }
 
 // each is the part of one member in what a tier carries, in answers sent at once.
-func (r *Router) each(now int64, c carried, span int64, sharers float64, members []*member) float64 {
-	return r.rateOver(now, c.work, c.last, span) * sharers / float64(max(1, len(members)))
+func (r *Router) perEndpoint(now int64, c decayingWork, span int64, sharers float64, members []*endpointState) float64 {
+	return r.decayedRate(now, c.work, c.lastAt, span) * sharers / float64(max(1, len(members)))
 }
 
 // afford draws a further dispatch from what first ones have put aside, by payoff. Without this bound a jam
 // feeds on itself. It hurts where one cache of few fails and more could be saved elsewhere.
-func (r *Router) afford(t *Retrieval) bool {
-	switch n := len(t.dispatches); {
-	case n > 0 && t.dispatches[n-1].result == Local: // it took no load to anybody
+func (r *Router) takeRetryToken(request *Request) bool {
+	switch n := len(request.attempts); {
+	case n > 0 && request.attempts[n-1].result == LocalError: // it took no load to anybody
 	case n == 0:
-		r.spare = min(r.spare+furtherShare*t.product.payoff/r.most(payoff), furtherMost)
-	case n < 3 && (t.denied() && r.originStands() ||
-		slices.Contains([]Result{Missing, Cut, Broken}, t.dispatches[n-1].result)):
+		r.retryTokens = min(r.retryTokens+retryTokensPerRequest*request.class.weight/r.largest(classWeight), maxRetryTokens)
+	case n < 3 && (request.sourceRefused() && r.originUnlimited() ||
+		slices.Contains([]Result{NotHeld, SendInterrupted, ConnectionLost}, request.attempts[n-1].result)):
 		// no sign of a jam; denied, where the origin can fall, is one
-	case r.spare < 1:
+	case r.retryTokens < 1:
 		return false
 	default:
-		r.spare--
+		r.retryTokens--
 	}
 	return true
 }
 
 // rethink sends a retrieval that waits for what has become suspect elsewhere, beside its first dispatch where
 // that is allowed, else in its place.
-func (r *Router) rethink(now int64, t *Retrieval) Decision {
+func (r *Router) reconsider(now int64, request *Request) Decision {
 	var stuck Decision
-	for i, d := range t.dispatches {
-		if d.ended {
+	for i, attempt := range request.attempts {
+		if attempt.ended {
 			continue
 		}
-		if r.check(now, d.cache); !d.stuck(now, d.cache) && !d.stuck(now, d.source) && !r.overdue(now, t, d) {
+		if r.ejectIfOutlier(now, attempt.cache); !attempt.waitsForEjected(now, attempt.cache) && !attempt.waitsForEjected(now, attempt.source) && !r.hedgeDue(now, request, attempt) {
 			return Decision{}
 		}
 		stuck.Cancel = append(stuck.Cancel, i)
 	}
 	switch {
-	case !r.repeatable(now, t):
-	case get(r.set, "dispatches.together", false):
-		if cache, source := r.place(now, t); cache != nil && r.afford(t) {
-			return r.send(now, t, cache, source)
+	case !r.mayRetry(now, request):
+	case get(r.settings, "dispatches.together", false):
+		if cache, source := r.selectEndpoints(now, request); cache != nil && r.takeRetryToken(request) {
+			return r.sendTo(now, request, cache, source)
 		}
-	case t.product.effect == "harmless" && get(r.set, "cancel", false):
+	case request.class.idempotency == "harmless" && get(r.settings, "cancel", false):
 		return stuck
 	}
 	return Decision{}
 }
 
 // overdue tells whether a dispatch may have lost its answer, as some do of late, and a second can be in time.
-func (r *Router) overdue(now int64, t *Retrieval, d *dispatch) bool {
-	return r.mute.at(now) > muteFrom && get(r.set, "dispatches.together", false) &&
-		d.cache.well() && d.source.well() && float64(now-d.sent) > overdueShare*float64(r.dueIn(t, 0))
+func (r *Router) hedgeDue(now int64, request *Request, attempt *attemptState) bool {
+	return r.lostResponses.at(now) > lostResponseThreshold && get(r.settings, "dispatches.together", false) &&
+		attempt.cache.isHealthy() && attempt.source.isHealthy() && float64(now-attempt.sentAt) > hedgeDelayShare*float64(r.objectiveFor(request, 0))
 }
 
 // well tells whether next to nothing has failed at a member lately: second dispatches would feed a jam.
-func (m *member) well() bool { return m == nil || !m.suspect && m.bad < wellShare*m.good }
+func (endpoint *endpointState) isHealthy() bool {
+	return endpoint == nil || !endpoint.ejected && endpoint.failures < maxHealthyFailureRatio*endpoint.successes
+}
 
 // stuck tells whether a dispatch waits for a suspect. A trial gets its time, else it teaches nothing.
-func (d *dispatch) stuck(now int64, m *member) bool {
-	return m != nil && m.suspect && (d.trial != m || now-d.sent > trialFirst)
+func (attempt *attemptState) waitsForEjected(now int64, endpoint *endpointState) bool {
+	return endpoint != nil && endpoint.ejected && (attempt.probed != endpoint || now-attempt.sentAt > minProbeBackoff)
 }
 
 // most is the largest of a figure over the products.
-func (r *Router) most(figure func(*product) float64) float64 {
+func (r *Router) largest(figure func(*classState) float64) float64 {
 	best := 0.01
-	for _, p := range r.products {
-		best = max(best, figure(p))
+	for _, class := range r.classByName {
+		best = max(best, figure(class))
 	}
 	return best
 }
 
-func payoff(p *product) float64 { return p.payoff }
+func classWeight(class *classState) float64 { return class.weight }
 
 // repeatable tells whether a further dispatch is allowed, by number and payoff, and does no harm: rule 2.
-func (r *Router) repeatable(now int64, t *Retrieval) bool {
-	allowed := min(int(get(r.set, "dispatches.most", int64(3))), 2+int(2*t.product.payoff/r.most(payoff)))
-	return !t.NoMore && t.attempts() < allowed && t.comesBack(now) && (t.product.effect == "harmless" ||
-		!slices.ContainsFunc(t.dispatches, func(d *dispatch) bool {
-			return d.mayHaveRun() && (t.product.effect != "stamped" || now >= d.sent+t.product.window)
+func (r *Router) mayRetry(now int64, request *Request) bool {
+	allowed := min(int(get(r.settings, "dispatches.most", int64(3))), 2+int(2*request.class.weight/r.largest(classWeight)))
+	return !request.NoNewAttempts && request.attemptCount() < allowed && request.canBeAnswered(now) && (request.class.idempotency == "harmless" ||
+		!slices.ContainsFunc(request.attempts, func(attempt *attemptState) bool {
+			return attempt.mayHaveRun() && (request.class.idempotency != "stamped" || now >= attempt.sentAt+request.class.keyWindow)
 		}))
 }
 
 // attempts is how many of a retrieval's dispatches left this machine, or may yet.
-func (t *Retrieval) attempts() (n int) {
-	for _, d := range t.dispatches {
-		if !d.ended || d.result != Local {
+func (request *Request) attemptCount() (n int) {
+	for _, attempt := range request.attempts {
+		if !attempt.ended || attempt.result != LocalError {
 			n++
 		}
 	}
@@ -415,440 +422,448 @@
 }
 
 // starved tells whether this machine can open no connections for now.
-func (r *Router) starved() bool { return r.Starved != nil && r.Starved() }
+func (r *Router) cannotConnect() bool {
+	return r.ConnectionsExhausted != nil && r.ConnectionsExhausted()
+}
 
 // mayHaveRun tells whether nothing proves that a dispatch did not run.
-func (d *dispatch) mayHaveRun() bool { return !d.ended || d.result > Unsent && d.result != Local }
+func (attempt *attemptState) mayHaveRun() bool {
+	return !attempt.ended || attempt.result > NotSent && attempt.result != LocalError
+}
 
 // sameGroup tells whether a stamped retrieval that may have run can be repeated at m.
-func sameGroup(t *Retrieval, m *member) bool {
-	scope := t.product.scope
-	return t.product.effect != "stamped" || !slices.ContainsFunc(t.dispatches, func(d *dispatch) bool {
-		return d.mayHaveRun() && (scope == "zone" && d.cache.Location != m.Location ||
-			scope == "cell" && d.cache.Cell != m.Cell)
+func withinKeyScope(request *Request, endpoint *endpointState) bool {
+	scope := request.class.keyScope
+	return request.class.idempotency != "stamped" || !slices.ContainsFunc(request.attempts, func(attempt *attemptState) bool {
+		return attempt.mayHaveRun() && (scope == "zone" && attempt.cache.Location != endpoint.Location ||
+			scope == "cell" && attempt.cache.Cell != endpoint.Cell)
 	})
 }
 
 // giveUp ends a retrieval at once: dismissed where the client may safely try again, else aborted.
-func (r *Router) giveUp(now int64, t *Retrieval) Decision {
-	t.done, t.entry.gaveUp = true, now
-	p := t.product
-	switch anywhere := p.effect == "harmless" || p.effect == "stamped" && p.scope == "all"; {
-	case !anywhere && slices.ContainsFunc(t.dispatches, (*dispatch).mayHaveRun):
-		return Decision{Verdict: Abort}
-	case !get(r.set, "advice", false):
-		return Decision{Verdict: Dismiss}
+func (r *Router) rejectOrFail(now int64, request *Request) Decision {
+	request.ended, request.record.gaveUpAt = true, now
+	class := request.class
+	switch anywhere := class.idempotency == "harmless" || class.idempotency == "stamped" && class.keyScope == "all"; {
+	case !anywhere && slices.ContainsFunc(request.attempts, (*attemptState).mayHaveRun):
+		return Decision{Verdict: Fail}
+	case !get(r.settings, "advice", false):
+		return Decision{Verdict: Reject}
 	}
 	// Soon enough to be in time, and spread: those turned away together must not come back together.
-	wait := int64(adviceShare * (1 + r.chance()) * float64(p.due))
-	return Decision{Verdict: Dismiss, Advice: min(wait, get(r.set, "advice.most", int64(0)))}
+	wait := int64(retryAfterShare * (1 + r.random()) * float64(class.objective))
+	return Decision{Verdict: Reject, RetryAfter: min(wait, get(r.settings, "advice.most", int64(0)))}
 }
 
 // place picks the cache and the fill source by the object's hash.
-func (r *Router) place(now int64, t *Retrieval) (cache, source *member) {
-	caches := r.cacheCandidates(now, t)
-	t.away = false
+func (r *Router) selectEndpoints(now int64, request *Request) (cache, source *endpointState) {
+	caches := r.cacheCandidates(now, request)
+	request.diverted = false
 	// Where the home has no room, another cache with plenty fills the object, if there is room for fills.
-	if cache = r.pick(now, t, caches); cache != nil && t.entry.servedUntil > now && !r.room(now, t, cache) {
-		caches.leaveOut(r.rooms[0] / 2)
-		if other := r.pick(now, t, caches); other != nil {
-			cache, t.away = other, true
+	if cache = r.firstUsable(now, request, caches); cache != nil && request.record.likelyHeldUntil > now && !r.admits(now, request, cache) {
+		caches.leaveOut(r.admissionLimits[0] / 2)
+		if other := r.firstUsable(now, request, caches); other != nil {
+			cache, request.diverted = other, true
 		}
 	}
-	return cache, r.pick(now, t, r.sourceCandidates(t))
+	return cache, r.firstUsable(now, request, r.sourceCandidates(request))
 }
 
 // neverKept tells whether no cache or parent keeps the answer to a retrieval: it runs at the origin.
-func (t *Retrieval) neverKept() bool { return t.product.neverKept || t.Write }
+func (request *Request) isUncacheable() bool { return request.class.uncacheable || request.Write }
 
 // denied tells whether the last dispatch found its source at its bound or dead. The other parents are likely
 // no better: one who can't fall over, the origin, is asked.
-func (t *Retrieval) denied() bool {
-	n := len(t.dispatches)
-	return n > 0 && t.dispatches[n-1].denied
+func (request *Request) sourceRefused() bool {
+	n := len(request.attempts)
+	return n > 0 && request.attempts[n-1].sourceRefused
 }
 
 // originStands tells whether the origin never falls over, whatever it is asked for.
-func (r *Router) originStands() bool { return get(r.set, "origin.fallFactor", 0.) == 0 }
+func (r *Router) originUnlimited() bool { return get(r.settings, "origin.fallFactor", 0.) == 0 }
 
 // pick takes the first member within its cold budget, not suspect (or due for a trial) and not tried for this
 // retrieval. If there is none, the first within its budget: where all are suspect, it is not they.
-func (r *Router) pick(now int64, t *Retrieval, ranked *candidates) (fallback *member) {
-	for m := ranked.next(); m != nil; m = ranked.next() {
-		if !r.fits(now, m, t.product.sending) || m.Location == r.home && !sameGroup(t, m) ||
-			r.Reach != nil && !r.Reach(m.ID) {
+func (r *Router) firstUsable(now int64, request *Request, ranked *candidates) (fallback *endpointState) {
+	for endpoint := ranked.next(); endpoint != nil; endpoint = ranked.next() {
+		if !r.slowStartAdmits(now, endpoint, request.class.sendingTime) || endpoint.Location == r.location && !withinKeyScope(request, endpoint) ||
+			r.Reachable != nil && !r.Reachable(endpoint.ID) {
 			continue
 		}
-		r.check(now, m)
-		tried := slices.ContainsFunc(t.dispatches, func(d *dispatch) bool {
+		r.ejectIfOutlier(now, endpoint)
+		tried := slices.ContainsFunc(request.attempts, func(attempt *attemptState) bool {
 			// A connection that broke by itself is no reason to fill the object elsewhere.
-			broke := slices.Contains([]Result{Broken, Cut, Faulty, Missing, Outdated, Local}, d.result)
-			return !broke && (d.cache == m || d.source == m)
+			broke := slices.Contains([]Result{ConnectionLost, SendInterrupted, ServerError, NotHeld, Stale, LocalError}, attempt.result)
+			return !broke && (attempt.cache == endpoint || attempt.source == endpoint)
 		})
-		trial := now >= m.trialAt && !m.trial && len(t.dispatches) == 0 && (m.Location == r.home &&
-			!get(r.set, "probe", false) || m.Location != r.home && t.entry.servedUntil <= now)
-		if !tried && (!m.suspect || trial) {
-			return m
+		trial := now >= endpoint.nextProbeAt && !endpoint.probing && len(request.attempts) == 0 && (endpoint.Location == r.location &&
+			!get(r.settings, "probe", false) || endpoint.Location != r.location && request.record.likelyHeldUntil <= now)
+		if !tried && (!endpoint.ejected || trial) {
+			return endpoint
 		}
 		if fallback == nil {
-			fallback = m
+			fallback = endpoint
 		}
 	}
 	return fallback
 }
 
-func (r *Router) send(now int64, t *Retrieval, cache, source *member) Decision {
-	d := &dispatch{sent: now, cache: cache, source: source, kind: t.kind(now), issuedFrom: r.issuedFrom(t)}
+func (r *Router) sendTo(now int64, request *Request, cache, source *endpointState) Decision {
+	attempt := &attemptState{sentAt: now, cache: cache, source: source, kind: request.attemptKind(now), minIssuedAt: r.minIssuedAt(request)}
 	if source == nil {
-		d.kind = hits
+		attempt.kind = hits
 	}
-	if d.lateFrom = now + r.dueIn(t, r.sizedTime(t)); t.SizeKB == 0 {
-		d.lateFrom += 2 * r.dueIn(t, 0) // it may be large, and then it draws on the links still
+	if attempt.lateAt = now + r.objectiveFor(request, r.knownSendingTime(request)); request.SizeKB == 0 {
+		attempt.lateAt += 2 * r.objectiveFor(request, 0) // it may be large, and then it draws on the links still
 	}
-	out := Dispatch{Cache: cache.ID, Within: t.HardStop - now,
-		Reach: min(t.unwrittenMost(), t.HardStop-t.product.answerLeast()) - now}
-	for _, before := range t.dispatches {
-		if t.product.effect == "stamped" && before.mayHaveRun() { // repeats are dropped so long, late links or not
-			out.Reach = min(out.Reach, before.sent+t.product.window-now)
+	out := Attempt{Cache: cache.ID, Timeout: request.Deadline - now,
+		SendTimeout: min(request.sendDeadline(), request.Deadline-request.class.minResponseTime()) - now}
+	for _, before := range request.attempts {
+		if request.class.idempotency == "stamped" && before.mayHaveRun() { // repeats are dropped so long, late links or not
+			out.SendTimeout = min(out.SendTimeout, before.sentAt+request.class.keyWindow-now)
 		}
 	}
-	d.reach = out.Reach
-	if t.dispatches = append(t.dispatches, d); len(t.dispatches) == 1 {
-		t.product.taken.add(now, r.sendingTime(t))
+	attempt.sendTimeout = out.SendTimeout
+	if request.attempts = append(request.attempts, attempt); len(request.attempts) == 1 {
+		request.class.admitted.add(now, r.sendingTime(request))
 	}
-	t.out++
-	for _, m := range []*member{cache, source} {
-		if m == nil {
+	request.inFlight++
+	for _, endpoint := range []*endpointState{cache, source} {
+		if endpoint == nil {
 			continue
 		}
-		r.begin(m, d)
-		m.charge(now, t.product.sending)
-		if m.suspect {
-			m.trial, d.trial = true, m
+		r.attemptStarted(endpoint, attempt)
+		endpoint.charge(now, request.class.sendingTime)
+		if endpoint.ejected {
+			endpoint.probing, attempt.probed = true, endpoint
 		}
 	}
 	if source == nil {
-		out.Plain = true
-		return Decision{Verdict: Send, Dispatch: out}
+		out.CacheOnly = true
+		return Decision{Verdict: Send, Attempt: out}
 	}
 	out.Source = source.ID
-	if !t.neverKept() {
+	if !request.isUncacheable() {
 		// While fills are tight, and fetches come in time no better, a parent is first asked for what it holds.
-		out.Held = d.kind == fills && r.tight[fills] && r.rooms[fetches] < r.rooms[fills] && source != r.origin
-		out.Join = get(r.set, "joins", false)
-		out.Age, out.Renew = r.age(now, t)
+		out.ParentOnlyIfCached = attempt.kind == fills && r.tight[fills] && r.admissionLimits[fetches] < r.admissionLimits[fills] && source != r.origin
+		out.JoinFill = get(r.settings, "joins", false)
+		out.MaxAge, out.RefreshBehind = r.maxAge(now, request)
 		// Ranks shield reused objects from those asked for once; a third kept what had been hot for good.
-		if out.Rank = 1; r.reused(t.entry) {
-			out.Rank = 2
+		if out.CachePriority = 1; r.reused(request.record) {
+			out.CachePriority = 2
 		}
 	}
-	return Decision{Verdict: Send, Dispatch: out}
+	return Decision{Verdict: Send, Attempt: out}
 }
 
 // age gives the oldest copy that will do, and whether an ageing one is renewed behind.
-func (r *Router) age(now int64, t *Retrieval) (age int64, renew bool) {
-	e := t.entry
-	if e.age == 0 || now >= e.ageEnds {
-		r.setAge(now, t)
+func (r *Router) maxAge(now int64, request *Request) (age int64, renew bool) {
+	record := request.record
+	if record.maxAge == 0 || now >= record.maxAgeUntil {
+		r.computeMaxAge(now, request)
 	}
-	renew = r.scaled(now, e)*float64(e.age)/1e9 >= renewFrom
-	if age = e.age; age == forever {
+	renew = r.locationRate(now, record)*float64(record.maxAge)/1e9 >= refreshThreshold
+	if age = record.maxAge; age == forever {
 		age = 0
 	}
-	return r.youngEnough(now, t, age), renew
+	return r.limitAgeByPurges(now, request, age), renew
 }
 
 // setAge sets an object's accepted age by the design's root and holds it.
-func (r *Router) setAge(now int64, t *Retrieval) {
-	e, p := t.entry, t.product
-	kb := cmp.Or(t.SizeKB, unsizedKB)
+func (r *Router) computeMaxAge(now int64, request *Request) {
+	record, class := request.record, request.class
+	kb := cmp.Or(request.SizeKB, defaultSizeKB)
 	if len(r.parents) == 0 {
 		kb *= 2
 	}
 	// One over the fresh time at start, as if one purge had been told over that time.
-	span, purges := float64(now-e.born)/1e9, e.purges
-	if p.fresh > 0 {
-		span, purges = span+float64(p.fresh)/1e9, purges+1
+	span, purges := float64(now-record.firstSeenAt)/1e9, record.purgeCount
+	if class.freshDuration > 0 {
+		span, purges = span+float64(class.freshDuration)/1e9, purges+1
 	} else {
 		span = max(span, float64(rateWindow)/1e9)
 	}
-	e.age = forever
-	if mu, lambda := purges/span, r.scaled(now, e); mu > 0 && lambda > 0 {
-		if root := math.Sqrt(2 * exchange * kb / (mu * lambda)); root < 1e9 {
-			e.age = max(int64(root*1e9), second/1000)
+	record.maxAge = forever
+	if mu, lambda := purges/span, r.locationRate(now, record); mu > 0 && lambda > 0 {
+		if root := math.Sqrt(2 * exchangeRate * kb / (mu * lambda)); root < 1e9 {
+			record.maxAge = max(int64(root*1e9), second/1000)
 		}
 	}
-	if p.fresh > 0 {
-		e.age = min(e.age, p.fresh)
+	if class.freshDuration > 0 {
+		record.maxAge = min(record.maxAge, class.freshDuration)
 	}
-	e.ageEnds = now + e.age
+	record.maxAgeUntil = now + record.maxAge
 }
 
 // reused tells whether an object was asked for before. Requests before this one are scaled to the location:
 // in a thin slice none came twice, and a scan swept the caches.
-func (r *Router) reused(e *entry) bool { return (e.count-1)*r.sharers(nil) >= rankAgain }
+func (r *Router) reused(record *objectRecord) bool {
+	return (record.requestCount-1)*r.sharers(nil) >= reuseThreshold
+}
 
 // scaled is the design's λ: the own rate times the routers of the location.
-func (r *Router) scaled(now int64, e *entry) float64 {
-	return r.rate(now, e.count, e.counted) * r.sharers(nil)
+func (r *Router) locationRate(now int64, record *objectRecord) float64 {
+	return r.requestRate(now, record.requestCount, record.countedAt) * r.sharers(nil)
 }
 
 // rate turns a decayed count into requests a second; a young router has counted for less than the window.
-func (r *Router) rate(now int64, count float64, counted int64) float64 {
-	return r.rateOver(now, count, counted, rateWindow)
+func (r *Router) requestRate(now int64, count float64, counted int64) float64 {
+	return r.decayedRate(now, count, counted, rateWindow)
 }
 
-func (r *Router) rateOver(now int64, count float64, counted, over int64) float64 {
-	span := float64(max(min(now-r.started, over), second)) / 1e9
-	return fade(count, now-counted, over) / span
+func (r *Router) decayedRate(now int64, count float64, counted, over int64) float64 {
+	span := float64(max(min(now-r.startedAt, over), second)) / 1e9
+	return decay(count, now-counted, over) / span
 }
 
-func fade(x float64, since, over int64) float64 { return x * math.Exp(-float64(since)/float64(over)) }
+func decay(x float64, since, over int64) float64 { return x * math.Exp(-float64(since)/float64(over)) }
 
 // note counts a retrieval in the rate table. Repeats don't count, marked or guessed by what was given up on
 // here a moment ago: they would shrink ages while parents strain.
-func (r *Router) note(now int64, t *Retrieval) *entry {
-	key := entryKey{t.Object, t.Part}
-	e := r.table[key]
+func (r *Router) recordRequest(now int64, request *Request) *objectRecord {
+	key := objectKey{request.Object, request.Part}
+	record := r.objects[key]
 	switch {
-	case e == nil:
-		e = &entry{key: key, group: t.Group, born: now, counted: now}
-		r.table[key] = e
-	case e.ghost:
-		r.ghosts.Remove(e.place)
+	case record == nil:
+		record = &objectRecord{key: key, group: request.Group, firstSeenAt: now, countedAt: now}
+		r.objects[key] = record
+	case record.evicted:
+		r.evictedObjects.Remove(record.element)
 	default:
-		r.live.Remove(e.place)
+		r.recentObjects.Remove(record.element)
 	}
-	e.ghost, e.place = false, r.live.PushFront(e)
-	if r.live.Len() > tableSize {
-		old := r.live.Remove(r.live.Back()).(*entry)
-		old.ghost, old.age, old.place = true, 0, r.ghosts.PushFront(old)
+	record.evicted, record.element = false, r.recentObjects.PushFront(record)
+	if r.recentObjects.Len() > maxObjects {
+		old := r.recentObjects.Remove(r.recentObjects.Back()).(*objectRecord)
+		old.evicted, old.maxAge, old.element = true, 0, r.evictedObjects.PushFront(old)
 	}
-	if r.ghosts.Len() > tableSize {
-		delete(r.table, r.ghosts.Remove(r.ghosts.Back()).(*entry).key)
+	if r.evictedObjects.Len() > maxObjects {
+		delete(r.objects, r.evictedObjects.Remove(r.evictedObjects.Back()).(*objectRecord).key)
 	}
-	if t.Repeat = t.Repeat || now < e.gaveUp+second && e.count < repeatMost; !t.Repeat {
-		e.count, e.counted = fade(e.count, now-e.counted, rateWindow)+1, now
-		r.total, r.totalAt = fade(r.total, now-r.totalAt, rateWindow)+1, now
+	if request.ClientRetry = request.ClientRetry || now < record.gaveUpAt+second && record.requestCount < maxGuessedRetryCount; !request.ClientRetry {
+		record.requestCount, record.countedAt = decay(record.requestCount, now-record.countedAt, rateWindow)+1, now
+		r.requestCount, r.requestCountAt = decay(r.requestCount, now-r.requestCountAt, rateWindow)+1, now
 	}
-	return e
+	return record
 }
 
 func groupName(group int64) string { return fmt.Sprint("g", group) }
 
-// Purged tells of a purge of one object with all its parts or, with no object, of a group.
-func (r *Router) Purged(now int64, object string, group int64, when int64) {
+// Purge tells of a purge of one object with all its parts or, with no object, of a group.
+func (r *Router) Purge(now int64, object string, group int64, when int64) {
 	name := "o" + object
 	if object == "" {
 		name = groupName(group)
 	}
 	r.purges[name] = r.purges[name].with(now, when)
-	for at := r.live.Front(); at != nil; at = at.Next() {
-		if e := at.Value.(*entry); e.key.object == object || object == "" && e.group == group {
-			e.purges++
-			e.ageEnds, e.servedUntil = now, 0
+	for at := r.recentObjects.Front(); at != nil; at = at.Next() {
+		if record := at.Value.(*objectRecord); record.key.object == object || object == "" && record.group == group {
+			record.purgeCount++
+			record.maxAgeUntil, record.likelyHeldUntil = now, 0
 		}
 	}
 }
 
 // Tick does the periodic work and says when to come again.
 func (r *Router) Tick(now int64) (probe []uint32, again int64) {
-	for name, p := range r.purges {
-		if now > p.told+get(r.set, "purge.takes", 10*second)+second/2 {
+	for name, purge := range r.purges {
+		if now > purge.told+get(r.settings, "purge.takes", 10*second)+second/2 {
 			delete(r.purges, name) // all caches and parents have dropped older copies by themselves
 		}
 	}
 	all := r.cacheEvidence(now)
-	for _, m := range r.watched.members {
-		if m.role != cacheRole {
+	for _, endpoint := range r.watched.endpoints {
+		if endpoint.role != cacheRole {
 			continue
 		}
-		if m.mayBeSuspect(now) && r.mayStandOut(now, m, all) {
-			r.check(now, m)
+		if endpoint.mayBeEjected(now) && r.mayBeOutlier(now, endpoint, all) {
+			r.ejectIfOutlier(now, endpoint)
 		}
-		if m.suspect && !m.trial && now >= m.trialAt && get(r.set, "probe", false) && r.fits(now, m, r.meanWork(now, 0)) {
-			m.trial = true
-			m.charge(now, r.meanWork(now, 0))
-			probe = append(probe, m.ID)
+		if endpoint.ejected && !endpoint.probing && now >= endpoint.nextProbeAt && get(r.settings, "probe", false) && r.slowStartAdmits(now, endpoint, r.meanWork(now, 0)) {
+			endpoint.probing = true
+			endpoint.charge(now, r.meanWork(now, 0))
+			probe = append(probe, endpoint.ID)
 		}
 	}
-	r.unwatch(now)
+	r.unwatchTrusted(now)
 	r.forgetFaded(now)
-	return probe, period
+	return probe, tickInterval
 }
 
-// Probed tells how a probe ended.
-func (r *Router) Probed(now int64, id uint32, good bool, _ []float64) {
-	if m := r.members[id]; m != nil {
-		m.trial = false
-		r.tried(now, m, good)
+// ProbeEnded tells how a probe ended.
+func (r *Router) ProbeEnded(now int64, id uint32, good bool, _ []float64) {
+	if endpoint := r.endpoints[id]; endpoint != nil {
+		endpoint.probing = false
+		r.probeFinished(now, endpoint, good)
 	}
 }
 
-func (r *Router) tried(now int64, m *member, good bool) {
+func (r *Router) probeFinished(now int64, endpoint *endpointState, good bool) {
 	switch {
-	case m.suspect && good:
-		if m.off {
-			m.coldFrom, m.coldTold = now, now // likely restarted, which the list tells too late: it fell over at full load
+	case endpoint.ejected && good:
+		if endpoint.wasUnreachable {
+			endpoint.slowStartFrom, endpoint.slowStartToldAt = now, now // likely restarted, which the list tells too late: it fell over at full load
 		}
-		m.suspect, m.off, m.good, m.bad, m.heard = false, false, 0, 0, now
-		r.log(fmt.Sprintf("member %d trusted again", m.ID))
-	case m.suspect:
-		m.backoff = min(2*m.backoff, trialMost)
-		m.trialAt = now + m.backoff
+		endpoint.ejected, endpoint.wasUnreachable, endpoint.successes, endpoint.failures, endpoint.lastResponseAt = false, false, 0, 0, now
+		r.log(fmt.Sprintf("member %d trusted again", endpoint.ID))
+	case endpoint.ejected:
+		endpoint.probeBackoff = min(2*endpoint.probeBackoff, maxProbeBackoff)
+		endpoint.nextProbeAt = now + endpoint.probeBackoff
 	}
 }
 
 // judge draws from an outcome what it tells of the cache, the source, the room and the product.
-func (r *Router) judge(now int64, t *Retrieval, d *dispatch, o Outcome) {
-	p, kind, own := t.product, d.kind, cmp.Or(r.sizedTime(t), o.Sending)
-	t.missed = t.missed || o.Result == Missing && kind == fills
+func (r *Router) observe(now int64, request *Request, attempt *attemptState, outcome Outcome) {
+	class, kind, own := request.class, attempt.kind, cmp.Or(r.knownSendingTime(request), outcome.SendingTime)
+	request.sourceMissed = request.sourceMissed || outcome.Result == NotHeld && kind == fills
 	// What took under twice its sending time shows no jam, in time or not: it could hardly be.
-	inTime := o.Spent <= max(r.dueIn(t, own), int64(2e9*own))
-	if i := slices.Index(get(r.set, "report.fields", []string(nil)), "inHand"); i >= 0 && i < len(o.Load) {
-		r.theirs = fade(r.theirs, now-r.sharedAt, sharingSpan) + max(o.Load[i]-1, 0)
-		r.ours = fade(r.ours, now-r.sharedAt, sharingSpan) + float64(len(d.cache.out)-1)
-		r.sharedAt = now
+	inTime := outcome.Elapsed <= max(r.objectiveFor(request, own), int64(2e9*own))
+	if i := slices.Index(get(r.settings, "report.fields", []string(nil)), "inHand"); i >= 0 && i < len(outcome.LoadReport) {
+		r.othersInFlight = decay(r.othersInFlight, now-r.inFlightReportedAt, sharingWindow) + max(outcome.LoadReport[i]-1, 0)
+		r.ownInFlight = decay(r.ownInFlight, now-r.inFlightReportedAt, sharingWindow) + float64(len(attempt.cache.inFlight)-1)
+		r.inFlightReportedAt = now
 	}
-	if o.Result == Outdated {
-		r.distrust()
+	if outcome.Result == Stale {
+		r.distrustStamps()
 	}
-	hurried := p.hurried(d, o)
-	late := o.Result == Late && !hurried
-	if late && d.cache.well() && d.source.well() {
-		r.mute.add(now)
+	hurried := class.timedOutEarly(attempt, outcome)
+	late := outcome.Result == TimedOut && !hurried
+	if late && attempt.cache.isHealthy() && attempt.source.isHealthy() {
+		r.lostResponses.add(now)
 	}
-	good, bad := [2]float64{}, blame[o.Result] // of the cache, of the source
+	good, bad := [2]float64{}, failureWeights[outcome.Result] // of the cache, of the source
 	switch {
-	case o.Result == Good || o.Result == Missing:
+	case outcome.Result == Succeeded || outcome.Result == NotHeld:
 		if good = [2]float64{1, 1}; !inTime {
 			good, bad = bad, good // a cache or source that is only slow showed in no other way
 		}
 	case hurried:
 		bad = [2]float64{}
-	case o.Shared: // a connection that broke is one failure: counted by all that was open on it, it made a
+	case outcome.SharedCause: // a connection that broke is one failure: counted by all that was open on it, it made a
 		bad = [2]float64{} // healthy member suspect
-	case o.Result == Full && o.Note == 9: // notes: 9 names the cache, 6 to 8 the source
+	case outcome.Result == Overloaded && outcome.Note == 9: // notes: 9 names the cache, 6 to 8 the source
 		bad[1] = 0
-	case o.Result == Full && o.Note >= 6 && o.Note <= 8:
-		bad, d.denied = [2]float64{0, 1}, true
-		r.denials.add(now)
+	case outcome.Result == Overloaded && outcome.Note >= 6 && outcome.Note <= 8:
+		bad, attempt.sourceRefused = [2]float64{0, 1}, true
+		r.sourceRefusals.add(now)
 	}
 	if kind == hits {
 		good[1], bad[1] = 0, 0 // likely a hit: it tells nothing of the source
 	}
-	if work := cmp.Or(own, p.sending); o.Result == Good && inTime {
-		r.carry(now, &r.carried[0], work, r.sharing(), r.caches)
-		if kind > hits && o.Note != 1 && d.source != r.origin {
-			r.carry(now, &r.carried[1], work, r.sharers(d.source), r.parents)
+	if work := cmp.Or(own, class.sendingTime); outcome.Result == Succeeded && inTime {
+		r.addCarried(now, &r.carried[0], work, r.effectiveSharers(), r.caches)
+		if kind > hits && outcome.Note != 1 && attempt.source != r.origin {
+			r.addCarried(now, &r.carried[1], work, r.sharers(attempt.source), r.parents)
 		}
 	}
 	switch {
-	case o.Result == Good && inTime:
-		r.rooms[kind] = min(r.rooms[kind]+roomUp[r.tight[kind]], roomMost)
-	case (o.Result == Good || late) && !d.cache.suspect && (d.source == nil || !d.source.suspect):
-		r.rooms[kind] = max(r.rooms[kind]*(1-roomDown), roomLeast)
+	case outcome.Result == Succeeded && inTime:
+		r.admissionLimits[kind] = min(r.admissionLimits[kind]+admissionIncrease[r.tight[kind]], maxAdmissionLimit)
+	case (outcome.Result == Succeeded || late) && !attempt.cache.ejected && (attempt.source == nil || !attempt.source.ejected):
+		r.admissionLimits[kind] = max(r.admissionLimits[kind]*(1-admissionDecrease), minAdmissionLimit)
 	}
-	room, first := r.rooms[kind], roomFirst[kind]
+	room, first := r.admissionLimits[kind], initialAdmissionLimits[kind]
 	if r.tight[kind] && room > first || !r.tight[kind] && room < first/2 {
 		if r.tight[kind] = !r.tight[kind]; kind == fills {
-			r.rooms[fetches] = roomFirst[fetches]
+			r.admissionLimits[fetches] = initialAdmissionLimits[fetches]
 		}
 		name := []string{"hits", "fills", "fetches"}[kind]
 		r.log(fmt.Sprintf("room for %s tight: %v, at %.2f", name, r.tight[kind], room))
 	}
-	if o.Result == Good {
-		p.answered(o.Spent)
-		p.seen = min(p.seen+1, 200)
-		p.answer += (float64(o.Spent)/1e9 - p.answer) / p.seen
-		if own > 0 || o.Note <= 1 {
-			p.sending += (cmp.Or(own, float64(o.Spent)/1e9) - p.sending) / p.seen
+	if outcome.Result == Succeeded {
+		class.observeResponse(outcome.Elapsed)
+		class.samples = min(class.samples+1, 200)
+		class.responseTime += (float64(outcome.Elapsed)/1e9 - class.responseTime) / class.samples
+		if own > 0 || outcome.Note <= 1 {
+			class.sendingTime += (cmp.Or(own, float64(outcome.Elapsed)/1e9) - class.sendingTime) / class.samples
 		}
-		t.entry.servedUntil = now + keepSpan
-		if e := t.entry; o.Note == 2 || o.Note == 3 {
-			e.age = 0
-			r.setAge(now, t)
+		request.record.likelyHeldUntil = now + likelyHeldDuration
+		if record := request.record; outcome.Note == 2 || outcome.Note == 3 {
+			record.maxAge = 0
+			r.computeMaxAge(now, request)
 		}
 	}
-	for i, m := range []*member{d.cache, d.source} {
-		if m == nil {
+	for i, endpoint := range []*endpointState{attempt.cache, attempt.source} {
+		if endpoint == nil {
 			continue
 		}
-		r.finish(m, d)
-		m.good = fade(m.good, now-m.scored, healthSpan) + good[i]
-		m.bad = fade(m.bad, now-m.scored, healthSpan) + bad[i]
-		m.scored = now
-		r.scored.add(m)
-		if m.bad >= badFrom {
-			r.watched.add(m)
-		}
-		m.off = m.off || m == d.cache && o.Result == Unreached && !hurried || m == d.source && o.Result == Full && bad[1] > 0
-		silent := slices.Contains([]Result{Unreached, Late, Cancelled, Cut, Local, Unsent}, o.Result)
-		if m == d.cache && !silent || kind > hits && o.Result == Good {
-			m.heard = now
-		}
-		if d.trial == m {
-			m.trial = false
+		r.attemptFinished(endpoint, attempt)
+		endpoint.successes = decay(endpoint.successes, now-endpoint.scoredAt, healthWindow) + good[i]
+		endpoint.failures = decay(endpoint.failures, now-endpoint.scoredAt, healthWindow) + bad[i]
+		endpoint.scoredAt = now
+		r.scored.add(endpoint)
+		if endpoint.failures >= failureThreshold {
+			r.watched.add(endpoint)
+		}
+		endpoint.wasUnreachable = endpoint.wasUnreachable || endpoint == attempt.cache && outcome.Result == Unreachable && !hurried || endpoint == attempt.source && outcome.Result == Overloaded && bad[1] > 0
+		silent := slices.Contains([]Result{Unreachable, TimedOut, Cancelled, SendInterrupted, LocalError, NotSent}, outcome.Result)
+		if endpoint == attempt.cache && !silent || kind > hits && outcome.Result == Succeeded {
+			endpoint.lastResponseAt = now
+		}
+		if attempt.probed == endpoint {
+			endpoint.probing = false
 			if good[i]+bad[i] > 0 {
-				r.tried(now, m, good[i] > bad[i])
+				r.probeFinished(now, endpoint, good[i] > bad[i])
 			}
 		}
-		r.check(now, m)
+		r.ejectIfOutlier(now, endpoint)
 	}
 }
 
 // check makes a member suspect by its failures lately or by its silence, whatever lies behind them. What its
 // peers show then is no evidence: in a jam all looked suspect in turn and objects lost their homes. Half a
 // tier may fail at once and still stand out; where most fail, further dispatches must find the rest.
-func (r *Router) check(now int64, m *member) {
-	if m.suspect || m == r.origin || !m.mayBeSuspect(now) {
+func (r *Router) ejectIfOutlier(now int64, endpoint *endpointState) {
+	if endpoint.ejected || endpoint == r.origin || !endpoint.mayBeEjected(now) {
 		return
 	}
-	silent, good, bad := r.signs(now, m)
-	if silent < silentFrom && bad < badFrom {
+	silent, good, bad := r.evidenceOn(now, endpoint)
+	if silent < silenceThreshold && bad < failureThreshold {
 		return
 	}
-	peers, sure := r.caches, badShare
-	if m.Location != r.home { // late with a quarter of hundreds a parent stayed in; the last one is to
-		if peers = r.parents; slices.ContainsFunc(peers, func(p *member) bool { return p != m && !p.suspect }) {
-			sure *= max(badSure, min(1, 4/math.Sqrt(good+bad)))
+	peers, sure := r.caches, failureShareThreshold
+	if endpoint.Location != r.location { // late with a quarter of hundreds a parent stayed in; the last one is to
+		if peers = r.parents; slices.ContainsFunc(peers, func(p *endpointState) bool { return p != endpoint && !p.ejected }) {
+			sure *= max(manyAnswersFactor, min(1, 4/math.Sqrt(good+bad)))
 		}
 	}
-	allSilent, allGood, allBad := r.peerSigns(now, m)
+	allSilent, allGood, allBad := r.peerEvidence(now, endpoint)
 	silent -= allSilent / float64(max(1, len(peers)-1))
 	apart := bad/(good+bad) - allBad/max(allGood+allBad, 1)
-	if silent < silentFrom && (bad < badFrom || apart < sure) {
+	if silent < silenceThreshold && (bad < failureThreshold || apart < sure) {
 		return
 	}
-	m.suspect, m.backoff, m.trial = true, trialFirst, false
-	m.trialAt = now + m.backoff
-	r.log(fmt.Sprintf("member %d suspect: silence %.1f, failures %.1f of %.1f", m.ID, silent, bad, good+bad))
+	endpoint.ejected, endpoint.probeBackoff, endpoint.probing = true, minProbeBackoff, false
+	endpoint.nextProbeAt = now + endpoint.probeBackoff
+	r.log(fmt.Sprintf("member %d suspect: silence %.1f, failures %.1f of %.1f", endpoint.ID, silent, bad, good+bad))
 }
 
 // sharers is how many routers share a member: those of the location for a cache, all for another.
-func (r *Router) sharers(m *member) float64 {
-	if m == nil || m.Location == r.home {
-		here := slices.Index(get[[]string](r.set, "locations", nil), r.home)
-		return float64(max(1, at(r.set, "location.routers", here, int64(1))))
+func (r *Router) sharers(endpoint *endpointState) float64 {
+	if endpoint == nil || endpoint.Location == r.location {
+		here := slices.Index(get[[]string](r.settings, "locations", nil), r.location)
+		return float64(max(1, at(r.settings, "location.routers", here, int64(1))))
 	}
-	return float64(max(1, get(r.set, "routers", int64(1))))
+	return float64(max(1, get(r.settings, "routers", int64(1))))
 }
 
 // sizedTime is a retrieval's own sending time in seconds where sizes are told, else 0.
-func (r *Router) sizedTime(t *Retrieval) float64 {
-	return t.SizeKB / max(get(r.set, "clientKBPerS", 1.), 1)
+func (r *Router) knownSendingTime(request *Request) float64 {
+	return request.SizeKB / max(get(r.settings, "clientKBPerS", 1.), 1)
 }
 
 // dueIn is how long after its sending an answer is in time, by its own sending time or the product's mean.
-func (r *Router) dueIn(t *Retrieval, own float64) int64 {
-	return t.product.due + int64(t.product.dueStretch*1e9*cmp.Or(own, t.product.sending))
+func (r *Router) objectiveFor(request *Request, own float64) int64 {
+	return request.class.objective + int64(request.class.objectiveStretch*1e9*cmp.Or(own, request.class.sendingTime))
 }
 
 // sendingTime is what a retrieval costs a member's link.
-func (r *Router) sendingTime(t *Retrieval) float64 { return max(t.product.sending, r.sizedTime(t)) }
+func (r *Router) sendingTime(request *Request) float64 {
+	return max(request.class.sendingTime, r.knownSendingTime(request))
+}
 
 // chance is a draw from [0, 1) of the instance's own.
-func (r *Router) chance() float64 {
+func (r *Router) random() float64 {
 	r.draws++
 	b := binary.LittleEndian.AppendUint64(nil, r.seed)
 	return float64(crc32.ChecksumIEEE(binary.LittleEndian.AppendUint32(b, r.draws))) / (1 << 32)
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -25,18 +25,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			now := start + 20*second
-			e := &entry{count: c.count, counted: now, born: now - c.born*second, purges: c.purges}
-			state := progress{product: &product{fresh: c.fresh}, entry: e}
-			r.setAge(now, &Retrieval{SizeKB: 0.1 / exchange, progress: state})
-			got := float64(e.age) / 1e9
-			if e.age == forever {
+			record := &objectRecord{requestCount: c.count, countedAt: now, firstSeenAt: now - c.born*second, purgeCount: c.purges}
+			state := requestState{class: &classState{freshDuration: c.fresh}, record: record}
+			r.computeMaxAge(now, &Request{SizeKB: 0.1 / exchangeRate, requestState: state})
+			got := float64(record.maxAge) / 1e9
+			if record.maxAge == forever {
 				got = 0
 			}
 			if math.Abs(got-c.want) > 1e-6 {
 				t.Errorf("age %v, want %v", got, c.want)
 			}
-			if held := e.age; e.age < forever && e.ageEnds != now+held {
-				t.Errorf("held until %v, want %v", e.ageEnds, now+held)
+			if held := record.maxAge; record.maxAge < forever && record.maxAgeUntil != now+held {
+				t.Errorf("held until %v, want %v", record.maxAgeUntil, now+held)
 			}
 		})
 	}
@@ -50,13 +50,13 @@
 	}{{"first tries count, scaled to the location", false, 2}, {"marked repeats do not", true, 0.2}} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
-			var e *entry
+			var record *objectRecord
 			for i := range 10 {
 				ret := ask("harmless", "a")
-				ret.Repeat = c.repeat && i > 0
-				e = r.note(start+10*second, ret)
+				ret.ClientRetry = c.repeat && i > 0
+				record = r.recordRequest(start+10*second, ret)
 			}
-			if got := r.scaled(start+10*second, e); math.Abs(got-c.want) > 1e-9 {
+			if got := r.locationRate(start+10*second, record); math.Abs(got-c.want) > 1e-9 {
 				t.Errorf("rate %v, want %v", got, c.want)
 			}
 		})
@@ -65,17 +65,17 @@
 
 func TestGhostsKeepTheirRates(t *testing.T) {
 	r := newRouter(t, nil)
-	r.note(start, ask("harmless", "kept"))
-	for i := range tableSize + 5 {
-		r.note(start, ask("harmless", fmt.Sprint("other", i)))
+	r.recordRequest(start, ask("harmless", "kept"))
+	for i := range maxObjects + 5 {
+		r.recordRequest(start, ask("harmless", fmt.Sprint("other", i)))
 	}
-	e := r.table[entryKey{object: "kept"}]
-	if e == nil || !e.ghost {
+	record := r.objects[objectKey{object: "kept"}]
+	if record == nil || !record.evicted {
 		t.Fatal("an object pushed out is not among the ghosts")
 	}
-	again := r.note(start, ask("harmless", "kept"))
-	if again.ghost || again.count != 2 || r.live.Len() > tableSize {
-		t.Errorf("back from the ghosts: ghost %v, count %v, table %v", again.ghost, again.count, r.live.Len())
+	again := r.recordRequest(start, ask("harmless", "kept"))
+	if again.evicted || again.requestCount != 2 || r.recentObjects.Len() > maxObjects {
+		t.Errorf("back from the ghosts: ghost %v, count %v, table %v", again.evicted, again.requestCount, r.recentObjects.Len())
 	}
 }
 
@@ -97,10 +97,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
-			r.Purged(start+c.told, c.object, 1, start)
+			r.Purge(start+c.told, c.object, 1, start)
 			now := start + c.asked
 			r.Tick(now)
-			age := r.Where(now, ask(c.product, "a")).Dispatch.Age
+			age := r.Decide(now, ask(c.product, "a")).Attempt.MaxAge
 			if c.most > 0 && (age <= 0 || age > c.most) || c.most == 0 && age != 0 {
 				t.Errorf("age %v, want at most %v", age, c.most)
 			}
@@ -113,16 +113,16 @@
 		t.Run(phase, func(t *testing.T) {
 			r := newRouter(t, nil)
 			if phase == "left out" {
-				r.Listed(start, []Listing{fleet[1], fleet[3], fleet[4]}, true)
+				r.UpdateEndpoints(start, []Endpoint{fleet[1], fleet[3], fleet[4]}, true)
 			} else {
 				cache, parent := fleet[0], fleet[2]
 				cache.Phase, parent.Phase = phase, phase
-				r.Listed(start, []Listing{cache, parent}, false)
+				r.UpdateEndpoints(start, []Endpoint{cache, parent}, false)
 			}
 			for i := range 50 {
-				d := r.Where(start+second, ask("harmless", fmt.Sprint(i)))
-				if d.Verdict == Send && (d.Dispatch.Cache == 1 || d.Dispatch.Source == 3) {
-					t.Fatalf("sent to %d with source %d", d.Dispatch.Cache, d.Dispatch.Source)
+				decision := r.Decide(start+second, ask("harmless", fmt.Sprint(i)))
+				if decision.Verdict == Send && (decision.Attempt.Cache == 1 || decision.Attempt.Source == 3) {
+					t.Fatalf("sent to %d with source %d", decision.Attempt.Cache, decision.Attempt.Source)
 				}
 			}
 		})
@@ -146,17 +146,17 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			line := fleet[c.cold]
-			line.Started = start
-			r.Listed(start, []Listing{line}, false)
+			line.StartedAt = start
+			r.UpdateEndpoints(start, []Endpoint{line}, false)
 			now, spent := start+c.since, 0.
 			for i := range 200 {
 				ret := ask("harmless", fmt.Sprint(i))
-				d := r.Where(now, ret)
-				if d.Verdict == Send && (d.Dispatch.Cache == line.ID || d.Dispatch.Source == line.ID) {
+				decision := r.Decide(now, ret)
+				if decision.Verdict == Send && (decision.Attempt.Cache == line.ID || decision.Attempt.Source == line.ID) {
 					spent += r.sendingTime(ret)
 				}
-				if d.Verdict == Send { // a hit answered at once, so that only the budget binds
-					r.After(now, ret, Outcome{Result: Good, Closed: true, Spent: second / 2})
+				if decision.Verdict == Send { // a hit answered at once, so that only the budget binds
+					r.AttemptEnded(now, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 2})
 				}
 			}
 			if spent > c.budget || spent == 0 || math.IsInf(c.budget, 1) && spent < 10 {
@@ -191,18 +191,18 @@
 					t.Fatal(err)
 				}
 				line := fleet[2]
-				line.Started = start
-				r.Listed(start, append([]Listing{line}, fleet[3:]...), true)
-				r.Listed(start, fleet[:2], false)
-				r.fits(start, r.members[3], 0.5) // it has been looked at since its start
+				line.StartedAt = start
+				r.UpdateEndpoints(start, append([]Endpoint{line}, fleet[3:]...), true)
+				r.UpdateEndpoints(start, fleet[:2], false)
+				r.slowStartAdmits(start, r.endpoints[3], 0.5) // it has been looked at since its start
 				each := c.each
 				if n%10 == 0 {
 					each /= c.some
 				}
 				for now := start + c.from + int64(n)*each/routers; now < start+16*second; now += each {
-					if amount := 0.5; r.fits(now, r.members[3], amount) {
+					if amount := 0.5; r.slowStartAdmits(now, r.endpoints[3], amount) {
 						all = append(all, sending{now, amount})
-						r.members[3].charge(now, amount)
+						r.endpoints[3].charge(now, amount)
 					}
 				}
 			}
@@ -229,7 +229,7 @@
 func TestAskedForWhatIsHeld(t *testing.T) {
 	jammed := func(change Settings) *Router {
 		r := newRouter(t, change)
-		r.rooms[fills] = 0
+		r.admissionLimits[fills] = 0
 		return r
 	}
 	for _, c := range []struct {
@@ -240,16 +240,16 @@
 	}{
 		{"any copy will do", "harmless", func(*Router) {}, Send},
 		{"it never expires", "stamped", func(*Router) {}, Send},
-		{"a purge was told", "harmless", func(r *Router) { r.Purged(start-second, "a", 0, start-second) }, Wait},
-		{"a purge of its group was told", "stamped", func(r *Router) { r.Purged(start-second, "", 1, start-second) }, Wait},
-		{"the cache is full of hits", "harmless", func(r *Router) { r.rooms[hits] = 0 }, Wait},
+		{"a purge was told", "harmless", func(r *Router) { r.Purge(start-second, "a", 0, start-second) }, Wait},
+		{"a purge of its group was told", "stamped", func(r *Router) { r.Purge(start-second, "", 1, start-second) }, Wait},
+		{"the cache is full of hits", "harmless", func(r *Router) { r.admissionLimits[hits] = 0 }, Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := jammed(nil)
 			c.before(r)
-			d := r.Where(start, ask(c.product, "a"))
-			if d.Verdict != c.want || c.want == Send && !d.Dispatch.Plain {
-				t.Errorf("%+v", d)
+			decision := r.Decide(start, ask(c.product, "a"))
+			if decision.Verdict != c.want || c.want == Send && !decision.Attempt.CacheOnly {
+				t.Errorf("%+v", decision)
 			}
 		})
 	}
@@ -266,12 +266,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := jammed(c.change), ask("harmless", "a")
 			for range c.denials {
-				r.denials.add(start)
+				r.sourceRefusals.add(start)
 			}
-			r.Where(start, ret)
-			d := r.After(start, ret, Outcome{Result: Missing})
-			if d.Verdict != c.want || c.want == Send && (d.Dispatch.Source != 5 || d.Dispatch.Plain) {
-				t.Errorf("%+v", d)
+			r.Decide(start, ret)
+			decision := r.AttemptEnded(start, ret, Outcome{Result: NotHeld})
+			if decision.Verdict != c.want || c.want == Send && (decision.Attempt.Source != 5 || decision.Attempt.CacheOnly) {
+				t.Errorf("%+v", decision)
 			}
 		})
 	}
@@ -286,11 +286,11 @@
 	}{{6, 0, 5}, {7, 0, 5}, {9, 0, 0}, {6, 2, 0}} {
 		t.Run(fmt.Sprint("note ", c.note, ", the origin falls at ", c.fall), func(t *testing.T) {
 			r, ret := newRouter(t, Settings{"origin.fallFactor": c.fall}), ask("harmless", "a")
-			r.Where(start, ret)
-			r.spare = 0
-			d := r.After(start, ret, Outcome{Result: Full, Note: c.note})
-			if got := d.Dispatch.Source; c.want != 0 && got != c.want || c.want == 0 && got == 5 {
-				t.Errorf("%+v", d)
+			r.Decide(start, ret)
+			r.retryTokens = 0
+			decision := r.AttemptEnded(start, ret, Outcome{Result: Overloaded, Note: c.note})
+			if got := decision.Attempt.Source; c.want != 0 && got != c.want || c.want == 0 && got == 5 {
+				t.Errorf("%+v", decision)
 			}
 		})
 	}
@@ -303,34 +303,34 @@
 		results []Result
 		want    Verdict // after the last result
 	}{
-		{"harmless goes on after a time-out", "harmless", []Result{Late}, Send},
-		{"harmless ends by its payoff", "harmless", []Result{Full, Full, Full, Full}, Dismiss},
-		{"half the payoff, fewer dispatches", "stamped", []Result{Full, Full, Full}, Dismiss},
-		{"stamped that never ran goes anywhere", "stamped", []Result{Unreached}, Send},
-		{"stamped that may have run finds its group empty", "stamped", []Result{Broken, Broken}, Abort},
-		{"one-shot that never ran is sent again", "once", []Result{Full}, Send},
-		{"one-shot that may have run is neither repeated nor dismissed", "once", []Result{Late}, Abort},
+		{"harmless goes on after a time-out", "harmless", []Result{TimedOut}, Send},
+		{"harmless ends by its payoff", "harmless", []Result{Overloaded, Overloaded, Overloaded, Overloaded}, Reject},
+		{"half the payoff, fewer dispatches", "stamped", []Result{Overloaded, Overloaded, Overloaded}, Reject},
+		{"stamped that never ran goes anywhere", "stamped", []Result{Unreachable}, Send},
+		{"stamped that may have run finds its group empty", "stamped", []Result{ConnectionLost, ConnectionLost}, Fail},
+		{"one-shot that never ran is sent again", "once", []Result{Overloaded}, Send},
+		{"one-shot that may have run is neither repeated nor dismissed", "once", []Result{TimedOut}, Fail},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			ret, now := ask(c.product, "a"), start
-			d := r.Where(now, ret)
+			decision := r.Decide(now, ret)
 			for i, result := range c.results {
-				if d.Verdict != Send {
-					t.Fatalf("dispatch %d: verdict %v", i, d.Verdict)
+				if decision.Verdict != Send {
+					t.Fatalf("dispatch %d: verdict %v", i, decision.Verdict)
 				}
-				first := d.Dispatch.Cache
+				first := decision.Attempt.Cache
 				now += second / 2
-				d = r.After(now, ret, Outcome{Number: i, Result: result})
-				if c.product == "stamped" && result == Broken && d.Verdict == Send && d.Dispatch.Cache != first {
+				decision = r.AttemptEnded(now, ret, Outcome{Attempt: i, Result: result})
+				if c.product == "stamped" && result == ConnectionLost && decision.Verdict == Send && decision.Attempt.Cache != first {
 					t.Fatal("repeated outside its group")
 				}
 			}
-			if d.Verdict != c.want {
-				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
+			if decision.Verdict != c.want {
+				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
 			}
-			if again := r.Where(now, ret); d.Verdict != Send && again.Verdict != Wait {
+			if again := r.Decide(now, ret); decision.Verdict != Send && again.Verdict != Wait {
 				t.Errorf("after its final answer: %v", again.Verdict)
 			}
 		})
@@ -342,13 +342,13 @@
 	for _, c := range []struct {
 		result Result
 		want   Verdict
-	}{{Broken, Send}, {Cut, Send}, {Missing, Send}, {Full, Dismiss}, {Faulty, Dismiss}, {Unreached, Dismiss}} {
+	}{{ConnectionLost, Send}, {SendInterrupted, Send}, {NotHeld, Send}, {Overloaded, Reject}, {ServerError, Reject}, {Unreachable, Reject}} {
 		t.Run(fmt.Sprint(c.result), func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
-			r.Where(start, ret)
-			r.spare = 0
-			if d := r.After(start, ret, Outcome{Result: c.result}); d.Verdict != c.want {
-				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
+			r.Decide(start, ret)
+			r.retryTokens = 0
+			if decision := r.AttemptEnded(start, ret, Outcome{Result: c.result}); decision.Verdict != c.want {
+				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
 			}
 		})
 	}
@@ -358,19 +358,19 @@
 	for _, left := range []int64{second / 100, 83 * second / 1000, 400 * second / 1000, 5 * second} {
 		t.Run(fmt.Sprint(left), func(t *testing.T) {
 			r := newRouter(t, nil)
-			r.Listed(start, nil, true)
+			r.UpdateEndpoints(start, nil, true)
 			ret, now := ask("harmless", "a"), start
-			ret.HardStop = now + left
-			d := r.Where(now, ret)
-			for d.Verdict == Wait {
-				now += r.Wait(now, ret)
-				if now > ret.HardStop || now > start+second {
+			ret.Deadline = now + left
+			decision := r.Decide(now, ret)
+			for decision.Verdict == Wait {
+				now += r.RecheckDelay(now, ret)
+				if now > ret.Deadline || now > start+second {
 					t.Fatalf("still held after %v", now-start)
 				}
-				d = r.Where(now, ret)
+				decision = r.Decide(now, ret)
 			}
-			if due := r.products["harmless"].due; d.Verdict != Dismiss || d.Advice <= 0 || d.Advice >= due/2 {
-				t.Errorf("verdict %v with advice %v", d.Verdict, d.Advice)
+			if due := r.classByName["harmless"].objective; decision.Verdict != Reject || decision.RetryAfter <= 0 || decision.RetryAfter >= due/2 {
+				t.Errorf("verdict %v with advice %v", decision.Verdict, decision.RetryAfter)
 			}
 		})
 	}
@@ -383,27 +383,27 @@
 		late int64             // what these take
 		want uint32            // the suspect; 0 is none
 	}{
-		{"one that breaks connections", map[uint32]Result{1: Broken}, 0, 1},
-		{"one that cannot be reached", map[uint32]Result{2: Unreached}, 0, 2},
-		{"one that only slows down", map[uint32]Result{1: Good}, 3 * second, 1},
-		{"all alike: nobody stands out", map[uint32]Result{1: Full, 2: Full}, 0, 0},
-		{"all slow alike: nobody stands out", map[uint32]Result{1: Good, 2: Good}, 3 * second, 0},
+		{"one that breaks connections", map[uint32]Result{1: ConnectionLost}, 0, 1},
+		{"one that cannot be reached", map[uint32]Result{2: Unreachable}, 0, 2},
+		{"one that only slows down", map[uint32]Result{1: Succeeded}, 3 * second, 1},
+		{"all alike: nobody stands out", map[uint32]Result{1: Overloaded, 2: Overloaded}, 0, 0},
+		{"all slow alike: nobody stands out", map[uint32]Result{1: Succeeded, 2: Succeeded}, 3 * second, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			for i := range 40 {
 				ret := ask("harmless", fmt.Sprint(i))
-				if d := r.Where(start, ret); d.Verdict == Send {
-					o := Outcome{Result: Good, Closed: true, Note: 9}
-					if result, struck := c.bad[d.Dispatch.Cache]; struck {
-						o.Result, o.Spent = result, c.late
+				if decision := r.Decide(start, ret); decision.Verdict == Send {
+					outcome := Outcome{Result: Succeeded, RequestEnded: true, Note: 9}
+					if result, struck := c.bad[decision.Attempt.Cache]; struck {
+						outcome.Result, outcome.Elapsed = result, c.late
 					}
-					r.After(start, ret, o)
+					r.AttemptEnded(start, ret, outcome)
 				}
 			}
 			for id := uint32(1); id <= 2; id++ {
-				if got := r.members[id].suspect; got != (id == c.want) {
+				if got := r.endpoints[id].ejected; got != (id == c.want) {
 					t.Errorf("cache %d suspect: %v", id, got)
 				}
 			}
@@ -413,13 +413,13 @@
 		r := newRouter(t, nil)
 		for i := range 20 {
 			ret := ask("harmless", fmt.Sprint(i))
-			if d := r.Where(start, ret); d.Verdict == Send && d.Dispatch.Cache == 2 {
-				r.After(start, ret, Outcome{Result: Good, Closed: true})
+			if decision := r.Decide(start, ret); decision.Verdict == Send && decision.Attempt.Cache == 2 {
+				r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true})
 			}
 		}
 		r.Tick(start + 3*second)
-		if !r.members[1].suspect || r.members[2].suspect {
-			t.Errorf("suspect: %v, %v", r.members[1].suspect, r.members[2].suspect)
+		if !r.endpoints[1].ejected || r.endpoints[2].ejected {
+			t.Errorf("suspect: %v, %v", r.endpoints[1].ejected, r.endpoints[2].ejected)
 		}
 	})
 }
@@ -430,15 +430,15 @@
 		name   string
 		result Result
 		cold   bool
-	}{{"unreached", Unreached, true}, {"only late", Late, false}} {
+	}{{"unreached", Unreachable, true}, {"only late", TimedOut, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
-			m := r.members[r.Where(start, ret).Dispatch.Cache]
-			m.suspect = true
-			r.After(start, ret, Outcome{Result: c.result, Closed: true})
-			r.Probed(start+second, m.ID, true, nil)
-			if m.suspect || (m.coldFrom == start+second) != c.cold {
-				t.Errorf("suspect %v, cold from %v", m.suspect, m.coldFrom)
+			endpoint := r.endpoints[r.Decide(start, ret).Attempt.Cache]
+			endpoint.ejected = true
+			r.AttemptEnded(start, ret, Outcome{Result: c.result, RequestEnded: true})
+			r.ProbeEnded(start+second, endpoint.ID, true, nil)
+			if endpoint.ejected || (endpoint.slowStartFrom == start+second) != c.cold {
+				t.Errorf("suspect %v, cold from %v", endpoint.ejected, endpoint.slowStartFrom)
 			}
 		})
 	}
@@ -449,37 +449,37 @@
 	r := newRouter(t, nil)
 	for i := range 60 {
 		ret := ask("harmless", fmt.Sprint(i))
-		if d := r.Where(start, ret); d.Verdict == Send && d.Dispatch.Source == 4 {
-			r.After(start, ret, Outcome{Result: Good, Closed: true, Spent: second / 10})
+		if decision := r.Decide(start, ret); decision.Verdict == Send && decision.Attempt.Source == 4 {
+			r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 		}
 	}
 	later := start + second
-	for _, m := range r.caches { // they go on answering what they hold
-		m.heard = later
+	for _, endpoint := range r.caches { // they go on answering what they hold
+		endpoint.lastResponseAt = later
 	}
 	r.Tick(later)
-	r.check(later, r.members[3])
-	if !r.members[3].suspect || r.members[4].suspect || r.members[1].suspect || r.members[2].suspect {
-		t.Errorf("suspect: parents %v, %v, caches %v, %v", r.members[3].suspect, r.members[4].suspect,
-			r.members[1].suspect, r.members[2].suspect)
+	r.ejectIfOutlier(later, r.endpoints[3])
+	if !r.endpoints[3].ejected || r.endpoints[4].ejected || r.endpoints[1].ejected || r.endpoints[2].ejected {
+		t.Errorf("suspect: parents %v, %v, caches %v, %v", r.endpoints[3].ejected, r.endpoints[4].ejected,
+			r.endpoints[1].ejected, r.endpoints[2].ejected)
 	}
 }
 
 func TestRoom(t *testing.T) {
 	hold := func(r *Router, names ...string) (last Decision) {
 		for _, name := range names {
-			last = r.Where(start, ask("harmless", name))
+			last = r.Decide(start, ask("harmless", name))
 		}
 		return last
 	}
 	t.Run("fills beyond their room are not sent", func(t *testing.T) {
 		r, sent := newRouter(t, nil), 0
 		for i := range 50 {
-			if d := hold(r, fmt.Sprint(i)); d.Verdict == Send && !d.Dispatch.Plain {
+			if decision := hold(r, fmt.Sprint(i)); decision.Verdict == Send && !decision.Attempt.CacheOnly {
 				sent++
 			}
 		}
-		if want := int(roomFirst[1] * 10 / 2); sent != want {
+		if want := int(initialAdmissionLimits[1] * 10 / 2); sent != want {
 			t.Errorf("%d fills in hand, want %d", sent, want)
 		}
 	})
@@ -488,15 +488,15 @@
 			r, sent := newRouter(t, nil), 0
 			for i := range 50 {
 				ret := ask("harmless", fmt.Sprint(i))
-				if ret.Repeat = marked; !marked {
-					r.giveUp(start-second/2, &Retrieval{progress: progress{product: r.products["harmless"],
-						entry: r.note(start-second/2, ask("harmless", fmt.Sprint(i)))}})
+				if ret.ClientRetry = marked; !marked {
+					r.rejectOrFail(start-second/2, &Request{requestState: requestState{class: r.classByName["harmless"],
+						record: r.recordRequest(start-second/2, ask("harmless", fmt.Sprint(i)))}})
 				}
-				if d := r.Where(start, ret); d.Verdict == Send && !d.Dispatch.Plain {
+				if decision := r.Decide(start, ret); decision.Verdict == Send && !decision.Attempt.CacheOnly {
 					sent++
 				}
 			}
-			if full := int(roomFirst[1] * 10 / 2); sent == 0 || sent >= full {
+			if full := int(initialAdmissionLimits[1] * 10 / 2); sent == 0 || sent >= full {
 				t.Errorf("%d repeats in hand, %d first tries", sent, full)
 			}
 		})
@@ -507,24 +507,24 @@
 			spent int64
 			sign  float64
 		}{{5 * second, -1}, {second / 10, 1}} {
-			ret, before := ask("harmless", fmt.Sprint(c.spent)), r.rooms[1]
-			r.Where(start, ret)
-			r.After(start, ret, Outcome{Result: Good, Closed: true, Spent: c.spent})
-			if (r.rooms[1]-before)*c.sign <= 0 {
-				t.Errorf("room from %v to %v after an answer in %v", before, r.rooms[1], c.spent)
+			ret, before := ask("harmless", fmt.Sprint(c.spent)), r.admissionLimits[1]
+			r.Decide(start, ret)
+			r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: c.spent})
+			if (r.admissionLimits[1]-before)*c.sign <= 0 {
+				t.Errorf("room from %v to %v after an answer in %v", before, r.admissionLimits[1], c.spent)
 			}
 		}
 	})
 	t.Run("while tight it comes back faster than it grows otherwise", func(t *testing.T) {
 		grown := func(tight bool) float64 {
 			r := newRouter(t, nil)
-			r.rooms[1], r.tight[1] = 0.7, tight
+			r.admissionLimits[1], r.tight[1] = 0.7, tight
 			for i := range 20 {
 				ret := ask("harmless", fmt.Sprint(i))
-				r.Where(start, ret)
-				r.After(start, ret, Outcome{Result: Good, Closed: true, Spent: second / 10})
+				r.Decide(start, ret)
+				r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 			}
-			return r.rooms[1] - 0.7
+			return r.admissionLimits[1] - 0.7
 		}
 		if tight, wide := grown(true), grown(false); tight < 1.5*wide || wide <= 0 {
 			t.Errorf("grew by %v while tight, %v otherwise", tight, wide)
@@ -533,14 +533,14 @@
 	t.Run("a crowded home passes its hits on", func(t *testing.T) {
 		r := newRouter(t, nil)
 		first := ask("harmless", "a")
-		home := r.Where(start, first).Dispatch.Cache
-		r.After(start, first, Outcome{Result: Good, Closed: true, Spent: second / 10})
+		home := r.Decide(start, first).Attempt.Cache
+		r.AttemptEnded(start, first, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 		for range 12 { // the home's room of 2 for its size, shared by two routers
-			m := r.members[home]
-			r.begin(m, &dispatch{sent: start, cache: m, lateFrom: forever})
+			endpoint := r.endpoints[home]
+			r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, lateAt: forever})
 		}
-		if d := hold(r, "a"); d.Verdict != Send || d.Dispatch.Cache == home {
-			t.Errorf("verdict %v, to %d", d.Verdict, d.Dispatch.Cache)
+		if decision := hold(r, "a"); decision.Verdict != Send || decision.Attempt.Cache == home {
+			t.Errorf("verdict %v, to %d", decision.Verdict, decision.Attempt.Cache)
 		}
 	})
 }
@@ -550,26 +550,26 @@
 		name   string
 		result Result
 		want   Verdict
-	}{{"what it lacks goes on as a fetch", Missing, Send}, {"what it holds is served", Good, Wait}} {
+	}{{"what it lacks goes on as a fetch", NotHeld, Send}, {"what it holds is served", Succeeded, Wait}} {
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
-			r.tight[fills], r.rooms[fills] = true, 1
-			r.rooms[fetches] = roomMost
+			r.tight[fills], r.admissionLimits[fills] = true, 1
+			r.admissionLimits[fetches] = maxAdmissionLimit
 			other := ask("harmless", "other")
-			if r.Where(start, other).Dispatch.Held {
+			if r.Decide(start, other).Attempt.ParentOnlyIfCached {
 				t.Error("asked first though fetches come in time")
 			}
-			r.After(start, other, Outcome{Result: Good, Closed: true})
-			r.rooms[fetches] = roomFirst[fetches]
-			first := r.Where(start, ret).Dispatch
-			if !first.Held {
+			r.AttemptEnded(start, other, Outcome{Result: Succeeded, RequestEnded: true})
+			r.admissionLimits[fetches] = initialAdmissionLimits[fetches]
+			first := r.Decide(start, ret).Attempt
+			if !first.ParentOnlyIfCached {
 				t.Fatal("the parent may fetch")
 			}
-			d := r.After(start, ret, Outcome{Result: c.result, Closed: c.result == Good})
-			if d.Verdict != c.want || d.Verdict == Send && (d.Dispatch.Held || d.Dispatch.Source != first.Source) {
-				t.Errorf("then %+v", d)
+			decision := r.AttemptEnded(start, ret, Outcome{Result: c.result, RequestEnded: c.result == Succeeded})
+			if decision.Verdict != c.want || decision.Verdict == Send && (decision.Attempt.ParentOnlyIfCached || decision.Attempt.Source != first.Source) {
+				t.Errorf("then %+v", decision)
 			}
-			if kinds := r.inTime(start); c.want == Send && (kinds[fetches] != 1 || kinds[fills] != 0) {
+			if kinds := r.inFlightWithinObjective(start); c.want == Send && (kinds[fetches] != 1 || kinds[fills] != 0) {
 				t.Errorf("in hand by kind: %v", kinds)
 			}
 		})
@@ -589,9 +589,9 @@
 			for i := 0; verdict == Send; i++ { // until silent members hold all the room
 				ret := ask("harmless", fmt.Sprint(i))
 				ret.SizeKB = c.sized
-				verdict = r.Where(start, ret).Verdict
+				verdict = r.Decide(start, ret).Verdict
 			}
-			if got := r.Where(start+c.after, ask("harmless", "next")).Verdict == Send; got != c.sends {
+			if got := r.Decide(start+c.after, ask("harmless", "next")).Verdict == Send; got != c.sends {
 				t.Errorf("sent: %v", got)
 			}
 		})
@@ -606,27 +606,27 @@
 	}{{1, 12, false}, {1, 9, true}, {10, 1, true}, {10, 2, false}} {
 		t.Run(fmt.Sprintf("%d in hand, one of %d routers", c.out, c.routers), func(t *testing.T) {
 			r := newRouter(t, Settings{"location.routers": []int64{0, c.routers, 2}})
-			m, ret := r.members[1], ask("harmless", "a")
-			ret.product, ret.entry = r.products["harmless"], &entry{servedUntil: forever}
+			endpoint, ret := r.endpoints[1], ask("harmless", "a")
+			ret.class, ret.record = r.classByName["harmless"], &objectRecord{likelyHeldUntil: forever}
 			for range c.out {
-				r.begin(m, &dispatch{sent: start, cache: m, lateFrom: forever})
+				r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, lateAt: forever})
 			}
-			if got := r.room(start, ret, m); got != c.admits {
-				t.Errorf("admitted: %v, load %.2f", got, r.load(start, m))
+			if got := r.admits(start, ret, endpoint); got != c.admits {
+				t.Errorf("admitted: %v, load %.2f", got, r.load(start, endpoint))
 			}
 		})
 	}
 }
 
 func TestBrokenConnectionKeepsItsCache(t *testing.T) {
-	keeps := map[Result]bool{Broken: true, Faulty: true, Full: false, Unreached: false, Late: false}
+	keeps := map[Result]bool{ConnectionLost: true, ServerError: true, Overloaded: false, Unreachable: false, TimedOut: false}
 	for result, same := range keeps {
 		t.Run(fmt.Sprint(result), func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
-			first := r.Where(start, ret).Dispatch.Cache
-			d := r.After(start+second, ret, Outcome{Result: result})
-			if d.Verdict != Send || (d.Dispatch.Cache == first) != same {
-				t.Errorf("verdict %v, from cache %d to %d", d.Verdict, first, d.Dispatch.Cache)
+			first := r.Decide(start, ret).Attempt.Cache
+			decision := r.AttemptEnded(start+second, ret, Outcome{Result: result})
+			if decision.Verdict != Send || (decision.Attempt.Cache == first) != same {
+				t.Errorf("verdict %v, from cache %d to %d", decision.Verdict, first, decision.Attempt.Cache)
 			}
 		})
 	}
@@ -643,10 +643,10 @@
 			for i, want := range []int64{1, c.second} {
 				now := start + rateWindow + int64(i)*c.between*second
 				ret := ask("harmless", "a")
-				if got := r.Where(now, ret).Dispatch.Rank; got != want {
+				if got := r.Decide(now, ret).Attempt.CachePriority; got != want {
 					t.Errorf("request %d kept at rank %d, want %d", i, got, want)
 				}
-				r.After(now, ret, Outcome{Result: Good, Closed: true})
+				r.AttemptEnded(now, ret, Outcome{Result: Succeeded, RequestEnded: true})
 			}
 		})
 	}
@@ -658,21 +658,21 @@
 		for i := range 20 {
 			name := fmt.Sprint(i)
 			one, other := ask("harmless", name), ask("harmless", name)
-			x, y := a.Where(start, one), b.Where(start, other)
-			a.After(start, one, Outcome{Result: Good, Closed: true})
-			b.After(start, other, Outcome{Result: Good, Closed: true})
-			if x.Dispatch.Source != y.Dispatch.Source {
-				t.Errorf("object %s: %d and %d", name, x.Dispatch.Source, y.Dispatch.Source)
+			x, y := a.Decide(start, one), b.Decide(start, other)
+			a.AttemptEnded(start, one, Outcome{Result: Succeeded, RequestEnded: true})
+			b.AttemptEnded(start, other, Outcome{Result: Succeeded, RequestEnded: true})
+			if x.Attempt.Source != y.Attempt.Source {
+				t.Errorf("object %s: %d and %d", name, x.Attempt.Source, y.Attempt.Source)
 			}
-			if x.Dispatch.Source != 3 && x.Dispatch.Source != 4 {
-				t.Errorf("object %s filled from %d", name, x.Dispatch.Source)
+			if x.Attempt.Source != 3 && x.Attempt.Source != 4 {
+				t.Errorf("object %s filled from %d", name, x.Attempt.Source)
 			}
 		}
 	})
 	t.Run("a hot object reaches both caches", func(t *testing.T) {
 		r, seen := newRouter(t, nil), map[uint32]int{}
 		for range 40 {
-			seen[r.Where(start, ask("harmless", "hot")).Dispatch.Cache]++
+			seen[r.Decide(start, ask("harmless", "hot")).Attempt.Cache]++
 		}
 		if seen[1] == 0 || seen[2] == 0 {
 			t.Errorf("dispatches by cache: %v", seen)
@@ -685,17 +685,17 @@
 	r := newRouter(t, nil)
 	for n := range 5000 {
 		now := start + int64(n)*second/10
-		lines := append([]Listing{{ID: uint32(100 + n), Location: "here", Kind: "cache", Phase: "ready", Units: 5}}, fleet...)
-		r.Listed(now, lines, true)
+		lines := append([]Endpoint{{ID: uint32(100 + n), Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}}, fleet...)
+		r.UpdateEndpoints(now, lines, true)
 		ret := ask("harmless", fmt.Sprint(n))
-		if d := r.Where(now, ret); d.Verdict != Send {
-			t.Fatalf("verdict %v", d.Verdict)
+		if decision := r.Decide(now, ret); decision.Verdict != Send {
+			t.Fatalf("verdict %v", decision.Verdict)
 		}
-		r.After(now, ret, Outcome{Result: Good, Closed: true})
+		r.AttemptEnded(now, ret, Outcome{Result: Succeeded, RequestEnded: true})
 		r.Tick(now)
 	}
-	if len(r.members) > len(fleet)+1 {
-		t.Errorf("%d members kept", len(r.members))
+	if len(r.endpoints) > len(fleet)+1 {
+		t.Errorf("%d members kept", len(r.endpoints))
 	}
 }
 
@@ -705,16 +705,16 @@
 		result Result
 		after  int64
 		want   Verdict
-	}{{Unreached, second - 1, Send}, {Unreached, second, Dismiss}, {Cut, second, Dismiss}, {Unsent, second, Dismiss},
-		{Full, second, Send}, {Broken, second, Send}} {
+	}{{Unreachable, second - 1, Send}, {Unreachable, second, Reject}, {SendInterrupted, second, Reject}, {NotSent, second, Reject},
+		{Overloaded, second, Send}, {ConnectionLost, second, Send}} {
 		t.Run(fmt.Sprint(c.result, c.after), func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
-			ret.HardStop = start + 2*second
-			if d := r.Where(start, ret); d.Dispatch.Reach != second {
-				t.Errorf("to be on its way within %d", d.Dispatch.Reach)
+			ret.Deadline = start + 2*second
+			if decision := r.Decide(start, ret); decision.Attempt.SendTimeout != second {
+				t.Errorf("to be on its way within %d", decision.Attempt.SendTimeout)
 			}
-			if d := r.After(start+c.after, ret, Outcome{Result: c.result}); d.Verdict != c.want {
-				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
+			if decision := r.AttemptEnded(start+c.after, ret, Outcome{Result: c.result}); decision.Verdict != c.want {
+				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
 			}
 		})
 	}
@@ -733,19 +733,19 @@
 		{"a report of nothing", func(float64) []float64 { return []float64{0, 0} }, 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, Settings{"report.fields": []string{"x1", "inHand"}})
-			r.rooms = [3]float64{roomMost, roomMost, roomMost}
-			var out []*Retrieval
+			r.admissionLimits = [3]float64{maxAdmissionLimit, maxAdmissionLimit, maxAdmissionLimit}
+			var out []*Request
 			for n := range 20 {
 				ret := ask("harmless", fmt.Sprint(n))
-				if d := r.Where(start, ret); d.Verdict == Send {
+				if decision := r.Decide(start, ret); decision.Verdict == Send {
 					out = append(out, ret)
 				}
 			}
 			for _, ret := range out {
-				own := float64(len(ret.dispatches[0].cache.out))
-				r.After(start+second/10, ret, Outcome{Result: Good, Closed: true, Load: c.told(own)})
+				own := float64(len(ret.attempts[0].cache.inFlight))
+				r.AttemptEnded(start+second/10, ret, Outcome{Result: Succeeded, RequestEnded: true, LoadReport: c.told(own)})
 			}
-			if got := r.sharing(); math.Abs(got-c.want) > 0.01 {
+			if got := r.effectiveSharers(); math.Abs(got-c.want) > 0.01 {
 				t.Errorf("%d answers: %v, want %v", len(out), got, c.want)
 			}
 		})
@@ -767,20 +767,20 @@
 			r, now := newRouter(t, c.change), start
 			for n := range 300 + c.missing {
 				ret := ask("harmless", fmt.Sprint(n))
-				if d := r.Where(now, ret); d.Verdict != Send {
-					t.Fatalf("verdict %v", d.Verdict)
+				if decision := r.Decide(now, ret); decision.Verdict != Send {
+					t.Fatalf("verdict %v", decision.Verdict)
 				}
-				o := Outcome{Result: Good, Spent: second / 10, Closed: true}
+				outcome := Outcome{Result: Succeeded, Elapsed: second / 10, RequestEnded: true}
 				if n >= 300 {
-					o.Result, o.Spent = Late, 5*second
+					outcome.Result, outcome.Elapsed = TimedOut, 5*second
 				}
-				r.After(now, ret, o)
+				r.AttemptEnded(now, ret, outcome)
 			}
 			ret := ask("harmless", "x")
-			r.Where(now, ret)
-			now += r.dueIn(ret, 0) * c.waited / 10
-			if d := r.Where(now, ret); d.Verdict != c.want || d.Verdict == Send && d.Dispatch.Cache == ret.dispatches[0].cache.ID {
-				t.Errorf("verdict %v, want %v", d.Verdict, c.want)
+			r.Decide(now, ret)
+			now += r.objectiveFor(ret, 0) * c.waited / 10
+			if decision := r.Decide(now, ret); decision.Verdict != c.want || decision.Verdict == Send && decision.Attempt.Cache == ret.attempts[0].cache.ID {
+				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
 			}
 		})
 	}
@@ -797,10 +797,10 @@
 		{"a large one", 2 * second, 1, false}, {"a small one", second, 0.01, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := newRouter(t, Settings{"product.dueStretch": []float64{2, 2, 2}}), ask("harmless", "a")
-			r.Where(start, ret)
-			kind := ret.dispatches[0].kind
-			r.After(start+c.spent, ret, Outcome{Result: Good, Spent: c.spent, Sending: c.sending, Closed: true})
-			if late := r.rooms[kind] < roomFirst[kind]; late != c.late {
+			r.Decide(start, ret)
+			kind := ret.attempts[0].kind
+			r.AttemptEnded(start+c.spent, ret, Outcome{Result: Succeeded, Elapsed: c.spent, SendingTime: c.sending, RequestEnded: true})
+			if late := r.admissionLimits[kind] < initialAdmissionLimits[kind]; late != c.late {
 				t.Errorf("late: %v, want %v", late, c.late)
 			}
 		})
@@ -819,22 +819,22 @@
 		{"one in twelve of hundreds", 200, 12, false, false}, {"the last one that is left", 200, 4, true, false}} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
-			slow := r.members[3]
-			r.members[4].suspect = c.lost
+			slow := r.endpoints[3]
+			r.endpoints[4].ejected = c.lost
 			for n := range c.answers {
-				for _, m := range []*member{slow, r.members[4]} {
-					ret := ask("harmless", fmt.Sprint(n, m.ID))
-					d := &dispatch{sent: start, cache: r.members[1], source: m, kind: fills, lateFrom: start + second}
-					ret.product, ret.entry, ret.dispatches, ret.out = r.products["harmless"], &entry{}, []*dispatch{d}, 1
-					o := Outcome{Result: Good, Note: 2, Spent: second / 10, Closed: true}
-					if m == slow && n%c.late == c.late-1 {
-						o.Spent = 4 * second
+				for _, endpoint := range []*endpointState{slow, r.endpoints[4]} {
+					ret := ask("harmless", fmt.Sprint(n, endpoint.ID))
+					attempt := &attemptState{sentAt: start, cache: r.endpoints[1], source: endpoint, kind: fills, lateAt: start + second}
+					ret.class, ret.record, ret.attempts, ret.inFlight = r.classByName["harmless"], &objectRecord{}, []*attemptState{attempt}, 1
+					outcome := Outcome{Result: Succeeded, Note: 2, Elapsed: second / 10, RequestEnded: true}
+					if endpoint == slow && n%c.late == c.late-1 {
+						outcome.Elapsed = 4 * second
 					}
-					r.After(start, ret, o)
+					r.AttemptEnded(start, ret, outcome)
 				}
 			}
-			if slow.suspect != c.want || r.members[4].suspect != c.lost {
-				t.Errorf("suspect %v, want %v; the other %v", slow.suspect, c.want, r.members[4].suspect)
+			if slow.ejected != c.want || r.endpoints[4].ejected != c.lost {
+				t.Errorf("suspect %v, want %v; the other %v", slow.ejected, c.want, r.endpoints[4].ejected)
 			}
 		})
 	}
@@ -850,7 +850,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.Listed(at, []Listing{{ID: 1, Location: "here", Kind: "cache", Phase: "ready", Units: 4}}, true)
+		r.UpdateEndpoints(at, []Endpoint{{ID: 1, Location: "here", Kind: "cache", Phase: "ready", Capacity: 4}}, true)
 		return r
 	}
 	const begun, later = 1000 * second, 1040 * second
@@ -861,36 +861,36 @@
 		if i%4 == 0 {
 			object = "b"
 		}
-		if d := r.Where(at, &Retrieval{Product: "stills", Object: object, HardStop: at + second}); d.Verdict != Send {
-			t.Fatal(d)
+		if decision := r.Decide(at, &Request{Class: "stills", Object: object, Deadline: at + second}); decision.Verdict != Send {
+			t.Fatal(decision)
 		}
 	}
-	r.Purged(begun+9*second, "b", 0, begun+9*second)
+	r.Purge(begun+9*second, "b", 0, begun+9*second)
 	now := begun + 10*second
-	m := r.Remember(now, 10)
+	m := r.Snapshot(now, 10)
 	if len(m.Objects) != 2 || len(m.Purges) != 1 || m.Objects[1].Object != "a" {
 		t.Fatalf("%+v", m)
 	}
 	next := make(later)
-	next.Recall(later, m, true)
+	next.Restore(later, m, true)
 	rate := func(r *Router, at int64, object string) float64 {
-		e := r.table[entryKey{object, 0}]
-		return r.rate(at, e.count, e.counted)
+		record := r.objects[objectKey{object, 0}]
+		return r.requestRate(at, record.requestCount, record.countedAt)
 	}
 	for _, object := range []string{"a", "b"} {
 		if was, is := rate(r, now, object), rate(next, later, object); math.Abs(was-is) > 1e-9 || is == 0 {
 			t.Errorf("%s: %f before, %f after", object, was, is)
 		}
 	}
-	if again := next.Remember(later, 10); again.Objects[1].Object != "a" || again.Purges[0] != m.Purges[0] {
+	if again := next.Snapshot(later, 10); again.Objects[1].Object != "a" || again.Purges[0] != m.Purges[0] {
 		t.Errorf("%+v", again)
 	}
 	without := make(later)
-	without.Recall(later, m, false)
-	if e := without.table[entryKey{"b", 0}]; e == nil || e.count != 0 || e.purges != 1 || without.total != 0 {
-		t.Errorf("%+v", e)
+	without.Restore(later, m, false)
+	if record := without.objects[objectKey{"b", 0}]; record == nil || record.requestCount != 0 || record.purgeCount != 1 || without.requestCount != 0 {
+		t.Errorf("%+v", record)
 	}
-	if one := r.Remember(now, 1); len(one.Objects) != 1 || one.Objects[0].Object != "a" {
+	if one := r.Snapshot(now, 1); len(one.Objects) != 1 || one.Objects[0].Object != "a" {
 		t.Errorf("%+v", one.Objects)
 	}
 }
--- a/control/members.go
+++ b/control/members.go
@@ -17,32 +17,32 @@
 )
 
 // memberList is a list of members in the order of their IDs.
-type memberList struct{ members []*member }
+type endpointList struct{ endpoints []*endpointState }
 
 // search gives the index of a member, or where it is to be inserted.
-func (l *memberList) search(m *member) (index int, found bool) {
-	return slices.BinarySearchFunc(l.members, m.ID, func(other *member, id uint32) int { return cmp.Compare(other.ID, id) })
+func (l *endpointList) search(endpoint *endpointState) (index int, found bool) {
+	return slices.BinarySearchFunc(l.endpoints, endpoint.ID, func(other *endpointState, id uint32) int { return cmp.Compare(other.ID, id) })
 }
 
 // add inserts a member unless it is in the list.
-func (l *memberList) add(m *member) {
-	if index, found := l.search(m); !found {
-		l.members = slices.Insert(l.members, index, m)
+func (l *endpointList) add(endpoint *endpointState) {
+	if index, found := l.search(endpoint); !found {
+		l.endpoints = slices.Insert(l.endpoints, index, endpoint)
 	}
 }
 
 // remove takes a member out.
-func (l *memberList) remove(m *member) {
-	if index, found := l.search(m); found {
-		l.members = slices.Delete(l.members, index, index+1)
+func (l *endpointList) remove(endpoint *endpointState) {
+	if index, found := l.search(endpoint); found {
+		l.endpoints = slices.Delete(l.endpoints, index, index+1)
 	}
 }
 
-// Listed gives the list of members, whole or changes to it.
-func (r *Router) Listed(now int64, lines []Listing, whole bool) {
+// UpdateEndpoints gives the list of endpoints, whole or changes to it.
+func (r *Router) UpdateEndpoints(now int64, lines []Endpoint, whole bool) {
 	if whole {
-		for _, m := range r.members {
-			m.listed = false
+		for _, endpoint := range r.endpoints {
+			endpoint.listed = false
 		}
 	}
 	for _, line := range lines {
@@ -52,48 +52,50 @@
 		r.assignAll()
 	} else {
 		for _, line := range lines {
-			r.assign(r.members[line.ID])
+			r.assign(r.endpoints[line.ID])
 		}
 	}
-	r.forgetGone()
-	r.caches, r.parents, r.origin = r.cacheTier.members, r.parentTier.members, nil
-	if len(r.origins.members) > 0 {
-		r.origin = r.origins.members[0]
+	r.forgetDelisted()
+	r.caches, r.parents, r.origin = r.cacheTier.endpoints, r.parentTier.endpoints, nil
+	if len(r.origins.endpoints) > 0 {
+		r.origin = r.origins.endpoints[0]
 	}
-	r.unitsSummed = false
+	r.capacitySummed = false
 }
 
 // update takes over one line of the list.
-func (r *Router) update(now int64, line Listing) {
-	m := r.members[line.ID]
-	if m == nil {
-		m = &member{heard: now, scored: now}
-		r.members[line.ID] = m
+func (r *Router) update(now int64, line Endpoint) {
+	endpoint := r.endpoints[line.ID]
+	if endpoint == nil {
+		endpoint = &endpointState{lastResponseAt: now, scoredAt: now}
+		r.endpoints[line.ID] = endpoint
 	}
-	if line.Started > 0 && line.Started != m.Started {
+	if line.StartedAt > 0 && line.StartedAt != endpoint.StartedAt {
 		// Back from a restart: cold, empty, and no longer judged by what it was before. Earlier than the last, where the clock
 		// that tells it was set back.
-		m.coldFrom, m.coldTold, m.good, m.bad, m.heard = line.Started, now, 0, 0, now
-		m.suspect, m.trial, m.off = false, false, false
+		endpoint.slowStartFrom, endpoint.slowStartToldAt, endpoint.successes, endpoint.failures, endpoint.lastResponseAt = line.StartedAt, now, 0, 0, now
+		endpoint.ejected, endpoint.probing, endpoint.wasUnreachable = false, false, false
 	}
-	m.Listing, m.listed, m.weight = line, line.Phase != "gone", max(line.Units, leastUnits)
-	if get(r.set, "units", "off") == "live" {
-		m.weight = 1 // a weight that follows the load would move objects from home to home
+	endpoint.Endpoint, endpoint.listed, endpoint.hashWeight = line, line.Phase != "gone", max(line.Capacity, minCapacity)
+	if get(r.settings, "units", "off") == "live" {
+		endpoint.hashWeight = 1 // a weight that follows the load would move objects from home to home
 	}
 }
 
 // roleOf is the role that a member has by its line.
-func (r *Router) roleOf(m *member) role {
-	kind := func(name string) string { return at(r.set, "kinds", int(get(r.set, name, int64(-1))), "none") }
+func (r *Router) roleOf(endpoint *endpointState) role {
+	kind := func(name string) string {
+		return at(r.settings, "kinds", int(get(r.settings, name, int64(-1))), "none")
+	}
 	// Rule 3: whoever drains or is gone gets nothing new from now on, and is no source.
 	switch {
-	case !m.listed || m.Phase != "ready":
+	case !endpoint.listed || endpoint.Phase != "ready":
 		return noRole
-	case m.Kind == kind("kind.origin"):
+	case endpoint.Kind == kind("kind.origin"):
 		return originRole
-	case m.Kind == kind("kind.parent"):
+	case endpoint.Kind == kind("kind.parent"):
 		return parentRole
-	case m.Location == r.home:
+	case endpoint.Location == r.location:
 		return cacheRole
 	}
 	return noRole
@@ -103,72 +105,72 @@
 func (r *Router) assignAll() {
 	r.cacheTier.clear()
 	r.parentTier.clear()
-	r.origins.members, r.gone = nil, nil
-	r.cachesInTime = kindCounts{}
-	for _, id := range slices.Sorted(maps.Keys(r.members)) {
-		m := r.members[id]
-		m.role, m.isGone = noRole, false
-		r.assign(m)
+	r.origins.endpoints, r.delisted = nil, nil
+	r.cachesWithinObjective = countsByKind{}
+	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
+		endpoint := r.endpoints[id]
+		endpoint.role, endpoint.isDelisted = noRole, false
+		r.assign(endpoint)
 	}
 }
 
 // assign gives a member the role that it has by its line.
-func (r *Router) assign(m *member) {
-	if old, now := m.role, r.roleOf(m); old != now {
-		r.leave(m, old)
-		m.role = now
+func (r *Router) assign(endpoint *endpointState) {
+	if old, now := endpoint.role, r.roleOf(endpoint); old != now {
+		r.leaveRole(endpoint, old)
+		endpoint.role = now
 		if now == cacheRole {
-			r.addInTime(m, 1)
+			r.addWithinObjective(endpoint, 1)
 		}
 	}
-	switch m.role {
+	switch endpoint.role {
 	case cacheRole:
-		r.cacheTier.put(m)
+		r.cacheTier.put(endpoint)
 	case parentRole:
-		r.parentTier.put(m)
+		r.parentTier.put(endpoint)
 	case originRole:
-		r.origins.add(m)
+		r.origins.add(endpoint)
 	}
-	if !m.listed && !m.isGone {
-		m.isGone = true
-		r.gone = append(r.gone, m)
+	if !endpoint.listed && !endpoint.isDelisted {
+		endpoint.isDelisted = true
+		r.delisted = append(r.delisted, endpoint)
 	}
 }
 
 // leave ends a member's role.
-func (r *Router) leave(m *member, old role) {
+func (r *Router) leaveRole(endpoint *endpointState, old role) {
 	switch old {
 	case cacheRole:
-		r.cacheTier.remove(m)
-		r.addInTime(m, -1)
+		r.cacheTier.remove(endpoint)
+		r.addWithinObjective(endpoint, -1)
 	case parentRole:
-		r.parentTier.remove(m)
+		r.parentTier.remove(endpoint)
 	case originRole:
-		r.origins.remove(m)
+		r.origins.remove(endpoint)
 	}
 }
 
 // addInTime adds what is in hand at a cache to the numbers of all caches, or takes it off.
-func (r *Router) addInTime(m *member, sign int) {
-	for kind, n := range m.inTime {
-		r.cachesInTime[kind] += sign * n
+func (r *Router) addWithinObjective(endpoint *endpointState, sign int) {
+	for kind, n := range endpoint.withinObjective {
+		r.cachesWithinObjective[kind] += sign * n
 	}
 }
 
 // forgetGone forgets members that are no longer listed once nothing is out there: new ones come under new IDs
 // without end.
-func (r *Router) forgetGone() {
-	r.gone = slices.DeleteFunc(r.gone, func(m *member) bool {
-		if m.listed {
-			m.isGone = false
+func (r *Router) forgetDelisted() {
+	r.delisted = slices.DeleteFunc(r.delisted, func(endpoint *endpointState) bool {
+		if endpoint.listed {
+			endpoint.isDelisted = false
 			return true
 		}
-		if len(m.out) > 0 {
+		if len(endpoint.inFlight) > 0 {
 			return false
 		}
-		delete(r.members, m.ID)
-		r.scored.remove(m)
-		r.watched.remove(m)
+		delete(r.endpoints, endpoint.ID)
+		r.scored.remove(endpoint)
+		r.watched.remove(endpoint)
 		return true
 	})
 }
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -16,33 +16,33 @@
 // reference for the selection and the kept counts.
 
 // plainRank orders members by rendezvous hashing weighted by size.
-func plainRank(key entryKey, members []*member) []*member {
+func plainRank(key objectKey, members []*endpointState) []*endpointState {
 	h := fnv.New64a()
 	h.Write(binary.LittleEndian.AppendUint64([]byte(key.object), uint64(key.part)))
-	scores := make(map[*member]float64, len(members))
-	for _, m := range members {
-		x := (h.Sum64() ^ uint64(m.ID)) * 0xff51afd7ed558ccd
+	scores := make(map[*endpointState]float64, len(members))
+	for _, endpoint := range members {
+		x := (h.Sum64() ^ uint64(endpoint.ID)) * 0xff51afd7ed558ccd
 		x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
-		scores[m] = -math.Log((float64((x^x>>33)>>11)+0.5)/(1<<53)) / m.weight
+		scores[endpoint] = -math.Log((float64((x^x>>33)>>11)+0.5)/(1<<53)) / endpoint.hashWeight
 	}
 	ranked := slices.Clone(members)
-	slices.SortFunc(ranked, func(a, b *member) int {
+	slices.SortFunc(ranked, func(a, b *endpointState) int {
 		return cmp.Or(cmp.Compare(scores[a], scores[b]), cmp.Compare(a.ID, b.ID))
 	})
 	return ranked
 }
 
 // plainInHand is what is out at some caches and may be in time, in all and by kind, and their size.
-func plainInHand(r *Router, now int64, members []*member) (out float64, kinds [3]float64, units float64) {
-	for _, m := range members {
-		if r.told() {
-			units += m.Units
+func plainInHand(r *Router, now int64, members []*endpointState) (out float64, kinds [3]float64, units float64) {
+	for _, endpoint := range members {
+		if r.capacitiesConfigured() {
+			units += endpoint.Capacity
 		} else {
-			units += r.measuredSize(now)
+			units += r.measuredCapacity(now)
 		}
-		for _, d := range m.out {
-			if now < d.lateFrom {
-				out, kinds[d.kind] = out+1, kinds[d.kind]+1
+		for _, attempt := range endpoint.inFlight {
+			if now < attempt.lateAt {
+				out, kinds[attempt.kind] = out+1, kinds[attempt.kind]+1
 			}
 		}
 	}
@@ -50,39 +50,39 @@
 }
 
 // plainLoads is what each cache has in hand for its size.
-func plainLoads(r *Router, now int64) map[*member]float64 {
+func plainLoads(r *Router, now int64) map[*endpointState]float64 {
 	out, _, units := plainInHand(r, now, r.caches)
-	loads := map[*member]float64{}
-	for _, m := range r.caches {
-		own, _, size := plainInHand(r, now, []*member{m})
-		loads[m] = (own + out*r.sharing()/units) / (size/r.sharing() + 1)
+	loads := map[*endpointState]float64{}
+	for _, endpoint := range r.caches {
+		own, _, size := plainInHand(r, now, []*endpointState{endpoint})
+		loads[endpoint] = (own + out*r.effectiveSharers()/units) / (size/r.effectiveSharers() + 1)
 	}
 	return loads
 }
 
 // plainSigns is the evidence on a member.
-func plainSigns(r *Router, now int64, m *member) (silent, good, bad float64) {
-	answer, longest := r.most(func(p *product) float64 { return p.answer }), 0.
-	for _, d := range m.out {
-		if d.cache == m || d.kind > hits {
-			waited := float64(now-max(d.sent, m.heard)) / 1e9 / answer
-			silent, longest = silent+min(silentMost, waited), max(longest, waited)
+func plainSigns(r *Router, now int64, endpoint *endpointState) (silent, good, bad float64) {
+	answer, longest := r.largest(func(class *classState) float64 { return class.responseTime }), 0.
+	for _, attempt := range endpoint.inFlight {
+		if attempt.cache == endpoint || attempt.kind > hits {
+			waited := float64(now-max(attempt.sentAt, endpoint.lastResponseAt)) / 1e9 / answer
+			silent, longest = silent+min(maxSilencePerAttempt, waited), max(longest, waited)
 		}
 	}
-	if longest < silentLeast {
+	if longest < minSilence {
 		silent = 0
 	}
-	return silent, fade(m.good, now-m.scored, healthSpan), fade(m.bad, now-m.scored, healthSpan)
+	return silent, decay(endpoint.successes, now-endpoint.scoredAt, healthWindow), decay(endpoint.failures, now-endpoint.scoredAt, healthWindow)
 }
 
 // plainPeerSigns sums up the evidence on all peers of a member.
-func plainPeerSigns(r *Router, now int64, m *member) (silent, good, bad float64) {
+func plainPeerSigns(r *Router, now int64, endpoint *endpointState) (silent, good, bad float64) {
 	peers := r.caches
-	if m.Location != r.home {
+	if endpoint.Location != r.location {
 		peers = r.parents
 	}
 	for _, peer := range peers {
-		if peer != m {
+		if peer != endpoint {
 			s, g, b := plainSigns(r, now, peer)
 			silent, good, bad = silent+s, good+g, bad+b
 		}
@@ -91,72 +91,72 @@
 }
 
 // plainTiers sorts the members by what they may do.
-func plainTiers(r *Router) (caches, parents []*member, origin *member) {
-	for _, id := range slices.Sorted(maps.Keys(r.members)) {
-		m := r.members[id]
+func plainTiers(r *Router) (caches, parents []*endpointState, origin *endpointState) {
+	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
+		endpoint := r.endpoints[id]
 		switch {
-		case !m.listed || m.Phase != "ready":
-		case m.Kind == "origin":
-			origin = cmp.Or(origin, m)
-		case m.Kind == "parent":
-			parents = append(parents, m)
-		case m.Location == r.home:
-			caches = append(caches, m)
+		case !endpoint.listed || endpoint.Phase != "ready":
+		case endpoint.Kind == "origin":
+			origin = cmp.Or(origin, endpoint)
+		case endpoint.Kind == "parent":
+			parents = append(parents, endpoint)
+		case endpoint.Location == r.location:
+			caches = append(caches, endpoint)
 		}
 	}
 	return caches, parents, origin
 }
 
 // plainPlace picks the cache and the fill source from the whole ranking.
-func plainPlace(r *Router, now int64, t *Retrieval) (cache, source *member) {
-	ranked, spread := plainRank(t.entry.key, r.caches), 1
-	if t.neverKept() {
+func plainPlace(r *Router, now int64, request *Request) (cache, source *endpointState) {
+	ranked, spread := plainRank(request.record.key, r.caches), 1
+	if request.isUncacheable() {
 		spread = len(ranked)
-	} else if n := float64(len(ranked)); n > 1 && t.entry.count >= hotLeast {
-		hot := r.rate(now, t.entry.count, t.entry.counted) * n / (hotShare * r.rate(now, r.total, r.totalAt))
+	} else if n := float64(len(ranked)); n > 1 && request.record.requestCount >= minHotRequests {
+		hot := r.requestRate(now, request.record.requestCount, request.record.countedAt) * n / (hotShare * r.requestRate(now, r.requestCount, r.requestCountAt))
 		spread = max(1, min(1+int(hot), 3, len(ranked)))
 	}
 	loads := plainLoads(r, now)
-	slices.SortStableFunc(ranked[:min(spread, len(ranked))], func(a, b *member) int { return cmp.Compare(loads[a], loads[b]) })
-	t.away = false
-	if cache = plainPick(r, now, t, ranked); cache != nil && t.entry.servedUntil > now && !r.room(now, t, cache) {
-		roomy := slices.DeleteFunc(ranked, func(m *member) bool { return loads[m] >= r.rooms[0]/2 })
-		if other := plainPick(r, now, t, roomy); other != nil {
-			cache, t.away = other, true
+	slices.SortStableFunc(ranked[:min(spread, len(ranked))], func(a, b *endpointState) int { return cmp.Compare(loads[a], loads[b]) })
+	request.diverted = false
+	if cache = plainPick(r, now, request, ranked); cache != nil && request.record.likelyHeldUntil > now && !r.admits(now, request, cache) {
+		roomy := slices.DeleteFunc(ranked, func(endpoint *endpointState) bool { return loads[endpoint] >= r.admissionLimits[0]/2 })
+		if other := plainPick(r, now, request, roomy); other != nil {
+			cache, request.diverted = other, true
 		}
 	}
-	sources := plainRank(t.entry.key, r.parents)
+	sources := plainRank(request.record.key, r.parents)
 	switch {
 	case r.origin == nil:
-	case t.neverKept():
-		sources = append([]*member{r.origin}, sources...)
-	case t.denied() && r.originStands():
-		sources = []*member{r.origin}
+	case request.isUncacheable():
+		sources = append([]*endpointState{r.origin}, sources...)
+	case request.sourceRefused() && r.originUnlimited():
+		sources = []*endpointState{r.origin}
 	default:
 		sources = append(sources, r.origin)
 	}
-	return cache, plainPick(r, now, t, sources)
+	return cache, plainPick(r, now, request, sources)
 }
 
 // plainPick picks from a whole ranking: it is given as the batch of a selection that has nothing after it.
-func plainPick(r *Router, now int64, t *Retrieval, ranked []*member) *member {
-	whole := &candidates{tier: &tier{memberList: memberList{ranked}}, exhausted: true, lastGiven: true}
+func plainPick(r *Router, now int64, request *Request, ranked []*endpointState) *endpointState {
+	whole := &candidates{tier: &tier{endpointList: endpointList{ranked}}, exhausted: true, lastGiven: true}
 	for i := range ranked {
 		whole.batch = append(whole.batch, candidate{index: i})
 	}
-	return r.pick(now, t, whole)
+	return r.firstUsable(now, request, whole)
 }
 
 // routerState is what a decision on the place changes.
 type routerState struct {
 	draws   uint32
-	members map[uint32]member
+	members map[uint32]endpointState
 }
 
 func stateOf(r *Router) routerState {
-	s := routerState{r.draws, map[uint32]member{}}
-	for id, m := range r.members {
-		s.members[id] = *m
+	s := routerState{r.draws, map[uint32]endpointState{}}
+	for id, endpoint := range r.endpoints {
+		s.members[id] = *endpoint
 	}
 	return s
 }
@@ -164,15 +164,15 @@
 func (s routerState) restore(r *Router) {
 	r.draws = s.draws
 	for id, m := range s.members {
-		*r.members[id] = m
+		*r.endpoints[id] = m
 	}
 }
 
 // equal compares what a decision on the place may change.
 func (s routerState) equal(other routerState) bool {
-	return s.draws == other.draws && maps.EqualFunc(s.members, other.members, func(a, b member) bool {
-		return a.suspect == b.suspect && a.trialAt == b.trialAt && a.backoff == b.backoff && a.trial == b.trial &&
-			reflect.DeepEqual(a.recovery, b.recovery)
+	return s.draws == other.draws && maps.EqualFunc(s.members, other.members, func(a, b endpointState) bool {
+		return a.ejected == b.ejected && a.nextProbeAt == b.nextProbeAt && a.probeBackoff == b.probeBackoff && a.probing == b.probing &&
+			reflect.DeepEqual(a.slowStart, b.slowStart)
 	})
 }
 
@@ -188,45 +188,45 @@
 	check("parents", slices.Equal(r.parents, parents), true)
 	check("origin", r.origin, origin)
 	out, kinds, units := plainInHand(r, now, caches)
-	inTime := r.inTime(now)
+	inTime := r.inFlightWithinObjective(now)
 	check("in time", float64(inTime.sum()), out)
 	for kind := range kinds {
 		check(fmt.Sprint("in time of kind ", kind), float64(inTime[kind]), kinds[kind])
 	}
-	check("units", r.units(now), units)
-	for m, load := range plainLoads(r, now) {
-		check(fmt.Sprint("load of ", m.ID), r.load(now, m), load)
+	check("units", r.locationCapacity(now), units)
+	for endpoint, load := range plainLoads(r, now) {
+		check(fmt.Sprint("load of ", endpoint.ID), r.load(now, endpoint), load)
 	}
-	some := slices.Sorted(maps.Keys(r.members))
+	some := slices.Sorted(maps.Keys(r.endpoints))
 	for i := range min(4, len(some)) {
-		m := r.members[some[(int(now)+i)%len(some)]]
-		silent, good, bad := r.peerSigns(now, m)
-		plainSilent, plainGood, plainBad := plainPeerSigns(r, now, m)
-		check(fmt.Sprint("evidence on the peers of ", m.ID), [3]float64{silent, good, bad}, [3]float64{plainSilent, plainGood, plainBad})
+		endpoint := r.endpoints[some[(int(now)+i)%len(some)]]
+		silent, good, bad := r.peerEvidence(now, endpoint)
+		plainSilent, plainGood, plainBad := plainPeerSigns(r, now, endpoint)
+		check(fmt.Sprint("evidence on the peers of ", endpoint.ID), [3]float64{silent, good, bad}, [3]float64{plainSilent, plainGood, plainBad})
 	}
 	return found
 }
 
 // plainlySuspect tells whether the plain check would find a cache suspect.
-func plainlySuspect(r *Router, now int64, m *member) bool {
-	silent, good, bad := plainSigns(r, now, m)
-	if m.suspect || silent < silentFrom && bad < badFrom {
+func plainlySuspect(r *Router, now int64, endpoint *endpointState) bool {
+	silent, good, bad := plainSigns(r, now, endpoint)
+	if endpoint.ejected || silent < silenceThreshold && bad < failureThreshold {
 		return false
 	}
-	allSilent, allGood, allBad := plainPeerSigns(r, now, m)
+	allSilent, allGood, allBad := plainPeerSigns(r, now, endpoint)
 	silent -= allSilent / float64(max(1, len(r.caches)-1))
-	return silent >= silentFrom || bad >= badFrom && bad/(good+bad)-allBad/max(allGood+allBad, 1) >= badShare
+	return silent >= silenceThreshold || bad >= failureThreshold && bad/(good+bad)-allBad/max(allGood+allBad, 1) >= failureShareThreshold
 }
 
 // overlooked gives the members that the plain periodic check would find suspect, or probe, and that it passes over
 // by what is kept.
 func overlooked(r *Router, now int64) (found []uint32) {
 	all := r.cacheEvidence(now)
-	for _, m := range r.caches {
-		_, watched := r.watched.search(m)
-		checked := watched && m.mayBeSuspect(now) && r.mayStandOut(now, m, all)
-		if !watched && m.suspect || !checked && plainlySuspect(r, now, m) {
-			found = append(found, m.ID)
+	for _, endpoint := range r.caches {
+		_, watched := r.watched.search(endpoint)
+		checked := watched && endpoint.mayBeEjected(now) && r.mayBeOutlier(now, endpoint, all)
+		if !watched && endpoint.ejected || !checked && plainlySuspect(r, now, endpoint) {
+			found = append(found, endpoint.ID)
 		}
 	}
 	return found
@@ -246,21 +246,21 @@
 				continue
 			}
 			ret := p.retrieval[p.rng.IntN(len(p.retrieval))]
-			p.router.expire(p.now) // else the counts restored would be those of before
+			p.router.markLate(p.now) // else the counts restored would be those of before
 			before := stateOf(p.router)
 			wantCache, wantSource := plainPlace(p.router, p.now, ret)
-			wantAway, want := ret.away, stateOf(p.router)
+			wantAway, want := ret.diverted, stateOf(p.router)
 			before.restore(p.router)
-			cache, source := p.router.place(p.now, ret)
-			if same := stateOf(p.router).equal(want); cache != wantCache || source != wantSource || ret.away != wantAway || !same {
+			cache, source := p.router.selectEndpoints(p.now, ret)
+			if same := stateOf(p.router).equal(want); cache != wantCache || source != wantSource || ret.diverted != wantAway || !same {
 				t.Fatalf("seed %d, case %d: cache %v, source %v, away %v, plainly %v, %v, %v; the same effects: %v", seed, cases,
-					name(cache), name(source), ret.away, name(wantCache), name(wantSource), wantAway, same)
+					name(cache), name(source), ret.diverted, name(wantCache), name(wantSource), wantAway, same)
 			}
 			cases++
-			if cache != nil && cache != plainRank(ret.entry.key, p.router.caches)[0] {
+			if cache != nil && cache != plainRank(ret.record.key, p.router.caches)[0] {
 				seen["not the first"]++
 			}
-			if ret.away {
+			if ret.diverted {
 				seen["away"]++
 			}
 		}
@@ -270,11 +270,11 @@
 	}
 }
 
-func name(m *member) any {
-	if m == nil {
+func name(endpoint *endpointState) any {
+	if endpoint == nil {
 		return "none"
 	}
-	return m.ID
+	return endpoint.ID
 }
 
 // What is kept as it changes equals the sums over all members to the last bit, also where the clock went back.
@@ -306,36 +306,36 @@
 	p := newDrawnPlay(t, 1)
 	for round := range propertyCases / 100 {
 		r := newRouter(t, nil)
-		var lines []Listing
+		var lines []Endpoint
 		equal := p.rng.IntN(2) == 0
 		for id := range 1 + p.rng.IntN([]int{8, 60, 900}[round%3]) {
-			line := Listing{ID: uint32(id*7919 + 1), Location: "here", Kind: "cache", Phase: "ready", Units: 5}
+			line := Endpoint{ID: uint32(id*7919 + 1), Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}
 			if !equal {
-				line.Units = math.Exp(p.rng.NormFloat64() * 3)
+				line.Capacity = math.Exp(p.rng.NormFloat64() * 3)
 			}
 			lines = append(lines, line)
 		}
-		r.Listed(start, lines, true)
-		for _, m := range r.caches {
+		r.UpdateEndpoints(start, lines, true)
+		for _, endpoint := range r.caches {
 			for range p.rng.IntN(4) * p.rng.IntN(2) {
-				r.begin(m, &dispatch{sent: start, cache: m, kind: p.rng.IntN(3), lateFrom: start + p.rng.Int64N(second)})
+				r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, kind: p.rng.IntN(3), lateAt: start + p.rng.Int64N(second)})
 			}
 		}
 		now := start + p.rng.Int64N(second)
 		for n := range 100 {
 			ret := ask("harmless", fmt.Sprint(round, n))
-			ret.product, ret.entry, ret.Write = r.products["harmless"], &entry{key: entryKey{object: ret.Object}}, n%4 == 0
-			want := plainRank(ret.entry.key, r.caches)
+			ret.class, ret.record, ret.Write = r.classByName["harmless"], &objectRecord{key: objectKey{object: ret.Object}}, n%4 == 0
+			want := plainRank(ret.record.key, r.caches)
 			if ret.Write {
-				slices.SortStableFunc(want, func(a, b *member) int { return cmp.Compare(r.load(now, a), r.load(now, b)) })
+				slices.SortStableFunc(want, func(a, b *endpointState) int { return cmp.Compare(r.load(now, a), r.load(now, b)) })
 			}
 			got, most := r.cacheCandidates(now, ret), len(want)
 			if n%10 > 1 {
 				most = min(most, 1+p.rng.IntN(8))
 			}
 			for i := range most {
-				if m := got.next(); m != want[i] {
-					t.Fatalf("round %d, write %v, place %d of %d: %v, plainly %v", round, ret.Write, i, len(want), name(m), want[i].ID)
+				if endpoint := got.next(); endpoint != want[i] {
+					t.Fatalf("round %d, write %v, place %d of %d: %v, plainly %v", round, ret.Write, i, len(want), name(endpoint), want[i].ID)
 				}
 			}
 			if most == len(want) && got.next() != nil {
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -53,12 +53,12 @@
 				}
 				rate := tokenTerms{limit: falls(n), trials: float64(incarnations * routers), starts: float64(starts)}.rate(1, 1)
 				chance := moreThan(incarnations*routers, bears, rate) * float64(starts)
-				if rate <= 0 || rate > 1 || chance > breakChance || chance < breakChance/1000 {
+				if rate <= 0 || rate > 1 || chance > overloadProbability || chance < overloadProbability/1000 {
 					t.Errorf("%d routers, %d starts, N %.1f: rate %.4f, broken on %.2g of all days", routers, starts, n, rate, chance)
 				}
 				// Asked all the time a window sees one window's tokens; then the member may also be smaller than it seems.
 				const windows = 15
-				if chance := moreThan(routers, int(falls(0.6*n)), rate) * float64(starts) * windows; chance > breakChance {
+				if chance := moreThan(routers, int(falls(0.6*n)), rate) * float64(starts) * windows; chance > overloadProbability {
 					t.Errorf("%d routers, %d starts, N %.1f: with 0.6 of the size broken on %.2g of all days", routers, starts, n, chance)
 				}
 			}
@@ -91,7 +91,7 @@
 				}
 				dist = next
 			}
-			if broken*starts > breakChance {
+			if broken*starts > overloadProbability {
 				t.Errorf("bound %d, %.2f of what is asked for is light: broken on %.2g of all days", bound, part, broken*starts)
 			}
 		}
@@ -131,15 +131,15 @@
 		t.Fatal(err)
 	}
 	lines := slices.Clone(fleet)
-	lines[recoveringID-1].Started, lines[recoveringID-1].Units = start, size
-	r.Listed(start, lines, true)
+	lines[recoveringID-1].StartedAt, lines[recoveringID-1].Capacity = start, size
+	r.UpdateEndpoints(start, lines, true)
 	return r
 }
 
 // ask has a router send all that it may.
 func (s *recovering) ask(now int64, r *Router) {
-	for m := r.members[recoveringID]; r.fits(now, m, meanWork); {
-		m.charge(now, meanWork)
+	for endpoint := r.endpoints[recoveringID]; r.slowStartAdmits(now, endpoint, meanWork); {
+		endpoint.charge(now, meanWork)
 		s.sent = append(s.sent, sentAt{now, meanWork})
 	}
 }
@@ -172,7 +172,7 @@
 					size := n * meanWork / 2 / 0.1 / 2 // of which a tenth is there at the start
 					all := newRecovering(t, routers, size)
 					for _, r := range all.routers {
-						r.fits(start, r.members[recoveringID], meanWork) // collects from here on
+						r.slowStartAdmits(start, r.endpoints[recoveringID], meanWork) // collects from here on
 					}
 					for now := start + 4*second; now < start+14*second; now += second / 4 {
 						for i, r := range all.routers {
@@ -208,7 +208,7 @@
 			for n := range draws {
 				seed, now, id := c.of(n)
 				r := &Router{seed: seed}
-				count[int(r.phase(now, &member{Listing: Listing{ID: id}})*parts)]++
+				count[int(r.phase(now, &endpointState{Endpoint: Endpoint{ID: id}})*parts)]++
 			}
 			for part, n := range count {
 				if mean := draws / parts; n < mean*2/3 || n > mean*4/3 { // five deviations
@@ -224,60 +224,60 @@
 	cold := func(t *testing.T, id uint32, change Settings) *Router {
 		r := newRouter(t, change)
 		line := fleet[id-1]
-		line.Started = start
-		r.Listed(start, []Listing{line}, false)
+		line.StartedAt = start
+		r.UpdateEndpoints(start, []Endpoint{line}, false)
 		return r
 	}
 	wants := func(t *testing.T, r *Router, id uint32, want float64) {
 		t.Helper()
-		if work := r.members[id].recovery.work(); math.Abs(work-want) > 1e-9 {
+		if work := r.endpoints[id].slowStart.work(); math.Abs(work-want) > 1e-9 {
 			t.Errorf("%.2f s of work counted, not %.2f", work, want)
 		}
 	}
-	onlyCache := Listing{ID: 2, Location: "here", Phase: "gone"}
+	onlyCache := Endpoint{ID: 2, Location: "here", Phase: "gone"}
 	t.Run("a retry", func(t *testing.T) {
 		r := cold(t, 1, nil)
-		r.Listed(start, []Listing{onlyCache}, false)
+		r.UpdateEndpoints(start, []Endpoint{onlyCache}, false)
 		ret := ask("harmless", "a")
-		r.Where(start, ret)
+		r.Decide(start, ret)
 		wants(t, r, 1, 0.5)
-		if d := r.After(start, ret, Outcome{Result: Broken}); d.Verdict != Send || d.Dispatch.Cache != 1 {
-			t.Fatalf("not sent again: %+v", d)
+		if decision := r.AttemptEnded(start, ret, Outcome{Result: ConnectionLost}); decision.Verdict != Send || decision.Attempt.Cache != 1 {
+			t.Fatalf("not sent again: %+v", decision)
 		}
 		wants(t, r, 1, 1)
 	})
 	t.Run("a hedge", func(t *testing.T) {
 		r := cold(t, 1, nil)
-		r.Listed(start, []Listing{{ID: 2, Location: "here", Kind: "cache", Cell: 2, Phase: "draining"}}, false)
+		r.UpdateEndpoints(start, []Endpoint{{ID: 2, Location: "here", Kind: "cache", Cell: 2, Phase: "draining"}}, false)
 		ret := ask("harmless", "a")
-		r.Where(start, ret)
-		r.Listed(start, fleet[1:2], false)
-		r.members[1].coldFrom, r.members[2].coldFrom = start, start
-		r.members[1].suspect, r.members[1].trialAt = true, forever
-		r.spare = 3
-		if d := r.Where(start+second, ret); d.Verdict != Send || d.Dispatch.Cache != 2 || ret.out != 2 {
-			t.Fatalf("no second attempt beside the first: %+v", d)
+		r.Decide(start, ret)
+		r.UpdateEndpoints(start, fleet[1:2], false)
+		r.endpoints[1].slowStartFrom, r.endpoints[2].slowStartFrom = start, start
+		r.endpoints[1].ejected, r.endpoints[1].nextProbeAt = true, forever
+		r.retryTokens = 3
+		if decision := r.Decide(start+second, ret); decision.Verdict != Send || decision.Attempt.Cache != 2 || ret.inFlight != 2 {
+			t.Fatalf("no second attempt beside the first: %+v", decision)
 		}
 		wants(t, r, 1, 0.5)
 		wants(t, r, 2, 0.5)
 	})
 	t.Run("a fill through a parent", func(t *testing.T) {
 		r := cold(t, 3, nil)
-		r.Listed(start, []Listing{{ID: 4, Location: "hub", Phase: "gone"}}, false)
+		r.UpdateEndpoints(start, []Endpoint{{ID: 4, Location: "hub", Phase: "gone"}}, false)
 		large := ask("harmless", "a")
 		large.SizeKB = 5000 // five seconds by itself; its class's mean counts
-		if d := r.Where(start, large); d.Dispatch.Source != 3 {
-			t.Fatalf("filled from %d", d.Dispatch.Source)
+		if decision := r.Decide(start, large); decision.Attempt.Source != 3 {
+			t.Fatalf("filled from %d", decision.Attempt.Source)
 		}
 		wants(t, r, 3, 0.5)
 	})
 	t.Run("a probe", func(t *testing.T) {
 		r := cold(t, 1, Settings{"probe": true})
-		m := r.members[1]
+		endpoint := r.endpoints[1]
 		for n := range 20 { // until nothing is left for probes either
-			m.suspect, m.trial, m.trialAt = true, false, start
-			r.watched.add(m) // as check has it
-			m.heard = start
+			endpoint.ejected, endpoint.probing, endpoint.nextProbeAt = true, false, start
+			r.watched.add(endpoint) // as check has it
+			endpoint.lastResponseAt = start
 			probe, _ := r.Tick(start)
 			if want := n < 4; slices.Contains(probe, 1) != want { // (8 + 3·√8 + 3) / 2 incarnations / 2 routers
 				t.Fatalf("probe %d sent: %v", n, !want)
