--- a/plan/leave/leave.go
+++ b/plan/shutdown/shutdown.go
@@ -1,9 +1,9 @@
-// Package leave decides how a router ends that was told to: until when it answers, and when it may go. It does no input
+// Package shutdown decides how a router ends that was told to: until when it answers, and when it may go. It does no input
 // or output and reads no clock.
 //
 // Source: the platform's page on planned restarts. Requests go on coming for 0.7 s after SIGTERM, and SIGKILL comes no
 // sooner than the longest time a client may wait (3 s at most) and 0.7 s more.
-package leave
+package shutdown
 
 import "time"
 
@@ -38,52 +38,52 @@
 	return &Plan{since: since, longest: min(longest, longestMost)}
 }
 
-// AnswerBy is when the last answer is to be given, on the same axis.
-func (p *Plan) AnswerBy() int64 { return p.since + int64(p.longest+answerAfter) }
+// AnswerDeadline is when the last answer is to be given, on the same axis.
+func (p *Plan) AnswerDeadline() int64 { return p.since + int64(p.longest+answerAfter) }
 
-// DiskBy is until when a process that has nothing else to do waits for a slow disk, Unix ns.
-func (p *Plan) DiskBy() int64 { return p.since + int64(p.longest+diskAfter) }
+// DiskDeadline is until when a process that has nothing else to do waits for a slow disk, Unix ns.
+func (p *Plan) DiskDeadline() int64 { return p.since + int64(p.longest+diskAfter) }
 
 // State is what a router that leaves still has.
 type State struct {
-	Hands   int  // retrievals in hand
-	Queued  int  // events that have come and are not seen to
-	Flushed bool // every answer has been written, and nothing has come that is not read
-	Open    int  // connections that have not ended, the listener with them
+	InFlight        int  // retrievals in hand
+	QueuedEvents    int  // events that have come and are not seen to
+	Flushed         bool // every answer has been written, and nothing has come that is not read
+	OpenConnections int  // connections that have not ended, the listener with them
 }
 
 // Step is what a router that leaves does now.
 type Step int
 
-// The steps, in order. Serve goes on as before; Shut tells the connections that are owed nothing that they end, and goes on
-// serving the others; Go ends the process.
+// The steps, in order. Serve goes on as before; CloseIdle tells the connections that are owed nothing that they end, and goes on
+// serving the others; Exit ends the process.
 const (
 	Serve Step = iota
-	Shut
-	Go
+	CloseIdle
+	Exit
 )
 
-func (s Step) String() string { return []string{"serve", "shut", "go"}[s] }
+func (s Step) String() string { return []string{"serve", "close idle", "exit"}[s] }
 
 // Next says what to do now. All is over when all is answered and written, nothing comes any more, and those connections have
 // ended or had their moment; or when the time is up. Closed without that moment, a connection on which something had just come
 // was reset, and what its client had not read by then was lost to it.
 func (p *Plan) Next(now int64, s State) Step {
 	spent := time.Duration(now - p.since)
-	owed := s.Hands > 0 || s.Queued > 0 || !s.Flushed
+	owed := s.InFlight > 0 || s.QueuedEvents > 0 || !s.Flushed
 	switch {
 	case spent >= p.longest+writeAfter:
-		return Go
+		return Exit
 	case spent <= stillComing:
 		return Serve
 	case owed:
 		p.done = 0
-		return Shut
+		return CloseIdle
 	case p.done == 0:
 		p.done = now
 	}
-	if s.Open == 0 || now-p.done >= int64(shutMost) {
-		return Go
+	if s.OpenConnections == 0 || now-p.done >= int64(shutMost) {
+		return Exit
 	}
-	return Shut
+	return CloseIdle
 }
--- a/plan/leave/leave_test.go
+++ b/plan/shutdown/shutdown_test.go
@@ -1,4 +1,4 @@
-package leave
+package shutdown
 
 import (
 	"testing"
@@ -8,7 +8,7 @@
 const ms = int64(time.Millisecond)
 
 func TestNext(t *testing.T) {
-	done, open := State{Flushed: true}, State{Flushed: true, Open: 2}
+	done, open := State{Flushed: true}, State{Flushed: true, OpenConnections: 2}
 	for _, c := range []struct {
 		name    string
 		longest time.Duration
@@ -17,16 +17,16 @@
 		want    Step
 	}{
 		{"requests may still come", time.Second, 700, done, Serve},
-		{"all done", time.Second, 701, done, Go},
-		{"connections rest", time.Second, 701, open, Shut},
-		{"in hand", time.Second, 1300, State{Hands: 1, Flushed: true}, Shut},
-		{"come and not seen to", time.Second, 1300, State{Queued: 1, Flushed: true}, Shut},
-		{"not written", time.Second, 1599, State{}, Shut},
-		{"not written in time", time.Second, 1600, State{}, Go},
-		{"in hand at the end", time.Second, 1600, State{Hands: 1}, Go},
-		{"a connection that never ends, at the end", time.Second, 1600, open, Go},
-		{"a longer wait than the platform leaves", time.Minute, 3599, State{}, Shut},
-		{"and its end", time.Minute, 3600, State{}, Go},
+		{"all done", time.Second, 701, done, Exit},
+		{"connections rest", time.Second, 701, open, CloseIdle},
+		{"in hand", time.Second, 1300, State{InFlight: 1, Flushed: true}, CloseIdle},
+		{"come and not seen to", time.Second, 1300, State{QueuedEvents: 1, Flushed: true}, CloseIdle},
+		{"not written", time.Second, 1599, State{}, CloseIdle},
+		{"not written in time", time.Second, 1600, State{}, Exit},
+		{"in hand at the end", time.Second, 1600, State{InFlight: 1}, Exit},
+		{"a connection that never ends, at the end", time.Second, 1600, open, Exit},
+		{"a longer wait than the platform leaves", time.Minute, 3599, State{}, CloseIdle},
+		{"and its end", time.Minute, 3600, State{}, Exit},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := New(5*ms, c.longest).Next((5+c.at)*ms, c.state); got != c.want {
@@ -40,13 +40,13 @@
 // holds nobody up.
 func TestClientsHaveAMomentToSeeTheEnd(t *testing.T) {
 	p := New(0, 5*time.Second)
-	open, owed := State{Flushed: true, Open: 1}, State{Hands: 1, Open: 2}
+	open, owed := State{Flushed: true, OpenConnections: 1}, State{InFlight: 1, OpenConnections: 2}
 	for _, c := range []struct {
 		at    int64
 		state State
 		want  Step
-	}{{600, open, Serve}, {800, open, Shut}, {900, owed, Shut}, {2000, open, Shut}, {2249, open, Shut}, {2250, open, Go},
-		{2100, State{Flushed: true}, Go}} {
+	}{{600, open, Serve}, {800, open, CloseIdle}, {900, owed, CloseIdle}, {2000, open, CloseIdle}, {2249, open, CloseIdle}, {2250, open, Exit},
+		{2100, State{Flushed: true}, Exit}} {
 		if got := p.Next(c.at*ms, c.state); got != c.want {
 			t.Errorf("after %d ms with %+v: %v, want %v", c.at, c.state, got, c.want)
 		}
@@ -58,20 +58,20 @@
 func TestLastAnswersHaveTimeToBeWritten(t *testing.T) {
 	for longest := time.Duration(0); longest < 10*time.Second; longest += 50 * time.Millisecond {
 		p := New(0, longest)
-		if p.Next(p.AnswerBy()+200*ms, State{}) == Go {
+		if p.Next(p.AnswerDeadline()+200*ms, State{}) == Exit {
 			t.Fatalf("longest %v: over 200 ms after the last answer", longest)
 		}
-		if kill := int64(min(longest, 3*time.Second) + 700*time.Millisecond); p.Next(kill-50*ms, State{Hands: 1}) != Go {
+		if kill := int64(min(longest, 3*time.Second) + 700*time.Millisecond); p.Next(kill-50*ms, State{InFlight: 1}) != Exit {
 			t.Fatalf("longest %v: not over 50 ms before it is killed", longest)
 		}
 	}
 }
 
 // A slow disk is waited for until the last answers could be written, and the process is gone before it is killed.
-func TestDiskBy(t *testing.T) {
+func TestDiskDeadline(t *testing.T) {
 	for _, longest := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, time.Minute} {
 		p := New(5*ms, longest)
-		if by := p.DiskBy(); by < p.AnswerBy() || by > 5*ms+int64(min(longest, 3*time.Second)+500*time.Millisecond) {
+		if by := p.DiskDeadline(); by < p.AnswerDeadline() || by > 5*ms+int64(min(longest, 3*time.Second)+500*time.Millisecond) {
 			t.Errorf("%v: %d ms after the start", longest, (by-5*ms)/ms)
 		}
 	}
--- a/process/process.go
+++ b/process/process.go
@@ -23,8 +23,8 @@
 	"tealpath/internal/clock"
 	"tealpath/internal/neterr"
 	"tealpath/operator"
-	plan "tealpath/plan/leave"
 	"tealpath/plan/links"
+	"tealpath/plan/shutdown"
 	"tealpath/plan/start"
 	"tealpath/router"
 	"tealpath/snapshot"
@@ -342,8 +342,8 @@
 func (p *Process) reduce(ctx context.Context, leave <-chan struct{}) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	var leaving *plan.Plan // nil: not leaving
-	var shut time.Time     // when resting connections were last told that they end
+	var leaving *shutdown.Plan // nil: not leaving
+	var shut time.Time         // when resting connections were last told that they end
 	var looks <-chan time.Time
 	for {
 		select {
@@ -351,15 +351,15 @@
 			return nil
 		case <-leave:
 			now := p.clock.Now()
-			leave, leaving = nil, plan.New(now, p.longest())
+			leave, leaving = nil, shutdown.New(now, p.longest())
 			// Where nothing comes the reducer's own timer is up to 100 ms apart, and the platform kills 100 ms after the plan ends.
 			each := time.NewTicker(shutGap)
 			defer each.Stop()
 			looks = each.C
 			p.enter(Draining)
-			p.keeper.keepLast(p.router, now, time.Duration(leaving.DiskBy()-now))
+			p.keeper.keepLast(p.router, now, time.Duration(leaving.DiskDeadline()-now))
 			p.front.SetReady(false)
-			p.handle(now, router.Leaving{By: leaving.AnswerBy()}, timer)
+			p.handle(now, router.Leaving{By: leaving.AnswerDeadline()}, timer)
 		case a := <-p.inbox:
 			switch e := a.event.(type) {
 			case router.Down:
@@ -391,15 +391,15 @@
 		if leaving == nil {
 			continue
 		}
-		s := plan.State{Hands: p.router.Hands(), Queued: len(p.inbox), Open: p.front.Open()}
-		s.Flushed = s.Hands == 0 && s.Queued == 0 && p.front.Flushed()
+		s := shutdown.State{InFlight: p.router.Hands(), QueuedEvents: len(p.inbox), OpenConnections: p.front.Open()}
+		s.Flushed = s.InFlight == 0 && s.QueuedEvents == 0 && p.front.Flushed()
 		switch leaving.Next(p.clock.Now(), s) {
-		case plan.Shut:
+		case shutdown.CloseIdle:
 			if now := time.Now(); now.Sub(shut) >= shutGap {
 				shut = now
 				p.front.Shut()
 			}
-		case plan.Go:
+		case shutdown.Exit:
 			return nil
 		}
 	}
