--- a/plan/shutdown/shutdown.go
+++ b/plan/shutdown/shutdown.go
@@ -1,88 +1,107 @@
-// Package shutdown decides how a router ends that was told to: until when it answers, and when it may go. It does no input
-// or output and reads no clock.
+// Package shutdown decides how a router ends gracefully: until when it answers requests, and when its process may exit. It does no
+// input or output and reads no clock.
 //
-// Source: the platform's page on planned restarts. Requests go on coming for 0.7 s after SIGTERM, and SIGKILL comes no
-// sooner than the longest time a client may wait (3 s at most) and 0.7 s more.
+// Source of the platform's times: its page on planned restarts. Requests go on coming for 0.7 s after SIGTERM, and SIGKILL comes
+// no sooner than the longest deadline of a client (3 s at most) and 0.7 s more.
+//
+// All instants are ns on the caller's monotonic axis.
 package shutdown
 
-import "time"
+import (
+	"fmt"
+	"time"
+)
+
+// What the platform's page states.
+const (
+	arrivalWindow     = 700 * time.Millisecond // after SIGTERM, in which new requests still come
+	maxClientDeadline = 3 * time.Second
+	killAfterLimit    = 700 * time.Millisecond // from the longest deadline to SIGKILL
+)
 
+// Spans after the longest deadline. Requests in flight are answered by the first, and their answers have until the second to be
+// written. When both were one moment, the last answers were queued in the step that ended the process, and their connections were
+// closed before they were written: 7 of 69,000 in one day of 300 routers.
 const (
-	stillComing = 700 * time.Millisecond
-	longestMost = 3 * time.Second
-	killAfter   = 700 * time.Millisecond // beyond the longest
-
-	// answerAfter and writeAfter are beyond the longest, too. What is in hand is answered by the first, and has until the
-	// second to be written. When both were one moment, the last answers were queued in the step that ended the process,
-	// and their connections were closed before they were written: 7 of 69,000 in one day of 300 routers.
-	answerAfter = 350 * time.Millisecond
-	writeAfter  = killAfter - 100*time.Millisecond
-
-	// diskAfter is beyond the longest as well: until then a slow disk is waited for. The rest is for the log's last lines, which
-	// take up to 0.1 s, on a busy machine.
-	diskAfter = killAfter - 300*time.Millisecond
-
-	// shutMost is for how long clients that are told that their connections end are waited for.
-	shutMost = 250 * time.Millisecond
+	answerGrace = 350 * time.Millisecond
+	writeGrace  = killAfterLimit - 100*time.Millisecond
+
+	// diskGrace is for how long a slow disk is waited for. The rest is for the log's last lines, which take up to 0.1 s on a busy
+	// machine.
+	diskGrace = killAfterLimit - 300*time.Millisecond
 )
 
-// Plan is one leaving.
+// maxCloseWait is for how long clients that are told that their connections end are waited for.
+const maxCloseWait = 250 * time.Millisecond
+
+// Plan is the plan of one shutdown. It is not safe for use by two goroutines at once.
 type Plan struct {
-	since   int64 // ns on the caller's monotonic axis
-	longest time.Duration
-	done    int64 // since when nothing is owed; 0: something is
+	startedAt   int64
+	maxDeadline time.Duration // of the clients that are served
+	finishedAt  int64         // since when no client is owed anything; 0: one is
 }
 
-// New plans a leaving that began at a time, ns on the caller's monotonic axis, for clients that wait so long at most.
-func New(since int64, longest time.Duration) *Plan {
-	return &Plan{since: since, longest: min(longest, longestMost)}
+// New plans a shutdown that started at an instant, for clients whose deadline is at most clientDeadline. Of that no more counts
+// than the platform allows.
+func New(startedAt int64, clientDeadline time.Duration) *Plan {
+	return &Plan{startedAt: startedAt, maxDeadline: min(clientDeadline, maxClientDeadline)}
 }
 
-// AnswerDeadline is when the last answer is to be given, on the same axis.
-func (p *Plan) AnswerDeadline() int64 { return p.since + int64(p.longest+answerAfter) }
+// AnswerDeadline returns the instant by which the last answer is given.
+func (p *Plan) AnswerDeadline() int64 { return p.startedAt + int64(p.maxDeadline+answerGrace) }
 
-// DiskDeadline is until when a process that has nothing else to do waits for a slow disk, Unix ns.
-func (p *Plan) DiskDeadline() int64 { return p.since + int64(p.longest+diskAfter) }
+// DiskDeadline returns the instant until which a process that has nothing else to do waits for a slow disk.
+func (p *Plan) DiskDeadline() int64 { return p.startedAt + int64(p.maxDeadline+diskGrace) }
 
-// State is what a router that leaves still has.
+// State is what a router that shuts down still has to do.
 type State struct {
-	InFlight        int  // retrievals in hand
-	QueuedEvents    int  // events that have come and are not seen to
+	InFlight        int  // requests without a final answer
+	QueuedEvents    int  // events that have come and are not handled
 	Flushed         bool // every answer has been written, and nothing has come that is not read
-	OpenConnections int  // connections that have not ended, the listener with them
+	OpenConnections int  // connections that have not ended, with the listener if it is open
 }
 
-// Step is what a router that leaves does now.
+// finished reports whether no client is owed anything.
+func (s State) finished() bool { return s.InFlight == 0 && s.QueuedEvents == 0 && s.Flushed }
+
+// Step is what a router that shuts down does now.
 type Step int
 
-// The steps, in order. Serve goes on as before; CloseIdle tells the connections that are owed nothing that they end, and goes on
-// serving the others; Exit ends the process.
+// The steps, in order.
 const (
-	Serve Step = iota
-	CloseIdle
-	Exit
+	Serve     Step = iota // go on as before
+	CloseIdle             // tell connections on which nothing is owed that they end, and serve the others
+	Exit                  // end the process
 )
 
-func (s Step) String() string { return []string{"serve", "close idle", "exit"}[s] }
+var stepNames = [...]string{Serve: "serve", CloseIdle: "close idle", Exit: "exit"}
+
+func (s Step) String() string {
+	if s < 0 || int(s) >= len(stepNames) {
+		return fmt.Sprintf("step %d", int(s))
+	}
+	return stepNames[s]
+}
 
-// Next says what to do now. All is over when all is answered and written, nothing comes any more, and those connections have
-// ended or had their moment; or when the time is up. Closed without that moment, a connection on which something had just come
-// was reset, and what its client had not read by then was lost to it.
-func (p *Plan) Next(now int64, s State) Step {
-	spent := time.Duration(now - p.since)
-	owed := s.InFlight > 0 || s.QueuedEvents > 0 || !s.Flushed
+// Next returns the step to take now. The process may exit when every request is answered, its answer is written, no new request can
+// come, and the idle connections have ended or had maxCloseWait to; or when its time is up. Connections that were closed without
+// that wait, just as something came on them, were reset, and what their clients had not read by then was lost.
+func (p *Plan) Next(now int64, state State) Step {
+	elapsed := time.Duration(now - p.startedAt)
 	switch {
-	case spent >= p.longest+writeAfter:
+	case elapsed >= p.maxDeadline+writeGrace:
 		return Exit
-	case spent <= stillComing:
+	case elapsed <= arrivalWindow:
 		return Serve
-	case owed:
-		p.done = 0
+	case !state.finished():
+		p.finishedAt = 0
 		return CloseIdle
-	case p.done == 0:
-		p.done = now
 	}
-	if s.OpenConnections == 0 || now-p.done >= int64(shutMost) {
+	if p.finishedAt == 0 {
+		p.finishedAt = now
+	}
+	waited := time.Duration(now - p.finishedAt)
+	if state.OpenConnections == 0 || waited >= maxCloseWait {
 		return Exit
 	}
 	return CloseIdle
--- a/plan/shutdown/shutdown_test.go
+++ b/plan/shutdown/shutdown_test.go
@@ -1,6 +1,7 @@
 package shutdown
 
 import (
+	"fmt"
 	"testing"
 	"time"
 )
@@ -9,7 +10,7 @@
 
 func TestNext(t *testing.T) {
 	done, open := State{Flushed: true}, State{Flushed: true, OpenConnections: 2}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		longest time.Duration
 		at      int64 // ms after the start
@@ -28,9 +29,9 @@
 		{"a longer wait than the platform leaves", time.Minute, 3599, State{}, CloseIdle},
 		{"and its end", time.Minute, 3600, State{}, Exit},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if got := New(5*ms, c.longest).Next((5+c.at)*ms, c.state); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+		t.Run(test.name, func(t *testing.T) {
+			if got := New(5*ms, test.longest).Next((5+test.at)*ms, test.state); got != test.want {
+				t.Errorf("%v, want %v", got, test.want)
 			}
 		})
 	}
@@ -39,16 +40,23 @@
 // Who is told that its connection ends has a moment to see it, counted from when nothing is owed to anybody; who never does
 // holds nobody up.
 func TestClientsHaveAMomentToSeeTheEnd(t *testing.T) {
-	p := New(0, 5*time.Second)
+	plan := New(0, 5*time.Second)
 	open, owed := State{Flushed: true, OpenConnections: 1}, State{InFlight: 1, OpenConnections: 2}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		at    int64
 		state State
 		want  Step
-	}{{600, open, Serve}, {800, open, CloseIdle}, {900, owed, CloseIdle}, {2000, open, CloseIdle}, {2249, open, CloseIdle}, {2250, open, Exit},
-		{2100, State{Flushed: true}, Exit}} {
-		if got := p.Next(c.at*ms, c.state); got != c.want {
-			t.Errorf("after %d ms with %+v: %v, want %v", c.at, c.state, got, c.want)
+	}{
+		{600, open, Serve},
+		{800, open, CloseIdle},
+		{900, owed, CloseIdle},
+		{2000, open, CloseIdle},
+		{2249, open, CloseIdle},
+		{2250, open, Exit},
+		{2100, State{Flushed: true}, Exit},
+	} {
+		if got := plan.Next(test.at*ms, test.state); got != test.want {
+			t.Errorf("after %d ms with %+v: %v, want %v", test.at, test.state, got, test.want)
 		}
 	}
 }
@@ -57,11 +65,11 @@
 // and all is over before the platform kills.
 func TestLastAnswersHaveTimeToBeWritten(t *testing.T) {
 	for longest := time.Duration(0); longest < 10*time.Second; longest += 50 * time.Millisecond {
-		p := New(0, longest)
-		if p.Next(p.AnswerDeadline()+200*ms, State{}) == Exit {
+		plan := New(0, longest)
+		if plan.Next(plan.AnswerDeadline()+200*ms, State{}) == Exit {
 			t.Fatalf("longest %v: over 200 ms after the last answer", longest)
 		}
-		if kill := int64(min(longest, 3*time.Second) + 700*time.Millisecond); p.Next(kill-50*ms, State{InFlight: 1}) != Exit {
+		if kill := int64(min(longest, 3*time.Second) + 700*time.Millisecond); plan.Next(kill-50*ms, State{InFlight: 1}) != Exit {
 			t.Fatalf("longest %v: not over 50 ms before it is killed", longest)
 		}
 	}
@@ -70,9 +78,15 @@
 // A slow disk is waited for until the last answers could be written, and the process is gone before it is killed.
 func TestDiskDeadline(t *testing.T) {
 	for _, longest := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, time.Minute} {
-		p := New(5*ms, longest)
-		if by := p.DiskDeadline(); by < p.AnswerDeadline() || by > 5*ms+int64(min(longest, 3*time.Second)+500*time.Millisecond) {
+		plan := New(5*ms, longest)
+		if by := plan.DiskDeadline(); by < plan.AnswerDeadline() || by > 5*ms+int64(min(longest, 3*time.Second)+500*time.Millisecond) {
 			t.Errorf("%v: %d ms after the start", longest, (by-5*ms)/ms)
 		}
 	}
 }
+
+func TestStepString(t *testing.T) {
+	if got := fmt.Sprint(Serve, CloseIdle, Exit, Step(9)); got != "serve close idle exit step 9" {
+		t.Error(got)
+	}
+}
