--- a/feed/feed.go
+++ b/feed/feed.go
@@ -21,7 +21,7 @@
 	"tealpath/control"
 	"tealpath/internal/clock"
 	"tealpath/internal/neterr"
-	"tealpath/plan/recall"
+	"tealpath/plan/restore"
 	"tealpath/plan/start"
 	"tealpath/router"
 	"tealpath/sse"
@@ -66,7 +66,7 @@
 
 // kept is a list that was known before the start.
 type kept struct {
-	confirm recall.Confirm
+	confirm restore.ListConfirmation
 	list    router.Listed
 }
 
@@ -87,7 +87,7 @@
 	case known.listed:
 		calls.Listed()
 	case known.kept != nil:
-		f.kept, f.last = known.kept, known.kept.confirm.Behind()
+		f.kept, f.last = known.kept, known.kept.confirm.ResumeAfter()
 	}
 	return f
 }
@@ -205,7 +205,7 @@
 			f.post(Heard{})
 		}
 		if e.Comment {
-			if f.kept != nil && f.kept.confirm.Comment() == recall.Denied {
+			if f.kept != nil && f.kept.confirm.ObserveComment() == restore.Denied {
 				return ended(f.denied())
 			}
 			continue
@@ -266,11 +266,11 @@
 	pos, told, list, err := decode(e.Data)
 	digest := xxhash.Sum64(e.Data)
 	if f.kept != nil {
-		switch f.kept.confirm.Event(pos, digest) {
-		case recall.Confirmed:
+		switch f.kept.confirm.ObserveEvent(pos, digest) {
+		case restore.Confirmed:
 			f.confirmed(pos, digest)
 			return nil
-		case recall.Denied:
+		case restore.Denied:
 			if !list.Whole { // a whole list takes its place
 				return f.denied()
 			}
@@ -454,7 +454,7 @@
 	if p.listed || position < 1 || len(members) == 0 {
 		return false
 	}
-	p.kept = &kept{recall.Confirm{Position: position, Digest: digest}, router.Listed{Whole: true, Lines: members}}
+	p.kept = &kept{restore.ListConfirmation{Position: position, Digest: digest}, router.Listed{Whole: true, Lines: members}}
 	return true
 }
 
--- a/process/keeping.go
+++ b/process/keeping.go
@@ -12,7 +12,7 @@
 
 	"tealpath/feed"
 	"tealpath/internal/clock"
-	"tealpath/plan/recall"
+	"tealpath/plan/restore"
 	"tealpath/router"
 	"tealpath/snapshot"
 )
@@ -38,7 +38,7 @@
 // reducer's goroutine's, which waits for no disk: a goroutine of the keeper's own reads and writes the file.
 type keeper struct {
 	clock   clock.Clock
-	header  recall.Header
+	header  restore.Header
 	last    feed.Told
 	ticker  *time.Ticker
 	health  diskHealth
@@ -56,7 +56,7 @@
 }
 
 // newKeeper starts a keeper and has it read the file as it is.
-func newKeeper(store *snapshot.Store, header recall.Header, every time.Duration, c clock.Clock, line func(string)) (*keeper, <-chan snapshotFile) {
+func newKeeper(store *snapshot.Store, header restore.Header, every time.Duration, c clock.Clock, line func(string)) (*keeper, <-chan snapshotFile) {
 	k := &keeper{clock: c, header: header, ticker: time.NewTicker(every), health: diskHealth{line: line}, since: time.Now(),
 		// keep queues one write at a time, and keepLast one behind it.
 		queue: make(chan snapshot.Snapshot, 2), stopped: make(chan struct{})}
@@ -115,8 +115,8 @@
 	if p.file == nil || p.file.Snapshot == "" {
 		return
 	}
-	header := recall.Header{Version: recall.Version, Router: p.config.Name,
-		Deployment: xxhash.Sum64String(fmt.Sprint(p.config.Settings))}
+	header := restore.Header{Version: restore.FormatVersion, Router: p.config.Name,
+		SettingsDigest: xxhash.Sum64String(fmt.Sprint(p.config.Settings))}
 	var read <-chan snapshotFile
 	p.keeper, read = newKeeper(p.snapshots(p.file.Snapshot), header, time.Duration(p.file.SnapshotEvery), p.clock, p.line)
 	kept := snapshotFile{err: errSlowRead}
@@ -132,13 +132,13 @@
 		return
 	}
 	wall := p.clock.Wall() // as the process before read it: the two have no axis in common
-	use, why := recall.Judge(wall, p.keeper.header, kept.Header)
-	if use == recall.Nothing {
+	use, why := restore.Assess(wall, p.keeper.header, kept.Header)
+	if use == restore.None {
 		p.line("snapshot passed over: " + why)
 		return
 	}
-	age := max(0, wall-kept.Taken)
-	p.router.Recall(now, kept.Memory.Moved(now-age-kept.Memory.Taken), use == recall.Whole)
+	age := max(0, wall-kept.TakenAt)
+	p.router.Recall(now, kept.Memory.Moved(now-age-kept.Memory.Taken), use == restore.All)
 	line := fmt.Sprintf("snapshot of %d objects taken, %s", len(kept.Memory.Objects), use)
 	if why != "" {
 		line += ": " + why
@@ -186,7 +186,7 @@
 func (k *keeper) write(r *router.Router, now int64) {
 	s := snapshot.Snapshot{Header: k.header, Position: k.last.Position, Digest: k.last.Digest, Members: r.Listings(),
 		Memory: r.Remember(now, snapshot.ObjectsMost)}
-	s.Taken = k.clock.Wall() // the next process reads it, on an axis of its own
+	s.TakenAt = k.clock.Wall() // the next process reads it, on an axis of its own
 	k.pending.Add(1)
 	k.since = time.Now()
 	k.queue <- s // with room for it: see newKeeper
--- a/process/keeping_test.go
+++ b/process/keeping_test.go
@@ -283,8 +283,8 @@
 		t.Error(err)
 	}
 	kept, err := snapshot.NewStoreOn(disk, filepath.Join("folder", "kept")).Read()
-	if err != nil || kept.Taken < told.UnixNano() {
-		t.Errorf("taken %v before the shutdown, %v", time.Duration(told.UnixNano()-kept.Taken), err)
+	if err != nil || kept.TakenAt < told.UnixNano() {
+		t.Errorf("taken %v before the shutdown, %v", time.Duration(told.UnixNano()-kept.TakenAt), err)
 	}
 }
 
--- a/snapshot/compatible_test.go
+++ b/snapshot/compatible_test.go
@@ -10,7 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"tealpath/control"
-	"tealpath/plan/recall"
+	"tealpath/plan/restore"
 	"tealpath/router"
 )
 
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	want := Snapshot{
-		Header:   recall.Header{Version: 1, Router: "n041", Deployment: 0xc0ffee1234567890, Taken: 1764576123456789000},
+		Header:   restore.Header{Version: 1, Router: "n041", SettingsDigest: 0xc0ffee1234567890, TakenAt: 1764576123456789000},
 		Position: 4711,
 		Digest:   0x9e3779b97f4a7c15,
 		Members: []router.Listing{
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -1,5 +1,5 @@
 // Package snapshot keeps on a disk what a router knows, for its next start: written aside, forced to the disk, renamed, so
-// that a file is whole or the one before; with a digest, so that one which is not whole is seen. What of it is used, plan/recall
+// that a file is whole or the one before; with a digest, so that one which is not whole is seen. What of it is used, plan/restore
 // decides.
 package snapshot
 
@@ -13,7 +13,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"tealpath/control"
-	"tealpath/plan/recall"
+	"tealpath/plan/restore"
 	"tealpath/router"
 )
 
@@ -36,7 +36,7 @@
 
 // Snapshot is what a router knows.
 type Snapshot struct {
-	recall.Header
+	restore.Header
 	Position int64  // of the last event of the list service; 0: no list is known
 	Digest   uint64 // of that event's text
 	Members  []router.Listing
@@ -64,7 +64,7 @@
 		return s, ErrTorn
 	}
 	head, content := raw[len(magic):headBytes], raw[headBytes:]
-	if s.Version = int(binary.BigEndian.Uint32(head)); s.Version != recall.Version {
+	if s.Version = int(binary.BigEndian.Uint32(head)); s.Version != restore.FormatVersion {
 		return s, nil
 	}
 	if binary.BigEndian.Uint64(head[4:]) != uint64(len(content)) || binary.BigEndian.Uint64(head[12:]) != xxhash.Sum64(content) {
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -8,12 +8,12 @@
 	"testing"
 
 	"tealpath/control"
-	"tealpath/plan/recall"
+	"tealpath/plan/restore"
 	"tealpath/router"
 )
 
 func some() Snapshot {
-	return Snapshot{Header: recall.Header{Version: recall.Version, Router: "n1", Deployment: 7, Taken: 99}, Position: 5, Digest: 8,
+	return Snapshot{Header: restore.Header{Version: restore.FormatVersion, Router: "n1", SettingsDigest: 7, TakenAt: 99}, Position: 5, Digest: 8,
 		Members: []router.Listing{{Instance: "s-1", Address: "10.0.0.1:1", Listing: control.Listing{Phase: "ready", Units: 4}}},
 		Memory: control.Memory{Taken: 99, Objects: []control.ObjectMemory{{Object: "7f3a9c21e0b4d655", Count: 2.5, Born: 3}},
 			Products: []control.ProductMemory{{Name: "stills", Sending: .1, Answer: .2, Seen: 9}}, Purges: []control.PurgeMemory{{Name: "g3", When: 4}}}}
@@ -50,7 +50,7 @@
 		}
 		turned := append([]byte(nil), raw...)
 		turned[n] ^= 0x40
-		if s, err := Decode(turned); !errors.Is(err, ErrTorn) && s.Version == recall.Version {
+		if s, err := Decode(turned); !errors.Is(err, ErrTorn) && s.Version == restore.FormatVersion {
 			t.Fatalf("byte %d turned: %+v, %v", n, s, err)
 		}
 	}
@@ -71,7 +71,7 @@
 	f.Add(raw)
 	f.Add([]byte(magic))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		if s, err := Decode(raw); err == nil && s.Version == recall.Version {
+		if s, err := Decode(raw); err == nil && s.Version == restore.FormatVersion {
 			if _, err := Encode(s); err != nil {
 				t.Error(err)
 			}
