--- a/plan/restore/restore.go
+++ b/plan/restore/restore.go
@@ -1,109 +1,77 @@
-// Package restore decides what a router that starts may use of what it knew before: of a snapshot on its disk. It does no
-// input or output, reads no clock. docs/coldstart.md, "What was known before", has the rules and why.
+// Package restore decides what a router that starts may use of a snapshot that it finds on its disk. It does no input or output and
+// reads no clock. docs/coldstart.md, "What was known before", has the rules and their reasons.
 //
-// All times are Unix ns by the wall clock, read when the snapshot was written and when the process that reads it began: two
-// processes have no monotonic axis in common. docs/architecture.md, "Time", has what a step between the two does.
+// All times are Unix ns by the wall clock, read when the snapshot was taken and when the process that reads it began: two processes
+// have no monotonic axis in common. docs/architecture.md, "Time", says what a step of the clock between the two does.
 package restore
 
 import "fmt"
 
 const second = int64(1e9)
 
-const (
-	// FormatVersion is that of the snapshots that this program writes and reads.
-	FormatVersion = 1
+// FormatVersion is the version of the snapshots that this program writes and reads.
+const FormatVersion = 1
 
-	// ratesFor is for how long what was asked for so often is taken to be so still: a restart, not a night.
-	ratesFor = 60 * second
+const (
+	// maxRateAge is the age up to which request rates of a snapshot are taken to hold still: a restart, not a night.
+	maxRateAge = 60 * second
 
-	// beliefsFor is for how long sending times, and what was asked for and purged at all, tell anything.
-	beliefsFor = 3600 * second
+	// maxAge is the age up to which sending times, and the names of the objects that were requested and purged, tell anything.
+	maxAge = 3600 * second
 
-	// ahead is by how much a snapshot may be of the future: clocks of one machine step a little. Such a one counts as new.
-	ahead = 5 * second
+	// maxClockStep is by how much a snapshot may be of the future, since the clock of one machine steps a little. Such a snapshot
+	// counts as new.
+	maxClockStep = 5 * second
 )
 
 // Header says what a snapshot is of.
 type Header struct {
-	Version        int
-	Router         string
-	SettingsDigest uint64 `cbor:"Deployment"` // digest of the settings that it was learned under
+	Version        int    // of the format
+	Router         string // name of the router that wrote it
+	SettingsDigest uint64 `cbor:"Deployment"` // of the settings that it was learned under
 	TakenAt        int64  `cbor:"Taken"`
 }
 
-// Scope is how much of a snapshot may be used.
+// Scope is how much of a snapshot may be used. The endpoint list in it is never used by itself: see ListConfirmation.
 type Scope int
 
-// The uses. WithoutRates leaves the rates out. The list of members is never used by itself: see Confirm.
+// The scopes, in order.
 const (
-	None Scope = iota
-	WithoutRates
+	None         Scope = iota
+	WithoutRates       // all but the request rates
 	All
 )
 
-func (u Scope) String() string { return []string{"nothing", "beliefs", "whole"}[u] }
+// scopeNames are the words of the log line, which docs/oncall.md names.
+var scopeNames = [...]string{None: "nothing", WithoutRates: "beliefs", All: "whole"}
 
-// Assess says how much of a snapshot may be used by a router that is own, and why not all of it.
-func Assess(now int64, own, kept Header) (Scope, string) {
-	age := now - kept.TakenAt
-	switch {
-	case kept.Version > own.Version:
-		return None, fmt.Sprintf("it is of version %d, this program reads %d", kept.Version, own.Version)
-	case kept.Version < own.Version:
-		return None, fmt.Sprintf("it is of version %d, before this program's %d", kept.Version, own.Version)
-	case kept.Router != own.Router:
-		return None, fmt.Sprintf("it is router %q's", kept.Router)
-	case kept.SettingsDigest != own.SettingsDigest:
-		return None, "it was learned under other settings"
-	case age < -ahead:
-		return None, fmt.Sprintf("it is of %d s in the future", -age/second)
-	case age > beliefsFor:
-		return None, fmt.Sprintf("it is %d s old", age/second)
-	case age > ratesFor:
-		return WithoutRates, fmt.Sprintf("it is %d s old", age/second)
+func (s Scope) String() string {
+	if s < 0 || int(s) >= len(scopeNames) {
+		return fmt.Sprintf("scope %d", int(s))
 	}
-	return All, ""
-}
-
-// Outcome is what becomes of a list that was known before.
-type Outcome int
-
-// The answers. Denied: the service is another, or counts anew; the whole list is to be asked for.
-const (
-	Pending Outcome = iota
-	Confirmed
-	Denied
-)
-
-// ListConfirmation decides whether a list known before is still the one in force. The service is asked for what is behind the last
-// event but one: if it tells the last one again, to the letter, it is the same that told the list, nothing it has told since
-// is missing, and what follows comes after. A service that counts anew for each start of a router, as the platform's does,
-// tells something else under that number; silence or a comment proves nothing.
-type ListConfirmation struct {
-	Position int64  // of the last event
-	Digest   uint64 // of its text
-	done     bool
+	return scopeNames[s]
 }
 
-// ResumeAfter is the event behind which to ask.
-func (c *ListConfirmation) ResumeAfter() int64 { return c.Position - 1 }
-
-// ObserveEvent takes the first event that comes.
-func (c *ListConfirmation) ObserveEvent(position int64, digest uint64) Outcome {
-	if c == nil || c.done {
-		return Pending
-	}
-	if c.done = true; position == c.Position && digest == c.Digest {
-		return Confirmed
+// Assess returns how much of a snapshot a router may use that starts now. own is what the router itself would write, stored is the
+// snapshot's header. Where it is not All, the error is a *LimitError that says why.
+func Assess(now int64, own, stored Header) (Scope, error) {
+	age := now - stored.TakenAt
+	limited := func(reason Reason) error {
+		return &LimitError{Reason: reason, Own: own, Stored: stored, Age: age}
 	}
-	return Denied
-}
-
-// ObserveComment takes a comment: one that comes before any event says that there is no event behind that asked for.
-func (c *ListConfirmation) ObserveComment() Outcome {
-	if c == nil || c.done {
-		return Pending
+	switch {
+	case stored.Version != own.Version:
+		return None, limited(OtherVersion)
+	case stored.Router != own.Router:
+		return None, limited(OtherRouter)
+	case stored.SettingsDigest != own.SettingsDigest:
+		return None, limited(OtherSettings)
+	case age < -maxClockStep:
+		return None, limited(InFuture)
+	case age > maxAge:
+		return None, limited(Old)
+	case age > maxRateAge:
+		return WithoutRates, limited(Old)
 	}
-	c.done = true
-	return Denied
+	return All, nil
 }
--- a/process/keeping.go
+++ b/process/keeping.go
@@ -132,16 +132,16 @@
 		return
 	}
 	wall := p.clock.Wall() // as the process before read it: the two have no axis in common
-	use, why := restore.Assess(wall, p.keeper.header, kept.Header)
-	if use == restore.None {
-		p.line("snapshot passed over: " + why)
+	scope, limit := restore.Assess(wall, p.keeper.header, kept.Header)
+	if scope == restore.None {
+		p.line("snapshot passed over: " + limit.Error())
 		return
 	}
 	age := max(0, wall-kept.TakenAt)
-	p.router.Recall(now, kept.Memory.Moved(now-age-kept.Memory.Taken), use == restore.All)
-	line := fmt.Sprintf("snapshot of %d objects taken, %s", len(kept.Memory.Objects), use)
-	if why != "" {
-		line += ": " + why
+	p.router.Recall(now, kept.Memory.Moved(now-age-kept.Memory.Taken), scope == restore.All)
+	line := fmt.Sprintf("snapshot of %d objects taken, %s", len(kept.Memory.Objects), scope)
+	if limit != nil {
+		line += ": " + limit.Error()
 	}
 	if past.Keep(kept.Position, kept.Digest, kept.Members) {
 		line += fmt.Sprintf("; its list of %d members waits for event %d", len(kept.Members), kept.Position)
