--- a/feed/endings_test.go
+++ b/feed/endings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"tealpath/plan/start"
+	"tealpath/plan/startup"
 	"tealpath/router"
 )
 
@@ -60,9 +60,9 @@
 					fmt.Fprint(conn, head+event)
 				}
 			}()
-			calls := start.NewCalls(1, 300, start.Holding{})
-			calls.Heed(int64(grace))
-			calls.Listed()
+			calls := startup.NewCallSchedule(1, 300, startup.ReadinessHold{})
+			calls.SetDrainGrace(int64(grace))
+			calls.ListReceived()
 			told := make(chan router.Event, 16)
 			f := New(listener.Addr().String(), Past{Last: 4}, calls, noting(told), func(string) {})
 			ctx, cancel := context.WithCancel(context.Background())
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -22,7 +22,7 @@
 	"tealpath/internal/clock"
 	"tealpath/internal/neterr"
 	"tealpath/plan/restore"
-	"tealpath/plan/start"
+	"tealpath/plan/startup"
 	"tealpath/router"
 	"tealpath/sse"
 )
@@ -33,7 +33,7 @@
 	brokenMost = 3 // times that an event is read again before it is passed over
 )
 
-// Feed reads the journal service and posts what it tells. When it calls, and what it believes, start.Calls and start.Lists
+// Feed reads the journal service and posts what it tells. When it calls, and what it believes, startup.CallSchedule and startup.ListFilter
 // decide.
 type Feed struct {
 	last   int64
@@ -42,8 +42,8 @@
 	odd    int           // times that the event behind the last one could not be used
 	silent time.Duration // in tests: waited for the next byte at most
 	dial   dialFunc
-	calls  *start.Calls
-	lists  start.Lists
+	calls  *startup.CallSchedule
+	lists  startup.ListFilter
 	clock  clock.Clock
 	kept   *kept // a list known before that waits to be confirmed; nil: there is none
 
@@ -77,7 +77,7 @@
 func WithClock(c clock.Clock) Option { return func(f *Feed) { f.clock = c } }
 
 // New makes a feed that goes on behind what was known.
-func New(address string, known Past, calls *start.Calls, post func(router.Event), log func(string), options ...Option) *Feed {
+func New(address string, known Past, calls *startup.CallSchedule, post func(router.Event), log func(string), options ...Option) *Feed {
 	f := &Feed{address: address, last: known.Last, lists: known.lists, calls: calls, post: post, log: log, clock: clock.System(),
 		dial: (&net.Dialer{Timeout: dialMost}).DialContext}
 	for _, option := range options {
@@ -85,7 +85,7 @@
 	}
 	switch {
 	case known.listed:
-		calls.Listed()
+		calls.ListReceived()
 	case known.kept != nil:
 		f.kept, f.last = known.kept, known.kept.confirm.ResumeAfter()
 	}
@@ -105,7 +105,7 @@
 
 // Run reads until the context ends; after every break it goes on behind the last event.
 func (f *Feed) Run(ctx context.Context) error {
-	lost, wait := false, f.calls.First()
+	lost, wait := false, f.calls.FirstDelay()
 	for ctx.Err() == nil {
 		once, cut := context.WithCancel(ctx)
 		f.mu.Lock()
@@ -126,7 +126,7 @@
 				}
 			})
 			if once.Err() == nil {
-				wait = f.calls.Ended(f.clock.Now(), how)
+				wait = f.calls.CallEnded(f.clock.Now(), how)
 				if !lost {
 					lost = true
 					f.log(fmt.Sprintf("journal service lost behind event %d, %s: %v", f.last, how, err))
@@ -134,7 +134,7 @@
 			}
 		}
 		if once.Err() != nil {
-			wait = f.calls.Moved(f.clock.Now()) // nothing is known of this address yet
+			wait = f.calls.AddressChanged(f.clock.Now()) // nothing is known of this address yet
 		}
 		cut()
 	}
@@ -143,7 +143,7 @@
 
 // patience is until when the next byte is waited for.
 func (f *Feed) patience() time.Time {
-	span := time.Duration(f.calls.Patience())
+	span := time.Duration(f.calls.ReadTimeout())
 	if f.silent > 0 {
 		span = min(span, f.silent)
 	}
@@ -151,32 +151,32 @@
 }
 
 // follow reads one connection; heard is called for the first that comes. It tells how the connection ended.
-func (f *Feed) follow(ctx context.Context, address string, heard func()) (start.End, error) {
+func (f *Feed) follow(ctx context.Context, address string, heard func()) (startup.CallResult, error) {
 	dialled, err := f.dial(ctx, "tcp", address)
 	switch {
 	case neterr.IsLocal(err):
-		return start.NotCalled, err
+		return startup.LocalError, err
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return start.Refused, err
+		return startup.Refused, err
 	case err != nil:
-		return start.Unreached, err
+		return startup.Unreachable, err
 	}
 	conn := neterr.Conn{Conn: dialled}
 	defer conn.Close()
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	spoke := false
-	ended := func(err error) (start.End, error) {
+	ended := func(err error) (startup.CallResult, error) {
 		quiet := errors.Is(err, os.ErrDeadlineExceeded)
 		switch {
 		case quiet && spoke:
-			return start.Silent, err
+			return startup.Silent, err
 		case quiet:
-			return start.Unanswered, err
+			return startup.Unanswered, err
 		}
-		return start.Broke, err
+		return startup.Disconnected, err
 	}
-	f.calls.Called(f.clock.Now())
+	f.calls.CallStarted(f.clock.Now())
 	conn.SetDeadline(f.patience())
 	if err := sse.Request(conn, address, path, strconv.FormatInt(f.last, 10)); err != nil {
 		return ended(err)
@@ -184,7 +184,7 @@
 	from := &waiting{Conn: conn, feed: f}
 	stream, err := sse.Open(from)
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
-		return start.Cut, err // asked, and nothing was said
+		return startup.Truncated, err // asked, and nothing was said
 	}
 	if err != nil {
 		return ended(err)
@@ -193,12 +193,12 @@
 	for {
 		e, err := stream.Next()
 		if err != nil {
-			if how, err := ended(err); !stream.Inside() && (spoke || how != start.Broke) {
+			if how, err := ended(err); !stream.Inside() && (spoke || how != startup.Disconnected) {
 				return how, err
 			}
-			return start.Cut, err
+			return startup.Truncated, err
 		}
-		f.calls.Heard()
+		f.calls.DataReceived()
 		if !spoke {
 			spoke = true
 			heard()
@@ -213,7 +213,7 @@
 		if err := f.take(e); errors.Is(err, errDoubt) {
 			return ended(err) // whole and understood: a service that has half a list is not asked by all at full speed
 		} else if err != nil {
-			return start.Cut, err
+			return startup.Truncated, err
 		}
 	}
 }
@@ -229,7 +229,7 @@
 func (w *waiting) Read(p []byte) (int, error) {
 	until := w.feed.patience()
 	if w.stream != nil && w.stream.Inside() {
-		until = time.Now().Add(time.Duration(w.feed.calls.Stall()))
+		until = time.Now().Add(time.Duration(w.feed.calls.StallTimeout()))
 	}
 	w.SetReadDeadline(until)
 	return w.Conn.Read(p)
@@ -244,14 +244,14 @@
 // confirmed puts a list known before in force: the service has told the event again that it went up to.
 func (f *Feed) confirmed(position int64, digest uint64) {
 	f.log(fmt.Sprintf("the list of the snapshot is confirmed, with event %d", position))
-	about := start.List{Position: position, Whole: true, Members: len(f.kept.list.Lines)}
+	about := startup.ListSummary{Position: position, Complete: true, Endpoints: len(f.kept.list.Lines)}
 	for _, line := range f.kept.list.Lines {
 		if line.Phase == "ready" {
-			about.Ready++
+			about.ReadyEndpoints++
 		}
 	}
-	f.lists.Judge(f.clock.Now(), about)
-	f.calls.Listed()
+	f.lists.Evaluate(f.clock.Now(), about)
+	f.calls.ListReceived()
 	f.post(f.kept.list)
 	f.post(Told{position, digest})
 	f.kept, f.last = nil, position
@@ -271,7 +271,7 @@
 			f.confirmed(pos, digest)
 			return nil
 		case restore.Denied:
-			if !list.Whole { // a whole list takes its place
+			if !list.Complete { // a whole list takes its place
 				return f.denied()
 			}
 			f.kept, f.last = nil, 0
@@ -281,12 +281,12 @@
 		pos = id
 	}
 	next := f.last + 1
-	if list.Whole && err == nil {
-		switch f.lists.Judge(f.clock.Now(), list) {
-		case start.Doubt:
-			f.log(fmt.Sprintf("a list of %d members, %d ready, is asked for again before it counts", list.Members, list.Ready))
-			return fmt.Errorf("event %d: %w of %d members", pos, errDoubt, list.Members)
-		case start.Old:
+	if list.Complete && err == nil {
+		switch f.lists.Evaluate(f.clock.Now(), list) {
+		case startup.Unconfirmed:
+			f.log(fmt.Sprintf("a list of %d members, %d ready, is asked for again before it counts", list.Endpoints, list.ReadyEndpoints))
+			return fmt.Errorf("event %d: %w of %d members", pos, errDoubt, list.Endpoints)
+		case startup.Stale:
 			return nil
 		}
 		if pos < next {
@@ -309,14 +309,14 @@
 		f.log(fmt.Sprintf("journal events %d to %d are missing", next, pos-1))
 	}
 	f.last = max(f.last, pos)
-	f.lists.Passed(f.last)
+	f.lists.Advance(f.last)
 	if err != nil {
 		f.log(fmt.Sprintf("journal event %d passed over: %v", pos, err))
 		return nil
 	}
 	if told != nil {
-		if list.Members > 0 {
-			f.calls.Listed()
+		if list.Endpoints > 0 {
+			f.calls.ListReceived()
 		}
 		f.post(told)
 	}
@@ -368,18 +368,18 @@
 }
 
 // decode gives beside that what a list says of itself.
-func decode(raw []byte) (int64, router.Event, start.List, error) {
+func decode(raw []byte) (int64, router.Event, startup.ListSummary, error) {
 	var e entry
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return 0, nil, start.List{}, err
+		return 0, nil, startup.ListSummary{}, err
 	}
 	told, err := e.tells()
-	about := start.List{Position: e.Pos}
+	about := startup.ListSummary{Position: e.Pos}
 	if l, ok := told.(router.Listed); ok {
-		about.Generation, about.Whole, about.Members = e.Hosts.Generation, l.Whole, len(l.Lines)
+		about.Generation, about.Complete, about.Endpoints = e.Hosts.Generation, l.Whole, len(l.Lines)
 		for _, line := range l.Lines {
 			if line.Phase == "ready" {
-				about.Ready++
+				about.ReadyEndpoints++
 			}
 		}
 		about.Digest = digest(l.Lines)
@@ -443,7 +443,7 @@
 // Past is what a configuration knew of the service's events: the last one's number.
 type Past struct {
 	Last   int64
-	lists  start.Lists
+	lists  startup.ListFilter
 	listed bool  // a list was among them
 	kept   *kept // from a snapshot
 }
@@ -475,8 +475,8 @@
 		if err != nil {
 			return Past{}, nil, fmt.Errorf("known: entry %d: %w", n+1, err)
 		}
-		if list.Members > 0 {
-			past.lists.Judge(0, list)
+		if list.Endpoints > 0 {
+			past.lists.Evaluate(0, list)
 			past.listed = true
 		}
 		if e != nil {
@@ -484,6 +484,6 @@
 		}
 	}
 	past.Last = known.Pos
-	past.lists.Passed(known.Pos)
+	past.lists.Advance(known.Pos)
 	return past, told, nil
 }
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"tealpath/control"
-	"tealpath/plan/start"
+	"tealpath/plan/startup"
 	"tealpath/router"
 	"tealpath/sse"
 	"tealpath/standin/lists"
@@ -108,7 +108,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			told, breaks := 0, 0
-			f := New("", Past{Last: 4}, start.NewCalls(1, 1, start.Holding{}), func(e router.Event) {
+			f := New("", Past{Last: 4}, startup.NewCallSchedule(1, 1, startup.ReadinessHold{}), func(e router.Event) {
 				if _, mark := e.(Told); !mark {
 					told++
 				}
@@ -172,7 +172,7 @@
 			told := make(chan router.Event, 8)
 			ctx, stop := context.WithCancel(t.Context())
 			defer stop()
-			f := New(service.Address(), past, start.NewCalls(1, 1, start.Holding{}), noting(told), func(string) {})
+			f := New(service.Address(), past, startup.NewCallSchedule(1, 1, startup.ReadinessHold{}), noting(told), func(string) {})
 			go f.Run(ctx)
 			select {
 			case e := <-told:
@@ -230,7 +230,7 @@
 	defer cancel()
 	told := make(chan router.Event, 16)
 	over := make(chan error, 1)
-	f := New(listener.Addr().String(), Past{Last: 4}, start.NewCalls(1, 1, start.Holding{}), noting(told), func(string) {})
+	f := New(listener.Addr().String(), Past{Last: 4}, startup.NewCallSchedule(1, 1, startup.ReadinessHold{}), noting(told), func(string) {})
 	f.silent = time.Second / 5
 	go func() { over <- f.Run(ctx) }()
 	var ids []string
@@ -288,7 +288,7 @@
 			}
 			next, again := service(t, head+event)
 			told := make(chan router.Event, 16)
-			f := New(old, Past{Last: 4}, start.NewCalls(1, 1, start.Holding{}), noting(told), func(string) {})
+			f := New(old, Past{Last: 4}, startup.NewCallSchedule(1, 1, startup.ReadinessHold{}), noting(told), func(string) {})
 			ctx, cancel := context.WithCancel(context.Background())
 			over := make(chan error, 1)
 			go func() { over <- f.Run(ctx) }()
--- a/feed/local_test.go
+++ b/feed/local_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"tealpath/plan/start"
+	"tealpath/plan/startup"
 	"tealpath/router"
 )
 
@@ -47,13 +47,13 @@
 }
 
 func TestHowADialFails(t *testing.T) {
-	ends := map[error]start.End{syscall.ECONNREFUSED: start.Refused, syscall.ETIMEDOUT: start.Unreached,
-		syscall.EHOSTUNREACH: start.Unreached, syscall.ENETUNREACH: start.Unreached, context.DeadlineExceeded: start.Unreached}
+	ends := map[error]startup.CallResult{syscall.ECONNREFUSED: startup.Refused, syscall.ETIMEDOUT: startup.Unreachable,
+		syscall.EHOSTUNREACH: startup.Unreachable, syscall.ENETUNREACH: startup.Unreachable, context.DeadlineExceeded: startup.Unreachable}
 	for _, errno := range localErrors {
-		ends[errno] = start.NotCalled
+		ends[errno] = startup.LocalError
 	}
 	for err, want := range ends {
-		f := New("", Past{}, start.NewCalls(1, 1, start.Holding{}), func(router.Event) {}, func(string) {})
+		f := New("", Past{}, startup.NewCallSchedule(1, 1, startup.ReadinessHold{}), func(router.Event) {}, func(string) {})
 		f.dial = func(context.Context, string, string) (net.Conn, error) {
 			return nil, &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", err)}
 		}
@@ -69,8 +69,8 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			address, asked := telling(t)
-			calls := start.NewCalls(1, 1, start.Holding{})
-			calls.Listed()
+			calls := startup.NewCallSchedule(1, 1, startup.ReadinessHold{})
+			calls.ListReceived()
 			told := make(chan router.Event, 16)
 			f := New(address, Past{Last: 4}, calls, noting(told), func(string) {})
 			var dials atomic.Int64
@@ -122,7 +122,7 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			address, asked := telling(t)
 			told := make(chan router.Event, 16)
-			f := New(address, Past{Last: 4}, start.NewCalls(1, 1, start.Holding{}), noting(told), func(string) {})
+			f := New(address, Past{Last: 4}, startup.NewCallSchedule(1, 1, startup.ReadinessHold{}), noting(told), func(string) {})
 			dial := f.dial
 			f.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := dial(ctx, network, address)
--- a/lab/coldfleet.go
+++ b/lab/coldfleet.go
@@ -21,12 +21,12 @@
 	"tealpath/control"
 	"tealpath/internal/timerqueue"
 	"tealpath/plan/links"
-	"tealpath/plan/start"
+	"tealpath/plan/startup"
 	"tealpath/router"
 	"tealpath/standin/cache"
 )
 
-// FleetCold is a cold start of whole routers (the module, the reducer, plan/start, plan/links) in simulated time, with
+// FleetCold is a cold start of whole routers (the module, the reducer, plan/startup, plan/links) in simulated time, with
 // caches that bear little, a list service that can be down, and clients that come again. One goroutine, by seed.
 type FleetCold struct {
 	Routers, Caches int
@@ -120,8 +120,8 @@
 	id     int
 	life   int // starts
 	r      *router.Router
-	calls  *start.Calls
-	start  *start.Start
+	calls  *startup.CallSchedule
+	start  *startup.Progress
 	wait   int64 // the last, before
 	links  map[router.LinkID]int
 	timer  int64
@@ -214,11 +214,11 @@
 	if x.r, err = router.New(p.now, seed, p.settings(), limits); err != nil {
 		panic(err) // the settings are this file's
 	}
-	holding := start.Holding{}
+	holding := startup.ReadinessHold{}
 	if p.Hold > 0 {
-		holding = start.Holding{Rate: float64(p.Routers) / float64(p.Hold) * 1.25e9, Hold: p.Hold}
+		holding = startup.ReadinessHold{CallRate: float64(p.Routers) / float64(p.Hold) * 1.25e9, MaxDuration: p.Hold}
 	}
-	x.calls, x.start = start.NewCalls(seed, p.Bound, holding), start.NewStart(p.now, start.CountWindow, holding)
+	x.calls, x.start = startup.NewCallSchedule(seed, p.Bound, holding), startup.NewProgress(p.now, startup.RateWindow, holding)
 	x.links, x.listed, x.wait, x.began, x.timer = map[router.LinkID]int{}, false, 0, p.now, 0
 	x.known, x.whole = 0, 0
 	if p.Listed {
@@ -228,7 +228,7 @@
 		p.call(x)
 		return
 	}
-	p.callIn(x, x.calls.First())
+	p.callIn(x, x.calls.FirstDelay())
 }
 
 func (p *coldPlay) callIn(x *coldRouter, wait int64) {
@@ -243,28 +243,28 @@
 // call is a router's call of the list service.
 func (p *coldPlay) call(x *coldRouter) {
 	p.this().Calls++
-	again := func(how start.End) {
+	again := func(how startup.CallResult) {
 		if p.Before {
 			x.wait = min(max(2*x.wait, 5e7), 5e8)
 			p.callIn(x, x.wait)
 			return
 		}
-		p.callIn(x, x.calls.Ended(p.now, how))
+		p.callIn(x, x.calls.CallEnded(p.now, how))
 	}
 	if p.Faults == "list-down" && p.now < 1e18+fleetDown {
-		again(start.Refused)
+		again(startup.Refused)
 		return
 	}
 	p.free = max(p.free, p.now) + p.perCall
 	wait, patience := p.free-p.now, int64(17e8)
 	if !p.Before {
-		patience = x.calls.Patience()
+		patience = x.calls.ReadTimeout()
 	}
 	life := x.life
 	if wait > patience {
 		p.at(p.now+patience, func() {
 			if x.life == life {
-				again(start.Unanswered)
+				again(startup.Unanswered)
 			}
 		})
 		return
@@ -273,8 +273,8 @@
 		if x.life != life {
 			return
 		}
-		x.calls.Heard()
-		x.start.Service(p.now)
+		x.calls.DataReceived()
+		x.start.ServiceReached(p.now)
 		p.listTo(x)
 	})
 }
@@ -285,11 +285,11 @@
 		lines = append(lines, router.Listing{Instance: fmt.Sprintf("s-%03d", i), Address: strconv.Itoa(i),
 			Listing: control.Listing{Location: "here", Kind: "cache", Phase: "ready", Units: fleetUnits, Started: c.Started()}})
 	}
-	if x.start.List(); x.known == 0 {
+	if x.start.ListReceived(); x.known == 0 {
 		x.known = float64(p.now-x.began) / 1e6
 	}
 	x.listed = true
-	x.calls.Listed()
+	x.calls.ListReceived()
 	p.handle(x, router.Listed{Whole: true, Lines: lines})
 }
 
@@ -355,7 +355,7 @@
 			x.timer = e.At
 			after(e.At-p.now, func() {
 				if x.timer == e.At {
-					if phase, changed := x.start.Step(p.now); changed && phase == start.Whole {
+					if phase, changed := x.start.Update(p.now); changed && phase == startup.Warm {
 						x.whole = float64(p.now-x.began) / 1e6
 					}
 					p.handle(x, router.Due{})
--- a/lab/coldstart.go
+++ b/lab/coldstart.go
@@ -25,7 +25,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"tealpath/plan/start"
+	"tealpath/plan/startup"
 	"tealpath/standin/cache"
 	"tealpath/standin/lists"
 )
@@ -392,11 +392,11 @@
 		return rates, p99
 	}
 	result.Rates, result.Heard99 = play(func(i int) func() int64 {
-		c := start.NewCalls(v.Seed*1_000_003+uint64(i), v.Routers, start.Holding{})
+		c := startup.NewCallSchedule(v.Seed*1_000_003+uint64(i), v.Routers, startup.ReadinessHold{})
 		now, first := int64(0), true
 		return func() (wait int64) {
-			if wait = c.First(); !first {
-				wait = c.Ended(now, start.Refused)
+			if wait = c.FirstDelay(); !first {
+				wait = c.CallEnded(now, startup.Refused)
 			}
 			first = false
 			now += wait
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -17,7 +17,7 @@
 	"tealpath/fleet/probe"
 	"tealpath/plan/compatibility"
 	"tealpath/plan/links"
-	"tealpath/plan/start"
+	"tealpath/plan/startup"
 )
 
 // File is an operator's file.
@@ -25,7 +25,7 @@
 	Socket string   // path of the Unix socket; empty is none
 	Fleet  *Fleet   // nil: instances don't talk
 	Idle   *Keeping // nil: connections are kept as the platform states it
-	Start  start.Holding
+	Start  startup.ReadinessHold
 	Links  *links.Config // nil: links to caches are opened as dispatches need them; Self, Seed and Routers are others' to say
 	// Snapshot is the file in which what the router knows is kept, and how often; empty is none.
 	Snapshot      string
@@ -130,8 +130,8 @@
 func (f *faults) start(n *Node, args []*Node, file *File) {
 	file.start = n.Place
 	f.walk(n, args, map[string]entry{
-		"rate": {needed: true, take: f.number(&file.Start.Rate, leastRate, mostRate)},
-		"hold": {needed: true, take: f.span(&file.Start.Hold, leastHold, mostHold)},
+		"rate": {needed: true, take: f.number(&file.Start.CallRate, leastRate, mostRate)},
+		"hold": {needed: true, take: f.span(&file.Start.MaxDuration, leastHold, mostHold)},
 	})
 }
 
--- a/plan/links/links.go
+++ b/plan/links/links.go
@@ -34,7 +34,7 @@
 	farLife  = second              // for so long a link outside the subset takes requests
 	farTaken = farLife + farLife/2 // and so long it stands at most, with dialling and what is open at its end
 	refused  = 250 * millisecond   // until a cache that took no connection is dialled again, at least; grows
-	refusedX = 3                   // decorrelated jitter, as plan/start has it
+	refusedX = 3                   // decorrelated jitter, as plan/startup has it
 	refusedM = 8 * second          // at most
 	shutSoon = 500 * millisecond   // idle time after which a link beyond the share is closed
 	leastGap = millisecond         // between two links to one cache: two events of one moment
--- a/plan/start/calls.go
+++ b/plan/startup/schedule.go
@@ -1,9 +1,9 @@
-// Package start decides how a router begins among hundreds that begin in the same second: when it calls the list service
+// Package startup decides how a router begins among hundreds that begin in the same second: when it calls the list service
 // and when again, which lists it believes, and what phase of its start it is in. It does no input or output, reads no
 // clock, starts no goroutine; time and chance come in. docs/coldstart.md has the arithmetic and the options.
 //
 // All times are ns on the caller's monotonic axis; spans are ns.
-package start
+package startup
 
 import "math/rand/v2"
 
@@ -69,30 +69,30 @@
 	notCalledMost  = 200 * millisecond
 )
 
-// End is how a call ended, or the connection that it made.
-type End int
+// CallResult is how a call ended, or the connection that it made.
+type CallResult int
 
-// The ends. Refused proves that nobody is there; Unreached is silence on dialling; Unanswered took the call and never said
-// anything; Broke and Silent had said something before; Cut ended or stood still inside an event, or before anything whole.
-// NotCalled is an error of this machine's own, and says nothing of the service.
+// The ends. Refused proves that nobody is there; Unreachable is silence on dialling; Unanswered took the call and never said
+// anything; Disconnected and Silent had said something before; Truncated ended or stood still inside an event, or before anything whole.
+// LocalError is an error of this machine's own, and says nothing of the service.
 const (
-	Refused End = iota
-	Unreached
+	Refused CallResult = iota
+	Unreachable
 	Unanswered
-	Broke
+	Disconnected
 	Silent
-	Cut
-	NotCalled
+	Truncated
+	LocalError
 )
 
-func (e End) String() string {
+func (e CallResult) String() string {
 	return []string{"refused", "unreached", "unanswered", "broke", "silent", "cut", "not called"}[e]
 }
 
-// Calls decides when one router calls the list service. It is not safe for use by two goroutines at once.
-type Calls struct {
+// CallSchedule decides when one router calls the list service. It is not safe for use by two goroutines at once.
+type CallSchedule struct {
 	routers float64
-	holding Holding
+	holding ReadinessHold
 	rng     *rand.Rand
 	last    int64 // the last wait
 	by      int64 // until when a call is to be answered; 0 is only as the latest time wants it
@@ -106,73 +106,73 @@
 	grace   int64 // the shortest in which a router has to heed what it is told; 0 is not known
 }
 
-// NewCalls makes the calls of one of so many routers.
-func NewCalls(seed uint64, routers int, holding Holding) *Calls {
-	return &Calls{routers: float64(max(1, routers)), holding: holding, rng: rand.New(rand.NewPCG(seed, 0x6c697374)), quiet: quietFirst}
+// NewCallSchedule makes the calls of one of so many routers.
+func NewCallSchedule(seed uint64, routers int, holding ReadinessHold) *CallSchedule {
+	return &CallSchedule{routers: float64(max(1, routers)), holding: holding, rng: rand.New(rand.NewPCG(seed, 0x6c697374)), quiet: quietFirst}
 }
 
-// First is how long to wait before the first call after the start.
-func (c *Calls) First() int64 {
+// FirstDelay is how long to wait before the first call after the start.
+func (c *CallSchedule) FirstDelay() int64 {
 	c.by = 0 // if it fails: calls no further apart than againMost are in time for what comes
 	switch {
-	case c.holding.Rate > 0:
-		return c.draw(c.spread(c.holding.Rate, c.holding.Hold-answerTime))
+	case c.holding.CallRate > 0:
+		return c.draw(c.spread(c.holding.CallRate, c.holding.MaxDuration-answerTime))
 	case !c.listed:
 		return c.draw(c.spread(aloneRate, aloneSpreadMost))
 	}
 	return c.draw(c.spread(againRate, firstSpreadMost))
 }
 
-// Listed notes that a list of members is known.
-func (c *Calls) Listed() { c.listed = true }
+// ListReceived notes that a list of members is known.
+func (c *CallSchedule) ListReceived() { c.listed = true }
 
-// Moved is how long to wait before the first call at another address.
-func (c *Calls) Moved(now int64) int64 {
+// AddressChanged is how long to wait before the first call at another address.
+func (c *CallSchedule) AddressChanged(now int64) int64 {
 	c.by, c.once, c.quiet, c.heard = now+toldAfterMove, false, quietFirst, false
 	return c.draw(c.spread(breakRate, moveSpreadMost))
 }
 
-// Called notes that a call is made.
-func (c *Calls) Called(now int64) { c.called = now }
+// CallStarted notes that a call is made.
+func (c *CallSchedule) CallStarted(now int64) { c.called = now }
 
-// Heed notes the shortest grace in which what is told is to be heeded.
-func (c *Calls) Heed(grace int64) { c.grace = grace }
+// SetDrainGrace notes the shortest grace in which what is told is to be heeded.
+func (c *CallSchedule) SetDrainGrace(grace int64) { c.grace = grace }
 
-// Stall is for how long an event that has begun may stand still.
-func (c *Calls) Stall() int64 {
+// StallTimeout is for how long an event that has begun may stand still.
+func (c *CallSchedule) StallTimeout() int64 {
 	if c.grace <= 0 {
 		return stallMost
 	}
 	return min(c.grace/stallPart, stallMost)
 }
 
-// Heard notes that something whole came: an event or a comment.
-func (c *Calls) Heard() {
+// DataReceived notes that something whole came: an event or a comment.
+func (c *CallSchedule) DataReceived() {
 	c.heard, c.quiet, c.last = true, quietFirst, 0
 }
 
-// Patience is for how long to wait for the next byte of a connection.
-func (c *Calls) Patience() int64 {
+// ReadTimeout is for how long to wait for the next byte of a connection.
+func (c *CallSchedule) ReadTimeout() int64 {
 	if c.heard {
 		return quietMost
 	}
 	return c.quiet
 }
 
-// Ended is how long to wait before the next call, after one ended.
+// CallEnded is how long to wait before the next call, after one ended.
 //
 // A connection that had spoken is called again within the time by which what it would have told counts as told, by all
 // routers spread over half of that. One that has not is called again by decorrelated jitter (Brooker, "Exponential Backoff
 // And Jitter", 2015) over as long as all routers together need at their rate; but once more before the time is over.
-func (c *Calls) Ended(now int64, how End) int64 {
-	if how == NotCalled {
+func (c *CallSchedule) CallEnded(now int64, how CallResult) int64 {
+	if how == LocalError {
 		most := max(notCalledMost, c.spread(breakRate, breakSpreadMost))
 		c.missed = min(max(2*c.missed, notCalledLeast), most)
 		return c.missed/2 + c.draw(c.missed/2)
 	}
 	spoke := c.heard
 	c.heard, c.missed = false, 0
-	if how == Cut && c.listed && now-c.called < cutYoung && c.cuts < cutAgain {
+	if how == Truncated && c.listed && now-c.called < cutYoung && c.cuts < cutAgain {
 		c.cuts++
 		return c.draw(cutSpread)
 	}
@@ -207,12 +207,12 @@
 }
 
 // spread is how long all routers take to call once at a rate.
-func (c *Calls) spread(rate float64, most int64) int64 {
+func (c *CallSchedule) spread(rate float64, most int64) int64 {
 	return min(int64(c.routers/rate*float64(second)), most)
 }
 
 // draw is a span from [0, most).
-func (c *Calls) draw(most int64) int64 {
+func (c *CallSchedule) draw(most int64) int64 {
 	if most <= 0 {
 		return 0
 	}
--- a/plan/start/start_test.go
+++ b/plan/startup/startup_test.go
@@ -1,4 +1,4 @@
-package start
+package startup
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 
 // calls plays n routers whose service answers as told by serve, from one start, and gives the times of all calls. serve
 // tells how a call at a time ends and how long that takes.
-func calls(n, said int, until int64, serve func(at int64) (End, int64, bool)) (all []int64, heard map[int]int64) {
+func calls(n, said int, until int64, serve func(at int64) (CallResult, int64, bool)) (all []int64, heard map[int]int64) {
 	heard = map[int]int64{}
 	for i := range n {
-		c := NewCalls(uint64(i)+1, said, Holding{})
-		for at := c.First(); at < until; {
+		c := NewCallSchedule(uint64(i)+1, said, ReadinessHold{})
+		for at := c.FirstDelay(); at < until; {
 			all = append(all, at)
 			how, took, answered := serve(at)
 			if answered {
@@ -19,9 +19,9 @@
 				break
 			}
 			if how == Unanswered {
-				took = c.Patience()
+				took = c.ReadTimeout()
 			}
-			at += took + c.Ended(at+took, how)
+			at += took + c.CallEnded(at+took, how)
 		}
 	}
 	return all, heard
@@ -47,7 +47,7 @@
 	return all
 }
 
-func down(int64) (End, int64, bool) { return Refused, 0, false }
+func down(int64) (CallResult, int64, bool) { return Refused, 0, false }
 
 func TestServiceIsDown(t *testing.T) {
 	for _, c := range []struct{ routers, said, bound int }{
@@ -86,24 +86,24 @@
 func TestCalledWithinWhatCountsAsTold(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		wait func(*Calls) int64
+		wait func(*CallSchedule) int64
 		most int64
 	}{
-		{"a break", func(c *Calls) int64 { c.Heard(); return c.Ended(0, Broke) }, toldAfterBreak - answerTime},
-		{"silence", func(c *Calls) int64 { c.Heard(); return c.Ended(0, Silent) }, toldAfterStop - quietMost - answerTime},
-		{"a new address", func(c *Calls) int64 { return c.Moved(0) }, toldAfterMove - answerTime},
-		{"a start", func(c *Calls) int64 { return c.First() }, firstSpreadMost},
-		{"a break, and the first call fails", func(c *Calls) int64 {
-			c.Heard()
-			first := c.Ended(0, Broke)
-			return first + c.Ended(first, Refused)
+		{"a break", func(c *CallSchedule) int64 { c.DataReceived(); return c.CallEnded(0, Disconnected) }, toldAfterBreak - answerTime},
+		{"silence", func(c *CallSchedule) int64 { c.DataReceived(); return c.CallEnded(0, Silent) }, toldAfterStop - quietMost - answerTime},
+		{"a new address", func(c *CallSchedule) int64 { return c.AddressChanged(0) }, toldAfterMove - answerTime},
+		{"a start", func(c *CallSchedule) int64 { return c.FirstDelay() }, firstSpreadMost},
+		{"a break, and the first call fails", func(c *CallSchedule) int64 {
+			c.DataReceived()
+			first := c.CallEnded(0, Disconnected)
+			return first + c.CallEnded(first, Refused)
 		}, toldAfterBreak - answerTime},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, n := range []int{0, 1, 3, 300, 100_000} {
 				for seed := range uint64(200) {
-					calls := NewCalls(seed, n, Holding{})
-					calls.Listed() // else nothing binds them: nobody is served
+					calls := NewCallSchedule(seed, n, ReadinessHold{})
+					calls.ListReceived() // else nothing binds them: nobody is served
 					if w := c.wait(calls); w < 0 || w > c.most {
 						t.Fatalf("%d routers: %d ms, most %d", n, w/millisecond, c.most/millisecond)
 					}
@@ -115,7 +115,7 @@
 
 // Routers that know no list serve nobody: their calls are spread from the first on, to a tenth of before in any second, and
 // none waits for longer than it takes all to call.
-func TestAloneCallsAreSpreadFromTheFirst(t *testing.T) {
+func TestCallsWithoutAListAreSpreadFromTheFirst(t *testing.T) {
 	for _, n := range []int{300, 1000, 5000} {
 		all, _ := calls(n, n, 30*second, down)
 		if peak, old := most(all, second), most(before(n, 30*second), second); float64(peak) > 0.1*float64(old) {
@@ -123,13 +123,13 @@
 		}
 	}
 	for seed := range uint64(50) {
-		c := NewCalls(seed, 300, Holding{})
+		c := NewCallSchedule(seed, 300, ReadinessHold{})
 		for range 30 {
-			if w := c.Ended(0, Refused); w < aloneSpreadMost/2 || w > aloneSpreadMost*3/2 {
+			if w := c.CallEnded(0, Refused); w < aloneSpreadMost/2 || w > aloneSpreadMost*3/2 {
 				t.Fatalf("waits %d ms", w/millisecond)
 			}
 		}
-		if c.Listed(); c.Ended(0, Refused) > againMost {
+		if c.ListReceived(); c.CallEnded(0, Refused) > againMost {
 			t.Fatal("later than what counts as told")
 		}
 	}
@@ -143,11 +143,11 @@
 		router   int
 		at, dead int64
 	}
-	var states [n]*Calls
+	var states [n]*CallSchedule
 	next := map[int]int64{}
 	for i := range states {
-		states[i] = NewCalls(uint64(i), n, Holding{})
-		next[i] = states[i].First()
+		states[i] = NewCallSchedule(uint64(i), n, ReadinessHold{})
+		next[i] = states[i].FirstDelay()
 	}
 	var queue []call
 	heard := 0
@@ -155,18 +155,18 @@
 		for i := range n {
 			if at, waits := next[i]; waits && at <= now {
 				delete(next, i)
-				queue = append(queue, call{i, now, now + states[i].Patience()})
+				queue = append(queue, call{i, now, now + states[i].ReadTimeout()})
 			}
 		}
 		for k := range queue {
 			if q := &queue[k]; q.dead > 0 && q.dead <= now {
-				next[q.router] = now + states[q.router].Ended(now, Unanswered)
+				next[q.router] = now + states[q.router].CallEnded(now, Unanswered)
 				q.dead = 0 // given up, and in the queue still
 			}
 		}
 		if now%each == 0 && len(queue) > 0 {
 			if queue[0].dead > 0 {
-				states[queue[0].router].Heard()
+				states[queue[0].router].DataReceived()
 				heard++
 			}
 			queue = queue[1:]
@@ -178,77 +178,77 @@
 }
 
 // With a hold the first calls of all come at the operator's rate, each early enough to be answered before it ends.
-func TestHold(t *testing.T) {
+func TestReadinessHold(t *testing.T) {
 	for _, c := range []struct {
 		routers int
-		holding Holding
+		holding ReadinessHold
 		fits    bool
-	}{{300, Holding{100, 4 * second}, true}, {300, Holding{100, 3 * second}, false}, {5000, Holding{1000, 6 * second}, true},
-		{0, Holding{1, 2 * second}, true}, {300, Holding{}, true}} {
+	}{{300, ReadinessHold{100, 4 * second}, true}, {300, ReadinessHold{100, 3 * second}, false}, {5000, ReadinessHold{1000, 6 * second}, true},
+		{0, ReadinessHold{1, 2 * second}, true}, {300, ReadinessHold{}, true}} {
 		t.Run(fmt.Sprint(c.routers, c.holding), func(t *testing.T) {
 			err := c.holding.Check(c.routers)
 			if (err == nil) != c.fits {
 				t.Fatal(err)
 			}
-			if !c.fits || c.holding.Rate == 0 {
+			if !c.fits || c.holding.CallRate == 0 {
 				return
 			}
 			var all []int64
 			for i := range max(1, c.routers) {
-				all = append(all, NewCalls(uint64(i), c.routers, c.holding).First())
-				if last := all[i]; last > c.holding.Hold-answerTime {
-					t.Fatalf("called after %d ms of a hold of %d", last/millisecond, c.holding.Hold/millisecond)
+				all = append(all, NewCallSchedule(uint64(i), c.routers, c.holding).FirstDelay())
+				if last := all[i]; last > c.holding.MaxDuration-answerTime {
+					t.Fatalf("called after %d ms of a hold of %d", last/millisecond, c.holding.MaxDuration/millisecond)
 				}
 			}
-			if peak := most(all, second); float64(peak) > 1.3*c.holding.Rate+5 {
-				t.Errorf("%d calls in a second at a rate of %g", peak, c.holding.Rate)
+			if peak := most(all, second); float64(peak) > 1.3*c.holding.CallRate+5 {
+				t.Errorf("%d calls in a second at a rate of %g", peak, c.holding.CallRate)
 			}
 		})
 	}
-	s := NewStart(0, CountWindow, Holding{100, 4 * second})
-	s.List()
+	s := NewProgress(0, RateWindow, ReadinessHold{100, 4 * second})
+	s.ListReceived()
 	if s.Ready(3*second) || !s.Ready(4*second) {
 		t.Error("health is held back for the hold, and no longer")
 	}
-	if s.Service(second); !s.Ready(second) {
+	if s.ServiceReached(second); !s.Ready(second) {
 		t.Error("health is held back though the service was heard")
 	}
 }
 
-func TestLists(t *testing.T) {
-	whole := func(position, generation int64, members, ready int) List {
-		return List{Position: position, Generation: generation, Whole: true, Members: members, Ready: ready,
+func TestListFilter(t *testing.T) {
+	whole := func(position, generation int64, members, ready int) ListSummary {
+		return ListSummary{Position: position, Generation: generation, Complete: true, Endpoints: members, ReadyEndpoints: ready,
 			Digest: uint64(members)<<32 | uint64(ready)}
 	}
 	for _, c := range []struct {
 		name string
-		told []List
+		told []ListSummary
 		at   []int64
 		want string
 	}{
-		{"the first is used, whatever it says", []List{whole(1, 1, 0, 0)}, nil, "[use]"},
-		{"nobody", []List{whole(1, 1, 8, 8), whole(5, 2, 0, 0), whole(5, 2, 0, 0)}, nil, "[use doubt use]"},
-		{"nobody ready", []List{whole(1, 1, 8, 8), whole(5, 2, 8, 0)}, nil, "[use doubt]"},
-		{"a third", []List{whole(1, 1, 9, 9), whole(5, 2, 3, 3), whole(5, 2, 9, 9)}, nil, "[use doubt use]"},
-		{"half", []List{whole(1, 1, 8, 8), whole(5, 2, 4, 4)}, nil, "[use use]"},
-		{"few were there", []List{whole(1, 1, 3, 3), whole(5, 2, 1, 1)}, nil, "[use use]"},
-		{"confirmed too late", []List{whole(1, 1, 8, 8), whole(5, 2, 2, 2), whole(5, 2, 2, 2)}, []int64{0, 1, 6 * second}, "[use doubt doubt]"},
-		{"doubted twice with another content", []List{whole(1, 1, 8, 8), whole(5, 2, 2, 2), whole(6, 2, 3, 3)}, nil, "[use doubt doubt]"},
-		{"older", []List{whole(7, 3, 8, 8), whole(5, 2, 8, 8)}, nil, "[use old]"},
-		{"the same again", []List{whole(7, 3, 8, 8), whole(7, 3, 8, 8)}, nil, "[use old]"},
-		{"changes behind it", []List{whole(7, 3, 8, 8), {Position: 8, Members: 1}, {Position: 8, Members: 1}}, nil, "[use use old]"},
-		{"a service that counts anew", []List{whole(7, 3, 8, 8), whole(1, 4, 8, 8), {Position: 2, Members: 1}}, nil, "[use use use]"},
-		{"one that counts anew and is behind", []List{whole(7, 3, 8, 8), whole(1, 3, 8, 8)}, nil, "[use old]"},
+		{"the first is used, whatever it says", []ListSummary{whole(1, 1, 0, 0)}, nil, "[use]"},
+		{"nobody", []ListSummary{whole(1, 1, 8, 8), whole(5, 2, 0, 0), whole(5, 2, 0, 0)}, nil, "[use doubt use]"},
+		{"nobody ready", []ListSummary{whole(1, 1, 8, 8), whole(5, 2, 8, 0)}, nil, "[use doubt]"},
+		{"a third", []ListSummary{whole(1, 1, 9, 9), whole(5, 2, 3, 3), whole(5, 2, 9, 9)}, nil, "[use doubt use]"},
+		{"half", []ListSummary{whole(1, 1, 8, 8), whole(5, 2, 4, 4)}, nil, "[use use]"},
+		{"few were there", []ListSummary{whole(1, 1, 3, 3), whole(5, 2, 1, 1)}, nil, "[use use]"},
+		{"confirmed too late", []ListSummary{whole(1, 1, 8, 8), whole(5, 2, 2, 2), whole(5, 2, 2, 2)}, []int64{0, 1, 6 * second}, "[use doubt doubt]"},
+		{"doubted twice with another content", []ListSummary{whole(1, 1, 8, 8), whole(5, 2, 2, 2), whole(6, 2, 3, 3)}, nil, "[use doubt doubt]"},
+		{"older", []ListSummary{whole(7, 3, 8, 8), whole(5, 2, 8, 8)}, nil, "[use old]"},
+		{"the same again", []ListSummary{whole(7, 3, 8, 8), whole(7, 3, 8, 8)}, nil, "[use old]"},
+		{"changes behind it", []ListSummary{whole(7, 3, 8, 8), {Position: 8, Endpoints: 1}, {Position: 8, Endpoints: 1}}, nil, "[use use old]"},
+		{"a service that counts anew", []ListSummary{whole(7, 3, 8, 8), whole(1, 4, 8, 8), {Position: 2, Endpoints: 1}}, nil, "[use use use]"},
+		{"one that counts anew and is behind", []ListSummary{whole(7, 3, 8, 8), whole(1, 3, 8, 8)}, nil, "[use old]"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var l Lists
+			var l ListFilter
 			var got []Verdict
 			for i, list := range c.told {
 				at := int64(i + 1)
 				if c.at != nil {
 					at = c.at[i] + 1
 				}
-				got = append(got, l.Judge(at, list))
+				got = append(got, l.Evaluate(at, list))
 			}
 			if fmt.Sprint(got) != c.want {
 				t.Errorf("%v, want %s", got, c.want)
@@ -258,32 +258,32 @@
 }
 
 func TestPhases(t *testing.T) {
-	s := NewStart(0, CountWindow, Holding{})
+	s := NewProgress(0, RateWindow, ReadinessHold{})
 	step := func(now int64, want Phase, another bool) {
 		t.Helper()
-		if p, a := s.Step(now); p != want || a != another {
+		if p, a := s.Update(now); p != want || a != another {
 			t.Errorf("at %d ms: %v, %v; want %v, %v", now/millisecond, p, a, want, another)
 		}
 	}
-	step(0, Alone, false)
-	s.Service(second)
-	step(second, Alone, false)
+	step(0, NoList, false)
+	s.ServiceReached(second)
+	step(second, NoList, false)
 	if s.Ready(21 * second) {
 		t.Error("ready without a list")
 	}
-	s.List()
-	step(2*second, Warming, true)
-	step(9*second, Warming, false)
-	step(10*second, Whole, true)
-	step(9*second, Whole, false)
+	s.ListReceived()
+	step(2*second, WarmingUp, true)
+	step(9*second, WarmingUp, false)
+	step(10*second, Warm, true)
+	step(9*second, Warm, false)
 
-	s = NewStart(0, CountWindow, Holding{})
-	s.List()
-	step(0, Listed, true)
-	step(20*second, Listed, false)
-	s.Service(21 * second)
-	step(21*second, Whole, true)
-	if !s.Ready(21*second) || fmt.Sprint(Alone, Listed, Warming, Whole, Refused, Silent, Use, Doubt, Old) !=
+	s = NewProgress(0, RateWindow, ReadinessHold{})
+	s.ListReceived()
+	step(0, ListKnown, true)
+	step(20*second, ListKnown, false)
+	s.ServiceReached(21 * second)
+	step(21*second, Warm, true)
+	if !s.Ready(21*second) || fmt.Sprint(NoList, ListKnown, WarmingUp, Warm, Refused, Silent, Accept, Unconfirmed, Stale) !=
 		"alone listed warming whole refused silent use doubt old" {
 		t.Error("words")
 	}
@@ -293,13 +293,13 @@
 // hundreds at full speed.
 func TestCutAnswers(t *testing.T) {
 	for seed := range uint64(50) {
-		c := NewCalls(seed, 300, Holding{})
-		c.Listed()
+		c := NewCallSchedule(seed, 300, ReadinessHold{})
+		c.ListReceived()
 		now, calls := int64(0), 0
 		for ; now < 30*second; calls++ {
-			c.Called(now)
+			c.CallStarted(now)
 			now += millisecond
-			wait := c.Ended(now, Cut)
+			wait := c.CallEnded(now, Truncated)
 			if atOnce := wait < cutSpread; atOnce != (calls%(cutAgain+1) < cutAgain) {
 				t.Fatalf("call %d waits %d ms", calls, wait/millisecond)
 			}
@@ -308,35 +308,35 @@
 		if calls > 90 {
 			t.Fatalf("%d calls in 30 s", calls)
 		}
-		c.Called(now)
-		c.Heard()
-		if wait := c.Ended(now+cutYoung, Cut); wait > breakSpreadMost {
+		c.CallStarted(now)
+		c.DataReceived()
+		if wait := c.CallEnded(now+cutYoung, Truncated); wait > breakSpreadMost {
 			t.Fatalf("an old connection that is cut off is followed after %d ms", wait/millisecond)
 		}
 	}
 	for _, c := range []struct{ grace, want int64 }{{0, stallMost}, {250 * millisecond, 83333333}, {60 * second, stallMost}} {
-		calls := NewCalls(1, 1, Holding{})
-		if calls.Heed(c.grace); calls.Stall() != c.want {
-			t.Errorf("with a grace of %d ms an event may stand still for %d", c.grace/millisecond, calls.Stall())
+		calls := NewCallSchedule(1, 1, ReadinessHold{})
+		if calls.SetDrainGrace(c.grace); calls.StallTimeout() != c.want {
+			t.Errorf("with a grace of %d ms an event may stand still for %d", c.grace/millisecond, calls.StallTimeout())
 		}
 	}
 }
 
 // A call that the own machine could not make counts neither as a break nor as a refusal: what follows is as it was before.
-func TestNotCalled(t *testing.T) {
+func TestLocalErrors(t *testing.T) {
 	for _, routers := range []int{1, 300} {
-		c, same := NewCalls(1, routers, Holding{}), NewCalls(1, routers, Holding{})
-		c.Heard()
-		same.Heard()
+		c, same := NewCallSchedule(1, routers, ReadinessHold{}), NewCallSchedule(1, routers, ReadinessHold{})
+		c.DataReceived()
+		same.DataReceived()
 		for range 20 {
-			if wait := c.Ended(0, NotCalled); wait < notCalledLeast/2 || wait > max(notCalledMost, breakSpreadMost) {
+			if wait := c.CallEnded(0, LocalError); wait < notCalledLeast/2 || wait > max(notCalledMost, breakSpreadMost) {
 				t.Fatalf("%d routers: a wait of %d ms", routers, wait/millisecond)
 			}
 		}
 		if !c.heard || c.by != same.by || c.last != same.last || c.once {
 			t.Errorf("%d routers: %+v, without it %+v", routers, c, same)
 		}
-		if c.Ended(0, Refused); c.missed != 0 {
+		if c.CallEnded(0, Refused); c.missed != 0 {
 			t.Error("a later shortage does not begin anew")
 		}
 	}
--- a/process/process.go
+++ b/process/process.go
@@ -25,7 +25,7 @@
 	"tealpath/operator"
 	"tealpath/plan/links"
 	"tealpath/plan/shutdown"
-	"tealpath/plan/start"
+	"tealpath/plan/startup"
 	"tealpath/router"
 	"tealpath/snapshot"
 	"tealpath/upstream"
@@ -77,7 +77,7 @@
 	front  *front.Front
 	pool   *upstream.Pool
 	router *router.Router
-	start  *start.Start
+	start  *startup.Progress
 	file   *operator.File
 	shared *sharing // nil: this instance shares nothing with others
 	keeper *keeper  // nil: nothing is kept for the next start
@@ -191,8 +191,8 @@
 	})
 	group.Go(func() error { return p.front.Serve(ctx) })
 	routers, _ := p.config.Settings["routers"].(int64)
-	calls := start.NewCalls(p.config.Seed, int(routers), p.holding())
-	calls.Heed(p.grace())
+	calls := startup.NewCallSchedule(p.config.Seed, int(routers), p.holding())
+	calls.SetDrainGrace(p.grace())
 	journal := feed.New(p.config.Journal, past, calls, post, p.line, feed.WithClock(p.clock))
 	group.Go(func() error { return journal.Run(ctx) })
 	group.Go(func() error {
@@ -293,7 +293,7 @@
 	if err != nil {
 		return past, fmt.Errorf("%w: settings: %w", ErrConfig, err)
 	}
-	p.start = start.NewStart(now, start.CountWindow, p.holding())
+	p.start = startup.NewProgress(now, startup.RateWindow, p.holding())
 	past, told, err := feed.Known(p.config.Known)
 	if err != nil {
 		return past, fmt.Errorf("%w: %w", ErrConfig, err)
@@ -301,7 +301,7 @@
 	p.recall(now, &past)
 	for _, e := range told {
 		if _, list := e.(router.Listed); list {
-			p.start.List()
+			p.start.ListReceived()
 		}
 		for _, effect := range p.router.Handle(now, e) {
 			if line, ok := effect.(router.Log); ok {
@@ -313,9 +313,9 @@
 }
 
 // holding is what the operator's file says of a start.
-func (p *Process) holding() start.Holding {
+func (p *Process) holding() startup.ReadinessHold {
 	if p.file == nil {
-		return start.Holding{}
+		return startup.ReadinessHold{}
 	}
 	return p.file.Start
 }
@@ -333,7 +333,7 @@
 // step takes the start on: health, and a line for a new phase of it.
 func (p *Process) step() {
 	p.front.SetReady(p.phase < Draining && p.start.Ready(p.clock.Now()))
-	if phase, another := p.start.Step(p.clock.Now()); another {
+	if phase, another := p.start.Update(p.clock.Now()); another {
 		p.line("start: " + phase.String())
 	}
 }
@@ -365,14 +365,14 @@
 			case router.Down:
 				a.event = p.pool.Ended(e)
 			case feed.Heard:
-				p.start.Service(a.at)
+				p.start.ServiceReached(a.at)
 				p.step()
 				continue
 			case feed.Told:
 				p.keeper.told(e)
 				continue
 			case router.Listed:
-				p.start.List()
+				p.start.ListReceived()
 				p.step()
 			}
 			p.handle(a.at, a.event, timer)
