--- a/plan/startup/progress.go
+++ b/plan/startup/progress.go
@@ -1,71 +1,81 @@
 package startup
 
+import "fmt"
+
+// RateWindow is over which the decision module counts requests (docs/design.md, "λ"), ns: a younger router knows rates by less.
+const RateWindow = 10 * second
+
 // Phase is how far a start has come.
 type Phase int
 
-// The phases, in order. NoList knows no members and says by health that it is not to be asked; ListKnown has a list that may be
-// out of date, from the configuration or a snapshot; WarmingUp has heard the list service itself, and its rates and its
-// judgement of members start from nothing; Warm has counted for as long as its window.
+// The phases, in order.
 const (
-	NoList Phase = iota
-	ListKnown
-	WarmingUp
+	NoList    Phase = iota // no endpoint list is known; the health check fails
+	ListKnown              // from the configuration or a snapshot, so it may be out of date
+	WarmingUp              // the discovery service was heard; rates and health of endpoints are known by less than RateWindow
 	Warm
 )
 
-func (p Phase) String() string { return []string{"alone", "listed", "warming", "whole"}[p] }
+// phaseNames are the words of the log line, which docs/oncall.md names.
+var phaseNames = [...]string{NoList: "alone", ListKnown: "listed", WarmingUp: "warming", Warm: "whole"}
 
-// RateWindow is the span over which the module counts requests (docs/design.md, "λ"), ns: a router younger than that
-// knows rates by less.
-const RateWindow = 10 * second
+func (p Phase) String() string {
+	if p < 0 || int(p) >= len(phaseNames) {
+		return fmt.Sprintf("phase %d", int(p))
+	}
+	return phaseNames[p]
+}
 
-// Progress is one start.
+// Progress is how far one start has come. It is not safe for use by two goroutines at once.
 type Progress struct {
-	window int64 // over which rates are counted
-	hold   int64 // for so long at most health is held back until the service was heard
-	begun  int64
-	listed bool
-	heard  int64 // when the service was first heard
-	Phase  Phase
+	startedAt    int64
+	rateWindow   int64
+	maxHold      int64 // until then at most the router is not ready before the service was heard
+	phase        Phase
+	listKnown    bool
+	firstHeardAt int64 // when the service was first heard; 0: it was not
 }
 
-// NewProgress begins a start; window is the span over which the module counts, ns.
-func NewProgress(now, window int64, holding ReadinessHold) *Progress {
-	return &Progress{begun: now, window: window, hold: holding.MaxDuration}
+// NewProgress begins a start; rateWindow is over which requests are counted, ns.
+func NewProgress(now, rateWindow int64, hold ReadinessHold) *Progress {
+	return &Progress{startedAt: now, rateWindow: rateWindow, maxHold: hold.MaxDuration}
 }
 
-// ListReceived notes that a list of members is in force.
-func (s *Progress) ListReceived() { s.listed = true }
+// ListReceived notes that an endpoint list is in force.
+func (p *Progress) ListReceived() { p.listKnown = true }
 
-// ServiceReached notes that the list service was heard.
-func (s *Progress) ServiceReached(now int64) {
-	if s.heard == 0 {
-		s.heard = now
+// ServiceReached notes that the discovery service was heard.
+func (p *Progress) ServiceReached(now int64) {
+	if p.firstHeardAt == 0 {
+		p.firstHeardAt = now
 	}
 }
 
-// Update gives the phase at a time, and whether it is another than before. A later phase is never left again: what a router
-// has learned stays when the service goes.
-func (s *Progress) Update(now int64) (Phase, bool) {
-	p := NoList
-	switch {
-	case !s.listed:
-	case s.heard == 0:
-		p = ListKnown
-	case now < s.begun+s.window:
-		p = WarmingUp
-	default:
-		p = Warm
+// Update returns the phase at an instant, and whether it is another than before. A phase is never left for an earlier one: what a
+// router has learned stays when the service goes.
+func (p *Progress) Update(now int64) (phase Phase, changed bool) {
+	next := p.phaseAt(now)
+	if next <= p.phase {
+		return p.phase, false
 	}
-	if p <= s.Phase {
-		return s.Phase, false
+	p.phase = next
+	return next, true
+}
+
+func (p *Progress) phaseAt(now int64) Phase {
+	switch {
+	case !p.listKnown:
+		return NoList
+	case p.firstHeardAt == 0:
+		return ListKnown
+	case now < p.startedAt+p.rateWindow:
+		return WarmingUp
 	}
-	s.Phase = p
-	return p, true
+	return Warm
 }
 
-// Ready tells whether clients may come. Once its hold is over a router that knows members serves, heard or not: a service
-// that is down must not take the fleet with it.
-func (s *Progress) Ready(now int64) bool {
-	return s.listed && (s.heard > 0 || now >= s.begun+s.hold)
+// Ready reports whether clients may come. Once its hold is over a router that knows endpoints serves, whether or not the service was
+// heard: a service that is down must not take the fleet with it.
+func (p *Progress) Ready(now int64) bool {
+	return p.listKnown && (p.firstHeardAt > 0 || now >= p.startedAt+p.maxHold)
 }
--- a/plan/startup/readiness.go
+++ b/plan/startup/readiness.go
@@ -2,22 +2,34 @@
 
 import "fmt"
 
-// ReadinessHold is what an operator says of a start: the first calls of all routers together come at Rate a second, and a router
-// holds its health back until it has heard the list service, for Hold at most. The zero value holds nothing back and calls
-// at once: then a change counts as told as soon as it is in the service.
+// ReadinessHold is what an operator says of a start: the first calls of all routers together come at CallRate a second, and a router
+// is not ready until it has heard the discovery service, for MaxDuration at most. The zero value holds nothing back: the first calls
+// come at once, since a change counts as told as soon as it is in the service.
 type ReadinessHold struct {
 	CallRate    float64 // calls a second
 	MaxDuration int64   // ns
 }
 
-// Check tells whether a holding is long enough for so many routers to have called at its rate, and to be answered.
+// HoldTooShortError is a ReadinessHold in which not all routers could call at its rate and be answered. Times are ns.
+type HoldTooShortError struct {
+	Routers       int
+	CallsDuration int64 // that the calls of all routers take
+	Hold          ReadinessHold
+}
+
+func (e *HoldTooShortError) Error() string {
+	return fmt.Sprintf("%d routers call for %d ms at %g a second and %d ms are for the answer: hold is %d ms",
+		e.Routers, e.CallsDuration/millisecond, e.Hold.CallRate, answerAllowance/millisecond, e.Hold.MaxDuration/millisecond)
+}
+
+// Check returns a *HoldTooShortError if a hold is too short for so many routers to call at its rate and to be answered.
 func (h ReadinessHold) Check(routers int) error {
 	if h == (ReadinessHold{}) {
 		return nil
 	}
-	if needs := int64(float64(max(1, routers))/h.CallRate*float64(second)) + answerTime; needs > h.MaxDuration {
-		return fmt.Errorf("%d routers call for %d ms at %g a second and %d ms are for the answer: hold is %d ms",
-			routers, (needs-answerTime)/millisecond, h.CallRate, answerTime/millisecond, h.MaxDuration/millisecond)
+	callsDuration := int64(float64(max(1, routers)) / h.CallRate * float64(second))
+	if callsDuration+answerAllowance > h.MaxDuration {
+		return &HoldTooShortError{Routers: routers, CallsDuration: callsDuration, Hold: h}
 	}
 	return nil
 }
