--- /dev/null
+++ b/plan/startup/schedule.go
@@ -0,0 +1,249 @@
+package startup
+
+import "math/rand/v2"
+
+// Notification deadlines: a router that has not heard of a change is judged as if it had, so long after what kept it from hearing.
+// Source: the platform's pages.
+const (
+	deadlineAfterDisconnect    = 2 * second
+	deadlineAfterSilence       = 4 * second
+	deadlineAfterAddressChange = 4 * second
+	maxNotificationTime        = 7 * second
+)
+
+// answerAllowance is kept of a notification deadline for dialling and for the answer.
+const answerAllowance = 500 * millisecond
+
+// Rates of calls that all routers together keep to, as far as the notification deadlines let them, and the longest times that calls
+// are spread over.
+const (
+	retryRate = 110. // while the service refuses or does not answer
+
+	reconnectRate          = 300.                        // after a disconnect
+	maxReconnectSpread     = deadlineAfterDisconnect / 2 // the other half is for one more try
+	maxAddressChangeSpread = second
+
+	// maxFirstSpread is for the first calls of routers that know a list from their configuration and serve from it. A change counts
+	// as told when it is in the service, so they have the grace for drains, 250 ms, to hear of it; this is a part of that. With the
+	// first calls spread over 2.6 s 32 requests went to draining caches, in one day of 300 routers.
+	maxFirstSpread = 100 * millisecond
+
+	// A router that knows no list serves nobody, so no deadline binds its calls, but only what the service bears and how soon the
+	// router is to serve. All that know none call once in this time, half to one and a half.
+	noListRate      = 85.
+	maxNoListSpread = 2600 * millisecond
+)
+
+// Delays of retries.
+const (
+	minRetryDelay = 200 * millisecond // where a router is alone, or the settings know of few
+	maxRetryDelay = maxNotificationTime - 2*second
+	backoffGrowth = 3 // of decorrelated jitter: the next delay is drawn up to so many times the last
+
+	// minUnansweredDelay follows a call that was taken and never answered: who gives up in the service's queue and soon calls again
+	// keeps the queue as long as it is.
+	minUnansweredDelay = maxRetryDelay * 2 / 3
+
+	// A truncated answer is asked for again at once, so often, since what is asked for counts as told at once. The usual spread was
+	// longer than the grace for drains, 250 ms, and two requests went to a draining cache. A router that knows no list sends to
+	// nobody and backs off: a service that truncates all its answers had three times the calls of a start.
+	maxTruncatedRetries  = 2
+	truncatedRetrySpread = 20 * millisecond
+	maxTruncatedAge      = second // a comment comes each second: by then what had to be told has been
+
+	// A call that this machine could not make is made again soon, since the service was not asked. Many routers of one machine that
+	// wait for the same descriptors come spread over as long as after a disconnect.
+	minLocalErrorDelay = 20 * millisecond
+	maxLocalErrorDelay = 200 * millisecond
+)
+
+// Timeouts of reads.
+const (
+	silenceTimeout = 1700 * millisecond // the service sends a comment each second
+
+	// The timeout of the first byte grows while the service takes calls and does not answer.
+	initialFirstByteTimeout = 1700 * millisecond
+	maxFirstByteTimeout     = 7 * second
+	firstByteTimeoutGrowth  = 4
+
+	// An event that has begun may stand still for this part of the shortest grace.
+	stallGraceDivisor = 3
+	maxStallTimeout   = silenceTimeout
+)
+
+// scheduleStream keeps the chance of calls apart from other chance of the same seed.
+const scheduleStream = 0x6c697374
+
+// CallSchedule decides when one router of many calls the discovery service. It is not safe for use by two goroutines at once.
+type CallSchedule struct {
+	routers float64 // that call the service
+	hold    ReadinessHold
+	random  *rand.Rand
+
+	listKnown bool
+	hasData   bool  // something whole has come since the last call ended
+	calledAt  int64 // when the last call was made
+	grace     int64 // the shortest in which the router has to act on what it is told; 0 is not known
+
+	firstByteTimeout int64
+	lastDelay        int64 // of the backoff; 0: it starts anew
+	localErrorDelay  int64 // the last one after a call that this machine could not make; 0: there was none
+	truncations      int   // young answers in a row that were truncated
+
+	answerBy   int64 // until when a call has to be answered; 0: nothing binds it but maxRetryDelay
+	retryMoved bool  // a retry was moved forward, to be before answerBy
+}
+
+// NewCallSchedule returns the schedule of one router of so many. hold is the operator's; the zero value is none.
+func NewCallSchedule(seed uint64, routers int, hold ReadinessHold) *CallSchedule {
+	return &CallSchedule{
+		routers:          float64(max(1, routers)),
+		hold:             hold,
+		random:           rand.New(rand.NewPCG(seed, scheduleStream)),
+		firstByteTimeout: initialFirstByteTimeout,
+	}
+}
+
+// FirstDelay returns the wait from the start to the first call.
+func (s *CallSchedule) FirstDelay() int64 {
+	s.answerBy = 0 // should the call fail, retries no further apart than maxRetryDelay are in time for what changes later
+	switch {
+	case s.hold.CallRate > 0:
+		return s.draw(s.spread(s.hold.CallRate, s.hold.MaxDuration-answerAllowance))
+	case !s.listKnown:
+		return s.draw(s.spread(noListRate, maxNoListSpread))
+	}
+	return s.draw(s.spread(retryRate, maxFirstSpread))
+}
+
+// AddressChanged returns the wait before the first call at another address of the service.
+func (s *CallSchedule) AddressChanged(now int64) int64 {
+	s.answerBy, s.retryMoved = now+deadlineAfterAddressChange, false
+	s.firstByteTimeout, s.hasData = initialFirstByteTimeout, false
+	return s.draw(s.spread(reconnectRate, maxAddressChangeSpread))
+}
+
+// ListReceived notes that an endpoint list is known.
+func (s *CallSchedule) ListReceived() { s.listKnown = true }
+
+// CallStarted notes that a call is made.
+func (s *CallSchedule) CallStarted(now int64) { s.calledAt = now }
+
+// DataReceived notes that something whole came: an event or a comment.
+func (s *CallSchedule) DataReceived() {
+	s.hasData, s.firstByteTimeout, s.lastDelay = true, initialFirstByteTimeout, 0
+}
+
+// SetDrainGrace notes the shortest time in which the router has to act on what it is told, ns.
+func (s *CallSchedule) SetDrainGrace(grace int64) { s.grace = grace }
+
+// StallTimeout returns for how long an event that has begun may stand still.
+func (s *CallSchedule) StallTimeout() int64 {
+	if s.grace <= 0 {
+		return maxStallTimeout
+	}
+	return min(s.grace/stallGraceDivisor, maxStallTimeout)
+}
+
+// ReadTimeout returns for how long to wait for the next byte between events, or for the first.
+func (s *CallSchedule) ReadTimeout() int64 {
+	if s.hasData {
+		return silenceTimeout
+	}
+	return s.firstByteTimeout
+}
+
+// CallEnded returns the wait before the next call, after one that ended.
+//
+// A connection on which something had come is followed by a call within the notification deadline; all routers spread theirs over
+// half of that. Other calls back off by decorrelated jitter (Brooker, "Exponential Backoff And Jitter", 2015) over as long as all
+// routers need at their rate, with one retry before the notification deadline.
+func (s *CallSchedule) CallEnded(now int64, result CallResult) int64 {
+	if result == LocalError {
+		return s.delayAfterLocalError()
+	}
+	hadData := s.hasData
+	s.hasData, s.localErrorDelay = false, 0
+	if s.retriesAtOnce(now, result) {
+		s.truncations++
+		return s.draw(truncatedRetrySpread)
+	}
+	s.truncations = 0
+	switch {
+	case hadData:
+		return s.delayAfterDisconnect(now, result)
+	case !s.listKnown && result != Unanswered:
+		return s.delayWithoutList()
+	}
+	return s.beforeDeadline(now, s.retryDelay(result))
+}
+
+// retriesAtOnce reports whether a truncated answer is asked for again at once.
+func (s *CallSchedule) retriesAtOnce(now int64, result CallResult) bool {
+	isYoung := now-s.calledAt < maxTruncatedAge
+	return result == Truncated && s.listKnown && isYoung && s.truncations < maxTruncatedRetries
+}
+
+// delayAfterLocalError doubles from one to the next.
+func (s *CallSchedule) delayAfterLocalError() int64 {
+	most := max(maxLocalErrorDelay, s.spread(reconnectRate, maxReconnectSpread))
+	s.localErrorDelay = min(max(2*s.localErrorDelay, minLocalErrorDelay), most)
+	half := s.localErrorDelay / 2
+	return half + s.draw(half)
+}
+
+func (s *CallSchedule) delayAfterDisconnect(now int64, result CallResult) int64 {
+	s.answerBy, s.retryMoved = now+deadlineAfterDisconnect, false
+	if result == Silent {
+		s.answerBy = now + deadlineAfterSilence - silenceTimeout // the silence began before it was noticed
+	}
+	return s.draw(s.spread(reconnectRate, maxReconnectSpread))
+}
+
+// delayWithoutList spreads by the settings' number of routers; where those know of few, growing delays take the rest apart.
+func (s *CallSchedule) delayWithoutList() int64 {
+	least := max(s.spread(noListRate, maxNoListSpread), minRetryDelay) / 2
+	return s.backoff(least, 3*least, maxNoListSpread*3/2)
+}
+
+func (s *CallSchedule) retryDelay(result CallResult) int64 {
+	least := min(max(s.spread(retryRate, maxRetryDelay), minRetryDelay), maxRetryDelay/2)
+	if result == Unanswered {
+		s.firstByteTimeout = min(firstByteTimeoutGrowth*s.firstByteTimeout, maxFirstByteTimeout)
+		least = minUnansweredDelay
+	}
+	return s.backoff(least, 2*least, maxRetryDelay)
+}
+
+// beforeDeadline moves one retry that would miss the notification deadline forward, to the second half of the time left: all that
+// were disconnected together are not to come together at the last moment either. Only one, since halved again and again the delays
+// came to nothing.
+func (s *CallSchedule) beforeDeadline(now, delay int64) int64 {
+	left := s.answerBy - answerAllowance - now
+	if left <= 0 || delay <= left || s.retryMoved {
+		return delay
+	}
+	s.retryMoved = true
+	return left/2 + s.draw(left/2)
+}
+
+// backoff returns the next delay by decorrelated jitter: from least up to a multiple of the last delay, up to first at the beginning,
+// and to most in the end.
+func (s *CallSchedule) backoff(least, first, most int64) int64 {
+	limit := min(max(backoffGrowth*s.lastDelay, first), most)
+	s.lastDelay = least + s.draw(limit-least)
+	return s.lastDelay
+}
+
+// spread returns how long all routers take to call once at a rate, and at most most.
+func (s *CallSchedule) spread(rate float64, most int64) int64 {
+	return min(int64(s.routers/rate*float64(second)), most)
+}
+
+// draw returns a duration of [0, most), by chance.
+func (s *CallSchedule) draw(most int64) int64 {
+	if most <= 0 {
+		return 0
+	}
+	return s.random.Int64N(most)
+}
