--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"testing"
 )
 
@@ -9,8 +10,10 @@
 // half as much; "once" is a write that runs at the origin. Means are learned before the play begins.
 func classes(t *testing.T, change Settings) *Router {
 	t.Helper()
-	set := Settings{"product.effect": []string{"harmless", "harmless", "one-shot"}, "product.neverKept": []bool{false, false, true},
-		"product.dueStretch": []float64{2, 2, 0}}
+	set := Settings{
+		"product.effect": []string{"harmless", "harmless", "one-shot"}, "product.neverKept": []bool{false, false, true},
+		"product.dueStretch": []float64{2, 2, 0},
+	}
 	for name, value := range change {
 		set[name] = value
 	}
@@ -34,7 +37,7 @@
 // Writes were turned away for want of room for fills, which they hardly use: one class was hardly served.
 func TestWritesNeedNoRoomForFills(t *testing.T) {
 	r := classes(t, nil)
-	r.admissionLimits[fills] = 0.4
+	r.admission.limits[fills] = 0.4
 	if n := fill(r, start, "harmless") + fill(r, start, "stamped"); n == 0 || n >= 1000 {
 		t.Fatalf("%d sent", n)
 	}
@@ -125,12 +128,12 @@
 		spent   int64
 		shrinks bool
 	}{{13 * second / 10, false}, {3 * second, true}} {
-		before := r.admissionLimits[fills]
+		before := r.admission.limits[fills]
 		ret := ask("harmless", fmt.Sprint(c.spent))
 		r.Decide(start, ret)
 		r.AttemptEnded(start+c.spent, ret, Outcome{Result: Succeeded, Elapsed: c.spent, SendingTime: 0.9, Note: 2, RequestEnded: true})
-		if got := r.admissionLimits[fills] < before; got != c.shrinks {
-			t.Errorf("an answer of 0.9 s that took %.1f s: room %.3f, was %.3f", float64(c.spent)/1e9, r.admissionLimits[fills], before)
+		if got := r.admission.limits[fills] < before; got != c.shrinks {
+			t.Errorf("an answer of 0.9 s that took %.1f s: room %.3f, was %.3f", float64(c.spent)/1e9, r.admission.limits[fills], before)
 		}
 	}
 }
@@ -168,15 +171,9 @@
 		{"a due time under a round trip", Settings{"product.due": []int64{second / 1000, second / 2, second / 2}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, Settings{"product.effect": []string{"harmless", "harmless", "one-shot"}})
-			for name, value := range c.change {
-				r.settings[name] = value
-			}
-			r, err := New(start, 7, r.settings, func(string) {})
-			if err != nil {
-				t.Fatal(err)
-			}
-			r.UpdateEndpoints(start, fleet, true)
+			change := Settings{"product.effect": []string{"harmless", "harmless", "one-shot"}}
+			maps.Copy(change, c.change)
+			r := newRouter(t, change)
 			for n, product := range []string{"stamped", "harmless", "once"} {
 				ret := ask(product, fmt.Sprint(n))
 				if decision := r.Decide(start, ret); decision.Verdict != Send {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -26,8 +26,8 @@
 			r := newRouter(t, nil)
 			now := start + 20*second
 			record := &objectRecord{requestCount: c.count, countedAt: now, firstSeenAt: now - c.born*second, purgeCount: c.purges}
-			state := requestState{class: &classState{freshDuration: c.fresh}, record: record}
-			r.computeMaxAge(now, &Request{SizeKB: 0.1 / exchangeRate, requestState: state})
+			state := requestState{class: &classState{classTerms: classTerms{freshDuration: c.fresh}}, record: record}
+			r.updateMaxAge(now, &Request{SizeKB: 0.1 / exchangeRate, requestState: state})
 			got := float64(record.maxAge) / 1e9
 			if record.maxAge == forever {
 				got = 0
@@ -54,7 +54,7 @@
 			for i := range 10 {
 				ret := ask("harmless", "a")
 				ret.ClientRetry = c.repeat && i > 0
-				record = r.recordRequest(start+10*second, ret)
+				record = r.rates.record(start+10*second, ret)
 			}
 			if got := r.locationRate(start+10*second, record); math.Abs(got-c.want) > 1e-9 {
 				t.Errorf("rate %v, want %v", got, c.want)
@@ -65,17 +65,17 @@
 
 func TestGhostsKeepTheirRates(t *testing.T) {
 	r := newRouter(t, nil)
-	r.recordRequest(start, ask("harmless", "kept"))
+	r.rates.record(start, ask("harmless", "kept"))
 	for i := range maxObjects + 5 {
-		r.recordRequest(start, ask("harmless", fmt.Sprint("other", i)))
+		r.rates.record(start, ask("harmless", fmt.Sprint("other", i)))
 	}
-	record := r.objects[objectKey{object: "kept"}]
+	record := r.rates.objects[objectKey{object: "kept"}]
 	if record == nil || !record.evicted {
 		t.Fatal("an object pushed out is not among the ghosts")
 	}
-	again := r.recordRequest(start, ask("harmless", "kept"))
-	if again.evicted || again.requestCount != 2 || r.recentObjects.Len() > maxObjects {
-		t.Errorf("back from the ghosts: ghost %v, count %v, table %v", again.evicted, again.requestCount, r.recentObjects.Len())
+	again := r.rates.record(start, ask("harmless", "kept"))
+	if again.evicted || again.requestCount != 2 || r.rates.recentObjects.Len() > maxObjects {
+		t.Errorf("back from the ghosts: ghost %v, count %v, table %v", again.evicted, again.requestCount, r.rates.recentObjects.Len())
 	}
 }
 
@@ -177,8 +177,12 @@
 		each int64 // between two retrievals of a router for the member
 		from int64 // after its start
 		some int64 // one router in ten asks so many times as often
-	}{{"all ask all the time", second / 5, 0, 1}, {"a thin slice", 5 * second, 0, 1}, {"some see ten times the mean", 5 * second, 0, 10},
-		{"all at once after a while", second / 5, 8 * second, 1}} {
+	}{
+		{"all ask all the time", second / 5, 0, 1},
+		{"a thin slice", 5 * second, 0, 1},
+		{"some see ten times the mean", 5 * second, 0, 10},
+		{"all at once after a while", second / 5, 8 * second, 1},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			type sending struct {
 				at     int64
@@ -229,7 +233,7 @@
 func TestAskedForWhatIsHeld(t *testing.T) {
 	jammed := func(change Settings) *Router {
 		r := newRouter(t, change)
-		r.admissionLimits[fills] = 0
+		r.admission.limits[fills] = 0
 		return r
 	}
 	for _, c := range []struct {
@@ -242,7 +246,7 @@
 		{"it never expires", "stamped", func(*Router) {}, Send},
 		{"a purge was told", "harmless", func(r *Router) { r.Purge(start-second, "a", 0, start-second) }, Wait},
 		{"a purge of its group was told", "stamped", func(r *Router) { r.Purge(start-second, "", 1, start-second) }, Wait},
-		{"the cache is full of hits", "harmless", func(r *Router) { r.admissionLimits[hits] = 0 }, Wait},
+		{"the cache is full of hits", "harmless", func(r *Router) { r.admission.limits[hits] = 0 }, Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := jammed(nil)
@@ -266,7 +270,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := jammed(c.change), ask("harmless", "a")
 			for range c.denials {
-				r.sourceRefusals.add(start)
+				r.retries.sourceRefusals.add(start)
 			}
 			r.Decide(start, ret)
 			decision := r.AttemptEnded(start, ret, Outcome{Result: NotHeld})
@@ -287,7 +291,7 @@
 		t.Run(fmt.Sprint("note ", c.note, ", the origin falls at ", c.fall), func(t *testing.T) {
 			r, ret := newRouter(t, Settings{"origin.fallFactor": c.fall}), ask("harmless", "a")
 			r.Decide(start, ret)
-			r.retryTokens = 0
+			r.retries.tokens = 0
 			decision := r.AttemptEnded(start, ret, Outcome{Result: Overloaded, Note: c.note})
 			if got := decision.Attempt.Source; c.want != 0 && got != c.want || c.want == 0 && got == 5 {
 				t.Errorf("%+v", decision)
@@ -346,7 +350,7 @@
 		t.Run(fmt.Sprint(c.result), func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
 			r.Decide(start, ret)
-			r.retryTokens = 0
+			r.retries.tokens = 0
 			if decision := r.AttemptEnded(start, ret, Outcome{Result: c.result}); decision.Verdict != c.want {
 				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
 			}
@@ -489,8 +493,10 @@
 			for i := range 50 {
 				ret := ask("harmless", fmt.Sprint(i))
 				if ret.ClientRetry = marked; !marked {
-					r.rejectOrFail(start-second/2, &Request{requestState: requestState{class: r.classByName["harmless"],
-						record: r.recordRequest(start-second/2, ask("harmless", fmt.Sprint(i)))}})
+					r.rejectOrFail(start-second/2, &Request{requestState: requestState{
+						class:  r.classByName["harmless"],
+						record: r.rates.record(start-second/2, ask("harmless", fmt.Sprint(i))),
+					}})
 				}
 				if decision := r.Decide(start, ret); decision.Verdict == Send && !decision.Attempt.CacheOnly {
 					sent++
@@ -507,24 +513,24 @@
 			spent int64
 			sign  float64
 		}{{5 * second, -1}, {second / 10, 1}} {
-			ret, before := ask("harmless", fmt.Sprint(c.spent)), r.admissionLimits[1]
+			ret, before := ask("harmless", fmt.Sprint(c.spent)), r.admission.limits[1]
 			r.Decide(start, ret)
 			r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: c.spent})
-			if (r.admissionLimits[1]-before)*c.sign <= 0 {
-				t.Errorf("room from %v to %v after an answer in %v", before, r.admissionLimits[1], c.spent)
+			if (r.admission.limits[1]-before)*c.sign <= 0 {
+				t.Errorf("room from %v to %v after an answer in %v", before, r.admission.limits[1], c.spent)
 			}
 		}
 	})
 	t.Run("while tight it comes back faster than it grows otherwise", func(t *testing.T) {
 		grown := func(tight bool) float64 {
 			r := newRouter(t, nil)
-			r.admissionLimits[1], r.tight[1] = 0.7, tight
+			r.admission.limits[1], r.admission.tight[1] = 0.7, tight
 			for i := range 20 {
 				ret := ask("harmless", fmt.Sprint(i))
 				r.Decide(start, ret)
 				r.AttemptEnded(start, ret, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 			}
-			return r.admissionLimits[1] - 0.7
+			return r.admission.limits[1] - 0.7
 		}
 		if tight, wide := grown(true), grown(false); tight < 1.5*wide || wide <= 0 {
 			t.Errorf("grew by %v while tight, %v otherwise", tight, wide)
@@ -553,14 +559,14 @@
 	}{{"what it lacks goes on as a fetch", NotHeld, Send}, {"what it holds is served", Succeeded, Wait}} {
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
-			r.tight[fills], r.admissionLimits[fills] = true, 1
-			r.admissionLimits[fetches] = maxAdmissionLimit
+			r.admission.tight[fills], r.admission.limits[fills] = true, 1
+			r.admission.limits[fetches] = maxAdmissionLimit
 			other := ask("harmless", "other")
 			if r.Decide(start, other).Attempt.ParentOnlyIfCached {
 				t.Error("asked first though fetches come in time")
 			}
 			r.AttemptEnded(start, other, Outcome{Result: Succeeded, RequestEnded: true})
-			r.admissionLimits[fetches] = initialAdmissionLimits[fetches]
+			r.admission.limits[fetches] = initialAdmissionLimits[fetches]
 			first := r.Decide(start, ret).Attempt
 			if !first.ParentOnlyIfCached {
 				t.Fatal("the parent may fetch")
@@ -569,7 +575,7 @@
 			if decision.Verdict != c.want || decision.Verdict == Send && (decision.Attempt.ParentOnlyIfCached || decision.Attempt.Source != first.Source) {
 				t.Errorf("then %+v", decision)
 			}
-			if kinds := r.inFlightWithinObjective(start); c.want == Send && (kinds[fetches] != 1 || kinds[fills] != 0) {
+			if kinds := r.inFlight.withinObjective(start, r.endpoints); c.want == Send && (kinds[fetches] != 1 || kinds[fills] != 0) {
 				t.Errorf("in hand by kind: %v", kinds)
 			}
 		})
@@ -582,8 +588,12 @@
 		sized float64
 		after int64
 		sends bool
-	}{{"not yet late", 100, second / 3, false}, {"late", 100, second, true},
-		{"perhaps large", 0, second, false}, {"late whatever its size", 0, 2 * second, true}} {
+	}{
+		{"not yet late", 100, second / 3, false},
+		{"late", 100, second, true},
+		{"perhaps large", 0, second, false},
+		{"late whatever its size", 0, 2 * second, true},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, verdict := newRouter(t, nil), Send
 			for i := 0; verdict == Send; i++ { // until silent members hold all the room
@@ -705,8 +715,14 @@
 		result Result
 		after  int64
 		want   Verdict
-	}{{Unreachable, second - 1, Send}, {Unreachable, second, Reject}, {SendInterrupted, second, Reject}, {NotSent, second, Reject},
-		{Overloaded, second, Send}, {ConnectionLost, second, Send}} {
+	}{
+		{Unreachable, second - 1, Send},
+		{Unreachable, second, Reject},
+		{SendInterrupted, second, Reject},
+		{NotSent, second, Reject},
+		{Overloaded, second, Send},
+		{ConnectionLost, second, Send},
+	} {
 		t.Run(fmt.Sprint(c.result, c.after), func(t *testing.T) {
 			r, ret := newRouter(t, nil), ask("harmless", "a")
 			ret.Deadline = start + 2*second
@@ -726,14 +742,16 @@
 		name string
 		told func(own float64) []float64
 		want float64
-	}{{"nothing told", func(float64) []float64 { return nil }, 2},
+	}{
+		{"nothing told", func(float64) []float64 { return nil }, 2},
 		{"all is this router's", func(own float64) []float64 { return []float64{0, own} }, 1},
 		{"another one sends as much", func(own float64) []float64 { return []float64{0, 2*own - 1} }, 2},
 		{"more than there are routers", func(own float64) []float64 { return []float64{0, 9 * own} }, 2},
-		{"a report of nothing", func(float64) []float64 { return []float64{0, 0} }, 1}} {
+		{"a report of nothing", func(float64) []float64 { return []float64{0, 0} }, 1},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, Settings{"report.fields": []string{"x1", "inHand"}})
-			r.admissionLimits = [3]float64{maxAdmissionLimit, maxAdmissionLimit, maxAdmissionLimit}
+			r.admission.limits = [3]float64{maxAdmissionLimit, maxAdmissionLimit, maxAdmissionLimit}
 			var out []*Request
 			for n := range 20 {
 				ret := ask("harmless", fmt.Sprint(n))
@@ -760,9 +778,13 @@
 		waited  int64 // in tenths of the due time
 		change  Settings
 		want    Verdict
-	}{{"answers go missing", 2, 7, nil, Send}, {"none has", 0, 7, nil, Wait}, {"not yet overdue", 2, 5, nil, Wait},
+	}{
+		{"answers go missing", 2, 7, nil, Send},
+		{"none has", 0, 7, nil, Wait},
+		{"not yet overdue", 2, 5, nil, Wait},
 		{"much is late: a jam would feed on it", 60, 7, nil, Wait},
-		{"two together are not allowed", 2, 7, Settings{"dispatches.together": false}, Wait}} {
+		{"two together are not allowed", 2, 7, Settings{"dispatches.together": false}, Wait},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, now := newRouter(t, c.change), start
 			for n := range 300 + c.missing {
@@ -793,14 +815,18 @@
 		spent   int64
 		sending float64
 		late    bool
-	}{{"by the mean, where nothing tells its size", second, 0, false}, {"late by the mean", 2 * second, 0, true},
-		{"a large one", 2 * second, 1, false}, {"a small one", second, 0.01, true}} {
+	}{
+		{"by the mean, where nothing tells its size", second, 0, false},
+		{"late by the mean", 2 * second, 0, true},
+		{"a large one", 2 * second, 1, false},
+		{"a small one", second, 0.01, true},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, ret := newRouter(t, Settings{"product.dueStretch": []float64{2, 2, 2}}), ask("harmless", "a")
 			r.Decide(start, ret)
 			kind := ret.attempts[0].kind
 			r.AttemptEnded(start+c.spent, ret, Outcome{Result: Succeeded, Elapsed: c.spent, SendingTime: c.sending, RequestEnded: true})
-			if late := r.admissionLimits[kind] < initialAdmissionLimits[kind]; late != c.late {
+			if late := r.admission.limits[kind] < initialAdmissionLimits[kind]; late != c.late {
 				t.Errorf("late: %v, want %v", late, c.late)
 			}
 		})
@@ -815,8 +841,12 @@
 		late    int  // one in so many of the first one's
 		lost    bool // the other one is suspect
 		want    bool
-	}{{"a quarter of hundreds", 200, 4, false, true}, {"a quarter of a few", 12, 4, false, false},
-		{"one in twelve of hundreds", 200, 12, false, false}, {"the last one that is left", 200, 4, true, false}} {
+	}{
+		{"a quarter of hundreds", 200, 4, false, true},
+		{"a quarter of a few", 12, 4, false, false},
+		{"one in twelve of hundreds", 200, 12, false, false},
+		{"the last one that is left", 200, 4, true, false},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			slow := r.endpoints[3]
@@ -842,9 +872,11 @@
 
 // What was learned is taken over: rates as they were, though time has passed; without rates only what was asked for at all.
 func TestMemory(t *testing.T) {
-	set := Settings{"product.names": []string{"stills"}, "product.due": []int64{4 * second / 10}, "product.hardStop": []int64{second},
+	set := Settings{
+		"product.names": []string{"stills"}, "product.due": []int64{4 * second / 10}, "product.hardStop": []int64{second},
 		"product.payoff": []float64{1}, "product.effect": []string{"harmless"}, "location": "here", "kinds": []string{"cache"},
-		"routers": int64(1)}
+		"routers": int64(1),
+	}
 	make := func(at int64) *Router {
 		r, err := New(at, 7, set, func(string) {})
 		if err != nil {
@@ -874,8 +906,8 @@
 	next := make(later)
 	next.Restore(later, m, true)
 	rate := func(r *Router, at int64, object string) float64 {
-		record := r.objects[objectKey{object, 0}]
-		return r.requestRate(at, record.requestCount, record.countedAt)
+		record := r.rates.objects[objectKey{object, 0}]
+		return r.rates.ofObject(at, record)
 	}
 	for _, object := range []string{"a", "b"} {
 		if was, is := rate(r, now, object), rate(next, later, object); math.Abs(was-is) > 1e-9 || is == 0 {
@@ -887,7 +919,7 @@
 	}
 	without := make(later)
 	without.Restore(later, m, false)
-	if record := without.objects[objectKey{"b", 0}]; record == nil || record.requestCount != 0 || record.purgeCount != 1 || without.requestCount != 0 {
+	if record := without.rates.objects[objectKey{"b", 0}]; record == nil || record.requestCount != 0 || record.purgeCount != 1 || without.rates.requestCount != 0 {
 		t.Errorf("%+v", record)
 	}
 	if one := r.Snapshot(now, 1); len(one.Objects) != 1 || one.Objects[0].Object != "a" {
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -93,8 +93,10 @@
 
 // drawLine gives a new member.
 func (p *drawnPlay) drawLine() Endpoint {
-	line := Endpoint{ID: p.nextID*2654435761 + 17, Location: "here", Kind: "cache", Cell: int64(p.rng.IntN(4)), Phase: "ready",
-		Capacity: []float64{1, 5, 5, 5, 0, 7.3, 0.1, 20}[p.rng.IntN(8)]}
+	line := Endpoint{
+		ID: p.nextID*2654435761 + 17, Location: "here", Kind: "cache", Cell: int64(p.rng.IntN(4)), Phase: "ready",
+		Capacity: []float64{1, 5, 5, 5, 0, 7.3, 0.1, 20}[p.rng.IntN(8)],
+	}
 	p.nextID++
 	switch n := p.rng.IntN(20); {
 	case n < 4:
@@ -116,7 +118,7 @@
 	to := decision.Attempt
 	fmt.Fprintln(p.digest, what, p.now, request.Object, int(decision.Verdict), decision.RetryAfter, decision.Cancel, to.Cache, to.CacheOnly, to.Source, to.CachePriority, to.MaxAge,
 		to.JoinFill, to.RefreshBehind, to.ParentOnlyIfCached, to.ParentNoStore, to.Timeout, to.SendTimeout)
-	p.seen[fmt.Sprint(what, decision.Verdict)]++
+	p.seen[fmt.Sprint(what, int(decision.Verdict))]++
 	if decision.Verdict == Send && request.diverted {
 		p.seen["away"]++
 	}
@@ -129,9 +131,11 @@
 func (p *drawnPlay) ask() {
 	products := []string{"harmless", "harmless", "stamped", "once"}
 	object := p.rng.IntN(1 + p.rng.IntN(60))
-	request := &Request{Class: products[p.rng.IntN(len(products))], Object: fmt.Sprintf("%016x", object), Group: int64(object % 5),
+	request := &Request{
+		Class: products[p.rng.IntN(len(products))], Object: fmt.Sprintf("%016x", object), Group: int64(object % 5),
 		Part: int64(p.rng.IntN(2)), Deadline: p.now + int64(p.rng.IntN(3000)+200)*second/1000, ClientRetry: p.rng.IntN(12) == 0,
-		Write: p.rng.IntN(10) == 0, SizeKB: []float64{0, 0, 10, 200, 2000}[p.rng.IntN(5)]}
+		Write: p.rng.IntN(10) == 0, SizeKB: []float64{0, 0, 10, 200, 2000}[p.rng.IntN(5)],
+	}
 	p.retrieval = append(p.retrieval, request)
 	p.decided("where", request, p.router.Decide(p.now, request))
 }
@@ -309,8 +313,10 @@
 			t.Errorf("seed %d: %s, recorded %s", seed, digests[seed], want)
 		}
 	}
-	for _, what := range []string{"suspect", "trusted", "tight", "away", "plain", "probe", "where0", "where1", "where2", "after1",
-		"after2", "after3", "again1", "again2"} {
+	for _, what := range []string{
+		"suspect", "trusted", "tight", "away", "plain", "probe", "where0", "where1", "where2", "after1",
+		"after2", "after3", "again1", "again2",
+	} {
 		if seen[what] < 5 {
 			t.Errorf("the plays show %q %d times only", what, seen[what])
 		}
--- a/control/endings_test.go
+++ b/control/endings_test.go
@@ -81,8 +81,11 @@
 		product string
 		result  Result
 		want    Verdict
-	}{{"harmless", "harmless", Overloaded, Reject}, {"one-shot that did not run", "once", Overloaded, Reject},
-		{"one-shot that may have", "once", ConnectionLost, Fail}} {
+	}{
+		{"harmless", "harmless", Overloaded, Reject},
+		{"one-shot that did not run", "once", Overloaded, Reject},
+		{"one-shot that may have", "once", ConnectionLost, Fail},
+	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			ret := ask(c.product, "a")
--- a/control/members.go
+++ b/control/endpoints.go
@@ -6,7 +6,40 @@
 	"slices"
 )
 
-// role is what a member does for this router.
+// The phases of an endpoint that are told. In any other one it gets nothing new.
+const (
+	phaseReady = "ready"
+	phaseGone  = "gone"
+)
+
+// endpointState is what the module keeps of an endpoint.
+type endpointState struct {
+	Endpoint
+	role       role
+	listed     bool
+	isDelisted bool    // it is among the router's delisted endpoints
+	hashWeight float64 // in rendezvous hashing
+
+	// Its start, for the slow start.
+	slowStartFrom   int64 // when it started, told or inferred; 0 is long ago
+	slowStartToldAt int64 // when that was told or inferred, on our axis
+	slowStart       slowStartBudget
+
+	inFlight        []*attemptState
+	withinObjective countsByKind // of what is in flight: what may be in time
+
+	// What outlierDetector judges it by.
+	successes, failures float64 // as of scoredAt; decaying over healthWindow
+	scoredAt            int64
+	lastResponseAt      int64
+	ejected             bool
+	wasUnreachable      bool // it could not be reached since it was last taken back
+	probing             bool // a probe is in flight
+	nextProbeAt         int64
+	probeBackoff        int64 // ns
+}
+
+// role is what an endpoint does for this router.
 type role int
 
 const (
@@ -16,22 +49,22 @@
 	originRole
 )
 
-// memberList is a list of members in the order of their IDs.
+// endpointList is a list of endpoints in the order of their IDs.
 type endpointList struct{ endpoints []*endpointState }
 
-// search gives the index of a member, or where it is to be inserted.
+// search gives the index of an endpoint, or where it is to be inserted.
 func (l *endpointList) search(endpoint *endpointState) (index int, found bool) {
 	return slices.BinarySearchFunc(l.endpoints, endpoint.ID, func(other *endpointState, id uint32) int { return cmp.Compare(other.ID, id) })
 }
 
-// add inserts a member unless it is in the list.
+// add inserts an endpoint unless it is in the list.
 func (l *endpointList) add(endpoint *endpointState) {
 	if index, found := l.search(endpoint); !found {
 		l.endpoints = slices.Insert(l.endpoints, index, endpoint)
 	}
 }
 
-// remove takes a member out.
+// remove takes an endpoint out.
 func (l *endpointList) remove(endpoint *endpointState) {
 	if index, found := l.search(endpoint); found {
 		l.endpoints = slices.Delete(l.endpoints, index, index+1)
@@ -60,7 +93,7 @@
 	if len(r.origins.endpoints) > 0 {
 		r.origin = r.origins.endpoints[0]
 	}
-	r.capacitySummed = false
+	r.capacity.configured.known = false
 }
 
 // update takes over one line of the list.
@@ -71,42 +104,46 @@
 		r.endpoints[line.ID] = endpoint
 	}
 	if line.StartedAt > 0 && line.StartedAt != endpoint.StartedAt {
-		// Back from a restart: cold, empty, and no longer judged by what it was before. Earlier than the last, where the clock
-		// that tells it was set back.
-		endpoint.slowStartFrom, endpoint.slowStartToldAt, endpoint.successes, endpoint.failures, endpoint.lastResponseAt = line.StartedAt, now, 0, 0, now
-		endpoint.ejected, endpoint.probing, endpoint.wasUnreachable = false, false, false
+		// Earlier than the last, where the clock that tells it was set back.
+		endpoint.restarted(now, line.StartedAt)
 	}
-	endpoint.Endpoint, endpoint.listed, endpoint.hashWeight = line, line.Phase != "gone", max(line.Capacity, minCapacity)
-	if get(r.settings, "units", "off") == "live" {
+	endpoint.Endpoint = line
+	endpoint.listed = line.Phase != phaseGone
+	endpoint.hashWeight = max(line.Capacity, minCapacity)
+	if r.settings.liveWeights {
 		endpoint.hashWeight = 1 // a weight that follows the load would move objects from home to home
 	}
 }
 
-// roleOf is the role that a member has by its line.
+// restarted notes that an endpoint has started: it is cold, empty, and no longer judged by what it was before.
+func (endpoint *endpointState) restarted(now, startedAt int64) {
+	endpoint.slowStartFrom, endpoint.slowStartToldAt = startedAt, now
+	endpoint.successes, endpoint.failures, endpoint.lastResponseAt = 0, 0, now
+	endpoint.ejected, endpoint.probing, endpoint.wasUnreachable = false, false, false
+}
+
+// roleOf is the role that an endpoint has by its line.
 func (r *Router) roleOf(endpoint *endpointState) role {
-	kind := func(name string) string {
-		return at(r.settings, "kinds", int(get(r.settings, name, int64(-1))), "none")
-	}
 	// Rule 3: whoever drains or is gone gets nothing new from now on, and is no source.
 	switch {
-	case !endpoint.listed || endpoint.Phase != "ready":
+	case !endpoint.listed || endpoint.Phase != phaseReady:
 		return noRole
-	case endpoint.Kind == kind("kind.origin"):
+	case endpoint.Kind == r.settings.originKind:
 		return originRole
-	case endpoint.Kind == kind("kind.parent"):
+	case endpoint.Kind == r.settings.parentKind:
 		return parentRole
-	case endpoint.Location == r.location:
+	case endpoint.Location == r.settings.location:
 		return cacheRole
 	}
 	return noRole
 }
 
-// assignAll gives every member its role.
+// assignAll gives every endpoint its role.
 func (r *Router) assignAll() {
 	r.cacheTier.clear()
 	r.parentTier.clear()
 	r.origins.endpoints, r.delisted = nil, nil
-	r.cachesWithinObjective = countsByKind{}
+	r.inFlight.caches = countsByKind{}
 	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
 		endpoint := r.endpoints[id]
 		endpoint.role, endpoint.isDelisted = noRole, false
@@ -114,13 +151,13 @@
 	}
 }
 
-// assign gives a member the role that it has by its line.
+// assign gives an endpoint the role that it has by its line.
 func (r *Router) assign(endpoint *endpointState) {
 	if old, now := endpoint.role, r.roleOf(endpoint); old != now {
 		r.leaveRole(endpoint, old)
 		endpoint.role = now
 		if now == cacheRole {
-			r.addWithinObjective(endpoint, 1)
+			r.inFlight.addCache(endpoint, 1)
 		}
 	}
 	switch endpoint.role {
@@ -137,12 +174,12 @@
 	}
 }
 
-// leave ends a member's role.
+// leaveRole ends an endpoint's role.
 func (r *Router) leaveRole(endpoint *endpointState, old role) {
 	switch old {
 	case cacheRole:
 		r.cacheTier.remove(endpoint)
-		r.addWithinObjective(endpoint, -1)
+		r.inFlight.addCache(endpoint, -1)
 	case parentRole:
 		r.parentTier.remove(endpoint)
 	case originRole:
@@ -150,14 +187,7 @@
 	}
 }
 
-// addInTime adds what is in hand at a cache to the numbers of all caches, or takes it off.
-func (r *Router) addWithinObjective(endpoint *endpointState, sign int) {
-	for kind, n := range endpoint.withinObjective {
-		r.cachesWithinObjective[kind] += sign * n
-	}
-}
-
-// forgetGone forgets members that are no longer listed once nothing is out there: new ones come under new IDs
+// forgetDelisted forgets endpoints that are no longer listed once nothing is in flight there: new ones come under new IDs
 // without end.
 func (r *Router) forgetDelisted() {
 	r.delisted = slices.DeleteFunc(r.delisted, func(endpoint *endpointState) bool {
@@ -169,8 +199,7 @@
 			return false
 		}
 		delete(r.endpoints, endpoint.ID)
-		r.scored.remove(endpoint)
-		r.watched.remove(endpoint)
+		r.outliers.forget(endpoint)
 		return true
 	})
 }
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -12,8 +12,10 @@
 		"advice.most": second, "drain.grace": second, "purge.grace": second, "purge.takes": 6 * second,
 		"cold.share": 0.2, "cold.span": 10 * second, "cold.factor": 2., "cold.window": 2 * second,
 		"parent.coldShare": 0.1, "parent.coldSpan": 20 * second, "parent.coldFactor": 2.,
-		"product.names": []string{"harmless", "stamped", "once"}, "product.effect": []string{"harmless", "stamped",
-			"one-shot"}, "product.scope": []string{"all", "cell", "all"}, "product.window": []int64{0, second, 0},
+		"product.names": []string{"harmless", "stamped", "once"}, "product.effect": []string{
+			"harmless", "stamped",
+			"one-shot",
+		}, "product.scope": []string{"all", "cell", "all"}, "product.window": []int64{0, second, 0},
 		"product.due": []int64{second / 2, second / 2, second / 2}, "product.payoff": []float64{2, 1, 1},
 		"product.hardStop": []int64{5 * second, 5 * second, 5 * second},
 		"product.fresh":    []int64{8 * second, 0, 0},
--- a/control/plain_test.go
+++ b/control/plain_test.go
@@ -35,7 +35,7 @@
 // plainInHand is what is out at some caches and may be in time, in all and by kind, and their size.
 func plainInHand(r *Router, now int64, members []*endpointState) (out float64, kinds [3]float64, units float64) {
 	for _, endpoint := range members {
-		if r.capacitiesConfigured() {
+		if r.settings.capacitiesTold {
 			units += endpoint.Capacity
 		} else {
 			units += r.measuredCapacity(now)
@@ -62,7 +62,10 @@
 
 // plainSigns is the evidence on a member.
 func plainSigns(r *Router, now int64, endpoint *endpointState) (silent, good, bad float64) {
-	answer, longest := r.largest(func(class *classState) float64 { return class.responseTime }), 0.
+	answer, longest := 0.01, 0.
+	for _, class := range r.classes {
+		answer = max(answer, class.responseTime)
+	}
 	for _, attempt := range endpoint.inFlight {
 		if attempt.cache == endpoint || attempt.kind > hits {
 			waited := float64(now-max(attempt.sentAt, endpoint.lastResponseAt)) / 1e9 / answer
@@ -78,7 +81,7 @@
 // plainPeerSigns sums up the evidence on all peers of a member.
 func plainPeerSigns(r *Router, now int64, endpoint *endpointState) (silent, good, bad float64) {
 	peers := r.caches
-	if endpoint.Location != r.location {
+	if endpoint.Location != r.settings.location {
 		peers = r.parents
 	}
 	for _, peer := range peers {
@@ -100,7 +103,7 @@
 			origin = cmp.Or(origin, endpoint)
 		case endpoint.Kind == "parent":
 			parents = append(parents, endpoint)
-		case endpoint.Location == r.location:
+		case endpoint.Location == r.settings.location:
 			caches = append(caches, endpoint)
 		}
 	}
@@ -113,14 +116,14 @@
 	if request.isUncacheable() {
 		spread = len(ranked)
 	} else if n := float64(len(ranked)); n > 1 && request.record.requestCount >= minHotRequests {
-		hot := r.requestRate(now, request.record.requestCount, request.record.countedAt) * n / (hotShare * r.requestRate(now, r.requestCount, r.requestCountAt))
+		hot := r.rates.ofObject(now, request.record) * n / (hotShare * r.rates.ofAll(now))
 		spread = max(1, min(1+int(hot), 3, len(ranked)))
 	}
 	loads := plainLoads(r, now)
 	slices.SortStableFunc(ranked[:min(spread, len(ranked))], func(a, b *endpointState) int { return cmp.Compare(loads[a], loads[b]) })
 	request.diverted = false
 	if cache = plainPick(r, now, request, ranked); cache != nil && request.record.likelyHeldUntil > now && !r.admits(now, request, cache) {
-		roomy := slices.DeleteFunc(ranked, func(endpoint *endpointState) bool { return loads[endpoint] >= r.admissionLimits[0]/2 })
+		roomy := slices.DeleteFunc(ranked, func(endpoint *endpointState) bool { return loads[endpoint] >= r.admission.limits[0]/2 })
 		if other := plainPick(r, now, request, roomy); other != nil {
 			cache, request.diverted = other, true
 		}
@@ -130,7 +133,7 @@
 	case r.origin == nil:
 	case request.isUncacheable():
 		sources = append([]*endpointState{r.origin}, sources...)
-	case request.sourceRefused() && r.originUnlimited():
+	case request.sourceRefused() && r.settings.originUnlimited:
 		sources = []*endpointState{r.origin}
 	default:
 		sources = append(sources, r.origin)
@@ -188,7 +191,7 @@
 	check("parents", slices.Equal(r.parents, parents), true)
 	check("origin", r.origin, origin)
 	out, kinds, units := plainInHand(r, now, caches)
-	inTime := r.inFlightWithinObjective(now)
+	inTime := r.inFlight.withinObjective(now, r.endpoints)
 	check("in time", float64(inTime.sum()), out)
 	for kind := range kinds {
 		check(fmt.Sprint("in time of kind ", kind), float64(inTime[kind]), kinds[kind])
@@ -200,9 +203,9 @@
 	some := slices.Sorted(maps.Keys(r.endpoints))
 	for i := range min(4, len(some)) {
 		endpoint := r.endpoints[some[(int(now)+i)%len(some)]]
-		silent, good, bad := r.peerEvidence(now, endpoint)
+		kept := r.peerEvidence(now, endpoint)
 		plainSilent, plainGood, plainBad := plainPeerSigns(r, now, endpoint)
-		check(fmt.Sprint("evidence on the peers of ", endpoint.ID), [3]float64{silent, good, bad}, [3]float64{plainSilent, plainGood, plainBad})
+		check(fmt.Sprint("evidence on the peers of ", endpoint.ID), [3]float64{kept.silent, kept.good, kept.bad}, [3]float64{plainSilent, plainGood, plainBad})
 	}
 	return found
 }
@@ -215,7 +218,7 @@
 	}
 	allSilent, allGood, allBad := plainPeerSigns(r, now, endpoint)
 	silent -= allSilent / float64(max(1, len(r.caches)-1))
-	return silent >= silenceThreshold || bad >= failureThreshold && bad/(good+bad)-allBad/max(allGood+allBad, 1) >= failureShareThreshold
+	return silent >= silenceThreshold || bad >= failureThreshold && bad/(good+bad)-allBad/max(allGood+allBad, 1) >= failureShare
 }
 
 // overlooked gives the members that the plain periodic check would find suspect, or probe, and that it passes over
@@ -223,7 +226,7 @@
 func overlooked(r *Router, now int64) (found []uint32) {
 	all := r.cacheEvidence(now)
 	for _, endpoint := range r.caches {
-		_, watched := r.watched.search(endpoint)
+		_, watched := r.outliers.watched.search(endpoint)
 		checked := watched && endpoint.mayBeEjected(now) && r.mayBeOutlier(now, endpoint, all)
 		if !watched && endpoint.ejected || !checked && plainlySuspect(r, now, endpoint) {
 			found = append(found, endpoint.ID)
@@ -246,7 +249,7 @@
 				continue
 			}
 			ret := p.retrieval[p.rng.IntN(len(p.retrieval))]
-			p.router.markLate(p.now) // else the counts restored would be those of before
+			p.router.inFlight.markLate(p.now, p.router.endpoints) // else the counts restored would be those of before
 			before := stateOf(p.router)
 			wantCache, wantSource := plainPlace(p.router, p.now, ret)
 			wantAway, want := ret.diverted, stateOf(p.router)
@@ -318,7 +321,7 @@
 		r.UpdateEndpoints(start, lines, true)
 		for _, endpoint := range r.caches {
 			for range p.rng.IntN(4) * p.rng.IntN(2) {
-				r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, kind: p.rng.IntN(3), lateAt: start + p.rng.Int64N(second)})
+				r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, kind: attemptKind(p.rng.IntN(3)), lateAt: start + p.rng.Int64N(second)})
 			}
 		}
 		now := start + p.rng.Int64N(second)
--- a/control/purges.go
+++ b/control/purges.go
@@ -1,5 +1,7 @@
 package control
 
+import "fmt"
+
 // Rule 5: after a purge and its grace nothing is served from an older copy, whichever way a clock is off.
 //
 // A purge comes with its stamp, by the journal service's clock; a copy comes with the time of its issue, by the origin's. Cache
@@ -35,22 +37,70 @@
 	return trusted && purge.stamp > 0 && purge.stamp <= purge.told
 }
 
-// purgesOf are the told purges of a retrieval's object and of its group, nil where there is none.
-func (r *Router) purgesOf(request *Request) (of [2]*purgeState) {
-	if len(r.purges) > 0 {
-		of = [2]*purgeState{r.purges["o"+request.Object], r.purges[groupName(request.Group)]}
+// purgeLog is the told purges that still matter, and what is known of our axis beside others' clocks.
+type purgeLog struct {
+	last           map[string]*purgeState // by object, and by group under its number
+	clockAhead     bool                   // an entry from before a purge came: our axis is ahead of others' clocks
+	maxClockLead   int64                  // ns; by how much it can be ahead at most, by the youngest entry that came
+	clockLeadKnown bool
+}
+
+func newPurgeLog() purgeLog { return purgeLog{last: map[string]*purgeState{}} }
+
+// purgeName is under what a purge is kept.
+func purgeName(object string, group int64) string {
+	if object == "" {
+		return groupName(group)
+	}
+	return "o" + object
+}
+
+func groupName(group int64) string { return fmt.Sprint("g", group) }
+
+// told notes a purge under its name.
+func (l *purgeLog) told(now int64, name string, stamp int64) {
+	l.last[name] = l.last[name].with(now, stamp)
+}
+
+// forgetDone drops what took place so long ago that all caches and parents have dropped older entries by themselves.
+func (l *purgeLog) forgetDone(now, duration int64) {
+	for name, purge := range l.last {
+		if now > purge.told+duration+second/2 {
+			delete(l.last, name)
+		}
+	}
+}
+
+// of gives the told purges of a request's object and of its group, nil where there is none.
+func (l *purgeLog) of(request *Request) (found [2]*purgeState) {
+	if len(l.last) > 0 {
+		found = [2]*purgeState{l.last["o"+request.Object], l.last[groupName(request.Group)]}
+	}
+	return found
+}
+
+// observeIssue notes when an entry was issued, Unix ns by the origin's clock.
+func (l *purgeLog) observeIssue(now, issued int64) {
+	if ahead := max(0, now-issued); !l.clockLeadKnown || ahead < l.maxClockLead {
+		l.maxClockLead, l.clockLeadKnown = ahead, true
 	}
-	return of
+}
+
+// Purge tells of a purge of one object with all its parts or, with no object, of a group. Its stamp is Unix ns by the clock of the
+// journal service.
+func (r *Router) Purge(now int64, object string, group, stamp int64) {
+	r.purges.told(now, purgeName(object, group), stamp)
+	r.rates.countPurge(now, object, group)
 }
 
 // youngEnough lowers an accepted age to what the told purges leave at the sending. It is never 0, which means the fresh time.
 func (r *Router) limitAgeByPurges(now int64, request *Request, age int64) int64 {
-	for _, purge := range r.purgesOf(request) {
+	for _, purge := range r.purges.of(request) {
 		if purge == nil {
 			continue
 		}
 		since := purge.told
-		if purge.byStamp(!r.clockAhead) {
+		if purge.byStamp(!r.purges.clockAhead) {
 			since = purge.stamp
 		}
 		if limit := max(now-since-purgeMargin, 1000); age == 0 || limit < age {
@@ -66,8 +116,8 @@
 	if request.isUncacheable() {
 		return 0 // no copy
 	}
-	for _, purge := range r.purgesOf(request) {
-		if purge != nil && purge.byStamp(!r.clockAhead) {
+	for _, purge := range r.purges.of(request) {
+		if purge != nil && purge.byStamp(!r.purges.clockAhead) {
 			from = max(from, purge.stamp)
 		}
 	}
@@ -80,17 +130,15 @@
 	if issued <= 0 || number < 0 || number >= len(request.attempts) {
 		return true
 	}
-	if ahead := max(0, now-issued); !r.clockLeadKnown || ahead < r.maxClockLead {
-		r.maxClockLead, r.clockLeadKnown = ahead, true
-	}
+	r.purges.observeIssue(now, issued)
 	return issued >= request.attempts[number].minIssuedAt
 }
 
 // distrust notes that a cache has sent an older copy than a purge's stamp allows, within the age that was asked for: our axis is
 // ahead of the others' clocks. From then on purges count from when they are told.
 func (r *Router) distrustStamps() {
-	if !r.clockAhead {
-		r.clockAhead = true
+	if !r.purges.clockAhead {
+		r.purges.clockAhead = true
 		r.log("a copy from before a purge came: this clock is ahead of others, purges count from when they are told")
 	}
 }
@@ -99,5 +147,5 @@
 // warm too soon (rule 4). No copy can come before its issue, so the youngest that ever came shows how far ahead the axis can
 // be at most; and nobody started after it was told that it had.
 func (r *Router) slowStartSince(endpoint *endpointState) int64 {
-	return min(endpoint.slowStartFrom, endpoint.slowStartToldAt-r.maxClockLead) + r.maxClockLead
+	return min(endpoint.slowStartFrom, endpoint.slowStartToldAt-r.purges.maxClockLead) + r.purges.maxClockLead
 }
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -166,7 +166,7 @@
 		kept  bool
 	}{{6 * second, true}, {7 * second, false}} {
 		r.Tick(told + c.after)
-		if (r.purges["oa"] != nil) != c.kept {
+		if (r.purges.last["oa"] != nil) != c.kept {
 			t.Errorf("after %v: kept is %v", c.after, !c.kept)
 		}
 	}
@@ -284,8 +284,10 @@
 
 // A memory is moved onto the axis of the process that takes it over; purges keep the stamps of who told them.
 func TestMovedMemory(t *testing.T) {
-	m := Snapshot{StartedAt: 1, TakenAt: 20, RequestCountAt: 3, Objects: []ObjectSnapshot{{Object: "a", CountedAt: 4, FirstSeenAt: 5}},
-		Purges: []PurgeSnapshot{{"oa", 6}}}
+	m := Snapshot{
+		StartedAt: 1, TakenAt: 20, RequestCountAt: 3, Objects: []ObjectSnapshot{{Object: "a", CountedAt: 4, FirstSeenAt: 5}},
+		Purges: []PurgeSnapshot{{"oa", 6}},
+	}
 	moved := m.Shifted(100)
 	if moved.StartedAt != 101 || moved.TakenAt != 120 || moved.RequestCountAt != 103 || moved.Objects[0].CountedAt != 104 ||
 		moved.Objects[0].FirstSeenAt != 105 || moved.Purges[0].PurgedAt != 6 || m.Objects[0].CountedAt != 4 {
@@ -296,11 +298,13 @@
 // What a file holds that no process has written so: rates are never of the future, where they grew without bound.
 func TestRecallOfTheFuture(t *testing.T) {
 	r := newRouter(t, nil)
-	r.Restore(start, Snapshot{StartedAt: start + year, TakenAt: start, RequestCount: 5, RequestCountAt: start + year,
-		Objects: []ObjectSnapshot{{Object: "a", Count: 3, CountedAt: start + year, FirstSeenAt: start + year}}}, true)
-	record := r.objects[objectKey{"a", 0}]
-	if rate := r.requestRate(start, record.requestCount, record.countedAt); math.IsInf(rate, 0) || rate > 3 || r.startedAt > start || record.firstSeenAt > start {
-		t.Errorf("rate %v, started %v, born %v", rate, r.startedAt, record.firstSeenAt)
+	r.Restore(start, Snapshot{
+		StartedAt: start + year, TakenAt: start, RequestCount: 5, RequestCountAt: start + year,
+		Objects: []ObjectSnapshot{{Object: "a", Count: 3, CountedAt: start + year, FirstSeenAt: start + year}},
+	}, true)
+	record := r.rates.objects[objectKey{"a", 0}]
+	if rate := r.rates.ofObject(start, record); math.IsInf(rate, 0) || rate > 3 || r.rates.startedAt > start || record.firstSeenAt > start {
+		t.Errorf("rate %v, started %v, born %v", rate, r.rates.startedAt, record.firstSeenAt)
 	}
 	if decision := r.Decide(start, ask("harmless", "a")); decision.Verdict != Send {
 		t.Errorf("%+v", decision)
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -11,10 +11,12 @@
 const (
 	// firstBatch is how many candidates are selected at first, and batchGrowth how many times more with each
 	// further batch. Mostly the first candidate is taken.
-	firstBatch  = 4
-	hotSpread   = 3 // most caches that a hot object goes to; less than the first batch
-	batchGrowth = 8
-	maxBatch    = 256 // a larger batch would take longer than sorting all that is left
+	firstBatch     = 4
+	hotShare       = 0.1 // of this router's requests per cache, from which an object is hot
+	minHotRequests = 3.  // and so many requests in the window: a router that just started finds all hot
+	hotSpread      = 3   // most caches that a hot object goes to; less than the first batch
+	batchGrowth    = 8
+	maxBatch       = 256 // a larger batch would take longer than sorting all that is left
 
 	// roundingMargin covers the rounding of a score where a bound of it stands in for it.
 	roundingMargin = 1 + 1e-12
@@ -252,13 +254,15 @@
 // cacheCandidates are the caches in the order in which they may serve a retrieval.
 func (r *Router) cacheCandidates(now int64, request *Request) *candidates {
 	c := &r.cacheOrder
-	*c = candidates{tier: &r.cacheTier, hash: r.objectHash(request.record.key), loads: r.loadScale(now), spread: 1,
-		batch: c.batch}
+	*c = candidates{
+		tier: &r.cacheTier, hash: r.objectHash(request.record.key), loads: r.loadScale(now), spread: 1,
+		batch: c.batch,
+	}
 	if request.isUncacheable() {
 		c.byLoad = true // it has no home
 	} else if n := float64(len(r.caches)); n > 1 && request.record.requestCount >= minHotRequests {
 		// A hot object goes to two or three caches, the least busy of them.
-		hot := r.requestRate(now, request.record.requestCount, request.record.countedAt) * n / (hotShare * r.requestRate(now, r.requestCount, r.requestCountAt))
+		hot := r.rates.ofObject(now, request.record) * n / (hotShare * r.rates.ofAll(now))
 		c.spread = max(1, min(1+int(hot), hotSpread, len(r.caches)))
 	}
 	c.rewind()
@@ -274,7 +278,7 @@
 	switch {
 	case request.isUncacheable():
 		c.first = r.origin
-	case r.origin != nil && request.sourceRefused() && r.originUnlimited():
+	case r.origin != nil && request.sourceRefused() && r.settings.originUnlimited:
 		c.tier, c.last = &tier{}, r.origin
 	default:
 		c.last = r.origin
--- a/control/remaining_test.go
+++ b/control/remaining_test.go
@@ -84,7 +84,7 @@
 			r := newRouter(t, nil)
 			answers(r, "harmless", 20, 10) // an attempt may come back
 			answers(r, "harmless", 200, 150)
-			before := r.admissionLimits
+			before := r.admission.limits
 			for n := range 100 {
 				ret := ask("harmless", fmt.Sprint("short", n))
 				ret.Deadline = start + c.left*second/1000
@@ -100,8 +100,8 @@
 			if counts != c.member {
 				t.Errorf("it counts against members: %v", counts)
 			}
-			if took := r.admissionLimits != before; took != c.room {
-				t.Errorf("rooms %v, before %v", r.admissionLimits, before)
+			if took := r.admission.limits != before; took != c.room {
+				t.Errorf("rooms %v, before %v", r.admission.limits, before)
 			}
 		})
 	}
--- a/control/size_test.go
+++ b/control/size_test.go
@@ -118,7 +118,7 @@
 				endpoint := r.endpoints[3]
 				r.slowStartAdmits(start, endpoint, mean)
 				for now := start + from + int64(n)*second/20/int64(routers); now < start+16*second; now += second / 20 {
-					r.carried[1].work, r.carried[1].lastAt = measured*float64(rateWindow)/1e9, now
+					r.capacity.byParents.work, r.capacity.byParents.lastAt = measured*float64(rateWindow)/1e9, now
 					if r.slowStartAdmits(now, endpoint, mean) {
 						all = append(all, sending{now})
 						endpoint.charge(now, mean)
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -39,19 +39,16 @@
 // slowStartTerms is what the settings say of the slow start of one member.
 type slowStartTerms struct {
 	share, multiple float64 // of the capacity at the start; of the capacity that it bears
-	span, window    int64
-	routers         int // that share the member
+	span, window    int64   // ns; until it is warm; that the rule counts over
+	routers         int     // that share the endpoint
 }
 
-// slowStartTerms reads the terms for a cache or a parent.
+// slowStartTerms are those of a cache or a parent.
 func (r *Router) slowStartTerms(endpoint *endpointState) slowStartTerms {
-	terms := slowStartTerms{share: get(r.settings, "cold.share", 1.), multiple: get(r.settings, "cold.factor", 1.),
-		span: get(r.settings, "cold.span", int64(0)), window: get(r.settings, "cold.window", second), routers: int(r.sharers(endpoint))}
-	if endpoint.Location != r.location {
-		terms.share, terms.span = get(r.settings, "parent.coldShare", 1.), get(r.settings, "parent.coldSpan", int64(0))
-		terms.multiple = get(r.settings, "parent.coldFactor", terms.multiple)
+	if endpoint.Location == r.settings.location {
+		return r.settings.cacheSlowStart
 	}
-	return terms
+	return r.settings.parentSlowStart
 }
 
 // bears is the work, in seconds of sending time, that a member of such a warm capacity bears within the window,
@@ -176,9 +173,11 @@
 	if work <= whole {
 		return endpoint.slowStart.work()+work <= whole
 	}
-	tokens := tokenTerms{limit: mean * overloadLimit(n), trials: float64(incarnations * terms.routers),
-		starts: float64(len(r.endpoints))}
-	if r.leastWork() <= whole {
+	tokens := tokenTerms{
+		limit: mean * overloadLimit(n), trials: float64(incarnations * terms.routers),
+		starts: float64(len(r.endpoints)),
+	}
+	if r.leastSendingTime() <= whole {
 		tokens.limit -= whole * float64(terms.routers) // whole shares may be spent beside the tokens
 	}
 	rate := tokens.rate(work, r.meanWork(now, whole))
@@ -214,8 +213,8 @@
 	return work / requests
 }
 
-// leastWork is the mean sending time of the lightest class.
-func (r *Router) leastWork() float64 {
+// leastSendingTime is the mean sending time of the lightest class, s.
+func (r *Router) leastSendingTime() float64 {
 	least := math.Inf(1)
 	for _, class := range r.classes {
 		least = min(least, class.sendingTime)
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -254,7 +254,7 @@
 		r.UpdateEndpoints(start, fleet[1:2], false)
 		r.endpoints[1].slowStartFrom, r.endpoints[2].slowStartFrom = start, start
 		r.endpoints[1].ejected, r.endpoints[1].nextProbeAt = true, forever
-		r.retryTokens = 3
+		r.retries.tokens = 3
 		if decision := r.Decide(start+second, ret); decision.Verdict != Send || decision.Attempt.Cache != 2 || ret.inFlight != 2 {
 			t.Fatalf("no second attempt beside the first: %+v", decision)
 		}
@@ -276,7 +276,7 @@
 		endpoint := r.endpoints[1]
 		for n := range 20 { // until nothing is left for probes either
 			endpoint.ejected, endpoint.probing, endpoint.nextProbeAt = true, false, start
-			r.watched.add(endpoint) // as check has it
+			r.outliers.watched.add(endpoint) // as check has it
 			endpoint.lastResponseAt = start
 			probe, _ := r.Tick(start)
 			if want := n < 4; slices.Contains(probe, 1) != want { // (8 + 3·√8 + 3) / 2 incarnations / 2 routers
--- a/control/memory.go
+++ b/control/snapshot.go
@@ -57,19 +57,21 @@
 
 // Snapshot gives what was learned, with so many objects at most.
 func (r *Router) Snapshot(now int64, most int) Snapshot {
-	m := Snapshot{StartedAt: r.startedAt, TakenAt: now, RequestCount: r.requestCount, RequestCountAt: r.requestCountAt, AdmissionLimits: r.admissionLimits}
+	m := Snapshot{StartedAt: r.rates.startedAt, TakenAt: now, RequestCount: r.rates.requestCount, RequestCountAt: r.rates.requestCountAt, AdmissionLimits: r.admission.limits}
 	for _, name := range slices.Sorted(maps.Keys(r.classByName)) {
 		class := r.classByName[name]
 		m.Classes = append(m.Classes, ClassSnapshot{name, class.sendingTime, class.responseTime, class.samples})
 	}
-	for _, name := range slices.Sorted(maps.Keys(r.purges)) {
-		m.Purges = append(m.Purges, PurgeSnapshot{name, r.purges[name].stamp})
+	for _, name := range slices.Sorted(maps.Keys(r.purges.last)) {
+		m.Purges = append(m.Purges, PurgeSnapshot{name, r.purges.last[name].stamp})
 	}
-	for _, of := range []*list.List{r.recentObjects, r.evictedObjects} {
+	for _, of := range []*list.List{r.rates.recentObjects, r.rates.evictedObjects} {
 		for at := of.Front(); at != nil && len(m.Objects) < most; at = at.Next() {
 			record := at.Value.(*objectRecord)
-			m.Objects = append(m.Objects, ObjectSnapshot{Object: record.key.object, Part: record.key.part, Group: record.group, Count: record.requestCount,
-				Purges: record.purgeCount, CountedAt: record.countedAt, FirstSeenAt: record.firstSeenAt, Evicted: record.evicted})
+			m.Objects = append(m.Objects, ObjectSnapshot{
+				Object: record.key.object, Part: record.key.part, Group: record.group, Count: record.requestCount,
+				Purges: record.purgeCount, CountedAt: record.countedAt, FirstSeenAt: record.firstSeenAt, Evicted: record.evicted,
+			})
 		}
 	}
 	slices.Reverse(m.Objects)
@@ -86,17 +88,17 @@
 		}
 	}
 	for _, p := range m.Purges {
-		r.purges[p.Name] = r.purges[p.Name].with(now, p.PurgedAt)
+		r.purges.last[p.Name] = r.purges.last[p.Name].with(now, p.PurgedAt)
 	}
 	if rates {
-		r.startedAt, r.requestCount, r.requestCountAt = min(m.StartedAt+gone, now), m.RequestCount, min(m.RequestCountAt+gone, now)
+		r.rates.startedAt, r.rates.requestCount, r.rates.requestCountAt = min(m.StartedAt+gone, now), m.RequestCount, min(m.RequestCountAt+gone, now)
 		for i, room := range m.AdmissionLimits {
-			r.admissionLimits[i] = max(minAdmissionLimit, min(cmp.Or(room, initialAdmissionLimits[i]), maxAdmissionLimit))
+			r.admission.limits[i] = max(minAdmissionLimit, min(cmp.Or(room, initialAdmissionLimits[i]), maxAdmissionLimit))
 		}
 	}
 	for _, o := range m.Objects {
 		key := objectKey{o.Object, o.Part}
-		if r.objects[key] != nil || len(r.objects) >= 2*maxObjects {
+		if r.rates.objects[key] != nil || len(r.rates.objects) >= 2*maxObjects {
 			continue
 		}
 		record := &objectRecord{key: key, group: o.Group, firstSeenAt: min(o.FirstSeenAt, now), purgeCount: o.Purges, countedAt: now, evicted: o.Evicted}
@@ -104,10 +106,10 @@
 			record.requestCount, record.countedAt = o.Count, min(o.CountedAt+gone, now)
 		}
 		if record.evicted {
-			record.element = r.evictedObjects.PushFront(record)
+			record.element = r.rates.evictedObjects.PushFront(record)
 		} else {
-			record.element = r.recentObjects.PushFront(record)
+			record.element = r.rates.recentObjects.PushFront(record)
 		}
-		r.objects[key] = record
+		r.rates.objects[key] = record
 	}
 }
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -35,8 +35,10 @@
 		lines = append(lines, Endpoint{ID: uint32(1 + n), Location: "here", Kind: "cache", Cell: int64(n), Phase: "ready", Capacity: 5})
 	}
 	for n := range 3 * hubs {
-		lines = append(lines, Endpoint{ID: uint32(20 + n), Location: fmt.Sprint("hub-", n%hubs), Kind: "parent", Cell: 9,
-			Phase: "ready", Capacity: 20})
+		lines = append(lines, Endpoint{
+			ID: uint32(20 + n), Location: fmt.Sprint("hub-", n%hubs), Kind: "parent", Cell: 9,
+			Phase: "ready", Capacity: 20,
+		})
 	}
 	return append(lines, Endpoint{ID: originID, Location: "hub-0", Kind: "origin", Cell: 10, Phase: "ready", Capacity: 20})
 }
