--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -126,6 +126,31 @@
 	}
 }
 
+// BenchmarkDecisionRecovering is an ordinary request while all caches are in slow start, shared by 300 routers.
+func BenchmarkDecisionRecovering(b *testing.B) {
+	for _, servers := range benchmarkSizes {
+		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
+			r, lines := benchmarkRouter(b, servers, Settings{"routers": int64(300), "location.routers": []int64{0, 300, 2}})
+			now := start + 100*second
+			for i := range lines {
+				lines[i].StartedAt = now
+			}
+			r.UpdateEndpoints(now, lines, true)
+			b.ReportAllocs()
+			for i := range b.N {
+				now += second / 1000
+				asked := &Request{Class: "harmless", Object: fmt.Sprint(i % benchmarkObjects), Group: 1, Deadline: now + 5*second}
+				switch d := r.Decide(now, asked); d.Verdict {
+				case Send:
+					r.AttemptEnded(now, asked, Outcome{Result: Succeeded, Elapsed: second / 20, Note: 1, RequestEnded: true})
+				case Wait:
+					r.ClientGone(now, asked)
+				}
+			}
+		})
+	}
+}
+
 // BenchmarkListEvent is one line of the list that changes: a cache drains, and is ready again with the next.
 func BenchmarkListEvent(b *testing.B) {
 	for _, servers := range benchmarkSizes {
--- a/control/control.go
+++ b/control/control.go
@@ -63,6 +63,7 @@
 	outliers  outlierDetector
 
 	cacheOrder, sourceOrder candidates // of the decision at hand
+	postponedUntil          int64      // the last time until which an endpoint that recovers is not asked for a token
 	keyBytes                []byte     // buffer of objectHash
 }
 
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -106,6 +106,12 @@
 	first     *endpointState // yielded before all of the tier; nil is none
 	last      *endpointState // yielded after all of the tier; nil is none
 
+	// While hundreds of endpoints recover, those that are known to bear no such work now are left out behind the first batch:
+	// whoever asks would pass over them.
+	leavesOut bool // those that are postponed
+	now       int64
+	work      float64
+
 	batch                 []candidate // in order
 	position              int         // of the next one in the batch
 	batchSize             int         // of the next batch
@@ -182,6 +188,9 @@
 // sortRest fills the batch with all that come after a candidate.
 func (c *candidates) sortRest(after candidate) {
 	for index, key := range c.tier.keys {
+		if c.isLeftOut(index) {
+			continue
+		}
 		x := candidate{score: score(uniform(c.hash, key.id), key.weight), index: index}
 		if c.byLoad {
 			x.load = c.loads.of(c.tier.endpoints[index])
@@ -193,12 +202,26 @@
 	slices.SortFunc(c.batch, candidate.compare)
 }
 
+// isLeftOut tells whether an endpoint is left out behind the first batch.
+func (c *candidates) isLeftOut(index int) bool {
+	if !c.leavesOut || c.batchSize == firstBatch {
+		return false
+	}
+	endpoint := c.tier.endpoints[index]
+	return endpoint.slowStart.isPostponed(c.now, endpoint.slowStartFrom, c.work)
+}
+
+// leaveOutPostponed has endpoints left out that bear no such work now, if there can be any.
+func (c *candidates) leaveOutPostponed(now int64, work float64, until int64) {
+	c.leavesOut, c.now, c.work = now < until, now, work
+}
+
 // scanByScore fills the batch with the least by score that come after a candidate.
 func (c *candidates) scanByScore(after candidate) {
 	worst := math.Inf(1)
 	for index, key := range c.tier.keys {
 		u := uniform(c.hash, key.id)
-		if mustExceed(u, key.weight, worst) {
+		if mustExceed(u, key.weight, worst) || c.isLeftOut(index) {
 			continue
 		}
 		worst = c.add(candidate{score: score(u, key.weight), index: index}, after).score
@@ -213,7 +236,7 @@
 	for index, key := range c.tier.keys {
 		u := uniform(c.hash, key.id)
 		exceeds := mustExceed(u, key.weight, worst.score)
-		if exceeds && worst.load <= c.loads.least {
+		if exceeds && worst.load <= c.loads.least || c.isLeftOut(index) {
 			continue // whatever its load is
 		}
 		endpoint := c.tier.endpoints[index]
@@ -265,6 +288,7 @@
 		hot := r.rates.ofObject(now, request.record) * n / (hotShare * r.rates.ofAll(now))
 		c.spread = max(1, min(1+int(hot), hotSpread, len(r.caches)))
 	}
+	c.leaveOutPostponed(now, request.class.sendingTime, r.postponedUntil)
 	c.rewind()
 	return c
 }
@@ -272,7 +296,7 @@
 // sourceCandidates are the parents, and last the origin, in the order in which they may fill an object. What is never kept
 // gains nothing from a parent: it goes straight to the origin, and to parents only once that has turned it away. The parent
 // of its hash may lie in any hub, and the way to it and on to the origin cost a class of short deadlines all of its time.
-func (r *Router) sourceCandidates(request *Request) *candidates {
+func (r *Router) sourceCandidates(now int64, request *Request) *candidates {
 	c := &r.sourceOrder
 	*c = candidates{tier: &r.parentTier, hash: r.objectHash(request.record.key), batch: c.batch}
 	switch {
@@ -283,6 +307,7 @@
 	default:
 		c.last = r.origin
 	}
+	c.leaveOutPostponed(now, request.class.sendingTime, r.postponedUntil)
 	c.rewind()
 	return c
 }
--- a/control/selection.go
+++ b/control/selection.go
@@ -12,7 +12,7 @@
 			cache, request.diverted = other, true
 		}
 	}
-	return cache, r.firstUsable(now, request, r.sourceCandidates(request))
+	return cache, r.firstUsable(now, request, r.sourceCandidates(now, request))
 }
 
 // firstUsable takes the first endpoint that is eligible, not ejected (or to be probed) and not tried for this request. If there is
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -22,6 +22,8 @@
 	// within one, in units of the inverse mean work.
 	tiltRange = 4.
 	tiltSteps = 24
+	// maxRateGrowth is by how much a rate of tokens may grow before it is worked out again.
+	maxRateGrowth = 2.
 	// askedLeast is the work, in seconds, that each class counts for before it was asked for.
 	minOfferedWork = 1e-3
 )
@@ -66,6 +68,11 @@
 	tokens    float64
 	tokensAt  int64
 	tokensFor int64 // the start of the member that they are for
+
+	// Working out the rate of tokens costs more than all else of a decision, and hundreds of endpoints may recover at once: it
+	// is not done again while there can't be a whole token.
+	retryAt   int64
+	retryWork float64 // the lightest work that waits for retryAt
 }
 
 // charge is work sent to a member, in seconds of sending time.
@@ -119,6 +126,21 @@
 	return budget.tokens >= 1
 }
 
+// postpone notes when a whole token for such work can be there at the earliest, if its rate no more than doubles until then;
+// a window later at the latest it is worked out again. An estimate that is too late lets through less, never more.
+func (budget *slowStartBudget) postpone(now, window int64, rate, work float64) {
+	wait := float64(window)
+	if rate > 0 {
+		wait *= min(1, (1-budget.tokens)/rate/maxRateGrowth)
+	}
+	budget.retryAt, budget.retryWork = now+int64(wait), work
+}
+
+// isPostponed tells whether there is no whole token for such work yet. Heavier work gets fewer tokens.
+func (budget *slowStartBudget) isPostponed(now, startedAt int64, work float64) bool {
+	return now < budget.retryAt && budget.tokensFor == startedAt && work >= budget.retryWork
+}
+
 // tokenTerms is what the rates of tokens follow from.
 type tokenTerms struct {
 	limit  float64 // work within the window above which the member falls
@@ -159,6 +181,9 @@
 	if endpoint == r.origin || endpoint.slowStartFrom == 0 {
 		return true
 	}
+	if endpoint.slowStart.isPostponed(now, endpoint.slowStartFrom, work) {
+		return false
+	}
 	terms := r.slowStartTerms(endpoint)
 	endpoint.slowStart.forget(now - terms.window)
 	startedAt := r.slowStartSince(endpoint)
@@ -181,7 +206,13 @@
 		tokens.limit -= whole * float64(terms.routers) // whole shares may be spent beside the tokens
 	}
 	rate := tokens.rate(work, r.meanWork(now, whole))
-	return endpoint.slowStart.collect(now, endpoint.slowStartFrom, terms.window, rate, func(now int64) float64 { return r.phase(now, endpoint) })
+	budget := &endpoint.slowStart
+	if budget.collect(now, endpoint.slowStartFrom, terms.window, rate, func(now int64) float64 { return r.phase(now, endpoint) }) {
+		return true
+	}
+	budget.postpone(now, terms.window, rate, work)
+	r.postponedUntil = max(r.postponedUntil, budget.retryAt)
+	return false
 }
 
 // phase is a draw from [0, 1) by the router's seed, the member and the time: a router that restarts has another one.
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -286,3 +286,49 @@
 		wants(t, r, 1, 2)
 	})
 }
+
+// Rates that are not worked out again while there can't be a token cost next to nothing of what may be sent: all but a
+// twentieth of what goes out where they are worked out at every request.
+func TestPostponedRatesCostLittle(t *testing.T) {
+	const routers = 350
+	for _, n := range []float64{0.3, 4, 17} {
+		t.Run(fmt.Sprintf("N %.1f", n), func(t *testing.T) {
+			size := n * meanWork / 2 / 0.1 / 2
+			sent := map[bool]int{}
+			for _, postpones := range []bool{true, false} {
+				all := newRecovering(t, routers, size)
+				for now := start; now < start+20*second; now += second / 20 {
+					for _, r := range all.routers {
+						if !postpones {
+							r.endpoints[recoveringID].slowStart.retryAt = 0
+						}
+						all.ask(now, r)
+					}
+				}
+				all.check(t, size)
+				sent[postpones] = len(all.sent)
+			}
+			if sent[true] < sent[false]*19/20 || sent[false] == 0 {
+				t.Errorf("%d requests sent, %d where rates are always worked out", sent[true], sent[false])
+			}
+		})
+	}
+}
+
+// Work waits for a token no longer than heavier work does, and not for the token of an earlier start.
+func TestPostponedWork(t *testing.T) {
+	budget := slowStartBudget{tokensFor: start, tokens: 0.5}
+	budget.postpone(start, 2*second, 0.1, 1)
+	if !budget.isPostponed(start+second, start, 1) || !budget.isPostponed(start+second, start, 2) {
+		t.Error("rates are worked out again though there can't be a token")
+	}
+	if budget.isPostponed(start+second, start, 0.9) {
+		t.Error("lighter work waits for the token of heavier work")
+	}
+	if budget.isPostponed(start+second, start+1, 1) {
+		t.Error("an endpoint that started again waits for what it bore before")
+	}
+	if budget.isPostponed(start+2*second, start, 1) {
+		t.Error("it waits for more than a window")
+	}
+}
