--- a/lab/coldfleet.go
+++ b/lab/coldfleet.go
@@ -20,13 +20,13 @@
 
 	"tealpath/control"
 	"tealpath/internal/timerqueue"
-	"tealpath/plan/links"
+	"tealpath/plan/connpool"
 	"tealpath/plan/startup"
 	"tealpath/router"
 	"tealpath/standin/cache"
 )
 
-// FleetCold is a cold start of whole routers (the module, the reducer, plan/startup, plan/links) in simulated time, with
+// FleetCold is a cold start of whole routers (the module, the reducer, plan/startup, plan/connpool) in simulated time, with
 // caches that bear little, a list service that can be down, and clients that come again. One goroutine, by seed.
 type FleetCold struct {
 	Routers, Caches int
@@ -207,8 +207,8 @@
 	seed := p.Seed*1_000_003 + uint64(x.id) + uint64(x.life)<<40
 	limits := router.Limits{Links: 256, Hands: 1000, Bytes: 1 << 22}
 	if !p.Before {
-		limits.Plan = links.New(links.Config{Self: fmt.Sprint("n", x.id), Seed: seed, Routers: p.Bound, Holds: p.Holds,
-			Opens: p.Opens})
+		limits.Plan = connpool.New(connpool.Config{Router: fmt.Sprint("n", x.id), Seed: seed, Routers: p.Bound, MaxConnections: p.Holds,
+			MaxConnectRate: p.Opens})
 	}
 	var err error
 	if x.r, err = router.New(p.now, seed, p.settings(), limits); err != nil {
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -16,7 +16,7 @@
 	"tealpath/fleet/peer"
 	"tealpath/fleet/probe"
 	"tealpath/plan/compatibility"
-	"tealpath/plan/links"
+	"tealpath/plan/connpool"
 	"tealpath/plan/startup"
 )
 
@@ -26,7 +26,7 @@
 	Fleet  *Fleet   // nil: instances don't talk
 	Idle   *Keeping // nil: connections are kept as the platform states it
 	Start  startup.ReadinessHold
-	Links  *links.Config // nil: links to caches are opened as dispatches need them; Self, Seed and Routers are others' to say
+	Links  *connpool.Config // nil: links to caches are opened as dispatches need them; Self, Seed and Routers are others' to say
 	// Snapshot is the file in which what the router knows is kept, and how often; empty is none.
 	Snapshot      string
 	SnapshotEvery int64 // ns
@@ -139,7 +139,7 @@
 func (f *File) Shared(routers int) compatibility.Settings {
 	s := compatibility.Settings{Routers: routers}
 	if f.Links != nil {
-		s.MaxConnections = f.Links.Holds
+		s.MaxConnections = f.Links.MaxConnections
 	}
 	if f.Fleet != nil {
 		s.Slots, s.LeaseDuration, s.MaxClockDrift, s.Voters = f.Fleet.Slots, f.Fleet.Lease, f.Fleet.Drift, f.Fleet.Voters
@@ -159,13 +159,13 @@
 
 // links reads what connections caches bear.
 func (f *faults) links(n *Node, args []*Node, file *File) {
-	file.links, file.Links = n.Place, &links.Config{}
+	file.links, file.Links = n.Place, &connpool.Config{}
 	holds := int64(1)
 	f.walk(n, args, map[string]entry{
 		"holds": {needed: true, take: f.whole(&holds, 1, mostHeld)},
-		"opens": {take: f.number(&file.Links.Opens, leastOpen, mostOpen)},
+		"opens": {take: f.number(&file.Links.MaxConnectRate, leastOpen, mostOpen)},
 	})
-	file.Links.Holds = int(holds)
+	file.Links.MaxConnections = int(holds)
 }
 
 // Spreads tells whether links can be kept to what caches bear, with so many routers in the location.
--- a/plan/links/links.go
+++ b/plan/connpool/connpool.go
@@ -1,9 +1,9 @@
-// Package links decides how many connections a router holds to which caches, and how fast it opens them, so that the sum
+// Package connpool decides how many connections a router holds to which caches, and how fast it opens them, so that the sum
 // over all routers of a location stays within what a cache holds, without talk among them. It does no input or output,
 // reads no clock, starts no goroutine; time and chance come in. docs/coldstart.md, "Links to caches", has the arithmetic.
 //
 // All times are ns on the caller's monotonic axis; spans are ns; rates are a second.
-package links
+package connpool
 
 import (
 	"cmp"
@@ -42,21 +42,21 @@
 
 // Config is what a plan keeps to.
 type Config struct {
-	Self    string  // the router's name: it decides its subset
-	Seed    uint64  // of chance
-	Routers int     // of the location, by the settings
-	Holds   int     // connections from routers that a cache holds
-	Opens   float64 // connections that a cache takes a second; 0 is no bound
+	Router         string  // the router's name: it decides its subset
+	Seed           uint64  // of chance
+	Routers        int     // of the location, by the settings
+	MaxConnections int     // connections from routers that a cache holds
+	MaxConnectRate float64 // connections that a cache takes a second; 0 is no bound
 }
 
 // Check tells whether a plan can keep to its bounds.
 func (c Config) Check() error {
-	if c.Holds < 1 {
-		return fmt.Errorf("a cache that holds %d connections", c.Holds)
+	if c.MaxConnections < 1 {
+		return fmt.Errorf("a cache that holds %d connections", c.MaxConnections)
 	}
-	if c.Opens > 0 && float64(c.Routers)/c.Opens > float64(gapMost/second) {
+	if c.MaxConnectRate > 0 && float64(c.Routers)/c.MaxConnectRate > float64(gapMost/second) {
 		return fmt.Errorf("%d routers take %.0f s to open one connection each at %g a second, %d s at most",
-			c.Routers, float64(c.Routers)/c.Opens, c.Opens, gapMost/second)
+			c.Routers, float64(c.Routers)/c.MaxConnectRate, c.MaxConnectRate, gapMost/second)
 	}
 	return nil
 }
@@ -67,15 +67,15 @@
 
 // Plan is one router's plan. A nil plan allows all. It is not safe for use by two goroutines at once.
 type Plan struct {
-	set     Config
-	rng     *rand.Rand
-	caches  map[string]*cache
-	order   []*cache // by preference: the first Kept are the subset
-	lists   int      // that Members was given
-	counted int      // caches that Kept was computed for
-	Kept    int      // caches of the subset
-	Each    int      // links to one of them
-	farGap  int64    // between two links to one outside
+	set            Config
+	rng            *rand.Rand
+	caches         map[string]*cache
+	order          []*cache // by preference: the first Kept are the subset
+	lists          int      // that Members was given
+	counted        int      // caches that Kept was computed for
+	SubsetSize     int      // caches of the subset
+	MaxPerEndpoint int      // links to one of them
+	farGap         int64    // between two links to one outside
 }
 
 type cache struct {
@@ -94,14 +94,14 @@
 func New(c Config) *Plan {
 	c.Routers = max(1, c.Routers)
 	return &Plan{set: c, rng: rand.New(rand.NewPCG(c.Seed, 0x6c696e6b)), caches: map[string]*cache{},
-		Each:   max(1, min(eachMost, c.Holds/c.Routers)),
-		farGap: int64(float64(c.Routers) / farRate(c.Holds) * float64(second))}
+		MaxPerEndpoint: max(1, min(eachMost, c.MaxConnections/c.Routers)),
+		farGap:         int64(float64(c.Routers) / farRate(c.MaxConnections) * float64(second))}
 }
 
-// Subset is how many of so many caches each of so many routers keeps links to, when each cache holds so many: all, if
+// SubsetSize is how many of so many caches each of so many routers keeps links to, when each cache holds so many: all, if
 // there is one connection for each router; else as many as keep the number of routers at a cache, which is binomial,
 // within the subsets' share of what it holds.
-func Subset(routers, caches, holds int) int {
+func SubsetSize(routers, caches, holds int) int {
 	if routers <= holds {
 		return caches
 	}
@@ -124,9 +124,9 @@
 	return root * root / (float64(farTaken) / float64(second))
 }
 
-// Members takes the caches to which dispatches may go, as they are now. What is known of those that stay is kept. A new
+// SetEndpoints takes the caches to which dispatches may go, as they are now. What is known of those that stay is kept. A new
 // one is met by all routers spread over as long as they need.
-func (p *Plan) Members(now int64, names []string) {
+func (p *Plan) SetEndpoints(now int64, names []string) {
 	if p == nil {
 		return
 	}
@@ -146,10 +146,10 @@
 	})
 	if len(p.order) != p.counted {
 		p.counted = len(p.order)
-		p.Kept = Subset(p.set.Routers, len(p.order), p.set.Holds)
+		p.SubsetSize = SubsetSize(p.set.Routers, len(p.order), p.set.MaxConnections)
 	}
 	for i, c := range p.order {
-		if kept := i < p.Kept; c.fresh || kept != c.kept {
+		if kept := i < p.SubsetSize; c.fresh || kept != c.kept {
 			c.fresh, c.kept = false, kept
 			c.next = max(c.next, now+p.draw(p.gap(c)))
 		}
@@ -158,7 +158,7 @@
 
 // add puts a cache in its place of the order. By rendezvous hashing one that comes or goes changes the subset by itself alone.
 func (p *Plan) add(name string) {
-	c := &cache{name: name, score: xxhash.Sum64String(p.set.Self + "\x00" + name), fresh: true}
+	c := &cache{name: name, score: xxhash.Sum64String(p.set.Router + "\x00" + name), fresh: true}
 	p.caches[name] = c
 	at, _ := slices.BinarySearchFunc(p.order, c, func(a, b *cache) int {
 		return cmp.Or(cmp.Compare(a.score, b.score), cmp.Compare(a.name, b.name))
@@ -169,8 +169,8 @@
 // gap is how long all routers take to open a link each to a cache.
 func (p *Plan) gap(c *cache) int64 {
 	gap := int64(0)
-	if p.set.Opens > 0 {
-		gap = int64(float64(p.set.Routers) / p.set.Opens * float64(second))
+	if p.set.MaxConnectRate > 0 {
+		gap = int64(float64(p.set.Routers) / p.set.MaxConnectRate * float64(second))
 	}
 	if !c.kept {
 		gap = max(gap, p.farGap)
@@ -178,9 +178,9 @@
 	return gap
 }
 
-// May tells whether one more link to a cache may be opened, beside those that it has. What is no cache of the plan is not
+// CanConnect tells whether one more link to a cache may be opened, beside those that it has. What is no cache of the plan is not
 // bounded by it.
-func (p *Plan) May(now int64, name string, have int) bool {
+func (p *Plan) CanConnect(now int64, name string, have int) bool {
 	if p == nil {
 		return true
 	}
@@ -191,13 +191,13 @@
 	case now < c.next:
 		return false
 	case c.kept:
-		return have < p.Each
+		return have < p.MaxPerEndpoint
 	}
 	return have == 0
 }
 
-// Takes tells whether a link that stands may take another request: one outside the subset makes room for other routers.
-func (p *Plan) Takes(now int64, name string) bool {
+// CanSend tells whether a link that stands may take another request: one outside the subset makes room for other routers.
+func (p *Plan) CanSend(now int64, name string) bool {
 	if p == nil {
 		return true
 	}
@@ -205,8 +205,8 @@
 	return c == nil || c.kept || now < c.life
 }
 
-// Opened notes that a link was dialled.
-func (p *Plan) Opened(now int64, name string) {
+// Dialled notes that a link was dialled.
+func (p *Plan) Dialled(now int64, name string) {
 	if p == nil || p.caches[name] == nil {
 		return
 	}
@@ -219,17 +219,17 @@
 	}
 }
 
-// Stood notes that a link came up.
-func (p *Plan) Stood(name string) {
+// Established notes that a link came up.
+func (p *Plan) Established(name string) {
 	if p != nil && p.caches[name] != nil {
 		p.caches[name].refusal = 0
 	}
 }
 
-// Ended notes that a link ended that was not closed from here; stood tells whether it had come up. One that never did was
+// ConnectionEnded notes that a link ended that was not closed from here; stood tells whether it had come up. One that never did was
 // refused: the cache may be full, by more routers than the settings know of. One that did ended for all routers at once, if
 // the cache died: they come back spread.
-func (p *Plan) Ended(now int64, name string, stood bool) {
+func (p *Plan) ConnectionEnded(now int64, name string, stood bool) {
 	if p == nil || p.caches[name] == nil {
 		return
 	}
@@ -242,32 +242,32 @@
 	c.next = max(c.next, now+c.refusal)
 }
 
-// NotDialled notes that a dial failed on this machine: it says nothing of the cache, which is met again.
-func (p *Plan) NotDialled(name string) {
+// LocalError notes that a dial failed on this machine: it says nothing of the cache, which is met again.
+func (p *Plan) LocalError(name string) {
 	if p != nil && p.caches[name] != nil {
 		p.caches[name].ahead = false
 	}
 }
 
-// Closes tells whether an idle link is to be closed before its usual time: one outside the subset, or one beyond the
+// ShouldClose tells whether an idle link is to be closed before its usual time: one outside the subset, or one beyond the
 // router's share of a cache, which may be another's.
-func (p *Plan) Closes(now int64, name string, have int, idleSince int64) bool {
+func (p *Plan) ShouldClose(now int64, name string, have int, idleSince int64) bool {
 	if p == nil || p.caches[name] == nil {
 		return false
 	}
 	if c := p.caches[name]; !c.kept {
 		return now >= c.life
 	}
-	return have > p.Each && now-idleSince > shutSoon
+	return have > p.MaxPerEndpoint && now-idleSince > shutSoon
 }
 
-// Ahead is the caches of the subset that are to be met now, before anything is to be sent there: in the order of
+// Preconnect is the caches of the subset that are to be met now, before anything is to be sent there: in the order of
 // preference, each once its own moment has come. Only where opening is paced: there a first request would wait for it.
-func (p *Plan) Ahead(now int64) (names []string) {
-	if p == nil || p.set.Opens == 0 {
+func (p *Plan) Preconnect(now int64) (names []string) {
+	if p == nil || p.set.MaxConnectRate == 0 {
 		return nil
 	}
-	for _, c := range p.order[:p.Kept] {
+	for _, c := range p.order[:p.SubsetSize] {
 		if !c.ahead && now >= c.next {
 			c.ahead = true
 			names = append(names, c.name)
@@ -276,8 +276,8 @@
 	return names
 }
 
-// Keeps tells whether a cache is of the router's subset.
-func (p *Plan) Keeps(name string) bool {
+// InSubset tells whether a cache is of the router's subset.
+func (p *Plan) InSubset(name string) bool {
 	return p == nil || p.caches[name] == nil || p.caches[name].kept
 }
 
--- a/plan/links/links_test.go
+++ b/plan/connpool/connpool_test.go
@@ -1,4 +1,4 @@
-package links
+package connpool
 
 import (
 	"cmp"
@@ -24,14 +24,14 @@
 		load := map[string]int{}
 		kept := 0
 		for i := range c.routers {
-			p := New(Config{Self: fmt.Sprint("n", i), Routers: c.routers, Holds: c.holds})
-			p.Members(0, names(c.caches))
+			p := New(Config{Router: fmt.Sprint("n", i), Routers: c.routers, MaxConnections: c.holds})
+			p.SetEndpoints(0, names(c.caches))
 			for _, name := range names(c.caches) {
-				if p.Keeps(name) {
+				if p.InSubset(name) {
 					load[name]++
 				}
 			}
-			kept = p.Kept
+			kept = p.SubsetSize
 		}
 		if kept == 0 || len(load) != c.caches {
 			t.Fatalf("%+v: %d of the caches are kept by anyone, %d by each", c, len(load), kept)
@@ -48,19 +48,19 @@
 }
 
 // A cache that comes or goes changes a subset by itself alone.
-func TestSubsetsStay(t *testing.T) {
+func TestSubsetsAreStable(t *testing.T) {
 	for i := range 200 {
-		p := New(Config{Self: fmt.Sprint("n", i), Routers: 300, Holds: 60})
+		p := New(Config{Router: fmt.Sprint("n", i), Routers: 300, MaxConnections: 60})
 		all := names(40)
-		p.Members(0, all)
-		before := slices.DeleteFunc(slices.Clone(all), func(n string) bool { return !p.Keeps(n) })
-		p.Members(0, all[1:])
+		p.SetEndpoints(0, all)
+		before := slices.DeleteFunc(slices.Clone(all), func(n string) bool { return !p.InSubset(n) })
+		p.SetEndpoints(0, all[1:])
 		gone, came := 0, 0
 		for _, n := range all[1:] {
 			switch had := slices.Contains(before, n); {
-			case had && !p.Keeps(n):
+			case had && !p.InSubset(n):
 				gone++
-			case !had && p.Keeps(n):
+			case !had && p.InSubset(n):
 				came++
 			}
 		}
@@ -86,8 +86,8 @@
 			plans, open := make([]*Plan, c.routers), make([][]link, c.routers)
 			caches := names(c.caches)
 			for i := range plans {
-				plans[i] = New(Config{Self: fmt.Sprint("n", i), Seed: uint64(i), Routers: c.routers, Holds: c.holds, Opens: c.opens})
-				plans[i].Members(0, caches)
+				plans[i] = New(Config{Router: fmt.Sprint("n", i), Seed: uint64(i), Routers: c.routers, MaxConnections: c.holds, MaxConnectRate: c.opens})
+				plans[i].SetEndpoints(0, caches)
 			}
 			far, opened := 0, map[[2]int64]int{}
 			standing := map[string]int{}
@@ -96,7 +96,7 @@
 					for i := range plans {
 						open[i] = slices.DeleteFunc(open[i], func(l link) bool {
 							if l.cache == caches[0] {
-								plans[i].Ended(now, l.cache, true)
+								plans[i].ConnectionEnded(now, l.cache, true)
 							}
 							return l.cache == caches[0]
 						})
@@ -109,7 +109,7 @@
 						have[l.cache]++
 					}
 					open[i] = slices.DeleteFunc(open[i], func(l link) bool {
-						end := p.Closes(now, l.cache, have[l.cache], l.used)
+						end := p.ShouldClose(now, l.cache, have[l.cache], l.used)
 						if end {
 							standing[l.cache]--
 							have[l.cache]--
@@ -118,13 +118,13 @@
 					})
 					for range 6 { // all want the first caches most
 						name := caches[int(float64(c.caches)*math.Pow(rng.Float64(), 3))]
-						if !p.May(now, name, have[name]) {
+						if !p.CanConnect(now, name, have[name]) {
 							continue
 						}
-						if !p.Keeps(name) {
+						if !p.InSubset(name) {
 							far++
 						}
-						p.Opened(now, name)
+						p.Dialled(now, name)
 						open[i] = append(open[i], link{name, now, now})
 						have[name]++
 						opened[[2]int64{now / second, int64(slices.Index(caches, name))}]++
@@ -139,7 +139,7 @@
 					t.Errorf("%d links to cache %d opened in second %d, %.0f", n, at[1], at[0], bound)
 				}
 			}
-			if plans[0].Kept < c.caches && far == 0 {
+			if plans[0].SubsetSize < c.caches && far == 0 {
 				t.Error("nobody ever reached a cache outside of the subset")
 			}
 		})
@@ -147,50 +147,50 @@
 }
 
 // A cache that refuses, being full by more routers than the settings know of, is asked again ever later, and not in step.
-func TestRefusedWaits(t *testing.T) {
-	p := New(Config{Self: "n", Routers: 3, Holds: 24})
-	p.Members(0, names(2))
+func TestRefusedBacksOff(t *testing.T) {
+	p := New(Config{Router: "n", Routers: 3, MaxConnections: 24})
+	p.SetEndpoints(0, names(2))
 	now, tries := int64(0), 0
 	for ; now < 60*second; now += second / 100 {
-		if p.May(now, "s-000", 0) {
-			p.Opened(now, "s-000")
-			p.Ended(now, "s-000", false)
+		if p.CanConnect(now, "s-000", 0) {
+			p.Dialled(now, "s-000")
+			p.ConnectionEnded(now, "s-000", false)
 			tries++
 		}
 	}
 	if tries < 8 || tries > 40 {
 		t.Errorf("%d tries in a minute", tries)
 	}
-	p.Stood("s-000")
-	if p.Ended(now+refusedM, "s-000", true); !p.May(now+2*refusedM, "s-000", 0) {
+	p.Established("s-000")
+	if p.ConnectionEnded(now+refusedM, "s-000", true); !p.CanConnect(now+2*refusedM, "s-000", 0) {
 		t.Error("one that took a connection is not dialled again")
 	}
 }
 
-func TestAhead(t *testing.T) {
-	p := New(Config{Self: "n", Routers: 100, Holds: 50, Opens: 50})
-	p.Members(0, names(10))
+func TestPreconnect(t *testing.T) {
+	p := New(Config{Router: "n", Routers: 100, MaxConnections: 50, MaxConnectRate: 50})
+	p.SetEndpoints(0, names(10))
 	met := map[string]bool{}
 	for now := int64(0); now < 3*second; now += second / 10 {
-		for _, n := range p.Ahead(now) {
-			if met[n] || !p.Keeps(n) {
+		for _, n := range p.Preconnect(now) {
+			if met[n] || !p.InSubset(n) {
 				t.Errorf("%s is met again, or is none of the subset", n)
 			}
 			met[n] = true
-			p.Opened(now, n)
+			p.Dialled(now, n)
 		}
 	}
-	if len(met) != p.Kept {
-		t.Errorf("%d of %d met", len(met), p.Kept)
+	if len(met) != p.SubsetSize {
+		t.Errorf("%d of %d met", len(met), p.SubsetSize)
 	}
-	p.Members(3*second, names(11)) // what is known of those that stay is kept
-	for _, n := range p.Ahead(3 * second) {
+	p.SetEndpoints(3*second, names(11)) // what is known of those that stay is kept
+	for _, n := range p.Preconnect(3 * second) {
 		if met[n] {
 			t.Errorf("%s is met again", n)
 		}
 	}
 	var none *Plan
-	if none.Members(0, nil); !none.May(0, "x", 99) || !none.Takes(0, "x") || none.Closes(0, "x", 9, 0) || none.Ahead(0) != nil || !none.Keeps("x") {
+	if none.SetEndpoints(0, nil); !none.CanConnect(0, "x", 99) || !none.CanSend(0, "x") || none.ShouldClose(0, "x", 9, 0) || none.Preconnect(0) != nil || !none.InSubset("x") {
 		t.Error("a plan that is not there bounds something")
 	}
 }
@@ -199,7 +199,7 @@
 	for _, c := range []struct {
 		Config
 		good bool
-	}{{Config{Routers: 300, Holds: 60, Opens: 20}, true}, {Config{Routers: 300, Holds: 60, Opens: 5}, false}, {Config{Routers: 3}, false}} {
+	}{{Config{Routers: 300, MaxConnections: 60, MaxConnectRate: 20}, true}, {Config{Routers: 300, MaxConnections: 60, MaxConnectRate: 5}, false}, {Config{Routers: 3}, false}} {
 		if err := c.Check(); (err == nil) != c.good {
 			t.Errorf("%+v: %v", c.Config, err)
 		}
@@ -207,29 +207,29 @@
 }
 
 // Whatever comes and goes, and in whichever order it is named, the plan is the one that ranking all caches anew gives.
-func TestMembersAgainstRankingAll(t *testing.T) {
+func TestSetEndpointsAgainstRankingAll(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for play := range 100 {
-		plan := New(Config{Self: fmt.Sprint("n", play), Seed: 1, Routers: 300, Holds: 100, Opens: 50})
-		other := New(Config{Self: fmt.Sprint("n", play), Seed: 1, Routers: 300, Holds: 100, Opens: 50})
+		plan := New(Config{Router: fmt.Sprint("n", play), Seed: 1, Routers: 300, MaxConnections: 100, MaxConnectRate: 50})
+		other := New(Config{Router: fmt.Sprint("n", play), Seed: 1, Routers: 300, MaxConnections: 100, MaxConnectRate: 50})
 		var listed []string
 		for step := range 100 {
 			listed = slices.DeleteFunc(listed, func(string) bool { return rng.IntN(20) == 0 })
 			for n := range rng.IntN(10) {
 				listed = append(listed, fmt.Sprintf("s-%d-%d", step, n))
 			}
-			plan.Members(int64(step), listed)
+			plan.SetEndpoints(int64(step), listed)
 			rng.Shuffle(len(listed), func(a, b int) { listed[a], listed[b] = listed[b], listed[a] })
-			other.Members(int64(step), listed)
+			other.SetEndpoints(int64(step), listed)
 			ranked := slices.Clone(listed)
 			slices.SortFunc(ranked, func(a, b string) int {
-				return cmp.Compare(xxhash.Sum64String(plan.set.Self+"\x00"+a), xxhash.Sum64String(plan.set.Self+"\x00"+b))
+				return cmp.Compare(xxhash.Sum64String(plan.set.Router+"\x00"+a), xxhash.Sum64String(plan.set.Router+"\x00"+b))
 			})
-			if want := Subset(300, len(ranked), 100); plan.Kept != want || len(plan.order) != len(ranked) || len(plan.caches) != len(ranked) {
-				t.Fatalf("%d of %d caches are kept, want %d of %d", plan.Kept, len(plan.order), want, len(ranked))
+			if want := SubsetSize(300, len(ranked), 100); plan.SubsetSize != want || len(plan.order) != len(ranked) || len(plan.caches) != len(ranked) {
+				t.Fatalf("%d of %d caches are kept, want %d of %d", plan.SubsetSize, len(plan.order), want, len(ranked))
 			}
 			for i, name := range ranked {
-				if plan.order[i].name != name || plan.Keeps(name) != (i < plan.Kept) || *plan.order[i] != *other.order[i] {
+				if plan.order[i].name != name || plan.InSubset(name) != (i < plan.SubsetSize) || *plan.order[i] != *other.order[i] {
 					t.Fatalf("step %d, place %d: %+v and %+v, want %s", step, i, plan.order[i], other.order[i], name)
 				}
 			}
--- a/process/process.go
+++ b/process/process.go
@@ -23,7 +23,7 @@
 	"tealpath/internal/clock"
 	"tealpath/internal/neterr"
 	"tealpath/operator"
-	"tealpath/plan/links"
+	"tealpath/plan/connpool"
 	"tealpath/plan/shutdown"
 	"tealpath/plan/startup"
 	"tealpath/router"
@@ -321,13 +321,13 @@
 }
 
 // links is the plan of links to caches, where the operator's file says what those bear.
-func (p *Process) links() *links.Plan {
+func (p *Process) links() *connpool.Plan {
 	if p.file == nil || p.file.Links == nil {
 		return nil
 	}
 	c := *p.file.Links
-	c.Self, c.Seed, c.Routers = p.config.Name, p.config.Seed, neighbours(p.config.Settings)
-	return links.New(c)
+	c.Router, c.Seed, c.Routers = p.config.Name, p.config.Seed, neighbours(p.config.Settings)
+	return connpool.New(c)
 }
 
 // step takes the start on: health, and a line for a new phase of it.
--- a/router/links.go
+++ b/router/links.go
@@ -63,7 +63,7 @@
 	if d.link == nil {
 		d.link = &link{}
 		result := control.Unsent
-		if r.shortage.Lasts(r.now) {
+		if r.shortage.Active(r.now) {
 			result = control.Local
 		}
 		r.ended(d, control.Outcome{Result: result})
@@ -90,7 +90,7 @@
 		switch {
 		case int64(len(l.open)) >= r.streams:
 			full++
-		case l.doubted || past || l.open[id] != nil || !r.limits.Plan.Takes(r.now, m.Instance):
+		case l.doubted || past || l.open[id] != nil || !r.limits.Plan.CanSend(r.now, m.Instance):
 		case r.quiet(l):
 			quiet = l
 		case best == nil || l.up && !best.up || l.up == best.up && len(l.open) < len(best.open):
@@ -102,7 +102,7 @@
 		return best
 	case spent:
 		return quiet
-	case r.shortage.Lasts(r.now), !r.limits.Plan.May(r.now, m.Instance, len(m.links)):
+	case r.shortage.Active(r.now), !r.limits.Plan.CanConnect(r.now, m.Instance, len(m.links)):
 		return cmp.Or(best, quiet)
 	}
 	l := r.dial(m)
@@ -119,7 +119,7 @@
 		heard: r.now, used: r.now}
 	m.links = append(m.links, l)
 	r.links[l.id] = l
-	r.limits.Plan.Opened(r.now, m.Instance)
+	r.limits.Plan.Dialled(r.now, m.Instance)
 	r.do(Dial{Link: l.id, Address: l.address, Within: r.dialWithin})
 	return l
 }
@@ -132,11 +132,11 @@
 	if m == nil || !r.isCache(m) {
 		return true
 	}
-	mayDial := !r.shortage.Lasts(r.now) && len(r.links) < r.limits.Links
-	if mayDial && r.limits.Plan.May(r.now, m.Instance, len(m.links)) {
+	mayDial := !r.shortage.Active(r.now) && len(r.links) < r.limits.Links
+	if mayDial && r.limits.Plan.CanConnect(r.now, m.Instance, len(m.links)) {
 		return true
 	}
-	return r.limits.Plan.Takes(r.now, m.Instance) && slices.ContainsFunc(m.links, func(l *link) bool { return !l.doubted })
+	return r.limits.Plan.CanSend(r.now, m.Instance) && slices.ContainsFunc(m.links, func(l *link) bool { return !l.doubted })
 }
 
 // isCache tells whether a member is a cache of this router's location.
@@ -146,10 +146,10 @@
 
 // meet dials caches ahead of what is to be sent there, as the plan says.
 func (r *Router) meet() {
-	if r.shortage.Lasts(r.now) {
+	if r.shortage.Active(r.now) {
 		return
 	}
-	for _, name := range r.limits.Plan.Ahead(r.now) {
+	for _, name := range r.limits.Plan.Preconnect(r.now) {
 		if m := r.members[name]; m != nil && len(m.links) == 0 && len(r.links) < r.limits.Links {
 			r.dial(m)
 		}
@@ -184,7 +184,7 @@
 	}
 	r.dialPassed()
 	l.up, l.heard = true, r.now
-	r.limits.Plan.Stood(l.member.Instance)
+	r.limits.Plan.Established(l.member.Instance)
 	for _, d := range r.inOpen(l) {
 		r.write(d)
 	}
@@ -244,22 +244,22 @@
 	case l == nil:
 		return
 	case l.up:
-		r.limits.Plan.Ended(r.now, l.member.Instance, true)
+		r.limits.Plan.ConnectionEnded(r.now, l.member.Instance, true)
 	case e.Cause == Local:
-		r.limits.Plan.NotDialled(l.member.Instance)
-		if r.shortage.Failed(r.now) {
+		r.limits.Plan.LocalError(l.member.Instance)
+		if r.shortage.DialFailed(r.now) {
 			r.log("no connections can be opened, for a reason of this machine's own: " + e.Why)
 		}
 	default:
 		r.dialPassed()
-		r.limits.Plan.Ended(r.now, l.member.Instance, false)
+		r.limits.Plan.ConnectionEnded(r.now, l.member.Instance, false)
 	}
 	r.lose(l, e.Unsent, e.Cause)
 }
 
 // dialPassed notes that a dial got as far as its member.
 func (r *Router) dialPassed() {
-	if r.shortage.Passed() {
+	if r.shortage.DialSucceeded() {
 		r.log("connections can be opened again")
 	}
 }
@@ -358,7 +358,7 @@
 // isUnused tells whether a link is to be closed for want of use.
 func (r *Router) isUnused(l *link) bool {
 	return l.up && len(l.open) == 0 && (r.now-l.used > r.idleAfter/2 ||
-		r.limits.Plan.Closes(r.now, l.member.Instance, len(l.member.links), l.used))
+		r.limits.Plan.ShouldClose(r.now, l.member.Instance, len(l.member.links), l.used))
 }
 
 // purged tells the module of a purge; what was planned before it and not yet written is planned anew.
--- a/router/members.go
+++ b/router/members.go
@@ -196,7 +196,7 @@
 			names = append(names, name)
 		}
 	}
-	r.limits.Plan.Members(r.now, names)
+	r.limits.Plan.SetEndpoints(r.now, names)
 }
 
 // removeGone closes the links of members that are gone once nothing is open on them, and forgets who has none left.
--- a/router/members_test.go
+++ b/router/members_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"tealpath/control"
-	"tealpath/plan/links"
+	"tealpath/plan/connpool"
 )
 
 // plainList is the list of members as it is kept without an index: each event goes over all members.
@@ -69,7 +69,7 @@
 	for n := 0; n < events; {
 		var set control.Settings
 		p := newPlay(t, func(l *Limits, s control.Settings) {
-			l.Plan = links.New(links.Config{Routers: 3, Holds: 100, Self: "r"})
+			l.Plan = connpool.New(connpool.Config{Routers: 3, MaxConnections: 100, Router: "r"})
 			set = maps.Clone(s)
 		})
 		set["probe"] = false
@@ -105,7 +105,7 @@
 					t.Fatalf("event %d: %s planned %v, by its ID %v", n, name, m.planned, p.byID[m.ID])
 				}
 			}
-			if kept := p.limits.Plan.Kept; kept != caches {
+			if kept := p.limits.Plan.SubsetSize; kept != caches {
 				t.Fatalf("event %d: the plan knows of %d caches, there are %d", n, kept, caches)
 			}
 			displaced += p.index.displaced
--- a/router/router.go
+++ b/router/router.go
@@ -13,7 +13,7 @@
 
 	"tealpath/control"
 	"tealpath/internal/timerqueue"
-	"tealpath/plan/links"
+	"tealpath/plan/connpool"
 )
 
 const (
@@ -32,10 +32,10 @@
 
 // Limits bound what the reducer lets be opened.
 type Limits struct {
-	Links int         // connections to members, all together
-	Plan  *links.Plan // of connections to caches; nil is no bound beside linksMost
-	Hands int         // retrievals in hand
-	Bytes int         // of the bodies of retrievals in hand
+	Links int            // connections to members, all together
+	Plan  *connpool.Plan // of connections to caches; nil is no bound beside linksMost
+	Hands int            // retrievals in hand
+	Bytes int            // of the bodies of retrievals in hand
 }
 
 // Router is the reducer of one router. It is not safe for use by two goroutines at once.
@@ -59,7 +59,7 @@
 	armed   int64
 	leaveBy int64 // when all must be answered; 0 while not leaving
 
-	shortage *links.Shortage // of what this machine itself needs to dial
+	shortage *connpool.LocalBackoff // of what this machine itself needs to dial
 	index    memberIndex
 
 	dialWithin, idleAfter, answerGrace int64
@@ -134,7 +134,7 @@
 	if err != nil {
 		return r, err
 	}
-	r.shortage = links.NewShortage(r.dialWithin)
+	r.shortage = connpool.NewLocalBackoff(r.dialWithin)
 	r.location = setting(set, "location", "")
 	for _, name := range []string{"kind.parent", "kind.origin"} {
 		kinds := setting(set, "kinds", []string(nil))
@@ -143,7 +143,7 @@
 		}
 	}
 	r.decide.Reach = r.reaches
-	r.decide.Starved = func() bool { return r.shortage.Lasts(r.now) }
+	r.decide.Starved = func() bool { return r.shortage.Active(r.now) }
 	return r, nil
 }
 
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"tealpath/control"
-	"tealpath/plan/links"
+	"tealpath/plan/connpool"
 )
 
 const (
@@ -605,7 +605,7 @@
 // With a plan of links: no more than a router's share of a cache, the subset met ahead, and what can't be reached passed over
 // in an object's ranking.
 func TestPlannedLinks(t *testing.T) {
-	plan := links.New(links.Config{Self: "n", Seed: 7, Routers: 3, Holds: 3, Opens: 30})
+	plan := connpool.New(connpool.Config{Router: "n", Seed: 7, Routers: 3, MaxConnections: 3, MaxConnectRate: 30})
 	p := newPlay(t, func(l *Limits, _ control.Settings) { l.Plan = plan })
 	p.pass(second) // two caches are met ahead, the parent and the origin are not
 	if n := len(p.links); n != 2 {
