--- a/plan/connpool/bench_test.go
+++ b/plan/connpool/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// plan200 is usual, plan3200 the largest fleet that the users' gate plays.
+// benchPlan is a plan with so many caches: 200 are usual, 3,200 are the largest fleet.
 func benchPlan(servers int) (*Plan, []string) {
 	names := make([]string, servers)
 	for n := range names {
--- /dev/null
+++ b/plan/connpool/connections.go
@@ -0,0 +1,133 @@
+package connpool
+
+const (
+	// A connection outside the subset takes requests for outsideSendDuration, and stands for maxOutsideDuration at most, with dialling
+	// and the requests that are in flight at its end.
+	outsideSendDuration = second
+	maxOutsideDuration  = outsideSendDuration + outsideSendDuration/2
+
+	// Delays before a cache that refused a connection is dialled again, by decorrelated jitter (Brooker, "Exponential Backoff And
+	// Jitter", 2015), as in plan/startup: the next is drawn up to so many times the last.
+	minRefusedDelay = 250 * millisecond
+	maxRefusedDelay = 8 * second
+	backoffGrowth   = 3
+
+	// idleTimeout is after which a connection beyond the router's share is closed.
+	idleTimeout = 500 * millisecond
+
+	// minConnectDelay is between two connections to one cache: two events of one instant open one.
+	minConnectDelay = millisecond
+)
+
+// connectDelay returns how long all routers take to open a connection each to a cache.
+func (p *Plan) connectDelay(endpoint *endpoint) int64 {
+	delay := int64(0)
+	if p.config.MaxConnectRate > 0 {
+		delay = int64(float64(p.config.Routers) / p.config.MaxConnectRate * float64(second))
+	}
+	if !endpoint.inSubset {
+		delay = max(delay, p.outsideDelay)
+	}
+	return delay
+}
+
+// CanConnect reports whether one more connection to a cache may be opened, beside the open ones. What is not the plan's is not bounded
+// by it.
+func (p *Plan) CanConnect(now int64, name string, open int) bool {
+	endpoint := p.find(name)
+	switch {
+	case endpoint == nil:
+		return true
+	case now < endpoint.connectAt:
+		return false
+	case endpoint.inSubset:
+		return open < p.MaxPerEndpoint
+	}
+	return open == 0
+}
+
+// CanSend reports whether an open connection may take another request: one outside the subset makes room for other routers in time.
+func (p *Plan) CanSend(now int64, name string) bool {
+	endpoint := p.find(name)
+	return endpoint == nil || endpoint.inSubset || now < endpoint.sendUntil
+}
+
+// ShouldClose reports whether an idle connection is to be closed before its usual time, with so many open to its cache: one outside
+// the subset, or one beyond the router's share of a cache, which may be another's.
+func (p *Plan) ShouldClose(now int64, name string, open int, idleSince int64) bool {
+	endpoint := p.find(name)
+	switch {
+	case endpoint == nil:
+		return false
+	case !endpoint.inSubset:
+		return now >= endpoint.sendUntil
+	}
+	return open > p.MaxPerEndpoint && now-idleSince > idleTimeout
+}
+
+// Preconnect returns the caches of the subset that are to be connected to now, before there is a request for them: in the order of
+// preference, each once its own instant has come. Only where a rate bounds connecting: there a first request would wait for it.
+func (p *Plan) Preconnect(now int64) (names []string) {
+	if p == nil || p.config.MaxConnectRate == 0 {
+		return nil
+	}
+	for _, endpoint := range p.ranking[:p.SubsetSize] {
+		if !endpoint.preconnected && now >= endpoint.connectAt {
+			endpoint.preconnected = true
+			names = append(names, endpoint.name)
+		}
+	}
+	return names
+}
+
+// Dialled notes that a connection is being opened.
+func (p *Plan) Dialled(now int64, name string) {
+	endpoint := p.find(name)
+	if endpoint == nil {
+		return
+	}
+	delay := p.connectDelay(endpoint)
+	// Half to one and a half: routers that connected together do not connect together the next time.
+	endpoint.connectAt = now + max(minConnectDelay, delay/2+p.draw(delay))
+	if !endpoint.inSubset {
+		endpoint.sendUntil = now + outsideSendDuration
+		endpoint.connectAt = now + delay + p.draw(delay) // never sooner than the mean: the bound is on the sum
+	}
+}
+
+// Established notes that a connection came up.
+func (p *Plan) Established(name string) {
+	if endpoint := p.find(name); endpoint != nil {
+		endpoint.refusedDelay = 0
+	}
+}
+
+// Disconnected notes that a connection that had come up ended, not closed from here. If the cache died it ended for all routers at
+// once: they come back spread.
+func (p *Plan) Disconnected(now int64, name string) {
+	endpoint := p.find(name)
+	if endpoint == nil {
+		return
+	}
+	endpoint.preconnected = false
+	endpoint.connectAt = max(endpoint.connectAt, now+p.draw(p.connectDelay(endpoint)))
+}
+
+// ConnectFailed notes that a connection did not come up, for a reason of the cache's: it may be full, by more routers than the settings
+// know of.
+func (p *Plan) ConnectFailed(now int64, name string) {
+	endpoint := p.find(name)
+	if endpoint == nil {
+		return
+	}
+	most := max(backoffGrowth*endpoint.refusedDelay, 2*minRefusedDelay)
+	endpoint.refusedDelay = min(minRefusedDelay+p.draw(most-minRefusedDelay), maxRefusedDelay)
+	endpoint.connectAt = max(endpoint.connectAt, now+endpoint.refusedDelay)
+}
+
+// LocalError notes that this machine could not dial. That says nothing of the cache, so Preconnect names it again.
+func (p *Plan) LocalError(name string) {
+	if endpoint := p.find(name); endpoint != nil {
+		endpoint.preconnected = false
+	}
+}
--- a/plan/connpool/localbackoff.go
+++ b/plan/connpool/localbackoff.go
@@ -1,41 +1,45 @@
 package connpool
 
-// Spans of a shortage, as parts of the time that a link has to come up.
+// Delays of a LocalBackoff, as parts of the time in which a connection is to come up.
 const (
-	shortageLeast = 16 // the first wait is a sixteenth
-	shortageMost  = 4  // and none is longer than a quarter
+	firstDelayDivisor = 16
+	maxDelayDivisor   = 4
 )
 
-// LocalBackoff paces dialling while this machine itself can open no connections: out of descriptors, memory or ports. One dial that
-// fails so speaks for all caches, so all wait; the wait doubles from dial to dial until one gets as far as a cache. It is not
-// safe for use by two goroutines at once.
+// LocalBackoff pauses dialling while this machine itself can open no connections: it is out of descriptors, memory or ports. One dial
+// that fails so speaks for all caches, so all wait; the delay doubles from dial to dial until one reaches a cache. It is not safe for
+// use by two goroutines at once.
 type LocalBackoff struct {
-	within int64 // in which a link is to come up
-	span   int64 // the last wait; 0: there is no shortage
-	until  int64
+	connectTimeout int64
+	delay          int64 // the last one; 0: no backoff is on
+	until          int64
 }
 
-// NewLocalBackoff makes one that has seen nothing; within is the time that a link has to come up, ns.
-func NewLocalBackoff(within int64) *LocalBackoff { return &LocalBackoff{within: within} }
+// NewLocalBackoff returns one that is not on. connectTimeout is the time in which a connection is to come up, ns.
+func NewLocalBackoff(connectTimeout int64) *LocalBackoff {
+	return &LocalBackoff{connectTimeout: connectTimeout}
+}
 
-// DialFailed notes that a dial failed on this machine, and tells whether the shortage begins with it. Dials that were under way
+// DialFailed notes that a dial failed on this machine, and reports whether the backoff begins with it. Dials that were under way
 // together fail together and count once.
-func (s *LocalBackoff) DialFailed(now int64) (begins bool) {
-	if now < s.until {
+func (b *LocalBackoff) DialFailed(now int64) (begins bool) {
+	if now < b.until {
 		return false
 	}
-	begins = s.span == 0
-	s.span = min(max(2*s.span, s.within/shortageLeast, leastGap), max(s.within/shortageMost, leastGap))
-	s.until = now + s.span
+	begins = b.delay == 0
+	first := max(b.connectTimeout/firstDelayDivisor, minConnectDelay)
+	most := max(b.connectTimeout/maxDelayDivisor, minConnectDelay)
+	b.delay = min(max(2*b.delay, first), most)
+	b.until = now + b.delay
 	return begins
 }
 
-// DialSucceeded notes that a dial got as far as the other side, whatever that said, and tells whether a shortage ends with it.
-func (s *LocalBackoff) DialSucceeded() (ends bool) {
-	ends = s.span > 0
-	s.span, s.until = 0, 0
+// DialSucceeded notes that a dial got as far as the other side, whatever that answered, and reports whether the backoff ends with it.
+func (b *LocalBackoff) DialSucceeded() (ends bool) {
+	ends = b.delay > 0
+	b.delay, b.until = 0, 0
 	return ends
 }
 
-// Active tells whether nothing is to be dialled now.
-func (s *LocalBackoff) Active(now int64) bool { return now < s.until }
+// Active reports whether nothing is to be dialled now.
+func (b *LocalBackoff) Active(now int64) bool { return now < b.until }
--- a/router/links.go
+++ b/router/links.go
@@ -244,7 +244,7 @@
 	case l == nil:
 		return
 	case l.up:
-		r.limits.Plan.ConnectionEnded(r.now, l.member.Instance, true)
+		r.limits.Plan.Disconnected(r.now, l.member.Instance)
 	case e.Cause == Local:
 		r.limits.Plan.LocalError(l.member.Instance)
 		if r.shortage.DialFailed(r.now) {
@@ -252,7 +252,7 @@
 		}
 	default:
 		r.dialPassed()
-		r.limits.Plan.ConnectionEnded(r.now, l.member.Instance, false)
+		r.limits.Plan.ConnectFailed(r.now, l.member.Instance)
 	}
 	r.lose(l, e.Unsent, e.Cause)
 }
