--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -45,8 +45,8 @@
 func newDrawnPlay(t testing.TB, seed uint64) *drawnPlay {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := &drawnPlay{rng: rng, now: start, nextID: 1, digest: fnv.New64a(), seen: map[string]int{}, failing: map[uint32]bool{}}
-	note := func(line string) {
-		fmt.Fprintln(p.digest, "log", figures(line))
+	log := func(line string) {
+		p.note("log", figures(line))
 		p.seen["log"]++
 		for _, kind := range []string{"suspect", "trusted", "tight"} {
 			if slices.Contains(splitWords(line), kind) {
@@ -54,7 +54,7 @@
 			}
 		}
 	}
-	r, err := New(start, seed, site(drawnSettings(rng)), note)
+	r, err := New(start, seed, site(drawnSettings(rng)), log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,6 +69,13 @@
 	return p
 }
 
+// note adds values to the digest.
+func (p *drawnPlay) note(values ...any) {
+	if _, err := fmt.Fprintln(p.digest, values...); err != nil {
+		panic(err) // a hash takes everything
+	}
+}
+
 // figures is what a log line says without its words: rewording it changes no decision.
 func figures(line string) string {
 	return strings.Map(func(c rune) rune {
@@ -116,7 +123,7 @@
 func (p *drawnPlay) decided(what string, request *Request, decision Decision) {
 	// By place, not by name: renaming a field changes no decision.
 	to := decision.Attempt
-	fmt.Fprintln(p.digest, what, p.now, request.Object, int(decision.Verdict), decision.RetryAfter, decision.Cancel, to.Cache, to.CacheOnly, to.Source, to.CachePriority, to.MaxAge,
+	p.note(what, p.now, request.Object, int(decision.Verdict), decision.RetryAfter, decision.Cancel, to.Cache, to.CacheOnly, to.Source, to.CachePriority, to.MaxAge,
 		to.JoinFill, to.RefreshBehind, to.ParentOnlyIfCached, to.ParentNoStore, to.Timeout, to.SendTimeout)
 	p.seen[fmt.Sprint(what, int(decision.Verdict))]++
 	if decision.Verdict == Send && request.diverted {
@@ -226,12 +233,12 @@
 		if len(p.retrieval) > 0 {
 			request := p.retrieval[p.rng.IntN(len(p.retrieval))]
 			request.NoNewAttempts = request.NoNewAttempts || p.rng.IntN(40) == 0
-			fmt.Fprintln(p.digest, r.RecheckDelay(p.now, request))
+			p.note(r.RecheckDelay(p.now, request))
 			p.decided("again", request, r.Decide(p.now, request))
 		}
 	case n < 94:
 		probes, again := r.Tick(p.now)
-		fmt.Fprintln(p.digest, probes, again)
+		p.note(probes, again)
 		for _, id := range probes {
 			p.seen["probe"]++
 			r.ProbeEnded(p.now, id, p.rng.IntN(3) > 0, nil)
--- a/control/settings.go
+++ b/control/settings.go
@@ -72,9 +72,15 @@
 	errs []error
 }
 
-// fail notes that a setting can't be gone by.
+// fail notes that a setting can't be gone by, once for each reason.
 func (d *settingsDecoder) fail(key, reason string) {
-	d.errs = append(d.errs, &SettingError{Key: key, Value: d.raw[key], Reason: reason})
+	same := func(err error) bool {
+		var other *SettingError
+		return errors.As(err, &other) && other.Key == key && other.Reason == reason
+	}
+	if !slices.ContainsFunc(d.errs, same) {
+		d.errs = append(d.errs, &SettingError{Key: key, Value: d.raw[key], Reason: reason})
+	}
 }
 
 // setting reads one, or the fallback where it is absent.
