--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -2,9 +2,11 @@
 
 import (
 	"bufio"
+	"bytes"
 	"encoding/binary"
 	"fmt"
 	"net"
+	"os"
 	"regexp"
 	"strconv"
 	"strings"
@@ -144,12 +146,27 @@
 	caches := []*stand{deafStand(t, "s-a", let, read), deafStand(t, "s-b", let, read)}
 	journal, _ := newJournal(t)
 	p := newProgram(t, caches, journal, limit.Seconds())
+	text := p.text
+	p.text = func(name, journal string) []byte { // room for all that fills the ways, at either cache
+		return bytes.ReplaceAll(text(name, journal), []byte(`"weight":4`), []byte(`"weight":40`))
+	}
+	p.configure = func(name, journal string) {
+		if err := os.WriteFile(p.file, p.text(name, journal), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	p.configure("n0", journal)
 	over := p.run(t)
-	fills := dial(t, p.address)
-	for range 8 { // more are refused: their cache has no room
-		fills.large(object(1))
+	// A cache has four links at the most, each opened once three requests are in flight on the one before, so all of them are
+	// full then: what is asked next can't be written at once.
+	for range 2 {
+		fills := dial(t, p.address)
+		for range 20 {
+			fills.large(object(1))
+			time.Sleep(5 * time.Millisecond) // links come up between
+		}
 	}
-	time.Sleep(100 * time.Millisecond)
+	time.Sleep(300 * time.Millisecond)
 	goes, stays := dial(t, p.address), dial(t, p.address)
 	sent := time.Now()
 	goes.call(object(1), int(limit.Milliseconds()), "txn", "00000000000000aa")
