--- a/plan/connpool/connpool.go
+++ b/plan/connpool/connpool.go
@@ -47,10 +47,10 @@
 	listNumber   int    // of the last list that named it
 	isNew        bool   // no list before named it
 	inSubset     bool
+	preconnected bool  // Preconnect named it
 	connectAt    int64 // from when on a connection may be opened
 	refusedDelay int64 // the last one after a connection that was refused; 0: there was none
 	sendUntil    int64 // until when a connection outside the subset takes requests
-	preconnected bool  // Preconnect named it
 }
 
 // New returns a plan that knows no caches yet.
