--- a/process/keeping.go
+++ b/process/keeping.go
@@ -143,8 +143,8 @@
 	if limit != nil {
 		line += ": " + limit.Error()
 	}
-	if past.Keep(kept.Position, kept.Digest, kept.Members) {
-		line += fmt.Sprintf("; its list of %d members waits for event %d", len(kept.Members), kept.Position)
+	if past.Keep(kept.Position, kept.Digest, kept.Endpoints) {
+		line += fmt.Sprintf("; its list of %d members waits for event %d", len(kept.Endpoints), kept.Position)
 	}
 	p.line(line)
 }
@@ -184,8 +184,8 @@
 }
 
 func (k *keeper) write(r *router.Router, now int64) {
-	s := snapshot.Snapshot{Header: k.header, Position: k.last.Position, Digest: k.last.Digest, Members: r.Listings(),
-		Memory: r.Remember(now, snapshot.ObjectsMost)}
+	s := snapshot.Snapshot{Header: k.header, Position: k.last.Position, Digest: k.last.Digest, Endpoints: r.Listings(),
+		Memory: r.Remember(now, snapshot.MaxObjects)}
 	s.TakenAt = k.clock.Wall() // the next process reads it, on an axis of its own
 	k.pending.Add(1)
 	k.since = time.Now()
--- a/process/keeping_test.go
+++ b/process/keeping_test.go
@@ -160,7 +160,7 @@
 		t.Fatal(err)
 	}
 	p := New(c, &operator.File{Snapshot: filepath.Join("folder", "kept"), SnapshotEvery: int64(every)}, zerolog.New(r.log))
-	p.snapshots = func(path string) *snapshot.Store { return snapshot.NewStoreOn(disk, path) }
+	p.snapshots = func(path string) *snapshot.Store { return snapshot.NewStoreWithFileSystem(disk, path) }
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go func() { r.ended <- p.Run(ctx, r.leave, nil, nil) }()
@@ -263,7 +263,7 @@
 	if failed, again := r.log.count("snapshots are not kept"), r.log.count("snapshots are kept again"); failed != 1 || again != 1 {
 		t.Errorf("%d and %d lines", failed, again)
 	}
-	if kept, err := snapshot.NewStoreOn(disk, filepath.Join("folder", "kept")).Read(); err != nil || len(kept.Members) != 1 {
+	if kept, err := snapshot.NewStoreWithFileSystem(disk, filepath.Join("folder", "kept")).Read(); err != nil || len(kept.Endpoints) != 1 {
 		t.Errorf("%+v, %v", kept, err)
 	}
 	if len(disk.files) != 1 {
@@ -282,7 +282,7 @@
 	if err := <-r.ended; err != nil {
 		t.Error(err)
 	}
-	kept, err := snapshot.NewStoreOn(disk, filepath.Join("folder", "kept")).Read()
+	kept, err := snapshot.NewStoreWithFileSystem(disk, filepath.Join("folder", "kept")).Read()
 	if err != nil || kept.TakenAt < told.UnixNano() {
 		t.Errorf("taken %v before the shutdown, %v", time.Duration(told.UnixNano()-kept.TakenAt), err)
 	}
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -27,20 +27,20 @@
 	maxArrayElements = 1 << 17
 	maxMapPairs      = 1 << 12
 
-	// ObjectsMost is how many objects of the rate table are kept.
-	ObjectsMost = 10_000
+	// MaxObjects is how many objects of the rate table are kept.
+	MaxObjects = 10_000
 )
 
-// ErrTorn is a file that is not whole, or no snapshot.
-var ErrTorn = errors.New("torn, or no snapshot")
+// ErrCorrupt is a file that is not whole, or no snapshot.
+var ErrCorrupt = errors.New("torn, or no snapshot")
 
 // Snapshot is what a router knows.
 type Snapshot struct {
 	restore.Header
-	Position int64  // of the last event of the list service; 0: no list is known
-	Digest   uint64 // of that event's text
-	Members  []router.Listing
-	Memory   control.Memory
+	Position  int64            // of the last event of the list service; 0: no list is known
+	Digest    uint64           // of that event's text
+	Endpoints []router.Listing `cbor:"Members"`
+	Memory    control.Memory
 }
 
 // head is what stands before the content: magic, version, length, digest.
@@ -61,21 +61,21 @@
 // Decode reads a file. Of one of another version only the version is read.
 func Decode(raw []byte) (s Snapshot, err error) {
 	if len(raw) < headBytes || !bytes.HasPrefix(raw, []byte(magic)) {
-		return s, ErrTorn
+		return s, ErrCorrupt
 	}
 	head, content := raw[len(magic):headBytes], raw[headBytes:]
 	if s.Version = int(binary.BigEndian.Uint32(head)); s.Version != restore.FormatVersion {
 		return s, nil
 	}
 	if binary.BigEndian.Uint64(head[4:]) != uint64(len(content)) || binary.BigEndian.Uint64(head[12:]) != xxhash.Sum64(content) {
-		return s, ErrTorn
+		return s, ErrCorrupt
 	}
 	mode, err := cbor.DecOptions{MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs}.DecMode()
 	if err != nil {
 		return s, err
 	}
 	if err := mode.Unmarshal(content, &s); err != nil {
-		return Snapshot{}, fmt.Errorf("%w: %w", ErrTorn, err)
+		return Snapshot{}, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
 	return s, nil
 }
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -14,7 +14,7 @@
 
 func some() Snapshot {
 	return Snapshot{Header: restore.Header{Version: restore.FormatVersion, Router: "n1", SettingsDigest: 7, TakenAt: 99}, Position: 5, Digest: 8,
-		Members: []router.Listing{{Instance: "s-1", Address: "10.0.0.1:1", Listing: control.Listing{Phase: "ready", Units: 4}}},
+		Endpoints: []router.Listing{{Instance: "s-1", Address: "10.0.0.1:1", Listing: control.Listing{Phase: "ready", Units: 4}}},
 		Memory: control.Memory{Taken: 99, Objects: []control.ObjectMemory{{Object: "7f3a9c21e0b4d655", Count: 2.5, Born: 3}},
 			Products: []control.ProductMemory{{Name: "stills", Sending: .1, Answer: .2, Seen: 9}}, Purges: []control.PurgeMemory{{Name: "g3", When: 4}}}}
 }
@@ -39,18 +39,18 @@
 }
 
 // Whatever byte is lost or turned: the file is passed over, or says the version that it is of.
-func TestTorn(t *testing.T) {
+func TestCorrupt(t *testing.T) {
 	raw, err := Encode(some())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for n := range raw {
-		if _, err := Decode(raw[:n]); !errors.Is(err, ErrTorn) {
+		if _, err := Decode(raw[:n]); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("cut to %d bytes: %v", n, err)
 		}
 		turned := append([]byte(nil), raw...)
 		turned[n] ^= 0x40
-		if s, err := Decode(turned); !errors.Is(err, ErrTorn) && s.Version == restore.FormatVersion {
+		if s, err := Decode(turned); !errors.Is(err, ErrCorrupt) && s.Version == restore.FormatVersion {
 			t.Fatalf("byte %d turned: %+v, %v", n, s, err)
 		}
 	}
@@ -58,7 +58,7 @@
 	if err := os.WriteFile(path, make([]byte, maxFileBytes+1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := NewStore(path).Read(); !errors.Is(err, ErrTorn) {
+	if _, err := NewStore(path).Read(); !errors.Is(err, ErrCorrupt) {
 		t.Error(err)
 	}
 }
--- a/snapshot/store.go
+++ b/snapshot/store.go
@@ -18,10 +18,10 @@
 }
 
 // NewStore makes a store of the file at a path.
-func NewStore(path string) *Store { return NewStoreOn(osFileSystem{}, path) }
+func NewStore(path string) *Store { return NewStoreWithFileSystem(osFileSystem{}, path) }
 
-// NewStoreOn makes a store on another file system.
-func NewStoreOn(files FileSystem, path string) *Store { return &Store{path: path, files: files} }
+// NewStoreWithFileSystem makes a store on another file system.
+func NewStoreWithFileSystem(files FileSystem, path string) *Store { return &Store{path: path, files: files} }
 
 func (s *Store) temporary() string { return s.path + temporarySuffix }
 
@@ -86,7 +86,7 @@
 	case err != nil:
 		return Snapshot{}, err
 	case len(raw) > maxFileBytes:
-		return Snapshot{}, fmt.Errorf("%w: over %d bytes", ErrTorn, maxFileBytes)
+		return Snapshot{}, fmt.Errorf("%w: over %d bytes", ErrCorrupt, maxFileBytes)
 	}
 	return Decode(raw)
 }
--- a/snapshot/store_test.go
+++ b/snapshot/store_test.go
@@ -33,7 +33,7 @@
 func written(t *testing.T) *simulatedDisk {
 	t.Helper()
 	disk := newSimulatedDisk()
-	if err := NewStoreOn(disk, path).Write(numbered(1)); err != nil {
+	if err := NewStoreWithFileSystem(disk, path).Write(numbered(1)); err != nil {
 		t.Fatal(err)
 	}
 	disk.calls = nil
@@ -43,7 +43,7 @@
 // inForce is the number of the snapshot that a process that starts on a disk finds, once it has cleaned up.
 func inForce(t *testing.T, disk *simulatedDisk) int64 {
 	t.Helper()
-	store := NewStoreOn(disk, path)
+	store := NewStoreWithFileSystem(disk, path)
 	if err := store.RemoveTemporary(); err != nil {
 		t.Fatal(err)
 	}
@@ -64,14 +64,14 @@
 	for after := 0; ; after++ {
 		disk := written(t)
 		disk.killAfter = after
-		err := NewStoreOn(disk, path).Write(numbered(2))
+		err := NewStoreWithFileSystem(disk, path).Write(numbered(2))
 		for i, next := range append(disk.afterPowerLoss(), disk.restarted()) {
 			number := inForce(t, next)
 			if number != 2 && (number != 1 || err == nil) {
 				t.Fatalf("killed after %d steps, outcome %d: snapshot %d, written with %v", after, i, number, err)
 			}
 			found[number]++
-			if err := NewStoreOn(next, path).Write(numbered(3)); err != nil || inForce(t, next) != 3 {
+			if err := NewStoreWithFileSystem(next, path).Write(numbered(3)); err != nil || inForce(t, next) != 3 {
 				t.Fatalf("killed after %d steps, outcome %d: the next is not kept, %v", after, i, err)
 			}
 		}
@@ -93,7 +93,7 @@
 			t.Run(operation+" "+failure.Error(), func(t *testing.T) {
 				disk := written(t)
 				disk.fail[operation] = failure
-				store := NewStoreOn(disk, path)
+				store := NewStoreWithFileSystem(disk, path)
 				if err := store.Write(numbered(2)); !errors.Is(err, failure) {
 					t.Fatalf("written with %v", err)
 				}
@@ -124,7 +124,7 @@
 func TestTemporaryFileThatStays(t *testing.T) {
 	disk := written(t)
 	// Of each try the first removal is for what was left before, the second for its own failure.
-	store := NewStoreOn(&failingRemoves{simulatedDisk: disk, failing: []int{2, 3}}, path)
+	store := NewStoreWithFileSystem(&failingRemoves{simulatedDisk: disk, failing: []int{2, 3}}, path)
 	disk.fail["write"] = syscall.ENOSPC
 	if err := store.Write(numbered(2)); !errors.Is(err, syscall.ENOSPC) || !errors.Is(err, syscall.EBUSY) {
 		t.Fatal(err)
@@ -157,7 +157,7 @@
 // A disk that is full through a thousand tries leaves the snapshot before in force, and nothing else.
 func TestFullDisk(t *testing.T) {
 	disk := written(t)
-	store := NewStoreOn(disk, path)
+	store := NewStoreWithFileSystem(disk, path)
 	for n := range 1000 {
 		disk.fail["write"] = syscall.ENOSPC
 		if err := store.Write(numbered(2)); !errors.Is(err, syscall.ENOSPC) {
@@ -175,7 +175,7 @@
 // After a failed fsync the same descriptor is not asked again: it would say that all is well, with nothing on the disk.
 func TestFailedFsyncIsNotTrusted(t *testing.T) {
 	disk := written(t)
-	store := NewStoreOn(disk, path)
+	store := NewStoreWithFileSystem(disk, path)
 	disk.fail["sync"] = syscall.EIO
 	if err := store.Write(numbered(2)); !errors.Is(err, syscall.EIO) {
 		t.Fatal(err)
@@ -197,7 +197,7 @@
 func TestReadFails(t *testing.T) {
 	disk := written(t)
 	disk.fail["open"] = syscall.EIO
-	if got, err := NewStoreOn(disk, path).Read(); !errors.Is(err, syscall.EIO) || got.Position != 0 {
+	if got, err := NewStoreWithFileSystem(disk, path).Read(); !errors.Is(err, syscall.EIO) || got.Position != 0 {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -256,14 +256,14 @@
 // The largest fleet's list and a full rate table fit.
 func TestLargestSnapshotFits(t *testing.T) {
 	s := some()
-	s.Members, s.Memory.Objects, s.Memory.Purges = nil, nil, nil
+	s.Endpoints, s.Memory.Objects, s.Memory.Purges = nil, nil, nil
 	for n := range 10_000 {
 		name := fmt.Sprintf("cache-server-%050d", n)
-		s.Members = append(s.Members, router.Listing{Instance: name, Address: "127.100.100.100:10080",
+		s.Endpoints = append(s.Endpoints, router.Listing{Instance: name, Address: "127.100.100.100:10080",
 			Listing: control.Listing{ID: uint32(n), Location: "a-zone-with-a-long-name", Kind: "a-kind-with-a-long-name", Cell: 1 << 20,
 				Phase: "draining", Units: 1.25, Started: 1764576000123000000}})
 	}
-	for n := range ObjectsMost {
+	for n := range MaxObjects {
 		s.Memory.Objects = append(s.Memory.Objects, control.ObjectMemory{Object: fmt.Sprintf("%016x", n), Part: 1 << 20, Group: 255,
 			Count: 1.1, Purges: 2.2, Counted: 1764576000123000000, Born: 1764576000123000000})
 		s.Memory.Purges = append(s.Memory.Purges, control.PurgeMemory{Name: fmt.Sprintf("%016x", n), When: 1764576000123000000})
@@ -273,7 +273,7 @@
 		t.Fatal(err)
 	}
 	if got, err := store.Read(); err != nil || !reflect.DeepEqual(got, s) {
-		t.Errorf("%d members, %d objects, %v", len(got.Members), len(got.Memory.Objects), err)
+		t.Errorf("%d members, %d objects, %v", len(got.Endpoints), len(got.Memory.Objects), err)
 	}
 	raw, err := Encode(s)
 	if err != nil || len(raw) > maxFileBytes/2 {
