--- a/snapshot/filesystem.go
+++ b/snapshot/filesystem.go
@@ -32,16 +32,21 @@
 // osFileSystem is the operating system's.
 type osFileSystem struct{}
 
+// Open opens a file for reading.
 func (osFileSystem) Open(path string) (io.ReadCloser, error) { return os.Open(path) }
 
+// Create makes a new file that only this user reads.
 func (osFileSystem) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 }
 
+// Rename puts a file in the place of another.
 func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
+// Remove deletes a file.
 func (osFileSystem) Remove(path string) error { return os.Remove(path) }
 
+// SyncDir forces the names in a directory to the disk.
 func (osFileSystem) SyncDir(path string) error {
 	directory, err := os.Open(filepath.Clean(path))
 	if err != nil {
--- a/snapshot/store.go
+++ b/snapshot/store.go
@@ -11,37 +11,41 @@
 // temporarySuffix is what the name of a file ends in while it is being written.
 const temporarySuffix = ".new"
 
-// Store keeps one snapshot in a file. It is not safe for use by two goroutines at once.
+// Store stores one snapshot in a file. It is not safe for use by two goroutines at once.
 type Store struct {
 	path  string
 	files FileSystem
 }
 
-// NewStore makes a store of the file at a path.
+// NewStore returns a store of the file at a path.
 func NewStore(path string) *Store { return NewStoreWithFileSystem(osFileSystem{}, path) }
 
-// NewStoreWithFileSystem makes a store on another file system.
-func NewStoreWithFileSystem(files FileSystem, path string) *Store { return &Store{path: path, files: files} }
+// NewStoreWithFileSystem returns a store of the file at a path of a file system.
+func NewStoreWithFileSystem(files FileSystem, path string) *Store {
+	return &Store{path: path, files: files}
+}
 
+// temporary returns the path of the file that is being written.
 func (s *Store) temporary() string { return s.path + temporarySuffix }
 
-// Write puts a snapshot in the file's place. Whatever fails or ends on the way, the file is the one before or this one.
+// Write puts a snapshot in the file's place, or returns a *SizeError. Whatever fails or ends on the way, the file is the one before or
+// this one.
 //
 // After an error it is not known which of the two a machine that loses power comes back with, and the next call writes
 // everything anew, to a new temporary file: after a failed fsync the kernel may call the pages clean that it could not write,
 // and a second fsync of the same file then succeeds with nothing written.
 func (s *Store) Write(snapshot Snapshot) error {
-	raw, err := Encode(snapshot)
+	content, err := Encode(snapshot)
 	if err != nil {
 		return err
 	}
-	if len(raw) > maxFileBytes {
-		return fmt.Errorf("a snapshot of %d bytes, %d can be", len(raw), maxFileBytes)
+	if len(content) > maxFileBytes {
+		return &SizeError{Bytes: len(content)}
 	}
 	if err := s.RemoveTemporary(); err != nil {
 		return err
 	}
-	if err := s.writeTemporary(raw); err != nil {
+	if err := s.writeTemporary(content); err != nil {
 		return errors.Join(err, s.RemoveTemporary())
 	}
 	if err := s.files.Rename(s.temporary(), s.path); err != nil {
@@ -51,13 +55,13 @@
 }
 
 // writeTemporary writes a whole file and forces it to the disk.
-func (s *Store) writeTemporary(raw []byte) error {
+func (s *Store) writeTemporary(content []byte) error {
 	file, err := s.files.Create(s.temporary())
 	if err != nil {
 		return err
 	}
-	written, err := file.Write(raw)
-	if err == nil && written < len(raw) {
+	written, err := file.Write(content)
+	if err == nil && written < len(content) {
 		err = io.ErrShortWrite
 	}
 	if err == nil {
@@ -74,19 +78,19 @@
 	return nil
 }
 
-// Read reads the file: os.ErrNotExist where there is none, ErrTorn where it is not whole.
+// Read reads the file. The error is os.ErrNotExist where there is none, ErrCorrupt where it is not whole.
 func (s *Store) Read() (Snapshot, error) {
 	file, err := s.files.Open(s.path)
 	if err != nil {
 		return Snapshot{}, err
 	}
-	raw, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
+	content, err := io.ReadAll(io.LimitReader(file, maxFileBytes+1))
 	err = errors.Join(err, file.Close())
 	switch {
 	case err != nil:
 		return Snapshot{}, err
-	case len(raw) > maxFileBytes:
+	case len(content) > maxFileBytes:
 		return Snapshot{}, fmt.Errorf("%w: over %d bytes", ErrCorrupt, maxFileBytes)
 	}
-	return Decode(raw)
+	return Decode(content)
 }
--- a/snapshot/store_test.go
+++ b/snapshot/store_test.go
@@ -232,14 +232,19 @@
 		lines := bufio.NewScanner(out)
 		lines.Scan()
 		time.Sleep(time.Duration(rand.IntN(5000)) * time.Microsecond)
-		cmd.Process.Kill()
+		if err := cmd.Process.Kill(); err != nil {
+			t.Fatal(err)
+		}
 		last := int64(0)
 		for more := true; more; more = lines.Scan() {
 			if _, err := fmt.Sscanf(lines.Text(), "kept %d", &last); err != nil {
 				t.Fatal(lines.Text())
 			}
 		}
-		cmd.Wait()
+		var exit *exec.ExitError
+		if err := cmd.Wait(); !errors.As(err, &exit) {
+			t.Fatalf("killed, it ended with %v", err)
+		}
 		got, err := store.Read()
 		if err != nil || got.Position < last || got.Position > last+1 || !reflect.DeepEqual(got, numbered(got.Position)) {
 			t.Fatalf("%d was kept; read %+v, %v", last, got, err)
@@ -280,3 +285,21 @@
 		t.Errorf("%d bytes, %v", len(raw), err)
 	}
 }
+
+// A snapshot that is too large is not stored, and the one before stays.
+func TestTooLarge(t *testing.T) {
+	disk := written(t)
+	large := numbered(2)
+	large.Router = strings.Repeat("n", maxFileBytes)
+	var size *SizeError
+	err := NewStoreWithFileSystem(disk, path).Write(large)
+	if !errors.As(err, &size) || size.Bytes <= maxFileBytes {
+		t.Fatal(err)
+	}
+	if want := fmt.Sprintf("a snapshot of %d bytes, 8388608 can be", size.Bytes); err.Error() != want {
+		t.Errorf("%v, want %s", err, want)
+	}
+	if got := inForce(t, disk); got != 1 {
+		t.Errorf("snapshot %d", got)
+	}
+}
