--- a/snapshot/compatible_test.go
+++ b/snapshot/compatible_test.go
@@ -5,13 +5,12 @@
 	"os"
 	"path/filepath"
 	"reflect"
-	"testing"
-
-	"github.com/fxamacker/cbor/v2"
-
 	"tealpath/control"
 	"tealpath/plan/restore"
 	"tealpath/router"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
 )
 
 // firstFile was written by Write of commit 9be9074, from the value that is spelled out below.
@@ -28,12 +27,18 @@
 		Position: 4711,
 		Digest:   0x9e3779b97f4a7c15,
 		Endpoints: []router.Listing{
-			{Instance: "s-00c41f7a", Address: "10.1.0.9:10080", Listing: control.Listing{ID: 2166136261, Location: "east", Kind: "std",
-				Cell: 2, Phase: "ready", Units: 4, Started: 1764576000123000000}},
-			{Instance: "s-00c41f7b", Address: "10.1.0.10:10080", Listing: control.Listing{ID: 16777619, Location: "west", Kind: "large",
-				Cell: 3, Phase: "draining", Units: 0.5}},
-			{Instance: "p-1", Address: "10.1.1.1:10080", Listing: control.Listing{ID: 7, Location: "east", Kind: "parent", Cell: -1,
-				Phase: "ready", Units: 1, Started: 1}},
+			{Instance: "s-00c41f7a", Address: "10.1.0.9:10080", Listing: control.Listing{
+				ID: 2166136261, Location: "east", Kind: "std",
+				Cell: 2, Phase: "ready", Units: 4, Started: 1764576000123000000,
+			}},
+			{Instance: "s-00c41f7b", Address: "10.1.0.10:10080", Listing: control.Listing{
+				ID: 16777619, Location: "west", Kind: "large",
+				Cell: 3, Phase: "draining", Units: 0.5,
+			}},
+			{Instance: "p-1", Address: "10.1.1.1:10080", Listing: control.Listing{
+				ID: 7, Location: "east", Kind: "parent", Cell: -1,
+				Phase: "ready", Units: 1, Started: 1,
+			}},
 		},
 		Memory: control.Memory{
 			Started: 1764575000000000001, Taken: 1764576123456789001, Total: 812.25, TotalAt: 1764576123000000002,
@@ -43,10 +48,14 @@
 				{Name: "stills", Sending: 0.0625, Answer: 0.5, Seen: 900.5},
 			},
 			Objects: []control.ObjectMemory{
-				{Object: "7f3a9c21e0b4d655", Part: 3, Group: 17, Count: 2.5, Purges: 1.25, Counted: 1764576100000000003,
-					Born: 1764575500000000004, Ghost: true},
-				{Object: "4be0c1927d55a6f3", Part: 0, Group: 255, Count: 40.75, Purges: 0.5, Counted: 1764576120000000005,
-					Born: 1764575100000000006},
+				{
+					Object: "7f3a9c21e0b4d655", Part: 3, Group: 17, Count: 2.5, Purges: 1.25, Counted: 1764576100000000003,
+					Born: 1764575500000000004, Ghost: true,
+				},
+				{
+					Object: "4be0c1927d55a6f3", Part: 0, Group: 255, Count: 40.75, Purges: 0.5, Counted: 1764576120000000005,
+					Born: 1764575100000000006,
+				},
 			},
 			Purges: []control.PurgeMemory{
 				{Name: "7f3a9c21e0b4d655", When: 1764576000123000007},
--- a/snapshot/format.go
+++ b/snapshot/format.go
@@ -5,11 +5,10 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+	"tealpath/plan/restore"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
-
-	"tealpath/plan/restore"
 )
 
 // A file is the magic, the version, the content's length, the content's digest (XXH64), and the content (CBOR, RFC 8949). Numbers are
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -5,18 +5,21 @@
 	"os"
 	"path/filepath"
 	"reflect"
-	"testing"
-
 	"tealpath/control"
 	"tealpath/plan/restore"
 	"tealpath/router"
+	"testing"
 )
 
 func some() Snapshot {
-	return Snapshot{Header: restore.Header{Version: restore.FormatVersion, Router: "n1", SettingsDigest: 7, TakenAt: 99}, Position: 5, Digest: 8,
+	return Snapshot{
+		Header: restore.Header{Version: restore.FormatVersion, Router: "n1", SettingsDigest: 7, TakenAt: 99}, Position: 5, Digest: 8,
 		Endpoints: []router.Listing{{Instance: "s-1", Address: "10.0.0.1:1", Listing: control.Listing{Phase: "ready", Units: 4}}},
-		Memory: control.Memory{Taken: 99, Objects: []control.ObjectMemory{{Object: "7f3a9c21e0b4d655", Count: 2.5, Born: 3}},
-			Products: []control.ProductMemory{{Name: "stills", Sending: .1, Answer: .2, Seen: 9}}, Purges: []control.PurgeMemory{{Name: "g3", When: 4}}}}
+		Memory: control.Memory{
+			Taken: 99, Objects: []control.ObjectMemory{{Object: "7f3a9c21e0b4d655", Count: 2.5, Born: 3}},
+			Products: []control.ProductMemory{{Name: "stills", Sending: .1, Answer: .2, Seen: 9}}, Purges: []control.PurgeMemory{{Name: "g3", When: 4}},
+		},
+	}
 }
 
 func TestRoundTrip(t *testing.T) {
--- a/snapshot/store_test.go
+++ b/snapshot/store_test.go
@@ -13,11 +13,10 @@
 	"slices"
 	"strings"
 	"syscall"
-	"testing"
-	"time"
-
 	"tealpath/control"
 	"tealpath/router"
+	"testing"
+	"time"
 )
 
 const path = "folder/kept"
@@ -88,8 +87,10 @@
 // keeps its snapshot on a file of its own.
 func TestEveryFailure(t *testing.T) {
 	for _, operation := range []string{"remove", "create", "write", "sync", "close", "rename", "syncdir"} {
-		for _, failure := range []error{syscall.ENOSPC, syscall.EIO, syscall.EDQUOT, syscall.EROFS, syscall.EMFILE, syscall.ENOMEM,
-			syscall.EACCES, syscall.EINTR, syscall.ESTALE} {
+		for _, failure := range []error{
+			syscall.ENOSPC, syscall.EIO, syscall.EDQUOT, syscall.EROFS, syscall.EMFILE, syscall.ENOMEM,
+			syscall.EACCES, syscall.EINTR, syscall.ESTALE,
+		} {
 			t.Run(operation+" "+failure.Error(), func(t *testing.T) {
 				disk := written(t)
 				disk.fail[operation] = failure
@@ -264,13 +265,19 @@
 	s.Endpoints, s.Memory.Objects, s.Memory.Purges = nil, nil, nil
 	for n := range 10_000 {
 		name := fmt.Sprintf("cache-server-%050d", n)
-		s.Endpoints = append(s.Endpoints, router.Listing{Instance: name, Address: "127.100.100.100:10080",
-			Listing: control.Listing{ID: uint32(n), Location: "a-zone-with-a-long-name", Kind: "a-kind-with-a-long-name", Cell: 1 << 20,
-				Phase: "draining", Units: 1.25, Started: 1764576000123000000}})
+		s.Endpoints = append(s.Endpoints, router.Listing{
+			Instance: name, Address: "127.100.100.100:10080",
+			Listing: control.Listing{
+				ID: uint32(n), Location: "a-zone-with-a-long-name", Kind: "a-kind-with-a-long-name", Cell: 1 << 20,
+				Phase: "draining", Units: 1.25, Started: 1764576000123000000,
+			},
+		})
 	}
 	for n := range MaxObjects {
-		s.Memory.Objects = append(s.Memory.Objects, control.ObjectMemory{Object: fmt.Sprintf("%016x", n), Part: 1 << 20, Group: 255,
-			Count: 1.1, Purges: 2.2, Counted: 1764576000123000000, Born: 1764576000123000000})
+		s.Memory.Objects = append(s.Memory.Objects, control.ObjectMemory{
+			Object: fmt.Sprintf("%016x", n), Part: 1 << 20, Group: 255,
+			Count: 1.1, Purges: 2.2, Counted: 1764576000123000000, Born: 1764576000123000000,
+		})
 		s.Memory.Purges = append(s.Memory.Purges, control.PurgeMemory{Name: fmt.Sprintf("%016x", n), When: 1764576000123000000})
 	}
 	store := NewStore(filepath.Join(t.TempDir(), "kept"))
