--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -112,7 +112,7 @@
 	defer out.Close()
 	log := zerolog.New(out).With().Timestamp().Logger()
 	err = process.New(c, file, log, process.WithClock(clock.System())).Run(ctx, leave.Done(), again, func() (*config.Config, *operator.File, error) {
-		next, err := c.Again(os.Getenv)
+		next, err := c.Reload(os.Getenv)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -158,7 +158,7 @@
 	if err := process.Check(c); err != nil {
 		return cli.Exit(err, exitUsage)
 	}
-	fmt.Printf("configuration of %s is usable: clients at %s, journal service at %s\n", c.Name, c.Listen, c.Journal)
+	fmt.Printf("configuration of %s is usable: clients at %s, journal service at %s\n", c.Name, c.Listen, c.DiscoveryAddress)
 	if file != nil {
 		fmt.Println(describe(cmd.String("operator"), file))
 	}
--- a/config/config.go
+++ b/config/config.go
@@ -17,15 +17,15 @@
 
 // Config is one router's configuration.
 type Config struct {
-	Name     string
-	Listen   string
-	Journal  string // address of the journal service
-	Seed     uint64
-	Cores    float64
-	MemoryMB int64
-	Sockets  int64
-	Known    json.RawMessage // the journal service's events up to the start
-	Settings control.Settings
+	Name             string
+	Listen           string
+	DiscoveryAddress string // address of the journal service
+	Seed             uint64
+	Cores            float64
+	MemoryMB         int64
+	MaxSockets       int64
+	KnownEvents      json.RawMessage // the journal service's events up to the start
+	Settings         control.Settings
 }
 
 // Load reads the configuration named by LB_CONFIG; LB_NAME and LB_LISTEN, where set, win over the file.
@@ -45,8 +45,8 @@
 	return c, nil
 }
 
-// Again loads the configuration anew for the router that runs with c. One for another router is an error.
-func (c *Config) Again(env func(string) string) (*Config, error) {
+// Reload loads the configuration anew for the router that runs with c. One for another router is an error.
+func (c *Config) Reload(env func(string) string) (*Config, error) {
 	next, err := Load(func(name string) string {
 		if name == "LB_CONFIG" {
 			return env(name)
@@ -62,14 +62,14 @@
 	return next, nil
 }
 
-// Differs names what of a newer configuration is in force only after a restart.
-func (c *Config) Differs(next *Config) string {
+// RestartRequired names what of a newer configuration is in force only after a restart.
+func (c *Config) RestartRequired(next *Config) string {
 	var names []string
 	for _, f := range []struct {
 		name string
 		same bool
 	}{{"listen", c.Listen == next.Listen},
-		{"limits", c.Cores == next.Cores && c.MemoryMB == next.MemoryMB && c.Sockets == next.Sockets},
+		{"limits", c.Cores == next.Cores && c.MemoryMB == next.MemoryMB && c.MaxSockets == next.MaxSockets},
 		{"settings", reflect.DeepEqual(c.Settings, next.Settings)}} {
 		if !f.same {
 			names = append(names, f.name)
@@ -93,15 +93,15 @@
 	if err := json.Unmarshal(raw, &file); err != nil {
 		return nil, place(raw, err)
 	}
-	c := &Config{Name: file.Name, Listen: file.Listen, Journal: file.Journal, Cores: file.Limits.Cores,
-		MemoryMB: file.Limits.Memory, Sockets: file.Limits.Sockets, Known: file.Known}
+	c := &Config{Name: file.Name, Listen: file.Listen, DiscoveryAddress: file.Journal, Cores: file.Limits.Cores,
+		MemoryMB: file.Limits.Memory, MaxSockets: file.Limits.Sockets, KnownEvents: file.Known}
 	if name != "" {
 		c.Name = name
 	}
 	if listen != "" {
 		c.Listen = listen
 	}
-	for _, a := range []struct{ field, address string }{{"listen", c.Listen}, {"journal", c.Journal}} {
+	for _, a := range []struct{ field, address string }{{"listen", c.Listen}, {"journal", c.DiscoveryAddress}} {
 		if a.address == "" {
 			return nil, fmt.Errorf("%s is missing", a.field)
 		}
@@ -109,7 +109,7 @@
 			return nil, fmt.Errorf("%s: %w", a.field, err)
 		}
 	}
-	if c.Cores < 0 || c.MemoryMB < 0 || c.Sockets < 0 {
+	if c.Cores < 0 || c.MemoryMB < 0 || c.MaxSockets < 0 {
 		return nil, errors.New("limits: negative")
 	}
 	var err error
@@ -121,7 +121,7 @@
 	if len(file.Settings) == 0 {
 		return nil, errors.New("settings is missing")
 	}
-	if c.Settings, err = Settings(file.Settings); err == nil && file.Flow > 0 {
+	if c.Settings, err = ParseSettings(file.Settings); err == nil && file.Flow > 0 {
 		c.Settings["answer.bytesPerS"] = file.Flow
 	}
 	return c, err
--- a/config/names_test.go
+++ b/config/names_test.go
@@ -12,7 +12,7 @@
 		t.Run(wire, func(t *testing.T) {
 			raw := fmt.Sprintf(`{"locality":%[1]q,"failureDomains":[%[1]q],"machineTypes":[%[1]q],"profiles":[{"name":%[1]q,"effect":%[1]q}],
 				"report":{"fields":[%[1]q]}}`, wire)
-			set, err := Settings([]byte(raw))
+			set, err := ParseSettings([]byte(raw))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/config/settings.go
+++ b/config/settings.go
@@ -85,8 +85,8 @@
 	"outstanding": "inHand", "utilization": "busy", "backlog": "queued", "recent_ms": "answerMs",
 }
 
-// Settings decodes the settings that an instance is given at its start. Keys it does not know are skipped, absent ones are left out.
-func Settings(raw []byte) (control.Settings, error) {
+// ParseSettings decodes the settings that an instance is given at its start. Keys it does not know are skipped, absent ones are left out.
+func ParseSettings(raw []byte) (control.Settings, error) {
 	var all map[string]any
 	if err := json.Unmarshal(raw, &all); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
--- a/host/host.go
+++ b/host/host.go
@@ -151,7 +151,7 @@
 	if err != nil {
 		return fmt.Errorf("bad seed")
 	}
-	told, err := config.Settings([]byte(event.Fields[2]))
+	told, err := config.ParseSettings([]byte(event.Fields[2]))
 	if err != nil {
 		return err
 	}
--- a/process/process.go
+++ b/process/process.go
@@ -193,7 +193,7 @@
 	routers, _ := p.config.Settings["routers"].(int64)
 	calls := startup.NewCallSchedule(p.config.Seed, int(routers), p.holding())
 	calls.SetDrainGrace(p.grace())
-	journal := feed.New(p.config.Journal, past, calls, post, p.line, feed.WithClock(p.clock))
+	journal := feed.New(p.config.DiscoveryAddress, past, calls, post, p.line, feed.WithClock(p.clock))
 	group.Go(func() error { return journal.Run(ctx) })
 	group.Go(func() error {
 		for {
@@ -256,19 +256,19 @@
 	if file != nil && p.file != nil && ((p.shared == nil) != (file.Fleet == nil) || !file.Idle.Same(p.file.Idle)) {
 		p.line("operator's file: in force after a restart only: idle, and fleet where there was none")
 	}
-	line := "configuration read again: journal service at " + next.Journal
-	if differs := p.config.Differs(next); differs != "" {
+	line := "configuration read again: journal service at " + next.DiscoveryAddress
+	if differs := p.config.RestartRequired(next); differs != "" {
 		line += "; in force after a restart only: " + differs
 	}
 	p.line(line)
-	journal.Move(next.Journal)
+	journal.Move(next.DiscoveryAddress)
 }
 
 // mayPass tells whether an address that could not be listened on may be had in a moment: another process lets go of it, or of what
 // this machine lacks.
 func mayPass(err error) bool { return errors.Is(err, syscall.EADDRINUSE) || neterr.IsExhausted(err) }
 
-func (p *Process) sockets() int64 { return max(p.config.Sockets, leastSockets) }
+func (p *Process) sockets() int64 { return max(p.config.MaxSockets, leastSockets) }
 
 // bytes is a share of the memory.
 func (p *Process) bytes(share float64) int {
@@ -294,7 +294,7 @@
 		return past, fmt.Errorf("%w: settings: %w", ErrConfig, err)
 	}
 	p.start = startup.NewProgress(now, startup.RateWindow, p.holding())
-	past, told, err := feed.Known(p.config.Known)
+	past, told, err := feed.Known(p.config.KnownEvents)
 	if err != nil {
 		return past, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
