--- a/config/config_test.go
+++ b/config/config_test.go
@@ -1,6 +1,9 @@
 package config
 
 import (
+	"errors"
+	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 )
@@ -11,7 +14,7 @@
  "profiles":[{"name":"stills","deadlineS":2.5,"effect":"retryable"}],"novel":1}}`
 
 func TestParse(t *testing.T) {
-	cases := []struct {
+	tests := []struct {
 		name, old, new string
 		err            string
 	}{
@@ -29,12 +32,12 @@
 		{"a setting of another type", `"balancers":4`, `"balancers":"4"`, `settings: balancers: unexpected value "4"`},
 		{"settings that are a list", `"settings":{"balancers":4,`, `"settings":[4],"x":{`, "settings: "},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			got, err := Parse([]byte(strings.Replace(file, c.old, c.new, 1)), "", "")
-			if c.err != "" {
-				if err == nil || !strings.Contains(err.Error(), c.err) {
-					t.Errorf("error %v, want %q", err, c.err)
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			got, err := Parse([]byte(strings.Replace(file, test.old, test.new, 1)), "", "")
+			if test.err != "" {
+				if err == nil || !strings.Contains(err.Error(), test.err) {
+					t.Errorf("error %v, want %q", err, test.err)
 				}
 				return
 			}
@@ -55,13 +58,83 @@
 }
 
 func TestLoad(t *testing.T) {
-	for _, c := range []struct{ name, path, err string }{{"not named", "", "LB_CONFIG is not set"},
-		{"absent", "/nowhere/config.json", "no such file"}, {"a folder", t.TempDir(), "is a directory"}} {
-		t.Run(c.name, func(t *testing.T) {
-			_, err := Load(func(name string) string { return map[string]string{"LB_CONFIG": c.path}[name] })
-			if err == nil || !strings.Contains(err.Error(), c.err) {
-				t.Errorf("error %v, want %q", err, c.err)
+	for _, test := range []struct{ name, path, err string }{
+		{"not named", "", "LB_CONFIG is not set"},
+		{"absent", "/nowhere/config.json", "no such file"},
+		{"a folder", t.TempDir(), "is a directory"},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			_, err := Load(func(name string) string { return map[string]string{"LB_CONFIG": test.path}[name] })
+			if err == nil || !strings.Contains(err.Error(), test.err) {
+				t.Errorf("error %v, want %q", err, test.err)
 			}
 		})
 	}
 }
+
+func TestErrors(t *testing.T) {
+	parse := func(old, replacement string) error {
+		_, err := Parse([]byte(strings.Replace(file, old, replacement, 1)), "", "")
+		return err
+	}
+	var missing *MissingError
+	if err := parse(`"settings"`, `"sets"`); !errors.As(err, &missing) || missing.Field != "settings" {
+		t.Error(err)
+	}
+	var seed *SeedError
+	if err := parse("8c1f30d27a5be964", "seven"); !errors.As(err, &seed) || seed.Seed != "seven" {
+		t.Error(err)
+	}
+	var line *LineError
+	if err := parse(`"limits":{"cores"`, `"limits":{cores`); !errors.As(err, &line) || line.Line != 2 || errors.Unwrap(line) == nil {
+		t.Error(err)
+	}
+	if err := parse("192", "-1"); !errors.Is(err, ErrNegativeLimits) {
+		t.Error(err)
+	}
+	var setting *SettingError
+	var value *ValueError
+	err := parse(`"dialTimeoutS":0.4`, `"dialTimeoutS":"soon"`)
+	if !errors.As(err, &setting) || setting.Key != "limits.dialTimeoutS" || !errors.As(err, &value) || value.Value != "soon" {
+		t.Error(err)
+	}
+	if err := parse(`{"name":"stills","deadlineS":2.5,"effect":"retryable"}`, "7"); !errors.As(err, &setting) || !errors.Is(err, ErrNotAnObject) {
+		t.Error(err)
+	}
+	if err := parse(`"limits":{"dialTimeoutS":0.4,"streamsPerConn":100}`, `"limits":7`); !errors.Is(err, ErrNotAnObject) {
+		t.Error(err)
+	}
+}
+
+// A configuration is loaded anew only for the router that runs, whatever the environment says of its name.
+func TestReload(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	getenv := func(name string) string {
+		return map[string]string{"LB_CONFIG": path, "LB_NAME": "n9", "LB_LISTEN": "127.0.0.5:1"}[name]
+	}
+	running, err := Load(getenv)
+	if err != nil || running.Name != "n9" {
+		t.Fatal(running, err)
+	}
+	var other *OtherRouterError
+	_, err = running.Reload(getenv)
+	if !errors.As(err, &other) || err.Error() != "configuration "+path+`: name: it is for router "n3"` {
+		t.Error(err)
+	}
+	running.Name = "n3"
+	next, err := running.Reload(getenv)
+	if err != nil || running.RestartRequired(next) != "listen" {
+		t.Errorf("%+v, %v", next, err)
+	}
+	next.MemoryMB++
+	next.Settings["connect.within"] = int64(1)
+	if got := running.RestartRequired(next); got != "listen, limits, settings" {
+		t.Error(got)
+	}
+	if _, err := running.Reload(func(string) string { return "" }); !errors.Is(err, ErrNoFile) {
+		t.Error(err)
+	}
+}
--- /dev/null
+++ b/config/keys.go
@@ -0,0 +1,79 @@
+package config
+
+// setting says where a setting stands in the file, and under which name and of which kind the module is given it.
+type setting struct {
+	group, key string // in the file; the group is an object or a list of objects, empty for the settings themselves
+	name       string
+	kind       kind
+}
+
+var settings = []setting{
+	{"", "balancers", "routers", whole},
+	{"", "selfIndex", "router.place", whole},
+	{"", "locality", "location", text},
+	{"", "failureDomains", "locations", text},
+	{"", "machineTypes", "kinds", text},
+	{"", "discovery", "list.mode", text},
+	{"", "weights", "units", text},
+	{"", "worthBy", "payoff.by", text},
+	{"familyInfo", "zoneBalancers", "location.routers", whole},
+	{"familyInfo", "homeHub", "location.hub", whole},
+	{"familyInfo", "feedKbPerS", "location.linkKBPerS", number},
+	{"familyInfo", "clientKbPerS", "clientKBPerS", number},
+	{"familyInfo", "direct", "direct", flag},
+	{"familyInfo", "joins", "joins", flag},
+	{"familyInfo", "neighbours", "neighbours", text},
+	{"familyInfo", "says", "notes", text},
+	{"familyInfo", "upperKind", "kind.parent", whole},
+	{"familyInfo", "rootKind", "kind.origin", whole},
+	{"familyInfo", "originFallMultiple", "origin.fallFactor", number},
+	{"familyInfo", "rootFallS", "origin.fallWindow", seconds},
+	{"familyInfo", "parentStartsAt", "parent.coldShare", number},
+	{"familyInfo", "parentWarmsInS", "parent.coldSpan", seconds},
+	{"familyInfo", "parentLimitFactor", "parent.coldFactor", number},
+	{"familyInfo", "priceOfLink", "price.link", number},
+	{"familyInfo", "purgeSlackS", "purge.grace", seconds},
+	{"familyInfo", "purgeTakesS", "purge.takes", seconds},
+	{"familyInfo", "freshForS", "product.fresh", seconds},
+	{"familyInfo", "graceForS", "product.staleSpan", seconds},
+	{"familyInfo", "staleEarns", "product.stalePayoff", number},
+	{"familyInfo", "inPieces", "product.parts", flag},
+	{"familyInfo", "neverKept", "product.neverKept", flag},
+	{"limits", "attemptsCap", "dispatches.most", whole},
+	{"limits", "cancel", "cancel", flag},
+	{"limits", "secondCopies", "dispatches.together", flag},
+	{"limits", "mayProbe", "probe", flag},
+	{"limits", "retryAfter", "advice", flag},
+	{"limits", "maxRetryAfterS", "advice.most", seconds},
+	{"limits", "dialTimeoutS", "connect.within", seconds},
+	{"limits", "connIdleS", "connect.idle", seconds},
+	{"limits", "streamsPerConn", "connect.streams", whole},
+	{"limits", "maxOpen", "hands.most", whole},
+	{"obligations", "askEveryS", "list.askWithin", seconds},
+	{"obligations", "coldFrom", "cold.share", number},
+	{"obligations", "warmUpS", "cold.span", seconds},
+	{"obligations", "overloadFactor", "cold.factor", number},
+	{"obligations", "fallS", "cold.window", seconds},
+	{"obligations", "stopSendingWithinS", "drain.grace", seconds},
+	{"obligations", "graceToAnswerS", "answer.grace", seconds},
+	{"report", "fields", "report.fields", word},
+	{"report", "source", "report.mode", text},
+	{"profiles", "name", "product.names", text},
+	{"profiles", "points", "product.payoff", number},
+	{"profiles", "effect", "product.effect", word},
+	{"profiles", "keyScope", "product.scope", text},
+	{"profiles", "dedupWindowS", "product.window", seconds},
+	{"profiles", "onTimeS", "product.due", seconds},
+	{"profiles", "aimStretch", "product.dueStretch", number},
+	{"profiles", "deadlineS", "product.hardStop", seconds},
+	{"profiles", "lateWorth", "product.latePayoff", number},
+	{"profiles", "streamed", "product.streamed", flag},
+	{"callers", "marksRetry", "client.marksRepeats", flag},
+}
+
+// words says in the module's terms what the wire says in its own. Names are never translated: a class that another customer
+// calls "backlog" was known as "queued", and each of its requests passed for a bad client's.
+var words = map[string]string{
+	"retryable": "harmless", "dedup": "stamped", "fragile": "one-shot",
+	"outstanding": "inHand", "utilization": "busy", "backlog": "queued", "recent_ms": "answerMs",
+}
--- /dev/null
+++ b/config/parse.go
@@ -0,0 +1,129 @@
+package config
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"strconv"
+	"tealpath/control"
+)
+
+// bytesPerSecondSetting is the name under which the module finds the file's flow_bytes_per_s.
+const bytesPerSecondSetting = "answer.bytesPerS"
+
+// fileContent is the form of the configuration file.
+type fileContent struct {
+	Name, Listen, Seed, Journal string
+	Limits                      struct {
+		Cores    float64
+		MemoryMB int64 `json:"memory_mb"`
+		Sockets  int64
+	}
+	FlowBytesPerSecond float64 `json:"flow_bytes_per_s"`
+	Known, Settings    json.RawMessage
+}
+
+// Parse decodes a configuration file. A name and an address for clients that are not empty take precedence over the file's.
+func Parse(raw []byte, name, listen string) (*Config, error) {
+	var parsed fileContent
+	if err := json.Unmarshal(raw, &parsed); err != nil {
+		return nil, withLine(raw, err)
+	}
+	if name != "" {
+		parsed.Name = name
+	}
+	if listen != "" {
+		parsed.Listen = listen
+	}
+	return parsed.config()
+}
+
+// config checks a file and returns what it says.
+func (f *fileContent) config() (*Config, error) {
+	if err := checkAddress("listen", f.Listen); err != nil {
+		return nil, err
+	}
+	if err := checkAddress("journal", f.Journal); err != nil {
+		return nil, err
+	}
+	if f.Limits.Cores < 0 || f.Limits.MemoryMB < 0 || f.Limits.Sockets < 0 {
+		return nil, ErrNegativeLimits
+	}
+	seed, err := parseSeed(f.Seed)
+	if err != nil {
+		return nil, err
+	}
+	settings, err := f.settings()
+	if err != nil {
+		return nil, err
+	}
+	return &Config{
+		Name:             f.Name,
+		Listen:           f.Listen,
+		DiscoveryAddress: f.Journal,
+		Seed:             seed,
+		Cores:            f.Limits.Cores,
+		MemoryMB:         f.Limits.MemoryMB,
+		MaxSockets:       f.Limits.Sockets,
+		KnownEvents:      f.Known,
+		Settings:         settings,
+	}, nil
+}
+
+func (f *fileContent) settings() (control.Settings, error) {
+	if len(f.Settings) == 0 {
+		return nil, &MissingError{Field: "settings"}
+	}
+	settings, err := ParseSettings(f.Settings)
+	if err != nil {
+		return nil, err
+	}
+	if f.FlowBytesPerSecond > 0 {
+		settings[bytesPerSecondSetting] = f.FlowBytesPerSecond
+	}
+	return settings, nil
+}
+
+func checkAddress(field, address string) error {
+	if address == "" {
+		return &MissingError{Field: field}
+	}
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return fmt.Errorf("%s: %w", field, err)
+	}
+	return nil
+}
+
+// parseSeed reads a seed; an empty one is 0.
+func parseSeed(text string) (uint64, error) {
+	if text == "" {
+		return 0, nil
+	}
+	seed, err := strconv.ParseUint(text, 16, 64)
+	if err != nil {
+		return 0, &SeedError{Seed: text}
+	}
+	return seed, nil
+}
+
+// withLine adds the line to an error of the JSON decoder that says where it is.
+func withLine(raw []byte, err error) error {
+	var syntaxError *json.SyntaxError
+	var typeError *json.UnmarshalTypeError
+	var offset int64
+	switch {
+	case errors.As(err, &syntaxError):
+		offset = syntaxError.Offset
+	case errors.As(err, &typeError):
+		offset = typeError.Offset
+	default:
+		return err
+	}
+	if offset < 0 || offset > int64(len(raw)) {
+		return err
+	}
+	line := 1 + bytes.Count(raw[:offset], []byte("\n"))
+	return &LineError{Line: line, Err: err}
+}
--- a/config/settings.go
+++ b/config/settings.go
@@ -6,186 +6,135 @@
 	"fmt"
 	"math"
 	"strings"
-
 	"tealpath/control"
 )
 
-// Forms in which a setting arrives.
+// kind is the form in which a setting arrives. Lists have elements of one kind.
+type kind int
+
 const (
-	seconds = iota
-	number
-	whole
-	flag
-	text
-	word // text that the wire has in words of its own
+	seconds kind = iota // a number; the module is given ns, as int64
+	number              // float64
+	whole               // a number; the module is given an int64
+	flag                // bool
+	text                // string
+	word                // a string that the file has in words of its own, which are translated
 )
 
-// naming maps where a setting stands in the settings to the name and form in which the module is given
-// it.
-var naming = []struct {
-	group, key string
-	name       string
-	form       int
-}{
-	{"", "balancers", "routers", whole},
-	{"", "selfIndex", "router.place", whole},
-	{"", "locality", "location", text},
-	{"", "failureDomains", "locations", text}, {"", "machineTypes", "kinds", text},
-	{"", "discovery", "list.mode", text},
-	{"", "weights", "units", text},
-	{"", "worthBy", "payoff.by", text},
-	{"familyInfo", "zoneBalancers", "location.routers", whole},
-	{"familyInfo", "homeHub", "location.hub", whole},
-	{"familyInfo", "feedKbPerS", "location.linkKBPerS", number},
-	{"familyInfo", "clientKbPerS", "clientKBPerS", number}, {"familyInfo", "direct", "direct", flag},
-	{"familyInfo", "joins", "joins", flag}, {"familyInfo", "neighbours", "neighbours", text},
-	{"familyInfo", "says", "notes", text}, {"familyInfo", "upperKind", "kind.parent", whole},
-	{"familyInfo", "rootKind", "kind.origin", whole},
-	{"familyInfo", "originFallMultiple", "origin.fallFactor", number},
-	{"familyInfo", "rootFallS", "origin.fallWindow", seconds},
-	{"familyInfo", "parentStartsAt", "parent.coldShare", number},
-	{"familyInfo", "parentWarmsInS", "parent.coldSpan", seconds},
-	{"familyInfo", "parentLimitFactor", "parent.coldFactor", number},
-	{"familyInfo", "priceOfLink", "price.link", number},
-	{"familyInfo", "purgeSlackS", "purge.grace", seconds},
-	{"familyInfo", "purgeTakesS", "purge.takes", seconds},
-	{"familyInfo", "freshForS", "product.fresh", seconds},
-	{"familyInfo", "graceForS", "product.staleSpan", seconds},
-	{"familyInfo", "staleEarns", "product.stalePayoff", number},
-	{"familyInfo", "inPieces", "product.parts", flag},
-	{"familyInfo", "neverKept", "product.neverKept", flag},
-	{"limits", "attemptsCap", "dispatches.most", whole}, {"limits", "cancel", "cancel", flag},
-	{"limits", "secondCopies", "dispatches.together", flag}, {"limits", "mayProbe", "probe", flag},
-	{"limits", "retryAfter", "advice", flag}, {"limits", "maxRetryAfterS", "advice.most", seconds},
-	{"limits", "dialTimeoutS", "connect.within", seconds}, {"limits", "connIdleS", "connect.idle", seconds},
-	{"limits", "streamsPerConn", "connect.streams", whole}, {"limits", "maxOpen", "hands.most", whole},
-	{"obligations", "askEveryS", "list.askWithin", seconds},
-	{"obligations", "coldFrom", "cold.share", number},
-	{"obligations", "warmUpS", "cold.span", seconds},
-	{"obligations", "overloadFactor", "cold.factor", number},
-	{"obligations", "fallS", "cold.window", seconds},
-	{"obligations", "stopSendingWithinS", "drain.grace", seconds},
-	{"obligations", "graceToAnswerS", "answer.grace", seconds},
-	{"report", "fields", "report.fields", word}, {"report", "source", "report.mode", text},
-	{"profiles", "name", "product.names", text}, {"profiles", "points", "product.payoff", number},
-	{"profiles", "effect", "product.effect", word}, {"profiles", "keyScope", "product.scope", text},
-	{"profiles", "dedupWindowS", "product.window", seconds},
-	{"profiles", "onTimeS", "product.due", seconds},
-	{"profiles", "aimStretch", "product.dueStretch", number},
-	{"profiles", "deadlineS", "product.hardStop", seconds},
-	{"profiles", "lateWorth", "product.latePayoff", number},
-	{"profiles", "streamed", "product.streamed", flag},
-	{"callers", "marksRetry", "client.marksRepeats", flag},
-}
-
-// words says in the module's terms what the wire says in its own. Names are never translated: a class that another customer
-// calls "backlog" was known as "queued", and each of its requests passed for a bad client's.
-var words = map[string]string{
-	"retryable": "harmless", "dedup": "stamped", "fragile": "one-shot",
-	"outstanding": "inHand", "utilization": "busy", "backlog": "queued", "recent_ms": "answerMs",
-}
+// nanosecondsPerSecond is the module's unit of time.
+const nanosecondsPerSecond = 1e9
 
-// ParseSettings decodes the settings that an instance is given at its start. Keys it does not know are skipped, absent ones are left out.
+// ParseSettings decodes the settings that an instance is given at its start. Keys it does not know are skipped, absent ones are left
+// out. A setting that can't be used is a *SettingError.
 func ParseSettings(raw []byte) (control.Settings, error) {
-	var all map[string]any
-	if err := json.Unmarshal(raw, &all); err != nil {
+	var groups map[string]any
+	if err := json.Unmarshal(raw, &groups); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	out := control.Settings{}
-	for _, n := range naming {
-		holder := any(all)
-		if n.group != "" {
-			holder = all[n.group]
+	decoded := control.Settings{}
+	for _, setting := range settings {
+		group := any(groups)
+		if setting.group != "" {
+			group = groups[setting.group]
 		}
-		value, err := pick(holder, n.key, n.form)
+		value, err := setting.decode(group)
 		if err != nil {
-			return nil, fmt.Errorf("settings: %s: %w", strings.TrimPrefix(n.group+"."+n.key, "."), err)
+			return nil, &SettingError{Key: strings.TrimPrefix(setting.group+"."+setting.key, "."), Err: err}
 		}
 		if value != nil {
-			out[n.name] = value
+			decoded[setting.name] = value
 		}
 	}
-	return out, nil
+	return decoded, nil
 }
 
-// pick finds key in an object, or gathers it from a list of objects.
-func pick(holder any, key string, form int) (any, error) {
-	switch h := holder.(type) {
+// decode finds a setting in its group, or gathers it from a group that is a list of objects. It is nil if it is absent.
+func (s setting) decode(group any) (any, error) {
+	switch group := group.(type) {
 	case nil:
 		return nil, nil
 	case map[string]any:
-		if list, ok := h[key].([]any); ok {
-			return row(list, form)
-		}
-		if h[key] == nil {
+		switch value := group[s.key].(type) {
+		case nil:
 			return nil, nil
+		case []any:
+			return s.kind.decodeList(value)
+		default:
+			return s.kind.decode(value)
 		}
-		return one(h[key], form)
 	case []any:
-		list := make([]any, len(h))
-		for i, item := range h {
-			object, ok := item.(map[string]any)
-			if !ok {
-				return nil, fmt.Errorf("not an object")
-			}
-			list[i] = object[key]
+		values, err := column(group, s.key)
+		if err != nil {
+			return nil, err
 		}
-		return row(list, form)
+		return s.kind.decodeList(values)
 	}
-	return nil, fmt.Errorf("not an object")
+	return nil, ErrNotAnObject
 }
 
-func one(value any, form int) (any, error) {
-	f, isNumber := value.(float64)
-	switch form {
-	case seconds:
-		if isNumber || value == nil {
-			return int64(math.Round(f * 1e9)), nil
+// column returns the values of one key in a list of objects, nil where it is absent.
+func column(objects []any, key string) ([]any, error) {
+	values := make([]any, len(objects))
+	for i, item := range objects {
+		object, ok := item.(map[string]any)
+		if !ok {
+			return nil, ErrNotAnObject
 		}
+		values[i] = object[key]
+	}
+	return values, nil
+}
+
+// decode decodes one value. An absent one, which is nil, is the zero value of its kind.
+func (k kind) decode(value any) (any, error) {
+	switch k {
+	case seconds:
+		duration, err := as[float64](value)
+		return int64(math.Round(duration * nanosecondsPerSecond)), err
 	case number:
-		if isNumber || value == nil {
-			return f, nil
-		}
+		return as[float64](value)
 	case whole:
-		if isNumber || value == nil {
-			return int64(f), nil
-		}
+		count, err := as[float64](value)
+		return int64(count), err
 	case flag:
-		if on, ok := value.(bool); ok || value == nil {
-			return on, nil
-		}
-	case text:
-		if s, ok := value.(string); ok || value == nil {
-			return s, nil
-		}
+		return as[bool](value)
 	case word:
-		if s, ok := value.(string); ok || value == nil {
-			return cmp.Or(words[s], s), nil
-		}
+		wireWord, err := as[string](value)
+		return cmp.Or(words[wireWord], wireWord), err
+	}
+	return as[string](value)
+}
+
+// as returns a value as a type, and a *ValueError if it is of another one.
+func as[T any](value any) (typed T, err error) {
+	typed, ok := value.(T)
+	if !ok && value != nil {
+		return typed, &ValueError{Value: value}
 	}
-	return nil, fmt.Errorf("unexpected value %#v", value)
+	return typed, nil
 }
 
-func row(list []any, form int) (any, error) {
-	switch form {
+func (k kind) decodeList(values []any) (any, error) {
+	switch k {
 	case seconds, whole:
-		return gather[int64](list, form)
+		return decodeElements[int64](k, values)
 	case number:
-		return gather[float64](list, form)
+		return decodeElements[float64](k, values)
 	case flag:
-		return gather[bool](list, form)
+		return decodeElements[bool](k, values)
 	}
-	return gather[string](list, form)
+	return decodeElements[string](k, values)
 }
 
-func gather[T any](list []any, form int) (any, error) {
-	out := make([]T, len(list))
-	for i, item := range list {
-		value, err := one(item, form)
+// decodeElements decodes a list of one kind, whose elements are of type T for the module.
+func decodeElements[T any](k kind, values []any) (any, error) {
+	decoded := make([]T, len(values))
+	for i, value := range values {
+		element, err := k.decode(value)
 		if err != nil {
 			return nil, err
 		}
-		out[i] = value.(T)
+		decoded[i] = element.(T)
 	}
-	return out, nil
+	return decoded, nil
 }
