--- a/config/stored_test.go
+++ b/config/stored_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"fmt"
+	"tealpath/control"
 	"testing"
 
 	"github.com/cespare/xxhash/v2"
-
-	"tealpath/control"
 )
 
 // everySetting has each group of settings, and a value of each form.
--- a/fleet/probes.go
+++ b/fleet/probes.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-
 	"tealpath/fleet/lease"
 	"tealpath/fleet/membership"
 	"tealpath/fleet/probe"
--- a/fleet/size_test.go
+++ b/fleet/size_test.go
@@ -3,11 +3,10 @@
 import (
 	"fmt"
 	"strings"
-	"testing"
-
 	"tealpath/fleet/lease"
 	"tealpath/fleet/membership"
 	"tealpath/fleet/peer"
+	"testing"
 )
 
 // What was found of all servers of the largest fleet between two beats is told, in messages that fit a frame.
@@ -48,13 +47,17 @@
 	name := strings.Repeat("n", 128)
 	rejection := lease.Message{Kind: lease.Reject, Epoch: 1 << 40, SentAt: 1 << 62}
 	for slot := range lease.MaxSlots {
-		rejection.Items = append(rejection.Items, lease.SlotBallot{Slot: slot, Ballot: 1 << 63,
-			Holder: lease.Instance{Name: name, Incarnation: 1 << 63}, Remaining: 1 << 40})
+		rejection.Items = append(rejection.Items, lease.SlotBallot{
+			Slot: slot, Ballot: 1 << 63,
+			Holder: lease.Instance{Name: name, Incarnation: 1 << 63}, Remaining: 1 << 40,
+		})
 	}
 	news := membership.Gossip{Heartbeat: 1 << 40, Echo: 1 << 40, Digest: 1 << 63, BucketDigests: make([]uint64, membership.DigestBuckets)}
 	for range membership.MaxPerMessage {
-		news.Entries = append(news.Entries, membership.Entry{Name: name, Incarnation: 1 << 63, Start: 1 << 63, Version: 1 << 63,
-			Address: strings.Repeat("a", 256), Weight: 1.1, Leaving: true, Epoch: 1 << 63, Dead: true})
+		news.Entries = append(news.Entries, membership.Entry{
+			Name: name, Incarnation: 1 << 63, Start: 1 << 63, Version: 1 << 63,
+			Address: strings.Repeat("a", 256), Weight: 1.1, Leaving: true, Epoch: 1 << 63, Dead: true,
+		})
 		news.Reports = append(news.Reports, membership.Report{Subject: name, Incarnation: 1 << 63, Version: 1 << 63, Observer: name, Seq: 1 << 63, Kind: 1})
 	}
 	for what, m := range map[string]Message{"all slots rejected": {Lease: &rejection}, "news": {Gossip: &news}} {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -36,8 +36,10 @@
 // Go's own monotonic time, the axis stands still while the machine is suspended.
 func System() Clock { return process }
 
+// Now implements Clock.
 func (s *system) Now() int64 { return s.zero + int64(time.Since(s.begin)) }
 
+// Wall implements Clock.
 func (s *system) Wall() int64 { return time.Now().UnixNano() }
 
 // Until is how long it is until a time on a clock's axis; negative once that has passed.
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -39,9 +39,13 @@
 		name     string
 		ms, want int64
 	}{
-		{"zero", 0, 0}, {"usual", 1764576000123, 1764576000123e6}, {"before 1970", -5, -5e6},
-		{"a year far in the future", math.MaxInt64, math.MaxInt64}, {"far in the past", math.MinInt64, math.MinInt64},
-		{"the largest that fits", math.MaxInt64 / 1_000_000, math.MaxInt64 / 1_000_000 * 1_000_000}, {"one more", math.MaxInt64/1_000_000 + 1, math.MaxInt64},
+		{"zero", 0, 0},
+		{"usual", 1764576000123, 1764576000123e6},
+		{"before 1970", -5, -5e6},
+		{"a year far in the future", math.MaxInt64, math.MaxInt64},
+		{"far in the past", math.MinInt64, math.MinInt64},
+		{"the largest that fits", math.MaxInt64 / 1_000_000, math.MaxInt64 / 1_000_000 * 1_000_000},
+		{"one more", math.MaxInt64/1_000_000 + 1, math.MaxInt64},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := FromUnixMilli(c.ms); got != c.want {
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -4,9 +4,8 @@
 
 import (
 	"sync"
-	"time"
-
 	"tealpath/internal/clock"
+	"time"
 )
 
 // Clock is a clock.Clock for tests.
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -26,8 +26,10 @@
 var exhaustedErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.ENOSPC}
 
 // endErrors are what a read, a write or a peek says of a connection that is over.
-var endErrors = []syscall.Errno{syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
-	syscall.ECONNREFUSED, syscall.ECONNABORTED, syscall.ENOTCONN, syscall.EBADF, syscall.ENOTSOCK}
+var endErrors = []syscall.Errno{
+	syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
+	syscall.ECONNREFUSED, syscall.ECONNABORTED, syscall.ENOTCONN, syscall.EBADF, syscall.ENOTSOCK,
+}
 
 // IsExhausted tells whether this machine is out of something that a later try may find: descriptors, memory, watches.
 func IsExhausted(err error) bool { return isOneOf(err, exhaustedErrors) }
--- a/snapshot/compatible_test.go
+++ b/snapshot/compatible_test.go
@@ -27,12 +27,18 @@
 		Position: 4711,
 		Digest:   0x9e3779b97f4a7c15,
 		Endpoints: []router.Listing{
-			{Instance: "s-00c41f7a", Address: "10.1.0.9:10080", Endpoint: control.Endpoint{ID: 2166136261, Location: "east", Kind: "std",
-				Cell: 2, Phase: "ready", Capacity: 4, StartedAt: 1764576000123000000}},
-			{Instance: "s-00c41f7b", Address: "10.1.0.10:10080", Endpoint: control.Endpoint{ID: 16777619, Location: "west", Kind: "large",
-				Cell: 3, Phase: "draining", Capacity: 0.5}},
-			{Instance: "p-1", Address: "10.1.1.1:10080", Endpoint: control.Endpoint{ID: 7, Location: "east", Kind: "parent", Cell: -1,
-				Phase: "ready", Capacity: 1, StartedAt: 1}},
+			{Instance: "s-00c41f7a", Address: "10.1.0.9:10080", Endpoint: control.Endpoint{
+				ID: 2166136261, Location: "east", Kind: "std",
+				Cell: 2, Phase: "ready", Capacity: 4, StartedAt: 1764576000123000000,
+			}},
+			{Instance: "s-00c41f7b", Address: "10.1.0.10:10080", Endpoint: control.Endpoint{
+				ID: 16777619, Location: "west", Kind: "large",
+				Cell: 3, Phase: "draining", Capacity: 0.5,
+			}},
+			{Instance: "p-1", Address: "10.1.1.1:10080", Endpoint: control.Endpoint{
+				ID: 7, Location: "east", Kind: "parent", Cell: -1,
+				Phase: "ready", Capacity: 1, StartedAt: 1,
+			}},
 		},
 		Memory: control.Snapshot{
 			StartedAt: 1764575000000000001, TakenAt: 1764576123456789001, RequestCount: 812.25, RequestCountAt: 1764576123000000002,
@@ -42,10 +48,14 @@
 				{Name: "stills", SendingTime: 0.0625, ResponseTime: 0.5, Samples: 900.5},
 			},
 			Objects: []control.ObjectSnapshot{
-				{Object: "7f3a9c21e0b4d655", Part: 3, Group: 17, Count: 2.5, Purges: 1.25, CountedAt: 1764576100000000003,
-					FirstSeenAt: 1764575500000000004, Evicted: true},
-				{Object: "4be0c1927d55a6f3", Part: 0, Group: 255, Count: 40.75, Purges: 0.5, CountedAt: 1764576120000000005,
-					FirstSeenAt: 1764575100000000006},
+				{
+					Object: "7f3a9c21e0b4d655", Part: 3, Group: 17, Count: 2.5, Purges: 1.25, CountedAt: 1764576100000000003,
+					FirstSeenAt: 1764575500000000004, Evicted: true,
+				},
+				{
+					Object: "4be0c1927d55a6f3", Part: 0, Group: 255, Count: 40.75, Purges: 0.5, CountedAt: 1764576120000000005,
+					FirstSeenAt: 1764575100000000006,
+				},
 			},
 			Purges: []control.PurgeSnapshot{
 				{Name: "7f3a9c21e0b4d655", PurgedAt: 1764576000123000007},
