--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -12,31 +12,32 @@
 	phaseGone  = "gone"
 )
 
-// endpointState is what the module keeps of an endpoint.
+// endpointState is what the module keeps of an endpoint. What the scans over all endpoints read stands together, so that they touch
+// few cache lines.
 type endpointState struct {
 	Endpoint
 	role       role
 	listed     bool
-	isDelisted bool    // it is among the router's delisted endpoints
-	hashWeight float64 // in rendezvous hashing
-
-	// Its start, for the slow start.
-	slowStartFrom   int64 // when it started, told or inferred; 0 is long ago
-	slowStartToldAt int64 // when that was told or inferred, on our axis
-	slowStart       slowStartBudget
-
-	inFlight        []*attemptState
-	withinObjective countsByKind // of what is in flight: what may be in time
+	isDelisted bool // it is among the router's delisted endpoints
 
 	// What outlierDetector judges it by.
+	ejected             bool
+	wasUnreachable      bool    // it could not be reached since it was last taken back
+	probing             bool    // a probe is in flight
 	successes, failures float64 // as of scoredAt; decaying over healthWindow
 	scoredAt            int64
 	lastResponseAt      int64
-	ejected             bool
-	wasUnreachable      bool // it could not be reached since it was last taken back
-	probing             bool // a probe is in flight
+	inFlight            []*attemptState
+	withinObjective     countsByKind // of what is in flight: what may be in time
 	nextProbeAt         int64
 	probeBackoff        int64 // ns
+
+	hashWeight float64 // in rendezvous hashing
+
+	// Its start, for the slow start.
+	slowStartFrom   int64 // when it started, told or inferred; 0 is long ago
+	slowStartToldAt int64 // when that was told or inferred, on our axis
+	slowStart       slowStartBudget
 }
 
 // role is what an endpoint does for this router.
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -182,22 +182,20 @@
 
 // evidence is that on an endpoint, given the longest mean response time, s.
 func (endpoint *endpointState) evidence(now int64, responseTime float64) evidence {
-	found := evidence{
-		good: decay(endpoint.successes, now-endpoint.scoredAt, healthWindow),
-		bad:  decay(endpoint.failures, now-endpoint.scoredAt, healthWindow),
-	}
-	longest := 0.
+	good := decay(endpoint.successes, now-endpoint.scoredAt, healthWindow)
+	bad := decay(endpoint.failures, now-endpoint.scoredAt, healthWindow)
+	silent, longest := 0., 0.
 	for _, attempt := range endpoint.inFlight {
 		if attempt.cache == endpoint || attempt.kind != hits {
 			waited := float64(now-max(attempt.sentAt, endpoint.lastResponseAt)) / 1e9 / responseTime
-			found.silent += min(maxSilencePerAttempt, waited)
+			silent += min(maxSilencePerAttempt, waited)
 			longest = max(longest, waited)
 		}
 	}
 	if longest < minSilence {
-		found.silent = 0 // many in flight for a moment are a crowd, not silence: so it went at every start
+		silent = 0 // many in flight for a moment are a crowd, not silence: so it went at every start
 	}
-	return found
+	return evidence{silent, good, bad}
 }
 
 // mayBeEjected tells, at little cost, whether the evidence on an endpoint could be enough: by the number of attempts that may be
@@ -253,7 +251,8 @@
 // hasScore tells whether something of an endpoint's successes and failures is left.
 func (endpoint *endpointState) hasScore(now int64) bool {
 	since := now - endpoint.scoredAt
-	return decay(endpoint.successes, since, healthWindow) > 0 || decay(endpoint.failures, since, healthWindow) > 0
+	return endpoint.successes > 0 && decay(endpoint.successes, since, healthWindow) > 0 ||
+		endpoint.failures > 0 && decay(endpoint.failures, since, healthWindow) > 0
 }
 
 // forget drops an endpoint that is gone.
