--- a/control/outliers.go
+++ b/control/outliers.go
@@ -24,6 +24,10 @@
 	// fadedPerTick is how many endpoints are looked at with each tick for scores that have faded to nothing.
 	fadedPerTick = 16
 
+	// A score above surelyLeft has not faded to nothing within surelyLeftFor, ns: e^-600 of it is above the least float64.
+	surelyLeft    = 1e-40
+	surelyLeftFor = 600 * healthWindow
+
 	// evidenceMargin is more than what the order of a sum's terms can change in what an endpoint is judged by.
 	evidenceMargin = 1e-6
 )
@@ -251,8 +255,10 @@
 // hasScore tells whether something of an endpoint's successes and failures is left.
 func (endpoint *endpointState) hasScore(now int64) bool {
 	since := now - endpoint.scoredAt
-	return endpoint.successes > 0 && decay(endpoint.successes, since, healthWindow) > 0 ||
-		endpoint.failures > 0 && decay(endpoint.failures, since, healthWindow) > 0
+	if max(endpoint.successes, endpoint.failures) > surelyLeft && since < surelyLeftFor {
+		return true
+	}
+	return decay(endpoint.successes, since, healthWindow) > 0 || decay(endpoint.failures, since, healthWindow) > 0
 }
 
 // forget drops an endpoint that is gone.
--- a/control/purges.go
+++ b/control/purges.go
@@ -93,7 +93,7 @@
 	r.rates.countPurge(now, object, group)
 }
 
-// youngEnough lowers an accepted age to what the told purges leave at the sending. It is never 0, which means the fresh time.
+// limitAgeByPurges lowers an accepted age to what the told purges leave at the sending. It is never 0, which means the fresh time.
 func (r *Router) limitAgeByPurges(now int64, request *Request, age int64) int64 {
 	for _, purge := range r.purges.of(request) {
 		if purge == nil {
@@ -110,7 +110,7 @@
 	return age
 }
 
-// issuedFrom is from when on a copy must have been issued, by its own stamp, where the accepted age goes by a purge's stamp;
+// minIssuedAt is from when on a copy must have been issued, by its own stamp, where the accepted age goes by a purge's stamp;
 // 0 is no bound.
 func (r *Router) minIssuedAt(request *Request) (from int64) {
 	if request.isUncacheable() {
@@ -134,7 +134,7 @@
 	return issued >= request.attempts[number].minIssuedAt
 }
 
-// distrust notes that a cache has sent an older copy than a purge's stamp allows, within the age that was asked for: our axis is
+// distrustStamps notes that a cache has sent an older copy than a purge's stamp allows, within the age that was asked for: our axis is
 // ahead of the others' clocks. From then on purges count from when they are told.
 func (r *Router) distrustStamps() {
 	if !r.purges.clockAhead {
@@ -143,7 +143,7 @@
 	}
 }
 
-// coldSince is when a member started, on our axis. Its stamp is another machine's, and an axis that is ahead would have it
+// slowStartSince is when an endpoint started, on our axis. Its stamp is another machine's, and an axis that is ahead would have it
 // warm too soon (rule 4). No copy can come before its issue, so the youngest that ever came shows how far ahead the axis can
 // be at most; and nobody started after it was told that it had.
 func (r *Router) slowStartSince(endpoint *endpointState) int64 {
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -22,19 +22,19 @@
 	roundingMargin = 1 + 1e-12
 )
 
-// tier is a list of members with the figures that a scan needs side by side, so that it reads little memory.
+// tier is a list of endpoints with the figures that a scan needs side by side, so that it reads little memory.
 type tier struct {
 	endpointList
-	keys []rankKey // of the member at the same index
+	keys []rankKey // of the endpoint at the same index
 }
 
-// rankKey is what a member's score in a ranking depends on.
+// rankKey is what an endpoint's score in a ranking depends on.
 type rankKey struct {
 	id     uint64
 	weight float64
 }
 
-// put inserts a member or, if it is in the tier already, takes over its weight.
+// put inserts an endpoint or, if it is in the tier already, takes over its weight.
 func (t *tier) put(endpoint *endpointState) {
 	index, found := t.search(endpoint)
 	if !found {
@@ -44,7 +44,7 @@
 	t.keys[index] = rankKey{uint64(endpoint.ID), endpoint.hashWeight}
 }
 
-// remove takes a member out.
+// remove takes an endpoint out.
 func (t *tier) remove(endpoint *endpointState) {
 	if index, found := t.search(endpoint); found {
 		t.endpoints = slices.Delete(t.endpoints, index, index+1)
@@ -58,7 +58,7 @@
 	t.endpoints, t.keys = t.endpoints[:0], t.keys[:0]
 }
 
-// objectHash is an object's hash, from which its members' scores are drawn.
+// objectHash is an object's hash, from which its endpoints' scores are drawn.
 func (r *Router) objectHash(key objectKey) uint64 {
 	r.keyBytes = binary.LittleEndian.AppendUint64(append(r.keyBytes[:0], key.object...), uint64(key.part))
 	h := fnv.New64a()
@@ -66,17 +66,17 @@
 	return h.Sum64()
 }
 
-// uniform draws a number from (0, 1] from an object's hash and a member's ID.
+// uniform draws a number from (0, 1] from an object's hash and an endpoint's ID.
 func uniform(hash, id uint64) float64 {
 	x := (hash ^ id) * 0xff51afd7ed558ccd
 	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
 	return (float64((x^x>>33)>>11) + 0.5) / (1 << 53)
 }
 
-// score is a member's place in weighted rendezvous hashing: the least comes first.
+// score is an endpoint's place in weighted rendezvous hashing: the least comes first.
 func score(uniform, weight float64) float64 { return -math.Log(uniform) / weight }
 
-// candidate is a member of a tier with what it is ordered by.
+// candidate is an endpoint of a tier with what it is ordered by.
 type candidate struct {
 	load  float64 // 0 where loads do not count
 	score float64
@@ -93,7 +93,7 @@
 	return cmp.Compare(c.index, other.index) // as the IDs
 }
 
-// candidates yields the members of a tier in the order in which an object prefers them: by rendezvous hashing
+// candidates yields the endpoints of a tier in the order in which an object prefers them: by rendezvous hashing
 // weighted by size, alike at every router. They are selected in batches, only as far as they are asked for.
 type candidates struct {
 	tier      *tier
@@ -101,7 +101,7 @@
 	loads     loadScale
 	byLoad    bool // the least loaded come first
 	spread    int  // so many of the first, less than firstBatch, are ordered by load
-	limited   bool // members with a load of loadLimit or more are left out
+	limited   bool // endpoints with a load of loadLimit or more are left out
 	loadLimit float64
 	first     *endpointState // yielded before all of the tier; nil is none
 	last      *endpointState // yielded after all of the tier; nil is none
@@ -109,7 +109,7 @@
 	batch                 []candidate // in order
 	position              int         // of the next one in the batch
 	batchSize             int         // of the next batch
-	exhausted             bool        // no member comes after the batch
+	exhausted             bool        // no endpoint comes after the batch
 	firstGiven, lastGiven bool
 }
 
@@ -119,7 +119,7 @@
 	c.firstGiven, c.lastGiven = false, false
 }
 
-// leaveOut starts anew, without the members that have a load or more.
+// leaveOut starts anew, without the endpoints that have a load or more.
 func (c *candidates) leaveOut(load float64) {
 	c.limited, c.loadLimit = true, load
 	c.rewind()
@@ -251,7 +251,7 @@
 	return c.batch[len(c.batch)-1]
 }
 
-// cacheCandidates are the caches in the order in which they may serve a retrieval.
+// cacheCandidates are the caches in the order in which they may serve a request.
 func (r *Router) cacheCandidates(now int64, request *Request) *candidates {
 	c := &r.cacheOrder
 	*c = candidates{
--- a/control/settings.go
+++ b/control/settings.go
@@ -7,7 +7,7 @@
 )
 
 // Settings is what a router is told when it starts: names to plain values. Times are int64 nanoseconds,
-// shares and factors float64, counts int64, switches bool, names string; lists by product or location are
+// shares and factors float64, counts int64, switches bool, names string; lists by class or location are
 // slices of these.
 type Settings map[string]any
 
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -6,9 +6,9 @@
 	"math"
 )
 
-// Slow start: a member that started lately bears N requests of mean work within the rule's window, where N is
+// Slow start: an endpoint that started lately bears N requests of mean work within the rule's window, where N is
 // multiple × present capacity × window / mean sending time, and falls above overloadLimit(N). All routers that
-// share a member keep within that together, without talking; docs/coldstart.md has the arithmetic.
+// share an endpoint keep within that together, without talking; docs/coldstart.md has the arithmetic.
 
 const (
 	// largeMultiple is the N from which the platform allows the smaller excess (full fleet's page).
@@ -26,8 +26,8 @@
 	minOfferedWork = 1e-3
 )
 
-// overloadLimit is the number of requests of mean work within the window above which a member falls. Just under
-// largeMultiple it is held to what counts from there on, since the capacity of a recovering member rises.
+// overloadLimit is the number of requests of mean work within the window above which an endpoint falls. Just under
+// largeMultiple it is held to what counts from there on, since the capacity of a recovering endpoint rises.
 func overloadLimit(n float64) float64 {
 	large := func(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 	if n >= largeMultiple {
@@ -36,7 +36,7 @@
 	return min(n+3*math.Sqrt(n)+3, large(largeMultiple))
 }
 
-// slowStartTerms is what the settings say of the slow start of one member.
+// slowStartTerms is what the settings say of the slow start of one endpoint.
 type slowStartTerms struct {
 	share, multiple float64 // of the capacity at the start; of the capacity that it bears
 	span, window    int64   // ns; until it is warm; that the rule counts over
@@ -51,24 +51,24 @@
 	return r.settings.parentSlowStart
 }
 
-// bears is the work, in seconds of sending time, that a member of such a warm capacity bears within the window,
+// bears is the work, in seconds of sending time, that an endpoint of such a warm capacity bears within the window,
 // so long after its start.
 func (s slowStartTerms) bears(capacity float64, since int64) float64 {
 	warm := s.share + (1-s.share)*float64(max(0, since))/float64(s.span)
 	return s.multiple * capacity * warm * float64(s.window) / 1e9
 }
 
-// recovery is what one router keeps of the slow start of one member.
+// slowStartBudget is what one router keeps of the slow start of one endpoint.
 type slowStartBudget struct {
 	sent []charge // within the last window
 
 	// A router whose share is below one request collects tokens for single ones.
 	tokens    float64
 	tokensAt  int64
-	tokensFor int64 // the start of the member that they are for
+	tokensFor int64 // the start of the endpoint that they are for
 }
 
-// charge is work sent to a member, in seconds of sending time.
+// charge is work sent to an endpoint, in seconds of sending time.
 type charge struct {
 	at     int64
 	amount float64
@@ -121,9 +121,9 @@
 
 // tokenTerms is what the rates of tokens follow from.
 type tokenTerms struct {
-	limit  float64 // work within the window above which the member falls
+	limit  float64 // work within the window above which the endpoint falls
 	trials float64 // requests that may fall into one window: routers × incarnations
-	starts float64 // slow starts of a day, if each listed member starts once
+	starts float64 // slow starts of a day, if each listed endpoint starts once
 }
 
 // rate is how many tokens for requests of such work each of the routers may collect in a window; usual is the mean
@@ -154,7 +154,7 @@
 	return max(0, min(1, math.Expm1(each(low))/math.Expm1(low*work)))
 }
 
-// fits is rule 4: it tells whether an attempt of such work may be sent to a member now.
+// slowStartAdmits is rule 4: it tells whether an attempt of such work may be sent to an endpoint now.
 func (r *Router) slowStartAdmits(now int64, endpoint *endpointState, work float64) bool {
 	if endpoint == r.origin || endpoint.slowStartFrom == 0 {
 		return true
@@ -167,7 +167,7 @@
 	}
 	mean := r.meanWork(now, 0)
 	n := terms.bears(r.sustainedCapacity(now, endpoint), now-startedAt) / mean
-	// Whole shares never break the rule: not if each router restarts within the window, nor if the member is half as
+	// Whole shares never break the rule: not if each router restarts within the window, nor if the endpoint is half as
 	// large as it seems.
 	whole := mean * overloadLimit(n) / incarnations / float64(terms.routers)
 	if work <= whole {
@@ -184,7 +184,7 @@
 	return endpoint.slowStart.collect(now, endpoint.slowStartFrom, terms.window, rate, func(now int64) float64 { return r.phase(now, endpoint) })
 }
 
-// phase is a draw from [0, 1) by the router's seed, the member and the time: a router that restarts has another one.
+// phase is a draw from [0, 1) by the router's seed, the endpoint and the time: a router that restarts has another one.
 func (r *Router) phase(now int64, endpoint *endpointState) float64 {
 	key := binary.LittleEndian.AppendUint64(nil, r.seed)
 	key = binary.LittleEndian.AppendUint64(key, uint64(now))
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -8,7 +8,7 @@
 )
 
 // Snapshot is what a router has learned, for one that starts in its place: rates, what classes cost to send, told purges.
-// Judgements of members are not in it: they are of moments. Times are on the axis of the process that learned it, ns.
+// Judgements of endpoints are not in it: they are of moments. Times are on the axis of the process that learned it, ns.
 type Snapshot struct {
 	StartedAt       int64            `cbor:"Started"` // when this began to count
 	TakenAt         int64            `cbor:"Taken"`
@@ -56,60 +56,104 @@
 }
 
 // Snapshot gives what was learned, with so many objects at most.
-func (r *Router) Snapshot(now int64, most int) Snapshot {
-	m := Snapshot{StartedAt: r.rates.startedAt, TakenAt: now, RequestCount: r.rates.requestCount, RequestCountAt: r.rates.requestCountAt, AdmissionLimits: r.admission.limits}
+func (r *Router) Snapshot(now int64, maxObjects int) Snapshot {
+	snapshot := Snapshot{
+		StartedAt:       r.rates.startedAt,
+		TakenAt:         now,
+		RequestCount:    r.rates.requestCount,
+		RequestCountAt:  r.rates.requestCountAt,
+		AdmissionLimits: r.admission.limits,
+		Objects:         r.rates.snapshot(maxObjects),
+	}
 	for _, name := range slices.Sorted(maps.Keys(r.classByName)) {
 		class := r.classByName[name]
-		m.Classes = append(m.Classes, ClassSnapshot{name, class.sendingTime, class.responseTime, class.samples})
+		snapshot.Classes = append(snapshot.Classes, ClassSnapshot{name, class.sendingTime, class.responseTime, class.samples})
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.purges.last)) {
-		m.Purges = append(m.Purges, PurgeSnapshot{name, r.purges.last[name].stamp})
+		snapshot.Purges = append(snapshot.Purges, PurgeSnapshot{name, r.purges.last[name].stamp})
 	}
-	for _, of := range []*list.List{r.rates.recentObjects, r.rates.evictedObjects} {
-		for at := of.Front(); at != nil && len(m.Objects) < most; at = at.Next() {
-			record := at.Value.(*objectRecord)
-			m.Objects = append(m.Objects, ObjectSnapshot{
-				Object: record.key.object, Part: record.key.part, Group: record.group, Count: record.requestCount,
-				Purges: record.purgeCount, CountedAt: record.countedAt, FirstSeenAt: record.firstSeenAt, Evicted: record.evicted,
+	return snapshot
+}
+
+// snapshot gives the records of the objects asked for last, so many at most; the last one comes last.
+func (rates *requestRates) snapshot(most int) (objects []ObjectSnapshot) {
+	for _, records := range []*list.List{rates.recentObjects, rates.evictedObjects} {
+		for element := records.Front(); element != nil && len(objects) < most; element = element.Next() {
+			record := element.Value.(*objectRecord)
+			objects = append(objects, ObjectSnapshot{
+				Object:      record.key.object,
+				Part:        record.key.part,
+				Group:       record.group,
+				Count:       record.requestCount,
+				Purges:      record.purgeCount,
+				CountedAt:   record.countedAt,
+				FirstSeenAt: record.firstSeenAt,
+				Evicted:     record.evicted,
 			})
 		}
 	}
-	slices.Reverse(m.Objects)
-	return m
+	slices.Reverse(objects)
+	return objects
 }
 
-// Restore takes over what was learned; it is to be called before anything else. With rates, time is taken to have stood
-// still since: what was asked for so often then is so now. Without, only that objects were asked for, and purged, is kept.
-func (r *Router) Restore(now int64, m Snapshot, rates bool) {
-	gone := max(0, now-m.TakenAt)
-	for _, p := range m.Classes {
-		if own := r.classByName[p.Name]; own != nil && p.SendingTime > 0 && p.ResponseTime > 0 {
-			own.sendingTime, own.responseTime, own.samples = p.SendingTime, p.ResponseTime, max(own.samples, p.Samples)
-		}
+// Restore takes over what was learned; it is to be called before anything else. With rates, time is taken to have stood still since:
+// what was asked for so often then is so now. Without, only that objects were asked for, and purged, is kept.
+func (r *Router) Restore(now int64, snapshot Snapshot, rates bool) {
+	for _, learned := range snapshot.Classes {
+		r.restoreClass(learned)
 	}
-	for _, p := range m.Purges {
-		r.purges.last[p.Name] = r.purges.last[p.Name].with(now, p.PurgedAt)
+	for _, purge := range snapshot.Purges {
+		r.purges.told(now, purge.Name, purge.PurgedAt)
 	}
+	elapsed := max(0, now-snapshot.TakenAt)
 	if rates {
-		r.rates.startedAt, r.rates.requestCount, r.rates.requestCountAt = min(m.StartedAt+gone, now), m.RequestCount, min(m.RequestCountAt+gone, now)
-		for i, room := range m.AdmissionLimits {
-			r.admission.limits[i] = max(minAdmissionLimit, min(cmp.Or(room, initialAdmissionLimits[i]), maxAdmissionLimit))
+		r.rates.startedAt = min(snapshot.StartedAt+elapsed, now)
+		r.rates.requestCount, r.rates.requestCountAt = snapshot.RequestCount, min(snapshot.RequestCountAt+elapsed, now)
+		for kind, limit := range snapshot.AdmissionLimits {
+			limit = cmp.Or(limit, initialAdmissionLimits[kind])
+			r.admission.limits[kind] = max(minAdmissionLimit, min(limit, maxAdmissionLimit))
 		}
 	}
-	for _, o := range m.Objects {
-		key := objectKey{o.Object, o.Part}
-		if r.rates.objects[key] != nil || len(r.rates.objects) >= 2*maxObjects {
-			continue
-		}
-		record := &objectRecord{key: key, group: o.Group, firstSeenAt: min(o.FirstSeenAt, now), purgeCount: o.Purges, countedAt: now, evicted: o.Evicted}
+	for _, object := range snapshot.Objects {
+		record := object.record(now)
 		if rates {
-			record.requestCount, record.countedAt = o.Count, min(o.CountedAt+gone, now)
-		}
-		if record.evicted {
-			record.element = r.rates.evictedObjects.PushFront(record)
-		} else {
-			record.element = r.rates.recentObjects.PushFront(record)
+			record.requestCount, record.countedAt = object.Count, min(object.CountedAt+elapsed, now)
 		}
-		r.rates.objects[key] = record
+		r.rates.restore(record)
+	}
+}
+
+// restoreClass takes over what a class's answers told, if it is still one.
+func (r *Router) restoreClass(learned ClassSnapshot) {
+	class := r.classByName[learned.Name]
+	if class == nil || learned.SendingTime <= 0 || learned.ResponseTime <= 0 {
+		return
+	}
+	class.sendingTime, class.responseTime = learned.SendingTime, learned.ResponseTime
+	class.samples = max(class.samples, learned.Samples)
+}
+
+// record is an object's record without its rate.
+func (o ObjectSnapshot) record(now int64) *objectRecord {
+	return &objectRecord{
+		key:         objectKey{o.Object, o.Part},
+		group:       o.Group,
+		firstSeenAt: min(o.FirstSeenAt, now),
+		purgeCount:  o.Purges,
+		countedAt:   now,
+		evicted:     o.Evicted,
+	}
+}
+
+// restore takes over a record as the one asked for last, if there is place and it is new.
+func (rates *requestRates) restore(record *objectRecord) {
+	if rates.objects[record.key] != nil || len(rates.objects) >= 2*maxObjects {
+		return
+	}
+	if record.evicted {
+		record.element = rates.evictedObjects.PushFront(record)
+	} else {
+		record.element = rates.recentObjects.PushFront(record)
 	}
+	rates.objects[record.key] = record
 }
--- a/control/types.go
+++ b/control/types.go
@@ -84,7 +84,7 @@
 	ConnectionLost
 	Cancelled
 	Stale      // a copy from before a purge that was told at the sending; see AcceptsCopy
-	LocalError // no connection could be opened, for a reason of this machine's own: nothing is held against the member
+	LocalError // no connection could be opened, for a reason of this machine's own: nothing is held against the endpoint
 )
 
 func (result Result) String() string {
