--- a/control/size_test.go
+++ b/control/capacity_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"math"
 	"testing"
 )
 
@@ -20,20 +21,20 @@
 		}
 		for len(hand) < atOnce {
 			n++
-			ret := ask("harmless", fmt.Sprint(n%40))
-			ret.Deadline = now + 5*second
-			decision := r.Decide(now, ret)
+			request := ask("harmless", fmt.Sprint(n%40))
+			request.Deadline = now + 5*second
+			decision := r.Decide(now, request)
 			if now >= from+span-second {
 				asked++
 			}
 			if decision.Verdict != Send {
-				r.ClientGone(now, ret) // what waits is turned away as well: there is no end of clients
+				r.ClientGone(now, request) // what waits is turned away as well: there is no end of clients
 				if now >= from+span-second {
 					refused++
 				}
 				break
 			}
-			hand = append(hand, open{ret, now + second/4})
+			hand = append(hand, open{request, now + second/4})
 		}
 	}
 	return asked, refused
@@ -41,7 +42,7 @@
 
 // Where weights tell no size, rooms follow what the caches carry: a weight of one for all was taken for a cache that
 // sends one answer at a time, and half of the traffic of a whole deployment was turned away.
-func TestSizesThatWeightsDoNotTell(t *testing.T) {
+func TestCapacitiesThatWeightsDoNotTell(t *testing.T) {
 	for _, c := range []struct {
 		units string
 		told  float64
@@ -67,7 +68,7 @@
 }
 
 // What is measured is no more than what was carried: where answers stop, in time or at all, rooms stay bounded.
-func TestSizesAreNoMoreThanWasCarried(t *testing.T) {
+func TestCapacitiesAreNoMoreThanWasCarried(t *testing.T) {
 	r := newRouter(t, Settings{"units": "off", "location.routers": []int64{0, 1, 1}})
 	var lines []Endpoint
 	for _, line := range fleet {
@@ -79,8 +80,8 @@
 	now := start + 21*second
 	sent := 0
 	for n := range 1000 {
-		ret := ask("harmless", fmt.Sprint(n%40))
-		if decision := r.Decide(now, ret); decision.Verdict == Send {
+		request := ask("harmless", fmt.Sprint(n%40))
+		if decision := r.Decide(now, request); decision.Verdict == Send {
 			sent++
 		}
 	}
@@ -91,7 +92,7 @@
 
 // Where weights tell no sizes, all routers together keep to what a cold parent bears, with few processes as with many, with
 // uneven traffic and chance in what each has measured, also where it is much smaller than the others.
-func TestColdBudgetsOfMeasuredSizes(t *testing.T) {
+func TestSlowStartOfMeasuredCapacities(t *testing.T) {
 	const mean, parents, load, capacity, small = 0.5, 2, 0.7, 20., 12.
 	window := 2 * second
 	for _, routers := range []int{6, 24, 350} {
@@ -145,3 +146,37 @@
 		}
 	}
 }
+
+// With the location's other routers down, this one has their traffic: counted double, it dismissed half of it.
+func TestSharing(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		told func(own float64) []float64
+		want float64
+	}{
+		{"nothing told", func(float64) []float64 { return nil }, 2},
+		{"all is this router's", func(own float64) []float64 { return []float64{0, own} }, 1},
+		{"another one sends as much", func(own float64) []float64 { return []float64{0, 2*own - 1} }, 2},
+		{"more than there are routers", func(own float64) []float64 { return []float64{0, 9 * own} }, 2},
+		{"a report of nothing", func(float64) []float64 { return []float64{0, 0} }, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := newRouter(t, Settings{"report.fields": []string{"x1", "inHand"}})
+			r.admission.limits = [3]float64{maxAdmissionLimit, maxAdmissionLimit, maxAdmissionLimit}
+			var out []*Request
+			for n := range 20 {
+				request := ask("harmless", fmt.Sprint(n))
+				if decision := r.Decide(start, request); decision.Verdict == Send {
+					out = append(out, request)
+				}
+			}
+			for _, request := range out {
+				own := float64(len(request.attempts[0].cache.inFlight))
+				r.AttemptEnded(start+second/10, request, Outcome{Result: Succeeded, RequestEnded: true, LoadReport: c.told(own)})
+			}
+			if got := r.effectiveSharers(); math.Abs(got-c.want) > 0.01 {
+				t.Errorf("%d answers: %v, want %v", len(out), got, c.want)
+			}
+		})
+	}
+}
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -35,7 +35,7 @@
 }
 
 // Writes were turned away for want of room for fills, which they hardly use: one class was hardly served.
-func TestWritesNeedNoRoomForFills(t *testing.T) {
+func TestWritesNeedNoLimitForFills(t *testing.T) {
 	r := classes(t, nil)
 	r.admission.limits[fills] = 0.4
 	if n := fill(r, start, "harmless") + fill(r, start, "stamped"); n == 0 || n >= 1000 {
@@ -68,19 +68,19 @@
 }
 
 // A rare class of great worth keeps what it needs free, not a third of every room.
-func TestARareClassLeavesTheRoom(t *testing.T) {
+func TestARareClassLeavesTheLimit(t *testing.T) {
 	for _, c := range []struct {
 		rare float64 // part of the requests
 		want float64 // least part of the room that is open to the rest
 	}{{0.01, 0.95}, {0.5, 0.69}} {
 		r := classes(t, Settings{"product.payoff": []float64{1, 40, 1}})
-		ret := ask("harmless", "x")
-		r.Decide(start, ret)
+		request := ask("harmless", "x")
+		r.Decide(start, request)
 		r.classes[0].offered, r.classes[1].offered = decayingWork{}, decayingWork{}
 		r.classes[0].offered.add(start, 40*(1-c.rare))
 		r.classes[1].offered.add(start, 40*c.rare)
 		r.classes[0].admitted, r.classes[1].admitted = r.classes[0].offered, r.classes[1].offered
-		if part := r.admissionShare(start, ret); part < c.want || part > 1 || c.rare == 0.5 && part > 0.75 {
+		if part := r.admissionShare(start, request); part < c.want || part > 1 || c.rare == 0.5 && part > 0.75 {
 			t.Errorf("rare class %.2f: part %.2f, %.2f wanted", c.rare, part, c.want)
 		}
 	}
@@ -104,13 +104,13 @@
 		}
 		for _, product := range []string{"stamped", "harmless", "stamped", "stamped"} {
 			n++
-			ret := ask(product, fmt.Sprint(n))
+			request := ask(product, fmt.Sprint(n))
 			asked[product]++
-			if r.Decide(now, ret).Verdict == Send {
+			if r.Decide(now, request).Verdict == Send {
 				sent[product]++
-				hand = append(hand, open{ret, now + second/2})
+				hand = append(hand, open{request, now + second/2})
 			} else {
-				r.ClientGone(now, ret)
+				r.ClientGone(now, request)
 			}
 		}
 	}
@@ -129,9 +129,9 @@
 		shrinks bool
 	}{{13 * second / 10, false}, {3 * second, true}} {
 		before := r.admission.limits[fills]
-		ret := ask("harmless", fmt.Sprint(c.spent))
-		r.Decide(start, ret)
-		r.AttemptEnded(start+c.spent, ret, Outcome{Result: Succeeded, Elapsed: c.spent, SendingTime: 0.9, Note: 2, RequestEnded: true})
+		request := ask("harmless", fmt.Sprint(c.spent))
+		r.Decide(start, request)
+		r.AttemptEnded(start+c.spent, request, Outcome{Result: Succeeded, Elapsed: c.spent, SendingTime: 0.9, Note: 2, RequestEnded: true})
 		if got := r.admission.limits[fills] < before; got != c.shrinks {
 			t.Errorf("an answer of 0.9 s that took %.1f s: room %.3f, was %.3f", float64(c.spent)/1e9, r.admission.limits[fills], before)
 		}
@@ -140,16 +140,16 @@
 
 // Where the origin can fall, a fill that was denied is no reason for another at once and free of charge: thousands of them
 // struck an origin that had stopped, 4.6 attempts a request.
-func TestDeniedFillsAreNotFreeWhereTheOriginFalls(t *testing.T) {
+func TestRefusedFillsAreNotFreeWhereTheOriginFalls(t *testing.T) {
 	for _, factor := range []float64{0, 2.5} {
 		r, further := classes(t, Settings{"origin.fallFactor": factor}), 0
 		for n := range 60 {
 			now := start + int64(n)*second/10
-			ret := ask("harmless", fmt.Sprint(n))
-			for decision := r.Decide(now, ret); decision.Verdict == Send; decision = r.AttemptEnded(now, ret, Outcome{Result: Overloaded, Note: 7, Attempt: len(ret.attempts) - 1}) {
+			request := ask("harmless", fmt.Sprint(n))
+			for decision := r.Decide(now, request); decision.Verdict == Send; decision = r.AttemptEnded(now, request, Outcome{Result: Overloaded, Note: 7, Attempt: len(request.attempts) - 1}) {
 				further++
 			}
-			r.ClientGone(now, ret)
+			r.ClientGone(now, request)
 			further--
 		}
 		if free := further > 60; free != (factor == 0) {
@@ -175,14 +175,14 @@
 			maps.Copy(change, c.change)
 			r := newRouter(t, change)
 			for n, product := range []string{"stamped", "harmless", "once"} {
-				ret := ask(product, fmt.Sprint(n))
-				if decision := r.Decide(start, ret); decision.Verdict != Send {
+				request := ask(product, fmt.Sprint(n))
+				if decision := r.Decide(start, request); decision.Verdict != Send {
 					t.Fatalf("%s: %+v", product, decision)
 				}
-				if part := r.admissionShare(start, ret); !(part > 0.1 && part < 10) {
+				if part := r.admissionShare(start, request); !(part > 0.1 && part < 10) {
 					t.Errorf("%s: part %v", product, part)
 				}
-				r.AttemptEnded(start+second/10, ret, Outcome{Result: Succeeded, Elapsed: second / 10, Note: 1, RequestEnded: true})
+				r.AttemptEnded(start+second/10, request, Outcome{Result: Succeeded, Elapsed: second / 10, Note: 1, RequestEnded: true})
 			}
 		})
 	}
--- a/control/remaining_test.go
+++ b/control/deadline_test.go
@@ -8,9 +8,9 @@
 // answers has so many retrievals of a class answered, each after some ms, all on objects of their own.
 func answers(r *Router, product string, count int, after int64) {
 	for n := range count {
-		ret := ask(product, fmt.Sprint(product, n))
-		r.Decide(start, ret)
-		r.AttemptEnded(start+after*second/1000, ret, Outcome{Result: Succeeded, Elapsed: after * second / 1000})
+		request := ask(product, fmt.Sprint(product, n))
+		r.Decide(start, request)
+		r.AttemptEnded(start+after*second/1000, request, Outcome{Result: Succeeded, Elapsed: after * second / 1000})
 	}
 }
 
@@ -36,16 +36,16 @@
 				answers(r, "harmless", c.seen, 40)
 			}
 			answers(r, "stamped", 20, 300) // another class's tell nothing
-			ret := ask("harmless", "a")
-			ret.Deadline = start + c.left*second/1000
-			if decision := r.Decide(start, ret); decision.Verdict != c.want {
+			request := ask("harmless", "a")
+			request.Deadline = start + c.left*second/1000
+			if decision := r.Decide(start, request); decision.Verdict != c.want {
 				t.Errorf("first: verdict %v, want %v", decision.Verdict, c.want)
 			}
 
-			ret = ask("harmless", "b")
-			r.Decide(start, ret)
-			now := ret.Deadline - c.left*second/1000
-			if decision := r.AttemptEnded(now, ret, Outcome{Result: NotHeld}); decision.Verdict != c.want {
+			request = ask("harmless", "b")
+			r.Decide(start, request)
+			now := request.Deadline - c.left*second/1000
+			if decision := r.AttemptEnded(now, request, Outcome{Result: NotHeld}); decision.Verdict != c.want {
 				t.Errorf("further: verdict %v, want %v", decision.Verdict, c.want)
 			}
 		})
@@ -56,16 +56,16 @@
 func TestOnItsWayWhileItCanComeBack(t *testing.T) {
 	r := newRouter(t, nil)
 	answers(r, "harmless", 10, 300)
-	ret := ask("harmless", "a")
-	ret.Deadline = start + 500*second/1000
-	if decision := r.Decide(start, ret); decision.Attempt.SendTimeout != 200*second/1000 {
+	request := ask("harmless", "a")
+	request.Deadline = start + 500*second/1000
+	if decision := r.Decide(start, request); decision.Attempt.SendTimeout != 200*second/1000 {
 		t.Errorf("within %d ms", decision.Attempt.SendTimeout*1000/second)
 	}
 }
 
 // What has little time left may be dropped without a word, or not be on its way yet as its time is up: that tells nothing of its
 // cache, nor of the room for others.
-func TestHurriedAttempts(t *testing.T) {
+func TestAttemptsThatTimeOutEarly(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		left   int64 // ms
@@ -86,12 +86,12 @@
 			answers(r, "harmless", 200, 150)
 			before := r.admission.limits
 			for n := range 100 {
-				ret := ask("harmless", fmt.Sprint("short", n))
-				ret.Deadline = start + c.left*second/1000
-				if decision := r.Decide(start, ret); n == 0 && decision.Verdict != Send {
+				request := ask("harmless", fmt.Sprint("short", n))
+				request.Deadline = start + c.left*second/1000
+				if decision := r.Decide(start, request); n == 0 && decision.Verdict != Send {
 					t.Fatalf("verdict %v", decision.Verdict)
 				}
-				r.AttemptEnded(start+c.spent*second/1000, ret, Outcome{Result: c.result, Elapsed: c.spent * second / 1000})
+				r.AttemptEnded(start+c.spent*second/1000, request, Outcome{Result: c.result, Elapsed: c.spent * second / 1000})
 			}
 			counts := false
 			for _, endpoint := range r.endpoints {
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -14,15 +14,15 @@
 
 // drawnPlay drives a router through drawn events: requests, outcomes, lists, purges, probes and ticks.
 type drawnPlay struct {
-	rng       *rand.Rand
-	router    *Router
-	now       int64
-	lines     []Endpoint
-	nextID    uint32
-	retrieval []*Request  // those that are not yet finished
-	digest    hash.Hash64 // of every decision and log line
-	seen      map[string]int
-	failing   map[uint32]bool // members at which most fails now
+	rng      *rand.Rand
+	router   *Router
+	now      int64
+	lines    []Endpoint
+	nextID   uint32
+	requests []*Request  // those that are not yet finished
+	digest   hash.Hash64 // of every decision and log line
+	seen     map[string]int
+	failing  map[uint32]bool // members at which most fails now
 }
 
 // drawnSettings gives one of several ways to run a router.
@@ -143,7 +143,7 @@
 		Part: int64(p.rng.IntN(2)), Deadline: p.now + int64(p.rng.IntN(3000)+200)*second/1000, ClientRetry: p.rng.IntN(12) == 0,
 		Write: p.rng.IntN(10) == 0, SizeKB: []float64{0, 0, 10, 200, 2000}[p.rng.IntN(5)],
 	}
-	p.retrieval = append(p.retrieval, request)
+	p.requests = append(p.requests, request)
 	p.decided("where", request, p.router.Decide(p.now, request))
 }
 
@@ -226,12 +226,12 @@
 	case n < 35:
 		p.ask()
 	case n < 75:
-		if len(p.retrieval) > 0 {
-			p.end(p.retrieval[p.rng.IntN(len(p.retrieval))])
+		if len(p.requests) > 0 {
+			p.end(p.requests[p.rng.IntN(len(p.requests))])
 		}
 	case n < 88:
-		if len(p.retrieval) > 0 {
-			request := p.retrieval[p.rng.IntN(len(p.retrieval))]
+		if len(p.requests) > 0 {
+			request := p.requests[p.rng.IntN(len(p.requests))]
 			request.NoNewAttempts = request.NoNewAttempts || p.rng.IntN(40) == 0
 			p.note(r.RecheckDelay(p.now, request))
 			p.decided("again", request, r.Decide(p.now, request))
@@ -257,12 +257,12 @@
 			p.failing[id] = !p.failing[id]
 		}
 	default:
-		if len(p.retrieval) > 0 {
-			request := p.retrieval[p.rng.IntN(len(p.retrieval))]
+		if len(p.requests) > 0 {
+			request := p.requests[p.rng.IntN(len(p.requests))]
 			p.decided("departed", request, r.ClientGone(p.now, request))
 		}
 	}
-	p.retrieval = slices.DeleteFunc(p.retrieval, func(request *Request) bool {
+	p.requests = slices.DeleteFunc(p.requests, func(request *Request) bool {
 		if request.inFlight == 0 && !request.ended && p.now > request.Deadline {
 			r.ClientGone(p.now, request)
 		}
--- a/control/endings_test.go
+++ b/control/endings_test.go
@@ -4,7 +4,7 @@
 
 // Repeats of a stamped retrieval are dropped for a while from its first sending. A further attempt that waits for its link
 // longer than that would run a second time.
-func TestRepeatIsOnItsWayWithinTheWindow(t *testing.T) {
+func TestKeyedRetryIsSentWithinTheKeyWindow(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		product string
@@ -20,11 +20,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, Settings{"product.scope": []string{"all", "all", "all"}})
-			ret, now := ask(c.product, "a"), start
-			ret.Deadline = start + 5*second
-			r.Decide(now, ret)
+			request, now := ask(c.product, "a"), start
+			request.Deadline = start + 5*second
+			r.Decide(now, request)
 			now += c.after * second / 1000
-			decision := r.AttemptEnded(now, ret, Outcome{Result: c.result})
+			decision := r.AttemptEnded(now, request, Outcome{Result: c.result})
 			if sent := decision.Verdict == Send; sent != (c.want > 0) {
 				t.Fatalf("verdict %v", decision.Verdict)
 			}
@@ -37,7 +37,7 @@
 
 // Where two may not be out together, what gives the first up and the second go different ways, and the second may be there
 // first. So it waits a moment; but never past the client's time, and where it can't be sent nothing is held.
-func TestNoSecondBesideTheFirst(t *testing.T) {
+func TestNoAttemptBesideTheFirst(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		product  string
@@ -56,18 +56,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, Settings{"dispatches.together": c.together})
-			ret, now := ask(c.product, "a"), start
-			ret.Deadline = start + 3*second
-			r.Decide(now, ret)
-			now = ret.Deadline - c.left*second/1000
-			if decision := r.AttemptEnded(now, ret, Outcome{Result: c.result}); decision.Verdict != c.want {
+			request, now := ask(c.product, "a"), start
+			request.Deadline = start + 3*second
+			r.Decide(now, request)
+			now = request.Deadline - c.left*second/1000
+			if decision := r.AttemptEnded(now, request, Outcome{Result: c.result}); decision.Verdict != c.want {
 				t.Fatalf("at once: verdict %v, want %v", decision.Verdict, c.want)
 			}
-			wait := r.RecheckDelay(now, ret)
+			wait := r.RecheckDelay(now, request)
 			if c.then == Send && (wait <= 0 || wait > 2*holdInterval) {
 				t.Fatalf("asked again in %d", wait)
 			}
-			if decision := r.Decide(now+wait, ret); c.want == Wait && decision.Verdict != c.then {
+			if decision := r.Decide(now+wait, request); c.want == Wait && decision.Verdict != c.then {
 				t.Errorf("then: verdict %v, want %v", decision.Verdict, c.then)
 			}
 		})
@@ -75,7 +75,7 @@
 }
 
 // Nothing more is sent for a client that has closed its side.
-func TestNoMore(t *testing.T) {
+func TestNoNewAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		product string
@@ -88,10 +88,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
-			ret := ask(c.product, "a")
-			r.Decide(start, ret)
-			ret.NoNewAttempts = true
-			if decision := r.AttemptEnded(start+1, ret, Outcome{Result: c.result}); decision.Verdict != c.want {
+			request := ask(c.product, "a")
+			r.Decide(start, request)
+			request.NoNewAttempts = true
+			if decision := r.AttemptEnded(start+1, request, Outcome{Result: c.result}); decision.Verdict != c.want {
 				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
 			}
 		})
--- /dev/null
+++ b/control/endpoints_test.go
@@ -0,0 +1,46 @@
+package control
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestDrainedAndGoneGetNothing(t *testing.T) {
+	for _, phase := range []string{"draining", "gone", "left out"} {
+		t.Run(phase, func(t *testing.T) {
+			r := newRouter(t, nil)
+			if phase == "left out" {
+				r.UpdateEndpoints(start, []Endpoint{fleet[1], fleet[3], fleet[4]}, true)
+			} else {
+				cache, parent := fleet[0], fleet[2]
+				cache.Phase, parent.Phase = phase, phase
+				r.UpdateEndpoints(start, []Endpoint{cache, parent}, false)
+			}
+			for i := range 50 {
+				decision := r.Decide(start+second, ask("harmless", fmt.Sprint(i)))
+				if decision.Verdict == Send && (decision.Attempt.Cache == 1 || decision.Attempt.Source == 3) {
+					t.Fatalf("sent to %d with source %d", decision.Attempt.Cache, decision.Attempt.Source)
+				}
+			}
+		})
+	}
+}
+
+// New members come under new ids through a long day; what has gone is kept only while something is out there.
+func TestDelistedEndpointsAreForgotten(t *testing.T) {
+	r := newRouter(t, nil)
+	for n := range 5000 {
+		now := start + int64(n)*second/10
+		lines := append([]Endpoint{{ID: uint32(100 + n), Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}}, fleet...)
+		r.UpdateEndpoints(now, lines, true)
+		request := ask("harmless", fmt.Sprint(n))
+		if decision := r.Decide(now, request); decision.Verdict != Send {
+			t.Fatalf("verdict %v", decision.Verdict)
+		}
+		r.AttemptEnded(now, request, Outcome{Result: Succeeded, RequestEnded: true})
+		r.Tick(now)
+	}
+	if len(r.endpoints) > len(fleet)+1 {
+		t.Errorf("%d members kept", len(r.endpoints))
+	}
+}
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -48,15 +48,15 @@
 			if asked > purged+6*second {
 				return false // caches have dropped it by themselves
 			}
-			ret := &Request{Class: product, Object: "a", Group: 1, Deadline: asked + off + 5*second}
-			decision := r.Decide(asked+off, ret)
+			request := &Request{Class: product, Object: "a", Group: 1, Deadline: asked + off + 5*second}
+			decision := r.Decide(asked+off, request)
 			for try := range 2 {
 				if decision.Verdict != Send {
 					t.Errorf("try %d: %+v", try, decision)
 					return true
 				}
 				issued := worst(asked, decision.Attempt, r.classByName[product].freshDuration)
-				if r.AcceptsCopy(asked+off, ret, try, issued) {
+				if r.AcceptsCopy(asked+off, request, try, issued) {
 					if issued < purged {
 						t.Errorf("a copy of %v before the purge is served, asked for with age %v", purged-issued, decision.Attempt.MaxAge)
 					}
@@ -69,7 +69,7 @@
 				if product != "harmless" {
 					return false // it may have run, and is not asked for again
 				}
-				decision = r.AttemptEnded(asked+off, ret, Outcome{Attempt: try, Result: Stale, Elapsed: second / 100})
+				decision = r.AttemptEnded(asked+off, request, Outcome{Attempt: try, Result: Stale, Elapsed: second / 100})
 			}
 			t.Error("too old twice")
 			return true
@@ -84,11 +84,11 @@
 func TestAgeByTheStampWhereClocksAgree(t *testing.T) {
 	r := newRouter(t, nil)
 	r.Purge(start+second, "a", 0, start)
-	ret := ask("harmless", "a")
-	if d := r.Decide(start+3*second, ret).Attempt; d.MaxAge != 3*second-purgeMargin {
+	request := ask("harmless", "a")
+	if d := r.Decide(start+3*second, request).Attempt; d.MaxAge != 3*second-purgeMargin {
 		t.Errorf("age %v", d.MaxAge)
 	}
-	if !r.AcceptsCopy(start+3*second, ret, 0, start) || r.AcceptsCopy(start+3*second, ret, 0, start-1) {
+	if !r.AcceptsCopy(start+3*second, request, 0, start) || r.AcceptsCopy(start+3*second, request, 0, start-1) {
 		t.Error("a copy is judged by another moment than the stamp")
 	}
 }
@@ -114,12 +114,12 @@
 			r := newRouter(t, nil)
 			r.Purge(told, "a", 0, c.stamp)
 			r.Tick(told)
-			ret := ask("stamped", "a")
-			d := r.Decide(told+2*second, ret).Attempt
+			request := ask("stamped", "a")
+			d := r.Decide(told+2*second, request).Attempt
 			if c.most > 0 && d.MaxAge != c.most || c.most == 0 && d.MaxAge < start {
 				t.Errorf("age %v, want %v", d.MaxAge, c.most)
 			}
-			if from := ret.attempts[0].minIssuedAt; from != c.from {
+			if from := request.attempts[0].minIssuedAt; from != c.from {
 				t.Errorf("copies from %v on, want %v", from, c.from)
 			}
 		})
@@ -144,13 +144,13 @@
 			for i, stamp := range c.stamps {
 				r.Purge(start+int64(i+1)*second, "a", 0, stamp)
 			}
-			ret := ask("stamped", "a")
-			d := r.Decide(start+4*second, ret).Attempt
+			request := ask("stamped", "a")
+			d := r.Decide(start+4*second, request).Attempt
 			if c.age > 0 && d.MaxAge != c.age {
 				t.Errorf("age %v, want %v", d.MaxAge, c.age)
 			}
-			if last := c.stamps[len(c.stamps)-1]; c.age == 0 && (ret.attempts[0].minIssuedAt != last || r.AcceptsCopy(start+4*second, ret, 0, last-1)) {
-				t.Errorf("copies from %v on", ret.attempts[0].minIssuedAt)
+			if last := c.stamps[len(c.stamps)-1]; c.age == 0 && (request.attempts[0].minIssuedAt != last || r.AcceptsCopy(start+4*second, request, 0, last-1)) {
+				t.Errorf("copies from %v on", request.attempts[0].minIssuedAt)
 			}
 		})
 	}
@@ -173,18 +173,18 @@
 }
 
 // A server's start is stamped by another clock: with ours ahead it seemed warm too soon.
-func TestColdSinceWhicheverWayTheClockIsOff(t *testing.T) {
+func TestSlowStartSinceWhicheverWayTheClockIsOff(t *testing.T) {
 	const began = start + 100*second // on the world's clock
 	for _, off := range []int64{0, 2 * second, 3600 * second, -2 * second, -3600 * second, year} {
 		for _, copied := range []bool{false, true} {
 			t.Run(fmt.Sprintf("off by %d s, a copy has come: %v", off/second, copied), func(t *testing.T) {
 				r := newRouter(t, nil)
 				if copied { // one that was on its way for 5 ms, and one that is old
-					ret := ask("harmless", "a")
-					ret.Deadline = began + off + second
-					r.Decide(began+off, ret)
-					r.AcceptsCopy(began+off, ret, 0, began-second/200)
-					r.AcceptsCopy(began+off, ret, 0, began-second)
+					request := ask("harmless", "a")
+					request.Deadline = began + off + second
+					r.Decide(began+off, request)
+					r.AcceptsCopy(began+off, request, 0, began-second/200)
+					r.AcceptsCopy(began+off, request, 0, began-second)
 				}
 				line := fleet[0]
 				line.StartedAt = began
@@ -249,7 +249,7 @@
 }
 
 // A purge that a memory brings binds the router that takes it over, whichever way that one's clock is off from the one before.
-func TestPurgesOfAMemoryWhicheverWayTheClockIsOff(t *testing.T) {
+func TestPurgesOfASnapshotWhicheverWayTheClockIsOff(t *testing.T) {
 	const purged = 2*year + second // on the world's clock
 	for _, before := range []int64{0, 3600 * second, -3600 * second, year, -year} {
 		for _, off := range []int64{0, 2 * second, -2 * second, 3600 * second, -3600 * second, year, -year} {
@@ -270,10 +270,10 @@
 					next := make(world + off)
 					next.Restore(world+off, m.Shifted(world+off-second-m.TakenAt), rates)
 					next.Tick(world + off)
-					ret := &Request{Class: "stamped", Object: "a", Group: 1, Deadline: world + off + 5*second}
-					decision := next.Decide(world+off, ret)
+					request := &Request{Class: "stamped", Object: "a", Group: 1, Deadline: world + off + 5*second}
+					decision := next.Decide(world+off, request)
 					issued := worst(world, decision.Attempt, 0)
-					if decision.Verdict != Send || issued < purged && next.AcceptsCopy(world+off, ret, 0, issued) {
+					if decision.Verdict != Send || issued < purged && next.AcceptsCopy(world+off, request, 0, issued) {
 						t.Errorf("a copy of %v s before the purge would be served: %+v", float64(purged-issued)/1e9, decision)
 					}
 				})
@@ -283,7 +283,7 @@
 }
 
 // A memory is moved onto the axis of the process that takes it over; purges keep the stamps of who told them.
-func TestMovedMemory(t *testing.T) {
+func TestShiftedSnapshot(t *testing.T) {
 	m := Snapshot{
 		StartedAt: 1, TakenAt: 20, RequestCountAt: 3, Objects: []ObjectSnapshot{{Object: "a", CountedAt: 4, FirstSeenAt: 5}},
 		Purges: []PurgeSnapshot{{"oa", 6}},
@@ -296,7 +296,7 @@
 }
 
 // What a file holds that no process has written so: rates are never of the future, where they grew without bound.
-func TestRecallOfTheFuture(t *testing.T) {
+func TestRestoreOfTheFuture(t *testing.T) {
 	r := newRouter(t, nil)
 	r.Restore(start, Snapshot{
 		StartedAt: start + year, TakenAt: start, RequestCount: 5, RequestCountAt: start + year,
--- a/control/plain_test.go
+++ b/control/reference_test.go
@@ -33,7 +33,7 @@
 }
 
 // plainInHand is what is out at some caches and may be in time, in all and by kind, and their size.
-func plainInHand(r *Router, now int64, members []*endpointState) (out float64, kinds [3]float64, units float64) {
+func plainInFlight(r *Router, now int64, members []*endpointState) (out float64, kinds [3]float64, units float64) {
 	for _, endpoint := range members {
 		if r.settings.capacitiesTold {
 			units += endpoint.Capacity
@@ -51,17 +51,17 @@
 
 // plainLoads is what each cache has in hand for its size.
 func plainLoads(r *Router, now int64) map[*endpointState]float64 {
-	out, _, units := plainInHand(r, now, r.caches)
+	out, _, units := plainInFlight(r, now, r.caches)
 	loads := map[*endpointState]float64{}
 	for _, endpoint := range r.caches {
-		own, _, size := plainInHand(r, now, []*endpointState{endpoint})
+		own, _, size := plainInFlight(r, now, []*endpointState{endpoint})
 		loads[endpoint] = (own + out*r.effectiveSharers()/units) / (size/r.effectiveSharers() + 1)
 	}
 	return loads
 }
 
 // plainSigns is the evidence on a member.
-func plainSigns(r *Router, now int64, endpoint *endpointState) (silent, good, bad float64) {
+func plainEvidence(r *Router, now int64, endpoint *endpointState) (silent, good, bad float64) {
 	answer, longest := 0.01, 0.
 	for _, class := range r.classes {
 		answer = max(answer, class.responseTime)
@@ -79,14 +79,14 @@
 }
 
 // plainPeerSigns sums up the evidence on all peers of a member.
-func plainPeerSigns(r *Router, now int64, endpoint *endpointState) (silent, good, bad float64) {
+func plainPeerEvidence(r *Router, now int64, endpoint *endpointState) (silent, good, bad float64) {
 	peers := r.caches
 	if endpoint.Location != r.settings.location {
 		peers = r.parents
 	}
 	for _, peer := range peers {
 		if peer != endpoint {
-			s, g, b := plainSigns(r, now, peer)
+			s, g, b := plainEvidence(r, now, peer)
 			silent, good, bad = silent+s, good+g, bad+b
 		}
 	}
@@ -111,7 +111,7 @@
 }
 
 // plainPlace picks the cache and the fill source from the whole ranking.
-func plainPlace(r *Router, now int64, request *Request) (cache, source *endpointState) {
+func plainSelection(r *Router, now int64, request *Request) (cache, source *endpointState) {
 	ranked, spread := plainRank(request.record.key, r.caches), 1
 	if request.isUncacheable() {
 		spread = len(ranked)
@@ -190,7 +190,7 @@
 	check("caches", slices.Equal(r.caches, caches), true)
 	check("parents", slices.Equal(r.parents, parents), true)
 	check("origin", r.origin, origin)
-	out, kinds, units := plainInHand(r, now, caches)
+	out, kinds, units := plainInFlight(r, now, caches)
 	inTime := r.inFlight.withinObjective(now, r.endpoints)
 	check("in time", float64(inTime.sum()), out)
 	for kind := range kinds {
@@ -204,19 +204,19 @@
 	for i := range min(4, len(some)) {
 		endpoint := r.endpoints[some[(int(now)+i)%len(some)]]
 		kept := r.peerEvidence(now, endpoint)
-		plainSilent, plainGood, plainBad := plainPeerSigns(r, now, endpoint)
+		plainSilent, plainGood, plainBad := plainPeerEvidence(r, now, endpoint)
 		check(fmt.Sprint("evidence on the peers of ", endpoint.ID), [3]float64{kept.silent, kept.good, kept.bad}, [3]float64{plainSilent, plainGood, plainBad})
 	}
 	return found
 }
 
 // plainlySuspect tells whether the plain check would find a cache suspect.
-func plainlySuspect(r *Router, now int64, endpoint *endpointState) bool {
-	silent, good, bad := plainSigns(r, now, endpoint)
+func plainlyOutlier(r *Router, now int64, endpoint *endpointState) bool {
+	silent, good, bad := plainEvidence(r, now, endpoint)
 	if endpoint.ejected || silent < silenceThreshold && bad < failureThreshold {
 		return false
 	}
-	allSilent, allGood, allBad := plainPeerSigns(r, now, endpoint)
+	allSilent, allGood, allBad := plainPeerEvidence(r, now, endpoint)
 	silent -= allSilent / float64(max(1, len(r.caches)-1))
 	return silent >= silenceThreshold || bad >= failureThreshold && bad/(good+bad)-allBad/max(allGood+allBad, 1) >= failureShare
 }
@@ -228,7 +228,7 @@
 	for _, endpoint := range r.caches {
 		_, watched := r.outliers.watched.search(endpoint)
 		checked := watched && endpoint.mayBeEjected(now) && r.mayBeOutlier(now, endpoint, all)
-		if !watched && endpoint.ejected || !checked && plainlySuspect(r, now, endpoint) {
+		if !watched && endpoint.ejected || !checked && plainlyOutlier(r, now, endpoint) {
 			found = append(found, endpoint.ID)
 		}
 	}
@@ -239,31 +239,31 @@
 const propertyCases = 10_000
 
 // The place of a retrieval is the one that the plain ranking gives, with the same effects on the members.
-func TestPlaceAsByThePlainRanking(t *testing.T) {
+func TestSelectionAsByThePlainRanking(t *testing.T) {
 	seen := map[string]int{}
 	for seed, cases := uint64(0), 0; cases < propertyCases; seed++ {
 		p := newDrawnPlay(t, 1000+seed)
 		for range 400 {
 			p.step()
-			if len(p.retrieval) == 0 {
+			if len(p.requests) == 0 {
 				continue
 			}
-			ret := p.retrieval[p.rng.IntN(len(p.retrieval))]
+			request := p.requests[p.rng.IntN(len(p.requests))]
 			p.router.inFlight.markLate(p.now, p.router.endpoints) // else the counts restored would be those of before
 			before := stateOf(p.router)
-			wantCache, wantSource := plainPlace(p.router, p.now, ret)
-			wantAway, want := ret.diverted, stateOf(p.router)
+			wantCache, wantSource := plainSelection(p.router, p.now, request)
+			wantAway, want := request.diverted, stateOf(p.router)
 			before.restore(p.router)
-			cache, source := p.router.selectEndpoints(p.now, ret)
-			if same := stateOf(p.router).equal(want); cache != wantCache || source != wantSource || ret.diverted != wantAway || !same {
+			cache, source := p.router.selectEndpoints(p.now, request)
+			if same := stateOf(p.router).equal(want); cache != wantCache || source != wantSource || request.diverted != wantAway || !same {
 				t.Fatalf("seed %d, case %d: cache %v, source %v, away %v, plainly %v, %v, %v; the same effects: %v", seed, cases,
-					name(cache), name(source), ret.diverted, name(wantCache), name(wantSource), wantAway, same)
+					name(cache), name(source), request.diverted, name(wantCache), name(wantSource), wantAway, same)
 			}
 			cases++
-			if cache != nil && cache != plainRank(ret.record.key, p.router.caches)[0] {
+			if cache != nil && cache != plainRank(request.record.key, p.router.caches)[0] {
 				seen["not the first"]++
 			}
-			if ret.diverted {
+			if request.diverted {
 				seen["away"]++
 			}
 		}
@@ -326,19 +326,19 @@
 		}
 		now := start + p.rng.Int64N(second)
 		for n := range 100 {
-			ret := ask("harmless", fmt.Sprint(round, n))
-			ret.class, ret.record, ret.Write = r.classByName["harmless"], &objectRecord{key: objectKey{object: ret.Object}}, n%4 == 0
-			want := plainRank(ret.record.key, r.caches)
-			if ret.Write {
+			request := ask("harmless", fmt.Sprint(round, n))
+			request.class, request.record, request.Write = r.classByName["harmless"], &objectRecord{key: objectKey{object: request.Object}}, n%4 == 0
+			want := plainRank(request.record.key, r.caches)
+			if request.Write {
 				slices.SortStableFunc(want, func(a, b *endpointState) int { return cmp.Compare(r.load(now, a), r.load(now, b)) })
 			}
-			got, most := r.cacheCandidates(now, ret), len(want)
+			got, most := r.cacheCandidates(now, request), len(want)
 			if n%10 > 1 {
 				most = min(most, 1+p.rng.IntN(8))
 			}
 			for i := range most {
 				if endpoint := got.next(); endpoint != want[i] {
-					t.Fatalf("round %d, write %v, place %d of %d: %v, plainly %v", round, ret.Write, i, len(want), name(endpoint), want[i].ID)
+					t.Fatalf("round %d, write %v, place %d of %d: %v, plainly %v", round, request.Write, i, len(want), name(endpoint), want[i].ID)
 				}
 			}
 			if most == len(want) && got.next() != nil {
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -238,10 +238,10 @@
 	t.Run("a retry", func(t *testing.T) {
 		r := cold(t, 1, nil)
 		r.UpdateEndpoints(start, []Endpoint{onlyCache}, false)
-		ret := ask("harmless", "a")
-		r.Decide(start, ret)
+		request := ask("harmless", "a")
+		r.Decide(start, request)
 		wants(t, r, 1, 0.5)
-		if decision := r.AttemptEnded(start, ret, Outcome{Result: ConnectionLost}); decision.Verdict != Send || decision.Attempt.Cache != 1 {
+		if decision := r.AttemptEnded(start, request, Outcome{Result: ConnectionLost}); decision.Verdict != Send || decision.Attempt.Cache != 1 {
 			t.Fatalf("not sent again: %+v", decision)
 		}
 		wants(t, r, 1, 1)
@@ -249,13 +249,13 @@
 	t.Run("a hedge", func(t *testing.T) {
 		r := cold(t, 1, nil)
 		r.UpdateEndpoints(start, []Endpoint{{ID: 2, Location: "here", Kind: "cache", Cell: 2, Phase: "draining"}}, false)
-		ret := ask("harmless", "a")
-		r.Decide(start, ret)
+		request := ask("harmless", "a")
+		r.Decide(start, request)
 		r.UpdateEndpoints(start, fleet[1:2], false)
 		r.endpoints[1].slowStartFrom, r.endpoints[2].slowStartFrom = start, start
 		r.endpoints[1].ejected, r.endpoints[1].nextProbeAt = true, forever
 		r.retries.tokens = 3
-		if decision := r.Decide(start+second, ret); decision.Verdict != Send || decision.Attempt.Cache != 2 || ret.inFlight != 2 {
+		if decision := r.Decide(start+second, request); decision.Verdict != Send || decision.Attempt.Cache != 2 || request.inFlight != 2 {
 			t.Fatalf("no second attempt beside the first: %+v", decision)
 		}
 		wants(t, r, 1, 0.5)
@@ -286,3 +286,123 @@
 		wants(t, r, 1, 2)
 	})
 }
+
+func TestSlowStartLimits(t *testing.T) {
+	cases := []struct {
+		name   string
+		cold   int // place in the fleet
+		since  int64
+		budget float64 // seconds of sending time this router may send in the window
+	}{
+		// Half a second of mean work; half of what makes it fall is left to routers that restart.
+		{"a cache just started", 0, 0, (8 + 3*math.Sqrt(8) + 3) / 2 / 2 * 0.5},
+		{"a cache half warm", 0, 5 * second, (24 + 3*math.Sqrt(24) + 3) / 2 / 2 * 0.5},
+		{"a parent just started, shared by all routers", 2, 0, (16 + 3*math.Sqrt(16) + 3) / 2 / 4 * 0.5},
+		{"a warm cache", 0, 11 * second, math.Inf(1)},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			r := newRouter(t, nil)
+			line := fleet[c.cold]
+			line.StartedAt = start
+			r.UpdateEndpoints(start, []Endpoint{line}, false)
+			now, spent := start+c.since, 0.
+			for i := range 200 {
+				request := ask("harmless", fmt.Sprint(i))
+				decision := r.Decide(now, request)
+				if decision.Verdict == Send && (decision.Attempt.Cache == line.ID || decision.Attempt.Source == line.ID) {
+					spent += r.sendingTime(request)
+				}
+				if decision.Verdict == Send { // a hit answered at once, so that only the budget binds
+					r.AttemptEnded(now, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 2})
+				}
+			}
+			if spent > c.budget || spent == 0 || math.IsInf(c.budget, 1) && spent < 10 {
+				t.Errorf("sent %v s of work, budget %v", spent, c.budget)
+			}
+		})
+	}
+}
+
+// A share of a cold budget below one dispatch was used by no router: of 15 parents nine came back cold and stood idle.
+// Saved up, it is used, and all routers together keep within what the member bears in every window, also where all want
+// it in the same moment.
+func TestSmallSlowStartSharesCollectTokens(t *testing.T) {
+	const routers = 300
+	window := 2 * second
+	for _, c := range []struct {
+		name string
+		each int64 // between two retrievals of a router for the member
+		from int64 // after its start
+		some int64 // one router in ten asks so many times as often
+	}{
+		{"all ask all the time", second / 5, 0, 1},
+		{"a thin slice", 5 * second, 0, 1},
+		{"some see ten times the mean", 5 * second, 0, 10},
+		{"all at once after a while", second / 5, 8 * second, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			type sending struct {
+				at     int64
+				amount float64
+			}
+			var all []sending
+			for n := range routers {
+				r, err := New(start, uint64(n), site(Settings{"routers": int64(routers)}), func(string) {})
+				if err != nil {
+					t.Fatal(err)
+				}
+				line := fleet[2]
+				line.StartedAt = start
+				r.UpdateEndpoints(start, append([]Endpoint{line}, fleet[3:]...), true)
+				r.UpdateEndpoints(start, fleet[:2], false)
+				r.slowStartAdmits(start, r.endpoints[3], 0.5) // it has been looked at since its start
+				each := c.each
+				if n%10 == 0 {
+					each /= c.some
+				}
+				for now := start + c.from + int64(n)*each/routers; now < start+16*second; now += each {
+					if amount := 0.5; r.slowStartAdmits(now, r.endpoints[3], amount) {
+						all = append(all, sending{now, amount})
+						r.endpoints[3].charge(now, amount)
+					}
+				}
+			}
+			if len(all) < 10 {
+				t.Errorf("%d dispatches in 16 s", len(all))
+			}
+			for _, first := range all {
+				sum := 0.
+				for _, s := range all {
+					if s.at >= first.at && s.at < first.at+window {
+						sum += s.amount
+					}
+				}
+				share := 0.1 + 0.9*float64(first.at-start)/float64(20*second)
+				if bears := 2 * 20 * share * 2; sum > bears {
+					t.Fatalf("%.1f s of work within a window %.1f s after the start, it bears %.1f", sum, float64(first.at-start)/1e9, bears)
+				}
+			}
+		})
+	}
+}
+
+func TestUnreachableEndpointsComeBackCold(t *testing.T) {
+	// The list tells a restart seconds late: until then what could not be reached counts as just started.
+	for _, c := range []struct {
+		name   string
+		result Result
+		cold   bool
+	}{{"unreached", Unreachable, true}, {"only late", TimedOut, false}} {
+		t.Run(c.name, func(t *testing.T) {
+			r, request := newRouter(t, nil), ask("harmless", "a")
+			endpoint := r.endpoints[r.Decide(start, request).Attempt.Cache]
+			endpoint.ejected = true
+			r.AttemptEnded(start, request, Outcome{Result: c.result, RequestEnded: true})
+			r.ProbeEnded(start+second, endpoint.ID, true, nil)
+			if endpoint.ejected || (endpoint.slowStartFrom == start+second) != c.cold {
+				t.Errorf("suspect %v, cold from %v", endpoint.ejected, endpoint.slowStartFrom)
+			}
+		})
+	}
+}
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -66,13 +66,13 @@
 }
 
 // sendAndAnswer returns the first dispatch of a new retrieval, which is answered in time.
-func sendAndAnswer(t *testing.T, r *Router, ret *Request) Attempt {
+func sendAndAnswer(t *testing.T, r *Router, request *Request) Attempt {
 	t.Helper()
-	decision := r.Decide(start, ret)
+	decision := r.Decide(start, request)
 	if decision.Verdict != Send {
-		t.Fatalf("%s %s is not sent: %+v", ret.Class, ret.Object, decision)
+		t.Fatalf("%s %s is not sent: %+v", request.Class, request.Object, decision)
 	}
-	r.AttemptEnded(start, ret, Outcome{Result: Succeeded, Note: 2, Elapsed: 20 * millisecond, RequestEnded: true})
+	r.AttemptEnded(start, request, Outcome{Result: Succeeded, Note: 2, Elapsed: 20 * millisecond, RequestEnded: true})
 	return decision.Attempt
 }
 
