--- a/control/age.go
+++ b/control/age.go
@@ -23,7 +23,7 @@
 
 // optimalMaxAge is the age, ns, that costs least in missed updates and in filling: sqrt(2·c·b/(μ·λ)), with the size b in KB, the
 // rate of updates μ and that of requests λ, each a second; forever where either is 0. It is the optimal TTL of ECO-DNS
-// (Chen, Matsumoto, Perrig, 2015, section II, equation 11): docs/design.md.
+// (Chen, Matsumoto and Perrig, section II-E, equation 11, without the sum over descendants): docs/design.md.
 func optimalMaxAge(sizeKB, updateRate, requestRate float64) int64 {
 	if !(updateRate > 0 && requestRate > 0) {
 		return forever
--- a/control/control.go
+++ b/control/control.go
@@ -2,8 +2,8 @@
 //
 // How to call it: New makes one router. Decide says where to send a request (or not yet, or never), AttemptEnded
 // what to do once an attempt has ended, RecheckDelay how long to wait before asking Decide again. The facts come
-// by UpdateEndpoints, Purge, ClientGone, ProbeEnded and Tick. Times are int64 nanoseconds of the caller's axis. A
-// router shares nothing, reads no clock and is not safe for use by two goroutines at once.
+// by UpdateEndpoints, Purge, ClientGone, ProbeEnded and Tick. Times are int64 nanoseconds of the caller's axis,
+// spans nanoseconds, and sending times float64 seconds, unless a comment says otherwise. A router shares nothing, reads no clock and is not safe for use by two goroutines at once.
 //
 // A decision reads top to bottom in Decide; each file below it has one part of it: selection.go and ranking.go the
 // endpoints, admission.go and capacity.go whether they take more, slowstart.go what new ones bear, retries.go further
@@ -66,7 +66,8 @@
 	keyBytes                []byte     // buffer of objectHash
 }
 
-// New makes a router from its settings; log takes a short line for each change of mode. The error is a SettingError.
+// New makes a router from its settings; log takes a short line for each change of mode. The error joins a SettingError for
+// each setting that is missing, of a wrong type, or contradicts another.
 func New(now int64, seed uint64, raw Settings, log func(string)) (*Router, error) {
 	set, err := decodeSettings(raw)
 	if err != nil {
--- a/control/purges.go
+++ b/control/purges.go
@@ -17,14 +17,14 @@
 // purgeMargin is what the accepted age stays under the time since a purge: stamps are in whole ms.
 const purgeMargin = second / 1000
 
-// purge is the last told purge of an object with all its parts, or of a group.
+// purgeState is the last told purge of an object with all its parts, or of a group.
 type purgeState struct {
 	stamp int64 // Unix ns by the clock of the journal service; 0: none that can be used
 	told  int64 // when it was told here, on our axis
 }
 
-// with is what stands after one more purge was told; p is nil before the first. One with an earlier stamp than the last is told again, or one of the two
-// stamps is wrong: then neither counts.
+// with is what stands after one more purge was told; the receiver is nil before the first. One with an earlier stamp than the last is
+// told again, or one of the two stamps is wrong: then neither counts.
 func (purge *purgeState) with(now, stamp int64) *purgeState {
 	if stamp <= 0 || purge != nil && stamp < purge.stamp {
 		stamp = 0
@@ -32,11 +32,6 @@
 	return &purgeState{stamp: stamp, told: now}
 }
 
-// byStamp tells whether the stamp can be right on our axis: what was told was over.
-func (purge *purgeState) byStamp(trusted bool) bool {
-	return trusted && purge.stamp > 0 && purge.stamp <= purge.told
-}
-
 // purgeLog is the told purges that still matter, and what is known of our axis beside others' clocks.
 type purgeLog struct {
 	last           map[string]*purgeState // by object, and by group under its number
@@ -79,6 +74,11 @@
 	return found
 }
 
+// trustsStamp tells whether a purge's stamp can be right on our axis: what was told was over.
+func (l *purgeLog) trustsStamp(purge *purgeState) bool {
+	return !l.clockAhead && purge.stamp > 0 && purge.stamp <= purge.told
+}
+
 // observeIssue notes when an entry was issued, Unix ns by the origin's clock.
 func (l *purgeLog) observeIssue(now, issued int64) {
 	if ahead := max(0, now-issued); !l.clockLeadKnown || ahead < l.maxClockLead {
@@ -100,7 +100,7 @@
 			continue
 		}
 		since := purge.told
-		if purge.byStamp(!r.purges.clockAhead) {
+		if r.purges.trustsStamp(purge) {
 			since = purge.stamp
 		}
 		if limit := max(now-since-purgeMargin, 1000); age == 0 || limit < age {
@@ -117,7 +117,7 @@
 		return 0 // no copy
 	}
 	for _, purge := range r.purges.of(request) {
-		if purge != nil && purge.byStamp(!r.purges.clockAhead) {
+		if purge != nil && r.purges.trustsStamp(purge) {
 			from = max(from, purge.stamp)
 		}
 	}
