--- a/control/purges.go
+++ b/control/purges.go
@@ -17,14 +17,14 @@
 // purgeMargin is what the accepted age stays under the time since a purge: stamps are in whole ms.
 const purgeMargin = second / 1000
 
-// purge is the last told purge of an object with all its parts, or of a group.
+// purgeState is the last told purge of an object with all its parts, or of a group.
 type purgeState struct {
 	stamp int64 // Unix ns by the clock of the journal service; 0: none that can be used
 	told  int64 // when it was told here, on our axis
 }
 
-// with is what stands after one more purge was told; p is nil before the first. One with an earlier stamp than the last is told again, or one of the two
-// stamps is wrong: then neither counts.
+// with is what stands after one more purge was told; the receiver is nil before the first. One with an earlier stamp than the last is
+// told again, or one of the two stamps is wrong: then neither counts.
 func (purge *purgeState) with(now, stamp int64) *purgeState {
 	if stamp <= 0 || purge != nil && stamp < purge.stamp {
 		stamp = 0
@@ -32,11 +32,6 @@
 	return &purgeState{stamp: stamp, told: now}
 }
 
-// byStamp tells whether the stamp can be right on our axis: what was told was over.
-func (purge *purgeState) byStamp(trusted bool) bool {
-	return trusted && purge.stamp > 0 && purge.stamp <= purge.told
-}
-
 // purgeLog is the told purges that still matter, and what is known of our axis beside others' clocks.
 type purgeLog struct {
 	last           map[string]*purgeState // by object, and by group under its number
@@ -79,6 +74,11 @@
 	return found
 }
 
+// trustsStamp tells whether a purge's stamp can be right on our axis: what was told was over.
+func (l *purgeLog) trustsStamp(purge *purgeState) bool {
+	return !l.clockAhead && purge.stamp > 0 && purge.stamp <= purge.told
+}
+
 // observeIssue notes when an entry was issued, Unix ns by the origin's clock.
 func (l *purgeLog) observeIssue(now, issued int64) {
 	if ahead := max(0, now-issued); !l.clockLeadKnown || ahead < l.maxClockLead {
@@ -93,14 +93,14 @@
 	r.rates.countPurge(now, object, group)
 }
 
-// youngEnough lowers an accepted age to what the told purges leave at the sending. It is never 0, which means the fresh time.
+// limitAgeByPurges lowers an accepted age to what the told purges leave at the sending. It is never 0, which means the fresh time.
 func (r *Router) limitAgeByPurges(now int64, request *Request, age int64) int64 {
 	for _, purge := range r.purges.of(request) {
 		if purge == nil {
 			continue
 		}
 		since := purge.told
-		if purge.byStamp(!r.purges.clockAhead) {
+		if r.purges.trustsStamp(purge) {
 			since = purge.stamp
 		}
 		if limit := max(now-since-purgeMargin, 1000); age == 0 || limit < age {
@@ -110,14 +110,14 @@
 	return age
 }
 
-// issuedFrom is from when on a copy must have been issued, by its own stamp, where the accepted age goes by a purge's stamp;
+// minIssuedAt is from when on a copy must have been issued, by its own stamp, where the accepted age goes by a purge's stamp;
 // 0 is no bound.
 func (r *Router) minIssuedAt(request *Request) (from int64) {
 	if request.isUncacheable() {
 		return 0 // no copy
 	}
 	for _, purge := range r.purges.of(request) {
-		if purge != nil && purge.byStamp(!r.purges.clockAhead) {
+		if purge != nil && r.purges.trustsStamp(purge) {
 			from = max(from, purge.stamp)
 		}
 	}
@@ -134,7 +134,7 @@
 	return issued >= request.attempts[number].minIssuedAt
 }
 
-// distrust notes that a cache has sent an older copy than a purge's stamp allows, within the age that was asked for: our axis is
+// distrustStamps notes that a cache has sent an older copy than a purge's stamp allows, within the age that was asked for: our axis is
 // ahead of the others' clocks. From then on purges count from when they are told.
 func (r *Router) distrustStamps() {
 	if !r.purges.clockAhead {
@@ -143,7 +143,7 @@
 	}
 }
 
-// coldSince is when a member started, on our axis. Its stamp is another machine's, and an axis that is ahead would have it
+// slowStartSince is when an endpoint started, on our axis. Its stamp is another machine's, and an axis that is ahead would have it
 // warm too soon (rule 4). No copy can come before its issue, so the youngest that ever came shows how far ahead the axis can
 // be at most; and nobody started after it was told that it had.
 func (r *Router) slowStartSince(endpoint *endpointState) int64 {
