--- a/feed/feed.go
+++ b/feed/feed.go
@@ -67,7 +67,7 @@
 // kept is a list that was known before the start.
 type kept struct {
 	confirm restore.ListConfirmation
-	list    router.Listed
+	list    router.EndpointListUpdated
 }
 
 // Option changes how a feed is made.
@@ -244,8 +244,8 @@
 // confirmed puts a list known before in force: the service has told the event again that it went up to.
 func (f *Feed) confirmed(position int64, digest uint64) {
 	f.log(fmt.Sprintf("the list of the snapshot is confirmed, with event %d", position))
-	about := startup.ListSummary{Position: position, Complete: true, Endpoints: len(f.kept.list.Lines)}
-	for _, line := range f.kept.list.Lines {
+	about := startup.ListSummary{Position: position, Complete: true, Endpoints: len(f.kept.list.Entries)}
+	for _, line := range f.kept.list.Entries {
 		if line.Phase == "ready" {
 			about.ReadyEndpoints++
 		}
@@ -375,20 +375,20 @@
 	}
 	told, err := e.tells()
 	about := startup.ListSummary{Position: e.Pos}
-	if l, ok := told.(router.Listed); ok {
-		about.Generation, about.Complete, about.Endpoints = e.Hosts.Generation, l.Whole, len(l.Lines)
-		for _, line := range l.Lines {
+	if l, ok := told.(router.EndpointListUpdated); ok {
+		about.Generation, about.Complete, about.Endpoints = e.Hosts.Generation, l.Complete, len(l.Entries)
+		for _, line := range l.Entries {
 			if line.Phase == "ready" {
 				about.ReadyEndpoints++
 			}
 		}
-		about.Digest = digest(l.Lines)
+		about.Digest = digest(l.Entries)
 	}
 	return e.Pos, told, about, err
 }
 
 // digest tells lists apart that differ in anything.
-func digest(lines []router.Listing) uint64 {
+func digest(lines []router.EndpointEntry) uint64 {
 	hash := xxhash.New()
 	var line []byte
 	for _, l := range lines {
@@ -408,15 +408,15 @@
 func (e entry) tells() (router.Event, error) {
 	switch {
 	case e.Hosts != nil:
-		list := router.Listed{Whole: e.Hosts.Reset || e.Pos == 1}
+		list := router.EndpointListUpdated{Complete: e.Hosts.Reset || e.Pos == 1}
 		if n := len(e.Hosts.Instances); n > 0 {
-			list.Lines = make([]router.Listing, 0, n)
+			list.Entries = make([]router.EndpointEntry, 0, n)
 		}
 		for _, i := range e.Hosts.Instances {
 			if i.InstanceID == "" {
 				return nil, errors.New("an instance without an id")
 			}
-			line := router.Listing{Instance: i.InstanceID, Address: i.HostPort, Endpoint: control.Endpoint{
+			line := router.EndpointEntry{Instance: i.InstanceID, Address: i.HostPort, Endpoint: control.Endpoint{
 				Location: i.Zone, Kind: i.MachineType, Cell: i.Cell, Phase: states[i.Lifecycle], Capacity: 1,
 				StartedAt: clock.FromUnixMilli(i.StartedAtMs)}}
 			if line.Phase == "" {
@@ -425,11 +425,11 @@
 			if i.Weight != nil {
 				line.Capacity = *i.Weight
 			}
-			list.Lines = append(list.Lines, line)
+			list.Entries = append(list.Entries, line)
 		}
 		return list, nil
 	case e.Expire != nil:
-		p := router.Purged{Object: e.Expire.Name, When: clock.FromUnixMilli(int64(e.Expire.Stamp))}
+		p := router.PurgeReceived{Object: e.Expire.Name, PurgedAt: clock.FromUnixMilli(int64(e.Expire.Stamp))}
 		if e.Expire.Set != nil {
 			p.Group = *e.Expire.Set
 		} else if p.Object == "" {
@@ -450,11 +450,11 @@
 
 // Keep adds a list that a snapshot has, with the number and the digest of the event that it went up to. Where a configuration
 // knows a list that counts, and nothing changes.
-func (p *Past) Keep(position int64, digest uint64, members []router.Listing) bool {
+func (p *Past) Keep(position int64, digest uint64, members []router.EndpointEntry) bool {
 	if p.listed || position < 1 || len(members) == 0 {
 		return false
 	}
-	p.kept = &kept{restore.ListConfirmation{Position: position, Digest: digest}, router.Listed{Whole: true, Lines: members}}
+	p.kept = &kept{restore.ListConfirmation{Position: position, Digest: digest}, router.EndpointListUpdated{Complete: true, Entries: members}}
 	return true
 }
 
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -139,7 +139,7 @@
 // A list known before is in force once the service tells again, to the letter, the event that it went up to, without the
 // whole list being asked for; and never where the service tells anything else there, or nothing.
 func TestKeptList(t *testing.T) {
-	members := []router.Listing{{Instance: "s-1", Address: "10.1.0.9:1", Endpoint: control.Endpoint{Phase: "ready"}}}
+	members := []router.EndpointEntry{{Instance: "s-1", Address: "10.1.0.9:1", Endpoint: control.Endpoint{Phase: "ready"}}}
 	purge := `{"pos":%d,"expire":{"set":3,"stamp":1}}`
 	last := xxhash.Sum64String(fmt.Sprintf(purge, 2))
 	for _, c := range []struct {
--- a/feed/stamps_test.go
+++ b/feed/stamps_test.go
@@ -20,18 +20,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, told, err := Decode(fmt.Appendf(nil, `{"pos":2,"expire":{"set":17,"stamp":%d}}`, c.ms))
-			if purged, ok := told.(router.Purged); err != nil || !ok || purged.When != c.want {
+			if purged, ok := told.(router.PurgeReceived); err != nil || !ok || purged.PurgedAt != c.want {
 				t.Errorf("%+v, %v, want %d", told, err, c.want)
 			}
 			_, told, err = Decode(fmt.Appendf(nil, `{"pos":2,"hosts":{"instances":[{"instanceId":"s-a","startedAtMs":%d}]}}`, c.ms))
-			if list, ok := told.(router.Listed); err != nil || !ok || list.Lines[0].StartedAt != c.want {
+			if list, ok := told.(router.EndpointListUpdated); err != nil || !ok || list.Entries[0].StartedAt != c.want {
 				t.Errorf("%+v, %v, want %d", told, err, c.want)
 			}
 		})
 	}
 	for _, odd := range []string{`"soon"`, `1.5`, `9223372036854775808`, `{}`} {
 		_, told, err := Decode([]byte(`{"pos":2,"expire":{"set":17,"stamp":` + odd + `}}`))
-		if purged, ok := told.(router.Purged); err != nil || !ok || purged.Group != 17 || purged.When != 0 {
+		if purged, ok := told.(router.PurgeReceived); err != nil || !ok || purged.Group != 17 || purged.PurgedAt != 0 {
 			t.Errorf("stamp %s: %+v, %v; the purge is to count from when it is told", odd, told, err)
 		}
 		if _, told, err := Decode([]byte(`{"pos":2,"hosts":{"instances":[{"instanceId":"s-a","startedAtMs":` + odd + `}]}}`)); err == nil {
--- a/front/arrival_test.go
+++ b/front/arrival_test.go
@@ -20,11 +20,11 @@
 )
 
 // arrivalsAt is a front on a listener that notes when requests arrived.
-func arrivalsAt(t *testing.T, listener net.Listener, limits Limits, meanwhile func(router.Requested)) (*Front, chan router.Requested) {
+func arrivalsAt(t *testing.T, listener net.Listener, limits Limits, meanwhile func(router.RequestReceived)) (*Front, chan router.RequestReceived) {
 	t.Helper()
-	requests := make(chan router.Requested, 1000)
+	requests := make(chan router.RequestReceived, 1000)
 	f := New(listener, limits, func(e router.Event) {
-		if r, ok := e.(router.Requested); ok {
+		if r, ok := e.(router.RequestReceived); ok {
 			requests <- r
 			meanwhile(r)
 		}
@@ -52,18 +52,18 @@
 }
 
 // arrives checks that the next request arrived when it was sent.
-func arrives(t *testing.T, f *Front, requests chan router.Requested, sent time.Time) {
+func arrives(t *testing.T, f *Front, requests chan router.RequestReceived, sent time.Time) {
 	t.Helper()
 	arrivesWithin(t, f, requests, sent, early)
 }
 
 // arrivesWithin checks that the next request arrived when it was sent, or so much earlier.
-func arrivesWithin(t *testing.T, f *Front, requests chan router.Requested, sent time.Time, early time.Duration) {
+func arrivesWithin(t *testing.T, f *Front, requests chan router.RequestReceived, sent time.Time, early time.Duration) {
 	t.Helper()
 	select {
 	case r := <-requests:
-		f.Answer(router.Answer{Client: r.Client, Seq: r.Seq})
-		after := time.Duration(r.Arrived - (f.now() - int64(time.Since(sent))))
+		f.Answer(router.Respond{Client: r.Client, Seq: r.Seq})
+		after := time.Duration(r.ArrivedAt - (f.now() - int64(time.Since(sent))))
 		if after < -early || after > late {
 			t.Errorf("request %d arrived %v after it was sent", r.Seq, after)
 		}
@@ -83,7 +83,7 @@
 
 // A request arrives when its first byte does, however long it waits to be read; and no earlier.
 func TestArrival(t *testing.T) {
-	nothing := func(router.Requested) {}
+	nothing := func(router.RequestReceived) {}
 	t.Run("in the backlog", func(t *testing.T) {
 		h := held{loopback(t).(*net.TCPListener), make(chan struct{})}
 		f, requests := arrivalsAt(t, h, small, nothing)
@@ -97,7 +97,7 @@
 		for range 3 {
 			select {
 			case r := <-requests:
-				if after := time.Duration(r.Arrived - (f.now() - int64(time.Since(sent)))); after < -early || after > late {
+				if after := time.Duration(r.ArrivedAt - (f.now() - int64(time.Since(sent)))); after < -early || after > late {
 					t.Errorf("request %d arrived %v after it was sent", r.Seq, after)
 				}
 			case <-time.After(patience):
@@ -118,7 +118,7 @@
 		}
 	})
 	t.Run("as its reader waits for the reducer", func(t *testing.T) {
-		f, requests := arrivalsAt(t, loopback(t), small, func(r router.Requested) {
+		f, requests := arrivalsAt(t, loopback(t), small, func(r router.RequestReceived) {
 			if r.Seq == 1 {
 				time.Sleep(2 * unreadFor)
 			}
@@ -174,7 +174,7 @@
 	const clients = 300
 	limits := keeping(1000, time.Hour)
 	limits.Bytes, limits.Cores = 64<<20, 0.2 // 400 are woken a second
-	f, requests := arrivalsAt(t, loopback(t), limits, func(router.Requested) {})
+	f, requests := arrivalsAt(t, loopback(t), limits, func(router.RequestReceived) {})
 	var conns []net.Conn
 	for range clients {
 		conn := dial(t, f)
@@ -194,8 +194,8 @@
 	for range clients {
 		select {
 		case r := <-requests:
-			f.Answer(router.Answer{Client: r.Client, Seq: r.Seq})
-			after := time.Duration(r.Arrived - (f.now() - int64(time.Since(sent))))
+			f.Answer(router.Respond{Client: r.Client, Seq: r.Seq})
+			after := time.Duration(r.ArrivedAt - (f.now() - int64(time.Since(sent))))
 			worst, earliest = max(worst, after), min(earliest, after)
 		case <-time.After(patience):
 			t.Fatal("no request")
--- a/front/closes_linux_test.go
+++ b/front/closes_linux_test.go
@@ -36,11 +36,11 @@
 	if got, err := answerOn(conn); err != nil || !strings.Contains(got, "call\x00\x00\x00\x06"+refusedField) {
 		t.Fatalf("%q, %v", got, err)
 	}
-	if e := next(t, events); e != "Requested" {
+	if e := next(t, events); e != "RequestReceived" {
 		t.Errorf("%s instead of what came behind it", e)
 	}
 	for _, seq := range []int32{5, 7} {
-		f.Answer(router.Answer{Client: 1, Seq: seq, Body: []byte("whole")})
+		f.Answer(router.Respond{Client: 1, Seq: seq, Body: []byte("whole")})
 		if got, err := answerOn(conn); err != nil || !strings.Contains(got, "whole") {
 			t.Errorf("%q, %v", got, err)
 		}
@@ -100,7 +100,7 @@
 	if f.Shut(); f.Open() < 2 {
 		t.Error("nothing is open, while one is open and one waits")
 	}
-	f.Answer(router.Answer{Client: 1, Seq: 5, Body: []byte("whole")})
+	f.Answer(router.Respond{Client: 1, Seq: 5, Body: []byte("whole")})
 	if got, err := answerOn(conn); err != nil || !strings.Contains(got, "whole") {
 		t.Errorf("%q, %v", got, err)
 	}
@@ -146,9 +146,9 @@
 		gone := dial(t, f)
 		gone.Write(message(1, "call", 5, "\x00"))
 		stays := dial(t, f)
-		q := (<-events).(router.Requested)
-		f.Answer(router.Answer{Client: q.Client, Seq: 5, Body: []byte("whole")})
-		if e, ok := (<-events).(router.Left); !ok || e.Client != q.Client {
+		q := (<-events).(router.RequestReceived)
+		f.Answer(router.Respond{Client: q.Client, Seq: 5, Body: []byte("whole")})
+		if e, ok := (<-events).(router.ClientDisconnected); !ok || e.Client != q.Client {
 			t.Errorf("%v: %+v", errno, e)
 		}
 		health(t, stays)
--- a/front/departure.go
+++ b/front/departure.go
@@ -28,7 +28,7 @@
 	open := len(c.open) > 0
 	c.mu.Unlock()
 	if open {
-		c.front.post(router.HalfClosed{Client: c.id})
+		c.front.post(router.ClientHalfClosed{Client: c.id})
 	}
 }
 
--- a/front/departure_test.go
+++ b/front/departure_test.go
@@ -68,8 +68,8 @@
 			name string
 			do   func(net.Conn)
 			want string
-		}{{"closes its side", closes, "HalfClosed"}, {"closes", goes, "HalfClosed Left"}, {"resets", resets, "Left"}, {"cancels", cancels, "Cancelled"}} {
-			if end.want == "Cancelled" && before.unread {
+		}{{"closes its side", closes, "ClientHalfClosed"}, {"closes", goes, "ClientHalfClosed ClientDisconnected"}, {"resets", resets, "ClientDisconnected"}, {"cancels", cancels, "RequestCancelled"}} {
+			if end.want == "RequestCancelled" && before.unread {
 				continue // it is not understood
 			}
 			t.Run(before.name+", and it "+end.name, func(t *testing.T) {
@@ -81,7 +81,7 @@
 				conn := dial(t, f)
 				io.WriteString(conn, before.in)
 				for range before.open {
-					if e := next(t, events); e != "Requested" {
+					if e := next(t, events); e != "RequestReceived" {
 						t.Fatal(e)
 					}
 				}
@@ -91,7 +91,7 @@
 				end.do(conn)
 				tells(t, events, end.want)
 				for seq := range int32(before.open) {
-					f.Answer(router.Answer{Client: 1, Seq: seq + 1})
+					f.Answer(router.Respond{Client: 1, Seq: seq + 1})
 				}
 			})
 		}
@@ -112,12 +112,12 @@
 		t.Errorf("refused after %v", took)
 	}
 	conn.Write(call(2, 10))
-	if e := next(t, events); e != "Requested" {
+	if e := next(t, events); e != "RequestReceived" {
 		t.Error(e)
 	}
 	f.reading.Release(thrift.FrameMost)
 	conn.Write(call(3, 200_000))
-	if e := next(t, events); e != "Requested" {
+	if e := next(t, events); e != "RequestReceived" {
 		t.Error(e)
 	}
 }
--- a/front/endings_test.go
+++ b/front/endings_test.go
@@ -76,7 +76,7 @@
 			conn.Close()
 			until(t, "its descriptor comes back", func() bool { return f.all() == 0 && len(f.closingNow()) == 0 })
 			for len(events) > 0 {
-				if e := <-events; e != "Left" {
+				if e := <-events; e != "ClientDisconnected" {
 					t.Errorf("%s of what came after the end", e)
 				}
 			}
@@ -120,11 +120,11 @@
 		t.Fatal("nothing is open, while a request waits in the backlog")
 	}
 	close(h.let)
-	if _, ok := (<-events).(router.Requested); !ok {
+	if _, ok := (<-events).(router.RequestReceived); !ok {
 		t.Fatal("not taken in")
 	}
 	f.Shut()
-	f.Answer(router.Answer{Client: 1, Seq: 5, Body: []byte("whole")})
+	f.Answer(router.Respond{Client: 1, Seq: 5, Body: []byte("whole")})
 	until(t, "all has ended", func() bool { f.Shut(); return f.Open() == 0 })
 	if got, err := io.ReadAll(conn); err != nil || !strings.Contains(string(got), "whole") {
 		t.Errorf("%q, %v", got, err)
@@ -152,13 +152,13 @@
 	endsGently(t, fresh)
 	endsGently(t, resting)
 	half.Write(call[9:])
-	if e := next(t, events); e != "Requested" && e != "Left" {
+	if e := next(t, events); e != "RequestReceived" && e != "ClientDisconnected" {
 		t.Error(e)
 	}
 	until(t, "both are open", func() bool { return f.opens() == 2 })
 	begun := time.Now()
-	f.Answer(router.Answer{Client: f.clientOf(5), Seq: 5, Body: []byte("whole")})
-	f.Answer(router.Answer{Client: f.clientOf(6), Seq: 6, Body: []byte("whole")})
+	f.Answer(router.Respond{Client: f.clientOf(5), Seq: 5, Body: []byte("whole")})
+	f.Answer(router.Respond{Client: f.clientOf(6), Seq: 6, Body: []byte("whole")})
 	for _, conn := range []net.Conn{busy, half} {
 		until(t, "it is flushed and shut", func() bool { f.Shut(); return f.opens() == 0 && f.Flushed() && f.Open() <= 1 })
 		if got, err := io.ReadAll(conn); err != nil || !strings.Contains(string(got), "whole") {
@@ -193,7 +193,7 @@
 	}
 	endsGently(t, conn)
 	conn.Close()
-	if e := next(t, events); e != "Left" {
+	if e := next(t, events); e != "ClientDisconnected" {
 		t.Error(e)
 	}
 }
@@ -207,10 +207,10 @@
 	conn := dial(t, f)
 	conn.Write(message(1, "call", 5, "\x00"))
 	next(t, events)
-	f.Answer(router.Answer{Client: 1, Seq: 5})
+	f.Answer(router.Respond{Client: 1, Seq: 5})
 	io.ReadFull(conn, make([]byte, 20))
 	conn.Close()
-	if e := next(t, events); e != "Left" {
+	if e := next(t, events); e != "ClientDisconnected" {
 		t.Error(e)
 	}
 }
@@ -272,7 +272,7 @@
 			t.Fatal(err)
 		}
 	}
-	if e := next(t, events); e != "Requested" { // that of the one that stays, who came last
+	if e := next(t, events); e != "RequestReceived" { // that of the one that stays, who came last
 		t.Errorf("%s", e)
 	}
 	select {
@@ -283,7 +283,7 @@
 	if got, err := answerOn(half); err != nil || !strings.Contains(got, "call\x00\x00\x00\x07"+refusedField) {
 		t.Errorf("the one that closed its side alone: %q, %v", got, err)
 	}
-	f.Answer(router.Answer{Client: 41, Seq: 6, Body: []byte("whole")})
+	f.Answer(router.Respond{Client: 41, Seq: 6, Body: []byte("whole")})
 	if _, err := io.ReadFull(stays, make([]byte, 20)); err != nil {
 		t.Error(err)
 	}
--- a/front/front.go
+++ b/front/front.go
@@ -363,7 +363,7 @@
 }
 
 // Answer writes a final answer to its client, if that is still there. It never waits.
-func (f *Front) Answer(a router.Answer) {
+func (f *Front) Answer(a router.Respond) {
 	f.mu.Lock()
 	c := f.clients[a.Client]
 	f.mu.Unlock()
@@ -372,9 +372,9 @@
 	}
 	out := thrift.Answer{Method: "call", Seq: a.Seq}
 	switch a.Kind {
-	case router.Settled:
+	case router.Served:
 		out.Good, out.Body = true, a.Body
-		if a.Same {
+		if a.NotModified {
 			out.Body, out.Fields = nil, [][2]string{{"ok304", "1"}}
 		}
 		if f.queued.Load()+int64(len(out.Body)) > f.limits.Bytes {
@@ -386,18 +386,18 @@
 		} else if len(out.Body) > 0 && f.queued.Load() < f.limits.Bytes/2 && f.full.Swap(false) {
 			f.log("slow clients: answers go out again")
 		}
-	case router.Dismissed:
+	case router.Rejected:
 		out.Field = 1
-		if ms := a.Later / 1e6; ms > 0 {
+		if ms := a.RetryAfter / 1e6; ms > 0 {
 			out.Fields = [][2]string{{"later", strconv.FormatInt(ms, 10)}}
 		}
-	case router.Aborted:
+	case router.Failed:
 		out.Field = 2
-	case router.Unusable:
-		out.Fault, out.Text = thrift.ProtocolError, a.Why
+	case router.BadRequest:
+		out.Fault, out.Text = thrift.ProtocolError, a.Reason
 	}
 	c.answer(out)
-	if a.Kind == router.Unusable {
+	if a.Kind == router.BadRequest {
 		c.offend()
 	}
 }
@@ -484,7 +484,7 @@
 	switch {
 	case offended:
 		// What else it asked for is not served either, and not at the cost of others.
-		c.front.post(router.Left{Client: c.id})
+		c.front.post(router.ClientDisconnected{Client: c.id})
 		c.abort()
 	case halfClosed:
 		c.tellHalfClosed()
@@ -500,7 +500,7 @@
 	c.gone = true
 	c.front.queued.Add(-c.bytes)
 	c.mu.Unlock()
-	c.front.post(router.Left{Client: c.id})
+	c.front.post(router.ClientDisconnected{Client: c.id})
 }
 
 // offend ends the reading from a client that sent what no usual client sends: at full speed it took the core from
@@ -676,7 +676,7 @@
 	switch {
 	case m.Name == "cancel":
 		if err == nil && args.Has[1] && c.close(args.Number) {
-			c.front.post(router.Cancelled{Client: c.id, Seq: args.Number})
+			c.front.post(router.RequestCancelled{Client: c.id, Seq: args.Number})
 		}
 	case m.Type == thrift.Oneway:
 	case m.Name != "call" && m.Name != "health":
@@ -688,7 +688,7 @@
 	default:
 		switch c.enter(m.Seq) {
 		case entered:
-			c.front.post(router.Requested{Client: c.id, Seq: m.Seq, Arrived: arrived, Fields: args.Fields, Body: args.Body})
+			c.front.post(router.RequestReceived{Client: c.id, Seq: m.Seq, ArrivedAt: arrived, Fields: args.Fields, Body: args.Body})
 		case inUse:
 			fault(thrift.BadSequence, "sequence number in use")
 		case tooMany:
--- a/front/front_test.go
+++ b/front/front_test.go
@@ -84,12 +84,12 @@
 		name, in string
 		want     string // up to the end of the connection, which the client brings about
 	}{
-		{"a request and its cancel", call + cancel(5), "Requested Cancelled Left"},
-		{"cancels for nothing", call + cancel(6) + cancel(5) + cancel(5), "Requested Cancelled Left"},
-		{"the client leaves with a request open", call, "Requested Left"},
-		{"a request cut short", call[:len(call)-1], "Left"},
-		{"health is none of the reducer's", string(message(1, "health", 5, "\x00")), "Left"},
-		{"answers and unknown one-way calls", string(message(2, "call", 5, "\x00")) + string(message(4, "odd", 5, "\x00")), "Left"},
+		{"a request and its cancel", call + cancel(5), "RequestReceived RequestCancelled ClientDisconnected"},
+		{"cancels for nothing", call + cancel(6) + cancel(5) + cancel(5), "RequestReceived RequestCancelled ClientDisconnected"},
+		{"the client leaves with a request open", call, "RequestReceived ClientDisconnected"},
+		{"a request cut short", call[:len(call)-1], "ClientDisconnected"},
+		{"health is none of the reducer's", string(message(1, "health", 5, "\x00")), "ClientDisconnected"},
+		{"answers and unknown one-way calls", string(message(2, "call", 5, "\x00")) + string(message(4, "odd", 5, "\x00")), "ClientDisconnected"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f, events := serving(t, small)
@@ -99,7 +99,7 @@
 			conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
 			got := ""
-			for e := ""; e != "Left"; got += " " + e {
+			for e := ""; e != "ClientDisconnected"; got += " " + e {
 				e = next(t, events)
 			}
 			if got[1:] != c.want {
@@ -119,18 +119,18 @@
 			conn := dial(t, f)
 			io.WriteString(conn, string(call)+c.more)
 			conn.(*net.TCPConn).CloseWrite()
-			for _, want := range []string{"Requested", "HalfClosed"} {
+			for _, want := range []string{"RequestReceived", "ClientHalfClosed"} {
 				if e := next(t, events); e != want {
 					t.Errorf("%s, want %s", e, want)
 				}
 			}
-			f.Answer(router.Answer{Client: 1, Seq: 5, Body: []byte("whole")})
+			f.Answer(router.Respond{Client: 1, Seq: 5, Body: []byte("whole")})
 			got, err := io.ReadAll(conn)
 			if err != nil || !strings.Contains(string(got), "whole") {
 				t.Errorf("%q, %v", got, err)
 			}
-			if e := next(t, events); e != "Left" {
-				t.Errorf("%s, want Left", e)
+			if e := next(t, events); e != "ClientDisconnected" {
+				t.Errorf("%s, want ClientDisconnected", e)
 			}
 		})
 	}
@@ -146,7 +146,7 @@
 		next(t, events)
 	}
 	for seq := range int32(calls) {
-		f.Answer(router.Answer{Client: 1, Seq: seq, Body: make([]byte, size)})
+		f.Answer(router.Respond{Client: 1, Seq: seq, Body: make([]byte, size)})
 	}
 	if got := f.queued.Load(); got > limit+calls*100 {
 		t.Errorf("%d bytes queued, limit %d", got, limit)
@@ -183,7 +183,7 @@
 			break
 		}
 	}
-	if e := next(t, events); e != "Left" {
+	if e := next(t, events); e != "ClientDisconnected" {
 		t.Error(e)
 	}
 }
@@ -199,7 +199,7 @@
 	}
 	conn.Write(call[9:])
 	next(t, events)
-	f.Answer(router.Answer{Client: 1, Seq: 5})
+	f.Answer(router.Respond{Client: 1, Seq: 5})
 	for end := time.Now().Add(patience); !f.Flushed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("not flushed with all answered")
@@ -247,10 +247,10 @@
 			for range c.events {
 				next(t, events)
 			}
-			if e := next(t, events); e != "Left" {
+			if e := next(t, events); e != "ClientDisconnected" {
 				t.Errorf("%s where it should have left", e)
 			}
-			f.Answer(router.Answer{Client: 2, Seq: 5, Body: []byte("late")}) // nobody is there any more
+			f.Answer(router.Respond{Client: 2, Seq: 5, Body: []byte("late")}) // nobody is there any more
 			usual.Write(message(1, "health", 2, "\x00"))
 			if _, err := io.ReadFull(usual, make([]byte, 2*47)); err != nil {
 				t.Errorf("the usual client: %v", err)
@@ -273,7 +273,7 @@
 	if _, err := io.ReadFull(usual, make([]byte, 20)); err != nil {
 		t.Errorf("one who asks: %v", err)
 	}
-	f.Answer(router.Answer{Client: 1, Seq: 5, Body: []byte("whole")})
+	f.Answer(router.Respond{Client: 1, Seq: 5, Body: []byte("whole")})
 	if _, err := io.ReadFull(asking, make([]byte, 20)); err != nil {
 		t.Errorf("one who has asked: %v", err)
 	}
@@ -325,14 +325,14 @@
 		t.Errorf("%s, while both others ask", e)
 	case <-time.After(100 * time.Millisecond):
 	}
-	f.Answer(router.Answer{Client: 1, Seq: 5})
-	if e := next(t, events); e != "Left" && e != "Requested" {
+	f.Answer(router.Respond{Client: 1, Seq: 5})
+	if e := next(t, events); e != "ClientDisconnected" && e != "RequestReceived" {
 		t.Error(e)
 	}
-	if e := next(t, events); e != "Left" && e != "Requested" {
+	if e := next(t, events); e != "ClientDisconnected" && e != "RequestReceived" {
 		t.Error(e)
 	}
-	f.Answer(router.Answer{Client: 3, Seq: 5, Body: []byte("whole")})
+	f.Answer(router.Respond{Client: 3, Seq: 5, Body: []byte("whole")})
 	if _, err := io.ReadFull(third, make([]byte, 20)); err != nil {
 		t.Errorf("the third one, which has waited: %v", err)
 	}
--- a/front/local_linux_test.go
+++ b/front/local_linux_test.go
@@ -262,11 +262,11 @@
 				body := strings.Repeat("0123456789", 1000)
 				for seq := range int32(3) {
 					conn.Write(message(1, "call", uint32(seq), "\x00"))
-					q, ok := (<-events).(router.Requested)
+					q, ok := (<-events).(router.RequestReceived)
 					if !ok || q.Seq != seq {
 						t.Fatalf("%+v", q)
 					}
-					f.Answer(router.Answer{Client: q.Client, Seq: seq, Body: []byte(body)})
+					f.Answer(router.Respond{Client: q.Client, Seq: seq, Body: []byte(body)})
 					if got, err := answerOn(conn); err != nil || !strings.Contains(got, body) || strings.Count(got, "0123456789") != 1000 {
 						t.Fatalf("%d bytes, %v", len(got), err)
 					}
@@ -288,11 +288,11 @@
 	}, never)
 	conn := dial(t, f)
 	conn.Write(message(1, "call", 5, "\x00"))
-	q := (<-events).(router.Requested)
+	q := (<-events).(router.RequestReceived)
 	odd.Store(true)
 	conn.Write([]byte{0}) // wakes its reader
 	time.Sleep(50 * time.Millisecond)
-	f.Answer(router.Answer{Client: q.Client, Seq: 5, Body: []byte("whole")})
+	f.Answer(router.Respond{Client: q.Client, Seq: 5, Body: []byte("whole")})
 	if got, err := answerOn(conn); err != nil || !strings.Contains(got, "whole") {
 		t.Errorf("%q, %v", got, err)
 	}
--- a/lab/coldfleet.go
+++ b/lab/coldfleet.go
@@ -123,7 +123,7 @@
 	calls  *startup.CallSchedule
 	start  *startup.Progress
 	wait   int64 // the last, before
-	links  map[router.LinkID]int
+	links  map[router.ConnectionID]int
 	timer  int64
 	listed bool
 	began  int64
@@ -205,9 +205,9 @@
 
 func (p *coldPlay) begin(x *coldRouter) {
 	seed := p.Seed*1_000_003 + uint64(x.id) + uint64(x.life)<<40
-	limits := router.Limits{Links: 256, Hands: 1000, Bytes: 1 << 22}
+	limits := router.Limits{MaxConnections: 256, MaxInFlight: 1000, MaxBodyBytes: 1 << 22}
 	if !p.Before {
-		limits.Plan = connpool.New(connpool.Config{Router: fmt.Sprint("n", x.id), Seed: seed, Routers: p.Bound, MaxConnections: p.Holds,
+		limits.ConnectionPlan = connpool.New(connpool.Config{Router: fmt.Sprint("n", x.id), Seed: seed, Routers: p.Bound, MaxConnections: p.Holds,
 			MaxConnectRate: p.Opens})
 	}
 	var err error
@@ -219,7 +219,7 @@
 		holding = startup.ReadinessHold{CallRate: float64(p.Routers) / float64(p.Hold) * 1.25e9, MaxDuration: p.Hold}
 	}
 	x.calls, x.start = startup.NewCallSchedule(seed, p.Bound, holding), startup.NewProgress(p.now, startup.RateWindow, holding)
-	x.links, x.listed, x.wait, x.began, x.timer = map[router.LinkID]int{}, false, 0, p.now, 0
+	x.links, x.listed, x.wait, x.began, x.timer = map[router.ConnectionID]int{}, false, 0, p.now, 0
 	x.known, x.whole = 0, 0
 	if p.Listed {
 		p.listTo(x)
@@ -280,9 +280,9 @@
 }
 
 func (p *coldPlay) listTo(x *coldRouter) {
-	var lines []router.Listing
+	var lines []router.EndpointEntry
 	for i, c := range p.caches {
-		lines = append(lines, router.Listing{Instance: fmt.Sprintf("s-%03d", i), Address: strconv.Itoa(i),
+		lines = append(lines, router.EndpointEntry{Instance: fmt.Sprintf("s-%03d", i), Address: strconv.Itoa(i),
 			Endpoint: control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: fleetUnits, StartedAt: c.Started()}})
 	}
 	if x.start.ListReceived(); x.known == 0 {
@@ -290,7 +290,7 @@
 	}
 	x.listed = true
 	x.calls.ListReceived()
-	p.handle(x, router.Listed{Whole: true, Lines: lines})
+	p.handle(x, router.EndpointListUpdated{Complete: true, Entries: lines})
 }
 
 func (p *coldPlay) kill(x *coldRouter) {
@@ -298,7 +298,7 @@
 	for _, id := range sortedIDs(x.links) {
 		p.caches[x.links[id]].Disconnect()
 	}
-	x.links, x.listed = map[router.LinkID]int{}, false
+	x.links, x.listed = map[router.ConnectionID]int{}, false
 	for ask := range p.asked {
 		if ask.router == x.id {
 			delete(p.asked, ask) // its clients know: the connection was reset
@@ -306,8 +306,8 @@
 	}
 }
 
-func sortedIDs(m map[router.LinkID]int) []router.LinkID {
-	ids := make([]router.LinkID, 0, len(m))
+func sortedIDs(m map[router.ConnectionID]int) []router.ConnectionID {
+	ids := make([]router.ConnectionID, 0, len(m))
 	for id := range m {
 		ids = append(ids, id)
 	}
@@ -330,7 +330,7 @@
 	}
 	p.seq++
 	p.asked[coldAsk{x.id, p.seq}] = w
-	p.handle(x, router.Requested{Client: 1, Seq: p.seq, Fields: map[string]string{"verb": "stills", "txn": fmt.Sprintf("%016x", uint64(p.seq)),
+	p.handle(x, router.RequestReceived{Client: 1, Seq: p.seq, Fields: map[string]string{"verb": "stills", "txn": fmt.Sprintf("%016x", uint64(p.seq)),
 		"limit": "1000", "item": fmt.Sprintf("%016x", w.object), "nth": "0", "batch": "17"}})
 }
 
@@ -358,7 +358,7 @@
 					if phase, changed := x.start.Update(p.now); changed && phase == startup.Warm {
 						x.whole = float64(p.now-x.began) / 1e6
 					}
-					p.handle(x, router.Due{})
+					p.handle(x, router.TimerFired{})
 				}
 			})
 		case router.Dial:
@@ -366,26 +366,26 @@
 			p.res.Connects++
 			i, _ := strconv.Atoi(e.Address)
 			if p.silent[i] {
-				after(e.Within, func() { p.handle(x, router.Down{Link: e.Link}) })
+				after(e.Timeout, func() { p.handle(x, router.ConnectionDown{Connection: e.Connection}) })
 				continue
 			}
 			after(wireTime, func() {
 				if !p.caches[i].Connect(p.now) {
-					p.handle(x, router.Down{Link: e.Link})
+					p.handle(x, router.ConnectionDown{Connection: e.Connection})
 					return
 				}
-				x.links[e.Link] = i
+				x.links[e.Connection] = i
 				p.this().Open = max(p.this().Open, p.caches[i].Peak)
-				p.handle(x, router.Up{Link: e.Link})
+				p.handle(x, router.ConnectionUp{Connection: e.Connection})
 			})
 		case router.Send:
 			after(wireTime, func() { p.ask(x, e, after) })
 		case router.Close:
-			if i, up := x.links[e.Link]; up {
-				delete(x.links, e.Link)
+			if i, up := x.links[e.Connection]; up {
+				delete(x.links, e.Connection)
 				p.caches[i].Disconnect()
 			}
-		case router.Answer:
+		case router.Respond:
 			p.answered(x, e)
 		}
 	}
@@ -393,7 +393,7 @@
 
 // ask is a request that reaches a cache.
 func (p *coldPlay) ask(x *coldRouter, e router.Send, after func(int64, func())) {
-	i, up := x.links[e.Link]
+	i, up := x.links[e.Connection]
 	if !up {
 		return
 	}
@@ -408,7 +408,7 @@
 					life := other.life
 					p.at(p.now+wireTime, func() {
 						if other.life == life {
-							p.handle(other, router.Down{Link: id})
+							p.handle(other, router.ConnectionDown{Connection: id})
 						}
 					})
 				}
@@ -424,23 +424,23 @@
 		note = 2
 	}
 	after(wait+wireTime, func() {
-		if _, up := x.links[e.Link]; up {
-			p.handle(x, router.Answered{Link: e.Link, ID: e.Request.ID, Result: control.Succeeded, Note: note})
+		if _, up := x.links[e.Connection]; up {
+			p.handle(x, router.ResponseReceived{Connection: e.Connection, ID: e.Request.ID, Result: control.Succeeded, Note: note})
 		}
 	})
 }
 
-func (p *coldPlay) answered(x *coldRouter, e router.Answer) {
+func (p *coldPlay) answered(x *coldRouter, e router.Respond) {
 	w := p.asked[coldAsk{x.id, e.Seq}]
 	if w == nil {
 		return
 	}
 	delete(p.asked, coldAsk{x.id, e.Seq})
-	if e.Kind == router.Settled {
+	if e.Kind == router.Served {
 		p.res.Seconds[w.second].Settled++
 		return
 	}
-	later := e.Later
+	later := e.RetryAfter
 	if p.Faults == "retries" {
 		later = min(later, 5e7) // these do not heed advice
 	}
--- a/process/clock_test.go
+++ b/process/clock_test.go
@@ -26,12 +26,12 @@
 			t.Run(step.String()+", "+c.name, func(t *testing.T) {
 				clk := clocktest.Running(0)
 				s := &sharing{clock: clk, relist: make(chan struct{}, 1)}
-				line := router.Listing{Instance: "s-a", Endpoint: control.Endpoint{Phase: "ready"}}
+				line := router.EndpointEntry{Instance: "s-a", Endpoint: control.Endpoint{Phase: "ready"}}
 				if c.started != 0 {
 					line.StartedAt = clk.Now() + c.started
 				}
 				clk.Step(step)
-				s.list([]router.Listing{line}, control.Settings{"cold.span": span})
+				s.list([]router.EndpointEntry{line}, control.Settings{"cold.span": span})
 				warm := (*s.targets.Load())[0].WarmAt
 				if c.want == math.MinInt64 {
 					if warm != 0 {
--- a/process/keeping.go
+++ b/process/keeping.go
@@ -138,7 +138,7 @@
 		return
 	}
 	age := max(0, wall-kept.TakenAt)
-	p.router.Recall(now, kept.Memory.Shifted(now-age-kept.Memory.TakenAt), scope == restore.All)
+	p.router.Restore(now, kept.Memory.Shifted(now-age-kept.Memory.TakenAt), scope == restore.All)
 	line := fmt.Sprintf("snapshot of %d objects taken, %s", len(kept.Memory.Objects), scope)
 	if limit != nil {
 		line += ": " + limit.Error()
@@ -184,8 +184,8 @@
 }
 
 func (k *keeper) write(r *router.Router, now int64) {
-	s := snapshot.Snapshot{Header: k.header, Position: k.last.Position, Digest: k.last.Digest, Members: r.Listings(),
-		Memory: r.Remember(now, snapshot.ObjectsMost)}
+	s := snapshot.Snapshot{Header: k.header, Position: k.last.Position, Digest: k.last.Digest, Members: r.Endpoints(),
+		Memory: r.Snapshot(now, snapshot.ObjectsMost)}
 	s.TakenAt = k.clock.Wall() // the next process reads it, on an axis of its own
 	k.pending.Add(1)
 	k.since = time.Now()
--- a/process/process.go
+++ b/process/process.go
@@ -173,7 +173,7 @@
 			listener.Close()
 			return err
 		}
-		p.shared.list(p.router.Listings(), p.config.Settings)
+		p.shared.list(p.router.Endpoints(), p.config.Settings)
 		group.Go(func() error { return p.shared.run(ctx, leave) })
 	}
 	if p.file != nil && p.file.Socket != "" {
@@ -288,8 +288,8 @@
 		hands = 1 << 14
 	}
 	now := p.clock.Now()
-	p.router, err = router.New(now, p.config.Seed, p.config.Settings, router.Limits{Hands: int(hands), Bytes: p.bytes(bodyShare),
-		Links: int(linkShare * float64(p.sockets())), Plan: p.links()})
+	p.router, err = router.New(now, p.config.Seed, p.config.Settings, router.Limits{MaxInFlight: int(hands), MaxBodyBytes: p.bytes(bodyShare),
+		MaxConnections: int(linkShare * float64(p.sockets())), ConnectionPlan: p.links()})
 	if err != nil {
 		return past, fmt.Errorf("%w: settings: %w", ErrConfig, err)
 	}
@@ -300,7 +300,7 @@
 	}
 	p.recall(now, &past)
 	for _, e := range told {
-		if _, list := e.(router.Listed); list {
+		if _, list := e.(router.EndpointListUpdated); list {
 			p.start.ListReceived()
 		}
 		for _, effect := range p.router.Handle(now, e) {
@@ -359,10 +359,10 @@
 			p.enter(Draining)
 			p.keeper.keepLast(p.router, now, time.Duration(leaving.DiskDeadline()-now))
 			p.front.SetReady(false)
-			p.handle(now, router.Leaving{By: leaving.AnswerDeadline()}, timer)
+			p.handle(now, router.ShutdownStarted{AnswerDeadline: leaving.AnswerDeadline()}, timer)
 		case a := <-p.inbox:
 			switch e := a.event.(type) {
-			case router.Down:
+			case router.ConnectionDown:
 				a.event = p.pool.Ended(e)
 			case feed.Heard:
 				p.start.ServiceReached(a.at)
@@ -371,18 +371,18 @@
 			case feed.Told:
 				p.keeper.told(e)
 				continue
-			case router.Listed:
+			case router.EndpointListUpdated:
 				p.start.ListReceived()
 				p.step()
 			}
 			p.handle(a.at, a.event, timer)
-			if _, list := a.event.(router.Listed); list {
+			if _, list := a.event.(router.EndpointListUpdated); list {
 				if p.shared != nil {
-					p.shared.list(p.router.Listings(), p.config.Settings)
+					p.shared.list(p.router.Endpoints(), p.config.Settings)
 				}
 			}
 		case <-timer.C:
-			p.handle(p.clock.Now(), router.Due{}, timer)
+			p.handle(p.clock.Now(), router.TimerFired{}, timer)
 			p.step()
 		case <-p.keeper.due():
 			p.keeper.keep(p.router, p.clock.Now())
@@ -391,7 +391,7 @@
 		if leaving == nil {
 			continue
 		}
-		s := shutdown.State{InFlight: p.router.Hands(), QueuedEvents: len(p.inbox), OpenConnections: p.front.Open()}
+		s := shutdown.State{InFlight: p.router.InFlight(), QueuedEvents: len(p.inbox), OpenConnections: p.front.Open()}
 		s.Flushed = s.InFlight == 0 && s.QueuedEvents == 0 && p.front.Flushed()
 		switch leaving.Next(p.clock.Now(), s) {
 		case shutdown.CloseIdle:
@@ -429,13 +429,13 @@
 func (p *Process) handle(at int64, e router.Event, timer *time.Timer) {
 	for _, effect := range p.router.Handle(at, e) {
 		switch effect := effect.(type) {
-		case router.Answer:
+		case router.Respond:
 			p.front.Answer(effect)
 		case router.Send:
 			p.pool.Send(effect)
-		case router.Withdraw:
+		case router.WithdrawAttempt:
 			p.pool.Withdraw(effect)
-		case router.GiveUp:
+		case router.CancelAttempt:
 			p.pool.GiveUp(effect)
 		case router.Dial:
 			p.pool.Dial(effect)
--- a/process/sharing.go
+++ b/process/sharing.go
@@ -142,7 +142,7 @@
 }
 
 // list hands the list of members on; it does not wait.
-func (s *sharing) list(lines []router.Listing, set control.Settings) {
+func (s *sharing) list(lines []router.EndpointEntry, set control.Settings) {
 	var out []probe.Target
 	cache, parent := coldOf(set)
 	kinds := setting(set, "kinds", []string(nil))
@@ -255,7 +255,7 @@
 		case fleet.SendProbe:
 			s.ask(ctx, effect.Probe)
 		case fleet.TargetProbed:
-			s.tell(router.Probed{Instance: effect.Target, Good: effect.Healthy, Load: effect.Load})
+			s.tell(router.ProbeEnded{Instance: effect.Target, Healthy: effect.Healthy, LoadReport: effect.Load})
 		case fleet.Log:
 			s.note(effect)
 		case fleet.SetTimer:
--- a/router/arrival_test.go
+++ b/router/arrival_test.go
@@ -22,10 +22,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := endings(t)
-			e := Requested{Client: 1, Seq: 1, Arrived: p.now - c.waited*millisecond, Fields: map[string]string{"verb": "stills",
+			e := RequestReceived{Client: 1, Seq: 1, ArrivedAt: p.now - c.waited*millisecond, Fields: map[string]string{"verb": "stills",
 				"txn": fmt.Sprintf("%016x", 1), "limit": "2500", "item": object, "nth": "0", "batch": "17"}}
 			if c.waited == -1 {
-				e.Arrived = 0
+				e.ArrivedAt = 0
 			}
 			p.take(e)
 			if c.want == 0 {
@@ -35,7 +35,7 @@
 				return
 			}
 			p.up()
-			if got := (p.sends[0].Request.Until - p.now) / millisecond; got != c.want {
+			if got := (p.sends[0].Request.Deadline - p.now) / millisecond; got != c.want {
 				t.Errorf("%d ms are left, want %d", got, c.want)
 			}
 		})
--- a/router/clock_test.go
+++ b/router/clock_test.go
@@ -30,20 +30,20 @@
 				s["product.effect"] = []string{"harmless", "one-shot"}
 				s["product.scope"] = []string{"all", "all"}
 			})
-			p.take(Purged{Object: object, When: p.now - ahead - 50*millisecond})
+			p.take(PurgeReceived{Object: object, PurgedAt: p.now - ahead - 50*millisecond})
 			p.pass(second)
 			p.seen = nil
 			p.ask(1, c.fields)
 			p.up()
-			if age := p.sends[0].Request.Dispatch.MaxAge; age <= 3*second/2 {
+			if age := p.sends[0].Request.Attempt.MaxAge; age <= 3*second/2 {
 				t.Fatalf("age %v: the case is another", age)
 			}
-			p.answer(Answered{Result: control.Succeeded, Issued: p.now - ahead - 3*second/2, Body: []byte(":old")})
+			p.answer(ResponseReceived{Result: control.Succeeded, IssuedAt: p.now - ahead - 3*second/2, Body: []byte(":old")})
 			if c.attempts > 1 {
-				if age := p.sends[1].Request.Dispatch.MaxAge; age > second || p.sends[1].Link != p.sends[0].Link {
-					t.Errorf("asked again with age %v on link %d", age, p.sends[1].Link)
+				if age := p.sends[1].Request.Attempt.MaxAge; age > second || p.sends[1].Connection != p.sends[0].Connection {
+					t.Errorf("asked again with age %v on link %d", age, p.sends[1].Connection)
 				}
-				p.answer(Answered{Result: control.Succeeded, Issued: p.now - ahead - second/2, Body: []byte(":new")})
+				p.answer(ResponseReceived{Result: control.Succeeded, IssuedAt: p.now - ahead - second/2, Body: []byte(":new")})
 			}
 			if got := strings.ReplaceAll(strings.Join(p.seen[1:], ", "), "000000000000000", ""); got != c.want {
 				t.Errorf("%s\nwant %s", got, c.want)
@@ -51,10 +51,10 @@
 			if len(p.lines) != 1 || !strings.Contains(p.lines[0], "ahead of others") {
 				t.Errorf("log: %v", p.lines)
 			}
-			p.take(Purged{Object: object, When: p.now - ahead})
+			p.take(PurgeReceived{Object: object, PurgedAt: p.now - ahead})
 			p.pass(second / 10)
 			p.ask(2, nil)
-			if age := p.sends[len(p.sends)-1].Request.Dispatch.MaxAge; age > second/10 {
+			if age := p.sends[len(p.sends)-1].Request.Attempt.MaxAge; age > second/10 {
 				t.Errorf("after the next purge: age %v", age)
 			}
 		})
@@ -67,15 +67,15 @@
 	p.ask(1, nil)
 	p.up()
 	address := p.Router.links[p.links[0]].address
-	line := fleet[slices.IndexFunc(fleet, func(l Listing) bool { return l.Address == address })]
+	line := fleet[slices.IndexFunc(fleet, func(l EndpointEntry) bool { return l.Address == address })]
 	told := func(started int64) {
 		line.StartedAt = started
-		p.take(Listed{Lines: []Listing{line}})
+		p.take(EndpointListUpdated{Entries: []EndpointEntry{line}})
 	}
 	told(start)
 	p.ask(2, nil)
 	for _, link := range p.links[1:] {
-		p.take(Up{Link: link})
+		p.take(ConnectionUp{Connection: link})
 	}
 	p.seen = nil
 	told(start - 600*second)
--- a/router/endings_test.go
+++ b/router/endings_test.go
@@ -26,9 +26,9 @@
 var once = map[string]string{"verb": "permits"}
 
 func TestEndings(t *testing.T) {
-	good := Answered{Result: control.Succeeded, Body: []byte(":bytes")}
-	bare := Answered{Result: control.ServerError, Bare: true, Body: []byte(":done")}
-	gone := HalfClosed{Client: 1}
+	good := ResponseReceived{Result: control.Succeeded, Body: []byte(":bytes")}
+	bare := ResponseReceived{Result: control.ServerError, Unversioned: true, Body: []byte(":done")}
+	gone := ClientHalfClosed{Client: 1}
 	for _, c := range []struct {
 		name string
 		do   func(*play)
@@ -48,7 +48,7 @@
 			p.ask(1, nil)
 			p.up()
 			p.take(gone)
-			p.answer(Answered{Result: control.Overloaded})
+			p.answer(ResponseReceived{Result: control.Overloaded})
 			p.pass(2 * second)
 		}, "dial, send 1, dismissed 1"},
 		{"closed while in flight, and nothing comes: no second one beside it", func(p *play) {
@@ -61,13 +61,13 @@
 			p.ask(1, once)
 			p.up()
 			p.take(gone)
-			p.take(Down{Link: p.links[0]})
+			p.take(ConnectionDown{Connection: p.links[0]})
 		}, "dial, send 1, aborted 1"},
 		{"closed while held", func(p *play) {
 			phase := func(phase string) {
 				for _, line := range fleet[:2] {
 					line.Phase = phase
-					p.take(Listed{Lines: []Listing{line}})
+					p.take(EndpointListUpdated{Entries: []EndpointEntry{line}})
 				}
 			}
 			phase("draining")
@@ -91,10 +91,10 @@
 		// A router that ends cuts the time of what it has.
 		{"leaving while its link comes up: its time is cut all the same", func(p *play) {
 			p.ask(1, nil)
-			p.take(Leaving{By: p.now + 300*millisecond})
+			p.take(ShutdownStarted{AnswerDeadline: p.now + 300*millisecond})
 			p.pass(100 * millisecond)
 			p.up()
-			if budget := p.sends[0].Request.Until - p.now; budget != 200*millisecond {
+			if budget := p.sends[0].Request.Deadline - p.now; budget != 200*millisecond {
 				p.t.Errorf("the cache is told to answer within %d ms", budget/millisecond)
 			}
 			p.pass(201 * millisecond)
@@ -137,7 +137,7 @@
 			p.ask(1, once)
 			p.up()
 			first := p.sends[0]
-			missing := Answered{Link: first.Link, ID: first.Request.ID, Result: control.NotHeld}
+			missing := ResponseReceived{Connection: first.Connection, ID: first.Request.ID, Result: control.NotHeld}
 			p.take(missing)
 			p.up()
 			p.take(missing)
@@ -149,7 +149,7 @@
 			"dial, send 1, settled 1:done"},
 		{"an answer that names no copy, of what is kept", func(p *play) { p.ask(1, nil); p.up(); p.answer(bare) },
 			"dial, send 1, send 1"},
-		{"another fault of what is never kept", func(p *play) { p.ask(1, once); p.up(); p.answer(Answered{Result: control.ServerError}) },
+		{"another fault of what is never kept", func(p *play) { p.ask(1, once); p.up(); p.answer(ResponseReceived{Result: control.ServerError}) },
 			"dial, send 1, aborted 1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -191,7 +191,7 @@
 	for i := 0; i < len(change); i += 2 {
 		fields[change[i]] = change[i+1]
 	}
-	p.take(Requested{Client: 2, Seq: seq, Fields: fields})
+	p.take(RequestReceived{Client: 2, Seq: seq, Fields: fields})
 }
 
 // The idempotency key goes on with every attempt: without it a request was not as its client had sent it.
@@ -199,7 +199,7 @@
 	p := endings(t)
 	p.ask(1, map[string]string{"unique": "6ad8595c69c03e9f5892348d52ee1791"})
 	p.up()
-	if got := p.sends[0].Request.Key; got != "6ad8595c69c03e9f5892348d52ee1791" {
+	if got := p.sends[0].Request.IdempotencyKey; got != "6ad8595c69c03e9f5892348d52ee1791" {
 		t.Errorf("key %q", got)
 	}
 	p.ask(2, map[string]string{"unique": "a,miss=o-a"})
@@ -211,10 +211,10 @@
 // Of more caches than the router may have links, those that have one serve what belongs to the others.
 func TestMoreCachesThanLinks(t *testing.T) {
 	const caches, most, requests = 60, 8, 100
-	p := newPlay(t, func(l *Limits, _ control.Settings) { l.Links = most })
-	list := Listed{Whole: true, Lines: slices.Clone(fleet[2:])}
+	p := newPlay(t, func(l *Limits, _ control.Settings) { l.MaxConnections = most })
+	list := EndpointListUpdated{Complete: true, Entries: slices.Clone(fleet[2:])}
 	for n := range caches {
-		list.Lines = append(list.Lines, Listing{fmt.Sprintf("s-%02d", n), fmt.Sprintf("10.0.1.%d:1", n),
+		list.Entries = append(list.Entries, EndpointEntry{fmt.Sprintf("s-%02d", n), fmt.Sprintf("10.0.1.%d:1", n),
 			control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}})
 	}
 	p.take(list)
@@ -227,7 +227,7 @@
 			p.up()
 		}
 		if len(p.sends) > sent {
-			p.answer(Answered{Result: control.Succeeded, Body: []byte("a")})
+			p.answer(ResponseReceived{Result: control.Succeeded, Body: []byte("a")})
 		}
 		if slices.Contains(p.seen, fmt.Sprintf("settled %da", seq)) {
 			settled++
--- a/router/events.go
+++ b/router/events.go
@@ -2,181 +2,182 @@
 
 import "tealpath/control"
 
-// ClientID names a client's connection, LinkID a connection to a cache, a parent or the origin. Both are never
+// ClientID identifies a client's connection, ConnectionID one to a cache, a parent or the origin. Neither is ever
 // used again.
 type (
-	ClientID uint64
-	LinkID   uint64
+	ClientID     uint64
+	ConnectionID uint64
 )
 
 // Event is something that came in from outside. Stamps of other machines are Unix ns by their clocks; all other times are ns on
 // the axis of Handle.
 type Event any
 
-// Requested is a client's request that has come whole.
-type Requested struct {
-	Client  ClientID
-	Seq     int32
-	Arrived int64 // the earliest that its first byte can have come; 0: with the event
-	Fields  map[string]string
-	Body    []byte
+// RequestReceived is a client's request that has been read whole.
+type RequestReceived struct {
+	Client    ClientID
+	Seq       int32
+	ArrivedAt int64 // the earliest that its first byte can have come; 0: with the event
+	Fields    map[string]string
+	Body      []byte
 }
 
-// Cancelled tells that a client has stopped waiting for one request.
-type Cancelled struct {
+// RequestCancelled tells that a client has stopped waiting for one request.
+type RequestCancelled struct {
 	Client ClientID
 	Seq    int32
 }
 
-// Left tells that a client's connection has ended.
-type Left struct{ Client ClientID }
+// ClientDisconnected tells that a client's connection has ended.
+type ClientDisconnected struct{ Client ClientID }
 
-// HalfClosed tells that a client has closed its side of a connection. It may still read: what is in flight for it is answered,
+// ClientHalfClosed tells that a client has closed its side of a connection. It may still read: what is in flight for it is answered,
 // but nothing more is sent for it.
-type HalfClosed struct{ Client ClientID }
+type ClientHalfClosed struct{ Client ClientID }
 
-// Up tells that a link that was dialled stands.
-type Up struct{ Link LinkID }
+// ConnectionUp tells that a connection that was dialled is established.
+type ConnectionUp struct{ Connection ConnectionID }
 
-// Cause says whose fault the end of a link is.
+// Cause says on whose side the reason for the end of a connection lies.
 type Cause int
 
-// The causes. Local is an error of this machine's own, as a want of descriptors: it says nothing of the member.
+// The causes. Local is an error of this machine's own, such as a lack of file descriptors: it says nothing about the endpoint.
 const (
 	Remote Cause = iota
 	Local
 )
 
-// Down tells that a link has ended or never came up. Unsent are the requests that were not wholly written; Why is an error in
-// words, where there was one.
-type Down struct {
-	Link   LinkID
-	Unsent []string
-	Cause  Cause
-	Why    string
+// ConnectionDown tells that a connection has ended or was never established. Unsent are the IDs of the requests that were not
+// wholly written; Reason is the text of the error, where there was one.
+type ConnectionDown struct {
+	Connection ConnectionID
+	Unsent     []string
+	Cause      Cause
+	Reason     string
 }
 
-// Withdrawn tells that nothing of a request was written to its link, and nothing will be: it was withdrawn, or the time in
-// which it could be written has passed.
-type Withdrawn struct {
-	Link LinkID
-	ID   string
+// AttemptWithdrawn tells that nothing of a request was written to its connection, and nothing will be: it was withdrawn, or its
+// send deadline has passed.
+type AttemptWithdrawn struct {
+	Connection ConnectionID
+	ID         string
 }
 
-// Answered is an answer from a cache, a parent or the origin.
-type Answered struct {
-	Link   LinkID
-	ID     string
-	Result control.Result
-	Same   bool  // the client's copy is the one
-	Bare   bool  // Faulty for nothing but this: it does not say which copy it is, and from when
-	Issued int64 // when the origin gave out the copy, Unix ns by its clock; 0: it is no copy
-	Body   []byte
-	Note   int64
-	Waited int64
-	Load   []float64
+// ResponseReceived is a response of a cache, a parent or the origin to one attempt.
+type ResponseReceived struct {
+	Connection      ConnectionID
+	ID              string
+	Result          control.Result
+	NotModified     bool  // the copy that the client has is still good
+	Unversioned     bool  // Result is ServerError for this alone: the response does not say which version it is, and from when
+	IssuedAt        int64 // when the origin gave out the copy, Unix ns by its clock; 0: it is no cacheable copy
+	Body            []byte
+	Note            int64
+	TimeToFirstByte int64
+	LoadReport      []float64
 }
 
-// Listing is one line of the list of members.
-type Listing struct {
+// EndpointEntry is one entry of the endpoint list.
+type EndpointEntry struct {
 	Instance string
 	Address  string
 	control.Endpoint
 }
 
-// Listed is the list of members, or changes to it.
-type Listed struct {
-	Whole bool
-	Lines []Listing
+// EndpointListUpdated is the complete endpoint list, or changes to it.
+type EndpointListUpdated struct {
+	Complete bool
+	Entries  []EndpointEntry
 }
 
-// Purged tells of a purge of one object or, with no object, of a group.
-type Purged struct {
-	Object string
-	Group  int64
-	When   int64 // its stamp by the journal service
+// PurgeReceived tells of a purge of one object or, with no object, of a group.
+type PurgeReceived struct {
+	Object   string
+	Group    int64
+	PurgedAt int64 // its stamp by the journal service
 }
 
-// Probed tells what a probe of a member found, by this instance or by another that shares the duty.
-type Probed struct {
-	Instance string
-	Good     bool
-	Load     []float64
+// ProbeEnded tells what a probe of an endpoint found, by this instance or by another that shares the lease.
+type ProbeEnded struct {
+	Instance   string
+	Healthy    bool
+	LoadReport []float64
 }
 
-// Due tells that the time that SetTimer named has come.
-type Due struct{}
+// TimerFired tells that the time that SetTimer named has come.
+type TimerFired struct{}
 
-// Leaving tells that this router is to end: all must be answered by then.
-type Leaving struct{ By int64 }
+// ShutdownStarted tells that this router is to end, and by when every request has to be answered.
+type ShutdownStarted struct{ AnswerDeadline int64 }
 
 // Effect is what the reducer wants done outside.
 type Effect any
 
-// Kind says what an answer to a client is.
-type Kind int
+// ResponseKind says how a client's request ended.
+type ResponseKind int
 
-// The kinds of answers.
+// The kinds of responses.
 const (
-	Settled Kind = iota
-	Dismissed
-	Aborted
-	Unusable // the request cannot be understood; Why says what is wrong
+	Served ResponseKind = iota
+	Rejected
+	Failed
+	BadRequest // the request cannot be understood; Reason says what is wrong
 )
 
-// Answer is the final answer to a client's request.
-type Answer struct {
-	Client ClientID
-	Seq    int32
-	Kind   Kind
-	Body   []byte
-	Same   bool  // the client's copy holds
-	Later  int64 // how long the client should stay away
-	Why    string
+// Respond wants the one final response to a client's request given.
+type Respond struct {
+	Client      ClientID
+	Seq         int32
+	Kind        ResponseKind
+	Body        []byte
+	NotModified bool  // the copy that the client has is still good
+	RetryAfter  int64 // after which the client may ask again, ns
+	Reason      string
 }
 
-// Dial wants a link to a member.
+// Dial wants a connection to an endpoint opened.
 type Dial struct {
-	Link    LinkID
-	Address string
-	Within  int64
+	Connection ConnectionID
+	Address    string
+	Timeout    int64
 }
 
-// Send wants a request written to a link, unless that can't begin before a time.
+// Send wants a request written to a connection, unless that can't begin before SendDeadline.
 type Send struct {
-	Link    LinkID
-	Request Request
-	Before  int64
+	Connection   ConnectionID
+	Request      UpstreamRequest
+	SendDeadline int64
 }
 
-// Request is what a cache, a parent or the origin is asked. The strings and the body are the client's own.
-type Request struct {
-	ID, Product, Object, Part string
-	Body                      []byte
-	Mine                      string // the tag of the client's copy
-	Key                       string // the client's idempotency key, by which repeats are dropped
-	Until                     int64  // when its answer must have come; what is left of that is told as it is written
-	Source                    string // instance from which a miss is filled; empty is no fill
-	Dispatch                  control.Attempt
+// UpstreamRequest is what a cache, a parent or the origin is asked. The strings and the body are the client's own.
+type UpstreamRequest struct {
+	ID, Class, Object, Part string
+	Body                    []byte
+	ClientETag              string // entity tag of the copy that the client has; empty is none
+	IdempotencyKey          string // of the client, by which the server drops repetitions
+	Deadline                int64  // of its response; what is left until then is told as it is written
+	Source                  string // instance from which a miss is filled; empty is no fill
+	Attempt                 control.Attempt
 }
 
-// GiveUp wants a request on a link given up; if it is not yet written it is not to be.
-type GiveUp struct {
-	Link LinkID
-	ID   string
+// CancelAttempt wants a request on a connection cancelled; if it is not yet written it is not to be.
+type CancelAttempt struct {
+	Connection ConnectionID
+	ID         string
 }
 
-// Withdraw wants a request on a link taken back, if nothing of it is written yet; Withdrawn tells so. Otherwise it stays.
-type Withdraw struct {
-	Link LinkID
-	ID   string
+// WithdrawAttempt wants a request on a connection withdrawn, if nothing of it is written yet: AttemptWithdrawn then follows.
+// Otherwise it stays.
+type WithdrawAttempt struct {
+	Connection ConnectionID
+	ID         string
 }
 
-// Close wants a link closed. No event follows.
-type Close struct{ Link LinkID }
+// Close wants a connection closed. No event follows.
+type Close struct{ Connection ConnectionID }
 
-// SetTimer wants Due at a time; it takes the place of the one before.
+// SetTimer wants TimerFired at a time; it replaces the one before.
 type SetTimer struct{ At int64 }
 
-// Log wants a line logged; Instance is the member that it is about, if there is one.
+// Log wants a line logged; Instance is the endpoint that it is about, if there is one.
 type Log struct{ Line, Instance string }
--- a/router/links.go
+++ b/router/links.go
@@ -19,14 +19,14 @@
 
 // member is one instance of the list.
 type member struct {
-	Listing
+	EndpointEntry
 	links   []*link
 	planned bool // the plan of links counts it among the caches
 }
 
 // link is one connection to a member.
 type link struct {
-	id      LinkID
+	id      ConnectionID
 	member  *member
 	address string
 	up      bool
@@ -46,12 +46,12 @@
 	if within <= 0 || within > h.Deadline-r.now {
 		within = h.Deadline - r.now
 	}
-	d.request = Request{ID: h.fields["txn"], Product: h.fields["verb"], Object: h.fields["item"],
-		Part: h.fields["nth"], Body: h.body, Until: r.now + within, Dispatch: plan}
+	d.request = UpstreamRequest{ID: h.fields["txn"], Class: h.fields["verb"], Object: h.fields["item"],
+		Part: h.fields["nth"], Body: h.body, Deadline: r.now + within, Attempt: plan}
 	if tag := h.fields["got"]; isHex(tag) {
-		d.request.Mine = tag
+		d.request.ClientETag = tag
 	}
-	d.request.Key = h.fields["unique"]
+	d.request.IdempotencyKey = h.fields["unique"]
 	if !plan.CacheOnly {
 		if d.source = r.byID[plan.Source]; d.source != nil {
 			d.request.Source = d.source.Instance
@@ -90,19 +90,19 @@
 		switch {
 		case int64(len(l.open)) >= r.streams:
 			full++
-		case l.doubted || past || l.open[id] != nil || !r.limits.Plan.CanSend(r.now, m.Instance):
+		case l.doubted || past || l.open[id] != nil || !r.limits.ConnectionPlan.CanSend(r.now, m.Instance):
 		case r.quiet(l):
 			quiet = l
 		case best == nil || l.up && !best.up || l.up == best.up && len(l.open) < len(best.open):
 			best = l
 		}
 	}
-	switch spent := len(m.links)-full >= linksMost || len(r.links) >= r.limits.Links; {
+	switch spent := len(m.links)-full >= linksMost || len(r.links) >= r.limits.MaxConnections; {
 	case best != nil && (spent || len(best.open) < shareFrom):
 		return best
 	case spent:
 		return quiet
-	case r.shortage.Active(r.now), !r.limits.Plan.CanConnect(r.now, m.Instance, len(m.links)):
+	case r.shortage.Active(r.now), !r.limits.ConnectionPlan.CanConnect(r.now, m.Instance, len(m.links)):
 		return cmp.Or(best, quiet)
 	}
 	l := r.dial(m)
@@ -119,8 +119,8 @@
 		heard: r.now, used: r.now}
 	m.links = append(m.links, l)
 	r.links[l.id] = l
-	r.limits.Plan.Dialled(r.now, m.Instance)
-	r.do(Dial{Link: l.id, Address: l.address, Within: r.dialWithin})
+	r.limits.ConnectionPlan.Dialled(r.now, m.Instance)
+	r.do(Dial{Connection: l.id, Address: l.address, Timeout: r.dialWithin})
 	return l
 }
 
@@ -132,11 +132,11 @@
 	if m == nil || !r.isCache(m) {
 		return true
 	}
-	mayDial := !r.shortage.Active(r.now) && len(r.links) < r.limits.Links
-	if mayDial && r.limits.Plan.CanConnect(r.now, m.Instance, len(m.links)) {
+	mayDial := !r.shortage.Active(r.now) && len(r.links) < r.limits.MaxConnections
+	if mayDial && r.limits.ConnectionPlan.CanConnect(r.now, m.Instance, len(m.links)) {
 		return true
 	}
-	return r.limits.Plan.CanSend(r.now, m.Instance) && slices.ContainsFunc(m.links, func(l *link) bool { return !l.doubted })
+	return r.limits.ConnectionPlan.CanSend(r.now, m.Instance) && slices.ContainsFunc(m.links, func(l *link) bool { return !l.doubted })
 }
 
 // isCache tells whether a member is a cache of this router's location.
@@ -149,8 +149,8 @@
 	if r.shortage.Active(r.now) {
 		return
 	}
-	for _, name := range r.limits.Plan.Preconnect(r.now) {
-		if m := r.members[name]; m != nil && len(m.links) == 0 && len(r.links) < r.limits.Links {
+	for _, name := range r.limits.ConnectionPlan.Preconnect(r.now) {
+		if m := r.members[name]; m != nil && len(m.links) == 0 && len(r.links) < r.limits.MaxConnections {
 			r.dial(m)
 		}
 	}
@@ -170,8 +170,8 @@
 }
 
 // up sends what has waited for a link.
-func (r *Router) up(e Up) {
-	l := r.links[e.Link]
+func (r *Router) up(e ConnectionUp) {
+	l := r.links[e.Connection]
 	if l == nil {
 		return
 	}
@@ -184,7 +184,7 @@
 	}
 	r.dialPassed()
 	l.up, l.heard = true, r.now
-	r.limits.Plan.Established(l.member.Instance)
+	r.limits.ConnectionPlan.Established(l.member.Instance)
 	for _, d := range r.inOpen(l) {
 		r.write(d)
 	}
@@ -194,7 +194,7 @@
 // write sends a dispatch on a link that is up.
 func (r *Router) write(d *dispatch) {
 	r.arm(d)
-	r.do(Send{Link: d.link.id, Request: d.request, Before: d.reach})
+	r.do(Send{Connection: d.link.id, Request: d.request, SendDeadline: d.reach})
 }
 
 // arm sets a dispatch's timer: to the end of the time in which it may be written, then to its time-out.
@@ -210,7 +210,7 @@
 // takeBack ends a dispatch that is not written yet. On a link that is up only the link's writer can tell: Withdrawn follows.
 func (r *Router) takeBack(d *dispatch) {
 	if d.link.up {
-		r.do(Withdraw{Link: d.link.id, ID: d.request.ID})
+		r.do(WithdrawAttempt{Connection: d.link.id, ID: d.request.ID})
 		return
 	}
 	r.giveUp(d)
@@ -218,8 +218,8 @@
 }
 
 // withdrawn ends a dispatch that waited on a link that is up, and was not written.
-func (r *Router) withdrawn(e Withdrawn) {
-	l := r.links[e.Link]
+func (r *Router) withdrawn(e AttemptWithdrawn) {
+	l := r.links[e.Connection]
 	if l == nil || l.open[e.ID] == nil {
 		return // it was given up meanwhile
 	}
@@ -238,21 +238,21 @@
 }
 
 // down ends what was open on a link that has ended or never came up.
-func (r *Router) down(e Down) {
-	l := r.links[e.Link]
+func (r *Router) down(e ConnectionDown) {
+	l := r.links[e.Connection]
 	switch {
 	case l == nil:
 		return
 	case l.up:
-		r.limits.Plan.Disconnected(r.now, l.member.Instance)
+		r.limits.ConnectionPlan.Disconnected(r.now, l.member.Instance)
 	case e.Cause == Local:
-		r.limits.Plan.LocalError(l.member.Instance)
+		r.limits.ConnectionPlan.LocalError(l.member.Instance)
 		if r.shortage.DialFailed(r.now) {
-			r.log("no connections can be opened, for a reason of this machine's own: " + e.Why)
+			r.log("no connections can be opened, for a reason of this machine's own: " + e.Reason)
 		}
 	default:
 		r.dialPassed()
-		r.limits.Plan.ConnectFailed(r.now, l.member.Instance)
+		r.limits.ConnectionPlan.ConnectFailed(r.now, l.member.Instance)
 	}
 	r.lose(l, e.Unsent, e.Cause)
 }
@@ -296,7 +296,7 @@
 	if l.closed {
 		return
 	}
-	r.do(Close{Link: l.id})
+	r.do(Close{Connection: l.id})
 	r.lose(l, nil, Remote)
 }
 
@@ -313,9 +313,9 @@
 	}
 	l.past[d.request.ID] = r.now
 	if r.mayCancel {
-		r.do(GiveUp{Link: l.id, ID: d.request.ID})
+		r.do(CancelAttempt{Connection: l.id, ID: d.request.ID})
 	} else {
-		r.do(Withdraw{Link: l.id, ID: d.request.ID}) // what is not written yet needs no word to the other side
+		r.do(WithdrawAttempt{Connection: l.id, ID: d.request.ID}) // what is not written yet needs no word to the other side
 	}
 	r.doubt(d)
 	r.tidy(l)
@@ -338,7 +338,7 @@
 // sweep closes what has not been used for a while, before the other side does, which could cross with a
 // request; and forgets ids to which no answer will come any more.
 func (r *Router) sweep() {
-	var unused []LinkID
+	var unused []ConnectionID
 	for id, l := range r.links {
 		if len(l.past) > 0 {
 			maps.DeleteFunc(l.past, func(_ string, at int64) bool { return r.now-at > 2*r.longest })
@@ -358,12 +358,12 @@
 // isUnused tells whether a link is to be closed for want of use.
 func (r *Router) isUnused(l *link) bool {
 	return l.up && len(l.open) == 0 && (r.now-l.used > r.idleAfter/2 ||
-		r.limits.Plan.ShouldClose(r.now, l.member.Instance, len(l.member.links), l.used))
+		r.limits.ConnectionPlan.ShouldClose(r.now, l.member.Instance, len(l.member.links), l.used))
 }
 
 // purged tells the module of a purge; what was planned before it and not yet written is planned anew.
-func (r *Router) purged(e Purged) {
-	r.decide.Purge(r.now, e.Object, e.Group, e.When)
+func (r *Router) purged(e PurgeReceived) {
+	r.decide.Purge(r.now, e.Object, e.Group, e.PurgedAt)
 	r.withdraw(func(d *dispatch) bool {
 		return d.hand.Object == e.Object || e.Object == "" && d.hand.Group == e.Group
 	})
--- a/router/local_test.go
+++ b/router/local_test.go
@@ -10,8 +10,10 @@
 
 // Errors of this machine's own: nothing was sent, nothing is held against a member, and it is tried again in time.
 func TestLocalErrors(t *testing.T) {
-	good := Answered{Result: control.Succeeded, Body: []byte(":bytes")}
-	fails := func(p *play) { p.take(Down{Link: p.links[len(p.links)-1], Cause: Local, Why: "no descriptors"}) }
+	good := ResponseReceived{Result: control.Succeeded, Body: []byte(":bytes")}
+	fails := func(p *play) {
+		p.take(ConnectionDown{Connection: p.links[len(p.links)-1], Cause: Local, Reason: "no descriptors"})
+	}
 	for _, c := range []struct {
 		name string
 		do   func(*play)
@@ -58,7 +60,7 @@
 		{"and what was not may go again", func(p *play) {
 			p.ask(1, once)
 			p.up()
-			p.take(Down{Link: p.links[0], Cause: Local, Unsent: []string{fmt.Sprintf("%016x", 1)}})
+			p.take(ConnectionDown{Connection: p.links[0], Cause: Local, Unsent: []string{fmt.Sprintf("%016x", 1)}})
 			p.up()
 		}, "dial, send 1, dial, send 1"},
 	} {
@@ -85,7 +87,7 @@
 	for seq := int32(1); seq <= 200; seq++ {
 		p.ask(seq, map[string]string{"item": fmt.Sprintf("%016x", uint64(seq)*0x9e3779b97f4a7c15), "limit": "800"})
 		for _, id := range sortedKeys(p.Router.links) {
-			p.take(Down{Link: id, Cause: Local, Why: "no descriptors"})
+			p.take(ConnectionDown{Connection: id, Cause: Local, Reason: "no descriptors"})
 		}
 		p.pass(10 * millisecond)
 	}
@@ -93,11 +95,11 @@
 		t.Errorf("%d dials in two seconds", n)
 	}
 	for _, id := range sortedKeys(p.Router.links) {
-		p.take(Up{Link: id})
+		p.take(ConnectionUp{Connection: id})
 	}
 	p.pass(second)
-	if p.Hands() != 0 {
-		t.Errorf("%d are not answered", p.Hands())
+	if p.InFlight() != 0 {
+		t.Errorf("%d are not answered", p.InFlight())
 	}
 	p.ask(500, nil)
 	p.up()
@@ -117,15 +119,15 @@
 			case l.up:
 			case l.member.Instance == "s-a":
 				refused++
-				p.take(Down{Link: id, Cause: Local, Why: "no ports"})
+				p.take(ConnectionDown{Connection: id, Cause: Local, Reason: "no ports"})
 			default:
-				p.take(Up{Link: id})
+				p.take(ConnectionUp{Connection: id})
 			}
 		}
 		for _, id := range sortedKeys(p.Router.links) {
 			for _, d := range p.Router.inOpen(p.Router.links[id]) {
 				if d.link.up {
-					p.take(Answered{Link: id, ID: d.request.ID, Result: control.Succeeded, Body: []byte(":bytes")})
+					p.take(ResponseReceived{Connection: id, ID: d.request.ID, Result: control.Succeeded, Body: []byte(":bytes")})
 				}
 			}
 		}
--- a/router/members.go
+++ b/router/members.go
@@ -22,14 +22,14 @@
 }
 
 // listed takes the list of members, or changes to it, and hands on what has changed.
-func (r *Router) listed(e Listed) {
+func (r *Router) listed(e EndpointListUpdated) {
 	changed := map[string]*member{}
-	if e.Whole {
-		r.endUnnamed(e.Lines, changed)
+	if e.Complete {
+		r.endUnnamed(e.Entries, changed)
 	}
 	var old []*link // to what runs anew, or elsewhere: they lead nowhere
 	added := false
-	for _, line := range e.Lines {
+	for _, line := range e.Entries {
 		added = added || r.members[line.Instance] == nil
 		old = append(old, r.takeLine(line, changed)...)
 	}
@@ -48,7 +48,7 @@
 }
 
 // endUnnamed takes out who is not named by a whole list.
-func (r *Router) endUnnamed(lines []Listing, changed map[string]*member) {
+func (r *Router) endUnnamed(lines []EndpointEntry, changed map[string]*member) {
 	named := map[string]bool{}
 	for _, line := range lines {
 		named[line.Instance] = true
@@ -62,7 +62,7 @@
 }
 
 // takeLine takes over one line of the list. It returns the links that lead nowhere by it.
-func (r *Router) takeLine(line Listing, changed map[string]*member) (old []*link) {
+func (r *Router) takeLine(line EndpointEntry, changed map[string]*member) (old []*link) {
 	m := r.members[line.Instance]
 	known := m != nil
 	if !known {
@@ -73,7 +73,7 @@
 	again := known && (line.StartedAt > 0 && line.StartedAt != m.StartedAt || line.Address != m.Address)
 	id := m.ID
 	r.unindex(m)
-	m.Listing = line
+	m.EndpointEntry = line
 	m.ID = id
 	r.index.byAddress[line.Address] = append(r.index.byAddress[line.Address], m)
 	changed[line.Instance] = m
@@ -96,7 +96,7 @@
 
 // overtake takes those out whose address a later one has: what is sent to them would reach it instead, cold
 // as it may be, beside what is meant for it.
-func (r *Router) overtake(line Listing, changed map[string]*member) {
+func (r *Router) overtake(line EndpointEntry, changed map[string]*member) {
 	if line.Address == "" || line.Phase != "ready" {
 		return
 	}
@@ -170,14 +170,14 @@
 	}
 	lines := make([]control.Endpoint, 0, len(changed))
 	for _, name := range sortedKeys(changed) {
-		lines = append(lines, changed[name].Listing.Endpoint)
+		lines = append(lines, changed[name].EndpointEntry.Endpoint)
 	}
 	r.decide.UpdateEndpoints(r.now, lines, all)
 }
 
 // planLinks tells the plan of links which caches there are, if they have changed.
 func (r *Router) planLinks(changed map[string]*member) {
-	if r.limits.Plan == nil {
+	if r.limits.ConnectionPlan == nil {
 		return
 	}
 	differs := !r.index.planned
@@ -196,7 +196,7 @@
 			names = append(names, name)
 		}
 	}
-	r.limits.Plan.SetEndpoints(r.now, names)
+	r.limits.ConnectionPlan.SetEndpoints(r.now, names)
 }
 
 // removeGone closes the links of members that are gone once nothing is open on them, and forgets who has none left.
--- a/router/members_test.go
+++ b/router/members_test.go
@@ -13,17 +13,17 @@
 )
 
 // plainList is the list of members as it is kept without an index: each event goes over all members.
-type plainList map[string]Listing
+type plainList map[string]EndpointEntry
 
 // take takes an event of the list over, and gives the whole list as it is to be handed on.
-func (l plainList) take(e Listed) (lines []control.Endpoint) {
+func (l plainList) take(e EndpointListUpdated) (lines []control.Endpoint) {
 	for name, m := range l {
-		if e.Whole && !slices.ContainsFunc(e.Lines, func(line Listing) bool { return line.Instance == name }) {
+		if e.Complete && !slices.ContainsFunc(e.Entries, func(line EndpointEntry) bool { return line.Instance == name }) {
 			m.Phase = "gone"
 			l[name] = m
 		}
 	}
-	for _, line := range e.Lines {
+	for _, line := range e.Entries {
 		for name, m := range l {
 			if name != line.Instance && m.Address == line.Address && line.Address != "" && m.StartedAt <= line.StartedAt &&
 				line.Phase == "ready" {
@@ -43,7 +43,7 @@
 		taken[m.ID], l[name] = true, m
 		lines = append(lines, m.Endpoint)
 	}
-	maps.DeleteFunc(l, func(_ string, m Listing) bool { return m.Phase == "gone" })
+	maps.DeleteFunc(l, func(_ string, m EndpointEntry) bool { return m.Phase == "gone" })
 	return lines
 }
 
@@ -56,8 +56,8 @@
 		names = append(names, fmt.Sprint("s-", n))
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	drawLine := func(now int64) Listing {
-		line := Listing{names[rng.IntN(len(names))], fmt.Sprint("10.0.0.", rng.IntN(40), ":1"), control.Endpoint{
+	drawLine := func(now int64) EndpointEntry {
+		line := EndpointEntry{names[rng.IntN(len(names))], fmt.Sprint("10.0.0.", rng.IntN(40), ":1"), control.Endpoint{
 			Location: []string{"here", "here", "there"}[rng.IntN(3)], Kind: []string{"cache", "cache", "parent", "origin"}[rng.IntN(4)],
 			Phase: []string{"ready", "ready", "ready", "draining", "gone"}[rng.IntN(5)], Capacity: float64(rng.IntN(5))}}
 		if rng.IntN(4) == 0 {
@@ -69,7 +69,7 @@
 	for n := 0; n < events; {
 		var set control.Settings
 		p := newPlay(t, func(l *Limits, s control.Settings) {
-			l.Plan = connpool.New(connpool.Config{Routers: 3, MaxConnections: 100, Router: "r"})
+			l.ConnectionPlan = connpool.New(connpool.Config{Routers: 3, MaxConnections: 100, Router: "r"})
 			set = maps.Clone(s)
 		})
 		set["probe"] = false
@@ -79,19 +79,19 @@
 		}
 		plainModule.Reachable = p.decide.Reachable
 		plain := plainList{}
-		plainModule.UpdateEndpoints(start, plain.take(Listed{Whole: true, Lines: slices.Clone(fleet)}), true)
+		plainModule.UpdateEndpoints(start, plain.take(EndpointListUpdated{Complete: true, Entries: slices.Clone(fleet)}), true)
 		for range 200 {
 			n++
 			p.now += rng.Int64N(second)
-			e := Listed{Whole: rng.IntN(30) == 0}
+			e := EndpointListUpdated{Complete: rng.IntN(30) == 0}
 			for range rng.IntN(4) {
-				e.Lines = append(e.Lines, drawLine(p.now))
+				e.Entries = append(e.Entries, drawLine(p.now))
 			}
 			plainModule.UpdateEndpoints(p.now, plain.take(e), true)
 			p.take(e)
 			got := plainList{}
 			for name, m := range p.members {
-				got[name] = m.Listing
+				got[name] = m.EndpointEntry
 			}
 			if !maps.Equal(got, plain) {
 				t.Fatalf("event %d: members\n%v\nplainly\n%v", n, got, plain)
@@ -105,7 +105,7 @@
 					t.Fatalf("event %d: %s planned %v, by its ID %v", n, name, m.planned, p.byID[m.ID])
 				}
 			}
-			if kept := p.limits.Plan.SubsetSize; kept != caches {
+			if kept := p.limits.ConnectionPlan.SubsetSize; kept != caches {
 				t.Fatalf("event %d: the plan knows of %d caches, there are %d", n, kept, caches)
 			}
 			displaced += p.index.displaced
@@ -138,22 +138,22 @@
 				"location.routers": []int64{0, 2}, "kinds": []string{"cache"}, "product.names": []string{"stills"},
 				"product.due": []int64{second}, "product.hardStop": []int64{second}, "product.payoff": []float64{1},
 				"product.effect": []string{"harmless"}}
-			r, err := New(start, 7, set, Limits{Links: 8, Hands: 100, Bytes: 1 << 20})
+			r, err := New(start, 7, set, Limits{MaxConnections: 8, MaxInFlight: 100, MaxBodyBytes: 1 << 20})
 			if err != nil {
 				b.Fatal(err)
 			}
-			var lines []Listing
+			var lines []EndpointEntry
 			for n := range servers {
-				lines = append(lines, Listing{fmt.Sprintf("s-%06d", n), fmt.Sprintf("10.0.%d.%d:1", n/200, n%200), control.Endpoint{
+				lines = append(lines, EndpointEntry{fmt.Sprintf("s-%06d", n), fmt.Sprintf("10.0.%d.%d:1", n/200, n%200), control.Endpoint{
 					Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}})
 			}
-			r.Handle(start, Listed{Whole: true, Lines: lines})
+			r.Handle(start, EndpointListUpdated{Complete: true, Entries: lines})
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				line := lines[i/2%servers : i/2%servers+1]
 				line[0].Phase = []string{"draining", "ready"}[i%2]
-				r.Handle(start, Listed{Lines: line})
+				r.Handle(start, EndpointListUpdated{Entries: line})
 			}
 		})
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -32,10 +32,10 @@
 
 // Limits bound what the reducer lets be opened.
 type Limits struct {
-	Links int            // connections to members, all together
-	Plan  *connpool.Plan // of connections to caches; nil is no bound beside linksMost
-	Hands int            // retrievals in hand
-	Bytes int            // of the bodies of retrievals in hand
+	MaxConnections int            // connections to members, all together
+	ConnectionPlan *connpool.Plan // of connections to caches; nil is no bound beside linksMost
+	MaxInFlight    int            // retrievals in hand
+	MaxBodyBytes   int            // of the bodies of retrievals in hand
 }
 
 // Router is the reducer of one router. It is not safe for use by two goroutines at once.
@@ -52,8 +52,8 @@
 	bytes   int              // of the bodies of retrievals in hand
 	members map[string]*member
 	byID    map[uint32]*member
-	links   map[LinkID]*link
-	linked  LinkID
+	links   map[ConnectionID]*link
+	linked  ConnectionID
 	due     timerqueue.Queue[task]
 	ticking int64 // when the periodic work is due
 	armed   int64
@@ -93,7 +93,7 @@
 	number        int
 	cache, source *member
 	link          *link
-	request       Request
+	request       UpstreamRequest
 	sent, until   int64
 	reach         int64                   // until when it may be written
 	ends          *timerqueue.Timer[task] // its time-out
@@ -111,7 +111,7 @@
 // New makes a reducer.
 func New(now int64, seed uint64, set control.Settings, limits Limits) (*Router, error) {
 	r := &Router{limits: limits, now: now, clients: map[ClientID]map[int32]*hand{}, ids: map[string]*hand{},
-		members: map[string]*member{}, byID: map[uint32]*member{}, links: map[LinkID]*link{},
+		members: map[string]*member{}, byID: map[uint32]*member{}, links: map[ConnectionID]*link{},
 		index:      newMemberIndex(),
 		dialWithin: setting(set, "connect.within", int64(1e9)), idleAfter: setting(set, "connect.idle", int64(30e9)),
 		answerGrace: setting(set, "answer.grace", int64(0)), streams: setting(set, "connect.streams", int64(1)),
@@ -201,63 +201,63 @@
 
 func (r *Router) event(e Event) {
 	switch e := e.(type) {
-	case Due:
+	case TimerFired:
 		r.armed = 0 // the timer is used up, also where it came a moment early: it was never set again so
-	case Requested:
+	case RequestReceived:
 		r.requested(e)
-	case Cancelled:
+	case RequestCancelled:
 		if h := r.clients[e.Client][e.Seq]; h != nil {
 			r.departed(h)
 		}
-	case Left:
+	case ClientDisconnected:
 		for _, h := range inOrder(r.clients[e.Client]) {
 			r.departed(h)
 		}
-	case HalfClosed:
+	case ClientHalfClosed:
 		r.halfClosed(e.Client)
-	case Up:
+	case ConnectionUp:
 		r.up(e)
-	case Down:
+	case ConnectionDown:
 		r.down(e)
-	case Withdrawn:
+	case AttemptWithdrawn:
 		r.withdrawn(e)
-	case Answered:
+	case ResponseReceived:
 		r.answered(e)
-	case Listed:
+	case EndpointListUpdated:
 		r.listed(e)
-	case Purged:
+	case PurgeReceived:
 		r.purged(e)
-	case Probed:
+	case ProbeEnded:
 		if m := r.members[e.Instance]; m != nil && r.mayProbe {
-			r.decide.ProbeEnded(r.now, m.ID, e.Good, e.Load)
+			r.decide.ProbeEnded(r.now, m.ID, e.Healthy, e.LoadReport)
 		}
-	case Leaving:
+	case ShutdownStarted:
 		r.leaving(e)
 	}
 }
 
 // requested takes a retrieval in hand, or answers at once what cannot be taken.
-func (r *Router) requested(e Requested) {
-	turnAway := func(kind Kind, why string) {
-		r.do(Answer{Client: e.Client, Seq: e.Seq, Kind: kind, Why: why})
+func (r *Router) requested(e RequestReceived) {
+	turnAway := func(kind ResponseKind, why string) {
+		r.do(Respond{Client: e.Client, Seq: e.Seq, Kind: kind, Reason: why})
 	}
 	if r.clients[e.Client][e.Seq] != nil {
-		turnAway(Unusable, "sequence number in use")
+		turnAway(BadRequest, "sequence number in use")
 		return
 	}
 	arrived := r.at
-	if e.Arrived > 0 {
-		arrived = min(e.Arrived, r.at)
+	if e.ArrivedAt > 0 {
+		arrived = min(e.ArrivedAt, r.at)
 	}
 	h := &hand{client: e.Client, seq: e.Seq, fields: e.Fields, body: e.Body}
 	why := h.read(arrived)
 	if old := r.ids[h.fields["txn"]]; why == "" && old != nil && old.NoNewAttempts {
 		// Its client closed and asks again on another connection, under the same id: that was taken for a bad client's.
 		sent := len(old.dispatches) > 0
-		r.finish(old, Answer{Kind: Aborted}) // the end of its connection waits for that
+		r.finish(old, Respond{Kind: Failed}) // the end of its connection waits for that
 		r.departed(old)
 		if sent && !r.of(h.Class, r.harmless) {
-			turnAway(Aborted, "") // it may have run
+			turnAway(Failed, "") // it may have run
 			return
 		}
 	}
@@ -271,11 +271,11 @@
 		why = "the body is too long"
 	}
 	if why != "" {
-		turnAway(Unusable, why)
+		turnAway(BadRequest, why)
 		return
 	}
-	if r.hands >= r.limits.Hands || r.bytes+len(h.body) > r.limits.Bytes {
-		turnAway(Dismissed, "")
+	if r.hands >= r.limits.MaxInFlight || r.bytes+len(h.body) > r.limits.MaxBodyBytes {
+		turnAway(Rejected, "")
 		return
 	}
 	// A time longer than any product's would keep it in memory for so long.
@@ -341,9 +341,9 @@
 	case control.Send:
 		r.dispatch(h, d.Attempt)
 	case control.Reject:
-		r.finish(h, Answer{Kind: Dismissed, Later: d.RetryAfter})
+		r.finish(h, Respond{Kind: Rejected, RetryAfter: d.RetryAfter})
 	case control.Fail:
-		r.finish(h, Answer{Kind: Aborted})
+		r.finish(h, Respond{Kind: Failed})
 	}
 	r.callOff(h, d.Cancel)
 	r.plan(h)
@@ -361,7 +361,7 @@
 }
 
 // finish gives a retrieval its one final answer.
-func (r *Router) finish(h *hand, a Answer) {
+func (r *Router) finish(h *hand, a Respond) {
 	if h.finished {
 		return
 	}
@@ -467,8 +467,8 @@
 }
 
 // answered takes an answer to a dispatch; the first good one goes to the client as it came.
-func (r *Router) answered(e Answered) {
-	l := r.links[e.Link]
+func (r *Router) answered(e ResponseReceived) {
+	l := r.links[e.Connection]
 	if l == nil {
 		return
 	}
@@ -484,18 +484,18 @@
 		l.past[e.ID] = r.now
 	}
 	switch {
-	case e.Same && d.request.Mine == "":
+	case e.NotModified && d.request.ClientETag == "":
 		e.Result = control.ServerError // no copy was named that could be good still
-	case e.Bare && r.of(d.hand.Class, r.neverKept):
+	case e.Unversioned && r.of(d.hand.Class, r.neverKept):
 		e.Result = control.Succeeded // what no cache keeps is no copy: it passed for spoilt, and was never served
 	}
-	if e.Result == control.Succeeded && !r.decide.AcceptsCopy(r.now, &d.hand.Request, d.number, e.Issued) {
+	if e.Result == control.Succeeded && !r.decide.AcceptsCopy(r.now, &d.hand.Request, d.number, e.IssuedAt) {
 		e.Result = control.Stale
 	}
 	if e.Result == control.Succeeded {
-		r.finish(d.hand, Answer{Kind: Settled, Body: e.Body, Same: e.Same})
+		r.finish(d.hand, Respond{Kind: Served, Body: e.Body, NotModified: e.NotModified})
 	}
-	o := control.Outcome{Result: e.Result, Note: e.Note, TimeToFirstByte: e.Waited, LoadReport: e.Load}
+	o := control.Outcome{Result: e.Result, Note: e.Note, TimeToFirstByte: e.TimeToFirstByte, LoadReport: e.LoadReport}
 	if r.flow > 0 {
 		o.SendingTime = float64(len(e.Body)) / r.flow // a large one is due later; judged by the mean it passed for late
 	}
@@ -512,7 +512,7 @@
 	case what.last:
 		// Whatever went wrong before: no retrieval stays without its answer.
 		h := what.hand
-		r.finish(h, Answer{Kind: Aborted})
+		r.finish(h, Respond{Kind: Failed})
 		r.departed(h)
 	default:
 		r.act(what.hand, r.decide.Decide(r.now, &what.hand.Request))
@@ -547,22 +547,22 @@
 }
 
 // leaving cuts the time of all retrievals to what is left.
-func (r *Router) leaving(e Leaving) {
-	r.leaveBy = e.By
+func (r *Router) leaving(e ShutdownStarted) {
+	r.leaveBy = e.AnswerDeadline
 	for _, id := range sortedKeys(r.clients) {
 		for _, h := range inOrder(r.clients[id]) {
-			if h.Deadline <= e.By {
+			if h.Deadline <= e.AnswerDeadline {
 				continue
 			}
-			h.Deadline = e.By
+			h.Deadline = e.AnswerDeadline
 			r.due.Remove(h.ends)
-			h.ends = r.due.Push(e.By+r.answerGrace, task{hand: h, last: true})
+			h.ends = r.due.Push(e.AnswerDeadline+r.answerGrace, task{hand: h, last: true})
 			for _, d := range h.dispatches {
 				if !d.ended {
 					// Its own time is cut, too: one that waited for its link got all of it back when that came up, and was failed
 					// where it could have been refused.
-					d.until, d.reach = min(e.By, d.until), min(e.By-millisecond, d.reach)
-					d.request.Until = d.until
+					d.until, d.reach = min(e.AnswerDeadline, d.until), min(e.AnswerDeadline-millisecond, d.reach)
+					d.request.Deadline = d.until
 					r.arm(d)
 				}
 			}
@@ -571,21 +571,21 @@
 }
 
 // Listings is the list of members as it is now, by name.
-func (r *Router) Listings() []Listing {
-	out := make([]Listing, 0, len(r.members))
+func (r *Router) Endpoints() []EndpointEntry {
+	out := make([]EndpointEntry, 0, len(r.members))
 	for _, name := range sortedKeys(r.members) {
-		out = append(out, r.members[name].Listing)
+		out = append(out, r.members[name].EndpointEntry)
 	}
 	return out
 }
 
 // Remember is what the module has learned, with so many objects at most.
-func (r *Router) Remember(now int64, most int) control.Snapshot {
+func (r *Router) Snapshot(now int64, most int) control.Snapshot {
 	return r.decide.Snapshot(max(now, r.now), most)
 }
 
 // Recall has the module take over what one before it had learned.
-func (r *Router) Recall(now int64, m control.Snapshot, rates bool) { r.decide.Restore(now, m, rates) }
+func (r *Router) Restore(now int64, m control.Snapshot, rates bool) { r.decide.Restore(now, m, rates) }
 
 // Hands is how many retrievals are in hand.
-func (r *Router) Hands() int { return r.hands }
+func (r *Router) InFlight() int { return r.hands }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -16,7 +16,7 @@
 	object = "7f3a9c21e0b4d655"
 )
 
-var fleet = []Listing{
+var fleet = []EndpointEntry{
 	{"s-a", "10.0.0.1:1", control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}},
 	{"s-b", "10.0.0.2:1", control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}},
 	{"p-a", "10.0.0.3:1", control.Endpoint{Location: "hub", Kind: "parent", Phase: "ready", Capacity: 20}},
@@ -28,11 +28,11 @@
 	*Router
 	t     *testing.T
 	now   int64
-	seen  []string // effects, shortly
-	lines []string // of the log
-	links []LinkID // in the order of their dialling
+	seen  []string       // effects, shortly
+	lines []string       // of the log
+	links []ConnectionID // in the order of their dialling
 	sends []Send
-	asked []Withdraw // of the links' writers
+	asked []WithdrawAttempt // of the links' writers
 }
 
 func newPlay(t *testing.T, change func(*Limits, control.Settings)) *play {
@@ -45,7 +45,7 @@
 		"product.due": []int64{4 * second / 10}, "product.hardStop": []int64{25 * second / 10},
 		"product.payoff": []float64{1}, "product.effect": []string{"harmless"}, "product.scope": []string{"all"},
 		"product.fresh": []int64{8 * second}, "purge.takes": 6 * second}
-	limits := Limits{Links: 8, Hands: 100, Bytes: 1 << 20}
+	limits := Limits{MaxConnections: 8, MaxInFlight: 100, MaxBodyBytes: 1 << 20}
 	if change != nil {
 		change(&limits, set)
 	}
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	p := &play{Router: r, t: t, now: start}
-	p.take(Listed{Whole: true, Lines: slices.Clone(fleet)})
+	p.take(EndpointListUpdated{Complete: true, Entries: slices.Clone(fleet)})
 	p.seen = nil
 	return p
 }
@@ -63,26 +63,26 @@
 func (p *play) take(e Event) {
 	for _, effect := range p.Handle(p.now, e) {
 		switch e := effect.(type) {
-		case Answer:
+		case Respond:
 			word := []string{"settled", "dismissed", "aborted", "unusable"}[e.Kind]
-			if e.Same {
+			if e.NotModified {
 				word += " same"
 			}
 			p.seen = append(p.seen, fmt.Sprintf("%s %d%s", word, e.Seq, e.Body))
 		case Dial:
-			p.links = append(p.links, e.Link)
+			p.links = append(p.links, e.Connection)
 			p.seen = append(p.seen, "dial "+e.Address)
 		case Send:
 			p.sends = append(p.sends, e)
 			p.seen = append(p.seen, "send "+e.Request.ID)
-		case GiveUp:
+		case CancelAttempt:
 			p.seen = append(p.seen, "abort "+e.ID)
-		case Withdraw:
+		case WithdrawAttempt:
 			p.asked = append(p.asked, e)
 		case Log:
 			p.lines = append(p.lines, e.Line)
 		case Close:
-			p.seen = append(p.seen, fmt.Sprintf("close %d", e.Link))
+			p.seen = append(p.seen, fmt.Sprintf("close %d", e.Connection))
 		}
 	}
 }
@@ -91,7 +91,7 @@
 func (p *play) pass(ns int64) {
 	for end := p.now + ns; p.now < end; {
 		p.now = min(end, max(p.armed, p.now+millisecond))
-		p.take(Due{})
+		p.take(TimerFired{})
 	}
 }
 
@@ -101,28 +101,28 @@
 	for name, value := range change {
 		fields[name] = value
 	}
-	p.take(Requested{Client: 1, Seq: seq, Fields: fields, Body: []byte("q")})
+	p.take(RequestReceived{Client: 1, Seq: seq, Fields: fields, Body: []byte("q")})
 }
 
-func (p *play) answer(a Answered) {
+func (p *play) answer(a ResponseReceived) {
 	last := p.sends[len(p.sends)-1]
-	a.Link, a.ID = last.Link, last.Request.ID
+	a.Connection, a.ID = last.Connection, last.Request.ID
 	p.take(a)
 }
 
 // up lets the newest link come up.
-func (p *play) up() { p.take(Up{Link: p.links[len(p.links)-1]}) }
+func (p *play) up() { p.take(ConnectionUp{Connection: p.links[len(p.links)-1]}) }
 
 // list tells of a change to the first cache that was dialled.
-func (p *play) list(change func(*Listing)) {
+func (p *play) list(change func(*EndpointEntry)) {
 	address := p.Router.links[p.links[0]].address
-	line := fleet[slices.IndexFunc(fleet, func(l Listing) bool { return l.Address == address })]
+	line := fleet[slices.IndexFunc(fleet, func(l EndpointEntry) bool { return l.Address == address })]
 	change(&line)
-	p.take(Listed{Lines: []Listing{line}})
+	p.take(EndpointListUpdated{Entries: []EndpointEntry{line}})
 }
 
 func TestRetrieval(t *testing.T) {
-	good := Answered{Result: control.Succeeded, Body: []byte(":bytes")}
+	good := ResponseReceived{Result: control.Succeeded, Body: []byte(":bytes")}
 	cases := []struct {
 		name string
 		do   func(*play)
@@ -135,12 +135,12 @@
 		{"the client's copy holds", func(p *play) {
 			p.ask(1, map[string]string{"got": "4be0c1927d55a6f3"})
 			p.up()
-			p.answer(Answered{Result: control.Succeeded, Same: true})
+			p.answer(ResponseReceived{Result: control.Succeeded, NotModified: true})
 		}, "dial, send 1, settled same 1"},
 		{"no copy was named that could hold", func(p *play) {
 			p.ask(1, map[string]string{"got": "a,b=c"})
 			p.up()
-			p.answer(Answered{Result: control.Succeeded, Same: true})
+			p.answer(ResponseReceived{Result: control.Succeeded, NotModified: true})
 		}, "dial, send 1, send 1"},
 		{"a second one for the same member shares the link", func(p *play) {
 			p.ask(1, nil)
@@ -149,13 +149,13 @@
 		}, "dial, send 1, send 2"},
 		{"refused: nothing ran, and it goes elsewhere", func(p *play) {
 			p.ask(1, nil)
-			p.take(Down{Link: p.links[0]})
+			p.take(ConnectionDown{Connection: p.links[0]})
 			p.up()
 		}, "dial, dial, send 1"},
 		{"broken before it was wholly written: elsewhere", func(p *play) {
 			p.ask(1, nil)
 			p.up()
-			p.take(Down{Link: p.links[0], Unsent: []string{fmt.Sprintf("%016x", 1)}})
+			p.take(ConnectionDown{Connection: p.links[0], Unsent: []string{fmt.Sprintf("%016x", 1)}})
 		}, "dial, send 1, dial"},
 		{"silence to the end of the client's time: aborted on the link, dismissed in time, answered once", func(p *play) {
 			p.ask(1, map[string]string{"limit": "300"})
@@ -184,55 +184,55 @@
 			p.pass(2 * second)
 			p.answer(good)
 		}, "dial, send 1, abort 1, dismissed 1"},
-		{"the client leaves: no answer", func(p *play) { p.ask(1, nil); p.up(); p.take(Left{Client: 1}); p.answer(good) },
+		{"the client leaves: no answer", func(p *play) { p.ask(1, nil); p.up(); p.take(ClientDisconnected{Client: 1}); p.answer(good) },
 			"dial, send 1, abort 1"},
 		{"the client cancels one of two", func(p *play) {
 			p.ask(1, nil)
 			p.ask(2, nil)
 			p.up()
-			p.take(Cancelled{Client: 1, Seq: 1})
+			p.take(RequestCancelled{Client: 1, Seq: 1})
 			p.answer(good)
 		}, "dial, send 1, send 2, abort 1, settled 2:bytes"},
 		{"cancelled before the link is up: nothing is sent", func(p *play) {
 			p.ask(1, nil)
-			p.take(Cancelled{Client: 1, Seq: 1})
+			p.take(RequestCancelled{Client: 1, Seq: 1})
 			p.up()
 		}, "dial"},
-		{"a cancel for nothing", func(p *play) { p.take(Cancelled{Client: 9, Seq: 1}) }, ""},
+		{"a cancel for nothing", func(p *play) { p.take(RequestCancelled{Client: 9, Seq: 1}) }, ""},
 		{"a sequence number in use", func(p *play) { p.ask(1, nil); p.ask(1, nil); p.up(); p.answer(good) },
 			"dial, unusable 1, send 1, settled 1:bytes"},
 		{"an unknown product", func(p *play) { p.ask(1, map[string]string{"verb": "odd"}) }, "unusable 1"},
 		{"an answer that cannot be used goes for an error", func(p *play) {
 			p.ask(1, nil)
 			p.up()
-			p.answer(Answered{Result: control.ServerError})
+			p.answer(ResponseReceived{Result: control.ServerError})
 		}, "dial, send 1, send 1"},
 		{"what waits for its link when a purge comes is sent with the new age", func(p *play) {
 			p.ask(1, nil)
 			p.now += 200 * millisecond
-			p.take(Purged{Object: object, When: p.now - 50*millisecond})
+			p.take(PurgeReceived{Object: object, PurgedAt: p.now - 50*millisecond})
 			p.up()
-			if age := p.sends[0].Request.Dispatch.MaxAge; age >= 50*millisecond {
+			if age := p.sends[0].Request.Attempt.MaxAge; age >= 50*millisecond {
 				p.t.Errorf("age %d", age)
 			}
 		}, "dial, dial, send 1"},
 		{"what waits for its link when its cache drains goes elsewhere", func(p *play) {
 			p.ask(1, nil)
-			p.list(func(l *Listing) { l.Phase = "draining" })
+			p.list(func(l *EndpointEntry) { l.Phase = "draining" })
 			p.up()
 		}, "dial, dial, send 1"},
 		{"a cache that started anew is dialled anew", func(p *play) {
 			p.ask(1, nil)
 			p.up()
 			p.answer(good)
-			p.list(func(l *Listing) { l.StartedAt = p.now })
+			p.list(func(l *EndpointEntry) { l.StartedAt = p.now })
 			p.ask(2, nil)
 		}, "dial, send 1, settled 1:bytes, close 1, dial"},
 		{"a cache at another's address is its own", func(p *play) {
 			p.ask(1, nil)
 			p.up()
 			p.answer(good)
-			p.list(func(l *Listing) { l.Phase = "gone" })
+			p.list(func(l *EndpointEntry) { l.Phase = "gone" })
 			p.list2("s-new")
 			if got := p.members["s-new"]; len(got.links) != 0 {
 				p.t.Error("it has a link of the one before")
@@ -257,7 +257,7 @@
 			p.ask(1, nil)
 			p.up()
 			p.ask(2, first)
-			p.take(Cancelled{Client: 1, Seq: 1})
+			p.take(RequestCancelled{Client: 1, Seq: 1})
 			p.ask(3, first)
 		}, "dial, send 1, unusable 2, abort 1, dial"},
 		{"a time longer than the product's is cut to that", func(p *play) {
@@ -278,13 +278,13 @@
 			p.up()
 			p.answer(good)
 			address := p.Router.links[p.links[0]].address
-			p.take(Listed{Lines: []Listing{{"s-new", address, control.Endpoint{Location: "here", Kind: "cache",
+			p.take(EndpointListUpdated{Entries: []EndpointEntry{{"s-new", address, control.Endpoint{Location: "here", Kind: "cache",
 				Phase: "ready", Capacity: 5, StartedAt: p.now}}}})
 		}, "dial, send 1, settled 1:bytes, close 1"},
 		{"leaving cuts the time of all in hand and of all that come", func(p *play) {
 			p.ask(1, nil)
 			p.up()
-			p.take(Leaving{By: p.now + 300*millisecond})
+			p.take(ShutdownStarted{AnswerDeadline: p.now + 300*millisecond})
 			p.ask(2, nil)
 			p.pass(301 * millisecond)
 		}, "dial, send 1, send 2, abort 2, dismissed 2, abort 1, dismissed 1"},
@@ -308,7 +308,7 @@
 func (p *play) list2(name string) {
 	line := fleet[0]
 	line.Instance = name
-	p.take(Listed{Lines: []Listing{line}})
+	p.take(EndpointListUpdated{Entries: []EndpointEntry{line}})
 }
 
 func TestUnusableRequests(t *testing.T) {
@@ -318,8 +318,8 @@
 		t.Run(c.field+"="+c.value, func(t *testing.T) {
 			p := newPlay(t, nil)
 			p.ask(4, map[string]string{c.field: c.value})
-			if got := strings.Join(p.seen, ", "); got != "unusable 4" || p.Hands() != 0 {
-				t.Errorf("effects %s, %d in hand", got, p.Hands())
+			if got := strings.Join(p.seen, ", "); got != "unusable 4" || p.InFlight() != 0 {
+				t.Errorf("effects %s, %d in hand", got, p.InFlight())
 			}
 		})
 	}
@@ -330,23 +330,23 @@
 		name   string
 		change func(*Limits, control.Settings)
 	}{
-		{"retrievals in hand", func(l *Limits, _ control.Settings) { l.Hands = 1 }},
-		{"bytes", func(l *Limits, _ control.Settings) { l.Bytes = 1 }},
+		{"retrievals in hand", func(l *Limits, _ control.Settings) { l.MaxInFlight = 1 }},
+		{"bytes", func(l *Limits, _ control.Settings) { l.MaxBodyBytes = 1 }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPlay(t, c.change)
 			p.ask(1, nil)
 			p.ask(2, nil)
-			p.take(Left{Client: 1})
+			p.take(ClientDisconnected{Client: 1})
 			p.ask(3, nil)
-			if p.seen[1] != "dismissed 2" || p.Hands() != 1 {
-				t.Errorf("effects %v, %d in hand", p.seen, p.Hands())
+			if p.seen[1] != "dismissed 2" || p.InFlight() != 1 {
+				t.Errorf("effects %v, %d in hand", p.seen, p.InFlight())
 			}
 		})
 	}
 	t.Run("links", func(t *testing.T) {
-		p := newPlay(t, func(l *Limits, _ control.Settings) { l.Links = 0 })
+		p := newPlay(t, func(l *Limits, _ control.Settings) { l.MaxConnections = 0 })
 		p.ask(1, nil)
 		p.pass(second)
 		if len(p.links) > 0 || p.seen[len(p.seen)-1] != "dismissed 1" {
@@ -373,8 +373,8 @@
 				t.Errorf("%d open on link %d of %d", len(l.open), id, len(p.links))
 			}
 		}
-		if len(p.links) < 2 || p.Hands() < 2*shareFrom-1 {
-			t.Errorf("%d links for %d in hand", len(p.links), p.Hands())
+		if len(p.links) < 2 || p.InFlight() < 2*shareFrom-1 {
+			t.Errorf("%d links for %d in hand", len(p.links), p.InFlight())
 		}
 	})
 	t.Run("links to one member", func(t *testing.T) {
@@ -382,9 +382,9 @@
 		for seq := range int32(8) {
 			p.ask(seq, map[string]string{"txn": object})
 			for _, id := range p.links {
-				p.take(Up{Link: id})
+				p.take(ConnectionUp{Connection: id})
 			}
-			p.take(Cancelled{Client: 1, Seq: seq})
+			p.take(RequestCancelled{Client: 1, Seq: seq})
 		}
 		for _, m := range p.members {
 			if len(m.links) > linksMost {
@@ -397,14 +397,14 @@
 		for seq := range int32(50) {
 			p.ask(seq, nil)
 			p.up()
-			p.take(Cancelled{Client: 1, Seq: seq})
+			p.take(RequestCancelled{Client: 1, Seq: seq})
 		}
 		l := p.Router.links[1]
 		before := len(l.past)
 		for range 8 {
 			p.pass(second)
 			p.ask(99, nil)
-			p.answer(Answered{Result: control.Succeeded})
+			p.answer(ResponseReceived{Result: control.Succeeded})
 		}
 		if before == 0 || len(l.past) > 0 {
 			t.Errorf("%d, then %d", before, len(l.past))
@@ -424,7 +424,7 @@
 				p.ask(seq, map[string]string{"item": fmt.Sprintf("%016x", seq)})
 			}
 			for _, id := range p.links {
-				p.take(Up{Link: id})
+				p.take(ConnectionUp{Connection: id})
 			}
 			l, unsent := p.members["s-a"].links[0], []string(nil)
 			if c.unsent {
@@ -433,7 +433,7 @@
 			if len(l.open) < 3 {
 				t.Fatalf("%d open", len(l.open))
 			}
-			p.take(Down{Link: l.id, Unsent: unsent})
+			p.take(ConnectionDown{Connection: l.id, Unsent: unsent})
 			p.pass(second / 10)
 			if len(p.lines) > 0 {
 				t.Errorf("log %v", p.lines)
@@ -452,23 +452,23 @@
 		line.StartedAt = p.now
 		gone := line
 		gone.Instance, gone.Phase = fmt.Sprint("s-", n-3), "gone"
-		p.take(Listed{Lines: []Listing{line, gone}})
+		p.take(EndpointListUpdated{Entries: []EndpointEntry{line, gone}})
 		client := ClientID(n + 2)
 		for seq := range int32(3) {
-			p.take(Requested{Client: client, Seq: seq, Fields: map[string]string{"verb": "stills", "limit": "2500",
+			p.take(RequestReceived{Client: client, Seq: seq, Fields: map[string]string{"verb": "stills", "limit": "2500",
 				"txn": fmt.Sprintf("%016x", 3*n+int(seq)), "item": fmt.Sprintf("%016x", n), "nth": "0", "batch": "1"}})
 		}
 		for _, id := range p.links {
-			p.take(Up{Link: id})
+			p.take(ConnectionUp{Connection: id})
 		}
 		if len(p.sends) > 0 && n%3 == 0 {
-			p.answer(Answered{Result: control.Succeeded})
+			p.answer(ResponseReceived{Result: control.Succeeded})
 		}
 		if n%10 == 0 && len(p.links) > 0 {
-			p.take(Down{Link: p.links[len(p.links)-1]})
+			p.take(ConnectionDown{Connection: p.links[len(p.links)-1]})
 		}
-		p.take(Purged{Object: fmt.Sprintf("%016x", n), When: p.now})
-		p.take(Left{Client: client})
+		p.take(PurgeReceived{Object: fmt.Sprintf("%016x", n), PurgedAt: p.now})
+		p.take(ClientDisconnected{Client: client})
 		p.links, p.sends, p.seen = p.links[:0], p.sends[:0], p.seen[:0]
 		p.pass(20 * millisecond)
 		past := 0
@@ -499,11 +499,11 @@
 			for seq := range int32(40) {
 				p.ask(seq, map[string]string{"item": fmt.Sprintf("%016x", seq)})
 				for _, id := range p.links {
-					p.take(Up{Link: id})
+					p.take(ConnectionUp{Connection: id})
 				}
 				p.pass(second)
 				for _, id := range p.links {
-					p.take(Answered{Link: id, ID: fmt.Sprintf("%016x", seq), Result: control.Succeeded, Body: make([]byte, 200)})
+					p.take(ResponseReceived{Connection: id, ID: fmt.Sprintf("%016x", seq), Result: control.Succeeded, Body: make([]byte, 200)})
 				}
 			}
 			if got := len(p.lines) > 0; got != c.blame {
@@ -528,7 +528,7 @@
 				p.now += millisecond
 				p.ask(2, nil)
 				p.now += millisecond
-				p.answer(Answered{Result: control.Succeeded})
+				p.answer(ResponseReceived{Result: control.Succeeded})
 			}
 			cache := p.Router.links[p.links[0]].member
 			p.pass(second)
@@ -546,11 +546,11 @@
 		name   string
 		events []Event
 	}{
-		{"all at once", []Event{Listed{Whole: true, Lines: []Listing{{Instance: a}, {Instance: b}, {Instance: "x"}}}}},
-		{"one by one", []Event{Listed{Lines: []Listing{{Instance: "x"}}}, Listed{Lines: []Listing{{Instance: a}}},
-			Listed{Lines: []Listing{{Instance: b}}}}},
-		{"the other way round", []Event{Listed{Lines: []Listing{{Instance: b}}}, Listed{Lines: []Listing{{Instance: a}}},
-			Listed{Lines: []Listing{{Instance: "x"}}}}},
+		{"all at once", []Event{EndpointListUpdated{Complete: true, Entries: []EndpointEntry{{Instance: a}, {Instance: b}, {Instance: "x"}}}}},
+		{"one by one", []Event{EndpointListUpdated{Entries: []EndpointEntry{{Instance: "x"}}}, EndpointListUpdated{Entries: []EndpointEntry{{Instance: a}}},
+			EndpointListUpdated{Entries: []EndpointEntry{{Instance: b}}}}},
+		{"the other way round", []Event{EndpointListUpdated{Entries: []EndpointEntry{{Instance: b}}}, EndpointListUpdated{Entries: []EndpointEntry{{Instance: a}}},
+			EndpointListUpdated{Entries: []EndpointEntry{{Instance: "x"}}}}},
 	}
 	var first []uint32
 	for _, c := range cases {
@@ -572,7 +572,7 @@
 	p := newPlay(t, nil)
 	p.now = p.armed - 1
 	set := false
-	for _, e := range p.Handle(p.now, Due{}) {
+	for _, e := range p.Handle(p.now, TimerFired{}) {
 		_, timer := e.(SetTimer)
 		set = set || timer
 	}
@@ -595,10 +595,10 @@
 	p.ask(1, nil)
 	p.up()
 	p.Router.links[p.links[0]].member = nil // no event can bring this about
-	p.take(Down{Link: p.links[0]})
+	p.take(ConnectionDown{Connection: p.links[0]})
 	p.pass(3 * second)
-	if last := p.seen[len(p.seen)-1]; !strings.HasSuffix(last, " 1") || p.Hands() != 0 {
-		t.Errorf("effects %v, %d in hand", p.seen, p.Hands())
+	if last := p.seen[len(p.seen)-1]; !strings.HasSuffix(last, " 1") || p.InFlight() != 0 {
+		t.Errorf("effects %v, %d in hand", p.seen, p.InFlight())
 	}
 }
 
@@ -606,13 +606,13 @@
 // in an object's ranking.
 func TestPlannedLinks(t *testing.T) {
 	plan := connpool.New(connpool.Config{Router: "n", Seed: 7, Routers: 3, MaxConnections: 3, MaxConnectRate: 30})
-	p := newPlay(t, func(l *Limits, _ control.Settings) { l.Plan = plan })
+	p := newPlay(t, func(l *Limits, _ control.Settings) { l.ConnectionPlan = plan })
 	p.pass(second) // two caches are met ahead, the parent and the origin are not
 	if n := len(p.links); n != 2 {
 		t.Fatalf("%d links are dialled ahead: %v", n, p.seen)
 	}
 	for _, l := range p.links {
-		p.take(Up{Link: l})
+		p.take(ConnectionUp{Connection: l})
 	}
 	for seq := range int32(20) {
 		p.ask(seq, map[string]string{"item": fmt.Sprintf("%016x", 77*seq)})
@@ -622,12 +622,12 @@
 	}
 	first := p.sends[0]
 	for _, s := range p.sends {
-		p.take(Answered{Link: s.Link, ID: s.Request.ID, Result: control.Succeeded, Note: 1})
+		p.take(ResponseReceived{Connection: s.Connection, ID: s.Request.ID, Result: control.Succeeded, Note: 1})
 	}
-	p.take(Down{Link: first.Link}) // its objects go to the other until a link may be opened again
+	p.take(ConnectionDown{Connection: first.Connection}) // its objects go to the other until a link may be opened again
 	sent := len(p.sends)
 	p.ask(100, map[string]string{"item": first.Request.Object})
-	if len(p.sends) != sent+1 || p.sends[sent].Link == first.Link {
+	if len(p.sends) != sent+1 || p.sends[sent].Connection == first.Connection {
 		t.Errorf("%d sent: %v", len(p.sends)-sent, p.seen)
 	}
 	if p.pass(second / 2); len(p.links) != 3 {
--- a/router/unwritten_test.go
+++ b/router/unwritten_test.go
@@ -12,18 +12,18 @@
 	asked := p.asked
 	p.asked = nil
 	for _, w := range asked {
-		p.take(Withdrawn(w))
+		p.take(AttemptWithdrawn(w))
 	}
 }
 
 // Requests that wait on a link that is up, as its other side reads nothing.
 func TestUnwritten(t *testing.T) {
-	good := Answered{Result: control.Succeeded, Body: []byte(":bytes")}
+	good := ResponseReceived{Result: control.Succeeded, Body: []byte(":bytes")}
 	purge := func(p *play) {
 		p.now += 200 * millisecond
-		p.take(Purged{Object: object, When: p.now - 50*millisecond})
+		p.take(PurgeReceived{Object: object, PurgedAt: p.now - 50*millisecond})
 	}
-	drain := func(p *play) { p.list(func(l *Listing) { l.Phase = "draining" }) }
+	drain := func(p *play) { p.list(func(l *EndpointEntry) { l.Phase = "draining" }) }
 	for _, c := range []struct {
 		name string
 		do   func(*play)
@@ -35,7 +35,7 @@
 			purge(p)
 			p.unwritten()
 			p.up()
-			if age := p.sends[1].Request.Dispatch.MaxAge; age <= 0 || age >= 50*millisecond {
+			if age := p.sends[1].Request.Attempt.MaxAge; age <= 0 || age >= 50*millisecond {
 				p.t.Errorf("age %d", age)
 			}
 		}, "dial, send 1, dial, send 1"},
@@ -48,14 +48,14 @@
 		{"its client closes its side: refused, and nothing more is sent", func(p *play) {
 			p.ask(1, once)
 			p.up()
-			p.take(HalfClosed{Client: 1})
+			p.take(ClientHalfClosed{Client: 1})
 			p.unwritten()
 			p.pass(2 * second)
 		}, "dial, send 1, dismissed 1"},
 		{"its client closes its side, and it is written: it is answered", func(p *play) {
 			p.ask(1, nil)
 			p.up()
-			p.take(HalfClosed{Client: 1})
+			p.take(ClientHalfClosed{Client: 1})
 			p.answer(good)
 		}, "dial, send 1, settled 1:bytes"},
 		{"half of its client's time passes: it did not run, and is refused by then", func(p *play) {
@@ -73,14 +73,14 @@
 		{"the writer finds that its time to be written has passed", func(p *play) {
 			p.ask(1, nil)
 			p.up()
-			p.take(Withdrawn{Link: p.sends[0].Link, ID: p.sends[0].Request.ID})
+			p.take(AttemptWithdrawn{Connection: p.sends[0].Connection, ID: p.sends[0].Request.ID})
 			p.up()
 		}, "dial, send 1, dial, send 1"},
 		{"told when it was given up already", func(p *play) {
 			p.ask(1, nil)
 			p.up()
 			drain(p)
-			p.take(Cancelled{Client: 1, Seq: 1})
+			p.take(RequestCancelled{Client: 1, Seq: 1})
 			p.unwritten()
 			p.pass(3 * second)
 		}, "dial, send 1, abort 1"},
@@ -88,7 +88,7 @@
 			p.ask(1, nil)
 			p.up()
 			drain(p)
-			p.take(Down{Link: p.links[0], Unsent: []string{p.sends[0].Request.ID}})
+			p.take(ConnectionDown{Connection: p.links[0], Unsent: []string{p.sends[0].Request.ID}})
 			p.unwritten()
 			p.up()
 		}, "dial, send 1, dial, send 1"},
@@ -112,13 +112,13 @@
 	for _, c := range []struct {
 		name string
 		end  Event
-	}{{"cancelled", Cancelled{Client: 1, Seq: 1}}, {"reset", Left{Client: 1}}, {"closed", HalfClosed{Client: 1}}} {
+	}{{"cancelled", RequestCancelled{Client: 1, Seq: 1}}, {"reset", ClientDisconnected{Client: 1}}, {"closed", ClientHalfClosed{Client: 1}}} {
 		t.Run(c.name, func(t *testing.T) {
 			p := newPlay(t, func(_ *Limits, s control.Settings) { s["cancel"] = false })
 			p.ask(1, nil)
 			p.up()
 			p.take(c.end)
-			want := Withdraw{Link: p.sends[0].Link, ID: p.sends[0].Request.ID}
+			want := WithdrawAttempt{Connection: p.sends[0].Connection, ID: p.sends[0].Request.ID}
 			if len(p.asked) == 0 || p.asked[0] != want {
 				t.Errorf("taken back %v, want %v", p.asked, want)
 			}
@@ -133,10 +133,10 @@
 	p.now += 100 * millisecond
 	p.up()
 	send := p.sends[0]
-	if left := send.Request.Until - p.now; left != 480*millisecond {
+	if left := send.Request.Deadline - p.now; left != 480*millisecond {
 		t.Errorf("to be answered within %d ms", left/millisecond)
 	}
-	if left := send.Before - p.now; left != 190*millisecond {
+	if left := send.SendDeadline - p.now; left != 190*millisecond {
 		t.Errorf("to be written within %d ms", left/millisecond)
 	}
 }
@@ -153,8 +153,8 @@
 		other = p.members["s-b"]
 	}
 	p.dispatch(p.clients[1][1], control.Attempt{Cache: other.ID, CacheOnly: true, SendTimeout: second})
-	p.answer(Answered{Result: control.Succeeded, Body: []byte(":bytes")})
-	p.take(Up{Link: p.linked})
+	p.answer(ResponseReceived{Result: control.Succeeded, Body: []byte(":bytes")})
+	p.take(ConnectionUp{Connection: p.linked})
 	if got := strings.Join(p.seen[1:], ", "); got != "send 0000000000000001, settled 1:bytes" {
 		t.Errorf("effects %s", got)
 	}
--- a/snapshot/compatible_test.go
+++ b/snapshot/compatible_test.go
@@ -27,7 +27,7 @@
 		Header:   restore.Header{Version: 1, Router: "n041", SettingsDigest: 0xc0ffee1234567890, TakenAt: 1764576123456789000},
 		Position: 4711,
 		Digest:   0x9e3779b97f4a7c15,
-		Members: []router.Listing{
+		Members: []router.EndpointEntry{
 			{Instance: "s-00c41f7a", Address: "10.1.0.9:10080", Endpoint: control.Endpoint{ID: 2166136261, Location: "east", Kind: "std",
 				Cell: 2, Phase: "ready", Capacity: 4, StartedAt: 1764576000123000000}},
 			{Instance: "s-00c41f7b", Address: "10.1.0.10:10080", Endpoint: control.Endpoint{ID: 16777619, Location: "west", Kind: "large",
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -39,7 +39,7 @@
 	restore.Header
 	Position int64  // of the last event of the list service; 0: no list is known
 	Digest   uint64 // of that event's text
-	Members  []router.Listing
+	Members  []router.EndpointEntry
 	Memory   control.Snapshot
 }
 
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -14,7 +14,7 @@
 
 func some() Snapshot {
 	return Snapshot{Header: restore.Header{Version: restore.FormatVersion, Router: "n1", SettingsDigest: 7, TakenAt: 99}, Position: 5, Digest: 8,
-		Members: []router.Listing{{Instance: "s-1", Address: "10.0.0.1:1", Endpoint: control.Endpoint{Phase: "ready", Capacity: 4}}},
+		Members: []router.EndpointEntry{{Instance: "s-1", Address: "10.0.0.1:1", Endpoint: control.Endpoint{Phase: "ready", Capacity: 4}}},
 		Memory: control.Snapshot{TakenAt: 99, Objects: []control.ObjectSnapshot{{Object: "7f3a9c21e0b4d655", Count: 2.5, FirstSeenAt: 3}},
 			Classes: []control.ClassSnapshot{{Name: "stills", SendingTime: .1, ResponseTime: .2, Samples: 9}}, Purges: []control.PurgeSnapshot{{Name: "g3", PurgedAt: 4}}}}
 }
--- a/snapshot/store_test.go
+++ b/snapshot/store_test.go
@@ -259,7 +259,7 @@
 	s.Members, s.Memory.Objects, s.Memory.Purges = nil, nil, nil
 	for n := range 10_000 {
 		name := fmt.Sprintf("cache-server-%050d", n)
-		s.Members = append(s.Members, router.Listing{Instance: name, Address: "127.100.100.100:10080",
+		s.Members = append(s.Members, router.EndpointEntry{Instance: name, Address: "127.100.100.100:10080",
 			Endpoint: control.Endpoint{ID: uint32(n), Location: "a-zone-with-a-long-name", Kind: "a-kind-with-a-long-name", Cell: 1 << 20,
 				Phase: "draining", Capacity: 1.25, StartedAt: 1764576000123000000}})
 	}
--- a/upstream/endings_test.go
+++ b/upstream/endings_test.go
@@ -37,7 +37,7 @@
 // sending is a request for link 1 that may be written and answered within a time.
 func sending(id string, within time.Duration) router.Send {
 	until := clock.System().Now() + int64(within)
-	return router.Send{Link: 1, Request: router.Request{ID: id, Until: until}, Before: until}
+	return router.Send{Connection: 1, Request: router.UpstreamRequest{ID: id, Deadline: until}, SendDeadline: until}
 }
 
 // asking is a request as it waits to be written.
@@ -114,14 +114,14 @@
 	events := make(chan router.Event, 16)
 	p := New(ctx, nil, func(e router.Event) { events <- e })
 	p.Pace(4 * resp.BytesMost) // a second, with all others on the way
-	p.Dial(router.Dial{Link: 1, Address: listener.Addr().String(), Within: int64(time.Second)})
+	p.Dial(router.Dial{Connection: 1, Address: listener.Addr().String(), Timeout: int64(time.Second)})
 	begun := time.Now()
 	for e := range events {
-		if _, up := e.(router.Up); up {
+		if _, up := e.(router.ConnectionUp); up {
 			p.Send(sending("a", 10*time.Second))
 			continue
 		}
-		if _, down := e.(router.Down); !down {
+		if _, down := e.(router.ConnectionDown); !down {
 			t.Errorf("%T", e)
 		}
 		break
--- a/upstream/local_test.go
+++ b/upstream/local_test.go
@@ -45,8 +45,8 @@
 		events := make(chan router.Event, 1)
 		p := New(t.Context(), nil, func(e router.Event) { events <- e })
 		p.dial = failing(err)
-		p.Dial(router.Dial{Link: 7, Within: int64(time.Second)})
-		if down, ok := (<-events).(router.Down); !ok || down.Link != 7 || down.Cause != want || down.Why == "" {
+		p.Dial(router.Dial{Connection: 7, Timeout: int64(time.Second)})
+		if down, ok := (<-events).(router.ConnectionDown); !ok || down.Connection != 7 || down.Cause != want || down.Reason == "" {
 			t.Errorf("%v: %+v, want cause %d", err, down, want)
 		}
 		_, err = alive(t.Context(), p.dial, "", "1", nil, func() bool { return true })
@@ -167,18 +167,18 @@
 				faulty <- f
 				return f, err
 			}
-			p.Dial(router.Dial{Link: 1, Address: address, Within: int64(time.Second)})
+			p.Dial(router.Dial{Connection: 1, Address: address, Timeout: int64(time.Second)})
 			f := <-faulty
 			for e := range events {
 				switch e := e.(type) {
-				case router.Up:
+				case router.ConnectionUp:
 					p.Send(sending("00000000000000aa", 5*time.Second))
-				case router.Answered:
+				case router.ResponseReceived:
 					if !c.answered || e.Result != control.Succeeded {
 						t.Errorf("answered %+v", e)
 					}
-					p.Close(router.Close{Link: 1})
-				case router.Down:
+					p.Close(router.Close{Connection: 1})
+				case router.ConnectionDown:
 					if c.unsent != slices.Equal(e.Unsent, []string{"00000000000000aa"}) || e.Cause != router.Remote {
 						t.Errorf("%+v", e) // what was written whole may have run
 					}
@@ -198,14 +198,14 @@
 	pool    *Pool
 	events  chan router.Event
 	mu      sync.Mutex
-	answers map[router.Kind]int
+	answers map[router.ResponseKind]int
 	lines   []string
 	dials   atomic.Int64
 }
 
 func newSite(t *testing.T, caches int) *site {
 	t.Helper()
-	s := &site{events: make(chan router.Event, 1000), answers: map[router.Kind]int{}}
+	s := &site{events: make(chan router.Event, 1000), answers: map[router.ResponseKind]int{}}
 	ctx, cancel := context.WithCancel(t.Context())
 	s.pool = New(ctx, nil, func(e router.Event) {
 		select {
@@ -220,14 +220,14 @@
 		"dispatches.most": int64(3), "connect.within": 4 * second / 10, "connect.idle": 30 * second, "connect.streams": int64(100),
 		"product.names": []string{"stills"}, "product.due": []int64{second}, "product.hardStop": []int64{25 * second / 10},
 		"product.payoff": []float64{1}, "product.effect": []string{"harmless"}, "product.scope": []string{"all"},
-		"product.fresh": []int64{8 * second}, "cancel": true}, router.Limits{Links: 50, Hands: 1000, Bytes: 1 << 20})
+		"product.fresh": []int64{8 * second}, "cancel": true}, router.Limits{MaxConnections: 50, MaxInFlight: 1000, MaxBodyBytes: 1 << 20})
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := router.Listed{Whole: true, Lines: []router.Listing{{Instance: "o", Address: answering(t),
+	list := router.EndpointListUpdated{Complete: true, Entries: []router.EndpointEntry{{Instance: "o", Address: answering(t),
 		Endpoint: control.Endpoint{Location: "here", Kind: "origin", Phase: "ready", Capacity: 200}}}}
 	for i := range caches {
-		list.Lines = append(list.Lines, router.Listing{Instance: fmt.Sprint("s-", i), Address: answering(t),
+		list.Entries = append(list.Entries, router.EndpointEntry{Instance: fmt.Sprint("s-", i), Address: answering(t),
 			Endpoint: control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: 100}})
 	}
 	go func() {
@@ -238,7 +238,7 @@
 			case e := <-s.events:
 				s.handle(r, timer, e)
 			case <-timer.C:
-				s.handle(r, timer, router.Due{})
+				s.handle(r, timer, router.TimerFired{})
 			case <-ctx.Done():
 				return
 			}
@@ -255,13 +255,13 @@
 			s.pool.Dial(e)
 		case router.Send:
 			s.pool.Send(e)
-		case router.GiveUp:
+		case router.CancelAttempt:
 			s.pool.GiveUp(e)
 		case router.Close:
 			s.pool.Close(e)
 		case router.SetTimer:
 			timer.Reset(time.Duration(e.At - time.Now().UnixNano()))
-		case router.Answer:
+		case router.Respond:
 			s.mu.Lock()
 			s.answers[e.Kind]++
 			s.mu.Unlock()
@@ -275,7 +275,7 @@
 
 // ask asks for an object of its own each time, spread over all caches.
 func (s *site) ask(seq int32, ms int) {
-	s.events <- router.Requested{Client: 1, Seq: seq, Body: []byte("q"), Fields: map[string]string{"verb": "stills",
+	s.events <- router.RequestReceived{Client: 1, Seq: seq, Body: []byte("q"), Fields: map[string]string{"verb": "stills",
 		"txn": fmt.Sprintf("%016x", seq), "limit": fmt.Sprint(ms), "item": fmt.Sprintf("%016x", uint64(seq)*0x9e3779b97f4a7c15), "nth": "0",
 		"batch": "17"}}
 }
@@ -284,7 +284,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for kind, n := range s.answers {
-		if kind == router.Settled {
+		if kind == router.Served {
 			settled += n
 		} else {
 			others += n
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -34,7 +34,7 @@
 	write  systemWrite
 
 	mu    sync.Mutex
-	links map[router.LinkID]*link
+	links map[router.ConnectionID]*link
 	group sync.WaitGroup
 }
 
@@ -49,7 +49,7 @@
 
 // New makes a pool; post takes what comes in. All its links end with the context.
 func New(ctx context.Context, report []string, post func(router.Event), options ...Option) *Pool {
-	p := &Pool{ctx: ctx, post: post, report: report, links: map[router.LinkID]*link{}, clock: clock.System(),
+	p := &Pool{ctx: ctx, post: post, report: report, links: map[router.ConnectionID]*link{}, clock: clock.System(),
 		dial: new(net.Dialer).DialContext, write: syscall.Write}
 	for _, option := range options {
 		option(p)
@@ -74,18 +74,18 @@
 // Dial starts a link. Neither this nor the other calls wait.
 func (p *Pool) Dial(e router.Dial) {
 	ctx, cancel := context.WithCancel(p.ctx)
-	l := &link{pool: p, id: e.Link, cancel: cancel, wake: make(chan struct{}, 1)}
+	l := &link{pool: p, id: e.Connection, cancel: cancel, wake: make(chan struct{}, 1)}
 	p.mu.Lock()
-	p.links[e.Link] = l
+	p.links[e.Connection] = l
 	p.mu.Unlock()
 	p.group.Add(1)
 	go func() {
 		defer p.group.Done()
 		defer cancel()
 		err := l.run(ctx, e)
-		down := router.Down{Link: e.Link, Unsent: l.unsent()}
+		down := router.ConnectionDown{Connection: e.Connection, Unsent: l.unsent()}
 		if err != nil {
-			down.Why = err.Error()
+			down.Reason = err.Error()
 		}
 		if neterr.IsLocal(err) {
 			down.Cause = router.Local
@@ -94,7 +94,7 @@
 	}()
 }
 
-func (p *Pool) find(id router.LinkID) *link {
+func (p *Pool) find(id router.ConnectionID) *link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.links[id]
@@ -102,13 +102,13 @@
 
 // Ended completes what is told of a link that has ended by what was queued on it since, and forgets the link. Whoever has requests
 // sent calls it before it takes the event: one that was sent in between went for written.
-func (p *Pool) Ended(e router.Down) router.Down {
-	l := p.find(e.Link)
+func (p *Pool) Ended(e router.ConnectionDown) router.ConnectionDown {
+	l := p.find(e.Connection)
 	if l == nil {
 		return e
 	}
 	p.mu.Lock()
-	delete(p.links, e.Link)
+	delete(p.links, e.Connection)
 	p.mu.Unlock()
 	e.Unsent = l.unsent()
 	return e
@@ -116,36 +116,36 @@
 
 // Send queues a request on a link. It is encoded as it is written.
 func (p *Pool) Send(e router.Send) {
-	if l := p.find(e.Link); l != nil {
+	if l := p.find(e.Connection); l != nil {
 		l.enter(item{request: &e})
 	}
 }
 
 // Withdraw takes back a request of which nothing is written yet, and then tells so.
-func (p *Pool) Withdraw(e router.Withdraw) {
-	if l := p.find(e.Link); l != nil && l.withdraw(e.ID) {
+func (p *Pool) Withdraw(e router.WithdrawAttempt) {
+	if l := p.find(e.Connection); l != nil && l.withdraw(e.ID) {
 		// Apart: whoever calls may be the one who takes what is told.
 		p.group.Go(func() { l.tellWithdrawn(e.ID) })
 	}
 }
 
 // GiveUp takes back a request that is not yet being written, or tells the other side.
-func (p *Pool) GiveUp(e router.GiveUp) {
-	if l := p.find(e.Link); l != nil {
+func (p *Pool) GiveUp(e router.CancelAttempt) {
+	if l := p.find(e.Connection); l != nil {
 		l.giveUp(e.ID)
 	}
 }
 
 // Close ends a link.
 func (p *Pool) Close(e router.Close) {
-	if l := p.find(e.Link); l != nil {
+	if l := p.find(e.Connection); l != nil {
 		l.cancel()
 	}
 }
 
 type link struct {
 	pool   *Pool
-	id     router.LinkID
+	id     router.ConnectionID
 	cancel context.CancelFunc
 	wake   chan struct{}
 
@@ -156,8 +156,8 @@
 }
 
 func (l *link) dial(ctx context.Context, e router.Dial) (net.Conn, error) {
-	if e.Within > 0 {
-		limited, cancel := context.WithTimeout(ctx, time.Duration(e.Within))
+	if e.Timeout > 0 {
+		limited, cancel := context.WithTimeout(ctx, time.Duration(e.Timeout))
 		defer cancel()
 		ctx = limited
 	}
@@ -172,7 +172,7 @@
 	}
 	conn := neterr.Conn{Conn: dialled}
 	defer conn.Close()
-	l.pool.post(router.Up{Link: l.id})
+	l.pool.post(router.ConnectionUp{Connection: l.id})
 	group, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
@@ -220,14 +220,14 @@
 			return err
 		}
 		if answer, ok := Parse(words, l.pool.report); ok {
-			answer.Link = l.id
+			answer.Connection = l.id
 			l.pool.post(answer)
 		}
 	}
 }
 
 // Fetch writes a request that is to be answered within so many ns. What the client sent goes on as it came.
-func Fetch(q router.Request, budget int64) []byte {
+func Fetch(q router.UpstreamRequest, budget int64) []byte {
 	var f strings.Builder
 	add := func(name, value string) {
 		if f.Len() > 0 {
@@ -236,11 +236,11 @@
 		f.WriteString(name + "=" + value)
 	}
 	milliseconds := func(ns int64) string { return strconv.FormatInt(max(ns/1e6, 1), 10) }
-	add("queue", q.Product)
+	add("queue", q.Class)
 	add("path", q.Object)
 	add("blk", q.Part)
 	add("budget", milliseconds(budget))
-	if d := q.Dispatch; q.Source != "" {
+	if d := q.Attempt; q.Source != "" {
 		add("miss", q.Source)
 		if d.CachePriority > 0 {
 			add("prio", strconv.FormatInt(d.CachePriority, 10))
@@ -261,11 +261,11 @@
 			add("f", strings.Join(how, "+"))
 		}
 	}
-	if q.Mine != "" {
-		add("mine", q.Mine)
+	if q.ClientETag != "" {
+		add("mine", q.ClientETag)
 	}
-	if q.Key != "" {
-		add("uniq", q.Key)
+	if q.IdempotencyKey != "" {
+		add("uniq", q.IdempotencyKey)
 	}
 	out := resp.Head(make([]byte, 0, 96+f.Len()+len(q.Body)), 4)
 	out = resp.Text(resp.Text(out, "fetch"), q.ID)
@@ -294,11 +294,11 @@
 
 // Parse understands an answer. One that cannot be used, though it can be told what it answers, counts as an
 // error of the other side: it may have run.
-func Parse(words [][]byte, report []string) (router.Answered, bool) {
+func Parse(words [][]byte, report []string) (router.ResponseReceived, bool) {
 	if len(words) == 0 {
-		return router.Answered{}, false
+		return router.ResponseReceived{}, false
 	}
-	a := router.Answered{ID: string(words[0]), Result: control.ServerError}
+	a := router.ResponseReceived{ID: string(words[0]), Result: control.ServerError}
 	if len(words) != 4 {
 		return a, true
 	}
@@ -314,22 +314,22 @@
 	if result == control.Succeeded {
 		// Without them nothing proves how old the copy is. What is never kept has neither.
 		issued, err := strconv.ParseInt(fields["issued"], 10, 64)
-		a.Bare = fields["issued"] == "" && fields["entity"] == "" && string(words[1]) == "served"
-		if a.Bare {
+		a.Unversioned = fields["issued"] == "" && fields["entity"] == "" && string(words[1]) == "served"
+		if a.Unversioned {
 			a.Body, result = words[3], control.ServerError
 		} else if err != nil || issued <= 0 || fields["entity"] == "" {
 			return a, true
 		} else {
-			a.Same, a.Body, a.Issued = string(words[1]) == "still_good", words[3], clock.FromUnixMilli(issued)
+			a.NotModified, a.Body, a.IssuedAt = string(words[1]) == "still_good", words[3], clock.FromUnixMilli(issued)
 		}
 	}
 	a.Result = result
 	a.Note = int64(slices.Index(notes, fields["detail"]) + 1)
 	if ms, err := strconv.ParseFloat(fields["delay"], 64); err == nil && ms >= 0 && ms < 1e9 {
-		a.Waited = int64(ms * 1e6)
+		a.TimeToFirstByte = int64(ms * 1e6)
 	}
 	if use := fields["use"]; use != "" {
-		a.Load = load(use, report)
+		a.LoadReport = load(use, report)
 	}
 	return a, true
 }
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -20,23 +20,23 @@
 )
 
 func TestFetch(t *testing.T) {
-	base := router.Request{ID: "9b1f03aa5c7e2d41", Product: "stills", Object: "7f3a9c21e0b4d655", Part: "03",
+	base := router.UpstreamRequest{ID: "9b1f03aa5c7e2d41", Class: "stills", Object: "7f3a9c21e0b4d655", Part: "03",
 		Body: []byte("x\r\ny")}
 	for _, c := range []struct {
 		name   string
-		change func(*router.Request)
+		change func(*router.UpstreamRequest)
 		want   string
 	}{
-		{"no fill", func(q *router.Request) { q.Dispatch.CachePriority = 2 }, ""},
-		{"a fill", func(q *router.Request) { q.Source = "p-a" }, ",miss=p-a"},
-		{"all", func(q *router.Request) {
-			q.Source, q.Mine = "p-a", "4be0c1927d55a6f3"
-			q.Dispatch = control.Attempt{CachePriority: 2, MaxAge: 1500e6, JoinFill: true, ParentOnlyIfCached: true, ParentNoStore: true, RefreshBehind: true}
+		{"no fill", func(q *router.UpstreamRequest) { q.Attempt.CachePriority = 2 }, ""},
+		{"a fill", func(q *router.UpstreamRequest) { q.Source = "p-a" }, ",miss=p-a"},
+		{"all", func(q *router.UpstreamRequest) {
+			q.Source, q.ClientETag = "p-a", "4be0c1927d55a6f3"
+			q.Attempt = control.Attempt{CachePriority: 2, MaxAge: 1500e6, JoinFill: true, ParentOnlyIfCached: true, ParentNoStore: true, RefreshBehind: true}
 		}, ",miss=p-a,prio=2,within=1500,f=ride+have-only+through+update,mine=4be0c1927d55a6f3"},
-		{"an idempotency key", func(q *router.Request) { q.Key = "6ad8595c69c03e9f5892348d52ee1791" },
+		{"an idempotency key", func(q *router.UpstreamRequest) { q.IdempotencyKey = "6ad8595c69c03e9f5892348d52ee1791" },
 			",uniq=6ad8595c69c03e9f5892348d52ee1791"},
 		{"an age under a millisecond is not left out, which would mean the fresh time",
-			func(q *router.Request) { q.Source, q.Dispatch.MaxAge = "p-a", 1000 }, ",miss=p-a,within=1"},
+			func(q *router.UpstreamRequest) { q.Source, q.Attempt.MaxAge = "p-a", 1000 }, ",miss=p-a,within=1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			q := base
@@ -54,38 +54,38 @@
 	const proof, issued = "entity=4be0c1927d55a6f3,issued=1764576000123", int64(1764576000123e6)
 	for _, c := range []struct {
 		name, in string // words parted by |
-		want     router.Answered
+		want     router.ResponseReceived
 		ok       bool
 	}{
 		{"served", "i|served|" + proof + ",detail=TCP_MISS,delay=12.5,use=inflight:7;x0:0.61|bytes",
-			router.Answered{ID: "i", Result: control.Succeeded, Issued: issued, Body: []byte("bytes"), Note: 2, Waited: 125e5,
-				Load: []float64{7, 0, 0.61}}, true},
-		{"a report in the wire's words", "i|crashed|use=outstanding:11.128;x1:0.736|", router.Answered{ID: "i",
-			Result: control.ServerError, Load: []float64{11.128, 0.736, 0}}, true},
-		{"the copy holds", "i|still_good|" + proof + ",detail=TCP_HIT|", router.Answered{ID: "i", Result: control.Succeeded,
-			Issued: issued, Same: true, Body: []byte{}, Note: 1}, true},
-		{"a miss", "i|not_here|detail=PEER_MISS|", router.Answered{ID: "i", Result: control.NotHeld, Note: 8}, true},
-		{"full", "i|overload|-|", router.Answered{ID: "i", Result: control.Overloaded}, true},
-		{"an error", "i|crashed|-|", router.Answered{ID: "i", Result: control.ServerError}, true},
-		{"over already", "i|nobody|-|", router.Answered{ID: "i", Result: control.NotSent}, true},
+			router.ResponseReceived{ID: "i", Result: control.Succeeded, IssuedAt: issued, Body: []byte("bytes"), Note: 2, TimeToFirstByte: 125e5,
+				LoadReport: []float64{7, 0, 0.61}}, true},
+		{"a report in the wire's words", "i|crashed|use=outstanding:11.128;x1:0.736|", router.ResponseReceived{ID: "i",
+			Result: control.ServerError, LoadReport: []float64{11.128, 0.736, 0}}, true},
+		{"the copy holds", "i|still_good|" + proof + ",detail=TCP_HIT|", router.ResponseReceived{ID: "i", Result: control.Succeeded,
+			IssuedAt: issued, NotModified: true, Body: []byte{}, Note: 1}, true},
+		{"a miss", "i|not_here|detail=PEER_MISS|", router.ResponseReceived{ID: "i", Result: control.NotHeld, Note: 8}, true},
+		{"full", "i|overload|-|", router.ResponseReceived{ID: "i", Result: control.Overloaded}, true},
+		{"an error", "i|crashed|-|", router.ResponseReceived{ID: "i", Result: control.ServerError}, true},
+		{"over already", "i|nobody|-|", router.ResponseReceived{ID: "i", Result: control.NotSent}, true},
 		{"odd notes and reports say nothing", "i|served|" + proof + ",detail=ODD,delay=long,use=??|b",
-			router.Answered{ID: "i", Result: control.Succeeded, Issued: issued, Body: []byte("b"), Load: []float64{0, 0, 0}}, true},
-		{"no age", "i|served|entity=4be0c1927d55a6f3|b", router.Answered{ID: "i", Result: control.ServerError}, true},
-		{"an odd age", "i|served|entity=4be0c1927d55a6f3,issued=soon|b", router.Answered{ID: "i",
+			router.ResponseReceived{ID: "i", Result: control.Succeeded, IssuedAt: issued, Body: []byte("b"), LoadReport: []float64{0, 0, 0}}, true},
+		{"no age", "i|served|entity=4be0c1927d55a6f3|b", router.ResponseReceived{ID: "i", Result: control.ServerError}, true},
+		{"an odd age", "i|served|entity=4be0c1927d55a6f3,issued=soon|b", router.ResponseReceived{ID: "i",
 			Result: control.ServerError}, true},
-		{"an age of 0", "i|served|entity=4be0c1927d55a6f3,issued=0|b", router.Answered{ID: "i", Result: control.ServerError}, true},
-		{"a negative age", "i|served|entity=4be0c1927d55a6f3,issued=-1|b", router.Answered{ID: "i", Result: control.ServerError}, true},
-		{"an age of the far future", "i|served|entity=4be0c1927d55a6f3,issued=9223372036854775807|b", router.Answered{ID: "i",
-			Result: control.Succeeded, Issued: math.MaxInt64, Body: []byte("b")}, true},
-		{"an age beyond all numbers", "i|served|entity=4be0c1927d55a6f3,issued=9223372036854775808|b", router.Answered{ID: "i",
+		{"an age of 0", "i|served|entity=4be0c1927d55a6f3,issued=0|b", router.ResponseReceived{ID: "i", Result: control.ServerError}, true},
+		{"a negative age", "i|served|entity=4be0c1927d55a6f3,issued=-1|b", router.ResponseReceived{ID: "i", Result: control.ServerError}, true},
+		{"an age of the far future", "i|served|entity=4be0c1927d55a6f3,issued=9223372036854775807|b", router.ResponseReceived{ID: "i",
+			Result: control.Succeeded, IssuedAt: math.MaxInt64, Body: []byte("b")}, true},
+		{"an age beyond all numbers", "i|served|entity=4be0c1927d55a6f3,issued=9223372036854775808|b", router.ResponseReceived{ID: "i",
 			Result: control.ServerError}, true},
-		{"no tag", "i|served|issued=1764576000123|b", router.Answered{ID: "i", Result: control.ServerError}, true},
-		{"neither: it is for who knows the product to say", "i|served|detail=TCP_MISS_ROOT|done", router.Answered{ID: "i",
-			Result: control.ServerError, Bare: true, Body: []byte("done"), Note: 3}, true},
-		{"neither, of a copy that is to hold", "i|still_good|detail=TCP_HIT|", router.Answered{ID: "i", Result: control.ServerError}, true},
-		{"an unknown word", "i|maybe|" + proof + "|b", router.Answered{ID: "i", Result: control.ServerError}, true},
-		{"words missing", "i|served", router.Answered{ID: "i", Result: control.ServerError}, true},
-		{"a sign of life", "t|green|-|", router.Answered{ID: "t", Result: control.ServerError}, false},
+		{"no tag", "i|served|issued=1764576000123|b", router.ResponseReceived{ID: "i", Result: control.ServerError}, true},
+		{"neither: it is for who knows the product to say", "i|served|detail=TCP_MISS_ROOT|done", router.ResponseReceived{ID: "i",
+			Result: control.ServerError, Unversioned: true, Body: []byte("done"), Note: 3}, true},
+		{"neither, of a copy that is to hold", "i|still_good|detail=TCP_HIT|", router.ResponseReceived{ID: "i", Result: control.ServerError}, true},
+		{"an unknown word", "i|maybe|" + proof + "|b", router.ResponseReceived{ID: "i", Result: control.ServerError}, true},
+		{"words missing", "i|served", router.ResponseReceived{ID: "i", Result: control.ServerError}, true},
+		{"a sign of life", "t|green|-|", router.ResponseReceived{ID: "t", Result: control.ServerError}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var words [][]byte
@@ -161,7 +161,7 @@
 			time.Sleep(time.Second)
 		}, func(p *Pool) {
 			<-closing
-			p.Close(router.Close{Link: 1})
+			p.Close(router.Close{Connection: 1})
 		}, "up, down []"},
 		{"given up after it was written", func(c net.Conn) {
 			in := bufio.NewReader(c)
@@ -171,7 +171,7 @@
 			fmt.Fprintf(c, "*4\r\n$1\r\n%.1s\r\n$%d\r\n%s\r\n$1\r\n-\r\n$0\r\n\r\n", first[0], len(second[0]), second[0])
 		}, func(p *Pool) {
 			<-written
-			p.GiveUp(router.GiveUp{Link: 1, ID: request.Request.ID})
+			p.GiveUp(router.CancelAttempt{Connection: 1, ID: request.Request.ID})
 		}, "up, answered 6, down []"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -194,19 +194,19 @@
 			defer cancel()
 			events, begun := make(chan router.Event, 16), time.Now()
 			p := New(ctx, nil, func(e router.Event) { events <- e })
-			p.Dial(router.Dial{Link: 1, Address: listener.Addr().String(), Within: int64(time.Second)})
+			p.Dial(router.Dial{Connection: 1, Address: listener.Addr().String(), Timeout: int64(time.Second)})
 			var got []string
 			for over := false; !over; {
 				switch e := (<-events).(type) {
-				case router.Up:
+				case router.ConnectionUp:
 					got = append(got, "up")
 					p.Send(request)
 					if c.do != nil {
 						c.do(p)
 					}
-				case router.Answered:
+				case router.ResponseReceived:
 					got = append(got, fmt.Sprint("answered ", int(e.Result)))
-				case router.Down:
+				case router.ConnectionDown:
 					got, over = append(got, fmt.Sprint("down ", e.Unsent)), true
 				}
 			}
@@ -223,9 +223,9 @@
 	l := &link{pool: p, id: 1, wake: make(chan struct{}, 1)}
 	p.links[1] = l
 	for _, id := range []string{"a", "b"} {
-		p.Send(router.Send{Link: 1, Request: router.Request{ID: id}})
+		p.Send(router.Send{Connection: 1, Request: router.UpstreamRequest{ID: id}})
 	}
-	p.GiveUp(router.GiveUp{Link: 1, ID: "a"})
+	p.GiveUp(router.CancelAttempt{Connection: 1, ID: "a"})
 	if got := l.unsent(); len(l.queue) != 1 || !reflect.DeepEqual(got, []string{"b"}) {
 		t.Errorf("%d queued, unsent %v", len(l.queue), got)
 	}
--- a/upstream/write.go
+++ b/upstream/write.go
@@ -46,11 +46,11 @@
 	if i.request == nil {
 		return Abort(i.abort)
 	}
-	return Fetch(i.request.Request, i.request.Request.Until-now)
+	return Fetch(i.request.Request, i.request.Request.Deadline-now)
 }
 
 // mayBeWritten tells whether the time in which an item may be written has not passed.
-func (i item) mayBeWritten(now int64) bool { return i.request == nil || now < i.request.Before }
+func (i item) mayBeWritten(now int64) bool { return i.request == nil || now < i.request.SendDeadline }
 
 // enter queues an item.
 func (l *link) enter(i item) {
@@ -93,7 +93,7 @@
 
 // tellWithdrawn tells that a request is not written. Until that is told it counts among the unsent: the link may end meanwhile.
 func (l *link) tellWithdrawn(id string) {
-	l.pool.post(router.Withdrawn{Link: l.id, ID: id})
+	l.pool.post(router.AttemptWithdrawn{Connection: l.id, ID: id})
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if at := slices.Index(l.withdrawn, id); at >= 0 {
--- a/upstream/write_test.go
+++ b/upstream/write_test.go
@@ -45,7 +45,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	full := &fullLink{events: make(chan router.Event, 4*fillers)}
 	full.pool = New(ctx, nil, func(e router.Event) { full.events <- e })
-	full.pool.Dial(router.Dial{Link: 1, Address: listener.Addr().String(), Within: int64(time.Second)})
+	full.pool.Dial(router.Dial{Connection: 1, Address: listener.Addr().String(), Timeout: int64(time.Second)})
 	if full.cache, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 	for end := time.After(time.Second); ; {
 		select {
 		case e := <-f.events:
-			if w, ok := e.(router.Withdrawn); ok && w.ID == id {
+			if w, ok := e.(router.AttemptWithdrawn); ok && w.ID == id {
 				return e
 			}
 		case <-end:
@@ -131,8 +131,8 @@
 	f.pool.Send(sending("given up", time.Minute))
 	f.pool.Send(sending("expires", waited/2))
 	f.pool.Send(sending("waits", 10*time.Second))
-	f.pool.Withdraw(router.Withdraw{Link: 1, ID: "withdrawn"})
-	f.pool.GiveUp(router.GiveUp{Link: 1, ID: "given up"})
+	f.pool.Withdraw(router.WithdrawAttempt{Connection: 1, ID: "withdrawn"})
+	f.pool.GiveUp(router.CancelAttempt{Connection: 1, ID: "given up"})
 	if f.told("withdrawn") == nil {
 		t.Error("not told that it is withdrawn, while the way is full")
 	}
@@ -164,8 +164,8 @@
 	if begun == "" {
 		t.Fatal("nothing is written in part") // each is larger than what is written at once
 	}
-	f.pool.Withdraw(router.Withdraw{Link: 1, ID: begun})
-	f.pool.GiveUp(router.GiveUp{Link: 1, ID: begun})
+	f.pool.Withdraw(router.WithdrawAttempt{Connection: 1, ID: begun})
+	f.pool.GiveUp(router.CancelAttempt{Connection: 1, ID: begun})
 	f.pool.Send(sending("last", time.Minute))
 	budgets, aborts := f.arrived(t, "last")
 	if _, came := budgets[begun]; !came || !slices.Equal(aborts, []string{begun}) {
@@ -183,14 +183,14 @@
 		want++
 	}
 	f.link.mu.Unlock()
-	f.pool.Withdraw(router.Withdraw{Link: 1, ID: "waits"})
-	f.pool.Close(router.Close{Link: 1})
+	f.pool.Withdraw(router.WithdrawAttempt{Connection: 1, ID: "waits"})
+	f.pool.Close(router.Close{Connection: 1})
 	withdrawn := false
 	for e := range f.events {
 		switch e := e.(type) {
-		case router.Withdrawn:
+		case router.AttemptWithdrawn:
 			withdrawn = true
-		case router.Down:
+		case router.ConnectionDown:
 			if withdrawn && !slices.Contains(e.Unsent, "waits") {
 				want--
 			}
@@ -211,7 +211,7 @@
 	l = &link{pool: p, id: 1, wake: make(chan struct{}, 1)}
 	p.links[1] = l
 	p.Send(sending("a", time.Minute))
-	p.Withdraw(router.Withdraw{Link: 1, ID: "a"})
+	p.Withdraw(router.WithdrawAttempt{Connection: 1, ID: "a"})
 	p.Wait()
 	if after := l.unsent(); !slices.Equal(meanwhile, []string{"a"}) || len(after) > 0 {
 		t.Errorf("unsent %v, then %v", meanwhile, after)
@@ -222,8 +222,8 @@
 func TestSentAfterTheLinkEnded(t *testing.T) {
 	events := make(chan router.Event, 4)
 	p := New(context.Background(), nil, func(e router.Event) { events <- e })
-	p.Dial(router.Dial{Link: 1, Address: "127.0.0.1:1", Within: int64(time.Second)})
-	down, ok := (<-events).(router.Down)
+	p.Dial(router.Dial{Connection: 1, Address: "127.0.0.1:1", Timeout: int64(time.Second)})
+	down, ok := (<-events).(router.ConnectionDown)
 	if !ok {
 		t.Fatal("its link stands")
 	}
