--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -406,6 +406,7 @@
 		})
 	}
 }
+
 // Rates that are not worked out again while there can't be a token cost next to nothing of what may be sent: all but a
 // twentieth of what goes out where they are worked out at every request.
 func TestPostponedRatesCostLittle(t *testing.T) {
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -16,8 +16,8 @@
 // read them.
 type Snapshot struct {
 	restore.Header
-	Position  int64            // of the last watch event of the discovery service; 0: no endpoint list is known
-	Digest    uint64           // of that event's text
-	Endpoints []router.Listing `cbor:"Members"`
+	Position  int64                  // of the last watch event of the discovery service; 0: no endpoint list is known
+	Digest    uint64                 // of that event's text
+	Endpoints []router.EndpointEntry `cbor:"Members"`
 	Memory    control.Snapshot
 }
--- a/snapshot/store_test.go
+++ b/snapshot/store_test.go
@@ -265,7 +265,7 @@
 	s.Endpoints, s.Memory.Objects, s.Memory.Purges = nil, nil, nil
 	for n := range 10_000 {
 		name := fmt.Sprintf("cache-server-%050d", n)
-		s.Endpoints = append(s.Endpoints, router.Listing{
+		s.Endpoints = append(s.Endpoints, router.EndpointEntry{
 			Instance: name, Address: "127.100.100.100:10080",
 			Endpoint: control.Endpoint{
 				ID: uint32(n), Location: "a-zone-with-a-long-name", Kind: "a-kind-with-a-long-name", Cell: 1 << 20,
