--- a/control/control_test.go
+++ b/control/control_test.go
@@ -78,3 +78,36 @@
 		})
 	}
 }
+
+// Calls that no adapter should make change nothing.
+func TestOddCalls(t *testing.T) {
+	r := newRouter(t, nil)
+	if decision := r.Decide(start, ask("unheard of", "a")); decision.Verdict != Fail {
+		t.Errorf("of no class: %+v", decision)
+	}
+	request := ask("harmless", "a")
+	r.Decide(start, request)
+	for _, number := range []int{-1, 1} {
+		if decision := r.AttemptEnded(start, request, Outcome{Attempt: number}); decision.Verdict != Wait {
+			t.Errorf("outcome of attempt %d: %+v", number, decision)
+		}
+		if !r.AcceptsCopy(start, request, number, 1) {
+			t.Errorf("no answer of attempt %d is taken", number)
+		}
+	}
+	r.ClientGone(start, request)
+	if decision := r.Decide(start, request); decision.Verdict != Wait || r.RecheckDelay(start, request) != 0 {
+		t.Errorf("after its end: %+v", decision)
+	}
+	r.ProbeEnded(start, 99, true, nil)
+}
+
+// Where attempts can't be called off, none is.
+func TestWithoutCancelling(t *testing.T) {
+	r := newRouter(t, Settings{"cancel": false})
+	request := ask("harmless", "a")
+	r.Decide(start, request)
+	if decision := r.ClientGone(start, request); len(decision.Cancel) > 0 {
+		t.Errorf("%+v", decision)
+	}
+}
--- a/control/rates_test.go
+++ b/control/rates_test.go
@@ -42,3 +42,17 @@
 		t.Errorf("back from the ghosts: ghost %v, count %v, table %v", again.evicted, again.requestCount, r.rates.recentObjects.Len())
 	}
 }
+
+// However many objects are asked for, the records are bounded, and the one that was not asked for longest goes first.
+func TestRecordsAreBounded(t *testing.T) {
+	rates := newRequestRates(start)
+	for n := range 2*maxObjects + 2 {
+		rates.record(start, &Request{Object: fmt.Sprint(n)})
+	}
+	if len(rates.objects) != 2*maxObjects || rates.recentObjects.Len() != maxObjects || rates.evictedObjects.Len() != maxObjects {
+		t.Errorf("%d records, %d recent, %d evicted", len(rates.objects), rates.recentObjects.Len(), rates.evictedObjects.Len())
+	}
+	if rates.objects[objectKey{object: "1"}] != nil || rates.objects[objectKey{object: "2"}] == nil {
+		t.Error("others than the oldest went")
+	}
+}
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -119,3 +119,45 @@
 		})
 	}
 }
+
+// A keyed request that may have run is repeated only within its key's scope.
+func TestKeyScopes(t *testing.T) {
+	ran := &attemptState{cache: &endpointState{Endpoint: Endpoint{Location: "here", Cell: 1}}}
+	didNotRun := &attemptState{cache: ran.cache, ended: true, result: NotSent}
+	sameCell := &endpointState{Endpoint: Endpoint{Location: "here", Cell: 1}}
+	sameZone := &endpointState{Endpoint: Endpoint{Location: "here", Cell: 2}}
+	elsewhere := &endpointState{Endpoint: Endpoint{Location: "there", Cell: 3}}
+	for _, c := range []struct {
+		name        string
+		idempotency idempotency
+		scope       string
+		attempt     *attemptState
+		want        [3]bool // in the cell, in the zone, elsewhere
+	}{
+		{"cell", keyed, scopeCell, ran, [3]bool{true, false, false}},
+		{"zone", keyed, scopeZone, ran, [3]bool{true, true, false}},
+		{"all", keyed, scopeAll, ran, [3]bool{true, true, true}},
+		{"did not run", keyed, scopeCell, didNotRun, [3]bool{true, true, true}},
+		{"idempotent", idempotent, scopeCell, ran, [3]bool{true, true, true}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			class := &classState{classTerms: classTerms{idempotency: c.idempotency, keyScope: c.scope}}
+			request := &Request{requestState: requestState{class: class, attempts: []*attemptState{c.attempt}}}
+			got := [3]bool{request.withinKeyScope(sameCell), request.withinKeyScope(sameZone), request.withinKeyScope(elsewhere)}
+			if got != c.want {
+				t.Errorf("%v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// Without the setting, a rejection carries no Retry-After.
+func TestRejectionWithoutRetryAfter(t *testing.T) {
+	r := newRouter(t, Settings{"advice": false})
+	request := ask("harmless", "a")
+	r.Decide(start, request)
+	request.ended = false
+	if decision := r.rejectOrFail(start, request); decision.Verdict != Reject || decision.RetryAfter != 0 {
+		t.Errorf("%+v", decision)
+	}
+}
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -61,3 +61,22 @@
 		t.Errorf("%+v", one.Objects)
 	}
 }
+
+// What a snapshot has twice, of classes that are no more, or with times that can't be, is passed over; evicted objects stay so.
+func TestRestoreOfOddSnapshots(t *testing.T) {
+	r := newRouter(t, nil)
+	before := *r.classByName["once"]
+	r.Restore(start, Snapshot{
+		Classes: []ClassSnapshot{{Name: "no more", SendingTime: 1, ResponseTime: 1}, {Name: "once", SendingTime: -1, ResponseTime: 1}},
+		Objects: []ObjectSnapshot{{Object: "a", Group: 1}, {Object: "a", Group: 2}, {Object: "b", Evicted: true}},
+	}, true)
+	if got := *r.classByName["once"]; got != before || len(r.classByName) != 3 {
+		t.Errorf("%+v, was %+v", got, before)
+	}
+	if record := r.rates.objects[objectKey{object: "a"}]; len(r.rates.objects) != 2 || record.group != 1 {
+		t.Errorf("%d records, %+v", len(r.rates.objects), record)
+	}
+	if r.rates.recentObjects.Len() != 1 || r.rates.evictedObjects.Len() != 1 {
+		t.Errorf("%d recent, %d evicted", r.rates.recentObjects.Len(), r.rates.evictedObjects.Len())
+	}
+}
