--- a/router/clock_test.go
+++ b/router/clock_test.go
@@ -66,7 +66,7 @@
 	p := newPlay(t, nil)
 	p.ask(1, nil)
 	p.up()
-	address := p.Router.links[p.links[0]].address
+	address := p.Router.connections[p.links[0]].address
 	line := fleet[slices.IndexFunc(fleet, func(l EndpointEntry) bool { return l.Address == address })]
 	told := func(started int64) {
 		line.StartedAt = started
--- a/router/endings_test.go
+++ b/router/endings_test.go
@@ -162,8 +162,8 @@
 			if got := strings.Join(p.seen, ", "); got != c.want {
 				t.Errorf("effects %s\nwant    %s", got, c.want)
 			}
-			if len(p.ids) != p.hands {
-				t.Errorf("%d ids, %d in hand", len(p.ids), p.hands)
+			if len(p.requestsByID) != p.inFlight {
+				t.Errorf("%d ids, %d in hand", len(p.requestsByID), p.inFlight)
 			}
 		})
 	}
@@ -174,7 +174,7 @@
 	home := func(item string) string {
 		p := endings(t)
 		p.ask(1, map[string]string{"item": item})
-		return p.Router.links[p.links[0]].address
+		return p.Router.connections[p.links[0]].address
 	}
 	for n := range 100 {
 		if item := fmt.Sprintf("%016x", n); home(item) != home(object) {
--- a/router/links.go
+++ b/router/links.go
@@ -9,386 +9,386 @@
 )
 
 const (
-	// linksMost is how many links one member has beside those that carry all they may.
-	linksMost = 4
+	// linksMost is how many connections one endpoint has beside those that carry all they may.
+	maxConnectionsPerEndpoint = 4
 
-	// shareFrom is how much is open on a member's least used link from which it gets one more: one spoilt answer
-	// takes all with it that is open on its link.
-	shareFrom = 3
+	// shareFrom is how much is open on an endpoint's least used connection from which it gets one more: one spoilt answer
+	// takes all with it that is open on its connection.
+	shareThreshold = 3
 )
 
-// member is one instance of the list.
-type member struct {
+// endpoint is one instance of the list.
+type endpoint struct {
 	EndpointEntry
-	links   []*link
-	planned bool // the plan of links counts it among the caches
+	connections []*connection
+	inPlan      bool // the plan of connections counts it among the caches
 }
 
-// link is one connection to a member.
-type link struct {
-	id      ConnectionID
-	member  *member
-	address string
-	up      bool
-	doubted bool // it has been silent on what it was asked: nothing new is sent on it
-	closed  bool
-	open    map[string]*dispatch // by the id that is on the link
-	past    map[string]int64     // ids given up on it, with the time: an answer may come yet
-	heard   int64
-	used    int64
+// connection is one connection to an endpoint.
+type connection struct {
+	id             ConnectionID
+	endpoint       *endpoint
+	address        string
+	established    bool
+	unresponsive   bool // it has been silent on what it was asked: nothing new is sent on it
+	closed         bool
+	inFlight       map[string]*attempt // by the id that is on the connection
+	abandonedAt    map[string]int64    // ids given up on it, with the time: an answer may come yet
+	lastReceivedAt int64
+	lastUsedAt     int64
 }
 
-// dispatch starts a dispatch that the module decided on.
-func (r *Router) dispatch(h *hand, plan control.Attempt) {
-	d := &dispatch{hand: h, number: len(h.dispatches), cache: r.byID[plan.Cache], sent: r.now}
-	h.dispatches = append(h.dispatches, d)
-	within := plan.Timeout
-	if within <= 0 || within > h.Deadline-r.now {
-		within = h.Deadline - r.now
-	}
-	d.request = UpstreamRequest{ID: h.fields["txn"], Class: h.fields["verb"], Object: h.fields["item"],
-		Part: h.fields["nth"], Body: h.body, Deadline: r.now + within, Attempt: plan}
-	if tag := h.fields["got"]; isHex(tag) {
-		d.request.ClientETag = tag
-	}
-	d.request.IdempotencyKey = h.fields["unique"]
-	if !plan.CacheOnly {
-		if d.source = r.byID[plan.Source]; d.source != nil {
-			d.request.Source = d.source.Instance
+// startAttempt starts an attempt that the policy decided on.
+func (r *Router) startAttempt(request *inFlightRequest, decided control.Attempt) {
+	attempt := &attempt{request: request, number: len(request.attempts), cache: r.endpointsByID[decided.Cache], startedAt: r.now}
+	request.attempts = append(request.attempts, attempt)
+	timeout := decided.Timeout
+	if timeout <= 0 || timeout > request.Deadline-r.now {
+		timeout = request.Deadline - r.now
+	}
+	attempt.upstream = UpstreamRequest{ID: request.fields["txn"], Class: request.fields["verb"], Object: request.fields["item"],
+		Part: request.fields["nth"], Body: request.body, Deadline: r.now + timeout, Attempt: decided}
+	if tag := request.fields["got"]; isHex(tag) {
+		attempt.upstream.ClientETag = tag
+	}
+	attempt.upstream.IdempotencyKey = request.fields["unique"]
+	if !decided.CacheOnly {
+		if attempt.source = r.endpointsByID[decided.Source]; attempt.source != nil {
+			attempt.upstream.Source = attempt.source.Instance
 		}
 	}
-	if d.cache != nil {
-		d.link = r.pick(d.cache, d.request.ID)
+	if attempt.cache != nil {
+		attempt.connection = r.pickConnection(attempt.cache, attempt.upstream.ID)
 	}
-	if d.link == nil {
-		d.link = &link{}
+	if attempt.connection == nil {
+		attempt.connection = &connection{}
 		result := control.NotSent
-		if r.shortage.Active(r.now) {
+		if r.localBackoff.Active(r.now) {
 			result = control.LocalError
 		}
-		r.ended(d, control.Outcome{Result: result})
+		r.attemptEnded(attempt, control.Outcome{Result: result})
 		return
 	}
-	d.link.open[d.request.ID] = d
-	d.link.used = r.now
-	d.until = r.now + within
-	d.reach = min(d.until-millisecond, r.now+plan.SendTimeout) // with less than the wire's unit left it could not be told
-	if d.link.up {
-		r.write(d)
+	attempt.connection.inFlight[attempt.upstream.ID] = attempt
+	attempt.connection.lastUsedAt = r.now
+	attempt.deadline = r.now + timeout
+	attempt.sendDeadline = min(attempt.deadline-millisecond, r.now+decided.SendTimeout) // with less than the wire's unit left it could not be told
+	if attempt.connection.established {
+		r.send(attempt)
 		return
 	}
-	d.ends = r.due.Push(d.reach, task{dispatch: d})
+	attempt.timer = r.timers.Push(attempt.sendDeadline, timerTask{attempt: attempt})
 }
 
-// pick gives the least used link to a member, or dials one. A link on which this id was given up before is
+// pickConnection gives the least used connection to an endpoint, or dials one. A connection on which this id was given up before is
 // left out: a late answer to that could be taken for one to this.
-func (r *Router) pick(m *member, id string) *link {
-	var best, quiet *link
-	full := 0
-	for _, l := range m.links {
-		_, past := l.past[id]
+func (r *Router) pickConnection(endpoint *endpoint, id string) *connection {
+	var best, stalled *connection
+	fullConnections := 0
+	for _, connection := range endpoint.connections {
+		_, wasAbandoned := connection.abandonedAt[id]
 		switch {
-		case int64(len(l.open)) >= r.streams:
-			full++
-		case l.doubted || past || l.open[id] != nil || !r.limits.ConnectionPlan.CanSend(r.now, m.Instance):
-		case r.quiet(l):
-			quiet = l
-		case best == nil || l.up && !best.up || l.up == best.up && len(l.open) < len(best.open):
-			best = l
+		case int64(len(connection.inFlight)) >= r.maxPerConnection:
+			fullConnections++
+		case connection.unresponsive || wasAbandoned || connection.inFlight[id] != nil || !r.limits.ConnectionPlan.CanSend(r.now, endpoint.Instance):
+		case r.isStalled(connection):
+			stalled = connection
+		case best == nil || connection.established && !best.established || connection.established == best.established && len(connection.inFlight) < len(best.inFlight):
+			best = connection
 		}
 	}
-	switch spent := len(m.links)-full >= linksMost || len(r.links) >= r.limits.MaxConnections; {
-	case best != nil && (spent || len(best.open) < shareFrom):
+	switch atLimit := len(endpoint.connections)-fullConnections >= maxConnectionsPerEndpoint || len(r.connections) >= r.limits.MaxConnections; {
+	case best != nil && (atLimit || len(best.inFlight) < shareThreshold):
 		return best
-	case spent:
-		return quiet
-	case r.shortage.Active(r.now), !r.limits.ConnectionPlan.CanConnect(r.now, m.Instance, len(m.links)):
-		return cmp.Or(best, quiet)
+	case atLimit:
+		return stalled
+	case r.localBackoff.Active(r.now), !r.limits.ConnectionPlan.CanConnect(r.now, endpoint.Instance, len(endpoint.connections)):
+		return cmp.Or(best, stalled)
 	}
-	l := r.dial(m)
-	if best != nil && best.up {
+	connection := r.dial(endpoint)
+	if best != nil && best.established {
 		return best // the new one is for what follows
 	}
-	return l
+	return connection
 }
 
-// dial opens one more link to a member.
-func (r *Router) dial(m *member) *link {
-	r.linked++
-	l := &link{id: r.linked, member: m, address: m.Address, open: map[string]*dispatch{}, past: map[string]int64{},
-		heard: r.now, used: r.now}
-	m.links = append(m.links, l)
-	r.links[l.id] = l
-	r.limits.ConnectionPlan.Dialled(r.now, m.Instance)
-	r.do(Dial{Connection: l.id, Address: l.address, Timeout: r.dialWithin})
-	return l
+// dial opens one more connection to an endpoint.
+func (r *Router) dial(endpoint *endpoint) *connection {
+	r.lastConnection++
+	connection := &connection{id: r.lastConnection, endpoint: endpoint, address: endpoint.Address, inFlight: map[string]*attempt{}, abandonedAt: map[string]int64{},
+		lastReceivedAt: r.now, lastUsedAt: r.now}
+	endpoint.connections = append(endpoint.connections, connection)
+	r.connections[connection.id] = connection
+	r.limits.ConnectionPlan.Dialled(r.now, endpoint.Instance)
+	r.emit(Dial{Connection: connection.id, Address: connection.address, Timeout: r.connectTimeout})
+	return connection
 }
 
-// reaches tells whether a dispatch to a member would find a link, or may open one: by the plan, and within the links that
-// the router may have in all. It is the module's to pass over a cache that can't be reached, in the order of an object's
-// ranking: where there are more caches than links, what has no link of its own goes to one that stands.
-func (r *Router) reaches(id uint32) bool {
-	m := r.byID[id]
-	if m == nil || !r.isCache(m) {
+// reachable tells whether an attempt to an endpoint would find a connection, or may open one: by the plan, and within the connections that
+// the router may have in all. It is the policy's to pass over a cache that can't be reached, in the order of an object's
+// ranking: where there are more caches than connections, what has no connection of its own goes to one that stands.
+func (r *Router) reachable(id uint32) bool {
+	endpoint := r.endpointsByID[id]
+	if endpoint == nil || !r.isCache(endpoint) {
 		return true
 	}
-	mayDial := !r.shortage.Active(r.now) && len(r.links) < r.limits.MaxConnections
-	if mayDial && r.limits.ConnectionPlan.CanConnect(r.now, m.Instance, len(m.links)) {
+	mayDial := !r.localBackoff.Active(r.now) && len(r.connections) < r.limits.MaxConnections
+	if mayDial && r.limits.ConnectionPlan.CanConnect(r.now, endpoint.Instance, len(endpoint.connections)) {
 		return true
 	}
-	return r.limits.ConnectionPlan.CanSend(r.now, m.Instance) && slices.ContainsFunc(m.links, func(l *link) bool { return !l.doubted })
+	return r.limits.ConnectionPlan.CanSend(r.now, endpoint.Instance) && slices.ContainsFunc(endpoint.connections, func(connection *connection) bool { return !connection.unresponsive })
 }
 
-// isCache tells whether a member is a cache of this router's location.
-func (r *Router) isCache(m *member) bool {
-	return m.Location == r.location && !slices.Contains(r.notCaches, m.Kind)
+// isCache tells whether an endpoint is a cache of this router's location.
+func (r *Router) isCache(endpoint *endpoint) bool {
+	return endpoint.Location == r.location && !slices.Contains(r.nonCacheKinds, endpoint.Kind)
 }
 
-// meet dials caches ahead of what is to be sent there, as the plan says.
-func (r *Router) meet() {
-	if r.shortage.Active(r.now) {
+// preconnect dials caches ahead of what is to be sent there, as the plan says.
+func (r *Router) preconnect() {
+	if r.localBackoff.Active(r.now) {
 		return
 	}
 	for _, name := range r.limits.ConnectionPlan.Preconnect(r.now) {
-		if m := r.members[name]; m != nil && len(m.links) == 0 && len(r.links) < r.limits.MaxConnections {
-			r.dial(m)
+		if endpoint := r.endpoints[name]; endpoint != nil && len(endpoint.connections) == 0 && len(r.connections) < r.limits.MaxConnections {
+			r.dial(endpoint)
 		}
 	}
 }
 
-// quiet tells whether nothing has come on a link for a while though something is open on it: a slow answer
+// isStalled tells whether nothing has come on a connection for a while though something is open on it: a slow answer
 // may be on its way, and whatever is asked behind it would wait for that.
-func (r *Router) quiet(l *link) bool {
-	if !l.up || len(l.open) == 0 {
+func (r *Router) isStalled(connection *connection) bool {
+	if !connection.established || len(connection.inFlight) == 0 {
 		return false
 	}
 	oldest := r.now
-	for _, d := range l.open {
-		oldest = min(oldest, d.sent)
+	for _, attempt := range connection.inFlight {
+		oldest = min(oldest, attempt.startedAt)
 	}
-	return r.now-max(oldest, l.heard) > r.dialWithin
+	return r.now-max(oldest, connection.lastReceivedAt) > r.connectTimeout
 }
 
-// up sends what has waited for a link.
-func (r *Router) up(e ConnectionUp) {
-	l := r.links[e.Connection]
-	if l == nil {
+// connectionUp sends what has waited for a connection.
+func (r *Router) connectionUp(e ConnectionUp) {
+	connection := r.connections[e.Connection]
+	if connection == nil {
 		return
 	}
-	for _, d := range r.inOpen(l) {
-		if !l.up && r.now >= d.reach {
+	for _, attempt := range r.attemptsOn(connection) {
+		if !connection.established && r.now >= attempt.sendDeadline {
 			// Its time came in the same moment or before, and only the timer was late: it was written past its deadline, or past
 			// the window in which its repeats are dropped.
-			r.late(d)
+			r.attemptTimerFired(attempt)
 		}
 	}
-	r.dialPassed()
-	l.up, l.heard = true, r.now
-	r.limits.ConnectionPlan.Established(l.member.Instance)
-	for _, d := range r.inOpen(l) {
-		r.write(d)
+	r.dialSucceeded()
+	connection.established, connection.lastReceivedAt = true, r.now
+	r.limits.ConnectionPlan.Established(connection.endpoint.Instance)
+	for _, attempt := range r.attemptsOn(connection) {
+		r.send(attempt)
 	}
-	r.tidy(l)
+	r.closeIfUnresponsive(connection)
 }
 
-// write sends a dispatch on a link that is up.
-func (r *Router) write(d *dispatch) {
-	r.arm(d)
-	r.do(Send{Connection: d.link.id, Request: d.request, SendDeadline: d.reach})
+// send sends an attempt on a connection that is up.
+func (r *Router) send(attempt *attempt) {
+	r.setAttemptTimer(attempt)
+	r.emit(Send{Connection: attempt.connection.id, Request: attempt.upstream, SendDeadline: attempt.sendDeadline})
 }
 
-// arm sets a dispatch's timer: to the end of the time in which it may be written, then to its time-out.
-func (r *Router) arm(d *dispatch) {
-	at := d.until
-	if r.now < d.reach {
-		at = d.reach
+// setAttemptTimer sets a attempt's timer: to the end of the time in which it may be written, then to its time-out.
+func (r *Router) setAttemptTimer(attempt *attempt) {
+	at := attempt.deadline
+	if r.now < attempt.sendDeadline {
+		at = attempt.sendDeadline
 	}
-	r.due.Remove(d.ends)
-	d.ends = r.due.Push(at, task{dispatch: d})
+	r.timers.Remove(attempt.timer)
+	attempt.timer = r.timers.Push(at, timerTask{attempt: attempt})
 }
 
-// takeBack ends a dispatch that is not written yet. On a link that is up only the link's writer can tell: Withdrawn follows.
-func (r *Router) takeBack(d *dispatch) {
-	if d.link.up {
-		r.do(WithdrawAttempt{Connection: d.link.id, ID: d.request.ID})
+// withdrawAttempt ends an attempt that is not written yet. On a connection that is up only the connection's writer can tell: Withdrawn follows.
+func (r *Router) withdrawAttempt(attempt *attempt) {
+	if attempt.connection.established {
+		r.emit(WithdrawAttempt{Connection: attempt.connection.id, ID: attempt.upstream.ID})
 		return
 	}
-	r.giveUp(d)
-	r.ended(d, control.Outcome{Result: control.NotSent})
+	r.abandonAttempt(attempt)
+	r.attemptEnded(attempt, control.Outcome{Result: control.NotSent})
 }
 
-// withdrawn ends a dispatch that waited on a link that is up, and was not written.
-func (r *Router) withdrawn(e AttemptWithdrawn) {
-	l := r.links[e.Connection]
-	if l == nil || l.open[e.ID] == nil {
+// attemptWithdrawn ends an attempt that waited on a connection that is up, and was not written.
+func (r *Router) attemptWithdrawn(e AttemptWithdrawn) {
+	connection := r.connections[e.Connection]
+	if connection == nil || connection.inFlight[e.ID] == nil {
 		return // it was given up meanwhile
 	}
-	d := l.open[e.ID]
-	delete(l.open, e.ID)
-	r.doubt(d)
-	r.ended(d, control.Outcome{Result: control.NotSent})
-	r.tidy(l)
+	attempt := connection.inFlight[e.ID]
+	delete(connection.inFlight, e.ID)
+	r.checkResponsive(attempt)
+	r.attemptEnded(attempt, control.Outcome{Result: control.NotSent})
+	r.closeIfUnresponsive(connection)
 }
 
-// inOpen is what is open on a link, in the order of its sending.
-func (r *Router) inOpen(l *link) []*dispatch {
-	return slices.SortedFunc(maps.Values(l.open), func(a, b *dispatch) int {
-		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.request.ID, b.request.ID))
+// attemptsOn is what is open on a connection, in the order of its sending.
+func (r *Router) attemptsOn(connection *connection) []*attempt {
+	return slices.SortedFunc(maps.Values(connection.inFlight), func(a, b *attempt) int {
+		return cmp.Or(cmp.Compare(a.startedAt, b.startedAt), cmp.Compare(a.upstream.ID, b.upstream.ID))
 	})
 }
 
-// down ends what was open on a link that has ended or never came up.
-func (r *Router) down(e ConnectionDown) {
-	l := r.links[e.Connection]
+// connectionDown ends what was open on a connection that has ended or never came up.
+func (r *Router) connectionDown(event ConnectionDown) {
+	connection := r.connections[event.Connection]
 	switch {
-	case l == nil:
+	case connection == nil:
 		return
-	case l.up:
-		r.limits.ConnectionPlan.Disconnected(r.now, l.member.Instance)
-	case e.Cause == Local:
-		r.limits.ConnectionPlan.LocalError(l.member.Instance)
-		if r.shortage.DialFailed(r.now) {
-			r.log("no connections can be opened, for a reason of this machine's own: " + e.Reason)
+	case connection.established:
+		r.limits.ConnectionPlan.Disconnected(r.now, connection.endpoint.Instance)
+	case event.Cause == Local:
+		r.limits.ConnectionPlan.LocalError(connection.endpoint.Instance)
+		if r.localBackoff.DialFailed(r.now) {
+			r.log("no connections can be opened, for a reason of this machine's own: " + event.Reason)
 		}
 	default:
-		r.dialPassed()
-		r.limits.ConnectionPlan.ConnectFailed(r.now, l.member.Instance)
+		r.dialSucceeded()
+		r.limits.ConnectionPlan.ConnectFailed(r.now, connection.endpoint.Instance)
 	}
-	r.lose(l, e.Unsent, e.Cause)
+	r.connectionLost(connection, event.Unsent, event.Cause)
 }
 
-// dialPassed notes that a dial got as far as its member.
-func (r *Router) dialPassed() {
-	if r.shortage.DialSucceeded() {
+// dialSucceeded notes that a dial got as far as its endpoint.
+func (r *Router) dialSucceeded() {
+	if r.localBackoff.DialSucceeded() {
 		r.log("connections can be opened again")
 	}
 }
 
-// lose takes a link out of use. What was not wholly written, or waited for it to come up, did not run.
-func (r *Router) lose(l *link, unsent []string, cause Cause) {
-	r.unlink(l)
-	open := r.inOpen(l)
-	clear(l.open)
-	shared := cause == Local // nothing is held against the member
-	for _, d := range open {
+// connectionLost takes a connection out of use. What was not wholly written, or waited for it to come up, did not run.
+func (r *Router) connectionLost(connection *connection, unsent []string, cause Cause) {
+	r.removeConnection(connection)
+	open := r.attemptsOn(connection)
+	clear(connection.inFlight)
+	shared := cause == Local // nothing is held against the endpoint
+	for _, attempt := range open {
 		result := control.ConnectionLost
 		switch {
-		case !l.up && cause == Local:
+		case !connection.established && cause == Local:
 			result = control.LocalError
-		case !l.up:
+		case !connection.established:
 			result = control.Unreachable
-		case slices.Contains(unsent, d.request.ID):
+		case slices.Contains(unsent, attempt.upstream.ID):
 			result = control.SendInterrupted
 		}
-		r.ended(d, control.Outcome{Result: result, SharedCause: shared})
+		r.attemptEnded(attempt, control.Outcome{Result: result, SharedCause: shared})
 		shared = shared || result == control.ConnectionLost
 	}
 }
 
-func (r *Router) unlink(l *link) {
-	l.closed = true
-	delete(r.links, l.id)
-	l.member.links = slices.DeleteFunc(l.member.links, func(x *link) bool { return x == l })
+func (r *Router) removeConnection(connection *connection) {
+	connection.closed = true
+	delete(r.connections, connection.id)
+	connection.endpoint.connections = without(connection.endpoint.connections, connection)
 }
 
-// shut closes a link from this side.
-func (r *Router) shut(l *link) {
-	if l.closed {
+// closeConnection closes a connection from this side.
+func (r *Router) closeConnection(connection *connection) {
+	if connection.closed {
 		return
 	}
-	r.do(Close{Connection: l.id})
-	r.lose(l, nil, Remote)
+	r.emit(Close{Connection: connection.id})
+	r.connectionLost(connection, nil, Remote)
 }
 
-// giveUp takes a dispatch off its link. A link that has said nothing since is doubted: one to a machine that
+// abandonAttempt takes an attempt off its connection. A connection that has said nothing since is doubted: one to a machine that
 // vanished stays open and silent, also after the machine is back.
-func (r *Router) giveUp(d *dispatch) {
-	l := d.link
-	if l.closed || l.open[d.request.ID] != d {
+func (r *Router) abandonAttempt(attempt *attempt) {
+	connection := attempt.connection
+	if connection.closed || connection.inFlight[attempt.upstream.ID] != attempt {
 		return
 	}
-	delete(l.open, d.request.ID)
-	if !l.up {
+	delete(connection.inFlight, attempt.upstream.ID)
+	if !connection.established {
 		return // nothing was sent
 	}
-	l.past[d.request.ID] = r.now
-	if r.mayCancel {
-		r.do(CancelAttempt{Connection: l.id, ID: d.request.ID})
+	connection.abandonedAt[attempt.upstream.ID] = r.now
+	if r.canCancel {
+		r.emit(CancelAttempt{Connection: connection.id, ID: attempt.upstream.ID})
 	} else {
-		r.do(WithdrawAttempt{Connection: l.id, ID: d.request.ID}) // what is not written yet needs no word to the other side
+		r.emit(WithdrawAttempt{Connection: connection.id, ID: attempt.upstream.ID}) // what is not written yet needs no word to the other side
 	}
-	r.doubt(d)
-	r.tidy(l)
+	r.checkResponsive(attempt)
+	r.closeIfUnresponsive(connection)
 }
 
-// doubt doubts a dispatch's link if that has been silent since for as long as a dial may take.
-func (r *Router) doubt(d *dispatch) {
-	if d.link.heard <= d.sent && r.now-d.sent >= r.dialWithin {
-		d.link.doubted = true
+// checkResponsive doubts a attempt's connection if that has been silent since for as long as a dial may take.
+func (r *Router) checkResponsive(attempt *attempt) {
+	if attempt.connection.lastReceivedAt <= attempt.startedAt && r.now-attempt.startedAt >= r.connectTimeout {
+		attempt.connection.unresponsive = true
 	}
 }
 
-// tidy closes a doubted link once nothing is open on it.
-func (r *Router) tidy(l *link) {
-	if l.doubted && len(l.open) == 0 && !l.closed {
-		r.shut(l)
+// closeIfUnresponsive closes a doubted connection once nothing is open on it.
+func (r *Router) closeIfUnresponsive(connection *connection) {
+	if connection.unresponsive && len(connection.inFlight) == 0 && !connection.closed {
+		r.closeConnection(connection)
 	}
 }
 
-// sweep closes what has not been used for a while, before the other side does, which could cross with a
+// closeUnused closes what has not been used for a while, before the other side does, which could cross with a
 // request; and forgets ids to which no answer will come any more.
-func (r *Router) sweep() {
+func (r *Router) closeUnused() {
 	var unused []ConnectionID
-	for id, l := range r.links {
-		if len(l.past) > 0 {
-			maps.DeleteFunc(l.past, func(_ string, at int64) bool { return r.now-at > 2*r.longest })
+	for id, connection := range r.connections {
+		if len(connection.abandonedAt) > 0 {
+			maps.DeleteFunc(connection.abandonedAt, func(_ string, at int64) bool { return r.now-at > 2*r.longestDeadline })
 		}
-		if r.isUnused(l) {
+		if r.isUnused(connection) {
 			unused = append(unused, id)
 		}
 	}
 	slices.Sort(unused)
 	for _, id := range unused {
-		if l := r.links[id]; l != nil && r.isUnused(l) { // what was closed before it may have made it one of few
-			r.shut(l)
+		if connection := r.connections[id]; connection != nil && r.isUnused(connection) { // what was closed before it may have made it one of few
+			r.closeConnection(connection)
 		}
 	}
 }
 
-// isUnused tells whether a link is to be closed for want of use.
-func (r *Router) isUnused(l *link) bool {
-	return l.up && len(l.open) == 0 && (r.now-l.used > r.idleAfter/2 ||
-		r.limits.ConnectionPlan.ShouldClose(r.now, l.member.Instance, len(l.member.links), l.used))
+// isUnused tells whether a connection is to be closed for want of use.
+func (r *Router) isUnused(connection *connection) bool {
+	return connection.established && len(connection.inFlight) == 0 && (r.now-connection.lastUsedAt > r.idleTimeout/2 ||
+		r.limits.ConnectionPlan.ShouldClose(r.now, connection.endpoint.Instance, len(connection.endpoint.connections), connection.lastUsedAt))
 }
 
-// purged tells the module of a purge; what was planned before it and not yet written is planned anew.
-func (r *Router) purged(e PurgeReceived) {
-	r.decide.Purge(r.now, e.Object, e.Group, e.PurgedAt)
-	r.withdraw(func(d *dispatch) bool {
-		return d.hand.Object == e.Object || e.Object == "" && d.hand.Group == e.Group
+// purgeReceived tells the policy of a purge; what was planned before it and not yet written is planned anew.
+func (r *Router) purgeReceived(e PurgeReceived) {
+	r.policy.Purge(r.now, e.Object, e.Group, e.PurgedAt)
+	r.withdrawMatching(func(attempt *attempt) bool {
+		return attempt.request.Object == e.Object || e.Object == "" && attempt.request.Group == e.Group
 	})
 }
 
-// withdraw takes back dispatches that are not written yet: written later than the grace, they would break the rule on drains
+// withdrawMatching takes back attempts that are not written yet: written later than the grace, they would break the rule on drains
 // or on purges.
-func (r *Router) withdraw(which func(*dispatch) bool) {
-	for _, id := range sortedKeys(r.links) {
-		l := r.links[id]
-		if l == nil || !anyOpen(l, which) {
+func (r *Router) withdrawMatching(which func(*attempt) bool) {
+	for _, id := range sortedKeys(r.connections) {
+		connection := r.connections[id]
+		if connection == nil || !anyInFlight(connection, which) {
 			continue
 		}
-		for _, d := range r.inOpen(l) {
-			if which(d) && !d.ended {
-				r.takeBack(d)
+		for _, attempt := range r.attemptsOn(connection) {
+			if which(attempt) && !attempt.ended {
+				r.withdrawAttempt(attempt)
 			}
 		}
 	}
 }
 
-// anyOpen tells whether something holds for a dispatch on a link.
-func anyOpen(l *link, which func(*dispatch) bool) bool {
-	for _, d := range l.open {
-		if which(d) {
+// anyInFlight tells whether something holds for an attempt on a connection.
+func anyInFlight(connection *connection, which func(*attempt) bool) bool {
+	for _, attempt := range connection.inFlight {
+		if which(attempt) {
 			return true
 		}
 	}
@@ -397,10 +397,15 @@
 
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-func inOrder(hands map[int32]*hand) []*hand {
-	out := make([]*hand, 0, len(hands))
+func inSequence(hands map[int32]*inFlightRequest) []*inFlightRequest {
+	out := make([]*inFlightRequest, 0, len(hands))
 	for _, seq := range sortedKeys(hands) {
 		out = append(out, hands[seq])
 	}
 	return out
 }
+
+// without removes an item from a list, in place.
+func without[T comparable](list []T, item T) []T {
+	return slices.DeleteFunc(list, func(other T) bool { return other == item })
+}
--- a/router/local_test.go
+++ b/router/local_test.go
@@ -32,7 +32,7 @@
 		{"tried at ever longer waits, and refused before half its time", func(p *play) {
 			p.ask(1, map[string]string{"limit": "1020"})
 			for range 499 {
-				if len(p.links) > 0 && p.Router.links[p.links[len(p.links)-1]] != nil {
+				if len(p.links) > 0 && p.Router.connections[p.links[len(p.links)-1]] != nil {
 					fails(p)
 				}
 				p.pass(millisecond)
@@ -86,7 +86,7 @@
 	p := endings(t)
 	for seq := int32(1); seq <= 200; seq++ {
 		p.ask(seq, map[string]string{"item": fmt.Sprintf("%016x", uint64(seq)*0x9e3779b97f4a7c15), "limit": "800"})
-		for _, id := range sortedKeys(p.Router.links) {
+		for _, id := range sortedKeys(p.Router.connections) {
 			p.take(ConnectionDown{Connection: id, Cause: Local, Reason: "no descriptors"})
 		}
 		p.pass(10 * millisecond)
@@ -94,7 +94,7 @@
 	if n := len(p.links); n < 10 || n > 60 {
 		t.Errorf("%d dials in two seconds", n)
 	}
-	for _, id := range sortedKeys(p.Router.links) {
+	for _, id := range sortedKeys(p.Router.connections) {
 		p.take(ConnectionUp{Connection: id})
 	}
 	p.pass(second)
@@ -114,20 +114,20 @@
 	refused := 0
 	for seq := int32(1); seq <= 300; seq++ {
 		p.ask(seq, map[string]string{"item": fmt.Sprintf("%016x", uint64(seq)*0x9e3779b97f4a7c15)})
-		for _, id := range sortedKeys(p.Router.links) {
-			switch l := p.Router.links[id]; {
-			case l.up:
-			case l.member.Instance == "s-a":
+		for _, id := range sortedKeys(p.Router.connections) {
+			switch connection := p.Router.connections[id]; {
+			case connection.established:
+			case connection.endpoint.Instance == "s-a":
 				refused++
 				p.take(ConnectionDown{Connection: id, Cause: Local, Reason: "no ports"})
 			default:
 				p.take(ConnectionUp{Connection: id})
 			}
 		}
-		for _, id := range sortedKeys(p.Router.links) {
-			for _, d := range p.Router.inOpen(p.Router.links[id]) {
-				if d.link.up {
-					p.take(ResponseReceived{Connection: id, ID: d.request.ID, Result: control.Succeeded, Body: []byte(":bytes")})
+		for _, id := range sortedKeys(p.Router.connections) {
+			for _, attempt := range p.Router.attemptsOn(p.Router.connections[id]) {
+				if attempt.connection.established {
+					p.take(ResponseReceived{Connection: id, ID: attempt.upstream.ID, Result: control.Succeeded, Body: []byte(":bytes")})
 				}
 			}
 		}
--- a/router/members.go
+++ b/router/members.go
@@ -8,150 +8,156 @@
 	"tealpath/control"
 )
 
-// memberIndex is what finds members by what an event of the list tells, so that it needs no look at all of them.
-type memberIndex struct {
-	byAddress map[string][]*member
-	gone      map[string]*member // by name, those that are gone and have links still
-	removed   []*member          // since the last event
-	displaced int                // members whose ID is not their name's hash, because another has that
-	planned   bool               // the plan of links has been told the caches
+// endpointIndex is what finds endpoints by what an event of the list tells, so that it needs no look at all of them.
+type endpointIndex struct {
+	byAddress    map[string][]*endpoint
+	gone         map[string]*endpoint // by name, those that are gone and have connections still
+	removed      []*endpoint          // since the last event
+	displaced    int                  // endpoints whose ID is not their name's hash, because another has that
+	planInformed bool                 // the plan of connections has been told the caches
 }
 
-func newMemberIndex() memberIndex {
-	return memberIndex{byAddress: map[string][]*member{}, gone: map[string]*member{}}
+func newEndpointIndex() endpointIndex {
+	return endpointIndex{byAddress: map[string][]*endpoint{}, gone: map[string]*endpoint{}}
 }
 
-// listed takes the list of members, or changes to it, and hands on what has changed.
-func (r *Router) listed(e EndpointListUpdated) {
-	changed := map[string]*member{}
-	if e.Complete {
-		r.endUnnamed(e.Entries, changed)
+// endpointListUpdated takes the list of endpoints, or changes to it, and hands on what has changed.
+func (r *Router) endpointListUpdated(event EndpointListUpdated) {
+	changed := map[string]*endpoint{}
+	if event.Complete {
+		r.removeUnlisted(event.Entries, changed)
 	}
-	var old []*link // to what runs anew, or elsewhere: they lead nowhere
+	var stale []*connection // to what runs anew, or elsewhere: they lead nowhere
 	added := false
-	for _, line := range e.Entries {
-		added = added || r.members[line.Instance] == nil
-		old = append(old, r.takeLine(line, changed)...)
-	}
-	renumbered := r.number(added, changed)
-	r.handOn(changed, renumbered)
-	r.planLinks(changed)
-	if slices.ContainsFunc(slices.Collect(maps.Values(changed)), func(m *member) bool { return m.Phase != "ready" }) {
-		r.withdraw(func(d *dispatch) bool {
-			return d.cache.Phase != "ready" || d.source != nil && d.source.Phase != "ready"
+	for _, line := range event.Entries {
+		added = added || r.endpoints[line.Instance] == nil
+		stale = append(stale, r.applyEntry(line, changed)...)
+	}
+	renumbered := r.assignIDs(added, changed)
+	r.updatePolicy(changed, renumbered)
+	r.updateConnectionPlan(changed)
+	if slices.ContainsFunc(slices.Collect(maps.Values(changed)), func(endpoint *endpoint) bool { return endpoint.Phase != "ready" }) {
+		r.withdrawMatching(func(attempt *attempt) bool {
+			return attempt.cache.Phase != "ready" || attempt.source != nil && attempt.source.Phase != "ready"
 		})
 	}
-	for _, l := range old {
-		r.shut(l)
+	for _, connection := range stale {
+		r.closeConnection(connection)
 	}
-	r.removeGone(changed)
+	r.forgetGone(changed)
 }
 
-// endUnnamed takes out who is not named by a whole list.
-func (r *Router) endUnnamed(lines []EndpointEntry, changed map[string]*member) {
+// removeUnlisted takes out who is not named by a whole list.
+func (r *Router) removeUnlisted(lines []EndpointEntry, changed map[string]*endpoint) {
 	named := map[string]bool{}
 	for _, line := range lines {
 		named[line.Instance] = true
 	}
-	for name, m := range r.members {
+	for name, endpoint := range r.endpoints {
 		if !named[name] {
-			m.Phase = "gone"
-			changed[name] = m
+			endpoint.Phase = "gone"
+			changed[name] = endpoint
 		}
 	}
 }
 
-// takeLine takes over one line of the list. It returns the links that lead nowhere by it.
-func (r *Router) takeLine(line EndpointEntry, changed map[string]*member) (old []*link) {
-	m := r.members[line.Instance]
-	known := m != nil
+// applyEntry takes over one line of the list. It returns the connections that lead nowhere by it.
+func (r *Router) applyEntry(line EndpointEntry, changed map[string]*endpoint) (stale []*connection) {
+	endpoint := r.endpoints[line.Instance]
+	known := endpoint != nil
 	if !known {
-		m = &member{}
-		r.members[line.Instance] = m
-	}
-	r.overtake(line, changed)
-	again := known && (line.StartedAt > 0 && line.StartedAt != m.StartedAt || line.Address != m.Address)
-	id := m.ID
-	r.unindex(m)
-	m.EndpointEntry = line
-	m.ID = id
-	r.index.byAddress[line.Address] = append(r.index.byAddress[line.Address], m)
-	changed[line.Instance] = m
-	if again {
-		for _, l := range m.links {
-			l.doubted = true
-			old = append(old, l)
+		endpoint = r.addEndpoint(line.Instance)
+	}
+	r.replaceAtAddress(line, changed)
+	restarted := known && (line.StartedAt > 0 && line.StartedAt != endpoint.StartedAt || line.Address != endpoint.Address)
+	id := endpoint.ID
+	r.unindexEndpoint(endpoint)
+	endpoint.EndpointEntry = line
+	endpoint.ID = id
+	r.index.byAddress[line.Address] = append(r.index.byAddress[line.Address], endpoint)
+	changed[line.Instance] = endpoint
+	if restarted {
+		for _, connection := range endpoint.connections {
+			connection.unresponsive = true
+			stale = append(stale, connection)
 		}
 	}
-	return old
+	return stale
 }
 
-// unindex takes a member out of those at its address.
-func (r *Router) unindex(m *member) {
-	rest := slices.DeleteFunc(r.index.byAddress[m.Address], func(other *member) bool { return other == m })
-	if r.index.byAddress[m.Address] = rest; len(rest) == 0 {
-		delete(r.index.byAddress, m.Address)
+// addEndpoint adds an endpoint of which nothing is known but its name.
+func (r *Router) addEndpoint(instance string) *endpoint {
+	added := &endpoint{}
+	r.endpoints[instance] = added
+	return added
+}
+
+// unindexEndpoint takes an endpoint out of those at its address.
+func (r *Router) unindexEndpoint(endpoint *endpoint) {
+	rest := without(r.index.byAddress[endpoint.Address], endpoint)
+	if r.index.byAddress[endpoint.Address] = rest; len(rest) == 0 {
+		delete(r.index.byAddress, endpoint.Address)
 	}
 }
 
-// overtake takes those out whose address a later one has: what is sent to them would reach it instead, cold
+// replaceAtAddress takes those out whose address a later one has: what is sent to them would reach it instead, cold
 // as it may be, beside what is meant for it.
-func (r *Router) overtake(line EndpointEntry, changed map[string]*member) {
+func (r *Router) replaceAtAddress(line EndpointEntry, changed map[string]*endpoint) {
 	if line.Address == "" || line.Phase != "ready" {
 		return
 	}
-	for _, m := range r.index.byAddress[line.Address] {
-		if m.Instance != line.Instance && m.StartedAt <= line.StartedAt {
-			m.Phase = "gone"
-			changed[m.Instance] = m
+	for _, endpoint := range r.index.byAddress[line.Address] {
+		if endpoint.Instance != line.Instance && endpoint.StartedAt <= line.StartedAt {
+			endpoint.Phase = "gone"
+			changed[endpoint.Instance] = endpoint
 		}
 	}
 }
 
-// number gives every new member the module's ID for it, and tells whether the IDs of others have changed. It comes
+// assignIDs gives every new endpoint the policy's ID for it, and tells whether the IDs of others have changed. It comes
 // from the instance's name alone, so that hashes over IDs agree at every router; of two names with the same one, the
 // later in order takes the next free.
-func (r *Router) number(added bool, changed map[string]*member) (renumbered bool) {
+func (r *Router) assignIDs(added bool, changed map[string]*endpoint) (renumbered bool) {
 	removed := len(r.index.removed) > 0
-	for _, m := range r.index.removed {
-		if r.byID[m.ID] == m {
-			delete(r.byID, m.ID)
+	for _, endpoint := range r.index.removed {
+		if r.endpointsByID[endpoint.ID] == endpoint {
+			delete(r.endpointsByID, endpoint.ID)
 		}
 	}
 	r.index.removed = nil
 	if r.index.displaced > 0 && (added || removed) {
-		return r.numberAll()
+		return r.reassignIDs()
 	}
 	if !added {
 		return false
 	}
-	for name, m := range changed {
-		switch id := nameHash(name); r.byID[id] {
-		case m:
+	for name, endpoint := range changed {
+		switch id := nameHash(name); r.endpointsByID[id] {
+		case endpoint:
 		case nil:
-			m.ID, r.byID[id] = id, m
+			endpoint.ID, r.endpointsByID[id] = id, endpoint
 		default:
-			return r.numberAll()
+			return r.reassignIDs()
 		}
 	}
 	return false
 }
 
-// numberAll gives all members their IDs anew.
-func (r *Router) numberAll() (renumbered bool) {
-	known := maps.Clone(r.byID)
-	clear(r.byID)
+// reassignIDs gives all endpoints their IDs anew.
+func (r *Router) reassignIDs() (renumbered bool) {
+	known := maps.Clone(r.endpointsByID)
+	clear(r.endpointsByID)
 	r.index.displaced = 0
-	for _, name := range sortedKeys(r.members) {
-		m, id := r.members[name], nameHash(name)
-		if r.byID[id] != nil {
+	for _, name := range sortedKeys(r.endpoints) {
+		endpoint, id := r.endpoints[name], nameHash(name)
+		if r.endpointsByID[id] != nil {
 			r.index.displaced++
 		}
-		for r.byID[id] != nil {
+		for r.endpointsByID[id] != nil {
 			id++
 		}
-		renumbered = renumbered || known[m.ID] == m && m.ID != id
-		m.ID, r.byID[id] = id, m
+		renumbered = renumbered || known[endpoint.ID] == endpoint && endpoint.ID != id
+		endpoint.ID, r.endpointsByID[id] = id, endpoint
 	}
 	return renumbered
 }
@@ -163,62 +169,62 @@
 	return h.Sum32()
 }
 
-// handOn tells the module what has changed, or all if IDs have.
-func (r *Router) handOn(changed map[string]*member, all bool) {
+// updatePolicy tells the policy what has changed, or all if IDs have.
+func (r *Router) updatePolicy(changed map[string]*endpoint, all bool) {
 	if all {
-		changed = r.members
+		changed = r.endpoints
 	}
 	lines := make([]control.Endpoint, 0, len(changed))
 	for _, name := range sortedKeys(changed) {
 		lines = append(lines, changed[name].EndpointEntry.Endpoint)
 	}
-	r.decide.UpdateEndpoints(r.now, lines, all)
+	r.policy.UpdateEndpoints(r.now, lines, all)
 }
 
-// planLinks tells the plan of links which caches there are, if they have changed.
-func (r *Router) planLinks(changed map[string]*member) {
+// updateConnectionPlan tells the plan of connections which caches there are, if they have changed.
+func (r *Router) updateConnectionPlan(changed map[string]*endpoint) {
 	if r.limits.ConnectionPlan == nil {
 		return
 	}
-	differs := !r.index.planned
-	for _, m := range changed {
-		cache := m.Phase == "ready" && r.isCache(m)
-		differs = differs || cache != m.planned
-		m.planned = cache
+	changedCaches := !r.index.planInformed
+	for _, endpoint := range changed {
+		cache := endpoint.Phase == "ready" && r.isCache(endpoint)
+		changedCaches = changedCaches || cache != endpoint.inPlan
+		endpoint.inPlan = cache
 	}
-	if !differs {
+	if !changedCaches {
 		return
 	}
-	r.index.planned = true
+	r.index.planInformed = true
 	var names []string // in any order: the plan has one of its own
-	for name, m := range r.members {
-		if m.planned {
+	for name, endpoint := range r.endpoints {
+		if endpoint.inPlan {
 			names = append(names, name)
 		}
 	}
 	r.limits.ConnectionPlan.SetEndpoints(r.now, names)
 }
 
-// removeGone closes the links of members that are gone once nothing is open on them, and forgets who has none left.
-func (r *Router) removeGone(changed map[string]*member) {
-	for name, m := range changed {
-		if m.Phase == "gone" {
-			r.index.gone[name] = m
+// forgetGone closes the connections of endpoints that are gone once nothing is open on them, and forgets who has none left.
+func (r *Router) forgetGone(changed map[string]*endpoint) {
+	for name, endpoint := range changed {
+		if endpoint.Phase == "gone" {
+			r.index.gone[name] = endpoint
 		} else {
 			delete(r.index.gone, name)
 		}
 	}
 	for _, name := range sortedKeys(r.index.gone) {
-		m := r.index.gone[name]
-		for _, l := range slices.Clone(m.links) {
-			l.doubted = true
-			r.tidy(l)
+		endpoint := r.index.gone[name]
+		for _, connection := range slices.Clone(endpoint.connections) {
+			connection.unresponsive = true
+			r.closeIfUnresponsive(connection)
 		}
-		if len(m.links) == 0 {
-			delete(r.members, name)
+		if len(endpoint.connections) == 0 {
+			delete(r.endpoints, name)
 			delete(r.index.gone, name)
-			r.unindex(m)
-			r.index.removed = append(r.index.removed, m)
+			r.unindexEndpoint(endpoint)
+			r.index.removed = append(r.index.removed, endpoint)
 		}
 	}
 }
--- a/router/members_test.go
+++ b/router/members_test.go
@@ -77,7 +77,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		plainModule.Reachable = p.decide.Reachable
+		plainModule.Reachable = p.policy.Reachable
 		plain := plainList{}
 		plainModule.UpdateEndpoints(start, plain.take(EndpointListUpdated{Complete: true, Entries: slices.Clone(fleet)}), true)
 		for range 200 {
@@ -90,19 +90,19 @@
 			plainModule.UpdateEndpoints(p.now, plain.take(e), true)
 			p.take(e)
 			got := plainList{}
-			for name, m := range p.members {
-				got[name] = m.EndpointEntry
+			for name, endpoint := range p.endpoints {
+				got[name] = endpoint.EndpointEntry
 			}
 			if !maps.Equal(got, plain) {
 				t.Fatalf("event %d: members\n%v\nplainly\n%v", n, got, plain)
 			}
 			caches := 0
-			for name, m := range p.members {
-				if m.planned {
+			for name, endpoint := range p.endpoints {
+				if endpoint.inPlan {
 					caches++
 				}
-				if cache := m.Phase == "ready" && m.Location == "here" && m.Kind == "cache"; m.planned != cache || p.byID[m.ID] != m {
-					t.Fatalf("event %d: %s planned %v, by its ID %v", n, name, m.planned, p.byID[m.ID])
+				if cache := endpoint.Phase == "ready" && endpoint.Location == "here" && endpoint.Kind == "cache"; endpoint.inPlan != cache || p.endpointsByID[endpoint.ID] != endpoint {
+					t.Fatalf("event %d: %s planned %v, by its ID %v", n, name, endpoint.inPlan, p.endpointsByID[endpoint.ID])
 				}
 			}
 			if kept := p.limits.ConnectionPlan.SubsetSize; kept != caches {
@@ -112,17 +112,17 @@
 			for i := range 3 {
 				ask := control.Request{Class: "stills", Object: fmt.Sprintf("%016x", 10*n+i), Deadline: p.now + second}
 				other := ask
-				d, want := p.decide.Decide(p.now, &ask), plainModule.Decide(p.now, &other)
+				d, want := p.policy.Decide(p.now, &ask), plainModule.Decide(p.now, &other)
 				if fmt.Sprint(d) != fmt.Sprint(want) {
 					t.Fatalf("event %d: decided %+v, plainly %+v", n, d, want)
 				}
 				end := control.Outcome{Result: control.Succeeded, Elapsed: second / 100, RequestEnded: true}
-				p.decide.AttemptEnded(p.now, &ask, end)
+				p.policy.AttemptEnded(p.now, &ask, end)
 				plainModule.AttemptEnded(p.now, &other, end)
 			}
 		}
-		if len(p.index.byAddress) > len(p.members) || len(p.index.gone) > 0 {
-			t.Errorf("%d addresses and %d gone members are kept for %d members", len(p.index.byAddress), len(p.index.gone), len(p.members))
+		if len(p.index.byAddress) > len(p.endpoints) || len(p.index.gone) > 0 {
+			t.Errorf("%d addresses and %d gone members are kept for %d members", len(p.index.byAddress), len(p.index.gone), len(p.endpoints))
 		}
 	}
 	if displaced < 100 {
--- a/router/router.go
+++ b/router/router.go
@@ -1,5 +1,5 @@
 // Package router is the one reducer: an event goes in, state changes, effects come out. It holds the
-// retrievals in hand, the links to caches, the due times and the one periodic timer, asks the control package
+// requests in flight, the connections to caches, the timers and the one periodic timer, asks the control package
 // for every decision, and does no input or output.
 package router
 
@@ -21,134 +21,134 @@
 
 	// wayBack is how long before a client's own time is up its answer goes out at the latest: on a core that is
 	// shared, and over the network, some of that time is gone before the client has it.
-	wayBack = 20 * millisecond
+	responseTransit = 20 * millisecond
 
-	sizeMost = 1e9     // KB that a size can be
-	bodyMost = 240_000 // bytes of an object
+	maxSizeKB    = 1e9     // KB that a size can be
+	maxBodyBytes = 240_000 // bytes of an object
 
 	// tickAfterFault is when the periodic work is done again if it fails; at once it would keep the core busy.
-	tickAfterFault = 1000 * millisecond
+	tickRetryDelay = 1000 * millisecond
 )
 
 // Limits bound what the reducer lets be opened.
 type Limits struct {
-	MaxConnections int            // connections to members, all together
+	MaxConnections int            // connections to endpoints, all together
 	ConnectionPlan *connpool.Plan // of connections to caches; nil is no bound beside linksMost
-	MaxInFlight    int            // retrievals in hand
-	MaxBodyBytes   int            // of the bodies of retrievals in hand
+	MaxInFlight    int            // requests in flight
+	MaxBodyBytes   int            // of the bodies of requests in flight
 }
 
 // Router is the reducer of one router. It is not safe for use by two goroutines at once.
 type Router struct {
-	decide  *control.Router
+	policy  *control.Router
 	limits  Limits
 	now     int64
-	at      int64 // when the event in hand came; not after now
+	eventAt int64 // when the event in hand came; not after now
 	effects []Effect
 
-	clients map[ClientID]map[int32]*hand
-	hands   int
-	ids     map[string]*hand // retrievals in hand, by their id
-	bytes   int              // of the bodies of retrievals in hand
-	members map[string]*member
-	byID    map[uint32]*member
-	links   map[ConnectionID]*link
-	linked  ConnectionID
-	due     timerqueue.Queue[task]
-	ticking int64 // when the periodic work is due
-	armed   int64
-	leaveBy int64 // when all must be answered; 0 while not leaving
-
-	shortage *connpool.LocalBackoff // of what this machine itself needs to dial
-	index    memberIndex
-
-	dialWithin, idleAfter, answerGrace int64
-	longest                            int64 // that a client may wait
-	streams                            int64
-	mayCancel                          bool
-	mayProbe                           bool
-	flow                               float64 // bytes a second of one answer; 0 is not told
-	products                           []string
-	harmless, neverKept                []bool // by product: it may run again; no cache keeps it
-	location                           string
-	notCaches                          []string // kinds of members that no dispatch goes to
-}
-
-// hand is a retrieval in hand.
-type hand struct {
+	clients          map[ClientID]map[int32]*inFlightRequest
+	inFlight         int
+	requestsByID     map[string]*inFlightRequest // requests in flight, by their id
+	bodyBytes        int                         // of the bodies of requests in flight
+	endpoints        map[string]*endpoint
+	endpointsByID    map[uint32]*endpoint
+	connections      map[ConnectionID]*connection
+	lastConnection   ConnectionID
+	timers           timerqueue.Queue[timerTask]
+	nextTick         int64 // when the periodic work is due
+	timerSetFor      int64
+	shutdownDeadline int64 // when all must be answered; 0 while not leaving
+
+	localBackoff *connpool.LocalBackoff // of what this machine itself needs to dial
+	index        endpointIndex
+
+	connectTimeout, idleTimeout, answerGrace int64
+	longestDeadline                          int64 // that a client may wait
+	maxPerConnection                         int64
+	canCancel                                bool
+	useProbes                                bool
+	bytesPerSecond                           float64 // bytes a second of one answer; 0 is not told
+	classes                                  []string
+	idempotent, uncacheable                  []bool // by class: it may run again; no cache keeps it
+	location                                 string
+	nonCacheKinds                            []string // kinds of endpoints that no attempt goes to
+}
+
+// inFlightRequest is a request in flight.
+type inFlightRequest struct {
 	control.Request
-	client     ClientID
-	seq        int32
-	fields     map[string]string
-	body       []byte
-	dispatches []*dispatch
-	finished   bool
-	ends       *timerqueue.Timer[task] // the end of its time
-	asks       *timerqueue.Timer[task] // when the module wants to be asked again
-}
-
-// dispatch is one sending of a retrieval.
-type dispatch struct {
-	hand          *hand
-	number        int
-	cache, source *member
-	link          *link
-	request       UpstreamRequest
-	sent, until   int64
-	reach         int64                   // until when it may be written
-	ends          *timerqueue.Timer[task] // its time-out
-	ended         bool
-}
-
-// task is what a due time is for: with a dispatch its time-out, with a hand to ask the module again, or
+	client        ClientID
+	seq           int32
+	fields        map[string]string
+	body          []byte
+	attempts      []*attempt
+	finished      bool
+	deadlineTimer *timerqueue.Timer[timerTask] // the end of its time
+	recheckTimer  *timerqueue.Timer[timerTask] // when the policy wants to be asked again
+}
+
+// attempt is one sending of a request to one endpoint.
+type attempt struct {
+	request             *inFlightRequest
+	number              int
+	cache, source       *endpoint
+	connection          *connection
+	upstream            UpstreamRequest
+	startedAt, deadline int64
+	sendDeadline        int64                        // until when it may be written
+	timer               *timerqueue.Timer[timerTask] // its time-out
+	ended               bool
+}
+
+// timerTask is what a timer is for: with an attempt its time-out, with a request to ask the policy again, or
 // last the end of the hand's time.
-type task struct {
-	dispatch *dispatch
-	hand     *hand
-	last     bool
+type timerTask struct {
+	attempt    *attempt
+	request    *inFlightRequest
+	atDeadline bool
 }
 
 // New makes a reducer.
-func New(now int64, seed uint64, set control.Settings, limits Limits) (*Router, error) {
-	r := &Router{limits: limits, now: now, clients: map[ClientID]map[int32]*hand{}, ids: map[string]*hand{},
-		members: map[string]*member{}, byID: map[uint32]*member{}, links: map[ConnectionID]*link{},
-		index:      newMemberIndex(),
-		dialWithin: setting(set, "connect.within", int64(1e9)), idleAfter: setting(set, "connect.idle", int64(30e9)),
-		answerGrace: setting(set, "answer.grace", int64(0)), streams: setting(set, "connect.streams", int64(1)),
-		mayCancel: setting(set, "cancel", false), products: setting(set, "product.names", []string(nil)),
-		neverKept: setting(set, "product.neverKept", []bool(nil)),
-		flow:      setting(set, "answer.bytesPerS", 0.)}
-	for _, effect := range setting(set, "product.effect", []string(nil)) {
-		r.harmless = append(r.harmless, effect == "harmless")
-	}
-	for _, stop := range setting(set, "product.hardStop", []int64(nil)) {
-		r.longest = max(r.longest, stop)
-	}
-	// A sign of life tells nothing of how a member serves: the module tries suspects by dispatches. What instances that
+func New(now int64, seed uint64, settings control.Settings, limits Limits) (*Router, error) {
+	router := &Router{limits: limits, now: now, clients: map[ClientID]map[int32]*inFlightRequest{}, requestsByID: map[string]*inFlightRequest{},
+		endpoints: map[string]*endpoint{}, endpointsByID: map[uint32]*endpoint{}, connections: map[ConnectionID]*connection{},
+		index:          newEndpointIndex(),
+		connectTimeout: setting(settings, "connect.within", int64(1e9)), idleTimeout: setting(settings, "connect.idle", int64(30e9)),
+		answerGrace: setting(settings, "answer.grace", int64(0)), maxPerConnection: setting(settings, "connect.streams", int64(1)),
+		canCancel: setting(settings, "cancel", false), classes: setting(settings, "product.names", []string(nil)),
+		uncacheable:    setting(settings, "product.neverKept", []bool(nil)),
+		bytesPerSecond: setting(settings, "answer.bytesPerS", 0.)}
+	for _, effect := range setting(settings, "product.effect", []string(nil)) {
+		router.idempotent = append(router.idempotent, effect == "harmless")
+	}
+	for _, stop := range setting(settings, "product.hardStop", []int64(nil)) {
+		router.longestDeadline = max(router.longestDeadline, stop)
+	}
+	// A sign of life tells nothing of how an endpoint serves: the policy tries ejected endpoints by attempts. What instances that
 	// share the duty of probing find comes beside that.
-	r.mayProbe = setting(set, "probe", false)
-	set = maps.Clone(set)
-	set["probe"] = false
+	router.useProbes = setting(settings, "probe", false)
+	settings = maps.Clone(settings)
+	settings["probe"] = false
 	var err error
-	r.decide, err = control.New(now, seed, set, r.log)
+	router.policy, err = control.New(now, seed, settings, router.log)
 	if err != nil {
-		return r, err
+		return router, err
 	}
-	r.shortage = connpool.NewLocalBackoff(r.dialWithin)
-	r.location = setting(set, "location", "")
+	router.localBackoff = connpool.NewLocalBackoff(router.connectTimeout)
+	router.location = setting(settings, "location", "")
 	for _, name := range []string{"kind.parent", "kind.origin"} {
-		kinds := setting(set, "kinds", []string(nil))
-		if i := setting(set, name, int64(-1)); i >= 0 && i < int64(len(kinds)) {
-			r.notCaches = append(r.notCaches, kinds[i])
+		kinds := setting(settings, "kinds", []string(nil))
+		if i := setting(settings, name, int64(-1)); i >= 0 && i < int64(len(kinds)) {
+			router.nonCacheKinds = append(router.nonCacheKinds, kinds[i])
 		}
 	}
-	r.decide.Reachable = r.reaches
-	r.decide.ConnectionsExhausted = func() bool { return r.shortage.Active(r.now) }
-	return r, nil
+	router.policy.Reachable = router.reachable
+	router.policy.ConnectionsExhausted = func() bool { return router.localBackoff.Active(router.now) }
+	return router, nil
 }
 
-func setting[T any](set control.Settings, name string, fallback T) T {
-	if v, ok := set[name].(T); ok {
+func setting[T any](settings control.Settings, name string, fallback T) T {
+	if v, ok := settings[name].(T); ok {
 		return v
 	}
 	return fallback
@@ -158,146 +158,146 @@
 // good until the next call.
 func (r *Router) Handle(at int64, e Event) []Effect {
 	clear(r.effects)
-	r.effects, r.at, r.now = r.effects[:0], at, max(r.now, at)
-	r.guarded(func() { r.event(e) })
-	for r.due.Next() <= r.now {
-		_, what := r.due.Pop()
-		r.guarded(func() { r.dueTask(what) })
+	r.effects, r.eventAt, r.now = r.effects[:0], at, max(r.now, at)
+	r.recovering(func() { r.handleEvent(e) })
+	for r.timers.Next() <= r.now {
+		_, what := r.timers.Pop()
+		r.recovering(func() { r.runTimer(what) })
 	}
-	if r.now >= r.ticking {
-		r.guarded(r.tick)
+	if r.now >= r.nextTick {
+		r.recovering(r.tick)
 	}
-	if next := min(r.due.Next(), r.ticking); next != r.armed {
-		r.armed = next
-		r.do(SetTimer{At: next})
+	if next := min(r.timers.Next(), r.nextTick); next != r.timerSetFor {
+		r.timerSetFor = next
+		r.emit(SetTimer{At: next})
 	}
 	return r.effects
 }
 
-// guarded keeps a fault of one event from ending all retrievals in hand with the process. The retrieval
+// recovering keeps a fault of one event from ending all requests in flight with the process. The request
 // concerned is answered at the end of its time at the latest.
-func (r *Router) guarded(f func()) {
+func (r *Router) recovering(work func()) {
 	defer func() {
-		if p := recover(); p != nil {
-			r.log(fmt.Sprintf("fault: %v", p))
+		if fault := recover(); fault != nil {
+			r.log(fmt.Sprintf("fault: %v", fault))
 		}
 	}()
-	f()
+	work()
 }
 
-func (r *Router) do(e Effect) { r.effects = append(r.effects, e) }
+func (r *Router) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// log notes a line; where it starts with a member's number, the member's name goes with it.
+// log notes a line; where it starts with an endpoint's number, the endpoint's name goes with it.
 func (r *Router) log(line string) {
 	out := Log{Line: line}
 	if rest, ok := strings.CutPrefix(line, "member "); ok {
 		number, _, _ := strings.Cut(rest, " ")
-		if id, err := strconv.ParseUint(number, 10, 32); err == nil && r.byID[uint32(id)] != nil {
-			out.Instance = r.byID[uint32(id)].Instance
+		if id, err := strconv.ParseUint(number, 10, 32); err == nil && r.endpointsByID[uint32(id)] != nil {
+			out.Instance = r.endpointsByID[uint32(id)].Instance
 		}
 	}
-	r.do(out)
+	r.emit(out)
 }
 
-func (r *Router) event(e Event) {
+func (r *Router) handleEvent(e Event) {
 	switch e := e.(type) {
 	case TimerFired:
-		r.armed = 0 // the timer is used up, also where it came a moment early: it was never set again so
+		r.timerSetFor = 0 // the timer is used up, also where it came a moment early: it was never set again so
 	case RequestReceived:
-		r.requested(e)
+		r.requestReceived(e)
 	case RequestCancelled:
-		if h := r.clients[e.Client][e.Seq]; h != nil {
-			r.departed(h)
+		if request := r.clients[e.Client][e.Seq]; request != nil {
+			r.clientGone(request)
 		}
 	case ClientDisconnected:
-		for _, h := range inOrder(r.clients[e.Client]) {
-			r.departed(h)
+		for _, request := range inSequence(r.clients[e.Client]) {
+			r.clientGone(request)
 		}
 	case ClientHalfClosed:
-		r.halfClosed(e.Client)
+		r.clientHalfClosed(e.Client)
 	case ConnectionUp:
-		r.up(e)
+		r.connectionUp(e)
 	case ConnectionDown:
-		r.down(e)
+		r.connectionDown(e)
 	case AttemptWithdrawn:
-		r.withdrawn(e)
+		r.attemptWithdrawn(e)
 	case ResponseReceived:
-		r.answered(e)
+		r.responseReceived(e)
 	case EndpointListUpdated:
-		r.listed(e)
+		r.endpointListUpdated(e)
 	case PurgeReceived:
-		r.purged(e)
+		r.purgeReceived(e)
 	case ProbeEnded:
-		if m := r.members[e.Instance]; m != nil && r.mayProbe {
-			r.decide.ProbeEnded(r.now, m.ID, e.Healthy, e.LoadReport)
+		if endpoint := r.endpoints[e.Instance]; endpoint != nil && r.useProbes {
+			r.policy.ProbeEnded(r.now, endpoint.ID, e.Healthy, e.LoadReport)
 		}
 	case ShutdownStarted:
-		r.leaving(e)
+		r.shutdownStarted(e)
 	}
 }
 
-// requested takes a retrieval in hand, or answers at once what cannot be taken.
-func (r *Router) requested(e RequestReceived) {
-	turnAway := func(kind ResponseKind, why string) {
-		r.do(Respond{Client: e.Client, Seq: e.Seq, Kind: kind, Reason: why})
+// requestReceived takes a request in flight, or answers at once what cannot be taken.
+func (r *Router) requestReceived(event RequestReceived) {
+	refuse := func(kind ResponseKind, reason string) {
+		r.emit(Respond{Client: event.Client, Seq: event.Seq, Kind: kind, Reason: reason})
 	}
-	if r.clients[e.Client][e.Seq] != nil {
-		turnAway(BadRequest, "sequence number in use")
+	if r.clients[event.Client][event.Seq] != nil {
+		refuse(BadRequest, "sequence number in use")
 		return
 	}
-	arrived := r.at
-	if e.ArrivedAt > 0 {
-		arrived = min(e.ArrivedAt, r.at)
+	arrivedAt := r.eventAt
+	if event.ArrivedAt > 0 {
+		arrivedAt = min(event.ArrivedAt, r.eventAt)
 	}
-	h := &hand{client: e.Client, seq: e.Seq, fields: e.Fields, body: e.Body}
-	why := h.read(arrived)
-	if old := r.ids[h.fields["txn"]]; why == "" && old != nil && old.NoNewAttempts {
+	request := &inFlightRequest{client: event.Client, seq: event.Seq, fields: event.Fields, body: event.Body}
+	reason := request.parse(arrivedAt)
+	if previous := r.requestsByID[request.fields["txn"]]; reason == "" && previous != nil && previous.NoNewAttempts {
 		// Its client closed and asks again on another connection, under the same id: that was taken for a bad client's.
-		sent := len(old.dispatches) > 0
-		r.finish(old, Respond{Kind: Failed}) // the end of its connection waits for that
-		r.departed(old)
-		if sent && !r.of(h.Class, r.harmless) {
-			turnAway(Failed, "") // it may have run
+		sent := len(previous.attempts) > 0
+		r.respond(previous, Respond{Kind: Failed}) // the end of its connection waits for that
+		r.clientGone(previous)
+		if sent && !r.classHas(request.Class, r.idempotent) {
+			refuse(Failed, "") // it may have run
 			return
 		}
 	}
 	switch {
-	case why != "":
-	case !slices.Contains(r.products, h.Class):
-		why = "field verb names no product"
-	case r.ids[h.fields["txn"]] != nil:
-		why = "field txn is in use" // answers to the one would be taken for the other's
-	case len(h.body) > bodyMost:
-		why = "the body is too long"
-	}
-	if why != "" {
-		turnAway(BadRequest, why)
+	case reason != "":
+	case !slices.Contains(r.classes, request.Class):
+		reason = "field verb names no product"
+	case r.requestsByID[request.fields["txn"]] != nil:
+		reason = "field txn is in use" // answers to the one would be taken for the other's
+	case len(request.body) > maxBodyBytes:
+		reason = "the body is too long"
+	}
+	if reason != "" {
+		refuse(BadRequest, reason)
 		return
 	}
-	if r.hands >= r.limits.MaxInFlight || r.bytes+len(h.body) > r.limits.MaxBodyBytes {
-		turnAway(Rejected, "")
+	if r.inFlight >= r.limits.MaxInFlight || r.bodyBytes+len(request.body) > r.limits.MaxBodyBytes {
+		refuse(Rejected, "")
 		return
 	}
-	// A time longer than any product's would keep it in memory for so long.
-	h.Deadline = min(h.Deadline, arrived+r.longest)
-	if r.leaveBy > 0 {
-		h.Deadline = min(h.Deadline, r.leaveBy)
+	// A time longer than any class's would keep it in memory for so long.
+	request.Deadline = min(request.Deadline, arrivedAt+r.longestDeadline)
+	if r.shutdownDeadline > 0 {
+		request.Deadline = min(request.Deadline, r.shutdownDeadline)
 	}
-	if r.clients[e.Client] == nil {
-		r.clients[e.Client] = map[int32]*hand{}
+	if r.clients[event.Client] == nil {
+		r.clients[event.Client] = map[int32]*inFlightRequest{}
 	}
-	r.clients[e.Client][e.Seq] = h
-	r.ids[h.fields["txn"]] = h
-	r.hands++
-	r.bytes += len(h.body)
-	h.ends = r.due.Push(h.Deadline+r.answerGrace, task{hand: h, last: true})
-	r.act(h, r.decide.Decide(r.now, &h.Request))
+	r.clients[event.Client][event.Seq] = request
+	r.requestsByID[request.fields["txn"]] = request
+	r.inFlight++
+	r.bodyBytes += len(request.body)
+	request.deadlineTimer = r.timers.Push(request.Deadline+r.answerGrace, timerTask{request: request, atDeadline: true})
+	r.applyDecision(request, r.policy.Decide(r.now, &request.Request))
 }
 
 // read takes from the fields of a request that arrived at a time what decisions need, and says what is wrong with them.
-func (h *hand) read(arrived int64) string {
+func (request *inFlightRequest) parse(arrived int64) string {
 	number := func(name string, most uint64) (int64, bool) {
-		n, err := strconv.ParseUint(h.fields[name], 10, 32) // digits alone: it goes on as it came
+		n, err := strconv.ParseUint(request.fields[name], 10, 32) // digits alone: it goes on as it came
 		return int64(n), err == nil && n <= most
 	}
 	limit, ok1 := number("limit", math.MaxInt32)
@@ -306,19 +306,19 @@
 	for _, f := range []struct {
 		name string
 		good bool
-	}{{"verb", h.fields["verb"] != ""}, {"txn", isHex(h.fields["txn"])}, {"limit", ok1},
-		{"item", isHex(h.fields["item"])}, {"nth", ok2}, {"batch", ok3},
+	}{{"verb", request.fields["verb"] != ""}, {"txn", isHex(request.fields["txn"])}, {"limit", ok1},
+		{"item", isHex(request.fields["item"])}, {"nth", ok2}, {"batch", ok3},
 		// It goes on in a list of fields, and must not pass for others there.
-		{"unique", !strings.ContainsAny(h.fields["unique"], ",=\r\n")}} {
+		{"unique", !strings.ContainsAny(request.fields["unique"], ",=\r\n")}} {
 		if !f.good {
 			return "field " + f.name + " is missing or unusable"
 		}
 	}
-	h.Request = control.Request{Class: h.fields["verb"], Object: h.fields["item"], Part: part, Group: group,
-		Deadline: arrived + limit*millisecond - wayBack, ClientRetry: h.fields["second"] == "1"}
+	request.Request = control.Request{Class: request.fields["verb"], Object: request.fields["item"], Part: part, Group: group,
+		Deadline: arrived + limit*millisecond - responseTransit, ClientRetry: request.fields["second"] == "1"}
 	// Some deployments tell the size, in KB; without it nothing is wrong.
-	if kb, err := strconv.ParseFloat(h.fields["ram"], 64); err == nil && kb > 0 && kb < sizeMost {
-		h.SizeKB = kb
+	if kb, err := strconv.ParseFloat(request.fields["ram"], 64); err == nil && kb > 0 && kb < maxSizeKB {
+		request.SizeKB = kb
 	}
 	return ""
 }
@@ -332,260 +332,262 @@
 	return err == nil
 }
 
-// act carries out a decision on a retrieval in hand.
-func (r *Router) act(h *hand, d control.Decision) {
-	if h.finished {
+// applyDecision carries out a decision on a request in flight.
+func (r *Router) applyDecision(request *inFlightRequest, d control.Decision) {
+	if request.finished {
 		return
 	}
 	switch d.Verdict {
 	case control.Send:
-		r.dispatch(h, d.Attempt)
+		r.startAttempt(request, d.Attempt)
 	case control.Reject:
-		r.finish(h, Respond{Kind: Rejected, RetryAfter: d.RetryAfter})
+		r.respond(request, Respond{Kind: Rejected, RetryAfter: d.RetryAfter})
 	case control.Fail:
-		r.finish(h, Respond{Kind: Failed})
+		r.respond(request, Respond{Kind: Failed})
 	}
-	r.callOff(h, d.Cancel)
-	r.plan(h)
+	r.cancelAttempts(request, d.Cancel)
+	r.scheduleRecheck(request)
 }
 
-// plan asks how long to wait for a retrieval and enters that into the due times.
-func (r *Router) plan(h *hand) {
-	if h.finished {
+// scheduleRecheck asks how long to wait for a request and enters that into the timers.
+func (r *Router) scheduleRecheck(request *inFlightRequest) {
+	if request.finished {
 		return
 	}
-	r.due.Remove(h.asks)
-	if wait := r.decide.RecheckDelay(r.now, &h.Request); wait > 0 {
-		h.asks = r.due.Push(r.now+wait, task{hand: h})
+	r.timers.Remove(request.recheckTimer)
+	if wait := r.policy.RecheckDelay(r.now, &request.Request); wait > 0 {
+		request.recheckTimer = r.timers.Push(r.now+wait, timerTask{request: request})
 	}
 }
 
-// finish gives a retrieval its one final answer.
-func (r *Router) finish(h *hand, a Respond) {
-	if h.finished {
+// respond gives a request its one final answer.
+func (r *Router) respond(request *inFlightRequest, a Respond) {
+	if request.finished {
 		return
 	}
-	a.Client, a.Seq = h.client, h.seq
-	r.drop(h)
-	r.do(a)
+	a.Client, a.Seq = request.client, request.seq
+	r.removeRequest(request)
+	r.emit(a)
 }
 
-// drop takes a retrieval out of hand; nothing more is sent for it.
-func (r *Router) drop(h *hand) {
-	if h.finished {
+// removeRequest takes a request out of hand; nothing more is sent for it.
+func (r *Router) removeRequest(request *inFlightRequest) {
+	if request.finished {
 		return
 	}
-	h.finished = true
-	if !r.mayCancel {
-		r.takeAllBack(h) // the module calls nothing off where the caches can't be told
+	request.finished = true
+	if !r.canCancel {
+		r.withdrawAll(request) // the policy calls nothing off where the caches can't be told
 	}
-	// Left to come due, they kept all of a retrieval for seconds after its end.
-	r.due.Remove(h.ends)
-	r.due.Remove(h.asks)
-	r.bytes -= len(h.body)
-	h.body = nil
-	r.hands--
-	delete(r.ids, h.fields["txn"])
-	if delete(r.clients[h.client], h.seq); len(r.clients[h.client]) == 0 {
-		delete(r.clients, h.client)
+	// Left to come due, they kept all of a request for seconds after its end.
+	r.timers.Remove(request.deadlineTimer)
+	r.timers.Remove(request.recheckTimer)
+	r.bodyBytes -= len(request.body)
+	request.body = nil
+	r.inFlight--
+	delete(r.requestsByID, request.fields["txn"])
+	if delete(r.clients[request.client], request.seq); len(r.clients[request.client]) == 0 {
+		delete(r.clients, request.client)
 	}
 }
 
-// departed ends a retrieval that nobody waits for any more.
-func (r *Router) departed(h *hand) {
-	r.drop(h)
-	r.decide.ClientGone(r.now, &h.Request)
-	all := make([]int, len(h.dispatches))
+// clientGone ends a request that nobody waits for any more.
+func (r *Router) clientGone(request *inFlightRequest) {
+	r.removeRequest(request)
+	r.policy.ClientGone(r.now, &request.Request)
+	all := make([]int, len(request.attempts))
 	for i := range all {
 		all[i] = i
 	}
-	r.callOff(h, all)
+	r.cancelAttempts(request, all)
 }
 
-// of tells whether something holds for a product.
-func (r *Router) of(product string, which []bool) bool {
-	i := slices.Index(r.products, product)
+// classHas tells whether something holds for a class.
+func (r *Router) classHas(product string, which []bool) bool {
+	i := slices.Index(r.classes, product)
 	return i >= 0 && i < len(which) && which[i]
 }
 
-// halfClosed ends what waits for a client that has closed its side: held, or for a link that is not up. It was sent on when
+// clientHalfClosed ends what waits for a client that has closed its side: held, or for a connection that is not up. It was sent on when
 // its turn came, seconds after the client had gone. One who still reads is told at once that nothing ran.
-func (r *Router) halfClosed(client ClientID) {
-	for _, h := range inOrder(r.clients[client]) {
-		h.NoNewAttempts = true
-		waits := true
-		for _, d := range h.dispatches {
-			if !d.ended && d.link.up {
-				waits = false
+func (r *Router) clientHalfClosed(client ClientID) {
+	for _, request := range inSequence(r.clients[client]) {
+		request.NoNewAttempts = true
+		waiting := true
+		for _, attempt := range request.attempts {
+			if !attempt.ended && attempt.connection.established {
+				waiting = false
 			}
 		}
-		r.takeAllBack(h)
-		if waits && !h.finished {
-			r.act(h, r.decide.Decide(r.now, &h.Request))
+		r.withdrawAll(request)
+		if waiting && !request.finished {
+			r.applyDecision(request, r.policy.Decide(r.now, &request.Request))
 		}
 	}
 }
 
-// takeAllBack ends what of a retrieval is not written yet.
-func (r *Router) takeAllBack(h *hand) {
-	for _, d := range slices.Clone(h.dispatches) {
-		if !d.ended {
-			r.takeBack(d)
+// withdrawAll ends what of a request is not written yet.
+func (r *Router) withdrawAll(request *inFlightRequest) {
+	for _, attempt := range slices.Clone(request.attempts) {
+		if !attempt.ended {
+			r.withdrawAttempt(attempt)
 		}
 	}
 }
 
-// callOff gives dispatches up, by their numbers.
-func (r *Router) callOff(h *hand, numbers []int) {
+// cancelAttempts gives attempts up, by their numbers.
+func (r *Router) cancelAttempts(request *inFlightRequest, numbers []int) {
 	for _, n := range numbers {
-		if d := h.dispatches[n]; !d.ended {
+		if attempt := request.attempts[n]; !attempt.ended {
 			result := control.Cancelled
-			if !d.link.up {
+			if !attempt.connection.established {
 				result = control.NotSent
 			}
-			r.giveUp(d)
-			r.ended(d, control.Outcome{Result: result})
+			r.abandonAttempt(attempt)
+			r.attemptEnded(attempt, control.Outcome{Result: result})
 		}
 	}
 }
 
-// ended tells the module how a dispatch ended and carries out what it says.
-func (r *Router) ended(d *dispatch, o control.Outcome) {
-	if d.ended {
+// attemptEnded tells the policy how an attempt ended and carries out what it says.
+func (r *Router) attemptEnded(attempt *attempt, o control.Outcome) {
+	if attempt.ended {
 		return
 	}
-	d.ended, d.request.Body = true, nil
-	r.due.Remove(d.ends)
-	h := d.hand
-	o.Attempt, o.Elapsed, o.RequestEnded = d.number, r.now-d.sent, h.finished
-	decision := r.decide.AttemptEnded(r.now, &h.Request, o)
-	if h.finished {
-		r.callOff(h, decision.Cancel)
+	attempt.ended, attempt.upstream.Body = true, nil
+	r.timers.Remove(attempt.timer)
+	request := attempt.request
+	o.Attempt, o.Elapsed, o.RequestEnded = attempt.number, r.now-attempt.startedAt, request.finished
+	decision := r.policy.AttemptEnded(r.now, &request.Request, o)
+	if request.finished {
+		r.cancelAttempts(request, decision.Cancel)
 		return
 	}
-	r.act(h, decision)
+	r.applyDecision(request, decision)
 }
 
-// answered takes an answer to a dispatch; the first good one goes to the client as it came.
-func (r *Router) answered(e ResponseReceived) {
-	l := r.links[e.Connection]
-	if l == nil {
+// responseReceived takes an answer to an attempt; the first good one goes to the client as it came.
+func (r *Router) responseReceived(event ResponseReceived) {
+	connection := r.connections[event.Connection]
+	if connection == nil {
 		return
 	}
-	l.heard = r.now
-	d := l.open[e.ID]
-	if d == nil {
+	connection.lastReceivedAt = r.now
+	attempt := connection.inFlight[event.ID]
+	if attempt == nil {
 		return // it was given up, or never asked
 	}
-	delete(l.open, e.ID)
-	if !r.of(d.hand.Class, r.harmless) {
-		// Some answer twice, the second time some milliseconds late: on this link it passed for the answer to a further attempt,
+	delete(connection.inFlight, event.ID)
+	if !r.classHas(attempt.request.Class, r.idempotent) {
+		// Some answer twice, the second time some milliseconds late: on this connection it passed for the answer to a further attempt,
 		// and one that ran was taken for one that had not.
-		l.past[e.ID] = r.now
+		connection.abandonedAt[event.ID] = r.now
 	}
 	switch {
-	case e.NotModified && d.request.ClientETag == "":
-		e.Result = control.ServerError // no copy was named that could be good still
-	case e.Unversioned && r.of(d.hand.Class, r.neverKept):
-		e.Result = control.Succeeded // what no cache keeps is no copy: it passed for spoilt, and was never served
+	case event.NotModified && attempt.upstream.ClientETag == "":
+		event.Result = control.ServerError // no copy was named that could be good still
+	case event.Unversioned && r.classHas(attempt.request.Class, r.uncacheable):
+		event.Result = control.Succeeded // what no cache keeps is no copy: it passed for spoilt, and was never served
 	}
-	if e.Result == control.Succeeded && !r.decide.AcceptsCopy(r.now, &d.hand.Request, d.number, e.IssuedAt) {
-		e.Result = control.Stale
+	if event.Result == control.Succeeded && !r.policy.AcceptsCopy(r.now, &attempt.request.Request, attempt.number, event.IssuedAt) {
+		event.Result = control.Stale
 	}
-	if e.Result == control.Succeeded {
-		r.finish(d.hand, Respond{Kind: Served, Body: e.Body, NotModified: e.NotModified})
+	if event.Result == control.Succeeded {
+		r.respond(attempt.request, Respond{Kind: Served, Body: event.Body, NotModified: event.NotModified})
 	}
-	o := control.Outcome{Result: e.Result, Note: e.Note, TimeToFirstByte: e.TimeToFirstByte, LoadReport: e.LoadReport}
-	if r.flow > 0 {
-		o.SendingTime = float64(len(e.Body)) / r.flow // a large one is due later; judged by the mean it passed for late
+	outcome := control.Outcome{Result: event.Result, Note: event.Note, TimeToFirstByte: event.TimeToFirstByte, LoadReport: event.LoadReport}
+	if r.bytesPerSecond > 0 {
+		outcome.SendingTime = float64(len(event.Body)) / r.bytesPerSecond // a large one is due later; judged by the mean it passed for late
 	}
-	r.ended(d, o)
-	r.tidy(l)
+	r.attemptEnded(attempt, outcome)
+	r.closeIfUnresponsive(connection)
 }
 
-// dueTask does what a due time was for.
-func (r *Router) dueTask(what task) {
+// runTimer does what a timer was for.
+func (r *Router) runTimer(what timerTask) {
 	switch {
-	case what.dispatch != nil:
-		r.late(what.dispatch)
-	case what.hand.finished:
-	case what.last:
-		// Whatever went wrong before: no retrieval stays without its answer.
-		h := what.hand
-		r.finish(h, Respond{Kind: Failed})
-		r.departed(h)
+	case what.attempt != nil:
+		r.attemptTimerFired(what.attempt)
+	case what.request.finished:
+	case what.atDeadline:
+		// Whatever went wrong before: no request stays without its answer.
+		request := what.request
+		r.respond(request, Respond{Kind: Failed})
+		r.clientGone(request)
 	default:
-		r.act(what.hand, r.decide.Decide(r.now, &what.hand.Request))
+		r.applyDecision(what.request, r.policy.Decide(r.now, &what.request.Request))
 	}
 }
 
-// late ends a dispatch whose time is up, or takes it back if only the time in which it may be written is.
-func (r *Router) late(d *dispatch) {
-	if d.ended {
+// attemptTimerFired ends an attempt whose time is up, or takes it back if only the time in which it may be written is.
+func (r *Router) attemptTimerFired(attempt *attempt) {
+	if attempt.ended {
 		return
 	}
-	if d.link.up && r.now < d.until {
-		r.takeBack(d)
-		r.arm(d) // if it was written its answer is waited for
+	if attempt.connection.established && r.now < attempt.deadline {
+		r.withdrawAttempt(attempt)
+		r.setAttemptTimer(attempt) // if it was written its answer is waited for
 		return
 	}
 	result := control.TimedOut
-	if !d.link.up {
+	if !attempt.connection.established {
 		result = control.Unreachable // nothing was written
 	}
-	r.giveUp(d)
-	r.ended(d, control.Outcome{Result: result})
+	r.abandonAttempt(attempt)
+	r.attemptEnded(attempt, control.Outcome{Result: result})
 }
 
 // tick does the periodic work.
 func (r *Router) tick() {
-	r.ticking = r.now + tickAfterFault
-	_, again := r.decide.Tick(r.now) // without probes there are no chores
-	r.ticking = r.now + again
-	r.sweep()
-	r.meet()
+	r.nextTick = r.now + tickRetryDelay
+	_, again := r.policy.Tick(r.now) // without probes there are no chores
+	r.nextTick = r.now + again
+	r.closeUnused()
+	r.preconnect()
 }
 
-// leaving cuts the time of all retrievals to what is left.
-func (r *Router) leaving(e ShutdownStarted) {
-	r.leaveBy = e.AnswerDeadline
+// shutdownStarted cuts the time of all requests to what is left.
+func (r *Router) shutdownStarted(event ShutdownStarted) {
+	r.shutdownDeadline = event.AnswerDeadline
 	for _, id := range sortedKeys(r.clients) {
-		for _, h := range inOrder(r.clients[id]) {
-			if h.Deadline <= e.AnswerDeadline {
+		for _, request := range inSequence(r.clients[id]) {
+			if request.Deadline <= event.AnswerDeadline {
 				continue
 			}
-			h.Deadline = e.AnswerDeadline
-			r.due.Remove(h.ends)
-			h.ends = r.due.Push(e.AnswerDeadline+r.answerGrace, task{hand: h, last: true})
-			for _, d := range h.dispatches {
-				if !d.ended {
-					// Its own time is cut, too: one that waited for its link got all of it back when that came up, and was failed
+			request.Deadline = event.AnswerDeadline
+			r.timers.Remove(request.deadlineTimer)
+			request.deadlineTimer = r.timers.Push(event.AnswerDeadline+r.answerGrace, timerTask{request: request, atDeadline: true})
+			for _, attempt := range request.attempts {
+				if !attempt.ended {
+					// Its own time is cut, too: one that waited for its connection got all of it back when that came up, and was failed
 					// where it could have been refused.
-					d.until, d.reach = min(e.AnswerDeadline, d.until), min(e.AnswerDeadline-millisecond, d.reach)
-					d.request.Deadline = d.until
-					r.arm(d)
+					attempt.deadline, attempt.sendDeadline = min(event.AnswerDeadline, attempt.deadline), min(event.AnswerDeadline-millisecond, attempt.sendDeadline)
+					attempt.upstream.Deadline = attempt.deadline
+					r.setAttemptTimer(attempt)
 				}
 			}
 		}
 	}
 }
 
-// Listings is the list of members as it is now, by name.
+// Endpoints returns the endpoint list as it is now, ordered by name.
 func (r *Router) Endpoints() []EndpointEntry {
-	out := make([]EndpointEntry, 0, len(r.members))
-	for _, name := range sortedKeys(r.members) {
-		out = append(out, r.members[name].EndpointEntry)
+	out := make([]EndpointEntry, 0, len(r.endpoints))
+	for _, name := range sortedKeys(r.endpoints) {
+		out = append(out, r.endpoints[name].EndpointEntry)
 	}
 	return out
 }
 
-// Remember is what the module has learned, with so many objects at most.
-func (r *Router) Snapshot(now int64, most int) control.Snapshot {
-	return r.decide.Snapshot(max(now, r.now), most)
+// Snapshot returns what the policy has learned, with maxObjects objects at most.
+func (r *Router) Snapshot(now int64, maxObjects int) control.Snapshot {
+	return r.policy.Snapshot(max(now, r.now), maxObjects)
 }
 
-// Recall has the module take over what one before it had learned.
-func (r *Router) Restore(now int64, m control.Snapshot, rates bool) { r.decide.Restore(now, m, rates) }
+// Restore has the policy take over what one before it had learned, request rates too if withRates is set.
+func (r *Router) Restore(now int64, snapshot control.Snapshot, withRates bool) {
+	r.policy.Restore(now, snapshot, withRates)
+}
 
-// Hands is how many retrievals are in hand.
-func (r *Router) InFlight() int { return r.hands }
+// InFlight returns how many requests are in flight.
+func (r *Router) InFlight() int { return r.inFlight }
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -90,7 +90,7 @@
 // pass lets time go by, in the steps of the timer that the reducer asked for.
 func (p *play) pass(ns int64) {
 	for end := p.now + ns; p.now < end; {
-		p.now = min(end, max(p.armed, p.now+millisecond))
+		p.now = min(end, max(p.timerSetFor, p.now+millisecond))
 		p.take(TimerFired{})
 	}
 }
@@ -115,7 +115,7 @@
 
 // list tells of a change to the first cache that was dialled.
 func (p *play) list(change func(*EndpointEntry)) {
-	address := p.Router.links[p.links[0]].address
+	address := p.Router.connections[p.links[0]].address
 	line := fleet[slices.IndexFunc(fleet, func(l EndpointEntry) bool { return l.Address == address })]
 	change(&line)
 	p.take(EndpointListUpdated{Entries: []EndpointEntry{line}})
@@ -234,7 +234,7 @@
 			p.answer(good)
 			p.list(func(l *EndpointEntry) { l.Phase = "gone" })
 			p.list2("s-new")
-			if got := p.members["s-new"]; len(got.links) != 0 {
+			if got := p.endpoints["s-new"]; len(got.connections) != 0 {
 				p.t.Error("it has a link of the one before")
 			}
 		}, "dial, send 1, settled 1:bytes, close 1"},
@@ -277,7 +277,7 @@
 			p.ask(1, nil)
 			p.up()
 			p.answer(good)
-			address := p.Router.links[p.links[0]].address
+			address := p.Router.connections[p.links[0]].address
 			p.take(EndpointListUpdated{Entries: []EndpointEntry{{"s-new", address, control.Endpoint{Location: "here", Kind: "cache",
 				Phase: "ready", Capacity: 5, StartedAt: p.now}}}})
 		}, "dial, send 1, settled 1:bytes, close 1"},
@@ -368,12 +368,12 @@
 			p.ask(seq, map[string]string{"item": object})
 			p.up()
 		}
-		for id, l := range p.Router.links {
-			if len(l.open) > shareFrom+1 { // the one for which the next link is dialled goes on the one that is up
-				t.Errorf("%d open on link %d of %d", len(l.open), id, len(p.links))
+		for id, connection := range p.Router.connections {
+			if len(connection.inFlight) > shareThreshold+1 { // the one for which the next link is dialled goes on the one that is up
+				t.Errorf("%d open on link %d of %d", len(connection.inFlight), id, len(p.links))
 			}
 		}
-		if len(p.links) < 2 || p.InFlight() < 2*shareFrom-1 {
+		if len(p.links) < 2 || p.InFlight() < 2*shareThreshold-1 {
 			t.Errorf("%d links for %d in hand", len(p.links), p.InFlight())
 		}
 	})
@@ -386,9 +386,9 @@
 			}
 			p.take(RequestCancelled{Client: 1, Seq: seq})
 		}
-		for _, m := range p.members {
-			if len(m.links) > linksMost {
-				t.Errorf("%d links to %s", len(m.links), m.Instance)
+		for _, endpoint := range p.endpoints {
+			if len(endpoint.connections) > maxConnectionsPerEndpoint {
+				t.Errorf("%d links to %s", len(endpoint.connections), endpoint.Instance)
 			}
 		}
 	})
@@ -399,15 +399,15 @@
 			p.up()
 			p.take(RequestCancelled{Client: 1, Seq: seq})
 		}
-		l := p.Router.links[1]
-		before := len(l.past)
+		connection := p.Router.connections[1]
+		before := len(connection.abandonedAt)
 		for range 8 {
 			p.pass(second)
 			p.ask(99, nil)
 			p.answer(ResponseReceived{Result: control.Succeeded})
 		}
-		if before == 0 || len(l.past) > 0 {
-			t.Errorf("%d, then %d", before, len(l.past))
+		if before == 0 || len(connection.abandonedAt) > 0 {
+			t.Errorf("%d, then %d", before, len(connection.abandonedAt))
 		}
 	})
 }
@@ -426,14 +426,14 @@
 			for _, id := range p.links {
 				p.take(ConnectionUp{Connection: id})
 			}
-			l, unsent := p.members["s-a"].links[0], []string(nil)
+			connection, unsent := p.endpoints["s-a"].connections[0], []string(nil)
 			if c.unsent {
-				unsent = sortedKeys(l.open)
+				unsent = sortedKeys(connection.inFlight)
 			}
-			if len(l.open) < 3 {
-				t.Fatalf("%d open", len(l.open))
+			if len(connection.inFlight) < 3 {
+				t.Fatalf("%d open", len(connection.inFlight))
 			}
-			p.take(ConnectionDown{Connection: l.id, Unsent: unsent})
+			p.take(ConnectionDown{Connection: connection.id, Unsent: unsent})
 			p.pass(second / 10)
 			if len(p.lines) > 0 {
 				t.Errorf("log %v", p.lines)
@@ -472,10 +472,10 @@
 		p.links, p.sends, p.seen = p.links[:0], p.sends[:0], p.seen[:0]
 		p.pass(20 * millisecond)
 		past := 0
-		for _, l := range p.Router.links {
-			past += len(l.past)
+		for _, connection := range p.Router.connections {
+			past += len(connection.abandonedAt)
 		}
-		for i, size := range []int{len(p.members), len(p.byID), len(p.Router.links), len(p.clients), len(p.ids), p.due.Len(), past, p.bytes} {
+		for i, size := range []int{len(p.endpoints), len(p.endpointsByID), len(p.Router.connections), len(p.clients), len(p.requestsByID), p.timers.Len(), past, p.bodyBytes} {
 			most[i] = max(most[i], size)
 		}
 	}
@@ -530,9 +530,9 @@
 				p.now += millisecond
 				p.answer(ResponseReceived{Result: control.Succeeded})
 			}
-			cache := p.Router.links[p.links[0]].member
+			cache := p.Router.connections[p.links[0]].endpoint
 			p.pass(second)
-			if got := len(cache.links); got != c.want {
+			if got := len(cache.connections); got != c.want {
 				t.Errorf("%d links, want %d; effects %v", got, c.want, p.seen)
 			}
 		})
@@ -559,7 +559,7 @@
 			for _, e := range c.events {
 				p.take(e)
 			}
-			got := []uint32{p.members[a].ID, p.members[b].ID, p.members["x"].ID}
+			got := []uint32{p.endpoints[a].ID, p.endpoints[b].ID, p.endpoints["x"].ID}
 			if first = slices.Clone(append(first, got...)[:3]); !slices.Equal(got, first) || got[0] == got[1] {
 				t.Errorf("ids %v, elsewhere %v", got, first)
 			}
@@ -570,7 +570,7 @@
 // Timers go off a little early at times, and then nothing is due yet.
 func TestTimerThatComesEarly(t *testing.T) {
 	p := newPlay(t, nil)
-	p.now = p.armed - 1
+	p.now = p.timerSetFor - 1
 	set := false
 	for _, e := range p.Handle(p.now, TimerFired{}) {
 		_, timer := e.(SetTimer)
@@ -583,10 +583,10 @@
 
 func TestFaultOfThePeriodicWork(t *testing.T) {
 	p := newPlay(t, nil)
-	p.decide = nil
+	p.policy = nil
 	p.pass(second)
-	if p.armed < p.now+100*millisecond {
-		t.Errorf("the timer is set for %d ms from now", (p.armed-p.now)/millisecond)
+	if p.timerSetFor < p.now+100*millisecond {
+		t.Errorf("the timer is set for %d ms from now", (p.timerSetFor-p.now)/millisecond)
 	}
 }
 
@@ -594,7 +594,7 @@
 	p := newPlay(t, nil)
 	p.ask(1, nil)
 	p.up()
-	p.Router.links[p.links[0]].member = nil // no event can bring this about
+	p.Router.connections[p.links[0]].endpoint = nil // no event can bring this about
 	p.take(ConnectionDown{Connection: p.links[0]})
 	p.pass(3 * second)
 	if last := p.seen[len(p.seen)-1]; !strings.HasSuffix(last, " 1") || p.InFlight() != 0 {
--- a/router/unwritten_test.go
+++ b/router/unwritten_test.go
@@ -147,14 +147,14 @@
 	p := newPlay(t, func(_ *Limits, s control.Settings) { s["cancel"] = false })
 	p.ask(1, nil)
 	p.up()
-	first := p.Router.links[p.links[0]].member
-	other := p.members["s-a"]
+	first := p.Router.connections[p.links[0]].endpoint
+	other := p.endpoints["s-a"]
 	if first == other {
-		other = p.members["s-b"]
+		other = p.endpoints["s-b"]
 	}
-	p.dispatch(p.clients[1][1], control.Attempt{Cache: other.ID, CacheOnly: true, SendTimeout: second})
+	p.startAttempt(p.clients[1][1], control.Attempt{Cache: other.ID, CacheOnly: true, SendTimeout: second})
 	p.answer(ResponseReceived{Result: control.Succeeded, Body: []byte(":bytes")})
-	p.take(ConnectionUp{Connection: p.linked})
+	p.take(ConnectionUp{Connection: p.lastConnection})
 	if got := strings.Join(p.seen[1:], ", "); got != "send 0000000000000001, settled 1:bytes" {
 		t.Errorf("effects %s", got)
 	}
