--- a/router/links.go
+++ b/router/links.go
@@ -61,12 +61,10 @@
 		attempt.connection = r.pickConnection(attempt.cache, attempt.upstream.ID)
 	}
 	if attempt.connection == nil {
+		// It uses up an attempt, also while this machine can open no connections: the endpoint may look reachable by a connection
+		// that is full, and an attempt that cost nothing was made again at once, without end.
 		attempt.connection = &connection{}
-		result := control.NotSent
-		if r.localBackoff.Active(r.now) {
-			result = control.LocalError
-		}
-		r.attemptEnded(attempt, control.Outcome{Result: result})
+		r.attemptEnded(attempt, control.Outcome{Result: control.NotSent})
 		return
 	}
 	attempt.connection.inFlight[attempt.upstream.ID] = attempt
--- a/router/local_test.go
+++ b/router/local_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"strings"
 	"testing"
+	"time"
 
 	"tealpath/control"
 )
@@ -142,3 +143,24 @@
 		}
 	}
 }
+
+// While this machine can open no connections, and the one that stands is full, attempts end at once. They are bounded: they were
+// made again without end, in one call.
+func TestAttemptsWithoutAConnectionAreBounded(t *testing.T) {
+	p := newPlay(t, func(_ *Limits, s control.Settings) { s["connect.streams"] = int64(1) })
+	p.ask(1, nil)
+	p.up()
+	p.ask(2, map[string]string{"item": elsewhere(t)})
+	p.take(ConnectionDown{Connection: p.links[len(p.links)-1], Cause: Local, Reason: "no descriptors"})
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		p.ask(3, nil) // its endpoint has a connection, which is full
+		p.pass(3 * second)
+	}()
+	select {
+	case <-done:
+	case <-time.After(5 * time.Second):
+		t.Fatal("one call does not end")
+	}
+}
