--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -15,8 +15,8 @@
 	"testing"
 	"time"
 
-	"tealpath/resp"
-	"tealpath/thrift"
+	"tealpath/internal/protocol/resp"
+	"tealpath/internal/protocol/thrift"
 )
 
 var budgetField = regexp.MustCompile(`\bbudget=(\d+)\b`)
--- a/cmd/tealpath/endings_test.go
+++ b/cmd/tealpath/endings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"tealpath/thrift"
+	"tealpath/internal/protocol/thrift"
 )
 
 // ends waits for the end of the program, and checks that it ended as asked.
--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"tealpath/resp"
+	"tealpath/internal/protocol/resp"
 	"tealpath/standin/lists"
 )
 
--- a/cmd/tealpath/main_test.go
+++ b/cmd/tealpath/main_test.go
@@ -20,8 +20,8 @@
 
 	"github.com/urfave/cli/v3"
 
-	"tealpath/resp"
-	"tealpath/thrift"
+	"tealpath/internal/protocol/resp"
+	"tealpath/internal/protocol/thrift"
 )
 
 const patience = 5 * time.Second
--- a/cmd/tealpath/process_test.go
+++ b/cmd/tealpath/process_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
-	"tealpath/resp"
-	"tealpath/thrift"
+	"tealpath/internal/protocol/resp"
+	"tealpath/internal/protocol/thrift"
 )
 
 // asProgram is the variable of the environment by which this test binary runs as the program itself: a process of its own
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -21,10 +21,10 @@
 	"tealpath/control"
 	"tealpath/internal/clock"
 	"tealpath/internal/neterr"
+	"tealpath/internal/protocol/sse"
 	"tealpath/plan/restore"
 	"tealpath/plan/startup"
 	"tealpath/router"
-	"tealpath/sse"
 )
 
 const (
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -12,9 +12,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"tealpath/control"
+	"tealpath/internal/protocol/sse"
 	"tealpath/plan/startup"
 	"tealpath/router"
-	"tealpath/sse"
 	"tealpath/standin/lists"
 )
 
--- a/front/departure.go
+++ b/front/departure.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"tealpath/internal/neterr"
+	"tealpath/internal/protocol/thrift"
 	"tealpath/router"
-	"tealpath/thrift"
 )
 
 const (
--- a/front/departure_test.go
+++ b/front/departure_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"tealpath/internal/protocol/thrift"
 	"tealpath/router"
-	"tealpath/thrift"
 )
 
 // seenWithin is in what time a client's end is told: no attempt begins 0.1 s after it.
--- a/front/front.go
+++ b/front/front.go
@@ -23,8 +23,8 @@
 	"tealpath/front/park"
 	"tealpath/internal/clock"
 	"tealpath/internal/neterr"
+	"tealpath/internal/protocol/thrift"
 	"tealpath/router"
-	"tealpath/thrift"
 )
 
 // Times that bound what a slow, dead or bad client can hold.
--- a/front/refuse.go
+++ b/front/refuse.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"tealpath/internal/neterr"
-	"tealpath/thrift"
+	"tealpath/internal/protocol/thrift"
 )
 
 // headMost is how many bytes of a frame are kept to tell which request it is.
--- a/process/keeping_test.go
+++ b/process/keeping_test.go
@@ -19,10 +19,10 @@
 	"github.com/rs/zerolog"
 
 	"tealpath/config"
+	"tealpath/internal/protocol/thrift"
 	"tealpath/operator"
 	"tealpath/snapshot"
 	"tealpath/standin/lists"
-	"tealpath/thrift"
 )
 
 // faultyDisk is a disk in memory. It fails as it is told to, or hangs until the test ends.
--- a/standin/cache/cache.go
+++ b/standin/cache/cache.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"tealpath/resp"
+	"tealpath/internal/protocol/resp"
 )
 
 // Probe is one `alive` that came.
--- a/upstream/alive.go
+++ b/upstream/alive.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"tealpath/internal/neterr"
-	"tealpath/resp"
+	"tealpath/internal/protocol/resp"
 )
 
 // ErrWithdrawn is a probe that was not written, as it may no longer be, or as this machine could open no connection.
--- a/upstream/endings_test.go
+++ b/upstream/endings_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"tealpath/internal/clock"
-	"tealpath/resp"
+	"tealpath/internal/protocol/resp"
 	"tealpath/router"
 )
 
--- a/upstream/local_test.go
+++ b/upstream/local_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"tealpath/control"
-	"tealpath/resp"
+	"tealpath/internal/protocol/resp"
 	"tealpath/router"
 )
 
--- a/upstream/upstream.go
+++ b/upstream/upstream.go
@@ -19,7 +19,7 @@
 	"tealpath/control"
 	"tealpath/internal/clock"
 	"tealpath/internal/neterr"
-	"tealpath/resp"
+	"tealpath/internal/protocol/resp"
 	"tealpath/router"
 )
 
--- a/upstream/upstream_test.go
+++ b/upstream/upstream_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"tealpath/control"
-	"tealpath/resp"
+	"tealpath/internal/protocol/resp"
 	"tealpath/router"
 	"tealpath/standin/cache"
 )
--- a/upstream/write_test.go
+++ b/upstream/write_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"tealpath/resp"
+	"tealpath/internal/protocol/resp"
 	"tealpath/router"
 )
 
