--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -20,8 +20,8 @@
 	"tealpath/config"
 	"tealpath/internal/clock"
 	"tealpath/internal/clock/clocktest"
+	"tealpath/internal/server"
 	"tealpath/operator"
-	"tealpath/process"
 )
 
 // steps are what the wall clock is set forward by in the tests, or back.
@@ -85,7 +85,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.over <- process.New(parsed, file, zerolog.New(r.log), process.WithClock(c)).Run(ctx, leave, nil,
+		r.over <- server.New(parsed, file, zerolog.New(r.log), server.WithClock(c)).Run(ctx, leave, nil,
 			func() (*config.Config, *operator.File, error) { return nil, nil, errors.New("not in this test") })
 	}()
 	t.Cleanup(func() {
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -14,8 +14,8 @@
 
 	"tealpath/config"
 	"tealpath/fleet"
+	"tealpath/internal/server"
 	"tealpath/operator"
-	"tealpath/process"
 )
 
 func operatorFlag() []cli.Flag {
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := process.Bind(file, c); err != nil {
+	if err := server.Bind(file, c); err != nil {
 		return nil, fmt.Errorf("operator's file %s:\n%w", path, err)
 	}
 	return file, nil
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	var c process.Connections
+	var c server.Connections
 	if err := operator.Ask(ctx, path, &c, "connections"); err != nil {
 		return cli.Exit(err, exitFailed)
 	}
--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -15,8 +15,8 @@
 
 	"tealpath/config"
 	"tealpath/internal/clock"
+	"tealpath/internal/server"
 	"tealpath/operator"
-	"tealpath/process"
 )
 
 // version is the release's; the build may set it.
@@ -111,7 +111,7 @@
 	out := newLogWriter(os.Stderr)
 	defer out.Close()
 	log := zerolog.New(out).With().Timestamp().Logger()
-	err = process.New(c, file, log, process.WithClock(clock.System())).Run(ctx, leave.Done(), again, func() (*config.Config, *operator.File, error) {
+	err = server.New(c, file, log, server.WithClock(clock.System())).Run(ctx, leave.Done(), again, func() (*config.Config, *operator.File, error) {
 		next, err := c.Reload(os.Getenv)
 		if err != nil {
 			return nil, nil, err
@@ -120,7 +120,7 @@
 		return next, file, err
 	})
 	switch {
-	case errors.Is(err, process.ErrConfig):
+	case errors.Is(err, server.ErrConfig):
 		return cli.Exit(err, exitUsage)
 	case err != nil:
 		return cli.Exit(err, exitFailed)
@@ -155,7 +155,7 @@
 	if err != nil {
 		return cli.Exit(err, exitUsage)
 	}
-	if err := process.Check(c); err != nil {
+	if err := server.Check(c); err != nil {
 		return cli.Exit(err, exitUsage)
 	}
 	fmt.Printf("configuration of %s is usable: clients at %s, journal service at %s\n", c.Name, c.Listen, c.DiscoveryAddress)
--- a/feed/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"fmt"
--- a/feed/feed.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package feed follows the journal service: changes of the list of members, and purges.
-package feed
+// Package discovery follows the journal service: changes of the list of members, and purges.
+package discovery
 
 import (
 	"context"
@@ -22,9 +22,9 @@
 	"tealpath/internal/clock"
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/sse"
+	"tealpath/internal/router"
 	"tealpath/plan/restore"
 	"tealpath/plan/startup"
-	"tealpath/router"
 )
 
 const (
--- a/feed/feed_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 
 	"tealpath/control"
 	"tealpath/internal/protocol/sse"
+	"tealpath/internal/router"
 	"tealpath/plan/startup"
-	"tealpath/router"
 	"tealpath/standin/lists"
 )
 
--- a/feed/endings_test.go
+++ b/internal/discovery/endings_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"bufio"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"tealpath/internal/router"
 	"tealpath/plan/startup"
-	"tealpath/router"
 )
 
 // What is asked for counts as told at once. An answer that is cut off, or stands still inside an event, is asked for again
--- a/feed/local_test.go
+++ b/internal/discovery/local_test.go
@@ -1,4 +1,4 @@
-package feed
+package discovery
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"tealpath/internal/router"
 	"tealpath/plan/startup"
-	"tealpath/router"
 )
 
 // localErrors are what Linux documents of this machine's own for socket(2) and connect(2).
--- a/feed/stamps_test.go
+++ b/internal/discovery/stamps_test.go
@@ -1,11 +1,11 @@
-package feed
+package discovery
 
 import (
 	"fmt"
 	"math"
 	"testing"
 
-	"tealpath/router"
+	"tealpath/internal/router"
 )
 
 // What other machines stamp is taken as far as it goes: no time of the far future becomes one of the past, and the other way.
--- a/front/arrival.go
+++ b/internal/downstream/arrival.go
@@ -1,11 +1,11 @@
-package front
+package downstream
 
 import (
 	"net"
 	"sync"
 	"time"
 
-	"tealpath/front/park"
+	"tealpath/internal/downstream/poller"
 )
 
 const (
@@ -79,7 +79,7 @@
 		}
 		return n, err
 	}
-	received, known := park.ReceivedOn(a.Conn)
+	received, known := poller.ReceivedOn(a.Conn)
 	switch {
 	case known && uint16(received.Segments-a.segments) == 1: // parked ones keep so many bits of it
 		a.earliest = returned - received.Last
@@ -99,7 +99,7 @@
 // acceptedSince is the earliest that something can have come on a connection that is just accepted and waited for that since a
 // time at most.
 func (f *Front) acceptedSince(conn net.Conn, since time.Time) int64 {
-	if received, known := park.ReceivedOn(conn); known {
+	if received, known := poller.ReceivedOn(conn); known {
 		return f.now() - received.Stood
 	}
 	return f.now() - int64(time.Since(since))
--- a/front/arrival_test.go
+++ b/internal/downstream/arrival_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bytes"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"tealpath/router"
+	"tealpath/internal/router"
 )
 
 // early and late are how far from the sending of a request its arrival may be stated: the system counts in steps of some ms, and
--- a/front/closes_linux_test.go
+++ b/internal/downstream/closes_linux_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 
 	"github.com/gaissmai/bart"
 
-	"tealpath/front/idle"
-	"tealpath/front/park"
-	"tealpath/router"
+	"tealpath/internal/downstream/idle"
+	"tealpath/internal/downstream/poller"
+	"tealpath/internal/router"
 )
 
 // The closes of a client's connection, one by one, as docs/endings.md lists them: what was owed is answered first.
@@ -200,12 +200,12 @@
 func TestUnknownContentIsNoReasonToClose(t *testing.T) {
 	var unknown atomic.Bool
 	limits := keeping(4, time.Hour)
-	calls := *park.Kernel
+	calls := *poller.Kernel
 	calls.Receive = func(fd int, p []byte, flags int) (int, error) {
 		if unknown.Load() {
 			return -1, syscall.ENOMEM
 		}
-		return park.Kernel.Receive(fd, p, flags)
+		return poller.Kernel.Receive(fd, p, flags)
 	}
 	limits.Calls = &calls
 	f, _ := serving(t, limits)
--- a/front/departure.go
+++ b/internal/downstream/departure.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/thrift"
-	"tealpath/router"
+	"tealpath/internal/router"
 )
 
 const (
--- a/front/departure_test.go
+++ b/internal/downstream/departure_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"io"
@@ -9,7 +9,7 @@
 	"time"
 
 	"tealpath/internal/protocol/thrift"
-	"tealpath/router"
+	"tealpath/internal/router"
 )
 
 // seenWithin is in what time a client's end is told: no attempt begins 0.1 s after it.
--- a/front/front.go
+++ b/internal/downstream/downstream.go
@@ -1,5 +1,5 @@
-// Package front holds the clients' connections: it reads their requests and writes them their answers.
-package front
+// Package downstream holds the clients' connections: it reads their requests and writes them their answers.
+package downstream
 
 import (
 	"bufio"
@@ -19,12 +19,12 @@
 
 	"golang.org/x/sync/semaphore"
 
-	"tealpath/front/idle"
-	"tealpath/front/park"
 	"tealpath/internal/clock"
+	"tealpath/internal/downstream/idle"
+	"tealpath/internal/downstream/poller"
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/thrift"
-	"tealpath/router"
+	"tealpath/internal/router"
 )
 
 // Times that bound what a slow, dead or bad client can hold.
@@ -69,10 +69,10 @@
 	Bytes       int64 // of requests being read and, apart, of answers waiting to be written
 	Cores       float64
 	Seed        uint64
-	Crowded     func() bool // whether others wait for the core; nil is never
-	Keep        *Keep       // nil: as the platform states it
-	Clock       clock.Clock // nil: clock.System
-	Calls       *park.Calls // of the system, for connections that rest; nil: as it has them
+	Crowded     func() bool   // whether others wait for the core; nil is never
+	Keep        *Keep         // nil: as the platform states it
+	Clock       clock.Clock   // nil: clock.System
+	Calls       *poller.Calls // of the system, for connections that rest; nil: as it has them
 }
 
 // Front serves clients on one listener.
@@ -92,8 +92,8 @@
 	crowded bool // connections are at their bound
 	group   sync.WaitGroup
 
-	calls          *park.Calls
-	lot            *park.Lot // nil: the system has none
+	calls          *poller.Calls
+	lot            *poller.Lot // nil: the system has none
 	refusesParking atomic.Bool
 	admit          *idle.Admission
 	holding        atomic.Int64 // connections that have goroutines
@@ -123,7 +123,7 @@
 		limits.Keep = &Keep{Networks: []idle.Keep{{Fresh: FreshMost, Idle: int64(idleMost)}}}
 	}
 	if limits.Calls == nil {
-		limits.Calls = park.Kernel
+		limits.Calls = poller.Kernel
 	}
 	if limits.Crowded == nil {
 		limits.Crowded = func() bool { return false }
@@ -135,7 +135,7 @@
 		reading: semaphore.NewWeighted(max(limits.Bytes, thrift.FrameMost)), clients: map[router.ClientID]*client{},
 		admit: idle.NewAdmission(limits.Cores),
 		table: idle.New(idle.Limits{Connections: limits.Connections, Cores: limits.Cores}, limits.Keep.Networks, limits.Seed)}
-	lot, err := park.NewOn(f.calls)
+	lot, err := poller.NewOn(f.calls)
 	if f.lot = lot; err != nil {
 		f.lot = nil
 		f.noParking(err)
@@ -353,13 +353,13 @@
 
 // pending tells whether something has come on a connection that is not read yet, or may have.
 func (f *Front) pending(conn net.Conn) bool {
-	content := park.Nothing
+	content := poller.Nothing
 	if c, ok := conn.(syscall.Conn); ok {
 		if raw, err := c.SyscallConn(); err == nil {
 			raw.Control(func(fd uintptr) { content = f.calls.Came(int(fd)) })
 		}
 	}
-	return content == park.Bytes || content == park.Unknown
+	return content == poller.Bytes || content == poller.Unknown
 }
 
 // Answer writes a final answer to its client, if that is still there. It never waits.
--- a/front/front_test.go
+++ b/internal/downstream/downstream_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"tealpath/router"
+	"tealpath/internal/router"
 )
 
 const patience = 5 * time.Second
--- a/front/endings_test.go
+++ b/internal/downstream/endings_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"tealpath/front/idle"
-	"tealpath/router"
+	"tealpath/internal/downstream/idle"
+	"tealpath/internal/router"
 )
 
 // held is a listener whose connections stay in the system's backlog until they are let in.
--- a/front/filter_linux_test.go
+++ b/internal/downstream/filter_linux_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"tealpath/router"
+	"tealpath/internal/router"
 )
 
 // refusal is one system call that the filter refuses, and how.
--- a/front/local_linux_test.go
+++ b/internal/downstream/local_linux_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"tealpath/front/park"
-	"tealpath/router"
+	"tealpath/internal/downstream/poller"
+	"tealpath/internal/router"
 )
 
 // errorsOf is what Linux documents for the calls of resting connections, beside what proves an end.
@@ -31,8 +31,8 @@
 }
 
 // failingCalls has one call fail with an error as long as it is to; EINTR fails each other call only, as it would not end.
-func failingCalls(call string, errno unix.Errno, now func() bool) *park.Calls {
-	calls, interrupted := *park.Kernel, atomic.Int64{}
+func failingCalls(call string, errno unix.Errno, now func() bool) *poller.Calls {
+	calls, interrupted := *poller.Kernel, atomic.Int64{}
 	fails := func(name string) bool {
 		return (name == call || call == "all") && now() && (errno != unix.EINTR || interrupted.Add(1)%2 == 1)
 	}
@@ -40,39 +40,39 @@
 		if fails("fcntl") {
 			return -1, errno
 		}
-		return park.Kernel.Duplicate(fd)
+		return poller.Kernel.Duplicate(fd)
 	}
 	calls.EpollCtl = func(set, operation, fd int, event *unix.EpollEvent) error {
 		if fails("epoll_ctl") {
 			return errno
 		}
-		return park.Kernel.EpollCtl(set, operation, fd, event)
+		return poller.Kernel.EpollCtl(set, operation, fd, event)
 	}
 	calls.EpollWait = func(set int, events []unix.EpollEvent, milliseconds int) (int, error) {
 		if fails("epoll_wait") {
 			return -1, errno
 		}
-		return park.Kernel.EpollWait(set, events, milliseconds)
+		return poller.Kernel.EpollWait(set, events, milliseconds)
 	}
 	calls.Receive = func(fd int, p []byte, flags int) (int, error) {
 		if fails("recvfrom") {
 			return -1, errno
 		}
-		return park.Kernel.Receive(fd, p, flags)
+		return poller.Kernel.Receive(fd, p, flags)
 	}
 	calls.Poll = func(fds []unix.PollFd, milliseconds int) (int, error) {
 		if fails("poll") {
 			return 0, errno
 		}
-		return park.Kernel.Poll(fds, milliseconds)
+		return poller.Kernel.Poll(fds, milliseconds)
 	}
 	calls.Connect = func(file *os.File) (net.Conn, error) {
 		if fails("connect") || fails("poller") {
 			return nil, errno
 		}
-		return park.Kernel.Connect(file)
+		return poller.Kernel.Connect(file)
 	}
-	calls.Polled = func(file *os.File) bool { return !fails("poller") && park.Kernel.Polled(file) }
+	calls.Polled = func(file *os.File) bool { return !fails("poller") && poller.Kernel.Polled(file) }
 	return &calls
 }
 
--- a/front/park/content.go
+++ b/internal/downstream/poller/content.go
@@ -1,4 +1,4 @@
-package park
+package poller
 
 // Content is what is on a connection to be read.
 type Content int
--- a/front/park/park_linux.go
+++ b/internal/downstream/poller/park_linux.go
@@ -1,7 +1,7 @@
-// Package park holds connections that are idle as bare descriptors: no goroutine, no buffer, no net.Conn. A readiness
+// Package poller holds connections that are idle as bare descriptors: no goroutine, no buffer, no net.Conn. A readiness
 // set of its own (epoll) tells when something has come on one; it is made a connection again then. Where there is no
 // epoll, New says so, and connections stay as they are.
-package park
+package poller
 
 import (
 	"context"
--- a/front/park/park_other.go
+++ b/internal/downstream/poller/park_other.go
@@ -1,7 +1,7 @@
 //go:build !linux
 
-// Package park holds idle connections as bare descriptors where the system has epoll; here it has not.
-package park
+// Package poller holds idle connections as bare descriptors where the system has epoll; here it has not.
+package poller
 
 import (
 	"context"
--- a/front/park/received_linux.go
+++ b/internal/downstream/poller/received_linux.go
@@ -1,4 +1,4 @@
-package park
+package poller
 
 import (
 	"net"
--- a/front/park/received_test.go
+++ b/internal/downstream/poller/received_test.go
@@ -1,6 +1,6 @@
 //go:build linux
 
-package park
+package poller
 
 import (
 	"net"
--- a/front/refuse.go
+++ b/internal/downstream/refuse.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bufio"
--- a/front/rest.go
+++ b/internal/downstream/rest.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"github.com/gaissmai/bart"
 
-	"tealpath/front/idle"
-	"tealpath/front/park"
+	"tealpath/internal/downstream/idle"
+	"tealpath/internal/downstream/poller"
 	"tealpath/internal/neterr"
 )
 
@@ -204,10 +204,10 @@
 			return false
 		}
 		switch f.calls.Came(fd) {
-		case park.Bytes: // in this very instant: the lot tells of it, and it is answered
+		case poller.Bytes: // in this very instant: the lot tells of it, and it is answered
 			f.table.Move(f.now(), id, idle.Busy)
 			return false
-		case park.Unknown: // its reader will find out
+		case poller.Unknown: // its reader will find out
 			f.postpone(id, wakeUp{key: key(id, f.table.Generation(id)), since: time.Now()})
 			return false
 		}
@@ -244,7 +244,7 @@
 	f.at[id] = place{fd: -1}
 	f.table.Gone(id)
 	f.lot.Forget(fd)
-	park.Shut(fd)
+	poller.Shut(fd)
 	if len(f.closing) > f.limits.Connections/closingPart {
 		f.lot.Close(f.closing[0].fd)
 		f.closing = f.closing[1:]
@@ -287,7 +287,7 @@
 	f.places.Lock()
 	for id := range f.at {
 		if f.at[id].fd >= 0 {
-			if content := f.calls.Came(int(f.at[id].fd)); content == park.Nothing || content == park.Ended {
+			if content := f.calls.Came(int(f.at[id].fd)); content == poller.Nothing || content == poller.Ended {
 				f.shutParked(idle.ID(id))
 			}
 		}
@@ -436,7 +436,7 @@
 			since = returned.Add(time.Duration(f.heart.woken(now) - now))
 			drained = since
 		}
-		if len(keys) < park.EventsMost {
+		if len(keys) < poller.EventsMost {
 			drained = returned
 		}
 		if err != nil {
@@ -497,7 +497,7 @@
 	if int(id) >= len(f.at) || !f.holds(id, generation) || f.at[id].fd < 0 {
 		return false
 	}
-	return f.calls.Came(int(f.at[id].fd)) == park.Bytes
+	return f.calls.Came(int(f.at[id].fd)) == poller.Bytes
 }
 
 // parkAfter is how long an idle connection keeps what it holds.
@@ -523,7 +523,7 @@
 	}
 	fd := int(f.at[id].fd)
 	gone := idle.Gone(int64(time.Since(since)), f.calls.HungUp(fd))
-	if f.calls.Came(fd) == park.Ended {
+	if f.calls.Came(fd) == poller.Ended {
 		f.lot.Close(fd)
 		f.at[id] = place{fd: -1}
 		f.table.Gone(id)
--- a/front/rest_test.go
+++ b/internal/downstream/rest_test.go
@@ -1,4 +1,4 @@
-package front
+package downstream
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 
 	"github.com/gaissmai/bart"
 
-	"tealpath/front/idle"
+	"tealpath/internal/downstream/idle"
 )
 
 // keeping is limits under which idle connections are kept for a span.
--- a/process/clock_linux.go
+++ b/internal/server/clock_linux.go
@@ -1,4 +1,4 @@
-package process
+package server
 
 import "golang.org/x/sys/unix"
 
--- a/process/clock_other.go
+++ b/internal/server/clock_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package process
+package server
 
 import "time"
 
--- a/process/clock_test.go
+++ b/internal/server/clock_test.go
@@ -1,4 +1,4 @@
-package process
+package server
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 
 	"tealpath/control"
 	"tealpath/internal/clock/clocktest"
-	"tealpath/router"
+	"tealpath/internal/router"
 )
 
 // When a target of probes is warm, on the boot clock that leases go by: a step of the wall clock doesn't move it, and nobody
--- a/process/keeping.go
+++ b/internal/server/keeping.go
@@ -1,4 +1,4 @@
-package process
+package server
 
 import (
 	"errors"
@@ -10,10 +10,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"tealpath/feed"
 	"tealpath/internal/clock"
+	"tealpath/internal/discovery"
+	"tealpath/internal/router"
 	"tealpath/plan/restore"
-	"tealpath/router"
 	"tealpath/snapshot"
 )
 
@@ -39,7 +39,7 @@
 type keeper struct {
 	clock   clock.Clock
 	header  restore.Header
-	last    feed.Told
+	last    discovery.Told
 	ticker  *time.Ticker
 	health  diskHealth
 	queue   chan snapshot.Snapshot
@@ -111,7 +111,7 @@
 }
 
 // recall takes what a snapshot knows, as far as the rules let it, and begins to keep.
-func (p *Process) recall(now int64, past *feed.Past) {
+func (p *Process) recall(now int64, past *discovery.Past) {
 	if p.file == nil || p.file.Snapshot == "" {
 		return
 	}
@@ -156,7 +156,7 @@
 	return k.ticker.C
 }
 
-func (k *keeper) told(t feed.Told) {
+func (k *keeper) told(t discovery.Told) {
 	if k != nil {
 		k.last = t
 	}
--- a/process/loading.go
+++ b/internal/server/loading.go
@@ -1,4 +1,4 @@
-package process
+package server
 
 import (
 	"context"
--- a/process/process.go
+++ b/internal/server/server.go
@@ -1,6 +1,6 @@
-// Package process takes a router from its start to its exit: it joins the reducer with the connections and
+// Package server takes a router from its start to its exit: it joins the reducer with the connections and
 // owns their lifetimes.
-package process
+package server
 
 import (
 	"cmp"
@@ -18,17 +18,17 @@
 	"golang.org/x/sync/errgroup"
 
 	"tealpath/config"
-	"tealpath/feed"
-	"tealpath/front"
 	"tealpath/internal/clock"
+	"tealpath/internal/discovery"
+	"tealpath/internal/downstream"
 	"tealpath/internal/neterr"
+	"tealpath/internal/router"
+	"tealpath/internal/upstream"
 	"tealpath/operator"
 	"tealpath/plan/connpool"
 	"tealpath/plan/shutdown"
 	"tealpath/plan/startup"
-	"tealpath/router"
 	"tealpath/snapshot"
-	"tealpath/upstream"
 )
 
 // Phase is where a process stands between its start and its exit.
@@ -74,7 +74,7 @@
 	clock  clock.Clock
 	phase  Phase
 	inbox  chan arrival
-	front  *front.Front
+	front  *downstream.Front
 	pool   *upstream.Pool
 	router *router.Router
 	start  *startup.Progress
@@ -158,7 +158,7 @@
 	flow, _ := p.config.Settings["answer.bytesPerS"].(float64)
 	p.pool.Pace(flow)
 	connections, keep := p.keeping()
-	p.front = front.New(listener, front.Limits{Connections: connections, Keep: keep,
+	p.front = downstream.New(listener, downstream.Limits{Connections: connections, Keep: keep,
 		Open:  openMost,
 		Bytes: int64(p.bytes(answerShare)), Cores: p.config.Cores, Seed: p.config.Seed, Clock: p.clock,
 		Crowded: func() bool { return len(p.inbox) >= inboxMost/2 }}, post, p.line)
@@ -193,7 +193,7 @@
 	routers, _ := p.config.Settings["routers"].(int64)
 	calls := startup.NewCallSchedule(p.config.Seed, int(routers), p.holding())
 	calls.SetDrainGrace(p.grace())
-	journal := feed.New(p.config.DiscoveryAddress, past, calls, post, p.line, feed.WithClock(p.clock))
+	journal := discovery.New(p.config.DiscoveryAddress, past, calls, post, p.line, discovery.WithClock(p.clock))
 	group.Go(func() error { return journal.Run(ctx) })
 	group.Go(func() error {
 		for {
@@ -212,15 +212,15 @@
 }
 
 // keeping is how many connections clients may hold, and how they are kept; nil is as the platform states it.
-func (p *Process) keeping() (int, *front.Keep) {
+func (p *Process) keeping() (int, *downstream.Keep) {
 	usual := int(clientShare * float64(p.sockets()))
 	if p.file == nil || p.file.Idle == nil {
 		return usual, nil
 	}
 	k := p.file.Idle
-	keep := &front.Keep{By: k.By}
+	keep := &downstream.Keep{By: k.By}
 	for _, n := range k.Networks {
-		n.Fresh = front.FreshMost
+		n.Fresh = downstream.FreshMost
 		keep.Networks = append(keep.Networks, n)
 	}
 	return cmp.Or(k.Most, usual), keep
@@ -228,7 +228,7 @@
 
 // Connections is what a process says of its connections and of what they cost.
 type Connections struct {
-	front.Counts
+	downstream.Counts
 	Goroutines int    `json:"goroutines"`
 	HeapBytes  uint64 `json:"heap_bytes"` // in use after a collection
 	StackBytes uint64 `json:"stack_bytes"`
@@ -244,7 +244,7 @@
 
 // reload takes the journal service's address from the configuration as it is now. All else is in force from the
 // next start on; one that cannot be used changes nothing.
-func (p *Process) reload(ctx context.Context, load func() (*config.Config, *operator.File, error), journal *feed.Feed) {
+func (p *Process) reload(ctx context.Context, load func() (*config.Config, *operator.File, error), journal *discovery.Feed) {
 	next, file, err := loadWhenPossible(ctx, load, p.line)
 	if err == nil && p.shared != nil && file != nil {
 		err = p.shared.reload(ctx, file)
@@ -276,7 +276,7 @@
 }
 
 // prepare sets the limits and gives the reducer all that is known at the start.
-func (p *Process) prepare() (past feed.Past, err error) {
+func (p *Process) prepare() (past discovery.Past, err error) {
 	if p.config.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(p.config.Cores)))
 	}
@@ -294,7 +294,7 @@
 		return past, fmt.Errorf("%w: settings: %w", ErrConfig, err)
 	}
 	p.start = startup.NewProgress(now, startup.RateWindow, p.holding())
-	past, told, err := feed.Known(p.config.KnownEvents)
+	past, told, err := discovery.Known(p.config.KnownEvents)
 	if err != nil {
 		return past, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
@@ -364,11 +364,11 @@
 			switch e := a.event.(type) {
 			case router.ConnectionDown:
 				a.event = p.pool.Ended(e)
-			case feed.Heard:
+			case discovery.Heard:
 				p.start.ServiceReached(a.at)
 				p.step()
 				continue
-			case feed.Told:
+			case discovery.Told:
 				p.keeper.told(e)
 				continue
 			case router.EndpointListUpdated:
--- a/process/sharing.go
+++ b/internal/server/sharing.go
@@ -1,4 +1,4 @@
-package process
+package server
 
 import (
 	"context"
@@ -20,11 +20,11 @@
 	"tealpath/fleet/lease"
 	"tealpath/fleet/peer"
 	"tealpath/fleet/probe"
-	"tealpath/front/idle"
 	"tealpath/internal/clock"
+	"tealpath/internal/downstream/idle"
+	"tealpath/internal/router"
+	"tealpath/internal/upstream"
 	"tealpath/operator"
-	"tealpath/router"
-	"tealpath/upstream"
 )
 
 const (
--- a/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -13,7 +13,7 @@
 
 	"tealpath/internal/clock"
 	"tealpath/internal/protocol/resp"
-	"tealpath/router"
+	"tealpath/internal/router"
 )
 
 // pair is two ends of a connection over loopback.
--- a/upstream/local_test.go
+++ b/internal/upstream/local_test.go
@@ -16,7 +16,7 @@
 
 	"tealpath/control"
 	"tealpath/internal/protocol/resp"
-	"tealpath/router"
+	"tealpath/internal/router"
 )
 
 // localDialErrors are what Linux documents of this machine's own for socket(2) and connect(2).
--- a/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -20,7 +20,7 @@
 	"tealpath/internal/clock"
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/resp"
-	"tealpath/router"
+	"tealpath/internal/router"
 )
 
 // Pool is all links of a router.
--- a/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -15,7 +15,7 @@
 
 	"tealpath/control"
 	"tealpath/internal/protocol/resp"
-	"tealpath/router"
+	"tealpath/internal/router"
 	"tealpath/standin/cache"
 )
 
--- a/upstream/write.go
+++ b/internal/upstream/write.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"tealpath/internal/neterr"
-	"tealpath/router"
+	"tealpath/internal/router"
 )
 
 // writeMost is about how many bytes are written at once: the queue stays locked for so long.
--- a/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"tealpath/internal/protocol/resp"
-	"tealpath/router"
+	"tealpath/internal/router"
 )
 
 const (
--- a/lab/coldfleet.go
+++ b/lab/coldfleet.go
@@ -19,10 +19,10 @@
 	"gonum.org/v1/plot/vg"
 
 	"tealpath/control"
+	"tealpath/internal/router"
 	"tealpath/internal/timerqueue"
 	"tealpath/plan/connpool"
 	"tealpath/plan/startup"
-	"tealpath/router"
 	"tealpath/standin/cache"
 )
 
--- a/lab/idle.go
+++ b/lab/idle.go
@@ -19,8 +19,8 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
+	"tealpath/internal/server"
 	"tealpath/operator"
-	"tealpath/process"
 )
 
 // Idle is the experiment on idle connections.
@@ -164,9 +164,9 @@
 }
 
 // usage sums over the routers what they hold and have used.
-func (r *rig) usage(ctx context.Context) (sum process.Connections, kb int64, cpu float64) {
+func (r *rig) usage(ctx context.Context) (sum server.Connections, kb int64, cpu float64) {
 	for _, name := range r.Names {
-		var one process.Connections
+		var one server.Connections
 		if !r.Bare && operator.Ask(ctx, r.path(name, ".sock"), &one, "connections") == nil {
 			sum.All += one.All
 			sum.Parked += one.Parked
@@ -336,7 +336,7 @@
 		for end := time.Now().Add(2 * d.Expire); time.Now().Before(end); time.Sleep(250 * time.Millisecond) {
 			all := 0
 			for _, name := range r.Names {
-				var one process.Connections
+				var one server.Connections
 				if err := operator.Ask(ctx, r.path(name, ".sock"), &one, "connections"); err != nil {
 					return 0, err
 				}
--- a/lab/ways.go
+++ b/lab/ways.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"tealpath/front/park"
+	"tealpath/internal/downstream/poller"
 )
 
 // WayResult is what one way of resting costs.
@@ -130,7 +130,7 @@
 }
 
 func restInSet(ctx context.Context, conns []net.Conn, woken chan<- int) (func(), error) {
-	lot, err := park.New()
+	lot, err := poller.New()
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 }
 
 func restAsDescriptor(ctx context.Context, conns []net.Conn, woken chan<- int) (func(), error) {
-	lot, err := park.New()
+	lot, err := poller.New()
 	if err != nil {
 		return nil, err
 	}
@@ -180,7 +180,7 @@
 	}, nil
 }
 
-func wakes(ctx context.Context, lot *park.Lot, do func(uint64)) {
+func wakes(ctx context.Context, lot *poller.Lot, do func(uint64)) {
 	for keys, err := lot.Wait(ctx, nil); err == nil; keys, err = lot.Wait(ctx, keys) {
 		for _, k := range keys {
 			do(k)
--- a/operator/keep.go
+++ b/operator/keep.go
@@ -7,7 +7,7 @@
 
 	"github.com/gaissmai/bart"
 
-	"tealpath/front/idle"
+	"tealpath/internal/downstream/idle"
 )
 
 // Keeping is how clients' connections are kept.
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"tealpath/fleet/probe"
-	"tealpath/front/idle"
+	"tealpath/internal/downstream/idle"
 	"tealpath/standin/keys"
 )
 
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -5,8 +5,8 @@
 
 import (
 	"tealpath/control"
+	"tealpath/internal/router"
 	"tealpath/plan/restore"
-	"tealpath/router"
 )
 
 // MaxObjects is how many objects of the rate table are stored.
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -6,8 +6,8 @@
 	"path/filepath"
 	"reflect"
 	"tealpath/control"
+	"tealpath/internal/router"
 	"tealpath/plan/restore"
-	"tealpath/router"
 	"testing"
 )
 
--- a/snapshot/store_test.go
+++ b/snapshot/store_test.go
@@ -14,7 +14,7 @@
 	"strings"
 	"syscall"
 	"tealpath/control"
-	"tealpath/router"
+	"tealpath/internal/router"
 	"testing"
 	"time"
 )
