--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -13,7 +13,7 @@
 	"github.com/urfave/cli/v3"
 
 	"tealpath/config"
-	"tealpath/fleet"
+	"tealpath/internal/cluster"
 	"tealpath/internal/server"
 	"tealpath/operator"
 )
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	var s fleet.Status
+	var s cluster.Status
 	if err := operator.Ask(ctx, path, &s, "duties"); err != nil {
 		return cli.Exit(err, exitFailed)
 	}
@@ -116,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	var s fleet.MembersStatus
+	var s cluster.MembersStatus
 	if err := operator.Ask(ctx, path, &s, "members"); err != nil {
 		return cli.Exit(err, exitFailed)
 	}
@@ -150,7 +150,7 @@
 	return nil
 }
 
-func show(s fleet.Status) {
+func show(s cluster.Status) {
 	majority := "a majority is reached"
 	if !s.Majority {
 		majority = "NO MAJORITY: nobody here acts"
--- a/fleet/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -1,9 +1,9 @@
-package fleet
+package cluster
 
 import (
-	"tealpath/fleet/lease"
-	"tealpath/fleet/membership"
-	"tealpath/fleet/probe"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/cluster/membership"
+	"tealpath/internal/cluster/probe"
 	"testing"
 )
 
--- a/fleet/leases.go
+++ b/internal/cluster/leases.go
@@ -1,11 +1,11 @@
-package fleet
+package cluster
 
 import (
 	"fmt"
 	"math"
-	"tealpath/fleet/lease"
-	"tealpath/fleet/membership"
-	"tealpath/fleet/probe"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/cluster/membership"
+	"tealpath/internal/cluster/probe"
 )
 
 // holdsFunc tells whether a slot's lease is held at this instant, under which ballot and until when.
--- a/fleet/members.go
+++ b/internal/cluster/members.go
@@ -1,11 +1,11 @@
-package fleet
+package cluster
 
 import (
 	"fmt"
 	"maps"
 	"slices"
-	"tealpath/fleet/lease"
-	"tealpath/fleet/membership"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/cluster/membership"
 	"time"
 )
 
--- a/fleet/message.go
+++ b/internal/cluster/message.go
@@ -1,10 +1,10 @@
-package fleet
+package cluster
 
 import (
 	"errors"
 	"fmt"
-	"tealpath/fleet/lease"
-	"tealpath/fleet/membership"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/cluster/membership"
 
 	"github.com/fxamacker/cbor/v2"
 )
--- a/fleet/message_test.go
+++ b/internal/cluster/message_test.go
@@ -1,4 +1,4 @@
-package fleet
+package cluster
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 	"os"
 	"reflect"
 	"strings"
-	"tealpath/fleet/lease"
-	"tealpath/fleet/membership"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/cluster/membership"
 	"testing"
 )
 
--- a/fleet/node.go
+++ b/internal/cluster/node.go
@@ -1,15 +1,15 @@
-// Package fleet is what instances decide together, as one reducer: an event goes in, state changes, effects come out. It joins
+// Package cluster is what instances decide together, as one reducer: an event goes in, state changes, effects come out. It joins
 // which instances are there (membership), who holds the lease on which slot (lease) and what is probed when (probe). It does no
 // input or output, reads no clock and is not safe for concurrent use. Times are ns of a clock that goes on while the machine is
 // suspended and never goes back.
-package fleet
+package cluster
 
 import (
 	"cmp"
 	"fmt"
-	"tealpath/fleet/lease"
-	"tealpath/fleet/membership"
-	"tealpath/fleet/probe"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/cluster/membership"
+	"tealpath/internal/cluster/probe"
 	"time"
 )
 
--- a/fleet/node_test.go
+++ b/internal/cluster/node_test.go
@@ -1,8 +1,8 @@
-package fleet
+package cluster
 
 import (
-	"tealpath/fleet/lease"
-	"tealpath/fleet/membership"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/cluster/membership"
 	"testing"
 )
 
--- a/fleet/probe/prober.go
+++ b/internal/cluster/probe/prober.go
@@ -3,7 +3,7 @@
 import (
 	"cmp"
 	"slices"
-	"tealpath/fleet/lease"
+	"tealpath/internal/cluster/lease"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
--- a/fleet/probe/prober_test.go
+++ b/internal/cluster/probe/prober_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"tealpath/fleet/lease"
+	"tealpath/internal/cluster/lease"
 	"testing"
 )
 
--- a/fleet/probes.go
+++ b/internal/cluster/probes.go
@@ -1,10 +1,10 @@
-package fleet
+package cluster
 
 import (
 	"slices"
-	"tealpath/fleet/lease"
-	"tealpath/fleet/membership"
-	"tealpath/fleet/probe"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/cluster/membership"
+	"tealpath/internal/cluster/probe"
 )
 
 // maxTargetsSeen is of how many targets, which peers may name, the order of results is kept.
--- a/fleet/probes_test.go
+++ b/internal/cluster/probes_test.go
@@ -1,7 +1,7 @@
-package fleet
+package cluster
 
 import (
-	"tealpath/fleet/lease"
+	"tealpath/internal/cluster/lease"
 	"testing"
 )
 
--- a/fleet/size_test.go
+++ b/internal/cluster/size_test.go
@@ -1,11 +1,11 @@
-package fleet
+package cluster
 
 import (
 	"fmt"
 	"strings"
-	"tealpath/fleet/lease"
-	"tealpath/fleet/membership"
-	"tealpath/fleet/peer"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/cluster/membership"
+	"tealpath/internal/cluster/peer"
 	"testing"
 )
 
--- a/internal/server/sharing.go
+++ b/internal/server/sharing.go
@@ -16,11 +16,11 @@
 
 	"tealpath/config"
 	"tealpath/control"
-	"tealpath/fleet"
-	"tealpath/fleet/lease"
-	"tealpath/fleet/peer"
-	"tealpath/fleet/probe"
 	"tealpath/internal/clock"
+	"tealpath/internal/cluster"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/cluster/peer"
+	"tealpath/internal/cluster/probe"
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/router"
 	"tealpath/internal/upstream"
@@ -37,12 +37,12 @@
 // sharing is what an instance has in common with others: the reducer of the fleet, and the links and probes round it.
 type sharing struct {
 	file    *operator.File
-	node    *fleet.Node
+	node    *cluster.Node
 	links   *peer.Links
 	log     zerolog.Logger
 	clock   clock.Clock // for stamps of other machines; the fleet's own spans go by bootTime
-	inbox   chan fleet.Event
-	asks    chan chan fleet.Status
+	inbox   chan cluster.Event
+	asks    chan chan cluster.Status
 	targets atomic.Pointer[[]probe.Target]
 	relist  chan struct{}
 	tell    func(router.Event) // does not wait
@@ -52,7 +52,7 @@
 	probes  atomic.Int64    // sent
 	frames  atomic.Int64    // sent
 	bytes   atomic.Int64    // sent
-	views   chan chan fleet.MembersStatus
+	views   chan chan cluster.MembersStatus
 }
 
 // coldOf takes what cold members bear from the settings.
@@ -107,7 +107,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
-	node, err := fleet.New(bootTime(), fleet.Config{Self: self, Address: f.Listen, Weight: f.Weight, Contacts: f.Instances,
+	node, err := cluster.New(bootTime(), cluster.Config{Self: self, Address: f.Listen, Weight: f.Weight, Contacts: f.Instances,
 		Lease: lease.Config{Slots: f.Slots, LeaseDuration: f.Lease, RenewInterval: f.Renewal, MaxClockDrift: f.Drift, Voters: f.Voters},
 		Seed:  binary.LittleEndian.Uint64(draw[8:]), Probe: f.Probe, WallMS: unixMilli(c), Membership: f.Members})
 	if err != nil {
@@ -117,24 +117,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("links to instances: %w", err)
 	}
-	s := &sharing{file: file, node: node, log: log, clock: c, inbox: make(chan fleet.Event, sharingInbox),
-		asks: make(chan chan fleet.Status), views: make(chan chan fleet.MembersStatus), relist: make(chan struct{}, 1), tell: tell, probing: make(chan struct{}, probesMost),
+	s := &sharing{file: file, node: node, log: log, clock: c, inbox: make(chan cluster.Event, sharingInbox),
+		asks: make(chan chan cluster.Status), views: make(chan chan cluster.MembersStatus), relist: make(chan struct{}, 1), tell: tell, probing: make(chan struct{}, probesMost),
 		held: make([]atomic.Uint64, f.Slots)}
 	s.report, _ = set["report.fields"].([]string)
 	s.links = peer.New(peer.Config{Name: self.Name, Incarnation: self.Incarnation, Listener: listener, Keys: keys,
-		Allow: f.Allow, Log: func(line, who, why string) { s.note(fleet.Log{Line: line, Member: who, Reason: why}) },
+		Allow: f.Allow, Log: func(line, who, why string) { s.note(cluster.Log{Line: line, Member: who, Reason: why}) },
 		Receive: func(name string, incarnation uint64, payload []byte) {
-			m, err := fleet.Decode(payload)
+			m, err := cluster.Decode(payload)
 			if err != nil {
-				s.note(fleet.Log{Line: "a message passed over", Member: name, Reason: err.Error()})
+				s.note(cluster.Log{Line: "a message passed over", Member: name, Reason: err.Error()})
 				return
 			}
-			s.post(ctx, fleet.MessageReceived{From: lease.Instance{Name: name, Incarnation: incarnation}, Message: m})
+			s.post(ctx, cluster.MessageReceived{From: lease.Instance{Name: name, Incarnation: incarnation}, Message: m})
 		}})
 	return s, nil
 }
 
-func (s *sharing) post(ctx context.Context, e fleet.Event) {
+func (s *sharing) post(ctx context.Context, e cluster.Event) {
 	select {
 	case s.inbox <- e:
 	case <-ctx.Done():
@@ -189,10 +189,10 @@
 			case e := <-s.inbox:
 				s.handle(ctx, e, timer)
 			case <-s.relist:
-				s.handle(ctx, fleet.TargetsUpdated{Targets: *s.targets.Load()}, timer)
+				s.handle(ctx, cluster.TargetsUpdated{Targets: *s.targets.Load()}, timer)
 			case <-leave:
 				leave = nil
-				s.handle(ctx, fleet.ShutdownStarted{}, timer)
+				s.handle(ctx, cluster.ShutdownStarted{}, timer)
 				s.links.Flush(flushWithin)
 			case reply := <-s.asks:
 				status := s.node.Status(bootTime())
@@ -203,7 +203,7 @@
 				status.BytesSent = s.bytes.Load()
 				reply <- status
 			case <-timer.C:
-				s.handle(ctx, fleet.TimerFired{WallMS: unixMilli(s.clock)}, timer)
+				s.handle(ctx, cluster.TimerFired{WallMS: unixMilli(s.clock)}, timer)
 			}
 		}
 	})
@@ -212,7 +212,7 @@
 
 // status answers who owns what.
 func (s *sharing) status(ctx context.Context, _ []string) (any, error) {
-	reply := make(chan fleet.Status, 1)
+	reply := make(chan cluster.Status, 1)
 	select {
 	case s.asks <- reply:
 		return <-reply, nil
@@ -223,7 +223,7 @@
 
 // members answers who is believed to be there.
 func (s *sharing) members(ctx context.Context, _ []string) (any, error) {
-	reply := make(chan fleet.MembersStatus, 1)
+	reply := make(chan cluster.MembersStatus, 1)
 	select {
 	case s.views <- reply:
 		return <-reply, nil
@@ -232,33 +232,33 @@
 	}
 }
 
-func (s *sharing) handle(ctx context.Context, e fleet.Event, timer *time.Timer) {
+func (s *sharing) handle(ctx context.Context, e cluster.Event, timer *time.Timer) {
 	for _, effect := range s.node.Handle(bootTime(), e) {
 		switch effect := effect.(type) {
-		case fleet.Send:
+		case cluster.Send:
 			payload, err := effect.Message.Encode()
 			if err != nil {
-				s.note(fleet.Log{Line: "a message could not be written", Member: effect.To, Reason: err.Error()})
+				s.note(cluster.Log{Line: "a message could not be written", Member: effect.To, Reason: err.Error()})
 				continue
 			}
 			s.frames.Add(1)
 			s.bytes.Add(int64(len(payload)) + frameCost)
 			s.links.Send(effect.To, payload)
-		case fleet.SetPeers:
+		case cluster.SetPeers:
 			peers := make(map[string]string, len(effect.Peers))
 			for _, p := range effect.Peers {
 				peers[p.Name] = p.Address
 			}
 			s.links.SetPeers(peers)
-		case fleet.LeaseChanged:
+		case cluster.LeaseChanged:
 			s.held[effect.Slot].Store(effect.Ballot)
-		case fleet.SendProbe:
+		case cluster.SendProbe:
 			s.ask(ctx, effect.Probe)
-		case fleet.TargetProbed:
+		case cluster.TargetProbed:
 			s.tell(router.ProbeEnded{Instance: effect.Target, Healthy: effect.Healthy, LoadReport: effect.Load})
-		case fleet.Log:
+		case cluster.Log:
 			s.note(effect)
-		case fleet.SetTimer:
+		case cluster.SetTimer:
 			timer.Reset(time.Duration(effect.At - bootTime()))
 		}
 	}
@@ -281,11 +281,11 @@
 			return
 		}
 		s.probes.Add(1)
-		s.post(ctx, fleet.ProbeEnded{ProbeResult: fleet.ProbeResult{Target: p.Target, Ballot: p.Ballot, Healthy: err == nil, Load: load}})
+		s.post(ctx, cluster.ProbeEnded{ProbeResult: cluster.ProbeResult{Target: p.Target, Ballot: p.Ballot, Healthy: err == nil, Load: load}})
 	}()
 }
 
-func (s *sharing) note(l fleet.Log) {
+func (s *sharing) note(l cluster.Log) {
 	event := s.log.Info()
 	if l.Member != "" {
 		event = event.Str("member", l.Member)
@@ -313,11 +313,11 @@
 	if old.Slots != f.Slots || old.Lease != f.Lease || old.Renewal != f.Renewal || old.Drift != f.Drift ||
 		old.Listen != f.Listen || old.Members != f.Members || s.file.Socket != next.Socket || (old.Probe == nil) != (f.Probe == nil) ||
 		old.Probe != nil && *old.Probe != *f.Probe {
-		s.note(fleet.Log{Line: "operator's file: in force after a restart only: slots, lease, renewal, drift, listen, membership, socket, probe"})
+		s.note(cluster.Log{Line: "operator's file: in force after a restart only: slots, lease, renewal, drift, listen, membership, socket, probe"})
 	}
 	s.links.UseKeys(keys)
 	s.links.SetAllowed(f.Allow)
-	s.post(ctx, fleet.ConfigChanged{Contacts: f.Instances, Weight: f.Weight, Voters: f.Voters})
+	s.post(ctx, cluster.ConfigChanged{Contacts: f.Instances, Weight: f.Weight, Voters: f.Voters})
 	return nil
 }
 
--- a/lab/agreesim.go
+++ b/lab/agreesim.go
@@ -5,13 +5,13 @@
 	"math/rand/v2"
 	"slices"
 
-	"tealpath/fleet/lease"
-	"tealpath/fleet/sharedconfig"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/cluster/sharedconfig"
 	"tealpath/internal/timerqueue"
 	"tealpath/plan/compatibility"
 )
 
-// AgreeSim plays fleet/sharedconfig with real settings in simulated time, with changes and troubles drawn by seed.
+// AgreeSim plays internal/cluster/sharedconfig with real settings in simulated time, with changes and troubles drawn by seed.
 type AgreeSim struct {
 	Instances int
 	Span      int64 // ns
--- a/lab/cluster.go
+++ b/lab/cluster.go
@@ -17,7 +17,7 @@
 	"syscall"
 	"time"
 
-	"tealpath/fleet"
+	"tealpath/internal/cluster"
 	"tealpath/operator"
 	"tealpath/standin/cache"
 	"tealpath/standin/keys"
@@ -301,7 +301,7 @@
 }
 
 // Status asks an instance.
-func (c *Cluster) Status(ctx context.Context, name string) (s fleet.Status, err error) {
+func (c *Cluster) Status(ctx context.Context, name string) (s cluster.Status, err error) {
 	err = operator.Ask(ctx, c.path(name, ".sock"), &s, "duties")
 	return s, err
 }
--- a/lab/members.go
+++ b/lab/members.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"tealpath/fleet"
+	"tealpath/internal/cluster"
 	"tealpath/operator"
 )
 
@@ -72,7 +72,7 @@
 	believeWithin = 10 * time.Second
 )
 
-func (c *Cluster) members(ctx context.Context, name string) (s fleet.MembersStatus, err error) {
+func (c *Cluster) members(ctx context.Context, name string) (s cluster.MembersStatus, err error) {
 	err = operator.Ask(ctx, c.path(name, ".sock"), &s, "members")
 	return s, err
 }
--- a/lab/membersim.go
+++ b/lab/membersim.go
@@ -12,13 +12,13 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"tealpath/fleet"
-	"tealpath/fleet/membership"
+	"tealpath/internal/cluster"
+	"tealpath/internal/cluster/membership"
 	"tealpath/internal/timerqueue"
 	"tealpath/lab/counters"
 )
 
-// MemberSim plays fleet/membership in simulated time, by seed, or the counters that were before it.
+// MemberSim plays internal/cluster/membership in simulated time, by seed, or the counters that were before it.
 type MemberSim struct {
 	Instances int
 	Span      int64 // ns
@@ -76,7 +76,7 @@
 
 type ringSpeaker struct{ *membership.Table }
 
-func wrap(m fleet.Message) int {
+func wrap(m cluster.Message) int {
 	raw, err := cbor.Marshal(m)
 	if err != nil {
 		panic(err) // the types are this program's
@@ -86,7 +86,7 @@
 
 func (s ringSpeaker) packets(tell []membership.Send) (out []packet) {
 	for _, t := range tell {
-		out = append(out, packet{t.To, t.Gossip, wrap(fleet.Message{Gossip: &t.Gossip, HighestBallot: 1 << 40})})
+		out = append(out, packet{t.To, t.Gossip, wrap(cluster.Message{Gossip: &t.Gossip, HighestBallot: 1 << 40})})
 	}
 	return out
 }
--- a/lab/virtual.go
+++ b/lab/virtual.go
@@ -6,10 +6,10 @@
 	"fmt"
 	"math/rand/v2"
 
-	"tealpath/fleet"
-	"tealpath/fleet/lease"
-	"tealpath/fleet/membership"
-	"tealpath/fleet/probe"
+	"tealpath/internal/cluster"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/cluster/membership"
+	"tealpath/internal/cluster/probe"
 )
 
 // Virtual is the fleet's reducers played in simulated time.
@@ -44,7 +44,7 @@
 	seq  int
 	node int // -1: trouble
 	life int
-	came *fleet.MessageReceived
+	came *cluster.MessageReceived
 }
 
 type agenda []event
@@ -64,7 +64,7 @@
 
 type virtualNode struct {
 	name   string
-	node   *fleet.Node
+	node   *cluster.Node
 	life   int
 	born   int64
 	rate   float64
@@ -153,7 +153,7 @@
 		}
 	}
 	cold := probe.ColdLimit{Share: 0.16, Factor: 2.5, Window: 1500e6, WarmUpDuration: 17e9}
-	node, err := fleet.New(0, fleet.Config{Self: lease.Instance{Name: n.name, Incarnation: uint64(n.life)}, Address: n.name + ":1",
+	node, err := cluster.New(0, cluster.Config{Self: lease.Instance{Name: n.name, Incarnation: uint64(n.life)}, Address: n.name + ":1",
 		Weight: 1, Contacts: contacts, Seed: r.rng.Uint64(), Lease: lease.Config{Slots: r.Slots, LeaseDuration: r.Lease,
 			RenewInterval: r.Renewal, MaxClockDrift: 0.01, Voters: lease.Voters{Epoch: 1, Current: voters}},
 		Probe: &probe.Config{Period: 1e9, Timeout: 5e8, ColdPart: 0.05, Cost: 0.001, Cache: cold, Parent: cold}})
@@ -165,7 +165,7 @@
 	for t := range r.Targets {
 		targets = append(targets, probe.Target{Name: fmt.Sprintf("t%03d", t), Address: "x", Capacity: 4})
 	}
-	r.carry(i, node.Handle(0, fleet.TargetsUpdated{Targets: targets}))
+	r.carry(i, node.Handle(0, cluster.TargetsUpdated{Targets: targets}))
 }
 
 // vacate notes that what a start owned is no longer owned by a live instance.
@@ -198,7 +198,7 @@
 	case e.life != n.life || e.at != n.timer:
 		return // of a former start, or set anew
 	default:
-		r.carry(e.node, n.node.Handle(r.clock(n), fleet.TimerFired{WallMS: 1.7e12 + n.wall + r.now/1e6}))
+		r.carry(e.node, n.node.Handle(r.clock(n), cluster.TimerFired{WallMS: 1.7e12 + n.wall + r.now/1e6}))
 	}
 }
 
@@ -211,34 +211,34 @@
 	return -1
 }
 
-func (r *virtualRun) carry(i int, effects []fleet.Effect) {
+func (r *virtualRun) carry(i int, effects []cluster.Effect) {
 	n := r.nodes[i]
 	for _, e := range effects {
 		switch e := e.(type) {
-		case fleet.Send:
+		case cluster.Send:
 			r.result.Messages++
 			to := r.place(e.To)
 			if to < 0 || r.rng.Float64() < r.loss {
 				continue
 			}
-			came := &fleet.MessageReceived{From: lease.Instance{Name: n.name, Incarnation: uint64(n.life)}, Message: e.Message}
+			came := &cluster.MessageReceived{From: lease.Instance{Name: n.name, Incarnation: uint64(n.life)}, Message: e.Message}
 			for range 1 + r.rng.IntN(21)/20 { // one in 21 comes twice
 				r.push(event{at: r.now + r.delay/2 + r.rng.Int64N(r.delay), node: to, came: came})
 			}
-		case fleet.SendProbe:
+		case cluster.SendProbe:
 			r.result.Probes++
 			r.ask(i, e)
-		case fleet.SetTimer:
+		case cluster.SetTimer:
 			n.timer = max(r.now+1, n.born+int64(float64(e.At)/n.rate)+1)
 			r.push(event{at: n.timer, node: i, life: n.life})
-		case fleet.Log:
+		case cluster.Log:
 			r.changes(i, e)
 		}
 	}
 }
 
 // changes follows who owns what by what is logged, and asks every other whether it owns that too at this moment.
-func (r *virtualRun) changes(i int, l fleet.Log) {
+func (r *virtualRun) changes(i int, l cluster.Log) {
 	for _, s := range l.Slots {
 		switch l.Line {
 		case "slots gained":
@@ -270,7 +270,7 @@
 	}
 }
 
-func (r *virtualRun) ask(i int, e fleet.SendProbe) {
+func (r *virtualRun) ask(i int, e cluster.SendProbe) {
 	if last, been := r.probed[e.Target]; been && last.owner != i && r.now-last.at < 1e9 {
 		r.result.Duplicated++
 	}
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -10,11 +10,11 @@
 
 	"go4.org/netipx"
 
-	"tealpath/fleet"
-	"tealpath/fleet/lease"
-	"tealpath/fleet/membership"
-	"tealpath/fleet/peer"
-	"tealpath/fleet/probe"
+	"tealpath/internal/cluster"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/cluster/membership"
+	"tealpath/internal/cluster/peer"
+	"tealpath/internal/cluster/probe"
 	"tealpath/plan/compatibility"
 	"tealpath/plan/connpool"
 	"tealpath/plan/startup"
@@ -45,7 +45,7 @@
 	Lease     int64
 	Renewal   int64
 	Drift     float64
-	Members   fleet.MembershipConfig
+	Members   cluster.MembershipConfig
 	TLS       peer.KeyFiles
 	Allow     *netipx.IPSet
 	Probe     *probe.Config // nil: nothing is probed; Cold is the settings' to say
--- a/operator/operator_test.go
+++ b/operator/operator_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"tealpath/fleet/probe"
+	"tealpath/internal/cluster/probe"
 	"tealpath/internal/downstream/idle"
 	"tealpath/standin/keys"
 )
--- a/plan/compatibility/compare.go
+++ b/plan/compatibility/compare.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"fmt"
 	"slices"
-	"tealpath/fleet/lease"
+	"tealpath/internal/cluster/lease"
 	"time"
 )
 
@@ -88,7 +88,7 @@
 }
 
 // Incompatible tells whether two encoded versions may never be in force at once; err says why the proposed one can't be in
-// force at all. fleet/sharedconfig judges versions by it.
+// force at all. internal/cluster/sharedconfig judges versions by it.
 func Incompatible(current, proposed []byte) (incompatible bool, err error) {
 	before, err := Decode(current)
 	if err != nil {
--- a/plan/compatibility/compare_test.go
+++ b/plan/compatibility/compare_test.go
@@ -2,7 +2,7 @@
 
 import (
 	"errors"
-	"tealpath/fleet/lease"
+	"tealpath/internal/cluster/lease"
 	"testing"
 )
 
--- a/plan/compatibility/migration.go
+++ b/plan/compatibility/migration.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"reflect"
 	"slices"
-	"tealpath/fleet/lease"
+	"tealpath/internal/cluster/lease"
 )
 
 // EpochOrderError is a migration to voters of an earlier epoch.
--- a/plan/compatibility/migration_test.go
+++ b/plan/compatibility/migration_test.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"reflect"
 	"slices"
-	"tealpath/fleet/lease"
+	"tealpath/internal/cluster/lease"
 	"testing"
 )
 
--- a/plan/compatibility/settings.go
+++ b/plan/compatibility/settings.go
@@ -5,7 +5,7 @@
 
 import (
 	"fmt"
-	"tealpath/fleet/lease"
+	"tealpath/internal/cluster/lease"
 
 	"github.com/fxamacker/cbor/v2"
 )
