--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -7,8 +7,8 @@
 
 	"github.com/urfave/cli/v3"
 
+	"tealpath/internal/compatibility"
 	"tealpath/operator"
-	"tealpath/plan/compatibility"
 )
 
 // diff says whether two operator's files may be in force side by side, and by which steps one becomes the other. Exit 1: they
--- a/internal/cluster/sharedconfig/config.go
+++ b/internal/cluster/sharedconfig/config.go
@@ -25,7 +25,7 @@
 }
 
 // IncompatibleFunc tells whether two contents may never be acted on at once; err says why the proposed one can't be acted on at
-// all. plan/compatibility has the one for operators' settings.
+// all. internal/compatibility has the one for operators' settings.
 type IncompatibleFunc func(current, proposed []byte) (incompatible bool, err error)
 
 // Config is what a node starts with. Lengths of time are in ns.
--- a/plan/connpool/connections.go
+++ b/internal/connpool/connections.go
@@ -7,7 +7,7 @@
 	maxOutsideDuration  = outsideSendDuration + outsideSendDuration/2
 
 	// Delays before a cache that refused a connection is dialled again, by decorrelated jitter (Brooker, "Exponential Backoff And
-	// Jitter", 2015), as in plan/startup: the next is drawn up to so many times the last.
+	// Jitter", 2015), as in internal/lifecycle/startup: the next is drawn up to so many times the last.
 	minRefusedDelay = 250 * millisecond
 	maxRefusedDelay = 8 * second
 	backoffGrowth   = 3
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -20,11 +20,11 @@
 
 	"tealpath/control"
 	"tealpath/internal/clock"
+	"tealpath/internal/lifecycle/restore"
+	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/sse"
 	"tealpath/internal/router"
-	"tealpath/plan/restore"
-	"tealpath/plan/startup"
 )
 
 const (
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,9 +12,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"tealpath/control"
+	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/protocol/sse"
 	"tealpath/internal/router"
-	"tealpath/plan/startup"
 	"tealpath/standin/lists"
 )
 
--- a/internal/discovery/endings_test.go
+++ b/internal/discovery/endings_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/router"
-	"tealpath/plan/startup"
 )
 
 // What is asked for counts as told at once. An answer that is cut off, or stands still inside an event, is asked for again
--- a/internal/discovery/local_test.go
+++ b/internal/discovery/local_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/router"
-	"tealpath/plan/startup"
 )
 
 // localErrors are what Linux documents of this machine's own for socket(2) and connect(2).
--- a/internal/router/members_test.go
+++ b/internal/router/members_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"tealpath/control"
-	"tealpath/plan/connpool"
+	"tealpath/internal/connpool"
 )
 
 // plainList is the list of members as it is kept without an index: each event goes over all members.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -12,8 +12,8 @@
 	"strings"
 
 	"tealpath/control"
+	"tealpath/internal/connpool"
 	"tealpath/internal/timerqueue"
-	"tealpath/plan/connpool"
 )
 
 const (
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"tealpath/control"
-	"tealpath/plan/connpool"
+	"tealpath/internal/connpool"
 )
 
 const (
--- a/internal/server/keeping.go
+++ b/internal/server/keeping.go
@@ -12,8 +12,8 @@
 
 	"tealpath/internal/clock"
 	"tealpath/internal/discovery"
+	"tealpath/internal/lifecycle/restore"
 	"tealpath/internal/router"
-	"tealpath/plan/restore"
 	"tealpath/snapshot"
 )
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -19,15 +19,15 @@
 
 	"tealpath/config"
 	"tealpath/internal/clock"
+	"tealpath/internal/connpool"
 	"tealpath/internal/discovery"
 	"tealpath/internal/downstream"
+	"tealpath/internal/lifecycle/shutdown"
+	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/neterr"
 	"tealpath/internal/router"
 	"tealpath/internal/upstream"
 	"tealpath/operator"
-	"tealpath/plan/connpool"
-	"tealpath/plan/shutdown"
-	"tealpath/plan/startup"
 	"tealpath/snapshot"
 )
 
--- a/lab/agreesim.go
+++ b/lab/agreesim.go
@@ -7,8 +7,8 @@
 
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/sharedconfig"
+	"tealpath/internal/compatibility"
 	"tealpath/internal/timerqueue"
-	"tealpath/plan/compatibility"
 )
 
 // AgreeSim plays internal/cluster/sharedconfig with real settings in simulated time, with changes and troubles drawn by seed.
--- a/lab/coldfleet.go
+++ b/lab/coldfleet.go
@@ -19,14 +19,14 @@
 	"gonum.org/v1/plot/vg"
 
 	"tealpath/control"
+	"tealpath/internal/connpool"
+	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/router"
 	"tealpath/internal/timerqueue"
-	"tealpath/plan/connpool"
-	"tealpath/plan/startup"
 	"tealpath/standin/cache"
 )
 
-// FleetCold is a cold start of whole routers (the module, the reducer, plan/startup, plan/connpool) in simulated time, with
+// FleetCold is a cold start of whole routers (the module, the reducer, internal/lifecycle/startup, internal/connpool) in simulated time, with
 // caches that bear little, a list service that can be down, and clients that come again. One goroutine, by seed.
 type FleetCold struct {
 	Routers, Caches int
--- a/lab/coldstart.go
+++ b/lab/coldstart.go
@@ -25,7 +25,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"tealpath/plan/startup"
+	"tealpath/internal/lifecycle/startup"
 	"tealpath/standin/cache"
 	"tealpath/standin/lists"
 )
--- a/operator/fleet.go
+++ b/operator/fleet.go
@@ -15,9 +15,9 @@
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/peer"
 	"tealpath/internal/cluster/probe"
-	"tealpath/plan/compatibility"
-	"tealpath/plan/connpool"
-	"tealpath/plan/startup"
+	"tealpath/internal/compatibility"
+	"tealpath/internal/connpool"
+	"tealpath/internal/lifecycle/startup"
 )
 
 // File is an operator's file.
--- a/snapshot/format.go
+++ b/snapshot/format.go
@@ -5,7 +5,7 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"tealpath/plan/restore"
+	"tealpath/internal/lifecycle/restore"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -1,12 +1,12 @@
 // Package snapshot stores on a disk what a router knows, for its next start. A snapshot is written to a temporary file, forced to the
 // disk and renamed, so that the file is whole or the one before; a digest shows one that is not whole. What of a snapshot is used,
-// plan/restore decides.
+// internal/lifecycle/restore decides.
 package snapshot
 
 import (
 	"tealpath/control"
+	"tealpath/internal/lifecycle/restore"
 	"tealpath/internal/router"
-	"tealpath/plan/restore"
 )
 
 // MaxObjects is how many objects of the rate table are stored.
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -6,8 +6,8 @@
 	"path/filepath"
 	"reflect"
 	"tealpath/control"
+	"tealpath/internal/lifecycle/restore"
 	"tealpath/internal/router"
-	"tealpath/plan/restore"
 	"testing"
 )
 
