--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -17,11 +17,11 @@
 
 	"github.com/rs/zerolog"
 
-	"tealpath/config"
 	"tealpath/internal/clock"
 	"tealpath/internal/clock/clocktest"
+	"tealpath/internal/config"
+	"tealpath/internal/operatorconfig"
 	"tealpath/internal/server"
-	"tealpath/operator"
 )
 
 // steps are what the wall clock is set forward by in the tests, or back.
@@ -73,7 +73,7 @@
 }
 
 // runOn starts a process on a clock and waits until it listens. It ends with the test.
-func (p program) runOn(t *testing.T, c clock.Clock, file *operator.File) running {
+func (p program) runOn(t *testing.T, c clock.Clock, file *operatorconfig.File) running {
 	t.Helper()
 	parsed, err := config.Load(func(name string) string { return map[string]string{"LB_CONFIG": p.file, "LB_LISTEN": p.address}[name] })
 	if err != nil {
@@ -86,7 +86,7 @@
 	go func() {
 		defer close(done)
 		r.over <- server.New(parsed, file, zerolog.New(r.log), server.WithClock(c)).Run(ctx, leave, nil,
-			func() (*config.Config, *operator.File, error) { return nil, nil, errors.New("not in this test") })
+			func() (*config.Config, *operatorconfig.File, error) { return nil, nil, errors.New("not in this test") })
 	}()
 	t.Cleanup(func() {
 		stop()
@@ -359,7 +359,7 @@
 func TestClockThatNeverRests(t *testing.T) {
 	t.Parallel()
 	p, folder := newFarm(t), t.TempDir()
-	file, err := operator.Parse(`(snapshot (file "kept") (every 1s))`, "n0", folder)
+	file, err := operatorconfig.Parse(`(snapshot (file "kept") (every 1s))`, "n0", folder)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -405,7 +405,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			p := newFarm(t)
-			file, err := operator.Parse(`(snapshot (file "kept") (every 1h))`, "n0", t.TempDir())
+			file, err := operatorconfig.Parse(`(snapshot (file "kept") (every 1h))`, "n0", t.TempDir())
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -8,7 +8,7 @@
 	"github.com/urfave/cli/v3"
 
 	"tealpath/internal/compatibility"
-	"tealpath/operator"
+	"tealpath/internal/operatorconfig"
 )
 
 // diff says whether two operator's files may be in force side by side, and by which steps one becomes the other. Exit 1: they
@@ -19,7 +19,7 @@
 	}
 	var settings [2]compatibility.Settings
 	for i := range settings {
-		file, err := operator.Load(cmd.Args().Get(i), os.Getenv("LB_NAME"))
+		file, err := operatorconfig.Load(cmd.Args().Get(i), os.Getenv("LB_NAME"))
 		if err != nil {
 			return cli.Exit(err, exitUsage)
 		}
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -12,10 +12,10 @@
 
 	"github.com/urfave/cli/v3"
 
-	"tealpath/config"
 	"tealpath/internal/cluster"
+	"tealpath/internal/config"
+	"tealpath/internal/operatorconfig"
 	"tealpath/internal/server"
-	"tealpath/operator"
 )
 
 func operatorFlag() []cli.Flag {
@@ -23,12 +23,12 @@
 }
 
 // operatorFile loads and checks the operator's file if one is named.
-func operatorFile(cmd *cli.Command, c *config.Config) (*operator.File, error) {
+func operatorFile(cmd *cli.Command, c *config.Config) (*operatorconfig.File, error) {
 	path := cmd.String("operator")
 	if path == "" {
 		return nil, nil
 	}
-	file, err := operator.Load(path, c.Name)
+	file, err := operatorconfig.Load(path, c.Name)
 	if err != nil {
 		return nil, err
 	}
@@ -39,7 +39,7 @@
 }
 
 // describe says in a line what a usable file means.
-func describe(path string, file *operator.File) string {
+func describe(path string, file *operatorconfig.File) string {
 	f := file.Fleet
 	if f == nil {
 		return fmt.Sprintf("operator's file %s is usable: instances share nothing", path)
@@ -59,7 +59,7 @@
 	}
 	path := cmd.String("socket")
 	if path == "" && cmd.String("operator") != "" {
-		file, err := operator.Load(cmd.String("operator"), os.Getenv("LB_NAME"))
+		file, err := operatorconfig.Load(cmd.String("operator"), os.Getenv("LB_NAME"))
 		if err != nil {
 			return "", cli.Exit(err, exitUsage)
 		}
@@ -78,7 +78,7 @@
 		return err
 	}
 	var c server.Connections
-	if err := operator.Ask(ctx, path, &c, "connections"); err != nil {
+	if err := operatorconfig.Ask(ctx, path, &c, "connections"); err != nil {
 		return cli.Exit(err, exitFailed)
 	}
 	fmt.Printf("%d connections: %d idle, %d of them at rest, %d busy, %d reading, %d fresh, %d closing; %d wait to be woken\n", c.All, c.Idle,
@@ -94,7 +94,7 @@
 		return err
 	}
 	var s cluster.Status
-	if err := operator.Ask(ctx, path, &s, "duties"); err != nil {
+	if err := operatorconfig.Ask(ctx, path, &s, "duties"); err != nil {
 		return cli.Exit(err, exitFailed)
 	}
 	if cmd.Bool("json") {
@@ -117,7 +117,7 @@
 		return err
 	}
 	var s cluster.MembersStatus
-	if err := operator.Ask(ctx, path, &s, "members"); err != nil {
+	if err := operatorconfig.Ask(ctx, path, &s, "members"); err != nil {
 		return cli.Exit(err, exitFailed)
 	}
 	if cmd.Bool("json") {
--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -13,10 +13,10 @@
 	"github.com/rs/zerolog"
 	"github.com/urfave/cli/v3"
 
-	"tealpath/config"
 	"tealpath/internal/clock"
+	"tealpath/internal/config"
+	"tealpath/internal/operatorconfig"
 	"tealpath/internal/server"
-	"tealpath/operator"
 )
 
 // version is the release's; the build may set it.
@@ -111,7 +111,7 @@
 	out := newLogWriter(os.Stderr)
 	defer out.Close()
 	log := zerolog.New(out).With().Timestamp().Logger()
-	err = server.New(c, file, log, server.WithClock(clock.System())).Run(ctx, leave.Done(), again, func() (*config.Config, *operator.File, error) {
+	err = server.New(c, file, log, server.WithClock(clock.System())).Run(ctx, leave.Done(), again, func() (*config.Config, *operatorconfig.File, error) {
 		next, err := c.Reload(os.Getenv)
 		if err != nil {
 			return nil, nil, err
@@ -140,7 +140,7 @@
 	}
 	if cmd.String("operator") != "" && env("LB_CONFIG") == "" {
 		// Alone: without the settings it can't be said whether probes are allowed.
-		file, err := operator.Load(cmd.String("operator"), env("LB_NAME"))
+		file, err := operatorconfig.Load(cmd.String("operator"), env("LB_NAME"))
 		if err != nil {
 			return cli.Exit(err, exitUsage)
 		}
--- a/host/host.go
+++ b/host/host.go
@@ -11,8 +11,8 @@
 	"strconv"
 	"strings"
 
-	"tealpath/config"
 	"tealpath/control"
+	"tealpath/internal/config"
 	"tealpath/internal/timerqueue"
 	"tealpath/wire"
 )
--- a/operator/keep.go
+++ b/internal/operatorconfig/keep.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"net/netip"
--- a/operator/sexp.go
+++ b/internal/operatorconfig/sexp.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's file: settings of our own as S-expressions. A file is checked as a whole
+// Package operatorconfig reads the operator's file: settings of our own as S-expressions. A file is checked as a whole
 // before anything of it is in force; each fault is named with line, column and reason.
-package operator
+package operatorconfig
 
 import (
 	"errors"
--- a/internal/server/keeping.go
+++ b/internal/server/keeping.go
@@ -14,7 +14,7 @@
 	"tealpath/internal/discovery"
 	"tealpath/internal/lifecycle/restore"
 	"tealpath/internal/router"
-	"tealpath/snapshot"
+	"tealpath/internal/snapshot"
 )
 
 const (
--- a/internal/server/keeping_test.go
+++ b/internal/server/keeping_test.go
@@ -18,10 +18,10 @@
 
 	"github.com/rs/zerolog"
 
-	"tealpath/config"
+	"tealpath/internal/config"
+	"tealpath/internal/operatorconfig"
 	"tealpath/internal/protocol/thrift"
-	"tealpath/operator"
-	"tealpath/snapshot"
+	"tealpath/internal/snapshot"
 	"tealpath/standin/lists"
 )
 
@@ -159,7 +159,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := New(c, &operator.File{Snapshot: filepath.Join("folder", "kept"), SnapshotEvery: int64(every)}, zerolog.New(r.log))
+	p := New(c, &operatorconfig.File{Snapshot: filepath.Join("folder", "kept"), SnapshotEvery: int64(every)}, zerolog.New(r.log))
 	p.snapshots = func(path string) *snapshot.Store { return snapshot.NewStoreWithFileSystem(disk, path) }
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
--- a/internal/server/loading.go
+++ b/internal/server/loading.go
@@ -4,20 +4,20 @@
 	"context"
 	"time"
 
-	"tealpath/config"
+	"tealpath/internal/config"
 	"tealpath/internal/neterr"
-	"tealpath/operator"
+	"tealpath/internal/operatorconfig"
 )
 
 // loadFunc reads the configuration and the operator's file as they are now.
-type loadFunc func() (*config.Config, *operator.File, error)
+type loadFunc func() (*config.Config, *operatorconfig.File, error)
 
 // loadPause is the time between two tries to read a configuration.
 const loadPause = 50 * time.Millisecond
 
 // loadWhenPossible reads the configuration, and reads again while this machine lacks the descriptors or the memory: passed over, a new
 // address of the journal service was never heard of.
-func loadWhenPossible(ctx context.Context, load loadFunc, log func(string)) (*config.Config, *operator.File, error) {
+func loadWhenPossible(ctx context.Context, load loadFunc, log func(string)) (*config.Config, *operatorconfig.File, error) {
 	for tries := 0; ; tries++ {
 		next, file, err := load()
 		if !neterr.IsExhausted(err) {
--- a/internal/server/local_test.go
+++ b/internal/server/local_test.go
@@ -9,8 +9,8 @@
 	"syscall"
 	"testing"
 
-	"tealpath/config"
-	"tealpath/operator"
+	"tealpath/internal/config"
+	"tealpath/internal/operatorconfig"
 )
 
 // What may pass is waited for at the start; what can't is told at once.
@@ -28,7 +28,7 @@
 func TestLoadWhenPossible(t *testing.T) {
 	for errno, tries := range map[syscall.Errno]int{syscall.EMFILE: 4, syscall.ENFILE: 4, syscall.ENOMEM: 4, syscall.ENOENT: 1, syscall.EIO: 1} {
 		calls, lines := 0, 0
-		load := func() (*config.Config, *operator.File, error) {
+		load := func() (*config.Config, *operatorconfig.File, error) {
 			if calls++; calls <= 3 {
 				return nil, nil, fmt.Errorf("configuration: %w", &os.PathError{Op: "open", Path: "x", Err: errno})
 			}
@@ -41,7 +41,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, _, err := loadWhenPossible(ctx, func() (*config.Config, *operator.File, error) { return nil, nil, syscall.EMFILE }, func(string) {}); err == nil {
+	if _, _, err := loadWhenPossible(ctx, func() (*config.Config, *operatorconfig.File, error) { return nil, nil, syscall.EMFILE }, func(string) {}); err == nil {
 		t.Error("it does not end with the process")
 	}
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -17,18 +17,18 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"tealpath/config"
 	"tealpath/internal/clock"
+	"tealpath/internal/config"
 	"tealpath/internal/connpool"
 	"tealpath/internal/discovery"
 	"tealpath/internal/downstream"
 	"tealpath/internal/lifecycle/shutdown"
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/neterr"
+	"tealpath/internal/operatorconfig"
 	"tealpath/internal/router"
+	"tealpath/internal/snapshot"
 	"tealpath/internal/upstream"
-	"tealpath/operator"
-	"tealpath/snapshot"
 )
 
 // Phase is where a process stands between its start and its exit.
@@ -78,7 +78,7 @@
 	pool   *upstream.Pool
 	router *router.Router
 	start  *startup.Progress
-	file   *operator.File
+	file   *operatorconfig.File
 	shared *sharing // nil: this instance shares nothing with others
 	keeper *keeper  // nil: nothing is kept for the next start
 
@@ -100,7 +100,7 @@
 func WithClock(c clock.Clock) Option { return func(p *Process) { p.clock = c } }
 
 // New makes a process that has not started. With an operator's file it has what that says in common with others.
-func New(c *config.Config, file *operator.File, log zerolog.Logger, options ...Option) *Process {
+func New(c *config.Config, file *operatorconfig.File, log zerolog.Logger, options ...Option) *Process {
 	p := &Process{config: c, file: file, log: log.With().Str("router", c.Name).Logger(), clock: clock.System(),
 		inbox: make(chan arrival, inboxMost), snapshots: snapshot.NewStore}
 	for _, option := range options {
@@ -133,7 +133,7 @@
 // Run serves until leave ends and all that was taken is answered, or until ctx ends, which answers nothing. At
 // each signal of again the configuration is loaded anew.
 func (p *Process) Run(ctx context.Context, leave <-chan struct{}, again <-chan os.Signal,
-	load func() (*config.Config, *operator.File, error)) error {
+	load func() (*config.Config, *operatorconfig.File, error)) error {
 	p.enter(Starting)
 	defer p.enter(Stopped)
 	past, err := p.prepare()
@@ -177,11 +177,11 @@
 		group.Go(func() error { return p.shared.run(ctx, leave) })
 	}
 	if p.file != nil && p.file.Socket != "" {
-		handlers := map[string]operator.Handler{"connections": p.connections}
+		handlers := map[string]operatorconfig.Handler{"connections": p.connections}
 		if p.shared != nil {
 			handlers["duties"], handlers["members"] = p.shared.status, p.shared.members
 		}
-		group.Go(func() error { return operator.Serve(ctx, p.file.Socket, handlers) })
+		group.Go(func() error { return operatorconfig.Serve(ctx, p.file.Socket, handlers) })
 	}
 	p.enter(Serving)
 	p.step()
@@ -244,7 +244,7 @@
 
 // reload takes the journal service's address from the configuration as it is now. All else is in force from the
 // next start on; one that cannot be used changes nothing.
-func (p *Process) reload(ctx context.Context, load func() (*config.Config, *operator.File, error), journal *discovery.Feed) {
+func (p *Process) reload(ctx context.Context, load func() (*config.Config, *operatorconfig.File, error), journal *discovery.Feed) {
 	next, file, err := loadWhenPossible(ctx, load, p.line)
 	if err == nil && p.shared != nil && file != nil {
 		err = p.shared.reload(ctx, file)
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/rs/zerolog"
 
-	"tealpath/config"
+	"tealpath/internal/config"
 )
 
 // Shares of a memory larger than the configured one had the router killed for it.
--- a/internal/server/sharing.go
+++ b/internal/server/sharing.go
@@ -14,17 +14,17 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
-	"tealpath/config"
 	"tealpath/control"
 	"tealpath/internal/clock"
 	"tealpath/internal/cluster"
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/peer"
 	"tealpath/internal/cluster/probe"
+	"tealpath/internal/config"
 	"tealpath/internal/downstream/idle"
+	"tealpath/internal/operatorconfig"
 	"tealpath/internal/router"
 	"tealpath/internal/upstream"
-	"tealpath/operator"
 )
 
 const (
@@ -36,7 +36,7 @@
 
 // sharing is what an instance has in common with others: the reducer of the fleet, and the links and probes round it.
 type sharing struct {
-	file    *operator.File
+	file    *operatorconfig.File
 	node    *cluster.Node
 	links   *peer.Links
 	log     zerolog.Logger
@@ -85,7 +85,7 @@
 }
 
 // Bind checks an operator's file against a configuration: the deployment's settings and the limits.
-func Bind(file *operator.File, c *config.Config) error {
+func Bind(file *operatorconfig.File, c *config.Config) error {
 	cache, parent := coldOf(c.Settings)
 	p := New(c, file, zerolog.Nop())
 	return errors.Join(file.Bound(setting(c.Settings, "probe", false), cache, parent),
@@ -95,7 +95,7 @@
 }
 
 // newSharing makes the fleet's part of a process, with its listener open.
-func newSharing(ctx context.Context, file *operator.File, set control.Settings, log zerolog.Logger, c clock.Clock,
+func newSharing(ctx context.Context, file *operatorconfig.File, set control.Settings, log zerolog.Logger, c clock.Clock,
 	tell func(router.Event)) (*sharing, error) {
 	f := file.Fleet
 	var draw [16]byte
@@ -301,7 +301,7 @@
 
 // reload takes what may change in a running instance from the operator's file as it is now: keys, address sets,
 // instances, voters. All of it or nothing.
-func (s *sharing) reload(ctx context.Context, next *operator.File) error {
+func (s *sharing) reload(ctx context.Context, next *operatorconfig.File) error {
 	if next.Fleet == nil {
 		return errors.New("it has no (fleet …) any more: that takes a restart")
 	}
--- a/lab/cluster.go
+++ b/lab/cluster.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"tealpath/internal/cluster"
-	"tealpath/operator"
+	"tealpath/internal/operatorconfig"
 	"tealpath/standin/cache"
 	"tealpath/standin/keys"
 	"tealpath/standin/lists"
@@ -302,7 +302,7 @@
 
 // Status asks an instance.
 func (c *Cluster) Status(ctx context.Context, name string) (s cluster.Status, err error) {
-	err = operator.Ask(ctx, c.path(name, ".sock"), &s, "duties")
+	err = operatorconfig.Ask(ctx, c.path(name, ".sock"), &s, "duties")
 	return s, err
 }
 
--- a/lab/idle.go
+++ b/lab/idle.go
@@ -19,8 +19,8 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
+	"tealpath/internal/operatorconfig"
 	"tealpath/internal/server"
-	"tealpath/operator"
 )
 
 // Idle is the experiment on idle connections.
@@ -167,7 +167,7 @@
 func (r *rig) usage(ctx context.Context) (sum server.Connections, kb int64, cpu float64) {
 	for _, name := range r.Names {
 		var one server.Connections
-		if !r.Bare && operator.Ask(ctx, r.path(name, ".sock"), &one, "connections") == nil {
+		if !r.Bare && operatorconfig.Ask(ctx, r.path(name, ".sock"), &one, "connections") == nil {
 			sum.All += one.All
 			sum.Parked += one.Parked
 			sum.Goroutines += one.Goroutines
@@ -337,7 +337,7 @@
 			all := 0
 			for _, name := range r.Names {
 				var one server.Connections
-				if err := operator.Ask(ctx, r.path(name, ".sock"), &one, "connections"); err != nil {
+				if err := operatorconfig.Ask(ctx, r.path(name, ".sock"), &one, "connections"); err != nil {
 					return 0, err
 				}
 				all += one.All
--- a/lab/members.go
+++ b/lab/members.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"tealpath/internal/cluster"
-	"tealpath/operator"
+	"tealpath/internal/operatorconfig"
 )
 
 // Members plays real instances that watch each other, with faults between them.
@@ -73,7 +73,7 @@
 )
 
 func (c *Cluster) members(ctx context.Context, name string) (s cluster.MembersStatus, err error) {
-	err = operator.Ask(ctx, c.path(name, ".sock"), &s, "members")
+	err = operatorconfig.Ask(ctx, c.path(name, ".sock"), &s, "members")
 	return s, err
 }
 
