--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"tealpath/host"
+	"tealpath/internal/simulator"
 )
 
 func main() {
-	if err := host.Run(os.Stdin, os.Stdout); err != nil {
+	if err := simulator.Run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
--- a/host/host.go
+++ b/internal/simulator/simulator.go
@@ -1,6 +1,6 @@
-// Package host runs routers on the bench's wire: it decodes events into calls of the control package, keeps
+// Package simulator runs routers on the bench's wire: it decodes events into calls of the control package, keeps
 // the timers and the retrievals in hand, and encodes what the calls return. It decides nothing.
-package host
+package simulator
 
 import (
 	"errors"
@@ -13,8 +13,8 @@
 
 	"tealpath/control"
 	"tealpath/internal/config"
+	"tealpath/internal/simulator/wire"
 	"tealpath/internal/timerqueue"
-	"tealpath/wire"
 )
 
 // Tokens of the two timers that an instance keeps.
--- a/host/host_test.go
+++ b/internal/simulator/simulator_test.go
@@ -1,4 +1,4 @@
-package host
+package simulator
 
 import (
 	"bytes"
