--- a/cmd/tealpath/diff_test.go
+++ b/cmd/tealpath/diff_test.go
@@ -12,13 +12,13 @@
 
 	"github.com/urfave/cli/v3"
 
-	"tealpath/standin/keys"
+	"tealpath/internal/emulator/certificates"
 )
 
 // Two operator's files, as an operator would hold them against each other before a change.
 func TestDiff(t *testing.T) {
 	dir := t.TempDir()
-	root, err := keys.NewRoot("root")
+	root, err := certificates.NewRoot("root")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/protocol/resp"
-	"tealpath/standin/lists"
 )
 
 // What a router may need in the mean over the same day beside what it needs at the usual size, as the users' page on the
@@ -68,7 +68,7 @@
 	t           *testing.T
 	servers     []net.Listener
 	routers     int
-	journal     *lists.Service
+	journal     *discoveryserver.Service
 	address     string
 	router      *exec.Cmd
 	connections atomic.Int64
@@ -93,7 +93,7 @@
 		f.servers = append(f.servers, listener)
 		go f.accept(listener)
 	}
-	journal, err := lists.Start()
+	journal, err := discoveryserver.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/tealpath/trouble_test.go
+++ b/cmd/tealpath/trouble_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"tealpath/standin/lists"
+	"tealpath/internal/emulator/discoveryserver"
 )
 
 // Trouble that the platform's pages name and the users' bench does not play ("Beyond this bench"), over real connections to
@@ -25,9 +25,9 @@
 // late is by how much an answer may be late on a machine that does other work.
 const late = 250 * time.Millisecond
 
-func newLists(t *testing.T) *lists.Service {
+func newLists(t *testing.T) *discoveryserver.Service {
 	t.Helper()
-	service, err := lists.Start()
+	service, err := discoveryserver.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -236,7 +236,7 @@
 // New configurations in quick succession, each with another discovery: what is in flight is answered, and the last one counts.
 func TestNewConfigurationsInARow(t *testing.T) {
 	t.Parallel()
-	var services []*lists.Service
+	var services []*discoveryserver.Service
 	for range 6 {
 		services = append(services, newLists(t))
 	}
@@ -395,7 +395,7 @@
 		if n == 0 {
 			caches = own
 			service.Tell(listed(p))
-			service.Set(lists.Way{PerSecond: 8, Bytes: 3000})
+			service.Set(discoveryserver.Way{PerSecond: 8, Bytes: 3000})
 		}
 		if n%2 == 1 {
 			text := string(p.text("n0", service.Address()))
--- a/internal/clock/usage_test.go
+++ b/internal/clock/usage_test.go
@@ -30,7 +30,7 @@
 // play other machines, and experiments and the simulator's adapter serve nobody.
 func TestWallClockIsReadHereOnly(t *testing.T) {
 	const root = "../.."
-	exempt := []string{"lab", "standin", "cmd/teallab", "internal/clock"}
+	exempt := []string{"internal/experiment", "internal/emulator", "internal/clock"}
 	seen := 0
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -11,7 +11,7 @@
 	"runtime"
 	"strings"
 	"sync"
-	"tealpath/standin/keys"
+	"tealpath/internal/emulator/certificates"
 	"testing"
 	"time"
 
@@ -137,9 +137,9 @@
 	}
 }
 
-func newRoot(t *testing.T, name string) *keys.Root {
+func newRoot(t *testing.T, name string) *certificates.Root {
 	t.Helper()
-	root, err := keys.NewRoot(name)
+	root, err := certificates.NewRoot(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 }
 
 // issue writes an instance's files, with the roots that it believes.
-func issue(t *testing.T, root *keys.Root, folder, name string, roots ...*keys.Root) {
+func issue(t *testing.T, root *certificates.Root, folder, name string, roots ...*certificates.Root) {
 	t.Helper()
 	if err := root.Write(folder, name, time.Now().Add(time.Hour), roots...); err != nil {
 		t.Fatal(err)
@@ -195,7 +195,7 @@
 	good, bad, folder := newRoot(t, "good"), newRoot(t, "bad"), t.TempDir()
 	issue(t, good, folder, "b", good)
 	b := open(t, "b", load(t, folder, "b"), "127.0.0.1-127.0.0.1")
-	certificate := func(root *keys.Root, name string, lifetime time.Duration) tls.Certificate {
+	certificate := func(root *certificates.Root, name string, lifetime time.Duration) tls.Certificate {
 		certificate, key, err := root.Issue(name, time.Now().Add(lifetime))
 		if err != nil {
 			t.Fatal(err)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,10 +12,10 @@
 	"github.com/cespare/xxhash/v2"
 
 	"tealpath/control"
+	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/protocol/sse"
 	"tealpath/internal/router"
-	"tealpath/standin/lists"
 )
 
 const list = `{"pos":%d,"hosts":{"generation":7,"reset":%v,"instances":[{"instanceId":"s-00c41f7a","hostPort":"10.1.0.9:10080",` +
@@ -144,19 +144,19 @@
 	last := xxhash.Sum64String(fmt.Sprintf(purge, 2))
 	for _, c := range []struct {
 		name   string
-		change func(*lists.Service)
+		change func(*discoveryserver.Service)
 		digest uint64
 		want   string // what is told first
 		calls  int
 		behind int // what the last call asked behind
 	}{
-		{"the same service", func(*lists.Service) {}, last, "{true [{s-1 10.1.0.9:1 {0   0 ready 0 0}}]}", 1, 1},
-		{"it has told more since", func(s *lists.Service) { s.Tell(purge) }, last, "{true [{s-1 10.1.0.9:1 {0   0 ready 0 0}}]}", 1, 1},
-		{"another event under that number", func(*lists.Service) {}, last + 1, "{true [{s-00c41f7a", 2, 0},
-		{"it counts anew", func(s *lists.Service) { s.Anew(); s.Tell(strings.Replace(list, "%v", "true", 1)) }, last, "{true [{s-00c41f7a", 2, 0},
+		{"the same service", func(*discoveryserver.Service) {}, last, "{true [{s-1 10.1.0.9:1 {0   0 ready 0 0}}]}", 1, 1},
+		{"it has told more since", func(s *discoveryserver.Service) { s.Tell(purge) }, last, "{true [{s-1 10.1.0.9:1 {0   0 ready 0 0}}]}", 1, 1},
+		{"another event under that number", func(*discoveryserver.Service) {}, last + 1, "{true [{s-00c41f7a", 2, 0},
+		{"it counts anew", func(s *discoveryserver.Service) { s.Anew(); s.Tell(strings.Replace(list, "%v", "true", 1)) }, last, "{true [{s-00c41f7a", 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			service, err := lists.Start()
+			service, err := discoveryserver.Start()
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/standin/keys/keys.go
+++ b/internal/emulator/certificates/certificates.go
@@ -1,5 +1,5 @@
-// Package keys makes roots and certificates for tests and experiments. They last hours and prove nothing elsewhere.
-package keys
+// Package certificates makes roots and certificates for tests and experiments. They last hours and prove nothing elsewhere.
+package certificates
 
 import (
 	"crypto/ecdsa"
--- a/standin/lists/lists.go
+++ b/internal/emulator/discoveryserver/discoveryserver.go
@@ -1,7 +1,7 @@
-// Package lists is a stand-in of a list service that bears little: it takes so many calls a second and queues the others,
+// Package discoveryserver is a stand-in of a list service that bears little: it takes so many calls a second and queues the others,
 // sends so many bytes a second in all, can be down, stand still, break off in the middle of a list, tell an old list, or
 // begin anew; and it notes every call. The protocol is that of the journal service.
-package lists
+package discoveryserver
 
 import (
 	"bufio"
--- a/lab/cluster.go
+++ b/internal/experiment/cluster.go
@@ -1,6 +1,6 @@
-// Package lab runs experiments on real routers on loopback, with the stand-ins of standin/, and on the pure modules in
+// Package experiment runs experiments on real routers on loopback, with the stand-ins of standin/, and on the pure modules in
 // simulated time. It measures what the operators' bench does not show.
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -18,11 +18,11 @@
 	"time"
 
 	"tealpath/internal/cluster"
+	"tealpath/internal/emulator/cache"
+	"tealpath/internal/emulator/certificates"
+	"tealpath/internal/emulator/discoveryserver"
+	"tealpath/internal/emulator/relay"
 	"tealpath/internal/operatorconfig"
-	"tealpath/standin/cache"
-	"tealpath/standin/keys"
-	"tealpath/standin/lists"
-	"tealpath/standin/relay"
 )
 
 // Line is one line of an instance's log.
@@ -64,7 +64,7 @@
 	Names   []string
 	Caches  []*cache.Cache
 	Ways    map[[2]string]*relay.Relay // by from and to
-	journal *lists.Service
+	journal *discoveryserver.Service
 	mu      sync.Mutex
 	running map[string]*exec.Cmd
 	lives   map[string]int
@@ -72,7 +72,7 @@
 	group   sync.WaitGroup
 	at      map[string]string // where each takes links
 	voters  string            // what stands in (voters …)
-	root    *keys.Root
+	root    *certificates.Root
 	clients map[string]string // where each takes clients
 }
 
@@ -105,7 +105,7 @@
 	s.Sockets, s.MemoryMB = cmp.Or(s.Sockets, 1024), cmp.Or(s.MemoryMB, 32)
 	c := &Cluster{Setup: s, clients: map[string]string{}, Ways: map[[2]string]*relay.Relay{}, running: map[string]*exec.Cmd{}, lives: map[string]int{}}
 	var err error
-	if c.journal, err = lists.Start(); err != nil {
+	if c.journal, err = discoveryserver.Start(); err != nil {
 		return nil, err
 	}
 	var members []string
@@ -118,7 +118,7 @@
 		members = append(members, listed(x, 0))
 	}
 	c.journal.Tell(`{"pos":%d,"hosts":{"generation":1,"reset":true,"instances":[` + strings.Join(members, ",") + `]}}`)
-	root, err := keys.NewRoot("lab")
+	root, err := certificates.NewRoot("lab")
 	if err != nil {
 		return nil, err
 	}
--- a/lab/coldfleet.go
+++ b/internal/experiment/coldfleet.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"cmp"
@@ -20,10 +20,10 @@
 
 	"tealpath/control"
 	"tealpath/internal/connpool"
+	"tealpath/internal/emulator/cache"
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/router"
 	"tealpath/internal/timerqueue"
-	"tealpath/standin/cache"
 )
 
 // FleetCold is a cold start of whole routers (the module, the reducer, internal/lifecycle/startup, internal/connpool) in simulated time, with
--- a/lab/coldstart.go
+++ b/internal/experiment/coldstart.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -25,9 +25,9 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
+	"tealpath/internal/emulator/cache"
+	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/lifecycle/startup"
-	"tealpath/standin/cache"
-	"tealpath/standin/lists"
 )
 
 // Coldstart starts many real routers within a second, with a list service that bears little or fails, and plays clients.
@@ -128,7 +128,7 @@
 	if !slices.Contains(ColdFaults, c.Faults) {
 		return result, fmt.Errorf("faults are one of %s", strings.Join(ColdFaults, ", "))
 	}
-	service, err := lists.Start()
+	service, err := discoveryserver.Start()
 	if err != nil {
 		return result, err
 	}
@@ -166,14 +166,14 @@
 	case "list-down":
 		service.Down()
 	case "list-slow":
-		service.Set(lists.Way{PerSecond: 10})
+		service.Set(discoveryserver.Way{PerSecond: 10})
 	case "list-half":
-		service.Set(lists.Way{Half: true})
+		service.Set(discoveryserver.Way{Half: true})
 	case "list-old":
 		for i := range members[1:] { // what it tells first is of before: all but one drain
 			service.Tell(`{"pos":%d,"hosts":{"generation":2,"instances":[` + members[1+i] + `]}}`)
 		}
-		service.Set(lists.Way{Old: true})
+		service.Set(discoveryserver.Way{Old: true})
 	}
 	addresses := make([]string, c.Routers)
 	for i := range addresses {
@@ -270,7 +270,7 @@
 		case "list-down":
 			err = service.Up()
 		case "list-half":
-			service.Set(lists.Way{})
+			service.Set(discoveryserver.Way{})
 		case "list-restart":
 			service.Down()
 			service.Anew()
--- a/cmd/teallab/agree.go
+++ b/internal/experiment/command/agree.go
@@ -1,4 +1,4 @@
-package main
+package command
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"tealpath/lab"
+	"tealpath/internal/experiment"
 )
 
 func agreeCommand(usage cli.OnUsageErrorFunc) *cli.Command {
@@ -30,7 +30,7 @@
 		if err != nil || n < 1 || cmd.Float64("virtual") <= 0 {
 			return cli.Exit(fmt.Errorf("instances from 1, hours above 0: %q, %g", word, cmd.Float64("virtual")), exitUsage)
 		}
-		r := lab.AgreeSim{Instances: n, Span: int64(cmd.Float64("virtual") * 3600e9), Seed: cmd.Uint64("seed"), Lease: int64(cmd.Duration("lease")),
+		r := experiment.AgreeSim{Instances: n, Span: int64(cmd.Float64("virtual") * 3600e9), Seed: cmd.Uint64("seed"), Lease: int64(cmd.Duration("lease")),
 			Renewal: int64(cmd.Duration("renewal")), Every: int64(cmd.Duration("every"))}.Run()
 		json.NewEncoder(os.Stdout).Encode(r)
 		broken = broken || r.Broken > 0 || r.MaxMS > r.BoundMS || r.Share > 1+1e-6
--- a/cmd/teallab/coldstart.go
+++ b/internal/experiment/command/coldstart.go
@@ -1,4 +1,4 @@
-package main
+package command
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"tealpath/lab"
+	"tealpath/internal/experiment"
 )
 
 func coldstartCommand(usage cli.OnUsageErrorFunc) *cli.Command {
@@ -18,7 +18,7 @@
 		OnUsageError: usage, Action: coldstart, Flags: []cli.Flag{
 			&cli.IntFlag{Name: "routers", Value: 100}, &cli.IntFlag{Name: "caches", Value: 40},
 			&cli.Uint64Flag{Name: "seed", Value: 7}, &cli.StringFlag{Name: "out", Value: "lab-out"},
-			&cli.StringFlag{Name: "faults", Value: "none", Usage: strings.Join(lab.ColdFaults, ", ") + "; virtual: " + strings.Join(lab.FleetFaults, ", ")},
+			&cli.StringFlag{Name: "faults", Value: "none", Usage: strings.Join(experiment.ColdFaults, ", ") + "; virtual: " + strings.Join(experiment.FleetFaults, ", ")},
 			&cli.DurationFlag{Name: "seconds", Value: 20 * time.Second}, &cli.Float64Flag{Name: "rate", Value: 300},
 			&cli.StringFlag{Name: "binary", Value: "bin/tealpath"},
 			&cli.DurationFlag{Name: "hold", Usage: "play it again with first calls spread over four fifths of so long, health held back"},
@@ -37,10 +37,10 @@
 
 // coldfleet plays whole routers, as they are and as they were.
 func coldfleet(cmd *cli.Command, out string, print *json.Encoder) error {
-	play := lab.FleetCold{Routers: cmd.Int("routers"), Caches: cmd.Int("caches"), Seed: cmd.Uint64("seed"), Faults: cmd.String("faults"),
+	play := experiment.FleetCold{Routers: cmd.Int("routers"), Caches: cmd.Int("caches"), Seed: cmd.Uint64("seed"), Faults: cmd.String("faults"),
 		Span: int64(cmd.Duration("seconds")), Rate: cmd.Float64("rate"), Tries: cmd.Int("tries"), Holds: cmd.Int("holds"),
 		Bound: cmd.Int("told"), Listed: cmd.Bool("known"), Opens: cmd.Float64("opens"), Bears: cmd.Float64("list-bears"), Hold: int64(cmd.Duration("hold"))}
-	var plays []lab.FleetColdResult
+	var plays []experiment.FleetColdResult
 	for _, play.Before = range []bool{true, false} {
 		r, err := play.Run()
 		if err != nil {
@@ -49,7 +49,7 @@
 		plays = append(plays, r)
 		print.Encode(r)
 	}
-	if err := lab.KeepFleet(out, plays...); err != nil {
+	if err := experiment.KeepFleet(out, plays...); err != nil {
 		return cli.Exit(err, exitBroken)
 	}
 	if now := plays[1]; now.CachePeak > now.Holds || now.Fallen > 0 || now.Worst > 1 || now.Lost > 0 {
@@ -68,7 +68,7 @@
 	}
 	print := json.NewEncoder(os.Stdout)
 	if cmd.Bool("virtual") {
-		r := lab.VirtualCold{Routers: cmd.Int("routers"), Seed: cmd.Uint64("seed"), Down: 30e9, Span: 60e9}.Run()
+		r := experiment.VirtualCold{Routers: cmd.Int("routers"), Seed: cmd.Uint64("seed"), Down: 30e9, Span: 60e9}.Run()
 		if err := r.Keep(out); err != nil {
 			return cli.Exit(err, exitBroken)
 		}
@@ -83,7 +83,7 @@
 		return cli.Exit(err, exitBroken)
 	}
 	defer os.RemoveAll(folder)
-	play := lab.Coldstart{Routers: cmd.Int("routers"), Caches: cmd.Int("caches"), Seed: cmd.Uint64("seed"),
+	play := experiment.Coldstart{Routers: cmd.Int("routers"), Caches: cmd.Int("caches"), Seed: cmd.Uint64("seed"),
 		Faults: cmd.String("faults"), Span: cmd.Duration("seconds"), Rate: cmd.Float64("rate"), Folder: folder, Out: out, Process: os.Stdout,
 		Told: cmd.Int("told"), Holds: cmd.Int("holds")}
 	if base := cmd.String("baseline"); base != "" {
--- a/cmd/teallab/idle.go
+++ b/internal/experiment/command/idle.go
@@ -1,4 +1,4 @@
-package main
+package command
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"tealpath/lab"
+	"tealpath/internal/experiment"
 )
 
 func idleCommand(usage cli.OnUsageErrorFunc) *cli.Command {
@@ -29,7 +29,7 @@
 	return &cli.Command{Name: "hold", Usage: "hold idle connections as told on the standard input; idle starts it", Hidden: true,
 		OnUsageError: usage, Flags: []cli.Flag{&cli.StringFlag{Name: "to"}, &cli.StringFlag{Name: "from", Value: "127.0.0.1"}},
 		Action: func(_ context.Context, cmd *cli.Command) error {
-			return lab.Hold(cmd.String("to"), cmd.String("from"), os.Stdin, os.Stdout)
+			return experiment.Hold(cmd.String("to"), cmd.String("from"), os.Stdin, os.Stdout)
 		}}
 }
 
@@ -50,7 +50,7 @@
 		return cli.Exit(err, exitBroken)
 	}
 	defer os.RemoveAll(folder)
-	result, err := lab.Idle{Binary: cmd.String("binary"), Baseline: cmd.String("baseline"), Holder: own, Folder: folder,
+	result, err := experiment.Idle{Binary: cmd.String("binary"), Baseline: cmd.String("baseline"), Holder: own, Folder: folder,
 		Out: cmd.String("out"), Counts: counts, Most: cmd.Int("most"), Rate: cmd.Float64("rate"), Seconds: cmd.Duration("seconds"),
 		Expire: cmd.Duration("expire"), Process: os.Stdout}.Run(ctx)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return &cli.Command{Name: "ways", Usage: "measure the ways in which a connection may rest (docs/idle.md)", OnUsageError: usage,
 		Flags: []cli.Flag{&cli.IntFlag{Name: "count", Value: 4000, Usage: "connections; they wait in the backlog first"}},
 		Action: func(ctx context.Context, cmd *cli.Command) error {
-			results, err := lab.Ways(ctx, cmd.Int("count"))
+			results, err := experiment.Ways(ctx, cmd.Int("count"))
 			if err != nil {
 				return cli.Exit(err, exitBroken)
 			}
--- a/cmd/teallab/members.go
+++ b/internal/experiment/command/members.go
@@ -1,4 +1,4 @@
-package main
+package command
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"tealpath/lab"
+	"tealpath/internal/experiment"
 )
 
 func membersCommand(usage cli.OnUsageErrorFunc) *cli.Command {
@@ -55,13 +55,13 @@
 		return cli.Exit(err, exitBroken)
 	}
 	defer os.RemoveAll(folder)
-	result, err := lab.Members{Setup: lab.Setup{Core: -1, Binary: cmd.String("binary"), Folder: folder, Instances: sizes[0], Slots: cmd.Int("slots"),
+	result, err := experiment.Members{Setup: experiment.Setup{Core: -1, Binary: cmd.String("binary"), Folder: folder, Instances: sizes[0], Slots: cmd.Int("slots"),
 		Lease: 1500 * time.Millisecond, Renewal: 500 * time.Millisecond, Period: time.Second}, Faults: faults,
 		Span: time.Duration(cmd.Float64("minutes") * float64(time.Minute)), Seed: cmd.Uint64("seed"), Out: out}.Run(ctx)
 	for _, f := range result.Trouble {
 		fmt.Printf("%s of %s: believed after %.0f ms, agreed after %.0f ms, %d false deaths\n", f.Kind, f.Victim, f.MS, f.AgreedMS, f.False)
 	}
-	if err != nil && !errors.Is(err, lab.ErrBound) {
+	if err != nil && !errors.Is(err, experiment.ErrBound) {
 		return cli.Exit(err, exitBroken)
 	}
 	json.NewEncoder(os.Stdout).Encode(result)
@@ -73,9 +73,9 @@
 
 func virtualMembers(cmd *cli.Command, out string, sizes []int, faults []string) error {
 	print := json.NewEncoder(os.Stdout)
-	var plays []lab.MemberSimResult
+	var plays []experiment.MemberSimResult
 	for _, n := range sizes {
-		play := lab.MemberSim{Instances: n, Span: int64(cmd.Float64("virtual") * 3600e9), Seed: cmd.Uint64("seed"), Interval: 5e8,
+		play := experiment.MemberSim{Instances: n, Span: int64(cmd.Float64("virtual") * 3600e9), Seed: cmd.Uint64("seed"), Interval: 5e8,
 			Quiet: int64(cmd.Duration("silence")), Loss: cmd.Float64("loss"), Faults: faults, Spread: 1e9}
 		if len(faults) > 0 {
 			play.Every = int64(cmd.Duration("every"))
@@ -105,9 +105,9 @@
 		broken = broken || !r.Before && r.Broken()
 	}
 	if w.Flush(); broken {
-		return cli.Exit(lab.ErrBound, exitBroken)
+		return cli.Exit(experiment.ErrBound, exitBroken)
 	}
-	if err := errors.Join(w.Error(), lab.ChartMembers(out, plays)); err != nil {
+	if err := errors.Join(w.Error(), experiment.ChartMembers(out, plays)); err != nil {
 		return cli.Exit(err, exitBroken)
 	}
 	return nil
--- a/lab/duties_test.go
+++ b/internal/experiment/duties_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"os/exec"
@@ -11,7 +11,7 @@
 func build(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "tealpath")
-	if out, err := exec.Command("go", "build", "-o", binary, "../cmd/tealpath").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", binary, "../../cmd/tealpath").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	return binary
--- a/lab/idle_test.go
+++ b/internal/experiment/idle_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 
 // The experiment on idle connections at a size that fits here, and a planned end with all of them open.
 func TestIdleOfRealInstances(t *testing.T) {
-	tool := filepath.Join(t.TempDir(), "teallab")
-	if out, err := exec.Command("go", "build", "-o", tool, "../cmd/teallab").CombinedOutput(); err != nil {
+	tool := filepath.Join(t.TempDir(), "tealexperiment")
+	if out, err := exec.Command("go", "build", "-o", tool, "../../cmd/tealexperiment").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	d := Idle{Binary: build(t), Holder: tool, Folder: t.TempDir(), Out: t.TempDir(), Counts: []int{0, 1000}, Most: 14900, Rate: 100,
--- a/lab/membersim.go
+++ b/internal/experiment/membersim.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -14,8 +14,8 @@
 
 	"tealpath/internal/cluster"
 	"tealpath/internal/cluster/membership"
+	"tealpath/internal/experiment/counters"
 	"tealpath/internal/timerqueue"
-	"tealpath/lab/counters"
 )
 
 // MemberSim plays internal/cluster/membership in simulated time, by seed, or the counters that were before it.
--- a/lab/pin_linux.go
+++ b/internal/experiment/pin_linux.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"os"
--- a/lab/pin_other.go
+++ b/internal/experiment/pin_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package lab
+package experiment
 
 import "os/exec"
 
--- a/lab/reload_test.go
+++ b/internal/experiment/reload_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"os"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"tealpath/standin/keys"
+	"tealpath/internal/emulator/certificates"
 )
 
 // logged waits for a line of an instance's log.
@@ -60,7 +60,7 @@
 	must(c.Settled(t.Context(), time.Second))
 
 	// A new root, beside the old one at first.
-	next, err := keys.NewRoot("next")
+	next, err := certificates.NewRoot("next")
 	must(err)
 	for _, name := range c.Names {
 		must(c.root.Write(c.Folder, name, time.Now().Add(time.Hour), c.root, next))
--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -12,7 +12,7 @@
 
 	"tealpath/internal/cluster/probe"
 	"tealpath/internal/downstream/idle"
-	"tealpath/standin/keys"
+	"tealpath/internal/emulator/certificates"
 )
 
 const good = `; three instances
@@ -28,7 +28,7 @@
 
 func folder(t *testing.T) string {
 	t.Helper()
-	root, err := keys.NewRoot("root")
+	root, err := certificates.NewRoot("root")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/server/keeping_test.go
+++ b/internal/server/keeping_test.go
@@ -19,10 +19,10 @@
 	"github.com/rs/zerolog"
 
 	"tealpath/internal/config"
+	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/protocol/thrift"
 	"tealpath/internal/snapshot"
-	"tealpath/standin/lists"
 )
 
 // faultyDisk is a disk in memory. It fails as it is told to, or hangs until the test ends.
@@ -138,7 +138,7 @@
 
 func startOn(t *testing.T, disk snapshot.FileSystem, deadline, every time.Duration) *running {
 	t.Helper()
-	journal, err := lists.Start()
+	journal, err := discoveryserver.Start()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"tealpath/control"
+	"tealpath/internal/emulator/cache"
 	"tealpath/internal/protocol/resp"
 	"tealpath/internal/router"
-	"tealpath/standin/cache"
 )
 
 func TestFetch(t *testing.T) {
