--- /dev/null
+++ b/internal/server/log_test.go
@@ -0,0 +1,34 @@
+package server
+
+import (
+	"bytes"
+	"errors"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"tealpath/internal/logevent"
+)
+
+type loggedEvent struct {
+	Endpoint uint32        `log:"endpoint"`
+	Elapsed  time.Duration `log:"elapsed_ms"`
+	Cause    error         `log:"cause"`
+	Slots    []int         `log:"slots,omitempty"`
+}
+
+func (loggedEvent) Kind() logevent.Kind {
+	return logevent.Kind{Name: "endpoint_ejected", Level: logevent.Warn, Message: "endpoint ejected as an outlier"}
+}
+
+func TestWriteEvent(t *testing.T) {
+	var out bytes.Buffer
+	event := loggedEvent{Endpoint: 17, Elapsed: 1500 * time.Microsecond, Cause: errors.New("connection refused")}
+	writeEvent(zerolog.New(&out), event)
+	want := `{"level":"warn","event":"endpoint_ejected","endpoint":17,"elapsed_ms":1.5,"cause":"connection refused",` +
+		`"message":"endpoint ejected as an outlier"}` + "\n"
+	if out.String() != want {
+		t.Errorf("%s, want %s", out.String(), want)
+	}
+}
