--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -44,6 +44,13 @@
 	}
 }
 
+func TestErrorSaysWhatIsWrong(t *testing.T) {
+	_, err := Read(bufio.NewReader(strings.NewReader("+OK\r\n")))
+	if want := "resp: malformed: '+' where '*' belongs"; err == nil || err.Error() != want {
+		t.Errorf("%v, want %s", err, want)
+	}
+}
+
 func TestWrite(t *testing.T) {
 	got := string(Text(Text(Head(nil, 2), "abort"), []byte("")))
 	if want := "*2\r\n$5\r\nabort\r\n$0\r\n\r\n"; got != want {
--- a/internal/protocol/sse/sse_test.go
+++ b/internal/protocol/sse/sse_test.go
@@ -20,15 +20,17 @@
 		{"lines that end in CR LF", head + "id: 4\r\ndata: x\r\n\r\n", "4=x", io.EOF},
 		{"unknown fields, and an id alone", head + "retry: 9\nevent: z\nid: 3\n\nid: 4\ndata: x\n\n", "4=x", io.EOF},
 		{"a comment inside an event", head + "id: 4\n: beat\ndata: x\n\n", "4=x", io.EOF},
+		{"a head that is cut short", "HTTP/1.1 200 OK\r\nA: b", "", io.EOF},
+		{"chunks that are cut short", chunked + "2\r\n:\n\r\n", "#", io.EOF},
+		{"no response", "", "", io.EOF},
 		{"an event that is cut short", head + "id: 4\ndata: x\n", "", io.EOF},
 		{"chunks that split an event", chunked + "9;x=1\r\nid: 4\ndat\r\n6\r\na: x\n\n\r\n0\r\n\r\n", "4=x", io.EOF},
 		{"a chunk of no number", chunked + "zz\r\nid", "", ErrForm},
 		{"a chunk longer than told", chunked + "2\r\n:\n:\n\r\n", "#", ErrForm},
-		{"refused", "HTTP/1.1 503 Busy\r\n\r\n", "", errAny},
 		{"no HTTP", "*1\r\n", "", ErrForm},
 		{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 99), "", ErrForm},
-		{"an endless line", head + strings.Repeat("x", lineMost+1), "", ErrForm},
-		{"an endless event", head + strings.Repeat("data: "+strings.Repeat("x", lineMost/2)+"\n", 9), "", ErrForm},
+		{"an endless line", head + strings.Repeat("x", maxLineSize+1), "", ErrForm},
+		{"an endless event", head + strings.Repeat("data: "+strings.Repeat("x", maxLineSize/2)+"\n", 9), "", ErrForm},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var got []string
@@ -41,7 +43,7 @@
 					got = append(got, e.ID+"="+string(e.Data))
 				}
 			}
-			if c.err != errAny && !errors.Is(err, c.err) || strings.Join(got, " ") != c.want {
+			if !errors.Is(err, c.err) || strings.Join(got, " ") != c.want {
 				t.Errorf("%q, %v; want %q, %v", got, err, c.want, c.err)
 			}
 		})
@@ -67,7 +69,49 @@
 	}
 }
 
-var errAny = errors.New("any error")
+func TestErrorsSayWhatIsWrong(t *testing.T) {
+	for _, c := range []struct {
+		name, in string
+		want     string
+	}{
+		{"status", "HTTP/1.1 503 Busy\r\n\r\n", `sse: answered "503 Busy"`},
+		{"no HTTP", "*1\r\n", "sse: malformed: no HTTP answer"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			_, err := Open(strings.NewReader(c.in))
+			if err == nil || err.Error() != c.want {
+				t.Errorf("%v, want %s", err, c.want)
+			}
+		})
+	}
+	var status *StatusError
+	if _, err := Open(strings.NewReader("HTTP/1.1 503 Busy\r\n\r\n")); !errors.As(err, &status) || status.Status != "503 Busy" {
+		t.Errorf("%v is no status", err)
+	}
+}
+
+func TestInsideAnEvent(t *testing.T) {
+	const head = "HTTP/1.1 200 OK\r\n\r\n"
+	for _, c := range []struct {
+		name, in string
+		want     bool
+	}{
+		{"between events", "id: 4\ndata: x\n\n", false},
+		{"within an event", "id: 4\ndata: x\n", true},
+		{"within a line", "id", true},
+		{"behind a comment", ":\n", false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s, err := Open(strings.NewReader(head + c.in))
+			for err == nil {
+				_, err = s.Next()
+			}
+			if s.Inside() != c.want {
+				t.Errorf("inside: %t, want %t", s.Inside(), c.want)
+			}
+		})
+	}
+}
 
 func TestRequest(t *testing.T) {
 	var out bytes.Buffer
