--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -4,7 +4,6 @@
 import (
 	"fmt"
 	"os"
-
 	"tealpath/internal/simulator"
 )
 
--- a/internal/protocol/resp/reader.go
+++ b/internal/protocol/resp/reader.go
@@ -7,7 +7,8 @@
 	"strconv"
 )
 
-// Read reads one array. The error is io.EOF if the input ends before the array begins, and io.ErrUnexpectedEOF if it ends within.
+// Read reads one array. The error is io.EOF if the input ends before the array begins, and io.ErrUnexpectedEOF
+// if it ends within.
 func Read(in *bufio.Reader) ([][]byte, error) {
 	count, err := readLength(in, arrayMark, ItemsMost)
 	if err != nil {
--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -1,5 +1,5 @@
-// Package resp reads and writes arrays of bulk strings in RESP, the serialization protocol of Redis (version 2), which is all that
-// caches speak.
+// Package resp reads and writes arrays of bulk strings in RESP, the serialization protocol of Redis (version
+// 2), which is all that caches speak.
 package resp
 
 import (
--- a/internal/protocol/sse/sse.go
+++ b/internal/protocol/sse/sse.go
@@ -1,5 +1,5 @@
-// Package sse requests a stream of server-sent events over HTTP/1.1 and reads it (the "Server-sent events" section of the HTML
-// standard; chunked coding by RFC 9112). Lines, events and the response's head are bounded.
+// Package sse requests a stream of server-sent events over HTTP/1.1 and reads it (the "Server-sent events"
+// section of the HTML standard; chunked coding by RFC 9112). Lines, events and the response's head are bounded.
 package sse
 
 import (
--- a/internal/protocol/sse/stream.go
+++ b/internal/protocol/sse/stream.go
@@ -21,8 +21,8 @@
 	partial bool // some lines of an event have come, not all
 }
 
-// Inside tells whether part of an event or of a line has come, and not the rest. It may be called from the reader that the stream
-// was opened on, or once Next has failed.
+// Inside tells whether part of an event or of a line has come, and not the rest. It may be called from the
+// reader that the stream was opened on, or once Next has failed.
 func (s *Stream) Inside() bool {
 	return s.partial || s.in.Buffered() > 0
 }
--- a/internal/protocol/thrift/reader.go
+++ b/internal/protocol/thrift/reader.go
@@ -122,7 +122,8 @@
 	}
 }
 
-// fixedSize returns how many bytes a value of a type takes, and 0 where that depends on the value or the type is unknown.
+// fixedSize returns how many bytes a value of a type takes, and 0 where that depends on the value or the type
+// is unknown.
 func fixedSize(kind byte) int {
 	switch kind {
 	case typeBool, typeByte:
--- a/internal/protocol/thrift/thrift.go
+++ b/internal/protocol/thrift/thrift.go
@@ -1,5 +1,5 @@
-// Package thrift reads and writes framed messages of Thrift's strict binary protocol, as far as the clients' service needs it.
-// Every length is checked against the frame before anything of that length is allocated.
+// Package thrift reads and writes framed messages of Thrift's strict binary protocol, as far as the clients'
+// service needs it. Every length is checked against the frame before anything of that length is allocated.
 package thrift
 
 import (
--- a/internal/protocol/thrift/writer.go
+++ b/internal/protocol/thrift/writer.go
@@ -7,7 +7,8 @@
 	resultServed = 0 // the others are the service's exceptions: 1 rejected, 2 failed
 )
 
-// The identifiers of the fields of an object that is served, of a service's exception, and of an application exception.
+// The identifiers of the fields of an object that is served, of a service's exception, and of an application
+// exception.
 const (
 	servedBody   = 1
 	servedFields = 2
@@ -39,8 +40,8 @@
 	Good   bool
 }
 
-// Frame encodes an answer as a frame with its length, in three pieces. The middle one is the body as it came, so that it is not
-// copied.
+// Frame encodes an answer as a frame with its length, in three pieces. The middle one is the body as it came,
+// so that it is not copied.
 func Frame(a Answer) [][]byte {
 	head := make([]byte, frameHeaderSize, replyHeadSize+len(a.Text))
 	head = append(head, replyHeader[:]...)
--- a/internal/simulator/drawn_test.go
+++ b/internal/simulator/drawn_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"math/rand/v2"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 )
@@ -16,8 +17,8 @@
 	drawnBatches = 4      // events of one batch at most
 )
 
-// drawnBench plays the bench: as a reader it draws batches of events, as a writer it takes the replies, so that what it draws next
-// fits what was answered. Everything comes from its seed.
+// drawnBench plays the bench: as a reader it draws batches of events, as a writer it takes the replies, so that
+// what it draws next fits what was answered. Everything comes from its seed.
 type drawnBench struct {
 	random   *rand.Rand
 	now      int64 // ms
@@ -134,15 +135,18 @@
 		case "SAY_NO", "FAIL":
 			b.open = slices.DeleteFunc(b.open, func(open string) bool { return open == words[2] })
 		case "WAKE_ME":
-			var seconds float64
-			fmt.Sscan(words[2], &seconds)
+			seconds, err := strconv.ParseFloat(words[2], 64)
+			if err != nil {
+				return 0, err
+			}
 			b.timers = append(b.timers, drawnTimer{at: b.now + int64(seconds*1000), token: words[3]})
 		}
 	}
 	return len(p), nil
 }
 
-// The replies to drawn courses of events are those recorded: what the adapter does stays as it is while its code is changed.
+// The replies to drawn courses of events are those recorded: what the adapter does stays as it is while its
+// code is changed.
 func TestRepliesToDrawnEventsAreAsRecorded(t *testing.T) {
 	for _, c := range []struct {
 		seed    uint64
--- /dev/null
+++ b/internal/simulator/events.go
@@ -0,0 +1,181 @@
+package simulator
+
+import (
+	"math"
+	"slices"
+	"strconv"
+	"tealpath/control"
+	"tealpath/internal/config"
+	"tealpath/internal/simulator/wire"
+)
+
+// handle handles one event. Events of instances that have ended are ignored.
+func (h *Host) handle(now int64, event wire.Event) error {
+	if event.Name == "START" {
+		return h.start(now, event)
+	}
+	in := h.instances[event.Fields[0]]
+	if in == nil || in.router == nil {
+		return nil
+	}
+	switch event.Name {
+	case "EXIT":
+		delete(h.instances, in.name)
+	case "FLEET":
+		return h.updateEndpoints(now, in, event)
+	case "SUBMIT":
+		return h.receiveRequest(now, in, event)
+	case "ENDED":
+		return h.endAttempt(now, in, event)
+	case "ESTABLISHED":
+		return h.startResponse(now, in, event)
+	case "GONE":
+		h.clientGone(now, in, event.Fields[1])
+	case "RECALLED":
+		return h.purge(now, in, event)
+	case "ECHO":
+		return h.endProbe(now, in, event)
+	case "TICK_DUE":
+		h.fireTimer(now, in, event.Fields[1])
+	}
+	return nil
+}
+
+// start starts an instance. One whose settings can't be used bails out.
+func (h *Host) start(now int64, event wire.Event) error {
+	name := event.Fields[0]
+	seed, err := strconv.ParseUint(event.Fields[1], 10, 64)
+	if err != nil {
+		return errSeed
+	}
+	told, err := config.ParseSettings([]byte(event.Fields[2]))
+	if err != nil {
+		return err
+	}
+	in := &instance{name: name, requests: map[string]*request{}, subscribes: told["list.mode"] == "ask"}
+	h.instances[name] = in
+	in.router, err = control.New(now, seed, told, func(line string) { h.out.Line(commandLog, name, line) })
+	if err != nil {
+		h.out.Line(commandBailOut, name, err.Error())
+		return nil
+	}
+	h.tick(now, in)
+	return nil
+}
+
+// tick does the periodic work and sets its timer again.
+func (h *Host) tick(now int64, in *instance) {
+	probes, delay := in.router.Tick(now)
+	for _, id := range probes {
+		h.out.Line(commandProbe, in.name, encodeEndpoint(id))
+	}
+	if in.subscribes && now >= in.subscribeAt {
+		in.subscribeAt = math.MaxInt64
+		h.out.Line(commandSubscribe, in.name, "1")
+	}
+	h.out.Line(commandSetTimer, in.name, wire.Seconds(delay), tickTimer)
+}
+
+func (h *Host) fireTimer(now int64, in *instance, token string) {
+	switch token {
+	case tickTimer:
+		h.tick(now, in)
+	case recheckTimer:
+		h.recheck(now, in)
+	}
+}
+
+func (h *Host) updateEndpoints(now int64, in *instance, event wire.Event) error {
+	if event.Fields[1] == listFailed {
+		in.subscribeAt = now + subscribeRetryDelay
+		return nil
+	}
+	endpoints := make([]control.Endpoint, len(event.Items))
+	for i, line := range event.Items {
+		endpoint, err := decodeEndpoint(line)
+		if err != nil {
+			return err
+		}
+		endpoints[i] = endpoint
+	}
+	complete := event.Fields[1] != listChanges
+	in.router.UpdateEndpoints(now, endpoints, complete)
+	return nil
+}
+
+func (h *Host) receiveRequest(now int64, in *instance, event wire.Event) error {
+	r, err := decodeRequest(event)
+	if err != nil {
+		return err
+	}
+	in.requests[r.id] = r
+	h.apply(now, in, r, in.router.Decide(now, &r.Request))
+	return nil
+}
+
+func (h *Host) endAttempt(now int64, in *instance, event wire.Event) error {
+	outcome, err := decodeOutcome(event)
+	if err != nil {
+		return err
+	}
+	r := in.requests[event.Fields[1]]
+	if r == nil {
+		return nil
+	}
+	r.attempts--
+	decision := in.router.AttemptEnded(now, &r.Request, outcome)
+	if outcome.RequestEnded || r.finished {
+		h.cancel(in, r, decision.Cancel)
+		in.finish(r)
+		return nil
+	}
+	h.apply(now, in, r, decision)
+	return nil
+}
+
+// startResponse handles an attempt whose response goes to the client from now on: the others are cancelled.
+func (h *Host) startResponse(now int64, in *instance, event wire.Event) error {
+	r := in.requests[event.Fields[1]]
+	if r == nil {
+		return nil
+	}
+	number, err := event.Int(3)
+	if err != nil {
+		return err
+	}
+	others := in.router.ClientGone(now, &r.Request).Cancel
+	others = slices.DeleteFunc(others, func(other int) bool { return other == int(number) })
+	h.cancel(in, r, others)
+	return nil
+}
+
+func (h *Host) clientGone(now int64, in *instance, id string) {
+	r := in.requests[id]
+	if r == nil {
+		return
+	}
+	in.router.ClientGone(now, &r.Request)
+	in.finish(r)
+}
+
+func (h *Host) purge(now int64, in *instance, event wire.Event) error {
+	purged, err := decodePurge(event)
+	if err != nil {
+		return err
+	}
+	in.router.Purge(now, purged.object, purged.group, now-purged.age)
+	return nil
+}
+
+func (h *Host) endProbe(now int64, in *instance, event wire.Event) error {
+	id, err := decodeEndpointID(event.Fields[3])
+	if err != nil {
+		return err
+	}
+	loadReport, err := event.Floats(4)
+	if err != nil {
+		return err
+	}
+	in.router.ProbeEnded(now, id, event.Fields[2] == probeSucceeded, loadReport)
+	return nil
+}
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -22,26 +22,45 @@
 		not      string
 		fault    string
 	}{
-		{"a dispatch and its end", opening + "MARK 9 2\n" + submit + "FLUSH\nMARK 9.1 3\n" +
-			"ENDED router-0 ab 0 11 GOOD 0.1 1 1 0.01 -\nGONE router-0 ab\nFLUSH\n",
-			[]string{"PULL_VIA router-0 ab 8 - 12 3 11 ", "READY 3"}, "SAY_NO", ""},
-		{"what is unknown or finished is ignored", opening + "MARK 9 2\nGONE router-0 zz\nTICK_DUE router-0 99\n" +
-			"ENDED router-0 zz 0 11 GOOD 0.1 1 - - -\nRECALLED router-0 - 7 0.1\nGONE router-9 ab\nMEMO router-0 2 68\nFLUSH\n",
-			[]string{"READY 2"}, "SAY_NO", ""},
-		{"stopped and started in one batch", opening + "MARK 9 2\n" + submit + "EXIT router-0\nSTART router-0 6 " + info +
-			"\nFLEET router-0 cached 1 0\n" + strings.Replace(submit, "ab", "cd", 1) + "FLUSH\n",
-			[]string{"PULL_VIA router-0 ab", "READY 2"}, "PULL_VIA router-0 cd", ""},
-		{"a list that must be asked for", "MARK 8 1\nSTART router-0 5 " + strings.Replace(info, "{", `{"discovery":"ask",`, 1) +
-			"\nFLUSH\nMARK 8.1 2\nFLEET router-0 failed 0 0\nTICK_DUE router-0 1\nFLUSH\nMARK 8.7 3\nTICK_DUE router-0 1\nFLUSH\n",
-			[]string{"SUBSCRIBE router-0 1\nWAKE_ME router-0 0.1 1\nREADY 1", "READY 2\nSUBSCRIBE router-0 1\n"}, "READY 1\nSUBSCRIBE", ""},
+		{
+			"a dispatch and its end", opening + "MARK 9 2\n" + submit + "FLUSH\nMARK 9.1 3\n" +
+				"ENDED router-0 ab 0 11 GOOD 0.1 1 1 0.01 -\nGONE router-0 ab\nFLUSH\n",
+			[]string{"PULL_VIA router-0 ab 8 - 12 3 11 ", "READY 3"},
+			"SAY_NO", "",
+		},
+		{
+			"what is unknown or finished is ignored", opening + "MARK 9 2\nGONE router-0 zz\nTICK_DUE router-0 99\n" +
+				"ENDED router-0 zz 0 11 GOOD 0.1 1 - - -\nRECALLED router-0 - 7 0.1\nGONE router-9 ab\nMEMO router-0 2 68\nFLUSH\n",
+			[]string{"READY 2"},
+			"SAY_NO", "",
+		},
+		{
+			"stopped and started in one batch", opening + "MARK 9 2\n" + submit + "EXIT router-0\nSTART router-0 6 " + info +
+				"\nFLEET router-0 cached 1 0\n" + strings.Replace(submit, "ab", "cd", 1) + "FLUSH\n",
+			[]string{"PULL_VIA router-0 ab", "READY 2"},
+			"PULL_VIA router-0 cd", "",
+		},
+		{
+			"a list that must be asked for", "MARK 8 1\nSTART router-0 5 " + strings.Replace(info, "{", `{"discovery":"ask",`, 1) +
+				"\nFLUSH\nMARK 8.1 2\nFLEET router-0 failed 0 0\nTICK_DUE router-0 1\nFLUSH\nMARK 8.7 3\nTICK_DUE router-0 1\nFLUSH\n",
+			[]string{"SUBSCRIBE router-0 1\nWAKE_ME router-0 0.1 1\nREADY 1", "READY 2\nSUBSCRIBE router-0 1\n"},
+			"READY 1\nSUBSCRIBE", "",
+		},
 		{"what has started to stream is the client's: it is not called off", opening + "MARK 9 2\n" + submit + "FLUSH\nMARK 9.1 3\n" +
 			"ESTABLISHED router-0 ab 0 0 0.01\nFLUSH\n", []string{"READY 3"}, "REVOKE", ""},
-		{"a required setting is missing", "MARK 8 1\nSTART router-0 5 {\"balancers\":1}\nFLUSH\n",
-			[]string{"BAIL_OUT router-0 setting product.names is missing"}, "", ""},
-		{"an object of the wrong type", "MARK 8 4\nSTART router-0 5 {\"balancers\":\"x\"}\nFLUSH\n", nil, "READY",
-			"batch 4: settings"},
-		{"an unknown outcome", opening + "MARK 9 2\nENDED router-0 ab 0 11 ODD 0.1 1 - - -\nFLUSH\n", nil, "READY 2",
-			"batch 2: unknown outcome"},
+		{
+			"a required setting is missing", "MARK 8 1\nSTART router-0 5 {\"balancers\":1}\nFLUSH\n",
+			[]string{"BAIL_OUT router-0 setting product.names is missing"},
+			"", "",
+		},
+		{
+			"an object of the wrong type", "MARK 8 4\nSTART router-0 5 {\"balancers\":\"x\"}\nFLUSH\n", nil, "READY",
+			"batch 4: settings",
+		},
+		{
+			"an unknown outcome", opening + "MARK 9 2\nENDED router-0 ab 0 11 ODD 0.1 1 - - -\nFLUSH\n", nil, "READY 2",
+			"batch 2: unknown outcome",
+		},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/simulator/wire/wire_test.go
+++ b/internal/simulator/wire/wire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"io"
 	"strings"
 	"testing"
@@ -13,8 +14,10 @@
 		events          int
 	}{
 		{"empty batch", "MARK 8.41225 1\nFLUSH\n", "", 0},
-		{"events and a list", "MARK 8 2\nFLEET router-3 full 41 1\nITEM 51 central box 0 ready 1 -\nTICK_DUE router-3 7\nFLUSH\n",
-			"", 2},
+		{
+			"events and a list", "MARK 8 2\nFLEET router-3 full 41 1\nITEM 51 central box 0 ready 1 -\nTICK_DUE router-3 7\nFLUSH\n",
+			"", 2,
+		},
 		{"unknown line", "MARK 8 3\nBOO router-3\nFLUSH\n", "batch 3: unknown line", 0},
 		{"too few values", "MARK 8 4\nGONE router-3\nFLUSH\n", "GONE has 1 values, not 2", 0},
 		{"list cut short", "MARK 8 5\nFLEET router-3 full 41 2\nITEM 51 central box 0 ready 1 -\nFLUSH\n", "out of place", 0},
@@ -35,7 +38,7 @@
 			if err != nil || len(batch.Events) != c.events {
 				t.Fatalf("%v, error %v", batch, err)
 			}
-			if _, err := reader.Read(); err != io.EOF {
+			if _, err := reader.Read(); !errors.Is(err, io.EOF) {
 				t.Errorf("after the last batch: %v", err)
 			}
 		})
