--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -149,7 +149,7 @@
 	free.Close()
 	past := "null"
 	if known {
-		past = f.journal.Known()
+		past = f.journal.KnownEvents()
 	}
 	file := filepath.Join(f.t.TempDir(), "config.json")
 	config := fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"07","limits":{"cores":1,"memory_mb":%d,"sockets":1024},"journal":%q,
@@ -236,7 +236,7 @@
 		time.Sleep(time.Until(began.Add(time.Duration(n) * day.gap)))
 		if n%(day.requests/growthEvents) == day.requests/growthEvents-1 {
 			from := n / (day.requests / growthEvents) * group
-			f.journal.Tell(`{"pos":%d,"hosts":{"generation":2,"instances":[` + f.lines(from, from+group, 0, "left") + "," +
+			f.journal.Publish(`{"pos":%d,"hosts":{"generation":2,"instances":[` + f.lines(from, from+group, 0, "left") + "," +
 				f.lines(from, from+group, 1, "active") + `]}}`)
 		}
 		c.call(object(draw()), 1200)
@@ -251,7 +251,7 @@
 	usage := f.router.ProcessState
 	figures.cpuSeconds = (usage.UserTime() + usage.SystemTime()).Seconds()
 	for _, call := range f.journal.Calls() {
-		figures.listKB += float64(call.Sent) / 1000
+		figures.listKB += float64(call.BytesSent) / 1000
 	}
 	return figures
 }
@@ -292,7 +292,7 @@
 		others = append(others, fmt.Sprintf(`{"instanceId":"s-%08x-0","hostPort":"127.99.%d.%d:1","zone":"there","machineType":"cache",`+
 			`"cell":%d,"lifecycle":"active","weight":4,"startedAtMs":0}`, uint32(n)*2654435761, n>>8, n&255, n%8))
 	}
-	f.journal.Tell(`{"pos":%d,"hosts":{"generation":1,"reset":true,"instances":[` + strings.Join(others, ",") + `]}}`)
+	f.journal.Publish(`{"pos":%d,"hosts":{"generation":1,"reset":true,"instances":[` + strings.Join(others, ",") + `]}}`)
 	f.start(binary, false)
 	lateness := watchStalls()
 	figures := f.play(growthDays[1])
@@ -352,7 +352,7 @@
 	const usualServers, manyServers = 200, 3200
 	usual, many := newGrowthFleet(t, usualServers, 300), newGrowthFleet(t, manyServers, 900)
 	for _, f := range []*growthFleet{usual, many} {
-		f.journal.Tell(`{"pos":%d,"hosts":{"generation":1,"reset":true,"instances":[` + f.lines(0, len(f.servers), 0, "active") + `]}}`)
+		f.journal.Publish(`{"pos":%d,"hosts":{"generation":1,"reset":true,"instances":[` + f.lines(0, len(f.servers), 0, "active") + `]}}`)
 		f.start(binary, day.known)
 	}
 	lateness := watchStalls()
--- a/cmd/tealpath/trouble_test.go
+++ b/cmd/tealpath/trouble_test.go
@@ -65,7 +65,7 @@
 			t.Parallel()
 			service := newLists(t)
 			caches, p := newPair(t, service.Address(), 1.2, `"connIdleS":30`, `"connIdleS":0.3`)
-			service.Tell(listed(p))
+			service.Publish(listed(p))
 			p.serving(t)
 			client := dial(t, p.address)
 			for n := range 20 {
@@ -104,11 +104,11 @@
 	const grace = 250 * time.Millisecond
 	service := newLists(t)
 	caches, p := newPair(t, service.Address(), 1.2, `"graceToAnswerS"`, `"stopSendingWithinS":0.25,"graceToAnswerS"`)
-	service.Tell(listed(p))
+	service.Publish(listed(p))
 	before := p.serving(t)
 	told := time.Now()
 	before.signal(syscall.SIGTERM)
-	service.Tell(drains(caches[0], "s-a"))
+	service.Publish(drains(caches[0], "s-a"))
 	// ask sends one request after the other on a connection of its own, until the router ends that.
 	ask := func(from, many int) {
 		client := dial(t, p.address)
@@ -163,7 +163,7 @@
 			t.Parallel()
 			service := newLists(t)
 			caches, p := newPair(t, service.Address(), 1.2)
-			service.Tell(listed(p))
+			service.Publish(listed(p))
 			router := p.serving(t)
 			client := dial(t, p.address)
 			for n := range 20 {
@@ -206,7 +206,7 @@
 			t.Parallel()
 			service := newLists(t)
 			caches, p := newPair(t, service.Address(), 1.2)
-			service.Tell(listed(p))
+			service.Publish(listed(p))
 			p.serving(t)
 			client := dial(t, p.address)
 			for n := range 10 {
@@ -242,7 +242,7 @@
 	}
 	caches, p := newPair(t, services[0].Address(), 1.2, `"graceToAnswerS"`, `"stopSendingWithinS":0.25,"graceToAnswerS"`)
 	for _, s := range services {
-		s.Tell(listed(p))
+		s.Publish(listed(p))
 	}
 	router := p.serving(t)
 	for _, s := range caches {
@@ -261,7 +261,7 @@
 	client.want(inFlight, settled)
 	last := services[len(services)-1]
 	router.waitUntil("the last discovery is called", func() bool { return len(last.Calls()) > 0 })
-	last.Tell(drains(caches[0], "s-a"))
+	last.Publish(drains(caches[0], "s-a"))
 	told := time.Now()
 	for _, s := range caches {
 		s.behave(answers, 0)
@@ -348,7 +348,7 @@
 	const clients = 60
 	service := newLists(t)
 	caches, p := newPair(t, service.Address(), 0.3)
-	service.Tell(listed(p))
+	service.Publish(listed(p))
 	router := p.serving(t)
 	var rested []*client
 	for n := range clients {
@@ -394,8 +394,8 @@
 		own, p := newPair(t, service.Address(), 1.2)
 		if n == 0 {
 			caches = own
-			service.Tell(listed(p))
-			service.Set(discoveryserver.Way{PerSecond: 8, Bytes: 3000})
+			service.Publish(listed(p))
+			service.SetBehavior(discoveryserver.Behavior{MaxCallRate: 8, BytesPerSecond: 3000})
 		}
 		if n%2 == 1 {
 			text := string(p.text("n0", service.Address()))
@@ -416,7 +416,7 @@
 		c.want(c.call(object(n), 1200), settled)
 	}
 	children[0].waitUntil("all have called", func() bool { return len(service.Calls()) >= routers })
-	service.Tell(drains(caches[0], "s-a"))
+	service.Publish(drains(caches[0], "s-a"))
 	for _, p := range programs[1:] {
 		// Those without a list of their own have that of router 0. All must leave the cache that drains in the end.
 		c := dial(t, p.address)
@@ -461,7 +461,7 @@
 	for range routers {
 		service := newLists(t)
 		_, p := newPair(t, service.Address(), deadline.Seconds(), `"onTimeS":0.4`, `"onTimeS":0.2`)
-		service.Tell(listed(p))
+		service.Publish(listed(p))
 		children = append(children, p.serving(t))
 		dial(t, p.address) // rests, and ignores its end
 	}
@@ -491,7 +491,7 @@
 			const clients = 6
 			service := newLists(t)
 			caches, p := newPair(t, service.Address(), deadline.Seconds(), `"onTimeS":0.4`, `"onTimeS":0.2`)
-			service.Tell(listed(p))
+			service.Publish(listed(p))
 			router := p.serving(t)
 			trouble(caches)
 			every := inFlight(deadline) / 25 // under the 32 that a client may have open
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -151,9 +151,9 @@
 		behind int // what the last call asked behind
 	}{
 		{"the same service", func(*discoveryserver.Service) {}, last, "{true [{s-1 10.1.0.9:1 {0   0 ready 0 0}}]}", 1, 1},
-		{"it has told more since", func(s *discoveryserver.Service) { s.Tell(purge) }, last, "{true [{s-1 10.1.0.9:1 {0   0 ready 0 0}}]}", 1, 1},
+		{"it has told more since", func(s *discoveryserver.Service) { s.Publish(purge) }, last, "{true [{s-1 10.1.0.9:1 {0   0 ready 0 0}}]}", 1, 1},
 		{"another event under that number", func(*discoveryserver.Service) {}, last + 1, "{true [{s-00c41f7a", 2, 0},
-		{"it counts anew", func(s *discoveryserver.Service) { s.Anew(); s.Tell(strings.Replace(list, "%v", "true", 1)) }, last, "{true [{s-00c41f7a", 2, 0},
+		{"it counts anew", func(s *discoveryserver.Service) { s.Reset(); s.Publish(strings.Replace(list, "%v", "true", 1)) }, last, "{true [{s-00c41f7a", 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			service, err := discoveryserver.Start()
@@ -162,8 +162,8 @@
 			}
 			defer service.Close()
 			text := strings.Replace(strings.Replace(list, "%v", "true", 1), "%s", "active", 1)
-			service.Tell(text)
-			service.Tell(purge)
+			service.Publish(text)
+			service.Publish(purge)
 			c.change(service)
 			var past Past
 			if !past.Keep(2, c.digest, members) {
@@ -182,7 +182,7 @@
 			case <-time.After(8 * time.Second):
 				t.Fatal("nothing is told")
 			}
-			if calls := service.Calls(); len(calls) != c.calls || calls[len(calls)-1].Behind != c.behind {
+			if calls := service.Calls(); len(calls) != c.calls || calls[len(calls)-1].LastEventID != c.behind {
 				t.Errorf("%+v", calls)
 			}
 		})
--- a/internal/emulator/relay/relay.go
+++ b/internal/emulator/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay is a scripted stand-in of a network way: TCP from one address to another, which can be cut in one
-// direction (bytes are held, as by a network that loses them), delayed, or closed.
+// Package relay emulates a network path: TCP from one address to another that can be cut in each direction
+// (bytes are kept, as by a network that loses them until they are sent again), delayed, or closed.
 package relay
 
 import (
@@ -9,144 +9,186 @@
 )
 
 const (
-	chunk    = 32 << 10
-	heldMost = 256 // chunks held in one direction; then reading stops, as windows fill
+	anyPort        = "127.0.0.1:0"
+	dialTimeout    = time.Second
+	chunkSize      = 32 << 10 // bytes read at a time
+	maxQueueChunks = 256      // in one direction; then reading stops, as a TCP window fills
 )
 
-// Relay is one way.
+// Conditions are those of a path.
+type Conditions struct {
+	CutForward  bool // nothing passes from the side that dials
+	CutBackward bool // nothing passes to it
+	Delay       time.Duration
+}
+
+// Relay is one path.
 type Relay struct {
 	listener net.Listener
 	target   string
-	mu       sync.Mutex
-	forth    rule // from who dials
-	back     rule
-	conns    map[net.Conn]bool
-	changed  chan struct{}
 	group    sync.WaitGroup
-}
 
-type rule struct {
-	cut   bool
-	delay time.Duration
+	mu          sync.Mutex // guards what follows
+	conditions  Conditions
+	changed     chan struct{} // closed when the conditions change, and replaced
+	connections map[net.Conn]bool
 }
 
-// Start opens a way to a target from a free port of 127.0.0.1.
+// Start opens a path to a target from a free port of 127.0.0.1.
 func Start(target string) (*Relay, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: listener, target: target, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
-	r.group.Go(func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			r.group.Go(func() { r.pass(conn) })
-		}
-	})
+	r := &Relay{
+		listener:    listener,
+		target:      target,
+		changed:     make(chan struct{}),
+		connections: map[net.Conn]bool{},
+	}
+	r.group.Go(r.accept)
 	return r, nil
 }
 
-// Address is what is to be dialled.
-func (r *Relay) Address() string { return r.listener.Addr().String() }
+// Address returns what is to be dialled.
+func (r *Relay) Address() string {
+	return r.listener.Addr().String()
+}
 
-// Set scripts the way: whether each direction is cut, and by how much what goes is late.
-func (r *Relay) Set(cutForth, cutBack bool, delay time.Duration) {
+// SetConditions changes the path's conditions, also for what is on its way.
+func (r *Relay) SetConditions(conditions Conditions) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forth, r.back = rule{cutForth, delay}, rule{cutBack, delay}
+	r.conditions = conditions
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Close ends it and all that goes over it.
+// Close ends the path and all connections over it.
 func (r *Relay) Close() {
-	r.listener.Close()
+	ignore(r.listener.Close())
 	r.mu.Lock()
-	for c := range r.conns {
-		c.Close()
+	for conn := range r.connections {
+		ignore(conn.Close())
 	}
 	r.mu.Unlock()
 	r.group.Wait()
 }
 
-func (r *Relay) hold(c net.Conn, on bool) {
+func (r *Relay) accept() {
+	for {
+		conn, err := r.listener.Accept()
+		if err != nil {
+			return
+		}
+		r.group.Go(func() { r.pass(conn) })
+	}
+}
+
+func (r *Relay) add(conn net.Conn) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if on {
-		r.conns[c] = true
-	} else {
-		delete(r.conns, c)
-	}
+	r.connections[conn] = true
 }
 
+func (r *Relay) remove(conn net.Conn) {
+	r.mu.Lock()
+	delete(r.connections, conn)
+	r.mu.Unlock()
+	ignore(conn.Close())
+}
+
+// pass carries one connection until either side ends it.
 func (r *Relay) pass(from net.Conn) {
-	defer from.Close()
-	r.hold(from, true)
-	defer r.hold(from, false)
-	to, err := net.DialTimeout("tcp", r.target, time.Second)
+	r.add(from)
+	defer r.remove(from)
+	to, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	if err != nil {
 		return
 	}
-	defer to.Close()
-	r.hold(to, true)
-	defer r.hold(to, false)
-	var both sync.WaitGroup
-	over := make(chan struct{})
+	r.add(to)
+	defer r.remove(to)
+	ended := make(chan struct{})
 	var once sync.Once
-	end := func() { once.Do(func() { close(over); from.Close(); to.Close() }) }
-	both.Go(func() { defer end(); r.copy(to, from, &r.forth, over) })
-	both.Go(func() { defer end(); r.copy(from, to, &r.back, over) })
+	end := func() {
+		once.Do(func() {
+			close(ended)
+			ignore(from.Close())
+			ignore(to.Close())
+		})
+	}
+	var both sync.WaitGroup
+	both.Go(func() {
+		defer end()
+		r.carry(to, from, func(c Conditions) bool { return c.CutForward }, ended)
+	})
+	both.Go(func() {
+		defer end()
+		r.carry(from, to, func(c Conditions) bool { return c.CutBackward }, ended)
+	})
 	both.Wait()
 }
 
-// copy carries bytes in order, each chunk by the rule in force when it goes.
-func (r *Relay) copy(to, from net.Conn, by *rule, over chan struct{}) {
-	type piece struct {
-		at    time.Time
-		bytes []byte
-	}
-	held := make(chan piece, heldMost)
-	go func() {
-		defer close(held)
-		for {
-			buffer := make([]byte, chunk)
-			n, err := from.Read(buffer)
-			if n > 0 {
-				select {
-				case held <- piece{time.Now(), buffer[:n]}:
-				case <-over:
-					return
-				}
-			}
-			if err != nil {
-				return
-			}
+// chunk is some bytes on their way.
+type chunk struct {
+	at    time.Time // when they came
+	bytes []byte
+}
+
+// carry passes bytes on in order, each chunk under the conditions that hold when it goes.
+func (r *Relay) carry(to, from net.Conn, isCut func(Conditions) bool, ended chan struct{}) {
+	queue := make(chan chunk, maxQueueChunks)
+	go readChunks(from, queue, ended)
+	for next := range queue {
+		if !r.wait(next, isCut, ended) {
+			return
 		}
-	}()
-	for p := range held {
-		for {
-			r.mu.Lock()
-			now, changed := *by, r.changed
-			r.mu.Unlock()
-			wait := time.Until(p.at.Add(now.delay))
-			if !now.cut && wait <= 0 {
-				break
-			}
-			if now.cut {
-				wait = time.Hour
-			}
+		if _, err := to.Write(next.bytes); err != nil {
+			return
+		}
+	}
+}
+
+func readChunks(from net.Conn, queue chan<- chunk, ended <-chan struct{}) {
+	defer close(queue)
+	for {
+		buffer := make([]byte, chunkSize)
+		n, err := from.Read(buffer)
+		if n > 0 {
 			select {
-			case <-time.After(wait):
-			case <-changed:
-			case <-over:
+			case queue <- chunk{at: time.Now(), bytes: buffer[:n]}:
+			case <-ended:
 				return
 			}
 		}
-		if _, err := to.Write(p.bytes); err != nil {
+		if err != nil {
 			return
 		}
 	}
 }
+
+// wait waits until a chunk may pass. It returns false if the connection ended before.
+func (r *Relay) wait(next chunk, isCut func(Conditions) bool, ended <-chan struct{}) bool {
+	for {
+		r.mu.Lock()
+		conditions, changed := r.conditions, r.changed
+		r.mu.Unlock()
+		delay := time.Until(next.at.Add(conditions.Delay))
+		var due <-chan time.Time // never, while the direction is cut
+		if !isCut(conditions) {
+			if delay <= 0 {
+				return true
+			}
+			due = time.After(delay)
+		}
+		select {
+		case <-due:
+		case <-changed:
+		case <-ended:
+			return false
+		}
+	}
+}
+
+// ignore drops the error of closing a connection or listener: what ends is to end, and its peer sees that itself.
+func ignore(error) {}
--- a/internal/experiment/cluster.go
+++ b/internal/experiment/cluster.go
@@ -117,7 +117,7 @@
 		c.Caches = append(c.Caches, x)
 		members = append(members, listed(x, 0))
 	}
-	c.journal.Tell(`{"pos":%d,"hosts":{"generation":1,"reset":true,"instances":[` + strings.Join(members, ",") + `]}}`)
+	c.journal.Publish(`{"pos":%d,"hosts":{"generation":1,"reset":true,"instances":[` + strings.Join(members, ",") + `]}}`)
 	root, err := certificates.NewRoot("lab")
 	if err != nil {
 		return nil, err
@@ -161,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	known := c.journal.Known()
+	known := c.journal.KnownEvents()
 	if c.Unknown {
 		known = "null"
 	}
--- a/internal/experiment/coldfleet.go
+++ b/internal/experiment/coldfleet.go
@@ -95,7 +95,7 @@
 	now     int64
 	order   timerqueue.Queue[func()]
 	routers []*coldRouter
-	caches  []*cache.Bear
+	caches  []*cache.CapacityModel
 	silent  []bool
 	free    int64 // when the list service takes the next call
 	perCall int64
@@ -145,14 +145,23 @@
 	p.res = FleetColdResult{Faults: f.Faults, Before: f.Before, Routers: f.Routers, Holds: f.Holds,
 		Seconds: make([]FleetSecond, f.Span/1e9+2)}
 	for i := range f.Caches {
-		b := cache.Bounds{Holds: f.Holds, Units: fleetUnits, Work: fleetWork, Fill: fleetFill, ColdShare: .16, Factor: 2.5,
-			ColdSpan: coldFor, Window: 15e8, Back: 3e9}
+		b := cache.Limits{
+			MaxConnections: f.Holds,
+			Concurrency:    fleetUnits,
+			ServiceTime:    fleetWork,
+			FillTime:       fleetFill,
+			InitialShare:   .16,
+			OverloadFactor: 2.5,
+			WarmUpDuration: coldFor,
+			OverloadWindow: 15e8,
+			DownTime:       3e9,
+		}
 		started := int64(0)
 		if f.Faults == "caches-cold" || f.Faults == "retries" {
 			started = begin
 		}
-		b.Hangs = f.Faults == "cache-hangs" && i == 0
-		p.caches = append(p.caches, cache.NewBear(b, started))
+		b.Unresponsive = f.Faults == "cache-hangs" && i == 0
+		p.caches = append(p.caches, cache.NewCapacityModel(b, started))
 		p.silent = append(p.silent, f.Faults == "caches-silent" && i%3 == 0)
 	}
 	if p.perCall = int64(1e9 / cmp.Or(f.Bears, 100)); f.Faults == "list-slow" {
@@ -283,7 +292,7 @@
 	var lines []router.EndpointEntry
 	for i, c := range p.caches {
 		lines = append(lines, router.EndpointEntry{Instance: fmt.Sprintf("s-%03d", i), Address: strconv.Itoa(i),
-			Endpoint: control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: fleetUnits, StartedAt: c.Started()}})
+			Endpoint: control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: fleetUnits, StartedAt: c.StartedAt()}})
 	}
 	if x.start.ListReceived(); x.known == 0 {
 		x.known = float64(p.now-x.began) / 1e6
@@ -375,7 +384,7 @@
 					return
 				}
 				x.links[e.Connection] = i
-				p.this().Open = max(p.this().Open, p.caches[i].Peak)
+				p.this().Open = max(p.this().Open, p.caches[i].PeakConnections)
 				p.handle(x, router.ConnectionUp{Connection: e.Connection})
 			})
 		case router.Send:
@@ -398,7 +407,8 @@
 		return
 	}
 	c := p.caches[i]
-	wait, fill, fell := c.Ask(p.now, e.Request.Object)
+	response := c.Request(p.now, e.Request.Object)
+	wait, fill, fell := response.Delay, response.Fill, response.Crashed
 	if fell {
 		p.this().Fallen++
 		for _, other := range p.routers {
@@ -416,7 +426,7 @@
 		}
 		return
 	}
-	if c.Hangs {
+	if c.Unresponsive {
 		return
 	}
 	note := int64(1)
@@ -458,8 +468,8 @@
 	}
 	r.Settled10, r.Settled = float64(settled)/math.Max(1, float64(sent)), float64(all)/math.Max(1, float64(r.Sent))
 	for _, c := range p.caches {
-		r.CachePeak, r.Worst, r.Denied = max(r.CachePeak, c.Peak), math.Max(r.Worst, c.Worst), r.Denied+c.Denied
-		r.Fallen += c.Fallen
+		r.CachePeak, r.Worst, r.Denied = max(r.CachePeak, c.PeakConnections), math.Max(r.Worst, c.PeakLoad), r.Denied+c.RefusedConnections
+		r.Fallen += c.Crashes
 	}
 	// What was asked longer ago than a client waits has had its answer, or is lost.
 	for ask, w := range p.asked {
--- a/internal/experiment/coldstart.go
+++ b/internal/experiment/coldstart.go
@@ -142,38 +142,48 @@
 		}
 		defer x.Close()
 		caches = append(caches, x)
-		bounds, started, ms := cache.Bounds{Holds: c.Holds, Units: 4, Work: 5e6, Fill: 20e6, ColdShare: .16, Factor: 2.5,
-			ColdSpan: 8e9, Window: 15e8, Back: 3e9}, time.Unix(0, 0), int64(0)
+		limits := cache.Limits{
+			MaxConnections: c.Holds,
+			Concurrency:    4,
+			ServiceTime:    5e6,
+			FillTime:       20e6,
+			InitialShare:   .16,
+			OverloadFactor: 2.5,
+			WarmUpDuration: 8e9,
+			OverloadWindow: 15e8,
+			DownTime:       3e9,
+		}
+		started, ms := time.Unix(0, 0), int64(0)
 		if c.Faults == "caches-cold" {
 			started = time.Now()
 			ms = started.UnixMilli()
 		}
-		bounds.Hangs = c.Faults == "cache-hangs" && i == 0 || c.Faults == "caches-silent" && i%3 == 0
-		x.Bear(bounds, started)
+		limits.Unresponsive = c.Faults == "cache-hangs" && i == 0 || c.Faults == "caches-silent" && i%3 == 0
+		x.SetLimits(limits, started)
 		members = append(members, listed(x, ms))
 	}
 	tell := func(generation int) {
-		service.Tell(fmt.Sprintf(`{"pos":%%d,"hosts":{"generation":%d,"reset":true,"instances":[%s]}}`, generation,
+		service.Publish(fmt.Sprintf(`{"pos":%%d,"hosts":{"generation":%d,"reset":true,"instances":[%s]}}`, generation,
 			strings.Join(members, ",")))
 	}
 	tell(1)
 	known := "null"
 	if c.Faults == "drained" { // after the configuration was written, before the routers start
-		known = service.Known()
-		service.Tell(`{"pos":%d,"hosts":{"generation":2,"instances":[` + strings.Replace(members[0], "active", "leaving", 1) + `]}}`)
+		known = service.KnownEvents()
+		service.Publish(`{"pos":%d,"hosts":{"generation":2,"instances":[` + strings.Replace(members[0], "active", "leaving", 1) + `]}}`)
 	}
 	switch c.Faults {
 	case "list-down":
-		service.Down()
+		service.Stop()
 	case "list-slow":
-		service.Set(discoveryserver.Way{PerSecond: 10})
+		service.SetBehavior(discoveryserver.Behavior{MaxCallRate: 10})
 	case "list-half":
-		service.Set(discoveryserver.Way{Half: true})
+		service.SetBehavior(discoveryserver.Behavior{Truncate: true})
 	case "list-old":
 		for i := range members[1:] { // what it tells first is of before: all but one drain
-			service.Tell(`{"pos":%d,"hosts":{"generation":2,"instances":[` + members[1+i] + `]}}`)
+			service.Publish(`{"pos":%d,"hosts":{"generation":2,"instances":[` + members[1+i] + `]}}`)
 		}
-		service.Set(discoveryserver.Way{Old: true})
+		service.SetBehavior(discoveryserver.Behavior{Stale: true})
 	}
 	addresses := make([]string, c.Routers)
 	for i := range addresses {
@@ -268,15 +278,15 @@
 		}
 		switch c.Faults {
 		case "list-down":
-			err = service.Up()
+			err = service.Listen()
 		case "list-half":
-			service.Set(discoveryserver.Way{})
+			service.SetBehavior(discoveryserver.Behavior{})
 		case "list-restart":
-			service.Down()
-			service.Anew()
+			service.Stop()
+			service.Reset()
 			time.Sleep(outage / 5)
 			tell(2)
-			err = service.Up()
+			err = service.Listen()
 		case "half-killed":
 			again(c.Routers * 7 / 10)
 		case "killed-twice":
@@ -309,7 +319,7 @@
 	calls := service.Calls()
 	second, tenth := map[int64]int{}, map[int64]int{}
 	for _, x := range calls {
-		result.ListBytes += x.Sent
+		result.ListBytes += x.BytesSent
 		second[int64(x.At.Sub(began)/time.Second)]++
 		tenth[int64(x.At.Sub(began)/(100*time.Millisecond))]++
 	}
@@ -320,9 +330,9 @@
 		result.CallsPeak100 = max(result.CallsPeak100, n)
 	}
 	for i, x := range caches {
-		course := x.Course()
-		result.CachePeak, result.Worst = max(result.CachePeak, course.Peak), math.Max(result.Worst, course.Worst)
-		result.Denied, result.Fallen = result.Denied+course.Denied, result.Fallen+course.Fallen
+		course := x.Model()
+		result.CachePeak, result.Worst = max(result.CachePeak, course.PeakConnections), math.Max(result.Worst, course.PeakLoad)
+		result.Denied, result.Fallen = result.Denied+course.RefusedConnections, result.Fallen+course.Crashes
 		if c.Faults == "drained" && i == 0 {
 			result.Stale = x.Fetches()
 		}
--- a/internal/experiment/duties.go
+++ b/internal/experiment/duties.go
@@ -13,6 +13,7 @@
 	"slices"
 	"strconv"
 	"syscall"
+	"tealpath/internal/emulator/relay"
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
@@ -151,7 +152,7 @@
 
 func (c *Cluster) probes() (n int) {
 	for _, x := range c.Caches {
-		n += len(x.Probes())
+		n += len(x.HealthChecks())
 	}
 	return n
 }
@@ -246,7 +247,7 @@
 func (c *Cluster) set(name string, cut bool, delay time.Duration) {
 	for pair, way := range c.Ways {
 		if pair[0] == name || pair[1] == name {
-			way.Set(cut, cut, delay)
+			way.SetConditions(relay.Conditions{CutForward: cut, CutBackward: cut, Delay: delay})
 		}
 	}
 }
@@ -290,10 +291,10 @@
 	const budget = 0.05 * 2.5 * 0.16 * 4 * 1.5 // the cluster's settings: part, factor, share, units, window in s
 	probes := 0
 	for _, x := range c.Caches {
-		seen := x.Probes()
+		seen := x.HealthChecks()
 		highest, last, by := uint64(0), time.Time{}, uint64(0)
 		for i, p := range seen {
-			number, _ := strconv.ParseUint(p.Tag, 16, 64)
+			number, _ := strconv.ParseUint(p.ID, 16, 64)
 			if number < highest {
 				result.Stale++
 			}
--- a/internal/experiment/members.go
+++ b/internal/experiment/members.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"tealpath/internal/cluster"
+	"tealpath/internal/emulator/relay"
 	"tealpath/internal/operatorconfig"
 )
 
@@ -139,7 +140,7 @@
 func (c *Cluster) cut(from, to func(string) bool, on bool) {
 	for pair, way := range c.Ways {
 		if from(pair[0]) && to(pair[1]) {
-			way.Set(on, on, 0)
+			way.SetConditions(relay.Conditions{CutForward: on, CutBackward: on})
 		}
 	}
 }
--- a/internal/experiment/snapshot_test.go
+++ b/internal/experiment/snapshot_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"as it was", func(*testing.T, *Cluster, string) {}, "the list of the snapshot is confirmed", 0},
 		{"a cache drained", func(t *testing.T, c *Cluster, _ string) {
-			c.journal.Tell(strings.Replace(c.line(0), "active", "leaving", 1))
+			c.journal.Publish(strings.Replace(c.line(0), "active", "leaving", 1))
 		}, "the list of the snapshot is confirmed", 0},
 		{"torn", func(t *testing.T, _ *Cluster, file string) {
 			if err := os.Truncate(file, 200); err != nil {
@@ -38,8 +38,8 @@
 			}
 		}, "snapshot passed over: it is of version 9", 0},
 		{"the service began anew", func(t *testing.T, c *Cluster, _ string) {
-			c.journal.Anew()
-			c.journal.Tell(strings.Replace(c.line(1), `"generation":3`, `"generation":4,"reset":true`, 1))
+			c.journal.Reset()
+			c.journal.Publish(strings.Replace(c.line(1), `"generation":3`, `"generation":4,"reset":true`, 1))
 		}, "start: warming", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 				t.Fatal(err)
 			}
 			defer x.Close()
-			x.journal.Tell(`{"pos":%d,"expire":{"set":3,"stamp":1}}`)
+			x.journal.Publish(`{"pos":%d,"expire":{"set":3,"stamp":1}}`)
 			name := x.Names[0]
 			if err := x.Start(name); err != nil {
 				t.Fatal(err)
@@ -96,8 +96,8 @@
 				t.Errorf("the first cache was asked %d times before the restart, %d in all", before, got)
 			}
 			calls := x.journal.Calls()
-			if confirmed := strings.Contains(c.says, "confirmed"); confirmed != (calls[len(calls)-1].Behind == 1) && c.behind == 0 {
-				t.Errorf("the last call asked behind %d", calls[len(calls)-1].Behind)
+			if confirmed := strings.Contains(c.says, "confirmed"); confirmed != (calls[len(calls)-1].LastEventID == 1) && c.behind == 0 {
+				t.Errorf("the last call asked behind %d", calls[len(calls)-1].LastEventID)
 			}
 		})
 	}
--- a/internal/server/keeping_test.go
+++ b/internal/server/keeping_test.go
@@ -143,7 +143,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(journal.Close)
-	journal.Tell(`{"pos":%d,"hosts":{"generation":1,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1",` +
+	journal.Publish(`{"pos":%d,"hosts":{"generation":1,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1",` +
 		`"zone":"here","machineType":"cache","lifecycle":"active","weight":4}]}}`)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -155,7 +155,7 @@
  "journal":%q,"known":%s,"settings":{"balancers":1,"locality":"here","failureDomains":["here"],"machineTypes":["cache"],
  "limits":{"attemptsCap":6,"dialTimeoutS":0.4,"connIdleS":30,"streamsPerConn":100,"maxOpen":1000},
  "profiles":[{"name":"stills","onTimeS":0.1,"deadlineS":%g,"points":1,"effect":"retryable"}]}}`,
-		r.address, journal.Address(), journal.Known(), deadline.Seconds()), "", "")
+		r.address, journal.Address(), journal.KnownEvents(), deadline.Seconds()), "", "")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -247,10 +247,10 @@
 	if err != nil || len(load) != 2 || load[0] != 0.5 {
 		t.Errorf("%v %v", load, err)
 	}
-	if got := c.Probes(); len(got) != 1 || got[0].Tag != "00000000000000ff" {
+	if got := c.HealthChecks(); len(got) != 1 || got[0].ID != "00000000000000ff" {
 		t.Errorf("%v", got)
 	}
-	c.Hang(true)
+	c.SetUnresponsive(true)
 	short, stop := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer stop()
 	if _, err := Alive(short, c.Address(), "1", nil, func() bool { return true }); err == nil {
