--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -229,12 +229,12 @@
 		p.caches[0].die()
 		n := 0
 		for ; n < 500; n++ {
-			if _, down := r.log.find("suspect"); down {
+			if _, down := r.log.find(`"event":"endpoint_ejected"`); down {
 				break
 			}
 			ask(n)
 		}
-		down := r.log.wait(t, "suspect", time.Second)
+		down := r.log.wait(t, `"event":"endpoint_ejected"`, time.Second)
 		c.Step(step)
 		listener, err := net.Listen("tcp", address)
 		if err != nil {
@@ -252,13 +252,13 @@
 			}
 		}()
 		for end := time.Now().Add(patience); time.Now().Before(end); n++ {
-			if _, up := r.log.find("trusted again"); up {
+			if _, up := r.log.find(`"event":"endpoint_restored"`); up {
 				break
 			}
 			ask(n)
 			time.Sleep(5 * time.Millisecond)
 		}
-		up := r.log.wait(t, "trusted again", time.Second)
+		up := r.log.wait(t, `"event":"endpoint_restored"`, time.Second)
 		if after := up.Sub(down); after < 900*time.Millisecond || after > 3*time.Second {
 			t.Errorf("tried again after %v, its backoff is 1 s", after)
 		}
--- a/control/admission.go
+++ b/control/admission.go
@@ -1,9 +1,6 @@
 package control
 
-import (
-	"fmt"
-	"math"
-)
+import "math"
 
 const (
 	// The limits are in attempts in flight for the caches' capacity.
@@ -78,8 +75,14 @@
 		r.admission.answeredLate(kind)
 	}
 	limit := r.admission.limits[kind]
-	if r.admission.updateTight(kind) {
-		r.log(fmt.Sprintf("room for %s tight: %v, at %.2f", kind, r.admission.tight[kind], limit))
+	if !r.admission.updateTight(kind) {
+		return
+	}
+	limit = rounded(limit, limitDecimals)
+	if r.admission.tight[kind] {
+		r.log(AdmissionLimitReduced{RequestKind: kind.String(), Limit: limit})
+	} else {
+		r.log(AdmissionLimitRestored{RequestKind: kind.String(), Limit: limit})
 	}
 }
 
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"tealpath/internal/logevent"
 	"testing"
 )
 
@@ -34,7 +35,7 @@
 	for name, value := range change {
 		set[name] = value
 	}
-	r, err := New(start, 7, set, func(string) {})
+	r, err := New(start, 7, set, func(logevent.Event) {})
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"tealpath/internal/logevent"
 	"testing"
 )
 
@@ -100,7 +101,7 @@
 			type sending struct{ at int64 }
 			var all []sending
 			for n := range routers {
-				r, err := New(start-20*second, uint64(n), site(Settings{"routers": int64(routers), "units": "off"}), func(string) {})
+				r, err := New(start-20*second, uint64(n), site(Settings{"routers": int64(routers), "units": "off"}), func(logevent.Event) {})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/control/control.go
+++ b/control/control.go
@@ -15,6 +15,7 @@
 	"encoding/binary"
 	"hash/crc32"
 	"math"
+	"tealpath/internal/logevent"
 )
 
 const (
@@ -39,7 +40,7 @@
 	ConnectionsExhausted func() bool
 
 	settings settings
-	log      func(string)
+	log      func(logevent.Event)
 	seed     uint64
 	draws    uint32 // random numbers drawn
 
@@ -67,9 +68,9 @@
 	keyBytes                []byte     // buffer of objectHash
 }
 
-// New makes a router from its settings; log takes a short line for each change of mode. The error joins a SettingError for
+// New makes a router from its settings; log takes an event for each change of mode. The error joins a SettingError for
 // each setting that is missing, of a wrong type, or contradicts another.
-func New(now int64, seed uint64, raw Settings, log func(string)) (*Router, error) {
+func New(now int64, seed uint64, raw Settings, log func(logevent.Event)) (*Router, error) {
 	set, err := decodeSettings(raw)
 	if err != nil {
 		return nil, err
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -5,10 +5,12 @@
 	"fmt"
 	"hash"
 	"hash/fnv"
+	"math"
 	"math/rand/v2"
 	"os"
 	"slices"
 	"strings"
+	"tealpath/internal/logevent"
 	"testing"
 )
 
@@ -45,14 +47,10 @@
 func newDrawnPlay(t testing.TB, seed uint64) *drawnPlay {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	p := &drawnPlay{rng: rng, now: start, nextID: 1, digest: fnv.New64a(), seen: map[string]int{}, failing: map[uint32]bool{}}
-	log := func(line string) {
-		p.note("log", figures(line))
+	log := func(event logevent.Event) {
+		p.note("log", loggedFigures(event))
 		p.seen["log"]++
-		for _, kind := range []string{"suspect", "trusted", "tight"} {
-			if slices.Contains(splitWords(line), kind) {
-				p.seen[kind]++
-			}
-		}
+		p.seen[event.Kind().Name]++
 	}
 	r, err := New(start, seed, site(drawnSettings(rng)), log)
 	if err != nil {
@@ -76,26 +74,22 @@
 	}
 }
 
-// figures is what a log line says without its words: rewording it changes no decision.
-func figures(line string) string {
-	return strings.Map(func(c rune) rune {
-		if c >= '0' && c <= '9' || c == '.' || c == ' ' {
-			return c
-		}
-		return -1
-	}, line)
-}
-
-func splitWords(line string) (words []string) {
-	word := ""
-	for _, c := range line + " " {
-		if c >= 'a' && c <= 'z' {
-			word += string(c)
-		} else if word != "" {
-			words, word = append(words, word), ""
-		}
+// loggedFigures returns the figures of a log event in the form in which the digests were recorded. It has no words, as a
+// changed message changes no decision. The spaces between the figures differ by the event's type, and signs are left out.
+func loggedFigures(event logevent.Event) string {
+	switch e := event.(type) {
+	case EndpointEjected:
+		return fmt.Sprintf(" %d   %.1f  %.1f  %.1f", e.Endpoint, math.Abs(e.SilenceScore), e.Failures, e.Attempts)
+	case EndpointRestored:
+		return fmt.Sprintf(" %d  ", e.Endpoint)
+	case AdmissionLimitReduced:
+		return fmt.Sprintf("%6s%.2f", "", e.Limit)
+	case AdmissionLimitRestored:
+		return fmt.Sprintf("%6s%.2f", "", e.Limit)
+	case ClockAhead:
+		return strings.Repeat(" ", 19)
 	}
-	return words
+	return event.Kind().Name
 }
 
 // drawLine gives a new member.
@@ -321,7 +315,7 @@
 		}
 	}
 	for _, what := range []string{
-		"suspect", "trusted", "tight", "away", "plain", "probe", "where0", "where1", "where2", "after1",
+		"endpoint_ejected", "endpoint_restored", "admission_limit_reduced", "away", "plain", "probe", "where0", "where1", "where2", "after1",
 		"after2", "after3", "again1", "again2",
 	} {
 		if seen[what] < 5 {
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -1,6 +1,9 @@
 package control
 
-import "testing"
+import (
+	"tealpath/internal/logevent"
+	"testing"
+)
 
 // site is a small deployment: two caches here, two parents and an origin elsewhere.
 func site(change Settings) Settings {
@@ -39,7 +42,7 @@
 
 func newRouter(t *testing.T, change Settings) *Router {
 	t.Helper()
-	r, err := New(start, 7, site(change), func(string) {})
+	r, err := New(start, 7, site(change), func(logevent.Event) {})
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/control/logevents.go
@@ -0,0 +1,98 @@
+package control
+
+import (
+	"strconv"
+	"tealpath/internal/logevent"
+)
+
+// EndpointEjected is logged when an endpoint is found to be an outlier. It gets nothing but probes until one succeeds.
+type EndpointEjected struct {
+	Endpoint     uint32  `log:"endpoint"`
+	SilenceScore float64 `log:"silence_score"` // mean response times that its attempts have waited, beyond its peers' mean
+	Failures     float64 `log:"failures"`      // attempts that failed in the last seconds, decayed
+	Attempts     float64 `log:"attempts"`      // attempts that ended in the last seconds, decayed
+}
+
+// Kind implements logevent.Event.
+func (EndpointEjected) Kind() logevent.Kind {
+	return logevent.Kind{Name: "endpoint_ejected", Level: logevent.Warn, Message: "endpoint ejected as an outlier"}
+}
+
+// EndpointID returns the ID of the endpoint that the event concerns.
+func (e EndpointEjected) EndpointID() uint32 { return e.Endpoint }
+
+// EndpointRestored is logged when a probe of an ejected endpoint has succeeded: requests are sent to it again.
+type EndpointRestored struct {
+	Endpoint uint32 `log:"endpoint"`
+}
+
+// Kind implements logevent.Event.
+func (EndpointRestored) Kind() logevent.Kind {
+	return logevent.Kind{Name: "endpoint_restored", Level: logevent.Info, Message: "endpoint restored after a successful probe"}
+}
+
+// EndpointID returns the ID of the endpoint that the event concerns.
+func (e EndpointRestored) EndpointID() uint32 { return e.Endpoint }
+
+// AdmissionLimitReduced is logged when the admission limit for one kind of attempts has fallen below half of its initial
+// value, since too many of them were answered late.
+type AdmissionLimitReduced struct {
+	RequestKind string  `log:"request_kind"` // hits, fills or fetches
+	Limit       float64 `log:"limit"`        // attempts in flight, as a multiple of the caches' capacity
+}
+
+// Kind implements logevent.Event.
+func (AdmissionLimitReduced) Kind() logevent.Kind {
+	return logevent.Kind{Name: "admission_limit_reduced", Level: logevent.Warn, Message: "admission limit reduced"}
+}
+
+// AdmissionLimitRestored is logged when a reduced admission limit has grown back to its initial value.
+type AdmissionLimitRestored struct {
+	RequestKind string  `log:"request_kind"` // hits, fills or fetches
+	Limit       float64 `log:"limit"`        // attempts in flight, as a multiple of the caches' capacity
+}
+
+// Kind implements logevent.Event.
+func (AdmissionLimitRestored) Kind() logevent.Kind {
+	return logevent.Kind{Name: "admission_limit_restored", Level: logevent.Info, Message: "admission limit restored"}
+}
+
+// ClockAhead is logged once, when a cache has sent an entry that a purge should have removed by its time stamp: this
+// machine's clock is ahead of the others'. From then on a purge counts from its arrival here, not from its time stamp.
+type ClockAhead struct{}
+
+// Kind implements logevent.Event.
+func (ClockAhead) Kind() logevent.Kind {
+	return logevent.Kind{
+		Name:    "clock_ahead",
+		Level:   logevent.Warn,
+		Message: "this clock is ahead of others: a cache entry from before a purge came, purges count from their arrival now",
+	}
+}
+
+// LogEvents returns one zero value of each event that this package logs.
+func LogEvents() []logevent.Event {
+	return []logevent.Event{
+		EndpointEjected{},
+		EndpointRestored{},
+		AdmissionLimitReduced{},
+		AdmissionLimitRestored{},
+		ClockAhead{},
+	}
+}
+
+// Decimal places of the figures in log events.
+const (
+	scoreDecimals = 1
+	limitDecimals = 2
+)
+
+// rounded returns a value rounded to a number of decimal places, for a log event.
+func rounded(value float64, decimals int) float64 {
+	text := strconv.FormatFloat(value, 'f', decimals, 64)
+	short, err := strconv.ParseFloat(text, 64)
+	if err != nil {
+		return value // infinite or not a number
+	}
+	return short
+}
--- /dev/null
+++ b/control/logevents_test.go
@@ -0,0 +1,96 @@
+package control
+
+import (
+	"math"
+	"regexp"
+	"tealpath/internal/logevent"
+	"testing"
+)
+
+func TestLogEventText(t *testing.T) {
+	for _, c := range []struct {
+		event logevent.Event
+		want  string
+	}{
+		{
+			EndpointEjected{Endpoint: 17, SilenceScore: 6.2, Failures: 4, Attempts: 5},
+			"endpoint ejected as an outlier endpoint=17 silence_score=6.2 failures=4 attempts=5",
+		},
+		{
+			EndpointRestored{Endpoint: 17},
+			"endpoint restored after a successful probe endpoint=17",
+		},
+		{
+			AdmissionLimitReduced{RequestKind: fills.String(), Limit: 0.59},
+			"admission limit reduced request_kind=fills limit=0.59",
+		},
+		{
+			AdmissionLimitRestored{RequestKind: hits.String(), Limit: 2.01},
+			"admission limit restored request_kind=hits limit=2.01",
+		},
+		{
+			ClockAhead{},
+			"this clock is ahead of others: a cache entry from before a purge came, purges count from their arrival now",
+		},
+	} {
+		t.Run(c.event.Kind().Name, func(t *testing.T) {
+			if got := logevent.Text(c.event); got != c.want {
+				t.Errorf("%q, want %q", got, c.want)
+			}
+		})
+	}
+}
+
+func TestLogEventNamesAreUniqueSnakeCase(t *testing.T) {
+	snakeCase := regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
+	seen := map[string]bool{}
+	for _, event := range LogEvents() {
+		name := event.Kind().Name
+		if !snakeCase.MatchString(name) || seen[name] || event.Kind().Message == "" {
+			t.Errorf("event %+v", event.Kind())
+		}
+		seen[name] = true
+	}
+}
+
+func TestRounded(t *testing.T) {
+	for _, c := range []struct {
+		value    float64
+		decimals int
+		want     float64
+	}{
+		{6.25, scoreDecimals, 6.2}, // to even, as fmt does
+		{6.2501, scoreDecimals, 6.3},
+		{-0.589, limitDecimals, -0.59},
+		{math.Inf(1), scoreDecimals, math.Inf(1)},
+	} {
+		if got := rounded(c.value, c.decimals); got != c.want {
+			t.Errorf("%v to %d decimals is %v, want %v", c.value, c.decimals, got, c.want)
+		}
+	}
+}
+
+// A limit that falls below half of its initial value is logged once, and once more when it is back.
+func TestAdmissionLimitChangesAreLogged(t *testing.T) {
+	var logged []logevent.Event
+	r, err := New(start, 7, site(nil), func(event logevent.Event) { logged = append(logged, event) })
+	if err != nil {
+		t.Fatal(err)
+	}
+	attempt := &attemptState{kind: fills, cache: &endpointState{}}
+	inTime := finding{result: Succeeded, inTime: true}
+	late := finding{result: Succeeded}
+	for range 20 {
+		r.adjustLimit(attempt, late)
+	}
+	for range 200 {
+		r.adjustLimit(attempt, inTime)
+	}
+	want := []logevent.Event{
+		AdmissionLimitReduced{RequestKind: "fills", Limit: 0.57},
+		AdmissionLimitRestored{RequestKind: "fills", Limit: 1.2},
+	}
+	if len(logged) != len(want) || logged[0] != want[0] || logged[1] != want[1] {
+		t.Errorf("logged %#v, want %#v", logged, want)
+	}
+}
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -1,7 +1,6 @@
 package control
 
 import (
-	"fmt"
 	"math"
 	"slices"
 )
@@ -80,7 +79,12 @@
 		return
 	}
 	endpoint.eject(now)
-	r.log(fmt.Sprintf("member %d suspect: silence %.1f, failures %.1f of %.1f", endpoint.ID, silent, own.bad, own.good+own.bad))
+	r.log(EndpointEjected{
+		Endpoint:     endpoint.ID,
+		SilenceScore: rounded(silent, scoreDecimals),
+		Failures:     rounded(own.bad, scoreDecimals),
+		Attempts:     rounded(own.good+own.bad, scoreDecimals),
+	})
 }
 
 // peersOf are the endpoints that one is compared with, itself among them.
@@ -132,7 +136,7 @@
 	switch {
 	case endpoint.ejected && good:
 		endpoint.takeBack(now)
-		r.log(fmt.Sprintf("member %d trusted again", endpoint.ID))
+		r.log(EndpointRestored{Endpoint: endpoint.ID})
 	case endpoint.ejected:
 		endpoint.probeBackoff = min(2*endpoint.probeBackoff, maxProbeBackoff)
 		endpoint.nextProbeAt = now + endpoint.probeBackoff
--- a/control/purges.go
+++ b/control/purges.go
@@ -139,7 +139,7 @@
 func (r *Router) distrustStamps() {
 	if !r.purges.clockAhead {
 		r.purges.clockAhead = true
-		r.log("a copy from before a purge came: this clock is ahead of others, purges count from when they are told")
+		r.log(ClockAhead{})
 	}
 }
 
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
+	"tealpath/internal/logevent"
 	"testing"
 )
 
@@ -33,7 +34,7 @@
 		product := []string{"harmless", "stamped"}[rng.IntN(2)]
 		object := []string{"a", ""}[rng.IntN(2)]
 		if failed := func() bool {
-			r, err := New(purged+off-second, uint64(i), site(nil), func(string) {})
+			r, err := New(purged+off-second, uint64(i), site(nil), func(logevent.Event) {})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -256,7 +257,7 @@
 			for _, rates := range []bool{false, true} {
 				t.Run(fmt.Sprintf("off by %d s, then by %d s, rates %v", before/second, off/second, rates), func(t *testing.T) {
 					make := func(now int64) *Router {
-						r, err := New(now, 7, site(nil), func(string) {})
+						r, err := New(now, 7, site(nil), func(logevent.Event) {})
 						if err != nil {
 							t.Fatal(err)
 						}
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"strings"
+	"tealpath/internal/logevent"
 	"testing"
 )
 
@@ -28,7 +29,7 @@
 		{"missing", Settings{"product.due": nil, "location": nil}, []SettingError{{"product.due", nil, "is missing"}, {"location", nil, "is missing"}}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			router, err := New(start, 7, site(c.change), func(string) {})
+			router, err := New(start, 7, site(c.change), func(logevent.Event) {})
 			if err == nil || router != nil {
 				t.Fatalf("router %v, error %v", router, err)
 			}
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"slices"
+	"tealpath/internal/logevent"
 	"testing"
 )
 
@@ -126,7 +127,7 @@
 
 func (s *recovering) router(t *testing.T, seed uint64, routers int, size float64) *Router {
 	t.Helper()
-	r, err := New(start, seed, site(Settings{"routers": int64(routers)}), func(string) {})
+	r, err := New(start, seed, site(Settings{"routers": int64(routers)}), func(logevent.Event) {})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -348,7 +349,7 @@
 			}
 			var all []sending
 			for n := range routers {
-				r, err := New(start, uint64(n), site(Settings{"routers": int64(routers)}), func(string) {})
+				r, err := New(start, uint64(n), site(Settings{"routers": int64(routers)}), func(logevent.Event) {})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"tealpath/internal/logevent"
 	"testing"
 )
 
@@ -13,7 +14,7 @@
 		"routers": int64(1),
 	}
 	make := func(at int64) *Router {
-		r, err := New(at, 7, set, func(string) {})
+		r, err := New(at, 7, set, func(logevent.Event) {})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"github.com/cespare/xxhash/v2"
+	"tealpath/internal/logevent"
 )
 
 // everySetting has each group of settings, and a value of each form.
@@ -41,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := control.New(0, 1, set, func(string) {}); err != nil {
+	if _, err := control.New(0, 1, set, func(logevent.Event) {}); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/router/clock_test.go
+++ b/internal/router/clock_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"tealpath/control"
+	"tealpath/internal/logevent"
 )
 
 // A cache answers with a copy from before a purge, as it finds it young enough: our axis is ahead of its clock. It is not passed
@@ -48,8 +49,8 @@
 			if got := strings.ReplaceAll(strings.Join(p.seen[1:], ", "), "000000000000000", ""); got != c.want {
 				t.Errorf("%s\nwant %s", got, c.want)
 			}
-			if len(p.lines) != 1 || !strings.Contains(p.lines[0], "ahead of others") {
-				t.Errorf("log: %v", p.lines)
+			if want := []logevent.Event{control.ClockAhead{}}; !slices.Equal(p.logged, want) {
+				t.Errorf("logged %#v, want %#v", p.logged, want)
 			}
 			p.take(PurgeReceived{Object: object, PurgedAt: p.now - ahead})
 			p.pass(second / 10)
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -1,6 +1,9 @@
 package router
 
-import "tealpath/control"
+import (
+	"tealpath/control"
+	"tealpath/internal/logevent"
+)
 
 // ClientID identifies a client's connection, ConnectionID one to a cache, a parent or the origin. Neither is ever
 // used again.
@@ -179,5 +182,8 @@
 // SetTimer wants TimerFired at a time; it replaces the one before.
 type SetTimer struct{ At int64 }
 
-// Log wants a line logged; Instance is the endpoint that it is about, if there is one.
-type Log struct{ Line, Instance string }
+// Log wants an event logged; Instance names the endpoint that it concerns, if there is one.
+type Log struct {
+	Event    logevent.Event
+	Instance string
+}
--- a/internal/router/links.go
+++ b/internal/router/links.go
@@ -246,7 +246,7 @@
 	case event.Cause == Local:
 		r.limits.ConnectionPlan.LocalError(connection.endpoint.Instance)
 		if r.localBackoff.DialFailed(r.now) {
-			r.log("no connections can be opened, for a reason of this machine's own: " + event.Reason)
+			r.log(ConnectUnavailable{Cause: event.Reason})
 		}
 	default:
 		r.dialSucceeded()
@@ -258,7 +258,7 @@
 // dialSucceeded notes that a dial got as far as its endpoint.
 func (r *Router) dialSucceeded() {
 	if r.localBackoff.DialSucceeded() {
-		r.log("connections can be opened again")
+		r.log(ConnectAvailable{})
 	}
 }
 
--- a/internal/router/local_test.go
+++ b/internal/router/local_test.go
@@ -2,11 +2,13 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"tealpath/control"
+	"tealpath/internal/logevent"
 )
 
 // Errors of this machine's own: nothing was sent, nothing is held against a member, and it is tried again in time.
@@ -104,8 +106,8 @@
 	}
 	p.ask(500, nil)
 	p.up()
-	if got := strings.Join(p.lines, "; "); got != "no connections can be opened, for a reason of this machine's own: no descriptors; connections can be opened again" {
-		t.Error(got)
+	if want := []logevent.Event{ConnectUnavailable{Cause: "no descriptors"}, ConnectAvailable{}}; !slices.Equal(p.logged, want) {
+		t.Errorf("logged %#v, want %#v", p.logged, want)
 	}
 }
 
@@ -137,9 +139,9 @@
 	if refused < 10 {
 		t.Errorf("%d dials failed", refused)
 	}
-	for _, line := range p.lines {
-		if strings.Contains(line, "suspect") {
-			t.Error(line)
+	for _, event := range p.logged {
+		if ejected, ok := event.(control.EndpointEjected); ok {
+			t.Errorf("ejected: %+v", ejected)
 		}
 	}
 }
--- a/internal/router/members_test.go
+++ b/internal/router/members_test.go
@@ -10,6 +10,7 @@
 
 	"tealpath/control"
 	"tealpath/internal/connpool"
+	"tealpath/internal/logevent"
 )
 
 // plainList is the list of members as it is kept without an index: each event goes over all members.
@@ -73,7 +74,7 @@
 			set = maps.Clone(s)
 		})
 		set["probe"] = false
-		plainModule, err := control.New(start, 7, set, func(string) {})
+		plainModule, err := control.New(start, 7, set, func(logevent.Event) {})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -179,7 +179,7 @@
 func (r *Router) recovering(work func()) {
 	defer func() {
 		if fault := recover(); fault != nil {
-			r.log(fmt.Sprintf("fault: %v", fault))
+			r.log(PanicRecovered{Cause: fmt.Sprint(fault)})
 		}
 	}()
 	work()
@@ -187,18 +187,6 @@
 
 func (r *Router) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// log notes a line; where it starts with an endpoint's number, the endpoint's name goes with it.
-func (r *Router) log(line string) {
-	out := Log{Line: line}
-	if rest, ok := strings.CutPrefix(line, "member "); ok {
-		number, _, _ := strings.Cut(rest, " ")
-		if id, err := strconv.ParseUint(number, 10, 32); err == nil && r.endpointsByID[uint32(id)] != nil {
-			out.Instance = r.endpointsByID[uint32(id)].Instance
-		}
-	}
-	r.emit(out)
-}
-
 func (r *Router) handleEvent(e Event) {
 	switch e := e.(type) {
 	case TimerFired:
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -8,6 +8,7 @@
 
 	"tealpath/control"
 	"tealpath/internal/connpool"
+	"tealpath/internal/logevent"
 )
 
 const (
@@ -29,7 +30,7 @@
 	t     *testing.T
 	now   int64
 	seen  []string       // effects, shortly
-	lines []string       // of the log
+	logged []logevent.Event
 	links []ConnectionID // in the order of their dialling
 	sends []Send
 	asked []WithdrawAttempt // of the links' writers
@@ -80,7 +81,7 @@
 		case WithdrawAttempt:
 			p.asked = append(p.asked, e)
 		case Log:
-			p.lines = append(p.lines, e.Line)
+			p.logged = append(p.logged, e.Event)
 		case Close:
 			p.seen = append(p.seen, fmt.Sprintf("close %d", e.Connection))
 		}
@@ -435,8 +436,8 @@
 			}
 			p.take(ConnectionDown{Connection: connection.id, Unsent: unsent})
 			p.pass(second / 10)
-			if len(p.lines) > 0 {
-				t.Errorf("log %v", p.lines)
+			if len(p.logged) > 0 {
+				t.Errorf("log %v", p.logged)
 			}
 		})
 	}
@@ -506,8 +507,8 @@
 					p.take(ResponseReceived{Connection: id, ID: fmt.Sprintf("%016x", seq), Result: control.Succeeded, Body: make([]byte, 200)})
 				}
 			}
-			if got := len(p.lines) > 0; got != c.blame {
-				t.Errorf("somebody or something is late: %v, want %v: %v", got, c.blame, p.lines)
+			if got := len(p.logged) > 0; got != c.blame {
+				t.Errorf("somebody or something is late: %v, want %v: %v", got, c.blame, p.logged)
 			}
 		})
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -123,11 +123,11 @@
 func (p *Process) line(text string) { p.log.Info().Msg(text) }
 
 func (p *Process) note(l router.Log) {
-	event := p.log.Info()
+	logger := p.log
 	if l.Instance != "" {
-		event = event.Str("instance", l.Instance)
+		logger = logger.With().Str("instance", l.Instance).Logger()
 	}
-	event.Msg(l.Line)
+	writeEvent(logger, l.Event)
 }
 
 // Run serves until leave ends and all that was taken is answered, or until ctx ends, which answers nothing. At
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"tealpath/control"
 	"tealpath/internal/config"
+	"tealpath/internal/logevent"
 	"tealpath/internal/simulator/wire"
 )
 
@@ -54,7 +55,8 @@
 	}
 	in := &instance{name: name, requests: map[string]*request{}, subscribes: told["list.mode"] == "ask"}
 	h.instances[name] = in
-	in.router, err = control.New(now, seed, told, func(line string) { h.out.Line(commandLog, name, line) })
+	log := func(event logevent.Event) { h.out.Line(commandLog, name, logevent.Text(event)) }
+	in.router, err = control.New(now, seed, told, log)
 	if err != nil {
 		h.out.Line(commandBailOut, name, err.Error())
 		return nil
--- a/internal/upstream/local_test.go
+++ b/internal/upstream/local_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"tealpath/control"
+	"tealpath/internal/logevent"
 	"tealpath/internal/protocol/resp"
 	"tealpath/internal/router"
 )
@@ -199,7 +200,7 @@
 	events  chan router.Event
 	mu      sync.Mutex
 	answers map[router.ResponseKind]int
-	lines   []string
+	logged  []logevent.Event
 	dials   atomic.Int64
 }
 
@@ -267,7 +268,7 @@
 			s.mu.Unlock()
 		case router.Log:
 			s.mu.Lock()
-			s.lines = append(s.lines, e.Line)
+			s.logged = append(s.logged, e.Event)
 			s.mu.Unlock()
 		}
 	}
@@ -340,15 +341,15 @@
 			}
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			for _, line := range s.lines {
-				if line != "connections can be opened again" && !slices.ContainsFunc(storm, func(err error) bool {
-					return line == "no connections can be opened, for a reason of this machine's own: dial tcp: "+err.Error()
+			for _, event := range s.logged {
+				if event != (router.ConnectAvailable{}) && !slices.ContainsFunc(storm, func(err error) bool {
+					return event == router.ConnectUnavailable{Cause: "dial tcp: " + err.Error()}
 				}) {
-					t.Errorf("log: %s", line)
+					t.Errorf("logged %#v", event)
 				}
 			}
-			if len(s.lines) != 2 {
-				t.Errorf("%d lines: %q", len(s.lines), s.lines)
+			if len(s.logged) != 2 {
+				t.Errorf("%d events: %#v", len(s.logged), s.logged)
 			}
 		})
 	}
