--- a/internal/downstream/arrival.go
+++ b/internal/downstream/arrival.go
@@ -79,10 +79,10 @@
 		}
 		return n, err
 	}
-	received, known := poller.ReceivedOn(a.Conn)
+	received, known := poller.ReadTCPStats(a.Conn)
 	switch {
 	case known && uint16(received.Segments-a.segments) == 1: // parked ones keep so many bits of it
-		a.earliest = returned - received.Last
+		a.earliest = returned - received.SinceLastData
 	case waited:
 		a.earliest = max(called, a.front.heart.woken(returned))
 	default:
@@ -99,8 +99,8 @@
 // acceptedSince is the earliest that something can have come on a connection that is just accepted and waited for that since a
 // time at most.
 func (f *Front) acceptedSince(conn net.Conn, since time.Time) int64 {
-	if received, known := poller.ReceivedOn(conn); known {
-		return f.now() - received.Stood
+	if received, known := poller.ReadTCPStats(conn); known {
+		return f.now() - received.SinceEstablished
 	}
 	return f.now() - int64(time.Since(since))
 }
--- a/internal/downstream/closes_linux_test.go
+++ b/internal/downstream/closes_linux_test.go
@@ -53,8 +53,8 @@
 	by := &bart.Table[uint16]{}
 	by.Insert(netip.MustParsePrefix("127.0.0.0/8"), 1)
 	limits := keeping(100, time.Hour)
-	limits.Keep = &Keep{By: by, Networks: []idle.Keep{{Fresh: FreshMost, Idle: int64(time.Hour)},
-		{Fresh: FreshMost, Idle: int64(time.Hour), PerClient: 1}}}
+	limits.Keep = &Keep{By: by, Networks: []idle.Policy{{FirstRequestTimeout: FreshMost, IdleTimeout: int64(time.Hour)},
+		{FirstRequestTimeout: FreshMost, IdleTimeout: int64(time.Hour), MaxPerClient: 1}}}
 	f, events := serving(t, limits)
 	kept := dial(t, f)
 	health(t, kept)
@@ -173,7 +173,7 @@
 		c.Write(message(1, "health", 1, "\x00"))
 	}
 	until(t, "none can be resumed", func() bool { return f.postpones() })
-	until(t, "the set has told all it has", func() bool { return !f.lot.Ready() })
+	until(t, "the set has told all it has", func() bool { return !f.lot.HasEvents() })
 	if f.Flushed() {
 		t.Error("flushed with requests unread")
 	}
--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -69,10 +69,10 @@
 	Bytes       int64 // of requests being read and, apart, of answers waiting to be written
 	Cores       float64
 	Seed        uint64
-	Crowded     func() bool   // whether others wait for the core; nil is never
-	Keep        *Keep         // nil: as the platform states it
-	Clock       clock.Clock   // nil: clock.System
-	Calls       *poller.Calls // of the system, for connections that rest; nil: as it has them
+	Crowded     func() bool         // whether others wait for the core; nil is never
+	Keep        *Keep               // nil: as the platform states it
+	Clock       clock.Clock         // nil: clock.System
+	Calls       *poller.SystemCalls // of the system, for connections that rest; nil: as it has them
 }
 
 // Front serves clients on one listener.
@@ -92,10 +92,10 @@
 	crowded bool // connections are at their bound
 	group   sync.WaitGroup
 
-	calls          *poller.Calls
-	lot            *poller.Lot // nil: the system has none
+	calls          *poller.SystemCalls
+	lot            *poller.Poller // nil: the system has none
 	refusesParking atomic.Bool
-	admit          *idle.Admission
+	admit          *idle.AcceptPacer
 	holding        atomic.Int64 // connections that have goroutines
 	waiting        atomic.Int64 // parked connections on which something has come that is not taken in yet
 	refusing       atomic.Int64 // connections beyond the operator's bounds that are told so
@@ -120,7 +120,7 @@
 // New makes a front on a listener; post takes what comes in.
 func New(listener net.Listener, limits Limits, post func(router.Event), log func(string)) *Front {
 	if limits.Keep == nil {
-		limits.Keep = &Keep{Networks: []idle.Keep{{Fresh: FreshMost, Idle: int64(idleMost)}}}
+		limits.Keep = &Keep{Networks: []idle.Policy{{FirstRequestTimeout: FreshMost, IdleTimeout: int64(idleMost)}}}
 	}
 	if limits.Calls == nil {
 		limits.Calls = poller.Kernel
@@ -133,9 +133,9 @@
 	}
 	f := &Front{listener: listener, post: post, log: log, limits: limits, keep: limits.Keep, calls: limits.Calls,
 		reading: semaphore.NewWeighted(max(limits.Bytes, thrift.FrameMost)), clients: map[router.ClientID]*client{},
-		admit: idle.NewAdmission(limits.Cores),
-		table: idle.New(idle.Limits{Connections: limits.Connections, Cores: limits.Cores}, limits.Keep.Networks, limits.Seed)}
-	lot, err := poller.NewOn(f.calls)
+		admit: idle.NewAcceptPacer(limits.Cores),
+		table: idle.NewTable(idle.Limits{MaxConnections: limits.Connections, Cores: limits.Cores}, limits.Keep.Networks, limits.Seed)}
+	lot, err := poller.NewWithSystemCalls(f.calls)
 	if f.lot = lot; err != nil {
 		f.lot = nil
 		f.noParking(err)
@@ -200,10 +200,10 @@
 // take takes a connection in once there is room and the pace lets it; until then it and those behind it wait in the
 // listener's backlog, since then at most, but for those that say nothing, which rest. It tells whether to go on.
 func (f *Front) take(ctx context.Context, conn net.Conn, since time.Time) bool {
-	turn, wait := idle.Waits, int64(0)
+	turn, wait := idle.Defer, int64(0)
 	for {
 		silent := f.parks() && !f.pending(conn)
-		if turn, wait = f.admit.Turn(f.now(), int64(time.Since(since)), f.limits.Crowded(), silent); turn != idle.Waits {
+		if turn, wait = f.admit.Decide(f.now(), int64(time.Since(since)), f.limits.Crowded(), silent); turn != idle.Defer {
 			break
 		}
 		if !pause(ctx, time.Duration(wait)) {
@@ -212,20 +212,20 @@
 		}
 	}
 	for {
-		if idle.Gone(int64(time.Since(since)), f.hungUp(conn)) {
+		if idle.Abandoned(int64(time.Since(since)), f.hungUp(conn)) {
 			f.refuse(ctx, conn) // its client closed while it waited: what it asked for was sent for nobody, seconds later
 			return true
 		}
 		id, generation, v := f.open(conn)
 		switch {
-		case v == idle.Taken && turn == idle.Rests && f.layToRest(conn, id, generation):
+		case v == idle.Admitted && turn == idle.AcceptSuspended && f.layToRest(conn, id, generation):
 			return true
-		case v == idle.Taken:
+		case v == idle.Admitted:
 			c := f.enter(conn, id, generation, false)
 			c.arrivals.begin(f.acceptedSince(conn, since), 0)
 			f.run(ctx, c)
 			return true
-		case v == idle.PerClient || v == idle.PerNetwork:
+		case v == idle.ClientLimitReached || v == idle.NetworkLimitReached:
 			f.refused(v) // a bound of the operator's own, for the one who comes
 			f.refuse(ctx, conn)
 			return true
@@ -260,7 +260,7 @@
 	client, network := f.keep.find(conn.RemoteAddr())
 	f.places.Lock()
 	defer f.places.Unlock()
-	if id, v = f.table.Open(f.now(), client, network); v == idle.Taken {
+	if id, v = f.table.Add(f.now(), client, network); v == idle.Admitted {
 		generation = f.table.Generation(id)
 	}
 	return id, generation, v
@@ -273,7 +273,7 @@
 	f.last++
 	now := time.Now()
 	c := &client{front: f, id: f.last, conn: conn, since: now, used: now, open: map[int32]bool{}, wake: make(chan struct{}, 1),
-		place: id, generation: generation, answered: answered, state: idle.Fresh, arrivals: arrivals{Conn: conn, front: f}}
+		place: id, generation: generation, answered: answered, state: idle.StateNew, arrivals: arrivals{Conn: conn, front: f}}
 	f.clients[c.id] = c
 	f.places.Lock()
 	f.put(id, place{client: c, fd: -1})
@@ -297,11 +297,11 @@
 	f.mu.Unlock()
 	for range roomTries {
 		f.places.Lock()
-		if f.table.All() < f.limits.Connections {
+		if f.table.Len() < f.limits.Connections {
 			f.places.Unlock()
 			return true
 		}
-		id := f.table.Room(f.now(), int64(readingMost))
+		id := f.table.EvictionCandidate(f.now(), int64(readingMost))
 		f.places.Unlock()
 		if id == idle.None {
 			return false
@@ -345,7 +345,7 @@
 func (f *Front) hungUp(conn net.Conn) (up bool) {
 	if c, ok := conn.(syscall.Conn); ok {
 		if raw, err := c.SyscallConn(); err == nil {
-			raw.Control(func(fd uintptr) { up = f.calls.HungUp(int(fd)) })
+			raw.Control(func(fd uintptr) { up = f.calls.PeerClosed(int(fd)) })
 		}
 	}
 	return up
@@ -353,13 +353,13 @@
 
 // pending tells whether something has come on a connection that is not read yet, or may have.
 func (f *Front) pending(conn net.Conn) bool {
-	content := poller.Nothing
+	content := poller.NoData
 	if c, ok := conn.(syscall.Conn); ok {
 		if raw, err := c.SyscallConn(); err == nil {
-			raw.Control(func(fd uintptr) { content = f.calls.Came(int(fd)) })
+			raw.Control(func(fd uintptr) { content = f.calls.Peek(int(fd)) })
 		}
 	}
-	return content == poller.Bytes || content == poller.Unknown
+	return content == poller.Data || content == poller.Undetermined
 }
 
 // Answer writes a final answer to its client, if that is still there. It never waits.
@@ -415,7 +415,7 @@
 			return false
 		}
 	}
-	return f.lot == nil || !f.lot.Ready() && !f.postpones()
+	return f.lot == nil || !f.lot.HasEvents() && !f.postpones()
 }
 
 // client is one connection.
--- a/internal/downstream/idle/check.go
+++ b/internal/downstream/idle/check.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// Bounds are what a process has.
-type Bounds struct {
-	Descriptors int   // in all
-	Links       int   // of them for links to caches
-	Memory      int64 // bytes
+// Resources are what a process has.
+type Resources struct {
+	Descriptors         int   // in all
+	UpstreamConnections int   // of them for links to caches
+	MemoryBytes         int64 // bytes
 }
 
 const (
@@ -16,27 +16,27 @@
 	idleLongest = int64(7 * 24 * 3600e9)
 )
 
-// Connections is how many connections a process may hold.
-func (b Bounds) Connections() int { return max(0, b.Descriptors-b.Links-reserve) }
+// MaxConnections is how many connections a process may hold.
+func (b Resources) MaxConnections() int { return max(0, b.Descriptors-b.UpstreamConnections-reserve) }
 
-// Check tells what keeps connections from being kept as asked: all of them, and networks as in a Table's. The error
-// starts with the place in keeps, -1 for all.
-func (b Bounds) Check(most int, keeps []Keep) (at int, err error) {
-	if most > b.Connections() {
-		return -1, fmt.Errorf("%d connections: %d descriptors less %d for links and %d for the rest leave %d", most, b.Descriptors,
-			b.Links, reserve, b.Connections())
+// Check tells what policies connections from being kept as asked: all of them, and networks as in a Table's. The error
+// starts with the place in policies, -1 for all.
+func (b Resources) Check(maxConnections int, policies []Policy) (at int, err error) {
+	if maxConnections > b.MaxConnections() {
+		return -1, fmt.Errorf("%d connections: %d descriptors less %d for links and %d for the rest leave %d", maxConnections, b.Descriptors,
+			b.UpstreamConnections, reserve, b.MaxConnections())
 	}
-	if need := int64(most) * restBytes; need > int64(restShare*float64(b.Memory)) {
-		return -1, fmt.Errorf("%d connections of %d bytes each take %d KB: %d KB of the memory are for them", most, restBytes,
-			need>>10, int64(restShare*float64(b.Memory))>>10)
+	if need := int64(maxConnections) * restBytes; need > int64(restShare*float64(b.MemoryBytes)) {
+		return -1, fmt.Errorf("%d connections of %d bytes each take %d KB: %d KB of the memory are for them", maxConnections, restBytes,
+			need>>10, int64(restShare*float64(b.MemoryBytes))>>10)
 	}
-	for i, k := range keeps {
+	for i, k := range policies {
 		switch {
-		case k.Most > most:
-			return i, fmt.Errorf("%d connections of a network are more than the %d in all", k.Most, most)
-		case k.PerClient > most:
-			return i, fmt.Errorf("%d connections of a client are more than the %d in all", k.PerClient, most)
-		case k.Idle > idleLongest:
+		case k.MaxConnections > maxConnections:
+			return i, fmt.Errorf("%d connections of a network are more than the %d in all", k.MaxConnections, maxConnections)
+		case k.MaxPerClient > maxConnections:
+			return i, fmt.Errorf("%d connections of a client are more than the %d in all", k.MaxPerClient, maxConnections)
+		case k.IdleTimeout > idleLongest:
 			return i, fmt.Errorf("idle for more than a week")
 		}
 	}
--- a/internal/downstream/idle/table.go
+++ b/internal/downstream/idle/table.go
@@ -22,11 +22,11 @@
 // The states. Fresh has connected and asked for nothing, Busy has something open or unwritten, Reading has sent part of
 // a request at least, Idle has had an answer and nothing since, Closing has had its last answer.
 const (
-	Fresh State = iota
-	Busy
-	Reading
-	Idle
-	Closing
+	StateNew State = iota
+	StateActive
+	StateReading
+	StateIdle
+	StateClosing
 	states
 )
 
@@ -34,19 +34,19 @@
 
 const free State = states
 
-// Keep is how connections of one network are kept.
-type Keep struct {
-	Fresh     int64 // ns from connecting until something must have been asked
-	Idle      int64 // ns for which an idle connection is kept
-	Spread    int64 // ns, at most: by chance so much later, so that those that came together do not all go together
-	Most      int   // connections of the network; 0 is no bound of its own
-	PerClient int   // connections of one client; 0 is no bound
+// Policy is how connections of one network are kept.
+type Policy struct {
+	FirstRequestTimeout int64 // ns from connecting until something must have been asked
+	IdleTimeout         int64 // ns for which an idle connection is kept
+	MaxJitter           int64 // ns, at most: by chance so much later, so that those that came together do not all go together
+	MaxConnections      int   // connections of the network; 0 is no bound of its own
+	MaxPerClient        int   // connections of one client; 0 is no bound
 }
 
 // Limits bound a table.
 type Limits struct {
-	Connections int
-	Cores       float64
+	MaxConnections int
+	Cores          float64
 }
 
 // entry is one connection. Links are places in the table, so the collector has nothing to follow.
@@ -68,31 +68,31 @@
 
 // Table is all connections of a front.
 type Table struct {
-	limits  Limits
-	keeps   []Keep
-	entries []entry
-	unused  ID // first of the free entries, by next
-	lines   [][states]line
-	counts  [states]int
-	all     int
-	each    []int // by network
-	clients map[uint64]int32
-	rng     *rand.Rand
-	pace    Pace
+	limits   Limits
+	policies []Policy
+	entries  []entry
+	unused   ID // first of the free entries, by next
+	lines    [][states]line
+	counts   [states]int
+	all      int
+	each     []int // by network
+	clients  map[uint64]int32
+	rng      *rand.Rand
+	pace     tokenBucket
 }
 
-// New makes a table; the first of the networks is for whoever is in no other.
-func New(limits Limits, keeps []Keep, seed uint64) *Table {
+// NewTable makes a table; the first of the networks is for whoever is in no other.
+func NewTable(limits Limits, policies []Policy, seed uint64) *Table {
 	t := &Table{limits: limits, unused: None, clients: map[uint64]int32{}, rng: rand.New(rand.NewPCG(seed, 0)),
-		pace: Pace{Rate: closesPerCore * part(limits.Cores)}}
-	t.Keep(keeps)
+		pace: tokenBucket{rate: closesPerCore * part(limits.Cores)}}
+	t.SetPolicies(policies)
 	return t
 }
 
-// Keep takes other spans and bounds into force. Spans hold for what becomes idle from now on, bounds for what comes.
-func (t *Table) Keep(keeps []Keep) {
-	t.keeps = keeps
-	for len(t.lines) < len(keeps) {
+// SetPolicies takes other spans and bounds into force. Spans hold for what becomes idle from now on, bounds for what comes.
+func (t *Table) SetPolicies(policies []Policy) {
+	t.policies = policies
+	for len(t.lines) < len(policies) {
 		var fresh [states]line
 		for s := range fresh {
 			fresh[s] = line{first: None, last: None}
@@ -106,25 +106,25 @@
 
 // The verdicts. Full asks for room to be made first; PerClient and PerNetwork are bounds of the one who comes.
 const (
-	Taken Verdict = iota
-	Full
-	PerClient
-	PerNetwork
+	Admitted Verdict = iota
+	TableFull
+	ClientLimitReached
+	NetworkLimitReached
 )
 
-// Open takes a connection in as Fresh. client tells clients apart, as a hash of the address.
-func (t *Table) Open(now int64, client uint64, network uint16) (ID, Verdict) {
-	if int(network) >= len(t.keeps) {
+// Add takes a connection in as StateNew. client tells clients apart, as a hash of the address.
+func (t *Table) Add(now int64, client uint64, network uint16) (ID, Verdict) {
+	if int(network) >= len(t.policies) {
 		network = 0
 	}
-	k := &t.keeps[network]
+	k := &t.policies[network]
 	switch {
-	case k.PerClient > 0 && int(t.clients[client]) >= k.PerClient:
-		return None, PerClient
-	case k.Most > 0 && t.each[network] >= k.Most:
-		return None, PerNetwork
-	case t.all >= t.limits.Connections:
-		return None, Full
+	case k.MaxPerClient > 0 && int(t.clients[client]) >= k.MaxPerClient:
+		return None, ClientLimitReached
+	case k.MaxConnections > 0 && t.each[network] >= k.MaxConnections:
+		return None, NetworkLimitReached
+	case t.all >= t.limits.MaxConnections:
+		return None, TableFull
 	}
 	id := t.unused
 	if id == None {
@@ -134,35 +134,35 @@
 		t.unused = t.entries[id].next
 	}
 	e := &t.entries[id]
-	*e = entry{client: client, generation: e.generation + 1, network: network, since: now, due: now + k.Fresh}
+	*e = entry{client: client, generation: e.generation + 1, network: network, since: now, due: now + k.FirstRequestTimeout}
 	t.clients[client]++
 	t.each[network]++
 	t.all++
-	t.link(id, Fresh)
-	return id, Taken
+	t.link(id, StateNew)
+	return id, Admitted
 }
 
-// Move notes that a connection has got into a state. One that stays Idle is put behind the others again only if it did
+// SetState notes that a connection has got into a state. One that stays Idle is put behind the others again only if it did
 // something in between, which is another state.
-func (t *Table) Move(now int64, id ID, s State) {
+func (t *Table) SetState(now int64, id ID, s State) {
 	e := &t.entries[id]
 	if e.state == s || e.state == free {
 		return
 	}
 	t.unlink(id)
 	e.since, e.due = now, math.MaxInt64
-	if s == Idle {
-		k := &t.keeps[e.network]
-		e.due = now + k.Idle
-		if k.Spread > 0 {
-			e.due += t.rng.Int64N(k.Spread)
+	if s == StateIdle {
+		k := &t.policies[e.network]
+		e.due = now + k.IdleTimeout
+		if k.MaxJitter > 0 {
+			e.due += t.rng.Int64N(k.MaxJitter)
 		}
 	}
 	t.link(id, s)
 }
 
-// Gone takes a connection out.
-func (t *Table) Gone(id ID) {
+// Remove takes a connection out.
+func (t *Table) Remove(id ID) {
 	e := &t.entries[id]
 	if e.state == free {
 		return
@@ -207,20 +207,20 @@
 	t.counts[e.state]--
 }
 
-// Room picks the connection that is to be closed for a new one: one that has had its last answer, else one that has
+// EvictionCandidate picks the connection that is to be closed for a new one: one that has had its last answer, else one that has
 // asked for nothing or not wholly since a while, else the one idle longest, else the oldest that has just come. None if
 // all are busy. settle is how long a request may take to come.
-func (t *Table) Room(now, settle int64) ID {
-	if id := t.oldest(Closing); id != None {
+func (t *Table) EvictionCandidate(now, settle int64) ID {
+	if id := t.oldest(StateClosing); id != None {
 		return id
 	}
-	fresh := t.oldest(Fresh)
-	for _, id := range []ID{fresh, t.oldest(Reading)} {
+	fresh := t.oldest(StateNew)
+	for _, id := range []ID{fresh, t.oldest(StateReading)} {
 		if id != None && now-t.entries[id].since >= settle {
 			return id
 		}
 	}
-	if id := t.oldest(Idle); id != None {
+	if id := t.oldest(StateIdle); id != None {
 		return id
 	}
 	return fresh
@@ -237,16 +237,16 @@
 	return best
 }
 
-// Expired picks a connection whose time is up, if one more may be closed now: closing is paced, and stands back while
+// NextExpired picks a connection whose time is up, if one more may be closed now: closing is paced, and stands back while
 // others wait for answers. The caller closes it, or finds that something has come on it and moves it to Busy; else it
 // is asked for again. When none is, it tells when to come again.
 //
 // Spread makes due times of a line not strictly rise, so one may wait behind another for up to the spread.
-func (t *Table) Expired(now int64, crowded bool) (ID, int64) {
+func (t *Table) NextExpired(now int64, saturated bool) (ID, int64) {
 	next := int64(math.MaxInt64)
 	found := None
 	for i := range t.lines {
-		for _, s := range []State{Fresh, Idle} {
+		for _, s := range []State{StateNew, StateIdle} {
 			id := t.lines[i][s].first
 			if id == None {
 				continue
@@ -260,7 +260,7 @@
 	if found == None {
 		return None, next
 	}
-	if wait := t.pace.Take(now, crowded); wait > 0 {
+	if wait := t.pace.take(now, saturated); wait > 0 {
 		return None, now + wait
 	}
 	return found, now
@@ -272,11 +272,11 @@
 // Generation tells two connections that had one ID apart.
 func (t *Table) Generation(id ID) uint32 { return t.entries[id].generation }
 
-// Since is when a connection got into its state.
-func (t *Table) Since(id ID) int64 { return t.entries[id].since }
+// StateSince is when a connection got into its state.
+func (t *Table) StateSince(id ID) int64 { return t.entries[id].since }
 
-// Count is how many are in a state; All how many there are.
+// Count is how many are in a state.
 func (t *Table) Count(s State) int { return t.counts[s] }
 
-// All is how many there are.
-func (t *Table) All() int { return t.all }
+// Len is how many there are.
+func (t *Table) Len() int { return t.all }
--- a/internal/downstream/local_linux_test.go
+++ b/internal/downstream/local_linux_test.go
@@ -31,7 +31,7 @@
 }
 
 // failingCalls has one call fail with an error as long as it is to; EINTR fails each other call only, as it would not end.
-func failingCalls(call string, errno unix.Errno, now func() bool) *poller.Calls {
+func failingCalls(call string, errno unix.Errno, now func() bool) *poller.SystemCalls {
 	calls, interrupted := *poller.Kernel, atomic.Int64{}
 	fails := func(name string) bool {
 		return (name == call || call == "all") && now() && (errno != unix.EINTR || interrupted.Add(1)%2 == 1)
@@ -66,13 +66,13 @@
 		}
 		return poller.Kernel.Poll(fds, milliseconds)
 	}
-	calls.Connect = func(file *os.File) (net.Conn, error) {
+	calls.FileConn = func(file *os.File) (net.Conn, error) {
 		if fails("connect") || fails("poller") {
 			return nil, errno
 		}
-		return poller.Kernel.Connect(file)
+		return poller.Kernel.FileConn(file)
 	}
-	calls.Polled = func(file *os.File) bool { return !fails("poller") && poller.Kernel.Polled(file) }
+	calls.Pollable = func(file *os.File) bool { return !fails("poller") && poller.Kernel.Pollable(file) }
 	return &calls
 }
 
--- a/internal/downstream/poller/park_linux.go
+++ b/internal/downstream/poller/poller_linux.go
@@ -16,11 +16,11 @@
 	"golang.org/x/sys/unix"
 )
 
-const eventsMost = 128
+const maxEvents = 128
 
-// Lot is one set of parked connections. Park, Close and Resume may be called by several goroutines.
-type Lot struct {
-	calls *Calls
+// Poller is one set of parked connections. Suspend, CloseDescriptor and Resume may be called by several goroutines.
+type Poller struct {
+	calls *SystemCalls
 	file  *os.File // of the readiness set: waited for by Go's own poller, so that no thread hangs in it
 	fd    int
 	busy  atomic.Bool // what Wait gave is being seen to
@@ -29,11 +29,11 @@
 	files map[int]*os.File // of descriptors that could not be resumed: as long as there is one it alone may close the descriptor
 }
 
-// New makes a lot.
-func New() (*Lot, error) { return NewOn(Kernel) }
+// New makes a poller.
+func New() (*Poller, error) { return NewWithSystemCalls(Kernel) }
 
-// NewOn makes a lot that makes its calls as it is told.
-func NewOn(calls *Calls) (*Lot, error) {
+// NewWithSystemCalls makes a poller that makes its calls as it is told.
+func NewWithSystemCalls(calls *SystemCalls) (*Poller, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, err
@@ -42,12 +42,12 @@
 		unix.Close(fd)
 		return nil, err
 	}
-	return &Lot{calls: calls, file: os.NewFile(uintptr(fd), "epoll"), fd: fd, files: map[int]*os.File{}}, nil
+	return &Poller{calls: calls, file: os.NewFile(uintptr(fd), "epoll"), fd: fd, files: map[int]*os.File{}}, nil
 }
 
-// Park takes a connection's descriptor and closes the connection; key comes back with what comes on it, at once if
+// Suspend takes a connection's descriptor and closes the connection; key comes back with what comes on it, at once if
 // something has come already. From then on the caller owns the descriptor. With an error the connection is as it was.
-func (l *Lot) Park(conn net.Conn, key uint64) (fd int, err error) {
+func (p *Poller) Suspend(conn net.Conn, key uint64) (fd int, err error) {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0, errors.New("no descriptor to park")
@@ -57,14 +57,14 @@
 		return 0, err
 	}
 	fd = -1
-	if err := raw.Control(func(own uintptr) { fd, err = l.calls.Duplicate(int(own)) }); err != nil {
+	if err := raw.Control(func(own uintptr) { fd, err = p.calls.Duplicate(int(own)) }); err != nil {
 		return 0, err
 	}
 	if err != nil {
 		return 0, err
 	}
 	// Before the connection is closed: where the system refuses, it stays as it was.
-	if err := l.add(fd, key); err != nil {
+	if err := p.add(fd, key); err != nil {
 		unix.Close(fd)
 		return 0, err
 	}
@@ -74,8 +74,8 @@
 	return fd, nil
 }
 
-// Watch tells when something comes on a connection that stays one: the way that docs/idle.md weighs against Park.
-func (l *Lot) Watch(conn net.Conn, key uint64) error {
+// Watch tells when something comes on a connection that stays one: the way that docs/idle.md weighs against Suspend.
+func (p *Poller) Watch(conn net.Conn, key uint64) error {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
 		return errors.New("no descriptor to watch")
@@ -85,35 +85,35 @@
 		return err
 	}
 	var failed error
-	err = raw.Control(func(fd uintptr) { failed = l.add(int(fd), key) })
+	err = raw.Control(func(fd uintptr) { failed = p.add(int(fd), key) })
 	return errors.Join(err, failed)
 }
 
 // add has a descriptor told once.
-func (l *Lot) add(fd int, key uint64) error {
+func (p *Poller) add(fd int, key uint64) error {
 	event := unix.EpollEvent{Events: unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLONESHOT, Fd: int32(uint32(key)), Pad: int32(uint32(key >> 32))}
-	err := l.calls.EpollCtl(l.fd, unix.EPOLL_CTL_ADD, fd, &event)
+	err := p.calls.EpollCtl(p.fd, unix.EPOLL_CTL_ADD, fd, &event)
 	if errors.Is(err, unix.EEXIST) { // left from one that had its number, where taking that out failed
-		err = l.calls.EpollCtl(l.fd, unix.EPOLL_CTL_MOD, fd, &event)
+		err = p.calls.EpollCtl(p.fd, unix.EPOLL_CTL_MOD, fd, &event)
 	}
 	return err
 }
 
 // Wait waits until something has come on parked connections and gives their keys, each once. The slice is good until
 // the next call.
-func (l *Lot) Wait(ctx context.Context, keys []uint64) ([]uint64, error) {
-	stop := context.AfterFunc(ctx, func() { l.file.Close() })
+func (p *Poller) Wait(ctx context.Context, keys []uint64) ([]uint64, error) {
+	stop := context.AfterFunc(ctx, func() { p.file.Close() })
 	defer stop()
-	raw, err := l.file.SyscallConn()
+	raw, err := p.file.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	var events [eventsMost]unix.EpollEvent
+	var events [maxEvents]unix.EpollEvent
 	keys = keys[:0]
 	var failed error
 	err = raw.Read(func(fd uintptr) bool {
-		l.busy.Store(true) // before it is known, so that there is no moment in which something has come unseen
-		n, err := uninterrupted(func() (int, error) { return l.calls.EpollWait(int(fd), events[:], 0) })
+		p.busy.Store(true) // before it is known, so that there is no moment in which something has come unseen
+		n, err := uninterrupted(func() (int, error) { return p.calls.EpollWait(int(fd), events[:], 0) })
 		if err != nil {
 			failed = err
 			return true
@@ -122,61 +122,61 @@
 			keys = append(keys, uint64(uint32(e.Fd))|uint64(uint32(e.Pad))<<32)
 		}
 		if n <= 0 {
-			l.busy.Store(false)
+			p.busy.Store(false)
 		}
 		return n > 0
 	})
 	return keys, errors.Join(err, failed)
 }
 
-// Ready tells whether something has come on a parked connection that is not seen to: what Wait gave is, once it is called
+// HasEvents tells whether something has come on a parked connection that is not seen to: what Wait gave is, once it is called
 // again.
-func (l *Lot) Ready() bool {
-	if l.busy.Load() {
+func (p *Poller) HasEvents() bool {
+	if p.busy.Load() {
 		return true
 	}
-	return l.calls.Readable(l.fd)
+	return p.calls.Readable(p.fd)
 }
 
 // Resume makes a connection of a parked descriptor again. With an error the descriptor is the caller's as before, but nothing is told
 // of it any more: it is to be resumed later, or closed.
-func (l *Lot) Resume(fd int) (net.Conn, error) {
+func (p *Poller) Resume(fd int) (net.Conn, error) {
 	// Closing does not take it out of the set, as the socket lives on by another descriptor: parked again under the same
 	// number it was refused as known, and one in nine idle connections was closed at its second rest.
-	l.Forget(fd)
-	l.mu.Lock()
-	file := l.files[fd]
-	delete(l.files, fd)
-	l.mu.Unlock()
+	p.Remove(fd)
+	p.mu.Lock()
+	file := p.files[fd]
+	delete(p.files, fd)
+	p.mu.Unlock()
 	if file == nil {
 		file = os.NewFile(uintptr(fd), "")
 	}
 	if file == nil {
 		return nil, fmt.Errorf("descriptor %d", fd)
 	}
-	conn, err := l.calls.Connect(file)
+	conn, err := p.calls.FileConn(file)
 	switch {
 	case err == nil:
 		file.Close()
 		return conn, nil
-	case l.calls.Polled(file):
+	case p.calls.Pollable(file):
 		return fileConn{file}, nil
 	}
-	l.mu.Lock()
-	l.files[fd] = file
-	l.mu.Unlock()
+	p.mu.Lock()
+	p.files[fd] = file
+	p.mu.Unlock()
 	return nil, err
 }
 
-// Forget takes a descriptor out of the set: nothing is told of it any more. Where it is not in it nothing is to be done.
-func (l *Lot) Forget(fd int) { l.calls.EpollCtl(l.fd, unix.EPOLL_CTL_DEL, fd, nil) }
+// Remove takes a descriptor out of the set: nothing is told of it any more. Where it is not in it nothing is to be done.
+func (p *Poller) Remove(fd int) { p.calls.EpollCtl(p.fd, unix.EPOLL_CTL_DEL, fd, nil) }
 
-// Close closes a parked connection. What close(2) says is not heeded: the descriptor is free either way.
-func (l *Lot) Close(fd int) {
-	l.mu.Lock()
-	file := l.files[fd]
-	delete(l.files, fd)
-	l.mu.Unlock()
+// CloseDescriptor closes a parked connection. What close(2) says is not heeded: the descriptor is free either way.
+func (p *Poller) CloseDescriptor(fd int) {
+	p.mu.Lock()
+	file := p.files[fd]
+	delete(p.files, fd)
+	p.mu.Unlock()
 	if file != nil {
 		file.Close()
 		return
--- a/internal/downstream/poller/poller_test.go
+++ b/internal/downstream/poller/poller_test.go
@@ -31,7 +31,7 @@
 	ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 	defer stop()
 	for _, early := range []bool{true, false} { // something came before it rested, or after
-		lot, err := New()
+		poller, err := New()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -41,7 +41,7 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		const key = 1<<63 | 7
-		fd, err := lot.Park(server, key)
+		fd, err := poller.Suspend(server, key)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,19 +49,19 @@
 			t.Error("the connection is still one")
 		}
 		if !early {
-			if lot.Ready() {
+			if poller.HasEvents() {
 				t.Error("ready, though nothing came")
 			}
 			client.Write([]byte("abc"))
 		}
-		keys, err := lot.Wait(ctx, nil)
-		if err != nil || len(keys) != 1 || keys[0] != key || !lot.Ready() {
+		keys, err := poller.Wait(ctx, nil)
+		if err != nil || len(keys) != 1 || keys[0] != key || !poller.HasEvents() {
 			t.Fatalf("%x, %v", keys, err)
 		}
-		if content := Kernel.Came(fd); content != Bytes {
+		if content := Kernel.Peek(fd); content != Data {
 			t.Errorf("content %d", content)
 		}
-		again, err := lot.Resume(fd)
+		again, err := poller.Resume(fd)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -77,19 +77,19 @@
 		}
 		again.Close()
 	}
-	if Kernel.Came(-1) != Ended {
+	if Kernel.Peek(-1) != EndOfStream {
 		t.Error("a descriptor that is none is taken for a connection")
 	}
-	lot, err := New()
+	poller, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := lot.Resume(-1); err == nil {
+	if _, err := poller.Resume(-1); err == nil {
 		t.Error("a descriptor that is none was resumed")
 	}
 	short, stop2 := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer stop2()
-	if _, err := lot.Wait(short, nil); err == nil {
+	if _, err := poller.Wait(short, nil); err == nil {
 		t.Error("it waits without end")
 	}
 }
--- a/internal/downstream/poller/calls_linux.go
+++ b/internal/downstream/poller/systemcalls_linux.go
@@ -11,19 +11,19 @@
 	"tealpath/internal/neterr"
 )
 
-// Calls are the calls of the system that resting connections take. Tests put errors in their place.
-type Calls struct {
+// SystemCalls are the calls of the system that resting connections take. Tests put errors in their place.
+type SystemCalls struct {
 	Duplicate func(fd int) (int, error)
 	EpollCtl  func(set, operation, fd int, event *unix.EpollEvent) error
 	EpollWait func(set int, events []unix.EpollEvent, milliseconds int) (int, error)
 	Receive   func(fd int, p []byte, flags int) (int, error)
 	Poll      func(fds []unix.PollFd, milliseconds int) (int, error)
-	Connect   func(file *os.File) (net.Conn, error) // a connection of a duplicate of a socket's descriptor
-	Polled    func(file *os.File) bool              // whether the runtime's own poller has taken the file
+	FileConn  func(file *os.File) (net.Conn, error) // a connection of a duplicate of a socket's descriptor
+	Pollable  func(file *os.File) bool              // whether the runtime's own poller has taken the file
 }
 
 // Kernel is the calls as the system has them.
-var Kernel = &Calls{
+var Kernel = &SystemCalls{
 	Duplicate: func(fd int) (int, error) { return unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0) },
 	EpollCtl:  unix.EpollCtl,
 	EpollWait: unix.EpollWait,
@@ -31,9 +31,9 @@
 		n, _, err := unix.Recvfrom(fd, p, flags)
 		return n, err
 	},
-	Poll:    unix.Poll,
-	Connect: net.FileConn,
-	Polled:  func(file *os.File) bool { return file.SetDeadline(time.Time{}) == nil },
+	Poll:     unix.Poll,
+	FileConn: net.FileConn,
+	Pollable: func(file *os.File) bool { return file.SetDeadline(time.Time{}) == nil },
 }
 
 // uninterrupted makes a call again for as long as signals interrupt it.
@@ -46,30 +46,30 @@
 	}
 }
 
-// Came tells what is on a descriptor.
-func (c *Calls) Came(fd int) Content {
+// Peek tells what is on a descriptor.
+func (c *SystemCalls) Peek(fd int) PeekResult {
 	var one [1]byte
 	n, err := uninterrupted(func() (int, error) { return c.Receive(fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT) })
 	switch {
 	case err == nil && n == 0:
-		return Ended
+		return EndOfStream
 	case err == nil:
-		return Bytes
+		return Data
 	case errors.Is(err, unix.EAGAIN):
-		return Nothing
+		return NoData
 	case neterr.IsEnd(err):
-		return Ended
+		return EndOfStream
 	}
-	return Unknown
+	return Undetermined
 }
 
-// drainMost is how much is read of what nobody waits for, at a time.
-const drainMost = 32 << 10
+// maxDiscard is how much is read of what nobody waits for, at a time.
+const maxDiscard = 32 << 10
 
-// Drain reads and throws away what has come on a descriptor, some of it at a time, and tells whether the other side has ended.
-func (c *Calls) Drain(fd int) (ended bool) {
+// Discard reads and throws away what has come on a descriptor, some of it at a time, and tells whether the other side has ended.
+func (c *SystemCalls) Discard(fd int) (ended bool) {
 	buffer := make([]byte, 4<<10)
-	for range drainMost / len(buffer) {
+	for range maxDiscard / len(buffer) {
 		n, err := uninterrupted(func() (int, error) { return c.Receive(fd, buffer, unix.MSG_DONTWAIT) })
 		switch {
 		case err != nil:
@@ -82,18 +82,18 @@
 }
 
 // Readable tells whether a descriptor can be read from, or a listener accepted from, or whether that can't be told.
-func (c *Calls) Readable(fd int) bool {
+func (c *SystemCalls) Readable(fd int) bool {
 	n, err := uninterrupted(func() (int, error) { return c.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0) })
 	return err != nil || n > 0
 }
 
-// HungUp tells whether the other side of a descriptor is known to have closed, be it behind bytes that are not read yet.
-func (c *Calls) HungUp(fd int) bool {
+// PeerClosed tells whether the other side of a descriptor is known to have closed, be it behind bytes that are not read yet.
+func (c *SystemCalls) PeerClosed(fd int) bool {
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := uninterrupted(func() (int, error) { return c.Poll(polled, 0) })
 	return err == nil && n > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// Shut half-closes a parked connection: its other side sees the end and may still be read from. Where that fails, as the other
+// CloseWrite half-closes a parked connection: its other side sees the end and may still be read from. Where that fails, as the other
 // side has gone, there is nobody to be told.
-func Shut(fd int) { unix.Shutdown(fd, unix.SHUT_WR) }
+func CloseWrite(fd int) { unix.Shutdown(fd, unix.SHUT_WR) }
--- a/internal/downstream/poller/calls_test.go
+++ b/internal/downstream/poller/systemcalls_test.go
@@ -15,7 +15,7 @@
 
 // failing is the calls of the system, of which each can be made to fail with an error so many times.
 type failing struct {
-	Calls
+	SystemCalls
 	fault     error
 	duplicate int
 	control   int
@@ -34,7 +34,7 @@
 
 func newFailing(fault error) *failing {
 	f := &failing{fault: fault}
-	f.Calls = Calls{
+	f.SystemCalls = SystemCalls{
 		Duplicate: func(fd int) (int, error) {
 			if fails(&f.duplicate) {
 				return -1, f.fault
@@ -65,13 +65,13 @@
 			}
 			return Kernel.Poll(fds, milliseconds)
 		},
-		Connect: func(file *os.File) (net.Conn, error) {
+		FileConn: func(file *os.File) (net.Conn, error) {
 			if fails(&f.connect) {
 				return nil, f.fault
 			}
-			return Kernel.Connect(file)
+			return Kernel.FileConn(file)
 		},
-		Polled: func(file *os.File) bool { return !fails(&f.unpolled) && Kernel.Polled(file) },
+		Pollable: func(file *os.File) bool { return !fails(&f.unpolled) && Kernel.Pollable(file) },
 	}
 	return f
 }
@@ -89,20 +89,20 @@
 
 // Only what proves that the connection is over counts as its end.
 func TestContentByError(t *testing.T) {
-	for errno, want := range map[unix.Errno]Content{unix.EAGAIN: Nothing, unix.EINTR: Bytes, unix.ENOMEM: Unknown, unix.ENOBUFS: Unknown,
-		unix.EIO: Unknown, unix.EINVAL: Unknown, unix.EFAULT: Unknown, unix.EPERM: Unknown, unix.ECONNRESET: Ended, unix.ETIMEDOUT: Ended,
-		unix.EPIPE: Ended, unix.ENOTCONN: Ended, unix.ECONNREFUSED: Ended, unix.EHOSTUNREACH: Ended, unix.ENETUNREACH: Ended,
-		unix.EBADF: Ended, unix.ENOTSOCK: Ended} {
+	for errno, want := range map[unix.Errno]PeekResult{unix.EAGAIN: NoData, unix.EINTR: Data, unix.ENOMEM: Undetermined, unix.ENOBUFS: Undetermined,
+		unix.EIO: Undetermined, unix.EINVAL: Undetermined, unix.EFAULT: Undetermined, unix.EPERM: Undetermined, unix.ECONNRESET: EndOfStream, unix.ETIMEDOUT: EndOfStream,
+		unix.EPIPE: EndOfStream, unix.ENOTCONN: EndOfStream, unix.ECONNREFUSED: EndOfStream, unix.EHOSTUNREACH: EndOfStream, unix.ENETUNREACH: EndOfStream,
+		unix.EBADF: EndOfStream, unix.ENOTSOCK: EndOfStream} {
 		client, server := pair(t)
 		client.Write([]byte("abc"))
 		time.Sleep(5 * time.Millisecond)
 		calls := newFailing(errno)
 		calls.receive = 1
-		if got := calls.Came(descriptor(t, server)); got != want {
+		if got := calls.Peek(descriptor(t, server)); got != want {
 			t.Errorf("%v: content %d, want %d", errno, got, want)
 		}
 		calls.receive = 1
-		if ended := calls.Drain(descriptor(t, server)); ended != (want == Ended) {
+		if ended := calls.Discard(descriptor(t, server)); ended != (want == EndOfStream) {
 			t.Errorf("%v: drained to its end: %v", errno, ended)
 		}
 	}
@@ -115,7 +115,7 @@
 		client.Close()
 		calls := newFailing(errno)
 		calls.poll = 2
-		if !calls.Readable(descriptor(t, server)) || calls.HungUp(descriptor(t, server)) {
+		if !calls.Readable(descriptor(t, server)) || calls.PeerClosed(descriptor(t, server)) {
 			t.Errorf("%v: taken for an answer", errno)
 		}
 	}
@@ -131,20 +131,20 @@
 func TestResumeWithoutASecondDescriptor(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.ENOBUFS, unix.ENOSPC, unix.EINVAL} {
 		calls := newFailing(errno)
-		lot, err := NewOn(&calls.Calls)
+		poller, err := NewWithSystemCalls(&calls.SystemCalls)
 		if err != nil {
 			t.Fatal(err)
 		}
 		client, server := pair(t)
 		client.SetDeadline(time.Now().Add(5 * time.Second))
 		for range 2 { // parked again it is like any other
-			fd, err := lot.Park(server, 1)
+			fd, err := poller.Suspend(server, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
 			client.Write([]byte("abc"))
 			calls.connect = 1
-			if server, err = lot.Resume(fd); err != nil {
+			if server, err = poller.Resume(fd); err != nil {
 				t.Fatalf("%v: %v", errno, err)
 			}
 			if _, ok := server.(fileConn); !ok {
@@ -185,27 +185,27 @@
 func TestResumeLater(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENOMEM, unix.ENOSPC} {
 		calls := newFailing(errno)
-		lot, err := NewOn(&calls.Calls)
+		poller, err := NewWithSystemCalls(&calls.SystemCalls)
 		if err != nil {
 			t.Fatal(err)
 		}
 		client, server := pair(t)
 		client.SetDeadline(time.Now().Add(5 * time.Second))
-		fd, err := lot.Park(server, 1)
+		fd, err := poller.Suspend(server, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		client.Write([]byte("abc"))
 		calls.connect, calls.unpolled = 3, 3
 		for range 3 {
-			if _, err := lot.Resume(fd); !errors.Is(err, errno) {
+			if _, err := poller.Resume(fd); !errors.Is(err, errno) {
 				t.Fatalf("%v: %v", errno, err)
 			}
-			if calls.Came(fd) != Bytes {
+			if calls.Peek(fd) != Data {
 				t.Errorf("%v: its request is lost", errno)
 			}
 		}
-		again, err := lot.Resume(fd)
+		again, err := poller.Resume(fd)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -213,14 +213,14 @@
 		if _, err := io.ReadFull(again, got); err != nil || string(got) != "abc" {
 			t.Errorf("%q, %v", got, err)
 		}
-		if fd, err = lot.Park(again, 2); err != nil {
+		if fd, err = poller.Suspend(again, 2); err != nil {
 			t.Fatal(err)
 		}
 		calls.connect, calls.unpolled = 1, 1
-		if _, err := lot.Resume(fd); err == nil {
+		if _, err := poller.Resume(fd); err == nil {
 			t.Fatal("the case is not one")
 		}
-		lot.Close(fd)
+		poller.CloseDescriptor(fd)
 		if rest, err := io.ReadAll(client); err != nil || len(rest) > 0 {
 			t.Errorf("closed instead: %q, %v", rest, err)
 		}
@@ -232,7 +232,7 @@
 	for _, errno := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.ENOSPC, unix.EINVAL} {
 		for _, call := range []string{"fcntl", "epoll_ctl"} {
 			calls := newFailing(errno)
-			lot, err := NewOn(&calls.Calls)
+			poller, err := NewWithSystemCalls(&calls.SystemCalls)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -242,18 +242,18 @@
 			} else {
 				calls.control = 1
 			}
-			if _, err := lot.Park(server, 1); !errors.Is(err, errno) {
+			if _, err := poller.Suspend(server, 1); !errors.Is(err, errno) {
 				t.Fatalf("%s %v: %v", call, errno, err)
 			}
 			client.Write([]byte("a"))
 			if _, err := server.Read(make([]byte, 1)); err != nil {
 				t.Errorf("%s %v: it is no connection any more: %v", call, errno, err)
 			}
-			fd, err := lot.Park(server, 1)
+			fd, err := poller.Suspend(server, 1)
 			if err != nil {
 				t.Fatalf("%s %v: %v", call, errno, err)
 			}
-			lot.Close(fd)
+			poller.CloseDescriptor(fd)
 		}
 	}
 }
@@ -261,57 +261,57 @@
 // A number that could not be taken out of the set is told of under its new key.
 func TestParkUnderANumberThatStayedInTheSet(t *testing.T) {
 	calls := newFailing(unix.ENOMEM)
-	lot, err := NewOn(&calls.Calls)
+	poller, err := NewWithSystemCalls(&calls.SystemCalls)
 	if err != nil {
 		t.Fatal(err)
 	}
 	client, server := pair(t)
-	fd, err := lot.Park(server, 1)
+	fd, err := poller.Suspend(server, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	calls.control = 1 // taking it out
-	again, err := lot.Resume(fd)
+	again, err := poller.Resume(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	next, err := lot.Park(again, 2)
+	next, err := poller.Suspend(again, 2)
 	if err != nil || next != fd {
 		t.Fatalf("%v, descriptor %d after %d", err, next, fd)
 	}
 	client.Write([]byte("a"))
-	if keys, err := lot.Wait(t.Context(), nil); err != nil || len(keys) != 1 || keys[0] != 2 {
+	if keys, err := poller.Wait(t.Context(), nil); err != nil || len(keys) != 1 || keys[0] != 2 {
 		t.Errorf("%v, %v", keys, err)
 	}
-	lot.Close(next)
+	poller.CloseDescriptor(next)
 }
 
 // A wait that is interrupted, or fails for a moment, loses nothing of what it had to tell.
 func TestWaitErrors(t *testing.T) {
 	for _, errno := range []unix.Errno{unix.EINTR, unix.ENOMEM} {
 		calls := newFailing(errno)
-		lot, err := NewOn(&calls.Calls)
+		poller, err := NewWithSystemCalls(&calls.SystemCalls)
 		if err != nil {
 			t.Fatal(err)
 		}
 		client, server := pair(t)
-		fd, err := lot.Park(server, 7)
+		fd, err := poller.Suspend(server, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
 		client.Write([]byte("a"))
 		time.Sleep(5 * time.Millisecond)
 		calls.wait = 2
-		keys, err := lot.Wait(t.Context(), nil)
+		keys, err := poller.Wait(t.Context(), nil)
 		for tries := 0; err != nil && tries < 2; tries++ {
 			if !errors.Is(err, errno) || errno == unix.EINTR {
 				t.Fatal(err)
 			}
-			keys, err = lot.Wait(t.Context(), nil)
+			keys, err = poller.Wait(t.Context(), nil)
 		}
 		if err != nil || len(keys) != 1 || keys[0] != 7 {
 			t.Errorf("%v: %v, %v", errno, keys, err)
 		}
-		lot.Close(fd)
+		poller.CloseDescriptor(fd)
 	}
 }
--- a/internal/downstream/poller/received_test.go
+++ b/internal/downstream/poller/tcpstats_test.go
@@ -34,19 +34,19 @@
 			t.Errorf("%s %v, want %v", what, d, want)
 		}
 	}
-	got, ok := ReceivedOn(ours)
+	got, ok := ReadTCPStats(ours)
 	if !ok || got.Segments != 1 {
 		t.Errorf("%+v, %v: one segment has come", got, ok)
 	}
-	near("since the last", got.Last, step)
-	near("since it stood", got.Stood, 2*step)
+	near("since the last", got.SinceLastData, step)
+	near("since it stood", got.SinceEstablished, 2*step)
 	theirs.Write([]byte("two"))
 	time.Sleep(step / 10)
-	if got, _ = ReceivedOn(ours); got.Segments != 2 {
+	if got, _ = ReadTCPStats(ours); got.Segments != 2 {
 		t.Errorf("%+v: two have come", got)
 	}
-	near("since the last", got.Last, step/10)
-	if _, ok := ReceivedOn(nil); ok {
+	near("since the last", got.SinceLastData, step/10)
+	if _, ok := ReadTCPStats(nil); ok {
 		t.Error("told of what is no connection")
 	}
 }
--- a/internal/downstream/rest.go
+++ b/internal/downstream/rest.go
@@ -20,7 +20,7 @@
 
 // Keep is how connections are kept by their clients' networks.
 type Keep struct {
-	Networks []idle.Keep         // the first is for whoever is in no other
+	Networks []idle.Policy       // the first is for whoever is in no other
 	By       *bart.Table[uint16] // places in Networks; nil is none
 }
 
@@ -61,16 +61,16 @@
 
 // settle tells the table what has become of a connection; the client is locked.
 func (c *client) settle() {
-	s := idle.Fresh
+	s := idle.StateNew
 	switch {
 	case c.lingering:
-		s = idle.Closing
+		s = idle.StateClosing
 	case len(c.open) > 0 || len(c.queue) > 0 || c.writing:
-		s = idle.Busy
+		s = idle.StateActive
 	case c.reading:
-		s = idle.Reading
+		s = idle.StateReading
 	case c.answered:
-		s = idle.Idle
+		s = idle.StateIdle
 	}
 	if s == c.state || c.gone {
 		return
@@ -79,7 +79,7 @@
 	c.front.places.Lock()
 	defer c.front.places.Unlock()
 	if c.front.holds(c.place, c.generation) {
-		c.front.table.Move(c.front.now(), c.place, s)
+		c.front.table.SetState(c.front.now(), c.place, s)
 	}
 }
 
@@ -92,7 +92,7 @@
 func (f *Front) all() int {
 	f.places.Lock()
 	defer f.places.Unlock()
-	return f.table.All()
+	return f.table.Len()
 }
 
 // rest says what an idle connection is to do whose reader has waited long enough: park, go on waiting, or end.
@@ -158,7 +158,7 @@
 		return false // it has made room
 	}
 	// Within the lock: what comes at once finds the place ready.
-	fd, err := f.lot.Park(c.conn, key(c.place, c.generation))
+	fd, err := f.lot.Suspend(c.conn, key(c.place, c.generation))
 	if err != nil {
 		f.notParked(err)
 		return false
@@ -172,7 +172,7 @@
 func (f *Front) layToRest(conn net.Conn, id idle.ID, generation uint32) bool {
 	f.places.Lock()
 	defer f.places.Unlock()
-	fd, err := f.lot.Park(conn, key(id, generation))
+	fd, err := f.lot.Suspend(conn, key(id, generation))
 	if err != nil {
 		f.notParked(err)
 		return false
@@ -190,7 +190,7 @@
 	defer f.places.Unlock()
 	if f.holds(c.place, c.generation) {
 		f.at[c.place] = place{fd: -1}
-		f.table.Gone(c.place)
+		f.table.Remove(c.place)
 	}
 }
 
@@ -203,11 +203,11 @@
 		if fd < 0 {
 			return false
 		}
-		switch f.calls.Came(fd) {
-		case poller.Bytes: // in this very instant: the lot tells of it, and it is answered
-			f.table.Move(f.now(), id, idle.Busy)
+		switch f.calls.Peek(fd) {
+		case poller.Data: // in this very instant: the lot tells of it, and it is answered
+			f.table.SetState(f.now(), id, idle.StateActive)
 			return false
-		case poller.Unknown: // its reader will find out
+		case poller.Undetermined: // its reader will find out
 			f.postpone(id, wakeUp{key: key(id, f.table.Generation(id)), since: time.Now()})
 			return false
 		}
@@ -225,7 +225,7 @@
 	defer f.places.Unlock()
 	if f.holds(c.place, c.generation) && f.at[id].client == c {
 		f.at[id] = place{fd: -1}
-		f.table.Gone(id)
+		f.table.Remove(id)
 	}
 	return true
 }
@@ -242,11 +242,11 @@
 func (f *Front) shutParked(id idle.ID) {
 	fd := int(f.at[id].fd)
 	f.at[id] = place{fd: -1}
-	f.table.Gone(id)
-	f.lot.Forget(fd)
-	poller.Shut(fd)
+	f.table.Remove(id)
+	f.lot.Remove(fd)
+	poller.CloseWrite(fd)
 	if len(f.closing) > f.limits.Connections/closingPart {
-		f.lot.Close(f.closing[0].fd)
+		f.lot.CloseDescriptor(f.closing[0].fd)
 		f.closing = f.closing[1:]
 	}
 	f.closing = append(f.closing, closing{fd, time.Now().Add(shutMost)})
@@ -261,9 +261,9 @@
 	defer f.places.Unlock()
 	now := time.Now()
 	f.closing = slices.DeleteFunc(f.closing, func(c closing) bool {
-		over := f.calls.Drain(c.fd) || now.After(c.until)
+		over := f.calls.Discard(c.fd) || now.After(c.until)
 		if over {
-			f.lot.Close(c.fd)
+			f.lot.CloseDescriptor(c.fd)
 		}
 		return over
 	})
@@ -287,7 +287,7 @@
 	f.places.Lock()
 	for id := range f.at {
 		if f.at[id].fd >= 0 {
-			if content := f.calls.Came(int(f.at[id].fd)); content == poller.Nothing || content == poller.Ended {
+			if content := f.calls.Peek(int(f.at[id].fd)); content == poller.NoData || content == poller.EndOfStream {
 				f.shutParked(idle.ID(id))
 			}
 		}
@@ -304,7 +304,7 @@
 	}
 	f.places.Lock()
 	defer f.places.Unlock()
-	return open + f.table.All() + len(f.closing) + int(f.refusing.Load())
+	return open + f.table.Len() + len(f.closing) + int(f.refusing.Load())
 }
 
 // backlog tells whether a connection waits to be accepted.
@@ -340,8 +340,8 @@
 	f.places.Lock()
 	defer f.places.Unlock()
 	t := f.table
-	return Counts{All: t.All(), Fresh: t.Count(idle.Fresh), Busy: t.Count(idle.Busy), Reading: t.Count(idle.Reading),
-		Idle: t.Count(idle.Idle), Closing: t.Count(idle.Closing), Parked: max(0, t.All()-active), Waiting: int(f.waiting.Load())}
+	return Counts{All: t.Len(), Fresh: t.Count(idle.StateNew), Busy: t.Count(idle.StateActive), Reading: t.Count(idle.StateReading),
+		Idle: t.Count(idle.StateIdle), Closing: t.Count(idle.StateClosing), Parked: max(0, t.Len()-active), Waiting: int(f.waiting.Load())}
 }
 
 // wakeUp is a parked connection that is to be resumed, and since when something may have been there to be read.
@@ -352,7 +352,7 @@
 
 // postpone keeps a parked connection for the next try; places are locked. What it is owed stays owed.
 func (f *Front) postpone(id idle.ID, w wakeUp) {
-	f.table.Move(f.now(), id, idle.Busy)
+	f.table.SetState(f.now(), id, idle.StateActive)
 	f.postponed = append(f.postponed, w)
 }
 
@@ -403,7 +403,7 @@
 		for {
 			f.heart.beat(f.now())
 			f.places.Lock()
-			id, next := f.table.Expired(f.now(), f.limits.Crowded())
+			id, next := f.table.NextExpired(f.now(), f.limits.Crowded())
 			f.places.Unlock()
 			if id == idle.None {
 				wait = max(min(janitorLongest, time.Duration(next-f.now())), time.Millisecond)
@@ -421,8 +421,8 @@
 
 // watch makes connections of parked ones on which something has come, so many at a time as the memory bears.
 func (f *Front) watch(ctx context.Context) {
-	most, pace := idle.WakeMost(f.limits.Bytes), idle.NewWaking(f.limits.Cores)
-	endings := idle.NewEnding(f.limits.Cores)
+	most, pace := idle.MaxActive(f.limits.Bytes), idle.NewWakePacer(f.limits.Cores)
+	endings := idle.NewClosePacer(f.limits.Cores)
 	var keys, asking, ended []uint64
 	drained := time.Now() // when it was last known that all on which something had come was given
 	for {
@@ -436,7 +436,7 @@
 			since = returned.Add(time.Duration(f.heart.woken(now) - now))
 			drained = since
 		}
-		if len(keys) < poller.EventsMost {
+		if len(keys) < poller.MaxEvents {
 			drained = returned
 		}
 		if err != nil {
@@ -467,7 +467,7 @@
 }
 
 // wake sees to parked connections at a pace, unless the context ends.
-func (f *Front) wake(ctx context.Context, keys []uint64, pace *idle.Admission, most int, since time.Time) bool {
+func (f *Front) wake(ctx context.Context, keys []uint64, pace *idle.Pacer, most int, since time.Time) bool {
 	for _, key := range keys {
 		for {
 			wait := time.Duration(pace.Wait(f.now(), f.limits.Crowded()))
@@ -478,7 +478,7 @@
 				return false
 			}
 		}
-		for tries := 0; f.active() >= most && tries < idle.WakeTries; tries++ {
+		for tries := 0; f.active() >= most && tries < idle.MaxWakeDelayMS; tries++ {
 			if !pause(ctx, time.Millisecond) {
 				return false
 			}
@@ -497,12 +497,12 @@
 	if int(id) >= len(f.at) || !f.holds(id, generation) || f.at[id].fd < 0 {
 		return false
 	}
-	return f.calls.Came(int(f.at[id].fd)) == poller.Bytes
+	return f.calls.Peek(int(f.at[id].fd)) == poller.Data
 }
 
 // parkAfter is how long an idle connection keeps what it holds.
 func (f *Front) parkAfter() int64 {
-	return idle.ParkAfter(int(f.waiting.Load()), int(f.holding.Load()), idle.WakeMost(f.limits.Bytes))
+	return idle.SuspendDelay(int(f.waiting.Load()), int(f.holding.Load()), idle.MaxActive(f.limits.Bytes))
 }
 
 // active is how many connections hold goroutines and buffers.
@@ -522,17 +522,17 @@
 		return // it has made room, or its time was up
 	}
 	fd := int(f.at[id].fd)
-	gone := idle.Gone(int64(time.Since(since)), f.calls.HungUp(fd))
-	if f.calls.Came(fd) == poller.Ended {
-		f.lot.Close(fd)
+	gone := idle.Abandoned(int64(time.Since(since)), f.calls.PeerClosed(fd))
+	if f.calls.Peek(fd) == poller.EndOfStream {
+		f.lot.CloseDescriptor(fd)
 		f.at[id] = place{fd: -1}
-		f.table.Gone(id)
+		f.table.Remove(id)
 		f.places.Unlock()
 		return
 	}
 	parked := f.at[id]
 	f.at[id] = place{fd: -1}
-	f.table.Move(f.now(), id, idle.Reading)
+	f.table.SetState(f.now(), id, idle.StateReading)
 	f.places.Unlock()
 	conn, err := f.lot.Resume(fd)
 	if err != nil {
@@ -544,7 +544,7 @@
 	}
 	if gone {
 		f.places.Lock()
-		f.table.Gone(id)
+		f.table.Remove(id)
 		f.places.Unlock()
 		f.refuse(ctx, conn)
 		return
@@ -561,12 +561,12 @@
 	defer f.places.Unlock()
 	for id := range f.at {
 		if f.at[id].fd >= 0 {
-			f.lot.Close(int(f.at[id].fd))
+			f.lot.CloseDescriptor(int(f.at[id].fd))
 			f.at[id].fd = -1
 		}
 	}
 	for _, c := range f.closing {
-		f.lot.Close(c.fd)
+		f.lot.CloseDescriptor(c.fd)
 	}
 	f.closing = nil
 }
@@ -579,7 +579,7 @@
 	if f.refusals++; time.Since(f.refusedAt) < every {
 		return
 	}
-	bound := map[idle.Verdict]string{idle.PerClient: "a client", idle.PerNetwork: "a network"}[v]
+	bound := map[idle.Verdict]string{idle.ClientLimitReached: "a client", idle.NetworkLimitReached: "a network"}[v]
 	f.log(fmt.Sprintf("connections refused at the operator's bound for %s, %d so far", bound, f.refusals))
 	f.refusedAt = time.Now()
 }
--- a/internal/downstream/rest_test.go
+++ b/internal/downstream/rest_test.go
@@ -19,7 +19,7 @@
 // keeping is limits under which idle connections are kept for a span.
 func keeping(connections int, span time.Duration) Limits {
 	return Limits{Connections: connections, Open: 32, Bytes: 16 << 20, Cores: 1,
-		Keep: &Keep{Networks: []idle.Keep{{Fresh: FreshMost, Idle: int64(span)}}}}
+		Keep: &Keep{Networks: []idle.Policy{{FirstRequestTimeout: FreshMost, IdleTimeout: int64(span)}}}}
 }
 
 // health asks for health and takes the answer.
@@ -235,8 +235,8 @@
 	by := &bart.Table[uint16]{}
 	by.Insert(netip.MustParsePrefix("127.0.0.0/8"), 1)
 	limits := keeping(100, time.Hour)
-	limits.Keep = &Keep{By: by, Networks: []idle.Keep{{Fresh: FreshMost, Idle: int64(time.Hour)},
-		{Fresh: FreshMost, Idle: int64(time.Hour), Most: 3, PerClient: 2}}}
+	limits.Keep = &Keep{By: by, Networks: []idle.Policy{{FirstRequestTimeout: FreshMost, IdleTimeout: int64(time.Hour)},
+		{FirstRequestTimeout: FreshMost, IdleTimeout: int64(time.Hour), MaxConnections: 3, MaxPerClient: 2}}}
 	f, _ := serving(t, limits)
 	from := func(ip string) net.Conn {
 		t.Helper()
--- a/internal/experiment/ways.go
+++ b/internal/experiment/ways.go
@@ -154,7 +154,7 @@
 	}
 	fds := make([]int32, len(conns))
 	for i, c := range conns {
-		fd, err := lot.Park(c, uint64(i))
+		fd, err := lot.Suspend(c, uint64(i))
 		if err != nil {
 			return nil, err
 		}
@@ -171,7 +171,7 @@
 	return func() {
 		for _, fd := range fds {
 			if fd >= 0 {
-				lot.Close(int(fd))
+				lot.CloseDescriptor(int(fd))
 			}
 		}
 		for _, c := range resumed {
@@ -180,7 +180,7 @@
 	}, nil
 }
 
-func wakes(ctx context.Context, lot *poller.Lot, do func(uint64)) {
+func wakes(ctx context.Context, lot *poller.Poller, do func(uint64)) {
 	for keys, err := lot.Wait(ctx, nil); err == nil; keys, err = lot.Wait(ctx, keys) {
 		for _, k := range keys {
 			do(k)
--- a/internal/operatorconfig/keep.go
+++ b/internal/operatorconfig/keep.go
@@ -12,8 +12,8 @@
 
 // Keeping is how clients' connections are kept.
 type Keeping struct {
-	Most     int         // in all; 0 is as without the file
-	Networks []idle.Keep // the first is for whoever is in no other
+	Most     int           // in all; 0 is as without the file
+	Networks []idle.Policy // the first is for whoever is in no other
 	By       *bart.Table[uint16]
 	places   []Place // of the networks
 	at       Place
@@ -27,11 +27,11 @@
 
 func (f *faults) keeping(n *Node, args []*Node) *Keeping {
 	out := &Keeping{By: &bart.Table[uint16]{}, at: n.Place, places: []Place{n.Place},
-		Networks: []idle.Keep{{Idle: int64(usualIdle), Spread: int64(usualSpread)}}}
+		Networks: []idle.Policy{{IdleTimeout: int64(usualIdle), MaxJitter: int64(usualSpread)}}}
 	most := int64(0)
-	common := func(k *idle.Keep, clients *int64) map[string]entry {
-		return map[string]entry{"after": {take: f.span(&k.Idle, time.Second, 7*24*time.Hour)},
-			"spread": {take: f.span(&k.Spread, 0, time.Hour)}, "per-client": {take: f.whole(clients, 1, 1<<20)}}
+	common := func(k *idle.Policy, clients *int64) map[string]entry {
+		return map[string]entry{"after": {take: f.span(&k.IdleTimeout, time.Second, 7*24*time.Hour)},
+			"spread": {take: f.span(&k.MaxJitter, 0, time.Hour)}, "per-client": {take: f.whole(clients, 1, 1<<20)}}
 	}
 	var clients int64
 	known := common(&out.Networks[0], &clients)
@@ -39,10 +39,10 @@
 	var nets []*Node
 	known["network"] = entry{repeated: true, take: func(n *Node, _ []*Node) { nets = append(nets, n) }}
 	f.walk(n, args, known)
-	out.Most, out.Networks[0].PerClient = int(most), int(clients)
+	out.Most, out.Networks[0].MaxPerClient = int(most), int(clients)
 	for _, n := range nets {
 		// What a network does not say is as for all.
-		k, most, clients := out.Networks[0], int64(0), int64(out.Networks[0].PerClient)
+		k, most, clients := out.Networks[0], int64(0), int64(out.Networks[0].MaxPerClient)
 		if len(n.List) < 2 || n.List[1].isList {
 			f.add(n.Place, "(network …) takes a network such as \"10.0.0.0/8\" first")
 			continue
@@ -58,7 +58,7 @@
 		if _, twice := out.By.Get(p); twice {
 			f.add(n.Place, "network %s stands twice", p)
 		}
-		k.Most, k.PerClient = int(most), int(clients)
+		k.MaxConnections, k.MaxPerClient = int(most), int(clients)
 		out.By.Insert(p, uint16(len(out.Networks)))
 		out.Networks, out.places = append(out.Networks, k), append(out.places, n.Place)
 	}
@@ -75,7 +75,7 @@
 
 // Fits checks what is to be kept against what the process has. usual is how many connections there may be if the file
 // does not say.
-func (f *File) Fits(b idle.Bounds, usual int) error {
+func (f *File) Fits(b idle.Resources, usual int) error {
 	k := f.Idle
 	if k == nil {
 		return nil
--- a/internal/operatorconfig/operatorconfig_test.go
+++ b/internal/operatorconfig/operatorconfig_test.go
@@ -130,8 +130,8 @@
 		t.Fatal(err)
 	}
 	k := file.Idle
-	if k.Most != 10000 || len(k.Networks) != 3 || k.Networks[1] != (idle.Keep{Idle: 300e9, Spread: 10e9, Most: 200, PerClient: 50}) ||
-		k.Networks[2].PerClient != 3 || k.Networks[2].Idle != 7200e9 {
+	if k.Most != 10000 || len(k.Networks) != 3 || k.Networks[1] != (idle.Policy{IdleTimeout: 300e9, MaxJitter: 10e9, MaxConnections: 200, MaxPerClient: 50}) ||
+		k.Networks[2].MaxPerClient != 3 || k.Networks[2].IdleTimeout != 7200e9 {
 		t.Errorf("%+v", k)
 	}
 	for ip, want := range map[string]uint16{"10.1.2.3": 2, "10.2.0.1": 1, "192.0.2.1": 0} {
@@ -139,17 +139,17 @@
 			t.Errorf("%s is of network %d, want %d", ip, got, want)
 		}
 	}
-	bounds := idle.Bounds{Descriptors: 20000, Links: 5000, Memory: 192 << 20}
+	bounds := idle.Resources{Descriptors: 20000, UpstreamConnections: 5000, MemoryBytes: 192 << 20}
 	if err := file.Fits(bounds, 500); err != nil {
 		t.Error(err)
 	}
 	for _, tc := range []struct {
 		old, new string
-		bounds   idle.Bounds
+		bounds   idle.Resources
 		want     string
 	}{
 		{"(most 10000)", "(most 15000)", bounds, "1:1: 15000 connections: 20000 descriptors less 5000 for links"},
-		{"", "", idle.Bounds{Descriptors: 20000, Links: 5000, Memory: 4 << 20}, "1:1: 10000 connections of 256 bytes each take 2500 KB"},
+		{"", "", idle.Resources{Descriptors: 20000, UpstreamConnections: 5000, MemoryBytes: 4 << 20}, "1:1: 10000 connections of 256 bytes each take 2500 KB"},
 		{"(most 200)", "(most 20000)", bounds, "2:3: 20000 connections of a network are more than the 10000 in all"},
 		{"(per-client 3)", "(per-client 30000)", bounds, "3:3: 30000 connections of a client are more"},
 	} {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -220,7 +220,7 @@
 	k := p.file.Idle
 	keep := &downstream.Keep{By: k.By}
 	for _, n := range k.Networks {
-		n.Fresh = downstream.FreshMost
+		n.FirstRequestTimeout = downstream.FreshMost
 		keep.Networks = append(keep.Networks, n)
 	}
 	return cmp.Or(k.Most, usual), keep
--- a/internal/server/sharing.go
+++ b/internal/server/sharing.go
@@ -89,7 +89,7 @@
 	cache, parent := coldOf(c.Settings)
 	p := New(c, file, zerolog.Nop())
 	return errors.Join(file.Bound(setting(c.Settings, "probe", false), cache, parent),
-		file.Fits(idle.Bounds{Descriptors: int(p.sockets()), Links: int(linkShare * float64(p.sockets())), Memory: int64(p.bytes(1))},
+		file.Fits(idle.Resources{Descriptors: int(p.sockets()), UpstreamConnections: int(linkShare * float64(p.sockets())), MemoryBytes: int64(p.bytes(1))},
 			int(clientShare*float64(p.sockets()))),
 		file.Holds(int(setting(c.Settings, "routers", int64(1)))), file.Spreads(neighbours(c.Settings)))
 }
