--- /dev/null
+++ b/internal/downstream/idle/list.go
@@ -0,0 +1,56 @@
+package idle
+
+// list holds the connections of one network in one state, in the order in which they got into that state. It is doubly
+// linked by the prev and next of the entries.
+type list struct{ first, last ID }
+
+// emptyList is a list without a connection.
+var emptyList = list{first: None, last: None}
+
+// link appends a connection to the list of its network for a state.
+func (t *Table) link(id ID, state State) {
+	linked := &t.entries[id]
+	list := &t.lists[linked.network][state]
+	linked.state = state
+	linked.prev = list.last
+	linked.next = None
+	if list.last == None {
+		list.first = id
+	} else {
+		t.entries[list.last].next = id
+	}
+	list.last = id
+	t.stateCounts[state]++
+}
+
+// unlink takes a connection out of the list that it is in.
+func (t *Table) unlink(id ID) {
+	unlinked := &t.entries[id]
+	list := &t.lists[unlinked.network][unlinked.state]
+	if unlinked.prev == None {
+		list.first = unlinked.next
+	} else {
+		t.entries[unlinked.prev].next = unlinked.next
+	}
+	if unlinked.next == None {
+		list.last = unlinked.prev
+	} else {
+		t.entries[unlinked.next].prev = unlinked.prev
+	}
+	t.stateCounts[unlinked.state]--
+}
+
+// oldest returns the connection, of all networks, that has been in a state for longest, or None.
+func (t *Table) oldest(state State) ID {
+	oldest := None
+	for network := range t.lists {
+		first := t.lists[network][state].first
+		if first == None {
+			continue
+		}
+		if oldest == None || t.entries[first].stateSince < t.entries[oldest].stateSince {
+			oldest = first
+		}
+	}
+	return oldest
+}
--- a/internal/operatorconfig/keep.go
+++ b/internal/operatorconfig/keep.go
@@ -1,6 +1,7 @@
 package operatorconfig
 
 import (
+	"errors"
 	"net/netip"
 	"slices"
 	"time"
@@ -83,12 +84,13 @@
 	if k.Most == 0 {
 		k.Most = usual
 	}
-	if at, err := b.Check(k.Most, k.Networks); err != nil {
-		place := k.at
-		if at >= 0 {
-			place = k.places[at]
-		}
-		return Fault{place, err.Error()}
+	err := b.Check(k.Most, k.Networks)
+	if err == nil {
+		return nil
+	}
+	place := k.at
+	if ofPolicy, ok := errors.AsType[*idle.PolicyError](err); ok {
+		place = k.places[ofPolicy.Index]
 	}
-	return nil
+	return Fault{place, err.Error()}
 }
