--- a/internal/downstream/idle/accept.go
+++ b/internal/downstream/idle/accept.go
@@ -9,14 +9,15 @@
 	// delayedFactor is what acceptRate is multiplied by then, saturated or not.
 	delayedFactor = 2.
 
-	// abandonedAfter is for how long, in ns, the request of a client that has closed may wait to be read. A request is
-	// not forwarded later than 100 ms after its client has closed; half of that may pass before it is read.
+	// abandonedAfter is for how long, in ns, the request of a client that has closed may wait to be read. A
+	// request is not forwarded later than 100 ms after its client has closed; half of that may pass before it
+	// is read.
 	abandonedAfter = int64(50 * time.Millisecond)
 )
 
-// AcceptPacer limits how fast connections are accepted, so that many that come at once, as after the restart of a
-// router, do not delay the requests of other clients. Those that have to wait stay in the listener's backlog. It is
-// not safe for concurrent use.
+// AcceptPacer limits how fast connections are accepted, so that many that come at once, as after the restart of
+// a router, do not delay the requests of other clients. Those that have to wait stay in the listener's backlog.
+// It is not safe for concurrent use.
 type AcceptPacer struct {
 	accept          tokenBucket
 	acceptSuspended tokenBucket
@@ -45,14 +46,14 @@
 	AcceptSuspended
 )
 
-// Decide says what is done with the next connection in the backlog, and with Defer for how many ns at most to wait
-// before it is called again. waited is for how many ns the connection may have been there; silent says that nothing has
-// been received on it.
+// Decide says what is done with the next connection in the backlog, and with Defer for how many ns at most to
+// wait before it is called again. waited is for how many ns the connection may have been there; silent says
+// that nothing has been received on it.
 //
 // A silent connection that would have to wait is suspended instead, at a rate of its own: it does not delay the
-// connections behind it, which may have sent a request. Once a connection may have waited for maxAcceptDelay, accepting
-// speeds up even if the router is saturated, since the requests of other clients are delayed by some milliseconds only
-// and those in the backlog by seconds.
+// connections behind it, which may have sent a request. Once a connection may have waited for maxAcceptDelay,
+// accepting speeds up even if the router is saturated, since the requests of other clients are delayed by some
+// milliseconds only and those in the backlog by seconds.
 func (p *AcceptPacer) Decide(now, waited int64, saturated, silent bool) (decision AcceptDecision, wait int64) {
 	wait = p.waitToAccept(now, waited, saturated)
 	if wait == 0 {
@@ -76,6 +77,6 @@
 	return p.accept.take(now, saturated)
 }
 
-// Abandoned says whether what a client has sent is not to be read any more: the client has closed, and what it sent may
-// have waited for that many ns.
+// Abandoned says whether what a client has sent is not to be read any more: the client has closed, and what it
+// sent may have waited for that many ns.
 func Abandoned(waited int64, peerClosed bool) bool { return peerClosed && waited > abandonedAfter }
--- a/internal/downstream/idle/accept_test.go
+++ b/internal/downstream/idle/accept_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Hundreds of silent connections are in the backlog before one that has sent a request, for a quarter of a core. Its
-// turn comes within half a second, saturated or not, and accepting stays paced.
+// Hundreds of silent connections are in the backlog before one that has sent a request, for a quarter of a
+// core. Its turn comes within half a second, saturated or not, and accepting stays paced.
 func TestSilentConnectionsDoNotDelayOthers(t *testing.T) {
 	const (
 		silentConnections = 500
@@ -56,8 +56,8 @@
 	}
 }
 
-// Hundreds of connections that have sent a request are accepted within a second, also while the router is saturated.
-// Until one may have waited for maxAcceptDelay the lower rate is kept.
+// Hundreds of connections that have sent a request are accepted within a second, also while the router is
+// saturated. Until one may have waited for maxAcceptDelay the lower rate is kept.
 func TestDelayedAcceptsSpeedUp(t *testing.T) {
 	const (
 		connections = 600
--- a/internal/downstream/idle/expiry.go
+++ b/internal/downstream/idle/expiry.go
@@ -14,10 +14,10 @@
 // expiringStates are the states that have a timeout.
 var expiringStates = [...]State{StateNew, StateIdle}
 
-// NextExpired returns a connection whose timeout has passed, if another one may be closed now: closing is paced, and
-// slowed down while the router is saturated. The caller closes the connection and removes it, or sets another state if
-// something has been received on it; else the same one is returned again. If there is none it returns None and the time at
-// which to call again.
+// NextExpired returns a connection whose timeout has passed, if another one may be closed now: closing is
+// paced, and slowed down while the router is saturated. The caller closes the connection and removes it, or
+// sets another state if something has been received on it; else the same one is returned again. If there is
+// none it returns None and the time at which to call again.
 //
 // Jitter makes the order of a list differ from the order in which its connections expire. One may therefore be
 // returned late, by MaxJitter at most.
@@ -49,9 +49,9 @@
 	return id, expiresAt
 }
 
-// EvictionCandidate returns the connection to close for a new one, or None if all are active. The order is: one whose
-// last response has been written; one that has sent no complete request for maxRequestTime, in ns, which is how long
-// a request may take to arrive; the one that has been idle for longest; the oldest new one.
+// EvictionCandidate returns the connection to close for a new one, or None if all are active. The order is: one
+// whose last response has been written; one that has sent no complete request for maxRequestTime, in ns, which
+// is how long a request may take to arrive; the one that has been idle for longest; the oldest new one.
 func (t *Table) EvictionCandidate(now, maxRequestTime int64) ID {
 	if closing := t.oldest(StateClosing); closing != None {
 		return closing
--- a/internal/downstream/idle/list.go
+++ b/internal/downstream/idle/list.go
@@ -1,7 +1,7 @@
 package idle
 
-// list holds the connections of one network in one state, in the order in which they got into that state. It is doubly
-// linked by the prev and next of the entries.
+// list holds the connections of one network in one state, in the order in which they got into that state. It is
+// doubly linked by the prev and next of the entries.
 type list struct{ first, last ID }
 
 // emptyList is a list without a connection.
--- a/internal/downstream/idle/pacer.go
+++ b/internal/downstream/idle/pacer.go
@@ -23,7 +23,8 @@
 	started  bool  // a new bucket is full
 }
 
-// take takes a token, or returns how many ns to wait for one. While the router is saturated tokens come more slowly.
+// take takes a token, or returns how many ns to wait for one. While the router is saturated tokens come more
+// slowly.
 func (b *tokenBucket) take(now int64, saturated bool) (wait int64) {
 	if saturated {
 		return b.takeAt(now, b.rate*saturatedFactor)
@@ -71,5 +72,6 @@
 	return &Pacer{tokenBucket{rate: closeRate * effectiveCores(cores)}}
 }
 
-// Wait returns for how many ns the next connection has to wait. With 0 it is that connection's turn, and counted.
+// Wait returns for how many ns the next connection has to wait. With 0 it is that connection's turn, and
+// counted.
 func (p *Pacer) Wait(now int64, saturated bool) int64 { return p.bucket.take(now, saturated) }
--- a/internal/downstream/idle/resources.go
+++ b/internal/downstream/idle/resources.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// reservedDescriptors are for the listener, the connection to the discovery service, files and connections to other
-	// instances.
+	// reservedDescriptors are for the listener, the connection to the discovery service, files and connections
+	// to other instances.
 	reservedDescriptors = 64
 
 	// bytesPerIdle is the memory of an idle connection, with a margin over what docs/idle.md measured.
@@ -82,8 +82,8 @@
 // ErrIdleTimeoutTooLong says that a policy keeps idle connections for longer than maxIdleTimeout.
 var ErrIdleTimeoutTooLong = errors.New("idle for more than a week")
 
-// Check says whether the resources suffice for so many connections and whether each policy is possible. The error is a
-// *DescriptorError, a *MemoryError or, for the first policy that is not possible, a *PolicyError.
+// Check says whether the resources suffice for so many connections and whether each policy is possible. The
+// error is a *DescriptorError, a *MemoryError or, for the first policy that is not possible, a *PolicyError.
 func (r Resources) Check(maxConnections int, policies []Policy) error {
 	if maxConnections > r.MaxConnections() {
 		return &DescriptorError{Connections: maxConnections, Resources: r}
--- a/internal/downstream/idle/table.go
+++ b/internal/downstream/idle/table.go
@@ -1,10 +1,10 @@
-// Package idle keeps the table of a router's client connections. It decides which new connection is admitted, which
-// connection is closed because its timeout has passed or because a new one needs its slot, and how fast connections
-// are accepted, resumed and closed.
+// Package idle keeps the table of a router's client connections. It decides which new connection is admitted,
+// which connection is closed because its timeout has passed or because a new one needs its slot, and how fast
+// connections are accepted, resumed and closed.
 //
-// The package does no I/O, reads no clock and starts no goroutine: callers pass the time in, as nanoseconds of a
-// monotonic clock, and lock a table or a pacer that several goroutines use. Every change concerns one connection and
-// takes constant time, however many there are.
+// The package does no I/O, reads no clock and starts no goroutine: callers pass the time in, as nanoseconds of
+// a monotonic clock, and lock a table or a pacer that several goroutines use. Every change concerns one
+// connection and takes constant time, however many there are.
 package idle
 
 import (
@@ -12,8 +12,8 @@
 	"math/rand/v2"
 )
 
-// ID is the index of a connection in the table. It is used again after its connection has been removed; Generation
-// tells the two apart.
+// ID is the index of a connection in the table. It is used again after its connection has been removed;
+// Generation tells the two apart.
 type ID int32
 
 // None is the ID of no connection.
@@ -25,8 +25,8 @@
 	Cores          float64 // that the process may use; closing is paced by them. 0 is one
 }
 
-// entry is one connection. It has 40 bytes and refers to others by their index: without a pointer in it the garbage
-// collector does not look at a hundred thousand entries one by one.
+// entry is one connection. It has 40 bytes and refers to others by their index: without a pointer in it the
+// garbage collector does not look at a hundred thousand entries one by one.
 type entry struct {
 	expiresAt  int64  // ns; math.MaxInt64 in states that have no timeout
 	stateSince int64  // ns
@@ -54,8 +54,8 @@
 	closeBucket tokenBucket // paces NextExpired
 }
 
-// NewTable returns an empty table. There is one policy for each network; the first one applies to every client whose
-// network is not among them. seed determines the jitter of idle timeouts.
+// NewTable returns an empty table. There is one policy for each network; the first one applies to every client
+// whose network is not among them. seed determines the jitter of idle timeouts.
 func NewTable(limits Limits, policies []Policy, seed uint64) *Table {
 	t := &Table{
 		limits:       limits,
@@ -118,8 +118,8 @@
 	return id, Admitted
 }
 
-// admit checks the limits; those of the client and of its network come first, since removing another connection would
-// not help there.
+// admit checks the limits; those of the client and of its network come first, since removing another connection
+// would not help there.
 func (t *Table) admit(policy *Policy, client uint64, network uint16) Verdict {
 	switch {
 	case policy.MaxPerClient > 0 && int(t.clientCount[client]) >= policy.MaxPerClient:
@@ -143,8 +143,8 @@
 	return id
 }
 
-// SetState records that a connection has changed its state. An idle connection goes to the end of the list of idle ones
-// only after it has been in another state.
+// SetState records that a connection has changed its state. An idle connection goes to the end of the list of
+// idle ones only after it has been in another state.
 func (t *Table) SetState(now int64, id ID, state State) {
 	changed := &t.entries[id]
 	if changed.state == state || changed.state == stateUnused {
@@ -168,7 +168,8 @@
 	return policy.IdleTimeout + t.jitter.Int64N(policy.MaxJitter)
 }
 
-// Remove takes a connection out of the table. Removing it again has no effect as long as its ID is not used again.
+// Remove takes a connection out of the table. Removing it again has no effect as long as its ID is not used
+// again.
 func (t *Table) Remove(id ID) {
 	removed := &t.entries[id]
 	if removed.state == stateUnused {
@@ -192,7 +193,8 @@
 // StateSince returns when a connection got into its state, in ns.
 func (t *Table) StateSince(id ID) int64 { return t.entries[id].stateSince }
 
-// Generation returns a number that differs between two connections that have had the same ID one after the other.
+// Generation returns a number that differs between two connections that have had the same ID one after the
+// other.
 func (t *Table) Generation(id ID) uint32 { return t.entries[id].generation }
 
 // Count returns how many connections are in a state.
--- a/internal/downstream/poller/fileconn_linux.go
+++ b/internal/downstream/poller/fileconn_linux.go
@@ -1,6 +1,7 @@
 package poller
 
 import (
+	"errors"
 	"net"
 	"os"
 	"syscall"
@@ -9,34 +10,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// fileConn is a connection over a socket's one descriptor. net.FileConn takes a second one for a moment; where there is none a
-// request that waited to be read was closed on. It reads and writes through the runtime's poller as a net.TCPConn does, but for
-// writing several buffers at once.
+// fileConn is a net.Conn over the only descriptor of a socket. Resume falls back on it where net.FileConn
+// fails, since that takes a second descriptor. Like net.TCPConn it uses Go's own poller, but it writes several
+// buffers one by one.
 type fileConn struct{ file *os.File }
 
-func (c fileConn) Read(p []byte) (int, error)                    { return c.file.Read(p) }
-func (c fileConn) Write(p []byte) (int, error)                   { return c.file.Write(p) }
-func (c fileConn) Close() error                                  { return c.file.Close() }
-func (c fileConn) SetDeadline(t time.Time) error                 { return c.file.SetDeadline(t) }
-func (c fileConn) SetReadDeadline(t time.Time) error             { return c.file.SetReadDeadline(t) }
-func (c fileConn) SetWriteDeadline(t time.Time) error            { return c.file.SetWriteDeadline(t) }
-func (c fileConn) SyscallConn() (raw syscall.RawConn, err error) { return c.file.SyscallConn() }
+// Read reads from the connection.
+func (c fileConn) Read(p []byte) (int, error) { return c.file.Read(p) }
 
-// LocalAddr is not told; whoever asks for it has the connection from its listener.
+// Write writes to the connection.
+func (c fileConn) Write(p []byte) (int, error) { return c.file.Write(p) }
+
+// Close closes the connection.
+func (c fileConn) Close() error { return c.file.Close() }
+
+// SetDeadline sets the deadlines of reading and writing.
+func (c fileConn) SetDeadline(t time.Time) error { return c.file.SetDeadline(t) }
+
+// SetReadDeadline sets the deadline of reading.
+func (c fileConn) SetReadDeadline(t time.Time) error { return c.file.SetReadDeadline(t) }
+
+// SetWriteDeadline sets the deadline of writing.
+func (c fileConn) SetWriteDeadline(t time.Time) error { return c.file.SetWriteDeadline(t) }
+
+// SyscallConn gives access to the descriptor.
+func (c fileConn) SyscallConn() (syscall.RawConn, error) { return c.file.SyscallConn() }
+
+// LocalAddr returns nil: the addresses of a connection are known from before it was suspended.
 func (c fileConn) LocalAddr() net.Addr { return nil }
 
-// RemoteAddr is not told either.
+// RemoteAddr returns nil, as LocalAddr does.
 func (c fileConn) RemoteAddr() net.Addr { return nil }
 
-// CloseWrite half-closes the connection, as that of net.TCPConn does.
+// CloseWrite half-closes the connection, as net.TCPConn's does.
 func (c fileConn) CloseWrite() error {
-	raw, err := c.file.SyscallConn()
-	if err != nil {
-		return err
-	}
-	var failed error
-	if err := raw.Control(func(fd uintptr) { failed = unix.Shutdown(int(fd), unix.SHUT_WR) }); err != nil {
-		return err
-	}
-	return failed
+	var shutdownErr error
+	err := Control(c.file, func(fd uintptr) { shutdownErr = unix.Shutdown(int(fd), unix.SHUT_WR) })
+	return errors.Join(err, shutdownErr)
 }
--- a/internal/downstream/poller/systemcalls_linux.go
+++ b/internal/downstream/poller/systemcalls_linux.go
@@ -4,31 +4,30 @@
 	"errors"
 	"net"
 	"os"
+	"tealpath/internal/neterr"
 	"time"
 
 	"golang.org/x/sys/unix"
-
-	"tealpath/internal/neterr"
 )
 
-// SystemCalls are the calls of the system that resting connections take. Tests put errors in their place.
+// SystemCalls are the system calls that suspended connections take. Tests replace some to make them fail.
 type SystemCalls struct {
 	Duplicate func(fd int) (int, error)
 	EpollCtl  func(set, operation, fd int, event *unix.EpollEvent) error
 	EpollWait func(set int, events []unix.EpollEvent, milliseconds int) (int, error)
-	Receive   func(fd int, p []byte, flags int) (int, error)
-	Poll      func(fds []unix.PollFd, milliseconds int) (int, error)
-	FileConn  func(file *os.File) (net.Conn, error) // a connection of a duplicate of a socket's descriptor
-	Pollable  func(file *os.File) bool              // whether the runtime's own poller has taken the file
+	Receive   func(fd int, buffer []byte, flags int) (int, error)
+	Poll      func(descriptors []unix.PollFd, milliseconds int) (int, error)
+	FileConn  func(file *os.File) (net.Conn, error) // as net.FileConn: takes a descriptor of its own
+	Pollable  func(file *os.File) bool              // whether Go's own poller waits for the file
 }
 
-// Kernel is the calls as the system has them.
+// Kernel are the system calls of this machine.
 var Kernel = &SystemCalls{
 	Duplicate: func(fd int) (int, error) { return unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0) },
 	EpollCtl:  unix.EpollCtl,
 	EpollWait: unix.EpollWait,
-	Receive: func(fd int, p []byte, flags int) (int, error) {
-		n, _, err := unix.Recvfrom(fd, p, flags)
+	Receive: func(fd int, buffer []byte, flags int) (int, error) {
+		n, _, err := unix.Recvfrom(fd, buffer, flags)
 		return n, err
 	},
 	Poll:     unix.Poll,
@@ -36,8 +35,8 @@
 	Pollable: func(file *os.File) bool { return file.SetDeadline(time.Time{}) == nil },
 }
 
-// uninterrupted makes a call again for as long as signals interrupt it.
-func uninterrupted(call func() (int, error)) (int, error) {
+// retryInterrupted makes a system call again for as long as a signal interrupts it.
+func retryInterrupted(call func() (int, error)) (int, error) {
 	for {
 		n, err := call()
 		if !errors.Is(err, unix.EINTR) {
@@ -46,10 +45,12 @@
 	}
 }
 
-// Peek tells what is on a descriptor.
+// Peek says what reading from a descriptor would give, and leaves it unread.
 func (c *SystemCalls) Peek(fd int) PeekResult {
-	var one [1]byte
-	n, err := uninterrupted(func() (int, error) { return c.Receive(fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT) })
+	var buffer [1]byte
+	n, err := retryInterrupted(func() (int, error) {
+		return c.Receive(fd, buffer[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	})
 	switch {
 	case err == nil && n == 0:
 		return EndOfStream
@@ -63,37 +64,51 @@
 	return Undetermined
 }
 
-// maxDiscard is how much is read of what nobody waits for, at a time.
-const maxDiscard = 32 << 10
+const (
+	discardBuffer = 4 << 10  // bytes that Discard reads at once
+	maxDiscard    = 32 << 10 // bytes that one call of Discard reads at most, so that no peer can keep it busy
+)
 
-// Discard reads and throws away what has come on a descriptor, some of it at a time, and tells whether the other side has ended.
+// Discard reads what has been received on a descriptor and throws it away, up to maxDiscard bytes. It says
+// whether the peer has closed or the connection has failed.
 func (c *SystemCalls) Discard(fd int) (ended bool) {
-	buffer := make([]byte, 4<<10)
-	for range maxDiscard / len(buffer) {
-		n, err := uninterrupted(func() (int, error) { return c.Receive(fd, buffer, unix.MSG_DONTWAIT) })
-		switch {
-		case err != nil:
+	buffer := make([]byte, discardBuffer)
+	for range maxDiscard / discardBuffer {
+		n, err := retryInterrupted(func() (int, error) { return c.Receive(fd, buffer, unix.MSG_DONTWAIT) })
+		if err != nil {
 			return neterr.IsEnd(err)
-		case n == 0:
+		}
+		if n == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Readable tells whether a descriptor can be read from, or a listener accepted from, or whether that can't be told.
+// Readable says whether a descriptor can be read from, or a listener accepted from. It is true if the kernel
+// cannot say.
 func (c *SystemCalls) Readable(fd int) bool {
-	n, err := uninterrupted(func() (int, error) { return c.Poll([]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}, 0) })
-	return err != nil || n > 0
+	ready, err := c.pollOnce(&unix.PollFd{Fd: int32(fd), Events: unix.POLLIN})
+	return ready || err != nil
 }
 
-// PeerClosed tells whether the other side of a descriptor is known to have closed, be it behind bytes that are not read yet.
+// PeerClosed says whether the peer is known to have closed, even if something that it sent before is not read
+// yet.
 func (c *SystemCalls) PeerClosed(fd int) bool {
-	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-	n, err := uninterrupted(func() (int, error) { return c.Poll(polled, 0) })
-	return err == nil && n > 0 && polled[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	const closed = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
+	polled := unix.PollFd{Fd: int32(fd), Events: unix.POLLRDHUP}
+	ready, err := c.pollOnce(&polled)
+	return ready && err == nil && polled.Revents&closed != 0
+}
+
+// pollOnce asks for the events of one descriptor without waiting for them.
+func (c *SystemCalls) pollOnce(polled *unix.PollFd) (ready bool, err error) {
+	descriptors := []unix.PollFd{*polled}
+	n, err := retryInterrupted(func() (int, error) { return c.Poll(descriptors, 0) })
+	*polled = descriptors[0]
+	return n > 0, err
 }
 
-// CloseWrite half-closes a parked connection: its other side sees the end and may still be read from. Where that fails, as the other
-// side has gone, there is nobody to be told.
-func CloseWrite(fd int) { unix.Shutdown(fd, unix.SHUT_WR) }
+// CloseWrite half-closes a suspended connection: the peer sees its end and may still send. It fails only if the
+// peer has gone, and then there is nobody to notify.
+func CloseWrite(fd int) { _ = unix.Shutdown(fd, unix.SHUT_WR) }
--- a/internal/downstream/poller/poller_other.go
+++ b/internal/downstream/poller/unsupported.go
@@ -1,6 +1,5 @@
 //go:build !linux
 
-// Package poller holds idle connections as bare descriptors where the system has epoll; here it has not.
 package poller
 
 import (
@@ -9,53 +8,56 @@
 	"net"
 )
 
-// Poller is a set of parked connections.
+// MaxEvents is how many keys Wait returns at most.
+const MaxEvents = 1
+
+// Poller cannot be made here; its methods are there for the compiler alone.
 type Poller struct{}
 
-// New says that there is none.
+// New returns errors.ErrUnsupported.
 func New() (*Poller, error) { return nil, errors.ErrUnsupported }
 
-// Suspend is not to be had.
+// NewWithSystemCalls returns errors.ErrUnsupported.
+func NewWithSystemCalls(*SystemCalls) (*Poller, error) { return nil, errors.ErrUnsupported }
+
+// Suspend returns errors.ErrUnsupported.
 func (*Poller) Suspend(net.Conn, uint64) (int, error) { return 0, errors.ErrUnsupported }
 
-// Watch is not to be had.
+// Watch returns errors.ErrUnsupported.
 func (*Poller) Watch(net.Conn, uint64) error { return errors.ErrUnsupported }
 
-// Wait is not to be had.
+// Wait returns errors.ErrUnsupported.
 func (*Poller) Wait(context.Context, []uint64) ([]uint64, error) { return nil, errors.ErrUnsupported }
 
-// HasEvents is never so.
+// HasEvents returns false.
 func (*Poller) HasEvents() bool { return false }
 
-// Resume is not to be had.
+// Resume returns errors.ErrUnsupported.
 func (*Poller) Resume(int) (net.Conn, error) { return nil, errors.ErrUnsupported }
 
-// Remove is not to be had.
+// Remove does nothing.
 func (*Poller) Remove(int) {}
 
-// CloseDescriptor is not to be had.
+// CloseDescriptor does nothing.
 func (*Poller) CloseDescriptor(int) {}
 
-// SystemCalls is nothing here.
+// SystemCalls are empty here: nothing can be suspended.
 type SystemCalls struct{}
 
-// Kernel is nothing here.
+// Kernel are the system calls of this machine.
 var Kernel = &SystemCalls{}
 
-// NewWithSystemCalls says that there is none.
-func NewWithSystemCalls(*SystemCalls) (*Poller, error) { return nil, errors.ErrUnsupported }
+// Peek returns NoData.
+func (*SystemCalls) Peek(int) PeekResult { return NoData }
 
-// Discard is not to be had.
+// Discard returns true, so that a connection is closed at once.
 func (*SystemCalls) Discard(int) bool { return true }
 
-// Readable is not to be had.
+// Readable returns false.
 func (*SystemCalls) Readable(int) bool { return false }
 
-// Peek is not to be had.
-func (*SystemCalls) Peek(int) PeekResult { return NoData }
-
-// PeerClosed is told of by the system's own calls only.
+// PeerClosed returns false: only a read finds out.
 func (*SystemCalls) PeerClosed(int) bool { return false }
 
-// CloseWrite is not to be had.
+// CloseWrite does nothing.
 func CloseWrite(int) {}
