--- a/internal/downstream/poller/poller_linux.go
+++ b/internal/downstream/poller/poller_linux.go
@@ -28,12 +28,10 @@
 	// handling is set from before Wait learns of events until it is called again and finds none.
 	handling atomic.Bool
 
-	// mu guards unresumed.
-	mu sync.Mutex
-
 	// unresumed holds the file of each descriptor that could not be resumed, by descriptor. Only that file may
 	// close the descriptor, as its finalizer would otherwise close whatever has the same number by then.
-	unresumed map[int]*os.File
+	unresumed map[int]*os.File // guarded by mu
+	mu        sync.Mutex
 }
 
 // New returns a poller without connections.
@@ -174,12 +172,12 @@
 	if p.calls.Pollable(file) {
 		return fileConn{file}, nil
 	}
-	p.keepUnresumed(fd, file)
+	p.storeUnresumed(fd, file)
 	return nil, err
 }
 
-// keepUnresumed keeps the file of a descriptor that could not be resumed.
-func (p *Poller) keepUnresumed(fd int, file *os.File) {
+// storeUnresumed keeps the file of a descriptor that could not be resumed.
+func (p *Poller) storeUnresumed(fd int, file *os.File) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unresumed[fd] = file
