--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -383,24 +383,25 @@
 func TestStepsAroundASnapshot(t *testing.T) {
 	t.Parallel()
 	const year = 365 * 24 * time.Hour
+	const restoredWhole = `"scope":"whole"` // of a snapshot_restored event
 	for _, c := range []struct {
 		name          string
 		began, step   time.Duration // by how much the first process's clock was off, and is set before it writes
 		second, again time.Duration // the second's, and how it is set before it reads
 		says          string
 	}{
-		{"no step", 0, 0, 0, 0, "taken, whole"},
-		{"2 s ahead before it was written", 0, 2 * time.Second, 0, 0, "taken, whole"},
-		{"2 s behind before it was written", 0, -2 * time.Second, 0, 0, "taken, whole"},
-		{"an hour ahead before it was written", 0, time.Hour, 0, 0, "passed over: it is of 3"},
+		{"no step", 0, 0, 0, 0, restoredWhole},
+		{"2 s ahead before it was written", 0, 2 * time.Second, 0, 0, restoredWhole},
+		{"2 s behind before it was written", 0, -2 * time.Second, 0, 0, restoredWhole},
+		{"an hour ahead before it was written", 0, time.Hour, 0, 0, `"event":"snapshot_ignored","cause":"it is of 3`},
 		{"an hour behind before it was written", 0, -time.Hour, 0, 0, "s old"},
-		{"a year ahead all along", year, 0, 0, 0, "passed over: it is of 31"},
-		{"a year ahead, set right before it was written", year, -year, 0, 0, "taken, whole"},
-		{"a year ahead at both", year, 0, year, 0, "taken, whole"},
-		{"a year behind, set right before it was written", -year, year, 0, 0, "taken, whole"},
+		{"a year ahead all along", year, 0, 0, 0, `"event":"snapshot_ignored","cause":"it is of 31`},
+		{"a year ahead, set right before it was written", year, -year, 0, 0, restoredWhole},
+		{"a year ahead at both", year, 0, year, 0, restoredWhole},
+		{"a year behind, set right before it was written", -year, year, 0, 0, restoredWhole},
 		{"an hour ahead before it is read", 0, 0, 0, time.Hour, "s old"},
-		{"an hour behind before it is read", 0, 0, 0, -time.Hour, "passed over: it is of 3"},
-		{"an hour behind, set right before it is read", 0, 0, -time.Hour, time.Hour, "taken, whole"},
+		{"an hour behind before it is read", 0, 0, 0, -time.Hour, `"event":"snapshot_ignored","cause":"it is of 3`},
+		{"an hour behind, set right before it is read", 0, 0, -time.Hour, time.Hour, restoredWhole},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -422,7 +423,7 @@
 			clock = clocktest.Running(c.second)
 			clock.Step(c.again)
 			r = p.runOn(t, clock, file)
-			r.log.wait(t, "snapshot", time.Second)
+			r.log.wait(t, `"event":"snapshot_`, time.Second)
 			if _, ok := r.log.find(c.says); !ok {
 				t.Errorf("log: %v, want %q", r.log.lines, c.says)
 			}
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := server.Bind(file, c); err != nil {
+	if err := server.CheckOperatorConfig(file, c); err != nil {
 		return nil, fmt.Errorf("operator's file %s:\n%w", path, err)
 	}
 	return file, nil
--- a/cmd/tealpath/log.go
+++ b/cmd/tealpath/log.go
@@ -2,33 +2,41 @@
 
 import (
 	"bytes"
-	"fmt"
 	"io"
 	"sync/atomic"
 	"time"
+
+	"github.com/rs/zerolog"
+
+	"tealpath/internal/server"
 )
 
 const (
-	// logLines is how many lines may wait for whoever reads the log.
-	logLines = 1000
+	// maxQueuedLines is how many lines may wait for whoever reads the log.
+	maxQueuedLines = 1000
 
 	// logCloseTimeout bounds how long the end of the process waits for them.
 	logCloseTimeout = 50 * time.Millisecond
 )
 
 // logWriter writes lines in a goroutine of its own, so that whoever reads the log slowly does not hold up the router. A line
-// that finds no room is counted and left out. zerolog's diode does the same by polling each 0.1 s, and its Close waits for the
-// next poll: with deadlines of 0.3 s the process ended after it was to be killed.
+// beyond maxQueuedLines is counted and dropped. zerolog's diode does the same by polling each 0.1 s, and its Close waits for the
+// next poll: with deadlines of 0.3 s the process would end after it was to be killed.
 type logWriter struct {
 	out     io.Writer
 	lines   chan []byte
-	missed  atomic.Int64
+	lost    atomic.Int64 // lines that were dropped since the last LogLinesLost
 	closing chan struct{}
 	closed  chan struct{}
 }
 
 func newLogWriter(out io.Writer) *logWriter {
-	w := &logWriter{out: out, lines: make(chan []byte, logLines), closing: make(chan struct{}), closed: make(chan struct{})}
+	w := &logWriter{
+		out:     out,
+		lines:   make(chan []byte, maxQueuedLines),
+		closing: make(chan struct{}),
+		closed:  make(chan struct{}),
+	}
 	go w.run()
 	return w
 }
@@ -38,7 +46,7 @@
 	select {
 	case w.lines <- bytes.Clone(line):
 	default:
-		w.missed.Add(1)
+		w.lost.Add(1)
 	}
 	return len(line), nil
 }
@@ -59,13 +67,13 @@
 }
 
 func (w *logWriter) write(line []byte) {
-	if missed := w.missed.Swap(0); missed > 0 {
-		fmt.Fprintf(w.out, "{\"message\":\"%d lines of the log were lost\"}\n", missed)
+	if lost := w.lost.Swap(0); lost > 0 {
+		server.WriteEvent(zerolog.New(w.out), LogLinesLost{Lines: lost})
 	}
-	w.out.Write(line)
+	_, _ = w.out.Write(line) // there is nowhere else to report that the log can't be written
 }
 
-// Close writes what is queued, for so long at most.
+// Close writes what is queued, for logCloseTimeout at most.
 func (w *logWriter) Close() {
 	close(w.closing)
 	select {
--- a/cmd/tealpath/log_test.go
+++ b/cmd/tealpath/log_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"encoding/json"
 	"fmt"
 	"io"
 	"strings"
@@ -32,7 +33,7 @@
 func TestLogThatNobodyReads(t *testing.T) {
 	in, out := io.Pipe()
 	w := newLogWriter(out)
-	const lines = 3 * logLines
+	const lines = 3 * maxQueuedLines
 	begun := time.Now()
 	for n := range lines {
 		fmt.Fprintln(w, "line", n)
@@ -47,12 +48,19 @@
 	}()
 	written, lost := 0, 0
 	for text := bufio.NewScanner(in); text.Scan(); {
-		n := 0
-		if _, err := fmt.Sscanf(text.Text(), "{\"message\":\"%d lines of the log were lost\"}", &n); err == nil {
-			lost += n
-		} else {
+		line := text.Text()
+		if strings.HasPrefix(line, "line ") {
 			written++
+			continue
 		}
+		var event struct {
+			Event string
+			Lines int
+		}
+		if err := json.Unmarshal([]byte(line), &event); err != nil || event.Event != (LogLinesLost{}).Kind().Name {
+			t.Fatalf("%q, %v", line, err)
+		}
+		lost += event.Lines
 	}
 	if lost == 0 || written+lost != lines {
 		t.Errorf("of %d lines %d were written and %d are said to be lost", lines, written, lost)
--- a/internal/cluster/events.go
+++ b/internal/cluster/events.go
@@ -4,6 +4,7 @@
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/probe"
+	"tealpath/internal/logevent"
 )
 
 // Event is something that came in: a MessageReceived, TargetsUpdated, ProbeEnded, TimerFired, ShutdownStarted or ConfigChanged.
@@ -62,14 +63,8 @@
 // TargetProbed tells the router what a probe found, sent from here or elsewhere.
 type TargetProbed struct{ ProbeResult }
 
-// Log wants a line logged, with the figures that caused it.
-type Log struct {
-	Line   string
-	Member string
-	Slots  []int
-	Ballot uint64
-	Reason string
-}
+// Log wants an event logged.
+type Log struct{ Event logevent.Event }
 
 // SetTimer wants a TimerFired at a time.
 type SetTimer struct{ At int64 }
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -3,9 +3,11 @@
 import (
 	"fmt"
 	"math"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/probe"
+	"tealpath/internal/logevent"
 )
 
 // holdsFunc tells whether a slot's lease is held at this instant, under which ballot and until when.
@@ -38,7 +40,7 @@
 
 // applyLeaseEffects turns the leases' effects into the node's; what was acquired or lost together is one line.
 func (node *Node) applyLeaseEffects(now int64) {
-	var lines slotLines
+	var changes leaseChanges
 	for _, effect := range node.leases.TakeEffects() {
 		switch effect := effect.(type) {
 		case lease.Send:
@@ -49,32 +51,52 @@
 				task.SlotAcquired(now, effect.Slot)
 			}
 			node.emit(LeaseChanged{Slot: effect.Slot, Ballot: effect.Ballot})
-			lines.add(Log{Line: "slots gained", Slots: []int{effect.Slot}, Ballot: effect.Ballot})
+			changes.add(leaseChange{acquired: true, ballot: effect.Ballot}, effect.Slot)
 		case lease.Lost:
 			for _, task := range node.tasks {
 				task.SlotLost(effect.Slot)
 			}
 			node.emit(LeaseChanged{Slot: effect.Slot})
-			lines.add(Log{Line: "slots lost", Slots: []int{effect.Slot}, Ballot: effect.Ballot, Reason: effect.Reason})
+			changes.add(leaseChange{ballot: effect.Ballot, cause: effect.Reason}, effect.Slot)
 		}
 	}
-	for _, line := range lines {
-		node.emit(line)
+	for _, change := range changes {
+		node.emit(Log{change.event()})
+	}
+}
+
+// leaseChange is what the log says of a slot beside its number.
+type leaseChange struct {
+	acquired bool // else it is lost
+	ballot   uint64
+	cause    string
+}
+
+// slotsChange is one change of several slots.
+type slotsChange struct {
+	leaseChange
+	slots []int
+}
+
+func (change slotsChange) event() logevent.Event {
+	if change.acquired {
+		return LeasesAcquired{Slots: change.slots, Ballot: change.ballot}
 	}
+	return LeasesLost{Slots: change.slots, Ballot: change.ballot, Cause: change.cause}
 }
 
-// slotLines are lines about slots, of which those that say the same one after another are one.
-type slotLines []Log
+// leaseChanges are changes in their order. Equal ones that follow each other are one.
+type leaseChanges []slotsChange
 
-func (lines *slotLines) add(line Log) {
-	if count := len(*lines); count > 0 {
-		last := &(*lines)[count-1]
-		if last.Line == line.Line && last.Ballot == line.Ballot && last.Reason == line.Reason {
-			last.Slots = append(last.Slots, line.Slots...)
+func (changes *leaseChanges) add(change leaseChange, slot int) {
+	if count := len(*changes); count > 0 {
+		last := &(*changes)[count-1]
+		if last.leaseChange == change {
+			last.slots = append(last.slots, slot)
 			return
 		}
 	}
-	*lines = append(*lines, line)
+	*changes = append(*changes, slotsChange{change, []int{slot}})
 }
 
 // runTasks does what is due of the periodic tasks, and returns when the next is.
@@ -150,8 +172,8 @@
 	}
 	node.hadQuorum, node.quorumKnown = hasQuorum, true
 	if hasQuorum {
-		node.emit(Log{Line: "a majority of the voters is reached"})
+		node.emit(Log{QuorumReached{}})
 		return
 	}
-	node.emit(Log{Line: "no majority of the voters is reached: nobody here acts for any slot", Reason: node.missingVoters()})
+	node.emit(Log{QuorumLost{MissingVoters: node.missingVoters()}})
 }
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -1,12 +1,13 @@
 package cluster
 
 import (
-	"fmt"
 	"maps"
 	"slices"
+	"time"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
-	"time"
+	"tealpath/internal/logevent"
 )
 
 // leaseLinkDuration is for how long a link stays that a message about leases went by, ns.
@@ -123,9 +124,10 @@
 		kind := transition{change.State, change.Previous}
 		byTransition[kind] = append(byTransition[kind], change)
 	}
-	states := []membership.State{membership.Unheard, membership.Alive, membership.Dead, membership.Left}
+	// No member gets back to Unheard.
+	states := []membership.State{membership.Alive, membership.Dead, membership.Left}
 	for _, state := range states {
-		for _, previous := range states {
+		for _, previous := range append([]membership.State{membership.Unheard}, states...) {
 			kind := transition{state, previous}
 			node.logTransition(kind, byTransition[kind])
 		}
@@ -136,31 +138,49 @@
 func (node *Node) logOwnChange(reason string) {
 	switch reason {
 	case membership.ReasonAway:
-		away := milliseconds(node.members.Away())
-		node.emit(Log{Line: fmt.Sprintf("this instance was away for %d ms; nothing is held against others for it", away)})
+		node.emit(Log{InstanceWasAway{DurationMS: milliseconds(node.members.Away())}})
 	case membership.ReasonCutOff:
-		node.emit(Log{Line: "nothing is heard from any neighbour: this instance seems to be cut off"})
+		node.emit(Log{InstanceCutOff{}})
 	default:
-		node.emit(Log{Line: "neighbours are heard again"})
+		node.emit(Log{InstanceReconnected{}})
 	}
 }
 
 // logTransition logs the changes of one kind.
 func (node *Node) logTransition(kind transition, changes []membership.Change) {
-	was := "was " + kind.previous.String()
 	if len(changes) > maxChangesLogged {
-		node.emit(Log{Line: fmt.Sprintf("%d members %s", len(changes), kind.state), Reason: was})
+		node.emit(Log{membersEvent(kind, len(changes))})
 		return
 	}
 	for _, change := range changes {
-		reason := was
-		if change.Reason != "" {
-			reason += "; " + change.Reason
-		}
-		node.emit(Log{Line: "member " + kind.state.String(), Member: change.Name, Reason: reason})
+		node.emit(Log{memberEvent(kind, change)})
 	}
 }
 
+// memberEvent is the event of one member's transition.
+func memberEvent(kind transition, change membership.Change) logevent.Event {
+	previous := kind.previous.String()
+	switch kind.state {
+	case membership.Alive:
+		return MemberAlive{Member: change.Name, Previous: previous, Cause: change.Reason}
+	case membership.Dead:
+		return MemberDead{Member: change.Name, Previous: previous, Cause: change.Reason}
+	}
+	return MemberLeft{Member: change.Name, Previous: previous, Cause: change.Reason}
+}
+
+// membersEvent is the event of one transition of many members.
+func membersEvent(kind transition, members int) logevent.Event {
+	previous := kind.previous.String()
+	switch kind.state {
+	case membership.Alive:
+		return MembersAlive{Members: members, Previous: previous}
+	case membership.Dead:
+		return MembersDead{Members: members, Previous: previous}
+	}
+	return MembersLeft{Members: members, Previous: previous}
+}
+
 // logDuplicate logs whether another start under the own name is heard.
 func (node *Node) logDuplicate(now int64) {
 	self := node.config.Self.Name
@@ -169,9 +189,9 @@
 		return
 	}
 	node.duplicated = duplicated
-	line := "no other start under this name is heard any more"
 	if duplicated {
-		line = "another start under this name was heard: no votes are given until it is silent"
+		node.emit(Log{DuplicateNameDetected{Member: self}})
+		return
 	}
-	node.emit(Log{Line: line, Member: self})
+	node.emit(Log{DuplicateNameGone{Member: self}})
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -6,11 +6,11 @@
 
 import (
 	"cmp"
-	"fmt"
+	"time"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/probe"
-	"time"
 )
 
 // minTimer is the shortest time to which the timer is set, ns.
@@ -167,18 +167,15 @@
 
 // reconfigure takes a newer configuration. The voters stay as they are where the newer ones can't follow yet.
 func (node *Node) reconfigure(now int64, event ConfigChanged) {
-	voters := "voters as they were"
 	if err := node.leases.UpdateVoters(now, event.Voters); err != nil {
-		node.emit(Log{Line: "the voters stay as they were", Reason: err.Error()})
-	} else {
-		voters = fmt.Sprintf("voters of epoch %d", event.Voters.Epoch)
+		node.emit(Log{VotersKept{Cause: err}})
 	}
 	node.members.Configure(now, event.Contacts, event.Weight, node.leases.Voters().Epoch)
 	for _, member := range node.members.Members() {
 		// A new set of voters knows of no epochs, and entries come only when they change.
 		node.leases.ObserveEpoch(member.Name, member.Epoch)
 	}
-	node.emit(Log{Line: fmt.Sprintf("operator's file read again: %d instances, %s", len(event.Contacts), voters)})
+	node.emit(Log{ConfigReloaded{Instances: len(event.Contacts), VoterEpoch: node.leases.Voters().Epoch}})
 }
 
 // followUp does what changes of members and leases cause, and sets the timer.
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -1,9 +1,10 @@
 package cluster
 
 import (
+	"testing"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
-	"testing"
 )
 
 func TestThreeShareAndProbeOnce(t *testing.T) {
@@ -40,7 +41,7 @@
 	node := cluster["a"]
 	logged := false
 	for _, effect := range (testCluster{"a": node}).run(t, 6000*ms, 12000*ms, "a") {
-		if line, ok := effect.(Log); ok && line.Reason == "[b dead c dead]" {
+		if line, ok := effect.(Log); ok && line.Event == (QuorumLost{MissingVoters: "[b dead c dead]"}) {
 			logged = true
 		}
 	}
--- a/internal/cluster/peer/incoming.go
+++ b/internal/cluster/peer/incoming.go
@@ -9,10 +9,9 @@
 	"net/netip"
 	"slices"
 	"time"
-)
 
-// errAddress is why a connection from outside the allowed sets is refused.
-var errAddress = errors.New("address")
+	"tealpath/internal/logevent"
+)
 
 // accept takes links from others.
 func (links *Links) accept(ctx context.Context) error {
@@ -24,7 +23,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return fmt.Errorf("links to instances: %w", err)
 		case err != nil:
-			links.refusals.log("links are not accepted", "", err)
+			links.refusals.log(func(times int) logevent.Event { return AcceptFailed{Cause: err, Times: times} })
 			time.Sleep(minBackoff)
 			continue
 		}
@@ -51,10 +50,14 @@
 	links.mu.Unlock()
 	switch {
 	case err != nil || !links.isAllowed(from):
-		links.refusals.log("refused from outside the allowed sets", from.String(), errAddress)
+		links.refusals.log(func(times int) logevent.Event {
+			return AddressRefused{Address: from.String(), Times: times}
+		})
 		return from, false
 	case full:
-		links.refusals.log("refused: too many links", from.String(), fmt.Errorf("%d are held", maxAccepted))
+		links.refusals.log(func(times int) logevent.Event {
+			return LinkLimitReached{Address: from.String(), Limit: maxAccepted, Times: times}
+		})
 		return from, false
 	}
 	select {
@@ -62,7 +65,9 @@
 		return from, true
 	default:
 		// Who connects without end must not hold up those who belong here for longer than a handshake.
-		links.refusals.log("refused: too many handshakes", from.String(), fmt.Errorf("%d are under way", maxHandshakes))
+		links.refusals.log(func(times int) logevent.Event {
+			return HandshakeLimitReached{Address: from.String(), Limit: maxHandshakes, Times: times}
+		})
 		return from, false
 	}
 }
@@ -83,7 +88,9 @@
 	<-links.handshakes
 	if err != nil {
 		if ctx.Err() == nil {
-			links.refusals.log("refused a link", from.String(), err)
+			links.refusals.log(func(times int) logevent.Event {
+				return HandshakeRefused{Address: from.String(), Cause: err, Times: times}
+			})
 		}
 		return
 	}
@@ -91,7 +98,9 @@
 	defer links.removeIncoming(sender.Name, raw)
 	err = links.readFrames(conn, sender)
 	if errors.Is(err, ErrMalformedFrame) && ctx.Err() == nil {
-		links.refusals.log("a link ended", sender.Name, err)
+		links.refusals.log(func(times int) logevent.Event {
+			return ProtocolViolation{Member: sender.Name, Cause: err, Times: times}
+		})
 	}
 }
 
--- a/internal/cluster/peer/links.go
+++ b/internal/cluster/peer/links.go
@@ -15,6 +15,8 @@
 
 	"go4.org/netipx"
 	"golang.org/x/sync/errgroup"
+
+	"tealpath/internal/logevent"
 )
 
 // Bounds and times of links.
@@ -39,7 +41,7 @@
 	Keys        *Keys
 	Allow       *netipx.IPSet                                         // addresses from which and to which links are taken
 	Receive     func(name string, incarnation uint64, payload []byte) // may wait
-	Log         func(line, peer, reason string)
+	Log         func(logevent.Event)
 }
 
 // Links is all links of one instance. Its methods may be called by several goroutines at once.
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -11,10 +11,12 @@
 	"runtime"
 	"strings"
 	"sync"
-	"tealpath/internal/emulator/certificates"
 	"testing"
 	"time"
 
+	"tealpath/internal/emulator/certificates"
+	"tealpath/internal/logevent"
+
 	"github.com/fxamacker/cbor/v2"
 	"go4.org/netipx"
 )
@@ -28,28 +30,44 @@
 
 	mu       sync.Mutex
 	received []string
-	logged   []string
+	logged   []logevent.Event
 }
 
-// countReceived and countLogged count the messages and lines with a part.
+// countReceived counts the messages with a part.
 func (instance *instance) countReceived(part string) int {
-	return instance.count(&instance.received, part)
+	instance.mu.Lock()
+	defer instance.mu.Unlock()
+	count := 0
+	for _, message := range instance.received {
+		if strings.Contains(message, part) {
+			count++
+		}
+	}
+	return count
 }
 
-func (instance *instance) countLogged(part string) int { return instance.count(&instance.logged, part) }
-
-func (instance *instance) count(list *[]string, part string) int {
+// countLogged counts the logged events that a condition holds for.
+func (instance *instance) countLogged(holds func(logevent.Event) bool) int {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
 	count := 0
-	for _, line := range *list {
-		if strings.Contains(line, part) {
+	for _, event := range instance.logged {
+		if holds(event) {
 			count++
 		}
 	}
 	return count
 }
 
+// isRefusal tells whether an event is about a connection that was refused.
+func isRefusal(event logevent.Event) bool {
+	switch event.(type) {
+	case AddressRefused, LinkLimitReached, HandshakeLimitReached, HandshakeRefused:
+		return true
+	}
+	return false
+}
+
 // forgetLogged forgets what was logged, and how often.
 func (instance *instance) forgetLogged() {
 	instance.refusals.mu.Lock()
@@ -111,10 +129,10 @@
 			defer opened.mu.Unlock()
 			opened.received = append(opened.received, from+":"+string(payload))
 		},
-		Log: func(line, peer, reason string) {
+		Log: func(event logevent.Event) {
 			opened.mu.Lock()
 			defer opened.mu.Unlock()
-			opened.logged = append(opened.logged, line+" | "+peer+" | "+reason)
+			opened.logged = append(opened.logged, event)
 		},
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -171,8 +189,8 @@
 	a.UseKeys(load(t, folder, "a"))
 	a.Send("b", []byte("two"))
 	wait(t, "a message on the standing link", func() bool { return b.countReceived("a:two") == 1 })
-	if b.countLogged("refused") != 0 {
-		t.Errorf("refused: %q", b.logged)
+	if b.countLogged(isRefusal) != 0 {
+		t.Errorf("refused: %v", b.logged)
 	}
 	a.SetPeers(nil)
 	a.SetPeers(map[string]string{"b": b.address})
@@ -184,7 +202,12 @@
 	a.SetPeers(nil)
 	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("four"))
-	wait(t, "the refusal", func() bool { return a.countLogged("no link to b") > 0 })
+	wait(t, "the refusal", func() bool {
+		return a.countLogged(func(event logevent.Event) bool {
+			failed, ok := event.(ConnectFailed)
+			return ok && failed.Member == "b"
+		}) > 0
+	})
 	if b.countReceived("four") != 0 {
 		t.Error("sent to one whose root is no longer believed")
 	}
@@ -246,7 +269,11 @@
 			if test.name == "half a frame" {
 				mustClose(t, client)
 			}
-			wait(t, test.want, func() bool { return b.countLogged(test.want) > 0 })
+			wait(t, test.want, func() bool {
+				return b.countLogged(func(event logevent.Event) bool {
+					return strings.Contains(logevent.Text(event), test.want)
+				}) > 0
+			})
 		})
 	}
 	if received := b.countReceived(""); received != 0 {
@@ -273,8 +300,8 @@
 		mustClose(t, conn)
 	}
 	wait(t, "no goroutine is left", func() bool { return runtime.NumGoroutine() <= before+1 })
-	if lines := b.countLogged(""); lines != 1 {
-		t.Errorf("%d lines for 1,000 refusals", lines)
+	if events := b.countLogged(func(logevent.Event) bool { return true }); events != 1 {
+		t.Errorf("%d events for 1,000 refusals", events)
 	}
 }
 
--- a/internal/cluster/peer/outgoing.go
+++ b/internal/cluster/peer/outgoing.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
+
+	"tealpath/internal/logevent"
 )
 
 // outgoing is the link to one peer.
@@ -68,7 +70,7 @@
 		started, up := time.Now(), false
 		err := links.connect(ctx, link, func() {
 			up = true
-			links.config.Log("link stands", link.name, "")
+			links.config.Log(Connected{Member: link.name})
 		})
 		if ctx.Err() != nil {
 			return
@@ -77,9 +79,11 @@
 			backoff = minBackoff
 		}
 		if up {
-			links.config.Log("link lost", link.name, err.Error())
+			links.config.Log(Disconnected{Member: link.name, Cause: err})
 		} else {
-			links.refusals.log("no link to "+link.name, link.name, err)
+			links.refusals.logOf(link.name, func(times int) logevent.Event {
+				return ConnectFailed{Member: link.name, Cause: err, Times: times}
+			})
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/cluster/peer/refusals.go
+++ b/internal/cluster/peer/refusals.go
@@ -1,19 +1,20 @@
 package peer
 
 import (
-	"fmt"
 	"sync"
 	"time"
+
+	"tealpath/internal/logevent"
 )
 
 const (
-	refusalInterval = 10 * time.Second // between two lines of one kind
+	refusalInterval = 10 * time.Second // between two events of one kind
 	maxRefusalKinds = 512              // kept apart
 )
 
 // refusals logs what was refused, each kind at most once in a while, with how often.
 type refusals struct {
-	write func(line, peer, reason string)
+	emit func(logevent.Event)
 
 	mu    sync.Mutex
 	kinds map[string]*refusal
@@ -22,26 +23,33 @@
 // refusal is one kind of it.
 type refusal struct {
 	loggedAt time.Time
-	times    int // since the last line
+	times    int // since the last event
 }
 
-func newRefusals(write func(line, peer, reason string)) refusals {
-	return refusals{write: write, kinds: map[string]*refusal{}}
+func newRefusals(emit func(logevent.Event)) refusals {
+	return refusals{emit: emit, kinds: map[string]*refusal{}}
 }
 
-func (refusals *refusals) log(kind, peer string, err error) {
-	times := refusals.count(kind)
-	if times == 0 {
-		return
-	}
-	line := kind
-	if times > 1 {
-		line = fmt.Sprintf("%s (%d times)", kind, times)
+// repeatedEvent makes an event that says how often it happened since it was logged last.
+type repeatedEvent func(times int) logevent.Event
+
+// log logs an event whose type is its kind.
+func (refusals *refusals) log(event repeatedEvent) {
+	refusals.logKind(event(0).Kind().Name, event)
+}
+
+// logOf logs an event of which there is one kind for each member.
+func (refusals *refusals) logOf(member string, event repeatedEvent) {
+	refusals.logKind(event(0).Kind().Name+" "+member, event)
+}
+
+func (refusals *refusals) logKind(kind string, event repeatedEvent) {
+	if times := refusals.count(kind); times > 0 {
+		refusals.emit(event(times))
 	}
-	refusals.write(line, peer, err.Error())
 }
 
-// count counts one more of a kind, and returns how many a line is to tell of now; 0 is none.
+// count counts one more of a kind, and returns how many an event is to report now; 0 is none.
 func (refusals *refusals) count(kind string) (times int) {
 	refusals.mu.Lock()
 	defer refusals.mu.Unlock()
--- a/internal/experiment/cluster.go
+++ b/internal/experiment/cluster.go
@@ -30,10 +30,11 @@
 	At       time.Time
 	Instance string
 	Life     int // which start of it
-	Message  string
+	Event    string // its name
+	Text     string // the whole line
+	Phase    string
 	Slots    []int
-	Number   uint64
-	Why      string
+	Ballot   uint64
 	Member   string // that it is about
 }
 
@@ -246,14 +247,15 @@
 		defer log.Close()
 		for in := bufio.NewScanner(out); in.Scan(); {
 			fmt.Fprintln(log, in.Text())
-			line := Line{At: time.Now(), Instance: name, Life: life}
+			line := Line{At: time.Now(), Instance: name, Life: life, Text: in.Text()}
 			var raw struct {
-				Message, Why, Member string
+				Event, Phase, Member string
 				Slots                []int
-				Number               uint64
+				Ballot               uint64
 			}
 			if json.Unmarshal(in.Bytes(), &raw) == nil {
-				line.Message, line.Why, line.Slots, line.Number, line.Member = raw.Message, raw.Why, raw.Slots, raw.Number, raw.Member
+				line.Event, line.Phase, line.Member = raw.Event, raw.Phase, raw.Member
+				line.Slots, line.Ballot = raw.Slots, raw.Ballot
 				c.mu.Lock()
 				c.lines = append(c.lines, line)
 				c.mu.Unlock()
--- a/internal/experiment/coldstart.go
+++ b/internal/experiment/coldstart.go
@@ -231,7 +231,7 @@
 		started := time.Now()
 		go func() {
 			for in := bufio.NewScanner(out); in.Scan(); {
-				if strings.Contains(in.Text(), `"start: whole"`) {
+				if isStartupPhase(in.Bytes(), startup.Warm) {
 					wholeMu.Lock()
 					whole = append(whole, float64(time.Since(started))/1e6)
 					wholeMu.Unlock()
--- a/internal/experiment/duties.go
+++ b/internal/experiment/duties.go
@@ -233,7 +233,7 @@
 func (c *Cluster) waitGone(name string, life int) {
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, l := range c.Lines() {
-			if l.Instance == name && l.Life == life && l.Message == "phase: stopped" {
+			if l.Instance == name && l.Life == life && l.Event == phaseChanged && l.Phase == stoppedPhase {
 				return
 			}
 		}
@@ -257,11 +257,11 @@
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		got, last := map[int]bool{}, since
 		for _, l := range c.Lines() {
-			if l.Message != "slots gained" || l.Instance == victim || l.At.Before(since) {
+			if l.Event != leasesAcquired || l.Instance == victim || l.At.Before(since) {
 				continue
 			}
 			for _, s := range l.Slots {
-				if number, was := lost[s]; was && l.Number > number && !got[s] {
+				if number, was := lost[s]; was && l.Ballot > number && !got[s] {
 					got[s] = true
 					if l.At.After(last) {
 						last = l.At
--- a/internal/experiment/idle_test.go
+++ b/internal/experiment/idle_test.go
@@ -47,7 +47,7 @@
 	if err := g.Signal("n00", syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	logged(t, g.Cluster, "n00", "phase: stopped", "")
+	logged(t, g.Cluster, "n00", "server_phase_changed", `"phase":"stopped"`)
 	if took := time.Since(began); took > 3500*time.Millisecond {
 		t.Errorf("it ended after %s with 2,000 idle connections", took)
 	}
--- a/internal/experiment/members.go
+++ b/internal/experiment/members.go
@@ -111,7 +111,7 @@
 	for time.Since(since) < within {
 		last, seen := since, map[string]bool{}
 		for _, l := range c.Lines() {
-			if l.At.After(since) && l.Message == "member dead" && l.Member == victim && !seen[l.Instance] {
+			if l.At.After(since) && l.Event == memberDead && l.Member == victim && !seen[l.Instance] {
 				seen[l.Instance] = true
 				if l.At.After(last) {
 					last = l.At
@@ -129,7 +129,7 @@
 // falsely counts deaths of others than some that were logged between two times, but for those that some logged.
 func (c *Cluster) falsely(from time.Time, about ...string) (n int) {
 	for _, l := range c.Lines() {
-		if l.At.After(from) && strings.HasSuffix(l.Message, " dead") && !slices.Contains(about, l.Member) && !slices.Contains(about, l.Instance) {
+		if l.At.After(from) && (l.Event == memberDead || l.Event == membersDead) && !slices.Contains(about, l.Member) && !slices.Contains(about, l.Instance) {
 			n++
 		}
 	}
--- a/internal/experiment/reload_test.go
+++ b/internal/experiment/reload_test.go
@@ -11,16 +11,17 @@
 )
 
 // logged waits for a line of an instance's log.
-func logged(t *testing.T, c *Cluster, name, message, why string) {
+// logged waits until an instance has logged an event whose line has a part; "" is any event.
+func logged(t *testing.T, c *Cluster, name, event, part string) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, l := range c.Lines() {
-			if l.Instance == name && strings.Contains(l.Message, message) && strings.Contains(l.Why, why) {
+			if l.Instance == name && (event == "" || l.Event == event) && strings.Contains(l.Text, part) {
 				return
 			}
 		}
 	}
-	t.Fatalf("%s never logged %q, %q", name, message, why)
+	t.Fatalf("%s never logged %q, %q", name, event, part)
 }
 
 // Keys, roots and voters change in service; a faulty file changes nothing; one that is in no file joins.
@@ -56,7 +57,7 @@
 
 	must(os.WriteFile(c.path("n00", ".sx"), []byte("(fleet (nonsense))"), 0o600))
 	must(c.Signal("n00", syscall.SIGHUP))
-	logged(t, c, "n00", "configuration kept as it was: operator's file", "")
+	logged(t, c, "n00", "config_rejected", `"cause":"operator's file`)
 	must(c.Settled(t.Context(), time.Second))
 
 	// A new root, beside the old one at first.
@@ -71,17 +72,17 @@
 	}
 	operate(first...)
 	must(c.Start(last)) // it proves itself by the new root alone, and has no vote
-	logged(t, c, last, "slots gained", "")
+	logged(t, c, last, "leases_acquired", "")
 	must(c.Settled(t.Context(), 10*time.Second))
 
 	// The fourth gets a vote; a second change at once is refused.
 	time.Sleep(2 * c.Lease)
 	c.voters = "(epoch 2) (now n00 n01 n02 n03) (before n00 n01 n02)"
 	operate(c.Names...)
-	logged(t, c, "n00", "operator's file read again: 4 instances, voters of epoch 2", "")
+	logged(t, c, "n00", "cluster_config_reloaded", `"instances":4,"voter_epoch":2`)
 	c.voters = "(epoch 3) (now n01 n02 n03) (before n00 n01 n02 n03)"
 	operate("n00")
-	logged(t, c, "n00", "the voters stay as they were", "a majority must have been at epoch 2")
+	logged(t, c, "n00", "voters_kept", "a majority must have been at epoch 2")
 	must(c.Settled(t.Context(), 10*time.Second))
 	s, err := c.Status(t.Context(), "n00")
 	must(err)
@@ -89,6 +90,6 @@
 		t.Errorf("%+v", s)
 	}
 	must(c.Signal(last, syscall.SIGTERM))
-	logged(t, c, last, "slots lost", "this instance leaves")
+	logged(t, c, last, "leases_lost", "this instance leaves")
 	must(c.Settled(t.Context(), 3*time.Second))
 }
--- a/internal/experiment/snapshot_test.go
+++ b/internal/experiment/snapshot_test.go
@@ -15,18 +15,19 @@
 	for _, c := range []struct {
 		name   string
 		change func(t *testing.T, c *Cluster, file string)
-		says   string // the log
+		event  string // in the log; "" is one that is a text yet
+		part   string // of its line
 		behind int    // what the list service is asked behind, in the end
 	}{
-		{"as it was", func(*testing.T, *Cluster, string) {}, "the list of the snapshot is confirmed", 0},
+		{"as it was", func(*testing.T, *Cluster, string) {}, "", "the list of the snapshot is confirmed", 0},
 		{"a cache drained", func(t *testing.T, c *Cluster, _ string) {
 			c.journal.Publish(strings.Replace(c.line(0), "active", "leaving", 1))
-		}, "the list of the snapshot is confirmed", 0},
+		}, "", "the list of the snapshot is confirmed", 0},
 		{"torn", func(t *testing.T, _ *Cluster, file string) {
 			if err := os.Truncate(file, 200); err != nil {
 				t.Fatal(err)
 			}
-		}, "snapshot passed over: torn", 0},
+		}, "snapshot_ignored", `"cause":"torn`, 0},
 		{"of a newer program", func(t *testing.T, _ *Cluster, file string) {
 			raw, err := os.ReadFile(file)
 			if err != nil {
@@ -36,11 +37,11 @@
 			if err := os.WriteFile(file, raw, 0o600); err != nil {
 				t.Fatal(err)
 			}
-		}, "snapshot passed over: it is of version 9", 0},
+		}, "snapshot_ignored", `"cause":"it is of version 9`, 0},
 		{"the service began anew", func(t *testing.T, c *Cluster, _ string) {
 			c.journal.Reset()
 			c.journal.Publish(strings.Replace(c.line(1), `"generation":3`, `"generation":4,"reset":true`, 1))
-		}, "start: warming", 1},
+		}, "startup_phase_changed", `"phase":"warming"`, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -88,7 +89,7 @@
 				t.Fatal(err)
 			}
 			r := serve()
-			logged(t, x, name, c.says, "")
+			logged(t, x, name, c.event, c.part)
 			if r.Settled < r.Sent*9/10 || r.Lost > 0 {
 				t.Errorf("%+v", r)
 			}
@@ -96,7 +97,7 @@
 				t.Errorf("the first cache was asked %d times before the restart, %d in all", before, got)
 			}
 			calls := x.journal.Calls()
-			if confirmed := strings.Contains(c.says, "confirmed"); confirmed != (calls[len(calls)-1].LastEventID == 1) && c.behind == 0 {
+			if confirmed := strings.Contains(c.part, "confirmed"); confirmed != (calls[len(calls)-1].LastEventID == 1) && c.behind == 0 {
 				t.Errorf("the last call asked behind %d", calls[len(calls)-1].LastEventID)
 			}
 		})
--- a/internal/experiment/virtual.go
+++ b/internal/experiment/virtual.go
@@ -10,6 +10,7 @@
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/probe"
+	"tealpath/internal/logevent"
 )
 
 // Virtual is the fleet's reducers played in simulated time.
@@ -232,44 +233,51 @@
 			n.timer = max(r.now+1, n.born+int64(float64(e.At)/n.rate)+1)
 			r.push(event{at: n.timer, node: i, life: n.life})
 		case cluster.Log:
-			r.changes(i, e)
+			r.changes(i, e.Event)
 		}
 	}
 }
 
 // changes follows who owns what by what is logged, and asks every other whether it owns that too at this moment.
-func (r *virtualRun) changes(i int, l cluster.Log) {
-	for _, s := range l.Slots {
-		switch l.Line {
-		case "slots gained":
-			r.result.Tenures++
-			switch {
-			case l.Ballot > r.highest[s]:
-			case r.Steps:
-				r.result.Stepped++
-			default:
-				r.result.Backward++
-			}
-			r.highest[s] = max(r.highest[s], l.Ballot)
-			for k, other := range r.nodes {
-				// A frozen one does nothing, but it believes; what counts is what it would do if it woke now.
-				if _, _, ok := other.node.Holds(r.clock(other), s); ok && k != i {
-					r.result.Overlaps++
-				}
-			}
-			if r.owner[s] < 0 {
-				r.owned++
-			}
-			r.owner[s] = i
-		case "slots lost":
-			if r.owner[s] == i {
-				r.owner[s] = -1
+func (r *virtualRun) changes(i int, logged logevent.Event) {
+	switch event := logged.(type) {
+	case cluster.LeasesAcquired:
+		for _, slot := range event.Slots {
+			r.acquired(i, slot, event.Ballot)
+		}
+	case cluster.LeasesLost:
+		for _, slot := range event.Slots {
+			if r.owner[slot] == i {
+				r.owner[slot] = -1
 				r.owned--
 			}
 		}
 	}
 }
 
+// acquired notes that an instance holds a slot's lease from now on.
+func (r *virtualRun) acquired(i, slot int, ballot uint64) {
+	r.result.Tenures++
+	switch {
+	case ballot > r.highest[slot]:
+	case r.Steps:
+		r.result.Stepped++
+	default:
+		r.result.Backward++
+	}
+	r.highest[slot] = max(r.highest[slot], ballot)
+	for k, other := range r.nodes {
+		// A frozen one does nothing, but it believes; what counts is what it would do if it woke now.
+		if _, _, ok := other.node.Holds(r.clock(other), slot); ok && k != i {
+			r.result.Overlaps++
+		}
+	}
+	if r.owner[slot] < 0 {
+		r.owned++
+	}
+	r.owner[slot] = i
+}
+
 func (r *virtualRun) ask(i int, e cluster.SendProbe) {
 	if last, been := r.probed[e.Target]; been && last.owner != i && r.now-last.at < 1e9 {
 		r.result.Duplicated++
--- /dev/null
+++ b/internal/server/clusterloop.go
@@ -0,0 +1,113 @@
+package server
+
+import (
+	"context"
+	"time"
+
+	"tealpath/internal/cluster"
+	"tealpath/internal/router"
+)
+
+// clusterLoop is the one goroutine that runs the cluster's reducer and carries out its effects.
+type clusterLoop struct {
+	node              *clusterNode
+	shutdownRequested <-chan struct{} // nil once the shutdown has begun
+	reducerTimer      *time.Timer     // fires when the reducer has something to do
+}
+
+// run handles events until ctx ends.
+func (l *clusterLoop) run(ctx context.Context) {
+	defer l.reducerTimer.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case event := <-l.node.inbox:
+			l.handle(ctx, event)
+		case <-l.node.targetsChanged:
+			l.handle(ctx, cluster.TargetsUpdated{Targets: *l.node.targets.Load()})
+		case <-l.shutdownRequested:
+			l.beginShutdown(ctx)
+		case reply := <-l.node.leaseQueries:
+			reply <- l.leaseStatus()
+		case reply := <-l.node.memberQueries:
+			reply <- l.memberStatus()
+		case <-l.reducerTimer.C:
+			l.handle(ctx, cluster.TimerFired{WallMS: unixMilli(l.node.clock)})
+		}
+	}
+}
+
+// beginShutdown hands this instance's leases over, and waits a moment until that is written.
+func (l *clusterLoop) beginShutdown(ctx context.Context) {
+	l.shutdownRequested = nil
+	l.handle(ctx, cluster.ShutdownStarted{})
+	l.node.links.Flush(shutdownFlushTimeout)
+}
+
+func (l *clusterLoop) leaseStatus() cluster.Status {
+	status := l.node.reducer.Status(bootTime())
+	status.Frames = l.node.framesSent.Load()
+	status.FramesLost = l.node.links.Dropped()
+	status.Probes = l.node.probesSent.Load()
+	return status
+}
+
+func (l *clusterLoop) memberStatus() cluster.MembersStatus {
+	status := l.node.reducer.Members(bootTime())
+	status.BytesSent = l.node.bytesSent.Load()
+	return status
+}
+
+// handle runs the cluster's reducer on an event and carries out its effects.
+func (l *clusterLoop) handle(ctx context.Context, event cluster.Event) {
+	for _, effect := range l.node.reducer.Handle(bootTime(), event) {
+		l.carryOut(ctx, effect)
+	}
+}
+
+// carryOut does what the cluster's reducer wants done.
+func (l *clusterLoop) carryOut(ctx context.Context, effect cluster.Effect) {
+	node := l.node
+	switch effect := effect.(type) {
+	case cluster.Send:
+		node.send(effect)
+	case cluster.SetPeers:
+		node.setPeers(effect.Peers)
+	case cluster.LeaseChanged:
+		node.ballots[effect.Slot].Store(effect.Ballot)
+	case cluster.SendProbe:
+		node.probe(ctx, effect.Probe)
+	case cluster.TargetProbed:
+		node.probeResult(router.ProbeEnded{
+			Instance:   effect.Target,
+			Healthy:    effect.Healthy,
+			LoadReport: effect.Load,
+		})
+	case cluster.Log:
+		node.emit(effect.Event)
+	case cluster.SetTimer:
+		l.reducerTimer.Reset(time.Duration(effect.At - bootTime()))
+	}
+}
+
+// send queues a message to another instance.
+func (node *clusterNode) send(effect cluster.Send) {
+	payload, err := effect.Message.Encode()
+	if err != nil {
+		node.emit(ClusterMessageNotSent{Member: effect.To, Cause: err})
+		return
+	}
+	node.framesSent.Add(1)
+	node.bytesSent.Add(int64(len(payload)) + frameOverhead)
+	node.links.Send(effect.To, payload)
+}
+
+// setPeers has links to these instances and to no others.
+func (node *clusterNode) setPeers(peers []cluster.Peer) {
+	addresses := make(map[string]string, len(peers))
+	for _, peer := range peers {
+		addresses[peer.Name] = peer.Address
+	}
+	node.links.SetPeers(addresses)
+}
--- /dev/null
+++ b/internal/server/listen_test.go
@@ -0,0 +1,28 @@
+package server
+
+import (
+	"net"
+	"os"
+	"syscall"
+	"testing"
+)
+
+// An address that may be had in a moment is waited for at the start; other errors are reported at once.
+func TestIsTransientListenError(t *testing.T) {
+	for errno, want := range map[syscall.Errno]bool{
+		syscall.EADDRINUSE:    true,
+		syscall.EMFILE:        true,
+		syscall.ENFILE:        true,
+		syscall.ENOBUFS:       true,
+		syscall.ENOMEM:        true,
+		syscall.EACCES:        false,
+		syscall.EADDRNOTAVAIL: false,
+	} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			err := &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("bind", errno)}
+			if isTransientListenError(err) != want {
+				t.Errorf("%v: transient: %v", errno, !want)
+			}
+		})
+	}
+}
--- a/internal/server/log.go
+++ b/internal/server/log.go
@@ -6,13 +6,34 @@
 	"github.com/rs/zerolog"
 
 	"tealpath/internal/logevent"
+	"tealpath/internal/router"
 )
 
-// eventKey is the key under which each line has the name of its event.
-const eventKey = "event"
+const (
+	// eventKey is the key under which each line has the name of its event.
+	eventKey = "event"
 
-// writeEvent writes an event as one line: its level, its name under eventKey, its fields, then its message.
-func writeEvent(logger zerolog.Logger, event logevent.Event) {
+	// instanceKey is the key under which a line about one endpoint has its name.
+	instanceKey = "instance"
+)
+
+// emit logs an event. It may be called by any goroutine.
+func (s *Server) emit(event logevent.Event) { WriteEvent(s.logger, event) }
+
+// logText logs a line that is not typed.
+func (s *Server) logText(text string) { s.logger.Info().Msg(text) }
+
+// emitOfRouter logs an event of the reducer, with the endpoint that it is about, if any.
+func (s *Server) emitOfRouter(log router.Log) {
+	logger := s.logger
+	if log.Instance != "" {
+		logger = logger.With().Str(instanceKey, log.Instance).Logger()
+	}
+	WriteEvent(logger, log.Event)
+}
+
+// WriteEvent writes an event as one line: its level, its name under eventKey, its fields, then its message.
+func WriteEvent(logger zerolog.Logger, event logevent.Event) {
 	kind := event.Kind()
 	line := logger.WithLevel(zerologLevel(kind.Level)).Str(eventKey, kind.Name)
 	for _, field := range logevent.Fields(event) {
--- a/internal/server/log_test.go
+++ b/internal/server/log_test.go
@@ -25,7 +25,7 @@
 func TestWriteEvent(t *testing.T) {
 	var out bytes.Buffer
 	event := loggedEvent{Endpoint: 17, Elapsed: 1500 * time.Microsecond, Cause: errors.New("connection refused")}
-	writeEvent(zerolog.New(&out), event)
+	WriteEvent(zerolog.New(&out), event)
 	want := `{"level":"warn","event":"endpoint_ejected","endpoint":17,"elapsed_ms":1.5,"cause":"connection refused",` +
 		`"message":"endpoint ejected as an outlier"}` + "\n"
 	if out.String() != want {
--- /dev/null
+++ b/internal/server/loop.go
@@ -0,0 +1,131 @@
+package server
+
+import (
+	"context"
+	"time"
+
+	"tealpath/internal/clock"
+	"tealpath/internal/discovery"
+	"tealpath/internal/router"
+)
+
+// loop is the event loop: the one goroutine that runs the reducer and carries out its effects, none of which waits.
+type loop struct {
+	server            *Server
+	shutdownRequested <-chan struct{} // nil once the shutdown has begun
+	reducerTimer      *time.Timer     // fires when the reducer has something to do
+	drain             *drain          // nil until the shutdown begins
+}
+
+func newLoop(s *Server, shutdownRequested <-chan struct{}) *loop {
+	return &loop{server: s, shutdownRequested: shutdownRequested, reducerTimer: time.NewTimer(0)}
+}
+
+// run handles events until the shutdown is complete or ctx ends.
+func (l *loop) run(ctx context.Context) error {
+	defer l.stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-l.shutdownRequested:
+			l.beginShutdown()
+		case arrived := <-l.server.inbox:
+			if l.observeDiscovery(arrived) {
+				continue
+			}
+			l.receive(arrived)
+		case <-l.reducerTimer.C:
+			l.advance()
+		case <-l.server.snapshots.due():
+			l.writeSnapshot()
+		case <-l.drain.pollDue():
+		}
+		if l.shutdownComplete() {
+			return nil
+		}
+	}
+}
+
+// stop ends the loop's timers.
+func (l *loop) stop() {
+	l.reducerTimer.Stop()
+	l.drain.stop()
+}
+
+// observeDiscovery notes an event that says how the watch on discovery fares; the reducer does not get it. It returns false for
+// all other events.
+func (l *loop) observeDiscovery(arrived arrival) bool {
+	switch event := arrived.event.(type) {
+	case discovery.Heard:
+		l.server.progress.ServiceReached(arrived.at)
+		l.server.advanceStartup()
+		return true
+	case discovery.Told:
+		l.server.snapshots.observe(event)
+		return true
+	}
+	return false
+}
+
+// receive hands the reducer an event that came from a client, an endpoint or discovery.
+func (l *loop) receive(arrived arrival) {
+	switch event := arrived.event.(type) {
+	case router.ConnectionDown:
+		l.handle(arrived.at, l.server.upstream.Ended(event))
+	case router.EndpointListUpdated:
+		l.updateEndpoints(arrived.at, event)
+	default:
+		l.handle(arrived.at, event)
+	}
+}
+
+// updateEndpoints hands on a newer endpoint list, to the instances' shared tasks as well.
+func (l *loop) updateEndpoints(at int64, list router.EndpointListUpdated) {
+	s := l.server
+	s.progress.ListReceived()
+	s.advanceStartup()
+	l.handle(at, list)
+	if s.cluster != nil {
+		s.cluster.setEndpoints(s.router.Endpoints(), s.config.Settings)
+	}
+}
+
+// advance has the reducer do what is due.
+func (l *loop) advance() {
+	l.handle(l.server.clock.Now(), router.TimerFired{})
+	l.server.advanceStartup()
+}
+
+// writeSnapshot has what is known written for the next start.
+func (l *loop) writeSnapshot() { l.server.snapshots.write(l.server.router, l.server.clock.Now()) }
+
+// handle runs the reducer on an event and carries out its effects.
+func (l *loop) handle(at int64, event router.Event) {
+	for _, effect := range l.server.router.Handle(at, event) {
+		l.carryOut(effect)
+	}
+}
+
+// carryOut does what the reducer wants done.
+func (l *loop) carryOut(effect router.Effect) {
+	s := l.server
+	switch effect := effect.(type) {
+	case router.Respond:
+		s.downstream.Answer(effect)
+	case router.Send:
+		s.upstream.Send(effect)
+	case router.WithdrawAttempt:
+		s.upstream.Withdraw(effect)
+	case router.CancelAttempt:
+		s.upstream.GiveUp(effect)
+	case router.Dial:
+		s.upstream.Dial(effect)
+	case router.Close:
+		s.upstream.Close(effect)
+	case router.SetTimer:
+		l.reducerTimer.Reset(clock.Until(s.clock, effect.At))
+	case router.Log:
+		s.emitOfRouter(effect)
+	}
+}
--- /dev/null
+++ b/internal/server/reload_test.go
@@ -0,0 +1,63 @@
+package server
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"syscall"
+	"testing"
+
+	"tealpath/internal/config"
+	"tealpath/internal/logevent"
+	"tealpath/internal/operatorconfig"
+)
+
+// A configuration that can't be read for want of descriptors or memory is read once it can be; a faulty one is reported at once.
+func TestLoadWithRetry(t *testing.T) {
+	for errno, attempts := range map[syscall.Errno]int{
+		syscall.EMFILE: 4,
+		syscall.ENFILE: 4,
+		syscall.ENOMEM: 4,
+		syscall.ENOENT: 1,
+		syscall.EIO:    1,
+	} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			calls := 0
+			load := func() (*config.Config, *operatorconfig.File, error) {
+				if calls++; calls <= 3 {
+					return nil, nil, fmt.Errorf("configuration: %w", &os.PathError{Op: "open", Path: "x", Err: errno})
+				}
+				return &config.Config{}, nil, nil
+			}
+			var logged []logevent.Event
+			emit := func(event logevent.Event) { logged = append(logged, event) }
+			next, _, err := loadWithRetry(t.Context(), load, emit)
+			if calls != attempts {
+				t.Errorf("%d calls, want %d", calls, attempts)
+			}
+			if loaded := next != nil; loaded != (attempts > 1) {
+				t.Errorf("loaded: %v", loaded)
+			}
+			if attempts == 1 && !errors.Is(err, errno) {
+				t.Error(err)
+			}
+			if len(logged) != min(attempts-1, 1) {
+				t.Errorf("logged %v", logged)
+			}
+			for _, event := range logged {
+				if delayed, ok := event.(ConfigLoadDelayed); !ok || !errors.Is(delayed.Cause, errno) {
+					t.Errorf("logged %v", event)
+				}
+			}
+		})
+	}
+	t.Run("the server ends", func(t *testing.T) {
+		ctx, cancel := context.WithCancel(t.Context())
+		cancel()
+		load := func() (*config.Config, *operatorconfig.File, error) { return nil, nil, syscall.EMFILE }
+		if _, _, err := loadWithRetry(ctx, load, func(logevent.Event) {}); err == nil {
+			t.Error("it does not end with the server")
+		}
+	})
+}
--- a/internal/server/keeping_test.go
+++ b/internal/server/snapshots_test.go
@@ -20,11 +20,15 @@
 
 	"tealpath/internal/config"
 	"tealpath/internal/emulator/discoveryserver"
+	"tealpath/internal/logevent"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/protocol/thrift"
 	"tealpath/internal/snapshot"
 )
 
+// snapshotPath is where the servers of these tests keep their snapshots.
+var snapshotPath = filepath.Join("folder", "kept")
+
 // faultyDisk is a disk in memory. It fails as it is told to, or hangs until the test ends.
 type faultyDisk struct {
 	mu       sync.Mutex
@@ -113,7 +117,7 @@
 // lockedBuffer is a log that is read while it is written.
 type lockedBuffer struct {
 	mu   sync.Mutex
-	text bytes.Buffer
+	text bytes.Buffer // guarded by mu
 }
 
 func (b *lockedBuffer) Write(raw []byte) (int, error) {
@@ -122,10 +126,18 @@
 	return b.text.Write(raw)
 }
 
-func (b *lockedBuffer) count(part string) int {
+// count counts the lines of an event whose fields have a part.
+func (b *lockedBuffer) count(event logevent.Event, part string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return strings.Count(b.text.String(), part)
+	count := 0
+	for line := range strings.Lines(b.text.String()) {
+		isEvent := strings.Contains(line, fmt.Sprintf(`"event":%q`, event.Kind().Name))
+		if isEvent && strings.Contains(line, part) {
+			count++
+		}
+	}
+	return count
 }
 
 // running is a process that serves within the test, and keeps snapshots on a disk.
@@ -150,7 +162,7 @@
 		t.Fatal(err)
 	}
 	r := &running{address: listener.Addr().String(), log: &lockedBuffer{}, leave: make(chan struct{}), ended: make(chan error, 1)}
-	listener.Close()
+	discard(listener)
 	c, err := config.Parse(fmt.Appendf(nil, `{"name":"n1","listen":%q,"seed":"07","limits":{"cores":1,"memory_mb":64,"sockets":256},
  "journal":%q,"known":%s,"settings":{"balancers":1,"locality":"here","failureDomains":["here"],"machineTypes":["cache"],
  "limits":{"attemptsCap":6,"dialTimeoutS":0.4,"connIdleS":30,"streamsPerConn":100,"maxOpen":1000},
@@ -159,11 +171,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := New(c, &operatorconfig.File{Snapshot: filepath.Join("folder", "kept"), SnapshotEvery: int64(every)}, zerolog.New(r.log))
-	p.snapshots = func(path string) *snapshot.Store { return snapshot.NewStoreWithFileSystem(disk, path) }
+	operator := &operatorconfig.File{Snapshot: snapshotPath, SnapshotEvery: int64(every)}
+	s := New(c, operator, zerolog.New(r.log))
+	s.openStore = func(path string) *snapshot.Store { return snapshot.NewStoreWithFileSystem(disk, path) }
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
-	go func() { r.ended <- p.Run(ctx, r.leave, nil, nil) }()
+	go func() { r.ended <- s.Run(ctx, r.leave, nil, nil) }()
 	return r
 }
 
@@ -173,11 +186,16 @@
 	if err != nil {
 		return false
 	}
-	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(time.Second))
+	defer discard(conn)
+	if err := conn.SetDeadline(time.Now().Add(time.Second)); err != nil {
+		return false
+	}
 	message := append([]byte{0x80, 1, 0, thrift.Call, 0, 0, 0, 6}, "health"...)
 	message = append(binary.BigEndian.AppendUint32(message, 1), 2, 0, 1, 0, 0)
-	conn.Write(append(binary.BigEndian.AppendUint32(nil, uint32(len(message))), message...))
+	frame := append(binary.BigEndian.AppendUint32(nil, uint32(len(message))), message...)
+	if _, err := conn.Write(frame); err != nil {
+		return false
+	}
 	size := make([]byte, 4)
 	if _, err := io.ReadFull(conn, size); err != nil {
 		return false
@@ -230,7 +248,7 @@
 				if took := time.Since(told); took >= deadline+killAfter {
 					t.Errorf("ended after %v, killed after %v", took, deadline+killAfter)
 				}
-				if n := r.log.count("snapshots are not kept"); n != 1 {
+				if n := r.log.count(SnapshotWriteFailed{}, ""); n != 1 {
 					t.Errorf("%d lines say that the last snapshot was not kept", n)
 				}
 			})
@@ -244,7 +262,7 @@
 	disk.set(syscall.ENOSPC, "")
 	r := startOn(t, disk, 300*time.Millisecond, 20*time.Millisecond)
 	eventually(t, "healthy", 5*time.Second, r.healthy)
-	eventually(t, "it is said", 5*time.Second, func() bool { return r.log.count("snapshots are not kept: no space left") > 0 })
+	eventually(t, "it is said", 5*time.Second, func() bool { return r.log.count(SnapshotWriteFailed{}, `"cause":"no space left`) > 0 })
 	time.Sleep(500 * time.Millisecond)
 	if !r.healthy() {
 		t.Error("not healthy while the disk is full")
@@ -255,15 +273,15 @@
 	}
 	disk.mu.Unlock()
 	disk.set(nil, "")
-	eventually(t, "it is over", 5*time.Second, func() bool { return r.log.count("snapshots are kept again") > 0 })
+	eventually(t, "it is over", 5*time.Second, func() bool { return r.log.count(SnapshotWriteRecovered{}, "") > 0 })
 	close(r.leave)
 	if err := <-r.ended; err != nil {
 		t.Error(err)
 	}
-	if failed, again := r.log.count("snapshots are not kept"), r.log.count("snapshots are kept again"); failed != 1 || again != 1 {
+	if failed, again := r.log.count(SnapshotWriteFailed{}, ""), r.log.count(SnapshotWriteRecovered{}, ""); failed != 1 || again != 1 {
 		t.Errorf("%d and %d lines", failed, again)
 	}
-	if kept, err := snapshot.NewStoreWithFileSystem(disk, filepath.Join("folder", "kept")).Read(); err != nil || len(kept.Endpoints) != 1 {
+	if kept, err := snapshot.NewStoreWithFileSystem(disk, snapshotPath).Read(); err != nil || len(kept.Endpoints) != 1 {
 		t.Errorf("%+v, %v", kept, err)
 	}
 	if len(disk.files) != 1 {
@@ -282,7 +300,7 @@
 	if err := <-r.ended; err != nil {
 		t.Error(err)
 	}
-	kept, err := snapshot.NewStoreWithFileSystem(disk, filepath.Join("folder", "kept")).Read()
+	kept, err := snapshot.NewStoreWithFileSystem(disk, snapshotPath).Read()
 	if err != nil || kept.TakenAt < told.UnixNano() {
 		t.Errorf("taken %v before the shutdown, %v", time.Duration(told.UnixNano()-kept.TakenAt), err)
 	}
--- /dev/null
+++ b/internal/server/start.go
@@ -0,0 +1,117 @@
+package server
+
+import (
+	"context"
+	"net"
+
+	"golang.org/x/sync/errgroup"
+
+	"tealpath/internal/discovery"
+	"tealpath/internal/downstream"
+	"tealpath/internal/lifecycle/startup"
+	"tealpath/internal/operatorconfig"
+	"tealpath/internal/router"
+	"tealpath/internal/upstream"
+)
+
+// poster returns a function that hands events to the event loop, stamped with the time when they came. It waits while the
+// inbox is full.
+func (s *Server) poster(ctx context.Context) func(router.Event) {
+	return func(event router.Event) {
+		select {
+		case s.inbox <- arrival{s.clock.Now(), event}:
+		case <-ctx.Done():
+		}
+	}
+}
+
+// tryPost hands an event to the event loop, or drops it where the inbox is full: the result of a probe is not worth a wait.
+func (s *Server) tryPost(event router.Event) {
+	select {
+	case s.inbox <- arrival{s.clock.Now(), event}:
+	default:
+	}
+}
+
+// start makes the connections' sides. What serves beside the event loop from now on runs in the group: links to other
+// instances, and the operator's socket.
+func (s *Server) start(
+	ctx context.Context, group *errgroup.Group, listener net.Listener, post func(router.Event),
+	shutdownRequested <-chan struct{},
+) error {
+	s.startUpstream(ctx, post)
+	s.startDownstream(listener, post)
+	if s.operator == nil {
+		return nil
+	}
+	if s.operator.Fleet != nil {
+		if err := s.startCluster(ctx, group, shutdownRequested); err != nil {
+			return err
+		}
+	}
+	if s.operator.Socket != "" {
+		handlers := s.operatorHandlers()
+		group.Go(func() error { return operatorconfig.Serve(ctx, s.operator.Socket, handlers) })
+	}
+	return nil
+}
+
+// startUpstream makes the connections to endpoints.
+func (s *Server) startUpstream(ctx context.Context, post func(router.Event)) {
+	fields, _ := s.config.Settings["report.fields"].([]string)
+	s.upstream = upstream.New(ctx, fields, post, upstream.WithClock(s.clock))
+	rate, _ := s.config.Settings["answer.bytesPerS"].(float64)
+	s.upstream.Pace(rate)
+}
+
+// startDownstream makes the side of the clients' connections.
+func (s *Server) startDownstream(listener net.Listener, post func(router.Event)) {
+	connections, keep := s.clientConnections()
+	limits := downstream.Limits{
+		Connections: connections,
+		Keep:        keep,
+		Open:        maxOpenRequestsPerClient,
+		Bytes:       int64(s.memory(responseMemoryShare)),
+		Cores:       s.config.Cores,
+		Seed:        s.config.Seed,
+		Clock:       s.clock,
+		Crowded:     func() bool { return len(s.inbox) >= maxInboxEvents/2 },
+	}
+	s.downstream = downstream.New(listener, limits, post, s.logText)
+}
+
+// startCluster opens the links to other instances and shares the periodic tasks with them.
+func (s *Server) startCluster(ctx context.Context, group *errgroup.Group, shutdownRequested <-chan struct{}) error {
+	node, err := newClusterNode(ctx, clusterConfig{
+		operator:    s.operator,
+		settings:    s.config.Settings,
+		clock:       s.clock,
+		emit:        s.emit,
+		probeResult: s.tryPost,
+	})
+	if err != nil {
+		return err
+	}
+	s.cluster = node
+	node.setEndpoints(s.router.Endpoints(), s.config.Settings)
+	group.Go(func() error { return node.run(ctx, shutdownRequested) })
+	return nil
+}
+
+// operatorHandlers are the subjects that the operator's socket answers.
+func (s *Server) operatorHandlers() map[string]operatorconfig.Handler {
+	handlers := map[string]operatorconfig.Handler{"connections": s.connections}
+	if s.cluster != nil {
+		handlers["duties"] = s.cluster.leaseStatus
+		handlers["members"] = s.cluster.memberStatus
+	}
+	return handlers
+}
+
+// newWatch makes the watch on discovery, which goes on behind what is known.
+func (s *Server) newWatch(history discovery.Past, post func(router.Event)) *discovery.Feed {
+	routers, _ := s.config.Settings["routers"].(int64)
+	calls := startup.NewCallSchedule(s.config.Seed, int(routers), s.readinessHold())
+	calls.SetDrainGrace(s.shortestGrace())
+	return discovery.New(s.config.DiscoveryAddress, history, calls, post, s.logText, discovery.WithClock(s.clock))
+}
