--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -12,16 +12,15 @@
 	"strings"
 	"sync"
 	"sync/atomic"
-	"testing"
-	"time"
-
-	"github.com/rs/zerolog"
-
 	"tealpath/internal/clock"
 	"tealpath/internal/clock/clocktest"
 	"tealpath/internal/config"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/server"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
 )
 
 // steps are what the wall clock is set forward by in the tests, or back.
--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -12,11 +12,10 @@
 	"strings"
 	"sync"
 	"syscall"
-	"testing"
-	"time"
-
 	"tealpath/internal/protocol/resp"
 	"tealpath/internal/protocol/thrift"
+	"testing"
+	"time"
 )
 
 var budgetField = regexp.MustCompile(`\bbudget=(\d+)\b`)
@@ -128,8 +127,10 @@
 // large is a request with a body that fills the way to a deaf cache.
 func (c *client) large(object string) {
 	c.seq++
-	fields := []string{"verb", "stills", "txn", fmt.Sprintf("%016x", time.Now().UnixNano()), "limit", "3000", "item", object,
-		"nth", "0", "batch", "17"}
+	fields := []string{
+		"verb", "stills", "txn", fmt.Sprintf("%016x", time.Now().UnixNano()), "limit", "3000", "item", object,
+		"nth", "0", "batch", "17",
+	}
 	args := binary.BigEndian.AppendUint32([]byte{13, 0, 1, 11, 11}, uint32(len(fields)/2))
 	for _, f := range fields {
 		args = text(args, f)
--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -4,15 +4,14 @@
 	"context"
 	"fmt"
 	"os"
-
-	"github.com/urfave/cli/v3"
-
 	"tealpath/internal/compatibility"
 	"tealpath/internal/operatorconfig"
+
+	"github.com/urfave/cli/v3"
 )
 
-// diff says whether two operator's files may be in force side by side, and by which steps one becomes the other. Exit 1: they
-// may not.
+// diff says whether two operator's files may be in force side by side, and by which steps one becomes the
+// other. Exit 1: they may not.
 func diff(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 2 {
 		return cli.Exit("diff takes two operator's files", exitUsage)
--- a/cmd/tealpath/diff_test.go
+++ b/cmd/tealpath/diff_test.go
@@ -7,12 +7,11 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"tealpath/internal/emulator/certificates"
 	"testing"
 	"time"
 
 	"github.com/urfave/cli/v3"
-
-	"tealpath/internal/emulator/certificates"
 )
 
 // Two operator's files, as an operator would hold them against each other before a change.
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -7,15 +7,14 @@
 	"fmt"
 	"os"
 	"strings"
-	"text/tabwriter"
-	"time"
-
-	"github.com/urfave/cli/v3"
-
 	"tealpath/internal/cluster"
 	"tealpath/internal/config"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/server"
+	"text/tabwriter"
+	"time"
+
+	"github.com/urfave/cli/v3"
 )
 
 func operatorFlag() []cli.Flag {
--- a/cmd/tealpath/endings_test.go
+++ b/cmd/tealpath/endings_test.go
@@ -6,10 +6,9 @@
 	"path/filepath"
 	"strings"
 	"syscall"
+	"tealpath/internal/protocol/thrift"
 	"testing"
 	"time"
-
-	"tealpath/internal/protocol/thrift"
 )
 
 // ends waits for the end of the program, and checks that it ended as asked.
--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -13,11 +13,10 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
-	"testing"
-	"time"
-
 	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/protocol/resp"
+	"testing"
+	"time"
 )
 
 // What a router may need in the mean over the same day beside what it needs at the usual size, as the users' page on the
@@ -242,8 +241,10 @@
 		c.call(object(draw()), 1200)
 	}
 	reader.Wait()
-	figures := growthFigures{served: float64(served) / float64(day.requests), peakMB: f.peakMB(),
-		descriptors: float64(f.descriptors.Load()), connections: float64(f.connections.Load())}
+	figures := growthFigures{
+		served: float64(served) / float64(day.requests), peakMB: f.peakMB(),
+		descriptors: float64(f.descriptors.Load()), connections: float64(f.connections.Load()),
+	}
 	f.router.Process.Signal(syscall.SIGTERM)
 	if err := f.router.Wait(); err != nil {
 		f.t.Error(err)
--- a/cmd/tealpath/log.go
+++ b/cmd/tealpath/log.go
@@ -4,11 +4,10 @@
 	"bytes"
 	"io"
 	"sync/atomic"
+	"tealpath/internal/server"
 	"time"
 
 	"github.com/rs/zerolog"
-
-	"tealpath/internal/server"
 )
 
 const (
@@ -19,9 +18,10 @@
 	logCloseTimeout = 50 * time.Millisecond
 )
 
-// logWriter writes lines in a goroutine of its own, so that whoever reads the log slowly does not hold up the router. A line
-// beyond maxQueuedLines is counted and dropped. zerolog's diode does the same by polling each 0.1 s, and its Close waits for the
-// next poll: with deadlines of 0.3 s the process would end after it was to be killed.
+// logWriter writes lines in a goroutine of its own, so that whoever reads the log slowly does not hold up
+// the router. A line beyond maxQueuedLines is counted and dropped. zerolog's diode does the same by polling
+// each 0.1 s, and its Close waits for the next poll: with deadlines of 0.3 s the process would end after it
+// was to be killed.
 type logWriter struct {
 	out     io.Writer
 	lines   chan []byte
--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -9,14 +9,13 @@
 	"os/signal"
 	"runtime/debug"
 	"syscall"
-
-	"github.com/rs/zerolog"
-	"github.com/urfave/cli/v3"
-
 	"tealpath/internal/clock"
 	"tealpath/internal/config"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/server"
+
+	"github.com/rs/zerolog"
+	"github.com/urfave/cli/v3"
 )
 
 // version is the release's; the build may set it.
@@ -53,20 +52,32 @@
 			return cli.ShowRootCommandHelp(cmd)
 		},
 		Commands: []*cli.Command{
-			{Name: "serve", Usage: "serve clients as LB_NAME, LB_LISTEN and LB_CONFIG say, until SIGTERM",
-				OnUsageError: usage, Action: serve, Flags: operatorFlag()},
-			{Name: "check", Usage: "check a configuration file (that of LB_CONFIG if none is named) and an operator's file",
-				ArgsUsage: "[FILE]", OnUsageError: usage, Action: check, Flags: operatorFlag()},
-			{Name: "duties", Usage: "ask a running instance who owns which duties", OnUsageError: usage, Action: duties,
+			{
+				Name: "serve", Usage: "serve clients as LB_NAME, LB_LISTEN and LB_CONFIG say, until SIGTERM",
+				OnUsageError: usage, Action: serve, Flags: operatorFlag(),
+			},
+			{
+				Name: "check", Usage: "check a configuration file (that of LB_CONFIG if none is named) and an operator's file",
+				ArgsUsage: "[FILE]", OnUsageError: usage, Action: check, Flags: operatorFlag(),
+			},
+			{
+				Name: "duties", Usage: "ask a running instance who owns which duties", OnUsageError: usage, Action: duties,
 				Flags: append(operatorFlag(), &cli.StringFlag{Name: "socket", Usage: "its Unix socket, instead of the file's"},
-					&cli.BoolFlag{Name: "json", Usage: "print all it says as JSON"})},
-			{Name: "diff", Usage: "say whether instances with one operator's file and with another may run side by side", ArgsUsage: "A B",
-				OnUsageError: usage, Action: diff, Flags: []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print the differences as JSON"}}},
-			{Name: "members", Usage: "ask a running instance who it believes to be there, and why", OnUsageError: usage, Action: members,
+					&cli.BoolFlag{Name: "json", Usage: "print all it says as JSON"}),
+			},
+			{
+				Name: "diff", Usage: "say whether instances with one operator's file and with another may run side by side", ArgsUsage: "A B",
+				OnUsageError: usage, Action: diff, Flags: []cli.Flag{&cli.BoolFlag{Name: "json", Usage: "print the differences as JSON"}},
+			},
+			{
+				Name: "members", Usage: "ask a running instance who it believes to be there, and why", OnUsageError: usage, Action: members,
 				Flags: append(operatorFlag(), &cli.StringFlag{Name: "socket", Usage: "its Unix socket, instead of the file's"},
-					&cli.BoolFlag{Name: "json", Usage: "print all it says as JSON"})},
-			{Name: "connections", Usage: "ask a running instance for its clients' connections and what they cost", OnUsageError: usage,
-				Action: connections, Flags: append(operatorFlag(), &cli.StringFlag{Name: "socket", Usage: "its Unix socket, instead of the file's"})},
+					&cli.BoolFlag{Name: "json", Usage: "print all it says as JSON"}),
+			},
+			{
+				Name: "connections", Usage: "ask a running instance for its clients' connections and what they cost", OnUsageError: usage,
+				Action: connections, Flags: append(operatorFlag(), &cli.StringFlag{Name: "socket", Usage: "its Unix socket, instead of the file's"}),
+			},
 			{Name: "version", Usage: "print the version", OnUsageError: usage, Action: func(_ context.Context, cmd *cli.Command) error {
 				if err := atMost(cmd, 0); err != nil {
 					return err
@@ -94,7 +105,8 @@
 	if err := atMost(cmd, 0); err != nil {
 		return err
 	}
-	// Asked for from the first moment: a signal that nobody waits for ends the process at once, and not as asked.
+	// Asked for from the first moment: a signal that nobody waits for ends the process at once, and not as
+	// asked.
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGHUP)
 	defer signal.Stop(again)
--- a/cmd/tealpath/main_test.go
+++ b/cmd/tealpath/main_test.go
@@ -15,13 +15,12 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
+	"tealpath/internal/protocol/resp"
+	"tealpath/internal/protocol/thrift"
 	"testing"
 	"time"
 
 	"github.com/urfave/cli/v3"
-
-	"tealpath/internal/protocol/resp"
-	"tealpath/internal/protocol/thrift"
 )
 
 const patience = 5 * time.Second
@@ -171,8 +170,10 @@
 // call asks for an object and returns the sequence number.
 func (c *client) call(object string, limit int, more ...string) int32 {
 	c.seq++
-	fields := append([]string{"verb", "stills", "txn", fmt.Sprintf("%016x", time.Now().UnixNano()), "limit",
-		fmt.Sprint(limit), "item", object, "nth", "0", "batch", "17"}, more...)
+	fields := append([]string{
+		"verb", "stills", "txn", fmt.Sprintf("%016x", time.Now().UnixNano()), "limit",
+		fmt.Sprint(limit), "item", object, "nth", "0", "batch", "17",
+	}, more...)
 	args := binary.BigEndian.AppendUint32([]byte{13, 0, 1, 11, 11}, uint32(len(fields)/2))
 	for _, f := range fields {
 		args = text(args, f)
@@ -263,8 +264,12 @@
 	address := free.Addr().String()
 	free.Close()
 	lines := ""
-	for _, m := range [][2]string{{"s-a", caches[0]}, {"s-b", caches[1]},
-		{"p-a", "127.0.0.1:1"}, {"o-a", "127.0.0.1:1"}} {
+	for _, m := range [][2]string{
+		{"s-a", caches[0]},
+		{"s-b", caches[1]},
+		{"p-a", "127.0.0.1:1"},
+		{"o-a", "127.0.0.1:1"},
+	} {
 		kind := map[byte]string{'s': "cache", 'p': "parent", 'o': "origin"}[m[0][0]]
 		zone := map[string]string{"cache": "here", "parent": "hub", "origin": "hub"}[kind]
 		lines += fmt.Sprintf(`,{"instanceId":"%s","hostPort":"%s","zone":"%s","machineType":"%s","lifecycle":"active","weight":4}`,
@@ -369,9 +374,11 @@
 		for _, bad := range []struct {
 			send func(*client) int32
 			says string
-		}{{func(b *client) int32 { b.send(thrift.Call, "odd", 77, []byte{0}); return 77 }, "unknown method"},
+		}{
+			{func(b *client) int32 { b.send(thrift.Call, "odd", 77, []byte{0}); return 77 }, "unknown method"},
 			{func(b *client) int32 { b.send(thrift.Call, "call", 78, []byte{13, 0, 1}); return 78 }, "cut short"},
-			{func(b *client) int32 { return b.call("7f=a,miss=p-a,xx", 1200) }, "field item"}} {
+			{func(b *client) int32 { return b.call("7f=a,miss=p-a,xx", 1200) }, "field item"},
+		} {
 			b := dial(t, address)
 			b.want(bad.send(b), bad.says)
 			if got, body := b.next(); got != -1 || body != io.EOF.Error() {
@@ -411,8 +418,10 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		held := c.call("dead000000000005", 1000)
-		for _, bad := range []func(){func() { os.WriteFile(file, []byte(`{"name":"n0","jour`), 0o600) },
-			func() { configure("n9", second) }, func() { configure("n0", "nowhere") }, func() { os.Remove(file) }} {
+		for _, bad := range []func(){
+			func() { os.WriteFile(file, []byte(`{"name":"n0","jour`), 0o600) },
+			func() { configure("n9", second) }, func() { configure("n0", "nowhere") }, func() { os.Remove(file) },
+		} {
 			bad()
 			hangUp()
 		}
@@ -480,8 +489,11 @@
 		{"no such flag", "", []string{"serve", "--fast"}, exitUsage, "fast"},
 		{"one word too many", "", []string{"serve", "now"}, exitUsage, "now"},
 		{"malformed", "{", []string{"serve"}, exitUsage, "line 1"},
-		{"a required setting is missing", `{"listen":"127.0.0.1:0","journal":"127.0.0.1:1","settings":{}}`,
-			[]string{"serve"}, exitUsage, "product.names"},
+		{
+			"a required setting is missing", `{"listen":"127.0.0.1:0","journal":"127.0.0.1:1","settings":{}}`,
+			[]string{"serve"},
+			exitUsage, "product.names",
+		},
 		{"a list of another form", fmt.Sprintf(whole, `{"entries":[3]}`, "127.0.0.1:0"), []string{"check"}, exitUsage, "entry 1"},
 		{"the address is in use", fmt.Sprintf(whole, "null", listener.Addr()), []string{"serve"}, exitFailed, "address already in use"},
 		{"the address is let go of in time", fmt.Sprintf(whole, "null", listener.Addr()), []string{"serve"}, 0, "soon"},
--- a/cmd/tealpath/process_test.go
+++ b/cmd/tealpath/process_test.go
@@ -10,11 +10,10 @@
 	"strings"
 	"sync"
 	"syscall"
-	"testing"
-	"time"
-
 	"tealpath/internal/protocol/resp"
 	"tealpath/internal/protocol/thrift"
+	"testing"
+	"time"
 )
 
 // asProgram is the variable of the environment by which this test binary runs as the program itself: a process of its own
--- a/cmd/tealpath/trouble_test.go
+++ b/cmd/tealpath/trouble_test.go
@@ -10,10 +10,9 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
+	"tealpath/internal/emulator/discoveryserver"
 	"testing"
 	"time"
-
-	"tealpath/internal/emulator/discoveryserver"
 )
 
 // Trouble that the platform's pages name and the users' bench does not play ("Beyond this bench"), over real connections to
@@ -198,8 +197,10 @@
 	}{
 		{"both caches reset", func(s *scripted) { s.behave(resets, 0) }, func(s *scripted) { s.behave(resets, 0) }, 400 * time.Millisecond},
 		{"one resets, one refuses", func(s *scripted) { s.behave(resets, 0) }, func(s *scripted) { s.Close(); s.resetAll() }, 700 * time.Millisecond},
-		{"one hangs, and what goes beside it is reset", func(s *scripted) { s.behave(hangs, 0) }, func(s *scripted) { s.behave(resets, 0) },
-			limit * time.Millisecond},
+		{
+			"one hangs, and what goes beside it is reset", func(s *scripted) { s.behave(hangs, 0) }, func(s *scripted) { s.behave(resets, 0) },
+			limit * time.Millisecond,
+		},
 		{"both refuse", func(s *scripted) { s.Close(); s.resetAll() }, func(s *scripted) { s.Close(); s.resetAll() }, 700 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -1,11 +1,10 @@
 package cluster
 
 import (
-	"testing"
-
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/probe"
+	"testing"
 )
 
 const (
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -3,7 +3,6 @@
 import (
 	"fmt"
 	"math"
-
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/probe"
--- a/internal/cluster/logevents.go
+++ b/internal/cluster/logevents.go
@@ -94,8 +94,8 @@
 	return logevent.Kind{Name: "members_left", Level: logevent.Info, Message: "many other instances have left"}
 }
 
-// InstanceWasAway reports that this instance did nothing for longer than a heartbeat interval. No other instance is reported for
-// that time.
+// InstanceWasAway reports that this instance did nothing for longer than a heartbeat interval. No other
+// instance is reported for that time.
 type InstanceWasAway struct {
 	DurationMS int64 `log:"duration_ms"`
 }
@@ -125,8 +125,8 @@
 	return logevent.Kind{Name: "instance_reconnected", Level: logevent.Info, Message: "neighbours are heard again"}
 }
 
-// DuplicateNameDetected reports that another incarnation under this instance's name was heard. Until it is silent no votes are
-// given.
+// DuplicateNameDetected reports that another incarnation under this instance's name was heard. Until it is
+// silent no votes are given.
 type DuplicateNameDetected struct {
 	Member string `log:"member"` // the name
 }
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"fmt"
-
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 
--- a/internal/cluster/message_test.go
+++ b/internal/cluster/message_test.go
@@ -8,10 +8,9 @@
 	"os"
 	"reflect"
 	"strings"
-	"testing"
-
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
+	"testing"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -1,10 +1,9 @@
 package cluster
 
 import (
-	"testing"
-
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
+	"testing"
 )
 
 func TestThreeShareAndProbeOnce(t *testing.T) {
--- a/internal/cluster/peer/incoming.go
+++ b/internal/cluster/peer/incoming.go
@@ -8,9 +8,8 @@
 	"net"
 	"net/netip"
 	"slices"
-	"time"
-
 	"tealpath/internal/logevent"
+	"time"
 )
 
 // accept takes links from others.
--- a/internal/cluster/peer/links.go
+++ b/internal/cluster/peer/links.go
@@ -11,12 +11,11 @@
 	"net"
 	"net/netip"
 	"sync"
+	"tealpath/internal/logevent"
 	"time"
 
 	"go4.org/netipx"
 	"golang.org/x/sync/errgroup"
-
-	"tealpath/internal/logevent"
 )
 
 // Bounds and times of links.
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -11,11 +11,10 @@
 	"runtime"
 	"strings"
 	"sync"
-	"testing"
-	"time"
-
 	"tealpath/internal/emulator/certificates"
 	"tealpath/internal/logevent"
+	"testing"
+	"time"
 
 	"github.com/fxamacker/cbor/v2"
 	"go4.org/netipx"
--- a/internal/cluster/peer/outgoing.go
+++ b/internal/cluster/peer/outgoing.go
@@ -8,11 +8,10 @@
 	"net"
 	"net/netip"
 	"sync"
+	"tealpath/internal/logevent"
 	"time"
 
 	"github.com/fxamacker/cbor/v2"
-
-	"tealpath/internal/logevent"
 )
 
 // outgoing is the link to one peer.
--- a/internal/cluster/peer/refusals.go
+++ b/internal/cluster/peer/refusals.go
@@ -2,9 +2,8 @@
 
 import (
 	"sync"
-	"time"
-
 	"tealpath/internal/logevent"
+	"time"
 )
 
 const (
--- a/internal/cluster/probes.go
+++ b/internal/cluster/probes.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/probe"
--- a/internal/cluster/probes_test.go
+++ b/internal/cluster/probes_test.go
@@ -1,9 +1,8 @@
 package cluster
 
 import (
-	"testing"
-
 	"tealpath/internal/cluster/lease"
+	"testing"
 )
 
 func TestResultsUnderOldBallotsAreDropped(t *testing.T) {
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -1,10 +1,9 @@
 package cluster
 
 import (
-	"time"
-
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
+	"time"
 )
 
 // Status is what an instance knows of leases and probes, for people.
--- a/internal/experiment/cluster.go
+++ b/internal/experiment/cluster.go
@@ -29,7 +29,7 @@
 type Line struct {
 	At       time.Time
 	Instance string
-	Life     int // which start of it
+	Life     int    // which start of it
 	Event    string // its name
 	Text     string // the whole line
 	Phase    string
--- a/internal/experiment/logevents.go
+++ b/internal/experiment/logevents.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-
 	"tealpath/internal/cluster"
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/server"
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -2,16 +2,15 @@
 
 import (
 	"math"
-	"testing"
-	"time"
-
 	"tealpath/control"
 	"tealpath/internal/clock/clocktest"
 	"tealpath/internal/router"
+	"testing"
+	"time"
 )
 
-// When a target of probes is warm, on the boot clock that leases go by: a step of the wall clock doesn't move it, and nobody
-// started after it was told.
+// When a target of probes is warm, on the boot clock that leases go by: a step of the wall clock doesn't
+// move it, and nobody started after it was told.
 func TestTargetsAreWarmByTheirStart(t *testing.T) {
 	const second, warmUp = int64(time.Second), int64(8 * time.Second)
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
--- a/internal/server/clusternode.go
+++ b/internal/server/clusternode.go
@@ -7,10 +7,6 @@
 	"fmt"
 	"net"
 	"sync/atomic"
-	"time"
-
-	"golang.org/x/sync/errgroup"
-
 	"tealpath/control"
 	"tealpath/internal/clock"
 	"tealpath/internal/cluster"
@@ -20,6 +16,9 @@
 	"tealpath/internal/logevent"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/router"
+	"time"
+
+	"golang.org/x/sync/errgroup"
 )
 
 const (
@@ -32,12 +31,13 @@
 	// shutdownFlushTimeout is for how long a shutdown waits until its messages to other instances are written.
 	shutdownFlushTimeout = 300 * time.Millisecond
 
-	// frameOverhead is what a frame has beside its payload, bytes: its length, and what TLS 1.3 adds to a record.
+	// frameOverhead is what a frame has beside its payload, bytes: its length, and what TLS 1.3 adds to a
+	// record.
 	frameOverhead = 4 + 22
 )
 
-// clusterNode is what an instance shares with others: the cluster's reducer with the links and probes round it. One goroutine
-// runs the reducer (clusterLoop).
+// clusterNode is what an instance shares with others: the cluster's reducer with the links and probes round
+// it. One goroutine runs the reducer (clusterLoop).
 type clusterNode struct {
 	operator         *operatorconfig.File // as at the start
 	reducer          *cluster.Node        // of the loop's goroutine alone
--- a/internal/server/clusterprobe.go
+++ b/internal/server/clusterprobe.go
@@ -4,14 +4,14 @@
 	"context"
 	"errors"
 	"fmt"
-	"time"
-
 	"tealpath/internal/cluster"
 	"tealpath/internal/cluster/probe"
 	"tealpath/internal/upstream"
+	"time"
 )
 
-// probe sends a probe in a goroutine of its own. With maxProbesInFlight under way it is left out: it would not be missed.
+// probe sends a probe in a goroutine of its own. With maxProbesInFlight under way it is left out: it would
+// not be missed.
 func (node *clusterNode) probe(ctx context.Context, p probe.Probe) {
 	select {
 	case node.probeTokens <- struct{}{}:
--- a/internal/server/clusterreload.go
+++ b/internal/server/clusterreload.go
@@ -3,13 +3,12 @@
 import (
 	"context"
 	"errors"
-
 	"tealpath/internal/cluster"
 	"tealpath/internal/operatorconfig"
 )
 
-// reload takes what may change in a running instance from a newer operator's file: keys, address sets, instances, voters. All of
-// it or nothing.
+// reload takes what may change in a running instance from a newer operator's file: keys, address sets,
+// instances, voters. All of it or nothing.
 func (node *clusterNode) reload(ctx context.Context, next *operatorconfig.File) error {
 	if next.Fleet == nil {
 		return errors.New("it has no (fleet …) any more: that takes a restart")
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"runtime"
-
 	"tealpath/internal/downstream"
 )
 
@@ -15,7 +14,8 @@
 	StackBytes uint64 `json:"stack_bytes"`
 }
 
-// connections answers how many connections there are. It has the garbage collector run: it is for people and experiments.
+// connections answers how many connections there are. It has the garbage collector run: it is for people
+// and experiments.
 func (s *Server) connections(context.Context, []string) (any, error) {
 	runtime.GC()
 	var memory runtime.MemStats
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -1,14 +1,14 @@
 package server
 
 import (
-	"time"
-
 	"tealpath/internal/lifecycle/shutdown"
 	"tealpath/internal/router"
+	"time"
 )
 
-// drainPollInterval is between two looks for idle connections to close: each look asks the system about every one. The reducer's
-// own timer fires up to 100 ms apart, and the platform kills the process 100 ms after its plan ends.
+// drainPollInterval is between two looks for idle connections to close: each look asks the system about
+// every one. The reducer's own timer fires up to 100 ms apart, and the platform kills the process 100 ms
+// after its plan ends.
 const drainPollInterval = 10 * time.Millisecond
 
 // drain is a graceful shutdown under way. A nil drain has not begun.
@@ -32,8 +32,8 @@
 	}
 }
 
-// beginShutdown begins the graceful shutdown: clients are told that this router is not ready, what it knows is written, and the
-// reducer answers what it has.
+// beginShutdown begins the graceful shutdown: clients are told that this router is not ready, what it knows
+// is written, and the reducer answers what it has.
 func (l *loop) beginShutdown() {
 	s := l.server
 	now := s.clock.Now()
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -3,16 +3,15 @@
 import (
 	"cmp"
 	"errors"
-	"time"
-
-	"github.com/rs/zerolog"
-
 	"tealpath/internal/config"
 	"tealpath/internal/connpool"
 	"tealpath/internal/downstream"
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/operatorconfig"
+	"time"
+
+	"github.com/rs/zerolog"
 )
 
 // Shares of the configured memory.
@@ -20,7 +19,8 @@
 	// collectorMemoryShare is from which the garbage collector works harder.
 	collectorMemoryShare = 0.7
 
-	// responseMemoryShare is for responses that wait for slow clients, and as much again for large requests being read.
+	// responseMemoryShare is for responses that wait for slow clients, and as much again for large requests
+	// being read.
 	responseMemoryShare = 0.2
 
 	// bodyMemoryShare is for the bodies of requests in flight.
@@ -70,7 +70,8 @@
 	return int(limit)
 }
 
-// clientConnections returns how many connections clients may hold, and how idle ones are kept; nil is as the platform states it.
+// clientConnections returns how many connections clients may hold, and how idle ones are kept; nil is as
+// the platform states it.
 func (s *Server) clientConnections() (int, *downstream.Keep) {
 	limit := s.maxClientSockets()
 	if s.operator == nil || s.operator.Idle == nil {
@@ -93,7 +94,8 @@
 	return s.operator.Start
 }
 
-// connectionPlan is the plan of connections to caches; nil where the operator's file does not say what those bear.
+// connectionPlan is the plan of connections to caches; nil where the operator's file does not say what
+// those bear.
 func (s *Server) connectionPlan() *connpool.Plan {
 	if s.operator == nil || s.operator.Links == nil {
 		return nil
@@ -105,7 +107,8 @@
 	return connpool.New(plan)
 }
 
-// shortestGrace is the shortest time in which a router has to act on what discovery reports, ns; 0 is not known.
+// shortestGrace is the shortest time in which a router has to act on what discovery reports, ns; 0 is not
+// known.
 func (s *Server) shortestGrace() int64 {
 	shortest := int64(0)
 	for _, name := range []string{"drain.grace", "purge.grace"} {
@@ -127,7 +130,8 @@
 	return longest
 }
 
-// CheckOperatorConfig checks an operator's file against a configuration: the deployment's settings and the limits.
+// CheckOperatorConfig checks an operator's file against a configuration: the deployment's settings and the
+// limits.
 func CheckOperatorConfig(operator *operatorconfig.File, c *config.Config) error {
 	cache, parent := coldLimits(c.Settings)
 	s := New(c, operator, zerolog.Nop())
--- a/internal/server/listen.go
+++ b/internal/server/listen.go
@@ -6,9 +6,8 @@
 	"io"
 	"net"
 	"syscall"
-	"time"
-
 	"tealpath/internal/neterr"
+	"time"
 )
 
 const (
@@ -19,8 +18,9 @@
 	listenRetryInterval = listenTimeout / 20
 )
 
-// clientKeepAlive is how the system asks whether a client is there: a peer that vanished is found within 150 s, as with Go's own
-// interval of 15 s. At that a hundred thousand idle connections took 6,700 segments a second to be asked.
+// clientKeepAlive is how the system asks whether a client is there: a peer that vanished is found within
+// 150 s, as with Go's own interval of 15 s. At that a hundred thousand idle connections took 6,700 segments
+// a second to be asked.
 var clientKeepAlive = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     90 * time.Second,
@@ -28,8 +28,8 @@
 	Count:    3,
 }
 
-// listenWithRetry opens a listener. At a restart the process before may not have released the address yet. If a shutdown is
-// requested meanwhile, there is no listener and no error.
+// listenWithRetry opens a listener. At a restart the process before may not have released the address yet.
+// If a shutdown is requested meanwhile, there is no listener and no error.
 func listenWithRetry(
 	ctx context.Context, shutdownRequested <-chan struct{}, address string, keepAlive net.KeepAliveConfig,
 ) (net.Listener, error) {
@@ -47,11 +47,12 @@
 	}
 }
 
-// isTransientListenError tells whether an address that could not be listened on may be had in a moment: another process
-// releases it, or what this machine lacks.
+// isTransientListenError tells whether an address that could not be listened on may be had in a moment:
+// another process releases it, or what this machine lacks.
 func isTransientListenError(err error) bool {
 	return errors.Is(err, syscall.EADDRINUSE) || neterr.IsExhausted(err)
 }
 
-// discard closes a listener or connection that is given up: that it could not be closed cleanly changes nothing.
+// discard closes a listener or connection that is given up: that it could not be closed cleanly changes
+// nothing.
 func discard(closer io.Closer) { _ = closer.Close() }
--- a/internal/server/log.go
+++ b/internal/server/log.go
@@ -1,12 +1,11 @@
 package server
 
 import (
+	"tealpath/internal/logevent"
+	"tealpath/internal/router"
 	"time"
 
 	"github.com/rs/zerolog"
-
-	"tealpath/internal/logevent"
-	"tealpath/internal/router"
 )
 
 const (
--- a/internal/server/log_test.go
+++ b/internal/server/log_test.go
@@ -3,12 +3,11 @@
 import (
 	"bytes"
 	"errors"
+	"tealpath/internal/logevent"
 	"testing"
 	"time"
 
 	"github.com/rs/zerolog"
-
-	"tealpath/internal/logevent"
 )
 
 type loggedEvent struct {
--- a/internal/server/logevents.go
+++ b/internal/server/logevents.go
@@ -30,7 +30,8 @@
 	return logevent.Kind{Name: "server_phase_changed", Level: logevent.Info, Message: "the server enters a phase"}
 }
 
-// StartupPhaseChanged reports how far the start has come, from an endpoint list to request rates that can be relied on.
+// StartupPhaseChanged reports how far the start has come, from an endpoint list to request rates that can
+// be relied on.
 type StartupPhaseChanged struct {
 	Phase string `log:"phase"` // alone, listed, warming or whole
 }
@@ -42,11 +43,16 @@
 
 // SnapshotRestored reports that the start uses what an earlier process has stored.
 type SnapshotRestored struct {
-	Objects     int    `log:"objects"`                // whose rates are known from it
-	Scope       string `log:"scope"`                  // how much of it is used: whole, or beliefs, which is all but rates
-	Cause       error  `log:"cause,omitempty"`        // why not all of it
-	Endpoints   int    `log:"endpoints,omitempty"`    // of its endpoint list, which waits to be confirmed
-	ConfirmedBy int64  `log:"confirmed_by,omitempty"` // number of the watch event by which discovery confirms the list
+	// Objects is how many have known request rates.
+	Objects int `log:"objects"`
+	// Scope is how much of it is used: whole, or beliefs, which is all but request rates.
+	Scope string `log:"scope"`
+	// Cause is why not all of it is used.
+	Cause error `log:"cause,omitempty"`
+	// Endpoints counts those of its endpoint list, which waits to be confirmed by discovery.
+	Endpoints int `log:"endpoints,omitempty"`
+	// ConfirmedBy is the number of the watch event that confirms the list.
+	ConfirmedBy int64 `log:"confirmed_by,omitempty"`
 }
 
 // Kind returns the event's name and level.
@@ -89,7 +95,8 @@
 // ConfigReloaded reports that a newer configuration was read.
 type ConfigReloaded struct {
 	DiscoveryAddress string `log:"discovery_address"`
-	RestartRequired  string `log:"restart_required,omitempty"` // what else has changed, and is in force after a restart only
+	// RestartRequired is what else has changed, and is in force after a restart only.
+	RestartRequired string `log:"restart_required,omitempty"`
 }
 
 // Kind returns the event's name and level.
@@ -107,8 +114,8 @@
 	return logevent.Kind{Name: "config_rejected", Level: logevent.Warn, Message: "the configuration stays as it was"}
 }
 
-// ConfigLoadDelayed reports that a newer configuration can't be read for want of descriptors or memory. It is tried again until
-// it can.
+// ConfigLoadDelayed reports that a newer configuration can't be read for want of descriptors or memory. It
+// is tried again until it can.
 type ConfigLoadDelayed struct {
 	Cause error `log:"cause"`
 }
@@ -122,7 +129,8 @@
 	}
 }
 
-// OperatorConfigNeedsRestart reports that a newer operator's file differs in what is in force only after a restart.
+// OperatorConfigNeedsRestart reports that a newer operator's file differs in what is in force only after a
+// restart.
 type OperatorConfigNeedsRestart struct {
 	Parts string `log:"parts"` // of the file, some of which differ
 }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -2,14 +2,14 @@
 
 import (
 	"context"
-	"time"
-
 	"tealpath/internal/clock"
 	"tealpath/internal/discovery"
 	"tealpath/internal/router"
+	"time"
 )
 
-// loop is the event loop: the one goroutine that runs the reducer and carries out its effects, none of which waits.
+// loop is the event loop: the one goroutine that runs the reducer and carries out its effects, none of
+// which waits.
 type loop struct {
 	server            *Server
 	shutdownRequested <-chan struct{} // nil once the shutdown has begun
@@ -53,8 +53,8 @@
 	l.drain.stop()
 }
 
-// observeDiscovery notes an event that says how the watch on discovery fares; the reducer does not get it. It returns false for
-// all other events.
+// observeDiscovery notes an event that says how the watch on discovery fares; the reducer does not get it.
+// It returns false for all other events.
 func (l *loop) observeDiscovery(arrived arrival) bool {
 	switch event := arrived.event.(type) {
 	case discovery.Heard:
@@ -109,23 +109,23 @@
 
 // carryOut does what the reducer wants done.
 func (l *loop) carryOut(effect router.Effect) {
-	s := l.server
+	server := l.server
 	switch effect := effect.(type) {
 	case router.Respond:
-		s.downstream.Answer(effect)
+		server.downstream.Answer(effect)
 	case router.Send:
-		s.upstream.Send(effect)
+		server.upstream.Send(effect)
 	case router.WithdrawAttempt:
-		s.upstream.Withdraw(effect)
+		server.upstream.Withdraw(effect)
 	case router.CancelAttempt:
-		s.upstream.GiveUp(effect)
+		server.upstream.GiveUp(effect)
 	case router.Dial:
-		s.upstream.Dial(effect)
+		server.upstream.Dial(effect)
 	case router.Close:
-		s.upstream.Close(effect)
+		server.upstream.Close(effect)
 	case router.SetTimer:
-		l.reducerTimer.Reset(clock.Until(s.clock, effect.At))
+		l.reducerTimer.Reset(clock.Until(server.clock, effect.At))
 	case router.Log:
-		s.emitOfRouter(effect)
+		server.emitOfRouter(effect)
 	}
 }
--- a/internal/server/prepare.go
+++ b/internal/server/prepare.go
@@ -4,14 +4,13 @@
 	"fmt"
 	"runtime"
 	"runtime/debug"
-
 	"tealpath/internal/discovery"
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/router"
 )
 
-// prepare sets the runtime's limits and gives the reducer all that is known before anything is listened on. It returns what
-// discovery goes on from.
+// prepare sets the runtime's limits and gives the reducer all that is known before anything is listened on.
+// It returns what discovery goes on from.
 func (s *Server) prepare() (history discovery.Past, err error) {
 	s.limitRuntime()
 	now := s.clock.Now()
@@ -47,8 +46,8 @@
 	}
 }
 
-// applyKnown hands the reducer an event of the configuration file. There are no connections yet: of its effects only what is
-// logged counts.
+// applyKnown hands the reducer an event of the configuration file. There are no connections yet: of its
+// effects only what is logged counts.
 func (s *Server) applyKnown(now int64, event router.Event) {
 	if _, isList := event.(router.EndpointListUpdated); isList {
 		s.progress.ListReceived()
--- a/internal/server/probetargets.go
+++ b/internal/server/probetargets.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// isProbed tells whether an endpoint is probed: one that drains or is gone gets nothing new, and the origin is not probed.
+// isProbed tells whether an endpoint is probed: one that drains or is gone gets nothing new, and the origin
+// is not probed.
 func (b targetBuilder) isProbed(entry router.EndpointEntry) bool {
 	isOrigin := entry.Kind != "" && entry.Kind == b.originKind
 	return entry.Phase == "ready" && !isOrigin
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -3,13 +3,12 @@
 import (
 	"context"
 	"os"
-	"time"
-
 	"tealpath/internal/config"
 	"tealpath/internal/discovery"
 	"tealpath/internal/logevent"
 	"tealpath/internal/neterr"
 	"tealpath/internal/operatorconfig"
+	"time"
 )
 
 // LoadFunc reads the configuration and the operator's file as they are now.
@@ -38,8 +37,8 @@
 	}
 }
 
-// reload takes discovery's address, and what instances share, from the configuration as it is now. All else is in force from the
-// next start on; a configuration that cannot be used changes nothing.
+// reload takes discovery's address, and what instances share, from the configuration as it is now. All else
+// is in force from the next start on; a configuration that cannot be used changes nothing.
 func (s *Server) reload(ctx context.Context, load LoadFunc, watch *discovery.Feed) {
 	next, operator, err := loadWithRetry(ctx, load, s.emit)
 	if err == nil && s.cluster != nil && operator != nil {
@@ -68,8 +67,8 @@
 	return clusterChanged || !next.Idle.Same(s.operator.Idle)
 }
 
-// loadWithRetry reads the configuration, and tries again while this machine lacks the descriptors or the memory: if the reload
-// were passed over, a new address of discovery would never be used.
+// loadWithRetry reads the configuration, and tries again while this machine lacks the descriptors or the
+// memory: if the reload were passed over, a new address of discovery would never be used.
 func loadWithRetry(
 	ctx context.Context, load LoadFunc, emit func(logevent.Event),
 ) (*config.Config, *operatorconfig.File, error) {
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -6,14 +6,14 @@
 	"fmt"
 	"os"
 	"syscall"
-	"testing"
-
 	"tealpath/internal/config"
 	"tealpath/internal/logevent"
 	"tealpath/internal/operatorconfig"
+	"testing"
 )
 
-// A configuration that can't be read for want of descriptors or memory is read once it can be; a faulty one is reported at once.
+// A configuration that can't be read for want of descriptors or memory is read once it can be; a faulty one
+// is reported at once.
 func TestLoadWithRetry(t *testing.T) {
 	for errno, attempts := range map[syscall.Errno]int{
 		syscall.EMFILE: 4,
--- a/internal/server/restore.go
+++ b/internal/server/restore.go
@@ -4,13 +4,12 @@
 	"errors"
 	"fmt"
 	"os"
-	"time"
-
-	"github.com/cespare/xxhash/v2"
-
 	"tealpath/internal/discovery"
 	"tealpath/internal/lifecycle/restore"
 	"tealpath/internal/snapshot"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
 )
 
 // restore takes what a snapshot knows, as far as the rules let it, and begins to write snapshots.
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,15 +1,11 @@
-// Package server takes a router from its start to its exit: prepare, start, serve, reload, drain, exit. It joins the reducer
-// with the connections and owns the lifetimes of their goroutines.
+// Package server takes a router from its start to its exit: prepare, start, serve, reload, drain, exit. It
+// joins the reducer with the connections and owns the lifetimes of their goroutines.
 package server
 
 import (
 	"context"
 	"errors"
 	"os"
-
-	"github.com/rs/zerolog"
-	"golang.org/x/sync/errgroup"
-
 	"tealpath/internal/clock"
 	"tealpath/internal/config"
 	"tealpath/internal/downstream"
@@ -18,6 +14,9 @@
 	"tealpath/internal/router"
 	"tealpath/internal/snapshot"
 	"tealpath/internal/upstream"
+
+	"github.com/rs/zerolog"
+	"golang.org/x/sync/errgroup"
 )
 
 // ErrConfig is a configuration that cannot be served by.
@@ -26,8 +25,8 @@
 // maxInboxEvents is how many events may be on their way to the reducer. Whoever brings one more waits.
 const maxInboxEvents = 64
 
-// Server is one router. Its fields are set before the goroutines that use them start, and do not change afterwards, but for
-// phase, router, progress and snapshots, which belong to the event loop then.
+// Server is one router. Its fields are set before the goroutines that use them start, and do not change
+// afterwards, but for phase, router, progress and snapshots, which belong to the event loop then.
 type Server struct {
 	config    *config.Config
 	operator  *operatorconfig.File // nil: no operator's file is in force
@@ -80,8 +79,8 @@
 	return err
 }
 
-// Run serves until shutdownRequested is closed and all that was accepted is answered, or until ctx ends, which answers nothing.
-// At each of reloadSignals the configuration is loaded anew.
+// Run serves until shutdownRequested is closed and all that was accepted is answered, or until ctx ends,
+// which answers nothing. At each of reloadSignals the configuration is loaded anew.
 func (s *Server) Run(
 	ctx context.Context, shutdownRequested <-chan struct{}, reloadSignals <-chan os.Signal, load LoadFunc,
 ) error {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -1,11 +1,10 @@
 package server
 
 import (
+	"tealpath/internal/config"
 	"testing"
 
 	"github.com/rs/zerolog"
-
-	"tealpath/internal/config"
 )
 
 // Shares of a memory larger than the configured one had the router killed for it.
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -2,10 +2,9 @@
 
 import (
 	"slices"
-	"time"
-
 	"tealpath/control"
 	"tealpath/internal/cluster/probe"
+	"time"
 )
 
 // setting returns a value of the deployment's settings, or the fallback where it is missing or of another type.
@@ -31,8 +30,8 @@
 	return cache, parent
 }
 
-// routersHere is how many routers this one's location has, itself included; where the settings do not tell by location it is how
-// many there are in all.
+// routersHere is how many routers this one's location has, itself included; where the settings do not tell
+// by location it is how many there are in all.
 func routersHere(settings control.Settings) int {
 	locations := setting(settings, "locations", []string(nil))
 	here := slices.Index(locations, setting(settings, "location", ""))
--- a/internal/server/snapshots.go
+++ b/internal/server/snapshots.go
@@ -5,18 +5,18 @@
 	"fmt"
 	"sync"
 	"sync/atomic"
-	"time"
-
 	"tealpath/internal/clock"
 	"tealpath/internal/discovery"
 	"tealpath/internal/lifecycle/restore"
 	"tealpath/internal/logevent"
 	"tealpath/internal/router"
 	"tealpath/internal/snapshot"
+	"time"
 )
 
 const (
-	// snapshotReadTimeout bounds how long a start waits for its snapshot: a router told to end while it starts has 0.7 s.
+	// snapshotReadTimeout bounds how long a start waits for its snapshot: a router told to end while it
+	// starts has 0.7 s.
 	snapshotReadTimeout = 500 * time.Millisecond
 
 	// slowSnapshot is from when a write that has not ended counts as a failure of the disk.
@@ -35,8 +35,9 @@
 	errUnwritten = errors.New("the last one was not written before the process ended")
 )
 
-// snapshotWriter keeps what the router knows in a file, for its next start. A nil writer keeps nothing. Its methods belong to the
-// event loop's goroutine, which waits for no disk: a goroutine of the writer's own reads and writes the file.
+// snapshotWriter keeps what the router knows in a file, for its next start. A nil writer keeps nothing. Its
+// methods belong to the event loop's goroutine, which waits for no disk: a goroutine of the writer's own
+// reads and writes the file.
 type snapshotWriter struct {
 	clock    clock.Clock
 	header   restore.Header
@@ -128,8 +129,8 @@
 	}
 }
 
-// writeLast queues what is known as the shutdown begins, also behind a write under way. The process waits for the disk for this
-// timeout at most.
+// writeLast queues what is known as the shutdown begins, also behind a write under way. The process waits
+// for the disk for this timeout at most.
 func (w *snapshotWriter) writeLast(r *router.Router, now int64, timeout time.Duration) {
 	if w == nil {
 		return
--- a/internal/server/snapshots_test.go
+++ b/internal/server/snapshots_test.go
@@ -13,17 +13,16 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
-	"testing"
-	"time"
-
-	"github.com/rs/zerolog"
-
 	"tealpath/internal/config"
 	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/logevent"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/protocol/thrift"
 	"tealpath/internal/snapshot"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
 )
 
 // snapshotPath is where the servers of these tests keep their snapshots.
@@ -256,7 +255,8 @@
 	}
 }
 
-// A disk that is full for many tries: service goes on, one line when it begins, one when it is over, and then the file is there.
+// A disk that is full for many tries: service goes on, one line when it begins, one when it is over, and
+// then the file is there.
 func TestFullDisk(t *testing.T) {
 	disk := newFaultyDisk(t)
 	disk.set(syscall.ENOSPC, "")
@@ -289,7 +289,8 @@
 	}
 }
 
-// What a process knows as its shutdown begins is kept, also where the disk is still busy with an earlier snapshot.
+// What a process knows as its shutdown begins is kept, also where the disk is still busy with an earlier
+// snapshot.
 func TestLastSnapshotIsKept(t *testing.T) {
 	disk := newFaultyDisk(t)
 	slow := &slowDisk{faultyDisk: disk, each: 100 * time.Millisecond}
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -3,19 +3,18 @@
 import (
 	"context"
 	"net"
-
-	"golang.org/x/sync/errgroup"
-
 	"tealpath/internal/discovery"
 	"tealpath/internal/downstream"
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/router"
 	"tealpath/internal/upstream"
+
+	"golang.org/x/sync/errgroup"
 )
 
-// poster returns a function that hands events to the event loop, stamped with the time when they came. It waits while the
-// inbox is full.
+// poster returns a function that hands events to the event loop, stamped with the time when they came. It
+// waits while the inbox is full.
 func (s *Server) poster(ctx context.Context) func(router.Event) {
 	return func(event router.Event) {
 		select {
@@ -25,7 +24,8 @@
 	}
 }
 
-// tryPost hands an event to the event loop, or drops it where the inbox is full: the result of a probe is not worth a wait.
+// tryPost hands an event to the event loop, or drops it where the inbox is full: the result of a probe is
+// not worth a wait.
 func (s *Server) tryPost(event router.Event) {
 	select {
 	case s.inbox <- arrival{s.clock.Now(), event}:
@@ -33,8 +33,8 @@
 	}
 }
 
-// start makes the connections' sides. What serves beside the event loop from now on runs in the group: links to other
-// instances, and the operator's socket.
+// start makes the connections' sides. What serves beside the event loop from now on runs in the group:
+// links to other instances, and the operator's socket.
 func (s *Server) start(
 	ctx context.Context, group *errgroup.Group, listener net.Listener, post func(router.Event),
 	shutdownRequested <-chan struct{},
