--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -93,7 +93,7 @@
 	})
 	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
 		if conn, err := net.Dial("tcp", p.address); err == nil {
-			conn.Close()
+			discard(conn)
 			return r
 		}
 		if time.Now().After(end) {
@@ -204,8 +204,8 @@
 		late.want(late.call(object(1), 1200), settled)
 		waits.want(seq, dismissed)
 		answered := time.Since(begun)
-		waits.conn.Close()
-		late.conn.Close()
+		discard(waits.conn)
+		discard(late.conn)
 		ends(t, r.over, patience)
 		if ended := time.Since(begun); answered < 600*time.Millisecond || answered > 1350*time.Millisecond || ended < 700*time.Millisecond ||
 			ended > 2*time.Second {
@@ -221,7 +221,7 @@
 		r := p.runOn(t, c, nil)
 		ask := func(n int) {
 			one := dial(t, p.address)
-			defer one.conn.Close()
+			defer discard(one.conn)
 			one.want(one.call(object(n), 1200), settled)
 		}
 		address := p.caches[0].Addr().String()
@@ -239,7 +239,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { listener.Close() })
+		t.Cleanup(func() { discard(listener) })
 		again := &stand{Listener: listener, name: "s-a", asked: make(chan string, 10000)}
 		go func() {
 			for {
@@ -283,7 +283,7 @@
 		}
 		load := func(span time.Duration, from int) (asked int) {
 			one := dial(t, p.address)
-			defer one.conn.Close()
+			defer discard(one.conn)
 			for end := time.Now().Add(span); time.Now().Before(end); asked++ {
 				one.want(one.call(object(from+asked), 1200), settled)
 				time.Sleep(5 * time.Millisecond)
@@ -369,7 +369,7 @@
 		one := dial(t, p.address)
 		one.want(one.call(object(1), 1200), settled)
 		one.want(one.call(silent, 300), dismissed)
-		one.conn.Close()
+		discard(one.conn)
 		r.leave()
 		ends(t, r.over, patience)
 	}
@@ -415,7 +415,7 @@
 			for n := range 30 {
 				one.want(one.call(object(n), 1200), settled)
 			}
-			one.conn.Close()
+			discard(one.conn)
 			clock.Step(c.step)
 			r.leave()
 			ends(t, r.over, patience)
@@ -428,7 +428,7 @@
 			}
 			one = dial(t, p.address)
 			one.want(one.call(object(1), 1200), settled)
-			one.conn.Close()
+			discard(one.conn)
 		})
 	}
 }
--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -39,9 +39,9 @@
 				time.Sleep(c.quiet)
 			}
 			frame, sent := frameOf(client, object(2)), time.Now()
-			client.conn.Write(frame[:9])
+			write(client.conn, frame[:9])
 			time.Sleep(apart)
-			client.conn.Write(frame[9:])
+			write(client.conn, frame[9:])
 			select {
 			case fields := <-asked(caches):
 				left := limit - time.Since(sent)
@@ -88,8 +88,8 @@
 	const segment, buffer, readBuffer = 1460, 4096, 4 << 20 // bytes: what the system keeps grows with the segments
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
-			syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, segment)
-			syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, buffer)
+			setOption(t, fd, syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, segment)
+			setOption(t, fd, syscall.SOL_SOCKET, syscall.SO_RCVBUF, buffer)
 		})
 	}}
 	listener, err := config.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	var all sync.WaitGroup
-	t.Cleanup(func() { listener.Close(); all.Wait() })
+	t.Cleanup(func() { discard(listener); all.Wait() })
 	all.Go(func() {
 		for {
 			conn, err := listener.Accept()
@@ -105,10 +105,14 @@
 				return
 			}
 			all.Go(func() {
-				defer conn.Close()
+				defer discard(conn)
 				<-let
-				conn.(*net.TCPConn).SetReadBuffer(readBuffer)
-				conn.SetReadDeadline(time.Now().Add(patience))
+				if err := conn.(*net.TCPConn).SetReadBuffer(readBuffer); err != nil {
+					t.Error(err)
+				}
+				if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+					t.Error(err)
+				}
 				for in := bufio.NewReader(conn); ; {
 					words, err := resp.Read(in)
 					if err != nil {
@@ -173,7 +177,7 @@
 	goes.call(object(1), int(limit.Milliseconds()), "txn", "00000000000000aa")
 	stays.call(object(1), int(limit.Milliseconds()), "txn", "00000000000000bb")
 	time.Sleep(50 * time.Millisecond)
-	goes.conn.Close()
+	discard(goes.conn)
 	time.Sleep(deaf)
 	close(let)
 	left := limit - time.Since(sent)
--- a/cmd/tealpath/disk_test.go
+++ b/cmd/tealpath/disk_test.go
@@ -30,10 +30,10 @@
 	if err := router.Start(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { router.Process.Kill() })
+	t.Cleanup(func() { kill(router.Process) })
 	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
 		if conn, err := net.Dial("tcp", p.address); err == nil {
-			conn.Close()
+			discard(conn)
 			break
 		}
 		if time.Now().After(end) {
@@ -44,9 +44,11 @@
 	for n := range 20 {
 		c.want(c.call(object(n), 300), settled)
 	}
-	c.conn.Close()
+	discard(c.conn)
 	told := time.Now()
-	router.Process.Signal(syscall.SIGTERM)
+	if err := router.Process.Signal(syscall.SIGTERM); err != nil {
+		t.Error(err)
+	}
 	if err := router.Wait(); err != nil {
 		t.Error(err)
 	}
--- a/cmd/tealpath/endings_test.go
+++ b/cmd/tealpath/endings_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func terminate() { syscall.Kill(os.Getpid(), syscall.SIGTERM) }
+func terminate() { signalSelf(syscall.SIGTERM) }
 
 // What is owed when the router is told to end, in each state that a request can be in, over real connections.
 func TestLeaving(t *testing.T) {
@@ -60,7 +60,7 @@
 					}
 					time.Sleep(time.Millisecond)
 				}
-				c.conn.Close()
+				discard(c.conn)
 			}
 		}, 1500 * time.Millisecond},
 		{"a cache hangs: by the client's own deadline, not the end of what there is", 5, func(t *testing.T, p program) {
@@ -88,11 +88,11 @@
 		{"half a request has come", 1.2, func(t *testing.T, p program) {
 			c := dial(t, p.address)
 			whole := frameOf(c, object(2))
-			c.conn.Write(whole[:20])
+			write(c.conn, whole[:20])
 			time.Sleep(50 * time.Millisecond)
 			terminate()
 			time.Sleep(300 * time.Millisecond)
-			c.conn.Write(whole[20:])
+			write(c.conn, whole[20:])
 			c.want(c.seq, settled)
 		}, 1500 * time.Millisecond},
 		{"told twice, and a new configuration after that", 1.2, func(t *testing.T, p program) {
@@ -102,7 +102,7 @@
 			terminate()
 			time.Sleep(20 * time.Millisecond)
 			terminate()
-			syscall.Kill(os.Getpid(), syscall.SIGHUP)
+			signalSelf(syscall.SIGHUP)
 			c.want(seq, dismissed)
 		}, 2 * time.Second},
 		{"a client closes its side as the router ends", 5, func(t *testing.T, p program) {
@@ -110,7 +110,7 @@
 			c.call(dead, 3000)
 			asked()
 			terminate()
-			c.conn.Close() // nobody is left: nothing of it keeps the router
+			discard(c.conn) // nobody is left: nothing of it keeps the router
 		}, 3600 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -137,7 +137,7 @@
 // frameOf is a request as it is sent.
 func frameOf(c *client, object string) []byte {
 	there, here := net.Pipe()
-	defer here.Close()
+	defer discard(here)
 	whole := make(chan []byte, 1)
 	go func() {
 		b := make([]byte, 4096)
@@ -168,8 +168,12 @@
 		}
 		terminate()
 		time.Sleep(20 * time.Millisecond) // a signal that nobody waits for has ended the process by now
-		file.Write(p.text("n0", journal))
-		file.Close()
+		if _, err := file.Write(p.text("n0", journal)); err != nil {
+			t.Error(err)
+		}
+		if err := file.Close(); err != nil {
+			t.Error(err)
+		}
 		ends(t, over, 1500*time.Millisecond)
 	})
 	t.Run("as it waits for its address", func(t *testing.T) {
@@ -178,7 +182,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer before.Close()
+		defer discard(before)
 		over := p.start()
 		time.Sleep(100 * time.Millisecond)
 		terminate()
@@ -201,7 +205,9 @@
 		t.Fatal("not asked")
 	}
 	// In flight as its client half-closes: it has its answer, and no further attempt is made when the caches die.
-	c.conn.(*net.TCPConn).CloseWrite()
+	if err := c.conn.(*net.TCPConn).CloseWrite(); err != nil {
+		t.Error(err)
+	}
 	time.Sleep(50 * time.Millisecond)
 	caches[0].die()
 	caches[1].die()
@@ -228,7 +234,7 @@
 			if c.known != "" {
 				text := string(p.text("n0", "127.0.0.1:1"))
 				from, to := strings.Index(text, `"known"`), strings.Index(text, `"settings"`)
-				os.WriteFile(p.file, []byte(text[:from]+c.known+text[to:]), 0o600)
+				writeFile(t, p.file, []byte(text[:from]+c.known+text[to:]))
 			}
 			over := p.run(t)
 			first := dial(t, p.address)
--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -88,7 +88,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { listener.Close() })
+		t.Cleanup(func() { discard(listener) })
 		f.servers = append(f.servers, listener)
 		go f.accept(listener)
 	}
@@ -124,7 +124,7 @@
 
 // serveGrowth answers each request of a connection at once.
 func serveGrowth(conn net.Conn) {
-	defer conn.Close()
+	defer discard(conn)
 	in := bufio.NewReader(conn)
 	for {
 		words, err := resp.Read(in)
@@ -133,7 +133,7 @@
 		}
 		out := resp.Text(resp.Text(resp.Head(nil, 4), words[1]), "served")
 		out = resp.Text(out, fmt.Sprintf("entity=4be0c1927d55a6f3,issued=%d,detail=TCP_HIT", time.Now().UnixMilli()))
-		conn.Write(resp.Text(out, words[3]))
+		write(conn, resp.Text(out, words[3]))
 	}
 }
 
@@ -145,7 +145,7 @@
 		f.t.Fatal(err)
 	}
 	f.address = free.Addr().String()
-	free.Close()
+	discard(free)
 	past := "null"
 	if known {
 		past = f.journal.KnownEvents()
@@ -171,7 +171,7 @@
 	if err := f.router.Start(); err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { f.router.Process.Kill() })
+	f.t.Cleanup(func() { kill(f.router.Process) })
 	done := make(chan struct{})
 	f.t.Cleanup(func() { close(done) })
 	go func() {
@@ -193,10 +193,10 @@
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if conn, err := net.Dial("tcp", f.address); err == nil {
 			c := &client{t: f.t, conn: conn, in: bufio.NewReader(conn)}
-			conn.SetDeadline(time.Now().Add(patience))
+			setTimeout(f.t, conn, patience)
 			c.send(1, "health", 9, []byte{0})
 			_, body := c.next()
-			conn.Close()
+			discard(conn)
 			if strings.Contains(body, "\x02\x00\x03\x01") {
 				return
 			}
@@ -209,7 +209,7 @@
 func (f *growthFleet) play(day growthDay) growthFigures {
 	f.healthy()
 	c := dial(f.t, f.address)
-	c.conn.SetDeadline(time.Now().Add(time.Minute))
+	setTimeout(f.t, c.conn, time.Minute)
 	served := 0
 	var reader sync.WaitGroup
 	reader.Go(func() {
@@ -245,7 +245,9 @@
 		served: float64(served) / float64(day.requests), peakMB: f.peakMB(),
 		descriptors: float64(f.descriptors.Load()), connections: float64(f.connections.Load()),
 	}
-	f.router.Process.Signal(syscall.SIGTERM)
+	if err := f.router.Process.Signal(syscall.SIGTERM); err != nil {
+		f.t.Error(err)
+	}
 	if err := f.router.Wait(); err != nil {
 		f.t.Error(err)
 	}
--- a/cmd/tealpath/log_test.go
+++ b/cmd/tealpath/log_test.go
@@ -10,12 +10,20 @@
 	"time"
 )
 
+// writeLine writes a line to a log, which never fails.
+func writeLine(t *testing.T, w *logWriter, line string) {
+	t.Helper()
+	if _, err := fmt.Fprintln(w, line); err != nil {
+		t.Error(err)
+	}
+}
+
 func TestLogIsWrittenAtTheEnd(t *testing.T) {
 	var out strings.Builder
 	w := newLogWriter(&out)
 	var want strings.Builder
 	for n := range 100 {
-		fmt.Fprintln(w, "line", n)
+		writeLine(t, w, fmt.Sprint("line ", n))
 		fmt.Fprintln(&want, "line", n)
 	}
 	begun := time.Now()
@@ -26,7 +34,7 @@
 	if out.String() != want.String() {
 		t.Errorf("written: %q", out.String())
 	}
-	fmt.Fprintln(w, "after the end") // by a goroutine that was left behind
+	writeLine(t, w, "after the end") // by a goroutine that was left behind
 }
 
 // Nobody reads: who logs and the end of the process go on, and once somebody reads, it is said how many lines were lost.
@@ -36,7 +44,7 @@
 	const lines = 3 * maxQueuedLines
 	begun := time.Now()
 	for n := range lines {
-		fmt.Fprintln(w, "line", n)
+		writeLine(t, w, fmt.Sprint("line ", n))
 	}
 	w.Close()
 	if took := time.Since(begun); took > time.Second {
@@ -44,7 +52,7 @@
 	}
 	go func() {
 		<-w.closed
-		out.Close()
+		discard(out)
 	}()
 	written, lost := 0, 0
 	for text := bufio.NewScanner(in); text.Scan(); {
--- a/cmd/tealpath/main_test.go
+++ b/cmd/tealpath/main_test.go
@@ -61,12 +61,12 @@
 
 // die resets all connections, as a process that dies does.
 func (s *stand) die() {
-	s.Close()
+	discard(s)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
-		c.(*net.TCPConn).SetLinger(0)
-		c.Close()
+		resetOnClose(c)
+		discard(c)
 	}
 }
 
@@ -96,7 +96,7 @@
 			issued = s.copy(fields)
 		}
 		out = resp.Text(out, fmt.Sprintf("entity=4be0c1927d55a6f3,issued=%d,detail=TCP_MISS", issued.UnixMilli()))
-		conn.Write(resp.Text(out, body))
+		write(conn, resp.Text(out, body))
 	}
 }
 
@@ -107,7 +107,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
+	t.Cleanup(func() { discard(listener) })
 	events := make(chan string)
 	asking := make(chan net.Conn)
 	go func() {
@@ -121,18 +121,18 @@
 	}()
 	go func() {
 		conn := <-asking
-		fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n")
+		write(conn, []byte("HTTP/1.1 200 OK\r\n\r\n"))
 		for beat := time.Tick(time.Second / 2); ; {
 			select {
 			case conn = <-asking: // the one before is left open and told nothing more
 			case e := <-events:
-				fmt.Fprint(conn, e)
+				write(conn, []byte(e))
 				continue
 			case <-beat:
-				fmt.Fprint(conn, ":\n\n")
+				write(conn, []byte(":\n\n"))
 				continue
 			}
-			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\n\r\n")
+			write(conn, []byte("HTTP/1.1 200 OK\r\n\r\n"))
 		}
 	}()
 	return listener.Addr().String(), events
@@ -152,8 +152,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(2 * patience))
+	t.Cleanup(func() { discard(conn) })
+	setTimeout(t, conn, 2*patience)
 	return &client{t: t, conn: conn, in: bufio.NewReader(conn)}
 }
 
@@ -164,7 +164,7 @@
 func (c *client) send(kind byte, method string, seq int32, args []byte) {
 	m := text([]byte{0x80, 1, 0, kind}, method)
 	m = append(binary.BigEndian.AppendUint32(m, uint32(seq)), args...)
-	c.conn.Write(text(nil, string(m)))
+	write(c.conn, text(nil, string(m)))
 }
 
 // call asks for an object and returns the sequence number.
@@ -248,7 +248,7 @@
 	n := addresses.Add(1)
 	address := fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, 1+n/250%250, 1+n%250)
 	if probe, err := net.Listen("tcp", address+":0"); err == nil {
-		probe.Close()
+		discard(probe)
 		return address
 	}
 	return "127.0.0.1" // a system that has this one alone
@@ -262,7 +262,7 @@
 		t.Fatal(err)
 	}
 	address := free.Addr().String()
-	free.Close()
+	discard(free)
 	lines := ""
 	for _, m := range [][2]string{
 		{"s-a", caches[0]},
@@ -285,7 +285,7 @@
 		"streamsPerConn":100,"maxOpen":1000},"obligations":{"graceToAnswerS":0.008},"profiles":[{"name":"stills",
 		"onTimeS":0.4,"deadlineS":%g,"points":1,"effect":"retryable","keyScope":"all"}]}}`, name, address, journal, lines[1:], deadline)
 	}
-	p.configure = func(name, journal string) { os.WriteFile(p.file, p.text(name, journal), 0o600) }
+	p.configure = func(name, journal string) { writeFile(t, p.file, p.text(name, journal)) }
 	p.configure("n0", journal)
 	return p
 }
@@ -303,7 +303,7 @@
 	over := p.start()
 	for end := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
 		if conn, err := net.Dial("tcp", p.address); err == nil {
-			conn.Close()
+			discard(conn)
 			return over
 		}
 		if time.Now().After(end) {
@@ -387,7 +387,7 @@
 		}
 		other := dial(t, address)
 		seq := other.call(object(5), 1200)
-		other.conn.Write([]byte("\xff\xff\xff\xff"))
+		write(other.conn, []byte("\xff\xff\xff\xff"))
 		other.want(seq, settled)
 		if got, body := other.next(); got != -1 || body != io.EOF.Error() {
 			t.Errorf("after a frame of negative length: %d %q", got, body)
@@ -407,20 +407,26 @@
 		c.want(c.call(gone, 1200), settled)
 		var age int64
 		_, rest, _ := strings.Cut(waitFor("path="+gone), ",within=")
-		if fmt.Sscan(strings.Split(rest, ",")[0], &age); age < 1 || age > time.Since(at).Milliseconds() {
-			t.Errorf("accepted age %d ms, %v after the purge", age, time.Since(at))
+		if _, err := fmt.Sscan(strings.Split(rest, ",")[0], &age); err != nil || age < 1 || age > time.Since(at).Milliseconds() {
+			t.Errorf("accepted age %d ms, %v after the purge, %v", age, time.Since(at), err)
 		}
 	}
 	t.Run("a purge", func(t *testing.T) { purge(2, events) })
 	t.Run("SIGHUP", func(t *testing.T) {
 		hangUp := func() {
-			syscall.Kill(os.Getpid(), syscall.SIGHUP)
+			signalSelf(syscall.SIGHUP)
 			time.Sleep(50 * time.Millisecond)
 		}
 		held := c.call("dead000000000005", 1000)
 		for _, bad := range []func(){
-			func() { os.WriteFile(file, []byte(`{"name":"n0","jour`), 0o600) },
-			func() { configure("n9", second) }, func() { configure("n0", "nowhere") }, func() { os.Remove(file) },
+			func() { writeFile(t, file, []byte(`{"name":"n0","jour`)) },
+			func() { configure("n9", second) },
+			func() { configure("n0", "nowhere") },
+			func() {
+				if err := os.Remove(file); err != nil {
+					t.Error(err)
+				}
+			},
 		} {
 			bad()
 			hangUp()
@@ -442,9 +448,9 @@
 		held := c.call("dead000000000003", 250)
 		waitFor("path=dead000000000003")
 		told := time.Now()
-		syscall.Kill(os.Getpid(), syscall.SIGTERM)
+		signalSelf(syscall.SIGTERM)
 		time.Sleep(20 * time.Millisecond)
-		syscall.Kill(os.Getpid(), syscall.SIGHUP) // while it drains: read, and it drains on
+		signalSelf(syscall.SIGHUP) // while it drains: read, and it drains on
 		c.want(held, dismissed)
 		time.Sleep(150 * time.Millisecond) // nothing is in hand, but clients still come
 		late := dial(t, address)
@@ -476,7 +482,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	defer discard(listener)
 	const whole = `{"name":"n0","journal":"127.0.0.1:1","settings":{"balancers":1,"locality":"here","machineTypes":["c"],` +
 		`"profiles":[{"name":"stills","onTimeS":0.4,"deadlineS":1.2,"points":1,"effect":"retryable"}]},"known":%s,"listen":"%s"}`
 	for _, c := range []struct {
@@ -501,12 +507,12 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "config.json")
-			os.WriteFile(file, []byte(c.config), 0o600)
+			writeFile(t, file, []byte(c.config))
 			t.Setenv("LB_CONFIG", file)
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			if c.says == "soon" {
-				time.AfterFunc(200*time.Millisecond, func() { listener.Close() })
+				time.AfterFunc(200*time.Millisecond, func() { discard(listener) })
 				time.AfterFunc(400*time.Millisecond, cancel)
 			}
 			err := app().Run(ctx, append([]string{"tealpath"}, c.args...))
--- a/cmd/tealpath/process_test.go
+++ b/cmd/tealpath/process_test.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close()
+	defer discard(log)
 	c.Stderr = log
 	// Under the race detector a process sleeps for a second before it exits, unless told otherwise: it was killed meanwhile.
 	c.Env = append(os.Environ(), asProgram+"=1", "LB_CONFIG="+p.file, "LB_LISTEN="+p.address, "GORACE=atexit_sleep_ms=0")
@@ -63,7 +63,7 @@
 		close(c.ended)
 	}()
 	t.Cleanup(func() {
-		c.Process.Kill()
+		kill(c.Process)
 		<-c.ended
 		if text, err := os.ReadFile(c.log); err == nil && t.Failed() {
 			t.Logf("log of %d:\n%s", c.Process.Pid, text)
@@ -86,8 +86,10 @@
 	if err != nil {
 		return false
 	}
-	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(patience))
+	defer discard(conn)
+	if err := conn.SetDeadline(time.Now().Add(patience)); err != nil {
+		return false
+	}
 	c := &client{conn: conn, in: bufio.NewReader(conn)}
 	c.send(thrift.Call, "health", 9, []byte{0})
 	size, err := thrift.FrameSize(c.in)
@@ -165,7 +167,7 @@
 func (c *child) endsBy(told time.Time, killed time.Duration) {
 	c.t.Helper()
 	machine := newPulse()
-	kill := time.AfterFunc(time.Until(told.Add(killed)), func() { c.Process.Kill() })
+	kill := time.AfterFunc(time.Until(told.Add(killed)), func() { kill(c.Process) })
 	defer kill.Stop()
 	<-c.ended
 	switch stall := machine.stop(); {
@@ -210,7 +212,7 @@
 		t.Fatal(err)
 	}
 	s := &scripted{Listener: listener, conns: map[net.Conn]bool{}, old: map[net.Conn]bool{}}
-	t.Cleanup(func() { listener.Close(); s.resetAll() })
+	t.Cleanup(func() { discard(listener); s.resetAll() })
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -250,8 +252,8 @@
 func (s *scripted) reset(conn net.Conn) {
 	delete(s.conns, conn)
 	delete(s.old, conn)
-	conn.(*net.TCPConn).SetLinger(0)
-	conn.Close()
+	resetOnClose(conn)
+	discard(conn)
 }
 
 // asked is what came for an object so far, or all that came.
@@ -276,7 +278,7 @@
 func (s *scripted) serve(conn net.Conn) {
 	in := bufio.NewReader(conn)
 	defer func() {
-		conn.Close()
+		discard(conn)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		delete(s.conns, conn)
@@ -309,7 +311,7 @@
 		time.AfterFunc(after, func() {
 			out := resp.Text(resp.Text(resp.Head(nil, 4), words[1]), "served")
 			out = resp.Text(out, fmt.Sprintf("entity=4be0c1927d55a6f3,issued=%d,detail=TCP_MISS", time.Now().UnixMilli()))
-			conn.Write(resp.Text(out, append([]byte("whole:"), words[3]...))) // whole in one write
+			write(conn, resp.Text(out, append([]byte("whole:"), words[3]...))) // whole in one write
 		})
 	}
 }
--- a/cmd/tealpath/trouble_test.go
+++ b/cmd/tealpath/trouble_test.go
@@ -57,7 +57,7 @@
 		served [2]int // of those that come together, at least: at first, and later
 	}{
 		{"a cache resets what comes", func(s *scripted) { s.resetAll(); s.behave(resets, 0) }, [2]int{8, 8}},
-		{"a cache is gone", func(s *scripted) { s.Close(); s.resetAll() }, [2]int{8, 8}},
+		{"a cache is gone", func(s *scripted) { discard(s); s.resetAll() }, [2]int{8, 8}},
 		{"a cache hangs", func(s *scripted) { s.behave(hangs, 0) }, [2]int{0, 7}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -196,12 +196,12 @@
 		by    time.Duration
 	}{
 		{"both caches reset", func(s *scripted) { s.behave(resets, 0) }, func(s *scripted) { s.behave(resets, 0) }, 400 * time.Millisecond},
-		{"one resets, one refuses", func(s *scripted) { s.behave(resets, 0) }, func(s *scripted) { s.Close(); s.resetAll() }, 700 * time.Millisecond},
+		{"one resets, one refuses", func(s *scripted) { s.behave(resets, 0) }, func(s *scripted) { discard(s); s.resetAll() }, 700 * time.Millisecond},
 		{
 			"one hangs, and what goes beside it is reset", func(s *scripted) { s.behave(hangs, 0) }, func(s *scripted) { s.behave(resets, 0) },
 			limit * time.Millisecond,
 		},
-		{"both refuse", func(s *scripted) { s.Close(); s.resetAll() }, func(s *scripted) { s.Close(); s.resetAll() }, 700 * time.Millisecond},
+		{"both refuse", func(s *scripted) { discard(s); s.resetAll() }, func(s *scripted) { discard(s); s.resetAll() }, 700 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -226,7 +226,9 @@
 					t.Errorf("%d attempts", tries)
 				}
 			}
-			client.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+			if err := client.conn.SetReadDeadline(time.Now().Add(100 * time.Millisecond)); err != nil {
+				t.Error(err)
+			}
 			if seq, body := client.next(); seq != -1 {
 				t.Errorf("a second answer: %d %q", seq, body)
 			}
@@ -292,7 +294,7 @@
 		t.Error(err)
 		return nil, time.Now()
 	}
-	defer conn.Close()
+	defer discard(conn)
 	c := &client{t: t, conn: conn, in: bufio.NewReader(conn)}
 	var mu sync.Mutex
 	over := make(chan struct{})
