--- /dev/null
+++ b/cmd/tealpath/logevents_test.go
@@ -0,0 +1,175 @@
+package main
+
+import (
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"tealpath/internal/cluster"
+	"tealpath/internal/cluster/peer"
+	"tealpath/internal/logevent"
+	"tealpath/internal/server"
+	"testing"
+)
+
+// root is the repository, seen from this package.
+const root = "../.."
+
+// loggingPackages are the packages that log, by folder, with one zero value of each of their events. A package that is missing here
+// fails TestAllEventsAreListed.
+var loggingPackages = map[string][]logevent.Event{
+	"cmd/tealpath":          LogEvents(),
+	"internal/cluster":      cluster.LogEvents(),
+	"internal/cluster/peer": peer.LogEvents(),
+	"internal/server":       server.LogEvents(),
+}
+
+// eventPages are the pages that describe the events, each in one place.
+var eventPages = []string{"docs/oncall.md", "docs/oncall-fleet.md"}
+
+// eventHeader is the head of a table of events.
+const eventHeader = "| event | level | fields | meaning | what to do | former text |"
+
+// instanceField is added by the server to an event of the reducer that is about one endpoint.
+const instanceField = "instance"
+
+var (
+	eventName   = regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
+	kindMethods = regexp.MustCompile(`(?m)^func \(\w*\s*\*?\w+\) Kind\(\) logevent\.Kind\b`)
+)
+
+// eventRow is what a page says of an event.
+type eventRow struct {
+	page, level, meaning, action string
+	fields                       []string
+}
+
+// readEvents reads the tables of events of a page.
+func readEvents(t *testing.T, page string, rows map[string]eventRow) {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join(root, page))
+	if err != nil {
+		t.Fatal(err)
+	}
+	inTable := false
+	for line := range strings.Lines(string(raw)) {
+		line = strings.TrimSpace(line)
+		switch {
+		case line == eventHeader:
+			inTable = true
+		case !strings.HasPrefix(line, "|"):
+			inTable = false
+		case inTable && !strings.HasPrefix(line, "| ---"):
+			name, row := parseEventRow(t, page, line)
+			if other, ok := rows[name]; ok {
+				t.Errorf("%s: %s stands in %s already", page, name, other.page)
+			}
+			rows[name] = row
+		}
+	}
+}
+
+// parseEventRow reads one row of a table of events.
+func parseEventRow(t *testing.T, page, line string) (name string, row eventRow) {
+	t.Helper()
+	cells := strings.Split(strings.TrimSuffix(strings.TrimPrefix(line, "|"), "|"), "|")
+	if len(cells) != strings.Count(eventHeader, "|")-1 {
+		t.Fatalf("%s: %d cells: %s", page, len(cells), line)
+	}
+	for i := range cells {
+		cells[i] = strings.TrimSpace(cells[i])
+	}
+	row = eventRow{page: page, level: cells[1], meaning: cells[3], action: cells[4]}
+	for field := range strings.SplitSeq(cells[2], ",") {
+		field = strings.Trim(strings.TrimSpace(field), "`")
+		if field != "" && field != "none" && field != instanceField {
+			row.fields = append(row.fields, field)
+		}
+	}
+	return strings.Trim(cells[0], "`"), row
+}
+
+// The tables of the pages and the code say the same: names, levels and fields.
+func TestEventsAreDescribed(t *testing.T) {
+	rows := map[string]eventRow{}
+	for _, page := range eventPages {
+		readEvents(t, page, rows)
+	}
+	seen := map[string]string{}
+	for folder, events := range loggingPackages {
+		for _, event := range events {
+			kind := event.Kind()
+			if other, ok := seen[kind.Name]; ok {
+				t.Errorf("%s is an event of %s and of %s", kind.Name, other, folder)
+			}
+			seen[kind.Name] = folder
+			checkEvent(t, event, rows[kind.Name])
+		}
+	}
+	for name, row := range rows {
+		if _, ok := seen[name]; !ok {
+			t.Errorf("%s: no package logs %s", row.page, name)
+		}
+	}
+}
+
+// checkEvent compares an event with its row.
+func checkEvent(t *testing.T, event logevent.Event, row eventRow) {
+	t.Helper()
+	kind := event.Kind()
+	if !eventName.MatchString(kind.Name) || kind.Message == "" {
+		t.Errorf("%T has name %q, message %q", event, kind.Name, kind.Message)
+	}
+	if row.page == "" {
+		t.Errorf("%s (%T) stands in none of %v", kind.Name, event, eventPages)
+		return
+	}
+	if row.level != kind.Level.String() {
+		t.Errorf("%s: %s has level %s, its event %s", row.page, kind.Name, row.level, kind.Level)
+	}
+	if fields := logevent.FieldNames(event); !slices.Equal(row.fields, fields) {
+		t.Errorf("%s: %s has the fields %q, its event %q", row.page, kind.Name, row.fields, fields)
+	}
+	if row.meaning == "" || row.action == "" {
+		t.Errorf("%s: %s lacks its meaning or what to do", row.page, kind.Name)
+	}
+}
+
+// Each event that the sources define stands in the LogEvents of its package, and that package in loggingPackages.
+func TestAllEventsAreListed(t *testing.T) {
+	defined := map[string]int{}
+	for _, folder := range []string{"cmd", "control", "internal"} {
+		err := filepath.WalkDir(filepath.Join(root, folder), func(path string, _ fs.DirEntry, err error) error {
+			if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			raw, err := os.ReadFile(path)
+			if err != nil {
+				return err
+			}
+			if count := len(kindMethods.FindAll(raw, -1)); count > 0 {
+				relative, err := filepath.Rel(root, filepath.Dir(path))
+				if err != nil {
+					return err
+				}
+				defined[filepath.ToSlash(relative)] += count
+			}
+			return nil
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	for folder, count := range defined {
+		if listed := len(loggingPackages[folder]); listed != count {
+			t.Errorf("%s defines %d events, %d are listed", folder, count, listed)
+		}
+	}
+	for folder := range loggingPackages {
+		if defined[folder] == 0 {
+			t.Errorf("%s defines no events", folder)
+		}
+	}
+}
