--- a/cmd/tealpath/logevents_test.go
+++ b/cmd/tealpath/logevents_test.go
@@ -7,9 +7,11 @@
 	"regexp"
 	"slices"
 	"strings"
+	"tealpath/control"
 	"tealpath/internal/cluster"
 	"tealpath/internal/cluster/peer"
 	"tealpath/internal/logevent"
+	"tealpath/internal/router"
 	"tealpath/internal/server"
 	"testing"
 )
@@ -21,8 +23,10 @@
 // fails TestAllEventsAreListed.
 var loggingPackages = map[string][]logevent.Event{
 	"cmd/tealpath":          LogEvents(),
+	"control":               control.LogEvents(),
 	"internal/cluster":      cluster.LogEvents(),
 	"internal/cluster/peer": peer.LogEvents(),
+	"internal/router":       router.LogEvents(),
 	"internal/server":       server.LogEvents(),
 }
 
