--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -12,16 +12,15 @@
 	"strings"
 	"sync"
 	"sync/atomic"
-	"testing"
-	"time"
-
-	"github.com/rs/zerolog"
-
 	"tealpath/internal/clock"
 	"tealpath/internal/clock/clocktest"
 	"tealpath/internal/config"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/server"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
 )
 
 // steps are what the wall clock is set forward by in the tests, or back.
@@ -94,7 +93,7 @@
 	})
 	for end := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
 		if conn, err := net.Dial("tcp", p.address); err == nil {
-			conn.Close()
+			discard(conn)
 			return r
 		}
 		if time.Now().After(end) {
@@ -205,8 +204,8 @@
 		late.want(late.call(object(1), 1200), settled)
 		waits.want(seq, dismissed)
 		answered := time.Since(begun)
-		waits.conn.Close()
-		late.conn.Close()
+		discard(waits.conn)
+		discard(late.conn)
 		ends(t, r.over, patience)
 		if ended := time.Since(begun); answered < 600*time.Millisecond || answered > 1350*time.Millisecond || ended < 700*time.Millisecond ||
 			ended > 2*time.Second {
@@ -222,7 +221,7 @@
 		r := p.runOn(t, c, nil)
 		ask := func(n int) {
 			one := dial(t, p.address)
-			defer one.conn.Close()
+			defer discard(one.conn)
 			one.want(one.call(object(n), 1200), settled)
 		}
 		address := p.caches[0].Addr().String()
@@ -240,7 +239,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { listener.Close() })
+		t.Cleanup(func() { discard(listener) })
 		again := &stand{Listener: listener, name: "s-a", asked: make(chan string, 10000)}
 		go func() {
 			for {
@@ -284,7 +283,7 @@
 		}
 		load := func(span time.Duration, from int) (asked int) {
 			one := dial(t, p.address)
-			defer one.conn.Close()
+			defer discard(one.conn)
 			for end := time.Now().Add(span); time.Now().Before(end); asked++ {
 				one.want(one.call(object(from+asked), 1200), settled)
 				time.Sleep(5 * time.Millisecond)
@@ -370,7 +369,7 @@
 		one := dial(t, p.address)
 		one.want(one.call(object(1), 1200), settled)
 		one.want(one.call(silent, 300), dismissed)
-		one.conn.Close()
+		discard(one.conn)
 		r.leave()
 		ends(t, r.over, patience)
 	}
@@ -383,24 +382,25 @@
 func TestStepsAroundASnapshot(t *testing.T) {
 	t.Parallel()
 	const year = 365 * 24 * time.Hour
+	const restoredWhole = `"scope":"whole"` // of a snapshot_restored event
 	for _, c := range []struct {
 		name          string
 		began, step   time.Duration // by how much the first process's clock was off, and is set before it writes
 		second, again time.Duration // the second's, and how it is set before it reads
 		says          string
 	}{
-		{"no step", 0, 0, 0, 0, "taken, whole"},
-		{"2 s ahead before it was written", 0, 2 * time.Second, 0, 0, "taken, whole"},
-		{"2 s behind before it was written", 0, -2 * time.Second, 0, 0, "taken, whole"},
-		{"an hour ahead before it was written", 0, time.Hour, 0, 0, "passed over: it is of 3"},
+		{"no step", 0, 0, 0, 0, restoredWhole},
+		{"2 s ahead before it was written", 0, 2 * time.Second, 0, 0, restoredWhole},
+		{"2 s behind before it was written", 0, -2 * time.Second, 0, 0, restoredWhole},
+		{"an hour ahead before it was written", 0, time.Hour, 0, 0, `"event":"snapshot_ignored","cause":"it is of 3`},
 		{"an hour behind before it was written", 0, -time.Hour, 0, 0, "s old"},
-		{"a year ahead all along", year, 0, 0, 0, "passed over: it is of 31"},
-		{"a year ahead, set right before it was written", year, -year, 0, 0, "taken, whole"},
-		{"a year ahead at both", year, 0, year, 0, "taken, whole"},
-		{"a year behind, set right before it was written", -year, year, 0, 0, "taken, whole"},
+		{"a year ahead all along", year, 0, 0, 0, `"event":"snapshot_ignored","cause":"it is of 31`},
+		{"a year ahead, set right before it was written", year, -year, 0, 0, restoredWhole},
+		{"a year ahead at both", year, 0, year, 0, restoredWhole},
+		{"a year behind, set right before it was written", -year, year, 0, 0, restoredWhole},
 		{"an hour ahead before it is read", 0, 0, 0, time.Hour, "s old"},
-		{"an hour behind before it is read", 0, 0, 0, -time.Hour, "passed over: it is of 3"},
-		{"an hour behind, set right before it is read", 0, 0, -time.Hour, time.Hour, "taken, whole"},
+		{"an hour behind before it is read", 0, 0, 0, -time.Hour, `"event":"snapshot_ignored","cause":"it is of 3`},
+		{"an hour behind, set right before it is read", 0, 0, -time.Hour, time.Hour, restoredWhole},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
@@ -415,20 +415,20 @@
 			for n := range 30 {
 				one.want(one.call(object(n), 1200), settled)
 			}
-			one.conn.Close()
+			discard(one.conn)
 			clock.Step(c.step)
 			r.leave()
 			ends(t, r.over, patience)
 			clock = clocktest.Running(c.second)
 			clock.Step(c.again)
 			r = p.runOn(t, clock, file)
-			r.log.wait(t, "snapshot", time.Second)
+			r.log.wait(t, `"event":"snapshot_`, time.Second)
 			if _, ok := r.log.find(c.says); !ok {
 				t.Errorf("log: %v, want %q", r.log.lines, c.says)
 			}
 			one = dial(t, p.address)
 			one.want(one.call(object(1), 1200), settled)
-			one.conn.Close()
+			discard(one.conn)
 		})
 	}
 }
--- a/internal/cluster/peer/links.go
+++ b/internal/cluster/peer/links.go
@@ -11,6 +11,7 @@
 	"net"
 	"net/netip"
 	"sync"
+	"tealpath/internal/logevent"
 	"time"
 
 	"go4.org/netipx"
@@ -39,7 +40,7 @@
 	Keys        *Keys
 	Allow       *netipx.IPSet                                         // addresses from which and to which links are taken
 	Receive     func(name string, incarnation uint64, payload []byte) // may wait
-	Log         func(line, peer, reason string)
+	Log         func(logevent.Event)
 }
 
 // Links is all links of one instance. Its methods may be called by several goroutines at once.
