--- /dev/null
+++ b/internal/operatorconfig/file_test.go
@@ -0,0 +1,75 @@
+package operatorconfig
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+func TestStartSettingsFitTheDeployment(t *testing.T) {
+	for _, c := range []struct {
+		text    string
+		routers int
+		says    string // empty: usable
+	}{
+		{"(start (rate 100) (hold 4s))", 300, ""},
+		{"(socket \"x\")\n (start (rate 100) (hold 2s))", 300, "2:2: 300 routers call for 3000 ms at 100 a second"},
+		{"(start (hold 4s))", 3, "1:1"},
+		{"(start (rate 0) (hold 4s))", 3, "1:14"},
+		{"(start (rate 100) (hold 2h))", 3, "1:25"},
+		{"(start (rate 100) (hold 4s) (wait 3))", 3, "1:29"},
+		{"", 300, ""},
+	} {
+		t.Run(c.text, func(t *testing.T) {
+			file, err := Parse(c.text, "a", t.TempDir())
+			if err == nil {
+				err = file.Holds(c.routers)
+			}
+			if (err == nil) != (c.says == "") || err != nil && !strings.HasPrefix(err.Error(), c.says) {
+				t.Errorf("%v, want %q", err, c.says)
+			}
+		})
+	}
+}
+
+func TestConnectionSettingsFitTheDeployment(t *testing.T) {
+	for _, c := range []struct {
+		text    string
+		routers int
+		says    string // empty: usable
+	}{
+		{"(links (holds 60))", 300, ""},
+		{"(links (holds 60) (opens 20))", 300, ""},
+		{"(socket \"x\")\n (links (holds 60) (opens 5))", 300, "2:2: 300 routers take 60 s to open one connection each at 5 a second"},
+		{"(links (opens 5))", 3, "1:1"},
+		{"(links (holds 0))", 3, "1:15"},
+		{"(links (holds 60) (opens fast))", 3, "1:26"},
+		{"", 300, ""},
+	} {
+		t.Run(c.text, func(t *testing.T) {
+			file, err := Parse(c.text, "a", t.TempDir())
+			if err == nil {
+				err = file.Spreads(c.routers)
+			}
+			if (err == nil) != (c.says == "") || err != nil && !strings.HasPrefix(err.Error(), c.says) {
+				t.Errorf("%v, want %q", err, c.says)
+			}
+		})
+	}
+}
+
+func FuzzParse(f *testing.F) {
+	f.Add(good)
+	f.Add(`(a "b\n" (c ; d` + "\n" + `) )`)
+	f.Add("(((((")
+	f.Fuzz(func(t *testing.T, text string) {
+		_, err := Parse(text, "a", t.TempDir())
+		if err == nil {
+			return
+		}
+		var first *Error
+		if !errors.As(err, &first) || first.Position.Line < 1 || first.Position.Column < 1 {
+			t.Errorf("an error without its position: %v", err)
+		}
+	})
+}
--- a/internal/operatorconfig/socket.go
+++ b/internal/operatorconfig/socket.go
@@ -11,9 +11,8 @@
 	"os"
 	"strings"
 	"sync"
-	"time"
-
 	"tealpath/internal/neterr"
+	"time"
 )
 
 // Bounds of what goes over the socket.
@@ -33,8 +32,8 @@
 	Answer json.RawMessage `json:"answer,omitempty"`
 }
 
-// Serve answers commands on a Unix socket, which its owner alone may open, until the context ends. A socket that an
-// earlier process left is replaced, one that is answered on is not.
+// Serve answers commands on a Unix socket, which its owner alone may open, until the context ends. A socket
+// that an earlier process left is replaced, one that is answered on is not.
 func Serve(ctx context.Context, path string, handlers map[string]Handler) error {
 	if conn, err := net.DialTimeout("unix", path, time.Second); err == nil {
 		conn.Close()
@@ -54,8 +53,8 @@
 	return accept(ctx, listener, handlers)
 }
 
-// accept answers on a listener until the context ends. What this machine lacks for a moment ends nothing: the whole instance
-// ended with its socket.
+// accept answers on a listener until the context ends. What this machine lacks for a moment ends nothing: the
+// whole instance ended with its socket.
 func accept(ctx context.Context, listener net.Listener, handlers map[string]Handler) error {
 	stop := context.AfterFunc(ctx, func() { listener.Close() })
 	defer stop()
--- a/internal/operatorconfig/values.go
+++ b/internal/operatorconfig/values.go
@@ -1,124 +1,134 @@
 package operatorconfig
 
 import (
-	"maps"
 	"math"
 	"net/netip"
-	"slices"
 	"strconv"
 	"strings"
+	"tealpath/internal/operatorconfig/sexpr"
 	"time"
 )
 
-func sorted(known map[string]entry) []string { return slices.Sorted(maps.Keys(known)) }
+// The kinds of values, as errors name them.
+const (
+	kindDuration = "time such as 1500ms or 2s"
+	kindInteger  = "whole number"
+	kindNumber   = "number such as 0.05 or 5%"
+	kindAddress  = "address such as 127.0.0.1:7101"
+	kindNetwork  = "network"
+	kindNetworks = "address, network or range"
+)
 
-// single gives the one value of a list.
-func (f *faults) single(n *Node, args []*Node) (*Node, bool) {
-	if len(args) != 1 || args[0].isList {
-		f.add(n.Place, "(%s …) takes one value", n.Head())
+// single returns the one value of a list.
+func (d *decoder) single(list *sexpr.Node, arguments []*sexpr.Node) (value *sexpr.Node, ok bool) {
+	if len(arguments) != 1 || arguments[0].IsList {
+		d.errors.addf(list.Position, "(%s …) takes one value", list.Head())
 		return nil, false
 	}
-	return args[0], true
+	return arguments[0], true
 }
 
-// text takes a word or a text in quotes.
-func (f *faults) text(into *string) func(*Node, []*Node) {
-	return func(n *Node, args []*Node) {
-		if v, ok := f.single(n, args); ok {
-			if *into = v.Word; v.Word == "" {
-				f.add(v.Place, "an empty text")
-			}
+// text decodes a word or a text in quotes.
+func (d *decoder) text(into *string) decodeFunc {
+	return func(list *sexpr.Node, arguments []*sexpr.Node) {
+		value, ok := d.single(list, arguments)
+		if !ok {
+			return
+		}
+		if value.Word == "" {
+			d.errors.addf(value.Position, "an empty text")
 		}
+		*into = value.Word
 	}
 }
 
-// words takes any number of words.
-func (f *faults) words(into *[]string) func(*Node, []*Node) {
-	return func(n *Node, args []*Node) {
+// words decodes any number of words.
+func (d *decoder) words(into *[]string) decodeFunc {
+	return func(_ *sexpr.Node, arguments []*sexpr.Node) {
 		*into = []string{}
-		for _, v := range args {
-			if v.isList || v.Word == "" {
-				f.add(v.Place, "%s, where a word belongs", v)
+		for _, value := range arguments {
+			if value.IsList || value.Word == "" {
+				d.errors.addf(value.Position, "%s, where a word belongs", value)
 				continue
 			}
-			*into = append(*into, v.Word)
+			*into = append(*into, value.Word)
 		}
 	}
 }
 
-// span takes a time with its unit, such as 1500ms, into ns.
-func (f *faults) span(into *int64, least, most time.Duration) func(*Node, []*Node) {
-	return func(n *Node, args []*Node) {
-		v, ok := f.single(n, args)
+// duration decodes a time with its unit, such as 1500ms, into ns.
+func (d *decoder) duration(into *int64, minimum, maximum time.Duration) decodeFunc {
+	return func(list *sexpr.Node, arguments []*sexpr.Node) {
+		value, ok := d.single(list, arguments)
 		if !ok {
 			return
 		}
-		d, err := time.ParseDuration(v.Word)
+		decoded, err := time.ParseDuration(value.Word)
 		switch {
 		case err != nil:
-			f.add(v.Place, "%s is no time such as 1500ms or 2s", v)
-		case d < least || d > most:
-			f.add(v.Place, "%s: %s to %s can be", v, least, most)
+			d.errors.addWrongKind(list.Head(), value, kindDuration)
+		case decoded < minimum || decoded > maximum:
+			d.errors.addOutOfRange(list.Head(), value, minimum, maximum)
 		default:
-			*into = int64(d)
+			*into = int64(decoded)
 		}
 	}
 }
 
-// whole takes a whole number.
-func (f *faults) whole(into *int64, least, most int64) func(*Node, []*Node) {
-	return func(n *Node, args []*Node) {
-		v, ok := f.single(n, args)
+// integer decodes a whole number.
+func (d *decoder) integer(into *int64, minimum, maximum int64) decodeFunc {
+	return func(list *sexpr.Node, arguments []*sexpr.Node) {
+		value, ok := d.single(list, arguments)
 		if !ok {
 			return
 		}
-		x, err := strconv.ParseInt(v.Word, 10, 64)
+		decoded, err := strconv.ParseInt(value.Word, 10, 64)
 		switch {
 		case err != nil:
-			f.add(v.Place, "%s is no whole number", v)
-		case x < least || x > most:
-			f.add(v.Place, "%s: %d to %d can be", v, least, most)
+			d.errors.addWrongKind(list.Head(), value, kindInteger)
+		case decoded < minimum || decoded > maximum:
+			d.errors.addOutOfRange(list.Head(), value, minimum, maximum)
 		default:
-			*into = x
+			*into = decoded
 		}
 	}
 }
 
-// number takes a number, or a share such as 5%.
-func (f *faults) number(into *float64, least, most float64) func(*Node, []*Node) {
-	return func(n *Node, args []*Node) {
-		v, ok := f.single(n, args)
+// number decodes a number, or a share such as 5%.
+func (d *decoder) number(into *float64, minimum, maximum float64) decodeFunc {
+	return func(list *sexpr.Node, arguments []*sexpr.Node) {
+		value, ok := d.single(list, arguments)
 		if !ok {
 			return
 		}
-		word, percent := strings.CutSuffix(v.Word, "%")
-		x, err := strconv.ParseFloat(word, 64)
-		if percent {
-			x /= 100
+		digits, isPercentage := strings.CutSuffix(value.Word, "%")
+		decoded, err := strconv.ParseFloat(digits, 64)
+		if isPercentage {
+			decoded /= 100
 		}
 		switch {
-		case err != nil || math.IsNaN(x):
-			f.add(v.Place, "%s is no number such as 0.05 or 5%%", v)
-		case x < least || x > most:
-			f.add(v.Place, "%s: %v to %v can be", v, least, most)
+		case err != nil || math.IsNaN(decoded):
+			d.errors.addWrongKind(list.Head(), value, kindNumber)
+		case decoded < minimum || decoded > maximum:
+			d.errors.addOutOfRange(list.Head(), value, minimum, maximum)
 		default:
-			*into = x
+			*into = decoded
 		}
 	}
 }
 
-// address takes HOST:PORT, the host an IP address: names are not looked up.
-func (f *faults) address(into *netip.AddrPort) func(*Node, []*Node) {
-	return func(n *Node, args []*Node) {
-		v, ok := f.single(n, args)
+// address decodes HOST:PORT. The host is an IP address, since names are not looked up.
+func (d *decoder) address(into *netip.AddrPort) decodeFunc {
+	return func(list *sexpr.Node, arguments []*sexpr.Node) {
+		value, ok := d.single(list, arguments)
 		if !ok {
 			return
 		}
-		a, err := netip.ParseAddrPort(v.Word)
-		if err != nil || a.Port() == 0 {
-			f.add(v.Place, "%s is no address such as 127.0.0.1:7101", v)
+		decoded, err := netip.ParseAddrPort(value.Word)
+		if err != nil || decoded.Port() == 0 {
+			d.errors.addWrongKind(list.Head(), value, kindAddress)
 			return
 		}
-		*into = a
+		*into = decoded
 	}
 }
