--- a/cmd/tealpath/status.go
+++ b/cmd/tealpath/status.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"os"
 	"strings"
+	"tealpath/internal/adminsocket"
 	"tealpath/internal/cluster"
-	"tealpath/internal/operatorconfig"
 	"tealpath/internal/server"
 	"text/tabwriter"
 	"time"
@@ -25,7 +25,7 @@
 		return err
 	}
 	var status server.Connections
-	if err := operatorconfig.Ask(ctx, path, &status, "connections"); err != nil {
+	if err := adminsocket.Query(ctx, path, &status, "connections"); err != nil {
 		return cli.Exit(err, exitFailed)
 	}
 	fmt.Printf("%d connections: %d idle, %d of them at rest, %d busy, %d reading, %d fresh, %d closing; "+
@@ -44,7 +44,7 @@
 		return err
 	}
 	var status cluster.Status
-	if err := operatorconfig.Ask(ctx, path, &status, "duties"); err != nil {
+	if err := adminsocket.Query(ctx, path, &status, "duties"); err != nil {
 		return cli.Exit(err, exitFailed)
 	}
 	if cmd.Bool("json") {
@@ -61,7 +61,7 @@
 		return err
 	}
 	var status cluster.MembersStatus
-	if err := operatorconfig.Ask(ctx, path, &status, "members"); err != nil {
+	if err := adminsocket.Query(ctx, path, &status, "members"); err != nil {
 		return cli.Exit(err, exitFailed)
 	}
 	if cmd.Bool("json") {
--- /dev/null
+++ b/internal/adminsocket/accept_test.go
@@ -0,0 +1,70 @@
+package adminsocket
+
+import (
+	"context"
+	"net"
+	"os"
+	"path/filepath"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// failingListener is a listener whose first accepts fail with an error.
+type failingListener struct {
+	net.Listener
+	err  error
+	left atomic.Int64
+}
+
+func (f *failingListener) Accept() (net.Conn, error) {
+	if f.left.Add(-1) >= 0 {
+		return nil, f.err
+	}
+	return f.Listener.Accept()
+}
+
+func acceptError(errno syscall.Errno) error {
+	return &net.OpError{Op: "accept", Net: "unix", Err: os.NewSyscallError("accept4", errno)}
+}
+
+func TestAcceptWaitsOutErrorsOfThisMachine(t *testing.T) {
+	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
+		t.Run(errno.Error(), func(t *testing.T) {
+			path := filepath.Join(t.TempDir(), "s")
+			listener := listen(t, path, errno, 3)
+			ctx, cancel := context.WithCancel(t.Context())
+			ended := make(chan error, 1)
+			one := func(context.Context, []string) (any, error) { return 1, nil }
+			go func() { ended <- accept(ctx, listener, map[string]Handler{"x": one}) }()
+			begun, answer := time.Now(), 0
+			if err := Query(ctx, path, &answer, "x"); err != nil || answer != 1 || time.Since(begun) < 3*acceptRetryDelay {
+				t.Errorf("%d, %v after %v", answer, err, time.Since(begun))
+			}
+			cancel()
+			if err := <-ended; err != nil {
+				t.Error(err)
+			}
+		})
+	}
+}
+
+func TestAcceptEndsByOtherErrors(t *testing.T) {
+	listener := listen(t, filepath.Join(t.TempDir(), "s"), syscall.EINVAL, 1)
+	if err := accept(t.Context(), listener, nil); err == nil {
+		t.Error("an error that does not pass is waited out")
+	}
+}
+
+// listen opens a socket whose first accepts fail.
+func listen(t *testing.T, path string, errno syscall.Errno, failures int64) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("unix", path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	failing := &failingListener{Listener: listener, err: acceptError(errno)}
+	failing.left.Store(failures)
+	return failing
+}
--- a/internal/operatorconfig/socket_test.go
+++ b/internal/adminsocket/adminsocket_test.go
@@ -1,4 +1,4 @@
-package operatorconfig
+package adminsocket
 
 import (
 	"context"
@@ -10,14 +10,14 @@
 	"time"
 )
 
-func TestSocket(t *testing.T) {
+func TestCommandsOverTheSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.sock")
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan error, 1)
-	serve := func() { over <- Serve(ctx, path, map[string]Handler{"echo": echo}) }
+	ended := make(chan error, 1)
+	serve := func() { ended <- Serve(ctx, path, map[string]Handler{"echo": echo}) }
 	go serve()
 	var got []string
-	for end := time.Now().Add(5 * time.Second); Ask(ctx, path, &got, "echo", "a", "b") != nil; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); Query(ctx, path, &got, "echo", "a", "b") != nil; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("no answer")
 		}
@@ -28,20 +28,20 @@
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("others may open it: %v %v", info.Mode(), err)
 	}
-	if err := Ask(ctx, path, &got, "what"); err == nil || !strings.Contains(err.Error(), "unknown command") {
+	if err := Query(ctx, path, &got, "what"); err == nil || !strings.Contains(err.Error(), "unknown command") {
 		t.Errorf("%v", err)
 	}
-	if err := Ask(ctx, path, &got, "echo"); err == nil || !strings.Contains(err.Error(), "nothing to say") {
+	if err := Query(ctx, path, &got, "echo"); err == nil || !strings.Contains(err.Error(), "nothing to say") {
 		t.Errorf("%v", err)
 	}
 	if err := Serve(ctx, path, nil); err == nil || !strings.Contains(err.Error(), "another process") {
 		t.Errorf("a live socket was taken over: %v", err)
 	}
 	stop()
-	if err := <-over; err != nil {
+	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if err := Ask(context.Background(), path, &got, "echo"); err == nil {
+	if err := Query(context.Background(), path, &got, "echo"); err == nil {
 		t.Error("it answers after its end")
 	}
 }
--- /dev/null
+++ b/internal/adminsocket/client.go
@@ -0,0 +1,38 @@
+package adminsocket
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+)
+
+// Query sends a command to a running instance's socket and decodes the answer.
+func Query(ctx context.Context, path string, into any, words ...string) error {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
+	defer cancel()
+	conn, err := (&net.Dialer{}).DialContext(ctx, "unix", path)
+	if err != nil {
+		return fmt.Errorf("no instance answers at %s: %w", path, err)
+	}
+	defer func() { ignore(conn.Close()) }()
+	if deadline, ok := ctx.Deadline(); ok {
+		if err := conn.SetDeadline(deadline); err != nil {
+			return err
+		}
+	}
+	if _, err := fmt.Fprintln(conn, strings.Join(words, " ")); err != nil {
+		return err
+	}
+	var received reply
+	if err := json.NewDecoder(io.LimitReader(conn, maxReplySize)).Decode(&received); err != nil {
+		return fmt.Errorf("answer of %s: %w", path, err)
+	}
+	if received.Error != "" {
+		return errors.New(received.Error)
+	}
+	return json.Unmarshal(received.Answer, into)
+}
--- a/internal/experiment/cluster.go
+++ b/internal/experiment/cluster.go
@@ -17,12 +17,12 @@
 	"syscall"
 	"time"
 
+	"tealpath/internal/adminsocket"
 	"tealpath/internal/cluster"
 	"tealpath/internal/emulator/cache"
 	"tealpath/internal/emulator/certificates"
 	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/emulator/relay"
-	"tealpath/internal/operatorconfig"
 )
 
 // Line is one line of an instance's log.
@@ -304,7 +304,7 @@
 
 // Status asks an instance.
 func (c *Cluster) Status(ctx context.Context, name string) (s cluster.Status, err error) {
-	err = operatorconfig.Ask(ctx, c.path(name, ".sock"), &s, "duties")
+	err = adminsocket.Query(ctx, c.path(name, ".sock"), &s, "duties")
 	return s, err
 }
 
--- a/internal/experiment/idle.go
+++ b/internal/experiment/idle.go
@@ -19,7 +19,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"tealpath/internal/operatorconfig"
+	"tealpath/internal/adminsocket"
 	"tealpath/internal/server"
 )
 
@@ -167,7 +167,7 @@
 func (r *rig) usage(ctx context.Context) (sum server.Connections, kb int64, cpu float64) {
 	for _, name := range r.Names {
 		var one server.Connections
-		if !r.Bare && operatorconfig.Ask(ctx, r.path(name, ".sock"), &one, "connections") == nil {
+		if !r.Bare && adminsocket.Query(ctx, r.path(name, ".sock"), &one, "connections") == nil {
 			sum.All += one.All
 			sum.Parked += one.Parked
 			sum.Goroutines += one.Goroutines
@@ -337,7 +337,7 @@
 			all := 0
 			for _, name := range r.Names {
 				var one server.Connections
-				if err := operatorconfig.Ask(ctx, r.path(name, ".sock"), &one, "connections"); err != nil {
+				if err := adminsocket.Query(ctx, r.path(name, ".sock"), &one, "connections"); err != nil {
 					return 0, err
 				}
 				all += one.All
--- a/internal/experiment/members.go
+++ b/internal/experiment/members.go
@@ -13,9 +13,9 @@
 	"syscall"
 	"time"
 
+	"tealpath/internal/adminsocket"
 	"tealpath/internal/cluster"
 	"tealpath/internal/emulator/relay"
-	"tealpath/internal/operatorconfig"
 )
 
 // Members plays real instances that watch each other, with faults between them.
@@ -74,7 +74,7 @@
 )
 
 func (c *Cluster) members(ctx context.Context, name string) (s cluster.MembersStatus, err error) {
-	err = operatorconfig.Ask(ctx, c.path(name, ".sock"), &s, "members")
+	err = adminsocket.Query(ctx, c.path(name, ".sock"), &s, "members")
 	return s, err
 }
 
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -3,10 +3,10 @@
 import (
 	"context"
 	"net"
+	"tealpath/internal/adminsocket"
 	"tealpath/internal/discovery"
 	"tealpath/internal/downstream"
 	"tealpath/internal/lifecycle/startup"
-	"tealpath/internal/operatorconfig"
 	"tealpath/internal/router"
 	"tealpath/internal/upstream"
 
@@ -51,7 +51,7 @@
 	}
 	if s.operator.Socket != "" {
 		handlers := s.operatorHandlers()
-		group.Go(func() error { return operatorconfig.Serve(ctx, s.operator.Socket, handlers) })
+		group.Go(func() error { return adminsocket.Serve(ctx, s.operator.Socket, handlers) })
 	}
 	return nil
 }
@@ -99,8 +99,8 @@
 }
 
 // operatorHandlers are the subjects that the operator's socket answers.
-func (s *Server) operatorHandlers() map[string]operatorconfig.Handler {
-	handlers := map[string]operatorconfig.Handler{"connections": s.connections}
+func (s *Server) operatorHandlers() map[string]adminsocket.Handler {
+	handlers := map[string]adminsocket.Handler{"connections": s.connections}
 	if s.cluster != nil {
 		handlers["duties"] = s.cluster.leaseStatus
 		handlers["members"] = s.cluster.memberStatus
