--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -22,7 +22,7 @@
 		if err != nil {
 			return cli.Exit(err, exitUsage)
 		}
-		settings[i] = operator.Shared(0)
+		settings[i] = operator.SharedSettings(0)
 	}
 	conflicts := compatibility.Compare(settings[0], settings[1])
 	steps, err := compatibility.MigrationPath(settings[0], settings[1])
--- a/cmd/tealpath/operator.go
+++ b/cmd/tealpath/operator.go
@@ -47,7 +47,7 @@
 
 // describe says in a line what a usable file means.
 func describe(path string, operator *operatorconfig.File) string {
-	fleet := operator.Fleet
+	fleet := operator.Cluster
 	if fleet == nil {
 		return fmt.Sprintf("operator's file %s is usable: instances share nothing", path)
 	}
@@ -58,7 +58,7 @@
 	return fmt.Sprintf("operator's file %s is usable: "+
 		"%d instances, %d voters of epoch %d, %d slots, lease %s, renewed every %s; %s",
 		path, len(fleet.Instances), len(fleet.Voters.Current), fleet.Voters.Epoch, fleet.Slots,
-		time.Duration(fleet.Lease), time.Duration(fleet.Renewal), probing)
+		time.Duration(fleet.LeaseDuration), time.Duration(fleet.RenewalInterval), probing)
 }
 
 // socket is where a running instance answers, by the flags of a command.
@@ -72,7 +72,7 @@
 		if err != nil {
 			return "", cli.Exit(err, exitUsage)
 		}
-		path = operator.Socket
+		path = operator.SocketPath
 	}
 	if path == "" {
 		err := fmt.Errorf("%s: name the socket by --socket, or by --operator a file that has one", cmd.Name)
--- a/internal/adminsocket/protocol.go
+++ b/internal/adminsocket/protocol.go
@@ -1,5 +1,6 @@
-// Package adminsocket carries commands to a running instance over a Unix socket that only its owner may open. A command is one line of
-// words; the reply is one JSON object. Sizes, times and the number of clients are bounded.
+// Package adminsocket carries commands to a running instance over a Unix socket that only its owner may open. A
+// command is one line of words; the reply is one JSON object. Sizes, times and the number of clients are
+// bounded.
 package adminsocket
 
 import (
@@ -17,7 +18,8 @@
 	// takeoverTimeout is how long another process has to accept a connection, if it answers on the socket.
 	takeoverTimeout = time.Second
 
-	// acceptRetryDelay follows an accept that failed for a reason of this machine's own, such as missing descriptors.
+	// acceptRetryDelay follows an accept that failed for a reason of this machine's own, such as missing
+	// descriptors.
 	acceptRetryDelay = 50 * time.Millisecond
 
 	// socketMode lets the owner alone open the socket.
--- a/internal/adminsocket/server.go
+++ b/internal/adminsocket/server.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Serve answers commands on a Unix socket until the context ends. A socket that an earlier process left is replaced; one that
-// another process answers on is an error.
+// Serve answers commands on a Unix socket until the context ends. A socket that an earlier process left is
+// replaced; one that another process answers on is an error.
 func Serve(ctx context.Context, path string, handlers map[string]Handler) error {
 	if conn, err := net.DialTimeout("unix", path, takeoverTimeout); err == nil {
 		ignore(conn.Close())
@@ -74,7 +74,8 @@
 	}
 }
 
-// serve answers the one command of a connection. A client that is gone hears nothing, which is no error of this instance.
+// serve answers the one command of a connection. A client that is gone hears nothing, which is no error of this
+// instance.
 func serve(ctx context.Context, conn net.Conn, handlers map[string]Handler) {
 	defer func() { ignore(conn.Close()) }()
 	if err := conn.SetDeadline(time.Now().Add(commandTimeout)); err != nil {
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/cluster.go
@@ -13,21 +13,22 @@
 	"go4.org/netipx"
 )
 
-// Fleet is how instances talk and share periodic tasks.
-type Fleet struct {
-	Name      string // of this instance
-	Listen    string // where this instance accepts connections of others
-	Weight    float64
-	Instances []membership.Contact
-	Voters    lease.Voters
-	Slots     int
-	Lease     int64   // ns
-	Renewal   int64   // ns
-	Drift     float64 // by which share a clock's rate may be off
-	Members   cluster.MembershipConfig
-	TLS       peer.KeyFiles
-	Allow     *netipx.IPSet // addresses from and to which connections are allowed
-	Probe     *probe.Config // nil: there are no health checks; what endpoints take while they warm up is the settings' to say
+// Cluster is how instances talk and share periodic tasks.
+type Cluster struct {
+	Name            string // of this instance
+	Listen          string // where this instance accepts connections of others
+	Weight          float64
+	Instances       []membership.Contact
+	Voters          lease.Voters
+	Slots           int
+	LeaseDuration   int64   // ns
+	RenewalInterval int64   // ns
+	MaxClockDrift   float64 // by which share a clock's rate may be off
+	Membership      cluster.MembershipConfig
+	TLS             peer.KeyFiles
+	Allow           *netipx.IPSet // addresses from and to which connections are allowed
+	// Probe is nil where there are no health checks. What endpoints take while they warm up comes from the settings.
+	Probe *probe.Config
 
 	probePosition sexpr.Position
 }
@@ -66,16 +67,16 @@
 	weight   float64
 }
 
-// fleetPositions are where the lists of (fleet …) stand, for errors that are about several of them. One that is
+// clusterPositions are where the lists of (fleet …) stand, for errors that are about several of them. One that is
 // missing is zero.
-type fleetPositions struct {
-	fleet, listen, voters, lease, renewal, tls, allow, probe, membership sexpr.Position
+type clusterPositions struct {
+	cluster, listen, voters, lease, renewal, tls, allow, probe, membership sexpr.Position
 }
 
-// fleetLists are the lists of (fleet …) as decoded, before they are checked against each other.
-type fleetLists struct {
-	fleet     *Fleet
-	positions fleetPositions
+// clusterLists are the lists of (fleet …) as decoded, before they are checked against each other.
+type clusterLists struct {
+	cluster   *Cluster
+	positions clusterPositions
 	instances []instance
 	listen    netip.AddrPort
 	allowed   netipx.IPSetBuilder
@@ -83,61 +84,61 @@
 	epoch     int64
 }
 
-// fleet decodes how instances talk and share periodic tasks.
-func (d *decoder) fleet(into **Fleet, name, folder string) decodeFunc {
+// cluster decodes how instances talk and share periodic tasks.
+func (d *decoder) cluster(into **Cluster, name, folder string) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
-		lists := &fleetLists{
-			fleet: &Fleet{
-				Name:    name,
-				Weight:  defaultWeight,
-				Lease:   int64(defaultLease),
-				Renewal: int64(defaultRenewal),
-				Drift:   defaultMaxDrift,
+		lists := &clusterLists{
+			cluster: &Cluster{
+				Name:            name,
+				Weight:          defaultWeight,
+				LeaseDuration:   int64(defaultLease),
+				RenewalInterval: int64(defaultRenewal),
+				MaxClockDrift:   defaultMaxDrift,
 			},
-			positions: fleetPositions{fleet: list.Position},
+			positions: clusterPositions{cluster: list.Position},
 			slots:     defaultSlots,
 			epoch:     defaultEpoch,
 		}
-		*into = lists.fleet
-		d.section(list, arguments, d.fleetSection(lists))
+		*into = lists.cluster
+		d.section(list, arguments, d.clusterSection(lists))
 		lists.finish(folder)
 		allowed, err := lists.allowed.IPSet()
 		if err != nil {
 			d.errors.addf(lists.positions.allow, "%v", err)
 			return
 		}
-		lists.fleet.Allow = allowed
-		d.checkFleet(lists)
+		lists.cluster.Allow = allowed
+		d.checkCluster(lists)
 	}
 }
 
-// fleetSection returns the keys of (fleet …).
-func (d *decoder) fleetSection(lists *fleetLists) section {
-	fleet, positions := lists.fleet, &lists.positions
+// clusterSection returns the keys of (fleet …).
+func (d *decoder) clusterSection(lists *clusterLists) section {
+	settings, positions := lists.cluster, &lists.positions
 	return section{
 		"instances":  {required: true, decode: d.instances(&lists.instances)},
 		"listen":     {decode: at(&positions.listen, d.address(&lists.listen))},
 		"voters":     {required: true, decode: at(&positions.voters, d.voters(lists))},
 		"slots":      {decode: d.integer(&lists.slots, 1, lease.MaxSlots)},
-		"lease":      {decode: at(&positions.lease, d.duration(&fleet.Lease, minLease, maxLease))},
-		"renewal":    {decode: at(&positions.renewal, d.duration(&fleet.Renewal, minRenewal, maxLease))},
-		"drift":      {decode: d.number(&fleet.Drift, 0, maxDrift)},
-		"tls":        {required: true, decode: at(&positions.tls, d.keyFiles(&fleet.TLS))},
+		"lease":      {decode: at(&positions.lease, d.duration(&settings.LeaseDuration, minLease, maxLease))},
+		"renewal":    {decode: at(&positions.renewal, d.duration(&settings.RenewalInterval, minRenewal, maxLease))},
+		"drift":      {decode: d.number(&settings.MaxClockDrift, 0, maxDrift)},
+		"tls":        {required: true, decode: at(&positions.tls, d.keyFiles(&settings.TLS))},
 		"allow":      {required: true, decode: at(&positions.allow, d.allowed(&lists.allowed))},
-		"probe":      {decode: at(&positions.probe, d.probe(&fleet.Probe))},
-		"membership": {decode: at(&positions.membership, d.membership(&fleet.Members))},
+		"probe":      {decode: at(&positions.probe, d.probe(&settings.Probe))},
+		"membership": {decode: at(&positions.membership, d.membership(&settings.Membership))},
 	}
 }
 
-// finish takes over what was decoded into other types than the fleet's.
-func (l *fleetLists) finish(folder string) {
-	l.fleet.Slots = int(l.slots)
-	l.fleet.Voters.Epoch = uint64(l.epoch)
-	l.fleet.probePosition = l.positions.probe
-	l.fleet.TLS = peer.KeyFiles{
-		Certificate: resolve(folder, l.fleet.TLS.Certificate),
-		Key:         resolve(folder, l.fleet.TLS.Key),
-		Roots:       resolve(folder, l.fleet.TLS.Roots),
+// finish takes over what was decoded into other types than the settings themselves.
+func (l *clusterLists) finish(folder string) {
+	l.cluster.Slots = int(l.slots)
+	l.cluster.Voters.Epoch = uint64(l.epoch)
+	l.cluster.probePosition = l.positions.probe
+	l.cluster.TLS = peer.KeyFiles{
+		Certificate: resolve(folder, l.cluster.TLS.Certificate),
+		Key:         resolve(folder, l.cluster.TLS.Key),
+		Roots:       resolve(folder, l.cluster.TLS.Roots),
 	}
 }
 
@@ -187,8 +188,8 @@
 }
 
 // voters decodes whose majority grants leases.
-func (d *decoder) voters(lists *fleetLists) decodeFunc {
-	voters := &lists.fleet.Voters
+func (d *decoder) voters(lists *clusterLists) decodeFunc {
+	voters := &lists.cluster.Voters
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		d.section(list, arguments, section{
 			"epoch":  {required: true, decode: d.integer(&lists.epoch, 1, maxEpoch)},
--- a/internal/operatorconfig/fleet_check.go
+++ b/internal/operatorconfig/cluster_check.go
@@ -14,8 +14,8 @@
 	minHeartbeatsPerSilence = 2
 )
 
-// checkFleet checks what the lists of (fleet …) say of each other.
-func (d *decoder) checkFleet(lists *fleetLists) {
+// checkCluster checks what the lists of (fleet …) say of each other.
+func (d *decoder) checkCluster(lists *clusterLists) {
 	d.checkInstances(lists)
 	d.checkVoterNames(lists)
 	d.checkDurations(lists)
@@ -25,40 +25,41 @@
 }
 
 // checkInstances takes over the instances, and from them what concerns this one.
-func (d *decoder) checkInstances(lists *fleetLists) {
-	fleet := lists.fleet
+func (d *decoder) checkInstances(lists *clusterLists) {
+	settings := lists.cluster
 	for _, i := range lists.instances {
-		fleet.Instances = append(fleet.Instances, membership.Contact{
+		settings.Instances = append(settings.Instances, membership.Contact{
 			Name:    i.name,
 			Address: i.address.String(),
 			Weight:  i.weight,
 		})
-		if i.address.IsValid() && !fleet.Allow.Contains(i.address.Addr()) {
+		if i.address.IsValid() && !settings.Allow.Contains(i.address.Addr()) {
 			d.errors.addf(i.position, "the address %s of %s is outside the allowed sets", i.address, i.name)
 		}
-		if i.name == fleet.Name {
-			fleet.Weight = i.weight
-			fleet.Listen = i.address.String()
+		if i.name == settings.Name {
+			settings.Weight = i.weight
+			settings.Listen = i.address.String()
 		}
 	}
 	if lists.listen.IsValid() {
-		fleet.Listen = lists.listen.String()
-		if !fleet.Allow.Contains(lists.listen.Addr()) {
+		settings.Listen = lists.listen.String()
+		if !settings.Allow.Contains(lists.listen.Addr()) {
 			d.errors.addf(lists.positions.listen, "the address %s is outside the allowed sets", lists.listen)
 		}
 	}
-	if fleet.Name != "" && fleet.Listen == "" {
-		d.errors.addf(lists.positions.fleet, "%s is not among the instances, and no (listen …) says where it takes links", fleet.Name)
+	if settings.Name != "" && settings.Listen == "" {
+		d.errors.addf(lists.positions.cluster,
+			"%s is not among the instances, and no (listen …) says where it takes links", settings.Name)
 	}
 }
 
 // checkVoterNames checks that each voter is an instance.
-func (d *decoder) checkVoterNames(lists *fleetLists) {
+func (d *decoder) checkVoterNames(lists *clusterLists) {
 	known := map[string]bool{}
 	for _, i := range lists.instances {
 		known[i.name] = true
 	}
-	voters := slices.Concat(lists.fleet.Voters.Current, lists.fleet.Voters.Previous)
+	voters := slices.Concat(lists.cluster.Voters.Current, lists.cluster.Voters.Previous)
 	for _, voter := range voters {
 		if !known[voter] {
 			d.errors.addf(lists.positions.voters, "voter %s is not among the instances", voter)
@@ -67,15 +68,15 @@
 }
 
 // checkDurations checks that the loss of one message ends no lease and is reported by nobody.
-func (d *decoder) checkDurations(lists *fleetLists) {
-	fleet, positions := lists.fleet, lists.positions
-	if fleet.Lease < minRenewalsPerLease*fleet.Renewal {
-		position := cmp.Or(positions.lease, positions.renewal, positions.fleet)
+func (d *decoder) checkDurations(lists *clusterLists) {
+	settings, positions := lists.cluster, lists.positions
+	if settings.LeaseDuration < minRenewalsPerLease*settings.RenewalInterval {
+		position := cmp.Or(positions.lease, positions.renewal, positions.cluster)
 		d.errors.addf(position, "the lease of %s is shorter than three renewals of %s",
-			time.Duration(fleet.Lease), time.Duration(fleet.Renewal))
+			time.Duration(settings.LeaseDuration), time.Duration(settings.RenewalInterval))
 	}
-	silence := fleet.Members.SilenceTimeout
-	interval := cmp.Or(fleet.Members.HeartbeatInterval, fleet.Renewal)
+	silence := settings.Membership.SilenceTimeout
+	interval := cmp.Or(settings.Membership.HeartbeatInterval, settings.RenewalInterval)
 	if silence > 0 && silence < minHeartbeatsPerSilence*interval {
 		d.errors.addf(positions.membership,
 			"the silence of %s is shorter than two intervals of %s: one lost beat would be reported",
@@ -83,12 +84,12 @@
 	}
 }
 
-func (d *decoder) checkVoters(lists *fleetLists) {
+func (d *decoder) checkVoters(lists *clusterLists) {
 	position := lists.positions.voters
 	if position == (sexpr.Position{}) {
 		return // that they are missing is an error already
 	}
-	voters := lists.fleet.Voters
+	voters := lists.cluster.Voters
 	if err := voters.Check(); err != nil {
 		d.errors.addf(position, "%v", err)
 	}
@@ -97,27 +98,27 @@
 	}
 }
 
-func (d *decoder) checkProbe(lists *fleetLists) {
-	config := lists.fleet.Probe
+func (d *decoder) checkProbe(lists *clusterLists) {
+	config := lists.cluster.Probe
 	if config == nil {
 		return
 	}
-	config.Slots = lists.fleet.Slots
-	config.MaxClockDrift = lists.fleet.Drift
+	config.Slots = lists.cluster.Slots
+	config.MaxClockDrift = lists.cluster.MaxClockDrift
 	if err := config.Check(); err != nil {
 		d.errors.addf(lists.positions.probe, "%v", err)
 	}
 }
 
 // checkKeys checks that the certificate can be loaded and is valid for this instance's name.
-func (d *decoder) checkKeys(lists *fleetLists) {
-	files := lists.fleet.TLS
+func (d *decoder) checkKeys(lists *clusterLists) {
+	files := lists.cluster.TLS
 	if files.Certificate == "" || files.Key == "" || files.Roots == "" {
 		return // that one is missing is an error already
 	}
 	keys, err := files.Load()
-	if err == nil && lists.fleet.Name != "" {
-		err = keys.CheckName(lists.fleet.Name, time.Now())
+	if err == nil && lists.cluster.Name != "" {
+		err = keys.CheckName(lists.cluster.Name, time.Now())
 	}
 	if err != nil {
 		d.errors.addf(lists.positions.tls, "%v", err)
--- a/internal/operatorconfig/fleet_test.go
+++ b/internal/operatorconfig/cluster_test.go
@@ -47,16 +47,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := file.Fleet
-	if f.Slots != 32 || f.Lease != 1500e6 || f.Renewal != 500e6 || f.Drift != 0.01 || len(f.Instances) != 3 ||
+	f := file.Cluster
+	if f.Slots != 32 || f.LeaseDuration != 1500e6 || f.RenewalInterval != 500e6 || f.MaxClockDrift != 0.01 || len(f.Instances) != 3 ||
 		f.Instances[1].Weight != 2 || f.Listen != "127.0.0.1:7101" || f.Probe.ColdPart != 0.05 || f.Probe.Cost != 0.001 ||
-		file.Socket != filepath.Join(dir, "a.sock") {
+		file.SocketPath != filepath.Join(dir, "a.sock") {
 		t.Errorf("%+v %+v", file, f)
 	}
-	if err := file.Bound(false, probe.ColdLimit{}, probe.ColdLimit{}); err == nil || !strings.HasPrefix(err.Error(), "9:3: ") {
+	if err := file.ApplySettings(false, probe.ColdLimit{}, probe.ColdLimit{}); err == nil || !strings.HasPrefix(err.Error(), "9:3: ") {
 		t.Errorf("probes where the settings allow none: %v", err)
 	}
-	if err := file.Bound(true, probe.ColdLimit{Share: 0.5}, probe.ColdLimit{}); err != nil || f.Probe.Cache.Share != 0.5 {
+	if err := file.ApplySettings(true, probe.ColdLimit{Share: 0.5}, probe.ColdLimit{}); err != nil || f.Probe.Cache.Share != 0.5 {
 		t.Errorf("%v, %+v", err, f.Probe)
 	}
 	if _, err := Parse("", "a", dir); err != nil {
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -17,15 +17,15 @@
 
 // File is an operator's file.
 type File struct {
-	Socket string   // path of the Unix socket for commands; empty is none
-	Fleet  *Fleet   // nil: instances don't talk to each other
-	Idle   *Keeping // nil: clients' connections are kept as the platform states it
-	Start  startup.ReadinessHold
-	// Links bounds connections to caches; nil: they are opened as attempts need them. The router, the seed and
-	// the number of routers are for others to say.
-	Links         *connpool.Config
-	Snapshot      string // path of the file in which what the router has learned is stored; empty is none
-	SnapshotEvery int64  // ns
+	SocketPath    string           // path of the Unix socket for commands; empty is none
+	Cluster       *Cluster         // nil: instances don't talk to each other
+	Idle          *IdleConnections // nil: clients' connections are kept as the platform states it
+	ReadinessHold startup.ReadinessHold
+	// Connections bounds connections to caches; nil: they are opened as attempts need them. The router, the
+	// seed and the number of routers are for others to say.
+	Connections      *connpool.Config
+	SnapshotPath     string // path of the file in which what the router has learned is stored; empty is none
+	SnapshotInterval int64  // ns
 
 	startPosition sexpr.Position
 	linksPosition sexpr.Position
@@ -65,16 +65,17 @@
 		List:     []*sexpr.Node{{Word: "file"}},
 	}
 	d.section(root, lists, section{
-		"socket":   {decode: d.text(&file.Socket)},
+		"socket":   {decode: d.text(&file.SocketPath)},
 		"idle":     {decode: d.keeping(&file.Idle)},
-		"start":    {decode: at(&file.startPosition, d.start(&file.Start))},
-		"links":    {decode: at(&file.linksPosition, d.links(&file.Links))},
+		"start":    {decode: at(&file.startPosition, d.start(&file.ReadinessHold))},
+		"links":    {decode: at(&file.linksPosition, d.links(&file.Connections))},
 		"snapshot": {decode: d.snapshot(file, folder)},
-		"fleet":    {decode: d.fleet(&file.Fleet, name, folder)},
+		"fleet":    {decode: d.cluster(&file.Cluster, name, folder)},
 	})
-	file.Socket = resolve(folder, file.Socket)
-	if len(file.Socket) > maxSocketPathLength {
-		d.errors.addf(root.Position, "the socket's path has %d bytes, %d can be", len(file.Socket), maxSocketPathLength)
+	file.SocketPath = resolve(folder, file.SocketPath)
+	if len(file.SocketPath) > maxSocketPathLength {
+		d.errors.addf(root.Position, "the socket's path has %d bytes, %d can be",
+			len(file.SocketPath), maxSocketPathLength)
 	}
 	return file, d.errors.err()
 }
@@ -136,50 +137,51 @@
 // snapshot decodes where and how often what the router has learned is stored.
 func (d *decoder) snapshot(file *File, folder string) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
-		file.SnapshotEvery = int64(defaultSnapshotInterval)
+		file.SnapshotInterval = int64(defaultSnapshotInterval)
 		d.section(list, arguments, section{
-			"file":  {required: true, decode: d.text(&file.Snapshot)},
-			"every": {decode: d.duration(&file.SnapshotEvery, minSnapshotInterval, maxSnapshotInterval)},
+			"file":  {required: true, decode: d.text(&file.SnapshotPath)},
+			"every": {decode: d.duration(&file.SnapshotInterval, minSnapshotInterval, maxSnapshotInterval)},
 		})
-		file.Snapshot = resolve(folder, file.Snapshot)
+		file.SnapshotPath = resolve(folder, file.SnapshotPath)
 	}
 }
 
-// Shared returns what a file says of settings that instances share. routers is the deployment's number, 0 where
-// it is not known.
-func (f *File) Shared(routers int) compatibility.Settings {
+// SharedSettings returns what a file says of settings that instances share. routers is the deployment's number,
+// 0 where it is not known.
+func (f *File) SharedSettings(routers int) compatibility.Settings {
 	shared := compatibility.Settings{Routers: routers}
-	if f.Links != nil {
-		shared.MaxConnections = f.Links.MaxConnections
+	if f.Connections != nil {
+		shared.MaxConnections = f.Connections.MaxConnections
 	}
-	if f.Fleet == nil {
+	if f.Cluster == nil {
 		return shared
 	}
-	shared.Slots = f.Fleet.Slots
-	shared.LeaseDuration = f.Fleet.Lease
-	shared.MaxClockDrift = f.Fleet.Drift
-	shared.Voters = f.Fleet.Voters
-	if f.Fleet.Probe != nil {
-		shared.ProbePeriod = f.Fleet.Probe.Period
+	shared.Slots = f.Cluster.Slots
+	shared.LeaseDuration = f.Cluster.LeaseDuration
+	shared.MaxClockDrift = f.Cluster.MaxClockDrift
+	shared.Voters = f.Cluster.Voters
+	if f.Cluster.Probe != nil {
+		shared.ProbePeriod = f.Cluster.Probe.Period
 	}
 	return shared
 }
 
-// Spreads checks whether connections can be kept within what caches take, with so many routers in the location.
-func (f *File) Spreads(routers int) error {
-	if f.Links == nil {
+// CheckConnections checks whether connections can be kept within what caches take, with so many routers in the
+// location.
+func (f *File) CheckConnections(routers int) error {
+	if f.Connections == nil {
 		return nil
 	}
-	f.Links.Routers = routers
-	if err := f.Links.Check(); err != nil {
+	f.Connections.Routers = routers
+	if err := f.Connections.Check(); err != nil {
 		return &Error{Position: f.linksPosition, Reason: err.Error()}
 	}
 	return nil
 }
 
-// Holds checks whether what the file says of a start is enough for a deployment's routers.
-func (f *File) Holds(routers int) error {
-	if err := f.Start.Check(routers); err != nil {
+// CheckReadinessHold checks whether what the file says of a start is enough for a deployment's routers.
+func (f *File) CheckReadinessHold(routers int) error {
+	if err := f.ReadinessHold.Check(routers); err != nil {
 		return &Error{Position: f.startPosition, Reason: err.Error()}
 	}
 	return nil
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -23,7 +23,7 @@
 		t.Run(c.text, func(t *testing.T) {
 			file, err := Parse(c.text, "a", t.TempDir())
 			if err == nil {
-				err = file.Holds(c.routers)
+				err = file.CheckReadinessHold(c.routers)
 			}
 			if (err == nil) != (c.says == "") || err != nil && !strings.HasPrefix(err.Error(), c.says) {
 				t.Errorf("%v, want %q", err, c.says)
@@ -49,7 +49,7 @@
 		t.Run(c.text, func(t *testing.T) {
 			file, err := Parse(c.text, "a", t.TempDir())
 			if err == nil {
-				err = file.Spreads(c.routers)
+				err = file.CheckConnections(c.routers)
 			}
 			if (err == nil) != (c.says == "") || err != nil && !strings.HasPrefix(err.Error(), c.says) {
 				t.Errorf("%v, want %q", err, c.says)
--- a/internal/operatorconfig/idle.go
+++ b/internal/operatorconfig/idle.go
@@ -12,12 +12,12 @@
 	"github.com/gaissmai/bart"
 )
 
-// Keeping is how clients' connections are kept.
-type Keeping struct {
-	Most     int                 // connections in all; 0 is as without the file
-	Networks []idle.Policy       // the first is for clients that are in no other network
-	By       *bart.Table[uint16] // the index in Networks of each network
-	places   []sexpr.Position    // of the networks
+// IdleConnections is how clients' connections are kept.
+type IdleConnections struct {
+	MaxConnections  int                 // connections in all; 0 is as without the file
+	Policies        []idle.Policy       // the first is for clients that are in no other network
+	PolicyByNetwork *bart.Table[uint16] // the index in Networks of each network
+	positions       []sexpr.Position    // of the networks
 }
 
 // Values of (idle …).
@@ -48,25 +48,25 @@
 }
 
 // keeping decodes how clients' connections are kept.
-func (d *decoder) keeping(into **Keeping) decodeFunc {
+func (d *decoder) keeping(into **IdleConnections) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		values := networkValues{policy: idle.Policy{
 			IdleTimeout: int64(defaultIdleTimeout),
 			MaxJitter:   int64(defaultMaxJitter),
 		}}
 		var networks []*sexpr.Node
-		known := maps.Clone(values.section(d))
-		known["network"] = key{
+		known := section{"network": {
 			repeated: true,
 			decode:   func(list *sexpr.Node, _ []*sexpr.Node) { networks = append(networks, list) },
-		}
+		}}
+		maps.Copy(known, values.section(d))
 		d.section(list, arguments, known)
 		values.policy.MaxPerClient = int(values.maxPerClient)
-		keeping := &Keeping{
-			Most:     int(values.maxConnections),
-			Networks: []idle.Policy{values.policy},
-			By:       &bart.Table[uint16]{},
-			places:   []sexpr.Position{list.Position},
+		keeping := &IdleConnections{
+			MaxConnections:  int(values.maxConnections),
+			Policies:        []idle.Policy{values.policy},
+			PolicyByNetwork: &bart.Table[uint16]{},
+			positions:       []sexpr.Position{list.Position},
 		}
 		for _, network := range networks {
 			d.network(network, keeping, values)
@@ -76,7 +76,7 @@
 }
 
 // network decodes one network. What it does not say is as for all others.
-func (d *decoder) network(list *sexpr.Node, keeping *Keeping, values networkValues) {
+func (d *decoder) network(list *sexpr.Node, keeping *IdleConnections, values networkValues) {
 	if len(list.List) < 2 || list.List[1].IsList {
 		d.errors.addf(list.Position, `(network …) takes a network such as "10.0.0.0/8" first`)
 		return
@@ -88,40 +88,40 @@
 	}
 	values.maxConnections = 0
 	d.section(list, list.List[2:], values.section(d))
-	if _, twice := keeping.By.Get(prefix); twice {
+	if _, twice := keeping.PolicyByNetwork.Get(prefix); twice {
 		d.errors.addf(list.Position, "network %s stands twice", prefix)
 	}
 	values.policy.MaxConnections = int(values.maxConnections)
 	values.policy.MaxPerClient = int(values.maxPerClient)
-	keeping.By.Insert(prefix, uint16(len(keeping.Networks)))
-	keeping.Networks = append(keeping.Networks, values.policy)
-	keeping.places = append(keeping.places, list.Position)
+	keeping.PolicyByNetwork.Insert(prefix, uint16(len(keeping.Policies)))
+	keeping.Policies = append(keeping.Policies, values.policy)
+	keeping.positions = append(keeping.positions, list.Position)
 }
 
 // Same tells whether two files keep connections alike, but for which networks are meant.
-func (k *Keeping) Same(other *Keeping) bool {
+func (k *IdleConnections) Same(other *IdleConnections) bool {
 	if k == nil || other == nil {
 		return k == other
 	}
-	return k.Most == other.Most && slices.Equal(k.Networks, other.Networks)
+	return k.MaxConnections == other.MaxConnections && slices.Equal(k.Policies, other.Policies)
 }
 
-// Fits checks the file's bounds on connections against what the process has. usual is how many connections
-// there may be if the file does not say.
-func (f *File) Fits(resources idle.Resources, usual int) error {
+// CheckResources checks the file's bounds on connections against what the process has. usual is how many
+// connections there may be if the file does not say.
+func (f *File) CheckResources(resources idle.Resources, usual int) error {
 	if f.Idle == nil {
 		return nil
 	}
-	if f.Idle.Most == 0 {
-		f.Idle.Most = usual
+	if f.Idle.MaxConnections == 0 {
+		f.Idle.MaxConnections = usual
 	}
-	err := resources.Check(f.Idle.Most, f.Idle.Networks)
+	err := resources.Check(f.Idle.MaxConnections, f.Idle.Policies)
 	if err == nil {
 		return nil
 	}
-	position := f.Idle.places[0] // the error is about all connections
+	position := f.Idle.positions[0] // the error is about all connections
 	if ofPolicy, ok := errors.AsType[*idle.PolicyError](err); ok {
-		position = f.Idle.places[ofPolicy.Index]
+		position = f.Idle.positions[ofPolicy.Index]
 	}
 	return &Error{Position: position, Reason: err.Error()}
 }
--- a/internal/operatorconfig/idle_test.go
+++ b/internal/operatorconfig/idle_test.go
@@ -16,17 +16,17 @@
 		t.Fatal(err)
 	}
 	k := file.Idle
-	if k.Most != 10000 || len(k.Networks) != 3 || k.Networks[1] != (idle.Policy{IdleTimeout: 300e9, MaxJitter: 10e9, MaxConnections: 200, MaxPerClient: 50}) ||
-		k.Networks[2].MaxPerClient != 3 || k.Networks[2].IdleTimeout != 7200e9 {
+	if k.MaxConnections != 10000 || len(k.Policies) != 3 || k.Policies[1] != (idle.Policy{IdleTimeout: 300e9, MaxJitter: 10e9, MaxConnections: 200, MaxPerClient: 50}) ||
+		k.Policies[2].MaxPerClient != 3 || k.Policies[2].IdleTimeout != 7200e9 {
 		t.Errorf("%+v", k)
 	}
 	for ip, want := range map[string]uint16{"10.1.2.3": 2, "10.2.0.1": 1, "192.0.2.1": 0} {
-		if got, _ := k.By.Lookup(netip.MustParseAddr(ip)); got != want {
+		if got, _ := k.PolicyByNetwork.Lookup(netip.MustParseAddr(ip)); got != want {
 			t.Errorf("%s is of network %d, want %d", ip, got, want)
 		}
 	}
 	bounds := idle.Resources{Descriptors: 20000, UpstreamConnections: 5000, MemoryBytes: 192 << 20}
-	if err := file.Fits(bounds, 500); err != nil {
+	if err := file.CheckResources(bounds, 500); err != nil {
 		t.Error(err)
 	}
 	for _, tc := range []struct {
@@ -41,7 +41,7 @@
 	} {
 		file, err := Parse(strings.Replace(text, tc.old, tc.new, 1), "a", ".")
 		if err == nil {
-			err = file.Fits(tc.bounds, 500)
+			err = file.CheckResources(tc.bounds, 500)
 		}
 		if err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%v, want %q", err, tc.want)
--- a/internal/operatorconfig/probe.go
+++ b/internal/operatorconfig/probe.go
@@ -42,16 +42,16 @@
 	}
 }
 
-// Bound checks the file against the deployment's settings, which allow health checks or not, and takes over
-// what those say of endpoints that warm up.
-func (f *File) Bound(allowed bool, cache, parent probe.ColdLimit) error {
-	if f.Fleet == nil || f.Fleet.Probe == nil {
+// ApplySettings checks the file against the deployment's settings, which allow health checks or not, and takes
+// over what those say of endpoints that warm up.
+func (f *File) ApplySettings(allowed bool, cache, parent probe.ColdLimit) error {
+	if f.Cluster == nil || f.Cluster.Probe == nil {
 		return nil
 	}
 	if !allowed {
-		return &Error{Position: f.Fleet.probePosition, Reason: "the deployment's settings do not allow probes"}
+		return &Error{Position: f.Cluster.probePosition, Reason: "the deployment's settings do not allow probes"}
 	}
-	f.Fleet.Probe.Cache = cache
-	f.Fleet.Probe.Parent = parent
+	f.Cluster.Probe.Cache = cache
+	f.Cluster.Probe.Parent = parent
 	return nil
 }
--- a/internal/server/clusternode.go
+++ b/internal/server/clusternode.go
@@ -75,7 +75,7 @@
 
 // newClusterNode makes a node with its listener open.
 func newClusterNode(ctx context.Context, config clusterConfig) (*clusterNode, error) {
-	fleet := config.operator.Fleet
+	fleet := config.operator.Cluster
 	var random [16]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, err
@@ -126,7 +126,7 @@
 }
 
 // reducerConfig is the configuration of the cluster's reducer, by the operator's file.
-func reducerConfig(fleet *operatorconfig.Fleet, self lease.Instance) cluster.Config {
+func reducerConfig(fleet *operatorconfig.Cluster, self lease.Instance) cluster.Config {
 	return cluster.Config{
 		Self:     self,
 		Address:  fleet.Listen,
@@ -134,13 +134,13 @@
 		Contacts: fleet.Instances,
 		Lease: lease.Config{
 			Slots:         fleet.Slots,
-			LeaseDuration: fleet.Lease,
-			RenewInterval: fleet.Renewal,
-			MaxClockDrift: fleet.Drift,
+			LeaseDuration: fleet.LeaseDuration,
+			RenewInterval: fleet.RenewalInterval,
+			MaxClockDrift: fleet.MaxClockDrift,
 			Voters:        fleet.Voters,
 		},
 		Probe:      fleet.Probe,
-		Membership: fleet.Members,
+		Membership: fleet.Membership,
 	}
 }
 
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -78,12 +78,12 @@
 		return limit, nil
 	}
 	rules := s.operator.Idle
-	keep := &downstream.Keep{By: rules.By}
-	for _, network := range rules.Networks {
+	keep := &downstream.Keep{By: rules.PolicyByNetwork}
+	for _, network := range rules.Policies {
 		network.FirstRequestTimeout = downstream.FreshMost
 		keep.Networks = append(keep.Networks, network)
 	}
-	return cmp.Or(rules.Most, limit), keep
+	return cmp.Or(rules.MaxConnections, limit), keep
 }
 
 // readinessHold is for how long this router is not ready after its start, by the operator's file.
@@ -91,16 +91,16 @@
 	if s.operator == nil {
 		return startup.ReadinessHold{}
 	}
-	return s.operator.Start
+	return s.operator.ReadinessHold
 }
 
 // connectionPlan is the plan of connections to caches; nil where the operator's file does not say what
 // those bear.
 func (s *Server) connectionPlan() *connpool.Plan {
-	if s.operator == nil || s.operator.Links == nil {
+	if s.operator == nil || s.operator.Connections == nil {
 		return nil
 	}
-	plan := *s.operator.Links
+	plan := *s.operator.Connections
 	plan.Router = s.config.Name
 	plan.Seed = s.config.Seed
 	plan.Routers = routersHere(s.config.Settings)
@@ -141,9 +141,9 @@
 		MemoryBytes:         int64(s.memory(1)),
 	}
 	return errors.Join(
-		operator.Bound(setting(c.Settings, "probe", false), cache, parent),
-		operator.Fits(bounds, s.maxClientSockets()),
-		operator.Holds(int(setting(c.Settings, "routers", int64(1)))),
-		operator.Spreads(routersHere(c.Settings)),
+		operator.ApplySettings(setting(c.Settings, "probe", false), cache, parent),
+		operator.CheckResources(bounds, s.maxClientSockets()),
+		operator.CheckReadinessHold(int(setting(c.Settings, "routers", int64(1)))),
+		operator.CheckConnections(routersHere(c.Settings)),
 	)
 }
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -63,7 +63,7 @@
 	if next == nil || s.operator == nil {
 		return false
 	}
-	clusterChanged := (s.cluster == nil) != (next.Fleet == nil)
+	clusterChanged := (s.cluster == nil) != (next.Cluster == nil)
 	return clusterChanged || !next.Idle.Same(s.operator.Idle)
 }
 
--- a/internal/server/restore.go
+++ b/internal/server/restore.go
@@ -14,7 +14,7 @@
 
 // restore takes what a snapshot knows, as far as the rules let it, and begins to write snapshots.
 func (s *Server) restore(now int64, history *discovery.Past) {
-	if s.operator == nil || s.operator.Snapshot == "" {
+	if s.operator == nil || s.operator.SnapshotPath == "" {
 		return
 	}
 	stored := s.readSnapshot()
@@ -37,9 +37,9 @@
 	}
 	var read <-chan snapshotFile
 	s.snapshots, read = newSnapshotWriter(snapshotConfig{
-		store:    s.openStore(s.operator.Snapshot),
+		store:    s.openStore(s.operator.SnapshotPath),
 		header:   header,
-		interval: time.Duration(s.operator.SnapshotEvery),
+		interval: time.Duration(s.operator.SnapshotInterval),
 		clock:    s.clock,
 		emit:     s.emit,
 	})
--- a/internal/server/snapshots_test.go
+++ b/internal/server/snapshots_test.go
@@ -170,7 +170,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	operator := &operatorconfig.File{Snapshot: snapshotPath, SnapshotEvery: int64(every)}
+	operator := &operatorconfig.File{SnapshotPath: snapshotPath, SnapshotInterval: int64(every)}
 	s := New(c, operator, zerolog.New(r.log))
 	s.openStore = func(path string) *snapshot.Store { return snapshot.NewStoreWithFileSystem(disk, path) }
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -44,14 +44,14 @@
 	if s.operator == nil {
 		return nil
 	}
-	if s.operator.Fleet != nil {
+	if s.operator.Cluster != nil {
 		if err := s.startCluster(ctx, group, shutdownRequested); err != nil {
 			return err
 		}
 	}
-	if s.operator.Socket != "" {
+	if s.operator.SocketPath != "" {
 		handlers := s.operatorHandlers()
-		group.Go(func() error { return adminsocket.Serve(ctx, s.operator.Socket, handlers) })
+		group.Go(func() error { return adminsocket.Serve(ctx, s.operator.SocketPath, handlers) })
 	}
 	return nil
 }
