--- a/control/admission.go
+++ b/control/admission.go
@@ -111,14 +111,14 @@
 // and one class was hardly served.
 func (r *Router) admissionShare(now int64, request *Request) float64 {
 	class := request.class
-	value := class.weight / r.sendingTime(request)
+	value := class.PriorityWeight / r.sendingTime(request)
 	leastTolerance := math.Inf(1)
 	var offered, admitted, betterOffered float64
 	for _, other := range r.classes {
 		work := other.offered.at(now)
 		offered += work
 		admitted += other.admitted.at(now)
-		if other.weight/other.sendingTime > moreValuable*value {
+		if other.PriorityWeight/other.sendingTime > moreValuable*value {
 			betterOffered += work
 		}
 		if other.samples > initialSamples {
@@ -140,7 +140,7 @@
 // any entry that the cache may serve will do, and nothing was asked yet.
 func (r *Router) mayAskCacheOnly(now int64, request *Request, cache *endpointState) bool {
 	age, _ := r.maxAge(now, request)
-	fresh := request.class.freshDuration
+	fresh := request.class.FreshDuration
 	anyEntryWillDo := age == 0 || fresh > 0 && age >= fresh
 	return request.nextKind(now) == fills && len(request.attempts) == 0 && !request.isUncacheable() && anyEntryWillDo &&
 		r.load(now, cache) < r.admission.limits[hits]*lowValueShare
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -7,7 +7,7 @@
 
 // Where fills have no room, a cache is asked for what it holds: hits of a thin slice are not turned away with them.
 func TestCacheOnlyAttempts(t *testing.T) {
-	jammed := func(change Settings) *Router {
+	jammed := func(change func(*Settings)) *Router {
 		r := newRouter(t, change)
 		r.admission.limits[fills] = 0
 		return r
@@ -36,12 +36,12 @@
 	for _, c := range []struct {
 		name    string
 		denials int
-		change  Settings
+		change  func(*Settings)
 		want    Verdict
 	}{
 		{"not held, and parents do not deny: it is given up in time", 0, nil, Wait},
 		{"not held, and parents deny: the origin fills it", 2, nil, Send},
-		{"the origin could fall over", 2, Settings{"origin.fallFactor": 2.}, Wait},
+		{"the origin could fall over", 2, func(s *Settings) { s.OriginUnlimited = false }, Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, request := jammed(c.change), ask("harmless", "a")
@@ -198,12 +198,12 @@
 
 func TestThinSlices(t *testing.T) {
 	for _, c := range []struct {
-		routers int64
+		routers int
 		out     int // in hand at one cache
 		admits  bool
 	}{{1, 12, false}, {1, 9, true}, {10, 1, true}, {10, 2, false}} {
 		t.Run(fmt.Sprintf("%d in hand, one of %d routers", c.out, c.routers), func(t *testing.T) {
-			r := newRouter(t, Settings{"location.routers": []int64{0, c.routers, 2}})
+			r := newRouter(t, func(s *Settings) { s.LocationRouters = c.routers })
 			endpoint, request := r.endpoints[1], ask("harmless", "a")
 			request.class, request.record = r.classByName["harmless"], &objectRecord{likelyHeldUntil: forever}
 			for range c.out {
--- a/control/age.go
+++ b/control/age.go
@@ -58,8 +58,8 @@
 		sizeKB *= originFillFactor
 	}
 	record.maxAge = optimalMaxAge(sizeKB, updateRate(now, record, class), r.locationRate(now, record))
-	if class.freshDuration > 0 {
-		record.maxAge = min(record.maxAge, class.freshDuration)
+	if class.FreshDuration > 0 {
+		record.maxAge = min(record.maxAge, class.FreshDuration)
 	}
 	record.maxAgeUntil = now + record.maxAge
 }
@@ -68,21 +68,21 @@
 // told over that time.
 func updateRate(now int64, record *objectRecord, class *classState) float64 {
 	span, purges := float64(now-record.firstSeenAt)/1e9, record.purgeCount
-	if class.freshDuration > 0 {
-		return (purges + 1) / (span + float64(class.freshDuration)/1e9)
+	if class.FreshDuration > 0 {
+		return (purges + 1) / (span + float64(class.FreshDuration)/1e9)
 	}
 	return purges / max(span, float64(rateWindow)/1e9)
 }
 
 // locationRate is the design's λ: the own rate times the routers of the location, requests a second.
 func (r *Router) locationRate(now int64, record *objectRecord) float64 {
-	return r.rates.ofObject(now, record) * r.settings.locationRouters
+	return r.rates.ofObject(now, record) * r.settings.cacheSharers()
 }
 
 // cachePriority is higher for an object that was asked for before. Requests before this one are scaled to the location: in a
 // thin slice none came twice, and a scan swept the caches.
 func (r *Router) cachePriority(record *objectRecord) int64 {
-	if (record.requestCount-1)*r.settings.locationRouters >= reuseThreshold {
+	if (record.requestCount-1)*r.settings.cacheSharers() >= reuseThreshold {
 		return priorityReused
 	}
 	return priorityOnce
--- a/control/age_test.go
+++ b/control/age_test.go
@@ -26,7 +26,7 @@
 			r := newRouter(t, nil)
 			now := start + 20*second
 			record := &objectRecord{requestCount: c.count, countedAt: now, firstSeenAt: now - c.born*second, purgeCount: c.purges}
-			state := requestState{class: &classState{classTerms: classTerms{freshDuration: c.fresh}}, record: record}
+			state := requestState{class: &classState{ClassSettings: ClassSettings{FreshDuration: c.fresh}}, record: record}
 			r.updateMaxAge(now, &Request{SizeKB: 0.1 / exchangeRate, requestState: state})
 			got := float64(record.maxAge) / 1e9
 			if record.maxAge == forever {
@@ -73,12 +73,12 @@
 
 func TestCachePriorityOfReusedObjects(t *testing.T) {
 	for _, c := range []struct {
-		routers int64
+		routers int
 		between int64 // seconds
 		second  int64 // rank at the second request
 	}{{1, 1, 2}, {1, 30, 1}, {20, 30, 2}} {
 		t.Run(fmt.Sprintf("again after %d s, one of %d routers", c.between, c.routers), func(t *testing.T) {
-			r := newRouter(t, Settings{"location.routers": []int64{0, c.routers, 2}})
+			r := newRouter(t, func(s *Settings) { s.LocationRouters = c.routers })
 			for i, want := range []int64{1, c.second} {
 				now := start + rateWindow + int64(i)*c.between*second
 				request := ask("harmless", "a")
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -29,16 +29,13 @@
 }
 
 // benchmarkRouter makes a router with a full fleet.
-func benchmarkRouter(b *testing.B, servers int, change Settings) (*Router, []Endpoint) {
+func benchmarkRouter(b *testing.B, servers int, change func(*Settings)) (*Router, []Endpoint) {
 	b.Helper()
-	set := site(Settings{"location.routers": []int64{0, 8, 2}, "routers": int64(10)})
-	for name, value := range change {
-		set[name] = value
-	}
-	r, err := New(start, 7, set, func(logevent.Event) {})
-	if err != nil {
-		b.Fatal(err)
+	settings := site(func(s *Settings) { s.LocationRouters, s.Routers = 8, 10 })
+	if change != nil {
+		change(&settings)
 	}
+	r := New(start, 7, settings, func(logevent.Event) {})
 	lines := benchmarkFleet(servers)
 	r.UpdateEndpoints(start, lines, true)
 	return r, lines
@@ -46,7 +43,7 @@
 
 // benchmarkDecisions measures Where and After of one request. The clock moves by a tenth of a second a request,
 // and `inFlight` other requests wait for their answers all the time.
-func benchmarkDecisions(b *testing.B, change Settings, inFlight func(servers int) int, retrieval Request) {
+func benchmarkDecisions(b *testing.B, change func(*Settings), inFlight func(servers int) int, retrieval Request) {
 	objects := make([]string, benchmarkObjects)
 	for i := range objects {
 		objects[i] = fmt.Sprintf("%016x", i*2654435761)
@@ -95,7 +92,7 @@
 
 // BenchmarkDecisionMeasured is an ordinary request where weights do not tell the caches' sizes.
 func BenchmarkDecisionMeasured(b *testing.B) {
-	benchmarkDecisions(b, Settings{"units": "off"}, none, Request{Class: "harmless", Group: 1})
+	benchmarkDecisions(b, func(s *Settings) { s.Weights = NoWeights }, none, Request{Class: "harmless", Group: 1})
 }
 
 // BenchmarkDecisionWrite is a request that has no home: the least loaded of all caches is looked for.
@@ -131,7 +128,7 @@
 func BenchmarkDecisionRecovering(b *testing.B) {
 	for _, servers := range benchmarkSizes {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
-			r, lines := benchmarkRouter(b, servers, Settings{"routers": int64(300), "location.routers": []int64{0, 300, 2}})
+			r, lines := benchmarkRouter(b, servers, func(s *Settings) { s.Routers, s.LocationRouters = 300, 300 })
 			now := start + 100*second
 			for i := range lines {
 				lines[i].StartedAt = now
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -48,18 +48,18 @@
 
 // sharers is how many routers share an endpoint: those of the location for a cache, all for another.
 func (r *Router) sharers(endpoint *endpointState) float64 {
-	if endpoint.Location == r.settings.location {
-		return r.settings.locationRouters
+	if endpoint.Location == r.settings.Location {
+		return r.settings.cacheSharers()
 	}
-	return r.settings.routers
+	return r.settings.parentSharers()
 }
 
 // effectiveSharers is how many routers send to the location's caches now, by what answers tell is in flight there.
 func (r *Router) effectiveSharers() float64 {
 	if r.capacity.ownInFlight < minSharingEvidence {
-		return r.settings.locationRouters
+		return r.settings.cacheSharers()
 	}
-	return max(1, min(r.capacity.othersInFlight/r.capacity.ownInFlight, r.settings.locationRouters))
+	return max(1, min(r.capacity.othersInFlight/r.capacity.ownInFlight, r.settings.cacheSharers()))
 }
 
 // measuredCapacity is that of a cache where weights do not tell it: what each cache carried in time at the best, scaled to all
@@ -78,9 +78,9 @@
 // best: that is chance in a thin slice, and sums up over all.
 func (r *Router) sustainedCapacity(now int64, endpoint *endpointState) float64 {
 	switch {
-	case r.settings.capacitiesTold:
+	case r.settings.Weights == CapacityWeights:
 		return endpoint.Capacity
-	case endpoint.Location == r.settings.location:
+	case endpoint.Location == r.settings.Location:
 		return max(1, r.perEndpoint(now, r.capacity.byCaches, rateWindow, r.effectiveSharers(), r.caches))
 	}
 	return max(1, r.perEndpoint(now, r.capacity.byParents, rateWindow, r.sharers(endpoint), r.parents))
@@ -111,7 +111,7 @@
 
 // locationCapacity is that of all caches of the location.
 func (r *Router) locationCapacity(now int64) float64 {
-	if r.settings.capacitiesTold {
+	if r.settings.Weights == CapacityWeights {
 		return max(r.configuredCapacity().sum, minCapacity)
 	}
 	return max(r.capacity.measured.of(len(r.caches), r.measuredCapacity(now)), minCapacity)
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -49,7 +49,9 @@
 		told  float64
 	}{{"off", 1}, {"live", 0.2}, {"nominal", 12}, {"rough", 12}} {
 		t.Run(c.units, func(t *testing.T) {
-			r := newRouter(t, Settings{"units": c.units, "location.routers": []int64{0, 1, 1}})
+			r := newRouter(t, func(s *Settings) {
+				s.Weights, s.LocationRouters = decodeWeights(c.units), 1
+			})
 			var lines []Endpoint
 			for _, line := range fleet {
 				line.Capacity = c.told
@@ -70,7 +72,7 @@
 
 // What is measured is no more than what was carried: where answers stop, in time or at all, rooms stay bounded.
 func TestCapacitiesAreNoMoreThanWasCarried(t *testing.T) {
-	r := newRouter(t, Settings{"units": "off", "location.routers": []int64{0, 1, 1}})
+	r := newRouter(t, func(s *Settings) { s.Weights, s.LocationRouters = NoWeights, 1 })
 	var lines []Endpoint
 	for _, line := range fleet {
 		line.Capacity = 1
@@ -101,10 +103,8 @@
 			type sending struct{ at int64 }
 			var all []sending
 			for n := range routers {
-				r, err := New(start-20*second, uint64(n), site(Settings{"routers": int64(routers), "units": "off"}), func(logevent.Event) {})
-				if err != nil {
-					t.Fatal(err)
-				}
+				settings := site(func(s *Settings) { s.Routers, s.Weights = routers, NoWeights })
+				r := New(start-20*second, uint64(n), settings, func(logevent.Event) {})
 				lines := make([]Endpoint, len(fleet))
 				for i, line := range fleet {
 					lines[i] = line
@@ -162,7 +162,7 @@
 		{"a report of nothing", func(float64) []float64 { return []float64{0, 0} }, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, Settings{"report.fields": []string{"x1", "inHand"}})
+			r := newRouter(t, func(s *Settings) { s.LoadReportFields = []string{"x1", "inHand"} })
 			r.admission.limits = [3]float64{maxAdmissionLimit, maxAdmissionLimit, maxAdmissionLimit}
 			var out []*Request
 			for n := range 20 {
--- a/control/classes.go
+++ b/control/classes.go
@@ -11,38 +11,9 @@
 	minWeight            = 0.01           // the largest weight counts for no less
 )
 
-// classTerms is what the settings say of a class.
-type classTerms struct {
-	name             string
-	objective        int64   // ns; latency objective, without the sending time
-	objectiveStretch float64 // ns more for each ns of sending time
-	freshDuration    int64   // ns; for how long an entry may be served without a look at its source; 0 is no bound
-	weight           float64 // priority weight
-	idempotency      idempotency
-	keyScope         string // the scope* constants
-	keyWindow        int64  // ns; for how long a server drops repetitions
-	uncacheable      bool
-}
-
-// idempotency is whether a request may be sent again once it may have taken effect.
-type idempotency int
-
-const (
-	nonIdempotent idempotency = iota // never
-	keyed                            // within the key's window and scope
-	idempotent                       // always
-)
-
-// The scopes within which a server drops repetitions of an idempotency key. In any other word there is no bound.
-const (
-	scopeAll  = "all"
-	scopeZone = "zone"
-	scopeCell = "cell"
-)
-
 // classState is one class with what its answers told.
 type classState struct {
-	classTerms
+	ClassSettings
 	sendingTime     float64      // s; mean
 	responseTime    float64      // s; mean
 	samples         float64      // answers that the means count for
@@ -51,13 +22,13 @@
 	admitted        decayingWork // what was sent on
 }
 
-func newClassState(terms classTerms) *classState {
-	objective := float64(terms.objective) / 1e9
+func newClassState(settings ClassSettings) *classState {
+	objective := float64(settings.LatencyObjective) / 1e9
 	return &classState{
-		classTerms:   terms,
-		sendingTime:  max(objective, minSendingTime),
-		responseTime: objective,
-		samples:      initialSamples,
+		ClassSettings: settings,
+		sendingTime:   max(objective, minSendingTime),
+		responseTime:  objective,
+		samples:       initialSamples,
 	}
 }
 
@@ -94,7 +65,7 @@
 
 // delayTolerance is how many times longer than its sending time an answer of a class may take and still be in time.
 func (class *classState) delayTolerance() float64 {
-	return class.objectiveStretch + float64(class.objective)/1e9/class.sendingTime
+	return class.ObjectiveStretch + float64(class.LatencyObjective)/1e9/class.sendingTime
 }
 
 // canBeAnswered tells whether an attempt that begins now can still be answered in its client's time.
@@ -106,20 +77,20 @@
 func (r *Router) maxWeight() float64 {
 	most := minWeight
 	for _, class := range r.classes {
-		most = max(most, class.weight)
+		most = max(most, class.PriorityWeight)
 	}
 	return most
 }
 
 // knownSendingTime is a request's own sending time, s, where sizes are told, else 0.
 func (r *Router) knownSendingTime(request *Request) float64 {
-	return request.SizeKB / r.settings.clientKBPerSecond
+	return request.SizeKB / r.settings.ClientKBPerSecond
 }
 
 // objectiveFor is how long after its sending an answer is in time, ns, by its own sending time, s, or with 0 by the class's mean.
 func (r *Router) objectiveFor(request *Request, sendingTime float64) int64 {
 	class := request.class
-	return class.objective + int64(class.objectiveStretch*1e9*cmp.Or(sendingTime, class.sendingTime))
+	return class.LatencyObjective + int64(class.ObjectiveStretch*1e9*cmp.Or(sendingTime, class.sendingTime))
 }
 
 // sendingTime is what a request costs an endpoint's link, s.
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -2,22 +2,21 @@
 
 import (
 	"fmt"
-	"maps"
 	"testing"
 )
 
 // classes has a router with two read classes: "harmless" sends for 0.4 s, "stamped" (made harmless) for 0.02 s and is worth
 // half as much; "once" is a write that runs at the origin. Means are learned before the play begins.
-func classes(t *testing.T, change Settings) *Router {
+func classes(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
-	set := Settings{
-		"product.effect": []string{"harmless", "harmless", "one-shot"}, "product.neverKept": []bool{false, false, true},
-		"product.dueStretch": []float64{2, 2, 0},
-	}
-	for name, value := range change {
-		set[name] = value
-	}
-	r := newRouter(t, set)
+	r := newRouter(t, func(s *Settings) {
+		s.Classes[1].Idempotency = Idempotent
+		s.Classes[2].Uncacheable = true
+		setObjectiveStretches(s, 2, 2, 0)
+		if change != nil {
+			change(s)
+		}
+	})
 	for i, sending := range []float64{0.4, 0.02, 0.01} {
 		r.classes[i].sendingTime, r.classes[i].samples = sending, 100
 	}
@@ -73,7 +72,7 @@
 		rare float64 // part of the requests
 		want float64 // least part of the room that is open to the rest
 	}{{0.01, 0.95}, {0.5, 0.69}} {
-		r := classes(t, Settings{"product.payoff": []float64{1, 40, 1}})
+		r := classes(t, func(s *Settings) { setWeights(s, 1, 40, 1) })
 		request := ask("harmless", "x")
 		r.Decide(start, request)
 		r.classes[0].offered, r.classes[1].offered = decayingWork{}, decayingWork{}
@@ -88,9 +87,12 @@
 
 // The best class alone could fill the room for good; another, asked for as much, is let in beside it.
 func TestNoClassIsShutOut(t *testing.T) {
-	r := classes(t, Settings{"product.payoff": []float64{1, 40, 1}, "product.due": []int64{second / 2, second / 100, second / 2}})
+	r := classes(t, func(s *Settings) {
+		setWeights(s, 1, 40, 1)
+		setObjectives(s, second/2, second/100, second/2)
+	})
 	r.classes[1].sendingTime = 0.4 // as large as the other, and worth forty times as much; neither stands more than the other
-	r.classes[1].objective = r.classes[0].objective
+	r.classes[1].LatencyObjective = r.classes[0].LatencyObjective
 	asked, sent := map[string]int{}, map[string]int{}
 	type open struct {
 		ret  *Request
@@ -123,7 +125,7 @@
 
 // What takes longer than its due time at full pace says nothing of a jam: it took 8% off everybody's room each.
 func TestWhatCanNotBeInTimeShowsNoJam(t *testing.T) {
-	r := classes(t, Settings{"product.dueStretch": []float64{0, 0, 0}})
+	r := classes(t, func(s *Settings) { setObjectiveStretches(s, 0, 0, 0) })
 	for _, c := range []struct {
 		spent   int64
 		shrinks bool
@@ -142,7 +144,7 @@
 // struck an origin that had stopped, 4.6 attempts a request.
 func TestRefusedFillsAreNotFreeWhereTheOriginFalls(t *testing.T) {
 	for _, factor := range []float64{0, 2.5} {
-		r, further := classes(t, Settings{"origin.fallFactor": factor}), 0
+		r, further := classes(t, func(s *Settings) { s.OriginUnlimited = factor == 0 }), 0
 		for n := range 60 {
 			now := start + int64(n)*second/10
 			request := ask("harmless", fmt.Sprint(n))
@@ -162,18 +164,19 @@
 func TestClassesAtTheBounds(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change Settings
+		change func(*Settings)
 	}{
-		{"no worth", Settings{"product.payoff": []float64{0, 0, 0}}},
-		{"one without worth", Settings{"product.payoff": []float64{0, 1, 1}}},
-		{"no due time", Settings{"product.due": []int64{0, 0, 0}}},
-		{"one thousand times the worth", Settings{"product.payoff": []float64{1, 1000, 1}}},
-		{"a due time under a round trip", Settings{"product.due": []int64{second / 1000, second / 2, second / 2}}},
+		{"no worth", func(s *Settings) { setWeights(s, 0, 0, 0) }},
+		{"one without worth", func(s *Settings) { setWeights(s, 0, 1, 1) }},
+		{"no due time", func(s *Settings) { setObjectives(s, 0, 0, 0) }},
+		{"one thousand times the worth", func(s *Settings) { setWeights(s, 1, 1000, 1) }},
+		{"a due time under a round trip", func(s *Settings) { setObjectives(s, second/1000, second/2, second/2) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			change := Settings{"product.effect": []string{"harmless", "harmless", "one-shot"}}
-			maps.Copy(change, c.change)
-			r := newRouter(t, change)
+			r := newRouter(t, func(s *Settings) {
+				s.Classes[1].Idempotency = Idempotent
+				c.change(s)
+			})
 			for n, product := range []string{"stamped", "harmless", "once"} {
 				request := ask(product, fmt.Sprint(n))
 				if decision := r.Decide(start, request); decision.Verdict != Send {
--- a/control/control.go
+++ b/control/control.go
@@ -39,7 +39,7 @@
 	// be reached meanwhile is held, as long as it may stay unsent.
 	ConnectionsExhausted func() bool
 
-	settings settings
+	settings Settings
 	log      func(logevent.Event)
 	seed     uint64
 	draws    uint32 // random numbers drawn
@@ -68,15 +68,10 @@
 	keyBytes                []byte     // buffer of objectHash
 }
 
-// New makes a router from its settings; log takes an event for each change of mode. The error joins a SettingError for
-// each setting that is missing, of a wrong type, or contradicts another.
-func New(now int64, seed uint64, raw Settings, log func(logevent.Event)) (*Router, error) {
-	set, err := decodeSettings(raw)
-	if err != nil {
-		return nil, err
-	}
+// New makes a router from its settings; log takes an event for each change of mode.
+func New(now int64, seed uint64, settings Settings, log func(logevent.Event)) *Router {
 	r := &Router{
-		settings:    set,
+		settings:    settings,
 		log:         log,
 		seed:        seed,
 		classByName: map[string]*classState{},
@@ -86,12 +81,12 @@
 		admission:   admission{limits: initialAdmissionLimits},
 		retries:     retryState{tokens: maxRetryTokens},
 	}
-	for _, terms := range set.classes {
+	for _, terms := range settings.Classes {
 		class := newClassState(terms)
 		r.classes = append(r.classes, class)
-		r.classByName[terms.name] = class
+		r.classByName[terms.Name] = class
 	}
-	return r, nil
+	return r
 }
 
 // Decide says where to send a request that has come, or whose RecheckDelay has passed, or not yet, or never.
@@ -142,7 +137,7 @@
 		return r.cancelOthers(request)
 	case request.inFlight > 0:
 		return Decision{}
-	case !mayBeTwo || r.settings.hedging || !r.mayRetry(now, request):
+	case !mayBeTwo || r.settings.Hedging || !r.mayRetry(now, request):
 		return r.decideNext(now, request)
 	case now+2*holdInterval >= request.Deadline:
 		return r.rejectOrFail(now, request)
@@ -169,7 +164,7 @@
 
 // cancelOthers ends what else of an ended request is in flight.
 func (r *Router) cancelOthers(request *Request) (decision Decision) {
-	if !r.settings.cancel {
+	if !r.settings.CancelAttempts {
 		return decision
 	}
 	for i, other := range request.attempts {
@@ -219,7 +214,7 @@
 	terms.Source = source.ID
 	if !request.isUncacheable() {
 		terms.ParentOnlyIfCached = r.asksOnlyIfCached(attempt)
-		terms.JoinFill = r.settings.joinFills
+		terms.JoinFill = r.settings.JoinFills
 		terms.MaxAge, terms.RefreshBehind = r.maxAge(now, request)
 		terms.CachePriority = r.cachePriority(request.record)
 	}
@@ -268,7 +263,7 @@
 // Tick does the periodic work: it gives the endpoints that are to be probed now, and how long after this it is to be
 // called again, ns.
 func (r *Router) Tick(now int64) (probe []uint32, again int64) {
-	r.purges.forgetDone(now, r.settings.purgeDuration)
+	r.purges.forgetDone(now, r.settings.PurgeDuration)
 	all := r.cacheEvidence(now)
 	for _, endpoint := range r.outliers.watched.endpoints {
 		if endpoint.role != cacheRole {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -20,7 +20,7 @@
 				}
 				decision = r.Decide(now, request)
 			}
-			if due := r.classByName["harmless"].objective; decision.Verdict != Reject || decision.RetryAfter <= 0 || decision.RetryAfter >= due/2 {
+			if due := r.classByName["harmless"].LatencyObjective; decision.Verdict != Reject || decision.RetryAfter <= 0 || decision.RetryAfter >= due/2 {
 				t.Errorf("verdict %v with advice %v", decision.Verdict, decision.RetryAfter)
 			}
 		})
@@ -68,7 +68,7 @@
 		{"a small one", second, 0.01, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, request := newRouter(t, Settings{"product.dueStretch": []float64{2, 2, 2}}), ask("harmless", "a")
+			r, request := newRouter(t, func(s *Settings) { setObjectiveStretches(s, 2, 2, 2) }), ask("harmless", "a")
 			r.Decide(start, request)
 			kind := request.attempts[0].kind
 			r.AttemptEnded(start+c.spent, request, Outcome{Result: Succeeded, Elapsed: c.spent, SendingTime: c.sending, RequestEnded: true})
@@ -104,7 +104,7 @@
 
 // Where attempts can't be called off, none is.
 func TestWithoutCancelling(t *testing.T) {
-	r := newRouter(t, Settings{"cancel": false})
+	r := newRouter(t, func(s *Settings) { s.CancelAttempts = false })
 	request := ask("harmless", "a")
 	r.Decide(start, request)
 	if decision := r.ClientGone(start, request); len(decision.Cancel) > 0 {
--- /dev/null
+++ b/control/decode.go
@@ -0,0 +1,229 @@
+package control
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+)
+
+// RawSettings are settings before they are decoded: plain values by their key. Times are int64 nanoseconds,
+// shares and factors float64, counts int64, switches bool, names string; a setting that has a value for each
+// class or location is a slice of these.
+type RawSettings map[string]any
+
+// SettingError is a setting that can't be used.
+type SettingError struct {
+	Key    string
+	Value  any // nil where it is missing
+	Reason string
+}
+
+func (e *SettingError) Error() string {
+	if e.Value == nil {
+		return fmt.Sprintf("setting %s %s", e.Key, e.Reason)
+	}
+	return fmt.Sprintf("setting %s %s: %#v", e.Key, e.Reason, e.Value)
+}
+
+// requiredSettings are the keys without which no decision can be made.
+var requiredSettings = []string{
+	"product.names", "product.due", "product.hardStop", "product.payoff", "product.effect", "location",
+	"kinds", "routers",
+}
+
+// minClientKBPerSecond keeps the time for sending a response finite, whatever the settings say.
+const minClientKBPerSecond = 1
+
+// DecodeSettings checks and decodes settings. The error joins a *SettingError for each one that is missing, of a
+// wrong type, or contradicts another; the returned settings then have a default in its place. They are good for
+// checking other files against them, but no router may run with them.
+func DecodeSettings(raw RawSettings) (Settings, error) {
+	decoder := &settingsDecoder{raw: raw}
+	for _, key := range requiredSettings {
+		if raw[key] == nil {
+			decoder.fail(key, "is missing")
+		}
+	}
+	set := DefaultSettings()
+	set.decodeDeployment(decoder)
+	set.decodeRequestHandling(decoder)
+	set.Classes = decodeClasses(decoder)
+	set.decodeLocationRouters(decoder)
+	set.decodeSlowStart(decoder)
+	set.decodeUnchecked(decoder)
+	return set, errors.Join(decoder.errs...)
+}
+
+// settingsDecoder reads settings by their key and collects what is wrong with them.
+type settingsDecoder struct {
+	raw  RawSettings
+	errs []error
+}
+
+// fail notes that a setting can't be used, once for each reason.
+func (decoder *settingsDecoder) fail(key, reason string) {
+	same := func(err error) bool {
+		var other *SettingError
+		return errors.As(err, &other) && other.Key == key && other.Reason == reason
+	}
+	if !slices.ContainsFunc(decoder.errs, same) {
+		decoder.errs = append(decoder.errs, &SettingError{Key: key, Value: decoder.raw[key], Reason: reason})
+	}
+}
+
+// setting reads a setting, or returns the fallback where it is absent. A value of another type is an error.
+func setting[T any](decoder *settingsDecoder, key string, fallback T) T {
+	raw, present := decoder.raw[key]
+	if !present || raw == nil {
+		return fallback
+	}
+	value, ok := raw.(T)
+	if !ok {
+		decoder.fail(key, fmt.Sprintf("is no %T", fallback))
+		return fallback
+	}
+	return value
+}
+
+// unchecked reads a setting, or returns the fallback where it is absent or of another type.
+func unchecked[T any](decoder *settingsDecoder, key string, fallback T) T {
+	if value, ok := decoder.raw[key].(T); ok {
+		return value
+	}
+	return fallback
+}
+
+// element reads one element of a list, or returns the fallback where the list is too short.
+func element[T any](decoder *settingsDecoder, key string, index int, fallback T) T {
+	list := setting[[]T](decoder, key, nil)
+	if index < 0 || index >= len(list) {
+		return fallback
+	}
+	return list[index]
+}
+
+// decodeDeployment decodes where the router stands and what the endpoints are.
+func (s *Settings) decodeDeployment(decoder *settingsDecoder) {
+	s.Weights = decodeWeights(setting(decoder, "units", ""))
+	s.Location = setting(decoder, "location", s.Location)
+	s.Routers = int(setting(decoder, "routers", int64(s.Routers)))
+	s.ParentKind = decodeKind(decoder, "kind.parent")
+	s.OriginKind = decodeKind(decoder, "kind.origin")
+	s.LoadReportFields = setting(decoder, "report.fields", s.LoadReportFields)
+	s.ClientKBPerSecond = max(setting(decoder, "clientKBPerS", s.ClientKBPerSecond), minClientKBPerSecond)
+	s.OriginUnlimited = setting(decoder, "origin.fallFactor", 0.) == 0
+}
+
+// decodeWeights decodes the meaning of weights; an unknown one is CapacityWeights.
+func decodeWeights(meaning string) WeightMeaning {
+	switch meaning {
+	case "live":
+		return LoadWeights
+	case "off":
+		return NoWeights
+	}
+	return CapacityWeights
+}
+
+// decodeKind decodes a machine type, which is an index into the list of all; a negative index is none.
+func decodeKind(decoder *settingsDecoder, key string) *string {
+	index := int(setting(decoder, key, int64(-1)))
+	kinds := setting[[]string](decoder, "kinds", nil)
+	if index >= len(kinds) && len(kinds) > 0 {
+		decoder.fail(key, fmt.Sprintf("is no place in the %d kinds", len(kinds)))
+	}
+	if index < 0 || index >= len(kinds) {
+		return nil
+	}
+	kind := kinds[index]
+	return &kind
+}
+
+// decodeRequestHandling decodes what may be done for a request.
+func (s *Settings) decodeRequestHandling(decoder *settingsDecoder) {
+	s.HealthChecks = setting(decoder, "probe", s.HealthChecks)
+	s.JoinFills = setting(decoder, "joins", s.JoinFills)
+	s.Hedging = setting(decoder, "dispatches.together", s.Hedging)
+	s.CancelAttempts = setting(decoder, "cancel", s.CancelAttempts)
+	s.RetryAfter = setting(decoder, "advice", s.RetryAfter)
+	s.MaxRetryAfter = setting(decoder, "advice.most", s.MaxRetryAfter)
+	s.MaxAttempts = int(setting(decoder, "dispatches.most", int64(s.MaxAttempts)))
+	s.PurgeDuration = setting(decoder, "purge.takes", s.PurgeDuration)
+}
+
+// decodeClasses decodes the classes, each of which has an element in several lists.
+func decodeClasses(decoder *settingsDecoder) []ClassSettings {
+	names := setting[[]string](decoder, "product.names", nil)
+	classes := make([]ClassSettings, len(names))
+	for index, name := range names {
+		if slices.Contains(names[:index], name) {
+			decoder.fail("product.names", fmt.Sprintf("has %q twice", name))
+		}
+		classes[index] = ClassSettings{
+			Name:             name,
+			LatencyObjective: element(decoder, "product.due", index, second),
+			ObjectiveStretch: element(decoder, "product.dueStretch", index, 0.),
+			FreshDuration:    element(decoder, "product.fresh", index, int64(0)),
+			PriorityWeight:   element(decoder, "product.payoff", index, 1.),
+			Idempotency:      decodeIdempotency(element(decoder, "product.effect", index, "")),
+			KeyScope:         KeyScope(element(decoder, "product.scope", index, string(ScopeCell))),
+			KeyWindow:        element(decoder, "product.window", index, int64(0)),
+			Uncacheable:      element(decoder, "product.neverKept", index, false),
+		}
+	}
+	return classes
+}
+
+// decodeIdempotency decodes the effect of a class's requests. An unknown one is taken for the worst.
+func decodeIdempotency(effect string) Idempotency {
+	switch effect {
+	case "harmless":
+		return Idempotent
+	case "stamped":
+		return Keyed
+	}
+	return NonIdempotent
+}
+
+// decodeLocationRouters decodes how many routers the location has, from a list in the order of all locations.
+func (s *Settings) decodeLocationRouters(decoder *settingsDecoder) {
+	index := slices.Index(setting[[]string](decoder, "locations", nil), s.Location)
+	routers := setting[[]int64](decoder, "location.routers", nil)
+	if index >= 0 && index < len(routers) {
+		s.LocationRouters = int(max(1, routers[index]))
+	}
+}
+
+// decodeSlowStart decodes what caches and parents bear after their start.
+func (s *Settings) decodeSlowStart(decoder *settingsDecoder) {
+	cache := &s.CacheSlowStart
+	cache.Share = setting(decoder, "cold.share", cache.Share)
+	cache.Factor = setting(decoder, "cold.factor", cache.Factor)
+	cache.WarmUpDuration = setting(decoder, "cold.span", cache.WarmUpDuration)
+	cache.Window = setting(decoder, "cold.window", cache.Window)
+
+	parent := &s.ParentSlowStart
+	parent.Share = setting(decoder, "parent.coldShare", parent.Share)
+	parent.Factor = setting(decoder, "parent.coldFactor", cache.Factor)
+	parent.WarmUpDuration = setting(decoder, "parent.coldSpan", parent.WarmUpDuration)
+	parent.Window = cache.Window
+}
+
+// decodeUnchecked decodes the settings that no decision depends on. One of a wrong type counts as absent, so that
+// it does not keep a router from starting.
+func (s *Settings) decodeUnchecked(decoder *settingsDecoder) {
+	s.PollEndpointList = unchecked(decoder, "list.mode", "") == "ask"
+	for _, deadline := range unchecked[[]int64](decoder, "product.hardStop", nil) {
+		s.LongestDeadline = max(s.LongestDeadline, deadline)
+	}
+	s.AnswerGrace = unchecked(decoder, "answer.grace", s.AnswerGrace)
+	s.ResponseBytesPerSecond = unchecked(decoder, "answer.bytesPerS", s.ResponseBytesPerSecond)
+	if most := unchecked(decoder, "hands.most", int64(0)); most > 0 {
+		s.MaxInFlight = int(most)
+	}
+	s.PurgeGrace = unchecked(decoder, "purge.grace", s.PurgeGrace)
+	s.DrainGrace = unchecked(decoder, "drain.grace", s.DrainGrace)
+	s.ConnectTimeout = unchecked(decoder, "connect.within", s.ConnectTimeout)
+	s.IdleTimeout = unchecked(decoder, "connect.idle", s.IdleTimeout)
+	s.MaxStreamsPerConnection = int(unchecked(decoder, "connect.streams", int64(s.MaxStreamsPerConnection)))
+}
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -30,17 +30,23 @@
 // drawnSettings gives one of several ways to run a router.
 func drawnSettings(rng *rand.Rand) Settings {
 	pick := func(n int) bool { return rng.IntN(n) == 0 }
-	set := Settings{
-		"units": []string{"nominal", "off", "live"}[rng.IntN(3)], "probe": pick(2), "joins": pick(2),
-		"dispatches.together": !pick(3), "cancel": !pick(3), "origin.fallFactor": []float64{0, 2}[rng.IntN(2)],
-		"routers": int64(1 + rng.IntN(40)), "location.routers": []int64{0, int64(1 + rng.IntN(20)), 2},
-		"product.neverKept": []bool{false, false, pick(2)}, "product.dueStretch": []float64{2, 1, 0},
-		"product.scope": []string{"all", []string{"cell", "zone", "all"}[rng.IntN(3)], "cell"},
-	}
+	settings := site(nil)
+	settings.Weights = []WeightMeaning{CapacityWeights, NoWeights, LoadWeights}[rng.IntN(3)]
+	settings.HealthChecks = pick(2)
+	settings.JoinFills = pick(2)
+	settings.Hedging = !pick(3)
+	settings.CancelAttempts = !pick(3)
+	settings.OriginUnlimited = pick(2)
+	settings.Routers = 1 + rng.IntN(40)
+	settings.LocationRouters = 1 + rng.IntN(20)
+	settings.Classes[2].Uncacheable = pick(2)
+	setObjectiveStretches(&settings, 2, 1, 0)
+	settings.Classes[1].KeyScope = []KeyScope{ScopeCell, ScopeZone, ScopeAll}[rng.IntN(3)]
+	settings.Classes[2].KeyScope = ScopeCell
 	if pick(2) {
-		set["report.fields"] = []string{"x1", "inHand"}
+		settings.LoadReportFields = []string{"x1", "inHand"}
 	}
-	return set
+	return settings
 }
 
 // newDrawnPlay starts a play that depends on its seed alone.
@@ -52,10 +58,7 @@
 		p.seen["log"]++
 		p.seen[event.Kind().Name]++
 	}
-	r, err := New(start, seed, site(drawnSettings(rng)), log)
-	if err != nil {
-		t.Fatal(err)
-	}
+	r := New(start, seed, drawnSettings(rng), log)
 	p.router = r
 	if rng.IntN(4) == 0 {
 		r.Reachable = func(id uint32) bool { return (id*2654435761+uint32(p.now/second))%7 != 0 }
--- a/control/endings_test.go
+++ b/control/endings_test.go
@@ -19,7 +19,7 @@
 		{"harmless", "harmless", ConnectionLost, 900, 4100},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, Settings{"product.scope": []string{"all", "all", "all"}})
+			r := newRouter(t, func(s *Settings) { s.Classes[1].KeyScope = ScopeAll })
 			request, now := ask(c.product, "a"), start
 			request.Deadline = start + 5*second
 			r.Decide(now, request)
@@ -55,7 +55,7 @@
 		{"it may not be repeated", "once", false, ConnectionLost, 2000, Fail, Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, Settings{"dispatches.together": c.together})
+			r := newRouter(t, func(s *Settings) { s.Hedging = c.together })
 			request, now := ask(c.product, "a"), start
 			request.Deadline = start + 3*second
 			r.Decide(now, request)
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -111,7 +111,7 @@
 	endpoint.Endpoint = line
 	endpoint.listed = line.Phase != phaseGone
 	endpoint.hashWeight = max(line.Capacity, minCapacity)
-	if r.settings.liveWeights {
+	if r.settings.Weights == LoadWeights {
 		endpoint.hashWeight = 1 // a weight that follows the load would move objects from home to home
 	}
 }
@@ -129,11 +129,11 @@
 	switch {
 	case !endpoint.listed || endpoint.Phase != phaseReady:
 		return noRole
-	case endpoint.Kind == r.settings.originKind:
+	case endpoint.Kind == r.settings.originKind():
 		return originRole
-	case endpoint.Kind == r.settings.parentKind:
+	case endpoint.Kind == r.settings.parentKind():
 		return parentRole
-	case endpoint.Location == r.settings.location:
+	case endpoint.Location == r.settings.Location:
 		return cacheRole
 	}
 	return noRole
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// site is a small deployment: two caches here, two parents and an origin elsewhere.
-func site(change Settings) Settings {
-	set := Settings{
+// rawSite is a small deployment: two caches here, two parents and an origin elsewhere.
+func rawSite() RawSettings {
+	return RawSettings{
 		"routers": int64(4), "location": "here", "locations": []string{"hub", "here", "there"},
 		"location.routers": []int64{0, 2, 2}, "kinds": []string{"cache", "parent", "origin"},
 		"kind.parent": int64(1), "kind.origin": int64(2), "clientKBPerS": 1000., "joins": true,
@@ -23,10 +23,45 @@
 		"product.hardStop": []int64{5 * second, 5 * second, 5 * second},
 		"product.fresh":    []int64{8 * second, 0, 0},
 	}
-	for name, value := range change {
-		set[name] = value
+}
+
+// decoded returns settings that are valid.
+func decoded(raw RawSettings) Settings {
+	settings, err := DecodeSettings(raw)
+	if err != nil {
+		panic(err) // they are this package's own
+	}
+	return settings
+}
+
+// site returns the settings of rawSite with a change, which may be nil.
+func site(change func(*Settings)) Settings {
+	settings := decoded(rawSite())
+	if change != nil {
+		change(&settings)
+	}
+	return settings
+}
+
+// setWeights sets the classes' priority weights, in their order.
+func setWeights(s *Settings, weights ...float64) {
+	for i, weight := range weights {
+		s.Classes[i].PriorityWeight = weight
+	}
+}
+
+// setObjectives sets the classes' latency objectives, in their order.
+func setObjectives(s *Settings, objectives ...int64) {
+	for i, objective := range objectives {
+		s.Classes[i].LatencyObjective = objective
+	}
+}
+
+// setObjectiveStretches sets by how much the classes' objectives grow with the sending time, in their order.
+func setObjectiveStretches(s *Settings, stretches ...float64) {
+	for i, stretch := range stretches {
+		s.Classes[i].ObjectiveStretch = stretch
 	}
-	return set
 }
 
 const start = 1000 * second
@@ -40,12 +75,9 @@
 	{ID: 6, Location: "there", Kind: "cache", Cell: 5, Phase: "ready", Capacity: 5},
 }
 
-func newRouter(t *testing.T, change Settings) *Router {
+func newRouter(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
-	r, err := New(start, 7, site(change), func(logevent.Event) {})
-	if err != nil {
-		t.Fatal(err)
-	}
+	r := New(start, 7, site(change), func(logevent.Event) {})
 	r.UpdateEndpoints(start, fleet, true)
 	return r
 }
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -20,8 +20,6 @@
 
 	// noJamFactor is how many times its sending time an answer may take and show no jam, in time or not: it could hardly be.
 	noJamFactor = 2
-
-	reportInFlight = "inHand" // the field of a load report with the requests in flight
 )
 
 // attemptScore is how an attempt counts for an endpoint.
@@ -120,7 +118,7 @@
 
 // observeLoadReport notes what an answer tells of the requests in flight at its cache.
 func (r *Router) observeLoadReport(now int64, cache *endpointState, report []float64) {
-	if i := r.settings.inFlightField; i >= 0 && i < len(report) {
+	if i := r.settings.inFlightField(); i >= 0 && i < len(report) {
 		r.capacity.observeReport(now, max(report[i]-1, 0), float64(len(cache.inFlight)-1))
 	}
 }
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -89,7 +89,7 @@
 
 // peersOf are the endpoints that one is compared with, itself among them.
 func (r *Router) peersOf(endpoint *endpointState) []*endpointState {
-	if endpoint.Location == r.settings.location {
+	if endpoint.Location == r.settings.Location {
 		return r.caches
 	}
 	return r.parents
@@ -99,7 +99,7 @@
 // less for having answered much.
 func (r *Router) failureShareFor(endpoint *endpointState, own evidence) float64 {
 	isOther := func(peer *endpointState) bool { return peer != endpoint && !peer.ejected }
-	if endpoint.Location == r.settings.location || !slices.ContainsFunc(r.parents, isOther) {
+	if endpoint.Location == r.settings.Location || !slices.ContainsFunc(r.parents, isOther) {
 		return failureShare
 	}
 	return failureShare * max(manyAnswersFactor, min(1, math.Sqrt(manyAnswers)/math.Sqrt(own.good+own.bad)))
@@ -115,7 +115,7 @@
 // startProbe tells whether a cache is to be probed now, and counts the probe.
 func (r *Router) startProbe(now int64, endpoint *endpointState) bool {
 	isDue := endpoint.ejected && !endpoint.probing && now >= endpoint.nextProbeAt
-	if !isDue || !r.settings.probes || !r.slowStartAdmits(now, endpoint, r.meanWork(now, 0)) {
+	if !isDue || !r.settings.HealthChecks || !r.slowStartAdmits(now, endpoint, r.meanWork(now, 0)) {
 		return false
 	}
 	endpoint.probing = true
@@ -217,7 +217,7 @@
 // caches. Endpoints with nothing in flight and no scores would add nothing: they are left out.
 func (r *Router) peerEvidence(now int64, endpoint *endpointState) (sum evidence) {
 	peers, peerRole := r.caches, cacheRole
-	if endpoint != nil && endpoint.Location != r.settings.location {
+	if endpoint != nil && endpoint.Location != r.settings.Location {
 		peers, peerRole = r.parents, parentRole
 	}
 	if scored := r.outliers.scored.endpoints; len(scored) < len(peers) {
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -34,10 +34,7 @@
 		product := []string{"harmless", "stamped"}[rng.IntN(2)]
 		object := []string{"a", ""}[rng.IntN(2)]
 		if failed := func() bool {
-			r, err := New(purged+off-second, uint64(i), site(nil), func(logevent.Event) {})
-			if err != nil {
-				t.Fatal(err)
-			}
+			r := New(purged+off-second, uint64(i), site(nil), func(logevent.Event) {})
 			r.UpdateEndpoints(purged+off-second, fleet, true)
 			for at := purged + off; at < told+off; at += second {
 				r.Tick(at)
@@ -56,7 +53,7 @@
 					t.Errorf("try %d: %+v", try, decision)
 					return true
 				}
-				issued := worst(asked, decision.Attempt, r.classByName[product].freshDuration)
+				issued := worst(asked, decision.Attempt, r.classByName[product].FreshDuration)
 				if r.AcceptsCopy(asked+off, request, try, issued) {
 					if issued < purged {
 						t.Errorf("a copy of %v before the purge is served, asked for with age %v", purged-issued, decision.Attempt.MaxAge)
@@ -257,10 +254,7 @@
 			for _, rates := range []bool{false, true} {
 				t.Run(fmt.Sprintf("off by %d s, then by %d s, rates %v", before/second, off/second, rates), func(t *testing.T) {
 					make := func(now int64) *Router {
-						r, err := New(now, 7, site(nil), func(logevent.Event) {})
-						if err != nil {
-							t.Fatal(err)
-						}
+						r := New(now, 7, site(nil), func(logevent.Event) {})
 						r.UpdateEndpoints(now, fleet, true)
 						return r
 					}
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -302,7 +302,7 @@
 	switch {
 	case request.isUncacheable():
 		c.first = r.origin
-	case r.origin != nil && request.sourceRefused() && r.settings.originUnlimited:
+	case r.origin != nil && request.sourceRefused() && r.settings.OriginUnlimited:
 		c.tier, c.last = &tier{}, r.origin
 	default:
 		c.last = r.origin
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -35,7 +35,7 @@
 // plainInHand is what is out at some caches and may be in time, in all and by kind, and their size.
 func plainInFlight(r *Router, now int64, members []*endpointState) (out float64, kinds [3]float64, units float64) {
 	for _, endpoint := range members {
-		if r.settings.capacitiesTold {
+		if r.settings.Weights == CapacityWeights {
 			units += endpoint.Capacity
 		} else {
 			units += r.measuredCapacity(now)
@@ -81,7 +81,7 @@
 // plainPeerSigns sums up the evidence on all peers of a member.
 func plainPeerEvidence(r *Router, now int64, endpoint *endpointState) (silent, good, bad float64) {
 	peers := r.caches
-	if endpoint.Location != r.settings.location {
+	if endpoint.Location != r.settings.Location {
 		peers = r.parents
 	}
 	for _, peer := range peers {
@@ -103,7 +103,7 @@
 			origin = cmp.Or(origin, endpoint)
 		case endpoint.Kind == "parent":
 			parents = append(parents, endpoint)
-		case endpoint.Location == r.settings.location:
+		case endpoint.Location == r.settings.Location:
 			caches = append(caches, endpoint)
 		}
 	}
@@ -133,7 +133,7 @@
 	case r.origin == nil:
 	case request.isUncacheable():
 		sources = append([]*endpointState{r.origin}, sources...)
-	case request.sourceRefused() && r.settings.originUnlimited:
+	case request.sourceRefused() && r.settings.OriginUnlimited:
 		sources = []*endpointState{r.origin}
 	default:
 		sources = append(sources, r.origin)
--- a/control/requests.go
+++ b/control/requests.go
@@ -79,7 +79,7 @@
 }
 
 // isUncacheable tells whether no cache or parent keeps the answer to a request: it runs at the origin.
-func (request *Request) isUncacheable() bool { return request.class.uncacheable || request.Write }
+func (request *Request) isUncacheable() bool { return request.class.Uncacheable || request.Write }
 
 // sendDeadline is until when a request may stay without an attempt that came whole to a cache.
 func (request *Request) sendDeadline() int64 {
@@ -94,12 +94,12 @@
 // sendTimeout is how long an attempt that begins now may wait to be on its way, ns.
 func (request *Request) sendTimeout(now int64) int64 {
 	timeout := min(request.sendDeadline(), request.Deadline-request.class.minResponseTime()) - now
-	if request.class.idempotency != keyed {
+	if request.class.Idempotency != Keyed {
 		return timeout
 	}
 	for _, before := range request.attempts {
 		if before.mayHaveRun() { // the server drops repetitions for so long, late links or not
-			timeout = min(timeout, before.sentAt+request.class.keyWindow-now)
+			timeout = min(timeout, before.sentAt+request.class.KeyWindow-now)
 		}
 	}
 	return timeout
@@ -107,7 +107,7 @@
 
 // holdUntil is until when a request that finds no place is held.
 func (request *Request) holdUntil() int64 {
-	return max(request.arrivedAt, request.exhaustedAt) + request.class.objective/holdShare
+	return max(request.arrivedAt, request.exhaustedAt) + request.class.LatencyObjective/holdShare
 }
 
 // lastAttempt is the last attempt of a request, nil before the first.
--- a/control/retries.go
+++ b/control/retries.go
@@ -39,7 +39,7 @@
 	last := request.lastAttempt()
 	switch {
 	case last == nil:
-		r.retries.deposit(retryTokensPerRequest * request.class.weight / r.maxWeight())
+		r.retries.deposit(retryTokensPerRequest * request.class.PriorityWeight / r.maxWeight())
 		return true
 	case last.result == LocalError:
 		return true // it took no load to anybody
@@ -55,23 +55,23 @@
 	case NotHeld, SendInterrupted, ConnectionLost:
 		return true
 	}
-	return attempt.sourceRefused && r.settings.originUnlimited
+	return attempt.sourceRefused && r.settings.OriginUnlimited
 }
 
 // mayRetry tells whether a further attempt is allowed, by number and weight, and does no harm: rule 2.
 func (r *Router) mayRetry(now int64, request *Request) bool {
-	allowed := min(r.settings.maxAttempts, leastAllowedAttempts+int(attemptsByWeight*request.class.weight/r.maxWeight()))
+	allowed := min(r.settings.MaxAttempts, leastAllowedAttempts+int(attemptsByWeight*request.class.PriorityWeight/r.maxWeight()))
 	return !request.NoNewAttempts && request.attemptCount() < allowed && request.canBeAnswered(now) && request.mayRunAgain(now)
 }
 
 // mayRunAgain tells whether a request takes effect once, however often it is sent: since it is idempotent, since its server drops
 // repetitions still, or since no attempt has run.
 func (request *Request) mayRunAgain(now int64) bool {
-	if request.class.idempotency == idempotent {
+	if request.class.Idempotency == Idempotent {
 		return true
 	}
 	for _, attempt := range request.attempts {
-		deduplicated := request.class.idempotency == keyed && now < attempt.sentAt+request.class.keyWindow
+		deduplicated := request.class.Idempotency == Keyed && now < attempt.sentAt+request.class.KeyWindow
 		if attempt.mayHaveRun() && !deduplicated {
 			return false
 		}
@@ -81,19 +81,19 @@
 
 // withinKeyScope tells whether a keyed request that may have run can be repeated at an endpoint.
 func (request *Request) withinKeyScope(endpoint *endpointState) bool {
-	if request.class.idempotency != keyed {
+	if request.class.Idempotency != Keyed {
 		return true
 	}
 	for _, attempt := range request.attempts {
 		if !attempt.mayHaveRun() {
 			continue
 		}
-		switch request.class.keyScope {
-		case scopeZone:
+		switch request.class.KeyScope {
+		case ScopeZone:
 			if attempt.cache.Location != endpoint.Location {
 				return false
 			}
-		case scopeCell:
+		case ScopeCell:
 			if attempt.cache.Cell != endpoint.Cell {
 				return false
 			}
@@ -118,11 +118,11 @@
 	}
 	switch {
 	case !r.mayRetry(now, request):
-	case r.settings.hedging:
+	case r.settings.Hedging:
 		if cache, source := r.selectEndpoints(now, request); cache != nil && r.takeRetryToken(request) {
 			return r.send(now, request, cache, source)
 		}
-	case request.class.idempotency == idempotent && r.settings.cancel:
+	case request.class.Idempotency == Idempotent && r.settings.CancelAttempts:
 		return waiting
 	}
 	return Decision{}
@@ -130,7 +130,7 @@
 
 // hedgeDue tells whether an attempt may have lost its answer, as some do of late, and a second can be in time.
 func (r *Router) hedgeDue(now int64, request *Request, attempt *attemptState) bool {
-	return r.retries.lostResponses.at(now) > lostResponseThreshold && r.settings.hedging &&
+	return r.retries.lostResponses.at(now) > lostResponseThreshold && r.settings.Hedging &&
 		attempt.cache.isHealthy() && attempt.source.isHealthy() &&
 		float64(now-attempt.sentAt) > hedgeDelayShare*float64(r.objectiveFor(request, 0))
 }
@@ -144,21 +144,21 @@
 func (r *Router) goesToOrigin(now int64, request *Request, cache *endpointState) bool {
 	last := request.lastAttempt()
 	return last != nil && last.source == nil && r.origin != nil && cache != nil && !request.sourceMissed &&
-		r.retries.sourceRefusals.at(now) > sourceRefusalThreshold && !r.admits(now, request, cache) && r.settings.originUnlimited
+		r.retries.sourceRefusals.at(now) > sourceRefusalThreshold && !r.admits(now, request, cache) && r.settings.OriginUnlimited
 }
 
 // rejectOrFail ends a request at once: rejected where the client may safely try again, else failed.
 func (r *Router) rejectOrFail(now int64, request *Request) Decision {
 	request.ended, request.record.gaveUpAt = true, now
 	class := request.class
-	safeAnywhere := class.idempotency == idempotent || class.idempotency == keyed && class.keyScope == scopeAll
+	safeAnywhere := class.Idempotency == Idempotent || class.Idempotency == Keyed && class.KeyScope == ScopeAll
 	switch {
 	case !safeAnywhere && request.anyMayHaveRun():
 		return Decision{Verdict: Fail}
-	case !r.settings.retryAfter:
+	case !r.settings.RetryAfter:
 		return Decision{Verdict: Reject}
 	}
 	// Soon enough to be in time, and spread: those turned away together must not come back together.
-	wait := int64(retryAfterShare * (1 + r.random()) * float64(class.objective))
-	return Decision{Verdict: Reject, RetryAfter: min(wait, r.settings.maxRetryAfter)}
+	wait := int64(retryAfterShare * (1 + r.random()) * float64(class.LatencyObjective))
+	return Decision{Verdict: Reject, RetryAfter: min(wait, r.settings.MaxRetryAfter)}
 }
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -13,7 +13,7 @@
 		want uint32 // the second source; 0 is none
 	}{{6, 0, 5}, {7, 0, 5}, {9, 0, 0}, {6, 2, 0}} {
 		t.Run(fmt.Sprint("note ", c.note, ", the origin falls at ", c.fall), func(t *testing.T) {
-			r, request := newRouter(t, Settings{"origin.fallFactor": c.fall}), ask("harmless", "a")
+			r, request := newRouter(t, func(s *Settings) { s.OriginUnlimited = c.fall == 0 }), ask("harmless", "a")
 			r.Decide(start, request)
 			r.retries.tokens = 0
 			decision := r.AttemptEnded(start, request, Outcome{Result: Overloaded, Note: c.note})
@@ -88,14 +88,14 @@
 		name    string
 		missing int
 		waited  int64 // in tenths of the due time
-		change  Settings
+		change  func(*Settings)
 		want    Verdict
 	}{
 		{"answers go missing", 2, 7, nil, Send},
 		{"none has", 0, 7, nil, Wait},
 		{"not yet overdue", 2, 5, nil, Wait},
 		{"much is late: a jam would feed on it", 60, 7, nil, Wait},
-		{"two together are not allowed", 2, 7, Settings{"dispatches.together": false}, Wait},
+		{"two together are not allowed", 2, 7, func(s *Settings) { s.Hedging = false }, Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, now := newRouter(t, c.change), start
@@ -129,19 +129,19 @@
 	elsewhere := &endpointState{Endpoint: Endpoint{Location: "there", Cell: 3}}
 	for _, c := range []struct {
 		name        string
-		idempotency idempotency
-		scope       string
+		idempotency Idempotency
+		scope       KeyScope
 		attempt     *attemptState
 		want        [3]bool // in the cell, in the zone, elsewhere
 	}{
-		{"cell", keyed, scopeCell, ran, [3]bool{true, false, false}},
-		{"zone", keyed, scopeZone, ran, [3]bool{true, true, false}},
-		{"all", keyed, scopeAll, ran, [3]bool{true, true, true}},
-		{"did not run", keyed, scopeCell, didNotRun, [3]bool{true, true, true}},
-		{"idempotent", idempotent, scopeCell, ran, [3]bool{true, true, true}},
+		{"cell", Keyed, ScopeCell, ran, [3]bool{true, false, false}},
+		{"zone", Keyed, ScopeZone, ran, [3]bool{true, true, false}},
+		{"all", Keyed, ScopeAll, ran, [3]bool{true, true, true}},
+		{"did not run", Keyed, ScopeCell, didNotRun, [3]bool{true, true, true}},
+		{"idempotent", Idempotent, ScopeCell, ran, [3]bool{true, true, true}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			class := &classState{classTerms: classTerms{idempotency: c.idempotency, keyScope: c.scope}}
+			class := &classState{ClassSettings: ClassSettings{Idempotency: c.idempotency, KeyScope: c.scope}}
 			request := &Request{requestState: requestState{class: class, attempts: []*attemptState{c.attempt}}}
 			got := [3]bool{request.withinKeyScope(sameCell), request.withinKeyScope(sameZone), request.withinKeyScope(elsewhere)}
 			if got != c.want {
@@ -153,7 +153,7 @@
 
 // Without the setting, a rejection carries no Retry-After.
 func TestRejectionWithoutRetryAfter(t *testing.T) {
-	r := newRouter(t, Settings{"advice": false})
+	r := newRouter(t, func(s *Settings) { s.RetryAfter = false })
 	request := ask("harmless", "a")
 	r.Decide(start, request)
 	request.ended = false
--- a/control/selection.go
+++ b/control/selection.go
@@ -36,7 +36,7 @@
 // isEligible tells whether an endpoint may be asked at all: by its slow start, the key's scope and its links.
 func (r *Router) isEligible(now int64, request *Request, endpoint *endpointState) bool {
 	return r.slowStartAdmits(now, endpoint, request.class.sendingTime) &&
-		(endpoint.Location != r.settings.location || request.withinKeyScope(endpoint)) &&
+		(endpoint.Location != r.settings.Location || request.withinKeyScope(endpoint)) &&
 		(r.Reachable == nil || r.Reachable(endpoint.ID))
 }
 
@@ -46,8 +46,8 @@
 	if now < endpoint.nextProbeAt || endpoint.probing || len(request.attempts) > 0 {
 		return false
 	}
-	if endpoint.Location == r.settings.location {
-		return !r.settings.probes
+	if endpoint.Location == r.settings.Location {
+		return !r.settings.HealthChecks
 	}
 	return request.record.likelyHeldUntil <= now // a hit would not ask it
 }
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -7,7 +7,7 @@
 
 func TestParentsAndSpread(t *testing.T) {
 	t.Run("an object's fills meet at one parent from all locations", func(t *testing.T) {
-		a, b := newRouter(t, nil), newRouter(t, Settings{"location": "there"})
+		a, b := newRouter(t, nil), newRouter(t, func(s *Settings) { s.Location = "there" })
 		for i := range 20 {
 			name := fmt.Sprint(i)
 			one, other := ask("harmless", name), ask("harmless", name)
--- a/control/settings.go
+++ b/control/settings.go
@@ -1,204 +1,140 @@
 package control
 
-import (
-	"errors"
-	"fmt"
-	"slices"
-)
-
-// Settings is what a router is told when it starts: names to plain values. Times are int64 nanoseconds,
-// shares and factors float64, counts int64, switches bool, names string; lists by class or location are
-// slices of these.
-type Settings map[string]any
-
-// SettingError is a setting that New can't go by.
-type SettingError struct {
-	Key    string
-	Value  any // nil where it is missing
-	Reason string
+import "slices"
+
+// Settings describe the deployment that a router belongs to, and what the router may do. They do not change while
+// it runs. Code that fills them in without DecodeSettings starts from DefaultSettings, since some zero values are
+// out of range.
+type Settings struct {
+	Location        string  // of this router; the endpoints there are its caches
+	Routers         int     // in all locations, this one among them; below 1 counts as 1
+	LocationRouters int     // of this location, this one among them; 0: not known
+	ParentKind      *string // machine type of the parents; nil: there are none
+	OriginKind      *string // machine type of the origin; nil: there is none
+
+	Weights           WeightMeaning
+	LoadReportFields  []string // names of the figures in endpoints' load reports, in their order
+	PollEndpointList  bool     // the endpoint list changes only after a subscription; used by the simulator
+	OriginUnlimited   bool     // the origin does not fall over, whatever its load
+	ClientKBPerSecond float64  // at which one client receives a response; at least 1
+
+	ResponseBytesPerSecond float64 // at which an endpoint sends one response; 0: not known
+	Classes                []ClassSettings
+	LongestDeadline        int64 // ns; the longest time from arrival to deadline of any class
+	AnswerGrace            int64 // ns; how long after its deadline a request is still answered, as failed
+	MaxInFlight            int   // requests; above 0
+
+	HealthChecks   bool  // health checks may be sent
+	JoinFills      bool  // an attempt may wait for a fill of its object that is under way
+	Hedging        bool  // two attempts of a request may be in flight
+	CancelAttempts bool  // attempts that were sent can be cancelled
+	MaxAttempts    int   // of one request
+	RetryAfter     bool  // rejections carry Retry-After
+	MaxRetryAfter  int64 // ns; the longest Retry-After
+
+	PurgeDuration int64 // ns; for how long caches and parents may still hold what was purged
+	PurgeGrace    int64 // ns; within which a purge has to be obeyed; 0 and below: not known
+	DrainGrace    int64 // ns; within which nothing new is sent to a draining endpoint; 0 and below: not known
+
+	ConnectTimeout          int64 // ns; for a connection to an endpoint
+	IdleTimeout             int64 // ns; after which an endpoint closes a connection without requests
+	MaxStreamsPerConnection int   // requests in flight on one connection to an endpoint
+
+	CacheSlowStart  SlowStartSettings
+	ParentSlowStart SlowStartSettings
 }
 
-func (e *SettingError) Error() string {
-	if e.Value == nil {
-		return fmt.Sprintf("setting %s %s", e.Key, e.Reason)
-	}
-	return fmt.Sprintf("setting %s %s: %#v", e.Key, e.Reason, e.Value)
+// ClassSettings is what the settings say of one class of requests.
+type ClassSettings struct {
+	Name             string
+	LatencyObjective int64   // ns; within which a response is in time, without the time for sending it
+	ObjectiveStretch float64 // ns by which the objective is longer for each ns of sending time
+	FreshDuration    int64   // ns; for how long a cache entry may be served without revalidation; 0: without bound
+	PriorityWeight   float64 // what serving a request is worth beside one of another class
+	Idempotency      Idempotency
+	KeyScope         KeyScope // of idempotency keys; it matters to Keyed classes alone
+	KeyWindow        int64    // ns; for how long a server drops repetitions of an idempotency key
+	Uncacheable      bool     // no cache stores a response
 }
 
-// requiredSettings are those without which no decision can be made.
-var requiredSettings = []string{
-	"product.names", "product.due", "product.hardStop", "product.payoff", "product.effect", "location",
-	"kinds", "routers",
+// SlowStartSettings describe the load that an endpoint bears after its start, while it is warming up.
+type SlowStartSettings struct {
+	Share          float64 // of its capacity, at its start; it grows linearly to all of it while it warms up
+	Factor         float64 // multiple of its capacity at which it falls over
+	Window         int64   // ns; over which the load is measured that makes it fall over
+	WarmUpDuration int64   // ns; 0: it is warm from the start
 }
 
+// Idempotency is whether a request may be sent again once it may have taken effect.
+type Idempotency int
+
+// The classes' idempotency.
 const (
-	defaultMaxAttempts   = 3
-	defaultPurgeDuration = 10 * second // ns
-	defaultColdWindow    = second      // ns
-	minClientKBPerSecond = 1
-	noKind               = "none" // of endpoints: none has it
+	NonIdempotent Idempotency = iota // never
+	Keyed                            // within the window and scope of its idempotency key
+	Idempotent                       // always
 )
 
-// settings are the Settings that decisions go by, decoded and checked.
-type settings struct {
-	location        string
-	locationRouters float64 // that share the location's caches, this one among them
-	routers         float64 // that share the parents, this one among them
-
-	parentKind, originKind string // of endpoints
-	capacitiesTold         bool   // weights are capacities
-	liveWeights            bool   // weights follow the load
-	inFlightField          int    // index in load reports of the requests in flight; -1: they don't tell
-	clientKBPerSecond      float64
-	originUnlimited        bool // the origin never falls over, whatever it is asked for
-
-	probes    bool // health checks may be sent
-	joinFills bool // a fill under way is waited for
-	hedging   bool // two attempts of a request may be in flight
-	cancel    bool // attempts can be called off
-
-	retryAfter    bool  // rejections carry Retry-After
-	maxRetryAfter int64 // ns
-	maxAttempts   int   // of one request
-	purgeDuration int64 // ns; for how long caches and parents may still hold what was purged
-
-	cacheSlowStart, parentSlowStart slowStartTerms
-	classes                         []classTerms
-}
+// KeyScope names the servers among which repetitions of an idempotency key are dropped. Any value but ScopeZone
+// and ScopeCell stands for all servers.
+type KeyScope string
 
-// settingsDecoder reads settings by their key and keeps what is wrong with them.
-type settingsDecoder struct {
-	raw  Settings
-	errs []error
-}
+// The scopes of idempotency keys.
+const (
+	ScopeAll  KeyScope = "all"  // all servers
+	ScopeZone KeyScope = "zone" // those of one location
+	ScopeCell KeyScope = "cell" // those of one cell
+)
 
-// fail notes that a setting can't be gone by, once for each reason.
-func (d *settingsDecoder) fail(key, reason string) {
-	same := func(err error) bool {
-		var other *SettingError
-		return errors.As(err, &other) && other.Key == key && other.Reason == reason
-	}
-	if !slices.ContainsFunc(d.errs, same) {
-		d.errs = append(d.errs, &SettingError{Key: key, Value: d.raw[key], Reason: reason})
-	}
-}
+// WeightMeaning is what the weights in the endpoint list stand for.
+type WeightMeaning int
 
-// setting reads one, or the fallback where it is absent.
-func setting[T any](d *settingsDecoder, key string, fallback T) T {
-	raw, present := d.raw[key]
-	if !present || raw == nil {
-		return fallback
-	}
-	value, ok := raw.(T)
-	if !ok {
-		d.fail(key, fmt.Sprintf("is no %T", fallback))
-		return fallback
-	}
-	return value
-}
+// The meanings of weights.
+const (
+	CapacityWeights WeightMeaning = iota // responses that an endpoint can send at once, each at a client's full pace
+	LoadWeights                          // they change with the load; capacities are measured
+	NoWeights                            // nothing; capacities are measured
+)
 
-// element reads one place of a list, or the fallback where the list has none.
-func element[T any](d *settingsDecoder, key string, place int, fallback T) T {
-	list := setting[[]T](d, key, nil)
-	if place < 0 || place >= len(list) {
-		return fallback
-	}
-	return list[place]
-}
+const (
+	noKind         = "none"   // in place of a machine type that the settings do not name
+	reportInFlight = "inHand" // field of load reports: the requests in flight at the endpoint
+)
 
-// decodeSettings checks the settings and gives those that decisions go by. The error joins a SettingError for each that is missing,
-// of a wrong type, or contradicts another.
-func decodeSettings(raw Settings) (settings, error) {
-	d := &settingsDecoder{raw: raw}
-	for _, key := range requiredSettings {
-		if raw[key] == nil {
-			d.fail(key, "is missing")
-		}
-	}
-	weights := setting(d, "units", "nominal")
-	set := settings{
-		location:          setting(d, "location", ""),
-		routers:           float64(max(1, setting(d, "routers", int64(1)))),
-		parentKind:        decodeKind(d, "kind.parent"),
-		originKind:        decodeKind(d, "kind.origin"),
-		capacitiesTold:    weights != "off" && weights != "live",
-		liveWeights:       weights == "live",
-		inFlightField:     slices.Index(setting[[]string](d, "report.fields", nil), reportInFlight),
-		clientKBPerSecond: max(setting(d, "clientKBPerS", 1.), minClientKBPerSecond),
-		originUnlimited:   setting(d, "origin.fallFactor", 0.) == 0,
-		probes:            setting(d, "probe", false),
-		joinFills:         setting(d, "joins", false),
-		hedging:           setting(d, "dispatches.together", false),
-		cancel:            setting(d, "cancel", false),
-		retryAfter:        setting(d, "advice", false),
-		maxRetryAfter:     setting(d, "advice.most", int64(0)),
-		maxAttempts:       int(setting(d, "dispatches.most", int64(defaultMaxAttempts))),
-		purgeDuration:     setting(d, "purge.takes", defaultPurgeDuration),
-		classes:           decodeClasses(d),
+// DefaultSettings returns the values of absent settings. They have no classes, so that every request fails.
+func DefaultSettings() Settings {
+	slowStart := SlowStartSettings{Share: 1, Factor: 1, Window: second}
+	return Settings{
+		Routers:                 1,
+		OriginUnlimited:         true,
+		ClientKBPerSecond:       minClientKBPerSecond,
+		MaxInFlight:             1 << 14,
+		MaxAttempts:             3,
+		PurgeDuration:           10 * second,
+		ConnectTimeout:          second,
+		IdleTimeout:             30 * second,
+		MaxStreamsPerConnection: 1,
+		CacheSlowStart:          slowStart,
+		ParentSlowStart:         slowStart,
 	}
-	place := slices.Index(setting[[]string](d, "locations", nil), set.location)
-	set.locationRouters = float64(max(1, element(d, "location.routers", place, int64(1))))
-	set.decodeSlowStart(d)
-	return set, errors.Join(d.errs...)
 }
 
-// decodeKind reads a kind of endpoints, which is told by its place in the list of kinds; below 0 is none.
-func decodeKind(d *settingsDecoder, key string) string {
-	place := int(setting(d, key, int64(-1)))
-	if count := len(setting[[]string](d, "kinds", nil)); place >= count && count > 0 {
-		d.fail(key, fmt.Sprintf("is no place in the %d kinds", count))
-	}
-	return element(d, "kinds", place, noKind)
-}
+// cacheSharers is how many routers share the location's caches; one where the number is not known.
+func (s *Settings) cacheSharers() float64 { return float64(max(1, s.LocationRouters)) }
 
-// decodeSlowStart reads what caches and parents bear after their start.
-func (set *settings) decodeSlowStart(d *settingsDecoder) {
-	set.cacheSlowStart = slowStartTerms{
-		share:    setting(d, "cold.share", 1.),
-		multiple: setting(d, "cold.factor", 1.),
-		span:     setting(d, "cold.span", int64(0)),
-		window:   setting(d, "cold.window", defaultColdWindow),
-		routers:  int(set.locationRouters),
-	}
-	set.parentSlowStart = slowStartTerms{
-		share:    setting(d, "parent.coldShare", 1.),
-		multiple: setting(d, "parent.coldFactor", set.cacheSlowStart.multiple),
-		span:     setting(d, "parent.coldSpan", int64(0)),
-		window:   set.cacheSlowStart.window,
-		routers:  int(set.routers),
-	}
-}
+// parentSharers is how many routers share the parents.
+func (s *Settings) parentSharers() float64 { return float64(max(1, s.Routers)) }
 
-// decodeClasses reads the classes, each from its place in several lists.
-func decodeClasses(d *settingsDecoder) []classTerms {
-	names := setting[[]string](d, "product.names", nil)
-	classes := make([]classTerms, len(names))
-	for i, name := range names {
-		if slices.Contains(names[:i], name) {
-			d.fail("product.names", fmt.Sprintf("has %q twice", name))
-		}
-		classes[i] = classTerms{
-			name:             name,
-			objective:        element(d, "product.due", i, second),
-			objectiveStretch: element(d, "product.dueStretch", i, 0.),
-			freshDuration:    element(d, "product.fresh", i, int64(0)),
-			weight:           element(d, "product.payoff", i, 1.),
-			idempotency:      decodeIdempotency(element(d, "product.effect", i, "")),
-			keyScope:         element(d, "product.scope", i, scopeCell),
-			keyWindow:        element(d, "product.window", i, int64(0)),
-			uncacheable:      element(d, "product.neverKept", i, false),
-		}
-	}
-	return classes
-}
+func (s *Settings) parentKind() string { return kindName(s.ParentKind) }
+
+func (s *Settings) originKind() string { return kindName(s.OriginKind) }
 
-// decodeIdempotency reads an effect; one that isn't known is taken for the worst.
-func decodeIdempotency(effect string) idempotency {
-	switch effect {
-	case "harmless":
-		return idempotent
-	case "stamped":
-		return keyed
+func kindName(kind *string) string {
+	if kind == nil {
+		return noKind
 	}
-	return nonIdempotent
+	return *kind
 }
+
+// inFlightField is the index in load reports of the requests in flight at an endpoint, -1 if reports lack them.
+func (s *Settings) inFlightField() int { return slices.Index(s.LoadReportFields, reportInFlight) }
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -38,26 +38,25 @@
 	return min(n+3*math.Sqrt(n)+3, large(largeMultiple))
 }
 
-// slowStartTerms is what the settings say of the slow start of one endpoint.
+// slowStartTerms is the slow start of one endpoint.
 type slowStartTerms struct {
-	share, multiple float64 // of the capacity at the start; of the capacity that it bears
-	span, window    int64   // ns; until it is warm; that the rule counts over
-	routers         int     // that share the endpoint
+	SlowStartSettings
+	routers int // that share the endpoint
 }
 
 // slowStartTerms are those of a cache or a parent.
 func (r *Router) slowStartTerms(endpoint *endpointState) slowStartTerms {
-	if endpoint.Location == r.settings.location {
-		return r.settings.cacheSlowStart
+	if endpoint.Location == r.settings.Location {
+		return slowStartTerms{r.settings.CacheSlowStart, int(r.settings.cacheSharers())}
 	}
-	return r.settings.parentSlowStart
+	return slowStartTerms{r.settings.ParentSlowStart, int(r.settings.parentSharers())}
 }
 
 // bears is the work, in seconds of sending time, that an endpoint of such a warm capacity bears within the window,
 // so long after its start.
 func (s slowStartTerms) bears(capacity float64, since int64) float64 {
-	warm := s.share + (1-s.share)*float64(max(0, since))/float64(s.span)
-	return s.multiple * capacity * warm * float64(s.window) / 1e9
+	warm := s.Share + (1-s.Share)*float64(max(0, since))/float64(s.WarmUpDuration)
+	return s.Factor * capacity * warm * float64(s.Window) / 1e9
 }
 
 // slowStartBudget is what one router keeps of the slow start of one endpoint.
@@ -185,9 +184,9 @@
 		return false
 	}
 	terms := r.slowStartTerms(endpoint)
-	endpoint.slowStart.forget(now - terms.window)
+	endpoint.slowStart.forget(now - terms.Window)
 	startedAt := r.slowStartSince(endpoint)
-	if now >= startedAt+terms.span {
+	if now >= startedAt+terms.WarmUpDuration {
 		return true
 	}
 	mean := r.meanWork(now, 0)
@@ -207,10 +206,10 @@
 	}
 	rate := tokens.rate(work, r.meanWork(now, whole))
 	budget := &endpoint.slowStart
-	if budget.collect(now, endpoint.slowStartFrom, terms.window, rate, func(now int64) float64 { return r.phase(now, endpoint) }) {
+	if budget.collect(now, endpoint.slowStartFrom, terms.Window, rate, func(now int64) float64 { return r.phase(now, endpoint) }) {
 		return true
 	}
-	budget.postpone(now, terms.window, rate, work)
+	budget.postpone(now, terms.Window, rate, work)
 	r.postponedUntil = max(r.postponedUntil, budget.retryAt)
 	return false
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -127,10 +127,7 @@
 
 func (s *recovering) router(t *testing.T, seed uint64, routers int, size float64) *Router {
 	t.Helper()
-	r, err := New(start, seed, site(Settings{"routers": int64(routers)}), func(logevent.Event) {})
-	if err != nil {
-		t.Fatal(err)
-	}
+	r := New(start, seed, site(func(s *Settings) { s.Routers = routers }), func(logevent.Event) {})
 	lines := slices.Clone(fleet)
 	lines[recoveringID-1].StartedAt, lines[recoveringID-1].Capacity = start, size
 	r.UpdateEndpoints(start, lines, true)
@@ -222,7 +219,7 @@
 
 // What is not a first attempt counts as well, by its class's mean, whatever the size of its object.
 func TestAttemptsOfAllKindsCount(t *testing.T) {
-	cold := func(t *testing.T, id uint32, change Settings) *Router {
+	cold := func(t *testing.T, id uint32, change func(*Settings)) *Router {
 		r := newRouter(t, change)
 		line := fleet[id-1]
 		line.StartedAt = start
@@ -273,7 +270,7 @@
 		wants(t, r, 3, 0.5)
 	})
 	t.Run("a probe", func(t *testing.T) {
-		r := cold(t, 1, Settings{"probe": true})
+		r := cold(t, 1, func(s *Settings) { s.HealthChecks = true })
 		endpoint := r.endpoints[1]
 		for n := range 20 { // until nothing is left for probes either
 			endpoint.ejected, endpoint.probing, endpoint.nextProbeAt = true, false, start
@@ -349,10 +346,7 @@
 			}
 			var all []sending
 			for n := range routers {
-				r, err := New(start, uint64(n), site(Settings{"routers": int64(routers)}), func(logevent.Event) {})
-				if err != nil {
-					t.Fatal(err)
-				}
+				r := New(start, uint64(n), site(func(s *Settings) { s.Routers = routers }), func(logevent.Event) {})
 				line := fleet[2]
 				line.StartedAt = start
 				r.UpdateEndpoints(start, append([]Endpoint{line}, fleet[3:]...), true)
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -8,16 +8,13 @@
 
 // What was learned is taken over: rates as they were, though time has passed; without rates only what was asked for at all.
 func TestSnapshot(t *testing.T) {
-	set := Settings{
+	set := decoded(RawSettings{
 		"product.names": []string{"stills"}, "product.due": []int64{4 * second / 10}, "product.hardStop": []int64{second},
 		"product.payoff": []float64{1}, "product.effect": []string{"harmless"}, "location": "here", "kinds": []string{"cache"},
 		"routers": int64(1),
-	}
+	})
 	make := func(at int64) *Router {
-		r, err := New(at, 7, set, func(logevent.Event) {})
-		if err != nil {
-			t.Fatal(err)
-		}
+		r := New(at, 7, set, func(logevent.Event) {})
 		r.UpdateEndpoints(at, []Endpoint{{ID: 1, Location: "here", Kind: "cache", Phase: "ready", Capacity: 4}}, true)
 		return r
 	}
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -7,18 +7,31 @@
 
 // writeSite has two classes: "read" is kept by caches, "write" runs at the origin and may not be repeated. Its parents lie in
 // the four hubs of a ring, its origin in the first.
-func writeSite(t *testing.T, change Settings) *Router {
+func writeSite(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
-	set := Settings{
-		"product.names": []string{"read", "write"}, "product.effect": []string{"harmless", "one-shot"},
-		"product.scope": []string{"all", "all"}, "product.window": []int64{0, 0}, "product.payoff": []float64{1, 1},
-		"product.due": []int64{second, 150 * millisecond}, "product.hardStop": []int64{5 * second, 300 * millisecond},
-		"product.fresh": []int64{8 * second, 0}, "product.neverKept": []bool{false, true},
-	}
-	for name, value := range change {
-		set[name] = value
-	}
-	r := newRouter(t, set)
+	r := newRouter(t, func(s *Settings) {
+		s.Classes = []ClassSettings{
+			{
+				Name:             "read",
+				LatencyObjective: second,
+				FreshDuration:    8 * second,
+				PriorityWeight:   1,
+				Idempotency:      Idempotent,
+				KeyScope:         ScopeAll,
+			},
+			{
+				Name:             "write",
+				LatencyObjective: 150 * millisecond,
+				PriorityWeight:   1,
+				Idempotency:      NonIdempotent,
+				KeyScope:         ScopeAll,
+				Uncacheable:      true,
+			},
+		}
+		if change != nil {
+			change(s)
+		}
+	})
 	r.UpdateEndpoints(start, ringFleet(), true)
 	return r
 }
@@ -92,7 +105,7 @@
 
 // The request's own mark counts as the class's does.
 func TestMarkedWritesGoToTheOrigin(t *testing.T) {
-	r := writeSite(t, Settings{"product.neverKept": []bool{false, false}})
+	r := writeSite(t, func(s *Settings) { s.Classes[1].Uncacheable = false })
 	for n := range 50 {
 		write := ask("read", fmt.Sprint("object", n))
 		write.Write = true
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads what the platform gives a router at its start: the environment variables LB_NAME, LB_LISTEN and LB_CONFIG, and
-// the JSON file that the last one names.
+// Package config reads what the platform gives a router at its start: the environment variables LB_NAME, LB_LISTEN
+// and LB_CONFIG, and the JSON file that the last one names.
 package config
 
 import (
@@ -23,16 +23,27 @@
 	Name             string
 	Listen           string // address for clients
 	DiscoveryAddress string
-	Seed             uint64  // of chance
-	Cores            float64 // that the router may use; 0 is not told, here and below
-	MemoryMB         int64
-	MaxSockets       int64
+	Seed             uint64          // of the random numbers
+	Cores            float64         // that the router may use; 0: not known
+	MemoryMB         int64           // that the router may use; 0: not known
+	MaxSockets       int64           // open at once; 0: not known
 	KnownEvents      json.RawMessage // the discovery service's watch events up to the start
 	Settings         control.Settings
+
+	// SettingsError is what is wrong with Settings, which have defaults in the places concerned. It keeps a router
+	// from starting, but not a running one from reloading: that takes only the discovery address over.
+	SettingsError error
+
+	// SettingsDigest identifies all settings, those that no router uses included. A snapshot stores it, since what
+	// was learned under other settings must not be restored.
+	SettingsDigest uint64
+
+	// rawSettings is what Settings was decoded from. RestartRequired compares it, since it holds all settings.
+	rawSettings control.RawSettings
 }
 
-// Load reads the configuration that LB_CONFIG names. LB_NAME and LB_LISTEN, where set, take precedence over the file. getenv returns an
-// environment variable, empty if it is not set.
+// Load reads the configuration that LB_CONFIG names. LB_NAME and LB_LISTEN, where set, take precedence over the
+// file. getenv returns an environment variable, empty if it is not set.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(pathVariable)
 	if path == "" {
@@ -49,7 +60,8 @@
 	return config, nil
 }
 
-// Reload loads the configuration anew for the router that runs with c. A configuration of another router is an *OtherRouterError.
+// Reload loads the configuration again for the router that runs with c. A configuration of another router is an
+// *OtherRouterError.
 func (c *Config) Reload(getenv func(string) string) (*Config, error) {
 	next, err := Load(func(variable string) string {
 		if variable == pathVariable {
@@ -75,7 +87,7 @@
 	if c.Cores != next.Cores || c.MemoryMB != next.MemoryMB || c.MaxSockets != next.MaxSockets {
 		changed = append(changed, "limits")
 	}
-	if !reflect.DeepEqual(c.Settings, next.Settings) {
+	if !reflect.DeepEqual(c.rawSettings, next.rawSettings) {
 		changed = append(changed, "settings")
 	}
 	return strings.Join(changed, ", ")
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"tealpath/control"
 	"testing"
 )
 
@@ -44,8 +45,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got.Name != "n3" || got.MemoryMB != 192 || got.Settings["answer.bytesPerS"] != 310000. || got.Settings["connect.within"] != int64(4e8) ||
-				got.Settings["product.effect"].([]string)[0] != "harmless" {
+			if got.Name != "n3" || got.MemoryMB != 192 || got.Settings.ResponseBytesPerSecond != 310000 ||
+				got.Settings.ConnectTimeout != 4e8 || got.Settings.Classes[0].Idempotency != control.Idempotent {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -57,6 +58,24 @@
 	})
 }
 
+// Settings that no router can start with are no error of the file: a running router still takes its discovery address.
+func TestSettingsError(t *testing.T) {
+	config, err := Parse([]byte(file), "", "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	const want = "setting location is missing\nsetting kinds is missing"
+	var settingError *control.SettingError
+	if !errors.As(config.SettingsError, &settingError) || config.SettingsError.Error() != want {
+		t.Errorf("%v, want %s", config.SettingsError, want)
+	}
+	whole := strings.Replace(file, `{"balancers":4`, `{"balancers":4,"locality":"here","machineTypes":["cache"]`, 1)
+	config, err = Parse([]byte(strings.Replace(whole, `"deadlineS":2.5`, `"onTimeS":1,"points":1,"deadlineS":2.5`, 1)), "", "")
+	if err != nil || config.SettingsError != nil {
+		t.Errorf("%v, %v", err, config.SettingsError)
+	}
+}
+
 func TestLoad(t *testing.T) {
 	for _, test := range []struct{ name, path, err string }{
 		{"not named", "", "LB_CONFIG is not set"},
@@ -129,10 +148,25 @@
 	if err != nil || running.RestartRequired(next) != "listen" {
 		t.Errorf("%+v, %v", next, err)
 	}
-	next.MemoryMB++
-	next.Settings["connect.within"] = int64(1)
-	if got := running.RestartRequired(next); got != "listen, limits, settings" {
-		t.Error(got)
+	for _, c := range []struct{ name, old, new, want string }{
+		{
+			"limits and a setting", `"memory_mb":192,"sockets":1024},"journal":"127.2.0.1:2379","flow_bytes_per_s":310000`,
+			`"memory_mb":193,"sockets":1024},"journal":"127.2.0.1:2379","flow_bytes_per_s":310001`, "listen, limits, settings",
+		},
+		{"a setting", `"dialTimeoutS":0.4`, `"dialTimeoutS":0.5`, "listen, settings"},
+		{"a setting that no router uses", `"balancers":4`, `"balancers":4,"selfIndex":2`, "listen, settings"},
+		{"a setting that nobody knows", `"novel":1`, `"novel":2`, "listen"},
+		{"settings that no router can start with", `"balancers":4,`, ``, "listen, settings"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if err := os.WriteFile(path, []byte(strings.Replace(file, c.old, c.new, 1)), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			next, err := running.Reload(getenv)
+			if err != nil || running.RestartRequired(next) != c.want {
+				t.Errorf("%+v, %v", next, err)
+			}
+		})
 	}
 	if _, err := running.Reload(func(string) string { return "" }); !errors.Is(err, ErrNoFile) {
 		t.Error(err)
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -1,6 +1,7 @@
 package config
 
-// setting says where a setting stands in the file, and under which name and of which kind the module is given it.
+// setting says where a setting stands in the file, of which kind it is, and under which key control.DecodeSettings
+// takes it.
 type setting struct {
 	group, key string // in the file; the group is an object or a list of objects, empty for the settings themselves
 	name       string
@@ -8,24 +9,24 @@
 }
 
 var settings = []setting{
-	{"", "balancers", "routers", whole},
-	{"", "selfIndex", "router.place", whole},
+	{"", "balancers", "routers", integer},
+	{"", "selfIndex", "router.place", integer},
 	{"", "locality", "location", text},
 	{"", "failureDomains", "locations", text},
 	{"", "machineTypes", "kinds", text},
 	{"", "discovery", "list.mode", text},
 	{"", "weights", "units", text},
 	{"", "worthBy", "payoff.by", text},
-	{"familyInfo", "zoneBalancers", "location.routers", whole},
-	{"familyInfo", "homeHub", "location.hub", whole},
+	{"familyInfo", "zoneBalancers", "location.routers", integer},
+	{"familyInfo", "homeHub", "location.hub", integer},
 	{"familyInfo", "feedKbPerS", "location.linkKBPerS", number},
 	{"familyInfo", "clientKbPerS", "clientKBPerS", number},
 	{"familyInfo", "direct", "direct", flag},
 	{"familyInfo", "joins", "joins", flag},
 	{"familyInfo", "neighbours", "neighbours", text},
 	{"familyInfo", "says", "notes", text},
-	{"familyInfo", "upperKind", "kind.parent", whole},
-	{"familyInfo", "rootKind", "kind.origin", whole},
+	{"familyInfo", "upperKind", "kind.parent", integer},
+	{"familyInfo", "rootKind", "kind.origin", integer},
 	{"familyInfo", "originFallMultiple", "origin.fallFactor", number},
 	{"familyInfo", "rootFallS", "origin.fallWindow", seconds},
 	{"familyInfo", "parentStartsAt", "parent.coldShare", number},
@@ -39,7 +40,7 @@
 	{"familyInfo", "staleEarns", "product.stalePayoff", number},
 	{"familyInfo", "inPieces", "product.parts", flag},
 	{"familyInfo", "neverKept", "product.neverKept", flag},
-	{"limits", "attemptsCap", "dispatches.most", whole},
+	{"limits", "attemptsCap", "dispatches.most", integer},
 	{"limits", "cancel", "cancel", flag},
 	{"limits", "secondCopies", "dispatches.together", flag},
 	{"limits", "mayProbe", "probe", flag},
@@ -47,8 +48,8 @@
 	{"limits", "maxRetryAfterS", "advice.most", seconds},
 	{"limits", "dialTimeoutS", "connect.within", seconds},
 	{"limits", "connIdleS", "connect.idle", seconds},
-	{"limits", "streamsPerConn", "connect.streams", whole},
-	{"limits", "maxOpen", "hands.most", whole},
+	{"limits", "streamsPerConn", "connect.streams", integer},
+	{"limits", "maxOpen", "hands.most", integer},
 	{"obligations", "askEveryS", "list.askWithin", seconds},
 	{"obligations", "coldFrom", "cold.share", number},
 	{"obligations", "warmUpS", "cold.span", seconds},
@@ -71,8 +72,8 @@
 	{"callers", "marksRetry", "client.marksRepeats", flag},
 }
 
-// words says in the module's terms what the wire says in its own. Names are never translated: a class that another customer
-// calls "backlog" was known as "queued", and each of its requests passed for a bad client's.
+// words translates the file's words into those of control.DecodeSettings. Names, such as those of classes, are never
+// translated, also where one is the same as such a word.
 var words = map[string]string{
 	"retryable": "harmless", "dedup": "stamped", "fragile": "one-shot",
 	"outstanding": "inHand", "utilization": "busy", "backlog": "queued", "recent_ms": "answerMs",
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -8,9 +8,11 @@
 	"net"
 	"strconv"
 	"tealpath/control"
+
+	"github.com/cespare/xxhash/v2"
 )
 
-// bytesPerSecondSetting is the name under which the module finds the file's flow_bytes_per_s.
+// bytesPerSecondSetting is the key under which control.DecodeSettings finds the file's flow_bytes_per_s.
 const bytesPerSecondSetting = "answer.bytesPerS"
 
 // fileContent is the form of the configuration file.
@@ -25,7 +27,8 @@
 	Known, Settings    json.RawMessage
 }
 
-// Parse decodes a configuration file. A name and an address for clients that are not empty take precedence over the file's.
+// Parse decodes a configuration file. A name and an address for clients that are not empty take precedence over the
+// file's.
 func Parse(raw []byte, name, listen string) (*Config, error) {
 	var parsed fileContent
 	if err := json.Unmarshal(raw, &parsed); err != nil {
@@ -55,10 +58,11 @@
 	if err != nil {
 		return nil, err
 	}
-	settings, err := f.settings()
+	rawSettings, err := f.rawSettings()
 	if err != nil {
 		return nil, err
 	}
+	settings, settingsError := control.DecodeSettings(rawSettings)
 	return &Config{
 		Name:             f.Name,
 		Listen:           f.Listen,
@@ -69,10 +73,14 @@
 		MaxSockets:       f.Limits.Sockets,
 		KnownEvents:      f.Known,
 		Settings:         settings,
+		SettingsError:    settingsError,
+		SettingsDigest:   settingsDigest(rawSettings),
+		rawSettings:      rawSettings,
 	}, nil
 }
 
-func (f *fileContent) settings() (control.Settings, error) {
+// rawSettings reads the settings, with the pace of responses that the file has beside them.
+func (f *fileContent) rawSettings() (control.RawSettings, error) {
 	if len(f.Settings) == 0 {
 		return nil, &MissingError{Field: "settings"}
 	}
@@ -86,6 +94,11 @@
 	return settings, nil
 }
 
+// settingsDigest hashes settings as fmt prints them: sorted by name. Stored snapshots hold the result.
+func settingsDigest(settings control.RawSettings) uint64 {
+	return xxhash.Sum64String(fmt.Sprint(settings))
+}
+
 func checkAddress(field, address string) error {
 	if address == "" {
 		return &MissingError{Field: field}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,29 +9,30 @@
 	"tealpath/control"
 )
 
-// kind is the form in which a setting arrives. Lists have elements of one kind.
+// kind is the form in which a setting stands in the file. Lists have elements of one kind.
 type kind int
 
 const (
-	seconds kind = iota // a number; the module is given ns, as int64
+	seconds kind = iota // a number, decoded as int64 nanoseconds
 	number              // float64
-	whole               // a number; the module is given an int64
+	integer             // a number, decoded as int64
 	flag                // bool
 	text                // string
-	word                // a string that the file has in words of its own, which are translated
+	word                // a string that is translated
 )
 
-// nanosecondsPerSecond is the module's unit of time.
+// nanosecondsPerSecond converts the file's unit of time to that of package control.
 const nanosecondsPerSecond = 1e9
 
-// ParseSettings decodes the settings that an instance is given at its start. Keys it does not know are skipped, absent ones are left
-// out. A setting that can't be used is a *SettingError.
-func ParseSettings(raw []byte) (control.Settings, error) {
+// ParseSettings reads the settings of a configuration file and returns them under the keys that
+// control.DecodeSettings takes. Unknown keys are skipped, absent ones are left out. A setting that can't be read is
+// a *SettingError.
+func ParseSettings(raw []byte) (control.RawSettings, error) {
 	var groups map[string]any
 	if err := json.Unmarshal(raw, &groups); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	decoded := control.Settings{}
+	decoded := control.RawSettings{}
 	for _, setting := range settings {
 		group := any(groups)
 		if setting.group != "" {
@@ -48,7 +49,7 @@
 	return decoded, nil
 }
 
-// decode finds a setting in its group, or gathers it from a group that is a list of objects. It is nil if it is absent.
+// decode finds a setting in its group, or collects it from a group that is a list of objects. It is nil if absent.
 func (s setting) decode(group any) (any, error) {
 	switch group := group.(type) {
 	case nil:
@@ -93,7 +94,7 @@
 		return int64(math.Round(duration * nanosecondsPerSecond)), err
 	case number:
 		return as[float64](value)
-	case whole:
+	case integer:
 		count, err := as[float64](value)
 		return int64(count), err
 	case flag:
@@ -116,7 +117,7 @@
 
 func (k kind) decodeList(values []any) (any, error) {
 	switch k {
-	case seconds, whole:
+	case seconds, integer:
 		return decodeElements[int64](k, values)
 	case number:
 		return decodeElements[float64](k, values)
@@ -126,7 +127,7 @@
 	return decodeElements[string](k, values)
 }
 
-// decodeElements decodes a list of one kind, whose elements are of type T for the module.
+// decodeElements decodes a list of one kind, whose elements are decoded as T.
 func decodeElements[T any](k kind, values []any) (any, error) {
 	decoded := make([]T, len(values))
 	for i, value := range values {
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -2,11 +2,11 @@
 
 import (
 	"fmt"
+	"strings"
 	"tealpath/control"
 	"testing"
 
 	"github.com/cespare/xxhash/v2"
-	"tealpath/internal/logevent"
 )
 
 // everySetting has each group of settings, and a value of each form.
@@ -38,11 +38,31 @@
 
 // Each setting has the form that the decisions take it in.
 func TestSettingsAreWhatDecisionsTake(t *testing.T) {
-	set, err := ParseSettings([]byte(everySetting))
+	raw, err := ParseSettings([]byte(everySetting))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := control.New(0, 1, set, func(logevent.Event) {}); err != nil {
+	if _, err := control.DecodeSettings(raw); err != nil {
 		t.Error(err)
 	}
 }
+
+// The digests are those that commit eeedb81 stored in snapshots.
+func TestSettingsDigest(t *testing.T) {
+	for _, c := range []struct {
+		name, content string
+		want          uint64
+	}{
+		{"a few settings", file, 0xe4f833b541764e13},
+		{"an unknown pace of responses", strings.Replace(file, `"flow_bytes_per_s":310000,`, "", 1), 0xfdeb61330dc015e7},
+		{"each group", `{"listen":"127.0.0.4:10080","journal":"127.2.0.1:2379","flow_bytes_per_s":310000,"settings":` +
+			everySetting + `}`, 0xf82c469b4c23d64e},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			config, err := Parse([]byte(c.content), "", "")
+			if err != nil || config.SettingsDigest != c.want {
+				t.Errorf("digest %#x, %v", config.SettingsDigest, err)
+			}
+		})
+	}
+}
--- a/internal/experiment/coldfleet.go
+++ b/internal/experiment/coldfleet.go
@@ -201,15 +201,32 @@
 	return &p.res.Seconds[min(int((p.now-1e18)/1e9), len(p.res.Seconds)-1)]
 }
 
-// settings are a deployment of one location in the module's names.
+// settings are a deployment of one location.
 func (f FleetCold) settings() control.Settings {
-	return control.Settings{"routers": int64(f.Bound), "location": "here", "locations": []string{"here"},
-		"location.routers": []int64{int64(f.Bound)}, "kinds": []string{"cache"}, "dispatches.most": int64(6),
-		"dispatches.together": true, "cancel": true, "advice": true, "advice.most": int64(5e8), "connect.within": int64(4e8),
-		"connect.idle": int64(30e9), "connect.streams": int64(100), "answer.grace": int64(8e6),
-		"product.names": []string{"stills"}, "product.due": []int64{4e8}, "product.hardStop": []int64{12e8},
-		"product.payoff": []float64{1}, "product.effect": []string{"harmless"}, "product.scope": []string{"all"},
-		"cold.share": .16, "cold.factor": 2.5, "cold.span": coldFor, "cold.window": int64(15e8), "hands.most": int64(1000)}
+	settings := control.DefaultSettings()
+	settings.Location = "here"
+	settings.Routers = f.Bound
+	settings.LocationRouters = max(1, f.Bound)
+	settings.MaxAttempts = 6
+	settings.Hedging = true
+	settings.CancelAttempts = true
+	settings.RetryAfter = true
+	settings.MaxRetryAfter = 5e8
+	settings.ConnectTimeout = 4e8
+	settings.MaxStreamsPerConnection = 100
+	settings.AnswerGrace = 8e6
+	settings.MaxInFlight = 1000
+	settings.LongestDeadline = 12e8
+	settings.Classes = []control.ClassSettings{{
+		Name:             "stills",
+		LatencyObjective: 4e8,
+		PriorityWeight:   1,
+		Idempotency:      control.Idempotent,
+		KeyScope:         control.ScopeAll,
+	}}
+	settings.CacheSlowStart = control.SlowStartSettings{Share: .16, Factor: 2.5, Window: 15e8, WarmUpDuration: coldFor}
+	settings.ParentSlowStart = control.SlowStartSettings{Share: 1, Factor: 2.5, Window: 15e8}
+	return settings
 }
 
 func (p *coldPlay) begin(x *coldRouter) {
@@ -219,10 +236,7 @@
 		limits.ConnectionPlan = connpool.New(connpool.Config{Router: fmt.Sprint("n", x.id), Seed: seed, Routers: p.Bound, MaxConnections: p.Holds,
 			MaxConnectRate: p.Opens})
 	}
-	var err error
-	if x.r, err = router.New(p.now, seed, p.settings(), limits); err != nil {
-		panic(err) // the settings are this file's
-	}
+	x.r = router.New(p.now, seed, p.settings(), limits)
 	holding := startup.ReadinessHold{}
 	if p.Hold > 0 {
 		holding = startup.ReadinessHold{CallRate: float64(p.Routers) / float64(p.Hold) * 1.25e9, MaxDuration: p.Hold}
--- a/internal/router/clock_test.go
+++ b/internal/router/clock_test.go
@@ -23,13 +23,8 @@
 		{"never where it may run once only", map[string]string{"verb": "permits"}, "send 1, aborted 1", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPlay(t, func(_ *Limits, s control.Settings) {
-				s["product.names"] = []string{"stills", "permits"}
-				s["product.due"] = []int64{4 * second / 10, 4 * second / 10}
-				s["product.hardStop"] = []int64{25 * second / 10, 25 * second / 10}
-				s["product.payoff"] = []float64{1, 1}
-				s["product.effect"] = []string{"harmless", "one-shot"}
-				s["product.scope"] = []string{"all", "all"}
+			p := newPlay(t, func(_ *Limits, s *control.Settings) {
+				s.Classes = append(s.Classes, permits())
 			})
 			p.take(PurgeReceived{Object: object, PurgedAt: p.now - ahead - 50*millisecond})
 			p.pass(second)
--- a/internal/router/endings_test.go
+++ b/internal/router/endings_test.go
@@ -11,15 +11,10 @@
 
 // What a test of endings plays on: two products, one of which may run once only, and one that is kept nowhere.
 func endings(t *testing.T) *play {
-	return newPlay(t, func(_ *Limits, s control.Settings) {
-		s["product.names"] = []string{"stills", "permits"}
-		s["product.due"] = []int64{4 * second / 10, 4 * second / 10}
-		s["product.hardStop"] = []int64{25 * second / 10, 25 * second / 10}
-		s["product.payoff"] = []float64{1, 1}
-		s["product.effect"] = []string{"harmless", "one-shot"}
-		s["product.scope"] = []string{"all", "all"}
-		s["product.fresh"] = []int64{8 * second, 0}
-		s["product.neverKept"] = []bool{false, true}
+	return newPlay(t, func(_ *Limits, s *control.Settings) {
+		uncacheable := permits()
+		uncacheable.Uncacheable = true
+		s.Classes = append(s.Classes, uncacheable)
 	})
 }
 
@@ -211,7 +206,7 @@
 // Of more caches than the router may have links, those that have one serve what belongs to the others.
 func TestMoreCachesThanLinks(t *testing.T) {
 	const caches, most, requests = 60, 8, 100
-	p := newPlay(t, func(l *Limits, _ control.Settings) { l.MaxConnections = most })
+	p := newPlay(t, func(l *Limits, _ *control.Settings) { l.MaxConnections = most })
 	list := EndpointListUpdated{Complete: true, Entries: slices.Clone(fleet[2:])}
 	for n := range caches {
 		list.Entries = append(list.Entries, EndpointEntry{fmt.Sprintf("s-%02d", n), fmt.Sprintf("10.0.1.%d:1", n),
--- a/internal/router/local_test.go
+++ b/internal/router/local_test.go
@@ -149,7 +149,7 @@
 // While this machine can open no connections, and the one that stands is full, attempts end at once. They are bounded: they were
 // made again without end, in one call.
 func TestAttemptsWithoutAConnectionAreBounded(t *testing.T) {
-	p := newPlay(t, func(_ *Limits, s control.Settings) { s["connect.streams"] = int64(1) })
+	p := newPlay(t, func(_ *Limits, s *control.Settings) { s.MaxStreamsPerConnection = 1 })
 	p.ask(1, nil)
 	p.up()
 	p.ask(2, map[string]string{"item": elsewhere(t)})
--- a/internal/router/members_test.go
+++ b/internal/router/members_test.go
@@ -69,15 +69,12 @@
 	displaced := 0
 	for n := 0; n < events; {
 		var set control.Settings
-		p := newPlay(t, func(l *Limits, s control.Settings) {
+		p := newPlay(t, func(l *Limits, s *control.Settings) {
 			l.ConnectionPlan = connpool.New(connpool.Config{Routers: 3, MaxConnections: 100, Router: "r"})
-			set = maps.Clone(s)
+			set = *s
 		})
-		set["probe"] = false
-		plainModule, err := control.New(start, 7, set, func(logevent.Event) {})
-		if err != nil {
-			t.Fatal(err)
-		}
+		set.HealthChecks = false
+		plainModule := control.New(start, 7, set, func(logevent.Event) {})
 		plainModule.Reachable = p.policy.Reachable
 		plain := plainList{}
 		plainModule.UpdateEndpoints(start, plain.take(EndpointListUpdated{Complete: true, Entries: slices.Clone(fleet)}), true)
@@ -135,14 +132,19 @@
 func BenchmarkListEvent(b *testing.B) {
 	for _, servers := range []int{12, 200, 800, 3200} {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
-			set := control.Settings{"routers": int64(2), "location": "here", "locations": []string{"hub", "here"},
-				"location.routers": []int64{0, 2}, "kinds": []string{"cache"}, "product.names": []string{"stills"},
-				"product.due": []int64{second}, "product.hardStop": []int64{second}, "product.payoff": []float64{1},
-				"product.effect": []string{"harmless"}}
-			r, err := New(start, 7, set, Limits{MaxConnections: 8, MaxInFlight: 100, MaxBodyBytes: 1 << 20})
-			if err != nil {
-				b.Fatal(err)
-			}
+			set := control.DefaultSettings()
+			set.Location = "here"
+			set.Routers = 2
+			set.LocationRouters = 2
+			set.LongestDeadline = second
+			set.Classes = []control.ClassSettings{{
+				Name:             "stills",
+				LatencyObjective: second,
+				PriorityWeight:   1,
+				Idempotency:      control.Idempotent,
+				KeyScope:         control.ScopeCell,
+			}}
+			r := New(start, 7, set, Limits{MaxConnections: 8, MaxInFlight: 100, MaxBodyBytes: 1 << 20})
 			var lines []EndpointEntry
 			for n := range servers {
 				lines = append(lines, EndpointEntry{fmt.Sprintf("s-%06d", n), fmt.Sprintf("10.0.%d.%d:1", n/200, n%200), control.Endpoint{
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -5,7 +5,6 @@
 
 import (
 	"fmt"
-	"maps"
 	"math"
 	"slices"
 	"strconv"
@@ -109,49 +108,37 @@
 }
 
 // New makes a reducer.
-func New(now int64, seed uint64, settings control.Settings, limits Limits) (*Router, error) {
+func New(now int64, seed uint64, settings control.Settings, limits Limits) *Router {
 	router := &Router{limits: limits, now: now, clients: map[ClientID]map[int32]*inFlightRequest{}, requestsByID: map[string]*inFlightRequest{},
 		endpoints: map[string]*endpoint{}, endpointsByID: map[uint32]*endpoint{}, connections: map[ConnectionID]*connection{},
 		index:          newEndpointIndex(),
-		connectTimeout: setting(settings, "connect.within", int64(1e9)), idleTimeout: setting(settings, "connect.idle", int64(30e9)),
-		answerGrace: setting(settings, "answer.grace", int64(0)), maxPerConnection: setting(settings, "connect.streams", int64(1)),
-		canCancel: setting(settings, "cancel", false), classes: setting(settings, "product.names", []string(nil)),
-		uncacheable:    setting(settings, "product.neverKept", []bool(nil)),
-		bytesPerSecond: setting(settings, "answer.bytesPerS", 0.)}
-	for _, effect := range setting(settings, "product.effect", []string(nil)) {
-		router.idempotent = append(router.idempotent, effect == "harmless")
-	}
-	for _, stop := range setting(settings, "product.hardStop", []int64(nil)) {
-		router.longestDeadline = max(router.longestDeadline, stop)
+		connectTimeout:   settings.ConnectTimeout,
+		idleTimeout:      settings.IdleTimeout,
+		answerGrace:      settings.AnswerGrace,
+		longestDeadline:  settings.LongestDeadline,
+		maxPerConnection: int64(settings.MaxStreamsPerConnection),
+		canCancel:        settings.CancelAttempts,
+		useProbes:        settings.HealthChecks,
+		bytesPerSecond:   settings.ResponseBytesPerSecond,
+		location:         settings.Location}
+	for _, class := range settings.Classes {
+		router.classes = append(router.classes, class.Name)
+		router.idempotent = append(router.idempotent, class.Idempotency == control.Idempotent)
+		router.uncacheable = append(router.uncacheable, class.Uncacheable)
+	}
+	for _, kind := range []*string{settings.ParentKind, settings.OriginKind} {
+		if kind != nil {
+			router.nonCacheKinds = append(router.nonCacheKinds, *kind)
+		}
 	}
 	// A sign of life tells nothing of how an endpoint serves: the policy tries ejected endpoints by attempts. What instances that
 	// share the duty of probing find comes beside that.
-	router.useProbes = setting(settings, "probe", false)
-	settings = maps.Clone(settings)
-	settings["probe"] = false
-	var err error
-	router.policy, err = control.New(now, seed, settings, router.log)
-	if err != nil {
-		return router, err
-	}
+	settings.HealthChecks = false
+	router.policy = control.New(now, seed, settings, router.log)
 	router.localBackoff = connpool.NewLocalBackoff(router.connectTimeout)
-	router.location = setting(settings, "location", "")
-	for _, name := range []string{"kind.parent", "kind.origin"} {
-		kinds := setting(settings, "kinds", []string(nil))
-		if i := setting(settings, name, int64(-1)); i >= 0 && i < int64(len(kinds)) {
-			router.nonCacheKinds = append(router.nonCacheKinds, kinds[i])
-		}
-	}
 	router.policy.Reachable = router.reachable
 	router.policy.ConnectionsExhausted = func() bool { return router.localBackoff.Active(router.now) }
-	return router, nil
-}
-
-func setting[T any](settings control.Settings, name string, fallback T) T {
-	if v, ok := settings[name].(T); ok {
-		return v
-	}
-	return fallback
+	return router
 }
 
 // Handle takes an event that came at a time and returns what is to be done, in order. The returned slice is
--- a/internal/router/router_test.go
+++ b/internal/router/router_test.go
@@ -36,24 +36,55 @@
 	asked []WithdrawAttempt // of the links' writers
 }
 
-func newPlay(t *testing.T, change func(*Limits, control.Settings)) *play {
+// testSettings are a location with caches, and a hub with parents and the origin.
+func testSettings() control.Settings {
+	parent, origin := "parent", "origin"
+	settings := control.DefaultSettings()
+	settings.Location = "here"
+	settings.Routers = 2
+	settings.LocationRouters = 2
+	settings.ParentKind, settings.OriginKind = &parent, &origin
+	settings.MaxAttempts = 6
+	settings.Hedging = true
+	settings.CancelAttempts = true
+	settings.RetryAfter = true
+	settings.MaxRetryAfter = second / 2
+	settings.ConnectTimeout = 4 * second / 10
+	settings.IdleTimeout = 30 * second
+	settings.MaxStreamsPerConnection = 100
+	settings.AnswerGrace = 8 * millisecond
+	settings.PurgeDuration = 6 * second
+	settings.LongestDeadline = 25 * second / 10
+	settings.Classes = []control.ClassSettings{{
+		Name:             "stills",
+		LatencyObjective: 4 * second / 10,
+		FreshDuration:    8 * second,
+		PriorityWeight:   1,
+		Idempotency:      control.Idempotent,
+		KeyScope:         control.ScopeAll,
+	}}
+	return settings
+}
+
+// permits is a class whose requests must not run twice.
+func permits() control.ClassSettings {
+	return control.ClassSettings{
+		Name:             "permits",
+		LatencyObjective: 4 * second / 10,
+		PriorityWeight:   1,
+		Idempotency:      control.NonIdempotent,
+		KeyScope:         control.ScopeAll,
+	}
+}
+
+func newPlay(t *testing.T, change func(*Limits, *control.Settings)) *play {
 	t.Helper()
-	set := control.Settings{"routers": int64(2), "location": "here", "locations": []string{"hub", "here"},
-		"location.routers": []int64{0, 2}, "kinds": []string{"cache", "parent", "origin"}, "kind.parent": int64(1),
-		"kind.origin": int64(2), "dispatches.most": int64(6), "dispatches.together": true, "cancel": true,
-		"advice": true, "advice.most": second / 2, "connect.within": 4 * second / 10, "connect.idle": 30 * second,
-		"connect.streams": int64(100), "answer.grace": 8 * millisecond, "product.names": []string{"stills"},
-		"product.due": []int64{4 * second / 10}, "product.hardStop": []int64{25 * second / 10},
-		"product.payoff": []float64{1}, "product.effect": []string{"harmless"}, "product.scope": []string{"all"},
-		"product.fresh": []int64{8 * second}, "purge.takes": 6 * second}
+	set := testSettings()
 	limits := Limits{MaxConnections: 8, MaxInFlight: 100, MaxBodyBytes: 1 << 20}
 	if change != nil {
-		change(&limits, set)
-	}
-	r, err := New(start, 7, set, limits)
-	if err != nil {
-		t.Fatal(err)
+		change(&limits, &set)
 	}
+	r := New(start, 7, set, limits)
 	p := &play{Router: r, t: t, now: start}
 	p.take(EndpointListUpdated{Complete: true, Entries: slices.Clone(fleet)})
 	p.seen = nil
@@ -329,10 +360,10 @@
 func TestLimits(t *testing.T) {
 	cases := []struct {
 		name   string
-		change func(*Limits, control.Settings)
+		change func(*Limits, *control.Settings)
 	}{
-		{"retrievals in hand", func(l *Limits, _ control.Settings) { l.MaxInFlight = 1 }},
-		{"bytes", func(l *Limits, _ control.Settings) { l.MaxBodyBytes = 1 }},
+		{"retrievals in hand", func(l *Limits, _ *control.Settings) { l.MaxInFlight = 1 }},
+		{"bytes", func(l *Limits, _ *control.Settings) { l.MaxBodyBytes = 1 }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -347,7 +378,7 @@
 		})
 	}
 	t.Run("links", func(t *testing.T) {
-		p := newPlay(t, func(l *Limits, _ control.Settings) { l.MaxConnections = 0 })
+		p := newPlay(t, func(l *Limits, _ *control.Settings) { l.MaxConnections = 0 })
 		p.ask(1, nil)
 		p.pass(second)
 		if len(p.links) > 0 || p.seen[len(p.seen)-1] != "dismissed 1" {
@@ -355,7 +386,7 @@
 		}
 	})
 	t.Run("streams", func(t *testing.T) {
-		p := newPlay(t, func(_ *Limits, s control.Settings) { s["connect.streams"] = int64(2) })
+		p := newPlay(t, func(_ *Limits, s *control.Settings) { s.MaxStreamsPerConnection = 2 })
 		for seq := range int32(3) {
 			p.ask(seq, nil)
 		}
@@ -420,7 +451,7 @@
 		unsent bool
 	}{{"with all written", false}, {"with nothing written", true}} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPlay(t, func(_ *Limits, s control.Settings) { s["dispatches.most"] = int64(1) })
+			p := newPlay(t, func(_ *Limits, s *control.Settings) { s.MaxAttempts = 1 })
 			for seq := range int32(20) {
 				p.ask(seq, map[string]string{"item": fmt.Sprintf("%016x", seq)})
 			}
@@ -494,8 +525,8 @@
 		blame bool
 	}{{"at 10 bytes a second", 10, false}, {"at an unknown pace", 0, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPlay(t, func(_ *Limits, s control.Settings) {
-				s["answer.bytesPerS"], s["product.dueStretch"] = c.flow, []float64{0.1}
+			p := newPlay(t, func(_ *Limits, s *control.Settings) {
+				s.ResponseBytesPerSecond, s.Classes[0].ObjectiveStretch = c.flow, 0.1
 			})
 			for seq := range int32(40) {
 				p.ask(seq, map[string]string{"item": fmt.Sprintf("%016x", seq)})
@@ -607,7 +638,7 @@
 // in an object's ranking.
 func TestPlannedLinks(t *testing.T) {
 	plan := connpool.New(connpool.Config{Router: "n", Seed: 7, Routers: 3, MaxConnections: 3, MaxConnectRate: 30})
-	p := newPlay(t, func(l *Limits, _ control.Settings) { l.ConnectionPlan = plan })
+	p := newPlay(t, func(l *Limits, _ *control.Settings) { l.ConnectionPlan = plan })
 	p.pass(second) // two caches are met ahead, the parent and the origin are not
 	if n := len(p.links); n != 2 {
 		t.Fatalf("%d links are dialled ahead: %v", n, p.seen)
--- a/internal/router/unwritten_test.go
+++ b/internal/router/unwritten_test.go
@@ -114,7 +114,7 @@
 		end  Event
 	}{{"cancelled", RequestCancelled{Client: 1, Seq: 1}}, {"reset", ClientDisconnected{Client: 1}}, {"closed", ClientHalfClosed{Client: 1}}} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPlay(t, func(_ *Limits, s control.Settings) { s["cancel"] = false })
+			p := newPlay(t, func(_ *Limits, s *control.Settings) { s.CancelAttempts = false })
 			p.ask(1, nil)
 			p.up()
 			p.take(c.end)
@@ -144,7 +144,7 @@
 // A second attempt that waits for its link while the first one is answered: it isn't sent once the link comes up, also where
 // the module calls nothing off.
 func TestSecondAttemptIsNotSentAfterTheAnswer(t *testing.T) {
-	p := newPlay(t, func(_ *Limits, s control.Settings) { s["cancel"] = false })
+	p := newPlay(t, func(_ *Limits, s *control.Settings) { s.CancelAttempts = false })
 	p.ask(1, nil)
 	p.up()
 	first := p.Router.connections[p.links[0]].endpoint
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -33,7 +33,8 @@
 					entry.StartedAt = clk.Now() + test.started
 				}
 				clk.Step(step)
-				node.setEndpoints([]router.EndpointEntry{entry}, control.Settings{"cold.span": warmUp})
+				settings := control.Settings{CacheSlowStart: control.SlowStartSettings{WarmUpDuration: warmUp}}
+				node.setEndpoints([]router.EndpointEntry{entry}, settings)
 				warmAt := (*node.targets.Load())[0].WarmAt
 				if test.want == math.MinInt64 {
 					if warmAt != 0 {
--- a/internal/server/clusternode.go
+++ b/internal/server/clusternode.go
@@ -96,14 +96,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("links to instances: %w", err)
 	}
-	fields, _ := config.settings["report.fields"].([]string)
 	node := &clusterNode{
 		operator:         config.operator,
 		reducer:          reducer,
 		clock:            config.clock,
 		emit:             config.emit,
 		probeResult:      config.probeResult,
-		loadReportFields: fields,
+		loadReportFields: config.settings.LoadReportFields,
 		inbox:            make(chan cluster.Event, maxClusterInbox),
 		leaseQueries:     make(chan chan cluster.Status),
 		memberQueries:    make(chan chan cluster.MembersStatus),
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -40,9 +40,6 @@
 	// defaultMemoryMB is counted on where no limit of the memory is configured, MiB.
 	defaultMemoryMB = 64
 
-	// defaultMaxInFlight bounds the requests in flight where the settings do not.
-	defaultMaxInFlight = 1 << 14
-
 	// maxOpenRequestsPerClient bounds the requests without a final answer on one client's connection.
 	maxOpenRequestsPerClient = 32
 )
@@ -61,15 +58,6 @@
 	return int(share * float64(cmp.Or(s.config.MemoryMB, defaultMemoryMB)<<20))
 }
 
-// maxInFlight bounds the requests in flight.
-func (s *Server) maxInFlight() int {
-	limit, ok := s.config.Settings["hands.most"].(int64)
-	if !ok || limit <= 0 {
-		return defaultMaxInFlight
-	}
-	return int(limit)
-}
-
 // clientConnections returns how many connections clients may hold, and how idle ones are kept; nil is as
 // the platform states it.
 func (s *Server) clientConnections() (int, *downstream.Keep) {
@@ -111,8 +99,7 @@
 // known.
 func (s *Server) shortestGrace() int64 {
 	shortest := int64(0)
-	for _, name := range []string{"drain.grace", "purge.grace"} {
-		grace, _ := s.config.Settings[name].(int64)
+	for _, grace := range []int64{s.config.Settings.DrainGrace, s.config.Settings.PurgeGrace} {
 		if grace > 0 && (shortest == 0 || grace < shortest) {
 			shortest = grace
 		}
@@ -122,12 +109,7 @@
 
 // longestDeadline is the longest time that a client may wait for its answer.
 func (s *Server) longestDeadline() time.Duration {
-	longest := time.Duration(0)
-	deadlines, _ := s.config.Settings["product.hardStop"].([]int64)
-	for _, deadline := range deadlines {
-		longest = max(longest, time.Duration(deadline))
-	}
-	return longest
+	return time.Duration(s.config.Settings.LongestDeadline)
 }
 
 // CheckOperatorConfig checks an operator's file against a configuration: the deployment's settings and the
@@ -141,9 +123,9 @@
 		MemoryBytes:         int64(s.memory(1)),
 	}
 	return errors.Join(
-		operator.ApplySettings(setting(c.Settings, "probe", false), cache, parent),
+		operator.ApplySettings(c.Settings.HealthChecks, cache, parent),
 		operator.CheckResources(bounds, s.maxClientSockets()),
-		operator.CheckReadinessHold(int(setting(c.Settings, "routers", int64(1)))),
+		operator.CheckReadinessHold(c.Settings.Routers),
 		operator.CheckConnections(routersHere(c.Settings)),
 	)
 }
--- a/internal/server/prepare.go
+++ b/internal/server/prepare.go
@@ -13,17 +13,17 @@
 // It returns what discovery goes on from.
 func (s *Server) prepare() (history discovery.Past, err error) {
 	s.limitRuntime()
+	if err := s.config.SettingsError; err != nil {
+		return history, fmt.Errorf("%w: settings: %w", ErrConfig, err)
+	}
 	now := s.clock.Now()
 	limits := router.Limits{
-		MaxInFlight:    s.maxInFlight(),
+		MaxInFlight:    s.config.Settings.MaxInFlight,
 		MaxBodyBytes:   s.memory(bodyMemoryShare),
 		MaxConnections: s.maxUpstreamSockets(),
 		ConnectionPlan: s.connectionPlan(),
 	}
-	s.router, err = router.New(now, s.config.Seed, s.config.Settings, limits)
-	if err != nil {
-		return history, fmt.Errorf("%w: settings: %w", ErrConfig, err)
-	}
+	s.router = router.New(now, s.config.Seed, s.config.Settings, limits)
 	s.progress = startup.NewProgress(now, startup.RateWindow, s.readinessHold())
 	history, known, err := discovery.Known(s.config.KnownEvents)
 	if err != nil {
--- a/internal/server/probetargets.go
+++ b/internal/server/probetargets.go
@@ -25,8 +25,8 @@
 // targetBuilder makes targets of probes from endpoints.
 type targetBuilder struct {
 	cache, parent           probe.ColdLimit
-	parentKind, originKind  string
-	serverTime, clusterTime int64 // this instant by the server's clock and by bootTime, ns
+	parentKind, originKind  *string // nil: there are none
+	serverTime, clusterTime int64   // this instant by the server's clock and by bootTime, ns
 }
 
 func newTargetBuilder(settings control.Settings, serverTime, clusterTime int64) targetBuilder {
@@ -34,8 +34,8 @@
 	return targetBuilder{
 		cache:       cache,
 		parent:      parent,
-		parentKind:  endpointKind(settings, "kind.parent"),
-		originKind:  endpointKind(settings, "kind.origin"),
+		parentKind:  settings.ParentKind,
+		originKind:  settings.OriginKind,
 		serverTime:  serverTime,
 		clusterTime: clusterTime,
 	}
@@ -44,8 +44,12 @@
 // isProbed tells whether an endpoint is probed: one that drains or is gone gets nothing new, and the origin
 // is not probed.
 func (b targetBuilder) isProbed(entry router.EndpointEntry) bool {
-	isOrigin := entry.Kind != "" && entry.Kind == b.originKind
-	return entry.Phase == "ready" && !isOrigin
+	return entry.Phase == "ready" && !isOfKind(entry, b.originKind)
+}
+
+// isOfKind tells whether an endpoint's kind is known to be a certain one.
+func isOfKind(entry router.EndpointEntry, kind *string) bool {
+	return kind != nil && entry.Kind != "" && entry.Kind == *kind
 }
 
 func (b targetBuilder) target(entry router.EndpointEntry) probe.Target {
@@ -53,7 +57,7 @@
 		Name:     entry.Instance,
 		Address:  entry.Address,
 		Capacity: entry.Capacity,
-		Parent:   entry.Kind != "" && entry.Kind == b.parentKind,
+		Parent:   isOfKind(entry, b.parentKind),
 	}
 	warmUp := b.cache.WarmUpDuration
 	if target.Parent {
--- a/internal/server/restore.go
+++ b/internal/server/restore.go
@@ -2,14 +2,11 @@
 
 import (
 	"errors"
-	"fmt"
 	"os"
 	"tealpath/internal/discovery"
 	"tealpath/internal/lifecycle/restore"
 	"tealpath/internal/snapshot"
 	"time"
-
-	"github.com/cespare/xxhash/v2"
 )
 
 // restore takes what a snapshot knows, as far as the rules let it, and begins to write snapshots.
@@ -33,7 +30,7 @@
 	header := restore.Header{
 		Version:        restore.FormatVersion,
 		Router:         s.config.Name,
-		SettingsDigest: xxhash.Sum64String(fmt.Sprint(s.config.Settings)),
+		SettingsDigest: s.config.SettingsDigest,
 	}
 	var read <-chan snapshotFile
 	s.snapshots, read = newSnapshotWriter(snapshotConfig{
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -58,10 +58,8 @@
 
 // startUpstream makes the connections to endpoints.
 func (s *Server) startUpstream(ctx context.Context, post func(router.Event)) {
-	fields, _ := s.config.Settings["report.fields"].([]string)
-	s.upstream = upstream.New(ctx, fields, post, upstream.WithClock(s.clock))
-	rate, _ := s.config.Settings["answer.bytesPerS"].(float64)
-	s.upstream.Pace(rate)
+	s.upstream = upstream.New(ctx, s.config.Settings.LoadReportFields, post, upstream.WithClock(s.clock))
+	s.upstream.Pace(s.config.Settings.ResponseBytesPerSecond)
 }
 
 // startDownstream makes the side of the clients' connections.
@@ -110,8 +108,7 @@
 
 // newWatch makes the watch on discovery, which goes on behind what is known.
 func (s *Server) newWatch(history discovery.Past, post func(router.Event)) *discovery.Feed {
-	routers, _ := s.config.Settings["routers"].(int64)
-	calls := startup.NewCallSchedule(s.config.Seed, int(routers), s.readinessHold())
+	calls := startup.NewCallSchedule(s.config.Seed, s.config.Settings.Routers, s.readinessHold())
 	calls.SetDrainGrace(s.shortestGrace())
 	return discovery.New(s.config.DiscoveryAddress, history, calls, post, s.logText, discovery.WithClock(s.clock))
 }
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -49,18 +49,19 @@
 	if err != nil {
 		return errSeed
 	}
-	told, err := config.ParseSettings([]byte(event.Fields[2]))
+	raw, err := config.ParseSettings([]byte(event.Fields[2]))
 	if err != nil {
 		return err
 	}
-	in := &instance{name: name, requests: map[string]*request{}, subscribes: told["list.mode"] == "ask"}
+	settings, err := control.DecodeSettings(raw)
+	in := &instance{name: name, requests: map[string]*request{}, subscribes: settings.PollEndpointList}
 	h.instances[name] = in
-	log := func(event logevent.Event) { h.out.Line(commandLog, name, logevent.Text(event)) }
-	in.router, err = control.New(now, seed, told, log)
 	if err != nil {
 		h.out.Line(commandBailOut, name, err.Error())
 		return nil
 	}
+	log := func(event logevent.Event) { h.out.Line(commandLog, name, logevent.Text(event)) }
+	in.router = control.New(now, seed, settings, log)
 	h.tick(now, in)
 	return nil
 }
--- a/internal/upstream/local_test.go
+++ b/internal/upstream/local_test.go
@@ -216,15 +216,27 @@
 	})
 	t.Cleanup(func() { cancel(); s.pool.Wait() })
 	second := int64(time.Second)
-	r, err := router.New(time.Now().UnixNano(), 7, control.Settings{"routers": int64(1), "location": "here", "locations": []string{"here"},
-		"location.routers": []int64{1}, "kinds": []string{"cache", "parent", "origin"}, "kind.parent": int64(1), "kind.origin": int64(2),
-		"dispatches.most": int64(3), "connect.within": 4 * second / 10, "connect.idle": 30 * second, "connect.streams": int64(100),
-		"product.names": []string{"stills"}, "product.due": []int64{second}, "product.hardStop": []int64{25 * second / 10},
-		"product.payoff": []float64{1}, "product.effect": []string{"harmless"}, "product.scope": []string{"all"},
-		"product.fresh": []int64{8 * second}, "cancel": true}, router.Limits{MaxConnections: 50, MaxInFlight: 1000, MaxBodyBytes: 1 << 20})
-	if err != nil {
-		t.Fatal(err)
-	}
+	parent, origin := "parent", "origin"
+	settings := control.DefaultSettings()
+	settings.Location = "here"
+	settings.LocationRouters = 1
+	settings.ParentKind, settings.OriginKind = &parent, &origin
+	settings.MaxAttempts = 3
+	settings.CancelAttempts = true
+	settings.ConnectTimeout = 4 * second / 10
+	settings.IdleTimeout = 30 * second
+	settings.MaxStreamsPerConnection = 100
+	settings.LongestDeadline = 25 * second / 10
+	settings.Classes = []control.ClassSettings{{
+		Name:             "stills",
+		LatencyObjective: second,
+		FreshDuration:    8 * second,
+		PriorityWeight:   1,
+		Idempotency:      control.Idempotent,
+		KeyScope:         control.ScopeAll,
+	}}
+	r := router.New(time.Now().UnixNano(), 7, settings,
+		router.Limits{MaxConnections: 50, MaxInFlight: 1000, MaxBodyBytes: 1 << 20})
 	list := router.EndpointListUpdated{Complete: true, Entries: []router.EndpointEntry{{Instance: "o", Address: answering(t),
 		Endpoint: control.Endpoint{Location: "here", Kind: "origin", Phase: "ready", Capacity: 200}}}}
 	for i := range caches {
