--- /dev/null
+++ b/deploy/example_test.go
@@ -0,0 +1,24 @@
+package deploy
+
+import (
+	"os"
+	"testing"
+
+	"tealpath/internal/config"
+	"tealpath/internal/server"
+)
+
+// The README's first run takes this file.
+func TestExampleConfigurationIsUsable(t *testing.T) {
+	text, err := os.ReadFile("config.example.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	parsed, err := config.Parse(text, "", "")
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := server.Check(parsed); err != nil {
+		t.Error(err)
+	}
+}
