--- a/deploy/imports_test.go
+++ b/deploy/imports_test.go
@@ -21,7 +21,10 @@
 // unless they are listed themselves. A package may import packages of lower layers, and of its own layer only what
 // sameLayer names.
 var layers = [][]string{
-	{"internal/clock", "internal/logevent", "internal/neterr", "internal/timerqueue", "internal/protocol", "internal/simulator/wire"},
+	{
+		"internal/clock", "internal/logevent", "internal/neterr", "internal/protocol", "internal/simulator/wire",
+		"internal/timerqueue",
+	},
 	{
 		"control", "internal/compatibility", "internal/connpool", "internal/downstream/idle", "internal/lifecycle",
 		"internal/cluster/lease", "internal/cluster/membership", "internal/cluster/probe", "internal/cluster/sharedconfig",
@@ -49,7 +52,8 @@
 	testsOnly = []string{"internal/emulator", "internal/experiment", "cmd/tealexperiment", "cmd/teallab"}
 )
 
-// pure are the directories that open nothing, wait for nothing and read no clock: times come in as arguments, effects go out.
+// pure are the directories that open nothing, wait for nothing and read no clock: times come in as arguments, effects
+// go out.
 var pure = []string{
 	"control", "internal/compatibility", "internal/connpool", "internal/downstream/idle", "internal/lifecycle",
 	"internal/cluster/lease", "internal/cluster/membership", "internal/cluster/probe", "internal/cluster/sharedconfig",
@@ -117,11 +121,11 @@
 	return nil
 }
 
-// isPure tells whether a package must do no I/O. Of a listed directory's own subdirectories those that have a layer of their
-// own count by themselves.
+// isPure tells whether a package must do no I/O. A subdirectory of a listed directory counts by itself if it has a layer
+// of its own.
 func isPure(directory string) bool {
-	parent, layer := placed(directory)
-	return layer >= 0 && (slices.Contains(pure, directory) || within(directory, pure) && slices.Contains(pure, parent))
+	parent, _ := placed(directory)
+	return slices.Contains(pure, parent)
 }
 
 // checkPureImport says what is wrong with an import of a pure package that is not of this module.
@@ -221,8 +225,8 @@
 	}
 }
 
-// Decisions and reducers take the time as an argument and their chance from a seed, so that the simulator and tests can play
-// them again.
+// Decisions and reducers take the time as an argument and draw from a seeded source, so that the simulator and tests
+// can replay them.
 func TestPurePackagesReadNoClock(t *testing.T) {
 	seen := 0
 	for _, p := range goPackages(t) {
@@ -231,7 +235,8 @@
 		}
 		seen++
 		for _, name := range p.GoFiles {
-			file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(p.Dir, name), nil, parser.SkipObjectResolution)
+			path := filepath.Join(p.Dir, name)
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -245,16 +250,18 @@
 	}
 }
 
-// What serves links none of what draws charts, and no RPC framework or store client.
+// The router links nothing that draws charts, and no RPC framework or store client.
 func TestRouterLinksNothingOfTheExperiments(t *testing.T) {
+	unwanted := []string{
+		"grpc", "plot", "redis", "hdrhistogram", module + "internal/emulator", module + "internal/experiment",
+	}
 	linked := strings.Fields(string(list(t, "-deps", "./cmd/tealpath")))
 	if !slices.Contains(linked, module+"internal/server") {
 		t.Fatal("the router's server is not among its dependencies")
 	}
 	for _, path := range linked {
-		lower := strings.ToLower(path)
-		for _, unwanted := range []string{"grpc", "plot", "redis", "hdrhistogram", module + "internal/emulator", module + "internal/experiment"} {
-			if strings.Contains(lower, unwanted) {
+		for _, part := range unwanted {
+			if strings.Contains(strings.ToLower(path), part) {
 				t.Errorf("tealpath links %s", path)
 			}
 		}
