--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
 // Package clock gives a process its time. Spans (deadlines, windows, backoff, leases, ages since an arrival) are measured
 // on a monotonic axis that no change of the wall clock moves; wall readings are only for what other machines wrote down
-// or will read. docs/architecture.md, "Time", says how stamps of other machines are placed on the axis.
+// or will read. docs/time.md says how stamps of other machines are placed on the axis.
 //
 // All readings are int64 nanoseconds.
 package clock
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -1,7 +1,7 @@
 // Package connpool decides how many connections a router holds to which caches, and how fast it opens them, so that the sum over all
 // routers of a location stays within what a cache holds, without talk among them. Each router keeps connections to a subset of the
 // caches, by rendezvous hashing (Thaler, Ravishankar, "Using name-based mappings to increase hit rates", 1998), and reaches others for
-// a moment. It does no input or output, reads no clock, starts no goroutine; time and chance come in. docs/coldstart.md, "Links to
+// a moment. It does no input or output, reads no clock, starts no goroutine; time and chance come in. docs/coldstart.md, "Connections to
 // caches", has the arithmetic.
 //
 // All instants are ns on the caller's monotonic axis, all durations are ns, all rates are a second.
--- a/internal/lifecycle/restore/restore.go
+++ b/internal/lifecycle/restore/restore.go
@@ -2,7 +2,7 @@
 // reads no clock. docs/coldstart.md, "What was known before", has the rules and their reasons.
 //
 // All times are Unix ns by the wall clock, read when the snapshot was taken and when the process that reads it began: two processes
-// have no monotonic axis in common. docs/architecture.md, "Time", says what a step of the clock between the two does.
+// have no monotonic axis in common. docs/time.md says what a step of the clock between the two does.
 package restore
 
 import "fmt"
