--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -84,7 +84,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
+	t.Cleanup(func() {
+		if err := file.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	if file.Section(".interp") == nil {
 		t.Error("no ELF interpreter")
 	}
--- a/deploy/red_test.go
+++ b/deploy/red_test.go
@@ -36,7 +36,9 @@
 			t.Parallel()
 			dir := t.TempDir()
 			write := func(name, text string) {
-				os.MkdirAll(filepath.Dir(filepath.Join(dir, name)), 0o700)
+				if err := os.MkdirAll(filepath.Dir(filepath.Join(dir, name)), 0o700); err != nil {
+					t.Fatal(err)
+				}
 				if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 					t.Fatal(err)
 				}
