--- a/internal/cluster/logevents.go
+++ b/internal/cluster/logevents.go
@@ -80,7 +80,11 @@
 
 // Kind returns the event's name and level.
 func (MembersDead) Kind() logevent.Kind {
-	return logevent.Kind{Name: "members_dead", Level: logevent.Warn, Message: "many other instances are believed dead"}
+	return logevent.Kind{
+		Name:    "members_dead",
+		Level:   logevent.Warn,
+		Message: "many other instances are believed dead",
+	}
 }
 
 // MembersLeft is MemberLeft for more than maxChangesLogged instances at once.
@@ -102,7 +106,11 @@
 
 // Kind returns the event's name and level.
 func (InstanceWasAway) Kind() logevent.Kind {
-	return logevent.Kind{Name: "instance_was_away", Level: logevent.Warn, Message: "this instance did not run for a while"}
+	return logevent.Kind{
+		Name:    "instance_was_away",
+		Level:   logevent.Warn,
+		Message: "this instance did not run for a while",
+	}
 }
 
 // InstanceCutOff reports that heartbeats of no neighbour are received any more.
@@ -182,7 +190,11 @@
 
 // Kind returns the event's name and level.
 func (QuorumReached) Kind() logevent.Kind {
-	return logevent.Kind{Name: "quorum_reached", Level: logevent.Info, Message: "a majority of the voters is reached"}
+	return logevent.Kind{
+		Name:    "quorum_reached",
+		Level:   logevent.Info,
+		Message: "a majority of the voters is reached",
+	}
 }
 
 // QuorumLost reports that no majority of the voters can be reached: this instance holds no lease until one can.
--- a/internal/cluster/peer/logevents.go
+++ b/internal/cluster/peer/logevents.go
@@ -35,7 +35,11 @@
 
 // Kind returns the event's name and level.
 func (Disconnected) Kind() logevent.Kind {
-	return logevent.Kind{Name: "peer_disconnected", Level: logevent.Warn, Message: "connection to another instance lost"}
+	return logevent.Kind{
+		Name:    "peer_disconnected",
+		Level:   logevent.Warn,
+		Message: "connection to another instance lost",
+	}
 }
 
 // ConnectFailed reports that no link to another instance could be opened. It is tried again after a backoff.
@@ -47,7 +51,11 @@
 
 // Kind returns the event's name and level.
 func (ConnectFailed) Kind() logevent.Kind {
-	return logevent.Kind{Name: "peer_connect_failed", Level: logevent.Warn, Message: "no connection to another instance"}
+	return logevent.Kind{
+		Name:    "peer_connect_failed",
+		Level:   logevent.Warn,
+		Message: "no connection to another instance",
+	}
 }
 
 // AcceptFailed reports that the system did not hand out a connection of another instance.
--- /dev/null
+++ b/internal/cluster/peer/logevents_test.go
@@ -0,0 +1,56 @@
+package peer
+
+import (
+	"errors"
+	"slices"
+	"tealpath/internal/logevent"
+	"testing"
+	"time"
+)
+
+func TestLogEvents(t *testing.T) {
+	seen := map[string]bool{}
+	for _, event := range LogEvents() {
+		kind := event.Kind()
+		if kind.Name == "" || kind.Message == "" || seen[kind.Name] {
+			t.Errorf("%T: %+v", event, kind)
+		}
+		seen[kind.Name] = true
+	}
+}
+
+// Of each kind one event is logged in refusalInterval, with how often it happened; members that can't be reached are kinds of
+// their own.
+func TestRefusalsAreCounted(t *testing.T) {
+	var logged []logevent.Event
+	refusals := newRefusals(func(event logevent.Event) { logged = append(logged, event) })
+	cause := errors.New("refused")
+	fail := func(member string) {
+		refusals.logOf(member, func(times int) logevent.Event {
+			return ConnectFailed{Member: member, Cause: cause, Times: times}
+		})
+	}
+	accept := func() {
+		refusals.log(func(times int) logevent.Event { return AcceptFailed{Cause: cause, Times: times} })
+	}
+	for range 3 {
+		fail("b")
+		fail("c")
+		accept()
+	}
+	for _, kind := range refusals.kinds {
+		kind.loggedAt = kind.loggedAt.Add(-refusalInterval - time.Second)
+	}
+	fail("b")
+	accept()
+	want := []logevent.Event{
+		ConnectFailed{Member: "b", Cause: cause, Times: 1},
+		ConnectFailed{Member: "c", Cause: cause, Times: 1},
+		AcceptFailed{Cause: cause, Times: 1},
+		ConnectFailed{Member: "b", Cause: cause, Times: 3},
+		AcceptFailed{Cause: cause, Times: 3},
+	}
+	if !slices.Equal(logged, want) {
+		t.Errorf("%+v, want %+v", logged, want)
+	}
+}
--- a/internal/server/logevents.go
+++ b/internal/server/logevents.go
@@ -38,7 +38,11 @@
 
 // Kind returns the event's name and level.
 func (StartupPhaseChanged) Kind() logevent.Kind {
-	return logevent.Kind{Name: "startup_phase_changed", Level: logevent.Info, Message: "the start has come further"}
+	return logevent.Kind{
+		Name:    "startup_phase_changed",
+		Level:   logevent.Info,
+		Message: "the start has come further",
+	}
 }
 
 // SnapshotRestored reports that the start uses what an earlier process has stored.
@@ -101,7 +105,11 @@
 
 // Kind returns the event's name and level.
 func (ConfigReloaded) Kind() logevent.Kind {
-	return logevent.Kind{Name: "config_reloaded", Level: logevent.Info, Message: "the configuration was read again"}
+	return logevent.Kind{
+		Name:    "config_reloaded",
+		Level:   logevent.Info,
+		Message: "the configuration was read again",
+	}
 }
 
 // ConfigRejected reports that a newer configuration can't be used. Nothing of it is in force.
@@ -111,7 +119,11 @@
 
 // Kind returns the event's name and level.
 func (ConfigRejected) Kind() logevent.Kind {
-	return logevent.Kind{Name: "config_rejected", Level: logevent.Warn, Message: "the configuration stays as it was"}
+	return logevent.Kind{
+		Name:    "config_rejected",
+		Level:   logevent.Warn,
+		Message: "the configuration stays as it was",
+	}
 }
 
 // ConfigLoadDelayed reports that a newer configuration can't be read for want of descriptors or memory. It
