--- /dev/null
+++ b/internal/discovery/resume_test.go
@@ -0,0 +1,83 @@
+package discovery
+
+import (
+	"fmt"
+	"strings"
+	"tealpath/internal/protocol/sse"
+	"testing"
+)
+
+func TestEventsAreProcessedInOrder(t *testing.T) {
+	purge := func(position int) sse.Event {
+		data := fmt.Appendf(nil, `{"pos":%d,"expire":{"set":%d,"stamp":1}}`, position, position)
+		return sse.Event{ID: fmt.Sprint(position), Data: data}
+	}
+	list := func(position, generation, endpoints int) sse.Event {
+		var instances []string
+		for n := range endpoints {
+			instances = append(instances, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"10.1.0.%d:1","lifecycle":"active"}`, n, n))
+		}
+		data := fmt.Appendf(nil, `{"pos":%d,"hosts":{"generation":%d,"reset":true,"instances":[%s]}}`,
+			position, generation, strings.Join(instances, ","))
+		return sse.Event{ID: fmt.Sprint(position), Data: data}
+	}
+	broken := sse.Event{ID: "5", Data: []byte("{")}
+	for _, c := range []struct {
+		name     string
+		in       []sse.Event
+		posted   int
+		errors   int
+		position int64
+		logged   string
+	}{
+		{"in order", []sse.Event{purge(5), purge(6)}, 2, 0, 6, ""},
+		{"repetitions are ignored", []sse.Event{purge(4), purge(5), purge(5), purge(3)}, 1, 0, 5, ""},
+		{"missing events are requested again", []sse.Event{purge(6), purge(5), purge(6)}, 2, 1, 6, ""},
+		{
+			"events that stay missing are skipped",
+			[]sse.Event{purge(6), purge(6), purge(6), purge(6)},
+			1, 3, 6,
+			"watch_events_missing",
+		},
+		{"a complete list needs nothing before it", []sse.Event{{ID: "9", Data: []byte(listEvent(9, true, "active"))}}, 1, 0, 9, ""},
+		{
+			"an empty list counts when it is sent twice",
+			[]sse.Event{list(9, 7, 5), list(10, 8, 0), list(10, 8, 0)},
+			2, 1, 10,
+			"endpoint_list_unconfirmed",
+		},
+		{
+			"an empty list that was a slip",
+			[]sse.Event{list(9, 7, 5), list(10, 8, 0), list(10, 8, 6)},
+			2, 1, 10,
+			"endpoint_list_unconfirmed",
+		},
+		{"a list cut to a third", []sse.Event{list(9, 7, 6), list(10, 8, 2)}, 1, 1, 9, "endpoint_list_unconfirmed"},
+		{"a stale list", []sse.Event{list(9, 7, 5), list(6, 6, 5)}, 1, 0, 9, ""},
+		{"a restarted service", []sse.Event{list(9, 7, 5), list(1, 8, 5), purge(2)}, 3, 0, 2, "discovery_renumbered"},
+		{"a restarted service that is behind", []sse.Event{list(9, 7, 5), list(1, 7, 5), purge(10)}, 2, 0, 10, ""},
+		{"a broken event comes right", []sse.Event{broken, purge(5)}, 1, 1, 5, ""},
+		{
+			"an event that stays broken is skipped",
+			[]sse.Event{broken, broken, broken, broken, purge(6)},
+			1, 3, 6,
+			"watch_event_skipped",
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			watcher := newTestWatcher("", History{Position: 4}, nil)
+			failed := 0
+			for _, event := range c.in {
+				if watcher.processEvent(event) != nil {
+					failed++
+				}
+			}
+			if posted := len(watcher.events); posted != c.posted || failed != c.errors || watcher.position != c.position {
+				t.Errorf("%d posted, %d errors, position %d", posted, failed, watcher.position)
+			}
+			if logged := watcher.loggedNames(); logged != c.logged {
+				t.Errorf("logged %q, want %q", logged, c.logged)
+			}
+		})
+	}
+}
--- a/internal/experiment/snapshot_test.go
+++ b/internal/experiment/snapshot_test.go
@@ -15,14 +15,14 @@
 	for _, c := range []struct {
 		name   string
 		change func(t *testing.T, c *Cluster, file string)
-		event  string // in the log; "" is one that is a text yet
+		event  string // in the log
 		part   string // of its line
 		behind int    // what the list service is asked behind, in the end
 	}{
-		{"as it was", func(*testing.T, *Cluster, string) {}, "", "the list of the snapshot is confirmed", 0},
+		{"as it was", func(*testing.T, *Cluster, string) {}, "snapshot_list_confirmed", "", 0},
 		{"a cache drained", func(t *testing.T, c *Cluster, _ string) {
 			c.journal.Publish(strings.Replace(c.line(0), "active", "leaving", 1))
-		}, "", "the list of the snapshot is confirmed", 0},
+		}, "snapshot_list_confirmed", "", 0},
 		{"torn", func(t *testing.T, _ *Cluster, file string) {
 			if err := os.Truncate(file, 200); err != nil {
 				t.Fatal(err)
@@ -97,7 +97,7 @@
 				t.Errorf("the first cache was asked %d times before the restart, %d in all", before, got)
 			}
 			calls := x.journal.Calls()
-			if confirmed := strings.Contains(c.part, "confirmed"); confirmed != (calls[len(calls)-1].LastEventID == 1) && c.behind == 0 {
+			if confirmed := c.event == "snapshot_list_confirmed"; confirmed != (calls[len(calls)-1].LastEventID == 1) && c.behind == 0 {
 				t.Errorf("the last call asked behind %d", calls[len(calls)-1].LastEventID)
 			}
 		})
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -119,7 +119,7 @@
 		History:  history,
 		Schedule: calls,
 		Post:     post,
-		Log:      s.logText,
+		Log:      s.emit,
 		Clock:    s.clock,
 	})
 }
--- a/internal/upstream/alive.go
+++ b/internal/upstream/alive.go
@@ -12,7 +12,8 @@
 	"tealpath/internal/protocol/resp"
 )
 
-// ErrNotSent is a probe that was not written, as it may no longer be, or as this machine could open no connection.
+// ErrNotSent is a probe that was not written, as it may no longer be, or as this machine could open no
+// connection.
 var ErrNotSent = errors.New("withdrawn before it was written")
 
 // HealthCheck is one question to an endpoint whether it is alive.
@@ -23,9 +24,9 @@
 	MayWrite         func() bool // called immediately before the request is written
 }
 
-// CheckHealth asks an endpoint whether it is alive, on a connection of its own. It returns the load report if the
-// response has one. MayWrite is asked immediately before the request is written, because dialling takes time and the
-// process may have been suspended meanwhile.
+// CheckHealth asks an endpoint whether it is alive, on a connection of its own. It returns the load report if
+// the response has one. MayWrite is asked immediately before the request is written, because dialling takes
+// time and the process may have been suspended meanwhile.
 func CheckHealth(ctx context.Context, check HealthCheck) ([]float64, error) {
 	return checkHealth(ctx, new(net.Dialer).DialContext, check)
 }
--- a/internal/upstream/endings_test.go
+++ b/internal/upstream/endings_test.go
@@ -46,7 +46,8 @@
 	return item{request: &send}
 }
 
-// A cache closes an idle connection, and before its end is read here a request is to be written: it is known not to have run.
+// A cache closes an idle connection, and before its end is read here a request is to be written: it is known
+// not to have run.
 func TestClosedBeforeTheRequestIsWritten(t *testing.T) {
 	ours, theirs := pair(t)
 	theirs.Close()
@@ -87,7 +88,8 @@
 	<-over
 }
 
-// An answer that trickles without end ends its link by when it must have come; what else was asked there is sent elsewhere.
+// An answer that trickles without end ends its link by when it must have come; what else was asked there is
+// sent elsewhere.
 func TestAnswerWithoutEnd(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/upstream/local_test.go
+++ b/internal/upstream/local_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// faultyConn fails reads with an error so many times, once something has been written whole, and writes, which it breaks up.
+// faultyConn fails reads with an error so many times, once something has been written whole, and writes,
+// which it breaks up.
 type faultyConn struct {
 	net.Conn
 	fault        error
@@ -136,8 +137,8 @@
 	return listener.Addr().String()
 }
 
-// A read or a write that this machine fails for a moment goes on where it was; what says that the connection has ended ends it,
-// and what was wholly written may have run.
+// A read or a write that this machine fails for a moment goes on where it was; what says that the connection
+// has ended ends it, and what was wholly written may have run.
 func TestFaultsOfALinkThatStands(t *testing.T) {
 	for _, c := range []struct {
 		fault         syscall.Errno
@@ -317,8 +318,9 @@
 	return settled, others
 }
 
-// Two seconds in which no connection can be opened, of each error and of all in turn: every request is answered, the caches are
-// dialled a few times and not in a loop, none is suspected, and afterwards all is served.
+// Two seconds in which no connection can be opened, of each error and of all in turn: every request is
+// answered, the caches are dialled a few times and not in a loop, none is suspected, and afterwards all is
+// served.
 func TestStormOfLocalErrors(t *testing.T) {
 	storms := [][]error{localDialErrors}
 	for _, err := range localDialErrors[:5] {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -110,8 +110,9 @@
 	return p.links[id]
 }
 
-// RemoveConnection completes what is told of a link that has ended by what was queued on it since, and forgets the link. Whoever has requests
-// sent calls it before it takes the event: one that was sent in between went for written.
+// RemoveConnection completes what is told of a link that has ended by what was queued on it since, and
+// forgets the link. Whoever has requests sent calls it before it takes the event: one that was sent in
+// between went for written.
 func (p *Pool) RemoveConnection(e router.ConnectionDown) router.ConnectionDown {
 	l := p.find(e.Connection)
 	if l == nil {
@@ -191,8 +192,8 @@
 	return group.Wait()
 }
 
-// stallMost is for how long an answer that has begun may stand still, a lost segment included. One that stops short held up all that was
-// asked on its link, to the end of its time.
+// stallMost is for how long an answer that has begun may stand still, a lost segment included. One that stops
+// short held up all that was asked on its link, to the end of its time.
 const stallMost = 250 * time.Millisecond
 
 // stalling ends a read inside an answer that brings nothing for too long; between answers it waits.
@@ -236,7 +237,8 @@
 	}
 }
 
-// encodeFetch writes a request that is to be answered within so many ns. What the client sent goes on as it came.
+// encodeFetch writes a request that is to be answered within so many ns. What the client sent goes on as it
+// came.
 func encodeFetch(q router.UpstreamRequest, budget int64) []byte {
 	var f strings.Builder
 	add := func(name, value string) {
@@ -306,8 +308,8 @@
 	"queued": {"backlog", "queue"}, "answerMs": {"recent_ms", "latency_ms"}, "throughput": {"qps"}, "errors_per_s": {"eps"},
 }
 
-// decodeResponse understands an answer. One that cannot be used, though it can be told what it answers, counts as an
-// error of the other side: it may have run.
+// decodeResponse understands an answer. One that cannot be used, though it can be told what it answers,
+// counts as an error of the other side: it may have run.
 func decodeResponse(words [][]byte, report []string) (router.ResponseReceived, bool) {
 	if len(words) == 0 {
 		return router.ResponseReceived{}, false
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -91,7 +91,8 @@
 	return true
 }
 
-// tellWithdrawn tells that a request is not written. Until that is told it counts among the unsent: the link may end meanwhile.
+// tellWithdrawn tells that a request is not written. Until that is told it counts among the unsent: the link
+// may end meanwhile.
 func (l *link) tellWithdrawn(id string) {
 	l.pool.post(router.AttemptWithdrawn{Connection: l.id, ID: id})
 	l.mu.Lock()
@@ -178,8 +179,8 @@
 	err     error
 }
 
-// writeSome writes some of what is queued as far as the connection takes it at once. Until then a request can be taken back:
-// what it says, and whether it is written, is decided here, with the queue locked.
+// writeSome writes some of what is queued as far as the connection takes it at once. Until then a request can
+// be taken back: what it says, and whether it is written, is decided here, with the queue locked.
 func (l *link) writeSome(fd int) (step writeStep) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -253,8 +254,9 @@
 	}
 }
 
-// hasEnded tells whether the other side has closed, though its reader has not seen it yet: what is written now never runs, and
-// it is known. Written all the same it went for what may have run, and one-shots were failed.
+// hasEnded tells whether the other side has closed, though its reader has not seen it yet: what is written
+// now never runs, and it is known. Written all the same it went for what may have run, and one-shots were
+// failed.
 func hasEnded(fd int) bool {
 	n, _, err := syscall.Recvfrom(fd, make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return err == nil && n == 0
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// What waits on a link whose way is full is decided as it is written: what was taken back, or whose time has passed, does not
-// come, and the budget is what is left then.
+// What waits on a link whose way is full is decided as it is written: what was taken back, or whose time has
+// passed, does not come, and the budget is what is left then.
 func TestFullLink(t *testing.T) {
 	const waited = 300 * time.Millisecond
 	f := newFullLink(t)
@@ -202,8 +202,8 @@
 	}
 }
 
-// While it is being told that a request is withdrawn its link may end: the request counts among the unsent, else it went for one
-// that may have run.
+// While it is being told that a request is withdrawn its link may end: the request counts among the unsent,
+// else it went for one that may have run.
 func TestWithdrawnIsUnsentUntilTold(t *testing.T) {
 	var l *link
 	var meanwhile []string
