--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -52,7 +52,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { closeConnection(t, listener) })
+	t.Cleanup(func() {
+		if err := listener.Close(); err != nil {
+			t.Error(err)
+		}
+	})
 	service := &fakeService{address: listener.Addr().String(), calls: make(chan receivedCall, 64)}
 	go func() {
 		for n := 0; ; n++ {
@@ -84,25 +88,13 @@
 }
 
 // alwaysRespond answers each call the same.
-func alwaysRespond(t *testing.T, text string) func(int, net.Conn) {
-	return func(_ int, conn net.Conn) { send(t, conn, text) }
+func alwaysRespond(text string) func(int, net.Conn) {
+	return func(_ int, conn net.Conn) { send(conn, text) }
 }
 
-// send writes a text to a watcher, which may have gone: what it has to get, the test waits for elsewhere.
-func send(t *testing.T, conn net.Conn, text string) {
-	t.Helper()
-	if _, err := fmt.Fprint(conn, text); err != nil {
-		t.Logf("not sent: %v", err)
-	}
-}
-
-// closeConnection closes a connection or a listener.
-func closeConnection(t *testing.T, c interface{ Close() error }) {
-	t.Helper()
-	if err := c.Close(); err != nil {
-		t.Logf("close: %v", err)
-	}
-}
+// send writes a text to a watcher. An error is none of the test's: the watcher may have closed the
+// connection, and what it has to get, the test waits for at the watcher.
+func send(conn net.Conn, text string) { _, _ = fmt.Fprint(conn, text) }
 
 // testWatcher is a watcher with what it posts and logs.
 type testWatcher struct {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -64,7 +64,7 @@
 
 // NewWatcher returns a watcher that resumes after what is already known.
 func NewWatcher(config Config) *Watcher {
-	w := &Watcher{
+	watcher := &Watcher{
 		post:     config.Post,
 		log:      config.Log,
 		clock:    config.Clock,
@@ -74,17 +74,17 @@
 		lists:    config.History.lists,
 		address:  config.Address,
 	}
-	if w.clock == nil {
-		w.clock = clock.System()
+	if watcher.clock == nil {
+		watcher.clock = clock.System()
 	}
 	switch {
 	case config.History.hasList:
-		w.schedule.ListReceived()
+		watcher.schedule.ListReceived()
 	case config.History.snapshotList != nil:
-		w.snapshotList = config.History.snapshotList
-		w.position = w.snapshotList.confirmation.ResumeAfter()
+		watcher.snapshotList = config.History.snapshotList
+		watcher.position = watcher.snapshotList.confirmation.ResumeAfter()
 	}
-	return w
+	return watcher
 }
 
 // SetAddress makes the watch resume at another address. The current connection is closed at once: the service
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -19,12 +19,12 @@
 func TestWatchResumesAfterEachDisconnect(t *testing.T) {
 	service := startFakeService(t, func(n int, conn net.Conn) {
 		if n == 1 {
-			send(t, conn, "HTTP/1.1 503 Busy\r\n\r\n")
+			send(conn, "HTTP/1.1 503 Busy\r\n\r\n")
 		} else {
-			send(t, conn, responseHead+": here\n\n"+purgeEvent(5))
+			send(conn, responseHead+": here\n\n"+purgeEvent(5))
 		}
 		if n < 2 {
-			closeConnection(t, conn)
+			closeConn(conn)
 		}
 	})
 	watcher := newTestWatcher(service.address, History{Position: 4}, nil)
@@ -71,9 +71,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			first := "127.0.0.1:1"
 			if c.before != "" {
-				first = startFakeService(t, alwaysRespond(t, c.before)).address
+				first = startFakeService(t, alwaysRespond(c.before)).address
 			}
-			next := startFakeService(t, alwaysRespond(t, responseHead+purgeEvent(5)+purgeEvent(6)))
+			next := startFakeService(t, alwaysRespond(responseHead+purgeEvent(5)+purgeEvent(6)))
 			watcher := newTestWatcher(first, History{Position: 4}, nil)
 			var read atomic.Int64
 			dial := watcher.dial
@@ -129,12 +129,12 @@
 			t.Parallel()
 			service := startFakeService(t, func(n int, conn net.Conn) {
 				if n > 0 {
-					send(t, conn, responseHead+event)
+					send(conn, responseHead+event)
 					return
 				}
-				send(t, conn, c.response)
+				send(conn, c.response)
 				if c.closes {
-					closeConnection(t, conn)
+					closeConn(conn)
 				}
 			})
 			schedule := startup.NewCallSchedule(1, 300, startup.ReadinessHold{})
@@ -186,7 +186,7 @@
 	for _, errno := range localErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			service := startFakeService(t, alwaysRespond(t, responseHead+purgeEvent(5)))
+			service := startFakeService(t, alwaysRespond(responseHead+purgeEvent(5)))
 			schedule := startup.NewCallSchedule(1, 1, startup.ReadinessHold{})
 			schedule.ListReceived()
 			watcher := newTestWatcher(service.address, History{Position: 4}, schedule)
@@ -238,7 +238,7 @@
 func TestWatchSurvivesTransientErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR} {
 		t.Run(errno.Error(), func(t *testing.T) {
-			service := startFakeService(t, alwaysRespond(t, responseHead+purgeEvent(5)))
+			service := startFakeService(t, alwaysRespond(responseHead+purgeEvent(5)))
 			watcher := newTestWatcher(service.address, History{Position: 4}, nil)
 			dial := watcher.dial
 			watcher.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
--- /dev/null
+++ b/internal/upstream/connection_test.go
@@ -0,0 +1,304 @@
+package upstream
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"tealpath/control"
+	"tealpath/internal/protocol/resp"
+	"tealpath/internal/router"
+	"testing"
+	"time"
+)
+
+const (
+	notHeldResponse = "*4\r\n$16\r\n00000000000000aa\r\n$8\r\nnot_here\r\n$1\r\n-\r\n$0\r\n\r\n"
+	healthResponse  = "*4\r\n$1\r\nx\r\n$5\r\ngreen\r\n$1\r\n-\r\n$0\r\n\r\n"
+	halfResponse    = "*4\r\n$16\r\n00000000000000aa\r\n$6\r\nserved\r\n$1\r\n-\r\n$9\r\nhal"
+	hugeResponse    = "*4\r\n$16\r\n00000000000000aa\r\n$6\r\nserved\r\n$1\r\n-\r\n$3221225472\r\n"
+)
+
+// A request is sent as soon as its connection is up; the endpoint does one thing with it.
+func TestConnectionEvents(t *testing.T) {
+	written, closing := make(chan struct{}), make(chan struct{})
+	for _, c := range []struct {
+		name  string
+		serve func(conn net.Conn, in *bufio.Reader) // after the request has come; nil refuses
+		do    func(*Pool)                           // after the request has been queued
+		want  string
+	}{
+		{"refused", nil, nil, "down []"},
+		{
+			"a response", func(conn net.Conn, _ *bufio.Reader) { send(conn, notHeldResponse) },
+			nil, "up, response 2, down []",
+		},
+		{"malformed", func(conn net.Conn, in *bufio.Reader) {
+			send(conn, "-ERR\r\n")
+			waitForClose(in)
+		}, nil, "up, down []"},
+		{
+			"half a response is none", func(conn net.Conn, _ *bufio.Reader) { send(conn, halfResponse) },
+			nil, "up, down []",
+		},
+		{"a response that stalls closes its connection soon", func(conn net.Conn, in *bufio.Reader) {
+			send(conn, halfResponse)
+			waitForClose(in)
+		}, nil, "up, down []"},
+		{"a response in small pieces is complete", func(conn net.Conn, _ *bufio.Reader) {
+			for piece := range strings.SplitAfterSeq(notHeldResponse, "\n") {
+				send(conn, piece)
+				time.Sleep(stallTimeout / 6)
+			}
+		}, nil, "up, response 2, down []"},
+		{"what follows a response may take its time", func(conn net.Conn, _ *bufio.Reader) {
+			send(conn, healthResponse)
+			time.Sleep(stallTimeout + stallTimeout/2)
+			send(conn, notHeldResponse)
+		}, nil, "up, response 2, down []"},
+		{"a response that claims 3 GB", func(conn net.Conn, _ *bufio.Reader) {
+			send(conn, hugeResponse)
+			for chunk := strings.Repeat("x", 1<<16); send(conn, chunk); {
+			}
+		}, nil, "up, down []"},
+		{"closed from this side", func(_ net.Conn, in *bufio.Reader) {
+			close(closing)
+			waitForClose(in)
+		}, func(p *Pool) {
+			<-closing
+			p.Close(router.Close{Connection: 1})
+		}, "up, down []"},
+		{"cancelled after it was written", func(conn net.Conn, in *bufio.Reader) {
+			close(written)
+			abort := readCommand(in)
+			if len(abort) == 2 {
+				send(conn, fmt.Sprintf("*4\r\n$1\r\n0\r\n$%d\r\n%s\r\n$1\r\n-\r\n$0\r\n\r\n", len(abort[0]), abort[0]))
+			}
+		}, func(p *Pool) {
+			<-written
+			p.CancelAttempt(router.CancelAttempt{Connection: 1, ID: "00000000000000aa"})
+		}, "up, response 6, down []"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var address string
+			if c.serve != nil {
+				address = startEndpoint(t, func(conn net.Conn, in *bufio.Reader) {
+					if readCommand(in) != nil {
+						c.serve(conn, in)
+					}
+				})
+			} else {
+				listener := listen(t)
+				address = listener.Addr().String()
+				closeTest(t, listener)
+			}
+			begun := time.Now()
+			p := newTestPool(t, Config{})
+			p.dialEndpoint(address)
+			var got []string
+			for isDown := false; !isDown; {
+				switch event := p.next(t).(type) {
+				case router.ConnectionUp:
+					got = append(got, "up")
+					p.Send(requestWithin("00000000000000aa", waitLimit))
+					if c.do != nil {
+						c.do(p.Pool)
+					}
+				case router.ResponseReceived:
+					got = append(got, fmt.Sprint("response ", int(event.Result)))
+				case router.ConnectionDown:
+					got = append(got, fmt.Sprint("down ", event.Unsent))
+					isDown = true
+				}
+			}
+			p.Wait()
+			if got := strings.Join(got, ", "); got != c.want || time.Since(begun) > 3*time.Second {
+				t.Errorf("%s after %v, want %s", got, time.Since(begun), c.want)
+			}
+		})
+	}
+}
+
+// A response that trickles without end closes its connection when it had to be complete.
+func TestTricklingResponseClosesItsConnection(t *testing.T) {
+	address := startEndpoint(t, func(conn net.Conn, in *bufio.Reader) {
+		readCommand(in)
+		send(conn, "*4\r\n$1\r\na\r\n$6\r\nserved\r\n$1\r\n-\r\n$200000\r\n")
+		for send(conn, "x") {
+			time.Sleep(stallTimeout / 5)
+		}
+	})
+	p := newTestPool(t, Config{
+		MinResponseRate: responseTimeSlack * resp.BytesMost, // a second, with all others on the way
+	})
+	p.dialEndpoint(address)
+	begun := time.Now()
+	if event, ok := p.next(t).(router.ConnectionUp); !ok {
+		t.Fatalf("%T", event)
+	}
+	p.Send(requestWithin("a", 10*time.Second))
+	if event, ok := p.next(t).(router.ConnectionDown); !ok {
+		t.Errorf("%T", event)
+	}
+	if took := time.Since(begun); took < time.Second || took > 3*time.Second {
+		t.Errorf("its connection ended after %v", took)
+	}
+}
+
+// localDialErrors are what Linux documents for socket(2) and connect(2) as errors of this machine's own.
+var localDialErrors = []error{
+	os.NewSyscallError("socket", syscall.EMFILE), os.NewSyscallError("socket", syscall.ENFILE),
+	os.NewSyscallError("socket", syscall.ENOBUFS), os.NewSyscallError("socket", syscall.ENOMEM),
+	os.NewSyscallError("connect", syscall.EADDRNOTAVAIL), os.NewSyscallError("connect", syscall.EAGAIN),
+	os.NewSyscallError("connect", syscall.EPERM), os.NewSyscallError("epoll_ctl", syscall.ENOSPC),
+}
+
+// remoteDialErrors are those by which an endpoint can't be reached.
+var remoteDialErrors = []error{
+	os.NewSyscallError("connect", syscall.ECONNREFUSED), os.NewSyscallError("connect", syscall.ETIMEDOUT),
+	os.NewSyscallError("connect", syscall.EHOSTUNREACH), os.NewSyscallError("connect", syscall.ENETUNREACH),
+	context.DeadlineExceeded,
+}
+
+// failingDial returns a dialFunc that always fails.
+func failingDial(err error) dialFunc {
+	return func(context.Context, string, string) (net.Conn, error) {
+		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: err}
+	}
+}
+
+func TestDialErrorsByCause(t *testing.T) {
+	check := func(err error, want router.Cause) {
+		p := newTestPool(t, Config{})
+		p.dial = failingDial(err)
+		p.Dial(router.Dial{Connection: 7, Timeout: int64(time.Second)})
+		down, ok := p.next(t).(router.ConnectionDown)
+		if !ok || down.Connection != 7 || down.Cause != want || down.Reason == "" {
+			t.Errorf("%v: %+v, want cause %d", err, down, want)
+		}
+		_, err = checkHealth(t.Context(), p.dial, HealthCheck{ID: "1", MayWrite: mayWrite})
+		if errors.Is(err, ErrNotSent) != (want == router.Local) {
+			t.Errorf("a health check: %v", err)
+		}
+	}
+	for _, err := range localDialErrors {
+		check(err, router.Local)
+	}
+	for _, err := range remoteDialErrors {
+		check(err, router.Remote)
+	}
+}
+
+// faultyConn fails so many reads, once something has been written completely, and so many writes, which it
+// breaks up.
+type faultyConn struct {
+	net.Conn
+	fault         error
+	reads, writes atomic.Int64 // faults left
+	once          sync.Once
+	written       chan struct{}
+}
+
+// Read implements io.Reader.
+func (c *faultyConn) Read(p []byte) (int, error) {
+	if c.reads.Add(-1) >= 0 {
+		<-c.written
+		return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", c.fault)}
+	}
+	return c.Conn.Read(p)
+}
+
+// systemWrite is the system's call with the faults: it takes half of what it is given, or nothing.
+func (c *faultyConn) systemWrite(fd int, p []byte) (int, error) {
+	if c.writes.Add(-1) >= 0 {
+		return -1, c.fault
+	}
+	return syscall.Write(fd, p[:(len(p)+1)/2])
+}
+
+// SyscallConn implements syscall.Conn.
+func (c *faultyConn) SyscallConn() (syscall.RawConn, error) {
+	return c.Conn.(syscall.Conn).SyscallConn()
+}
+
+// Write implements io.Writer.
+func (c *faultyConn) Write(p []byte) (int, error) {
+	if c.writes.Add(-1) >= 0 { // a short write
+		n, err := c.Conn.Write(p[:len(p)/2])
+		if err != nil {
+			return n, err
+		}
+		return n, &net.OpError{Op: "write", Net: "tcp", Err: os.NewSyscallError("write", c.fault)}
+	}
+	defer c.once.Do(func() { close(c.written) })
+	return c.Conn.Write(p)
+}
+
+// A read or a write that meets a transient error of this machine's own goes on where it was. What says that
+// the connection has ended closes it, and what was completely written may have run.
+func TestErrorsOfAnEstablishedConnection(t *testing.T) {
+	const id = "00000000000000aa"
+	for _, c := range []struct {
+		fault         syscall.Errno
+		reads, writes int64
+		responds      bool
+		unsent        bool
+	}{
+		{syscall.ENOMEM, 5, 0, true, false},
+		{syscall.ENOBUFS, 5, 0, true, false},
+		{syscall.EINTR, 5, 0, true, false},
+		{syscall.ENOMEM, 0, 5, true, false},
+		{syscall.ENOBUFS, 0, 5, true, false},
+		{syscall.EINTR, 0, 5, true, false},
+		{syscall.ENOBUFS, 5, 5, true, false},
+		{syscall.ECONNRESET, 9, 0, false, false},
+		{syscall.ETIMEDOUT, 9, 0, false, false},
+		{syscall.EHOSTUNREACH, 9, 0, false, false},
+		{syscall.ENETUNREACH, 9, 0, false, false},
+		{syscall.EPIPE, 0, 9, false, true},
+		{syscall.ETIMEDOUT, 0, 9, false, true},
+	} {
+		t.Run(fmt.Sprintf("%v read %d write %d", c.fault, c.reads, c.writes), func(t *testing.T) {
+			p := newTestPool(t, Config{})
+			dialled := make(chan *faultyConn, 1)
+			p.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+				conn, err := new(net.Dialer).DialContext(ctx, network, address)
+				faulty := &faultyConn{Conn: conn, fault: c.fault, written: make(chan struct{})}
+				faulty.reads.Store(c.reads)
+				faulty.writes.Store(c.writes)
+				p.write = faulty.systemWrite
+				dialled <- faulty
+				return faulty, err
+			}
+			p.dialEndpoint(startCache(t).Address())
+			faulty := <-dialled
+			for isDown := false; !isDown; {
+				switch event := p.next(t).(type) {
+				case router.ConnectionUp:
+					p.Send(requestWithin(id, 5*time.Second))
+				case router.ResponseReceived:
+					if !c.responds || event.Result != control.Succeeded {
+						t.Errorf("response %+v", event)
+					}
+					p.Close(router.Close{Connection: 1})
+				case router.ConnectionDown:
+					isDown = true
+					if c.unsent != slices.Equal(event.Unsent, []string{id}) || event.Cause != router.Remote {
+						t.Errorf("%+v", event) // what was written completely may have run
+					}
+				}
+			}
+			p.Wait()
+			if allMet := faulty.reads.Load() < 0 && faulty.writes.Load() < 0; c.responds && !allMet {
+				t.Error("not all faults were met")
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/upstream/encode_test.go
@@ -0,0 +1,72 @@
+package upstream
+
+import (
+	"bufio"
+	"fmt"
+	"strings"
+	"tealpath/control"
+	"tealpath/internal/protocol/resp"
+	"tealpath/internal/router"
+	"testing"
+)
+
+func TestEncodeFetch(t *testing.T) {
+	base := router.UpstreamRequest{
+		ID:     "9b1f03aa5c7e2d41",
+		Class:  "stills",
+		Object: "7f3a9c21e0b4d655",
+		Part:   "03",
+		Body:   []byte("x\r\ny"),
+	}
+	for _, c := range []struct {
+		name   string
+		change func(*router.UpstreamRequest)
+		want   string
+	}{
+		{"no fill", func(r *router.UpstreamRequest) { r.Attempt.CachePriority = 2 }, ""},
+		{"a fill", func(r *router.UpstreamRequest) { r.Source = "p-a" }, ",miss=p-a"},
+		{"all", func(r *router.UpstreamRequest) {
+			r.Source, r.ClientETag = "p-a", "4be0c1927d55a6f3"
+			r.Attempt = control.Attempt{
+				CachePriority:      2,
+				MaxAge:             1500e6,
+				JoinFill:           true,
+				ParentOnlyIfCached: true,
+				ParentNoStore:      true,
+				RefreshBehind:      true,
+			}
+		}, ",miss=p-a,prio=2,within=1500,f=ride+have-only+through+update,mine=4be0c1927d55a6f3"},
+		{
+			"an idempotency key",
+			func(r *router.UpstreamRequest) { r.IdempotencyKey = "6ad8595c69c03e9f5892348d52ee1791" },
+			",uniq=6ad8595c69c03e9f5892348d52ee1791",
+		},
+		{
+			"an age under a millisecond is not left out, which would mean the fresh time",
+			func(r *router.UpstreamRequest) { r.Source, r.Attempt.MaxAge = "p-a", 1000 },
+			",miss=p-a,within=1",
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			request := base
+			c.change(&request)
+			encoded := string(encodeFetch(request, 1500999999))
+			words, err := resp.Read(bufio.NewReader(strings.NewReader(encoded)))
+			want := "fetch 9b1f03aa5c7e2d41 queue=stills,path=7f3a9c21e0b4d655,blk=03,budget=1500" + c.want + " x\r\ny"
+			if got := fmt.Sprintf("%s %s %s %s", words[0], words[1], words[2], words[3]); err != nil || got != want {
+				t.Errorf("%s, %v\nwant %s", got, err, want)
+			}
+		})
+	}
+}
+
+func TestEncodeCommands(t *testing.T) {
+	for want, got := range map[string][]byte{
+		"*2\r\n$5\r\nabort\r\n$2\r\nid\r\n": encodeAbort("id"),
+		"*2\r\n$5\r\nalive\r\n$2\r\nid\r\n": encodeAlive("id"),
+	} {
+		if string(got) != want {
+			t.Errorf("%q, want %q", got, want)
+		}
+	}
+}
--- a/internal/upstream/alive.go
+++ b/internal/upstream/healthcheck.go
@@ -7,14 +7,13 @@
 	"fmt"
 	"net"
 	"strings"
-
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/resp"
 )
 
-// ErrNotSent is a probe that was not written, as it may no longer be, or as this machine could open no
-// connection.
-var ErrNotSent = errors.New("withdrawn before it was written")
+// ErrNotSent is a health check that was not written, because it must no longer be, or because this machine
+// could open no connection. It says nothing of the endpoint.
+var ErrNotSent = errors.New("health check not sent")
 
 // HealthCheck is one question to an endpoint whether it is alive.
 type HealthCheck struct {
@@ -24,9 +23,9 @@
 	MayWrite         func() bool // called immediately before the request is written
 }
 
-// CheckHealth asks an endpoint whether it is alive, on a connection of its own. It returns the load report if
-// the response has one. MayWrite is asked immediately before the request is written, because dialling takes
-// time and the process may have been suspended meanwhile.
+// CheckHealth asks an endpoint whether it is alive, on a connection of its own. It returns the load report,
+// or nil if the response has none. MayWrite is called only once the connection is established, because
+// dialling takes time and the process may have been suspended meanwhile.
 func CheckHealth(ctx context.Context, check HealthCheck) ([]float64, error) {
 	return checkHealth(ctx, new(net.Dialer).DialContext, check)
 }
@@ -34,35 +33,42 @@
 func checkHealth(ctx context.Context, dial dialFunc, check HealthCheck) ([]float64, error) {
 	dialled, err := dial(ctx, "tcp", check.Address)
 	if neterr.IsLocal(err) {
-		return nil, fmt.Errorf("%w: %w", ErrNotSent, err) // this machine could not ask: that says nothing of the member
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	if err != nil {
 		return nil, err
 	}
 	conn := neterr.Conn{Conn: dialled}
-	defer conn.Close()
-	if at, ok := ctx.Deadline(); ok {
-		conn.SetDeadline(at)
+	defer closeConn(conn)
+	if deadline, ok := ctx.Deadline(); ok {
+		if err := conn.SetDeadline(deadline); err != nil {
+			return nil, err
+		}
 	}
-	out := resp.Text(resp.Text(resp.Head(nil, 2), "alive"), check.ID)
 	if !check.MayWrite() {
 		return nil, ErrNotSent
 	}
-	if _, err := conn.Write(out); err != nil {
+	if _, err := conn.Write(encodeAlive(check.ID)); err != nil {
 		return nil, err
 	}
 	words, err := resp.Read(bufio.NewReader(conn))
 	if err != nil {
 		return nil, err
 	}
-	if len(words) < 2 || string(words[0]) != check.ID || string(words[1]) != "green" {
-		return nil, fmt.Errorf("%d words that are no answer to it", len(words))
+	return check.decode(words)
+}
+
+// decode returns the load report of a response, or nil if it has none.
+func (check HealthCheck) decode(words [][]byte) ([]float64, error) {
+	if len(words) < 2 || string(words[0]) != check.ID || string(words[1]) != wordAlive {
+		return nil, fmt.Errorf("%d words that do not answer the health check", len(words))
+	}
+	if len(words) == 2 {
+		return nil, nil
 	}
-	if len(words) > 2 {
-		for f := range strings.SplitSeq(string(words[2]), ",") {
-			if use, ok := strings.CutPrefix(f, "use="); ok {
-				return load(use, check.LoadReportFields), nil
-			}
+	for field := range strings.SplitSeq(string(words[2]), ",") {
+		if report, ok := strings.CutPrefix(field, fieldLoadReport+"="); ok {
+			return decodeLoadReport(report, check.LoadReportFields), nil
 		}
 	}
 	return nil, nil
--- /dev/null
+++ b/internal/upstream/healthcheck_test.go
@@ -0,0 +1,87 @@
+package upstream
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"slices"
+	"testing"
+	"time"
+)
+
+func mayWrite() bool { return true }
+
+func TestCheckHealth(t *testing.T) {
+	emulator := startCache(t)
+	check := HealthCheck{
+		Address:          emulator.Address(),
+		ID:               "00000000000000ff",
+		LoadReportFields: []string{"x0", "inHand"},
+		MayWrite:         mayWrite,
+	}
+	ctx, cancel := context.WithTimeout(t.Context(), time.Second)
+	defer cancel()
+
+	t.Run("must no longer be sent once the connection is established", func(t *testing.T) {
+		late := check
+		late.MayWrite = func() bool { return false }
+		if _, err := CheckHealth(ctx, late); !errors.Is(err, ErrNotSent) {
+			t.Errorf("%v", err)
+		}
+	})
+	t.Run("alive", func(t *testing.T) {
+		load, err := CheckHealth(ctx, check)
+		if err != nil || len(load) != 2 || load[0] != 0.5 {
+			t.Errorf("%v %v", load, err)
+		}
+		if got := emulator.HealthChecks(); len(got) != 1 || got[0].ID != check.ID {
+			t.Errorf("%v", got)
+		}
+	})
+	t.Run("silent", func(t *testing.T) {
+		emulator.SetUnresponsive(true)
+		short, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
+		defer cancel()
+		if _, err := CheckHealth(short, check); err == nil {
+			t.Error("a silent endpoint is taken for alive")
+		}
+	})
+}
+
+func TestHealthCheckResponses(t *testing.T) {
+	for _, c := range []struct {
+		name, response string
+		load           []float64
+		fails          bool
+	}{
+		{"without fields", "*2\r\n$1\r\n1\r\n$5\r\ngreen\r\n", nil, false},
+		{"without a load report", "*3\r\n$1\r\n1\r\n$5\r\ngreen\r\n$1\r\n-\r\n", nil, false},
+		{"with a load report", "*3\r\n$1\r\n1\r\n$5\r\ngreen\r\n$8\r\nuse=x0:2\r\n", []float64{2}, false},
+		{"of another id", "*2\r\n$1\r\n2\r\n$5\r\ngreen\r\n", nil, true},
+		{"another word", "*2\r\n$1\r\n1\r\n$3\r\nred\r\n", nil, true},
+		{"one word", "*1\r\n$1\r\n1\r\n", nil, true},
+		{"malformed", "-ERR\r\n", nil, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			address := startEndpoint(t, func(conn net.Conn, in *bufio.Reader) {
+				if command := readCommand(in); fmt.Sprintf("%s", command) == "[alive 1]" {
+					send(conn, c.response)
+				}
+				waitForClose(in)
+			})
+			ctx, cancel := context.WithTimeout(t.Context(), waitLimit)
+			defer cancel()
+			load, err := CheckHealth(ctx, HealthCheck{
+				Address:          address,
+				ID:               "1",
+				LoadReportFields: []string{"x0"},
+				MayWrite:         mayWrite,
+			})
+			if (err != nil) != c.fails || !slices.Equal(load, c.load) || (load == nil) != (c.load == nil) {
+				t.Errorf("%v, %v", load, err)
+			}
+		})
+	}
+}
