--- a/cmd/tealpath/status.go
+++ b/cmd/tealpath/status.go
@@ -30,7 +30,7 @@
 	}
 	fmt.Printf("%d connections: %d idle, %d of them at rest, %d busy, %d reading, %d fresh, %d closing; "+
 		"%d wait to be woken\n",
-		status.All, status.Idle, status.Parked, status.Busy, status.Reading, status.Fresh, status.Closing,
+		status.All, status.Idle, status.Suspended, status.Active, status.Reading, status.New, status.Closing,
 		status.Waiting)
 	fmt.Printf("%d goroutines, %d KB of heap, %d KB of stacks\n",
 		status.Goroutines, status.HeapBytes>>10, status.StackBytes>>10)
--- a/internal/downstream/arrival.go
+++ b/internal/downstream/arrival.go
@@ -57,7 +57,7 @@
 // arrivals reads from a connection and keeps the earliest that what it gave last can have come. Only its reader uses it.
 type arrivals struct {
 	net.Conn
-	front    *Front
+	front    *Server
 	earliest int64
 	drained  int64  // when it was last known that nothing unread waits on the connection
 	segments uint32 // that had come then
@@ -98,7 +98,7 @@
 
 // acceptedSince is the earliest that something can have come on a connection that is just accepted and waited for that since a
 // time at most.
-func (f *Front) acceptedSince(conn net.Conn, since time.Time) int64 {
+func (f *Server) acceptedSince(conn net.Conn, since time.Time) int64 {
 	if received, known := poller.ReadTCPStats(conn); known {
 		return f.now() - received.SinceEstablished
 	}
--- a/internal/downstream/arrival_test.go
+++ b/internal/downstream/arrival_test.go
@@ -20,7 +20,7 @@
 )
 
 // arrivalsAt is a front on a listener that notes when requests arrived.
-func arrivalsAt(t *testing.T, listener net.Listener, limits Limits, meanwhile func(router.RequestReceived)) (*Front, chan router.RequestReceived) {
+func arrivalsAt(t *testing.T, listener net.Listener, limits Config, meanwhile func(router.RequestReceived)) (*Server, chan router.RequestReceived) {
 	t.Helper()
 	requests := make(chan router.RequestReceived, 1000)
 	f := New(listener, limits, func(e router.Event) {
@@ -52,17 +52,17 @@
 }
 
 // arrives checks that the next request arrived when it was sent.
-func arrives(t *testing.T, f *Front, requests chan router.RequestReceived, sent time.Time) {
+func arrives(t *testing.T, f *Server, requests chan router.RequestReceived, sent time.Time) {
 	t.Helper()
 	arrivesWithin(t, f, requests, sent, early)
 }
 
 // arrivesWithin checks that the next request arrived when it was sent, or so much earlier.
-func arrivesWithin(t *testing.T, f *Front, requests chan router.RequestReceived, sent time.Time, early time.Duration) {
+func arrivesWithin(t *testing.T, f *Server, requests chan router.RequestReceived, sent time.Time, early time.Duration) {
 	t.Helper()
 	select {
 	case r := <-requests:
-		f.Answer(router.Respond{Client: r.Client, Seq: r.Seq})
+		f.Respond(router.Respond{Client: r.Client, Seq: r.Seq})
 		after := time.Duration(r.ArrivedAt - (f.now() - int64(time.Since(sent))))
 		if after < -early || after > late {
 			t.Errorf("request %d arrived %v after it was sent", r.Seq, after)
@@ -106,7 +106,7 @@
 		}
 	})
 	t.Run("before the pace of accepts", func(t *testing.T) {
-		f, requests := arrivalsAt(t, loopback(t), Limits{Connections: 1000, Open: 32, Bytes: 1 << 20, Cores: 0.05}, nothing)
+		f, requests := arrivalsAt(t, loopback(t), Config{MaxConnections: 1000, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20, Cores: 0.05}, nothing)
 		for range 60 { // 120 a second at most
 			dial(t, f).Write(message(1, "health", 1, "\x00"))
 		}
@@ -155,7 +155,7 @@
 		// Several segments: it counts from before the process last stood still, and on a shared core it does for a moment.
 		{200_000, unreadFor, 2 * unreadFor}} {
 		t.Run(fmt.Sprint("after a quiet time, ", c.size, " bytes"), func(t *testing.T) {
-			f, requests := arrivalsAt(t, loopback(t), Limits{Connections: 4, Open: 32, Bytes: 8 << 20}, nothing)
+			f, requests := arrivalsAt(t, loopback(t), Config{MaxConnections: 4, MaxRequestsPerConnection: 32, MaxBytes: 8 << 20}, nothing)
 			conn := dial(t, f)
 			for seq := range uint32(3) {
 				time.Sleep(c.quiet)
@@ -173,7 +173,7 @@
 func TestArrivalOfThoseThatRest(t *testing.T) {
 	const clients = 300
 	limits := keeping(1000, time.Hour)
-	limits.Bytes, limits.Cores = 64<<20, 0.2 // 400 are woken a second
+	limits.MaxBytes, limits.Cores = 64<<20, 0.2 // 400 are woken a second
 	f, requests := arrivalsAt(t, loopback(t), limits, func(router.RequestReceived) {})
 	var conns []net.Conn
 	for range clients {
@@ -194,7 +194,7 @@
 	for range clients {
 		select {
 		case r := <-requests:
-			f.Answer(router.Respond{Client: r.Client, Seq: r.Seq})
+			f.Respond(router.Respond{Client: r.Client, Seq: r.Seq})
 			after := time.Duration(r.ArrivedAt - (f.now() - int64(time.Since(sent))))
 			worst, earliest = max(worst, after), min(earliest, after)
 		case <-time.After(patience):
--- a/internal/downstream/clock_test.go
+++ b/internal/downstream/clock_test.go
@@ -24,7 +24,7 @@
 				t.Parallel()
 				limits, c := keeping(1000, kept), clocktest.Running(0)
 				limits.Clock = c
-				limits.Keep.Networks[0].FirstRequestTimeout = int64(kept)
+				limits.Policies.Policies[0].FirstRequestTimeout = int64(kept)
 				f, _ := serving(t, limits)
 				parks(t, f)
 				rests, asks := dial(t, f), dial(t, f)
--- a/internal/downstream/closes_linux_test.go
+++ b/internal/downstream/closes_linux_test.go
@@ -24,7 +24,7 @@
 
 // A request for which there is no memory is refused, and what else is open on its connection is answered.
 func TestRequestWithoutMemoryIsRefused(t *testing.T) {
-	f, events := serving(t, Limits{Connections: 4, Open: 32, Bytes: 1 << 20})
+	f, events := serving(t, Config{MaxConnections: 4, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20})
 	if !f.reading.TryAcquire(1 << 20) {
 		t.Fatal("the memory is in use already")
 	}
@@ -40,7 +40,7 @@
 		t.Errorf("%s instead of what came behind it", e)
 	}
 	for _, seq := range []int32{5, 7} {
-		f.Answer(router.Respond{Client: 1, Seq: seq, Body: []byte("whole")})
+		f.Respond(router.Respond{Client: 1, Seq: seq, Body: []byte("whole")})
 		if got, err := answerOn(conn); err != nil || !strings.Contains(got, "whole") {
 			t.Errorf("%q, %v", got, err)
 		}
@@ -53,8 +53,8 @@
 	by := &bart.Table[uint16]{}
 	by.Insert(netip.MustParsePrefix("127.0.0.0/8"), 1)
 	limits := keeping(100, time.Hour)
-	limits.Keep = &Keep{By: by, Networks: []idle.Policy{{FirstRequestTimeout: FreshMost, IdleTimeout: int64(time.Hour)},
-		{FirstRequestTimeout: FreshMost, IdleTimeout: int64(time.Hour), MaxPerClient: 1}}}
+	limits.Policies = &NetworkPolicies{ByAddress: by, Policies: []idle.Policy{{FirstRequestTimeout: MaxIdleBeforeFirstRequest, IdleTimeout: int64(time.Hour)},
+		{FirstRequestTimeout: MaxIdleBeforeFirstRequest, IdleTimeout: int64(time.Hour), MaxPerClient: 1}}}
 	f, events := serving(t, limits)
 	kept := dial(t, f)
 	health(t, kept)
@@ -66,7 +66,7 @@
 				t.Fatalf("%q, %v", got, err)
 			}
 		}
-		if n := f.Open(); n < 3 { // the listener, the kept one, and this
+		if n := f.OpenConnections(); n < 3 { // the listener, the kept one, and this
 			t.Errorf("%d are open while one is being refused", n)
 		}
 		endsGently(t, conn)
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	events := make(chan router.Event, 10)
-	f := New(listener, Limits{Connections: 1, Open: 32, Bytes: 1 << 20}, func(e router.Event) { events <- e }, func(string) {})
+	f := New(listener, Config{MaxConnections: 1, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20}, func(e router.Event) { events <- e }, func(string) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error, 1)
 	go func() { over <- f.Serve(ctx) }()
@@ -97,10 +97,10 @@
 	<-events
 	waits := dial(t, f)
 	time.Sleep(50 * time.Millisecond)
-	if f.Shut(); f.Open() < 2 {
+	if f.CloseIdle(); f.OpenConnections() < 2 {
 		t.Error("nothing is open, while one is open and one waits")
 	}
-	f.Answer(router.Respond{Client: 1, Seq: 5, Body: []byte("whole")})
+	f.Respond(router.Respond{Client: 1, Seq: 5, Body: []byte("whole")})
 	if got, err := answerOn(conn); err != nil || !strings.Contains(got, "whole") {
 		t.Errorf("%q, %v", got, err)
 	}
@@ -147,7 +147,7 @@
 		gone.Write(message(1, "call", 5, "\x00"))
 		stays := dial(t, f)
 		q := (<-events).(router.RequestReceived)
-		f.Answer(router.Respond{Client: q.Client, Seq: 5, Body: []byte("whole")})
+		f.Respond(router.Respond{Client: q.Client, Seq: 5, Body: []byte("whole")})
 		if e, ok := (<-events).(router.ClientDisconnected); !ok || e.Client != q.Client {
 			t.Errorf("%v: %+v", errno, e)
 		}
@@ -162,7 +162,7 @@
 	var exhausted atomic.Bool
 	exhausted.Store(true)
 	limits := keeping(4, time.Hour)
-	limits.Calls = failingCalls("poller", syscall.EMFILE, exhausted.Load)
+	limits.SystemCalls = failingCalls("poller", syscall.EMFILE, exhausted.Load)
 	f, _ := serving(t, limits)
 	var conns []net.Conn
 	for range 4 {
@@ -183,8 +183,8 @@
 			t.Error("evicted with its request unread")
 		}
 	}
-	f.Shut()
-	if f.Flushed() || f.Open() < 4 {
+	f.CloseIdle()
+	if f.Flushed() || f.OpenConnections() < 4 {
 		t.Error("ended with requests unread")
 	}
 	exhausted.Store(false)
@@ -207,7 +207,7 @@
 		}
 		return poller.Kernel.Receive(fd, p, flags)
 	}
-	limits.Calls = &calls
+	limits.SystemCalls = &calls
 	f, _ := serving(t, limits)
 	conn := rests(t, f, true)
 	unknown.Store(true)
@@ -222,7 +222,7 @@
 func TestHalfClosedAtRestIsRefused(t *testing.T) {
 	var exhausted atomic.Bool
 	limits := keeping(4, time.Hour)
-	limits.Calls = failingCalls("poller", syscall.EMFILE, exhausted.Load)
+	limits.SystemCalls = failingCalls("poller", syscall.EMFILE, exhausted.Load)
 	f, events := serving(t, limits)
 	conn, gone := rests(t, f, true), rests(t, f, true)
 	exhausted.Store(true)
--- a/internal/downstream/departure_test.go
+++ b/internal/downstream/departure_test.go
@@ -73,7 +73,7 @@
 				continue // it is not understood
 			}
 			t.Run(before.name+", and it "+end.name, func(t *testing.T) {
-				f, events := serving(t, Limits{Connections: 4, Open: 32, Bytes: thrift.FrameMost})
+				f, events := serving(t, Config{MaxConnections: 4, MaxRequestsPerConnection: 32, MaxBytes: thrift.FrameMost})
 				if before.full {
 					f.reading.TryAcquire(thrift.FrameMost)
 					defer f.reading.Release(thrift.FrameMost)
@@ -91,7 +91,7 @@
 				end.do(conn)
 				tells(t, events, end.want)
 				for seq := range int32(before.open) {
-					f.Answer(router.Respond{Client: 1, Seq: seq + 1})
+					f.Respond(router.Respond{Client: 1, Seq: seq + 1})
 				}
 			})
 		}
@@ -100,7 +100,7 @@
 
 // A large request for which there is no memory is refused soon, and what comes behind it is read.
 func TestNoMemoryForALargeRequest(t *testing.T) {
-	f, events := serving(t, Limits{Connections: 4, Open: 32, Bytes: thrift.FrameMost})
+	f, events := serving(t, Config{MaxConnections: 4, MaxRequestsPerConnection: 32, MaxBytes: thrift.FrameMost})
 	f.reading.TryAcquire(thrift.FrameMost)
 	conn, begun := dial(t, f), time.Now()
 	conn.Write(call(1, 200_000))
--- a/internal/downstream/downstream.go
+++ b/internal/downstream/downstream.go
@@ -41,9 +41,9 @@
 	lingerBytes = 32 << 10 // thrown away between two gaps: one that sends without end gets little of the core
 )
 
-// FreshMost is when the table closes a connection that has asked for nothing, ns. Its own reader ends it before, more
+// MaxIdleBeforeFirstRequest is when the table closes a connection that has asked for nothing, ns. Its own reader ends it before, more
 // gently.
-const FreshMost = int64(2*newMost + lingerMost)
+const MaxIdleBeforeFirstRequest = int64(2*newMost + lingerMost)
 
 const (
 	roomTries   = 8                      // connections that are looked at for one that can be closed
@@ -62,25 +62,25 @@
 // smallFrame is a frame that needs no share of the memory for large ones.
 const smallFrame = 4096
 
-// Limits bound what the front holds.
-type Limits struct {
-	Connections int
-	Open        int   // requests on one connection
-	Bytes       int64 // of requests being read and, apart, of answers waiting to be written
-	Cores       float64
-	Seed        uint64
-	Crowded     func() bool         // whether others wait for the core; nil is never
-	Keep        *Keep               // nil: as the platform states it
-	Clock       clock.Clock         // nil: clock.System
-	Calls       *poller.SystemCalls // of the system, for connections that rest; nil: as it has them
-}
-
-// Front serves clients on one listener.
-type Front struct {
+// Config bound what the front holds.
+type Config struct {
+	MaxConnections           int
+	MaxRequestsPerConnection int   // requests on one connection
+	MaxBytes                 int64 // of requests being read and, apart, of answers waiting to be written
+	Cores                    float64
+	Seed                     uint64
+	Saturated                func() bool         // whether others wait for the core; nil is never
+	Policies                 *NetworkPolicies    // nil: as the platform states it
+	Clock                    clock.Clock         // nil: clock.System
+	SystemCalls              *poller.SystemCalls // of the system, for connections that rest; nil: as it has them
+}
+
+// Server serves clients on one listener.
+type Server struct {
 	listener net.Listener
 	post     func(router.Event)
 	log      func(string)
-	limits   Limits
+	limits   Config
 	ready    atomic.Bool
 	reading  *semaphore.Weighted
 	queued   atomic.Int64
@@ -106,7 +106,7 @@
 
 	places sync.Mutex // locked last, for moments; guards what follows
 	table  *idle.Table
-	keep   *Keep
+	keep   *NetworkPolicies
 	at     []place // by the table's IDs
 
 	postponed []wakeUp // parked connections that could not be resumed for want of something; guarded by places
@@ -118,23 +118,23 @@
 }
 
 // New makes a front on a listener; post takes what comes in.
-func New(listener net.Listener, limits Limits, post func(router.Event), log func(string)) *Front {
-	if limits.Keep == nil {
-		limits.Keep = &Keep{Networks: []idle.Policy{{FirstRequestTimeout: FreshMost, IdleTimeout: int64(idleMost)}}}
+func New(listener net.Listener, limits Config, post func(router.Event), log func(string)) *Server {
+	if limits.Policies == nil {
+		limits.Policies = &NetworkPolicies{Policies: []idle.Policy{{FirstRequestTimeout: MaxIdleBeforeFirstRequest, IdleTimeout: int64(idleMost)}}}
 	}
-	if limits.Calls == nil {
-		limits.Calls = poller.Kernel
+	if limits.SystemCalls == nil {
+		limits.SystemCalls = poller.Kernel
 	}
-	if limits.Crowded == nil {
-		limits.Crowded = func() bool { return false }
+	if limits.Saturated == nil {
+		limits.Saturated = func() bool { return false }
 	}
 	if limits.Clock == nil {
 		limits.Clock = clock.System()
 	}
-	f := &Front{listener: listener, post: post, log: log, limits: limits, keep: limits.Keep, calls: limits.Calls,
-		reading: semaphore.NewWeighted(max(limits.Bytes, thrift.FrameMost)), clients: map[router.ClientID]*client{},
+	f := &Server{listener: listener, post: post, log: log, limits: limits, keep: limits.Policies, calls: limits.SystemCalls,
+		reading: semaphore.NewWeighted(max(limits.MaxBytes, thrift.FrameMost)), clients: map[router.ClientID]*client{},
 		admit: idle.NewAcceptPacer(limits.Cores),
-		table: idle.NewTable(idle.Limits{MaxConnections: limits.Connections, Cores: limits.Cores}, limits.Keep.Networks, limits.Seed)}
+		table: idle.NewTable(idle.Limits{MaxConnections: limits.MaxConnections, Cores: limits.Cores}, limits.Policies.Policies, limits.Seed)}
 	lot, err := poller.NewWithSystemCalls(f.calls)
 	if f.lot = lot; err != nil {
 		f.lot = nil
@@ -144,13 +144,13 @@
 }
 
 // now is the time on the process's monotonic axis, ns: what the table and the paces go by.
-func (f *Front) now() int64 { return f.limits.Clock.Now() }
+func (f *Server) now() int64 { return f.limits.Clock.Now() }
 
 // SetReady says what health tells.
-func (f *Front) SetReady(ready bool) { f.ready.Store(ready) }
+func (f *Server) SetReady(ready bool) { f.ready.Store(ready) }
 
 // Serve accepts connections until the context or the listener ends, and returns when all of them have ended.
-func (f *Front) Serve(ctx context.Context) error {
+func (f *Server) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { f.listener.Close() })
 	defer stop()
 	defer f.closeParked()
@@ -199,11 +199,11 @@
 
 // take takes a connection in once there is room and the pace lets it; until then it and those behind it wait in the
 // listener's backlog, since then at most, but for those that say nothing, which rest. It tells whether to go on.
-func (f *Front) take(ctx context.Context, conn net.Conn, since time.Time) bool {
+func (f *Server) take(ctx context.Context, conn net.Conn, since time.Time) bool {
 	turn, wait := idle.Defer, int64(0)
 	for {
 		silent := f.parks() && !f.pending(conn)
-		if turn, wait = f.admit.Decide(f.now(), int64(time.Since(since)), f.limits.Crowded(), silent); turn != idle.Defer {
+		if turn, wait = f.admit.Decide(f.now(), int64(time.Since(since)), f.limits.Saturated(), silent); turn != idle.Defer {
 			break
 		}
 		if !pause(ctx, time.Duration(wait)) {
@@ -247,7 +247,7 @@
 	}
 }
 
-func (f *Front) run(ctx context.Context, c *client) {
+func (f *Server) run(ctx context.Context, c *client) {
 	f.holding.Add(1)
 	f.group.Go(func() {
 		defer f.holding.Add(-1)
@@ -256,7 +256,7 @@
 }
 
 // open gives a connection a place in the table, if there is one.
-func (f *Front) open(conn net.Conn) (id idle.ID, generation uint32, v idle.Verdict) {
+func (f *Server) open(conn net.Conn) (id idle.ID, generation uint32, v idle.Verdict) {
 	client, network := f.keep.find(conn.RemoteAddr())
 	f.places.Lock()
 	defer f.places.Unlock()
@@ -267,7 +267,7 @@
 }
 
 // enter makes a client of a connection that has a place in the table.
-func (f *Front) enter(conn net.Conn, id idle.ID, generation uint32, answered bool) *client {
+func (f *Server) enter(conn net.Conn, id idle.ID, generation uint32, answered bool) *client {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.last++
@@ -279,7 +279,7 @@
 	f.put(id, place{client: c, fd: -1})
 	c.state = f.table.State(id)
 	f.places.Unlock()
-	if f.crowded && f.all() < f.limits.Connections/2 {
+	if f.crowded && f.all() < f.limits.MaxConnections/2 {
 		f.crowded = false
 		f.log("connections are far below their bound again")
 	}
@@ -288,16 +288,16 @@
 
 // room has one that nobody needs make room: hundreds that say nothing, or are kept for good, kept usual clients out. It
 // tells whether there may be room now.
-func (f *Front) room() bool {
+func (f *Server) room() bool {
 	f.mu.Lock()
 	if !f.crowded {
 		f.crowded = true
-		f.log(fmt.Sprintf("connections are at their bound of %d: who needs none makes room", f.limits.Connections))
+		f.log(fmt.Sprintf("connections are at their bound of %d: who needs none makes room", f.limits.MaxConnections))
 	}
 	f.mu.Unlock()
 	for range roomTries {
 		f.places.Lock()
-		if f.table.Len() < f.limits.Connections {
+		if f.table.Len() < f.limits.MaxConnections {
 			f.places.Unlock()
 			return true
 		}
@@ -342,7 +342,7 @@
 }
 
 // hungUp tells whether a connection's client has closed, though what it sent before is not read yet.
-func (f *Front) hungUp(conn net.Conn) (up bool) {
+func (f *Server) hungUp(conn net.Conn) (up bool) {
 	if c, ok := conn.(syscall.Conn); ok {
 		if raw, err := c.SyscallConn(); err == nil {
 			raw.Control(func(fd uintptr) { up = f.calls.PeerClosed(int(fd)) })
@@ -352,7 +352,7 @@
 }
 
 // pending tells whether something has come on a connection that is not read yet, or may have.
-func (f *Front) pending(conn net.Conn) bool {
+func (f *Server) pending(conn net.Conn) bool {
 	content := poller.NoData
 	if c, ok := conn.(syscall.Conn); ok {
 		if raw, err := c.SyscallConn(); err == nil {
@@ -362,8 +362,8 @@
 	return content == poller.Data || content == poller.Undetermined
 }
 
-// Answer writes a final answer to its client, if that is still there. It never waits.
-func (f *Front) Answer(a router.Respond) {
+// Respond writes a final answer to its client, if that is still there. It never waits.
+func (f *Server) Respond(a router.Respond) {
 	f.mu.Lock()
 	c := f.clients[a.Client]
 	f.mu.Unlock()
@@ -377,13 +377,13 @@
 		if a.NotModified {
 			out.Body, out.Fields = nil, [][2]string{{"ok304", "1"}}
 		}
-		if f.queued.Load()+int64(len(out.Body)) > f.limits.Bytes {
+		if f.queued.Load()+int64(len(out.Body)) > f.limits.MaxBytes {
 			// Large answers to clients that don't read would take all memory.
 			out = thrift.Answer{Method: "call", Seq: a.Seq, Field: 2}
 			if !f.full.Swap(true) {
 				f.log(fmt.Sprintf("slow clients: %d bytes of answers wait, new ones fail", f.queued.Load()))
 			}
-		} else if len(out.Body) > 0 && f.queued.Load() < f.limits.Bytes/2 && f.full.Swap(false) {
+		} else if len(out.Body) > 0 && f.queued.Load() < f.limits.MaxBytes/2 && f.full.Swap(false) {
 			f.log("slow clients: answers go out again")
 		}
 	case router.Rejected:
@@ -404,7 +404,7 @@
 
 // Flushed tells whether every answer has been written, and nothing has come that is not taken in: on a core that is
 // shared it may wait to be read when the router ends, and a connection to be accepted.
-func (f *Front) Flushed() bool {
+func (f *Server) Flushed() bool {
 	if f.shut.Load() && !f.closed.Load() || !f.shut.Load() && f.backlog() {
 		return false
 	}
@@ -420,7 +420,7 @@
 
 // client is one connection.
 type client struct {
-	front *Front
+	front *Server
 	id    router.ClientID
 	conn  net.Conn
 	since time.Time
@@ -718,7 +718,7 @@
 		return tooLate
 	case c.open[seq]:
 		return inUse
-	case len(c.open) >= c.front.limits.Open:
+	case len(c.open) >= c.front.limits.MaxRequestsPerConnection:
 		if c.excess++; c.excess > excessMost {
 			c.offended = true
 		}
--- a/internal/downstream/downstream_test.go
+++ b/internal/downstream/downstream_test.go
@@ -16,10 +16,10 @@
 
 const patience = 5 * time.Second
 
-var small = Limits{Connections: 4, Open: 32, Bytes: 1 << 20}
+var small = Config{MaxConnections: 4, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20}
 
 // serving is a front on loopback whose events are noted; its end is checked by the test's end.
-func serving(t *testing.T, limits Limits) (*Front, chan string) {
+func serving(t *testing.T, limits Config) (*Server, chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,7 +46,7 @@
 	return f, events
 }
 
-func dial(t *testing.T, f *Front) net.Conn {
+func dial(t *testing.T, f *Server) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", f.listener.Addr().String())
 	if err != nil {
@@ -124,7 +124,7 @@
 					t.Errorf("%s, want %s", e, want)
 				}
 			}
-			f.Answer(router.Respond{Client: 1, Seq: 5, Body: []byte("whole")})
+			f.Respond(router.Respond{Client: 1, Seq: 5, Body: []byte("whole")})
 			got, err := io.ReadAll(conn)
 			if err != nil || !strings.Contains(string(got), "whole") {
 				t.Errorf("%q, %v", got, err)
@@ -139,14 +139,14 @@
 // Large answers to clients that do not read: memory stays bounded, what does not fit fails openly, others go on.
 func TestSlowReader(t *testing.T) {
 	const size, limit, calls = 200 << 10, 8 << 20, 200
-	f, events := serving(t, Limits{Connections: 4, Open: calls, Bytes: limit})
+	f, events := serving(t, Config{MaxConnections: 4, MaxRequestsPerConnection: calls, MaxBytes: limit})
 	slow, quick := dial(t, f), dial(t, f)
 	for seq := range uint32(calls) {
 		slow.Write(message(1, "call", seq, "\x00"))
 		next(t, events)
 	}
 	for seq := range int32(calls) {
-		f.Answer(router.Respond{Client: 1, Seq: seq, Body: make([]byte, size)})
+		f.Respond(router.Respond{Client: 1, Seq: seq, Body: make([]byte, size)})
 	}
 	if got := f.queued.Load(); got > limit+calls*100 {
 		t.Errorf("%d bytes queued, limit %d", got, limit)
@@ -199,7 +199,7 @@
 	}
 	conn.Write(call[9:])
 	next(t, events)
-	f.Answer(router.Respond{Client: 1, Seq: 5})
+	f.Respond(router.Respond{Client: 1, Seq: 5})
 	for end := time.Now().Add(patience); !f.Flushed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("not flushed with all answered")
@@ -250,7 +250,7 @@
 			if e := next(t, events); e != "ClientDisconnected" {
 				t.Errorf("%s where it should have left", e)
 			}
-			f.Answer(router.Respond{Client: 2, Seq: 5, Body: []byte("late")}) // nobody is there any more
+			f.Respond(router.Respond{Client: 2, Seq: 5, Body: []byte("late")}) // nobody is there any more
 			usual.Write(message(1, "health", 2, "\x00"))
 			if _, err := io.ReadFull(usual, make([]byte, 2*47)); err != nil {
 				t.Errorf("the usual client: %v", err)
@@ -273,13 +273,13 @@
 	if _, err := io.ReadFull(usual, make([]byte, 20)); err != nil {
 		t.Errorf("one who asks: %v", err)
 	}
-	f.Answer(router.Respond{Client: 1, Seq: 5, Body: []byte("whole")})
+	f.Respond(router.Respond{Client: 1, Seq: 5, Body: []byte("whole")})
 	if _, err := io.ReadFull(asking, make([]byte, 20)); err != nil {
 		t.Errorf("one who has asked: %v", err)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.clients) > small.Connections {
+	if len(f.clients) > small.MaxConnections {
 		t.Errorf("%d connections", len(f.clients))
 	}
 }
@@ -291,7 +291,7 @@
 		t.Fatal(err)
 	}
 	lines := 0
-	f := New(listener, Limits{Connections: 50, Open: 32, Bytes: 1 << 20}, func(router.Event) {}, func(string) { lines++ })
+	f := New(listener, Config{MaxConnections: 50, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20}, func(router.Event) {}, func(string) { lines++ })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.Serve(ctx)
@@ -313,7 +313,7 @@
 }
 
 func TestConnectionsAreBounded(t *testing.T) {
-	f, events := serving(t, Limits{Connections: 2, Open: 32, Bytes: 1 << 20})
+	f, events := serving(t, Config{MaxConnections: 2, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20})
 	for range 2 {
 		dial(t, f).Write(message(1, "call", 5, "\x00"))
 		next(t, events)
@@ -325,14 +325,14 @@
 		t.Errorf("%s, while both others ask", e)
 	case <-time.After(100 * time.Millisecond):
 	}
-	f.Answer(router.Respond{Client: 1, Seq: 5})
+	f.Respond(router.Respond{Client: 1, Seq: 5})
 	if e := next(t, events); e != "ClientDisconnected" && e != "RequestReceived" {
 		t.Error(e)
 	}
 	if e := next(t, events); e != "ClientDisconnected" && e != "RequestReceived" {
 		t.Error(e)
 	}
-	f.Answer(router.Respond{Client: 3, Seq: 5, Body: []byte("whole")})
+	f.Respond(router.Respond{Client: 3, Seq: 5, Body: []byte("whole")})
 	if _, err := io.ReadFull(third, make([]byte, 20)); err != nil {
 		t.Errorf("the third one, which has waited: %v", err)
 	}
--- a/internal/downstream/endings_test.go
+++ b/internal/downstream/endings_test.go
@@ -28,7 +28,7 @@
 }
 
 // rests brings a connection to where it has been answered and rests, parked or not.
-func rests(t *testing.T, f *Front, parked bool) net.Conn {
+func rests(t *testing.T, f *Server, parked bool) net.Conn {
 	t.Helper()
 	conn := dial(t, f)
 	health(t, conn)
@@ -61,12 +61,12 @@
 	for _, c := range []struct {
 		name   string
 		parked bool
-		end    func(*Front, net.Conn)
+		end    func(*Server, net.Conn)
 	}{
-		{"the router ends", false, func(f *Front, _ net.Conn) { f.Shut() }},
-		{"the router ends, and it is parked", true, func(f *Front, _ net.Conn) { f.Shut() }},
-		{"it makes room", false, func(f *Front, _ net.Conn) { f.evict(0) }},
-		{"it makes room, and is parked", true, func(f *Front, _ net.Conn) { f.evict(0) }},
+		{"the router ends", false, func(f *Server, _ net.Conn) { f.CloseIdle() }},
+		{"the router ends, and it is parked", true, func(f *Server, _ net.Conn) { f.CloseIdle() }},
+		{"it makes room", false, func(f *Server, _ net.Conn) { f.evict(0) }},
+		{"it makes room, and is parked", true, func(f *Server, _ net.Conn) { f.evict(0) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f, events := serving(t, keeping(100, time.Hour))
@@ -115,17 +115,17 @@
 	go func() { over <- f.Serve(ctx) }()
 	conn := dial(t, f)
 	conn.Write(message(1, "call", 5, "\x00"))
-	f.Shut()
-	if f.Open() == 0 || f.Flushed() {
+	f.CloseIdle()
+	if f.OpenConnections() == 0 || f.Flushed() {
 		t.Fatal("nothing is open, while a request waits in the backlog")
 	}
 	close(h.let)
 	if _, ok := (<-events).(router.RequestReceived); !ok {
 		t.Fatal("not taken in")
 	}
-	f.Shut()
-	f.Answer(router.Respond{Client: 1, Seq: 5, Body: []byte("whole")})
-	until(t, "all has ended", func() bool { f.Shut(); return f.Open() == 0 })
+	f.CloseIdle()
+	f.Respond(router.Respond{Client: 1, Seq: 5, Body: []byte("whole")})
+	until(t, "all has ended", func() bool { f.CloseIdle(); return f.OpenConnections() == 0 })
 	if got, err := io.ReadAll(conn); err != nil || !strings.Contains(string(got), "whole") {
 		t.Errorf("%q, %v", got, err)
 	}
@@ -148,7 +148,7 @@
 	half.Write(call[:9])
 	until(t, "all are there", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.clients) == 4 })
 	until(t, "half a request has come", func() bool { return !f.Flushed() })
-	f.Shut()
+	f.CloseIdle()
 	endsGently(t, fresh)
 	endsGently(t, resting)
 	half.Write(call[9:])
@@ -157,10 +157,10 @@
 	}
 	until(t, "both are open", func() bool { return f.opens() == 2 })
 	begun := time.Now()
-	f.Answer(router.Respond{Client: f.clientOf(5), Seq: 5, Body: []byte("whole")})
-	f.Answer(router.Respond{Client: f.clientOf(6), Seq: 6, Body: []byte("whole")})
+	f.Respond(router.Respond{Client: f.clientOf(5), Seq: 5, Body: []byte("whole")})
+	f.Respond(router.Respond{Client: f.clientOf(6), Seq: 6, Body: []byte("whole")})
 	for _, conn := range []net.Conn{busy, half} {
-		until(t, "it is flushed and shut", func() bool { f.Shut(); return f.opens() == 0 && f.Flushed() && f.Open() <= 1 })
+		until(t, "it is flushed and shut", func() bool { f.CloseIdle(); return f.opens() == 0 && f.Flushed() && f.OpenConnections() <= 1 })
 		if got, err := io.ReadAll(conn); err != nil || !strings.Contains(string(got), "whole") {
 			t.Errorf("%q, %v", got, err)
 		}
@@ -207,7 +207,7 @@
 	conn := dial(t, f)
 	conn.Write(message(1, "call", 5, "\x00"))
 	next(t, events)
-	f.Answer(router.Respond{Client: 1, Seq: 5})
+	f.Respond(router.Respond{Client: 1, Seq: 5})
 	io.ReadFull(conn, make([]byte, 20))
 	conn.Close()
 	if e := next(t, events); e != "ClientDisconnected" {
@@ -215,14 +215,14 @@
 	}
 }
 
-func (f *Front) closingNow() []closing {
+func (f *Server) closingNow() []closing {
 	f.places.Lock()
 	defer f.places.Unlock()
 	return f.closing
 }
 
 // opens is how many requests are open.
-func (f *Front) opens() (n int) {
+func (f *Server) opens() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range f.clients {
@@ -234,7 +234,7 @@
 }
 
 // clientOf is who has a request open.
-func (f *Front) clientOf(seq int32) router.ClientID {
+func (f *Server) clientOf(seq int32) router.ClientID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, c := range f.clients {
@@ -250,7 +250,7 @@
 
 // Clients that ask and close while they wait in the backlog have gone: what they asked for is not sent on when their turn comes. Those ahead of them, sixty a second, hold the turns.
 func TestGoneWhileItWaited(t *testing.T) {
-	f, events := serving(t, Limits{Connections: 1000, Open: 32, Bytes: 1 << 20, Cores: 0.05})
+	f, events := serving(t, Config{MaxConnections: 1000, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20, Cores: 0.05})
 	var ahead []net.Conn
 	for range 40 {
 		conn := dial(t, f)
@@ -283,7 +283,7 @@
 	if got, err := answerOn(half); err != nil || !strings.Contains(got, "call\x00\x00\x00\x07"+refusedField) {
 		t.Errorf("the one that closed its side alone: %q, %v", got, err)
 	}
-	f.Answer(router.Respond{Client: 41, Seq: 6, Body: []byte("whole")})
+	f.Respond(router.Respond{Client: 41, Seq: 6, Body: []byte("whole")})
 	if _, err := io.ReadFull(stays, make([]byte, 20)); err != nil {
 		t.Error(err)
 	}
--- a/internal/downstream/filter_linux_test.go
+++ b/internal/downstream/filter_linux_test.go
@@ -103,7 +103,7 @@
 	var said []string
 	limits := keeping(100, time.Hour)
 	if name == wakesByItsOwn {
-		limits.Calls = failingCalls("connect", unix.EMFILE, func() bool { return true })
+		limits.SystemCalls = failingCalls("connect", unix.EMFILE, func() bool { return true })
 	}
 	f := New(listener, limits, func(router.Event) {}, func(line string) {
 		mu.Lock()
--- a/internal/downstream/local_linux_test.go
+++ b/internal/downstream/local_linux_test.go
@@ -87,7 +87,7 @@
 					var left atomic.Int64
 					var over atomic.Int64
 					limits := keeping(100, time.Hour)
-					limits.Calls = failingCalls(call, errno, func() bool {
+					limits.SystemCalls = failingCalls(call, errno, func() bool {
 						return left.Add(-1) >= 0 || time.Now().UnixNano() < over.Load()
 					})
 					f, _ := serving(t, limits)
@@ -184,13 +184,13 @@
 }
 
 // fronting is a front on a listener of the test's. Nothing rests there: resumed, a connection would be the system's own again.
-func fronting(t *testing.T, limits Limits, accept, read, write func() error) (*Front, chan router.Event) {
+func fronting(t *testing.T, limits Config, accept, read, write func() error) (*Server, chan router.Event) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	limits.Calls = failingCalls("fcntl", unix.EINVAL, func() bool { return true })
+	limits.SystemCalls = failingCalls("fcntl", unix.EINVAL, func() bool { return true })
 	events := make(chan router.Event, 1000)
 	f := New(faultyListener{listener.(*net.TCPListener), accept, func(c *net.TCPConn) net.Conn { return faultyConn{c, read, write} }}, limits,
 		func(e router.Event) { events <- e }, func(string) {})
@@ -231,7 +231,7 @@
 					}
 				}()
 			}
-			if f.Shut(); f.shut.Load() {
+			if f.CloseIdle(); f.shut.Load() {
 				t.Error("the listener was closed over those who wait")
 			}
 			time.Sleep(time.Until(over))
@@ -266,7 +266,7 @@
 					if !ok || q.Seq != seq {
 						t.Fatalf("%+v", q)
 					}
-					f.Answer(router.Respond{Client: q.Client, Seq: seq, Body: []byte(body)})
+					f.Respond(router.Respond{Client: q.Client, Seq: seq, Body: []byte(body)})
 					if got, err := answerOn(conn); err != nil || !strings.Contains(got, body) || strings.Count(got, "0123456789") != 1000 {
 						t.Fatalf("%d bytes, %v", len(got), err)
 					}
@@ -292,7 +292,7 @@
 	odd.Store(true)
 	conn.Write([]byte{0}) // wakes its reader
 	time.Sleep(50 * time.Millisecond)
-	f.Answer(router.Respond{Client: q.Client, Seq: 5, Body: []byte("whole")})
+	f.Respond(router.Respond{Client: q.Client, Seq: 5, Body: []byte("whole")})
 	if got, err := answerOn(conn); err != nil || !strings.Contains(got, "whole") {
 		t.Errorf("%q, %v", got, err)
 	}
--- a/internal/downstream/refuse.go
+++ b/internal/downstream/refuse.go
@@ -66,8 +66,8 @@
 
 // refuse ends a connection that is not taken in, beyond a bound of the operator's or closed by its client while it waited: what it
 // has asked, or asks within a moment, is refused. So many at once that they would be a load themselves are closed as they come.
-func (f *Front) refuse(ctx context.Context, conn net.Conn) {
-	if f.refusing.Add(1) > int64(f.limits.Connections/closingPart)+1 {
+func (f *Server) refuse(ctx context.Context, conn net.Conn) {
+	if f.refusing.Add(1) > int64(f.limits.MaxConnections/closingPart)+1 {
 		f.refusing.Add(-1)
 		conn.Close()
 		return
--- a/internal/downstream/rest.go
+++ b/internal/downstream/rest.go
@@ -18,23 +18,23 @@
 	"tealpath/internal/neterr"
 )
 
-// Keep is how connections are kept by their clients' networks.
-type Keep struct {
-	Networks []idle.Policy       // the first is for whoever is in no other
-	By       *bart.Table[uint16] // places in Networks; nil is none
+// NetworkPolicies is how connections are kept by their clients' networks.
+type NetworkPolicies struct {
+	Policies  []idle.Policy       // the first is for whoever is in no other
+	ByAddress *bart.Table[uint16] // places in Networks; nil is none
 }
 
 var seed = maphash.MakeSeed()
 
 // find tells a client by a number, and its network.
-func (k *Keep) find(address net.Addr) (client uint64, network uint16) {
+func (k *NetworkPolicies) find(address net.Addr) (client uint64, network uint16) {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
 		return 0, 0
 	}
 	ip := tcp.AddrPort().Addr().Unmap()
-	if k.By != nil {
-		network, _ = k.By.Lookup(ip)
+	if k.ByAddress != nil {
+		network, _ = k.ByAddress.Lookup(ip)
 	}
 	raw := ip.As16()
 	return maphash.Bytes(seed, raw[:]), network
@@ -49,7 +49,7 @@
 }
 
 // put says what a place of the table stands for; places are locked.
-func (f *Front) put(id idle.ID, p place) {
+func (f *Server) put(id idle.ID, p place) {
 	for len(f.at) <= int(id) {
 		f.at = append(f.at, place{fd: -1})
 	}
@@ -84,12 +84,12 @@
 }
 
 // holds tells whether a place is still that of a generation; places are locked.
-func (f *Front) holds(id idle.ID, generation uint32) bool {
+func (f *Server) holds(id idle.ID, generation uint32) bool {
 	return f.table.Generation(id) == generation
 }
 
 // all is how many connections there are.
-func (f *Front) all() int {
+func (f *Server) all() int {
 	f.places.Lock()
 	defer f.places.Unlock()
 	return f.table.Len()
@@ -113,10 +113,10 @@
 }
 
 // parks tells whether idle connections can rest here.
-func (f *Front) parks() bool { return f.lot != nil && !f.refusesParking.Load() }
+func (f *Server) parks() bool { return f.lot != nil && !f.refusesParking.Load() }
 
 // noParking has idle connections keep what they hold from now on: the system refuses what resting takes. It says so once.
-func (f *Front) noParking(why error) {
+func (f *Server) noParking(why error) {
 	if !f.refusesParking.Swap(true) {
 		f.log("idle connections keep their buffers, the system lets them rest no more: " + why.Error())
 	}
@@ -124,14 +124,14 @@
 
 // notParked notes that a connection could not be parked: for good, or for want of something that comes back. Then it is tried again
 // once the connection has been idle for as long again.
-func (f *Front) notParked(why error) {
+func (f *Server) notParked(why error) {
 	if !neterr.IsExhausted(why) {
 		f.noParking(why)
 	}
 }
 
 // wakeAll makes connections of all that rest: nothing tells any more what comes on them.
-func (f *Front) wakeAll(ctx context.Context) {
+func (f *Server) wakeAll(ctx context.Context) {
 	f.places.Lock()
 	var keys []uint64
 	for id := range f.at {
@@ -146,7 +146,7 @@
 }
 
 // park gives up all of a connection but its descriptor. It tells whether that is done.
-func (f *Front) park(c *client) bool {
+func (f *Server) park(c *client) bool {
 	if c.isShut() {
 		return false
 	}
@@ -169,7 +169,7 @@
 }
 
 // layToRest parks a connection that has said nothing yet. It tells whether that is done.
-func (f *Front) layToRest(conn net.Conn, id idle.ID, generation uint32) bool {
+func (f *Server) layToRest(conn net.Conn, id idle.ID, generation uint32) bool {
 	f.places.Lock()
 	defer f.places.Unlock()
 	fd, err := f.lot.Suspend(conn, key(id, generation))
@@ -182,7 +182,7 @@
 }
 
 // forget takes a client out.
-func (f *Front) forget(c *client) {
+func (f *Server) forget(c *client) {
 	f.mu.Lock()
 	delete(f.clients, c.id)
 	f.mu.Unlock()
@@ -195,7 +195,7 @@
 }
 
 // evict closes a connection that nobody needs, parked or not, unless something has come on it.
-func (f *Front) evict(id idle.ID) bool {
+func (f *Server) evict(id idle.ID) bool {
 	f.places.Lock()
 	c, fd := f.at[id].client, int(f.at[id].fd)
 	if c == nil {
@@ -239,13 +239,13 @@
 // shutParked half-closes a parked connection on which nothing has come, and frees its place; places are locked. What comes in
 // this very moment is read and thrown away until the client has seen the end, or for a moment: closing over it reset the
 // connection.
-func (f *Front) shutParked(id idle.ID) {
+func (f *Server) shutParked(id idle.ID) {
 	fd := int(f.at[id].fd)
 	f.at[id] = place{fd: -1}
 	f.table.Remove(id)
 	f.lot.Remove(fd)
 	poller.CloseWrite(fd)
-	if len(f.closing) > f.limits.Connections/closingPart {
+	if len(f.closing) > f.limits.MaxConnections/closingPart {
 		f.lot.CloseDescriptor(f.closing[0].fd)
 		f.closing = f.closing[1:]
 	}
@@ -256,7 +256,7 @@
 const closingPart = 8
 
 // closeShut closes parked connections that were told that they end, once their clients have closed too or their time is up.
-func (f *Front) closeShut() {
+func (f *Server) closeShut() {
 	f.places.Lock()
 	defer f.places.Unlock()
 	now := time.Now()
@@ -269,9 +269,9 @@
 	})
 }
 
-// Shut tells every connection that is owed nothing that it ends, and closes the listener once nobody waits behind it: what
+// CloseIdle tells every connection that is owed nothing that it ends, and closes the listener once nobody waits behind it: what
 // waits there is taken in first. Called again it goes on with what had something open before.
-func (f *Front) Shut() {
+func (f *Server) CloseIdle() {
 	if !f.shut.Load() && !f.backlog() {
 		f.shut.Store(true)
 		f.listener.Close()
@@ -296,8 +296,8 @@
 	f.closeShut()
 }
 
-// Open is how many connections have not ended, with the listener where it stands still.
-func (f *Front) Open() int {
+// OpenConnections is how many connections have not ended, with the listener where it stands still.
+func (f *Server) OpenConnections() int {
 	open := 0
 	if !f.closed.Load() {
 		open = 1
@@ -308,7 +308,7 @@
 }
 
 // backlog tells whether a connection waits to be accepted.
-func (f *Front) backlog() bool {
+func (f *Server) backlog() bool {
 	listener, ok := f.listener.(syscall.Conn)
 	if !ok {
 		return false
@@ -322,26 +322,26 @@
 	return waits
 }
 
-// Counts is how many connections are in which state.
-type Counts struct {
-	All     int `json:"all"`
-	Fresh   int `json:"fresh"`
-	Busy    int `json:"busy"`
-	Reading int `json:"reading"`
-	Idle    int `json:"idle"`
-	Closing int `json:"closing"`
-	Parked  int `json:"parked"`  // of those that are idle: they hold a descriptor alone
-	Waiting int `json:"waiting"` // parked, with something come that is not taken in yet
+// ConnectionCounts is how many connections are in which state.
+type ConnectionCounts struct {
+	All       int `json:"all"`
+	New       int `json:"fresh"`
+	Active    int `json:"busy"`
+	Reading   int `json:"reading"`
+	Idle      int `json:"idle"`
+	Closing   int `json:"closing"`
+	Suspended int `json:"parked"`  // of those that are idle: they hold a descriptor alone
+	Waiting   int `json:"waiting"` // parked, with something come that is not taken in yet
 }
 
 // Counts tells how many connections are in which state.
-func (f *Front) Counts() Counts {
+func (f *Server) Counts() ConnectionCounts {
 	active := f.active()
 	f.places.Lock()
 	defer f.places.Unlock()
 	t := f.table
-	return Counts{All: t.Len(), Fresh: t.Count(idle.StateNew), Busy: t.Count(idle.StateActive), Reading: t.Count(idle.StateReading),
-		Idle: t.Count(idle.StateIdle), Closing: t.Count(idle.StateClosing), Parked: max(0, t.Len()-active), Waiting: int(f.waiting.Load())}
+	return ConnectionCounts{All: t.Len(), New: t.Count(idle.StateNew), Active: t.Count(idle.StateActive), Reading: t.Count(idle.StateReading),
+		Idle: t.Count(idle.StateIdle), Closing: t.Count(idle.StateClosing), Suspended: max(0, t.Len()-active), Waiting: int(f.waiting.Load())}
 }
 
 // wakeUp is a parked connection that is to be resumed, and since when something may have been there to be read.
@@ -351,20 +351,20 @@
 }
 
 // postpone keeps a parked connection for the next try; places are locked. What it is owed stays owed.
-func (f *Front) postpone(id idle.ID, w wakeUp) {
+func (f *Server) postpone(id idle.ID, w wakeUp) {
 	f.table.SetState(f.now(), id, idle.StateActive)
 	f.postponed = append(f.postponed, w)
 }
 
 // postpones tells whether parked connections wait to be resumed again.
-func (f *Front) postpones() bool {
+func (f *Server) postpones() bool {
 	f.places.Lock()
 	defer f.places.Unlock()
 	return f.resuming || len(f.postponed) > 0
 }
 
 // resumePostponed tries again what could not be resumed, and tells whether some of it still can't.
-func (f *Front) resumePostponed(ctx context.Context) bool {
+func (f *Server) resumePostponed(ctx context.Context) bool {
 	f.places.Lock()
 	again := f.postponed
 	f.postponed, f.resuming = nil, true
@@ -387,7 +387,7 @@
 const janitorLongest = 100 * time.Millisecond
 
 // janitor wakes parked connections and closes those whose time is up, at the pace that the table sets.
-func (f *Front) janitor(ctx context.Context) {
+func (f *Server) janitor(ctx context.Context) {
 	if f.lot != nil {
 		f.group.Go(func() { f.watch(ctx) })
 	}
@@ -403,7 +403,7 @@
 		for {
 			f.heart.beat(f.now())
 			f.places.Lock()
-			id, next := f.table.NextExpired(f.now(), f.limits.Crowded())
+			id, next := f.table.NextExpired(f.now(), f.limits.Saturated())
 			f.places.Unlock()
 			if id == idle.None {
 				wait = max(min(janitorLongest, time.Duration(next-f.now())), time.Millisecond)
@@ -420,8 +420,8 @@
 }
 
 // watch makes connections of parked ones on which something has come, so many at a time as the memory bears.
-func (f *Front) watch(ctx context.Context) {
-	most, pace := idle.MaxActive(f.limits.Bytes), idle.NewWakePacer(f.limits.Cores)
+func (f *Server) watch(ctx context.Context) {
+	most, pace := idle.MaxActive(f.limits.MaxBytes), idle.NewWakePacer(f.limits.Cores)
 	endings := idle.NewClosePacer(f.limits.Cores)
 	var keys, asking, ended []uint64
 	drained := time.Now() // when it was last known that all on which something had come was given
@@ -467,10 +467,10 @@
 }
 
 // wake sees to parked connections at a pace, unless the context ends.
-func (f *Front) wake(ctx context.Context, keys []uint64, pace *idle.Pacer, most int, since time.Time) bool {
+func (f *Server) wake(ctx context.Context, keys []uint64, pace *idle.Pacer, most int, since time.Time) bool {
 	for _, key := range keys {
 		for {
-			wait := time.Duration(pace.Wait(f.now(), f.limits.Crowded()))
+			wait := time.Duration(pace.Wait(f.now(), f.limits.Saturated()))
 			if wait <= 0 {
 				break
 			}
@@ -490,7 +490,7 @@
 }
 
 // asked tells whether something can be read on a parked connection, rather than its end.
-func (f *Front) asked(key uint64) bool {
+func (f *Server) asked(key uint64) bool {
 	id, generation := unkey(key)
 	f.places.Lock()
 	defer f.places.Unlock()
@@ -501,12 +501,12 @@
 }
 
 // parkAfter is how long an idle connection keeps what it holds.
-func (f *Front) parkAfter() int64 {
-	return idle.SuspendDelay(int(f.waiting.Load()), int(f.holding.Load()), idle.MaxActive(f.limits.Bytes))
+func (f *Server) parkAfter() int64 {
+	return idle.SuspendDelay(int(f.waiting.Load()), int(f.holding.Load()), idle.MaxActive(f.limits.MaxBytes))
 }
 
 // active is how many connections hold goroutines and buffers.
-func (f *Front) active() int {
+func (f *Server) active() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.clients)
@@ -514,7 +514,7 @@
 
 // resume makes a connection of a parked one, or closes it if it has ended. Where its client has closed behind what it sent, and that
 // has waited to be read since then, it is refused: the client may still read.
-func (f *Front) resume(ctx context.Context, key uint64, since time.Time) {
+func (f *Server) resume(ctx context.Context, key uint64, since time.Time) {
 	id, generation := unkey(key)
 	f.places.Lock()
 	if int(id) >= len(f.at) || !f.holds(id, generation) || f.at[id].fd < 0 {
@@ -556,7 +556,7 @@
 }
 
 // closeParked closes what is parked at the end.
-func (f *Front) closeParked() {
+func (f *Server) closeParked() {
 	f.places.Lock()
 	defer f.places.Unlock()
 	for id := range f.at {
@@ -572,7 +572,7 @@
 }
 
 // refused logs that somebody was at a bound of the operator's, once in a while.
-func (f *Front) refused(v idle.Verdict) {
+func (f *Server) refused(v idle.Verdict) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	const every = 10 * time.Second
--- a/internal/downstream/rest_test.go
+++ b/internal/downstream/rest_test.go
@@ -17,9 +17,9 @@
 )
 
 // keeping is limits under which idle connections are kept for a span.
-func keeping(connections int, span time.Duration) Limits {
-	return Limits{Connections: connections, Open: 32, Bytes: 16 << 20, Cores: 1,
-		Keep: &Keep{Networks: []idle.Policy{{FirstRequestTimeout: FreshMost, IdleTimeout: int64(span)}}}}
+func keeping(connections int, span time.Duration) Config {
+	return Config{MaxConnections: connections, MaxRequestsPerConnection: 32, MaxBytes: 16 << 20, Cores: 1,
+		Policies: &NetworkPolicies{Policies: []idle.Policy{{FirstRequestTimeout: MaxIdleBeforeFirstRequest, IdleTimeout: int64(span)}}}}
 }
 
 // health asks for health and takes the answer.
@@ -52,7 +52,7 @@
 	}
 }
 
-func parks(t *testing.T, f *Front) {
+func parks(t *testing.T, f *Server) {
 	t.Helper()
 	if f.lot == nil {
 		t.Skip("this system parks nothing")
@@ -99,7 +99,7 @@
 // Those that say nothing rest without a turn, so that the usual client that comes behind them is answered, and what they send
 // later is taken like anybody's.
 func TestTheSilentAreLaidToRest(t *testing.T) {
-	limits := Limits{Connections: 1000, Open: 32, Bytes: 1 << 20, Cores: 0.05} // sixty turns a second
+	limits := Config{MaxConnections: 1000, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20, Cores: 0.05} // sixty turns a second
 	f, _ := serving(t, limits)
 	if f.lot == nil {
 		t.Fatal("nothing rests on this system")
@@ -113,7 +113,7 @@
 	if _, err := io.ReadFull(usual, make([]byte, 20)); err != nil {
 		t.Fatalf("the usual client: %v", err)
 	}
-	if c := f.Counts(); c.Parked < 100 || c.All != 201 {
+	if c := f.Counts(); c.Suspended < 100 || c.All != 201 {
 		t.Errorf("%+v: those that say nothing were taken in, turn by turn", c)
 	}
 	late := silent[len(silent)-1]
@@ -235,8 +235,8 @@
 	by := &bart.Table[uint16]{}
 	by.Insert(netip.MustParsePrefix("127.0.0.0/8"), 1)
 	limits := keeping(100, time.Hour)
-	limits.Keep = &Keep{By: by, Networks: []idle.Policy{{FirstRequestTimeout: FreshMost, IdleTimeout: int64(time.Hour)},
-		{FirstRequestTimeout: FreshMost, IdleTimeout: int64(time.Hour), MaxConnections: 3, MaxPerClient: 2}}}
+	limits.Policies = &NetworkPolicies{ByAddress: by, Policies: []idle.Policy{{FirstRequestTimeout: MaxIdleBeforeFirstRequest, IdleTimeout: int64(time.Hour)},
+		{FirstRequestTimeout: MaxIdleBeforeFirstRequest, IdleTimeout: int64(time.Hour), MaxConnections: 3, MaxPerClient: 2}}}
 	f, _ := serving(t, limits)
 	from := func(ip string) net.Conn {
 		t.Helper()
--- a/internal/experiment/idle.go
+++ b/internal/experiment/idle.go
@@ -169,7 +169,7 @@
 		var one server.Connections
 		if !r.Bare && adminsocket.Query(ctx, r.path(name, ".sock"), &one, "connections") == nil {
 			sum.All += one.All
-			sum.Parked += one.Parked
+			sum.Suspended += one.Suspended
 			sum.Goroutines += one.Goroutines
 			sum.HeapBytes += one.HeapBytes + one.StackBytes
 		}
@@ -282,7 +282,7 @@
 				row.HeapPer = (float64(sum.HeapBytes) - float64(noneHeap)) / float64(count)
 			}
 		}
-		row.Parked, row.Goroutines = sum.Parked, sum.Goroutines
+		row.Parked, row.Goroutines = sum.Suspended, sum.Goroutines
 		row.P50, row.P99, row.P999 = l.MS(50), l.MS(99), l.MS(99.9)
 		row.Settled = float64(l.Settled) / float64(max(1, l.Sent))
 		result.Rows = append(result.Rows, row)
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -8,7 +8,7 @@
 
 // Connections is what a server says of its clients' connections and of what they cost.
 type Connections struct {
-	downstream.Counts
+	downstream.ConnectionCounts
 	Goroutines int    `json:"goroutines"`
 	HeapBytes  uint64 `json:"heap_bytes"` // in use after a collection
 	StackBytes uint64 `json:"stack_bytes"`
@@ -21,9 +21,9 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	return Connections{
-		Counts:     s.downstream.Counts(),
-		Goroutines: runtime.NumGoroutine(),
-		HeapBytes:  memory.HeapAlloc,
-		StackBytes: memory.StackInuse,
+		ConnectionCounts: s.downstream.Counts(),
+		Goroutines:       runtime.NumGoroutine(),
+		HeapBytes:        memory.HeapAlloc,
+		StackBytes:       memory.StackInuse,
 	}, nil
 }
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -66,7 +66,7 @@
 	state := shutdown.State{
 		InFlight:        s.router.InFlight(),
 		QueuedEvents:    len(s.inbox),
-		OpenConnections: s.downstream.Open(),
+		OpenConnections: s.downstream.OpenConnections(),
 	}
 	state.Flushed = state.InFlight == 0 && state.QueuedEvents == 0 && s.downstream.Flushed()
 	return state
@@ -79,5 +79,5 @@
 		return
 	}
 	l.drain.idleClosedAt = now
-	l.server.downstream.Shut()
+	l.server.downstream.CloseIdle()
 }
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -60,18 +60,18 @@
 
 // clientConnections returns how many connections clients may hold, and how idle ones are kept; nil is as
 // the platform states it.
-func (s *Server) clientConnections() (int, *downstream.Keep) {
+func (s *Server) clientConnections() (int, *downstream.NetworkPolicies) {
 	limit := s.maxClientSockets()
 	if s.operator == nil || s.operator.Idle == nil {
 		return limit, nil
 	}
 	rules := s.operator.Idle
-	keep := &downstream.Keep{By: rules.PolicyByNetwork}
+	policies := &downstream.NetworkPolicies{ByAddress: rules.PolicyByNetwork}
 	for _, network := range rules.Policies {
-		network.FirstRequestTimeout = downstream.FreshMost
-		keep.Networks = append(keep.Networks, network)
+		network.FirstRequestTimeout = downstream.MaxIdleBeforeFirstRequest
+		policies.Policies = append(policies.Policies, network)
 	}
-	return cmp.Or(rules.MaxConnections, limit), keep
+	return cmp.Or(rules.MaxConnections, limit), policies
 }
 
 // readinessHold is for how long this router is not ready after its start, by the operator's file.
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -112,7 +112,7 @@
 	server := l.server
 	switch effect := effect.(type) {
 	case router.Respond:
-		server.downstream.Answer(effect)
+		server.downstream.Respond(effect)
 	case router.Send:
 		server.upstream.Send(effect)
 	case router.WithdrawAttempt:
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -40,7 +40,7 @@
 	progress  *startup.Progress
 	snapshots *snapshotWriter // nil: nothing is kept for the next start
 
-	downstream *downstream.Front
+	downstream *downstream.Server
 	upstream   *upstream.Pool
 	cluster    *clusterNode // nil: this instance shares nothing with others
 }
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -64,18 +64,18 @@
 
 // startDownstream makes the side of the clients' connections.
 func (s *Server) startDownstream(listener net.Listener, post func(router.Event)) {
-	connections, keep := s.clientConnections()
-	limits := downstream.Limits{
-		Connections: connections,
-		Keep:        keep,
-		Open:        maxOpenRequestsPerClient,
-		Bytes:       int64(s.memory(responseMemoryShare)),
-		Cores:       s.config.Cores,
-		Seed:        s.config.Seed,
-		Clock:       s.clock,
-		Crowded:     func() bool { return len(s.inbox) >= maxInboxEvents/2 },
+	connections, policies := s.clientConnections()
+	config := downstream.Config{
+		MaxConnections:           connections,
+		Policies:                 policies,
+		MaxRequestsPerConnection: maxOpenRequestsPerClient,
+		MaxBytes:                 int64(s.memory(responseMemoryShare)),
+		Cores:                    s.config.Cores,
+		Seed:                     s.config.Seed,
+		Clock:                    s.clock,
+		Saturated:                func() bool { return len(s.inbox) >= maxInboxEvents/2 },
 	}
-	s.downstream = downstream.New(listener, limits, post, s.logText)
+	s.downstream = downstream.New(listener, config, post, s.logText)
 }
 
 // startCluster opens the links to other instances and shares the periodic tasks with them.
