--- a/internal/downstream/arrival.go
+++ b/internal/downstream/arrival.go
@@ -9,98 +9,102 @@
 )
 
 const (
-	// waitedFrom is how long a read takes at the least that found nothing to be read.
-	waitedFrom = int64(time.Millisecond)
+	// minBlockedRead is how long a read takes at least that found nothing to read and waited, ns.
+	minBlockedRead = int64(time.Millisecond)
 
-	// awayFrom is for how long a reader was away from its connection from which it looks whether something waits there: a read may
-	// take long on a busy core, too.
-	awayFrom = int64(5 * time.Millisecond)
+	// minReaderAbsence is for how long a reader has not read from its connection before it checks, ahead of the next read,
+	// whether something waits there, ns. On a busy core a read may take long too, so its duration does not tell.
+	minReaderAbsence = int64(5 * time.Millisecond)
 
-	// stillFrom is how long after one beat the next one is missed: the process has stood still since then.
-	stillFrom = int64(janitorLongest + 50*time.Millisecond)
+	// maxHeartbeatInterval is after how long without a heartbeat the process is taken to have stood still, ns.
+	maxHeartbeatInterval = int64(maxMaintenanceInterval + 50*time.Millisecond)
 
-	// wakeMost is how long it may take until all is seen that came while the process stood still.
-	wakeMost = int64(20 * time.Millisecond)
+	// maxCatchUp is how long a process that stood still takes at most to see all that came meanwhile, ns.
+	maxCatchUp = int64(20 * time.Millisecond)
 )
 
-// heartbeat tells since when the process has stood still, as others beat it in short intervals.
+// heartbeat tells since when the process has stood still. Its owner calls beat in short intervals.
 type heartbeat struct {
 	mu         sync.Mutex
-	last       int64
-	stillSince int64 // the last beat before it last stood still
-	stillUntil int64
+	last       int64 // guarded by mu
+	stillSince int64 // guarded by mu; the last beat before the process last stood still
+	stillUntil int64 // guarded by mu
 }
 
 // beat notes that the process runs.
 func (h *heartbeat) beat(now int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.last > 0 && now-h.last > stillFrom {
+	if h.last > 0 && now-h.last > maxHeartbeatInterval {
 		h.stillSince, h.stillUntil = h.last, now
 	}
 	h.last = now
 }
 
-// woken gives the earliest that what wakes somebody now can have come: it is seen at once but where the process stood still.
-func (h *heartbeat) woken(now int64) int64 {
+// earliestArrival returns the earliest time at which something can have come that wakes a goroutine now: that is now,
+// unless the process has stood still.
+func (h *heartbeat) earliestArrival(now int64) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case h.last > 0 && now-h.last > stillFrom:
+	case h.last > 0 && now-h.last > maxHeartbeatInterval:
 		return h.last
-	case h.stillUntil > 0 && now-h.stillUntil < wakeMost:
+	case h.stillUntil > 0 && now-h.stillUntil < maxCatchUp:
 		return h.stillSince
 	}
 	return now
 }
 
-// arrivals reads from a connection and keeps the earliest that what it gave last can have come. Only its reader uses it.
-type arrivals struct {
+// arrivalReader reads from a connection and keeps the earliest time at which the data of the last read can have come. Only
+// the connection's reader uses it.
+type arrivalReader struct {
 	net.Conn
-	front    *Server
-	earliest int64
-	drained  int64  // when it was last known that nothing unread waits on the connection
-	segments uint32 // that had come then
+	server     *Server
+	earliest   int64  // ns
+	emptySince int64  // when it was last known that no unread data waits on the connection, ns
+	segments   uint32 // that had come by then
 }
 
-// begin says since when what is unread on the connection may wait, and how many segments had come until then.
-func (a *arrivals) begin(since int64, segments uint32) { a.drained, a.segments = since, segments }
+// begin sets since when unread data may wait on the connection, and how many segments had come by then.
+func (a *arrivalReader) begin(since int64, segments uint32) {
+	a.emptySince, a.segments = since, segments
+}
 
-// Read reads what has come, or waits for it.
-func (a *arrivals) Read(p []byte) (int, error) {
-	called := a.front.now()
-	there := called-a.drained > awayFrom && a.front.pending(a.Conn)
+// Read implements io.Reader.
+func (a *arrivalReader) Read(p []byte) (int, error) {
+	called := a.server.now()
+	waiting := called-a.emptySince > minReaderAbsence && a.server.hasUnread(a.Conn)
 	n, err := a.Conn.Read(p)
-	returned := a.front.now()
-	waited := !there && returned-called >= waitedFrom
+	returned := a.server.now()
+	blocked := !waiting && returned-called >= minBlockedRead
 	if n == 0 {
-		if waited {
-			a.drained = called
+		if blocked {
+			a.emptySince = called
 		}
 		return n, err
 	}
-	received, known := poller.ReadTCPStats(a.Conn)
+	stats, known := poller.ReadTCPStats(a.Conn)
 	switch {
-	case known && uint16(received.Segments-a.segments) == 1: // parked ones keep so many bits of it
-		a.earliest = returned - received.SinceLastData
-	case waited:
-		a.earliest = max(called, a.front.heart.woken(returned))
+	case known && uint16(stats.Segments-a.segments) == 1: // a suspended connection keeps 16 bits of the count
+		a.earliest = returned - stats.SinceLastData
+	case blocked:
+		a.earliest = max(called, a.server.heartbeat.earliestArrival(returned))
 	default:
-		a.earliest = a.drained
+		a.earliest = a.emptySince
 	}
 	if n < len(p) {
-		a.drained, a.segments = returned, received.Segments
+		a.emptySince, a.segments = returned, stats.Segments
 	} else {
-		a.drained = a.earliest // what is left came behind it
+		a.emptySince = a.earliest // what is left came behind it
 	}
 	return n, err
 }
 
-// acceptedSince is the earliest that something can have come on a connection that is just accepted and waited for that since a
-// time at most.
-func (f *Server) acceptedSince(conn net.Conn, since time.Time) int64 {
-	if received, known := poller.ReadTCPStats(conn); known {
-		return f.now() - received.SinceEstablished
+// earliestArrivalOn returns the earliest time at which data can have come on a connection that was just accepted, ns.
+// waitingSince is the earliest time at which it can have been established, for where the kernel does not tell.
+func (s *Server) earliestArrivalOn(conn net.Conn, waitingSince time.Time) int64 {
+	if stats, known := poller.ReadTCPStats(conn); known {
+		return s.now() - stats.SinceEstablished
 	}
-	return f.now() - int64(time.Since(since))
+	return s.now() - int64(time.Since(waitingSince))
 }
--- a/internal/downstream/arrival_test.go
+++ b/internal/downstream/arrival_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"tealpath/internal/logevent"
 	"tealpath/internal/router"
 )
 
@@ -28,7 +29,7 @@
 			requests <- r
 			meanwhile(r)
 		}
-	}, func(string) {})
+	}, func(logevent.Event) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error, 1)
 	go func() { over <- f.Serve(ctx) }()
@@ -181,7 +182,7 @@
 		health(t, conn)
 		conns = append(conns, conn)
 	}
-	until(t, "all rest", func() bool { return f.active() == 0 })
+	until(t, "all rest", func() bool { return f.activeConnections() == 0 })
 	sent := time.Now()
 	for n, conn := range conns {
 		conn.Write(call(uint32(n), 10))
@@ -228,7 +229,7 @@
 			for _, at := range c.beats {
 				h.beat(at * ms)
 			}
-			if got := h.woken(c.now*ms) / ms; got != c.want {
+			if got := h.earliestArrival(c.now*ms) / ms; got != c.want {
 				t.Errorf("%d, want %d", got, c.want)
 			}
 		})
--- a/internal/downstream/clock_test.go
+++ b/internal/downstream/clock_test.go
@@ -34,7 +34,7 @@
 				health(t, asks)
 				begun := time.Now()
 				if !fresh {
-					until(t, "it rests", func() bool { return f.active() == 0 })
+					until(t, "it rests", func() bool { return f.activeConnections() == 0 })
 				}
 				c.Step(step)
 				health(t, asks)
--- a/internal/downstream/closes_linux_test.go
+++ b/internal/downstream/closes_linux_test.go
@@ -17,6 +17,7 @@
 
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/downstream/poller"
+	"tealpath/internal/logevent"
 	"tealpath/internal/router"
 )
 
@@ -25,7 +26,7 @@
 // A request for which there is no memory is refused, and what else is open on its connection is answered.
 func TestRequestWithoutMemoryIsRefused(t *testing.T) {
 	f, events := serving(t, Config{MaxConnections: 4, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20})
-	if !f.reading.TryAcquire(1 << 20) {
+	if !f.memory.requests.TryAcquire(1 << 20) {
 		t.Fatal("the memory is in use already")
 	}
 	conn := dial(t, f)
@@ -45,7 +46,7 @@
 			t.Errorf("%q, %v", got, err)
 		}
 	}
-	f.reading.Release(1 << 20)
+	f.memory.requests.Release(1 << 20)
 }
 
 // Beyond a bound of the operator's what is asked is refused, and the connection ends without a reset.
@@ -75,9 +76,9 @@
 	for range 40 { // a flood of them holds no more than a part of the bound
 		dial(t, f)
 	}
-	until(t, "all have been seen to", func() bool { return f.refusing.Load() == 0 && !f.backlog() })
-	if f.all() != 1 || len(events) > 0 {
-		t.Errorf("%d connections, %d events", f.all(), len(events))
+	until(t, "all have been seen to", func() bool { return f.rejecting.Load() == 0 && !f.hasBacklog() })
+	if f.idle.len() != 1 || len(events) > 0 {
+		t.Errorf("%d connections, %d events", f.idle.len(), len(events))
 	}
 }
 
@@ -88,7 +89,7 @@
 		t.Fatal(err)
 	}
 	events := make(chan router.Event, 10)
-	f := New(listener, Config{MaxConnections: 1, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20}, func(e router.Event) { events <- e }, func(string) {})
+	f := New(listener, Config{MaxConnections: 1, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20}, func(e router.Event) { events <- e }, func(logevent.Event) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error, 1)
 	go func() { over <- f.Serve(ctx) }()
@@ -129,7 +130,7 @@
 	if rest, err := io.ReadAll(conn); err != nil || len(rest) > 0 {
 		t.Errorf("its end: %q, %v", rest, err)
 	}
-	until(t, "its place comes back", func() bool { return f.all() == 0 })
+	until(t, "its place comes back", func() bool { return f.idle.len() == 0 })
 }
 
 // A write that shows that its client has gone ends that connection, and nobody else's.
@@ -152,7 +153,7 @@
 			t.Errorf("%v: %+v", errno, e)
 		}
 		health(t, stays)
-		until(t, "its place comes back", func() bool { return f.all() == 1 })
+		until(t, "its place comes back", func() bool { return f.idle.len() == 1 })
 	}
 }
 
@@ -168,12 +169,12 @@
 	for range 4 {
 		conns = append(conns, rests(t, f, false))
 	}
-	until(t, "all rest", func() bool { return f.active() == 0 })
+	until(t, "all rest", func() bool { return f.activeConnections() == 0 })
 	for _, c := range conns {
 		c.Write(message(1, "health", 1, "\x00"))
 	}
-	until(t, "none can be resumed", func() bool { return f.postpones() })
-	until(t, "the set has told all it has", func() bool { return !f.lot.HasEvents() })
+	until(t, "none can be resumed", func() bool { return f.idle.hasPostponed() })
+	until(t, "the set has told all it has", func() bool { return !f.idle.poller.HasEvents() })
 	if f.Flushed() {
 		t.Error("flushed with requests unread")
 	}
@@ -231,7 +232,7 @@
 		c.(*net.TCPConn).CloseWrite()
 	}
 	gone.Close()
-	until(t, "they can't be resumed", f.postpones)
+	until(t, "they can't be resumed", f.idle.hasPostponed)
 	time.Sleep(100 * time.Millisecond) // longer than a client that has closed is waited with
 	exhausted.Store(false)
 	if got, err := answerOn(conn); err != nil || !strings.Contains(got, "call\x00\x00\x00\x07"+refusedField) {
@@ -240,7 +241,7 @@
 	if rest, err := io.ReadAll(conn); err != nil || len(rest) > 0 {
 		t.Errorf("its end: %q, %v", rest, err)
 	}
-	until(t, "their places come back", func() bool { return f.all() == 0 && f.refusing.Load() == 0 })
+	until(t, "their places come back", func() bool { return f.idle.len() == 0 && f.rejecting.Load() == 0 })
 	if len(events) > 0 {
 		t.Errorf("%s: sent on", <-events)
 	}
--- a/internal/downstream/departure_test.go
+++ b/internal/downstream/departure_test.go
@@ -75,8 +75,8 @@
 			t.Run(before.name+", and it "+end.name, func(t *testing.T) {
 				f, events := serving(t, Config{MaxConnections: 4, MaxRequestsPerConnection: 32, MaxBytes: thrift.FrameMost})
 				if before.full {
-					f.reading.TryAcquire(thrift.FrameMost)
-					defer f.reading.Release(thrift.FrameMost)
+					f.memory.requests.TryAcquire(thrift.FrameMost)
+					defer f.memory.requests.Release(thrift.FrameMost)
 				}
 				conn := dial(t, f)
 				io.WriteString(conn, before.in)
@@ -101,21 +101,21 @@
 // A large request for which there is no memory is refused soon, and what comes behind it is read.
 func TestNoMemoryForALargeRequest(t *testing.T) {
 	f, events := serving(t, Config{MaxConnections: 4, MaxRequestsPerConnection: 32, MaxBytes: thrift.FrameMost})
-	f.reading.TryAcquire(thrift.FrameMost)
+	f.memory.requests.TryAcquire(thrift.FrameMost)
 	conn, begun := dial(t, f), time.Now()
 	conn.Write(call(1, 200_000))
 	answer := make([]byte, 24)
 	if _, err := io.ReadFull(conn, answer); err != nil || !strings.Contains(string(answer), "\x0c\x00\x01") {
 		t.Fatalf("%q, %v", answer, err)
 	}
-	if took := time.Since(begun); took > 2*memoryWait+seenWithin {
+	if took := time.Since(begun); took > 2*memoryTimeout+seenWithin {
 		t.Errorf("refused after %v", took)
 	}
 	conn.Write(call(2, 10))
 	if e := next(t, events); e != "RequestReceived" {
 		t.Error(e)
 	}
-	f.reading.Release(thrift.FrameMost)
+	f.memory.requests.Release(thrift.FrameMost)
 	conn.Write(call(3, 200_000))
 	if e := next(t, events); e != "RequestReceived" {
 		t.Error(e)
--- a/internal/downstream/downstream_test.go
+++ b/internal/downstream/downstream_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"tealpath/internal/logevent"
 	"tealpath/internal/router"
 )
 
@@ -28,7 +29,7 @@
 	events := make(chan string, 100)
 	f := New(listener, limits, func(e router.Event) {
 		events <- strings.TrimPrefix(fmt.Sprintf("%T", e), "router.")
-	}, func(string) {})
+	}, func(logevent.Event) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error, 1)
 	go func() { over <- f.Serve(ctx) }()
@@ -36,8 +37,8 @@
 		cancel()
 		select {
 		case err := <-over:
-			if err != nil || f.queued.Load() != 0 || len(f.clients) != 0 {
-				t.Errorf("it ended with %v, %d bytes queued, %d clients", err, f.queued.Load(), len(f.clients))
+			if err != nil || f.memory.queuedResponses.Load() != 0 || len(f.connections) != 0 {
+				t.Errorf("it ended with %v, %d bytes queued, %d clients", err, f.memory.queuedResponses.Load(), len(f.connections))
 			}
 		case <-time.After(patience):
 			t.Error("a connection's goroutines were left behind")
@@ -148,7 +149,7 @@
 	for seq := range int32(calls) {
 		f.Respond(router.Respond{Client: 1, Seq: seq, Body: make([]byte, size)})
 	}
-	if got := f.queued.Load(); got > limit+calls*100 {
+	if got := f.memory.queuedResponses.Load(); got > limit+calls*100 {
 		t.Errorf("%d bytes queued, limit %d", got, limit)
 	}
 	quick.Write(message(1, "health", 1, "\x00"))
@@ -279,8 +280,8 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.clients) > small.MaxConnections {
-		t.Errorf("%d connections", len(f.clients))
+	if len(f.connections) > small.MaxConnections {
+		t.Errorf("%d connections", len(f.connections))
 	}
 }
 
@@ -291,7 +292,7 @@
 		t.Fatal(err)
 	}
 	lines := 0
-	f := New(listener, Config{MaxConnections: 50, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20}, func(router.Event) {}, func(string) { lines++ })
+	f := New(listener, Config{MaxConnections: 50, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20}, func(router.Event) {}, func(logevent.Event) { lines++ })
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.Serve(ctx)
--- a/internal/downstream/endings_test.go
+++ b/internal/downstream/endings_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"tealpath/internal/downstream/idle"
+	"tealpath/internal/logevent"
 	"tealpath/internal/router"
 )
 
@@ -35,7 +36,7 @@
 	until(t, "its answer is written", f.Flushed)
 	if parked {
 		parks(t, f)
-		until(t, "it is parked", func() bool { return f.active() == 0 })
+		until(t, "it is parked", func() bool { return f.activeConnections() == 0 })
 	}
 	return conn
 }
@@ -74,7 +75,7 @@
 			c.end(f, conn)
 			endsGently(t, conn)
 			conn.Close()
-			until(t, "its descriptor comes back", func() bool { return f.all() == 0 && len(f.closingNow()) == 0 })
+			until(t, "its descriptor comes back", func() bool { return f.idle.len() == 0 && len(f.closingNow()) == 0 })
 			for len(events) > 0 {
 				if e := <-events; e != "ClientDisconnected" {
 					t.Errorf("%s of what came after the end", e)
@@ -91,10 +92,10 @@
 	for range 16 {
 		rests(t, f, false)
 	}
-	until(t, "all are parked", func() bool { return f.active() == 0 })
-	for id := range f.at {
+	until(t, "all are parked", func() bool { return f.activeConnections() == 0 })
+	for id := range f.idle.slots {
 		f.evict(idle.ID(id))
-		if n := len(f.closingNow()); n > 16/closingPart+1 {
+		if n := len(f.closingNow()); n > 16/closingDivisor+1 {
 			t.Fatalf("%d at their ends", n)
 		}
 	}
@@ -109,7 +110,7 @@
 	}
 	h := held{listener.(*net.TCPListener), make(chan struct{})}
 	events := make(chan router.Event, 10)
-	f := New(h, keeping(10, time.Hour), func(e router.Event) { events <- e }, func(string) {})
+	f := New(h, keeping(10, time.Hour), func(e router.Event) { events <- e }, func(logevent.Event) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error, 1)
 	go func() { over <- f.Serve(ctx) }()
@@ -146,7 +147,7 @@
 	next(t, events)
 	call := message(1, "call", 6, "\x00")
 	half.Write(call[:9])
-	until(t, "all are there", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.clients) == 4 })
+	until(t, "all are there", func() bool { f.mu.Lock(); defer f.mu.Unlock(); return len(f.connections) == 4 })
 	until(t, "half a request has come", func() bool { return !f.Flushed() })
 	f.CloseIdle()
 	endsGently(t, fresh)
@@ -176,12 +177,12 @@
 	f, events := serving(t, keeping(10, time.Hour))
 	conn := rests(t, f, false)
 	f.mu.Lock()
-	c := f.clients[1]
+	c := f.connections[1]
 	f.mu.Unlock()
 	c.mu.Lock()
-	c.shut = true // as whoever takes it out does, before its reader is told
+	c.draining = true // as whoever takes it out does, before its reader is told
 	c.mu.Unlock()
-	if c.enter(9) != tooLate {
+	if c.addRequest(9) != requestTooLate {
 		t.Error("taken")
 	}
 	call := func(seq uint32) []byte { return message(1, "call", seq, "\x00") }
@@ -215,19 +216,19 @@
 	}
 }
 
-func (f *Server) closingNow() []closing {
-	f.places.Lock()
-	defer f.places.Unlock()
-	return f.closing
+func (f *Server) closingNow() []closingDescriptor {
+	f.idle.mu.Lock()
+	defer f.idle.mu.Unlock()
+	return f.idle.closing
 }
 
 // opens is how many requests are open.
 func (f *Server) opens() (n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, c := range f.clients {
+	for _, c := range f.connections {
 		c.mu.Lock()
-		n += len(c.open)
+		n += len(c.inFlight)
 		c.mu.Unlock()
 	}
 	return n
@@ -237,9 +238,9 @@
 func (f *Server) clientOf(seq int32) router.ClientID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for id, c := range f.clients {
+	for id, c := range f.connections {
 		c.mu.Lock()
-		open := c.open[seq]
+		open := c.inFlight[seq]
 		c.mu.Unlock()
 		if open {
 			return id
--- a/internal/downstream/filter_linux_test.go
+++ b/internal/downstream/filter_linux_test.go
@@ -14,6 +14,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"tealpath/internal/logevent"
 	"tealpath/internal/router"
 )
 
@@ -100,15 +101,15 @@
 		t.Skip(err)
 	}
 	var mu sync.Mutex
-	var said []string
+	var emitted []logevent.Event
 	limits := keeping(100, time.Hour)
 	if name == wakesByItsOwn {
 		limits.SystemCalls = failingCalls("connect", unix.EMFILE, func() bool { return true })
 	}
-	f := New(listener, limits, func(router.Event) {}, func(line string) {
+	f := New(listener, limits, func(router.Event) {}, func(event logevent.Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		said = append(said, line)
+		emitted = append(emitted, event)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -118,19 +119,19 @@
 		health(t, c)
 	}
 	if name == "no more descriptors in the sets" {
-		until(t, "some rest", func() bool { return f.active() == 0 })
-		f.noParking(unix.ENOSYS) // as the watch finds
-		f.wakeAll(ctx)
-		if f.active() != len(conns) {
-			t.Errorf("%d of %d are awake", f.active(), len(conns))
+		until(t, "some rest", func() bool { return f.activeConnections() == 0 })
+		f.idle.disableSuspend(unix.ENOSYS) // as the watch finds
+		f.resumeAll(ctx)
+		if f.activeConnections() != len(conns) {
+			t.Errorf("%d of %d are awake", f.activeConnections(), len(conns))
 		}
 	}
 	if by.rests {
-		until(t, "all rest", func() bool { return f.active() == 0 })
+		until(t, "all rest", func() bool { return f.activeConnections() == 0 })
 	} else {
 		time.Sleep(2500 * time.Millisecond) // as long as they rest after, twice over
-		if f.active() != len(conns) {
-			t.Errorf("%d of %d hold their buffers", f.active(), len(conns))
+		if f.activeConnections() != len(conns) {
+			t.Errorf("%d of %d hold their buffers", f.activeConnections(), len(conns))
 		}
 	}
 	for _, c := range conns {
@@ -142,7 +143,12 @@
 	if by.rests {
 		want = 0
 	}
-	if len(said) != want || want == 1 && !strings.Contains(said[0], "idle connections keep their buffers") {
-		t.Errorf("said %q", said)
+	if len(emitted) != want {
+		t.Fatalf("emitted %+v, want %d events", emitted, want)
+	}
+	for _, event := range emitted {
+		if disabled, ok := event.(SuspendDisabled); !ok || disabled.Cause == "" {
+			t.Errorf("emitted %+v", event)
+		}
 	}
 }
--- a/internal/downstream/local_linux_test.go
+++ b/internal/downstream/local_linux_test.go
@@ -15,6 +15,7 @@
 	"golang.org/x/sys/unix"
 
 	"tealpath/internal/downstream/poller"
+	"tealpath/internal/logevent"
 	"tealpath/internal/router"
 )
 
@@ -96,7 +97,7 @@
 						conns = append(conns, dial(t, f))
 						health(t, conns[len(conns)-1])
 					}
-					until(t, "all rest", func() bool { return f.active() == 0 })
+					until(t, "all rest", func() bool { return f.activeConnections() == 0 })
 					if storm {
 						over.Store(time.Now().Add(2 * time.Second).UnixNano())
 					} else {
@@ -117,14 +118,14 @@
 						t.Errorf("one that comes meanwhile: %v", err)
 					}
 					group.Wait()
-					if n := f.all(); n != 9 {
+					if n := f.idle.len(); n != 9 {
 						t.Errorf("%d connections of 9", n)
 					}
 					for time.Now().UnixNano() < over.Load() {
 						time.Sleep(10 * time.Millisecond)
 					}
-					if f.parks() { // an error that does not pass has them keep what they hold
-						until(t, "all rest again", func() bool { return f.active() == 0 && f.Flushed() })
+					if f.idle.canSuspend() { // an error that does not pass has them keep what they hold
+						until(t, "all rest again", func() bool { return f.activeConnections() == 0 && f.Flushed() })
 					} else if errno != unix.EINVAL {
 						t.Error("they rest no more")
 					}
@@ -193,7 +194,7 @@
 	limits.SystemCalls = failingCalls("fcntl", unix.EINVAL, func() bool { return true })
 	events := make(chan router.Event, 1000)
 	f := New(faultyListener{listener.(*net.TCPListener), accept, func(c *net.TCPConn) net.Conn { return faultyConn{c, read, write} }}, limits,
-		func(e router.Event) { events <- e }, func(string) {})
+		func(e router.Event) { events <- e }, func(logevent.Event) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	over := make(chan error, 1)
 	go func() { over <- f.Serve(ctx) }()
@@ -231,14 +232,14 @@
 					}
 				}()
 			}
-			if f.CloseIdle(); f.shut.Load() {
+			if f.CloseIdle(); f.draining.Load() {
 				t.Error("the listener was closed over those who wait")
 			}
 			time.Sleep(time.Until(over))
 			if n := tries.Load(); n > 220 {
 				t.Errorf("%d accepts in 2 s", n)
 			}
-			until(t, "all are taken in", func() bool { return f.all() == 20 })
+			until(t, "all are taken in", func() bool { return f.idle.len() == 20 })
 		})
 	}
 }
--- a/internal/downstream/rest_test.go
+++ b/internal/downstream/rest_test.go
@@ -54,7 +54,7 @@
 
 func parks(t *testing.T, f *Server) {
 	t.Helper()
-	if f.lot == nil {
+	if f.idle.poller == nil {
 		t.Skip("this system parks nothing")
 	}
 }
@@ -68,12 +68,12 @@
 		conns = append(conns, dial(t, f))
 		health(t, conns[len(conns)-1])
 	}
-	until(t, "all are parked", func() bool { return f.active() == 0 })
+	until(t, "all are parked", func() bool { return f.activeConnections() == 0 })
 	if n := runtime.NumGoroutine(); n > before+5 {
 		t.Errorf("%d goroutines, %d before 300 idle connections", n, before)
 	}
-	if f.all() != 300 {
-		t.Errorf("%d connections", f.all())
+	if f.idle.len() != 300 {
+		t.Errorf("%d connections", f.idle.len())
 	}
 	// All wake in the same moment; each is answered.
 	var group sync.WaitGroup
@@ -90,9 +90,9 @@
 	for err := range failed {
 		t.Errorf("not answered after its rest: %v", err)
 	}
-	until(t, "all are parked again", func() bool { return f.active() == 0 })
-	if f.all() != 300 {
-		t.Errorf("%d connections after their second rest", f.all())
+	until(t, "all are parked again", func() bool { return f.activeConnections() == 0 })
+	if f.idle.len() != 300 {
+		t.Errorf("%d connections after their second rest", f.idle.len())
 	}
 }
 
@@ -101,7 +101,7 @@
 func TestTheSilentAreLaidToRest(t *testing.T) {
 	limits := Config{MaxConnections: 1000, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20, Cores: 0.05} // sixty turns a second
 	f, _ := serving(t, limits)
-	if f.lot == nil {
+	if f.idle.poller == nil {
 		t.Fatal("nothing rests on this system")
 	}
 	var silent []net.Conn
@@ -130,19 +130,19 @@
 	for _, c := range []net.Conn{closed, reset, half} {
 		health(t, c)
 	}
-	until(t, "all are parked", func() bool { return f.active() == 0 })
+	until(t, "all are parked", func() bool { return f.activeConnections() == 0 })
 	closed.Close()
 	reset.(*net.TCPConn).SetLinger(0)
 	reset.Close()
 	half.(*net.TCPConn).CloseWrite()
-	until(t, "descriptors come back", func() bool { return f.all() == 0 })
+	until(t, "descriptors come back", func() bool { return f.idle.len() == 0 })
 	if _, err := half.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("a client that closed its side reads %v", err)
 	}
 	// Places are used again, and nothing of before shows on them.
 	again := dial(t, f)
 	health(t, again)
-	until(t, "parked", func() bool { return f.active() == 0 })
+	until(t, "parked", func() bool { return f.activeConnections() == 0 })
 	health(t, again)
 }
 
@@ -158,7 +158,7 @@
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		health(t, kept) // one that asks is not idle
 	}
-	until(t, "the idle ones are closed", func() bool { return f.all() == 1 })
+	until(t, "the idle ones are closed", func() bool { return f.idle.len() == 1 })
 	for _, c := range conns {
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
 			t.Fatalf("an expired connection ends with %v", err)
@@ -198,7 +198,7 @@
 			}
 		})
 	}
-	until(t, "all are parked", func() bool { return f.active() == 0 })
+	until(t, "all are parked", func() bool { return f.activeConnections() == 0 })
 	for range 30 {
 		health(t, dial(t, f))
 		time.Sleep(20 * time.Millisecond)
@@ -224,11 +224,11 @@
 		conns = append(conns, dial(t, f))
 		health(t, conns[len(conns)-1])
 	}
-	until(t, "all are parked", func() bool { return f.active() == 0 })
+	until(t, "all are parked", func() bool { return f.activeConnections() == 0 })
 	for _, c := range conns {
 		c.Write([]byte{0})
 	}
-	until(t, "each has ended: its frame did not come", func() bool { return f.all() == 0 })
+	until(t, "each has ended: its frame did not come", func() bool { return f.idle.len() == 0 })
 }
 
 func TestNetworksAndClientsHaveBounds(t *testing.T) {
@@ -258,6 +258,6 @@
 		t.Error("a network's fourth was taken")
 	}
 	first.Close()
-	until(t, "the place comes back", func() bool { return f.all() == 2 })
+	until(t, "the place comes back", func() bool { return f.idle.len() == 2 })
 	health(t, from("127.0.0.4"))
 }
--- /dev/null
+++ b/internal/downstream/wake.go
@@ -0,0 +1,218 @@
+package downstream
+
+import (
+	"context"
+	"time"
+
+	"tealpath/internal/downstream/idle"
+	"tealpath/internal/downstream/poller"
+	"tealpath/internal/neterr"
+)
+
+// maxMaintenanceInterval is how long maintain waits at most: a new connection may expire sooner than what it waits for.
+const maxMaintenanceInterval = 100 * time.Millisecond
+
+// maintain resumes suspended connections and closes those whose timeout has passed, at the pace of the table.
+func (s *Server) maintain(ctx context.Context) {
+	if s.idle.poller != nil {
+		s.goroutines.Go(func() { newWaker(s).run(ctx) })
+	}
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-timer.C:
+		}
+		wait := s.closeExpired()
+		s.idle.closeFinished()
+		if s.resumePostponed(ctx) {
+			wait = min(wait, acceptRetryInterval)
+		}
+		timer.Reset(wait)
+	}
+}
+
+// closeExpired closes the connections whose timeout has passed, and returns when to call it again.
+func (s *Server) closeExpired() time.Duration {
+	for {
+		s.heartbeat.beat(s.now())
+		id, next := s.idle.nextExpired(s.config.Saturated())
+		if id == idle.None {
+			wait := time.Duration(next - s.now())
+			return max(min(maxMaintenanceInterval, wait), time.Millisecond)
+		}
+		s.evict(id)
+	}
+}
+
+// suspend suspends an active connection, and tells whether that is done.
+func (s *Server) suspend(c *connection) bool {
+	if c.isDraining() {
+		return false
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.idle.suspend(c) {
+		return false
+	}
+	delete(s.connections, c.id)
+	return true
+}
+
+// suspendDelay returns for how long a connection is idle before it is suspended, ns.
+func (s *Server) suspendDelay() int64 {
+	maxActive := idle.MaxActive(s.config.MaxBytes)
+	return idle.SuspendDelay(int(s.idle.waiting.Load()), int(s.serving.Load()), maxActive)
+}
+
+// resume makes an active connection of a suspended one, or closes it if it has ended. Where its client has closed its
+// sending side, and its request has waited to be read since then, the request is rejected: the client may still read.
+func (s *Server) resume(ctx context.Context, w wakeUp) {
+	taken, abandoned, found := s.idle.takeForResume(w)
+	if !found {
+		return
+	}
+	conn, err := s.idle.poller.Resume(int(taken.fd))
+	if err != nil {
+		s.idle.putBack(w, taken)
+		return
+	}
+	if abandoned {
+		s.idle.removeTaken(w.slot)
+		s.reject(ctx, conn)
+		return
+	}
+	c := s.register(conn, w.slot, !taken.beforeFirstRequest)
+	c.arrivals.begin(s.now()-int64(time.Since(w.since)), uint32(taken.segments))
+	c.reading = true
+	s.start(ctx, c)
+}
+
+// resumePostponed tries again what could not be resumed, and tells whether some of it still can't.
+func (s *Server) resumePostponed(ctx context.Context) bool {
+	for _, w := range s.idle.beginRetry() {
+		s.resume(ctx, w)
+	}
+	return s.idle.endRetry()
+}
+
+// resumeAll resumes all suspended connections: the poller tells no longer what comes on them.
+func (s *Server) resumeAll(ctx context.Context) {
+	for _, key := range s.idle.allSuspended() {
+		s.resume(ctx, wakeUp{slot: key, since: time.Now()})
+	}
+}
+
+// waker resumes the suspended connections on which something has come, as many at a time as the memory bears.
+type waker struct {
+	server      *Server
+	maxActive   int // connections with goroutines and buffers
+	resumePacer *idle.Pacer
+	closePacer  *idle.Pacer
+	emptyAt     time.Time // when it was last known that the poller had told all that had come
+	keys        []uint64  // that the poller gave last
+}
+
+func newWaker(s *Server) *waker {
+	return &waker{
+		server:      s,
+		maxActive:   idle.MaxActive(s.config.MaxBytes),
+		resumePacer: idle.NewWakePacer(s.config.Cores),
+		closePacer:  idle.NewClosePacer(s.config.Cores),
+		emptyAt:     time.Now(),
+	}
+}
+
+// run resumes connections until the context ends, or the poller fails for good: then all are resumed, and none is
+// suspended any more.
+func (w *waker) run(ctx context.Context) {
+	for {
+		since, err := w.wait(ctx)
+		if err == nil {
+			if !w.handle(ctx, since) {
+				return
+			}
+			continue
+		}
+		if neterr.IsTransient(err) && pause(ctx, acceptRetryInterval) {
+			continue
+		}
+		if ctx.Err() == nil {
+			w.server.idle.disableSuspend(err)
+			w.server.resumeAll(ctx)
+		}
+		return
+	}
+}
+
+// wait waits for the poller, and returns since when data may wait on the connections that it has told of.
+func (w *waker) wait(ctx context.Context) (since time.Time, err error) {
+	called := time.Now()
+	w.keys, err = w.server.idle.poller.Wait(ctx, w.keys)
+	returned := time.Now()
+	since = w.emptyAt
+	if int64(returned.Sub(called)) >= minBlockedRead {
+		now := w.server.now()
+		since = returned.Add(time.Duration(w.server.heartbeat.earliestArrival(now) - now))
+		w.emptyAt = since
+	}
+	if len(w.keys) < poller.MaxEvents {
+		w.emptyAt = returned
+	}
+	return since, err
+}
+
+// handle resumes the connections that the poller has told of, and returns false if the context ends. Those with data come
+// before those that their clients have closed, of which a wave brings many at once. Each is peeked at once: the poller
+// tells no more of one that is left out.
+func (w *waker) handle(ctx context.Context, since time.Time) bool {
+	w.server.idle.waiting.Store(int64(len(w.keys)))
+	var withData, ended []wakeUp
+	for _, key := range w.keys {
+		wake := wakeUp{slot: decodeSlotKey(key), since: since}
+		if w.server.idle.hasData(wake.slot) {
+			withData = append(withData, wake)
+		} else {
+			ended = append(ended, wake)
+		}
+	}
+	return w.resume(ctx, withData, w.resumePacer) && w.resume(ctx, ended, w.closePacer)
+}
+
+// resume resumes connections at a pace, and returns false if the context ends.
+func (w *waker) resume(ctx context.Context, wakes []wakeUp, pacer *idle.Pacer) bool {
+	for _, wake := range wakes {
+		if !w.awaitPacer(ctx, pacer) || !w.awaitCapacity(ctx) {
+			return false
+		}
+		w.server.resume(ctx, wake)
+		w.server.idle.waiting.Add(-1)
+	}
+	return true
+}
+
+// awaitPacer waits for the pacer, and returns false if the context ends.
+func (w *waker) awaitPacer(ctx context.Context, pacer *idle.Pacer) bool {
+	for {
+		wait := time.Duration(pacer.Wait(w.server.now(), w.server.config.Saturated()))
+		if wait <= 0 {
+			return true
+		}
+		if !pause(ctx, wait) {
+			return false
+		}
+	}
+}
+
+// awaitCapacity waits until an active connection is suspended or closed, where there are too many, but not for long. It
+// returns false if the context ends.
+func (w *waker) awaitCapacity(ctx context.Context) bool {
+	for tries := 0; w.server.activeConnections() >= w.maxActive && tries < idle.MaxWakeDelayMS; tries++ {
+		if !pause(ctx, time.Millisecond) {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -75,7 +75,7 @@
 		Clock:                    s.clock,
 		Saturated:                func() bool { return len(s.inbox) >= maxInboxEvents/2 },
 	}
-	s.downstream = downstream.New(listener, config, post, s.logText)
+	s.downstream = downstream.New(listener, config, post, s.emit)
 }
 
 // startCluster opens the links to other instances and shares the periodic tasks with them.
