--- a/internal/downstream/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -66,7 +66,7 @@
 	case <-time.After(300 * time.Millisecond):
 	}
 	expectResponse(t, halfClosed, rejectionOf(7))
-	respondWhole(server, 41, 6)
+	respondServed(server, 41, 6)
 	expectResponse(t, stays, "whole")
 }
 
--- a/internal/downstream/arrival_test.go
+++ b/internal/downstream/arrival_test.go
@@ -61,7 +61,7 @@
 // A request arrives when its first byte does, however long it waits to be read; and no earlier.
 func TestArrivalTime(t *testing.T) {
 	t.Run("in the backlog", func(t *testing.T) {
-		listener := heldListener{listen(t), make(chan struct{})}
+		listener := gatedListener{listen(t), make(chan struct{})}
 		server, requests := recordArrivals(t, listener, smallConfig, doNothing)
 		one, two := dial(t, server), dial(t, server)
 		sent := time.Now()
@@ -105,7 +105,7 @@
 // The arrival of a request that comes in parts is that of its first one.
 func TestArrivalTimeOfParts(t *testing.T) {
 	both := append(call(1, 10), call(2, 10)...)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		data     []byte
 		split    int
@@ -114,13 +114,13 @@
 		{"in two parts", call(1, 10), 7, 1},
 		{"its first part with the one before", both, len(both) - 5, 2},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			server, requests := recordArrivals(t, listen(t), smallConfig, doNothing)
 			conn, sent := dial(t, server), time.Now()
-			send(t, conn, c.data[:c.split])
+			send(t, conn, test.data[:test.split])
 			time.Sleep(unreadFor)
-			send(t, conn, c.data[c.split:])
-			for range c.requests {
+			send(t, conn, test.data[test.split:])
+			for range test.requests {
 				expectArrival(t, server, requests, sent, early)
 			}
 		})
@@ -129,7 +129,7 @@
 
 // Requests after a quiet time have not waited.
 func TestArrivalTimeAfterQuietTime(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		size         int
 		early, quiet time.Duration
 	}{
@@ -139,17 +139,17 @@
 		// for a moment.
 		{200_000, unreadFor, 2 * unreadFor},
 	} {
-		t.Run(fmt.Sprint(c.size, " bytes"), func(t *testing.T) {
+		t.Run(fmt.Sprint(test.size, " bytes"), func(t *testing.T) {
 			config := smallConfig
 			config.MaxBytes = 8 << 20
 			server, requests := recordArrivals(t, listen(t), config, doNothing)
 			conn := dial(t, server)
 			for seq := range uint32(3) {
-				time.Sleep(c.quiet)
+				time.Sleep(test.quiet)
 				sent := time.Now()
-				send(t, conn, append(call(2*seq, c.size), call(2*seq+1, c.size)...))
+				send(t, conn, append(call(2*seq, test.size), call(2*seq+1, test.size)...))
 				for range 2 {
-					expectArrival(t, server, requests, sent, c.early)
+					expectArrival(t, server, requests, sent, test.early)
 				}
 			}
 		})
@@ -195,7 +195,7 @@
 // A process that stands still sees what came meanwhile when it goes on.
 func TestHeartbeat(t *testing.T) {
 	const ms = int64(time.Millisecond)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name      string
 		beats     []int64 // ms
 		now, want int64
@@ -206,13 +206,13 @@
 		{"and beaten again before it is seen", []int64{900, 1000, 3000}, 3001, 1000},
 		{"long after that", []int64{900, 1000, 3000, 3100, 3200}, 3250, 3250},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var h heartbeat
-			for _, at := range c.beats {
+			for _, at := range test.beats {
 				h.record(at * ms)
 			}
-			if got := h.earliestArrival(c.now*ms) / ms; got != c.want {
-				t.Errorf("%d, want %d", got, c.want)
+			if got := h.earliestArrival(test.now*ms) / ms; got != test.want {
+				t.Errorf("%d, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/downstream/doc.go
+++ b/internal/downstream/doc.go
@@ -15,7 +15,7 @@
 //
 // # Locks
 //
-// They are taken in this order, and each may be left out:
+// They are taken in this order; a goroutine may take one of them without those before it:
 //
 //  1. Server.mu
 //  2. connection.mu
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -24,7 +24,7 @@
 	usual := dial(t, server)
 	send(t, usual, healthCall(1))
 	expectResponse(t, usual, "health")
-	respondWhole(server, 1, 5)
+	respondServed(server, 1, 5)
 	expectResponse(t, asking, "whole")
 	if n := server.activeConnections(); n > smallConfig.MaxConnections {
 		t.Errorf("%d connections", n)
@@ -72,7 +72,7 @@
 			t.Error(e)
 		}
 	}
-	respondWhole(server, 3, 5)
+	respondServed(server, 3, 5)
 	expectResponse(t, third, "whole")
 }
 
@@ -93,7 +93,7 @@
 
 // A request that crosses the close of an idle connection is not handled, and the connection is not reset.
 func TestIdleConnectionsAreHalfClosed(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name      string
 		suspended bool
 		end       func(*Server)
@@ -103,10 +103,10 @@
 		{"eviction", false, func(server *Server) { server.evict(0) }},
 		{"eviction, suspended", true, func(server *Server) { server.evict(0) }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			server, events := startServer(t, configWithIdleTimeout(100, time.Hour))
-			conn := idleConnection(t, server, c.suspended)
-			c.end(server)
+			conn := idleConnection(t, server, test.suspended)
+			test.end(server)
 			checkHalfClosed(t, conn)
 			closeAbandoned(conn)
 			waitFor(t, "its descriptor is closed", func() bool {
--- a/internal/downstream/faultyconn_linux_test.go
+++ b/internal/downstream/faultyconn_linux_test.go
@@ -171,7 +171,7 @@
 	failing.Store(true)
 	send(t, conn, []byte{0}) // wakes its reader
 	time.Sleep(50 * time.Millisecond)
-	respondWhole(server, request.Client, 5)
+	respondServed(server, request.Client, 5)
 	expectResponse(t, conn, "whole")
 }
 
@@ -192,7 +192,7 @@
 		send(t, gone, emptyCall(5))
 		stays := dial(t, server)
 		request := (<-events).(router.RequestReceived)
-		respondWhole(server, request.Client, 5)
+		respondServed(server, request.Client, 5)
 		if e, ok := (<-events).(router.ClientDisconnected); !ok || e.Client != request.Client {
 			t.Errorf("%v: %+v", errno, e)
 		}
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -95,14 +95,14 @@
 	return listener.(*net.TCPListener)
 }
 
-// heldListener is a listener whose connections stay in the system's backlog until it is released.
-type heldListener struct {
+// gatedListener is a listener whose connections stay in the system's backlog until it is released.
+type gatedListener struct {
 	*net.TCPListener
 	released chan struct{}
 }
 
 // Accept implements net.Listener.
-func (l heldListener) Accept() (net.Conn, error) {
+func (l gatedListener) Accept() (net.Conn, error) {
 	<-l.released
 	return l.TCPListener.Accept()
 }
@@ -211,8 +211,8 @@
 	}
 }
 
-// respondWhole responds to a request with a body.
-func respondWhole(server *Server, client router.ClientID, seq int32) {
+// respondServed responds to a request with a body.
+func respondServed(server *Server, client router.ClientID, seq int32) {
 	server.Respond(router.Respond{Client: client, Seq: seq, Body: []byte("whole")})
 }
 
--- /dev/null
+++ b/internal/downstream/logevents_test.go
@@ -0,0 +1,60 @@
+package downstream
+
+import (
+	"regexp"
+	"slices"
+	"tealpath/internal/downstream/idle"
+	"tealpath/internal/logevent"
+	"testing"
+)
+
+func TestLogEventsAreNamed(t *testing.T) {
+	name := regexp.MustCompile(`^[a-z]+(_[a-z]+)+$`)
+	seen := map[string]bool{}
+	for _, event := range LogEvents() {
+		kind := event.Kind()
+		if !name.MatchString(kind.Name) || kind.Message == "" || seen[kind.Name] {
+			t.Errorf("%T: %+v", event, kind)
+		}
+		seen[kind.Name] = true
+	}
+}
+
+func TestLimitOfVerdict(t *testing.T) {
+	for verdict, want := range map[idle.Verdict]string{
+		idle.ClientLimitReached:  "client",
+		idle.NetworkLimitReached: "network",
+	} {
+		if got := limitOf(verdict); got != want {
+			t.Errorf("%v is the limit of a %s, want %s", verdict, got, want)
+		}
+	}
+}
+
+// Responses fail from where the memory is full, and succeed again where they fit; the recovery is logged only once half of
+// the memory is free.
+func TestResponseMemoryEvents(t *testing.T) {
+	const maxBytes = 1000
+	var emitted []logevent.Event
+	memory := newMemoryLimits(maxBytes, func(event logevent.Event) { emitted = append(emitted, event) })
+	for _, step := range []struct {
+		queued   int64 // more than before
+		body     int
+		admitted bool
+		events   []logevent.Event
+	}{
+		{0, maxBytes, true, nil},
+		{900, 101, false, []logevent.Event{ResponseMemoryExhausted{QueuedBytes: 900}}},
+		{0, 101, false, nil},
+		{0, 100, true, nil},
+		{-401, 0, true, nil}, // a response without a body tells nothing
+		{0, 1, true, []logevent.Event{ResponseMemoryRecovered{}}},
+		{0, 1, true, nil},
+	} {
+		emitted = nil
+		memory.responseQueued(step.queued)
+		if got := memory.admitResponse(step.body); got != step.admitted || !slices.Equal(emitted, step.events) {
+			t.Errorf("%+v: admitted %v, emitted %+v", step, got, emitted)
+		}
+	}
+}
--- a/internal/downstream/memory_test.go
+++ b/internal/downstream/memory_test.go
@@ -63,7 +63,7 @@
 	expectResponse(t, conn, rejectionOf(6))
 	expectEvents(t, events, "RequestReceived") // of what came behind it
 	for _, seq := range []int32{5, 7} {
-		respondWhole(server, 1, seq)
+		respondServed(server, 1, seq)
 		expectResponse(t, conn, "whole")
 	}
 	server.memory.requests.Release(smallConfig.MaxBytes)
@@ -90,3 +90,14 @@
 	send(t, conn, call(3, 200_000))
 	expectEvents(t, events, "RequestReceived")
 }
+
+// A large request for which there is no memory, under a sequence number that is in flight, is a protocol violation.
+func TestLargeRequestWithDuplicateSequenceNumber(t *testing.T) {
+	server, events := startServer(t, smallConfig)
+	server.memory.requests.TryAcquire(smallConfig.MaxBytes)
+	defer server.memory.requests.Release(smallConfig.MaxBytes)
+	conn := dial(t, server)
+	send(t, conn, slices.Concat(emptyCall(5), largeCall(5)))
+	expectEvents(t, events, "RequestReceived", "ClientDisconnected")
+	expectFinalResponse(t, conn, duplicateSequence)
+}
--- a/internal/downstream/policies.go
+++ b/internal/downstream/policies.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// firstRequestTimeout is for how long a client that has connected, or has withdrawn all its requests,
+	// firstRequestTimeout is for how long a client that has connected, or has cancelled all its requests,
 	// may go on without one in flight or answered.
 	firstRequestTimeout = 2 * time.Second
 
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -15,7 +15,7 @@
 func TestPostedEvents(t *testing.T) {
 	request := string(emptyCall(5))
 	cancel := func(seq byte) string { return string(cancelOf(seq)) }
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, in string
 		want     string // up to the end of the connection, which the client brings about
 	}{
@@ -35,18 +35,18 @@
 			string(frame(2, "call", 5, "\x00")) + string(frame(4, "odd", 5, "\x00")), "ClientDisconnected",
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			server, events := startServer(t, smallConfig)
 			conn := dial(t, server)
-			send(t, conn, []byte(c.in))
+			send(t, conn, []byte(test.in))
 			time.Sleep(30 * time.Millisecond)
 			reset(t, conn)
 			got := ""
 			for e := ""; e != "ClientDisconnected"; got += " " + e {
 				e = nextEvent(t, events)
 			}
-			if got[1:] != c.want {
-				t.Errorf("events%s, want %s", got, c.want)
+			if got[1:] != test.want {
+				t.Errorf("events%s, want %s", got, test.want)
 			}
 		})
 	}
@@ -55,18 +55,18 @@
 // A client that has closed its sending side, in whatever state, still gets the response to its request.
 func TestHalfClosedClientGetsItsResponse(t *testing.T) {
 	request := string(emptyCall(5))
-	for _, c := range []struct{ name, more string }{
+	for _, test := range []struct{ name, more string }{
 		{"at the end of a request", ""},
 		{"inside the next", request[:9]},
 		{"behind what cannot be parsed", strings.Repeat("\xff", 200<<10)},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			server, events := startServer(t, smallConfig)
 			conn := dial(t, server)
-			send(t, conn, []byte(request+c.more))
+			send(t, conn, []byte(request+test.more))
 			closeWrite(t, conn)
 			expectEvents(t, events, "RequestReceived", "ClientHalfClosed")
-			respondWhole(server, 1, 5)
+			respondServed(server, 1, 5)
 			expectFinalResponse(t, conn, "whole")
 			expectEvents(t, events, "ClientDisconnected")
 		})
@@ -193,7 +193,7 @@
 	for seq := range uint32(300) {
 		flood += request(seq)
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, in string
 		events   int // before that of the end
 		response string
@@ -211,23 +211,23 @@
 			0, "unknown method",
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			server, events := startServer(t, smallConfig)
 			usual := dial(t, server)
 			send(t, usual, healthCall(1))
 			conn, begun := dial(t, server), time.Now()
-			go trySend(conn, []byte(c.in))
+			go trySend(conn, []byte(test.in))
 			got, err := io.ReadAll(conn)
 			took := time.Since(begun)
-			if err != nil || took > 2500*time.Millisecond || !strings.Contains(string(got), c.response) {
+			if err != nil || took > 2500*time.Millisecond || !strings.Contains(string(got), test.response) {
 				t.Errorf("%v after %v: %.200q", err, took, got)
 			}
-			for range c.events {
+			for range test.events {
 				nextEvent(t, events)
 			}
 			expectEvents(t, events, "ClientDisconnected")
-			respondWhole(server, 2, 5) // nobody is there any more
+			respondServed(server, 2, 5) // nobody is there any more
 			send(t, usual, healthCall(2))
 			expectBytes(t, usual, 2*healthResponseBytes, "the other client")
 		})
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -67,7 +67,7 @@
 	rejections  rejectionLog                    // guarded by mu
 }
 
-// New makes a server on a listener. post takes the events of clients and may block; emit takes the events
+// New makes a server on a listener. post takes the events of clients and may block. emit takes the events
 // for the log.
 func New(
 	listener net.Listener, config Config, post func(router.Event), emit func(logevent.Event),
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -57,9 +57,9 @@
 
 // OpenConnections returns how many connections are not closed, the listener among them while it accepts.
 func (s *Server) OpenConnections() int {
-	open := s.idle.openDescriptors() + int(s.rejecting.Load())
-	if !s.acceptFinished.Load() {
-		open++
+	open := 0
+	if !s.acceptFinished.Load() { // asked first: a connection that is admitted after that is counted below
+		open = 1
 	}
-	return open
+	return open + s.idle.openDescriptors() + int(s.rejecting.Load())
 }
--- a/internal/downstream/shutdown_test.go
+++ b/internal/downstream/shutdown_test.go
@@ -31,7 +31,7 @@
 
 // A connection that comes as the process begins to end waits in the backlog: its request is answered.
 func TestBacklogIsAdmittedBeforeShutdown(t *testing.T) {
-	listener := heldListener{listen(t), make(chan struct{})}
+	listener := gatedListener{listen(t), make(chan struct{})}
 	server, events, stop := startServerOn(t, listener, configWithIdleTimeout(10, time.Hour))
 	conn := dial(t, server)
 	send(t, conn, emptyCall(5))
@@ -44,7 +44,7 @@
 		t.Fatal("not admitted")
 	}
 	server.CloseIdle()
-	respondWhole(server, 1, 5)
+	respondServed(server, 1, 5)
 	waitFor(t, "all is closed", func() bool {
 		server.CloseIdle()
 		return server.OpenConnections() == 0
@@ -77,7 +77,7 @@
 	waitFor(t, "both are in flight", func() bool { return len(server.requestsInFlight()) == 2 })
 	begun, clients := time.Now(), server.requestsInFlight()
 	for _, seq := range []int32{5, 6} {
-		respondWhole(server, clients[seq], seq)
+		respondServed(server, clients[seq], seq)
 	}
 	for _, conn := range []net.Conn{active, partial} {
 		waitFor(t, "all is written and closed", func() bool {
@@ -125,7 +125,7 @@
 	if server.OpenConnections() < 2 {
 		t.Error("nothing is open, while one is open and one waits")
 	}
-	respondWhole(server, 1, 5)
+	respondServed(server, 1, 5)
 	expectResponse(t, conn, "whole")
 	stop()
 	setDeadline(t, waiting, time.Now().Add(testTimeout))
--- a/internal/downstream/suspend_test.go
+++ b/internal/downstream/suspend_test.go
@@ -27,11 +27,11 @@
 	before := runtime.NumGoroutine()
 	conns := dialIdle(t, server, count)
 	waitForSuspension(t, server)
-	if n := runtime.NumGoroutine(); n > before+5 {
-		t.Errorf("%d goroutines, %d before %d idle connections", n, before, count)
+	if goroutines := runtime.NumGoroutine(); goroutines > before+5 {
+		t.Errorf("%d goroutines, %d before %d idle connections", goroutines, before, count)
 	}
-	if n := server.idle.len(); n != count {
-		t.Errorf("%d connections", n)
+	if open := server.idle.len(); open != count {
+		t.Errorf("%d connections", open)
 	}
 	// All are resumed at the same moment; each gets its response.
 	var group sync.WaitGroup
@@ -44,8 +44,8 @@
 	}
 	group.Wait()
 	waitForSuspension(t, server)
-	if n := server.idle.len(); n != count {
-		t.Errorf("%d connections after they were suspended again", n)
+	if open := server.idle.len(); open != count {
+		t.Errorf("%d connections after they were suspended again", open)
 	}
 }
 
--- a/internal/downstream/systemcalls_linux_test.go
+++ b/internal/downstream/systemcalls_linux_test.go
@@ -157,8 +157,8 @@
 	server, _ := startServer(t, config)
 	conns := dialIdle(t, server, 4)
 	waitForSuspension(t, server)
-	for _, c := range conns {
-		send(t, c, healthCall(1))
+	for _, conn := range conns {
+		send(t, conn, healthCall(1))
 	}
 	waitFor(t, "none can be resumed", func() bool { return server.idle.hasPostponed() })
 	waitFor(t, "the poller has told all", func() bool { return !server.idle.poller.HasEvents() })
@@ -176,8 +176,8 @@
 		t.Error("ended with requests unread")
 	}
 	exhausted.Store(false)
-	for _, c := range conns {
-		expectResponse(t, c, "health")
+	for _, conn := range conns {
+		expectResponse(t, conn, "health")
 	}
 	waitFor(t, "all is flushed", server.Flushed)
 }
@@ -213,9 +213,9 @@
 	server, events := startServer(t, config)
 	conn, gone := idleConnection(t, server, true), idleConnection(t, server, true)
 	exhausted.Store(true)
-	for _, c := range []net.Conn{conn, gone} {
-		send(t, c, emptyCall(7))
-		closeWrite(t, c)
+	for _, client := range []net.Conn{conn, gone} {
+		send(t, client, emptyCall(7))
+		closeWrite(t, client)
 	}
 	closeAbandoned(gone)
 	waitFor(t, "they can't be resumed", server.idle.hasPostponed)
