--- a/internal/downstream/logevents_test.go
+++ b/internal/downstream/logevents_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// Responses fail from where the memory is full, and succeed again where they fit; the recovery is logged only once half of
-// the memory is free.
+// Responses fail from where the memory is full, and succeed again where they fit; the recovery is logged
+// only once half of the memory is free.
 func TestResponseMemoryEvents(t *testing.T) {
 	const maxBytes = 1000
 	var emitted []logevent.Event
