--- a/cmd/tealpath/logevents_test.go
+++ b/cmd/tealpath/logevents_test.go
@@ -10,6 +10,7 @@
 	"tealpath/control"
 	"tealpath/internal/cluster"
 	"tealpath/internal/cluster/peer"
+	"tealpath/internal/downstream"
 	"tealpath/internal/logevent"
 	"tealpath/internal/router"
 	"tealpath/internal/server"
@@ -26,6 +27,7 @@
 	"control":               control.LogEvents(),
 	"internal/cluster":      cluster.LogEvents(),
 	"internal/cluster/peer": peer.LogEvents(),
+	"internal/downstream":   downstream.LogEvents(),
 	"internal/router":       router.LogEvents(),
 	"internal/server":       server.LogEvents(),
 }
