--- a/cmd/tealpath/logevents_test.go
+++ b/cmd/tealpath/logevents_test.go
@@ -11,6 +11,7 @@
 	"tealpath/internal/cluster"
 	"tealpath/internal/cluster/peer"
 	"tealpath/internal/discovery"
+	"tealpath/internal/downstream"
 	"tealpath/internal/logevent"
 	"tealpath/internal/router"
 	"tealpath/internal/server"
@@ -28,6 +29,7 @@
 	"internal/cluster":      cluster.LogEvents(),
 	"internal/cluster/peer": peer.LogEvents(),
 	"internal/discovery":    discovery.LogEvents(),
+	"internal/downstream":   downstream.LogEvents(),
 	"internal/router":       router.LogEvents(),
 	"internal/server":       server.LogEvents(),
 }
