--- a/cmd/tealpath/status.go
+++ b/cmd/tealpath/status.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	var status server.Connections
-	if err := adminsocket.Query(ctx, path, &status, "connections"); err != nil {
+	if err := adminsocket.Query(ctx, path, &status, server.ConnectionsCommand); err != nil {
 		return cli.Exit(err, exitFailed)
 	}
 	fmt.Printf("%d connections: %d idle, %d of them at rest, %d busy, %d reading, %d fresh, %d closing; "+
@@ -44,7 +44,7 @@
 		return err
 	}
 	var status cluster.Status
-	if err := adminsocket.Query(ctx, path, &status, "duties"); err != nil {
+	if err := adminsocket.Query(ctx, path, &status, server.LeasesCommand); err != nil {
 		return cli.Exit(err, exitFailed)
 	}
 	if cmd.Bool("json") {
@@ -61,7 +61,7 @@
 		return err
 	}
 	var status cluster.MembersStatus
-	if err := adminsocket.Query(ctx, path, &status, "members"); err != nil {
+	if err := adminsocket.Query(ctx, path, &status, server.MembersCommand); err != nil {
 		return cli.Exit(err, exitFailed)
 	}
 	if cmd.Bool("json") {
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -96,15 +96,15 @@
 }
 
 // A query is answered by the goroutine of the reducer, or fails when its time is up.
-func TestAsk(t *testing.T) {
+func TestQuery(t *testing.T) {
 	queries := make(chan chan int)
 	go func() { (<-queries) <- 7 }()
-	if got, err := ask(t.Context(), queries); err != nil || got != 7 {
+	if got, err := query(t.Context(), queries); err != nil || got != 7 {
 		t.Errorf("%v, %v", got, err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
-	if _, err := ask(ctx, queries); !errors.Is(err, errNoAnswer) {
+	if _, err := query(ctx, queries); !errors.Is(err, errNoAnswer) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/server/clusterprobe.go
+++ b/internal/server/clusterprobe.go
@@ -25,13 +25,13 @@
 }
 
 // runProbe sends a probe and hands its result to the cluster's reducer.
-func (node *clusterNode) runProbe(ctx context.Context, p probe.Probe) {
-	limited, cancel := context.WithTimeout(ctx, time.Duration(p.Timeout))
+func (node *clusterNode) runProbe(ctx context.Context, due probe.Probe) {
+	limited, cancel := context.WithTimeout(ctx, time.Duration(due.Timeout))
 	defer cancel()
-	tag := fmt.Sprintf("%016x", p.Ballot)
-	mayWrite := func() bool { return bootTime() < p.Until && node.ballots[p.Slot].Load() == p.Ballot }
+	tag := fmt.Sprintf("%016x", due.Ballot)
+	mayWrite := func() bool { return bootTime() < due.Until && node.ballots[due.Slot].Load() == due.Ballot }
 	load, err := upstream.CheckHealth(limited, upstream.HealthCheck{
-		Address:          p.Address,
+		Address:          due.Address,
 		ID:               tag,
 		LoadReportFields: node.loadReportFields,
 		MayWrite:         mayWrite,
@@ -41,8 +41,8 @@
 	}
 	node.probesSent.Add(1)
 	node.post(ctx, cluster.ProbeEnded{ProbeResult: cluster.ProbeResult{
-		Target:  p.Target,
-		Ballot:  p.Ballot,
+		Target:  due.Target,
+		Ballot:  due.Ballot,
 		Healthy: err == nil,
 		Load:    load,
 	}})
--- a/internal/server/clusterstatus.go
+++ b/internal/server/clusterstatus.go
@@ -10,16 +10,16 @@
 
 // leaseStatus answers who holds which leases.
 func (node *clusterNode) leaseStatus(ctx context.Context, _ []string) (any, error) {
-	return ask(ctx, node.leaseQueries)
+	return query(ctx, node.leaseQueries)
 }
 
 // memberStatus answers which instances are believed alive.
 func (node *clusterNode) memberStatus(ctx context.Context, _ []string) (any, error) {
-	return ask(ctx, node.memberQueries)
+	return query(ctx, node.memberQueries)
 }
 
-// ask has the goroutine of the cluster's reducer answer a query.
-func ask[T any](ctx context.Context, queries chan<- chan T) (any, error) {
+// query has the goroutine of the cluster's reducer answer a query.
+func query[T any](ctx context.Context, queries chan<- chan T) (any, error) {
 	reply := make(chan T, 1)
 	select {
 	case queries <- reply:
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -34,7 +34,7 @@
 }
 
 // start makes the connections' sides. What serves beside the event loop from now on runs in the group:
-// links to other instances, and the operator's socket.
+// links to other instances, and the admin socket.
 func (s *Server) start(
 	ctx context.Context, group *errgroup.Group, listener net.Listener, post func(router.Event),
 	shutdownRequested <-chan struct{},
@@ -50,7 +50,7 @@
 		}
 	}
 	if s.operator.SocketPath != "" {
-		handlers := s.operatorHandlers()
+		handlers := s.adminHandlers()
 		group.Go(func() error { return adminsocket.Serve(ctx, s.operator.SocketPath, handlers) })
 	}
 	return nil
@@ -100,12 +100,19 @@
 	return nil
 }
 
-// operatorHandlers are the subjects that the operator's socket answers.
-func (s *Server) operatorHandlers() map[string]adminsocket.Handler {
-	handlers := map[string]adminsocket.Handler{"connections": s.connections}
+// Commands that the admin socket answers.
+const (
+	ConnectionsCommand = "connections" // answered with Connections
+	LeasesCommand      = "duties"      // answered with cluster.Status
+	MembersCommand     = "members"     // answered with cluster.MembersStatus
+)
+
+// adminHandlers are the commands that the admin socket answers. The last two are of instances that share tasks.
+func (s *Server) adminHandlers() map[string]adminsocket.Handler {
+	handlers := map[string]adminsocket.Handler{ConnectionsCommand: s.connections}
 	if s.cluster != nil {
-		handlers["duties"] = s.cluster.leaseStatus
-		handlers["members"] = s.cluster.memberStatus
+		handlers[LeasesCommand] = s.cluster.leaseStatus
+		handlers[MembersCommand] = s.cluster.memberStatus
 	}
 	return handlers
 }
