--- a/internal/server/log.go
+++ b/internal/server/log.go
@@ -19,9 +19,6 @@
 // emit logs an event. It may be called by any goroutine.
 func (s *Server) emit(event logevent.Event) { WriteEvent(s.logger, event) }
 
-// logText logs a line that is not typed.
-func (s *Server) logText(text string) { s.logger.Info().Msg(text) }
-
 // emitOfRouter logs an event of the reducer, with the endpoint that it is about, if any.
 func (s *Server) emitOfRouter(log router.Log) {
 	logger := s.logger
