--- a/control/admission.go
+++ b/control/admission.go
@@ -3,45 +3,59 @@
 import "math"
 
 const (
-	// The limits are in attempts in flight for the caches' capacity.
+	// Bounds of every admission limit, in attempts in flight as a multiple of the caches' capacity.
 	maxAdmissionLimit = 4.
 	minAdmissionLimit = 0.3
 
-	// An answer in time raises its limit, more while that is tight: stalls outlasted themselves by 10 s. A late one takes a part off.
-	limitIncrease      = 0.006
-	tightLimitIncrease = 0.018
-	limitDecrease      = 0.08
+	// An answer in time raises the limit of its kind by a fixed amount, and by more while that limit is reduced, as traffic
+	// would be rejected for longer than the overload lasts. A late answer lowers the limit by a part of it.
+	limitIncrease        = 0.006
+	reducedLimitIncrease = 0.018
+	limitDecrease        = 0.08
 
-	// tightShare is the part of its initial value below which a limit is tight, until it has come back to that value.
-	tightShare = 0.5
+	// reducedShare is the part of its initial value below which a limit counts as reduced, until it is back at that value.
+	reducedShare = 0.5
 
-	lowValueShare = 0.7 // least part of a limit for classes that earn less for their sending time, and for clients' retries
-	moreValuable  = 2.  // times as much for its sending time, from which another class goes first
-	reserveFactor = 2.  // times the part that such classes ask for is kept for them
-	minOffered    = 0.01
+	// lowValueShare is the part of a limit that is open to clients' retries, and the least part that is open to a class
+	// of low value.
+	lowValueShare = 0.7
 
-	maxToleranceFactor = 2.  // most part for a class whose answers stand more of a jam
-	underservedFactor  = 1.5 // part for a class that was let in less than underservedShare of what others were
-	underservedShare   = 0.7
+	// higherValueRatio is how many times the value of another (priority weight by sending time) a class has to have for a
+	// part of the limit to be reserved for it, which is reserveFactor times its part of the offered work.
+	higherValueRatio = 2.
+	reserveFactor    = 2.
 
-	divertShare = 0.5 // of the limit for hits, under which a cache may fill what is another's
+	// minOffered bounds the offered work from below where something is divided by it, s.
+	minOffered = 0.01
+
+	// maxToleranceFactor bounds by how much a class that tolerates longer delays may exceed the limit.
+	maxToleranceFactor = 2.
+
+	// underservedFactor is by how much a class may exceed its part of the limit if the admitted part of its requests is less
+	// than underservedShare of that of all classes.
+	underservedFactor = 1.5
+	underservedShare  = 0.7
+
+	// divertShare is the part of the limit for hits below which the load of a cache has to be for it to fill an object
+	// whose home cache is at its limit.
+	divertShare = 0.5
 )
 
 // initialAdmissionLimits are the limits by kind at the start.
 var initialAdmissionLimits = [kinds]float64{2, 1.2, 0.4}
 
-// admission keeps what is in flight to what comes in time, learned from how much does: additive increase, multiplicative
-// decrease (Chiu and Jain, Analysis of the increase and decrease algorithms, 1989).
+// admission holds the admission limits, one for each kind of attempts. They follow from how many answers come in time:
+// additive increase, multiplicative decrease (Chiu and Jain, Analysis of the increase and decrease algorithms, 1989).
 type admission struct {
-	limits [kinds]float64
-	tight  [kinds]bool
+	limits  [kinds]float64 // attempts in flight, as a multiple of the caches' capacity
+	reduced [kinds]bool    // the limit fell below reducedShare of its initial value and is not back at it yet
 }
 
 // answeredInTime raises a limit.
 func (a *admission) answeredInTime(kind attemptKind) {
 	increase := limitIncrease
-	if a.tight[kind] {
-		increase = tightLimitIncrease
+	if a.reduced[kind] {
+		increase = reducedLimitIncrease
 	}
 	a.limits[kind] = min(a.limits[kind]+increase, maxAdmissionLimit)
 }
@@ -51,53 +65,64 @@
 	a.limits[kind] = max(a.limits[kind]*(1-limitDecrease), minAdmissionLimit)
 }
 
-// updateTight tells whether a limit has become tight, or is so no more.
-func (a *admission) updateTight(kind attemptKind) (changed bool) {
+// updateReduced updates whether a limit counts as reduced, and reports whether that has changed. With a change for fills
+// the limit for fetches starts anew, since parents fetch less for themselves while fills are reduced (usesOnlyIfCached).
+func (a *admission) updateReduced(kind attemptKind) (changed bool) {
 	limit, initial := a.limits[kind], initialAdmissionLimits[kind]
-	changed = a.tight[kind] && limit > initial || !a.tight[kind] && limit < initial*tightShare
+	if a.reduced[kind] {
+		changed = limit > initial
+	} else {
+		changed = limit < initial*reducedShare
+	}
 	if !changed {
 		return false
 	}
-	a.tight[kind] = !a.tight[kind]
+	a.reduced[kind] = !a.reduced[kind]
 	if kind == fills {
 		a.limits[fetches] = initialAdmissionLimits[fetches]
 	}
 	return true
 }
 
-// adjustLimit lets a limit follow from how an attempt of its kind ended.
+// adjustLimit raises or lowers the limit for an attempt's kind by how the attempt ended. Late answers of ejected endpoints
+// do not count: they tell of one endpoint's fault, not of an overload.
 func (r *Router) adjustLimit(attempt *attemptState, found finding) {
 	kind := attempt.kind
+	ejected := attempt.cache.ejected || attempt.source != nil && attempt.source.ejected
+	late := found.result == Succeeded || found.timedOut
 	switch {
 	case found.succeededInTime():
 		r.admission.answeredInTime(kind)
-	case (found.result == Succeeded || found.timedOut) && !attempt.cache.ejected && (attempt.source == nil || !attempt.source.ejected):
+	case late && !ejected:
 		r.admission.answeredLate(kind)
 	}
-	limit := r.admission.limits[kind]
-	if !r.admission.updateTight(kind) {
-		return
+	if r.admission.updateReduced(kind) {
+		r.logLimitChange(kind)
 	}
-	limit = rounded(limit, limitDecimals)
-	if r.admission.tight[kind] {
+}
+
+func (r *Router) logLimitChange(kind attemptKind) {
+	limit := rounded(r.admission.limits[kind], limitDecimals)
+	if r.admission.reduced[kind] {
 		r.log(AdmissionLimitReduced{RequestKind: kind.String(), Limit: limit})
 	} else {
 		r.log(AdmissionLimitRestored{RequestKind: kind.String(), Limit: limit})
 	}
 }
 
-// admits tells whether an attempt may go to a cache now: likely hits by the load of the cache's link, likely fills by that of all
-// caches' together. Beyond the limit all get late together, and the jam outlives its cause. What earns least for its sending time
-// goes first, and clients' retries: most are late already. It covers jumps in traffic, crowding, empty caches, a slow source; it
-// hurts where answers are late for a moment only.
+// admits reports whether a request may be sent to a cache now. A likely hit is admitted by the load of that cache, a
+// likely fill or fetch by the number of its kind in flight at all caches of the location, as they share the link to the
+// parents. Beyond the limit every answer would be late, and the overload would outlast its cause. Requests of low value
+// are rejected first, and so are clients' retries, most of which come too late for their client anyway.
 func (r *Router) admits(now int64, request *Request, cache *endpointState) bool {
 	load, kind := r.load(now, cache), request.nextKind(now)
 	limit := r.admission.limits[kind]
 	switch {
 	case kind == fills && request.isUncacheable():
-		limit = r.admission.limits[hits] // runs at the origin, and takes next to nothing of the links for fills
+		limit = r.admission.limits[hits] // the origin answers it, and it uses next to nothing of the links for fills
 	case kind != hits:
-		load = float64(r.inFlight.withinObjective(now, r.endpoints)[kind]) * r.effectiveSharers() / r.locationCapacity(now)
+		inFlight := r.inFlight.withinObjective(now, r.endpoints)[kind]
+		load = float64(inFlight) * r.activeSharers() / r.locationCapacity(now)
 	}
 	if request.ClientRetry {
 		limit *= lowValueShare
@@ -105,29 +130,32 @@
 	return load < limit*r.admissionShare(now, request)
 }
 
-// admissionShare is the part of a limit that is open to a request, by its class. Kept free of it is what classes worth twice as
-// much for their sending time ask for, twice over. A class whose answers stand more of a jam than others' may go beyond the
-// limit, as it comes and goes fast; so may one that was let in far less than others: else the best alone could fill the limit,
-// and one class was hardly served.
+// admissionShare returns the part of a limit that is open to a request, by its class. It may be above 1.
+//
+//   - Classes whose value (priority weight by sending time) is more than higherValueRatio times the request's have a part
+//     reserved, in proportion to the work that they offer.
+//   - A class that tolerates longer delays than others may exceed the limit: its answers are still in time when others
+//     are late, and leave the links soon.
+//   - So may a class that was admitted far less than the others: the most valuable one alone could use up the limit.
 func (r *Router) admissionShare(now int64, request *Request) float64 {
 	class := request.class
 	value := class.weight / r.sendingTime(request)
-	leastTolerance := math.Inf(1)
-	var offered, admitted, betterOffered float64
+	minTolerance := math.Inf(1)
+	var offered, admitted, higherOffered float64
 	for _, other := range r.classes {
 		work := other.offered.at(now)
 		offered += work
 		admitted += other.admitted.at(now)
-		if other.weight/other.sendingTime > moreValuable*value {
-			betterOffered += work
+		if other.weight/other.sendingTime > higherValueRatio*value {
+			higherOffered += work
 		}
 		if other.samples > initialSamples {
-			leastTolerance = min(leastTolerance, other.delayTolerance())
+			minTolerance = min(minTolerance, other.delayTolerance())
 		}
 	}
-	share := 1 - min(1-lowValueShare, reserveFactor*betterOffered/max(offered, minOffered))
-	if class.delayTolerance() > leastTolerance {
-		share *= min(maxToleranceFactor, class.delayTolerance()/leastTolerance)
+	share := 1 - min(1-lowValueShare, reserveFactor*higherOffered/max(offered, minOffered))
+	if class.delayTolerance() > minTolerance {
+		share *= min(maxToleranceFactor, class.delayTolerance()/minTolerance)
 	}
 	if class.admitted.at(now)*offered < underservedShare*admitted*class.offered.at(now) {
 		share *= underservedFactor
@@ -135,20 +163,24 @@
 	return share
 }
 
-// mayAskCacheOnly tells whether a request that is not admitted as a fill is to ask its first cache for what that holds. In a thin
-// slice what is kept is unknown: half of what was taken for fills were hits, and a jam of the sources turned all away. Only where
-// any entry that the cache may serve will do, and nothing was asked yet.
-func (r *Router) mayAskCacheOnly(now int64, request *Request, cache *endpointState) bool {
-	age, _ := r.maxAge(now, request)
+// mayTryCacheOnly reports whether a request that is not admitted as a fill may be sent to its first cache for what that has
+// cached, without a fill on a miss. A router that gets a small part of the traffic often takes a hit for a fill, and would
+// reject it with the fills. It is done only for a first attempt, and where any entry that the cache may serve will do.
+func (r *Router) mayTryCacheOnly(now int64, request *Request, cache *endpointState) bool {
+	age, _ := r.maxAge(now, request) // first of all: it may set the object's accepted age anew
+	if request.nextKind(now) != fills || len(request.attempts) > 0 || request.isUncacheable() {
+		return false
+	}
 	fresh := request.class.freshDuration
 	anyEntryWillDo := age == 0 || fresh > 0 && age >= fresh
-	return request.nextKind(now) == fills && len(request.attempts) == 0 && !request.isUncacheable() && anyEntryWillDo &&
-		r.load(now, cache) < r.admission.limits[hits]*lowValueShare
+	return anyEntryWillDo && r.load(now, cache) < r.admission.limits[hits]*lowValueShare
 }
 
-// asksOnlyIfCached tells whether a parent is first asked for what it holds: while fills are tight, and fetches come in time no
-// better.
-func (r *Router) asksOnlyIfCached(attempt *attemptState) bool {
-	return attempt.kind == fills && r.admission.tight[fills] && r.admission.limits[fetches] < r.admission.limits[fills] &&
-		attempt.source != r.origin
+// usesOnlyIfCached reports whether the parent of an attempt is asked only for what it has cached. That is done while the
+// limit for fills is reduced, unless fetches from the origin come in time at least as well.
+func (r *Router) usesOnlyIfCached(attempt *attemptState) bool {
+	if attempt.kind != fills || attempt.source == r.origin {
+		return false
+	}
+	return r.admission.reduced[fills] && r.admission.limits[fetches] < r.admission.limits[fills]
 }
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -112,7 +112,7 @@
 	t.Run("while tight it comes back faster than it grows otherwise", func(t *testing.T) {
 		grown := func(tight bool) float64 {
 			r := newRouter(t, nil)
-			r.admission.limits[1], r.admission.tight[1] = 0.7, tight
+			r.admission.limits[1], r.admission.reduced[1] = 0.7, tight
 			for i := range 20 {
 				request := ask("harmless", fmt.Sprint(i))
 				r.Decide(start, request)
@@ -147,7 +147,7 @@
 	}{{"what it lacks goes on as a fetch", NotHeld, Send}, {"what it holds is served", Succeeded, Wait}} {
 		t.Run(c.name, func(t *testing.T) {
 			r, request := newRouter(t, nil), ask("harmless", "a")
-			r.admission.tight[fills], r.admission.limits[fills] = true, 1
+			r.admission.reduced[fills], r.admission.limits[fills] = true, 1
 			r.admission.limits[fetches] = maxAdmissionLimit
 			other := ask("harmless", "other")
 			if r.Decide(start, other).Attempt.ParentOnlyIfCached {
@@ -205,7 +205,7 @@
 		t.Run(fmt.Sprintf("%d in hand, one of %d routers", c.out, c.routers), func(t *testing.T) {
 			r := newRouter(t, Settings{"location.routers": []int64{0, c.routers, 2}})
 			endpoint, request := r.endpoints[1], ask("harmless", "a")
-			request.class, request.record = r.classByName["harmless"], &objectRecord{likelyHeldUntil: forever}
+			request.class, request.record = r.classByName["harmless"], &objectRecord{likelyCachedUntil: forever}
 			for range c.out {
 				r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, lateAt: forever})
 			}
--- a/control/age.go
+++ b/control/age.go
@@ -6,37 +6,48 @@
 )
 
 const (
-	exchangeRate     = 2e-2          // missed updates that one KB of filling is worth: the design's c
-	defaultSizeKB    = 500.          // of an object where sizes are not told: the design's b
-	minMaxAge        = second / 1000 // ns
-	longestRoot      = 1e9           // s; a longer age is no bound
-	refreshThreshold = 1.            // requests within the accepted age, λ·age, from which an entry is refreshed behind
-	reuseThreshold   = 0.2           // earlier requests in the window from which an object counts as asked for again
+	// missedUpdatesPerKB is how many missed updates a second weigh as much as one KB filled a second: c in docs/design.md.
+	missedUpdatesPerKB = 2e-2
 
-	// The cache priorities shield objects asked for again from those asked for once; a third kept what had been hot for good.
+	// defaultSizeKB is the size of an object where clients do not tell it: b in docs/design.md.
+	defaultSizeKB = 500.
+
+	minMaxAge    = second / 1000 // ns; lower bound of an accepted age
+	maxFiniteAge = 1e9           // s; an age above it counts as none
+
+	// refreshThreshold is how many requests within the accepted age, λ·age, it takes for an entry to be refreshed in the
+	// background before it expires.
+	refreshThreshold = 1.
+
+	// reuseThreshold is how many earlier requests of the location, decayed over rateWindow, make an object a reused one.
+	reuseThreshold = 0.2
+
+	// The cache priorities keep objects that are requested once from evicting those that are reused. There is no third one
+	// for popular objects: such an object would stay cached long after its last request.
 	priorityOnce   = 1
 	priorityReused = 2
 
-	// originFillFactor is how many times its size an object counts for where no parent is ready: all fills are the origin's then.
+	// originFillFactor multiplies an object's size while no parent is ready, as each fill is the origin's work then.
 	originFillFactor = 2
 )
 
-// optimalMaxAge is the age, ns, that costs least in missed updates and in filling: sqrt(2·c·b/(μ·λ)), with the size b in KB, the
-// rate of updates μ and that of requests λ, each a second; forever where either is 0. It is the optimal TTL of ECO-DNS
-// (Chen, Matsumoto and Perrig, section II-E, equation 11, without the sum over descendants): docs/design.md.
+// optimalMaxAge returns the age, in ns, at which missed updates and fills together cost least: sqrt(2·c·b/(μ·λ)), with the
+// size b in KB, the rate μ of updates and the rate λ of requests, both a second. It returns forever if a rate is 0. This
+// is the optimal TTL of ECO-DNS (Chen, Matsumoto and Perrig, section II-E, equation 11) without the sum over descendants;
+// see docs/design.md.
 func optimalMaxAge(sizeKB, updateRate, requestRate float64) int64 {
 	if !(updateRate > 0 && requestRate > 0) {
 		return forever
 	}
-	root := math.Sqrt(2 * exchangeRate * sizeKB / (updateRate * requestRate))
-	if !(root < longestRoot) {
+	root := math.Sqrt(2 * missedUpdatesPerKB * sizeKB / (updateRate * requestRate))
+	if !(root < maxFiniteAge) {
 		return forever
 	}
 	return max(int64(root*1e9), minMaxAge)
 }
 
-// maxAge gives the oldest entry that will do, ns, where 0 is the class's fresh time, and whether an ageing one is refreshed
-// behind.
+// maxAge returns the age up to which a cache may serve its entry for a request, in ns, where 0 stands for the class's fresh
+// duration, and whether the cache is to refresh an ageing entry in the background.
 func (r *Router) maxAge(now int64, request *Request) (age int64, refresh bool) {
 	record := request.record
 	if record.maxAge == 0 || now >= record.maxAgeUntil {
@@ -50,7 +61,7 @@
 	return r.limitAgeByPurges(now, request, age), refresh
 }
 
-// updateMaxAge sets an object's accepted age, and holds it for as long.
+// updateMaxAge computes an object's accepted age. The result stands until an entry that was filled now would reach that age.
 func (r *Router) updateMaxAge(now int64, request *Request) {
 	record, class := request.record, request.class
 	sizeKB := cmp.Or(request.SizeKB, defaultSizeKB)
@@ -64,8 +75,8 @@
 	record.maxAgeUntil = now + record.maxAge
 }
 
-// updateRate is an object's updates a second, by the purges told: one over the fresh time at start, as if one purge had been
-// told over that time.
+// updateRate returns an object's updates a second, estimated from its purges. An object of a class with a fresh duration
+// counts as purged once over that time before its first request, so that the rate is never 0.
 func updateRate(now int64, record *objectRecord, class *classState) float64 {
 	span, purges := float64(now-record.firstSeenAt)/1e9, record.purgeCount
 	if class.freshDuration > 0 {
@@ -74,13 +85,14 @@
 	return purges / max(span, float64(rateWindow)/1e9)
 }
 
-// locationRate is the design's λ: the own rate times the routers of the location, requests a second.
+// locationRate estimates how often an object is requested in the location, in requests a second: this router's rate times
+// the location's routers. It is λ in docs/design.md.
 func (r *Router) locationRate(now int64, record *objectRecord) float64 {
 	return r.rates.ofObject(now, record) * r.settings.locationRouters
 }
 
-// cachePriority is higher for an object that was asked for before. Requests before this one are scaled to the location: in a
-// thin slice none came twice, and a scan swept the caches.
+// cachePriority returns the priority of an object's entry in a cache. Earlier requests at this router are scaled to the
+// location: one router of many seldom sees an object twice, and a scan of objects would evict all reused ones.
 func (r *Router) cachePriority(record *objectRecord) int64 {
 	if (record.requestCount-1)*r.settings.locationRouters >= reuseThreshold {
 		return priorityReused
--- a/control/age_test.go
+++ b/control/age_test.go
@@ -27,7 +27,7 @@
 			now := start + 20*second
 			record := &objectRecord{requestCount: c.count, countedAt: now, firstSeenAt: now - c.born*second, purgeCount: c.purges}
 			state := requestState{class: &classState{classTerms: classTerms{freshDuration: c.fresh}}, record: record}
-			r.updateMaxAge(now, &Request{SizeKB: 0.1 / exchangeRate, requestState: state})
+			r.updateMaxAge(now, &Request{SizeKB: 0.1 / missedUpdatesPerKB, requestState: state})
 			got := float64(record.maxAge) / 1e9
 			if record.maxAge == forever {
 				got = 0
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -1,52 +1,58 @@
 package control
 
 const (
-	sharingWindow      = 2 * second // ns; over which load reports are averaged
-	minSharingEvidence = 20.        // attempts in flight beside those answered, over the window, that tell of the sharers
-	minCapacity        = 0.01       // of an endpoint that is told as smaller
+	// sharingWindow is the time over which load reports, and the work that is offered, decay; ns.
+	sharingWindow = 2 * second
 
-	// maxOfferedCapacity is how many times what was carried at the best a cache is taken to carry, while more is asked for.
+	// minSharingEvidence is how many attempts of this router have to be in flight when answers come, summed over
+	// sharingWindow, before load reports are used to count the routers that share the caches.
+	minSharingEvidence = 20.
+
+	// minCapacity is the capacity of an endpoint that is listed with less.
+	minCapacity = 0.01
+
+	// maxOfferedCapacity bounds a measured capacity, as a multiple of what a cache has served at its best.
 	maxOfferedCapacity = maxAdmissionLimit
 )
 
-// capacityEstimate is what the endpoints carry, as far as it is measured. A capacity is how many answers an endpoint can send at
-// once at a client's full pace: seconds of sending time a second.
+// capacityEstimate measures what the endpoints can serve. A capacity is how many answers an endpoint can send at once, each
+// at a client's full rate: seconds of sending time a second.
 type capacityEstimate struct {
-	byCaches  decayingWork // carried in time by the caches of the location
-	byParents decayingWork // carried in time by the parents
-	offered   decayingWork // what the caches would have carried, had they served all; over sharingWindow
+	byCaches  decayingWork // served in time by the caches of the location
+	byParents decayingWork // served in time by the parents
+	offered   decayingWork // requested of the caches, served or not; decays over sharingWindow
 
-	// In flight at caches when answers came, decayed over sharingWindow.
-	othersInFlight float64 // as load reports told
-	ownInFlight    float64 // as known
-	reportedAt     int64
+	// Attempts in flight at the caches whenever an answer came, summed up and decaying over sharingWindow.
+	reportedInFlight float64 // of all routers, by the caches' load reports
+	ownInFlight      float64 // of this router
+	reportedAt       int64
 
 	configured configuredSum
 	measured   repeatedSum
 }
 
-// configuredSum is the sum and the largest of the caches' capacities, kept until the list changes.
+// configuredSum caches the sum and the maximum of the caches' listed capacities until the endpoint list changes.
 type configuredSum struct {
-	known        bool
+	valid        bool
 	sum, largest float64
 }
 
-// offer counts work that was asked for, s.
+// offer counts work that was requested, in seconds of sending time.
 func (c *capacityEstimate) offer(now int64, work float64) {
 	c.offered.work = decay(c.offered.work, now-c.offered.lastAt, sharingWindow) + work
 	c.offered.lastAt = now
 }
 
-// observeReport notes a load report: how many are in flight at a cache, by its own word and from here, without the one that was
-// answered.
+// observeReport counts a load report: the attempts in flight at a cache, of all routers and of this one, both without the
+// one that was answered.
 func (c *capacityEstimate) observeReport(now int64, reported, own float64) {
-	since := now - c.reportedAt
-	c.othersInFlight = decay(c.othersInFlight, since, sharingWindow) + reported
-	c.ownInFlight = decay(c.ownInFlight, since, sharingWindow) + own
+	elapsed := now - c.reportedAt
+	c.reportedInFlight = decay(c.reportedInFlight, elapsed, sharingWindow) + reported
+	c.ownInFlight = decay(c.ownInFlight, elapsed, sharingWindow) + own
 	c.reportedAt = now
 }
 
-// sharers is how many routers share an endpoint: those of the location for a cache, all for another.
+// sharers returns how many routers share an endpoint: those of the location for a cache, all of them for any other.
 func (r *Router) sharers(endpoint *endpointState) float64 {
 	if endpoint.Location == r.settings.location {
 		return r.settings.locationRouters
@@ -54,62 +60,66 @@
 	return r.settings.routers
 }
 
-// effectiveSharers is how many routers send to the location's caches now, by what answers tell is in flight there.
-func (r *Router) effectiveSharers() float64 {
+// activeSharers estimates how many routers send to the location's caches now: what the caches have in flight by their load
+// reports, divided by what this router has in flight there. While its neighbours restart a router has their traffic too.
+func (r *Router) activeSharers() float64 {
 	if r.capacity.ownInFlight < minSharingEvidence {
 		return r.settings.locationRouters
 	}
-	return max(1, min(r.capacity.othersInFlight/r.capacity.ownInFlight, r.settings.locationRouters))
+	return max(1, min(r.capacity.reportedInFlight/r.capacity.ownInFlight, r.settings.locationRouters))
 }
 
-// measuredCapacity is that of a cache where weights do not tell it: what each cache carried in time at the best, scaled to all
-// who send there, or what is asked for now, up to some times that; a young router goes by what is asked for alone. A weight of
-// one for all was taken for caches of one answer at a time, and shut out half of the traffic.
+// measuredCapacity estimates the capacity of a cache where the list does not tell it. It is what each cache served in time
+// at its best, or what is requested now if that is more, up to maxOfferedCapacity times the best. A router that has not
+// run for a rateWindow yet has no best that means anything, and goes by what is requested alone.
 func (r *Router) measuredCapacity(now int64) float64 {
 	best := max(1, r.capacity.byCaches.best)
-	asked := r.perEndpoint(now, r.capacity.offered, sharingWindow, r.effectiveSharers(), r.caches)
+	offered := r.perEndpoint(now, r.capacity.offered, sharingWindow, r.activeSharers(), r.caches)
 	if now >= r.rates.startedAt+rateWindow {
-		asked = min(asked, maxOfferedCapacity*best)
+		offered = min(offered, maxOfferedCapacity*best)
 	}
-	return max(best, asked)
+	return max(best, offered)
 }
 
-// sustainedCapacity is what an endpoint bears for sure when warm. What is measured is the mean of its tier as it goes, not the
-// best: that is chance in a thin slice, and sums up over all.
+// sustainedCapacity returns the capacity that a warm endpoint has for sure. Where it is measured it is what the endpoints of
+// the tier serve on average now. The best that one served is no measure here: for a router with little traffic it is
+// chance, and the routers' shares by it would add up to more than the endpoint can serve.
 func (r *Router) sustainedCapacity(now int64, endpoint *endpointState) float64 {
 	switch {
 	case r.settings.capacitiesTold:
 		return endpoint.Capacity
 	case endpoint.Location == r.settings.location:
-		return max(1, r.perEndpoint(now, r.capacity.byCaches, rateWindow, r.effectiveSharers(), r.caches))
+		return max(1, r.perEndpoint(now, r.capacity.byCaches, rateWindow, r.activeSharers(), r.caches))
 	}
 	return max(1, r.perEndpoint(now, r.capacity.byParents, rateWindow, r.sharers(endpoint), r.parents))
 }
 
-// carriedByCaches counts work that a cache carried in time, s.
-func (r *Router) carriedByCaches(now int64, work float64) {
-	r.addCarried(now, &r.capacity.byCaches, work, r.effectiveSharers(), r.caches)
+// servedByCache counts work that a cache served in time, in seconds of sending time.
+func (r *Router) servedByCache(now int64, work float64) {
+	r.addServed(now, &r.capacity.byCaches, work, r.activeSharers(), r.caches)
 }
 
-// carriedByParents counts work that a parent carried in time, s.
-func (r *Router) carriedByParents(now int64, work float64, parent *endpointState) {
-	r.addCarried(now, &r.capacity.byParents, work, r.sharers(parent), r.parents)
+// servedByParent counts work that a parent served in time, in seconds of sending time.
+func (r *Router) servedByParent(now int64, work float64, parent *endpointState) {
+	r.addServed(now, &r.capacity.byParents, work, r.sharers(parent), r.parents)
 }
 
-// addCarried counts what the endpoints of a tier carried in time, and keeps the best that each had over the window.
-func (r *Router) addCarried(now int64, carried *decayingWork, work, sharers float64, endpoints []*endpointState) {
-	carried.add(now, work)
+// addServed counts work that a tier served in time, and updates the best that one endpoint served.
+func (r *Router) addServed(now int64, served *decayingWork, work, sharers float64, endpoints []*endpointState) {
+	served.add(now, work)
 	if now >= r.rates.startedAt+rateWindow {
-		carried.best = max(carried.best, r.perEndpoint(now, *carried, rateWindow, sharers, endpoints))
+		served.best = max(served.best, r.perEndpoint(now, *served, rateWindow, sharers, endpoints))
 	}
 }
 
-// perEndpoint is the part of one endpoint in what a tier carries, in answers sent at once.
-func (r *Router) perEndpoint(now int64, carried decayingWork, window int64, sharers float64, endpoints []*endpointState) float64 {
-	return r.rates.perSecond(now, carried.work, carried.lastAt, window) * sharers / float64(max(1, len(endpoints)))
+// perEndpoint returns the mean of one endpoint of a tier, in answers sent at once, for all routers together.
+func (r *Router) perEndpoint(
+	now int64, work decayingWork, window int64, sharers float64, endpoints []*endpointState,
+) float64 {
+	return r.rates.perSecond(now, work.work, work.lastAt, window) * sharers / float64(max(1, len(endpoints)))
 }
 
-// locationCapacity is that of all caches of the location.
+// locationCapacity returns the capacity of all caches of the location together.
 func (r *Router) locationCapacity(now int64) float64 {
 	if r.settings.capacitiesTold {
 		return max(r.configuredCapacity().sum, minCapacity)
@@ -117,13 +127,13 @@
 	return max(r.capacity.measured.of(len(r.caches), r.measuredCapacity(now)), minCapacity)
 }
 
-// configuredCapacity sums up what weights tell of the caches.
+// configuredCapacity returns the sum and the maximum of the caches' listed capacities.
 func (r *Router) configuredCapacity() configuredSum {
 	total := &r.capacity.configured
-	if total.known {
+	if total.valid {
 		return *total
 	}
-	*total = configuredSum{known: true}
+	*total = configuredSum{valid: true}
 	for _, endpoint := range r.caches {
 		total.sum += endpoint.Capacity
 		total.largest = max(total.largest, endpoint.Capacity)
@@ -131,14 +141,15 @@
 	return *total
 }
 
-// repeatedSum is a number added up so many times, kept from the last time.
+// repeatedSum is a sum of equal terms. It caches the last result.
 type repeatedSum struct {
 	count    int
 	term     float64
 	addedSum float64
 }
 
-// of adds one by one, as a product would be rounded otherwise, and decisions depend on it.
+// of returns the sum of so many equal terms. It adds them one by one, because a product is rounded differently: decisions
+// are to be the same, to the last bit, as those by a sum over the endpoints.
 func (s *repeatedSum) of(count int, term float64) float64 {
 	if s.count == count && s.term == term {
 		return s.addedSum
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -175,7 +175,7 @@
 				own := float64(len(request.attempts[0].cache.inFlight))
 				r.AttemptEnded(start+second/10, request, Outcome{Result: Succeeded, RequestEnded: true, LoadReport: c.told(own)})
 			}
-			if got := r.effectiveSharers(); math.Abs(got-c.want) > 0.01 {
+			if got := r.activeSharers(); math.Abs(got-c.want) > 0.01 {
 				t.Errorf("%d answers: %v, want %v", len(out), got, c.want)
 			}
 		})
--- a/control/classes.go
+++ b/control/classes.go
@@ -3,28 +3,34 @@
 import "cmp"
 
 const (
-	initialSamples       = 10.            // answers that a class's first means, drawn from its objective, count for
-	maxSamples           = 200.           // answers that the means go over
-	minSamplesForFastest = initialSamples // answers of a class after which the fastest of them counts as known
-	minSendingTime       = 1e-3           // s; the first mean is no less
-	minResponseTime      = 0.01           // s; the longest mean counts for no less
-	minWeight            = 0.01           // the largest weight counts for no less
+	// initialSamples is how many answers the initial means of a class, which follow from its objective, count as.
+	initialSamples = 10.
+
+	// maxSamples bounds the weight of the past in a class's means: from so many answers on they are exponential averages.
+	maxSamples = 200.
+
+	// minSamplesForFastest is how many answers of a class are needed before the fastest of them is taken for its minimum.
+	minSamplesForFastest = initialSamples
+
+	minSendingTime  = 1e-3 // s; lower bound of the initial mean
+	minResponseTime = 0.01 // s; lower bound of the longest mean, which silence is measured in
+	minWeight       = 0.01 // lower bound of the largest weight, which others are divided by
 )
 
 // classTerms is what the settings say of a class.
 type classTerms struct {
 	name             string
 	objective        int64   // ns; latency objective, without the sending time
-	objectiveStretch float64 // ns more for each ns of sending time
-	freshDuration    int64   // ns; for how long an entry may be served without a look at its source; 0 is no bound
+	objectiveStretch float64 // ns added to the objective for each ns of sending time
+	freshDuration    int64   // ns; for how long an entry may be served without asking its source; 0 is no bound
 	weight           float64 // priority weight
 	idempotency      idempotency
-	keyScope         string // the scope* constants
+	keyScope         string // one of the scope constants
 	keyWindow        int64  // ns; for how long a server drops repetitions
 	uncacheable      bool
 }
 
-// idempotency is whether a request may be sent again once it may have taken effect.
+// idempotency says whether a request may be sent again after an attempt that may have taken effect.
 type idempotency int
 
 const (
@@ -33,22 +39,22 @@
 	idempotent                       // always
 )
 
-// The scopes within which a server drops repetitions of an idempotency key. In any other word there is no bound.
+// The scopes within which servers drop repetitions of an idempotency key. Any other word stands for no bound.
 const (
 	scopeAll  = "all"
 	scopeZone = "zone"
 	scopeCell = "cell"
 )
 
-// classState is one class with what its answers told.
+// classState is a class with what is learned from its answers.
 type classState struct {
 	classTerms
 	sendingTime     float64      // s; mean
 	responseTime    float64      // s; mean
-	samples         float64      // answers that the means count for
-	fastestResponse int64        // ns; the least time that a good answer took; 0: none has come
-	offered         decayingWork // what was asked for
-	admitted        decayingWork // what was sent on
+	samples         float64      // answers that the means count for, up to maxSamples
+	fastestResponse int64        // ns; the shortest time of a successful answer; 0 before the first
+	offered         decayingWork // of all requests
+	admitted        decayingWork // of requests that were sent to a cache
 }
 
 func newClassState(terms classTerms) *classState {
@@ -61,7 +67,7 @@
 	}
 }
 
-// observeResponse notes how long a good answer took, ns.
+// observeResponse learns from the time that a successful answer took, ns.
 func (class *classState) observeResponse(elapsed int64) {
 	if class.fastestResponse == 0 || elapsed < class.fastestResponse {
 		class.fastestResponse = elapsed
@@ -70,13 +76,13 @@
 	class.responseTime += (float64(elapsed)/1e9 - class.responseTime) / class.samples
 }
 
-// observeSendingTime notes the sending time, s, of the answer that was observed last.
+// observeSendingTime learns from the sending time, in s, of the answer that observeResponse was called with last.
 func (class *classState) observeSendingTime(sendingTime float64) {
 	class.sendingTime += (sendingTime - class.sendingTime) / class.samples
 }
 
-// minResponseTime is the least time in which an answer of a class can come, ns: the shortest that one has taken; 0 while too
-// few have come. A mean would turn away what a hit could answer in time.
+// minResponseTime returns the shortest time in which an answer of a class can come, in ns: the shortest that one took so
+// far, or 0 while there were too few. It is no mean, by which requests that a hit could still answer would be rejected.
 func (class *classState) minResponseTime() int64 {
 	if class.samples < initialSamples+minSamplesForFastest {
 		return 0
@@ -84,45 +90,47 @@
 	return class.fastestResponse
 }
 
-// timedOutEarly tells whether an attempt's time was up sooner than answers of its class take on the average: that none came, or
-// that it was not on its way yet, says nothing of its cache, its source or the limits. Caches may drop what has very little time
-// left.
+// timedOutEarly reports whether an attempt's time was up sooner than answers of its class take on average. Then neither a
+// missing answer nor a connection that was not up yet says anything about the cache, the source or the limits. Caches may
+// drop what has very little time left.
 func (class *classState) timedOutEarly(attempt *attemptState, outcome Outcome) bool {
 	timeUp := outcome.Result == TimedOut || outcome.Result == Unreachable && outcome.Elapsed >= attempt.sendTimeout
 	return timeUp && float64(outcome.Elapsed)/1e9 < class.responseTime
 }
 
-// delayTolerance is how many times longer than its sending time an answer of a class may take and still be in time.
+// delayTolerance returns how many times its sending time an answer of a class may take and still be in time.
 func (class *classState) delayTolerance() float64 {
 	return class.objectiveStretch + float64(class.objective)/1e9/class.sendingTime
 }
 
-// canBeAnswered tells whether an attempt that begins now can still be answered in its client's time.
+// canBeAnswered reports whether an attempt that starts now can still be answered before the request's deadline.
 func (request *Request) canBeAnswered(now int64) bool {
 	return now+request.class.minResponseTime() < request.Deadline
 }
 
-// maxWeight is the largest priority weight of a class.
+// maxWeight returns the largest priority weight of a class.
 func (r *Router) maxWeight() float64 {
-	most := minWeight
+	largest := minWeight
 	for _, class := range r.classes {
-		most = max(most, class.weight)
+		largest = max(largest, class.weight)
 	}
-	return most
+	return largest
 }
 
-// knownSendingTime is a request's own sending time, s, where sizes are told, else 0.
-func (r *Router) knownSendingTime(request *Request) float64 {
+// sendingTimeBySize returns the time that it takes to send the answer to a client, in s, or 0 where its size is not known.
+func (r *Router) sendingTimeBySize(request *Request) float64 {
 	return request.SizeKB / r.settings.clientKBPerSecond
 }
 
-// objectiveFor is how long after its sending an answer is in time, ns, by its own sending time, s, or with 0 by the class's mean.
+// objectiveFor returns how long after its sending a request has to be answered to be in time, in ns. sendingTime is that of
+// its answer, in s; 0 stands for the mean of its class.
 func (r *Router) objectiveFor(request *Request, sendingTime float64) int64 {
 	class := request.class
 	return class.objective + int64(class.objectiveStretch*1e9*cmp.Or(sendingTime, class.sendingTime))
 }
 
-// sendingTime is what a request costs an endpoint's link, s.
+// sendingTime returns how long the answer to a request occupies the link of an endpoint, in s: the mean of its class, or
+// more if its size says so.
 func (r *Router) sendingTime(request *Request) float64 {
-	return max(request.class.sendingTime, r.knownSendingTime(request))
+	return max(request.class.sendingTime, r.sendingTimeBySize(request))
 }
--- a/control/control.go
+++ b/control/control.go
@@ -22,11 +22,11 @@
 	second       = int64(1e9)               // ns
 	forever      = int64(math.MaxInt64 / 2) // ns; no bound
 	tickInterval = second / 10              // ns; between two calls of Tick, and of Decide while an attempt is in flight
-	holdInterval = second / 20              // ns; between two calls of Decide for a request that is held
+	waitRecheckInterval = second / 20              // ns; between two calls of Decide for a request that is held
 
-	// holdShare is the part of its latency objective for which a request without a place is held. What waited longer
+	// maxWaitShare is the part of its latency objective for which a request without a place is held. What waited longer
 	// was late after all.
-	holdShare = 8
+	maxWaitShare = 8
 )
 
 // Router is one router's decisions.
@@ -136,15 +136,15 @@
 	r.observe(now, request, attempt, outcome)
 	request.ended = request.ended || outcome.RequestEnded
 
-	mayBeTwo := outcome.Result == Cancelled || outcome.Result == ConnectionLost
+	mayRunTwice := outcome.Result == Cancelled || outcome.Result == ConnectionLost
 	switch {
 	case request.ended:
 		return r.cancelOthers(request)
 	case request.inFlight > 0:
 		return Decision{}
-	case !mayBeTwo || r.settings.hedging || !r.mayRetry(now, request):
+	case !mayRunTwice || r.settings.hedging || !r.mayRetry(now, request):
 		return r.decideNext(now, request)
-	case now+2*holdInterval >= request.Deadline:
+	case now+2*waitRecheckInterval >= request.Deadline:
 		return r.rejectOrFail(now, request)
 	}
 	return Decision{} // what calls it off goes another way than the next would: two were in flight where one may be
@@ -158,7 +158,7 @@
 	case request.inFlight > 0:
 		return tickInterval
 	}
-	return holdInterval
+	return waitRecheckInterval
 }
 
 // ClientGone tells that a request's client left, or that it ended otherwise; attempts may still be in flight.
@@ -190,7 +190,7 @@
 		request.exhaustedAt = now
 	}
 	sendDeadline := request.sendDeadline()
-	timeForLater := now+2*holdInterval < sendDeadline
+	timeForLater := now+2*waitRecheckInterval < sendDeadline
 	switch {
 	case !r.mayRetry(now, request) || now >= sendDeadline:
 	case request.exhaustedAt > 0 && !timeForLater:
@@ -199,9 +199,9 @@
 		if r.takeRetryToken(request) {
 			return r.send(now, request, cache, source)
 		}
-	case cache != nil && r.mayAskCacheOnly(now, request, cache):
+	case cache != nil && r.mayTryCacheOnly(now, request, cache):
 		return r.send(now, request, cache, nil)
-	case now < request.holdUntil() && timeForLater:
+	case now < request.waitUntil() && timeForLater:
 		return Decision{} // never past the client's own time: one was lost so
 	}
 	return r.rejectOrFail(now, request)
@@ -218,7 +218,7 @@
 	}
 	terms.Source = source.ID
 	if !request.isUncacheable() {
-		terms.ParentOnlyIfCached = r.asksOnlyIfCached(attempt)
+		terms.ParentOnlyIfCached = r.usesOnlyIfCached(attempt)
 		terms.JoinFill = r.settings.joinFills
 		terms.MaxAge, terms.RefreshBehind = r.maxAge(now, request)
 		terms.CachePriority = r.cachePriority(request.record)
@@ -234,7 +234,7 @@
 		source:      source,
 		kind:        request.nextKind(now),
 		minIssuedAt: r.minIssuedAt(request),
-		lateAt:      now + r.objectiveFor(request, r.knownSendingTime(request)),
+		lateAt:      now + r.objectiveFor(request, r.sendingTimeBySize(request)),
 		sendTimeout: request.sendTimeout(now),
 	}
 	if source == nil {
@@ -268,7 +268,7 @@
 // Tick does the periodic work: it gives the endpoints that are to be probed now, and how long after this it is to be
 // called again, ns.
 func (r *Router) Tick(now int64) (probe []uint32, again int64) {
-	r.purges.forgetDone(now, r.settings.purgeDuration)
+	r.purges.removeExpired(now, r.settings.purgeDuration)
 	all := r.cacheEvidence(now)
 	for _, endpoint := range r.outliers.watched.endpoints {
 		if endpoint.role != cacheRole {
@@ -281,7 +281,7 @@
 			probe = append(probe, endpoint.ID)
 		}
 	}
-	r.outliers.unwatchTrusted(now)
+	r.outliers.unwatchHealthy(now)
 	r.outliers.forgetFaded(now)
 	return probe, tickInterval
 }
--- a/control/endings_test.go
+++ b/control/endings_test.go
@@ -64,7 +64,7 @@
 				t.Fatalf("at once: verdict %v, want %v", decision.Verdict, c.want)
 			}
 			wait := r.RecheckDelay(now, request)
-			if c.then == Send && (wait <= 0 || wait > 2*holdInterval) {
+			if c.then == Send && (wait <= 0 || wait > 2*waitRecheckInterval) {
 				t.Fatalf("asked again in %d", wait)
 			}
 			if decision := r.Decide(now+wait, request); c.want == Wait && decision.Verdict != c.then {
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -36,7 +36,7 @@
 
 	// Its start, for the slow start.
 	slowStartFrom   int64 // when it started, told or inferred; 0 is long ago
-	slowStartToldAt int64 // when that was told or inferred, on our axis
+	slowStartReportedAt int64 // when that was told or inferred, on our axis
 	slowStart       slowStartBudget
 }
 
@@ -94,7 +94,7 @@
 	if len(r.origins.endpoints) > 0 {
 		r.origin = r.origins.endpoints[0]
 	}
-	r.capacity.configured.known = false
+	r.capacity.configured.valid = false
 }
 
 // update takes over one line of the list.
@@ -118,7 +118,7 @@
 
 // restarted notes that an endpoint has started: it is cold, empty, and no longer judged by what it was before.
 func (endpoint *endpointState) restarted(now, startedAt int64) {
-	endpoint.slowStartFrom, endpoint.slowStartToldAt = startedAt, now
+	endpoint.slowStartFrom, endpoint.slowStartReportedAt = startedAt, now
 	endpoint.successes, endpoint.failures, endpoint.lastResponseAt = 0, 0, now
 	endpoint.ejected, endpoint.probing, endpoint.wasUnreachable = false, false, false
 }
@@ -155,7 +155,7 @@
 // assign gives an endpoint the role that it has by its line.
 func (r *Router) assign(endpoint *endpointState) {
 	if old, now := endpoint.role, r.roleOf(endpoint); old != now {
-		r.leaveRole(endpoint, old)
+		r.dropRole(endpoint, old)
 		endpoint.role = now
 		if now == cacheRole {
 			r.inFlight.addCache(endpoint, 1)
@@ -175,8 +175,8 @@
 	}
 }
 
-// leaveRole ends an endpoint's role.
-func (r *Router) leaveRole(endpoint *endpointState, old role) {
+// dropRole ends an endpoint's role.
+func (r *Router) dropRole(endpoint *endpointState, old role) {
 	switch old {
 	case cacheRole:
 		r.cacheTier.remove(endpoint)
--- a/control/inflight.go
+++ b/control/inflight.go
@@ -115,7 +115,7 @@
 
 // loadScale prepares for the loads at a time.
 func (r *Router) loadScale(now int64) loadScale {
-	scale := loadScale{sharers: r.effectiveSharers(), capacitiesTold: r.settings.capacitiesTold}
+	scale := loadScale{sharers: r.activeSharers(), capacitiesTold: r.settings.capacitiesTold}
 	inFlight := r.inFlight.withinObjective(now, r.endpoints)
 	scale.mean = float64(inFlight.sum()) * scale.sharers / r.locationCapacity(now)
 	var largest float64
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	likelyHeldDuration = 10 * second // ns; for so long an object served is taken to be held
+	likelyCachedDuration = 10 * second // ns; for so long an object served is taken to be held
 
 	// noJamFactor is how many times its sending time an answer may take and show no jam, in time or not: it could hardly be.
 	noJamFactor = 2
@@ -57,7 +57,7 @@
 	found := r.interpret(request, attempt, outcome)
 	r.observeLoadReport(now, attempt.cache, outcome.LoadReport)
 	if outcome.Result == Stale {
-		r.distrustStamps()
+		r.distrustTimestamps()
 	}
 	if found.timedOut && attempt.cache.isHealthy() && attempt.source.isHealthy() {
 		r.retries.lostResponses.add(now)
@@ -67,7 +67,7 @@
 		r.retries.sourceRefusals.add(now)
 	}
 	if found.succeededInTime() {
-		r.countCarried(now, request.class, attempt, outcome.Note, found)
+		r.countServed(now, request.class, attempt, outcome.Note, found)
 	}
 	r.adjustLimit(attempt, found)
 	if outcome.Result == Succeeded {
@@ -83,7 +83,7 @@
 func (r *Router) interpret(request *Request, attempt *attemptState, outcome Outcome) finding {
 	found := finding{
 		result:      outcome.Result,
-		sendingTime: cmp.Or(r.knownSendingTime(request), outcome.SendingTime),
+		sendingTime: cmp.Or(r.sendingTimeBySize(request), outcome.SendingTime),
 		early:       request.class.timedOutEarly(attempt, outcome),
 	}
 	found.inTime = outcome.Elapsed <= max(r.objectiveFor(request, found.sendingTime), int64(noJamFactor*1e9*found.sendingTime))
@@ -125,12 +125,12 @@
 	}
 }
 
-// countCarried counts an answer in time for the capacities.
-func (r *Router) countCarried(now int64, class *classState, attempt *attemptState, note int64, found finding) {
+// countServed counts an answer in time for the capacities.
+func (r *Router) countServed(now int64, class *classState, attempt *attemptState, note int64, found finding) {
 	work := cmp.Or(found.sendingTime, class.sendingTime)
-	r.carriedByCaches(now, work)
+	r.servedByCache(now, work)
 	if attempt.kind != hits && note != noteHit && attempt.source != r.origin {
-		r.carriedByParents(now, work, attempt.source)
+		r.servedByParent(now, work, attempt.source)
 	}
 }
 
@@ -141,7 +141,7 @@
 	if found.sendingTime > 0 || outcome.Note <= noteHit {
 		class.observeSendingTime(cmp.Or(found.sendingTime, float64(outcome.Elapsed)/1e9))
 	}
-	record.likelyHeldUntil = now + likelyHeldDuration
+	record.likelyCachedUntil = now + likelyCachedDuration
 	if outcome.Note == noteFilled || outcome.Note == noteFilledOrigin {
 		r.updateMaxAge(now, request) // it is held anew from now on
 	}
@@ -162,7 +162,7 @@
 	case !isCache && found.result == Overloaded && scored.failure > 0:
 		endpoint.wasUnreachable = true
 	}
-	if isCache && found.result.provesLife() || attempt.kind != hits && found.result == Succeeded {
+	if isCache && found.result.isFromCache() || attempt.kind != hits && found.result == Succeeded {
 		endpoint.lastResponseAt = now
 	}
 	if attempt.probed == endpoint {
@@ -174,7 +174,7 @@
 	r.ejectIfOutlier(now, endpoint)
 }
 
-// provesLife tells whether a result came from the cache itself.
-func (result Result) provesLife() bool {
+// isFromCache tells whether a result came from the cache itself.
+func (result Result) isFromCache() bool {
 	return !slices.Contains([]Result{Unreachable, TimedOut, Cancelled, SendInterrupted, LocalError, NotSent}, result)
 }
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -23,9 +23,9 @@
 	// fadedPerTick is how many endpoints are looked at with each tick for scores that have faded to nothing.
 	fadedPerTick = 16
 
-	// A score above surelyLeft has not faded to nothing within surelyLeftFor, ns: e^-600 of it is above the least float64.
-	surelyLeft    = 1e-40
-	surelyLeftFor = 600 * healthWindow
+	// A score above lastingScore has not faded to nothing within lastingScoreAge, ns: e^-600 of it is above the least float64.
+	lastingScore    = 1e-40
+	lastingScoreAge = 600 * healthWindow
 
 	// evidenceMargin is more than what the order of a sum's terms can change in what an endpoint is judged by.
 	evidenceMargin = 1e-6
@@ -135,7 +135,7 @@
 func (r *Router) probeFinished(now int64, endpoint *endpointState, good bool) {
 	switch {
 	case endpoint.ejected && good:
-		endpoint.takeBack(now)
+		endpoint.restore(now)
 		r.log(EndpointRestored{Endpoint: endpoint.ID})
 	case endpoint.ejected:
 		endpoint.probeBackoff = min(2*endpoint.probeBackoff, maxProbeBackoff)
@@ -143,11 +143,11 @@
 	}
 }
 
-// takeBack ends an ejection.
-func (endpoint *endpointState) takeBack(now int64) {
+// restore ends an ejection.
+func (endpoint *endpointState) restore(now int64) {
 	if endpoint.wasUnreachable {
 		// Likely restarted, which the list tells too late: it fell over at full load.
-		endpoint.slowStartFrom, endpoint.slowStartToldAt = now, now
+		endpoint.slowStartFrom, endpoint.slowStartReportedAt = now, now
 	}
 	endpoint.ejected, endpoint.wasUnreachable = false, false
 	endpoint.successes, endpoint.failures, endpoint.lastResponseAt = 0, 0, now
@@ -232,9 +232,9 @@
 	return sum
 }
 
-// unwatchTrusted leaves out of the periodic check what it can tell nothing of: endpoints that are not ejected, with nothing in
+// unwatchHealthy leaves out of the periodic check what it can tell nothing of: endpoints that are not ejected, with nothing in
 // flight and too few failures.
-func (d *outlierDetector) unwatchTrusted(now int64) {
+func (d *outlierDetector) unwatchHealthy(now int64) {
 	d.watched.endpoints = slices.DeleteFunc(d.watched.endpoints, func(endpoint *endpointState) bool {
 		return !endpoint.ejected && len(endpoint.inFlight) == 0 && (endpoint.failures < failureThreshold ||
 			decay(endpoint.failures, now-endpoint.scoredAt, healthWindow) < failureThreshold)
@@ -259,7 +259,7 @@
 // hasScore tells whether something of an endpoint's successes and failures is left.
 func (endpoint *endpointState) hasScore(now int64) bool {
 	since := now - endpoint.scoredAt
-	if max(endpoint.successes, endpoint.failures) > surelyLeft && since < surelyLeftFor {
+	if max(endpoint.successes, endpoint.failures) > lastingScore && since < lastingScoreAge {
 		return true
 	}
 	return decay(endpoint.successes, since, healthWindow) > 0 || decay(endpoint.failures, since, healthWindow) > 0
--- a/control/purges.go
+++ b/control/purges.go
@@ -37,7 +37,7 @@
 	last           map[string]*purgeState // by object, and by group under its number
 	clockAhead     bool                   // an entry from before a purge came: our axis is ahead of others' clocks
 	maxClockLead   int64                  // ns; by how much it can be ahead at most, by the youngest entry that came
-	clockLeadKnown bool
+	clockLeadObserved bool
 }
 
 func newPurgeLog() purgeLog { return purgeLog{last: map[string]*purgeState{}} }
@@ -57,8 +57,8 @@
 	l.last[name] = l.last[name].with(now, stamp)
 }
 
-// forgetDone drops what took place so long ago that all caches and parents have dropped older entries by themselves.
-func (l *purgeLog) forgetDone(now, duration int64) {
+// removeExpired drops what took place so long ago that all caches and parents have dropped older entries by themselves.
+func (l *purgeLog) removeExpired(now, duration int64) {
 	for name, purge := range l.last {
 		if now > purge.told+duration+second/2 {
 			delete(l.last, name)
@@ -74,15 +74,15 @@
 	return found
 }
 
-// trustsStamp tells whether a purge's stamp can be right on our axis: what was told was over.
-func (l *purgeLog) trustsStamp(purge *purgeState) bool {
+// trustsTimestamp tells whether a purge's stamp can be right on our axis: what was told was over.
+func (l *purgeLog) trustsTimestamp(purge *purgeState) bool {
 	return !l.clockAhead && purge.stamp > 0 && purge.stamp <= purge.told
 }
 
 // observeIssue notes when an entry was issued, Unix ns by the origin's clock.
 func (l *purgeLog) observeIssue(now, issued int64) {
-	if ahead := max(0, now-issued); !l.clockLeadKnown || ahead < l.maxClockLead {
-		l.maxClockLead, l.clockLeadKnown = ahead, true
+	if ahead := max(0, now-issued); !l.clockLeadObserved || ahead < l.maxClockLead {
+		l.maxClockLead, l.clockLeadObserved = ahead, true
 	}
 }
 
@@ -100,7 +100,7 @@
 			continue
 		}
 		since := purge.told
-		if r.purges.trustsStamp(purge) {
+		if r.purges.trustsTimestamp(purge) {
 			since = purge.stamp
 		}
 		if limit := max(now-since-purgeMargin, 1000); age == 0 || limit < age {
@@ -117,7 +117,7 @@
 		return 0 // no copy
 	}
 	for _, purge := range r.purges.of(request) {
-		if purge != nil && r.purges.trustsStamp(purge) {
+		if purge != nil && r.purges.trustsTimestamp(purge) {
 			from = max(from, purge.stamp)
 		}
 	}
@@ -134,9 +134,9 @@
 	return issued >= request.attempts[number].minIssuedAt
 }
 
-// distrustStamps notes that a cache has sent an older copy than a purge's stamp allows, within the age that was asked for: our axis is
+// distrustTimestamps notes that a cache has sent an older copy than a purge's stamp allows, within the age that was asked for: our axis is
 // ahead of the others' clocks. From then on purges count from when they are told.
-func (r *Router) distrustStamps() {
+func (r *Router) distrustTimestamps() {
 	if !r.purges.clockAhead {
 		r.purges.clockAhead = true
 		r.log(ClockAhead{})
@@ -147,5 +147,5 @@
 // warm too soon (rule 4). No copy can come before its issue, so the youngest that ever came shows how far ahead the axis can
 // be at most; and nobody started after it was told that it had.
 func (r *Router) slowStartSince(endpoint *endpointState) int64 {
-	return min(endpoint.slowStartFrom, endpoint.slowStartToldAt-r.purges.maxClockLead) + r.purges.maxClockLead
+	return min(endpoint.slowStartFrom, endpoint.slowStartReportedAt-r.purges.maxClockLead) + r.purges.maxClockLead
 }
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -244,7 +244,7 @@
 	r.UpdateEndpoints(start, []Endpoint{line}, false)
 	line.StartedAt = start - 600*second // it started again, and the clock that tells it was set back
 	r.UpdateEndpoints(start+second, []Endpoint{line}, false)
-	if endpoint := r.endpoints[1]; endpoint.slowStartToldAt != start+second {
+	if endpoint := r.endpoints[1]; endpoint.slowStartReportedAt != start+second {
 		t.Error("a start with an earlier stamp passed for none")
 	}
 }
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -108,7 +108,7 @@
 
 	// While hundreds of endpoints recover, those that are known to bear no such work now are left out behind the first batch:
 	// whoever asks would pass over them.
-	leavesOut bool // those that are postponed
+	skipsPostponed bool // those that are postponed
 	now       int64
 	work      float64
 
@@ -125,8 +125,8 @@
 	c.firstGiven, c.lastGiven = false, false
 }
 
-// leaveOut starts anew, without the endpoints that have a load or more.
-func (c *candidates) leaveOut(load float64) {
+// excludeLoaded starts anew, without the endpoints that have a load or more.
+func (c *candidates) excludeLoaded(load float64) {
 	c.limited, c.loadLimit = true, load
 	c.rewind()
 }
@@ -170,7 +170,7 @@
 	c.batch, c.position = c.batch[:0], 0
 	switch {
 	case c.batchSize > maxBatch:
-		c.sortRest(after)
+		c.sortRemaining(after)
 	case c.byLoad:
 		c.scanByLoad(after)
 	default:
@@ -185,10 +185,10 @@
 	}
 }
 
-// sortRest fills the batch with all that come after a candidate.
-func (c *candidates) sortRest(after candidate) {
+// sortRemaining fills the batch with all that come after a candidate.
+func (c *candidates) sortRemaining(after candidate) {
 	for index, key := range c.tier.keys {
-		if c.isLeftOut(index) {
+		if c.isSkipped(index) {
 			continue
 		}
 		x := candidate{score: score(uniform(c.hash, key.id), key.weight), index: index}
@@ -202,18 +202,18 @@
 	slices.SortFunc(c.batch, candidate.compare)
 }
 
-// isLeftOut tells whether an endpoint is left out behind the first batch.
-func (c *candidates) isLeftOut(index int) bool {
-	if !c.leavesOut || c.batchSize == firstBatch {
+// isSkipped tells whether an endpoint is left out behind the first batch.
+func (c *candidates) isSkipped(index int) bool {
+	if !c.skipsPostponed || c.batchSize == firstBatch {
 		return false
 	}
 	endpoint := c.tier.endpoints[index]
 	return endpoint.slowStart.isPostponed(c.now, endpoint.slowStartFrom, c.work)
 }
 
-// leaveOutPostponed has endpoints left out that bear no such work now, if there can be any.
-func (c *candidates) leaveOutPostponed(now int64, work float64, until int64) {
-	c.leavesOut, c.now, c.work = now < until, now, work
+// skipPostponed has endpoints left out that bear no such work now, if there can be any.
+func (c *candidates) skipPostponed(now int64, work float64, until int64) {
+	c.skipsPostponed, c.now, c.work = now < until, now, work
 }
 
 // scanByScore fills the batch with the least by score that come after a candidate.
@@ -221,7 +221,7 @@
 	worst := math.Inf(1)
 	for index, key := range c.tier.keys {
 		u := uniform(c.hash, key.id)
-		if mustExceed(u, key.weight, worst) || c.isLeftOut(index) {
+		if mustExceed(u, key.weight, worst) || c.isSkipped(index) {
 			continue
 		}
 		worst = c.add(candidate{score: score(u, key.weight), index: index}, after).score
@@ -236,7 +236,7 @@
 	for index, key := range c.tier.keys {
 		u := uniform(c.hash, key.id)
 		exceeds := mustExceed(u, key.weight, worst.score)
-		if exceeds && worst.load <= c.loads.least || c.isLeftOut(index) {
+		if exceeds && worst.load <= c.loads.least || c.isSkipped(index) {
 			continue // whatever its load is
 		}
 		endpoint := c.tier.endpoints[index]
@@ -288,7 +288,7 @@
 		hot := r.rates.ofObject(now, request.record) * n / (hotShare * r.rates.ofAll(now))
 		c.spread = max(1, min(1+int(hot), hotSpread, len(r.caches)))
 	}
-	c.leaveOutPostponed(now, request.class.sendingTime, r.postponedUntil)
+	c.skipPostponed(now, request.class.sendingTime, r.postponedUntil)
 	c.rewind()
 	return c
 }
@@ -307,7 +307,7 @@
 	default:
 		c.last = r.origin
 	}
-	c.leaveOutPostponed(now, request.class.sendingTime, r.postponedUntil)
+	c.skipPostponed(now, request.class.sendingTime, r.postponedUntil)
 	c.rewind()
 	return c
 }
--- a/control/rates.go
+++ b/control/rates.go
@@ -58,8 +58,8 @@
 	maxAge          int64 // ns; accepted age, held until maxAgeUntil; 0 is not set
 	maxAgeUntil     int64
 	evicted         bool  // from the objects asked for lately
-	gaveUpAt        int64 // when a request for it was last given up
-	likelyHeldUntil int64 // until when a cache is taken to hold it
+	unservedAt        int64 // when a request for it was last given up
+	likelyCachedUntil int64 // until when a cache is taken to hold it
 	element         *list.Element
 }
 
@@ -69,9 +69,9 @@
 	record.countedAt = now
 }
 
-// likelyRetried tells whether a request that comes now is likely the retry of one that was given up on here.
-func (record *objectRecord) likelyRetried(now int64) bool {
-	return now < record.gaveUpAt+guessedRetryWindow && record.requestCount < maxGuessedRetryCount
+// isLikelyRetried tells whether a request that comes now is likely the retry of one that was given up on here.
+func (record *objectRecord) isLikelyRetried(now int64) bool {
+	return now < record.unservedAt+guessedRetryWindow && record.requestCount < maxGuessedRetryCount
 }
 
 // requestRates are the request rates of the objects asked for lately, and of all together. It is bounded: an object that was
@@ -100,7 +100,7 @@
 func (rates *requestRates) record(now int64, request *Request) *objectRecord {
 	record := rates.touch(now, request)
 	rates.evict()
-	request.ClientRetry = request.ClientRetry || record.likelyRetried(now)
+	request.ClientRetry = request.ClientRetry || record.isLikelyRetried(now)
 	if !request.ClientRetry {
 		record.countRequest(now)
 		rates.requestCount = decay(rates.requestCount, now-rates.requestCountAt, rateWindow) + 1
@@ -144,7 +144,7 @@
 		record := element.Value.(*objectRecord)
 		if record.key.object == object || object == "" && record.group == group {
 			record.purgeCount++
-			record.maxAgeUntil, record.likelyHeldUntil = now, 0
+			record.maxAgeUntil, record.likelyCachedUntil = now, 0
 		}
 	}
 }
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -55,7 +55,7 @@
 	loads := map[*endpointState]float64{}
 	for _, endpoint := range r.caches {
 		own, _, size := plainInFlight(r, now, []*endpointState{endpoint})
-		loads[endpoint] = (own + out*r.effectiveSharers()/units) / (size/r.effectiveSharers() + 1)
+		loads[endpoint] = (own + out*r.activeSharers()/units) / (size/r.activeSharers() + 1)
 	}
 	return loads
 }
@@ -122,7 +122,7 @@
 	loads := plainLoads(r, now)
 	slices.SortStableFunc(ranked[:min(spread, len(ranked))], func(a, b *endpointState) int { return cmp.Compare(loads[a], loads[b]) })
 	request.diverted = false
-	if cache = plainPick(r, now, request, ranked); cache != nil && request.record.likelyHeldUntil > now && !r.admits(now, request, cache) {
+	if cache = plainPick(r, now, request, ranked); cache != nil && request.record.likelyCachedUntil > now && !r.admits(now, request, cache) {
 		roomy := slices.DeleteFunc(ranked, func(endpoint *endpointState) bool { return loads[endpoint] >= r.admission.limits[0]/2 })
 		if other := plainPick(r, now, request, roomy); other != nil {
 			cache, request.diverted = other, true
--- a/control/requests.go
+++ b/control/requests.go
@@ -57,9 +57,9 @@
 	return endpoint != nil && endpoint.ejected && (attempt.probed != endpoint || now-attempt.sentAt > minProbeBackoff)
 }
 
-// excludes tells whether an attempt is a reason not to try an endpoint again. A connection that broke by itself is none
+// disqualifies tells whether an attempt is a reason not to try an endpoint again. A connection that broke by itself is none
 // to fill the object elsewhere.
-func (attempt *attemptState) excludes(endpoint *endpointState) bool {
+func (attempt *attemptState) disqualifies(endpoint *endpointState) bool {
 	switch attempt.result {
 	case ConnectionLost, SendInterrupted, ServerError, NotHeld, Stale, LocalError:
 		return false
@@ -72,7 +72,7 @@
 	switch {
 	case request.sourceMissed:
 		return fetches
-	case request.record.likelyHeldUntil <= now || request.diverted:
+	case request.record.likelyCachedUntil <= now || request.diverted:
 		return fills
 	}
 	return hits
@@ -105,9 +105,9 @@
 	return timeout
 }
 
-// holdUntil is until when a request that finds no place is held.
-func (request *Request) holdUntil() int64 {
-	return max(request.arrivedAt, request.exhaustedAt) + request.class.objective/holdShare
+// waitUntil is until when a request that finds no place is held.
+func (request *Request) waitUntil() int64 {
+	return max(request.arrivedAt, request.exhaustedAt) + request.class.objective/maxWaitShare
 }
 
 // lastAttempt is the last attempt of a request, nil before the first.
--- a/control/retries.go
+++ b/control/retries.go
@@ -9,7 +9,7 @@
 	sourceRefusalThreshold = 1.5  // fills refused by parents lately from which the origin is asked for what is not admitted
 	maxHealthyFailureRatio = 0.03 // failures for each success up to which an endpoint is healthy
 	retryAfterShare        = 0.2  // of the objective after which a rejected client is to come back, at least
-	leastAllowedAttempts   = 2    // of a class without weight; one of the highest weight has attemptsByWeight more
+	minAllowedAttempts   = 2    // of a class without weight; one of the highest weight has attemptsByWeight more
 	attemptsByWeight       = 2
 )
 
@@ -60,13 +60,13 @@
 
 // mayRetry tells whether a further attempt is allowed, by number and weight, and does no harm: rule 2.
 func (r *Router) mayRetry(now int64, request *Request) bool {
-	allowed := min(r.settings.maxAttempts, leastAllowedAttempts+int(attemptsByWeight*request.class.weight/r.maxWeight()))
-	return !request.NoNewAttempts && request.attemptCount() < allowed && request.canBeAnswered(now) && request.mayRunAgain(now)
+	allowed := min(r.settings.maxAttempts, minAllowedAttempts+int(attemptsByWeight*request.class.weight/r.maxWeight()))
+	return !request.NoNewAttempts && request.attemptCount() < allowed && request.canBeAnswered(now) && request.isSafeToRetry(now)
 }
 
-// mayRunAgain tells whether a request takes effect once, however often it is sent: since it is idempotent, since its server drops
+// isSafeToRetry tells whether a request takes effect once, however often it is sent: since it is idempotent, since its server drops
 // repetitions still, or since no attempt has run.
-func (request *Request) mayRunAgain(now int64) bool {
+func (request *Request) isSafeToRetry(now int64) bool {
 	if request.class.idempotency == idempotent {
 		return true
 	}
@@ -149,7 +149,7 @@
 
 // rejectOrFail ends a request at once: rejected where the client may safely try again, else failed.
 func (r *Router) rejectOrFail(now int64, request *Request) Decision {
-	request.ended, request.record.gaveUpAt = true, now
+	request.ended, request.record.unservedAt = true, now
 	class := request.class
 	safeAnywhere := class.idempotency == idempotent || class.idempotency == keyed && class.keyScope == scopeAll
 	switch {
--- a/control/selection.go
+++ b/control/selection.go
@@ -5,9 +5,9 @@
 	caches := r.cacheCandidates(now, request)
 	request.diverted = false
 	cache = r.firstUsable(now, request, caches)
-	if cache != nil && request.record.likelyHeldUntil > now && !r.admits(now, request, cache) {
+	if cache != nil && request.record.likelyCachedUntil > now && !r.admits(now, request, cache) {
 		// Where the first cache is at its limit, another one with little load fills the object, if fills are admitted.
-		caches.leaveOut(r.admission.limits[hits] * divertShare)
+		caches.excludeLoaded(r.admission.limits[hits] * divertShare)
 		if other := r.firstUsable(now, request, caches); other != nil {
 			cache, request.diverted = other, true
 		}
@@ -49,13 +49,13 @@
 	if endpoint.Location == r.settings.location {
 		return !r.settings.probes
 	}
-	return request.record.likelyHeldUntil <= now // a hit would not ask it
+	return request.record.likelyCachedUntil <= now // a hit would not ask it
 }
 
 // hasTried tells whether an endpoint was tried for a request.
 func (request *Request) hasTried(endpoint *endpointState) bool {
 	for _, attempt := range request.attempts {
-		if attempt.excludes(endpoint) {
+		if attempt.disqualifies(endpoint) {
 			return true
 		}
 	}
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -55,7 +55,7 @@
 
 // bears is the work, in seconds of sending time, that an endpoint of such a warm capacity bears within the window,
 // so long after its start.
-func (s slowStartTerms) bears(capacity float64, since int64) float64 {
+func (s slowStartTerms) sustainableWork(capacity float64, since int64) float64 {
 	warm := s.share + (1-s.share)*float64(max(0, since))/float64(s.span)
 	return s.multiple * capacity * warm * float64(s.window) / 1e9
 }
@@ -191,7 +191,7 @@
 		return true
 	}
 	mean := r.meanWork(now, 0)
-	n := terms.bears(r.sustainedCapacity(now, endpoint), now-startedAt) / mean
+	n := terms.sustainableWork(r.sustainedCapacity(now, endpoint), now-startedAt) / mean
 	// Whole shares never break the rule: not if each router restarts within the window, nor if the endpoint is half as
 	// large as it seems.
 	whole := mean * overloadLimit(n) / incarnations / float64(terms.routers)
@@ -202,7 +202,7 @@
 		limit: mean * overloadLimit(n), trials: float64(incarnations * terms.routers),
 		starts: float64(len(r.endpoints)),
 	}
-	if r.leastSendingTime() <= whole {
+	if r.lightestSendingTime() <= whole {
 		tokens.limit -= whole * float64(terms.routers) // whole shares may be spent beside the tokens
 	}
 	rate := tokens.rate(work, r.meanWork(now, whole))
@@ -244,8 +244,8 @@
 	return work / requests
 }
 
-// leastSendingTime is the mean sending time of the lightest class, s.
-func (r *Router) leastSendingTime() float64 {
+// lightestSendingTime is the mean sending time of the lightest class, s.
+func (r *Router) lightestSendingTime() float64 {
 	least := math.Inf(1)
 	for _, class := range r.classes {
 		least = min(least, class.sendingTime)
