--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -46,7 +46,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r, request := jammed(c.change), ask("harmless", "a")
 			for range c.denials {
-				r.retries.sourceRefusals.add(start)
+				r.retries.sourceRejections.add(start)
 			}
 			r.Decide(start, request)
 			decision := r.AttemptEnded(start, request, Outcome{Result: NotHeld})
--- a/control/control.go
+++ b/control/control.go
@@ -1,14 +1,25 @@
-// Package control decides where objects are served, kept and filled from.
+// Package control decides for each request which cache serves it, from where a miss is filled, and whether it is admitted,
+// retried or rejected.
 //
-// How to call it: New makes one router. Decide says where to send a request (or not yet, or never), AttemptEnded
-// what to do once an attempt has ended, RecheckDelay how long to wait before asking Decide again. The facts come
-// by UpdateEndpoints, Purge, ClientGone, ProbeEnded and Tick. Times are int64 nanoseconds of the caller's axis,
-// spans nanoseconds, and sending times float64 seconds, unless a comment says otherwise. A router shares nothing, reads no clock and is not safe for use by two goroutines at once.
+// New makes a router. Decide says where to send a request (or to wait, or how it ends), AttemptEnded what to do once an
+// attempt has ended, and RecheckDelay after how long to call Decide again. What happens outside comes in by
+// UpdateEndpoints, Purge, ClientGone, ProbeEnded and Tick.
 //
-// A decision reads top to bottom in Decide; each file below it has one part of it: selection.go and ranking.go the
-// endpoints, admission.go and capacity.go whether they take more, slowstart.go what new ones bear, retries.go further
-// attempts, age.go and rates.go the accepted age, purges.go what purges leave of it, outliers.go who is ejected. What
-// an outcome tells is in outcomes.go. docs/design.md has the reasons and the sources.
+// Times are int64 nanoseconds of the caller's monotonic clock and spans int64 nanoseconds, unless a comment says otherwise.
+// Sending times are float64 seconds. A router reads no clock, shares no state and must not be used by two goroutines at
+// once.
+//
+// A decision can be read from top to bottom in Decide. The other files each have one part of it:
+//
+//   - selection.go and ranking.go: which endpoints
+//   - admission.go, capacity.go and inflight.go: whether these can take more
+//   - slowstart.go: how much an endpoint that has just started is sent
+//   - retries.go: retries and hedged requests
+//   - age.go and rates.go: how old a cache entry may be
+//   - purges.go: what purges leave of that age
+//   - outcomes.go and outliers.go: what is learned from an attempt that ended, and which endpoints are ejected
+//
+// docs/design.md has the reasons and the sources.
 package control
 
 import (
@@ -19,41 +30,46 @@
 )
 
 const (
-	second       = int64(1e9)               // ns
-	forever      = int64(math.MaxInt64 / 2) // ns; no bound
-	tickInterval = second / 10              // ns; between two calls of Tick, and of Decide while an attempt is in flight
-	waitRecheckInterval = second / 20              // ns; between two calls of Decide for a request that is held
+	second  = int64(1e9)               // ns
+	forever = int64(math.MaxInt64 / 2) // ns; no bound
 
-	// maxWaitShare is the part of its latency objective for which a request without a place is held. What waited longer
-	// was late after all.
-	maxWaitShare = 8
+	// tickInterval is the time between two calls of Tick, and of Decide for a request with an attempt in flight; ns.
+	tickInterval = second / 10
+
+	// waitRecheckInterval is the time between two calls of Decide for a request that waits for an endpoint; ns.
+	waitRecheckInterval = second / 20
+
+	// maxWaitDivisor bounds for how long a request waits for an endpoint: its latency objective divided by this. After a
+	// longer wait its answer would be late.
+	maxWaitDivisor = 8
 )
 
 // Router is one router's decisions.
 type Router struct {
-	// Reachable, where it is set, tells whether a cache can be reached now: links to it are bounded. One that can't is passed over
-	// in an object's ranking, as one at its slow start's limit is.
+	// Reachable, if set, reports whether a request can be sent to a cache now: the connections to it are limited. A cache
+	// for which it returns false is skipped in an object's ranking, as one at its slow-start limit is.
 	Reachable func(id uint32) bool
 
-	// ConnectionsExhausted, where it is set, tells whether this machine can open no connections for now. What finds no cache that can
-	// be reached meanwhile is held, as long as it may stay unsent.
+	// ConnectionsExhausted, if set, reports whether this machine can open no connections for now. Meanwhile a request for
+	// which no cache is reachable waits, until the time by which it has to be sent.
 	ConnectionsExhausted func() bool
 
 	settings settings
 	log      func(logevent.Event)
 	seed     uint64
-	draws    uint32 // random numbers drawn
+	draws    uint32 // random numbers drawn so far
 
 	classes     []*classState // in the settings' order
 	classByName map[string]*classState
 
-	endpoints       map[uint32]*endpointState // all that were told, by ID
-	caches, parents []*endpointState          // ready, of the own location; ready, anywhere
-	origin          *endpointState            // nil: none is ready
-	cacheTier       tier
-	parentTier      tier
-	origins         endpointList     // that are ready
-	delisted        []*endpointState // no longer listed
+	endpoints  map[uint32]*endpointState // by ID: all that are listed, and delisted ones with attempts in flight
+	caches     []*endpointState          // ready caches of the router's location, in the order of their IDs
+	parents    []*endpointState          // ready parents of all locations, in the order of their IDs
+	origin     *endpointState            // the ready origin with the lowest ID; nil if there is none
+	cacheTier  tier                      // holds caches
+	parentTier tier                      // holds parents
+	origins    endpointList              // ready origins
+	delisted   []*endpointState          // no longer listed
 
 	rates     requestRates
 	purges    purgeLog
@@ -63,19 +79,20 @@
 	retries   retryState
 	outliers  outlierDetector
 
-	cacheOrder, sourceOrder candidates // of the decision at hand
-	postponedUntil          int64      // the last time until which an endpoint that recovers is not asked for a token
+	cacheOrder, sourceOrder candidates // buffers of the current decision
+	postponedUntil          int64      // the latest retryAt of all slow-start budgets
 	keyBytes                []byte     // buffer of objectHash
 }
 
-// New makes a router from its settings; log takes an event for each change of mode. The error joins a SettingError for
-// each setting that is missing, of a wrong type, or contradicts another.
+// New makes a router. seed determines its random numbers, and log is called with an event for each change of state that an
+// operator may want to know of. The error joins a SettingError for each setting that is missing, has a wrong type or
+// contradicts another.
 func New(now int64, seed uint64, raw Settings, log func(logevent.Event)) (*Router, error) {
 	set, err := decodeSettings(raw)
 	if err != nil {
 		return nil, err
 	}
-	r := &Router{
+	router := &Router{
 		settings:    set,
 		log:         log,
 		seed:        seed,
@@ -88,13 +105,13 @@
 	}
 	for _, terms := range set.classes {
 		class := newClassState(terms)
-		r.classes = append(r.classes, class)
-		r.classByName[terms.name] = class
+		router.classes = append(router.classes, class)
+		router.classByName[terms.name] = class
 	}
-	return r, nil
+	return router, nil
 }
 
-// Decide says where to send a request that has come, or whose RecheckDelay has passed, or not yet, or never.
+// Decide says what to do with a request that has arrived, or whose RecheckDelay has passed: send it, wait, or end it.
 func (r *Router) Decide(now int64, request *Request) Decision {
 	if request.class == nil && !r.accept(now, request) {
 		return Decision{Verdict: Fail}
@@ -108,7 +125,7 @@
 	return r.decideNext(now, request)
 }
 
-// accept takes in a request that has come, unless its class is unknown.
+// accept starts to track a request that has arrived. It returns false if the request's class is unknown.
 func (r *Router) accept(now int64, request *Request) bool {
 	request.class = r.classByName[request.Class]
 	if request.class == nil {
@@ -139,7 +156,7 @@
 	mayRunTwice := outcome.Result == Cancelled || outcome.Result == ConnectionLost
 	switch {
 	case request.ended:
-		return r.cancelOthers(request)
+		return r.cancelInFlight(request)
 	case request.inFlight > 0:
 		return Decision{}
 	case !mayRunTwice || r.settings.hedging || !r.mayRetry(now, request):
@@ -147,10 +164,12 @@
 	case now+2*waitRecheckInterval >= request.Deadline:
 		return r.rejectOrFail(now, request)
 	}
-	return Decision{} // what calls it off goes another way than the next would: two were in flight where one may be
+	// The retry waits for the next call of Decide: the cancellation of this attempt may take another connection than the
+	// retry, and two attempts would be in flight where only one may be.
+	return Decision{}
 }
 
-// RecheckDelay says how long to wait before asking Decide again; 0 is until an outcome.
+// RecheckDelay returns after how long Decide is to be called again for a request, in ns; 0 is not at all.
 func (r *Router) RecheckDelay(_ int64, request *Request) int64 {
 	switch {
 	case request.ended:
@@ -161,26 +180,27 @@
 	return waitRecheckInterval
 }
 
-// ClientGone tells that a request's client left, or that it ended otherwise; attempts may still be in flight.
+// ClientGone ends a request whose client has disconnected, or that has ended for another reason outside this package.
+// Attempts may still be in flight.
 func (r *Router) ClientGone(_ int64, request *Request) Decision {
 	request.ended = true
-	return r.cancelOthers(request)
+	return r.cancelInFlight(request)
 }
 
-// cancelOthers ends what else of an ended request is in flight.
-func (r *Router) cancelOthers(request *Request) (decision Decision) {
+// cancelInFlight cancels the attempts of an ended request that are in flight.
+func (r *Router) cancelInFlight(request *Request) (decision Decision) {
 	if !r.settings.cancel {
 		return decision
 	}
-	for i, other := range request.attempts {
-		if !other.ended {
-			decision.Cancel = append(decision.Cancel, i)
+	for number, attempt := range request.attempts {
+		if !attempt.ended {
+			decision.Cancel = append(decision.Cancel, number)
 		}
 	}
 	return decision
 }
 
-// decideNext picks the next attempt of a request that has none in flight, or holds it, or gives it up.
+// decideNext decides on a request that has no attempt in flight: it is sent, waits, or ends.
 func (r *Router) decideNext(now int64, request *Request) Decision {
 	cache, source := r.selectEndpoints(now, request)
 	if r.goesToOrigin(now, request, cache) {
@@ -194,7 +214,7 @@
 	switch {
 	case !r.mayRetry(now, request) || now >= sendDeadline:
 	case request.exhaustedAt > 0 && !timeForLater:
-		// Too late for a link to come up: it was counted against the cache that it had not.
+		// No connection can be established in the time left, and the cache would be blamed for it.
 	case cache != nil && r.admits(now, request, cache):
 		if r.takeRetryToken(request) {
 			return r.send(now, request, cache, source)
@@ -202,12 +222,12 @@
 	case cache != nil && r.mayTryCacheOnly(now, request, cache):
 		return r.send(now, request, cache, nil)
 	case now < request.waitUntil() && timeForLater:
-		return Decision{} // never past the client's own time: one was lost so
+		return Decision{}
 	}
 	return r.rejectOrFail(now, request)
 }
 
-// send starts an attempt.
+// send starts an attempt at a cache, which fills a miss from a source; without a source it may serve only what it has cached.
 func (r *Router) send(now int64, request *Request, cache, source *endpointState) Decision {
 	attempt := r.newAttempt(now, request, cache, source)
 	r.track(now, request, attempt)
@@ -226,7 +246,7 @@
 	return Decision{Verdict: Send, Attempt: terms}
 }
 
-// newAttempt is the next attempt of a request.
+// newAttempt makes the state of the next attempt of a request.
 func (r *Router) newAttempt(now int64, request *Request, cache, source *endpointState) *attemptState {
 	attempt := &attemptState{
 		sentAt:      now,
@@ -241,12 +261,12 @@
 		attempt.kind = hits
 	}
 	if request.SizeKB == 0 {
-		attempt.lateAt += 2 * r.objectiveFor(request, 0) // it may be large, and then it draws on the links still
+		attempt.lateAt += 2 * r.objectiveFor(request, 0) // its answer may be large and still be on its way
 	}
 	return attempt
 }
 
-// track counts an attempt that begins now: with its request, its class and its endpoints.
+// track counts an attempt that starts now, for its request, its class and its endpoints.
 func (r *Router) track(now int64, request *Request, attempt *attemptState) {
 	request.attempts = append(request.attempts, attempt)
 	if len(request.attempts) == 1 {
@@ -265,9 +285,9 @@
 	}
 }
 
-// Tick does the periodic work: it gives the endpoints that are to be probed now, and how long after this it is to be
-// called again, ns.
-func (r *Router) Tick(now int64) (probe []uint32, again int64) {
+// Tick does the periodic work. It returns the endpoints that a health check is to be sent to now, and after how long Tick is
+// to be called again, in ns.
+func (r *Router) Tick(now int64) (probe []uint32, nextTick int64) {
 	r.purges.removeExpired(now, r.settings.purgeDuration)
 	all := r.cacheEvidence(now)
 	for _, endpoint := range r.outliers.watched.endpoints {
@@ -286,12 +306,12 @@
 	return probe, tickInterval
 }
 
-// cannotConnect tells whether this machine can open no connections for now.
+// cannotConnect reports whether this machine can open no connections for now.
 func (r *Router) cannotConnect() bool {
 	return r.ConnectionsExhausted != nil && r.ConnectionsExhausted()
 }
 
-// random is a draw from [0, 1) of the instance's own.
+// random returns the router's next random number, from [0, 1). It follows from the seed.
 func (r *Router) random() float64 {
 	r.draws++
 	seed := binary.LittleEndian.AppendUint64(nil, r.seed)
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -6,45 +6,45 @@
 	"slices"
 )
 
-// The phases of an endpoint that are told. In any other one it gets nothing new.
+// The phases of an endpoint in the list. In phases other than ready it gets no new attempts.
 const (
 	phaseReady = "ready"
 	phaseGone  = "gone"
 )
 
-// endpointState is what the module keeps of an endpoint. What the scans over all endpoints read stands together, so that they touch
-// few cache lines.
+// endpointState is what a router knows of an endpoint. The fields that scans over all endpoints read stand next to each
+// other, so that a scan touches few cache lines of the processor.
 type endpointState struct {
 	Endpoint
 	role       role
 	listed     bool
-	isDelisted bool // it is among the router's delisted endpoints
+	isDelisted bool // it is among Router.delisted
 
-	// What outlierDetector judges it by.
+	// Evidence for outlierDetector.
 	ejected             bool
-	wasUnreachable      bool    // it could not be reached since it was last taken back
+	wasUnreachable      bool    // it could not be reached, or was reported dead, since it was last restored
 	probing             bool    // a probe is in flight
-	successes, failures float64 // as of scoredAt; decaying over healthWindow
+	successes, failures float64 // as of scoredAt; they decay over healthWindow
 	scoredAt            int64
 	lastResponseAt      int64
 	inFlight            []*attemptState
-	withinObjective     countsByKind // of what is in flight: what may be in time
+	withinObjective     countsByKind // attempts of inFlight whose answers may still be in time
 	nextProbeAt         int64
 	probeBackoff        int64 // ns
 
 	hashWeight float64 // in rendezvous hashing
 
-	// Its start, for the slow start.
-	slowStartFrom   int64 // when it started, told or inferred; 0 is long ago
-	slowStartReportedAt int64 // when that was told or inferred, on our axis
-	slowStart       slowStartBudget
+	// Slow start.
+	slowStartFrom       int64 // when it started, as listed or inferred; 0 is long ago
+	slowStartReportedAt int64 // when this router learned that; its own clock
+	slowStart           slowStartBudget
 }
 
 // role is what an endpoint does for this router.
 type role int
 
 const (
-	noRole role = iota // drains, is gone, or is a cache of another location
+	noRole role = iota // none: it is draining or gone, or a cache of another location
 	cacheRole
 	parentRole
 	originRole
@@ -53,9 +53,10 @@
 // endpointList is a list of endpoints in the order of their IDs.
 type endpointList struct{ endpoints []*endpointState }
 
-// search gives the index of an endpoint, or where it is to be inserted.
+// search returns the index of an endpoint, or the one at which it is to be inserted.
 func (l *endpointList) search(endpoint *endpointState) (index int, found bool) {
-	return slices.BinarySearchFunc(l.endpoints, endpoint.ID, func(other *endpointState, id uint32) int { return cmp.Compare(other.ID, id) })
+	compareID := func(other *endpointState, id uint32) int { return cmp.Compare(other.ID, id) }
+	return slices.BinarySearchFunc(l.endpoints, endpoint.ID, compareID)
 }
 
 // add inserts an endpoint unless it is in the list.
@@ -65,28 +66,28 @@
 	}
 }
 
-// remove takes an endpoint out.
+// remove removes an endpoint if it is in the list.
 func (l *endpointList) remove(endpoint *endpointState) {
 	if index, found := l.search(endpoint); found {
 		l.endpoints = slices.Delete(l.endpoints, index, index+1)
 	}
 }
 
-// UpdateEndpoints gives the list of endpoints, whole or changes to it.
-func (r *Router) UpdateEndpoints(now int64, lines []Endpoint, whole bool) {
-	if whole {
+// UpdateEndpoints takes over the complete endpoint list, or changes to it.
+func (r *Router) UpdateEndpoints(now int64, entries []Endpoint, complete bool) {
+	if complete {
 		for _, endpoint := range r.endpoints {
 			endpoint.listed = false
 		}
 	}
-	for _, line := range lines {
-		r.update(now, line)
+	for _, entry := range entries {
+		r.update(now, entry)
 	}
-	if whole {
+	if complete {
 		r.assignAll()
 	} else {
-		for _, line := range lines {
-			r.assign(r.endpoints[line.ID])
+		for _, entry := range entries {
+			r.assign(r.endpoints[entry.ID])
 		}
 	}
 	r.forgetDelisted()
@@ -97,35 +98,35 @@
 	r.capacity.configured.valid = false
 }
 
-// update takes over one line of the list.
-func (r *Router) update(now int64, line Endpoint) {
-	endpoint := r.endpoints[line.ID]
+// update takes over one entry of the list.
+func (r *Router) update(now int64, entry Endpoint) {
+	endpoint := r.endpoints[entry.ID]
 	if endpoint == nil {
 		endpoint = &endpointState{lastResponseAt: now, scoredAt: now}
-		r.endpoints[line.ID] = endpoint
+		r.endpoints[entry.ID] = endpoint
 	}
-	if line.StartedAt > 0 && line.StartedAt != endpoint.StartedAt {
-		// Earlier than the last, where the clock that tells it was set back.
-		endpoint.restarted(now, line.StartedAt)
+	// Another start counts also if it is earlier than the last: the clock that stamps it may have been set back.
+	if entry.StartedAt > 0 && entry.StartedAt != endpoint.StartedAt {
+		endpoint.restarted(now, entry.StartedAt)
 	}
-	endpoint.Endpoint = line
-	endpoint.listed = line.Phase != phaseGone
-	endpoint.hashWeight = max(line.Capacity, minCapacity)
+	endpoint.Endpoint = entry
+	endpoint.listed = entry.Phase != phaseGone
+	endpoint.hashWeight = max(entry.Capacity, minCapacity)
 	if r.settings.liveWeights {
-		endpoint.hashWeight = 1 // a weight that follows the load would move objects from home to home
+		endpoint.hashWeight = 1 // a weight that follows the load would move objects from one home cache to another
 	}
 }
 
-// restarted notes that an endpoint has started: it is cold, empty, and no longer judged by what it was before.
+// restarted starts the slow start of an endpoint and drops what was learned of it before.
 func (endpoint *endpointState) restarted(now, startedAt int64) {
 	endpoint.slowStartFrom, endpoint.slowStartReportedAt = startedAt, now
 	endpoint.successes, endpoint.failures, endpoint.lastResponseAt = 0, 0, now
 	endpoint.ejected, endpoint.probing, endpoint.wasUnreachable = false, false, false
 }
 
-// roleOf is the role that an endpoint has by its line.
+// roleOf returns the role that an endpoint has by its entry in the list. One that is draining or gone has none: it gets no
+// new attempts and fills no misses (rule 3 in docs/design.md).
 func (r *Router) roleOf(endpoint *endpointState) role {
-	// Rule 3: whoever drains or is gone gets nothing new from now on, and is no source.
 	switch {
 	case !endpoint.listed || endpoint.Phase != phaseReady:
 		return noRole
@@ -139,7 +140,7 @@
 	return noRole
 }
 
-// assignAll gives every endpoint its role.
+// assignAll assigns their roles to all endpoints anew.
 func (r *Router) assignAll() {
 	r.cacheTier.clear()
 	r.parentTier.clear()
@@ -152,12 +153,12 @@
 	}
 }
 
-// assign gives an endpoint the role that it has by its line.
+// assign assigns the role to an endpoint that it has by its entry in the list.
 func (r *Router) assign(endpoint *endpointState) {
-	if old, now := endpoint.role, r.roleOf(endpoint); old != now {
-		r.dropRole(endpoint, old)
-		endpoint.role = now
-		if now == cacheRole {
+	if previous, current := endpoint.role, r.roleOf(endpoint); previous != current {
+		r.dropRole(endpoint, previous)
+		endpoint.role = current
+		if current == cacheRole {
 			r.inFlight.addCache(endpoint, 1)
 		}
 	}
@@ -175,9 +176,9 @@
 	}
 }
 
-// dropRole ends an endpoint's role.
-func (r *Router) dropRole(endpoint *endpointState, old role) {
-	switch old {
+// dropRole removes an endpoint from the tier of a role that it no longer has.
+func (r *Router) dropRole(endpoint *endpointState, previous role) {
+	switch previous {
 	case cacheRole:
 		r.cacheTier.remove(endpoint)
 		r.inFlight.addCache(endpoint, -1)
@@ -188,8 +189,8 @@
 	}
 }
 
-// forgetDelisted forgets endpoints that are no longer listed once nothing is in flight there: new ones come under new IDs
-// without end.
+// forgetDelisted drops the state of endpoints that are no longer listed once they have no attempts in flight. It bounds the
+// memory: replacements of endpoints have new IDs.
 func (r *Router) forgetDelisted() {
 	r.delisted = slices.DeleteFunc(r.delisted, func(endpoint *endpointState) bool {
 		if endpoint.listed {
--- a/control/inflight.go
+++ b/control/inflight.go
@@ -5,28 +5,28 @@
 	"tealpath/internal/timerqueue"
 )
 
-// countsByKind are numbers of attempts by kind.
+// countsByKind counts attempts by kind.
 type countsByKind [kinds]int
 
-// sum is the number of attempts of all kinds.
+// sum returns the number of attempts of all kinds.
 func (c countsByKind) sum() int { return c[hits] + c[fills] + c[fetches] }
 
-// inFlightCounts are the numbers of attempts in flight that may be in time. What is late does not count: in thin slices a few
-// attempts stuck at silent endpoints took the place of all.
+// inFlightCounts counts the attempts in flight whose answers may still be in time. Late ones do not count: at a router with
+// little traffic a few attempts at an endpoint that does not answer would use up the whole admission limit.
 type inFlightCounts struct {
-	caches        countsByKind // at the caches of the location
-	lateTimers    timerqueue.Queue[*attemptState]
-	lateCheckedAt int64
+	caches        countsByKind                    // at the caches of the location
+	lateTimers    timerqueue.Queue[*attemptState] // of attempts that are not late yet, by their lateAt
+	lateCheckedAt int64                           // the time up to which late attempts are subtracted
 }
 
-// attemptStarted notes that an attempt is in flight at an endpoint.
+// attemptStarted registers an attempt that starts now with one of its endpoints.
 func (r *Router) attemptStarted(endpoint *endpointState, attempt *attemptState) {
 	r.inFlight.started(endpoint, attempt)
 	r.outliers.scored.add(endpoint)
 	r.outliers.watched.add(endpoint)
 }
 
-// started counts an attempt that is in flight at an endpoint.
+// started counts an attempt at one of its endpoints.
 func (c *inFlightCounts) started(endpoint *endpointState, attempt *attemptState) {
 	endpoint.inFlight = append(endpoint.inFlight, attempt)
 	c.count(endpoint, attempt, 1)
@@ -35,7 +35,7 @@
 	}
 }
 
-// finished counts an attempt that is no longer in flight at an endpoint.
+// finished removes an attempt from one of its endpoints.
 func (c *inFlightCounts) finished(endpoint *endpointState, attempt *attemptState) {
 	c.lateTimers.Remove(attempt.lateTimer)
 	endpoint.inFlight = slices.DeleteFunc(endpoint.inFlight, func(other *attemptState) bool {
@@ -46,8 +46,7 @@
 	})
 }
 
-// count adds to the numbers of attempts that may be in time: the endpoint's and, if it is a cache of the location, those of all
-// caches.
+// count adds a change to the counts of an endpoint and, if that is a cache of the location, of all caches.
 func (c *inFlightCounts) count(endpoint *endpointState, attempt *attemptState, change int) {
 	endpoint.withinObjective[attempt.kind] += change
 	if endpoint.role == cacheRole {
@@ -55,20 +54,20 @@
 	}
 }
 
-// addCache adds what is in flight at a cache to the numbers of all caches, with change 1, or takes it off, with -1.
-func (c *inFlightCounts) addCache(endpoint *endpointState, change int) {
-	for kind, n := range endpoint.withinObjective {
-		c.caches[kind] += change * n
+// addCache adds the counts of a cache to those of all caches (sign 1), or subtracts them (sign -1).
+func (c *inFlightCounts) addCache(endpoint *endpointState, sign int) {
+	for kind, count := range endpoint.withinObjective {
+		c.caches[kind] += sign * count
 	}
 }
 
-// withinObjective is what is in flight at the location's caches and may be in time, by kind.
+// withinObjective returns how many attempts at the location's caches may still be answered in time, by kind.
 func (c *inFlightCounts) withinObjective(now int64, all map[uint32]*endpointState) countsByKind {
 	c.markLate(now, all)
 	return c.caches
 }
 
-// markLate takes what has become late out of the numbers of attempts that may be in time.
+// markLate subtracts the attempts that have become late.
 func (c *inFlightCounts) markLate(now int64, all map[uint32]*endpointState) {
 	if now < c.lateCheckedAt {
 		c.unmarkLate(now, all)
@@ -85,65 +84,68 @@
 	}
 }
 
-// unmarkLate counts again what is not yet late at an earlier time. Callers' clocks do not go back; if one does, the numbers are
-// those of its time nevertheless.
+// unmarkLate adds the attempts again that are not late at a time before the last one. Callers' clocks should not go back;
+// if one does, the counts are nevertheless those of its time.
 func (c *inFlightCounts) unmarkLate(now int64, all map[uint32]*endpointState) {
-	var revived []*attemptState
+	var notLate []*attemptState
 	for _, endpoint := range all {
 		for _, attempt := range endpoint.inFlight {
 			if attempt.isLate && now < attempt.lateAt {
 				c.count(endpoint, attempt, 1)
-				revived = append(revived, attempt)
+				notLate = append(notLate, attempt)
 			}
 		}
 	}
-	for _, attempt := range revived {
+	for _, attempt := range notLate { // twice, if it is in flight at a cache and at a source
 		if attempt.isLate {
-			attempt.isLate, attempt.lateTimer = false, c.lateTimers.Push(attempt.lateAt, attempt)
+			attempt.isLate = false
+			attempt.lateTimer = c.lateTimers.Push(attempt.lateAt, attempt)
 		}
 	}
 }
 
-// loadScale is what the loads of all caches at one moment have in common.
+// loadScale holds what the loads of all caches at one instant have in common. The load of a cache is the number of attempts
+// in flight there, estimated for all routers, as a multiple of its capacity.
 type loadScale struct {
-	mean           float64 // what one cache would have in flight at the location's mean
-	sharers        float64 // routers that send to the caches
-	capacitiesTold bool
-	capacity       float64 // of each cache where it is not told
-	least          float64 // load of the largest cache while it has nothing in flight: none has less
+	meanLoad             float64 // of all caches of the location together
+	sharers              float64 // routers that send to the caches
+	capacitiesConfigured bool
+	capacity             float64 // of each cache, where it is not configured
+	minLoad              float64 // load of the largest cache with nothing in flight: none has less
 }
 
 // loadScale prepares for the loads at a time.
 func (r *Router) loadScale(now int64) loadScale {
-	scale := loadScale{sharers: r.activeSharers(), capacitiesTold: r.settings.capacitiesTold}
+	scale := loadScale{sharers: r.activeSharers(), capacitiesConfigured: r.settings.capacitiesTold}
 	inFlight := r.inFlight.withinObjective(now, r.endpoints)
-	scale.mean = float64(inFlight.sum()) * scale.sharers / r.locationCapacity(now)
+	scale.meanLoad = float64(inFlight.sum()) * scale.sharers / r.locationCapacity(now)
 	var largest float64
-	if scale.capacitiesTold {
+	if scale.capacitiesConfigured {
 		largest = r.configuredCapacity().largest
 	} else {
 		scale.capacity = r.measuredCapacity(now)
 		largest = scale.capacity
 	}
-	scale.least = scale.at(0, largest)
+	scale.minLoad = scale.at(0, largest)
 	return scale
 }
 
-// of is what a cache has in flight for its capacity, as seen from here.
+// of returns the load of a cache.
 func (s loadScale) of(endpoint *endpointState) float64 {
-	if s.capacitiesTold {
+	if s.capacitiesConfigured {
 		return s.at(endpoint.withinObjective.sum(), endpoint.Capacity)
 	}
 	return s.at(endpoint.withinObjective.sum(), s.capacity)
 }
 
-// at is the load of a cache with so many attempts in flight. In a thin slice one attempt tells little (it seemed to fill a cache):
-// it is drawn to the location's mean, as if one more had been seen at that.
+// at returns the load of a cache with so many attempts of this router in flight. It is drawn towards the mean load, as if
+// this router's part of the cache were larger by a capacity of 1 with the mean load: where many routers share the caches, one
+// attempt of one router says little about the others.
 func (s loadScale) at(inFlight int, capacity float64) float64 {
-	return (float64(inFlight) + s.mean) / (max(capacity, minCapacity)/s.sharers + 1)
+	return (float64(inFlight) + s.meanLoad) / (max(capacity, minCapacity)/s.sharers + 1)
 }
 
-// load is what a cache has in flight for its capacity at a time.
+// load returns the load of a cache at a time.
 func (r *Router) load(now int64, endpoint *endpointState) float64 {
 	return r.loadScale(now).of(endpoint)
 }
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -1,33 +1,33 @@
 package control
 
-import (
-	"cmp"
-	"slices"
-)
+import "cmp"
 
-// The notes of an outcome: of an answer, where it came from; of a refusal, who refused.
+// The notes of an outcome. Of an answer they say where it came from, of a rejection who rejected.
 const (
-	noteHit           = 1
-	noteFilled        = 2
-	noteFilledOrigin  = 3 // by way of the origin
-	noteSourceRefused = 6 // this and the next two name the source, noteCacheRefused the cache
-	noteSourceLacks   = 8
-	noteCacheRefused  = 9
+	noteHit            = 1
+	noteFilled         = 2
+	noteFilledOrigin   = 3 // by way of the origin
+	noteSourceRejected = 6 // first of three notes that name the source
+	noteSourceLacks    = 8 // last of them
+	noteCacheRejected  = 9
 )
 
 const (
-	likelyCachedDuration = 10 * second // ns; for so long an object served is taken to be held
+	// likelyCachedDuration is for how long after an answer its object is taken to be cached; ns.
+	likelyCachedDuration = 10 * second
 
-	// noJamFactor is how many times its sending time an answer may take and show no jam, in time or not: it could hardly be.
-	noJamFactor = 2
+	// noOverloadFactor is how many times its sending time an answer may take without being taken for late, whatever its
+	// objective: it could not have come much sooner, so that it is no sign of an overload.
+	noOverloadFactor = 2
 
-	reportInFlight = "inHand" // the field of a load report with the requests in flight
+	// reportInFlight is the field of a load report that has the number of requests in flight.
+	reportInFlight = "inHand"
 )
 
-// attemptScore is how an attempt counts for an endpoint.
+// attemptScore is what an attempt adds to an endpoint's successes and failures.
 type attemptScore struct{ success, failure float64 }
 
-// failureScores are what a result counts against the cache and against the source.
+// failureScores are what a result adds to the failures of the cache and of the source.
 var failureScores = map[Result]struct{ cache, source float64 }{
 	Overloaded:     {0.3, 0.5},
 	TimedOut:       {0.5, 0.5},
@@ -36,22 +36,22 @@
 	ConnectionLost: {1, 0},
 }
 
-// finding is what an outcome tells.
+// finding is what follows from an outcome.
 type finding struct {
-	result      Result
-	sendingTime float64 // s; the request's own, 0 where that isn't known
-	inTime      bool    // it took no longer than it may
-	early       bool    // its time was up too soon to tell anything
-	timedOut    bool    // no answer came in a time that would have been enough
-	refused     bool    // its source was at its limit, or dead
-	cache       attemptScore
-	source      attemptScore
+	result         Result
+	sendingTime    float64 // s; the request's own, 0 if it is not known
+	inTime         bool    // it took no longer than its objective allows
+	early          bool    // its time was up too soon for the outcome to mean anything
+	timedOut       bool    // no answer came in a time that would have been enough
+	sourceRejected bool    // its source was at its limit, or dead
+	cache          attemptScore
+	source         attemptScore
 }
 
-// succeededInTime tells whether there was an answer, and in time.
+// succeededInTime reports whether there was an answer in time.
 func (f finding) succeededInTime() bool { return f.result == Succeeded && f.inTime }
 
-// observe draws from an outcome what it tells of the cache, the source, the limits and the class.
+// observe learns from an outcome about the cache, the source, the admission limits and the class.
 func (r *Router) observe(now int64, request *Request, attempt *attemptState, outcome Outcome) {
 	request.sourceMissed = request.sourceMissed || outcome.Result == NotHeld && attempt.kind == fills
 	found := r.interpret(request, attempt, outcome)
@@ -62,9 +62,9 @@
 	if found.timedOut && attempt.cache.isHealthy() && attempt.source.isHealthy() {
 		r.retries.lostResponses.add(now)
 	}
-	if found.refused {
-		attempt.sourceRefused = true
-		r.retries.sourceRefusals.add(now)
+	if found.sourceRejected {
+		attempt.sourceRejected = true
+		r.retries.sourceRejections.add(now)
 	}
 	if found.succeededInTime() {
 		r.countServed(now, request.class, attempt, outcome.Note, found)
@@ -79,24 +79,30 @@
 	}
 }
 
-// interpret gives what an outcome tells.
+// interpret returns what follows from an outcome.
 func (r *Router) interpret(request *Request, attempt *attemptState, outcome Outcome) finding {
 	found := finding{
 		result:      outcome.Result,
 		sendingTime: cmp.Or(r.sendingTimeBySize(request), outcome.SendingTime),
 		early:       request.class.timedOutEarly(attempt, outcome),
 	}
-	found.inTime = outcome.Elapsed <= max(r.objectiveFor(request, found.sendingTime), int64(noJamFactor*1e9*found.sendingTime))
+	objective := r.objectiveFor(request, found.sendingTime)
+	found.inTime = outcome.Elapsed <= max(objective, int64(noOverloadFactor*1e9*found.sendingTime))
 	found.timedOut = outcome.Result == TimedOut && !found.early
+	found.sourceRejected = outcome.rejectedBySource() && !outcome.SharedCause
 	found.cache, found.source = scores(outcome, found)
-	found.refused = outcome.Result == Overloaded && !outcome.SharedCause && noteSourceRefused <= outcome.Note && outcome.Note <= noteSourceLacks
 	if attempt.kind == hits {
-		found.source = attemptScore{} // likely a hit: it tells nothing of the source
+		found.source = attemptScore{} // a likely hit did not involve the source
 	}
 	return found
 }
 
-// scores are what an outcome counts for the cache and for the source.
+// rejectedBySource reports whether an attempt was rejected because its source rejected the fill, was dead or lacks the object.
+func (outcome Outcome) rejectedBySource() bool {
+	return outcome.Result == Overloaded && noteSourceRejected <= outcome.Note && outcome.Note <= noteSourceLacks
+}
+
+// scores returns what an outcome adds to the successes and failures of the cache and of the source.
 func scores(outcome Outcome, found finding) (cache, source attemptScore) {
 	failure := failureScores[outcome.Result]
 	switch {
@@ -104,28 +110,28 @@
 		if found.inTime {
 			return attemptScore{success: 1}, attemptScore{success: 1}
 		}
-		return attemptScore{failure: 1}, attemptScore{failure: 1} // a cache or source that is only slow showed in no other way
+		return attemptScore{failure: 1}, attemptScore{failure: 1} // an endpoint that is only slow shows in no other way
 	case found.early:
 		return attemptScore{}, attemptScore{}
 	case outcome.SharedCause:
-		// A connection that broke is one failure: counted by all that was open on it, it had a healthy endpoint ejected.
+		// A connection that broke is one failure, however many attempts were in flight on it.
 		return attemptScore{}, attemptScore{}
-	case outcome.Result == Overloaded && outcome.Note == noteCacheRefused:
+	case outcome.Result == Overloaded && outcome.Note == noteCacheRejected:
 		return attemptScore{failure: failure.cache}, attemptScore{}
-	case outcome.Result == Overloaded && noteSourceRefused <= outcome.Note && outcome.Note <= noteSourceLacks:
+	case outcome.rejectedBySource():
 		return attemptScore{}, attemptScore{failure: 1}
 	}
 	return attemptScore{failure: failure.cache}, attemptScore{failure: failure.source}
 }
 
-// observeLoadReport notes what an answer tells of the requests in flight at its cache.
+// observeLoadReport learns from the number of requests in flight that a cache reports with an answer.
 func (r *Router) observeLoadReport(now int64, cache *endpointState, report []float64) {
-	if i := r.settings.inFlightField; i >= 0 && i < len(report) {
-		r.capacity.observeReport(now, max(report[i]-1, 0), float64(len(cache.inFlight)-1))
+	if field := r.settings.inFlightField; field >= 0 && field < len(report) {
+		r.capacity.observeReport(now, max(report[field]-1, 0), float64(len(cache.inFlight)-1))
 	}
 }
 
-// countServed counts an answer in time for the capacities.
+// countServed counts an answer in time for the measured capacities.
 func (r *Router) countServed(now int64, class *classState, attempt *attemptState, note int64, found finding) {
 	work := cmp.Or(found.sendingTime, class.sendingTime)
 	r.servedByCache(now, work)
@@ -134,7 +140,7 @@
 	}
 }
 
-// learnFromAnswer draws from a good answer what it tells of its class and its object.
+// learnFromAnswer learns from a successful answer about its class and its object.
 func (r *Router) learnFromAnswer(now int64, request *Request, outcome Outcome, found finding) {
 	class, record := request.class, request.record
 	class.observeResponse(outcome.Elapsed)
@@ -143,12 +149,14 @@
 	}
 	record.likelyCachedUntil = now + likelyCachedDuration
 	if outcome.Note == noteFilled || outcome.Note == noteFilledOrigin {
-		r.updateMaxAge(now, request) // it is held anew from now on
+		r.updateMaxAge(now, request) // the entry is new, and its age starts from now
 	}
 }
 
-// scoreEndpoint counts an attempt that has ended for its cache or its source, and ejects that if it is an outlier.
-func (r *Router) scoreEndpoint(now int64, endpoint *endpointState, attempt *attemptState, found finding, scored attemptScore) {
+// scoreEndpoint counts an attempt that has ended for its cache or its source, and ejects that endpoint if it is an outlier.
+func (r *Router) scoreEndpoint(
+	now int64, endpoint *endpointState, attempt *attemptState, found finding, scored attemptScore,
+) {
 	r.inFlight.finished(endpoint, attempt)
 	endpoint.addScore(now, scored)
 	r.outliers.scored.add(endpoint)
@@ -174,7 +182,11 @@
 	r.ejectIfOutlier(now, endpoint)
 }
 
-// isFromCache tells whether a result came from the cache itself.
+// isFromCache reports whether a result shows that the cache itself has answered, or at least closed a connection.
 func (result Result) isFromCache() bool {
-	return !slices.Contains([]Result{Unreachable, TimedOut, Cancelled, SendInterrupted, LocalError, NotSent}, result)
+	switch result {
+	case Unreachable, TimedOut, Cancelled, SendInterrupted, LocalError, NotSent:
+		return false
+	}
+	return true
 }
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -6,66 +6,79 @@
 )
 
 const (
-	silenceThreshold     = 6.         // evidence of silence from which an endpoint is ejected: e^-6 by chance
-	maxSilencePerAttempt = 2.         // of it by one attempt
-	minSilence           = 1.2        // mean response times that one must have waited
-	failureThreshold     = 2.5        // failures, lately, from which an endpoint is ejected
-	failureShare         = 0.3        // part of its attempts that has failed, beyond what its peers show
-	healthWindow         = 4 * second // ns; over which successes and failures decay
-	minProbeBackoff      = second     // ns; until an ejected endpoint is probed; doubles up to maxProbeBackoff
-	maxProbeBackoff      = 8 * second // ns
-
-	// A parent that has answered much is judged by a smaller share, as 1/√n from manyAnswers on, down to manyAnswersFactor: late
-	// with a quarter of hundreds a parent stayed in.
+	// silenceThreshold is the silence score, beyond the peers' mean, from which an endpoint is ejected. A score is in mean
+	// response times; by chance one of 6 comes up with e^-6.
+	silenceThreshold = 6.
+
+	maxSilencePerAttempt = 2.  // of the silence score, by one attempt
+	minSilence           = 1.2 // mean response times that at least one attempt must have waited
+
+	failureThreshold = 2.5 // failures, decayed, from which an endpoint may be ejected
+	failureShare     = 0.3 // part of its attempts that must have failed, beyond that of its peers
+
+	healthWindow = 4 * second // ns; over which successes and failures decay
+
+	// An ejected endpoint is first probed after minProbeBackoff; with each failed probe the backoff doubles.
+	minProbeBackoff = second     // ns
+	maxProbeBackoff = 8 * second // ns
+
+	// A parent that has answered more than manyAnswers attempts is judged by a smaller failureShare: times
+	// 1/√(answers/manyAnswers), and not below manyAnswersFactor. With hundreds of answers a part of a quarter is no chance.
 	manyAnswers       = 16.
 	manyAnswersFactor = 0.4
 
-	// fadedPerTick is how many endpoints are looked at with each tick for scores that have faded to nothing.
+	// fadedPerTick is how many endpoints a tick checks for scores that have decayed to 0.
 	fadedPerTick = 16
 
-	// A score above lastingScore has not faded to nothing within lastingScoreAge, ns: e^-600 of it is above the least float64.
+	// A score above lastingScore is certainly above 0 until it is lastingScoreAge old, in ns: e^-600 times it is more than
+	// the smallest float64. This saves computing the decay.
 	lastingScore    = 1e-40
 	lastingScoreAge = 600 * healthWindow
 
-	// evidenceMargin is more than what the order of a sum's terms can change in what an endpoint is judged by.
+	// evidenceMargin is more than by how much the order of a sum's terms can change what is compared with a threshold.
 	evidenceMargin = 1e-6
 )
 
-// outlierDetector ejects endpoints that fail or stay silent far more than their peers, and has them probed.
+// outlierDetector ejects endpoints that fail, or do not answer, far more than their peers, and has them probed.
 type outlierDetector struct {
-	scored    endpointList // with attempts in flight, or with scores that have not faded to nothing
-	watched   endpointList // which the periodic check may find to be outliers, or that are ejected
-	nextFaded int          // index in scored that is looked at next
+	scored    endpointList // endpoints with attempts in flight, or with scores that have not decayed to 0
+	watched   endpointList // endpoints that Tick checks: those that may be outliers, and ejected ones
+	nextFaded int          // index in scored that is checked next for decayed scores
 }
 
 // evidence is what speaks for and against an endpoint, or the sum over several.
 type evidence struct {
-	silent    float64 // mean response times that attempts in flight have waited, each up to maxSilencePerAttempt
-	good, bad float64 // successes and failures lately
+	silence   float64 // mean response times that attempts in flight have waited, each up to maxSilencePerAttempt
+	successes float64 // decayed over healthWindow
+	failures  float64 // decayed over healthWindow
 }
 
 func (e evidence) plus(other evidence) evidence {
-	return evidence{e.silent + other.silent, e.good + other.good, e.bad + other.bad}
+	return evidence{e.silence + other.silence, e.successes + other.successes, e.failures + other.failures}
 }
 
-// minus takes out of a sum what one endpoint has added.
+// minus subtracts what one endpoint has added to a sum.
 func (e evidence) minus(other evidence) evidence {
-	return evidence{e.silent - other.silent, e.good - other.good, e.bad - other.bad}
+	return evidence{e.silence - other.silence, e.successes - other.successes, e.failures - other.failures}
 }
 
-// suffices tells whether this could be enough to eject an endpoint.
-func (e evidence) suffices() bool { return e.silent >= silenceThreshold || e.bad >= failureThreshold }
+// attempts returns the number of attempts that have ended, decayed over healthWindow.
+func (e evidence) attempts() float64 { return e.successes + e.failures }
+
+// suffices reports whether an endpoint with this evidence may be ejected, depending on its peers.
+func (e evidence) suffices() bool { return e.silence >= silenceThreshold || e.failures >= failureThreshold }
 
-// apart is by how much an endpoint stands out from its peers: in silence, and in the part of attempts that failed.
-func (e evidence) apart(peers evidence, peerCount int) (silent, failed float64) {
-	silent = e.silent - peers.silent/float64(max(1, peerCount))
-	failed = e.bad/(e.good+e.bad) - peers.bad/max(peers.good+peers.bad, 1)
-	return silent, failed
+// excess returns by how much the evidence on an endpoint exceeds that on its peers: the silence score, and the part of the
+// attempts that failed.
+func (e evidence) excess(peers evidence, peerCount int) (silence, failed float64) {
+	silence = e.silence - peers.silence/float64(max(1, peerCount))
+	failed = e.failures/e.attempts() - peers.failures/max(peers.attempts(), 1)
+	return silence, failed
 }
 
-// ejectIfOutlier ejects an endpoint by its failures lately or by its silence, whatever lies behind them. What its peers show then
-// is no evidence: in a jam all looked bad in turn and objects lost their homes. Half a tier may fail at once and still stand out;
-// where most fail, further attempts must find the rest.
+// ejectIfOutlier ejects an endpoint if it stands out from its peers by its recent failures or by its silence. What all of
+// them show is no evidence: it comes from an overload, and ejecting them in turn would only move objects from cache to
+// cache. Up to half of a tier can stand out at once; if more of it fails, retries have to find the rest.
 func (r *Router) ejectIfOutlier(now int64, endpoint *endpointState) {
 	if endpoint.ejected || endpoint == r.origin || !endpoint.mayBeEjected(now) {
 		return
@@ -74,20 +87,21 @@
 	if !own.suffices() {
 		return
 	}
-	silent, failed := own.apart(r.peerEvidence(now, endpoint), len(r.peersOf(endpoint))-1)
-	if silent < silenceThreshold && (own.bad < failureThreshold || failed < r.failureShareFor(endpoint, own)) {
+	silence, failed := own.excess(r.peerEvidence(now, endpoint), len(r.peersOf(endpoint))-1)
+	tooManyFailed := own.failures >= failureThreshold && failed >= r.failureShareFor(endpoint, own)
+	if silence < silenceThreshold && !tooManyFailed {
 		return
 	}
 	endpoint.eject(now)
 	r.log(EndpointEjected{
 		Endpoint:     endpoint.ID,
-		SilenceScore: rounded(silent, scoreDecimals),
-		Failures:     rounded(own.bad, scoreDecimals),
-		Attempts:     rounded(own.good+own.bad, scoreDecimals),
+		SilenceScore: rounded(silence, scoreDecimals),
+		Failures:     rounded(own.failures, scoreDecimals),
+		Attempts:     rounded(own.attempts(), scoreDecimals),
 	})
 }
 
-// peersOf are the endpoints that one is compared with, itself among them.
+// peersOf returns the endpoints that one is compared with, itself included.
 func (r *Router) peersOf(endpoint *endpointState) []*endpointState {
 	if endpoint.Location == r.settings.location {
 		return r.caches
@@ -95,24 +109,25 @@
 	return r.parents
 }
 
-// failureShareFor is the part of its attempts that must have failed, beyond what its peers show. The last parent is not judged by
-// less for having answered much.
+// failureShareFor returns the part of an endpoint's attempts that must have failed, beyond that of its peers, for it to be
+// ejected. It is smaller for a parent with many answers, unless that is the last one that is not ejected.
 func (r *Router) failureShareFor(endpoint *endpointState, own evidence) float64 {
 	isOther := func(peer *endpointState) bool { return peer != endpoint && !peer.ejected }
 	if endpoint.Location == r.settings.location || !slices.ContainsFunc(r.parents, isOther) {
 		return failureShare
 	}
-	return failureShare * max(manyAnswersFactor, min(1, math.Sqrt(manyAnswers)/math.Sqrt(own.good+own.bad)))
+	factor := min(1, math.Sqrt(manyAnswers)/math.Sqrt(own.attempts()))
+	return failureShare * max(manyAnswersFactor, factor)
 }
 
-// eject has an endpoint sent nothing but probes.
+// eject ejects an endpoint: from now on it gets nothing but probes.
 func (endpoint *endpointState) eject(now int64) {
 	endpoint.ejected, endpoint.probing = true, false
 	endpoint.probeBackoff = minProbeBackoff
 	endpoint.nextProbeAt = now + endpoint.probeBackoff
 }
 
-// startProbe tells whether a cache is to be probed now, and counts the probe.
+// startProbe reports whether a health check is to be sent to a cache now, and counts it if so.
 func (r *Router) startProbe(now int64, endpoint *endpointState) bool {
 	isDue := endpoint.ejected && !endpoint.probing && now >= endpoint.nextProbeAt
 	if !isDue || !r.settings.probes || !r.slowStartAdmits(now, endpoint, r.meanWork(now, 0)) {
@@ -123,18 +138,18 @@
 	return true
 }
 
-// ProbeEnded tells how a probe ended that Tick has given.
-func (r *Router) ProbeEnded(now int64, id uint32, good bool, _ []float64) {
+// ProbeEnded takes the result of a health check that Tick asked for.
+func (r *Router) ProbeEnded(now int64, id uint32, healthy bool, _ []float64) {
 	if endpoint := r.endpoints[id]; endpoint != nil {
 		endpoint.probing = false
-		r.probeFinished(now, endpoint, good)
+		r.probeFinished(now, endpoint, healthy)
 	}
 }
 
-// probeFinished takes an ejected endpoint back, or has it probed again later.
-func (r *Router) probeFinished(now int64, endpoint *endpointState, good bool) {
+// probeFinished restores an ejected endpoint after a successful probe; after any other it doubles the backoff.
+func (r *Router) probeFinished(now int64, endpoint *endpointState, healthy bool) {
 	switch {
-	case endpoint.ejected && good:
+	case endpoint.ejected && healthy:
 		endpoint.restore(now)
 		r.log(EndpointRestored{Endpoint: endpoint.ID})
 	case endpoint.ejected:
@@ -146,40 +161,42 @@
 // restore ends an ejection.
 func (endpoint *endpointState) restore(now int64) {
 	if endpoint.wasUnreachable {
-		// Likely restarted, which the list tells too late: it fell over at full load.
+		// It has probably restarted, which the list tells only later. Full load at once could bring it down again.
 		endpoint.slowStartFrom, endpoint.slowStartReportedAt = now, now
 	}
 	endpoint.ejected, endpoint.wasUnreachable = false, false
 	endpoint.successes, endpoint.failures, endpoint.lastResponseAt = 0, 0, now
 }
 
-// addScore counts an attempt that has ended.
+// addScore adds an attempt that has ended to an endpoint's successes and failures.
 func (endpoint *endpointState) addScore(now int64, scored attemptScore) {
 	endpoint.successes = decay(endpoint.successes, now-endpoint.scoredAt, healthWindow) + scored.success
 	endpoint.failures = decay(endpoint.failures, now-endpoint.scoredAt, healthWindow) + scored.failure
 	endpoint.scoredAt = now
 }
 
-// cacheEvidence sums up the evidence on all caches of the location, if there is an endpoint that it may concern.
+// cacheEvidence returns the evidence on all caches of the location together, if there is a watched cache to compare with
+// it.
 func (r *Router) cacheEvidence(now int64) (all evidence) {
-	concerned := func(endpoint *endpointState) bool {
+	mayBeEjected := func(endpoint *endpointState) bool {
 		return endpoint.role == cacheRole && !endpoint.ejected && endpoint.mayBeEjected(now)
 	}
-	if slices.ContainsFunc(r.outliers.watched.endpoints, concerned) {
+	if slices.ContainsFunc(r.outliers.watched.endpoints, mayBeEjected) {
 		all = r.peerEvidence(now, nil)
 	}
 	return all
 }
 
-// mayBeOutlier tells whether a cache may stand out from its peers, by the evidence on all caches. Where all look alike, as in a jam,
-// that spares the periodic check to sum up each one's peers.
+// mayBeOutlier reports whether a cache may stand out from its peers, given the evidence on all caches. In an overload, when
+// all look alike, it spares Tick summing up the peers of each one.
 func (r *Router) mayBeOutlier(now int64, endpoint *endpointState, all evidence) bool {
 	own := endpoint.evidence(now, r.slowestResponseTime())
-	silent, failed := own.apart(all.minus(own), len(r.caches)-1)
-	return silent >= silenceThreshold-evidenceMargin || own.bad >= failureThreshold && failed >= failureShare-evidenceMargin
+	silence, failed := own.excess(all.minus(own), len(r.caches)-1)
+	tooManyFailed := own.failures >= failureThreshold && failed >= failureShare-evidenceMargin
+	return silence >= silenceThreshold-evidenceMargin || tooManyFailed
 }
 
-// slowestResponseTime is the longest mean response time of a class, s.
+// slowestResponseTime returns the longest mean response time of a class, in s.
 func (r *Router) slowestResponseTime() float64 {
 	slowest := minResponseTime
 	for _, class := range r.classes {
@@ -188,33 +205,33 @@
 	return slowest
 }
 
-// evidence is that on an endpoint, given the longest mean response time, s.
+// evidence returns the evidence on an endpoint. responseTime is the unit of its silence score, in s.
 func (endpoint *endpointState) evidence(now int64, responseTime float64) evidence {
-	good := decay(endpoint.successes, now-endpoint.scoredAt, healthWindow)
-	bad := decay(endpoint.failures, now-endpoint.scoredAt, healthWindow)
-	silent, longest := 0., 0.
+	successes := decay(endpoint.successes, now-endpoint.scoredAt, healthWindow)
+	failures := decay(endpoint.failures, now-endpoint.scoredAt, healthWindow)
+	silence, longest := 0., 0.
 	for _, attempt := range endpoint.inFlight {
 		if attempt.cache == endpoint || attempt.kind != hits {
 			waited := float64(now-max(attempt.sentAt, endpoint.lastResponseAt)) / 1e9 / responseTime
-			silent += min(maxSilencePerAttempt, waited)
+			silence += min(maxSilencePerAttempt, waited)
 			longest = max(longest, waited)
 		}
 	}
 	if longest < minSilence {
-		silent = 0 // many in flight for a moment are a crowd, not silence: so it went at every start
+		silence = 0 // many attempts that started at once are no silence, however much they add up to
 	}
-	return evidence{silent, good, bad}
+	return evidence{silence, successes, failures}
 }
 
-// mayBeEjected tells, at little cost, whether the evidence on an endpoint could be enough: by the number of attempts that may be
-// silent, and by failures as if none had faded.
+// mayBeEjected reports whether the evidence on an endpoint could suffice. It costs little: it counts the attempts in flight
+// as if each had waited long, and failures as if none had decayed.
 func (endpoint *endpointState) mayBeEjected(now int64) bool {
-	return float64(len(endpoint.inFlight))*maxSilencePerAttempt >= silenceThreshold || endpoint.failures >= failureThreshold ||
-		now < endpoint.scoredAt
+	maxSilence := float64(len(endpoint.inFlight)) * maxSilencePerAttempt
+	return maxSilence >= silenceThreshold || endpoint.failures >= failureThreshold || now < endpoint.scoredAt
 }
 
-// peerEvidence sums up the evidence on all other caches of the location, or on all other parents; without an endpoint on all
-// caches. Endpoints with nothing in flight and no scores would add nothing: they are left out.
+// peerEvidence sums up the evidence on all other caches of the location, or on all other parents. Without an endpoint it is
+// that on all caches. It leaves out endpoints with nothing in flight and without scores, which would add 0.
 func (r *Router) peerEvidence(now int64, endpoint *endpointState) (sum evidence) {
 	peers, peerRole := r.caches, cacheRole
 	if endpoint != nil && endpoint.Location != r.settings.location {
@@ -232,16 +249,19 @@
 	return sum
 }
 
-// unwatchHealthy leaves out of the periodic check what it can tell nothing of: endpoints that are not ejected, with nothing in
-// flight and too few failures.
+// unwatchHealthy drops from the endpoints that Tick checks those that are not ejected, have nothing in flight and too few
+// failures to be ejected for.
 func (d *outlierDetector) unwatchHealthy(now int64) {
 	d.watched.endpoints = slices.DeleteFunc(d.watched.endpoints, func(endpoint *endpointState) bool {
-		return !endpoint.ejected && len(endpoint.inFlight) == 0 && (endpoint.failures < failureThreshold ||
-			decay(endpoint.failures, now-endpoint.scoredAt, healthWindow) < failureThreshold)
+		if endpoint.ejected || len(endpoint.inFlight) > 0 {
+			return false
+		}
+		return endpoint.failures < failureThreshold ||
+			decay(endpoint.failures, now-endpoint.scoredAt, healthWindow) < failureThreshold
 	})
 }
 
-// forgetFaded takes some of the endpoints whose scores have faded to nothing off the list of those with scores.
+// forgetFaded drops endpoints whose scores have decayed to 0 from the list of scored ones. It checks fadedPerTick of them.
 func (d *outlierDetector) forgetFaded(now int64) {
 	for range min(fadedPerTick, len(d.scored.endpoints)) {
 		d.nextFaded %= len(d.scored.endpoints)
@@ -250,22 +270,23 @@
 			d.nextFaded++
 			continue
 		}
-		if d.scored.remove(endpoint); len(d.scored.endpoints) == 0 {
+		d.scored.remove(endpoint)
+		if len(d.scored.endpoints) == 0 {
 			return
 		}
 	}
 }
 
-// hasScore tells whether something of an endpoint's successes and failures is left.
+// hasScore reports whether an endpoint's successes or failures have not decayed to 0 yet.
 func (endpoint *endpointState) hasScore(now int64) bool {
-	since := now - endpoint.scoredAt
-	if max(endpoint.successes, endpoint.failures) > lastingScore && since < lastingScoreAge {
+	elapsed := now - endpoint.scoredAt
+	if max(endpoint.successes, endpoint.failures) > lastingScore && elapsed < lastingScoreAge {
 		return true
 	}
-	return decay(endpoint.successes, since, healthWindow) > 0 || decay(endpoint.failures, since, healthWindow) > 0
+	return decay(endpoint.successes, elapsed, healthWindow) > 0 || decay(endpoint.failures, elapsed, healthWindow) > 0
 }
 
-// forget drops an endpoint that is gone.
+// forget drops an endpoint that is no longer listed.
 func (d *outlierDetector) forget(endpoint *endpointState) {
 	d.scored.remove(endpoint)
 	d.watched.remove(endpoint)
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -236,7 +236,7 @@
 	for index, key := range c.tier.keys {
 		u := uniform(c.hash, key.id)
 		exceeds := mustExceed(u, key.weight, worst.score)
-		if exceeds && worst.load <= c.loads.least || c.isSkipped(index) {
+		if exceeds && worst.load <= c.loads.minLoad || c.isSkipped(index) {
 			continue // whatever its load is
 		}
 		endpoint := c.tier.endpoints[index]
@@ -302,7 +302,7 @@
 	switch {
 	case request.isUncacheable():
 		c.first = r.origin
-	case r.origin != nil && request.sourceRefused() && r.settings.originUnlimited:
+	case r.origin != nil && request.sourceRejected() && r.settings.originUnlimited:
 		c.tier, c.last = &tier{}, r.origin
 	default:
 		c.last = r.origin
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -133,7 +133,7 @@
 	case r.origin == nil:
 	case request.isUncacheable():
 		sources = append([]*endpointState{r.origin}, sources...)
-	case request.sourceRefused() && r.settings.originUnlimited:
+	case request.sourceRejected() && r.settings.originUnlimited:
 		sources = []*endpointState{r.origin}
 	default:
 		sources = append(sources, r.origin)
@@ -205,7 +205,7 @@
 		endpoint := r.endpoints[some[(int(now)+i)%len(some)]]
 		kept := r.peerEvidence(now, endpoint)
 		plainSilent, plainGood, plainBad := plainPeerEvidence(r, now, endpoint)
-		check(fmt.Sprint("evidence on the peers of ", endpoint.ID), [3]float64{kept.silent, kept.good, kept.bad}, [3]float64{plainSilent, plainGood, plainBad})
+		check(fmt.Sprint("evidence on the peers of ", endpoint.ID), [3]float64{kept.silence, kept.successes, kept.failures}, [3]float64{plainSilent, plainGood, plainBad})
 	}
 	return found
 }
--- a/control/requests.go
+++ b/control/requests.go
@@ -38,7 +38,7 @@
 	probed        *endpointState // the ejected endpoint that this attempt probes; nil is none
 	ended         bool
 	result        Result // once it has ended
-	sourceRefused bool   // its source was at its limit, or dead
+	sourceRejected bool   // its source was at its limit, or dead
 	kind          attemptKind
 	sendTimeout   int64 // ns; for how long it may wait to be on its way
 	lateAt        int64 // from when an answer is late
@@ -107,7 +107,7 @@
 
 // waitUntil is until when a request that finds no place is held.
 func (request *Request) waitUntil() int64 {
-	return max(request.arrivedAt, request.exhaustedAt) + request.class.objective/maxWaitShare
+	return max(request.arrivedAt, request.exhaustedAt) + request.class.objective/maxWaitDivisor
 }
 
 // lastAttempt is the last attempt of a request, nil before the first.
@@ -118,11 +118,11 @@
 	return request.attempts[len(request.attempts)-1]
 }
 
-// sourceRefused tells whether the last attempt found its source at its limit or dead. The other parents are likely
+// sourceRejected tells whether the last attempt found its source at its limit or dead. The other parents are likely
 // no better: one who can't fall over, the origin, is asked.
-func (request *Request) sourceRefused() bool {
+func (request *Request) sourceRejected() bool {
 	last := request.lastAttempt()
-	return last != nil && last.sourceRefused
+	return last != nil && last.sourceRejected
 }
 
 // attemptCount is how many of a request's attempts left this machine, or may yet.
--- a/control/retries.go
+++ b/control/retries.go
@@ -6,7 +6,7 @@
 	freeAttempts           = 3    // attempts of a request under which a further one takes no token if the last showed no jam
 	hedgeDelayShare        = 0.6  // of the objective after which an attempt may be hedged
 	lostResponseThreshold  = 1.5  // answers lost lately from which attempts are hedged
-	sourceRefusalThreshold = 1.5  // fills refused by parents lately from which the origin is asked for what is not admitted
+	sourceRejectionThreshold = 1.5  // fills refused by parents lately from which the origin is asked for what is not admitted
 	maxHealthyFailureRatio = 0.03 // failures for each success up to which an endpoint is healthy
 	retryAfterShare        = 0.2  // of the objective after which a rejected client is to come back, at least
 	minAllowedAttempts   = 2    // of a class without weight; one of the highest weight has attemptsByWeight more
@@ -18,7 +18,7 @@
 type retryState struct {
 	tokens         float64       // of a token bucket: each further attempt takes one
 	lostResponses  decayingCount // of healthy endpoints
-	sourceRefusals decayingCount
+	sourceRejections decayingCount
 }
 
 // deposit adds to the tokens.
@@ -55,7 +55,7 @@
 	case NotHeld, SendInterrupted, ConnectionLost:
 		return true
 	}
-	return attempt.sourceRefused && r.settings.originUnlimited
+	return attempt.sourceRejected && r.settings.originUnlimited
 }
 
 // mayRetry tells whether a further attempt is allowed, by number and weight, and does no harm: rule 2.
@@ -144,7 +144,7 @@
 func (r *Router) goesToOrigin(now int64, request *Request, cache *endpointState) bool {
 	last := request.lastAttempt()
 	return last != nil && last.source == nil && r.origin != nil && cache != nil && !request.sourceMissed &&
-		r.retries.sourceRefusals.at(now) > sourceRefusalThreshold && !r.admits(now, request, cache) && r.settings.originUnlimited
+		r.retries.sourceRejections.at(now) > sourceRejectionThreshold && !r.admits(now, request, cache) && r.settings.originUnlimited
 }
 
 // rejectOrFail ends a request at once: rejected where the client may safely try again, else failed.
