--- a/control/purges.go
+++ b/control/purges.go
@@ -2,140 +2,157 @@
 
 import "fmt"
 
-// Rule 5: after a purge and its grace nothing is served from an older copy, whichever way a clock is off.
+// After a purge nothing may be served from an older cache entry, however far this machine's clock is off (rule 5 in
+// docs/design.md).
 //
-// A purge comes with its stamp, by the journal service's clock; a copy comes with the time of its issue, by the origin's. Cache
-// servers compare a copy's age with a span, so the purge's time has to be put on our axis, and that may be ahead of the others'
-// clocks or behind them. Two proofs hold without knowing by how much, and each answer has one of them:
+// A purge carries a timestamp by the clock of the discovery service, a cache entry the time of its issue by the origin's
+// clock. Cache servers compare an entry's age with a span, so a purge's time has to be mapped to this router's clock, which
+// may be ahead of the others or behind them by an unknown time. Two checks hold nevertheless, and each answer passes one:
 //
-//   - The accepted age reaches back to when the purge was told here at most. Nobody is told of a purge before it took place, so
-//     a copy that young was issued after it. This is the span wherever the stamp can't be right on our axis.
-//   - The copy's issue is not before the purge's stamp. Neither of the two is a reading of ours.
+//   - The accepted age reaches back no further than to the arrival of the purge here. A purge cannot arrive before it took
+//     place, so an entry that young was issued after it. This check is used where the timestamp may be wrong.
+//   - The entry was not issued before the purge's timestamp. Neither of the two times is a reading of this clock.
 //
 // docs/architecture.md, "Time", has the cases.
 
-// purgeMargin is what the accepted age stays under the time since a purge: stamps are in whole ms.
-const purgeMargin = second / 1000
+const (
+	// purgeMargin is by how much the accepted age stays below the time since a purge: timestamps are in whole ms.
+	purgeMargin = second / 1000
 
-// purgeState is the last told purge of an object with all its parts, or of a group.
+	// minPurgedMaxAge is the lowest accepted age after a purge, in ns: 0 would mean the fresh duration.
+	minPurgedMaxAge = 1000
+
+	// purgeExpiryMargin is for how long a purge is kept beyond the time in which caches drop older entries by themselves; ns.
+	purgeExpiryMargin = second / 2
+)
+
+// purgeState is the last purge of an object with all its parts, or of a group.
 type purgeState struct {
-	stamp int64 // Unix ns by the clock of the journal service; 0: none that can be used
-	told  int64 // when it was told here, on our axis
+	purgedAt   int64 // Unix ns by the clock of the discovery service; 0 if it is not known or cannot be right
+	receivedAt int64 // when it arrived here, by this router's clock
 }
 
-// with is what stands after one more purge was told; the receiver is nil before the first. One with an earlier stamp than the last is
-// told again, or one of the two stamps is wrong: then neither counts.
-func (purge *purgeState) with(now, stamp int64) *purgeState {
-	if stamp <= 0 || purge != nil && stamp < purge.stamp {
-		stamp = 0
+// with returns the state after one more purge; the receiver is nil for the first. If that has an earlier timestamp than the
+// last, either it came twice or one of the timestamps is wrong, and neither is used.
+func (purge *purgeState) with(now, purgedAt int64) *purgeState {
+	if purgedAt <= 0 || purge != nil && purgedAt < purge.purgedAt {
+		purgedAt = 0
 	}
-	return &purgeState{stamp: stamp, told: now}
+	return &purgeState{purgedAt: purgedAt, receivedAt: now}
 }
 
-// purgeLog is the told purges that still matter, and what is known of our axis beside others' clocks.
+// purgeLog holds the recent purges, and what is known about this router's clock in comparison with others.
 type purgeLog struct {
-	last           map[string]*purgeState // by object, and by group under its number
-	clockAhead     bool                   // an entry from before a purge came: our axis is ahead of others' clocks
-	maxClockLead   int64                  // ns; by how much it can be ahead at most, by the youngest entry that came
+	last              map[string]*purgeState // by purgeName
+	clockAhead        bool                   // an entry from before a purge came: this clock is ahead of others
+	maxClockLead      int64                  // ns; by how much it can be ahead at most, by the youngest entry that came
 	clockLeadObserved bool
 }
 
 func newPurgeLog() purgeLog { return purgeLog{last: map[string]*purgeState{}} }
 
-// purgeName is under what a purge is kept.
+// purgeName returns the key of a purge of an object or, without an object, of a group. Snapshots store it.
 func purgeName(object string, group int64) string {
 	if object == "" {
 		return groupName(group)
 	}
-	return "o" + object
+	return objectName(object)
 }
 
+func objectName(object string) string { return "o" + object }
+
 func groupName(group int64) string { return fmt.Sprint("g", group) }
 
-// told notes a purge under its name.
-func (l *purgeLog) told(now int64, name string, stamp int64) {
-	l.last[name] = l.last[name].with(now, stamp)
+// add registers a purge.
+func (l *purgeLog) add(now int64, name string, purgedAt int64) {
+	l.last[name] = l.last[name].with(now, purgedAt)
 }
 
-// removeExpired drops what took place so long ago that all caches and parents have dropped older entries by themselves.
+// removeExpired drops purges that are so old that all caches and parents have dropped older entries by themselves. duration
+// is for how long a purge matters, ns.
 func (l *purgeLog) removeExpired(now, duration int64) {
 	for name, purge := range l.last {
-		if now > purge.told+duration+second/2 {
+		if now > purge.receivedAt+duration+purgeExpiryMargin {
 			delete(l.last, name)
 		}
 	}
 }
 
-// of gives the told purges of a request's object and of its group, nil where there is none.
+// of returns the last purges of a request's object and of its group; each is nil if there is none.
 func (l *purgeLog) of(request *Request) (found [2]*purgeState) {
 	if len(l.last) > 0 {
-		found = [2]*purgeState{l.last["o"+request.Object], l.last[groupName(request.Group)]}
+		found = [2]*purgeState{l.last[objectName(request.Object)], l.last[groupName(request.Group)]}
 	}
 	return found
 }
 
-// trustsTimestamp tells whether a purge's stamp can be right on our axis: what was told was over.
+// trustsTimestamp reports whether a purge's timestamp can be right by this router's clock: it is not after the arrival.
 func (l *purgeLog) trustsTimestamp(purge *purgeState) bool {
-	return !l.clockAhead && purge.stamp > 0 && purge.stamp <= purge.told
+	return !l.clockAhead && purge.purgedAt > 0 && purge.purgedAt <= purge.receivedAt
 }
 
-// observeIssue notes when an entry was issued, Unix ns by the origin's clock.
-func (l *purgeLog) observeIssue(now, issued int64) {
-	if ahead := max(0, now-issued); !l.clockLeadObserved || ahead < l.maxClockLead {
-		l.maxClockLead, l.clockLeadObserved = ahead, true
+// observeIssue learns from the time at which an entry was issued, Unix ns by the origin's clock. No entry comes before its
+// issue, so this clock is ahead by no more than the entry seems old.
+func (l *purgeLog) observeIssue(now, issuedAt int64) {
+	lead := max(0, now-issuedAt)
+	if !l.clockLeadObserved || lead < l.maxClockLead {
+		l.maxClockLead, l.clockLeadObserved = lead, true
 	}
 }
 
-// Purge tells of a purge of one object with all its parts or, with no object, of a group. Its stamp is Unix ns by the clock of the
-// journal service.
-func (r *Router) Purge(now int64, object string, group, stamp int64) {
-	r.purges.told(now, purgeName(object, group), stamp)
+// Purge registers a purge of one object with all its parts or, without an object, of a group. purgedAt is its timestamp, Unix
+// ns by the clock of the discovery service.
+func (r *Router) Purge(now int64, object string, group, purgedAt int64) {
+	r.purges.add(now, purgeName(object, group), purgedAt)
 	r.rates.countPurge(now, object, group)
 }
 
-// limitAgeByPurges lowers an accepted age to what the told purges leave at the sending. It is never 0, which means the fresh time.
+// limitAgeByPurges lowers an accepted age, in ns, to the time since the last purge of the request's object or group. It does
+// not return 0 for an object that was purged, as that would mean the fresh duration.
 func (r *Router) limitAgeByPurges(now int64, request *Request, age int64) int64 {
 	for _, purge := range r.purges.of(request) {
 		if purge == nil {
 			continue
 		}
-		since := purge.told
+		since := purge.receivedAt
 		if r.purges.trustsTimestamp(purge) {
-			since = purge.stamp
+			since = purge.purgedAt
 		}
-		if limit := max(now-since-purgeMargin, 1000); age == 0 || limit < age {
+		limit := max(now-since-purgeMargin, minPurgedMaxAge)
+		if age == 0 || limit < age {
 			age = limit
 		}
 	}
 	return age
 }
 
-// minIssuedAt is from when on a copy must have been issued, by its own stamp, where the accepted age goes by a purge's stamp;
-// 0 is no bound.
-func (r *Router) minIssuedAt(request *Request) (from int64) {
+// minIssuedAt returns the time before which no entry may have been issued that answers a request, Unix ns by the origin's
+// clock. It is 0, no bound, unless the accepted age follows from the timestamp of a purge.
+func (r *Router) minIssuedAt(request *Request) (earliest int64) {
 	if request.isUncacheable() {
-		return 0 // no copy
+		return 0
 	}
 	for _, purge := range r.purges.of(request) {
 		if purge != nil && r.purges.trustsTimestamp(purge) {
-			from = max(from, purge.stamp)
+			earliest = max(earliest, purge.purgedAt)
 		}
 	}
-	return from
+	return earliest
 }
 
-// AcceptsCopy tells whether a copy may be served that an attempt of a request has brought, issued at a Unix time in ns by the
-// origin's clock; 0 or less is no copy. One that may not ends its attempt as Stale.
-func (r *Router) AcceptsCopy(now int64, request *Request, number int, issued int64) bool {
-	if issued <= 0 || number < 0 || number >= len(request.attempts) {
+// AcceptsCopy reports whether the answer to an attempt may be served, by the last purge that was known when the attempt was
+// sent. issuedAt is when its cache entry was issued, Unix ns by the origin's clock; 0 or less is no cache entry. An answer
+// that may not be served ends its attempt with the result Stale.
+func (r *Router) AcceptsCopy(now int64, request *Request, number int, issuedAt int64) bool {
+	if issuedAt <= 0 || number < 0 || number >= len(request.attempts) {
 		return true
 	}
-	r.purges.observeIssue(now, issued)
-	return issued >= request.attempts[number].minIssuedAt
+	r.purges.observeIssue(now, issuedAt)
+	return issuedAt >= request.attempts[number].minIssuedAt
 }
 
-// distrustTimestamps notes that a cache has sent an older copy than a purge's stamp allows, within the age that was asked for: our axis is
-// ahead of the others' clocks. From then on purges count from when they are told.
+// distrustTimestamps is called when a cache has sent an older entry than a purge's timestamp allows, though it kept to the
+// accepted age: this clock is ahead of others. From then on purges count from their arrival.
 func (r *Router) distrustTimestamps() {
 	if !r.purges.clockAhead {
 		r.purges.clockAhead = true
@@ -143,9 +160,10 @@
 	}
 }
 
-// slowStartSince is when an endpoint started, on our axis. Its stamp is another machine's, and an axis that is ahead would have it
-// warm too soon (rule 4). No copy can come before its issue, so the youngest that ever came shows how far ahead the axis can
-// be at most; and nobody started after it was told that it had.
+// slowStartSince returns when an endpoint started, by this router's clock. Its start is stamped by another machine; if this
+// clock is ahead the endpoint would seem warm too soon. So the stamp counts as later by as much as this clock can be ahead,
+// but not as later than its arrival here.
 func (r *Router) slowStartSince(endpoint *endpointState) int64 {
-	return min(endpoint.slowStartFrom, endpoint.slowStartReportedAt-r.purges.maxClockLead) + r.purges.maxClockLead
+	lead := r.purges.maxClockLead
+	return min(endpoint.slowStartFrom, endpoint.slowStartReportedAt-lead) + lead
 }
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -9,32 +9,39 @@
 )
 
 const (
-	// firstBatch is how many candidates are selected at first, and batchGrowth how many times more with each
-	// further batch. Mostly the first candidate is taken.
-	firstBatch     = 4
-	hotShare       = 0.1 // of this router's requests per cache, from which an object is hot
-	minHotRequests = 3.  // and so many requests in the window: a router that just started finds all hot
-	hotSpread      = 3   // most caches that a hot object goes to; less than the first batch
-	batchGrowth    = 8
-	maxBatch       = 256 // a larger batch would take longer than sorting all that is left
-
-	// roundingMargin covers the rounding of a score where a bound of it stands in for it.
+	// firstBatch is how many candidates are selected at first, batchGrowth by how many times each further batch is larger.
+	// In most cases the first candidate is taken.
+	firstBatch  = 4
+	batchGrowth = 8
+
+	// maxBatch is the largest batch that is selected by a scan. Sorting all that is left is faster than a larger one.
+	maxBatch = 256
+
+	// An object is hot if its rate at this router is above hotShare of the mean rate of a cache, and it was requested at least
+	// minHotRequests times in the window: to a router that has just started all objects would look hot.
+	hotShare       = 0.1
+	minHotRequests = 3.
+
+	// maxHotCaches is the largest number of caches that serve a hot object. It is less than firstBatch.
+	maxHotCaches = 3
+
+	// roundingMargin covers the rounding of a score that is compared by a bound of it.
 	roundingMargin = 1 + 1e-12
 )
 
-// tier is a list of endpoints with the figures that a scan needs side by side, so that it reads little memory.
+// tier is a list of endpoints, with what a scan over them needs in an array of its own so that it reads little memory.
 type tier struct {
 	endpointList
 	keys []rankKey // of the endpoint at the same index
 }
 
-// rankKey is what an endpoint's score in a ranking depends on.
+// rankKey is what the score of an endpoint depends on, beside the object.
 type rankKey struct {
 	id     uint64
 	weight float64
 }
 
-// put inserts an endpoint or, if it is in the tier already, takes over its weight.
+// put inserts an endpoint, or updates its weight if it is in the tier already.
 func (t *tier) put(endpoint *endpointState) {
 	index, found := t.search(endpoint)
 	if !found {
@@ -44,7 +51,7 @@
 	t.keys[index] = rankKey{uint64(endpoint.ID), endpoint.hashWeight}
 }
 
-// remove takes an endpoint out.
+// remove removes an endpoint if it is in the tier.
 func (t *tier) remove(endpoint *endpointState) {
 	if index, found := t.search(endpoint); found {
 		t.endpoints = slices.Delete(t.endpoints, index, index+1)
@@ -58,27 +65,27 @@
 	t.endpoints, t.keys = t.endpoints[:0], t.keys[:0]
 }
 
-// objectHash is an object's hash, from which its endpoints' scores are drawn.
+// objectHash returns the hash of an object, from which the scores of endpoints for it follow.
 func (r *Router) objectHash(key objectKey) uint64 {
 	r.keyBytes = binary.LittleEndian.AppendUint64(append(r.keyBytes[:0], key.object...), uint64(key.part))
-	h := fnv.New64a()
-	h.Write(r.keyBytes)
-	return h.Sum64()
+	hash := fnv.New64a()
+	hash.Write(r.keyBytes)
+	return hash.Sum64()
 }
 
-// uniform draws a number from (0, 1] from an object's hash and an endpoint's ID.
+// uniform maps an object's hash and an endpoint's ID to a number that is distributed evenly over (0, 1].
 func uniform(hash, id uint64) float64 {
 	x := (hash ^ id) * 0xff51afd7ed558ccd
 	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
 	return (float64((x^x>>33)>>11) + 0.5) / (1 << 53)
 }
 
-// score is an endpoint's place in weighted rendezvous hashing: the least comes first.
-func score(uniform, weight float64) float64 { return -math.Log(uniform) / weight }
+// score is what weighted rendezvous hashing orders endpoints by, lowest first.
+func score(draw, weight float64) float64 { return -math.Log(draw) / weight }
 
-// candidate is an endpoint of a tier with what it is ordered by.
+// candidate is an endpoint of a tier with what it is ordered by: its load, then its score, then its ID.
 type candidate struct {
-	load  float64 // 0 where loads do not count
+	load  float64 // 0 where the order is not by load
 	score float64
 	index int // in the tier
 }
@@ -90,48 +97,49 @@
 	if order := cmp.Compare(c.score, other.score); order != 0 {
 		return order
 	}
-	return cmp.Compare(c.index, other.index) // as the IDs
+	return cmp.Compare(c.index, other.index) // a tier is in the order of the IDs
 }
 
-// candidates yields the endpoints of a tier in the order in which an object prefers them: by rendezvous hashing
-// weighted by size, alike at every router. They are selected in batches, only as far as they are asked for.
+// candidates iterates over the endpoints of a tier in the order in which an object prefers them: rendezvous hashing weighted
+// by capacity, which is the same at every router. They are selected in batches, and no further than next is called.
 type candidates struct {
 	tier      *tier
-	hash      uint64
+	hash      uint64 // of the object
 	loads     loadScale
-	byLoad    bool // the least loaded come first
-	spread    int  // so many of the first, less than firstBatch, are ordered by load
-	limited   bool // endpoints with a load of loadLimit or more are left out
-	loadLimit float64
-	first     *endpointState // yielded before all of the tier; nil is none
-	last      *endpointState // yielded after all of the tier; nil is none
-
-	// While hundreds of endpoints recover, those that are known to bear no such work now are left out behind the first batch:
-	// whoever asks would pass over them.
-	skipsPostponed bool // those that are postponed
-	now       int64
-	work      float64
-
-	batch                 []candidate // in order
-	position              int         // of the next one in the batch
-	batchSize             int         // of the next batch
-	exhausted             bool        // no endpoint comes after the batch
-	firstGiven, lastGiven bool
+	byLoad    bool           // the least loaded come first
+	hotCaches int            // so many of the first, less than firstBatch, are ordered by load
+	limited   bool           // endpoints with a load of loadLimit or more are skipped
+	loadLimit float64        // a multiple of the capacity
+	first     *endpointState // comes before the tier's endpoints; may be nil
+	last      *endpointState // comes after the tier's endpoints; may be nil
+
+	// While hundreds of endpoints are in slow start, those that are known to admit no such work now are skipped from the
+	// second batch on. The caller would pass over them, at a greater cost.
+	skipsPostponed bool
+	now            int64
+	work           float64 // s; sending time of the request
+
+	batch      []candidate // in order
+	position   int         // in the batch, of the next candidate
+	batchSize  int         // of the next batch
+	exhausted  bool        // no endpoint of the tier comes after the batch
+	firstGiven bool
+	lastGiven  bool
 }
 
-// rewind starts from the first candidate again.
+// rewind restarts the iteration.
 func (c *candidates) rewind() {
 	c.batch, c.position, c.batchSize, c.exhausted = c.batch[:0], 0, firstBatch, false
 	c.firstGiven, c.lastGiven = false, false
 }
 
-// excludeLoaded starts anew, without the endpoints that have a load or more.
+// excludeLoaded restarts the iteration, without the endpoints that have at least a load.
 func (c *candidates) excludeLoaded(load float64) {
 	c.limited, c.loadLimit = true, load
 	c.rewind()
 }
 
-// next gives the next candidate, or nil after the last.
+// next returns the next candidate, or nil after the last.
 func (c *candidates) next() *endpointState {
 	if !c.firstGiven {
 		c.firstGiven = true
@@ -160,7 +168,7 @@
 	return c.last
 }
 
-// selectBatch selects the candidates that come next after the batch.
+// selectBatch replaces the batch by the candidates that follow it.
 func (c *candidates) selectBatch() {
 	first := len(c.batch) == 0
 	after := candidate{load: math.Inf(-1)}
@@ -178,31 +186,31 @@
 	}
 	c.exhausted = len(c.batch) < c.batchSize || c.batchSize > maxBatch
 	c.batchSize *= batchGrowth
-	if first && c.spread > 1 {
-		slices.SortStableFunc(c.batch[:min(c.spread, len(c.batch))], func(a, b candidate) int {
+	if first && c.hotCaches > 1 {
+		slices.SortStableFunc(c.batch[:min(c.hotCaches, len(c.batch))], func(a, b candidate) int {
 			return cmp.Compare(c.loads.of(c.tier.endpoints[a.index]), c.loads.of(c.tier.endpoints[b.index]))
 		})
 	}
 }
 
-// sortRemaining fills the batch with all that come after a candidate.
+// sortRemaining fills the batch with all endpoints that come after a candidate.
 func (c *candidates) sortRemaining(after candidate) {
 	for index, key := range c.tier.keys {
 		if c.isSkipped(index) {
 			continue
 		}
-		x := candidate{score: score(uniform(c.hash, key.id), key.weight), index: index}
+		next := candidate{score: score(uniform(c.hash, key.id), key.weight), index: index}
 		if c.byLoad {
-			x.load = c.loads.of(c.tier.endpoints[index])
+			next.load = c.loads.of(c.tier.endpoints[index])
 		}
-		if x.compare(after) > 0 {
-			c.batch = append(c.batch, x)
+		if next.compare(after) > 0 {
+			c.batch = append(c.batch, next)
 		}
 	}
 	slices.SortFunc(c.batch, candidate.compare)
 }
 
-// isSkipped tells whether an endpoint is left out behind the first batch.
+// isSkipped reports whether an endpoint is skipped because its slow start admits no such work now.
 func (c *candidates) isSkipped(index int) bool {
 	if !c.skipsPostponed || c.batchSize == firstBatch {
 		return false
@@ -211,61 +219,67 @@
 	return endpoint.slowStart.isPostponed(c.now, endpoint.slowStartFrom, c.work)
 }
 
-// skipPostponed has endpoints left out that bear no such work now, if there can be any.
-func (c *candidates) skipPostponed(now int64, work float64, until int64) {
-	c.skipsPostponed, c.now, c.work = now < until, now, work
+// skipPostponed has endpoints skipped that admit no such work now; there can be any only before a time, postponedUntil.
+func (c *candidates) skipPostponed(now int64, work float64, postponedUntil int64) {
+	c.skipsPostponed, c.now, c.work = now < postponedUntil, now, work
 }
 
-// scanByScore fills the batch with the least by score that come after a candidate.
+// scanByScore fills the batch with the endpoints of lowest score that come after a candidate.
 func (c *candidates) scanByScore(after candidate) {
 	worst := math.Inf(1)
 	for index, key := range c.tier.keys {
-		u := uniform(c.hash, key.id)
-		if mustExceed(u, key.weight, worst) || c.isSkipped(index) {
+		draw := uniform(c.hash, key.id)
+		if mustExceed(draw, key.weight, worst) || c.isSkipped(index) {
 			continue
 		}
-		worst = c.add(candidate{score: score(u, key.weight), index: index}, after).score
+		worst = c.add(candidate{score: score(draw, key.weight), index: index}, after).score
 	}
 }
 
-// scanByLoad fills the batch with the least by load, and by score among equals, that come after a candidate.
+// scanByLoad fills the batch with the endpoints of lowest load, and of lowest score among equals, that come after a
+// candidate.
 func (c *candidates) scanByLoad(after candidate) {
 	worst := candidate{load: math.Inf(1), score: math.Inf(1)}
-	var before *endpointState
+	var previous *endpointState
 	var load float64
 	for index, key := range c.tier.keys {
-		u := uniform(c.hash, key.id)
-		exceeds := mustExceed(u, key.weight, worst.score)
+		draw := uniform(c.hash, key.id)
+		exceeds := mustExceed(draw, key.weight, worst.score)
 		if exceeds && worst.load <= c.loads.minLoad || c.isSkipped(index) {
 			continue // whatever its load is
 		}
 		endpoint := c.tier.endpoints[index]
-		if before == nil || endpoint.Capacity != before.Capacity || endpoint.withinObjective != before.withinObjective { // mostly all are alike
+		if previous == nil || !endpoint.loadsLike(previous) { // most are alike
 			load = c.loads.of(endpoint)
 		}
-		before = endpoint
+		previous = endpoint
 		if load > worst.load || load < after.load || exceeds && load == worst.load {
 			continue
 		}
-		worst = c.add(candidate{load: load, score: score(u, key.weight), index: index}, after)
+		worst = c.add(candidate{load: load, score: score(draw, key.weight), index: index}, after)
 	}
 }
 
-// mustExceed tells that a score is certainly above a bound, without its logarithm: -ln(u) is at least 1-u.
-func mustExceed(uniform, weight, bound float64) bool {
-	return 1-uniform > bound*weight*roundingMargin
+// loadsLike reports whether two caches certainly have the same load.
+func (endpoint *endpointState) loadsLike(other *endpointState) bool {
+	return endpoint.Capacity == other.Capacity && endpoint.withinObjective == other.withinObjective
 }
 
-// add puts a candidate at its place in the batch, if it comes after the given one and among the batch's size. It
-// returns what a further one must come before.
-func (c *candidates) add(x, after candidate) (worst candidate) {
-	if x.compare(after) > 0 {
-		if len(c.batch) == c.batchSize && x.compare(c.batch[len(c.batch)-1]) < 0 {
+// mustExceed reports whether a score is certainly above a bound. It computes no logarithm: -ln(u) is at least 1-u.
+func mustExceed(draw, weight, bound float64) bool {
+	return 1-draw > bound*weight*roundingMargin
+}
+
+// add inserts a candidate into the batch in order, if it comes after the given one and the batch has space for it or holds
+// a later one, which it drops. It returns the candidate that a further one must come before.
+func (c *candidates) add(next, after candidate) (worst candidate) {
+	if next.compare(after) > 0 {
+		if len(c.batch) == c.batchSize && next.compare(c.batch[len(c.batch)-1]) < 0 {
 			c.batch = c.batch[:len(c.batch)-1]
 		}
 		if len(c.batch) < c.batchSize {
-			index, _ := slices.BinarySearchFunc(c.batch, x, candidate.compare)
-			c.batch = slices.Insert(c.batch, index, x)
+			index, _ := slices.BinarySearchFunc(c.batch, next, candidate.compare)
+			c.batch = slices.Insert(c.batch, index, next)
 		}
 	}
 	if len(c.batch) < c.batchSize {
@@ -274,40 +288,54 @@
 	return c.batch[len(c.batch)-1]
 }
 
-// cacheCandidates are the caches in the order in which they may serve a request.
+// cacheCandidates returns the caches in the order in which they may serve a request. An object goes to its home cache, the
+// first by its hash; a hot one to the least loaded of two or three; a request that is not cacheable to the least loaded of
+// all.
 func (r *Router) cacheCandidates(now int64, request *Request) *candidates {
-	c := &r.cacheOrder
-	*c = candidates{
-		tier: &r.cacheTier, hash: r.objectHash(request.record.key), loads: r.loadScale(now), spread: 1,
-		batch: c.batch,
+	ranked := &r.cacheOrder
+	*ranked = candidates{
+		tier:      &r.cacheTier,
+		hash:      r.objectHash(request.record.key),
+		loads:     r.loadScale(now),
+		hotCaches: 1,
+		batch:     ranked.batch,
 	}
 	if request.isUncacheable() {
-		c.byLoad = true // it has no home
-	} else if n := float64(len(r.caches)); n > 1 && request.record.requestCount >= minHotRequests {
-		// A hot object goes to two or three caches, the least busy of them.
-		hot := r.rates.ofObject(now, request.record) * n / (hotShare * r.rates.ofAll(now))
-		c.spread = max(1, min(1+int(hot), hotSpread, len(r.caches)))
+		ranked.byLoad = true
+	} else {
+		ranked.hotCaches = r.cachesFor(now, request.record)
 	}
-	c.skipPostponed(now, request.class.sendingTime, r.postponedUntil)
-	c.rewind()
-	return c
+	ranked.skipPostponed(now, request.class.sendingTime, r.postponedUntil)
+	ranked.rewind()
+	return ranked
+}
+
+// cachesFor returns over how many caches the requests for an object are spread.
+func (r *Router) cachesFor(now int64, record *objectRecord) int {
+	caches := len(r.caches)
+	if caches <= 1 || record.requestCount < minHotRequests {
+		return 1
+	}
+	hot := r.rates.ofObject(now, record) * float64(caches) / (hotShare * r.rates.ofAll(now))
+	return max(1, min(1+int(hot), maxHotCaches, caches))
 }
 
-// sourceCandidates are the parents, and last the origin, in the order in which they may fill an object. What is never kept
-// gains nothing from a parent: it goes straight to the origin, and to parents only once that has turned it away. The parent
-// of its hash may lie in any hub, and the way to it and on to the origin cost a class of short deadlines all of its time.
+// sourceCandidates returns the parents, and the origin last, in the order in which they may fill an object. A request that
+// is not cacheable gains nothing from a parent: it goes straight to the origin, and to a parent only after the origin has
+// rejected it. The parent that its hash selects may be in any location, and the detour would cost a class with a short
+// deadline all of its time.
 func (r *Router) sourceCandidates(now int64, request *Request) *candidates {
-	c := &r.sourceOrder
-	*c = candidates{tier: &r.parentTier, hash: r.objectHash(request.record.key), batch: c.batch}
+	ranked := &r.sourceOrder
+	*ranked = candidates{tier: &r.parentTier, hash: r.objectHash(request.record.key), batch: ranked.batch}
 	switch {
 	case request.isUncacheable():
-		c.first = r.origin
+		ranked.first = r.origin
 	case r.origin != nil && request.sourceRejected() && r.settings.originUnlimited:
-		c.tier, c.last = &tier{}, r.origin
+		ranked.tier, ranked.last = &tier{}, r.origin
 	default:
-		c.last = r.origin
+		ranked.last = r.origin
 	}
-	c.skipPostponed(now, request.class.sendingTime, r.postponedUntil)
-	c.rewind()
-	return c
+	ranked.skipPostponed(now, request.class.sendingTime, r.postponedUntil)
+	ranked.rewind()
+	return ranked
 }
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -70,7 +70,7 @@
 		snapshot.Classes = append(snapshot.Classes, ClassSnapshot{name, class.sendingTime, class.responseTime, class.samples})
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.purges.last)) {
-		snapshot.Purges = append(snapshot.Purges, PurgeSnapshot{name, r.purges.last[name].stamp})
+		snapshot.Purges = append(snapshot.Purges, PurgeSnapshot{name, r.purges.last[name].purgedAt})
 	}
 	return snapshot
 }
@@ -103,7 +103,7 @@
 		r.restoreClass(learned)
 	}
 	for _, purge := range snapshot.Purges {
-		r.purges.told(now, purge.Name, purge.PurgedAt)
+		r.purges.add(now, purge.Name, purge.PurgedAt)
 	}
 	elapsed := max(0, now-snapshot.TakenAt)
 	if rates {
