--- a/control/outliers.go
+++ b/control/outliers.go
@@ -66,7 +66,9 @@
 func (e evidence) attempts() float64 { return e.successes + e.failures }
 
 // suffices reports whether an endpoint with this evidence may be ejected, depending on its peers.
-func (e evidence) suffices() bool { return e.silence >= silenceThreshold || e.failures >= failureThreshold }
+func (e evidence) suffices() bool {
+	return e.silence >= silenceThreshold || e.failures >= failureThreshold
+}
 
 // excess returns by how much the evidence on an endpoint exceeds that on its peers: the silence score, and the part of the
 // attempts that failed.
--- a/control/rates.go
+++ b/control/rates.go
@@ -6,24 +6,26 @@
 )
 
 const (
-	rateWindow   = 10 * second // ns; over which rates are averaged, exponentially
-	recentWindow = 10 * second // ns; over which a decayingCount fades
-	maxObjects   = 10000       // that are counted as asked for lately, and as many that were displaced by those
+	rateWindow   = 10 * second // ns; over which rates decay
+	recentWindow = 10 * second // ns; over which a decayingCount decays
 
-	// maxGuessedRetryCount is how many requests in the window an object may have for one soon after a rejection, within
-	// guessedRetryWindow, to be taken for that client's retry.
-	maxGuessedRetryCount = 10.
+	// maxObjects bounds the records of recently requested objects, and those of evicted ones.
+	maxObjects = 10000
+
+	// A request that comes within guessedRetryWindow after one for the same object was not served is taken for a retry of
+	// that client, unless the object has maxGuessedRetryCount requests in rateWindow: then it is probably another client.
 	guessedRetryWindow   = second // ns
+	maxGuessedRetryCount = 10.
 )
 
-// decay is what is left of a figure so long after, where it fades to a part of 1/e over a window, both ns.
-func decay(figure float64, since, window int64) float64 {
-	return figure * math.Exp(-float64(since)/float64(window))
+// decay returns what is left of a value after a time, if it decays exponentially to 1/e over a window; both in ns.
+func decay(value float64, elapsed, window int64) float64 {
+	return value * math.Exp(-float64(elapsed)/float64(window))
 }
 
-// decayingCount counts what happened lately.
+// decayingCount counts recent occurrences: each fades over recentWindow.
 type decayingCount struct {
-	count  float64
+	count  float64 // as of lastAt
 	lastAt int64
 }
 
@@ -31,57 +33,58 @@
 
 func (c *decayingCount) add(now int64) { c.count, c.lastAt = c.at(now)+1, now }
 
-// decayingWork is sending time lately, s: of what came in time, or was asked for; and the best that an endpoint had.
+// decayingWork is recent work in seconds of sending time. It decays over rateWindow.
 type decayingWork struct {
-	work, best float64
-	lastAt     int64
+	work   float64 // as of lastAt
+	best   float64 // the highest capacity that one endpoint of a tier showed so far, by this work
+	lastAt int64
 }
 
 func (c *decayingWork) at(now int64) float64 { return decay(c.work, now-c.lastAt, rateWindow) }
 
 func (c *decayingWork) add(now int64, work float64) { c.work, c.lastAt = c.at(now)+work, now }
 
-// objectKey names one object: a part is filled and kept on its own, so each is an object to the design.
+// objectKey identifies an object. Parts of an object are filled and cached separately, so each counts as an object.
 type objectKey struct {
 	object string
 	part   int64
 }
 
-// objectRecord is what is known of one object.
+// objectRecord is what a router knows of one object.
 type objectRecord struct {
-	key             objectKey
-	group           int64
-	requestCount    float64 // decayed over rateWindow
-	countedAt       int64
-	firstSeenAt     int64
-	purgeCount      float64
-	maxAge          int64 // ns; accepted age, held until maxAgeUntil; 0 is not set
-	maxAgeUntil     int64
-	evicted         bool  // from the objects asked for lately
-	unservedAt        int64 // when a request for it was last given up
-	likelyCachedUntil int64 // until when a cache is taken to hold it
-	element         *list.Element
-}
-
-// countRequest counts one request.
+	key               objectKey
+	group             int64
+	requestCount      float64 // as of countedAt; decays over rateWindow
+	countedAt         int64
+	firstSeenAt       int64
+	purgeCount        float64
+	maxAge            int64 // ns; accepted age, valid until maxAgeUntil; 0 is none
+	maxAgeUntil       int64
+	evicted           bool          // from the recently requested objects
+	unservedAt        int64         // when a request for it was last rejected or failed
+	likelyCachedUntil int64         // until when it is taken to be cached
+	element           *list.Element // its place in recentObjects or evictedObjects
+}
+
+// countRequest counts a request for the object.
 func (record *objectRecord) countRequest(now int64) {
 	record.requestCount = decay(record.requestCount, now-record.countedAt, rateWindow) + 1
 	record.countedAt = now
 }
 
-// isLikelyRetried tells whether a request that comes now is likely the retry of one that was given up on here.
+// isLikelyRetried reports whether a request that comes now is likely the retry of one that was not served here.
 func (record *objectRecord) isLikelyRetried(now int64) bool {
 	return now < record.unservedAt+guessedRetryWindow && record.requestCount < maxGuessedRetryCount
 }
 
-// requestRates are the request rates of the objects asked for lately, and of all together. It is bounded: an object that was
-// not asked for longest is evicted, and kept aside with its rate until as many others have been.
+// requestRates counts requests, by object and in all. It keeps records of maxObjects objects, the least recently requested
+// of which is evicted by a new one, and those of as many evicted objects, which keep their rates.
 type requestRates struct {
-	startedAt      int64 // when this began to count
+	startedAt      int64 // when counting started
 	objects        map[objectKey]*objectRecord
-	recentObjects  *list.List // of records, the one asked for last first
-	evictedObjects *list.List
-	requestCount   float64 // all requests, decayed over rateWindow
+	recentObjects  *list.List // of *objectRecord, the last requested first
+	evictedObjects *list.List // of *objectRecord, the last evicted first
+	requestCount   float64    // of all requests, as of requestCountAt; decays over rateWindow
 	requestCountAt int64
 }
 
@@ -95,8 +98,8 @@
 	}
 }
 
-// record counts a request and gives its object's record. Clients' retries don't count, marked or guessed by what was given up
-// on here a moment ago: they would shrink ages while parents strain.
+// record counts a request and returns the record of its object. Clients' retries, marked or guessed, do not count: they are
+// many when parents are overloaded, and would lower accepted ages and so cause still more fills.
 func (rates *requestRates) record(now int64, request *Request) *objectRecord {
 	record := rates.touch(now, request)
 	rates.evict()
@@ -109,7 +112,7 @@
 	return record
 }
 
-// touch gives an object's record, made if it is new, as the one asked for last.
+// touch returns the record of a request's object, a new one if need be, and makes it the last requested.
 func (rates *requestRates) touch(now int64, request *Request) *objectRecord {
 	key := objectKey{request.Object, request.Part}
 	record := rates.objects[key]
@@ -126,19 +129,20 @@
 	return record
 }
 
-// evict keeps both lists within maxObjects.
+// evict bounds both lists to maxObjects.
 func (rates *requestRates) evict() {
 	if rates.recentObjects.Len() > maxObjects {
-		old := rates.recentObjects.Remove(rates.recentObjects.Back()).(*objectRecord)
-		old.evicted, old.maxAge, old.element = true, 0, rates.evictedObjects.PushFront(old)
+		oldest := rates.recentObjects.Remove(rates.recentObjects.Back()).(*objectRecord)
+		oldest.evicted, oldest.maxAge = true, 0
+		oldest.element = rates.evictedObjects.PushFront(oldest)
 	}
 	if rates.evictedObjects.Len() > maxObjects {
-		old := rates.evictedObjects.Remove(rates.evictedObjects.Back()).(*objectRecord)
-		delete(rates.objects, old.key)
+		oldest := rates.evictedObjects.Remove(rates.evictedObjects.Back()).(*objectRecord)
+		delete(rates.objects, oldest.key)
 	}
 }
 
-// countPurge counts a purge of one object with all its parts or, with no object, of a group.
+// countPurge counts a purge of one object with all its parts or, without an object, of a group.
 func (rates *requestRates) countPurge(now int64, object string, group int64) {
 	for element := rates.recentObjects.Front(); element != nil; element = element.Next() {
 		record := element.Value.(*objectRecord)
@@ -149,18 +153,19 @@
 	}
 }
 
-// ofObject is the rate at which this router is asked for an object, requests a second.
+// ofObject returns this router's rate of requests for an object, a second.
 func (rates *requestRates) ofObject(now int64, record *objectRecord) float64 {
 	return rates.perSecond(now, record.requestCount, record.countedAt, rateWindow)
 }
 
-// ofAll is the rate of all requests, a second.
+// ofAll returns this router's rate of all requests, a second.
 func (rates *requestRates) ofAll(now int64) float64 {
 	return rates.perSecond(now, rates.requestCount, rates.requestCountAt, rateWindow)
 }
 
-// perSecond turns a figure that decays over a window into a rate; a young router has counted for less than the window.
-func (rates *requestRates) perSecond(now int64, figure float64, countedAt, window int64) float64 {
+// perSecond returns the rate that follows from a sum that decays over a window, in ns. It divides by the time since counting
+// started if that is less than the window, but by a second at least.
+func (rates *requestRates) perSecond(now int64, sum float64, countedAt, window int64) float64 {
 	span := float64(max(min(now-rates.startedAt, window), second)) / 1e9
-	return decay(figure, now-countedAt, window) / span
+	return decay(sum, now-countedAt, window) / span
 }
--- a/control/requests.go
+++ b/control/requests.go
@@ -5,60 +5,65 @@
 	"tealpath/internal/timerqueue"
 )
 
-// attemptKind is which admission limit an attempt counts in.
+// attemptKind says which admission limit an attempt counts against.
 type attemptKind int
 
 // The kinds of attempts.
 const (
-	hits    attemptKind = iota // the cache likely holds the object
-	fills                      // it is likely filled from a parent
-	fetches                    // it is fetched from the origin: a parent has said that it lacks it
-	kinds   = 3
+	hits    attemptKind = iota // the cache likely has the object
+	fills                      // the cache likely has to fill it from a parent
+	fetches                    // it comes from the origin: a parent, or the cache, has answered that it lacks it
+	kinds   = 3                // number of kinds
 )
 
 func (k attemptKind) String() string { return [kinds]string{"hits", "fills", "fetches"}[k] }
 
-// requestState is what the module keeps of a request.
+// requestState is what a router knows of a request.
 type requestState struct {
 	class        *classState // nil until Decide has seen the request
 	record       *objectRecord
 	arrivedAt    int64
-	exhaustedAt  int64 // when it was last held as this machine could open no connections
+	exhaustedAt  int64 // when it last waited because this machine could open no connections
 	attempts     []*attemptState
-	inFlight     int  // of the attempts
+	inFlight     int  // attempts that have not ended
 	ended        bool // it has its final answer, or needs none
-	sourceMissed bool // its source lacks the object
-	diverted     bool // its first cache is at its limit: another one is to fill it
+	sourceMissed bool // its source, or its cache, has answered that it lacks the object
+	diverted     bool // its home cache is at its limit, and another one is to fill the object
 }
 
-// attemptState is what the module keeps of an attempt.
+// attemptState is what a router knows of an attempt.
 type attemptState struct {
-	sentAt        int64
-	cache, source *endpointState // source is nil where the cache is asked only for what it holds
-	probed        *endpointState // the ejected endpoint that this attempt probes; nil is none
-	ended         bool
-	result        Result // once it has ended
-	sourceRejected bool   // its source was at its limit, or dead
-	kind          attemptKind
-	sendTimeout   int64 // ns; for how long it may wait to be on its way
-	lateAt        int64 // from when an answer is late
-	isLate        bool  // lateAt has come
-	lateTimer     *timerqueue.Timer[*attemptState]
-	minIssuedAt   int64 // Unix ns; from when on what it brings must have been issued, by its own stamp; 0 is no bound
+	sentAt         int64
+	cache          *endpointState
+	source         *endpointState // nil if the cache may serve only what it has cached
+	probed         *endpointState // the ejected endpoint that this attempt probes; nil is none
+	ended          bool
+	result         Result // valid if ended
+	sourceRejected bool   // its source was at its limit, dead or lacked the object
+	kind           attemptKind
+	sendTimeout    int64 // ns; within that it has to be sent
+	lateAt         int64 // from when an answer is late
+	isLate         bool  // lateAt has passed
+	lateTimer      *timerqueue.Timer[*attemptState]
+	minIssuedAt    int64 // Unix ns by the origin's clock; older entries are not accepted; 0 is no bound
 }
 
-// mayHaveRun tells whether nothing proves that an attempt did not take effect.
+// mayHaveRun reports whether an attempt may have taken effect at a server.
 func (attempt *attemptState) mayHaveRun() bool {
 	return !attempt.ended || attempt.result > NotSent && attempt.result != LocalError
 }
 
-// waitsForEjected tells whether an attempt waits for an ejected endpoint. A probe gets its time, else it teaches nothing.
+// waitsForEjected reports whether an attempt waits for an endpoint that has been ejected. It does not for the endpoint that
+// it probes, until minProbeBackoff is over.
 func (attempt *attemptState) waitsForEjected(now int64, endpoint *endpointState) bool {
-	return endpoint != nil && endpoint.ejected && (attempt.probed != endpoint || now-attempt.sentAt > minProbeBackoff)
+	if endpoint == nil || !endpoint.ejected {
+		return false
+	}
+	return attempt.probed != endpoint || now-attempt.sentAt > minProbeBackoff
 }
 
-// disqualifies tells whether an attempt is a reason not to try an endpoint again. A connection that broke by itself is none
-// to fill the object elsewhere.
+// disqualifies reports whether an attempt is a reason not to send the request to an endpoint again. A connection that broke
+// and the like are none: a retry may well succeed there, and another cache would have to fill the object first.
 func (attempt *attemptState) disqualifies(endpoint *endpointState) bool {
 	switch attempt.result {
 	case ConnectionLost, SendInterrupted, ServerError, NotHeld, Stale, LocalError:
@@ -67,7 +72,7 @@
 	return attempt.cache == endpoint || attempt.source == endpoint
 }
 
-// nextKind is the kind of the next attempt.
+// nextKind returns the kind that the next attempt of a request is likely to be.
 func (request *Request) nextKind(now int64) attemptKind {
 	switch {
 	case request.sourceMissed:
@@ -78,10 +83,11 @@
 	return hits
 }
 
-// isUncacheable tells whether no cache or parent keeps the answer to a request: it runs at the origin.
+// isUncacheable reports whether the answer to a request is never cached, because only the origin can answer it.
 func (request *Request) isUncacheable() bool { return request.class.uncacheable || request.Write }
 
-// sendDeadline is until when a request may stay without an attempt that came whole to a cache.
+// sendDeadline returns by when a request has to be sent to a cache: halfway to its deadline, so that there is time left for
+// the answer, and later only if an attempt got as far as a cache.
 func (request *Request) sendDeadline() int64 {
 	for _, attempt := range request.attempts {
 		if attempt.mayHaveRun() || attempt.result == Overloaded || attempt.result == NotHeld {
@@ -91,26 +97,26 @@
 	return request.arrivedAt + (request.Deadline-request.arrivedAt)/2
 }
 
-// sendTimeout is how long an attempt that begins now may wait to be on its way, ns.
+// sendTimeout returns for how long an attempt that starts now may wait until it is sent, in ns.
 func (request *Request) sendTimeout(now int64) int64 {
 	timeout := min(request.sendDeadline(), request.Deadline-request.class.minResponseTime()) - now
 	if request.class.idempotency != keyed {
 		return timeout
 	}
 	for _, before := range request.attempts {
-		if before.mayHaveRun() { // the server drops repetitions for so long, late links or not
+		if before.mayHaveRun() { // the server drops repetitions only within the window, whenever they are sent
 			timeout = min(timeout, before.sentAt+request.class.keyWindow-now)
 		}
 	}
 	return timeout
 }
 
-// waitUntil is until when a request that finds no place is held.
+// waitUntil returns until when a request waits if no endpoint can take it.
 func (request *Request) waitUntil() int64 {
 	return max(request.arrivedAt, request.exhaustedAt) + request.class.objective/maxWaitDivisor
 }
 
-// lastAttempt is the last attempt of a request, nil before the first.
+// lastAttempt returns the last attempt of a request, or nil before the first.
 func (request *Request) lastAttempt() *attemptState {
 	if len(request.attempts) == 0 {
 		return nil
@@ -118,24 +124,24 @@
 	return request.attempts[len(request.attempts)-1]
 }
 
-// sourceRejected tells whether the last attempt found its source at its limit or dead. The other parents are likely
-// no better: one who can't fall over, the origin, is asked.
+// sourceRejected reports whether the source rejected the last attempt. Then the other parents are likely to reject the next
+// one too, and it goes to the origin if that cannot be overloaded.
 func (request *Request) sourceRejected() bool {
 	last := request.lastAttempt()
 	return last != nil && last.sourceRejected
 }
 
-// attemptCount is how many of a request's attempts left this machine, or may yet.
-func (request *Request) attemptCount() (n int) {
+// attemptCount returns how many attempts of a request count: all but those that failed on this machine.
+func (request *Request) attemptCount() (count int) {
 	for _, attempt := range request.attempts {
 		if !attempt.ended || attempt.result != LocalError {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// anyMayHaveRun tells whether an attempt of a request may have taken effect.
+// anyMayHaveRun reports whether an attempt of a request may have taken effect at a server.
 func (request *Request) anyMayHaveRun() bool {
 	return slices.ContainsFunc(request.attempts, (*attemptState).mayHaveRun)
 }
--- a/control/retries.go
+++ b/control/retries.go
@@ -1,30 +1,48 @@
 package control
 
 const (
-	retryTokensPerRequest  = 0.15 // that each first attempt of the highest weight adds
-	maxRetryTokens         = 10.
-	freeAttempts           = 3    // attempts of a request under which a further one takes no token if the last showed no jam
-	hedgeDelayShare        = 0.6  // of the objective after which an attempt may be hedged
-	lostResponseThreshold  = 1.5  // answers lost lately from which attempts are hedged
-	sourceRejectionThreshold = 1.5  // fills refused by parents lately from which the origin is asked for what is not admitted
-	maxHealthyFailureRatio = 0.03 // failures for each success up to which an endpoint is healthy
-	retryAfterShare        = 0.2  // of the objective after which a rejected client is to come back, at least
-	minAllowedAttempts   = 2    // of a class without weight; one of the highest weight has attemptsByWeight more
-	attemptsByWeight       = 2
+	// Retry tokens: a first attempt adds retryTokensPerRequest times its class's weight, relative to the largest, up to
+	// maxRetryTokens in all.
+	retryTokensPerRequest = 0.15
+	maxRetryTokens        = 10.
+
+	// freeAttempts bounds the attempts of a request up to which a retry takes no token if the attempt before shows no sign of
+	// an overload.
+	freeAttempts = 3
+
+	// hedgeDelayShare is the part of the latency objective after which an attempt may be hedged.
+	hedgeDelayShare = 0.6
+
+	// lostResponseThreshold is how many recent answers, decayed, have to be missing for attempts to be hedged.
+	lostResponseThreshold = 1.5
+
+	// sourceRejectionThreshold is how many recent fills, decayed, parents have to have rejected for the origin to get
+	// requests that are not admitted as fills.
+	sourceRejectionThreshold = 1.5
+
+	// maxHealthyFailureRatio is how many failures for each success a healthy endpoint has at most.
+	maxHealthyFailureRatio = 0.03
+
+	// retryAfterShare is the part of the latency objective that Retry-After is at least; it is twice that at most.
+	retryAfterShare = 0.2
+
+	// A class without weight is allowed minAllowedAttempts, one of the largest weight attemptsByWeight more.
+	minAllowedAttempts = 2
+	attemptsByWeight   = 2
 )
 
-// retryState bounds further attempts. Without this bound a jam feeds on itself. It hurts where one cache of few fails and more
-// could be saved elsewhere.
+// retryState bounds retries and hedges. Without a bound they would make an overload worse. The bound costs requests when one
+// cache of few fails and the others could serve more retries than it allows.
 type retryState struct {
-	tokens         float64       // of a token bucket: each further attempt takes one
-	lostResponses  decayingCount // of healthy endpoints
-	sourceRejections decayingCount
+	tokens           float64       // of a token bucket; a retry or hedge takes one
+	lostResponses    decayingCount // attempts at healthy endpoints that timed out
+	sourceRejections decayingCount // fills that parents rejected
 }
 
-// deposit adds to the tokens.
+// deposit adds tokens, up to maxRetryTokens.
 func (s *retryState) deposit(tokens float64) { s.tokens = min(s.tokens+tokens, maxRetryTokens) }
 
-// withdraw takes a token, if there is one.
+// withdraw takes a token, and reports whether there was one.
 func (s *retryState) withdraw() bool {
 	if s.tokens < 1 {
 		return false
@@ -33,8 +51,8 @@
 	return true
 }
 
-// takeRetryToken pays for the next attempt of a request: the first adds to the tokens by its class's weight, a further one takes
-// one, unless it shows no sign of a jam.
+// takeRetryToken reports whether the next attempt of a request may be made as far as tokens go, and takes one if it needs one.
+// A first attempt adds tokens instead. A retry after an attempt that shows no sign of an overload needs none.
 func (r *Router) takeRetryToken(request *Request) bool {
 	last := request.lastAttempt()
 	switch {
@@ -42,15 +60,16 @@
 		r.retries.deposit(retryTokensPerRequest * request.class.weight / r.maxWeight())
 		return true
 	case last.result == LocalError:
-		return true // it took no load to anybody
-	case len(request.attempts) < freeAttempts && r.showsNoJam(last):
+		return true // it put no load on any endpoint
+	case len(request.attempts) < freeAttempts && r.showsNoOverload(last):
 		return true
 	}
 	return r.retries.withdraw()
 }
 
-// showsNoJam tells whether an attempt ended in a way that is no sign of a jam. A refused fill is one where the origin can fall.
-func (r *Router) showsNoJam(attempt *attemptState) bool {
+// showsNoOverload reports whether an attempt ended in a way that is no sign of an overload. A fill that a source rejected is
+// such a sign only if the origin can be overloaded.
+func (r *Router) showsNoOverload(attempt *attemptState) bool {
 	switch attempt.result {
 	case NotHeld, SendInterrupted, ConnectionLost:
 		return true
@@ -58,14 +77,19 @@
 	return attempt.sourceRejected && r.settings.originUnlimited
 }
 
-// mayRetry tells whether a further attempt is allowed, by number and weight, and does no harm: rule 2.
+// mayRetry reports whether a further attempt of a request is allowed, by the number of attempts and the weight of its class,
+// whether it can be answered in time, and whether it is safe (rule 2 in docs/design.md).
 func (r *Router) mayRetry(now int64, request *Request) bool {
-	allowed := min(r.settings.maxAttempts, minAllowedAttempts+int(attemptsByWeight*request.class.weight/r.maxWeight()))
-	return !request.NoNewAttempts && request.attemptCount() < allowed && request.canBeAnswered(now) && request.isSafeToRetry(now)
+	byWeight := int(attemptsByWeight * request.class.weight / r.maxWeight())
+	allowed := min(r.settings.maxAttempts, minAllowedAttempts+byWeight)
+	if request.NoNewAttempts || request.attemptCount() >= allowed {
+		return false
+	}
+	return request.canBeAnswered(now) && request.isSafeToRetry(now)
 }
 
-// isSafeToRetry tells whether a request takes effect once, however often it is sent: since it is idempotent, since its server drops
-// repetitions still, or since no attempt has run.
+// isSafeToRetry reports whether a request takes effect no more than once if it is sent again: because it is idempotent, because
+// the server still drops repetitions, or because no attempt has run.
 func (request *Request) isSafeToRetry(now int64) bool {
 	if request.class.idempotency == idempotent {
 		return true
@@ -79,7 +103,8 @@
 	return true
 }
 
-// withinKeyScope tells whether a keyed request that may have run can be repeated at an endpoint.
+// withinKeyScope reports whether a request may be sent to an endpoint as far as the scope of its idempotency key goes: attempts
+// that may have run must be in the same scope, or the endpoint does not know of them.
 func (request *Request) withinKeyScope(endpoint *endpointState) bool {
 	if request.class.idempotency != keyed {
 		return true
@@ -102,19 +127,19 @@
 	return true
 }
 
-// reconsider sends a request elsewhere that waits for what has been ejected, or hedges it: beside its first attempt where that
-// is allowed, else in its place.
+// reconsider decides on a request with attempts in flight. If all of them wait for ejected endpoints, or have probably lost
+// their answers, it sends the request to another endpoint: beside them where hedging is allowed, else after cancelling them.
 func (r *Router) reconsider(now int64, request *Request) Decision {
-	var waiting Decision
-	for i, attempt := range request.attempts {
+	var overdue []int // numbers of attempts
+	for number, attempt := range request.attempts {
 		if attempt.ended {
 			continue
 		}
 		r.ejectIfOutlier(now, attempt.cache)
-		if !attempt.waitsForEjected(now, attempt.cache) && !attempt.waitsForEjected(now, attempt.source) && !r.hedgeDue(now, request, attempt) {
+		if !r.isOverdue(now, request, attempt) {
 			return Decision{}
 		}
-		waiting.Cancel = append(waiting.Cancel, i)
+		overdue = append(overdue, number)
 	}
 	switch {
 	case !r.mayRetry(now, request):
@@ -123,31 +148,48 @@
 			return r.send(now, request, cache, source)
 		}
 	case request.class.idempotency == idempotent && r.settings.cancel:
-		return waiting
+		return Decision{Cancel: overdue}
 	}
 	return Decision{}
 }
 
-// hedgeDue tells whether an attempt may have lost its answer, as some do of late, and a second can be in time.
+// isOverdue reports whether an attempt in flight is probably in vain.
+func (r *Router) isOverdue(now int64, request *Request, attempt *attemptState) bool {
+	return attempt.waitsForEjected(now, attempt.cache) || attempt.waitsForEjected(now, attempt.source) ||
+		r.hedgeDue(now, request, attempt)
+}
+
+// hedgeDue reports whether an attempt may be hedged because its answer is probably lost: other answers were lost recently,
+// and it takes long though its endpoints are healthy.
 func (r *Router) hedgeDue(now int64, request *Request, attempt *attemptState) bool {
-	return r.retries.lostResponses.at(now) > lostResponseThreshold && r.settings.hedging &&
-		attempt.cache.isHealthy() && attempt.source.isHealthy() &&
-		float64(now-attempt.sentAt) > hedgeDelayShare*float64(r.objectiveFor(request, 0))
+	if !r.settings.hedging || r.retries.lostResponses.at(now) <= lostResponseThreshold {
+		return false
+	}
+	if !attempt.cache.isHealthy() || !attempt.source.isHealthy() {
+		return false
+	}
+	return float64(now-attempt.sentAt) > hedgeDelayShare*float64(r.objectiveFor(request, 0))
 }
 
-// isHealthy tells whether next to nothing has failed at an endpoint lately: hedges would feed a jam. None is healthy.
+// isHealthy reports whether an endpoint is not ejected and next to nothing failed there recently. Hedges to any other would
+// make an overload worse. No endpoint, nil, is healthy.
 func (endpoint *endpointState) isHealthy() bool {
 	return endpoint == nil || !endpoint.ejected && endpoint.failures < maxHealthyFailureRatio*endpoint.successes
 }
 
-// goesToOrigin tells whether a request that its first cache does not hold goes to the origin, since parents are at their limits.
+// goesToOrigin reports whether a request that its cache lacks is to be filled by the origin, because parents reject fills.
 func (r *Router) goesToOrigin(now int64, request *Request, cache *endpointState) bool {
 	last := request.lastAttempt()
-	return last != nil && last.source == nil && r.origin != nil && cache != nil && !request.sourceMissed &&
-		r.retries.sourceRejections.at(now) > sourceRejectionThreshold && !r.admits(now, request, cache) && r.settings.originUnlimited
+	if last == nil || last.source != nil || request.sourceMissed || cache == nil {
+		return false
+	}
+	if r.origin == nil || !r.settings.originUnlimited {
+		return false
+	}
+	return r.retries.sourceRejections.at(now) > sourceRejectionThreshold && !r.admits(now, request, cache)
 }
 
-// rejectOrFail ends a request at once: rejected where the client may safely try again, else failed.
+// rejectOrFail ends a request at once: rejected if its client may safely send it again, else failed.
 func (r *Router) rejectOrFail(now int64, request *Request) Decision {
 	request.ended, request.record.unservedAt = true, now
 	class := request.class
@@ -158,7 +200,7 @@
 	case !r.settings.retryAfter:
 		return Decision{Verdict: Reject}
 	}
-	// Soon enough to be in time, and spread: those turned away together must not come back together.
+	// Soon enough to be in time, and at random, so that clients that are rejected together do not come back together.
 	wait := int64(retryAfterShare * (1 + r.random()) * float64(class.objective))
 	return Decision{Verdict: Reject, RetryAfter: min(wait, r.settings.maxRetryAfter)}
 }
--- a/control/selection.go
+++ b/control/selection.go
@@ -1,12 +1,13 @@
 package control
 
-// selectEndpoints picks the cache and the fill source by the object's hash; nil is none.
+// selectEndpoints returns the cache that a request goes to and the source that the cache fills a miss from, in the order of
+// the object's hash; nil is none.
 func (r *Router) selectEndpoints(now int64, request *Request) (cache, source *endpointState) {
 	caches := r.cacheCandidates(now, request)
 	request.diverted = false
 	cache = r.firstUsable(now, request, caches)
 	if cache != nil && request.record.likelyCachedUntil > now && !r.admits(now, request, cache) {
-		// Where the first cache is at its limit, another one with little load fills the object, if fills are admitted.
+		// The home cache is at its limit: another one with little load fills the object, if fills are admitted.
 		caches.excludeLoaded(r.admission.limits[hits] * divertShare)
 		if other := r.firstUsable(now, request, caches); other != nil {
 			cache, request.diverted = other, true
@@ -15,8 +16,8 @@
 	return cache, r.firstUsable(now, request, r.sourceCandidates(now, request))
 }
 
-// firstUsable takes the first endpoint that is eligible, not ejected (or to be probed) and not tried for this request. If there is
-// none, the first that is eligible: where all are ejected, it is not they.
+// firstUsable returns the first endpoint that is eligible, not ejected (or to be probed) and not tried yet for the request.
+// If there is none it returns the first eligible one: when all are ejected, their ejection says little.
 func (r *Router) firstUsable(now int64, request *Request, ranked *candidates) (fallback *endpointState) {
 	for endpoint := ranked.next(); endpoint != nil; endpoint = ranked.next() {
 		if !r.isEligible(now, request, endpoint) {
@@ -33,15 +34,16 @@
 	return fallback
 }
 
-// isEligible tells whether an endpoint may be asked at all: by its slow start, the key's scope and its links.
+// isEligible reports whether the request may be sent to an endpoint at all: by its slow start, by the scope of the
+// idempotency key, and by whether it can be reached.
 func (r *Router) isEligible(now int64, request *Request, endpoint *endpointState) bool {
 	return r.slowStartAdmits(now, endpoint, request.class.sendingTime) &&
 		(endpoint.Location != r.settings.location || request.withinKeyScope(endpoint)) &&
 		(r.Reachable == nil || r.Reachable(endpoint.ID))
 }
 
-// mayProbe tells whether an ejected endpoint is probed by a request: as its first attempt, once the backoff is over, where no
-// health check does.
+// mayProbe reports whether an ejected endpoint is to be probed by the first attempt of a request: after the backoff, and for
+// a cache only where no health checks are sent.
 func (r *Router) mayProbe(now int64, request *Request, endpoint *endpointState) bool {
 	if now < endpoint.nextProbeAt || endpoint.probing || len(request.attempts) > 0 {
 		return false
@@ -49,10 +51,10 @@
 	if endpoint.Location == r.settings.location {
 		return !r.settings.probes
 	}
-	return request.record.likelyCachedUntil <= now // a hit would not ask it
+	return request.record.likelyCachedUntil <= now // a hit involves no source, and would probe nothing
 }
 
-// hasTried tells whether an endpoint was tried for a request.
+// hasTried reports whether an attempt of the request is a reason not to send it to an endpoint again.
 func (request *Request) hasTried(endpoint *endpointState) bool {
 	for _, attempt := range request.attempts {
 		if attempt.disqualifies(endpoint) {
