--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Where fills have no room, a cache is asked for what it holds: hits of a thin slice are not turned away with them.
+// Where fills have no room, a cache is asked for what it holds: hits of a thin slice are not turned away with
+// them.
 func TestCacheOnlyAttempts(t *testing.T) {
 	jammed := func(change Settings) *Router {
 		r := newRouter(t, change)
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -4,8 +4,8 @@
 	// sharingWindow is the time over which load reports, and the work that is offered, decay; ns.
 	sharingWindow = 2 * second
 
-	// minSharingEvidence is how many attempts of this router have to be in flight when answers come, summed over
-	// sharingWindow, before load reports are used to count the routers that share the caches.
+	// minSharingEvidence is how many attempts of this router have to be in flight when answers come, summed
+	// over sharingWindow, before load reports are used to count the routers that share the caches.
 	minSharingEvidence = 20.
 
 	// minCapacity is the capacity of an endpoint that is listed with less.
@@ -15,8 +15,8 @@
 	maxOfferedCapacity = maxAdmissionLimit
 )
 
-// capacityEstimate measures what the endpoints can serve. A capacity is how many answers an endpoint can send at once, each
-// at a client's full rate: seconds of sending time a second.
+// capacityEstimate measures what the endpoints can serve. A capacity is how many answers an endpoint can send
+// at once, each at a client's full rate: seconds of sending time a second.
 type capacityEstimate struct {
 	byCaches  decayingWork // served in time by the caches of the location
 	byParents decayingWork // served in time by the parents
@@ -31,7 +31,8 @@
 	measured   repeatedSum
 }
 
-// configuredSum caches the sum and the maximum of the caches' listed capacities until the endpoint list changes.
+// configuredSum caches the sum and the maximum of the caches' listed capacities until the endpoint list
+// changes.
 type configuredSum struct {
 	valid        bool
 	sum, largest float64
@@ -43,8 +44,8 @@
 	c.offered.lastAt = now
 }
 
-// observeReport counts a load report: the attempts in flight at a cache, of all routers and of this one, both without the
-// one that was answered.
+// observeReport counts a load report: the attempts in flight at a cache, of all routers and of this one, both
+// without the one that was answered.
 func (c *capacityEstimate) observeReport(now int64, reported, own float64) {
 	elapsed := now - c.reportedAt
 	c.reportedInFlight = decay(c.reportedInFlight, elapsed, sharingWindow) + reported
@@ -52,7 +53,8 @@
 	c.reportedAt = now
 }
 
-// sharers returns how many routers share an endpoint: those of the location for a cache, all of them for any other.
+// sharers returns how many routers share an endpoint: those of the location for a cache, all of them for any
+// other.
 func (r *Router) sharers(endpoint *endpointState) float64 {
 	if endpoint.Location == r.settings.location {
 		return r.settings.locationRouters
@@ -60,8 +62,9 @@
 	return r.settings.routers
 }
 
-// activeSharers estimates how many routers send to the location's caches now: what the caches have in flight by their load
-// reports, divided by what this router has in flight there. While its neighbours restart a router has their traffic too.
+// activeSharers estimates how many routers send to the location's caches now: what the caches have in flight by
+// their load reports, divided by what this router has in flight there. While its neighbours restart a router
+// has their traffic too.
 func (r *Router) activeSharers() float64 {
 	if r.capacity.ownInFlight < minSharingEvidence {
 		return r.settings.locationRouters
@@ -69,9 +72,10 @@
 	return max(1, min(r.capacity.reportedInFlight/r.capacity.ownInFlight, r.settings.locationRouters))
 }
 
-// measuredCapacity estimates the capacity of a cache where the list does not tell it. It is what each cache served in time
-// at its best, or what is requested now if that is more, up to maxOfferedCapacity times the best. A router that has not
-// run for a rateWindow yet has no best that means anything, and goes by what is requested alone.
+// measuredCapacity estimates the capacity of a cache where the list does not tell it. It is what each cache
+// served in time at its best, or what is requested now if that is more, up to maxOfferedCapacity times the
+// best. A router that has not run for a rateWindow yet has no best that means anything, and goes by what is
+// requested alone.
 func (r *Router) measuredCapacity(now int64) float64 {
 	best := max(1, r.capacity.byCaches.best)
 	offered := r.perEndpoint(now, r.capacity.offered, sharingWindow, r.activeSharers(), r.caches)
@@ -81,9 +85,9 @@
 	return max(best, offered)
 }
 
-// sustainedCapacity returns the capacity that a warm endpoint has for sure. Where it is measured it is what the endpoints of
-// the tier serve on average now. The best that one served is no measure here: for a router with little traffic it is
-// chance, and the routers' shares by it would add up to more than the endpoint can serve.
+// sustainedCapacity returns the capacity that a warm endpoint has for sure. Where it is measured it is what the
+// endpoints of the tier serve on average now. The best that one served is no measure here: for a router with
+// little traffic it is chance, and the routers' shares by it would add up to more than the endpoint can serve.
 func (r *Router) sustainedCapacity(now int64, endpoint *endpointState) float64 {
 	switch {
 	case r.settings.capacitiesTold:
@@ -148,8 +152,8 @@
 	addedSum float64
 }
 
-// of returns the sum of so many equal terms. It adds them one by one, because a product is rounded differently: decisions
-// are to be the same, to the last bit, as those by a sum over the endpoints.
+// of returns the sum of so many equal terms. It adds them one by one, because a product is rounded differently:
+// decisions are to be the same, to the last bit, as those by a sum over the endpoints.
 func (s *repeatedSum) of(count int, term float64) float64 {
 	if s.count == count && s.term == term {
 		return s.addedSum
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// played keeps so many retrievals in hand at once for some seconds, each served in time after its sending time of 0.2 s, and
-// counts what was asked and what was turned away in the last second.
+// played keeps so many retrievals in hand at once for some seconds, each served in time after its sending time
+// of 0.2 s, and counts what was asked and what was turned away in the last second.
 func played(r *Router, from, span int64, atOnce int) (asked, refused int) {
 	type open struct {
 		ret  *Request
@@ -41,8 +41,8 @@
 	return asked, refused
 }
 
-// Where weights tell no size, rooms follow what the caches carry: a weight of one for all was taken for a cache that
-// sends one answer at a time, and half of the traffic of a whole deployment was turned away.
+// Where weights tell no size, rooms follow what the caches carry: a weight of one for all was taken for a cache
+// that sends one answer at a time, and half of the traffic of a whole deployment was turned away.
 func TestCapacitiesThatWeightsDoNotTell(t *testing.T) {
 	for _, c := range []struct {
 		units string
@@ -91,8 +91,9 @@
 	}
 }
 
-// Where weights tell no sizes, all routers together keep to what a cold parent bears, with few processes as with many, with
-// uneven traffic and chance in what each has measured, also where it is much smaller than the others.
+// Where weights tell no sizes, all routers together keep to what a cold parent bears, with few processes as
+// with many, with uneven traffic and chance in what each has measured, also where it is much smaller than the
+// others.
 func TestSlowStartOfMeasuredCapacities(t *testing.T) {
 	const mean, parents, load, capacity, small = 0.5, 2, 0.7, 20., 12.
 	window := 2 * second
--- a/control/classes.go
+++ b/control/classes.go
@@ -3,13 +3,16 @@
 import "cmp"
 
 const (
-	// initialSamples is how many answers the initial means of a class, which follow from its objective, count as.
+	// initialSamples is how many answers the initial means of a class, which follow from its objective, count
+	// as.
 	initialSamples = 10.
 
-	// maxSamples bounds the weight of the past in a class's means: from so many answers on they are exponential averages.
+	// maxSamples bounds the weight of the past in a class's means: from so many answers on they are exponential
+	// averages.
 	maxSamples = 200.
 
-	// minSamplesForFastest is how many answers of a class are needed before the fastest of them is taken for its minimum.
+	// minSamplesForFastest is how many answers of a class are needed before the fastest of them is taken for
+	// its minimum.
 	minSamplesForFastest = initialSamples
 
 	minSendingTime  = 1e-3 // s; lower bound of the initial mean
@@ -76,13 +79,15 @@
 	class.responseTime += (float64(elapsed)/1e9 - class.responseTime) / class.samples
 }
 
-// observeSendingTime learns from the sending time, in s, of the answer that observeResponse was called with last.
+// observeSendingTime learns from the sending time, in s, of the answer that observeResponse was called with
+// last.
 func (class *classState) observeSendingTime(sendingTime float64) {
 	class.sendingTime += (sendingTime - class.sendingTime) / class.samples
 }
 
-// minResponseTime returns the shortest time in which an answer of a class can come, in ns: the shortest that one took so
-// far, or 0 while there were too few. It is no mean, by which requests that a hit could still answer would be rejected.
+// minResponseTime returns the shortest time in which an answer of a class can come, in ns: the shortest that
+// one took so far, or 0 while there were too few. It is no mean, by which requests that a hit could still
+// answer would be rejected.
 func (class *classState) minResponseTime() int64 {
 	if class.samples < initialSamples+minSamplesForFastest {
 		return 0
@@ -90,9 +95,9 @@
 	return class.fastestResponse
 }
 
-// timedOutEarly reports whether an attempt's time was up sooner than answers of its class take on average. Then neither a
-// missing answer nor a connection that was not up yet says anything about the cache, the source or the limits. Caches may
-// drop what has very little time left.
+// timedOutEarly reports whether an attempt's time was up sooner than answers of its class take on average. Then
+// neither a missing answer nor a connection that was not up yet says anything about the cache, the source or
+// the limits. Caches may drop what has very little time left.
 func (class *classState) timedOutEarly(attempt *attemptState, outcome Outcome) bool {
 	timeUp := outcome.Result == TimedOut || outcome.Result == Unreachable && outcome.Elapsed >= attempt.sendTimeout
 	return timeUp && float64(outcome.Elapsed)/1e9 < class.responseTime
@@ -117,20 +122,21 @@
 	return largest
 }
 
-// sendingTimeBySize returns the time that it takes to send the answer to a client, in s, or 0 where its size is not known.
+// sendingTimeBySize returns the time that it takes to send the answer to a client, in s, or 0 where its size is
+// not known.
 func (r *Router) sendingTimeBySize(request *Request) float64 {
 	return request.SizeKB / r.settings.clientKBPerSecond
 }
 
-// objectiveFor returns how long after its sending a request has to be answered to be in time, in ns. sendingTime is that of
-// its answer, in s; 0 stands for the mean of its class.
+// objectiveFor returns how long after its sending a request has to be answered to be in time, in ns.
+// sendingTime is that of its answer, in s; 0 stands for the mean of its class.
 func (r *Router) objectiveFor(request *Request, sendingTime float64) int64 {
 	class := request.class
 	return class.objective + int64(class.objectiveStretch*1e9*cmp.Or(sendingTime, class.sendingTime))
 }
 
-// sendingTime returns how long the answer to a request occupies the link of an endpoint, in s: the mean of its class, or
-// more if its size says so.
+// sendingTime returns how long the answer to a request occupies the link of an endpoint, in s: the mean of its
+// class, or more if its size says so.
 func (r *Router) sendingTime(request *Request) float64 {
 	return max(request.class.sendingTime, r.sendingTimeBySize(request))
 }
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// classes has a router with two read classes: "harmless" sends for 0.4 s, "stamped" (made harmless) for 0.02 s and is worth
-// half as much; "once" is a write that runs at the origin. Means are learned before the play begins.
+// classes has a router with two read classes: "harmless" sends for 0.4 s, "stamped" (made harmless) for 0.02 s
+// and is worth half as much; "once" is a write that runs at the origin. Means are learned before the play
+// begins.
 func classes(t *testing.T, change Settings) *Router {
 	t.Helper()
 	set := Settings{
@@ -138,8 +139,8 @@
 	}
 }
 
-// Where the origin can fall, a fill that was denied is no reason for another at once and free of charge: thousands of them
-// struck an origin that had stopped, 4.6 attempts a request.
+// Where the origin can fall, a fill that was denied is no reason for another at once and free of charge:
+// thousands of them struck an origin that had stopped, 4.6 attempts a request.
 func TestRefusedFillsAreNotFreeWhereTheOriginFalls(t *testing.T) {
 	for _, factor := range []float64{0, 2.5} {
 		r, further := classes(t, Settings{"origin.fallFactor": factor}), 0
--- a/control/control.go
+++ b/control/control.go
@@ -1,13 +1,13 @@
-// Package control decides for each request which cache serves it, from where a miss is filled, and whether it is admitted,
-// retried or rejected.
+// Package control decides for each request which cache serves it, from where a miss is filled, and whether it
+// is admitted, retried or rejected.
 //
-// New makes a router. Decide says where to send a request (or to wait, or how it ends), AttemptEnded what to do once an
-// attempt has ended, and RecheckDelay after how long to call Decide again. What happens outside comes in by
-// UpdateEndpoints, Purge, ClientGone, ProbeEnded and Tick.
+// New makes a router. Decide says where to send a request (or to wait, or how it ends), AttemptEnded what to do
+// once an attempt has ended, and RecheckDelay after how long to call Decide again. What happens outside comes
+// in by UpdateEndpoints, Purge, ClientGone, ProbeEnded and Tick.
 //
-// Times are int64 nanoseconds of the caller's monotonic clock and spans int64 nanoseconds, unless a comment says otherwise.
-// Sending times are float64 seconds. A router reads no clock, shares no state and must not be used by two goroutines at
-// once.
+// Times are int64 nanoseconds of the caller's monotonic clock and spans int64 nanoseconds, unless a comment
+// says otherwise. Sending times are float64 seconds. A router reads no clock, shares no state and must not be
+// used by two goroutines at once.
 //
 // A decision can be read from top to bottom in Decide. The other files each have one part of it:
 //
@@ -33,25 +33,27 @@
 	second  = int64(1e9)               // ns
 	forever = int64(math.MaxInt64 / 2) // ns; no bound
 
-	// tickInterval is the time between two calls of Tick, and of Decide for a request with an attempt in flight; ns.
+	// tickInterval is the time between two calls of Tick, and of Decide for a request with an attempt in
+	// flight; ns.
 	tickInterval = second / 10
 
 	// waitRecheckInterval is the time between two calls of Decide for a request that waits for an endpoint; ns.
 	waitRecheckInterval = second / 20
 
-	// maxWaitDivisor bounds for how long a request waits for an endpoint: its latency objective divided by this. After a
-	// longer wait its answer would be late.
+	// maxWaitDivisor bounds for how long a request waits for an endpoint: its latency objective divided by
+	// this. After a longer wait its answer would be late.
 	maxWaitDivisor = 8
 )
 
 // Router is one router's decisions.
 type Router struct {
-	// Reachable, if set, reports whether a request can be sent to a cache now: the connections to it are limited. A cache
-	// for which it returns false is skipped in an object's ranking, as one at its slow-start limit is.
+	// Reachable, if set, reports whether a request can be sent to a cache now: the connections to it are
+	// limited. A cache for which it returns false is skipped in an object's ranking, as one at its slow-start
+	// limit is.
 	Reachable func(id uint32) bool
 
-	// ConnectionsExhausted, if set, reports whether this machine can open no connections for now. Meanwhile a request for
-	// which no cache is reachable waits, until the time by which it has to be sent.
+	// ConnectionsExhausted, if set, reports whether this machine can open no connections for now. Meanwhile a
+	// request for which no cache is reachable waits, until the time by which it has to be sent.
 	ConnectionsExhausted func() bool
 
 	settings settings
@@ -84,9 +86,9 @@
 	keyBytes                []byte     // buffer of objectHash
 }
 
-// New makes a router. seed determines its random numbers, and log is called with an event for each change of state that an
-// operator may want to know of. The error joins a SettingError for each setting that is missing, has a wrong type or
-// contradicts another.
+// New makes a router. seed determines its random numbers, and log is called with an event for each change of
+// state that an operator may want to know of. The error joins a SettingError for each setting that is missing,
+// has a wrong type or contradicts another.
 func New(now int64, seed uint64, raw Settings, log func(logevent.Event)) (*Router, error) {
 	set, err := decodeSettings(raw)
 	if err != nil {
@@ -111,7 +113,8 @@
 	return router, nil
 }
 
-// Decide says what to do with a request that has arrived, or whose RecheckDelay has passed: send it, wait, or end it.
+// Decide says what to do with a request that has arrived, or whose RecheckDelay has passed: send it, wait, or
+// end it.
 func (r *Router) Decide(now int64, request *Request) Decision {
 	if request.class == nil && !r.accept(now, request) {
 		return Decision{Verdict: Fail}
@@ -164,8 +167,8 @@
 	case now+2*waitRecheckInterval >= request.Deadline:
 		return r.rejectOrFail(now, request)
 	}
-	// The retry waits for the next call of Decide: the cancellation of this attempt may take another connection than the
-	// retry, and two attempts would be in flight where only one may be.
+	// The retry waits for the next call of Decide: the cancellation of this attempt may take another connection
+	// than the retry, and two attempts would be in flight where only one may be.
 	return Decision{}
 }
 
@@ -180,8 +183,8 @@
 	return waitRecheckInterval
 }
 
-// ClientGone ends a request whose client has disconnected, or that has ended for another reason outside this package.
-// Attempts may still be in flight.
+// ClientGone ends a request whose client has disconnected, or that has ended for another reason outside this
+// package. Attempts may still be in flight.
 func (r *Router) ClientGone(_ int64, request *Request) Decision {
 	request.ended = true
 	return r.cancelInFlight(request)
@@ -227,7 +230,8 @@
 	return r.rejectOrFail(now, request)
 }
 
-// send starts an attempt at a cache, which fills a miss from a source; without a source it may serve only what it has cached.
+// send starts an attempt at a cache, which fills a miss from a source; without a source it may serve only what
+// it has cached.
 func (r *Router) send(now int64, request *Request, cache, source *endpointState) Decision {
 	attempt := r.newAttempt(now, request, cache, source)
 	r.track(now, request, attempt)
@@ -285,8 +289,8 @@
 	}
 }
 
-// Tick does the periodic work. It returns the endpoints that a health check is to be sent to now, and after how long Tick is
-// to be called again, in ns.
+// Tick does the periodic work. It returns the endpoints that a health check is to be sent to now, and after how
+// long Tick is to be called again, in ns.
 func (r *Router) Tick(now int64) (probe []uint32, nextTick int64) {
 	r.purges.removeExpired(now, r.settings.purgeDuration)
 	all := r.cacheEvidence(now)
--- a/control/deadline_test.go
+++ b/control/deadline_test.go
@@ -14,7 +14,8 @@
 	}
 }
 
-// An attempt that can't come back in its client's time doesn't begin, by the quickest answer of its class so far.
+// An attempt that can't come back in its client's time doesn't begin, by the quickest answer of its class so
+// far.
 func TestTooLittleTimeLeft(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -63,8 +64,8 @@
 	}
 }
 
-// What has little time left may be dropped without a word, or not be on its way yet as its time is up: that tells nothing of its
-// cache, nor of the room for others.
+// What has little time left may be dropped without a word, or not be on its way yet as its time is up: that
+// tells nothing of its cache, nor of the room for others.
 func TestAttemptsThatTimeOutEarly(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -74,8 +74,9 @@
 	}
 }
 
-// loggedFigures returns the figures of a log event in the form in which the digests were recorded. It has no words, as a
-// changed message changes no decision. The spaces between the figures differ by the event's type, and signs are left out.
+// loggedFigures returns the figures of a log event in the form in which the digests were recorded. It has no
+// words, as a changed message changes no decision. The spaces between the figures differ by the event's type,
+// and signs are left out.
 func loggedFigures(event logevent.Event) string {
 	switch e := event.(type) {
 	case EndpointEjected:
@@ -270,8 +271,9 @@
 // recordedPlays is how many plays are recorded, with the seeds 0, 1 and so on.
 const recordedPlays = 60
 
-// record writes the digests of this text in place of the recorded ones. It is for changes that are to change decisions, in
-// the same commit as they are; a change that is to leave all decisions as they are is held to the digests before it.
+// record writes the digests of this text in place of the recorded ones. It is for changes that are to change
+// decisions, in the same commit as they are; a change that is to leave all decisions as they are is held to the
+// digests before it.
 var record = flag.Bool("record", false, "record the digests of the drawn plays anew")
 
 const digestsFile = "testdata/decisions.digests"
--- a/control/endings_test.go
+++ b/control/endings_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Repeats of a stamped retrieval are dropped for a while from its first sending. A further attempt that waits for its link
-// longer than that would run a second time.
+// Repeats of a stamped retrieval are dropped for a while from its first sending. A further attempt that waits
+// for its link longer than that would run a second time.
 func TestKeyedRetryIsSentWithinTheKeyWindow(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -35,8 +35,9 @@
 	}
 }
 
-// Where two may not be out together, what gives the first up and the second go different ways, and the second may be there
-// first. So it waits a moment; but never past the client's time, and where it can't be sent nothing is held.
+// Where two may not be out together, what gives the first up and the second go different ways, and the second
+// may be there first. So it waits a moment; but never past the client's time, and where it can't be sent
+// nothing is held.
 func TestNoAttemptBesideTheFirst(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -12,8 +12,8 @@
 	phaseGone  = "gone"
 )
 
-// endpointState is what a router knows of an endpoint. The fields that scans over all endpoints read stand next to each
-// other, so that a scan touches few cache lines of the processor.
+// endpointState is what a router knows of an endpoint. The fields that scans over all endpoints read stand next
+// to each other, so that a scan touches few cache lines of the processor.
 type endpointState struct {
 	Endpoint
 	role       role
@@ -105,7 +105,8 @@
 		endpoint = &endpointState{lastResponseAt: now, scoredAt: now}
 		r.endpoints[entry.ID] = endpoint
 	}
-	// Another start counts also if it is earlier than the last: the clock that stamps it may have been set back.
+	// Another start counts also if it is earlier than the last: the clock that stamps it may have been set
+	// back.
 	if entry.StartedAt > 0 && entry.StartedAt != endpoint.StartedAt {
 		endpoint.restarted(now, entry.StartedAt)
 	}
@@ -124,8 +125,8 @@
 	endpoint.ejected, endpoint.probing, endpoint.wasUnreachable = false, false, false
 }
 
-// roleOf returns the role that an endpoint has by its entry in the list. One that is draining or gone has none: it gets no
-// new attempts and fills no misses (rule 3 in docs/design.md).
+// roleOf returns the role that an endpoint has by its entry in the list. One that is draining or gone has none:
+// it gets no new attempts and fills no misses (rule 3 in docs/design.md).
 func (r *Router) roleOf(endpoint *endpointState) role {
 	switch {
 	case !endpoint.listed || endpoint.Phase != phaseReady:
@@ -189,8 +190,8 @@
 	}
 }
 
-// forgetDelisted drops the state of endpoints that are no longer listed once they have no attempts in flight. It bounds the
-// memory: replacements of endpoints have new IDs.
+// forgetDelisted drops the state of endpoints that are no longer listed once they have no attempts in flight.
+// It bounds the memory: replacements of endpoints have new IDs.
 func (r *Router) forgetDelisted() {
 	r.delisted = slices.DeleteFunc(r.delisted, func(endpoint *endpointState) bool {
 		if endpoint.listed {
--- a/control/inflight.go
+++ b/control/inflight.go
@@ -11,8 +11,9 @@
 // sum returns the number of attempts of all kinds.
 func (c countsByKind) sum() int { return c[hits] + c[fills] + c[fetches] }
 
-// inFlightCounts counts the attempts in flight whose answers may still be in time. Late ones do not count: at a router with
-// little traffic a few attempts at an endpoint that does not answer would use up the whole admission limit.
+// inFlightCounts counts the attempts in flight whose answers may still be in time. Late ones do not count: at a
+// router with little traffic a few attempts at an endpoint that does not answer would use up the whole
+// admission limit.
 type inFlightCounts struct {
 	caches        countsByKind                    // at the caches of the location
 	lateTimers    timerqueue.Queue[*attemptState] // of attempts that are not late yet, by their lateAt
@@ -84,8 +85,8 @@
 	}
 }
 
-// unmarkLate adds the attempts again that are not late at a time before the last one. Callers' clocks should not go back;
-// if one does, the counts are nevertheless those of its time.
+// unmarkLate adds the attempts again that are not late at a time before the last one. Callers' clocks should
+// not go back; if one does, the counts are nevertheless those of its time.
 func (c *inFlightCounts) unmarkLate(now int64, all map[uint32]*endpointState) {
 	var notLate []*attemptState
 	for _, endpoint := range all {
@@ -104,8 +105,8 @@
 	}
 }
 
-// loadScale holds what the loads of all caches at one instant have in common. The load of a cache is the number of attempts
-// in flight there, estimated for all routers, as a multiple of its capacity.
+// loadScale holds what the loads of all caches at one instant have in common. The load of a cache is the number
+// of attempts in flight there, estimated for all routers, as a multiple of its capacity.
 type loadScale struct {
 	meanLoad             float64 // of all caches of the location together
 	sharers              float64 // routers that send to the caches
@@ -138,9 +139,9 @@
 	return s.at(endpoint.withinObjective.sum(), s.capacity)
 }
 
-// at returns the load of a cache with so many attempts of this router in flight. It is drawn towards the mean load, as if
-// this router's part of the cache were larger by a capacity of 1 with the mean load: where many routers share the caches, one
-// attempt of one router says little about the others.
+// at returns the load of a cache with so many attempts of this router in flight. It is drawn towards the mean
+// load, as if this router's part of the cache were larger by a capacity of 1 with the mean load: where many
+// routers share the caches, one attempt of one router says little about the others.
 func (s loadScale) at(inFlight int, capacity float64) float64 {
 	return (float64(inFlight) + s.meanLoad) / (max(capacity, minCapacity)/s.sharers + 1)
 }
--- a/control/logevents.go
+++ b/control/logevents.go
@@ -5,10 +5,11 @@
 	"tealpath/internal/logevent"
 )
 
-// EndpointEjected is logged when an endpoint is found to be an outlier. It gets nothing but probes until one succeeds.
+// EndpointEjected is logged when an endpoint is found to be an outlier. It gets nothing but probes until one
+// succeeds.
 type EndpointEjected struct {
 	Endpoint     uint32  `log:"endpoint"`
-	SilenceScore float64 `log:"silence_score"` // mean response times that its attempts have waited, beyond its peers' mean
+	SilenceScore float64 `log:"silence_score"` // mean response times that it was silent, beyond its peers' mean
 	Failures     float64 `log:"failures"`      // attempts that failed in the last seconds, decayed
 	Attempts     float64 `log:"attempts"`      // attempts that ended in the last seconds, decayed
 }
@@ -28,14 +29,18 @@
 
 // Kind implements logevent.Event.
 func (EndpointRestored) Kind() logevent.Kind {
-	return logevent.Kind{Name: "endpoint_restored", Level: logevent.Info, Message: "endpoint restored after a successful probe"}
+	return logevent.Kind{
+		Name:    "endpoint_restored",
+		Level:   logevent.Info,
+		Message: "endpoint restored after a successful probe",
+	}
 }
 
 // EndpointID returns the ID of the endpoint that the event concerns.
 func (e EndpointRestored) EndpointID() uint32 { return e.Endpoint }
 
-// AdmissionLimitReduced is logged when the admission limit for one kind of attempts has fallen below half of its initial
-// value, since too many of them were answered late.
+// AdmissionLimitReduced is logged when the admission limit for one kind of attempts has fallen below half of
+// its initial value, since too many of them were answered late.
 type AdmissionLimitReduced struct {
 	RequestKind string  `log:"request_kind"` // hits, fills or fetches
 	Limit       float64 `log:"limit"`        // attempts in flight, as a multiple of the caches' capacity
@@ -57,16 +62,18 @@
 	return logevent.Kind{Name: "admission_limit_restored", Level: logevent.Info, Message: "admission limit restored"}
 }
 
-// ClockAhead is logged once, when a cache has sent an entry that a purge should have removed by its time stamp: this
-// machine's clock is ahead of the others'. From then on a purge counts from its arrival here, not from its time stamp.
+// ClockAhead is logged once, when a cache has sent an entry that a purge should have removed by its time stamp:
+// this machine's clock is ahead of the others'. From then on a purge counts from its arrival here, not from its
+// time stamp.
 type ClockAhead struct{}
 
 // Kind implements logevent.Event.
 func (ClockAhead) Kind() logevent.Kind {
 	return logevent.Kind{
-		Name:    "clock_ahead",
-		Level:   logevent.Warn,
-		Message: "this clock is ahead of others: a cache entry from before a purge came, purges count from their arrival now",
+		Name:  "clock_ahead",
+		Level: logevent.Warn,
+		Message: "this clock is ahead of others: a cache entry from before a purge came, " +
+			"purges count from their arrival now",
 	}
 }
 
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -16,8 +16,8 @@
 	// likelyCachedDuration is for how long after an answer its object is taken to be cached; ns.
 	likelyCachedDuration = 10 * second
 
-	// noOverloadFactor is how many times its sending time an answer may take without being taken for late, whatever its
-	// objective: it could not have come much sooner, so that it is no sign of an overload.
+	// noOverloadFactor is how many times its sending time an answer may take without being taken for late,
+	// whatever its objective: it could not have come much sooner, so that it is no sign of an overload.
 	noOverloadFactor = 2
 
 	// reportInFlight is the field of a load report that has the number of requests in flight.
@@ -97,7 +97,8 @@
 	return found
 }
 
-// rejectedBySource reports whether an attempt was rejected because its source rejected the fill, was dead or lacks the object.
+// rejectedBySource reports whether an attempt was rejected because its source rejected the fill, was dead or
+// lacks the object.
 func (outcome Outcome) rejectedBySource() bool {
 	return outcome.Result == Overloaded && noteSourceRejected <= outcome.Note && outcome.Note <= noteSourceLacks
 }
@@ -153,7 +154,8 @@
 	}
 }
 
-// scoreEndpoint counts an attempt that has ended for its cache or its source, and ejects that endpoint if it is an outlier.
+// scoreEndpoint counts an attempt that has ended for its cache or its source, and ejects that endpoint if it is
+// an outlier.
 func (r *Router) scoreEndpoint(
 	now int64, endpoint *endpointState, attempt *attemptState, found finding, scored attemptScore,
 ) {
@@ -182,7 +184,8 @@
 	r.ejectIfOutlier(now, endpoint)
 }
 
-// isFromCache reports whether a result shows that the cache itself has answered, or at least closed a connection.
+// isFromCache reports whether a result shows that the cache itself has answered, or at least closed a
+// connection.
 func (result Result) isFromCache() bool {
 	switch result {
 	case Unreachable, TimedOut, Cancelled, SendInterrupted, LocalError, NotSent:
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// silenceThreshold is the silence score, beyond the peers' mean, from which an endpoint is ejected. A score is in mean
-	// response times; by chance one of 6 comes up with e^-6.
+	// silenceThreshold is the silence score, beyond the peers' mean, from which an endpoint is ejected. A score
+	// is in mean response times; by chance one of 6 comes up with e^-6.
 	silenceThreshold = 6.
 
 	maxSilencePerAttempt = 2.  // of the silence score, by one attempt
@@ -23,19 +23,21 @@
 	maxProbeBackoff = 8 * second // ns
 
 	// A parent that has answered more than manyAnswers attempts is judged by a smaller failureShare: times
-	// 1/√(answers/manyAnswers), and not below manyAnswersFactor. With hundreds of answers a part of a quarter is no chance.
+	// 1/√(answers/manyAnswers), and not below manyAnswersFactor. With hundreds of answers a part of a quarter
+	// is no chance.
 	manyAnswers       = 16.
 	manyAnswersFactor = 0.4
 
 	// fadedPerTick is how many endpoints a tick checks for scores that have decayed to 0.
 	fadedPerTick = 16
 
-	// A score above lastingScore is certainly above 0 until it is lastingScoreAge old, in ns: e^-600 times it is more than
-	// the smallest float64. This saves computing the decay.
+	// A score above lastingScore is certainly above 0 until it is lastingScoreAge old, in ns: e^-600 times it
+	// is more than the smallest float64. This saves computing the decay.
 	lastingScore    = 1e-40
 	lastingScoreAge = 600 * healthWindow
 
-	// evidenceMargin is more than by how much the order of a sum's terms can change what is compared with a threshold.
+	// evidenceMargin is more than by how much the order of a sum's terms can change what is compared with a
+	// threshold.
 	evidenceMargin = 1e-6
 )
 
@@ -70,17 +72,18 @@
 	return e.silence >= silenceThreshold || e.failures >= failureThreshold
 }
 
-// excess returns by how much the evidence on an endpoint exceeds that on its peers: the silence score, and the part of the
-// attempts that failed.
+// excess returns by how much the evidence on an endpoint exceeds that on its peers: the silence score, and the
+// part of the attempts that failed.
 func (e evidence) excess(peers evidence, peerCount int) (silence, failed float64) {
 	silence = e.silence - peers.silence/float64(max(1, peerCount))
 	failed = e.failures/e.attempts() - peers.failures/max(peers.attempts(), 1)
 	return silence, failed
 }
 
-// ejectIfOutlier ejects an endpoint if it stands out from its peers by its recent failures or by its silence. What all of
-// them show is no evidence: it comes from an overload, and ejecting them in turn would only move objects from cache to
-// cache. Up to half of a tier can stand out at once; if more of it fails, retries have to find the rest.
+// ejectIfOutlier ejects an endpoint if it stands out from its peers by its recent failures or by its silence.
+// What all of them show is no evidence: it comes from an overload, and ejecting them in turn would only move
+// objects from cache to cache. Up to half of a tier can stand out at once; if more of it fails, retries have to
+// find the rest.
 func (r *Router) ejectIfOutlier(now int64, endpoint *endpointState) {
 	if endpoint.ejected || endpoint == r.origin || !endpoint.mayBeEjected(now) {
 		return
@@ -111,8 +114,9 @@
 	return r.parents
 }
 
-// failureShareFor returns the part of an endpoint's attempts that must have failed, beyond that of its peers, for it to be
-// ejected. It is smaller for a parent with many answers, unless that is the last one that is not ejected.
+// failureShareFor returns the part of an endpoint's attempts that must have failed, beyond that of its peers,
+// for it to be ejected. It is smaller for a parent with many answers, unless that is the last one that is not
+// ejected.
 func (r *Router) failureShareFor(endpoint *endpointState, own evidence) float64 {
 	isOther := func(peer *endpointState) bool { return peer != endpoint && !peer.ejected }
 	if endpoint.Location == r.settings.location || !slices.ContainsFunc(r.parents, isOther) {
@@ -163,7 +167,8 @@
 // restore ends an ejection.
 func (endpoint *endpointState) restore(now int64) {
 	if endpoint.wasUnreachable {
-		// It has probably restarted, which the list tells only later. Full load at once could bring it down again.
+		// It has probably restarted, which the list tells only later. Full load at once could bring it down
+		// again.
 		endpoint.slowStartFrom, endpoint.slowStartReportedAt = now, now
 	}
 	endpoint.ejected, endpoint.wasUnreachable = false, false
@@ -177,8 +182,8 @@
 	endpoint.scoredAt = now
 }
 
-// cacheEvidence returns the evidence on all caches of the location together, if there is a watched cache to compare with
-// it.
+// cacheEvidence returns the evidence on all caches of the location together, if there is a watched cache to
+// compare with it.
 func (r *Router) cacheEvidence(now int64) (all evidence) {
 	mayBeEjected := func(endpoint *endpointState) bool {
 		return endpoint.role == cacheRole && !endpoint.ejected && endpoint.mayBeEjected(now)
@@ -189,8 +194,8 @@
 	return all
 }
 
-// mayBeOutlier reports whether a cache may stand out from its peers, given the evidence on all caches. In an overload, when
-// all look alike, it spares Tick summing up the peers of each one.
+// mayBeOutlier reports whether a cache may stand out from its peers, given the evidence on all caches. In an
+// overload, when all look alike, it spares Tick summing up the peers of each one.
 func (r *Router) mayBeOutlier(now int64, endpoint *endpointState, all evidence) bool {
 	own := endpoint.evidence(now, r.slowestResponseTime())
 	silence, failed := own.excess(all.minus(own), len(r.caches)-1)
@@ -225,15 +230,16 @@
 	return evidence{silence, successes, failures}
 }
 
-// mayBeEjected reports whether the evidence on an endpoint could suffice. It costs little: it counts the attempts in flight
-// as if each had waited long, and failures as if none had decayed.
+// mayBeEjected reports whether the evidence on an endpoint could suffice. It costs little: it counts the
+// attempts in flight as if each had waited long, and failures as if none had decayed.
 func (endpoint *endpointState) mayBeEjected(now int64) bool {
 	maxSilence := float64(len(endpoint.inFlight)) * maxSilencePerAttempt
 	return maxSilence >= silenceThreshold || endpoint.failures >= failureThreshold || now < endpoint.scoredAt
 }
 
-// peerEvidence sums up the evidence on all other caches of the location, or on all other parents. Without an endpoint it is
-// that on all caches. It leaves out endpoints with nothing in flight and without scores, which would add 0.
+// peerEvidence sums up the evidence on all other caches of the location, or on all other parents. Without an
+// endpoint it is that on all caches. It leaves out endpoints with nothing in flight and without scores, which
+// would add 0.
 func (r *Router) peerEvidence(now int64, endpoint *endpointState) (sum evidence) {
 	peers, peerRole := r.caches, cacheRole
 	if endpoint != nil && endpoint.Location != r.settings.location {
@@ -251,8 +257,8 @@
 	return sum
 }
 
-// unwatchHealthy drops from the endpoints that Tick checks those that are not ejected, have nothing in flight and too few
-// failures to be ejected for.
+// unwatchHealthy drops from the endpoints that Tick checks those that are not ejected, have nothing in flight
+// and too few failures to be ejected for.
 func (d *outlierDetector) unwatchHealthy(now int64) {
 	d.watched.endpoints = slices.DeleteFunc(d.watched.endpoints, func(endpoint *endpointState) bool {
 		if endpoint.ejected || len(endpoint.inFlight) > 0 {
@@ -263,7 +269,8 @@
 	})
 }
 
-// forgetFaded drops endpoints whose scores have decayed to 0 from the list of scored ones. It checks fadedPerTick of them.
+// forgetFaded drops endpoints whose scores have decayed to 0 from the list of scored ones. It checks
+// fadedPerTick of them.
 func (d *outlierDetector) forgetFaded(now int64) {
 	for range min(fadedPerTick, len(d.scored.endpoints)) {
 		d.nextFaded %= len(d.scored.endpoints)
@@ -285,7 +292,8 @@
 	if max(endpoint.successes, endpoint.failures) > lastingScore && elapsed < lastingScoreAge {
 		return true
 	}
-	return decay(endpoint.successes, elapsed, healthWindow) > 0 || decay(endpoint.failures, elapsed, healthWindow) > 0
+	return decay(endpoint.successes, elapsed, healthWindow) > 0 ||
+		decay(endpoint.failures, elapsed, healthWindow) > 0
 }
 
 // forget drops an endpoint that is no longer listed.
--- a/control/outliers_test.go
+++ b/control/outliers_test.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// Late with a quarter of what it is asked, a parent never stood out by three in ten; with hundreds of answers it does.
+// Late with a quarter of what it is asked, a parent never stood out by three in ten; with hundreds of answers
+// it does.
 func TestParentThatIsLateInPart(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -10,7 +10,8 @@
 
 const year = 365 * 24 * 3600 * second
 
-// worst is the oldest copy that a cache may send at a time of the world's: one that is as old as a dispatch accepts.
+// worst is the oldest copy that a cache may send at a time of the world's: one that is as old as a dispatch
+// accepts.
 func worst(world int64, d Attempt, fresh int64) (issued int64) {
 	if d.MaxAge > 0 {
 		return world - d.MaxAge
@@ -21,8 +22,9 @@
 	return world - year
 }
 
-// Our clock is off from the world's, by which copies and purges are stamped, and caches count ages. Whichever way, no copy from
-// before a purge is served that was told at the sending; and what is asked for again after a copy too old is got.
+// Our clock is off from the world's, by which copies and purges are stamped, and caches count ages. Whichever
+// way, no copy from before a purge is served that was told at the sending; and what is asked for again after a
+// copy too old is got.
 func TestNoOlderCopyWhicheverWayTheClockIsOff(t *testing.T) {
 	offs := []int64{0, second / 1000, 2 * second, 7 * second, 12 * second, 3600 * second, 24 * 3600 * second, year}
 	for i := range 10_000 {
@@ -127,7 +129,8 @@
 	}
 }
 
-// The last purge of an object counts, also behind one with an odd stamp, and where the clock that stamps is set back.
+// The last purge of an object counts, also behind one with an odd stamp, and where the clock that stamps is set
+// back.
 func TestPurgesInARow(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -157,7 +160,8 @@
 	}
 }
 
-// A purge is kept from when it was told: by its stamp and a clock an hour ahead it was forgotten at the next tick.
+// A purge is kept from when it was told: by its stamp and a clock an hour ahead it was forgotten at the next
+// tick.
 func TestPurgesAreForgottenByOurTime(t *testing.T) {
 	r := newRouter(t, nil)
 	const told = start + 3600*second
@@ -249,7 +253,8 @@
 	}
 }
 
-// A purge that a memory brings binds the router that takes it over, whichever way that one's clock is off from the one before.
+// A purge that a memory brings binds the router that takes it over, whichever way that one's clock is off from
+// the one before.
 func TestPurgesOfASnapshotWhicheverWayTheClockIsOff(t *testing.T) {
 	const purged = 2*year + second // on the world's clock
 	for _, before := range []int64{0, 3600 * second, -3600 * second, year, -year} {
@@ -296,7 +301,8 @@
 	}
 }
 
-// What a file holds that no process has written so: rates are never of the future, where they grew without bound.
+// What a file holds that no process has written so: rates are never of the future, where they grew without
+// bound.
 func TestRestoreOfTheFuture(t *testing.T) {
 	r := newRouter(t, nil)
 	r.Restore(start, Snapshot{
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -9,16 +9,18 @@
 )
 
 const (
-	// firstBatch is how many candidates are selected at first, batchGrowth by how many times each further batch is larger.
-	// In most cases the first candidate is taken.
+	// firstBatch is how many candidates are selected at first, batchGrowth by how many times each further batch
+	// is larger. In most cases the first candidate is taken.
 	firstBatch  = 4
 	batchGrowth = 8
 
-	// maxBatch is the largest batch that is selected by a scan. Sorting all that is left is faster than a larger one.
+	// maxBatch is the largest batch that is selected by a scan. Sorting all that is left is faster than a
+	// larger one.
 	maxBatch = 256
 
-	// An object is hot if its rate at this router is above hotShare of the mean rate of a cache, and it was requested at least
-	// minHotRequests times in the window: to a router that has just started all objects would look hot.
+	// An object is hot if its rate at this router is above hotShare of the mean rate of a cache, and it was
+	// requested at least minHotRequests times in the window: to a router that has just started all objects
+	// would look hot.
 	hotShare       = 0.1
 	minHotRequests = 3.
 
@@ -29,7 +31,8 @@
 	roundingMargin = 1 + 1e-12
 )
 
-// tier is a list of endpoints, with what a scan over them needs in an array of its own so that it reads little memory.
+// tier is a list of endpoints, with what a scan over them needs in an array of its own so that it reads little
+// memory.
 type tier struct {
 	endpointList
 	keys []rankKey // of the endpoint at the same index
@@ -100,8 +103,9 @@
 	return cmp.Compare(c.index, other.index) // a tier is in the order of the IDs
 }
 
-// candidates iterates over the endpoints of a tier in the order in which an object prefers them: rendezvous hashing weighted
-// by capacity, which is the same at every router. They are selected in batches, and no further than next is called.
+// candidates iterates over the endpoints of a tier in the order in which an object prefers them: rendezvous
+// hashing weighted by capacity, which is the same at every router. They are selected in batches, and no further
+// than next is called.
 type candidates struct {
 	tier      *tier
 	hash      uint64 // of the object
@@ -113,8 +117,8 @@
 	first     *endpointState // comes before the tier's endpoints; may be nil
 	last      *endpointState // comes after the tier's endpoints; may be nil
 
-	// While hundreds of endpoints are in slow start, those that are known to admit no such work now are skipped from the
-	// second batch on. The caller would pass over them, at a greater cost.
+	// While hundreds of endpoints are in slow start, those that are known to admit no such work now are skipped
+	// from the second batch on. The caller would pass over them, at a greater cost.
 	skipsPostponed bool
 	now            int64
 	work           float64 // s; sending time of the request
@@ -219,7 +223,8 @@
 	return endpoint.slowStart.isPostponed(c.now, endpoint.slowStartFrom, c.work)
 }
 
-// skipPostponed has endpoints skipped that admit no such work now; there can be any only before a time, postponedUntil.
+// skipPostponed has endpoints skipped that admit no such work now; there can be any only before a time,
+// postponedUntil.
 func (c *candidates) skipPostponed(now int64, work float64, postponedUntil int64) {
 	c.skipsPostponed, c.now, c.work = now < postponedUntil, now, work
 }
@@ -236,8 +241,8 @@
 	}
 }
 
-// scanByLoad fills the batch with the endpoints of lowest load, and of lowest score among equals, that come after a
-// candidate.
+// scanByLoad fills the batch with the endpoints of lowest load, and of lowest score among equals, that come
+// after a candidate.
 func (c *candidates) scanByLoad(after candidate) {
 	worst := candidate{load: math.Inf(1), score: math.Inf(1)}
 	var previous *endpointState
@@ -265,13 +270,14 @@
 	return endpoint.Capacity == other.Capacity && endpoint.withinObjective == other.withinObjective
 }
 
-// mustExceed reports whether a score is certainly above a bound. It computes no logarithm: -ln(u) is at least 1-u.
+// mustExceed reports whether a score is certainly above a bound. It computes no logarithm: -ln(u) is at least
+// 1-u.
 func mustExceed(draw, weight, bound float64) bool {
 	return 1-draw > bound*weight*roundingMargin
 }
 
-// add inserts a candidate into the batch in order, if it comes after the given one and the batch has space for it or holds
-// a later one, which it drops. It returns the candidate that a further one must come before.
+// add inserts a candidate into the batch in order, if it comes after the given one and the batch has space for
+// it or holds a later one, which it drops. It returns the candidate that a further one must come before.
 func (c *candidates) add(next, after candidate) (worst candidate) {
 	if next.compare(after) > 0 {
 		if len(c.batch) == c.batchSize && next.compare(c.batch[len(c.batch)-1]) < 0 {
@@ -288,9 +294,9 @@
 	return c.batch[len(c.batch)-1]
 }
 
-// cacheCandidates returns the caches in the order in which they may serve a request. An object goes to its home cache, the
-// first by its hash; a hot one to the least loaded of two or three; a request that is not cacheable to the least loaded of
-// all.
+// cacheCandidates returns the caches in the order in which they may serve a request. An object goes to its home
+// cache, the first by its hash; a hot one to the least loaded of two or three; a request that is not cacheable
+// to the least loaded of all.
 func (r *Router) cacheCandidates(now int64, request *Request) *candidates {
 	ranked := &r.cacheOrder
 	*ranked = candidates{
@@ -320,10 +326,10 @@
 	return max(1, min(1+int(hot), maxHotCaches, caches))
 }
 
-// sourceCandidates returns the parents, and the origin last, in the order in which they may fill an object. A request that
-// is not cacheable gains nothing from a parent: it goes straight to the origin, and to a parent only after the origin has
-// rejected it. The parent that its hash selects may be in any location, and the detour would cost a class with a short
-// deadline all of its time.
+// sourceCandidates returns the parents, and the origin last, in the order in which they may fill an object. A
+// request that is not cacheable gains nothing from a parent: it goes straight to the origin, and to a parent
+// only after the origin has rejected it. The parent that its hash selects may be in any location, and the
+// detour would cost a class with a short deadline all of its time.
 func (r *Router) sourceCandidates(now int64, request *Request) *candidates {
 	ranked := &r.sourceOrder
 	*ranked = candidates{tier: &r.parentTier, hash: r.objectHash(request.record.key), batch: ranked.batch}
--- a/control/rates.go
+++ b/control/rates.go
@@ -12,13 +12,15 @@
 	// maxObjects bounds the records of recently requested objects, and those of evicted ones.
 	maxObjects = 10000
 
-	// A request that comes within guessedRetryWindow after one for the same object was not served is taken for a retry of
-	// that client, unless the object has maxGuessedRetryCount requests in rateWindow: then it is probably another client.
+	// A request that comes within guessedRetryWindow after one for the same object was not served is taken for
+	// a retry of that client, unless the object has maxGuessedRetryCount requests in rateWindow: then it is
+	// probably another client.
 	guessedRetryWindow   = second // ns
 	maxGuessedRetryCount = 10.
 )
 
-// decay returns what is left of a value after a time, if it decays exponentially to 1/e over a window; both in ns.
+// decay returns what is left of a value after a time, if it decays exponentially to 1/e over a window; both in
+// ns.
 func decay(value float64, elapsed, window int64) float64 {
 	return value * math.Exp(-float64(elapsed)/float64(window))
 }
@@ -44,7 +46,8 @@
 
 func (c *decayingWork) add(now int64, work float64) { c.work, c.lastAt = c.at(now)+work, now }
 
-// objectKey identifies an object. Parts of an object are filled and cached separately, so each counts as an object.
+// objectKey identifies an object. Parts of an object are filled and cached separately, so each counts as an
+// object.
 type objectKey struct {
 	object string
 	part   int64
@@ -77,8 +80,9 @@
 	return now < record.unservedAt+guessedRetryWindow && record.requestCount < maxGuessedRetryCount
 }
 
-// requestRates counts requests, by object and in all. It keeps records of maxObjects objects, the least recently requested
-// of which is evicted by a new one, and those of as many evicted objects, which keep their rates.
+// requestRates counts requests, by object and in all. It keeps records of maxObjects objects, the least
+// recently requested of which is evicted by a new one, and those of as many evicted objects, which keep their
+// rates.
 type requestRates struct {
 	startedAt      int64 // when counting started
 	objects        map[objectKey]*objectRecord
@@ -98,8 +102,9 @@
 	}
 }
 
-// record counts a request and returns the record of its object. Clients' retries, marked or guessed, do not count: they are
-// many when parents are overloaded, and would lower accepted ages and so cause still more fills.
+// record counts a request and returns the record of its object. Clients' retries, marked or guessed, do not
+// count: they are many when parents are overloaded, and would lower accepted ages and so cause still more
+// fills.
 func (rates *requestRates) record(now int64, request *Request) *objectRecord {
 	record := rates.touch(now, request)
 	rates.evict()
@@ -163,8 +168,8 @@
 	return rates.perSecond(now, rates.requestCount, rates.requestCountAt, rateWindow)
 }
 
-// perSecond returns the rate that follows from a sum that decays over a window, in ns. It divides by the time since counting
-// started if that is less than the window, but by a second at least.
+// perSecond returns the rate that follows from a sum that decays over a window, in ns. It divides by the time
+// since counting started if that is less than the window, but by a second at least.
 func (rates *requestRates) perSecond(now int64, sum float64, countedAt, window int64) float64 {
 	span := float64(max(min(now-rates.startedAt, window), second)) / 1e9
 	return decay(sum, now-countedAt, window) / span
--- a/control/rates_test.go
+++ b/control/rates_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// However many objects are asked for, the records are bounded, and the one that was not asked for longest goes first.
+// However many objects are asked for, the records are bounded, and the one that was not asked for longest goes
+// first.
 func TestRecordsAreBounded(t *testing.T) {
 	rates := newRequestRates(start)
 	for n := range 2*maxObjects + 2 {
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// This file holds the plain text of ranking, loads and evidence, which goes over all members each time. It is the
-// reference for the selection and the kept counts.
+// This file holds the plain text of ranking, loads and evidence, which goes over all members each time. It is
+// the reference for the selection and the kept counts.
 
 // plainRank orders members by rendezvous hashing weighted by size.
 func plainRank(key objectKey, members []*endpointState) []*endpointState {
@@ -221,8 +221,8 @@
 	return silent >= silenceThreshold || bad >= failureThreshold && bad/(good+bad)-allBad/max(allGood+allBad, 1) >= failureShare
 }
 
-// overlooked gives the members that the plain periodic check would find suspect, or probe, and that it passes over
-// by what is kept.
+// overlooked gives the members that the plain periodic check would find suspect, or probe, and that it passes
+// over by what is kept.
 func overlooked(r *Router, now int64) (found []uint32) {
 	all := r.cacheEvidence(now)
 	for _, endpoint := range r.caches {
--- a/control/requests.go
+++ b/control/requests.go
@@ -53,8 +53,8 @@
 	return !attempt.ended || attempt.result > NotSent && attempt.result != LocalError
 }
 
-// waitsForEjected reports whether an attempt waits for an endpoint that has been ejected. It does not for the endpoint that
-// it probes, until minProbeBackoff is over.
+// waitsForEjected reports whether an attempt waits for an endpoint that has been ejected. It does not for the
+// endpoint that it probes, until minProbeBackoff is over.
 func (attempt *attemptState) waitsForEjected(now int64, endpoint *endpointState) bool {
 	if endpoint == nil || !endpoint.ejected {
 		return false
@@ -62,8 +62,9 @@
 	return attempt.probed != endpoint || now-attempt.sentAt > minProbeBackoff
 }
 
-// disqualifies reports whether an attempt is a reason not to send the request to an endpoint again. A connection that broke
-// and the like are none: a retry may well succeed there, and another cache would have to fill the object first.
+// disqualifies reports whether an attempt is a reason not to send the request to an endpoint again. A
+// connection that broke and the like are none: a retry may well succeed there, and another cache would have to
+// fill the object first.
 func (attempt *attemptState) disqualifies(endpoint *endpointState) bool {
 	switch attempt.result {
 	case ConnectionLost, SendInterrupted, ServerError, NotHeld, Stale, LocalError:
@@ -86,8 +87,8 @@
 // isUncacheable reports whether the answer to a request is never cached, because only the origin can answer it.
 func (request *Request) isUncacheable() bool { return request.class.uncacheable || request.Write }
 
-// sendDeadline returns by when a request has to be sent to a cache: halfway to its deadline, so that there is time left for
-// the answer, and later only if an attempt got as far as a cache.
+// sendDeadline returns by when a request has to be sent to a cache: halfway to its deadline, so that there is
+// time left for the answer, and later only if an attempt got as far as a cache.
 func (request *Request) sendDeadline() int64 {
 	for _, attempt := range request.attempts {
 		if attempt.mayHaveRun() || attempt.result == Overloaded || attempt.result == NotHeld {
@@ -124,8 +125,8 @@
 	return request.attempts[len(request.attempts)-1]
 }
 
-// sourceRejected reports whether the source rejected the last attempt. Then the other parents are likely to reject the next
-// one too, and it goes to the origin if that cannot be overloaded.
+// sourceRejected reports whether the source rejected the last attempt. Then the other parents are likely to
+// reject the next one too, and it goes to the origin if that cannot be overloaded.
 func (request *Request) sourceRejected() bool {
 	last := request.lastAttempt()
 	return last != nil && last.sourceRejected
--- a/control/retries.go
+++ b/control/retries.go
@@ -1,13 +1,13 @@
 package control
 
 const (
-	// Retry tokens: a first attempt adds retryTokensPerRequest times its class's weight, relative to the largest, up to
-	// maxRetryTokens in all.
+	// Retry tokens: a first attempt adds retryTokensPerRequest times its class's weight, relative to the
+	// largest, up to maxRetryTokens in all.
 	retryTokensPerRequest = 0.15
 	maxRetryTokens        = 10.
 
-	// freeAttempts bounds the attempts of a request up to which a retry takes no token if the attempt before shows no sign of
-	// an overload.
+	// freeAttempts bounds the attempts of a request up to which a retry takes no token if the attempt before
+	// shows no sign of an overload.
 	freeAttempts = 3
 
 	// hedgeDelayShare is the part of the latency objective after which an attempt may be hedged.
@@ -16,14 +16,15 @@
 	// lostResponseThreshold is how many recent answers, decayed, have to be missing for attempts to be hedged.
 	lostResponseThreshold = 1.5
 
-	// sourceRejectionThreshold is how many recent fills, decayed, parents have to have rejected for the origin to get
-	// requests that are not admitted as fills.
+	// sourceRejectionThreshold is how many recent fills, decayed, parents have to have rejected for the origin
+	// to get requests that are not admitted as fills.
 	sourceRejectionThreshold = 1.5
 
 	// maxHealthyFailureRatio is how many failures for each success a healthy endpoint has at most.
 	maxHealthyFailureRatio = 0.03
 
-	// retryAfterShare is the part of the latency objective that Retry-After is at least; it is twice that at most.
+	// retryAfterShare is the part of the latency objective that Retry-After is at least; it is twice that at
+	// most.
 	retryAfterShare = 0.2
 
 	// A class without weight is allowed minAllowedAttempts, one of the largest weight attemptsByWeight more.
@@ -31,8 +32,8 @@
 	attemptsByWeight   = 2
 )
 
-// retryState bounds retries and hedges. Without a bound they would make an overload worse. The bound costs requests when one
-// cache of few fails and the others could serve more retries than it allows.
+// retryState bounds retries and hedges. Without a bound they would make an overload worse. The bound costs
+// requests when one cache of few fails and the others could serve more retries than it allows.
 type retryState struct {
 	tokens           float64       // of a token bucket; a retry or hedge takes one
 	lostResponses    decayingCount // attempts at healthy endpoints that timed out
@@ -51,8 +52,9 @@
 	return true
 }
 
-// takeRetryToken reports whether the next attempt of a request may be made as far as tokens go, and takes one if it needs one.
-// A first attempt adds tokens instead. A retry after an attempt that shows no sign of an overload needs none.
+// takeRetryToken reports whether the next attempt of a request may be made as far as tokens go, and takes one
+// if it needs one. A first attempt adds tokens instead. A retry after an attempt that shows no sign of an
+// overload needs none.
 func (r *Router) takeRetryToken(request *Request) bool {
 	last := request.lastAttempt()
 	switch {
@@ -67,8 +69,8 @@
 	return r.retries.withdraw()
 }
 
-// showsNoOverload reports whether an attempt ended in a way that is no sign of an overload. A fill that a source rejected is
-// such a sign only if the origin can be overloaded.
+// showsNoOverload reports whether an attempt ended in a way that is no sign of an overload. A fill that a
+// source rejected is such a sign only if the origin can be overloaded.
 func (r *Router) showsNoOverload(attempt *attemptState) bool {
 	switch attempt.result {
 	case NotHeld, SendInterrupted, ConnectionLost:
@@ -77,8 +79,8 @@
 	return attempt.sourceRejected && r.settings.originUnlimited
 }
 
-// mayRetry reports whether a further attempt of a request is allowed, by the number of attempts and the weight of its class,
-// whether it can be answered in time, and whether it is safe (rule 2 in docs/design.md).
+// mayRetry reports whether a further attempt of a request is allowed, by the number of attempts and the weight
+// of its class, whether it can be answered in time, and whether it is safe (rule 2 in docs/design.md).
 func (r *Router) mayRetry(now int64, request *Request) bool {
 	byWeight := int(attemptsByWeight * request.class.weight / r.maxWeight())
 	allowed := min(r.settings.maxAttempts, minAllowedAttempts+byWeight)
@@ -88,8 +90,8 @@
 	return request.canBeAnswered(now) && request.isSafeToRetry(now)
 }
 
-// isSafeToRetry reports whether a request takes effect no more than once if it is sent again: because it is idempotent, because
-// the server still drops repetitions, or because no attempt has run.
+// isSafeToRetry reports whether a request takes effect no more than once if it is sent again: because it is
+// idempotent, because the server still drops repetitions, or because no attempt has run.
 func (request *Request) isSafeToRetry(now int64) bool {
 	if request.class.idempotency == idempotent {
 		return true
@@ -103,8 +105,8 @@
 	return true
 }
 
-// withinKeyScope reports whether a request may be sent to an endpoint as far as the scope of its idempotency key goes: attempts
-// that may have run must be in the same scope, or the endpoint does not know of them.
+// withinKeyScope reports whether a request may be sent to an endpoint as far as the scope of its idempotency
+// key goes: attempts that may have run must be in the same scope, or the endpoint does not know of them.
 func (request *Request) withinKeyScope(endpoint *endpointState) bool {
 	if request.class.idempotency != keyed {
 		return true
@@ -127,8 +129,9 @@
 	return true
 }
 
-// reconsider decides on a request with attempts in flight. If all of them wait for ejected endpoints, or have probably lost
-// their answers, it sends the request to another endpoint: beside them where hedging is allowed, else after cancelling them.
+// reconsider decides on a request with attempts in flight. If all of them wait for ejected endpoints, or have
+// probably lost their answers, it sends the request to another endpoint: beside them where hedging is allowed,
+// else after cancelling them.
 func (r *Router) reconsider(now int64, request *Request) Decision {
 	var overdue []int // numbers of attempts
 	for number, attempt := range request.attempts {
@@ -159,8 +162,8 @@
 		r.hedgeDue(now, request, attempt)
 }
 
-// hedgeDue reports whether an attempt may be hedged because its answer is probably lost: other answers were lost recently,
-// and it takes long though its endpoints are healthy.
+// hedgeDue reports whether an attempt may be hedged because its answer is probably lost: other answers were
+// lost recently, and it takes long though its endpoints are healthy.
 func (r *Router) hedgeDue(now int64, request *Request, attempt *attemptState) bool {
 	if !r.settings.hedging || r.retries.lostResponses.at(now) <= lostResponseThreshold {
 		return false
@@ -171,13 +174,14 @@
 	return float64(now-attempt.sentAt) > hedgeDelayShare*float64(r.objectiveFor(request, 0))
 }
 
-// isHealthy reports whether an endpoint is not ejected and next to nothing failed there recently. Hedges to any other would
-// make an overload worse. No endpoint, nil, is healthy.
+// isHealthy reports whether an endpoint is not ejected and next to nothing failed there recently. Hedges to any
+// other would make an overload worse. No endpoint, nil, is healthy.
 func (endpoint *endpointState) isHealthy() bool {
 	return endpoint == nil || !endpoint.ejected && endpoint.failures < maxHealthyFailureRatio*endpoint.successes
 }
 
-// goesToOrigin reports whether a request that its cache lacks is to be filled by the origin, because parents reject fills.
+// goesToOrigin reports whether a request that its cache lacks is to be filled by the origin, because parents
+// reject fills.
 func (r *Router) goesToOrigin(now int64, request *Request, cache *endpointState) bool {
 	last := request.lastAttempt()
 	if last == nil || last.source != nil || request.sourceMissed || cache == nil {
@@ -200,7 +204,8 @@
 	case !r.settings.retryAfter:
 		return Decision{Verdict: Reject}
 	}
-	// Soon enough to be in time, and at random, so that clients that are rejected together do not come back together.
+	// Soon enough to be in time, and at random, so that clients that are rejected together do not come back
+	// together.
 	wait := int64(retryAfterShare * (1 + r.random()) * float64(class.objective))
 	return Decision{Verdict: Reject, RetryAfter: min(wait, r.settings.maxRetryAfter)}
 }
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -82,7 +82,8 @@
 	}
 }
 
-// Answers that never come show only at the end of the client's time: once some did not, what is overdue is sent again.
+// Answers that never come show only at the end of the client's time: once some did not, what is overdue is sent
+// again.
 func TestHedging(t *testing.T) {
 	for _, c := range []struct {
 		name    string
--- a/control/selection.go
+++ b/control/selection.go
@@ -1,7 +1,7 @@
 package control
 
-// selectEndpoints returns the cache that a request goes to and the source that the cache fills a miss from, in the order of
-// the object's hash; nil is none.
+// selectEndpoints returns the cache that a request goes to and the source that the cache fills a miss from, in
+// the order of the object's hash; nil is none.
 func (r *Router) selectEndpoints(now int64, request *Request) (cache, source *endpointState) {
 	caches := r.cacheCandidates(now, request)
 	request.diverted = false
@@ -16,8 +16,9 @@
 	return cache, r.firstUsable(now, request, r.sourceCandidates(now, request))
 }
 
-// firstUsable returns the first endpoint that is eligible, not ejected (or to be probed) and not tried yet for the request.
-// If there is none it returns the first eligible one: when all are ejected, their ejection says little.
+// firstUsable returns the first endpoint that is eligible, not ejected (or to be probed) and not tried yet for
+// the request. If there is none it returns the first eligible one: when all are ejected, their ejection says
+// little.
 func (r *Router) firstUsable(now int64, request *Request, ranked *candidates) (fallback *endpointState) {
 	for endpoint := ranked.next(); endpoint != nil; endpoint = ranked.next() {
 		if !r.isEligible(now, request, endpoint) {
@@ -34,16 +35,16 @@
 	return fallback
 }
 
-// isEligible reports whether the request may be sent to an endpoint at all: by its slow start, by the scope of the
-// idempotency key, and by whether it can be reached.
+// isEligible reports whether the request may be sent to an endpoint at all: by its slow start, by the scope of
+// the idempotency key, and by whether it can be reached.
 func (r *Router) isEligible(now int64, request *Request, endpoint *endpointState) bool {
 	return r.slowStartAdmits(now, endpoint, request.class.sendingTime) &&
 		(endpoint.Location != r.settings.location || request.withinKeyScope(endpoint)) &&
 		(r.Reachable == nil || r.Reachable(endpoint.ID))
 }
 
-// mayProbe reports whether an ejected endpoint is to be probed by the first attempt of a request: after the backoff, and for
-// a cache only where no health checks are sent.
+// mayProbe reports whether an ejected endpoint is to be probed by the first attempt of a request: after the
+// backoff, and for a cache only where no health checks are sent.
 func (r *Router) mayProbe(now int64, request *Request, endpoint *endpointState) bool {
 	if now < endpoint.nextProbeAt || endpoint.probing || len(request.attempts) > 0 {
 		return false
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -8,10 +8,10 @@
 
 // Slow start: an endpoint that started recently can take N requests of mean work within a window, where
 //
-//	N = multiple × its capacity so far × window / mean sending time
+//	N = multiple × its capacity at the time × window / mean sending time
 //
-// and is overloaded above overloadLimit(N). All routers that share the endpoint keep within that together without talking to
-// each other; docs/coldstart.md has the arithmetic. Work is in seconds of sending time.
+// and is overloaded above overloadLimit(N). All routers that share the endpoint keep within that together
+// without talking to each other; docs/coldstart.md has the arithmetic. Work is in seconds of sending time.
 
 const (
 	// largeLimitFrom is the N from which the smaller margin of overloadLimit applies.
@@ -20,12 +20,12 @@
 	// overloadProbability is the accepted probability that an endpoint is overloaded on any one day.
 	overloadProbability = 1e-3
 
-	// incarnations is how often one router's share may be used up within a window: a router that has restarted does not
-	// remember what it sent before.
+	// incarnations is how often one router's share may be used up within a window: a router that has restarted
+	// does not remember what it sent before.
 	incarnations = 2
 
-	// tiltRange and tiltSteps bound the search for the best t of Chernoff's bound. For many routers the optimum is within
-	// tiltRange of the lower end, in units of 1 / mean work.
+	// tiltRange and tiltSteps bound the search for the best t of Chernoff's bound. For many routers the optimum
+	// is within tiltRange of the lower end, in units of 1 / mean work.
 	tiltRange = 4.
 	tiltSteps = 24
 
@@ -36,9 +36,9 @@
 	minOfferedWork = 1e-3
 )
 
-// overloadLimit returns the number of requests of mean work within the window above which an endpoint is overloaded, where it
-// can take n. Below largeLimitFrom it is bounded by the value there: n grows while the endpoint warms up, and the limit must
-// not fall.
+// overloadLimit returns the number of requests of mean work within the window above which an endpoint is
+// overloaded, where it can take n. Below largeLimitFrom it is bounded by the value there: n grows while the
+// endpoint warms up, and the limit must not fall.
 func overloadLimit(n float64) float64 {
 	large := func(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 	if n >= largeLimitFrom {
@@ -50,7 +50,7 @@
 // slowStartTerms is what the settings say of the slow start of an endpoint.
 type slowStartTerms struct {
 	share    float64 // part of its capacity that it has at the start
-	multiple float64 // of its capacity so far that it can take
+	multiple float64 // of its capacity at the time that it can take
 	span     int64   // ns; from its start until it is warm
 	window   int64   // ns; over which requests are counted
 	routers  int     // that share the endpoint
@@ -64,8 +64,8 @@
 	return r.settings.parentSlowStart
 }
 
-// sustainableWork returns the work, in s, that an endpoint can take within the window at a time after its start, in ns.
-// capacity is the one that it has when warm.
+// sustainableWork returns the work, in s, that an endpoint can take within the window at a time after its
+// start, in ns. capacity is the one that it has when warm.
 func (s slowStartTerms) sustainableWork(capacity float64, elapsed int64) float64 {
 	warm := s.share + (1-s.share)*float64(max(0, elapsed))/float64(s.span)
 	return s.multiple * capacity * warm * float64(s.window) / 1e9
@@ -80,8 +80,8 @@
 	tokensAt  int64 // when tokens was updated
 	tokensFor int64 // slowStartFrom of the start that the tokens are for
 
-	// To compute the rate of tokens costs more than all else of a decision, and hundreds of endpoints may be in slow start at
-	// once. It is not computed again before retryAt, as long as there cannot be a whole token.
+	// To compute the rate of tokens costs more than all else of a decision, and hundreds of endpoints may be in
+	// slow start at once. It is not computed again before retryAt, as long as there cannot be a whole token.
 	retryAt   int64
 	retryWork float64 // s; the lightest work that waits for retryAt
 }
@@ -92,8 +92,8 @@
 	amount float64 // s
 }
 
-// charge counts work that is sent to an endpoint now if that is in slow start: a first attempt, a retry, a hedge, a probe or
-// a fill.
+// charge counts work that is sent to an endpoint now if that is in slow start: a first attempt, a retry, a
+// hedge, a probe or a fill.
 func (endpoint *endpointState) charge(now int64, work float64) {
 	if endpoint.slowStartFrom != 0 {
 		endpoint.slowStart.charge(now, work)
@@ -123,9 +123,10 @@
 	return sum
 }
 
-// collect adds the tokens that have come since the last call, at a rate of so many a window in ns, and reports whether there is
-// a whole one. The first call for a start begins with a random part of a token, phase, so that the routers' tokens come at
-// different times. Tokens above 1 + rate lapse, so that within a window at most two windows' tokens are spent.
+// collect adds the tokens that have come since the last call, at a rate of so many a window in ns, and reports
+// whether there is a whole one. The first call for a start begins with a random part of a token, phase, so that
+// the routers' tokens come at different times. Tokens above 1 + rate lapse, so that within a window at most two
+// windows' tokens are spent.
 func (budget *slowStartBudget) collect(now, startedAt, window int64, rate float64, phase func(int64) float64) bool {
 	if budget.tokensFor != startedAt {
 		budget.tokensFor, budget.tokensAt, budget.tokens = startedAt, now, phase(now)
@@ -138,8 +139,9 @@
 	return budget.tokens >= 1
 }
 
-// postpone sets when the rate for such work is computed again: when there can be a whole token, if the rate does not grow by
-// more than maxRateGrowth until then, but at most a window later. A time that is too late admits less, never more.
+// postpone sets when the rate for such work is computed again: when there can be a whole token, if the rate
+// does not grow by more than maxRateGrowth until then, but at most a window later. A time that is too late
+// admits less, never more.
 func (budget *slowStartBudget) postpone(now, window int64, rate, work float64) {
 	wait := float64(window)
 	if rate > 0 {
@@ -148,8 +150,8 @@
 	budget.retryAt, budget.retryWork = now+int64(wait), work
 }
 
-// isPostponed reports whether there cannot be a whole token for such work yet. Heavier work gets fewer tokens, so what holds
-// for retryWork holds for it too.
+// isPostponed reports whether there cannot be a whole token for such work yet. Heavier work gets fewer tokens,
+// so what holds for retryWork holds for it too.
 func (budget *slowStartBudget) isPostponed(now, startedAt int64, work float64) bool {
 	return now < budget.retryAt && budget.tokensFor == startedAt && work >= budget.retryWork
 }
@@ -161,17 +163,19 @@
 	starts float64 // slow starts a day, if each listed endpoint starts once
 }
 
-// rate returns how many tokens for requests of such work each router may collect in a window; usual is the mean work of
-// requests that need tokens. Both are in s.
+// rate returns how many tokens for requests of such work each router may collect in a window; usual is the mean
+// work of requests that need tokens. Both are in s.
 //
-// A window sees at most two windows' tokens, if all routers spend in one instant what they have collected and go on. That
-// is a sum of independent trials, each of which is a request with the probability q(work), with or without restarts.
-// Chernoff's bound (A measure of asymptotic efficiency for tests of a hypothesis, 1952) says of any such sum, for any t > 0,
+// A window sees at most two windows' tokens, if all routers spend in one instant what they have collected and
+// go on. That is a sum of independent trials, each of which is a request with the probability q(work), with or
+// without restarts. Chernoff's bound (A measure of asymptotic efficiency for tests of a hypothesis, 1952) says
+// of any such sum, for any t > 0,
 //
 //	P(sum > limit) ≤ exp(trials·ln(1 + q·(exp(t·work) - 1)) - t·limit)
 //
-// and is held to overloadProbability over the starts of a day. With one t for all work it holds for any mixture of classes
-// (Kelly, Notes on effective bandwidths, 1996). The t taken is the one that admits most of usual work.
+// and is held to overloadProbability over the starts of a day. With one t for all work it holds for any mixture
+// of classes (Kelly, Notes on effective bandwidths, 1996). The t taken is the one that admits most of usual
+// work.
 func (t tokenTerms) rate(work, usual float64) float64 {
 	improbability := math.Log(t.starts / overloadProbability)
 	exponentPerTrial := func(tilt float64) float64 { return (tilt*t.limit - improbability) / t.trials }
@@ -189,8 +193,8 @@
 	return max(0, min(1, math.Expm1(exponentPerTrial(low))/math.Expm1(low*work)))
 }
 
-// slowStartAdmits reports whether work, in s, may be sent to an endpoint now without overloading it in its slow start
-// (rule 4 in docs/design.md).
+// slowStartAdmits reports whether work, in s, may be sent to an endpoint now without overloading it in its slow
+// start (rule 4 in docs/design.md).
 func (r *Router) slowStartAdmits(now int64, endpoint *endpointState, work float64) bool {
 	if endpoint == r.origin || endpoint.slowStartFrom == 0 {
 		return true
@@ -208,8 +212,8 @@
 	mean := r.meanWork(now, 0)
 	n := terms.sustainableWork(r.sustainedCapacity(now, endpoint), now-startedAt) / mean
 	limit := mean * overloadLimit(n)
-	// Fixed shares never overload the endpoint, even if each router restarts within the window, or if the endpoint has half
-	// the capacity that it seems to have.
+	// Fixed shares never overload the endpoint, even if each router restarts within the window, or if the
+	// endpoint has half the capacity that it seems to have.
 	fixedShare := limit / incarnations / float64(terms.routers)
 	if work <= fixedShare {
 		return budget.work()+work <= fixedShare
@@ -224,7 +228,8 @@
 	return false
 }
 
-// tokenRate returns the rate of tokens for work that exceeds a router's fixed share of an endpoint's limit; all in s.
+// tokenRate returns the rate of tokens for work that exceeds a router's fixed share of an endpoint's limit; all
+// in s.
 func (r *Router) tokenRate(now int64, terms slowStartTerms, limit, fixedShare, work float64) float64 {
 	tokens := tokenTerms{
 		limit:  limit,
@@ -237,8 +242,8 @@
 	return tokens.rate(work, r.meanWork(now, fixedShare))
 }
 
-// phase returns the part of a token from [0, 1) that a router begins with. It follows from the router's seed, the endpoint and
-// the time, so that a router that restarts has another one.
+// phase returns the part of a token from [0, 1) that a router begins with. It follows from the router's seed,
+// the endpoint and the time, so that a router that restarts has another one.
 func (r *Router) phase(now int64, endpoint *endpointState) float64 {
 	key := binary.LittleEndian.AppendUint64(nil, r.seed)
 	key = binary.LittleEndian.AppendUint64(key, uint64(now))
@@ -248,7 +253,8 @@
 	return uniformDraw(hash.Sum64())
 }
 
-// uniformDraw maps a hash to a number from [0, 1). The finalizer of MurmurHash3 (Appleby) spreads the hash's last bytes.
+// uniformDraw maps a hash to a number from [0, 1). The finalizer of MurmurHash3 (Appleby) spreads the hash's
+// last bytes.
 func uniformDraw(hash uint64) float64 {
 	hash = (hash ^ hash>>33) * 0xff51afd7ed558ccd
 	hash = (hash ^ hash>>33) * 0xc4ceb9fe1a85ec53
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -42,8 +42,9 @@
 	return lost
 }
 
-// The rates of tokens, for all that a member may bear, break the rule in under a day of a thousand, also where each of
-// 3,200 members starts in the day and all routers spend in one instant what they have collected; and not by far.
+// The rates of tokens, for all that a member may bear, break the rule in under a day of a thousand, also where
+// each of 3,200 members starts in the day and all routers spend in one instant what they have collected; and
+// not by far.
 func TestTokenRates(t *testing.T) {
 	for _, routers := range []int{6, 24, 350, 900} {
 		for _, starts := range []int{1, 256, 4096} {
@@ -57,7 +58,8 @@
 				if rate <= 0 || rate > 1 || chance > overloadProbability || chance < overloadProbability/1000 {
 					t.Errorf("%d routers, %d starts, N %.1f: rate %.4f, broken on %.2g of all days", routers, starts, n, rate, chance)
 				}
-				// Asked all the time a window sees one window's tokens; then the member may also be smaller than it seems.
+				// Asked all the time a window sees one window's tokens; then the member may also be smaller
+				// than it seems.
 				const windows = 15
 				if chance := moreThan(routers, int(falls(0.6*n)), rate) * float64(starts) * windows; chance > overloadProbability {
 					t.Errorf("%d routers, %d starts, N %.1f: with 0.6 of the size broken on %.2g of all days", routers, starts, n, chance)
@@ -162,8 +164,8 @@
 	}
 }
 
-// Routers that spend all they may in one instant, and go on, keep within the rule together, few or many, whatever the
-// member bears; so they do if nine in ten restart within the window and have forgotten.
+// Routers that spend all they may in one instant, and go on, keep within the rule together, few or many,
+// whatever the member bears; so they do if nine in ten restart within the window and have forgotten.
 func TestSlowStartByTheSumOfAllRouters(t *testing.T) {
 	for _, routers := range []int{1, 6, 24, 350, 900} {
 		for _, n := range []float64{0.3, 1, 4, 17, 29, 150} {
@@ -325,9 +327,9 @@
 	}
 }
 
-// A share of a cold budget below one dispatch was used by no router: of 15 parents nine came back cold and stood idle.
-// Saved up, it is used, and all routers together keep within what the member bears in every window, also where all want
-// it in the same moment.
+// A share of a cold budget below one dispatch was used by no router: of 15 parents nine came back cold and
+// stood idle. Saved up, it is used, and all routers together keep within what the member bears in every window,
+// also where all want it in the same moment.
 func TestSmallSlowStartSharesCollectTokens(t *testing.T) {
 	const routers = 300
 	window := 2 * second
@@ -408,8 +410,8 @@
 	}
 }
 
-// Rates that are not worked out again while there can't be a token cost next to nothing of what may be sent: all but a
-// twentieth of what goes out where they are worked out at every request.
+// Rates that are not worked out again while there can't be a token cost next to nothing of what may be sent:
+// all but a twentieth of what goes out where they are worked out at every request.
 func TestPostponedRatesCostLittle(t *testing.T) {
 	const routers = 350
 	for _, n := range []float64{0.3, 4, 17} {
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -7,55 +7,59 @@
 	"slices"
 )
 
-// Snapshot is what a router has learned, for one that starts in its place: rates, what classes cost to send, told purges.
-// Judgements of endpoints are not in it: they are of moments. Times are on the axis of the process that learned it, ns.
+// Snapshot is what a router has learned, for the router that starts in its place: rates, means of classes,
+// admission limits and purges. Scores of endpoints are not in it, as they are soon out of date. Times are by
+// the clock of the process that took it, in ns. CBOR stores the fields under the names in their tags.
 type Snapshot struct {
-	StartedAt       int64            `cbor:"Started"` // when this began to count
+	StartedAt       int64            `cbor:"Started"` // when counting started
 	TakenAt         int64            `cbor:"Taken"`
-	RequestCount    float64          `cbor:"Total"` // decayed
+	RequestCount    float64          `cbor:"Total"` // as of RequestCountAt, decayed
 	RequestCountAt  int64            `cbor:"TotalAt"`
-	AdmissionLimits [3]float64       `cbor:"Rooms"`
+	AdmissionLimits [3]float64       `cbor:"Rooms"`    // by kind of attempts
 	Classes         []ClassSnapshot  `cbor:"Products"` // by name
-	Objects         []ObjectSnapshot // the one asked for last comes last
+	Objects         []ObjectSnapshot // the last requested comes last
 	Purges          []PurgeSnapshot  // by name
 }
 
-// ClassSnapshot is what one class's answers told.
+// ClassSnapshot is what was learned from the answers of a class.
 type ClassSnapshot struct {
 	Name         string
-	SendingTime  float64 `cbor:"Sending"` // mean, s
-	ResponseTime float64 `cbor:"Answer"`  // mean, s
+	SendingTime  float64 `cbor:"Sending"` // s; mean
+	ResponseTime float64 `cbor:"Answer"`  // s; mean
 	Samples      float64 `cbor:"Seen"`    // answers that the means count for
 }
 
-// ObjectSnapshot is one object of the rate table.
+// ObjectSnapshot is the record of one object.
 type ObjectSnapshot struct {
 	Object        string
 	Part, Group   int64
-	Count, Purges float64
-	CountedAt     int64 `cbor:"Counted"`
-	FirstSeenAt   int64 `cbor:"Born"`
-	Evicted       bool  `cbor:"Ghost"` // from the list of objects asked for lately
+	Count, Purges float64 // requests, as of CountedAt and decayed; purges in all
+	CountedAt     int64   `cbor:"Counted"`
+	FirstSeenAt   int64   `cbor:"Born"`
+	Evicted       bool    `cbor:"Ghost"` // from the recently requested objects
 }
 
-// PurgeSnapshot is one told purge that matters still.
+// PurgeSnapshot is a purge that still matters.
 type PurgeSnapshot struct {
-	Name     string
-	PurgedAt int64 `cbor:"When"` // its stamp: Unix ns by the clock of the journal service, on no axis of ours
+	Name     string // see purgeName
+	PurgedAt int64  `cbor:"When"` // Unix ns by the clock of the discovery service
 }
 
-// Shifted is a snapshot with its times moved by a span, ns: onto the axis of another process. Stamps of others stay.
-func (m Snapshot) Shifted(by int64) Snapshot {
-	m.StartedAt, m.TakenAt, m.RequestCountAt = m.StartedAt+by, m.TakenAt+by, m.RequestCountAt+by
-	m.Objects = slices.Clone(m.Objects)
-	for i := range m.Objects {
-		m.Objects[i].CountedAt += by
-		m.Objects[i].FirstSeenAt += by
+// Shifted returns the snapshot with its times moved by a span, in ns, to the clock of another process.
+// Timestamps of other machines stay.
+func (s Snapshot) Shifted(by int64) Snapshot {
+	s.StartedAt += by
+	s.TakenAt += by
+	s.RequestCountAt += by
+	s.Objects = slices.Clone(s.Objects)
+	for i := range s.Objects {
+		s.Objects[i].CountedAt += by
+		s.Objects[i].FirstSeenAt += by
 	}
-	return m
+	return s
 }
 
-// Snapshot gives what was learned, with so many objects at most.
+// Snapshot returns what the router has learned, with at most so many objects.
 func (r *Router) Snapshot(now int64, maxObjects int) Snapshot {
 	snapshot := Snapshot{
 		StartedAt:       r.rates.startedAt,
@@ -67,7 +71,12 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.classByName)) {
 		class := r.classByName[name]
-		snapshot.Classes = append(snapshot.Classes, ClassSnapshot{name, class.sendingTime, class.responseTime, class.samples})
+		snapshot.Classes = append(snapshot.Classes, ClassSnapshot{
+			Name:         name,
+			SendingTime:  class.sendingTime,
+			ResponseTime: class.responseTime,
+			Samples:      class.samples,
+		})
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.purges.last)) {
 		snapshot.Purges = append(snapshot.Purges, PurgeSnapshot{name, r.purges.last[name].purgedAt})
@@ -75,10 +84,10 @@
 	return snapshot
 }
 
-// snapshot gives the records of the objects asked for last, so many at most; the last one comes last.
-func (rates *requestRates) snapshot(most int) (objects []ObjectSnapshot) {
+// snapshot returns the records of the last requested objects, at most so many. The last requested comes last.
+func (rates *requestRates) snapshot(maxCount int) (objects []ObjectSnapshot) {
 	for _, records := range []*list.List{rates.recentObjects, rates.evictedObjects} {
-		for element := records.Front(); element != nil && len(objects) < most; element = element.Next() {
+		for element := records.Front(); element != nil && len(objects) < maxCount; element = element.Next() {
 			record := element.Value.(*objectRecord)
 			objects = append(objects, ObjectSnapshot{
 				Object:      record.key.object,
@@ -96,34 +105,43 @@
 	return objects
 }
 
-// Restore takes over what was learned; it is to be called before anything else. With rates, time is taken to have stood still since:
-// what was asked for so often then is so now. Without, only that objects were asked for, and purged, is kept.
+// Restore takes over what another router has learned. It is to be called before any other method. With rates,
+// the time since the snapshot does not count: rates are as they were then. Without, only which objects were
+// requested and purged is taken over, and not how often they were requested.
 func (r *Router) Restore(now int64, snapshot Snapshot, rates bool) {
-	for _, learned := range snapshot.Classes {
-		r.restoreClass(learned)
+	for _, class := range snapshot.Classes {
+		r.restoreClass(class)
 	}
 	for _, purge := range snapshot.Purges {
 		r.purges.add(now, purge.Name, purge.PurgedAt)
 	}
 	elapsed := max(0, now-snapshot.TakenAt)
 	if rates {
-		r.rates.startedAt = min(snapshot.StartedAt+elapsed, now)
-		r.rates.requestCount, r.rates.requestCountAt = snapshot.RequestCount, min(snapshot.RequestCountAt+elapsed, now)
-		for kind, limit := range snapshot.AdmissionLimits {
-			limit = cmp.Or(limit, initialAdmissionLimits[kind])
-			r.admission.limits[kind] = max(minAdmissionLimit, min(limit, maxAdmissionLimit))
-		}
+		r.restoreRates(now, elapsed, snapshot)
 	}
 	for _, object := range snapshot.Objects {
 		record := object.record(now)
 		if rates {
-			record.requestCount, record.countedAt = object.Count, min(object.CountedAt+elapsed, now)
+			record.requestCount = object.Count
+			record.countedAt = min(object.CountedAt+elapsed, now)
 		}
 		r.rates.restore(record)
 	}
 }
 
-// restoreClass takes over what a class's answers told, if it is still one.
+// restoreRates takes over the rate of all requests and the admission limits. elapsed is the time since the
+// snapshot, ns.
+func (r *Router) restoreRates(now, elapsed int64, snapshot Snapshot) {
+	r.rates.startedAt = min(snapshot.StartedAt+elapsed, now)
+	r.rates.requestCount = snapshot.RequestCount
+	r.rates.requestCountAt = min(snapshot.RequestCountAt+elapsed, now)
+	for kind, limit := range snapshot.AdmissionLimits {
+		limit = cmp.Or(limit, initialAdmissionLimits[kind])
+		r.admission.limits[kind] = max(minAdmissionLimit, min(limit, maxAdmissionLimit))
+	}
+}
+
+// restoreClass takes over the means of a class, if the settings still have it and the means are valid.
 func (r *Router) restoreClass(learned ClassSnapshot) {
 	class := r.classByName[learned.Name]
 	if class == nil || learned.SendingTime <= 0 || learned.ResponseTime <= 0 {
@@ -133,7 +151,7 @@
 	class.samples = max(class.samples, learned.Samples)
 }
 
-// record is an object's record without its rate.
+// record returns the record of an object, without its rate.
 func (o ObjectSnapshot) record(now int64) *objectRecord {
 	return &objectRecord{
 		key:         objectKey{o.Object, o.Part},
@@ -145,7 +163,8 @@
 	}
 }
 
-// restore takes over a record as the one asked for last, if there is place and it is new.
+// restore adds a record as the last requested, unless there is one of the object already or the records are
+// full.
 func (rates *requestRates) restore(record *objectRecord) {
 	if rates.objects[record.key] != nil || len(rates.objects) >= 2*maxObjects {
 		return
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// What was learned is taken over: rates as they were, though time has passed; without rates only what was asked for at all.
+// What was learned is taken over: rates as they were, though time has passed; without rates only what was asked
+// for at all.
 func TestSnapshot(t *testing.T) {
 	set := Settings{
 		"product.names": []string{"stills"}, "product.due": []int64{4 * second / 10}, "product.hardStop": []int64{second},
@@ -63,7 +64,8 @@
 	}
 }
 
-// What a snapshot has twice, of classes that are no more, or with times that can't be, is passed over; evicted objects stay so.
+// What a snapshot has twice, of classes that are no more, or with times that can't be, is passed over; evicted
+// objects stay so.
 func TestRestoreOfOddSnapshots(t *testing.T) {
 	r := newRouter(t, nil)
 	before := *r.classByName["once"]
--- a/control/types.go
+++ b/control/types.go
@@ -2,29 +2,29 @@
 
 import "strconv"
 
-// Endpoint is one line of the endpoint list. Its fields are stored by CBOR under the names in their tags.
+// Endpoint is one entry of the endpoint list. CBOR stores the fields under the names in their tags.
 type Endpoint struct {
-	ID        uint32  // alike at all routers: an object's endpoints follow from it
-	Location  string  // zone; endpoints of the own one are caches
-	Kind      string  // machine type; the settings kind.parent and kind.origin say which are no caches
-	Cell      int64   // the group in which servers drop repetitions of a key, where the scope is cell
+	ID        uint32  // the same at all routers; the endpoints that an object goes to follow from it
+	Location  string  // zone; caches of the router's own location serve its requests
+	Kind      string  // machine type; the settings kind.parent and kind.origin name those of parents and origins
+	Cell      int64   // group in which servers drop repetitions of an idempotency key, where the scope is cell
 	Phase     string  // ready, draining or gone
-	Capacity  float64 `cbor:"Units"`   // answers that it sends at once at a client's full pace
-	StartedAt int64   `cbor:"Started"` // when it last started, Unix ns by the clock of who tells it; 0 is long ago
+	Capacity  float64 `cbor:"Units"`   // answers that it can send at once, each at a client's full rate
+	StartedAt int64   `cbor:"Started"` // last start, Unix ns by the clock of whoever reports it; 0 is long ago
 }
 
-// Request is one thing a client asked for. The adapter fills in the exported fields and hands the same
-// pointer to every call; the rest belongs to the module.
+// Request is one thing that a client asked for. The adapter fills in the exported fields and passes the same
+// pointer to every call; the rest belongs to this package.
 type Request struct {
-	Class         string  // one of the setting product.names
-	Object        string  // what is asked for
+	Class         string  // name of one of the classes in the settings
+	Object        string  // what is requested
 	Group         int64   // of objects that are purged together
-	Part          int64   // of the object; each is kept on its own
-	SizeKB        float64 // of the answer; 0: not told
-	Deadline      int64   // when the client gives up on this try, ns
-	ClientRetry   bool    // marked as a client's retry, or found to be likely one
-	Write         bool    // it runs at the origin, and nothing of it is kept
-	NoNewAttempts bool    // its client has closed its side: what is in flight is waited for, nothing more is sent
+	Part          int64   // of the object; each part is cached separately
+	SizeKB        float64 // of the answer; 0 is not known
+	Deadline      int64   // when the client gives up
+	ClientRetry   bool    // the client has marked it as a retry, or it was found to be likely one
+	Write         bool    // the origin has to process it, and its answer is not cached
+	NoNewAttempts bool    // its client has closed its sending side: no further attempt is made
 
 	requestState
 }
@@ -32,7 +32,7 @@
 // Verdict says what a Decision asks of the adapter.
 type Verdict int
 
-// The verdicts. Wait leaves the request as it is; Send starts Decision.Attempt; Reject and Fail are final
+// The verdicts. Wait leaves the request as it is, Send starts Decision.Attempt, and Reject and Fail are final
 // answers.
 const (
 	Wait Verdict = iota
@@ -45,54 +45,55 @@
 	return enumName(int(v), "wait", "send", "reject", "fail")
 }
 
-// Attempt tells where a request goes and on which terms.
+// Attempt says where a request is sent and on which terms.
 type Attempt struct {
 	Cache              uint32 // ID of the endpoint that it is sent to
-	CacheOnly          bool   // ask only for what the cache holds; the fields below up to Timeout are unused
-	Source             uint32 // ID of the endpoint that the cache fills the object from
-	CachePriority      int64  // 2 for what is asked for again, 1 for the rest; a full cache drops lower ones first
-	MaxAge             int64  // oldest cache entry that will do, ns; 0 is the class's fresh time
-	JoinFill           bool   // wait for a fill under way
-	RefreshBehind      bool   // serve an ageing copy and fetch it anew behind
-	ParentOnlyIfCached bool   // the source gives only what it holds
-	ParentNoStore      bool   // the parent keeps nothing of it; no decision sets this so far
-	Timeout            int64  // ns; 0 is until the client gives up
-	SendTimeout        int64  // ns; within that it must be on its way, else it counts as unreachable
+	CacheOnly          bool   // the cache serves only what it has cached; the fields below up to Timeout are unused
+	Source             uint32 // ID of the endpoint that the cache fills a miss from
+	CachePriority      int64  // 2 for reused objects, 1 for others; a full cache evicts lower ones first
+	MaxAge             int64  // ns; oldest cache entry that may be served; 0 is the class's fresh duration
+	JoinFill           bool   // wait for a fill of the object that is under way
+	RefreshBehind      bool   // serve an ageing entry, and refresh it in the background
+	ParentOnlyIfCached bool   // the source serves only what it has cached
+	ParentNoStore      bool   // the source caches nothing of it; no decision sets this so far
+	Timeout            int64  // ns; 0 is until the request's deadline
+	SendTimeout        int64  // ns; if it is not sent within that it counts as Unreachable
 }
 
-// Decision is the module's answer to Decide and AttemptEnded.
+// Decision is the answer to Decide, AttemptEnded and ClientGone.
 type Decision struct {
 	Verdict    Verdict
 	Attempt    Attempt // with Send
-	RetryAfter int64   // with Reject: how long the client should stay away, ns; 0 is none
-	Cancel     []int   // attempts to call off, by their number in this request
+	RetryAfter int64   // with Reject: for how long the client should not retry, ns; 0 is not said
+	Cancel     []int   // attempts to cancel, by their number in the request
 }
 
-// Result is how an attempt ended.
+// Result says how an attempt ended.
 type Result int
 
-// The results; those up to NotSent, and LocalError, prove that nothing ran.
+// The results. Those up to NotSent, and LocalError, prove that no server has run the request.
 const (
-	Overloaded      Result = iota // the cache or its source took nothing more
-	Unreachable                   // no connection, or not on its way within SendTimeout
-	NotHeld                       // it was to give only what it holds, and lacks the object
-	SendInterrupted               // its connection ended before it was wholly sent
+	Overloaded      Result = iota // the cache or its source rejected it
+	Unreachable                   // there was no connection, or it was not sent within SendTimeout
+	NotHeld                       // the object is not cached, and only a cached one was to be served
+	SendInterrupted               // the connection ended before all of it was sent
 	NotSent                       // nothing of it was sent
 	Succeeded                     // answered in full
 	ServerError                   // answered with an error
 	TimedOut                      // no answer within Timeout
-	ConnectionLost                // its connection ended after it was sent
-	Cancelled                     // the adapter called it off
-	Stale                         // a copy from before a purge that was told at the sending; see AcceptsCopy
-	LocalError                    // no connection could be opened, for a reason of this machine's own: nothing is held against the endpoint
+	ConnectionLost                // the connection ended after it was sent
+	Cancelled                     // the adapter cancelled it
+	Stale                         // the answer is older than a purge known when it was sent; see AcceptsCopy
+	LocalError                    // this machine could open no connection; it does not count against the endpoint
 )
 
 func (result Result) String() string {
-	return enumName(int(result), "overloaded", "unreachable", "not held", "send interrupted", "not sent", "succeeded", "server error",
+	return enumName(int(result),
+		"overloaded", "unreachable", "not held", "send interrupted", "not sent", "succeeded", "server error",
 		"timed out", "connection lost", "cancelled", "stale", "local error")
 }
 
-// enumName is the name of a value of an enumeration, or its number where it has none.
+// enumName returns the name of a value of an enumeration, or its number if it has no name.
 func enumName(value int, names ...string) string {
 	if value < 0 || value >= len(names) {
 		return strconv.Itoa(value)
@@ -100,15 +101,15 @@
 	return names[value]
 }
 
-// Outcome tells how one attempt of a request ended.
+// Outcome says how one attempt of a request ended.
 type Outcome struct {
-	Attempt         int // which attempt of the request, from 0
+	Attempt         int // number of the attempt in the request, from 0
 	Result          Result
-	Elapsed         int64     // from its sending to this, ns
-	RequestEnded    bool      // the request is finished by this or before
-	SharedCause     bool      // the cause was told already, with another attempt on the same connection
-	Note            int64     // where the answer came from, or who refused: the wire's note, 0 where there is none
-	SendingTime     float64   // seconds that the answer took by its size; 0 is not known
-	TimeToFirstByte int64     // to the source's first byte, ns; not used so far
-	LoadReport      []float64 // the load report, in the order of the setting report.fields; nil if none
+	Elapsed         int64     // ns; since it was sent
+	RequestEnded    bool      // the request has its final answer, by this attempt or otherwise
+	SharedCause     bool      // the cause was reported already, with another attempt on the same connection
+	Note            int64     // where the answer came from, or who rejected it, as the wire has it; 0 is not known
+	SendingTime     float64   // s; time that the answer took by its size; 0 is not known
+	TimeToFirstByte int64     // ns; until the source's first byte; not used so far
+	LoadReport      []float64 // in the order of the setting report.fields; nil if there is none
 }
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// writeSite has two classes: "read" is kept by caches, "write" runs at the origin and may not be repeated. Its parents lie in
-// the four hubs of a ring, its origin in the first.
+// writeSite has two classes: "read" is kept by caches, "write" runs at the origin and may not be repeated. Its
+// parents lie in the four hubs of a ring, its origin in the first.
 func writeSite(t *testing.T, change Settings) *Router {
 	t.Helper()
 	set := Settings{
@@ -57,9 +57,9 @@
 	return min(apart, hubs-apart)
 }
 
-// roundTrip is how long a write takes from a location at a hub by way of a source, in the middle of what deployments have:
-// 10 ms one way from the location to its hub, 35 ms from each hub to the next, 15 ms on to the origin, 45 ms of work there and
-// 30 ms for the answer's bytes.
+// roundTrip is how long a write takes from a location at a hub by way of a source, in the middle of what
+// deployments have: 10 ms one way from the location to its hub, 35 ms from each hub to the next, 15 ms on to
+// the origin, 45 ms of work there and 30 ms for the answer's bytes.
 func roundTrip(home int, source uint32) int64 {
 	oneWay := 10 + 35*(hops(home, hubOf(source))+hops(hubOf(source), 0)) + 15
 	return int64(2*oneWay+45+30) * millisecond
@@ -76,7 +76,8 @@
 	return decision.Attempt
 }
 
-// A write went through the parent of its object's hash, in whichever hub that lies, and lost its time on the detour.
+// A write went through the parent of its object's hash, in whichever hub that lies, and lost its time on the
+// detour.
 func TestWritesTakeTheShortestWay(t *testing.T) {
 	for home := range hubs {
 		r := writeSite(t, nil)
