--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -5,10 +5,10 @@
 	"testing"
 )
 
-// Where fills have no room, a cache is asked for what it holds: hits of a thin slice are not turned away with
-// them.
+// While no fills are admitted a first attempt goes to the cache for what it has cached: of a router with little
+// traffic, many requests that look like fills are hits.
 func TestCacheOnlyAttempts(t *testing.T) {
-	jammed := func(change Settings) *Router {
+	withoutFills := func(change Settings) *Router {
 		r := newRouter(t, change)
 		r.admission.limits[fills] = 0
 		return r
@@ -19,14 +19,14 @@
 		before  func(*Router)
 		want    Verdict
 	}{
-		{"any copy will do", "harmless", func(*Router) {}, Send},
-		{"it never expires", "stamped", func(*Router) {}, Send},
-		{"a purge was told", "harmless", func(r *Router) { r.Purge(start-second, "a", 0, start-second) }, Wait},
-		{"a purge of its group was told", "stamped", func(r *Router) { r.Purge(start-second, "", 1, start-second) }, Wait},
-		{"the cache is full of hits", "harmless", func(r *Router) { r.admission.limits[hits] = 0 }, Wait},
+		{"any entry will do", "harmless", func(*Router) {}, Send},
+		{"entries never expire", "stamped", func(*Router) {}, Send},
+		{"the object was purged", "harmless", func(r *Router) { r.Purge(start-second, "a", 0, start-second) }, Wait},
+		{"its group was purged", "stamped", func(r *Router) { r.Purge(start-second, "", 1, start-second) }, Wait},
+		{"the limit for hits is reached", "harmless", func(r *Router) { r.admission.limits[hits] = 0 }, Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := jammed(nil)
+			r := withoutFills(nil)
 			c.before(r)
 			decision := r.Decide(start, ask(c.product, "a"))
 			if decision.Verdict != c.want || c.want == Send && !decision.Attempt.CacheOnly {
@@ -35,18 +35,18 @@
 		})
 	}
 	for _, c := range []struct {
-		name    string
-		denials int
-		change  Settings
-		want    Verdict
+		name       string
+		rejections int // fills that parents rejected
+		change     Settings
+		want       Verdict
 	}{
-		{"not held, and parents do not deny: it is given up in time", 0, nil, Wait},
-		{"not held, and parents deny: the origin fills it", 2, nil, Send},
-		{"the origin could fall over", 2, Settings{"origin.fallFactor": 2.}, Wait},
+		{"not cached, no rejected fills: it waits", 0, nil, Wait},
+		{"not cached, fills rejected: the origin fills it", 2, nil, Send},
+		{"not cached, fills rejected, but the origin can be overloaded", 2, Settings{"origin.fallFactor": 2.}, Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, request := jammed(c.change), ask("harmless", "a")
-			for range c.denials {
+			r, request := withoutFills(c.change), ask("harmless", "a")
+			for range c.rejections {
 				r.retries.sourceRejections.add(start)
 			}
 			r.Decide(start, request)
@@ -59,25 +59,22 @@
 }
 
 func TestAdmissionLimits(t *testing.T) {
-	hold := func(r *Router, names ...string) (last Decision) {
-		for _, name := range names {
-			last = r.Decide(start, ask("harmless", name))
-		}
-		return last
+	decide := func(r *Router, object string) Decision {
+		return r.Decide(start, ask("harmless", object))
 	}
-	t.Run("fills beyond their room are not sent", func(t *testing.T) {
+	t.Run("fills beyond the limit are not sent", func(t *testing.T) {
 		r, sent := newRouter(t, nil), 0
 		for i := range 50 {
-			if decision := hold(r, fmt.Sprint(i)); decision.Verdict == Send && !decision.Attempt.CacheOnly {
+			if decision := decide(r, fmt.Sprint(i)); decision.Verdict == Send && !decision.Attempt.CacheOnly {
 				sent++
 			}
 		}
 		if want := int(initialAdmissionLimits[1] * 10 / 2); sent != want {
-			t.Errorf("%d fills in hand, want %d", sent, want)
+			t.Errorf("%d fills in flight, want %d", sent, want)
 		}
 	})
 	for _, marked := range []bool{true, false} {
-		t.Run(fmt.Sprint("repeats get the smaller room, marked: ", marked), func(t *testing.T) {
+		t.Run(fmt.Sprint("clients' retries have a lower limit, marked: ", marked), func(t *testing.T) {
 			r, sent := newRouter(t, nil), 0
 			for i := range 50 {
 				request := ask("harmless", fmt.Sprint(i))
@@ -92,28 +89,28 @@
 				}
 			}
 			if full := int(initialAdmissionLimits[1] * 10 / 2); sent == 0 || sent >= full {
-				t.Errorf("%d repeats in hand, %d first tries", sent, full)
+				t.Errorf("%d retries in flight, %d of other requests", sent, full)
 			}
 		})
 	}
-	t.Run("late answers shrink the room, those in time widen it", func(t *testing.T) {
+	t.Run("late answers lower the limit, others raise it", func(t *testing.T) {
 		r := newRouter(t, nil)
 		for _, c := range []struct {
-			spent int64
-			sign  float64
+			elapsed int64
+			sign    float64
 		}{{5 * second, -1}, {second / 10, 1}} {
-			request, before := ask("harmless", fmt.Sprint(c.spent)), r.admission.limits[1]
+			request, before := ask("harmless", fmt.Sprint(c.elapsed)), r.admission.limits[1]
 			r.Decide(start, request)
-			r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: c.spent})
+			r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: c.elapsed})
 			if (r.admission.limits[1]-before)*c.sign <= 0 {
-				t.Errorf("room from %v to %v after an answer in %v", before, r.admission.limits[1], c.spent)
+				t.Errorf("limit from %v to %v after an answer in %v", before, r.admission.limits[1], c.elapsed)
 			}
 		}
 	})
-	t.Run("while tight it comes back faster than it grows otherwise", func(t *testing.T) {
-		grown := func(tight bool) float64 {
+	t.Run("a reduced limit grows faster than others", func(t *testing.T) {
+		grown := func(reduced bool) float64 {
 			r := newRouter(t, nil)
-			r.admission.limits[1], r.admission.reduced[1] = 0.7, tight
+			r.admission.limits[1], r.admission.reduced[1] = 0.7, reduced
 			for i := range 20 {
 				request := ask("harmless", fmt.Sprint(i))
 				r.Decide(start, request)
@@ -121,73 +118,77 @@
 			}
 			return r.admission.limits[1] - 0.7
 		}
-		if tight, wide := grown(true), grown(false); tight < 1.5*wide || wide <= 0 {
-			t.Errorf("grew by %v while tight, %v otherwise", tight, wide)
+		if reduced, other := grown(true), grown(false); reduced < 1.5*other || other <= 0 {
+			t.Errorf("grew by %v while reduced, %v otherwise", reduced, other)
 		}
 	})
-	t.Run("a crowded home passes its hits on", func(t *testing.T) {
+	t.Run("hits go to another cache while the home cache is at its limit", func(t *testing.T) {
 		r := newRouter(t, nil)
 		first := ask("harmless", "a")
 		home := r.Decide(start, first).Attempt.Cache
 		r.AttemptEnded(start, first, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
-		for range 12 { // the home's room of 2 for its size, shared by two routers
+		for range 12 { // the limit of 2 times the capacity, shared by two routers
 			endpoint := r.endpoints[home]
 			r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, lateAt: forever})
 		}
-		if decision := hold(r, "a"); decision.Verdict != Send || decision.Attempt.Cache == home {
+		if decision := decide(r, "a"); decision.Verdict != Send || decision.Attempt.Cache == home {
 			t.Errorf("verdict %v, to %d", decision.Verdict, decision.Attempt.Cache)
 		}
 	})
 }
 
-func TestTightFillsAskTheParentFirst(t *testing.T) {
+// While the limit for fills is reduced, parents are asked for what they have cached before they fetch it.
+func TestReducedFillsUseOnlyCachedOfParents(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		result Result
 		want   Verdict
-	}{{"what it lacks goes on as a fetch", NotHeld, Send}, {"what it holds is served", Succeeded, Wait}} {
+	}{{"what it lacks is fetched by the next attempt", NotHeld, Send}, {"what it has cached is served", Succeeded, Wait}} {
 		t.Run(c.name, func(t *testing.T) {
 			r, request := newRouter(t, nil), ask("harmless", "a")
 			r.admission.reduced[fills], r.admission.limits[fills] = true, 1
 			r.admission.limits[fetches] = maxAdmissionLimit
 			other := ask("harmless", "other")
 			if r.Decide(start, other).Attempt.ParentOnlyIfCached {
-				t.Error("asked first though fetches come in time")
+				t.Error("only cached entries are used though fetches come in time")
 			}
 			r.AttemptEnded(start, other, Outcome{Result: Succeeded, RequestEnded: true})
 			r.admission.limits[fetches] = initialAdmissionLimits[fetches]
 			first := r.Decide(start, request).Attempt
 			if !first.ParentOnlyIfCached {
-				t.Fatal("the parent may fetch")
+				t.Fatal("the parent may fetch at once")
 			}
 			decision := r.AttemptEnded(start, request, Outcome{Result: c.result, RequestEnded: c.result == Succeeded})
-			if decision.Verdict != c.want || decision.Verdict == Send && (decision.Attempt.ParentOnlyIfCached || decision.Attempt.Source != first.Source) {
+			servedOrFetched := decision.Verdict != Send || !decision.Attempt.ParentOnlyIfCached && decision.Attempt.Source == first.Source
+			if decision.Verdict != c.want || !servedOrFetched {
 				t.Errorf("then %+v", decision)
 			}
-			if kinds := r.inFlight.withinObjective(start, r.endpoints); c.want == Send && (kinds[fetches] != 1 || kinds[fills] != 0) {
-				t.Errorf("in hand by kind: %v", kinds)
+			counts := r.inFlight.withinObjective(start, r.endpoints)
+			if c.want == Send && (counts[fetches] != 1 || counts[fills] != 0) {
+				t.Errorf("in flight by kind: %v", counts)
 			}
 		})
 	}
 }
 
-func TestLateAttemptsLeaveTheLimit(t *testing.T) {
+// Attempts that are late do not count against the limit any more.
+func TestLateAttemptsDoNotCount(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		sized float64
-		after int64
-		sends bool
+		name   string
+		sizeKB float64
+		after  int64
+		sends  bool
 	}{
 		{"not yet late", 100, second / 3, false},
 		{"late", 100, second, true},
-		{"perhaps large", 0, second, false},
-		{"late whatever its size", 0, 2 * second, true},
+		{"of unknown size, may be large", 0, second, false},
+		{"of unknown size, late whatever it is", 0, 2 * second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, verdict := newRouter(t, nil), Send
-			for i := 0; verdict == Send; i++ { // until silent members hold all the room
+			for i := 0; verdict == Send; i++ { // until attempts without an answer use up the limit
 				request := ask("harmless", fmt.Sprint(i))
-				request.SizeKB = c.sized
+				request.SizeKB = c.sizeKB
 				verdict = r.Decide(start, request).Verdict
 			}
 			if got := r.Decide(start+c.after, ask("harmless", "next")).Verdict == Send; got != c.sends {
@@ -197,17 +198,18 @@
 	}
 }
 
-func TestThinSlices(t *testing.T) {
+// A router of many draws the load of a cache towards the mean: one attempt of its own says little.
+func TestLoadsOfOneRouterOfMany(t *testing.T) {
 	for _, c := range []struct {
-		routers int64
-		out     int // in hand at one cache
-		admits  bool
+		routers  int64
+		inFlight int // at one cache
+		admits   bool
 	}{{1, 12, false}, {1, 9, true}, {10, 1, true}, {10, 2, false}} {
-		t.Run(fmt.Sprintf("%d in hand, one of %d routers", c.out, c.routers), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d in flight, one of %d routers", c.inFlight, c.routers), func(t *testing.T) {
 			r := newRouter(t, Settings{"location.routers": []int64{0, c.routers, 2}})
 			endpoint, request := r.endpoints[1], ask("harmless", "a")
 			request.class, request.record = r.classByName["harmless"], &objectRecord{likelyCachedUntil: forever}
-			for range c.out {
+			for range c.inFlight {
 				r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, lateAt: forever})
 			}
 			if got := r.admits(start, request, endpoint); got != c.admits {
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -7,69 +7,75 @@
 	"testing"
 )
 
-// played keeps so many retrievals in hand at once for some seconds, each served in time after its sending time
-// of 0.2 s, and counts what was asked and what was turned away in the last second.
-func played(r *Router, from, span int64, atOnce int) (asked, refused int) {
-	type open struct {
-		ret  *Request
-		ends int64
+// runAtConcurrency keeps so many requests in flight for a span, ns, each of which is answered in time. It
+// returns how many requests came, and how many of them were not sent, in the last second.
+func runAtConcurrency(r *Router, from, span int64, concurrency int) (requested, rejected int) {
+	type sent struct {
+		request *Request
+		endsAt  int64
 	}
-	var hand []open
+	var inFlight []sent
 	for now, n := from, 0; now < from+span; now += second / 100 {
-		for len(hand) > 0 && hand[0].ends <= now {
-			r.AttemptEnded(now, hand[0].ret, Outcome{Result: Succeeded, Elapsed: second / 4, SendingTime: 0.2, Note: 1, RequestEnded: true})
-			hand = hand[1:]
+		for len(inFlight) > 0 && inFlight[0].endsAt <= now {
+			r.AttemptEnded(now, inFlight[0].request, Outcome{
+				Result:       Succeeded,
+				Elapsed:      second / 4,
+				SendingTime:  0.2,
+				Note:         noteHit,
+				RequestEnded: true,
+			})
+			inFlight = inFlight[1:]
 		}
-		for len(hand) < atOnce {
+		for len(inFlight) < concurrency {
 			n++
 			request := ask("harmless", fmt.Sprint(n%40))
 			request.Deadline = now + 5*second
 			decision := r.Decide(now, request)
 			if now >= from+span-second {
-				asked++
+				requested++
 			}
 			if decision.Verdict != Send {
-				r.ClientGone(now, request) // what waits is turned away as well: there is no end of clients
+				r.ClientGone(now, request) // what waits counts as rejected too
 				if now >= from+span-second {
-					refused++
+					rejected++
 				}
 				break
 			}
-			hand = append(hand, open{request, now + second/4})
+			inFlight = append(inFlight, sent{request, now + second/4})
 		}
 	}
-	return asked, refused
+	return requested, rejected
 }
 
-// Where weights tell no size, rooms follow what the caches carry: a weight of one for all was taken for a cache
-// that sends one answer at a time, and half of the traffic of a whole deployment was turned away.
-func TestCapacitiesThatWeightsDoNotTell(t *testing.T) {
+// Where weights are no capacities, limits follow from what the caches serve. Taken for capacities, weights of
+// one would have half of the traffic rejected.
+func TestMeasuredCapacitiesAdmitTheTraffic(t *testing.T) {
 	for _, c := range []struct {
-		units string
-		told  float64
+		units  string
+		weight float64
 	}{{"off", 1}, {"live", 0.2}, {"nominal", 12}, {"rough", 12}} {
 		t.Run(c.units, func(t *testing.T) {
 			r := newRouter(t, Settings{"units": c.units, "location.routers": []int64{0, 1, 1}})
 			var lines []Endpoint
 			for _, line := range fleet {
-				line.Capacity = c.told
+				line.Capacity = c.weight
 				lines = append(lines, line)
 			}
 			r.UpdateEndpoints(start, lines, true)
-			asked, refused := played(r, start, 4*second, 24) // twelve at once at each of two caches, that bear it
-			if refused > 0 || asked < 24 {
-				t.Errorf("of %d asked in the fourth second %d refused", asked, refused)
+			requested, rejected := runAtConcurrency(r, start, 4*second, 24) // twelve at each of two caches, which can take them
+			if rejected > 0 || requested < 24 {
+				t.Errorf("of %d requests in the fourth second %d rejected", requested, rejected)
 			}
-			asked, refused = played(r, start+20*second, 4*second, 24)
-			if refused > 0 || asked < 24 {
-				t.Errorf("later, of %d asked in a second %d refused", asked, refused)
+			requested, rejected = runAtConcurrency(r, start+20*second, 4*second, 24)
+			if rejected > 0 || requested < 24 {
+				t.Errorf("later, of %d requests in a second %d rejected", requested, rejected)
 			}
 		})
 	}
 }
 
-// What is measured is no more than what was carried: where answers stop, in time or at all, rooms stay bounded.
-func TestCapacitiesAreNoMoreThanWasCarried(t *testing.T) {
+// A measured capacity follows from what was served: while answers are missing it does not grow without bound.
+func TestMeasuredCapacitiesAreBounded(t *testing.T) {
 	r := newRouter(t, Settings{"units": "off", "location.routers": []int64{0, 1, 1}})
 	var lines []Endpoint
 	for _, line := range fleet {
@@ -77,7 +83,7 @@
 		lines = append(lines, line)
 	}
 	r.UpdateEndpoints(start, lines, true)
-	played(r, start, 20*second, 8)
+	runAtConcurrency(r, start, 20*second, 8)
 	now := start + 21*second
 	sent := 0
 	for n := range 1000 {
@@ -86,21 +92,20 @@
 			sent++
 		}
 	}
-	if most := int(2 * maxAdmissionLimit * maxAdmissionLimit * 4); sent > most || sent < 8 { // four carried by each of two
-		t.Errorf("%d sent at once to caches that were seen to carry 8, %d at most were wanted", sent, most)
+	if bound := int(2 * maxAdmissionLimit * maxAdmissionLimit * 4); sent > bound || sent < 8 { // two caches have served four each
+		t.Errorf("%d sent at once to caches that have served 8, want %d at most", sent, bound)
 	}
 }
 
-// Where weights tell no sizes, all routers together keep to what a cold parent bears, with few processes as
-// with many, with uneven traffic and chance in what each has measured, also where it is much smaller than the
-// others.
+// Where capacities are measured, all routers together keep within what a parent in slow start can take: few
+// routers or many, with uneven traffic, with errors in what each has measured, and if the parent is smaller
+// than the others.
 func TestSlowStartOfMeasuredCapacities(t *testing.T) {
 	const mean, parents, load, capacity, small = 0.5, 2, 0.7, 20., 12.
 	window := 2 * second
 	for _, routers := range []int{6, 24, 350} {
-		for _, from := range []int64{0, 8 * second} { // all the time, and all in one moment after a while
-			type sending struct{ at int64 }
-			var all []sending
+		for _, from := range []int64{0, 8 * second} { // from the start on; all at once some time later
+			var sentAt []int64
 			for n := range routers {
 				r, err := New(start-20*second, uint64(n), site(Settings{"routers": int64(routers), "units": "off"}), func(logevent.Event) {})
 				if err != nil {
@@ -113,7 +118,7 @@
 				}
 				lines[2].StartedAt = start
 				r.UpdateEndpoints(start, lines, true)
-				uneven := 0.5 // one in ten has ten times what the others have
+				uneven := 0.5 // one router in ten has ten times the traffic of the others
 				if n%10 == 0 {
 					uneven = 5
 				}
@@ -123,41 +128,42 @@
 				for now := start + from + int64(n)*second/20/int64(routers); now < start+16*second; now += second / 20 {
 					r.capacity.byParents.work, r.capacity.byParents.lastAt = measured*float64(rateWindow)/1e9, now
 					if r.slowStartAdmits(now, endpoint, mean) {
-						all = append(all, sending{now})
+						sentAt = append(sentAt, now)
 						endpoint.charge(now, mean)
 					}
 				}
 			}
-			if len(all) < 4 {
-				t.Errorf("%d routers: %d dispatches in 16 s", routers, len(all))
+			if len(sentAt) < 4 {
+				t.Errorf("%d routers: %d attempts in 16 s", routers, len(sentAt))
 			}
-			for _, first := range all {
+			for _, first := range sentAt {
 				sent := 0.
-				for _, s := range all {
-					if s.at >= first.at && s.at < first.at+window {
+				for _, at := range sentAt {
+					if at >= first && at < first+window {
 						sent++
 					}
 				}
-				share := 0.1 + 0.9*float64(first.at-start)/float64(20*second)
-				bears := 2 * small * share * 2 / mean
-				if most := falls(bears); sent > most {
-					t.Fatalf("%d routers: %.0f dispatches within a window %.1f s after the start, it bears %.1f", routers, sent,
-						float64(first.at-start)/1e9, most)
+				share := 0.1 + 0.9*float64(first-start)/float64(20*second)
+				n := 2 * small * share * 2 / mean
+				if limit := ruleLimit(n); sent > limit {
+					t.Fatalf("%d routers: %.0f attempts within a window %.1f s after the start, the limit is %.1f",
+						routers, sent, float64(first-start)/1e9, limit)
 				}
 			}
 		}
 	}
 }
 
-// With the location's other routers down, this one has their traffic: counted double, it dismissed half of it.
-func TestSharing(t *testing.T) {
+// While other routers of the location are down this one has their traffic too, and must not scale its own
+// counts up.
+func TestActiveSharers(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		told func(own float64) []float64
-		want float64
+		name   string
+		report func(own float64) []float64
+		want   float64
 	}{
-		{"nothing told", func(float64) []float64 { return nil }, 2},
-		{"all is this router's", func(own float64) []float64 { return []float64{0, own} }, 1},
+		{"no reports", func(float64) []float64 { return nil }, 2},
+		{"all is in flight from this router", func(own float64) []float64 { return []float64{0, own} }, 1},
 		{"another one sends as much", func(own float64) []float64 { return []float64{0, 2*own - 1} }, 2},
 		{"more than there are routers", func(own float64) []float64 { return []float64{0, 9 * own} }, 2},
 		{"a report of nothing", func(float64) []float64 { return []float64{0, 0} }, 1},
@@ -165,19 +171,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, Settings{"report.fields": []string{"x1", "inHand"}})
 			r.admission.limits = [3]float64{maxAdmissionLimit, maxAdmissionLimit, maxAdmissionLimit}
-			var out []*Request
+			var sent []*Request
 			for n := range 20 {
 				request := ask("harmless", fmt.Sprint(n))
 				if decision := r.Decide(start, request); decision.Verdict == Send {
-					out = append(out, request)
+					sent = append(sent, request)
 				}
 			}
-			for _, request := range out {
+			for _, request := range sent {
 				own := float64(len(request.attempts[0].cache.inFlight))
-				r.AttemptEnded(start+second/10, request, Outcome{Result: Succeeded, RequestEnded: true, LoadReport: c.told(own)})
+				r.AttemptEnded(start+second/10, request, Outcome{Result: Succeeded, RequestEnded: true, LoadReport: c.report(own)})
 			}
 			if got := r.activeSharers(); math.Abs(got-c.want) > 0.01 {
-				t.Errorf("%d answers: %v, want %v", len(out), got, c.want)
+				t.Errorf("%d answers: %v, want %v", len(sent), got, c.want)
 			}
 		})
 	}
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Absent settings are none, lists that are shorter than that of the classes leave the rest as if absent, and what is unknown is
-// taken for the worst.
+// Absent settings are none, lists that are shorter than that of the classes leave the rest as if absent, and
+// what is unknown is taken for the worst.
 func TestSettingsThatAreAbsent(t *testing.T) {
 	set, err := decodeSettings(Settings{
 		"routers": int64(0), "location": "here", "kinds": []string{"cache"}, "product.names": []string{"a", "b"},
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -9,7 +9,7 @@
 )
 
 // falls is the rule's bound, as the platform's page words it.
-func falls(n float64) float64 {
+func ruleLimit(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
 	}
@@ -20,8 +20,8 @@
 	last := 0.
 	for n := 0.01; n < 5000; n *= 1.001 {
 		limit := overloadLimit(n)
-		if limit > falls(n)+1e-9 || limit < last || limit < falls(n)-6.5 {
-			t.Fatalf("N %.2f: limit %.2f after %.2f, the rule says %.2f", n, limit, last, falls(n))
+		if limit > ruleLimit(n)+1e-9 || limit < last || limit < ruleLimit(n)-6.5 {
+			t.Fatalf("N %.2f: limit %.2f after %.2f, the rule says %.2f", n, limit, last, ruleLimit(n))
 		}
 		last = limit
 	}
@@ -49,11 +49,11 @@
 	for _, routers := range []int{6, 24, 350, 900} {
 		for _, starts := range []int{1, 256, 4096} {
 			for _, n := range []float64{0.1, 0.5, 1, 3, 10, 18, 29, 36, 100, 400} {
-				bears := int(falls(n))
+				bears := int(ruleLimit(n))
 				if bears >= incarnations*routers {
 					continue // whole shares
 				}
-				rate := tokenTerms{limit: falls(n), trials: float64(incarnations * routers), starts: float64(starts)}.rate(1, 1)
+				rate := tokenTerms{limit: ruleLimit(n), trials: float64(incarnations * routers), starts: float64(starts)}.rate(1, 1)
 				chance := moreThan(incarnations*routers, bears, rate) * float64(starts)
 				if rate <= 0 || rate > 1 || chance > overloadProbability || chance < overloadProbability/1000 {
 					t.Errorf("%d routers, %d starts, N %.1f: rate %.4f, broken on %.2g of all days", routers, starts, n, rate, chance)
@@ -61,7 +61,7 @@
 				// Asked all the time a window sees one window's tokens; then the member may also be smaller
 				// than it seems.
 				const windows = 15
-				if chance := moreThan(routers, int(falls(0.6*n)), rate) * float64(starts) * windows; chance > overloadProbability {
+				if chance := moreThan(routers, int(ruleLimit(0.6*n)), rate) * float64(starts) * windows; chance > overloadProbability {
 					t.Errorf("%d routers, %d starts, N %.1f: with 0.6 of the size broken on %.2g of all days", routers, starts, n, chance)
 				}
 			}
@@ -157,9 +157,9 @@
 			first++
 		}
 		n := 2 * size * (0.1 + 0.9*float64(at.at-start)/float64(20*second)) * 2 / meanWork
-		if in := float64(last - first + 1); in > falls(n) {
+		if in := float64(last - first + 1); in > ruleLimit(n) {
 			t.Fatalf("%.0f requests within a window %.1f s after the start, N is %.2f and it falls above %.2f", in,
-				float64(at.at-start)/1e9, n, falls(n))
+				float64(at.at-start)/1e9, n, ruleLimit(n))
 		}
 	}
 }
