--- a/control/control_test.go
+++ b/control/control_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-func TestHeldRequestsEndInTime(t *testing.T) {
+// A request that no endpoint can take waits a moment, and is rejected while the client can still retry in time.
+func TestWaitingRequestsAreRejectedInTime(t *testing.T) {
 	for _, left := range []int64{second / 100, 83 * second / 1000, 400 * second / 1000, 5 * second} {
 		t.Run(fmt.Sprint(left), func(t *testing.T) {
 			r := newRouter(t, nil)
@@ -16,19 +17,21 @@
 			for decision.Verdict == Wait {
 				now += r.RecheckDelay(now, request)
 				if now > request.Deadline || now > start+second {
-					t.Fatalf("still held after %v", now-start)
+					t.Fatalf("still waiting after %v", now-start)
 				}
 				decision = r.Decide(now, request)
 			}
-			if due := r.classByName["harmless"].objective; decision.Verdict != Reject || decision.RetryAfter <= 0 || decision.RetryAfter >= due/2 {
-				t.Errorf("verdict %v with advice %v", decision.Verdict, decision.RetryAfter)
+			objective := r.classByName["harmless"].objective
+			if decision.Verdict != Reject || decision.RetryAfter <= 0 || decision.RetryAfter >= objective/2 {
+				t.Errorf("verdict %v with Retry-After %v", decision.Verdict, decision.RetryAfter)
 			}
 		})
 	}
 }
 
-// Given up on late without having been at any cache, a retrieval costs more than one refused at once.
-func TestUnsentIsGivenUpByHalfItsTime(t *testing.T) {
+// A request that reached no cache within half of its time is rejected then: an answer would hardly come in
+// time.
+func TestUnsentRequestsAreRejectedAtHalfTheirTime(t *testing.T) {
 	for _, c := range []struct {
 		result Result
 		after  int64
@@ -45,7 +48,7 @@
 			r, request := newRouter(t, nil), ask("harmless", "a")
 			request.Deadline = start + 2*second
 			if decision := r.Decide(start, request); decision.Attempt.SendTimeout != second {
-				t.Errorf("to be on its way within %d", decision.Attempt.SendTimeout)
+				t.Errorf("send timeout %d", decision.Attempt.SendTimeout)
 			}
 			if decision := r.AttemptEnded(start+c.after, request, Outcome{Result: c.result}); decision.Verdict != c.want {
 				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
@@ -54,24 +57,30 @@
 	}
 }
 
-// Judged by the product's mean, large answers passed for late and small late ones for in time.
-func TestAnswersAreDueByTheirSize(t *testing.T) {
+// Whether an answer is late is judged by its own size where that is known, and by the mean of its class where
+// it is not.
+func TestLatencyObjectiveFollowsTheSize(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		spent   int64
-		sending float64
-		late    bool
+		name        string
+		elapsed     int64
+		sendingTime float64
+		late        bool
 	}{
-		{"by the mean, where nothing tells its size", second, 0, false},
-		{"late by the mean", 2 * second, 0, true},
-		{"a large one", 2 * second, 1, false},
-		{"a small one", second, 0.01, true},
+		{"of unknown size, in time by the mean", second, 0, false},
+		{"of unknown size, late by the mean", 2 * second, 0, true},
+		{"large, and not late for its size", 2 * second, 1, false},
+		{"small, and late for its size", second, 0.01, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, request := newRouter(t, Settings{"product.dueStretch": []float64{2, 2, 2}}), ask("harmless", "a")
 			r.Decide(start, request)
 			kind := request.attempts[0].kind
-			r.AttemptEnded(start+c.spent, request, Outcome{Result: Succeeded, Elapsed: c.spent, SendingTime: c.sending, RequestEnded: true})
+			r.AttemptEnded(start+c.elapsed, request, Outcome{
+				Result:       Succeeded,
+				Elapsed:      c.elapsed,
+				SendingTime:  c.sendingTime,
+				RequestEnded: true,
+			})
 			if late := r.admission.limits[kind] < initialAdmissionLimits[kind]; late != c.late {
 				t.Errorf("late: %v, want %v", late, c.late)
 			}
@@ -80,10 +89,10 @@
 }
 
 // Calls that no adapter should make change nothing.
-func TestOddCalls(t *testing.T) {
+func TestInvalidCallsChangeNothing(t *testing.T) {
 	r := newRouter(t, nil)
 	if decision := r.Decide(start, ask("unheard of", "a")); decision.Verdict != Fail {
-		t.Errorf("of no class: %+v", decision)
+		t.Errorf("a request of an unknown class: %+v", decision)
 	}
 	request := ask("harmless", "a")
 	r.Decide(start, request)
@@ -92,7 +101,7 @@
 			t.Errorf("outcome of attempt %d: %+v", number, decision)
 		}
 		if !r.AcceptsCopy(start, request, number, 1) {
-			t.Errorf("no answer of attempt %d is taken", number)
+			t.Errorf("an answer of attempt %d is not accepted", number)
 		}
 	}
 	r.ClientGone(start, request)
@@ -102,7 +111,7 @@
 	r.ProbeEnded(start, 99, true, nil)
 }
 
-// Where attempts can't be called off, none is.
+// Where attempts cannot be cancelled none is.
 func TestWithoutCancelling(t *testing.T) {
 	r := newRouter(t, Settings{"cancel": false})
 	request := ask("harmless", "a")
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
-func TestDrainedAndGoneGetNothing(t *testing.T) {
-	for _, phase := range []string{"draining", "gone", "left out"} {
+// An endpoint that is draining, gone or no longer listed gets no attempts and fills nothing.
+func TestDrainingAndGoneEndpointsGetNoAttempts(t *testing.T) {
+	for _, phase := range []string{"draining", "gone", "not listed"} {
 		t.Run(phase, func(t *testing.T) {
 			r := newRouter(t, nil)
-			if phase == "left out" {
+			if phase == "not listed" {
 				r.UpdateEndpoints(start, []Endpoint{fleet[1], fleet[3], fleet[4]}, true)
 			} else {
 				cache, parent := fleet[0], fleet[2]
@@ -26,7 +27,7 @@
 	}
 }
 
-// New members come under new ids through a long day; what has gone is kept only while something is out there.
+// Endpoints that are replaced under new IDs without end do not use up the memory.
 func TestDelistedEndpointsAreForgotten(t *testing.T) {
 	r := newRouter(t, nil)
 	for n := range 5000 {
@@ -41,6 +42,6 @@
 		r.Tick(now)
 	}
 	if len(r.endpoints) > len(fleet)+1 {
-		t.Errorf("%d members kept", len(r.endpoints))
+		t.Errorf("%d endpoints are kept", len(r.endpoints))
 	}
 }
