--- a/control/outliers_test.go
+++ b/control/outliers_test.go
@@ -7,16 +7,16 @@
 
 func TestEjection(t *testing.T) {
 	cases := []struct {
-		name string
-		bad  map[uint32]Result // what dispatches to a cache end in; others are good
-		late int64             // what these take
-		want uint32            // the suspect; 0 is none
+		name    string
+		failing map[uint32]Result // by cache, the result of its attempts; others succeed
+		elapsed int64             // of these attempts
+		want    uint32            // the cache that is ejected; 0 is none
 	}{
 		{"one that breaks connections", map[uint32]Result{1: ConnectionLost}, 0, 1},
 		{"one that cannot be reached", map[uint32]Result{2: Unreachable}, 0, 2},
 		{"one that only slows down", map[uint32]Result{1: Succeeded}, 3 * second, 1},
-		{"all alike: nobody stands out", map[uint32]Result{1: Overloaded, 2: Overloaded}, 0, 0},
-		{"all slow alike: nobody stands out", map[uint32]Result{1: Succeeded, 2: Succeeded}, 3 * second, 0},
+		{"all alike: none stands out", map[uint32]Result{1: Overloaded, 2: Overloaded}, 0, 0},
+		{"all slow alike: none stands out", map[uint32]Result{1: Succeeded, 2: Succeeded}, 3 * second, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -25,15 +25,15 @@
 				request := ask("harmless", fmt.Sprint(i))
 				if decision := r.Decide(start, request); decision.Verdict == Send {
 					outcome := Outcome{Result: Succeeded, RequestEnded: true, Note: 9}
-					if result, struck := c.bad[decision.Attempt.Cache]; struck {
-						outcome.Result, outcome.Elapsed = result, c.late
+					if result, fails := c.failing[decision.Attempt.Cache]; fails {
+						outcome.Result, outcome.Elapsed = result, c.elapsed
 					}
 					r.AttemptEnded(start, request, outcome)
 				}
 			}
 			for id := uint32(1); id <= 2; id++ {
 				if got := r.endpoints[id].ejected; got != (id == c.want) {
-					t.Errorf("cache %d suspect: %v", id, got)
+					t.Errorf("cache %d ejected: %v", id, got)
 				}
 			}
 		})
@@ -48,13 +48,14 @@
 		}
 		r.Tick(start + 3*second)
 		if !r.endpoints[1].ejected || r.endpoints[2].ejected {
-			t.Errorf("suspect: %v, %v", r.endpoints[1].ejected, r.endpoints[2].ejected)
+			t.Errorf("ejected: %v, %v", r.endpoints[1].ejected, r.endpoints[2].ejected)
 		}
 	})
 }
 
-func TestSilentSource(t *testing.T) {
-	// Likely fills wait for one parent while the other's come: the parent is suspect, the caches are not.
+// Likely fills through one parent are not answered, those through the other are: the parent is ejected, and no
+// cache.
+func TestSilentParentIsEjected(t *testing.T) {
 	r := newRouter(t, nil)
 	for i := range 60 {
 		request := ask("harmless", fmt.Sprint(i))
@@ -63,20 +64,27 @@
 		}
 	}
 	later := start + second
-	for _, endpoint := range r.caches { // they go on answering what they hold
+	for _, endpoint := range r.caches { // they still answer hits
 		endpoint.lastResponseAt = later
 	}
 	r.Tick(later)
 	r.ejectIfOutlier(later, r.endpoints[3])
 	if !r.endpoints[3].ejected || r.endpoints[4].ejected || r.endpoints[1].ejected || r.endpoints[2].ejected {
-		t.Errorf("suspect: parents %v, %v, caches %v, %v", r.endpoints[3].ejected, r.endpoints[4].ejected,
+		t.Errorf("ejected: parents %v, %v, caches %v, %v", r.endpoints[3].ejected, r.endpoints[4].ejected,
 			r.endpoints[1].ejected, r.endpoints[2].ejected)
 	}
 }
 
-func TestBrokenConnectionKeepsItsCache(t *testing.T) {
-	keeps := map[Result]bool{ConnectionLost: true, ServerError: true, Overloaded: false, Unreachable: false, TimedOut: false}
-	for result, same := range keeps {
+// After a broken connection or an error the retry goes to the same cache, after other failures to another one.
+func TestRetryAfterABrokenConnectionGoesToTheSameCache(t *testing.T) {
+	sameCache := map[Result]bool{
+		ConnectionLost: true,
+		ServerError:    true,
+		Overloaded:     false,
+		Unreachable:    false,
+		TimedOut:       false,
+	}
+	for result, same := range sameCache {
 		t.Run(fmt.Sprint(result), func(t *testing.T) {
 			r, request := newRouter(t, nil), ask("harmless", "a")
 			first := r.Decide(start, request).Attempt.Cache
@@ -88,39 +96,46 @@
 	}
 }
 
-// Late with a quarter of what it is asked, a parent never stood out by three in ten; with hundreds of answers
-// it does.
-func TestParentThatIsLateInPart(t *testing.T) {
+// A parent that is late with a quarter of its answers stands out if there are hundreds of them, though
+// failureShare is more.
+func TestPartlyLateParentIsEjectedByManyAnswers(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		answers int  // from each parent
-		late    int  // one in so many of the first one's
-		lost    bool // the other one is suspect
-		want    bool
+		name         string
+		answers      int // from each parent
+		late         int // one in so many of the first parent
+		otherEjected bool
+		want         bool
 	}{
 		{"a quarter of hundreds", 200, 4, false, true},
 		{"a quarter of a few", 12, 4, false, false},
 		{"one in twelve of hundreds", 200, 12, false, false},
-		{"the last one that is left", 200, 4, true, false},
+		{"the last one that is not ejected", 200, 4, true, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			slow := r.endpoints[3]
-			r.endpoints[4].ejected = c.lost
+			r.endpoints[4].ejected = c.otherEjected
 			for n := range c.answers {
 				for _, endpoint := range []*endpointState{slow, r.endpoints[4]} {
 					request := ask("harmless", fmt.Sprint(n, endpoint.ID))
-					attempt := &attemptState{sentAt: start, cache: r.endpoints[1], source: endpoint, kind: fills, lateAt: start + second}
-					request.class, request.record, request.attempts, request.inFlight = r.classByName["harmless"], &objectRecord{}, []*attemptState{attempt}, 1
-					outcome := Outcome{Result: Succeeded, Note: 2, Elapsed: second / 10, RequestEnded: true}
+					attempt := &attemptState{
+						sentAt: start,
+						cache:  r.endpoints[1],
+						source: endpoint,
+						kind:   fills,
+						lateAt: start + second,
+					}
+					request.class, request.record = r.classByName["harmless"], &objectRecord{}
+					request.attempts, request.inFlight = []*attemptState{attempt}, 1
+					outcome := Outcome{Result: Succeeded, Note: noteFilled, Elapsed: second / 10, RequestEnded: true}
 					if endpoint == slow && n%c.late == c.late-1 {
 						outcome.Elapsed = 4 * second
 					}
 					r.AttemptEnded(start, request, outcome)
 				}
 			}
-			if slow.ejected != c.want || r.endpoints[4].ejected != c.lost {
-				t.Errorf("suspect %v, want %v; the other %v", slow.ejected, c.want, r.endpoints[4].ejected)
+			if slow.ejected != c.want || r.endpoints[4].ejected != c.otherEjected {
+				t.Errorf("ejected: %v, want %v; the other: %v", slow.ejected, c.want, r.endpoints[4].ejected)
 			}
 		})
 	}
