--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -9,13 +9,16 @@
 // benchmarkSizes are the numbers of cache servers that the benchmarks run with.
 var benchmarkSizes = []int{12, 200, 800, 3200}
 
-// benchmarkObjects is how many distinct objects the benchmarks ask for.
+// benchmarkObjects is how many distinct objects the benchmarks request.
 const benchmarkObjects = 2000
 
+// benchmarkAnswer is the outcome of each measured attempt.
+var benchmarkAnswer = Outcome{Result: Succeeded, Elapsed: second / 20, Note: noteHit, RequestEnded: true}
+
 // benchmarkWarmUp is how many requests are decided before the measured ones.
 const benchmarkWarmUp = 20
 
-// benchmarkFleet lists one location's caches with one parent for each 16 of them, and an origin.
+// benchmarkFleet returns one location's caches, one parent for each 16 of them, and an origin.
 func benchmarkFleet(servers int) []Endpoint {
 	var lines []Endpoint
 	nextID := func() uint32 { return uint32(len(lines)+1) * 2654435761 }
@@ -44,9 +47,9 @@
 	return r, lines
 }
 
-// benchmarkDecisions measures Where and After of one request. The clock moves by a tenth of a second a request,
-// and `inFlight` other requests wait for their answers all the time.
-func benchmarkDecisions(b *testing.B, change Settings, inFlight func(servers int) int, retrieval Request) {
+// benchmarkDecisions measures Decide and AttemptEnded of one request. The clock moves by a tenth of a second a
+// request, and `inFlight` other requests are in flight all the time.
+func benchmarkDecisions(b *testing.B, change Settings, inFlight func(servers int) int, template Request) {
 	objects := make([]string, benchmarkObjects)
 	for i := range objects {
 		objects[i] = fmt.Sprintf("%016x", i*2654435761)
@@ -56,18 +59,18 @@
 			r, _ := benchmarkRouter(b, servers, change)
 			now := start
 			for i := range inFlight(servers) {
-				waiting := retrieval
-				waiting.Object, waiting.Deadline = objects[i%len(objects)], forever
-				r.Decide(now, &waiting)
+				other := template
+				other.Object, other.Deadline = objects[i%len(objects)], forever
+				r.Decide(now, &other)
 			}
 			decide := func(i int) {
 				now += second / 10
-				asked := retrieval
-				asked.Object, asked.Deadline = objects[i%len(objects)], now+5*second
-				if decision := r.Decide(now, &asked); decision.Verdict != Send {
+				request := template
+				request.Object, request.Deadline = objects[i%len(objects)], now+5*second
+				if decision := r.Decide(now, &request); decision.Verdict != Send {
 					b.Fatalf("request %d: %+v", i, decision)
 				}
-				r.AttemptEnded(now+second/20, &asked, Outcome{Result: Succeeded, Elapsed: second / 20, Note: 1, RequestEnded: true})
+				r.AttemptEnded(now+second/20, &request, benchmarkAnswer)
 			}
 			for i := range benchmarkWarmUp {
 				decide(i)
@@ -93,35 +96,36 @@
 	benchmarkDecisions(b, nil, func(servers int) int { return servers / 2 }, Request{Class: "harmless", Group: 1})
 }
 
-// BenchmarkDecisionMeasured is an ordinary request where weights do not tell the caches' sizes.
+// BenchmarkDecisionMeasured is an ordinary request where the caches' capacities are measured.
 func BenchmarkDecisionMeasured(b *testing.B) {
 	benchmarkDecisions(b, Settings{"units": "off"}, none, Request{Class: "harmless", Group: 1})
 }
 
-// BenchmarkDecisionWrite is a request that has no home: the least loaded of all caches is looked for.
+// BenchmarkDecisionWrite is a request that is not cacheable, for which the least loaded of all caches is
+// selected.
 func BenchmarkDecisionWrite(b *testing.B) {
 	benchmarkDecisions(b, nil, none, Request{Class: "harmless", Group: 1, Write: true})
 }
 
-// BenchmarkDecisionFewReached is an ordinary request where one cache in 64 can be reached.
-func BenchmarkDecisionFewReached(b *testing.B) {
+// BenchmarkDecisionFewReachable is an ordinary request where one cache in 64 can be reached.
+func BenchmarkDecisionFewReachable(b *testing.B) {
 	for _, servers := range benchmarkSizes {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
 			r, lines := benchmarkRouter(b, servers, nil)
-			reached := map[uint32]bool{}
+			reachable := map[uint32]bool{}
 			for i, line := range lines {
-				reached[line.ID] = i%64 == 0 || line.Kind != "cache"
+				reachable[line.ID] = i%64 == 0 || line.Kind != "cache"
 			}
-			r.Reachable = func(id uint32) bool { return reached[id] }
+			r.Reachable = func(id uint32) bool { return reachable[id] }
 			now := start
 			b.ReportAllocs()
 			for i := range b.N {
 				now += second / 10
-				asked := &Request{Class: "harmless", Object: fmt.Sprint(i % benchmarkObjects), Group: 1, Deadline: now + 5*second}
-				if decision := r.Decide(now, asked); decision.Verdict != Send {
+				request := &Request{Class: "harmless", Object: fmt.Sprint(i % benchmarkObjects), Group: 1, Deadline: now + 5*second}
+				if decision := r.Decide(now, request); decision.Verdict != Send {
 					b.Fatalf("request %d: %+v", i, decision)
 				}
-				r.AttemptEnded(now+second/20, asked, Outcome{Result: Succeeded, Elapsed: second / 20, Note: 1, RequestEnded: true})
+				r.AttemptEnded(now+second/20, request, benchmarkAnswer)
 			}
 		})
 	}
@@ -140,19 +144,19 @@
 			b.ReportAllocs()
 			for i := range b.N {
 				now += second / 1000
-				asked := &Request{Class: "harmless", Object: fmt.Sprint(i % benchmarkObjects), Group: 1, Deadline: now + 5*second}
-				switch d := r.Decide(now, asked); d.Verdict {
+				request := &Request{Class: "harmless", Object: fmt.Sprint(i % benchmarkObjects), Group: 1, Deadline: now + 5*second}
+				switch d := r.Decide(now, request); d.Verdict {
 				case Send:
-					r.AttemptEnded(now, asked, Outcome{Result: Succeeded, Elapsed: second / 20, Note: 1, RequestEnded: true})
+					r.AttemptEnded(now, request, benchmarkAnswer)
 				case Wait:
-					r.ClientGone(now, asked)
+					r.ClientGone(now, request)
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkListEvent is one line of the list that changes: a cache drains, and is ready again with the next.
+// BenchmarkListEvent is a change of one entry of the list: a cache drains, and is ready again with the next.
 func BenchmarkListEvent(b *testing.B) {
 	for _, servers := range benchmarkSizes {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
@@ -182,9 +186,9 @@
 			now := start
 			for i := range 4 * servers {
 				now += second / 10
-				asked := &Request{Class: "harmless", Object: fmt.Sprint(i), Group: 1, Deadline: now + 5*second}
-				r.Decide(now, asked)
-				r.AttemptEnded(now+second/20, asked, Outcome{Result: Succeeded, Elapsed: second / 20, Note: 1, RequestEnded: true})
+				request := &Request{Class: "harmless", Object: fmt.Sprint(i), Group: 1, Deadline: now + 5*second}
+				r.Decide(now, request)
+				r.AttemptEnded(now+second/20, request, benchmarkAnswer)
 			}
 			for i := range inFlight(servers) {
 				r.Decide(now, &Request{Class: "harmless", Object: fmt.Sprint(i), Group: 1, Deadline: forever})
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// site is a small deployment: two caches here, two parents and an origin elsewhere.
+// site returns the settings of a small deployment: two caches here, two parents and an origin elsewhere.
 func site(change Settings) Settings {
 	set := Settings{
 		"routers": int64(4), "location": "here", "locations": []string{"hub", "here", "there"},
@@ -50,6 +50,7 @@
 	return r
 }
 
-func ask(product, object string) *Request {
-	return &Request{Class: product, Object: object, Group: 1, Deadline: start + 500*second}
+// ask returns a new request with a deadline far away.
+func ask(class, object string) *Request {
+	return &Request{Class: class, Object: object, Group: 1, Deadline: start + 500*second}
 }
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-// What a parent denies for its bound the origin fills, whatever is put aside for further dispatches.
-func TestRefusedFillsGoToTheOrigin(t *testing.T) {
+// A fill that a parent rejects goes to the origin if that cannot be overloaded, also without tokens.
+func TestRejectedFillsGoToTheOrigin(t *testing.T) {
 	for _, c := range []struct {
-		note int64
-		fall float64
-		want uint32 // the second source; 0 is none
+		note           int64
+		overloadFactor float64 // of the origin; 0 is unlimited
+		want           uint32  // the source of the retry; 0 is none
 	}{{6, 0, 5}, {7, 0, 5}, {9, 0, 0}, {6, 2, 0}} {
-		t.Run(fmt.Sprint("note ", c.note, ", the origin falls at ", c.fall), func(t *testing.T) {
-			r, request := newRouter(t, Settings{"origin.fallFactor": c.fall}), ask("harmless", "a")
+		t.Run(fmt.Sprint("note ", c.note, ", overload factor ", c.overloadFactor), func(t *testing.T) {
+			r, request := newRouter(t, Settings{"origin.fallFactor": c.overloadFactor}), ask("harmless", "a")
 			r.Decide(start, request)
 			r.retries.tokens = 0
 			decision := r.AttemptEnded(start, request, Outcome{Result: Overloaded, Note: c.note})
@@ -24,35 +24,35 @@
 	}
 }
 
-func TestFurtherAttempts(t *testing.T) {
+func TestRetries(t *testing.T) {
 	cases := []struct {
 		name    string
-		product string
+		class   string
 		results []Result
 		want    Verdict // after the last result
 	}{
-		{"harmless goes on after a time-out", "harmless", []Result{TimedOut}, Send},
-		{"harmless ends by its payoff", "harmless", []Result{Overloaded, Overloaded, Overloaded, Overloaded}, Reject},
-		{"half the payoff, fewer dispatches", "stamped", []Result{Overloaded, Overloaded, Overloaded}, Reject},
-		{"stamped that never ran goes anywhere", "stamped", []Result{Unreachable}, Send},
-		{"stamped that may have run finds its group empty", "stamped", []Result{ConnectionLost, ConnectionLost}, Fail},
-		{"one-shot that never ran is sent again", "once", []Result{Overloaded}, Send},
-		{"one-shot that may have run is neither repeated nor dismissed", "once", []Result{TimedOut}, Fail},
+		{"idempotent, after a timeout", "harmless", []Result{TimedOut}, Send},
+		{"idempotent, bounded by its weight", "harmless", []Result{Overloaded, Overloaded, Overloaded, Overloaded}, Reject},
+		{"half the weight, fewer attempts", "stamped", []Result{Overloaded, Overloaded, Overloaded}, Reject},
+		{"keyed, has not run: any cache", "stamped", []Result{Unreachable}, Send},
+		{"keyed, may have run: no other cache in its cell", "stamped", []Result{ConnectionLost, ConnectionLost}, Fail},
+		{"non-idempotent, has not run", "once", []Result{Overloaded}, Send},
+		{"non-idempotent, may have run: neither retried nor rejected", "once", []Result{TimedOut}, Fail},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
-			request, now := ask(c.product, "a"), start
+			request, now := ask(c.class, "a"), start
 			decision := r.Decide(now, request)
 			for i, result := range c.results {
 				if decision.Verdict != Send {
-					t.Fatalf("dispatch %d: verdict %v", i, decision.Verdict)
+					t.Fatalf("attempt %d: verdict %v", i, decision.Verdict)
 				}
 				first := decision.Attempt.Cache
 				now += second / 2
 				decision = r.AttemptEnded(now, request, Outcome{Attempt: i, Result: result})
-				if c.product == "stamped" && result == ConnectionLost && decision.Verdict == Send && decision.Attempt.Cache != first {
-					t.Fatal("repeated outside its group")
+				if c.class == "stamped" && result == ConnectionLost && decision.Verdict == Send && decision.Attempt.Cache != first {
+					t.Fatal("sent to another cell")
 				}
 			}
 			if decision.Verdict != c.want {
@@ -65,8 +65,8 @@
 	}
 }
 
-// What a connection took with it is sent again at once; the budget is for what may be a jam.
-func TestLostConnectionsCostNoTokens(t *testing.T) {
+// Retries take a token only after results that may be a sign of an overload.
+func TestRetriesAfterLostConnectionsTakeNoTokens(t *testing.T) {
 	for _, c := range []struct {
 		result Result
 		want   Verdict
@@ -82,25 +82,25 @@
 	}
 }
 
-// Answers that never come show only at the end of the client's time: once some did not, what is overdue is sent
-// again.
+// Once answers were lost, an attempt that takes long is hedged: a lost answer would be noticed only at the
+// deadline.
 func TestHedging(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		missing int
-		waited  int64 // in tenths of the due time
+		lost    int
+		elapsed int64 // in tenths of the latency objective
 		change  Settings
 		want    Verdict
 	}{
-		{"answers go missing", 2, 7, nil, Send},
-		{"none has", 0, 7, nil, Wait},
-		{"not yet overdue", 2, 5, nil, Wait},
-		{"much is late: a jam would feed on it", 60, 7, nil, Wait},
-		{"two together are not allowed", 2, 7, Settings{"dispatches.together": false}, Wait},
+		{"answers were lost", 2, 7, nil, Send},
+		{"none was lost", 0, 7, nil, Wait},
+		{"it does not take long yet", 2, 5, nil, Wait},
+		{"many time out: hedges would make an overload worse", 60, 7, nil, Wait},
+		{"hedging is not allowed", 2, 7, Settings{"dispatches.together": false}, Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, now := newRouter(t, c.change), start
-			for n := range 300 + c.missing {
+			for n := range 300 + c.lost {
 				request := ask("harmless", fmt.Sprint(n))
 				if decision := r.Decide(now, request); decision.Verdict != Send {
 					t.Fatalf("verdict %v", decision.Verdict)
@@ -113,15 +113,17 @@
 			}
 			request := ask("harmless", "x")
 			r.Decide(now, request)
-			now += r.objectiveFor(request, 0) * c.waited / 10
-			if decision := r.Decide(now, request); decision.Verdict != c.want || decision.Verdict == Send && decision.Attempt.Cache == request.attempts[0].cache.ID {
+			now += r.objectiveFor(request, 0) * c.elapsed / 10
+			decision := r.Decide(now, request)
+			sameCache := decision.Verdict == Send && decision.Attempt.Cache == request.attempts[0].cache.ID
+			if decision.Verdict != c.want || sameCache {
 				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
 			}
 		})
 	}
 }
 
-// A keyed request that may have run is repeated only within its key's scope.
+// A keyed request that may have run is retried only within the scope of its key.
 func TestKeyScopes(t *testing.T) {
 	ran := &attemptState{cache: &endpointState{Endpoint: Endpoint{Location: "here", Cell: 1}}}
 	didNotRun := &attemptState{cache: ran.cache, ended: true, result: NotSent}
@@ -144,7 +146,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			class := &classState{classTerms: classTerms{idempotency: c.idempotency, keyScope: c.scope}}
 			request := &Request{requestState: requestState{class: class, attempts: []*attemptState{c.attempt}}}
-			got := [3]bool{request.withinKeyScope(sameCell), request.withinKeyScope(sameZone), request.withinKeyScope(elsewhere)}
+			got := [3]bool{
+				request.withinKeyScope(sameCell),
+				request.withinKeyScope(sameZone),
+				request.withinKeyScope(elsewhere),
+			}
 			if got != c.want {
 				t.Errorf("%v, want %v", got, c.want)
 			}
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -5,30 +5,35 @@
 	"testing"
 )
 
-func TestParentsAndSpread(t *testing.T) {
-	t.Run("an object's fills meet at one parent from all locations", func(t *testing.T) {
-		a, b := newRouter(t, nil), newRouter(t, Settings{"location": "there"})
+func TestSelection(t *testing.T) {
+	t.Run("fills of an object go to the same parent from all locations", func(t *testing.T) {
+		here, there := newRouter(t, nil), newRouter(t, Settings{"location": "there"})
 		for i := range 20 {
-			name := fmt.Sprint(i)
-			one, other := ask("harmless", name), ask("harmless", name)
-			x, y := a.Decide(start, one), b.Decide(start, other)
-			a.AttemptEnded(start, one, Outcome{Result: Succeeded, RequestEnded: true})
-			b.AttemptEnded(start, other, Outcome{Result: Succeeded, RequestEnded: true})
-			if x.Attempt.Source != y.Attempt.Source {
-				t.Errorf("object %s: %d and %d", name, x.Attempt.Source, y.Attempt.Source)
+			object := fmt.Sprint(i)
+			source, sourceThere := sourceOf(here, object), sourceOf(there, object)
+			if source != sourceThere {
+				t.Errorf("object %s: %d and %d", object, source, sourceThere)
 			}
-			if x.Attempt.Source != 3 && x.Attempt.Source != 4 {
-				t.Errorf("object %s filled from %d", name, x.Attempt.Source)
+			if source != 3 && source != 4 {
+				t.Errorf("object %s filled from %d", object, source)
 			}
 		}
 	})
-	t.Run("a hot object reaches both caches", func(t *testing.T) {
+	t.Run("a hot object goes to both caches", func(t *testing.T) {
 		r, seen := newRouter(t, nil), map[uint32]int{}
 		for range 40 {
 			seen[r.Decide(start, ask("harmless", "hot")).Attempt.Cache]++
 		}
 		if seen[1] == 0 || seen[2] == 0 {
-			t.Errorf("dispatches by cache: %v", seen)
+			t.Errorf("attempts by cache: %v", seen)
 		}
 	})
 }
+
+// sourceOf returns the source of the first attempt of a request for an object, which is answered at once.
+func sourceOf(r *Router, object string) uint32 {
+	request := ask("harmless", object)
+	decision := r.Decide(start, request)
+	r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true})
+	return decision.Attempt.Source
+}
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// What was learned is taken over: rates as they were, though time has passed; without rates only what was asked
-// for at all.
+// A router that restores a snapshot has the rates of the one before, though time has passed; without rates it
+// knows only which objects were requested.
 func TestSnapshot(t *testing.T) {
 	set := Settings{
 		"product.names": []string{"stills"}, "product.due": []int64{4 * second / 10}, "product.hardStop": []int64{second},
 		"product.payoff": []float64{1}, "product.effect": []string{"harmless"}, "location": "here", "kinds": []string{"cache"},
 		"routers": int64(1),
 	}
-	make := func(at int64) *Router {
+	newRouterAt := func(at int64) *Router {
 		r, err := New(at, 7, set, func(logevent.Event) {})
 		if err != nil {
 			t.Fatal(err)
@@ -22,10 +22,10 @@
 		r.UpdateEndpoints(at, []Endpoint{{ID: 1, Location: "here", Kind: "cache", Phase: "ready", Capacity: 4}}, true)
 		return r
 	}
-	const begun, later = 1000 * second, 1040 * second
-	r := make(begun)
+	const started, later = 1000 * second, 1040 * second
+	r := newRouterAt(started)
 	for i := range int64(40) {
-		at := begun + i*second/4
+		at := started + i*second/4
 		object := "a"
 		if i%4 == 0 {
 			object = "b"
@@ -34,29 +34,31 @@
 			t.Fatal(decision)
 		}
 	}
-	r.Purge(begun+9*second, "b", 0, begun+9*second)
-	now := begun + 10*second
-	m := r.Snapshot(now, 10)
-	if len(m.Objects) != 2 || len(m.Purges) != 1 || m.Objects[1].Object != "a" {
-		t.Fatalf("%+v", m)
+	r.Purge(started+9*second, "b", 0, started+9*second)
+	now := started + 10*second
+	snapshot := r.Snapshot(now, 10)
+	if len(snapshot.Objects) != 2 || len(snapshot.Purges) != 1 || snapshot.Objects[1].Object != "a" {
+		t.Fatalf("%+v", snapshot)
 	}
-	next := make(later)
-	next.Restore(later, m, true)
+	next := newRouterAt(later)
+	next.Restore(later, snapshot, true)
 	rate := func(r *Router, at int64, object string) float64 {
 		record := r.rates.objects[objectKey{object, 0}]
 		return r.rates.ofObject(at, record)
 	}
 	for _, object := range []string{"a", "b"} {
-		if was, is := rate(r, now, object), rate(next, later, object); math.Abs(was-is) > 1e-9 || is == 0 {
-			t.Errorf("%s: %f before, %f after", object, was, is)
+		before, after := rate(r, now, object), rate(next, later, object)
+		if math.Abs(before-after) > 1e-9 || after == 0 {
+			t.Errorf("%s: %f before, %f after", object, before, after)
 		}
 	}
-	if again := next.Snapshot(later, 10); again.Objects[1].Object != "a" || again.Purges[0] != m.Purges[0] {
+	if again := next.Snapshot(later, 10); again.Objects[1].Object != "a" || again.Purges[0] != snapshot.Purges[0] {
 		t.Errorf("%+v", again)
 	}
-	without := make(later)
-	without.Restore(later, m, false)
-	if record := without.rates.objects[objectKey{"b", 0}]; record == nil || record.requestCount != 0 || record.purgeCount != 1 || without.rates.requestCount != 0 {
+	withoutRates := newRouterAt(later)
+	withoutRates.Restore(later, snapshot, false)
+	record := withoutRates.rates.objects[objectKey{"b", 0}]
+	if record == nil || record.requestCount != 0 || record.purgeCount != 1 || withoutRates.rates.requestCount != 0 {
 		t.Errorf("%+v", record)
 	}
 	if one := r.Snapshot(now, 1); len(one.Objects) != 1 || one.Objects[0].Object != "a" {
@@ -64,14 +66,21 @@
 	}
 }
 
-// What a snapshot has twice, of classes that are no more, or with times that can't be, is passed over; evicted
-// objects stay so.
-func TestRestoreOfOddSnapshots(t *testing.T) {
+// Classes that the settings do not have, invalid means and repeated objects in a snapshot are ignored; evicted
+// objects stay evicted.
+func TestRestoreIgnoresInvalidEntries(t *testing.T) {
 	r := newRouter(t, nil)
 	before := *r.classByName["once"]
 	r.Restore(start, Snapshot{
-		Classes: []ClassSnapshot{{Name: "no more", SendingTime: 1, ResponseTime: 1}, {Name: "once", SendingTime: -1, ResponseTime: 1}},
-		Objects: []ObjectSnapshot{{Object: "a", Group: 1}, {Object: "a", Group: 2}, {Object: "b", Evicted: true}},
+		Classes: []ClassSnapshot{
+			{Name: "unknown", SendingTime: 1, ResponseTime: 1},
+			{Name: "once", SendingTime: -1, ResponseTime: 1},
+		},
+		Objects: []ObjectSnapshot{
+			{Object: "a", Group: 1},
+			{Object: "a", Group: 2},
+			{Object: "b", Evicted: true},
+		},
 	}, true)
 	if got := *r.classByName["once"]; got != before || len(r.classByName) != 3 {
 		t.Errorf("%+v, was %+v", got, before)
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// writeSite has two classes: "read" is kept by caches, "write" runs at the origin and may not be repeated. Its
-// parents lie in the four hubs of a ring, its origin in the first.
+// writeSite makes a router with two classes: "read" is cacheable, "write" is not, nor idempotent. The parents
+// are in four hubs that form a ring, the origin is in the first.
 func writeSite(t *testing.T, change Settings) *Router {
 	t.Helper()
 	set := Settings{
@@ -29,7 +29,7 @@
 	hubs        = 4
 )
 
-// ringFleet is four caches of this location, three parents in each hub and the origin in the first.
+// ringFleet returns four caches of this location, three parents in each hub and the origin in the first.
 func ringFleet() (lines []Endpoint) {
 	for n := range 4 {
 		lines = append(lines, Endpoint{ID: uint32(1 + n), Location: "here", Kind: "cache", Cell: int64(n), Phase: "ready", Capacity: 5})
@@ -43,7 +43,7 @@
 	return append(lines, Endpoint{ID: originID, Location: "hub-0", Kind: "origin", Cell: 10, Phase: "ready", Capacity: 20})
 }
 
-// hubOf is the hub in which a fill source of ringFleet lies.
+// hubOf returns the hub of a source of ringFleet.
 func hubOf(id uint32) int {
 	if id == originID {
 		return 0
@@ -51,21 +51,21 @@
 	return int(id-20) % hubs
 }
 
-// hops is how many hubs one way from one hub of the ring to another passes.
+// hops returns how many steps along the ring it takes from one hub to another.
 func hops(from, to int) int {
-	apart := (from - to + hubs) % hubs
-	return min(apart, hubs-apart)
+	distance := (from - to + hubs) % hubs
+	return min(distance, hubs-distance)
 }
 
-// roundTrip is how long a write takes from a location at a hub by way of a source, in the middle of what
-// deployments have: 10 ms one way from the location to its hub, 35 ms from each hub to the next, 15 ms on to
-// the origin, 45 ms of work there and 30 ms for the answer's bytes.
+// roundTrip returns how long a write takes from a location at a hub through a source, ns. Delays are those of a
+// typical deployment: 10 ms one way from the location to its hub, 35 ms from each hub to the next, 15 ms on to
+// the origin, 45 ms of work there and 30 ms to send the answer.
 func roundTrip(home int, source uint32) int64 {
 	oneWay := 10 + 35*(hops(home, hubOf(source))+hops(hubOf(source), 0)) + 15
 	return int64(2*oneWay+45+30) * millisecond
 }
 
-// sendAndAnswer returns the first dispatch of a new retrieval, which is answered in time.
+// sendAndAnswer returns the first attempt of a new request, which is answered in time.
 func sendAndAnswer(t *testing.T, r *Router, request *Request) Attempt {
 	t.Helper()
 	decision := r.Decide(start, request)
@@ -76,9 +76,9 @@
 	return decision.Attempt
 }
 
-// A write went through the parent of its object's hash, in whichever hub that lies, and lost its time on the
-// detour.
-func TestWritesTakeTheShortestWay(t *testing.T) {
+// Writes go straight to the origin. A detour through the parent of the object's hash, which may be in any hub,
+// takes too long.
+func TestWritesTakeTheShortestPath(t *testing.T) {
 	for home := range hubs {
 		r := writeSite(t, nil)
 		for n := range 200 {
@@ -91,7 +91,7 @@
 	}
 }
 
-// The request's own mark counts as the class's does.
+// A request that is marked as a write is treated as one of a class that is not cacheable.
 func TestMarkedWritesGoToTheOrigin(t *testing.T) {
 	r := writeSite(t, Settings{"product.neverKept": []bool{false, false}})
 	for n := range 50 {
@@ -103,7 +103,7 @@
 	}
 }
 
-// What caches keep is still filled from the parent of its hash.
+// Requests that are cacheable are filled from the parent of their hash.
 func TestReadsAreFilledFromParents(t *testing.T) {
 	r := writeSite(t, nil)
 	for n := range 50 {
@@ -113,9 +113,9 @@
 	}
 }
 
-// A write that the origin turned away unrun is tried once more, through a parent.
-func TestWritesTurnedAwayGoThroughAParent(t *testing.T) {
-	for _, note := range []int64{6, 7} { // the source refused; it was not reached
+// A write that the origin has rejected is retried through a parent.
+func TestRejectedWritesGoThroughAParent(t *testing.T) {
+	for _, note := range []int64{6, 7} { // the source rejected it; the source could not be reached
 		r := writeSite(t, nil)
 		write := ask("write", "object")
 		r.Decide(start, write)
@@ -126,7 +126,7 @@
 	}
 }
 
-// Where the list names no origin, parents are all there is.
+// Without an origin in the list writes go through a parent.
 func TestWritesWithoutAnOriginListed(t *testing.T) {
 	r := writeSite(t, nil)
 	lines := ringFleet()
