--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -14,20 +14,21 @@
 	"testing"
 )
 
-// drawnPlay drives a router through drawn events: requests, outcomes, lists, purges, probes and ticks.
-type drawnPlay struct {
+// drawnRun drives a router through events drawn at random: requests, outcomes, endpoint lists, purges, probes
+// and ticks.
+type drawnRun struct {
 	rng      *rand.Rand
 	router   *Router
 	now      int64
-	lines    []Endpoint
+	entries  []Endpoint // of the endpoint list
 	nextID   uint32
-	requests []*Request  // those that are not yet finished
-	digest   hash.Hash64 // of every decision and log line
-	seen     map[string]int
-	failing  map[uint32]bool // members at which most fails now
+	requests []*Request      // that have not ended
+	digest   hash.Hash64     // of all decisions and the figures of log events
+	seen     map[string]int  // how often something happened
+	failing  map[uint32]bool // endpoints at which most attempts fail now
 }
 
-// drawnSettings gives one of several ways to run a router.
+// drawnSettings returns settings that are drawn at random.
 func drawnSettings(rng *rand.Rand) Settings {
 	pick := func(n int) bool { return rng.IntN(n) == 0 }
 	set := Settings{
@@ -43,10 +44,17 @@
 	return set
 }
 
-// newDrawnPlay starts a play that depends on its seed alone.
-func newDrawnPlay(t testing.TB, seed uint64) *drawnPlay {
+// newDrawnRun starts a run that depends on its seed alone.
+func newDrawnRun(t testing.TB, seed uint64) *drawnRun {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	p := &drawnPlay{rng: rng, now: start, nextID: 1, digest: fnv.New64a(), seen: map[string]int{}, failing: map[uint32]bool{}}
+	p := &drawnRun{
+		rng:     rng,
+		now:     start,
+		nextID:  1,
+		digest:  fnv.New64a(),
+		seen:    map[string]int{},
+		failing: map[uint32]bool{},
+	}
 	log := func(event logevent.Event) {
 		p.note("log", loggedFigures(event))
 		p.seen["log"]++
@@ -61,14 +69,14 @@
 		r.Reachable = func(id uint32) bool { return (id*2654435761+uint32(p.now/second))%7 != 0 }
 	}
 	for range 1 + rng.IntN([]int{4, 40, 40, 250}[rng.IntN(4)]) {
-		p.lines = append(p.lines, p.drawLine())
+		p.entries = append(p.entries, p.drawEntry())
 	}
-	r.UpdateEndpoints(start, p.lines, true)
+	r.UpdateEndpoints(start, p.entries, true)
 	return p
 }
 
 // note adds values to the digest.
-func (p *drawnPlay) note(values ...any) {
+func (p *drawnRun) note(values ...any) {
 	if _, err := fmt.Fprintln(p.digest, values...); err != nil {
 		panic(err) // a hash takes everything
 	}
@@ -93,59 +101,71 @@
 	return event.Kind().Name
 }
 
-// drawLine gives a new member.
-func (p *drawnPlay) drawLine() Endpoint {
-	line := Endpoint{
+// drawEntry returns an endpoint that is not listed yet.
+func (p *drawnRun) drawEntry() Endpoint {
+	entry := Endpoint{
 		ID: p.nextID*2654435761 + 17, Location: "here", Kind: "cache", Cell: int64(p.rng.IntN(4)), Phase: "ready",
 		Capacity: []float64{1, 5, 5, 5, 0, 7.3, 0.1, 20}[p.rng.IntN(8)],
 	}
 	p.nextID++
 	switch n := p.rng.IntN(20); {
 	case n < 4:
-		line.Location, line.Kind = "hub", "parent"
+		entry.Location, entry.Kind = "hub", "parent"
 	case n == 4:
-		line.Location, line.Kind = "hub", "origin"
+		entry.Location, entry.Kind = "hub", "origin"
 	case n == 5:
-		line.Location = "there"
+		entry.Location = "there"
 	}
 	if p.rng.IntN(5) == 0 {
-		line.StartedAt = p.now
+		entry.StartedAt = p.now
 	}
-	return line
+	return entry
 }
 
-// decided records a decision.
-func (p *drawnPlay) decided(what string, request *Request, decision Decision) {
-	// By place, not by name: renaming a field changes no decision.
-	to := decision.Attempt
-	p.note(what, p.now, request.Object, int(decision.Verdict), decision.RetryAfter, decision.Cancel, to.Cache, to.CacheOnly, to.Source, to.CachePriority, to.MaxAge,
-		to.JoinFill, to.RefreshBehind, to.ParentOnlyIfCached, to.ParentNoStore, to.Timeout, to.SendTimeout)
+// decided adds a decision to the digest. What it was asked is in the recorded digests, so these words stay.
+func (p *drawnRun) decided(what string, request *Request, decision Decision) {
+	// Values without the names of their fields: to rename a field changes no decision.
+	attempt := decision.Attempt
+	p.note(what, p.now, request.Object, int(decision.Verdict), decision.RetryAfter, decision.Cancel,
+		attempt.Cache, attempt.CacheOnly, attempt.Source, attempt.CachePriority, attempt.MaxAge, attempt.JoinFill,
+		attempt.RefreshBehind, attempt.ParentOnlyIfCached, attempt.ParentNoStore, attempt.Timeout, attempt.SendTimeout)
 	p.seen[fmt.Sprint(what, int(decision.Verdict))]++
 	if decision.Verdict == Send && request.diverted {
-		p.seen["away"]++
+		p.seen["diverted"]++
 	}
 	if decision.Verdict == Send && decision.Attempt.CacheOnly {
-		p.seen["plain"]++
+		p.seen["cache only"]++
 	}
 }
 
-// ask brings a new retrieval.
-func (p *drawnPlay) ask() {
-	products := []string{"harmless", "harmless", "stamped", "once"}
+// ask has the router decide on a new request.
+func (p *drawnRun) ask() {
+	classes := []string{"harmless", "harmless", "stamped", "once"}
 	object := p.rng.IntN(1 + p.rng.IntN(60))
 	request := &Request{
-		Class: products[p.rng.IntN(len(products))], Object: fmt.Sprintf("%016x", object), Group: int64(object % 5),
-		Part: int64(p.rng.IntN(2)), Deadline: p.now + int64(p.rng.IntN(3000)+200)*second/1000, ClientRetry: p.rng.IntN(12) == 0,
-		Write: p.rng.IntN(10) == 0, SizeKB: []float64{0, 0, 10, 200, 2000}[p.rng.IntN(5)],
+		Class:       classes[p.rng.IntN(len(classes))],
+		Object:      fmt.Sprintf("%016x", object),
+		Group:       int64(object % 5),
+		Part:        int64(p.rng.IntN(2)),
+		Deadline:    p.now + int64(p.rng.IntN(3000)+200)*second/1000,
+		ClientRetry: p.rng.IntN(12) == 0,
+		Write:       p.rng.IntN(10) == 0,
+		SizeKB:      []float64{0, 0, 10, 200, 2000}[p.rng.IntN(5)],
 	}
 	p.requests = append(p.requests, request)
 	p.decided("where", request, p.router.Decide(p.now, request))
 }
 
-// outcome draws how a dispatch ends.
-func (p *drawnPlay) outcome(request *Request, number int) Outcome {
+// outcome draws how an attempt ends.
+func (p *drawnRun) outcome(request *Request, number int) Outcome {
 	attempt := request.attempts[number]
-	outcome := Outcome{Attempt: number, Result: Succeeded, Elapsed: p.now - attempt.sentAt, Note: int64(p.rng.IntN(4)), SharedCause: p.rng.IntN(10) == 0}
+	outcome := Outcome{
+		Attempt:     number,
+		Result:      Succeeded,
+		Elapsed:     p.now - attempt.sentAt,
+		Note:        int64(p.rng.IntN(4)),
+		SharedCause: p.rng.IntN(10) == 0,
+	}
 	chance := 15
 	if p.failing[attempt.cache.ID] || attempt.source != nil && p.failing[attempt.source.ID] {
 		chance = 2
@@ -164,8 +184,8 @@
 	return outcome
 }
 
-// end ends a drawn dispatch that is out.
-func (p *drawnPlay) end(request *Request) {
+// end ends an attempt of a request that is in flight, if one is drawn.
+func (p *drawnRun) end(request *Request) {
 	for number, attempt := range request.attempts {
 		if !attempt.ended && p.rng.IntN(2) == 0 {
 			p.decided("after", request, p.router.AttemptEnded(p.now, request, p.outcome(request, number)))
@@ -174,39 +194,39 @@
 	}
 }
 
-// list changes the list of members by a few lines, or tells it as a whole.
-func (p *drawnPlay) list() {
+// list changes some entries of the endpoint list, and may send the complete one.
+func (p *drawnRun) list() {
 	for range 1 + p.rng.IntN(2) {
-		i := p.rng.IntN(len(p.lines))
-		line := &p.lines[i]
+		i := p.rng.IntN(len(p.entries))
+		entry := &p.entries[i]
 		switch p.rng.IntN(7) {
 		case 0:
-			line.Phase = []string{"draining", "gone"}[p.rng.IntN(2)]
+			entry.Phase = []string{"draining", "gone"}[p.rng.IntN(2)]
 		case 1, 2:
-			line.Phase = "ready"
+			entry.Phase = "ready"
 		case 3:
-			line.StartedAt, line.Phase = p.now, "ready"
+			entry.StartedAt, entry.Phase = p.now, "ready"
 		case 4:
-			line.Capacity = p.rng.Float64() * 10
+			entry.Capacity = p.rng.Float64() * 10
 		case 5:
-			p.lines = append(p.lines, p.drawLine())
-			i = len(p.lines) - 1
+			p.entries = append(p.entries, p.drawEntry())
+			i = len(p.entries) - 1
 		case 6:
-			if len(p.lines) > 2 {
-				p.lines = slices.Delete(p.lines, i, i+1)
-				p.router.UpdateEndpoints(p.now, p.lines, true)
+			if len(p.entries) > 2 {
+				p.entries = slices.Delete(p.entries, i, i+1)
+				p.router.UpdateEndpoints(p.now, p.entries, true)
 				continue
 			}
 		}
-		p.router.UpdateEndpoints(p.now, slices.Clone(p.lines[i:i+1]), false)
+		p.router.UpdateEndpoints(p.now, slices.Clone(p.entries[i:i+1]), false)
 	}
 	if p.rng.IntN(4) == 0 {
-		p.router.UpdateEndpoints(p.now, p.lines, true)
+		p.router.UpdateEndpoints(p.now, p.entries, true)
 	}
 }
 
 // step is one drawn event.
-func (p *drawnPlay) step() {
+func (p *drawnRun) step() {
 	if p.rng.IntN(3) > 0 {
 		p.now += p.rng.Int64N(second / 20)
 	}
@@ -214,7 +234,7 @@
 		p.now += p.rng.Int64N(20 * second)
 	}
 	if p.rng.IntN(3000) == 0 {
-		p.now += 4000 * second // all scores have faded to nothing
+		p.now += 4000 * second // all scores have decayed to 0
 	}
 	r := p.router
 	switch n := p.rng.IntN(100); {
@@ -247,8 +267,8 @@
 		}
 		r.Purge(p.now, object, int64(p.rng.IntN(5)), p.now-p.rng.Int64N(second))
 	case n < 98:
-		if len(p.lines) > 0 {
-			id := p.lines[p.rng.IntN(len(p.lines))].ID
+		if len(p.entries) > 0 {
+			id := p.entries[p.rng.IntN(len(p.entries))].ID
 			p.failing[id] = !p.failing[id]
 		}
 	default:
@@ -265,20 +285,19 @@
 	})
 }
 
-// drawnSteps is how many events one recorded play has.
+// drawnSteps is how many events one recorded run has.
 const drawnSteps = 2500
 
-// recordedPlays is how many plays are recorded, with the seeds 0, 1 and so on.
-const recordedPlays = 60
+// recordedRuns is how many runs are recorded, with the seeds 0, 1 and so on.
+const recordedRuns = 60
 
-// record writes the digests of this text in place of the recorded ones. It is for changes that are to change
-// decisions, in the same commit as they are; a change that is to leave all decisions as they are is held to the
-// digests before it.
-var record = flag.Bool("record", false, "record the digests of the drawn plays anew")
+// record replaces the recorded digests by those of this code. It is only for commits that are meant to change
+// decisions: any other has to reproduce the recorded ones.
+var record = flag.Bool("record", false, "record the digests of the drawn runs anew")
 
 const digestsFile = "testdata/decisions.digests"
 
-// recordedDigests reads the digests of all decisions and log lines, a line a play.
+// recordedDigests reads the digests, one line for each run.
 func recordedDigests(t *testing.T) []string {
 	t.Helper()
 	raw, err := os.ReadFile(digestsFile)
@@ -286,18 +305,18 @@
 		t.Fatal(err)
 	}
 	digests := strings.Fields(string(raw))
-	if len(digests) != recordedPlays {
-		t.Fatalf("%d digests are recorded, want %d", len(digests), recordedPlays)
+	if len(digests) != recordedRuns {
+		t.Fatalf("%d digests are recorded, want %d", len(digests), recordedRuns)
 	}
 	return digests
 }
 
-// What a router decides and logs is bit for bit what was recorded.
+// Decisions and figures of log events are the same, bit by bit, as when the digests were recorded.
 func TestDecisionsAsRecorded(t *testing.T) {
 	seen := map[string]int{}
-	digests := make([]string, recordedPlays)
+	digests := make([]string, recordedRuns)
 	for seed := range digests {
-		p := newDrawnPlay(t, uint64(seed))
+		p := newDrawnRun(t, uint64(seed))
 		for range drawnSteps {
 			p.step()
 		}
@@ -317,11 +336,11 @@
 		}
 	}
 	for _, what := range []string{
-		"endpoint_ejected", "endpoint_restored", "admission_limit_reduced", "away", "plain", "probe", "where0", "where1", "where2", "after1",
+		"endpoint_ejected", "endpoint_restored", "admission_limit_reduced", "diverted", "cache only", "probe", "where0", "where1", "where2", "after1",
 		"after2", "after3", "again1", "again2",
 	} {
 		if seen[what] < 5 {
-			t.Errorf("the plays show %q %d times only", what, seen[what])
+			t.Errorf("the runs show %q only %d times", what, seen[what])
 		}
 	}
 }
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -242,7 +242,7 @@
 func TestSelectionAsByThePlainRanking(t *testing.T) {
 	seen := map[string]int{}
 	for seed, cases := uint64(0), 0; cases < propertyCases; seed++ {
-		p := newDrawnPlay(t, 1000+seed)
+		p := newDrawnRun(t, 1000+seed)
 		for range 400 {
 			p.step()
 			if len(p.requests) == 0 {
@@ -283,7 +283,7 @@
 // What is kept as it changes equals the sums over all members to the last bit, also where the clock went back.
 func TestKeptCountsAsByPlainSums(t *testing.T) {
 	for seed, cases := uint64(0), 0; cases < propertyCases; seed++ {
-		p := newDrawnPlay(t, 5000+seed)
+		p := newDrawnRun(t, 5000+seed)
 		for range 400 {
 			p.step()
 			if p.rng.IntN(50) == 0 {
@@ -306,7 +306,7 @@
 
 // Candidates come in the order of the plain ranking, to the last one, for all sizes of tiers and drawn weights.
 func TestCandidatesAsByThePlainRanking(t *testing.T) {
-	p := newDrawnPlay(t, 1)
+	p := newDrawnRun(t, 1)
 	for round := range propertyCases / 100 {
 		r := newRouter(t, nil)
 		var lines []Endpoint
