--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -12,88 +12,93 @@
 	"testing"
 )
 
-// This file holds the plain text of ranking, loads and evidence, which goes over all members each time. It is
-// the reference for the selection and the kept counts.
+// This file has straightforward implementations of ranking, loads and evidence, which go over all endpoints
+// each time. The selection in batches and the counts that are updated with each change are compared with them.
 
-// plainRank orders members by rendezvous hashing weighted by size.
-func plainRank(key objectKey, members []*endpointState) []*endpointState {
-	h := fnv.New64a()
-	h.Write(binary.LittleEndian.AppendUint64([]byte(key.object), uint64(key.part)))
-	scores := make(map[*endpointState]float64, len(members))
-	for _, endpoint := range members {
-		x := (h.Sum64() ^ uint64(endpoint.ID)) * 0xff51afd7ed558ccd
+// plainRank orders endpoints by rendezvous hashing weighted by capacity.
+func plainRank(key objectKey, endpoints []*endpointState) []*endpointState {
+	hash := fnv.New64a()
+	hash.Write(binary.LittleEndian.AppendUint64([]byte(key.object), uint64(key.part)))
+	scores := make(map[*endpointState]float64, len(endpoints))
+	for _, endpoint := range endpoints {
+		x := (hash.Sum64() ^ uint64(endpoint.ID)) * 0xff51afd7ed558ccd
 		x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
 		scores[endpoint] = -math.Log((float64((x^x>>33)>>11)+0.5)/(1<<53)) / endpoint.hashWeight
 	}
-	ranked := slices.Clone(members)
+	ranked := slices.Clone(endpoints)
 	slices.SortFunc(ranked, func(a, b *endpointState) int {
 		return cmp.Or(cmp.Compare(scores[a], scores[b]), cmp.Compare(a.ID, b.ID))
 	})
 	return ranked
 }
 
-// plainInHand is what is out at some caches and may be in time, in all and by kind, and their size.
-func plainInFlight(r *Router, now int64, members []*endpointState) (out float64, kinds [3]float64, units float64) {
-	for _, endpoint := range members {
+// plainInFlight returns the attempts in flight at some caches that may be in time, in all and by kind, and the
+// caches' capacity.
+func plainInFlight(r *Router, now int64, caches []*endpointState) (all float64, byKind [3]float64, capacity float64) {
+	for _, endpoint := range caches {
 		if r.settings.capacitiesTold {
-			units += endpoint.Capacity
+			capacity += endpoint.Capacity
 		} else {
-			units += r.measuredCapacity(now)
+			capacity += r.measuredCapacity(now)
 		}
 		for _, attempt := range endpoint.inFlight {
 			if now < attempt.lateAt {
-				out, kinds[attempt.kind] = out+1, kinds[attempt.kind]+1
+				all++
+				byKind[attempt.kind]++
 			}
 		}
 	}
-	return out, kinds, max(units, 0.01)
+	return all, byKind, max(capacity, 0.01)
 }
 
-// plainLoads is what each cache has in hand for its size.
+// plainLoads returns the load of each cache.
 func plainLoads(r *Router, now int64) map[*endpointState]float64 {
-	out, _, units := plainInFlight(r, now, r.caches)
+	all, _, total := plainInFlight(r, now, r.caches)
 	loads := map[*endpointState]float64{}
 	for _, endpoint := range r.caches {
-		own, _, size := plainInFlight(r, now, []*endpointState{endpoint})
-		loads[endpoint] = (own + out*r.activeSharers()/units) / (size/r.activeSharers() + 1)
+		own, _, capacity := plainInFlight(r, now, []*endpointState{endpoint})
+		loads[endpoint] = (own + all*r.activeSharers()/total) / (capacity/r.activeSharers() + 1)
 	}
 	return loads
 }
 
-// plainSigns is the evidence on a member.
-func plainEvidence(r *Router, now int64, endpoint *endpointState) (silent, good, bad float64) {
-	answer, longest := 0.01, 0.
+// plainEvidence returns the evidence on an endpoint.
+func plainEvidence(r *Router, now int64, endpoint *endpointState) evidence {
+	responseTime, longest, silence := 0.01, 0., 0.
 	for _, class := range r.classes {
-		answer = max(answer, class.responseTime)
+		responseTime = max(responseTime, class.responseTime)
 	}
 	for _, attempt := range endpoint.inFlight {
 		if attempt.cache == endpoint || attempt.kind > hits {
-			waited := float64(now-max(attempt.sentAt, endpoint.lastResponseAt)) / 1e9 / answer
-			silent, longest = silent+min(maxSilencePerAttempt, waited), max(longest, waited)
+			waited := float64(now-max(attempt.sentAt, endpoint.lastResponseAt)) / 1e9 / responseTime
+			silence, longest = silence+min(maxSilencePerAttempt, waited), max(longest, waited)
 		}
 	}
 	if longest < minSilence {
-		silent = 0
+		silence = 0
+	}
+	return evidence{
+		silence:   silence,
+		successes: decay(endpoint.successes, now-endpoint.scoredAt, healthWindow),
+		failures:  decay(endpoint.failures, now-endpoint.scoredAt, healthWindow),
 	}
-	return silent, decay(endpoint.successes, now-endpoint.scoredAt, healthWindow), decay(endpoint.failures, now-endpoint.scoredAt, healthWindow)
 }
 
-// plainPeerSigns sums up the evidence on all peers of a member.
-func plainPeerEvidence(r *Router, now int64, endpoint *endpointState) (silent, good, bad float64) {
+// plainPeerEvidence sums up the evidence on all peers of an endpoint.
+func plainPeerEvidence(r *Router, now int64, endpoint *endpointState) (sum evidence) {
 	peers := r.caches
 	if endpoint.Location != r.settings.location {
 		peers = r.parents
 	}
 	for _, peer := range peers {
 		if peer != endpoint {
-			s, g, b := plainEvidence(r, now, peer)
-			silent, good, bad = silent+s, good+g, bad+b
+			sum = sum.plus(plainEvidence(r, now, peer))
 		}
 	}
-	return silent, good, bad
+	return sum
 }
 
-// plainTiers sorts the members by what they may do.
+// plainTiers returns the endpoints by their roles.
 func plainTiers(r *Router) (caches, parents []*endpointState, origin *endpointState) {
 	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
 		endpoint := r.endpoints[id]
@@ -110,21 +115,26 @@
 	return caches, parents, origin
 }
 
-// plainPlace picks the cache and the fill source from the whole ranking.
+// plainSelection selects the cache and the source from the complete ranking.
 func plainSelection(r *Router, now int64, request *Request) (cache, source *endpointState) {
-	ranked, spread := plainRank(request.record.key, r.caches), 1
+	ranked, hotCaches := plainRank(request.record.key, r.caches), 1
 	if request.isUncacheable() {
-		spread = len(ranked)
+		hotCaches = len(ranked)
 	} else if n := float64(len(ranked)); n > 1 && request.record.requestCount >= minHotRequests {
 		hot := r.rates.ofObject(now, request.record) * n / (hotShare * r.rates.ofAll(now))
-		spread = max(1, min(1+int(hot), 3, len(ranked)))
+		hotCaches = max(1, min(1+int(hot), 3, len(ranked)))
 	}
 	loads := plainLoads(r, now)
-	slices.SortStableFunc(ranked[:min(spread, len(ranked))], func(a, b *endpointState) int { return cmp.Compare(loads[a], loads[b]) })
+	slices.SortStableFunc(ranked[:min(hotCaches, len(ranked))], func(a, b *endpointState) int {
+		return cmp.Compare(loads[a], loads[b])
+	})
 	request.diverted = false
-	if cache = plainPick(r, now, request, ranked); cache != nil && request.record.likelyCachedUntil > now && !r.admits(now, request, cache) {
-		roomy := slices.DeleteFunc(ranked, func(endpoint *endpointState) bool { return loads[endpoint] >= r.admission.limits[0]/2 })
-		if other := plainPick(r, now, request, roomy); other != nil {
+	cache = plainPick(r, now, request, ranked)
+	if cache != nil && request.record.likelyCachedUntil > now && !r.admits(now, request, cache) {
+		lightlyLoaded := slices.DeleteFunc(ranked, func(endpoint *endpointState) bool {
+			return loads[endpoint] >= r.admission.limits[hits]/2
+		})
+		if other := plainPick(r, now, request, lightlyLoaded); other != nil {
 			cache, request.diverted = other, true
 		}
 	}
@@ -141,45 +151,45 @@
 	return cache, plainPick(r, now, request, sources)
 }
 
-// plainPick picks from a whole ranking: it is given as the batch of a selection that has nothing after it.
+// plainPick selects from a complete ranking, which it passes as the last batch of candidates.
 func plainPick(r *Router, now int64, request *Request, ranked []*endpointState) *endpointState {
-	whole := &candidates{tier: &tier{endpointList: endpointList{ranked}}, exhausted: true, lastGiven: true}
+	complete := &candidates{tier: &tier{endpointList: endpointList{ranked}}, exhausted: true, lastGiven: true}
 	for i := range ranked {
-		whole.batch = append(whole.batch, candidate{index: i})
+		complete.batch = append(complete.batch, candidate{index: i})
 	}
-	return r.firstUsable(now, request, whole)
+	return r.firstUsable(now, request, complete)
 }
 
-// routerState is what a decision on the place changes.
+// routerState is what the selection of endpoints may change.
 type routerState struct {
-	draws   uint32
-	members map[uint32]endpointState
+	draws     uint32
+	endpoints map[uint32]endpointState
 }
 
 func stateOf(r *Router) routerState {
-	s := routerState{r.draws, map[uint32]endpointState{}}
+	state := routerState{r.draws, map[uint32]endpointState{}}
 	for id, endpoint := range r.endpoints {
-		s.members[id] = *endpoint
+		state.endpoints[id] = *endpoint
 	}
-	return s
+	return state
 }
 
 func (s routerState) restore(r *Router) {
 	r.draws = s.draws
-	for id, m := range s.members {
-		*r.endpoints[id] = m
+	for id, endpoint := range s.endpoints {
+		*r.endpoints[id] = endpoint
 	}
 }
 
-// equal compares what a decision on the place may change.
+// equal compares what the selection of endpoints may change.
 func (s routerState) equal(other routerState) bool {
-	return s.draws == other.draws && maps.EqualFunc(s.members, other.members, func(a, b endpointState) bool {
-		return a.ejected == b.ejected && a.nextProbeAt == b.nextProbeAt && a.probeBackoff == b.probeBackoff && a.probing == b.probing &&
-			reflect.DeepEqual(a.slowStart, b.slowStart)
+	return s.draws == other.draws && maps.EqualFunc(s.endpoints, other.endpoints, func(a, b endpointState) bool {
+		return a.ejected == b.ejected && a.nextProbeAt == b.nextProbeAt && a.probeBackoff == b.probeBackoff &&
+			a.probing == b.probing && reflect.DeepEqual(a.slowStart, b.slowStart)
 	})
 }
 
-// differences compares what is kept with the plain sums, and gives what differs.
+// differences compares the counts and caches of a router with plain sums, and returns what differs.
 func differences(r *Router, now int64) (found []string) {
 	check := func(what string, got, want any) {
 		if got != want {
@@ -190,39 +200,39 @@
 	check("caches", slices.Equal(r.caches, caches), true)
 	check("parents", slices.Equal(r.parents, parents), true)
 	check("origin", r.origin, origin)
-	out, kinds, units := plainInFlight(r, now, caches)
+	all, byKind, capacity := plainInFlight(r, now, caches)
 	inTime := r.inFlight.withinObjective(now, r.endpoints)
-	check("in time", float64(inTime.sum()), out)
-	for kind := range kinds {
-		check(fmt.Sprint("in time of kind ", kind), float64(inTime[kind]), kinds[kind])
+	check("in time", float64(inTime.sum()), all)
+	for kind := range byKind {
+		check(fmt.Sprint("in time of kind ", kind), float64(inTime[kind]), byKind[kind])
 	}
-	check("units", r.locationCapacity(now), units)
+	check("capacity", r.locationCapacity(now), capacity)
 	for endpoint, load := range plainLoads(r, now) {
 		check(fmt.Sprint("load of ", endpoint.ID), r.load(now, endpoint), load)
 	}
-	some := slices.Sorted(maps.Keys(r.endpoints))
-	for i := range min(4, len(some)) {
-		endpoint := r.endpoints[some[(int(now)+i)%len(some)]]
-		kept := r.peerEvidence(now, endpoint)
-		plainSilent, plainGood, plainBad := plainPeerEvidence(r, now, endpoint)
-		check(fmt.Sprint("evidence on the peers of ", endpoint.ID), [3]float64{kept.silence, kept.successes, kept.failures}, [3]float64{plainSilent, plainGood, plainBad})
+	ids := slices.Sorted(maps.Keys(r.endpoints))
+	for i := range min(4, len(ids)) {
+		endpoint := r.endpoints[ids[(int(now)+i)%len(ids)]]
+		got, want := r.peerEvidence(now, endpoint), plainPeerEvidence(r, now, endpoint)
+		check(fmt.Sprint("evidence on the peers of ", endpoint.ID), got, want)
 	}
 	return found
 }
 
-// plainlySuspect tells whether the plain check would find a cache suspect.
+// plainlyOutlier reports whether a cache is an outlier by plain sums.
 func plainlyOutlier(r *Router, now int64, endpoint *endpointState) bool {
-	silent, good, bad := plainEvidence(r, now, endpoint)
-	if endpoint.ejected || silent < silenceThreshold && bad < failureThreshold {
+	own := plainEvidence(r, now, endpoint)
+	if endpoint.ejected || own.silence < silenceThreshold && own.failures < failureThreshold {
 		return false
 	}
-	allSilent, allGood, allBad := plainPeerEvidence(r, now, endpoint)
-	silent -= allSilent / float64(max(1, len(r.caches)-1))
-	return silent >= silenceThreshold || bad >= failureThreshold && bad/(good+bad)-allBad/max(allGood+allBad, 1) >= failureShare
+	peers := plainPeerEvidence(r, now, endpoint)
+	silence := own.silence - peers.silence/float64(max(1, len(r.caches)-1))
+	failed := own.failures/(own.successes+own.failures) - peers.failures/max(peers.successes+peers.failures, 1)
+	return silence >= silenceThreshold || own.failures >= failureThreshold && failed >= failureShare
 }
 
-// overlooked gives the members that the plain periodic check would find suspect, or probe, and that it passes
-// over by what is kept.
+// overlooked returns the caches that are outliers by plain sums, or are to be probed, and that Tick would
+// nevertheless not check.
 func overlooked(r *Router, now int64) (found []uint32) {
 	all := r.cacheEvidence(now)
 	for _, endpoint := range r.caches {
@@ -238,8 +248,8 @@
 // propertyCases is how many drawn cases each property is tested with.
 const propertyCases = 10_000
 
-// The place of a retrieval is the one that the plain ranking gives, with the same effects on the members.
-func TestSelectionAsByThePlainRanking(t *testing.T) {
+// The selected endpoints are those by the plain ranking, with the same effects on the state of all endpoints.
+func TestSelectionEqualsPlainRanking(t *testing.T) {
 	seen := map[string]int{}
 	for seed, cases := uint64(0), 0; cases < propertyCases; seed++ {
 		p := newDrawnRun(t, 1000+seed)
@@ -249,27 +259,28 @@
 				continue
 			}
 			request := p.requests[p.rng.IntN(len(p.requests))]
-			p.router.inFlight.markLate(p.now, p.router.endpoints) // else the counts restored would be those of before
+			p.router.inFlight.markLate(p.now, p.router.endpoints) // so that it changes no count that is restored below
 			before := stateOf(p.router)
 			wantCache, wantSource := plainSelection(p.router, p.now, request)
-			wantAway, want := request.diverted, stateOf(p.router)
+			wantDiverted, want := request.diverted, stateOf(p.router)
 			before.restore(p.router)
 			cache, source := p.router.selectEndpoints(p.now, request)
-			if same := stateOf(p.router).equal(want); cache != wantCache || source != wantSource || request.diverted != wantAway || !same {
-				t.Fatalf("seed %d, case %d: cache %v, source %v, away %v, plainly %v, %v, %v; the same effects: %v", seed, cases,
-					name(cache), name(source), request.diverted, name(wantCache), name(wantSource), wantAway, same)
+			sameEffects := stateOf(p.router).equal(want)
+			if cache != wantCache || source != wantSource || request.diverted != wantDiverted || !sameEffects {
+				t.Fatalf("seed %d, case %d: cache %v, source %v, diverted %v, want %v, %v, %v; the same effects: %v", seed, cases,
+					name(cache), name(source), request.diverted, name(wantCache), name(wantSource), wantDiverted, sameEffects)
 			}
 			cases++
 			if cache != nil && cache != plainRank(request.record.key, p.router.caches)[0] {
 				seen["not the first"]++
 			}
 			if request.diverted {
-				seen["away"]++
+				seen["diverted"]++
 			}
 		}
 	}
-	if seen["not the first"] < 500 || seen["away"] < 20 {
-		t.Errorf("the cases show little: %v", seen)
+	if seen["not the first"] < 500 || seen["diverted"] < 20 {
+		t.Errorf("the cases cover too little: %v", seen)
 	}
 }
 
@@ -280,14 +291,15 @@
 	return endpoint.ID
 }
 
-// What is kept as it changes equals the sums over all members to the last bit, also where the clock went back.
-func TestKeptCountsAsByPlainSums(t *testing.T) {
+// Counts that are updated with each change equal the sums over all endpoints to the last bit, also after the
+// clock went back.
+func TestCountsEqualPlainSums(t *testing.T) {
 	for seed, cases := uint64(0), 0; cases < propertyCases; seed++ {
 		p := newDrawnRun(t, 5000+seed)
 		for range 400 {
 			p.step()
 			if p.rng.IntN(50) == 0 {
-				p.now += p.rng.Int64N(200 * second) // scores fade, but not yet to nothing
+				p.now += p.rng.Int64N(200 * second) // scores decay, but not to 0
 			}
 			cases++
 			if found := overlooked(p.router, p.now); len(found) > 0 {
@@ -304,8 +316,9 @@
 	}
 }
 
-// Candidates come in the order of the plain ranking, to the last one, for all sizes of tiers and drawn weights.
-func TestCandidatesAsByThePlainRanking(t *testing.T) {
+// Candidates come in the order of the plain ranking, down to the last one, for tiers of all sizes and drawn
+// weights.
+func TestCandidatesEqualPlainRanking(t *testing.T) {
 	p := newDrawnRun(t, 1)
 	for round := range propertyCases / 100 {
 		r := newRouter(t, nil)
@@ -321,28 +334,37 @@
 		r.UpdateEndpoints(start, lines, true)
 		for _, endpoint := range r.caches {
 			for range p.rng.IntN(4) * p.rng.IntN(2) {
-				r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, kind: attemptKind(p.rng.IntN(3)), lateAt: start + p.rng.Int64N(second)})
+				r.attemptStarted(endpoint, &attemptState{
+					sentAt: start,
+					cache:  endpoint,
+					kind:   attemptKind(p.rng.IntN(kinds)),
+					lateAt: start + p.rng.Int64N(second),
+				})
 			}
 		}
 		now := start + p.rng.Int64N(second)
 		for n := range 100 {
 			request := ask("harmless", fmt.Sprint(round, n))
-			request.class, request.record, request.Write = r.classByName["harmless"], &objectRecord{key: objectKey{object: request.Object}}, n%4 == 0
+			request.class, request.Write = r.classByName["harmless"], n%4 == 0
+			request.record = &objectRecord{key: objectKey{object: request.Object}}
 			want := plainRank(request.record.key, r.caches)
 			if request.Write {
-				slices.SortStableFunc(want, func(a, b *endpointState) int { return cmp.Compare(r.load(now, a), r.load(now, b)) })
+				slices.SortStableFunc(want, func(a, b *endpointState) int {
+					return cmp.Compare(r.load(now, a), r.load(now, b))
+				})
 			}
-			got, most := r.cacheCandidates(now, request), len(want)
+			got, count := r.cacheCandidates(now, request), len(want)
 			if n%10 > 1 {
-				most = min(most, 1+p.rng.IntN(8))
+				count = min(count, 1+p.rng.IntN(8))
 			}
-			for i := range most {
+			for i := range count {
 				if endpoint := got.next(); endpoint != want[i] {
-					t.Fatalf("round %d, write %v, place %d of %d: %v, plainly %v", round, request.Write, i, len(want), name(endpoint), want[i].ID)
+					t.Fatalf("round %d, write %v, candidate %d of %d: %v, want %v",
+						round, request.Write, i, len(want), name(endpoint), want[i].ID)
 				}
 			}
-			if most == len(want) && got.next() != nil {
-				t.Fatal("more candidates than members")
+			if count == len(want) && got.next() != nil {
+				t.Fatal("more candidates than endpoints")
 			}
 		}
 	}
