--- a/control/logevents.go
+++ b/control/logevents.go
@@ -97,9 +97,6 @@
 // rounded returns a value rounded to a number of decimal places, for a log event.
 func rounded(value float64, decimals int) float64 {
 	text := strconv.FormatFloat(value, 'f', decimals, 64)
-	short, err := strconv.ParseFloat(text, 64)
-	if err != nil {
-		return value // infinite or not a number
-	}
+	short, _ := strconv.ParseFloat(text, 64) // what FormatFloat returns can always be parsed
 	return short
 }
--- a/control/logevents_test.go
+++ b/control/logevents_test.go
@@ -41,6 +41,14 @@
 	}
 }
 
+func TestLogEventsOfEndpointsHaveTheirID(t *testing.T) {
+	for _, event := range []interface{ EndpointID() uint32 }{EndpointEjected{Endpoint: 17}, EndpointRestored{Endpoint: 17}} {
+		if got := event.EndpointID(); got != 17 {
+			t.Errorf("%T: endpoint %d, want 17", event, got)
+		}
+	}
+}
+
 func TestLogEventNamesAreUniqueSnakeCase(t *testing.T) {
 	snakeCase := regexp.MustCompile(`^[a-z]+(_[a-z]+)*$`)
 	seen := map[string]bool{}
