--- a/control/control.go
+++ b/control/control.go
@@ -156,13 +156,13 @@
 	r.observe(now, request, attempt, outcome)
 	request.ended = request.ended || outcome.RequestEnded
 
-	mayRunTwice := outcome.Result == Cancelled || outcome.Result == ConnectionLost
+	mayStillRun := outcome.Result == Cancelled || outcome.Result == ConnectionLost
 	switch {
 	case request.ended:
 		return r.cancelInFlight(request)
 	case request.inFlight > 0:
 		return Decision{}
-	case !mayRunTwice || r.settings.hedging || !r.mayRetry(now, request):
+	case !mayStillRun || r.settings.hedging || !r.mayRetry(now, request):
 		return r.decideNext(now, request)
 	case now+2*waitRecheckInterval >= request.Deadline:
 		return r.rejectOrFail(now, request)
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -22,7 +22,7 @@
 
 	// Evidence for outlierDetector.
 	ejected             bool
-	wasUnreachable      bool    // it could not be reached, or was reported dead, since it was last restored
+	wasUnreachable      bool    // since it was last restored it could not be reached, or rejected a fill
 	probing             bool    // a probe is in flight
 	successes, failures float64 // as of scoredAt; they decay over healthWindow
 	scoredAt            int64
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// site returns the settings of a small deployment: two caches here, two parents and an origin elsewhere.
+// site returns the settings of a small deployment: two caches here, two parents and an origin elsewhere. Its
+// class "harmless" is idempotent, "stamped" keyed, and "once" non-idempotent.
 func site(change Settings) Settings {
 	set := Settings{
 		"routers": int64(4), "location": "here", "locations": []string{"hub", "here", "there"},
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -43,7 +43,7 @@
 	inTime         bool    // it took no longer than its objective allows
 	early          bool    // its time was up too soon for the outcome to mean anything
 	timedOut       bool    // no answer came in a time that would have been enough
-	sourceRejected bool    // its source was at its limit, or dead
+	sourceRejected bool    // Outcome.rejectedBySource, for a cause of its own
 	cache          attemptScore
 	source         attemptScore
 }
