--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -14,10 +14,10 @@
 		return r
 	}
 	for _, c := range []struct {
-		name    string
-		product string
-		before  func(*Router)
-		want    Verdict
+		name   string
+		class  string
+		before func(*Router)
+		want   Verdict
 	}{
 		{"any entry will do", "harmless", func(*Router) {}, Send},
 		{"entries never expire", "stamped", func(*Router) {}, Send},
@@ -28,7 +28,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := withoutFills(nil)
 			c.before(r)
-			decision := r.Decide(start, ask(c.product, "a"))
+			decision := r.Decide(start, ask(c.class, "a"))
 			if decision.Verdict != c.want || c.want == Send && !decision.Attempt.CacheOnly {
 				t.Errorf("%+v", decision)
 			}
--- a/control/age_test.go
+++ b/control/age_test.go
@@ -45,7 +45,7 @@
 func TestPurgesLimitTheAge(t *testing.T) {
 	cases := []struct {
 		name      string
-		product   string
+		class     string
 		object    string // "" purges the group
 		received  int64  // ns after the purge
 		requested int64  // ns after the purge
@@ -64,7 +64,7 @@
 			r.Purge(start+c.received, c.object, 1, start)
 			now := start + c.requested
 			r.Tick(now)
-			age := r.Decide(now, ask(c.product, "a")).Attempt.MaxAge
+			age := r.Decide(now, ask(c.class, "a")).Attempt.MaxAge
 			if c.maxAge > 0 && (age <= 0 || age > c.maxAge) || c.maxAge == 0 && age != 0 {
 				t.Errorf("age %v, want at most %v", age, c.maxAge)
 			}
