--- a/control/admission.go
+++ b/control/admission.go
@@ -146,14 +146,14 @@
 //     limit.
 func (r *Router) admissionShare(now int64, request *Request) float64 {
 	class := request.class
-	value := class.weight / r.sendingTime(request)
+	value := class.PriorityWeight / r.sendingTime(request)
 	minTolerance := math.Inf(1)
 	var offered, admitted, higherOffered float64
 	for _, other := range r.classes {
 		work := other.offered.at(now)
 		offered += work
 		admitted += other.admitted.at(now)
-		if other.weight/other.sendingTime > higherValueRatio*value {
+		if other.PriorityWeight/other.sendingTime > higherValueRatio*value {
 			higherOffered += work
 		}
 		if other.samples > initialSamples {
@@ -179,7 +179,7 @@
 	if request.nextKind(now) != fills || len(request.attempts) > 0 || request.isUncacheable() {
 		return false
 	}
-	fresh := request.class.freshDuration
+	fresh := request.class.FreshDuration
 	anyEntryWillDo := age == 0 || fresh > 0 && age >= fresh
 	return anyEntryWillDo && r.load(now, cache) < r.admission.limits[hits]*lowValueShare
 }
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -8,7 +8,7 @@
 // While no fills are admitted a first attempt goes to the cache for what it has cached: of a router with little
 // traffic, many requests that look like fills are hits.
 func TestCacheOnlyAttempts(t *testing.T) {
-	withoutFills := func(change Settings) *Router {
+	withoutFills := func(change func(*Settings)) *Router {
 		r := newRouter(t, change)
 		r.admission.limits[fills] = 0
 		return r
@@ -37,12 +37,12 @@
 	for _, c := range []struct {
 		name       string
 		rejections int // fills that parents rejected
-		change     Settings
+		change     func(*Settings)
 		want       Verdict
 	}{
 		{"not cached, no rejected fills: it waits", 0, nil, Wait},
 		{"not cached, fills rejected: the origin fills it", 2, nil, Send},
-		{"not cached, fills rejected, but the origin can be overloaded", 2, Settings{"origin.fallFactor": 2.}, Wait},
+		{"not cached, fills rejected, but the origin can be overloaded", 2, func(s *Settings) { s.OriginUnlimited = false }, Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r, request := withoutFills(c.change), ask("harmless", "a")
@@ -201,12 +201,12 @@
 // A router of many draws the load of a cache towards the mean: one attempt of its own says little.
 func TestLoadsOfOneRouterOfMany(t *testing.T) {
 	for _, c := range []struct {
-		routers  int64
+		routers  int
 		inFlight int // at one cache
 		admits   bool
 	}{{1, 12, false}, {1, 9, true}, {10, 1, true}, {10, 2, false}} {
 		t.Run(fmt.Sprintf("%d in flight, one of %d routers", c.inFlight, c.routers), func(t *testing.T) {
-			r := newRouter(t, Settings{"location.routers": []int64{0, c.routers, 2}})
+			r := newRouter(t, func(s *Settings) { s.LocationRouters = c.routers })
 			endpoint, request := r.endpoints[1], ask("harmless", "a")
 			request.class, request.record = r.classByName["harmless"], &objectRecord{likelyCachedUntil: forever}
 			for range c.inFlight {
--- a/control/age.go
+++ b/control/age.go
@@ -73,8 +73,8 @@
 		sizeKB *= originFillFactor
 	}
 	record.maxAge = optimalMaxAge(sizeKB, updateRate(now, record, class), r.locationRate(now, record))
-	if class.freshDuration > 0 {
-		record.maxAge = min(record.maxAge, class.freshDuration)
+	if class.FreshDuration > 0 {
+		record.maxAge = min(record.maxAge, class.FreshDuration)
 	}
 	record.maxAgeUntil = now + record.maxAge
 }
@@ -83,8 +83,8 @@
 // duration counts as purged once over that time before its first request, so that the rate is never 0.
 func updateRate(now int64, record *objectRecord, class *classState) float64 {
 	span, purges := float64(now-record.firstSeenAt)/1e9, record.purgeCount
-	if class.freshDuration > 0 {
-		return (purges + 1) / (span + float64(class.freshDuration)/1e9)
+	if class.FreshDuration > 0 {
+		return (purges + 1) / (span + float64(class.FreshDuration)/1e9)
 	}
 	return purges / max(span, float64(rateWindow)/1e9)
 }
@@ -92,14 +92,14 @@
 // locationRate estimates how often an object is requested in the location, in requests a second: this router's
 // rate times the location's routers. It is λ in docs/design.md.
 func (r *Router) locationRate(now int64, record *objectRecord) float64 {
-	return r.rates.ofObject(now, record) * r.settings.locationRouters
+	return r.rates.ofObject(now, record) * r.settings.cacheSharers()
 }
 
 // cachePriority returns the priority of an object's entry in a cache. Earlier requests at this router are
 // scaled to the location: one router of many seldom sees an object twice, and a scan of objects would evict all
 // reused ones.
 func (r *Router) cachePriority(record *objectRecord) int64 {
-	if (record.requestCount-1)*r.settings.locationRouters >= reuseThreshold {
+	if (record.requestCount-1)*r.settings.cacheSharers() >= reuseThreshold {
 		return priorityReused
 	}
 	return priorityOnce
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -56,10 +56,10 @@
 // sharers returns how many routers share an endpoint: those of the location for a cache, all of them for any
 // other.
 func (r *Router) sharers(endpoint *endpointState) float64 {
-	if endpoint.Location == r.settings.location {
-		return r.settings.locationRouters
+	if endpoint.Location == r.settings.Location {
+		return r.settings.cacheSharers()
 	}
-	return r.settings.routers
+	return r.settings.parentSharers()
 }
 
 // activeSharers estimates how many routers send to the location's caches now: what the caches have in flight by
@@ -67,9 +67,9 @@
 // has their traffic too.
 func (r *Router) activeSharers() float64 {
 	if r.capacity.ownInFlight < minSharingEvidence {
-		return r.settings.locationRouters
+		return r.settings.cacheSharers()
 	}
-	return max(1, min(r.capacity.reportedInFlight/r.capacity.ownInFlight, r.settings.locationRouters))
+	return max(1, min(r.capacity.reportedInFlight/r.capacity.ownInFlight, r.settings.cacheSharers()))
 }
 
 // measuredCapacity estimates the capacity of a cache where the list does not tell it. It is what each cache
@@ -90,9 +90,9 @@
 // little traffic it is chance, and the routers' shares by it would add up to more than the endpoint can serve.
 func (r *Router) sustainedCapacity(now int64, endpoint *endpointState) float64 {
 	switch {
-	case r.settings.capacitiesTold:
+	case r.settings.Weights == CapacityWeights:
 		return endpoint.Capacity
-	case endpoint.Location == r.settings.location:
+	case endpoint.Location == r.settings.Location:
 		return max(1, r.perEndpoint(now, r.capacity.byCaches, rateWindow, r.activeSharers(), r.caches))
 	}
 	return max(1, r.perEndpoint(now, r.capacity.byParents, rateWindow, r.sharers(endpoint), r.parents))
@@ -125,7 +125,7 @@
 
 // locationCapacity returns the capacity of all caches of the location together.
 func (r *Router) locationCapacity(now int64) float64 {
-	if r.settings.capacitiesTold {
+	if r.settings.Weights == CapacityWeights {
 		return max(r.configuredCapacity().sum, minCapacity)
 	}
 	return max(r.capacity.measured.of(len(r.caches), r.measuredCapacity(now)), minCapacity)
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -55,7 +55,9 @@
 		weight float64
 	}{{"off", 1}, {"live", 0.2}, {"nominal", 12}, {"rough", 12}} {
 		t.Run(c.units, func(t *testing.T) {
-			r := newRouter(t, Settings{"units": c.units, "location.routers": []int64{0, 1, 1}})
+			r := newRouter(t, func(s *Settings) {
+				s.Weights, s.LocationRouters = decodeWeights(c.units), 1
+			})
 			var lines []Endpoint
 			for _, line := range fleet {
 				line.Capacity = c.weight
@@ -76,7 +78,7 @@
 
 // A measured capacity follows from what was served: while answers are missing it does not grow without bound.
 func TestMeasuredCapacitiesAreBounded(t *testing.T) {
-	r := newRouter(t, Settings{"units": "off", "location.routers": []int64{0, 1, 1}})
+	r := newRouter(t, func(s *Settings) { s.Weights, s.LocationRouters = NoWeights, 1 })
 	var lines []Endpoint
 	for _, line := range fleet {
 		line.Capacity = 1
@@ -107,10 +109,8 @@
 		for _, from := range []int64{0, 8 * second} { // from the start on; all at once some time later
 			var sentAt []int64
 			for n := range routers {
-				r, err := New(start-20*second, uint64(n), site(Settings{"routers": int64(routers), "units": "off"}), func(logevent.Event) {})
-				if err != nil {
-					t.Fatal(err)
-				}
+				settings := site(func(s *Settings) { s.Routers, s.Weights = routers, NoWeights })
+				r := New(start-20*second, uint64(n), settings, func(logevent.Event) {})
 				lines := make([]Endpoint, len(fleet))
 				for i, line := range fleet {
 					lines[i] = line
@@ -169,7 +169,7 @@
 		{"a report of nothing", func(float64) []float64 { return []float64{0, 0} }, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, Settings{"report.fields": []string{"x1", "inHand"}})
+			r := newRouter(t, func(s *Settings) { s.LoadReportFields = []string{"x1", "inHand"} })
 			r.admission.limits = [3]float64{maxAdmissionLimit, maxAdmissionLimit, maxAdmissionLimit}
 			var sent []*Request
 			for n := range 20 {
--- a/control/classes.go
+++ b/control/classes.go
@@ -20,38 +20,9 @@
 	minWeight       = 0.01 // lower bound of the largest weight, which others are divided by
 )
 
-// classTerms is what the settings say of a class.
-type classTerms struct {
-	name             string
-	objective        int64   // ns; latency objective, without the sending time
-	objectiveStretch float64 // ns added to the objective for each ns of sending time
-	freshDuration    int64   // ns; for how long an entry may be served without asking its source; 0 is no bound
-	weight           float64 // priority weight
-	idempotency      idempotency
-	keyScope         string // one of the scope constants
-	keyWindow        int64  // ns; for how long a server drops repetitions
-	uncacheable      bool
-}
-
-// idempotency says whether a request may be sent again after an attempt that may have taken effect.
-type idempotency int
-
-const (
-	nonIdempotent idempotency = iota // never
-	keyed                            // within the key's window and scope
-	idempotent                       // always
-)
-
-// The scopes within which servers drop repetitions of an idempotency key. Any other word stands for no bound.
-const (
-	scopeAll  = "all"
-	scopeZone = "zone"
-	scopeCell = "cell"
-)
-
 // classState is a class with what is learned from its answers.
 type classState struct {
-	classTerms
+	ClassSettings
 	sendingTime     float64      // s; mean
 	responseTime    float64      // s; mean
 	samples         float64      // answers that the means count for, up to maxSamples
@@ -60,13 +31,13 @@
 	admitted        decayingWork // of requests that were sent to a cache
 }
 
-func newClassState(terms classTerms) *classState {
-	objective := float64(terms.objective) / 1e9
+func newClassState(settings ClassSettings) *classState {
+	objective := float64(settings.LatencyObjective) / 1e9
 	return &classState{
-		classTerms:   terms,
-		sendingTime:  max(objective, minSendingTime),
-		responseTime: objective,
-		samples:      initialSamples,
+		ClassSettings: settings,
+		sendingTime:   max(objective, minSendingTime),
+		responseTime:  objective,
+		samples:       initialSamples,
 	}
 }
 
@@ -105,7 +76,7 @@
 
 // delayTolerance returns how many times its sending time an answer of a class may take and still be in time.
 func (class *classState) delayTolerance() float64 {
-	return class.objectiveStretch + float64(class.objective)/1e9/class.sendingTime
+	return class.ObjectiveStretch + float64(class.LatencyObjective)/1e9/class.sendingTime
 }
 
 // canBeAnswered reports whether an attempt that starts now can still be answered before the request's deadline.
@@ -117,7 +88,7 @@
 func (r *Router) maxWeight() float64 {
 	largest := minWeight
 	for _, class := range r.classes {
-		largest = max(largest, class.weight)
+		largest = max(largest, class.PriorityWeight)
 	}
 	return largest
 }
@@ -125,14 +96,14 @@
 // sendingTimeBySize returns the time that it takes to send the answer to a client, in s, or 0 where its size is
 // not known.
 func (r *Router) sendingTimeBySize(request *Request) float64 {
-	return request.SizeKB / r.settings.clientKBPerSecond
+	return request.SizeKB / r.settings.ClientKBPerSecond
 }
 
 // objectiveFor returns how long after its sending a request has to be answered to be in time, in ns.
 // sendingTime is that of its answer, in s; 0 stands for the mean of its class.
 func (r *Router) objectiveFor(request *Request, sendingTime float64) int64 {
 	class := request.class
-	return class.objective + int64(class.objectiveStretch*1e9*cmp.Or(sendingTime, class.sendingTime))
+	return class.LatencyObjective + int64(class.ObjectiveStretch*1e9*cmp.Or(sendingTime, class.sendingTime))
 }
 
 // sendingTime returns how long the answer to a request occupies the link of an endpoint, in s: the mean of its
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -2,23 +2,22 @@
 
 import (
 	"fmt"
-	"maps"
 	"testing"
 )
 
 // routerOfClasses makes a router with two idempotent classes, "harmless" with a mean sending time of 0.4 s and
 // "stamped" with 0.02 s and half the weight, and a class "once" that is not cacheable. The means count as
 // learned.
-func routerOfClasses(t *testing.T, change Settings) *Router {
+func routerOfClasses(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
-	set := Settings{
-		"product.effect": []string{"harmless", "harmless", "one-shot"}, "product.neverKept": []bool{false, false, true},
-		"product.dueStretch": []float64{2, 2, 0},
-	}
-	for name, value := range change {
-		set[name] = value
-	}
-	r := newRouter(t, set)
+	r := newRouter(t, func(s *Settings) {
+		s.Classes[1].Idempotency = Idempotent
+		s.Classes[2].Uncacheable = true
+		setObjectiveStretches(s, 2, 2, 0)
+		if change != nil {
+			change(s)
+		}
+	})
 	for i, sendingTime := range []float64{0.4, 0.02, 0.01} {
 		r.classes[i].sendingTime, r.classes[i].samples = sendingTime, 100
 	}
@@ -77,7 +76,7 @@
 		rare float64 // part of the requests
 		want float64 // least part of the limit that is open to the rest
 	}{{0.01, 0.95}, {0.5, 0.69}} {
-		r := routerOfClasses(t, Settings{"product.payoff": []float64{1, 40, 1}})
+		r := routerOfClasses(t, func(s *Settings) { setWeights(s, 1, 40, 1) })
 		request := ask("harmless", "x")
 		r.Decide(start, request)
 		r.classes[0].offered, r.classes[1].offered = decayingWork{}, decayingWork{}
@@ -92,9 +91,12 @@
 
 // The class of highest value could use up the limit alone; others are admitted beside it.
 func TestNoClassIsShedEntirely(t *testing.T) {
-	r := routerOfClasses(t, Settings{"product.payoff": []float64{1, 40, 1}, "product.due": []int64{second / 2, second / 100, second / 2}})
+	r := routerOfClasses(t, func(s *Settings) {
+		setWeights(s, 1, 40, 1)
+		setObjectives(s, second/2, second/100, second/2)
+	})
 	r.classes[1].sendingTime = 0.4 // as the other class, with forty times its weight
-	r.classes[1].objective = r.classes[0].objective
+	r.classes[1].LatencyObjective = r.classes[0].LatencyObjective
 	requested, sent := map[string]int{}, map[string]int{}
 	type attempt struct {
 		request *Request
@@ -133,7 +135,7 @@
 
 // An answer that needs more than its latency objective to be sent at full rate is no sign of an overload.
 func TestAnswersTooLargeToBeInTimeLowerNoLimit(t *testing.T) {
-	r := routerOfClasses(t, Settings{"product.dueStretch": []float64{0, 0, 0}})
+	r := routerOfClasses(t, func(s *Settings) { setObjectiveStretches(s, 0, 0, 0) })
 	for _, c := range []struct {
 		elapsed int64
 		lowers  bool
@@ -159,7 +161,7 @@
 // would get several attempts for each request.
 func TestRejectedFillsTakeTokensIfTheOriginCanBeOverloaded(t *testing.T) {
 	for _, factor := range []float64{0, 2.5} {
-		r, retries := routerOfClasses(t, Settings{"origin.fallFactor": factor}), 0
+		r, retries := routerOfClasses(t, func(s *Settings) { s.OriginUnlimited = factor == 0 }), 0
 		for n := range 60 {
 			now := start + int64(n)*second/10
 			request := ask("harmless", fmt.Sprint(n))
@@ -182,18 +184,19 @@
 func TestClassesWithExtremeSettings(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change Settings
+		change func(*Settings)
 	}{
-		{"no weights", Settings{"product.payoff": []float64{0, 0, 0}}},
-		{"one without a weight", Settings{"product.payoff": []float64{0, 1, 1}}},
-		{"no latency objectives", Settings{"product.due": []int64{0, 0, 0}}},
-		{"one with a thousand times the weight", Settings{"product.payoff": []float64{1, 1000, 1}}},
-		{"an objective below a round trip", Settings{"product.due": []int64{second / 1000, second / 2, second / 2}}},
+		{"no weights", func(s *Settings) { setWeights(s, 0, 0, 0) }},
+		{"one without a weight", func(s *Settings) { setWeights(s, 0, 1, 1) }},
+		{"no latency objectives", func(s *Settings) { setObjectives(s, 0, 0, 0) }},
+		{"one with a thousand times the weight", func(s *Settings) { setWeights(s, 1, 1000, 1) }},
+		{"an objective below a round trip", func(s *Settings) { setObjectives(s, second/1000, second/2, second/2) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			change := Settings{"product.effect": []string{"harmless", "harmless", "one-shot"}}
-			maps.Copy(change, c.change)
-			r := newRouter(t, change)
+			r := newRouter(t, func(s *Settings) {
+				s.Classes[1].Idempotency = Idempotent
+				c.change(s)
+			})
 			for n, class := range []string{"stamped", "harmless", "once"} {
 				request := ask(class, fmt.Sprint(n))
 				if decision := r.Decide(start, request); decision.Verdict != Send {
--- a/control/control.go
+++ b/control/control.go
@@ -56,7 +56,7 @@
 	// request for which no cache is reachable waits, until the time by which it has to be sent.
 	ConnectionsExhausted func() bool
 
-	settings settings
+	settings Settings
 	log      func(logevent.Event)
 	seed     uint64
 	draws    uint32 // random numbers drawn so far
@@ -87,15 +87,10 @@
 }
 
 // New makes a router. seed determines its random numbers, and log is called with an event for each change of
-// state that an operator may want to know of. The error joins a SettingError for each setting that is missing,
-// has a wrong type or contradicts another.
-func New(now int64, seed uint64, raw Settings, log func(logevent.Event)) (*Router, error) {
-	set, err := decodeSettings(raw)
-	if err != nil {
-		return nil, err
-	}
+// state that an operator may want to know of.
+func New(now int64, seed uint64, settings Settings, log func(logevent.Event)) *Router {
 	router := &Router{
-		settings:    set,
+		settings:    settings,
 		log:         log,
 		seed:        seed,
 		classByName: map[string]*classState{},
@@ -105,12 +100,12 @@
 		admission:   admission{limits: initialAdmissionLimits},
 		retries:     retryState{tokens: maxRetryTokens},
 	}
-	for _, terms := range set.classes {
+	for _, terms := range settings.Classes {
 		class := newClassState(terms)
 		router.classes = append(router.classes, class)
-		router.classByName[terms.name] = class
+		router.classByName[terms.Name] = class
 	}
-	return router, nil
+	return router
 }
 
 // Decide says what to do with a request that has arrived, or whose RecheckDelay has passed: send it, wait, or
@@ -162,7 +157,7 @@
 		return r.cancelInFlight(request)
 	case request.inFlight > 0:
 		return Decision{}
-	case !mayStillRun || r.settings.hedging || !r.mayRetry(now, request):
+	case !mayStillRun || r.settings.Hedging || !r.mayRetry(now, request):
 		return r.decideNext(now, request)
 	case now+2*waitRecheckInterval >= request.Deadline:
 		return r.rejectOrFail(now, request)
@@ -192,7 +187,7 @@
 
 // cancelInFlight cancels the attempts of an ended request that are in flight.
 func (r *Router) cancelInFlight(request *Request) (decision Decision) {
-	if !r.settings.cancel {
+	if !r.settings.CancelAttempts {
 		return decision
 	}
 	for number, attempt := range request.attempts {
@@ -243,7 +238,7 @@
 	terms.Source = source.ID
 	if !request.isUncacheable() {
 		terms.ParentOnlyIfCached = r.usesOnlyIfCached(attempt)
-		terms.JoinFill = r.settings.joinFills
+		terms.JoinFill = r.settings.JoinFills
 		terms.MaxAge, terms.RefreshBehind = r.maxAge(now, request)
 		terms.CachePriority = r.cachePriority(request.record)
 	}
@@ -292,7 +287,7 @@
 // Tick does the periodic work. It returns the endpoints that a health check is to be sent to now, and after how
 // long Tick is to be called again, in ns.
 func (r *Router) Tick(now int64) (probe []uint32, nextTick int64) {
-	r.purges.removeExpired(now, r.settings.purgeDuration)
+	r.purges.removeExpired(now, r.settings.PurgeDuration)
 	all := r.cacheEvidence(now)
 	for _, endpoint := range r.outliers.watched.endpoints {
 		if endpoint.role != cacheRole {
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -21,7 +21,7 @@
 				}
 				decision = r.Decide(now, request)
 			}
-			objective := r.classByName["harmless"].objective
+			objective := r.classByName["harmless"].LatencyObjective
 			if decision.Verdict != Reject || decision.RetryAfter <= 0 || decision.RetryAfter >= objective/2 {
 				t.Errorf("verdict %v with Retry-After %v", decision.Verdict, decision.RetryAfter)
 			}
@@ -72,7 +72,7 @@
 		{"small, and late for its size", second, 0.01, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, request := newRouter(t, Settings{"product.dueStretch": []float64{2, 2, 2}}), ask("harmless", "a")
+			r, request := newRouter(t, func(s *Settings) { setObjectiveStretches(s, 2, 2, 2) }), ask("harmless", "a")
 			r.Decide(start, request)
 			kind := request.attempts[0].kind
 			r.AttemptEnded(start+c.elapsed, request, Outcome{
@@ -113,7 +113,7 @@
 
 // Where attempts cannot be cancelled none is.
 func TestWithoutCancelling(t *testing.T) {
-	r := newRouter(t, Settings{"cancel": false})
+	r := newRouter(t, func(s *Settings) { s.CancelAttempts = false })
 	request := ask("harmless", "a")
 	r.Decide(start, request)
 	if decision := r.ClientGone(start, request); len(decision.Cancel) > 0 {
--- a/control/inflight.go
+++ b/control/inflight.go
@@ -117,7 +117,10 @@
 
 // loadScale prepares for the loads at a time.
 func (r *Router) loadScale(now int64) loadScale {
-	scale := loadScale{sharers: r.activeSharers(), capacitiesConfigured: r.settings.capacitiesTold}
+	scale := loadScale{
+		sharers:              r.activeSharers(),
+		capacitiesConfigured: r.settings.Weights == CapacityWeights,
+	}
 	inFlight := r.inFlight.withinObjective(now, r.endpoints)
 	scale.meanLoad = float64(inFlight.sum()) * scale.sharers / r.locationCapacity(now)
 	var largest float64
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -19,9 +19,6 @@
 	// noOverloadFactor is how many times its sending time an answer may take without being taken for late,
 	// whatever its objective: it could not have come much sooner, so that it is no sign of an overload.
 	noOverloadFactor = 2
-
-	// reportInFlight is the field of a load report that has the number of requests in flight.
-	reportInFlight = "inHand"
 )
 
 // attemptScore is what an attempt adds to an endpoint's successes and failures.
@@ -127,7 +124,7 @@
 
 // observeLoadReport learns from the number of requests in flight that a cache reports with an answer.
 func (r *Router) observeLoadReport(now int64, cache *endpointState, report []float64) {
-	if field := r.settings.inFlightField; field >= 0 && field < len(report) {
+	if field := r.settings.inFlightField(); field >= 0 && field < len(report) {
 		r.capacity.observeReport(now, max(report[field]-1, 0), float64(len(cache.inFlight)-1))
 	}
 }
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -108,7 +108,7 @@
 
 // peersOf returns the endpoints that one is compared with, itself included.
 func (r *Router) peersOf(endpoint *endpointState) []*endpointState {
-	if endpoint.Location == r.settings.location {
+	if endpoint.Location == r.settings.Location {
 		return r.caches
 	}
 	return r.parents
@@ -119,7 +119,7 @@
 // ejected.
 func (r *Router) failureShareFor(endpoint *endpointState, own evidence) float64 {
 	isOther := func(peer *endpointState) bool { return peer != endpoint && !peer.ejected }
-	if endpoint.Location == r.settings.location || !slices.ContainsFunc(r.parents, isOther) {
+	if endpoint.Location == r.settings.Location || !slices.ContainsFunc(r.parents, isOther) {
 		return failureShare
 	}
 	factor := min(1, math.Sqrt(manyAnswers)/math.Sqrt(own.attempts()))
@@ -136,7 +136,7 @@
 // startProbe reports whether a health check is to be sent to a cache now, and counts it if so.
 func (r *Router) startProbe(now int64, endpoint *endpointState) bool {
 	isDue := endpoint.ejected && !endpoint.probing && now >= endpoint.nextProbeAt
-	if !isDue || !r.settings.probes || !r.slowStartAdmits(now, endpoint, r.meanWork(now, 0)) {
+	if !isDue || !r.settings.HealthChecks || !r.slowStartAdmits(now, endpoint, r.meanWork(now, 0)) {
 		return false
 	}
 	endpoint.probing = true
@@ -242,7 +242,7 @@
 // would add 0.
 func (r *Router) peerEvidence(now int64, endpoint *endpointState) (sum evidence) {
 	peers, peerRole := r.caches, cacheRole
-	if endpoint != nil && endpoint.Location != r.settings.location {
+	if endpoint != nil && endpoint.Location != r.settings.Location {
 		peers, peerRole = r.parents, parentRole
 	}
 	if scored := r.outliers.scored.endpoints; len(scored) < len(peers) {
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -39,10 +39,7 @@
 		class := []string{"harmless", "stamped"}[rng.IntN(2)]
 		object := []string{"a", ""}[rng.IntN(2)]
 		if failed := func() bool {
-			r, err := New(purgedAt+offset-second, uint64(i), site(nil), func(logevent.Event) {})
-			if err != nil {
-				t.Fatal(err)
-			}
+			r := New(purgedAt+offset-second, uint64(i), site(nil), func(logevent.Event) {})
 			r.UpdateEndpoints(purgedAt+offset-second, fleet, true)
 			for at := purgedAt + offset; at < receivedAt+offset; at += second {
 				r.Tick(at)
@@ -61,7 +58,7 @@
 					t.Errorf("attempt %d: %+v", number, decision)
 					return true
 				}
-				issuedAt := oldestIssuedAt(sentAt, decision.Attempt, r.classByName[class].freshDuration)
+				issuedAt := oldestIssuedAt(sentAt, decision.Attempt, r.classByName[class].FreshDuration)
 				if r.AcceptsCopy(sentAt+offset, request, number, issuedAt) {
 					if issuedAt < purgedAt {
 						t.Errorf("an entry issued %v ns before the purge is served, accepted age %v",
@@ -269,10 +266,7 @@
 			for _, rates := range []bool{false, true} {
 				t.Run(fmt.Sprintf("off by %d s, then by %d s, rates %v", firstOffset/second, offset/second, rates), func(t *testing.T) {
 					newRouterAt := func(now int64) *Router {
-						r, err := New(now, 7, site(nil), func(logevent.Event) {})
-						if err != nil {
-							t.Fatal(err)
-						}
+						r := New(now, 7, site(nil), func(logevent.Event) {})
 						r.UpdateEndpoints(now, fleet, true)
 						return r
 					}
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -336,7 +336,7 @@
 	switch {
 	case request.isUncacheable():
 		ranked.first = r.origin
-	case r.origin != nil && request.sourceRejected() && r.settings.originUnlimited:
+	case r.origin != nil && request.sourceRejected() && r.settings.OriginUnlimited:
 		ranked.tier, ranked.last = &tier{}, r.origin
 	default:
 		ranked.last = r.origin
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -36,7 +36,7 @@
 // caches' capacity.
 func plainInFlight(r *Router, now int64, caches []*endpointState) (all float64, byKind [3]float64, capacity float64) {
 	for _, endpoint := range caches {
-		if r.settings.capacitiesTold {
+		if r.settings.Weights == CapacityWeights {
 			capacity += endpoint.Capacity
 		} else {
 			capacity += r.measuredCapacity(now)
@@ -87,7 +87,7 @@
 // plainPeerEvidence sums up the evidence on all peers of an endpoint.
 func plainPeerEvidence(r *Router, now int64, endpoint *endpointState) (sum evidence) {
 	peers := r.caches
-	if endpoint.Location != r.settings.location {
+	if endpoint.Location != r.settings.Location {
 		peers = r.parents
 	}
 	for _, peer := range peers {
@@ -108,7 +108,7 @@
 			origin = cmp.Or(origin, endpoint)
 		case endpoint.Kind == "parent":
 			parents = append(parents, endpoint)
-		case endpoint.Location == r.settings.location:
+		case endpoint.Location == r.settings.Location:
 			caches = append(caches, endpoint)
 		}
 	}
@@ -143,7 +143,7 @@
 	case r.origin == nil:
 	case request.isUncacheable():
 		sources = append([]*endpointState{r.origin}, sources...)
-	case request.sourceRejected() && r.settings.originUnlimited:
+	case request.sourceRejected() && r.settings.OriginUnlimited:
 		sources = []*endpointState{r.origin}
 	default:
 		sources = append(sources, r.origin)
--- a/control/requests.go
+++ b/control/requests.go
@@ -85,7 +85,7 @@
 }
 
 // isUncacheable reports whether the answer to a request is never cached, because only the origin can answer it.
-func (request *Request) isUncacheable() bool { return request.class.uncacheable || request.Write }
+func (request *Request) isUncacheable() bool { return request.class.Uncacheable || request.Write }
 
 // sendDeadline returns by when a request has to be sent to a cache: halfway to its deadline, so that there is
 // time left for the answer, and later only if an attempt got as far as a cache.
@@ -101,12 +101,12 @@
 // sendTimeout returns for how long an attempt that starts now may wait until it is sent, in ns.
 func (request *Request) sendTimeout(now int64) int64 {
 	timeout := min(request.sendDeadline(), request.Deadline-request.class.minResponseTime()) - now
-	if request.class.idempotency != keyed {
+	if request.class.Idempotency != Keyed {
 		return timeout
 	}
 	for _, before := range request.attempts {
 		if before.mayHaveRun() { // the server drops repetitions only within the window, whenever they are sent
-			timeout = min(timeout, before.sentAt+request.class.keyWindow-now)
+			timeout = min(timeout, before.sentAt+request.class.KeyWindow-now)
 		}
 	}
 	return timeout
@@ -114,7 +114,7 @@
 
 // waitUntil returns until when a request waits if no endpoint can take it.
 func (request *Request) waitUntil() int64 {
-	return max(request.arrivedAt, request.exhaustedAt) + request.class.objective/maxWaitDivisor
+	return max(request.arrivedAt, request.exhaustedAt) + request.class.LatencyObjective/maxWaitDivisor
 }
 
 // lastAttempt returns the last attempt of a request, or nil before the first.
--- a/control/retries.go
+++ b/control/retries.go
@@ -59,7 +59,7 @@
 	last := request.lastAttempt()
 	switch {
 	case last == nil:
-		r.retries.deposit(retryTokensPerRequest * request.class.weight / r.maxWeight())
+		r.retries.deposit(retryTokensPerRequest * request.class.PriorityWeight / r.maxWeight())
 		return true
 	case last.result == LocalError:
 		return true // it put no load on any endpoint
@@ -76,14 +76,14 @@
 	case NotHeld, SendInterrupted, ConnectionLost:
 		return true
 	}
-	return attempt.sourceRejected && r.settings.originUnlimited
+	return attempt.sourceRejected && r.settings.OriginUnlimited
 }
 
 // mayRetry reports whether a further attempt of a request is allowed, by the number of attempts and the weight
 // of its class, whether it can be answered in time, and whether it is safe (rule 2 in docs/design.md).
 func (r *Router) mayRetry(now int64, request *Request) bool {
-	byWeight := int(attemptsByWeight * request.class.weight / r.maxWeight())
-	allowed := min(r.settings.maxAttempts, minAllowedAttempts+byWeight)
+	byWeight := int(attemptsByWeight * request.class.PriorityWeight / r.maxWeight())
+	allowed := min(r.settings.MaxAttempts, minAllowedAttempts+byWeight)
 	if request.NoNewAttempts || request.attemptCount() >= allowed {
 		return false
 	}
@@ -93,11 +93,11 @@
 // isSafeToRetry reports whether a request takes effect no more than once if it is sent again: because it is
 // idempotent, because the server still drops repetitions, or because no attempt has run.
 func (request *Request) isSafeToRetry(now int64) bool {
-	if request.class.idempotency == idempotent {
+	if request.class.Idempotency == Idempotent {
 		return true
 	}
 	for _, attempt := range request.attempts {
-		deduplicated := request.class.idempotency == keyed && now < attempt.sentAt+request.class.keyWindow
+		deduplicated := request.class.Idempotency == Keyed && now < attempt.sentAt+request.class.KeyWindow
 		if attempt.mayHaveRun() && !deduplicated {
 			return false
 		}
@@ -108,19 +108,19 @@
 // withinKeyScope reports whether a request may be sent to an endpoint as far as the scope of its idempotency
 // key goes: attempts that may have run must be in the same scope, or the endpoint does not know of them.
 func (request *Request) withinKeyScope(endpoint *endpointState) bool {
-	if request.class.idempotency != keyed {
+	if request.class.Idempotency != Keyed {
 		return true
 	}
 	for _, attempt := range request.attempts {
 		if !attempt.mayHaveRun() {
 			continue
 		}
-		switch request.class.keyScope {
-		case scopeZone:
+		switch request.class.KeyScope {
+		case ScopeZone:
 			if attempt.cache.Location != endpoint.Location {
 				return false
 			}
-		case scopeCell:
+		case ScopeCell:
 			if attempt.cache.Cell != endpoint.Cell {
 				return false
 			}
@@ -146,11 +146,11 @@
 	}
 	switch {
 	case !r.mayRetry(now, request):
-	case r.settings.hedging:
+	case r.settings.Hedging:
 		if cache, source := r.selectEndpoints(now, request); cache != nil && r.takeRetryToken(request) {
 			return r.send(now, request, cache, source)
 		}
-	case request.class.idempotency == idempotent && r.settings.cancel:
+	case request.class.Idempotency == Idempotent && r.settings.CancelAttempts:
 		return Decision{Cancel: overdue}
 	}
 	return Decision{}
@@ -165,7 +165,7 @@
 // hedgeDue reports whether an attempt may be hedged because its answer is probably lost: other answers were
 // lost recently, and it takes long though its endpoints are healthy.
 func (r *Router) hedgeDue(now int64, request *Request, attempt *attemptState) bool {
-	if !r.settings.hedging || r.retries.lostResponses.at(now) <= lostResponseThreshold {
+	if !r.settings.Hedging || r.retries.lostResponses.at(now) <= lostResponseThreshold {
 		return false
 	}
 	if !attempt.cache.isHealthy() || !attempt.source.isHealthy() {
@@ -187,7 +187,7 @@
 	if last == nil || last.source != nil || request.sourceMissed || cache == nil {
 		return false
 	}
-	if r.origin == nil || !r.settings.originUnlimited {
+	if r.origin == nil || !r.settings.OriginUnlimited {
 		return false
 	}
 	return r.retries.sourceRejections.at(now) > sourceRejectionThreshold && !r.admits(now, request, cache)
@@ -197,15 +197,15 @@
 func (r *Router) rejectOrFail(now int64, request *Request) Decision {
 	request.ended, request.record.unservedAt = true, now
 	class := request.class
-	safeAnywhere := class.idempotency == idempotent || class.idempotency == keyed && class.keyScope == scopeAll
+	safeAnywhere := class.Idempotency == Idempotent || class.Idempotency == Keyed && class.KeyScope == ScopeAll
 	switch {
 	case !safeAnywhere && request.anyMayHaveRun():
 		return Decision{Verdict: Fail}
-	case !r.settings.retryAfter:
+	case !r.settings.RetryAfter:
 		return Decision{Verdict: Reject}
 	}
 	// Soon enough to be in time, and at random, so that clients that are rejected together do not come back
 	// together.
-	wait := int64(retryAfterShare * (1 + r.random()) * float64(class.objective))
-	return Decision{Verdict: Reject, RetryAfter: min(wait, r.settings.maxRetryAfter)}
+	wait := int64(retryAfterShare * (1 + r.random()) * float64(class.LatencyObjective))
+	return Decision{Verdict: Reject, RetryAfter: min(wait, r.settings.MaxRetryAfter)}
 }
--- a/control/selection.go
+++ b/control/selection.go
@@ -39,7 +39,7 @@
 // the idempotency key, and by whether it can be reached.
 func (r *Router) isEligible(now int64, request *Request, endpoint *endpointState) bool {
 	return r.slowStartAdmits(now, endpoint, request.class.sendingTime) &&
-		(endpoint.Location != r.settings.location || request.withinKeyScope(endpoint)) &&
+		(endpoint.Location != r.settings.Location || request.withinKeyScope(endpoint)) &&
 		(r.Reachable == nil || r.Reachable(endpoint.ID))
 }
 
@@ -49,8 +49,8 @@
 	if now < endpoint.nextProbeAt || endpoint.probing || len(request.attempts) > 0 {
 		return false
 	}
-	if endpoint.Location == r.settings.location {
-		return !r.settings.probes
+	if endpoint.Location == r.settings.Location {
+		return !r.settings.HealthChecks
 	}
 	return request.record.likelyCachedUntil <= now // a hit involves no source, and would probe nothing
 }
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -7,7 +7,7 @@
 
 func TestSelection(t *testing.T) {
 	t.Run("fills of an object go to the same parent from all locations", func(t *testing.T) {
-		here, there := newRouter(t, nil), newRouter(t, Settings{"location": "there"})
+		here, there := newRouter(t, nil), newRouter(t, func(s *Settings) { s.Location = "there" })
 		for i := range 20 {
 			object := fmt.Sprint(i)
 			source, sourceThere := sourceOf(here, object), sourceOf(there, object)
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -8,7 +8,7 @@
 
 // Slow start: an endpoint that started recently can take N requests of mean work within a window, where
 //
-//	N = multiple × its capacity at the time × window / mean sending time
+//	N = factor × its capacity at the time × window / mean sending time
 //
 // and is overloaded above overloadLimit(N). All routers that share the endpoint keep within that together
 // without talking to each other; docs/coldstart.md has the arithmetic. Work is in seconds of sending time.
@@ -47,28 +47,25 @@
 	return min(n+3*math.Sqrt(n)+3, large(largeLimitFrom))
 }
 
-// slowStartTerms is what the settings say of the slow start of an endpoint.
+// slowStartTerms is what the slow start of an endpoint goes by.
 type slowStartTerms struct {
-	share    float64 // part of its capacity that it has at the start
-	multiple float64 // of its capacity at the time that it can take
-	span     int64   // ns; from its start until it is warm
-	window   int64   // ns; over which requests are counted
-	routers  int     // that share the endpoint
+	SlowStartSettings
+	routers int // that share the endpoint
 }
 
 // slowStartTerms returns the terms for a cache or a parent.
 func (r *Router) slowStartTerms(endpoint *endpointState) slowStartTerms {
-	if endpoint.Location == r.settings.location {
-		return r.settings.cacheSlowStart
+	if endpoint.Location == r.settings.Location {
+		return slowStartTerms{r.settings.CacheSlowStart, int(r.settings.cacheSharers())}
 	}
-	return r.settings.parentSlowStart
+	return slowStartTerms{r.settings.ParentSlowStart, int(r.settings.parentSharers())}
 }
 
 // sustainableWork returns the work, in s, that an endpoint can take within the window at a time after its
 // start, in ns. capacity is the one that it has when warm.
 func (s slowStartTerms) sustainableWork(capacity float64, elapsed int64) float64 {
-	warm := s.share + (1-s.share)*float64(max(0, elapsed))/float64(s.span)
-	return s.multiple * capacity * warm * float64(s.window) / 1e9
+	warm := s.Share + (1-s.Share)*float64(max(0, elapsed))/float64(s.WarmUpDuration)
+	return s.Factor * capacity * warm * float64(s.Window) / 1e9
 }
 
 // slowStartBudget is what one router keeps of the slow start of one endpoint.
@@ -204,9 +201,9 @@
 		return false
 	}
 	terms := r.slowStartTerms(endpoint)
-	budget.forget(now - terms.window)
+	budget.forget(now - terms.Window)
 	startedAt := r.slowStartSince(endpoint)
-	if now >= startedAt+terms.span {
+	if now >= startedAt+terms.WarmUpDuration {
 		return true
 	}
 	mean := r.meanWork(now, 0)
@@ -220,10 +217,10 @@
 	}
 	rate := r.tokenRate(now, terms, limit, fixedShare, work)
 	phase := func(now int64) float64 { return r.phase(now, endpoint) }
-	if budget.collect(now, endpoint.slowStartFrom, terms.window, rate, phase) {
+	if budget.collect(now, endpoint.slowStartFrom, terms.Window, rate, phase) {
 		return true
 	}
-	budget.postpone(now, terms.window, rate, work)
+	budget.postpone(now, terms.Window, rate, work)
 	r.postponedUntil = max(r.postponedUntil, budget.retryAt)
 	return false
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -138,10 +138,7 @@
 
 func (s *sharedSlowStart) newRouter(t *testing.T, seed uint64, routers int, capacity float64) *Router {
 	t.Helper()
-	r, err := New(start, seed, site(Settings{"routers": int64(routers)}), func(logevent.Event) {})
-	if err != nil {
-		t.Fatal(err)
-	}
+	r := New(start, seed, site(func(s *Settings) { s.Routers = routers }), func(logevent.Event) {})
 	entries := slices.Clone(fleet)
 	entries[startingID-1].StartedAt, entries[startingID-1].Capacity = start, capacity
 	r.UpdateEndpoints(start, entries, true)
@@ -235,7 +232,7 @@
 // Retries, hedges, fills and probes count like first attempts: by the mean of their class, whatever the size of
 // the answer.
 func TestAttemptsOfAllKindsAreCharged(t *testing.T) {
-	newRouterWithStart := func(t *testing.T, id uint32, change Settings) *Router {
+	newRouterWithStart := func(t *testing.T, id uint32, change func(*Settings)) *Router {
 		r := newRouter(t, change)
 		entry := fleet[id-1]
 		entry.StartedAt = start
@@ -286,7 +283,7 @@
 		checkWork(t, r, 3, 0.5)
 	})
 	t.Run("a probe", func(t *testing.T) {
-		r := newRouterWithStart(t, 1, Settings{"probe": true})
+		r := newRouterWithStart(t, 1, func(s *Settings) { s.HealthChecks = true })
 		endpoint := r.endpoints[1]
 		for n := range 20 { // until no probe is admitted either
 			endpoint.ejected, endpoint.probing, endpoint.nextProbeAt = true, false, start
@@ -360,10 +357,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var all []sentWork
 			for n := range routers {
-				r, err := New(start, uint64(n), site(Settings{"routers": int64(routers)}), func(logevent.Event) {})
-				if err != nil {
-					t.Fatal(err)
-				}
+				r := New(start, uint64(n), site(func(s *Settings) { s.Routers = routers }), func(logevent.Event) {})
 				entry := fleet[2]
 				entry.StartedAt = start
 				r.UpdateEndpoints(start, append([]Endpoint{entry}, fleet[3:]...), true)
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -9,16 +9,13 @@
 // A router that restores a snapshot has the rates of the one before, though time has passed; without rates it
 // knows only which objects were requested.
 func TestSnapshot(t *testing.T) {
-	set := Settings{
+	set := decoded(RawSettings{
 		"product.names": []string{"stills"}, "product.due": []int64{4 * second / 10}, "product.hardStop": []int64{second},
 		"product.payoff": []float64{1}, "product.effect": []string{"harmless"}, "location": "here", "kinds": []string{"cache"},
 		"routers": int64(1),
-	}
+	})
 	newRouterAt := func(at int64) *Router {
-		r, err := New(at, 7, set, func(logevent.Event) {})
-		if err != nil {
-			t.Fatal(err)
-		}
+		r := New(at, 7, set, func(logevent.Event) {})
 		r.UpdateEndpoints(at, []Endpoint{{ID: 1, Location: "here", Kind: "cache", Phase: "ready", Capacity: 4}}, true)
 		return r
 	}
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -7,18 +7,31 @@
 
 // writeSite makes a router with two classes: "read" is cacheable, "write" is not, nor idempotent. The parents
 // are in four hubs that form a ring, the origin is in the first.
-func writeSite(t *testing.T, change Settings) *Router {
+func writeSite(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
-	set := Settings{
-		"product.names": []string{"read", "write"}, "product.effect": []string{"harmless", "one-shot"},
-		"product.scope": []string{"all", "all"}, "product.window": []int64{0, 0}, "product.payoff": []float64{1, 1},
-		"product.due": []int64{second, 150 * millisecond}, "product.hardStop": []int64{5 * second, 300 * millisecond},
-		"product.fresh": []int64{8 * second, 0}, "product.neverKept": []bool{false, true},
-	}
-	for name, value := range change {
-		set[name] = value
-	}
-	r := newRouter(t, set)
+	r := newRouter(t, func(s *Settings) {
+		s.Classes = []ClassSettings{
+			{
+				Name:             "read",
+				LatencyObjective: second,
+				FreshDuration:    8 * second,
+				PriorityWeight:   1,
+				Idempotency:      Idempotent,
+				KeyScope:         ScopeAll,
+			},
+			{
+				Name:             "write",
+				LatencyObjective: 150 * millisecond,
+				PriorityWeight:   1,
+				Idempotency:      NonIdempotent,
+				KeyScope:         ScopeAll,
+				Uncacheable:      true,
+			},
+		}
+		if change != nil {
+			change(s)
+		}
+	})
 	r.UpdateEndpoints(start, ringFleet(), true)
 	return r
 }
@@ -93,7 +106,7 @@
 
 // A request that is marked as a write is treated as one of a class that is not cacheable.
 func TestMarkedWritesGoToTheOrigin(t *testing.T) {
-	r := writeSite(t, Settings{"product.neverKept": []bool{false, false}})
+	r := writeSite(t, func(s *Settings) { s.Classes[1].Uncacheable = false })
 	for n := range 50 {
 		write := ask("read", fmt.Sprint("object", n))
 		write.Write = true
