--- a/control/admission.go
+++ b/control/admission.go
@@ -8,8 +8,8 @@
 	minAdmissionLimit = 0.3
 
 	// An answer in time raises the limit of its kind by a fixed amount, and by more while that limit is
-	// reduced, as traffic would be rejected for longer than the overload lasts. A late answer lowers the limit
-	// by a part of it.
+	// reduced: otherwise traffic would be rejected long after an overload is over. A late answer lowers the
+	// limit by a part of it.
 	limitIncrease        = 0.006
 	reducedLimitIncrease = 0.018
 	limitDecrease        = 0.08
