--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -58,24 +58,28 @@
 
 // startUpstream makes the connections to endpoints.
 func (s *Server) startUpstream(ctx context.Context, post func(router.Event)) {
-	s.upstream = upstream.New(ctx, s.config.Settings.LoadReportFields, post, upstream.WithClock(s.clock))
-	s.upstream.Pace(s.config.Settings.ResponseBytesPerSecond)
+	s.upstream = upstream.NewPool(ctx, upstream.Config{
+		LoadReportFields: s.config.Settings.LoadReportFields,
+		MinResponseRate:  s.config.Settings.ResponseBytesPerSecond,
+		Post:             post,
+		Clock:            s.clock,
+	})
 }
 
 // startDownstream makes the side of the clients' connections.
 func (s *Server) startDownstream(listener net.Listener, post func(router.Event)) {
-	connections, keep := s.clientConnections()
-	limits := downstream.Limits{
-		Connections: connections,
-		Keep:        keep,
-		Open:        maxOpenRequestsPerClient,
-		Bytes:       int64(s.memory(responseMemoryShare)),
-		Cores:       s.config.Cores,
-		Seed:        s.config.Seed,
-		Clock:       s.clock,
-		Crowded:     func() bool { return len(s.inbox) >= maxInboxEvents/2 },
+	connections, policies := s.clientConnections()
+	config := downstream.Config{
+		MaxConnections:           connections,
+		Policies:                 policies,
+		MaxRequestsPerConnection: maxOpenRequestsPerClient,
+		MaxBytes:                 int64(s.memory(responseMemoryShare)),
+		Cores:                    s.config.Cores,
+		Seed:                     s.config.Seed,
+		Clock:                    s.clock,
+		Saturated:                func() bool { return len(s.inbox) >= maxInboxEvents/2 },
 	}
-	s.downstream = downstream.New(listener, limits, post, s.logText)
+	s.downstream = downstream.New(listener, config, post, s.emit)
 }
 
 // startCluster opens the links to other instances and shares the periodic tasks with them.
@@ -107,8 +111,15 @@
 }
 
 // newWatch makes the watch on discovery, which goes on behind what is known.
-func (s *Server) newWatch(history discovery.Past, post func(router.Event)) *discovery.Feed {
+func (s *Server) newWatch(history discovery.History, post func(router.Event)) *discovery.Watcher {
 	calls := startup.NewCallSchedule(s.config.Seed, s.config.Settings.Routers, s.readinessHold())
 	calls.SetDrainGrace(s.shortestGrace())
-	return discovery.New(s.config.DiscoveryAddress, history, calls, post, s.logText, discovery.WithClock(s.clock))
+	return discovery.NewWatcher(discovery.Config{
+		Address:  s.config.DiscoveryAddress,
+		History:  history,
+		Schedule: calls,
+		Post:     post,
+		Log:      s.emit,
+		Clock:    s.clock,
+	})
 }
--- /dev/null
+++ b/internal/upstream/healthcheck.go
@@ -0,0 +1,75 @@
+package upstream
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"strings"
+	"tealpath/internal/neterr"
+	"tealpath/internal/protocol/resp"
+)
+
+// ErrNotSent is a health check that was not written, because it must no longer be, or because this machine
+// could open no connection. It says nothing of the endpoint.
+var ErrNotSent = errors.New("health check not sent")
+
+// HealthCheck is one question to an endpoint whether it is alive.
+type HealthCheck struct {
+	Address          string      // host:port
+	ID               string      // the response repeats it
+	LoadReportFields []string    // names of the load report's fields, in the order in which they are returned
+	MayWrite         func() bool // called immediately before the request is written
+}
+
+// CheckHealth asks an endpoint whether it is alive, on a connection of its own. It returns the load report,
+// or nil if the response has none. MayWrite is called only once the connection is established, because
+// dialling takes time and the process may have been suspended meanwhile.
+func CheckHealth(ctx context.Context, check HealthCheck) ([]float64, error) {
+	return checkHealth(ctx, new(net.Dialer).DialContext, check)
+}
+
+func checkHealth(ctx context.Context, dial dialFunc, check HealthCheck) ([]float64, error) {
+	dialled, err := dial(ctx, "tcp", check.Address)
+	if neterr.IsLocal(err) {
+		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
+	}
+	if err != nil {
+		return nil, err
+	}
+	conn := neterr.Conn{Conn: dialled}
+	defer closeConn(conn)
+	if deadline, ok := ctx.Deadline(); ok {
+		if err := conn.SetDeadline(deadline); err != nil {
+			return nil, err
+		}
+	}
+	if !check.MayWrite() {
+		return nil, ErrNotSent
+	}
+	if _, err := conn.Write(encodeAlive(check.ID)); err != nil {
+		return nil, err
+	}
+	words, err := resp.Read(bufio.NewReader(conn))
+	if err != nil {
+		return nil, err
+	}
+	return check.decode(words)
+}
+
+// decode returns the load report of a response, or nil if it has none.
+func (check HealthCheck) decode(words [][]byte) ([]float64, error) {
+	if len(words) < 2 || string(words[0]) != check.ID || string(words[1]) != wordAlive {
+		return nil, fmt.Errorf("%d words that do not answer the health check", len(words))
+	}
+	if len(words) == 2 {
+		return nil, nil
+	}
+	for field := range strings.SplitSeq(string(words[2]), ",") {
+		if report, ok := strings.CutPrefix(field, fieldLoadReport+"="); ok {
+			return decodeLoadReport(report, check.LoadReportFields), nil
+		}
+	}
+	return nil, nil
+}
