--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// rawSite is a small deployment: two caches here, two parents and an origin elsewhere.
+// rawSite returns the settings of a small deployment: two caches here, two parents and an origin elsewhere. Its
+// class "harmless" is idempotent, "stamped" keyed, and "once" non-idempotent.
 func rawSite() RawSettings {
 	return RawSettings{
 		"routers": int64(4), "location": "here", "locations": []string{"hub", "here", "there"},
@@ -82,6 +83,7 @@
 	return r
 }
 
-func ask(product, object string) *Request {
-	return &Request{Class: product, Object: object, Group: 1, Deadline: start + 500*second}
+// ask returns a new request with a deadline far away.
+func ask(class, object string) *Request {
+	return &Request{Class: class, Object: object, Group: 1, Deadline: start + 500*second}
 }
