--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,7 @@
-// Package clock gives a process its time. Spans (deadlines, windows, backoff, leases, ages since an arrival) are measured
-// on a monotonic axis that no change of the wall clock moves; wall readings are only for what other machines wrote down
-// or will read. docs/time.md says how stamps of other machines are placed on the axis.
+// Package clock gives a process its time. Spans (deadlines, windows, backoff, leases, ages since an arrival)
+// are measured on a monotonic axis that no change of the wall clock moves; wall readings are only for what
+// other machines wrote down or will read. docs/time.md says how stamps of other machines are placed on the
+// axis.
 //
 // All readings are int64 nanoseconds.
 package clock
@@ -12,12 +13,12 @@
 
 // Clock is a source of time. Implementations are safe for use by several goroutines.
 type Clock interface {
-	// Now is the time on the monotonic axis, ns. Its zero is the Unix epoch as the wall clock had it when the axis was
-	// made, so a reading equals the Unix time for as long as nobody sets the wall clock. It never goes back.
+	// Now is the time on the monotonic axis, ns. Its zero is the Unix epoch as the wall clock had it when the
+	// axis was made, so that a reading equals the Unix time unless the wall clock is set. It never goes back.
 	Now() int64
 
-	// Wall is the wall clock's Unix time, ns. It may step either way between two readings: never subtract two of them to
-	// measure a span.
+	// Wall is the wall clock's Unix time, ns. It may step either way between two readings: never subtract two
+	// of them to measure a span.
 	Wall() int64
 }
 
@@ -32,8 +33,8 @@
 
 func newSystem(begin time.Time) *system { return &system{begin: begin, zero: begin.UnixNano()} }
 
-// System is the clock of the operating system, on one axis for the whole process, made when the process starts. As with
-// Go's own monotonic time, the axis stands still while the machine is suspended.
+// System is the clock of the operating system, on one axis for the whole process, made when the process starts.
+// As with Go's own monotonic time, the axis stands still while the machine is suspended.
 func System() Clock { return process }
 
 // Now implements Clock.
@@ -45,8 +46,8 @@
 // Until is how long it is until a time on a clock's axis; negative once that has passed.
 func Until(c Clock, at int64) time.Duration { return time.Duration(at - c.Now()) }
 
-// FromUnixMilli converts a Unix time in ms, as the protocols carry it, to ns. What int64 cannot hold becomes the closest
-// value that it can, so that a time in the far future never turns into one in the past.
+// FromUnixMilli converts a Unix time in ms, as the protocols carry it, to ns. What int64 cannot hold becomes
+// the closest value that it can, so that a time in the far future never turns into one in the past.
 func FromUnixMilli(ms int64) int64 {
 	const nanoseconds = int64(time.Millisecond)
 	switch {
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -1,5 +1,5 @@
-// Package clocktest provides a clock for tests. Its wall clock can be set, as an operator or a time service does it, and its
-// monotonic time can be advanced by hand.
+// Package clocktest provides a clock for tests. Its wall clock can be set, as an operator or a time service
+// does it, and its monotonic time can be advanced by hand.
 package clocktest
 
 import (
@@ -24,8 +24,8 @@
 // New makes a clock that stands still at a Unix time, ns, until it is advanced.
 func New(at int64) *Clock { return &Clock{zero: at} }
 
-// Running makes a clock that runs with the system's monotonic clock. Its axis begins where a wall clock stands that is off by
-// a span from the system's.
+// Running makes a clock that runs with the system's monotonic clock. Its axis begins at the time of a wall
+// clock that differs from the system's by off.
 func Running(off time.Duration) *Clock {
 	begin := time.Now()
 	return &Clock{running: true, begin: begin, zero: begin.Add(off).UnixNano()}
--- a/internal/clock/usage_test.go
+++ b/internal/clock/usage_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// wallReadings are the calls by which a time.Time becomes a number, or is made of one: what is left is the wall clock, and a
-// span between two such numbers goes wrong when that steps.
+// wallReadings are the calls by which a time.Time becomes a number, or is made of one: what is left is the wall
+// clock, and a span between two such numbers goes wrong when that steps.
 var wallReadings = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro"}
 
 // readsWall tells by name which of those calls a file makes.
@@ -26,8 +26,8 @@
 	return found
 }
 
-// The programs that serve read no wall clock but through this package: a step of it ended all that was in flight. The stand-ins
-// play other machines, and experiments and the simulator's adapter serve nobody.
+// The programs that serve read no wall clock but through this package: a step of it ended all that was in
+// flight. The stand-ins play other machines, and experiments and the simulator's adapter serve nobody.
 func TestWallClockIsReadHereOnly(t *testing.T) {
 	const root = "../.."
 	exempt := []string{"internal/experiment", "internal/emulator", "internal/clock"}
--- a/internal/compatibility/compare.go
+++ b/internal/compatibility/compare.go
@@ -24,8 +24,9 @@
 // Severity is how bad it is that two versions are in force side by side.
 type Severity int
 
-// The severities. Harmless costs nothing but order. Bounded may stand for as long as a lease, as the rule that it breaks has
-// slack for it. Exclusive may never stand: no instance takes the one version up before none can act on the other.
+// The severities. Harmless costs nothing. Bounded may last as long as a lease, because the rule that it touches
+// allows for that time. Exclusive may not happen at all: no instance puts the one version in force before none
+// can act on the other.
 const (
 	Harmless Severity = iota
 	Bounded
@@ -43,9 +44,9 @@
 // The rules that shared settings can touch; NoRule is a conflict that touches none.
 const (
 	NoRule         Rule = 0
-	RuleDrained    Rule = 3 // nothing new goes to an endpoint that drains or is gone
-	RuleColdBudget Rule = 4 // all routers together stay within what a cold endpoint bears
-	RulePurge      Rule = 5 // after a purge's grace nothing older is served
+	RuleDrained    Rule = 3 // no new attempt goes to an endpoint that is draining or removed
+	RuleColdBudget Rule = 4 // all routers together stay within the capacity of an endpoint that is warming up
+	RulePurge      Rule = 5 // after a purge's grace no older copy is served
 )
 
 // Conflict is one setting in which two versions differ.
@@ -87,8 +88,8 @@
 	return worst
 }
 
-// Incompatible tells whether two encoded versions may never be in force at once; err says why the proposed one can't be in
-// force at all. internal/cluster/sharedconfig judges versions by it.
+// Incompatible tells whether two encoded versions may never be in force at once; err says why the proposed one
+// can't be in force at all. internal/cluster/sharedconfig judges versions by it.
 func Incompatible(current, proposed []byte) (incompatible bool, err error) {
 	before, err := Decode(current)
 	if err != nil {
@@ -157,7 +158,8 @@
 func compareDrained(a, b Settings) []Conflict {
 	var conflicts []Conflict
 	for _, name := range symmetricDifference(a.DrainedEndpoints, b.DrainedEndpoints) {
-		conflicts = append(conflicts, Conflict{settingDrained, Bounded, RuleDrained, name + " is withdrawn in one alone"})
+		reason := name + " is withdrawn in one alone"
+		conflicts = append(conflicts, Conflict{settingDrained, Bounded, RuleDrained, reason})
 	}
 	return conflicts
 }
@@ -178,8 +180,9 @@
 	return []Conflict{{settingProbePeriod, Harmless, NoRule, "each target has one owner, which goes by its own"}}
 }
 
-// votersConflict says why two sets of voters can't be in force side by side. It is empty where they can: where any majority
-// of the one meets any majority of the other, as at epochs next to each other that differ by one voter.
+// votersConflict says why two sets of voters can't be in force side by side. It is empty where they can: where
+// any majority of the one meets any majority of the other, as at epochs next to each other that differ by one
+// voter.
 func votersConflict(a, b lease.Voters) string {
 	older, newer := a, b
 	if older.Epoch > newer.Epoch {
--- a/internal/compatibility/conservative.go
+++ b/internal/compatibility/conservative.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Conservative returns settings that conflict with none of several versions: whoever doesn't know which of them is in force
-// acts on these. Nothing is safe for settings that are exclusive: ok is false where versions differ in one, and then no lease
-// may be acted under.
+// Conservative returns settings that conflict with none of several versions, for an instance that doesn't know
+// which of them is in force. No settings are safe where versions differ in an exclusive one: ok is false then,
+// and no lease may be acted under.
 func Conservative(versions ...Settings) (safe Settings, ok bool) {
 	if len(versions) == 0 {
 		return Settings{}, false
@@ -16,7 +16,7 @@
 		if WorstSeverity(Compare(first, version)) == Exclusive {
 			ok = false
 		}
-		safe.Routers = max(safe.Routers, version.Routers)             // the smallest share of a cold budget
+		safe.Routers = max(safe.Routers, version.Routers)             // the smallest share of a slow-start budget
 		safe.PurgeWindow = max(safe.PurgeWindow, version.PurgeWindow) // the longest
 		safe.DrainedEndpoints = append(safe.DrainedEndpoints, version.DrainedEndpoints...)
 		safe.ProbePeriod = max(safe.ProbePeriod, version.ProbePeriod)
--- a/internal/compatibility/conservative_test.go
+++ b/internal/compatibility/conservative_test.go
@@ -26,8 +26,8 @@
 	return settings
 }
 
-// Whichever of drawn versions is in force, the conservative settings conflict with none: shares sum to at most the whole,
-// purges are enforced for as long, who is drained in one gets nothing.
+// Whichever of drawn versions is in force, the conservative settings conflict with none: shares sum to at most
+// the whole, purges are enforced for as long, who is drained in one gets nothing.
 func TestConservative(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	for range 2000 {
--- a/internal/compatibility/migration.go
+++ b/internal/compatibility/migration.go
@@ -15,9 +15,10 @@
 	return fmt.Sprintf("voters of epoch %d can't follow those of epoch %d", err.To, err.From)
 }
 
-// MigrationPath returns the versions by which one becomes another, the last one being the goal but for the voters' epoch.
-// What is at most bounded comes first, in one step. Then voters change, one a step. What is exclusive comes last, in a step of
-// its own, as all instances have to stop acting for it. An *EpochOrderError says that no steps lead there.
+// MigrationPath returns the versions by which one becomes another, the last one being the goal but for the
+// voters' epoch. What is at most bounded comes first, in one step. Then voters change, one a step. What is
+// exclusive comes last, in a step of its own, as all instances have to stop acting for it. An *EpochOrderError
+// says that no steps lead there.
 func MigrationPath(from, to Settings) ([]Settings, error) {
 	if to.Voters.Epoch < from.Voters.Epoch {
 		return nil, &EpochOrderError{From: from.Voters.Epoch, To: to.Voters.Epoch}
@@ -52,8 +53,8 @@
 	path.steps = append(path.steps, next)
 }
 
-// changeVoters adds and removes voters, one a step. One more comes before one less, so that a quorum bears as many failures all
-// the way as it did at the start.
+// changeVoters adds and removes voters, one a step. One more comes before one less, so that a quorum bears as
+// many failures all the way as it did at the start.
 func (path *migration) changeVoters(goal []string) {
 	start := path.current.Voters.Current
 	removed, added := difference(start, goal), difference(goal, start)
--- a/internal/compatibility/migration_test.go
+++ b/internal/compatibility/migration_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// Between any two drawn versions there are steps, each of which differs from the one before by at most one voter, and
-// exclusive settings change in the last alone.
+// Between any two drawn versions there are steps, each of which differs from the one before by at most one
+// voter, and exclusive settings change in the last alone.
 func TestMigrationPath(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}
--- a/internal/compatibility/settings.go
+++ b/internal/compatibility/settings.go
@@ -1,6 +1,7 @@
-// Package compatibility says which versions of the settings that instances share may be in force side by side, which may not
-// and by which rule, what is safe while it is unknown which of several versions is in force, and by which steps one version
-// becomes another. It does no input or output and reads no clock. docs/agreement.md has the reasons.
+// Package compatibility says which versions of the settings that instances share may be in force side by side,
+// which may not and by which rule, what is safe while it is unknown which of several versions is in force, and
+// by which steps one version becomes another. It does no input or output and reads no clock. docs/agreement.md
+// has the reasons.
 package compatibility
 
 import (
@@ -10,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Settings are what all instances of a fleet share. Lengths of time are in ns. The tags are the names of the fields in CBOR,
-// among instances, and in the JSON of `tealpath diff --json`.
+// Settings are what all instances of a fleet share. Lengths of time are in ns. The tags are the names of the
+// fields in CBOR, among instances, and in the JSON of `tealpath diff --json`.
 type Settings struct {
 	Routers          int          `json:"Routers"`    // by which cold budgets are divided
 	Slots            int          `json:"Slots"`      // to which periodic tasks hash
@@ -36,7 +37,8 @@
 	return fmt.Sprintf("%s is %v: %s", err.Setting, err.Value, err.Reason)
 }
 
-// Validate returns a *SettingError for the first setting that can't be acted on, or the error of the voters' own check.
+// Validate returns a *SettingError for the first setting that can't be acted on, or the error of the voters'
+// own check.
 func (settings Settings) Validate() error {
 	if err := settings.Voters.Check(); err != nil {
 		return fmt.Errorf("%s: %w", settingVoters, err)
--- a/internal/compatibility/settings_test.go
+++ b/internal/compatibility/settings_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Settings go among instances as CBOR, and `tealpath diff --json` prints them: the names of the fields stay as they are.
+// Settings go among instances as CBOR, and `tealpath diff --json` prints them: the names of the fields stay as
+// they are.
 func TestWireForm(t *testing.T) {
 	const (
 		wantCBOR = "a967526f757465727319012c65536c6f74731840654c656173651a59682f00654472696674fb3f847ae147ae147b66566f74657273a3" +
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads what the platform gives a router at its start: the environment variables LB_NAME, LB_LISTEN
-// and LB_CONFIG, and the JSON file that the last one names.
+// Package config reads what the platform gives a router at its start: the environment variables LB_NAME,
+// LB_LISTEN and LB_CONFIG, and the JSON file that the last one names.
 package config
 
 import (
@@ -30,12 +30,12 @@
 	KnownEvents      json.RawMessage // the discovery service's watch events up to the start
 	Settings         control.Settings
 
-	// SettingsError is what is wrong with Settings, which have defaults in the places concerned. It keeps a router
-	// from starting, but not a running one from reloading: that takes only the discovery address over.
+	// SettingsError is what is wrong with Settings, which have defaults in the places concerned. It keeps a
+	// router from starting, but not a running one from reloading: that takes only the discovery address over.
 	SettingsError error
 
-	// SettingsDigest identifies all settings, those that no router uses included. A snapshot stores it, since what
-	// was learned under other settings must not be restored.
+	// SettingsDigest identifies all settings, those that no router uses included. A snapshot stores it, since
+	// what was learned under other settings must not be restored.
 	SettingsDigest uint64
 
 	// rawSettings is what Settings was decoded from. RestartRequired compares it, since it holds all settings.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -58,7 +58,8 @@
 	})
 }
 
-// Settings that no router can start with are no error of the file: a running router still takes its discovery address.
+// Settings that no router can start with are no error of the file: a running router still takes its discovery
+// address.
 func TestSettingsError(t *testing.T) {
 	config, err := Parse([]byte(file), "", "")
 	if err != nil {
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -1,7 +1,7 @@
 package config
 
-// setting says where a setting stands in the file, of which kind it is, and under which key control.DecodeSettings
-// takes it.
+// setting says where a setting stands in the file, of which kind it is, and under which key
+// control.DecodeSettings takes it.
 type setting struct {
 	group, key string // in the file; the group is an object or a list of objects, empty for the settings themselves
 	name       string
@@ -72,8 +72,8 @@
 	{"callers", "marksRetry", "client.marksRepeats", flag},
 }
 
-// words translates the file's words into those of control.DecodeSettings. Names, such as those of classes, are never
-// translated, also where one is the same as such a word.
+// words translates the file's words into those of control.DecodeSettings. Names, such as those of classes, are
+// never translated, also where one is the same as such a word.
 var words = map[string]string{
 	"retryable": "harmless", "dedup": "stamped", "fragile": "one-shot",
 	"outstanding": "inHand", "utilization": "busy", "backlog": "queued", "recent_ms": "answerMs",
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -27,8 +27,8 @@
 	Known, Settings    json.RawMessage
 }
 
-// Parse decodes a configuration file. A name and an address for clients that are not empty take precedence over the
-// file's.
+// Parse decodes a configuration file. A name and an address for clients that are not empty take precedence over
+// the file's.
 func Parse(raw []byte, name, listen string) (*Config, error) {
 	var parsed fileContent
 	if err := json.Unmarshal(raw, &parsed); err != nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -25,8 +25,8 @@
 const nanosecondsPerSecond = 1e9
 
 // ParseSettings reads the settings of a configuration file and returns them under the keys that
-// control.DecodeSettings takes. Unknown keys are skipped, absent ones are left out. A setting that can't be read is
-// a *SettingError.
+// control.DecodeSettings takes. Unknown keys are skipped, absent ones are left out. A setting that can't be
+// read is a *SettingError.
 func ParseSettings(raw []byte) (control.RawSettings, error) {
 	var groups map[string]any
 	if err := json.Unmarshal(raw, &groups); err != nil {
@@ -49,7 +49,8 @@
 	return decoded, nil
 }
 
-// decode finds a setting in its group, or collects it from a group that is a list of objects. It is nil if absent.
+// decode finds a setting in its group, or collects it from a group that is a list of objects. It is nil if
+// absent.
 func (s setting) decode(group any) (any, error) {
 	switch group := group.(type) {
 	case nil:
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -19,8 +19,8 @@
  "profiles":[{"name":"stills","points":2,"effect":"retryable","onTimeS":0.5,"deadlineS":2.5},
   {"name":"sign-off","points":1,"effect":"dedup","keyScope":"cell","dedupWindowS":1,"onTimeS":0.25,"deadlineS":1}]}`
 
-// A snapshot's deployment is the digest of the settings as text, so that neither keys nor forms may change: the text is the one that
-// commit 9be9074 gave, whose snapshots are read still.
+// A snapshot's deployment is the digest of the settings as text, so that neither keys nor forms may change: the
+// text is the one that commit 9be9074 gave, whose snapshots are read still.
 func TestSettingsKeepTheirText(t *testing.T) {
 	set, err := ParseSettings([]byte(everySetting))
 	if err != nil {
--- a/internal/connpool/config.go
+++ b/internal/connpool/config.go
@@ -2,19 +2,20 @@
 
 import "fmt"
 
-// Config is what a plan keeps to.
+// Config is what a plan is made from.
 type Config struct {
 	Router         string  // the router's name, which decides its subset
-	Seed           uint64  // of chance
+	Seed           uint64  // of its random numbers
 	Routers        int     // of the location, by the settings
-	MaxConnections int     // of all routers, that a cache holds
-	MaxConnectRate float64 // connections of all routers that a cache takes a second; 0 is no bound
+	MaxConnections int     // of all routers together, that a cache accepts
+	MaxConnectRate float64 // connections a second of all routers together, that a cache accepts; 0 is no bound
 }
 
-// maxConnectDuration is how long all routers may take to open a connection each: a cache that started anew would be idle for longer.
+// maxConnectDuration is how long all routers may take to open a connection each. A cache that starts is idle
+// for about as long.
 const maxConnectDuration = 30 * second
 
-// MaxConnectionsError is a Config with no connections for a cache to hold.
+// MaxConnectionsError is a Config in which a cache accepts no connections.
 type MaxConnectionsError struct {
 	MaxConnections int
 }
--- a/internal/connpool/connections_test.go
+++ b/internal/connpool/connections_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// All routers together, whatever each wants: what stands at a cache stays within what it holds, what is opened within the
-// rate, through a loss of all links of a cache, and caches outside of the subset can be had at times.
+// All routers together, whatever each wants: what stands at a cache stays within what it holds, what is opened
+// within the rate, through a loss of all links of a cache, and caches outside of the subset can be had at
+// times.
 func TestSumOverAllRouters(t *testing.T) {
 	for _, c := range []struct {
 		routers, caches, holds int
@@ -84,7 +85,8 @@
 	}
 }
 
-// A cache that refuses, being full by more routers than the settings know of, is asked again ever later, and not in step.
+// A cache that refuses, being full by more routers than the settings know of, is asked again ever later, and
+// not in step.
 func TestRefusedBacksOff(t *testing.T) {
 	p := New(Config{Router: "n", Routers: 3, MaxConnections: 24})
 	p.SetEndpoints(0, names(2))
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -1,8 +1,9 @@
-// Package connpool decides how many connections a router holds to which caches, and how fast it opens them, so that the sum over all
-// routers of a location stays within what a cache holds, without talk among them. Each router keeps connections to a subset of the
-// caches, by rendezvous hashing (Thaler, Ravishankar, "Using name-based mappings to increase hit rates", 1998), and reaches others for
-// a moment. It does no input or output, reads no clock, starts no goroutine; time and chance come in. docs/coldstart.md, "Connections to
-// caches", has the arithmetic.
+// Package connpool decides how many connections a router has to which caches, and how fast it opens them, so
+// that the sum over all routers of a location stays within what a cache accepts, without messages among them.
+// Each router has connections to a subset of the caches, by rendezvous hashing (Thaler, Ravishankar, "Using
+// name-based mappings to increase hit rates", 1998), and short-lived ones to others. The package does no input
+// or output, reads no clock and starts no goroutine; times come in as arguments, random numbers from a seed.
+// docs/coldstart.md, "Connections to caches", has the arithmetic.
 //
 // All instants are ns on the caller's monotonic axis, all durations are ns, all rates are a second.
 package connpool
@@ -23,10 +24,11 @@
 // maxPerEndpoint is how many connections a router has to one cache at most, as without a plan.
 const maxPerEndpoint = 4
 
-// planStream keeps the chance of plans apart from other chance of the same seed.
+// planStream makes the random numbers of plans independent of others from the same seed.
 const planStream = 0x6c696e6b
 
-// Plan is one router's plan of connections. A nil Plan allows all. It is not safe for use by two goroutines at once.
+// Plan decides on one router's connections. A nil Plan allows all. It is not safe for use by two goroutines at
+// once.
 type Plan struct {
 	config       Config
 	random       *rand.Rand
@@ -40,7 +42,7 @@
 	MaxPerEndpoint int // connections to one of them
 }
 
-// endpoint is what is known of one cache.
+// endpoint is the state of one cache in a plan.
 type endpoint struct {
 	name         string
 	score        uint64 // of rendezvous hashing: the lowest are preferred
@@ -50,7 +52,7 @@
 	preconnected bool  // Preconnect named it
 	connectAt    int64 // from when on a connection may be opened
 	refusedDelay int64 // the last one after a connection that was refused; 0: there was none
-	sendUntil    int64 // until when a connection outside the subset takes requests
+	sendUntil    int64 // until when requests may be sent on a connection outside the subset
 }
 
 // New returns a plan that knows no caches yet.
@@ -65,8 +67,8 @@
 	}
 }
 
-// SetEndpoints takes the caches to which attempts may go, as they are now. What is known of those that stay is kept. A new one is
-// connected to by all routers spread over as long as they need.
+// SetEndpoints sets the caches to which attempts may go. Those that the plan has already keep their state.
+// Connections to a new one are spread over the time that all routers need to open one each.
 func (p *Plan) SetEndpoints(now int64, names []string) {
 	if p == nil {
 		return
@@ -92,7 +94,8 @@
 	}
 }
 
-// add puts a cache in its place of the ranking. By rendezvous hashing one that comes or goes changes the subset by itself alone.
+// add inserts a cache into the ranking. By rendezvous hashing a cache that is added or removed changes the
+// subset by itself alone.
 func (p *Plan) add(name string) {
 	added := &endpoint{name: name, score: xxhash.Sum64String(p.config.Router + "\x00" + name), isNew: true}
 	p.endpoints[name] = added
@@ -113,7 +116,7 @@
 	})
 }
 
-// find returns what is known of a cache, nil for one that is not the plan's.
+// find returns the state of a cache, or nil if the plan does not have it.
 func (p *Plan) find(name string) *endpoint {
 	if p == nil {
 		return nil
@@ -121,16 +124,17 @@
 	return p.endpoints[name]
 }
 
-// InSubset reports whether a cache is of the router's subset. What is not the plan's counts as such.
+// InSubset reports whether a cache is in the router's subset. A cache that the plan does not have counts as in
+// it.
 func (p *Plan) InSubset(name string) bool {
 	endpoint := p.find(name)
 	return endpoint == nil || endpoint.inSubset
 }
 
-// draw returns a duration of [0, most), by chance.
-func (p *Plan) draw(most int64) int64 {
-	if most <= 0 {
+// draw returns a random duration in [0, limit).
+func (p *Plan) draw(limit int64) int64 {
+	if limit <= 0 {
 		return 0
 	}
-	return p.random.Int64N(most)
+	return p.random.Int64N(limit)
 }
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -17,7 +17,8 @@
 	return out
 }
 
-// Whatever comes and goes, and in whichever order it is named, the plan is the one that ranking all caches anew gives.
+// Whatever comes and goes, and in whichever order it is named, the plan is the one that ranking all caches anew
+// gives.
 func TestSetEndpointsAgainstRankingAll(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for play := range 100 {
--- a/internal/connpool/subset.go
+++ b/internal/connpool/subset.go
@@ -3,18 +3,19 @@
 import "math"
 
 const (
-	// subsetShare is the part of a cache's connections that subsets may take. The rest is for routers that need a cache outside of
-	// their subset for a moment.
+	// subsetShare is the part of a cache's connections that subsets may take. The rest is for routers that need
+	// a cache outside of their subset for a moment.
 	subsetShare = 0.75
 
-	// boundDeviations is how many standard deviations above the mean a bound on a number drawn by chance has room for: one cache in
-	// 4,000 is over it.
+	// boundDeviations is by how many standard deviations a random number may exceed its mean within its bound.
+	// One cache in 4,000 is over it.
 	boundDeviations = 3.5
 )
 
-// SubsetSize returns how many of so many caches each of so many routers keeps connections to, when each cache holds so many: all, if
-// there is a connection for each router; else as many as keep the number of routers at a cache, which is binomial, within the
-// subsets' share of its connections.
+// SubsetSize returns how many of the caches each router has connections to, if each cache accepts
+// maxConnections. That is all of them if there is a connection for each router. Else it is the largest size for
+// which the number of routers at a cache, which is binomially distributed, stays within the subsets' share of
+// its connections.
 func SubsetSize(routers, caches, maxConnections int) int {
 	if routers <= maxConnections {
 		return caches
@@ -31,11 +32,12 @@
 	return 0
 }
 
-// outsideConnectRate returns how many connections a second all routers may open to a cache from outside of its subset: so many that
-// those which stand at a time, by chance, stay within the rest of what it holds.
+// outsideConnectRate returns how many connections a second all routers together may open to a cache that is not
+// in their subset, so that the random number of those that are open at a time stays within the rest of what the
+// cache accepts.
 func outsideConnectRate(maxConnections int) float64 {
 	rest := (1 - subsetShare) * float64(maxConnections)
-	// The mean number that stands solves mean + boundDeviations*sqrt(mean) = rest.
+	// The mean number of open ones solves mean + boundDeviations*sqrt(mean) = rest.
 	root := (math.Sqrt(boundDeviations*boundDeviations+4*rest) - boundDeviations) / 2
 	return root * root / (float64(maxOutsideDuration) / float64(second))
 }
--- a/internal/lifecycle/restore/confirmation.go
+++ b/internal/lifecycle/restore/confirmation.go
@@ -9,7 +9,7 @@
 const (
 	Pending   Outcome = iota // nothing has been learned, or it was learned before
 	Confirmed                // the list is in force
-	Denied                   // the service is another, or numbers its events anew: the whole list is to be requested
+	Denied                   // the service is another one, or numbers its events anew: the list is to be requested
 )
 
 var outcomeNames = [...]string{Pending: "pending", Confirmed: "confirmed", Denied: "denied"}
@@ -21,10 +21,11 @@
 	return outcomeNames[o]
 }
 
-// ListConfirmation finds out whether an endpoint list known before is still in force. The discovery service is asked for the watch
-// events after the last but one: if it sends the last one again, to the letter, it is the service that sent the list, nothing it has
-// sent since is missing, and what follows comes after. A service that numbers its events anew for each start of a router, as the
-// platform's does, sends something else under that number. Silence proves nothing.
+// ListConfirmation finds out whether an endpoint list from a snapshot is still in force. The router resumes the
+// watch one event before the last that it knows. If the service sends that last event again, byte for byte, it
+// is the service that sent the list, no event since is missing, and later ones follow. A service that numbers
+// its events anew for each start of a router, as the platform's does, sends something else under that number. A
+// service that sends nothing proves nothing.
 //
 // A nil ListConfirmation observes nothing: its outcomes are Pending.
 type ListConfirmation struct {
@@ -41,7 +42,8 @@
 	return c.decide(c != nil && position == c.Position && digest == c.Digest)
 }
 
-// ObserveComment takes a comment of the service: one that comes before any event says that there is no event after the one named.
+// ObserveComment takes a comment of the service: one that comes before any event says that there is no event
+// after the one named.
 func (c *ListConfirmation) ObserveComment() Outcome { return c.decide(false) }
 
 // decide returns the outcome of what was observed first, and Pending after that.
--- a/internal/lifecycle/restore/limit.go
+++ b/internal/lifecycle/restore/limit.go
@@ -15,7 +15,11 @@
 )
 
 var reasonNames = [...]string{
-	OtherVersion: "other version", OtherRouter: "other router", OtherSettings: "other settings", InFuture: "in the future", Old: "old",
+	OtherVersion:  "other version",
+	OtherRouter:   "other router",
+	OtherSettings: "other settings",
+	InFuture:      "in the future",
+	Old:           "old",
 }
 
 func (r Reason) String() string {
@@ -25,7 +29,8 @@
 	return reasonNames[r]
 }
 
-// LimitError says why not all of a snapshot may be used. Its text stands in a log line that docs/oncall.md names.
+// LimitError says why not all of a snapshot may be used. Its text stands in a log line that docs/oncall.md
+// names.
 type LimitError struct {
 	Reason Reason
 	Own    Header // what the router that reads would write
--- a/internal/lifecycle/restore/restore.go
+++ b/internal/lifecycle/restore/restore.go
@@ -1,8 +1,10 @@
-// Package restore decides what a router that starts may use of a snapshot that it finds on its disk. It does no input or output and
-// reads no clock. docs/coldstart.md, "What was known before", has the rules and their reasons.
+// Package restore decides what a router that starts may use of a snapshot that it finds on its disk. It does no
+// input or output and reads no clock. docs/coldstart.md, "What was known before", has the rules and their
+// reasons.
 //
-// All times are Unix ns by the wall clock, read when the snapshot was taken and when the process that reads it began: two processes
-// have no monotonic axis in common. docs/time.md says what a step of the clock between the two does.
+// All times are Unix ns by the wall clock, read when the snapshot was taken and when the process that reads it
+// began: two processes have no monotonic axis in common. docs/time.md says what a step of the clock between the
+// two does.
 package restore
 
 import "fmt"
@@ -13,18 +15,19 @@
 const FormatVersion = 1
 
 const (
-	// maxRateAge is the age up to which request rates of a snapshot are taken to hold still: a restart, not a night.
+	// maxRateAge is the age up to which the request rates of a snapshot are used. It covers a restart, not a
+	// longer outage.
 	maxRateAge = 60 * second
 
-	// maxAge is the age up to which sending times, and the names of the objects that were requested and purged, tell anything.
+	// maxAge is the age up to which sending times, and the objects that were requested and purged, are used.
 	maxAge = 3600 * second
 
-	// maxClockStep is by how much a snapshot may be of the future, since the clock of one machine steps a little. Such a snapshot
-	// counts as new.
+	// maxClockStep is by how much a snapshot may be in the future, since a machine's clock may be set back a
+	// little. The age of such a snapshot counts as zero.
 	maxClockStep = 5 * second
 )
 
-// Header says what a snapshot is of.
+// Header identifies a snapshot: who wrote it, when, and under which settings.
 type Header struct {
 	Version        int    // of the format
 	Router         string // name of the router that wrote it
@@ -32,7 +35,8 @@
 	TakenAt        int64  `cbor:"Taken"`
 }
 
-// Scope is how much of a snapshot may be used. The endpoint list in it is never used by itself: see ListConfirmation.
+// Scope is how much of a snapshot may be used. The endpoint list in it is never used by itself: see
+// ListConfirmation.
 type Scope int
 
 // The scopes, in order.
@@ -52,8 +56,8 @@
 	return scopeNames[s]
 }
 
-// Assess returns how much of a snapshot a router may use that starts now. own is what the router itself would write, stored is the
-// snapshot's header. Where it is not All, the error is a *LimitError that says why.
+// Assess returns how much of a snapshot a router may use that starts now. own is what the router itself would
+// write, stored is the snapshot's header. Where it is not All, the error is a *LimitError that says why.
 func Assess(now int64, own, stored Header) (Scope, error) {
 	age := now - stored.TakenAt
 	limited := func(reason Reason) error {
--- a/internal/lifecycle/shutdown/shutdown.go
+++ b/internal/lifecycle/shutdown/shutdown.go
@@ -1,8 +1,8 @@
-// Package shutdown decides how a router ends gracefully: until when it answers requests, and when its process may exit. It does no
-// input or output and reads no clock.
+// Package shutdown decides how a router ends gracefully: until when it answers requests, and when its process
+// may exit. It does no input or output and reads no clock.
 //
-// Source of the platform's times: its page on planned restarts. Requests go on coming for 0.7 s after SIGTERM, and SIGKILL comes
-// no sooner than the longest deadline of a client (3 s at most) and 0.7 s more.
+// Source of the platform's times: its page on planned restarts. Requests go on coming for 0.7 s after SIGTERM,
+// and SIGKILL comes no sooner than the longest deadline of a client (3 s at most) and 0.7 s more.
 //
 // All instants are ns on the caller's monotonic axis.
 package shutdown
@@ -19,30 +19,30 @@
 	killAfterLimit    = 700 * time.Millisecond // from the longest deadline to SIGKILL
 )
 
-// Spans after the longest deadline. Requests in flight are answered by the first, and their answers have until the second to be
-// written. When both were one moment, the last answers were queued in the step that ended the process, and their connections were
-// closed before they were written: 7 of 69,000 in one day of 300 routers.
+// Durations after the longest deadline. Requests in flight are answered by the end of the first, and responses
+// are written by the end of the second. They differ so that the last responses are not queued in the step that
+// ends the process, which would close their connections before they are written.
 const (
 	answerGrace = 350 * time.Millisecond
 	writeGrace  = killAfterLimit - 100*time.Millisecond
 
-	// diskGrace is for how long a slow disk is waited for. The rest is for the log's last lines, which take up to 0.1 s on a busy
-	// machine.
+	// diskGrace is for how long the process waits for a slow disk. The rest of the time until SIGKILL is for
+	// the last lines of the log, which take up to 0.1 s on a busy machine.
 	diskGrace = killAfterLimit - 300*time.Millisecond
 )
 
-// maxCloseWait is for how long clients that are told that their connections end are waited for.
+// maxCloseWait is how long clients have to close their side of a connection that was half-closed by the router.
 const maxCloseWait = 250 * time.Millisecond
 
 // Plan is the plan of one shutdown. It is not safe for use by two goroutines at once.
 type Plan struct {
 	startedAt   int64
 	maxDeadline time.Duration // of the clients that are served
-	finishedAt  int64         // since when no client is owed anything; 0: one is
+	finishedAt  int64         // since when every request is answered and every response written; 0: not yet
 }
 
-// New plans a shutdown that started at an instant, for clients whose deadline is at most clientDeadline. Of that no more counts
-// than the platform allows.
+// New plans a shutdown that started at an instant, for clients whose deadline is at most clientDeadline. Of
+// that no more counts than the platform allows.
 func New(startedAt int64, clientDeadline time.Duration) *Plan {
 	return &Plan{startedAt: startedAt, maxDeadline: min(clientDeadline, maxClientDeadline)}
 }
@@ -61,7 +61,7 @@
 	OpenConnections int  // connections that have not ended, with the listener if it is open
 }
 
-// finished reports whether no client is owed anything.
+// finished reports whether every request is answered and every response written.
 func (s State) finished() bool { return s.InFlight == 0 && s.QueuedEvents == 0 && s.Flushed }
 
 // Step is what a router that shuts down does now.
@@ -70,7 +70,7 @@
 // The steps, in order.
 const (
 	Serve     Step = iota // go on as before
-	CloseIdle             // tell connections on which nothing is owed that they end, and serve the others
+	CloseIdle             // half-close the idle connections, and serve the others
 	Exit                  // end the process
 )
 
@@ -83,9 +83,10 @@
 	return stepNames[s]
 }
 
-// Next returns the step to take now. The process may exit when every request is answered, its answer is written, no new request can
-// come, and the idle connections have ended or had maxCloseWait to; or when its time is up. Connections that were closed without
-// that wait, just as something came on them, were reset, and what their clients had not read by then was lost.
+// Next returns the step to take now. The process may exit when every request is answered, every response is
+// written, no new request can come, and the idle connections have ended or had maxCloseWait to do so; or when
+// its time is up. The wait matters because a connection that is closed just as something comes on it is reset,
+// and its client loses what it has not read by then.
 func (p *Plan) Next(now int64, state State) Step {
 	elapsed := time.Duration(now - p.startedAt)
 	switch {
--- a/internal/lifecycle/shutdown/shutdown_test.go
+++ b/internal/lifecycle/shutdown/shutdown_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// Who is told that its connection ends has a moment to see it, counted from when nothing is owed to anybody; who never does
-// holds nobody up.
+// Who is told that its connection ends has a moment to see it, counted from when nothing is owed to anybody;
+// who never does holds nobody up.
 func TestClientsHaveAMomentToSeeTheEnd(t *testing.T) {
 	plan := New(0, 5*time.Second)
 	open, owed := State{Flushed: true, OpenConnections: 1}, State{InFlight: 1, OpenConnections: 2}
@@ -61,8 +61,8 @@
 	}
 }
 
-// The last answers were given in the step that ended the process: whatever clients may wait, there is time to write them,
-// and all is over before the platform kills.
+// The last answers were given in the step that ended the process: whatever clients may wait, there is time to
+// write them, and all is over before the platform kills.
 func TestLastAnswersHaveTimeToBeWritten(t *testing.T) {
 	for longest := time.Duration(0); longest < 10*time.Second; longest += 50 * time.Millisecond {
 		plan := New(0, longest)
@@ -75,7 +75,8 @@
 	}
 }
 
-// A slow disk is waited for until the last answers could be written, and the process is gone before it is killed.
+// A slow disk is waited for until the last answers could be written, and the process is gone before it is
+// killed.
 func TestDiskDeadline(t *testing.T) {
 	for _, longest := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, time.Minute} {
 		plan := New(5*ms, longest)
--- a/internal/lifecycle/startup/listfilter.go
+++ b/internal/lifecycle/startup/listfilter.go
@@ -6,7 +6,7 @@
 type ListSummary struct {
 	Position       int64  // number of its event
 	Generation     int64  // of the list, as the service counts; 0 is not told
-	Complete       bool   // the whole list; else changes to the one before
+	Complete       bool   // it names all endpoints; else only what changed
 	Endpoints      int    // that it names
 	ReadyEndpoints int    // of them
 	Digest         uint64 // of its content
@@ -23,7 +23,7 @@
 // The verdicts.
 const (
 	Accept      Verdict = iota // it is in force
-	Unconfirmed                // the list before stays in force, and the service is asked again; what it says a second time is accepted
+	Unconfirmed                // the one before stays in force; if the service sends the same list again, it is accepted
 	Stale                      // it is older than the one in force, and dropped
 )
 
@@ -37,20 +37,21 @@
 }
 
 const (
-	// A complete list that names less than this part of the endpoints before, of so many at least, is to be confirmed. Of fewer, half
-	// may well go in one step.
+	// A complete list that names less than this share of the endpoints before is to be confirmed, if there were
+	// at least so many. Of fewer, half may well be removed at once.
 	minRemainingShare  = 0.5
 	minShrinkEndpoints = 4
 
-	// confirmationWindow is for how long an unconfirmed list stands to be confirmed.
+	// confirmationWindow is how long an unconfirmed list can be confirmed.
 	confirmationWindow = 5 * second
 
 	// firstPosition is the number of the first event after the service's own start.
 	firstPosition = 1
 )
 
-// ListFilter decides which endpoint lists are believed. Unknown is not empty: a service that has just started, or lost its state, tells
-// a complete list of no or few endpoints, and a router that believed it had nowhere to send requests. The zero value knows no list.
+// ListFilter decides which endpoint lists are put in force. A service that has just started or lost its state
+// may send a complete list of no or few endpoints; a router that went by it would have nowhere to send
+// requests. The zero value knows no list.
 type ListFilter struct {
 	endpoints  int // of the list in force
 	position   int64
@@ -103,13 +104,13 @@
 // Advance notes an event that is no list.
 func (f *ListFilter) Advance(position int64) { f.position = max(f.position, position) }
 
-// isFromRestartedService reports whether a service that numbers its events anew has a list that is not older. Its positions say
-// nothing then; its generation does.
+// isFromRestartedService reports whether a list is the first of a service that numbers its events anew.
+// Positions can't be compared then; the list is newer if its generation is higher.
 func (f *ListFilter) isFromRestartedService(next ListSummary) bool {
 	return next.Position == firstPosition && next.Generation > f.generation
 }
 
-// confirms reports whether a list says again what the unconfirmed one said.
+// confirms reports whether a list has the same content as the unconfirmed one before it.
 func (f *ListFilter) confirms(now int64, next ListSummary) bool {
 	return f.unconfirmedAt > 0 && now-f.unconfirmedAt <= confirmationWindow && f.unconfirmed.sameContent(next)
 }
--- a/internal/lifecycle/startup/progress.go
+++ b/internal/lifecycle/startup/progress.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// RateWindow is over which the decision module counts requests (docs/design.md, "λ"), ns: a younger router knows rates by less.
+// RateWindow is the duration over which the control package counts requests (docs/design.md, "λ"), ns. A router
+// that started more recently knows request rates from a shorter time.
 const RateWindow = 10 * second
 
 // Phase is how far a start has come.
@@ -12,8 +13,8 @@
 const (
 	NoList    Phase = iota // no endpoint list is known; the health check fails
 	ListKnown              // from the configuration or a snapshot, so it may be out of date
-	WarmingUp              // the discovery service was heard; rates and health of endpoints are known by less than RateWindow
-	Warm
+	WarmingUp              // the discovery service has answered; rates and health are known from less than RateWindow
+	Warm                   // rates and health are known from RateWindow
 )
 
 // phaseNames are the words of the log line, which docs/oncall.md names.
@@ -30,13 +31,13 @@
 type Progress struct {
 	startedAt    int64
 	rateWindow   int64
-	maxHold      int64 // until then at most the router is not ready before the service was heard
+	maxHold      int64 // for so long at most the router waits for the service before it is ready
 	phase        Phase
 	listKnown    bool
-	firstHeardAt int64 // when the service was first heard; 0: it was not
+	firstHeardAt int64 // when the service first answered; 0: not yet
 }
 
-// NewProgress begins a start; rateWindow is over which requests are counted, ns.
+// NewProgress begins a start. Requests are counted over rateWindow, ns.
 func NewProgress(now, rateWindow int64, hold ReadinessHold) *Progress {
 	return &Progress{startedAt: now, rateWindow: rateWindow, maxHold: hold.MaxDuration}
 }
@@ -44,15 +45,15 @@
 // ListReceived notes that an endpoint list is in force.
 func (p *Progress) ListReceived() { p.listKnown = true }
 
-// ServiceReached notes that the discovery service was heard.
+// ServiceReached notes that the discovery service has answered.
 func (p *Progress) ServiceReached(now int64) {
 	if p.firstHeardAt == 0 {
 		p.firstHeardAt = now
 	}
 }
 
-// Update returns the phase at an instant, and whether it is another than before. A phase is never left for an earlier one: what a
-// router has learned stays when the service goes.
+// Update returns the phase at an instant, and whether it has changed. A phase is never left for an earlier one,
+// because a router keeps what it has learned when the service is down.
 func (p *Progress) Update(now int64) (phase Phase, changed bool) {
 	next := p.phaseAt(now)
 	if next <= p.phase {
@@ -74,8 +75,9 @@
 	return Warm
 }
 
-// Ready reports whether clients may come. Once its hold is over a router that knows endpoints serves, whether or not the service was
-// heard: a service that is down must not take the fleet with it.
+// Ready reports whether clients may connect. Once its hold is over a router that knows endpoints is ready,
+// whether or not the service has answered, so that a service that is down does not keep all routers from
+// serving.
 func (p *Progress) Ready(now int64) bool {
 	return p.listKnown && (p.firstHeardAt > 0 || now >= p.startedAt+p.maxHold)
 }
--- a/internal/lifecycle/startup/readiness_test.go
+++ b/internal/lifecycle/startup/readiness_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// With a hold the first calls of all come at the operator's rate, each early enough to be answered before it ends.
+// With a hold the first calls of all come at the operator's rate, each early enough to be answered before it
+// ends.
 func TestReadinessHold(t *testing.T) {
 	for _, test := range []struct {
 		routers int
--- a/internal/lifecycle/startup/result.go
+++ b/internal/lifecycle/startup/result.go
@@ -8,11 +8,11 @@
 // The results.
 const (
 	Refused      CallResult = iota // the connection was refused: nobody is there
-	Unreachable                    // dialling was met by silence
-	Unanswered                     // the call was taken, and nothing came
+	Unreachable                    // dialling timed out
+	Unanswered                     // the call was accepted, and nothing came
 	Disconnected                   // the connection ended after something had come
 	Silent                         // nothing came any more after something had
-	Truncated                      // it ended or stood still inside an event, or before anything whole
+	Truncated                      // it ended or stalled inside an event, or before anything complete had come
 	LocalError                     // this machine could not make the call, which says nothing of the service
 )
 
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// Notification deadlines: a router that has not heard of a change is judged as if it had, so long after what kept it from hearing.
-// Source: the platform's pages.
+// Notification deadlines: so long after a disconnect, a silence or a change of address, a router counts as
+// notified of every change before it, whether it has been or not. Source: the platform's pages.
 const (
 	deadlineAfterDisconnect    = 2 * second
 	deadlineAfterSilence       = 4 * second
@@ -11,48 +11,50 @@
 	maxNotificationTime        = 7 * second
 )
 
-// answerAllowance is kept of a notification deadline for dialling and for the answer.
+// answerAllowance is the part of a notification deadline that is left for dialling and for the answer.
 const answerAllowance = 500 * millisecond
 
-// Rates of calls that all routers together keep to, as far as the notification deadlines let them, and the longest times that calls
-// are spread over.
+// Rates of calls that all routers together keep to, as far as the notification deadlines let them, and the
+// longest times that calls are spread over.
 const (
 	retryRate = 110. // while the service refuses or does not answer
 
 	reconnectRate          = 300.                        // after a disconnect
-	maxReconnectSpread     = deadlineAfterDisconnect / 2 // the other half is for one more try
+	maxReconnectSpread     = deadlineAfterDisconnect / 2 // the other half is for one retry
 	maxAddressChangeSpread = second
 
-	// maxFirstSpread is for the first calls of routers that know a list from their configuration and serve from it. A change counts
-	// as told when it is in the service, so they have the grace for drains, 250 ms, to hear of it; this is a part of that. With the
-	// first calls spread over 2.6 s 32 requests went to draining caches, in one day of 300 routers.
+	// maxFirstSpread is for the first calls of routers that know a list from their configuration and serve from
+	// it. They count as notified of a change as soon as the service has it, so they have to hear of it within
+	// the grace for draining endpoints, 250 ms. The spread is a part of that.
 	maxFirstSpread = 100 * millisecond
 
-	// A router that knows no list serves nobody, so no deadline binds its calls, but only what the service bears and how soon the
-	// router is to serve. All that know none call once in this time, half to one and a half.
+	// A router that knows no list serves nobody, so no deadline binds its calls, but only the capacity of the
+	// service and how soon the router is to serve. All routers without a list call once in half to one and a
+	// half times this duration.
 	noListRate      = 85.
 	maxNoListSpread = 2600 * millisecond
 )
 
 // Delays of retries.
 const (
-	minRetryDelay = 200 * millisecond // where a router is alone, or the settings know of few
+	minRetryDelay = 200 * millisecond // of a router that is alone, or whose settings name few others
 	maxRetryDelay = maxNotificationTime - 2*second
 	backoffGrowth = 3 // of decorrelated jitter: the next delay is drawn up to so many times the last
 
-	// minUnansweredDelay follows a call that was taken and never answered: who gives up in the service's queue and soon calls again
-	// keeps the queue as long as it is.
+	// minUnansweredDelay follows a call that was accepted and never answered. Routers that give up in the
+	// service's queue and soon call again would keep the queue at its length.
 	minUnansweredDelay = maxRetryDelay * 2 / 3
 
-	// A truncated answer is asked for again at once, so often, since what is asked for counts as told at once. The usual spread was
-	// longer than the grace for drains, 250 ms, and two requests went to a draining cache. A router that knows no list sends to
-	// nobody and backs off: a service that truncates all its answers had three times the calls of a start.
+	// A truncated answer is requested again almost at once, up to so many times, since the router counts as
+	// notified of what the answer would have said: the usual spread is longer than the grace for draining
+	// endpoints, 250 ms. A router without a list sends to nobody and backs off instead, so that a service that
+	// truncates all its answers is not called more often.
 	maxTruncatedRetries  = 2
 	truncatedRetrySpread = 20 * millisecond
-	maxTruncatedAge      = second // a comment comes each second: by then what had to be told has been
+	maxTruncatedAge      = second // a comment comes each second: by then what had to be sent has been
 
-	// A call that this machine could not make is made again soon, since the service was not asked. Many routers of one machine that
-	// wait for the same descriptors come spread over as long as after a disconnect.
+	// A call that this machine could not make is made again soon, since the service got no call. Many routers
+	// of one machine that wait for the same descriptors are spread over as long as after a disconnect.
 	minLocalErrorDelay = 20 * millisecond
 	maxLocalErrorDelay = 200 * millisecond
 )
@@ -61,7 +63,7 @@
 const (
 	silenceTimeout = 1700 * millisecond // the service sends a comment each second
 
-	// The timeout of the first byte grows while the service takes calls and does not answer.
+	// The timeout of the first byte grows while the service accepts calls and does not answer.
 	initialFirstByteTimeout = 1700 * millisecond
 	maxFirstByteTimeout     = 7 * second
 	firstByteTimeoutGrowth  = 4
@@ -71,10 +73,11 @@
 	maxStallTimeout   = silenceTimeout
 )
 
-// scheduleStream keeps the chance of calls apart from other chance of the same seed.
+// scheduleStream makes the random numbers of schedules independent of others from the same seed.
 const scheduleStream = 0x6c697374
 
-// CallSchedule decides when one router of many calls the discovery service. It is not safe for use by two goroutines at once.
+// CallSchedule decides when one router of many calls the discovery service. It is not safe for use by two
+// goroutines at once.
 type CallSchedule struct {
 	routers float64 // that call the service
 	hold    ReadinessHold
@@ -83,7 +86,7 @@
 	listKnown bool
 	hasData   bool  // something whole has come since the last call ended
 	calledAt  int64 // when the last call was made
-	grace     int64 // the shortest in which the router has to act on what it is told; 0 is not known
+	grace     int64 // the shortest in which the router has to act on a watch event; 0 is not known
 
 	firstByteTimeout int64
 	lastDelay        int64 // of the backoff; 0: it starts anew
@@ -94,7 +97,8 @@
 	retryMoved bool  // a retry was moved forward, to be before answerBy
 }
 
-// NewCallSchedule returns the schedule of one router of so many. hold is the operator's; the zero value is none.
+// NewCallSchedule returns the schedule of one router of so many. hold is the operator's; the zero value is
+// none.
 func NewCallSchedule(seed uint64, routers int, hold ReadinessHold) *CallSchedule {
 	return &CallSchedule{
 		routers:          float64(max(1, routers)),
@@ -106,7 +110,7 @@
 
 // FirstDelay returns the wait from the start to the first call.
 func (s *CallSchedule) FirstDelay() int64 {
-	s.answerBy = 0 // should the call fail, retries no further apart than maxRetryDelay are in time for what changes later
+	s.answerBy = 0 // if the call fails, retries at most maxRetryDelay apart are in time for later changes
 	switch {
 	case s.hold.CallRate > 0:
 		return s.draw(s.spread(s.hold.CallRate, s.hold.MaxDuration-answerAllowance))
@@ -134,7 +138,7 @@
 	s.hasData, s.firstByteTimeout, s.lastDelay = true, initialFirstByteTimeout, 0
 }
 
-// SetDrainGrace notes the shortest time in which the router has to act on what it is told, ns.
+// SetDrainGrace notes the shortest time in which the router has to act on a watch event, ns.
 func (s *CallSchedule) SetDrainGrace(grace int64) { s.grace = grace }
 
 // StallTimeout returns for how long an event that has begun may stand still.
@@ -155,9 +159,10 @@
 
 // CallEnded returns the wait before the next call, after one that ended.
 //
-// A connection on which something had come is followed by a call within the notification deadline; all routers spread theirs over
-// half of that. Other calls back off by decorrelated jitter (Brooker, "Exponential Backoff And Jitter", 2015) over as long as all
-// routers need at their rate, with one retry before the notification deadline.
+// A connection on which something had come is followed by a call within the notification deadline; all routers
+// spread theirs over half of that. Other calls back off by decorrelated jitter (Brooker, "Exponential Backoff
+// And Jitter", 2015) over as long as all routers need at their rate, with one retry before the notification
+// deadline.
 func (s *CallSchedule) CallEnded(now int64, result CallResult) int64 {
 	if result == LocalError {
 		return s.delayAfterLocalError()
@@ -184,10 +189,10 @@
 	return result == Truncated && s.listKnown && isYoung && s.truncations < maxTruncatedRetries
 }
 
-// delayAfterLocalError doubles from one to the next.
+// delayAfterLocalError returns a delay that doubles from one call to the next.
 func (s *CallSchedule) delayAfterLocalError() int64 {
-	most := max(maxLocalErrorDelay, s.spread(reconnectRate, maxReconnectSpread))
-	s.localErrorDelay = min(max(2*s.localErrorDelay, minLocalErrorDelay), most)
+	limit := max(maxLocalErrorDelay, s.spread(reconnectRate, maxReconnectSpread))
+	s.localErrorDelay = min(max(2*s.localErrorDelay, minLocalErrorDelay), limit)
 	half := s.localErrorDelay / 2
 	return half + s.draw(half)
 }
@@ -200,24 +205,25 @@
 	return s.draw(s.spread(reconnectRate, maxReconnectSpread))
 }
 
-// delayWithoutList spreads by the settings' number of routers; where those know of few, growing delays take the rest apart.
+// delayWithoutList spreads calls by the number of routers in the settings. Where that is too low, growing
+// delays spread them further.
 func (s *CallSchedule) delayWithoutList() int64 {
-	least := max(s.spread(noListRate, maxNoListSpread), minRetryDelay) / 2
-	return s.backoff(least, 3*least, maxNoListSpread*3/2)
+	minDelay := max(s.spread(noListRate, maxNoListSpread), minRetryDelay) / 2
+	return s.backoff(minDelay, 3*minDelay, maxNoListSpread*3/2)
 }
 
 func (s *CallSchedule) retryDelay(result CallResult) int64 {
-	least := min(max(s.spread(retryRate, maxRetryDelay), minRetryDelay), maxRetryDelay/2)
+	minDelay := min(max(s.spread(retryRate, maxRetryDelay), minRetryDelay), maxRetryDelay/2)
 	if result == Unanswered {
 		s.firstByteTimeout = min(firstByteTimeoutGrowth*s.firstByteTimeout, maxFirstByteTimeout)
-		least = minUnansweredDelay
+		minDelay = minUnansweredDelay
 	}
-	return s.backoff(least, 2*least, maxRetryDelay)
+	return s.backoff(minDelay, 2*minDelay, maxRetryDelay)
 }
 
-// beforeDeadline moves one retry that would miss the notification deadline forward, to the second half of the time left: all that
-// were disconnected together are not to come together at the last moment either. Only one, since halved again and again the delays
-// came to nothing.
+// beforeDeadline moves a retry that would miss the notification deadline forward, to the second half of the
+// time left, so that routers that were disconnected together do not call together at the last moment either. It
+// does so once for a deadline: halved again and again the delays would come to nothing.
 func (s *CallSchedule) beforeDeadline(now, delay int64) int64 {
 	left := s.answerBy - answerAllowance - now
 	if left <= 0 || delay <= left || s.retryMoved {
@@ -227,23 +233,23 @@
 	return left/2 + s.draw(left/2)
 }
 
-// backoff returns the next delay by decorrelated jitter: from least up to a multiple of the last delay, up to first at the beginning,
-// and to most in the end.
-func (s *CallSchedule) backoff(least, first, most int64) int64 {
-	limit := min(max(backoffGrowth*s.lastDelay, first), most)
-	s.lastDelay = least + s.draw(limit-least)
+// backoff returns the next delay by decorrelated jitter: from minDelay up to a multiple of the last delay, at
+// first up to firstLimit, and never over maxDelay.
+func (s *CallSchedule) backoff(minDelay, firstLimit, maxDelay int64) int64 {
+	limit := min(max(backoffGrowth*s.lastDelay, firstLimit), maxDelay)
+	s.lastDelay = minDelay + s.draw(limit-minDelay)
 	return s.lastDelay
 }
 
-// spread returns how long all routers take to call once at a rate, and at most most.
-func (s *CallSchedule) spread(rate float64, most int64) int64 {
-	return min(int64(s.routers/rate*float64(second)), most)
+// spread returns how long all routers take to call once at a rate, and maxSpread at most.
+func (s *CallSchedule) spread(rate float64, maxSpread int64) int64 {
+	return min(int64(s.routers/rate*float64(second)), maxSpread)
 }
 
-// draw returns a duration of [0, most), by chance.
-func (s *CallSchedule) draw(most int64) int64 {
-	if most <= 0 {
+// draw returns a random duration in [0, limit).
+func (s *CallSchedule) draw(limit int64) int64 {
+	if limit <= 0 {
 		return 0
 	}
-	return s.random.Int64N(most)
+	return s.random.Int64N(limit)
 }
--- a/internal/lifecycle/startup/schedule_test.go
+++ b/internal/lifecycle/startup/schedule_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// simulateCalls plays n routers whose service answers as told by serve, from one start, and gives the times of all calls. serve
-// tells how a call at a time ends and how long that takes.
+// simulateCalls plays n routers whose service answers as told by serve, from one start, and gives the times of
+// all calls. serve tells how a call at a time ends and how long that takes.
 func simulateCalls(n, said int, until int64, serve func(at int64) (CallResult, int64, bool)) (all []int64, heard map[int]int64) {
 	heard = map[int]int64{}
 	for i := range n {
@@ -117,8 +117,8 @@
 	}
 }
 
-// Routers that know no list serve nobody: their calls are spread from the first on, to a tenth of before in any second, and
-// none waits for longer than it takes all to call.
+// Routers that know no list serve nobody: their calls are spread from the first on, to a tenth of before in any
+// second, and none waits for longer than it takes all to call.
 func TestCallsWithoutAListAreSpreadFromTheFirst(t *testing.T) {
 	for _, n := range []int{300, 1000, 5000} {
 		all, _ := simulateCalls(n, n, 30*second, serviceDown)
@@ -139,8 +139,8 @@
 	}
 }
 
-// A service that takes ten calls a second and answers in order is heard by all in the end: who gives up in its queue leaves
-// a call there that nobody waits for.
+// A service that takes ten calls a second and answers in order is heard by all in the end: who gives up in its
+// queue leaves a call there that nobody waits for.
 func TestSlowServiceComesThrough(t *testing.T) {
 	const n, each = 100, second / 10
 	type call struct {
@@ -181,8 +181,8 @@
 	}
 }
 
-// A call whose answer is cut off is made again at once, but not without end: a service that cuts all it says is not asked by
-// hundreds at full speed.
+// A call whose answer is cut off is made again at once, but not without end: a service that cuts all it says is
+// not asked by hundreds at full speed.
 func TestCutAnswers(t *testing.T) {
 	for seed := range uint64(50) {
 		c := NewCallSchedule(seed, 300, ReadinessHold{})
@@ -214,7 +214,8 @@
 	}
 }
 
-// A call that the own machine could not make counts neither as a break nor as a refusal: what follows is as it was before.
+// A call that the own machine could not make counts neither as a break nor as a refusal: what follows is as it
+// was before.
 func TestLocalErrors(t *testing.T) {
 	for _, routers := range []int{1, 300} {
 		c, same := NewCallSchedule(1, routers, ReadinessHold{}), NewCallSchedule(1, routers, ReadinessHold{})
--- a/internal/logevent/logevent.go
+++ b/internal/logevent/logevent.go
@@ -1,5 +1,6 @@
-// Package logevent defines the log's events: one small typed value for each kind of line. Modules without input and output
-// return them as they return any other effect; the server renders them as JSON, the simulator's adapter as text.
+// Package logevent defines the log's events: one small typed value for each kind of line. Modules without input
+// and output return them as they return any other effect; the server renders them as JSON, the simulator's
+// adapter as text.
 package logevent
 
 import (
@@ -36,8 +37,9 @@
 	Message string // the same in words, for people; it has no values in it
 }
 
-// Event is one line of the log. Its exported fields that have a tag `log:"name"` are the line's fields. With `log:"name,omitempty"`
-// a zero value is left out. Durations are rendered in milliseconds, under names that end in _ms.
+// Event is one line of the log. Its exported fields that have a tag `log:"name"` are the line's fields. With
+// `log:"name,omitempty"` a zero value is left out. Durations are rendered in milliseconds, under names that end
+// in _ms.
 type Event interface {
 	Kind() Kind
 }
--- a/internal/neterr/retry.go
+++ b/internal/neterr/retry.go
@@ -8,27 +8,29 @@
 	"time"
 )
 
-// Pauses between two tries of a read or write that met a transient error; they double from the first to the last.
+// Delays before a read or write that met a transient error is retried. They double from the first to the
+// longest.
 const (
-	pauseLeast = time.Millisecond
-	pauseMost  = 50 * time.Millisecond
+	minRetryDelay = time.Millisecond
+	maxRetryDelay  = 50 * time.Millisecond
 )
 
-// Reader reads on after transient errors. Whoever wants it to end sets a deadline on what it reads from, or closes it.
+// Reader retries reads that met a transient error. To end it, set a deadline on what it reads from, or close
+// that.
 type Reader struct{ From io.Reader }
 
 // Read implements io.Reader.
 func (r Reader) Read(p []byte) (int, error) {
-	for pause := pauseLeast; ; pause = min(2*pause, pauseMost) {
+	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		n, err := r.From.Read(p)
 		if n > 0 || !IsTransient(err) {
 			return n, err
 		}
-		time.Sleep(pause)
+		time.Sleep(delay)
 	}
 }
 
-// Write writes all of p, and goes on after transient errors with what is not written yet.
+// Write writes all of p. After a transient error it goes on with what is not written yet.
 func Write(to io.Writer, p []byte) (written int, err error) {
 	err = Retry(func() error {
 		n, err := to.Write(p[written:])
@@ -38,18 +40,18 @@
 	return written, err
 }
 
-// Retry calls a function until it succeeds or fails for good.
-func Retry(try func() error) error {
-	for pause := pauseLeast; ; pause = min(2*pause, pauseMost) {
-		err := try()
+// Retry calls a function until it succeeds or fails with an error that is not transient.
+func Retry(operation func() error) error {
+	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
+		err := operation()
 		if !IsTransient(err) {
 			return err
 		}
-		time.Sleep(pause)
+		time.Sleep(delay)
 	}
 }
 
-// Conn is a connection whose reads and writes go on after transient errors.
+// Conn is a connection whose reads and writes are retried after transient errors.
 type Conn struct{ net.Conn }
 
 // Read implements io.Reader.
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -7,7 +7,8 @@
 )
 
 const (
-	// subscribeRetryDelay is how long after a failed subscription to the endpoint list the next one is sent, in ns.
+	// subscribeRetryDelay is how long after a failed subscription to the endpoint list the next one is sent, in
+	// ns.
 	subscribeRetryDelay = int64(5e8)
 
 	// minWakeUpDelay keeps the wait of a timer that is due from being 0, which is no time on the wire; ns.
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -45,7 +45,8 @@
 	return h.out.Ready(batch.Number)
 }
 
-// handleRecovered handles an event. A panic of the control package ends the instance on the wire, not the process.
+// handleRecovered handles an event. A panic of the control package ends the instance on the wire, not the
+// process.
 func (h *Host) handleRecovered(now int64, event wire.Event) (err error) {
 	defer func() {
 		if fault := recover(); fault != nil {
--- a/internal/simulator/wire/reader.go
+++ b/internal/simulator/wire/reader.go
@@ -85,7 +85,8 @@
 	return Event{Name: name, Fields: fields, Line: text}, nil
 }
 
-// Read returns the next batch. The error is io.EOF if the input ends between two batches, and else a *LineError.
+// Read returns the next batch. The error is io.EOF if the input ends between two batches, and else a
+// *LineError.
 func (r *Reader) Read() (*Batch, error) {
 	batch, err := r.readHead()
 	if err != nil {
--- a/internal/snapshot/compatible_test.go
+++ b/internal/snapshot/compatible_test.go
@@ -86,7 +86,8 @@
 	return content
 }
 
-// holds checks that all that one content names is in another, under the same names: the version before reads it.
+// holds checks that all that one content names is in another, under the same names: the version before reads
+// it.
 func holds(t *testing.T, path string, have, want any) {
 	t.Helper()
 	switch want := want.(type) {
--- a/internal/snapshot/disk_test.go
+++ b/internal/snapshot/disk_test.go
@@ -18,8 +18,8 @@
 	failed        bool // an fsync failed: what was dirty then is called clean and never reaches the disk
 }
 
-// simulatedDisk is a FileSystem in memory that fails where it is told to, stops where its process is killed, and knows what a
-// loss of power would leave.
+// simulatedDisk is a FileSystem in memory that fails where it is told to, stops where its process is killed,
+// and knows what a loss of power would leave.
 type simulatedDisk struct {
 	names     map[string]*inode
 	durable   map[string]*inode // as of the last SyncDir
@@ -137,8 +137,8 @@
 	return next
 }
 
-// afterPowerLoss is each disk that a machine may come back with: with the names of the last SyncDir or those of now, and of
-// each file what an fsync wrote, or any part of what came after it.
+// afterPowerLoss is each disk that a machine may come back with: with the names of the last SyncDir or those of
+// now, and of each file what an fsync wrote, or any part of what came after it.
 func (d *simulatedDisk) afterPowerLoss() (disks []*simulatedDisk) {
 	for _, names := range []map[string]*inode{d.durable, d.names} {
 		for _, part := range []float64{0, 0.5, 1} {
--- a/internal/snapshot/filesystem.go
+++ b/internal/snapshot/filesystem.go
@@ -18,14 +18,14 @@
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(path string) error
-	// SyncDir forces the names in a directory to the disk.
+	// SyncDir syncs the names in a directory to the disk.
 	SyncDir(path string) error
 }
 
 // File is a file that is being written.
 type File interface {
 	io.WriteCloser
-	// Sync forces the content to the disk.
+	// Sync syncs the content to the disk.
 	Sync() error
 }
 
@@ -46,7 +46,7 @@
 // Remove deletes a file.
 func (osFileSystem) Remove(path string) error { return os.Remove(path) }
 
-// SyncDir forces the names in a directory to the disk.
+// SyncDir syncs the names in a directory to the disk.
 func (osFileSystem) SyncDir(path string) error {
 	directory, err := os.Open(filepath.Clean(path))
 	if err != nil {
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -11,8 +11,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A file is the magic, the version, the content's length, the content's digest (XXH64), and the content (CBOR, RFC 8949). Numbers are
-// big-endian.
+// A file is the magic, the version, the content's length, the content's digest (XXH64), and the content (CBOR,
+// RFC 8949). Numbers are big-endian.
 const (
 	magic = "tealpath snapshot\n"
 
@@ -32,7 +32,7 @@
 	maxMapPairs      = 1 << 12
 )
 
-// ErrCorrupt is a file that is not whole, or no snapshot.
+// ErrCorrupt is a file that is incomplete or damaged, or no snapshot.
 var ErrCorrupt = errors.New("torn, or no snapshot")
 
 // SizeError is a snapshot that is too large to be stored.
@@ -58,8 +58,8 @@
 	return append(file, content...), nil
 }
 
-// Decode reads a file. Of one of another version than restore.FormatVersion only the version is read. The error is ErrCorrupt where
-// the file is not whole, or no snapshot.
+// Decode reads a file. Of a file of another version than restore.FormatVersion only the version is read. The
+// error is ErrCorrupt where the file is incomplete or damaged, or no snapshot.
 func Decode(file []byte) (Snapshot, error) {
 	if len(file) < headBytes || !bytes.HasPrefix(file, []byte(magic)) {
 		return Snapshot{}, ErrCorrupt
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snapshot stores on a disk what a router knows, for its next start. A snapshot is written to a temporary file, forced to the
-// disk and renamed, so that the file is whole or the one before; a digest shows one that is not whole. What of a snapshot is used,
-// internal/lifecycle/restore decides.
+// Package snapshot stores what a router has learned on a disk, for its next start. A snapshot is written to a
+// temporary file, synced to the disk and renamed, so that the file is either the complete new one or the one
+// before; a digest reveals a damaged one. internal/lifecycle/restore decides what of a snapshot is used.
 package snapshot
 
 import (
@@ -12,8 +12,8 @@
 // MaxObjects is how many objects of the rate table are stored.
 const MaxObjects = 10_000
 
-// Snapshot is what a router knows. Its fields are stored by CBOR under their names, or those of their tags, so that other versions
-// read them.
+// Snapshot is what a router has learned. Its fields are stored by CBOR under their names, or those of their
+// tags, so that other versions read them.
 type Snapshot struct {
 	restore.Header
 	Position  int64                  // of the last watch event of the discovery service; 0: no endpoint list is known
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -28,12 +28,12 @@
 // temporary returns the path of the file that is being written.
 func (s *Store) temporary() string { return s.path + temporarySuffix }
 
-// Write puts a snapshot in the file's place, or returns a *SizeError. Whatever fails or ends on the way, the file is the one before or
-// this one.
+// Write replaces the file by a snapshot, or returns a *SizeError. If it fails, or the process ends meanwhile,
+// the file is the one before or the new one, complete.
 //
-// After an error it is not known which of the two a machine that loses power comes back with, and the next call writes
-// everything anew, to a new temporary file: after a failed fsync the kernel may call the pages clean that it could not write,
-// and a second fsync of the same file then succeeds with nothing written.
+// After an error it is not known which of the two a machine that loses power restarts with. The next call
+// writes everything to a new temporary file, because after a failed fsync the kernel may mark pages as clean
+// that it could not write, so that a second fsync of the same file succeeds with nothing written.
 func (s *Store) Write(snapshot Snapshot) error {
 	content, err := Encode(snapshot)
 	if err != nil {
@@ -54,7 +54,7 @@
 	return s.files.SyncDir(filepath.Dir(s.path))
 }
 
-// writeTemporary writes a whole file and forces it to the disk.
+// writeTemporary writes the temporary file and syncs it to the disk.
 func (s *Store) writeTemporary(content []byte) error {
 	file, err := s.files.Create(s.temporary())
 	if err != nil {
@@ -78,7 +78,8 @@
 	return nil
 }
 
-// Read reads the file. The error is os.ErrNotExist where there is none, ErrCorrupt where it is not whole.
+// Read reads the file. The error is os.ErrNotExist where there is none, and ErrCorrupt where it is incomplete
+// or damaged.
 func (s *Store) Read() (Snapshot, error) {
 	file, err := s.files.Open(s.path)
 	if err != nil {
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -56,8 +56,8 @@
 	return got.Position
 }
 
-// A kill, or a loss of power, before and after each call and at each byte of the write: the next start finds the snapshot before
-// or the new one, whole, cleans up, and can keep the next.
+// A kill, or a loss of power, before and after each call and at each byte of the write: the next start finds
+// the snapshot before or the new one, whole, cleans up, and can keep the next.
 func TestEveryCrashPoint(t *testing.T) {
 	found := map[int64]int{}
 	for after := 0; ; after++ {
@@ -83,8 +83,8 @@
 	}
 }
 
-// Each call fails once with each error: the file is the one before or the new one, nothing is left beside it, and the next try
-// keeps its snapshot on a file of its own.
+// Each call fails once with each error: the file is the one before or the new one, nothing is left beside it,
+// and the next try keeps its snapshot on a file of its own.
 func TestEveryFailure(t *testing.T) {
 	for _, operation := range []string{"remove", "create", "write", "sync", "close", "rename", "syncdir"} {
 		for _, failure := range []error{
@@ -173,7 +173,8 @@
 	}
 }
 
-// After a failed fsync the same descriptor is not asked again: it would say that all is well, with nothing on the disk.
+// After a failed fsync the same descriptor is not asked again: it would say that all is well, with nothing on
+// the disk.
 func TestFailedFsyncIsNotTrusted(t *testing.T) {
 	disk := written(t)
 	store := NewStoreWithFileSystem(disk, path)
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -1,6 +1,6 @@
-// Package timerqueue is a priority queue of timers, ordered by time. Timers of one time leave it in the order in which they
-// were pushed, so that a run with the same input is repeated exactly. It reads no clock: whoever owns a queue asks for the
-// earliest time and pops what has come.
+// Package timerqueue is a priority queue of timers, ordered by time. Timers of one time leave it in the order
+// in which they were pushed, so that a run with the same input is repeated exactly. It reads no clock: whoever
+// owns a queue asks for the earliest time and pops what has come.
 package timerqueue
 
 import (
@@ -14,13 +14,14 @@
 // removed is the heap index of a timer that is not in a queue any more.
 const removed = -1
 
-// Queue holds timers with a value each. Its zero value is empty and ready for use; it is not safe for concurrent use.
+// Queue holds timers with a value each. Its zero value is empty and ready for use; it is not safe for
+// concurrent use.
 type Queue[T any] struct {
 	timers timerHeap[T]
 	pushed int // timers pushed so far, from which the next takes its sequence number
 }
 
-// Timer is a handle on what was pushed, by which it can be removed before its time.
+// Timer is a handle by which a pushed value can be removed before its time.
 type Timer[T any] struct {
 	at       int64
 	sequence int
@@ -50,7 +51,7 @@
 	return first.at, first.value
 }
 
-// Remove takes a timer out of the queue. A nil timer, or one that was popped or removed before, is left alone.
+// Remove removes a timer. It ignores a nil timer and one that was popped or removed before.
 func (queue *Queue[T]) Remove(timer *Timer[T]) {
 	if timer != nil && timer.index != removed {
 		heap.Remove(&queue.timers, timer.index)
