--- a/internal/neterr/retry.go
+++ b/internal/neterr/retry.go
@@ -12,7 +12,7 @@
 // longest.
 const (
 	minRetryDelay = time.Millisecond
-	maxRetryDelay  = 50 * time.Millisecond
+	maxRetryDelay = 50 * time.Millisecond
 )
 
 // Reader retries reads that met a transient error. To end it, set a deadline on what it reads from, or close
