--- /dev/null
+++ b/internal/router/drawn_events_test.go
@@ -0,0 +1,340 @@
+package router
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"tealpath/control"
+)
+
+// pick draws one of a list, or the zero value of an empty one.
+func pick[T any](rng *rand.Rand, list []T) (value T) {
+	if len(list) == 0 {
+		return value
+	}
+	return list[rng.IntN(len(list))]
+}
+
+// pickNewest draws one of the last few of a list.
+func pickNewest[T any](rng *rand.Rand, list []T) T {
+	return pick(rng, list[max(0, len(list)-8):])
+}
+
+// oneOf reports, with a chance of one in n, that something happens.
+func (run *drawnRun) oneOf(n int) bool { return run.rng.IntN(n) == 0 }
+
+// receive draws a request, some of them odd in one field or another.
+func (run *drawnRun) receive() {
+	run.lastID++
+	if run.lastClient == 0 || run.oneOf(15) {
+		run.lastClient++
+	}
+	request := drawnRequest{
+		client: max(1, run.lastClient-ClientID(run.rng.IntN(3))),
+		seq:    int32(run.lastID),
+		id:     fmt.Sprintf("%016x", uint64(run.lastID)*0x9e3779b97f4a7c15),
+	}
+	if run.oneOf(15) && len(run.requests) > 0 {
+		earlier := pickNewest(run.rng, run.requests)
+		request.id = earlier.id // also where the earlier one is in flight
+		if run.oneOf(2) {
+			request.seq, request.client = earlier.seq, earlier.client
+		}
+	}
+	fields := run.drawFields(request.id)
+	arrivedAt := []int64{0, run.now, run.now - run.rng.Int64N(second/5), run.now + millisecond}[run.rng.IntN(4)]
+	if run.oneOf(60) {
+		arrivedAt = run.now - 3*second
+	}
+	body := []byte(strings.Repeat("q", run.rng.IntN(300)))
+	if run.oneOf(100) {
+		body = make([]byte, maxBodyBytes+run.rng.IntN(2))
+	}
+	run.requests = append(run.requests, request)
+	run.handle(drawnRequestReceived(request, arrivedAt, fields, body))
+}
+
+// drawFields draws the wire fields of a request.
+func (run *drawnRun) drawFields(id string) map[string]string {
+	object := run.rng.IntN(1 + run.rng.IntN(40))
+	fields := map[string]string{
+		"verb":  pick(run.rng, []string{"pictures", "pictures", "pictures", "payments", "permits"}),
+		"txn":   id,
+		"limit": pick(run.rng, []string{"2500", "2500", "1000", "600", "300", "99999999", "0", "21", "030"}),
+		"item":  fmt.Sprintf("%016x", object),
+		"nth":   pick(run.rng, []string{"0", "0", "1", "007"}),
+		"batch": fmt.Sprint(object % 5),
+	}
+	if run.oneOf(4) {
+		fields["unique"] = pick(run.rng, []string{"6ad8595c69c03e9f5892348d52ee1791", "a key", "ä+b"})
+	}
+	if run.oneOf(4) {
+		fields["got"] = pick(run.rng, []string{"4be0c1927d55a6f3", "4BE0C1927D55A6F3", "a,b=c"})
+	}
+	if run.oneOf(6) {
+		fields["second"] = pick(run.rng, []string{"1", "0", "yes"})
+	}
+	if run.oneOf(4) {
+		fields["ram"] = pick(run.rng, []string{"194.179", "0.5", "NaN", "-1", "1e9", "Inf", "x"})
+	}
+	if run.oneOf(12) {
+		run.spoil(fields)
+	}
+	return fields
+}
+
+// spoil makes one field unusable, or takes it away.
+func (run *drawnRun) spoil(fields map[string]string) {
+	name := pick(run.rng, []string{"verb", "txn", "limit", "item", "nth", "batch", "unique"})
+	if run.oneOf(3) {
+		delete(fields, name)
+		return
+	}
+	fields[name] = pick(run.rng, []string{
+		"", "-1", "+3", "x", "256", "255", "4294967295", "2147483648", "1e3", "a=b", "a,b",
+		"0123456789abcdeg", "0123456789ABCDEF0", "a\rb", "a\nb", "0x12345678901234", "1_000",
+	})
+}
+
+// respond draws an endpoint's response, mostly to an attempt that waits for one.
+func (run *drawnRun) respond() {
+	if len(run.sent) == 0 {
+		return
+	}
+	at := run.rng.IntN(len(run.sent))
+	attempt := run.sent[at]
+	if !run.oneOf(12) { // else it is answered twice
+		run.sent = slices.Delete(run.sent, at, at+1)
+	}
+	if run.oneOf(40) && len(run.answered) > 0 {
+		attempt = pickNewest(run.rng, run.answered)
+	}
+	if run.oneOf(60) {
+		attempt = drawnAttempt{attempt.connection + ConnectionID(run.rng.IntN(3)), pickNewest(run.rng, run.requests).id}
+	}
+	run.answered = append(run.answered, attempt)
+	event := ResponseReceived{
+		Connection: attempt.connection,
+		ID:         attempt.id,
+		Result:     control.Succeeded,
+		Body:       []byte(strings.Repeat(":", run.rng.IntN(200))),
+		Note:       int64(run.rng.IntN(6)),
+	}
+	if run.oneOf(8) {
+		results := []control.Result{control.Overloaded, control.NotHeld, control.ServerError, control.Stale, control.NotSent}
+		event.Result = pick(run.rng, results)
+		event.Unversioned = event.Result == control.ServerError && run.oneOf(2)
+		event.Note = int64(run.rng.IntN(10))
+	}
+	event.NotModified = event.Result == control.Succeeded && run.oneOf(8)
+	if run.oneOf(3) {
+		event.IssuedAt = run.now - run.rng.Int64N(12*second)
+	}
+	if run.oneOf(3) {
+		event.LoadReport = []float64{0, float64(run.rng.IntN(30))}
+		event.TimeToFirstByte = run.rng.Int64N(second)
+	}
+	run.handle(event)
+}
+
+// connectionUp establishes a connection that was dialled, or tells once more of one that is.
+func (run *drawnRun) connectionUp() {
+	if len(run.dialled) == 0 || run.oneOf(30) {
+		known := slices.Concat(run.established, run.closed)
+		run.handle(ConnectionUp{Connection: pickNewest(run.rng, known)})
+		return
+	}
+	at := run.rng.IntN(len(run.dialled))
+	connection := run.dialled[at]
+	run.dialled = slices.Delete(run.dialled, at, at+1)
+	run.established = append(run.established, connection)
+	run.handle(ConnectionUp{Connection: connection})
+}
+
+// connectionDown ends a connection, dialled or established.
+func (run *drawnRun) connectionDown() {
+	known := run.established
+	if len(run.dialled) > 0 && run.oneOf(2) {
+		known = run.dialled
+	}
+	event := ConnectionDown{Connection: pick(run.rng, known), Cause: pick(run.rng, []Cause{Remote, Local}), Reason: "text"}
+	if run.oneOf(20) {
+		event.Connection = pickNewest(run.rng, run.closed)
+	}
+	for _, attempt := range run.sent {
+		if attempt.connection == event.Connection && run.oneOf(2) {
+			event.Unsent = append(event.Unsent, attempt.id)
+		}
+	}
+	run.connectionEnded(event.Connection)
+	run.handle(event)
+}
+
+// connectionEnded forgets a connection and what was open on it.
+func (run *drawnRun) connectionEnded(connection ConnectionID) {
+	same := func(other ConnectionID) bool { return other == connection }
+	run.dialled = slices.DeleteFunc(run.dialled, same)
+	run.established = slices.DeleteFunc(run.established, same)
+	run.closed = append(run.closed, connection)
+	run.sent = slices.DeleteFunc(run.sent, func(attempt drawnAttempt) bool { return attempt.connection == connection })
+}
+
+// attemptWithdrawn reports that an attempt was not written, mostly one that was to be withdrawn.
+func (run *drawnRun) attemptWithdrawn() {
+	attempt := pickNewest(run.rng, run.withdrawals)
+	if len(run.sent) > 0 && run.oneOf(4) {
+		attempt = pick(run.rng, run.sent)
+	}
+	run.sent = slices.DeleteFunc(run.sent, func(other drawnAttempt) bool { return other == attempt })
+	run.handle(AttemptWithdrawn{Connection: attempt.connection, ID: attempt.id})
+}
+
+// clientEnded cancels a request, or closes a client's connection in part or wholly.
+func (run *drawnRun) clientEnded() {
+	request := pickNewest(run.rng, run.requests)
+	switch run.rng.IntN(4) {
+	case 0, 1:
+		run.handle(RequestCancelled{Client: request.client, Seq: request.seq})
+	case 2:
+		run.handle(ClientHalfClosed{Client: request.client})
+		if run.oneOf(2) {
+			run.repeatElsewhere(request.id)
+		}
+	default:
+		run.handle(ClientDisconnected{Client: request.client})
+	}
+}
+
+// repeatElsewhere hands in a request under an id that was used, from a new client.
+func (run *drawnRun) repeatElsewhere(id string) {
+	run.lastClient++
+	request := drawnRequest{client: run.lastClient, seq: 1, id: id}
+	run.requests = append(run.requests, request)
+	run.handle(drawnRequestReceived(request, run.now, run.drawFields(id), nil))
+}
+
+// updateEndpoints changes one entry of the endpoint list, or hands in the whole of it.
+func (run *drawnRun) updateEndpoints() {
+	at := run.rng.IntN(len(run.entries))
+	entry := &run.entries[at]
+	switch run.rng.IntN(8) {
+	case 0:
+		entry.Phase = pick(run.rng, []string{"draining", "gone"})
+	case 1, 2:
+		entry.Phase = "ready"
+	case 3:
+		entry.StartedAt, entry.Phase = run.now, "ready"
+	case 4:
+		entry.Capacity = run.rng.Float64() * 10
+	case 5:
+		entry.Address = fmt.Sprint("10.0.", run.rng.IntN(3), ".", 1+run.rng.IntN(4), ":1")
+	case 6:
+		added := drawnEntry(fmt.Sprint("s-", run.rng.IntN(40)), fmt.Sprint("10.0.3.", run.rng.IntN(30), ":1"))
+		added.StartedAt = run.now
+		added.Location = pick(run.rng, []string{"here", "here", "here", "there"})
+		run.entries = append(run.entries, added)
+		at = len(run.entries) - 1
+	case 7:
+		if len(run.entries) > 5 {
+			run.entries = slices.Delete(run.entries, at, at+1)
+		}
+		run.handle(EndpointListUpdated{Complete: true, Entries: slices.Clone(run.entries)})
+		return
+	}
+	for i := range run.entries { // of two entries with one name the changed one counts
+		if i != at && run.entries[i].Instance == run.entries[at].Instance {
+			run.entries[i] = run.entries[at]
+		}
+	}
+	run.handle(EndpointListUpdated{Entries: slices.Clone(run.entries[at : at+1])})
+}
+
+// purge draws the purge of an object or a group.
+func (run *drawnRun) purge() {
+	event := PurgeReceived{
+		Object:   fmt.Sprintf("%016x", run.rng.IntN(40)),
+		Group:    int64(run.rng.IntN(5)),
+		PurgedAt: run.now - run.rng.Int64N(second),
+	}
+	if run.oneOf(3) {
+		event.Object = ""
+	}
+	run.handle(event)
+}
+
+// probeEnded draws the outcome of a probe that another instance made, of an endpoint that may be unknown.
+func (run *drawnRun) probeEnded() {
+	event := ProbeEnded{Instance: pick(run.rng, run.entries).Instance, Healthy: !run.oneOf(3)}
+	if run.oneOf(10) {
+		event.Instance = "nobody"
+	}
+	if run.oneOf(2) {
+		event.LoadReport = []float64{1, float64(run.rng.IntN(30))}
+	}
+	run.handle(event)
+}
+
+// advance lets the time stand, go on, jump, or at times go back.
+func (run *drawnRun) advance() {
+	switch n := run.rng.IntN(100); {
+	case n < 35:
+	case n < 92:
+		run.now += run.rng.Int64N(20 * millisecond)
+	case n < 97:
+		run.now += run.rng.Int64N(400 * millisecond)
+	case n < 98:
+		run.now -= run.rng.Int64N(millisecond)
+	case run.oneOf(6):
+		run.now += run.rng.Int64N(20 * second)
+	}
+}
+
+// timerFired goes on to the time of the timer, or a moment before it.
+func (run *drawnRun) timerFired() {
+	if run.timer > run.now && run.timer < run.now+2*second {
+		run.now = run.timer - int64(run.rng.IntN(2))
+	}
+	run.handle(TimerFired{})
+}
+
+// beginShutdown starts the graceful shutdown, in every second run.
+func (run *drawnRun) beginShutdown() {
+	run.shutdown = true
+	if run.oneOf(2) {
+		run.handle(ShutdownStarted{AnswerDeadline: run.now + run.rng.Int64N(2*second)})
+	}
+}
+
+// step draws one event.
+func (run *drawnRun) step(number int) {
+	run.advance()
+	if number > drawnEventsPerRun*9/10 && !run.shutdown {
+		run.beginShutdown()
+		return
+	}
+	switch n := run.rng.IntN(100); {
+	case n < 27:
+		run.receive()
+	case n < 52:
+		run.respond()
+	case n < 64:
+		run.connectionUp()
+	case n < 68:
+		run.connectionDown()
+	case n < 74:
+		run.clientEnded()
+	case n < 77:
+		run.attemptWithdrawn()
+	case n < 81:
+		run.updateEndpoints()
+	case n < 84:
+		run.purge()
+	case n < 86:
+		run.probeEnded()
+	case n < 99:
+		run.timerFired()
+	default:
+		run.handle(pick(run.rng, []Event{nil, 7, "no event"})) // it is passed over
+	}
+}
