--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -228,12 +228,13 @@
 func requestReceived(
 	client router.ClientID, seq int32, arrivedAt int64, arguments thrift.Arguments,
 ) router.RequestReceived {
+	request, err := router.DecodeRequest(arguments.Fields, arguments.Body)
 	return router.RequestReceived{
-		Client:    client,
-		Seq:       seq,
-		ArrivedAt: arrivedAt,
-		Fields:    arguments.Fields,
-		Body:      arguments.Body,
+		Client:      client,
+		Seq:         seq,
+		ArrivedAt:   arrivedAt,
+		Request:     request,
+		DecodeError: err,
 	}
 }
 
--- a/internal/downstream/write.go
+++ b/internal/downstream/write.go
@@ -72,7 +72,7 @@
 	case router.Failed:
 		answer.Field = structFailed
 	case router.BadRequest:
-		answer.Fault, answer.Text = thrift.ProtocolError, response.Reason
+		answer.Fault, answer.Text = thrift.ProtocolError, response.Reason.Error()
 	}
 	return answer
 }
--- a/internal/downstream/write_test.go
+++ b/internal/downstream/write_test.go
@@ -1,6 +1,7 @@
 package downstream
 
 import (
+	"errors"
 	"reflect"
 	"tealpath/internal/protocol/thrift"
 	"tealpath/internal/router"
@@ -41,7 +42,7 @@
 		},
 		{
 			"bad request",
-			router.Respond{Kind: router.BadRequest, Seq: 5, Reason: "no such class"},
+			router.Respond{Kind: router.BadRequest, Seq: 5, Reason: errors.New("no such class")},
 			thrift.Answer{Method: "call", Seq: 5, Fault: thrift.ProtocolError, Text: "no such class"},
 		},
 	} {
--- a/internal/experiment/coldfleet.go
+++ b/internal/experiment/coldfleet.go
@@ -353,8 +353,15 @@
 	}
 	p.seq++
 	p.asked[coldAsk{x.id, p.seq}] = w
-	p.handle(x, router.RequestReceived{Client: 1, Seq: p.seq, Fields: map[string]string{"verb": "stills", "txn": fmt.Sprintf("%016x", uint64(p.seq)),
-		"limit": "1000", "item": fmt.Sprintf("%016x", w.object), "nth": "0", "batch": "17"}})
+	request, err := router.DecodeRequest(map[string]string{
+		"verb":  "stills",
+		"txn":   fmt.Sprintf("%016x", uint64(p.seq)),
+		"limit": "1000",
+		"item":  fmt.Sprintf("%016x", w.object),
+		"nth":   "0",
+		"batch": "17",
+	}, nil)
+	p.handle(x, router.RequestReceived{Client: 1, Seq: p.seq, Request: request, DecodeError: err})
 }
 
 func (p *coldPlay) comeAgain(w *coldWant, later int64) {
--- /dev/null
+++ b/internal/router/attempts.go
@@ -0,0 +1,231 @@
+package router
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"tealpath/control"
+)
+
+// minResponseTime is the least time, ns, that an endpoint is given to respond. The wire tells it in this unit.
+const minResponseTime = millisecond
+
+// attempt is one sending of a request to one endpoint.
+type attempt struct {
+	request      *inFlightRequest
+	number       int       // of the request's attempts, from 0
+	cache        *endpoint // that it is sent to
+	source       *endpoint // from which a cache miss is filled; nil: it is not filled
+	connection   *connection
+	upstream     UpstreamRequest
+	startedAt    int64 // ns
+	deadline     int64 // of its response, ns
+	sendDeadline int64 // until which its writing may begin, ns
+	timer        *timer
+	ended        bool
+}
+
+// startAttempt starts an attempt that the policy decided on.
+func (r *Router) startAttempt(request *inFlightRequest, decided control.Attempt) {
+	attempt := r.newAttempt(request, decided)
+	request.attempts = append(request.attempts, attempt)
+	if attempt.cache != nil {
+		attempt.connection = r.pickConnection(attempt.cache, attempt.upstream.ID)
+	}
+	if attempt.connection == nil {
+		// It counts against the attempts of the request, also while this machine can open no connections: the
+		// endpoint may look reachable by a connection that is full, and the policy would decide on the same
+		// again without end.
+		attempt.connection = &connection{}
+		r.attemptEnded(attempt, control.Outcome{Result: control.NotSent})
+		return
+	}
+	attempt.connection.inFlight[attempt.upstream.ID] = attempt
+	attempt.connection.lastUsedAt = r.now
+	if attempt.connection.established {
+		r.send(attempt)
+		return
+	}
+	attempt.timer = r.timers.Push(attempt.sendDeadline, timerTask{kind: attemptTimer, attempt: attempt})
+}
+
+// newAttempt returns an attempt that has no connection yet.
+func (r *Router) newAttempt(request *inFlightRequest, decided control.Attempt) *attempt {
+	timeout := request.Deadline - r.now
+	if decided.Timeout > 0 {
+		timeout = min(timeout, decided.Timeout)
+	}
+	deadline := r.now + timeout
+	received := &request.received
+	created := &attempt{
+		request:      request,
+		number:       len(request.attempts),
+		cache:        r.endpoints.byID[decided.Cache],
+		startedAt:    r.now,
+		deadline:     deadline,
+		sendDeadline: min(deadline-minResponseTime, r.now+decided.SendTimeout),
+		upstream: UpstreamRequest{
+			ID:             received.ID,
+			Class:          received.Class,
+			Object:         received.Object,
+			Part:           received.Part.Text,
+			Body:           received.Body,
+			ClientETag:     received.ClientETag,
+			IdempotencyKey: received.IdempotencyKey,
+			Deadline:       deadline,
+			Attempt:        decided,
+		},
+	}
+	if decided.CacheOnly {
+		return created
+	}
+	if source := r.endpoints.byID[decided.Source]; source != nil {
+		created.source = source
+		created.upstream.Source = source.Instance
+	}
+	return created
+}
+
+// send sends an attempt on its connection, which is established.
+func (r *Router) send(attempt *attempt) {
+	r.setAttemptTimer(attempt)
+	r.emit(Send{
+		Connection:   attempt.connection.id,
+		Request:      attempt.upstream,
+		SendDeadline: attempt.sendDeadline,
+	})
+}
+
+// onEstablishedConnection reports whether an attempt is in flight on a connection that is established: it may
+// be written.
+func (attempt *attempt) onEstablishedConnection() bool {
+	return !attempt.ended && attempt.connection.established
+}
+
+// usesUnready reports whether an attempt goes to an endpoint that is not ready, or fills a cache miss from one.
+func (attempt *attempt) usesUnready() bool {
+	return !attempt.cache.isReady() || attempt.source != nil && !attempt.source.isReady()
+}
+
+// attemptEnded tells the policy how an attempt ended and carries out its decision.
+func (r *Router) attemptEnded(attempt *attempt, outcome control.Outcome) {
+	if attempt.ended {
+		return
+	}
+	attempt.ended = true
+	attempt.upstream.Body = nil
+	r.timers.Remove(attempt.timer)
+	request := attempt.request
+	outcome.Attempt = attempt.number
+	outcome.Elapsed = r.now - attempt.startedAt
+	outcome.RequestEnded = request.finished
+	decision := r.policy.AttemptEnded(r.now, &request.Request, outcome)
+	if request.finished {
+		r.cancelAttempts(request, decision.Cancel)
+		return
+	}
+	r.applyDecision(request, decision)
+}
+
+// cancelAttempts cancels those of a request's attempts that have these numbers and have not ended.
+func (r *Router) cancelAttempts(request *inFlightRequest, numbers []int) {
+	for _, number := range numbers {
+		attempt := request.attempts[number]
+		if attempt.ended {
+			continue
+		}
+		result := control.Cancelled
+		if !attempt.connection.established {
+			result = control.NotSent
+		}
+		r.abandonAttempt(attempt)
+		r.attemptEnded(attempt, control.Outcome{Result: result})
+	}
+}
+
+// abandonAttempt takes an attempt off its connection. A connection that has been silent since is marked
+// unresponsive: one to a machine that has failed stays open, also after the machine is back.
+func (r *Router) abandonAttempt(attempt *attempt) {
+	connection, id := attempt.connection, attempt.upstream.ID
+	if connection.closed || connection.inFlight[id] != attempt {
+		return
+	}
+	delete(connection.inFlight, id)
+	if !connection.established {
+		return // nothing was sent
+	}
+	connection.abandonedAt[id] = r.now
+	if r.config.CancelAttempts {
+		r.emit(CancelAttempt{Connection: connection.id, ID: id})
+	} else {
+		r.emit(WithdrawAttempt{Connection: connection.id, ID: id}) // the endpoint need not know of what is not written
+	}
+	r.checkResponsive(attempt)
+	r.closeIfUnresponsive(connection)
+}
+
+// withdrawAttempt ends an attempt that is not written yet. On an established connection only its writer knows
+// whether it is: AttemptWithdrawn follows if not.
+func (r *Router) withdrawAttempt(attempt *attempt) {
+	if attempt.connection.established {
+		r.emit(WithdrawAttempt{Connection: attempt.connection.id, ID: attempt.upstream.ID})
+		return
+	}
+	r.abandonAttempt(attempt)
+	r.attemptEnded(attempt, control.Outcome{Result: control.NotSent})
+}
+
+// withdrawAttempts withdraws the attempts of a request.
+func (r *Router) withdrawAttempts(request *inFlightRequest) {
+	for _, attempt := range slices.Clone(request.attempts) {
+		if !attempt.ended {
+			r.withdrawAttempt(attempt)
+		}
+	}
+}
+
+// withdrawMatching withdraws attempts of all requests. Written later than the grace for drains and purges, they
+// would go to endpoints that are draining, or accept cache entries from before a purge.
+func (r *Router) withdrawMatching(matches func(*attempt) bool) {
+	for _, id := range sortedKeys(r.connections) {
+		connection := r.connections[id]
+		if connection == nil || !connection.carriesAny(matches) {
+			continue
+		}
+		for _, attempt := range connection.attempts() {
+			if matches(attempt) && !attempt.ended {
+				r.withdrawAttempt(attempt)
+			}
+		}
+	}
+}
+
+// attemptWithdrawn ends an attempt that was sent on an established connection and was not written.
+func (r *Router) attemptWithdrawn(event AttemptWithdrawn) {
+	connection := r.connections[event.Connection]
+	if connection == nil || connection.inFlight[event.ID] == nil {
+		return // it was cancelled meanwhile
+	}
+	attempt := connection.inFlight[event.ID]
+	delete(connection.inFlight, event.ID)
+	r.checkResponsive(attempt)
+	r.attemptEnded(attempt, control.Outcome{Result: control.NotSent})
+	r.closeIfUnresponsive(connection)
+}
+
+// attempts returns what is in flight on a connection, in the order in which it was started.
+func (c *connection) attempts() []*attempt {
+	return slices.SortedFunc(maps.Values(c.inFlight), func(a, b *attempt) int {
+		return cmp.Or(cmp.Compare(a.startedAt, b.startedAt), cmp.Compare(a.upstream.ID, b.upstream.ID))
+	})
+}
+
+// carriesAny reports whether an attempt in flight on a connection matches.
+func (c *connection) carriesAny(matches func(*attempt) bool) bool {
+	for _, attempt := range c.inFlight {
+		if matches(attempt) {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/router/clients_test.go
@@ -0,0 +1,139 @@
+package router
+
+import (
+	"tealpath/control"
+	"testing"
+)
+
+func TestClientCancellation(t *testing.T) {
+	runScenarios(t, func(t *testing.T) *harness { return newHarness(t, nil) }, []scenario{
+		{"the client disconnects: no response", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.handle(ClientDisconnected{Client: 1})
+			h.respond(success)
+		}, "dial, send 1, cancel 1"},
+		{"the client cancels one of two", func(h *harness) {
+			h.request(1, nil)
+			h.request(2, nil)
+			h.connectNewest()
+			h.handle(RequestCancelled{Client: 1, Seq: 1})
+			h.respond(success)
+		}, "dial, send 1, send 2, cancel 1, served 2:bytes"},
+		{"cancelled before its connection is established: not sent", func(h *harness) {
+			h.request(1, nil)
+			h.handle(RequestCancelled{Client: 1, Seq: 1})
+			h.connectNewest()
+		}, "dial"},
+		{"a cancellation of no request", func(h *harness) {
+			h.handle(RequestCancelled{Client: 9, Seq: 1})
+		}, ""},
+		{"a sequence number in use", func(h *harness) {
+			h.request(1, nil)
+			h.request(1, nil)
+			h.connectNewest()
+			h.respond(success)
+		}, "dial, bad request 1, send 1, served 1:bytes"},
+		{"an unknown class", func(h *harness) {
+			h.request(1, map[string]string{"verb": "odd"})
+		}, "bad request 1"},
+		{"an ID in use, and one abandoned before: no connection carries it twice", func(h *harness) {
+			first := map[string]string{"txn": requestID(1)}
+			h.request(1, nil)
+			h.connectNewest()
+			h.request(2, first)
+			h.handle(RequestCancelled{Client: 1, Seq: 1})
+			h.request(3, first)
+		}, "dial, send 1, bad request 2, cancel 1, dial"},
+	})
+}
+
+// A client that closes its sending side may still read: what is in flight is answered, but nothing more is
+// sent.
+func TestClientHalfClose(t *testing.T) {
+	halfClosed := ClientHalfClosed{Client: 1}
+	runScenarios(t, newTwoClassHarness, []scenario{
+		{"while its connection is dialled: rejected at once, and not sent", func(h *harness) {
+			h.request(1, nil)
+			h.handle(halfClosed)
+			h.advance(100 * millisecond)
+			h.connectNewest()
+			h.advance(2 * second)
+		}, "dial, rejected 1"},
+		{"while in flight: served", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.handle(halfClosed)
+			h.respond(success)
+		}, "dial, send 1, served 1:bytes"},
+		{"while in flight, and the attempt fails: no retry", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.handle(halfClosed)
+			h.respond(ResponseReceived{Result: control.Overloaded})
+			h.advance(2 * second)
+		}, "dial, send 1, rejected 1"},
+		{"while in flight, and no response comes: no hedge", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.handle(halfClosed)
+			h.advance(3 * second)
+		}, "dial, send 1, cancel 1, close 1, rejected 1"},
+		{"while a non-idempotent request is in flight whose connection is lost: it fails", func(h *harness) {
+			h.request(1, nonIdempotent)
+			h.connectNewest()
+			h.handle(halfClosed)
+			h.handle(ConnectionDown{Connection: h.dialled[0]})
+		}, "dial, send 1, failed 1"},
+		{"while it waits for an endpoint", func(h *harness) {
+			setPhase := func(phase string) {
+				for _, entry := range initialEndpoints[:2] {
+					entry.Phase = phase
+					h.update(entry)
+				}
+			}
+			setPhase("draining")
+			h.request(1, nil)
+			h.advance(10 * millisecond)
+			if len(h.observed) > 0 {
+				h.t.Fatalf("it does not wait: %v", h.observed)
+			}
+			h.handle(halfClosed)
+			setPhase("ready")
+			h.advance(2 * second)
+		}, "rejected 1"},
+		{"with one of two in flight", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.request(2, map[string]string{"item": objectOnOtherCache(h.t)}) // its cache has no connection yet
+			h.handle(halfClosed)
+			h.respond(success)
+		}, "dial, send 1, dial, rejected 2, served 1:bytes"},
+	})
+}
+
+// The same request on another connection of its client.
+func TestRepeatedRequestID(t *testing.T) {
+	halfClosed := ClientHalfClosed{Client: 1}
+	runScenarios(t, newTwoClassHarness, []scenario{
+		{"the first client has closed its sending side: the new request is served", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.handle(halfClosed)
+			h.requestElsewhere(1, nil)
+			h.advance(500 * millisecond)
+		}, "dial, send 1, failed 1, cancel 1, dial"},
+		{"the same of a non-idempotent request: it may have been executed", func(h *harness) {
+			h.request(1, nonIdempotent)
+			h.connectNewest()
+			h.handle(halfClosed)
+			h.requestElsewhere(1, nonIdempotent)
+		}, "dial, send 1, failed 1, cancel 1, failed 1"},
+		{"the first client still sends: the ID is in use", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.requestElsewhere(1, nil)
+			h.respond(success)
+		}, "dial, send 1, bad request 1, served 1:bytes"},
+	})
+}
--- /dev/null
+++ b/internal/router/connections_test.go
@@ -0,0 +1,170 @@
+package router
+
+import (
+	"fmt"
+	"slices"
+	"tealpath/control"
+	"tealpath/internal/connpool"
+	"testing"
+)
+
+func TestConnections(t *testing.T) {
+	runScenarios(t, func(t *testing.T) *harness { return newHarness(t, nil) }, []scenario{
+		{"a second request for the same endpoint shares the connection", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.request(2, map[string]string{"nth": "0"})
+		}, "dial, send 1, send 2"},
+		{"a dial fails: nothing was executed, and it is sent elsewhere", func(h *harness) {
+			h.request(1, nil)
+			h.handle(ConnectionDown{Connection: h.dialled[0]})
+			h.connectNewest()
+		}, "dial, dial, send 1"},
+		{"lost before it was completely written: elsewhere", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.handle(ConnectionDown{Connection: h.dialled[0], Unsent: []RequestID{requestID(1)}})
+		}, "dial, send 1, dial"},
+		{"an idle connection is closed before the other side closes it", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.respond(success)
+			h.advance(16 * second)
+		}, "dial, send 1, served 1:bytes, close 1"},
+		{"beside a connection that is silent for longer than a dial may take another is dialled", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.advance(300 * millisecond)
+			h.request(2, nil)
+			h.advance(150 * millisecond)
+			h.request(3, nil)
+		}, "dial, send 1, send 2, dial"},
+	})
+}
+
+// A lost connection is one failure of its endpoint, however much was in flight on it.
+func TestLostConnectionCountsOnce(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		unsent bool
+	}{
+		{"with all written", false},
+		{"with nothing written", true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness(t, func(_ *Limits, settings *control.Settings) { settings.MaxAttempts = 1 })
+			for seq := range int32(20) {
+				h.request(seq, map[string]string{"item": fmt.Sprintf("%016x", seq)})
+			}
+			h.connectAll()
+			connection, unsent := h.endpoints.byName["s-a"].connections[0], []RequestID(nil)
+			if c.unsent {
+				unsent = sortedKeys(connection.inFlight)
+			}
+			if len(connection.inFlight) < 3 {
+				t.Fatalf("%d in flight", len(connection.inFlight))
+			}
+			h.handle(ConnectionDown{Connection: connection.id, Unsent: unsent})
+			h.advance(second / 10)
+			if len(h.logged) > 0 {
+				t.Errorf("log %v", h.logged)
+			}
+		})
+	}
+}
+
+// A connection to a machine that has failed stays open and silent, also once the machine is back.
+func TestUnresponsiveConnectionIsNotUsedAgain(t *testing.T) {
+	for _, c := range []struct {
+		name     string
+		responds bool
+		want     int // connections to the cache
+	}{
+		{"silent since the request was sent", false, 0},
+		{"slow with one response only", true, 1},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness(t, nil)
+			h.request(1, map[string]string{"limit": "600"})
+			h.connectNewest()
+			if c.responds {
+				h.now += millisecond
+				h.request(2, nil)
+				h.now += millisecond
+				h.respond(ResponseReceived{Result: control.Succeeded})
+			}
+			cache := h.connections[h.dialled[0]].endpoint
+			h.advance(second)
+			if got := len(cache.connections); got != c.want {
+				t.Errorf("%d connections, want %d; effects %v", got, c.want, h.observed)
+			}
+		})
+	}
+}
+
+// With a plan of connections: no more than a router's share of a cache, the subset is connected to ahead, and
+// caches that can't be reached are passed over.
+func TestConnectionPlan(t *testing.T) {
+	plan := connpool.New(connpool.Config{Router: "n", Seed: 7, Routers: 3, MaxConnections: 3, MaxConnectRate: 30})
+	h := newHarness(t, func(limits *Limits, _ *control.Settings) { limits.ConnectionPlan = plan })
+	h.advance(second) // two caches are connected to ahead, the parent and the origin are not
+	if count := len(h.dialled); count != 2 {
+		t.Fatalf("%d connections are dialled ahead: %v", count, h.observed)
+	}
+	h.connectAll()
+	for seq := range int32(20) {
+		h.request(seq, map[string]string{"item": fmt.Sprintf("%016x", 77*seq)})
+	}
+	if len(h.dialled) != 2 || len(h.sends) == 0 {
+		t.Errorf("%d connections, %d sent", len(h.dialled), len(h.sends))
+	}
+	first := h.sends[0]
+	for _, send := range h.sends {
+		h.handle(ResponseReceived{
+			Connection: send.Connection,
+			ID:         send.Request.ID,
+			Result:     control.Succeeded,
+			Note:       1,
+		})
+	}
+	h.handle(ConnectionDown{Connection: first.Connection}) // its objects go to the other until it may be dialled again
+	sent := len(h.sends)
+	h.request(100, map[string]string{"item": first.Request.Object})
+	if len(h.sends) != sent+1 || h.sends[sent].Connection == first.Connection {
+		t.Errorf("%d sent: %v", len(h.sends)-sent, h.observed)
+	}
+	h.advance(second / 2)
+	if len(h.dialled) != 3 {
+		t.Errorf("%d connections: the one that was lost is not dialled again", len(h.dialled))
+	}
+}
+
+// Where there are more caches than connections, those that have one serve the objects of the others.
+func TestMoreCachesThanConnections(t *testing.T) {
+	const caches, maxConnections, requests = 60, 8, 100
+	h := newHarness(t, func(limits *Limits, _ *control.Settings) { limits.MaxConnections = maxConnections })
+	list := EndpointListUpdated{Complete: true, Entries: slices.Clone(initialEndpoints[2:])}
+	for n := range caches {
+		list.Entries = append(list.Entries, cacheEntry(fmt.Sprintf("s-%02d", n), fmt.Sprintf("10.0.1.%d:1", n)))
+	}
+	h.handle(list)
+	served := 0
+	for seq := int32(1); seq <= requests; seq++ {
+		dialled, sent := len(h.dialled), len(h.sends)
+		h.observed = nil
+		h.request(seq, map[string]string{"item": fmt.Sprintf("%016x", 1000+seq), "nth": "0"})
+		if len(h.dialled) > dialled {
+			h.connectNewest()
+		}
+		if len(h.sends) > sent {
+			h.respond(ResponseReceived{Result: control.Succeeded, Body: []byte("a")})
+		}
+		if slices.Contains(h.observed, fmt.Sprintf("served %da", seq)) {
+			served++
+		}
+		h.advance(50 * millisecond)
+	}
+	if served != requests || len(h.dialled) > maxConnections {
+		t.Errorf("%d of %d were served over %d connections", served, requests, len(h.dialled))
+	}
+}
--- /dev/null
+++ b/internal/router/deadlines_test.go
@@ -0,0 +1,193 @@
+package router
+
+import (
+	"strings"
+	"testing"
+)
+
+func TestDeadlines(t *testing.T) {
+	runScenarios(t, func(t *testing.T) *harness { return newHarness(t, nil) }, []scenario{
+		{"no response: cancelled at the endpoint, rejected in time, answered once", func(h *harness) {
+			h.request(1, map[string]string{"limit": "300"})
+			h.connectNewest()
+			h.advance(279 * millisecond)
+			h.note("279 ms")
+			h.advance(2 * millisecond)
+			h.advance(2 * second)
+		}, "dial, send 1, 279 ms, cancel 1, rejected 1"},
+		{"no connection is established: rejected before half its time, not at the end of it", func(h *harness) {
+			h.request(1, map[string]string{"limit": "600"})
+			h.advance(289 * millisecond)
+			h.note("289 ms")
+			h.advance(2 * millisecond)
+		}, "dial, 289 ms, rejected 1"},
+		{"once sent it has all its time", func(h *harness) {
+			h.request(1, map[string]string{"limit": "600"})
+			h.advance(250 * millisecond)
+			h.connectNewest()
+			h.advance(250 * millisecond)
+			h.respond(success)
+		}, "dial, send 1, served 1:bytes"},
+		{"a timeout longer than any class's is shortened to that", func(h *harness) {
+			h.request(1, map[string]string{"limit": "99999999"})
+			if at := h.requests.find(1, 1).Deadline; at != h.now+25*second/10 {
+				h.t.Errorf("deadline in %d ns", at-h.now)
+			}
+		}, "dial"},
+		{"a size that is told, and one that makes no sense", func(h *harness) {
+			h.request(1, map[string]string{"ram": "194.179"})
+			h.request(2, map[string]string{"ram": "NaN"})
+			if a, b := h.requests.find(1, 1).SizeKB, h.requests.find(1, 2).SizeKB; a != 194.179 || b != 0 {
+				h.t.Errorf("sizes %v and %v", a, b)
+			}
+		}, "dial"},
+		{"a shutdown shortens the time of all requests in flight and of all that come", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.handle(ShutdownStarted{AnswerDeadline: h.now + 300*millisecond})
+			h.request(2, nil)
+			h.advance(301 * millisecond)
+		}, "dial, send 1, send 2, cancel 2, rejected 2, cancel 1, rejected 1"},
+	})
+}
+
+func TestDeadlineEdges(t *testing.T) {
+	runScenarios(t, newTwoClassHarness, []scenario{
+		{"a shutdown while its connection is dialled: its time is shortened too", func(h *harness) {
+			h.request(1, nil)
+			h.handle(ShutdownStarted{AnswerDeadline: h.now + 300*millisecond})
+			h.advance(100 * millisecond)
+			h.connectNewest()
+			if budget := h.sends[0].Request.Deadline - h.now; budget != 200*millisecond {
+				h.t.Errorf("the endpoint is to respond within %d ms", budget/millisecond)
+			}
+			h.advance(201 * millisecond)
+		}, "dial, send 1, cancel 1, rejected 1"},
+		// The timer of the send deadline is late in the next two.
+		{"connected just before its send deadline", func(h *harness) {
+			h.request(1, map[string]string{"limit": "600"})
+			h.now += 289 * millisecond
+			h.connectNewest()
+		}, "dial, send 1"},
+		{"connected after its send deadline: not sent", func(h *harness) {
+			h.request(1, map[string]string{"limit": "600"})
+			h.now += 300 * millisecond
+			h.connectNewest()
+		}, "dial, rejected 1"},
+		{"a response at the deadline is served", func(h *harness) {
+			h.request(1, map[string]string{"limit": "600"})
+			h.connectNewest()
+			h.now += 580 * millisecond
+			h.respond(success)
+		}, "dial, send 1, served 1:bytes"},
+	})
+}
+
+// A request's time runs from when it arrived, not from when it was read.
+func TestDeadlineRunsFromArrival(t *testing.T) {
+	const unknown = -1
+	for _, c := range []struct {
+		name     string
+		waitedMS int64 // until it was read
+		wantMS   int64 // that are left, less the way back to the client; 0: it is rejected at once
+	}{
+		{"read at once", 0, 2480},
+		{"unknown arrival", unknown, 2480},
+		{"after a second", 1000, 1480},
+		{"at its deadline", 2480, 0},
+		{"after its deadline", 9000, 0},
+		{"before it came: clocks are read in turn", -50, 2480},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newTwoClassHarness(t)
+			event := requestEvent(1, 1, requestFields(1, nil), nil)
+			if c.waitedMS != unknown {
+				event.ArrivedAt = h.now - c.waitedMS*millisecond
+			}
+			h.handle(event)
+			if c.wantMS == 0 {
+				h.expect("rejected 1")
+				return
+			}
+			h.connectNewest()
+			if got := (h.sends[0].Request.Deadline - h.now) / millisecond; got != c.wantMS {
+				t.Errorf("%d ms are left, want %d", got, c.wantMS)
+			}
+		})
+	}
+}
+
+// The response's deadline is the same however late a request is written, and it bounds when that may be.
+func TestSendDeadline(t *testing.T) {
+	h := newTwoClassHarness(t)
+	h.request(1, map[string]string{"limit": "600"})
+	h.now += 100 * millisecond
+	h.connectNewest()
+	send := h.sends[0]
+	if left := send.Request.Deadline - h.now; left != 480*millisecond {
+		t.Errorf("to be answered within %d ms", left/millisecond)
+	}
+	if left := send.SendDeadline - h.now; left != 190*millisecond {
+		t.Errorf("to be written within %d ms", left/millisecond)
+	}
+}
+
+// Timers fire a little early at times, before anything is due.
+func TestEarlyTimerIsSetAgain(t *testing.T) {
+	h := newHarness(t, nil)
+	h.now = h.timerSetFor - 1
+	set := false
+	for _, effect := range h.Handle(h.now, TimerFired{}) {
+		_, isTimer := effect.(SetTimer)
+		set = set || isTimer
+	}
+	if !set {
+		t.Error("the timer was not set again")
+	}
+}
+
+// A panic of the periodic work does not make it busy.
+func TestPanicOfPeriodicWork(t *testing.T) {
+	h := newHarness(t, nil)
+	h.policy = nil
+	h.advance(second)
+	if h.timerSetFor < h.now+100*millisecond {
+		t.Errorf("the timer is set for %d ms from now", (h.timerSetFor-h.now)/millisecond)
+	}
+}
+
+// A panic of one event leaves no request without a response.
+func TestPanicOfOneEvent(t *testing.T) {
+	h := newHarness(t, nil)
+	h.request(1, nil)
+	h.connectNewest()
+	h.connections[h.dialled[0]].endpoint = nil // no event can bring this about
+	h.handle(ConnectionDown{Connection: h.dialled[0]})
+	h.advance(3 * second)
+	if last := h.observed[len(h.observed)-1]; !strings.HasSuffix(last, " 1") || h.InFlight() != 0 {
+		t.Errorf("effects %v, %d in flight", h.observed, h.InFlight())
+	}
+}
+
+// Requests end at their deadline whatever the policy says.
+func TestRequestsEndWithoutThePolicy(t *testing.T) {
+	h := newHarness(t, nil)
+	h.request(1, nil)
+	h.request(2, nil)
+	request := h.requests.find(1, 1)
+	h.timers.Remove(request.recheckTimer)
+	for _, attempt := range request.attempts {
+		h.timers.Remove(attempt.timer)
+		attempt.ended = true
+	}
+	h.handle(RequestCancelled{Client: 1, Seq: 2})
+	const grace = 8 * millisecond // of the settings
+	h.advance(25*second/10 - responseTransit + grace - millisecond)
+	if h.InFlight() != 1 {
+		t.Fatalf("%d requests in flight within the grace after the deadline", h.InFlight())
+	}
+	h.advance(millisecond)
+	if last := h.observed[len(h.observed)-1]; last != "failed 1" || h.InFlight() != 0 {
+		t.Errorf("effects %v, %d in flight", h.observed, h.InFlight())
+	}
+}
--- a/internal/router/drawn_events_test.go
+++ b/internal/router/drawn_events_test.go
@@ -122,8 +122,13 @@
 		Note:       int64(run.rng.IntN(6)),
 	}
 	if run.oneOf(8) {
-		results := []control.Result{control.Overloaded, control.NotHeld, control.ServerError, control.Stale, control.NotSent}
-		event.Result = pick(run.rng, results)
+		event.Result = pick(run.rng, []control.Result{
+			control.Overloaded,
+			control.NotHeld,
+			control.ServerError,
+			control.Stale,
+			control.NotSent,
+		})
 		event.Unversioned = event.Result == control.ServerError && run.oneOf(2)
 		event.Note = int64(run.rng.IntN(10))
 	}
@@ -158,7 +163,11 @@
 	if len(run.dialled) > 0 && run.oneOf(2) {
 		known = run.dialled
 	}
-	event := ConnectionDown{Connection: pick(run.rng, known), Cause: pick(run.rng, []Cause{Remote, Local}), Reason: "text"}
+	event := ConnectionDown{
+		Connection: pick(run.rng, known),
+		Cause:      pick(run.rng, []Cause{Remote, Local}),
+		Reason:     "text",
+	}
 	if run.oneOf(20) {
 		event.Connection = pickNewest(run.rng, run.closed)
 	}
@@ -177,7 +186,9 @@
 	run.dialled = slices.DeleteFunc(run.dialled, same)
 	run.established = slices.DeleteFunc(run.established, same)
 	run.closed = append(run.closed, connection)
-	run.sent = slices.DeleteFunc(run.sent, func(attempt drawnAttempt) bool { return attempt.connection == connection })
+	run.sent = slices.DeleteFunc(run.sent, func(attempt drawnAttempt) bool {
+		return attempt.connection == connection
+	})
 }
 
 // attemptWithdrawn reports that an attempt was not written, mostly one that was to be withdrawn.
@@ -230,7 +241,7 @@
 	case 5:
 		entry.Address = fmt.Sprint("10.0.", run.rng.IntN(3), ".", 1+run.rng.IntN(4), ":1")
 	case 6:
-		added := drawnEntry(fmt.Sprint("s-", run.rng.IntN(40)), fmt.Sprint("10.0.3.", run.rng.IntN(30), ":1"))
+		added := cacheEntry(fmt.Sprint("s-", run.rng.IntN(40)), fmt.Sprint("10.0.3.", run.rng.IntN(30), ":1"))
 		added.StartedAt = run.now
 		added.Location = pick(run.rng, []string{"here", "here", "here", "there"})
 		run.entries = append(run.entries, added)
--- a/internal/router/drawn_test.go
+++ b/internal/router/drawn_test.go
@@ -21,8 +21,9 @@
 	effectsDigestFile = "testdata/effects.digests"
 )
 
-// recordEffects writes the digests of this code in place of the recorded ones. It is for changes that are to change
-// effects, in the same commit; a change that is to leave all effects as they are is held to the digests before it.
+// recordEffects writes the digests of this code in place of the recorded ones. It is for changes that are to
+// change effects, in the same commit; a change that is to leave all effects as they are is held to the digests
+// before it.
 var recordEffects = flag.Bool("record", false, "record the digests of the drawn effects anew")
 
 // drawnRequest is a request that was handed in.
@@ -38,7 +39,8 @@
 	id         string
 }
 
-// drawnRun hands events that are drawn from a seed to a reducer, and plays the part of all that it is connected to.
+// drawnRun hands events that are drawn from a seed to a reducer, and plays the part of all that it is connected
+// to.
 type drawnRun struct {
 	rng    *rand.Rand
 	router *Router
@@ -126,30 +128,26 @@
 		t.Fatal(err)
 	}
 	run := &drawnRun{rng: rng, router: New(start, seed, settings, limits), now: start, digest: fnv.New64a(), seen: map[string]int{}}
-	run.entries = append(slices.Clone(fleet),
-		drawnEntry("s-07e5ff", "10.0.1.1:1"), // its name has the same hash as the next one's
-		drawnEntry("s-0a3e80", "10.0.1.2:1"),
+	run.entries = append(slices.Clone(initialEndpoints),
+		cacheEntry("s-07e5ff", "10.0.1.1:1"), // its name has the same hash as the next one's
+		cacheEntry("s-0a3e80", "10.0.1.2:1"),
 	)
 	for n := range rng.IntN(6) {
-		run.entries = append(run.entries, drawnEntry(fmt.Sprint("s-", n), fmt.Sprint("10.0.2.", n, ":1")))
+		run.entries = append(run.entries, cacheEntry(fmt.Sprint("s-", n), fmt.Sprint("10.0.2.", n, ":1")))
 	}
 	run.handle(EndpointListUpdated{Complete: true, Entries: slices.Clone(run.entries)})
 	return run
 }
 
-func drawnEntry(instance, address string) EndpointEntry {
-	endpoint := control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}
-	return EndpointEntry{Instance: instance, Address: address, Endpoint: endpoint}
-}
-
 // drawnRequestReceived is the event of a request with these wire fields. What decodes them stands here alone.
 func drawnRequestReceived(request drawnRequest, arrivedAt int64, fields map[string]string, body []byte) Event {
+	decoded, err := DecodeRequest(fields, body)
 	return RequestReceived{
-		Client:    request.client,
-		Seq:       request.seq,
-		ArrivedAt: arrivedAt,
-		Fields:    fields,
-		Body:      body,
+		Client:      request.client,
+		Seq:         request.seq,
+		ArrivedAt:   arrivedAt,
+		Request:     decoded,
+		DecodeError: err,
 	}
 }
 
@@ -168,14 +166,18 @@
 	}
 }
 
-// observe renders an effect field by field, in words of its own, so that a renamed type or field leaves the digest as
-// it is. Of a log line it takes only that there was one.
+// kindWords are the words for the kinds of responses in what is hashed.
+var kindWords = map[ResponseKind]string{Served: "served", Rejected: "rejected", Failed: "failed", BadRequest: "bad"}
+
+// observe renders an effect field by field, in words of its own, so that a renamed type or field leaves the
+// digest as it is. Of a log line it takes only that there was one.
 func (run *drawnRun) observe(effect Effect) {
 	switch e := effect.(type) {
 	case Respond:
-		kind := map[ResponseKind]string{Served: "served", Rejected: "rejected", Failed: "failed", BadRequest: "bad"}[e.Kind]
+		kind := kindWords[e.Kind]
 		run.seen["respond "+kind]++
-		run.note("respond", e.Client, e.Seq, kind, len(e.Body), string(e.Body), e.NotModified, e.RetryAfter, e.Reason)
+		run.note("respond", e.Client, e.Seq, kind, len(e.Body), string(e.Body), e.NotModified, e.RetryAfter,
+			reasonText(e.Reason))
 	case Dial:
 		run.seen["dial"]++
 		run.dialled = append(run.dialled, e.Connection)
@@ -205,22 +207,32 @@
 	}
 }
 
+// reasonText is the text of a bad request's reason, empty for none.
+func reasonText(reason error) string {
+	if reason == nil {
+		return ""
+	}
+	return reason.Error()
+}
+
 func (run *drawnRun) observeSend(send Send) {
 	request := send.Request
 	run.sent = append(run.sent, drawnAttempt{send.Connection, string(request.ID)})
 	run.note("send", send.Connection, send.SendDeadline, request.ID, request.Class, request.Object, request.Part,
-		len(request.Body), string(request.Body), request.ClientETag, request.IdempotencyKey, request.Deadline, request.Source)
+		len(request.Body), string(request.Body), request.ClientETag, request.IdempotencyKey, request.Deadline,
+		request.Source)
 	attempt := request.Attempt
-	run.note(attempt.Cache, attempt.CacheOnly, attempt.Source, attempt.CachePriority, attempt.MaxAge, attempt.JoinFill,
-		attempt.RefreshBehind, attempt.ParentOnlyIfCached, attempt.ParentNoStore, attempt.Timeout, attempt.SendTimeout)
+	run.note(attempt.Cache, attempt.CacheOnly, attempt.Source, attempt.CachePriority, attempt.MaxAge,
+		attempt.JoinFill, attempt.RefreshBehind, attempt.ParentOnlyIfCached, attempt.ParentNoStore, attempt.Timeout,
+		attempt.SendTimeout)
 }
 
 // noteState adds what the reducer tells beside its effects.
 func (run *drawnRun) noteState() {
 	run.note("in flight", run.router.InFlight())
 	for _, entry := range run.router.Endpoints() {
-		run.note("endpoint", entry.Instance, entry.Address, entry.ID, entry.Location, entry.Kind, entry.Cell, entry.Phase,
-			entry.Capacity, entry.StartedAt)
+		run.note("endpoint", entry.Instance, entry.Address, entry.ID, entry.Location, entry.Kind, entry.Cell,
+			entry.Phase, entry.Capacity, entry.StartedAt)
 	}
 }
 
@@ -267,7 +279,8 @@
 		}
 	}
 	for _, what := range []string{
-		"respond served", "respond rejected", "respond failed", "respond bad", "dial", "send", "cancel", "withdraw", "close", "log",
+		"respond served", "respond rejected", "respond failed", "respond bad",
+		"dial", "send", "cancel", "withdraw", "close", "log",
 	} {
 		if seen[what] < 20 {
 			t.Errorf("the runs show %q %d times only", what, seen[what])
--- /dev/null
+++ b/internal/router/endpoint_table.go
@@ -0,0 +1,151 @@
+package router
+
+import (
+	"hash/fnv"
+	"maps"
+)
+
+// The phases of an endpoint that matter here. Nothing new is sent to an endpoint in any other, such as draining.
+const (
+	phaseReady = "ready"
+	phaseGone  = "gone"
+)
+
+// endpoint is one instance of the endpoint list.
+type endpoint struct {
+	EndpointEntry
+	connections []*connection
+	inPlan      bool // the plan of connections counts it among the caches
+}
+
+func (e *endpoint) isReady() bool { return e.Phase == phaseReady }
+
+// endpointTable holds the endpoint list, with indexes so that a change need not go over all endpoints.
+type endpointTable struct {
+	byName      map[string]*endpoint
+	byID        map[uint32]*endpoint
+	byAddress   map[string][]*endpoint
+	gone        map[string]*endpoint // those that are gone and have connections yet, by name
+	removed     []*endpoint          // since the last update; byID may still hold them
+	displaced   int                  // endpoints whose ID is not the hash of their name, because another has that
+	planCurrent bool                 // the plan of connections knows the caches
+}
+
+func newEndpointTable() endpointTable {
+	return endpointTable{
+		byName:    map[string]*endpoint{},
+		byID:      map[uint32]*endpoint{},
+		byAddress: map[string][]*endpoint{},
+		gone:      map[string]*endpoint{},
+	}
+}
+
+// entries returns the list, ordered by name.
+func (table *endpointTable) entries() []EndpointEntry {
+	entries := make([]EndpointEntry, 0, len(table.byName))
+	for _, name := range sortedKeys(table.byName) {
+		entries = append(entries, table.byName[name].EndpointEntry)
+	}
+	return entries
+}
+
+// get returns the endpoint of a name, added if there is none.
+func (table *endpointTable) get(name string) (found *endpoint, added bool) {
+	if found = table.byName[name]; found != nil {
+		return found, false
+	}
+	found = &endpoint{}
+	table.byName[name] = found
+	return found, true
+}
+
+// setEntry replaces what is known of an endpoint. It keeps its ID.
+func (table *endpointTable) setEntry(endpoint *endpoint, entry EndpointEntry) {
+	entry.ID = endpoint.ID
+	table.removeAddress(endpoint)
+	endpoint.EndpointEntry = entry
+	table.byAddress[entry.Address] = append(table.byAddress[entry.Address], endpoint)
+}
+
+// removeAddress removes an endpoint from those at its address.
+func (table *endpointTable) removeAddress(endpoint *endpoint) {
+	rest := without(table.byAddress[endpoint.Address], endpoint)
+	table.byAddress[endpoint.Address] = rest
+	if len(rest) == 0 {
+		delete(table.byAddress, endpoint.Address)
+	}
+}
+
+// remove forgets an endpoint. Its ID is free with the next assignIDs.
+func (table *endpointTable) remove(name string) {
+	endpoint := table.byName[name]
+	delete(table.byName, name)
+	delete(table.gone, name)
+	table.removeAddress(endpoint)
+	table.removed = append(table.removed, endpoint)
+}
+
+// assignIDs gives each new endpoint the policy's ID for it, and reports whether those of others have changed.
+// The ID comes from the instance's name alone, so that hashes over IDs agree at every router. Of two names with
+// the same hash, the later in order gets the next free one.
+func (table *endpointTable) assignIDs(added bool, changed endpointSet) (reassigned bool) {
+	removed := len(table.removed) > 0
+	table.freeIDs()
+	if table.displaced > 0 && (added || removed) {
+		return table.reassignIDs()
+	}
+	if !added {
+		return false
+	}
+	for name, endpoint := range changed {
+		id := nameHash(name)
+		switch table.byID[id] {
+		case endpoint:
+		case nil:
+			endpoint.ID = id
+			table.byID[id] = endpoint
+		default:
+			return table.reassignIDs()
+		}
+	}
+	return false
+}
+
+// freeIDs frees the IDs of endpoints that were removed.
+func (table *endpointTable) freeIDs() {
+	for _, endpoint := range table.removed {
+		if table.byID[endpoint.ID] == endpoint {
+			delete(table.byID, endpoint.ID)
+		}
+	}
+	table.removed = nil
+}
+
+// reassignIDs gives all endpoints their IDs anew, in the order of their names, and reports whether one that had
+// an ID has another now.
+func (table *endpointTable) reassignIDs() (reassigned bool) {
+	before := maps.Clone(table.byID)
+	clear(table.byID)
+	table.displaced = 0
+	for _, name := range sortedKeys(table.byName) {
+		endpoint, id := table.byName[name], nameHash(name)
+		if table.byID[id] != nil {
+			table.displaced++
+		}
+		for table.byID[id] != nil {
+			id++
+		}
+		hadID := before[endpoint.ID] == endpoint
+		reassigned = reassigned || hadID && endpoint.ID != id
+		endpoint.ID = id
+		table.byID[id] = endpoint
+	}
+	return reassigned
+}
+
+// nameHash is the hash of an instance's name from which its ID comes.
+func nameHash(name string) uint32 {
+	h := fnv.New32a()
+	h.Write([]byte(name))
+	return h.Sum32()
+}
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -1,83 +1,80 @@
 package router
 
-import (
-	"tealpath/control"
-	"tealpath/internal/logevent"
-)
+import "tealpath/control"
 
-// ClientID identifies a client's connection, ConnectionID one to a cache, a parent or the origin. Neither is ever
-// used again.
-type (
-	ClientID     uint64
-	ConnectionID uint64
-)
+// ClientID identifies a connection of a client. No ID is ever used again.
+type ClientID uint64
 
-// Event is something that came in from outside. Stamps of other machines are Unix ns by their clocks; all other times are ns on
-// the axis of Handle.
+// ConnectionID identifies a connection to an endpoint: a cache, a parent or the origin. No ID is ever used
+// again.
+type ConnectionID uint64
+
+// Event is something that came in from outside. Timestamps of other machines are Unix ns by their clocks; all
+// other times are ns of the clock whose time Handle is called with.
 type Event any
 
-// RequestReceived is a client's request that has been read whole.
+// RequestReceived is a client's request that has been read completely.
 type RequestReceived struct {
-	Client    ClientID
-	Seq       int32
-	ArrivedAt int64 // the earliest that its first byte can have come; 0: with the event
-	Fields    map[string]string
-	Body      []byte
+	Client      ClientID
+	Seq         int32 // the client's number for its call
+	ArrivedAt   int64 // earliest that the request's first byte can have come; 0: when the event came
+	Request     Request
+	DecodeError error // of DecodeRequest; the request is answered as a bad one
 }
 
-// RequestCancelled tells that a client has stopped waiting for one request.
+// RequestCancelled reports that a client has stopped waiting for one request.
 type RequestCancelled struct {
 	Client ClientID
 	Seq    int32
 }
 
-// ClientDisconnected tells that a client's connection has ended.
+// ClientDisconnected reports that a client's connection has ended.
 type ClientDisconnected struct{ Client ClientID }
 
-// ClientHalfClosed tells that a client has closed its side of a connection. It may still read: what is in flight for it is answered,
-// but nothing more is sent for it.
+// ClientHalfClosed reports that a client has closed its sending side. It may still read: what is in flight for
+// it is answered, but no further attempt is made.
 type ClientHalfClosed struct{ Client ClientID }
 
-// ConnectionUp tells that a connection that was dialled is established.
+// ConnectionUp reports that a connection that was dialled is established.
 type ConnectionUp struct{ Connection ConnectionID }
 
-// Cause says on whose side the reason for the end of a connection lies.
+// Cause says on which side the reason for the end of a connection lies.
 type Cause int
 
-// The causes. Local is an error of this machine's own, such as a lack of file descriptors: it says nothing about the endpoint.
+// The causes. Local is an error of this machine's own, such as a lack of file descriptors: it says nothing
+// about the endpoint.
 const (
 	Remote Cause = iota
 	Local
 )
 
-// ConnectionDown tells that a connection has ended or was never established. Unsent are the IDs of the requests that were not
-// wholly written; Reason is the text of the error, where there was one.
+// ConnectionDown reports that a connection has ended or was never established.
 type ConnectionDown struct {
 	Connection ConnectionID
-	Unsent     []string
+	Unsent     []RequestID // that were not completely written
 	Cause      Cause
-	Reason     string
+	Reason     string // text of the error; empty: there was none
 }
 
-// AttemptWithdrawn tells that nothing of a request was written to its connection, and nothing will be: it was withdrawn, or its
-// send deadline has passed.
+// AttemptWithdrawn reports that nothing of a request was written to its connection, and nothing will be: it was
+// withdrawn, or its send deadline has passed.
 type AttemptWithdrawn struct {
 	Connection ConnectionID
-	ID         string
+	ID         RequestID
 }
 
-// ResponseReceived is a response of a cache, a parent or the origin to one attempt.
+// ResponseReceived is an endpoint's response to one attempt.
 type ResponseReceived struct {
 	Connection      ConnectionID
-	ID              string
+	ID              RequestID
 	Result          control.Result
-	NotModified     bool  // the copy that the client has is still good
-	Unversioned     bool  // Result is ServerError for this alone: the response does not say which version it is, and from when
+	NotModified     bool  // the copy that the client has is still valid
+	Unversioned     bool  // Result is ServerError only because the response names no version of the object
 	IssuedAt        int64 // when the origin gave out the copy, Unix ns by its clock; 0: it is no cacheable copy
 	Body            []byte
-	Note            int64
-	TimeToFirstByte int64
-	LoadReport      []float64
+	Note            int64     // the wire's note: where the response came from, or who rejected the attempt
+	TimeToFirstByte int64     // ns
+	LoadReport      []float64 // in the order of the setting report.fields
 }
 
 // EndpointEntry is one entry of the endpoint list.
@@ -93,97 +90,22 @@
 	Entries  []EndpointEntry
 }
 
-// PurgeReceived tells of a purge of one object or, with no object, of a group.
+// PurgeReceived reports a purge of one object or, with no object, of a group.
 type PurgeReceived struct {
 	Object   string
 	Group    int64
-	PurgedAt int64 // its stamp by the journal service
+	PurgedAt int64 // Unix ns by the clock of the discovery service
 }
 
-// ProbeEnded tells what a probe of an endpoint found, by this instance or by another that shares the lease.
+// ProbeEnded reports the outcome of a health check, by this instance or by another that shares the lease.
 type ProbeEnded struct {
 	Instance   string
 	Healthy    bool
 	LoadReport []float64
 }
 
-// TimerFired tells that the time that SetTimer named has come.
+// TimerFired reports that the time of SetTimer has come.
 type TimerFired struct{}
 
-// ShutdownStarted tells that this router is to end, and by when every request has to be answered.
+// ShutdownStarted begins the graceful shutdown: every request is answered by AnswerDeadline, ns.
 type ShutdownStarted struct{ AnswerDeadline int64 }
-
-// Effect is what the reducer wants done outside.
-type Effect any
-
-// ResponseKind says how a client's request ended.
-type ResponseKind int
-
-// The kinds of responses.
-const (
-	Served ResponseKind = iota
-	Rejected
-	Failed
-	BadRequest // the request cannot be understood; Reason says what is wrong
-)
-
-// Respond wants the one final response to a client's request given.
-type Respond struct {
-	Client      ClientID
-	Seq         int32
-	Kind        ResponseKind
-	Body        []byte
-	NotModified bool  // the copy that the client has is still good
-	RetryAfter  int64 // after which the client may ask again, ns
-	Reason      string
-}
-
-// Dial wants a connection to an endpoint opened.
-type Dial struct {
-	Connection ConnectionID
-	Address    string
-	Timeout    int64
-}
-
-// Send wants a request written to a connection, unless that can't begin before SendDeadline.
-type Send struct {
-	Connection   ConnectionID
-	Request      UpstreamRequest
-	SendDeadline int64
-}
-
-// UpstreamRequest is what a cache, a parent or the origin is asked. The strings and the body are the client's own.
-type UpstreamRequest struct {
-	ID, Class, Object, Part string
-	Body                    []byte
-	ClientETag              string // entity tag of the copy that the client has; empty is none
-	IdempotencyKey          string // of the client, by which the server drops repetitions
-	Deadline                int64  // of its response; what is left until then is told as it is written
-	Source                  string // instance from which a miss is filled; empty is no fill
-	Attempt                 control.Attempt
-}
-
-// CancelAttempt wants a request on a connection cancelled; if it is not yet written it is not to be.
-type CancelAttempt struct {
-	Connection ConnectionID
-	ID         string
-}
-
-// WithdrawAttempt wants a request on a connection withdrawn, if nothing of it is written yet: AttemptWithdrawn then follows.
-// Otherwise it stays.
-type WithdrawAttempt struct {
-	Connection ConnectionID
-	ID         string
-}
-
-// Close wants a connection closed. No event follows.
-type Close struct{ Connection ConnectionID }
-
-// SetTimer wants TimerFired at a time; it replaces the one before.
-type SetTimer struct{ At int64 }
-
-// Log wants an event logged; Instance names the endpoint that it concerns, if there is one.
-type Log struct {
-	Event    logevent.Event
-	Instance string
-}
--- /dev/null
+++ b/internal/router/helpers_test.go
@@ -0,0 +1,307 @@
+package router
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"tealpath/control"
+	"tealpath/internal/logevent"
+	"testing"
+)
+
+const (
+	second = int64(1e9)
+	start  = 1000 * second
+
+	objectID = "7f3a9c21e0b4d655" // that requests ask for unless a test says otherwise
+	seed     = 7
+)
+
+// initialEndpoints is the endpoint list of every test.
+var initialEndpoints = []EndpointEntry{
+	cacheEntry("s-a", "10.0.0.1:1"),
+	cacheEntry("s-b", "10.0.0.2:1"),
+	{"p-a", "10.0.0.3:1", control.Endpoint{Location: "hub", Kind: "parent", Phase: "ready", Capacity: 20}},
+	{"o-a", "10.0.0.4:1", control.Endpoint{Location: "hub", Kind: "origin", Phase: "ready", Capacity: 20}},
+}
+
+// cacheEntry is the entry of a cache that is ready.
+func cacheEntry(instance, address string) EndpointEntry {
+	endpoint := control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}
+	return EndpointEntry{Instance: instance, Address: address, Endpoint: endpoint}
+}
+
+// success is a response that is forwarded.
+var success = ResponseReceived{Result: control.Succeeded, Body: []byte(":bytes")}
+
+// nonIdempotent are the fields of a request that may be executed only once and that no cache keeps, in a
+// harness of newTwoClassHarness.
+var nonIdempotent = map[string]string{"verb": "permits"}
+
+// harness hands events to a reducer and notes its effects. It stands in for clients, endpoints and the clock.
+type harness struct {
+	*Router
+	t           *testing.T
+	now         int64
+	observed    []string // effects, in short
+	logged      []logevent.Event
+	dialled     []ConnectionID // in the order of their dialling
+	sends       []Send
+	responses   []Respond
+	withdrawals []WithdrawAttempt // that no AttemptWithdrawn was handed in for
+}
+
+// testSettings are those of a location with caches, and a hub with parents and the origin. They have one class of
+// requests, which is idempotent.
+func testSettings() control.Settings {
+	parent, origin := "parent", "origin"
+	settings := control.DefaultSettings()
+	settings.Location = "here"
+	settings.Routers = 2
+	settings.LocationRouters = 2
+	settings.ParentKind, settings.OriginKind = &parent, &origin
+	settings.MaxAttempts = 6
+	settings.Hedging = true
+	settings.CancelAttempts = true
+	settings.RetryAfter = true
+	settings.MaxRetryAfter = second / 2
+	settings.ConnectTimeout = 4 * second / 10
+	settings.IdleTimeout = 30 * second
+	settings.MaxStreamsPerConnection = 100
+	settings.AnswerGrace = 8 * millisecond
+	settings.PurgeDuration = 6 * second
+	settings.LongestDeadline = 25 * second / 10
+	settings.Classes = []control.ClassSettings{{
+		Name:             "stills",
+		LatencyObjective: 4 * second / 10,
+		FreshDuration:    8 * second,
+		PriorityWeight:   1,
+		Idempotency:      control.Idempotent,
+		KeyScope:         control.ScopeAll,
+	}}
+	return settings
+}
+
+// nonIdempotentClass is a second class, whose requests may not be executed twice.
+func nonIdempotentClass() control.ClassSettings {
+	return control.ClassSettings{
+		Name:             "permits",
+		LatencyObjective: 4 * second / 10,
+		PriorityWeight:   1,
+		Idempotency:      control.NonIdempotent,
+		KeyScope:         control.ScopeAll,
+	}
+}
+
+// newHarness returns one whose reducer knows initialEndpoints. The test may change its limits and settings first.
+func newHarness(t *testing.T, change func(*Limits, *control.Settings)) *harness {
+	t.Helper()
+	settings := testSettings()
+	limits := Limits{MaxConnections: 8, MaxInFlight: 100, MaxBodyBytes: 1 << 20}
+	if change != nil {
+		change(&limits, &settings)
+	}
+	h := &harness{Router: New(start, seed, settings, limits), t: t, now: start}
+	h.handle(EndpointListUpdated{Complete: true, Entries: slices.Clone(initialEndpoints)})
+	h.observed = nil
+	return h
+}
+
+// newTwoClassHarness returns one with a second class of requests, which is neither idempotent nor cacheable.
+func newTwoClassHarness(t *testing.T) *harness {
+	t.Helper()
+	return newHarness(t, func(_ *Limits, settings *control.Settings) {
+		class := nonIdempotentClass()
+		class.Uncacheable = true
+		settings.Classes = append(settings.Classes, class)
+	})
+}
+
+// handle hands an event in and notes the effects.
+func (h *harness) handle(event Event) {
+	for _, effect := range h.Handle(h.now, event) {
+		h.observe(effect)
+	}
+}
+
+func (h *harness) observe(effect Effect) {
+	note := func(format string, values ...any) { h.observed = append(h.observed, fmt.Sprintf(format, values...)) }
+	switch effect := effect.(type) {
+	case Respond:
+		h.responses = append(h.responses, effect)
+		kind := effect.Kind.String()
+		if effect.NotModified {
+			kind += " not modified"
+		}
+		note("%s %d%s", kind, effect.Seq, effect.Body)
+	case Dial:
+		h.dialled = append(h.dialled, effect.Connection)
+		note("dial %s", effect.Address)
+	case Send:
+		h.sends = append(h.sends, effect)
+		note("send %s", effect.Request.ID)
+	case CancelAttempt:
+		note("cancel %s", effect.ID)
+	case WithdrawAttempt:
+		h.withdrawals = append(h.withdrawals, effect)
+	case Log:
+		h.logged = append(h.logged, effect.Event)
+	case Close:
+		note("close %d", effect.Connection)
+	}
+}
+
+// note puts a mark of the test's own among the observed effects.
+func (h *harness) note(mark string) { h.observed = append(h.observed, mark) }
+
+// effectsInShort returns what was observed, with ids shortened to their last digits and dials without their
+// address.
+func (h *harness) effectsInShort() string {
+	var short []string
+	for _, effect := range h.observed {
+		effect, _, _ = strings.Cut(effect, " 10.")
+		short = append(short, strings.ReplaceAll(effect, "000000000000000", ""))
+	}
+	return strings.Join(short, ", ")
+}
+
+// expect checks all effects so far.
+func (h *harness) expect(want string) {
+	h.t.Helper()
+	if got := h.effectsInShort(); got != want {
+		h.t.Errorf("effects %s\nwant    %s", got, want)
+	}
+}
+
+// advance lets time pass, in the steps of the timer that the reducer asked for.
+func (h *harness) advance(ns int64) {
+	for end := h.now + ns; h.now < end; {
+		h.now = min(end, max(h.timerSetFor, h.now+millisecond))
+		h.handle(TimerFired{})
+	}
+}
+
+// requestID is the ID of the request with this sequence number.
+func requestID(seq int32) RequestID { return fmt.Sprintf("%016x", seq) }
+
+// requestFields are the fields of a request, some of them changed.
+func requestFields(seq int32, change map[string]string) map[string]string {
+	fields := map[string]string{
+		"verb":  "stills",
+		"txn":   requestID(seq),
+		"limit": "2500",
+		"item":  objectID,
+		"nth":   "0",
+		"batch": "17",
+	}
+	maps.Copy(fields, change)
+	return fields
+}
+
+// requestEvent is the event of a request, whether its fields can be decoded or not.
+func requestEvent(client ClientID, seq int32, fields map[string]string, body []byte) RequestReceived {
+	request, err := DecodeRequest(fields, body)
+	return RequestReceived{Client: client, Seq: seq, Request: request, DecodeError: err}
+}
+
+// request hands in a request of the first client.
+func (h *harness) request(seq int32, change map[string]string) {
+	h.handle(requestEvent(1, seq, requestFields(seq, change), []byte("q")))
+}
+
+// requestElsewhere hands in the same request of a second client, without a body.
+func (h *harness) requestElsewhere(seq int32, change map[string]string) {
+	h.handle(requestEvent(2, seq, requestFields(seq, change), nil))
+}
+
+// respond hands in a response to the attempt that was sent last.
+func (h *harness) respond(response ResponseReceived) {
+	last := h.sends[len(h.sends)-1]
+	response.Connection, response.ID = last.Connection, last.Request.ID
+	h.handle(response)
+}
+
+// connectNewest establishes the connection that was dialled last.
+func (h *harness) connectNewest() {
+	h.handle(ConnectionUp{Connection: h.dialled[len(h.dialled)-1]})
+}
+
+// connectAll establishes every connection that was dialled.
+func (h *harness) connectAll() {
+	for _, id := range h.dialled {
+		h.handle(ConnectionUp{Connection: id})
+	}
+}
+
+// failNewestDial has the last dial fail for an error of this machine's own.
+func (h *harness) failNewestDial() {
+	h.handle(ConnectionDown{Connection: h.dialled[len(h.dialled)-1], Cause: Local, Reason: "no descriptors"})
+}
+
+// firstEntry is the entry of the endpoint that was dialled first.
+func (h *harness) firstEntry() EndpointEntry {
+	address := h.connections[h.dialled[0]].address
+	at := slices.IndexFunc(initialEndpoints, func(entry EndpointEntry) bool { return entry.Address == address })
+	return initialEndpoints[at]
+}
+
+// update hands in a change to entries of the endpoint list.
+func (h *harness) update(entries ...EndpointEntry) {
+	h.handle(EndpointListUpdated{Entries: entries})
+}
+
+// setFirstPhase changes the phase of the endpoint that was dialled first.
+func (h *harness) setFirstPhase(phase string) {
+	entry := h.firstEntry()
+	entry.Phase = phase
+	h.update(entry)
+}
+
+// confirmWithdrawals reports that nothing was written of what was to be withdrawn.
+func (h *harness) confirmWithdrawals() {
+	withdrawals := h.withdrawals
+	h.withdrawals = nil
+	for _, withdrawal := range withdrawals {
+		h.handle(AttemptWithdrawn(withdrawal))
+	}
+}
+
+// objectOnOtherCache is an object whose first cache is another than that of objectID.
+func objectOnOtherCache(t *testing.T) string {
+	t.Helper()
+	firstCache := func(object string) string {
+		h := newTwoClassHarness(t)
+		h.request(1, map[string]string{"item": object})
+		return h.connections[h.dialled[0]].address
+	}
+	for n := range 100 {
+		if object := fmt.Sprintf("%016x", n); firstCache(object) != firstCache(objectID) {
+			return object
+		}
+	}
+	t.Fatal("all objects have the same first cache")
+	return ""
+}
+
+// scenario is a run of events, and the effects that it has in order.
+type scenario struct {
+	name string
+	run  func(*harness)
+	want string // as of effectsInShort
+}
+
+// runScenarios runs each on a harness of its own.
+func runScenarios(t *testing.T, newHarness func(*testing.T) *harness, scenarios []scenario) {
+	t.Helper()
+	for _, scenario := range scenarios {
+		t.Run(scenario.name, func(t *testing.T) {
+			h := newHarness(t)
+			scenario.run(h)
+			h.expect(scenario.want)
+			if len(h.requests.byID) != h.InFlight() {
+				t.Errorf("%d ids for %d requests in flight", len(h.requests.byID), h.InFlight())
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/router/limits_test.go
@@ -0,0 +1,174 @@
+package router
+
+import (
+	"fmt"
+	"tealpath/control"
+	"testing"
+)
+
+func TestRequestLimits(t *testing.T) {
+	for _, c := range []struct {
+		name   string
+		change func(*Limits, *control.Settings)
+	}{
+		{"requests in flight", func(limits *Limits, _ *control.Settings) { limits.MaxInFlight = 1 }},
+		{"bytes of their bodies", func(limits *Limits, _ *control.Settings) { limits.MaxBodyBytes = 1 }},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness(t, c.change)
+			h.request(1, nil)
+			h.request(2, nil)
+			h.handle(ClientDisconnected{Client: 1})
+			h.request(3, nil)
+			if h.observed[1] != "rejected 2" || h.InFlight() != 1 {
+				t.Errorf("effects %v, %d in flight", h.observed, h.InFlight())
+			}
+		})
+	}
+}
+
+func TestNoConnectionAllowed(t *testing.T) {
+	h := newHarness(t, func(limits *Limits, _ *control.Settings) { limits.MaxConnections = 0 })
+	h.request(1, nil)
+	h.advance(second)
+	if len(h.dialled) > 0 || h.observed[len(h.observed)-1] != "rejected 1" {
+		t.Errorf("effects %v", h.observed)
+	}
+}
+
+func TestMaxRequestsPerConnection(t *testing.T) {
+	h := newHarness(t, func(_ *Limits, settings *control.Settings) { settings.MaxStreamsPerConnection = 2 })
+	for seq := range int32(3) {
+		h.request(seq, nil)
+	}
+	if len(h.dialled) != 2 {
+		t.Errorf("%d connections for 3 requests at 2 a connection", len(h.dialled))
+	}
+}
+
+// One corrupt response ends all that is in flight on its connection, so requests are spread over several.
+func TestRequestsAreSpreadOverConnections(t *testing.T) {
+	h := newHarness(t, nil)
+	for seq := range int32(12) {
+		h.request(seq, map[string]string{"item": objectID})
+		h.connectNewest()
+	}
+	for id, connection := range h.connections {
+		// The request for which another connection is dialled goes on the one that is established.
+		if len(connection.inFlight) > shareThreshold+1 {
+			t.Errorf("%d in flight on connection %d of %d", len(connection.inFlight), id, len(h.dialled))
+		}
+	}
+	if len(h.dialled) < 2 || h.InFlight() < 2*shareThreshold-1 {
+		t.Errorf("%d connections for %d requests in flight", len(h.dialled), h.InFlight())
+	}
+}
+
+func TestMaxConnectionsPerEndpoint(t *testing.T) {
+	h := newHarness(t, nil)
+	for seq := range int32(8) {
+		h.request(seq, map[string]string{"txn": objectID})
+		h.connectAll()
+		h.handle(RequestCancelled{Client: 1, Seq: seq})
+	}
+	largest := 0
+	for _, endpoint := range h.endpoints.byName {
+		largest = max(largest, len(endpoint.connections))
+	}
+	if largest != 4 {
+		t.Errorf("%d connections to one endpoint, want 4", largest)
+	}
+}
+
+func TestAbandonedRequestsAreForgotten(t *testing.T) {
+	h := newHarness(t, nil)
+	for seq := range int32(50) {
+		h.request(seq, nil)
+		h.connectNewest()
+		h.handle(RequestCancelled{Client: 1, Seq: seq})
+	}
+	connection := h.connections[1]
+	before := len(connection.abandonedAt)
+	for range 8 {
+		h.advance(second)
+		h.request(99, nil)
+		h.respond(ResponseReceived{Result: control.Succeeded})
+	}
+	if before == 0 || len(connection.abandonedAt) > 0 {
+		t.Errorf("%d, then %d", before, len(connection.abandonedAt))
+	}
+}
+
+// stateSize is how much a reducer holds in memory.
+func stateSize(h *harness) map[string]int {
+	abandoned := 0
+	for _, connection := range h.connections {
+		abandoned += len(connection.abandonedAt)
+	}
+	return map[string]int{
+		"endpoints":       len(h.endpoints.byName),
+		"endpoint ids":    len(h.endpoints.byID),
+		"connections":     len(h.connections),
+		"clients":         len(h.requests.byClient),
+		"request ids":     len(h.requests.byID),
+		"timers":          h.timers.Len(),
+		"abandoned":       abandoned,
+		"bytes of bodies": h.requests.bodyBytes,
+	}
+}
+
+// Over a long time endpoints, addresses, clients, ids and objects change without end, and nothing is kept of
+// those that have gone.
+func TestStateIsBounded(t *testing.T) {
+	h := newHarness(t, nil)
+	largest := map[string]int{}
+	for n := range 6000 {
+		churn(h, n)
+		for what, size := range stateSize(h) {
+			largest[what] = max(largest[what], size)
+		}
+	}
+	for what, bound := range map[string]int{
+		"endpoints":       10,
+		"endpoint ids":    10,
+		"connections":     8,
+		"clients":         1,
+		"request ids":     3,
+		"timers":          12,
+		"abandoned":       900,
+		"bytes of bodies": 0,
+	} {
+		if got, counted := largest[what]; got > bound || !counted {
+			t.Errorf("%s: %d at most, want %d", what, got, bound)
+		}
+	}
+}
+
+// churn is a moment in which an endpoint starts, one is gone, and a client comes and goes.
+func churn(h *harness, n int) {
+	entry := initialEndpoints[0]
+	entry.Instance, entry.Address = fmt.Sprint("s-", n), fmt.Sprint("10.0.1.", n%7, ":1") // addresses come again
+	entry.StartedAt = h.now
+	gone := entry
+	gone.Instance, gone.Phase = fmt.Sprint("s-", n-3), "gone"
+	h.update(entry, gone)
+	client := ClientID(n + 2)
+	for seq := range int32(3) {
+		h.handle(requestEvent(client, seq, requestFields(seq, map[string]string{
+			"txn":   requestID(int32(3*n) + seq),
+			"item":  fmt.Sprintf("%016x", n),
+			"batch": "1",
+		}), nil))
+	}
+	h.connectAll()
+	if len(h.sends) > 0 && n%3 == 0 {
+		h.respond(ResponseReceived{Result: control.Succeeded})
+	}
+	if n%10 == 0 && len(h.dialled) > 0 {
+		h.handle(ConnectionDown{Connection: h.dialled[len(h.dialled)-1]})
+	}
+	h.handle(PurgeReceived{Object: fmt.Sprintf("%016x", n), PurgedAt: h.now})
+	h.handle(ClientDisconnected{Client: client})
+	h.dialled, h.sends, h.observed = h.dialled[:0], h.sends[:0], h.observed[:0]
+	h.advance(20 * millisecond)
+}
--- /dev/null
+++ b/internal/router/local_errors_test.go
@@ -0,0 +1,159 @@
+package router
+
+import (
+	"fmt"
+	"slices"
+	"tealpath/control"
+	"tealpath/internal/logevent"
+	"testing"
+	"time"
+)
+
+// Errors of this machine's own: nothing was sent, nothing is held against an endpoint, and it is dialled again
+// in time.
+func TestLocalErrors(t *testing.T) {
+	runScenarios(t, newTwoClassHarness, []scenario{
+		{"dialled again after the backoff, and served", func(h *harness) {
+			h.request(1, nil)
+			h.failNewestDial()
+			h.note("fails")
+			h.advance(24 * millisecond) // a sixteenth of the connect timeout is 25 ms
+			h.note("24 ms")
+			h.advance(60 * millisecond)
+			h.connectNewest()
+			h.respond(success)
+		}, "dial, fails, 24 ms, dial, send 1, served 1:bytes"},
+		{"dialled with growing backoff, and rejected before half its time", func(h *harness) {
+			h.request(1, map[string]string{"limit": "1020"})
+			for range 499 {
+				if len(h.dialled) > 0 && h.connections[h.dialled[len(h.dialled)-1]] != nil {
+					h.failNewestDial()
+				}
+				h.advance(millisecond)
+			}
+		}, "dial, dial, dial, dial, dial, rejected 1"},
+		{"no second endpoint is dialled meanwhile", func(h *harness) {
+			h.request(1, nil)
+			h.failNewestDial()
+			h.request(2, map[string]string{"item": objectOnOtherCache(h.t)})
+			h.advance(20 * millisecond)
+		}, "dial"},
+		{"an established connection to another endpoint is used", func(h *harness) {
+			h.request(1, map[string]string{"item": objectOnOtherCache(h.t)})
+			h.connectNewest()
+			h.respond(success)
+			h.request(2, nil)
+			h.failNewestDial()
+		}, "dial, send 1, served 1:bytes, dial, send 2"},
+		{"what was written to an established connection may have been executed", func(h *harness) {
+			h.request(1, nonIdempotent)
+			h.connectNewest()
+			h.failNewestDial()
+			h.advance(3 * second)
+		}, "dial, send 1, failed 1"},
+		{"and what was not may be sent again", func(h *harness) {
+			h.request(1, nonIdempotent)
+			h.connectNewest()
+			h.handle(ConnectionDown{Connection: h.dialled[0], Cause: Local, Unsent: []RequestID{requestID(1)}})
+			h.connectNewest()
+		}, "dial, send 1, dial, send 1"},
+	})
+}
+
+// spreadObject is an object for each sequence number, on all caches alike.
+func spreadObject(seq int32) string { return fmt.Sprintf("%016x", uint64(seq)*0x9e3779b97f4a7c15) }
+
+// However many requests fail for want of descriptors, no endpoint is ejected, and the log says it twice.
+func TestLocalErrorsEjectNobody(t *testing.T) {
+	h := newTwoClassHarness(t)
+	for seq := int32(1); seq <= 200; seq++ {
+		h.request(seq, map[string]string{"item": spreadObject(seq), "limit": "800"})
+		for _, id := range sortedKeys(h.connections) {
+			h.handle(ConnectionDown{Connection: id, Cause: Local, Reason: "no descriptors"})
+		}
+		h.advance(10 * millisecond)
+	}
+	if count := len(h.dialled); count < 10 || count > 60 {
+		t.Errorf("%d dials in two seconds", count)
+	}
+	for _, id := range sortedKeys(h.connections) {
+		h.handle(ConnectionUp{Connection: id})
+	}
+	h.advance(second)
+	if h.InFlight() != 0 {
+		t.Errorf("%d are not answered", h.InFlight())
+	}
+	h.request(500, nil)
+	h.connectNewest()
+	want := []logevent.Event{ConnectUnavailable{Cause: "no descriptors"}, ConnectAvailable{}}
+	if !slices.Equal(h.logged, want) {
+		t.Errorf("logged %#v, want %#v", h.logged, want)
+	}
+}
+
+// Where dials to one endpoint alone fail here, as for want of local ports to its address, it is not ejected
+// beside one that responds.
+func TestLocalErrorsAtOneEndpoint(t *testing.T) {
+	h := newTwoClassHarness(t)
+	failed := 0
+	for seq := int32(1); seq <= 300; seq++ {
+		h.request(seq, map[string]string{"item": spreadObject(seq)})
+		for _, id := range sortedKeys(h.connections) {
+			switch connection := h.connections[id]; {
+			case connection.established:
+			case connection.endpoint.Instance == "s-a":
+				failed++
+				h.handle(ConnectionDown{Connection: id, Cause: Local, Reason: "no ports"})
+			default:
+				h.handle(ConnectionUp{Connection: id})
+			}
+		}
+		respondToAll(h)
+		h.advance(10 * millisecond)
+	}
+	if failed < 10 {
+		t.Errorf("%d dials failed", failed)
+	}
+	for _, event := range h.logged {
+		if ejected, ok := event.(control.EndpointEjected); ok {
+			t.Errorf("ejected: %+v", ejected)
+		}
+	}
+}
+
+// respondToAll hands in a response to every attempt on an established connection.
+func respondToAll(h *harness) {
+	for _, id := range sortedKeys(h.connections) {
+		for _, attempt := range h.connections[id].attempts() {
+			if attempt.connection.established {
+				h.handle(ResponseReceived{
+					Connection: id,
+					ID:         attempt.upstream.ID,
+					Result:     control.Succeeded,
+					Body:       []byte(":bytes"),
+				})
+			}
+		}
+	}
+}
+
+// While this machine can open no connections, and the established one is full, attempts end at once. They count
+// against the attempts of their request, so that one call of the reducer ends.
+func TestAttemptsWithoutConnectionAreBounded(t *testing.T) {
+	h := newHarness(t, func(_ *Limits, settings *control.Settings) { settings.MaxStreamsPerConnection = 1 })
+	h.request(1, nil)
+	h.connectNewest()
+	h.request(2, map[string]string{"item": objectOnOtherCache(t)})
+	h.failNewestDial()
+	done := make(chan struct{})
+	go func() {
+		defer close(done)
+		h.request(3, nil) // its endpoint has a connection, which is full
+		h.advance(3 * second)
+	}()
+	select {
+	case <-done:
+	case <-time.After(5 * time.Second):
+		t.Fatal("one call does not end")
+	}
+}
--- a/internal/router/logevents.go
+++ b/internal/router/logevents.go
@@ -2,8 +2,8 @@
 
 import "tealpath/internal/logevent"
 
-// ConnectUnavailable is logged when connections can no longer be opened for a reason of this machine's own, such as a lack of
-// file descriptors. Nothing is dialled for a while.
+// ConnectUnavailable is logged when connections can no longer be opened for a reason of this machine's own,
+// such as a lack of file descriptors. Nothing is dialled for a while.
 type ConnectUnavailable struct {
 	Cause string `log:"cause"` // text of the error
 }
@@ -25,15 +25,19 @@
 	return logevent.Kind{Name: "connect_available", Level: logevent.Info, Message: "connections can be opened again"}
 }
 
-// PanicRecovered is logged when handling an event panicked, which is a fault of this program. The request concerned is
-// answered by its deadline.
+// PanicRecovered is logged when handling an event panicked, which is a fault of this program. The request
+// concerned is answered by its deadline.
 type PanicRecovered struct {
 	Cause string `log:"cause"` // text of the panic
 }
 
 // Kind implements logevent.Event.
 func (PanicRecovered) Kind() logevent.Kind {
-	return logevent.Kind{Name: "panic_recovered", Level: logevent.Error, Message: "recovered from a panic while handling an event"}
+	return logevent.Kind{
+		Name:    "panic_recovered",
+		Level:   logevent.Error,
+		Message: "recovered from a panic while handling an event",
+	}
 }
 
 // LogEvents returns one zero value of each event that this package logs.
@@ -50,7 +54,7 @@
 func (r *Router) log(event logevent.Event) {
 	effect := Log{Event: event}
 	if about, ok := event.(endpointEvent); ok {
-		if endpoint := r.endpointsByID[about.EndpointID()]; endpoint != nil {
+		if endpoint := r.endpoints.byID[about.EndpointID()]; endpoint != nil {
 			effect.Instance = endpoint.Instance
 		}
 	}
--- a/internal/router/logevents_test.go
+++ b/internal/router/logevents_test.go
@@ -11,39 +11,36 @@
 func TestLogEffects(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(*play)
+		run  func(*harness)
 		want Log
 	}{
 		{
 			"known endpoint",
-			func(p *play) { p.log(control.EndpointRestored{Endpoint: p.endpoints["s-a"].ID}) },
-			Log{Instance: "s-a"},
+			func(h *harness) { h.log(control.EndpointRestored{Endpoint: nameHash("s-a")}) },
+			Log{Event: control.EndpointRestored{Endpoint: nameHash("s-a")}, Instance: "s-a"},
 		},
 		{
 			"unknown endpoint",
-			func(p *play) { p.log(control.EndpointRestored{Endpoint: 12345}) },
+			func(h *harness) { h.log(control.EndpointRestored{Endpoint: 12345}) },
 			Log{Event: control.EndpointRestored{Endpoint: 12345}},
 		},
 		{
 			"no endpoint",
-			func(p *play) { p.log(ConnectAvailable{}) },
+			func(h *harness) { h.log(ConnectAvailable{}) },
 			Log{Event: ConnectAvailable{}},
 		},
 		{
 			"panic",
-			func(p *play) { p.recovering(func() { panic("index out of range") }) },
+			func(h *harness) { h.recoverPanic(func() { panic("index out of range") }) },
 			Log{Event: PanicRecovered{Cause: "index out of range"}},
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := newPlay(t, nil)
-			p.effects = nil
-			c.do(p)
-			if c.want.Event == nil {
-				c.want.Event = control.EndpointRestored{Endpoint: p.endpoints["s-a"].ID}
-			}
-			if !slices.Equal(p.effects, []Effect{c.want}) {
-				t.Errorf("effects %#v, want %#v", p.effects, c.want)
+			h := newHarness(t, nil)
+			h.effects = nil
+			c.run(h)
+			if !slices.Equal(h.effects, []Effect{c.want}) {
+				t.Errorf("effects %#v, want %#v", h.effects, c.want)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/router/purges_test.go
@@ -0,0 +1,72 @@
+package router
+
+import (
+	"slices"
+	"tealpath/control"
+	"tealpath/internal/logevent"
+	"testing"
+)
+
+func TestPurgeWhileConnecting(t *testing.T) {
+	runScenarios(t, func(t *testing.T) *harness { return newHarness(t, nil) }, []scenario{
+		{"what waits for its connection is sent with the new age", func(h *harness) {
+			h.request(1, nil)
+			h.now += 200 * millisecond
+			h.handle(PurgeReceived{Object: objectID, PurgedAt: h.now - 50*millisecond})
+			h.connectNewest()
+			if age := h.sends[0].Request.Attempt.MaxAge; age >= 50*millisecond {
+				h.t.Errorf("age %d", age)
+			}
+		}, "dial, dial, send 1"},
+	})
+}
+
+// A cache may respond with a copy from before a purge, because it finds it young enough: the purge's timestamp
+// is ahead of its clock. The copy is not served. An idempotent request is sent to the same cache once more, for
+// a copy from after the purge was received. The next purge counts from when it is received.
+func TestStaleCopyIsNotServed(t *testing.T) {
+	const ahead = 600 * second
+	for _, c := range []struct {
+		name     string
+		fields   map[string]string
+		attempts int
+		want     string
+	}{
+		{"an idempotent request is retried", nil, 2, "dial, send 1, send 1, served 1:new"},
+		{"a non-idempotent request fails", nonIdempotent, 1, "dial, send 1, failed 1"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness(t, func(_ *Limits, settings *control.Settings) {
+				settings.Classes = append(settings.Classes, nonIdempotentClass())
+			})
+			h.handle(PurgeReceived{Object: objectID, PurgedAt: h.now - ahead - 50*millisecond})
+			h.advance(second)
+			h.observed = nil
+			h.request(1, c.fields)
+			h.connectNewest()
+			if age := h.sends[0].Request.Attempt.MaxAge; age <= 3*second/2 {
+				t.Fatalf("age %v: the case is another", age)
+			}
+			response := ResponseReceived{Result: control.Succeeded}
+			response.IssuedAt, response.Body = h.now-ahead-3*second/2, []byte(":old")
+			h.respond(response)
+			if c.attempts > 1 {
+				if age := h.sends[1].Request.Attempt.MaxAge; age > second || h.sends[1].Connection != h.sends[0].Connection {
+					t.Errorf("retried with age %v on connection %d", age, h.sends[1].Connection)
+				}
+				response.IssuedAt, response.Body = h.now-ahead-second/2, []byte(":new")
+				h.respond(response)
+			}
+			h.expect(c.want)
+			if want := []logevent.Event{control.ClockAhead{}}; !slices.Equal(h.logged, want) {
+				t.Errorf("logged %#v, want %#v", h.logged, want)
+			}
+			h.handle(PurgeReceived{Object: objectID, PurgedAt: h.now - ahead})
+			h.advance(second / 10)
+			h.request(2, nil)
+			if age := h.sends[len(h.sends)-1].Request.Attempt.MaxAge; age > second/10 {
+				t.Errorf("after the next purge: age %v", age)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/router/timers.go
@@ -0,0 +1,111 @@
+package router
+
+import (
+	"tealpath/control"
+	"tealpath/internal/timerqueue"
+)
+
+// tickRetryDelay is the time, ns, until the periodic work is done again if it panics. At once would keep a core
+// busy.
+const tickRetryDelay = 1000 * millisecond
+
+// timer is a handle on a timer of the reducer.
+type timer = timerqueue.Timer[timerTask]
+
+// timerKind says what a timer is for.
+type timerKind int
+
+const (
+	attemptTimer  timerKind = iota // the attempt's send deadline or its timeout
+	recheckTimer                   // the policy wants to be asked again about a request
+	deadlineTimer                  // a request's deadline, and the grace after it, have passed
+)
+
+// timerTask is what is done when a timer fires.
+type timerTask struct {
+	kind    timerKind
+	request *inFlightRequest
+	attempt *attempt // of attemptTimer
+}
+
+// runTimers does the work of all timers whose time has come.
+func (r *Router) runTimers() {
+	for r.timers.Next() <= r.now {
+		_, task := r.timers.Pop()
+		r.recoverPanic(func() { r.runTimer(task) })
+	}
+}
+
+func (r *Router) runTimer(task timerTask) {
+	if task.kind == attemptTimer {
+		r.attemptTimerFired(task.attempt)
+		return
+	}
+	request := task.request
+	if request.finished {
+		return
+	}
+	switch task.kind {
+	case recheckTimer:
+		r.decide(request)
+	case deadlineTimer:
+		// Whatever went wrong before, no request stays without its response.
+		r.respond(request, Respond{Kind: Failed})
+		r.clientGone(request)
+	}
+}
+
+// attemptTimerFired ends an attempt that has timed out. One whose send deadline alone has passed is withdrawn.
+func (r *Router) attemptTimerFired(attempt *attempt) {
+	if attempt.ended {
+		return
+	}
+	result := control.Unreachable // nothing was written
+	if attempt.connection.established {
+		if r.now < attempt.deadline {
+			r.withdrawAttempt(attempt)
+			r.setAttemptTimer(attempt) // if it is written already, its response is waited for
+			return
+		}
+		result = control.TimedOut
+	}
+	r.abandonAttempt(attempt)
+	r.attemptEnded(attempt, control.Outcome{Result: result})
+}
+
+// setAttemptTimer sets an attempt's timer to its send deadline or, once that has passed, to its timeout.
+func (r *Router) setAttemptTimer(attempt *attempt) {
+	at := attempt.deadline
+	if r.now < attempt.sendDeadline {
+		at = attempt.sendDeadline
+	}
+	r.timers.Remove(attempt.timer)
+	attempt.timer = r.timers.Push(at, timerTask{kind: attemptTimer, attempt: attempt})
+}
+
+// setDeadlineTimer sets the timer that ends a request whatever the policy says.
+func (r *Router) setDeadlineTimer(request *inFlightRequest) {
+	r.timers.Remove(request.deadlineTimer)
+	at := request.Deadline + r.config.AnswerGrace
+	request.deadlineTimer = r.timers.Push(at, timerTask{kind: deadlineTimer, request: request})
+}
+
+// setRecheckTimer sets the timer at which the policy wants to be asked again about a request.
+func (r *Router) setRecheckTimer(request *inFlightRequest) {
+	if request.finished {
+		return
+	}
+	r.timers.Remove(request.recheckTimer)
+	if delay := r.policy.RecheckDelay(r.now, &request.Request); delay > 0 {
+		request.recheckTimer = r.timers.Push(r.now+delay, timerTask{kind: recheckTimer, request: request})
+	}
+}
+
+// tick does the periodic work.
+func (r *Router) tick() {
+	r.nextTick = r.now + tickRetryDelay
+	_, delay := r.policy.Tick(r.now) // the endpoints to probe are none: see policySettings
+	r.nextTick = r.now + delay
+	r.closeUnused()
+	r.preconnect()
+}
--- /dev/null
+++ b/internal/router/withdraw_test.go
@@ -0,0 +1,142 @@
+package router
+
+import (
+	"tealpath/control"
+	"testing"
+)
+
+// Requests that wait on an established connection because its other side reads nothing.
+func TestUnwrittenAttempts(t *testing.T) {
+	purge := func(h *harness) {
+		h.now += 200 * millisecond
+		h.handle(PurgeReceived{Object: objectID, PurgedAt: h.now - 50*millisecond})
+	}
+	drain := func(h *harness) { h.setFirstPhase("draining") }
+	runScenarios(t, newTwoClassHarness, []scenario{
+		{"a purge: decided on anew, with the new age", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			purge(h)
+			h.confirmWithdrawals()
+			h.connectNewest()
+			if age := h.sends[1].Request.Attempt.MaxAge; age <= 0 || age >= 50*millisecond {
+				h.t.Errorf("age %d", age)
+			}
+		}, "dial, send 1, dial, send 1"},
+		{"a purge, but it is written: served", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			purge(h)
+			h.respond(success)
+		}, "dial, send 1, served 1:bytes"},
+		{"its cache drains: sent elsewhere", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			drain(h)
+			h.confirmWithdrawals()
+			h.connectNewest()
+		}, "dial, send 1, dial, send 1"},
+		{"the cache of a non-idempotent request drains: it was not executed", func(h *harness) {
+			h.request(1, nonIdempotent)
+			h.connectNewest()
+			drain(h)
+			h.confirmWithdrawals()
+			h.connectNewest()
+		}, "dial, send 1, dial, send 1"},
+	})
+}
+
+// The same as its client, or the time until it may be written, is over.
+func TestUnwrittenAttemptsEnd(t *testing.T) {
+	drain := func(h *harness) { h.setFirstPhase("draining") }
+	runScenarios(t, newTwoClassHarness, []scenario{
+		{"its client half-closes: rejected, and nothing more is sent", func(h *harness) {
+			h.request(1, nonIdempotent)
+			h.connectNewest()
+			h.handle(ClientHalfClosed{Client: 1})
+			h.confirmWithdrawals()
+			h.advance(2 * second)
+		}, "dial, send 1, rejected 1"},
+		{"its client half-closes, but it is written: served", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.handle(ClientHalfClosed{Client: 1})
+			h.respond(success)
+		}, "dial, send 1, served 1:bytes"},
+		{"half of its time passes: it was not executed, and is rejected by then", func(h *harness) {
+			h.request(1, map[string]string{"verb": "permits", "limit": "600"})
+			h.connectNewest()
+			h.advance(291 * millisecond)
+			h.confirmWithdrawals()
+		}, "dial, send 1, rejected 1"},
+		{"half of its time passes, but it is written: it has all its time", func(h *harness) {
+			h.request(1, map[string]string{"limit": "600"})
+			h.connectNewest()
+			h.advance(550 * millisecond)
+			h.respond(success)
+		}, "dial, send 1, served 1:bytes"},
+		{"the connection's writer finds that its send deadline has passed", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			h.handle(AttemptWithdrawn{Connection: h.sends[0].Connection, ID: h.sends[0].Request.ID})
+			h.connectNewest()
+		}, "dial, send 1, dial, send 1"},
+		{"withdrawn when it was cancelled already", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			drain(h)
+			h.handle(RequestCancelled{Client: 1, Seq: 1})
+			h.confirmWithdrawals()
+			h.advance(3 * second)
+		}, "dial, send 1, cancel 1"},
+		{"withdrawn from a connection that has ended", func(h *harness) {
+			h.request(1, nil)
+			h.connectNewest()
+			drain(h)
+			h.handle(ConnectionDown{Connection: h.dialled[0], Unsent: []RequestID{h.sends[0].Request.ID}})
+			h.confirmWithdrawals()
+			h.connectNewest()
+		}, "dial, send 1, dial, send 1"},
+	})
+}
+
+// Where endpoints can't be told that a request is cancelled, one that is not written yet is withdrawn all the
+// same.
+func TestWithdrawnWithoutCancellation(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		end  Event
+	}{
+		{"cancelled", RequestCancelled{Client: 1, Seq: 1}},
+		{"disconnected", ClientDisconnected{Client: 1}},
+		{"half-closed", ClientHalfClosed{Client: 1}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			h := newHarness(t, func(_ *Limits, settings *control.Settings) { settings.CancelAttempts = false })
+			h.request(1, nil)
+			h.connectNewest()
+			h.handle(c.end)
+			want := WithdrawAttempt{Connection: h.sends[0].Connection, ID: h.sends[0].Request.ID}
+			if len(h.withdrawals) == 0 || h.withdrawals[0] != want {
+				t.Errorf("withdrawn %v, want %v", h.withdrawals, want)
+			}
+		})
+	}
+}
+
+// A hedge that waits for its connection while the first attempt is answered is not sent once that is
+// established, also where the policy cancels nothing.
+func TestHedgeIsNotSentAfterTheResponse(t *testing.T) {
+	h := newHarness(t, func(_ *Limits, settings *control.Settings) { settings.CancelAttempts = false })
+	h.request(1, nil)
+	h.connectNewest()
+	first := h.connections[h.dialled[0]].endpoint
+	other := h.endpoints.byName["s-a"]
+	if first == other {
+		other = h.endpoints.byName["s-b"]
+	}
+	h.startAttempt(h.requests.find(1, 1), control.Attempt{Cache: other.ID, CacheOnly: true, SendTimeout: second})
+	h.respond(success)
+	h.handle(ConnectionUp{Connection: h.lastConnection})
+	h.expect("dial, send 1, served 1:bytes")
+}
--- a/internal/upstream/localerrors_test.go
+++ b/internal/upstream/localerrors_test.go
@@ -112,14 +112,15 @@
 
 // request requests an object of its own each time, spread over all caches.
 func (r *testRouter) request(seq int32, limit time.Duration) {
-	r.pool.events <- router.RequestReceived{Client: 1, Seq: seq, Body: []byte("q"), Fields: map[string]string{
+	request, err := router.DecodeRequest(map[string]string{
 		"verb":  "stills",
 		"txn":   fmt.Sprintf("%016x", seq),
 		"limit": fmt.Sprint(limit.Milliseconds()),
 		"item":  fmt.Sprintf("%016x", uint64(seq)*0x9e3779b97f4a7c15),
 		"nth":   "0",
 		"batch": "17",
-	}}
+	}, []byte("q"))
+	r.pool.events <- router.RequestReceived{Client: 1, Seq: seq, Request: request, DecodeError: err}
 }
 
 // responses returns how many requests were served, and how many ended otherwise.
