--- a/control/purges.go
+++ b/control/purges.go
@@ -15,7 +15,7 @@
 //     may be wrong.
 //   - The entry was not issued before the purge's timestamp. Neither of the two times is a reading of this clock.
 //
-// docs/architecture.md, "Time", has the cases.
+// docs/time.md has the cases.
 
 const (
 	// purgeMargin is by how much the accepted age stays below the time since a purge: timestamps are in whole
