--- a/internal/experiment/command/agree.go
+++ b/internal/experiment/command/agree.go
@@ -12,7 +12,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"tealpath/internal/experiment"
+	"tealpath/internal/experiment/sharedconfigsim"
 )
 
 func agreeCommand(usage cli.OnUsageErrorFunc) *cli.Command {
@@ -30,10 +30,16 @@
 		if err != nil || n < 1 || cmd.Float64("virtual") <= 0 {
 			return cli.Exit(fmt.Errorf("instances from 1, hours above 0: %q, %g", word, cmd.Float64("virtual")), exitUsage)
 		}
-		r := experiment.AgreeSim{Instances: n, Span: int64(cmd.Float64("virtual") * 3600e9), Seed: cmd.Uint64("seed"), Lease: int64(cmd.Duration("lease")),
-			Renewal: int64(cmd.Duration("renewal")), Every: int64(cmd.Duration("every"))}.Run()
+		r := sharedconfigsim.Plan{
+			Instances:     n,
+			Duration:      time.Duration(cmd.Float64("virtual") * 3600e9),
+			Seed:          cmd.Uint64("seed"),
+			LeaseDuration: cmd.Duration("lease"),
+			RenewInterval: cmd.Duration("renewal"),
+			EventInterval: cmd.Duration("every"),
+		}.Run()
 		json.NewEncoder(os.Stdout).Encode(r)
-		broken = broken || r.Broken > 0 || r.MaxMS > r.BoundMS || r.Share > 1+1e-6
+		broken = broken || !r.BoundsHold()
 	}
 	if broken {
 		return cli.Exit(errors.New("a bound of docs/agreement.md is broken"), exitBroken)
--- a/internal/experiment/command/coldstart.go
+++ b/internal/experiment/command/coldstart.go
@@ -11,6 +11,7 @@
 	"github.com/urfave/cli/v3"
 
 	"tealpath/internal/experiment"
+	"tealpath/internal/experiment/coldstartsim"
 )
 
 func coldstartCommand(usage cli.OnUsageErrorFunc) *cli.Command {
@@ -18,7 +19,7 @@
 		OnUsageError: usage, Action: coldstart, Flags: []cli.Flag{
 			&cli.IntFlag{Name: "routers", Value: 100}, &cli.IntFlag{Name: "caches", Value: 40},
 			&cli.Uint64Flag{Name: "seed", Value: 7}, &cli.StringFlag{Name: "out", Value: "lab-out"},
-			&cli.StringFlag{Name: "faults", Value: "none", Usage: strings.Join(experiment.ColdFaults, ", ") + "; virtual: " + strings.Join(experiment.FleetFaults, ", ")},
+			&cli.StringFlag{Name: "faults", Value: "none", Usage: strings.Join(experiment.ColdFaults, ", ") + "; virtual: " + strings.Join(coldstartsim.FaultNames(), ", ")},
 			&cli.DurationFlag{Name: "seconds", Value: 20 * time.Second}, &cli.Float64Flag{Name: "rate", Value: 300},
 			&cli.StringFlag{Name: "binary", Value: "bin/tealpath"},
 			&cli.DurationFlag{Name: "hold", Usage: "play it again with first calls spread over four fifths of so long, health held back"},
@@ -37,22 +38,34 @@
 
 // coldfleet plays whole routers, as they are and as they were.
 func coldfleet(cmd *cli.Command, out string, print *json.Encoder) error {
-	play := experiment.FleetCold{Routers: cmd.Int("routers"), Caches: cmd.Int("caches"), Seed: cmd.Uint64("seed"), Faults: cmd.String("faults"),
-		Span: int64(cmd.Duration("seconds")), Rate: cmd.Float64("rate"), Tries: cmd.Int("tries"), Holds: cmd.Int("holds"),
-		Bound: cmd.Int("told"), Listed: cmd.Bool("known"), Opens: cmd.Float64("opens"), Bears: cmd.Float64("list-bears"), Hold: int64(cmd.Duration("hold"))}
-	var plays []experiment.FleetColdResult
-	for _, play.Before = range []bool{true, false} {
-		r, err := play.Run()
+	plan := coldstartsim.Plan{
+		Routers:             cmd.Int("routers"),
+		Caches:              cmd.Int("caches"),
+		Seed:                cmd.Uint64("seed"),
+		Fault:               coldstartsim.Fault(cmd.String("faults")),
+		Duration:            cmd.Duration("seconds"),
+		RequestRate:         cmd.Float64("rate"),
+		MaxAttempts:         cmd.Int("tries"),
+		MaxConnections:      cmd.Int("holds"),
+		MaxConnectRate:      cmd.Float64("opens"),
+		ReadinessHold:       cmd.Duration("hold"),
+		ConfiguredRouters:   cmd.Int("told"),
+		EndpointsConfigured: cmd.Bool("known"),
+		DiscoveryCallRate:   cmd.Float64("list-bears"),
+	}
+	var runs []coldstartsim.Result
+	for _, plan.Baseline = range []bool{true, false} {
+		r, err := plan.Run()
 		if err != nil {
 			return cli.Exit(err, exitUsage)
 		}
-		plays = append(plays, r)
+		runs = append(runs, r)
 		print.Encode(r)
 	}
-	if err := experiment.KeepFleet(out, plays...); err != nil {
+	if err := coldstartsim.WriteReport(out, runs...); err != nil {
 		return cli.Exit(err, exitBroken)
 	}
-	if now := plays[1]; now.CachePeak > now.Holds || now.Fallen > 0 || now.Worst > 1 || now.Lost > 0 {
+	if !runs[1].BoundsHold() {
 		return cli.Exit(errBound, exitBroken)
 	}
 	return nil
--- a/internal/experiment/command/command.go
+++ b/internal/experiment/command/command.go
@@ -16,6 +16,7 @@
 	"github.com/urfave/cli/v3"
 
 	"tealpath/internal/experiment"
+	"tealpath/internal/experiment/leasesim"
 )
 
 // Exit codes: a bound that is broken or an experiment that failed, and the command line at fault.
@@ -89,23 +90,30 @@
 // virtual plays parts of the time side by side, each from a seed of its own.
 func virtual(ctx context.Context, cmd *cli.Command) error {
 	parts := runtime.GOMAXPROCS(0)
-	results := make([]experiment.VirtualResult, parts)
+	results := make([]leasesim.Result, parts)
 	var group sync.WaitGroup
 	for i := range parts {
 		group.Go(func() {
-			results[i] = experiment.Virtual{Instances: cmd.Int("instances"), Slots: cmd.Int("slots"), Targets: cmd.Int("caches"),
-				Hours: cmd.Float64("virtual") / float64(parts), Seed: cmd.Uint64("seed") + uint64(i), Steps: i%2 == 1,
-				Lease: int64(cmd.Duration("lease")), Renewal: int64(cmd.Duration("renewal"))}.Run(ctx)
+			results[i] = leasesim.Plan{
+				Instances:     cmd.Int("instances"),
+				Slots:         cmd.Int("slots"),
+				Targets:       cmd.Int("caches"),
+				Hours:         cmd.Float64("virtual") / float64(parts),
+				ClockSteps:    i%2 == 1,
+				Seed:          cmd.Uint64("seed") + uint64(i),
+				LeaseDuration: cmd.Duration("lease"),
+				RenewInterval: cmd.Duration("renewal"),
+			}.Run(ctx)
 		})
 	}
 	group.Wait()
-	sum := experiment.VirtualResult{Instances: cmd.Int("instances")}
+	sum := leasesim.Result{Instances: cmd.Int("instances")}
 	for _, r := range results {
 		sum.Add(r)
 	}
-	sum.OwnedShare /= float64(parts)
+	sum.LeasedShare /= float64(parts)
 	json.NewEncoder(os.Stdout).Encode(sum)
-	if sum.Overlaps+sum.Backward+sum.Duplicated > 0 {
+	if !sum.BoundsHold() {
 		return cli.Exit(experiment.ErrBound, exitBroken)
 	}
 	return nil
--- a/internal/experiment/command/members.go
+++ b/internal/experiment/command/members.go
@@ -2,12 +2,10 @@
 
 import (
 	"context"
-	"encoding/csv"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
-	"path/filepath"
 	"strconv"
 	"strings"
 	"time"
@@ -15,6 +13,7 @@
 	"github.com/urfave/cli/v3"
 
 	"tealpath/internal/experiment"
+	"tealpath/internal/experiment/membershipsim"
 )
 
 func membersCommand(usage cli.OnUsageErrorFunc) *cli.Command {
@@ -71,43 +70,47 @@
 	return nil
 }
 
-func virtualMembers(cmd *cli.Command, out string, sizes []int, faults []string) error {
+func virtualMembers(cmd *cli.Command, out string, sizes []int, names []string) error {
+	var faults []membershipsim.Fault
+	for _, name := range names {
+		faults = append(faults, membershipsim.Fault(name))
+	}
 	print := json.NewEncoder(os.Stdout)
-	var plays []experiment.MemberSimResult
+	broken := false
+	var runs []membershipsim.Result
 	for _, n := range sizes {
-		play := experiment.MemberSim{Instances: n, Span: int64(cmd.Float64("virtual") * 3600e9), Seed: cmd.Uint64("seed"), Interval: 5e8,
-			Quiet: int64(cmd.Duration("silence")), Loss: cmd.Float64("loss"), Faults: faults, Spread: 1e9}
+		plan := membershipsim.Plan{
+			Instances:         n,
+			Duration:          time.Duration(cmd.Float64("virtual") * 3600e9),
+			Seed:              cmd.Uint64("seed"),
+			HeartbeatInterval: 500 * time.Millisecond,
+			SilenceTimeout:    cmd.Duration("silence"),
+			Loss:              cmd.Float64("loss"),
+			Faults:            faults,
+			StartSpread:       time.Second,
+		}
 		if len(faults) > 0 {
-			play.Every = int64(cmd.Duration("every"))
+			plan.FaultInterval = cmd.Duration("every")
 		}
 		if cmd.Bool("before") {
-			old := play
-			old.Before, old.Span = true, min(play.Span, 60e9)
-			r := old.Run()
-			plays = append(plays, r)
+			baseline := plan
+			baseline.Baseline, baseline.Duration = true, min(plan.Duration, time.Minute)
+			r := baseline.Run()
+			runs = append(runs, r)
 			print.Encode(r)
 		}
-		r := play.Run()
-		plays = append(plays, r)
+		r := plan.Run()
+		runs = append(runs, r)
 		print.Encode(r)
+		broken = broken || !r.BoundsHold()
 	}
-	file, err := os.Create(filepath.Join(out, "members.csv"))
-	if err != nil {
+	if err := membershipsim.WriteTable(out, runs); err != nil {
 		return cli.Exit(err, exitBroken)
 	}
-	defer file.Close()
-	w := csv.NewWriter(file)
-	w.Write([]string{"instances", "before", "detect_p99_ms", "false_deaths", "bytes_calm", "links"})
-	broken := false
-	for _, r := range plays {
-		w.Write([]string{strconv.Itoa(r.Instances), strconv.FormatBool(r.Before), fmt.Sprint(r.Detect99), strconv.Itoa(r.False),
-			fmt.Sprint(r.Calm), strconv.Itoa(r.Links)})
-		broken = broken || !r.Before && r.Broken()
-	}
-	if w.Flush(); broken {
+	if broken {
 		return cli.Exit(experiment.ErrBound, exitBroken)
 	}
-	if err := errors.Join(w.Error(), experiment.ChartMembers(out, plays)); err != nil {
+	if err := membershipsim.WriteCharts(out, runs); err != nil {
 		return cli.Exit(err, exitBroken)
 	}
 	return nil
--- /dev/null
+++ b/internal/experiment/leasesim/faults.go
@@ -0,0 +1,71 @@
+package leasesim
+
+import "tealpath/internal/experiment/simulation"
+
+// Kinds of faults, by the number that is drawn.
+const (
+	faultKill            = iota // twice as likely as the others
+	faultKillAlternative        // the same as faultKill
+	faultKillMajority           // more than half of the instances, at once
+	faultPartition
+	faultInboundLost
+	faultLoss
+	faultLatency // of up to one and a half leases
+	faultPause
+	faultClockStep
+	faultsEnd // all faults of the network end
+	faultKinds
+)
+
+// How far faults go.
+const (
+	maxLoss          = 0.3
+	maxLatencyHalves = 3 // halves of a lease
+	maxPauseLeases   = 4
+)
+
+// injectFault begins a fault. Half of all faults of the network pass at once.
+func (s *runState) injectFault() {
+	victim := s.instances[s.random.IntN(len(s.instances))]
+	leaseDuration := int64(s.plan.LeaseDuration)
+	switch s.random.IntN(faultKinds) {
+	case faultKill, faultKillAlternative:
+		s.kill(victim.index)
+	case faultKillMajority:
+		for offset := range len(s.instances)/2 + 1 {
+			s.kill((victim.index + offset) % len(s.instances))
+		}
+	case faultPartition:
+		s.result.Partitions++
+		simulation.SplitAtRandom(s.random, s.hosts)
+	case faultInboundLost:
+		victim.host.InboundLost = true
+	case faultLoss:
+		s.network.Loss = maxLoss * s.random.Float64()
+	case faultLatency:
+		s.network.Latency = simulation.LatencyAround(leaseDuration * int64(1+s.random.IntN(maxLatencyHalves)) / 2)
+	case faultPause:
+		victim.host.PausedUntil = s.now() + s.random.Int64N(maxPauseLeases*leaseDuration)
+	case faultClockStep:
+		if s.plan.ClockSteps {
+			victim.wallOffsetMS = []int64{-wallClockStepMS, wallClockStepMS}[s.random.IntN(2)]
+		}
+	case faultsEnd:
+		s.healNetwork()
+	}
+	if s.random.IntN(2) == 0 {
+		s.healNetwork()
+	}
+}
+
+// kill ends an instance, which starts again at once.
+func (s *runState) kill(index int) {
+	s.result.Kills++
+	s.instances[index].start()
+}
+
+func (s *runState) healNetwork() {
+	simulation.HealNetwork(s.hosts)
+	s.network.Loss = 0
+	s.network.Latency = s.plan.usualLatency()
+}
--- /dev/null
+++ b/internal/experiment/leasesim/leasesim_test.go
@@ -0,0 +1,63 @@
+package leasesim
+
+import (
+	"context"
+	"fmt"
+	"tealpath/internal/experiment/experimenttest"
+	"testing"
+	"time"
+)
+
+func usualPlan(instances, targets int, hours float64, seed uint64) Plan {
+	return Plan{
+		Instances:     instances,
+		Slots:         16,
+		Targets:       targets,
+		Hours:         hours,
+		Seed:          seed,
+		LeaseDuration: 1500 * time.Millisecond,
+		RenewInterval: 500 * time.Millisecond,
+	}
+}
+
+// A quarter of an hour at each size; `tealexperiment duties --virtual` runs for longer.
+func TestOneHolderASlotUnderFaults(t *testing.T) {
+	for _, size := range []struct{ instances, targets int }{{3, 200}, {5, 10}, {16, 3}} {
+		plan := usualPlan(size.instances, size.targets, 0.25, 5)
+		plan.ClockSteps = size.instances == 5
+		r := plan.Run(t.Context())
+		t.Logf("%+v", r)
+		if !r.BoundsHold() || r.Overlaps != 0 || r.BallotsBack != 0 || r.DuplicateProbes != 0 {
+			t.Errorf("%d instances: %+v", size.instances, r)
+		}
+		if r.Tenures < 100 || r.LeasedShare < 0.3 || r.Probes == 0 {
+			t.Errorf("%d instances: hardly anything was held: %+v", size.instances, r)
+		}
+	}
+}
+
+func TestRunEndsWithItsContext(t *testing.T) {
+	ctx, cancel := context.WithCancel(t.Context())
+	cancel()
+	if r := usualPlan(3, 1, 1, 5).Run(ctx); r.Kills > 0 || r.Hours > 0.1 {
+		t.Errorf("%+v", r)
+	}
+}
+
+func TestResultsAreAsRecorded(t *testing.T) {
+	t.Parallel()
+	recording := experimenttest.NewRecording(t)
+	for _, clockSteps := range []bool{false, true} {
+		for _, instances := range []int{1, 3, 6, 12} {
+			plan := usualPlan(instances, 10, 0.1, 11)
+			plan.ClockSteps = clockSteps
+			result := plan.Run(t.Context())
+			recording.Result(fmt.Sprint(instances, clockSteps), result)
+			sum := Result{Instances: instances}
+			sum.Add(result)
+			sum.Add(result)
+			recording.Result("sum", sum)
+		}
+	}
+	recording.Compare()
+}
--- /dev/null
+++ b/internal/experiment/membershipsim/member.go
@@ -0,0 +1,181 @@
+package membershipsim
+
+import (
+	"slices"
+	"tealpath/internal/cluster/membership"
+	"tealpath/internal/experiment/heartbeatgossip"
+	"tealpath/internal/experiment/simulation"
+)
+
+// simulatedMember is one process over all its starts.
+type simulatedMember struct {
+	run      *runState
+	name     string
+	index    int
+	host     simulation.Host
+	protocol protocol // nil before the first start
+	timerAt  int64    // of the protocol's timer
+
+	// mayBeDeadUntil is until when a fault justifies that others believe the member dead, and that it
+	// believes others dead.
+	mayBeDeadUntil int64
+	duringPause    []func() // what came while the process was paused, in the order in which it came
+}
+
+// start begins the next incarnation.
+func (m *simulatedMember) start() {
+	m.host.Start()
+	m.duringPause = nil
+	if m.run.plan.Baseline {
+		m.protocol = m.newBaselineProtocol()
+	} else {
+		m.protocol = m.newMembershipProtocol()
+	}
+	m.setTimer()
+}
+
+func (m *simulatedMember) newBaselineProtocol() protocol {
+	run := m.run
+	var contacts []heartbeatgossip.Contact
+	for _, member := range run.members {
+		contacts = append(contacts, heartbeatgossip.Contact{Name: member.name, Address: member.name, Weight: 1})
+	}
+	return baselineProtocol{heartbeatgossip.New(run.now(), heartbeatgossip.Config{
+		Self: heartbeatgossip.Entry{
+			Name:        m.name,
+			Incarnation: uint64(m.host.Incarnation)<<20 + uint64(m.index) + 1,
+			Address:     m.name,
+			Weight:      1,
+		},
+		Contacts:        contacts,
+		Interval:        run.interval,
+		ReplacedTimeout: 5 * run.interval,
+		Seed:            run.random.Uint64(),
+	})}
+}
+
+func (m *simulatedMember) newMembershipProtocol() protocol {
+	run := m.run
+	var contacts []membership.Contact
+	for _, member := range run.members {
+		contacts = append(contacts, membership.Contact{Name: member.name, Address: member.name, Weight: 1})
+	}
+	interval := run.interval
+	phase := run.random.Int64N(interval)
+	incarnation := run.random.Uint64() | 1
+	return membershipProtocol{membership.New(run.now(), membership.Config{
+		Self: membership.Entry{
+			Name:        m.name,
+			Incarnation: incarnation,
+			Start:       uint64(run.now()/1e6) + 1,
+			Address:     m.name,
+			Weight:      1,
+		},
+		Contacts:          contacts,
+		HeartbeatInterval: interval,
+		SilenceTimeout:    int64(run.plan.SilenceTimeout),
+		ReplacedTimeout:   5 * interval,
+		Seed:              run.random.Uint64(),
+		NextHeartbeat:     func(now int64) int64 { return now + interval - (now+phase)%interval },
+	})}
+}
+
+// setTimer schedules what the protocol has to do next.
+func (m *simulatedMember) setTimer() {
+	run := m.run
+	at := max(m.protocol.next(), run.now()+minTimerDelay)
+	m.timerAt = at
+	incarnation := m.host.Incarnation
+	run.scheduler.At(at, func() {
+		if m.host.Incarnation != incarnation || m.timerAt != at || m.host.Stopped {
+			return
+		}
+		m.whenAwake(func() {
+			m.send(m.protocol.tick(run.now()))
+			m.setTimer()
+		})
+	})
+}
+
+// whenAwake runs an event of the process once it is not paused. Events of a pause run in reverse order, the
+// latest one first: the protocol has to notice by itself how long it was away, whichever event a resumed
+// process finds first.
+func (m *simulatedMember) whenAwake(event func()) {
+	run := m.run
+	if !m.host.Paused(run.now()) {
+		event()
+		return
+	}
+	m.duringPause = append(m.duringPause, event)
+	if len(m.duringPause) > 1 {
+		return
+	}
+	incarnation := m.host.Incarnation
+	run.scheduler.At(m.host.PausedUntil, func() {
+		if m.host.Incarnation != incarnation || m.host.Stopped {
+			return
+		}
+		events := m.duringPause
+		m.duringPause = nil
+		for _, event := range slices.Backward(events) {
+			event()
+		}
+	})
+}
+
+// send hands messages to the network.
+func (m *simulatedMember) send(messages []message) {
+	run := m.run
+	for _, message := range messages {
+		run.measured.sent(message, run.now() >= run.calmFrom)
+		to := run.byName[message.to]
+		if to == nil || !run.connected(m, to) || run.network.LosesNext() {
+			continue
+		}
+		copies := 1
+		if run.duplicateSends && run.random.IntN(2) == 0 {
+			copies = 2
+		}
+		for range copies {
+			m.deliver(to, message)
+		}
+	}
+	if run.measured.messages%connectionSampling == 0 || run.now() < run.calmFrom {
+		run.measured.maxConnections = max(run.measured.maxConnections, m.protocol.connections())
+	}
+}
+
+// connected tells whether no fault keeps all messages of one member from another.
+func (s *runState) connected(from, to *simulatedMember) bool {
+	return from.host.Reaches(&to.host) && !s.cutLinks[directedPair{from.index, to.index}]
+}
+
+// deliver schedules the arrival of a message. It does not arrive if one of the two processes has ended by then.
+func (m *simulatedMember) deliver(to *simulatedMember, message message) {
+	run := m.run
+	senderIncarnation, receiverIncarnation := m.host.Incarnation, to.host.Incarnation
+	run.scheduler.After(run.network.Delay(), func() {
+		receiverGone := to.host.Stopped || to.host.Incarnation != receiverIncarnation || to.protocol == nil
+		if receiverGone || m.host.Incarnation != senderIncarnation {
+			return
+		}
+		to.whenAwake(func() {
+			to.send(to.protocol.receive(run.now(), m.name, message))
+			if to.protocol.next() < to.timerAt {
+				to.setTimer()
+			}
+		})
+	})
+}
+
+// healthy tells whether the member is there to believe something, and to be believed in.
+func (m *simulatedMember) healthy() bool {
+	host := &m.host
+	return m.protocol != nil && host.Running(m.run.now()) && !host.InboundLost && !host.OutboundLost
+}
+
+// believesDead tells whether the member believes another one dead.
+func (m *simulatedMember) believesDead(other *simulatedMember) bool {
+	dead, _ := m.protocol.belief(other.name)
+	return dead
+}
--- /dev/null
+++ b/internal/experiment/sharedconfigsim/events.go
@@ -0,0 +1,105 @@
+package sharedconfigsim
+
+import (
+	"fmt"
+	"tealpath/internal/compatibility"
+	"tealpath/internal/experiment/simulation"
+)
+
+// Kinds of changes and faults, by the number that is drawn. Numbers below eventKill are changes, so that
+// four of ten are. Those above eventRestartAll do nothing.
+const (
+	eventKill       = 4
+	eventPause      = 5
+	eventPartition  = 6
+	eventLoss       = 7
+	eventRestartAll = 8
+	eventKinds      = 10
+)
+
+// How far faults go.
+const (
+	maxRestartSeconds = 10 // below which a killed instance starts again
+	maxPauseSeconds   = 60
+	partitionTime     = 6 * second
+	lossTime          = 5 * second
+	lossDuringFault   = 0.2
+	restartAllOneIn   = 5
+)
+
+// changeOrFault proposes a change, or begins a fault.
+func (s *runState) changeOrFault() {
+	instance := s.instances[s.random.IntN(len(s.instances))]
+	switch kind := s.random.IntN(eventKinds); {
+	case kind < eventKill:
+		s.propose(instance)
+	case kind == eventKill:
+		s.kill(instance)
+	case kind == eventPause:
+		instance.host.PausedUntil = s.now() + int64(s.random.IntN(maxPauseSeconds))*second
+	case kind == eventPartition:
+		s.partition()
+	case kind == eventLoss:
+		s.network.Loss = lossDuringFault
+		s.scheduler.After(lossTime, func() { s.network.Loss = 0 })
+	case kind == eventRestartAll:
+		s.restartAll()
+	}
+}
+
+// propose has an instance propose a change of one setting to the newest version that it knows.
+func (s *runState) propose(instance *simulatedInstance) {
+	if !instance.host.Running(s.now()) {
+		return
+	}
+	settings, err := compatibility.Decode(instance.node.Newest().Content)
+	if err != nil {
+		panic(err) // only settings are proposed
+	}
+	content := mustEncode(s.changed(settings))
+	if instance.node.Propose(instance.localTime(), s.wallMS(), content) == nil {
+		s.measured.changes++
+		instance.carryOut()
+		instance.setTimer()
+	}
+}
+
+func (s *runState) changed(settings compatibility.Settings) compatibility.Settings {
+	switch s.random.IntN(4) {
+	case 0:
+		settings.Slots = 32 << s.random.IntN(3)
+	case 1:
+		settings.Routers = s.plan.Instances + s.random.IntN(50)
+	case 2:
+		settings.DrainedEndpoints = []string{fmt.Sprint("s-", s.random.IntN(9))}
+	case 3:
+		settings.PurgeWindow = int64(4+s.random.IntN(6)) * second
+	}
+	return settings
+}
+
+// kill ends an instance, which starts again unless it has been started by restartAll before. What it sent
+// still arrives.
+func (s *runState) kill(victim *simulatedInstance) {
+	victim.host.Stopped = true
+	incarnation := victim.host.Incarnation
+	s.scheduler.After(int64(s.random.IntN(maxRestartSeconds))*second, func() {
+		if victim.host.Incarnation == incarnation {
+			victim.start()
+		}
+	})
+}
+
+func (s *runState) partition() {
+	simulation.SplitAtRandom(s.random, s.hosts)
+	s.scheduler.After(partitionTime, func() { simulation.HealNetwork(s.hosts) })
+}
+
+func (s *runState) restartAll() {
+	if s.random.IntN(restartAllOneIn) != 0 {
+		return
+	}
+	for _, instance := range s.instances {
+		instance.start()
+	}
+}
--- /dev/null
+++ b/internal/experiment/sharedconfigsim/plan.go
@@ -0,0 +1,125 @@
+// Package sharedconfigsim simulates instances that agree on versions of the shared configuration
+// (internal/cluster/sharedconfig, with the real settings of internal/compatibility), while changes are
+// proposed and faults happen. It measures whether versions that exclude each other are ever in use at once,
+// and how long a change takes until all use it.
+package sharedconfigsim
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"tealpath/internal/cluster/lease"
+	"tealpath/internal/compatibility"
+	"tealpath/internal/experiment/simulation"
+	"time"
+)
+
+// Plan is one run of the experiment.
+type Plan struct {
+	Instances     int
+	Duration      time.Duration // simulated
+	Seed          uint64
+	LeaseDuration time.Duration
+	RenewInterval time.Duration
+	EventInterval time.Duration // mean time between two changes or faults
+}
+
+const (
+	maxVoters     = 5
+	maxClockDrift = 0.01
+	slots         = 64
+	purgeWindow   = second * 6
+	second        = int64(1e9)
+	millisecond   = int64(1e6)
+	wallClockMS   = int64(1e12) // at the start of the run
+
+	observationsPerRenewal = 10
+	firstEventAfterLeases  = 4
+	firstObservationLeases = 2
+)
+
+// networkLatency is how long messages are under way.
+var networkLatency = simulation.Latency{Min: millisecond, Jitter: 10 * millisecond}
+
+// runState is the state of one simulation.
+type runState struct {
+	plan      Plan
+	random    *rand.Rand
+	scheduler *simulation.Scheduler
+	network   *simulation.Network
+	instances []*simulatedInstance
+	byName    map[string]*simulatedInstance
+	hosts     []*simulation.Host // of the instances
+	initial   []byte             // content of the first version
+	voters    []string
+	measured  measurements
+}
+
+// Run simulates the plan.
+func (p Plan) Run() Result {
+	run := newRun(p)
+	for _, instance := range run.instances {
+		instance.start()
+	}
+	leaseDuration := int64(p.LeaseDuration)
+	run.scheduler.Repeat(firstObservationLeases*leaseDuration, run.observationInterval, run.observe)
+	run.scheduler.Repeat(firstEventAfterLeases*leaseDuration, run.drawEventInterval, run.changeOrFault)
+	run.scheduler.RunUntil(int64(p.Duration))
+	return run.result()
+}
+
+func newRun(plan Plan) *runState {
+	random := rand.New(rand.NewPCG(plan.Seed, uint64(plan.Instances)))
+	run := &runState{
+		plan:      plan,
+		random:    random,
+		scheduler: simulation.NewScheduler(0),
+		network:   simulation.NewNetwork(random, networkLatency),
+		byName:    map[string]*simulatedInstance{},
+		measured:  newMeasurements(),
+	}
+	for i := range plan.Instances {
+		instance := &simulatedInstance{
+			run:   run,
+			name:  fmt.Sprintf("n%03d", i),
+			clock: simulation.NewClock(random, maxClockDrift),
+		}
+		run.instances = append(run.instances, instance)
+		run.byName[instance.name] = instance
+		run.hosts = append(run.hosts, &instance.host)
+		if i < maxVoters {
+			run.voters = append(run.voters, instance.name)
+		}
+	}
+	run.initial = mustEncode(compatibility.Settings{
+		Routers:       plan.Instances,
+		Slots:         slots,
+		LeaseDuration: int64(plan.LeaseDuration),
+		MaxClockDrift: maxClockDrift,
+		PurgeWindow:   purgeWindow,
+		Voters:        lease.Voters{Epoch: 1, Current: run.voters},
+	})
+	return run
+}
+
+// mustEncode encodes settings that this package has made.
+func mustEncode(settings compatibility.Settings) []byte {
+	content, err := compatibility.Encode(settings)
+	if err != nil {
+		panic(err)
+	}
+	return content
+}
+
+func (s *runState) now() int64 { return s.scheduler.Now() }
+
+// wallMS is the wall clock, which all instances share.
+func (s *runState) wallMS() int64 { return wallClockMS + s.now()/millisecond }
+
+func (s *runState) observationInterval() int64 {
+	return int64(s.plan.RenewInterval) / observationsPerRenewal
+}
+
+func (s *runState) drawEventInterval() int64 {
+	mean := int64(s.plan.EventInterval)
+	return mean/2 + s.random.Int64N(mean)
+}
--- /dev/null
+++ b/internal/experiment/sharedconfigsim/sharedconfigsim_test.go
@@ -0,0 +1,46 @@
+package sharedconfigsim
+
+import (
+	"fmt"
+	"tealpath/internal/experiment/experimenttest"
+	"testing"
+	"time"
+)
+
+func usualPlan(instances int, duration time.Duration, seed uint64) Plan {
+	return Plan{
+		Instances:     instances,
+		Duration:      duration,
+		Seed:          seed,
+		LeaseDuration: 1500 * time.Millisecond,
+		RenewInterval: 500 * time.Millisecond,
+		EventInterval: 4 * time.Second,
+	}
+}
+
+func TestBoundsUnderChangesAndFaults(t *testing.T) {
+	for _, n := range []int{5, 20} {
+		plan := usualPlan(n, 20*time.Minute, 7)
+		r := plan.Run()
+		if !r.BoundsHold() || r.PeakSlowStartShare > 1+1e-9 || r.InForce < 20 {
+			t.Errorf("%+v", r)
+		}
+		if n == 5 && plan.Run() != r {
+			t.Error("another run of the same seed differs")
+		}
+		t.Logf("%+v", r)
+	}
+}
+
+func TestResultsAreAsRecorded(t *testing.T) {
+	t.Parallel()
+	recording := experimenttest.NewRecording(t)
+	frequent := usualPlan(3, 15*time.Minute, 11)
+	frequent.EventInterval = 2 * time.Second
+	longLeases := usualPlan(12, 10*time.Minute, 13)
+	longLeases.LeaseDuration, longLeases.EventInterval = 3*time.Second, 3*time.Second
+	for _, plan := range []Plan{frequent, usualPlan(5, 15*time.Minute, 12), longLeases} {
+		recording.Result(fmt.Sprint(plan.Instances), plan.Run())
+	}
+	recording.Compare()
+}
