--- a/internal/experiment/command/agree.go
+++ b/internal/experiment/command/agree.go
@@ -2,41 +2,60 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"os"
 	"strconv"
 	"strings"
+	"tealpath/internal/experiment"
+	"tealpath/internal/experiment/report"
 	"time"
 
 	"github.com/urfave/cli/v3"
-
-	"tealpath/internal/experiment"
 )
 
-func agreeCommand(usage cli.OnUsageErrorFunc) *cli.Command {
-	return &cli.Command{Name: "agree", Usage: "have instances agree on versions of settings through troubles, in simulated time", OnUsageError: usage,
-		Action: agreeing, Flags: []cli.Flag{&cli.StringFlag{Name: "instances", Value: "5", Usage: "several as 5,50"},
-			&cli.Float64Flag{Name: "virtual", Value: 1, Usage: "`HOURS` of simulated time"}, &cli.Uint64Flag{Name: "seed", Value: 7},
-			&cli.DurationFlag{Name: "lease", Value: 1500 * time.Millisecond}, &cli.DurationFlag{Name: "renewal", Value: 500 * time.Millisecond},
-			&cli.DurationFlag{Name: "every", Value: 4 * time.Second, Usage: "a change or a trouble so often"}}}
+func agreeCommand() *cli.Command {
+	return &cli.Command{
+		Name:         "agree",
+		Usage:        "have instances agree on versions of settings through faults, in simulated time (docs/agreement.md)",
+		OnUsageError: usageError,
+		Action:       agree,
+		Flags: []cli.Flag{
+			&cli.StringFlag{Name: "instances", Value: "5", Usage: "`COUNTS` of instances, one run each, such as 5,50"},
+			&cli.Float64Flag{Name: "virtual", Value: 1, Usage: "`HOURS` of simulated time"},
+			seedFlag(),
+			&cli.DurationFlag{Name: "lease", Value: 1500 * time.Millisecond, Usage: "duration of a lease"},
+			&cli.DurationFlag{Name: "renewal", Value: 500 * time.Millisecond, Usage: "interval between renewals of a lease"},
+			&cli.DurationFlag{
+				Name:  "every",
+				Value: 4 * time.Second,
+				Usage: "interval between two changes of settings or faults",
+			},
+		},
+	}
 }
 
-func agreeing(_ context.Context, cmd *cli.Command) error {
+func agree(_ context.Context, cmd *cli.Command) error {
 	broken := false
 	for _, word := range strings.Split(cmd.String("instances"), ",") {
-		n, err := strconv.Atoi(word)
-		if err != nil || n < 1 || cmd.Float64("virtual") <= 0 {
-			return cli.Exit(fmt.Errorf("instances from 1, hours above 0: %q, %g", word, cmd.Float64("virtual")), exitUsage)
+		instances, err := strconv.Atoi(word)
+		if err != nil || instances < 1 || cmd.Float64("virtual") <= 0 {
+			err := fmt.Errorf("instances from 1, hours above 0: %q, %g", word, cmd.Float64("virtual"))
+			return cli.Exit(err, exitUsage)
+		}
+		result := experiment.AgreeSim{
+			Instances: instances,
+			Span:      int64(cmd.Float64("virtual") * float64(time.Hour)),
+			Seed:      cmd.Uint64("seed"),
+			Lease:     int64(cmd.Duration("lease")),
+			Renewal:   int64(cmd.Duration("renewal")),
+			Every:     int64(cmd.Duration("every")),
+		}.Run()
+		if err := printJSON(result); err != nil {
+			return err
 		}
-		r := experiment.AgreeSim{Instances: n, Span: int64(cmd.Float64("virtual") * 3600e9), Seed: cmd.Uint64("seed"), Lease: int64(cmd.Duration("lease")),
-			Renewal: int64(cmd.Duration("renewal")), Every: int64(cmd.Duration("every"))}.Run()
-		json.NewEncoder(os.Stdout).Encode(r)
-		broken = broken || r.Broken > 0 || r.MaxMS > r.BoundMS || r.Share > 1+1e-6
+		broken = broken || result.Broken > 0 || result.MaxMS > result.BoundMS || result.Share > 1+1e-6
 	}
 	if broken {
-		return cli.Exit(errors.New("a bound of docs/agreement.md is broken"), exitBroken)
+		return failed(&report.BoundError{Page: "docs/agreement.md"})
 	}
 	return nil
 }
--- a/internal/experiment/command/coldstart.go
+++ b/internal/experiment/command/coldstart.go
@@ -2,111 +2,177 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"os"
 	"strings"
+	"tealpath/internal/experiment"
+	"tealpath/internal/experiment/coldstart"
+	"tealpath/internal/experiment/report"
 	"time"
 
 	"github.com/urfave/cli/v3"
-
-	"tealpath/internal/experiment"
 )
 
-func coldstartCommand(usage cli.OnUsageErrorFunc) *cli.Command {
-	return &cli.Command{Name: "coldstart", Usage: "start many routers within a second and measure what the list service bears",
-		OnUsageError: usage, Action: coldstart, Flags: []cli.Flag{
-			&cli.IntFlag{Name: "routers", Value: 100}, &cli.IntFlag{Name: "caches", Value: 40},
-			&cli.Uint64Flag{Name: "seed", Value: 7}, &cli.StringFlag{Name: "out", Value: "lab-out"},
-			&cli.StringFlag{Name: "faults", Value: "none", Usage: strings.Join(experiment.ColdFaults, ", ") + "; virtual: " + strings.Join(experiment.FleetFaults, ", ")},
-			&cli.DurationFlag{Name: "seconds", Value: 20 * time.Second}, &cli.Float64Flag{Name: "rate", Value: 300},
-			&cli.StringFlag{Name: "binary", Value: "bin/tealpath"},
-			&cli.DurationFlag{Name: "hold", Usage: "play it again with first calls spread over four fifths of so long, health held back"},
-			&cli.BoolFlag{Name: "links", Usage: "links to caches are planned: (links …) of the operator's file"},
-			&cli.StringFlag{Name: "baseline", Usage: "an earlier build of tealpath, played in the same call"},
-			&cli.BoolFlag{Name: "virtual", Usage: "play whole routers in simulated time, and the decisions on calls alone with a service that is down for 30 s"},
-			&cli.IntFlag{Name: "tries", Value: 3, Usage: "of a client for one object, the first included; virtual"},
-			&cli.IntFlag{Name: "holds", Usage: "connections that a cache holds; 0: four for each three routers"},
-			&cli.BoolFlag{Name: "known", Usage: "configurations know the list; virtual"},
-			&cli.Float64Flag{Name: "list-bears", Value: 100, Usage: "calls a second that the list service takes; virtual"},
-			&cli.Float64Flag{Name: "opens", Usage: "connections that a cache takes a second; virtual; 0: no bound"},
-			&cli.IntFlag{Name: "told", Usage: "routers that the settings tell; 0: as many as there are"}}}
-}
-
-var errBound = errors.New("a bound of docs/coldstart.md is broken")
+const (
+	simulatedOutage   = 30 * time.Second
+	simulatedDuration = time.Minute
+)
 
-// coldfleet plays whole routers, as they are and as they were.
-func coldfleet(cmd *cli.Command, out string, print *json.Encoder) error {
-	play := experiment.FleetCold{Routers: cmd.Int("routers"), Caches: cmd.Int("caches"), Seed: cmd.Uint64("seed"), Faults: cmd.String("faults"),
-		Span: int64(cmd.Duration("seconds")), Rate: cmd.Float64("rate"), Tries: cmd.Int("tries"), Holds: cmd.Int("holds"),
-		Bound: cmd.Int("told"), Listed: cmd.Bool("known"), Opens: cmd.Float64("opens"), Bears: cmd.Float64("list-bears"), Hold: int64(cmd.Duration("hold"))}
-	var plays []experiment.FleetColdResult
-	for _, play.Before = range []bool{true, false} {
-		r, err := play.Run()
-		if err != nil {
-			return cli.Exit(err, exitUsage)
-		}
-		plays = append(plays, r)
-		print.Encode(r)
-	}
-	if err := experiment.KeepFleet(out, plays...); err != nil {
-		return cli.Exit(err, exitBroken)
+func coldstartCommand() *cli.Command {
+	return &cli.Command{
+		Name:         "coldstart",
+		Usage:        "start many routers within a second and measure the load on discovery and caches (docs/coldstart.md)",
+		OnUsageError: usageError,
+		Action:       runColdstart,
+		Flags: []cli.Flag{
+			&cli.IntFlag{Name: "routers", Value: 100, Usage: "routers that start"},
+			&cli.IntFlag{Name: "caches", Value: 40, Usage: "caches that they share"},
+			seedFlag(),
+			outFlag(),
+			&cli.StringFlag{
+				Name:  "faults",
+				Value: "none",
+				Usage: "`FAULT`, one of " + coldstart.FaultNames() + "; with --virtual one of " +
+					strings.Join(experiment.FleetFaults, ", "),
+			},
+			&cli.DurationFlag{Name: "seconds", Value: 20 * time.Second, Usage: "time from the start to the end of a run"},
+			&cli.Float64Flag{Name: "rate", Value: 300, Usage: "requests a second, over all routers"},
+			binaryFlag(),
+			&cli.DurationFlag{
+				Name:  "hold",
+				Usage: "run once more with readiness held back for so long, and first calls spread over four fifths of it",
+			},
+			&cli.BoolFlag{
+				Name:  "links",
+				Usage: "plan connections to caches ahead of requests, by (links …) of the operator's file",
+			},
+			baselineFlag(),
+			&cli.BoolFlag{
+				Name: "virtual",
+				Usage: "simulate complete routers instead, and their call schedules alone with a discovery service " +
+					"that is down for 30 s",
+			},
+			&cli.IntFlag{Name: "tries", Value: 3, Usage: "attempts of a client for one object; with --virtual"},
+			&cli.IntFlag{Name: "holds", Usage: "connections that a cache takes; 0 is four for each three routers"},
+			&cli.BoolFlag{Name: "known", Usage: "configurations have the endpoint list; with --virtual"},
+			&cli.Float64Flag{
+				Name:  "list-bears",
+				Value: 100,
+				Usage: "calls a second that the discovery service takes; with --virtual",
+			},
+			&cli.Float64Flag{
+				Name:  "opens",
+				Usage: "new connections that a cache takes a second; 0 is no limit; with --virtual",
+			},
+			&cli.IntFlag{Name: "told", Usage: "routers that the settings say there are; 0 is as many as there are"},
+		},
 	}
-	if now := plays[1]; now.CachePeak > now.Holds || now.Fallen > 0 || now.Worst > 1 || now.Lost > 0 {
-		return cli.Exit(errBound, exitBroken)
-	}
-	return nil
 }
 
-func coldstart(ctx context.Context, cmd *cli.Command) error {
+func runColdstart(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Int("routers") < 1 || cmd.Int("caches") < 1 || cmd.Float64("rate") <= 0 {
 		return cli.Exit(errors.New("routers and caches from 1, the rate above 0"), exitUsage)
 	}
-	out := cmd.String("out")
-	if err := os.MkdirAll(out, 0o755); err != nil {
-		return cli.Exit(err, exitUsage)
+	out, err := makeOutDir(cmd)
+	if err != nil {
+		return err
 	}
-	print := json.NewEncoder(os.Stdout)
 	if cmd.Bool("virtual") {
-		r := experiment.VirtualCold{Routers: cmd.Int("routers"), Seed: cmd.Uint64("seed"), Down: 30e9, Span: 60e9}.Run()
-		if err := r.Keep(out); err != nil {
-			return cli.Exit(err, exitBroken)
-		}
-		print.Encode(r)
-		if r.Peak > r.Bound {
-			return cli.Exit(errBound, exitBroken)
+		if err := simulateCallSchedules(cmd, out); err != nil {
+			return err
 		}
-		return coldfleet(cmd, out, print)
+		return simulateColdstart(cmd, out)
 	}
-	folder, err := os.MkdirTemp("", "teallab")
-	if err != nil {
-		return cli.Exit(err, exitBroken)
+	return withTempDir(func(dir string) error {
+		return startRouters(ctx, cmd, coldstart.Experiment{
+			Routers:        cmd.Int("routers"),
+			Caches:         cmd.Int("caches"),
+			Seed:           cmd.Uint64("seed"),
+			Fault:          coldstart.Fault(cmd.String("faults")),
+			Duration:       cmd.Duration("seconds"),
+			Rate:           cmd.Float64("rate"),
+			Dir:            dir,
+			KnownRouters:   cmd.Int("told"),
+			MaxConnections: cmd.Int("holds"),
+		})
+	})
+}
+
+// startRouters runs the experiment with the baseline, the current build, and the current build with a readiness hold, as
+// the flags say. The last of them is held against the bounds.
+func startRouters(ctx context.Context, cmd *cli.Command, e coldstart.Experiment) error {
+	current := coldstart.Build{Binary: cmd.String("binary"), PlanConnections: cmd.Bool("links")}
+	builds := []coldstart.Build{current}
+	if baseline := cmd.String("baseline"); baseline != "" {
+		builds = []coldstart.Build{{Binary: baseline}, current}
+	}
+	if hold := cmd.Duration("hold"); hold > 0 {
+		current.ReadinessHold = hold
+		builds = append(builds, current)
 	}
-	defer os.RemoveAll(folder)
-	play := experiment.Coldstart{Routers: cmd.Int("routers"), Caches: cmd.Int("caches"), Seed: cmd.Uint64("seed"),
-		Faults: cmd.String("faults"), Span: cmd.Duration("seconds"), Rate: cmd.Float64("rate"), Folder: folder, Out: out, Process: os.Stdout,
-		Told: cmd.Int("told"), Holds: cmd.Int("holds")}
-	if base := cmd.String("baseline"); base != "" {
-		r, err := play.Run(ctx, base, 0, false)
+	var last coldstart.Result
+	for _, build := range builds {
+		result, err := e.Run(ctx, build)
 		if err != nil {
-			return cli.Exit(err, exitBroken)
+			return failed(err)
 		}
-		print.Encode(r)
+		if err := printJSON(result); err != nil {
+			return err
+		}
+		last = result
 	}
-	r, err := play.Run(ctx, cmd.String("binary"), 0, cmd.Bool("links"))
-	if err != nil {
-		return cli.Exit(err, exitBroken)
+	return failed(last.CheckBounds())
+}
+
+// simulateCallSchedules plays the routers' schedules of calls alone.
+func simulateCallSchedules(cmd *cli.Command, out string) error {
+	result := coldstart.Simulation{
+		Routers:      cmd.Int("routers"),
+		Seed:         cmd.Uint64("seed"),
+		DownDuration: simulatedOutage,
+		Duration:     simulatedDuration,
+	}.Run()
+	if err := result.Write(out); err != nil {
+		return failed(err)
 	}
-	if hold := cmd.Duration("hold"); hold > 0 {
-		print.Encode(r)
-		if r, err = play.Run(ctx, cmd.String("binary"), hold, cmd.Bool("links")); err != nil {
-			return cli.Exit(err, exitBroken)
+	if err := printJSON(result); err != nil {
+		return err
+	}
+	return failed(result.CheckBounds())
+}
+
+// simulateColdstart plays complete routers, as the baseline was and as they are.
+func simulateColdstart(cmd *cli.Command, out string) error {
+	play := experiment.FleetCold{
+		Routers: cmd.Int("routers"),
+		Caches:  cmd.Int("caches"),
+		Seed:    cmd.Uint64("seed"),
+		Faults:  cmd.String("faults"),
+		Span:    int64(cmd.Duration("seconds")),
+		Rate:    cmd.Float64("rate"),
+		Tries:   cmd.Int("tries"),
+		Holds:   cmd.Int("holds"),
+		Bound:   cmd.Int("told"),
+		Listed:  cmd.Bool("known"),
+		Opens:   cmd.Float64("opens"),
+		Bears:   cmd.Float64("list-bears"),
+		Hold:    int64(cmd.Duration("hold")),
+	}
+	var results []experiment.FleetColdResult
+	for _, play.Before = range []bool{true, false} {
+		result, err := play.Run()
+		if err != nil {
+			return cli.Exit(err, exitUsage)
 		}
+		results = append(results, result)
+		if err := printJSON(result); err != nil {
+			return err
+		}
+	}
+	if err := experiment.KeepFleet(out, results...); err != nil {
+		return failed(err)
 	}
-	print.Encode(r)
-	if r.CallsPeak > r.Bound || r.Unlisted > 0 || r.Lost > 0 || r.Fallen > 0 || r.Worst > 1 ||
-		cmd.Bool("links") && r.CachePeak > r.Holds {
-		return cli.Exit(errBound, exitBroken)
+	if now := results[1]; now.CachePeak > now.Holds || now.Fallen > 0 || now.Worst > 1 || now.Lost > 0 {
+		return failed(&report.BoundError{Page: "docs/coldstart.md"})
 	}
 	return nil
 }
--- a/internal/experiment/command/command.go
+++ b/internal/experiment/command/command.go
@@ -8,105 +8,112 @@
 	"fmt"
 	"os"
 	"os/signal"
-	"runtime"
-	"sync"
 	"syscall"
-	"time"
 
 	"github.com/urfave/cli/v3"
-
-	"tealpath/internal/experiment"
 )
 
-// Exit codes: a bound that is broken or an experiment that failed, and the command line at fault.
+// Exit codes: an experiment that failed or broke a bound, and the command line at fault.
 const (
-	exitBroken = 1
+	exitFailed = 1
 	exitUsage  = 2
 )
 
 // Main runs the command line under the name of its program and ends the process.
 func Main(name string) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	defer stop()
-	if err := app(name).Run(ctx, os.Args); err != nil {
+	err := app(name).Run(ctx, os.Args)
+	stop()
+	if err != nil {
 		fmt.Fprintln(os.Stderr, name+":", err)
-		code := exitUsage
-		var coded cli.ExitCoder
-		if errors.As(err, &coded) {
-			code = coded.ExitCode()
-		}
-		os.Exit(code)
+		os.Exit(exitCode(err))
 	}
 }
 
-func app(name string) *cli.Command {
-	usage := func(_ context.Context, _ *cli.Command, err error, _ bool) error { return cli.Exit(err, exitUsage) }
-	return &cli.Command{Name: name, Usage: "experiments on loopback; the last line is one JSON object",
-		ExitErrHandler: func(context.Context, *cli.Command, error) {}, OnUsageError: usage,
-		Commands: []*cli.Command{{Name: "duties", Usage: "kill owners of divided duties and measure the takeovers", OnUsageError: usage,
-			Action: duties, Flags: []cli.Flag{
-				&cli.IntFlag{Name: "instances", Value: 5}, &cli.IntFlag{Name: "kills", Value: 20},
-				&cli.IntFlag{Name: "caches", Value: 20}, &cli.IntFlag{Name: "slots", Value: 64},
-				&cli.Uint64Flag{Name: "seed", Value: 7}, &cli.StringFlag{Name: "out", Value: "lab-out", Usage: "folder of the results"},
-				&cli.DurationFlag{Name: "lease", Value: 1500 * time.Millisecond},
-				&cli.DurationFlag{Name: "renewal", Value: 500 * time.Millisecond},
-				&cli.DurationFlag{Name: "period", Value: time.Second}, &cli.DurationFlag{Name: "calm", Value: 10 * time.Second},
-				&cli.StringFlag{Name: "binary", Value: "bin/tealpath"},
-				&cli.Float64Flag{Name: "virtual", Usage: "play the modules for so many `HOURS` of simulated time instead"},
-			}}, idleCommand(usage), holdCommand(usage), waysCommand(usage), coldstartCommand(usage), membersCommand(usage), agreeCommand(usage)}}
+// exitCode returns the code of an error. One without a code comes from the parser of the command line.
+func exitCode(err error) int {
+	var coded cli.ExitCoder
+	if errors.As(err, &coded) {
+		return coded.ExitCode()
+	}
+	return exitUsage
 }
 
-func duties(ctx context.Context, cmd *cli.Command) error {
-	if cmd.Int("instances") < 1 || cmd.Int("kills") < 0 || cmd.Int("caches") < 1 {
-		return cli.Exit(errors.New("instances and caches from 1, kills from 0"), exitUsage)
-	}
-	if cmd.Float64("virtual") > 0 {
-		return virtual(ctx, cmd)
-	}
-	out := cmd.String("out")
-	if err := os.MkdirAll(out, 0o755); err != nil {
-		return cli.Exit(err, exitUsage)
+func app(name string) *cli.Command {
+	return &cli.Command{
+		Name:           name,
+		Usage:          "run experiments on loopback or in simulated time; the last line of output is one JSON object",
+		ExitErrHandler: func(context.Context, *cli.Command, error) {},
+		OnUsageError:   usageError,
+		Action:         showHelp,
+		Commands: []*cli.Command{
+			dutiesCommand(),
+			idleCommand(),
+			holdCommand(),
+			waysCommand(),
+			coldstartCommand(),
+			membersCommand(),
+			agreeCommand(),
+		},
 	}
-	folder, err := os.MkdirTemp("", "teallab")
-	if err != nil {
-		return cli.Exit(err, exitBroken)
+}
+
+// usageError has a command line that can't be parsed end with exitUsage.
+func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
+	return cli.Exit(err, exitUsage)
+}
+
+// showHelp is what the program does without a command.
+func showHelp(_ context.Context, cmd *cli.Command) error {
+	if cmd.Args().Present() {
+		return cli.Exit(fmt.Errorf("unknown command %q; see %s --help", cmd.Args().First(), cmd.Name), exitUsage)
 	}
-	defer os.RemoveAll(folder)
-	result, err := experiment.Duties{Setup: experiment.Setup{Core: -1, Binary: cmd.String("binary"), Folder: folder, Instances: cmd.Int("instances"),
-		Caches: cmd.Int("caches"), Slots: cmd.Int("slots"), Lease: cmd.Duration("lease"), Renewal: cmd.Duration("renewal"),
-		Period: cmd.Duration("period")}, Kills: cmd.Int("kills"), Seed: cmd.Uint64("seed"), Out: out, Calm: cmd.Duration("calm"),
-		Process: os.Stdout}.Run(ctx)
-	if err != nil && !errors.Is(err, experiment.ErrBound) {
-		return cli.Exit(err, exitBroken)
+	return cli.ShowRootCommandHelp(cmd)
+}
+
+// Flags that several commands have.
+
+func seedFlag() cli.Flag {
+	return &cli.Uint64Flag{Name: "seed", Value: 7, Usage: "`SEED` of all random choices"}
+}
+
+func outFlag() cli.Flag {
+	return &cli.StringFlag{Name: "out", Value: "lab-out", Usage: "`DIR` for tables and charts, made if it is not there"}
+}
+
+func binaryFlag() cli.Flag {
+	return &cli.StringFlag{Name: "binary", Value: "bin/tealpath", Usage: "`PATH` of the router's program"}
+}
+
+func baselineFlag() cli.Flag {
+	return &cli.StringFlag{Name: "baseline", Usage: "`PATH` of an earlier build of the router, measured in the same call"}
+}
+
+// makeOutDir makes the directory for results and returns its path.
+func makeOutDir(cmd *cli.Command) (string, error) {
+	dir := cmd.String("out")
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return "", cli.Exit(err, exitUsage)
 	}
-	json.NewEncoder(os.Stdout).Encode(result)
+	return dir, nil
+}
+
+// withTempDir calls a function with a directory for the files of routers, which is removed afterwards.
+func withTempDir(run func(dir string) error) error {
+	dir, err := os.MkdirTemp("", "teallab")
 	if err != nil {
-		return cli.Exit(err, exitBroken)
+		return cli.Exit(err, exitFailed)
 	}
-	return nil
+	return errors.Join(run(dir), os.RemoveAll(dir))
 }
 
-// virtual plays parts of the time side by side, each from a seed of its own.
-func virtual(ctx context.Context, cmd *cli.Command) error {
-	parts := runtime.GOMAXPROCS(0)
-	results := make([]experiment.VirtualResult, parts)
-	var group sync.WaitGroup
-	for i := range parts {
-		group.Go(func() {
-			results[i] = experiment.Virtual{Instances: cmd.Int("instances"), Slots: cmd.Int("slots"), Targets: cmd.Int("caches"),
-				Hours: cmd.Float64("virtual") / float64(parts), Seed: cmd.Uint64("seed") + uint64(i), Steps: i%2 == 1,
-				Lease: int64(cmd.Duration("lease")), Renewal: int64(cmd.Duration("renewal"))}.Run(ctx)
-		})
-	}
-	group.Wait()
-	sum := experiment.VirtualResult{Instances: cmd.Int("instances")}
-	for _, r := range results {
-		sum.Add(r)
-	}
-	sum.OwnedShare /= float64(parts)
-	json.NewEncoder(os.Stdout).Encode(sum)
-	if sum.Overlaps+sum.Backward+sum.Duplicated > 0 {
-		return cli.Exit(experiment.ErrBound, exitBroken)
+// printJSON prints a result as one line.
+func printJSON(result any) error { return failed(json.NewEncoder(os.Stdout).Encode(result)) }
+
+// failed returns an error that ends the process with exitFailed; nil for none.
+func failed(err error) error {
+	if err == nil {
+		return nil
 	}
-	return nil
+	return cli.Exit(err, exitFailed)
 }
--- /dev/null
+++ b/internal/experiment/command/duties.go
@@ -0,0 +1,125 @@
+package command
+
+import (
+	"context"
+	"errors"
+	"os"
+	"runtime"
+	"sync"
+	"tealpath/internal/experiment"
+	"tealpath/internal/experiment/leases"
+	"tealpath/internal/experiment/report"
+	"tealpath/internal/experiment/testcluster"
+	"time"
+
+	"github.com/urfave/cli/v3"
+)
+
+func dutiesCommand() *cli.Command {
+	return &cli.Command{
+		Name:         "duties",
+		Usage:        "take lease holders away and measure how fast other instances take over (docs/duties.md)",
+		OnUsageError: usageError,
+		Action:       duties,
+		Flags: []cli.Flag{
+			&cli.IntFlag{Name: "instances", Value: 5, Usage: "instances that share the leases"},
+			&cli.IntFlag{Name: "kills", Value: 20, Usage: "holders that are taken away, one after another"},
+			&cli.IntFlag{Name: "caches", Value: 20, Usage: "caches, which the lease holders probe"},
+			&cli.IntFlag{Name: "slots", Value: 64, Usage: "leases that are shared out"},
+			seedFlag(),
+			outFlag(),
+			&cli.DurationFlag{Name: "lease", Value: 1500 * time.Millisecond, Usage: "duration of a lease"},
+			&cli.DurationFlag{Name: "renewal", Value: 500 * time.Millisecond, Usage: "interval between renewals of a lease"},
+			&cli.DurationFlag{Name: "period", Value: time.Second, Usage: "interval between health checks of a cache"},
+			&cli.DurationFlag{
+				Name:  "calm",
+				Value: 10 * time.Second,
+				Usage: "time for which instances are left alone at first, to measure what they cost",
+			},
+			binaryFlag(),
+			&cli.Float64Flag{
+				Name:  "virtual",
+				Usage: "run the modules alone for so many `HOURS` of simulated time instead; 0 is off",
+			},
+		},
+	}
+}
+
+func duties(ctx context.Context, cmd *cli.Command) error {
+	if cmd.Int("instances") < 1 || cmd.Int("kills") < 0 || cmd.Int("caches") < 1 {
+		return cli.Exit(errors.New("instances and caches from 1, kills from 0"), exitUsage)
+	}
+	if cmd.Float64("virtual") > 0 {
+		return simulateDuties(ctx, cmd)
+	}
+	out, err := makeOutDir(cmd)
+	if err != nil {
+		return err
+	}
+	return withTempDir(func(dir string) error {
+		result, err := leases.Experiment{
+			Config: testcluster.Config{
+				Binary:        cmd.String("binary"),
+				Dir:           dir,
+				Instances:     cmd.Int("instances"),
+				Caches:        cmd.Int("caches"),
+				Slots:         cmd.Int("slots"),
+				LeaseDuration: cmd.Duration("lease"),
+				RenewInterval: cmd.Duration("renewal"),
+				ProbePeriod:   cmd.Duration("period"),
+			},
+			Kills:        cmd.Int("kills"),
+			Seed:         cmd.Uint64("seed"),
+			ResultsDir:   out,
+			CalmDuration: cmd.Duration("calm"),
+			Progress:     os.Stdout,
+		}.Run(ctx)
+		return printWithBounds(result, err)
+	})
+}
+
+// printWithBounds prints a result, also one that breaks a bound, but none of an experiment that failed.
+func printWithBounds(result any, err error) error {
+	var bound *report.BoundError
+	if err != nil && !errors.As(err, &bound) {
+		return failed(err)
+	}
+	if printErr := printJSON(result); printErr != nil {
+		return printErr
+	}
+	return failed(err)
+}
+
+// simulateDuties plays parts of the time side by side, each from a seed of its own.
+func simulateDuties(ctx context.Context, cmd *cli.Command) error {
+	parts := runtime.GOMAXPROCS(0)
+	results := make([]experiment.VirtualResult, parts)
+	var group sync.WaitGroup
+	for i := range parts {
+		group.Go(func() {
+			results[i] = experiment.Virtual{
+				Instances: cmd.Int("instances"),
+				Slots:     cmd.Int("slots"),
+				Targets:   cmd.Int("caches"),
+				Hours:     cmd.Float64("virtual") / float64(parts),
+				Seed:      cmd.Uint64("seed") + uint64(i),
+				Steps:     i%2 == 1,
+				Lease:     int64(cmd.Duration("lease")),
+				Renewal:   int64(cmd.Duration("renewal")),
+			}.Run(ctx)
+		})
+	}
+	group.Wait()
+	sum := experiment.VirtualResult{Instances: cmd.Int("instances")}
+	for _, result := range results {
+		sum.Add(result)
+	}
+	sum.OwnedShare /= float64(parts)
+	if err := printJSON(sum); err != nil {
+		return err
+	}
+	if sum.Overlaps+sum.Backward+sum.Duplicated > 0 {
+		return failed(&report.BoundError{Page: leases.Page})
+	}
+	return nil
+}
--- a/internal/experiment/command/members.go
+++ b/internal/experiment/command/members.go
@@ -2,113 +2,183 @@
 
 import (
 	"context"
-	"encoding/csv"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"os"
 	"path/filepath"
 	"strconv"
 	"strings"
+	"tealpath/internal/experiment"
+	"tealpath/internal/experiment/membership"
+	"tealpath/internal/experiment/report"
+	"tealpath/internal/experiment/testcluster"
 	"time"
 
 	"github.com/urfave/cli/v3"
+)
 
-	"tealpath/internal/experiment"
+const (
+	membersHeartbeat        = 500 * time.Millisecond
+	membersStartSpread      = time.Second
+	membersBaselineDuration = time.Minute
 )
 
-func membersCommand(usage cli.OnUsageErrorFunc) *cli.Command {
-	return &cli.Command{Name: "members", Usage: "have instances watch each other through faults", OnUsageError: usage, Action: members,
-		Flags: []cli.Flag{&cli.StringFlag{Name: "instances", Value: "24", Usage: "with --virtual several, as 300,1000"},
-			&cli.Float64Flag{Name: "minutes", Value: 3}, &cli.StringFlag{Name: "faults", Value: "kill,pause"},
-			&cli.IntFlag{Name: "slots", Value: 16}, &cli.Uint64Flag{Name: "seed", Value: 7}, &cli.StringFlag{Name: "out", Value: "lab-out"},
-			&cli.StringFlag{Name: "binary", Value: "bin/tealpath"},
-			&cli.Float64Flag{Name: "virtual", Usage: "play the module for so many `HOURS` of simulated time instead"},
-			&cli.Float64Flag{Name: "loss", Usage: "part of all messages that is lost; virtual"},
-			&cli.BoolFlag{Name: "before", Usage: "beside it the counters of before, for a minute; virtual"},
-			&cli.DurationFlag{Name: "every", Value: 20 * time.Second, Usage: "a fault so often; virtual"},
-			&cli.DurationFlag{Name: "silence", Value: 2100 * time.Millisecond, Usage: "virtual"}}}
+func membersCommand() *cli.Command {
+	return &cli.Command{
+		Name:         "members",
+		Usage:        "have instances watch each other through faults and measure failure detection (docs/membership.md)",
+		OnUsageError: usageError,
+		Action:       members,
+		Flags: []cli.Flag{
+			&cli.StringFlag{
+				Name:  "instances",
+				Value: "24",
+				Usage: "`COUNT` of instances; with --virtual several, such as 300,1000, one run each",
+			},
+			&cli.Float64Flag{Name: "minutes", Value: 3, Usage: "time for which faults are injected"},
+			&cli.StringFlag{
+				Name:  "faults",
+				Value: "kill,pause",
+				Usage: "`FAULTS` in turn, of " + membership.FaultNames() + "; with --virtual of " +
+					strings.Join(experiment.MemberFaults, ", ") + "; empty is none",
+			},
+			&cli.IntFlag{Name: "slots", Value: 16, Usage: "leases that instances share out"},
+			seedFlag(),
+			outFlag(),
+			binaryFlag(),
+			&cli.Float64Flag{
+				Name:  "virtual",
+				Usage: "run the module alone for so many `HOURS` of simulated time instead; 0 is off",
+			},
+			&cli.Float64Flag{Name: "loss", Usage: "part of all messages that is lost; with --virtual"},
+			&cli.BoolFlag{
+				Name:  "before",
+				Usage: "also run the baseline, heartbeat counters, for a minute; with --virtual",
+			},
+			&cli.DurationFlag{Name: "every", Value: 20 * time.Second, Usage: "interval between two faults; with --virtual"},
+			&cli.DurationFlag{
+				Name:  "silence",
+				Value: 2100 * time.Millisecond,
+				Usage: "time without a message after which an instance is suspected; with --virtual",
+			},
+		},
+	}
 }
 
 func members(ctx context.Context, cmd *cli.Command) error {
-	out := cmd.String("out")
-	if err := os.MkdirAll(out, 0o755); err != nil {
-		return cli.Exit(err, exitUsage)
+	out, err := makeOutDir(cmd)
+	if err != nil {
+		return err
 	}
-	var sizes []int
-	for _, s := range strings.Split(cmd.String("instances"), ",") {
-		n, err := strconv.Atoi(s)
-		if err != nil || n < 2 {
-			return cli.Exit(fmt.Errorf("instances: %q", s), exitUsage)
-		}
-		sizes = append(sizes, n)
+	counts, err := parseInstances(cmd.String("instances"))
+	if err != nil {
+		return cli.Exit(err, exitUsage)
 	}
 	var faults []string
 	if cmd.String("faults") != "" {
 		faults = strings.Split(cmd.String("faults"), ",")
 	}
 	if cmd.Float64("virtual") > 0 {
-		return virtualMembers(cmd, out, sizes, faults)
-	}
-	folder, err := os.MkdirTemp("", "teallab")
-	if err != nil {
-		return cli.Exit(err, exitBroken)
+		return simulateMembers(cmd, out, counts, faults)
 	}
-	defer os.RemoveAll(folder)
-	result, err := experiment.Members{Setup: experiment.Setup{Core: -1, Binary: cmd.String("binary"), Folder: folder, Instances: sizes[0], Slots: cmd.Int("slots"),
-		Lease: 1500 * time.Millisecond, Renewal: 500 * time.Millisecond, Period: time.Second}, Faults: faults,
-		Span: time.Duration(cmd.Float64("minutes") * float64(time.Minute)), Seed: cmd.Uint64("seed"), Out: out}.Run(ctx)
-	for _, f := range result.Trouble {
-		fmt.Printf("%s of %s: believed after %.0f ms, agreed after %.0f ms, %d false deaths\n", f.Kind, f.Victim, f.MS, f.AgreedMS, f.False)
+	return withTempDir(func(dir string) error {
+		result, err := membersExperiment(cmd, dir, out, counts[0], faults).Run(ctx)
+		for _, fault := range result.Faults {
+			fmt.Printf("%s of %s: believed after %.0f ms, agreed after %.0f ms, %d false deaths\n",
+				fault.Kind, fault.Victim, fault.DetectionMS, fault.DisagreementMS, fault.FalseDeaths)
+		}
+		return printWithBounds(result, err)
+	})
+}
+
+// parseInstances parses numbers of instances, from 2, with commas between them.
+func parseInstances(text string) ([]int, error) {
+	var counts []int
+	for _, word := range strings.Split(text, ",") {
+		count, err := strconv.Atoi(word)
+		if err != nil || count < 2 {
+			return nil, fmt.Errorf("instances: %q", word)
+		}
+		counts = append(counts, count)
 	}
-	if err != nil && !errors.Is(err, experiment.ErrBound) {
-		return cli.Exit(err, exitBroken)
+	return counts, nil
+}
+
+func membersExperiment(cmd *cli.Command, dir, out string, instances int, faults []string) membership.Experiment {
+	e := membership.Experiment{
+		Config: testcluster.Config{
+			Binary:        cmd.String("binary"),
+			Dir:           dir,
+			Instances:     instances,
+			Slots:         cmd.Int("slots"),
+			LeaseDuration: 1500 * time.Millisecond,
+			RenewInterval: 500 * time.Millisecond,
+			ProbePeriod:   time.Second,
+		},
+		Duration:   time.Duration(cmd.Float64("minutes") * float64(time.Minute)),
+		Seed:       cmd.Uint64("seed"),
+		ResultsDir: out,
 	}
-	json.NewEncoder(os.Stdout).Encode(result)
-	if err != nil {
-		return cli.Exit(err, exitBroken)
+	for _, fault := range faults {
+		e.Faults = append(e.Faults, membership.Fault(fault))
 	}
-	return nil
+	return e
 }
 
-func virtualMembers(cmd *cli.Command, out string, sizes []int, faults []string) error {
-	print := json.NewEncoder(os.Stdout)
-	var plays []experiment.MemberSimResult
-	for _, n := range sizes {
-		play := experiment.MemberSim{Instances: n, Span: int64(cmd.Float64("virtual") * 3600e9), Seed: cmd.Uint64("seed"), Interval: 5e8,
-			Quiet: int64(cmd.Duration("silence")), Loss: cmd.Float64("loss"), Faults: faults, Spread: 1e9}
+// simulateMembers plays the module with each number of instances.
+func simulateMembers(cmd *cli.Command, out string, counts []int, faults []string) error {
+	var results []experiment.MemberSimResult
+	for _, instances := range counts {
+		play := experiment.MemberSim{
+			Instances: instances,
+			Span:      int64(cmd.Float64("virtual") * float64(time.Hour)),
+			Seed:      cmd.Uint64("seed"),
+			Interval:  int64(membersHeartbeat),
+			Quiet:     int64(cmd.Duration("silence")),
+			Loss:      cmd.Float64("loss"),
+			Faults:    faults,
+			Spread:    int64(membersStartSpread),
+		}
 		if len(faults) > 0 {
 			play.Every = int64(cmd.Duration("every"))
 		}
+		plays := []experiment.MemberSim{play}
 		if cmd.Bool("before") {
-			old := play
-			old.Before, old.Span = true, min(play.Span, 60e9)
-			r := old.Run()
-			plays = append(plays, r)
-			print.Encode(r)
+			baseline := play
+			baseline.Before, baseline.Span = true, min(play.Span, int64(membersBaselineDuration))
+			plays = []experiment.MemberSim{baseline, play}
+		}
+		for _, play := range plays {
+			result := play.Run()
+			results = append(results, result)
+			if err := printJSON(result); err != nil {
+				return err
+			}
 		}
-		r := play.Run()
-		plays = append(plays, r)
-		print.Encode(r)
-	}
-	file, err := os.Create(filepath.Join(out, "members.csv"))
-	if err != nil {
-		return cli.Exit(err, exitBroken)
 	}
-	defer file.Close()
-	w := csv.NewWriter(file)
-	w.Write([]string{"instances", "before", "detect_p99_ms", "false_deaths", "bytes_calm", "links"})
+	return reportMembers(out, results)
+}
+
+// reportMembers writes a table and a chart, and says whether a bound is broken.
+func reportMembers(out string, results []experiment.MemberSimResult) error {
+	var rows [][]string
 	broken := false
-	for _, r := range plays {
-		w.Write([]string{strconv.Itoa(r.Instances), strconv.FormatBool(r.Before), fmt.Sprint(r.Detect99), strconv.Itoa(r.False),
-			fmt.Sprint(r.Calm), strconv.Itoa(r.Links)})
-		broken = broken || !r.Before && r.Broken()
+	for _, result := range results {
+		rows = append(rows, []string{
+			strconv.Itoa(result.Instances),
+			strconv.FormatBool(result.Before),
+			fmt.Sprint(result.Detect99),
+			strconv.Itoa(result.False),
+			fmt.Sprint(result.Calm),
+			strconv.Itoa(result.Links),
+		})
+		broken = broken || !result.Before && result.Broken()
 	}
-	if w.Flush(); broken {
-		return cli.Exit(experiment.ErrBound, exitBroken)
+	header := []string{"instances", "before", "detect_p99_ms", "false_deaths", "bytes_calm", "links"}
+	err := report.WriteCSV(filepath.Join(out, "members.csv"), header, rows)
+	if broken {
+		return failed(&report.BoundError{Page: membership.Page})
 	}
-	if err := errors.Join(w.Error(), experiment.ChartMembers(out, plays)); err != nil {
-		return cli.Exit(err, exitBroken)
+	if err != nil {
+		return failed(err)
 	}
-	return nil
+	return failed(experiment.ChartMembers(out, results))
 }
--- /dev/null
+++ b/internal/experiment/leases/calm.go
@@ -0,0 +1,53 @@
+package leases
+
+import (
+	"context"
+	"tealpath/internal/experiment/testcluster"
+	"time"
+)
+
+// measureCalm measures what instances cost that are left alone.
+func (p *play) measureCalm(ctx context.Context) {
+	startedAt := time.Now()
+	cpuBefore := map[string]float64{}
+	for _, name := range p.cluster.Names {
+		cpuBefore[name] = testcluster.CPUSeconds(p.cluster.PID(name))
+	}
+	unsharedPID := p.unshared.PID(p.unshared.Names[0])
+	unsharedBefore := testcluster.CPUSeconds(unsharedPID)
+	probesBefore, framesBefore := p.cluster.HealthChecks(), p.framesSent(ctx)
+	time.Sleep(p.CalmDuration)
+	seconds := time.Since(startedAt).Seconds()
+	for _, name := range p.cluster.Names {
+		pid := p.cluster.PID(name)
+		percent := 100 * (testcluster.CPUSeconds(pid) - cpuBefore[name]) / seconds
+		p.result.IdleCPUPercent = max(p.result.IdleCPUPercent, percent)
+		p.result.ResidentKB = max(p.result.ResidentKB, testcluster.ResidentKB(pid))
+	}
+	p.result.UnsharedCPUPercent = 100 * (testcluster.CPUSeconds(unsharedPID) - unsharedBefore) / seconds
+	p.result.UnsharedResidentKB = testcluster.ResidentKB(unsharedPID)
+	frames := float64(p.framesSent(ctx) - framesBefore)
+	p.result.FramesPerSecond = frames / seconds / float64(p.Instances)
+	p.result.CalmProbesPerPeriod = p.probesPerPeriod(p.cluster.HealthChecks()-probesBefore, seconds)
+	p.result.UnsharedProbes = float64(p.Instances)
+	p.logf("calm for %.0f s: %.3f probes a target and period, %.1f frames a second and instance; "+
+		"%.2f%% of a core at the busiest and %d KB, without operator's file %.2f%% and %d KB\n",
+		seconds, p.result.CalmProbesPerPeriod, p.result.FramesPerSecond, p.result.IdleCPUPercent,
+		p.result.ResidentKB, p.result.UnsharedCPUPercent, p.result.UnsharedResidentKB)
+}
+
+// probesPerPeriod returns how many of so many health checks each target had in a period.
+func (p *play) probesPerPeriod(probes int, seconds float64) float64 {
+	return float64(probes) / float64(p.Caches) / (seconds / p.ProbePeriod.Seconds())
+}
+
+// framesSent sums up what instances have sent to each other. One that does not answer counts as none.
+func (p *play) framesSent(ctx context.Context) int64 {
+	sum := int64(0)
+	for _, name := range p.cluster.Names {
+		if status, err := p.cluster.LeaseStatus(ctx, name); err == nil {
+			sum += status.Frames
+		}
+	}
+	return sum
+}
--- /dev/null
+++ b/internal/experiment/leases/takeover.go
@@ -0,0 +1,142 @@
+package leases
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"syscall"
+	"tealpath/internal/cluster"
+	"tealpath/internal/experiment/testcluster"
+	"time"
+)
+
+const takeoverPollInterval = 10 * time.Millisecond
+
+// leasesAcquired is the event by which an instance logs that it holds leases.
+var leasesAcquired = cluster.LeasesAcquired{}.Kind().Name
+
+// loseHolders takes holders away one after another, each at a random moment between two renewals, and brings them back.
+func (p *play) loseHolders(ctx context.Context) error {
+	random := rand.New(rand.NewPCG(p.Seed, 1))
+	for kill := range p.Kills {
+		victim := p.cluster.Names[random.IntN(len(p.cluster.Names))]
+		ballots, err := p.heldBallots(ctx, victim)
+		if err != nil {
+			return err
+		}
+		fault := faultCycle[kill%len(faultCycle)]
+		time.Sleep(time.Duration(random.Int64N(int64(p.RenewInterval))))
+		lostAt, incarnation := time.Now(), p.cluster.Incarnation(victim)
+		if err := p.lose(victim, fault); err != nil {
+			return err
+		}
+		gap, err := p.waitForTakeover(ballots, victim, lostAt, 4*p.LeaseDuration)
+		if err != nil {
+			return fmt.Errorf("kill %d, %s of %s: %w", kill, fault, victim, err)
+		}
+		takeover := Takeover{
+			Kill:   kill,
+			Fault:  fault,
+			Victim: victim,
+			Slots:  len(ballots),
+			GapMS:  float64(gap) / float64(time.Millisecond),
+		}
+		p.takeovers = append(p.takeovers, takeover)
+		p.logf("%d: %s of %s with %d slots: taken over after %.0f ms\n",
+			kill, fault, victim, takeover.Slots, takeover.GapMS)
+		time.Sleep(time.Duration(random.Int64N(int64(p.LeaseDuration))))
+		if err := p.bringBack(ctx, victim, fault, incarnation); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// heldBallots returns the ballots of the slots that an instance holds.
+func (p *play) heldBallots(ctx context.Context, name string) (map[int]uint64, error) {
+	status, err := p.cluster.LeaseStatus(ctx, name)
+	if err != nil {
+		return nil, err
+	}
+	ballots := map[int]uint64{}
+	for _, slot := range status.Slots {
+		if slot.Own {
+			ballots[slot.Slot] = slot.Ballot
+		}
+	}
+	return ballots, nil
+}
+
+func (p *play) lose(victim string, fault Fault) error {
+	switch fault {
+	case Kill:
+		return p.cluster.Signal(victim, syscall.SIGKILL)
+	case Terminate:
+		return p.cluster.Signal(victim, syscall.SIGTERM)
+	case Freeze:
+		return p.cluster.Signal(victim, syscall.SIGSTOP)
+	case Isolate:
+		p.cluster.Isolate(victim)
+	case Delay:
+		p.cluster.Delay(victim, 4*p.LeaseDuration/3)
+	}
+	return nil
+}
+
+// bringBack ends the fault and waits until the instance has its slots again.
+func (p *play) bringBack(ctx context.Context, victim string, fault Fault, incarnation int) error {
+	var err error
+	switch fault {
+	case Freeze:
+		err = p.cluster.Signal(victim, syscall.SIGCONT)
+	case Isolate, Delay:
+		p.cluster.Heal()
+	default:
+		p.cluster.WaitForExit(victim, incarnation)
+		err = p.cluster.Start(victim)
+	}
+	if err != nil {
+		return err
+	}
+	if err := p.cluster.WaitForAllSlotsHeld(ctx, p.settleTimeout()); err != nil {
+		return err
+	}
+	time.Sleep(2*p.LeaseDuration + 2*p.RenewInterval)
+	return nil
+}
+
+// waitForTakeover waits until others have logged that they acquired all of some slots under higher ballots.
+func (p *play) waitForTakeover(
+	ballots map[int]uint64, victim string, since time.Time, timeout time.Duration,
+) (time.Duration, error) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(takeoverPollInterval) {
+		taken, last := takenOver(p.cluster.LogLines(), ballots, victim, since)
+		if taken == len(ballots) {
+			return last.Sub(since), nil
+		}
+	}
+	return 0, fmt.Errorf("not all of %d slots were taken over within %s", len(ballots), timeout)
+}
+
+// takenOver counts the slots that others have acquired since a time, and returns when the last one was.
+func takenOver(
+	lines []testcluster.LogLine, ballots map[int]uint64, victim string, since time.Time,
+) (int, time.Time) {
+	taken, last := map[int]bool{}, since
+	for _, line := range lines {
+		if line.Event != leasesAcquired || line.Instance == victim || line.At.Before(since) {
+			continue
+		}
+		for _, slot := range line.Slots {
+			ballot, wasHeld := ballots[slot]
+			if !wasHeld || line.Ballot <= ballot || taken[slot] {
+				continue
+			}
+			taken[slot] = true
+			if line.At.After(last) {
+				last = line.At
+			}
+		}
+	}
+	return len(taken), last
+}
--- /dev/null
+++ b/internal/experiment/report/bound.go
@@ -0,0 +1,16 @@
+package report
+
+// BoundError says that an experiment's result breaks a bound of a design note.
+type BoundError struct {
+	Page   string // path of the note
+	Detail string // which bounds; may be empty
+}
+
+// Error implements error.
+func (e *BoundError) Error() string {
+	text := "a bound of " + e.Page + " is broken"
+	if e.Detail != "" {
+		text += ": " + e.Detail
+	}
+	return text
+}
--- /dev/null
+++ b/internal/experiment/report/report.go
@@ -0,0 +1,167 @@
+// Package report writes the results of experiments: JSON, tables as CSV, charts, percentiles, and the bounds that a
+// result breaks.
+package report
+
+import (
+	"encoding/csv"
+	"encoding/json"
+	"errors"
+	"image/color"
+	"os"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/vg"
+	"gonum.org/v1/plot/vg/draw"
+)
+
+// Size of a chart.
+const (
+	chartWidth  = 16 * vg.Centimeter
+	chartHeight = 10 * vg.Centimeter
+	dashLength  = 4 // points
+)
+
+// Names and colours of the two curves that most charts compare.
+const (
+	BaselineName = "before"
+	CurrentName  = "now"
+)
+
+var (
+	baselineColor = color.RGBA{R: 0xb0, A: 0xff}
+	currentColor  = color.RGBA{B: 0xc0, A: 0xff}
+)
+
+// Colours for charts that compare something else.
+var (
+	Black  = color.RGBA{A: 0xff}
+	Red    = baselineColor
+	Green  = color.RGBA{G: 0x80, A: 0xff}
+	Blue   = currentColor
+	Brown  = color.RGBA{R: 0x90, G: 0x60, A: 0xff}
+	Purple = color.RGBA{R: 0x60, B: 0x80, A: 0xff}
+)
+
+// WriteJSON writes a value as indented JSON.
+func WriteJSON(path string, value any) error {
+	raw, err := json.MarshalIndent(value, "", " ")
+	if err != nil {
+		return err
+	}
+	return os.WriteFile(path, raw, 0o644)
+}
+
+// WriteCSV writes a table.
+func WriteCSV(path string, header []string, rows [][]string) (err error) {
+	file, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	defer func() { err = errors.Join(err, file.Close()) }()
+	writer := csv.NewWriter(file)
+	if err := writer.Write(header); err != nil {
+		return err
+	}
+	return writer.WriteAll(rows)
+}
+
+// Series is one curve of a chart.
+type Series struct {
+	Baseline bool // red and called "before"; else blue and called "now"
+	Points   plotter.XYs
+
+	Name   string      // instead of those
+	Color  color.Color // instead of those
+	Dashed bool
+	Shape  draw.GlyphDrawer // marks each point, also in the legend; nil is none
+}
+
+// Chart is a line chart with one curve for each series.
+type Chart struct {
+	Title, XLabel, YLabel string
+	FromZero              bool    // the vertical axis begins at 0
+	XMax                  float64 // the horizontal axis goes from 0 to it; 0 is as far as the points go
+	Markers               bool    // each point is marked
+	LegendTop             bool
+	LegendLeft            bool
+	Series                []Series
+}
+
+// Save writes the chart; the ending of the path says in which format.
+func (c Chart) Save(path string) error {
+	p := plot.New()
+	p.Title.Text = c.Title
+	p.X.Label.Text = c.XLabel
+	p.Y.Label.Text = c.YLabel
+	if c.FromZero {
+		p.Y.Min = 0
+	}
+	if c.XMax > 0 {
+		p.X.Min, p.X.Max = 0, c.XMax
+	}
+	for _, series := range c.Series {
+		if err := c.add(p, series); err != nil {
+			return err
+		}
+	}
+	p.Legend.Top, p.Legend.Left = c.LegendTop, c.LegendLeft
+	return p.Save(chartWidth, chartHeight, path)
+}
+
+// SaveAs writes the chart in several formats, such as "svg", each with its ending behind the path.
+func (c Chart) SaveAs(path string, formats ...string) error {
+	for _, format := range formats {
+		if err := c.Save(path + "." + format); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (c Chart) add(p *plot.Plot, series Series) error {
+	line, points, err := plotter.NewLinePoints(series.Points)
+	if err != nil {
+		return err
+	}
+	name, lineColor := series.label()
+	line.Color, points.Color = lineColor, lineColor
+	if series.Dashed {
+		line.Dashes = []vg.Length{vg.Points(dashLength), vg.Points(dashLength)}
+	}
+	p.Add(line)
+	if series.Shape != nil {
+		points.Shape = series.Shape
+		p.Add(points)
+		p.Legend.Add(name, line, points)
+		return nil
+	}
+	if c.Markers {
+		p.Add(points)
+	}
+	p.Legend.Add(name, line)
+	return nil
+}
+
+// label returns the name and the colour of a series.
+func (s Series) label() (string, color.Color) {
+	name, lineColor := CurrentName, color.Color(currentColor)
+	if s.Baseline {
+		name, lineColor = BaselineName, baselineColor
+	}
+	if s.Name != "" {
+		name = s.Name
+	}
+	if s.Color != nil {
+		lineColor = s.Color
+	}
+	return name, lineColor
+}
+
+// Percentile gives a percentile of sorted values, 0 if there are none.
+func Percentile(sorted []float64, percent int) float64 {
+	if len(sorted) == 0 {
+		return 0
+	}
+	return sorted[min(len(sorted)-1, len(sorted)*percent/100)]
+}
--- /dev/null
+++ b/internal/experiment/testcluster/affinity_other.go
@@ -0,0 +1,11 @@
+//go:build !linux
+
+package testcluster
+
+import "os/exec"
+
+// startOnCore starts a command; cores cannot be chosen here.
+func startOnCore(command *exec.Cmd, _ int) error { return command.Start() }
+
+// LeaveRouterCore does nothing here.
+func LeaveRouterCore() error { return nil }
--- /dev/null
+++ b/internal/experiment/testcluster/faults.go
@@ -0,0 +1,47 @@
+package testcluster
+
+import (
+	"tealpath/internal/emulator/relay"
+	"time"
+)
+
+// Side selects instances by name, as one end of links.
+type Side func(name string) bool
+
+// Any selects all instances.
+func Any(string) bool { return true }
+
+// Only selects one instance.
+func Only(name string) Side { return func(other string) bool { return other == name } }
+
+// Not selects the instances that a side leaves out.
+func Not(side Side) Side { return func(name string) bool { return !side(name) } }
+
+// SetLinks sets the conditions of the links on which instances of one side open connections to those of another.
+func (c *Cluster) SetLinks(from, to Side, conditions relay.Conditions) {
+	for link, path := range c.Relays {
+		if from(link.From) && to(link.To) {
+			path.SetConditions(conditions)
+		}
+	}
+}
+
+// CutLinks cuts links: nothing passes, and connections stay open.
+func (c *Cluster) CutLinks(from, to Side) {
+	c.SetLinks(from, to, relay.Conditions{CutForward: true, CutBackward: true})
+}
+
+// Isolate cuts all links from and to an instance.
+func (c *Cluster) Isolate(name string) {
+	c.CutLinks(Only(name), Any)
+	c.CutLinks(Any, Only(name))
+}
+
+// Delay delays what passes on all links from and to an instance, and lets all pass.
+func (c *Cluster) Delay(name string, delay time.Duration) {
+	c.SetLinks(Only(name), Any, relay.Conditions{Delay: delay})
+	c.SetLinks(Any, Only(name), relay.Conditions{Delay: delay})
+}
+
+// Heal lets all pass on all links, without delay.
+func (c *Cluster) Heal() { c.SetLinks(Any, Any, relay.Conditions{}) }
--- /dev/null
+++ b/internal/experiment/testcluster/frame.go
@@ -0,0 +1,86 @@
+package testcluster
+
+import (
+	"bufio"
+	"encoding/binary"
+	"fmt"
+	"io"
+)
+
+// The clients' protocol is framed binary Thrift. Frames are built here by hand, so that a fault of the router's own
+// protocol package shows.
+const (
+	frameHeaderBytes = 4
+	thriftMap        = 13
+	thriftString     = 11
+
+	messageReply = 2
+)
+
+// callFrame returns a framed call.
+func callFrame(method string, sequence uint32, arguments []byte) []byte {
+	message := binary.BigEndian.AppendUint32([]byte{0x80, 1, 0, 1}, uint32(len(method)))
+	message = append(message, method...)
+	message = binary.BigEndian.AppendUint32(message, sequence)
+	message = append(message, arguments...)
+	return append(binary.BigEndian.AppendUint32(nil, uint32(len(message))), message...)
+}
+
+// healthFrame returns a framed call that asks a router whether it is ready.
+func healthFrame() []byte { return callFrame("health", 1, []byte{0}) }
+
+// requestFrame returns a framed request for an object, which the client gives up after a second.
+func requestFrame(sequence uint32, id uint64, object int) []byte {
+	fields := []string{
+		"verb", "stills",
+		"txn", fmt.Sprintf("%016x", id),
+		"limit", "1000",
+		"item", fmt.Sprintf("%016x", object),
+		"nth", "0",
+		"batch", "17",
+	}
+	arguments := []byte{thriftMap, 0, 1, thriftString, thriftString}
+	arguments = binary.BigEndian.AppendUint32(arguments, uint32(len(fields)/2))
+	for _, field := range fields {
+		arguments = appendString(arguments, field)
+	}
+	arguments = append(arguments, thriftString, 0, 2)
+	arguments = appendString(arguments, "body")
+	return callFrame("call", sequence, append(arguments, 0))
+}
+
+func appendString(out []byte, text string) []byte {
+	return append(binary.BigEndian.AppendUint32(out, uint32(len(text))), text...)
+}
+
+// readFrame reads one frame without its header.
+func readFrame(in io.Reader) ([]byte, error) {
+	var header [frameHeaderBytes]byte
+	if _, err := io.ReadFull(in, header[:]); err != nil {
+		return nil, err
+	}
+	frame := make([]byte, binary.BigEndian.Uint32(header[:]))
+	_, err := io.ReadFull(in, frame)
+	return frame, err
+}
+
+// readResponse reads a response. It returns the number of its request, and whether the request was served.
+func readResponse(in *bufio.Reader) (sequence uint32, served bool, err error) {
+	frame, err := readFrame(in)
+	if err != nil {
+		return 0, false, err
+	}
+	const nameAt = 8 // after the version and the length of the method's name
+	if len(frame) < nameAt {
+		return 0, false, io.ErrUnexpectedEOF
+	}
+	nameLength := int(binary.BigEndian.Uint32(frame[nameAt-4:]))
+	sequenceAt := nameAt + nameLength
+	resultFieldAt := sequenceAt + 4
+	if len(frame) < resultFieldAt+3 {
+		return 0, false, io.ErrUnexpectedEOF
+	}
+	isReply := frame[3] == messageReply
+	isSuccess := frame[resultFieldAt+2] == 0 // the result's field 0; others are errors
+	return binary.BigEndian.Uint32(frame[sequenceAt:]), isReply && isSuccess, nil
+}
--- /dev/null
+++ b/internal/experiment/testcluster/health.go
@@ -0,0 +1,51 @@
+package testcluster
+
+import (
+	"net"
+	"strings"
+	"time"
+)
+
+const (
+	healthTimeout = time.Second
+
+	// healthyField is how field 3 of a health answer, a true boolean, is encoded.
+	healthyField = "\x02\x00\x03\x01"
+)
+
+// IsHealthy asks a router whether it is ready for clients.
+func IsHealthy(address string) bool {
+	conn, err := net.DialTimeout("tcp", address, healthTimeout)
+	if err != nil {
+		return false
+	}
+	defer closeAll(conn)
+	frame, err := askHealth(conn, healthTimeout)
+	return err == nil && strings.Contains(string(frame), healthyField)
+}
+
+// CheckHealth asks a router on a connection whether it is ready, and takes any answer.
+func CheckHealth(conn net.Conn, timeout time.Duration) error {
+	_, err := askHealth(conn, timeout)
+	return err
+}
+
+func askHealth(conn net.Conn, timeout time.Duration) ([]byte, error) {
+	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+		return nil, err
+	}
+	if _, err := conn.Write(healthFrame()); err != nil {
+		return nil, err
+	}
+	return readFrame(conn)
+}
+
+// IsListening tells whether connections to an address are accepted.
+func IsListening(address string) bool {
+	conn, err := net.DialTimeout("tcp", address, healthTimeout)
+	if err != nil {
+		return false
+	}
+	closeAll(conn)
+	return true
+}
--- /dev/null
+++ b/internal/experiment/testcluster/observe.go
@@ -0,0 +1,198 @@
+package testcluster
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"tealpath/internal/adminsocket"
+	"tealpath/internal/cluster"
+	"tealpath/internal/server"
+	"time"
+)
+
+const (
+	logPollInterval    = 20 * time.Millisecond
+	statusPollInterval = 50 * time.Millisecond
+
+	// maxShutdownDuration is longer than a router's graceful shutdown takes.
+	maxShutdownDuration = 5 * time.Second
+)
+
+// Names of the events that are waited for in the routers' logs.
+var (
+	phaseChanged = server.PhaseChanged{}.Kind().Name
+	stoppedPhase = server.Stopped.String()
+	memberDead   = cluster.MemberDead{}.Kind().Name
+	membersDead  = cluster.MembersDead{}.Kind().Name
+)
+
+func (c *Cluster) appendLine(line LogLine) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lines = append(c.lines, line)
+}
+
+// LogLines returns all events that the instances have logged so far.
+func (c *Cluster) LogLines() []LogLine {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.lines)
+}
+
+// LeaseStatus asks an instance who holds the leases.
+func (c *Cluster) LeaseStatus(ctx context.Context, name string) (cluster.Status, error) {
+	var status cluster.Status
+	err := adminsocket.Query(ctx, c.Path(name, ".sock"), &status, "duties")
+	return status, err
+}
+
+// MembersStatus asks an instance which others it believes to be alive.
+func (c *Cluster) MembersStatus(ctx context.Context, name string) (cluster.MembersStatus, error) {
+	var status cluster.MembersStatus
+	err := adminsocket.Query(ctx, c.Path(name, ".sock"), &status, "members")
+	return status, err
+}
+
+// Connections asks an instance for its clients' connections and for what they cost.
+func (c *Cluster) Connections(ctx context.Context, name string) (server.Connections, error) {
+	var status server.Connections
+	err := adminsocket.Query(ctx, c.Path(name, ".sock"), &status, "connections")
+	return status, err
+}
+
+// WaitForAllSlotsHeld waits until every slot's lease is held by an instance that runs.
+func (c *Cluster) WaitForAllSlotsHeld(ctx context.Context, timeout time.Duration) error {
+	last := ctx.Err()
+	deadline := time.Now().Add(timeout)
+	for time.Now().Before(deadline) && ctx.Err() == nil {
+		held, err := c.heldSlots(ctx)
+		if err == nil && held == c.Slots {
+			return nil
+		}
+		if last = err; err == nil {
+			last = fmt.Errorf("%d of %d slots are owned", held, c.Slots)
+		}
+		time.Sleep(statusPollInterval)
+	}
+	return fmt.Errorf("not settled within %s: %w", timeout, last)
+}
+
+// heldSlots counts the slots that some running instance says it holds the lease of.
+func (c *Cluster) heldSlots(ctx context.Context) (int, error) {
+	held := map[int]bool{}
+	for _, name := range c.Names {
+		if c.PID(name) == 0 {
+			continue
+		}
+		status, err := c.LeaseStatus(ctx, name)
+		if err != nil {
+			return 0, err
+		}
+		for _, slot := range status.Slots {
+			if slot.Own {
+				held[slot.Slot] = true
+			}
+		}
+	}
+	return len(held), nil
+}
+
+// WaitForExit waits until an incarnation of an instance has logged that it stopped or answers no more. Graceful
+// shutdown takes seconds.
+func (c *Cluster) WaitForExit(name string, incarnation int) {
+	stopped := func(line LogLine) bool {
+		return line.Instance == name && line.Incarnation == incarnation &&
+			line.Event == phaseChanged && line.Phase == stoppedPhase
+	}
+	deadline := time.Now().Add(maxShutdownDuration)
+	for time.Now().Before(deadline) {
+		if slices.ContainsFunc(c.LogLines(), stopped) {
+			return
+		}
+		if _, err := c.LeaseStatus(context.Background(), name); err != nil {
+			return
+		}
+		time.Sleep(logPollInterval)
+	}
+}
+
+// WaitForAgreement waits until all running instances believe in so many live ones and in the same view. It returns how
+// long that took.
+func (c *Cluster) WaitForAgreement(ctx context.Context, alive int, timeout time.Duration) (time.Duration, error) {
+	start := time.Now()
+	last := ctx.Err()
+	for time.Since(start) < timeout && ctx.Err() == nil {
+		if last = c.disagreement(ctx, alive); last == nil {
+			return time.Since(start), nil
+		}
+		time.Sleep(statusPollInterval)
+	}
+	return 0, fmt.Errorf("no agreement on %d within %s: %w", alive, timeout, last)
+}
+
+// disagreement says which running instance has another view than those before it; nil is none.
+func (c *Cluster) disagreement(ctx context.Context, alive int) error {
+	digest := uint64(0)
+	for _, name := range c.Names {
+		if c.PID(name) == 0 {
+			continue
+		}
+		status, err := c.MembersStatus(ctx, name)
+		if err != nil {
+			return err
+		}
+		if status.Alive != alive || digest != 0 && status.Digest != digest {
+			return fmt.Errorf("%s believes in %d", name, status.Alive)
+		}
+		digest = status.Digest
+	}
+	return nil
+}
+
+// WaitForDetection waits until all observers have logged since a time that an instance is dead. It returns when the last
+// of them did, counted from that time, and whether all did within the timeout.
+func (c *Cluster) WaitForDetection(
+	victim string, observers []string, since time.Time, timeout time.Duration,
+) (time.Duration, bool) {
+	for time.Since(since) < timeout {
+		last, detected := since, map[string]bool{}
+		for _, line := range c.LogLines() {
+			isNews := line.At.After(since) && line.Event == memberDead && line.Member == victim
+			if !isNews || detected[line.Instance] {
+				continue
+			}
+			detected[line.Instance] = true
+			if line.At.After(last) {
+				last = line.At
+			}
+		}
+		if !slices.ContainsFunc(observers, func(name string) bool { return !detected[name] }) {
+			return last.Sub(since), true
+		}
+		time.Sleep(logPollInterval)
+	}
+	return 0, false
+}
+
+// FalseDeaths counts the logged deaths since a time, but for those of the named instances and those that these logged.
+func (c *Cluster) FalseDeaths(since time.Time, excluded ...string) int {
+	count := 0
+	for _, line := range c.LogLines() {
+		if !line.At.After(since) || line.Event != memberDead && line.Event != membersDead {
+			continue
+		}
+		if !slices.Contains(excluded, line.Member) && !slices.Contains(excluded, line.Instance) {
+			count++
+		}
+	}
+	return count
+}
+
+// HealthChecks counts those that the caches have had.
+func (c *Cluster) HealthChecks() int {
+	count := 0
+	for _, emulated := range c.Caches {
+		count += len(emulated.HealthChecks())
+	}
+	return count
+}
--- /dev/null
+++ b/internal/experiment/testcluster/reload_test.go
@@ -0,0 +1,89 @@
+package testcluster_test
+
+import (
+	"os"
+	"syscall"
+	"tealpath/internal/emulator/certificates"
+	"tealpath/internal/experiment/testcluster"
+	"tealpath/internal/experiment/testcluster/clustertest"
+	"testing"
+	"time"
+)
+
+// Keys, roots and voters change in service; a faulty file changes nothing; one that is in no file joins.
+func TestReloadOfRealInstances(t *testing.T) {
+	c, err := testcluster.New(testcluster.Config{
+		Binary:        clustertest.Build(t, "tealpath"),
+		Dir:           t.TempDir(),
+		Instances:     4,
+		Caches:        2,
+		Slots:         8,
+		LeaseDuration: 900 * time.Millisecond,
+		RenewInterval: 300 * time.Millisecond,
+		ProbePeriod:   time.Second,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	must := func(err error) {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	operate := func(names ...string) {
+		t.Helper()
+		for _, name := range names {
+			must(c.WriteOperatorFile(name))
+			must(c.Signal(name, syscall.SIGHUP))
+		}
+	}
+	first, last := c.Names[:3], c.Names[3]
+	c.SetVoters("(epoch 1) (now n00 n01 n02)")
+	for _, name := range c.Names {
+		must(c.WriteOperatorFile(name))
+	}
+	for _, name := range first {
+		must(c.Start(name))
+	}
+	must(c.WaitForAllSlotsHeld(t.Context(), 15*time.Second))
+
+	must(os.WriteFile(c.Path("n00", ".sx"), []byte("(fleet (nonsense))"), 0o600))
+	must(c.Signal("n00", syscall.SIGHUP))
+	clustertest.WaitForLog(t, c, "n00", "config_rejected", `"cause":"operator's file`)
+	must(c.WaitForAllSlotsHeld(t.Context(), time.Second))
+
+	// A new root, beside the old one at first.
+	next, err := certificates.NewRoot("next")
+	must(err)
+	for _, name := range c.Names {
+		must(c.Root.Write(c.Dir, name, time.Now().Add(time.Hour), c.Root, next))
+	}
+	operate(first...)
+	for _, name := range c.Names {
+		must(next.Write(c.Dir, name, time.Now().Add(time.Hour), c.Root, next))
+	}
+	operate(first...)
+	must(c.Start(last)) // it proves itself by the new root alone, and has no vote
+	clustertest.WaitForLog(t, c, last, "leases_acquired", "")
+	must(c.WaitForAllSlotsHeld(t.Context(), 10*time.Second))
+
+	// The fourth gets a vote; a second change at once is refused.
+	time.Sleep(2 * c.LeaseDuration)
+	c.SetVoters("(epoch 2) (now n00 n01 n02 n03) (before n00 n01 n02)")
+	operate(c.Names...)
+	clustertest.WaitForLog(t, c, "n00", "cluster_config_reloaded", `"instances":4,"voter_epoch":2`)
+	c.SetVoters("(epoch 3) (now n01 n02 n03) (before n00 n01 n02 n03)")
+	operate("n00")
+	clustertest.WaitForLog(t, c, "n00", "voters_kept", "a majority must have been at epoch 2")
+	must(c.WaitForAllSlotsHeld(t.Context(), 10*time.Second))
+	s, err := c.LeaseStatus(t.Context(), "n00")
+	must(err)
+	if s.Epoch != 2 || len(s.Voters) != 4 || !s.Majority || s.Targets != 2 {
+		t.Errorf("%+v", s)
+	}
+	must(c.Signal(last, syscall.SIGTERM))
+	clustertest.WaitForLog(t, c, last, "leases_lost", "this instance leaves")
+	must(c.WaitForAllSlotsHeld(t.Context(), 3*time.Second))
+}
