--- a/internal/experiment/idleconnections/bench.go
+++ b/internal/experiment/idleconnections/bench.go
@@ -142,7 +142,7 @@
 		if err != nil {
 			continue
 		}
-		sum.suspended += status.Parked
+		sum.suspended += status.Suspended
 		sum.goroutines += status.Goroutines
 		sum.memoryBytes += status.HeapBytes + status.StackBytes
 	}
--- a/internal/experiment/testcluster/observe.go
+++ b/internal/experiment/testcluster/observe.go
@@ -42,21 +42,21 @@
 // LeaseStatus asks an instance who holds the leases.
 func (c *Cluster) LeaseStatus(ctx context.Context, name string) (cluster.Status, error) {
 	var status cluster.Status
-	err := adminsocket.Query(ctx, c.Path(name, ".sock"), &status, "duties")
+	err := adminsocket.Query(ctx, c.Path(name, ".sock"), &status, server.LeasesCommand)
 	return status, err
 }
 
 // MembersStatus asks an instance which others it believes to be alive.
 func (c *Cluster) MembersStatus(ctx context.Context, name string) (cluster.MembersStatus, error) {
 	var status cluster.MembersStatus
-	err := adminsocket.Query(ctx, c.Path(name, ".sock"), &status, "members")
+	err := adminsocket.Query(ctx, c.Path(name, ".sock"), &status, server.MembersCommand)
 	return status, err
 }
 
 // Connections asks an instance for its clients' connections and for what they cost.
 func (c *Cluster) Connections(ctx context.Context, name string) (server.Connections, error) {
 	var status server.Connections
-	err := adminsocket.Query(ctx, c.Path(name, ".sock"), &status, "connections")
+	err := adminsocket.Query(ctx, c.Path(name, ".sock"), &status, server.ConnectionsCommand)
 	return status, err
 }
 
