--- /dev/null
+++ b/cmd/tealpath/connections.go
@@ -0,0 +1,39 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"tealpath/internal/adminsocket"
+	"tealpath/internal/server"
+
+	"github.com/urfave/cli/v3"
+)
+
+func connectionsCommand() *cli.Command {
+	return &cli.Command{
+		Name:         "connections",
+		Usage:        "ask a running instance for its client connections and what they cost",
+		OnUsageError: usageError,
+		Action:       connections,
+		Flags:        socketFlags(),
+	}
+}
+
+// connections asks a running instance how many connections it has.
+func connections(ctx context.Context, cmd *cli.Command) error {
+	path, err := socket(cmd)
+	if err != nil {
+		return err
+	}
+	var status server.Connections
+	if err := adminsocket.Query(ctx, path, &status, server.ConnectionsCommand); err != nil {
+		return cli.Exit(err, exitFailed)
+	}
+	fmt.Printf("%d connections: %d idle, %d of them at rest, %d busy, %d reading, %d fresh, %d closing; "+
+		"%d wait to be woken\n",
+		status.All, status.Idle, status.Suspended, status.Active, status.Reading, status.New, status.Closing,
+		status.Waiting)
+	fmt.Printf("%d goroutines, %d KB of heap, %d KB of stacks\n",
+		status.Goroutines, status.HeapBytes>>10, status.StackBytes>>10)
+	return nil
+}
--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -10,6 +10,17 @@
 	"github.com/urfave/cli/v3"
 )
 
+func diffCommand() *cli.Command {
+	return &cli.Command{
+		Name:         "diff",
+		Usage:        "say whether instances with these two operator's files may run side by side, and how one becomes the other",
+		ArgsUsage:    "A B",
+		OnUsageError: usageError,
+		Action:       diff,
+		Flags:        []cli.Flag{jsonFlag("print conflicts and steps as JSON")},
+	}
+}
+
 // diff says whether two operator's files may be in force side by side, and by which steps one becomes the other. Exit
 // 1: they may not.
 func diff(_ context.Context, cmd *cli.Command) error {
--- /dev/null
+++ b/cmd/tealpath/duties.go
@@ -0,0 +1,77 @@
+package main
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"strings"
+	"tealpath/internal/adminsocket"
+	"tealpath/internal/cluster"
+	"tealpath/internal/server"
+
+	"github.com/urfave/cli/v3"
+)
+
+func dutiesCommand() *cli.Command {
+	return &cli.Command{
+		Name:         "duties",
+		Usage:        "ask a running instance which instance holds the lease of which slot",
+		OnUsageError: usageError,
+		Action:       leases,
+		Flags:        append(socketFlags(), jsonFlag("print the complete answer as JSON")),
+	}
+}
+
+// leases asks a running instance who holds the leases of which slots.
+func leases(ctx context.Context, cmd *cli.Command) error {
+	path, err := socket(cmd)
+	if err != nil {
+		return err
+	}
+	var status cluster.Status
+	if err := adminsocket.Query(ctx, path, &status, server.LeasesCommand); err != nil {
+		return cli.Exit(err, exitFailed)
+	}
+	if cmd.Bool("json") {
+		return printJSON(status)
+	}
+	printLeases(status)
+	return nil
+}
+
+func printLeases(status cluster.Status) {
+	quorum := "a majority is reached"
+	if !status.Majority {
+		quorum = "NO MAJORITY: nobody here acts"
+	}
+	fmt.Printf("%s, voters of epoch %d: %s; %s\n",
+		status.Name, status.Epoch, strings.Join(status.Voters, " "), quorum)
+	if status.Reason != "" {
+		fmt.Println("why:", status.Reason)
+	}
+	out := newTable()
+	defer out.flush()
+	out.printf("\nMEMBER\tSTATE\tSINCE\tADDRESS\tWEIGHT\tEPOCH\n")
+	for _, member := range status.Members {
+		state := member.State
+		if member.Doubled {
+			state += ", two starts"
+		}
+		out.printf("%s\t%s\t%s\t%s\t%g\t%d\n",
+			member.Name, state, duration(member.SinceMS), member.Address, member.Weight, member.Epoch)
+	}
+	out.printf("\nSLOT\tOWNER\tNUMBER\tSINCE\tPLANNED\tWHY NOBODY\n")
+	for _, slot := range status.Slots {
+		since := ""
+		if slot.Own {
+			since = duration(slot.SinceMS)
+		}
+		out.printf("%d\t%s\t%x\t%s\t%s\t%s\n",
+			slot.Slot, cmp.Or(slot.Holder, "-"), slot.Ballot, since, slot.Planned, slot.Reason)
+	}
+	out.printf("\n%d targets are probed, %d of them here; "+
+		"%d probes left out to spare cold ones, %d stale findings dropped\n",
+		status.Targets, status.OwnTargets, status.Skipped, status.StaleResults)
+	out.printf("%d frames sent to other instances, %d dropped from full queues; %d probes sent\n",
+		status.Frames, status.FramesLost, status.Probes)
+}
--- /dev/null
+++ b/cmd/tealpath/members.go
@@ -0,0 +1,72 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"tealpath/internal/adminsocket"
+	"tealpath/internal/cluster"
+	"tealpath/internal/server"
+
+	"github.com/urfave/cli/v3"
+)
+
+func membersCommand() *cli.Command {
+	return &cli.Command{
+		Name:         "members",
+		Usage:        "ask a running instance which others it believes to be alive, and why",
+		OnUsageError: usageError,
+		Action:       members,
+		Flags:        append(socketFlags(), jsonFlag("print the complete answer as JSON")),
+	}
+}
+
+// members asks a running instance which others it believes to be alive.
+func members(ctx context.Context, cmd *cli.Command) error {
+	path, err := socket(cmd)
+	if err != nil {
+		return err
+	}
+	var status cluster.MembersStatus
+	if err := adminsocket.Query(ctx, path, &status, server.MembersCommand); err != nil {
+		return cli.Exit(err, exitFailed)
+	}
+	if cmd.Bool("json") {
+		return printJSON(status)
+	}
+	printMembers(status)
+	return nil
+}
+
+func printMembers(status cluster.MembersStatus) {
+	fmt.Printf("%s: %d alive, view %d, digest %016x, for %s; local health %d of 8, %d links\n",
+		status.Name, status.Alive, status.View, status.Digest, duration(status.SinceMS), status.Health, status.Links)
+	if status.CutOff {
+		fmt.Println("NOTHING IS HEARD from any neighbour: this instance seems to be cut off")
+	}
+	if status.AwayMS > 0 {
+		fmt.Printf("it was away for %s once; nothing was held against others for that\n", duration(status.AwayMS))
+	}
+	out := newTable()
+	defer out.flush()
+	out.printf("\nMEMBER\tSTATE\tSINCE\tWAY IN\tWAY OUT\tREPORTED BY\n")
+	for _, member := range status.Members {
+		printMember(out, member)
+	}
+}
+
+func printMember(out table, member cluster.MemberBelief) {
+	state := member.State
+	if member.Held {
+		state += ", held out"
+	}
+	if member.Doubled {
+		state += ", two starts"
+	}
+	in, back := "", ""
+	if member.Near {
+		in, back = duration(member.InMS), duration(member.OutMS)
+	}
+	out.printf("%s\t%s\t%s\t%s\t%s\t%s\n",
+		member.Name, state, duration(member.SinceMS), in, back, strings.Join(member.Reported, ", "))
+}
--- a/cmd/tealpath/operator.go
+++ b/cmd/tealpath/operator.go
@@ -15,7 +15,7 @@
 func operatorFlag() []cli.Flag {
 	return []cli.Flag{&cli.StringFlag{
 		Name:  "operator",
-		Usage: "the operator's `FILE`; without it nothing is shared with other instances",
+		Usage: "the operator's `FILE`; without it instances share nothing",
 	}}
 }
 
@@ -23,7 +23,7 @@
 func socketFlags() []cli.Flag {
 	return append(operatorFlag(), &cli.StringFlag{
 		Name:  "socket",
-		Usage: "its Unix socket, instead of the file's",
+		Usage: "`PATH` of the instance's Unix socket, instead of the one in the operator's file",
 	})
 }
 
--- /dev/null
+++ b/cmd/tealpath/serve.go
@@ -0,0 +1,70 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"os"
+	"os/signal"
+	"syscall"
+	"tealpath/internal/clock"
+	"tealpath/internal/config"
+	"tealpath/internal/operatorconfig"
+	"tealpath/internal/server"
+
+	"github.com/rs/zerolog"
+	"github.com/urfave/cli/v3"
+)
+
+func serveCommand() *cli.Command {
+	return &cli.Command{
+		Name:         "serve",
+		Usage:        "serve clients, as LB_CONFIG, LB_NAME and LB_LISTEN say, until SIGTERM or SIGINT",
+		OnUsageError: usageError,
+		Action:       serve,
+		Flags:        operatorFlag(),
+	}
+}
+
+func serve(ctx context.Context, cmd *cli.Command) error {
+	if err := checkArgs(cmd, 0); err != nil {
+		return err
+	}
+	// Asked for from the first moment: a signal that nobody waits for ends the process at once, and not as asked.
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	defer signal.Stop(reloadSignals)
+	shutdown, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
+	c, err := config.Load(os.Getenv)
+	if err != nil {
+		return cli.Exit(err, exitUsage)
+	}
+	operator, err := operatorFile(cmd, c)
+	if err != nil {
+		return cli.Exit(err, exitUsage)
+	}
+	out := newLogWriter(os.Stderr)
+	defer out.Close()
+	logger := zerolog.New(out).With().Timestamp().Logger()
+	router := server.New(c, operator, logger, server.WithClock(clock.System()))
+	err = router.Run(ctx, shutdown.Done(), reloadSignals, reloadFunc(cmd, c))
+	switch {
+	case errors.Is(err, server.ErrConfig):
+		return cli.Exit(err, exitUsage)
+	case err != nil:
+		return cli.Exit(err, exitFailed)
+	}
+	return nil
+}
+
+// reloadFunc reads the configuration and the operator's file as they are when it is called.
+func reloadFunc(cmd *cli.Command, c *config.Config) server.LoadFunc {
+	return func() (*config.Config, *operatorconfig.File, error) {
+		next, err := c.Reload(os.Getenv)
+		if err != nil {
+			return nil, nil, err
+		}
+		operator, err := operatorFile(cmd, next)
+		return next, operator, err
+	}
+}
--- /dev/null
+++ b/cmd/tealpath/version.go
@@ -0,0 +1,30 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"runtime/debug"
+
+	"github.com/urfave/cli/v3"
+)
+
+func versionCommand() *cli.Command {
+	return &cli.Command{
+		Name:         "version",
+		Usage:        "print the version",
+		OnUsageError: usageError,
+		Action:       printVersion,
+	}
+}
+
+func printVersion(_ context.Context, cmd *cli.Command) error {
+	if err := checkArgs(cmd, 0); err != nil {
+		return err
+	}
+	line := "tealpath " + version
+	if info, ok := debug.ReadBuildInfo(); ok {
+		line += " " + info.GoVersion
+	}
+	fmt.Println(line)
+	return nil
+}
