--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -13,7 +13,7 @@
 func diffCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "diff",
-		Usage:        "say whether instances with these two operator's files may run side by side, and how one becomes the other",
+		Usage:        "say whether instances with these two operator's files may run side by side, and how to migrate",
 		ArgsUsage:    "A B",
 		OnUsageError: usageError,
 		Action:       diff,
@@ -21,8 +21,8 @@
 	}
 }
 
-// diff says whether two operator's files may be in force side by side, and by which steps one becomes the other. Exit
-// 1: they may not.
+// diff says whether two operator's files may be in force side by side, and by which steps one becomes the
+// other. Exit 1: they may not.
 func diff(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 2 {
 		return cli.Exit("diff takes two operator's files", exitUsage)
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -12,7 +12,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-func dutiesCommand() *cli.Command {
+func leasesCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "duties",
 		Usage:        "ask a running instance which instance holds the lease of which slot",
--- a/cmd/tealpath/help_test.go
+++ b/cmd/tealpath/help_test.go
@@ -91,8 +91,8 @@
 	}
 }
 
-// The codes are those of README: 2 for the command line or a file at fault, 1 for an instance that did not answer and for
-// files that may not run side by side. Errors go to standard error.
+// The codes are those of README: 2 for the command line or a file at fault, 1 for an instance that did not
+// answer and for files that may not run side by side. Errors go to standard error.
 func TestExitCodes(t *testing.T) {
 	binary := buildProgram(t)
 	missing := filepath.Join(t.TempDir(), "missing")
--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -45,7 +45,7 @@
 	return []*cli.Command{
 		serveCommand(),
 		checkCommand(),
-		dutiesCommand(),
+		leasesCommand(),
 		diffCommand(),
 		membersCommand(),
 		connectionsCommand(),
--- a/internal/experiment/coldstart/coldstart_test.go
+++ b/internal/experiment/coldstart/coldstart_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// Real routers start beside a discovery service that is down, slow, breaks off, begins anew, or are killed and come back:
-// the service is called no faster than the note says, all have the list soon after it can be had, and no request that was
-// taken stays without an answer but where its router was killed.
+// Real routers start beside a discovery service that is down, slow, breaks off, begins anew, or are killed and
+// come back: the service is called no faster than the note says, all have the list soon after it can be had,
+// and no request that was taken stays without an answer but where its router was killed.
 func TestColdStart(t *testing.T) {
 	const routers = 12
 	binary := clustertest.Build(t, "tealpath")
@@ -33,7 +33,7 @@
 				t.Fatal(err)
 			}
 			if r.NeverHealthy > 0 || r.PeakCallsPerSecond > routers*4 || r.StaleListAttempts > 0 ||
-				r.CacheCrashes > 0 || r.PeakColdLoad > 1 {
+				r.CacheCrashes > 0 || r.PeakLoad > 1 {
 				t.Errorf("%+v", r)
 			}
 			if !strings.Contains(string(fault), "killed") && r.Lost > 0 {
@@ -47,8 +47,8 @@
 	}
 }
 
-// With a hold no router is healthy before it has heard the service, nor do all call at once; one that is down keeps none
-// from serving for longer than the hold.
+// With a hold no router is healthy before it has heard the service, nor do all call at once; one that is down
+// keeps none from serving for longer than the hold.
 func TestColdStartHoldsHealthBack(t *testing.T) {
 	r, err := Experiment{
 		Routers:  12,
@@ -75,7 +75,7 @@
 }
 
 func TestCheckBounds(t *testing.T) {
-	within := Result{PeakCallsPerSecond: 20, MaxCallsPerSecond: 20, PeakConnections: 9, MaxConnections: 8, PeakColdLoad: 1}
+	within := Result{PeakCallsPerSecond: 20, MaxCallsPerSecond: 20, PeakConnections: 9, MaxConnections: 8, PeakLoad: 1}
 	if err := within.CheckBounds(); err != nil {
 		t.Error(err)
 	}
@@ -84,7 +84,7 @@
 		"health":      func(r *Result) { r.NeverHealthy = 1 },
 		"lost":        func(r *Result) { r.Lost = 1 },
 		"crash":       func(r *Result) { r.CacheCrashes = 1 },
-		"cold load":   func(r *Result) { r.PeakColdLoad = 1.01 },
+		"cold load":   func(r *Result) { r.PeakLoad = 1.01 },
 		"connections": func(r *Result) { r.PlannedConnections = true },
 	} {
 		broken := within
--- a/internal/experiment/coldstart/experiment.go
+++ b/internal/experiment/coldstart/experiment.go
@@ -1,5 +1,6 @@
-// Package coldstart measures what happens when many routers start at once: with real processes beside a discovery
-// service that fails or can bear little, and with the routers' call schedules alone in simulated time.
+// Package coldstart measures what happens when many routers start at once: with real processes beside a
+// discovery service that fails or can bear little, and with the routers' call schedules alone in simulated
+// time.
 package coldstart
 
 import (
@@ -27,7 +28,7 @@
 	ServiceRestarted     Fault = "list-restart"
 	RoutersKilled        Fault = "half-killed"
 	RoutersKilledTwice   Fault = "killed-twice"
-	CachesCold           Fault = "caches-cold"
+	CachesWarmingUp      Fault = "caches-cold"
 	CachesUnresponsive   Fault = "caches-silent"
 	OneCacheHangs        Fault = "cache-hangs"
 	CacheDrainsUnnoticed Fault = "drained"
@@ -36,8 +37,9 @@
 // Faults returns all faults, in the order of docs/coldstart.md.
 func Faults() []Fault {
 	return []Fault{
-		NoFault, ServiceDown, ServiceSlow, ListTruncated, ListStale, ServiceRestarted, RoutersKilled, RoutersKilledTwice,
-		CachesCold, CachesUnresponsive, OneCacheHangs, CacheDrainsUnnoticed,
+		NoFault, ServiceDown, ServiceSlow, ListTruncated, ListStale, ServiceRestarted,
+		RoutersKilled, RoutersKilledTwice,
+		CachesWarmingUp, CachesUnresponsive, OneCacheHangs, CacheDrainsUnnoticed,
 	}
 }
 
@@ -53,8 +55,8 @@
 const (
 	page = "docs/coldstart.md"
 
-	// callRateTolerance is allowed beside what the call schedules alone keep to: calls are counted as they reach the
-	// service, and on a machine with fewer cores than routers the lateness of processes bunches them.
+	// callRateTolerance is allowed beside what the call schedules alone keep to: calls are counted as they
+	// reach the service, and on a machine with fewer cores than routers the lateness of processes bunches them.
 	callRateTolerance = 1.5
 
 	minCallRate = 20 // calls a second
@@ -73,8 +75,8 @@
 	Rate     float64 // requests a second, over all routers together
 	Dir      string  // an existing directory for the routers' files
 
-	KnownRouters   int // how many routers the settings say that there are; 0 is as many as there are
-	MaxConnections int // that a cache takes; 0 is four for each three routers
+	ConfiguredRouters int // how many routers the settings say that there are; 0 is as many as there are
+	MaxConnections    int // that a cache takes; 0 is four for each three routers
 }
 
 // Build is a build of the router, with the options that it is started with.
@@ -106,7 +108,7 @@
 	PlannedConnections  bool    `json:"links"`
 	MaxConnections      int     `json:"cache_connections_held"`
 	RefusedConnections  int     `json:"cache_connections_refused"`
-	PeakColdLoad        float64 `json:"cold_budget_worst_share"`
+	PeakLoad            float64 `json:"cold_budget_worst_share"`
 	CacheCrashes        int     `json:"caches_fallen"`
 	WarmP99MS           float64 `json:"time_to_whole_p99_ms"`
 	StaleListAttempts   int     `json:"stale_list_dispatches"`
@@ -121,7 +123,7 @@
 		r.NeverHealthy > 0 ||
 		r.Lost > 0 ||
 		r.CacheCrashes > 0 ||
-		r.PeakColdLoad > 1 ||
+		r.PeakLoad > 1 ||
 		r.PlannedConnections && r.PeakConnections > r.MaxConnections
 	if broken {
 		return &report.BoundError{Page: page}
@@ -144,7 +146,7 @@
 		return nil, fmt.Errorf("faults are one of %s", FaultNames())
 	}
 	e.MaxConnections = cmp.Or(e.MaxConnections, e.Routers*4/3)
-	e.KnownRouters = cmp.Or(e.KnownRouters, e.Routers)
+	e.ConfiguredRouters = cmp.Or(e.ConfiguredRouters, e.Routers)
 	return &play{
 		Experiment: e,
 		build:      build,
--- a/internal/experiment/coldstart/fault.go
+++ b/internal/experiment/coldstart/fault.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// outageDuration is how long a fault of the discovery service lasts, and how long after the start routers are killed.
+	// outageDuration is how long a fault of the discovery service lasts, and how long after the start routers
+	// are killed.
 	outageDuration = 5 * time.Second
 
 	// restartDuration is how long the discovery service is away when it restarts.
--- a/internal/experiment/coldstart/play.go
+++ b/internal/experiment/coldstart/play.go
@@ -94,14 +94,14 @@
 		return err
 	}
 	p.publishList(1)
-	known := json.RawMessage(nil)
+	watchEvents := json.RawMessage(nil)
 	if p.Fault == CacheDrainsUnnoticed {
 		// After the configurations were written, before the routers start.
-		known = json.RawMessage(service.KnownEvents())
+		watchEvents = json.RawMessage(service.KnownEvents())
 		service.Publish(testcluster.EndpointChangeEvent(2, testcluster.Draining(p.endpoints[0])))
 	}
 	p.beginFault()
-	return p.writeFiles(known)
+	return p.writeFiles(watchEvents)
 }
 
 func (p *play) startCaches() error {
@@ -113,7 +113,7 @@
 		p.caches = append(p.caches, emulated)
 		var listedStart time.Time
 		startedAt := time.Unix(0, 0)
-		if p.Fault == CachesCold {
+		if p.Fault == CachesWarmingUp {
 			startedAt = time.Now()
 			listedStart = startedAt
 		}
@@ -146,7 +146,7 @@
 }
 
 // writeFiles writes the configurations of all routers and the operator's file that they share.
-func (p *play) writeFiles(known json.RawMessage) error {
+func (p *play) writeFiles(watchEvents json.RawMessage) error {
 	for i := range p.Routers {
 		address, err := testcluster.FreeAddress()
 		if err != nil {
@@ -161,8 +161,8 @@
 			MemoryMB:       routerMemoryMB,
 			MaxSockets:     routerMaxSockets,
 			Discovery:      p.service.Address(),
-			KnownEvents:    known,
-			Routers:        p.KnownRouters,
+			WatchEvents:    watchEvents,
+			Routers:        p.ConfiguredRouters,
 			WarmUpDuration: int(warmUpDuration / time.Second),
 		}
 		if err := config.Write(p.configPath(i)); err != nil {
--- a/internal/experiment/coldstart/simulation.go
+++ b/internal/experiment/coldstart/simulation.go
@@ -15,7 +15,8 @@
 const (
 	seedStride = 1_000_003 // between the seeds of two simulations, so that routers' seeds do not meet
 
-	// The baseline calls at once, and then after waits that double from the first to the longest, without jitter.
+	// The baseline calls at once, and then after waits that double from the first to the longest, without
+	// jitter.
 	baselineFirstWait   = int64(50 * time.Millisecond)
 	baselineLongestWait = int64(500 * time.Millisecond)
 )
@@ -52,8 +53,8 @@
 	return result
 }
 
-// play counts the calls by second, each router's up to the first one that succeeds, and returns the 99th percentile of
-// the time from the end of the outage to that call, ms.
+// play counts the calls by second, each router's up to the first one that succeeds, and returns the 99th
+// percentile of the time from the end of the outage to that call, ms.
 func (s Simulation) play(schedule func(router int) nextCall) (calls []int, reachedP99MS float64) {
 	calls = make([]int, int(s.Duration/time.Second)+1)
 	var reachedMS []float64
--- a/internal/experiment/coldstart/summary.go
+++ b/internal/experiment/coldstart/summary.go
@@ -46,7 +46,7 @@
 	for _, emulated := range p.caches {
 		model := emulated.Model()
 		p.result.PeakConnections = max(p.result.PeakConnections, model.PeakConnections)
-		p.result.PeakColdLoad = math.Max(p.result.PeakColdLoad, model.PeakLoad)
+		p.result.PeakLoad = math.Max(p.result.PeakLoad, model.PeakLoad)
 		p.result.RefusedConnections += model.RefusedConnections
 		p.result.CacheCrashes += model.Crashes
 	}
--- a/internal/experiment/command/agree.go
+++ b/internal/experiment/command/agree.go
@@ -15,7 +15,7 @@
 func agreeCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "agree",
-		Usage:        "have instances agree on versions of settings through faults, in simulated time (docs/agreement.md)",
+		Usage:        "have instances agree on settings through faults, in simulated time (docs/agreement.md)",
 		OnUsageError: usageError,
 		Action:       agree,
 		Flags: []cli.Flag{
@@ -23,7 +23,11 @@
 			&cli.Float64Flag{Name: "virtual", Value: 1, Usage: "`HOURS` of simulated time"},
 			seedFlag(),
 			&cli.DurationFlag{Name: "lease", Value: 1500 * time.Millisecond, Usage: "duration of a lease"},
-			&cli.DurationFlag{Name: "renewal", Value: 500 * time.Millisecond, Usage: "interval between renewals of a lease"},
+			&cli.DurationFlag{
+				Name:  "renewal",
+				Value: 500 * time.Millisecond,
+				Usage: "interval between renewals of a lease",
+			},
 			&cli.DurationFlag{
 				Name:  "every",
 				Value: 4 * time.Second,
--- a/internal/experiment/command/coldstart.go
+++ b/internal/experiment/command/coldstart.go
@@ -20,7 +20,7 @@
 func coldstartCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "coldstart",
-		Usage:        "start many routers within a second and measure the load on discovery and caches (docs/coldstart.md)",
+		Usage:        "start many routers at once and measure the load on discovery and caches (docs/coldstart.md)",
 		OnUsageError: usageError,
 		Action:       runColdstart,
 		Flags: []cli.Flag{
@@ -34,12 +34,16 @@
 				Usage: "`FAULT`, one of " + coldstart.FaultNames() + "; with --virtual one of " +
 					strings.Join(experiment.FleetFaults, ", "),
 			},
-			&cli.DurationFlag{Name: "seconds", Value: 20 * time.Second, Usage: "time from the start to the end of a run"},
+			&cli.DurationFlag{
+				Name:  "seconds",
+				Value: 20 * time.Second,
+				Usage: "time from the start to the end of a run",
+			},
 			&cli.Float64Flag{Name: "rate", Value: 300, Usage: "requests a second, over all routers"},
 			binaryFlag(),
 			&cli.DurationFlag{
 				Name:  "hold",
-				Usage: "run once more with readiness held back for so long, and first calls spread over four fifths of it",
+				Usage: "run once more with readiness held back for so long, first calls spread over 4/5 of it",
 			},
 			&cli.BoolFlag{
 				Name:  "links",
@@ -84,21 +88,21 @@
 	}
 	return withTempDir(func(dir string) error {
 		return startRouters(ctx, cmd, coldstart.Experiment{
-			Routers:        cmd.Int("routers"),
-			Caches:         cmd.Int("caches"),
-			Seed:           cmd.Uint64("seed"),
-			Fault:          coldstart.Fault(cmd.String("faults")),
-			Duration:       cmd.Duration("seconds"),
-			Rate:           cmd.Float64("rate"),
-			Dir:            dir,
-			KnownRouters:   cmd.Int("told"),
-			MaxConnections: cmd.Int("holds"),
+			Routers:           cmd.Int("routers"),
+			Caches:            cmd.Int("caches"),
+			Seed:              cmd.Uint64("seed"),
+			Fault:             coldstart.Fault(cmd.String("faults")),
+			Duration:          cmd.Duration("seconds"),
+			Rate:              cmd.Float64("rate"),
+			Dir:               dir,
+			ConfiguredRouters: cmd.Int("told"),
+			MaxConnections:    cmd.Int("holds"),
 		})
 	})
 }
 
-// startRouters runs the experiment with the baseline, the current build, and the current build with a readiness hold, as
-// the flags say. The last of them is held against the bounds.
+// startRouters runs the experiment with the baseline, the current build, and the current build with a readiness
+// hold, as the flags say. The last of them is held against the bounds.
 func startRouters(ctx context.Context, cmd *cli.Command, e coldstart.Experiment) error {
 	current := coldstart.Build{Binary: cmd.String("binary"), PlanConnections: cmd.Bool("links")}
 	builds := []coldstart.Build{current}
--- a/internal/experiment/command/command.go
+++ b/internal/experiment/command/command.go
@@ -47,10 +47,10 @@
 		OnUsageError:   usageError,
 		Action:         showHelp,
 		Commands: []*cli.Command{
-			dutiesCommand(),
+			leasesCommand(),
 			idleCommand(),
 			holdCommand(),
-			waysCommand(),
+			descriptorsCommand(),
 			coldstartCommand(),
 			membersCommand(),
 			agreeCommand(),
@@ -78,7 +78,11 @@
 }
 
 func outFlag() cli.Flag {
-	return &cli.StringFlag{Name: "out", Value: "lab-out", Usage: "`DIR` for tables and charts, made if it is not there"}
+	return &cli.StringFlag{
+		Name:  "out",
+		Value: "lab-out",
+		Usage: "`DIR` for tables and charts, made if it is not there",
+	}
 }
 
 func binaryFlag() cli.Flag {
@@ -86,7 +90,10 @@
 }
 
 func baselineFlag() cli.Flag {
-	return &cli.StringFlag{Name: "baseline", Usage: "`PATH` of an earlier build of the router, measured in the same call"}
+	return &cli.StringFlag{
+		Name:  "baseline",
+		Usage: "`PATH` of an earlier build of the router, measured in the same call",
+	}
 }
 
 // makeOutDir makes the directory for results and returns its path.
--- a/internal/experiment/command/command_test.go
+++ b/internal/experiment/command/command_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// The codes are those of README: 2 for the command line at fault, 1 for an experiment that failed or broke a bound. Errors
-// go to standard error.
+// The codes are those of README: 2 for the command line at fault, 1 for an experiment that failed or broke a
+// bound. Errors go to standard error.
 func TestExitCodes(t *testing.T) {
 	const missing = "/nonexistent/tealpath"
 	binary := clustertest.Build(t, "tealexperiment")
--- a/internal/experiment/command/duties.go
+++ b/internal/experiment/command/duties.go
@@ -15,12 +15,12 @@
 	"github.com/urfave/cli/v3"
 )
 
-func dutiesCommand() *cli.Command {
+func leasesCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "duties",
 		Usage:        "take lease holders away and measure how fast other instances take over (docs/duties.md)",
 		OnUsageError: usageError,
-		Action:       duties,
+		Action:       measureLeases,
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "instances", Value: 5, Usage: "instances that share the leases"},
 			&cli.IntFlag{Name: "kills", Value: 20, Usage: "holders that are taken away, one after another"},
@@ -29,7 +29,11 @@
 			seedFlag(),
 			outFlag(),
 			&cli.DurationFlag{Name: "lease", Value: 1500 * time.Millisecond, Usage: "duration of a lease"},
-			&cli.DurationFlag{Name: "renewal", Value: 500 * time.Millisecond, Usage: "interval between renewals of a lease"},
+			&cli.DurationFlag{
+				Name:  "renewal",
+				Value: 500 * time.Millisecond,
+				Usage: "interval between renewals of a lease",
+			},
 			&cli.DurationFlag{Name: "period", Value: time.Second, Usage: "interval between health checks of a cache"},
 			&cli.DurationFlag{
 				Name:  "calm",
@@ -45,12 +49,12 @@
 	}
 }
 
-func duties(ctx context.Context, cmd *cli.Command) error {
+func measureLeases(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Int("instances") < 1 || cmd.Int("kills") < 0 || cmd.Int("caches") < 1 {
 		return cli.Exit(errors.New("instances and caches from 1, kills from 0"), exitUsage)
 	}
 	if cmd.Float64("virtual") > 0 {
-		return simulateDuties(ctx, cmd)
+		return simulateLeases(ctx, cmd)
 	}
 	out, err := makeOutDir(cmd)
 	if err != nil {
@@ -90,8 +94,8 @@
 	return failed(err)
 }
 
-// simulateDuties plays parts of the time side by side, each from a seed of its own.
-func simulateDuties(ctx context.Context, cmd *cli.Command) error {
+// simulateLeases plays parts of the time side by side, each from a seed of its own.
+func simulateLeases(ctx context.Context, cmd *cli.Command) error {
 	parts := runtime.GOMAXPROCS(0)
 	results := make([]experiment.VirtualResult, parts)
 	var group sync.WaitGroup
--- a/internal/experiment/command/idle.go
+++ b/internal/experiment/command/idle.go
@@ -16,7 +16,7 @@
 func idleCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "idle",
-		Usage:        "hold idle connections and measure what they cost and how active traffic fares beside them (docs/idle.md)",
+		Usage:        "measure what idle connections cost, and active traffic beside them (docs/idle.md)",
 		OnUsageError: usageError,
 		Action:       idle,
 		Flags: []cli.Flag{
--- a/internal/experiment/command/members.go
+++ b/internal/experiment/command/members.go
@@ -24,7 +24,7 @@
 func membersCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "members",
-		Usage:        "have instances watch each other through faults and measure failure detection (docs/membership.md)",
+		Usage:        "measure how instances detect the failure of others (docs/membership.md)",
 		OnUsageError: usageError,
 		Action:       members,
 		Flags: []cli.Flag{
@@ -53,7 +53,11 @@
 				Name:  "before",
 				Usage: "also run the baseline, heartbeat counters, for a minute; with --virtual",
 			},
-			&cli.DurationFlag{Name: "every", Value: 20 * time.Second, Usage: "interval between two faults; with --virtual"},
+			&cli.DurationFlag{
+				Name:  "every",
+				Value: 20 * time.Second,
+				Usage: "interval between two faults; with --virtual",
+			},
 			&cli.DurationFlag{
 				Name:  "silence",
 				Value: 2100 * time.Millisecond,
@@ -103,7 +107,7 @@
 }
 
 func membersExperiment(cmd *cli.Command, dir, out string, instances int, faults []string) membership.Experiment {
-	e := membership.Experiment{
+	play := membership.Experiment{
 		Config: testcluster.Config{
 			Binary:        cmd.String("binary"),
 			Dir:           dir,
@@ -118,9 +122,9 @@
 		ResultsDir: out,
 	}
 	for _, fault := range faults {
-		e.Faults = append(e.Faults, membership.Fault(fault))
+		play.Faults = append(play.Faults, membership.Fault(fault))
 	}
-	return e
+	return play
 }
 
 // simulateMembers plays the module with each number of instances.
--- a/internal/experiment/command/ways.go
+++ b/internal/experiment/command/ways.go
@@ -7,7 +7,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-func waysCommand() *cli.Command {
+func descriptorsCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "ways",
 		Usage:        "compare the memory and wake-up time of three ways to keep an idle connection (docs/idle.md)",
--- a/internal/experiment/descriptors/descriptors.go
+++ b/internal/experiment/descriptors/descriptors.go
@@ -1,5 +1,5 @@
-// Package descriptors compares the ways in which a program can keep an idle connection: what memory each takes, and how
-// fast the program notices that something was received.
+// Package descriptors compares the ways in which a program can keep an idle connection: what memory each takes,
+// and how fast the program notices that something was received.
 package descriptors
 
 import (
@@ -25,18 +25,18 @@
 	Goroutines         int     `json:"goroutines"`
 }
 
-// method is a way to keep idle connections. keep takes over the connections and sends an index to received when something
-// has been received on the connection that stood there. It may empty the slice. The function that it returns closes the
-// connections.
+// method is a way to keep idle connections. suspend takes over the connections and sends an index to received when
+// something has been received on the connection that stood there. It may empty the slice. The function that it
+// returns closes the connections.
 type method struct {
-	name string
-	keep func(ctx context.Context, conns []net.Conn, received chan<- int) (closeAll func(), err error)
+	name    string
+	suspend func(ctx context.Context, conns []net.Conn, received chan<- int) (closeAll func(), err error)
 }
 
 var methods = []method{
-	{"goroutine", keepInGoroutines},
-	{"connection in a set", keepWatched},
-	{"descriptor alone", keepAsDescriptors},
+	{"goroutine", waitInGoroutines},
+	{"connection in a set", watchByPoller},
+	{"descriptor alone", suspendToDescriptors},
 }
 
 // Compare measures each way with so many connections.
@@ -72,7 +72,7 @@
 		return Result{}, err
 	}
 	peers := matchPeers(clients, conns)
-	closeAll, err := m.keep(ctx, conns, received)
+	closeAll, err := m.suspend(ctx, conns, received)
 	if err != nil {
 		return Result{}, err
 	}
@@ -92,7 +92,8 @@
 	}, nil
 }
 
-// dialAll opens connections, which wait in the listener's backlog. It returns those that it opened also beside an error.
+// dialAll opens connections, which wait in the listener's backlog. It returns those that it opened also beside
+// an error.
 func dialAll(address string, count int) ([]net.Conn, error) {
 	var clients []net.Conn
 	for range count {
@@ -116,8 +117,8 @@
 	return conns, nil
 }
 
-// matchPeers returns the clients in the order of the accepted connections. These are matched by address, as they may have
-// been accepted in another order than they were opened.
+// matchPeers returns the clients in the order of the accepted connections. These are matched by address, as
+// they may have been accepted in another order than they were opened.
 func matchPeers(clients, conns []net.Conn) []net.Conn {
 	byAddress := map[string]net.Conn{}
 	for _, client := range clients {
@@ -130,7 +131,8 @@
 	return peers
 }
 
-// timeWakeups writes to connections one after another, and returns how long each took to be noticed, µs, sorted.
+// timeWakeups writes to connections one after another, and returns how long each took to be noticed, µs,
+// sorted.
 func timeWakeups(peers []net.Conn, received <-chan int) ([]float64, error) {
 	var micros []float64
 	for _, peer := range peers[:min(maxWakeups, len(peers))] {
--- a/internal/experiment/descriptors/methods.go
+++ b/internal/experiment/descriptors/methods.go
@@ -10,8 +10,8 @@
 	"tealpath/internal/downstream/poller"
 )
 
-// keepInGoroutines has a goroutine wait for each connection, without a buffer.
-func keepInGoroutines(_ context.Context, conns []net.Conn, received chan<- int) (func(), error) {
+// waitInGoroutines has a goroutine wait for each connection, without a buffer.
+func waitInGoroutines(_ context.Context, conns []net.Conn, received chan<- int) (func(), error) {
 	for i, conn := range conns {
 		socket, ok := conn.(syscall.Conn)
 		if !ok {
@@ -39,8 +39,8 @@
 	})
 }
 
-// keepWatched watches the connections by a poller.
-func keepWatched(ctx context.Context, conns []net.Conn, received chan<- int) (func(), error) {
+// watchByPoller watches the connections by a poller.
+func watchByPoller(ctx context.Context, conns []net.Conn, received chan<- int) (func(), error) {
 	watcher, err := poller.New()
 	if err != nil {
 		return nil, err
@@ -54,26 +54,27 @@
 	return func() { closeQuietly(conns...) }, nil
 }
 
-// keepAsDescriptors suspends the connections, so that a poller has their descriptors and nothing else is left of them.
-func keepAsDescriptors(ctx context.Context, conns []net.Conn, received chan<- int) (func(), error) {
+// suspendToDescriptors suspends the connections, so that a poller has their descriptors and nothing else is left
+// of them.
+func suspendToDescriptors(ctx context.Context, conns []net.Conn, received chan<- int) (func(), error) {
 	watcher, err := poller.New()
 	if err != nil {
 		return nil, err
 	}
-	s := &suspended{watcher: watcher, descriptors: make([]int32, len(conns))}
+	kept := &suspended{watcher: watcher, descriptors: make([]int32, len(conns))}
 	for i, conn := range conns {
 		descriptor, err := watcher.Suspend(conn, uint64(i))
 		if err != nil {
 			return nil, err
 		}
-		s.descriptors[i], conns[i] = int32(descriptor), nil
+		kept.descriptors[i], conns[i] = int32(descriptor), nil
 	}
 	go forEachEvent(ctx, watcher, func(key uint64) {
-		if s.resume(key) {
+		if kept.resume(key) {
 			received <- int(key)
 		}
 	})
-	return s.closeAll, nil
+	return kept.closeAll, nil
 }
 
 // resumedDescriptor stands in place of a descriptor whose connection was resumed.
@@ -112,7 +113,8 @@
 	closeQuietly(s.resumed...)
 }
 
-// forEachEvent calls a function with the key of each connection on which something was received, until the context ends.
+// forEachEvent calls a function with the key of each connection on which something was received, until the
+// context ends.
 func forEachEvent(ctx context.Context, watcher *poller.Poller, do func(key uint64)) {
 	for keys, err := watcher.Wait(ctx, nil); err == nil; keys, err = watcher.Wait(ctx, keys) {
 		for _, key := range keys {
--- a/internal/experiment/idleconnections/bench.go
+++ b/internal/experiment/idleconnections/bench.go
@@ -30,8 +30,8 @@
 	failed  int // connections that could not be opened or were not answered
 }
 
-// startBench starts as many routers as the experiment needs. An idle timeout of 0 starts them without an operator's
-// file.
+// startBench starts as many routers as the experiment needs. An idle timeout of 0 starts them without an
+// operator's file.
 func (p *play) startBench(name, binary string, idleTimeout time.Duration) (*bench, error) {
 	config := testcluster.Config{
 		Binary:              binary,
@@ -129,7 +129,8 @@
 	cpuSeconds  float64
 }
 
-// usage asks the routers. One that has no Unix socket, or does not answer, adds only what the system says of it.
+// usage asks the routers. One that has no Unix socket, or does not answer, adds only what the system says of
+// it.
 func (b *bench) usage(ctx context.Context) usage {
 	var sum usage
 	for _, name := range b.Names {
--- a/internal/experiment/idleconnections/client.go
+++ b/internal/experiment/idleconnections/client.go
@@ -52,11 +52,11 @@
 	return a, err
 }
 
-// RunClients holds idle connections from one local address to a router, as commands on its input say: "open N", "wake",
-// "renew", "ended" and "quit". Each but the last is answered by a line with the command, the open connections, how many
-// failed and how long it took in milliseconds.
+// RunClients holds idle connections from one local address to a router, as commands on its input say: "open N",
+// "wake", "renew", "ended" and "quit". Each but the last is answered by a line with the command, the open
+// connections, how many failed and how long it took in milliseconds.
 func RunClients(address, from string, in io.Reader, out io.Writer) error {
-	h := &holder{address: address, from: net.ParseIP(from)}
+	clients := &holder{address: address, from: net.ParseIP(from)}
 	for lines := bufio.NewScanner(in); lines.Scan(); {
 		words := strings.Fields(lines.Text())
 		if len(words) == 0 {
@@ -66,10 +66,10 @@
 			return nil
 		}
 		startedAt := time.Now()
-		failed := h.carryOut(command(words[0]), words[1:])
+		failed := clients.carryOut(command(words[0]), words[1:])
 		result := answer{
 			command: command(words[0]),
-			open:    len(h.conns),
+			open:    len(clients.conns),
 			failed:  failed,
 			tookMS:  time.Since(startedAt).Milliseconds(),
 		}
--- a/internal/experiment/idleconnections/experiment.go
+++ b/internal/experiment/idleconnections/experiment.go
@@ -1,5 +1,6 @@
-// Package idleconnections measures what idle client connections cost the real router, and how active traffic fares beside
-// them: while they are idle, while all reconnect or send at once, and while all are closed for being idle too long.
+// Package idleconnections measures what idle client connections cost the real router, and how active traffic
+// fares beside them: while they are idle, while all reconnect or send at once, and while all are closed for
+// being idle too long.
 package idleconnections
 
 import (
@@ -88,7 +89,7 @@
 
 // Run plays the experiment, writes its files and returns its result.
 func (e Experiment) Run(ctx context.Context) (Result, error) {
-	if err := testcluster.LeaveRouterCore(); err != nil {
+	if err := testcluster.AvoidRouterCore(); err != nil {
 		return Result{}, err
 	}
 	p := e.plan()
@@ -190,7 +191,8 @@
 		rows = append(rows, row.columns())
 	}
 	header := []string{
-		"version", "idle", "parked", "goroutines", "heap_per_conn", "rss_per_conn", "p50_ms", "p99_ms", "p999_ms", "cpu",
+		"version", "idle", "parked", "goroutines",
+		"heap_per_conn", "rss_per_conn", "p50_ms", "p99_ms", "p999_ms", "cpu",
 	}
 	if err := report.WriteCSV(filepath.Join(p.ResultsDir, "idle.csv"), header, rows); err != nil {
 		return err
--- a/internal/experiment/idleconnections/measure.go
+++ b/internal/experiment/idleconnections/measure.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// openUpTo opens the connections that a count has more than there are. A baseline has closed those before, which were
-// idle for too long, so these are opened again first.
+// openUpTo opens the connections that a count has more than there are. A baseline has closed those before,
+// which were idle for too long, so these are opened again first.
 func (p *play) openUpTo(b *bench, version Version, open, count int) (seconds float64, err error) {
 	if version == Baseline && open > 0 {
 		if _, err := b.tellAll(reconnect); err != nil {
@@ -89,7 +89,8 @@
 		row.LatencyP50MS, row.LatencyP99MS, row.LatencyP999MS, row.ServedShare, row.CPUShare)
 }
 
-// measureDuring measures the 99th percentile of active traffic's latency while something happens, and a second after.
+// measureDuring measures the 99th percentile of active traffic's latency while something happens, and a second
+// after.
 func (p *play) measureDuring(ctx context.Context, b *bench, happen func() error) (p99MS float64, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
--- a/internal/experiment/leases/experiment.go
+++ b/internal/experiment/leases/experiment.go
@@ -1,5 +1,5 @@
-// Package leases measures how instances of the real router share leases: how fast others take over the slots of a holder
-// that is lost, whether a slot ever has two holders, and what instances cost that are left alone.
+// Package leases measures how instances of the real router share leases: how fast others take over the slots of
+// a holder that is lost, whether a slot ever has two holders, and what instances cost that are left alone.
 package leases
 
 import (
@@ -56,10 +56,10 @@
 	GapP50MS            float64 `json:"gap_p50_ms"`
 	GapP99MS            float64 `json:"gap_p99_ms"`
 	GapMaxMS            float64 `json:"gap_max_ms"`
-	Overlaps            int     `json:"overlaps"`      // health checks of a target within its period by different holders
+	Overlaps            int     `json:"overlaps"`      // of health checks of a target by different holders
 	StaleActions        int     `json:"stale_actions"` // health checks under a ballot below one seen at the target
 	ProbesPerPeriod     float64 `json:"probes_per_target_per_period"`
-	PeakColdBudget      float64 `json:"cold_budget_worst_share"`
+	PeakWarmUpBudget    float64 `json:"cold_budget_worst_share"`
 	CalmProbesPerPeriod float64 `json:"calm_probes_per_target_per_period"`
 	UnsharedProbes      float64 `json:"undivided_probes_per_target_per_period"` // if every instance probed
 	KillGapMaxMS        float64 `json:"gap_sigkill_max_ms"`
@@ -151,7 +151,7 @@
 	if err := p.cluster.StartAll(); err != nil {
 		return err
 	}
-	if err := p.cluster.WaitForAllSlotsHeld(ctx, p.settleTimeout()); err != nil {
+	if err := p.cluster.WaitForAllSlotsLeased(ctx, p.settleTimeout()); err != nil {
 		return err
 	}
 	if err := p.unshared.StartAll(); err != nil {
--- a/internal/experiment/leases/leases_test.go
+++ b/internal/experiment/leases/leases_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Real instances on loopback: holders are killed, told to leave, frozen and cut off. What a busy machine can stretch is
-// held to twice the bound here; the tool holds it to the bound.
+// Real instances on loopback: holders are killed, told to leave, frozen and cut off. What a busy machine can
+// stretch is held to twice the bound here; the tool holds it to the bound.
 func TestLeasesOfRealInstances(t *testing.T) {
 	r, err := Experiment{
 		Config: testcluster.Config{
@@ -32,7 +32,7 @@
 	if err != nil && r.Kills == 0 {
 		t.Fatal(err)
 	}
-	if r.Overlaps != 0 || r.StaleActions != 0 || r.PeakColdBudget > 1 || r.TargetsNeverProbed != 0 ||
+	if r.Overlaps != 0 || r.StaleActions != 0 || r.PeakWarmUpBudget > 1 || r.TargetsNeverProbed != 0 ||
 		r.GapMaxMS > 2*r.MaxGapMS {
 		t.Errorf("%+v", r)
 	}
@@ -42,7 +42,7 @@
 }
 
 func TestBrokenBoundsAreNamed(t *testing.T) {
-	within := Result{GapP99MS: 2500, MaxGapMS: 2500, PeakColdBudget: 1, CalmProbesPerPeriod: 1.05}
+	within := Result{GapP99MS: 2500, MaxGapMS: 2500, PeakWarmUpBudget: 1, CalmProbesPerPeriod: 1.05}
 	if got := brokenBounds(within); got != "" {
 		t.Errorf("%q", got)
 	}
@@ -54,7 +54,7 @@
 		MaxGapMS:            2500,
 		Overlaps:            1,
 		StaleActions:        1,
-		PeakColdBudget:      1.01,
+		PeakWarmUpBudget:    1.01,
 		CalmProbesPerPeriod: 1.06,
 		TargetsNeverProbed:  1,
 	}
--- a/internal/experiment/leases/summary.go
+++ b/internal/experiment/leases/summary.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// coldBudget is the budget of health checks of a cold cache in a window, in load units, by the settings that
-	// testcluster writes: part of the budget, overload factor, initial share, capacity and window in seconds.
-	coldBudget       = 0.05 * 2.5 * 0.16 * 4 * 1.5
-	coldBudgetWindow = 1500 * time.Millisecond
-	probeCost        = 0.001
+	// warmUpBudget is the budget of health checks of a cold cache in a window, in load units, by the settings
+	// that testcluster writes: part of the budget, overload factor, initial share, capacity and window in
+	// seconds.
+	warmUpBudget = 0.05 * 2.5 * 0.16 * 4 * 1.5
+	warmUpWindow = 1500 * time.Millisecond
+	probeCost    = 0.001
 
-	// minPeriodPercent is the part of a period that has to pass between health checks of two holders: their clocks may
-	// differ by the drift, and the way to the target takes its time.
+	// minPeriodPercent is the part of a period that has to pass between health checks of two holders: their
+	// clocks may differ by the drift, and the way to the target takes its time.
 	minPeriodPercent = 98
 
 	maxCalmProbesPerPeriod = 1.05
@@ -65,8 +66,8 @@
 	p.result.GapP99MS = float64(gaps.ValueAtQuantile(99)) / 1000
 }
 
-// summarizeTarget holds the health checks of one target against the rules. Each carries the ballot under which it was
-// sent, which is one holder's.
+// summarizeTarget holds the health checks of one target against the rules. Each carries the ballot under which
+// it was sent, which is one holder's.
 func (p *play) summarizeTarget(probes []cache.HealthCheck) {
 	if len(probes) == 0 {
 		p.result.TargetsNeverProbed++
@@ -83,7 +84,7 @@
 			p.result.Overlaps++
 		}
 		highest, previous, previousAt = max(highest, ballot), ballot, probe.At
-		p.result.PeakColdBudget = max(p.result.PeakColdBudget, windowCost(probes[i:])/coldBudget)
+		p.result.PeakWarmUpBudget = max(p.result.PeakWarmUpBudget, windowCost(probes[i:])/warmUpBudget)
 	}
 }
 
@@ -91,7 +92,7 @@
 func windowCost(probes []cache.HealthCheck) float64 {
 	cost := 0.
 	for _, probe := range probes {
-		if probe.At.Sub(probes[0].At) < coldBudgetWindow {
+		if probe.At.Sub(probes[0].At) < warmUpWindow {
 			cost += probeCost
 		}
 	}
@@ -107,7 +108,7 @@
 		{"takeover", result.GapP99MS > result.MaxGapMS},
 		{"two owners", result.Overlaps > 0},
 		{"stale actions", result.StaleActions > 0},
-		{"cold budget", result.PeakColdBudget > 1},
+		{"cold budget", result.PeakWarmUpBudget > 1},
 		{"probes", result.CalmProbesPerPeriod > maxCalmProbesPerPeriod},
 		{"targets left out", result.TargetsNeverProbed > 0},
 	}
--- a/internal/experiment/leases/takeover.go
+++ b/internal/experiment/leases/takeover.go
@@ -15,12 +15,13 @@
 // leasesAcquired is the event by which an instance logs that it holds leases.
 var leasesAcquired = cluster.LeasesAcquired{}.Kind().Name
 
-// loseHolders takes holders away one after another, each at a random moment between two renewals, and brings them back.
+// loseHolders takes holders away one after another, each at a random moment between two renewals, and brings
+// them back.
 func (p *play) loseHolders(ctx context.Context) error {
 	random := rand.New(rand.NewPCG(p.Seed, 1))
 	for kill := range p.Kills {
 		victim := p.cluster.Names[random.IntN(len(p.cluster.Names))]
-		ballots, err := p.heldBallots(ctx, victim)
+		ballots, err := p.ballotsOf(ctx, victim)
 		if err != nil {
 			return err
 		}
@@ -52,8 +53,8 @@
 	return nil
 }
 
-// heldBallots returns the ballots of the slots that an instance holds.
-func (p *play) heldBallots(ctx context.Context, name string) (map[int]uint64, error) {
+// ballotsOf returns the ballots of the slots that an instance holds.
+func (p *play) ballotsOf(ctx context.Context, name string) (map[int]uint64, error) {
 	status, err := p.cluster.LeaseStatus(ctx, name)
 	if err != nil {
 		return nil, err
@@ -98,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	if err := p.cluster.WaitForAllSlotsHeld(ctx, p.settleTimeout()); err != nil {
+	if err := p.cluster.WaitForAllSlotsLeased(ctx, p.settleTimeout()); err != nil {
 		return err
 	}
 	time.Sleep(2*p.LeaseDuration + 2*p.RenewInterval)
--- a/internal/experiment/membership/experiment.go
+++ b/internal/experiment/membership/experiment.go
@@ -1,5 +1,5 @@
-// Package membership measures how instances of the real router watch each other: how fast they detect that one is dead,
-// whether they take a live one for dead, and how long they disagree after a fault.
+// Package membership measures how instances of the real router watch each other: how fast they detect that one
+// is dead, whether they take a live one for dead, and how long they disagree after a fault.
 package membership
 
 import (
@@ -63,7 +63,7 @@
 	MaxLinks          int           `json:"links_per_member_max"`
 	ViewChanges       float64       `json:"view_changes"`
 	FormedMS          float64       `json:"formed_ms"`          // since the start
-	SlotsHeldMS       float64       `json:"all_slots_owned_ms"` // since the start
+	SlotsLeasedMS     float64       `json:"all_slots_owned_ms"` // since the start
 	IdleCPUShare      float64       `json:"cpu_share_idle"`     // of a core, an instance
 	ResidentKB        int64         `json:"resident_kb"`
 	Faults            []FaultResult `json:"-"`
@@ -168,10 +168,10 @@
 		return err
 	}
 	p.result.FormedMS = milliseconds(time.Since(startedAt))
-	if err := p.cluster.WaitForAllSlotsHeld(ctx, formTimeout); err != nil {
+	if err := p.cluster.WaitForAllSlotsLeased(ctx, formTimeout); err != nil {
 		return err
 	}
-	p.result.SlotsHeldMS = milliseconds(time.Since(startedAt))
+	p.result.SlotsLeasedMS = milliseconds(time.Since(startedAt))
 	return nil
 }
 
@@ -194,7 +194,8 @@
 	return nil
 }
 
-// usage sums up what instances have sent to each other and the processor time they have had, and notes their memory.
+// usage sums up what instances have sent to each other and the processor time they have had, and notes their
+// memory.
 func (p *play) usage(ctx context.Context) (bytes int64, cpuSeconds float64, err error) {
 	for _, name := range p.cluster.Names {
 		status, err := p.cluster.MembersStatus(ctx, name)
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the results of experiments: JSON, tables as CSV, charts, percentiles, and the bounds that a
-// result breaks.
+// Package report writes the results of experiments: JSON, tables as CSV, charts, percentiles, and the bounds
+// that a result breaks.
 package report
 
 import (
@@ -90,23 +90,23 @@
 
 // Save writes the chart; the ending of the path says in which format.
 func (c Chart) Save(path string) error {
-	p := plot.New()
-	p.Title.Text = c.Title
-	p.X.Label.Text = c.XLabel
-	p.Y.Label.Text = c.YLabel
+	canvas := plot.New()
+	canvas.Title.Text = c.Title
+	canvas.X.Label.Text = c.XLabel
+	canvas.Y.Label.Text = c.YLabel
 	if c.FromZero {
-		p.Y.Min = 0
+		canvas.Y.Min = 0
 	}
 	if c.XMax > 0 {
-		p.X.Min, p.X.Max = 0, c.XMax
+		canvas.X.Min, canvas.X.Max = 0, c.XMax
 	}
 	for _, series := range c.Series {
-		if err := c.add(p, series); err != nil {
+		if err := c.add(canvas, series); err != nil {
 			return err
 		}
 	}
-	p.Legend.Top, p.Legend.Left = c.LegendTop, c.LegendLeft
-	return p.Save(chartWidth, chartHeight, path)
+	canvas.Legend.Top, canvas.Legend.Left = c.LegendTop, c.LegendLeft
+	return canvas.Save(chartWidth, chartHeight, path)
 }
 
 // SaveAs writes the chart in several formats, such as "svg", each with its ending behind the path.
@@ -119,7 +119,7 @@
 	return nil
 }
 
-func (c Chart) add(p *plot.Plot, series Series) error {
+func (c Chart) add(canvas *plot.Plot, series Series) error {
 	line, points, err := plotter.NewLinePoints(series.Points)
 	if err != nil {
 		return err
@@ -129,17 +129,17 @@
 	if series.Dashed {
 		line.Dashes = []vg.Length{vg.Points(dashLength), vg.Points(dashLength)}
 	}
-	p.Add(line)
+	canvas.Add(line)
 	if series.Shape != nil {
 		points.Shape = series.Shape
-		p.Add(points)
-		p.Legend.Add(name, line, points)
+		canvas.Add(points)
+		canvas.Legend.Add(name, line, points)
 		return nil
 	}
 	if c.Markers {
-		p.Add(points)
+		canvas.Add(points)
 	}
-	p.Legend.Add(name, line)
+	canvas.Legend.Add(name, line)
 	return nil
 }
 
--- a/internal/experiment/testcluster/affinity_linux.go
+++ b/internal/experiment/testcluster/affinity_linux.go
@@ -26,8 +26,9 @@
 	return command.Start()
 }
 
-// LeaveRouterCore takes this process, and what it starts from then on, off the routers' core, unless it is the only one.
-func LeaveRouterCore() error {
+// AvoidRouterCore takes this process, and what it starts from then on, off the routers' core, unless it is the
+// only one.
+func AvoidRouterCore() error {
 	var mask unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &mask); err != nil {
 		return err
--- a/internal/experiment/testcluster/affinity_other.go
+++ b/internal/experiment/testcluster/affinity_other.go
@@ -7,5 +7,5 @@
 // startOnCore starts a command; cores cannot be chosen here.
 func startOnCore(command *exec.Cmd, _ int) error { return command.Start() }
 
-// LeaveRouterCore does nothing here.
-func LeaveRouterCore() error { return nil }
+// AvoidRouterCore does nothing here.
+func AvoidRouterCore() error { return nil }
--- a/internal/experiment/testcluster/cluster.go
+++ b/internal/experiment/testcluster/cluster.go
@@ -1,6 +1,6 @@
-// Package testcluster runs instances of the real router on loopback beside emulated caches, an emulated discovery
-// service and relays that delay or cut the connections between instances. Experiments and tests share it, with a
-// client that sends requests at a fixed rate and with readings of what a process uses.
+// Package testcluster runs instances of the real router on loopback beside emulated caches, an emulated
+// discovery service and relays that delay or cut the connections between instances. Experiments and tests share
+// it, with a client that sends requests at a fixed rate and with readings of what a process uses.
 package testcluster
 
 import (
@@ -70,15 +70,20 @@
 	Discovery *discoveryserver.Service
 	Root      *certificates.Root // issues the instances' certificates
 
-	voters          string            // what stands in the operator's (voters …)
-	peerAddresses   map[string]string // where instances take connections of each other
-	clientAddresses map[string]string // where they take clients
+	voters    string               // what stands in the operator's (voters …)
+	instances map[string]*instance // by name
 
-	mu           sync.Mutex
-	running      map[string]*Process // guarded by mu
-	incarnations map[string]int      // guarded by mu; how often each was started
-	lines        []LogLine           // guarded by mu
-	readers      sync.WaitGroup
+	mu      sync.Mutex
+	lines   []LogLine // guarded by mu
+	readers sync.WaitGroup
+}
+
+// instance is one router of a cluster.
+type instance struct {
+	peerAddress   string   // where it takes connections of other instances
+	clientAddress string   // where it takes clients
+	process       *Process // guarded by the cluster's mu; nil while it does not run
+	incarnation   int      // guarded by the cluster's mu; how often it was started
 }
 
 // New starts the emulators and writes the files of all instances. Start starts the instances.
@@ -86,12 +91,9 @@
 	config.MaxSockets = cmp.Or(config.MaxSockets, defaultMaxSockets)
 	config.MemoryMB = cmp.Or(config.MemoryMB, defaultMemoryMB)
 	c := &Cluster{
-		Config:          config,
-		Relays:          map[Link]*relay.Relay{},
-		peerAddresses:   map[string]string{},
-		clientAddresses: map[string]string{},
-		running:         map[string]*Process{},
-		incarnations:    map[string]int{},
+		Config:    config,
+		Relays:    map[Link]*relay.Relay{},
+		instances: map[string]*instance{},
 	}
 	if err := c.startEmulators(); err != nil {
 		return nil, err
@@ -138,9 +140,11 @@
 	for i := range c.Instances {
 		name := fmt.Sprintf("n%0*d", digits, i)
 		c.Names = append(c.Names, name)
-		if c.peerAddresses[name], err = FreeAddress(); err != nil {
+		added := &instance{}
+		if added.peerAddress, err = FreeAddress(); err != nil {
 			return err
 		}
+		c.instances[name] = added
 		if err := root.Write(c.Dir, name, time.Now().Add(certificateLifetime), root); err != nil {
 			return err
 		}
@@ -157,13 +161,13 @@
 func (c *Cluster) Path(name, extension string) string { return filepath.Join(c.Dir, name+extension) }
 
 // ClientAddress returns where an instance takes clients.
-func (c *Cluster) ClientAddress(name string) string { return c.clientAddresses[name] }
+func (c *Cluster) ClientAddress(name string) string { return c.instances[name].clientAddress }
 
 // ClientAddresses returns where the instances take clients.
 func (c *Cluster) ClientAddresses() []string {
 	var addresses []string
 	for _, name := range c.Names {
-		addresses = append(addresses, c.clientAddresses[name])
+		addresses = append(addresses, c.ClientAddress(name))
 	}
 	return addresses
 }
@@ -193,9 +197,10 @@
 		return errors.Join(err, logFile.Close())
 	}
 	c.mu.Lock()
-	c.running[name] = process
-	c.incarnations[name]++
-	incarnation := c.incarnations[name]
+	started := c.instances[name]
+	started.process = process
+	started.incarnation++
+	incarnation := started.incarnation
 	c.mu.Unlock()
 	c.readers.Go(func() {
 		defer closeAll(logFile)
@@ -214,13 +219,13 @@
 func (c *Cluster) Incarnation(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.incarnations[name]
+	return c.instances[name].incarnation
 }
 
 // Signal sends a signal to an instance, which counts as not running after SIGKILL and SIGTERM.
 func (c *Cluster) Signal(name string, signal syscall.Signal) error {
 	c.mu.Lock()
-	process := c.running[name]
+	process := c.instances[name].process
 	c.mu.Unlock()
 	if process == nil {
 		return fmt.Errorf("%s does not run", name)
@@ -230,7 +235,7 @@
 	}
 	if signal == syscall.SIGKILL || signal == syscall.SIGTERM {
 		c.mu.Lock()
-		delete(c.running, name)
+		c.instances[name].process = nil
 		c.mu.Unlock()
 	}
 	return nil
@@ -240,7 +245,7 @@
 func (c *Cluster) PID(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if process := c.running[name]; process != nil {
+	if process := c.instances[name].process; process != nil {
 		return process.PID()
 	}
 	return 0
@@ -249,10 +254,12 @@
 // Close kills all instances and ends the emulators.
 func (c *Cluster) Close() {
 	c.mu.Lock()
-	for _, process := range c.running {
-		process.kill()
+	for _, started := range c.instances {
+		if started.process != nil {
+			started.process.kill()
+			started.process = nil
+		}
 	}
-	clear(c.running)
 	c.mu.Unlock()
 	for _, path := range c.Relays {
 		path.Close()
--- a/internal/experiment/testcluster/faults.go
+++ b/internal/experiment/testcluster/faults.go
@@ -17,7 +17,8 @@
 // Not selects the instances that a side leaves out.
 func Not(side Side) Side { return func(name string) bool { return !side(name) } }
 
-// SetLinks sets the conditions of the links on which instances of one side open connections to those of another.
+// SetLinks sets the conditions of the links on which instances of one side open connections to those of
+// another.
 func (c *Cluster) SetLinks(from, to Side, conditions relay.Conditions) {
 	for link, path := range c.Relays {
 		if from(link.From) && to(link.To) {
--- a/internal/experiment/testcluster/files.go
+++ b/internal/experiment/testcluster/files.go
@@ -18,7 +18,7 @@
 	MemoryMB       int
 	MaxSockets     int
 	Discovery      string          // address of the discovery service
-	KnownEvents    json.RawMessage // of the service up to now; nil is none
+	WatchEvents    json.RawMessage // of the service up to now; nil is none
 	Routers        int             // how many the settings say that there are
 	HealthChecks   bool            // the settings allow health checks, and caches report their load
 	WarmUpDuration int             // s, of a cache
@@ -31,7 +31,7 @@
 	Seed      string          `json:"seed"`
 	Limits    processLimits   `json:"limits"`
 	Discovery string          `json:"journal"`
-	Known     json.RawMessage `json:"known"`
+	Events    json.RawMessage `json:"known"`
 	Settings  routerSettings  `json:"settings"`
 }
 
@@ -104,7 +104,7 @@
 			MaxSockets: r.MaxSockets,
 		},
 		Discovery: r.Discovery,
-		Known:     r.KnownEvents,
+		Events:    r.WatchEvents,
 		Settings:  r.settings(),
 	})
 	if err != nil {
@@ -160,7 +160,7 @@
 	if err != nil {
 		return err
 	}
-	c.clientAddresses[name] = address
+	c.instances[name].clientAddress = address
 	config := RouterConfig{
 		Name:           name,
 		Listen:         address,
@@ -174,7 +174,7 @@
 		WarmUpDuration: 17,
 	}
 	if !c.WithoutEndpointList {
-		config.KnownEvents = json.RawMessage(c.Discovery.KnownEvents())
+		config.WatchEvents = json.RawMessage(c.Discovery.KnownEvents())
 	}
 	if err := config.Write(c.Path(name, ".json")); err != nil {
 		return err
@@ -203,12 +203,12 @@
 	return os.WriteFile(path, []byte(c.leaseOperatorFile(name, instances)), 0o600)
 }
 
-// instanceOptions returns the (instance …) lines of an operator's file. Other instances stand there at the addresses of
-// the relays that lead to them, if there are relays.
+// instanceOptions returns the (instance …) lines of an operator's file. Other instances stand there at the
+// addresses of the relays that lead to them, if there are relays.
 func (c *Cluster) instanceOptions(name string) (string, error) {
 	var lines strings.Builder
 	for _, other := range c.Names {
-		address := c.peerAddresses[other]
+		address := c.instances[other].peerAddress
 		if c.WithRelays && other != name {
 			path, err := c.relay(Link{From: name, To: other})
 			if err != nil {
@@ -226,7 +226,7 @@
 	if started := c.Relays[link]; started != nil {
 		return started, nil
 	}
-	started, err := relay.Start(c.peerAddresses[link.To])
+	started, err := relay.Start(c.instances[link.To].peerAddress)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/experiment/testcluster/frame.go
+++ b/internal/experiment/testcluster/frame.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// The clients' protocol is framed binary Thrift. Frames are built here by hand, so that a fault of the router's own
-// protocol package shows.
+// The clients' protocol is framed binary Thrift. Frames are built here by hand, so that a fault of the router's
+// own protocol package shows.
 const (
 	frameHeaderBytes = 4
 	thriftMap        = 13
--- a/internal/experiment/testcluster/health.go
+++ b/internal/experiment/testcluster/health.go
@@ -20,17 +20,17 @@
 		return false
 	}
 	defer closeAll(conn)
-	frame, err := askHealth(conn, healthTimeout)
+	frame, err := requestHealth(conn, healthTimeout)
 	return err == nil && strings.Contains(string(frame), healthyField)
 }
 
 // CheckHealth asks a router on a connection whether it is ready, and takes any answer.
 func CheckHealth(conn net.Conn, timeout time.Duration) error {
-	_, err := askHealth(conn, timeout)
+	_, err := requestHealth(conn, timeout)
 	return err
 }
 
-func askHealth(conn net.Conn, timeout time.Duration) ([]byte, error) {
+func requestHealth(conn net.Conn, timeout time.Duration) ([]byte, error) {
 	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, err
 	}
--- a/internal/experiment/testcluster/load.go
+++ b/internal/experiment/testcluster/load.go
@@ -26,8 +26,9 @@
 	loadSeedA, loadSeedB = 1, 2
 )
 
-// Load is active traffic at a fixed rate. Each request is sent when it is due, whether or not earlier ones were answered,
-// and its latency counts from then, so that a router that holds up the client does not look fast (coordinated omission).
+// Load is active traffic at a fixed rate. Each request is sent when it is due, whether or not earlier ones were
+// answered, and its latency counts from then, so that a router that holds up the client does not look fast
+// (coordinated omission).
 type Load struct {
 	Rate           float64 // requests a second, over all addresses together
 	Addresses      []string
@@ -95,7 +96,8 @@
 	return nil
 }
 
-// dial opens the connection and starts its reader. The caller holds the connection's lock once others know of it.
+// dial opens the connection and starts its reader. The caller holds the connection's lock once others know of
+// it.
 func (r *loadRun) dial(connection *loadConnection) error {
 	conn, err := net.DialTimeout("tcp", connection.address, loadDialTimeout)
 	if err != nil {
@@ -118,23 +120,23 @@
 			return
 		}
 		connection.mu.Lock()
-		dueAt, known := connection.pending[sequence]
+		dueAt, isPending := connection.pending[sequence]
 		delete(connection.pending, sequence)
 		connection.mu.Unlock()
-		r.count(dueAt, known, served)
+		r.count(dueAt, isPending, served)
 	}
 }
 
 // count counts a response. One to no request counts as failed.
-func (r *loadRun) count(dueAt time.Time, known, served bool) {
+func (r *loadRun) count(dueAt time.Time, isPending, served bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if known && served {
+	if isPending && served {
 		r.result.Served++
 	} else {
 		r.result.Failed++
 	}
-	if known {
+	if isPending {
 		// A latency beyond the histogram's range is left out.
 		_ = r.result.Latencies.RecordValue(max(1, time.Since(dueAt).Microseconds()))
 	}
@@ -159,8 +161,8 @@
 	}
 }
 
-// begin notes a request as pending. As usual clients do, it opens the connection again if the router closed it while
-// nothing was pending, as it does when nothing was asked for 2 s. It returns false where that fails.
+// begin notes a request as pending. As usual clients do, it opens the connection again if the router closed it
+// while nothing was pending, as it does when nothing was asked for 2 s. It returns false where that fails.
 func (r *loadRun) begin(connection *loadConnection, dueAt time.Time) (uint32, net.Conn, bool) {
 	connection.mu.Lock()
 	defer connection.mu.Unlock()
--- a/internal/experiment/testcluster/observe.go
+++ b/internal/experiment/testcluster/observe.go
@@ -60,12 +60,12 @@
 	return status, err
 }
 
-// WaitForAllSlotsHeld waits until every slot's lease is held by an instance that runs.
-func (c *Cluster) WaitForAllSlotsHeld(ctx context.Context, timeout time.Duration) error {
+// WaitForAllSlotsLeased waits until every slot's lease is held by an instance that runs.
+func (c *Cluster) WaitForAllSlotsLeased(ctx context.Context, timeout time.Duration) error {
 	last := ctx.Err()
 	deadline := time.Now().Add(timeout)
 	for time.Now().Before(deadline) && ctx.Err() == nil {
-		held, err := c.heldSlots(ctx)
+		held, err := c.leasedSlots(ctx)
 		if err == nil && held == c.Slots {
 			return nil
 		}
@@ -77,8 +77,8 @@
 	return fmt.Errorf("not settled within %s: %w", timeout, last)
 }
 
-// heldSlots counts the slots that some running instance says it holds the lease of.
-func (c *Cluster) heldSlots(ctx context.Context) (int, error) {
+// leasedSlots counts the slots that some running instance says it holds the lease of.
+func (c *Cluster) leasedSlots(ctx context.Context) (int, error) {
 	held := map[int]bool{}
 	for _, name := range c.Names {
 		if c.PID(name) == 0 {
@@ -116,8 +116,8 @@
 	}
 }
 
-// WaitForAgreement waits until all running instances believe in so many live ones and in the same view. It returns how
-// long that took.
+// WaitForAgreement waits until all running instances believe in so many live ones and in the same view. It
+// returns how long that took.
 func (c *Cluster) WaitForAgreement(ctx context.Context, alive int, timeout time.Duration) (time.Duration, error) {
 	start := time.Now()
 	last := ctx.Err()
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// WaitForDetection waits until all observers have logged since a time that an instance is dead. It returns when the last
-// of them did, counted from that time, and whether all did within the timeout.
+// WaitForDetection waits until all observers have logged since a time that an instance is dead. It returns when
+// the last of them did, counted from that time, and whether all did within the timeout.
 func (c *Cluster) WaitForDetection(
 	victim string, observers []string, since time.Time, timeout time.Duration,
 ) (time.Duration, bool) {
@@ -174,7 +174,8 @@
 	return 0, false
 }
 
-// FalseDeaths counts the logged deaths since a time, but for those of the named instances and those that these logged.
+// FalseDeaths counts the logged deaths since a time, but for those of the named instances and those that these
+// logged.
 func (c *Cluster) FalseDeaths(since time.Time, excluded ...string) int {
 	count := 0
 	for _, line := range c.LogLines() {
--- a/internal/experiment/testcluster/reload_test.go
+++ b/internal/experiment/testcluster/reload_test.go
@@ -47,12 +47,12 @@
 	for _, name := range first {
 		must(c.Start(name))
 	}
-	must(c.WaitForAllSlotsHeld(t.Context(), 15*time.Second))
+	must(c.WaitForAllSlotsLeased(t.Context(), 15*time.Second))
 
 	must(os.WriteFile(c.Path("n00", ".sx"), []byte("(fleet (nonsense))"), 0o600))
 	must(c.Signal("n00", syscall.SIGHUP))
 	clustertest.WaitForLog(t, c, "n00", "config_rejected", `"cause":"operator's file`)
-	must(c.WaitForAllSlotsHeld(t.Context(), time.Second))
+	must(c.WaitForAllSlotsLeased(t.Context(), time.Second))
 
 	// A new root, beside the old one at first.
 	next, err := certificates.NewRoot("next")
@@ -67,7 +67,7 @@
 	operate(first...)
 	must(c.Start(last)) // it proves itself by the new root alone, and has no vote
 	clustertest.WaitForLog(t, c, last, "leases_acquired", "")
-	must(c.WaitForAllSlotsHeld(t.Context(), 10*time.Second))
+	must(c.WaitForAllSlotsLeased(t.Context(), 10*time.Second))
 
 	// The fourth gets a vote; a second change at once is refused.
 	time.Sleep(2 * c.LeaseDuration)
@@ -77,7 +77,7 @@
 	c.SetVoters("(epoch 3) (now n01 n02 n03) (before n00 n01 n02 n03)")
 	operate("n00")
 	clustertest.WaitForLog(t, c, "n00", "voters_kept", "a majority must have been at epoch 2")
-	must(c.WaitForAllSlotsHeld(t.Context(), 10*time.Second))
+	must(c.WaitForAllSlotsLeased(t.Context(), 10*time.Second))
 	s, err := c.LeaseStatus(t.Context(), "n00")
 	must(err)
 	if s.Epoch != 2 || len(s.Voters) != 4 || !s.Majority || s.Targets != 2 {
@@ -85,5 +85,5 @@
 	}
 	must(c.Signal(last, syscall.SIGTERM))
 	clustertest.WaitForLog(t, c, last, "leases_lost", "this instance leaves")
-	must(c.WaitForAllSlotsHeld(t.Context(), 3*time.Second))
+	must(c.WaitForAllSlotsLeased(t.Context(), 3*time.Second))
 }
--- a/internal/experiment/testcluster/snapshot_test.go
+++ b/internal/experiment/testcluster/snapshot_test.go
@@ -72,9 +72,9 @@
 	cluster.Discovery.Publish(testcluster.EndpointListEvent(4, []string{endpoint}))
 }
 
-// A real router is killed, the world changes, and it starts again from its snapshot: the list is used only once the
-// service has confirmed it, a cache that drained meanwhile gets nothing, and what is torn, another's or newer is passed
-// over.
+// A real router is killed, the world changes, and it starts again from its snapshot: the list is used only once
+// the service has confirmed it, a cache that drained meanwhile gets nothing, and what is torn, another's or
+// newer is passed over.
 func TestRestartFromSnapshot(t *testing.T) {
 	binary := clustertest.Build(t, "tealpath")
 	for _, test := range snapshotCases() {
--- a/internal/experiment/testcluster/usage.go
+++ b/internal/experiment/testcluster/usage.go
@@ -8,8 +8,9 @@
 	"strings"
 )
 
-// CPUSeconds returns the processor time that a process's threads have had, by the scheduler's account in nanoseconds:
-// that in clock ticks counts a whole tick for a moment at its end. It is 0 where it cannot be read.
+// CPUSeconds returns the processor time that a process's threads have had, by the scheduler's account in
+// nanoseconds: that in clock ticks counts a whole tick for a moment at its end. It is 0 where it cannot be
+// read.
 func CPUSeconds(pid int) float64 {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is well formed
 	sum := 0.
