--- a/internal/experiment/command/agree.go
+++ b/internal/experiment/command/agree.go
@@ -2,47 +2,64 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
-	"os"
 	"strconv"
 	"strings"
+	"tealpath/internal/experiment/report"
+	"tealpath/internal/experiment/sharedconfigsim"
 	"time"
 
 	"github.com/urfave/cli/v3"
-
-	"tealpath/internal/experiment/sharedconfigsim"
 )
 
-func agreeCommand(usage cli.OnUsageErrorFunc) *cli.Command {
-	return &cli.Command{Name: "agree", Usage: "have instances agree on versions of settings through troubles, in simulated time", OnUsageError: usage,
-		Action: agreeing, Flags: []cli.Flag{&cli.StringFlag{Name: "instances", Value: "5", Usage: "several as 5,50"},
-			&cli.Float64Flag{Name: "virtual", Value: 1, Usage: "`HOURS` of simulated time"}, &cli.Uint64Flag{Name: "seed", Value: 7},
-			&cli.DurationFlag{Name: "lease", Value: 1500 * time.Millisecond}, &cli.DurationFlag{Name: "renewal", Value: 500 * time.Millisecond},
-			&cli.DurationFlag{Name: "every", Value: 4 * time.Second, Usage: "a change or a trouble so often"}}}
+func agreeCommand() *cli.Command {
+	return &cli.Command{
+		Name:         "agree",
+		Usage:        "have instances agree on settings through faults, in simulated time (docs/agreement.md)",
+		OnUsageError: usageError,
+		Action:       agree,
+		Flags: []cli.Flag{
+			&cli.StringFlag{Name: "instances", Value: "5", Usage: "`COUNTS` of instances, one run each, such as 5,50"},
+			&cli.Float64Flag{Name: "virtual", Value: 1, Usage: "`HOURS` of simulated time"},
+			seedFlag(),
+			&cli.DurationFlag{Name: "lease", Value: 1500 * time.Millisecond, Usage: "duration of a lease"},
+			&cli.DurationFlag{
+				Name:  "renewal",
+				Value: 500 * time.Millisecond,
+				Usage: "interval between renewals of a lease",
+			},
+			&cli.DurationFlag{
+				Name:  "every",
+				Value: 4 * time.Second,
+				Usage: "interval between two changes of settings or faults",
+			},
+		},
+	}
 }
 
-func agreeing(_ context.Context, cmd *cli.Command) error {
+func agree(_ context.Context, cmd *cli.Command) error {
 	broken := false
 	for _, word := range strings.Split(cmd.String("instances"), ",") {
-		n, err := strconv.Atoi(word)
-		if err != nil || n < 1 || cmd.Float64("virtual") <= 0 {
-			return cli.Exit(fmt.Errorf("instances from 1, hours above 0: %q, %g", word, cmd.Float64("virtual")), exitUsage)
+		instances, err := strconv.Atoi(word)
+		if err != nil || instances < 1 || cmd.Float64("virtual") <= 0 {
+			err := fmt.Errorf("instances from 1, hours above 0: %q, %g", word, cmd.Float64("virtual"))
+			return cli.Exit(err, exitUsage)
 		}
-		r := sharedconfigsim.Plan{
-			Instances:     n,
-			Duration:      time.Duration(cmd.Float64("virtual") * 3600e9),
+		result := sharedconfigsim.Plan{
+			Instances:     instances,
+			Duration:      time.Duration(cmd.Float64("virtual") * float64(time.Hour)),
 			Seed:          cmd.Uint64("seed"),
 			LeaseDuration: cmd.Duration("lease"),
 			RenewInterval: cmd.Duration("renewal"),
 			EventInterval: cmd.Duration("every"),
 		}.Run()
-		json.NewEncoder(os.Stdout).Encode(r)
-		broken = broken || !r.BoundsHold()
+		if err := printJSON(result); err != nil {
+			return err
+		}
+		broken = broken || !result.BoundsHold()
 	}
 	if broken {
-		return cli.Exit(errors.New("a bound of docs/agreement.md is broken"), exitBroken)
+		return failed(&report.BoundError{Page: "docs/agreement.md"})
 	}
 	return nil
 }
--- a/internal/experiment/command/coldstart.go
+++ b/internal/experiment/command/coldstart.go
@@ -2,42 +2,150 @@
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
-	"os"
 	"strings"
+	"tealpath/internal/experiment/coldstart"
+	"tealpath/internal/experiment/coldstartsim"
+	"tealpath/internal/experiment/report"
 	"time"
 
 	"github.com/urfave/cli/v3"
+)
 
-	"tealpath/internal/experiment"
-	"tealpath/internal/experiment/coldstartsim"
+const (
+	simulatedOutage   = 30 * time.Second
+	simulatedDuration = time.Minute
 )
 
-func coldstartCommand(usage cli.OnUsageErrorFunc) *cli.Command {
-	return &cli.Command{Name: "coldstart", Usage: "start many routers within a second and measure what the list service bears",
-		OnUsageError: usage, Action: coldstart, Flags: []cli.Flag{
-			&cli.IntFlag{Name: "routers", Value: 100}, &cli.IntFlag{Name: "caches", Value: 40},
-			&cli.Uint64Flag{Name: "seed", Value: 7}, &cli.StringFlag{Name: "out", Value: "lab-out"},
-			&cli.StringFlag{Name: "faults", Value: "none", Usage: strings.Join(experiment.ColdFaults, ", ") + "; virtual: " + strings.Join(coldstartsim.FaultNames(), ", ")},
-			&cli.DurationFlag{Name: "seconds", Value: 20 * time.Second}, &cli.Float64Flag{Name: "rate", Value: 300},
-			&cli.StringFlag{Name: "binary", Value: "bin/tealpath"},
-			&cli.DurationFlag{Name: "hold", Usage: "play it again with first calls spread over four fifths of so long, health held back"},
-			&cli.BoolFlag{Name: "links", Usage: "links to caches are planned: (links …) of the operator's file"},
-			&cli.StringFlag{Name: "baseline", Usage: "an earlier build of tealpath, played in the same call"},
-			&cli.BoolFlag{Name: "virtual", Usage: "play whole routers in simulated time, and the decisions on calls alone with a service that is down for 30 s"},
-			&cli.IntFlag{Name: "tries", Value: 3, Usage: "of a client for one object, the first included; virtual"},
-			&cli.IntFlag{Name: "holds", Usage: "connections that a cache holds; 0: four for each three routers"},
-			&cli.BoolFlag{Name: "known", Usage: "configurations know the list; virtual"},
-			&cli.Float64Flag{Name: "list-bears", Value: 100, Usage: "calls a second that the list service takes; virtual"},
-			&cli.Float64Flag{Name: "opens", Usage: "connections that a cache takes a second; virtual; 0: no bound"},
-			&cli.IntFlag{Name: "told", Usage: "routers that the settings tell; 0: as many as there are"}}}
+func coldstartCommand() *cli.Command {
+	return &cli.Command{
+		Name:         "coldstart",
+		Usage:        "start many routers at once and measure the load on discovery and caches (docs/coldstart.md)",
+		OnUsageError: usageError,
+		Action:       runColdstart,
+		Flags: []cli.Flag{
+			&cli.IntFlag{Name: "routers", Value: 100, Usage: "routers that start"},
+			&cli.IntFlag{Name: "caches", Value: 40, Usage: "caches that they share"},
+			seedFlag(),
+			outFlag(),
+			&cli.StringFlag{
+				Name:  "faults",
+				Value: "none",
+				Usage: "`FAULT`, one of " + coldstart.FaultNames() + "; with --virtual one of " +
+					strings.Join(coldstartsim.FaultNames(), ", "),
+			},
+			&cli.DurationFlag{
+				Name:  "seconds",
+				Value: 20 * time.Second,
+				Usage: "time from the start to the end of a run",
+			},
+			&cli.Float64Flag{Name: "rate", Value: 300, Usage: "requests a second, over all routers"},
+			binaryFlag(),
+			&cli.DurationFlag{
+				Name:  "hold",
+				Usage: "run once more with readiness held back for so long, first calls spread over 4/5 of it",
+			},
+			&cli.BoolFlag{
+				Name:  "links",
+				Usage: "plan connections to caches ahead of requests, by (links …) of the operator's file",
+			},
+			baselineFlag(),
+			&cli.BoolFlag{
+				Name: "virtual",
+				Usage: "simulate complete routers instead, and their call schedules alone with a discovery service " +
+					"that is down for 30 s",
+			},
+			&cli.IntFlag{Name: "tries", Value: 3, Usage: "attempts of a client for one object; with --virtual"},
+			&cli.IntFlag{Name: "holds", Usage: "connections that a cache takes; 0 is four for each three routers"},
+			&cli.BoolFlag{Name: "known", Usage: "configurations have the endpoint list; with --virtual"},
+			&cli.Float64Flag{
+				Name:  "list-bears",
+				Value: 100,
+				Usage: "calls a second that the discovery service takes; with --virtual",
+			},
+			&cli.Float64Flag{
+				Name:  "opens",
+				Usage: "new connections that a cache takes a second; 0 is no limit; with --virtual",
+			},
+			&cli.IntFlag{Name: "told", Usage: "routers that the settings say there are; 0 is as many as there are"},
+		},
+	}
+}
+
+func runColdstart(ctx context.Context, cmd *cli.Command) error {
+	if cmd.Int("routers") < 1 || cmd.Int("caches") < 1 || cmd.Float64("rate") <= 0 {
+		return cli.Exit(errors.New("routers and caches from 1, the rate above 0"), exitUsage)
+	}
+	out, err := makeOutDir(cmd)
+	if err != nil {
+		return err
+	}
+	if cmd.Bool("virtual") {
+		if err := simulateCallSchedules(cmd, out); err != nil {
+			return err
+		}
+		return simulateColdstart(cmd, out)
+	}
+	return withTempDir(func(dir string) error {
+		return startRouters(ctx, cmd, coldstart.Experiment{
+			Routers:           cmd.Int("routers"),
+			Caches:            cmd.Int("caches"),
+			Seed:              cmd.Uint64("seed"),
+			Fault:             coldstart.Fault(cmd.String("faults")),
+			Duration:          cmd.Duration("seconds"),
+			Rate:              cmd.Float64("rate"),
+			Dir:               dir,
+			ConfiguredRouters: cmd.Int("told"),
+			MaxConnections:    cmd.Int("holds"),
+		})
+	})
 }
 
-var errBound = errors.New("a bound of docs/coldstart.md is broken")
+// startRouters runs the experiment with the baseline, the current build, and the current build with a readiness
+// hold, as the flags say. The last of them is held against the bounds.
+func startRouters(ctx context.Context, cmd *cli.Command, e coldstart.Experiment) error {
+	current := coldstart.Build{Binary: cmd.String("binary"), PlanConnections: cmd.Bool("links")}
+	builds := []coldstart.Build{current}
+	if baseline := cmd.String("baseline"); baseline != "" {
+		builds = []coldstart.Build{{Binary: baseline}, current}
+	}
+	if hold := cmd.Duration("hold"); hold > 0 {
+		current.ReadinessHold = hold
+		builds = append(builds, current)
+	}
+	var last coldstart.Result
+	for _, build := range builds {
+		result, err := e.Run(ctx, build)
+		if err != nil {
+			return failed(err)
+		}
+		if err := printJSON(result); err != nil {
+			return err
+		}
+		last = result
+	}
+	return failed(last.CheckBounds())
+}
 
-// coldfleet plays whole routers, as they are and as they were.
-func coldfleet(cmd *cli.Command, out string, print *json.Encoder) error {
+// simulateCallSchedules plays the routers' schedules of calls alone.
+func simulateCallSchedules(cmd *cli.Command, out string) error {
+	result := coldstart.Simulation{
+		Routers:      cmd.Int("routers"),
+		Seed:         cmd.Uint64("seed"),
+		DownDuration: simulatedOutage,
+		Duration:     simulatedDuration,
+	}.Run()
+	if err := result.Write(out); err != nil {
+		return failed(err)
+	}
+	if err := printJSON(result); err != nil {
+		return err
+	}
+	return failed(result.CheckBounds())
+}
+
+// simulateColdstart plays complete routers, as the baseline was and as they are.
+func simulateColdstart(cmd *cli.Command, out string) error {
 	plan := coldstartsim.Plan{
 		Routers:             cmd.Int("routers"),
 		Caches:              cmd.Int("caches"),
@@ -53,73 +161,22 @@
 		EndpointsConfigured: cmd.Bool("known"),
 		DiscoveryCallRate:   cmd.Float64("list-bears"),
 	}
-	var runs []coldstartsim.Result
+	var results []coldstartsim.Result
 	for _, plan.Baseline = range []bool{true, false} {
-		r, err := plan.Run()
+		result, err := plan.Run()
 		if err != nil {
 			return cli.Exit(err, exitUsage)
 		}
-		runs = append(runs, r)
-		print.Encode(r)
-	}
-	if err := coldstartsim.WriteReport(out, runs...); err != nil {
-		return cli.Exit(err, exitBroken)
-	}
-	if !runs[1].BoundsHold() {
-		return cli.Exit(errBound, exitBroken)
-	}
-	return nil
-}
-
-func coldstart(ctx context.Context, cmd *cli.Command) error {
-	if cmd.Int("routers") < 1 || cmd.Int("caches") < 1 || cmd.Float64("rate") <= 0 {
-		return cli.Exit(errors.New("routers and caches from 1, the rate above 0"), exitUsage)
-	}
-	out := cmd.String("out")
-	if err := os.MkdirAll(out, 0o755); err != nil {
-		return cli.Exit(err, exitUsage)
-	}
-	print := json.NewEncoder(os.Stdout)
-	if cmd.Bool("virtual") {
-		r := experiment.VirtualCold{Routers: cmd.Int("routers"), Seed: cmd.Uint64("seed"), Down: 30e9, Span: 60e9}.Run()
-		if err := r.Keep(out); err != nil {
-			return cli.Exit(err, exitBroken)
-		}
-		print.Encode(r)
-		if r.Peak > r.Bound {
-			return cli.Exit(errBound, exitBroken)
+		results = append(results, result)
+		if err := printJSON(result); err != nil {
+			return err
 		}
-		return coldfleet(cmd, out, print)
-	}
-	folder, err := os.MkdirTemp("", "teallab")
-	if err != nil {
-		return cli.Exit(err, exitBroken)
 	}
-	defer os.RemoveAll(folder)
-	play := experiment.Coldstart{Routers: cmd.Int("routers"), Caches: cmd.Int("caches"), Seed: cmd.Uint64("seed"),
-		Faults: cmd.String("faults"), Span: cmd.Duration("seconds"), Rate: cmd.Float64("rate"), Folder: folder, Out: out, Process: os.Stdout,
-		Told: cmd.Int("told"), Holds: cmd.Int("holds")}
-	if base := cmd.String("baseline"); base != "" {
-		r, err := play.Run(ctx, base, 0, false)
-		if err != nil {
-			return cli.Exit(err, exitBroken)
-		}
-		print.Encode(r)
-	}
-	r, err := play.Run(ctx, cmd.String("binary"), 0, cmd.Bool("links"))
-	if err != nil {
-		return cli.Exit(err, exitBroken)
-	}
-	if hold := cmd.Duration("hold"); hold > 0 {
-		print.Encode(r)
-		if r, err = play.Run(ctx, cmd.String("binary"), hold, cmd.Bool("links")); err != nil {
-			return cli.Exit(err, exitBroken)
-		}
+	if err := coldstartsim.WriteReport(out, results...); err != nil {
+		return failed(err)
 	}
-	print.Encode(r)
-	if r.CallsPeak > r.Bound || r.Unlisted > 0 || r.Lost > 0 || r.Fallen > 0 || r.Worst > 1 ||
-		cmd.Bool("links") && r.CachePeak > r.Holds {
-		return cli.Exit(errBound, exitBroken)
+	if current := results[1]; !current.BoundsHold() {
+		return failed(&report.BoundError{Page: "docs/coldstart.md"})
 	}
 	return nil
 }
--- a/internal/experiment/membershipsim/faults.go
+++ b/internal/experiment/membershipsim/faults.go
@@ -1,22 +1,25 @@
 package membershipsim
 
-import "tealpath/internal/experiment/simulation"
+import (
+	"tealpath/internal/experiment/membership"
+	"tealpath/internal/experiment/simulation"
+)
 
-// Fault is what can happen to instances or the network.
-type Fault string
+// Fault is what can happen to instances or the network: those of the experiment with real processes, and two more.
+type Fault = membership.Fault
 
 // The faults.
 const (
-	FaultKill          = Fault("kill")   // an instance is killed, and starts again after a while
-	FaultPause         = Fault("pause")  // a process is stopped for up to 30 s
-	FaultLoss          = Fault("loss")   // a fifth of all messages is lost
-	FaultOneWayLink    = Fault("oneway") // nothing arrives from one instance at another
-	FaultInboundLost   = Fault("deaf")   // an instance hears nothing
-	FaultOutboundLost  = Fault("mute")   // an instance is heard by nobody
-	FaultPartition     = Fault("split")  // the network is split in two
-	FaultFlapping      = Fault("flap")   // an instance is heard every other second only
-	FaultLatency       = Fault("late")   // messages take half a second
-	FaultDuplicateSend = Fault("twice")  // half of all messages arrive twice
+	FaultKill          = membership.Kill       // an instance is killed, and starts again after a while
+	FaultPause         = membership.Pause      // a process is stopped for up to 30 s
+	FaultLoss          = Fault("loss")         // a fifth of all messages is lost
+	FaultOneWayLink    = membership.CutOneLink // nothing arrives from one instance at another
+	FaultInboundLost   = membership.CutInward  // an instance hears nothing
+	FaultOutboundLost  = membership.CutOutward // an instance is heard by nobody
+	FaultPartition     = membership.Partition  // the network is split in two
+	FaultFlapping      = membership.Flapping   // an instance is heard every other second only
+	FaultLatency       = membership.LinkDelay  // messages take half a second
+	FaultDuplicateSend = Fault("twice")        // half of all messages arrive twice
 )
 
 // Faults are all faults.
@@ -33,6 +36,15 @@
 	FaultDuplicateSend,
 }
 
+// FaultNames are the names of all faults.
+func FaultNames() []string {
+	names := make([]string, len(Faults))
+	for i, fault := range Faults {
+		names[i] = string(fault)
+	}
+	return names
+}
+
 // How long faults last and how much time members then have to agree again, ns.
 const (
 	second              = int64(1e9)
--- a/internal/experiment/membershipsim/result.go
+++ b/internal/experiment/membershipsim/result.go
@@ -5,19 +5,12 @@
 	"path/filepath"
 	"slices"
 	"strconv"
+	"tealpath/internal/experiment/membership"
 	"tealpath/internal/experiment/report"
 
 	"gonum.org/v1/plot/plotter"
 )
 
-// Bounds of docs/membership.md, for the intervals that the experiments run with.
-const (
-	MaxDetectionMS       = 3000.
-	MaxOneWayDetectionMS = 5000.
-	MaxDisagreementMS    = 5000.
-	MaxConnections       = 16 // of one member
-)
-
 // Result is what a run gave.
 type Result struct {
 	Instances       int     `json:"instances"`
@@ -43,11 +36,11 @@
 
 // BoundsHold tells whether the bounds of docs/membership.md hold.
 func (r Result) BoundsHold() bool {
-	return r.MaxDetection <= MaxDetectionMS &&
+	return r.MaxDetection <= membership.MaxDetectionMS &&
 		r.MissedKills+r.FalseDeaths+r.MissedOneWay == 0 &&
-		r.MaxOneWay <= MaxOneWayDetectionMS &&
-		r.MaxDisagreement <= MaxDisagreementMS &&
-		r.PeakConnections <= MaxConnections
+		r.MaxOneWay <= membership.MaxJudgementMS &&
+		r.MaxDisagreement <= membership.MaxDisagreementMS &&
+		r.PeakConnections <= membership.MaxLinks
 }
 
 func (s *runState) result() Result {
