--- a/internal/experiment/coldstartsim/result.go
+++ b/internal/experiment/coldstartsim/result.go
@@ -61,7 +61,7 @@
 	firstSeconds = 11
 	// lostAfter is how long after a client's deadline a request without a response counts as lost, ns.
 	lostAfter = int64(3e9)
-	// recoveredShare is the part of the usual service from which on a router has recovered.
+	// recoveredShare is the part of the usual service from which on it counts as recovered.
 	recoveredShare = 0.95
 	// recoveryWindow is over how many seconds the service is averaged to tell whether it has recovered.
 	recoveryWindow = 2
