--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -28,7 +28,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := withoutFills(nil)
 			c.before(r)
-			decision := r.Decide(start, ask(c.class, "a"))
+			decision := r.Decide(start, newRequest(c.class, "a"))
 			if decision.Verdict != c.want || c.want == Send && !decision.Attempt.CacheOnly {
 				t.Errorf("%+v", decision)
 			}
@@ -45,12 +45,12 @@
 		{"not cached, fills rejected, but the origin can be overloaded", 2, func(s *Settings) { s.OriginUnlimited = false }, Wait},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, request := withoutFills(c.change), ask("harmless", "a")
+			r, request := withoutFills(c.change), newRequest("harmless", "a")
 			for range c.rejections {
 				r.retries.sourceRejections.add(start)
 			}
 			r.Decide(start, request)
-			decision := r.AttemptEnded(start, request, Outcome{Result: NotHeld})
+			decision := r.AttemptEnded(start, request, Outcome{Result: NotCached})
 			if decision.Verdict != c.want || c.want == Send && (decision.Attempt.Source != 5 || decision.Attempt.CacheOnly) {
 				t.Errorf("%+v", decision)
 			}
@@ -60,7 +60,7 @@
 
 func TestAdmissionLimits(t *testing.T) {
 	decide := func(r *Router, object string) Decision {
-		return r.Decide(start, ask("harmless", object))
+		return r.Decide(start, newRequest("harmless", object))
 	}
 	t.Run("fills beyond the limit are not sent", func(t *testing.T) {
 		r, sent := newRouter(t, nil), 0
@@ -77,11 +77,11 @@
 		t.Run(fmt.Sprint("clients' retries have a lower limit, marked: ", marked), func(t *testing.T) {
 			r, sent := newRouter(t, nil), 0
 			for i := range 50 {
-				request := ask("harmless", fmt.Sprint(i))
+				request := newRequest("harmless", fmt.Sprint(i))
 				if request.ClientRetry = marked; !marked {
 					r.rejectOrFail(start-second/2, &Request{requestState: requestState{
 						class:  r.classByName["harmless"],
-						record: r.rates.record(start-second/2, ask("harmless", fmt.Sprint(i))),
+						record: r.rates.record(start-second/2, newRequest("harmless", fmt.Sprint(i))),
 					}})
 				}
 				if decision := r.Decide(start, request); decision.Verdict == Send && !decision.Attempt.CacheOnly {
@@ -99,7 +99,7 @@
 			elapsed int64
 			sign    float64
 		}{{5 * second, -1}, {second / 10, 1}} {
-			request, before := ask("harmless", fmt.Sprint(c.elapsed)), r.admission.limits[1]
+			request, before := newRequest("harmless", fmt.Sprint(c.elapsed)), r.admission.limits[1]
 			r.Decide(start, request)
 			r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: c.elapsed})
 			if (r.admission.limits[1]-before)*c.sign <= 0 {
@@ -112,7 +112,7 @@
 			r := newRouter(t, nil)
 			r.admission.limits[1], r.admission.reduced[1] = 0.7, reduced
 			for i := range 20 {
-				request := ask("harmless", fmt.Sprint(i))
+				request := newRequest("harmless", fmt.Sprint(i))
 				r.Decide(start, request)
 				r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 			}
@@ -124,7 +124,7 @@
 	})
 	t.Run("hits go to another cache while the home cache is at its limit", func(t *testing.T) {
 		r := newRouter(t, nil)
-		first := ask("harmless", "a")
+		first := newRequest("harmless", "a")
 		home := r.Decide(start, first).Attempt.Cache
 		r.AttemptEnded(start, first, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 		for range 12 { // the limit of 2 times the capacity, shared by two routers
@@ -143,12 +143,12 @@
 		name   string
 		result Result
 		want   Verdict
-	}{{"what it lacks is fetched by the next attempt", NotHeld, Send}, {"what it has cached is served", Succeeded, Wait}} {
+	}{{"what it lacks is fetched by the next attempt", NotCached, Send}, {"what it has cached is served", Succeeded, Wait}} {
 		t.Run(c.name, func(t *testing.T) {
-			r, request := newRouter(t, nil), ask("harmless", "a")
+			r, request := newRouter(t, nil), newRequest("harmless", "a")
 			r.admission.reduced[fills], r.admission.limits[fills] = true, 1
 			r.admission.limits[fetches] = maxAdmissionLimit
-			other := ask("harmless", "other")
+			other := newRequest("harmless", "other")
 			if r.Decide(start, other).Attempt.ParentOnlyIfCached {
 				t.Error("only cached entries are used though fetches come in time")
 			}
@@ -187,11 +187,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			r, verdict := newRouter(t, nil), Send
 			for i := 0; verdict == Send; i++ { // until attempts without an answer use up the limit
-				request := ask("harmless", fmt.Sprint(i))
+				request := newRequest("harmless", fmt.Sprint(i))
 				request.SizeKB = c.sizeKB
 				verdict = r.Decide(start, request).Verdict
 			}
-			if got := r.Decide(start+c.after, ask("harmless", "next")).Verdict == Send; got != c.sends {
+			if got := r.Decide(start+c.after, newRequest("harmless", "next")).Verdict == Send; got != c.sends {
 				t.Errorf("sent: %v", got)
 			}
 		})
@@ -207,7 +207,7 @@
 	}{{1, 12, false}, {1, 9, true}, {10, 1, true}, {10, 2, false}} {
 		t.Run(fmt.Sprintf("%d in flight, one of %d routers", c.inFlight, c.routers), func(t *testing.T) {
 			r := newRouter(t, func(s *Settings) { s.LocationRouters = c.routers })
-			endpoint, request := r.endpoints[1], ask("harmless", "a")
+			endpoint, request := r.endpoints[1], newRequest("harmless", "a")
 			request.class, request.record = r.classByName["harmless"], &objectRecord{likelyCachedUntil: forever}
 			for range c.inFlight {
 				r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, lateAt: forever})
--- a/control/age_test.go
+++ b/control/age_test.go
@@ -64,7 +64,7 @@
 			r.Purge(start+c.received, c.object, 1, start)
 			now := start + c.requested
 			r.Tick(now)
-			age := r.Decide(now, ask(c.class, "a")).Attempt.MaxAge
+			age := r.Decide(now, newRequest(c.class, "a")).Attempt.MaxAge
 			if c.maxAge > 0 && (age <= 0 || age > c.maxAge) || c.maxAge == 0 && age != 0 {
 				t.Errorf("age %v, want at most %v", age, c.maxAge)
 			}
@@ -82,7 +82,7 @@
 			r := newRouter(t, func(s *Settings) { s.LocationRouters = c.routers })
 			for i, want := range []int64{priorityOnce, c.want} {
 				now := start + rateWindow + int64(i)*c.between*second
-				request := ask("harmless", "a")
+				request := newRequest("harmless", "a")
 				if got := r.Decide(now, request).Attempt.CachePriority; got != want {
 					t.Errorf("request %d has priority %d, want %d", i, got, want)
 				}
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -28,7 +28,7 @@
 		}
 		for len(inFlight) < concurrency {
 			n++
-			request := ask("harmless", fmt.Sprint(n%40))
+			request := newRequest("harmless", fmt.Sprint(n%40))
 			request.Deadline = now + 5*second
 			decision := r.Decide(now, request)
 			if now >= from+span-second {
@@ -89,7 +89,7 @@
 	now := start + 21*second
 	sent := 0
 	for n := range 1000 {
-		request := ask("harmless", fmt.Sprint(n%40))
+		request := newRequest("harmless", fmt.Sprint(n%40))
 		if decision := r.Decide(now, request); decision.Verdict == Send {
 			sent++
 		}
@@ -173,7 +173,7 @@
 			r.admission.limits = [3]float64{maxAdmissionLimit, maxAdmissionLimit, maxAdmissionLimit}
 			var sent []*Request
 			for n := range 20 {
-				request := ask("harmless", fmt.Sprint(n))
+				request := newRequest("harmless", fmt.Sprint(n))
 				if decision := r.Decide(start, request); decision.Verdict == Send {
 					sent = append(sent, request)
 				}
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -28,7 +28,7 @@
 // were.
 func sendUntilFull(r *Router, now int64, class string) (sent int) {
 	for ; sent < 1000; sent++ {
-		if r.Decide(now, ask(class, fmt.Sprint(class, now, sent))).Verdict != Send {
+		if r.Decide(now, newRequest(class, fmt.Sprint(class, now, sent))).Verdict != Send {
 			break
 		}
 	}
@@ -42,7 +42,7 @@
 	if n := sendUntilFull(r, start, "harmless") + sendUntilFull(r, start, "stamped"); n == 0 || n >= 1000 {
 		t.Fatalf("%d sent", n)
 	}
-	if decision := r.Decide(start, ask("once", "write")); decision.Verdict != Send {
+	if decision := r.Decide(start, newRequest("once", "write")); decision.Verdict != Send {
 		t.Errorf("a write while the limit for fills is reached: %+v", decision)
 	}
 }
@@ -52,7 +52,7 @@
 	r := routerOfClasses(t, nil)
 	for n := range 10 {
 		first, second := r.load(start, r.caches[0]), r.load(start, r.caches[1])
-		decision := r.Decide(start, ask("once", fmt.Sprint(n)))
+		decision := r.Decide(start, newRequest("once", fmt.Sprint(n)))
 		toFirst := decision.Attempt.Cache == r.caches[0].ID
 		if decision.Verdict != Send || first != second && toFirst != (first < second) {
 			t.Errorf("loads %.2f and %.2f: %+v", first, second, decision)
@@ -77,7 +77,7 @@
 		want float64 // least part of the limit that is open to the rest
 	}{{0.01, 0.95}, {0.5, 0.69}} {
 		r := routerOfClasses(t, func(s *Settings) { setWeights(s, 1, 40, 1) })
-		request := ask("harmless", "x")
+		request := newRequest("harmless", "x")
 		r.Decide(start, request)
 		r.classes[0].offered, r.classes[1].offered = decayingWork{}, decayingWork{}
 		r.classes[0].offered.add(start, 40*(1-c.rare))
@@ -116,7 +116,7 @@
 		}
 		for _, class := range []string{"stamped", "harmless", "stamped", "stamped"} {
 			n++
-			request := ask(class, fmt.Sprint(n))
+			request := newRequest(class, fmt.Sprint(n))
 			requested[class]++
 			if r.Decide(now, request).Verdict == Send {
 				sent[class]++
@@ -141,7 +141,7 @@
 		lowers  bool
 	}{{13 * second / 10, false}, {3 * second, true}} {
 		before := r.admission.limits[fills]
-		request := ask("harmless", fmt.Sprint(c.elapsed))
+		request := newRequest("harmless", fmt.Sprint(c.elapsed))
 		r.Decide(start, request)
 		r.AttemptEnded(start+c.elapsed, request, Outcome{
 			Result:       Succeeded,
@@ -164,7 +164,7 @@
 		r, retries := routerOfClasses(t, func(s *Settings) { s.OriginUnlimited = factor == 0 }), 0
 		for n := range 60 {
 			now := start + int64(n)*second/10
-			request := ask("harmless", fmt.Sprint(n))
+			request := newRequest("harmless", fmt.Sprint(n))
 			decision := r.Decide(now, request)
 			for decision.Verdict == Send {
 				retries++
@@ -198,7 +198,7 @@
 				c.change(s)
 			})
 			for n, class := range []string{"stamped", "harmless", "once"} {
-				request := ask(class, fmt.Sprint(n))
+				request := newRequest(class, fmt.Sprint(n))
 				if decision := r.Decide(start, request); decision.Verdict != Send {
 					t.Fatalf("%s: %+v", class, decision)
 				}
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -11,7 +11,7 @@
 		t.Run(fmt.Sprint(left), func(t *testing.T) {
 			r := newRouter(t, nil)
 			r.UpdateEndpoints(start, nil, true)
-			request, now := ask("harmless", "a"), start
+			request, now := newRequest("harmless", "a"), start
 			request.Deadline = now + left
 			decision := r.Decide(now, request)
 			for decision.Verdict == Wait {
@@ -45,7 +45,7 @@
 		{ConnectionLost, second, Send},
 	} {
 		t.Run(fmt.Sprint(c.result, c.after), func(t *testing.T) {
-			r, request := newRouter(t, nil), ask("harmless", "a")
+			r, request := newRouter(t, nil), newRequest("harmless", "a")
 			request.Deadline = start + 2*second
 			if decision := r.Decide(start, request); decision.Attempt.SendTimeout != second {
 				t.Errorf("send timeout %d", decision.Attempt.SendTimeout)
@@ -72,7 +72,7 @@
 		{"small, and late for its size", second, 0.01, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r, request := newRouter(t, func(s *Settings) { setObjectiveStretches(s, 2, 2, 2) }), ask("harmless", "a")
+			r, request := newRouter(t, func(s *Settings) { setObjectiveStretches(s, 2, 2, 2) }), newRequest("harmless", "a")
 			r.Decide(start, request)
 			kind := request.attempts[0].kind
 			r.AttemptEnded(start+c.elapsed, request, Outcome{
@@ -91,10 +91,10 @@
 // Calls that no adapter should make change nothing.
 func TestInvalidCallsChangeNothing(t *testing.T) {
 	r := newRouter(t, nil)
-	if decision := r.Decide(start, ask("unheard of", "a")); decision.Verdict != Fail {
+	if decision := r.Decide(start, newRequest("unheard of", "a")); decision.Verdict != Fail {
 		t.Errorf("a request of an unknown class: %+v", decision)
 	}
-	request := ask("harmless", "a")
+	request := newRequest("harmless", "a")
 	r.Decide(start, request)
 	for _, number := range []int{-1, 1} {
 		if decision := r.AttemptEnded(start, request, Outcome{Attempt: number}); decision.Verdict != Wait {
@@ -114,7 +114,7 @@
 // Where attempts cannot be cancelled none is.
 func TestWithoutCancelling(t *testing.T) {
 	r := newRouter(t, func(s *Settings) { s.CancelAttempts = false })
-	request := ask("harmless", "a")
+	request := newRequest("harmless", "a")
 	r.Decide(start, request)
 	if decision := r.ClientGone(start, request); len(decision.Cancel) > 0 {
 		t.Errorf("%+v", decision)
--- a/control/deadline_test.go
+++ b/control/deadline_test.go
@@ -8,7 +8,7 @@
 // answers lets requests of a class for new objects be answered, each after so many ms.
 func answers(r *Router, class string, count int, after int64) {
 	for n := range count {
-		request := ask(class, fmt.Sprint(class, n))
+		request := newRequest(class, fmt.Sprint(class, n))
 		r.Decide(start, request)
 		r.AttemptEnded(start+after*second/1000, request, Outcome{Result: Succeeded, Elapsed: after * second / 1000})
 	}
@@ -36,16 +36,16 @@
 				answers(r, "harmless", c.seen, 40)
 			}
 			answers(r, "stamped", 20, 300) // of another class, which do not count
-			request := ask("harmless", "a")
+			request := newRequest("harmless", "a")
 			request.Deadline = start + c.left*second/1000
 			if decision := r.Decide(start, request); decision.Verdict != c.want {
 				t.Errorf("first attempt: verdict %v, want %v", decision.Verdict, c.want)
 			}
 
-			request = ask("harmless", "b")
+			request = newRequest("harmless", "b")
 			r.Decide(start, request)
 			now := request.Deadline - c.left*second/1000
-			if decision := r.AttemptEnded(now, request, Outcome{Result: NotHeld}); decision.Verdict != c.want {
+			if decision := r.AttemptEnded(now, request, Outcome{Result: NotCached}); decision.Verdict != c.want {
 				t.Errorf("retry: verdict %v, want %v", decision.Verdict, c.want)
 			}
 		})
@@ -56,7 +56,7 @@
 func TestSendTimeoutLeavesTimeForTheAnswer(t *testing.T) {
 	r := newRouter(t, nil)
 	answers(r, "harmless", 10, 300)
-	request := ask("harmless", "a")
+	request := newRequest("harmless", "a")
 	request.Deadline = start + 500*second/1000
 	if decision := r.Decide(start, request); decision.Attempt.SendTimeout != 200*second/1000 {
 		t.Errorf("send timeout of %d ms", decision.Attempt.SendTimeout*1000/second)
@@ -86,7 +86,7 @@
 			answers(r, "harmless", 200, 150)
 			before := r.admission.limits
 			for n := range 100 {
-				request := ask("harmless", fmt.Sprint("short", n))
+				request := newRequest("harmless", fmt.Sprint("short", n))
 				request.Deadline = start + c.left*second/1000
 				if decision := r.Decide(start, request); n == 0 && decision.Verdict != Send {
 					t.Fatalf("verdict %v", decision.Verdict)
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// ask has the router decide on a new request.
-func (p *drawnRun) ask() {
+// sendRequest has the router decide on a new request.
+func (p *drawnRun) sendRequest() {
 	classes := []string{"harmless", "harmless", "stamped", "once"}
 	object := p.rng.IntN(1 + p.rng.IntN(60))
 	request := &Request{
@@ -242,7 +242,7 @@
 	r := p.router
 	switch n := p.rng.IntN(100); {
 	case n < 35:
-		p.ask()
+		p.sendRequest()
 	case n < 75:
 		if len(p.requests) > 0 {
 			p.end(p.requests[p.rng.IntN(len(p.requests))])
--- a/control/endings_test.go
+++ b/control/endings_test.go
@@ -20,7 +20,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, func(s *Settings) { s.Classes[1].KeyScope = ScopeAll })
-			request, now := ask(c.class, "a"), start
+			request, now := newRequest(c.class, "a"), start
 			request.Deadline = start + 5*second
 			r.Decide(now, request)
 			now += c.after * second / 1000
@@ -57,7 +57,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, func(s *Settings) { s.Hedging = c.hedging })
-			request, now := ask(c.class, "a"), start
+			request, now := newRequest(c.class, "a"), start
 			request.Deadline = start + 3*second
 			r.Decide(now, request)
 			now = request.Deadline - c.left*second/1000
@@ -89,7 +89,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
-			request := ask(c.class, "a")
+			request := newRequest(c.class, "a")
 			r.Decide(start, request)
 			request.NoNewAttempts = true
 			if decision := r.AttemptEnded(start+1, request, Outcome{Result: c.result}); decision.Verdict != c.want {
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -6,12 +6,6 @@
 	"slices"
 )
 
-// The phases of an endpoint in the list. In phases other than ready it gets no new attempts.
-const (
-	phaseReady = "ready"
-	phaseGone  = "gone"
-)
-
 // endpointState is what a router knows of an endpoint. The fields that scans over all endpoints read stand next
 // to each other, so that a scan touches few cache lines of the processor.
 type endpointState struct {
@@ -111,7 +105,7 @@
 		endpoint.restarted(now, entry.StartedAt)
 	}
 	endpoint.Endpoint = entry
-	endpoint.listed = entry.Phase != phaseGone
+	endpoint.listed = entry.Phase != PhaseGone
 	endpoint.hashWeight = max(entry.Capacity, minCapacity)
 	if r.settings.Weights == LoadWeights {
 		endpoint.hashWeight = 1 // a weight that follows the load would move objects from one home cache to another
@@ -129,7 +123,7 @@
 // it gets no new attempts and fills no misses (rule 3 in docs/design.md).
 func (r *Router) roleOf(endpoint *endpointState) role {
 	switch {
-	case !endpoint.listed || endpoint.Phase != phaseReady:
+	case !endpoint.listed || endpoint.Phase != PhaseReady:
 		return noRole
 	case endpoint.Kind == r.settings.originKind():
 		return originRole
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -18,7 +18,7 @@
 				r.UpdateEndpoints(start, []Endpoint{cache, parent}, false)
 			}
 			for i := range 50 {
-				decision := r.Decide(start+second, ask("harmless", fmt.Sprint(i)))
+				decision := r.Decide(start+second, newRequest("harmless", fmt.Sprint(i)))
 				if decision.Verdict == Send && (decision.Attempt.Cache == 1 || decision.Attempt.Source == 3) {
 					t.Fatalf("sent to %d with source %d", decision.Attempt.Cache, decision.Attempt.Source)
 				}
@@ -34,7 +34,7 @@
 		now := start + int64(n)*second/10
 		lines := append([]Endpoint{{ID: uint32(100 + n), Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}}, fleet...)
 		r.UpdateEndpoints(now, lines, true)
-		request := ask("harmless", fmt.Sprint(n))
+		request := newRequest("harmless", fmt.Sprint(n))
 		if decision := r.Decide(now, request); decision.Verdict != Send {
 			t.Fatalf("verdict %v", decision.Verdict)
 		}
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -83,7 +83,7 @@
 	return r
 }
 
-// ask returns a new request with a deadline far away.
-func ask(class, object string) *Request {
+// newRequest returns a new request with a deadline far away.
+func newRequest(class, object string) *Request {
 	return &Request{Class: class, Object: object, Group: 1, Deadline: start + 500*second}
 }
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -50,7 +50,7 @@
 
 // observe learns from an outcome about the cache, the source, the admission limits and the class.
 func (r *Router) observe(now int64, request *Request, attempt *attemptState, outcome Outcome) {
-	request.sourceMissed = request.sourceMissed || outcome.Result == NotHeld && attempt.kind == fills
+	request.sourceMissed = request.sourceMissed || outcome.Result == NotCached && attempt.kind == fills
 	found := r.interpret(request, attempt, outcome)
 	r.observeLoadReport(now, attempt.cache, outcome.LoadReport)
 	if outcome.Result == Stale {
@@ -104,7 +104,7 @@
 func scores(outcome Outcome, found finding) (cache, source attemptScore) {
 	failure := failureScores[outcome.Result]
 	switch {
-	case outcome.Result == Succeeded || outcome.Result == NotHeld:
+	case outcome.Result == Succeeded || outcome.Result == NotCached:
 		if found.inTime {
 			return attemptScore{success: 1}, attemptScore{success: 1}
 		}
--- a/control/outliers_test.go
+++ b/control/outliers_test.go
@@ -22,7 +22,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
 			for i := range 40 {
-				request := ask("harmless", fmt.Sprint(i))
+				request := newRequest("harmless", fmt.Sprint(i))
 				if decision := r.Decide(start, request); decision.Verdict == Send {
 					outcome := Outcome{Result: Succeeded, RequestEnded: true, Note: 9}
 					if result, fails := c.failing[decision.Attempt.Cache]; fails {
@@ -41,7 +41,7 @@
 	t.Run("one that goes silent", func(t *testing.T) {
 		r := newRouter(t, nil)
 		for i := range 20 {
-			request := ask("harmless", fmt.Sprint(i))
+			request := newRequest("harmless", fmt.Sprint(i))
 			if decision := r.Decide(start, request); decision.Verdict == Send && decision.Attempt.Cache == 2 {
 				r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true})
 			}
@@ -58,7 +58,7 @@
 func TestSilentParentIsEjected(t *testing.T) {
 	r := newRouter(t, nil)
 	for i := range 60 {
-		request := ask("harmless", fmt.Sprint(i))
+		request := newRequest("harmless", fmt.Sprint(i))
 		if decision := r.Decide(start, request); decision.Verdict == Send && decision.Attempt.Source == 4 {
 			r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 		}
@@ -86,7 +86,7 @@
 	}
 	for result, same := range sameCache {
 		t.Run(fmt.Sprint(result), func(t *testing.T) {
-			r, request := newRouter(t, nil), ask("harmless", "a")
+			r, request := newRouter(t, nil), newRequest("harmless", "a")
 			first := r.Decide(start, request).Attempt.Cache
 			decision := r.AttemptEnded(start+second, request, Outcome{Result: result})
 			if decision.Verdict != Send || (decision.Attempt.Cache == first) != same {
@@ -117,7 +117,7 @@
 			r.endpoints[4].ejected = c.otherEjected
 			for n := range c.answers {
 				for _, endpoint := range []*endpointState{slow, r.endpoints[4]} {
-					request := ask("harmless", fmt.Sprint(n, endpoint.ID))
+					request := newRequest("harmless", fmt.Sprint(n, endpoint.ID))
 					attempt := &attemptState{
 						sentAt: start,
 						cache:  r.endpoints[1],
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -89,7 +89,7 @@
 func TestAgeFollowsTheTimestampWhereClocksAgree(t *testing.T) {
 	r := newRouter(t, nil)
 	r.Purge(start+second, "a", 0, start)
-	request := ask("harmless", "a")
+	request := newRequest("harmless", "a")
 	if attempt := r.Decide(start+3*second, request).Attempt; attempt.MaxAge != 3*second-purgeMargin {
 		t.Errorf("age %v", attempt.MaxAge)
 	}
@@ -119,7 +119,7 @@
 			r := newRouter(t, nil)
 			r.Purge(receivedAt, "a", 0, c.purgedAt)
 			r.Tick(receivedAt)
-			request := ask("stamped", "a")
+			request := newRequest("stamped", "a")
 			maxAge := r.Decide(receivedAt+2*second, request).Attempt.MaxAge
 			if c.maxAge > 0 && maxAge != c.maxAge || c.maxAge == 0 && maxAge < start {
 				t.Errorf("age %v, want %v", maxAge, c.maxAge)
@@ -150,7 +150,7 @@
 			for i, purgedAt := range c.timestamps {
 				r.Purge(start+int64(i+1)*second, "a", 0, purgedAt)
 			}
-			request := ask("stamped", "a")
+			request := newRequest("stamped", "a")
 			maxAge := r.Decide(start+4*second, request).Attempt.MaxAge
 			if c.maxAge > 0 && maxAge != c.maxAge {
 				t.Errorf("age %v, want %v", maxAge, c.maxAge)
@@ -191,7 +191,7 @@
 			t.Run(fmt.Sprintf("off by %d s, an entry has come: %v", offset/second, entryCame), func(t *testing.T) {
 				r := newRouter(t, nil)
 				if entryCame { // one issued 5 ms ago, and an older one
-					request := ask("harmless", "a")
+					request := newRequest("harmless", "a")
 					request.Deadline = startedAt + offset + second
 					r.Decide(startedAt+offset, request)
 					r.AcceptsCopy(startedAt+offset, request, 0, startedAt-second/200)
@@ -324,7 +324,7 @@
 	if math.IsInf(rate, 0) || rate > 3 || r.rates.startedAt > start || record.firstSeenAt > start {
 		t.Errorf("rate %v, started %v, first seen %v", rate, r.rates.startedAt, record.firstSeenAt)
 	}
-	if decision := r.Decide(start, ask("harmless", "a")); decision.Verdict != Send {
+	if decision := r.Decide(start, newRequest("harmless", "a")); decision.Verdict != Send {
 		t.Errorf("%+v", decision)
 	}
 }
--- a/control/rates_test.go
+++ b/control/rates_test.go
@@ -16,7 +16,7 @@
 			r := newRouter(t, nil)
 			var record *objectRecord
 			for i := range 10 {
-				request := ask("harmless", "a")
+				request := newRequest("harmless", "a")
 				request.ClientRetry = c.clientRetry && i > 0
 				record = r.rates.record(start+10*second, request)
 			}
@@ -29,15 +29,15 @@
 
 func TestEvictedObjectsKeepTheirRates(t *testing.T) {
 	r := newRouter(t, nil)
-	r.rates.record(start, ask("harmless", "kept"))
+	r.rates.record(start, newRequest("harmless", "kept"))
 	for i := range maxObjects + 5 {
-		r.rates.record(start, ask("harmless", fmt.Sprint("other", i)))
+		r.rates.record(start, newRequest("harmless", fmt.Sprint("other", i)))
 	}
 	record := r.rates.objects[objectKey{object: "kept"}]
 	if record == nil || !record.evicted {
 		t.Fatal("an object that is not among the last requested is not evicted")
 	}
-	again := r.rates.record(start, ask("harmless", "kept"))
+	again := r.rates.record(start, newRequest("harmless", "kept"))
 	if again.evicted || again.requestCount != 2 || r.rates.recentObjects.Len() > maxObjects {
 		t.Errorf("requested again: evicted %v, count %v, %d recent objects",
 			again.evicted, again.requestCount, r.rates.recentObjects.Len())
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -344,7 +344,7 @@
 		}
 		now := start + p.rng.Int64N(second)
 		for n := range 100 {
-			request := ask("harmless", fmt.Sprint(round, n))
+			request := newRequest("harmless", fmt.Sprint(round, n))
 			request.class, request.Write = r.classByName["harmless"], n%4 == 0
 			request.record = &objectRecord{key: objectKey{object: request.Object}}
 			want := plainRank(request.record.key, r.caches)
--- a/control/requests.go
+++ b/control/requests.go
@@ -67,7 +67,7 @@
 // fill the object first.
 func (attempt *attemptState) disqualifies(endpoint *endpointState) bool {
 	switch attempt.result {
-	case ConnectionLost, SendInterrupted, ServerError, NotHeld, Stale, LocalError:
+	case ConnectionLost, SendInterrupted, ServerError, NotCached, Stale, LocalError:
 		return false
 	}
 	return attempt.cache == endpoint || attempt.source == endpoint
@@ -91,7 +91,7 @@
 // time left for the answer, and later only if an attempt got as far as a cache.
 func (request *Request) sendDeadline() int64 {
 	for _, attempt := range request.attempts {
-		if attempt.mayHaveRun() || attempt.result == Overloaded || attempt.result == NotHeld {
+		if attempt.mayHaveRun() || attempt.result == Overloaded || attempt.result == NotCached {
 			return request.Deadline
 		}
 	}
--- a/control/retries.go
+++ b/control/retries.go
@@ -73,7 +73,7 @@
 // source rejected is such a sign only if the origin can be overloaded.
 func (r *Router) showsNoOverload(attempt *attemptState) bool {
 	switch attempt.result {
-	case NotHeld, SendInterrupted, ConnectionLost:
+	case NotCached, SendInterrupted, ConnectionLost:
 		return true
 	}
 	return attempt.sourceRejected && r.settings.OriginUnlimited
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -13,7 +13,7 @@
 		want           uint32  // the source of the retry; 0 is none
 	}{{6, 0, 5}, {7, 0, 5}, {9, 0, 0}, {6, 2, 0}} {
 		t.Run(fmt.Sprint("note ", c.note, ", overload factor ", c.overloadFactor), func(t *testing.T) {
-			r, request := newRouter(t, func(s *Settings) { s.OriginUnlimited = c.overloadFactor == 0 }), ask("harmless", "a")
+			r, request := newRouter(t, func(s *Settings) { s.OriginUnlimited = c.overloadFactor == 0 }), newRequest("harmless", "a")
 			r.Decide(start, request)
 			r.retries.tokens = 0
 			decision := r.AttemptEnded(start, request, Outcome{Result: Overloaded, Note: c.note})
@@ -42,7 +42,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRouter(t, nil)
-			request, now := ask(c.class, "a"), start
+			request, now := newRequest(c.class, "a"), start
 			decision := r.Decide(now, request)
 			for i, result := range c.results {
 				if decision.Verdict != Send {
@@ -70,9 +70,9 @@
 	for _, c := range []struct {
 		result Result
 		want   Verdict
-	}{{ConnectionLost, Send}, {SendInterrupted, Send}, {NotHeld, Send}, {Overloaded, Reject}, {ServerError, Reject}, {Unreachable, Reject}} {
+	}{{ConnectionLost, Send}, {SendInterrupted, Send}, {NotCached, Send}, {Overloaded, Reject}, {ServerError, Reject}, {Unreachable, Reject}} {
 		t.Run(fmt.Sprint(c.result), func(t *testing.T) {
-			r, request := newRouter(t, nil), ask("harmless", "a")
+			r, request := newRouter(t, nil), newRequest("harmless", "a")
 			r.Decide(start, request)
 			r.retries.tokens = 0
 			if decision := r.AttemptEnded(start, request, Outcome{Result: c.result}); decision.Verdict != c.want {
@@ -101,7 +101,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r, now := newRouter(t, c.change), start
 			for n := range 300 + c.lost {
-				request := ask("harmless", fmt.Sprint(n))
+				request := newRequest("harmless", fmt.Sprint(n))
 				if decision := r.Decide(now, request); decision.Verdict != Send {
 					t.Fatalf("verdict %v", decision.Verdict)
 				}
@@ -111,7 +111,7 @@
 				}
 				r.AttemptEnded(now, request, outcome)
 			}
-			request := ask("harmless", "x")
+			request := newRequest("harmless", "x")
 			r.Decide(now, request)
 			now += r.objectiveFor(request, 0) * c.elapsed / 10
 			decision := r.Decide(now, request)
@@ -161,7 +161,7 @@
 // Without the setting, a rejection carries no Retry-After.
 func TestRejectionWithoutRetryAfter(t *testing.T) {
 	r := newRouter(t, func(s *Settings) { s.RetryAfter = false })
-	request := ask("harmless", "a")
+	request := newRequest("harmless", "a")
 	r.Decide(start, request)
 	request.ended = false
 	if decision := r.rejectOrFail(start, request); decision.Verdict != Reject || decision.RetryAfter != 0 {
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -22,7 +22,7 @@
 	t.Run("a hot object goes to both caches", func(t *testing.T) {
 		r, seen := newRouter(t, nil), map[uint32]int{}
 		for range 40 {
-			seen[r.Decide(start, ask("harmless", "hot")).Attempt.Cache]++
+			seen[r.Decide(start, newRequest("harmless", "hot")).Attempt.Cache]++
 		}
 		if seen[1] == 0 || seen[2] == 0 {
 			t.Errorf("attempts by cache: %v", seen)
@@ -32,7 +32,7 @@
 
 // sourceOf returns the source of the first attempt of a request for an object, which is answered at once.
 func sourceOf(r *Router, object string) uint32 {
-	request := ask("harmless", object)
+	request := newRequest("harmless", object)
 	decision := r.Decide(start, request)
 	r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true})
 	return decision.Attempt.Source
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -249,7 +249,7 @@
 	t.Run("a retry", func(t *testing.T) {
 		r := newRouterWithStart(t, 1, nil)
 		r.UpdateEndpoints(start, []Endpoint{otherCacheGone}, false)
-		request := ask("harmless", "a")
+		request := newRequest("harmless", "a")
 		r.Decide(start, request)
 		checkWork(t, r, 1, 0.5)
 		if decision := r.AttemptEnded(start, request, Outcome{Result: ConnectionLost}); decision.Verdict != Send || decision.Attempt.Cache != 1 {
@@ -260,7 +260,7 @@
 	t.Run("a hedge", func(t *testing.T) {
 		r := newRouterWithStart(t, 1, nil)
 		r.UpdateEndpoints(start, []Endpoint{{ID: 2, Location: "here", Kind: "cache", Cell: 2, Phase: "draining"}}, false)
-		request := ask("harmless", "a")
+		request := newRequest("harmless", "a")
 		r.Decide(start, request)
 		r.UpdateEndpoints(start, fleet[1:2], false)
 		r.endpoints[1].slowStartFrom, r.endpoints[2].slowStartFrom = start, start
@@ -275,7 +275,7 @@
 	t.Run("a fill through a parent", func(t *testing.T) {
 		r := newRouterWithStart(t, 3, nil)
 		r.UpdateEndpoints(start, []Endpoint{{ID: 4, Location: "hub", Phase: "gone"}}, false)
-		large := ask("harmless", "a")
+		large := newRequest("harmless", "a")
 		large.SizeKB = 5000 // 5 s by its size; the mean of its class counts
 		if decision := r.Decide(start, large); decision.Attempt.Source != 3 {
 			t.Fatalf("filled from %d", decision.Attempt.Source)
@@ -319,7 +319,7 @@
 			r.UpdateEndpoints(start, []Endpoint{entry}, false)
 			now, sent := start+c.since, 0.
 			for i := range 200 {
-				request := ask("harmless", fmt.Sprint(i))
+				request := newRequest("harmless", fmt.Sprint(i))
 				decision := r.Decide(now, request)
 				if decision.Verdict != Send {
 					continue
@@ -404,7 +404,7 @@
 		slowStart bool
 	}{{"unreachable", Unreachable, true}, {"only late", TimedOut, false}} {
 		t.Run(c.name, func(t *testing.T) {
-			r, request := newRouter(t, nil), ask("harmless", "a")
+			r, request := newRouter(t, nil), newRequest("harmless", "a")
 			endpoint := r.endpoints[r.Decide(start, request).Attempt.Cache]
 			endpoint.ejected = true
 			r.AttemptEnded(start, request, Outcome{Result: c.result, RequestEnded: true})
--- a/control/types.go
+++ b/control/types.go
@@ -2,13 +2,20 @@
 
 import "strconv"
 
+// The phases of an endpoint in the endpoint list. Only a ready endpoint gets new attempts and fills misses.
+const (
+	PhaseReady    = "ready"
+	PhaseDraining = "draining"
+	PhaseGone     = "gone"
+)
+
 // Endpoint is one entry of the endpoint list. CBOR stores the fields under the names in their tags.
 type Endpoint struct {
 	ID        uint32  // the same at all routers; the endpoints that an object goes to follow from it
 	Location  string  // zone; caches of the router's own location serve its requests
 	Kind      string  // machine type; the settings kind.parent and kind.origin name those of parents and origins
 	Cell      int64   // group in which servers drop repetitions of an idempotency key, where the scope is cell
-	Phase     string  // ready, draining or gone
+	Phase     string  // PhaseReady, PhaseDraining or PhaseGone
 	Capacity  float64 `cbor:"Units"`   // answers that it can send at once, each at a client's full rate
 	StartedAt int64   `cbor:"Started"` // last start, Unix ns by the clock of whoever reports it; 0 is long ago
 }
@@ -75,7 +82,7 @@
 const (
 	Overloaded      Result = iota // the cache or its source rejected it
 	Unreachable                   // there was no connection, or it was not sent within SendTimeout
-	NotHeld                       // the object is not cached, and only a cached one was to be served
+	NotCached                     // the object is not cached, and only a cached one was to be served
 	SendInterrupted               // the connection ended before all of it was sent
 	NotSent                       // nothing of it was sent
 	Succeeded                     // answered in full
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -95,7 +95,7 @@
 	for home := range hubs {
 		r := writeSite(t, nil)
 		for n := range 200 {
-			source := sendAndAnswer(t, r, ask("write", fmt.Sprint("object", n))).Source
+			source := sendAndAnswer(t, r, newRequest("write", fmt.Sprint("object", n))).Source
 			if took, best := roundTrip(home, source), roundTrip(home, originID); took > best {
 				t.Fatalf("from hub %d write %d takes %d ms through source %d, %d ms straight to the origin", home, n,
 					took/millisecond, source, best/millisecond)
@@ -108,7 +108,7 @@
 func TestMarkedWritesGoToTheOrigin(t *testing.T) {
 	r := writeSite(t, func(s *Settings) { s.Classes[1].Uncacheable = false })
 	for n := range 50 {
-		write := ask("read", fmt.Sprint("object", n))
+		write := newRequest("read", fmt.Sprint("object", n))
 		write.Write = true
 		if source := sendAndAnswer(t, r, write).Source; source != originID {
 			t.Fatalf("a marked write goes to source %d", source)
@@ -120,7 +120,7 @@
 func TestReadsAreFilledFromParents(t *testing.T) {
 	r := writeSite(t, nil)
 	for n := range 50 {
-		if source := sendAndAnswer(t, r, ask("read", fmt.Sprint("object", n))).Source; source == originID {
+		if source := sendAndAnswer(t, r, newRequest("read", fmt.Sprint("object", n))).Source; source == originID {
 			t.Fatal("a read is filled straight from the origin")
 		}
 	}
@@ -130,7 +130,7 @@
 func TestRejectedWritesGoThroughAParent(t *testing.T) {
 	for _, note := range []int64{6, 7} { // the source rejected it; the source could not be reached
 		r := writeSite(t, nil)
-		write := ask("write", "object")
+		write := newRequest("write", "object")
 		r.Decide(start, write)
 		decision := r.AttemptEnded(start+20*millisecond, write, Outcome{Result: Overloaded, Note: note, Elapsed: 20 * millisecond})
 		if decision.Verdict != Send || decision.Attempt.Source == originID || decision.Attempt.Source == 0 {
@@ -144,7 +144,7 @@
 	r := writeSite(t, nil)
 	lines := ringFleet()
 	r.UpdateEndpoints(start, lines[:len(lines)-1], true)
-	if decision := r.Decide(start, ask("write", "object")); decision.Verdict != Send || decision.Attempt.Source == 0 {
+	if decision := r.Decide(start, newRequest("write", "object")); decision.Verdict != Send || decision.Attempt.Source == 0 {
 		t.Errorf("%+v", decision)
 	}
 }
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -33,8 +33,8 @@
 		return dialResult(err), err
 	}
 	conn := neterr.Conn{Conn: dialled}
-	defer closeConn(conn)
-	stop := context.AfterFunc(ctx, func() { closeConn(conn) })
+	defer neterr.Close(conn)
+	stop := context.AfterFunc(ctx, func() { neterr.Close(conn) })
 	defer stop()
 	w.schedule.CallStarted(w.clock.Now())
 	c := &call{watcher: w, conn: conn}
@@ -55,10 +55,6 @@
 	return startup.Unreachable
 }
 
-// closeConn closes a connection that is not used any more. An error of Close changes nothing: the descriptor
-// is free either way, and nothing that was written matters any longer.
-func closeConn(conn net.Conn) { _ = conn.Close() }
-
 // open requests the watch and reads the response's head. The result counts only with an error.
 func (c *call) open(address string) (startup.CallResult, error) {
 	if err := c.conn.SetDeadline(c.watcher.readDeadline()); err != nil {
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -27,18 +27,11 @@
 	return fmt.Sprintf("field %s: %q %s", e.Field, e.Value, e.Reason)
 }
 
-// The phases of an endpoint as package control names them.
-const (
-	phaseReady    = "ready"
-	phaseDraining = "draining"
-	phaseGone     = "gone"
-)
-
-// phases maps the lifecycle of an instance, in the words of the wire, to its phase.
+// phases maps the lifecycle of an instance, as the wire names it, to the phase of its endpoint.
 var phases = map[string]string{
-	"active":  phaseReady,
-	"leaving": phaseDraining,
-	"left":    phaseGone,
+	"active":  control.PhaseReady,
+	"leaving": control.PhaseDraining,
+	"left":    control.PhaseGone,
 }
 
 // firstPosition is the position of a service's first event; an endpoint list at it is complete in any case.
@@ -156,7 +149,7 @@
 func (i *wireInstance) decode() router.EndpointEntry {
 	phase, known := phases[i.Lifecycle]
 	if !known {
-		phase = phaseDraining
+		phase = control.PhaseDraining
 	}
 	capacity := float64(defaultCapacity)
 	if i.Weight != nil {
@@ -201,7 +194,7 @@
 
 func countReady(entries []router.EndpointEntry) (ready int) {
 	for _, entry := range entries {
-		if entry.Phase == phaseReady {
+		if entry.Phase == control.PhaseReady {
 			ready++
 		}
 	}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"syscall"
 	"tealpath/internal/lifecycle/startup"
+	"tealpath/internal/neterr"
 	"tealpath/internal/router"
 	"testing"
 	"time"
@@ -24,7 +25,7 @@
 			send(conn, responseHead+": here\n\n"+purgeEvent(5))
 		}
 		if n < 2 {
-			closeConn(conn)
+			neterr.Close(conn)
 		}
 	})
 	watcher := newTestWatcher(service.address, History{Position: 4}, nil)
@@ -134,7 +135,7 @@
 				}
 				send(conn, c.response)
 				if c.closes {
-					closeConn(conn)
+					neterr.Close(conn)
 				}
 			})
 			schedule := startup.NewCallSchedule(1, 300, startup.ReadinessHold{})
--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -5,6 +5,7 @@
 	"errors"
 	"net"
 	"tealpath/internal/downstream/idle"
+	"tealpath/internal/neterr"
 	"time"
 )
 
@@ -15,7 +16,7 @@
 // Serve accepts connections until the context ends or the listener fails. It returns when all connections
 // are closed.
 func (s *Server) Serve(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { closeAbandoned(s.listener) })
+	stop := context.AfterFunc(ctx, func() { neterr.Close(s.listener) })
 	defer stop()
 	defer s.idle.closeAll()
 	defer s.goroutines.Wait()
@@ -75,7 +76,7 @@
 func (s *Server) admit(ctx context.Context, conn net.Conn, waitingSince time.Time) bool {
 	decision := s.waitForPacer(ctx, conn, waitingSince)
 	if decision == idle.Defer {
-		closeAbandoned(conn)
+		neterr.Close(conn)
 		return false
 	}
 	for {
@@ -101,7 +102,7 @@
 		// At the connection limit. Closed at once, the connection would take with it the request that it
 		// may have sent.
 		if !s.ensureCapacity() && !pause(ctx, acceptRetryInterval) {
-			closeAbandoned(conn)
+			neterr.Close(conn)
 			return false
 		}
 	}
--- a/internal/downstream/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -5,6 +5,7 @@
 	"net/netip"
 	"slices"
 	"tealpath/internal/downstream/idle"
+	"tealpath/internal/neterr"
 	"testing"
 	"time"
 
@@ -49,7 +50,7 @@
 	for range 5 {
 		gone := dial(t, server)
 		send(t, gone, emptyCall(5))
-		closeAbandoned(gone)
+		neterr.Close(gone)
 	}
 	halfClosed := dial(t, server) // it may still read: rejected, and not posted either
 	send(t, halfClosed, emptyCall(7))
@@ -116,7 +117,7 @@
 		if err != nil {
 			t.Skip("no further loopback addresses here")
 		}
-		t.Cleanup(func() { closeAbandoned(conn) })
+		t.Cleanup(func() { neterr.Close(conn) })
 		return conn
 	}
 	first := from("127.0.0.2")
@@ -129,7 +130,7 @@
 	if err := requestHealth(from("127.0.0.4")); err == nil {
 		t.Error("a network's fourth was admitted")
 	}
-	closeAbandoned(first)
+	neterr.Close(first)
 	waitFor(t, "the slot is free", func() bool { return server.idle.len() == 2 })
 	checkHealth(t, from("127.0.0.4"))
 }
--- a/internal/downstream/closing.go
+++ b/internal/downstream/closing.go
@@ -74,7 +74,7 @@
 	c.mu.Lock()
 	clear(c.inFlight)
 	c.mu.Unlock()
-	closeAbandoned(c.conn)
+	neterr.Close(c.conn)
 	c.signalWriter()
 }
 
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -75,8 +75,8 @@
 
 // serve serves a connection until it is closed or suspended.
 func (c *connection) serve(ctx context.Context) {
-	defer closeAbandoned(c.conn)
-	stop := context.AfterFunc(ctx, func() { closeAbandoned(c.conn) })
+	defer neterr.Close(c.conn)
+	stop := context.AfterFunc(ctx, func() { neterr.Close(c.conn) })
 	defer stop()
 	written, err := c.exchange(ctx)
 	if errors.Is(err, errSuspend) {
@@ -145,7 +145,7 @@
 	c.phase = phaseEnding
 	if !c.violated && !mayStillRead(readError) {
 		clear(c.inFlight)
-		closeAbandoned(c.conn)
+		neterr.Close(c.conn)
 	}
 	return c.violated
 }
--- a/internal/downstream/descriptor.go
+++ b/internal/downstream/descriptor.go
@@ -1,17 +1,12 @@
 package downstream
 
 import (
-	"io"
 	"net"
 	"syscall"
 	"tealpath/internal/downstream/poller"
 	"time"
 )
 
-// closeAbandoned closes what is given up. Its error is dropped: the descriptor is free after close(2)
-// either way, and nothing more is read from or written to it.
-func closeAbandoned(c io.Closer) { _ = c.Close() }
-
 // setReadDeadline sets when reads time out. It only fails on a connection that is closed, and the next read
 // fails then.
 func setReadDeadline(conn net.Conn, deadline time.Time) { _ = conn.SetReadDeadline(deadline) }
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -2,6 +2,7 @@
 
 import (
 	"tealpath/internal/downstream/idle"
+	"tealpath/internal/neterr"
 	"time"
 )
 
@@ -62,7 +63,7 @@
 	case c.draining:
 		return true
 	case c.phase >= phaseLingering:
-		closeAbandoned(c.conn) // it has had its time
+		neterr.Close(c.conn) // it has had its time
 		return true
 	}
 	hasUnread := c.server.hasUnread(c.conn)
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -7,6 +7,7 @@
 	"sync"
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/logevent"
+	"tealpath/internal/neterr"
 	"tealpath/internal/router"
 	"testing"
 	"time"
@@ -108,7 +109,7 @@
 			conn := idleConnection(t, server, test.suspended)
 			test.end(server)
 			checkHalfClosed(t, conn)
-			closeAbandoned(conn)
+			neterr.Close(conn)
 			waitFor(t, "its descriptor is closed", func() bool {
 				return server.idle.len() == 0 && server.closingCount() == 0
 			})
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -11,6 +11,7 @@
 	"strings"
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/logevent"
+	"tealpath/internal/neterr"
 	"tealpath/internal/router"
 	"testing"
 	"time"
@@ -113,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { closeAbandoned(conn) })
+	t.Cleanup(func() { neterr.Close(conn) })
 	setDeadline(t, conn, time.Now().Add(testTimeout))
 	return conn
 }
@@ -149,7 +150,7 @@
 	if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
 		t.Errorf("linger: %v", err)
 	}
-	closeAbandoned(conn)
+	neterr.Close(conn)
 }
 
 // frame returns a framed message with encoded arguments.
--- a/internal/downstream/memory.go
+++ b/internal/downstream/memory.go
@@ -31,7 +31,7 @@
 	return &memoryLimits{
 		maxBytes: maxBytes,
 		emit:     emit,
-		requests: semaphore.NewWeighted(max(maxBytes, thrift.FrameMost)),
+		requests: semaphore.NewWeighted(max(maxBytes, thrift.MaxFrameSize)),
 	}
 }
 
--- a/internal/downstream/memory_test.go
+++ b/internal/downstream/memory_test.go
@@ -72,9 +72,9 @@
 // A large request for which there is no memory is rejected soon, and what comes behind it is read.
 func TestReadingGoesOnAfterRejectedLargeRequest(t *testing.T) {
 	config := smallConfig
-	config.MaxBytes = thrift.FrameMost
+	config.MaxBytes = thrift.MaxFrameSize
 	server, events := startServer(t, config)
-	server.memory.requests.TryAcquire(thrift.FrameMost)
+	server.memory.requests.TryAcquire(thrift.MaxFrameSize)
 	conn, begun := dial(t, server), time.Now()
 	send(t, conn, call(1, 200_000))
 	response := make([]byte, 24)
@@ -86,7 +86,7 @@
 	}
 	send(t, conn, call(2, 10))
 	expectEvents(t, events, "RequestReceived")
-	server.memory.requests.Release(thrift.FrameMost)
+	server.memory.requests.Release(thrift.MaxFrameSize)
 	send(t, conn, call(3, 200_000))
 	expectEvents(t, events, "RequestReceived")
 }
--- a/internal/downstream/poller/helpers_test.go
+++ b/internal/downstream/poller/helpers_test.go
@@ -7,6 +7,7 @@
 	"io"
 	"net"
 	"os"
+	"tealpath/internal/neterr"
 	"testing"
 	"time"
 
@@ -23,15 +24,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer release(listener)
+	defer neterr.Close(listener)
 	if client, err = net.Dial("tcp", listener.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { release(client) })
+	t.Cleanup(func() { neterr.Close(client) })
 	if server, err = listener.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { release(server) })
+	t.Cleanup(func() { neterr.Close(server) })
 	for _, conn := range []net.Conn{client, server} {
 		if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 			t.Fatal(err)
@@ -92,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { release(poller.file) })
+	t.Cleanup(func() { neterr.Close(poller.file) })
 	return poller
 }
 
@@ -113,7 +114,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { release(conn) })
+	t.Cleanup(func() { neterr.Close(conn) })
 	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/downstream/poller/poller_linux.go
+++ b/internal/downstream/poller/poller_linux.go
@@ -4,11 +4,11 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"os"
 	"sync"
 	"sync/atomic"
+	"tealpath/internal/neterr"
 
 	"golang.org/x/sys/unix"
 )
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	if err := unix.SetNonblock(fd, true); err != nil {
-		releaseDescriptor(fd)
+		closeDescriptor(fd)
 		return nil, err
 	}
 	return &Poller{
@@ -66,10 +66,10 @@
 	}
 	// The connection is closed last, as it cannot be had back if the kernel refuses to watch the descriptor.
 	if err := p.register(fd, key); err != nil {
-		releaseDescriptor(fd)
+		closeDescriptor(fd)
 		return 0, err
 	}
-	release(conn)
+	neterr.Close(conn)
 	return fd, nil
 }
 
@@ -110,7 +110,7 @@
 // is overwritten and may be the result of the call before. When the context ends the poller does not work any
 // more.
 func (p *Poller) Wait(ctx context.Context, keys []uint64) ([]uint64, error) {
-	stop := context.AfterFunc(ctx, func() { release(p.file) })
+	stop := context.AfterFunc(ctx, func() { neterr.Close(p.file) })
 	defer stop()
 	raw, err := p.file.SyscallConn()
 	if err != nil {
@@ -166,7 +166,7 @@
 	}
 	conn, err := p.calls.FileConn(file)
 	if err == nil {
-		release(file)
+		neterr.Close(file)
 		return conn, nil
 	}
 	if p.calls.Pollable(file) {
@@ -199,16 +199,12 @@
 // CloseDescriptor closes a suspended connection.
 func (p *Poller) CloseDescriptor(fd int) {
 	if file := p.takeUnresumed(fd); file != nil {
-		release(file)
+		neterr.Close(file)
 		return
 	}
-	releaseDescriptor(fd)
+	closeDescriptor(fd)
 }
 
-// release closes a connection or a file whose error at closing is of no use: close(2) frees the descriptor
-// whatever it returns, and nothing that was written waits for it. If the socket has an error, whoever has
-// another descriptor of it gets that error too.
-func release(closer io.Closer) { _ = closer.Close() }
-
-// releaseDescriptor is release for a bare descriptor.
-func releaseDescriptor(fd int) { _ = unix.Close(fd) }
+// closeDescriptor closes a bare descriptor and ignores the error, as neterr.Close does. If the socket has an
+// error, reads and writes of its other descriptors return it too.
+func closeDescriptor(fd int) { _ = unix.Close(fd) }
--- a/internal/downstream/poller/poller_test.go
+++ b/internal/downstream/poller/poller_test.go
@@ -7,6 +7,7 @@
 	"errors"
 	"io"
 	"net"
+	"tealpath/internal/neterr"
 	"testing"
 	"time"
 
@@ -96,8 +97,8 @@
 func TestConnectionWithoutDescriptor(t *testing.T) {
 	poller := newPoller(t, Kernel)
 	pipe, other := net.Pipe()
-	defer release(pipe)
-	defer release(other)
+	defer neterr.Close(pipe)
+	defer neterr.Close(other)
 	if _, err := poller.Suspend(pipe, 1); !errors.Is(err, ErrNoDescriptor) {
 		t.Errorf("suspend: %v", err)
 	}
@@ -217,7 +218,7 @@
 			t.Error(err)
 		}
 		expectEnd(t, client)
-		release(client)
+		neterr.Close(client)
 		if _, err := server.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 			t.Errorf("%v, want %v", err, io.EOF)
 		}
@@ -283,7 +284,7 @@
 			b.Fatal(err)
 		}
 	}
-	release(server)
+	neterr.Close(server)
 }
 
 func BenchmarkPeek(b *testing.B) {
--- a/internal/downstream/poller/systemcalls_test.go
+++ b/internal/downstream/poller/systemcalls_test.go
@@ -3,6 +3,7 @@
 package poller
 
 import (
+	"tealpath/internal/neterr"
 	"testing"
 
 	"golang.org/x/sys/unix"
@@ -58,7 +59,7 @@
 	client, server := connect(t)
 	fd := descriptorOf(t, server)
 	mustWrite(t, client, string(make([]byte, maxDiscard+1)))
-	release(client)
+	neterr.Close(client)
 	awaitPeerClosed(t, fd)
 	if Kernel.Discard(fd) {
 		t.Fatal("the end is seen before all bytes are read")
@@ -88,7 +89,7 @@
 func TestFailedPollLosesNoRequest(t *testing.T) {
 	forEachErrno(t, []unix.Errno{unix.ENOMEM, unix.EINVAL, unix.EFAULT}, func(t *testing.T, errno unix.Errno) {
 		client, server := connect(t)
-		release(client)
+		neterr.Close(client)
 		fd := descriptorOf(t, server)
 		calls := newFaultyCalls(errno)
 		calls.poll = 2
--- a/internal/downstream/poller/tcpstats_test.go
+++ b/internal/downstream/poller/tcpstats_test.go
@@ -4,6 +4,7 @@
 
 import (
 	"net"
+	"tealpath/internal/neterr"
 	"testing"
 	"time"
 )
@@ -14,12 +15,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer release(listener)
+	defer neterr.Close(listener)
 	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer release(client)
+	defer neterr.Close(client)
 	time.Sleep(step)
 	mustWrite(t, client, "one")
 	time.Sleep(step)
@@ -28,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer release(server)
+	defer neterr.Close(server)
 	stats, ok := ReadTCPStats(server)
 	if !ok || stats.Segments != 1 {
 		t.Errorf("%+v, %v; want one segment", stats, ok)
@@ -54,8 +55,8 @@
 
 func TestReadTCPStatsOfNoSocket(t *testing.T) {
 	pipe, other := net.Pipe()
-	defer release(pipe)
-	defer release(other)
+	defer neterr.Close(pipe)
+	defer neterr.Close(other)
 	for name, conn := range map[string]net.Conn{"nil": nil, "pipe": pipe} {
 		if _, ok := ReadTCPStats(conn); ok {
 			t.Errorf("%s: has stats", name)
--- a/internal/downstream/reject.go
+++ b/internal/downstream/reject.go
@@ -46,13 +46,13 @@
 func (s *Server) reject(ctx context.Context, conn net.Conn) {
 	if s.rejecting.Add(1) > int64(s.config.MaxConnections/closingDivisor)+1 {
 		s.rejecting.Add(-1)
-		closeAbandoned(conn)
+		neterr.Close(conn)
 		return
 	}
 	s.goroutines.Go(func() {
 		defer s.rejecting.Add(-1)
-		defer closeAbandoned(conn)
-		stop := context.AfterFunc(ctx, func() { closeAbandoned(conn) })
+		defer neterr.Close(conn)
+		stop := context.AfterFunc(ctx, func() { neterr.Close(conn) })
 		defer stop()
 		rejectRequests(conn)
 	})
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -6,6 +6,7 @@
 	"net"
 	"slices"
 	"strings"
+	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/thrift"
 	"tealpath/internal/router"
 	"testing"
@@ -81,7 +82,7 @@
 	nextEvent(t, events)
 	server.Respond(router.Respond{Client: 1, Seq: 5})
 	expectBytes(t, conn, 20, "the response")
-	closeAbandoned(conn)
+	neterr.Close(conn)
 	expectEvents(t, events, "ClientDisconnected")
 }
 
@@ -113,7 +114,7 @@
 	{"closes its side", closeWrite, []string{"ClientHalfClosed"}, false},
 	{
 		// With a response unread, or one that comes yet, it becomes a reset.
-		"closes", func(_ *testing.T, conn net.Conn) { closeAbandoned(conn) },
+		"closes", func(_ *testing.T, conn net.Conn) { neterr.Close(conn) },
 		[]string{"ClientHalfClosed", "ClientDisconnected"},
 		false,
 	},
@@ -159,11 +160,11 @@
 			}
 			t.Run(before.name+", and it "+end.name, func(t *testing.T) {
 				config := smallConfig
-				config.MaxBytes = thrift.FrameMost
+				config.MaxBytes = thrift.MaxFrameSize
 				server, events := startServer(t, config)
 				if before.noMemory {
-					server.memory.requests.TryAcquire(thrift.FrameMost)
-					defer server.memory.requests.Release(thrift.FrameMost)
+					server.memory.requests.TryAcquire(thrift.MaxFrameSize)
+					defer server.memory.requests.Release(thrift.MaxFrameSize)
 				}
 				conn := dial(t, server)
 				send(t, conn, []byte(before.in))
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -3,6 +3,7 @@
 import (
 	"maps"
 	"slices"
+	"tealpath/internal/neterr"
 )
 
 // CloseIdle begins the close of each connection that is owed nothing, and closes the listener once its
@@ -11,7 +12,7 @@
 func (s *Server) CloseIdle() {
 	if !s.draining.Load() && !s.hasBacklog() {
 		s.draining.Store(true)
-		closeAbandoned(s.listener)
+		neterr.Close(s.listener)
 	}
 	s.mu.Lock()
 	connections := slices.Collect(maps.Values(s.connections))
--- a/internal/downstream/shutdown_test.go
+++ b/internal/downstream/shutdown_test.go
@@ -5,6 +5,7 @@
 	"net"
 	"slices"
 	"syscall"
+	"tealpath/internal/neterr"
 	"tealpath/internal/router"
 	"testing"
 	"time"
@@ -107,7 +108,7 @@
 	expectResponse(t, conn, rejectionOf(7))
 	expectResponse(t, conn, rejectionOf(8))
 	checkHalfClosed(t, conn)
-	closeAbandoned(conn)
+	neterr.Close(conn)
 	expectEvents(t, events, "ClientDisconnected")
 }
 
--- a/internal/downstream/suspend_test.go
+++ b/internal/downstream/suspend_test.go
@@ -8,6 +8,7 @@
 	"runtime"
 	"sync"
 	"tealpath/internal/clock/clocktest"
+	"tealpath/internal/neterr"
 	"testing"
 	"time"
 )
@@ -54,7 +55,7 @@
 	requireSuspension(t, server)
 	conns := dialIdle(t, server, 3)
 	waitForSuspension(t, server)
-	closeAbandoned(conns[0])
+	neterr.Close(conns[0])
 	reset(t, conns[1])
 	closeWrite(t, conns[2])
 	waitFor(t, "all are closed", func() bool { return server.idle.len() == 0 })
--- a/internal/downstream/systemcalls_linux_test.go
+++ b/internal/downstream/systemcalls_linux_test.go
@@ -9,6 +9,7 @@
 	"syscall"
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/downstream/poller"
+	"tealpath/internal/neterr"
 	"testing"
 	"time"
 
@@ -217,7 +218,7 @@
 		send(t, client, emptyCall(7))
 		closeWrite(t, client)
 	}
-	closeAbandoned(gone)
+	neterr.Close(gone)
 	waitFor(t, "they can't be resumed", server.idle.hasPostponed)
 	time.Sleep(100 * time.Millisecond) // longer than after which a client that has closed is taken to have gone
 	exhausted.Store(false)
--- a/internal/downstream/write.go
+++ b/internal/downstream/write.go
@@ -132,7 +132,7 @@
 	c.responded = true
 	c.updateTableState()
 	if len(c.queue) > maxQueuedPieces {
-		closeAbandoned(c.conn) // its client sends requests without end and reads nothing
+		neterr.Close(c.conn) // its client sends requests without end and reads nothing
 	}
 	c.signalWriter()
 }
@@ -190,7 +190,7 @@
 	c.mu.Unlock()
 	c.server.memory.responseWritten(size)
 	if err != nil {
-		closeAbandoned(c.conn)
+		neterr.Close(c.conn)
 	}
 	return err == nil
 }
--- a/internal/neterr/neterr_test.go
+++ b/internal/neterr/neterr_test.go
@@ -92,3 +92,18 @@
 		}
 	}
 }
+
+// failingCloser counts its closes, each of which fails.
+type failingCloser struct{ closes int }
+
+func (c *failingCloser) Close() error {
+	c.closes++
+	return net.ErrClosed
+}
+
+func TestCloseIgnoresTheError(t *testing.T) {
+	var closer failingCloser
+	if Close(&closer); closer.closes != 1 {
+		t.Errorf("closed %d times", closer.closes)
+	}
+}
--- a/internal/protocol/resp/reader.go
+++ b/internal/protocol/resp/reader.go
@@ -10,7 +10,7 @@
 // Read reads one array. The error is io.EOF if the input ends before the array begins, and io.ErrUnexpectedEOF
 // if it ends within.
 func Read(in *bufio.Reader) ([][]byte, error) {
-	count, err := readLength(in, arrayMark, ItemsMost)
+	count, err := readLength(in, arrayMark, MaxItems)
 	if err != nil {
 		return nil, err
 	}
@@ -26,7 +26,7 @@
 
 // readString reads one bulk string.
 func readString(in *bufio.Reader) ([]byte, error) {
-	size, err := readLength(in, stringMark, BytesMost)
+	size, err := readLength(in, stringMark, MaxStringSize)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -9,8 +9,8 @@
 
 // Limits of what is read.
 const (
-	ItemsMost = 8       // strings in one array
-	BytesMost = 1 << 18 // of one string; the largest object has 240,000
+	MaxItems      = 8       // strings in one array
+	MaxStringSize = 1 << 18 // of one string; the largest object has 240,000
 
 	// maxLengthDigits bounds the line that says how long an array or a string is, its carriage return included.
 	maxLengthDigits = 24
--- a/internal/protocol/thrift/message.go
+++ b/internal/protocol/thrift/message.go
@@ -20,7 +20,7 @@
 		return 0, err
 	}
 	size := int32(binary.BigEndian.Uint32(header[:]))
-	if size <= 0 || size > FrameMost {
+	if size <= 0 || size > MaxFrameSize {
 		return 0, ErrFrame
 	}
 	return int(size), nil
--- a/internal/protocol/thrift/thrift.go
+++ b/internal/protocol/thrift/thrift.go
@@ -7,8 +7,8 @@
 	"fmt"
 )
 
-// FrameMost is the largest frame that is read, in bytes. The largest object has 240,000.
-const FrameMost = 1 << 18
+// MaxFrameSize is the largest frame that is read, in bytes. The largest object has 240,000.
+const MaxFrameSize = 1 << 18
 
 // Types of messages.
 const (
--- a/internal/protocol/thrift/thrift_test.go
+++ b/internal/protocol/thrift/thrift_test.go
@@ -19,7 +19,7 @@
 		err      error
 	}{
 		{"a frame", "\x00\x00\x01\x02", 258, nil},
-		{"the largest", "\x00\x04\x00\x00", FrameMost, nil},
+		{"the largest", "\x00\x04\x00\x00", MaxFrameSize, nil},
 		{"too large", "\x00\x04\x00\x01", 0, ErrFrame},
 		{"negative", "\xff\xff\xff\xff", 0, ErrFrame},
 		{"empty", "\x00\x00\x00\x00", 0, ErrFrame},
--- a/internal/router/drawn_events_test.go
+++ b/internal/router/drawn_events_test.go
@@ -124,7 +124,7 @@
 	if run.oneOf(8) {
 		event.Result = pick(run.rng, []control.Result{
 			control.Overloaded,
-			control.NotHeld,
+			control.NotCached,
 			control.ServerError,
 			control.Stale,
 			control.NotSent,
--- a/internal/router/responses_test.go
+++ b/internal/router/responses_test.go
@@ -53,7 +53,7 @@
 			h.request(1, nonIdempotent)
 			h.connectNewest()
 			first := h.sends[0]
-			notHeld := ResponseReceived{Connection: first.Connection, ID: first.Request.ID, Result: control.NotHeld}
+			notHeld := ResponseReceived{Connection: first.Connection, ID: first.Request.ID, Result: control.NotCached}
 			h.handle(notHeld)
 			h.connectNewest()
 			h.handle(notHeld)
--- a/internal/server/probetargets.go
+++ b/internal/server/probetargets.go
@@ -44,7 +44,7 @@
 // isProbed tells whether an endpoint is probed: one that drains or is gone gets nothing new, and the origin
 // is not probed.
 func (b targetBuilder) isProbed(entry router.EndpointEntry) bool {
-	return entry.Phase == "ready" && !isOfKind(entry, b.originKind)
+	return entry.Phase == control.PhaseReady && !isOfKind(entry, b.originKind)
 }
 
 // isOfKind tells whether an endpoint's kind is known to be a certain one.
--- a/internal/simulator/decode.go
+++ b/internal/simulator/decode.go
@@ -42,7 +42,7 @@
 	"RST":    control.ConnectionLost,
 	"CXL":    control.Cancelled,
 	"NOP":    control.NotSent,
-	"MISS":   control.NotHeld,
+	"MISS":   control.NotCached,
 }
 
 // decodeEndpoint decodes one line of an endpoint list.
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -136,7 +136,7 @@
 		}
 	})
 	p := newTestPool(t, Config{
-		MinResponseRate: responseTimeSlack * resp.BytesMost, // a second, with all others on the way
+		MinResponseRate: responseTimeSlack * resp.MaxStringSize, // a second, with all others on the way
 	})
 	p.dialEndpoint(address)
 	begun := time.Now()
--- a/internal/upstream/decode.go
+++ b/internal/upstream/decode.go
@@ -29,7 +29,7 @@
 var results = map[string]control.Result{
 	wordServed:      control.Succeeded,
 	wordNotModified: control.Succeeded,
-	"not_here":      control.NotHeld,
+	"not_here":      control.NotCached,
 	"overload":      control.Overloaded,
 	"crashed":       control.ServerError,
 	"nobody":        control.NotSent,
--- a/internal/upstream/decode_test.go
+++ b/internal/upstream/decode_test.go
@@ -50,7 +50,7 @@
 			},
 			"",
 		},
-		{"a miss", "i|not_here|detail=PEER_MISS|", response{ID: "i", Result: control.NotHeld, Note: 8}, ""},
+		{"a miss", "i|not_here|detail=PEER_MISS|", response{ID: "i", Result: control.NotCached, Note: 8}, ""},
 		{"overloaded", "i|overload|-|", response{ID: "i", Result: control.Overloaded}, ""},
 		{"an error", "i|crashed|-|", unusable, ""},
 		{"over already", "i|nobody|-|", response{ID: "i", Result: control.NotSent}, ""},
@@ -63,7 +63,7 @@
 			"",
 		},
 		{
-			"a delay out of range says nothing", "i|not_here|delay=1e9|", response{ID: "i", Result: control.NotHeld}, "",
+			"a delay out of range says nothing", "i|not_here|delay=1e9|", response{ID: "i", Result: control.NotCached}, "",
 		},
 		{"no age", "i|served|entity=4be0c1927d55a6f3|b", unusable, "issued"},
 		{"an odd age", "i|served|entity=4be0c1927d55a6f3,issued=soon|b", unusable, "issued"},
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -39,10 +39,10 @@
 		return err
 	}
 	conn := neterr.Conn{Conn: dialled}
-	defer closeConn(conn)
+	defer neterr.Close(conn)
 	c.pool.post(router.ConnectionUp{Connection: c.id})
 	group, ctx := errgroup.WithContext(ctx)
-	stop := context.AfterFunc(ctx, func() { closeConn(conn) })
+	stop := context.AfterFunc(ctx, func() { neterr.Close(conn) })
 	defer stop()
 	group.Go(func() error { return c.read(conn) })
 	group.Go(func() error { return c.write(ctx, conn) })
@@ -69,7 +69,3 @@
 	}
 	return event
 }
-
-// closeConn closes a connection that is not used any more. An error of Close changes nothing: the descriptor
-// is free either way, and what was not written by then is known from the queue.
-func closeConn(conn net.Conn) { _ = conn.Close() }
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -39,7 +39,7 @@
 		return nil, err
 	}
 	conn := neterr.Conn{Conn: dialled}
-	defer closeConn(conn)
+	defer neterr.Close(conn)
 	if deadline, ok := ctx.Deadline(); ok {
 		if err := conn.SetDeadline(deadline); err != nil {
 			return nil, err
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -9,6 +9,7 @@
 	"net"
 	"tealpath/internal/clock"
 	"tealpath/internal/emulator/cache"
+	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/resp"
 	"tealpath/internal/router"
 	"testing"
@@ -92,7 +93,7 @@
 		if err != nil {
 			return
 		}
-		defer closeConn(conn)
+		defer neterr.Close(conn)
 		serve(conn, bufio.NewReader(conn))
 	}()
 	return listener.Addr().String()
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -25,7 +25,7 @@
 	if bytesPerSecond <= 0 {
 		return 0
 	}
-	return stallTimeout + time.Duration(responseTimeSlack*resp.BytesMost/bytesPerSecond*float64(time.Second))
+	return stallTimeout + time.Duration(responseTimeSlack*resp.MaxStringSize/bytesPerSecond*float64(time.Second))
 }
 
 // responseReader bounds reads inside a response, by a stall timeout and by when the response must be
