--- a/control/admission.go
+++ b/control/admission.go
@@ -28,7 +28,7 @@
 	higherValueRatio = 2.
 	reserveFactor    = 2.
 
-	// minOffered bounds the offered work from below where something is divided by it, s.
+	// minOffered is the least offered work that is divided by, s. It avoids a division by 0.
 	minOffered = 0.01
 
 	// maxToleranceFactor bounds by how much a class that tolerates longer delays may exceed the limit.
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -58,83 +58,112 @@
 	}
 }
 
-func TestAdmissionLimits(t *testing.T) {
-	decide := func(r *Router, object string) Decision {
-		return r.Decide(start, newRequest("harmless", object))
+// sendsFill decides on a request, and reports whether it is sent as one that may be filled.
+func sendsFill(r *Router, request *Request) bool {
+	decision := r.Decide(start, request)
+	return decision.Verdict == Send && !decision.Attempt.CacheOnly
+}
+
+// maxFills is how many fills one of two routers may have in flight at the start, at caches with a capacity of 10.
+const maxFills = 6 // of initialAdmissionLimits, checked by TestFillsBeyondTheLimitAreNotSent
+
+func TestFillsBeyondTheLimitAreNotSent(t *testing.T) {
+	if want := int(initialAdmissionLimits[fills] * 10 / 2); want != maxFills {
+		t.Fatalf("the initial limit is %d fills", want)
 	}
-	t.Run("fills beyond the limit are not sent", func(t *testing.T) {
-		r, sent := newRouter(t, nil), 0
-		for i := range 50 {
-			if decision := decide(r, fmt.Sprint(i)); decision.Verdict == Send && !decision.Attempt.CacheOnly {
-				sent++
-			}
-		}
-		if want := int(initialAdmissionLimits[1] * 10 / 2); sent != want {
-			t.Errorf("%d fills in flight, want %d", sent, want)
+	r := newRouter(t, nil)
+	sent := 0
+	for i := range 50 {
+		if sendsFill(r, newRequest("harmless", fmt.Sprint(i))) {
+			sent++
 		}
-	})
+	}
+	if sent != maxFills {
+		t.Errorf("%d fills in flight, want %d", sent, maxFills)
+	}
+}
+
+// Retries of clients have a lower limit, whether they are marked or guessed from a request that was rejected.
+func TestClientRetriesHaveALowerLimit(t *testing.T) {
 	for _, marked := range []bool{true, false} {
-		t.Run(fmt.Sprint("clients' retries have a lower limit, marked: ", marked), func(t *testing.T) {
-			r, sent := newRouter(t, nil), 0
+		t.Run(fmt.Sprint("marked ", marked), func(t *testing.T) {
+			r := newRouter(t, nil)
+			sent := 0
 			for i := range 50 {
 				request := newRequest("harmless", fmt.Sprint(i))
-				if request.ClientRetry = marked; !marked {
-					r.rejectOrFail(start-second/2, &Request{requestState: requestState{
-						class:  r.classByName["harmless"],
-						record: r.rates.record(start-second/2, newRequest("harmless", fmt.Sprint(i))),
-					}})
+				request.ClientRetry = marked
+				if !marked {
+					rejectBefore(r, request)
 				}
-				if decision := r.Decide(start, request); decision.Verdict == Send && !decision.Attempt.CacheOnly {
+				if sendsFill(r, request) {
 					sent++
 				}
 			}
-			if full := int(initialAdmissionLimits[1] * 10 / 2); sent == 0 || sent >= full {
-				t.Errorf("%d retries in flight, %d of other requests", sent, full)
+			if sent == 0 || sent >= maxFills {
+				t.Errorf("%d retries in flight, %d of other requests", sent, maxFills)
 			}
 		})
 	}
-	t.Run("late answers lower the limit, others raise it", func(t *testing.T) {
-		r := newRouter(t, nil)
-		for _, c := range []struct {
-			elapsed int64
-			sign    float64
-		}{{5 * second, -1}, {second / 10, 1}} {
-			request, before := newRequest("harmless", fmt.Sprint(c.elapsed)), r.admission.limits[1]
-			r.Decide(start, request)
-			r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: c.elapsed})
-			if (r.admission.limits[1]-before)*c.sign <= 0 {
-				t.Errorf("limit from %v to %v after an answer in %v", before, r.admission.limits[1], c.elapsed)
-			}
-		}
-	})
-	t.Run("a reduced limit grows faster than others", func(t *testing.T) {
-		grown := func(reduced bool) float64 {
-			r := newRouter(t, nil)
-			r.admission.limits[1], r.admission.reduced[1] = 0.7, reduced
-			for i := range 20 {
-				request := newRequest("harmless", fmt.Sprint(i))
-				r.Decide(start, request)
-				r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
-			}
-			return r.admission.limits[1] - 0.7
-		}
-		if reduced, other := grown(true), grown(false); reduced < 1.5*other || other <= 0 {
-			t.Errorf("grew by %v while reduced, %v otherwise", reduced, other)
+}
+
+// rejectBefore has a router reject another request for the same object, half a second before the start.
+func rejectBefore(r *Router, request *Request) {
+	const before = start - second/2
+	earlier := newRequest(request.Class, request.Object)
+	earlier.class = r.classByName[request.Class]
+	earlier.record = r.rates.record(before, earlier)
+	r.rejectOrFail(before, earlier)
+}
+
+// answerFill has a router send a request for an object and get its answer in a time, ns.
+func answerFill(r *Router, object string, elapsed int64) {
+	request := newRequest("harmless", object)
+	r.Decide(start, request)
+	r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: elapsed})
+}
+
+func TestLateAnswersLowerTheLimitAndOthersRaiseIt(t *testing.T) {
+	r := newRouter(t, nil)
+	for _, c := range []struct {
+		elapsed int64
+		sign    float64
+	}{{5 * second, -1}, {second / 10, 1}} {
+		before := r.admission.limits[fills]
+		answerFill(r, fmt.Sprint(c.elapsed), c.elapsed)
+		if after := r.admission.limits[fills]; (after-before)*c.sign <= 0 {
+			t.Errorf("limit from %v to %v after an answer in %v", before, after, c.elapsed)
 		}
-	})
-	t.Run("hits go to another cache while the home cache is at its limit", func(t *testing.T) {
+	}
+}
+
+func TestReducedLimitGrowsFasterThanOthers(t *testing.T) {
+	const limit = 0.7
+	grown := func(reduced bool) float64 {
 		r := newRouter(t, nil)
-		first := newRequest("harmless", "a")
-		home := r.Decide(start, first).Attempt.Cache
-		r.AttemptEnded(start, first, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
-		for range 12 { // the limit of 2 times the capacity, shared by two routers
-			endpoint := r.endpoints[home]
-			r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, lateAt: forever})
-		}
-		if decision := decide(r, "a"); decision.Verdict != Send || decision.Attempt.Cache == home {
-			t.Errorf("verdict %v, to %d", decision.Verdict, decision.Attempt.Cache)
+		r.admission.limits[fills], r.admission.reduced[fills] = limit, reduced
+		for i := range 20 {
+			answerFill(r, fmt.Sprint(i), second/10)
 		}
-	})
+		return r.admission.limits[fills] - limit
+	}
+	if reduced, other := grown(true), grown(false); reduced < 1.5*other || other <= 0 {
+		t.Errorf("grew by %v while reduced, %v otherwise", reduced, other)
+	}
+}
+
+func TestHitsAreDivertedWhileTheHomeCacheIsAtItsLimit(t *testing.T) {
+	r := newRouter(t, nil)
+	first := newRequest("harmless", "a")
+	home := r.Decide(start, first).Attempt.Cache
+	r.AttemptEnded(start, first, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
+	for range 12 { // the limit of 2 times the capacity, shared by two routers
+		endpoint := r.endpoints[home]
+		r.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, lateAt: forever})
+	}
+	decision := r.Decide(start, newRequest("harmless", "a"))
+	if decision.Verdict != Send || decision.Attempt.Cache == home {
+		t.Errorf("verdict %v, to %d", decision.Verdict, decision.Attempt.Cache)
+	}
 }
 
 // While the limit for fills is reduced, parents are asked for what they have cached before they fetch it.
--- a/control/age.go
+++ b/control/age.go
@@ -64,7 +64,7 @@
 	return r.limitAgeByPurges(now, request, age), refresh
 }
 
-// updateMaxAge computes an object's accepted age. The result stands until an entry that was filled now would
+// updateMaxAge computes an object's accepted age. The result is valid until an entry that was filled now would
 // reach that age.
 func (r *Router) updateMaxAge(now int64, request *Request) {
 	record, class := request.record, request.class
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -23,7 +23,9 @@
 	var lines []Endpoint
 	nextID := func() uint32 { return uint32(len(lines)+1) * 2654435761 }
 	for i := range servers {
-		lines = append(lines, Endpoint{ID: nextID(), Location: "here", Kind: "cache", Cell: int64(i), Phase: "ready", Capacity: 5})
+		lines = append(lines, Endpoint{
+			ID: nextID(), Location: "here", Kind: "cache", Cell: int64(i), Phase: PhaseReady, Capacity: 5,
+		})
 	}
 	for range max(2, servers/16) {
 		lines = append(lines, Endpoint{ID: nextID(), Location: "hub", Kind: "parent", Cell: -1, Phase: "ready", Capacity: 20})
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -74,8 +74,7 @@
 
 // measuredCapacity estimates the capacity of a cache where the list does not tell it. It is what each cache
 // served in time at its best, or what is requested now if that is more, up to maxOfferedCapacity times the
-// best. A router that has not run for a rateWindow yet has no best that means anything, and goes by what is
-// requested alone.
+// best. A router that has not run for a rateWindow yet has no meaningful best, and uses what is requested alone.
 func (r *Router) measuredCapacity(now int64) float64 {
 	best := max(1, r.capacity.byCaches.best)
 	offered := r.perEndpoint(now, r.capacity.offered, sharingWindow, r.activeSharers(), r.caches)
--- a/control/control.go
+++ b/control/control.go
@@ -68,8 +68,8 @@
 	caches     []*endpointState          // ready caches of the router's location, in the order of their IDs
 	parents    []*endpointState          // ready parents of all locations, in the order of their IDs
 	origin     *endpointState            // the ready origin with the lowest ID; nil if there is none
-	cacheTier  tier                      // holds caches
-	parentTier tier                      // holds parents
+	cacheTier  tier                      // of caches
+	parentTier tier                      // of parents
 	origins    endpointList              // ready origins
 	delisted   []*endpointState          // no longer listed
 
@@ -146,7 +146,8 @@
 		return Decision{}
 	}
 	attempt := request.attempts[number]
-	attempt.ended, attempt.result = true, outcome.Result
+	attempt.ended = true
+	attempt.result = outcome.Result
 	request.inFlight--
 	r.observe(now, request, attempt, outcome)
 	request.ended = request.ended || outcome.RequestEnded
@@ -202,7 +203,8 @@
 func (r *Router) decideNext(now int64, request *Request) Decision {
 	cache, source := r.selectEndpoints(now, request)
 	if r.goesToOrigin(now, request, cache) {
-		source, request.sourceMissed = r.origin, true
+		source = r.origin
+		request.sourceMissed = true
 	}
 	if r.cannotConnect() {
 		request.exhaustedAt = now
@@ -211,6 +213,7 @@
 	timeForLater := now+2*waitRecheckInterval < sendDeadline
 	switch {
 	case !r.mayRetry(now, request) || now >= sendDeadline:
+		// No further attempt is allowed, or it would be answered too late.
 	case request.exhaustedAt > 0 && !timeForLater:
 		// No connection can be established in the time left, and the cache would be blamed for it.
 	case cache != nil && r.admits(now, request, cache):
@@ -279,7 +282,8 @@
 		r.attemptStarted(endpoint, attempt)
 		endpoint.charge(now, request.class.sendingTime)
 		if endpoint.ejected {
-			endpoint.probing, attempt.probed = true, endpoint
+			endpoint.probing = true
+			attempt.probed = endpoint
 		}
 	}
 }
--- a/control/decode.go
+++ b/control/decode.go
@@ -102,7 +102,7 @@
 	return list[index]
 }
 
-// decodeDeployment decodes where the router stands and what the endpoints are.
+// decodeDeployment decodes the location of the router and what is known of its endpoints.
 func (s *Settings) decodeDeployment(decoder *settingsDecoder) {
 	s.Weights = decodeWeights(setting(decoder, "units", ""))
 	s.Location = setting(decoder, "location", s.Location)
@@ -194,7 +194,7 @@
 	}
 }
 
-// decodeSlowStart decodes what caches and parents bear after their start.
+// decodeSlowStart decodes the load that caches and parents can take while they are warming up.
 func (s *Settings) decodeSlowStart(decoder *settingsDecoder) {
 	cache := &s.CacheSlowStart
 	cache.Share = setting(decoder, "cold.share", cache.Share)
@@ -218,8 +218,8 @@
 	}
 	s.AnswerGrace = unchecked(decoder, "answer.grace", s.AnswerGrace)
 	s.ResponseBytesPerSecond = unchecked(decoder, "answer.bytesPerS", s.ResponseBytesPerSecond)
-	if most := unchecked(decoder, "hands.most", int64(0)); most > 0 {
-		s.MaxInFlight = int(most)
+	if maxInFlight := unchecked(decoder, "hands.most", int64(0)); maxInFlight > 0 {
+		s.MaxInFlight = int(maxInFlight)
 	}
 	s.PurgeGrace = unchecked(decoder, "purge.grace", s.PurgeGrace)
 	s.DrainGrace = unchecked(decoder, "drain.grace", s.DrainGrace)
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -115,7 +115,7 @@
 // restarted starts the slow start of an endpoint and drops what was learned of it before.
 func (endpoint *endpointState) restarted(now, startedAt int64) {
 	endpoint.slowStartFrom, endpoint.slowStartReportedAt = startedAt, now
-	endpoint.successes, endpoint.failures, endpoint.lastResponseAt = 0, 0, now
+	endpoint.forgetScores(now)
 	endpoint.ejected, endpoint.probing, endpoint.wasUnreachable = false, false, false
 }
 
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -108,7 +108,8 @@
 		if found.inTime {
 			return attemptScore{success: 1}, attemptScore{success: 1}
 		}
-		return attemptScore{failure: 1}, attemptScore{failure: 1} // an endpoint that is only slow shows in no other way
+		// Late answers are the only evidence on an endpoint that is merely slow.
+		return attemptScore{failure: 1}, attemptScore{failure: 1}
 	case found.early:
 		return attemptScore{}, attemptScore{}
 	case outcome.SharedCause:
@@ -162,6 +163,21 @@
 	if endpoint.failures >= failureThreshold {
 		r.outliers.watched.add(endpoint)
 	}
+	endpoint.observeReachability(now, attempt, found, scored)
+	if attempt.probed == endpoint {
+		endpoint.probing = false
+		if scored != (attemptScore{}) {
+			r.probeFinished(now, endpoint, scored.success > scored.failure)
+		}
+	}
+	r.ejectIfOutlier(now, endpoint)
+}
+
+// observeReachability learns from an attempt that has ended whether its cache or its source could be reached,
+// and when that endpoint responded last.
+func (endpoint *endpointState) observeReachability(
+	now int64, attempt *attemptState, found finding, scored attemptScore,
+) {
 	isCache := endpoint == attempt.cache
 	switch {
 	case isCache && found.result == Unreachable && !found.early:
@@ -172,13 +188,6 @@
 	if isCache && found.result.isFromCache() || attempt.kind != hits && found.result == Succeeded {
 		endpoint.lastResponseAt = now
 	}
-	if attempt.probed == endpoint {
-		endpoint.probing = false
-		if scored != (attemptScore{}) {
-			r.probeFinished(now, endpoint, scored.success > scored.failure)
-		}
-	}
-	r.ejectIfOutlier(now, endpoint)
 }
 
 // isFromCache reports whether a result shows that the cache itself has answered, or at least closed a
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -7,7 +7,7 @@
 
 const (
 	// silenceThreshold is the silence score, beyond the peers' mean, from which an endpoint is ejected. A score
-	// is in mean response times; by chance one of 6 comes up with e^-6.
+	// is in mean response times; by chance a score of 6 has the probability e^-6.
 	silenceThreshold = 6.
 
 	maxSilencePerAttempt = 2.  // of the silence score, by one attempt
@@ -24,7 +24,7 @@
 
 	// A parent that has answered more than manyAnswers attempts is judged by a smaller failureShare: times
 	// 1/√(answers/manyAnswers), and not below manyAnswersFactor. With hundreds of answers a part of a quarter
-	// is no chance.
+	// is no coincidence.
 	manyAnswers       = 16.
 	manyAnswersFactor = 0.4
 
@@ -128,7 +128,8 @@
 
 // eject ejects an endpoint: from now on it gets nothing but probes.
 func (endpoint *endpointState) eject(now int64) {
-	endpoint.ejected, endpoint.probing = true, false
+	endpoint.ejected = true
+	endpoint.probing = false
 	endpoint.probeBackoff = minProbeBackoff
 	endpoint.nextProbeAt = now + endpoint.probeBackoff
 }
@@ -172,7 +173,13 @@
 		endpoint.slowStartFrom, endpoint.slowStartReportedAt = now, now
 	}
 	endpoint.ejected, endpoint.wasUnreachable = false, false
-	endpoint.successes, endpoint.failures, endpoint.lastResponseAt = 0, 0, now
+	endpoint.forgetScores(now)
+}
+
+// forgetScores drops the evidence on an endpoint: it counts as healthy from now on.
+func (endpoint *endpointState) forgetScores(now int64) {
+	endpoint.successes, endpoint.failures = 0, 0
+	endpoint.lastResponseAt = now
 }
 
 // addScore adds an attempt that has ended to an endpoint's successes and failures.
--- a/control/purges.go
+++ b/control/purges.go
@@ -18,8 +18,8 @@
 // docs/time.md has the cases.
 
 const (
-	// purgeMargin is by how much the accepted age stays below the time since a purge: timestamps are in whole
-	// ms.
+	// purgeMargin is by how much the accepted age stays below the time since a purge, ns: timestamps are in
+	// whole ms.
 	purgeMargin = second / 1000
 
 	// minPurgedMaxAge is the lowest accepted age after a purge, in ns: 0 would mean the fresh duration.
--- a/control/rates.go
+++ b/control/rates.go
@@ -35,7 +35,8 @@
 
 func (c *decayingCount) add(now int64) { c.count, c.lastAt = c.at(now)+1, now }
 
-// decayingWork is recent work in seconds of sending time. It decays over rateWindow.
+// decayingWork is recent work in seconds of sending time. By its methods it decays over rateWindow;
+// capacityEstimate.offered decays over sharingWindow.
 type decayingWork struct {
 	work   float64 // as of lastAt
 	best   float64 // the highest capacity that one endpoint of a tier showed so far, by this work
@@ -66,7 +67,7 @@
 	evicted           bool          // from the recently requested objects
 	unservedAt        int64         // when a request for it was last rejected or failed
 	likelyCachedUntil int64         // until when it is taken to be cached
-	element           *list.Element // its place in recentObjects or evictedObjects
+	element           *list.Element // in recentObjects or evictedObjects
 }
 
 // countRequest counts a request for the object.
--- a/control/retries.go
+++ b/control/retries.go
@@ -195,7 +195,8 @@
 
 // rejectOrFail ends a request at once: rejected if its client may safely send it again, else failed.
 func (r *Router) rejectOrFail(now int64, request *Request) Decision {
-	request.ended, request.record.unservedAt = true, now
+	request.ended = true
+	request.record.unservedAt = now
 	class := request.class
 	safeAnywhere := class.Idempotency == Idempotent || class.Idempotency == Keyed && class.KeyScope == ScopeAll
 	switch {
--- a/control/settings.go
+++ b/control/settings.go
@@ -32,7 +32,7 @@
 	RetryAfter     bool  // rejections carry Retry-After
 	MaxRetryAfter  int64 // ns; the longest Retry-After
 
-	PurgeDuration int64 // ns; for how long caches and parents may still hold what was purged
+	PurgeDuration int64 // ns; for how long caches and parents may still have entries from before a purge
 	PurgeGrace    int64 // ns; within which a purge has to be obeyed; 0 and below: not known
 	DrainGrace    int64 // ns; within which nothing new is sent to a draining endpoint; 0 and below: not known
 
@@ -57,7 +57,7 @@
 	Uncacheable      bool     // no cache stores a response
 }
 
-// SlowStartSettings describe the load that an endpoint bears after its start, while it is warming up.
+// SlowStartSettings describe the load that an endpoint can take after its start, while it is warming up.
 type SlowStartSettings struct {
 	Share          float64 // of its capacity, at its start; it grows linearly to all of it while it warms up
 	Factor         float64 // multiple of its capacity at which it falls over
@@ -91,7 +91,7 @@
 
 // The meanings of weights.
 const (
-	CapacityWeights WeightMeaning = iota // responses that an endpoint can send at once, each at a client's full pace
+	CapacityWeights WeightMeaning = iota // responses that an endpoint can send at once, each at a client's full rate
 	LoadWeights                          // they change with the load; capacities are measured
 	NoWeights                            // nothing; capacities are measured
 )
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -99,16 +99,10 @@
 	return raw
 }
 
-// All that is wrong is named at once, in an order that stays: operators and their tools know the text.
-func TestErrorTextOfSettings(t *testing.T) {
-	withClass := allWrongSettings()
-	withClass["product.names"] = []string{"a"}
-	withClass["location"] = "here"
-	withClass["locations"] = []string{"here"}
-	withClass["kinds"] = nil
-	const ofKinds = "setting kind.parent is no int64: struct {}{}\nsetting kinds is no []string: struct {}{}\n" +
-		"setting kind.origin is no int64: struct {}{}\n"
-	const ofRequests = `setting report.fields is no []string: struct {}{}
+// Parts of the text for settings of wrong types.
+const ofKinds = "setting kind.parent is no int64: struct {}{}\nsetting kinds is no []string: struct {}{}\n" +
+	"setting kind.origin is no int64: struct {}{}\n"
+const ofRequests = `setting report.fields is no []string: struct {}{}
 setting clientKBPerS is no float64: struct {}{}
 setting origin.fallFactor is no float64: struct {}{}
 setting probe is no bool: struct {}{}
@@ -120,13 +114,21 @@
 setting dispatches.most is no int64: struct {}{}
 setting purge.takes is no int64: struct {}{}
 `
-	const ofSlowStart = `setting cold.share is no float64: struct {}{}
+const ofSlowStart = `setting cold.share is no float64: struct {}{}
 setting cold.factor is no float64: struct {}{}
 setting cold.span is no int64: struct {}{}
 setting cold.window is no int64: struct {}{}
 setting parent.coldShare is no float64: struct {}{}
 setting parent.coldFactor is no float64: struct {}{}
 setting parent.coldSpan is no int64: struct {}{}`
+
+// All that is wrong is named at once, in an order that stays: operators and their tools know the text.
+func TestErrorTextOfSettings(t *testing.T) {
+	withClass := allWrongSettings()
+	withClass["product.names"] = []string{"a"}
+	withClass["location"] = "here"
+	withClass["locations"] = []string{"here"}
+	withClass["kinds"] = nil
 	for _, c := range []struct {
 		name string
 		raw  RawSettings
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -47,7 +47,7 @@
 	return min(n+3*math.Sqrt(n)+3, large(largeLimitFrom))
 }
 
-// slowStartTerms is what the slow start of an endpoint goes by.
+// slowStartTerms are the settings of an endpoint's slow start, with the number of routers that share it.
 type slowStartTerms struct {
 	SlowStartSettings
 	routers int // that share the endpoint
@@ -153,7 +153,7 @@
 	return now < budget.retryAt && budget.tokensFor == startedAt && work >= budget.retryWork
 }
 
-// tokenTerms is what the rates of tokens follow from.
+// tokenTerms are the quantities that the rates of tokens are computed from.
 type tokenTerms struct {
 	limit  float64 // s; work within the window above which the endpoint is overloaded
 	trials float64 // requests that may come within one window, one for each incarnation of a router
@@ -170,7 +170,7 @@
 //
 //	P(sum > limit) ≤ exp(trials·ln(1 + q·(exp(t·work) - 1)) - t·limit)
 //
-// and is held to overloadProbability over the starts of a day. With one t for all work it holds for any mixture
+// and the rates keep that at overloadProbability over the starts of a day. With one t for all work it holds for any mixture
 // of classes (Kelly, Notes on effective bandwidths, 1996). The t taken is the one that admits most of usual
 // work.
 func (t tokenTerms) rate(work, usual float64) float64 {
--- a/internal/connpool/config_test.go
+++ b/internal/connpool/config_test.go
@@ -7,16 +7,21 @@
 
 func TestCheck(t *testing.T) {
 	for _, test := range []struct {
-		Config
-		good bool
-	}{{Config{Routers: 300, MaxConnections: 60, MaxConnectRate: 20}, true}, {Config{Routers: 300, MaxConnections: 60, MaxConnectRate: 5}, false}, {Config{Routers: 3}, false}} {
-		if err := test.Check(); (err == nil) != test.good {
-			t.Errorf("%+v: %v", test.Config, err)
+		config Config
+		valid  bool
+	}{
+		{Config{Routers: 300, MaxConnections: 60, MaxConnectRate: 20}, true},
+		{Config{Routers: 300, MaxConnections: 60, MaxConnectRate: 5}, false},
+		{Config{Routers: 3}, false},
+	} {
+		if err := test.config.Check(); (err == nil) != test.valid {
+			t.Errorf("%+v: %v", test.config, err)
 		}
 	}
 	err := Config{Routers: 300, MaxConnections: 60, MaxConnectRate: 5}.Check()
 	var rate *ConnectRateError
-	if !errors.As(err, &rate) || err.Error() != "300 routers take 60 s to open one connection each at 5 a second, 30 s at most" {
+	const wantRate = "300 routers take 60 s to open one connection each at 5 a second, 30 s at most"
+	if !errors.As(err, &rate) || err.Error() != wantRate {
 		t.Errorf("%T: %v", err, err)
 	}
 	err = Config{Routers: 3}.Check()
--- a/internal/connpool/connections_test.go
+++ b/internal/connpool/connections_test.go
@@ -8,144 +8,209 @@
 	"testing"
 )
 
-// All routers together, whatever each wants: what stands at a cache stays within what it holds, what is opened
-// within the rate, through a loss of all links of a cache, and caches outside of the subset can be had at
-// times.
-func TestSumOverAllRouters(t *testing.T) {
+// openConnection is a connection of one router in a simulation of all.
+type openConnection struct {
+	cache     string
+	idleSince int64
+}
+
+// simulatedRouters are all routers of a location, with the connections that their plans let them open.
+type simulatedRouters struct {
+	config  Config // of each, but for its name and seed
+	caches  []string
+	rng     *rand.Rand
+	plans   []*Plan
+	open    [][]openConnection // by router
+	atCache map[string]int     // connections of all routers
+
+	outsideSubset int                // connections that were opened to caches outside of the router's subset
+	opened        map[openedIn]int   // connections that were opened
+	accepted      func(cache string) // called after each connection that is opened
+}
+
+// openedIn names a second and a cache.
+type openedIn struct {
+	second int64
+	cache  string
+}
+
+func newSimulatedRouters(config Config, caches int) *simulatedRouters {
+	simulated := &simulatedRouters{
+		config:  config,
+		caches:  names(caches),
+		rng:     rand.New(rand.NewPCG(7, 7)),
+		open:    make([][]openConnection, config.Routers),
+		atCache: map[string]int{},
+		opened:  map[openedIn]int{},
+	}
+	for i := range config.Routers {
+		own := config
+		own.Router, own.Seed = fmt.Sprint("n", i), uint64(i)
+		plan := New(own)
+		plan.SetEndpoints(0, simulated.caches)
+		simulated.plans = append(simulated.plans, plan)
+	}
+	return simulated
+}
+
+// crash ends all connections to a cache.
+func (s *simulatedRouters) crash(now int64, cache string) {
+	for i, plan := range s.plans {
+		s.open[i] = slices.DeleteFunc(s.open[i], func(connection openConnection) bool {
+			if connection.cache == cache {
+				plan.Disconnected(now, cache)
+			}
+			return connection.cache == cache
+		})
+	}
+	s.atCache[cache] = 0
+}
+
+// step has a router close the connections that its plan says, and open some.
+func (s *simulatedRouters) step(now int64, router int) {
+	plan, own := s.plans[router], map[string]int{}
+	for _, connection := range s.open[router] {
+		own[connection.cache]++
+	}
+	s.open[router] = slices.DeleteFunc(s.open[router], func(connection openConnection) bool {
+		closes := plan.ShouldClose(now, connection.cache, own[connection.cache], connection.idleSince)
+		if closes {
+			s.atCache[connection.cache]--
+			own[connection.cache]--
+		}
+		return closes
+	})
+	for range 6 { // the first caches are wanted most
+		cache := s.caches[int(float64(len(s.caches))*math.Pow(s.rng.Float64(), 3))]
+		if !plan.CanConnect(now, cache, own[cache]) {
+			continue
+		}
+		if !plan.InSubset(cache) {
+			s.outsideSubset++
+		}
+		plan.Dialled(now, cache)
+		s.open[router] = append(s.open[router], openConnection{cache, now})
+		own[cache]++
+		s.opened[openedIn{now / second, cache}]++
+		s.atCache[cache]++
+		s.accepted(cache)
+	}
+}
+
+// All routers together stay within the connections that a cache accepts, and within the rate of connecting, also
+// after a cache has crashed; and some connections are opened to caches outside of the subsets.
+func TestAllRoutersTogetherStayWithinTheBounds(t *testing.T) {
 	for _, c := range []struct {
-		routers, caches, holds int
-		opens                  float64
-	}{{300, 20, 400, 100}, {300, 20, 200, 100}, {300, 20, 60, 60}, {40, 5, 200, 20}, {1, 3, 10, 5}, {300, 20, 200, 0}} {
+		routers, caches, maxConnections int
+		maxConnectRate                  float64
+	}{
+		{300, 20, 400, 100},
+		{300, 20, 200, 100},
+		{300, 20, 60, 60},
+		{40, 5, 200, 20},
+		{1, 3, 10, 5},
+		{300, 20, 200, 0},
+	} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			rng := rand.New(rand.NewPCG(7, 7))
-			type link struct {
-				cache      string
-				born, used int64
+			config := Config{
+				Routers:        c.routers,
+				MaxConnections: c.maxConnections,
+				MaxConnectRate: c.maxConnectRate,
 			}
-			plans, open := make([]*Plan, c.routers), make([][]link, c.routers)
-			caches := names(c.caches)
-			for i := range plans {
-				plans[i] = New(Config{Router: fmt.Sprint("n", i), Seed: uint64(i), Routers: c.routers, MaxConnections: c.holds, MaxConnectRate: c.opens})
-				plans[i].SetEndpoints(0, caches)
+			simulated := newSimulatedRouters(config, c.caches)
+			simulated.accepted = func(cache string) {
+				if count := simulated.atCache[cache]; count > c.maxConnections {
+					t.Fatalf("%d connections to %s", count, cache)
+				}
 			}
-			far, opened := 0, map[[2]int64]int{}
-			standing := map[string]int{}
 			for now := int64(0); now < 40*second; now += second / 10 {
-				if now == 20*second { // one cache dies and is back
-					for i := range plans {
-						open[i] = slices.DeleteFunc(open[i], func(l link) bool {
-							if l.cache == caches[0] {
-								plans[i].Disconnected(now, l.cache)
-							}
-							return l.cache == caches[0]
-						})
-					}
-					standing[caches[0]] = 0
+				if now == 20*second {
+					simulated.crash(now, simulated.caches[0])
 				}
-				for i, p := range plans {
-					have := map[string]int{}
-					for _, l := range open[i] {
-						have[l.cache]++
-					}
-					open[i] = slices.DeleteFunc(open[i], func(l link) bool {
-						end := p.ShouldClose(now, l.cache, have[l.cache], l.used)
-						if end {
-							standing[l.cache]--
-							have[l.cache]--
-						}
-						return end
-					})
-					for range 6 { // all want the first caches most
-						name := caches[int(float64(c.caches)*math.Pow(rng.Float64(), 3))]
-						if !p.CanConnect(now, name, have[name]) {
-							continue
-						}
-						if !p.InSubset(name) {
-							far++
-						}
-						p.Dialled(now, name)
-						open[i] = append(open[i], link{name, now, now})
-						have[name]++
-						opened[[2]int64{now / second, int64(slices.Index(caches, name))}]++
-						if standing[name]++; standing[name] > c.holds {
-							t.Fatalf("%d links to %s", standing[name], name)
-						}
-					}
+				for router := range simulated.plans {
+					simulated.step(now, router)
 				}
 			}
-			for at, n := range opened {
-				if bound := c.opens*1.3 + 3*math.Sqrt(c.opens) + 2; c.opens > 0 && float64(n) > bound {
-					t.Errorf("%d links to cache %d opened in second %d, %.0f", n, at[1], at[0], bound)
+			bound := c.maxConnectRate*1.3 + 3*math.Sqrt(c.maxConnectRate) + 2
+			for in, count := range simulated.opened {
+				if c.maxConnectRate > 0 && float64(count) > bound {
+					t.Errorf("%d connections to %s opened in second %d, bound %.0f", count, in.cache, in.second, bound)
 				}
 			}
-			if plans[0].SubsetSize < c.caches && far == 0 {
-				t.Error("nobody ever reached a cache outside of the subset")
+			if simulated.plans[0].SubsetSize < c.caches && simulated.outsideSubset == 0 {
+				t.Error("no router ever connected to a cache outside of its subset")
 			}
 		})
 	}
 }
 
-// A cache that refuses, being full by more routers than the settings know of, is asked again ever later, and
-// not in step.
+// A cache that refuses connections, since more routers connect to it than the settings say, is dialled again
+// after growing, random delays.
 func TestRefusedBacksOff(t *testing.T) {
-	p := New(Config{Router: "n", Routers: 3, MaxConnections: 24})
-	p.SetEndpoints(0, names(2))
-	now, tries := int64(0), 0
+	plan := New(Config{Router: "n", Routers: 3, MaxConnections: 24})
+	plan.SetEndpoints(0, names(2))
+	now, dials := int64(0), 0
 	for ; now < 60*second; now += second / 100 {
-		if p.CanConnect(now, "s-000", 0) {
-			p.Dialled(now, "s-000")
-			p.ConnectFailed(now, "s-000")
-			tries++
+		if plan.CanConnect(now, "s-000", 0) {
+			plan.Dialled(now, "s-000")
+			plan.ConnectFailed(now, "s-000")
+			dials++
 		}
 	}
-	if tries < 8 || tries > 40 {
-		t.Errorf("%d tries in a minute", tries)
+	if dials < 8 || dials > 40 {
+		t.Errorf("%d dials in a minute", dials)
 	}
-	p.Established("s-000")
-	if p.Disconnected(now+maxRefusedDelay, "s-000"); !p.CanConnect(now+2*maxRefusedDelay, "s-000", 0) {
-		t.Error("one that took a connection is not dialled again")
+	plan.Established("s-000")
+	plan.Disconnected(now+maxRefusedDelay, "s-000")
+	if !plan.CanConnect(now+2*maxRefusedDelay, "s-000", 0) {
+		t.Error("a cache that accepted a connection is not dialled again")
 	}
 }
 
-func TestPreconnect(t *testing.T) {
-	p := New(Config{Router: "n", Routers: 100, MaxConnections: 50, MaxConnectRate: 50})
-	p.SetEndpoints(0, names(10))
-	met := map[string]bool{}
+func TestPreconnectReturnsEachCacheOfTheSubsetOnce(t *testing.T) {
+	plan := New(Config{Router: "n", Routers: 100, MaxConnections: 50, MaxConnectRate: 50})
+	plan.SetEndpoints(0, names(10))
+	returned := map[string]bool{}
 	for now := int64(0); now < 3*second; now += second / 10 {
-		for _, n := range p.Preconnect(now) {
-			if met[n] || !p.InSubset(n) {
-				t.Errorf("%s is met again, or is none of the subset", n)
+		for _, name := range plan.Preconnect(now) {
+			if returned[name] || !plan.InSubset(name) {
+				t.Errorf("%s is returned again, or is not in the subset", name)
 			}
-			met[n] = true
-			p.Dialled(now, n)
+			returned[name] = true
+			plan.Dialled(now, name)
 		}
 	}
-	if len(met) != p.SubsetSize {
-		t.Errorf("%d of %d met", len(met), p.SubsetSize)
+	if len(returned) != plan.SubsetSize {
+		t.Errorf("%d of %d are returned", len(returned), plan.SubsetSize)
 	}
-	p.SetEndpoints(3*second, names(11)) // what is known of those that stay is kept
-	for _, n := range p.Preconnect(3 * second) {
-		if met[n] {
-			t.Errorf("%s is met again", n)
+	plan.SetEndpoints(3*second, names(11)) // those that stay keep their state
+	for _, name := range plan.Preconnect(3 * second) {
+		if returned[name] {
+			t.Errorf("%s is returned again after an update of the list", name)
 		}
 	}
-	var none *Plan
-	if none.SetEndpoints(0, nil); !none.CanConnect(0, "x", 99) || !none.CanSend(0, "x") || none.ShouldClose(0, "x", 9, 0) || none.Preconnect(0) != nil || !none.InSubset("x") {
-		t.Error("a plan that is not there bounds something")
+}
+
+func TestNilPlanAllowsAll(t *testing.T) {
+	var plan *Plan
+	plan.SetEndpoints(0, nil)
+	allowsAll := plan.CanConnect(0, "x", 99) && plan.CanSend(0, "x") && plan.InSubset("x")
+	if !allowsAll || plan.ShouldClose(0, "x", 9, 0) || plan.Preconnect(0) != nil {
+		t.Error("a nil plan restricts connections")
 	}
 }
 
-// A link that was not dialled for a shortage is dialled ahead again.
+// A cache that this machine could not dial is returned by Preconnect again.
 func TestPreconnectAfterLocalError(t *testing.T) {
-	p := New(Config{Router: "n", Routers: 10, MaxConnections: 100, MaxConnectRate: 100})
-	p.SetEndpoints(0, names(1))
-	if got := p.Preconnect(second); len(got) != 1 || len(p.Preconnect(second)) != 0 {
-		t.Fatalf("ahead %v", got)
+	plan := New(Config{Router: "n", Routers: 10, MaxConnections: 100, MaxConnectRate: 100})
+	plan.SetEndpoints(0, names(1))
+	if got := plan.Preconnect(second); len(got) != 1 || len(plan.Preconnect(second)) != 0 {
+		t.Fatalf("preconnects %v", got)
 	}
-	p.LocalError(names(1)[0])
-	if got := p.Preconnect(second); len(got) != 1 {
-		t.Error("it is not dialled again")
+	plan.LocalError(names(1)[0])
+	if got := plan.Preconnect(second); len(got) != 1 {
+		t.Error("it is not returned again")
 	}
-	p.LocalError("unknown")
+	plan.LocalError("unknown")
 	(*Plan)(nil).LocalError("unknown")
 }
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -17,13 +17,19 @@
 	return out
 }
 
-// Whatever comes and goes, and in whichever order it is named, the plan is the one that ranking all caches anew
-// gives.
-func TestSetEndpointsAgainstRankingAll(t *testing.T) {
+// After any changes of the list, in whichever order it names the caches, the plan equals the one that ranking all
+// caches anew gives.
+func TestSetEndpointsEqualsRankingAllCaches(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
-	for play := range 100 {
-		plan := New(Config{Router: fmt.Sprint("n", play), Seed: 1, Routers: 300, MaxConnections: 100, MaxConnectRate: 50})
-		other := New(Config{Router: fmt.Sprint("n", play), Seed: 1, Routers: 300, MaxConnections: 100, MaxConnectRate: 50})
+	for run := range 100 {
+		config := Config{
+			Router:         fmt.Sprint("n", run),
+			Seed:           1,
+			Routers:        300,
+			MaxConnections: 100,
+			MaxConnectRate: 50,
+		}
+		plan, shuffled := New(config), New(config)
 		var listed []string
 		for step := range 100 {
 			listed = slices.DeleteFunc(listed, func(string) bool { return rng.IntN(20) == 0 })
@@ -32,19 +38,30 @@
 			}
 			plan.SetEndpoints(int64(step), listed)
 			rng.Shuffle(len(listed), func(a, b int) { listed[a], listed[b] = listed[b], listed[a] })
-			other.SetEndpoints(int64(step), listed)
-			ranked := slices.Clone(listed)
-			slices.SortFunc(ranked, func(a, b string) int {
-				return cmp.Compare(xxhash.Sum64String(plan.config.Router+"\x00"+a), xxhash.Sum64String(plan.config.Router+"\x00"+b))
-			})
-			if want := SubsetSize(300, len(ranked), 100); plan.SubsetSize != want || len(plan.ranking) != len(ranked) || len(plan.endpoints) != len(ranked) {
-				t.Fatalf("%d of %d caches are kept, want %d of %d", plan.SubsetSize, len(plan.ranking), want, len(ranked))
-			}
-			for i, name := range ranked {
-				if plan.ranking[i].name != name || plan.InSubset(name) != (i < plan.SubsetSize) || *plan.ranking[i] != *other.ranking[i] {
-					t.Fatalf("step %d, place %d: %+v and %+v, want %s", step, i, plan.ranking[i], other.ranking[i], name)
+			shuffled.SetEndpoints(int64(step), listed)
+			comparePlan(t, plan, listed)
+			for rank, endpoint := range plan.ranking {
+				if *endpoint != *shuffled.ranking[rank] {
+					t.Fatalf("step %d, rank %d: %+v, and %+v in another order", step, rank, endpoint, shuffled.ranking[rank])
 				}
 			}
 		}
 	}
 }
+
+// comparePlan compares a plan with the ranking of all caches by their hash.
+func comparePlan(t *testing.T, plan *Plan, listed []string) {
+	t.Helper()
+	ranked := slices.Clone(listed)
+	score := func(name string) uint64 { return xxhash.Sum64String(plan.config.Router + "\x00" + name) }
+	slices.SortFunc(ranked, func(a, b string) int { return cmp.Compare(score(a), score(b)) })
+	size := SubsetSize(plan.config.Routers, len(ranked), plan.config.MaxConnections)
+	if plan.SubsetSize != size || len(plan.ranking) != len(ranked) || len(plan.endpoints) != len(ranked) {
+		t.Fatalf("%d of %d caches are in the subset, want %d of %d", plan.SubsetSize, len(plan.ranking), size, len(ranked))
+	}
+	for rank, name := range ranked {
+		if plan.ranking[rank].name != name || plan.InSubset(name) != (rank < plan.SubsetSize) {
+			t.Fatalf("rank %d: %+v, want %s", rank, plan.ranking[rank], name)
+		}
+	}
+}
--- a/internal/connpool/subset_test.go
+++ b/internal/connpool/subset_test.go
@@ -9,34 +9,40 @@
 
 // Each cache is in about as many subsets as any other, and never in more than its connections for them.
 func TestSubsetsAreEven(t *testing.T) {
-	for _, c := range []struct{ routers, caches, holds int }{{300, 40, 225}, {300, 40, 60}, {300, 200, 24}, {1000, 40, 200}, {5000, 200, 500}} {
-		load := map[string]int{}
-		kept := 0
+	for _, c := range []struct{ routers, caches, maxConnections int }{
+		{300, 40, 225},
+		{300, 40, 60},
+		{300, 200, 24},
+		{1000, 40, 200},
+		{5000, 200, 500},
+	} {
+		routersAt := map[string]int{} // by cache
+		size := 0
 		for i := range c.routers {
-			p := New(Config{Router: fmt.Sprint("n", i), Routers: c.routers, MaxConnections: c.holds})
-			p.SetEndpoints(0, names(c.caches))
+			plan := New(Config{Router: fmt.Sprint("n", i), Routers: c.routers, MaxConnections: c.maxConnections})
+			plan.SetEndpoints(0, names(c.caches))
 			for _, name := range names(c.caches) {
-				if p.InSubset(name) {
-					load[name]++
+				if plan.InSubset(name) {
+					routersAt[name]++
 				}
 			}
-			kept = p.SubsetSize
+			size = plan.SubsetSize
 		}
-		if kept == 0 || len(load) != c.caches {
-			t.Fatalf("%+v: %d of the caches are kept by anyone, %d by each", c, len(load), kept)
+		if size == 0 || len(routersAt) != c.caches {
+			t.Fatalf("%+v: %d of the caches are in subsets, which have %d each", c, len(routersAt), size)
 		}
-		for name, n := range load {
-			if float64(n) > subsetShare*float64(c.holds) {
-				t.Errorf("%+v: %s is kept by %d routers", c, name, n)
+		for name, n := range routersAt {
+			if float64(n) > subsetShare*float64(c.maxConnections) {
+				t.Errorf("%+v: %s is in %d subsets", c, name, n)
 			}
-			if mean := float64(c.routers) * float64(kept) / float64(c.caches); float64(n) < mean-5*math.Sqrt(mean)-1 {
-				t.Errorf("%+v: %s is kept by %d routers, %f in the mean", c, name, n, mean)
+			if mean := float64(c.routers) * float64(size) / float64(c.caches); float64(n) < mean-5*math.Sqrt(mean)-1 {
+				t.Errorf("%+v: %s is in %d subsets, %f in the mean", c, name, n, mean)
 			}
 		}
 	}
 }
 
-// A cache that comes or goes changes a subset by itself alone.
+// To remove a cache removes at most that one from a subset, and adds at most one.
 func TestSubsetsAreStable(t *testing.T) {
 	for i := range 200 {
 		p := New(Config{Router: fmt.Sprint("n", i), Routers: 300, MaxConnections: 60})
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -130,8 +130,8 @@
 }
 
 // Read implements io.Reader for the stream. Between events it waits for as long as the service may take
-// between two comments, inside an event for much less: until the event is complete it counts as notified and
-// is not acted on.
+// between two comments, inside an event for much less: the router counts as notified of an event that it cannot
+// act on until it is complete.
 func (c *call) Read(p []byte) (int, error) {
 	deadline := c.watcher.readDeadline()
 	if c.stream != nil && c.stream.Inside() {
--- a/internal/discovery/history.go
+++ b/internal/discovery/history.go
@@ -9,7 +9,7 @@
 	"tealpath/internal/router"
 )
 
-// errListDenied ends a call on which the service turns out not to go on from the snapshot's endpoint list.
+// errListDenied ends a call by which the service does not confirm the snapshot's endpoint list.
 var errListDenied = errors.New("the endpoint list of the snapshot is not confirmed: the whole list is requested")
 
 // History is what was known of the service's events before the first call.
@@ -96,7 +96,7 @@
 	return errListDenied
 }
 
-// dropSnapshotList has the service asked for all that it has.
+// dropSnapshotList drops the snapshot's list. The next call requests all events.
 func (w *Watcher) dropSnapshotList() {
 	w.snapshotList = nil
 	w.position = 0
--- a/internal/discovery/resume.go
+++ b/internal/discovery/resume.go
@@ -92,7 +92,7 @@
 	return fmt.Errorf("event %d: %w", position, decodeErr)
 }
 
-// advance notes that the events up to a position are done with.
+// advance notes that the events up to a position have been processed or skipped.
 func (w *Watcher) advance(position int64) {
 	w.unusable = 0
 	if next := w.position + 1; position > next {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -28,7 +28,7 @@
 }
 
 // Watcher follows the discovery service and posts its watch events to the reducer. startup.CallSchedule
-// decides when it calls the service, startup.ListFilter which endpoint lists it believes.
+// decides when it calls the service, startup.ListFilter which endpoint lists it accepts.
 //
 // The fields without a lock belong to the goroutine of Run.
 type Watcher struct {
--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -49,7 +49,7 @@
 			return nil
 		case errors.Is(err, net.ErrClosed):
 			return s.listenerClosed(ctx, err)
-		default: // no descriptor is left, or the client has gone again
+		default: // no descriptor is left, or the client has disconnected
 			if !failing {
 				failing = true
 				s.emit(AcceptFailed{Cause: err.Error()})
@@ -99,8 +99,8 @@
 			s.reject(ctx, conn)
 			return true
 		}
-		// At the connection limit. Closed at once, the connection would take with it the request that it
-		// may have sent.
+		// At the connection limit. To close the connection at once would lose the request that its client may
+		// have sent.
 		if !s.ensureCapacity() && !pause(ctx, acceptRetryInterval) {
 			neterr.Close(conn)
 			return false
--- a/internal/downstream/arrival.go
+++ b/internal/downstream/arrival.go
@@ -16,19 +16,20 @@
 	// duration does not tell.
 	minReaderAbsence = int64(5 * time.Millisecond)
 
-	// maxHeartbeatInterval is after how long without a heartbeat the process is taken to have stood still, ns.
+	// maxHeartbeatInterval is after how long without a heartbeat the process is taken to have been paused, ns.
 	maxHeartbeatInterval = int64(maxMaintenanceInterval + 50*time.Millisecond)
 
-	// maxCatchUp is how long a process that stood still takes at most to see all that came meanwhile, ns.
+	// maxCatchUp is how long a process takes at most, after a pause, to read all that came meanwhile, ns.
 	maxCatchUp = int64(20 * time.Millisecond)
 )
 
-// heartbeat tells since when the process has stood still. Its owner calls record in short intervals.
+// heartbeat detects pauses of the process, in which it got no processor time. Its owner calls record in short
+// intervals.
 type heartbeat struct {
 	mu         sync.Mutex
-	last       int64 // guarded by mu
-	stillSince int64 // guarded by mu; the last beat before the process last stood still
-	stillUntil int64 // guarded by mu
+	last       int64 // guarded by mu; when record was called last
+	pauseStart int64 // guarded by mu; the last heartbeat before the last pause
+	pauseEnd   int64 // guarded by mu; the first heartbeat after it; 0: there was none
 }
 
 // record notes that the process runs.
@@ -36,21 +37,21 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.last > 0 && now-h.last > maxHeartbeatInterval {
-		h.stillSince, h.stillUntil = h.last, now
+		h.pauseStart, h.pauseEnd = h.last, now
 	}
 	h.last = now
 }
 
 // earliestArrival returns the earliest time at which something can have come that wakes a goroutine now:
-// that is now, unless the process has stood still.
+// that is now, unless the process was paused.
 func (h *heartbeat) earliestArrival(now int64) int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
 	case h.last > 0 && now-h.last > maxHeartbeatInterval:
 		return h.last
-	case h.stillUntil > 0 && now-h.stillUntil < maxCatchUp:
-		return h.stillSince
+	case h.pauseEnd > 0 && now-h.pauseEnd < maxCatchUp:
+		return h.pauseStart
 	}
 	return now
 }
@@ -62,7 +63,7 @@
 	server     *Server
 	earliest   int64  // ns
 	emptySince int64  // when it was last known that no unread data waits on the connection, ns
-	segments   uint32 // that had come by then
+	segments   uint32 // received by emptySince
 }
 
 // begin sets since when unread data may wait on the connection, and how many segments had come by then.
--- a/internal/downstream/closing.go
+++ b/internal/downstream/closing.go
@@ -14,11 +14,12 @@
 	// lingerTimeout is for how long a client may take to read its last responses and close its side.
 	lingerTimeout = 2 * time.Second
 
-	// closeNotifyTimeout is the same for a client that is owed nothing and only has to see the end.
+	// closeNotifyTimeout is lingerTimeout for a client without outstanding responses, which only has to see
+	// the end.
 	closeNotifyTimeout = 200 * time.Millisecond
 
-	// lingerInterval is the pause between two reads of what is discarded, and lingerReadBytes how much one
-	// of them takes at most: a client that sends without end gets little of the core.
+	// lingerInterval is the pause between two reads of what is discarded, and lingerReadBytes the most that
+	// one of them reads: a client that sends without end takes little processor time.
 	lingerInterval  = time.Millisecond
 	lingerReadBytes = 32 << 10
 
@@ -28,7 +29,7 @@
 )
 
 // notifyHalfClosed posts that the client has closed its sending side, if it has a request in flight. It may
-// have gone, or still read: attempts that are out are answered, and no further one is made.
+// have disconnected, or still read: attempts in flight are answered, and no further one is made.
 func (c *connection) notifyHalfClosed() {
 	c.mu.Lock()
 	inFlight := len(c.inFlight) > 0
@@ -63,13 +64,13 @@
 	}
 }
 
-// discard reads some of what the client sends, for nobody.
+// discard reads and drops up to lingerReadBytes of what the client sends.
 func (c *connection) discard() error {
 	_, err := io.CopyN(io.Discard, neterr.Reader{From: c.conn}, lingerReadBytes)
 	return err
 }
 
-// dropRequests drops the requests of a client that has gone, and closes its connection.
+// dropRequests drops the requests of a client that has disconnected, and closes its connection.
 func (c *connection) dropRequests() {
 	c.mu.Lock()
 	clear(c.inFlight)
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -23,8 +23,8 @@
 	errProtocolViolation = errors.New("downstream: protocol violation")
 )
 
-// phase is how far the life of a connection has come. It only rises, but for a connection that could not be
-// suspended.
+// phase is the stage of a connection's life. It only advances, except that a connection that could not be
+// suspended is open again.
 type phase int
 
 const (
@@ -100,7 +100,7 @@
 		if c.server.suspend(c) {
 			return written, errSuspend
 		}
-		c.setPhase(phaseOpen) // the system refuses; one that was closed for another ends by its next read
+		c.setPhase(phaseOpen) // the system refused, or it was evicted: then its next read ends it
 	}
 }
 
@@ -114,13 +114,13 @@
 }
 
 // end brings a connection from which nothing more is read to its close: what is in flight is answered,
-// unless its client has gone or has violated the protocol.
+// unless its client has disconnected or has violated the protocol.
 func (c *connection) end(written <-chan struct{}, readError error) {
 	violated := c.beginEnding(readError)
 	halfClosed := errors.Is(readError, io.EOF) || errors.Is(readError, io.ErrUnexpectedEOF)
 	switch {
 	case violated:
-		// The other requests of such a client are not served, at the cost of other clients.
+		// The other requests of such a client are failed: to serve them would cost other clients.
 		c.server.post(router.ClientDisconnected{Client: c.id})
 		c.failRequests()
 	case halfClosed:
@@ -138,7 +138,7 @@
 }
 
 // beginEnding starts the phase in which only responses are written, and tells whether the client has
-// violated the protocol. A client that has gone gets none, and its requests are dropped.
+// violated the protocol. The requests of a client that has disconnected are dropped.
 func (c *connection) beginEnding(readError error) (violated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,11 +151,11 @@
 }
 
 // mayStillRead tells whether a client may still read responses after an error of reading from it: it has
-// closed its sending side only, or has sent what cannot be parsed, or nothing proves that it has gone. One
-// that has closed both sides is found out by the first response to it.
+// closed its sending side only, or has sent what cannot be parsed, or nothing proves that it has disconnected.
+// For one that has closed both sides the first write of a response fails.
 func mayStillRead(readError error) bool { return !neterr.IsEnd(readError) }
 
-// markClosed ends the queueing of responses, and gives back the memory of those that could not be written.
+// markClosed ends the queueing of responses, and releases the memory of those that could not be written.
 func (c *connection) markClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,7 +171,7 @@
 }
 
 // closeForProtocolViolation ends the reading from a client that has sent what the protocol does not allow:
-// read at full speed, such a client could take the core from the others. It has got its response already.
+// read at full speed, such a client could take the processor time of the others. Its response is queued.
 func (c *connection) closeForProtocolViolation() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,7 +179,7 @@
 	setReadDeadline(c.conn, time.Now()) // its reader may be waiting for more
 }
 
-// requestAdmission is what becomes of a request that has come.
+// requestAdmission says whether a request that was read is put in flight, and why not.
 type requestAdmission int
 
 const (
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxEvictionCandidates is how many connections are looked at for one that can be closed for a new one.
+	// maxEvictionCandidates is how many connections are tried, at most, to evict one for a new one.
 	maxEvictionCandidates = 8
 
 	// requestGracePeriod is for how long a request may take to come before its connection may be closed for
@@ -15,9 +15,9 @@
 	requestGracePeriod = 300 * time.Millisecond
 )
 
-// ensureCapacity closes a connection that nobody needs, for a new one. Otherwise connections that say
-// nothing, or are kept idle for good, would keep out those that ask. It tells whether there may be capacity
-// now.
+// ensureCapacity evicts an unused connection if the connections are at their limit, and tells whether there may
+// be capacity now. Without it connections that never send a request, or stay idle, would keep out clients that
+// have one.
 func (s *Server) ensureCapacity() bool {
 	s.mu.Lock()
 	if !s.atLimit {
@@ -38,8 +38,7 @@
 	return false
 }
 
-// evict closes a connection that nobody needs, unless something has come on it. It tells whether it has
-// done so.
+// evict closes an unused connection, unless data has come on it. It tells whether it has done so.
 func (s *Server) evict(id idle.ID) bool {
 	active, evicted := s.idle.evictSuspended(id)
 	if active == nil {
@@ -53,9 +52,9 @@
 }
 
 // tryClose begins the close of a connection, unless it has a request in flight, an unwritten response or
-// unread data: who has sent a request gets a response. What comes from now on is rejected. The connection's
-// reader then closes the sending side and lingers: closed at once over unread data, the connection would be
-// reset, and the client could lose its last response.
+// unread data: each request that was sent gets a response. Requests that come from now on are rejected. The
+// connection's reader then closes the sending side and lingers: closed at once with unread data, the connection
+// would be reset, and the client could lose its last response.
 func (c *connection) tryClose() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,12 +62,12 @@
 	case c.draining:
 		return true
 	case c.phase >= phaseLingering:
-		neterr.Close(c.conn) // it has had its time
+		neterr.Close(c.conn) // it lingers: its last response is written
 		return true
 	}
 	hasUnread := c.server.hasUnread(c.conn)
 	if hasUnread {
-		c.reading = true // as its reader will find soon; in its old state it would be the candidate again and again
+		c.reading = true // as its reader will do soon; in its old state it would be the candidate again
 		c.updateTableState()
 	}
 	if hasUnread || !c.quiescent() {
--- a/internal/downstream/idle.go
+++ b/internal/downstream/idle.go
@@ -29,7 +29,7 @@
 	return slotKey{id: idle.ID(int32(key >> 32)), generation: uint32(key)}
 }
 
-// slot is what a slot of the table stands for: an active connection, a suspended descriptor, or neither.
+// slot is the content of a slot of the table: an active connection, a suspended descriptor, or neither.
 type slot struct {
 	connection         *connection
 	fd                 int32  // noDescriptor: not suspended
@@ -62,7 +62,7 @@
 	mu        sync.Mutex
 	table     *idle.Table         // guarded by mu
 	slots     []slot              // guarded by mu; by the table's IDs
-	postponed []wakeUp            // guarded by mu; could not be resumed for want of a resource
+	postponed []wakeUp            // guarded by mu; could not be resumed, as a resource was exhausted
 	retrying  bool                // guarded by mu; some that were postponed are being tried again
 	closing   []closingDescriptor // guarded by mu; no longer in the table
 }
@@ -98,7 +98,7 @@
 	return slotKey{id: id, generation: ic.table.Generation(id)}, verdict
 }
 
-// attach makes a slot stand for an active connection, and returns its state in the table.
+// attach puts an active connection into its slot, and returns its state in the table.
 func (ic *idleConnections) attach(c *connection) idle.State {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -106,7 +106,7 @@
 	return ic.table.State(c.slot.id)
 }
 
-// setSlot makes the slot of an ID, which may be new, stand for something else. ic.mu is locked.
+// setSlot sets the content of the slot of an ID, which may be new. ic.mu is locked.
 func (ic *idleConnections) setSlot(id idle.ID, s slot) {
 	for len(ic.slots) <= int(id) {
 		ic.slots = append(ic.slots, emptySlot)
@@ -192,7 +192,7 @@
 }
 
 // nextExpired returns a connection whose timeout has passed, if it may be closed now, or idle.None and when
-// to ask again.
+// to call again.
 func (ic *idleConnections) nextExpired(saturated bool) (id idle.ID, next int64) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -209,7 +209,7 @@
 		return s.connection, false
 	}
 	switch ic.calls.Peek(int(s.fd)) {
-	case poller.Data: // the poller tells of it too, and it is answered
+	case poller.Data: // the poller reports it too: the request is read and answered
 		ic.table.SetState(ic.clock.Now(), id, idle.StateActive)
 		return nil, false
 	case poller.Undetermined: // its reader will find out
@@ -221,8 +221,8 @@
 }
 
 // closeSuspended closes the sending side of a suspended connection on which nothing has come, and frees its
-// slot. What comes in this very moment is discarded until the client has closed too, or for
-// closeNotifyTimeout: to close over it would reset the connection. ic.mu is locked.
+// slot. What still comes is discarded until the client has closed too, or for closeNotifyTimeout: to close the
+// descriptor with unread data would reset the connection. ic.mu is locked.
 func (ic *idleConnections) closeSuspended(id idle.ID) {
 	fd := int(ic.slots[id].fd)
 	ic.free(id)
--- a/internal/downstream/idle/accept.go
+++ b/internal/downstream/idle/accept.go
@@ -77,6 +77,6 @@
 	return p.accept.take(now, saturated)
 }
 
-// Abandoned says whether what a client has sent is not to be read any more: the client has closed, and what it
-// sent may have waited for that many ns.
+// Abandoned says whether a client's request is too old to be read: the client has closed its sending side, and
+// the request may have waited longer than abandonedAfter. waited is how long it may have waited, ns.
 func Abandoned(waited int64, peerClosed bool) bool { return peerClosed && waited > abandonedAfter }
--- a/internal/downstream/idle/pacer.go
+++ b/internal/downstream/idle/pacer.go
@@ -10,12 +10,12 @@
 	acceptSuspendedRate = 8000. // cheaper: nothing is read
 	wakeRate            = 2000.
 
-	saturatedFactor = 0.25 // of a rate while the router is saturated
-	minCores        = 0.05 // as many at least are reckoned with
-	burstSeconds    = 0.002
+	saturatedFactor = 0.25  // of a rate while the router is saturated
+	minCores        = 0.05  // least number of cores that rates are computed for
+	burstSeconds    = 0.002 // s; tokens of so long a time can be saved up
 )
 
-// tokenBucket limits a rate: tokens come at the rate, and those of burstSeconds at most are saved up.
+// tokenBucket limits a rate: tokens are added at the rate, and at most those of burstSeconds are saved up.
 type tokenBucket struct {
 	rate     float64 // tokens per second
 	tokens   float64
--- a/internal/downstream/idle/state.go
+++ b/internal/downstream/idle/state.go
@@ -5,7 +5,7 @@
 
 // The states of a connection.
 const (
-	// StateNew is a connection on which nothing has been received yet.
+	// StateNew is a connection without a response so far: it has sent no request, or has cancelled all.
 	StateNew State = iota
 
 	// StateActive is a connection with a request in flight or a response that is not written yet.
--- a/internal/downstream/poller/poller_linux.go
+++ b/internal/downstream/poller/poller_linux.go
@@ -132,7 +132,7 @@
 
 // collect asks epoll for events without waiting for them.
 func (p *Poller) collect(events []unix.EpollEvent) (count int, err error) {
-	// Set before the kernel gives the events away, so that HasEvents sees them at any moment.
+	// Set before the kernel returns the events, so that HasEvents reports them at any moment.
 	p.handling.Store(true)
 	count, err = retryInterrupted(func() (int, error) { return p.calls.EpollWait(p.fd, events, 0) })
 	if err != nil {
@@ -183,7 +183,7 @@
 	p.unresumed[fd] = file
 }
 
-// takeUnresumed gives away the file of a descriptor that could not be resumed before; nil if there is none.
+// takeUnresumed removes and returns the file of a descriptor that could not be resumed before; nil is none.
 func (p *Poller) takeUnresumed(fd int) *os.File {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -193,7 +193,7 @@
 }
 
 // Remove takes a descriptor out of the epoll set: Wait returns its key no more. It has no effect on one that is
-// not in the set. One that the kernel does not remove is seen to when its number is registered again.
+// not in the set. If the kernel fails to remove one, register replaces its key when the number is used again.
 func (p *Poller) Remove(fd int) { _ = p.calls.EpollCtl(p.fd, unix.EPOLL_CTL_DEL, fd, nil) }
 
 // CloseDescriptor closes a suspended connection.
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -39,7 +39,7 @@
 	methodHealth = "health"
 )
 
-// readRequests reads requests until the connection ends, is idle, or what it brings cannot be parsed.
+// readRequests reads requests until the connection ends, is idle, or sends what cannot be parsed.
 func (c *connection) readRequests(ctx context.Context) error {
 	in := bufio.NewReaderSize(neterr.Reader{From: &c.arrivals}, smallFrameBytes)
 	for {
@@ -86,8 +86,8 @@
 }
 
 // checkReadable returns why no further request is to be read, or nil. It has to be called after the read
-// deadline was set: whoever ends the reading sets its flag first and then a deadline that has passed, which
-// the reader would undo.
+// deadline was set: a goroutine that ends the reading sets its flag first and then a deadline that has passed,
+// which the reader may have overwritten.
 func (c *connection) checkReadable(in *bufio.Reader) error {
 	if c.hasViolated() {
 		return errProtocolViolation
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// nextReadDeadline returns until when the next request is waited for. A client that has had no response, as
-// it asked for nothing or has cancelled all, is waited for less long than another.
+// nextReadDeadline returns until when the next request is waited for. The wait is shorter for a client that has
+// had no response, because it has sent no request or has cancelled all.
 func (c *connection) nextReadDeadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// readFrame reads a frame. A large one takes its share of the memory only once its start has come: to
-// announce a large frame costs other clients nothing. Where there is no memory for it the request is
+// readFrame reads a frame. Memory for a large one is acquired only once its start has come: a client that merely
+// announces large frames takes none of it. Where there is no memory for it the request is
 // rejected, and nil returned.
 func (c *connection) readFrame(ctx context.Context, in *bufio.Reader) ([]byte, error) {
 	size, err := thrift.FrameSize(in)
@@ -190,10 +190,10 @@
 	arguments, err := thrift.ParseArguments(message.Body)
 	switch {
 	case message.Name == methodCancel:
-		if err == nil && arguments.Has[1] && c.removeRequest(arguments.Number) {
+		if err == nil && arguments.Has[thrift.FirstArgument] && c.removeRequest(arguments.Number) {
 			c.server.post(router.RequestCancelled{Client: c.id, Seq: arguments.Number})
 		}
-	case message.Type == thrift.Oneway: // an unknown one, which no response is owed to
+	case message.Type == thrift.Oneway: // unknown: one-way messages have no response
 	case message.Name != methodCall && message.Name != methodHealth:
 		name := message.Name[:min(len(message.Name), maxMethodBytes)]
 		c.sendException(message, thrift.UnknownMethod, "unknown method "+strconv.QuoteToASCII(name))
@@ -290,5 +290,5 @@
 	return thrift.Parse(header)
 }
 
-// isRequest tells whether a message is a request, which is owed a response of its own.
+// isRequest tells whether a message is a request, which has to get a response of its own.
 func isRequest(m thrift.Message) bool { return m.Type == thrift.Call && m.Name == methodCall }
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -47,7 +47,7 @@
 	config     Config
 	post       func(router.Event)
 	emit       func(logevent.Event)
-	ready      atomic.Bool // what a health request is answered
+	ready      atomic.Bool // whether a health request is answered as healthy
 	pacer      *idle.AcceptPacer
 	memory     *memoryLimits
 	idle       *idleConnections
@@ -55,7 +55,7 @@
 	goroutines sync.WaitGroup
 
 	serving   atomic.Int64 // connections that have goroutines
-	rejecting atomic.Int64 // connections that are told that they are rejected; they have no slot in the table
+	rejecting atomic.Int64 // connections whose requests are being rejected; they have no slot in the table
 
 	draining       atomic.Bool // CloseIdle has closed the listener
 	acceptFinished atomic.Bool // and each connection accepted before that has its slot, or was rejected
@@ -88,11 +88,11 @@
 // now returns the time on the process's monotonic axis, ns.
 func (s *Server) now() int64 { return s.config.Clock.Now() }
 
-// SetReady sets what a health request is answered.
+// SetReady sets whether health requests are answered as healthy.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// register makes a connection that has a slot known under an ID of its own. responded tells whether it had
-// a response before it was suspended.
+// register creates the connection for a slot and assigns it an ID. responded tells whether it had a response
+// before it was suspended.
 func (s *Server) register(conn net.Conn, slot slotKey, responded bool) *connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -6,7 +6,7 @@
 	"tealpath/internal/neterr"
 )
 
-// CloseIdle begins the close of each connection that is owed nothing, and closes the listener once its
+// CloseIdle begins the close of each connection without outstanding requests, and closes the listener once its
 // backlog is empty: the connections in it are admitted first. Called again, it goes on with the connections
 // that were in use before.
 func (s *Server) CloseIdle() {
@@ -59,7 +59,7 @@
 // OpenConnections returns how many connections are not closed, the listener among them while it accepts.
 func (s *Server) OpenConnections() int {
 	open := 0
-	if !s.acceptFinished.Load() { // asked first: a connection that is admitted after that is counted below
+	if !s.acceptFinished.Load() { // read first: a connection that is admitted after that is counted below
 		open = 1
 	}
 	return open + s.idle.openDescriptors() + int(s.rejecting.Load())
--- a/internal/downstream/suspend.go
+++ b/internal/downstream/suspend.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// suspendFailed notes that a connection could not be suspended: for good, or for want of a resource. In the
-// second case it is tried again once the connection has been idle for as long again.
+// suspendFailed handles an error of suspending a connection. Where a resource is exhausted it is tried again
+// once the connection has been idle for as long again; after any other error no connection is suspended any
+// more.
 func (ic *idleConnections) suspendFailed(cause error) {
 	if !neterr.IsExhausted(cause) {
 		ic.disableSuspend(cause)
@@ -40,7 +41,7 @@
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	if !ic.isCurrent(c.slot) {
-		return false // it was closed for another
+		return false // it was evicted
 	}
 	return ic.suspendAs(c.conn, c.slot, slot{segments: uint16(c.arrivals.segments)})
 }
@@ -53,8 +54,8 @@
 	return ic.suspendAs(conn, key, slot{beforeFirstRequest: true})
 }
 
-// suspendAs hands a connection to the poller and makes its slot stand for the descriptor. ic.mu is locked,
-// so that whoever is told of data on the descriptor finds the slot.
+// suspendAs hands a connection to the poller and puts its descriptor into its slot. ic.mu is locked, so that a
+// wake-up for the descriptor finds the slot.
 func (ic *idleConnections) suspendAs(conn net.Conn, key slotKey, s slot) bool {
 	fd, err := ic.poller.Suspend(conn, key.encode())
 	if err != nil {
@@ -82,7 +83,7 @@
 	defer ic.mu.Unlock()
 	taken, found = ic.suspended(wake.slot)
 	if !found {
-		return slot{}, false, false // it was closed for another, or its time was up
+		return slot{}, false, false // it was evicted or has expired
 	}
 	fd := int(taken.fd)
 	abandoned = idle.Abandoned(int64(time.Since(wake.since)), ic.calls.PeerClosed(fd))
@@ -111,8 +112,8 @@
 	ic.table.Remove(key.id)
 }
 
-// postpone keeps a suspended connection for the next try. As an active one in the table it is not closed
-// for another meanwhile. ic.mu is locked.
+// postpone keeps a suspended connection for the next try. Its state in the table is active, so that it is not
+// evicted meanwhile. ic.mu is locked.
 func (ic *idleConnections) postpone(w wakeUp) {
 	ic.table.SetState(ic.clock.Now(), w.slot.id, idle.StateActive)
 	ic.postponed = append(ic.postponed, w)
--- a/internal/downstream/wake.go
+++ b/internal/downstream/wake.go
@@ -99,21 +99,21 @@
 	return s.idle.endRetry()
 }
 
-// resumeAll resumes all suspended connections: the poller tells no longer what comes on them.
+// resumeAll resumes all suspended connections, because the poller does not report events any more.
 func (s *Server) resumeAll(ctx context.Context) {
 	for _, key := range s.idle.allSuspended() {
 		s.resume(ctx, wakeUp{slot: key, since: time.Now()})
 	}
 }
 
-// waker resumes the suspended connections on which something has come, as many at a time as the memory bears.
+// waker resumes the suspended connections on which data has come, as many at a time as the memory allows.
 type waker struct {
 	server      *Server
 	maxActive   int // connections with goroutines and buffers
 	resumePacer *idle.Pacer
 	closePacer  *idle.Pacer
-	emptyAt     time.Time // when it was last known that the poller had told all that had come
-	keys        []uint64  // that the poller gave last
+	emptyAt     time.Time // when the poller was last known to have reported all events
+	keys        []uint64  // returned by the poller last
 }
 
 func newWaker(s *Server) *waker {
@@ -148,7 +148,7 @@
 	}
 }
 
-// wait waits for the poller, and returns since when data may wait on the connections that it has told of.
+// wait waits for the poller, and returns since when data may wait on the connections that it reports.
 func (w *waker) wait(ctx context.Context) (since time.Time, err error) {
 	called := time.Now()
 	w.keys, err = w.server.idle.poller.Wait(ctx, w.keys)
@@ -165,9 +165,9 @@
 	return since, err
 }
 
-// handle resumes the connections that the poller has told of, and returns false if the context ends. Those
-// with data come before those that their clients have closed, of which a wave brings many at once. Each is
-// peeked at once: the poller tells no more of one that is left out.
+// handle resumes the connections that the poller has reported, and returns false if the context ends. Those with
+// data are resumed first, because clients may close many connections at the same time. None may be left out: the
+// poller reports each only once.
 func (w *waker) handle(ctx context.Context, since time.Time) bool {
 	w.server.idle.waiting.Store(int64(len(w.keys)))
 	var withData, ended []wakeUp
--- a/internal/lifecycle/restore/confirmation.go
+++ b/internal/lifecycle/restore/confirmation.go
@@ -42,8 +42,8 @@
 	return c.decide(c != nil && position == c.Position && digest == c.Digest)
 }
 
-// ObserveComment takes a comment of the service: one that comes before any event says that there is no event
-// after the one named.
+// ObserveComment takes a comment of the service. A comment before any event says that there is no event after
+// the position that was named.
 func (c *ListConfirmation) ObserveComment() Outcome { return c.decide(false) }
 
 // decide returns the outcome of what was observed first, and Pending after that.
--- a/internal/lifecycle/restore/limit.go
+++ b/internal/lifecycle/restore/limit.go
@@ -29,8 +29,8 @@
 	return reasonNames[r]
 }
 
-// LimitError says why not all of a snapshot may be used. Its text stands in a log line that docs/oncall.md
-// names.
+// LimitError says why not all of a snapshot may be used. Its text is part of a log line that docs/oncall.md
+// explains.
 type LimitError struct {
 	Reason Reason
 	Own    Header // what the router that reads would write
--- a/internal/lifecycle/startup/listfilter.go
+++ b/internal/lifecycle/startup/listfilter.go
@@ -5,7 +5,7 @@
 // ListSummary is what an endpoint list says of itself.
 type ListSummary struct {
 	Position       int64  // number of its event
-	Generation     int64  // of the list, as the service counts; 0 is not told
+	Generation     int64  // of the list, as the service counts; 0 is not known
 	Complete       bool   // it names all endpoints; else only what changed
 	Endpoints      int    // that it names
 	ReadyEndpoints int    // of them
@@ -23,7 +23,7 @@
 // The verdicts.
 const (
 	Accept      Verdict = iota // it is in force
-	Unconfirmed                // the one before stays in force; if the service sends the same list again, it is accepted
+	Unconfirmed                // the one before stays in force, until the service sends the same list again
 	Stale                      // it is older than the one in force, and dropped
 )
 
--- a/internal/lifecycle/startup/result.go
+++ b/internal/lifecycle/startup/result.go
@@ -7,7 +7,7 @@
 
 // The results.
 const (
-	Refused      CallResult = iota // the connection was refused: nobody is there
+	Refused      CallResult = iota // the connection was refused: no process listens there
 	Unreachable                    // dialling timed out
 	Unanswered                     // the call was accepted, and nothing came
 	Disconnected                   // the connection ended after something had come
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -51,7 +51,7 @@
 	// truncates all its answers is not called more often.
 	maxTruncatedRetries  = 2
 	truncatedRetrySpread = 20 * millisecond
-	maxTruncatedAge      = second // a comment comes each second: by then what had to be sent has been
+	maxTruncatedAge      = second // the service sends a comment each second: it has sent all that was due by then
 
 	// A call that this machine could not make is made again soon, since the service got no call. Many routers
 	// of one machine that wait for the same descriptors are spread over as long as after a disconnect.
@@ -68,7 +68,7 @@
 	maxFirstByteTimeout     = 7 * second
 	firstByteTimeoutGrowth  = 4
 
-	// An event that has begun may stand still for this part of the shortest grace.
+	// An event that has begun may stall for this part of the shortest grace.
 	stallGraceDivisor = 3
 	maxStallTimeout   = silenceTimeout
 )
@@ -84,7 +84,7 @@
 	random  *rand.Rand
 
 	listKnown bool
-	hasData   bool  // something whole has come since the last call ended
+	hasData   bool  // a complete event or comment has come since the last call ended
 	calledAt  int64 // when the last call was made
 	grace     int64 // the shortest in which the router has to act on a watch event; 0 is not known
 
@@ -133,7 +133,7 @@
 // CallStarted notes that a call is made.
 func (s *CallSchedule) CallStarted(now int64) { s.calledAt = now }
 
-// DataReceived notes that something whole came: an event or a comment.
+// DataReceived notes that a complete event or comment has come.
 func (s *CallSchedule) DataReceived() {
 	s.hasData, s.firstByteTimeout, s.lastDelay = true, initialFirstByteTimeout, 0
 }
@@ -141,7 +141,7 @@
 // SetDrainGrace notes the shortest time in which the router has to act on a watch event, ns.
 func (s *CallSchedule) SetDrainGrace(grace int64) { s.grace = grace }
 
-// StallTimeout returns for how long an event that has begun may stand still.
+// StallTimeout returns for how long an event that has begun may stall, ns.
 func (s *CallSchedule) StallTimeout() int64 {
 	if s.grace <= 0 {
 		return maxStallTimeout
@@ -183,7 +183,7 @@
 	return s.beforeDeadline(now, s.retryDelay(result))
 }
 
-// retriesAtOnce reports whether a truncated answer is asked for again at once.
+// retriesAtOnce reports whether a truncated answer is requested again at once.
 func (s *CallSchedule) retriesAtOnce(now int64, result CallResult) bool {
 	isYoung := now-s.calledAt < maxTruncatedAge
 	return result == Truncated && s.listKnown && isYoung && s.truncations < maxTruncatedRetries
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -24,7 +24,7 @@
 // transientErrors are those after which the same read or write may go on.
 var transientErrors = []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS, syscall.EAGAIN, syscall.EINTR}
 
-// exhaustedErrors are those of localErrors that pass once descriptors, memory or watches are given back.
+// exhaustedErrors are those of localErrors that pass once descriptors, memory or watches are released.
 var exhaustedErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.ENOSPC}
 
 // endErrors are those of reads, writes and peeks of a connection that has ended.
@@ -55,7 +55,7 @@
 // was.
 func IsTransient(err error) bool { return isOneOf(err, transientErrors) }
 
-func isOneOf(err error, known []syscall.Errno) bool {
+func isOneOf(err error, errnos []syscall.Errno) bool {
 	errno, ok := errors.AsType[syscall.Errno](err)
-	return ok && slices.Contains(known, errno)
+	return ok && slices.Contains(errnos, errno)
 }
--- a/internal/protocol/sse/chunked.go
+++ b/internal/protocol/sse/chunked.go
@@ -13,7 +13,7 @@
 type chunkedReader struct {
 	in      *bufio.Reader
 	left    int64 // bytes of the current chunk that are not read yet
-	started bool  // a chunk has come, so that a line end stands before the next one
+	started bool  // a chunk has been read, so that a line end precedes the next one
 }
 
 // Read reads from the current chunk, or from the next one once that is used up.
--- a/internal/protocol/thrift/message.go
+++ b/internal/protocol/thrift/message.go
@@ -5,7 +5,7 @@
 	"io"
 )
 
-// Message is one message; Body holds its arguments as they came.
+// Message is one message; Body is its arguments, encoded.
 type Message struct {
 	Name string
 	Type byte
@@ -26,7 +26,7 @@
 	return int(size), nil
 }
 
-// Parse reads the message that a frame holds.
+// Parse reads the message in a frame.
 func Parse(frame []byte) (Message, error) {
 	r := reader{in: frame}
 	word := r.uint32()
@@ -43,8 +43,8 @@
 
 // The identifiers of the arguments of the service's methods.
 const (
-	firstArgument  = 1 // the fields of `call`, or the sequence number of `cancel`
-	secondArgument = 2 // the body of `call`
+	FirstArgument  = 1 // the fields of `call`, or the sequence number of `cancel`
+	SecondArgument = 2 // the body of `call`
 )
 
 // Arguments are those of the service's methods: `call` has Fields and Body, `cancel` has Number.
@@ -57,34 +57,34 @@
 
 // ParseArguments reads a method's arguments. Those that it does not know are skipped.
 func ParseArguments(body []byte) (Arguments, error) {
-	r := reader{in: body}
+	input := reader{in: body}
 	arguments := Arguments{Has: map[int16]bool{}}
 	for {
-		kind := r.byte()
-		if r.err != nil || kind == typeStop {
+		kind := input.byte()
+		if input.err != nil || kind == typeStop {
 			break
 		}
-		id := int16(r.uint16())
-		if !arguments.parse(&r, id, kind) {
-			r.skip(kind, 0)
+		id := int16(input.uint16())
+		if !arguments.parse(&input, id, kind) {
+			input.skip(kind, 0)
 			continue
 		}
 		arguments.Has[id] = true
 	}
-	if r.err == nil && len(r.in) > 0 {
-		r.err = ErrTrailingBytes
+	if input.err == nil && len(input.in) > 0 {
+		input.err = ErrTrailingBytes
 	}
-	return arguments, r.err
+	return arguments, input.err
 }
 
 // parse reads one argument. It returns false, and reads nothing, if the argument is not known.
 func (a *Arguments) parse(r *reader, id int16, kind byte) bool {
 	switch {
-	case id == firstArgument && kind == typeMap:
+	case id == FirstArgument && kind == typeMap:
 		a.Fields = r.stringMap()
-	case id == firstArgument && kind == typeI32:
+	case id == FirstArgument && kind == typeI32:
 		a.Number = int32(r.uint32())
-	case id == secondArgument && kind == typeString:
+	case id == SecondArgument && kind == typeString:
 		a.Body = r.bytes()
 		if len(a.Body) == 0 {
 			a.Body = nil // an empty slice would keep the whole frame in memory
--- a/internal/protocol/thrift/thrift.go
+++ b/internal/protocol/thrift/thrift.go
@@ -59,13 +59,13 @@
 var (
 	// ErrFrame is a frame whose length is not positive, or over FrameMost.
 	ErrFrame = errors.New("thrift: bad length of a frame")
-	// ErrVersion is a frame that holds no message of the strict protocol.
+	// ErrVersion is a frame that is no message of the strict protocol.
 	ErrVersion = errors.New("thrift: not a message of the strict binary protocol")
 	// ErrTruncated is a value that ends behind the end of its frame.
 	ErrTruncated = errors.New("thrift: value cut short")
 	// ErrTrailingBytes is a frame that goes on behind the end of its arguments.
 	ErrTrailingBytes = errors.New("thrift: bytes behind the arguments")
-	// ErrMap is a map that does not hold strings by strings, or of more entries than its frame has room for.
+	// ErrMap is a map that is not of strings by strings, or has more entries than fit into its frame.
 	ErrMap = errors.New("thrift: bad map")
 	// ErrTooDeep is an unknown field whose values are nested too deeply.
 	ErrTooDeep = errors.New("thrift: nested too deeply")
--- a/internal/protocol/thrift/thrift_test.go
+++ b/internal/protocol/thrift/thrift_test.go
@@ -96,7 +96,7 @@
 	}
 	t.Run("the number to cancel", func(t *testing.T) {
 		a, err := ParseArguments([]byte("\x08\x00\x01\x00\x00\x00\x05\x00"))
-		if err != nil || a.Number != 5 || !a.Has[1] {
+		if err != nil || a.Number != 5 || !a.Has[FirstArgument] {
 			t.Errorf("%+v, %v", a, err)
 		}
 	})
--- a/internal/protocol/thrift/writer.go
+++ b/internal/protocol/thrift/writer.go
@@ -28,46 +28,46 @@
 
 const messageTypeOffset = frameHeaderSize + 3 // of the message's type in a frame with its length
 
-// Answer is a result of `call` or `health`. Which of its fields are set says what it is.
+// Answer is the response to a `call` or `health` message. Fault and Field say of which kind it is.
 type Answer struct {
 	Method string
 	Seq    int32
-	Fault  int // an application exception of this kind, with Text; 0 is none
-	Text   string
-	Field  int16 // 0 is served, 1 rejected, 2 failed
-	Fields [][2]string
-	Body   []byte
-	Good   bool
+	Fault  int         // kind of an application exception, with Text as its message; 0 is none
+	Text   string      // with Fault
+	Field  int16       // of the result: 0 is served, 1 rejected, 2 failed
+	Fields [][2]string // names with values
+	Body   []byte      // with Field 0
+	Good   bool        // with Field 0
 }
 
-// Frame encodes an answer as a frame with its length, in three pieces. The middle one is the body as it came,
-// so that it is not copied.
-func Frame(a Answer) [][]byte {
-	head := make([]byte, frameHeaderSize, replyHeadSize+len(a.Text))
+// Frame encodes an answer as a frame with its length, in three pieces. The middle one is the body, which is not
+// copied.
+func Frame(answer Answer) [][]byte {
+	head := make([]byte, frameHeaderSize, replyHeadSize+len(answer.Text))
 	head = append(head, replyHeader[:]...)
-	if a.Fault != 0 {
+	if answer.Fault != 0 {
 		head[messageTypeOffset] = Exception
 	}
-	head = appendString(head, a.Method)
-	head = binary.BigEndian.AppendUint32(head, uint32(a.Seq))
+	head = appendString(head, answer.Method)
+	head = binary.BigEndian.AppendUint32(head, uint32(answer.Seq))
 	var tail []byte
 	switch {
-	case a.Fault != 0:
-		head = appendApplicationException(head, a.Fault, a.Text)
-	case a.Field == resultServed:
+	case answer.Fault != 0:
+		head = appendApplicationException(head, answer.Fault, answer.Text)
+	case answer.Field == resultServed:
 		head = appendField(head, typeStruct, resultServed)
 		head = appendField(head, typeString, servedBody)
-		head = binary.BigEndian.AppendUint32(head, uint32(len(a.Body)))
-		tail = appendServedTail(tail, a)
+		head = binary.BigEndian.AppendUint32(head, uint32(len(answer.Body)))
+		tail = appendServedTail(tail, answer)
 	default:
-		head = appendField(head, typeStruct, a.Field)
+		head = appendField(head, typeStruct, answer.Field)
 		head = appendField(head, typeMap, exceptionFields)
-		head = appendStringMap(head, a.Fields)
+		head = appendStringMap(head, answer.Fields)
 		head = append(head, typeStop, typeStop)
 	}
-	size := len(head) - frameHeaderSize + len(a.Body) + len(tail)
+	size := len(head) - frameHeaderSize + len(answer.Body) + len(tail)
 	binary.BigEndian.PutUint32(head, uint32(size))
-	return [][]byte{head, a.Body, tail}
+	return [][]byte{head, answer.Body, tail}
 }
 
 func appendApplicationException(out []byte, kind int, text string) []byte {
@@ -78,7 +78,7 @@
 	return append(out, typeStop)
 }
 
-// appendServedTail appends what comes behind the body of an object that is served.
+// appendServedTail appends what follows the body of an object that is served.
 func appendServedTail(out []byte, a Answer) []byte {
 	out = appendField(out, typeMap, servedFields)
 	out = appendStringMap(out, a.Fields)
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -1,6 +1,6 @@
 // Package timerqueue is a priority queue of timers, ordered by time. Timers of one time leave it in the order
-// in which they were pushed, so that a run with the same input is repeated exactly. It reads no clock: whoever
-// owns a queue asks for the earliest time and pops what has come.
+// in which they were pushed, so that a run with the same input is repeated exactly. It reads no clock: the owner
+// of a queue compares Next with its own time, and pops the timers that are due.
 package timerqueue
 
 import (
--- a/internal/upstream/decode.go
+++ b/internal/upstream/decode.go
@@ -22,7 +22,7 @@
 // responseWords is how many words a response has: id, result, fields, body.
 const responseWords = 4
 
-// maxTimeToFirstByte bounds what an endpoint says of its time to the first byte, ms; more is taken for an error.
+// maxTimeToFirstByte bounds the time to the first byte that an endpoint reports, ms; a longer one is ignored.
 const maxTimeToFirstByte = 1e9
 
 // results maps the second word of a response to the result of the attempt.
@@ -41,7 +41,7 @@
 	"FILL_FULL", "ROOT_FAIL",
 }
 
-// errNoResponse is what an endpoint sends that answers no request.
+// errNoResponse is the error for what an endpoint sends without a request.
 var errNoResponse = errors.New("upstream: no response to a request")
 
 // FieldError is a part of a response that cannot be used.
@@ -58,7 +58,7 @@
 
 // responseFields are the fields of a response as text.
 type responseFields struct {
-	issued     string // when the origin gave the copy out, Unix ms
+	issued     string // when the origin issued the copy, Unix ms
 	entity     string // entity tag of the copy
 	detail     string // one of notes
 	delay      string // time to the first byte, ms
@@ -119,11 +119,11 @@
 	return response, nil
 }
 
-// decodeCopy takes the body of a response and the proof of how old it is. What no cache keeps has no proof:
-// the body is there, and whoever knows the class decides whether it can be used.
+// decodeCopy decodes the body of a successful response with its issue time and entity tag. A response that no
+// cache stores has neither: Unversioned is set, and the router accepts it only for an uncacheable request.
 func decodeCopy(response *router.ResponseReceived, word string, fields responseFields, body []byte) error {
-	hasProof := fields.issued != "" || fields.entity != ""
-	if !hasProof && word == wordServed {
+	hasVersion := fields.issued != "" || fields.entity != ""
+	if !hasVersion && word == wordServed {
 		response.Unversioned = true
 		response.Body = body
 		return nil
--- a/internal/upstream/encode.go
+++ b/internal/upstream/encode.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// addFill adds from where and how a cache fills the object if it does not hold it.
+// addFill adds from where and how a cache fills the object if it is not cached.
 func (l *fieldList) addFill(source string, attempt control.Attempt) {
 	l.add("miss", source)
 	if attempt.CachePriority > 0 {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -20,8 +20,8 @@
 	Clock            clock.Clock        // nil is clock.System
 }
 
-// Pool is all connections of a router to endpoints. Its methods are named like the effects that they carry
-// out. None of them blocks, and all may be called from any goroutine.
+// Pool is all connections of a router to endpoints. Dial, Send, WithdrawAttempt, CancelAttempt and Close carry
+// out the router's effects of these names. Only Wait blocks, and all methods may be called from any goroutine.
 type Pool struct {
 	ctx              context.Context
 	post             func(router.Event)
@@ -85,7 +85,7 @@
 	}
 }
 
-// CancelAttempt removes a request of which nothing has been written; otherwise the endpoint is told to abort it.
+// CancelAttempt removes a request of which nothing has been written; otherwise the endpoint is sent an abort.
 func (p *Pool) CancelAttempt(effect router.CancelAttempt) {
 	if c := p.find(effect.Connection); c != nil {
 		c.cancelAttempt(effect.ID)
@@ -99,9 +99,9 @@
 	}
 }
 
-// RemoveConnection forgets a connection that is down, and returns its event with what was queued since the
-// event was posted added to Unsent. It is to be called before the event is handled: otherwise a request that
-// was sent in between would count as written.
+// RemoveConnection forgets a connection that is down, and returns its event with Unsent brought up to date. It is
+// to be called before the event is handled: otherwise a request that was queued after the event was posted would
+// count as written.
 func (p *Pool) RemoveConnection(event router.ConnectionDown) router.ConnectionDown {
 	c := p.find(event.Connection)
 	if c == nil {
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -13,8 +13,8 @@
 	// response would otherwise hold up the other requests on its connection until their deadlines.
 	stallTimeout = 250 * time.Millisecond
 
-	// responseTimeSlack is how many times as long as at MinResponseRate a response may take, since others
-	// share the way.
+	// responseTimeSlack is how many times as long as at MinResponseRate a response may take, since other
+	// responses share the path.
 	responseTimeSlack = 4
 )
 
