--- a/internal/connpool/subset_test.go
+++ b/internal/connpool/subset_test.go
@@ -42,25 +42,25 @@
 	}
 }
 
-// To remove a cache removes at most that one from a subset, and adds at most one.
+// The removal of one cache changes a subset by at most one other cache.
 func TestSubsetsAreStable(t *testing.T) {
 	for i := range 200 {
-		p := New(Config{Router: fmt.Sprint("n", i), Routers: 300, MaxConnections: 60})
+		plan := New(Config{Router: fmt.Sprint("n", i), Routers: 300, MaxConnections: 60})
 		all := names(40)
-		p.SetEndpoints(0, all)
-		before := slices.DeleteFunc(slices.Clone(all), func(n string) bool { return !p.InSubset(n) })
-		p.SetEndpoints(0, all[1:])
-		gone, came := 0, 0
+		plan.SetEndpoints(0, all)
+		before := slices.DeleteFunc(slices.Clone(all), func(n string) bool { return !plan.InSubset(n) })
+		plan.SetEndpoints(0, all[1:])
+		removed, added := 0, 0
 		for _, n := range all[1:] {
 			switch had := slices.Contains(before, n); {
-			case had && !p.InSubset(n):
-				gone++
-			case !had && p.InSubset(n):
-				came++
+			case had && !plan.InSubset(n):
+				removed++
+			case !had && plan.InSubset(n):
+				added++
 			}
 		}
-		if gone > 1 || came > 1 {
-			t.Fatalf("one cache less took %d others out and %d in", gone, came)
+		if removed > 1 || added > 1 {
+			t.Fatalf("one cache less removed %d others and added %d", removed, added)
 		}
 	}
 }
--- a/internal/discovery/resume_test.go
+++ b/internal/discovery/resume_test.go
@@ -7,20 +7,26 @@
 	"testing"
 )
 
-func TestEventsAreProcessedInOrder(t *testing.T) {
-	purge := func(position int) sse.Event {
-		data := fmt.Appendf(nil, `{"pos":%d,"expire":{"set":%d,"stamp":1}}`, position, position)
-		return sse.Event{ID: fmt.Sprint(position), Data: data}
-	}
-	list := func(position, generation, endpoints int) sse.Event {
-		var instances []string
-		for n := range endpoints {
-			instances = append(instances, fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"10.1.0.%d:1","lifecycle":"active"}`, n, n))
-		}
-		data := fmt.Appendf(nil, `{"pos":%d,"hosts":{"generation":%d,"reset":true,"instances":[%s]}}`,
-			position, generation, strings.Join(instances, ","))
-		return sse.Event{ID: fmt.Sprint(position), Data: data}
+// newPurge is a purge as the stream has it.
+func newPurge(position int) sse.Event {
+	data := fmt.Appendf(nil, `{"pos":%d,"expire":{"set":%d,"stamp":1}}`, position, position)
+	return sse.Event{ID: fmt.Sprint(position), Data: data}
+}
+
+// newList is a complete endpoint list of so many instances as the stream has it.
+func newList(position, generation, endpoints int) sse.Event {
+	var instances []string
+	for n := range endpoints {
+		instance := fmt.Sprintf(`{"instanceId":"s-%d","hostPort":"10.1.0.%d:1","lifecycle":"active"}`, n, n)
+		instances = append(instances, instance)
 	}
+	data := fmt.Appendf(nil, `{"pos":%d,"hosts":{"generation":%d,"reset":true,"instances":[%s]}}`,
+		position, generation, strings.Join(instances, ","))
+	return sse.Event{ID: fmt.Sprint(position), Data: data}
+}
+
+func TestEventsAreProcessedInOrder(t *testing.T) {
+	purge, list := newPurge, newList
 	broken := sse.Event{ID: "5", Data: []byte("{")}
 	for _, c := range []struct {
 		name     string
@@ -39,7 +45,12 @@
 			1, 3, 6,
 			"watch_events_missing",
 		},
-		{"a complete list needs nothing before it", []sse.Event{{ID: "9", Data: []byte(listEvent(9, true, "active"))}}, 1, 0, 9, ""},
+		{
+			"a complete list needs nothing before it",
+			[]sse.Event{{ID: "9", Data: []byte(listEvent(9, true, "active"))}},
+			1, 0, 9,
+			"",
+		},
 		{
 			"an empty list counts when it is sent twice",
 			[]sse.Event{list(9, 7, 5), list(10, 8, 0), list(10, 8, 0)},
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -20,110 +20,137 @@
 )
 
 const (
-	notHeldResponse = "*4\r\n$16\r\n00000000000000aa\r\n$8\r\nnot_here\r\n$1\r\n-\r\n$0\r\n\r\n"
-	healthResponse  = "*4\r\n$1\r\nx\r\n$5\r\ngreen\r\n$1\r\n-\r\n$0\r\n\r\n"
-	halfResponse    = "*4\r\n$16\r\n00000000000000aa\r\n$6\r\nserved\r\n$1\r\n-\r\n$9\r\nhal"
-	hugeResponse    = "*4\r\n$16\r\n00000000000000aa\r\n$6\r\nserved\r\n$1\r\n-\r\n$3221225472\r\n"
+	notCachedResponse = "*4\r\n$16\r\n00000000000000aa\r\n$8\r\nnot_here\r\n$1\r\n-\r\n$0\r\n\r\n"
+	healthResponse    = "*4\r\n$1\r\nx\r\n$5\r\ngreen\r\n$1\r\n-\r\n$0\r\n\r\n"
+	halfResponse      = "*4\r\n$16\r\n00000000000000aa\r\n$6\r\nserved\r\n$1\r\n-\r\n$9\r\nhal"
+	hugeResponse      = "*4\r\n$16\r\n00000000000000aa\r\n$6\r\nserved\r\n$1\r\n-\r\n$3221225472\r\n"
 )
 
-// A request is sent as soon as its connection is up; the endpoint does one thing with it.
+// connectionTest is one thing that an endpoint does with a request that was sent to it.
+type connectionTest struct {
+	name  string
+	serve func(conn net.Conn, in *bufio.Reader) // after the request has come; nil refuses the connection
+	do    func(*Pool)                           // after the request has been queued; nil is nothing
+	want  string                                // the events
+}
+
+// respond returns a function that sends a text and ends the connection.
+func respond(text string) func(net.Conn, *bufio.Reader) {
+	return func(conn net.Conn, _ *bufio.Reader) { send(conn, text) }
+}
+
+// respondAndWait returns a function that sends a text and waits until the connection is closed.
+func respondAndWait(text string) func(net.Conn, *bufio.Reader) {
+	return func(conn net.Conn, in *bufio.Reader) {
+		send(conn, text)
+		waitForClose(in)
+	}
+}
+
+var connectionTests = []connectionTest{
+	{"refused", nil, nil, "down []"},
+	{"a response", respond(notCachedResponse), nil, "up, response 2, down []"},
+	{"malformed", respondAndWait("-ERR\r\n"), nil, "up, down []"},
+	{"half a response is none", respond(halfResponse), nil, "up, down []"},
+	{"a response that stalls closes its connection soon", respondAndWait(halfResponse), nil, "up, down []"},
+	{"a response in small pieces is complete", func(conn net.Conn, _ *bufio.Reader) {
+		for piece := range strings.SplitAfterSeq(notCachedResponse, "\n") {
+			send(conn, piece)
+			time.Sleep(stallTimeout / 6)
+		}
+	}, nil, "up, response 2, down []"},
+	{"what follows a response may take its time", func(conn net.Conn, _ *bufio.Reader) {
+		send(conn, healthResponse)
+		time.Sleep(stallTimeout + stallTimeout/2)
+		send(conn, notCachedResponse)
+	}, nil, "up, response 2, down []"},
+	{"a response that claims 3 GB", func(conn net.Conn, _ *bufio.Reader) {
+		send(conn, hugeResponse)
+		for chunk := strings.Repeat("x", 1<<16); send(conn, chunk); {
+		}
+	}, nil, "up, down []"},
+}
+
 func TestConnectionEvents(t *testing.T) {
-	written, closing := make(chan struct{}), make(chan struct{})
-	for _, c := range []struct {
-		name  string
-		serve func(conn net.Conn, in *bufio.Reader) // after the request has come; nil refuses
-		do    func(*Pool)                           // after the request has been queued
-		want  string
-	}{
-		{"refused", nil, nil, "down []"},
-		{
-			"a response", func(conn net.Conn, _ *bufio.Reader) { send(conn, notHeldResponse) },
-			nil, "up, response 2, down []",
-		},
-		{"malformed", func(conn net.Conn, in *bufio.Reader) {
-			send(conn, "-ERR\r\n")
-			waitForClose(in)
-		}, nil, "up, down []"},
-		{
-			"half a response is none", func(conn net.Conn, _ *bufio.Reader) { send(conn, halfResponse) },
-			nil, "up, down []",
-		},
-		{"a response that stalls closes its connection soon", func(conn net.Conn, in *bufio.Reader) {
-			send(conn, halfResponse)
-			waitForClose(in)
-		}, nil, "up, down []"},
-		{"a response in small pieces is complete", func(conn net.Conn, _ *bufio.Reader) {
-			for piece := range strings.SplitAfterSeq(notHeldResponse, "\n") {
-				send(conn, piece)
-				time.Sleep(stallTimeout / 6)
-			}
-		}, nil, "up, response 2, down []"},
-		{"what follows a response may take its time", func(conn net.Conn, _ *bufio.Reader) {
-			send(conn, healthResponse)
-			time.Sleep(stallTimeout + stallTimeout/2)
-			send(conn, notHeldResponse)
-		}, nil, "up, response 2, down []"},
-		{"a response that claims 3 GB", func(conn net.Conn, _ *bufio.Reader) {
-			send(conn, hugeResponse)
-			for chunk := strings.Repeat("x", 1<<16); send(conn, chunk); {
-			}
-		}, nil, "up, down []"},
-		{"closed from this side", func(_ net.Conn, in *bufio.Reader) {
+	for _, c := range connectionTests {
+		t.Run(c.name, c.run)
+	}
+}
+
+func TestConnectionClosedFromThisSide(t *testing.T) {
+	closing := make(chan struct{})
+	connectionTest{
+		serve: func(_ net.Conn, in *bufio.Reader) {
 			close(closing)
 			waitForClose(in)
-		}, func(p *Pool) {
+		},
+		do: func(p *Pool) {
 			<-closing
 			p.Close(router.Close{Connection: 1})
-		}, "up, down []"},
-		{"cancelled after it was written", func(conn net.Conn, in *bufio.Reader) {
+		},
+		want: "up, down []",
+	}.run(t)
+}
+
+func TestWrittenRequestIsAborted(t *testing.T) {
+	written := make(chan struct{})
+	connectionTest{
+		serve: func(conn net.Conn, in *bufio.Reader) {
 			close(written)
 			abort := readCommand(in)
 			if len(abort) == 2 {
 				send(conn, fmt.Sprintf("*4\r\n$1\r\n0\r\n$%d\r\n%s\r\n$1\r\n-\r\n$0\r\n\r\n", len(abort[0]), abort[0]))
 			}
-		}, func(p *Pool) {
+		},
+		do: func(p *Pool) {
 			<-written
 			p.CancelAttempt(router.CancelAttempt{Connection: 1, ID: "00000000000000aa"})
-		}, "up, response 6, down []"},
-	} {
-		t.Run(c.name, func(t *testing.T) {
-			var address string
-			if c.serve != nil {
-				address = startEndpoint(t, func(conn net.Conn, in *bufio.Reader) {
-					if readCommand(in) != nil {
-						c.serve(conn, in)
-					}
-				})
-			} else {
-				listener := listen(t)
-				address = listener.Addr().String()
-				closeTest(t, listener)
-			}
-			begun := time.Now()
-			p := newTestPool(t, Config{})
-			p.dialEndpoint(address)
-			var got []string
-			for isDown := false; !isDown; {
-				switch event := p.next(t).(type) {
-				case router.ConnectionUp:
-					got = append(got, "up")
-					p.Send(requestWithin("00000000000000aa", waitLimit))
-					if c.do != nil {
-						c.do(p.Pool)
-					}
-				case router.ResponseReceived:
-					got = append(got, fmt.Sprint("response ", int(event.Result)))
-				case router.ConnectionDown:
-					got = append(got, fmt.Sprint("down ", event.Unsent))
-					isDown = true
-				}
-			}
-			p.Wait()
-			if got := strings.Join(got, ", "); got != c.want || time.Since(begun) > 3*time.Second {
-				t.Errorf("%s after %v, want %s", got, time.Since(begun), c.want)
+		},
+		want: "up, response 6, down []",
+	}.run(t)
+}
+
+// run sends a request as soon as its connection is up, and compares the events with those wanted.
+func (c connectionTest) run(t *testing.T) {
+	address := c.listen(t)
+	begun := time.Now()
+	p := newTestPool(t, Config{})
+	p.dialEndpoint(address)
+	var got []string
+	for isDown := false; !isDown; {
+		switch event := p.next(t).(type) {
+		case router.ConnectionUp:
+			got = append(got, "up")
+			p.Send(requestWithin("00000000000000aa", waitLimit))
+			if c.do != nil {
+				c.do(p.Pool)
 			}
-		})
+		case router.ResponseReceived:
+			got = append(got, fmt.Sprint("response ", int(event.Result)))
+		case router.ConnectionDown:
+			got = append(got, fmt.Sprint("down ", event.Unsent))
+			isDown = true
+		}
 	}
+	p.Wait()
+	if got := strings.Join(got, ", "); got != c.want || time.Since(begun) > 3*time.Second {
+		t.Errorf("%s after %v, want %s", got, time.Since(begun), c.want)
+	}
+}
+
+// listen returns the address of the endpoint, at which nobody listens if connections are to be refused.
+func (c connectionTest) listen(t *testing.T) string {
+	t.Helper()
+	if c.serve == nil {
+		listener := listen(t)
+		closeTest(t, listener)
+		return listener.Addr().String()
+	}
+	return startEndpoint(t, func(conn net.Conn, in *bufio.Reader) {
+		if readCommand(in) != nil {
+			c.serve(conn, in)
+		}
+	})
 }
 
 // A response that trickles without end closes its connection when it had to be complete.
--- a/internal/upstream/decode_test.go
+++ b/internal/upstream/decode_test.go
@@ -18,86 +18,93 @@
 	return words
 }
 
-func TestDecodeResponse(t *testing.T) {
-	const (
-		proof  = "entity=4be0c1927d55a6f3,issued=1764576000123"
-		issued = int64(1764576000123e6)
-	)
-	type response = router.ResponseReceived
-	unusable := response{ID: "i", Result: control.ServerError}
-	for _, c := range []struct {
-		name, in string // words separated by |
-		want     response
-		field    string // that cannot be used; empty: all can
-	}{
-		{
-			"served", "i|served|" + proof + ",detail=TCP_MISS,delay=12.5,use=inflight:7;x0:0.61|bytes",
-			response{
-				ID: "i", Result: control.Succeeded, IssuedAt: issued, Body: []byte("bytes"), Note: 2,
-				TimeToFirstByte: 125e5, LoadReport: []float64{7, 0, 0.61},
-			},
-			"",
-		},
-		{
-			"a load report in the wire's words", "i|crashed|use=outstanding:11.128;x1:0.736|",
-			response{ID: "i", Result: control.ServerError, LoadReport: []float64{11.128, 0.736, 0}},
-			"",
-		},
-		{
-			"not modified", "i|still_good|" + proof + ",detail=TCP_HIT|",
-			response{
-				ID: "i", Result: control.Succeeded, IssuedAt: issued, NotModified: true, Body: []byte{}, Note: 1,
-			},
-			"",
-		},
-		{"a miss", "i|not_here|detail=PEER_MISS|", response{ID: "i", Result: control.NotCached, Note: 8}, ""},
-		{"overloaded", "i|overload|-|", response{ID: "i", Result: control.Overloaded}, ""},
-		{"an error", "i|crashed|-|", unusable, ""},
-		{"over already", "i|nobody|-|", response{ID: "i", Result: control.NotSent}, ""},
-		{
-			"odd notes and reports say nothing", "i|served|" + proof + ",detail=ODD,delay=long,use=??|b",
-			response{
-				ID: "i", Result: control.Succeeded, IssuedAt: issued, Body: []byte("b"),
-				LoadReport: []float64{0, 0, 0},
-			},
-			"",
-		},
-		{
-			"a delay out of range says nothing", "i|not_here|delay=1e9|", response{ID: "i", Result: control.NotCached}, "",
-		},
-		{"no age", "i|served|entity=4be0c1927d55a6f3|b", unusable, "issued"},
-		{"an odd age", "i|served|entity=4be0c1927d55a6f3,issued=soon|b", unusable, "issued"},
-		{"an age of 0", "i|served|entity=4be0c1927d55a6f3,issued=0|b", unusable, "issued"},
-		{"a negative age", "i|served|entity=4be0c1927d55a6f3,issued=-1|b", unusable, "issued"},
-		{
-			"an age of the far future", "i|served|entity=4be0c1927d55a6f3,issued=9223372036854775807|b",
-			response{ID: "i", Result: control.Succeeded, IssuedAt: math.MaxInt64, Body: []byte("b")},
-			"",
+// Parts of the responses of decodeResponseTests.
+const (
+	versionFields = "entity=4be0c1927d55a6f3,issued=1764576000123"
+	issued        = int64(1764576000123e6)
+)
+
+type response = router.ResponseReceived
+
+// unusable is a response with a field that cannot be used.
+var unusable = response{ID: "i", Result: control.ServerError}
+
+var decodeResponseTests = []struct {
+	name, in string // words separated by |
+	want     response
+	field    string // that cannot be used; empty: all can
+}{
+	{
+		"served", "i|served|" + versionFields + ",detail=TCP_MISS,delay=12.5,use=inflight:7;x0:0.61|bytes",
+		response{
+			ID: "i", Result: control.Succeeded, IssuedAt: issued, Body: []byte("bytes"), Note: 2,
+			TimeToFirstByte: 125e5, LoadReport: []float64{7, 0, 0.61},
 		},
-		{
-			"an age beyond all numbers", "i|served|entity=4be0c1927d55a6f3,issued=9223372036854775808|b",
-			unusable, "issued",
+		"",
+	},
+	{
+		"a load report in the wire's words", "i|crashed|use=outstanding:11.128;x1:0.736|",
+		response{ID: "i", Result: control.ServerError, LoadReport: []float64{11.128, 0.736, 0}},
+		"",
+	},
+	{
+		"not modified", "i|still_good|" + versionFields + ",detail=TCP_HIT|",
+		response{
+			ID: "i", Result: control.Succeeded, IssuedAt: issued, NotModified: true, Body: []byte{}, Note: 1,
 		},
-		{"no entity tag", "i|served|issued=1764576000123|b", unusable, "entity"},
-		{
-			"neither: whoever knows the class decides", "i|served|detail=TCP_MISS_ROOT|done",
-			response{ID: "i", Result: control.ServerError, Unversioned: true, Body: []byte("done"), Note: 3},
-			"",
+		"",
+	},
+	{"a miss", "i|not_here|detail=PEER_MISS|", response{ID: "i", Result: control.NotCached, Note: 8}, ""},
+	{"overloaded", "i|overload|-|", response{ID: "i", Result: control.Overloaded}, ""},
+	{"an error", "i|crashed|-|", unusable, ""},
+	{"over already", "i|nobody|-|", response{ID: "i", Result: control.NotSent}, ""},
+	{
+		"odd notes and reports say nothing", "i|served|" + versionFields + ",detail=ODD,delay=long,use=??|b",
+		response{
+			ID: "i", Result: control.Succeeded, IssuedAt: issued, Body: []byte("b"),
+			LoadReport: []float64{0, 0, 0},
 		},
-		{"neither, and not modified", "i|still_good|detail=TCP_HIT|", unusable, "issued"},
-		{"an unknown word", "i|maybe|" + proof + "|b", unusable, "result"},
-		{"words missing", "i|served", unusable, "number of words"},
-	} {
+		"",
+	},
+	{
+		"a delay out of range says nothing", "i|not_here|delay=1e9|", response{ID: "i", Result: control.NotCached}, "",
+	},
+	{"no age", "i|served|entity=4be0c1927d55a6f3|b", unusable, "issued"},
+	{"an odd age", "i|served|entity=4be0c1927d55a6f3,issued=soon|b", unusable, "issued"},
+	{"an age of 0", "i|served|entity=4be0c1927d55a6f3,issued=0|b", unusable, "issued"},
+	{"a negative age", "i|served|entity=4be0c1927d55a6f3,issued=-1|b", unusable, "issued"},
+	{
+		"an age of the far future", "i|served|entity=4be0c1927d55a6f3,issued=9223372036854775807|b",
+		response{ID: "i", Result: control.Succeeded, IssuedAt: math.MaxInt64, Body: []byte("b")},
+		"",
+	},
+	{
+		"an age beyond all numbers", "i|served|entity=4be0c1927d55a6f3,issued=9223372036854775808|b",
+		unusable, "issued",
+	},
+	{"no entity tag", "i|served|issued=1764576000123|b", unusable, "entity"},
+	{
+		"neither: whoever knows the class decides", "i|served|detail=TCP_MISS_ROOT|done",
+		response{ID: "i", Result: control.ServerError, Unversioned: true, Body: []byte("done"), Note: 3},
+		"",
+	},
+	{"neither, and not modified", "i|still_good|detail=TCP_HIT|", unusable, "issued"},
+	{"an unknown word", "i|maybe|" + versionFields + "|b", unusable, "result"},
+	{"words missing", "i|served", unusable, "number of words"},
+}
+
+func TestDecodeResponse(t *testing.T) {
+	for _, c := range decodeResponseTests {
 		t.Run(c.name, func(t *testing.T) {
 			got, err := decodeResponse(wordsOf(c.in), []string{"inHand", "x1", "x0"})
 			if !reflect.DeepEqual(got, c.want) {
 				t.Errorf("%+v\nwant %+v", got, c.want)
 			}
-			fieldErr, unusable := errors.AsType[*FieldError](err)
-			if unusable != (c.field != "") || unusable && fieldErr.Field != c.field || err != nil && !unusable {
+			fieldErr, ok := errors.AsType[*FieldError](err)
+			if ok != (c.field != "") || ok && fieldErr.Field != c.field || err != nil && !ok {
 				t.Errorf("error %v, want one of field %q", err, c.field)
 			}
-			if unusable && !strings.Contains(err.Error(), c.field) {
+			if ok && !strings.Contains(err.Error(), c.field) {
 				t.Errorf("error %q does not name %s", err, c.field)
 			}
 		})
