--- a/internal/lifecycle/restore/restore_test.go
+++ b/internal/lifecycle/restore/restore_test.go
@@ -21,14 +21,29 @@
 	}{
 		{"a moment ago", header(FormatVersion, "n1", 7, now-second), All, 0, ""},
 		{"a minute ago", header(FormatVersion, "n1", 7, now-maxRateAge), All, 0, ""},
-		{"over a minute ago", header(FormatVersion, "n1", 7, now-maxRateAge-1), WithoutRates, Old, "it is 60 s old"},
-		{"yesterday", header(FormatVersion, "n1", 7, now-maxAge-1), None, Old, "it is 3600 s old"},
+		{
+			"over a minute ago", header(FormatVersion, "n1", 7, now-maxRateAge-1),
+			WithoutRates, Old, "it is 60 s old",
+		},
+		{"over an hour ago", header(FormatVersion, "n1", 7, now-maxAge-1), None, Old, "it is 3600 s old"},
 		{"another router's", header(FormatVersion, "n2", 7, now), None, OtherRouter, `it is router "n2"'s`},
-		{"under other settings", header(FormatVersion, "n1", 8, now), None, OtherSettings, "it was learned under other settings"},
-		{"from a newer program", header(FormatVersion+1, "n1", 7, now), None, OtherVersion, "it is of version 2, this program reads 1"},
-		{"from an older program", header(FormatVersion-1, "n1", 7, now), None, OtherVersion, "it is of version 0, before this program's 1"},
+		{
+			"under other settings", header(FormatVersion, "n1", 8, now),
+			None, OtherSettings, "it was learned under other settings",
+		},
+		{
+			"from a newer program", header(FormatVersion+1, "n1", 7, now),
+			None, OtherVersion, "it is of version 2, this program reads 1",
+		},
+		{
+			"from an older program", header(FormatVersion-1, "n1", 7, now),
+			None, OtherVersion, "it is of version 0, before this program's 1",
+		},
 		{"the clock was set back a little", header(FormatVersion, "n1", 7, now+second), All, 0, ""},
-		{"the clock was set back an hour", header(FormatVersion, "n1", 7, now+3600*second), None, InFuture, "it is of 3600 s in the future"},
+		{
+			"the clock was set back an hour", header(FormatVersion, "n1", 7, now+3600*second),
+			None, InFuture, "it is of 3600 s in the future",
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			scope, err := Assess(now, own, test.stored)
@@ -39,8 +54,11 @@
 				return
 			}
 			var limit *LimitError
-			if !errors.As(err, &limit) || limit.Reason != test.reason || limit.Stored != test.stored || err.Error() != test.text {
-				t.Errorf("%v: %q, want %v: %q", limit.Reason, err, test.reason, test.text)
+			if !errors.As(err, &limit) || limit.Reason != test.reason || limit.Stored != test.stored {
+				t.Fatalf("%+v, want reason %v", err, test.reason)
+			}
+			if err.Error() != test.text {
+				t.Errorf("%q, want %q", err, test.text)
 			}
 		})
 	}
@@ -58,7 +76,7 @@
 		{"a comment first", func(c *ListConfirmation) Outcome { return c.ObserveComment() }, Denied},
 		{"once only", func(c *ListConfirmation) Outcome { c.ObserveEvent(5, 9); return c.ObserveEvent(5, 9) }, Pending},
 		{"a comment later", func(c *ListConfirmation) Outcome { c.ObserveEvent(5, 9); return c.ObserveComment() }, Pending},
-		{"nothing is kept", func(*ListConfirmation) Outcome { return (*ListConfirmation)(nil).ObserveEvent(5, 9) }, Pending},
+		{"without a list", func(*ListConfirmation) Outcome { return (*ListConfirmation)(nil).ObserveEvent(5, 9) }, Pending},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			confirmation := &ListConfirmation{Position: 5, Digest: 9}
@@ -72,7 +90,7 @@
 	}
 }
 
-// The words of Scope stand in log lines that docs/oncall.md names.
+// The names of scopes are fields of log lines that docs/oncall.md explains.
 func TestNames(t *testing.T) {
 	got := fmt.Sprint(None, WithoutRates, All, Scope(9), Pending, Confirmed, Denied, Outcome(9),
 		OtherVersion, OtherRouter, OtherSettings, InFuture, Old, &LimitError{Reason: 9})
--- a/internal/lifecycle/shutdown/shutdown_test.go
+++ b/internal/lifecycle/shutdown/shutdown_test.go
@@ -11,37 +11,37 @@
 func TestNext(t *testing.T) {
 	done, open := State{Flushed: true}, State{Flushed: true, OpenConnections: 2}
 	for _, test := range []struct {
-		name    string
-		longest time.Duration
-		at      int64 // ms after the start
-		state   State
-		want    Step
+		name        string
+		maxDeadline time.Duration // of the clients
+		at          int64         // ms after the start
+		state       State
+		want        Step
 	}{
 		{"requests may still come", time.Second, 700, done, Serve},
 		{"all done", time.Second, 701, done, Exit},
-		{"connections rest", time.Second, 701, open, CloseIdle},
-		{"in hand", time.Second, 1300, State{InFlight: 1, Flushed: true}, CloseIdle},
-		{"come and not seen to", time.Second, 1300, State{QueuedEvents: 1, Flushed: true}, CloseIdle},
-		{"not written", time.Second, 1599, State{}, CloseIdle},
+		{"idle connections are open", time.Second, 701, open, CloseIdle},
+		{"a request in flight", time.Second, 1300, State{InFlight: 1, Flushed: true}, CloseIdle},
+		{"an event not handled", time.Second, 1300, State{QueuedEvents: 1, Flushed: true}, CloseIdle},
+		{"a response not written", time.Second, 1599, State{}, CloseIdle},
 		{"not written in time", time.Second, 1600, State{}, Exit},
-		{"in hand at the end", time.Second, 1600, State{InFlight: 1}, Exit},
+		{"a request in flight at the end", time.Second, 1600, State{InFlight: 1}, Exit},
 		{"a connection that never ends, at the end", time.Second, 1600, open, Exit},
-		{"a longer wait than the platform leaves", time.Minute, 3599, State{}, CloseIdle},
+		{"a deadline longer than the platform allows", time.Minute, 3599, State{}, CloseIdle},
 		{"and its end", time.Minute, 3600, State{}, Exit},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := New(5*ms, test.longest).Next((5+test.at)*ms, test.state); got != test.want {
+			if got := New(5*ms, test.maxDeadline).Next((5+test.at)*ms, test.state); got != test.want {
 				t.Errorf("%v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// Who is told that its connection ends has a moment to see it, counted from when nothing is owed to anybody;
-// who never does holds nobody up.
-func TestClientsHaveAMomentToSeeTheEnd(t *testing.T) {
+// Clients have maxCloseWait to close their half-closed connections, from when all requests are answered. The process
+// does not wait longer for one that never does.
+func TestClientsHaveTimeToCloseTheirConnections(t *testing.T) {
 	plan := New(0, 5*time.Second)
-	open, owed := State{Flushed: true, OpenConnections: 1}, State{InFlight: 1, OpenConnections: 2}
+	open, unanswered := State{Flushed: true, OpenConnections: 1}, State{InFlight: 1, OpenConnections: 2}
 	for _, test := range []struct {
 		at    int64
 		state State
@@ -49,7 +49,7 @@
 	}{
 		{600, open, Serve},
 		{800, open, CloseIdle},
-		{900, owed, CloseIdle},
+		{900, unanswered, CloseIdle},
 		{2000, open, CloseIdle},
 		{2249, open, CloseIdle},
 		{2250, open, Exit},
@@ -61,27 +61,28 @@
 	}
 }
 
-// The last answers were given in the step that ended the process: whatever clients may wait, there is time to
-// write them, and all is over before the platform kills.
+// Whatever the deadlines of the clients, there is time to write the last answers, and the process exits before the
+// platform kills it.
 func TestLastAnswersHaveTimeToBeWritten(t *testing.T) {
-	for longest := time.Duration(0); longest < 10*time.Second; longest += 50 * time.Millisecond {
-		plan := New(0, longest)
+	for deadline := time.Duration(0); deadline < 10*time.Second; deadline += 50 * time.Millisecond {
+		plan := New(0, deadline)
 		if plan.Next(plan.AnswerDeadline()+200*ms, State{}) == Exit {
-			t.Fatalf("longest %v: over 200 ms after the last answer", longest)
+			t.Fatalf("deadline %v: exits 200 ms after the last answer", deadline)
 		}
-		if kill := int64(min(longest, 3*time.Second) + 700*time.Millisecond); plan.Next(kill-50*ms, State{InFlight: 1}) != Exit {
-			t.Fatalf("longest %v: not over 50 ms before it is killed", longest)
+		killedAt := int64(min(deadline, 3*time.Second) + 700*time.Millisecond)
+		if plan.Next(killedAt-50*ms, State{InFlight: 1}) != Exit {
+			t.Fatalf("deadline %v: has not exited 50 ms before it is killed", deadline)
 		}
 	}
 }
 
-// A slow disk is waited for until the last answers could be written, and the process is gone before it is
-// killed.
+// The process waits for a slow disk at least until the last answer is due, and exits before it is killed.
 func TestDiskDeadline(t *testing.T) {
-	for _, longest := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, time.Minute} {
-		plan := New(5*ms, longest)
-		if by := plan.DiskDeadline(); by < plan.AnswerDeadline() || by > 5*ms+int64(min(longest, 3*time.Second)+500*time.Millisecond) {
-			t.Errorf("%v: %d ms after the start", longest, (by-5*ms)/ms)
+	for _, deadline := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, time.Minute} {
+		plan := New(5*ms, deadline)
+		latest := 5*ms + int64(min(deadline, 3*time.Second)+500*time.Millisecond)
+		if got := plan.DiskDeadline(); got < plan.AnswerDeadline() || got > latest {
+			t.Errorf("%v: %d ms after the start", deadline, (got-5*ms)/ms)
 		}
 	}
 }
--- a/internal/lifecycle/startup/listfilter_test.go
+++ b/internal/lifecycle/startup/listfilter_test.go
@@ -5,42 +5,85 @@
 	"testing"
 )
 
-func TestListFilter(t *testing.T) {
-	whole := func(position, generation int64, members, ready int) ListSummary {
-		return ListSummary{
-			Position: position, Generation: generation, Complete: true, Endpoints: members, ReadyEndpoints: ready,
-			Digest: uint64(members)<<32 | uint64(ready),
-		}
+// completeList is the summary of a complete endpoint list. Lists with the same numbers have the same content.
+func completeList(position, generation int64, endpoints, ready int) ListSummary {
+	return ListSummary{
+		Position:       position,
+		Generation:     generation,
+		Complete:       true,
+		Endpoints:      endpoints,
+		ReadyEndpoints: ready,
+		Digest:         uint64(endpoints)<<32 | uint64(ready),
 	}
+}
+
+func TestListFilter(t *testing.T) {
+	list := completeList
+	change := ListSummary{Position: 8, Endpoints: 1}
 	for _, test := range []struct {
-		name string
-		told []ListSummary
-		at   []int64
-		want string
+		name  string
+		lists []ListSummary
+		at    []int64 // ns after the start; nil: one after the other
+		want  string
 	}{
-		{"the first is used, whatever it says", []ListSummary{whole(1, 1, 0, 0)}, nil, "[accept]"},
-		{"nobody", []ListSummary{whole(1, 1, 8, 8), whole(5, 2, 0, 0), whole(5, 2, 0, 0)}, nil, "[accept unconfirmed accept]"},
-		{"nobody ready", []ListSummary{whole(1, 1, 8, 8), whole(5, 2, 8, 0)}, nil, "[accept unconfirmed]"},
-		{"a third", []ListSummary{whole(1, 1, 9, 9), whole(5, 2, 3, 3), whole(5, 2, 9, 9)}, nil, "[accept unconfirmed accept]"},
-		{"half", []ListSummary{whole(1, 1, 8, 8), whole(5, 2, 4, 4)}, nil, "[accept accept]"},
-		{"few were there", []ListSummary{whole(1, 1, 3, 3), whole(5, 2, 1, 1)}, nil, "[accept accept]"},
-		{"confirmed too late", []ListSummary{whole(1, 1, 8, 8), whole(5, 2, 2, 2), whole(5, 2, 2, 2)}, []int64{0, 1, 6 * second}, "[accept unconfirmed unconfirmed]"},
-		{"doubted twice with another content", []ListSummary{whole(1, 1, 8, 8), whole(5, 2, 2, 2), whole(6, 2, 3, 3)}, nil, "[accept unconfirmed unconfirmed]"},
-		{"older", []ListSummary{whole(7, 3, 8, 8), whole(5, 2, 8, 8)}, nil, "[accept stale]"},
-		{"the same again", []ListSummary{whole(7, 3, 8, 8), whole(7, 3, 8, 8)}, nil, "[accept stale]"},
-		{"changes behind it", []ListSummary{whole(7, 3, 8, 8), {Position: 8, Endpoints: 1}, {Position: 8, Endpoints: 1}}, nil, "[accept accept stale]"},
-		{"a service that counts anew", []ListSummary{whole(7, 3, 8, 8), whole(1, 4, 8, 8), {Position: 2, Endpoints: 1}}, nil, "[accept accept accept]"},
-		{"one that counts anew and is behind", []ListSummary{whole(7, 3, 8, 8), whole(1, 3, 8, 8)}, nil, "[accept stale]"},
+		{"the first is accepted, whatever it says", []ListSummary{list(1, 1, 0, 0)}, nil, "[accept]"},
+		{
+			"no endpoints",
+			[]ListSummary{list(1, 1, 8, 8), list(5, 2, 0, 0), list(5, 2, 0, 0)},
+			nil,
+			"[accept unconfirmed accept]",
+		},
+		{"none ready", []ListSummary{list(1, 1, 8, 8), list(5, 2, 8, 0)}, nil, "[accept unconfirmed]"},
+		{
+			"a third",
+			[]ListSummary{list(1, 1, 9, 9), list(5, 2, 3, 3), list(5, 2, 9, 9)},
+			nil,
+			"[accept unconfirmed accept]",
+		},
+		{"half", []ListSummary{list(1, 1, 8, 8), list(5, 2, 4, 4)}, nil, "[accept accept]"},
+		{"a third of few", []ListSummary{list(1, 1, 3, 3), list(5, 2, 1, 1)}, nil, "[accept accept]"},
+		{
+			"confirmed too late",
+			[]ListSummary{list(1, 1, 8, 8), list(5, 2, 2, 2), list(5, 2, 2, 2)},
+			[]int64{0, 1, 6 * second},
+			"[accept unconfirmed unconfirmed]",
+		},
+		{
+			"unconfirmed twice, with different content",
+			[]ListSummary{list(1, 1, 8, 8), list(5, 2, 2, 2), list(6, 2, 3, 3)},
+			nil,
+			"[accept unconfirmed unconfirmed]",
+		},
+		{"older", []ListSummary{list(7, 3, 8, 8), list(5, 2, 8, 8)}, nil, "[accept stale]"},
+		{"a repetition", []ListSummary{list(7, 3, 8, 8), list(7, 3, 8, 8)}, nil, "[accept stale]"},
+		{
+			"changes after it, and a repetition of one",
+			[]ListSummary{list(7, 3, 8, 8), change, change},
+			nil,
+			"[accept accept stale]",
+		},
+		{
+			"a service that numbers its events anew",
+			[]ListSummary{list(7, 3, 8, 8), list(1, 4, 8, 8), {Position: 2, Endpoints: 1}},
+			nil,
+			"[accept accept accept]",
+		},
+		{
+			"one that numbers anew, with an older list",
+			[]ListSummary{list(7, 3, 8, 8), list(1, 3, 8, 8)},
+			nil,
+			"[accept stale]",
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			var l ListFilter
+			var filter ListFilter
 			var got []Verdict
-			for i, list := range test.told {
+			for i, list := range test.lists {
 				at := int64(i + 1)
 				if test.at != nil {
 					at = test.at[i] + 1
 				}
-				got = append(got, l.Evaluate(at, list))
+				got = append(got, filter.Evaluate(at, list))
 			}
 			if fmt.Sprint(got) != test.want {
 				t.Errorf("%v, want %s", got, test.want)
--- a/internal/lifecycle/startup/progress_test.go
+++ b/internal/lifecycle/startup/progress_test.go
@@ -7,10 +7,10 @@
 
 func TestPhases(t *testing.T) {
 	progress := NewProgress(0, RateWindow, ReadinessHold{})
-	step := func(now int64, want Phase, another bool) {
+	step := func(now int64, want Phase, wantChanged bool) {
 		t.Helper()
-		if p, a := progress.Update(now); p != want || a != another {
-			t.Errorf("at %d ms: %v, %v; want %v, %v", now/millisecond, p, a, want, another)
+		if phase, changed := progress.Update(now); phase != want || changed != wantChanged {
+			t.Errorf("at %d ms: %v, %v; want %v, %v", now/millisecond, phase, changed, want, wantChanged)
 		}
 	}
 	step(0, NoList, false)
@@ -36,7 +36,7 @@
 	}
 }
 
-// The words of phases and results stand in log lines that docs/oncall.md names.
+// The names of phases and results are fields of log lines that docs/oncall.md explains.
 func TestNames(t *testing.T) {
 	got := fmt.Sprint(NoList, ListKnown, WarmingUp, Warm, Phase(9), Accept, Unconfirmed, Stale, Verdict(9),
 		Refused, Unreachable, Unanswered, Disconnected, Silent, Truncated, LocalError, CallResult(9))
--- a/internal/lifecycle/startup/readiness_test.go
+++ b/internal/lifecycle/startup/readiness_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// With a hold the first calls of all come at the operator's rate, each early enough to be answered before it
-// ends.
+// With a hold the first calls of all routers come at the operator's rate, each early enough to be answered before
+// the hold ends.
 func TestReadinessHold(t *testing.T) {
 	for _, test := range []struct {
 		routers int
@@ -49,9 +49,9 @@
 	progress := NewProgress(0, RateWindow, ReadinessHold{100, 4 * second})
 	progress.ListReceived()
 	if progress.Ready(3*second) || !progress.Ready(4*second) {
-		t.Error("health is held back for the hold, and no longer")
+		t.Error("not ready exactly from the end of the hold")
 	}
 	if progress.ServiceReached(second); !progress.Ready(second) {
-		t.Error("health is held back though the service was heard")
+		t.Error("not ready though the service has answered")
 	}
 }
