--- a/control/age_test.go
+++ b/control/age_test.go
@@ -21,19 +21,25 @@
 		{"never purged and without a fresh duration: any age", 100, 0, 0, 0, 0},
 		{"purged and without a fresh duration", 100, 2, 0, 20, math.Sqrt(2 * 0.1 / (2. / 20 * 20))},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, nil)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, nil)
 			now := start + 20*second
-			record := &objectRecord{requestCount: c.count, countedAt: now, firstSeenAt: now - c.age*second, purgeCount: c.purges}
-			state := requestState{class: &classState{ClassSettings: ClassSettings{FreshDuration: c.fresh}}, record: record}
-			r.updateMaxAge(now, &Request{SizeKB: 0.1 / missedUpdatesPerKB, requestState: state})
+			record := &objectRecord{
+				requestCount: test.count,
+				countedAt:    now,
+				firstSeenAt:  now - test.age*second,
+				purgeCount:   test.purges,
+			}
+			class := &classState{ClassSettings: ClassSettings{FreshDuration: test.fresh}}
+			state := requestState{class: class, record: record}
+			router.updateMaxAge(now, &Request{SizeKB: 0.1 / missedUpdatesPerKB, requestState: state})
 			got := float64(record.maxAge) / 1e9
 			if record.maxAge == forever {
 				got = 0
 			}
-			if math.Abs(got-c.want) > 1e-6 {
-				t.Errorf("age %v, want %v", got, c.want)
+			if math.Abs(got-test.want) > 1e-6 {
+				t.Errorf("age %v, want %v", got, test.want)
 			}
 			if until := now + record.maxAge; record.maxAge < forever && record.maxAgeUntil != until {
 				t.Errorf("valid until %v, want %v", record.maxAgeUntil, until)
@@ -58,35 +64,35 @@
 		{"another object", "stamped", "b", 0, second, 0},
 		{"expired when all have dropped older entries", "stamped", "a", 0, 8 * second, 0},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, nil)
-			r.Purge(start+c.received, c.object, 1, start)
-			now := start + c.requested
-			r.Tick(now)
-			age := r.Decide(now, newRequest(c.class, "a")).Attempt.MaxAge
-			if c.maxAge > 0 && (age <= 0 || age > c.maxAge) || c.maxAge == 0 && age != 0 {
-				t.Errorf("age %v, want at most %v", age, c.maxAge)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, nil)
+			router.Purge(start+test.received, test.object, 1, start)
+			now := start + test.requested
+			router.Tick(now)
+			age := router.Decide(now, newRequest(test.class, "a")).Attempt.MaxAge
+			if test.maxAge > 0 && (age <= 0 || age > test.maxAge) || test.maxAge == 0 && age != 0 {
+				t.Errorf("age %v, want at most %v", age, test.maxAge)
 			}
 		})
 	}
 }
 
 func TestCachePriorityOfReusedObjects(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		routers int
 		between int64 // seconds
 		want    int64 // priority at the second request
 	}{{1, 1, 2}, {1, 30, 1}, {20, 30, 2}} {
-		t.Run(fmt.Sprintf("again after %d s, one of %d routers", c.between, c.routers), func(t *testing.T) {
-			r := newRouter(t, func(s *Settings) { s.LocationRouters = c.routers })
-			for i, want := range []int64{priorityOnce, c.want} {
-				now := start + rateWindow + int64(i)*c.between*second
+		t.Run(fmt.Sprintf("again after %d s, one of %d routers", test.between, test.routers), func(t *testing.T) {
+			router := newRouter(t, func(s *Settings) { s.LocationRouters = test.routers })
+			for i, want := range []int64{priorityOnce, test.want} {
+				now := start + rateWindow + int64(i)*test.between*second
 				request := newRequest("harmless", "a")
-				if got := r.Decide(now, request).Attempt.CachePriority; got != want {
+				if got := router.Decide(now, request).Attempt.CachePriority; got != want {
 					t.Errorf("request %d has priority %d, want %d", i, got, want)
 				}
-				r.AttemptEnded(now, request, Outcome{Result: Succeeded, RequestEnded: true})
+				router.AttemptEnded(now, request, Outcome{Result: Succeeded, RequestEnded: true})
 			}
 		})
 	}
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -28,9 +28,23 @@
 		})
 	}
 	for range max(2, servers/16) {
-		lines = append(lines, Endpoint{ID: nextID(), Location: "hub", Kind: "parent", Cell: -1, Phase: "ready", Capacity: 20})
+		lines = append(lines, Endpoint{
+			ID:       nextID(),
+			Location: "hub",
+			Kind:     "parent",
+			Cell:     -1,
+			Phase:    "ready",
+			Capacity: 20,
+		})
 	}
-	return append(lines, Endpoint{ID: nextID(), Location: "hub", Kind: "origin", Cell: -2, Phase: "ready", Capacity: 20})
+	return append(lines, Endpoint{
+		ID:       nextID(),
+		Location: "hub",
+		Kind:     "origin",
+		Cell:     -2,
+		Phase:    "ready",
+		Capacity: 20,
+	})
 }
 
 // benchmarkRouter makes a router with a full fleet.
@@ -40,10 +54,10 @@
 	if change != nil {
 		change(&settings)
 	}
-	r := New(start, 7, settings, func(logevent.Event) {})
+	router := New(start, 7, settings, func(logevent.Event) {})
 	lines := benchmarkFleet(servers)
-	r.UpdateEndpoints(start, lines, true)
-	return r, lines
+	router.UpdateEndpoints(start, lines, true)
+	return router, lines
 }
 
 // benchmarkDecisions measures Decide and AttemptEnded of one request. The clock moves by a tenth of a second a
@@ -55,21 +69,21 @@
 	}
 	for _, servers := range benchmarkSizes {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
-			r, _ := benchmarkRouter(b, servers, change)
+			router, _ := benchmarkRouter(b, servers, change)
 			now := start
 			for i := range inFlight(servers) {
 				other := template
 				other.Object, other.Deadline = objects[i%len(objects)], forever
-				r.Decide(now, &other)
+				router.Decide(now, &other)
 			}
 			decide := func(i int) {
 				now += second / 10
 				request := template
 				request.Object, request.Deadline = objects[i%len(objects)], now+5*second
-				if decision := r.Decide(now, &request); decision.Verdict != Send {
+				if decision := router.Decide(now, &request); decision.Verdict != Send {
 					b.Fatalf("request %d: %+v", i, decision)
 				}
-				r.AttemptEnded(now+second/20, &request, benchmarkAnswer)
+				router.AttemptEnded(now+second/20, &request, benchmarkAnswer)
 			}
 			for i := range benchmarkWarmUp {
 				decide(i)
@@ -110,21 +124,26 @@
 func BenchmarkDecisionFewReachable(b *testing.B) {
 	for _, servers := range benchmarkSizes {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
-			r, lines := benchmarkRouter(b, servers, nil)
+			router, lines := benchmarkRouter(b, servers, nil)
 			reachable := map[uint32]bool{}
 			for i, line := range lines {
 				reachable[line.ID] = i%64 == 0 || line.Kind != "cache"
 			}
-			r.Reachable = func(id uint32) bool { return reachable[id] }
+			router.Reachable = func(id uint32) bool { return reachable[id] }
 			now := start
 			b.ReportAllocs()
 			for i := range b.N {
 				now += second / 10
-				request := &Request{Class: "harmless", Object: fmt.Sprint(i % benchmarkObjects), Group: 1, Deadline: now + 5*second}
-				if decision := r.Decide(now, request); decision.Verdict != Send {
+				request := &Request{
+					Class:    "harmless",
+					Object:   fmt.Sprint(i % benchmarkObjects),
+					Group:    1,
+					Deadline: now + 5*second,
+				}
+				if decision := router.Decide(now, request); decision.Verdict != Send {
 					b.Fatalf("request %d: %+v", i, decision)
 				}
-				r.AttemptEnded(now+second/20, request, benchmarkAnswer)
+				router.AttemptEnded(now+second/20, request, benchmarkAnswer)
 			}
 		})
 	}
@@ -134,21 +153,26 @@
 func BenchmarkDecisionRecovering(b *testing.B) {
 	for _, servers := range benchmarkSizes {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
-			r, lines := benchmarkRouter(b, servers, func(s *Settings) { s.Routers, s.LocationRouters = 300, 300 })
+			router, lines := benchmarkRouter(b, servers, func(s *Settings) { s.Routers, s.LocationRouters = 300, 300 })
 			now := start + 100*second
 			for i := range lines {
 				lines[i].StartedAt = now
 			}
-			r.UpdateEndpoints(now, lines, true)
+			router.UpdateEndpoints(now, lines, true)
 			b.ReportAllocs()
 			for i := range b.N {
 				now += second / 1000
-				request := &Request{Class: "harmless", Object: fmt.Sprint(i % benchmarkObjects), Group: 1, Deadline: now + 5*second}
-				switch d := r.Decide(now, request); d.Verdict {
+				request := &Request{
+					Class:    "harmless",
+					Object:   fmt.Sprint(i % benchmarkObjects),
+					Group:    1,
+					Deadline: now + 5*second,
+				}
+				switch d := router.Decide(now, request); d.Verdict {
 				case Send:
-					r.AttemptEnded(now, request, benchmarkAnswer)
+					router.AttemptEnded(now, request, benchmarkAnswer)
 				case Wait:
-					r.ClientGone(now, request)
+					router.ClientGone(now, request)
 				}
 			}
 		})
@@ -159,12 +183,12 @@
 func BenchmarkListEvent(b *testing.B) {
 	for _, servers := range benchmarkSizes {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
-			r, lines := benchmarkRouter(b, servers, nil)
+			router, lines := benchmarkRouter(b, servers, nil)
 			b.ReportAllocs()
 			for i := range b.N {
 				line := lines[i/2%servers : i/2%servers+1]
 				line[0].Phase = []string{"draining", "ready"}[i%2]
-				r.UpdateEndpoints(start, line, false)
+				router.UpdateEndpoints(start, line, false)
 			}
 		})
 	}
@@ -181,22 +205,22 @@
 func benchmarkTicks(b *testing.B, inFlight func(servers int) int) {
 	for _, servers := range benchmarkSizes {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
-			r, _ := benchmarkRouter(b, servers, nil)
+			router, _ := benchmarkRouter(b, servers, nil)
 			now := start
 			for i := range 4 * servers {
 				now += second / 10
 				request := &Request{Class: "harmless", Object: fmt.Sprint(i), Group: 1, Deadline: now + 5*second}
-				r.Decide(now, request)
-				r.AttemptEnded(now+second/20, request, benchmarkAnswer)
+				router.Decide(now, request)
+				router.AttemptEnded(now+second/20, request, benchmarkAnswer)
 			}
 			for i := range inFlight(servers) {
-				r.Decide(now, &Request{Class: "harmless", Object: fmt.Sprint(i), Group: 1, Deadline: forever})
+				router.Decide(now, &Request{Class: "harmless", Object: fmt.Sprint(i), Group: 1, Deadline: forever})
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				now += second / 1000
-				r.Tick(now)
+				router.Tick(now)
 			}
 		})
 	}
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -9,7 +9,7 @@
 
 // runAtConcurrency keeps so many requests in flight for a span, ns, each of which is answered in time. It
 // returns how many requests came, and how many of them were not sent, in the last second.
-func runAtConcurrency(r *Router, from, span int64, concurrency int) (requested, rejected int) {
+func runAtConcurrency(router *Router, from, span int64, concurrency int) (requested, rejected int) {
 	type sent struct {
 		request *Request
 		endsAt  int64
@@ -17,7 +17,7 @@
 	var inFlight []sent
 	for now, n := from, 0; now < from+span; now += second / 100 {
 		for len(inFlight) > 0 && inFlight[0].endsAt <= now {
-			r.AttemptEnded(now, inFlight[0].request, Outcome{
+			router.AttemptEnded(now, inFlight[0].request, Outcome{
 				Result:       Succeeded,
 				Elapsed:      second / 4,
 				SendingTime:  0.2,
@@ -30,12 +30,12 @@
 			n++
 			request := newRequest("harmless", fmt.Sprint(n%40))
 			request.Deadline = now + 5*second
-			decision := r.Decide(now, request)
+			decision := router.Decide(now, request)
 			if now >= from+span-second {
 				requested++
 			}
 			if decision.Verdict != Send {
-				r.ClientGone(now, request) // what waits counts as rejected too
+				router.ClientGone(now, request) // what waits counts as rejected too
 				if now >= from+span-second {
 					rejected++
 				}
@@ -50,25 +50,26 @@
 // Where weights are no capacities, limits follow from what the caches serve. Taken for capacities, weights of
 // one would have half of the traffic rejected.
 func TestMeasuredCapacitiesAdmitTheTraffic(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		units  string
 		weight float64
 	}{{"off", 1}, {"live", 0.2}, {"nominal", 12}, {"rough", 12}} {
-		t.Run(c.units, func(t *testing.T) {
-			r := newRouter(t, func(s *Settings) {
-				s.Weights, s.LocationRouters = decodeWeights(c.units), 1
+		t.Run(test.units, func(t *testing.T) {
+			router := newRouter(t, func(s *Settings) {
+				s.Weights, s.LocationRouters = decodeWeights(test.units), 1
 			})
 			var lines []Endpoint
 			for _, line := range fleet {
-				line.Capacity = c.weight
+				line.Capacity = test.weight
 				lines = append(lines, line)
 			}
-			r.UpdateEndpoints(start, lines, true)
-			requested, rejected := runAtConcurrency(r, start, 4*second, 24) // twelve at each of two caches, which can take them
+			router.UpdateEndpoints(start, lines, true)
+			// twelve at each of two caches, which can take them
+			requested, rejected := runAtConcurrency(router, start, 4*second, 24)
 			if rejected > 0 || requested < 24 {
 				t.Errorf("of %d requests in the fourth second %d rejected", requested, rejected)
 			}
-			requested, rejected = runAtConcurrency(r, start+20*second, 4*second, 24)
+			requested, rejected = runAtConcurrency(router, start+20*second, 4*second, 24)
 			if rejected > 0 || requested < 24 {
 				t.Errorf("later, of %d requests in a second %d rejected", requested, rejected)
 			}
@@ -78,23 +79,24 @@
 
 // A measured capacity follows from what was served: while answers are missing it does not grow without bound.
 func TestMeasuredCapacitiesAreBounded(t *testing.T) {
-	r := newRouter(t, func(s *Settings) { s.Weights, s.LocationRouters = NoWeights, 1 })
+	router := newRouter(t, func(s *Settings) { s.Weights, s.LocationRouters = NoWeights, 1 })
 	var lines []Endpoint
 	for _, line := range fleet {
 		line.Capacity = 1
 		lines = append(lines, line)
 	}
-	r.UpdateEndpoints(start, lines, true)
-	runAtConcurrency(r, start, 20*second, 8)
+	router.UpdateEndpoints(start, lines, true)
+	runAtConcurrency(router, start, 20*second, 8)
 	now := start + 21*second
 	sent := 0
 	for n := range 1000 {
 		request := newRequest("harmless", fmt.Sprint(n%40))
-		if decision := r.Decide(now, request); decision.Verdict == Send {
+		if decision := router.Decide(now, request); decision.Verdict == Send {
 			sent++
 		}
 	}
-	if bound := int(2 * maxAdmissionLimit * maxAdmissionLimit * 4); sent > bound || sent < 8 { // two caches have served four each
+	// two caches have served four each
+	if bound := int(2 * maxAdmissionLimit * maxAdmissionLimit * 4); sent > bound || sent < 8 {
 		t.Errorf("%d sent at once to caches that have served 8, want %d at most", sent, bound)
 	}
 }
@@ -110,24 +112,25 @@
 			var sentAt []int64
 			for n := range routers {
 				settings := site(func(s *Settings) { s.Routers, s.Weights = routers, NoWeights })
-				r := New(start-20*second, uint64(n), settings, func(logevent.Event) {})
+				router := New(start-20*second, uint64(n), settings, func(logevent.Event) {})
 				lines := make([]Endpoint, len(fleet))
 				for i, line := range fleet {
 					lines[i] = line
 					lines[i].Capacity = 1
 				}
 				lines[2].StartedAt = start
-				r.UpdateEndpoints(start, lines, true)
+				router.UpdateEndpoints(start, lines, true)
 				uneven := 0.5 // one router in ten has ten times the traffic of the others
 				if n%10 == 0 {
 					uneven = 5
 				}
-				measured := load * capacity * parents / float64(routers) * uneven / 0.95 * (0.5 + r.random())
-				endpoint := r.endpoints[3]
-				r.slowStartAdmits(start, endpoint, mean)
+				measured := load * capacity * parents / float64(routers) * uneven / 0.95 * (0.5 + router.random())
+				endpoint := router.endpoints[3]
+				router.slowStartAdmits(start, endpoint, mean)
 				for now := start + from + int64(n)*second/20/int64(routers); now < start+16*second; now += second / 20 {
-					r.capacity.byParents.work, r.capacity.byParents.lastAt = measured*float64(rateWindow)/1e9, now
-					if r.slowStartAdmits(now, endpoint, mean) {
+					router.capacity.byParents.work = measured * float64(rateWindow) / 1e9
+					router.capacity.byParents.lastAt = now
+					if router.slowStartAdmits(now, endpoint, mean) {
 						sentAt = append(sentAt, now)
 						endpoint.charge(now, mean)
 					}
@@ -157,7 +160,7 @@
 // While other routers of the location are down this one has their traffic too, and must not scale its own
 // counts up.
 func TestActiveSharers(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		report func(own float64) []float64
 		want   float64
@@ -168,22 +171,26 @@
 		{"more than there are routers", func(own float64) []float64 { return []float64{0, 9 * own} }, 2},
 		{"a report of nothing", func(float64) []float64 { return []float64{0, 0} }, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, func(s *Settings) { s.LoadReportFields = []string{"x1", "inHand"} })
-			r.admission.limits = [3]float64{maxAdmissionLimit, maxAdmissionLimit, maxAdmissionLimit}
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, func(s *Settings) { s.LoadReportFields = []string{"x1", "inHand"} })
+			router.admission.limits = [3]float64{maxAdmissionLimit, maxAdmissionLimit, maxAdmissionLimit}
 			var sent []*Request
 			for n := range 20 {
 				request := newRequest("harmless", fmt.Sprint(n))
-				if decision := r.Decide(start, request); decision.Verdict == Send {
+				if decision := router.Decide(start, request); decision.Verdict == Send {
 					sent = append(sent, request)
 				}
 			}
 			for _, request := range sent {
 				own := float64(len(request.attempts[0].cache.inFlight))
-				r.AttemptEnded(start+second/10, request, Outcome{Result: Succeeded, RequestEnded: true, LoadReport: c.report(own)})
+				router.AttemptEnded(start+second/10, request, Outcome{
+					Result:       Succeeded,
+					RequestEnded: true,
+					LoadReport:   test.report(own),
+				})
 			}
-			if got := r.activeSharers(); math.Abs(got-c.want) > 0.01 {
-				t.Errorf("%d answers: %v, want %v", len(sent), got, c.want)
+			if got := router.activeSharers(); math.Abs(got-test.want) > 0.01 {
+				t.Errorf("%d answers: %v, want %v", len(sent), got, test.want)
 			}
 		})
 	}
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -10,7 +10,7 @@
 // learned.
 func routerOfClasses(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
-	r := newRouter(t, func(s *Settings) {
+	router := newRouter(t, func(s *Settings) {
 		s.Classes[1].Idempotency = Idempotent
 		s.Classes[2].Uncacheable = true
 		setObjectiveStretches(s, 2, 2, 0)
@@ -19,16 +19,16 @@
 		}
 	})
 	for i, sendingTime := range []float64{0.4, 0.02, 0.01} {
-		r.classes[i].sendingTime, r.classes[i].samples = sendingTime, 100
+		router.classes[i].sendingTime, router.classes[i].samples = sendingTime, 100
 	}
-	return r
+	return router
 }
 
 // sendUntilFull decides on requests of a class for new objects until one is not sent, and returns how many
 // were.
-func sendUntilFull(r *Router, now int64, class string) (sent int) {
+func sendUntilFull(router *Router, now int64, class string) (sent int) {
 	for ; sent < 1000; sent++ {
-		if r.Decide(now, newRequest(class, fmt.Sprint(class, now, sent))).Verdict != Send {
+		if router.Decide(now, newRequest(class, fmt.Sprint(class, now, sent))).Verdict != Send {
 			break
 		}
 	}
@@ -37,23 +37,23 @@
 
 // Writes hardly use what the limit for fills protects, and are admitted when it is reached.
 func TestWritesAreNotLimitedAsFills(t *testing.T) {
-	r := routerOfClasses(t, nil)
-	r.admission.limits[fills] = 0.4
-	if n := sendUntilFull(r, start, "harmless") + sendUntilFull(r, start, "stamped"); n == 0 || n >= 1000 {
+	router := routerOfClasses(t, nil)
+	router.admission.limits[fills] = 0.4
+	if n := sendUntilFull(router, start, "harmless") + sendUntilFull(router, start, "stamped"); n == 0 || n >= 1000 {
 		t.Fatalf("%d sent", n)
 	}
-	if decision := r.Decide(start, newRequest("once", "write")); decision.Verdict != Send {
+	if decision := router.Decide(start, newRequest("once", "write")); decision.Verdict != Send {
 		t.Errorf("a write while the limit for fills is reached: %+v", decision)
 	}
 }
 
 // A request that is not cacheable has no home cache and goes to the least loaded one.
 func TestWritesGoToTheLeastLoadedCache(t *testing.T) {
-	r := routerOfClasses(t, nil)
+	router := routerOfClasses(t, nil)
 	for n := range 10 {
-		first, second := r.load(start, r.caches[0]), r.load(start, r.caches[1])
-		decision := r.Decide(start, newRequest("once", fmt.Sprint(n)))
-		toFirst := decision.Attempt.Cache == r.caches[0].ID
+		first, second := router.load(start, router.caches[0]), router.load(start, router.caches[1])
+		decision := router.Decide(start, newRequest("once", fmt.Sprint(n)))
+		toFirst := decision.Attempt.Cache == router.caches[0].ID
 		if decision.Verdict != Send || first != second && toFirst != (first < second) {
 			t.Errorf("loads %.2f and %.2f: %+v", first, second, decision)
 		}
@@ -63,40 +63,41 @@
 // Small answers are still in time in an overload in which large ones are late, and may exceed the limit of the
 // large.
 func TestSmallAnswersMayExceedTheLimit(t *testing.T) {
-	r := routerOfClasses(t, nil)
-	large := sendUntilFull(r, start, "harmless")
-	if small := sendUntilFull(r, start, "stamped"); small < large/2 || small > 2*large {
+	router := routerOfClasses(t, nil)
+	large := sendUntilFull(router, start, "harmless")
+	if small := sendUntilFull(router, start, "stamped"); small < large/2 || small > 2*large {
 		t.Errorf("after %d large ones %d small ones were sent", large, small)
 	}
 }
 
 // For a rare class of high value as much is reserved as it needs, not a fixed part of every limit.
 func TestRareClassReservesOnlyWhatItNeeds(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		rare float64 // part of the requests
 		want float64 // least part of the limit that is open to the rest
 	}{{0.01, 0.95}, {0.5, 0.69}} {
-		r := routerOfClasses(t, func(s *Settings) { setWeights(s, 1, 40, 1) })
+		router := routerOfClasses(t, func(s *Settings) { setWeights(s, 1, 40, 1) })
 		request := newRequest("harmless", "x")
-		r.Decide(start, request)
-		r.classes[0].offered, r.classes[1].offered = decayingWork{}, decayingWork{}
-		r.classes[0].offered.add(start, 40*(1-c.rare))
-		r.classes[1].offered.add(start, 40*c.rare)
-		r.classes[0].admitted, r.classes[1].admitted = r.classes[0].offered, r.classes[1].offered
-		if share := r.admissionShare(start, request); share < c.want || share > 1 || c.rare == 0.5 && share > 0.75 {
-			t.Errorf("rare class %.2f: share %.2f, want %.2f", c.rare, share, c.want)
+		router.Decide(start, request)
+		router.classes[0].offered, router.classes[1].offered = decayingWork{}, decayingWork{}
+		router.classes[0].offered.add(start, 40*(1-test.rare))
+		router.classes[1].offered.add(start, 40*test.rare)
+		router.classes[0].admitted, router.classes[1].admitted = router.classes[0].offered, router.classes[1].offered
+		share := router.admissionShare(start, request)
+		if share < test.want || share > 1 || test.rare == 0.5 && share > 0.75 {
+			t.Errorf("rare class %.2f: share %.2f, want %.2f", test.rare, share, test.want)
 		}
 	}
 }
 
 // The class of highest value could use up the limit alone; others are admitted beside it.
 func TestNoClassIsShedEntirely(t *testing.T) {
-	r := routerOfClasses(t, func(s *Settings) {
+	router := routerOfClasses(t, func(s *Settings) {
 		setWeights(s, 1, 40, 1)
 		setObjectives(s, second/2, second/100, second/2)
 	})
-	r.classes[1].sendingTime = 0.4 // as the other class, with forty times its weight
-	r.classes[1].LatencyObjective = r.classes[0].LatencyObjective
+	router.classes[1].sendingTime = 0.4 // as the other class, with forty times its weight
+	router.classes[1].LatencyObjective = router.classes[0].LatencyObjective
 	requested, sent := map[string]int{}, map[string]int{}
 	type attempt struct {
 		request *Request
@@ -105,7 +106,7 @@
 	var inFlight []attempt
 	for now, n := start, 0; now < start+20*second; now += second / 50 {
 		for len(inFlight) > 0 && inFlight[0].endsAt <= now {
-			r.AttemptEnded(now, inFlight[0].request, Outcome{
+			router.AttemptEnded(now, inFlight[0].request, Outcome{
 				Result:       Succeeded,
 				Elapsed:      second / 2,
 				SendingTime:  0.4,
@@ -118,11 +119,11 @@
 			n++
 			request := newRequest(class, fmt.Sprint(n))
 			requested[class]++
-			if r.Decide(now, request).Verdict == Send {
+			if router.Decide(now, request).Verdict == Send {
 				sent[class]++
 				inFlight = append(inFlight, attempt{request, now + second/2})
 			} else {
-				r.ClientGone(now, request)
+				router.ClientGone(now, request)
 			}
 		}
 	}
@@ -135,24 +136,24 @@
 
 // An answer that needs more than its latency objective to be sent at full rate is no sign of an overload.
 func TestAnswersTooLargeToBeInTimeLowerNoLimit(t *testing.T) {
-	r := routerOfClasses(t, func(s *Settings) { setObjectiveStretches(s, 0, 0, 0) })
-	for _, c := range []struct {
+	router := routerOfClasses(t, func(s *Settings) { setObjectiveStretches(s, 0, 0, 0) })
+	for _, test := range []struct {
 		elapsed int64
 		lowers  bool
 	}{{13 * second / 10, false}, {3 * second, true}} {
-		before := r.admission.limits[fills]
-		request := newRequest("harmless", fmt.Sprint(c.elapsed))
-		r.Decide(start, request)
-		r.AttemptEnded(start+c.elapsed, request, Outcome{
+		before := router.admission.limits[fills]
+		request := newRequest("harmless", fmt.Sprint(test.elapsed))
+		router.Decide(start, request)
+		router.AttemptEnded(start+test.elapsed, request, Outcome{
 			Result:       Succeeded,
-			Elapsed:      c.elapsed,
+			Elapsed:      test.elapsed,
 			SendingTime:  0.9,
 			Note:         noteFilled,
 			RequestEnded: true,
 		})
-		if got := r.admission.limits[fills] < before; got != c.lowers {
+		if got := router.admission.limits[fills] < before; got != test.lowers {
 			t.Errorf("an answer of 0.9 s that took %.1f s: limit %.3f, was %.3f",
-				float64(c.elapsed)/1e9, r.admission.limits[fills], before)
+				float64(test.elapsed)/1e9, router.admission.limits[fills], before)
 		}
 	}
 }
@@ -161,17 +162,17 @@
 // would get several attempts for each request.
 func TestRejectedFillsTakeTokensIfTheOriginCanBeOverloaded(t *testing.T) {
 	for _, factor := range []float64{0, 2.5} {
-		r, retries := routerOfClasses(t, func(s *Settings) { s.OriginUnlimited = factor == 0 }), 0
+		router, retries := routerOfClasses(t, func(s *Settings) { s.OriginUnlimited = factor == 0 }), 0
 		for n := range 60 {
 			now := start + int64(n)*second/10
 			request := newRequest("harmless", fmt.Sprint(n))
-			decision := r.Decide(now, request)
+			decision := router.Decide(now, request)
 			for decision.Verdict == Send {
 				retries++
 				last := len(request.attempts) - 1
-				decision = r.AttemptEnded(now, request, Outcome{Result: Overloaded, Note: 7, Attempt: last})
+				decision = router.AttemptEnded(now, request, Outcome{Result: Overloaded, Note: 7, Attempt: last})
 			}
-			r.ClientGone(now, request)
+			router.ClientGone(now, request)
 			retries-- // the first attempt
 		}
 		if free := retries > 60; free != (factor == 0) {
@@ -182,7 +183,7 @@
 
 // Settings at their bounds: no division by zero, and each class is admitted.
 func TestClassesWithExtremeSettings(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		change func(*Settings)
 	}{
@@ -192,20 +193,25 @@
 		{"one with a thousand times the weight", func(s *Settings) { setWeights(s, 1, 1000, 1) }},
 		{"an objective below a round trip", func(s *Settings) { setObjectives(s, second/1000, second/2, second/2) }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, func(s *Settings) {
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, func(s *Settings) {
 				s.Classes[1].Idempotency = Idempotent
-				c.change(s)
+				test.change(s)
 			})
 			for n, class := range []string{"stamped", "harmless", "once"} {
 				request := newRequest(class, fmt.Sprint(n))
-				if decision := r.Decide(start, request); decision.Verdict != Send {
+				if decision := router.Decide(start, request); decision.Verdict != Send {
 					t.Fatalf("%s: %+v", class, decision)
 				}
-				if share := r.admissionShare(start, request); !(share > 0.1 && share < 10) {
+				if share := router.admissionShare(start, request); !(share > 0.1 && share < 10) {
 					t.Errorf("%s: share %v", class, share)
 				}
-				r.AttemptEnded(start+second/10, request, Outcome{Result: Succeeded, Elapsed: second / 10, Note: 1, RequestEnded: true})
+				router.AttemptEnded(start+second/10, request, Outcome{
+					Result:       Succeeded,
+					Elapsed:      second / 10,
+					Note:         1,
+					RequestEnded: true,
+				})
 			}
 		})
 	}
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -66,15 +66,15 @@
 		p.seen["log"]++
 		p.seen[event.Kind().Name]++
 	}
-	r := New(start, seed, drawnSettings(rng), log)
-	p.router = r
+	router := New(start, seed, drawnSettings(rng), log)
+	p.router = router
 	if rng.IntN(4) == 0 {
-		r.Reachable = func(id uint32) bool { return (id*2654435761+uint32(p.now/second))%7 != 0 }
+		router.Reachable = func(id uint32) bool { return (id*2654435761+uint32(p.now/second))%7 != 0 }
 	}
 	for range 1 + rng.IntN([]int{4, 40, 40, 250}[rng.IntN(4)]) {
 		p.entries = append(p.entries, p.drawEntry())
 	}
-	r.UpdateEndpoints(start, p.entries, true)
+	router.UpdateEndpoints(start, p.entries, true)
 	return p
 }
 
@@ -239,7 +239,7 @@
 	if p.rng.IntN(3000) == 0 {
 		p.now += 4000 * second // all scores have decayed to 0
 	}
-	r := p.router
+	router := p.router
 	switch n := p.rng.IntN(100); {
 	case n < 35:
 		p.sendRequest()
@@ -251,15 +251,15 @@
 		if len(p.requests) > 0 {
 			request := p.requests[p.rng.IntN(len(p.requests))]
 			request.NoNewAttempts = request.NoNewAttempts || p.rng.IntN(40) == 0
-			p.note(r.RecheckDelay(p.now, request))
-			p.decided("again", request, r.Decide(p.now, request))
+			p.note(router.RecheckDelay(p.now, request))
+			p.decided("again", request, router.Decide(p.now, request))
 		}
 	case n < 94:
-		probes, again := r.Tick(p.now)
+		probes, again := router.Tick(p.now)
 		p.note(probes, again)
 		for _, id := range probes {
 			p.seen["probe"]++
-			r.ProbeEnded(p.now, id, p.rng.IntN(3) > 0, nil)
+			router.ProbeEnded(p.now, id, p.rng.IntN(3) > 0, nil)
 		}
 	case n < 96:
 		p.list()
@@ -268,7 +268,7 @@
 		if p.rng.IntN(3) == 0 {
 			object = ""
 		}
-		r.Purge(p.now, object, int64(p.rng.IntN(5)), p.now-p.rng.Int64N(second))
+		router.Purge(p.now, object, int64(p.rng.IntN(5)), p.now-p.rng.Int64N(second))
 	case n < 98:
 		if len(p.entries) > 0 {
 			id := p.entries[p.rng.IntN(len(p.entries))].ID
@@ -277,12 +277,12 @@
 	default:
 		if len(p.requests) > 0 {
 			request := p.requests[p.rng.IntN(len(p.requests))]
-			p.decided("departed", request, r.ClientGone(p.now, request))
+			p.decided("departed", request, router.ClientGone(p.now, request))
 		}
 	}
 	p.requests = slices.DeleteFunc(p.requests, func(request *Request) bool {
 		if request.inFlight == 0 && !request.ended && p.now > request.Deadline {
-			r.ClientGone(p.now, request)
+			router.ClientGone(p.now, request)
 		}
 		return request.inFlight == 0 && request.ended || request.record == nil
 	})
@@ -339,8 +339,8 @@
 		}
 	}
 	for _, what := range []string{
-		"endpoint_ejected", "endpoint_restored", "admission_limit_reduced", "diverted", "cache only", "probe", "where0", "where1", "where2", "after1",
-		"after2", "after3", "again1", "again2",
+		"endpoint_ejected", "endpoint_restored", "admission_limit_reduced", "diverted", "cache only", "probe",
+		"where0", "where1", "where2", "after1", "after2", "after3", "again1", "again2",
 	} {
 		if seen[what] < 5 {
 			t.Errorf("the runs show %q only %d times", what, seen[what])
--- a/control/endings_test.go
+++ b/control/endings_test.go
@@ -5,7 +5,7 @@
 // Servers drop repetitions of a keyed request only within a window from its first attempt. A retry that waits
 // for its connection beyond that would take effect a second time.
 func TestKeyedRetryIsSentWithinTheKeyWindow(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		class  string
 		result Result
@@ -18,18 +18,18 @@
 		{"it has not run: no window", "stamped", Unreachable, 900, 1600},
 		{"idempotent: no window", "harmless", ConnectionLost, 900, 4100},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, func(s *Settings) { s.Classes[1].KeyScope = ScopeAll })
-			request, now := newRequest(c.class, "a"), start
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, func(s *Settings) { s.Classes[1].KeyScope = ScopeAll })
+			request, now := newRequest(test.class, "a"), start
 			request.Deadline = start + 5*second
-			r.Decide(now, request)
-			now += c.after * second / 1000
-			decision := r.AttemptEnded(now, request, Outcome{Result: c.result})
-			if sent := decision.Verdict == Send; sent != (c.want > 0) {
+			router.Decide(now, request)
+			now += test.after * second / 1000
+			decision := router.AttemptEnded(now, request, Outcome{Result: test.result})
+			if sent := decision.Verdict == Send; sent != (test.want > 0) {
 				t.Fatalf("verdict %v", decision.Verdict)
 			}
-			if got := decision.Attempt.SendTimeout * 1000 / second; decision.Verdict == Send && got != c.want {
-				t.Errorf("send timeout of %d ms, want %d", got, c.want)
+			if got := decision.Attempt.SendTimeout * 1000 / second; decision.Verdict == Send && got != test.want {
+				t.Errorf("send timeout of %d ms, want %d", got, test.want)
 			}
 		})
 	}
@@ -39,7 +39,7 @@
 // cancellation of the first attempt does. So it waits a moment, but not beyond the deadline, and not where it
 // may not be sent at all.
 func TestRetryWaitsForTheCancellation(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		class   string
 		hedging bool
@@ -55,21 +55,22 @@
 		{"no time is left to wait", "harmless", false, ConnectionLost, 90, Reject, Wait},
 		{"it may not be sent again", "once", false, ConnectionLost, 2000, Fail, Wait},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, func(s *Settings) { s.Hedging = c.hedging })
-			request, now := newRequest(c.class, "a"), start
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, func(s *Settings) { s.Hedging = test.hedging })
+			request, now := newRequest(test.class, "a"), start
 			request.Deadline = start + 3*second
-			r.Decide(now, request)
-			now = request.Deadline - c.left*second/1000
-			if decision := r.AttemptEnded(now, request, Outcome{Result: c.result}); decision.Verdict != c.want {
-				t.Fatalf("at once: verdict %v, want %v", decision.Verdict, c.want)
+			router.Decide(now, request)
+			now = request.Deadline - test.left*second/1000
+			decision := router.AttemptEnded(now, request, Outcome{Result: test.result})
+			if decision.Verdict != test.want {
+				t.Fatalf("at once: verdict %v, want %v", decision.Verdict, test.want)
 			}
-			wait := r.RecheckDelay(now, request)
-			if c.then == Send && (wait <= 0 || wait > 2*waitRecheckInterval) {
+			wait := router.RecheckDelay(now, request)
+			if test.then == Send && (wait <= 0 || wait > 2*waitRecheckInterval) {
 				t.Fatalf("recheck delay %d", wait)
 			}
-			if decision := r.Decide(now+wait, request); c.want == Wait && decision.Verdict != c.then {
-				t.Errorf("then: verdict %v, want %v", decision.Verdict, c.then)
+			if decision := router.Decide(now+wait, request); test.want == Wait && decision.Verdict != test.then {
+				t.Errorf("then: verdict %v, want %v", decision.Verdict, test.then)
 			}
 		})
 	}
@@ -77,7 +78,7 @@
 
 // No further attempt is made for a client that has closed its sending side.
 func TestNoRetryForHalfClosedClients(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		class  string
 		result Result
@@ -87,13 +88,14 @@
 		{"non-idempotent, has not run", "once", Overloaded, Reject},
 		{"non-idempotent, may have run", "once", ConnectionLost, Fail},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, nil)
-			request := newRequest(c.class, "a")
-			r.Decide(start, request)
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, nil)
+			request := newRequest(test.class, "a")
+			router.Decide(start, request)
 			request.NoNewAttempts = true
-			if decision := r.AttemptEnded(start+1, request, Outcome{Result: c.result}); decision.Verdict != c.want {
-				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
+			decision := router.AttemptEnded(start+1, request, Outcome{Result: test.result})
+			if decision.Verdict != test.want {
+				t.Errorf("verdict %v, want %v", decision.Verdict, test.want)
 			}
 		})
 	}
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -9,16 +9,16 @@
 func TestDrainingAndGoneEndpointsGetNoAttempts(t *testing.T) {
 	for _, phase := range []string{"draining", "gone", "not listed"} {
 		t.Run(phase, func(t *testing.T) {
-			r := newRouter(t, nil)
+			router := newRouter(t, nil)
 			if phase == "not listed" {
-				r.UpdateEndpoints(start, []Endpoint{fleet[1], fleet[3], fleet[4]}, true)
+				router.UpdateEndpoints(start, []Endpoint{fleet[1], fleet[3], fleet[4]}, true)
 			} else {
 				cache, parent := fleet[0], fleet[2]
 				cache.Phase, parent.Phase = phase, phase
-				r.UpdateEndpoints(start, []Endpoint{cache, parent}, false)
+				router.UpdateEndpoints(start, []Endpoint{cache, parent}, false)
 			}
 			for i := range 50 {
-				decision := r.Decide(start+second, newRequest("harmless", fmt.Sprint(i)))
+				decision := router.Decide(start+second, newRequest("harmless", fmt.Sprint(i)))
 				if decision.Verdict == Send && (decision.Attempt.Cache == 1 || decision.Attempt.Source == 3) {
 					t.Fatalf("sent to %d with source %d", decision.Attempt.Cache, decision.Attempt.Source)
 				}
@@ -29,19 +29,19 @@
 
 // Endpoints that are replaced under new IDs without end do not use up the memory.
 func TestDelistedEndpointsAreForgotten(t *testing.T) {
-	r := newRouter(t, nil)
+	router := newRouter(t, nil)
 	for n := range 5000 {
 		now := start + int64(n)*second/10
-		lines := append([]Endpoint{{ID: uint32(100 + n), Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}}, fleet...)
-		r.UpdateEndpoints(now, lines, true)
+		replacement := Endpoint{ID: uint32(100 + n), Location: "here", Kind: "cache", Phase: PhaseReady, Capacity: 5}
+		router.UpdateEndpoints(now, append([]Endpoint{replacement}, fleet...), true)
 		request := newRequest("harmless", fmt.Sprint(n))
-		if decision := r.Decide(now, request); decision.Verdict != Send {
+		if decision := router.Decide(now, request); decision.Verdict != Send {
 			t.Fatalf("verdict %v", decision.Verdict)
 		}
-		r.AttemptEnded(now, request, Outcome{Result: Succeeded, RequestEnded: true})
-		r.Tick(now)
+		router.AttemptEnded(now, request, Outcome{Result: Succeeded, RequestEnded: true})
+		router.Tick(now)
 	}
-	if len(r.endpoints) > len(fleet)+1 {
-		t.Errorf("%d endpoints are kept", len(r.endpoints))
+	if len(router.endpoints) > len(fleet)+1 {
+		t.Errorf("%d endpoints are kept", len(router.endpoints))
 	}
 }
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -78,9 +78,9 @@
 
 func newRouter(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
-	r := New(start, 7, site(change), func(logevent.Event) {})
-	r.UpdateEndpoints(start, fleet, true)
-	return r
+	router := New(start, 7, site(change), func(logevent.Event) {})
+	router.UpdateEndpoints(start, fleet, true)
+	return router
 }
 
 // newRequest returns a new request with a deadline far away.
--- a/control/logevents_test.go
+++ b/control/logevents_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestLogEventText(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		event logevent.Event
 		want  string
 	}{
@@ -30,19 +30,23 @@
 		},
 		{
 			ClockAhead{},
-			"this clock is ahead of others: a cache entry from before a purge came, purges count from their arrival now",
+			"this clock is ahead of others: a cache entry from before a purge came, " +
+				"purges count from their arrival now",
 		},
 	} {
-		t.Run(c.event.Kind().Name, func(t *testing.T) {
-			if got := logevent.Text(c.event); got != c.want {
-				t.Errorf("%q, want %q", got, c.want)
+		t.Run(test.event.Kind().Name, func(t *testing.T) {
+			if got := logevent.Text(test.event); got != test.want {
+				t.Errorf("%q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
 func TestLogEventsOfEndpointsHaveTheirID(t *testing.T) {
-	for _, event := range []interface{ EndpointID() uint32 }{EndpointEjected{Endpoint: 17}, EndpointRestored{Endpoint: 17}} {
+	for _, event := range []interface{ EndpointID() uint32 }{
+		EndpointEjected{Endpoint: 17},
+		EndpointRestored{Endpoint: 17},
+	} {
 		if got := event.EndpointID(); got != 17 {
 			t.Errorf("%T: endpoint %d, want 17", event, got)
 		}
@@ -62,7 +66,7 @@
 }
 
 func TestRounded(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		value    float64
 		decimals int
 		want     float64
@@ -72,8 +76,8 @@
 		{-0.589, limitDecimals, -0.59},
 		{math.Inf(1), scoreDecimals, math.Inf(1)},
 	} {
-		if got := rounded(c.value, c.decimals); got != c.want {
-			t.Errorf("%v to %d decimals is %v, want %v", c.value, c.decimals, got, c.want)
+		if got := rounded(test.value, test.decimals); got != test.want {
+			t.Errorf("%v to %d decimals is %v, want %v", test.value, test.decimals, got, test.want)
 		}
 	}
 }
@@ -81,15 +85,15 @@
 // A limit that falls below half of its initial value is logged once, and once more when it is back.
 func TestAdmissionLimitChangesAreLogged(t *testing.T) {
 	var logged []logevent.Event
-	r := New(start, 7, site(nil), func(event logevent.Event) { logged = append(logged, event) })
+	router := New(start, 7, site(nil), func(event logevent.Event) { logged = append(logged, event) })
 	attempt := &attemptState{kind: fills, cache: &endpointState{}}
 	inTime := finding{result: Succeeded, inTime: true}
 	late := finding{result: Succeeded}
 	for range 20 {
-		r.adjustLimit(attempt, late)
+		router.adjustLimit(attempt, late)
 	}
 	for range 200 {
-		r.adjustLimit(attempt, inTime)
+		router.adjustLimit(attempt, inTime)
 	}
 	want := []logevent.Event{
 		AdmissionLimitReduced{RequestKind: "fills", Limit: 0.57},
--- a/control/outliers_test.go
+++ b/control/outliers_test.go
@@ -18,37 +18,37 @@
 		{"all alike: none stands out", map[uint32]Result{1: Overloaded, 2: Overloaded}, 0, 0},
 		{"all slow alike: none stands out", map[uint32]Result{1: Succeeded, 2: Succeeded}, 3 * second, 0},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, nil)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, nil)
 			for i := range 40 {
 				request := newRequest("harmless", fmt.Sprint(i))
-				if decision := r.Decide(start, request); decision.Verdict == Send {
+				if decision := router.Decide(start, request); decision.Verdict == Send {
 					outcome := Outcome{Result: Succeeded, RequestEnded: true, Note: 9}
-					if result, fails := c.failing[decision.Attempt.Cache]; fails {
-						outcome.Result, outcome.Elapsed = result, c.elapsed
+					if result, fails := test.failing[decision.Attempt.Cache]; fails {
+						outcome.Result, outcome.Elapsed = result, test.elapsed
 					}
-					r.AttemptEnded(start, request, outcome)
+					router.AttemptEnded(start, request, outcome)
 				}
 			}
 			for id := uint32(1); id <= 2; id++ {
-				if got := r.endpoints[id].ejected; got != (id == c.want) {
+				if got := router.endpoints[id].ejected; got != (id == test.want) {
 					t.Errorf("cache %d ejected: %v", id, got)
 				}
 			}
 		})
 	}
 	t.Run("one that goes silent", func(t *testing.T) {
-		r := newRouter(t, nil)
+		router := newRouter(t, nil)
 		for i := range 20 {
 			request := newRequest("harmless", fmt.Sprint(i))
-			if decision := r.Decide(start, request); decision.Verdict == Send && decision.Attempt.Cache == 2 {
-				r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true})
+			if decision := router.Decide(start, request); decision.Verdict == Send && decision.Attempt.Cache == 2 {
+				router.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true})
 			}
 		}
-		r.Tick(start + 3*second)
-		if !r.endpoints[1].ejected || r.endpoints[2].ejected {
-			t.Errorf("ejected: %v, %v", r.endpoints[1].ejected, r.endpoints[2].ejected)
+		router.Tick(start + 3*second)
+		if !router.endpoints[1].ejected || router.endpoints[2].ejected {
+			t.Errorf("ejected: %v, %v", router.endpoints[1].ejected, router.endpoints[2].ejected)
 		}
 	})
 }
@@ -56,22 +56,23 @@
 // Likely fills through one parent are not answered, those through the other are: the parent is ejected, and no
 // cache.
 func TestSilentParentIsEjected(t *testing.T) {
-	r := newRouter(t, nil)
+	router := newRouter(t, nil)
 	for i := range 60 {
 		request := newRequest("harmless", fmt.Sprint(i))
-		if decision := r.Decide(start, request); decision.Verdict == Send && decision.Attempt.Source == 4 {
-			r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
+		if decision := router.Decide(start, request); decision.Verdict == Send && decision.Attempt.Source == 4 {
+			router.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
 		}
 	}
 	later := start + second
-	for _, endpoint := range r.caches { // they still answer hits
+	for _, endpoint := range router.caches { // they still answer hits
 		endpoint.lastResponseAt = later
 	}
-	r.Tick(later)
-	r.ejectIfOutlier(later, r.endpoints[3])
-	if !r.endpoints[3].ejected || r.endpoints[4].ejected || r.endpoints[1].ejected || r.endpoints[2].ejected {
-		t.Errorf("ejected: parents %v, %v, caches %v, %v", r.endpoints[3].ejected, r.endpoints[4].ejected,
-			r.endpoints[1].ejected, r.endpoints[2].ejected)
+	router.Tick(later)
+	router.ejectIfOutlier(later, router.endpoints[3])
+	for id := uint32(1); id <= 4; id++ {
+		if got := router.endpoints[id].ejected; got != (id == 3) {
+			t.Errorf("endpoint %d ejected: %v", id, got)
+		}
 	}
 }
 
@@ -86,9 +87,9 @@
 	}
 	for result, same := range sameCache {
 		t.Run(fmt.Sprint(result), func(t *testing.T) {
-			r, request := newRouter(t, nil), newRequest("harmless", "a")
-			first := r.Decide(start, request).Attempt.Cache
-			decision := r.AttemptEnded(start+second, request, Outcome{Result: result})
+			router, request := newRouter(t, nil), newRequest("harmless", "a")
+			first := router.Decide(start, request).Attempt.Cache
+			decision := router.AttemptEnded(start+second, request, Outcome{Result: result})
 			if decision.Verdict != Send || (decision.Attempt.Cache == first) != same {
 				t.Errorf("verdict %v, from cache %d to %d", decision.Verdict, first, decision.Attempt.Cache)
 			}
@@ -99,7 +100,7 @@
 // A parent that is late with a quarter of its answers stands out if there are hundreds of them, though
 // failureShare is more.
 func TestPartlyLateParentIsEjectedByManyAnswers(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name         string
 		answers      int // from each parent
 		late         int // one in so many of the first parent
@@ -111,31 +112,31 @@
 		{"one in twelve of hundreds", 200, 12, false, false},
 		{"the last one that is not ejected", 200, 4, true, false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, nil)
-			slow := r.endpoints[3]
-			r.endpoints[4].ejected = c.otherEjected
-			for n := range c.answers {
-				for _, endpoint := range []*endpointState{slow, r.endpoints[4]} {
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, nil)
+			slow := router.endpoints[3]
+			router.endpoints[4].ejected = test.otherEjected
+			for n := range test.answers {
+				for _, endpoint := range []*endpointState{slow, router.endpoints[4]} {
 					request := newRequest("harmless", fmt.Sprint(n, endpoint.ID))
 					attempt := &attemptState{
 						sentAt: start,
-						cache:  r.endpoints[1],
+						cache:  router.endpoints[1],
 						source: endpoint,
 						kind:   fills,
 						lateAt: start + second,
 					}
-					request.class, request.record = r.classByName["harmless"], &objectRecord{}
+					request.class, request.record = router.classByName["harmless"], &objectRecord{}
 					request.attempts, request.inFlight = []*attemptState{attempt}, 1
 					outcome := Outcome{Result: Succeeded, Note: noteFilled, Elapsed: second / 10, RequestEnded: true}
-					if endpoint == slow && n%c.late == c.late-1 {
+					if endpoint == slow && n%test.late == test.late-1 {
 						outcome.Elapsed = 4 * second
 					}
-					r.AttemptEnded(start, request, outcome)
+					router.AttemptEnded(start, request, outcome)
 				}
 			}
-			if slow.ejected != c.want || r.endpoints[4].ejected != c.otherEjected {
-				t.Errorf("ejected: %v, want %v; the other: %v", slow.ejected, c.want, r.endpoints[4].ejected)
+			if slow.ejected != test.want || router.endpoints[4].ejected != test.otherEjected {
+				t.Errorf("ejected: %v, want %v; the other: %v", slow.ejected, test.want, router.endpoints[4].ejected)
 			}
 		})
 	}
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -39,27 +39,27 @@
 		class := []string{"harmless", "stamped"}[rng.IntN(2)]
 		object := []string{"a", ""}[rng.IntN(2)]
 		if failed := func() bool {
-			r := New(purgedAt+offset-second, uint64(i), site(nil), func(logevent.Event) {})
-			r.UpdateEndpoints(purgedAt+offset-second, fleet, true)
+			router := New(purgedAt+offset-second, uint64(i), site(nil), func(logevent.Event) {})
+			router.UpdateEndpoints(purgedAt+offset-second, fleet, true)
 			for at := purgedAt + offset; at < receivedAt+offset; at += second {
-				r.Tick(at)
+				router.Tick(at)
 			}
-			r.Purge(receivedAt+offset, object, 1, purgedAt)
+			router.Purge(receivedAt+offset, object, 1, purgedAt)
 			for at := receivedAt + offset; at < sentAt+offset; at += second / 10 {
-				r.Tick(at)
+				router.Tick(at)
 			}
 			if sentAt > purgedAt+6*second {
 				return false // caches have dropped older entries by themselves
 			}
 			request := &Request{Class: class, Object: "a", Group: 1, Deadline: sentAt + offset + 5*second}
-			decision := r.Decide(sentAt+offset, request)
+			decision := router.Decide(sentAt+offset, request)
 			for number := range 2 {
 				if decision.Verdict != Send {
 					t.Errorf("attempt %d: %+v", number, decision)
 					return true
 				}
-				issuedAt := oldestIssuedAt(sentAt, decision.Attempt, r.classByName[class].FreshDuration)
-				if r.AcceptsCopy(sentAt+offset, request, number, issuedAt) {
+				issuedAt := oldestIssuedAt(sentAt, decision.Attempt, router.classByName[class].FreshDuration)
+				if router.AcceptsCopy(sentAt+offset, request, number, issuedAt) {
 					if issuedAt < purgedAt {
 						t.Errorf("an entry issued %v ns before the purge is served, accepted age %v",
 							purgedAt-issuedAt, decision.Attempt.MaxAge)
@@ -74,7 +74,7 @@
 					return false // it may have run, and is not sent again
 				}
 				outcome := Outcome{Attempt: number, Result: Stale, Elapsed: second / 100}
-				decision = r.AttemptEnded(sentAt+offset, request, outcome)
+				decision = router.AttemptEnded(sentAt+offset, request, outcome)
 			}
 			t.Error("the entries of both attempts were too old")
 			return true
@@ -87,20 +87,21 @@
 
 // Where clocks agree the accepted age follows from the timestamp, and so does which entries are accepted.
 func TestAgeFollowsTheTimestampWhereClocksAgree(t *testing.T) {
-	r := newRouter(t, nil)
-	r.Purge(start+second, "a", 0, start)
+	router := newRouter(t, nil)
+	router.Purge(start+second, "a", 0, start)
 	request := newRequest("harmless", "a")
-	if attempt := r.Decide(start+3*second, request).Attempt; attempt.MaxAge != 3*second-purgeMargin {
+	if attempt := router.Decide(start+3*second, request).Attempt; attempt.MaxAge != 3*second-purgeMargin {
 		t.Errorf("age %v", attempt.MaxAge)
 	}
-	if !r.AcceptsCopy(start+3*second, request, 0, start) || r.AcceptsCopy(start+3*second, request, 0, start-1) {
+	const now = start + 3*second
+	if !router.AcceptsCopy(now, request, 0, start) || router.AcceptsCopy(now, request, 0, start-1) {
 		t.Error("an entry is judged by another time than the timestamp")
 	}
 }
 
 func TestPurgesWithInvalidTimestamps(t *testing.T) {
 	const receivedAt = start + second
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name        string
 		purgedAt    int64
 		maxAge      int64 // 2 s after its arrival
@@ -115,17 +116,17 @@
 		{"the largest number", math.MaxInt64, 2*second - purgeMargin, 0},
 		{"1970, which may be right and is expired", 1, 0, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, nil)
-			r.Purge(receivedAt, "a", 0, c.purgedAt)
-			r.Tick(receivedAt)
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, nil)
+			router.Purge(receivedAt, "a", 0, test.purgedAt)
+			router.Tick(receivedAt)
 			request := newRequest("stamped", "a")
-			maxAge := r.Decide(receivedAt+2*second, request).Attempt.MaxAge
-			if c.maxAge > 0 && maxAge != c.maxAge || c.maxAge == 0 && maxAge < start {
-				t.Errorf("age %v, want %v", maxAge, c.maxAge)
+			maxAge := router.Decide(receivedAt+2*second, request).Attempt.MaxAge
+			if test.maxAge > 0 && maxAge != test.maxAge || test.maxAge == 0 && maxAge < start {
+				t.Errorf("age %v, want %v", maxAge, test.maxAge)
 			}
-			if got := request.attempts[0].minIssuedAt; got != c.minIssuedAt {
-				t.Errorf("entries issued from %v on, want %v", got, c.minIssuedAt)
+			if got := request.attempts[0].minIssuedAt; got != test.minIssuedAt {
+				t.Errorf("entries issued from %v on, want %v", got, test.minIssuedAt)
 			}
 		})
 	}
@@ -134,7 +135,7 @@
 // The last purge of an object counts, also after one with an invalid timestamp, and after the clock of the
 // timestamps was set back.
 func TestRepeatedPurges(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name       string
 		timestamps []int64 // of purges received a second apart, from start+second on
 		maxAge     int64   // 4 s after start
@@ -145,21 +146,21 @@
 		{"the clock was set back", []int64{start, start - 600*second}, 2*second - purgeMargin},
 		{"and the next after that", []int64{start, start - 600*second, start - 599*second}, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, nil)
-			for i, purgedAt := range c.timestamps {
-				r.Purge(start+int64(i+1)*second, "a", 0, purgedAt)
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, nil)
+			for i, purgedAt := range test.timestamps {
+				router.Purge(start+int64(i+1)*second, "a", 0, purgedAt)
 			}
 			request := newRequest("stamped", "a")
-			maxAge := r.Decide(start+4*second, request).Attempt.MaxAge
-			if c.maxAge > 0 && maxAge != c.maxAge {
-				t.Errorf("age %v, want %v", maxAge, c.maxAge)
+			maxAge := router.Decide(start+4*second, request).Attempt.MaxAge
+			if test.maxAge > 0 && maxAge != test.maxAge {
+				t.Errorf("age %v, want %v", maxAge, test.maxAge)
 			}
-			if c.maxAge > 0 {
+			if test.maxAge > 0 {
 				return
 			}
-			last, minIssuedAt := c.timestamps[len(c.timestamps)-1], request.attempts[0].minIssuedAt
-			if minIssuedAt != last || r.AcceptsCopy(start+4*second, request, 0, last-1) {
+			last, minIssuedAt := test.timestamps[len(test.timestamps)-1], request.attempts[0].minIssuedAt
+			if minIssuedAt != last || router.AcceptsCopy(start+4*second, request, 0, last-1) {
 				t.Errorf("entries issued from %v on, want %v", minIssuedAt, last)
 			}
 		})
@@ -168,16 +169,16 @@
 
 // A purge expires a time after its arrival, by this router's clock, whatever its timestamp.
 func TestPurgesExpireByTheirArrival(t *testing.T) {
-	r := newRouter(t, nil)
+	router := newRouter(t, nil)
 	const receivedAt = start + 3600*second
-	r.Purge(receivedAt, "a", 0, start)
-	for _, c := range []struct {
+	router.Purge(receivedAt, "a", 0, start)
+	for _, test := range []struct {
 		after int64
 		kept  bool
 	}{{6 * second, true}, {7 * second, false}} {
-		r.Tick(receivedAt + c.after)
-		if (r.purges.last["oa"] != nil) != c.kept {
-			t.Errorf("after %v: kept is %v", c.after, !c.kept)
+		router.Tick(receivedAt + test.after)
+		if (router.purges.last["oa"] != nil) != test.kept {
+			t.Errorf("after %v: kept is %v", test.after, !test.kept)
 		}
 	}
 }
@@ -189,24 +190,26 @@
 	for _, offset := range []int64{0, 2 * second, 3600 * second, -2 * second, -3600 * second, year} {
 		for _, entryCame := range []bool{false, true} {
 			t.Run(fmt.Sprintf("off by %d s, an entry has come: %v", offset/second, entryCame), func(t *testing.T) {
-				r := newRouter(t, nil)
+				router := newRouter(t, nil)
 				if entryCame { // one issued 5 ms ago, and an older one
 					request := newRequest("harmless", "a")
 					request.Deadline = startedAt + offset + second
-					r.Decide(startedAt+offset, request)
-					r.AcceptsCopy(startedAt+offset, request, 0, startedAt-second/200)
-					r.AcceptsCopy(startedAt+offset, request, 0, startedAt-second)
+					router.Decide(startedAt+offset, request)
+					router.AcceptsCopy(startedAt+offset, request, 0, startedAt-second/200)
+					router.AcceptsCopy(startedAt+offset, request, 0, startedAt-second)
 				}
 				entry := fleet[0]
 				entry.StartedAt = startedAt
-				r.UpdateEndpoints(startedAt+offset+second, []Endpoint{entry}, false)
-				since := r.slowStartSince(r.endpoints[1]) - offset // by trueTime
+				router.UpdateEndpoints(startedAt+offset+second, []Endpoint{entry}, false)
+				since := router.slowStartSince(router.endpoints[1]) - offset // by trueTime
 				switch {
 				case since > startedAt+second:
 					t.Errorf("slow start from %v s after the list came", (since-startedAt)/second-1)
 				case (entryCame || offset <= 0) && since < startedAt:
 					t.Errorf("slow start from %v s before the start", (startedAt-since)/second)
-				case offset == 0 && entryCame && since > startedAt+second/100, offset == 0 && !entryCame && since != startedAt:
+				case offset == 0 && entryCame && since > startedAt+second/100:
+					t.Errorf("slow start from %v ns after the start, clocks agree", since-startedAt)
+				case offset == 0 && !entryCame && since != startedAt:
 					t.Errorf("slow start from %v ns after the start, clocks agree", since-startedAt)
 				}
 			})
@@ -215,7 +218,7 @@
 }
 
 func TestStartsWithInvalidTimestamps(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		starts  []int64
 		limited bool // when last listed, at start+second
@@ -230,30 +233,30 @@
 		{"the largest number", []int64{math.MaxInt64}, true, true},
 		{"a second start, with a clock set back", []int64{start + 3600*second, start + second}, true, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, nil)
-			for _, startedAt := range c.starts {
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, nil)
+			for _, startedAt := range test.starts {
 				entry := fleet[0]
 				entry.StartedAt = startedAt
-				r.UpdateEndpoints(start+second, []Endpoint{entry}, false)
+				router.UpdateEndpoints(start+second, []Endpoint{entry}, false)
 			}
-			endpoint := r.endpoints[1]
+			endpoint := router.endpoints[1]
 			const work = 20. // s; more than an endpoint in slow start admits
-			if limited := !r.slowStartAdmits(start+second, endpoint, work); limited != c.limited {
+			if limited := !router.slowStartAdmits(start+second, endpoint, work); limited != test.limited {
 				t.Errorf("limited is %v when listed", limited)
 			}
-			if warm := r.slowStartAdmits(start+12*second, endpoint, work); warm != c.warm {
+			if warm := router.slowStartAdmits(start+12*second, endpoint, work); warm != test.warm {
 				t.Errorf("warm is %v after its span", warm)
 			}
 		})
 	}
-	r := newRouter(t, nil)
+	router := newRouter(t, nil)
 	entry := fleet[0]
 	entry.StartedAt = start - 30*second
-	r.UpdateEndpoints(start, []Endpoint{entry}, false)
+	router.UpdateEndpoints(start, []Endpoint{entry}, false)
 	entry.StartedAt = start - 600*second // it started again, and the clock of the timestamp was set back
-	r.UpdateEndpoints(start+second, []Endpoint{entry}, false)
-	if endpoint := r.endpoints[1]; endpoint.slowStartReportedAt != start+second {
+	router.UpdateEndpoints(start+second, []Endpoint{entry}, false)
+	if endpoint := router.endpoints[1]; endpoint.slowStartReportedAt != start+second {
 		t.Error("a start with an earlier timestamp was ignored")
 	}
 }
@@ -264,11 +267,12 @@
 	for _, firstOffset := range []int64{0, 3600 * second, -3600 * second, year, -year} {
 		for _, offset := range []int64{0, 2 * second, -2 * second, 3600 * second, -3600 * second, year, -year} {
 			for _, rates := range []bool{false, true} {
-				t.Run(fmt.Sprintf("off by %d s, then by %d s, rates %v", firstOffset/second, offset/second, rates), func(t *testing.T) {
+				name := fmt.Sprintf("off by %d s, then by %d s, rates %v", firstOffset/second, offset/second, rates)
+				t.Run(name, func(t *testing.T) {
 					newRouterAt := func(now int64) *Router {
-						r := New(now, 7, site(nil), func(logevent.Event) {})
-						r.UpdateEndpoints(now, fleet, true)
-						return r
+						router := New(now, 7, site(nil), func(logevent.Event) {})
+						router.UpdateEndpoints(now, fleet, true)
+						return router
 					}
 					first := newRouterAt(purgedAt + firstOffset)
 					first.Purge(purgedAt+firstOffset+second/10, "a", 0, purgedAt)
@@ -314,17 +318,17 @@
 
 // A snapshot with times of the future, which no process writes, does not lead to rates that grow without bound.
 func TestRestoreOfTimesInTheFuture(t *testing.T) {
-	r := newRouter(t, nil)
-	r.Restore(start, Snapshot{
+	router := newRouter(t, nil)
+	router.Restore(start, Snapshot{
 		StartedAt: start + year, TakenAt: start, RequestCount: 5, RequestCountAt: start + year,
 		Objects: []ObjectSnapshot{{Object: "a", Count: 3, CountedAt: start + year, FirstSeenAt: start + year}},
 	}, true)
-	record := r.rates.objects[objectKey{"a", 0}]
-	rate := r.rates.ofObject(start, record)
-	if math.IsInf(rate, 0) || rate > 3 || r.rates.startedAt > start || record.firstSeenAt > start {
-		t.Errorf("rate %v, started %v, first seen %v", rate, r.rates.startedAt, record.firstSeenAt)
+	record := router.rates.objects[objectKey{"a", 0}]
+	rate := router.rates.ofObject(start, record)
+	if math.IsInf(rate, 0) || rate > 3 || router.rates.startedAt > start || record.firstSeenAt > start {
+		t.Errorf("rate %v, started %v, first seen %v", rate, router.rates.startedAt, record.firstSeenAt)
 	}
-	if decision := r.Decide(start, newRequest("harmless", "a")); decision.Verdict != Send {
+	if decision := router.Decide(start, newRequest("harmless", "a")); decision.Verdict != Send {
 		t.Errorf("%+v", decision)
 	}
 }
--- a/control/rates_test.go
+++ b/control/rates_test.go
@@ -7,40 +7,40 @@
 )
 
 func TestRatesIgnoreClientRetries(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name        string
 		clientRetry bool
 		want        float64
 	}{{"requests count, scaled to the location", false, 2}, {"marked retries do not", true, 0.2}} {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, nil)
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, nil)
 			var record *objectRecord
 			for i := range 10 {
 				request := newRequest("harmless", "a")
-				request.ClientRetry = c.clientRetry && i > 0
-				record = r.rates.record(start+10*second, request)
+				request.ClientRetry = test.clientRetry && i > 0
+				record = router.rates.record(start+10*second, request)
 			}
-			if got := r.locationRate(start+10*second, record); math.Abs(got-c.want) > 1e-9 {
-				t.Errorf("rate %v, want %v", got, c.want)
+			if got := router.locationRate(start+10*second, record); math.Abs(got-test.want) > 1e-9 {
+				t.Errorf("rate %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
 func TestEvictedObjectsKeepTheirRates(t *testing.T) {
-	r := newRouter(t, nil)
-	r.rates.record(start, newRequest("harmless", "kept"))
+	router := newRouter(t, nil)
+	router.rates.record(start, newRequest("harmless", "kept"))
 	for i := range maxObjects + 5 {
-		r.rates.record(start, newRequest("harmless", fmt.Sprint("other", i)))
+		router.rates.record(start, newRequest("harmless", fmt.Sprint("other", i)))
 	}
-	record := r.rates.objects[objectKey{object: "kept"}]
+	record := router.rates.objects[objectKey{object: "kept"}]
 	if record == nil || !record.evicted {
 		t.Fatal("an object that is not among the last requested is not evicted")
 	}
-	again := r.rates.record(start, newRequest("harmless", "kept"))
-	if again.evicted || again.requestCount != 2 || r.rates.recentObjects.Len() > maxObjects {
+	again := router.rates.record(start, newRequest("harmless", "kept"))
+	if again.evicted || again.requestCount != 2 || router.rates.recentObjects.Len() > maxObjects {
 		t.Errorf("requested again: evicted %v, count %v, %d recent objects",
-			again.evicted, again.requestCount, r.rates.recentObjects.Len())
+			again.evicted, again.requestCount, router.rates.recentObjects.Len())
 	}
 }
 
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -34,12 +34,14 @@
 
 // plainInFlight returns the attempts in flight at some caches that may be in time, in all and by kind, and the
 // caches' capacity.
-func plainInFlight(r *Router, now int64, caches []*endpointState) (all float64, byKind [3]float64, capacity float64) {
+func plainInFlight(
+	router *Router, now int64, caches []*endpointState,
+) (all float64, byKind [3]float64, capacity float64) {
 	for _, endpoint := range caches {
-		if r.settings.Weights == CapacityWeights {
+		if router.settings.Weights == CapacityWeights {
 			capacity += endpoint.Capacity
 		} else {
-			capacity += r.measuredCapacity(now)
+			capacity += router.measuredCapacity(now)
 		}
 		for _, attempt := range endpoint.inFlight {
 			if now < attempt.lateAt {
@@ -52,20 +54,20 @@
 }
 
 // plainLoads returns the load of each cache.
-func plainLoads(r *Router, now int64) map[*endpointState]float64 {
-	all, _, total := plainInFlight(r, now, r.caches)
+func plainLoads(router *Router, now int64) map[*endpointState]float64 {
+	all, _, total := plainInFlight(router, now, router.caches)
 	loads := map[*endpointState]float64{}
-	for _, endpoint := range r.caches {
-		own, _, capacity := plainInFlight(r, now, []*endpointState{endpoint})
-		loads[endpoint] = (own + all*r.activeSharers()/total) / (capacity/r.activeSharers() + 1)
+	for _, endpoint := range router.caches {
+		own, _, capacity := plainInFlight(router, now, []*endpointState{endpoint})
+		loads[endpoint] = (own + all*router.activeSharers()/total) / (capacity/router.activeSharers() + 1)
 	}
 	return loads
 }
 
 // plainEvidence returns the evidence on an endpoint.
-func plainEvidence(r *Router, now int64, endpoint *endpointState) evidence {
+func plainEvidence(router *Router, now int64, endpoint *endpointState) evidence {
 	responseTime, longest, silence := 0.01, 0., 0.
-	for _, class := range r.classes {
+	for _, class := range router.classes {
 		responseTime = max(responseTime, class.responseTime)
 	}
 	for _, attempt := range endpoint.inFlight {
@@ -85,30 +87,30 @@
 }
 
 // plainPeerEvidence sums up the evidence on all peers of an endpoint.
-func plainPeerEvidence(r *Router, now int64, endpoint *endpointState) (sum evidence) {
-	peers := r.caches
-	if endpoint.Location != r.settings.Location {
-		peers = r.parents
+func plainPeerEvidence(router *Router, now int64, endpoint *endpointState) (sum evidence) {
+	peers := router.caches
+	if endpoint.Location != router.settings.Location {
+		peers = router.parents
 	}
 	for _, peer := range peers {
 		if peer != endpoint {
-			sum = sum.plus(plainEvidence(r, now, peer))
+			sum = sum.plus(plainEvidence(router, now, peer))
 		}
 	}
 	return sum
 }
 
 // plainTiers returns the endpoints by their roles.
-func plainTiers(r *Router) (caches, parents []*endpointState, origin *endpointState) {
-	for _, id := range slices.Sorted(maps.Keys(r.endpoints)) {
-		endpoint := r.endpoints[id]
+func plainTiers(router *Router) (caches, parents []*endpointState, origin *endpointState) {
+	for _, id := range slices.Sorted(maps.Keys(router.endpoints)) {
+		endpoint := router.endpoints[id]
 		switch {
 		case !endpoint.listed || endpoint.Phase != "ready":
 		case endpoint.Kind == "origin":
 			origin = cmp.Or(origin, endpoint)
 		case endpoint.Kind == "parent":
 			parents = append(parents, endpoint)
-		case endpoint.Location == r.settings.Location:
+		case endpoint.Location == router.settings.Location:
 			caches = append(caches, endpoint)
 		}
 	}
@@ -116,48 +118,48 @@
 }
 
 // plainSelection selects the cache and the source from the complete ranking.
-func plainSelection(r *Router, now int64, request *Request) (cache, source *endpointState) {
-	ranked, hotCaches := plainRank(request.record.key, r.caches), 1
+func plainSelection(router *Router, now int64, request *Request) (cache, source *endpointState) {
+	ranked, hotCaches := plainRank(request.record.key, router.caches), 1
 	if request.isUncacheable() {
 		hotCaches = len(ranked)
 	} else if n := float64(len(ranked)); n > 1 && request.record.requestCount >= minHotRequests {
-		hot := r.rates.ofObject(now, request.record) * n / (hotShare * r.rates.ofAll(now))
+		hot := router.rates.ofObject(now, request.record) * n / (hotShare * router.rates.ofAll(now))
 		hotCaches = max(1, min(1+int(hot), 3, len(ranked)))
 	}
-	loads := plainLoads(r, now)
+	loads := plainLoads(router, now)
 	slices.SortStableFunc(ranked[:min(hotCaches, len(ranked))], func(a, b *endpointState) int {
 		return cmp.Compare(loads[a], loads[b])
 	})
 	request.diverted = false
-	cache = plainPick(r, now, request, ranked)
-	if cache != nil && request.record.likelyCachedUntil > now && !r.admits(now, request, cache) {
+	cache = plainPick(router, now, request, ranked)
+	if cache != nil && request.record.likelyCachedUntil > now && !router.admits(now, request, cache) {
 		lightlyLoaded := slices.DeleteFunc(ranked, func(endpoint *endpointState) bool {
-			return loads[endpoint] >= r.admission.limits[hits]/2
+			return loads[endpoint] >= router.admission.limits[hits]/2
 		})
-		if other := plainPick(r, now, request, lightlyLoaded); other != nil {
+		if other := plainPick(router, now, request, lightlyLoaded); other != nil {
 			cache, request.diverted = other, true
 		}
 	}
-	sources := plainRank(request.record.key, r.parents)
+	sources := plainRank(request.record.key, router.parents)
 	switch {
-	case r.origin == nil:
+	case router.origin == nil:
 	case request.isUncacheable():
-		sources = append([]*endpointState{r.origin}, sources...)
-	case request.sourceRejected() && r.settings.OriginUnlimited:
-		sources = []*endpointState{r.origin}
+		sources = append([]*endpointState{router.origin}, sources...)
+	case request.sourceRejected() && router.settings.OriginUnlimited:
+		sources = []*endpointState{router.origin}
 	default:
-		sources = append(sources, r.origin)
+		sources = append(sources, router.origin)
 	}
-	return cache, plainPick(r, now, request, sources)
+	return cache, plainPick(router, now, request, sources)
 }
 
 // plainPick selects from a complete ranking, which it passes as the last batch of candidates.
-func plainPick(r *Router, now int64, request *Request, ranked []*endpointState) *endpointState {
+func plainPick(router *Router, now int64, request *Request, ranked []*endpointState) *endpointState {
 	complete := &candidates{tier: &tier{endpointList: endpointList{ranked}}, exhausted: true, lastGiven: true}
 	for i := range ranked {
 		complete.batch = append(complete.batch, candidate{index: i})
 	}
-	return r.firstUsable(now, request, complete)
+	return router.firstUsable(now, request, complete)
 }
 
 // routerState is what the selection of endpoints may change.
@@ -166,18 +168,18 @@
 	endpoints map[uint32]endpointState
 }
 
-func stateOf(r *Router) routerState {
-	state := routerState{r.draws, map[uint32]endpointState{}}
-	for id, endpoint := range r.endpoints {
+func stateOf(router *Router) routerState {
+	state := routerState{router.draws, map[uint32]endpointState{}}
+	for id, endpoint := range router.endpoints {
 		state.endpoints[id] = *endpoint
 	}
 	return state
 }
 
-func (s routerState) restore(r *Router) {
-	r.draws = s.draws
+func (s routerState) restore(router *Router) {
+	router.draws = s.draws
 	for id, endpoint := range s.endpoints {
-		*r.endpoints[id] = endpoint
+		*router.endpoints[id] = endpoint
 	}
 }
 
@@ -190,55 +192,55 @@
 }
 
 // differences compares the counts and caches of a router with plain sums, and returns what differs.
-func differences(r *Router, now int64) (found []string) {
+func differences(router *Router, now int64) (found []string) {
 	check := func(what string, got, want any) {
 		if got != want {
 			found = append(found, fmt.Sprintf("%s: %v, plainly %v", what, got, want))
 		}
 	}
-	caches, parents, origin := plainTiers(r)
-	check("caches", slices.Equal(r.caches, caches), true)
-	check("parents", slices.Equal(r.parents, parents), true)
-	check("origin", r.origin, origin)
-	all, byKind, capacity := plainInFlight(r, now, caches)
-	inTime := r.inFlight.withinObjective(now, r.endpoints)
+	caches, parents, origin := plainTiers(router)
+	check("caches", slices.Equal(router.caches, caches), true)
+	check("parents", slices.Equal(router.parents, parents), true)
+	check("origin", router.origin, origin)
+	all, byKind, capacity := plainInFlight(router, now, caches)
+	inTime := router.inFlight.withinObjective(now, router.endpoints)
 	check("in time", float64(inTime.sum()), all)
 	for kind := range byKind {
 		check(fmt.Sprint("in time of kind ", kind), float64(inTime[kind]), byKind[kind])
 	}
-	check("capacity", r.locationCapacity(now), capacity)
-	for endpoint, load := range plainLoads(r, now) {
-		check(fmt.Sprint("load of ", endpoint.ID), r.load(now, endpoint), load)
+	check("capacity", router.locationCapacity(now), capacity)
+	for endpoint, load := range plainLoads(router, now) {
+		check(fmt.Sprint("load of ", endpoint.ID), router.load(now, endpoint), load)
 	}
-	ids := slices.Sorted(maps.Keys(r.endpoints))
+	ids := slices.Sorted(maps.Keys(router.endpoints))
 	for i := range min(4, len(ids)) {
-		endpoint := r.endpoints[ids[(int(now)+i)%len(ids)]]
-		got, want := r.peerEvidence(now, endpoint), plainPeerEvidence(r, now, endpoint)
+		endpoint := router.endpoints[ids[(int(now)+i)%len(ids)]]
+		got, want := router.peerEvidence(now, endpoint), plainPeerEvidence(router, now, endpoint)
 		check(fmt.Sprint("evidence on the peers of ", endpoint.ID), got, want)
 	}
 	return found
 }
 
 // plainlyOutlier reports whether a cache is an outlier by plain sums.
-func plainlyOutlier(r *Router, now int64, endpoint *endpointState) bool {
-	own := plainEvidence(r, now, endpoint)
+func plainlyOutlier(router *Router, now int64, endpoint *endpointState) bool {
+	own := plainEvidence(router, now, endpoint)
 	if endpoint.ejected || own.silence < silenceThreshold && own.failures < failureThreshold {
 		return false
 	}
-	peers := plainPeerEvidence(r, now, endpoint)
-	silence := own.silence - peers.silence/float64(max(1, len(r.caches)-1))
+	peers := plainPeerEvidence(router, now, endpoint)
+	silence := own.silence - peers.silence/float64(max(1, len(router.caches)-1))
 	failed := own.failures/(own.successes+own.failures) - peers.failures/max(peers.successes+peers.failures, 1)
 	return silence >= silenceThreshold || own.failures >= failureThreshold && failed >= failureShare
 }
 
 // overlooked returns the caches that are outliers by plain sums, or are to be probed, and that Tick would
 // nevertheless not check.
-func overlooked(r *Router, now int64) (found []uint32) {
-	all := r.cacheEvidence(now)
-	for _, endpoint := range r.caches {
-		_, watched := r.outliers.watched.search(endpoint)
-		checked := watched && endpoint.mayBeEjected(now) && r.mayBeOutlier(now, endpoint, all)
-		if !watched && endpoint.ejected || !checked && plainlyOutlier(r, now, endpoint) {
+func overlooked(router *Router, now int64) (found []uint32) {
+	all := router.cacheEvidence(now)
+	for _, endpoint := range router.caches {
+		_, watched := router.outliers.watched.search(endpoint)
+		checked := watched && endpoint.mayBeEjected(now) && router.mayBeOutlier(now, endpoint, all)
+		if !watched && endpoint.ejected || !checked && plainlyOutlier(router, now, endpoint) {
 			found = append(found, endpoint.ID)
 		}
 	}
@@ -267,8 +269,9 @@
 			cache, source := p.router.selectEndpoints(p.now, request)
 			sameEffects := stateOf(p.router).equal(want)
 			if cache != wantCache || source != wantSource || request.diverted != wantDiverted || !sameEffects {
-				t.Fatalf("seed %d, case %d: cache %v, source %v, diverted %v, want %v, %v, %v; the same effects: %v", seed, cases,
-					name(cache), name(source), request.diverted, name(wantCache), name(wantSource), wantDiverted, sameEffects)
+				t.Fatalf("seed %d, case %d: cache %v, source %v, diverted %v, want %v, %v, %v; the same effects: %v",
+					seed, cases, name(cache), name(source), request.diverted,
+					name(wantCache), name(wantSource), wantDiverted, sameEffects)
 			}
 			cases++
 			if cache != nil && cache != plainRank(request.record.key, p.router.caches)[0] {
@@ -321,7 +324,7 @@
 func TestCandidatesEqualPlainRanking(t *testing.T) {
 	p := newDrawnRun(t, 1)
 	for round := range propertyCases / 100 {
-		r := newRouter(t, nil)
+		router := newRouter(t, nil)
 		var lines []Endpoint
 		equal := p.rng.IntN(2) == 0
 		for id := range 1 + p.rng.IntN([]int{8, 60, 900}[round%3]) {
@@ -331,10 +334,10 @@
 			}
 			lines = append(lines, line)
 		}
-		r.UpdateEndpoints(start, lines, true)
-		for _, endpoint := range r.caches {
+		router.UpdateEndpoints(start, lines, true)
+		for _, endpoint := range router.caches {
 			for range p.rng.IntN(4) * p.rng.IntN(2) {
-				r.attemptStarted(endpoint, &attemptState{
+				router.attemptStarted(endpoint, &attemptState{
 					sentAt: start,
 					cache:  endpoint,
 					kind:   attemptKind(p.rng.IntN(kinds)),
@@ -345,15 +348,15 @@
 		now := start + p.rng.Int64N(second)
 		for n := range 100 {
 			request := newRequest("harmless", fmt.Sprint(round, n))
-			request.class, request.Write = r.classByName["harmless"], n%4 == 0
+			request.class, request.Write = router.classByName["harmless"], n%4 == 0
 			request.record = &objectRecord{key: objectKey{object: request.Object}}
-			want := plainRank(request.record.key, r.caches)
+			want := plainRank(request.record.key, router.caches)
 			if request.Write {
 				slices.SortStableFunc(want, func(a, b *endpointState) int {
-					return cmp.Compare(r.load(now, a), r.load(now, b))
+					return cmp.Compare(router.load(now, a), router.load(now, b))
 				})
 			}
-			got, count := r.cacheCandidates(now, request), len(want)
+			got, count := router.cacheCandidates(now, request), len(want)
 			if n%10 > 1 {
 				count = min(count, 1+p.rng.IntN(8))
 			}
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -7,17 +7,18 @@
 
 // A fill that a parent rejects goes to the origin if that cannot be overloaded, also without tokens.
 func TestRejectedFillsGoToTheOrigin(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		note           int64
 		overloadFactor float64 // of the origin; 0 is unlimited
 		want           uint32  // the source of the retry; 0 is none
 	}{{6, 0, 5}, {7, 0, 5}, {9, 0, 0}, {6, 2, 0}} {
-		t.Run(fmt.Sprint("note ", c.note, ", overload factor ", c.overloadFactor), func(t *testing.T) {
-			r, request := newRouter(t, func(s *Settings) { s.OriginUnlimited = c.overloadFactor == 0 }), newRequest("harmless", "a")
-			r.Decide(start, request)
-			r.retries.tokens = 0
-			decision := r.AttemptEnded(start, request, Outcome{Result: Overloaded, Note: c.note})
-			if got := decision.Attempt.Source; c.want != 0 && got != c.want || c.want == 0 && got == 5 {
+		t.Run(fmt.Sprint("note ", test.note, ", overload factor ", test.overloadFactor), func(t *testing.T) {
+			router := newRouter(t, func(s *Settings) { s.OriginUnlimited = test.overloadFactor == 0 })
+			request := newRequest("harmless", "a")
+			router.Decide(start, request)
+			router.retries.tokens = 0
+			decision := router.AttemptEnded(start, request, Outcome{Result: Overloaded, Note: test.note})
+			if got := decision.Attempt.Source; test.want != 0 && got != test.want || test.want == 0 && got == 5 {
 				t.Errorf("%+v", decision)
 			}
 		})
@@ -32,33 +33,39 @@
 		want    Verdict // after the last result
 	}{
 		{"idempotent, after a timeout", "harmless", []Result{TimedOut}, Send},
-		{"idempotent, bounded by its weight", "harmless", []Result{Overloaded, Overloaded, Overloaded, Overloaded}, Reject},
+		{
+			"idempotent, bounded by its weight",
+			"harmless",
+			[]Result{Overloaded, Overloaded, Overloaded, Overloaded},
+			Reject,
+		},
 		{"half the weight, fewer attempts", "stamped", []Result{Overloaded, Overloaded, Overloaded}, Reject},
 		{"keyed, has not run: any cache", "stamped", []Result{Unreachable}, Send},
 		{"keyed, may have run: no other cache in its cell", "stamped", []Result{ConnectionLost, ConnectionLost}, Fail},
 		{"non-idempotent, has not run", "once", []Result{Overloaded}, Send},
 		{"non-idempotent, may have run: neither retried nor rejected", "once", []Result{TimedOut}, Fail},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, nil)
-			request, now := newRequest(c.class, "a"), start
-			decision := r.Decide(now, request)
-			for i, result := range c.results {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, nil)
+			request, now := newRequest(test.class, "a"), start
+			decision := router.Decide(now, request)
+			for i, result := range test.results {
 				if decision.Verdict != Send {
 					t.Fatalf("attempt %d: verdict %v", i, decision.Verdict)
 				}
 				first := decision.Attempt.Cache
 				now += second / 2
-				decision = r.AttemptEnded(now, request, Outcome{Attempt: i, Result: result})
-				if c.class == "stamped" && result == ConnectionLost && decision.Verdict == Send && decision.Attempt.Cache != first {
+				decision = router.AttemptEnded(now, request, Outcome{Attempt: i, Result: result})
+				mayHaveRun := test.class == "stamped" && result == ConnectionLost
+				if mayHaveRun && decision.Verdict == Send && decision.Attempt.Cache != first {
 					t.Fatal("sent to another cell")
 				}
 			}
-			if decision.Verdict != c.want {
-				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
+			if decision.Verdict != test.want {
+				t.Errorf("verdict %v, want %v", decision.Verdict, test.want)
 			}
-			if again := r.Decide(now, request); decision.Verdict != Send && again.Verdict != Wait {
+			if again := router.Decide(now, request); decision.Verdict != Send && again.Verdict != Wait {
 				t.Errorf("after its final answer: %v", again.Verdict)
 			}
 		})
@@ -67,16 +74,24 @@
 
 // Retries take a token only after results that may be a sign of an overload.
 func TestRetriesAfterLostConnectionsTakeNoTokens(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		result Result
 		want   Verdict
-	}{{ConnectionLost, Send}, {SendInterrupted, Send}, {NotCached, Send}, {Overloaded, Reject}, {ServerError, Reject}, {Unreachable, Reject}} {
-		t.Run(fmt.Sprint(c.result), func(t *testing.T) {
-			r, request := newRouter(t, nil), newRequest("harmless", "a")
-			r.Decide(start, request)
-			r.retries.tokens = 0
-			if decision := r.AttemptEnded(start, request, Outcome{Result: c.result}); decision.Verdict != c.want {
-				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
+	}{
+		{ConnectionLost, Send},
+		{SendInterrupted, Send},
+		{NotCached, Send},
+		{Overloaded, Reject},
+		{ServerError, Reject},
+		{Unreachable, Reject},
+	} {
+		t.Run(fmt.Sprint(test.result), func(t *testing.T) {
+			router, request := newRouter(t, nil), newRequest("harmless", "a")
+			router.Decide(start, request)
+			router.retries.tokens = 0
+			decision := router.AttemptEnded(start, request, Outcome{Result: test.result})
+			if decision.Verdict != test.want {
+				t.Errorf("verdict %v, want %v", decision.Verdict, test.want)
 			}
 		})
 	}
@@ -85,7 +100,7 @@
 // Once answers were lost, an attempt that takes long is hedged: a lost answer would be noticed only at the
 // deadline.
 func TestHedging(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name    string
 		lost    int
 		elapsed int64 // in tenths of the latency objective
@@ -98,26 +113,26 @@
 		{"many time out: hedges would make an overload worse", 60, 7, nil, Wait},
 		{"hedging is not allowed", 2, 7, func(s *Settings) { s.Hedging = false }, Wait},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			r, now := newRouter(t, c.change), start
-			for n := range 300 + c.lost {
+		t.Run(test.name, func(t *testing.T) {
+			router, now := newRouter(t, test.change), start
+			for n := range 300 + test.lost {
 				request := newRequest("harmless", fmt.Sprint(n))
-				if decision := r.Decide(now, request); decision.Verdict != Send {
+				if decision := router.Decide(now, request); decision.Verdict != Send {
 					t.Fatalf("verdict %v", decision.Verdict)
 				}
 				outcome := Outcome{Result: Succeeded, Elapsed: second / 10, RequestEnded: true}
 				if n >= 300 {
 					outcome.Result, outcome.Elapsed = TimedOut, 5*second
 				}
-				r.AttemptEnded(now, request, outcome)
+				router.AttemptEnded(now, request, outcome)
 			}
 			request := newRequest("harmless", "x")
-			r.Decide(now, request)
-			now += r.objectiveFor(request, 0) * c.elapsed / 10
-			decision := r.Decide(now, request)
+			router.Decide(now, request)
+			now += router.objectiveFor(request, 0) * test.elapsed / 10
+			decision := router.Decide(now, request)
 			sameCache := decision.Verdict == Send && decision.Attempt.Cache == request.attempts[0].cache.ID
-			if decision.Verdict != c.want || sameCache {
-				t.Errorf("verdict %v, want %v", decision.Verdict, c.want)
+			if decision.Verdict != test.want || sameCache {
+				t.Errorf("verdict %v, want %v", decision.Verdict, test.want)
 			}
 		})
 	}
@@ -130,7 +145,7 @@
 	sameCell := &endpointState{Endpoint: Endpoint{Location: "here", Cell: 1}}
 	sameZone := &endpointState{Endpoint: Endpoint{Location: "here", Cell: 2}}
 	elsewhere := &endpointState{Endpoint: Endpoint{Location: "there", Cell: 3}}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name        string
 		idempotency Idempotency
 		scope       KeyScope
@@ -143,16 +158,16 @@
 		{"did not run", Keyed, ScopeCell, didNotRun, [3]bool{true, true, true}},
 		{"idempotent", Idempotent, ScopeCell, ran, [3]bool{true, true, true}},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			class := &classState{ClassSettings: ClassSettings{Idempotency: c.idempotency, KeyScope: c.scope}}
-			request := &Request{requestState: requestState{class: class, attempts: []*attemptState{c.attempt}}}
+		t.Run(test.name, func(t *testing.T) {
+			class := &classState{ClassSettings: ClassSettings{Idempotency: test.idempotency, KeyScope: test.scope}}
+			request := &Request{requestState: requestState{class: class, attempts: []*attemptState{test.attempt}}}
 			got := [3]bool{
 				request.withinKeyScope(sameCell),
 				request.withinKeyScope(sameZone),
 				request.withinKeyScope(elsewhere),
 			}
-			if got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+			if got != test.want {
+				t.Errorf("%v, want %v", got, test.want)
 			}
 		})
 	}
@@ -160,11 +175,11 @@
 
 // Without the setting, a rejection carries no Retry-After.
 func TestRejectionWithoutRetryAfter(t *testing.T) {
-	r := newRouter(t, func(s *Settings) { s.RetryAfter = false })
+	router := newRouter(t, func(s *Settings) { s.RetryAfter = false })
 	request := newRequest("harmless", "a")
-	r.Decide(start, request)
+	router.Decide(start, request)
 	request.ended = false
-	if decision := r.rejectOrFail(start, request); decision.Verdict != Reject || decision.RetryAfter != 0 {
+	if decision := router.rejectOrFail(start, request); decision.Verdict != Reject || decision.RetryAfter != 0 {
 		t.Errorf("%+v", decision)
 	}
 }
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -20,9 +20,9 @@
 		}
 	})
 	t.Run("a hot object goes to both caches", func(t *testing.T) {
-		r, seen := newRouter(t, nil), map[uint32]int{}
+		router, seen := newRouter(t, nil), map[uint32]int{}
 		for range 40 {
-			seen[r.Decide(start, newRequest("harmless", "hot")).Attempt.Cache]++
+			seen[router.Decide(start, newRequest("harmless", "hot")).Attempt.Cache]++
 		}
 		if seen[1] == 0 || seen[2] == 0 {
 			t.Errorf("attempts by cache: %v", seen)
@@ -31,9 +31,9 @@
 }
 
 // sourceOf returns the source of the first attempt of a request for an object, which is answered at once.
-func sourceOf(r *Router, object string) uint32 {
+func sourceOf(router *Router, object string) uint32 {
 	request := newRequest("harmless", object)
-	decision := r.Decide(start, request)
-	r.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true})
+	decision := router.Decide(start, request)
+	router.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true})
 	return decision.Attempt.Source
 }
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -11,27 +11,47 @@
 
 // What a router can't go by is named with its key and its value, each of several.
 func TestSettingsThatAreWrong(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		change RawSettings
 		want   []SettingError
 	}{
 		{"a number for a switch", RawSettings{"probe": 1.}, []SettingError{{"probe", 1., "is no bool"}}},
 		{"a number for a count", RawSettings{"routers": 4.}, []SettingError{{"routers", 4., "is no int64"}}},
-		{"one for a list", RawSettings{"product.due": second}, []SettingError{{"product.due", second, "is no []int64"}}},
-		{"a list of others", RawSettings{"product.neverKept": []string{"yes"}}, []SettingError{{"product.neverKept", []string{"yes"}, "is no []bool"}}},
-		{"two at once", RawSettings{"joins": "on", "cold.span": 2.5}, []SettingError{{"cold.span", 2.5, "is no int64"}, {"joins", "on", "is no bool"}}},
-		{"a kind beyond the list", RawSettings{"kind.origin": int64(3)}, []SettingError{{"kind.origin", int64(3), "is no place in the 3 kinds"}}},
+		{
+			"one for a list",
+			RawSettings{"product.due": second},
+			[]SettingError{{"product.due", second, "is no []int64"}},
+		},
+		{
+			"a list of others",
+			RawSettings{"product.neverKept": []string{"yes"}},
+			[]SettingError{{"product.neverKept", []string{"yes"}, "is no []bool"}},
+		},
+		{
+			"two at once",
+			RawSettings{"joins": "on", "cold.span": 2.5},
+			[]SettingError{{"cold.span", 2.5, "is no int64"}, {"joins", "on", "is no bool"}},
+		},
+		{
+			"a kind beyond the list",
+			RawSettings{"kind.origin": int64(3)},
+			[]SettingError{{"kind.origin", int64(3), "is no place in the 3 kinds"}},
+		},
 		{
 			"a class twice",
 			RawSettings{"product.names": []string{"harmless", "once", "harmless"}},
 			[]SettingError{{"product.names", []string{"harmless", "once", "harmless"}, `has "harmless" twice`}},
 		},
-		{"missing", RawSettings{"product.due": nil, "location": nil}, []SettingError{{"product.due", nil, "is missing"}, {"location", nil, "is missing"}}},
+		{
+			"missing",
+			RawSettings{"product.due": nil, "location": nil},
+			[]SettingError{{"product.due", nil, "is missing"}, {"location", nil, "is missing"}},
+		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			raw := rawSite()
-			maps.Copy(raw, c.change)
+			maps.Copy(raw, test.change)
 			_, err := DecodeSettings(raw)
 			if err == nil {
 				t.Fatal("no error")
@@ -41,10 +61,10 @@
 				t.Fatalf("%T: %v", err, err)
 			}
 			lines := strings.Split(err.Error(), "\n")
-			if len(lines) != len(c.want) {
+			if len(lines) != len(test.want) {
 				t.Fatalf("%d errors: %v", len(lines), err)
 			}
-			for _, want := range c.want {
+			for _, want := range test.want {
 				if !strings.Contains(err.Error(), want.Error()) {
 					t.Errorf("%q, want %q", err, want.Error())
 				}
@@ -60,22 +80,38 @@
 // what is unknown is taken for the worst.
 func TestSettingsThatAreAbsent(t *testing.T) {
 	set, err := DecodeSettings(RawSettings{
-		"routers": int64(0), "location": "here", "kinds": []string{"cache"}, "product.names": []string{"a", "b"},
-		"product.due": []int64{2 * second}, "product.hardStop": []int64{5 * second, 5 * second}, "product.payoff": []float64{3},
-		"product.effect": []string{"harmless", "unheard of"},
+		"routers":          int64(0),
+		"location":         "here",
+		"kinds":            []string{"cache"},
+		"product.names":    []string{"a", "b"},
+		"product.due":      []int64{2 * second},
+		"product.hardStop": []int64{5 * second, 5 * second},
+		"product.payoff":   []float64{3},
+		"product.effect":   []string{"harmless", "unheard of"},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	a, b := set.Classes[0], set.Classes[1]
-	if a.LatencyObjective != 2*second || a.PriorityWeight != 3 || a.Idempotency != Idempotent || a.KeyScope != ScopeCell {
-		t.Errorf("%+v", a)
+	wantA := ClassSettings{
+		Name:             "a",
+		LatencyObjective: 2 * second,
+		PriorityWeight:   3,
+		Idempotency:      Idempotent,
+		KeyScope:         ScopeCell,
+	}
+	wantB := ClassSettings{
+		Name:             "b",
+		LatencyObjective: second,
+		PriorityWeight:   1,
+		Idempotency:      NonIdempotent,
+		KeyScope:         ScopeCell,
 	}
-	if b.LatencyObjective != second || b.PriorityWeight != 1 || b.Idempotency != NonIdempotent || b.FreshDuration != 0 {
-		t.Errorf("%+v", b)
+	if a != wantA || b != wantB {
+		t.Errorf("%+v and %+v", a, b)
 	}
-	if set.parentSharers() != 1 || set.cacheSharers() != 1 || set.parentKind() != noKind || set.originKind() != noKind ||
-		set.Weights != CapacityWeights || !set.OriginUnlimited || set.inFlightField() != -1 || set.MaxAttempts != 3 ||
+	if set.parentSharers() != 1 || set.cacheSharers() != 1 ||
+		set.parentKind() != noKind || set.originKind() != noKind || set.Weights != CapacityWeights || !set.OriginUnlimited || set.inFlightField() != -1 || set.MaxAttempts != 3 ||
 		set.PurgeDuration != 10*second || set.ParentSlowStart != set.CacheSlowStart ||
 		set.CacheSlowStart != (SlowStartSettings{Share: 1, Factor: 1, Window: second}) {
 		t.Errorf("%+v", set)
@@ -86,8 +122,8 @@
 func allWrongSettings() RawSettings {
 	raw := RawSettings{}
 	for _, key := range []string{
-		"advice", "advice.most", "answer.bytesPerS", "answer.grace", "cancel", "clientKBPerS", "cold.factor", "cold.share",
-		"cold.span", "cold.window", "connect.idle", "connect.streams", "connect.within", "dispatches.most",
+		"advice", "advice.most", "answer.bytesPerS", "answer.grace", "cancel", "clientKBPerS", "cold.factor",
+		"cold.share", "cold.span", "cold.window", "connect.idle", "connect.streams", "connect.within", "dispatches.most",
 		"dispatches.together", "drain.grace", "hands.most", "joins", "kind.origin", "kind.parent", "kinds", "list.mode",
 		"location", "location.routers", "locations", "origin.fallFactor", "parent.coldFactor", "parent.coldShare",
 		"parent.coldSpan", "probe", "product.due", "product.dueStretch", "product.effect", "product.fresh",
@@ -129,7 +165,7 @@
 	withClass["location"] = "here"
 	withClass["locations"] = []string{"here"}
 	withClass["kinds"] = nil
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		raw  RawSettings
 		want string
@@ -165,10 +201,10 @@
 setting kinds is missing
 setting routers is missing`},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			set, err := DecodeSettings(c.raw)
-			if err == nil || err.Error() != c.want {
-				t.Errorf("%v\nwant\n%s", err, c.want)
+		t.Run(test.name, func(t *testing.T) {
+			set, err := DecodeSettings(test.raw)
+			if err == nil || err.Error() != test.want {
+				t.Errorf("%v\nwant\n%s", err, test.want)
 			}
 			// What is wrong counts as absent, so that other files can still be checked against the rest.
 			want := DefaultSettings()
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -56,16 +56,16 @@
 
 func (s *sharedSlowStart) newRouter(t *testing.T, seed uint64, routers int, capacity float64) *Router {
 	t.Helper()
-	r := New(start, seed, site(func(s *Settings) { s.Routers = routers }), func(logevent.Event) {})
+	router := New(start, seed, site(func(s *Settings) { s.Routers = routers }), func(logevent.Event) {})
 	entries := slices.Clone(fleet)
 	entries[startingID-1].StartedAt, entries[startingID-1].Capacity = start, capacity
-	r.UpdateEndpoints(start, entries, true)
-	return r
+	router.UpdateEndpoints(start, entries, true)
+	return router
 }
 
 // sendAll has a router send as much as it may.
-func (s *sharedSlowStart) sendAll(now int64, r *Router) {
-	for endpoint := r.endpoints[startingID]; r.slowStartAdmits(now, endpoint, meanWork); {
+func (s *sharedSlowStart) sendAll(now int64, router *Router) {
+	for endpoint := router.endpoints[startingID]; router.slowStartAdmits(now, endpoint, meanWork); {
 		endpoint.charge(now, meanWork)
 		s.sent = append(s.sent, sentWork{now, meanWork})
 	}
@@ -99,12 +99,13 @@
 					t.Parallel()
 					capacity := n * meanWork / 2 / 0.1 / 2 // a tenth of it is there at the start
 					shared := newSharedSlowStart(t, routers, capacity)
-					for _, r := range shared.routers {
-						r.slowStartAdmits(start, r.endpoints[startingID], meanWork) // collects tokens from here on
+					for _, router := range shared.routers {
+						// collects tokens from here on
+						router.slowStartAdmits(start, router.endpoints[startingID], meanWork)
 					}
 					for now := start + 4*second; now < start+14*second; now += second / 4 {
-						for i, r := range shared.routers {
-							shared.sendAll(now, r)
+						for i, router := range shared.routers {
+							shared.sendAll(now, router)
 							if restart && now == start+5*second && i%10 > 0 {
 								shared.routers[i] = shared.newRouter(t, uint64(routers+i), routers, capacity)
 							}
@@ -122,7 +123,7 @@
 
 // Phases are distributed evenly over routers, endpoints and restarts.
 func TestPhases(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		of   func(n int) (seed uint64, now int64, id uint32)
 	}{
@@ -130,13 +131,13 @@
 		{"restarts", func(n int) (uint64, int64, uint32) { return 7, start + int64(n), 3 }},
 		{"endpoints", func(n int) (uint64, int64, uint32) { return 7, start, uint32(n) }},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			const draws, parts = 4000, 20
 			var count [parts]int
 			for n := range draws {
-				seed, now, id := c.of(n)
-				r := &Router{seed: seed}
-				count[int(r.phase(now, &endpointState{Endpoint: Endpoint{ID: id}})*parts)]++
+				seed, now, id := test.of(n)
+				router := &Router{seed: seed}
+				count[int(router.phase(now, &endpointState{Endpoint: Endpoint{ID: id}})*parts)]++
 			}
 			for part, n := range count {
 				if mean := draws / parts; n < mean*2/3 || n > mean*4/3 { // five standard deviations
@@ -153,76 +154,76 @@
 // newRouterWithStart returns a router that lists one endpoint of fleet as started now.
 func newRouterWithStart(t *testing.T, id uint32, change func(*Settings)) *Router {
 	t.Helper()
-	r := newRouter(t, change)
+	router := newRouter(t, change)
 	entry := fleet[id-1]
 	entry.StartedAt = start
-	r.UpdateEndpoints(start, []Endpoint{entry}, false)
-	return r
+	router.UpdateEndpoints(start, []Endpoint{entry}, false)
+	return router
 }
 
 // checkCharged checks how much work, in s, is charged to an endpoint in slow start.
-func checkCharged(t *testing.T, r *Router, id uint32, want float64) {
+func checkCharged(t *testing.T, router *Router, id uint32, want float64) {
 	t.Helper()
-	if work := r.endpoints[id].slowStart.work(); math.Abs(work-want) > 1e-9 {
+	if work := router.endpoints[id].slowStart.work(); math.Abs(work-want) > 1e-9 {
 		t.Errorf("%.2f s of work are charged, want %.2f", work, want)
 	}
 }
 
 func TestRetriesAreCharged(t *testing.T) {
-	r := newRouterWithStart(t, 1, nil)
-	r.UpdateEndpoints(start, []Endpoint{{ID: 2, Location: "here", Phase: PhaseGone}}, false)
+	router := newRouterWithStart(t, 1, nil)
+	router.UpdateEndpoints(start, []Endpoint{{ID: 2, Location: "here", Phase: PhaseGone}}, false)
 	request := newRequest("harmless", "a")
-	r.Decide(start, request)
-	checkCharged(t, r, 1, 0.5)
-	decision := r.AttemptEnded(start, request, Outcome{Result: ConnectionLost})
+	router.Decide(start, request)
+	checkCharged(t, router, 1, 0.5)
+	decision := router.AttemptEnded(start, request, Outcome{Result: ConnectionLost})
 	if decision.Verdict != Send || decision.Attempt.Cache != 1 {
 		t.Fatalf("no retry: %+v", decision)
 	}
-	checkCharged(t, r, 1, 1)
+	checkCharged(t, router, 1, 1)
 }
 
 func TestHedgesAreCharged(t *testing.T) {
-	r := newRouterWithStart(t, 1, nil)
+	router := newRouterWithStart(t, 1, nil)
 	draining := Endpoint{ID: 2, Location: "here", Kind: "cache", Cell: 2, Phase: PhaseDraining}
-	r.UpdateEndpoints(start, []Endpoint{draining}, false)
+	router.UpdateEndpoints(start, []Endpoint{draining}, false)
 	request := newRequest("harmless", "a")
-	r.Decide(start, request)
-	r.UpdateEndpoints(start, fleet[1:2], false)
-	r.endpoints[1].slowStartFrom, r.endpoints[2].slowStartFrom = start, start
-	r.endpoints[1].ejected, r.endpoints[1].nextProbeAt = true, forever
-	r.retries.tokens = 3
-	decision := r.Decide(start+second, request)
+	router.Decide(start, request)
+	router.UpdateEndpoints(start, fleet[1:2], false)
+	router.endpoints[1].slowStartFrom, router.endpoints[2].slowStartFrom = start, start
+	router.endpoints[1].ejected, router.endpoints[1].nextProbeAt = true, forever
+	router.retries.tokens = 3
+	decision := router.Decide(start+second, request)
 	if decision.Verdict != Send || decision.Attempt.Cache != 2 || request.inFlight != 2 {
 		t.Fatalf("no hedge: %+v", decision)
 	}
-	checkCharged(t, r, 1, 0.5)
-	checkCharged(t, r, 2, 0.5)
+	checkCharged(t, router, 1, 0.5)
+	checkCharged(t, router, 2, 0.5)
 }
 
 func TestFillsAreChargedToTheParent(t *testing.T) {
-	r := newRouterWithStart(t, 3, nil)
-	r.UpdateEndpoints(start, []Endpoint{{ID: 4, Location: "hub", Phase: PhaseGone}}, false)
+	router := newRouterWithStart(t, 3, nil)
+	router.UpdateEndpoints(start, []Endpoint{{ID: 4, Location: "hub", Phase: PhaseGone}}, false)
 	large := newRequest("harmless", "a")
 	large.SizeKB = 5000 // 5 s by its size; the mean of its class counts
-	if decision := r.Decide(start, large); decision.Attempt.Source != 3 {
+	if decision := router.Decide(start, large); decision.Attempt.Source != 3 {
 		t.Fatalf("filled from %d", decision.Attempt.Source)
 	}
-	checkCharged(t, r, 3, 0.5)
+	checkCharged(t, router, 3, 0.5)
 }
 
 func TestProbesAreCharged(t *testing.T) {
-	r := newRouterWithStart(t, 1, func(s *Settings) { s.HealthChecks = true })
-	endpoint := r.endpoints[1]
+	router := newRouterWithStart(t, 1, func(s *Settings) { s.HealthChecks = true })
+	endpoint := router.endpoints[1]
 	for n := range 20 { // until no probe is admitted either
 		endpoint.ejected, endpoint.probing, endpoint.nextProbeAt = true, false, start
-		r.outliers.watched.add(endpoint) // as after an ejection
+		router.outliers.watched.add(endpoint) // as after an ejection
 		endpoint.lastResponseAt = start
-		probe, _ := r.Tick(start)
+		probe, _ := router.Tick(start)
 		if want := n < 4; slices.Contains(probe, 1) != want { // (8 + 3·√8 + 3) / 2 incarnations / 2 routers
 			t.Fatalf("probe %d sent: %v", n, !want)
 		}
 	}
-	checkCharged(t, r, 1, 2)
+	checkCharged(t, router, 1, 2)
 }
 
 func TestSlowStartLimitsOneRouter(t *testing.T) {
@@ -238,27 +239,27 @@
 		{"a parent that has just started, shared by all routers", 2, 0, (16 + 3*math.Sqrt(16) + 3) / 2 / 4 * 0.5},
 		{"a warm cache", 0, 11 * second, math.Inf(1)},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			r := newRouter(t, nil)
-			entry := fleet[c.endpoint]
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			router := newRouter(t, nil)
+			entry := fleet[test.endpoint]
 			entry.StartedAt = start
-			r.UpdateEndpoints(start, []Endpoint{entry}, false)
-			now, sent := start+c.since, 0.
+			router.UpdateEndpoints(start, []Endpoint{entry}, false)
+			now, sent := start+test.since, 0.
 			for i := range 200 {
 				request := newRequest("harmless", fmt.Sprint(i))
-				decision := r.Decide(now, request)
+				decision := router.Decide(now, request)
 				if decision.Verdict != Send {
 					continue
 				}
 				if decision.Attempt.Cache == entry.ID || decision.Attempt.Source == entry.ID {
-					sent += r.sendingTime(request)
+					sent += router.sendingTime(request)
 				}
 				// It is answered at once, so that only the budget binds.
-				r.AttemptEnded(now, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 2})
+				router.AttemptEnded(now, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 2})
 			}
-			if sent > c.budget || sent == 0 || math.IsInf(c.budget, 1) && sent < 10 {
-				t.Errorf("sent %v s of work, budget %v", sent, c.budget)
+			if sent > test.budget || sent == 0 || math.IsInf(test.budget, 1) && sent < 10 {
+				t.Errorf("sent %v s of work, budget %v", sent, test.budget)
 			}
 		})
 	}
@@ -267,18 +268,18 @@
 // An endpoint that could not be reached has probably restarted, which the list tells only seconds later. When
 // it is restored its slow start begins.
 func TestUnreachableEndpointsRestartInSlowStart(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name      string
 		result    Result
 		slowStart bool
 	}{{"unreachable", Unreachable, true}, {"only late", TimedOut, false}} {
-		t.Run(c.name, func(t *testing.T) {
-			r, request := newRouter(t, nil), newRequest("harmless", "a")
-			endpoint := r.endpoints[r.Decide(start, request).Attempt.Cache]
+		t.Run(test.name, func(t *testing.T) {
+			router, request := newRouter(t, nil), newRequest("harmless", "a")
+			endpoint := router.endpoints[router.Decide(start, request).Attempt.Cache]
 			endpoint.ejected = true
-			r.AttemptEnded(start, request, Outcome{Result: c.result, RequestEnded: true})
-			r.ProbeEnded(start+second, endpoint.ID, true, nil)
-			if endpoint.ejected || (endpoint.slowStartFrom == start+second) != c.slowStart {
+			router.AttemptEnded(start, request, Outcome{Result: test.result, RequestEnded: true})
+			router.ProbeEnded(start+second, endpoint.ID, true, nil)
+			if endpoint.ejected || (endpoint.slowStartFrom == start+second) != test.slowStart {
 				t.Errorf("ejected %v, slow start from %v", endpoint.ejected, endpoint.slowStartFrom)
 			}
 		})
--- a/control/slowstart_tokens_test.go
+++ b/control/slowstart_tokens_test.go
@@ -40,7 +40,8 @@
 				rate := terms.rate(1, 1)
 				chance := moreThan(incarnations*routers, limit, rate) * float64(starts)
 				if rate <= 0 || rate > 1 || chance > overloadProbability || chance < overloadProbability/1000 {
-					t.Errorf("%d routers, %d starts, N %.1f: rate %.4f, overload on %.2g of all days", routers, starts, n, rate, chance)
+					t.Errorf("%d routers, %d starts, N %.1f: rate %.4f, overload on %.2g of all days",
+						routers, starts, n, rate, chance)
 				}
 				// If the routers use tokens as they come, a window sees those of one window. Then the endpoint
 				// may even be smaller than it seems.
@@ -63,7 +64,8 @@
 		terms := tokenTerms{limit: float64(limit), trials: incarnations * routers, starts: starts}
 		light, heavy := terms.rate(1, 1), terms.rate(heavyWork, 1)
 		for part := 0.; part <= 1; part += 0.125 {
-			dist, exceeded := make([]float64, limit+1), 0. // probabilities of so much work so far; of more than the limit
+			// probabilities of so much work so far; of more than the limit
+			dist, exceeded := make([]float64, limit+1), 0.
 			dist[0] = 1
 			for range incarnations * routers {
 				next := make([]float64, limit+1)
@@ -82,7 +84,8 @@
 				dist = next
 			}
 			if exceeded*starts > overloadProbability {
-				t.Errorf("limit %d, %.2f of the requests are light: overload on %.2g of all days", limit, part, exceeded*starts)
+				t.Errorf("limit %d, %.2f of the requests are light: overload on %.2g of all days",
+					limit, part, exceeded*starts)
 			}
 		}
 	}
@@ -94,7 +97,7 @@
 func TestSmallSlowStartSharesCollectTokens(t *testing.T) {
 	const routers = 300
 	window := 2 * second
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		interval int64 // between two requests of a router for the endpoint
 		from     int64 // after its start
@@ -105,22 +108,23 @@
 		{"ten times the requests at some routers", 5 * second, 0, 10},
 		{"all at once after a while", second / 5, 8 * second, 1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var all []sentWork
 			for n := range routers {
-				r := New(start, uint64(n), site(func(s *Settings) { s.Routers = routers }), func(logevent.Event) {})
+				settings := site(func(s *Settings) { s.Routers = routers })
+				router := New(start, uint64(n), settings, func(logevent.Event) {})
 				entry := fleet[2]
 				entry.StartedAt = start
-				r.UpdateEndpoints(start, append([]Endpoint{entry}, fleet[3:]...), true)
-				r.UpdateEndpoints(start, fleet[:2], false)
-				endpoint := r.endpoints[startingID]
-				r.slowStartAdmits(start, endpoint, meanWork) // collects tokens from here on
-				interval := c.interval
+				router.UpdateEndpoints(start, append([]Endpoint{entry}, fleet[3:]...), true)
+				router.UpdateEndpoints(start, fleet[:2], false)
+				endpoint := router.endpoints[startingID]
+				router.slowStartAdmits(start, endpoint, meanWork) // collects tokens from here on
+				interval := test.interval
 				if n%10 == 0 {
-					interval /= c.factor
+					interval /= test.factor
 				}
-				for now := start + c.from + int64(n)*interval/routers; now < start+16*second; now += interval {
-					if r.slowStartAdmits(now, endpoint, meanWork) {
+				for now := start + test.from + int64(n)*interval/routers; now < start+16*second; now += interval {
+					if router.slowStartAdmits(now, endpoint, meanWork) {
 						all = append(all, sentWork{now, meanWork})
 						endpoint.charge(now, meanWork)
 					}
@@ -157,11 +161,11 @@
 			for _, postpones := range []bool{true, false} {
 				shared := newSharedSlowStart(t, routers, capacity)
 				for now := start; now < start+20*second; now += second / 20 {
-					for _, r := range shared.routers {
+					for _, router := range shared.routers {
 						if !postpones {
-							r.endpoints[startingID].slowStart.retryAt = 0
+							router.endpoints[startingID].slowStart.retryAt = 0
 						}
-						shared.sendAll(now, r)
+						shared.sendAll(now, router)
 					}
 				}
 				shared.check(t, capacity)
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -10,41 +10,48 @@
 // knows only which objects were requested.
 func TestSnapshot(t *testing.T) {
 	set := decoded(RawSettings{
-		"product.names": []string{"stills"}, "product.due": []int64{4 * second / 10}, "product.hardStop": []int64{second},
-		"product.payoff": []float64{1}, "product.effect": []string{"harmless"}, "location": "here", "kinds": []string{"cache"},
-		"routers": int64(1),
+		"product.names":    []string{"stills"},
+		"product.due":      []int64{4 * second / 10},
+		"product.hardStop": []int64{second},
+		"product.payoff":   []float64{1},
+		"product.effect":   []string{"harmless"},
+		"location":         "here",
+		"kinds":            []string{"cache"},
+		"routers":          int64(1),
 	})
 	newRouterAt := func(at int64) *Router {
-		r := New(at, 7, set, func(logevent.Event) {})
-		r.UpdateEndpoints(at, []Endpoint{{ID: 1, Location: "here", Kind: "cache", Phase: "ready", Capacity: 4}}, true)
-		return r
+		router := New(at, 7, set, func(logevent.Event) {})
+		cache := Endpoint{ID: 1, Location: "here", Kind: "cache", Phase: PhaseReady, Capacity: 4}
+		router.UpdateEndpoints(at, []Endpoint{cache}, true)
+		return router
 	}
 	const started, later = 1000 * second, 1040 * second
-	r := newRouterAt(started)
+	router := newRouterAt(started)
 	for i := range int64(40) {
 		at := started + i*second/4
 		object := "a"
 		if i%4 == 0 {
 			object = "b"
 		}
-		if decision := r.Decide(at, &Request{Class: "stills", Object: object, Deadline: at + second}); decision.Verdict != Send {
+		decision := router.Decide(at, &Request{Class: "stills", Object: object, Deadline: at + second})
+		if decision.Verdict != Send {
 			t.Fatal(decision)
 		}
 	}
-	r.Purge(started+9*second, "b", 0, started+9*second)
+	router.Purge(started+9*second, "b", 0, started+9*second)
 	now := started + 10*second
-	snapshot := r.Snapshot(now, 10)
+	snapshot := router.Snapshot(now, 10)
 	if len(snapshot.Objects) != 2 || len(snapshot.Purges) != 1 || snapshot.Objects[1].Object != "a" {
 		t.Fatalf("%+v", snapshot)
 	}
 	next := newRouterAt(later)
 	next.Restore(later, snapshot, true)
-	rate := func(r *Router, at int64, object string) float64 {
-		record := r.rates.objects[objectKey{object, 0}]
-		return r.rates.ofObject(at, record)
+	rate := func(router *Router, at int64, object string) float64 {
+		record := router.rates.objects[objectKey{object, 0}]
+		return router.rates.ofObject(at, record)
 	}
 	for _, object := range []string{"a", "b"} {
-		before, after := rate(r, now, object), rate(next, later, object)
+		before, after := rate(router, now, object), rate(next, later, object)
 		if math.Abs(before-after) > 1e-9 || after == 0 {
 			t.Errorf("%s: %f before, %f after", object, before, after)
 		}
@@ -58,7 +65,7 @@
 	if record == nil || record.requestCount != 0 || record.purgeCount != 1 || withoutRates.rates.requestCount != 0 {
 		t.Errorf("%+v", record)
 	}
-	if one := r.Snapshot(now, 1); len(one.Objects) != 1 || one.Objects[0].Object != "a" {
+	if one := router.Snapshot(now, 1); len(one.Objects) != 1 || one.Objects[0].Object != "a" {
 		t.Errorf("%+v", one.Objects)
 	}
 }
@@ -66,9 +73,9 @@
 // Classes that the settings do not have, invalid means and repeated objects in a snapshot are ignored; evicted
 // objects stay evicted.
 func TestRestoreIgnoresInvalidEntries(t *testing.T) {
-	r := newRouter(t, nil)
-	before := *r.classByName["once"]
-	r.Restore(start, Snapshot{
+	router := newRouter(t, nil)
+	before := *router.classByName["once"]
+	router.Restore(start, Snapshot{
 		Classes: []ClassSnapshot{
 			{Name: "unknown", SendingTime: 1, ResponseTime: 1},
 			{Name: "once", SendingTime: -1, ResponseTime: 1},
@@ -79,13 +86,13 @@
 			{Object: "b", Evicted: true},
 		},
 	}, true)
-	if got := *r.classByName["once"]; got != before || len(r.classByName) != 3 {
+	if got := *router.classByName["once"]; got != before || len(router.classByName) != 3 {
 		t.Errorf("%+v, was %+v", got, before)
 	}
-	if record := r.rates.objects[objectKey{object: "a"}]; len(r.rates.objects) != 2 || record.group != 1 {
-		t.Errorf("%d records, %+v", len(r.rates.objects), record)
+	if record := router.rates.objects[objectKey{object: "a"}]; len(router.rates.objects) != 2 || record.group != 1 {
+		t.Errorf("%d records, %+v", len(router.rates.objects), record)
 	}
-	if r.rates.recentObjects.Len() != 1 || r.rates.evictedObjects.Len() != 1 {
-		t.Errorf("%d recent, %d evicted", r.rates.recentObjects.Len(), r.rates.evictedObjects.Len())
+	if router.rates.recentObjects.Len() != 1 || router.rates.evictedObjects.Len() != 1 {
+		t.Errorf("%d recent, %d evicted", router.rates.recentObjects.Len(), router.rates.evictedObjects.Len())
 	}
 }
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -9,7 +9,7 @@
 // are in four hubs that form a ring, the origin is in the first.
 func writeSite(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
-	r := newRouter(t, func(s *Settings) {
+	router := newRouter(t, func(s *Settings) {
 		s.Classes = []ClassSettings{
 			{
 				Name:             "read",
@@ -32,8 +32,8 @@
 			change(s)
 		}
 	})
-	r.UpdateEndpoints(start, ringFleet(), true)
-	return r
+	router.UpdateEndpoints(start, ringFleet(), true)
+	return router
 }
 
 const (
@@ -45,7 +45,14 @@
 // ringFleet returns four caches of this location, three parents in each hub and the origin in the first.
 func ringFleet() (lines []Endpoint) {
 	for n := range 4 {
-		lines = append(lines, Endpoint{ID: uint32(1 + n), Location: "here", Kind: "cache", Cell: int64(n), Phase: "ready", Capacity: 5})
+		lines = append(lines, Endpoint{
+			ID:       uint32(1 + n),
+			Location: "here",
+			Kind:     "cache",
+			Cell:     int64(n),
+			Phase:    "ready",
+			Capacity: 5,
+		})
 	}
 	for n := range 3 * hubs {
 		lines = append(lines, Endpoint{
@@ -53,7 +60,14 @@
 			Phase: "ready", Capacity: 20,
 		})
 	}
-	return append(lines, Endpoint{ID: originID, Location: "hub-0", Kind: "origin", Cell: 10, Phase: "ready", Capacity: 20})
+	return append(lines, Endpoint{
+		ID:       originID,
+		Location: "hub-0",
+		Kind:     "origin",
+		Cell:     10,
+		Phase:    "ready",
+		Capacity: 20,
+	})
 }
 
 // hubOf returns the hub of a source of ringFleet.
@@ -79,13 +93,18 @@
 }
 
 // sendAndAnswer returns the first attempt of a new request, which is answered in time.
-func sendAndAnswer(t *testing.T, r *Router, request *Request) Attempt {
+func sendAndAnswer(t *testing.T, router *Router, request *Request) Attempt {
 	t.Helper()
-	decision := r.Decide(start, request)
+	decision := router.Decide(start, request)
 	if decision.Verdict != Send {
 		t.Fatalf("%s %s is not sent: %+v", request.Class, request.Object, decision)
 	}
-	r.AttemptEnded(start, request, Outcome{Result: Succeeded, Note: 2, Elapsed: 20 * millisecond, RequestEnded: true})
+	router.AttemptEnded(start, request, Outcome{
+		Result:       Succeeded,
+		Note:         2,
+		Elapsed:      20 * millisecond,
+		RequestEnded: true,
+	})
 	return decision.Attempt
 }
 
@@ -93,9 +112,9 @@
 // takes too long.
 func TestWritesTakeTheShortestPath(t *testing.T) {
 	for home := range hubs {
-		r := writeSite(t, nil)
+		router := writeSite(t, nil)
 		for n := range 200 {
-			source := sendAndAnswer(t, r, newRequest("write", fmt.Sprint("object", n))).Source
+			source := sendAndAnswer(t, router, newRequest("write", fmt.Sprint("object", n))).Source
 			if took, best := roundTrip(home, source), roundTrip(home, originID); took > best {
 				t.Fatalf("from hub %d write %d takes %d ms through source %d, %d ms straight to the origin", home, n,
 					took/millisecond, source, best/millisecond)
@@ -106,11 +125,11 @@
 
 // A request that is marked as a write is treated as one of a class that is not cacheable.
 func TestMarkedWritesGoToTheOrigin(t *testing.T) {
-	r := writeSite(t, func(s *Settings) { s.Classes[1].Uncacheable = false })
+	router := writeSite(t, func(s *Settings) { s.Classes[1].Uncacheable = false })
 	for n := range 50 {
 		write := newRequest("read", fmt.Sprint("object", n))
 		write.Write = true
-		if source := sendAndAnswer(t, r, write).Source; source != originID {
+		if source := sendAndAnswer(t, router, write).Source; source != originID {
 			t.Fatalf("a marked write goes to source %d", source)
 		}
 	}
@@ -118,9 +137,9 @@
 
 // Requests that are cacheable are filled from the parent of their hash.
 func TestReadsAreFilledFromParents(t *testing.T) {
-	r := writeSite(t, nil)
+	router := writeSite(t, nil)
 	for n := range 50 {
-		if source := sendAndAnswer(t, r, newRequest("read", fmt.Sprint("object", n))).Source; source == originID {
+		if source := sendAndAnswer(t, router, newRequest("read", fmt.Sprint("object", n))).Source; source == originID {
 			t.Fatal("a read is filled straight from the origin")
 		}
 	}
@@ -129,10 +148,14 @@
 // A write that the origin has rejected is retried through a parent.
 func TestRejectedWritesGoThroughAParent(t *testing.T) {
 	for _, note := range []int64{6, 7} { // the source rejected it; the source could not be reached
-		r := writeSite(t, nil)
+		router := writeSite(t, nil)
 		write := newRequest("write", "object")
-		r.Decide(start, write)
-		decision := r.AttemptEnded(start+20*millisecond, write, Outcome{Result: Overloaded, Note: note, Elapsed: 20 * millisecond})
+		router.Decide(start, write)
+		decision := router.AttemptEnded(start+20*millisecond, write, Outcome{
+			Result:  Overloaded,
+			Note:    note,
+			Elapsed: 20 * millisecond,
+		})
 		if decision.Verdict != Send || decision.Attempt.Source == originID || decision.Attempt.Source == 0 {
 			t.Errorf("after note %d: %+v", note, decision)
 		}
@@ -141,10 +164,11 @@
 
 // Without an origin in the list writes go through a parent.
 func TestWritesWithoutAnOriginListed(t *testing.T) {
-	r := writeSite(t, nil)
+	router := writeSite(t, nil)
 	lines := ringFleet()
-	r.UpdateEndpoints(start, lines[:len(lines)-1], true)
-	if decision := r.Decide(start, newRequest("write", "object")); decision.Verdict != Send || decision.Attempt.Source == 0 {
+	router.UpdateEndpoints(start, lines[:len(lines)-1], true)
+	decision := router.Decide(start, newRequest("write", "object"))
+	if decision.Verdict != Send || decision.Attempt.Source == 0 {
 		t.Errorf("%+v", decision)
 	}
 }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,7 +10,8 @@
 func TestSystem(t *testing.T) {
 	begin := time.Now()
 	c := newSystem(begin)
-	if now, wall := c.Now(), c.Wall(); now < begin.UnixNano() || wall-now > int64(time.Minute) || now-wall > int64(time.Minute) {
+	now, wall := c.Now(), c.Wall()
+	if now < begin.UnixNano() || wall-now > int64(time.Minute) || now-wall > int64(time.Minute) {
 		t.Errorf("now %d, wall %d, begun at %d", now, wall, begin.UnixNano())
 	}
 	// A wall clock set back by an hour after the start, as time.Now shows it: the zero stays where it was.
--- a/internal/clock/usage_test.go
+++ b/internal/clock/usage_test.go
@@ -11,11 +11,11 @@
 	"testing"
 )
 
-// wallReadings are the calls by which a time.Time becomes a number, or is made of one: what is left is the wall
-// clock, and a span between two such numbers goes wrong when that steps.
+// wallReadings are the calls that convert a time.Time to a number or make one of a number. Such a number is a
+// reading of the wall clock, and the span between two of them is wrong if the clock is set in between.
 var wallReadings = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro"}
 
-// readsWall tells by name which of those calls a file makes.
+// readsWall returns the names of those calls that a file makes.
 func readsWall(file *ast.File) (found []string) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		if s, ok := n.(*ast.SelectorExpr); ok && slices.Contains(wallReadings, s.Sel.Name) {
@@ -26,8 +26,8 @@
 	return found
 }
 
-// The programs that serve read no wall clock but through this package: a step of it ended all that was in
-// flight. The stand-ins play other machines, and experiments and the simulator's adapter serve nobody.
+// The programs that serve read the wall clock only through this package, so that setting it moves no deadline. The
+// emulator stands for other machines, and experiments serve no clients.
 func TestWallClockIsReadHereOnly(t *testing.T) {
 	const root = "../.."
 	exempt := []string{"internal/experiment", "internal/emulator", "internal/clock"}
@@ -60,10 +60,14 @@
 
 func TestReadsWall(t *testing.T) {
 	for source, want := range map[string]int{
-		"now := time.Now().UnixNano()": 1, "timer.Reset(time.Until(time.Unix(0, at)))": 1, "spent := time.Since(begun)": 0,
-		"conn.SetDeadline(time.Now().Add(second))": 0, "at := t.UnixMilli() + t.Unix()": 2,
+		"now := time.Now().UnixNano()":              1,
+		"timer.Reset(time.Until(time.Unix(0, at)))": 1,
+		"spent := time.Since(begun)":                0,
+		"conn.SetDeadline(time.Now().Add(second))":  0,
+		"at := t.UnixMilli() + t.Unix()":            2,
 	} {
-		file, err := parser.ParseFile(token.NewFileSet(), "x.go", "package x\nfunc f() {\n"+source+"\n}\n", parser.SkipObjectResolution)
+		inFunction := "package x\nfunc f() {\n" + source + "\n}\n"
+		file, err := parser.ParseFile(token.NewFileSet(), "x.go", inFunction, parser.SkipObjectResolution)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -42,7 +42,8 @@
 			comparePlan(t, plan, listed)
 			for rank, endpoint := range plan.ranking {
 				if *endpoint != *shuffled.ranking[rank] {
-					t.Fatalf("step %d, rank %d: %+v, and %+v in another order", step, rank, endpoint, shuffled.ranking[rank])
+					t.Fatalf("step %d, rank %d: %+v, and %+v in another order",
+						step, rank, endpoint, shuffled.ranking[rank])
 				}
 			}
 		}
@@ -57,7 +58,8 @@
 	slices.SortFunc(ranked, func(a, b string) int { return cmp.Compare(score(a), score(b)) })
 	size := SubsetSize(plan.config.Routers, len(ranked), plan.config.MaxConnections)
 	if plan.SubsetSize != size || len(plan.ranking) != len(ranked) || len(plan.endpoints) != len(ranked) {
-		t.Fatalf("%d of %d caches are in the subset, want %d of %d", plan.SubsetSize, len(plan.ranking), size, len(ranked))
+		t.Fatalf("%d of %d caches are in the subset, want %d of %d",
+			plan.SubsetSize, len(plan.ranking), size, len(ranked))
 	}
 	for rank, name := range ranked {
 		if plan.ranking[rank].name != name || plan.InSubset(name) != (rank < plan.SubsetSize) {
--- a/internal/connpool/localbackoff_test.go
+++ b/internal/connpool/localbackoff_test.go
@@ -25,7 +25,8 @@
 		t.Errorf("%d dials in 4 s: %v", len(dials), dials)
 	}
 	for i := 1; i < len(dials); i++ {
-		if gap := dials[i] - dials[i-1]; gap < connectTimeout/firstDelayDivisor || gap > connectTimeout/maxDelayDivisor {
+		gap := dials[i] - dials[i-1]
+		if gap < connectTimeout/firstDelayDivisor || gap > connectTimeout/maxDelayDivisor {
 			t.Errorf("dials %d ms apart", gap/millisecond)
 		}
 	}
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -102,7 +102,7 @@
 }
 
 // A purge whose time can't be read counts from its arrival; a start that can't be read makes the event unusable.
-func TestTimestampsThatAreNoWholeNumber(t *testing.T) {
+func TestTimestampsThatAreNoInteger(t *testing.T) {
 	for _, odd := range []string{`"soon"`, `1.5`, `9223372036854775808`, `{}`} {
 		t.Run(odd, func(t *testing.T) {
 			decoded, err := decodeEvent([]byte(`{"pos":2,"expire":{"set":17,"stamp":` + odd + `}}`))
@@ -110,7 +110,8 @@
 			if err != nil || !ok || purge.Group != 17 || purge.PurgedAt != 0 {
 				t.Errorf("%+v, %v; the purge is to count from its arrival", decoded.event, err)
 			}
-			decoded, err = decodeEvent([]byte(`{"pos":2,"hosts":{"instances":[{"instanceId":"s-a","startedAtMs":` + odd + `}]}}`))
+			list := `{"pos":2,"hosts":{"instances":[{"instanceId":"s-a","startedAtMs":` + odd + `}]}}`
+			decoded, err = decodeEvent([]byte(list))
 			if err == nil {
 				t.Errorf("a start is taken for %+v", decoded.event)
 			}
@@ -122,7 +123,8 @@
 func largeList(endpoints int) []byte {
 	var instances []string
 	for n := range endpoints {
-		instances = append(instances, fmt.Sprintf(`{"instanceId":"s-%08x","hostPort":"127.%d.%d.%d:10080","zone":"east",`+
+		instances = append(instances, fmt.Sprintf(`{"instanceId":"s-%08x",`+
+			`"hostPort":"127.%d.%d.%d:10080","zone":"east",`+
 			`"machineType":"std","cell":%d,"lifecycle":"active","weight":4,"startedAtMs":0}`,
 			uint32(n)*2654435761, n>>16, n>>8&255, n&255, n%8))
 	}
--- a/internal/discovery/history_test.go
+++ b/internal/discovery/history_test.go
@@ -19,13 +19,19 @@
 	}{
 		{"none", "", 0, 0},
 		{"null", "null", 0, 0},
-		{"two", `{"pos":2,"entries":[` + listEvent(1, true, "active") + `,{"pos":2,"expire":{"set":3,"stamp":1}}]}`, 2, 2},
+		{
+			"two",
+			`{"pos":2,"entries":[` + listEvent(1, true, "active") + `,{"pos":2,"expire":{"set":3,"stamp":1}}]}`,
+			2,
+			2,
+		},
 		{"a broken one", `{"pos":2,"entries":[{"pos":2,"expire":{}}]}`, 0, -1},
 		{"of another form", `[]`, 0, -1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			history, events, err := ParseHistory([]byte(c.in))
-			if history.Position != c.position || (err != nil) != (c.events < 0) || err == nil && len(events) != c.events {
+			failed := err != nil
+			if history.Position != c.position || failed != (c.events < 0) || !failed && len(events) != c.events {
 				t.Errorf("%d, %v, %v", history.Position, events, err)
 			}
 		})
@@ -88,7 +94,8 @@
 			if calls := service.Calls(); len(calls) != c.calls || calls[len(calls)-1].LastEventID != c.resumeAfter {
 				t.Errorf("%+v", calls)
 			}
-			if names := watcher.loggedNames(); strings.Contains(names, "snapshot_list_confirmed") != (c.first == confirmed) {
+			names := watcher.loggedNames()
+			if strings.Contains(names, "snapshot_list_confirmed") != (c.first == confirmed) {
 				t.Errorf("logged %s", names)
 			}
 		})
--- a/internal/discovery/resume_test.go
+++ b/internal/discovery/resume_test.go
@@ -83,7 +83,8 @@
 					failed++
 				}
 			}
-			if posted := len(watcher.events); posted != c.posted || failed != c.errors || watcher.position != c.position {
+			posted := len(watcher.events)
+			if posted != c.posted || failed != c.errors || watcher.position != c.position {
 				t.Errorf("%d posted, %d errors, position %d", posted, failed, watcher.position)
 			}
 			if logged := watcher.loggedNames(); logged != c.logged {
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -154,7 +154,13 @@
 }
 
 // localErrors are what Linux documents for socket(2) and connect(2) as errors of this machine's own.
-var localErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
+var localErrors = []syscall.Errno{
+	syscall.EMFILE,
+	syscall.ENFILE,
+	syscall.ENOBUFS,
+	syscall.ENOMEM,
+	syscall.EADDRNOTAVAIL,
+}
 
 // dialError is an error as net.Dialer returns it.
 func dialError(err error) error {
--- a/internal/downstream/idle/resources_test.go
+++ b/internal/downstream/idle/resources_test.go
@@ -26,7 +26,11 @@
 		want           string
 		target         any // what errors.As finds
 	}{
-		{"enough", enough, 10000, Policy{MaxConnections: 10000, MaxPerClient: 10000, IdleTimeout: maxIdleTimeout}, "", nil},
+		{"enough", enough, 10000, Policy{
+			MaxConnections: 10000,
+			MaxPerClient:   10000,
+			IdleTimeout:    maxIdleTimeout,
+		}, "", nil},
 		{
 			"descriptors", enough, 15000,
 			Policy{},
@@ -51,7 +55,14 @@
 			"30000 connections of a client are more than the 10000 in all",
 			new(*LimitError),
 		},
-		{"timeout", enough, 10000, Policy{IdleTimeout: maxIdleTimeout + 1}, "idle for more than a week", new(*PolicyError)},
+		{
+			"timeout",
+			enough,
+			10000,
+			Policy{IdleTimeout: maxIdleTimeout + 1},
+			"idle for more than a week",
+			new(*PolicyError),
+		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			err := tc.resources.Check(tc.maxConnections, []Policy{{}, tc.policy})
--- a/internal/lifecycle/restore/restore_test.go
+++ b/internal/lifecycle/restore/restore_test.go
@@ -75,8 +75,16 @@
 		{"another number", func(c *ListConfirmation) Outcome { return c.ObserveEvent(6, 9) }, Denied},
 		{"a comment first", func(c *ListConfirmation) Outcome { return c.ObserveComment() }, Denied},
 		{"once only", func(c *ListConfirmation) Outcome { c.ObserveEvent(5, 9); return c.ObserveEvent(5, 9) }, Pending},
-		{"a comment later", func(c *ListConfirmation) Outcome { c.ObserveEvent(5, 9); return c.ObserveComment() }, Pending},
-		{"without a list", func(*ListConfirmation) Outcome { return (*ListConfirmation)(nil).ObserveEvent(5, 9) }, Pending},
+		{
+			"a comment later",
+			func(c *ListConfirmation) Outcome { c.ObserveEvent(5, 9); return c.ObserveComment() },
+			Pending,
+		},
+		{
+			"without a list",
+			func(*ListConfirmation) Outcome { return (*ListConfirmation)(nil).ObserveEvent(5, 9) },
+			Pending,
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			confirmation := &ListConfirmation{Position: 5, Digest: 9}
--- a/internal/neterr/neterr_test.go
+++ b/internal/neterr/neterr_test.go
@@ -85,7 +85,13 @@
 			t.Errorf("%v: %q, %v", errno, got, err)
 		}
 	}
-	for _, final := range []error{syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, net.ErrClosed} {
+	for _, final := range []error{
+		syscall.ECONNRESET,
+		syscall.EPIPE,
+		syscall.ETIMEDOUT,
+		syscall.EHOSTUNREACH,
+		net.ErrClosed,
+	} {
 		f := &flaky{fault: final}
 		if _, err := Write(f, []byte("abc")); !errors.Is(err, final) || f.calls != 1 {
 			t.Errorf("%v after %d calls", err, f.calls)
--- a/internal/protocol/sse/sse_test.go
+++ b/internal/protocol/sse/sse_test.go
@@ -16,7 +16,12 @@
 		want     string // events as ID=DATA, comments as #
 		err      error
 	}{
-		{"events and comments", head + ": hello\n\nid: 4\ndata: {}\n\n:\nid:5\ndata:a\ndata: b\n\n", "# 4={} # 5=a\nb", io.EOF},
+		{
+			"events and comments",
+			head + ": hello\n\nid: 4\ndata: {}\n\n:\nid:5\ndata:a\ndata: b\n\n",
+			"# 4={} # 5=a\nb",
+			io.EOF,
+		},
 		{"lines that end in CR LF", head + "id: 4\r\ndata: x\r\n\r\n", "4=x", io.EOF},
 		{"unknown fields, and an id alone", head + "retry: 9\nevent: z\nid: 3\n\nid: 4\ndata: x\n\n", "4=x", io.EOF},
 		{"a comment inside an event", head + "id: 4\n: beat\ndata: x\n\n", "4=x", io.EOF},
@@ -85,7 +90,8 @@
 		})
 	}
 	var status *StatusError
-	if _, err := Open(strings.NewReader("HTTP/1.1 503 Busy\r\n\r\n")); !errors.As(err, &status) || status.Status != "503 Busy" {
+	_, err := Open(strings.NewReader("HTTP/1.1 503 Busy\r\n\r\n"))
+	if !errors.As(err, &status) || status.Status != "503 Busy" {
 		t.Errorf("%v is no status", err)
 	}
 }
@@ -118,7 +124,11 @@
 	if err := Request(&out, "10.2.0.1:2379", "/journal", "41"); err != nil {
 		t.Fatal(err)
 	}
-	for _, want := range []string{"GET /journal HTTP/1.1\r\n", "\r\nHost: 10.2.0.1:2379\r\n", "\r\nLast-Event-ID: 41\r\n"} {
+	for _, want := range []string{
+		"GET /journal HTTP/1.1\r\n",
+		"\r\nHost: 10.2.0.1:2379\r\n",
+		"\r\nLast-Event-ID: 41\r\n",
+	} {
 		if !strings.Contains(out.String(), want) {
 			t.Errorf("no %q in %q", want, out.String())
 		}
--- a/internal/protocol/thrift/thrift_test.go
+++ b/internal/protocol/thrift/thrift_test.go
@@ -48,8 +48,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m, err := Parse([]byte(c.in))
-			if (err == nil) != c.good || c.good && (m.Name != "call" || m.Type != Call || m.Seq != 7 || len(m.Body) != 1) {
-				t.Errorf("%+v, %v", m, err)
+			if (err == nil) != c.good {
+				t.Fatalf("%+v, %v", m, err)
+			}
+			if c.good && (m.Name != "call" || m.Type != Call || m.Seq != 7 || len(m.Body) != 1) {
+				t.Errorf("%+v", m)
 			}
 		})
 	}
@@ -68,7 +71,8 @@
 		{
 			"unknown values are skipped", "\x0c\x00\x09\x0f\x00\x01\x0b\x00\x00\x00\x01" + text("x") + "\x00" +
 				"\x0d\x00\x08\x08\x0a\x00\x00\x00\x01\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x02" +
-				"\x02\x00\x07\x01\x03\x00\x06\x01\x06\x00\x05\x00\x01\x04\x00\x04\x00\x00\x00\x00\x00\x00\x00\x00" + fields + "\x00",
+				"\x02\x00\x07\x01\x03\x00\x06\x01\x06\x00\x05\x00\x01" +
+				"\x04\x00\x04\x00\x00\x00\x00\x00\x00\x00\x00" + fields + "\x00",
 			"", "",
 		},
 		{"no end", fields, "", "cut short"},
@@ -110,7 +114,7 @@
 	}{
 		{"served", Answer{Body: []byte("xy"), Good: true}, "\x0c\x00\x00\x0b\x00\x01" + text("xy") +
 			"\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00\x02\x00\x03\x01\x00\x00"},
-		{"refused", Answer{Field: 1, Fields: [][2]string{{"later", "80"}}}, "\x0c\x00\x01\x0d\x00\x01\x0b\x0b" +
+		{"rejected", Answer{Field: 1, Fields: [][2]string{{"later", "80"}}}, "\x0c\x00\x01\x0d\x00\x01\x0b\x0b" +
 			"\x00\x00\x00\x01" + text("later") + text("80") + "\x00\x00"},
 		{"failed", Answer{Field: 2}, "\x0c\x00\x02\x0d\x00\x01\x0b\x0b\x00\x00\x00\x00\x00\x00"},
 		{"an exception", Answer{Fault: UnknownMethod, Text: "odd"}, "\x0b\x00\x01" + text("odd") +
--- a/internal/upstream/localerrors_test.go
+++ b/internal/upstream/localerrors_test.go
@@ -196,7 +196,7 @@
 			}
 			served, others := tested.waitForResponses(int(requests))
 			if served+others != int(requests) || served < int(requests-early) {
-				t.Errorf("of %d requests %d were served and %d not; %d that came late in the storm or after it should be",
+				t.Errorf("of %d requests %d were served and %d not; %d should be, which came late or after it",
 					requests, served, others, requests-early)
 			}
 			checkStormLog(t, tested.logged(), storm)
