--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -5,14 +5,17 @@
 	"testing"
 )
 
+// newRouterWithoutFills returns a router that admits no fills.
+func newRouterWithoutFills(t *testing.T, change func(*Settings)) *Router {
+	t.Helper()
+	router := newRouter(t, change)
+	router.admission.limits[fills] = 0
+	return router
+}
+
 // While no fills are admitted a first attempt goes to the cache for what it has cached: of a router with little
 // traffic, many requests that look like fills are hits.
 func TestCacheOnlyAttempts(t *testing.T) {
-	withoutFills := func(change func(*Settings)) *Router {
-		router := newRouter(t, change)
-		router.admission.limits[fills] = 0
-		return router
-	}
 	for _, test := range []struct {
 		name   string
 		class  string
@@ -36,7 +39,7 @@
 		{"the limit for hits is reached", "harmless", func(router *Router) { router.admission.limits[hits] = 0 }, Wait},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			router := withoutFills(nil)
+			router := newRouterWithoutFills(t, nil)
 			test.before(router)
 			decision := router.Decide(start, newRequest(test.class, "a"))
 			if decision.Verdict != test.want || test.want == Send && !decision.Attempt.CacheOnly {
@@ -44,6 +47,10 @@
 			}
 		})
 	}
+}
+
+// What the cache does not have is filled by the origin, if parents reject fills and the origin cannot be overloaded.
+func TestMissOfACacheOnlyAttempt(t *testing.T) {
 	for _, test := range []struct {
 		name       string
 		rejections int // fills that parents rejected
@@ -60,13 +67,14 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			router, request := withoutFills(test.change), newRequest("harmless", "a")
+			router, request := newRouterWithoutFills(t, test.change), newRequest("harmless", "a")
 			for range test.rejections {
 				router.retries.sourceRejections.add(start)
 			}
 			router.Decide(start, request)
 			decision := router.AttemptEnded(start, request, Outcome{Result: NotCached})
-			if decision.Verdict != test.want || test.want == Send && (decision.Attempt.Source != 5 || decision.Attempt.CacheOnly) {
+			fromOrigin := decision.Attempt.Source == 5 && !decision.Attempt.CacheOnly
+			if decision.Verdict != test.want || test.want == Send && !fromOrigin {
 				t.Errorf("%+v", decision)
 			}
 		})
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -111,7 +111,8 @@
 		t.Errorf("%+v and %+v", a, b)
 	}
 	if set.parentSharers() != 1 || set.cacheSharers() != 1 ||
-		set.parentKind() != noKind || set.originKind() != noKind || set.Weights != CapacityWeights || !set.OriginUnlimited || set.inFlightField() != -1 || set.MaxAttempts != 3 ||
+		set.parentKind() != noKind || set.originKind() != noKind || set.inFlightField() != -1 ||
+		set.Weights != CapacityWeights || !set.OriginUnlimited || set.MaxAttempts != 3 ||
 		set.PurgeDuration != 10*second || set.ParentSlowStart != set.CacheSlowStart ||
 		set.CacheSlowStart != (SlowStartSettings{Share: 1, Factor: 1, Window: second}) {
 		t.Errorf("%+v", set)
@@ -123,7 +124,8 @@
 	raw := RawSettings{}
 	for _, key := range []string{
 		"advice", "advice.most", "answer.bytesPerS", "answer.grace", "cancel", "clientKBPerS", "cold.factor",
-		"cold.share", "cold.span", "cold.window", "connect.idle", "connect.streams", "connect.within", "dispatches.most",
+		"cold.share", "cold.span", "cold.window", "connect.idle", "connect.streams", "connect.within",
+		"dispatches.most",
 		"dispatches.together", "drain.grace", "hands.most", "joins", "kind.origin", "kind.parent", "kinds", "list.mode",
 		"location", "location.routers", "locations", "origin.fallFactor", "parent.coldFactor", "parent.coldShare",
 		"parent.coldSpan", "probe", "product.due", "product.dueStretch", "product.effect", "product.fresh",
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -36,7 +36,7 @@
 }
 
 func TestFromUnixMilli(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		ms, want int64
 	}{
@@ -48,9 +48,9 @@
 		{"the largest that fits", math.MaxInt64 / 1_000_000, math.MaxInt64 / 1_000_000 * 1_000_000},
 		{"one more", math.MaxInt64/1_000_000 + 1, math.MaxInt64},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if got := FromUnixMilli(c.ms); got != c.want {
-				t.Errorf("%d, want %d", got, c.want)
+		t.Run(test.name, func(t *testing.T) {
+			if got := FromUnixMilli(test.ms); got != test.want {
+				t.Errorf("%d, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/connpool/connections_test.go
+++ b/internal/connpool/connections_test.go
@@ -100,7 +100,7 @@
 // All routers together stay within the connections that a cache accepts, and within the rate of connecting, also
 // after a cache has crashed; and some connections are opened to caches outside of the subsets.
 func TestAllRoutersTogetherStayWithinTheBounds(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		routers, caches, maxConnections int
 		maxConnectRate                  float64
 	}{
@@ -111,15 +111,15 @@
 		{1, 3, 10, 5},
 		{300, 20, 200, 0},
 	} {
-		t.Run(fmt.Sprint(c), func(t *testing.T) {
+		t.Run(fmt.Sprint(test), func(t *testing.T) {
 			config := Config{
-				Routers:        c.routers,
-				MaxConnections: c.maxConnections,
-				MaxConnectRate: c.maxConnectRate,
+				Routers:        test.routers,
+				MaxConnections: test.maxConnections,
+				MaxConnectRate: test.maxConnectRate,
 			}
-			simulated := newSimulatedRouters(config, c.caches)
+			simulated := newSimulatedRouters(config, test.caches)
 			simulated.accepted = func(cache string) {
-				if count := simulated.atCache[cache]; count > c.maxConnections {
+				if count := simulated.atCache[cache]; count > test.maxConnections {
 					t.Fatalf("%d connections to %s", count, cache)
 				}
 			}
@@ -131,13 +131,13 @@
 					simulated.step(now, router)
 				}
 			}
-			bound := c.maxConnectRate*1.3 + 3*math.Sqrt(c.maxConnectRate) + 2
+			bound := test.maxConnectRate*1.3 + 3*math.Sqrt(test.maxConnectRate) + 2
 			for in, count := range simulated.opened {
-				if c.maxConnectRate > 0 && float64(count) > bound {
+				if test.maxConnectRate > 0 && float64(count) > bound {
 					t.Errorf("%d connections to %s opened in second %d, bound %.0f", count, in.cache, in.second, bound)
 				}
 			}
-			if simulated.plans[0].SubsetSize < c.caches && simulated.outsideSubset == 0 {
+			if simulated.plans[0].SubsetSize < test.caches && simulated.outsideSubset == 0 {
 				t.Error("no router ever connected to a cache outside of its subset")
 			}
 		})
--- a/internal/connpool/subset_test.go
+++ b/internal/connpool/subset_test.go
@@ -9,7 +9,7 @@
 
 // Each cache is in about as many subsets as any other, and never in more than its connections for them.
 func TestSubsetsAreEven(t *testing.T) {
-	for _, c := range []struct{ routers, caches, maxConnections int }{
+	for _, test := range []struct{ routers, caches, maxConnections int }{
 		{300, 40, 225},
 		{300, 40, 60},
 		{300, 200, 24},
@@ -18,25 +18,25 @@
 	} {
 		routersAt := map[string]int{} // by cache
 		size := 0
-		for i := range c.routers {
-			plan := New(Config{Router: fmt.Sprint("n", i), Routers: c.routers, MaxConnections: c.maxConnections})
-			plan.SetEndpoints(0, names(c.caches))
-			for _, name := range names(c.caches) {
+		for i := range test.routers {
+			plan := New(Config{Router: fmt.Sprint("n", i), Routers: test.routers, MaxConnections: test.maxConnections})
+			plan.SetEndpoints(0, names(test.caches))
+			for _, name := range names(test.caches) {
 				if plan.InSubset(name) {
 					routersAt[name]++
 				}
 			}
 			size = plan.SubsetSize
 		}
-		if size == 0 || len(routersAt) != c.caches {
-			t.Fatalf("%+v: %d of the caches are in subsets, which have %d each", c, len(routersAt), size)
+		if size == 0 || len(routersAt) != test.caches {
+			t.Fatalf("%+v: %d of the caches are in subsets, which have %d each", test, len(routersAt), size)
 		}
 		for name, n := range routersAt {
-			if float64(n) > subsetShare*float64(c.maxConnections) {
-				t.Errorf("%+v: %s is in %d subsets", c, name, n)
+			if float64(n) > subsetShare*float64(test.maxConnections) {
+				t.Errorf("%+v: %s is in %d subsets", test, name, n)
 			}
-			if mean := float64(c.routers) * float64(size) / float64(c.caches); float64(n) < mean-5*math.Sqrt(mean)-1 {
-				t.Errorf("%+v: %s is in %d subsets, %f in the mean", c, name, n, mean)
+			if mean := float64(test.routers) * float64(size) / float64(test.caches); float64(n) < mean-5*math.Sqrt(mean)-1 {
+				t.Errorf("%+v: %s is in %d subsets, %f in the mean", test, name, n, mean)
 			}
 		}
 	}
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -13,7 +13,7 @@
 	endpoint := func(phase string) string {
 		return "{s-00c41f7a 10.1.0.9:10080 {0 east std 2 " + phase + " 4 1764576000123000000}}"
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, in string
 		want     string // empty: an error
 	}{
@@ -32,18 +32,18 @@
 		{"broken", `{"pos":8,"hosts":`, ""},
 		{"a list that is none", `{"pos":8,"hosts":{"instances":4}}`, ""},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			decoded, err := decodeEvent([]byte(c.in))
+		t.Run(test.name, func(t *testing.T) {
+			decoded, err := decodeEvent([]byte(test.in))
 			got := fmt.Sprint(decoded.position, " ", decoded.event)
-			if (err != nil) != (c.want == "") || err == nil && got != c.want {
-				t.Errorf("%s, %v\nwant %s", got, err, c.want)
+			if (err != nil) != (test.want == "") || err == nil && got != test.want {
+				t.Errorf("%s, %v\nwant %s", got, err, test.want)
 			}
 		})
 	}
 }
 
 func TestDecodeErrorsNameTheField(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		in       string
 		want     FieldError
 		position int64
@@ -60,13 +60,13 @@
 			0,
 		},
 	} {
-		decoded, err := decodeEvent([]byte(c.in))
+		decoded, err := decodeEvent([]byte(test.in))
 		got, ok := errors.AsType[*FieldError](err)
-		if !ok || *got != c.want || decoded.position != c.position {
-			t.Errorf("%s: position %d, %v", c.in, decoded.position, err)
+		if !ok || *got != test.want || decoded.position != test.position {
+			t.Errorf("%s: position %d, %v", test.in, decoded.position, err)
 		}
-		if text := fmt.Sprint(err); !strings.Contains(text, c.want.Field) || !strings.Contains(text, c.want.Reason) {
-			t.Errorf("%s: %s", c.in, text)
+		if text := fmt.Sprint(err); !strings.Contains(text, test.want.Field) || !strings.Contains(text, test.want.Reason) {
+			t.Errorf("%s: %s", test.in, text)
 		}
 	}
 }
@@ -74,7 +74,7 @@
 // Other machines' timestamps beyond what 64 bits of ns can hold become the largest or smallest number, so
 // that no time of the far future becomes one of the past, nor the other way round.
 func TestTimestampsSaturate(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		ms, want int64
 	}{
@@ -86,16 +86,16 @@
 		{"far back", math.MinInt64, math.MinInt64},
 		{"just beyond what ns can hold", math.MaxInt64/1_000_000 + 1, math.MaxInt64},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			decoded, err := decodeEvent(fmt.Appendf(nil, `{"pos":2,"expire":{"set":17,"stamp":%d}}`, c.ms))
-			if purge, ok := decoded.event.(router.PurgeReceived); err != nil || !ok || purge.PurgedAt != c.want {
-				t.Errorf("%+v, %v, want %d", decoded.event, err, c.want)
+		t.Run(test.name, func(t *testing.T) {
+			decoded, err := decodeEvent(fmt.Appendf(nil, `{"pos":2,"expire":{"set":17,"stamp":%d}}`, test.ms))
+			if purge, ok := decoded.event.(router.PurgeReceived); err != nil || !ok || purge.PurgedAt != test.want {
+				t.Errorf("%+v, %v, want %d", decoded.event, err, test.want)
 			}
 			decoded, err = decodeEvent(fmt.Appendf(nil,
-				`{"pos":2,"hosts":{"instances":[{"instanceId":"s-a","startedAtMs":%d}]}}`, c.ms))
+				`{"pos":2,"hosts":{"instances":[{"instanceId":"s-a","startedAtMs":%d}]}}`, test.ms))
 			list, ok := decoded.event.(router.EndpointListUpdated)
-			if err != nil || !ok || list.Entries[0].StartedAt != c.want {
-				t.Errorf("%+v, %v, want %d", decoded.event, err, c.want)
+			if err != nil || !ok || list.Entries[0].StartedAt != test.want {
+				t.Errorf("%+v, %v, want %d", decoded.event, err, test.want)
 			}
 		})
 	}
--- a/internal/discovery/history_test.go
+++ b/internal/discovery/history_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestParseHistory(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, in string
 		position int64
 		events   int // -1: an error
@@ -28,10 +28,10 @@
 		{"a broken one", `{"pos":2,"entries":[{"pos":2,"expire":{}}]}`, 0, -1},
 		{"of another form", `[]`, 0, -1},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			history, events, err := ParseHistory([]byte(c.in))
+		t.Run(test.name, func(t *testing.T) {
+			history, events, err := ParseHistory([]byte(test.in))
 			failed := err != nil
-			if history.Position != c.position || failed != (c.events < 0) || !failed && len(events) != c.events {
+			if history.Position != test.position || failed != (test.events < 0) || !failed && len(events) != test.events {
 				t.Errorf("%d, %v, %v", history.Position, events, err)
 			}
 		})
@@ -60,7 +60,7 @@
 	)
 	list := strings.Replace(listEvent(1, true, "active"), `"pos":1`, `"pos":%d`, 1)
 	digest := xxhash.Sum64String(fmt.Sprintf(purge, 2))
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name        string
 		change      func(*discoveryserver.Service)
 		digest      uint64
@@ -73,7 +73,7 @@
 		{"another event at that position", func(*discoveryserver.Service) {}, digest + 1, denied, 2, 0},
 		{"it has restarted", func(s *discoveryserver.Service) { s.Reset(); s.Publish(list) }, digest, denied, 2, 0},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			service, err := discoveryserver.Start()
 			if err != nil {
 				t.Fatal(err)
@@ -81,21 +81,21 @@
 			defer service.Close()
 			service.Publish(list)
 			service.Publish(purge)
-			c.change(service)
+			test.change(service)
 			var history History
-			if !history.AddSnapshotList(2, c.digest, snapshotEndpoints()) {
+			if !history.AddSnapshotList(2, test.digest, snapshotEndpoints()) {
 				t.Fatal("the snapshot's list is not used")
 			}
 			watcher := newTestWatcher(service.Address(), history, nil)
 			watcher.start(t)
-			if got := fmt.Sprint(receive(t, watcher.events, "event")); !strings.HasPrefix(got, c.first) {
-				t.Errorf("%s is posted first, want %s", got, c.first)
+			if got := fmt.Sprint(receive(t, watcher.events, "event")); !strings.HasPrefix(got, test.first) {
+				t.Errorf("%s is posted first, want %s", got, test.first)
 			}
-			if calls := service.Calls(); len(calls) != c.calls || calls[len(calls)-1].LastEventID != c.resumeAfter {
+			if calls := service.Calls(); len(calls) != test.calls || calls[len(calls)-1].LastEventID != test.resumeAfter {
 				t.Errorf("%+v", calls)
 			}
 			names := watcher.loggedNames()
-			if strings.Contains(names, "snapshot_list_confirmed") != (c.first == confirmed) {
+			if strings.Contains(names, "snapshot_list_confirmed") != (test.first == confirmed) {
 				t.Errorf("logged %s", names)
 			}
 		})
--- a/internal/discovery/resume_test.go
+++ b/internal/discovery/resume_test.go
@@ -28,7 +28,7 @@
 func TestEventsAreProcessedInOrder(t *testing.T) {
 	purge, list := newPurge, newList
 	broken := sse.Event{ID: "5", Data: []byte("{")}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name     string
 		in       []sse.Event
 		posted   int
@@ -75,20 +75,20 @@
 			"watch_event_skipped",
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			watcher := newTestWatcher("", History{Position: 4}, nil)
 			failed := 0
-			for _, event := range c.in {
+			for _, event := range test.in {
 				if watcher.processEvent(event) != nil {
 					failed++
 				}
 			}
 			posted := len(watcher.events)
-			if posted != c.posted || failed != c.errors || watcher.position != c.position {
+			if posted != test.posted || failed != test.errors || watcher.position != test.position {
 				t.Errorf("%d posted, %d errors, position %d", posted, failed, watcher.position)
 			}
-			if logged := watcher.loggedNames(); logged != c.logged {
-				t.Errorf("logged %q, want %q", logged, c.logged)
+			if logged := watcher.loggedNames(); logged != test.logged {
+				t.Errorf("logged %q, want %q", logged, test.logged)
 			}
 		})
 	}
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -61,7 +61,7 @@
 // A new address is called at once, whatever became of the one before, and the watch resumes after the last
 // event.
 func TestAddressChangeResumesAtOnce(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, before string // what the first service responds; empty: it refuses
 		want         string // the event after which the new one is asked to resume
 	}{
@@ -69,10 +69,10 @@
 		{"is open and silent", responseHead, "4"},
 		{"has broken off inside its second event", responseHead + purgeEvent(5) + "id: 6\nda", "5"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			first := "127.0.0.1:1"
-			if c.before != "" {
-				first = startFakeService(t, alwaysRespond(c.before)).address
+			if test.before != "" {
+				first = startFakeService(t, alwaysRespond(test.before)).address
 			}
 			next := startFakeService(t, alwaysRespond(responseHead+purgeEvent(5)+purgeEvent(6)))
 			watcher := newTestWatcher(first, History{Position: 4}, nil)
@@ -83,10 +83,10 @@
 				return countingConn{conn, &read}, err
 			}
 			stop := watcher.start(t)
-			if c.before == "" {
+			if test.before == "" {
 				receive(t, watcher.logged, "failed call")
 			}
-			for end := time.Now().Add(waitLimit); read.Load() < int64(len(c.before)); time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(waitLimit); read.Load() < int64(len(test.before)); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatalf("%d bytes read of the first service's", read.Load())
 				}
@@ -94,8 +94,8 @@
 			begun := time.Now()
 			watcher.SetAddress(next.address)
 			call := receive(t, next.calls, "call of the new address")
-			if took := call.at.Sub(begun); call.resumeAfter != c.want || took > time.Second {
-				t.Errorf("resumed after %s, %v later, want %s", call.resumeAfter, took, c.want)
+			if took := call.at.Sub(begun); call.resumeAfter != test.want || took > time.Second {
+				t.Errorf("resumed after %s, %v later, want %s", call.resumeAfter, took, test.want)
 			}
 			for range 2 { // the second event comes behind a repetition of the first, if that was sent before
 				receive(t, watcher.events, "event")
@@ -114,7 +114,7 @@
 func TestTruncatedResponseIsRequestedAgainWithinTheDrainGrace(t *testing.T) {
 	const grace = 250 * time.Millisecond
 	event := purgeEvent(5)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, response string
 		closes         bool // the service closes; else it stays open and silent
 	}{
@@ -126,15 +126,15 @@
 		{"after a comment, and closed", responseHead + ": here\n\n" + event[:20], true},
 		{"complete, and not to be decoded", responseHead + "id: 5\ndata: {\"pos\":5,\"exp\n\n", false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			service := startFakeService(t, func(n int, conn net.Conn) {
 				if n > 0 {
 					send(conn, responseHead+event)
 					return
 				}
-				send(conn, c.response)
-				if c.closes {
+				send(conn, test.response)
+				if test.closes {
 					neterr.Close(conn)
 				}
 			})
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestRead(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, in string
 		want     []string
 		err      error
@@ -30,12 +30,12 @@
 		{"no carriage return", "*1\n", nil, ErrForm},
 		{"a string longer than told", "*1\r\n$1\r\nid\r\n", nil, ErrForm},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			items, err := Read(bufio.NewReader(strings.NewReader(c.in)))
-			if !errors.Is(err, c.err) || len(items) != len(c.want) {
+		t.Run(test.name, func(t *testing.T) {
+			items, err := Read(bufio.NewReader(strings.NewReader(test.in)))
+			if !errors.Is(err, test.err) || len(items) != len(test.want) {
 				t.Fatalf("%q, %v", items, err)
 			}
-			for i, want := range c.want {
+			for i, want := range test.want {
 				if string(items[i]) != want {
 					t.Errorf("%q, want %q", items[i], want)
 				}
--- a/internal/protocol/sse/sse_test.go
+++ b/internal/protocol/sse/sse_test.go
@@ -11,7 +11,7 @@
 func TestStream(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 	const chunked = "HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, in string
 		want     string // events as ID=DATA, comments as #
 		err      error
@@ -37,9 +37,9 @@
 		{"an endless line", head + strings.Repeat("x", maxLineSize+1), "", ErrForm},
 		{"an endless event", head + strings.Repeat("data: "+strings.Repeat("x", maxLineSize/2)+"\n", 9), "", ErrForm},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			var got []string
-			s, err := Open(strings.NewReader(c.in))
+			s, err := Open(strings.NewReader(test.in))
 			for err == nil {
 				var e Event
 				if e, err = s.Next(); err == nil && e.Comment {
@@ -48,8 +48,8 @@
 					got = append(got, e.ID+"="+string(e.Data))
 				}
 			}
-			if !errors.Is(err, c.err) || strings.Join(got, " ") != c.want {
-				t.Errorf("%q, %v; want %q, %v", got, err, c.want, c.err)
+			if !errors.Is(err, test.err) || strings.Join(got, " ") != test.want {
+				t.Errorf("%q, %v; want %q, %v", got, err, test.want, test.err)
 			}
 		})
 	}
@@ -57,12 +57,12 @@
 
 // The list of the largest fleet is one line: 3,200 members with long names, and 10,000 with usual ones.
 func TestLongLists(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name           string
 		members, bytes int // of each
 	}{{"3,200 with long names", 3200, 1000}, {"10,000", 10_000, 400}} {
-		t.Run(c.name, func(t *testing.T) {
-			list := strings.Repeat("x", c.members*c.bytes)
+		t.Run(test.name, func(t *testing.T) {
+			list := strings.Repeat("x", test.members*test.bytes)
 			s, err := Open(strings.NewReader("HTTP/1.1 200 OK\r\n\r\nid: 4\ndata: " + list + "\n\n"))
 			if err != nil {
 				t.Fatal(err)
@@ -75,17 +75,17 @@
 }
 
 func TestErrorsSayWhatIsWrong(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, in string
 		want     string
 	}{
 		{"status", "HTTP/1.1 503 Busy\r\n\r\n", `sse: answered "503 Busy"`},
 		{"no HTTP", "*1\r\n", "sse: malformed: no HTTP answer"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			_, err := Open(strings.NewReader(c.in))
-			if err == nil || err.Error() != c.want {
-				t.Errorf("%v, want %s", err, c.want)
+		t.Run(test.name, func(t *testing.T) {
+			_, err := Open(strings.NewReader(test.in))
+			if err == nil || err.Error() != test.want {
+				t.Errorf("%v, want %s", err, test.want)
 			}
 		})
 	}
@@ -98,7 +98,7 @@
 
 func TestInsideAnEvent(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n\r\n"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, in string
 		want     bool
 	}{
@@ -107,13 +107,13 @@
 		{"within a line", "id", true},
 		{"behind a comment", ":\n", false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			s, err := Open(strings.NewReader(head + c.in))
+		t.Run(test.name, func(t *testing.T) {
+			s, err := Open(strings.NewReader(head + test.in))
 			for err == nil {
 				_, err = s.Next()
 			}
-			if s.Inside() != c.want {
-				t.Errorf("inside: %t, want %t", s.Inside(), c.want)
+			if s.Inside() != test.want {
+				t.Errorf("inside: %t, want %t", s.Inside(), test.want)
 			}
 		})
 	}
--- a/internal/protocol/thrift/thrift_test.go
+++ b/internal/protocol/thrift/thrift_test.go
@@ -13,7 +13,7 @@
 func text(s string) string { return string(appendString(nil, s)) }
 
 func TestFrameSize(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, in string
 		want     int
 		err      error
@@ -26,8 +26,8 @@
 		{"cut short", "\x00\x00", 0, io.ErrUnexpectedEOF},
 		{"ended", "", 0, io.EOF},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			if got, err := FrameSize(strings.NewReader(c.in)); got != c.want || !errors.Is(err, c.err) {
+		t.Run(test.name, func(t *testing.T) {
+			if got, err := FrameSize(strings.NewReader(test.in)); got != test.want || !errors.Is(err, test.err) {
 				t.Errorf("%d, %v", got, err)
 			}
 		})
@@ -35,7 +35,7 @@
 }
 
 func TestParse(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, in string
 		good     bool
 	}{
@@ -46,12 +46,12 @@
 		{"a name of negative length", "\x80\x01\x00\x01\xff\xff\xff\xffcall\x00\x00\x00\x07", false},
 		{"no sequence number", "\x80\x01\x00\x01" + text("call") + "\x00", false},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			m, err := Parse([]byte(c.in))
-			if (err == nil) != c.good {
+		t.Run(test.name, func(t *testing.T) {
+			m, err := Parse([]byte(test.in))
+			if (err == nil) != test.good {
 				t.Fatalf("%+v, %v", m, err)
 			}
-			if c.good && (m.Name != "call" || m.Type != Call || m.Seq != 7 || len(m.Body) != 1) {
+			if test.good && (m.Name != "call" || m.Type != Call || m.Seq != 7 || len(m.Body) != 1) {
 				t.Errorf("%+v", m)
 			}
 		})
@@ -61,7 +61,7 @@
 func TestParseArguments(t *testing.T) {
 	fields := "\x0d\x00\x01\x0b\x0b\x00\x00\x00\x01" + text("verb") + text("stills")
 	nested := strings.Repeat("\x0c\x00\x09", 40)
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, in string
 		body     string
 		err      string
@@ -85,15 +85,15 @@
 		{"nested too deeply", nested, "", "too deeply"},
 		{"a list of very many empty values", "\x0f\x00\x09\x63\x7f\xff\xff\xff\x00", "", "unknown type"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			a, err := ParseArguments([]byte(c.in))
-			if c.err != "" {
-				if err == nil || !strings.Contains(err.Error(), c.err) {
-					t.Errorf("error %v, want %s", err, c.err)
+		t.Run(test.name, func(t *testing.T) {
+			a, err := ParseArguments([]byte(test.in))
+			if test.err != "" {
+				if err == nil || !strings.Contains(err.Error(), test.err) {
+					t.Errorf("error %v, want %s", err, test.err)
 				}
 				return
 			}
-			if err != nil || a.Fields["verb"] != "stills" || string(a.Body) != c.body {
+			if err != nil || a.Fields["verb"] != "stills" || string(a.Body) != test.body {
 				t.Errorf("%+v, %v", a, err)
 			}
 		})
@@ -107,7 +107,7 @@
 }
 
 func TestFrame(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name string
 		in   Answer
 		want string // behind the sequence number
@@ -120,14 +120,14 @@
 		{"an exception", Answer{Fault: UnknownMethod, Text: "odd"}, "\x0b\x00\x01" + text("odd") +
 			"\x08\x00\x02\x00\x00\x00\x01\x00"},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			c.in.Method, c.in.Seq = "call", 258
-			got := bytes.Join(Frame(c.in), nil)
+		t.Run(test.name, func(t *testing.T) {
+			test.in.Method, test.in.Seq = "call", 258
+			got := bytes.Join(Frame(test.in), nil)
 			kind := "\x02"
-			if c.in.Fault != 0 {
+			if test.in.Fault != 0 {
 				kind = "\x03"
 			}
-			want := "\x80\x01\x00" + kind + text("call") + "\x00\x00\x01\x02" + c.want
+			want := "\x80\x01\x00" + kind + text("call") + "\x00\x00\x01\x02" + test.want
 			if size := binary.BigEndian.Uint32(got); int(size) != len(got)-4 || string(got[4:]) != want {
 				t.Errorf("%d %q\nwant %q", size, got[4:], want)
 			}
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -72,8 +72,8 @@
 }
 
 func TestConnectionEvents(t *testing.T) {
-	for _, c := range connectionTests {
-		t.Run(c.name, c.run)
+	for _, test := range connectionTests {
+		t.Run(test.name, test.run)
 	}
 }
 
@@ -272,7 +272,7 @@
 // the connection has ended closes it, and what was completely written may have run.
 func TestErrorsOfAnEstablishedConnection(t *testing.T) {
 	const id = "00000000000000aa"
-	for _, c := range []struct {
+	for _, test := range []struct {
 		fault         syscall.Errno
 		reads, writes int64
 		responds      bool
@@ -292,14 +292,14 @@
 		{syscall.EPIPE, 0, 9, false, true},
 		{syscall.ETIMEDOUT, 0, 9, false, true},
 	} {
-		t.Run(fmt.Sprintf("%v read %d write %d", c.fault, c.reads, c.writes), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%v read %d write %d", test.fault, test.reads, test.writes), func(t *testing.T) {
 			p := newTestPool(t, Config{})
 			dialled := make(chan *faultyConn, 1)
 			p.dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 				conn, err := new(net.Dialer).DialContext(ctx, network, address)
-				faulty := &faultyConn{Conn: conn, fault: c.fault, written: make(chan struct{})}
-				faulty.reads.Store(c.reads)
-				faulty.writes.Store(c.writes)
+				faulty := &faultyConn{Conn: conn, fault: test.fault, written: make(chan struct{})}
+				faulty.reads.Store(test.reads)
+				faulty.writes.Store(test.writes)
 				p.write = faulty.systemWrite
 				dialled <- faulty
 				return faulty, err
@@ -311,19 +311,19 @@
 				case router.ConnectionUp:
 					p.Send(requestWithin(id, 5*time.Second))
 				case router.ResponseReceived:
-					if !c.responds || event.Result != control.Succeeded {
+					if !test.responds || event.Result != control.Succeeded {
 						t.Errorf("response %+v", event)
 					}
 					p.Close(router.Close{Connection: 1})
 				case router.ConnectionDown:
 					isDown = true
-					if c.unsent != slices.Equal(event.Unsent, []string{id}) || event.Cause != router.Remote {
+					if test.unsent != slices.Equal(event.Unsent, []string{id}) || event.Cause != router.Remote {
 						t.Errorf("%+v", event) // what was written completely may have run
 					}
 				}
 			}
 			p.Wait()
-			if allMet := faulty.reads.Load() < 0 && faulty.writes.Load() < 0; c.responds && !allMet {
+			if allMet := faulty.reads.Load() < 0 && faulty.writes.Load() < 0; test.responds && !allMet {
 				t.Error("not all faults were met")
 			}
 		})
--- a/internal/upstream/decode_test.go
+++ b/internal/upstream/decode_test.go
@@ -94,18 +94,18 @@
 }
 
 func TestDecodeResponse(t *testing.T) {
-	for _, c := range decodeResponseTests {
-		t.Run(c.name, func(t *testing.T) {
-			got, err := decodeResponse(wordsOf(c.in), []string{"inHand", "x1", "x0"})
-			if !reflect.DeepEqual(got, c.want) {
-				t.Errorf("%+v\nwant %+v", got, c.want)
+	for _, test := range decodeResponseTests {
+		t.Run(test.name, func(t *testing.T) {
+			got, err := decodeResponse(wordsOf(test.in), []string{"inHand", "x1", "x0"})
+			if !reflect.DeepEqual(got, test.want) {
+				t.Errorf("%+v\nwant %+v", got, test.want)
 			}
 			fieldErr, ok := errors.AsType[*FieldError](err)
-			if ok != (c.field != "") || ok && fieldErr.Field != c.field || err != nil && !ok {
-				t.Errorf("error %v, want one of field %q", err, c.field)
+			if ok != (test.field != "") || ok && fieldErr.Field != test.field || err != nil && !ok {
+				t.Errorf("error %v, want one of field %q", err, test.field)
 			}
-			if ok && !strings.Contains(err.Error(), c.field) {
-				t.Errorf("error %q does not name %s", err, c.field)
+			if ok && !strings.Contains(err.Error(), test.field) {
+				t.Errorf("error %q does not name %s", err, test.field)
 			}
 		})
 	}
--- a/internal/upstream/encode_test.go
+++ b/internal/upstream/encode_test.go
@@ -18,7 +18,7 @@
 		Part:   "03",
 		Body:   []byte("x\r\ny"),
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		change func(*router.UpstreamRequest)
 		want   string
@@ -47,12 +47,12 @@
 			",miss=p-a,within=1",
 		},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			request := base
-			c.change(&request)
+			test.change(&request)
 			encoded := string(encodeFetch(request, 1500999999))
 			words, err := resp.Read(bufio.NewReader(strings.NewReader(encoded)))
-			want := "fetch 9b1f03aa5c7e2d41 queue=stills,path=7f3a9c21e0b4d655,blk=03,budget=1500" + c.want + " x\r\ny"
+			want := "fetch 9b1f03aa5c7e2d41 queue=stills,path=7f3a9c21e0b4d655,blk=03,budget=1500" + test.want + " x\r\ny"
 			if got := fmt.Sprintf("%s %s %s %s", words[0], words[1], words[2], words[3]); err != nil || got != want {
 				t.Errorf("%s, %v\nwant %s", got, err, want)
 			}
--- a/internal/upstream/healthcheck_test.go
+++ b/internal/upstream/healthcheck_test.go
@@ -51,7 +51,7 @@
 }
 
 func TestHealthCheckResponses(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name, response string
 		load           []float64
 		fails          bool
@@ -64,10 +64,10 @@
 		{"one word", "*1\r\n$1\r\n1\r\n", nil, true},
 		{"malformed", "-ERR\r\n", nil, true},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			address := startEndpoint(t, func(conn net.Conn, in *bufio.Reader) {
 				if command := readCommand(in); fmt.Sprintf("%s", command) == "[alive 1]" {
-					send(conn, c.response)
+					send(conn, test.response)
 				}
 				waitForClose(in)
 			})
@@ -79,7 +79,7 @@
 				LoadReportFields: []string{"x0"},
 				MayWrite:         mayWrite,
 			})
-			if (err != nil) != c.fails || !slices.Equal(load, c.load) || (load == nil) != (c.load == nil) {
+			if (err != nil) != test.fails || !slices.Equal(load, test.load) || (load == nil) != (test.load == nil) {
 				t.Errorf("%v, %v", load, err)
 			}
 		})
