--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -140,6 +140,7 @@
 // Parts of the text for settings of wrong types.
 const ofKinds = "setting kind.parent is no int64: struct {}{}\nsetting kinds is no []string: struct {}{}\n" +
 	"setting kind.origin is no int64: struct {}{}\n"
+
 const ofRequests = `setting report.fields is no []string: struct {}{}
 setting clientKBPerS is no float64: struct {}{}
 setting origin.fallFactor is no float64: struct {}{}
@@ -152,6 +153,7 @@
 setting dispatches.most is no int64: struct {}{}
 setting purge.takes is no int64: struct {}{}
 `
+
 const ofSlowStart = `setting cold.share is no float64: struct {}{}
 setting cold.factor is no float64: struct {}{}
 setting cold.span is no int64: struct {}{}
