--- a/control/outliers.go
+++ b/control/outliers.go
@@ -145,7 +145,8 @@
 	return true
 }
 
-// ProbeEnded takes the result of a health check that Tick asked for.
+// ProbeEnded takes the result of a health check that Tick returned the endpoint of. The load report that came with
+// it is not used.
 func (r *Router) ProbeEnded(now int64, id uint32, healthy bool, _ []float64) {
 	if endpoint := r.endpoints[id]; endpoint != nil {
 		endpoint.probing = false
--- a/control/purges.go
+++ b/control/purges.go
@@ -164,11 +164,3 @@
 		r.log(ClockAhead{})
 	}
 }
-
-// slowStartSince returns when an endpoint started, by this router's clock. Its start is stamped by another
-// machine; if this clock is ahead the endpoint would seem warm too soon. So the stamp counts as later by as
-// much as this clock can be ahead, but not as later than its arrival here.
-func (r *Router) slowStartSince(endpoint *endpointState) int64 {
-	lead := r.purges.maxClockLead
-	return min(endpoint.slowStartFrom, endpoint.slowStartReportedAt-lead) + lead
-}
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -138,10 +138,10 @@
 }
 
 // Parts of the text for settings of wrong types.
-const ofKinds = "setting kind.parent is no int64: struct {}{}\nsetting kinds is no []string: struct {}{}\n" +
+const kindErrors = "setting kind.parent is no int64: struct {}{}\nsetting kinds is no []string: struct {}{}\n" +
 	"setting kind.origin is no int64: struct {}{}\n"
 
-const ofRequests = `setting report.fields is no []string: struct {}{}
+const requestErrors = `setting report.fields is no []string: struct {}{}
 setting clientKBPerS is no float64: struct {}{}
 setting origin.fallFactor is no float64: struct {}{}
 setting probe is no bool: struct {}{}
@@ -154,7 +154,7 @@
 setting purge.takes is no int64: struct {}{}
 `
 
-const ofSlowStart = `setting cold.share is no float64: struct {}{}
+const slowStartErrors = `setting cold.share is no float64: struct {}{}
 setting cold.factor is no float64: struct {}{}
 setting cold.span is no int64: struct {}{}
 setting cold.window is no int64: struct {}{}
@@ -177,16 +177,16 @@
 		{"all of wrong types", allWrongSettings(), `setting units is no string: struct {}{}
 setting location is no string: struct {}{}
 setting routers is no int64: struct {}{}
-` + ofKinds + ofRequests + `setting product.names is no []string: struct {}{}
+` + kindErrors + requestErrors + `setting product.names is no []string: struct {}{}
 setting locations is no []string: struct {}{}
 setting location.routers is no []int64: struct {}{}
-` + ofSlowStart},
+` + slowStartErrors},
 		{"those of a class of wrong types", withClass, `setting kinds is missing
 setting units is no string: struct {}{}
 setting routers is no int64: struct {}{}
 setting kind.parent is no int64: struct {}{}
 setting kind.origin is no int64: struct {}{}
-` + ofRequests + `setting product.due is no []int64: struct {}{}
+` + requestErrors + `setting product.due is no []int64: struct {}{}
 setting product.dueStretch is no []float64: struct {}{}
 setting product.fresh is no []int64: struct {}{}
 setting product.payoff is no []float64: struct {}{}
@@ -195,7 +195,7 @@
 setting product.window is no []int64: struct {}{}
 setting product.neverKept is no []bool: struct {}{}
 setting location.routers is no []int64: struct {}{}
-` + ofSlowStart},
+` + slowStartErrors},
 		{"none", RawSettings{}, `setting product.names is missing
 setting product.due is missing
 setting product.hardStop is missing
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -225,6 +225,14 @@
 	return false
 }
 
+// slowStartSince returns when an endpoint started, by this router's clock. Its start is stamped by another
+// machine; if this clock is ahead the endpoint would seem warm too soon. So the stamp counts as later by as
+// much as this clock can be ahead, but not as later than its arrival here.
+func (r *Router) slowStartSince(endpoint *endpointState) int64 {
+	lead := r.purges.maxClockLead
+	return min(endpoint.slowStartFrom, endpoint.slowStartReportedAt-lead) + lead
+}
+
 // tokenRate returns the rate of tokens for work that exceeds a router's fixed share of an endpoint's limit; all
 // in s.
 func (r *Router) tokenRate(now int64, terms slowStartTerms, limit, fixedShare, work float64) float64 {
--- a/internal/downstream/memory.go
+++ b/internal/downstream/memory.go
@@ -72,14 +72,14 @@
 	if isRequest(message) {
 		switch c.addRequest(message.Seq) {
 		case requestAdmitted:
-			c.respond(rejectedAnswer(message.Seq))
+			c.respond(rejection(message.Seq))
 		case requestExcess:
-			c.send(rejectedAnswer(message.Seq))
+			c.send(rejection(message.Seq))
 		case requestDuplicate:
 			c.sendException(message, thrift.BadSequence, duplicateSequence)
 			return nil
 		case requestTooLate:
-			c.send(rejectedAnswer(message.Seq))
+			c.send(rejection(message.Seq))
 			return errDraining
 		}
 	}
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -179,7 +179,7 @@
 func (c *connection) handleMessage(message thrift.Message, arrivedAt int64) bool {
 	if c.isDraining() {
 		if isRequest(message) {
-			c.send(rejectedAnswer(message.Seq))
+			c.send(rejection(message.Seq))
 		}
 		return false
 	}
@@ -200,7 +200,7 @@
 	case err != nil:
 		c.sendException(message, thrift.ProtocolError, err.Error())
 	case message.Name == methodHealth:
-		c.send(thrift.Answer{Method: methodHealth, Seq: message.Seq, Good: c.server.ready.Load()})
+		c.send(thrift.Response{Method: methodHealth, Seq: message.Seq, Good: c.server.ready.Load()})
 	default:
 		return c.handleCall(message, arguments, arrivedAt)
 	}
@@ -216,9 +216,9 @@
 	case requestDuplicate:
 		c.sendException(message, thrift.BadSequence, duplicateSequence)
 	case requestExcess:
-		c.send(rejectedAnswer(message.Seq))
+		c.send(rejection(message.Seq))
 	case requestTooLate:
-		c.send(rejectedAnswer(message.Seq))
+		c.send(rejection(message.Seq))
 		return false
 	}
 	return true
@@ -243,7 +243,7 @@
 
 // sendException answers a message that the protocol does not allow, and ends the reading from its client.
 func (c *connection) sendException(m thrift.Message, kind int, text string) {
-	c.send(thrift.Answer{Method: m.Name, Seq: m.Seq, Fault: kind, Text: text})
+	c.send(thrift.Response{Method: m.Name, Seq: m.Seq, ExceptionKind: kind, ExceptionText: text})
 	c.closeForProtocolViolation()
 }
 
@@ -257,7 +257,7 @@
 			break
 		}
 		if isRequest(m) {
-			c.send(rejectedAnswer(m.Seq))
+			c.send(rejection(m.Seq))
 		}
 	}
 	return errDraining
--- a/internal/downstream/reject.go
+++ b/internal/downstream/reject.go
@@ -68,8 +68,8 @@
 		if !isRequest(m) {
 			continue
 		}
-		answer := net.Buffers(thrift.Frame(rejectedAnswer(m.Seq)))
-		if err := writeAll(conn, &answer); err != nil {
+		response := net.Buffers(thrift.EncodeResponse(rejection(m.Seq)))
+		if err := writeAll(conn, &response); err != nil {
 			return
 		}
 	}
--- a/internal/downstream/write.go
+++ b/internal/downstream/write.go
@@ -38,53 +38,54 @@
 )
 
 // Respond writes the final response to a request, if its client's connection is still there. It never waits.
-func (s *Server) Respond(response router.Respond) {
-	c := s.lookup(response.Client)
+func (s *Server) Respond(effect router.Respond) {
+	c := s.lookup(effect.Client)
 	if c == nil {
 		return
 	}
-	answer := newAnswer(response)
-	if response.Kind == router.Served && !s.memory.admitResponse(len(answer.Body)) {
-		answer = failedAnswer(response.Seq)
+	response := newResponse(effect)
+	if effect.Kind == router.Served && !s.memory.admitResponse(len(response.Body)) {
+		response = failure(effect.Seq)
 	}
-	c.respond(answer)
-	if response.Kind == router.BadRequest {
+	c.respond(response)
+	if effect.Kind == router.BadRequest {
 		c.closeForProtocolViolation()
 	}
 }
 
-// newAnswer returns a response in the protocol's form.
-func newAnswer(response router.Respond) thrift.Answer {
-	answer := thrift.Answer{Method: methodCall, Seq: response.Seq}
-	switch response.Kind {
+// newResponse returns a response in the protocol's form.
+func newResponse(effect router.Respond) thrift.Response {
+	response := thrift.Response{Method: methodCall, Seq: effect.Seq}
+	switch effect.Kind {
 	case router.Served:
-		answer.Good = true
-		if response.NotModified {
-			answer.Fields = [][2]string{{fieldNotModified, "1"}}
+		response.Good = true
+		if effect.NotModified {
+			response.Fields = [][2]string{{fieldNotModified, "1"}}
 		} else {
-			answer.Body = response.Body
+			response.Body = effect.Body
 		}
 	case router.Rejected:
-		answer.Field = structRejected
-		if ms := response.RetryAfter / int64(time.Millisecond); ms > 0 {
-			answer.Fields = [][2]string{{fieldRetryAfter, strconv.FormatInt(ms, 10)}}
+		response.ResultField = structRejected
+		if ms := effect.RetryAfter / int64(time.Millisecond); ms > 0 {
+			response.Fields = [][2]string{{fieldRetryAfter, strconv.FormatInt(ms, 10)}}
 		}
 	case router.Failed:
-		answer.Field = structFailed
+		response.ResultField = structFailed
 	case router.BadRequest:
-		answer.Fault, answer.Text = thrift.ProtocolError, response.Reason.Error()
+		response.ExceptionKind = thrift.ProtocolError
+		response.ExceptionText = effect.Reason.Error()
 	}
-	return answer
+	return response
 }
 
-// rejectedAnswer returns the response to a request of which nothing was executed.
-func rejectedAnswer(seq int32) thrift.Answer {
-	return thrift.Answer{Method: methodCall, Seq: seq, Field: structRejected}
+// rejection returns the response to a request of which nothing was executed.
+func rejection(seq int32) thrift.Response {
+	return thrift.Response{Method: methodCall, Seq: seq, ResultField: structRejected}
 }
 
-// failedAnswer returns the response to a request that may have been executed.
-func failedAnswer(seq int32) thrift.Answer {
-	return thrift.Answer{Method: methodCall, Seq: seq, Field: structFailed}
+// failure returns the response to a request that may have been executed.
+func failure(seq int32) thrift.Response {
+	return thrift.Response{Method: methodCall, Seq: seq, ResultField: structFailed}
 }
 
 // failRequests fails all requests in flight.
@@ -93,25 +94,25 @@
 	inFlight := slices.Sorted(maps.Keys(c.inFlight))
 	c.mu.Unlock()
 	for _, seq := range inFlight {
-		c.respond(failedAnswer(seq))
+		c.respond(failure(seq))
 	}
 }
 
 // respond queues the response to a request in flight. It removes and queues under one lock: between the two
 // a connection that ends once nothing is in flight would end without the response.
-func (c *connection) respond(answer thrift.Answer) {
-	pieces := thrift.Frame(answer)
+func (c *connection) respond(response thrift.Response) {
+	pieces := thrift.EncodeResponse(response)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.inFlight[answer.Seq] {
-		delete(c.inFlight, answer.Seq)
+	if c.inFlight[response.Seq] {
+		delete(c.inFlight, response.Seq)
 		c.enqueue(pieces)
 	}
 }
 
 // send queues a response to what was never in flight.
-func (c *connection) send(answer thrift.Answer) {
-	pieces := thrift.Frame(answer)
+func (c *connection) send(response thrift.Response) {
+	pieces := thrift.EncodeResponse(response)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.enqueue(pieces)
--- a/internal/downstream/write_test.go
+++ b/internal/downstream/write_test.go
@@ -13,41 +13,41 @@
 	for _, test := range []struct {
 		name     string
 		response router.Respond
-		want     thrift.Answer
+		want     thrift.Response
 	}{
 		{
 			"served",
 			router.Respond{Kind: router.Served, Seq: 5, Body: []byte("body")},
-			thrift.Answer{Method: "call", Seq: 5, Good: true, Body: []byte("body")},
+			thrift.Response{Method: "call", Seq: 5, Good: true, Body: []byte("body")},
 		},
 		{
 			"not modified",
 			router.Respond{Kind: router.Served, Seq: 5, Body: []byte("body"), NotModified: true},
-			thrift.Answer{Method: "call", Seq: 5, Good: true, Fields: [][2]string{{"ok304", "1"}}},
+			thrift.Response{Method: "call", Seq: 5, Good: true, Fields: [][2]string{{"ok304", "1"}}},
 		},
 		{
 			"rejected",
 			router.Respond{Kind: router.Rejected, Seq: 5, RetryAfter: 250 * ms},
-			thrift.Answer{Method: "call", Seq: 5, Field: 1, Fields: [][2]string{{"later", "250"}}},
+			thrift.Response{Method: "call", Seq: 5, ResultField: 1, Fields: [][2]string{{"later", "250"}}},
 		},
 		{
 			"rejected, to come again at once",
 			router.Respond{Kind: router.Rejected, Seq: 5, RetryAfter: ms - 1},
-			thrift.Answer{Method: "call", Seq: 5, Field: 1},
+			thrift.Response{Method: "call", Seq: 5, ResultField: 1},
 		},
 		{
 			"failed",
 			router.Respond{Kind: router.Failed, Seq: 5, Body: []byte("body")},
-			thrift.Answer{Method: "call", Seq: 5, Field: 2},
+			thrift.Response{Method: "call", Seq: 5, ResultField: 2},
 		},
 		{
 			"bad request",
 			router.Respond{Kind: router.BadRequest, Seq: 5, Reason: errors.New("no such class")},
-			thrift.Answer{Method: "call", Seq: 5, Fault: thrift.ProtocolError, Text: "no such class"},
+			thrift.Response{Method: "call", Seq: 5, ExceptionKind: thrift.ProtocolError, ExceptionText: "no such class"},
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := newAnswer(test.response); !reflect.DeepEqual(got, test.want) {
+			if got := newResponse(test.response); !reflect.DeepEqual(got, test.want) {
 				t.Errorf("%+v, want %+v", got, test.want)
 			}
 		})
--- a/internal/protocol/thrift/thrift_test.go
+++ b/internal/protocol/thrift/thrift_test.go
@@ -106,25 +106,25 @@
 	})
 }
 
-func TestFrame(t *testing.T) {
+func TestEncodeResponse(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		in   Answer
+		in   Response
 		want string // behind the sequence number
 	}{
-		{"served", Answer{Body: []byte("xy"), Good: true}, "\x0c\x00\x00\x0b\x00\x01" + text("xy") +
+		{"served", Response{Body: []byte("xy"), Good: true}, "\x0c\x00\x00\x0b\x00\x01" + text("xy") +
 			"\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00\x02\x00\x03\x01\x00\x00"},
-		{"rejected", Answer{Field: 1, Fields: [][2]string{{"later", "80"}}}, "\x0c\x00\x01\x0d\x00\x01\x0b\x0b" +
+		{"rejected", Response{ResultField: 1, Fields: [][2]string{{"later", "80"}}}, "\x0c\x00\x01\x0d\x00\x01\x0b\x0b" +
 			"\x00\x00\x00\x01" + text("later") + text("80") + "\x00\x00"},
-		{"failed", Answer{Field: 2}, "\x0c\x00\x02\x0d\x00\x01\x0b\x0b\x00\x00\x00\x00\x00\x00"},
-		{"an exception", Answer{Fault: UnknownMethod, Text: "odd"}, "\x0b\x00\x01" + text("odd") +
+		{"failed", Response{ResultField: 2}, "\x0c\x00\x02\x0d\x00\x01\x0b\x0b\x00\x00\x00\x00\x00\x00"},
+		{"an exception", Response{ExceptionKind: UnknownMethod, ExceptionText: "odd"}, "\x0b\x00\x01" + text("odd") +
 			"\x08\x00\x02\x00\x00\x00\x01\x00"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.in.Method, test.in.Seq = "call", 258
-			got := bytes.Join(Frame(test.in), nil)
+			got := bytes.Join(EncodeResponse(test.in), nil)
 			kind := "\x02"
-			if test.in.Fault != 0 {
+			if test.in.ExceptionKind != 0 {
 				kind = "\x03"
 			}
 			want := "\x80\x01\x00" + kind + text("call") + "\x00\x00\x01\x02" + test.want
--- a/internal/protocol/thrift/writer.go
+++ b/internal/protocol/thrift/writer.go
@@ -28,46 +28,46 @@
 
 const messageTypeOffset = frameHeaderSize + 3 // of the message's type in a frame with its length
 
-// Answer is the response to a `call` or `health` message. Fault and Field say of which kind it is.
-type Answer struct {
-	Method string
-	Seq    int32
-	Fault  int         // kind of an application exception, with Text as its message; 0 is none
-	Text   string      // with Fault
-	Field  int16       // of the result: 0 is served, 1 rejected, 2 failed
-	Fields [][2]string // names with values
-	Body   []byte      // with Field 0
-	Good   bool        // with Field 0
+// Response is the response to a `call` or `health` message. ExceptionKind and ResultField say what it is.
+type Response struct {
+	Method        string
+	Seq           int32
+	ExceptionKind int         // kind of an application exception, with ExceptionText; 0 is none
+	ExceptionText string      // with ExceptionKind
+	ResultField   int16       // of the result: 0 is served, 1 rejected, 2 failed
+	Fields        [][2]string // names with values
+	Body          []byte      // with ResultField 0
+	Good          bool        // with ResultField 0
 }
 
-// Frame encodes an answer as a frame with its length, in three pieces. The middle one is the body, which is not
-// copied.
-func Frame(answer Answer) [][]byte {
-	head := make([]byte, frameHeaderSize, replyHeadSize+len(answer.Text))
+// EncodeResponse encodes a response as a frame with its length, in three pieces. The middle one is the body, which is
+// not copied.
+func EncodeResponse(response Response) [][]byte {
+	head := make([]byte, frameHeaderSize, replyHeadSize+len(response.ExceptionText))
 	head = append(head, replyHeader[:]...)
-	if answer.Fault != 0 {
+	if response.ExceptionKind != 0 {
 		head[messageTypeOffset] = Exception
 	}
-	head = appendString(head, answer.Method)
-	head = binary.BigEndian.AppendUint32(head, uint32(answer.Seq))
+	head = appendString(head, response.Method)
+	head = binary.BigEndian.AppendUint32(head, uint32(response.Seq))
 	var tail []byte
 	switch {
-	case answer.Fault != 0:
-		head = appendApplicationException(head, answer.Fault, answer.Text)
-	case answer.Field == resultServed:
+	case response.ExceptionKind != 0:
+		head = appendApplicationException(head, response.ExceptionKind, response.ExceptionText)
+	case response.ResultField == resultServed:
 		head = appendField(head, typeStruct, resultServed)
 		head = appendField(head, typeString, servedBody)
-		head = binary.BigEndian.AppendUint32(head, uint32(len(answer.Body)))
-		tail = appendServedTail(tail, answer)
+		head = binary.BigEndian.AppendUint32(head, uint32(len(response.Body)))
+		tail = appendServedTail(tail, response)
 	default:
-		head = appendField(head, typeStruct, answer.Field)
+		head = appendField(head, typeStruct, response.ResultField)
 		head = appendField(head, typeMap, exceptionFields)
-		head = appendStringMap(head, answer.Fields)
+		head = appendStringMap(head, response.Fields)
 		head = append(head, typeStop, typeStop)
 	}
-	size := len(head) - frameHeaderSize + len(answer.Body) + len(tail)
+	size := len(head) - frameHeaderSize + len(response.Body) + len(tail)
 	binary.BigEndian.PutUint32(head, uint32(size))
-	return [][]byte{head, answer.Body, tail}
+	return [][]byte{head, response.Body, tail}
 }
 
 func appendApplicationException(out []byte, kind int, text string) []byte {
@@ -79,11 +79,11 @@
 }
 
 // appendServedTail appends what follows the body of an object that is served.
-func appendServedTail(out []byte, a Answer) []byte {
+func appendServedTail(out []byte, response Response) []byte {
 	out = appendField(out, typeMap, servedFields)
-	out = appendStringMap(out, a.Fields)
+	out = appendStringMap(out, response.Fields)
 	out = appendField(out, typeBool, servedGood)
-	return append(out, encodeBool(a.Good), typeStop, typeStop)
+	return append(out, encodeBool(response.Good), typeStop, typeStop)
 }
 
 func encodeBool(value bool) byte {
