--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -50,7 +50,7 @@
 // benchmarkRouter makes a router with a full fleet.
 func benchmarkRouter(b *testing.B, servers int, change func(*Settings)) (*Router, []Endpoint) {
 	b.Helper()
-	settings := site(func(s *Settings) { s.LocationRouters, s.Routers = 8, 10 })
+	settings := testSettings(func(s *Settings) { s.LocationRouters, s.Routers = 8, 10 })
 	if change != nil {
 		change(&settings)
 	}
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -59,7 +59,7 @@
 				s.Weights, s.LocationRouters = decodeWeights(test.units), 1
 			})
 			var lines []Endpoint
-			for _, line := range fleet {
+			for _, line := range testEndpoints {
 				line.Capacity = test.weight
 				lines = append(lines, line)
 			}
@@ -81,7 +81,7 @@
 func TestMeasuredCapacitiesAreBounded(t *testing.T) {
 	router := newRouter(t, func(s *Settings) { s.Weights, s.LocationRouters = NoWeights, 1 })
 	var lines []Endpoint
-	for _, line := range fleet {
+	for _, line := range testEndpoints {
 		line.Capacity = 1
 		lines = append(lines, line)
 	}
@@ -111,10 +111,10 @@
 		for _, from := range []int64{0, 8 * second} { // from the start on; all at once some time later
 			var sentAt []int64
 			for n := range routers {
-				settings := site(func(s *Settings) { s.Routers, s.Weights = routers, NoWeights })
+				settings := testSettings(func(s *Settings) { s.Routers, s.Weights = routers, NoWeights })
 				router := New(start-20*second, uint64(n), settings, func(logevent.Event) {})
-				lines := make([]Endpoint, len(fleet))
-				for i, line := range fleet {
+				lines := make([]Endpoint, len(testEndpoints))
+				for i, line := range testEndpoints {
 					lines[i] = line
 					lines[i].Capacity = 1
 				}
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -31,7 +31,7 @@
 // drawnSettings returns settings that are drawn at random.
 func drawnSettings(rng *rand.Rand) Settings {
 	pick := func(n int) bool { return rng.IntN(n) == 0 }
-	settings := site(nil)
+	settings := testSettings(nil)
 	settings.Weights = []WeightMeaning{CapacityWeights, NoWeights, LoadWeights}[rng.IntN(3)]
 	settings.HealthChecks = pick(2)
 	settings.JoinFills = pick(2)
@@ -53,7 +53,7 @@
 // newDrawnRun starts a run that depends on its seed alone.
 func newDrawnRun(t testing.TB, seed uint64) *drawnRun {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	p := &drawnRun{
+	run := &drawnRun{
 		rng:     rng,
 		now:     start,
 		nextID:  1,
@@ -62,25 +62,25 @@
 		failing: map[uint32]bool{},
 	}
 	log := func(event logevent.Event) {
-		p.note("log", loggedFigures(event))
-		p.seen["log"]++
-		p.seen[event.Kind().Name]++
+		run.note("log", loggedFigures(event))
+		run.seen["log"]++
+		run.seen[event.Kind().Name]++
 	}
 	router := New(start, seed, drawnSettings(rng), log)
-	p.router = router
+	run.router = router
 	if rng.IntN(4) == 0 {
-		router.Reachable = func(id uint32) bool { return (id*2654435761+uint32(p.now/second))%7 != 0 }
+		router.Reachable = func(id uint32) bool { return (id*2654435761+uint32(run.now/second))%7 != 0 }
 	}
 	for range 1 + rng.IntN([]int{4, 40, 40, 250}[rng.IntN(4)]) {
-		p.entries = append(p.entries, p.drawEntry())
+		run.entries = append(run.entries, run.drawEntry())
 	}
-	router.UpdateEndpoints(start, p.entries, true)
-	return p
+	router.UpdateEndpoints(start, run.entries, true)
+	return run
 }
 
 // note adds values to the digest.
-func (p *drawnRun) note(values ...any) {
-	if _, err := fmt.Fprintln(p.digest, values...); err != nil {
+func (run *drawnRun) note(values ...any) {
+	if _, err := fmt.Fprintln(run.digest, values...); err != nil {
 		panic(err) // a hash takes everything
 	}
 }
@@ -105,13 +105,13 @@
 }
 
 // drawEntry returns an endpoint that is not listed yet.
-func (p *drawnRun) drawEntry() Endpoint {
+func (run *drawnRun) drawEntry() Endpoint {
 	entry := Endpoint{
-		ID: p.nextID*2654435761 + 17, Location: "here", Kind: "cache", Cell: int64(p.rng.IntN(4)), Phase: "ready",
-		Capacity: []float64{1, 5, 5, 5, 0, 7.3, 0.1, 20}[p.rng.IntN(8)],
+		ID: run.nextID*2654435761 + 17, Location: "here", Kind: "cache", Cell: int64(run.rng.IntN(4)), Phase: "ready",
+		Capacity: []float64{1, 5, 5, 5, 0, 7.3, 0.1, 20}[run.rng.IntN(8)],
 	}
-	p.nextID++
-	switch n := p.rng.IntN(20); {
+	run.nextID++
+	switch n := run.rng.IntN(20); {
 	case n < 4:
 		entry.Location, entry.Kind = "hub", "parent"
 	case n == 4:
@@ -119,170 +119,170 @@
 	case n == 5:
 		entry.Location = "there"
 	}
-	if p.rng.IntN(5) == 0 {
-		entry.StartedAt = p.now
+	if run.rng.IntN(5) == 0 {
+		entry.StartedAt = run.now
 	}
 	return entry
 }
 
 // decided adds a decision to the digest. What it was asked is in the recorded digests, so these words stay.
-func (p *drawnRun) decided(what string, request *Request, decision Decision) {
+func (run *drawnRun) decided(what string, request *Request, decision Decision) {
 	// Values without the names of their fields: to rename a field changes no decision.
 	attempt := decision.Attempt
-	p.note(what, p.now, request.Object, int(decision.Verdict), decision.RetryAfter, decision.Cancel,
+	run.note(what, run.now, request.Object, int(decision.Verdict), decision.RetryAfter, decision.Cancel,
 		attempt.Cache, attempt.CacheOnly, attempt.Source, attempt.CachePriority, attempt.MaxAge, attempt.JoinFill,
 		attempt.RefreshBehind, attempt.ParentOnlyIfCached, attempt.ParentNoStore, attempt.Timeout, attempt.SendTimeout)
-	p.seen[fmt.Sprint(what, int(decision.Verdict))]++
+	run.seen[fmt.Sprint(what, int(decision.Verdict))]++
 	if decision.Verdict == Send && request.diverted {
-		p.seen["diverted"]++
+		run.seen["diverted"]++
 	}
 	if decision.Verdict == Send && decision.Attempt.CacheOnly {
-		p.seen["cache only"]++
+		run.seen["cache only"]++
 	}
 }
 
 // sendRequest has the router decide on a new request.
-func (p *drawnRun) sendRequest() {
+func (run *drawnRun) sendRequest() {
 	classes := []string{"harmless", "harmless", "stamped", "once"}
-	object := p.rng.IntN(1 + p.rng.IntN(60))
+	object := run.rng.IntN(1 + run.rng.IntN(60))
 	request := &Request{
-		Class:       classes[p.rng.IntN(len(classes))],
+		Class:       classes[run.rng.IntN(len(classes))],
 		Object:      fmt.Sprintf("%016x", object),
 		Group:       int64(object % 5),
-		Part:        int64(p.rng.IntN(2)),
-		Deadline:    p.now + int64(p.rng.IntN(3000)+200)*second/1000,
-		ClientRetry: p.rng.IntN(12) == 0,
-		Write:       p.rng.IntN(10) == 0,
-		SizeKB:      []float64{0, 0, 10, 200, 2000}[p.rng.IntN(5)],
+		Part:        int64(run.rng.IntN(2)),
+		Deadline:    run.now + int64(run.rng.IntN(3000)+200)*second/1000,
+		ClientRetry: run.rng.IntN(12) == 0,
+		Write:       run.rng.IntN(10) == 0,
+		SizeKB:      []float64{0, 0, 10, 200, 2000}[run.rng.IntN(5)],
 	}
-	p.requests = append(p.requests, request)
-	p.decided("where", request, p.router.Decide(p.now, request))
+	run.requests = append(run.requests, request)
+	run.decided("where", request, run.router.Decide(run.now, request))
 }
 
 // outcome draws how an attempt ends.
-func (p *drawnRun) outcome(request *Request, number int) Outcome {
+func (run *drawnRun) outcome(request *Request, number int) Outcome {
 	attempt := request.attempts[number]
 	outcome := Outcome{
 		Attempt:     number,
 		Result:      Succeeded,
-		Elapsed:     p.now - attempt.sentAt,
-		Note:        int64(p.rng.IntN(4)),
-		SharedCause: p.rng.IntN(10) == 0,
+		Elapsed:     run.now - attempt.sentAt,
+		Note:        int64(run.rng.IntN(4)),
+		SharedCause: run.rng.IntN(10) == 0,
 	}
 	chance := 15
-	if p.failing[attempt.cache.ID] || attempt.source != nil && p.failing[attempt.source.ID] {
+	if run.failing[attempt.cache.ID] || attempt.source != nil && run.failing[attempt.source.ID] {
 		chance = 2
 	}
-	if p.rng.IntN(chance) == 0 {
-		outcome.Result = Result(p.rng.IntN(int(Cancelled) + 1))
-		outcome.Note = int64(p.rng.IntN(10))
+	if run.rng.IntN(chance) == 0 {
+		outcome.Result = Result(run.rng.IntN(int(Cancelled) + 1))
+		outcome.Note = int64(run.rng.IntN(10))
 	}
-	outcome.RequestEnded = outcome.Result == Succeeded || p.rng.IntN(20) == 0
-	if p.rng.IntN(2) == 0 {
-		outcome.SendingTime = p.rng.Float64()
+	outcome.RequestEnded = outcome.Result == Succeeded || run.rng.IntN(20) == 0
+	if run.rng.IntN(2) == 0 {
+		outcome.SendingTime = run.rng.Float64()
 	}
-	if p.rng.IntN(2) == 0 {
-		outcome.LoadReport = []float64{0, float64(p.rng.IntN(30))}
+	if run.rng.IntN(2) == 0 {
+		outcome.LoadReport = []float64{0, float64(run.rng.IntN(30))}
 	}
 	return outcome
 }
 
 // end ends an attempt of a request that is in flight, if one is drawn.
-func (p *drawnRun) end(request *Request) {
+func (run *drawnRun) end(request *Request) {
 	for number, attempt := range request.attempts {
-		if !attempt.ended && p.rng.IntN(2) == 0 {
-			p.decided("after", request, p.router.AttemptEnded(p.now, request, p.outcome(request, number)))
+		if !attempt.ended && run.rng.IntN(2) == 0 {
+			run.decided("after", request, run.router.AttemptEnded(run.now, request, run.outcome(request, number)))
 			return
 		}
 	}
 }
 
 // list changes some entries of the endpoint list, and may send the complete one.
-func (p *drawnRun) list() {
-	for range 1 + p.rng.IntN(2) {
-		i := p.rng.IntN(len(p.entries))
-		entry := &p.entries[i]
-		switch p.rng.IntN(7) {
+func (run *drawnRun) list() {
+	for range 1 + run.rng.IntN(2) {
+		i := run.rng.IntN(len(run.entries))
+		entry := &run.entries[i]
+		switch run.rng.IntN(7) {
 		case 0:
-			entry.Phase = []string{"draining", "gone"}[p.rng.IntN(2)]
+			entry.Phase = []string{"draining", "gone"}[run.rng.IntN(2)]
 		case 1, 2:
 			entry.Phase = "ready"
 		case 3:
-			entry.StartedAt, entry.Phase = p.now, "ready"
+			entry.StartedAt, entry.Phase = run.now, "ready"
 		case 4:
-			entry.Capacity = p.rng.Float64() * 10
+			entry.Capacity = run.rng.Float64() * 10
 		case 5:
-			p.entries = append(p.entries, p.drawEntry())
-			i = len(p.entries) - 1
+			run.entries = append(run.entries, run.drawEntry())
+			i = len(run.entries) - 1
 		case 6:
-			if len(p.entries) > 2 {
-				p.entries = slices.Delete(p.entries, i, i+1)
-				p.router.UpdateEndpoints(p.now, p.entries, true)
+			if len(run.entries) > 2 {
+				run.entries = slices.Delete(run.entries, i, i+1)
+				run.router.UpdateEndpoints(run.now, run.entries, true)
 				continue
 			}
 		}
-		p.router.UpdateEndpoints(p.now, slices.Clone(p.entries[i:i+1]), false)
+		run.router.UpdateEndpoints(run.now, slices.Clone(run.entries[i:i+1]), false)
 	}
-	if p.rng.IntN(4) == 0 {
-		p.router.UpdateEndpoints(p.now, p.entries, true)
+	if run.rng.IntN(4) == 0 {
+		run.router.UpdateEndpoints(run.now, run.entries, true)
 	}
 }
 
 // step is one drawn event.
-func (p *drawnRun) step() {
-	if p.rng.IntN(3) > 0 {
-		p.now += p.rng.Int64N(second / 20)
+func (run *drawnRun) step() {
+	if run.rng.IntN(3) > 0 {
+		run.now += run.rng.Int64N(second / 20)
 	}
-	if p.rng.IntN(300) == 0 {
-		p.now += p.rng.Int64N(20 * second)
+	if run.rng.IntN(300) == 0 {
+		run.now += run.rng.Int64N(20 * second)
 	}
-	if p.rng.IntN(3000) == 0 {
-		p.now += 4000 * second // all scores have decayed to 0
+	if run.rng.IntN(3000) == 0 {
+		run.now += 4000 * second // all scores have decayed to 0
 	}
-	router := p.router
-	switch n := p.rng.IntN(100); {
+	router := run.router
+	switch n := run.rng.IntN(100); {
 	case n < 35:
-		p.sendRequest()
+		run.sendRequest()
 	case n < 75:
-		if len(p.requests) > 0 {
-			p.end(p.requests[p.rng.IntN(len(p.requests))])
+		if len(run.requests) > 0 {
+			run.end(run.requests[run.rng.IntN(len(run.requests))])
 		}
 	case n < 88:
-		if len(p.requests) > 0 {
-			request := p.requests[p.rng.IntN(len(p.requests))]
-			request.NoNewAttempts = request.NoNewAttempts || p.rng.IntN(40) == 0
-			p.note(router.RecheckDelay(p.now, request))
-			p.decided("again", request, router.Decide(p.now, request))
+		if len(run.requests) > 0 {
+			request := run.requests[run.rng.IntN(len(run.requests))]
+			request.NoNewAttempts = request.NoNewAttempts || run.rng.IntN(40) == 0
+			run.note(router.RecheckDelay(run.now, request))
+			run.decided("again", request, router.Decide(run.now, request))
 		}
 	case n < 94:
-		probes, again := router.Tick(p.now)
-		p.note(probes, again)
+		probes, again := router.Tick(run.now)
+		run.note(probes, again)
 		for _, id := range probes {
-			p.seen["probe"]++
-			router.ProbeEnded(p.now, id, p.rng.IntN(3) > 0, nil)
+			run.seen["probe"]++
+			router.ProbeEnded(run.now, id, run.rng.IntN(3) > 0, nil)
 		}
 	case n < 96:
-		p.list()
+		run.list()
 	case n < 97:
-		object := fmt.Sprintf("%016x", p.rng.IntN(30))
-		if p.rng.IntN(3) == 0 {
+		object := fmt.Sprintf("%016x", run.rng.IntN(30))
+		if run.rng.IntN(3) == 0 {
 			object = ""
 		}
-		router.Purge(p.now, object, int64(p.rng.IntN(5)), p.now-p.rng.Int64N(second))
+		router.Purge(run.now, object, int64(run.rng.IntN(5)), run.now-run.rng.Int64N(second))
 	case n < 98:
-		if len(p.entries) > 0 {
-			id := p.entries[p.rng.IntN(len(p.entries))].ID
-			p.failing[id] = !p.failing[id]
+		if len(run.entries) > 0 {
+			id := run.entries[run.rng.IntN(len(run.entries))].ID
+			run.failing[id] = !run.failing[id]
 		}
 	default:
-		if len(p.requests) > 0 {
-			request := p.requests[p.rng.IntN(len(p.requests))]
-			p.decided("departed", request, router.ClientGone(p.now, request))
+		if len(run.requests) > 0 {
+			request := run.requests[run.rng.IntN(len(run.requests))]
+			run.decided("departed", request, router.ClientGone(run.now, request))
 		}
 	}
-	p.requests = slices.DeleteFunc(p.requests, func(request *Request) bool {
-		if request.inFlight == 0 && !request.ended && p.now > request.Deadline {
-			router.ClientGone(p.now, request)
+	run.requests = slices.DeleteFunc(run.requests, func(request *Request) bool {
+		if request.inFlight == 0 && !request.ended && run.now > request.Deadline {
+			router.ClientGone(run.now, request)
 		}
 		return request.inFlight == 0 && request.ended || request.record == nil
 	})
@@ -319,12 +319,12 @@
 	seen := map[string]int{}
 	digests := make([]string, recordedRuns)
 	for seed := range digests {
-		p := newDrawnRun(t, uint64(seed))
+		run := newDrawnRun(t, uint64(seed))
 		for range drawnSteps {
-			p.step()
+			run.step()
 		}
-		digests[seed] = fmt.Sprintf("%016x", p.digest.Sum64())
-		for what, n := range p.seen {
+		digests[seed] = fmt.Sprintf("%016x", run.digest.Sum64())
+		for what, n := range run.seen {
 			seen[what] += n
 		}
 	}
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -11,9 +11,9 @@
 		t.Run(phase, func(t *testing.T) {
 			router := newRouter(t, nil)
 			if phase == "not listed" {
-				router.UpdateEndpoints(start, []Endpoint{fleet[1], fleet[3], fleet[4]}, true)
+				router.UpdateEndpoints(start, []Endpoint{testEndpoints[1], testEndpoints[3], testEndpoints[4]}, true)
 			} else {
-				cache, parent := fleet[0], fleet[2]
+				cache, parent := testEndpoints[0], testEndpoints[2]
 				cache.Phase, parent.Phase = phase, phase
 				router.UpdateEndpoints(start, []Endpoint{cache, parent}, false)
 			}
@@ -33,7 +33,7 @@
 	for n := range 5000 {
 		now := start + int64(n)*second/10
 		replacement := Endpoint{ID: uint32(100 + n), Location: "here", Kind: "cache", Phase: PhaseReady, Capacity: 5}
-		router.UpdateEndpoints(now, append([]Endpoint{replacement}, fleet...), true)
+		router.UpdateEndpoints(now, append([]Endpoint{replacement}, testEndpoints...), true)
 		request := newRequest("harmless", fmt.Sprint(n))
 		if decision := router.Decide(now, request); decision.Verdict != Send {
 			t.Fatalf("verdict %v", decision.Verdict)
@@ -41,7 +41,7 @@
 		router.AttemptEnded(now, request, Outcome{Result: Succeeded, RequestEnded: true})
 		router.Tick(now)
 	}
-	if len(router.endpoints) > len(fleet)+1 {
+	if len(router.endpoints) > len(testEndpoints)+1 {
 		t.Errorf("%d endpoints are kept", len(router.endpoints))
 	}
 }
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// rawSite returns the settings of a small deployment: two caches here, two parents and an origin elsewhere. Its
+// rawTestSettings returns the settings of a small deployment: two caches here, two parents and an origin elsewhere. Its
 // class "harmless" is idempotent, "stamped" keyed, and "once" non-idempotent.
-func rawSite() RawSettings {
+func rawTestSettings() RawSettings {
 	return RawSettings{
 		"routers": int64(4), "location": "here", "locations": []string{"hub", "here", "there"},
 		"location.routers": []int64{0, 2, 2}, "kinds": []string{"cache", "parent", "origin"},
@@ -26,8 +26,8 @@
 	}
 }
 
-// decoded returns settings that are valid.
-func decoded(raw RawSettings) Settings {
+// mustDecode returns settings that are valid.
+func mustDecode(raw RawSettings) Settings {
 	settings, err := DecodeSettings(raw)
 	if err != nil {
 		panic(err) // they are this package's own
@@ -35,9 +35,9 @@
 	return settings
 }
 
-// site returns the settings of rawSite with a change, which may be nil.
-func site(change func(*Settings)) Settings {
-	settings := decoded(rawSite())
+// testSettings returns the settings of rawTestSettings with a change, which may be nil.
+func testSettings(change func(*Settings)) Settings {
+	settings := mustDecode(rawTestSettings())
 	if change != nil {
 		change(&settings)
 	}
@@ -67,7 +67,7 @@
 
 const start = 1000 * second
 
-var fleet = []Endpoint{
+var testEndpoints = []Endpoint{
 	{ID: 1, Location: "here", Kind: "cache", Cell: 1, Phase: "ready", Capacity: 5},
 	{ID: 2, Location: "here", Kind: "cache", Cell: 2, Phase: "ready", Capacity: 5},
 	{ID: 3, Location: "hub", Kind: "parent", Cell: 3, Phase: "ready", Capacity: 20},
@@ -78,8 +78,8 @@
 
 func newRouter(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
-	router := New(start, 7, site(change), func(logevent.Event) {})
-	router.UpdateEndpoints(start, fleet, true)
+	router := New(start, 7, testSettings(change), func(logevent.Event) {})
+	router.UpdateEndpoints(start, testEndpoints, true)
 	return router
 }
 
--- a/control/logevents_test.go
+++ b/control/logevents_test.go
@@ -85,7 +85,7 @@
 // A limit that falls below half of its initial value is logged once, and once more when it is back.
 func TestAdmissionLimitChangesAreLogged(t *testing.T) {
 	var logged []logevent.Event
-	router := New(start, 7, site(nil), func(event logevent.Event) { logged = append(logged, event) })
+	router := New(start, 7, testSettings(nil), func(event logevent.Event) { logged = append(logged, event) })
 	attempt := &attemptState{kind: fills, cache: &endpointState{}}
 	inTime := finding{result: Succeeded, inTime: true}
 	late := finding{result: Succeeded}
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -39,8 +39,8 @@
 		class := []string{"harmless", "stamped"}[rng.IntN(2)]
 		object := []string{"a", ""}[rng.IntN(2)]
 		if failed := func() bool {
-			router := New(purgedAt+offset-second, uint64(i), site(nil), func(logevent.Event) {})
-			router.UpdateEndpoints(purgedAt+offset-second, fleet, true)
+			router := New(purgedAt+offset-second, uint64(i), testSettings(nil), func(logevent.Event) {})
+			router.UpdateEndpoints(purgedAt+offset-second, testEndpoints, true)
 			for at := purgedAt + offset; at < receivedAt+offset; at += second {
 				router.Tick(at)
 			}
@@ -198,7 +198,7 @@
 					router.AcceptsCopy(startedAt+offset, request, 0, startedAt-second/200)
 					router.AcceptsCopy(startedAt+offset, request, 0, startedAt-second)
 				}
-				entry := fleet[0]
+				entry := testEndpoints[0]
 				entry.StartedAt = startedAt
 				router.UpdateEndpoints(startedAt+offset+second, []Endpoint{entry}, false)
 				since := router.slowStartSince(router.endpoints[1]) - offset // by trueTime
@@ -236,7 +236,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			router := newRouter(t, nil)
 			for _, startedAt := range test.starts {
-				entry := fleet[0]
+				entry := testEndpoints[0]
 				entry.StartedAt = startedAt
 				router.UpdateEndpoints(start+second, []Endpoint{entry}, false)
 			}
@@ -251,7 +251,7 @@
 		})
 	}
 	router := newRouter(t, nil)
-	entry := fleet[0]
+	entry := testEndpoints[0]
 	entry.StartedAt = start - 30*second
 	router.UpdateEndpoints(start, []Endpoint{entry}, false)
 	entry.StartedAt = start - 600*second // it started again, and the clock of the timestamp was set back
@@ -270,8 +270,8 @@
 				name := fmt.Sprintf("off by %d s, then by %d s, rates %v", firstOffset/second, offset/second, rates)
 				t.Run(name, func(t *testing.T) {
 					newRouterAt := func(now int64) *Router {
-						router := New(now, 7, site(nil), func(logevent.Event) {})
-						router.UpdateEndpoints(now, fleet, true)
+						router := New(now, 7, testSettings(nil), func(logevent.Event) {})
+						router.UpdateEndpoints(now, testEndpoints, true)
 						return router
 					}
 					first := newRouterAt(purgedAt + firstOffset)
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -254,27 +254,28 @@
 func TestSelectionEqualsPlainRanking(t *testing.T) {
 	seen := map[string]int{}
 	for seed, cases := uint64(0), 0; cases < propertyCases; seed++ {
-		p := newDrawnRun(t, 1000+seed)
+		run := newDrawnRun(t, 1000+seed)
 		for range 400 {
-			p.step()
-			if len(p.requests) == 0 {
+			run.step()
+			if len(run.requests) == 0 {
 				continue
 			}
-			request := p.requests[p.rng.IntN(len(p.requests))]
-			p.router.inFlight.markLate(p.now, p.router.endpoints) // so that it changes no count that is restored below
-			before := stateOf(p.router)
-			wantCache, wantSource := plainSelection(p.router, p.now, request)
-			wantDiverted, want := request.diverted, stateOf(p.router)
-			before.restore(p.router)
-			cache, source := p.router.selectEndpoints(p.now, request)
-			sameEffects := stateOf(p.router).equal(want)
+			request := run.requests[run.rng.IntN(len(run.requests))]
+			// Late attempts are marked now, so that the selections below change no count.
+			run.router.inFlight.markLate(run.now, run.router.endpoints)
+			before := stateOf(run.router)
+			wantCache, wantSource := plainSelection(run.router, run.now, request)
+			wantDiverted, want := request.diverted, stateOf(run.router)
+			before.restore(run.router)
+			cache, source := run.router.selectEndpoints(run.now, request)
+			sameEffects := stateOf(run.router).equal(want)
 			if cache != wantCache || source != wantSource || request.diverted != wantDiverted || !sameEffects {
 				t.Fatalf("seed %d, case %d: cache %v, source %v, diverted %v, want %v, %v, %v; the same effects: %v",
 					seed, cases, name(cache), name(source), request.diverted,
 					name(wantCache), name(wantSource), wantDiverted, sameEffects)
 			}
 			cases++
-			if cache != nil && cache != plainRank(request.record.key, p.router.caches)[0] {
+			if cache != nil && cache != plainRank(request.record.key, run.router.caches)[0] {
 				seen["not the first"]++
 			}
 			if request.diverted {
@@ -298,21 +299,21 @@
 // clock went back.
 func TestCountsEqualPlainSums(t *testing.T) {
 	for seed, cases := uint64(0), 0; cases < propertyCases; seed++ {
-		p := newDrawnRun(t, 5000+seed)
+		run := newDrawnRun(t, 5000+seed)
 		for range 400 {
-			p.step()
-			if p.rng.IntN(50) == 0 {
-				p.now += p.rng.Int64N(200 * second) // scores decay, but not to 0
+			run.step()
+			if run.rng.IntN(50) == 0 {
+				run.now += run.rng.Int64N(200 * second) // scores decay, but not to 0
 			}
 			cases++
-			if found := overlooked(p.router, p.now); len(found) > 0 {
+			if found := overlooked(run.router, run.now); len(found) > 0 {
 				t.Fatalf("seed %d, case %d: %v are overlooked", seed, cases, found)
 			}
-			at := p.now
-			if p.rng.IntN(4) == 0 {
-				at -= p.rng.Int64N(second)
+			at := run.now
+			if run.rng.IntN(4) == 0 {
+				at -= run.rng.Int64N(second)
 			}
-			if found := differences(p.router, at); len(found) > 0 {
+			if found := differences(run.router, at); len(found) > 0 {
 				t.Fatalf("seed %d, case %d: %v", seed, cases, found)
 			}
 		}
@@ -322,30 +323,30 @@
 // Candidates come in the order of the plain ranking, down to the last one, for tiers of all sizes and drawn
 // weights.
 func TestCandidatesEqualPlainRanking(t *testing.T) {
-	p := newDrawnRun(t, 1)
+	run := newDrawnRun(t, 1)
 	for round := range propertyCases / 100 {
 		router := newRouter(t, nil)
 		var lines []Endpoint
-		equal := p.rng.IntN(2) == 0
-		for id := range 1 + p.rng.IntN([]int{8, 60, 900}[round%3]) {
+		equal := run.rng.IntN(2) == 0
+		for id := range 1 + run.rng.IntN([]int{8, 60, 900}[round%3]) {
 			line := Endpoint{ID: uint32(id*7919 + 1), Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}
 			if !equal {
-				line.Capacity = math.Exp(p.rng.NormFloat64() * 3)
+				line.Capacity = math.Exp(run.rng.NormFloat64() * 3)
 			}
 			lines = append(lines, line)
 		}
 		router.UpdateEndpoints(start, lines, true)
 		for _, endpoint := range router.caches {
-			for range p.rng.IntN(4) * p.rng.IntN(2) {
+			for range run.rng.IntN(4) * run.rng.IntN(2) {
 				router.attemptStarted(endpoint, &attemptState{
 					sentAt: start,
 					cache:  endpoint,
-					kind:   attemptKind(p.rng.IntN(kinds)),
-					lateAt: start + p.rng.Int64N(second),
+					kind:   attemptKind(run.rng.IntN(kinds)),
+					lateAt: start + run.rng.Int64N(second),
 				})
 			}
 		}
-		now := start + p.rng.Int64N(second)
+		now := start + run.rng.Int64N(second)
 		for n := range 100 {
 			request := newRequest("harmless", fmt.Sprint(round, n))
 			request.class, request.Write = router.classByName["harmless"], n%4 == 0
@@ -358,7 +359,7 @@
 			}
 			got, count := router.cacheCandidates(now, request), len(want)
 			if n%10 > 1 {
-				count = min(count, 1+p.rng.IntN(8))
+				count = min(count, 1+run.rng.IntN(8))
 			}
 			for i := range count {
 				if endpoint := got.next(); endpoint != want[i] {
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -50,32 +50,37 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			raw := rawSite()
+			raw := rawTestSettings()
 			maps.Copy(raw, test.change)
 			_, err := DecodeSettings(raw)
-			if err == nil {
-				t.Fatal("no error")
-			}
-			var first *SettingError
-			if !errors.As(err, &first) {
-				t.Fatalf("%T: %v", err, err)
-			}
-			lines := strings.Split(err.Error(), "\n")
-			if len(lines) != len(test.want) {
-				t.Fatalf("%d errors: %v", len(lines), err)
-			}
-			for _, want := range test.want {
-				if !strings.Contains(err.Error(), want.Error()) {
-					t.Errorf("%q, want %q", err, want.Error())
-				}
-				if want.Value != nil && !strings.Contains(want.Error(), fmt.Sprintf("%#v", want.Value)) {
-					t.Errorf("%q has no %#v", want.Error(), want.Value)
-				}
-			}
+			checkSettingErrors(t, err, test.want)
 		})
 	}
 }
 
+// checkSettingErrors checks that an error joins one for each setting that is wrong, and names its value.
+func checkSettingErrors(t *testing.T, err error, wanted []SettingError) {
+	t.Helper()
+	if err == nil {
+		t.Fatal("no error")
+	}
+	var first *SettingError
+	if !errors.As(err, &first) {
+		t.Fatalf("%T: %v", err, err)
+	}
+	if lines := strings.Split(err.Error(), "\n"); len(lines) != len(wanted) {
+		t.Fatalf("%d errors: %v", len(lines), err)
+	}
+	for _, want := range wanted {
+		if !strings.Contains(err.Error(), want.Error()) {
+			t.Errorf("%q, want %q", err, want.Error())
+		}
+		if want.Value != nil && !strings.Contains(want.Error(), fmt.Sprintf("%#v", want.Value)) {
+			t.Errorf("%q has no %#v", want.Error(), want.Value)
+		}
+	}
+}
+
 // Absent settings are none, lists that are shorter than that of the classes leave the rest as if absent, and
 // what is unknown is taken for the worst.
 func TestSettingsThatAreAbsent(t *testing.T) {
@@ -222,7 +227,7 @@
 
 // Settings that no decision depends on: each is read, and of a wrong type it counts as absent.
 func TestUncheckedSettings(t *testing.T) {
-	raw := rawSite()
+	raw := rawTestSettings()
 	raw["list.mode"] = "ask"
 	raw["product.hardStop"] = []int64{second, 4 * second, 3 * second, 9 * second} // one more than there are classes
 	raw["answer.grace"] = 8 * second / 1000
@@ -233,8 +238,8 @@
 	raw["connect.within"] = second / 2
 	raw["connect.idle"] = 20 * second
 	raw["connect.streams"] = int64(100)
-	got := decoded(raw)
-	want := site(func(s *Settings) {
+	got := mustDecode(raw)
+	want := testSettings(func(s *Settings) {
 		s.PollEndpointList = true
 		s.LongestDeadline = 9 * second
 		s.AnswerGrace = 8 * second / 1000
@@ -255,13 +260,13 @@
 	} {
 		raw[key] = struct{}{}
 	}
-	got = decoded(raw)
-	want = site(func(s *Settings) { s.LongestDeadline, s.PurgeGrace, s.DrainGrace = 0, 0, 0 })
+	got = mustDecode(raw)
+	want = testSettings(func(s *Settings) { s.LongestDeadline, s.PurgeGrace, s.DrainGrace = 0, 0, 0 })
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v\nwant %+v", got, want)
 	}
 	raw["hands.most"] = int64(0)
-	if got := decoded(raw).MaxInFlight; got != DefaultSettings().MaxInFlight {
+	if got := mustDecode(raw).MaxInFlight; got != DefaultSettings().MaxInFlight {
 		t.Errorf("%d requests in flight", got)
 	}
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -56,8 +56,8 @@
 
 func (s *sharedSlowStart) newRouter(t *testing.T, seed uint64, routers int, capacity float64) *Router {
 	t.Helper()
-	router := New(start, seed, site(func(s *Settings) { s.Routers = routers }), func(logevent.Event) {})
-	entries := slices.Clone(fleet)
+	router := New(start, seed, testSettings(func(s *Settings) { s.Routers = routers }), func(logevent.Event) {})
+	entries := slices.Clone(testEndpoints)
 	entries[startingID-1].StartedAt, entries[startingID-1].Capacity = start, capacity
 	router.UpdateEndpoints(start, entries, true)
 	return router
@@ -151,11 +151,11 @@
 // Retries, hedges, fills and probes are charged to the slow start like first attempts: with the mean sending time
 // of their class, whatever the size of the answer.
 
-// newRouterWithStart returns a router that lists one endpoint of fleet as started now.
+// newRouterWithStart returns a router that lists one endpoint of testEndpoints as started now.
 func newRouterWithStart(t *testing.T, id uint32, change func(*Settings)) *Router {
 	t.Helper()
 	router := newRouter(t, change)
-	entry := fleet[id-1]
+	entry := testEndpoints[id-1]
 	entry.StartedAt = start
 	router.UpdateEndpoints(start, []Endpoint{entry}, false)
 	return router
@@ -188,7 +188,7 @@
 	router.UpdateEndpoints(start, []Endpoint{draining}, false)
 	request := newRequest("harmless", "a")
 	router.Decide(start, request)
-	router.UpdateEndpoints(start, fleet[1:2], false)
+	router.UpdateEndpoints(start, testEndpoints[1:2], false)
 	router.endpoints[1].slowStartFrom, router.endpoints[2].slowStartFrom = start, start
 	router.endpoints[1].ejected, router.endpoints[1].nextProbeAt = true, forever
 	router.retries.tokens = 3
@@ -229,7 +229,7 @@
 func TestSlowStartLimitsOneRouter(t *testing.T) {
 	cases := []struct {
 		name     string
-		endpoint int // index in fleet
+		endpoint int // index in testEndpoints
 		since    int64
 		budget   float64 // s; work that this router may send in the window
 	}{
@@ -242,7 +242,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			router := newRouter(t, nil)
-			entry := fleet[test.endpoint]
+			entry := testEndpoints[test.endpoint]
 			entry.StartedAt = start
 			router.UpdateEndpoints(start, []Endpoint{entry}, false)
 			now, sent := start+test.since, 0.
--- a/control/slowstart_tokens_test.go
+++ b/control/slowstart_tokens_test.go
@@ -111,12 +111,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			var all []sentWork
 			for n := range routers {
-				settings := site(func(s *Settings) { s.Routers = routers })
+				settings := testSettings(func(s *Settings) { s.Routers = routers })
 				router := New(start, uint64(n), settings, func(logevent.Event) {})
-				entry := fleet[2]
+				entry := testEndpoints[2]
 				entry.StartedAt = start
-				router.UpdateEndpoints(start, append([]Endpoint{entry}, fleet[3:]...), true)
-				router.UpdateEndpoints(start, fleet[:2], false)
+				router.UpdateEndpoints(start, append([]Endpoint{entry}, testEndpoints[3:]...), true)
+				router.UpdateEndpoints(start, testEndpoints[:2], false)
 				endpoint := router.endpoints[startingID]
 				router.slowStartAdmits(start, endpoint, meanWork) // collects tokens from here on
 				interval := test.interval
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -9,7 +9,7 @@
 // A router that restores a snapshot has the rates of the one before, though time has passed; without rates it
 // knows only which objects were requested.
 func TestSnapshot(t *testing.T) {
-	set := decoded(RawSettings{
+	set := mustDecode(RawSettings{
 		"product.names":    []string{"stills"},
 		"product.due":      []int64{4 * second / 10},
 		"product.hardStop": []int64{second},
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// writeSite makes a router with two classes: "read" is cacheable, "write" is not, nor idempotent. The parents
+// newWriteRouter makes a router with two classes: "read" is cacheable, "write" is not, nor idempotent. The parents
 // are in four hubs that form a ring, the origin is in the first.
-func writeSite(t *testing.T, change func(*Settings)) *Router {
+func newWriteRouter(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
 	router := newRouter(t, func(s *Settings) {
 		s.Classes = []ClassSettings{
@@ -32,7 +32,7 @@
 			change(s)
 		}
 	})
-	router.UpdateEndpoints(start, ringFleet(), true)
+	router.UpdateEndpoints(start, ringEndpoints(), true)
 	return router
 }
 
@@ -42,8 +42,8 @@
 	hubs        = 4
 )
 
-// ringFleet returns four caches of this location, three parents in each hub and the origin in the first.
-func ringFleet() (lines []Endpoint) {
+// ringEndpoints returns four caches of this location, three parents in each hub and the origin in the first.
+func ringEndpoints() (lines []Endpoint) {
 	for n := range 4 {
 		lines = append(lines, Endpoint{
 			ID:       uint32(1 + n),
@@ -70,7 +70,7 @@
 	})
 }
 
-// hubOf returns the hub of a source of ringFleet.
+// hubOf returns the hub of a source of ringEndpoints.
 func hubOf(id uint32) int {
 	if id == originID {
 		return 0
@@ -112,7 +112,7 @@
 // takes too long.
 func TestWritesTakeTheShortestPath(t *testing.T) {
 	for home := range hubs {
-		router := writeSite(t, nil)
+		router := newWriteRouter(t, nil)
 		for n := range 200 {
 			source := sendAndAnswer(t, router, newRequest("write", fmt.Sprint("object", n))).Source
 			if took, best := roundTrip(home, source), roundTrip(home, originID); took > best {
@@ -125,7 +125,7 @@
 
 // A request that is marked as a write is treated as one of a class that is not cacheable.
 func TestMarkedWritesGoToTheOrigin(t *testing.T) {
-	router := writeSite(t, func(s *Settings) { s.Classes[1].Uncacheable = false })
+	router := newWriteRouter(t, func(s *Settings) { s.Classes[1].Uncacheable = false })
 	for n := range 50 {
 		write := newRequest("read", fmt.Sprint("object", n))
 		write.Write = true
@@ -137,7 +137,7 @@
 
 // Requests that are cacheable are filled from the parent of their hash.
 func TestReadsAreFilledFromParents(t *testing.T) {
-	router := writeSite(t, nil)
+	router := newWriteRouter(t, nil)
 	for n := range 50 {
 		if source := sendAndAnswer(t, router, newRequest("read", fmt.Sprint("object", n))).Source; source == originID {
 			t.Fatal("a read is filled straight from the origin")
@@ -148,7 +148,7 @@
 // A write that the origin has rejected is retried through a parent.
 func TestRejectedWritesGoThroughAParent(t *testing.T) {
 	for _, note := range []int64{6, 7} { // the source rejected it; the source could not be reached
-		router := writeSite(t, nil)
+		router := newWriteRouter(t, nil)
 		write := newRequest("write", "object")
 		router.Decide(start, write)
 		decision := router.AttemptEnded(start+20*millisecond, write, Outcome{
@@ -164,8 +164,8 @@
 
 // Without an origin in the list writes go through a parent.
 func TestWritesWithoutAnOriginListed(t *testing.T) {
-	router := writeSite(t, nil)
-	lines := ringFleet()
+	router := newWriteRouter(t, nil)
+	lines := ringEndpoints()
 	router.UpdateEndpoints(start, lines[:len(lines)-1], true)
 	decision := router.Decide(start, newRequest("write", "object"))
 	if decision.Verdict != Send || decision.Attempt.Source == 0 {
--- a/internal/downstream/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -15,8 +15,8 @@
 // slowAccepts has a server accept 120 connections a second that have sent something.
 var slowAccepts = Config{MaxConnections: 1000, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20, Cores: 0.05}
 
-// Connections that say nothing are suspended beside the pace of accepts, so that a client behind them is
-// served soon. What they send later is handled like anybody's.
+// Connections on which nothing has been sent are suspended at a rate of their own, so that a client behind them
+// is served soon. What they send later is handled as usual.
 func TestSilentConnectionsAreSuspendedAtOnce(t *testing.T) {
 	server, _ := startServer(t, slowAccepts)
 	if server.idle.poller == nil {
@@ -37,8 +37,8 @@
 	expectResponse(t, late, "health")
 }
 
-// Clients that send a request and close while they wait in the backlog have gone: their requests are not
-// posted when they are accepted. The connections ahead of them keep them there for a third of a second.
+// Clients that send a request and close while they wait in the backlog have disconnected: their requests are
+// not posted when they are accepted. The connections ahead of them keep them there for a third of a second.
 func TestAbandonedInTheBacklogIsRejected(t *testing.T) {
 	server, events := startServer(t, slowAccepts)
 	var ahead []net.Conn
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Connections that say nothing, or have no request now, are closed for those that have one.
+// Connections without a request are evicted for new ones, which may have one.
 func TestSilentConnectionsAreEvictedForNewOnes(t *testing.T) {
 	server, events := startServer(t, smallConfig)
 	asking := dial(t, server)
--- a/internal/downstream/memory_test.go
+++ b/internal/downstream/memory_test.go
@@ -29,7 +29,7 @@
 	}
 	send(t, quick, healthCall(1))
 	expectResponse(t, quick, "health")
-	whole, failed := 0, 0
+	served, failed := 0, 0
 	for range calls {
 		var length [4]byte
 		if _, err := io.ReadFull(slow, length[:]); err != nil {
@@ -40,13 +40,13 @@
 			t.Fatal(err)
 		}
 		if n > size {
-			whole++
+			served++
 		} else {
 			failed++
 		}
 	}
-	if whole == 0 || failed == 0 {
-		t.Errorf("%d responses whole, %d failed", whole, failed)
+	if served == 0 || failed == 0 {
+		t.Errorf("%d responses served, %d failed", served, failed)
 	}
 }
 
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -186,8 +186,8 @@
 	}
 }
 
-// What the protocol does not allow is answered readably, or its connection closed, and soon. What else came
-// on that connection is not served, and another client keeps its idle connection.
+// What the protocol does not allow is answered with an exception, or ends its connection, and soon. Other
+// requests on that connection are not served, and another client keeps its idle connection.
 func TestProtocolViolationsEndTheConnection(t *testing.T) {
 	request := func(seq uint32) string { return string(emptyCall(seq)) }
 	flood := ""
