--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -16,7 +16,7 @@
 // flight. Each is rejected; with the next one the connection is closed for a protocol violation.
 const maxExcessRequests = 8
 
-// What ends the reading from a connection, beside errors of the connection itself.
+// Errors that end the reading from a connection, beside those of the connection itself.
 var (
 	errSuspend           = errors.New("downstream: connection is idle")
 	errDraining          = errors.New("downstream: connection is draining")
@@ -42,7 +42,7 @@
 	conn        net.Conn
 	slot        slotKey
 	acceptedAt  time.Time     // or resumed
-	writeSignal chan struct{} // holds an element once the writer has something to look at
+	writeSignal chan struct{} // has an element once the writer is to check the queue and the phase
 	arrivals    arrivalReader // used by the reader alone
 
 	mu          sync.Mutex
--- a/internal/downstream/idle.go
+++ b/internal/downstream/idle.go
@@ -56,7 +56,7 @@
 	maxEntries int // connections in the table
 	emit       func(logevent.Event)
 
-	suspendDisabled atomic.Bool  // the system refuses what suspending takes
+	suspendDisabled atomic.Bool  // a system call that suspending needs is refused
 	waiting         atomic.Int64 // suspended connections on which something has come that is not handled yet
 
 	mu        sync.Mutex
