--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -170,9 +170,9 @@
 //
 //	P(sum > limit) ≤ exp(trials·ln(1 + q·(exp(t·work) - 1)) - t·limit)
 //
-// and the rates keep that at overloadProbability over the starts of a day. With one t for all work it holds for any mixture
-// of classes (Kelly, Notes on effective bandwidths, 1996). The t taken is the one that admits most of usual
-// work.
+// and the rates keep that at overloadProbability over the starts of a day. With one t for all work it holds for
+// any mixture of classes (Kelly, Notes on effective bandwidths, 1996). The t taken is the one that admits most
+// of usual work.
 func (t tokenTerms) rate(work, usual float64) float64 {
 	improbability := math.Log(t.starts / overloadProbability)
 	exponentPerTrial := func(tilt float64) float64 { return (tilt*t.limit - improbability) / t.trials }
--- a/internal/connpool/subset_test.go
+++ b/internal/connpool/subset_test.go
@@ -35,7 +35,8 @@
 			if float64(n) > subsetShare*float64(test.maxConnections) {
 				t.Errorf("%+v: %s is in %d subsets", test, name, n)
 			}
-			if mean := float64(test.routers) * float64(size) / float64(test.caches); float64(n) < mean-5*math.Sqrt(mean)-1 {
+			mean := float64(test.routers) * float64(size) / float64(test.caches)
+			if float64(n) < mean-5*math.Sqrt(mean)-1 {
 				t.Errorf("%+v: %s is in %d subsets, %f in the mean", test, name, n, mean)
 			}
 		}
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -65,7 +65,8 @@
 		if !ok || *got != test.want || decoded.position != test.position {
 			t.Errorf("%s: position %d, %v", test.in, decoded.position, err)
 		}
-		if text := fmt.Sprint(err); !strings.Contains(text, test.want.Field) || !strings.Contains(text, test.want.Reason) {
+		text := fmt.Sprint(err)
+		if !strings.Contains(text, test.want.Field) || !strings.Contains(text, test.want.Reason) {
 			t.Errorf("%s: %s", test.in, text)
 		}
 	}
--- a/internal/discovery/history_test.go
+++ b/internal/discovery/history_test.go
@@ -30,9 +30,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			history, events, err := ParseHistory([]byte(test.in))
-			failed := err != nil
-			if history.Position != test.position || failed != (test.events < 0) || !failed && len(events) != test.events {
-				t.Errorf("%d, %v, %v", history.Position, events, err)
+			if (err != nil) != (test.events < 0) {
+				t.Fatalf("%d, %v, %v", history.Position, events, err)
+			}
+			if history.Position != test.position || err == nil && len(events) != test.events {
+				t.Errorf("%d, %v", history.Position, events)
 			}
 		})
 	}
@@ -91,7 +93,8 @@
 			if got := fmt.Sprint(receive(t, watcher.events, "event")); !strings.HasPrefix(got, test.first) {
 				t.Errorf("%s is posted first, want %s", got, test.first)
 			}
-			if calls := service.Calls(); len(calls) != test.calls || calls[len(calls)-1].LastEventID != test.resumeAfter {
+			calls := service.Calls()
+			if len(calls) != test.calls || calls[len(calls)-1].LastEventID != test.resumeAfter {
 				t.Errorf("%+v", calls)
 			}
 			names := watcher.loggedNames()
--- a/internal/downstream/write_test.go
+++ b/internal/downstream/write_test.go
@@ -43,7 +43,12 @@
 		{
 			"bad request",
 			router.Respond{Kind: router.BadRequest, Seq: 5, Reason: errors.New("no such class")},
-			thrift.Response{Method: "call", Seq: 5, ExceptionKind: thrift.ProtocolError, ExceptionText: "no such class"},
+			thrift.Response{
+				Method:        "call",
+				Seq:           5,
+				ExceptionKind: thrift.ProtocolError,
+				ExceptionText: "no such class",
+			},
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/lifecycle/startup/progress.go
+++ b/internal/lifecycle/startup/progress.go
@@ -33,7 +33,7 @@
 	rateWindow   int64
 	maxHold      int64 // for so long at most the router waits for the service before it is ready
 	phase        Phase
-	listKnown    bool
+	hasList      bool
 	firstHeardAt int64 // when the service first answered; 0: not yet
 }
 
@@ -43,7 +43,7 @@
 }
 
 // ListReceived notes that an endpoint list is in force.
-func (p *Progress) ListReceived() { p.listKnown = true }
+func (p *Progress) ListReceived() { p.hasList = true }
 
 // ServiceReached notes that the discovery service has answered.
 func (p *Progress) ServiceReached(now int64) {
@@ -65,7 +65,7 @@
 
 func (p *Progress) phaseAt(now int64) Phase {
 	switch {
-	case !p.listKnown:
+	case !p.hasList:
 		return NoList
 	case p.firstHeardAt == 0:
 		return ListKnown
@@ -79,5 +79,5 @@
 // whether or not the service has answered, so that a service that is down does not keep all routers from
 // serving.
 func (p *Progress) Ready(now int64) bool {
-	return p.listKnown && (p.firstHeardAt > 0 || now >= p.startedAt+p.maxHold)
+	return p.hasList && (p.firstHeardAt > 0 || now >= p.startedAt+p.maxHold)
 }
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -83,10 +83,10 @@
 	hold    ReadinessHold
 	random  *rand.Rand
 
-	listKnown bool
-	hasData   bool  // a complete event or comment has come since the last call ended
-	calledAt  int64 // when the last call was made
-	grace     int64 // the shortest in which the router has to act on a watch event; 0 is not known
+	hasList  bool
+	hasData  bool  // a complete event or comment has come since the last call ended
+	calledAt int64 // when the last call was made
+	grace    int64 // the shortest in which the router has to act on a watch event; 0 is not known
 
 	firstByteTimeout int64
 	lastDelay        int64 // of the backoff; 0: it starts anew
@@ -114,7 +114,7 @@
 	switch {
 	case s.hold.CallRate > 0:
 		return s.draw(s.spread(s.hold.CallRate, s.hold.MaxDuration-answerAllowance))
-	case !s.listKnown:
+	case !s.hasList:
 		return s.draw(s.spread(noListRate, maxNoListSpread))
 	}
 	return s.draw(s.spread(retryRate, maxFirstSpread))
@@ -128,7 +128,7 @@
 }
 
 // ListReceived notes that an endpoint list is known.
-func (s *CallSchedule) ListReceived() { s.listKnown = true }
+func (s *CallSchedule) ListReceived() { s.hasList = true }
 
 // CallStarted notes that a call is made.
 func (s *CallSchedule) CallStarted(now int64) { s.calledAt = now }
@@ -177,7 +177,7 @@
 	switch {
 	case hadData:
 		return s.delayAfterDisconnect(now, result)
-	case !s.listKnown && result != Unanswered:
+	case !s.hasList && result != Unanswered:
 		return s.delayWithoutList()
 	}
 	return s.beforeDeadline(now, s.retryDelay(result))
@@ -186,7 +186,7 @@
 // retriesAtOnce reports whether a truncated answer is requested again at once.
 func (s *CallSchedule) retriesAtOnce(now int64, result CallResult) bool {
 	isYoung := now-s.calledAt < maxTruncatedAge
-	return result == Truncated && s.listKnown && isYoung && s.truncations < maxTruncatedRetries
+	return result == Truncated && s.hasList && isYoung && s.truncations < maxTruncatedRetries
 }
 
 // delayAfterLocalError returns a delay that doubles from one call to the next.
--- a/internal/protocol/thrift/thrift_test.go
+++ b/internal/protocol/thrift/thrift_test.go
@@ -114,7 +114,8 @@
 	}{
 		{"served", Response{Body: []byte("xy"), Good: true}, "\x0c\x00\x00\x0b\x00\x01" + text("xy") +
 			"\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00\x02\x00\x03\x01\x00\x00"},
-		{"rejected", Response{ResultField: 1, Fields: [][2]string{{"later", "80"}}}, "\x0c\x00\x01\x0d\x00\x01\x0b\x0b" +
+		{"rejected", Response{ResultField: 1, Fields: [][2]string{{"later", "80"}}}, "" +
+			"\x0c\x00\x01\x0d\x00\x01\x0b\x0b" +
 			"\x00\x00\x00\x01" + text("later") + text("80") + "\x00\x00"},
 		{"failed", Response{ResultField: 2}, "\x0c\x00\x02\x0d\x00\x01\x0b\x0b\x00\x00\x00\x00\x00\x00"},
 		{"an exception", Response{ExceptionKind: UnknownMethod, ExceptionText: "odd"}, "\x0b\x00\x01" + text("odd") +
--- a/internal/upstream/encode_test.go
+++ b/internal/upstream/encode_test.go
@@ -52,7 +52,8 @@
 			test.change(&request)
 			encoded := string(encodeFetch(request, 1500999999))
 			words, err := resp.Read(bufio.NewReader(strings.NewReader(encoded)))
-			want := "fetch 9b1f03aa5c7e2d41 queue=stills,path=7f3a9c21e0b4d655,blk=03,budget=1500" + test.want + " x\r\ny"
+			const head = "fetch 9b1f03aa5c7e2d41 queue=stills,path=7f3a9c21e0b4d655,blk=03,budget=1500"
+			want := head + test.want + " x\r\ny"
 			if got := fmt.Sprintf("%s %s %s %s", words[0], words[1], words[2], words[3]); err != nil || got != want {
 				t.Errorf("%s, %v\nwant %s", got, err, want)
 			}
