--- a/cmd/tealpath/connections.go
+++ b/cmd/tealpath/connections.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"tealpath/internal/adminsocket"
 	"tealpath/internal/server"
 
 	"github.com/urfave/cli/v3"
@@ -21,13 +20,9 @@
 
 // connections asks a running instance how many connections it has.
 func connections(ctx context.Context, cmd *cli.Command) error {
-	path, err := socket(cmd)
-	if err != nil {
-		return err
-	}
 	var status server.Connections
-	if err := adminsocket.Query(ctx, path, &status, server.ConnectionsCommand); err != nil {
-		return cli.Exit(err, exitFailed)
+	if err := query(ctx, cmd, server.ConnectionsCommand, &status); err != nil {
+		return err
 	}
 	fmt.Printf("%d connections: %d idle, %d of them at rest, %d busy, %d reading, %d fresh, %d closing; "+
 		"%d wait to be woken\n",
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -5,7 +5,6 @@
 	"context"
 	"fmt"
 	"strings"
-	"tealpath/internal/adminsocket"
 	"tealpath/internal/cluster"
 	"tealpath/internal/server"
 
@@ -24,13 +23,9 @@
 
 // leases asks a running instance who holds the leases of which slots.
 func leases(ctx context.Context, cmd *cli.Command) error {
-	path, err := socket(cmd)
-	if err != nil {
-		return err
-	}
 	var status cluster.Status
-	if err := adminsocket.Query(ctx, path, &status, server.LeasesCommand); err != nil {
-		return cli.Exit(err, exitFailed)
+	if err := query(ctx, cmd, server.LeasesCommand, &status); err != nil {
+		return err
 	}
 	if cmd.Bool("json") {
 		return printJSON(status)
--- a/cmd/tealpath/members.go
+++ b/cmd/tealpath/members.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"strings"
-	"tealpath/internal/adminsocket"
 	"tealpath/internal/cluster"
 	"tealpath/internal/server"
 
@@ -23,13 +22,9 @@
 
 // members asks a running instance which others it believes to be alive.
 func members(ctx context.Context, cmd *cli.Command) error {
-	path, err := socket(cmd)
-	if err != nil {
-		return err
-	}
 	var status cluster.MembersStatus
-	if err := adminsocket.Query(ctx, path, &status, server.MembersCommand); err != nil {
-		return cli.Exit(err, exitFailed)
+	if err := query(ctx, cmd, server.MembersCommand, &status); err != nil {
+		return err
 	}
 	if cmd.Bool("json") {
 		return printJSON(status)
--- a/cmd/tealpath/operator.go
+++ b/cmd/tealpath/operator.go
@@ -1,9 +1,11 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"os"
+	"tealpath/internal/adminsocket"
 	"tealpath/internal/config"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/server"
@@ -81,6 +83,18 @@
 	return path, nil
 }
 
+// query has the running instance that the flags name answer a command.
+func query(ctx context.Context, cmd *cli.Command, command string, answer any) error {
+	path, err := socket(cmd)
+	if err != nil {
+		return err
+	}
+	if err := adminsocket.Query(ctx, path, answer, command); err != nil {
+		return cli.Exit(err, exitFailed)
+	}
+	return nil
+}
+
 // printJSON prints a value as indented JSON.
 func printJSON(value any) error {
 	out := json.NewEncoder(os.Stdout)
