--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -25,9 +25,10 @@
 	inTransit     []letter
 	wallMS        int64
 	starts        uint64
-	highest       map[int]uint64 // ballot under which a slot was held
-	overlaps      int            // moments at which a slot had two holders
-	ballotsBack   int            // acquired under a ballot that had not grown
+	highest       map[int]uint64                   // ballot under which a slot was held
+	overlaps      int                              // moments at which a slot had two holders
+	ballotsBack   int                              // acquired under a ballot that had not grown
+	observe       func(name string, effect Effect) // of each effect; nil: nobody looks
 }
 
 // letter is a message under way.
@@ -141,6 +142,9 @@
 // send carries out a node's effects.
 func (cluster *testCluster) send(name string) {
 	for _, effect := range cluster.nodes[name].TakeEffects() {
+		if cluster.observe != nil {
+			cluster.observe(name, effect)
+		}
 		switch effect := effect.(type) {
 		case Send:
 			if cluster.cut != nil && cluster.cut(name, effect.To) {
--- /dev/null
+++ b/internal/cluster/lease/record_test.go
@@ -0,0 +1,88 @@
+package lease
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+)
+
+// recordedDigest is the SHA-256 of all effects in TestRecordedSequence, in order.
+const recordedDigest = "09924d42b89985d2fa434a0478665214bc9d3a82306136db96d52b03ca54b511"
+
+// TestRecordedSequence plays 300 s of five nodes with drawn faults. Each effect goes into one digest, so that a rewrite that
+// changes any of them, or their order, is found.
+func TestRecordedSequence(t *testing.T) {
+	const nodes, rounds = 5, 100
+	cluster := newCluster(t, nodes)
+	digest := sha256.New()
+	record := func(format string, values ...any) {
+		if _, err := fmt.Fprintf(digest, format+"\n", values...); err != nil {
+			t.Fatal(err)
+		}
+	}
+	cluster.observe = func(name string, effect Effect) { record("%d %s %T %v", cluster.now, name, effect, effect) }
+	faults := rand.New(rand.NewPCG(48, nodes))
+	for range rounds {
+		cluster.drawFault(faults)
+		cluster.run(2 * cluster.leaseDuration)
+		clear(cluster.frozen) // messages to a frozen node pile up, and each step looks at all of them
+		cluster.updateCandidates()
+		for _, name := range cluster.names {
+			if node := cluster.nodes[name]; node != nil {
+				now := cluster.clock(name)
+				record("%s %v next %d highest %d quorum %v", name, node.Slots(now), node.Next(), node.HighestBallot(),
+					node.HasQuorum(now))
+			}
+		}
+	}
+	cluster.checkSafety()
+	if got := hex.EncodeToString(digest.Sum(nil)); got != recordedDigest {
+		t.Errorf("the sequence has the digest %s, not %s", got, recordedDigest)
+	}
+}
+
+// drawFault begins or ends a drawn fault, or does nothing.
+func (cluster *testCluster) drawFault(faults *rand.Rand) {
+	name := cluster.names[faults.IntN(len(cluster.names))]
+	other := cluster.names[faults.IntN(len(cluster.names))]
+	slot := faults.IntN(clusterSlots)
+	switch faults.IntN(12) {
+	case 0:
+		cluster.kill(name)
+	case 1, 2, 3:
+		if cluster.nodes[name] == nil {
+			cluster.start(name)
+		}
+	case 4:
+		cluster.frozen[name] = true
+		cluster.updateCandidates()
+	case 5:
+		cluster.cut = func(from, to string) bool { return from == name && to == other }
+	case 6:
+		cluster.cut = func(_, to string) bool { return to == name }
+	case 7:
+		cluster.cut = nil
+	case 8:
+		cluster.delay = func(from, _ string) int64 {
+			if from == name {
+				return 400 * ms
+			}
+			return 2 * ms
+		}
+	case 9:
+		cluster.delay = nil
+	case 10:
+		if node := cluster.nodes[name]; node != nil {
+			node.Reacquire(cluster.clock(name), slot, node.HighestBallot()+1<<nameMarkBits)
+			cluster.send(name)
+		}
+	case 11:
+		if node := cluster.nodes[name]; node != nil {
+			node.ReleaseAll([]Candidate{{other, 1}})
+			cluster.send(name)
+			cluster.kill(name)
+		}
+	}
+}
--- a/internal/cluster/membership/cluster_test.go
+++ b/internal/cluster/membership/cluster_test.go
@@ -36,6 +36,7 @@
 	fault       plantedFault // of tables that are started
 	twice       bool         // each message comes twice
 	starts      uint64
+	observe     func(name string, sends []Send, changes []Change) // of each step of a table; nil: nobody looks
 }
 
 // letter is a message under way.
@@ -109,10 +110,18 @@
 	if cluster.faults[name].blameOthers {
 		table.tickedAt = cluster.now
 	}
-	sends, _ := table.Tick(cluster.now)
+	sends, changes := table.Tick(cluster.now)
+	cluster.observed(name, sends, changes)
 	cluster.send(name, sends)
 }
 
+// observed shows what a table did to whoever looks.
+func (cluster *testCluster) observed(name string, sends []Send, changes []Change) {
+	if cluster.observe != nil {
+		cluster.observe(name, sends, changes)
+	}
+}
+
 // deliver hands over what is under way; messages to paused tables wait.
 func (cluster *testCluster) deliver() {
 	letters := cluster.inTransit
@@ -128,7 +137,8 @@
 			continue
 		}
 		table.ObserveIncarnation(cluster.now, letter.from, letter.incarnation)
-		sends, _ := table.Receive(cluster.now, letter.from, cluster.plant(to, letter.send.Gossip))
+		sends, changes := table.Receive(cluster.now, letter.from, cluster.plant(to, letter.send.Gossip))
+		cluster.observed(to, sends, changes)
 		cluster.send(to, sends)
 	}
 }
--- a/internal/cluster/sharedconfig/cluster_test.go
+++ b/internal/cluster/sharedconfig/cluster_test.go
@@ -71,6 +71,7 @@
 	contents  map[uint64]string // of versions that were acted on
 	proposed  map[uint64][]byte // by number; kept for planted faults
 	ended     []ProposalEnded
+	observe   func(name string, effect Effect) // of each effect; nil: nobody looks
 }
 
 func newCluster(seed uint64, count, voters int, fault plantedFault) *testCluster {
@@ -135,6 +136,9 @@
 func (cluster *testCluster) send(instance *testInstance) {
 	cluster.plantActiveAtAccept(instance)
 	for _, effect := range instance.node.TakeEffects() {
+		if cluster.observe != nil {
+			cluster.observe(instance.name, effect)
+		}
 		switch effect := effect.(type) {
 		case Send:
 			if effect.Message.Kind == Propose {
--- /dev/null
+++ b/internal/cluster/sharedconfig/record_test.go
@@ -0,0 +1,76 @@
+package sharedconfig
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+)
+
+// recordedDigest is the SHA-256 of all effects in TestRecordedSequence, in order.
+const recordedDigest = "c3c7c24f93956e7c28eef4327b2b9a73e9f6f2f5ee748ad56fce7b49a113e7ca"
+
+// TestRecordedSequence plays 300 s of seven instances, five of them voters, with drawn faults and proposals. Each effect goes
+// into one digest, so that a rewrite that changes any of them, or their order, is found.
+func TestRecordedSequence(t *testing.T) {
+	const instances, voters, seconds = 7, 5, 300
+	cluster := newCluster(48, instances, voters, plantedFault{})
+	digest := sha256.New()
+	record := func(format string, values ...any) {
+		if _, err := fmt.Fprintf(digest, format+"\n", values...); err != nil {
+			t.Fatal(err)
+		}
+	}
+	cluster.observe = func(name string, effect Effect) { record("%d %s %T %v", cluster.now, name, effect, effect) }
+	faults := rand.New(rand.NewPCG(48, instances))
+	for round := range seconds {
+		if err := cluster.drawFault(faults, round); err != nil {
+			record("refused: %v", err)
+		}
+		cluster.run(second)
+		for _, instance := range cluster.instances {
+			now := cluster.clock(instance)
+			version, until, ok := instance.node.Active(now)
+			record("%s %v %d %v newest %v next %d", instance.name, version, until, ok, instance.node.Newest(),
+				instance.node.Next(now))
+		}
+	}
+	if cluster.broken != "" {
+		t.Error(cluster.broken)
+	}
+	if got := hex.EncodeToString(digest.Sum(nil)); got != recordedDigest {
+		t.Errorf("the sequence has the digest %s, not %s", got, recordedDigest)
+	}
+}
+
+// drawFault begins or ends a drawn fault, has something proposed, or does nothing.
+func (cluster *testCluster) drawFault(faults *rand.Rand, round int) error {
+	instance := cluster.instances[faults.IntN(len(cluster.instances))]
+	duration := faults.Int64N(5 * second)
+	content := fmt.Sprint(string(rune('a'+faults.IntN(2))), round)
+	switch faults.IntN(12) {
+	case 0, 1, 2, 3:
+		if !instance.down {
+			return cluster.propose(instance, []byte(content))
+		}
+	case 4:
+		instance.down = true
+	case 5, 6:
+		cluster.start(instance)
+	case 7:
+		instance.frozenUntil = cluster.now + duration
+	case 8:
+		instance.side = 1 - instance.side
+	case 9:
+		instance.deaf = !instance.deaf
+	case 10:
+		cluster.loss = faults.Float64() / 2
+	case 11:
+		cluster.loss = 0
+		for _, other := range cluster.instances {
+			other.side, other.deaf = 0, false
+		}
+	}
+	return nil
+}
