--- a/internal/cluster/membership/cluster_test.go
+++ b/internal/cluster/membership/cluster_test.go
@@ -108,7 +108,7 @@
 		return
 	}
 	if cluster.faults[name].blameOthers {
-		table.tickedAt = cluster.now
+		table.health.tickedAt = cluster.now
 	}
 	sends, changes := table.Tick(cluster.now)
 	cluster.observed(name, sends, changes)
@@ -151,7 +151,7 @@
 		gossip.Reports = slices.DeleteFunc(slices.Clone(gossip.Reports), func(report Report) bool { return report.Subject == to })
 	}
 	if fault.believeOne {
-		for _, member := range cluster.tables[to].members {
+		for _, member := range cluster.tables[to].members.byName {
 			member.deathClaims[to] = true // as if this instance believed it as well
 		}
 	}
@@ -160,7 +160,7 @@
 
 func (cluster *testCluster) send(from string, sends []Send) {
 	for _, send := range sends {
-		sent := letter{from, cluster.tables[from].self.Incarnation, send}
+		sent := letter{from, cluster.tables[from].self.entry.Incarnation, send}
 		cluster.inTransit = append(cluster.inTransit, sent)
 		if cluster.twice {
 			cluster.inTransit = append(cluster.inTransit, sent)
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -2,7 +2,6 @@
 
 import (
 	"maps"
-	"slices"
 )
 
 // minWatched is how many watched neighbours must all be silent for this instance to take itself for cut off.
@@ -19,41 +18,34 @@
 // One that was away takes all back.
 func (table *Table) checkOwnDelay(now int64) {
 	interval := table.config.HeartbeatInterval
-	late := now - max(table.tickedAt, table.nextHeartbeat)
-	table.tickedAt = now
-	if late <= interval/latePart {
+	wasAway := table.health.noteStep(now, table.nextHeartbeat, interval)
+	if !wasAway {
 		return
 	}
-	table.health = min(table.health+1, maxLocalHealth)
-	if late < interval {
-		return
-	}
-	table.away = late
-	for _, member := range table.members {
+	for _, member := range table.members.byName {
 		if member.link != nil {
 			member.link.heardAt, member.link.echoedAt, member.link.since = now, now, now
 		}
 		member.confirmSince = never
 		maps.DeleteFunc(member.reports, func(observer string, _ receivedReport) bool {
-			return observer != table.self.Name // what others said is as old as the time away
+			return observer != table.self.entry.Name // what others said is as old as the time away
 		})
 	}
 	table.noteSelf(now, ReasonAway)
 }
 
 // Away is for how long this instance was away when it last was, ns; 0 is never.
-func (table *Table) Away() int64 { return table.away }
+func (table *Table) Away() int64 { return table.health.away }
 
 // LocalHealth is how this instance judges itself, from 0, well, to 8.
-func (table *Table) LocalHealth() int { return table.health }
+func (table *Table) LocalHealth() int { return table.health.points }
 
 // IsCutOff tells whether nothing is heard from any neighbour.
-func (table *Table) IsCutOff() bool { return table.cutOff }
+func (table *Table) IsCutOff() bool { return table.health.cutOff }
 
 // silenceTimeout is how long a neighbour may be silent, ns: longer where this instance is not well itself.
 func (table *Table) silenceTimeout() int64 {
-	timeout := table.config.SilenceTimeout
-	return timeout + timeout*int64(table.health)/healthPart
+	return table.health.lengthen(table.config.SilenceTimeout)
 }
 
 // watchLinks looks at the links to neighbours, and reports those that don't work. A link works if heartbeats come by it and show
@@ -81,8 +73,8 @@
 		}
 	}
 	table.setCutOff(now, watched >= minWatched && silent == watched)
-	if silent == 0 && table.health > 0 && now >= table.nextHeartbeat {
-		table.health--
+	if silent == 0 && now >= table.nextHeartbeat {
+		table.health.improve()
 	}
 }
 
@@ -106,10 +98,10 @@
 }
 
 func (table *Table) setCutOff(now int64, cutOff bool) {
-	if cutOff == table.cutOff {
+	if cutOff == table.health.cutOff {
 		return
 	}
-	table.cutOff = cutOff
+	table.health.cutOff = cutOff
 	if cutOff {
 		table.noteSelf(now, ReasonCutOff)
 	} else {
@@ -124,35 +116,31 @@
 		return
 	}
 	link.reported, link.reportedAt = kind, now
-	table.reportSeq++
 	report := Report{
-		Subject: member.Name, Incarnation: member.Incarnation, Version: member.Version,
-		Observer: table.self.Name, Seq: table.reportSeq, Kind: kind,
-	}
-	table.keepReport(now, member, report)
+		Subject:     member.Name,
+		Incarnation: member.Incarnation,
+		Version:     member.Version,
+		Observer:    table.self.entry.Name,
+		Seq:         table.suspicion.nextSeq(),
+		Kind:        kind,
+	}
+	table.suspicion.keep(now, member, report)
 	table.passOnReport(now, report, "")
 }
 
-// keepReport keeps a report to judge by.
-func (table *Table) keepReport(now int64, member *record, report Report) {
-	member.reports[report.Observer] = receivedReport{report, now}
-	table.suspects[member.Name] = member
-}
-
 // judgeSuspects believes a member dead once most of its observers have reported it for a moment, which is the time that it has to
 // refute. All have the same reports and rings, so all judge alike.
 func (table *Table) judgeSuspects(now int64) {
-	if len(table.suspects) == 0 {
+	if len(table.suspicion.members) == 0 {
 		return
 	}
 	reporting := map[string]int{} // observers that report a member, by its name
-	for _, name := range slices.Sorted(maps.Keys(table.suspects)) {
-		member := table.suspects[name]
-		table.dropOutdatedReports(now, member)
+	for _, name := range table.suspicion.sortedNames() {
+		member := table.suspicion.members[name]
+		member.dropOutdatedReports(now, table.config.intervals(reportLifetime))
 		if len(member.reports) == 0 || member.State != Alive {
 			clear(member.reports)
-			member.confirmSince = never
-			delete(table.suspects, name)
+			table.suspicion.remove(member)
 			continue
 		}
 		for _, observer := range table.links.observersOf(name) {
@@ -161,14 +149,13 @@
 			}
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(table.suspects)) {
-		table.judge(now, table.suspects[name], reporting)
+	for _, name := range table.suspicion.sortedNames() {
+		table.judge(now, table.suspicion.members[name], reporting)
 	}
 }
 
 // dropOutdatedReports drops reports that are too old, or of an earlier start or version.
-func (table *Table) dropOutdatedReports(now int64, member *record) {
-	lifetime := table.config.intervals(reportLifetime)
+func (member *record) dropOutdatedReports(now, lifetime int64) {
 	maps.DeleteFunc(member.reports, func(_ string, report receivedReport) bool {
 		return now-report.at > lifetime || report.Incarnation != member.Incarnation || report.Version < member.Version
 	})
@@ -182,7 +169,7 @@
 
 // canReport tells whether a name can report: it is this instance, or believed alive.
 func (table *Table) canReport(name string) bool {
-	return name == table.self.Name || table.members[name] != nil && table.members[name].State == Alive
+	return name == table.self.entry.Name || table.members.byName[name] != nil && table.members.byName[name].State == Alive
 }
 
 // judge weighs what observers say of a member.
@@ -193,7 +180,7 @@
 		count += table.countSilenced(member, observers, reporting)
 	}
 	switch {
-	case count < majorityOf(len(observers)) || table.cutOff:
+	case count < majorityOf(len(observers)) || table.health.cutOff:
 		member.confirmSince = never
 	case !happened(member.confirmSince):
 		member.confirmSince = now
@@ -220,6 +207,6 @@
 // believeDead believes a member dead, and says so to neighbours.
 func (table *Table) believeDead(now int64, member *record, reason string) {
 	table.enter(now, member, Dead, reason)
-	delete(table.suspects, member.Name)
+	table.suspicion.remove(member)
 	table.passOn(now, member.Name, "")
 }
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -20,8 +20,8 @@
 	}
 	digests.revision, digests.all = table.revision, 0
 	digests.buckets = make([]uint64, DigestBuckets)
-	digests.add(table.self)
-	for _, member := range table.members {
+	digests.add(table.self.entry)
+	for _, member := range table.members.byName {
 		if member.State == Alive {
 			digests.add(member.Entry)
 		}
@@ -54,7 +54,7 @@
 func (table *Table) answerBuckets(to string, theirs []uint64) []Send {
 	_, buckets := table.digests.of(table)
 	names := map[int][]string{}
-	for _, name := range table.sortedNames() {
+	for _, name := range table.members.sortedNames() {
 		bucket := bucketOf(name)
 		names[bucket] = append(names[bucket], name)
 	}
@@ -70,8 +70,8 @@
 		if buckets[bucket] == theirs[bucket] {
 			continue
 		}
-		if bucket == bucketOf(table.self.Name) {
-			add(table.self.Name)
+		if bucket == bucketOf(table.self.entry.Name) {
+			add(table.self.entry.Name)
 		}
 		for _, name := range names[bucket] {
 			add(name)
--- a/internal/cluster/membership/heartbeat.go
+++ b/internal/cluster/membership/heartbeat.go
@@ -10,13 +10,13 @@
 	digest, _ := table.digests.of(table)
 	var sends []Send
 	for _, name := range table.links.sortedNames() {
-		gossip := table.heartbeat(now, table.members[name], news.forPeer(name))
+		gossip := table.heartbeat(now, table.members.byName[name], news.forPeer(name))
 		gossip.Digest = digest
 		sends = append(sends, Send{To: name, Gossip: gossip})
 	}
-	if table.strayName != "" && table.strayAt == now {
-		hello := Gossip{Heartbeat: 1, Digest: digest, Entries: []Entry{table.self}}
-		sends = append(sends, Send{To: table.strayName, Gossip: hello})
+	if table.stray.name != "" && table.stray.triedAt == now {
+		hello := Gossip{Heartbeat: 1, Digest: digest, Entries: []Entry{table.self.entry}}
+		sends = append(sends, Send{To: table.stray.name, Gossip: hello})
 	}
 	return sends
 }
@@ -26,9 +26,9 @@
 	link := member.link
 	link.sent++
 	gossip.Heartbeat, gossip.Echo = link.sent, link.received
-	hasSelf := slices.ContainsFunc(gossip.Entries, func(entry Entry) bool { return entry.Name == table.self.Name })
+	hasSelf := slices.ContainsFunc(gossip.Entries, func(entry Entry) bool { return entry.Name == table.self.entry.Name })
 	if link.echoed == 0 && !hasSelf { // it may not know this instance yet
-		gossip.Entries = append([]Entry{table.self}, gossip.Entries...)
+		gossip.Entries = append([]Entry{table.self.entry}, gossip.Entries...)
 	}
 	if member.State == Dead { // so that it can refute
 		gossip.Entries = append(gossip.Entries, member.announcement())
@@ -36,25 +36,31 @@
 	return gossip
 }
 
+// stray is a member without a link that is tried now and then.
+type stray struct {
+	name    string // empty: none
+	triedAt int64
+}
+
 // pickStray draws one that is not there and may be back, or has never been heard: after a split nobody else brings the sides
 // together.
 func (table *Table) pickStray(now int64) {
-	if now-table.strayAt < table.config.intervals(strayEvery) {
+	if now-table.stray.triedAt < table.config.intervals(strayEvery) {
 		return
 	}
-	previous := table.strayName
-	table.strayName, table.strayAt = "", now
+	previous := table.stray.name
+	table.stray.name, table.stray.triedAt = "", now
 	var away []string
-	for _, name := range table.sortedNames() {
-		member := table.members[name]
+	for _, name := range table.members.sortedNames() {
+		member := table.members.byName[name]
 		if member.link == nil && member.Address != "" && (member.State == Dead || member.State == Unheard) {
 			away = append(away, name)
 		}
 	}
 	if len(away) > 0 {
-		table.strayName = away[table.rng.IntN(len(away))]
+		table.stray.name = away[table.rng.IntN(len(away))]
 	}
-	if previous != table.strayName {
+	if previous != table.stray.name {
 		table.version++
 	}
 }
@@ -100,5 +106,5 @@
 		return nil
 	}
 	link.syncedAt = now
-	return []Send{{To: member.Name, Gossip: Gossip{Entries: []Entry{table.self}, BucketDigests: buckets}}}
+	return []Send{{To: member.Name, Gossip: Gossip{Entries: []Entry{table.self.entry}, BucketDigests: buckets}}}
 }
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"math"
 	"slices"
 )
 
@@ -10,6 +11,9 @@
 
 func happened(at int64) bool { return at >= 0 }
 
+// noTime is the next time of a part that has nothing to do: later than any other.
+const noTime = int64(math.MaxInt64)
+
 // State is what is believed of a member.
 type State int
 
--- a/internal/cluster/membership/neighbourhood.go
+++ b/internal/cluster/membership/neighbourhood.go
@@ -65,6 +65,20 @@
 	return links.names
 }
 
+// nextSilence is when the first watched neighbour will have been silent for a timeout, or noTime. Silence that was looked at
+// with heartbeats alone would be found up to an interval late.
+func (links *neighbourhood) nextSilence(timeout int64) int64 {
+	next := noTime
+	for _, member := range links.members {
+		link := member.link
+		watched := member.State == Alive && !link.inbound
+		if watched && link.reported == Healthy {
+			next = min(next, max(link.heardAt, link.since)+timeout+1)
+		}
+	}
+	return next
+}
+
 // observersOf is who watches a member, as the rings are here.
 func (links *neighbourhood) observersOf(name string) []string {
 	if observers, ok := links.observers[name]; ok {
@@ -100,9 +114,9 @@
 // all begin with the same rings.
 func (table *Table) ringMembers(now int64) []string {
 	starting := now-table.startedAt < table.config.intervals(unheardOnRings)
-	names := []string{table.self.Name}
-	for _, name := range table.sortedNames() {
-		member := table.members[name]
+	names := []string{table.self.entry.Name}
+	for _, name := range table.members.sortedNames() {
+		member := table.members.byName[name]
 		inView := member.State == Alive && !member.HeldOut
 		expected := member.State == Unheard && member.configured && starting
 		if inView || expected {
@@ -122,9 +136,9 @@
 	}
 	links.ringNames, links.rings = names, NewRings(names)
 	clear(links.observers)
-	neighbours := links.rings.Neighbours(table.self.Name)
-	for _, name := range table.sortedNames() {
-		member := table.members[name]
+	neighbours := links.rings.Neighbours(table.self.entry.Name)
+	for _, name := range table.members.sortedNames() {
+		member := table.members.byName[name]
 		switch {
 		case slices.Contains(neighbours, name):
 			table.becomeNeighbour(now, member)
@@ -150,12 +164,12 @@
 func (table *Table) Peers() []Contact {
 	var peers []Contact
 	for _, name := range table.links.sortedNames() {
-		if member := table.members[name]; member.Address != "" && member.State != Left {
+		if member := table.members.byName[name]; member.Address != "" && member.State != Left {
 			peers = append(peers, Contact{name, member.Address, member.Weight})
 		}
 	}
-	if stray := table.members[table.strayName]; stray != nil && stray.link == nil && stray.Address != "" {
-		peers = append(peers, Contact{table.strayName, stray.Address, stray.Weight})
+	if stray := table.members.byName[table.stray.name]; stray != nil && stray.link == nil && stray.Address != "" {
+		peers = append(peers, Contact{table.stray.name, stray.Address, stray.Weight})
 	}
 	return peers
 }
--- a/internal/cluster/membership/news.go
+++ b/internal/cluster/membership/news.go
@@ -15,10 +15,30 @@
 type newsQueue struct {
 	entries map[string]string // names whose entry goes to all but the one it came from
 	reports []queuedReport
-	sendAt  int64 // 0: there is nothing
+	sendAt  int64             // 0: there is nothing
+	rumours map[string]uint64 // version of a member that somebody believes dead, plus one, that was passed on
 }
 
-func newNewsQueue() newsQueue { return newsQueue{entries: map[string]string{}} }
+func newNewsQueue() newsQueue {
+	return newsQueue{entries: map[string]string{}, rumours: map[string]uint64{}}
+}
+
+// next is when the queue is to be sent, or noTime.
+func (queue *newsQueue) next() int64 {
+	if queue.sendAt == 0 {
+		return noTime
+	}
+	return queue.sendAt
+}
+
+// isNewRumour notes a rumour that a member's present version is dead; it tells whether it is the first one.
+func (queue *newsQueue) isNewRumour(member *record) bool {
+	if queue.rumours[member.Name] == member.Version+1 {
+		return false
+	}
+	queue.rumours[member.Name] = member.Version + 1
+	return true
+}
 
 // schedule has what is new sent soon.
 func (queue *newsQueue) schedule(now, interval int64) {
@@ -70,10 +90,10 @@
 
 // announcementOf is the entry of a name as it is passed on, if something is to be said of it.
 func (table *Table) announcementOf(name string) (Entry, bool) {
-	if name == table.self.Name {
-		return table.self, true
+	if name == table.self.entry.Name {
+		return table.self.entry, true
 	}
-	member := table.members[name]
+	member := table.members.byName[name]
 	if member == nil || member.State == Unheard {
 		return Entry{}, false
 	}
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -9,7 +9,7 @@
 		table.rejected++
 		return nil, nil
 	}
-	if from == table.self.Name {
+	if from == table.self.entry.Name {
 		return nil, nil
 	}
 	for _, entry := range gossip.Entries {
@@ -19,7 +19,7 @@
 		table.receiveReport(now, report, from)
 	}
 	var sends []Send
-	if member := table.members[from]; member != nil {
+	if member := table.members.byName[from]; member != nil {
 		if gossip.Heartbeat > 0 {
 			sends = table.receiveHeartbeat(now, member, gossip)
 		}
@@ -36,7 +36,7 @@
 		table.rejected++
 		return
 	}
-	if entry.Name == table.self.Name {
+	if entry.Name == table.self.entry.Name {
 		table.receiveOwnEntry(now, entry)
 		return
 	}
@@ -65,13 +65,13 @@
 // memberFor is the member that an entry is of, or nil. One that is not known is taken in, unless it is gone already, as word of
 // who is gone must keep nobody in memory, or there are too many.
 func (table *Table) memberFor(now int64, entry Entry) *record {
-	if member := table.members[entry.Name]; member != nil {
+	if member := table.members.byName[entry.Name]; member != nil {
 		return member
 	}
 	if entry.Dead || entry.Leaving {
 		return nil
 	}
-	if len(table.members) >= MaxMembers {
+	if len(table.members.byName) >= MaxMembers {
 		table.rejected++
 		return nil
 	}
@@ -118,8 +118,7 @@
 func (table *Table) dropSuspicion(member *record) {
 	clear(member.reports)
 	clear(member.deathClaims)
-	member.confirmSince = never
-	delete(table.suspects, member.Name)
+	table.suspicion.remove(member)
 	if member.link != nil {
 		member.link.reported = Healthy
 	}
@@ -148,17 +147,15 @@
 
 // passOnRumour passes the word that somebody believes a member dead on, once for each of its versions.
 func (table *Table) passOnRumour(now int64, member *record, rumour Report, from string) {
-	if table.rumours[member.Name] == member.Version+1 {
-		return
+	if table.news.isNewRumour(member) {
+		table.passOnReport(now, rumour, from)
 	}
-	table.rumours[member.Name] = member.Version + 1
-	table.passOnReport(now, rumour, from)
 }
 
 // receiveOwnEntry takes word of the own name. What is said of this start is refuted. Another start is a former one, which this
 // one must count before, or one that runs now as well.
 func (table *Table) receiveOwnEntry(now int64, entry Entry) {
-	self := &table.self
+	self := &table.self.entry
 	if entry.Incarnation == self.Incarnation {
 		outdone := entry.Version > self.Version || entry.Dead && entry.Version == self.Version
 		if entry.Start == self.Start && outdone {
@@ -171,9 +168,9 @@
 		return
 	}
 	if !entry.Dead && !entry.Leaving {
-		table.selfStarts[entry.Incarnation] = now
+		table.self.starts[entry.Incarnation] = now
 	}
-	if now-table.selfRaisedAt >= table.config.HeartbeatInterval {
+	if now-table.self.raisedAt >= table.config.HeartbeatInterval {
 		self.Start = entry.Start + 1
 		table.raiseSelf(now)
 	}
@@ -185,14 +182,14 @@
 		table.rejected++
 		return
 	}
-	if report.Observer == table.self.Name {
+	if report.Observer == table.self.entry.Name {
 		return
 	}
-	if report.Subject == table.self.Name {
+	if report.Subject == table.self.entry.Name {
 		table.receiveAccusation(now, report)
 		return
 	}
-	member := table.members[report.Subject]
+	member := table.members.byName[report.Subject]
 	// A version that is not known here is an old one that was refuted, or one of the future, which can't be true yet.
 	if member == nil || member.State != Alive ||
 		report.Incarnation != member.Incarnation || report.Version != member.Version {
@@ -206,29 +203,22 @@
 	if known && report.Seq <= kept.Seq || !known && len(member.reports) >= maxReports {
 		return
 	}
-	table.keepReport(now, member, report)
+	table.suspicion.keep(now, member, report)
 	table.passOnReport(now, report, from)
 }
 
 // receiveAccusation refutes once enough say that this instance is not there: one link that does not work is none of its matter.
 func (table *Table) receiveAccusation(now int64, report Report) {
-	if report.Incarnation != table.self.Incarnation || report.Version != table.self.Version {
+	if report.Incarnation != table.self.entry.Incarnation || report.Version != table.self.entry.Version {
 		return
 	}
+	accusers := table.self.noteAccusation(report)
 	if report.Kind == Healthy {
-		delete(table.accusedVersions, report.Observer)
 		return
 	}
-	table.accusedVersions[report.Observer] = report.Version + 1
-	accusers := 0
-	for _, version := range table.accusedVersions {
-		if version == table.self.Version+1 {
-			accusers++
-		}
-	}
-	observers := table.links.observersOf(table.self.Name)
+	observers := table.links.observersOf(table.self.entry.Name)
 	if report.Kind == Rumour || accusers >= quarterOf(len(observers)) {
-		clear(table.accusedVersions)
+		clear(table.self.accusedVersions)
 		table.raiseSelf(now)
 	}
 }
--- a/internal/cluster/membership/receive_test.go
+++ b/internal/cluster/membership/receive_test.go
@@ -106,13 +106,13 @@
 	for i := range MaxMembers + 200 {
 		receive(Gossip{Entries: []Entry{{Name: fmt.Sprint("z", i), Incarnation: 1, Start: 1, Weight: 1}}})
 	}
-	if len(table.members) > MaxMembers {
-		t.Errorf("%d members", len(table.members))
+	if len(table.members.byName) > MaxMembers {
+		t.Errorf("%d members", len(table.members.byName))
 	}
 	for i := range uint64(200) {
 		receive(Gossip{Entries: []Entry{{Name: "z1", Incarnation: i + 2, Start: i + 2, Weight: 1}}})
 	}
-	if kept := len(table.members["z1"].incarnations); kept > maxIncarnations {
+	if kept := len(table.members.byName["z1"].incarnations); kept > maxIncarnations {
 		t.Errorf("%d starts under a name", kept)
 	}
 	subject, _ := table.Member("n002")
@@ -120,7 +120,7 @@
 		report := Report{"n002", subject.Incarnation, subject.Version, fmt.Sprint("o", i), 1, Silent}
 		receive(Gossip{Reports: []Report{report}})
 	}
-	if kept := len(table.members["n002"].reports); kept > maxReports {
+	if kept := len(table.members.byName["n002"].reports); kept > maxReports {
 		t.Errorf("%d reports", kept)
 	}
 }
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -20,10 +20,27 @@
 
 // touch notes that what is known differs from the view handed on.
 func (table *Table) touch(now int64) {
-	table.view.changedAt = now
-	if !happened(table.view.dirtySince) {
-		table.view.dirtySince = now
+	table.view.touch(now)
+}
+
+// touch notes that what is known has changed.
+func (view *view) touch(now int64) {
+	view.changedAt = now
+	if !happened(view.dirtySince) {
+		view.dirtySince = now
+	}
+}
+
+// next is when the view is to be looked at again, or noTime.
+func (view *view) next(interval int64) int64 {
+	next := noTime
+	if happened(view.dirtySince) {
+		next = view.changedAt + interval/quietPart
+	}
+	if view.heldOutUntil > 0 {
+		next = min(next, view.heldOutUntil)
 	}
+	return next
 }
 
 // settleView hands the view on once it has stopped changing, or has gone on changing for long: a zone that is lost is one change.
@@ -45,11 +62,11 @@
 	view := &table.view
 	view.dirtySince = never
 	var entries []Entry
-	if !table.self.Leaving {
-		entries = append(entries, table.self)
+	if !table.self.entry.Leaving {
+		entries = append(entries, table.self.entry)
 	}
-	for _, name := range table.sortedNames() {
-		member := table.members[name]
+	for _, name := range table.members.sortedNames() {
+		member := table.members.byName[name]
 		table.updateHeldOut(now, member)
 		if member.State == Alive && !member.HeldOut {
 			entries = append(entries, member.Entry)
