--- a/internal/cluster/lease/acquire.go
+++ b/internal/cluster/lease/acquire.go
@@ -1,6 +1,9 @@
 package lease
 
-import "slices"
+import (
+	"slices"
+	"tealpath/internal/cluster/timing"
+)
 
 // Who tries for a free slot, and when. Times are counted in renewals.
 const (
@@ -22,8 +25,8 @@
 		granted := isVoter && now < node.grants[slot].until
 		switch {
 		case own.held || now < own.busyUntil || granted:
-			own.freeSince = never
-		case !happened(own.freeSince):
+			own.freeSince = timing.Never
+		case !timing.Happened(own.freeSince):
 			own.freeSince, own.tryAt = now, now+node.turnDelay(slot)
 		}
 	}
@@ -61,7 +64,7 @@
 		if own.ballot != 0 && !own.held && now-own.preparedAt >= node.config.RenewInterval {
 			node.giveUp(now, slot)
 		}
-		if own.ballot != 0 || !happened(own.freeSince) || now < own.tryAt {
+		if own.ballot != 0 || !timing.Happened(own.freeSince) || now < own.tryAt {
 			continue
 		}
 		own.prepare(now, node.nextBallot())
@@ -78,7 +81,7 @@
 	own.ballot, own.preparedAt = ballot, now
 	own.promises, own.rejections, own.proposing = 0, 0, false
 	for voter := range own.acceptedSentAt {
-		own.acceptedSentAt[voter] = never
+		own.acceptedSentAt[voter] = timing.Never
 	}
 }
 
--- a/internal/cluster/lease/config.go
+++ b/internal/cluster/lease/config.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"slices"
+	"tealpath/internal/cluster/timing"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -70,7 +71,7 @@
 		return configError("renewal", "the renewal interval is not above 0")
 	case config.LeaseDuration < minRenewalsLease*config.RenewInterval:
 		return configError("lease", "a lease of %d ms is shorter than three renewals of %d ms",
-			milliseconds(config.LeaseDuration), milliseconds(config.RenewInterval))
+			timing.Milliseconds(config.LeaseDuration), timing.Milliseconds(config.RenewInterval))
 	case !(config.MaxClockDrift >= 0 && config.MaxClockDrift <= maxDrift): // also where it is not a number
 		return configError("drift", "a drift of %v: 0 to %v can be", config.MaxClockDrift, maxDrift)
 	}
@@ -133,13 +134,11 @@
 // shorter than the lease by so much that the lease of no voter ends before, whatever the two clocks' rates are
 // (docs/duties.md).
 func (config Config) HoldDuration() int64 {
-	drift := config.MaxClockDrift
-	return int64(float64(config.LeaseDuration) * (1 - drift) / (1 + drift))
+	return timing.HoldDuration(config.LeaseDuration, config.MaxClockDrift)
 }
 
 // RestartSilence is for how long a voter that started without memory grants nothing, by its own clock, ns: the longest lease
 // that it could have granted and forgotten.
 func (config Config) RestartSilence() int64 {
-	drift := config.MaxClockDrift
-	return int64(math.Ceil(float64(config.LeaseDuration) * (1 + drift) / (1 - drift)))
+	return int64(math.Ceil(timing.LongestLease(config.LeaseDuration, config.MaxClockDrift)))
 }
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+	"tealpath/internal/cluster/timing"
 )
 
 // Holds tells whether the node holds a slot's lease at this instant, under which ballot and until when. It is to be asked
@@ -24,7 +25,7 @@
 		}
 		reason := "no majority of the voters renewed it"
 		if now >= own.until+node.config.RenewInterval {
-			reason = fmt.Sprintf("this instance stood still for %d ms past its end", milliseconds(now-own.until))
+			reason = fmt.Sprintf("this instance stood still for %d ms past its end", timing.Milliseconds(now-own.until))
 		}
 		node.lose(slot, reason)
 		node.release(slot, "")
@@ -35,7 +36,7 @@
 // lose ends the own lease on a slot; from here on nothing is done under it.
 func (node *Node) lose(slot int, reason string) {
 	own := &node.holdings[slot]
-	own.held, own.freeSince = false, never
+	own.held, own.freeSince = false, timing.Never
 	node.emit(Lost{Slot: slot, Ballot: own.ballot, Reason: reason})
 }
 
--- a/internal/cluster/lease/node.go
+++ b/internal/cluster/lease/node.go
@@ -10,14 +10,10 @@
 import (
 	"math/rand/v2"
 	"slices"
+	"tealpath/internal/cluster/timing"
 	"time"
 )
 
-// never is the time of what has not happened: clocks read 0 or more.
-const never = int64(-1)
-
-func happened(at int64) bool { return at >= 0 }
-
 // maxBallotAhead is how far the wall clock's part of a ballot may lie ahead of the own wall clock, ms. A ballot of a far future
 // would use all of them up; what a wall clock may be off is far less than a year.
 const maxBallotAhead = 365 * 24 * 3600 * 1000
@@ -91,7 +87,7 @@
 	node := &Node{
 		config:         config,
 		grantsFrom:     now + config.RestartSilence(),
-		epochSettledAt: never,
+		epochSettledAt: timing.Never,
 		tickAt:         now,
 		renewAt:        now + config.RenewInterval,
 		grants:         make([]grant, config.Slots),
@@ -100,7 +96,7 @@
 	}
 	node.enterEpoch(config.Voters)
 	for slot := range node.holdings {
-		node.holdings[slot].freeSince = never
+		node.holdings[slot].freeSince = timing.Never
 	}
 	return node, nil
 }
@@ -168,7 +164,7 @@
 	node.assigned = Assign(node.config.Slots, candidates)
 	node.assignedAt = now
 	for slot := range node.holdings { // whose turn it is has changed; who waited goes on waiting, no longer than before
-		if own := &node.holdings[slot]; happened(own.freeSince) && own.ballot == 0 {
+		if own := &node.holdings[slot]; timing.Happened(own.freeSince) && own.ballot == 0 {
 			own.tryAt = min(own.tryAt, now+node.turnDelay(slot))
 		}
 	}
@@ -195,6 +191,3 @@
 func (node *Node) random(limit int64) int64 {
 	return int64(node.rng.Uint64() % uint64(max(limit, 1)))
 }
-
-// milliseconds converts a length of time in ns, cutting off what is under a millisecond.
-func milliseconds(nanoseconds int64) int64 { return time.Duration(nanoseconds).Milliseconds() }
--- a/internal/cluster/lease/quorum.go
+++ b/internal/cluster/lease/quorum.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"slices"
+	"tealpath/internal/cluster/timing"
 )
 
 // EpochUnsettledError is a set of voters that can't be taken yet: a quorum must have been at the present epoch for the silence
@@ -33,8 +34,8 @@
 		return configError("voters", "voters of epoch %d can't follow those of epoch %d", voters.Epoch, present.Epoch)
 	case countDifferent(voters.Previous, present.Current) > 0:
 		return configError("voters", "voters of epoch %d name others before them than are in force", voters.Epoch)
-	case !happened(node.epochSettledAt) || now-node.epochSettledAt < node.config.RestartSilence():
-		return &EpochUnsettledError{Epoch: present.Epoch, SettleMS: milliseconds(node.config.RestartSilence())}
+	case !timing.Happened(node.epochSettledAt) || now-node.epochSettledAt < node.config.RestartSilence():
+		return &EpochUnsettledError{Epoch: present.Epoch, SettleMS: timing.Milliseconds(node.config.RestartSilence())}
 	}
 	node.enterEpoch(voters)
 	return nil
@@ -43,7 +44,7 @@
 // enterEpoch takes a set of voters into force. What was accepted under another doesn't count any more.
 func (node *Node) enterEpoch(voters Voters) {
 	node.config.Voters = voters
-	node.epochSettledAt = never
+	node.epochSettledAt = timing.Never
 	node.indexVoters(voters)
 	for slot := range node.holdings {
 		own := &node.holdings[slot]
@@ -77,7 +78,7 @@
 	node.voterEpochs = make([]uint64, len(node.voterNames))
 	node.voterHeardAt = make([]int64, len(node.voterNames))
 	for voter := range node.voterHeardAt {
-		node.voterHeardAt[voter] = never
+		node.voterHeardAt[voter] = timing.Never
 	}
 }
 
@@ -96,8 +97,8 @@
 	})
 	switch {
 	case !settled:
-		node.epochSettledAt = never
-	case !happened(node.epochSettledAt):
+		node.epochSettledAt = timing.Never
+	case !timing.Happened(node.epochSettledAt):
 		node.epochSettledAt = now
 	}
 }
@@ -131,7 +132,7 @@
 	for _, set := range node.voterSets {
 		var accepted []int64
 		for _, voter := range set {
-			if happened(own.acceptedSentAt[voter]) {
+			if timing.Happened(own.acceptedSentAt[voter]) {
 				accepted = append(accepted, own.acceptedSentAt[voter])
 			}
 		}
@@ -149,7 +150,7 @@
 func (node *Node) HasQuorum(now int64) bool {
 	return node.isQuorum(func(voter int) bool {
 		heardAt := node.voterHeardAt[voter]
-		return node.isSelf(voter) || happened(heardAt) && now-heardAt <= node.config.LeaseDuration
+		return node.isSelf(voter) || timing.Happened(heardAt) && now-heardAt <= node.config.LeaseDuration
 	})
 }
 
--- a/internal/cluster/lease/status.go
+++ b/internal/cluster/lease/status.go
@@ -1,6 +1,9 @@
 package lease
 
-import "fmt"
+import (
+	"fmt"
+	"tealpath/internal/cluster/timing"
+)
 
 // SlotStatus is what a node knows of one slot, for people.
 type SlotStatus struct {
@@ -37,7 +40,7 @@
 		status.Ballot, status.Since, status.Until = ballot, own.since, until
 	case granted.until > now:
 		status.Holder, status.Ballot, status.Until = granted.holder.Name, granted.ballot, granted.until
-	case !happened(own.freeSince) && own.otherHolder.Name != "":
+	case !timing.Happened(own.freeSince) && own.otherHolder.Name != "":
 		status.Holder, status.Ballot = own.otherHolder.Name, own.otherBallot
 	default:
 		status.Reason = node.reasonFree(now, own, status.Planned)
@@ -49,7 +52,7 @@
 func (node *Node) reasonFree(now int64, own *holding, planned string) string {
 	switch {
 	case now < node.grantsFrom:
-		return fmt.Sprintf("voters that have just started grant nothing for %d ms", milliseconds(node.config.RestartSilence()))
+		return fmt.Sprintf("voters that have just started grant nothing for %d ms", timing.Milliseconds(node.config.RestartSilence()))
 	case !node.HasQuorum(now):
 		return "no majority of the voters answers"
 	case own.ballot != 0:
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -5,6 +5,7 @@
 	"slices"
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
+	"tealpath/internal/cluster/timing"
 	"tealpath/internal/logevent"
 	"time"
 )
@@ -137,7 +138,7 @@
 func (node *Node) logOwnChange(reason string) {
 	switch reason {
 	case membership.ReasonAway:
-		node.emit(Log{InstanceWasAway{DurationMS: milliseconds(node.members.Away())}})
+		node.emit(Log{InstanceWasAway{DurationMS: timing.Milliseconds(node.members.Away())}})
 	case membership.ReasonCutOff:
 		node.emit(Log{InstanceCutOff{}})
 	default:
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+	"tealpath/internal/cluster/timing"
 )
 
 // minWatched is how many watched neighbours must all be silent for this instance to take itself for cut off.
@@ -26,7 +27,7 @@
 		if member.link != nil {
 			member.link.heardAt, member.link.echoedAt, member.link.since = now, now, now
 		}
-		member.confirmSince = never
+		member.confirmSince = timing.Never
 		maps.DeleteFunc(member.reports, func(observer string, _ receivedReport) bool {
 			return observer != table.self.entry.Name // what others said is as old as the time away
 		})
@@ -181,8 +182,8 @@
 	}
 	switch {
 	case count < majorityOf(len(observers)) || table.health.cutOff:
-		member.confirmSince = never
-	case !happened(member.confirmSince):
+		member.confirmSince = timing.Never
+	case !timing.Happened(member.confirmSince):
 		member.confirmSince = now
 	case now-member.confirmSince >= table.config.intervals(confirmIntervals):
 		table.believeDead(now, member, "most of its observers report it")
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -4,13 +4,9 @@
 	"cmp"
 	"math"
 	"slices"
+	"tealpath/internal/cluster/timing"
 )
 
-// never is the time of what has not happened: clocks read 0 or more.
-const never = int64(-1)
-
-func happened(at int64) bool { return at >= 0 }
-
 // noTime is the next time of a part that has nothing to do: later than any other.
 const noTime = int64(math.MaxInt64)
 
@@ -97,7 +93,7 @@
 		incarnations: incarnations{},
 		reports:      map[string]receivedReport{},
 		deathClaims:  map[string]bool{},
-		confirmSince: never,
+		confirmSince: timing.Never,
 	}
 }
 
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -3,6 +3,7 @@
 import (
 	"maps"
 	"slices"
+	"tealpath/internal/cluster/timing"
 )
 
 // suspicion is the members that observers report, and the number of the last report made here.
@@ -32,7 +33,7 @@
 
 // remove ends the suspicion of a member.
 func (suspicion *suspicion) remove(member *record) {
-	member.confirmSince = never
+	member.confirmSince = timing.Never
 	delete(suspicion.members, member.Name)
 }
 
@@ -45,7 +46,7 @@
 func (suspicion *suspicion) next(confirmDuration int64) int64 {
 	next := noTime
 	for _, member := range suspicion.members {
-		if happened(member.confirmSince) && member.State == Alive {
+		if timing.Happened(member.confirmSince) && member.State == Alive {
 			next = min(next, member.confirmSince+confirmDuration)
 		}
 	}
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -13,6 +13,7 @@
 import (
 	"math/rand/v2"
 	"slices"
+	"tealpath/internal/cluster/timing"
 )
 
 // Table is which instances are known, and what is believed of them. Each part below has its own state; the methods of Table
@@ -53,7 +54,7 @@
 		links:         newNeighbourhood(),
 		stray:         stray{triedAt: now},
 		news:          newNewsQueue(),
-		view:          view{dirtySince: never, handedAt: now},
+		view:          view{dirtySince: timing.Never, handedAt: now},
 		nextHeartbeat: now,
 	}
 	table.Configure(now, config.Contacts, config.Self.Weight, config.Self.Epoch)
@@ -175,7 +176,7 @@
 // enter puts a member into a state.
 func (table *Table) enter(now int64, member *record, state State, reason string) {
 	previous := member.State
-	member.State, member.Since, member.confirmSince = state, now, never
+	member.State, member.Since, member.confirmSince = state, now, timing.Never
 	table.revision++
 	table.touch(now)
 	if state == Dead {
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"encoding/binary"
 	"slices"
+	"tealpath/internal/cluster/timing"
 
 	"github.com/cespare/xxhash/v2"
 )
@@ -26,7 +27,7 @@
 // touch notes that what is known has changed.
 func (view *view) touch(now int64) {
 	view.changedAt = now
-	if !happened(view.dirtySince) {
+	if !timing.Happened(view.dirtySince) {
 		view.dirtySince = now
 	}
 }
@@ -34,7 +35,7 @@
 // next is when the view is to be looked at again, or noTime.
 func (view *view) next(interval int64) int64 {
 	next := noTime
-	if happened(view.dirtySince) {
+	if timing.Happened(view.dirtySince) {
 		next = view.changedAt + interval/quietPart
 	}
 	if view.heldOutUntil > 0 {
@@ -52,7 +53,7 @@
 	}
 	quiet := now-view.changedAt >= interval/quietPart
 	tooLong := now-view.dirtySince >= table.config.intervals(maxChanging)
-	if happened(view.dirtySince) && (quiet || tooLong) {
+	if timing.Happened(view.dirtySince) && (quiet || tooLong) {
 		table.publish(now)
 	}
 }
@@ -60,7 +61,7 @@
 // publish hands the view on as it is.
 func (table *Table) publish(now int64) {
 	view := &table.view
-	view.dirtySince = never
+	view.dirtySince = timing.Never
 	var entries []Entry
 	if !table.self.entry.Leaving {
 		entries = append(entries, table.self.entry)
--- a/internal/cluster/sharedconfig/config.go
+++ b/internal/cluster/sharedconfig/config.go
@@ -6,6 +6,8 @@
 // safe for concurrent use. Times are ns of a clock that goes on while the machine is suspended and never goes back.
 package sharedconfig
 
+import "tealpath/internal/cluster/timing"
+
 const (
 	// MaxContentSize is the size of the longest content, bytes.
 	MaxContentSize = 1 << 20
@@ -43,10 +45,11 @@
 // holdDuration is for how long an instance may act after it sent a renewal, by its own clock: its voters count it in for longer,
 // whatever the clocks' rates are (docs/duties.md has the proof).
 func (config Config) holdDuration() int64 {
-	return int64(float64(config.LeaseDuration) * (1 - config.MaxClockDrift) / (1 + config.MaxClockDrift))
+	return timing.HoldDuration(config.LeaseDuration, config.MaxClockDrift)
 }
 
-// RestartSilence is for how long a voter that has just started grants nothing, ns: it may have granted before.
+// RestartSilence is for how long a voter that has just started grants nothing, ns: it may have granted before. It is rounded
+// down, unlike that of package lease, which rounds up.
 func (config Config) RestartSilence() int64 {
-	return int64(float64(config.LeaseDuration) * (1 + config.MaxClockDrift) / (1 - config.MaxClockDrift))
+	return int64(timing.LongestLease(config.LeaseDuration, config.MaxClockDrift))
 }
--- a/internal/cluster/sharedconfig/node.go
+++ b/internal/cluster/sharedconfig/node.go
@@ -1,9 +1,9 @@
 package sharedconfig
 
-import "slices"
-
-// never is the time of what has not happened: clocks read 0 or more.
-const never = int64(-1)
+import (
+	"slices"
+	"tealpath/internal/cluster/timing"
+)
 
 // Node is one instance, a voter or not.
 type Node struct {
@@ -39,7 +39,7 @@
 		voterLeases: make([]voterLease, len(config.Voters)),
 	}
 	for voter := range node.voterLeases {
-		node.voterLeases[voter].sentAt = never
+		node.voterLeases[voter].sentAt = timing.Never
 	}
 	return node
 }
@@ -78,12 +78,12 @@
 func (node *Node) leasedUntil(number uint64) int64 {
 	var sentAt []int64
 	for _, lease := range node.voterLeases {
-		if lease.sentAt != never && lease.number == number {
+		if lease.sentAt != timing.Never && lease.number == number {
 			sentAt = append(sentAt, lease.sentAt)
 		}
 	}
 	if !node.isQuorum(len(sentAt)) {
-		return never
+		return timing.Never
 	}
 	slices.Sort(sentAt)
 	// Of the k latest, k a majority, the earliest counts: after it one of them may have forgotten.
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -3,7 +3,7 @@
 import (
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
-	"time"
+	"tealpath/internal/cluster/timing"
 )
 
 // Status is what an instance knows of leases and probes, for people.
@@ -79,7 +79,7 @@
 	voters := node.leases.Voters()
 	status := Status{
 		Name: node.config.Self.Name, Incarnation: node.config.Self.Incarnation, Majority: node.HasQuorum(now),
-		SilentMS: milliseconds(max(0, node.leases.SilentUntil()-now)),
+		SilentMS: timing.Milliseconds(max(0, node.leases.SilentUntil()-now)),
 		Voters:   voters.Current, Epoch: voters.Epoch,
 		Members: node.memberStatuses(now), StaleResults: node.results.stale,
 	}
@@ -92,7 +92,7 @@
 	for _, slot := range node.leases.Slots(now) {
 		slotStatus := SlotStatus{SlotStatus: slot}
 		if slot.Own {
-			slotStatus.SinceMS, slotStatus.LeftMS = milliseconds(now-slot.Since), milliseconds(slot.Until-now)
+			slotStatus.SinceMS, slotStatus.LeftMS = timing.Milliseconds(now-slot.Since), timing.Milliseconds(slot.Until-now)
 		}
 		status.Slots = append(status.Slots, slotStatus)
 	}
@@ -107,12 +107,12 @@
 func (node *Node) memberStatuses(now int64) []MemberStatus {
 	self := node.members.Self()
 	statuses := []MemberStatus{{
-		Name: self.Name, Address: self.Address, State: membership.Alive.String(), SinceMS: milliseconds(now - node.startedAt),
+		Name: self.Name, Address: self.Address, State: membership.Alive.String(), SinceMS: timing.Milliseconds(now - node.startedAt),
 		Weight: self.Weight, Epoch: self.Epoch, Doubled: node.duplicated,
 	}}
 	for _, member := range node.members.Members() {
 		statuses = append(statuses, MemberStatus{
-			Name: member.Name, Address: member.Address, State: member.State.String(), SinceMS: milliseconds(now - member.Since),
+			Name: member.Name, Address: member.Address, State: member.State.String(), SinceMS: timing.Milliseconds(now - member.Since),
 			Weight: member.Weight, Epoch: member.Epoch, Doubled: node.members.IsDuplicated(now, member.Name),
 		})
 	}
@@ -123,19 +123,19 @@
 func (node *Node) Members(now int64) MembersStatus {
 	number, digest, since := node.members.ViewInfo()
 	status := MembersStatus{
-		Name: node.config.Self.Name, View: number, Digest: digest, SinceMS: milliseconds(now - since),
-		Alive: len(node.members.Alive()), Health: node.members.LocalHealth(), AwayMS: milliseconds(node.members.Away()),
+		Name: node.config.Self.Name, View: number, Digest: digest, SinceMS: timing.Milliseconds(now - since),
+		Alive: len(node.members.Alive()), Health: node.members.LocalHealth(), AwayMS: timing.Milliseconds(node.members.Away()),
 		CutOff: node.members.IsCutOff(), Links: len(node.peers.linked), Refused: node.members.Rejected(),
 	}
 	links := node.members.LinkStates(now)
 	for _, member := range node.members.Members() {
 		belief := MemberBelief{
-			Name: member.Name, State: member.State.String(), SinceMS: milliseconds(now - member.Since), Version: member.Version,
+			Name: member.Name, State: member.State.String(), SinceMS: timing.Milliseconds(now - member.Since), Version: member.Version,
 			Held: member.HeldOut, Doubled: node.members.IsDuplicated(now, member.Name), Reported: reportedBy(member),
 		}
 		if link, ok := links[member.Name]; ok {
 			belief.Near = !link.Inbound
-			belief.InMS, belief.OutMS = milliseconds(link.HeardAgo), milliseconds(link.EchoedAgo)
+			belief.InMS, belief.OutMS = timing.Milliseconds(link.HeardAgo), timing.Milliseconds(link.EchoedAgo)
 		}
 		status.Members = append(status.Members, belief)
 	}
@@ -152,6 +152,3 @@
 	}
 	return reported
 }
-
-// milliseconds converts a length of time in ns, cutting off what is under a millisecond.
-func milliseconds(nanoseconds int64) int64 { return time.Duration(nanoseconds).Milliseconds() }
