--- a/internal/cluster/lease/config.go
+++ b/internal/cluster/lease/config.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"slices"
+	"tealpath/internal/cluster/paxos"
 	"tealpath/internal/cluster/timing"
 
 	"github.com/cespare/xxhash/v2"
@@ -18,9 +19,6 @@
 	minRenewalsLease = 3 // renewals that a lease must outlast, so that two may be lost
 )
 
-// nameMarkBits is how many of a ballot's bits are a hash of its proposer's name, so that no two instances draw the same ballot.
-const nameMarkBits = 16
-
 // Instance is one start of an instance.
 type Instance struct {
 	Name        string `cbor:"1,keyasint"`
@@ -128,7 +126,7 @@
 }
 
 // nameMark is the part of a ballot that is its proposer's.
-func nameMark(name string) uint64 { return xxhash.Sum64String(name) & (1<<nameMarkBits - 1) }
+func nameMark(name string) uint64 { return paxos.Mark(xxhash.Sum64String(name)) }
 
 // HoldDuration is for how long a holder acts after it sent the renewal that a quorum accepted, by its own clock, ns. It is
 // shorter than the lease by so much that the lease of no voter ends before, whatever the two clocks' rates are
--- a/internal/cluster/lease/node.go
+++ b/internal/cluster/lease/node.go
@@ -10,14 +10,11 @@
 import (
 	"math/rand/v2"
 	"slices"
+	"tealpath/internal/cluster/paxos"
 	"tealpath/internal/cluster/timing"
 	"time"
 )
 
-// maxBallotAhead is how far the wall clock's part of a ballot may lie ahead of the own wall clock, ms. A ballot of a far future
-// would use all of them up; what a wall clock may be off is far less than a year.
-const maxBallotAhead = 365 * 24 * 3600 * 1000
-
 // grant is a voter's state of one slot.
 type grant struct {
 	promisedBallot uint64
@@ -172,8 +169,8 @@
 
 // ObserveBallot raises the highest ballot known to what somebody else knows.
 func (node *Node) ObserveBallot(ballot uint64) {
-	ballotMS := ballot >> nameMarkBits
-	if node.wallMS == 0 || ballotMS < uint64(max(node.wallMS, 0))+maxBallotAhead {
+	maxCounter := uint64(max(node.wallMS, 0)) + paxos.MaxWallAheadMS
+	if node.wallMS == 0 || paxos.Counter(ballot) < maxCounter {
 		node.highest = max(node.highest, ballot)
 	}
 }
@@ -183,8 +180,7 @@
 
 // nextBallot is above all ballots known, and not behind the wall clock.
 func (node *Node) nextBallot() uint64 {
-	counter := max(node.highest>>nameMarkBits+1, uint64(max(node.wallMS, 0)))
-	return counter<<nameMarkBits | nameMark(node.config.Self.Name)
+	return paxos.NextBallot(node.highest, node.wallMS, nameMark(node.config.Self.Name))
 }
 
 // random draws from 0 up to below a limit.
--- a/internal/cluster/lease/quorum.go
+++ b/internal/cluster/lease/quorum.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"slices"
+	"tealpath/internal/cluster/paxos"
 	"tealpath/internal/cluster/timing"
 )
 
@@ -115,16 +116,13 @@
 				count++
 			}
 		}
-		if count < majorityOf(set) {
+		if count < paxos.Majority(len(set)) {
 			return false
 		}
 	}
 	return true
 }
 
-// majorityOf is the least number of a set's voters that is more than half of them.
-func majorityOf(set []int) int { return len(set)/2 + 1 }
-
 // heldUntil is when the own lease on a slot ends, or 0 if no quorum has accepted it. What counts is the latest sending that a
 // majority of every set accepted, or a later one.
 func (node *Node) heldUntil(own *holding) int64 {
@@ -136,12 +134,11 @@
 				accepted = append(accepted, own.acceptedSentAt[voter])
 			}
 		}
-		majority := majorityOf(set)
-		if len(accepted) < majority {
+		latest, ok := paxos.LatestMajority(accepted, len(set))
+		if !ok {
 			return 0
 		}
-		slices.Sort(accepted)
-		sentAt = min(sentAt, accepted[len(accepted)-majority])
+		sentAt = min(sentAt, latest)
 	}
 	return sentAt + node.config.HoldDuration()
 }
--- a/internal/cluster/lease/record_test.go
+++ b/internal/cluster/lease/record_test.go
@@ -5,6 +5,7 @@
 	"encoding/hex"
 	"fmt"
 	"math/rand/v2"
+	"tealpath/internal/cluster/paxos"
 	"testing"
 )
 
@@ -75,7 +76,7 @@
 		cluster.delay = nil
 	case 10:
 		if node := cluster.nodes[name]; node != nil {
-			node.Reacquire(cluster.clock(name), slot, node.HighestBallot()+1<<nameMarkBits)
+			node.Reacquire(cluster.clock(name), slot, node.HighestBallot()+1<<paxos.MarkBits)
 			cluster.send(name)
 		}
 	case 11:
--- a/internal/cluster/lease/status_test.go
+++ b/internal/cluster/lease/status_test.go
@@ -1,6 +1,9 @@
 package lease
 
-import "testing"
+import (
+	"tealpath/internal/cluster/paxos"
+	"testing"
+)
 
 // reasons counts the slots by the reason why nobody holds them; slots with a holder count under its name.
 func reasons(node *Node, now int64) map[string]int {
@@ -71,7 +74,7 @@
 	if node.HighestBallot() != highest {
 		t.Errorf("ballot %x of a far future was believed", node.HighestBallot())
 	}
-	seen := highest + 1<<nameMarkBits
+	seen := highest + 1<<paxos.MarkBits
 	node.Reacquire(now, 3, seen)
 	if ballot, _, ok := node.Holds(now, 3); !ok || ballot <= seen {
 		t.Errorf("held %v under ballot %x, %x was seen", ok, ballot, seen)
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -2,15 +2,13 @@
 
 import (
 	"maps"
+	"tealpath/internal/cluster/paxos"
 	"tealpath/internal/cluster/timing"
 )
 
 // minWatched is how many watched neighbours must all be silent for this instance to take itself for cut off.
 const minWatched = 3
 
-// majorityOf is how many of so many observers must report a member.
-func majorityOf(observers int) int { return observers/2 + 1 }
-
 // quarterOf is how many of so many observers let the silence of those that are reported themselves count as well: those of a zone
 // that is lost at once can't report each other.
 func quarterOf(observers int) int { return max(1, observers/4) }
@@ -181,7 +179,7 @@
 		count += table.countSilenced(member, observers, reporting)
 	}
 	switch {
-	case count < majorityOf(len(observers)) || table.health.cutOff:
+	case count < paxos.Majority(len(observers)) || table.health.cutOff:
 		member.confirmSince = timing.Never
 	case !timing.Happened(member.confirmSince):
 		member.confirmSince = now
--- a/internal/cluster/sharedconfig/config.go
+++ b/internal/cluster/sharedconfig/config.go
@@ -15,9 +15,6 @@
 	maxKnownVersions = 8 // whose contents are kept
 	retryRenewals    = 2 // renewals after which a proposal that came to nothing is made again
 	maxTries         = 8 // of one proposal
-
-	markBits       = 16                     // of a number that are its proposer's
-	maxWallAheadMS = 365 * 24 * 3600 * 1000 // of the own wall clock that a number may lie: a clock is off by far less
 )
 
 // Version is one state of the shared configuration. Of two the one with the higher number is the later.
--- a/internal/cluster/sharedconfig/node.go
+++ b/internal/cluster/sharedconfig/node.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+	"tealpath/internal/cluster/paxos"
 	"tealpath/internal/cluster/timing"
 )
 
@@ -56,7 +57,7 @@
 func (node *Node) isVoter() bool { return slices.Contains(node.config.Voters, node.config.Self) }
 
 // isQuorum tells whether a number of voters is a majority of them.
-func (node *Node) isQuorum(count int) bool { return count > len(node.config.Voters)/2 }
+func (node *Node) isQuorum(count int) bool { return count >= paxos.Majority(len(node.config.Voters)) }
 
 // Active is the version that may be acted on at an instant, and until when by the own clock.
 func (node *Node) Active(now int64) (version Version, until int64, ok bool) {
@@ -82,12 +83,11 @@
 			sentAt = append(sentAt, lease.sentAt)
 		}
 	}
-	if !node.isQuorum(len(sentAt)) {
+	// Of the k latest, k a majority, the earliest counts: after it one of them may have forgotten.
+	earliest, ok := paxos.LatestMajority(sentAt, len(node.config.Voters))
+	if !ok {
 		return timing.Never
 	}
-	slices.Sort(sentAt)
-	// Of the k latest, k a majority, the earliest counts: after it one of them may have forgotten.
-	earliest := sentAt[len(sentAt)-1-len(node.config.Voters)/2]
 	return earliest + node.config.holdDuration()
 }
 
@@ -146,7 +146,7 @@
 
 // isFarAhead tells whether a number is of a far future: heeding it would use all numbers up.
 func (node *Node) isFarAhead(number uint64) bool {
-	return node.wallMS > 0 && number>>markBits > uint64(node.wallMS)+maxWallAheadMS
+	return node.wallMS > 0 && paxos.Counter(number) > uint64(node.wallMS)+paxos.MaxWallAheadMS
 }
 
 // queue has a message sent to another instance.
--- a/internal/cluster/sharedconfig/proposer.go
+++ b/internal/cluster/sharedconfig/proposer.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"hash/fnv"
 	"slices"
+	"tealpath/internal/cluster/paxos"
 )
 
 // What Propose can't take.
@@ -58,10 +59,9 @@
 // nextNumber is above all numbers known. The wall clock lifts it over those that all may have forgotten, and a mark of this start
 // keeps two starts from drawing the same.
 func (node *Node) nextNumber(wallMS int64) uint64 {
-	counter := max(node.highest>>markBits+1, uint64(max(0, wallMS)))
 	hash := fnv.New64a()
 	fmt.Fprint(hash, node.config.Self, " ", node.config.Incarnation) //nolint:errcheck // a hash takes all that is written
-	return counter<<markBits | hash.Sum64()&(1<<markBits-1)
+	return paxos.NextBallot(node.highest, wallMS, paxos.Mark(hash.Sum64()))
 }
 
 // retryProposal asks again where no quorum answered, and gives up in the end.
