--- a/internal/cluster/events.go
+++ b/internal/cluster/events.go
@@ -7,7 +7,8 @@
 	"tealpath/internal/logevent"
 )
 
-// Event is something that came in: a MessageReceived, TargetsUpdated, ProbeEnded, TimerFired, ShutdownStarted or ConfigChanged.
+// Event is something that came in: a MessageReceived, TargetsUpdated, ProbeEnded, TimerFired, ShutdownStarted
+// or ConfigChanged.
 type Event any
 
 // MessageReceived is a message from another instance, whose name and start the link has proved.
@@ -22,7 +23,8 @@
 // ProbeEnded tells how a probe ended that was sent from here.
 type ProbeEnded struct{ ProbeResult }
 
-// TimerFired tells that the time of the last SetTimer has come, or may have. WallMS is the wall clock, ms since 1970.
+// TimerFired tells that the time of the last SetTimer has come, or may have. WallMS is the wall clock, ms
+// since 1970.
 type TimerFired struct{ WallMS int64 }
 
 // ShutdownStarted tells that this instance is to end.
@@ -53,8 +55,9 @@
 // SendProbe wants a target probed: written before Until by this clock, or not at all.
 type SendProbe struct{ probe.Probe }
 
-// LeaseChanged tells under which ballot a slot's lease is held from now on, 0 if it no longer is. It comes before any message that
-// would let somebody else have the slot: what is on its way to be done under the lease must see that.
+// LeaseChanged tells under which ballot a slot's lease is held from now on, 0 if it no longer is. It comes
+// before any message that would let somebody else have the slot: what is on its way to be done under the
+// lease must see that.
 type LeaseChanged struct {
 	Slot   int
 	Ballot uint64
@@ -69,8 +72,8 @@
 // SetTimer wants a TimerFired at a time.
 type SetTimer struct{ At int64 }
 
-// combine makes one message of those that go to one instance, as far as one can hold them: each costs its receiver more than
-// what it says. Changes of leases come first, so that no message passes one.
+// combine makes one message of those that go to one instance, as far as one can hold them: each costs its
+// receiver more than what it says. Changes of leases come first, so that no message passes one.
 func combine(effects []Effect) []Effect {
 	combined := make([]Effect, 0, len(effects))
 	for _, effect := range effects {
--- a/internal/cluster/lease/assign.go
+++ b/internal/cluster/lease/assign.go
@@ -21,9 +21,10 @@
 	score           float64
 }
 
-// Assign returns the candidate for each slot, as an index in candidates, or nil without candidates. Each candidate gets its part
-// by weight to within one slot. Of all pairs of a slot and a candidate the one with the highest rendezvous score comes first, so
-// that a candidate that comes or goes moves few slots. Candidates must be in the same order everywhere: sorted by name.
+// Assign returns the candidate for each slot, as an index in candidates, or nil without candidates. Each
+// candidate gets its part by weight to within one slot. Of all pairs of a slot and a candidate the one with
+// the highest rendezvous score comes first, so that a candidate that comes or goes moves few slots.
+// Candidates must be in the same order everywhere: sorted by name.
 func Assign(slots int, candidates []Candidate) []int {
 	if len(candidates) == 0 {
 		return nil
@@ -101,8 +102,8 @@
 	return higher
 }
 
-// score is weighted rendezvous hashing: -w/ln(u), u drawn by the hash (Schindelhauer and Schomaker, "Weighted distributed hash
-// tables", 2005).
+// score is weighted rendezvous hashing: -w/ln(u), u drawn by the hash (Schindelhauer and Schomaker, "Weighted
+// distributed hash tables", 2005).
 func score(slot int, candidate Candidate) float64 {
 	key := binary.LittleEndian.AppendUint32(nil, uint32(slot))
 	key = append(key, candidate.Name...)
--- a/internal/cluster/lease/config.go
+++ b/internal/cluster/lease/config.go
@@ -25,8 +25,8 @@
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
-// Voters are those whose quorum grants leases: a majority of Current and, unless it is empty, one of Previous, the set of the
-// epoch before. The two differ by one name at most.
+// Voters are those whose quorum grants leases: a majority of Current and, unless it is empty, one of
+// Previous, the set of the epoch before. The two differ by one name at most.
 type Voters struct {
 	Epoch    uint64   `json:"Epoch"`
 	Current  []string `json:"Now"`
@@ -128,15 +128,15 @@
 // nameMark is the part of a ballot that is its proposer's.
 func nameMark(name string) uint64 { return paxos.Mark(xxhash.Sum64String(name)) }
 
-// HoldDuration is for how long a holder acts after it sent the renewal that a quorum accepted, by its own clock, ns. It is
-// shorter than the lease by so much that the lease of no voter ends before, whatever the two clocks' rates are
-// (docs/duties.md).
+// HoldDuration is for how long a holder acts after it sent the renewal that a quorum accepted, by its own
+// clock, ns. It is shorter than the lease by so much that the lease of no voter ends before, whatever the two
+// clocks' rates are (docs/duties.md).
 func (config Config) HoldDuration() int64 {
 	return timing.HoldDuration(config.LeaseDuration, config.MaxClockDrift)
 }
 
-// RestartSilence is for how long a voter that started without memory grants nothing, by its own clock, ns: the longest lease
-// that it could have granted and forgotten.
+// RestartSilence is for how long a voter that started without memory grants nothing, by its own clock, ns:
+// the longest lease that it could have granted and forgotten.
 func (config Config) RestartSilence() int64 {
 	return int64(math.Ceil(timing.LongestLease(config.LeaseDuration, config.MaxClockDrift)))
 }
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -10,10 +10,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The checker explores what three nodes and one slot can come to: every order in which messages arrive, are lost or
-// come twice, nodes crash and start again, and time goes on, under clocks that are fast and slow by the drift. Each
-// node believes that it alone is alive, so that all always try. It looks for two holders at one instant, and for ballots
-// that do not grow. Lengths of time are short numbers of nanoseconds; the drift is 10%, so that it shows in steps of a renewal.
+// The checker explores what three nodes and one slot can come to: every order in which messages arrive, are
+// lost or come twice, nodes crash and start again, and time goes on, under clocks that are fast and slow by
+// the drift. Each node believes that it alone is alive, so that all always try. It looks for two holders at
+// one instant, and for ballots that do not grow. Lengths of time are short numbers of nanoseconds; the drift
+// is 10%, so that it shows in steps of a renewal.
 const (
 	exploreRenewal = int64(800)
 	exploreLease   = 3 * exploreRenewal
@@ -194,8 +195,8 @@
 	return xxhash.Sum64(encoded)
 }
 
-// firstHolder is the state in which the silence of all starts is over and a holds the slot with the votes of itself and b, some
-// time after that.
+// firstHolder is the state in which the silence of all starts is over and a holds the slot with the votes of
+// itself and b, some time after that.
 func firstHolder(fault plantedFault, after int64, steps int) *exploreState {
 	first := &exploreState{fault: fault, crashes: 1, copies: 1, steps: steps}
 	for i := range first.nodes {
@@ -215,7 +216,8 @@
 	return first
 }
 
-// next returns the states that can follow, each by one thing that happens, and whether a ballot did not grow in it.
+// next returns the states that can follow, each by one thing that happens, and whether a ballot did not grow
+// in it.
 func (state *exploreState) next() (states []*exploreState, oldBallot []bool) {
 	try := func(happen func(*exploreState) (oldBallot bool)) {
 		next := state.clone()
@@ -244,8 +246,8 @@
 	return states, oldBallot
 }
 
-// explore looks at up to a number of states, depth first, each once for what may still happen from it. It starts from a
-// first holder, some time after the grant.
+// explore looks at up to a number of states, depth first, each once for what may still happen from it. It
+// starts from a first holder, some time after the grant.
 func explore(fault plantedFault, after int64, steps, limit int) (states int, found string) {
 	first := firstHolder(fault, after, steps)
 	if after == 0 && first.holders() != 1 {
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -6,8 +6,8 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// Holds tells whether the node holds a slot's lease at this instant, under which ballot and until when. It is to be asked
-// immediately before each act under the lease, with the clock just read.
+// Holds tells whether the node holds a slot's lease at this instant, under which ballot and until when. It is
+// to be asked immediately before each act under the lease, with the clock just read.
 func (node *Node) Holds(now int64, slot int) (ballot uint64, until int64, ok bool) {
 	if slot < 0 || slot >= len(node.holdings) || !node.holdings[slot].held {
 		return 0, 0, false
@@ -40,8 +40,8 @@
 	node.emit(Lost{Slot: slot, Ballot: own.ballot, Reason: reason})
 }
 
-// release tells the voters, and the successor that the slot is meant for if there is one, that the own lease or try is over. It
-// is sent after the end, never before.
+// release tells the voters, and the successor that the slot is meant for if there is one, that the own lease
+// or try is over. It is sent after the end, never before.
 func (node *Node) release(slot int, successor string) {
 	own := &node.holdings[slot]
 	if own.ballot == 0 {
@@ -166,8 +166,8 @@
 	}
 }
 
-// noteHolder notes that somebody else holds a slot. A holder may release before its time or die, so it is asked again each
-// renewal; where it is the assigned one and alive, that is for others to see.
+// noteHolder notes that somebody else holds a slot. A holder may release before its time or die, so it is
+// asked again each renewal; where it is the assigned one and alive, that is for others to see.
 func (node *Node) noteHolder(now int64, own *holding, item SlotBallot) {
 	wait := min(item.Remaining, node.config.LeaseDuration)
 	if node.assigned == nil || node.assignedName(item.Slot) != item.Holder.Name {
@@ -177,7 +177,8 @@
 	own.busyUntil = max(own.busyUntil, now+wait+node.random(node.config.RenewInterval/ticksPerRenewal))
 }
 
-// handOver gives held slots to those that they are assigned to, a few at a time: it stops first, and releases then.
+// handOver gives held slots to those that they are assigned to, a few at a time: it stops first, and releases
+// then.
 func (node *Node) handOver(now int64) {
 	steadyFor := steadyRenewals * node.config.RenewInterval
 	if node.assigned == nil || now-node.assignedAt < steadyFor {
@@ -198,8 +199,9 @@
 	}
 }
 
-// Reacquire gives a slot up that is held under a ballot below one seen for what is done under it, and asks for it anew. All of
-// a quorum had restarted with wall clocks set back, and nobody takes what is done under the lower ballot.
+// Reacquire gives a slot up that is held under a ballot below one seen for what is done under it, and asks
+// for it anew. All of a quorum had restarted with wall clocks set back, and nobody takes what is done under
+// the lower ballot.
 func (node *Node) Reacquire(now int64, slot int, seen uint64) {
 	node.ObserveBallot(seen)
 	ballot, _, ok := node.Holds(now, slot)
--- a/internal/cluster/lease/message.go
+++ b/internal/cluster/lease/message.go
@@ -3,8 +3,8 @@
 // MessageKind is what a message says. Its numbers are those on the wire.
 type MessageKind uint8
 
-// The kinds, as in PaxosLease. Holders send Prepare and Propose to the voters, which answer with Promise, Accept or Reject;
-// Release tells that a holder has stopped.
+// The kinds, as in PaxosLease. Holders send Prepare and Propose to the voters, which answer with Promise,
+// Accept or Reject; Release tells that a holder has stopped.
 const (
 	Prepare MessageKind = iota + 1
 	Promise
--- a/internal/cluster/lease/node.go
+++ b/internal/cluster/lease/node.go
@@ -1,10 +1,11 @@
-// Package lease decides which instance holds the lease on which slot. Periodic tasks hash to slots, and only the holder of
-// a slot's lease does the slot's tasks. A quorum of voters grants leases, without a disk: it is PaxosLease (Trencséni, Gazsó
-// and Reinhardt, 2012) with one change. docs/duties.md has the protocol, the proof and the bounds.
+// Package lease decides which instance holds the lease on which slot. Periodic tasks hash to slots, and only
+// the holder of a slot's lease does the slot's tasks. A quorum of voters grants leases, without a disk: it is
+// PaxosLease (Trencséni, Gazsó and Reinhardt, 2012) with one change. docs/duties.md has the protocol, the
+// proof and the bounds.
 //
-// A Node is one instance, which is a voter, a holder or both. Time, messages and chance come in, effects go out: it does no
-// input or output, reads no clock, starts no goroutine and is not safe for concurrent use. Times are ns of one clock that
-// never goes back; its rate may be off by the configured drift.
+// A Node is one instance, which is a voter, a holder or both. Time, messages and chance come in, effects go
+// out: it does no input or output, reads no clock, starts no goroutine and is not safe for concurrent use.
+// Times are ns of one clock that never goes back; its rate may be off by the configured drift.
 package lease
 
 import (
@@ -98,7 +99,8 @@
 	return node, nil
 }
 
-// Receive takes a message from another instance. Votes must be passed on only from names under which one instance runs.
+// Receive takes a message from another instance. Votes must be passed on only from names under which one
+// instance runs.
 func (node *Node) Receive(now int64, from Instance, message Message) {
 	switch message.Kind {
 	case Prepare, Propose:
@@ -135,8 +137,9 @@
 // Next is when Tick has something to do.
 func (node *Node) Next() int64 { return node.tickAt }
 
-// NextTick is the next instant of an instance's own grid of an interval. What is due on one grid is done at once, and what
-// then goes to one instance goes in one write: that halved the cost of an instance that does nothing else.
+// NextTick is the next instant of an instance's own grid of an interval. What is due on one grid is done at
+// once, and what then goes to one instance goes in one write: that halved the cost of an instance that does
+// nothing else.
 func NextTick(now int64, name string, interval int64) int64 {
 	// Grids are shifted by the name, or instances that share a clock would all act at once.
 	shift := int64(nameMark(name)) * int64(time.Millisecond) % interval
--- a/internal/cluster/lease/quorum.go
+++ b/internal/cluster/lease/quorum.go
@@ -8,8 +8,8 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// EpochUnsettledError is a set of voters that can't be taken yet: a quorum must have been at the present epoch for the silence
-// of a restart, so that all that was granted at the epoch before has ended.
+// EpochUnsettledError is a set of voters that can't be taken yet: a quorum must have been at the present
+// epoch for the silence of a restart, so that all that was granted at the epoch before has ended.
 type EpochUnsettledError struct {
 	Epoch    uint64
 	SettleMS int64
@@ -20,8 +20,8 @@
 	return fmt.Sprintf("a majority must have been at epoch %d for %d ms first", err.Epoch, err.SettleMS)
 }
 
-// UpdateVoters takes the next set of voters, one epoch on. It returns an *EpochUnsettledError where that has to wait, and a
-// *ConfigError where the set can't follow the present one.
+// UpdateVoters takes the next set of voters, one epoch on. It returns an *EpochUnsettledError where that has
+// to wait, and a *ConfigError where the set can't follow the present one.
 func (node *Node) UpdateVoters(now int64, voters Voters) error {
 	present := node.config.Voters
 	if err := voters.Check(); err != nil {
@@ -123,8 +123,8 @@
 	return true
 }
 
-// heldUntil is when the own lease on a slot ends, or 0 if no quorum has accepted it. What counts is the latest sending that a
-// majority of every set accepted, or a later one.
+// heldUntil is when the own lease on a slot ends, or 0 if no quorum has accepted it. What counts is the
+// latest sending that a majority of every set accepted, or a later one.
 func (node *Node) heldUntil(own *holding) int64 {
 	sentAt := int64(math.MaxInt64)
 	for _, set := range node.voterSets {
--- a/internal/cluster/lease/record_test.go
+++ b/internal/cluster/lease/record_test.go
@@ -12,8 +12,8 @@
 // recordedDigest is the SHA-256 of all effects in TestRecordedSequence, in order.
 const recordedDigest = "09924d42b89985d2fa434a0478665214bc9d3a82306136db96d52b03ca54b511"
 
-// TestRecordedSequence plays 300 s of five nodes with drawn faults. Each effect goes into one digest, so that a rewrite that
-// changes any of them, or their order, is found.
+// TestRecordedSequence plays 300 s of five nodes with drawn faults. Each effect goes into one digest, so that
+// a rewrite that changes any of them, or their order, is found.
 func TestRecordedSequence(t *testing.T) {
 	const nodes, rounds = 5, 100
 	cluster := newCluster(t, nodes)
--- a/internal/cluster/lease/status.go
+++ b/internal/cluster/lease/status.go
@@ -17,8 +17,8 @@
 	Reason  string `json:"why,omitempty"` // why nobody holds it
 }
 
-// Slots is what the node knows of all slots. A voter knows the holders that it granted leases to; others know those for which
-// they were rejected.
+// Slots is what the node knows of all slots. A voter knows the holders that it granted leases to; others know
+// those for which they were rejected.
 func (node *Node) Slots(now int64) []SlotStatus {
 	statuses := make([]SlotStatus, len(node.holdings))
 	for slot := range statuses {
--- a/internal/cluster/lease/voter.go
+++ b/internal/cluster/lease/voter.go
@@ -1,7 +1,7 @@
 package lease
 
-// vote answers a Prepare or a Propose as a voter. A slot goes to one holder at a time, whatever ballots say: that clause is
-// the change to PaxosLease, and what two holders can never pass (docs/duties.md).
+// vote answers a Prepare or a Propose as a voter. A slot goes to one holder at a time, whatever ballots say:
+// that clause is the change to PaxosLease, and what two holders can never pass (docs/duties.md).
 func (node *Node) vote(now int64, from Instance, message Message) []Message {
 	if now < node.grantsFrom {
 		return nil // who knows what was granted before the start
@@ -40,7 +40,8 @@
 func (node *Node) isOutdated(now int64, current *grant, from Instance, kind MessageKind, ballot uint64) bool {
 	outdated := ballot < current.promisedBallot || ballot == current.promisedBallot && current.promisedTo != from
 	if kind == Prepare {
-		// The floor is for ballots that were known when the silence ended: the promises made before it are forgotten.
+		// The floor is for ballots that were known when the silence ended: the promises made before it are
+		// forgotten.
 		return outdated || ballot <= node.ballotFloor || ballot <= current.ballot
 	}
 	if ballot >= current.ballot && now-current.promisedAt >= node.config.LeaseDuration {
@@ -49,7 +50,8 @@
 	return outdated
 }
 
-// rejection tells a holder the ballot that it has to be above and, where the slot is leased to another, to whom and for how long.
+// rejection tells a holder the ballot that it has to be above and, where the slot is leased to another, to
+// whom and for how long.
 func (node *Node) rejection(now int64, slot int, leased bool) SlotBallot {
 	current := &node.grants[slot]
 	item := SlotBallot{Slot: slot, Ballot: max(current.promisedBallot, current.ballot, node.ballotFloor)}
@@ -72,8 +74,8 @@
 	}
 }
 
-// endSilence ends the silence of a start. Promises made before the start are forgotten, so from here on only ballots above all
-// that were heard of until now are promised.
+// endSilence ends the silence of a start. Promises made before the start are forgotten, so from here on only
+// ballots above all that were heard of until now are promised.
 func (node *Node) endSilence(now int64) {
 	if node.ballotFloor == 0 && now >= node.grantsFrom {
 		node.ballotFloor = max(node.highest, 1)
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -12,8 +12,8 @@
 // holdsFunc tells whether a slot's lease is held at this instant, under which ballot and until when.
 type holdsFunc = probe.HoldsFunc
 
-// periodicTask is one kind of periodic task: it learns which slots are held, and returns what is to be done now for those that are.
-// Each kind hashes its own tasks to slots (lease.SlotOf).
+// periodicTask is one kind of periodic task: it learns which slots are held, and returns what is to be done
+// now for those that are. Each kind hashes its own tasks to slots (lease.SlotOf).
 type periodicTask interface {
 	SlotAcquired(now int64, slot int)
 	SlotLost(slot int)
@@ -21,8 +21,8 @@
 	Next(now int64) int64
 }
 
-// receiveLeaseMessage takes a message about leases. A vote does not count from a name under which two may be running, nor is one
-// given by such.
+// receiveLeaseMessage takes a message about leases. A vote does not count from a name under which two may be
+// running, nor is one given by such.
 func (node *Node) receiveLeaseMessage(now int64, from lease.Instance, message lease.Message) {
 	switch message.Kind {
 	case lease.Promise, lease.Accept:
@@ -116,8 +116,8 @@
 	return node.leases.Holds(now, slot)
 }
 
-// HasQuorum tells whether a quorum of the voters answers, or is at least believed alive: who neither holds nor tries has no
-// answers.
+// HasQuorum tells whether a quorum of the voters answers, or is at least believed alive: who neither holds
+// nor tries has no answers.
 func (node *Node) HasQuorum(now int64) bool {
 	return node.leases.HasQuorum(now) || node.isQuorumAlive()
 }
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -13,8 +13,8 @@
 // leaseLinkDuration is for how long a link stays that a message about leases went by, ns.
 const leaseLinkDuration = int64(10 * time.Second)
 
-// maxChangesLogged is how many changes of one kind get a line each; more at once are one line: a zone that is lost, or all at a
-// start.
+// maxChangesLogged is how many changes of one kind get a line each; more at once are one line: a zone that is
+// lost, or all at a start.
 const maxChangesLogged = 8
 
 // peers is to whom links are to stand.
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -9,12 +9,12 @@
 // minWatched is how many watched neighbours must all be silent for this instance to take itself for cut off.
 const minWatched = 3
 
-// quarterOf is how many of so many observers let the silence of those that are reported themselves count as well: those of a zone
-// that is lost at once can't report each other.
+// quarterOf is how many of so many observers let the silence of those that are reported themselves count as
+// well: those of a zone that is lost at once can't report each other.
 func quarterOf(observers int) int { return max(1, observers/4) }
 
-// checkOwnDelay finds whether this instance itself was late, and by how much: what it then holds against others is its own fault.
-// One that was away takes all back.
+// checkOwnDelay finds whether this instance itself was late, and by how much: what it then holds against
+// others is its own fault. One that was away takes all back.
 func (table *Table) checkOwnDelay(now int64) {
 	interval := table.config.HeartbeatInterval
 	wasAway := table.health.noteStep(now, table.nextHeartbeat, interval)
@@ -47,8 +47,9 @@
 	return table.health.lengthen(table.config.SilenceTimeout)
 }
 
-// watchLinks looks at the links to neighbours, and reports those that don't work. A link works if heartbeats come by it and show
-// that heartbeats sent by it arrive: so one that can send but not hear is found like one that can hear but not send.
+// watchLinks looks at the links to neighbours, and reports those that don't work. A link works if heartbeats
+// come by it and show that heartbeats sent by it arrive: so one that can send but not hear is found like one
+// that can hear but not send.
 func (table *Table) watchLinks(now int64) {
 	watched, silent := 0, 0
 	timeout := table.silenceTimeout()
@@ -127,8 +128,8 @@
 	table.passOnReport(now, report, "")
 }
 
-// judgeSuspects believes a member dead once most of its observers have reported it for a moment, which is the time that it has to
-// refute. All have the same reports and rings, so all judge alike.
+// judgeSuspects believes a member dead once most of its observers have reported it for a moment, which is the
+// time that it has to refute. All have the same reports and rings, so all judge alike.
 func (table *Table) judgeSuspects(now int64) {
 	if len(table.suspicion.members) == 0 {
 		return
--- a/internal/cluster/membership/detect_test.go
+++ b/internal/cluster/membership/detect_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// Pauses up to 1.5 s kill nobody; one that was paused for longer comes back, knows that it was away and holds it against
-// nobody.
+// Pauses up to 1.5 s kill nobody; one that was paused for longer comes back, knows that it was away and holds
+// it against nobody.
 func TestPaused(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -91,8 +91,8 @@
 	}
 }
 
-// One that hears nobody, and one that nobody hears, are believed dead by all others within 5 s; a link that works in one
-// direction between two kills nobody, nor does a ring of such.
+// One that hears nobody, and one that nobody hears, are believed dead by all others within 5 s; a link that
+// works in one direction between two kills nobody, nor does a ring of such.
 func TestOneSided(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -6,7 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digests is a digest of all entries believed alive, and one of each bucket of them, as of a revision of the table.
+// digests is a digest of all entries believed alive, and one of each bucket of them, as of a revision of the
+// table.
 type digests struct {
 	revision uint64
 	all      uint64
@@ -49,8 +50,8 @@
 	return xxhash.Sum64(append(key, entry.Name...))
 }
 
-// answerBuckets sends the entries of the buckets that differ, from a drawn one on, as many as one message holds. The asker's own
-// are among them: its clock may have been set back.
+// answerBuckets sends the entries of the buckets that differ, from a drawn one on, as many as one message
+// holds. The asker's own are among them: its clock may have been set back.
 func (table *Table) answerBuckets(to string, theirs []uint64) []Send {
 	_, buckets := table.digests.of(table)
 	names := map[int][]string{}
--- a/internal/cluster/membership/explore_test.go
+++ b/internal/cluster/membership/explore_test.go
@@ -18,8 +18,8 @@
 // end takes back what events do to links; pauses end by themselves, and restarts stay.
 func (event) end(cluster *testCluster) { cluster.cut, cluster.twice = noCut, false }
 
-// allEvents are: nothing, each way lost, all ways to or from one, everything twice, a pause, a restart, one with the wall clock set
-// back; each for a moment and for long enough to be believed dead.
+// allEvents are: nothing, each way lost, all ways to or from one, everything twice, a pause, a restart, one
+// with the wall clock set back; each for a moment and for long enough to be believed dead.
 func allEvents() []event {
 	var events []event
 	add := func(name string, begin func(cluster *testCluster)) {
@@ -86,7 +86,8 @@
 	return wrong
 }
 
-// checkEnd returns what is wrong once all is over: then all believe in all, as they are now, and hand on the same view.
+// checkEnd returns what is wrong once all is over: then all believe in all, as they are now, and hand on the
+// same view.
 func (course *course) checkEnd() string {
 	for _, name := range course.names {
 		for _, member := range course.tables[name].Members() {
@@ -131,8 +132,8 @@
 	return usual
 }
 
-// Every course of two events, and drawn ones of four; with TEALPATH_EXPLORE=N so many drawn ones, and every one of three for
-// N above 1,000,000.
+// Every course of two events, and drawn ones of four; with TEALPATH_EXPLORE=N so many drawn ones, and every
+// one of three for N above 1,000,000.
 func TestExplore(t *testing.T) {
 	const maxDrawn = 1_000_000
 	all, drawn := allEvents(), exploreCourses(400)
--- a/internal/cluster/membership/heartbeat.go
+++ b/internal/cluster/membership/heartbeat.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// heartbeats is what goes out at each interval: to every neighbour its number and an echo, with what is new; and now and then a
-// try at one that is not there.
+// heartbeats is what goes out at each interval: to every neighbour its number and an echo, with what is new;
+// and now and then a try at one that is not there.
 func (table *Table) heartbeats(now int64) []Send {
 	table.pickStray(now)
 	news := table.news.take(table)
@@ -42,8 +42,8 @@
 	triedAt int64
 }
 
-// pickStray draws one that is not there and may be back, or has never been heard: after a split nobody else brings the sides
-// together.
+// pickStray draws one that is not there and may be back, or has never been heard: after a split nobody else
+// brings the sides together.
 func (table *Table) pickStray(now int64) {
 	if now-table.stray.triedAt < table.config.intervals(strayEvery) {
 		return
@@ -65,7 +65,8 @@
 	}
 }
 
-// receiveHeartbeat takes a heartbeat. One from who is no neighbour makes an inbound link, if there are not too many.
+// receiveHeartbeat takes a heartbeat. One from who is no neighbour makes an inbound link, if there are not
+// too many.
 func (table *Table) receiveHeartbeat(now int64, member *record, gossip Gossip) []Send {
 	if member.link == nil {
 		if len(table.links.inbound()) >= maxInbound {
--- a/internal/cluster/membership/localhealth.go
+++ b/internal/cluster/membership/localhealth.go
@@ -1,7 +1,7 @@
 package membership
 
-// localHealth is how an instance judges itself, as in Lifeguard: what an instance that is late holds against others may be its
-// own fault.
+// localHealth is how an instance judges itself, as in Lifeguard: what an instance that is late holds against
+// others may be its own fault.
 type localHealth struct {
 	points   int   // from 0, well, to maxLocalHealth
 	tickedAt int64 // when the last step was made
@@ -9,7 +9,8 @@
 	cutOff   bool  // nothing is heard from any neighbour
 }
 
-// noteStep adds a point for a step that comes late. It tells whether the instance was away: late by an interval or more.
+// noteStep adds a point for a step that comes late. It tells whether the instance was away: late by an
+// interval or more.
 func (health *localHealth) noteStep(now, due, interval int64) (wasAway bool) {
 	late := now - max(health.tickedAt, due)
 	health.tickedAt = now
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -41,7 +41,8 @@
 	ReasonHeardAgain = "heard again" // neighbours are heard again
 )
 
-// Change tells that what is believed of a member has changed. Of the own instance it tells one of the reasons above.
+// Change tells that what is believed of a member has changed. Of the own instance it tells one of the reasons
+// above.
 type Change struct {
 	Member
 	Previous State
@@ -125,8 +126,8 @@
 	return count
 }
 
-// holdOut is for how long a member must have been alive to count, ns: one that has died twice of late must stay for longer each
-// time, as a link that flaps is no link.
+// holdOut is for how long a member must have been alive to count, ns: one that has died twice of late must
+// stay for longer each time, as a link that flaps is no link.
 func (member *record) holdOut(interval int64) int64 {
 	const maxShift = 10 // far above the limit
 	deaths := len(member.deaths)
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -14,8 +14,9 @@
 	maxWeight       = 1e6
 )
 
-// Entry is one instance as instances pass it on to each other. Of two entries under a name the one with the higher start counts, then
-// the higher version, then the one that says dead. Start and Version are raised by the instance itself alone.
+// Entry is one instance as instances pass it on to each other. Of two entries under a name the one with the
+// higher start counts, then the higher version, then the one that says dead. Start and Version are raised by
+// the instance itself alone.
 type Entry struct {
 	Name        string  `cbor:"1,keyasint"`
 	Incarnation uint64  `cbor:"2,keyasint"` // drawn at each start
@@ -60,8 +61,9 @@
 // ReportKind is what a report says. Its numbers are those on the wire.
 type ReportKind uint8
 
-// The kinds. Silent: nothing comes from the member. Deaf: heartbeats come, and show that nothing sent to it arrives. Healthy takes
-// a report back. Rumour: somebody believes the member dead; it is passed on so that the member can refute.
+// The kinds. Silent: nothing comes from the member. Deaf: heartbeats come, and show that nothing sent to it
+// arrives. Healthy takes a report back. Rumour: somebody believes the member dead; it is passed on so that
+// the member can refute.
 const (
 	Healthy ReportKind = iota
 	Silent
--- a/internal/cluster/membership/neighbourhood.go
+++ b/internal/cluster/membership/neighbourhood.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// maxInbound is how many that are no neighbours are answered: while views differ somebody's neighbours may not know it yet.
+// maxInbound is how many that are no neighbours are answered: while views differ somebody's neighbours may
+// not know it yet.
 const maxInbound = 6
 
 // link is the way to and from a neighbour.
@@ -65,8 +66,8 @@
 	return links.names
 }
 
-// nextSilence is when the first watched neighbour will have been silent for a timeout, or noTime. Silence that was looked at
-// with heartbeats alone would be found up to an interval late.
+// nextSilence is when the first watched neighbour will have been silent for a timeout, or noTime. Silence
+// that was looked at with heartbeats alone would be found up to an interval late.
 func (links *neighbourhood) nextSilence(timeout int64) int64 {
 	next := noTime
 	for _, member := range links.members {
@@ -100,8 +101,8 @@
 	return members
 }
 
-// trimInbound lets the inbound links go that were silent longest, beyond the bound: a wave of views had made inbound links of all
-// that were neighbours once, and 23 links in all.
+// trimInbound lets the inbound links go that were silent longest, beyond the bound: a wave of views had made
+// inbound links of all that were neighbours once, and 23 links in all.
 func (links *neighbourhood) trimInbound() {
 	inbound := links.inbound()
 	slices.SortStableFunc(inbound, func(a, b *record) int { return cmp.Compare(b.link.heardAt, a.link.heardAt) })
@@ -110,8 +111,8 @@
 	}
 }
 
-// ringMembers is who is on the rings: the view handed on and, for the first while, contacts that nobody has heard of yet, so that
-// all begin with the same rings.
+// ringMembers is who is on the rings: the view handed on and, for the first while, contacts that nobody has
+// heard of yet, so that all begin with the same rings.
 func (table *Table) ringMembers(now int64) []string {
 	starting := now-table.startedAt < table.config.intervals(unheardOnRings)
 	names := []string{table.self.entry.Name}
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -3,7 +3,8 @@
 // claimsNeeded is how many neighbours must believe a member dead, so that it is believed here without reports.
 const claimsNeeded = 2
 
-// Receive takes a message of a member, and returns what is answered at once. from is whom the link has proved it to be from.
+// Receive takes a message of a member, and returns what is answered at once. from is whom the link has proved
+// it to be from.
 func (table *Table) Receive(now int64, from string, gossip Gossip) ([]Send, []Change) {
 	if !gossip.withinBounds() {
 		table.rejected++
@@ -62,8 +63,8 @@
 	table.update(now, member, entry, from)
 }
 
-// memberFor is the member that an entry is of, or nil. One that is not known is taken in, unless it is gone already, as word of
-// who is gone must keep nobody in memory, or there are too many.
+// memberFor is the member that an entry is of, or nil. One that is not known is taken in, unless it is gone
+// already, as word of who is gone must keep nobody in memory, or there are too many.
 func (table *Table) memberFor(now int64, entry Entry) *record {
 	if member := table.members.byName[entry.Name]; member != nil {
 		return member
@@ -124,8 +125,8 @@
 	}
 }
 
-// receiveDeathClaim takes a peer's word that it believes a member dead. One alone is not believed, but the member is let know, so
-// that it can refute; two are, as they may have heard reports that were lost here.
+// receiveDeathClaim takes a peer's word that it believes a member dead. One alone is not believed, but the
+// member is let know, so that it can refute; two are, as they may have heard reports that were lost here.
 func (table *Table) receiveDeathClaim(now int64, member *record, from string) {
 	if member.State != Alive {
 		return
@@ -152,8 +153,8 @@
 	}
 }
 
-// receiveOwnEntry takes word of the own name. What is said of this start is refuted. Another start is a former one, which this
-// one must count before, or one that runs now as well.
+// receiveOwnEntry takes word of the own name. What is said of this start is refuted. Another start is a
+// former one, which this one must count before, or one that runs now as well.
 func (table *Table) receiveOwnEntry(now int64, entry Entry) {
 	self := &table.self.entry
 	if entry.Incarnation == self.Incarnation {
@@ -190,7 +191,8 @@
 		return
 	}
 	member := table.members.byName[report.Subject]
-	// A version that is not known here is an old one that was refuted, or one of the future, which can't be true yet.
+	// A version that is not known here is an old one that was refuted, or one of the future, which can't be
+	// true yet.
 	if member == nil || member.State != Alive ||
 		report.Incarnation != member.Incarnation || report.Version != member.Version {
 		return
@@ -207,7 +209,8 @@
 	table.passOnReport(now, report, from)
 }
 
-// receiveAccusation refutes once enough say that this instance is not there: one link that does not work is none of its matter.
+// receiveAccusation refutes once enough say that this instance is not there: one link that does not work is
+// none of its matter.
 func (table *Table) receiveAccusation(now int64, report Report) {
 	if report.Incarnation != table.self.entry.Incarnation || report.Version != table.self.entry.Version {
 		return
--- a/internal/cluster/membership/record_test.go
+++ b/internal/cluster/membership/record_test.go
@@ -14,8 +14,9 @@
 // recordedDigest is the SHA-256 of everything that the tables of TestRecordedSequence did, in order.
 const recordedDigest = "7d324924ea1aaccf715d82e5d0f51e3517ac35dc5b98ec2b3ad397e042032ec5"
 
-// TestRecordedSequence plays 300 s of 16 members with drawn faults. Each message, in its encoding, each change and each due
-// time goes into one digest, so that a rewrite that changes any of them, or their order, is found.
+// TestRecordedSequence plays 300 s of 16 members with drawn faults. Each message, in its encoding, each
+// change and each due time goes into one digest, so that a rewrite that changes any of them, or their order,
+// is found.
 func TestRecordedSequence(t *testing.T) {
 	const members, seconds = 16, 300
 	cluster := newCluster(t, members)
--- a/internal/cluster/membership/rings.go
+++ b/internal/cluster/membership/rings.go
@@ -15,9 +15,9 @@
 	MaxNeighbours = 2 * ringCount
 )
 
-// Rings orders names on four rings by hash: all that know the same names compute the same. Each member watches the one before
-// and the one after it on each, and so is watched by the same. That is an expander with eight links a member whatever
-// their number is, and stays connected without a third of them.
+// Rings orders names on four rings by hash: all that know the same names compute the same. Each member
+// watches the one before and the one after it on each, and so is watched by the same. That is an expander
+// with eight links a member whatever their number is, and stays connected without a third of them.
 type Rings struct {
 	names  []string
 	rings  [ringCount][]ringPoint
--- a/internal/cluster/membership/self.go
+++ b/internal/cluster/membership/self.go
@@ -35,8 +35,8 @@
 	return false
 }
 
-// noteAccusation notes an observer's report of the present version of the own entry, and returns how many report it. A report
-// that all is well takes an earlier one back.
+// noteAccusation notes an observer's report of the present version of the own entry, and returns how many
+// report it. A report that all is well takes an earlier one back.
 func (own *selfState) noteAccusation(report Report) (accusers int) {
 	if report.Kind == Healthy {
 		delete(own.accusedVersions, report.Observer)
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -12,8 +12,8 @@
 	reportSeq uint64
 }
 
-// newSuspicion has no reports. Sequence numbers begin with the time of the start, so that reports of a later start count before
-// those of an earlier one.
+// newSuspicion has no reports. Sequence numbers begin with the time of the start, so that reports of a later
+// start count before those of an earlier one.
 func newSuspicion(start uint64) suspicion {
 	const seqBits = 16
 	return suspicion{members: map[string]*record{}, reportSeq: max(1, start) << seqBits}
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -1,13 +1,14 @@
-// Package membership holds which other instances are there, in fleets of hundreds. Each instance is watched by up to eight others
-// on rings that all compute alike, is believed dead when most of them report it, and can refute. Changes go round once by every
-// link, and digests find what was missed. Observers on rings and counted reports are from Rapid (Suresh and others, 2018),
-// refutation from SWIM (Das, Gupta and Motivala, 2002), distrust of oneself from Lifeguard (Dadgar, Phillips and Currey, 2018).
-// docs/membership.md has the options, the choice and the bounds.
+// Package membership holds which other instances are there, in fleets of hundreds. Each instance is watched
+// by up to eight others on rings that all compute alike, is believed dead when most of them report it, and
+// can refute. Changes go round once by every link, and digests find what was missed. Observers on rings and
+// counted reports are from Rapid (Suresh and others, 2018), refutation from SWIM (Das, Gupta and Motivala,
+// 2002), distrust of oneself from Lifeguard (Dadgar, Phillips and Currey, 2018). docs/membership.md has the
+// options, the choice and the bounds.
 //
 // What it says is belief: it decides who tries for a lease, never who holds one (docs/duties.md).
 //
-// A Table does no input or output, reads no clock and is not safe for concurrent use. Times are ns of one clock that never goes
-// back.
+// A Table does no input or output, reads no clock and is not safe for concurrent use. Times are ns of one
+// clock that never goes back.
 package membership
 
 import (
@@ -16,8 +17,8 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// Table is which instances are known, and what is believed of them. Each part below has its own state; the methods of Table
-// are the steps that touch several of them.
+// Table is which instances are known, and what is believed of them. Each part below has its own state; the
+// methods of Table are the steps that touch several of them.
 type Table struct {
 	config    Config
 	rng       *rand.Rand
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -44,7 +44,8 @@
 	return next
 }
 
-// settleView hands the view on once it has stopped changing, or has gone on changing for long: a zone that is lost is one change.
+// settleView hands the view on once it has stopped changing, or has gone on changing for long: a zone that is
+// lost is one change.
 func (table *Table) settleView(now int64) {
 	view, interval := &table.view, table.config.HeartbeatInterval
 	if view.heldOutUntil > 0 && now >= view.heldOutUntil {
@@ -101,12 +102,12 @@
 	}
 }
 
-// Alive is who can hold leases, as of the view handed on: the own instance unless it leaves, and whoever is believed alive, by
-// name.
+// Alive is who can hold leases, as of the view handed on: the own instance unless it leaves, and whoever is
+// believed alive, by name.
 func (table *Table) Alive() []Entry { return table.view.entries }
 
-// ViewInfo is the number here of the view handed on, its digest, which is the same wherever the same is believed, and since when
-// it is handed on.
+// ViewInfo is the number here of the view handed on, its digest, which is the same wherever the same is
+// believed, and since when it is handed on.
 func (table *Table) ViewInfo() (number, digest uint64, since int64) {
 	for _, entry := range table.view.entries {
 		incarnation := binary.LittleEndian.AppendUint64(nil, entry.Incarnation)
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -1,7 +1,7 @@
-// Package cluster is what instances decide together, as one reducer: an event goes in, state changes, effects come out. It joins
-// which instances are there (membership), who holds the lease on which slot (lease) and what is probed when (probe). It does no
-// input or output, reads no clock and is not safe for concurrent use. Times are ns of a clock that goes on while the machine is
-// suspended and never goes back.
+// Package cluster is what instances decide together, as one reducer: an event goes in, state changes, effects
+// come out. It joins which instances are there (membership), who holds the lease on which slot (lease) and
+// what is probed when (probe). It does no input or output, reads no clock and is not safe for concurrent use.
+// Times are ns of a clock that goes on while the machine is suspended and never goes back.
 package cluster
 
 import (
--- a/internal/cluster/peer/frame.go
+++ b/internal/cluster/peer/frame.go
@@ -9,12 +9,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ProtocolVersion is the version of what goes over links. Instances of another one are refused: what they say of members means
-// something else to them.
+// ProtocolVersion is the version of what goes over links. Instances of another one are refused: what they say
+// of members means something else to them.
 const ProtocolVersion = 2
 
-// MaxFrameSize is the size of the longest frame, bytes: more than the members and slots that can be come to. The largest message
-// is one that rejects all slots and names their holders.
+// MaxFrameSize is the size of the longest frame, bytes: more than the members and slots that can be come to.
+// The largest message is one that rejects all slots and names their holders.
 const MaxFrameSize = 1 << 20
 
 const (
@@ -40,8 +40,8 @@
 	Incarnation uint64 `cbor:"3,keyasint"`
 }
 
-// readFrame reads a frame: four bytes of length, the most significant first, and so many bytes. Memory is taken as bytes come,
-// not as the length says.
+// readFrame reads a frame: four bytes of length, the most significant first, and so many bytes. Memory is
+// taken as bytes come, not as the length says.
 func readFrame(in io.Reader, maxSize int) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
--- a/internal/cluster/peer/keys.go
+++ b/internal/cluster/peer/keys.go
@@ -13,8 +13,8 @@
 // errNoCertificate is a peer that showed none.
 var errNoCertificate = errors.New("no certificate")
 
-// KeyFiles name what an instance proves itself with: its certificate with the chain to a root, its key, and the roots it
-// believes, all PEM. Two roots may be in the file while one takes the place of the other.
+// KeyFiles name what an instance proves itself with: its certificate with the chain to a root, its key, and
+// the roots it believes, all PEM. Two roots may be in the file while one takes the place of the other.
 type KeyFiles struct{ Certificate, Key, Roots string }
 
 // Keys are loaded files.
--- a/internal/cluster/peer/links.go
+++ b/internal/cluster/peer/links.go
@@ -1,9 +1,9 @@
-// Package peer holds the links between instances: TCP with mutual TLS 1.3 (RFC 8446). Each instance dials its peers and sends
-// on what it dialled; what is accepted is read only. So whoever gets a message sent it is proved by the dialled address's
-// certificate, and whoever it came from by the accepted one's.
+// Package peer holds the links between instances: TCP with mutual TLS 1.3 (RFC 8446). Each instance dials its
+// peers and sends on what it dialled; what is accepted is read only. So whoever gets a message sent it is
+// proved by the dialled address's certificate, and whoever it came from by the accepted one's.
 //
-// Nothing here waits for a slow peer: each has a bounded queue, which loses its oldest frames. What is lost is sent again by
-// those who need it.
+// Nothing here waits for a slow peer: each has a bounded queue, which loses its oldest frames. What is lost
+// is sent again by those who need it.
 package peer
 
 import (
--- a/internal/cluster/peer/outgoing.go
+++ b/internal/cluster/peer/outgoing.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// connect connects, says who this is and writes the queue until the link ends; onUp is called at the first frame written.
+// connect connects, says who this is and writes the queue until the link ends; onUp is called at the first
+// frame written.
 func (links *Links) connect(ctx context.Context, link *outgoing, onUp func()) error {
 	address, err := netip.ParseAddrPort(link.address)
 	if err != nil || !links.isAllowed(address.Addr()) {
@@ -124,8 +125,8 @@
 	return write(conn, appendFrame(nil, raw))
 }
 
-// watchEnd reads what comes by a dialled connection: nothing does but an end, with TLS 1.3 also the refusal of our certificate.
-// wait returns once the reading is over, for which the connection must be closed.
+// watchEnd reads what comes by a dialled connection: nothing does but an end, with TLS 1.3 also the refusal
+// of our certificate. wait returns once the reading is over, for which the connection must be closed.
 func watchEnd(conn net.Conn) (ended <-chan error, wait func()) {
 	result, done := make(chan error, 1), make(chan struct{})
 	go func() {
--- a/internal/cluster/probe/config.go
+++ b/internal/cluster/probe/config.go
@@ -1,6 +1,7 @@
-// Package probe decides when a target is probed and by whom: one periodic task a target, done by whoever holds the lease on
-// the target's slot. It keeps probes of a cold target within a part of what that can bear that is set aside for probing, over
-// all instances and takeovers (docs/duties.md). It does no input or output, reads no clock and is not safe for concurrent use.
+// Package probe decides when a target is probed and by whom: one periodic task a target, done by whoever
+// holds the lease on the target's slot. It keeps probes of a cold target within a part of what that can bear
+// that is set aside for probing, over all instances and takeovers (docs/duties.md). It does no input or
+// output, reads no clock and is not safe for concurrent use.
 package probe
 
 import (
@@ -8,8 +9,8 @@
 	"time"
 )
 
-// MaxColdPart is the largest part of a cold target's limit that may be set aside for probing: traffic of all routers uses 0.6
-// of it, and a tenth stays for what both reckon wrongly.
+// MaxColdPart is the largest part of a cold target's limit that may be set aside for probing: traffic of all
+// routers uses 0.6 of it, and a tenth stays for what both reckon wrongly.
 const MaxColdPart = 0.3
 
 // ColdLimit is what a target that has just started bears, as the deployment's settings state it.
--- a/internal/cluster/probe/prober.go
+++ b/internal/cluster/probe/prober.go
@@ -80,9 +80,9 @@
 	return state
 }
 
-// SlotAcquired tells that a slot is held from now on. Its holder before may have probed just before it stopped, so the first
-// probe comes a period later, and a window later for what is or may be cold: the part that is set aside is then spent by one
-// holder at a time.
+// SlotAcquired tells that a slot is held from now on. Its holder before may have probed just before it
+// stopped, so the first probe comes a period later, and a window later for what is or may be cold: the part
+// that is set aside is then spent by one holder at a time.
 func (prober *Prober) SlotAcquired(now int64, slot int) {
 	prober.acquiredAt[slot] = now
 	for _, state := range prober.targets {
@@ -137,8 +137,8 @@
 	return probes
 }
 
-// schedule sets when the next probe is due: a period from when this one was, so that the period does not grow by how late each
-// one is; never in bursts.
+// schedule sets when the next probe is due: a period from when this one was, so that the period does not grow
+// by how late each one is; never in bursts.
 func (state *targetState) schedule(now, period int64) {
 	state.nextAt += period
 	if state.nextAt <= now {
@@ -158,15 +158,15 @@
 	return true
 }
 
-// ColdBudget is what probing may cost a target over the window while it is cold, seconds of sending time. The capacity is that
-// of the very start, as if it never rose.
+// ColdBudget is what probing may cost a target over the window while it is cold, seconds of sending time. The
+// capacity is that of the very start, as if it never rose.
 func (prober *Prober) ColdBudget(target Target) float64 {
 	limit := prober.config.limitOf(target)
 	return prober.config.ColdPart * limit.Factor * limit.Share * target.Capacity * float64(limit.Window) / float64(time.Second)
 }
 
-// ProbeEnded tells how a probe ended. A target that answers again may have been restarted, which the list tells too late: it
-// counts as cold.
+// ProbeEnded tells how a probe ended. A target that answers again may have been restarted, which the list
+// tells too late: it counts as cold.
 func (prober *Prober) ProbeEnded(now int64, name string, answered bool) {
 	index, found := slices.BinarySearchFunc(prober.targets, name, func(state *targetState, name string) int {
 		return cmp.Compare(state.Name, name)
--- a/internal/cluster/probe/prober_test.go
+++ b/internal/cluster/probe/prober_test.go
@@ -124,8 +124,8 @@
 	holder int
 }
 
-// Holders follow each other at drawn moments, clocks fast and slow, while the target is cold: no window of the real time holds
-// more than the part set aside, and no two holders probe within a period.
+// Holders follow each other at drawn moments, clocks fast and slow, while the target is cold: no window of
+// the real time holds more than the part set aside, and no two holders probe within a period.
 func TestColdBudgetAndPeriodHoldOverTakeovers(t *testing.T) {
 	config := testConfig()
 	config.Period = 100 * ms // far more often than the budget bears
--- a/internal/cluster/probes.go
+++ b/internal/cluster/probes.go
@@ -79,13 +79,15 @@
 	node.takeProbeResult(result)
 }
 
-// relaysResults tells whether what one instance found goes to others by way of its neighbours: where not all are neighbours.
+// relaysResults tells whether what one instance found goes to others by way of its neighbours: where not all
+// are neighbours.
 func (node *Node) relaysResults() bool {
 	const self = 1
 	return len(node.members.Alive()) > membership.MaxNeighbours+self
 }
 
-// takeProbeResult takes a result, unless somebody probed under a higher ballot before: its sender may have been frozen.
+// takeProbeResult takes a result, unless somebody probed under a higher ballot before: its sender may have
+// been frozen.
 func (node *Node) takeProbeResult(result ProbeResult) {
 	newest, known := node.results.newest[result.Target]
 	if result.Ballot < newest.ballot {
--- a/internal/cluster/probes_test.go
+++ b/internal/cluster/probes_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// After all of a quorum restarted with wall clocks set back, a holder's ballot may be below one seen for its target: it asks
-// anew instead of probing for nothing.
+// After all of a quorum restarted with wall clocks set back, a holder's ballot may be below one seen for its
+// target: it asks anew instead of probing for nothing.
 func TestHolderUnderALowBallotAsksAnew(t *testing.T) {
 	const ahead = 1 << 20
 	cluster := newCluster(t).withTarget()
--- a/internal/cluster/sharedconfig/cluster_test.go
+++ b/internal/cluster/sharedconfig/cluster_test.go
@@ -206,8 +206,8 @@
 	cluster.inTransit = append(later, cluster.inTransit...)
 }
 
-// check looks at what is acted on at this instant by all that run. Frozen ones are left out: what they do next they do by the
-// clock that they read then.
+// check looks at what is acted on at this instant by all that run. Frozen ones are left out: what they do
+// next they do by the clock that they read then.
 func (cluster *testCluster) check() {
 	active := map[uint64][]byte{}
 	for _, instance := range cluster.instances {
--- a/internal/cluster/sharedconfig/message.go
+++ b/internal/cluster/sharedconfig/message.go
@@ -3,9 +3,9 @@
 // MessageKind is what a message says.
 type MessageKind uint8
 
-// The kinds. Renew asks for a lease on the newest version known; Grant gives one, and Redirect says to which version the voter
-// goes instead. Propose asks the voters to accept a version, Accept and Reject answer, Commit says that a quorum has accepted
-// it. Fetch asks for a version's content, which a Redirect brings.
+// The kinds. Renew asks for a lease on the newest version known; Grant gives one, and Redirect says to which
+// version the voter goes instead. Propose asks the voters to accept a version, Accept and Reject answer,
+// Commit says that a quorum has accepted it. Fetch asks for a version's content, which a Redirect brings.
 const (
 	Renew MessageKind = iota + 1
 	Grant
@@ -36,8 +36,8 @@
 	Message Message
 }
 
-// Activated tells that a version is acted on from now on, until its leases end or another takes its place. Until when, Active
-// tells.
+// Activated tells that a version is acted on from now on, until its leases end or another takes its place.
+// Until when, Active tells.
 type Activated struct{ Version Version }
 
 // Deactivated tells that no version may be acted on: what is safe beside any that may be in force holds instead.
--- a/internal/cluster/sharedconfig/node_test.go
+++ b/internal/cluster/sharedconfig/node_test.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// A number of a far future, as a faulty instance would tell it, is not heeded: all later ones would come before it.
+// A number of a far future, as a faulty instance would tell it, is not heeded: all later ones would come
+// before it.
 func TestNumberOfAFarFuture(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
@@ -112,8 +113,8 @@
 	}
 }
 
-// runTroubled plays a course drawn by seed until something is broken: proposals beside crashes, pauses, splits, deaf ones, lost
-// messages and restarts of all.
+// runTroubled plays a course drawn by seed until something is broken: proposals beside crashes, pauses,
+// splits, deaf ones, lost messages and restarts of all.
 func runTroubled(seed uint64, count int, duration int64, fault plantedFault) *testCluster {
 	cluster := newCluster(seed, count, min(count, 3+2*int(seed%2)), fault)
 	for cluster.now < duration && cluster.broken == "" {
@@ -158,8 +159,9 @@
 	}
 }
 
-// Under drawn troubles no two incompatible versions are ever acted on at once, and no others for longer than a lease after the
-// later one first was; no number has two contents. TEALPATH_EXPLORE=N plays so many courses.
+// Under drawn troubles no two incompatible versions are ever acted on at once, and no others for longer than
+// a lease after the later one first was; no number has two contents. TEALPATH_EXPLORE=N plays so many
+// courses.
 func TestTroubled(t *testing.T) {
 	courses := 120
 	if asked, err := strconv.Atoi(os.Getenv("TEALPATH_EXPLORE")); err == nil {
--- a/internal/cluster/sharedconfig/proposer.go
+++ b/internal/cluster/sharedconfig/proposer.go
@@ -26,8 +26,8 @@
 
 func (proposal *proposal) pending() bool { return proposal.version.Number > 0 }
 
-// Propose has content become the next version; a ProposalEnded tells what became of it. It returns ErrContentTooLong or, as there
-// is one proposal at a time, ErrProposalPending.
+// Propose has content become the next version; a ProposalEnded tells what became of it. It returns
+// ErrContentTooLong or, as there is one proposal at a time, ErrProposalPending.
 func (node *Node) Propose(now, wallMS int64, content []byte) error {
 	switch {
 	case len(content) > MaxContentSize:
@@ -56,8 +56,8 @@
 	}
 }
 
-// nextNumber is above all numbers known. The wall clock lifts it over those that all may have forgotten, and a mark of this start
-// keeps two starts from drawing the same.
+// nextNumber is above all numbers known. The wall clock lifts it over those that all may have forgotten, and
+// a mark of this start keeps two starts from drawing the same.
 func (node *Node) nextNumber(wallMS int64) uint64 {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, node.config.Self, " ", node.config.Incarnation) //nolint:errcheck // a hash takes all that is written
--- a/internal/cluster/sharedconfig/record_test.go
+++ b/internal/cluster/sharedconfig/record_test.go
@@ -11,8 +11,8 @@
 // recordedDigest is the SHA-256 of all effects in TestRecordedSequence, in order.
 const recordedDigest = "c3c7c24f93956e7c28eef4327b2b9a73e9f6f2f5ee748ad56fce7b49a113e7ca"
 
-// TestRecordedSequence plays 300 s of seven instances, five of them voters, with drawn faults and proposals. Each effect goes
-// into one digest, so that a rewrite that changes any of them, or their order, is found.
+// TestRecordedSequence plays 300 s of seven instances, five of them voters, with drawn faults and proposals.
+// Each effect goes into one digest, so that a rewrite that changes any of them, or their order, is found.
 func TestRecordedSequence(t *testing.T) {
 	const instances, voters, seconds = 7, 5, 300
 	cluster := newCluster(48, instances, voters, plantedFault{})
--- a/internal/cluster/sharedconfig/voter.go
+++ b/internal/cluster/sharedconfig/voter.go
@@ -20,9 +20,9 @@
 	leasedUntil int64
 }
 
-// advance has a voter go on to the version committed last: at once where it is compatible with all on which leases granted here
-// may be left, else once those have ended. Not only the version before counts: voters of two epochs may be in force side by
-// side, of three not.
+// advance has a voter go on to the version committed last: at once where it is compatible with all on which
+// leases granted here may be left, else once those have ended. Not only the version before counts: voters of
+// two epochs may be in force side by side, of three not.
 func (node *Node) advance(now int64) {
 	state := &node.voter
 	if !node.isVoter() || state.next == state.current || node.contents[state.next] == nil {
@@ -52,8 +52,8 @@
 	return incompatible || err != nil
 }
 
-// receiveRenew has a voter grant a lease on the version in force with it. It learns from those who ask: one that restarted knows
-// nothing.
+// receiveRenew has a voter grant a lease on the version in force with it. It learns from those who ask: one
+// that restarted knows nothing.
 func (node *Node) receiveRenew(now int64, from string, message Message) {
 	if !node.isVoter() {
 		return
@@ -75,7 +75,8 @@
 	}
 }
 
-// receivePropose has a voter accept or reject a version. A silent voter does neither: it doesn't know what it has accepted.
+// receivePropose has a voter accept or reject a version. A silent voter does neither: it doesn't know what it
+// has accepted.
 func (node *Node) receivePropose(now int64, from string, message Message) {
 	if !node.isVoter() || len(message.Content) > MaxContentSize || now < node.grantsFrom {
 		return
@@ -88,7 +89,8 @@
 	node.send(now, from, Message{Kind: Accept, Number: message.Number})
 }
 
-// reasonToReject checks a proposal against the newest version and the numbers accepted; it is empty where nothing is wrong.
+// reasonToReject checks a proposal against the newest version and the numbers accepted; it is empty where
+// nothing is wrong.
 func (node *Node) reasonToReject(message Message) string {
 	if _, err := node.config.Incompatible(node.contents[node.newest], message.Content); err != nil {
 		return err.Error()
--- a/internal/cluster/timing/timing_test.go
+++ b/internal/cluster/timing/timing_test.go
@@ -18,7 +18,8 @@
 	}
 }
 
-// A holder that trusts its own clock stops before any voter's lease ends, also where the one is slow and the other fast.
+// A holder that trusts its own clock stops before any voter's lease ends, also where the one is slow and the
+// other fast.
 func TestHolderStopsBeforeTheLeaseOfAnyVoter(t *testing.T) {
 	const lease = int64(1_500_000_000)
 	for _, drift := range []float64{0, 0.001, 0.01, 0.1} {
