--- a/internal/cluster/lease/acquire.go
+++ b/internal/cluster/lease/acquire.go
@@ -9,7 +9,7 @@
 const (
 	ticksPerRenewal = 8
 	steadyRenewals  = 2 // for so long a slot must be assigned to another before it is handed over
-	handOverShare   = 8 // one in so many slots is handed over in a renewal
+	transferShare   = 8 // one in so many slots is handed over in a renewal
 	turnsPerRenewal = 2 // ranks behind the assigned candidate that get their turn in one renewal
 	maxTurnRenewals = 2 // until the turn of the last of those that wait in turn
 	nearRanks       = 4 // ranks behind the assigned candidate that look after a slot; the rest leave it to them
@@ -71,8 +71,9 @@
 		items = append(items, SlotBallot{Slot: slot, Ballot: own.ballot})
 	}
 	if len(items) > 0 {
-		node.askVoters(now, Prepare, items)
-		node.ObserveBallot(items[0].Ballot) // not before: the own vote's floor must not be the ballot that is asked with
+		node.requestVotes(now, Prepare, items)
+		// Not before the votes: the lowest ballot that the own voter promises must not be the one that it is asked for.
+		node.ObserveBallot(items[0].Ballot)
 	}
 }
 
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -107,7 +107,7 @@
 		return
 	}
 	node := state.nodes[i]
-	node.highest, node.ballotFloor = 0, 0
+	node.highest, node.minBallot = 0, 0
 	node.grants[0].promisedBallot, node.grants[0].ballot = 0, 0
 }
 
@@ -172,7 +172,7 @@
 	put(state.now, int64(state.highest), int64(state.crashes), int64(state.copies))
 	for i, node := range state.nodes {
 		put(state.startedAt[i], state.setBack[i])
-		put(node.tickAt, node.renewAt, int64(node.highest), int64(node.ballotFloor), int64(node.config.Self.Incarnation))
+		put(node.tickAt, node.renewAt, int64(node.highest), int64(node.minBallot), int64(node.config.Self.Incarnation))
 		granted := node.grants[0]
 		put(int64(granted.promisedBallot), int64(granted.promisedTo.Incarnation))
 		put(int64(granted.holder.Incarnation), int64(granted.ballot), granted.until)
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -74,11 +74,11 @@
 			items = append(items, SlotBallot{Slot: slot, Ballot: own.ballot})
 		}
 	}
-	node.askVoters(now, Propose, items)
+	node.requestVotes(now, Propose, items)
 }
 
-// askVoters sends a Prepare or Propose to all voters; the own vote is asked directly, after the others.
-func (node *Node) askVoters(now int64, kind MessageKind, items []SlotBallot) {
+// requestVotes sends a Prepare or Propose to all voters; the own vote is asked directly, after the others.
+func (node *Node) requestVotes(now int64, kind MessageKind, items []SlotBallot) {
 	if len(items) == 0 {
 		return
 	}
@@ -125,7 +125,7 @@
 			node.receiveAccept(now, voter, message.SentAt, item.Slot)
 		}
 	}
-	node.askVoters(now, Propose, promised)
+	node.requestVotes(now, Propose, promised)
 }
 
 // receivePromise counts a promise; it tells whether it completed a quorum.
@@ -177,22 +177,22 @@
 	own.busyUntil = max(own.busyUntil, now+wait+node.random(node.config.RenewInterval/ticksPerRenewal))
 }
 
-// handOver gives held slots to those that they are assigned to, a few at a time: it stops first, and releases
+// transfer gives held slots to those that they are assigned to, a few at a time: it stops first, and releases
 // then.
-func (node *Node) handOver(now int64) {
+func (node *Node) transfer(now int64) {
 	steadyFor := steadyRenewals * node.config.RenewInterval
 	if node.assigned == nil || now-node.assignedAt < steadyFor {
 		return
 	}
 	for slot := range node.holdings {
-		if node.handedOver > len(node.holdings)/handOverShare {
+		if node.transferred > len(node.holdings)/transferShare {
 			return
 		}
 		own, successor := &node.holdings[slot], node.assignedName(slot)
 		if !own.held || successor == node.config.Self.Name {
 			continue
 		}
-		node.handedOver++
+		node.transferred++
 		node.lose(slot, "handed to "+successor)
 		node.release(slot, successor)
 		own.busyUntil = now + steadyFor // the successor has until then
--- a/internal/cluster/lease/message.go
+++ b/internal/cluster/lease/message.go
@@ -26,7 +26,7 @@
 type SlotBallot struct {
 	Slot      int      `cbor:"1,keyasint"`
 	Ballot    uint64   `cbor:"2,keyasint"`
-	Holder    Instance `cbor:"3,keyasint,omitempty"` // Reject: who holds the slot; Release: the name of whom it is meant for
+	Holder    Instance `cbor:"3,keyasint,omitempty"` // Reject: the present holder; Release: the name of the successor
 	Remaining int64    `cbor:"4,keyasint,omitempty"` // Reject: for how long it is still held, ns
 }
 
--- a/internal/cluster/lease/node.go
+++ b/internal/cluster/lease/node.go
@@ -49,11 +49,11 @@
 
 // Node is one instance.
 type Node struct {
-	config      Config
-	grantsFrom  int64  // before this the voter is silent, as it may have granted before its start
-	ballotFloor uint64 // highest ballot known when the silence ended; 0: it has not ended
-	highest     uint64 // highest ballot known
-	wallMS      int64  // ms since 1970, at the last tick
+	config     Config
+	grantsFrom int64  // before this the voter is silent, as it may have granted before its start
+	minBallot  uint64 // highest ballot known when the silence ended; 0: it has not ended
+	highest    uint64 // highest ballot known
+	wallMS     int64  // ms since 1970, at the last tick
 
 	voterNames     []string
 	voterSets      [][]int  // indexes in voterNames; a quorum has a majority of each set
@@ -68,10 +68,10 @@
 	assigned   []int // the candidate that is to hold each slot, as an index; nil without candidates
 	assignedAt int64
 
-	renewAt    int64
-	tickAt     int64
-	handedOver int // slots, since the last renewal
-	releasing  bool
+	renewAt     int64
+	tickAt      int64
+	transferred int // slots, since the last renewal
+	releasing   bool
 
 	rng     rand.PCG
 	effects []Effect
@@ -126,10 +126,10 @@
 	node.expire(now)
 	if now >= node.renewAt {
 		node.renewAt = NextTick(now, node.config.Self.Name, node.config.RenewInterval)
-		node.handedOver = 0
+		node.transferred = 0
 		node.renew(now)
 	}
-	node.handOver(now)
+	node.transfer(now)
 	node.findFree(now)
 	node.tryFree(now)
 }
--- a/internal/cluster/lease/status.go
+++ b/internal/cluster/lease/status.go
@@ -52,7 +52,8 @@
 func (node *Node) reasonFree(now int64, own *holding, planned string) string {
 	switch {
 	case now < node.grantsFrom:
-		return fmt.Sprintf("voters that have just started grant nothing for %d ms", timing.Milliseconds(node.config.RestartSilence()))
+		silenceMS := timing.Milliseconds(node.config.RestartSilence())
+		return fmt.Sprintf("voters that have just started grant nothing for %d ms", silenceMS)
 	case !node.HasQuorum(now):
 		return "no majority of the voters answers"
 	case own.ballot != 0:
--- a/internal/cluster/lease/voter.go
+++ b/internal/cluster/lease/voter.go
@@ -42,7 +42,7 @@
 	if kind == Prepare {
 		// The floor is for ballots that were known when the silence ended: the promises made before it are
 		// forgotten.
-		return outdated || ballot <= node.ballotFloor || ballot <= current.ballot
+		return outdated || ballot <= node.minBallot || ballot <= current.ballot
 	}
 	if ballot >= current.ballot && now-current.promisedAt >= node.config.LeaseDuration {
 		return false // or a promise that nothing came of would keep a voter from its slot's holder for a whole tenure
@@ -54,7 +54,7 @@
 // whom and for how long.
 func (node *Node) rejection(now int64, slot int, leased bool) SlotBallot {
 	current := &node.grants[slot]
-	item := SlotBallot{Slot: slot, Ballot: max(current.promisedBallot, current.ballot, node.ballotFloor)}
+	item := SlotBallot{Slot: slot, Ballot: max(current.promisedBallot, current.ballot, node.minBallot)}
 	if leased {
 		item.Holder, item.Remaining = current.holder, current.until-now
 	}
@@ -77,8 +77,8 @@
 // endSilence ends the silence of a start. Promises made before the start are forgotten, so from here on only
 // ballots above all that were heard of until now are promised.
 func (node *Node) endSilence(now int64) {
-	if node.ballotFloor == 0 && now >= node.grantsFrom {
-		node.ballotFloor = max(node.highest, 1)
+	if node.minBallot == 0 && now >= node.grantsFrom {
+		node.minBallot = max(node.highest, 1)
 	}
 }
 
--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -7,10 +7,10 @@
 	// MaxMembers is how many instances are known at most; those that a peer tells of beyond are not taken.
 	MaxMembers = 8192
 
-	maxIncarnations = 64 // under one name that are kept apart
-	maxReports      = 32 // kept of one member
-	maxQueuedNews   = 4096
-	maxLocalHealth  = 8
+	maxIncarnations  = 64 // under one name that are kept apart
+	maxReports       = 32 // kept of one member
+	maxQueuedReports = 4096
+	maxLocalHealth   = 8
 )
 
 // Lengths of time in heartbeat intervals.
@@ -18,7 +18,7 @@
 	defaultSilence   = 3  // without a sign from which a neighbour is reported
 	confirmIntervals = 1  // for which most observers must report a member until it is believed dead
 	reportLifetime   = 50 // for which a report counts, unless it is said again
-	reportAgain      = 20 // after which it is
+	reportRepeat     = 20 // after which it is
 	forgetAfter      = 60 // without a sign, after which one that is not configured is forgotten
 	forgetEvery      = forgetAfter / 6
 	unheardOnRings   = forgetAfter / 3 // from the start, in which contacts that nobody has heard of count on the rings
@@ -47,13 +47,13 @@
 	Weight        float64
 }
 
-// Config is what a table starts with. Lengths of time are in ns.
+// Config is what a table starts with. Durations are in ns.
 type Config struct {
 	Self              Entry
 	Contacts          []Contact // the others; those that are not reached are tried on
 	HeartbeatInterval int64
-	SilenceTimeout    int64                 // without a sign from which a neighbour is reported; 0 is three intervals
-	ReplacedTimeout   int64                 // for how long an incarnation that was replaced still counts as possibly there
+	SilenceTimeout    int64                 // after which a silent neighbour is reported; 0 is three intervals
+	ReplacedTimeout   int64                 // for which a replaced incarnation may still be there
 	Seed              uint64                // of chance
 	NextHeartbeat     func(now int64) int64 // when the next heartbeat is due; nil is an interval on
 }
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -67,7 +67,7 @@
 		if kind == Silent {
 			silent++
 		}
-		again := now-member.link.reportedAt >= table.config.intervals(reportAgain)
+		again := now-member.link.reportedAt >= table.config.intervals(reportRepeat)
 		if kind != member.link.reported || kind != Healthy && again {
 			table.reportNeighbour(now, member, kind)
 		}
@@ -169,7 +169,11 @@
 
 // canReport tells whether a name can report: it is this instance, or believed alive.
 func (table *Table) canReport(name string) bool {
-	return name == table.self.entry.Name || table.members.byName[name] != nil && table.members.byName[name].State == Alive
+	if name == table.self.entry.Name {
+		return true
+	}
+	member := table.members.byName[name]
+	return member != nil && member.State == Alive
 }
 
 // judge weighs what observers say of a member.
--- a/internal/cluster/membership/news.go
+++ b/internal/cluster/membership/gossip.go
@@ -11,20 +11,20 @@
 	from string
 }
 
-// newsQueue is what is to be passed on.
-type newsQueue struct {
+// gossipQueue is what is to be passed on.
+type gossipQueue struct {
 	entries map[string]string // names whose entry goes to all but the one it came from
 	reports []queuedReport
 	sendAt  int64             // 0: there is nothing
 	rumours map[string]uint64 // version of a member that somebody believes dead, plus one, that was passed on
 }
 
-func newNewsQueue() newsQueue {
-	return newsQueue{entries: map[string]string{}, rumours: map[string]uint64{}}
+func newGossipQueue() gossipQueue {
+	return gossipQueue{entries: map[string]string{}, rumours: map[string]uint64{}}
 }
 
 // next is when the queue is to be sent, or noTime.
-func (queue *newsQueue) next() int64 {
+func (queue *gossipQueue) next() int64 {
 	if queue.sendAt == 0 {
 		return noTime
 	}
@@ -32,7 +32,7 @@
 }
 
 // isNewRumour notes a rumour that a member's present version is dead; it tells whether it is the first one.
-func (queue *newsQueue) isNewRumour(member *record) bool {
+func (queue *gossipQueue) isNewRumour(member *record) bool {
 	if queue.rumours[member.Name] == member.Version+1 {
 		return false
 	}
@@ -41,7 +41,7 @@
 }
 
 // schedule has what is new sent soon.
-func (queue *newsQueue) schedule(now, interval int64) {
+func (queue *gossipQueue) schedule(now, interval int64) {
 	if queue.sendAt == 0 {
 		queue.sendAt = now + interval/batchPart
 	}
@@ -49,26 +49,26 @@
 
 // passOn has an entry passed on to all but from.
 func (table *Table) passOn(now int64, name, from string) {
-	table.news.entries[name] = from
-	table.news.schedule(now, table.config.HeartbeatInterval)
+	table.gossip.entries[name] = from
+	table.gossip.schedule(now, table.config.HeartbeatInterval)
 }
 
 // passOnReport has a report passed on to all but from.
 func (table *Table) passOnReport(now int64, report Report, from string) {
-	table.news.reports = append(table.news.reports, queuedReport{report, from})
-	table.news.schedule(now, table.config.HeartbeatInterval)
+	table.gossip.reports = append(table.gossip.reports, queuedReport{report, from})
+	table.gossip.schedule(now, table.config.HeartbeatInterval)
 }
 
-// newsBatch is the news of one message, with the sender of each.
-type newsBatch struct {
+// gossipBatch is what one message passes on, with the sender of each.
+type gossipBatch struct {
 	entries []Entry
 	from    []string // of each entry
 	reports []queuedReport
 }
 
 // take takes what is new out of the queue, as much as one message holds.
-func (queue *newsQueue) take(table *Table) newsBatch {
-	var batch newsBatch
+func (queue *gossipQueue) take(table *Table) gossipBatch {
+	var batch gossipBatch
 	names := slices.Sorted(maps.Keys(queue.entries))
 	for _, name := range names[:min(len(names), MaxPerMessage)] {
 		from := queue.entries[name]
@@ -82,7 +82,7 @@
 	count := min(len(queue.reports), MaxPerMessage)
 	batch.reports = queue.reports[:count:count]
 	queue.reports = slices.Clone(queue.reports[count:])
-	if tooMany := len(queue.reports) - maxQueuedNews; tooMany > 0 {
+	if tooMany := len(queue.reports) - maxQueuedReports; tooMany > 0 {
 		queue.reports = queue.reports[tooMany:]
 	}
 	return batch
@@ -100,8 +100,8 @@
 	return member.announcement(), true
 }
 
-// forPeer is a message of the news that did not come from a peer itself.
-func (batch newsBatch) forPeer(name string) Gossip {
+// forPeer is a message of the batch without what came from the peer itself.
+func (batch gossipBatch) forPeer(name string) Gossip {
 	var gossip Gossip
 	for i, entry := range batch.entries {
 		if batch.from[i] != name {
@@ -116,12 +116,12 @@
 	return gossip
 }
 
-// sendNews passes what is new on, once by every link.
-func (table *Table) sendNews(now int64) []Send {
-	batch := table.news.take(table)
-	table.news.sendAt = 0
-	if len(table.news.entries) > 0 || len(table.news.reports) > 0 {
-		table.news.schedule(now, table.config.HeartbeatInterval)
+// sendGossip passes what is new on, once by every link.
+func (table *Table) sendGossip(now int64) []Send {
+	batch := table.gossip.take(table)
+	table.gossip.sendAt = 0
+	if len(table.gossip.entries) > 0 || len(table.gossip.reports) > 0 {
+		table.gossip.schedule(now, table.config.HeartbeatInterval)
 	}
 	var sends []Send
 	for _, name := range table.links.sortedNames() {
--- a/internal/cluster/membership/heartbeat.go
+++ b/internal/cluster/membership/heartbeat.go
@@ -6,11 +6,11 @@
 // and now and then a try at one that is not there.
 func (table *Table) heartbeats(now int64) []Send {
 	table.pickStray(now)
-	news := table.news.take(table)
+	batch := table.gossip.take(table)
 	digest, _ := table.digests.of(table)
 	var sends []Send
 	for _, name := range table.links.sortedNames() {
-		gossip := table.heartbeat(now, table.members.byName[name], news.forPeer(name))
+		gossip := table.heartbeat(now, table.members.byName[name], batch.forPeer(name))
 		gossip.Digest = digest
 		sends = append(sends, Send{To: name, Gossip: gossip})
 	}
@@ -21,13 +21,14 @@
 	return sends
 }
 
-// heartbeat makes the next heartbeat to a neighbour of the news for it.
+// heartbeat makes the next heartbeat to a neighbour from the gossip for it.
 func (table *Table) heartbeat(now int64, member *record, gossip Gossip) Gossip {
 	link := member.link
 	link.sent++
 	gossip.Heartbeat, gossip.Echo = link.sent, link.received
-	hasSelf := slices.ContainsFunc(gossip.Entries, func(entry Entry) bool { return entry.Name == table.self.entry.Name })
-	if link.echoed == 0 && !hasSelf { // it may not know this instance yet
+	isSelf := func(entry Entry) bool { return entry.Name == table.self.entry.Name }
+	mayNotKnowSelf := link.echoed == 0
+	if mayNotKnowSelf && !slices.ContainsFunc(gossip.Entries, isSelf) {
 		gossip.Entries = append([]Entry{table.self.entry}, gossip.Entries...)
 	}
 	if member.State == Dead { // so that it can refute
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -8,7 +8,7 @@
 	// DigestBuckets is into how many parts, by hash of the name, digests are taken apart to find what differs.
 	DigestBuckets = 64
 
-	maxExtraEntries = 2 // that a heartbeat may have beside the news: the sender's own, and one that is to refute
+	maxExtraEntries = 2 // that a heartbeat may have beside what is passed on: the sender's own, and one that is to refute
 	maxNameSize     = 128
 	maxAddressSize  = 256
 	maxWeight       = 1e6
@@ -76,7 +76,7 @@
 
 // Gossip is what one instance tells another.
 type Gossip struct {
-	Heartbeat     uint64   `cbor:"1,keyasint,omitempty"` // its number on this link; 0: there are only news
+	Heartbeat     uint64   `cbor:"1,keyasint,omitempty"` // its number on this link; 0: it is no heartbeat
 	Echo          uint64   `cbor:"2,keyasint,omitempty"` // the last heartbeat that came the other way
 	Digest        uint64   `cbor:"3,keyasint,omitempty"` // of all entries believed alive
 	Entries       []Entry  `cbor:"4,keyasint,omitempty"`
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -148,7 +148,7 @@
 
 // passOnRumour passes the word that somebody believes a member dead on, once for each of its versions.
 func (table *Table) passOnRumour(now int64, member *record, rumour Report, from string) {
-	if table.news.isNewRumour(member) {
+	if table.gossip.isNewRumour(member) {
 		table.passOnReport(now, rumour, from)
 	}
 }
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -30,7 +30,7 @@
 	suspicion suspicion
 	links     neighbourhood
 	stray     stray
-	news      newsQueue
+	gossip    gossipQueue
 	digests   digests
 	view      view
 
@@ -54,13 +54,13 @@
 		suspicion:     newSuspicion(config.Self.Start),
 		links:         newNeighbourhood(),
 		stray:         stray{triedAt: now},
-		news:          newNewsQueue(),
+		gossip:        newGossipQueue(),
 		view:          view{dirtySince: timing.Never, handedAt: now},
 		nextHeartbeat: now,
 	}
 	table.Configure(now, config.Contacts, config.Self.Weight, config.Self.Epoch)
 	table.publish(now)
-	table.news = newNewsQueue() // who does not know this instance gets its entry with the first heartbeat
+	table.gossip = newGossipQueue() // who does not know this instance gets its entry with the first heartbeat
 	return table
 }
 
@@ -89,7 +89,7 @@
 	table.publish(now)
 }
 
-// Tick does what is due: heartbeats, reports, judgements, news, and the view handed on.
+// Tick does what is due: heartbeats, reports, judgements, gossip, and the view handed on.
 func (table *Table) Tick(now int64) ([]Send, []Change) {
 	var sends []Send
 	table.checkOwnDelay(now)
@@ -100,8 +100,8 @@
 		table.nextHeartbeat = table.config.NextHeartbeat(now)
 		sends = table.heartbeats(now)
 	}
-	if now >= table.news.next() {
-		sends = append(sends, table.sendNews(now)...)
+	if now >= table.gossip.next() {
+		sends = append(sends, table.sendGossip(now)...)
 	}
 	table.settleView(now)
 	return sends, table.takeChanges()
@@ -117,7 +117,7 @@
 func (table *Table) Next() int64 {
 	return min(
 		table.nextHeartbeat,
-		table.news.next(),
+		table.gossip.next(),
 		table.view.next(table.config.HeartbeatInterval),
 		table.links.nextSilence(table.silenceTimeout()),
 		table.suspicion.next(table.config.intervals(confirmIntervals)),
@@ -130,7 +130,7 @@
 	table.raiseSelf(now)
 	table.touch(now)
 	table.publish(now)
-	return table.sendNews(now)
+	return table.sendGossip(now)
 }
 
 // Self is the own entry as it is passed on.
@@ -221,7 +221,7 @@
 	table.members.remove(member)
 	table.links.remove(member)
 	table.suspicion.remove(member)
-	delete(table.news.rumours, member.Name)
+	delete(table.gossip.rumours, member.Name)
 	table.revision++
 	table.version++
 	table.touch(now)
--- a/internal/cluster/peer/links.go
+++ b/internal/cluster/peer/links.go
@@ -22,7 +22,7 @@
 const (
 	maxQueue         = 64   // frames waiting for one peer
 	maxHandshakes    = 16   // at a time
-	maxAccepted      = 2048 // to a voter all others may come, 1,024 and more, also again before the links before are known to be dead
+	maxAccepted      = 2048 // all others may link to a voter, and again before their old links are known to be dead
 	maxSameName      = 3    // accepted links from one name; the oldest ends
 	handshakeTimeout = 2 * time.Second
 	writeTimeout     = 2 * time.Second
--- a/internal/cluster/probe/prober.go
+++ b/internal/cluster/probe/prober.go
@@ -162,7 +162,8 @@
 // capacity is that of the very start, as if it never rose.
 func (prober *Prober) ColdBudget(target Target) float64 {
 	limit := prober.config.limitOf(target)
-	return prober.config.ColdPart * limit.Factor * limit.Share * target.Capacity * float64(limit.Window) / float64(time.Second)
+	window := float64(limit.Window)
+	return prober.config.ColdPart * limit.Factor * limit.Share * target.Capacity * window / float64(time.Second)
 }
 
 // ProbeEnded tells how a probe ended. A target that answers again may have been restarted, which the list
--- a/internal/cluster/sharedconfig/config.go
+++ b/internal/cluster/sharedconfig/config.go
@@ -16,7 +16,7 @@
 
 	maxKnownVersions = 8 // whose contents are kept
 	retryRenewals    = 2 // renewals after which a proposal that came to nothing is made again
-	maxTries         = 8 // of one proposal
+	maxAttempts      = 8 // of one proposal
 )
 
 // Version is one state of the shared configuration. Of two the one with the higher number is the later.
--- a/internal/cluster/sharedconfig/proposer.go
+++ b/internal/cluster/sharedconfig/proposer.go
@@ -19,7 +19,7 @@
 type proposal struct {
 	version  Version
 	sentAt   int64 // when the voters were last asked
-	tries    int   // that came to nothing
+	attempts int   // that came to nothing
 	accepted map[string]bool
 	rejected map[string]bool
 }
@@ -36,12 +36,12 @@
 		return fmt.Errorf("%w: version %d", ErrProposalPending, node.proposal.version.Number)
 	}
 	node.proposal = proposal{version: Version{Content: content}}
-	node.askToAccept(now, wallMS)
+	node.requestAccepts(now, wallMS)
 	return nil
 }
 
-// askToAccept asks the voters under a new number.
-func (node *Node) askToAccept(now, wallMS int64) {
+// requestAccepts asks the voters under a new number.
+func (node *Node) requestAccepts(now, wallMS int64) {
 	number := node.nextNumber(wallMS)
 	node.highest = max(node.highest, number)
 	node.proposal.version.Number = number
@@ -60,7 +60,7 @@
 // a mark of this start keeps two starts from drawing the same.
 func (node *Node) nextNumber(wallMS int64) uint64 {
 	hash := fnv.New64a()
-	fmt.Fprint(hash, node.config.Self, " ", node.config.Incarnation) //nolint:errcheck // a hash takes all that is written
+	fmt.Fprint(hash, node.config.Self, " ", node.config.Incarnation) //nolint:errcheck // a hash's Write never fails
 	return paxos.NextBallot(node.highest, wallMS, paxos.Mark(hash.Sum64()))
 }
 
@@ -69,12 +69,12 @@
 	if !node.proposal.pending() || now-node.proposal.sentAt < retryRenewals*node.config.RenewInterval {
 		return
 	}
-	node.proposal.tries++
-	if node.proposal.tries >= maxTries {
+	node.proposal.attempts++
+	if node.proposal.attempts >= maxAttempts {
 		node.endProposal("no majority of the voters answered")
 		return
 	}
-	node.askToAccept(now, wallMS)
+	node.requestAccepts(now, wallMS)
 }
 
 func (node *Node) endProposal(reason string) {
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -92,7 +92,8 @@
 	for _, slot := range node.leases.Slots(now) {
 		slotStatus := SlotStatus{SlotStatus: slot}
 		if slot.Own {
-			slotStatus.SinceMS, slotStatus.LeftMS = timing.Milliseconds(now-slot.Since), timing.Milliseconds(slot.Until-now)
+			slotStatus.SinceMS = timing.Milliseconds(now - slot.Since)
+			slotStatus.LeftMS = timing.Milliseconds(slot.Until - now)
 		}
 		status.Slots = append(status.Slots, slotStatus)
 	}
@@ -107,13 +108,23 @@
 func (node *Node) memberStatuses(now int64) []MemberStatus {
 	self := node.members.Self()
 	statuses := []MemberStatus{{
-		Name: self.Name, Address: self.Address, State: membership.Alive.String(), SinceMS: timing.Milliseconds(now - node.startedAt),
-		Weight: self.Weight, Epoch: self.Epoch, Doubled: node.duplicated,
+		Name:    self.Name,
+		Address: self.Address,
+		State:   membership.Alive.String(),
+		SinceMS: timing.Milliseconds(now - node.startedAt),
+		Weight:  self.Weight,
+		Epoch:   self.Epoch,
+		Doubled: node.duplicated,
 	}}
 	for _, member := range node.members.Members() {
 		statuses = append(statuses, MemberStatus{
-			Name: member.Name, Address: member.Address, State: member.State.String(), SinceMS: timing.Milliseconds(now - member.Since),
-			Weight: member.Weight, Epoch: member.Epoch, Doubled: node.members.IsDuplicated(now, member.Name),
+			Name:    member.Name,
+			Address: member.Address,
+			State:   member.State.String(),
+			SinceMS: timing.Milliseconds(now - member.Since),
+			Weight:  member.Weight,
+			Epoch:   member.Epoch,
+			Doubled: node.members.IsDuplicated(now, member.Name),
 		})
 	}
 	return statuses
@@ -123,15 +134,27 @@
 func (node *Node) Members(now int64) MembersStatus {
 	number, digest, since := node.members.ViewInfo()
 	status := MembersStatus{
-		Name: node.config.Self.Name, View: number, Digest: digest, SinceMS: timing.Milliseconds(now - since),
-		Alive: len(node.members.Alive()), Health: node.members.LocalHealth(), AwayMS: timing.Milliseconds(node.members.Away()),
-		CutOff: node.members.IsCutOff(), Links: len(node.peers.linked), Refused: node.members.Rejected(),
+		Name:    node.config.Self.Name,
+		View:    number,
+		Digest:  digest,
+		SinceMS: timing.Milliseconds(now - since),
+		Alive:   len(node.members.Alive()),
+		Health:  node.members.LocalHealth(),
+		AwayMS:  timing.Milliseconds(node.members.Away()),
+		CutOff:  node.members.IsCutOff(),
+		Links:   len(node.peers.linked),
+		Refused: node.members.Rejected(),
 	}
 	links := node.members.LinkStates(now)
 	for _, member := range node.members.Members() {
 		belief := MemberBelief{
-			Name: member.Name, State: member.State.String(), SinceMS: timing.Milliseconds(now - member.Since), Version: member.Version,
-			Held: member.HeldOut, Doubled: node.members.IsDuplicated(now, member.Name), Reported: reportedBy(member),
+			Name:     member.Name,
+			State:    member.State.String(),
+			SinceMS:  timing.Milliseconds(now - member.Since),
+			Version:  member.Version,
+			Held:     member.HeldOut,
+			Doubled:  node.members.IsDuplicated(now, member.Name),
+			Reported: reportedBy(member),
 		}
 		if link, ok := links[member.Name]; ok {
 			belief.Near = !link.Inbound
