--- a/internal/cluster/lease/node_test.go
+++ b/internal/cluster/lease/node_test.go
@@ -200,7 +200,8 @@
 		{Epoch: 2, Current: []string{"n0", "n4", "n5"}, Previous: old.Current},
 	} {
 		var wrong *ConfigError
-		if err := cluster.nodes["n0"].UpdateVoters(cluster.clock("n0"), bad); !errors.As(err, &wrong) || wrong.Setting != "voters" {
+		err := cluster.nodes["n0"].UpdateVoters(cluster.clock("n0"), bad)
+		if !errors.As(err, &wrong) || wrong.Setting != "voters" {
 			t.Errorf("%+v: error %v", bad, err)
 		}
 	}
@@ -212,7 +213,8 @@
 	}
 	third := Voters{Epoch: 3, Current: []string{"n1", "n2", "n3"}, Previous: next.Current}
 	var unsettled *EpochUnsettledError
-	if err := cluster.nodes["n0"].UpdateVoters(cluster.clock("n0"), third); !errors.As(err, &unsettled) || unsettled.Epoch != 2 {
+	err := cluster.nodes["n0"].UpdateVoters(cluster.clock("n0"), third)
+	if !errors.As(err, &unsettled) || unsettled.Epoch != 2 {
 		t.Errorf("a second step before the first is settled: error %v", err)
 	}
 	cluster.run(4 * cluster.leaseDuration)
--- a/internal/cluster/lease/record_test.go
+++ b/internal/cluster/lease/record_test.go
@@ -33,8 +33,8 @@
 		for _, name := range cluster.names {
 			if node := cluster.nodes[name]; node != nil {
 				now := cluster.clock(name)
-				record("%s %v next %d highest %d quorum %v", name, node.Slots(now), node.Next(), node.HighestBallot(),
-					node.HasQuorum(now))
+				record("%s %v next %d highest %d quorum %v",
+					name, node.Slots(now), node.Next(), node.HighestBallot(), node.HasQuorum(now))
 			}
 		}
 	}
--- a/internal/cluster/lease/status_test.go
+++ b/internal/cluster/lease/status_test.go
@@ -39,7 +39,8 @@
 	}
 	cluster.cut = func(from, to string) bool { return from == "n0" || to == "n0" }
 	cluster.run(3 * cluster.leaseDuration)
-	if got := reasons(cluster.nodes["n0"], cluster.clock("n0")); got["no majority of the voters answers"] != clusterSlots {
+	got := reasons(cluster.nodes["n0"], cluster.clock("n0"))
+	if got["no majority of the voters answers"] != clusterSlots {
 		t.Errorf("cut off: %v", got)
 	}
 }
--- a/internal/cluster/membership/cluster_test.go
+++ b/internal/cluster/membership/cluster_test.go
@@ -57,8 +57,15 @@
 func newFaultyCluster(t *testing.T, count int, fault plantedFault) *testCluster {
 	t.Helper()
 	cluster := &testCluster{
-		t: t, now: 1000 * second, tables: map[string]*Table{}, faults: map[string]plantedFault{}, down: map[string]bool{},
-		pausedUntil: map[string]int64{}, cut: noCut, rng: rand.New(rand.NewPCG(7, uint64(count))), fault: fault,
+		t:           t,
+		now:         1000 * second,
+		tables:      map[string]*Table{},
+		faults:      map[string]plantedFault{},
+		down:        map[string]bool{},
+		pausedUntil: map[string]int64{},
+		cut:         noCut,
+		rng:         rand.New(rand.NewPCG(7, uint64(count))),
+		fault:       fault,
 	}
 	for i := range count {
 		cluster.names = append(cluster.names, fmt.Sprintf("n%03d", i))
@@ -81,10 +88,13 @@
 	phase := cluster.rng.Int64N(interval)
 	incarnation := cluster.rng.Uint64() | 1
 	cluster.tables[name] = New(cluster.now, Config{
-		Self:     Entry{Name: name, Incarnation: incarnation, Start: wallMS, Address: name + ":1", Weight: 1},
-		Contacts: contacts, HeartbeatInterval: interval, SilenceTimeout: 21 * second / 10, ReplacedTimeout: 5 * interval,
-		Seed:          cluster.starts,
-		NextHeartbeat: func(now int64) int64 { return now + interval - (now+phase)%interval },
+		Self:              Entry{Name: name, Incarnation: incarnation, Start: wallMS, Address: name + ":1", Weight: 1},
+		Contacts:          contacts,
+		HeartbeatInterval: interval,
+		SilenceTimeout:    21 * second / 10,
+		ReplacedTimeout:   5 * interval,
+		Seed:              cluster.starts,
+		NextHeartbeat:     func(now int64) int64 { return now + interval - (now+phase)%interval },
 	})
 	cluster.faults[name] = cluster.fault
 	delete(cluster.down, name)
@@ -147,8 +157,10 @@
 func (cluster *testCluster) plant(to string, gossip Gossip) Gossip {
 	fault := cluster.faults[to]
 	if fault.noRefuting {
-		gossip.Entries = slices.DeleteFunc(slices.Clone(gossip.Entries), func(entry Entry) bool { return entry.Name == to })
-		gossip.Reports = slices.DeleteFunc(slices.Clone(gossip.Reports), func(report Report) bool { return report.Subject == to })
+		ofReceiver := func(entry Entry) bool { return entry.Name == to }
+		aboutReceiver := func(report Report) bool { return report.Subject == to }
+		gossip.Entries = slices.DeleteFunc(slices.Clone(gossip.Entries), ofReceiver)
+		gossip.Reports = slices.DeleteFunc(slices.Clone(gossip.Reports), aboutReceiver)
 	}
 	if fault.believeOne {
 		for _, member := range cluster.tables[to].members.byName {
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -11,16 +11,25 @@
 	from string
 }
 
+// queuedEntry is an entry to be passed on to all but the one it came from.
+type queuedEntry struct {
+	Entry
+	from string
+}
+
+// queuedName is a name whose entry, as it then is, is to be passed on to all but the one it came from.
+type queuedName struct{ from string }
+
 // gossipQueue is what is to be passed on.
 type gossipQueue struct {
-	entries map[string]string // names whose entry goes to all but the one it came from
+	entries map[string]queuedName
 	reports []queuedReport
 	sendAt  int64             // 0: there is nothing
 	rumours map[string]uint64 // version of a member that somebody believes dead, plus one, that was passed on
 }
 
 func newGossipQueue() gossipQueue {
-	return gossipQueue{entries: map[string]string{}, rumours: map[string]uint64{}}
+	return gossipQueue{entries: map[string]queuedName{}, rumours: map[string]uint64{}}
 }
 
 // next is when the queue is to be sent, or noTime.
@@ -49,7 +58,7 @@
 
 // passOn has an entry passed on to all but from.
 func (table *Table) passOn(now int64, name, from string) {
-	table.gossip.entries[name] = from
+	table.gossip.entries[name] = queuedName{from}
 	table.gossip.schedule(now, table.config.HeartbeatInterval)
 }
 
@@ -59,10 +68,9 @@
 	table.gossip.schedule(now, table.config.HeartbeatInterval)
 }
 
-// gossipBatch is what one message passes on, with the sender of each.
+// gossipBatch is what one message passes on.
 type gossipBatch struct {
-	entries []Entry
-	from    []string // of each entry
+	entries []queuedEntry
 	reports []queuedReport
 }
 
@@ -71,13 +79,11 @@
 	var batch gossipBatch
 	names := slices.Sorted(maps.Keys(queue.entries))
 	for _, name := range names[:min(len(names), MaxPerMessage)] {
-		from := queue.entries[name]
+		queued := queue.entries[name]
 		delete(queue.entries, name)
-		entry, ok := table.announcementOf(name)
-		if !ok {
-			continue
+		if entry, ok := table.announcementOf(name); ok {
+			batch.entries = append(batch.entries, queuedEntry{entry, queued.from})
 		}
-		batch.entries, batch.from = append(batch.entries, entry), append(batch.from, from)
 	}
 	count := min(len(queue.reports), MaxPerMessage)
 	batch.reports = queue.reports[:count:count]
@@ -103,9 +109,9 @@
 // forPeer is a message of the batch without what came from the peer itself.
 func (batch gossipBatch) forPeer(name string) Gossip {
 	var gossip Gossip
-	for i, entry := range batch.entries {
-		if batch.from[i] != name {
-			gossip.Entries = append(gossip.Entries, entry)
+	for _, entry := range batch.entries {
+		if entry.from != name {
+			gossip.Entries = append(gossip.Entries, entry.Entry)
 		}
 	}
 	for _, report := range batch.reports {
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -8,7 +8,7 @@
 	// DigestBuckets is into how many parts, by hash of the name, digests are taken apart to find what differs.
 	DigestBuckets = 64
 
-	maxExtraEntries = 2 // that a heartbeat may have beside what is passed on: the sender's own, and one that is to refute
+	maxExtraEntries = 2 // of a heartbeat, beside what is passed on: the sender's own, and one that is to refute
 	maxNameSize     = 128
 	maxAddressSize  = 256
 	maxWeight       = 1e6
--- a/internal/cluster/membership/receive_test.go
+++ b/internal/cluster/membership/receive_test.go
@@ -21,9 +21,18 @@
 	}
 	const twinIncarnation = 77
 	twin := New(cluster.now, Config{
-		Self:              Entry{Name: "n003", Incarnation: twinIncarnation, Start: cluster.wallMS(), Address: "n003:1", Weight: 1},
-		HeartbeatInterval: interval, SilenceTimeout: 2 * second, ReplacedTimeout: 5 * interval, Seed: 5,
-		Contacts: []Contact{{"n001", "n001:1", 1}, {"n002", "n002:1", 1}},
+		Self: Entry{
+			Name:        "n003",
+			Incarnation: twinIncarnation,
+			Start:       cluster.wallMS(),
+			Address:     "n003:1",
+			Weight:      1,
+		},
+		HeartbeatInterval: interval,
+		SilenceTimeout:    2 * second,
+		ReplacedTimeout:   5 * interval,
+		Seed:              5,
+		Contacts:          []Contact{{"n001", "n001:1", 1}, {"n002", "n002:1", 1}},
 	})
 	twice, seen := map[string]bool{}, false
 	for range 60 {
--- a/internal/cluster/membership/record_test.go
+++ b/internal/cluster/membership/record_test.go
@@ -5,7 +5,6 @@
 	"encoding/hex"
 	"fmt"
 	"math/rand/v2"
-	"slices"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
@@ -35,12 +34,14 @@
 			record("%d %s send %s %x", cluster.now, name, send.To, encoded)
 		}
 		for _, change := range changes {
-			record("%d %s change %s %d %d %v %v %d %v %d %s", cluster.now, name, change.Name, change.Incarnation,
-				change.Version, change.Previous, change.State, change.Since, change.HeldOut, len(change.Reports), change.Reason)
+			record("%d %s change %s %d %d %v %v %d %v %d %s",
+				cluster.now, name, change.Name, change.Incarnation, change.Version, change.Previous, change.State,
+				change.Since, change.HeldOut, len(change.Reports), change.Reason)
 		}
 		table := cluster.tables[name]
 		number, view, since := table.ViewInfo()
-		record("%d %s next %d version %d view %d %x %d", cluster.now, name, table.Next(), table.Version(), number, view, since)
+		record("%d %s next %d version %d view %d %x %d",
+			cluster.now, name, table.Next(), table.Version(), number, view, since)
 	}
 	faults := rand.New(rand.NewPCG(48, members))
 	for range seconds {
@@ -48,8 +49,8 @@
 		cluster.run(second)
 		for _, name := range cluster.names {
 			table := cluster.tables[name]
-			record("%s peers %v health %d rejected %d cut off %v", name, table.Peers(), table.LocalHealth(), table.Rejected(),
-				table.IsCutOff())
+			record("%s peers %v health %d rejected %d cut off %v",
+				name, table.Peers(), table.LocalHealth(), table.Rejected(), table.IsCutOff())
 			for _, member := range table.Members() {
 				record("%s believes %v duplicated %v", name, member, table.IsDuplicated(cluster.now, member.Name))
 			}
@@ -103,8 +104,10 @@
 // reconfigure gives a table all contacts but one, and another weight.
 func (cluster *testCluster) reconfigure(name, without string) {
 	var contacts []Contact
-	for _, contact := range slices.DeleteFunc(slices.Clone(cluster.names), func(name string) bool { return name == without }) {
-		contacts = append(contacts, Contact{contact, contact + ":2", 1})
+	for _, contact := range cluster.names {
+		if contact != without {
+			contacts = append(contacts, Contact{contact, contact + ":2", 1})
+		}
 	}
 	cluster.tables[name].Configure(cluster.now, contacts, 2, 1)
 }
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -13,7 +13,7 @@
 const (
 	maxProbeResults = 512
 	maxLoadFields   = 16
-	maxMembersNews  = 2*membership.MaxPerMessage + 2
+	maxGossipItems  = 2*membership.MaxPerMessage + 2
 	maxMapPairs     = 64
 	maxNesting      = 8
 )
@@ -72,7 +72,7 @@
 }
 
 func (message Message) checkBounds() error {
-	if gossip := message.Gossip; gossip != nil && len(gossip.Entries)+len(gossip.Reports) > maxMembersNews {
+	if gossip := message.Gossip; gossip != nil && len(gossip.Entries)+len(gossip.Reports) > maxGossipItems {
 		return fmt.Errorf("%d members and %d reports", len(gossip.Entries), len(gossip.Reports))
 	}
 	if len(message.ProbeResults) > maxProbeResults {
--- a/internal/cluster/peer/links.go
+++ b/internal/cluster/peer/links.go
@@ -38,9 +38,11 @@
 	Incarnation uint64
 	Listener    net.Listener
 	Keys        *Keys
-	Allow       *netipx.IPSet                                         // addresses from which and to which links are taken
-	Receive     func(name string, incarnation uint64, payload []byte) // may wait
-	Log         func(logevent.Event)
+	Allow       *netipx.IPSet // addresses from which and to which links are taken
+
+	// Receive handles a message. It may wait.
+	Receive func(name string, incarnation uint64, payload []byte)
+	Log     func(logevent.Event)
 }
 
 // Links is all links of one instance. Its methods may be called by several goroutines at once.
--- a/internal/cluster/sharedconfig/node_test.go
+++ b/internal/cluster/sharedconfig/node_test.go
@@ -43,7 +43,8 @@
 	if len(cluster.ended) != 1 || cluster.ended[0].Reason != errBad.Error() || !cluster.allActive("a0") {
 		t.Errorf("%+v", cluster.ended)
 	}
-	if err := cluster.propose(cluster.instances[0], make([]byte, MaxContentSize+1)); !errors.Is(err, ErrContentTooLong) {
+	tooLong := make([]byte, MaxContentSize+1)
+	if err := cluster.propose(cluster.instances[0], tooLong); !errors.Is(err, ErrContentTooLong) {
 		t.Errorf("too much content: error %v", err)
 	}
 	cluster.mustPropose(t, cluster.instances[0], "a1")
