--- a/internal/cluster/lease/config_test.go
+++ b/internal/cluster/lease/config_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestCheck(t *testing.T) {
+func TestCheckNamesTheWrongSetting(t *testing.T) {
 	good := Config{
 		Self: Instance{"a", 1}, Slots: 64, LeaseDuration: 1500 * ms, RenewInterval: 500 * ms, MaxClockDrift: 0.01,
 		Voters: Voters{Epoch: 1, Current: []string{"a", "b", "c"}},
--- a/internal/cluster/lease/node_test.go
+++ b/internal/cluster/lease/node_test.go
@@ -48,7 +48,7 @@
 	cluster.checkSafety()
 }
 
-func TestReleaseAllHandsOverAtOnce(t *testing.T) {
+func TestReleaseAllTransfersAtOnce(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.run(4 * cluster.leaseDuration)
 	cluster.nodes["n1"].ReleaseAll([]Candidate{{"n0", 1}, {"n2", 1}})
@@ -64,7 +64,7 @@
 }
 
 // Splits in which the old holders live on in the minority and believe that they hold.
-func TestSplits(t *testing.T) {
+func TestOnlyTheSideWithAMajorityHolds(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		count int
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestOneWayLoss(t *testing.T) {
+func TestHolderThatHearsNothingLosesItsLeases(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.run(4 * cluster.leaseDuration)
 	cluster.cut = func(from, to string) bool { return to == "n0" } // it sends but hears nothing
@@ -121,7 +121,7 @@
 	cluster.checkSafety()
 }
 
-func TestDelayLongerThanALease(t *testing.T) {
+func TestDelayLongerThanALeaseIsSafe(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.run(4 * cluster.leaseDuration)
 	cluster.delay = func(from, to string) int64 {
@@ -157,7 +157,7 @@
 }
 
 // A majority restarts one after another within a lease: what they granted is forgotten, and nobody grants on.
-func TestMajorityRestartsWithinALease(t *testing.T) {
+func TestMajorityThatRestartsWithinALeaseIsSafe(t *testing.T) {
 	cluster := newCluster(t, 5)
 	cluster.run(4 * cluster.leaseDuration)
 	for _, name := range []string{"n1", "n2", "n3"} {
@@ -169,7 +169,7 @@
 	cluster.checkSafety()
 }
 
-func TestAllRestartTogetherWithWallClocksSetBack(t *testing.T) {
+func TestWallClocksSetBackAreSafe(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.run(4 * cluster.leaseDuration)
 	cluster.wallMS -= 3600e3 // also of those that go on: ballots grow from what is remembered
@@ -186,7 +186,7 @@
 	cluster.checkSafety()
 }
 
-func TestVotersChangeByOne(t *testing.T) {
+func TestVotersChangeByOneAtATime(t *testing.T) {
 	cluster := newCluster(t, 4)
 	old := Voters{Epoch: 1, Current: []string{"n0", "n1", "n2"}}
 	next := Voters{Epoch: 2, Current: []string{"n0", "n1", "n2", "n3"}, Previous: old.Current}
--- a/internal/cluster/lease/record_test.go
+++ b/internal/cluster/lease/record_test.go
@@ -1,11 +1,9 @@
 package lease
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
-	"fmt"
 	"math/rand/v2"
 	"tealpath/internal/cluster/paxos"
+	"tealpath/internal/cluster/recordtest"
 	"testing"
 )
 
@@ -17,12 +15,8 @@
 func TestRecordedSequence(t *testing.T) {
 	const nodes, rounds = 5, 100
 	cluster := newCluster(t, nodes)
-	digest := sha256.New()
-	record := func(format string, values ...any) {
-		if _, err := fmt.Fprintf(digest, format+"\n", values...); err != nil {
-			t.Fatal(err)
-		}
-	}
+	recorder := recordtest.New(t)
+	record := recorder.Record
 	cluster.observe = func(name string, effect Effect) { record("%d %s %T %v", cluster.now, name, effect, effect) }
 	faults := rand.New(rand.NewPCG(48, nodes))
 	for range rounds {
@@ -39,9 +33,7 @@
 		}
 	}
 	cluster.checkSafety()
-	if got := hex.EncodeToString(digest.Sum(nil)); got != recordedDigest {
-		t.Errorf("the sequence has the digest %s, not %s", got, recordedDigest)
-	}
+	recorder.Check(recordedDigest)
 }
 
 // drawFault begins or ends a drawn fault, or does nothing.
--- a/internal/cluster/lease/status_test.go
+++ b/internal/cluster/lease/status_test.go
@@ -18,7 +18,7 @@
 	return count
 }
 
-func TestSlots(t *testing.T) {
+func TestSlotsNameHolderAndReason(t *testing.T) {
 	cluster := newCluster(t, 3)
 	silent := "voters that have just started grant nothing for 1530 ms"
 	if got := reasons(cluster.nodes["n0"], 0); got[silent] != clusterSlots {
@@ -46,7 +46,7 @@
 }
 
 // One that is no voter knows the holders for which it was rejected.
-func TestSlotsOfOneThatIsNoVoter(t *testing.T) {
+func TestSlotsOfAnInstanceThatIsNoVoter(t *testing.T) {
 	cluster := newCluster(t, 4)
 	for _, node := range cluster.nodes {
 		node.enterEpoch(Voters{Epoch: 1, Current: []string{"n0", "n1", "n2"}})
@@ -66,7 +66,7 @@
 }
 
 // A ballot of a far future would leave none above it, and Reacquire asks above one that was seen.
-func TestObserveBallot(t *testing.T) {
+func TestBallotOfAFarFutureIsIgnored(t *testing.T) {
 	cluster := newCluster(t, 1)
 	cluster.run(4 * cluster.leaseDuration)
 	node, now := cluster.nodes["n0"], cluster.clock("n0")
--- a/internal/cluster/membership/detect_test.go
+++ b/internal/cluster/membership/detect_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestKilled(t *testing.T) {
+func TestKilledMemberIsBelievedDeadInTime(t *testing.T) {
 	for _, count := range []int{2, 3, 5, 30} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			cluster := newCluster(t, count)
@@ -25,7 +25,7 @@
 
 // Pauses up to 1.5 s kill nobody; one that was paused for longer comes back, knows that it was away and holds
 // it against nobody.
-func TestPaused(t *testing.T) {
+func TestPauseBelowTheSilenceTimeoutKillsNobody(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		duration int64
@@ -93,7 +93,7 @@
 
 // One that hears nobody, and one that nobody hears, are believed dead by all others within 5 s; a link that
 // works in one direction between two kills nobody, nor does a ring of such.
-func TestOneSided(t *testing.T) {
+func TestOneSidedCutIsJudgedAlike(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		cut  func(from, to string) bool
@@ -156,7 +156,7 @@
 }
 
 // A fifth of all messages lost kills nobody; with two fifths who is believed dead is not so for long.
-func TestLoss(t *testing.T) {
+func TestLostMessagesKillNobodyForLong(t *testing.T) {
 	for _, test := range []struct {
 		loss float64
 		most int
@@ -183,7 +183,7 @@
 }
 
 // One that can't refute stays dead: the checks see that.
-func TestPlantedNoRefuting(t *testing.T) {
+func TestMemberThatCannotRefuteStaysDead(t *testing.T) {
 	cluster := newCluster(t, 30)
 	cluster.fault = plantedFault{noRefuting: true}
 	cluster.start("n003", cluster.wallMS())
@@ -196,7 +196,7 @@
 }
 
 // Those that do not blame themselves for a pause report others, those that do report nobody.
-func TestPlantedBlameOthers(t *testing.T) {
+func TestLateMemberReportsNobody(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		fault   plantedFault
--- a/internal/cluster/membership/explore_test.go
+++ b/internal/cluster/membership/explore_test.go
@@ -134,7 +134,7 @@
 
 // Every course of two events, and drawn ones of four; with TEALPATH_EXPLORE=N so many drawn ones, and every
 // one of three for N above 1,000,000.
-func TestExplore(t *testing.T) {
+func TestDrawnCoursesEndInAgreement(t *testing.T) {
 	const maxDrawn = 1_000_000
 	all, drawn := allEvents(), exploreCourses(400)
 	tried := 0
@@ -170,7 +170,7 @@
 }
 
 // A planted fault is found by courses of one event.
-func TestExploreFindsNoRefuting(t *testing.T) {
+func TestCoursesFindAMemberThatCannotRefute(t *testing.T) {
 	found := 0
 	for _, one := range allEvents() {
 		if explore(t, []event{one}, plantedFault{noRefuting: true}) != "" {
--- a/internal/cluster/membership/receive_test.go
+++ b/internal/cluster/membership/receive_test.go
@@ -6,7 +6,7 @@
 )
 
 // Restarts under the same name: also where the wall clock was set back; and two that run at once are seen by all.
-func TestSameName(t *testing.T) {
+func TestRestartsUnderOneName(t *testing.T) {
 	cluster := newCluster(t, 12)
 	cluster.run(4 * second)
 	cluster.down["n003"] = true
@@ -96,7 +96,7 @@
 }
 
 // What is unusable is refused, and memory is bounded.
-func TestBounds(t *testing.T) {
+func TestUnusableInputIsRejectedAndMemoryBounded(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.run(2 * second)
 	table := cluster.tables["n000"]
--- a/internal/cluster/membership/record_test.go
+++ b/internal/cluster/membership/record_test.go
@@ -1,10 +1,8 @@
 package membership
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
-	"fmt"
 	"math/rand/v2"
+	"tealpath/internal/cluster/recordtest"
 	"testing"
 
 	"github.com/fxamacker/cbor/v2"
@@ -19,12 +17,8 @@
 func TestRecordedSequence(t *testing.T) {
 	const members, seconds = 16, 300
 	cluster := newCluster(t, members)
-	digest := sha256.New()
-	record := func(format string, values ...any) {
-		if _, err := fmt.Fprintf(digest, format+"\n", values...); err != nil {
-			t.Fatal(err)
-		}
-	}
+	recorder := recordtest.New(t)
+	record := recorder.Record
 	cluster.observe = func(name string, sends []Send, changes []Change) {
 		for _, send := range sends {
 			encoded, err := cbor.Marshal(send.Gossip)
@@ -56,9 +50,7 @@
 			}
 		}
 	}
-	if got := hex.EncodeToString(digest.Sum(nil)); got != recordedDigest {
-		t.Errorf("the sequence has the digest %s, not %s", got, recordedDigest)
-	}
+	recorder.Check(recordedDigest)
 }
 
 // drawFault begins or ends a drawn fault, or does nothing.
--- a/internal/cluster/membership/rings_test.go
+++ b/internal/cluster/membership/rings_test.go
@@ -18,7 +18,7 @@
 
 // Eight observers at most, each watched by those that it watches, alike at all; connected without any third
 // of them that was drawn; few places change when one comes.
-func TestRings(t *testing.T) {
+func TestRingsAreMutualAndConnected(t *testing.T) {
 	for _, count := range []int{1, 2, 3, 9, 10, 30, 300, 3000} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			names := ringNames(count)
--- a/internal/cluster/membership/view_test.go
+++ b/internal/cluster/membership/view_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Many at once are few changes of the view handed on.
-func TestManyAtOnce(t *testing.T) {
+func TestManyChangesAtOnceAreFewViews(t *testing.T) {
 	cluster := newCluster(t, 120)
 	cluster.run(4 * second)
 	cluster.checkAllAlive()
@@ -36,7 +36,7 @@
 }
 
 // One that keeps dying is held out of the view handed on for longer each time.
-func TestFlapping(t *testing.T) {
+func TestFlappingMemberIsHeldOutOfTheView(t *testing.T) {
 	cluster := newCluster(t, 20)
 	cluster.run(4 * second)
 	before, _, _ := cluster.tables["n009"].ViewInfo()
--- a/internal/cluster/message_test.go
+++ b/internal/cluster/message_test.go
@@ -48,7 +48,9 @@
 				Name: "b", Incarnation: 14, Start: 15, Version: 16, Address: "b:1", Weight: 17,
 				Leaving: true, Epoch: 18, Dead: true,
 			}},
-			Reports:       []membership.Report{{Subject: "c", Incarnation: 19, Version: 20, Observer: "d", Seq: 21, Kind: membership.Deaf}},
+			Reports: []membership.Report{{
+				Subject: "c", Incarnation: 19, Version: 20, Observer: "d", Seq: 21, Kind: membership.Deaf,
+			}},
 			BucketDigests: []uint64{22},
 		},
 	}
@@ -70,12 +72,18 @@
 
 // The kinds of messages go over the wire as numbers.
 func TestMessageKindNumbers(t *testing.T) {
-	for i, kind := range []lease.MessageKind{lease.Prepare, lease.Promise, lease.Propose, lease.Accept, lease.Reject, lease.Release} {
+	leaseKinds := []lease.MessageKind{
+		lease.Prepare, lease.Promise, lease.Propose, lease.Accept, lease.Reject, lease.Release,
+	}
+	for i, kind := range leaseKinds {
 		if int(kind) != i+1 {
 			t.Errorf("kind %d is %d on the wire", i+1, kind)
 		}
 	}
-	for i, kind := range []membership.ReportKind{membership.Healthy, membership.Silent, membership.Deaf, membership.Rumour} {
+	reportKinds := []membership.ReportKind{
+		membership.Healthy, membership.Silent, membership.Deaf, membership.Rumour,
+	}
+	for i, kind := range reportKinds {
 		if int(kind) != i {
 			t.Errorf("report kind %d is %d on the wire", i, kind)
 		}
@@ -95,7 +103,8 @@
 			if !ok || send.Message.Lease == nil || send.To != "b" {
 				continue
 			}
-			answer := lease.Message{Kind: lease.Promise, Epoch: 1, SentAt: send.Message.Lease.SentAt, Items: send.Message.Lease.Items}
+			asked := send.Message.Lease
+			answer := lease.Message{Kind: lease.Promise, Epoch: 1, SentAt: asked.SentAt, Items: asked.Items}
 			if send.Message.Lease.Kind == lease.Propose {
 				answer.Kind = lease.Accept
 			}
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -48,7 +48,8 @@
 		t.Errorf("it still holds %d slots", held)
 	}
 	status := node.Status(12000 * ms)
-	if !logged || status.Majority || status.Reason == "" || status.Slots[0].Reason != "no majority of the voters answers" {
+	explained := status.Reason != "" && status.Slots[0].Reason == "no majority of the voters answers"
+	if !logged || status.Majority || !explained {
 		t.Errorf("logged %v, %+v", logged, status)
 	}
 }
--- a/internal/cluster/peer/frame_test.go
+++ b/internal/cluster/peer/frame_test.go
@@ -24,7 +24,8 @@
 	}
 	var version *VersionError
 	_, err := readHello(bytes.NewReader(encode(hello{ProtocolVersion - 1, "a", 1})))
-	if !errors.As(err, &version) || version.Version != ProtocolVersion-1 || err.Error() != "protocol version 1, this is 2" {
+	const text = "protocol version 1, this is 2"
+	if !errors.As(err, &version) || version.Version != ProtocolVersion-1 || err.Error() != text {
 		t.Errorf("another version: %v", err)
 	}
 	for name, raw := range map[string][]byte{
--- a/internal/cluster/sharedconfig/node_test.go
+++ b/internal/cluster/sharedconfig/node_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestChange(t *testing.T) {
+func TestChangeIsActiveEverywhere(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
 	if !cluster.allActive("a0") {
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestBadContent(t *testing.T) {
+func TestBadContentIsRejected(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
 	cluster.mustPropose(t, cluster.instances[1], "bad")
@@ -54,7 +54,7 @@
 }
 
 // Of two proposals at once one content is in force in the end, and both proposers are told.
-func TestTwoProposals(t *testing.T) {
+func TestOneOfTwoProposalsWins(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
 	cluster.mustPropose(t, cluster.instances[1], "b2")
@@ -67,7 +67,7 @@
 
 // A number of a far future, as a faulty instance would tell it, is not heeded: all later ones would come
 // before it.
-func TestNumberOfAFarFuture(t *testing.T) {
+func TestNumberOfAFarFutureIsIgnored(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
 	const farFuture = 1 << 63
@@ -79,7 +79,7 @@
 }
 
 // A proposal that no quorum answers is made again a few times, and then given up.
-func TestProposalWithoutQuorum(t *testing.T) {
+func TestProposalWithoutQuorumEnds(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
 	cluster.instances[4].side = 1
@@ -91,7 +91,7 @@
 }
 
 // One that is cut off has nothing to act on once its lease is over; it comes to the newest when it is back.
-func TestCutOff(t *testing.T) {
+func TestInstanceThatIsCutOffStopsActing(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
 	cutOff := cluster.instances[4]
--- a/internal/cluster/sharedconfig/record_test.go
+++ b/internal/cluster/sharedconfig/record_test.go
@@ -1,10 +1,9 @@
 package sharedconfig
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
 	"fmt"
 	"math/rand/v2"
+	"tealpath/internal/cluster/recordtest"
 	"testing"
 )
 
@@ -16,12 +15,8 @@
 func TestRecordedSequence(t *testing.T) {
 	const instances, voters, seconds = 7, 5, 300
 	cluster := newCluster(48, instances, voters, plantedFault{})
-	digest := sha256.New()
-	record := func(format string, values ...any) {
-		if _, err := fmt.Fprintf(digest, format+"\n", values...); err != nil {
-			t.Fatal(err)
-		}
-	}
+	recorder := recordtest.New(t)
+	record := recorder.Record
 	cluster.observe = func(name string, effect Effect) { record("%d %s %T %v", cluster.now, name, effect, effect) }
 	faults := rand.New(rand.NewPCG(48, instances))
 	for round := range seconds {
@@ -39,9 +34,7 @@
 	if cluster.broken != "" {
 		t.Error(cluster.broken)
 	}
-	if got := hex.EncodeToString(digest.Sum(nil)); got != recordedDigest {
-		t.Errorf("the sequence has the digest %s, not %s", got, recordedDigest)
-	}
+	recorder.Check(recordedDigest)
 }
 
 // drawFault begins or ends a drawn fault, has something proposed, or does nothing.
--- a/internal/cluster/size_test.go
+++ b/internal/cluster/size_test.go
@@ -15,7 +15,12 @@
 	n := newNode(t, "a", 1)
 	n.Handle(1, TimerFired{WallMS: 1e12})
 	for i := range servers {
-		n.Handle(2, ProbeEnded{ProbeResult{Target: fmt.Sprintf("cache-server-%051d", i), Ballot: 7, Healthy: true, Load: make([]float64, maxLoadFields)}})
+		n.Handle(2, ProbeEnded{ProbeResult{
+			Target:  fmt.Sprintf("cache-server-%051d", i),
+			Ballot:  7,
+			Healthy: true,
+			Load:    make([]float64, maxLoadFields),
+		}})
 	}
 	told := map[string]bool{}
 	for now := int64(3); now < 1000*ms; now += 100 * ms {
@@ -52,15 +57,22 @@
 			Holder: lease.Instance{Name: name, Incarnation: 1 << 63}, Remaining: 1 << 40,
 		})
 	}
-	news := membership.Gossip{Heartbeat: 1 << 40, Echo: 1 << 40, Digest: 1 << 63, BucketDigests: make([]uint64, membership.DigestBuckets)}
+	gossip := membership.Gossip{
+		Heartbeat:     1 << 40,
+		Echo:          1 << 40,
+		Digest:        1 << 63,
+		BucketDigests: make([]uint64, membership.DigestBuckets),
+	}
 	for range membership.MaxPerMessage {
-		news.Entries = append(news.Entries, membership.Entry{
+		gossip.Entries = append(gossip.Entries, membership.Entry{
 			Name: name, Incarnation: 1 << 63, Start: 1 << 63, Version: 1 << 63,
 			Address: strings.Repeat("a", 256), Weight: 1.1, Leaving: true, Epoch: 1 << 63, Dead: true,
 		})
-		news.Reports = append(news.Reports, membership.Report{Subject: name, Incarnation: 1 << 63, Version: 1 << 63, Observer: name, Seq: 1 << 63, Kind: 1})
+		gossip.Reports = append(gossip.Reports, membership.Report{
+			Subject: name, Incarnation: 1 << 63, Version: 1 << 63, Observer: name, Seq: 1 << 63, Kind: 1,
+		})
 	}
-	for what, m := range map[string]Message{"all slots rejected": {Lease: &rejection}, "news": {Gossip: &news}} {
+	for what, m := range map[string]Message{"all slots rejected": {Lease: &rejection}, "full gossip": {Gossip: &gossip}} {
 		raw, err := m.Encode()
 		if err != nil || len(raw) > peer.MaxFrameSize {
 			t.Errorf("%s: %d bytes, a frame holds %d; %v", what, len(raw), peer.MaxFrameSize, err)
