--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -29,7 +29,14 @@
 			Slots: testSlots, LeaseDuration: 1500 * ms, RenewInterval: 500 * ms, MaxClockDrift: 0.01,
 			Voters: lease.Voters{Epoch: 1, Current: clusterNames},
 		},
-		Probe: &probe.Config{Period: 1000 * ms, Timeout: 500 * ms, ColdPart: 0.05, Cost: 0.001, Cache: cold, Parent: cold},
+		Probe: &probe.Config{
+			Period:   1000 * ms,
+			Timeout:  500 * ms,
+			ColdPart: 0.05,
+			Cost:     0.001,
+			Cache:    cold,
+			Parent:   cold,
+		},
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/cluster/events.go
+++ b/internal/cluster/events.go
@@ -23,11 +23,11 @@
 // ProbeEnded tells how a probe ended that was sent from here.
 type ProbeEnded struct{ ProbeResult }
 
-// TimerFired tells that the time of the last SetTimer has come, or may have. WallMS is the wall clock, ms
+// TimerFired reports that the time of the last SetTimer has come, or may have. WallMS is the wall clock, ms
 // since 1970.
 type TimerFired struct{ WallMS int64 }
 
-// ShutdownStarted tells that this instance is to end.
+// ShutdownStarted reports that this instance is to end.
 type ShutdownStarted struct{}
 
 // ConfigChanged is a newer configuration. Contacts, weights and voters change in a running instance.
--- a/internal/cluster/lease/acquire.go
+++ b/internal/cluster/lease/acquire.go
@@ -47,8 +47,9 @@
 	if far <= 0 {
 		return delay + node.random(interval/turnsPerRenewal)
 	}
-	// That a slot is held is learned by asking alone. When all asked in turn, each of 30 instances sent 200
-	// frames a second: those far down the ranking leave that to the first, longer the farther they are.
+	// A candidate learns that a slot is held only by asking. If all candidates asked in turn, messages
+	// would grow with the square of their number: those far down the ranking leave it to the first, and
+	// wait longer the farther down they are.
 	delay += min(far*farRankRenewals, maxFarRenewals) * interval
 	return delay + node.random(farRankRenewals*interval)
 }
--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -201,6 +201,7 @@
 func (cluster *testCluster) checkSafety() {
 	cluster.t.Helper()
 	if cluster.overlaps != 0 || cluster.ballotsBack != 0 {
-		cluster.t.Errorf("%d moments with two holders, %d ballots that went back", cluster.overlaps, cluster.ballotsBack)
+		cluster.t.Errorf("%d moments with two holders, %d ballots that went back",
+			cluster.overlaps, cluster.ballotsBack)
 	}
 }
--- a/internal/cluster/lease/config_test.go
+++ b/internal/cluster/lease/config_test.go
@@ -32,7 +32,10 @@
 		{"no slots", func(c *Config) { c.Slots = 0 }, "slots", "0 slots"},
 		{"too many slots", func(c *Config) { c.Slots = MaxSlots + 1 }, "slots", "4097 slots"},
 		{"a large drift", func(c *Config) { c.MaxClockDrift = 0.5 }, "drift", "0.5"},
-		{"a drift that is no number", func(c *Config) { c.MaxClockDrift = math.NaN() }, "drift", "NaN: 0 to 0.1 can be"},
+		{
+			"a drift that is no number", func(c *Config) { c.MaxClockDrift = math.NaN() },
+			"drift", "NaN: 0 to 0.1 can be",
+		},
 		{"no name", func(c *Config) { c.Self.Name = "" }, "name", "the own name is empty"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -111,7 +111,7 @@
 	node.grants[0].promisedBallot, node.grants[0].ballot = 0, 0
 }
 
-// collect takes a node's effects; it tells whether a ballot did not grow.
+// collect takes a node's effects; it reports whether a ballot did not grow.
 func (state *exploreState) collect(i int) (oldBallot bool) {
 	for _, effect := range state.nodes[i].TakeEffects() {
 		switch effect := effect.(type) {
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -6,7 +6,7 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// Holds tells whether the node holds a slot's lease at this instant, under which ballot and until when. It is
+// Holds reports whether the node holds a slot's lease at this instant, under which ballot and until when. It is
 // to be asked immediately before each act under the lease, with the clock just read.
 func (node *Node) Holds(now int64, slot int) (ballot uint64, until int64, ok bool) {
 	if slot < 0 || slot >= len(node.holdings) || !node.holdings[slot].held {
@@ -40,8 +40,8 @@
 	node.emit(Lost{Slot: slot, Ballot: own.ballot, Reason: reason})
 }
 
-// release tells the voters, and the successor that the slot is meant for if there is one, that the own lease
-// or try is over. It is sent after the end, never before.
+// release tells the voters that the own lease or attempt is over, and the successor that the slot is meant
+// for, if there is one. It is sent after the end, never before.
 func (node *Node) release(slot int, successor string) {
 	own := &node.holdings[slot]
 	if own.ballot == 0 {
@@ -128,7 +128,7 @@
 	node.requestVotes(now, Propose, promised)
 }
 
-// receivePromise counts a promise; it tells whether it completed a quorum.
+// receivePromise counts a promise; it reports whether it completed a quorum.
 func (node *Node) receivePromise(voter int, own *holding) (quorum bool) {
 	own.promises |= 1 << voter
 	own.proposing = node.isQuorum(func(voter int) bool { return own.promises&(1<<voter) != 0 })
--- a/internal/cluster/lease/message.go
+++ b/internal/cluster/lease/message.go
@@ -4,7 +4,7 @@
 type MessageKind uint8
 
 // The kinds, as in PaxosLease. Holders send Prepare and Propose to the voters, which answer with Promise,
-// Accept or Reject; Release tells that a holder has stopped.
+// Accept or Reject; Release reports that a holder has stopped.
 const (
 	Prepare MessageKind = iota + 1
 	Promise
@@ -39,13 +39,13 @@
 	Message Message
 }
 
-// Acquired tells that a slot is held from now on. The ballot is the fencing token of what is done under the lease.
+// Acquired reports that a slot is held from now on. The ballot is the fencing token of what is done under the lease.
 type Acquired struct {
 	Slot   int
 	Ballot uint64
 }
 
-// Lost tells that a slot is no longer held.
+// Lost reports that a slot is no longer held.
 type Lost struct {
 	Slot   int
 	Ballot uint64
--- a/internal/cluster/lease/node.go
+++ b/internal/cluster/lease/node.go
@@ -1,7 +1,7 @@
 // Package lease decides which instance holds the lease on which slot. Periodic tasks hash to slots, and only
 // the holder of a slot's lease does the slot's tasks. A quorum of voters grants leases, without a disk: it is
 // PaxosLease (Trencséni, Gazsó and Reinhardt, 2012) with one change. docs/duties.md has the protocol, the
-// proof and the bounds.
+// proof and the bounds; package paxos says what a voter, a quorum, a ballot and an epoch are.
 //
 // A Node is one instance, which is a voter, a holder or both. Time, messages and chance come in, effects go
 // out: it does no input or output, reads no clock, starts no goroutine and is not safe for concurrent use.
@@ -137,9 +137,8 @@
 // Next is when Tick has something to do.
 func (node *Node) Next() int64 { return node.tickAt }
 
-// NextTick is the next instant of an instance's own grid of an interval. What is due on one grid is done at
-// once, and what then goes to one instance goes in one write: that halved the cost of an instance that does
-// nothing else.
+// NextTick returns the next instant on an instance's own grid of an interval. Everything that is due on
+// one grid is done at once, so that messages to one instance are combined into one write.
 func NextTick(now int64, name string, interval int64) int64 {
 	// Grids are shifted by the name, or instances that share a clock would all act at once.
 	shift := int64(nameMark(name)) * int64(time.Millisecond) % interval
@@ -163,7 +162,8 @@
 	node.candidates = candidates
 	node.assigned = Assign(node.config.Slots, candidates)
 	node.assignedAt = now
-	for slot := range node.holdings { // whose turn it is has changed; who waited goes on waiting, no longer than before
+	// The ranking has changed: an attempt that waits for its turn may come earlier, but not later than before.
+	for slot := range node.holdings {
 		if own := &node.holdings[slot]; timing.Happened(own.freeSince) && own.ballot == 0 {
 			own.tryAt = min(own.tryAt, now+node.turnDelay(slot))
 		}
--- a/internal/cluster/lease/node_test.go
+++ b/internal/cluster/lease/node_test.go
@@ -146,7 +146,8 @@
 	node := cluster.nodes["n0"]
 	for _, slot := range before {
 		if _, until, ok := node.Holds(cluster.clock("n0"), slot); ok {
-			t.Errorf("slot %d is held at the first look after the freeze, until %d at %d", slot, until, cluster.clock("n0"))
+			t.Errorf("slot %d is held at the first look after the freeze, until %d at %d",
+				slot, until, cluster.clock("n0"))
 		}
 	}
 	cluster.frozen["n0"] = false
--- a/internal/cluster/lease/quorum.go
+++ b/internal/cluster/lease/quorum.go
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// enterEpoch takes a set of voters into force. What was accepted under another doesn't count any more.
+// enterEpoch puts a set of voters into force. Acceptances of voters of another epoch do not count any
+// more.
 func (node *Node) enterEpoch(voters Voters) {
 	node.config.Voters = voters
 	node.epochSettledAt = timing.Never
@@ -104,10 +105,10 @@
 	}
 }
 
-// isSelf tells whether a voter is this instance.
+// isSelf reports whether a voter is this instance.
 func (node *Node) isSelf(voter int) bool { return node.voterNames[voter] == node.config.Self.Name }
 
-// isQuorum tells whether the voters that count are a majority of every set.
+// isQuorum reports whether the voters that count are a majority of every set.
 func (node *Node) isQuorum(counts func(voter int) bool) bool {
 	for _, set := range node.voterSets {
 		count := 0
@@ -143,7 +144,7 @@
 	return sentAt + node.config.HoldDuration()
 }
 
-// HasQuorum tells whether a quorum of the voters, the own vote included, answered within the last lease.
+// HasQuorum reports whether a quorum of the voters, the own vote included, answered within the last lease.
 func (node *Node) HasQuorum(now int64) bool {
 	return node.isQuorum(func(voter int) bool {
 		heardAt := node.voterHeardAt[voter]
--- a/internal/cluster/lease/voter.go
+++ b/internal/cluster/lease/voter.go
@@ -36,7 +36,7 @@
 	return answers
 }
 
-// isOutdated tells whether a ballot lies behind what the voter has promised or granted.
+// isOutdated reports whether a ballot lies behind what the voter has promised or granted.
 func (node *Node) isOutdated(now int64, current *grant, from Instance, kind MessageKind, ballot uint64) bool {
 	outdated := ballot < current.promisedBallot || ballot == current.promisedBallot && current.promisedTo != from
 	if kind == Prepare {
@@ -50,8 +50,8 @@
 	return outdated
 }
 
-// rejection tells a holder the ballot that it has to be above and, where the slot is leased to another, to
-// whom and for how long.
+// rejection returns the ballot that the sender has to exceed and, where the slot is leased to another
+// instance, the holder and the remaining time.
 func (node *Node) rejection(now int64, slot int, leased bool) SlotBallot {
 	current := &node.grants[slot]
 	item := SlotBallot{Slot: slot, Ballot: max(current.promisedBallot, current.ballot, node.minBallot)}
@@ -95,7 +95,8 @@
 	current.promisedBallot = max(current.promisedBallot, ballot+1)
 }
 
-// receiveRelease takes back what a holder has given up, and asks for it if it is this instance's turn.
+// receiveRelease ends the leases that a holder has released, and asks for the slots when it is this
+// instance's turn.
 func (node *Node) receiveRelease(now int64, from Instance, message Message) {
 	for _, item := range message.Items {
 		if item.Slot < 0 || item.Slot >= len(node.grants) {
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -9,7 +9,7 @@
 	"tealpath/internal/logevent"
 )
 
-// holdsFunc tells whether a slot's lease is held at this instant, under which ballot and until when.
+// holdsFunc reports whether a slot's lease is held at this instant, under which ballot and until when.
 type holdsFunc = probe.HoldsFunc
 
 // periodicTask is one kind of periodic task: it learns which slots are held, and returns what is to be done
@@ -111,18 +111,18 @@
 	return next
 }
 
-// Holds tells whether this instance may act for a slot at this instant, under which ballot and until when.
+// Holds reports whether this instance may act for a slot at this instant, under which ballot and until when.
 func (node *Node) Holds(now int64, slot int) (ballot uint64, until int64, ok bool) {
 	return node.leases.Holds(now, slot)
 }
 
-// HasQuorum tells whether a quorum of the voters answers, or is at least believed alive: who neither holds
+// HasQuorum reports whether a quorum of the voters answers, or is at least believed alive: who neither holds
 // nor tries has no answers.
 func (node *Node) HasQuorum(now int64) bool {
 	return node.leases.HasQuorum(now) || node.isQuorumAlive()
 }
 
-// isQuorumAlive tells whether a majority of each set of voters is believed alive.
+// isQuorumAlive reports whether a majority of each set of voters is believed alive.
 func (node *Node) isQuorumAlive() bool {
 	if node.members.IsCutOff() {
 		return false // what is believed is of before
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// updateMembers hands a change of who is alive on to the leases, and sets the peers.
+// updateMembers passes a change of the live instances to the leases, and sets the peers.
 func (node *Node) updateMembers(now int64) {
 	node.peers.dropExpired(now)
 	version := node.members.Version()
--- a/internal/cluster/membership/cluster_test.go
+++ b/internal/cluster/membership/cluster_test.go
@@ -194,7 +194,7 @@
 	return believe, all
 }
 
-// isBelieved tells whether anybody that is up, but for some, believes a member to be in a state.
+// isBelieved reports whether anybody that is up, but for some, believes a member to be in a state.
 func (cluster *testCluster) isBelieved(name string, state State, but ...string) bool {
 	believe, _ := cluster.believers(name, state, but...)
 	return believe > 0
--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -4,7 +4,7 @@
 
 // Bounds of what is kept.
 const (
-	// MaxMembers is how many instances are known at most; those that a peer tells of beyond are not taken.
+	// MaxMembers bounds the instances that are known; entries of others beyond it are rejected.
 	MaxMembers = 8192
 
 	maxIncarnations  = 64 // under one name that are kept apart
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -13,8 +13,9 @@
 // well: those of a zone that is lost at once can't report each other.
 func quarterOf(observers int) int { return max(1, observers/4) }
 
-// checkOwnDelay finds whether this instance itself was late, and by how much: what it then holds against
-// others is its own fault. One that was away takes all back.
+// checkOwnDelay finds whether this instance itself was late, and by how much: it would otherwise blame
+// others for its own fault. An instance that was away drops all reports that it holds, and starts to watch
+// anew.
 func (table *Table) checkOwnDelay(now int64) {
 	interval := table.config.HeartbeatInterval
 	wasAway := table.health.noteStep(now, table.nextHeartbeat, interval)
@@ -39,7 +40,7 @@
 // LocalHealth is how this instance judges itself, from 0, well, to 8.
 func (table *Table) LocalHealth() int { return table.health.points }
 
-// IsCutOff tells whether nothing is heard from any neighbour.
+// IsCutOff reports whether nothing is heard from any neighbour.
 func (table *Table) IsCutOff() bool { return table.health.cutOff }
 
 // silenceTimeout is how long a neighbour may be silent, ns: longer where this instance is not well itself.
@@ -161,13 +162,13 @@
 	})
 }
 
-// isReportedBy tells whether an observer's report of a member counts against it.
+// isReportedBy reports whether an observer's report of a member counts against it.
 func (table *Table) isReportedBy(member *record, observer string) bool {
 	report, ok := member.reports[observer]
 	return ok && report.Kind != Healthy && table.canReport(observer)
 }
 
-// canReport tells whether a name can report: it is this instance, or believed alive.
+// canReport reports whether a name can report: it is this instance, or believed alive.
 func (table *Table) canReport(name string) bool {
 	if name == table.self.entry.Name {
 		return true
@@ -208,7 +209,7 @@
 	return count
 }
 
-// believeDead believes a member dead, and says so to neighbours.
+// believeDead believes a member dead and passes that on.
 func (table *Table) believeDead(now int64, member *record, reason string) {
 	table.enter(now, member, Dead, reason)
 	table.suspicion.remove(member)
--- a/internal/cluster/membership/explore_test.go
+++ b/internal/cluster/membership/explore_test.go
@@ -70,7 +70,8 @@
 	for _, name := range course.names {
 		for _, member := range course.tables[name].Members() {
 			if member.State == Alive && member.Version > course.issued[member.Name][member.Incarnation] {
-				return fmt.Sprintf("%s believes in version %d of %s, which it never had", name, member.Version, member.Name)
+				return fmt.Sprintf("%s believes in version %d of %s, which it never had",
+					name, member.Version, member.Name)
 			}
 		}
 	}
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -40,7 +40,7 @@
 	return queue.sendAt
 }
 
-// isNewRumour notes a rumour that a member's present version is dead; it tells whether it is the first one.
+// isNewRumour notes a rumour that a member's present version is dead; it reports whether it is the first one.
 func (queue *gossipQueue) isNewRumour(member *record) bool {
 	if queue.rumours[member.Name] == member.Version+1 {
 		return false
--- a/internal/cluster/membership/heartbeat.go
+++ b/internal/cluster/membership/heartbeat.go
@@ -43,8 +43,8 @@
 	triedAt int64
 }
 
-// pickStray draws one that is not there and may be back, or has never been heard: after a split nobody else
-// brings the sides together.
+// pickStray draws a member that is believed dead, or has not been heard of, to be tried. After a split
+// only such attempts bring the sides together again.
 func (table *Table) pickStray(now int64) {
 	if now-table.stray.triedAt < table.config.intervals(strayEvery) {
 		return
--- a/internal/cluster/membership/localhealth.go
+++ b/internal/cluster/membership/localhealth.go
@@ -9,7 +9,7 @@
 	cutOff   bool  // nothing is heard from any neighbour
 }
 
-// noteStep adds a point for a step that comes late. It tells whether the instance was away: late by an
+// noteStep adds a point for a step that comes late. It reports whether the instance was away: late by an
 // interval or more.
 func (health *localHealth) noteStep(now, due, interval int64) (wasAway bool) {
 	late := now - max(health.tickedAt, due)
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -41,7 +41,7 @@
 	ReasonHeardAgain = "heard again" // neighbours are heard again
 )
 
-// Change tells that what is believed of a member has changed. Of the own instance it tells one of the reasons
+// Change reports that what is believed of a member has changed. Of the own instance it tells one of the reasons
 // above.
 type Change struct {
 	Member
--- a/internal/cluster/membership/memberlist.go
+++ b/internal/cluster/membership/memberlist.go
@@ -16,7 +16,7 @@
 
 func newMemberList() memberList { return memberList{byName: map[string]*record{}} }
 
-// add adds a member that nothing has been heard of yet.
+// add adds a member in the state Unheard.
 func (list *memberList) add(now int64, name string) *record {
 	member := newRecord(now, name)
 	list.byName[name] = member
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -29,7 +29,7 @@
 	Dead        bool    `cbor:"9,keyasint,omitempty"`
 }
 
-// newer tells whether an entry counts before another under the same name.
+// newer reports whether an entry outranks another under the same name.
 func (entry Entry) newer(other Entry) bool {
 	switch {
 	case entry.Start != other.Start:
@@ -42,7 +42,7 @@
 	return entry.Dead && !other.Dead
 }
 
-// usable tells whether an entry is within the bounds.
+// usable reports whether an entry is within the bounds.
 func (entry Entry) usable() bool {
 	return entry.Name != "" && len(entry.Name) <= maxNameSize && len(entry.Address) <= maxAddressSize &&
 		entry.Weight > 0 && entry.Weight < maxWeight
@@ -74,7 +74,7 @@
 // String is the kind as `tealpath members` prints it.
 func (kind ReportKind) String() string { return []string{"fine", "silent", "deaf", "rumour"}[kind] }
 
-// Gossip is what one instance tells another.
+// Gossip is a message between two instances: a heartbeat, what is passed on, or both.
 type Gossip struct {
 	Heartbeat     uint64   `cbor:"1,keyasint,omitempty"` // its number on this link; 0: it is no heartbeat
 	Echo          uint64   `cbor:"2,keyasint,omitempty"` // the last heartbeat that came the other way
@@ -84,7 +84,7 @@
 	BucketDigests []uint64 `cbor:"6,keyasint,omitempty"` // what differs is asked for
 }
 
-// withinBounds tells whether a message holds no more than one may.
+// withinBounds reports whether a message holds no more than one may.
 func (gossip Gossip) withinBounds() bool {
 	return len(gossip.Entries) <= MaxPerMessage+maxExtraEntries && len(gossip.Reports) <= MaxPerMessage &&
 		(len(gossip.BucketDigests) == 0 || len(gossip.BucketDigests) == DigestBuckets)
--- a/internal/cluster/membership/neighbourhood.go
+++ b/internal/cluster/membership/neighbourhood.go
@@ -101,8 +101,8 @@
 	return members
 }
 
-// trimInbound lets the inbound links go that were silent longest, beyond the bound: a wave of views had made
-// inbound links of all that were neighbours once, and 23 links in all.
+// trimInbound drops the inbound links that have been silent longest, beyond the bound. Without it a series
+// of view changes would keep a link to everyone that was a neighbour in any of them.
 func (links *neighbourhood) trimInbound() {
 	inbound := links.inbound()
 	slices.SortStableFunc(inbound, func(a, b *record) int { return cmp.Compare(b.link.heardAt, a.link.heardAt) })
@@ -111,8 +111,8 @@
 	}
 }
 
-// ringMembers is who is on the rings: the view handed on and, for the first while, contacts that nobody has
-// heard of yet, so that all begin with the same rings.
+// ringMembers returns the names on the rings: the members of the published view and, for a while after the
+// start, contacts that have not been heard of yet, so that all instances start with the same rings.
 func (table *Table) ringMembers(now int64) []string {
 	starting := now-table.startedAt < table.config.intervals(unheardOnRings)
 	names := []string{table.self.entry.Name}
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -63,8 +63,9 @@
 	table.update(now, member, entry, from)
 }
 
-// memberFor is the member that an entry is of, or nil. One that is not known is taken in, unless it is gone
-// already, as word of who is gone must keep nobody in memory, or there are too many.
+// memberFor returns the member that an entry is about, or nil. An unknown member is added, unless the
+// entry says that it is gone already, because entries of members that are gone must not use memory, or
+// unless there are too many members.
 func (table *Table) memberFor(now int64, entry Entry) *record {
 	if member := table.members.byName[entry.Name]; member != nil {
 		return member
@@ -125,8 +126,9 @@
 	}
 }
 
-// receiveDeathClaim takes a peer's word that it believes a member dead. One alone is not believed, but the
-// member is let know, so that it can refute; two are, as they may have heard reports that were lost here.
+// receiveDeathClaim handles an entry of a peer that believes a member dead. One claim is not believed, but
+// is passed on as a rumour, so that the member can refute. Two claims are believed, because those peers
+// may have received reports that were lost on the way here.
 func (table *Table) receiveDeathClaim(now int64, member *record, from string) {
 	if member.State != Alive {
 		return
@@ -146,15 +148,16 @@
 	table.passOnRumour(now, member, rumour, from)
 }
 
-// passOnRumour passes the word that somebody believes a member dead on, once for each of its versions.
+// passOnRumour passes a rumour that a member is dead on, once for each version of the member.
 func (table *Table) passOnRumour(now int64, member *record, rumour Report, from string) {
 	if table.gossip.isNewRumour(member) {
 		table.passOnReport(now, rumour, from)
 	}
 }
 
-// receiveOwnEntry takes word of the own name. What is said of this start is refuted. Another start is a
-// former one, which this one must count before, or one that runs now as well.
+// receiveOwnEntry handles an entry under the own name. An entry of this incarnation that says more than
+// the own entry is refuted. An entry of another incarnation is of an earlier start, which this one has to
+// outrank, or of a second instance that runs now.
 func (table *Table) receiveOwnEntry(now int64, entry Entry) {
 	self := &table.self.entry
 	if entry.Incarnation == self.Incarnation {
@@ -209,8 +212,8 @@
 	table.passOnReport(now, report, from)
 }
 
-// receiveAccusation refutes once enough say that this instance is not there: one link that does not work is
-// none of its matter.
+// receiveAccusation refutes once a quarter of the observers, or a rumour, say that this instance is dead.
+// A single report may be about a link, not about this instance.
 func (table *Table) receiveAccusation(now int64, report Report) {
 	if report.Incarnation != table.self.entry.Incarnation || report.Version != table.self.entry.Version {
 		return
--- a/internal/cluster/membership/self.go
+++ b/internal/cluster/membership/self.go
@@ -25,7 +25,7 @@
 	own.raisedAt = now
 }
 
-// isDuplicated tells whether another start under the own name was there within a timeout.
+// isDuplicated reports whether another start under the own name was there within a timeout.
 func (own *selfState) isDuplicated(now, timeout int64) bool {
 	for _, at := range own.starts {
 		if now-at <= timeout {
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -37,12 +37,12 @@
 	delete(suspicion.members, member.Name)
 }
 
-// sortedNames is who is reported.
+// sortedNames returns the names of the suspected members.
 func (suspicion *suspicion) sortedNames() []string {
 	return slices.Sorted(maps.Keys(suspicion.members))
 }
 
-// next is when the first member that most of its observers report is to be believed dead, or noTime.
+// next returns when the first suspected member is to be believed dead, or noTime.
 func (suspicion *suspicion) next(confirmDuration int64) int64 {
 	next := noTime
 	for _, member := range suspicion.members {
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -64,7 +64,8 @@
 	return table
 }
 
-// Configure takes the contacts of a newer configuration; who is no longer named stays known while it is heard.
+// Configure applies the contacts of a newer configuration. A member that is no longer a contact stays
+// known while it is heard.
 func (table *Table) Configure(now int64, contacts []Contact, weight float64, epoch uint64) {
 	for _, member := range table.members.byName {
 		member.configured = false
@@ -167,14 +168,15 @@
 	return table.members.add(now, name)
 }
 
-// raiseSelf makes the own entry count before all that went round of it, and passes it on.
+// raiseSelf raises the version of the own entry, so that it outranks all that was said of it, and passes
+// it on.
 func (table *Table) raiseSelf(now int64) {
 	table.self.raise(now)
 	table.revision++
 	table.passOn(now, table.self.entry.Name, "")
 }
 
-// enter puts a member into a state.
+// enter moves a member to a state and emits the change.
 func (table *Table) enter(now int64, member *record, state State, reason string) {
 	previous := member.State
 	member.State, member.Since, member.confirmSince = state, now, timing.Never
@@ -190,13 +192,14 @@
 	table.changes = append(table.changes, Change{Member: member.member(), Previous: previous, Reason: reason})
 }
 
-// noteSelf tells something of the own instance.
+// noteSelf emits a change of the own instance.
 func (table *Table) noteSelf(now int64, reason string) {
 	self := Member{Entry: table.self.entry, State: Alive, Since: now}
 	table.changes = append(table.changes, Change{Member: self, Previous: Alive, Reason: reason})
 }
 
-// forget drops who is long gone, and what has no meaning any more.
+// forget drops members that were last heard of long ago, and outdated deaths and incarnations of the
+// others.
 func (table *Table) forget(now int64) {
 	if now-table.members.forgotAt < table.config.intervals(forgetEvery) {
 		return
@@ -234,7 +237,7 @@
 	}
 }
 
-// IsDuplicated tells whether two starts under a name, the own one included, may both be there.
+// IsDuplicated reports whether two starts under a name, the own one included, may both be there.
 func (table *Table) IsDuplicated(now int64, name string) bool {
 	timeout := table.config.ReplacedTimeout
 	if name == table.self.entry.Name {
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -19,7 +19,7 @@
 	heldOutUntil int64 // when the next one that is held out may count; 0: none is
 }
 
-// touch notes that what is known differs from the view handed on.
+// touch notes that the published view is out of date.
 func (table *Table) touch(now int64) {
 	table.view.touch(now)
 }
@@ -44,8 +44,8 @@
 	return next
 }
 
-// settleView hands the view on once it has stopped changing, or has gone on changing for long: a zone that is
-// lost is one change.
+// settleView publishes the view once what is known has stopped changing, or has gone on changing for long.
+// So the loss of a whole zone is one change of the view.
 func (table *Table) settleView(now int64) {
 	view, interval := &table.view, table.config.HeartbeatInterval
 	if view.heldOutUntil > 0 && now >= view.heldOutUntil {
@@ -59,7 +59,7 @@
 	}
 }
 
-// publish hands the view on as it is.
+// publish makes the view of what is known now.
 func (table *Table) publish(now int64) {
 	view := &table.view
 	view.dirtySince = timing.Never
@@ -85,7 +85,7 @@
 	table.updateRings(now)
 }
 
-// sameInView tells whether two entries are the same to those that the view is handed to.
+// sameInView reports whether two entries are the same to those that the view is handed to.
 func sameInView(a, b Entry) bool {
 	return a.Name == b.Name && a.Weight == b.Weight && a.Address == b.Address && a.Incarnation == b.Incarnation
 }
@@ -102,8 +102,8 @@
 	}
 }
 
-// Alive is who can hold leases, as of the view handed on: the own instance unless it leaves, and whoever is
-// believed alive, by name.
+// Alive returns the instances that can hold leases, by name, as of the published view: the own one unless
+// it leaves, and all that are believed alive.
 func (table *Table) Alive() []Entry { return table.view.entries }
 
 // ViewInfo is the number here of the view handed on, its digest, which is the same wherever the same is
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// merge adds what another message says to this one, as far as one can hold both; it tells whether it could.
+// merge adds what another message says to this one, as far as one can hold both; it reports whether it could.
 func (message *Message) merge(other Message) bool {
 	if message.Lease != nil && other.Lease != nil || message.Gossip != nil && other.Gossip != nil ||
 		message.ProbeResults != nil && other.ProbeResults != nil {
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -152,7 +152,7 @@
 	node.logQuorum(now)
 }
 
-// shutDown hands all leases over and tells the others that this instance leaves.
+// shutDown releases all leases to successors and announces to the others that this instance leaves.
 func (node *Node) shutDown(now int64) {
 	if node.shuttingDown {
 		return
--- a/internal/cluster/peer/incoming.go
+++ b/internal/cluster/peer/incoming.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// admit tells whether a connection may shake hands, and takes one of the handshakes for it.
+// admit reports whether a connection may shake hands, and takes one of the handshakes for it.
 func (links *Links) admit(conn net.Conn) (from netip.Addr, admitted bool) {
 	remote, err := netip.ParseAddrPort(conn.RemoteAddr().String())
 	from = remote.Addr()
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -58,7 +58,7 @@
 	return count
 }
 
-// isRefusal tells whether an event is about a connection that was refused.
+// isRefusal reports whether an event is about a connection that was refused.
 func isRefusal(event logevent.Event) bool {
 	switch event.(type) {
 	case AddressRefused, LinkLimitReached, HandshakeLimitReached, HandshakeRefused:
--- a/internal/cluster/probe/prober.go
+++ b/internal/cluster/probe/prober.go
@@ -29,7 +29,7 @@
 	Timeout         int64  // by which it is to be answered, ns
 }
 
-// HoldsFunc tells whether a slot's lease is held at this instant, under which ballot and until when.
+// HoldsFunc reports whether a slot's lease is held at this instant, under which ballot and until when.
 type HoldsFunc = func(slot int) (ballot uint64, until int64, ok bool)
 
 // targetState is one target, with what its prober keeps of it.
@@ -80,7 +80,7 @@
 	return state
 }
 
-// SlotAcquired tells that a slot is held from now on. Its holder before may have probed just before it
+// SlotAcquired reports that a slot is held from now on. Its holder before may have probed just before it
 // stopped, so the first probe comes a period later, and a window later for what is or may be cold: the part
 // that is set aside is then spent by one holder at a time.
 func (prober *Prober) SlotAcquired(now int64, slot int) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// SlotLost tells that a slot is no longer held.
+// SlotLost reports that a slot is no longer held.
 func (prober *Prober) SlotLost(slot int) { delete(prober.acquiredAt, slot) }
 
 func (prober *Prober) holds(state *targetState) bool {
@@ -106,7 +106,7 @@
 	if state.isCold(acquiredAt) {
 		wait = max(wait, prober.config.limitOf(state.Target).Window)
 	}
-	// Spread by the name: all that a dead holder had would come at one instant else.
+	// Spread by the name, or all targets of a dead holder would be probed at one instant.
 	spread := int64(xxhash.Sum64String("phase "+state.Name) % uint64(prober.config.Period/2))
 	return acquiredAt + prober.config.withDrift(wait) + spread
 }
--- a/internal/cluster/probe/prober_test.go
+++ b/internal/cluster/probe/prober_test.go
@@ -194,7 +194,8 @@
 	before := len(times["t0"])
 	times.run(prober, 4500*ms, 9000*ms, holdsAll)
 	if before == 0 || len(times["t0"]) != before || prober.Skipped() == 0 {
-		t.Errorf("probed %d times before, %d after it answered again, %d left out", before, len(times["t0"]), prober.Skipped())
+		t.Errorf("probed %d times before, %d after it answered again, %d left out",
+			before, len(times["t0"]), prober.Skipped())
 	}
 	prober.ProbeEnded(0, "unknown", true)
 }
--- a/internal/cluster/probes.go
+++ b/internal/cluster/probes.go
@@ -10,7 +10,8 @@
 // maxTargetsSeen is of how many targets, which peers may name, the order of results is kept.
 const maxTargetsSeen = 1 << 14
 
-// maxQueuedResults is how many results wait to be told: one of each server of the largest fleet, twice.
+// maxQueuedResults bounds the probe results that wait to be sent: twice one of each server of the largest
+// fleet.
 const maxQueuedResults = 2 * 4096
 
 // probing is the periodic task of probing the targets.
@@ -79,7 +80,7 @@
 	node.takeProbeResult(result)
 }
 
-// relaysResults tells whether what one instance found goes to others by way of its neighbours: where not all
+// relaysResults reports whether what one instance found goes to others by way of its neighbours: where not all
 // are neighbours.
 func (node *Node) relaysResults() bool {
 	const self = 1
@@ -101,7 +102,7 @@
 	node.emit(TargetProbed{result})
 }
 
-// sendProbeResults tells neighbours what was found, together with what else goes out.
+// sendProbeResults queues what was found for the neighbours, together with what else goes out.
 func (node *Node) sendProbeResults(now int64) {
 	results := &node.results
 	if len(results.queued) == 0 || now < results.sendAt {
--- a/internal/cluster/sharedconfig/cluster_test.go
+++ b/internal/cluster/sharedconfig/cluster_test.go
@@ -247,7 +247,7 @@
 	}
 }
 
-// allActive tells whether every instance that runs acts on some content.
+// allActive reports whether every instance that runs acts on some content.
 func (cluster *testCluster) allActive(content string) bool {
 	return !slices.ContainsFunc(cluster.instances, func(instance *testInstance) bool {
 		version, _, ok := instance.node.Active(cluster.clock(instance))
--- a/internal/cluster/sharedconfig/config.go
+++ b/internal/cluster/sharedconfig/config.go
@@ -25,7 +25,7 @@
 	Content []byte
 }
 
-// IncompatibleFunc tells whether two contents may never be acted on at once; err says why the proposed one
+// IncompatibleFunc reports whether two contents may never be acted on at once; err says why the proposed one
 // can't be acted on at all. internal/compatibility has the one for operators' settings.
 type IncompatibleFunc func(current, proposed []byte) (incompatible bool, err error)
 
--- a/internal/cluster/sharedconfig/message.go
+++ b/internal/cluster/sharedconfig/message.go
@@ -36,14 +36,14 @@
 	Message Message
 }
 
-// Activated tells that a version is acted on from now on, until its leases end or another takes its place.
+// Activated reports that a version is acted on from now on, until its leases end or another takes its place.
 // Until when, Active tells.
 type Activated struct{ Version Version }
 
-// Deactivated tells that no version may be acted on: what is safe beside any that may be in force holds instead.
+// Deactivated reports that no version may be acted on: what is safe beside any that may be in force holds instead.
 type Deactivated struct{ Reason string }
 
-// ProposalEnded tells what became of a proposal made here.
+// ProposalEnded reports what became of a proposal made here.
 type ProposalEnded struct {
 	Number uint64
 	Reason string // why it failed; empty: a quorum has accepted it
--- a/internal/cluster/sharedconfig/node.go
+++ b/internal/cluster/sharedconfig/node.go
@@ -56,7 +56,7 @@
 
 func (node *Node) isVoter() bool { return slices.Contains(node.config.Voters, node.config.Self) }
 
-// isQuorum tells whether a number of voters is a majority of them.
+// isQuorum reports whether a number of voters is a majority of them.
 func (node *Node) isQuorum(count int) bool { return count >= paxos.Majority(len(node.config.Voters)) }
 
 // Active is the version that may be acted on at an instant, and until when by the own clock.
@@ -144,7 +144,7 @@
 	}
 }
 
-// isFarAhead tells whether a number is of a far future: heeding it would use all numbers up.
+// isFarAhead reports whether a number is of a far future: heeding it would use all numbers up.
 func (node *Node) isFarAhead(number uint64) bool {
 	return node.wallMS > 0 && paxos.Counter(number) > uint64(node.wallMS)+paxos.MaxWallAheadMS
 }
--- a/internal/cluster/sharedconfig/node_test.go
+++ b/internal/cluster/sharedconfig/node_test.go
@@ -72,7 +72,8 @@
 	cluster.run(4 * second)
 	const farFuture = 1 << 63
 	instance := cluster.instances[0]
-	instance.node.Receive(cluster.clock(instance), "n01", Message{Kind: Commit, Number: farFuture, Content: []byte("b9")})
+	commit := Message{Kind: Commit, Number: farFuture, Content: []byte("b9")}
+	instance.node.Receive(cluster.clock(instance), "n01", commit)
 	if instance.node.Newest().Number == farFuture {
 		t.Error("a number of a far future is taken")
 	}
--- a/internal/cluster/sharedconfig/proposer.go
+++ b/internal/cluster/sharedconfig/proposer.go
@@ -26,7 +26,7 @@
 
 func (proposal *proposal) pending() bool { return proposal.version.Number > 0 }
 
-// Propose has content become the next version; a ProposalEnded tells what became of it. It returns
+// Propose has content become the next version; a ProposalEnded reports what became of it. It returns
 // ErrContentTooLong or, as there is one proposal at a time, ErrProposalPending.
 func (node *Node) Propose(now, wallMS int64, content []byte) error {
 	switch {
--- a/internal/cluster/sharedconfig/voter.go
+++ b/internal/cluster/sharedconfig/voter.go
@@ -42,7 +42,7 @@
 	state.current, state.leasedUntil = state.next, 0
 }
 
-// incompatible tells whether two versions may never be acted on at once; what is not known any more may not.
+// incompatible reports whether two versions may never be acted on at once; what is not known any more may not.
 func (node *Node) incompatible(current, proposed uint64) bool {
 	before, after := node.contents[current], node.contents[proposed]
 	if before == nil || after == nil {
@@ -52,8 +52,8 @@
 	return incompatible || err != nil
 }
 
-// receiveRenew has a voter grant a lease on the version in force with it. It learns from those who ask: one
-// that restarted knows nothing.
+// receiveRenew has a voter grant a lease on the version that it is at. A voter that restarted knows no
+// version, and learns from those who ask.
 func (node *Node) receiveRenew(now int64, from string, message Message) {
 	if !node.isVoter() {
 		return
--- a/internal/cluster/timing/timing.go
+++ b/internal/cluster/timing/timing.go
@@ -7,7 +7,7 @@
 // Never is the instant of what has not happened.
 const Never = int64(-1)
 
-// Happened tells whether an instant is one at which something happened, and not Never.
+// Happened reports whether an instant is one at which something happened, and not Never.
 func Happened(at int64) bool { return at >= 0 }
 
 // Milliseconds converts a length of time in ns, cutting off what is under a millisecond.
