--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -111,7 +111,8 @@
 	sender, receiver := cluster[from], cluster[send.To]
 	for _, reply := range receiver.Handle(now, MessageReceived{From: sender.config.Self, Message: message}) {
 		if back, ok := reply.(Send); ok && back.To == from {
-			effects = append(effects, sender.Handle(now, MessageReceived{From: receiver.config.Self, Message: back.Message})...)
+			received := MessageReceived{From: receiver.config.Self, Message: back.Message}
+			effects = append(effects, sender.Handle(now, received)...)
 		}
 	}
 	return effects
--- a/internal/cluster/message_test.go
+++ b/internal/cluster/message_test.go
@@ -39,7 +39,9 @@
 		HighestBallot: 1,
 		Lease: &lease.Message{
 			Kind: lease.Reject, Epoch: 2, SentAt: 3,
-			Items: []lease.SlotBallot{{Slot: 4, Ballot: 5, Holder: lease.Instance{Name: "a", Incarnation: 6}, Remaining: 7}},
+			Items: []lease.SlotBallot{{
+				Slot: 4, Ballot: 5, Holder: lease.Instance{Name: "a", Incarnation: 6}, Remaining: 7,
+			}},
 		},
 		ProbeResults: []ProbeResult{{Target: "t", Ballot: 8, Healthy: true, Load: []float64{9}, Seq: 10}},
 		Gossip: &membership.Gossip{
@@ -94,9 +96,9 @@
 func TestStatusJSON(t *testing.T) {
 	a := newNode(t, "a", 1)
 	entry := membership.Entry{Name: "b", Incarnation: 2, Start: 1, Version: 1, Address: "b:1", Weight: 1, Epoch: 1}
-	a.Handle(1000*ms, MessageReceived{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Gossip: &membership.Gossip{
-		Heartbeat: 1, Entries: []membership.Entry{entry},
-	}}})
+	from := lease.Instance{Name: "b", Incarnation: 2}
+	hello := Message{Gossip: &membership.Gossip{Heartbeat: 1, Entries: []membership.Entry{entry}}}
+	a.Handle(1000*ms, MessageReceived{From: from, Message: hello})
 	for now := 1000 * ms; now < 6000*ms; now += 50 * ms {
 		for _, effect := range a.Handle(now, TimerFired{WallMS: 1}) {
 			send, ok := effect.(Send)
@@ -109,7 +111,7 @@
 				answer.Kind = lease.Accept
 			}
 			if send.Message.Lease.Kind == lease.Prepare || send.Message.Lease.Kind == lease.Propose {
-				a.Handle(now, MessageReceived{From: lease.Instance{Name: "b", Incarnation: 2}, Message: Message{Lease: &answer}})
+				a.Handle(now, MessageReceived{From: from, Message: Message{Lease: &answer}})
 			}
 		}
 	}
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -175,7 +175,8 @@
 	old, next, folder := newRoot(t, "old"), newRoot(t, "next"), t.TempDir()
 	issue(t, old, folder, "a", old)
 	issue(t, old, folder, "b", old)
-	a, b := open(t, "a", load(t, folder, "a"), "127.0.0.1-127.0.0.9"), open(t, "b", load(t, folder, "b"), "127.0.0.1-127.0.0.9")
+	a := open(t, "a", load(t, folder, "a"), "127.0.0.1-127.0.0.9")
+	b := open(t, "b", load(t, folder, "b"), "127.0.0.1-127.0.0.9")
 	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("one"))
 	wait(t, "the first message", func() bool { return b.countReceived("a:one") == 1 })
@@ -261,8 +262,10 @@
 			}
 			defer closeConn(conn)
 			client := tls.Client(conn, &tls.Config{
-				InsecureSkipVerify:   true,
-				GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &test.pair, nil },
+				InsecureSkipVerify: true,
+				GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+					return &test.pair, nil
+				},
 			})
 			_, _ = client.Write(test.bytes) // it may be refused before all is written
 			if test.name == "half a frame" {
--- a/internal/cluster/peer/logevents_test.go
+++ b/internal/cluster/peer/logevents_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Of each kind one event is logged in refusalInterval, with how often it happened; members that can't be reached are kinds of
-// their own.
+// Of each kind one event is logged in refusalInterval, with how often it happened; members that can't be
+// reached are kinds of their own.
 func TestRefusalsAreCounted(t *testing.T) {
 	var logged []logevent.Event
 	refusals := newRefusals(func(event logevent.Event) { logged = append(logged, event) })
--- a/internal/cluster/probes_test.go
+++ b/internal/cluster/probes_test.go
@@ -14,7 +14,8 @@
 	}{{7, 1}, {8, 1}, {7, 0}, {8, 1}} {
 		taken := 0
 		result := ProbeResult{Target: "t", Ballot: test.ballot, Healthy: true}
-		for _, effect := range node.Handle(1, MessageReceived{From: from, Message: Message{ProbeResults: []ProbeResult{result}}}) {
+		message := Message{ProbeResults: []ProbeResult{result}}
+		for _, effect := range node.Handle(1, MessageReceived{From: from, Message: message}) {
 			if _, ok := effect.(TargetProbed); ok {
 				taken++
 			}
--- a/internal/cluster/size_test.go
+++ b/internal/cluster/size_test.go
@@ -72,7 +72,8 @@
 			Subject: name, Incarnation: 1 << 63, Version: 1 << 63, Observer: name, Seq: 1 << 63, Kind: 1,
 		})
 	}
-	for what, m := range map[string]Message{"all slots rejected": {Lease: &rejection}, "full gossip": {Gossip: &gossip}} {
+	largest := map[string]Message{"all slots rejected": {Lease: &rejection}, "full gossip": {Gossip: &gossip}}
+	for what, m := range largest {
 		raw, err := m.Encode()
 		if err != nil || len(raw) > peer.MaxFrameSize {
 			t.Errorf("%s: %d bytes, a frame holds %d; %v", what, len(raw), peer.MaxFrameSize, err)
