--- a/deploy/imports_test.go
+++ b/deploy/imports_test.go
@@ -23,7 +23,7 @@
 var layers = [][]string{
 	{
 		"internal/clock", "internal/logevent", "internal/neterr", "internal/protocol", "internal/simulator/wire",
-		"internal/timerqueue",
+		"internal/timerqueue", "internal/cluster/paxos", "internal/cluster/timing",
 	},
 	{
 		"control", "internal/compatibility", "internal/connpool", "internal/downstream/idle", "internal/lifecycle",
@@ -48,7 +48,7 @@
 
 // forTests are the directories that only tests and the experiments' commands may import.
 var (
-	forTests  = []string{"internal/emulator", "internal/experiment"}
+	forTests  = []string{"internal/emulator", "internal/experiment", "internal/cluster/recordtest"}
 	testsOnly = []string{"internal/emulator", "internal/experiment", "cmd/tealexperiment", "cmd/teallab"}
 )
 
@@ -58,6 +58,7 @@
 	"control", "internal/compatibility", "internal/connpool", "internal/downstream/idle", "internal/lifecycle",
 	"internal/cluster/lease", "internal/cluster/membership", "internal/cluster/probe", "internal/cluster/sharedconfig",
 	"internal/router", "internal/cluster", "internal/timerqueue", "internal/protocol", "internal/logevent",
+	"internal/cluster/paxos", "internal/cluster/timing",
 }
 
 // impure are the imports that no pure package has; the packages below them count, too.
