--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -7,20 +7,21 @@
 	"tealpath/control"
 )
 
-// minResponseTime is the least time, ns, that an endpoint is given to respond. The wire tells it in this unit.
+// minResponseTime is the least time, ns, that an endpoint is given to respond: timeouts are sent to endpoints in
+// whole milliseconds.
 const minResponseTime = millisecond
 
 // attempt is one sending of a request to one endpoint.
 type attempt struct {
 	request      *inFlightRequest
-	number       int       // of the request's attempts, from 0
-	cache        *endpoint // that it is sent to
+	number       int       // position among the request's attempts, from 0
+	cache        *endpoint // to which it is sent; nil: unknown, and the attempt ends at once
 	source       *endpoint // from which a cache miss is filled; nil: it is not filled
 	connection   *connection
 	upstream     UpstreamRequest
 	startedAt    int64 // ns
-	deadline     int64 // of its response, ns
-	sendDeadline int64 // until which its writing may begin, ns
+	deadline     int64 // ns; by when its response must have been received
+	sendDeadline int64 // ns; by when writing it must have begun
 	timer        *timer
 	ended        bool
 }
@@ -33,9 +34,9 @@
 		attempt.connection = r.pickConnection(attempt.cache, attempt.upstream.ID)
 	}
 	if attempt.connection == nil {
-		// It counts against the attempts of the request, also while this machine can open no connections: the
-		// endpoint may look reachable by a connection that is full, and the policy would decide on the same
-		// again without end.
+		// It counts towards the request's limit of attempts, also while this machine can open no connections.
+		// Otherwise an endpoint that looks reachable, but whose connections are saturated, could be chosen by
+		// the policy again and again without end.
 		attempt.connection = &connection{}
 		r.attemptEnded(attempt, control.Outcome{Result: control.NotSent})
 		return
@@ -49,7 +50,7 @@
 	attempt.timer = r.timers.Push(attempt.sendDeadline, timerTask{kind: attemptTimer, attempt: attempt})
 }
 
-// newAttempt returns an attempt that has no connection yet.
+// newAttempt returns an attempt that the policy decided on, without a connection yet.
 func (r *Router) newAttempt(request *inFlightRequest, decided control.Attempt) *attempt {
 	timeout := request.Deadline - r.now
 	if decided.Timeout > 0 {
@@ -107,7 +108,7 @@
 	return !attempt.cache.isReady() || attempt.source != nil && !attempt.source.isReady()
 }
 
-// attemptEnded tells the policy how an attempt ended and carries out its decision.
+// attemptEnded ends an attempt, reports its outcome to the policy and carries out the policy's decision.
 func (r *Router) attemptEnded(attempt *attempt, outcome control.Outcome) {
 	if attempt.ended {
 		return
@@ -143,8 +144,9 @@
 	}
 }
 
-// abandonAttempt takes an attempt off its connection. A connection that has been silent since is marked
-// unresponsive: one to a machine that has failed stays open, also after the machine is back.
+// abandonAttempt removes an attempt from its connection. If the connection has been silent since the attempt
+// began it is marked unresponsive: a connection to a machine that has crashed stays open, even after the machine
+// has restarted.
 func (r *Router) abandonAttempt(attempt *attempt) {
 	connection, id := attempt.connection, attempt.upstream.ID
 	if connection.closed || connection.inFlight[id] != attempt {
@@ -158,14 +160,14 @@
 	if r.config.CancelAttempts {
 		r.emit(CancelAttempt{Connection: connection.id, ID: id})
 	} else {
-		r.emit(WithdrawAttempt{Connection: connection.id, ID: id}) // the endpoint need not know of what is not written
+		r.emit(WithdrawAttempt{Connection: connection.id, ID: id}) // it is not written if it has not been yet
 	}
-	r.checkResponsive(attempt)
+	r.markIfUnresponsive(attempt)
 	r.closeIfUnresponsive(connection)
 }
 
-// withdrawAttempt ends an attempt that is not written yet. On an established connection only its writer knows
-// whether it is: AttemptWithdrawn follows if not.
+// withdrawAttempt ends an attempt if it is not written yet. On an established connection only the connection's
+// writer knows whether it is, so the attempt stays in flight until AttemptWithdrawn or a response is received.
 func (r *Router) withdrawAttempt(attempt *attempt) {
 	if attempt.connection.established {
 		r.emit(WithdrawAttempt{Connection: attempt.connection.id, ID: attempt.upstream.ID})
@@ -175,7 +177,7 @@
 	r.attemptEnded(attempt, control.Outcome{Result: control.NotSent})
 }
 
-// withdrawAttempts withdraws the attempts of a request.
+// withdrawAttempts withdraws the attempts of a request that have not ended.
 func (r *Router) withdrawAttempts(request *inFlightRequest) {
 	for _, attempt := range slices.Clone(request.attempts) {
 		if !attempt.ended {
@@ -184,8 +186,9 @@
 	}
 }
 
-// withdrawMatching withdraws attempts of all requests. Written later than the grace for drains and purges, they
-// would go to endpoints that are draining, or accept cache entries from before a purge.
+// withdrawMatching withdraws the attempts of any request that match. It is called after a drain or a purge:
+// attempts decided on before it and written much later would be sent to a draining endpoint, or would accept a
+// copy from before the purge.
 func (r *Router) withdrawMatching(matches func(*attempt) bool) {
 	for _, id := range sortedKeys(r.connections) {
 		connection := r.connections[id]
@@ -204,16 +207,16 @@
 func (r *Router) attemptWithdrawn(event AttemptWithdrawn) {
 	connection := r.connections[event.Connection]
 	if connection == nil || connection.inFlight[event.ID] == nil {
-		return // it was cancelled meanwhile
+		return // it was cancelled in the meantime
 	}
 	attempt := connection.inFlight[event.ID]
 	delete(connection.inFlight, event.ID)
-	r.checkResponsive(attempt)
+	r.markIfUnresponsive(attempt)
 	r.attemptEnded(attempt, control.Outcome{Result: control.NotSent})
 	r.closeIfUnresponsive(connection)
 }
 
-// attempts returns what is in flight on a connection, in the order in which it was started.
+// attempts returns the attempts in flight on a connection, ordered by when they were started.
 func (c *connection) attempts() []*attempt {
 	return slices.SortedFunc(maps.Values(c.inFlight), func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(a.startedAt, b.startedAt), cmp.Compare(a.upstream.ID, b.upstream.ID))
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -6,19 +6,19 @@
 	"tealpath/internal/connpool"
 )
 
-// Limits bound what the reducer lets be opened.
+// Limits bounds the connections and the requests of a reducer.
 type Limits struct {
-	MaxConnections int            // to endpoints, all together
-	ConnectionPlan *connpool.Plan // of connections to caches; nil: only maxConnectionsPerEndpoint bounds them
+	MaxConnections int            // to all endpoints together
+	ConnectionPlan *connpool.Plan // bounds connections to caches; nil: only the other limits do
 	MaxInFlight    int            // requests in flight
-	MaxBodyBytes   int            // of the bodies of the requests in flight
+	MaxBodyBytes   int            // bytes; of the bodies of all requests in flight together
 }
 
-// config is the settings in the form in which the reducer looks them up.
+// config is the settings with indexes for the reducer's look-ups.
 type config struct {
 	control.Settings
-	classes       map[string]control.ClassSettings
-	nonCacheKinds []string // kinds of endpoints that are no caches
+	classes       map[string]control.ClassSettings // by name
+	nonCacheKinds []string                         // kinds of endpoints that are no caches
 }
 
 func newConfig(settings control.Settings) config {
@@ -36,9 +36,9 @@
 	return config
 }
 
-// policySettings returns the settings of the policy. It makes no health checks of its own: they show that an
-// endpoint is alive, not how it serves, so ejected endpoints are tried by attempts. Those of instances that
-// share the duty of health checks are passed on to it beside that.
+// policySettings returns the settings that the policy gets. It schedules no health checks of its own: they show
+// that an endpoint is alive, not how well it serves, so ejected endpoints are probed by attempts. Results of the
+// health checks that instances share by a lease still reach it, through ProbeEnded.
 func policySettings(settings control.Settings) control.Settings {
 	settings.HealthChecks = false
 	return settings
--- a/internal/router/connection_selection.go
+++ b/internal/router/connection_selection.go
@@ -10,19 +10,21 @@
 	// MaxStreamsPerConnection do not count, so that a saturated endpoint can get another one.
 	maxConnectionsPerEndpoint = 4
 
-	// shareThreshold is how many requests are in flight on an endpoint's least used connection when another one
-	// is dialled: one corrupt response ends everything that is in flight on its connection.
+	// shareThreshold is the number of requests in flight on an endpoint's least used connection from which
+	// another connection is dialled. It is low because one corrupt response ends all requests in flight on its
+	// connection.
 	shareThreshold = 3
 )
 
-// connectionCandidates is what an endpoint's connections offer to one attempt.
+// connectionCandidates are the connections to an endpoint that one attempt could use.
 type connectionCandidates struct {
-	preferred *connection // an established one if there is any
-	stalled   *connection
-	atLimit   bool // no further connection may be opened
+	preferred *connection // the least used one that is not stalled, an established one if there is any; or nil
+	stalled   *connection // one that is stalled; nil: there is none
+	atLimit   bool        // no further connection may be opened
 }
 
-// pickConnection returns the least used connection to an endpoint, or dials one. It is nil if there is none.
+// pickConnection returns the connection to an endpoint that an attempt is to use. That is the least used one,
+// or a new one if there is none yet or the limits allow another. It is nil if none can be used or dialled.
 func (r *Router) pickConnection(endpoint *endpoint, id RequestID) *connection {
 	candidates := r.findCandidates(endpoint, id)
 	preferred := candidates.preferred
@@ -41,6 +43,7 @@
 	return dialled
 }
 
+// findCandidates returns the connections to an endpoint that an attempt of a request could use.
 func (r *Router) findCandidates(endpoint *endpoint, id RequestID) connectionCandidates {
 	var candidates connectionCandidates
 	saturated := 0
@@ -60,8 +63,8 @@
 	return candidates
 }
 
-// canCarry reports whether a request may be sent on a connection. One on which a request of this ID is in
-// flight, or was abandoned, is left out: a late response to that could be taken for the response to this.
+// canCarry reports whether a request may be sent on a connection. It may not if an attempt with the same ID is
+// in flight on it or was abandoned: a late response to that one could be mistaken for the response to this one.
 func (r *Router) canCarry(connection *connection, id RequestID) bool {
 	_, abandoned := connection.abandonedAt[id]
 	if connection.unresponsive || abandoned || connection.inFlight[id] != nil {
@@ -72,8 +75,8 @@
 
 func (c *connection) isResponsive() bool { return !c.unresponsive }
 
-// isPreferred reports whether a connection is used rather than another: it is established and that one is not
-// or, if they are alike in that, less is in flight on it.
+// isPreferred reports whether a connection is used rather than another. Established connections are preferred
+// and, among equals in that, the one with fewer requests in flight.
 func (c *connection) isPreferred(other *connection) bool {
 	if c.established != other.established {
 		return c.established
@@ -81,8 +84,8 @@
 	return len(c.inFlight) < len(other.inFlight)
 }
 
-// isStalled reports whether nothing has come on a connection for some time though a request is in flight on it:
-// a slow response may be on its way, and whatever is sent behind it would wait for that.
+// isStalled reports whether nothing has been received on a connection for longer than a dial may take although
+// an attempt is in flight on it. A response may be slow, and those to further requests would wait behind it.
 func (r *Router) isStalled(connection *connection) bool {
 	if !connection.established || len(connection.inFlight) == 0 {
 		return false
@@ -102,9 +105,9 @@
 	return r.limits.ConnectionPlan.CanConnect(r.now, endpoint.Instance, len(endpoint.connections))
 }
 
-// isReachable reports whether an attempt to an endpoint would find a connection, or may open one. The policy
-// passes over caches that are not reachable: where there are more caches than connections, objects whose cache
-// has no connection go to one that has.
+// isReachable reports whether an attempt to an endpoint would have a connection or could open one; other
+// endpoints than caches count as reachable. The policy skips caches that are not reachable: with more caches
+// than allowed connections, requests for the objects of a cache without a connection go to one that has one.
 func (r *Router) isReachable(id uint32) bool {
 	endpoint := r.endpoints.byID[id]
 	if endpoint == nil || !r.config.isCache(endpoint) || r.canDial(endpoint) {
@@ -116,7 +119,7 @@
 	return slices.ContainsFunc(endpoint.connections, (*connection).isResponsive)
 }
 
-// preconnect dials the caches that the plan of connections names, before there is a request for them.
+// preconnect dials the caches that the connection plan names, before there is a request for them.
 func (r *Router) preconnect() {
 	if r.localBackoff.Active(r.now) {
 		return
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -12,12 +12,12 @@
 	endpoint       *endpoint
 	address        string
 	established    bool
-	unresponsive   bool // it was silent on what was sent, or its endpoint has gone: nothing new is sent on it
+	unresponsive   bool // nothing new is sent on it, and it is closed once nothing is in flight
 	closed         bool
 	inFlight       map[RequestID]*attempt
-	abandonedAt    map[RequestID]int64 // requests to which a late response may come, with the time, ns
-	lastReceivedAt int64
-	lastUsedAt     int64
+	abandonedAt    map[RequestID]int64 // ns; by request to which a late response may still be received
+	lastReceivedAt int64               // ns; when a response was received last, or it was dialled or established
+	lastUsedAt     int64               // ns; when an attempt was last started on it, or it was dialled
 }
 
 // dial opens one more connection to an endpoint.
@@ -39,7 +39,7 @@
 	return dialled
 }
 
-// connectionUp sends what has waited for a connection.
+// connectionUp handles a connection that is established: it sends the attempts that have waited for it.
 func (r *Router) connectionUp(event ConnectionUp) {
 	connection := r.connections[event.Connection]
 	if connection == nil {
@@ -59,7 +59,7 @@
 }
 
 // endExpired ends the attempts on a connection whose send deadline has passed but whose timer has not fired
-// yet. They may not be sent any more: servers drop repetitions within a window only.
+// yet. They must not be sent any more: servers recognize an idempotency key for a limited time only.
 func (r *Router) endExpired(connection *connection) {
 	for _, attempt := range connection.attempts() {
 		if r.now >= attempt.sendDeadline {
@@ -88,35 +88,39 @@
 	r.connectionLost(connection, event.Unsent, event.Cause)
 }
 
-// dialFailedLocally begins the backoff of all dialling, for an error of this machine's own.
+// dialFailedLocally starts the backoff of all dialling after an error of this machine's own.
 func (r *Router) dialFailedLocally(reason string) {
 	if r.localBackoff.DialFailed(r.now) {
 		r.log(ConnectUnavailable{Cause: reason})
 	}
 }
 
-// dialReachedEndpoint ends that backoff: a dial got as far as its endpoint, whatever that answered.
+// dialReachedEndpoint ends the backoff that dialFailedLocally started: a dial got as far as its endpoint, which
+// may have accepted or refused it.
 func (r *Router) dialReachedEndpoint() {
 	if r.localBackoff.DialSucceeded() {
 		r.log(ConnectAvailable{})
 	}
 }
 
-// connectionLost removes a connection and ends the attempts on it. Of these, what was not completely written,
-// or waited for the connection to be established, was not executed.
+// connectionLost removes a connection and ends the attempts on it. unsent are the requests that were not
+// completely written.
 func (r *Router) connectionLost(connection *connection, unsent []RequestID, cause Cause) {
 	r.removeConnection(connection)
 	attempts := connection.attempts()
 	clear(connection.inFlight)
-	shared := cause == Local // nothing is held against the endpoint
+	countedAlready := cause == Local // an error of this machine is no failure of the endpoint
 	for _, attempt := range attempts {
 		result := lostResult(connection, cause, slices.Contains(unsent, attempt.upstream.ID))
-		r.attemptEnded(attempt, control.Outcome{Result: result, SharedCause: shared})
-		shared = shared || result == control.ConnectionLost // one lost connection is one failure of its endpoint
+		r.attemptEnded(attempt, control.Outcome{Result: result, SharedCause: countedAlready})
+		if result == control.ConnectionLost {
+			countedAlready = true // a lost connection is one failure of its endpoint, not one for each attempt
+		}
 	}
 }
 
-// lostResult is the result of an attempt whose connection was lost.
+// lostResult returns the result of an attempt whose connection was lost. Only an attempt that was completely
+// written may have been executed.
 func lostResult(connection *connection, cause Cause, unsent bool) control.Result {
 	switch {
 	case !connection.established && cause == Local:
@@ -129,13 +133,14 @@
 	return control.ConnectionLost
 }
 
+// removeConnection marks a connection as closed and removes it from its endpoint.
 func (r *Router) removeConnection(connection *connection) {
 	connection.closed = true
 	delete(r.connections, connection.id)
 	connection.endpoint.connections = without(connection.endpoint.connections, connection)
 }
 
-// closeConnection closes a connection from this side.
+// closeConnection closes a connection from this side and ends the attempts on it.
 func (r *Router) closeConnection(connection *connection) {
 	if connection.closed {
 		return
@@ -144,9 +149,9 @@
 	r.connectionLost(connection, nil, Remote)
 }
 
-// checkResponsive marks an attempt's connection as unresponsive if it has been silent since the attempt began,
-// for as long as a dial may take.
-func (r *Router) checkResponsive(attempt *attempt) {
+// markIfUnresponsive marks an attempt's connection as unresponsive if nothing has been received on it since the
+// attempt began, for as long as a dial may take.
+func (r *Router) markIfUnresponsive(attempt *attempt) {
 	silent := attempt.connection.lastReceivedAt <= attempt.startedAt
 	if silent && r.now-attempt.startedAt >= r.config.ConnectTimeout {
 		attempt.connection.unresponsive = true
@@ -160,34 +165,35 @@
 	}
 }
 
-// closeUnused closes connections that have not been used for some time. It also forgets abandoned requests to
-// which no response will come any more.
+// closeUnused closes connections that have not been used for some time.
 func (r *Router) closeUnused() {
 	var unused []ConnectionID
 	for id, connection := range r.connections {
-		r.forgetAbandoned(connection)
 		if r.isUnused(connection) {
 			unused = append(unused, id)
 		}
 	}
 	slices.Sort(unused)
 	for _, id := range unused {
-		// A connection that was closed before it may have left too few for this one to be closed.
+		// Closing the ones before it may have left its endpoint too few connections to close this one too.
 		if connection := r.connections[id]; connection != nil && r.isUnused(connection) {
 			r.closeConnection(connection)
 		}
 	}
 }
 
-func (r *Router) forgetAbandoned(connection *connection) {
-	maps.DeleteFunc(connection.abandonedAt, func(_ RequestID, at int64) bool {
-		return r.now-at > 2*r.config.LongestDeadline
-	})
+// forgetAbandoned forgets abandoned requests that are so old that no response to them will be received any more.
+func (r *Router) forgetAbandoned() {
+	for _, connection := range r.connections {
+		maps.DeleteFunc(connection.abandonedAt, func(_ RequestID, at int64) bool {
+			return r.now-at > 2*r.config.LongestDeadline
+		})
+	}
 }
 
-// isUnused reports whether a connection is to be closed because it is not used: half the idle timeout before
-// its endpoint would close it, which could cross with a request, or as soon as the plan of connections wants
-// it.
+// isUnused reports whether a connection is to be closed because it is not used: as soon as the connection plan
+// says so, and after half of its endpoint's idle timeout at the latest. If the endpoint closed it, a request
+// could be on its way at that moment.
 func (r *Router) isUnused(connection *connection) bool {
 	if !connection.established || len(connection.inFlight) > 0 {
 		return false
--- a/internal/router/effects.go
+++ b/internal/router/effects.go
@@ -5,7 +5,7 @@
 	"tealpath/internal/logevent"
 )
 
-// Effect is an order of the reducer to its surroundings.
+// Effect is something that the caller of Handle has to carry out: one of the types of this file.
 type Effect any
 
 // ResponseKind says how a client's request ended.
@@ -14,9 +14,9 @@
 // The kinds of responses.
 const (
 	Served     ResponseKind = iota
-	Rejected                // not executed; the client may ask again
+	Rejected                // not executed; the client may retry
 	Failed                  // without a usable response; it may have been executed
-	BadRequest              // it can't be understood; Respond.Reason says why
+	BadRequest              // malformed or not acceptable; Respond.Reason says why
 )
 
 // String returns the kind's name.
@@ -41,7 +41,7 @@
 	Kind        ResponseKind
 	Body        []byte
 	NotModified bool  // the copy that the client has is still valid
-	RetryAfter  int64 // how long the client is to wait before it asks again, ns; 0: not told
+	RetryAfter  int64 // ns; how long the client should wait before it retries; 0: not stated
 	Reason      error // with BadRequest: a *FieldError, ErrSequenceInUse or ErrBodyTooLong
 }
 
@@ -52,15 +52,16 @@
 	Timeout    int64 // ns
 }
 
-// Send writes a request to a connection, unless that can't begin before SendDeadline.
+// Send writes a request to a connection. If writing can't begin before SendDeadline, nothing is written and
+// AttemptWithdrawn follows.
 type Send struct {
 	Connection   ConnectionID
 	Request      UpstreamRequest
 	SendDeadline int64 // ns
 }
 
-// UpstreamRequest is a request as an endpoint gets it. Its texts and its body are the client's own, byte for
-// byte.
+// UpstreamRequest is a request as it is sent to an endpoint. Its strings and its body are the client's, byte
+// for byte.
 type UpstreamRequest struct {
 	ID             RequestID
 	Class          string
@@ -69,19 +70,20 @@
 	Body           []byte
 	ClientETag     string // entity tag of the copy that the client has; empty: none
 	IdempotencyKey string // of the client, by which the server drops repetitions; empty: none
-	Deadline       int64  // of the response, ns; the endpoint is told how much is left as the request is written
+	Deadline       int64  // of the response, ns; the endpoint is sent the time that is left when it is written
 	Source         string // instance from which a cache miss is filled; empty: it is not filled
 	Attempt        control.Attempt
 }
 
-// CancelAttempt cancels a request on a connection: it is not written, or if it is, the endpoint is told.
+// CancelAttempt cancels a request on a connection: if it is not written yet it never is, otherwise the endpoint
+// is sent a cancellation. No event follows.
 type CancelAttempt struct {
 	Connection ConnectionID
 	ID         RequestID
 }
 
 // WithdrawAttempt withdraws a request from a connection if nothing of it is written yet: AttemptWithdrawn then
-// follows. Otherwise the request stays.
+// follows. Otherwise it has no effect.
 type WithdrawAttempt struct {
 	Connection ConnectionID
 	ID         RequestID
@@ -90,10 +92,10 @@
 // Close closes a connection. No event follows.
 type Close struct{ Connection ConnectionID }
 
-// SetTimer has TimerFired come at a time, ns. It replaces the timer before it.
+// SetTimer sets the one timer, which replaces the one set before: TimerFired follows at this time, ns.
 type SetTimer struct{ At int64 }
 
-// Log logs an event. Instance names the endpoint that it concerns, empty for none.
+// Log writes an event to the log. Instance is the name of the endpoint that it concerns, empty for none.
 type Log struct {
 	Event    logevent.Event
 	Instance string
--- a/internal/router/endpoint_table.go
+++ b/internal/router/endpoint_table.go
@@ -15,20 +15,20 @@
 type endpoint struct {
 	EndpointEntry
 	connections []*connection
-	inPlan      bool // the plan of connections counts it among the caches
+	inPlan      bool // the connection plan counts it among the caches
 }
 
 func (e *endpoint) isReady() bool { return e.Phase == phaseReady }
 
-// endpointTable holds the endpoint list, with indexes so that a change need not go over all endpoints.
+// endpointTable is the endpoint list with its indexes, so that a change need not go over all endpoints.
 type endpointTable struct {
 	byName      map[string]*endpoint
 	byID        map[uint32]*endpoint
 	byAddress   map[string][]*endpoint
-	gone        map[string]*endpoint // those that are gone and have connections yet, by name
-	removed     []*endpoint          // since the last update; byID may still hold them
+	gone        map[string]*endpoint // endpoints in phaseGone that still have connections, by name
+	removed     []*endpoint          // since the last assignIDs; byID may still have them
 	displaced   int                  // endpoints whose ID is not the hash of their name, because another has that
-	planCurrent bool                 // the plan of connections knows the caches
+	planCurrent bool                 // the connection plan has been given the caches
 }
 
 func newEndpointTable() endpointTable {
@@ -49,8 +49,8 @@
 	return entries
 }
 
-// get returns the endpoint of a name, added if there is none.
-func (table *endpointTable) get(name string) (found *endpoint, added bool) {
+// getOrAdd returns the endpoint of a name, and adds it if there is none.
+func (table *endpointTable) getOrAdd(name string) (found *endpoint, added bool) {
 	if found = table.byName[name]; found != nil {
 		return found, false
 	}
@@ -59,7 +59,7 @@
 	return found, true
 }
 
-// setEntry replaces what is known of an endpoint. It keeps its ID.
+// setEntry replaces the entry of an endpoint, except for its ID.
 func (table *endpointTable) setEntry(endpoint *endpoint, entry EndpointEntry) {
 	entry.ID = endpoint.ID
 	table.removeAddress(endpoint)
@@ -76,6 +76,17 @@
 	}
 }
 
+// updateGone updates the endpoints that are gone by those of a set that have changed.
+func (table *endpointTable) updateGone(changed endpointSet) {
+	for name, endpoint := range changed {
+		if endpoint.Phase == phaseGone {
+			table.gone[name] = endpoint
+		} else {
+			delete(table.gone, name)
+		}
+	}
+}
+
 // remove forgets an endpoint. Its ID is free with the next assignIDs.
 func (table *endpointTable) remove(name string) {
 	endpoint := table.byName[name]
@@ -85,9 +96,9 @@
 	table.removed = append(table.removed, endpoint)
 }
 
-// assignIDs gives each new endpoint the policy's ID for it, and reports whether those of others have changed.
-// The ID comes from the instance's name alone, so that hashes over IDs agree at every router. Of two names with
-// the same hash, the later in order gets the next free one.
+// assignIDs gives each new endpoint the ID that the policy knows it by, and reports whether the IDs of others
+// have changed. An ID is the hash of the instance's name, so that all routers use the same one and agree on
+// which cache has an object. If two names have the same hash, the later name in order gets the next free ID.
 func (table *endpointTable) assignIDs(added bool, changed endpointSet) (reassigned bool) {
 	removed := len(table.removed) > 0
 	table.freeIDs()
@@ -143,7 +154,7 @@
 	return reassigned
 }
 
-// nameHash is the hash of an instance's name from which its ID comes.
+// nameHash returns the hash of an instance's name, which is its ID unless another name has the same hash.
 func nameHash(name string) uint32 {
 	h := fnv.New32a()
 	h.Write([]byte(name))
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -5,11 +5,12 @@
 	"tealpath/control"
 )
 
-// endpointSet is a set of endpoints by name, of those that one event changes.
+// endpointSet is a set of endpoints, by name.
 type endpointSet map[string]*endpoint
 
 func (set endpointSet) add(endpoint *endpoint) { set[endpoint.Instance] = endpoint }
 
+// addGone sets an endpoint's phase to phaseGone and adds it to the set.
 func (set endpointSet) addGone(endpoint *endpoint) {
 	endpoint.Phase = phaseGone
 	set.add(endpoint)
@@ -25,12 +26,12 @@
 	return false
 }
 
-// endpointListUpdated applies the endpoint list, or changes to it, and tells the policy and the plan of
-// connections what has changed.
+// endpointListUpdated applies the endpoint list, or changes to it, and passes the changes on to the policy and
+// to the connection plan.
 func (r *Router) endpointListUpdated(event EndpointListUpdated) {
 	changed := endpointSet{}
 	if event.Complete {
-		r.removeUnlisted(event.Entries, changed)
+		r.markUnlistedGone(event.Entries, changed)
 	}
 	anyAdded := false
 	var stale []*connection
@@ -48,11 +49,12 @@
 	for _, connection := range stale {
 		r.closeConnection(connection)
 	}
-	r.forgetGone(changed)
+	r.endpoints.updateGone(changed)
+	r.removeGone()
 }
 
-// removeUnlisted marks as gone what a complete list does not name.
-func (r *Router) removeUnlisted(entries []EndpointEntry, changed endpointSet) {
+// markUnlistedGone marks as gone the endpoints that a complete list does not name.
+func (r *Router) markUnlistedGone(entries []EndpointEntry, changed endpointSet) {
 	listed := map[string]bool{}
 	for _, entry := range entries {
 		listed[entry.Instance] = true
@@ -65,10 +67,10 @@
 }
 
 // applyEntry applies one entry of the list, and reports whether its endpoint is new. It returns the connections
-// that are stale by it: those to an endpoint as it was before it was restarted or moved to another address.
+// that the entry makes stale: if the endpoint was restarted or has another address now, all that it had.
 func (r *Router) applyEntry(entry EndpointEntry, changed endpointSet) (stale []*connection, added bool) {
-	endpoint, added := r.endpoints.get(entry.Instance)
-	r.replaceAtAddress(entry, changed)
+	endpoint, added := r.endpoints.getOrAdd(entry.Instance)
+	r.markReplacedGone(entry, changed)
 	restarted := entry.StartedAt > 0 && entry.StartedAt != endpoint.StartedAt
 	moved := entry.Address != endpoint.Address
 	r.endpoints.setEntry(endpoint, entry)
@@ -83,9 +85,9 @@
 	return stale, added
 }
 
-// replaceAtAddress marks as gone the endpoints whose address a newer one has: what is sent to them would reach
-// that one instead, which may be warming up.
-func (r *Router) replaceAtAddress(entry EndpointEntry, changed endpointSet) {
+// markReplacedGone marks as gone the endpoints whose address a newer one has now: requests to them would reach
+// the newer one instead, which may be warming up.
+func (r *Router) markReplacedGone(entry EndpointEntry, changed endpointSet) {
 	if entry.Address == "" || entry.Phase != phaseReady {
 		return
 	}
@@ -96,7 +98,7 @@
 	}
 }
 
-// updatePolicy tells the policy which endpoints have changed, or all of them if their IDs have.
+// updatePolicy passes the changed endpoints to the policy, or all of them if IDs have changed.
 func (r *Router) updatePolicy(changed endpointSet, all bool) {
 	if all {
 		changed = r.endpoints.byName
@@ -108,7 +110,7 @@
 	r.policy.UpdateEndpoints(r.now, endpoints, all)
 }
 
-// updateConnectionPlan tells the plan of connections which caches there are, if they have changed.
+// updateConnectionPlan passes the list of caches to the connection plan if it has changed.
 func (r *Router) updateConnectionPlan(changed endpointSet) {
 	if r.limits.ConnectionPlan == nil {
 		return
@@ -123,7 +125,7 @@
 		return
 	}
 	r.endpoints.planCurrent = true
-	var caches []string // in any order: the plan has one of its own
+	var caches []string // in any order: the plan sorts them
 	for name, endpoint := range r.endpoints.byName {
 		if endpoint.inPlan {
 			caches = append(caches, name)
@@ -132,17 +134,10 @@
 	r.limits.ConnectionPlan.SetEndpoints(r.now, caches)
 }
 
-// forgetGone closes the connections of endpoints that are gone once nothing is in flight on them, and forgets
-// endpoints that have none left.
-func (r *Router) forgetGone(changed endpointSet) {
+// removeGone closes the connections to endpoints that are gone, each once nothing is in flight on it, and
+// removes the endpoints that have no connection left.
+func (r *Router) removeGone() {
 	gone := r.endpoints.gone
-	for name, endpoint := range changed {
-		if endpoint.Phase == phaseGone {
-			gone[name] = endpoint
-		} else {
-			delete(gone, name)
-		}
-	}
 	for _, name := range sortedKeys(gone) {
 		endpoint := gone[name]
 		for _, connection := range slices.Clone(endpoint.connections) {
@@ -155,8 +150,8 @@
 	}
 }
 
-// purgeReceived tells the policy of a purge. Attempts that were decided on before it and are not written yet
-// are decided on anew.
+// purgeReceived reports a purge to the policy. Attempts that were decided on before it are withdrawn if they are
+// not written yet, so that the policy decides on them again.
 func (r *Router) purgeReceived(event PurgeReceived) {
 	r.policy.Purge(r.now, event.Object, event.Group, event.PurgedAt)
 	r.withdrawMatching(func(attempt *attempt) bool {
@@ -167,7 +162,7 @@
 	})
 }
 
-// probeEnded tells the policy the outcome of a health check.
+// probeEnded reports the result of a health check to the policy.
 func (r *Router) probeEnded(event ProbeEnded) {
 	endpoint := r.endpoints.byName[event.Instance]
 	if endpoint != nil && r.config.HealthChecks {
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -9,17 +9,17 @@
 // again.
 type ConnectionID uint64
 
-// Event is something that came in from outside. Timestamps of other machines are Unix ns by their clocks; all
-// other times are ns of the clock whose time Handle is called with.
+// Event is an input of Handle: one of the types of this file. Timestamps of other machines are Unix ns by their
+// clocks; all other times are ns of the clock whose time Handle is called with.
 type Event any
 
 // RequestReceived is a client's request that has been read completely.
 type RequestReceived struct {
 	Client      ClientID
 	Seq         int32 // the client's number for its call
-	ArrivedAt   int64 // earliest that the request's first byte can have come; 0: when the event came
+	ArrivedAt   int64 // ns; the earliest that its first byte can have arrived; 0: when the event occurred
 	Request     Request
-	DecodeError error // of DecodeRequest; the request is answered as a bad one
+	DecodeError error // of DecodeRequest; if it is set the request is answered as a BadRequest
 }
 
 // RequestCancelled reports that a client has stopped waiting for one request.
@@ -31,15 +31,15 @@
 // ClientDisconnected reports that a client's connection has ended.
 type ClientDisconnected struct{ Client ClientID }
 
-// ClientHalfClosed reports that a client has closed its sending side. It may still read: what is in flight for
-// it is answered, but no further attempt is made.
+// ClientHalfClosed reports that a client has closed its sending side. It may still read: its requests in flight
+// get their responses, but no further attempt is made for them.
 type ClientHalfClosed struct{ Client ClientID }
 
 // ConnectionUp reports that a connection that was dialled is established.
 type ConnectionUp struct{ Connection ConnectionID }
 
 // Cause says on which side the reason for the end of a connection lies.
-type Cause int
+type Cause int // Remote or Local
 
 // The causes. Local is an error of this machine's own, such as a lack of file descriptors: it says nothing
 // about the endpoint.
@@ -51,7 +51,7 @@
 // ConnectionDown reports that a connection has ended or was never established.
 type ConnectionDown struct {
 	Connection ConnectionID
-	Unsent     []RequestID // that were not completely written
+	Unsent     []RequestID // requests that were not completely written, so that they were not executed
 	Cause      Cause
 	Reason     string // text of the error; empty: there was none
 }
@@ -74,7 +74,7 @@
 	Body            []byte
 	Note            int64     // the wire's note: where the response came from, or who rejected the attempt
 	TimeToFirstByte int64     // ns
-	LoadReport      []float64 // in the order of the setting report.fields
+	LoadReport      []float64 // the endpoint's load, in the order of the setting LoadReportFields
 }
 
 // EndpointEntry is one entry of the endpoint list.
@@ -90,18 +90,19 @@
 	Entries  []EndpointEntry
 }
 
-// PurgeReceived reports a purge of one object or, with no object, of a group.
+// PurgeReceived reports a purge of one object or, if Object is empty, of all objects of a group.
 type PurgeReceived struct {
 	Object   string
 	Group    int64
 	PurgedAt int64 // Unix ns by the clock of the discovery service
 }
 
-// ProbeEnded reports the outcome of a health check, by this instance or by another that shares the lease.
+// ProbeEnded reports the result of a health check, made by this instance or by another with which it shares
+// health checks.
 type ProbeEnded struct {
-	Instance   string
+	Instance   string // the endpoint that was checked
 	Healthy    bool
-	LoadReport []float64
+	LoadReport []float64 // as in ResponseReceived
 }
 
 // TimerFired reports that the time of SetTimer has come.
--- a/internal/router/logevents.go
+++ b/internal/router/logevents.go
@@ -3,7 +3,7 @@
 import "tealpath/internal/logevent"
 
 // ConnectUnavailable is logged when connections can no longer be opened for a reason of this machine's own,
-// such as a lack of file descriptors. Nothing is dialled for a while.
+// such as a lack of file descriptors. Dialling is suspended with a backoff until a dial succeeds.
 type ConnectUnavailable struct {
 	Cause string `log:"cause"` // text of the error
 }
@@ -17,7 +17,8 @@
 	}
 }
 
-// ConnectAvailable is logged when a dial has reached its endpoint again after ConnectUnavailable.
+// ConnectAvailable is logged when a dial reaches its endpoint again after ConnectUnavailable, whether or not the
+// endpoint accepts it.
 type ConnectAvailable struct{}
 
 // Kind implements logevent.Event.
@@ -25,8 +26,8 @@
 	return logevent.Kind{Name: "connect_available", Level: logevent.Info, Message: "connections can be opened again"}
 }
 
-// PanicRecovered is logged when handling an event panicked, which is a fault of this program. The request
-// concerned is answered by its deadline.
+// PanicRecovered is logged when handling an event panicked, which is a defect of this program. The request
+// concerned fails shortly after its deadline at the latest.
 type PanicRecovered struct {
 	Cause string `log:"cause"` // text of the panic
 }
@@ -45,12 +46,13 @@
 	return []logevent.Event{ConnectUnavailable{}, ConnectAvailable{}, PanicRecovered{}}
 }
 
-// endpointEvent is an event that concerns one endpoint.
+// endpointEvent is an event that concerns one endpoint, which it names by the policy's ID.
 type endpointEvent interface {
 	EndpointID() uint32
 }
 
-// log emits an event of the log, with the name of the endpoint that it concerns, if there is one.
+// log emits an event for the log, with the name of the endpoint that it concerns, if there is one: the policy
+// knows endpoints by their IDs alone.
 func (r *Router) log(event logevent.Event) {
 	effect := Log{Event: event}
 	if about, ok := event.(endpointEvent); ok {
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -34,21 +34,21 @@
 	keyDelimiters = ",=\r\n"
 )
 
-// RequestID identifies a request, for clients and endpoints alike: 16 hexadecimal digits as the client wrote
+// RequestID identifies a request, both to its client and to endpoints: 16 hexadecimal digits as the client wrote
 // them. It is unique among the requests in flight.
 type RequestID = string
 
-// Request is a client's request, decoded and validated. Texts are those that the client sent: they are
-// forwarded byte for byte.
+// Request is a client's request, decoded and validated. Strings are as the client sent them: they are forwarded
+// byte for byte.
 type Request struct {
 	ID             RequestID
-	Class          string // of requests that are served on the same terms
-	Object         string // that is asked for, 16 hexadecimal digits
-	Part           Part   // of the object
-	Group          int64  // of objects that are purged together
-	Timeout        int64  // that the client waits for its response, ns
-	IsRetry        bool   // the client marked it as a repetition
-	SizeKB         float64
+	Class          string  // name of its class in the settings
+	Object         string  // the object requested, 16 hexadecimal digits
+	Part           Part    // of the object
+	Group          int64   // the group of objects that are purged together to which the object belongs
+	Timeout        int64   // ns; how long the client waits for its response
+	IsRetry        bool    // the client marked it as a retry
+	SizeKB         float64 // 0: not stated
 	ClientETag     string // entity tag of the copy that the client has; empty: none
 	IdempotencyKey string // by which servers drop repetitions; empty: none
 	Body           []byte
@@ -71,7 +71,7 @@
 	FieldIDInUse      FieldReason = "is in use" // responses to the two requests could not be told apart
 )
 
-// FieldError is a field of a request that it can't be served by.
+// FieldError reports a field because of which a request can't be served.
 type FieldError struct {
 	Field  string // its name on the wire
 	Value  string // empty also where the field is missing
@@ -81,7 +81,7 @@
 // Error returns the text that the client gets. It leaves out the value, which is the client's own.
 func (e *FieldError) Error() string { return "field " + e.Field + " " + string(e.Reason) }
 
-// The reasons for a bad request that lie in no single field.
+// Errors of a bad request that concern no single field.
 var (
 	ErrSequenceInUse = errors.New("sequence number in use")
 	ErrBodyTooLong   = errors.New("the body is too long")
@@ -117,7 +117,7 @@
 	err    *FieldError
 }
 
-// require notes an error unless the field is usable.
+// require records an error for a field unless it is usable or an earlier field had an error.
 func (d *fieldDecoder) require(name string, usable bool) {
 	if !usable && d.err == nil {
 		d.err = &FieldError{Field: name, Value: d.fields[name], Reason: FieldUnusable}
@@ -136,7 +136,7 @@
 	return text
 }
 
-// number reads a decimal number of digits alone: a sign would be forwarded with it.
+// number reads a decimal number that consists of digits alone: a sign would be forwarded with it.
 func (d *fieldDecoder) number(name string, largest uint64) int64 {
 	number, err := strconv.ParseUint(d.fields[name], 10, 32)
 	d.require(name, err == nil && number <= largest)
@@ -153,7 +153,7 @@
 	return key
 }
 
-// clientETag reads an optional field: what is no entity tag names no copy.
+// clientETag reads an optional field. An invalid entity tag counts as none.
 func (d *fieldDecoder) clientETag() string {
 	if tag := d.fields[fieldClientETag]; isHexadecimal(tag) {
 		return tag
@@ -161,7 +161,7 @@
 	return ""
 }
 
-// size reads an optional field that only some deployments send: what is no size is the same as none.
+// size reads an optional field that only some deployments send. An invalid size counts as none.
 func (d *fieldDecoder) size() (kilobytes float64) {
 	size, err := strconv.ParseFloat(d.fields[fieldSize], 64)
 	if err == nil && size > 0 && size < maxSizeKB {
@@ -170,7 +170,7 @@
 	return 0
 }
 
-// isHexadecimal reports whether a text is 16 hexadecimal digits.
+// isHexadecimal reports whether a string is 16 hexadecimal digits.
 func isHexadecimal(text string) bool {
 	if len(text) != hexDigits {
 		return false
@@ -179,7 +179,7 @@
 	return err == nil
 }
 
-// policyRequest returns what the policy has to know of a request that arrived at a time.
+// policyRequest returns the policy's view of a request that arrived at a time, ns.
 func (request *Request) policyRequest(arrivedAt int64) control.Request {
 	return control.Request{
 		Class:       request.Class,
--- a/internal/router/request_table.go
+++ b/internal/router/request_table.go
@@ -49,7 +49,7 @@
 	table.bodyBytes += len(request.received.Body)
 }
 
-// remove forgets a request and lets go of its body.
+// remove removes a request and releases its body, which attempts that are still in flight would keep in memory.
 func (table *requestTable) remove(request *inFlightRequest) {
 	table.count--
 	table.bodyBytes -= len(request.received.Body)
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -5,8 +5,8 @@
 	"tealpath/control"
 )
 
-// responseTransit is how long before a client's own time is up its response is given at the latest, ns: on a
-// shared core, and on the network, some of that time passes before the client has it.
+// responseTransit is the time, ns, that a response may take from this router to its client. It is subtracted
+// from the client's timeout, so that the response arrives in time even over a slow network or a busy core.
 const responseTransit = 20 * millisecond
 
 // inFlightRequest is a request that has no final response yet.
@@ -16,12 +16,12 @@
 	client          ClientID
 	seq             int32
 	attempts        []*attempt
-	finished        bool // it is answered, or its client has gone
+	finished        bool // it has its final response, or its client cancelled it or disconnected
 	deadlineTimer   *timer
-	recheckTimer    *timer // when the policy wants to be asked again; nil: it does not
+	recheckTimer    *timer // when the policy decides on it again; nil: never set
 }
 
-// requestReceived starts a request, or answers at once what can't be accepted.
+// requestReceived puts a request in flight, or answers it at once if it can't be accepted.
 func (r *Router) requestReceived(event RequestReceived) {
 	answer := func(response Respond) {
 		response.Client, response.Seq = event.Client, event.Seq
@@ -51,21 +51,22 @@
 	r.startRequest(event)
 }
 
-// replaceAbandoned ends an earlier request of the same ID whose client has closed its sending side: that client
-// has usually gone, and asks again on another connection. It reports whether the new request may be started,
-// which it may not where the earlier one may have been executed and a second execution would do harm.
+// replaceAbandoned ends an earlier request of the same ID whose client has closed its sending side: such a
+// client has usually disconnected and retries on another connection. It reports whether the new request may be
+// started: not if the earlier one may have been executed and the class is not idempotent.
 func (r *Router) replaceAbandoned(request *Request) bool {
 	previous := r.requests.byID[request.ID]
 	if previous == nil || !previous.NoNewAttempts {
 		return true
 	}
 	mayHaveRun := len(previous.attempts) > 0
-	r.respond(previous, Respond{Kind: Failed}) // the end of its connection waits for that
-	r.clientGone(previous)
+	r.respond(previous, Respond{Kind: Failed}) // its half-closed connection is kept open until it has a response
+	r.abandonRequest(previous)
 	return !mayHaveRun || r.config.isIdempotent(request.Class)
 }
 
-// validate checks what of a request depends on the settings and on the requests in flight.
+// validate makes the checks of a request that depend on the settings and on the requests in flight. All others
+// are made by DecodeRequest.
 func (r *Router) validate(request *Request) error {
 	if _, known := r.config.classes[request.Class]; !known {
 		return &FieldError{Field: fieldClass, Value: request.Class, Reason: FieldUnknownClass}
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// hasCapacity reports whether one more request can be held in memory.
+// hasCapacity reports whether one more request is within the limits on requests in flight and their bodies.
 func (r *Router) hasCapacity(request *Request) bool {
 	return r.requests.count < r.limits.MaxInFlight && r.requests.bodyBytes+len(request.Body) <= r.limits.MaxBodyBytes
 }
@@ -102,7 +103,7 @@
 	r.decide(request)
 }
 
-// decide asks the policy where a request goes now.
+// decide asks the policy what to do with a request now and carries out the decision.
 func (r *Router) decide(request *inFlightRequest) {
 	r.applyDecision(request, r.policy.Decide(r.now, &request.Request))
 }
@@ -134,15 +135,15 @@
 	r.emit(response)
 }
 
-// removeRequest drops a finished request and its timers, which would keep it in memory until they fire. No
-// further attempt is made for it.
+// removeRequest marks a request as finished, so that no further attempt is made for it, and drops it with its
+// timers, which would keep it in memory until they fire.
 func (r *Router) removeRequest(request *inFlightRequest) {
 	if request.finished {
 		return
 	}
 	request.finished = true
 	if !r.config.CancelAttempts {
-		r.withdrawAttempts(request) // the policy cancels nothing where endpoints can't be told
+		r.withdrawAttempts(request) // without cancellation the policy leaves attempts to run; unwritten ones need not
 	}
 	r.timers.Remove(request.deadlineTimer)
 	r.timers.Remove(request.recheckTimer)
@@ -152,19 +153,19 @@
 // requestCancelled ends a request that its client cancelled.
 func (r *Router) requestCancelled(event RequestCancelled) {
 	if request := r.requests.find(event.Client, event.Seq); request != nil {
-		r.clientGone(request)
+		r.abandonRequest(request)
 	}
 }
 
 // clientDisconnected ends all requests of a client.
 func (r *Router) clientDisconnected(event ClientDisconnected) {
 	for _, request := range r.requests.ofClient(event.Client) {
-		r.clientGone(request)
+		r.abandonRequest(request)
 	}
 }
 
-// clientGone ends a request that no client waits for any more.
-func (r *Router) clientGone(request *inFlightRequest) {
+// abandonRequest ends a request for which no client waits any more, and cancels its attempts.
+func (r *Router) abandonRequest(request *inFlightRequest) {
 	r.removeRequest(request)
 	r.policy.ClientGone(r.now, &request.Request)
 	all := make([]int, len(request.attempts))
@@ -174,10 +175,10 @@
 	r.cancelAttempts(request, all)
 }
 
-// clientHalfClosed handles a client that has closed its sending side. Requests without an attempt on an
-// established connection are decided on at once, without a further attempt, because such a client has usually
-// gone: forwarding them later would be work for nobody. A client that still reads is told at once that nothing
-// was executed.
+// clientHalfClosed handles a client that has closed its sending side. Such a client has usually disconnected,
+// so no further attempt is made for its requests, and attempts that are not written yet are withdrawn. Requests
+// without an attempt on an established connection get their final response at once: nothing of them was
+// executed, which a client that still reads can use to retry.
 func (r *Router) clientHalfClosed(event ClientHalfClosed) {
 	for _, request := range r.requests.ofClient(event.Client) {
 		request.NoNewAttempts = true
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -12,13 +12,13 @@
 	connection.lastReceivedAt = r.now
 	attempt := connection.inFlight[event.ID]
 	if attempt == nil {
-		return // it was cancelled, or never sent
+		return // the attempt was cancelled or timed out, or it never existed
 	}
 	delete(connection.inFlight, event.ID)
 	if !r.config.isIdempotent(attempt.request.Class) {
-		// Some endpoints respond twice, the second time some milliseconds later. On this connection that would
-		// be taken for the response to the next attempt, which then counts as not executed though it may have
-		// been.
+		// Some endpoints respond twice, the second time some milliseconds later. If a retry of this request were
+		// sent on this connection, the second response could be mistaken for its response, and the retry could
+		// count as not executed although it was.
 		connection.abandonedAt[event.ID] = r.now
 	}
 	result := r.effectiveResult(attempt, event)
@@ -35,7 +35,7 @@
 	r.closeIfUnresponsive(connection)
 }
 
-// effectiveResult is what a response means for the request that it is for.
+// effectiveResult returns the result of an attempt by its response, its class and the age of the copy.
 func (r *Router) effectiveResult(attempt *attempt, event ResponseReceived) control.Result {
 	result := event.Result
 	uncacheable := r.config.classes[attempt.request.Class].Uncacheable
@@ -43,7 +43,7 @@
 	case event.NotModified && attempt.upstream.ClientETag == "":
 		result = control.ServerError // the client named no copy that could be valid
 	case event.Unversioned && uncacheable:
-		result = control.Succeeded // what no cache keeps needs no version
+		result = control.Succeeded // objects that no cache stores need no version
 	}
 	request := &attempt.request.Request
 	if result == control.Succeeded && !r.policy.AcceptsCopy(r.now, request, attempt.number, event.IssuedAt) {
@@ -52,7 +52,8 @@
 	return result
 }
 
-// sendingTime is how long a response takes by its length, in seconds: a large one may take longer. 0: unknown.
+// sendingTime returns how long the transfer of a response takes by its length, in seconds; 0: unknown. The
+// policy allows large responses that much more time.
 func (r *Router) sendingTime(body []byte) float64 {
 	if r.config.ResponseBytesPerSecond <= 0 {
 		return 0
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -1,6 +1,9 @@
-// Package router is the reducer of a router: an event goes in, the state changes, effects come out. It holds
-// the requests in flight, the connections to endpoints, the timers and the periodic work, and asks the control
-// package, the policy, for every decision. It does no input or output and reads no clock.
+// Package router is the event-driven core of a router, written as a reducer: Handle takes one event (a request
+// was received, a connection is up, a timer fired), updates the state, and returns effects (send an attempt,
+// respond to a client, set the timer) for the caller to carry out. Its state is the requests in flight, their
+// attempts, the connections to endpoints, the endpoint list and the timers. Every decision about a request is
+// made by package control, the policy. The package does no input or output and reads no clock, so that a run
+// can be repeated exactly.
 package router
 
 import (
@@ -10,7 +13,7 @@
 	"tealpath/internal/timerqueue"
 )
 
-// millisecond is in the unit of all times, ns.
+// millisecond is one millisecond in ns, the unit of all times in this package.
 const millisecond = int64(1e6)
 
 // Router is the reducer of one router. It is not safe for concurrent use.
@@ -18,23 +21,23 @@
 	policy  *control.Router
 	limits  Limits
 	config  config
-	now     int64 // ns
-	eventAt int64 // when the event that is handled came; at most now
+	now     int64 // ns; never goes back
+	eventAt int64 // ns; when the event being handled occurred, at most now
 	effects []Effect
 
 	requests       requestTable
 	endpoints      endpointTable
 	connections    map[ConnectionID]*connection
 	lastConnection ConnectionID
-	localBackoff   *connpool.LocalBackoff // of dialling, while this machine itself can open no connections
+	localBackoff   *connpool.LocalBackoff // delays all dialling while this machine can open no connections
 
 	timers           timerqueue.Queue[timerTask]
-	nextTick         int64 // when the periodic work is due
-	timerSetFor      int64 // time of the last SetTimer
-	shutdownDeadline int64 // by when every request is answered; 0: no shutdown has begun
+	nextTick         int64 // ns; when the periodic work is due
+	timerSetFor      int64 // ns; time of the last SetTimer, 0 once it has fired
+	shutdownDeadline int64 // ns; by when every request is answered; 0: no shutdown has begun
 }
 
-// New makes a reducer. Its decisions depend on the seed and the events alone.
+// New returns a reducer that starts at a time, ns. Its effects depend on the arguments and the events alone.
 func New(now int64, seed uint64, settings control.Settings, limits Limits) *Router {
 	router := &Router{
 		limits:       limits,
@@ -51,8 +54,8 @@
 	return router
 }
 
-// Handle takes an event that came at a time, ns, and returns what is to be done, in order. The returned slice
-// is valid until the next call.
+// Handle handles an event that occurred at a time, ns, then runs the timers and the periodic work that are due.
+// It returns the effects to be carried out, in order. The returned slice is valid until the next call.
 func (r *Router) Handle(at int64, event Event) []Effect {
 	clear(r.effects)
 	r.effects = r.effects[:0]
@@ -70,8 +73,9 @@
 	return r.effects
 }
 
-// recoverPanic does some work and logs its panic, if it has one, so that a defect that one event shows does not
-// end all requests in flight with the process. The request concerned is answered at its deadline at the latest.
+// recoverPanic does some work and logs its panic, if it has one, so that a defect that one event reveals does
+// not end the process with all requests in flight. The request concerned is answered by its deadline timer at
+// the latest (setDeadlineTimer).
 func (r *Router) recoverPanic(work func()) {
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -86,7 +90,7 @@
 func (r *Router) handleEvent(event Event) {
 	switch event := event.(type) {
 	case TimerFired:
-		r.timerSetFor = 0 // it is set again, also if it fired a moment early
+		r.timerSetFor = 0 // so that Handle sets it again, even for the same time if it fired a moment early
 	case RequestReceived:
 		r.requestReceived(event)
 	case RequestCancelled:
@@ -114,15 +118,15 @@
 	}
 }
 
-// Endpoints returns the endpoint list as it is now, ordered by name.
+// Endpoints returns the current endpoint list, ordered by name.
 func (r *Router) Endpoints() []EndpointEntry { return r.endpoints.entries() }
 
-// Snapshot returns what the policy has learned, with maxObjects objects at most.
+// Snapshot returns what the policy has learned up to a time, ns, with maxObjects objects at most.
 func (r *Router) Snapshot(now int64, maxObjects int) control.Snapshot {
 	return r.policy.Snapshot(max(now, r.now), maxObjects)
 }
 
-// Restore has the policy take over what one before it had learned, request rates too if withRates is set.
+// Restore gives the policy what an earlier process had learned. Request rates are restored only withRates.
 func (r *Router) Restore(now int64, snapshot control.Snapshot, withRates bool) {
 	r.policy.Restore(now, snapshot, withRates)
 }
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -1,7 +1,7 @@
 package router
 
-// shutdownStarted begins the graceful shutdown: it shortens the time of all requests in flight to what is left,
-// and that of all that come later.
+// shutdownStarted begins the graceful shutdown: no request, in flight or received later, has a deadline after
+// the shutdown's.
 func (r *Router) shutdownStarted(event ShutdownStarted) {
 	r.shutdownDeadline = event.AnswerDeadline
 	for _, request := range r.requests.all() {
@@ -11,8 +11,8 @@
 	}
 }
 
-// shortenDeadline brings a request's deadline forward, and with it those of its attempts: one that waits for
-// its connection would get all of its former time back once that is established.
+// shortenDeadline brings forward the deadline of a request and those of its attempts. Attempts that wait for a
+// connection to be established need it too, since their timers are set by their own deadlines.
 func (r *Router) shortenDeadline(request *inFlightRequest, deadline int64) {
 	request.Deadline = deadline
 	r.setDeadlineTimer(request)
@@ -27,8 +27,8 @@
 	}
 }
 
-// effectiveDeadline bounds the deadline that a client wants: by the longest of any class, since a longer one
-// would keep the request in memory for as long, and by the end of a graceful shutdown.
+// effectiveDeadline bounds the deadline that a client requests by the longest that the settings allow, which
+// bounds how long a request is in memory, and by the deadline of a graceful shutdown.
 func (r *Router) effectiveDeadline(wanted, arrivedAt int64) int64 {
 	deadline := min(wanted, arrivedAt+r.config.LongestDeadline)
 	if r.shutdownDeadline > 0 {
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -5,8 +5,8 @@
 	"tealpath/internal/timerqueue"
 )
 
-// tickRetryDelay is the time, ns, until the periodic work is done again if it panics. At once would keep a core
-// busy.
+// tickRetryDelay is the time, ns, until the periodic work is done again if it panics. Without a delay a panic at
+// each run would keep a core busy.
 const tickRetryDelay = 1000 * millisecond
 
 // timer is a handle on a timer of the reducer.
@@ -17,18 +17,18 @@
 
 const (
 	attemptTimer  timerKind = iota // the attempt's send deadline or its timeout
-	recheckTimer                   // the policy wants to be asked again about a request
-	deadlineTimer                  // a request's deadline, and the grace after it, have passed
+	recheckTimer                   // when the policy decides on a request again
+	deadlineTimer                  // a request's deadline, plus the grace for its final response
 )
 
 // timerTask is what is done when a timer fires.
 type timerTask struct {
 	kind    timerKind
-	request *inFlightRequest
-	attempt *attempt // of attemptTimer
+	request *inFlightRequest // of the other kinds
+	attempt *attempt         // of attemptTimer
 }
 
-// runTimers does the work of all timers whose time has come.
+// runTimers runs all timers that are due.
 func (r *Router) runTimers() {
 	for r.timers.Next() <= r.now {
 		_, task := r.timers.Pop()
@@ -49,9 +49,9 @@
 	case recheckTimer:
 		r.decide(request)
 	case deadlineTimer:
-		// Whatever went wrong before, no request stays without its response.
+		// The policy normally ends a request before this. If it did not, the request still gets its response.
 		r.respond(request, Respond{Kind: Failed})
-		r.clientGone(request)
+		r.abandonRequest(request)
 	}
 }
 
@@ -64,7 +64,7 @@
 	if attempt.connection.established {
 		if r.now < attempt.deadline {
 			r.withdrawAttempt(attempt)
-			r.setAttemptTimer(attempt) // if it is written already, its response is waited for
+			r.setAttemptTimer(attempt) // if it is already written, it waits for its response until the deadline
 			return
 		}
 		result = control.TimedOut
@@ -73,7 +73,7 @@
 	r.attemptEnded(attempt, control.Outcome{Result: result})
 }
 
-// setAttemptTimer sets an attempt's timer to its send deadline or, once that has passed, to its timeout.
+// setAttemptTimer sets an attempt's timer to its send deadline or, once that has passed, to its deadline.
 func (r *Router) setAttemptTimer(attempt *attempt) {
 	at := attempt.deadline
 	if r.now < attempt.sendDeadline {
@@ -83,14 +83,15 @@
 	attempt.timer = r.timers.Push(at, timerTask{kind: attemptTimer, attempt: attempt})
 }
 
-// setDeadlineTimer sets the timer that ends a request whatever the policy says.
+// setDeadlineTimer sets the timer that ends a request at its deadline plus the grace for its final response, in
+// case the policy has not ended it before.
 func (r *Router) setDeadlineTimer(request *inFlightRequest) {
 	r.timers.Remove(request.deadlineTimer)
 	at := request.Deadline + r.config.AnswerGrace
 	request.deadlineTimer = r.timers.Push(at, timerTask{kind: deadlineTimer, request: request})
 }
 
-// setRecheckTimer sets the timer at which the policy wants to be asked again about a request.
+// setRecheckTimer sets the timer at which the policy decides on a request again, if it wants one.
 func (r *Router) setRecheckTimer(request *inFlightRequest) {
 	if request.finished {
 		return
@@ -104,8 +105,9 @@
 // tick does the periodic work.
 func (r *Router) tick() {
 	r.nextTick = r.now + tickRetryDelay
-	_, delay := r.policy.Tick(r.now) // the endpoints to probe are none: see policySettings
+	_, delay := r.policy.Tick(r.now) // it names no endpoints to probe: see policySettings
 	r.nextTick = r.now + delay
+	r.forgetAbandoned()
 	r.closeUnused()
 	r.preconnect()
 }
