--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -125,7 +125,7 @@
 		return
 	}
 	r.endpoints.planCurrent = true
-	var caches []string // in any order: the plan sorts them
+	var caches []string // in any order: the plan ranks them itself
 	for name, endpoint := range r.endpoints.byName {
 		if endpoint.inPlan {
 			caches = append(caches, name)
--- a/internal/server/clusterloop.go
+++ b/internal/server/clusterloop.go
@@ -11,7 +11,7 @@
 type clusterLoop struct {
 	node              *clusterNode
 	shutdownRequested <-chan struct{} // nil once the shutdown has begun
-	reducerTimer      *time.Timer     // fires when the reducer has something to do
+	reducerTimer      *time.Timer     // the timer of cluster.SetTimer
 }
 
 // run handles events until ctx ends.
@@ -37,13 +37,15 @@
 	}
 }
 
-// beginShutdown hands this instance's leases over, and waits a moment until that is written.
+// beginShutdown releases this instance's leases, and waits until the messages about it are written, for
+// shutdownFlushTimeout at most.
 func (l *clusterLoop) beginShutdown(ctx context.Context) {
 	l.shutdownRequested = nil
 	l.handle(ctx, cluster.ShutdownStarted{})
 	l.node.links.Flush(shutdownFlushTimeout)
 }
 
+// leaseStatus returns the reducer's status with the counts of messages and probes.
 func (l *clusterLoop) leaseStatus() cluster.Status {
 	status := l.node.reducer.Status(bootTime())
 	status.Frames = l.node.framesSent.Load()
@@ -52,6 +54,7 @@
 	return status
 }
 
+// memberStatus returns the reducer's view of the members with the count of bytes sent.
 func (l *clusterLoop) memberStatus() cluster.MembersStatus {
 	status := l.node.reducer.Members(bootTime())
 	status.BytesSent = l.node.bytesSent.Load()
@@ -65,7 +68,7 @@
 	}
 }
 
-// carryOut does what the cluster's reducer wants done.
+// carryOut carries out one effect of the cluster's reducer.
 func (l *clusterLoop) carryOut(ctx context.Context, effect cluster.Effect) {
 	node := l.node
 	switch effect := effect.(type) {
@@ -102,7 +105,7 @@
 	node.links.Send(effect.To, payload)
 }
 
-// setPeers has links to these instances and to no others.
+// setPeers keeps connections to these instances and to no others.
 func (node *clusterNode) setPeers(peers []cluster.Peer) {
 	addresses := make(map[string]string, len(peers))
 	for _, peer := range peers {
--- a/internal/server/clusternode.go
+++ b/internal/server/clusternode.go
@@ -22,77 +22,79 @@
 )
 
 const (
-	// maxClusterInbox is how many messages may be on their way to the cluster's reducer.
+	// maxClusterInbox is the capacity of the inbox of the cluster's loop. While it is full, goroutines that post
+	// an event wait.
 	maxClusterInbox = 256
 
-	// maxProbesInFlight bounds the probes that are not answered yet.
+	// maxProbesInFlight bounds the probes without a result yet.
 	maxProbesInFlight = 256
 
-	// shutdownFlushTimeout is for how long a shutdown waits until its messages to other instances are written.
+	// shutdownFlushTimeout bounds how long a shutdown waits until its messages to other instances are written.
 	shutdownFlushTimeout = 300 * time.Millisecond
 
-	// frameOverhead is what a frame has beside its payload, bytes: its length, and what TLS 1.3 adds to a
+	// frameOverhead is the size of a frame beside its payload, bytes: 4 for its length and 22 for the TLS 1.3
 	// record.
 	frameOverhead = 4 + 22
 )
 
-// clusterNode is what an instance shares with others: the cluster's reducer with the links and probes round
-// it. One goroutine runs the reducer (clusterLoop).
+// clusterNode is this instance as a member of its cluster: the cluster's reducer, the connections to other
+// instances, and the probes of endpoints. One goroutine runs the reducer (clusterLoop).
 type clusterNode struct {
 	operator         *operatorconfig.File // as at the start
-	reducer          *cluster.Node        // of the loop's goroutine alone
-	links            *peer.Links
-	clock            clock.Clock // for times that other machines tell; the cluster's own spans go by bootTime
+	reducer          *cluster.Node        // used by the loop's goroutine only
+	links            *peer.Links          // connections to other instances
+	clock            clock.Clock          // for timestamps of other machines; the cluster itself uses bootTime
 	emit             func(logevent.Event)
-	probeResult      func(router.Event) // does not wait
+	probeResult      func(router.Event) // posts a router.ProbeEnded; must not wait
 	loadReportFields []string
 
 	inbox          chan cluster.Event
 	leaseQueries   chan chan cluster.Status
 	memberQueries  chan chan cluster.MembersStatus
-	targets        atomic.Pointer[[]probe.Target] // what the endpoint list gave last
-	targetsChanged chan struct{}
+	targets        atomic.Pointer[[]probe.Target] // by the latest endpoint list
+	targetsChanged chan struct{}                  // has an item if the reducer has not got the latest targets
 
-	probeTokens chan struct{}   // holds one for each probe in flight
-	ballots     []atomic.Uint64 // by slot: the ballot that its lease is held under, 0 if it is not
+	probeTokens chan struct{}   // a semaphore: it has an item for each probe in flight
+	ballots     []atomic.Uint64 // by slot: the ballot of the lease that this instance holds; 0: it holds none
 
 	probesSent atomic.Int64
 	framesSent atomic.Int64
 	bytesSent  atomic.Int64
 }
 
-// clusterConfig is what a clusterNode is made of.
+// clusterConfig is the configuration of a clusterNode.
 type clusterConfig struct {
 	operator    *operatorconfig.File
 	settings    control.Settings
 	clock       clock.Clock
 	emit        func(logevent.Event)
-	probeResult func(router.Event) // takes what probes find; does not wait
+	probeResult func(router.Event) // posts a router.ProbeEnded; must not wait
 }
 
-// unixMilli is the wall clock in ms. It only lifts the ballots of leases (docs/duties.md): no span goes by it.
+// unixMilli returns the wall clock's Unix time in ms. It is used only to choose ballots of leases above earlier
+// ones (docs/duties.md), never to measure a duration.
 func unixMilli(c clock.Clock) int64 { return c.Wall() / int64(time.Millisecond) }
 
-// newClusterNode makes a node with its listener open.
+// newClusterNode returns a node whose listener is open. Its incarnation is random, and odd so that it is not 0.
 func newClusterNode(ctx context.Context, config clusterConfig) (*clusterNode, error) {
-	fleet := config.operator.Cluster
+	settings := config.operator.Cluster
 	var random [16]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, err
 	}
-	self := lease.Instance{Name: fleet.Name, Incarnation: binary.LittleEndian.Uint64(random[:8]) | 1}
-	keys, err := fleet.TLS.Load()
+	self := lease.Instance{Name: settings.Name, Incarnation: binary.LittleEndian.Uint64(random[:8]) | 1}
+	keys, err := settings.TLS.Load()
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrConfig, err)
 	}
-	initial := reducerConfig(fleet, self)
+	initial := reducerConfig(settings, self)
 	initial.Seed = binary.LittleEndian.Uint64(random[8:])
 	initial.WallMS = unixMilli(config.clock)
 	reducer, err := cluster.New(bootTime(), initial)
 	if err != nil {
 		return nil, fmt.Errorf("%w: fleet: %w", ErrConfig, err)
 	}
-	listener, err := listenWithRetry(ctx, nil, fleet.Listen, net.KeepAliveConfig{Enable: true})
+	listener, err := listenWithRetry(ctx, nil, settings.Listen, net.KeepAliveConfig{Enable: true})
 	if err != nil {
 		return nil, fmt.Errorf("links to instances: %w", err)
 	}
@@ -108,14 +110,14 @@
 		memberQueries:    make(chan chan cluster.MembersStatus),
 		targetsChanged:   make(chan struct{}, 1),
 		probeTokens:      make(chan struct{}, maxProbesInFlight),
-		ballots:          make([]atomic.Uint64, fleet.Slots),
+		ballots:          make([]atomic.Uint64, settings.Slots),
 	}
 	node.links = peer.New(peer.Config{
 		Name:        self.Name,
 		Incarnation: self.Incarnation,
 		Listener:    listener,
 		Keys:        keys,
-		Allow:       fleet.Allow,
+		Allow:       settings.Allow,
 		Log:         node.emit,
 		Receive: func(name string, incarnation uint64, payload []byte) {
 			node.receive(ctx, lease.Instance{Name: name, Incarnation: incarnation}, payload)
@@ -124,26 +126,26 @@
 	return node, nil
 }
 
-// reducerConfig is the configuration of the cluster's reducer, by the operator's file.
-func reducerConfig(fleet *operatorconfig.Cluster, self lease.Instance) cluster.Config {
+// reducerConfig returns the configuration of the cluster's reducer by the operator's file.
+func reducerConfig(settings *operatorconfig.Cluster, self lease.Instance) cluster.Config {
 	return cluster.Config{
 		Self:     self,
-		Address:  fleet.Listen,
-		Weight:   fleet.Weight,
-		Contacts: fleet.Instances,
+		Address:  settings.Listen,
+		Weight:   settings.Weight,
+		Contacts: settings.Instances,
 		Lease: lease.Config{
-			Slots:         fleet.Slots,
-			LeaseDuration: fleet.LeaseDuration,
-			RenewInterval: fleet.RenewalInterval,
-			MaxClockDrift: fleet.MaxClockDrift,
-			Voters:        fleet.Voters,
+			Slots:         settings.Slots,
+			LeaseDuration: settings.LeaseDuration,
+			RenewInterval: settings.RenewalInterval,
+			MaxClockDrift: settings.MaxClockDrift,
+			Voters:        settings.Voters,
 		},
-		Probe:      fleet.Probe,
-		Membership: fleet.Membership,
+		Probe:      settings.Probe,
+		Membership: settings.Membership,
 	}
 }
 
-// receive takes a message from another instance.
+// receive decodes a message from another instance and posts it to the loop.
 func (node *clusterNode) receive(ctx context.Context, from lease.Instance, payload []byte) {
 	message, err := cluster.Decode(payload)
 	if err != nil {
@@ -153,7 +155,7 @@
 	node.post(ctx, cluster.MessageReceived{From: from, Message: message})
 }
 
-// post hands an event to the cluster's reducer. It waits while the inbox is full.
+// post posts an event to the cluster's loop. It waits while the inbox is full.
 func (node *clusterNode) post(ctx context.Context, event cluster.Event) {
 	select {
 	case node.inbox <- event:
@@ -161,7 +163,7 @@
 	}
 }
 
-// run runs the cluster's reducer and the links until ctx ends.
+// run runs the cluster's loop and the connections to other instances until ctx ends.
 func (node *clusterNode) run(ctx context.Context, shutdownRequested <-chan struct{}) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return node.links.Run(ctx) })
--- a/internal/server/clusterprobe.go
+++ b/internal/server/clusterprobe.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// probe sends a probe in a goroutine of its own. With maxProbesInFlight under way it is left out: it would
-// not be missed.
-func (node *clusterNode) probe(ctx context.Context, p probe.Probe) {
+// probe sends a probe in a goroutine of its own. It is skipped while maxProbesInFlight are in flight: the next
+// one of its target is due a period later.
+func (node *clusterNode) probe(ctx context.Context, due probe.Probe) {
 	select {
 	case node.probeTokens <- struct{}{}:
 	default:
@@ -20,21 +20,21 @@
 	}
 	go func() {
 		defer func() { <-node.probeTokens }()
-		node.runProbe(ctx, p)
+		node.runProbe(ctx, due)
 	}()
 }
 
-// runProbe sends a probe and hands its result to the cluster's reducer.
+// runProbe sends a probe and posts its result to the cluster's loop. The probe is not written once this instance
+// no longer holds the lease under which it was scheduled.
 func (node *clusterNode) runProbe(ctx context.Context, due probe.Probe) {
-	limited, cancel := context.WithTimeout(ctx, time.Duration(due.Timeout))
+	probeCtx, cancel := context.WithTimeout(ctx, time.Duration(due.Timeout))
 	defer cancel()
-	tag := fmt.Sprintf("%016x", due.Ballot)
-	mayWrite := func() bool { return bootTime() < due.Until && node.ballots[due.Slot].Load() == due.Ballot }
-	load, err := upstream.CheckHealth(limited, upstream.HealthCheck{
+	holdsLease := func() bool { return bootTime() < due.Until && node.ballots[due.Slot].Load() == due.Ballot }
+	load, err := upstream.CheckHealth(probeCtx, upstream.HealthCheck{
 		Address:          due.Address,
-		ID:               tag,
+		ID:               fmt.Sprintf("%016x", due.Ballot),
 		LoadReportFields: node.loadReportFields,
-		MayWrite:         mayWrite,
+		MayWrite:         holdsLease,
 	})
 	if errors.Is(err, upstream.ErrNotSent) || ctx.Err() != nil {
 		return
--- a/internal/server/clusterreload.go
+++ b/internal/server/clusterreload.go
@@ -4,36 +4,59 @@
 	"context"
 	"errors"
 	"tealpath/internal/cluster"
+	"tealpath/internal/cluster/probe"
 	"tealpath/internal/operatorconfig"
 )
 
-// reload takes what may change in a running instance from a newer operator's file: keys, address sets,
-// instances, voters. All of it or nothing.
+// errNoCluster is a newer operator's file without the cluster that this instance is a member of.
+var errNoCluster = errors.New("it has no (fleet …) any more: that takes a restart")
+
+// reload applies the parts of a newer operator's file that may change in a running instance: keys, allowed
+// addresses, instances, this instance's weight, voters. If it returns an error, nothing is applied.
 func (node *clusterNode) reload(ctx context.Context, next *operatorconfig.File) error {
 	if next.Cluster == nil {
-		return errors.New("it has no (fleet …) any more: that takes a restart")
+		return errNoCluster
 	}
-	keys, err := next.Cluster.TLS.Load()
+	settings := next.Cluster
+	keys, err := settings.TLS.Load()
 	if err != nil {
 		return err
 	}
 	if node.needsRestart(next) {
 		node.emit(OperatorConfigNeedsRestart{Parts: restartOnlyCluster})
 	}
-	fleet := next.Cluster
 	node.links.UseKeys(keys)
-	node.links.SetAllowed(fleet.Allow)
-	node.post(ctx, cluster.ConfigChanged{Contacts: fleet.Instances, Weight: fleet.Weight, Voters: fleet.Voters})
+	node.links.SetAllowed(settings.Allow)
+	node.post(ctx, cluster.ConfigChanged{
+		Contacts: settings.Instances,
+		Weight:   settings.Weight,
+		Voters:   settings.Voters,
+	})
 	return nil
 }
 
-// needsRestart tells whether a newer operator's file differs in what a running instance can't change.
+// needsRestart reports whether a newer operator's file differs from the one at the start in a part that a
+// running instance can't change.
 func (node *clusterNode) needsRestart(next *operatorconfig.File) bool {
-	present, fleet := node.operator.Cluster, next.Cluster
-	leasesDiffer := present.Slots != fleet.Slots || present.LeaseDuration != fleet.LeaseDuration ||
-		present.RenewalInterval != fleet.RenewalInterval || present.MaxClockDrift != fleet.MaxClockDrift
-	addressesDiffer := present.Listen != fleet.Listen || node.operator.SocketPath != next.SocketPath
-	probesDiffer := (present.Probe == nil) != (fleet.Probe == nil) ||
-		present.Probe != nil && *present.Probe != *fleet.Probe
-	return leasesDiffer || addressesDiffer || present.Membership != fleet.Membership || probesDiffer
+	before, after := node.operator.Cluster, next.Cluster
+	return leasesDiffer(before, after) || probesDiffer(before.Probe, after.Probe) ||
+		before.Membership != after.Membership ||
+		before.Listen != after.Listen ||
+		node.operator.SocketPath != next.SocketPath
+}
+
+// leasesDiffer reports whether two configurations differ in how leases are held.
+func leasesDiffer(before, after *operatorconfig.Cluster) bool {
+	return before.Slots != after.Slots ||
+		before.LeaseDuration != after.LeaseDuration ||
+		before.RenewalInterval != after.RenewalInterval ||
+		before.MaxClockDrift != after.MaxClockDrift
+}
+
+// probesDiffer reports whether two configurations differ in how endpoints are probed; nil is not at all.
+func probesDiffer(before, after *probe.Config) bool {
+	if before == nil || after == nil {
+		return before != after
+	}
+	return *before != *after
 }
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -6,7 +6,7 @@
 	"tealpath/internal/downstream"
 )
 
-// Connections is what a server says of its clients' connections and of what they cost.
+// Connections is the answer to ConnectionsCommand: the clients' connections, and the memory of the process.
 type Connections struct {
 	downstream.ConnectionCounts
 	Goroutines int    `json:"goroutines"`
@@ -14,8 +14,8 @@
 	StackBytes uint64 `json:"stack_bytes"`
 }
 
-// connections answers how many connections there are. It has the garbage collector run: it is for people
-// and experiments.
+// connections handles ConnectionsCommand. It runs the garbage collector, which pauses the router, so it is not
+// to be polled by monitoring.
 func (s *Server) connections(context.Context, []string) (any, error) {
 	runtime.GC()
 	var memory runtime.MemStats
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// drainPollInterval is between two looks for idle connections to close: each look asks the system about
-// every one. The reducer's own timer fires up to 100 ms apart, and the platform kills the process 100 ms
-// after its plan ends.
+// drainPollInterval is the time between two polls of a shutdown under way. It is not shorter because closing
+// idle connections takes a system call for each of them. It is not longer, and does not rely on the reducer's
+// timer, which may fire only every 100 ms, because the platform kills the process 100 ms after the plan's end.
 const drainPollInterval = 10 * time.Millisecond
 
-// drain is a graceful shutdown under way. A nil drain has not begun.
+// drain is a graceful shutdown under way. It is nil before the shutdown begins.
 type drain struct {
 	plan         *shutdown.Plan
 	poll         *time.Ticker
 	idleClosedAt time.Time // when idle connections were last closed
 }
 
-// pollDue returns the channel that says when to look again; nil if no shutdown has begun.
+// pollDue returns the channel of the poll's ticker; nil, on which nothing is ever received, before the shutdown
+// begins.
 func (d *drain) pollDue() <-chan time.Time {
 	if d == nil {
 		return nil
@@ -32,8 +33,8 @@
 	}
 }
 
-// beginShutdown begins the graceful shutdown: clients are told that this router is not ready, what it knows
-// is written, and the reducer answers what it has.
+// beginShutdown begins the graceful shutdown: health checks report that this router is not ready, a last
+// snapshot is written, and the reducer answers all requests by the plan's deadline.
 func (l *loop) beginShutdown() {
 	s := l.server
 	now := s.clock.Now()
@@ -46,8 +47,8 @@
 	l.handle(now, router.ShutdownStarted{AnswerDeadline: plan.AnswerDeadline()})
 }
 
-// shutdownComplete takes the next step of a shutdown under way, and returns whether the process may exit.
-func (l *loop) shutdownComplete() bool {
+// stepShutdown takes the next step of a shutdown under way, and reports whether the process may exit now.
+func (l *loop) stepShutdown() (complete bool) {
 	if l.drain == nil {
 		return false
 	}
@@ -60,7 +61,7 @@
 	return false
 }
 
-// shutdownState is what this router still has to do.
+// shutdownState returns what this router still has to do before it may exit.
 func (l *loop) shutdownState() shutdown.State {
 	s := l.server
 	state := shutdown.State{
@@ -72,7 +73,7 @@
 	return state
 }
 
-// closeIdle closes the connections on which no answer is due, once in each drainPollInterval at most.
+// closeIdle closes the clients' connections without a request in flight, once per drainPollInterval at most.
 func (l *loop) closeIdle() {
 	now := time.Now()
 	if now.Sub(l.drain.idleClosedAt) < drainPollInterval {
--- a/internal/server/listen.go
+++ b/internal/server/listen.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// listenTimeout is for how long an address that is in use is tried again.
+	// listenTimeout bounds how long listening on an address is retried after a transient error.
 	listenTimeout = time.Second
 
-	// listenRetryInterval is between two tries.
+	// listenRetryInterval is the time between two attempts to listen.
 	listenRetryInterval = listenTimeout / 20
 )
 
-// clientKeepAlive is how the system asks whether a client is there: a peer that vanished is found within
-// 150 s, as with Go's own interval of 15 s. At that a hundred thousand idle connections took 6,700 segments
-// a second to be asked.
+// clientKeepAlive configures TCP keep-alive on clients' connections. A peer that has vanished is detected after
+// Idle + Count*Interval = 150 s, as with Go's defaults. But those send a probe every 15 s, which for 100,000 idle
+// connections is 6,700 probes a second.
 var clientKeepAlive = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     90 * time.Second,
@@ -28,8 +28,8 @@
 	Count:    3,
 }
 
-// listenWithRetry opens a listener. At a restart the process before may not have released the address yet.
-// If a shutdown is requested meanwhile, there is no listener and no error.
+// listenWithRetry opens a listener, and retries for listenTimeout: after a restart the earlier process may not
+// have released the address yet. If a shutdown is requested meanwhile it returns neither a listener nor an error.
 func listenWithRetry(
 	ctx context.Context, shutdownRequested <-chan struct{}, address string, keepAlive net.KeepAliveConfig,
 ) (net.Listener, error) {
@@ -47,12 +47,12 @@
 	}
 }
 
-// isTransientListenError tells whether an address that could not be listened on may be had in a moment:
-// another process releases it, or what this machine lacks.
+// isTransientListenError reports whether listening may succeed in a moment: once another process has released the
+// address, or the descriptors or the memory that this machine lacks.
 func isTransientListenError(err error) bool {
 	return errors.Is(err, syscall.EADDRINUSE) || neterr.IsExhausted(err)
 }
 
-// discard closes a listener or connection that is given up: that it could not be closed cleanly changes
-// nothing.
+// discard closes a listener or connection that is not used any more, so that an error of Close has no
+// consequence and is ignored.
 func discard(closer io.Closer) { _ = closer.Close() }
--- a/internal/server/log.go
+++ b/internal/server/log.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	// eventKey is the key under which each line has the name of its event.
+	// eventKey is the key of the event's name in each line.
 	eventKey = "event"
 
-	// instanceKey is the key under which a line about one endpoint has its name.
+	// instanceKey is the key of the endpoint's name in a line about one endpoint. Such events have the ID by
+	// which the policy knows it under "endpoint".
 	instanceKey = "instance"
 )
 
 // emit logs an event. It may be called by any goroutine.
 func (s *Server) emit(event logevent.Event) { WriteEvent(s.logger, event) }
 
-// emitOfRouter logs an event of the reducer, with the endpoint that it is about, if any.
+// emitOfRouter logs an event of the reducer, with the name of the endpoint that it concerns, if there is one.
 func (s *Server) emitOfRouter(log router.Log) {
 	logger := s.logger
 	if log.Instance != "" {
@@ -48,7 +49,7 @@
 	return zerolog.InfoLevel
 }
 
-// appendField adds one field. A duration becomes milliseconds.
+// appendField adds one field to a line. A time.Duration is written in milliseconds.
 func appendField(line *zerolog.Event, field logevent.Field) *zerolog.Event {
 	switch value := field.Value.(type) {
 	case time.Duration:
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// loop is the event loop: the one goroutine that runs the reducer and carries out its effects, none of
-// which waits.
+// loop is the event loop: the one goroutine that runs the reducer and carries out its effects. Carrying out an
+// effect never waits.
 type loop struct {
 	server            *Server
 	shutdownRequested <-chan struct{} // nil once the shutdown has begun
-	reducerTimer      *time.Timer     // fires when the reducer has something to do
+	reducerTimer      *time.Timer     // the timer of router.SetTimer
 	drain             *drain          // nil until the shutdown begins
 }
 
@@ -41,7 +41,7 @@
 			l.writeSnapshot()
 		case <-l.drain.pollDue():
 		}
-		if l.shutdownComplete() {
+		if l.stepShutdown() {
 			return nil
 		}
 	}
@@ -53,8 +53,8 @@
 	l.drain.stop()
 }
 
-// observeDiscovery notes an event that says how the watch on discovery fares; the reducer does not get it.
-// It returns false for all other events.
+// observeDiscovery handles an event that reports the state of the watch of the discovery service, which is not
+// for the reducer. It returns false for all other events.
 func (l *loop) observeDiscovery(arrived arrival) bool {
 	switch event := arrived.event.(type) {
 	case discovery.ServiceReached:
@@ -68,7 +68,8 @@
 	return false
 }
 
-// receive hands the reducer an event that came from a client, an endpoint or discovery.
+// receive handles an event from a client, an endpoint or the discovery service. Of a connection that has ended
+// the pool adds the requests that were queued on it meanwhile.
 func (l *loop) receive(arrived arrival) {
 	switch event := arrived.event.(type) {
 	case router.ConnectionDown:
@@ -80,7 +81,8 @@
 	}
 }
 
-// updateEndpoints hands on a newer endpoint list, to the instances' shared tasks as well.
+// updateEndpoints passes an update of the endpoint list to the reducer, and the complete list that results to
+// the cluster, whose probes go to these endpoints.
 func (l *loop) updateEndpoints(at int64, list router.EndpointListUpdated) {
 	s := l.server
 	s.progress.ListReceived()
@@ -91,13 +93,13 @@
 	}
 }
 
-// advance has the reducer do what is due.
+// advance runs the reducer's timers.
 func (l *loop) advance() {
 	l.handle(l.server.clock.Now(), router.TimerFired{})
 	l.server.advanceStartup()
 }
 
-// writeSnapshot has what is known written for the next start.
+// writeSnapshot queues a snapshot of the reducer's state to be written.
 func (l *loop) writeSnapshot() { l.server.snapshots.write(l.server.router, l.server.clock.Now()) }
 
 // handle runs the reducer on an event and carries out its effects.
@@ -107,7 +109,7 @@
 	}
 }
 
-// carryOut does what the reducer wants done.
+// carryOut carries out one effect of the reducer.
 func (l *loop) carryOut(effect router.Effect) {
 	server := l.server
 	switch effect := effect.(type) {
--- a/internal/server/phase.go
+++ b/internal/server/phase.go
@@ -1,6 +1,6 @@
 package server
 
-// Phase is where a server stands between its start and its exit.
+// Phase is a phase in the life of a server, from its start to its exit.
 type Phase int
 
 // The phases, in order.
@@ -21,7 +21,8 @@
 	s.emit(PhaseChanged{Phase: next.String()})
 }
 
-// advanceStartup reports to clients whether this router is ready, and logs when its start has come further.
+// advanceStartup sets what health checks report of this router, ready or not, and logs a new phase of the
+// startup.
 func (s *Server) advanceStartup() {
 	s.downstream.SetReady(s.phase < Draining && s.progress.Ready(s.clock.Now()))
 	if phase, changed := s.progress.Update(s.clock.Now()); changed {
--- a/internal/server/prepare.go
+++ b/internal/server/prepare.go
@@ -9,8 +9,9 @@
 	"tealpath/internal/router"
 )
 
-// prepare sets the runtime's limits and gives the reducer all that is known before anything is listened on.
-// It returns what discovery goes on from.
+// prepare does what a start needs before it opens any socket: it sets the runtime's limits, creates the reducer,
+// restores the snapshot, and handles the watch events of the configuration file. It returns the history after
+// which the watch of the discovery service resumes.
 func (s *Server) prepare() (history discovery.History, err error) {
 	s.limitRuntime()
 	if err := s.config.SettingsError; err != nil {
@@ -19,7 +20,7 @@
 	now := s.clock.Now()
 	limits := router.Limits{
 		MaxInFlight:    s.config.Settings.MaxInFlight,
-		MaxBodyBytes:   s.memory(bodyMemoryShare),
+		MaxBodyBytes:   s.memoryBytes(bodyMemoryShare),
 		MaxConnections: s.maxUpstreamSockets(),
 		ConnectionPlan: s.connectionPlan(),
 	}
@@ -31,24 +32,24 @@
 	}
 	s.restore(now, &history)
 	for _, event := range known {
-		s.applyKnown(now, event)
+		s.handleKnownEvent(now, event)
 	}
 	return history, nil
 }
 
-// limitRuntime has the Go runtime keep to the configured cores and memory.
+// limitRuntime sets the Go runtime's limits by the configured cores and memory.
 func (s *Server) limitRuntime() {
 	if s.config.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(s.config.Cores)))
 	}
 	if s.config.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(s.memory(collectorMemoryShare)))
+		debug.SetMemoryLimit(int64(s.memoryBytes(collectorMemoryShare)))
 	}
 }
 
-// applyKnown hands the reducer an event of the configuration file. There are no connections yet: of its
-// effects only what is logged counts.
-func (s *Server) applyKnown(now int64, event router.Event) {
+// handleKnownEvent has the reducer handle a watch event of the configuration file. As there are no connections
+// yet, only the log effects are carried out.
+func (s *Server) handleKnownEvent(now int64, event router.Event) {
 	if _, isList := event.(router.EndpointListUpdated); isList {
 		s.progress.ListReceived()
 	}
--- a/internal/server/probetargets.go
+++ b/internal/server/probetargets.go
@@ -6,7 +6,8 @@
 	"tealpath/internal/router"
 )
 
-// setEndpoints hands the endpoint list to the cluster's reducer, as targets of probes. It does not wait.
+// setEndpoints sets the targets of probes by the endpoint list, and notifies the cluster's loop. It does not
+// wait: if the loop has not got the previous targets yet, it gets only these.
 func (node *clusterNode) setEndpoints(entries []router.EndpointEntry, settings control.Settings) {
 	builder := newTargetBuilder(settings, node.clock.Now(), bootTime())
 	var targets []probe.Target
@@ -22,11 +23,11 @@
 	}
 }
 
-// targetBuilder makes targets of probes from endpoints.
+// targetBuilder builds targets of probes from endpoints.
 type targetBuilder struct {
 	cache, parent           probe.ColdLimit
 	parentKind, originKind  *string // nil: there are none
-	serverTime, clusterTime int64   // this instant by the server's clock and by bootTime, ns
+	serverTime, clusterTime int64   // ns; the same instant by the server's clock and by bootTime
 }
 
 func newTargetBuilder(settings control.Settings, serverTime, clusterTime int64) targetBuilder {
@@ -41,17 +42,17 @@
 	}
 }
 
-// isProbed tells whether an endpoint is probed: one that drains or is gone gets nothing new, and the origin
-// is not probed.
+// isProbed reports whether an endpoint is probed: only ready ones are, except for the origin.
 func (b targetBuilder) isProbed(entry router.EndpointEntry) bool {
 	return entry.Phase == control.PhaseReady && !isOfKind(entry, b.originKind)
 }
 
-// isOfKind tells whether an endpoint's kind is known to be a certain one.
+// isOfKind reports whether an endpoint is of a kind. An unknown kind, "" or nil, matches nothing.
 func isOfKind(entry router.EndpointEntry, kind *string) bool {
 	return kind != nil && entry.Kind != "" && entry.Kind == *kind
 }
 
+// target returns the target of probes for an endpoint, with the time at which its slow start ends.
 func (b targetBuilder) target(entry router.EndpointEntry) probe.Target {
 	target := probe.Target{
 		Name:     entry.Instance,
@@ -64,7 +65,7 @@
 		warmUp = b.parent.WarmUpDuration
 	}
 	if entry.StartedAt > 0 {
-		// No endpoint started after discovery reported that it had.
+		// Discovery reports a start after it happened, so a start in the future is an error of a clock.
 		age := b.serverTime - min(entry.StartedAt, b.serverTime)
 		target.WarmAt = b.clusterTime - age + warmUp
 	}
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,5 +1,6 @@
-// Package server takes a router from its start to its exit: prepare, start, serve, reload, drain, exit. It
-// joins the reducer with the connections and owns the lifetimes of their goroutines.
+// Package server runs a router from its start to its exit: prepare, start, serve, reload, drain, exit. Its event
+// loop passes events from the connections to the reducer (internal/router) and carries out the reducer's
+// effects. It starts all goroutines of the router and waits for their ends.
 package server
 
 import (
@@ -19,17 +20,17 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// ErrConfig is a configuration that cannot be served by.
+// ErrConfig is the error of a configuration with which a server can't start.
 var ErrConfig = errors.New("configuration")
 
-// maxInboxEvents is how many events may be on their way to the reducer. Whoever brings one more waits.
+// maxInboxEvents is the capacity of the event loop's inbox. While it is full, goroutines that post an event wait.
 const maxInboxEvents = 64
 
-// Server is one router. Its fields are set before the goroutines that use them start, and do not change
-// afterwards, but for phase, router, progress and snapshots, which belong to the event loop then.
+// Server is one router. Its fields are set before the goroutines that use them start. Afterwards they do not
+// change, except for the state of phase, router, progress and snapshots, which the event loop's goroutine owns.
 type Server struct {
 	config    *config.Config
-	operator  *operatorconfig.File // nil: no operator's file is in force
+	operator  *operatorconfig.File // nil: there is no operator's file
 	logger    zerolog.Logger
 	clock     clock.Clock
 	openStore func(path string) *snapshot.Store
@@ -38,26 +39,26 @@
 	inbox     chan arrival
 	router    *router.Router
 	progress  *startup.Progress
-	snapshots *snapshotWriter // nil: nothing is kept for the next start
+	snapshots *snapshotWriter // nil: no snapshots are written
 
 	downstream *downstream.Server
 	upstream   *upstream.Pool
 	cluster    *clusterNode // nil: this instance shares nothing with others
 }
 
-// arrival is an event for the reducer, with the time when it came: ns of the server's clock.
+// arrival is an event for the event loop with the time at which it was posted.
 type arrival struct {
-	at    int64
+	at    int64 // ns of the server's clock
 	event router.Event
 }
 
-// Option changes how a server is made.
+// Option is an option of New.
 type Option func(*Server)
 
-// WithClock has a server take its time from a clock; without it that is clock.System.
+// WithClock sets the server's clock. The default is clock.System.
 func WithClock(c clock.Clock) Option { return func(s *Server) { s.clock = c } }
 
-// New makes a server that has not started. With an operator's file it has what that says in common with others.
+// New returns a server that has not started. operator is nil if there is no operator's file.
 func New(c *config.Config, operator *operatorconfig.File, logger zerolog.Logger, options ...Option) *Server {
 	s := &Server{
 		config:    c,
@@ -73,14 +74,15 @@
 	return s
 }
 
-// Check returns what would keep a server with this configuration from serving, but for its addresses.
+// Check reports whether a server can start with a configuration. It does not check whether its addresses can be
+// listened on.
 func Check(c *config.Config) error {
 	_, err := New(c, nil, zerolog.Nop()).prepare()
 	return err
 }
 
-// Run serves until shutdownRequested is closed and all that was accepted is answered, or until ctx ends,
-// which answers nothing. At each of reloadSignals the configuration is loaded anew.
+// Run serves until shutdownRequested is closed and all accepted requests are answered, or until ctx ends, which
+// stops it without a graceful shutdown. At each of reloadSignals it reloads the configuration with load.
 func (s *Server) Run(
 	ctx context.Context, shutdownRequested <-chan struct{}, reloadSignals <-chan os.Signal, load LoadFunc,
 ) error {
@@ -117,7 +119,8 @@
 	return err
 }
 
-// exit waits for what still writes once the event loop has ended.
+// exit waits for the goroutines that are not in Run's group: those of the connections to endpoints, and the
+// writer of snapshots.
 func (s *Server) exit() {
 	s.upstream.Wait()
 	s.snapshots.stop()
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -7,20 +7,20 @@
 	"github.com/rs/zerolog"
 )
 
-// Shares of a memory larger than the configured one had the router killed for it.
-func TestSharesOfTheMemory(t *testing.T) {
+// The memory limit of the runtime is a share of the configured memory, or of the default if none is configured.
+func TestMemoryLimitIsShareOfConfiguredMemory(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		memoryMB int64
-		want     int // MB for the runtime
+		memoryMB int64 // MiB
+		want     int   // MiB for the runtime
 	}{
-		{"a small one", 32, 22},
-		{"the usual", 192, 134},
-		{"none set", 0, 44},
+		{"less than the default", 32, 22},
+		{"more than the default", 192, 134},
+		{"not configured", 0, 44},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := New(&config.Config{MemoryMB: test.memoryMB}, nil, zerolog.Nop())
-			if got := s.memory(collectorMemoryShare) >> 20; got != test.want {
+			if got := s.memoryBytes(collectorMemoryShare) >> 20; got != test.want {
 				t.Errorf("%d MB, want %d", got, test.want)
 			}
 		})
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -6,7 +6,7 @@
 	"tealpath/internal/cluster/probe"
 )
 
-// coldLimits returns what endpoints bear that have just started, by the settings.
+// coldLimits returns the limits of endpoints in slow start, of caches and of parents.
 func coldLimits(settings control.Settings) (cache, parent probe.ColdLimit) {
 	return coldLimit(settings.CacheSlowStart), coldLimit(settings.ParentSlowStart)
 }
@@ -20,8 +20,8 @@
 	}
 }
 
-// routersHere is how many routers this one's location has, itself included; where the settings do not tell
-// by location it is how many there are in all.
+// routersHere returns the number of routers in this one's location, itself included. If the settings do not
+// state it, that is the number of all routers.
 func routersHere(settings control.Settings) int {
 	return max(1, cmp.Or(settings.LocationRouters, settings.Routers))
 }
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -13,8 +13,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// poster returns a function that hands events to the event loop, stamped with the time when they came. It
-// waits while the inbox is full.
+// poster returns a function that posts an event to the event loop with the current time. It waits while the
+// inbox is full.
 func (s *Server) poster(ctx context.Context) func(router.Event) {
 	return func(event router.Event) {
 		select {
@@ -24,8 +24,8 @@
 	}
 }
 
-// tryPost hands an event to the event loop, or drops it where the inbox is full: the result of a probe is
-// not worth a wait.
+// tryPost posts an event to the event loop, or drops it if the inbox is full. It is for results of probes: the
+// cluster's loop must not wait for this one, and the next probe has a newer result.
 func (s *Server) tryPost(event router.Event) {
 	select {
 	case s.inbox <- arrival{s.clock.Now(), event}:
@@ -33,8 +33,8 @@
 	}
 }
 
-// start makes the connections' sides. What serves beside the event loop from now on runs in the group:
-// links to other instances, and the admin socket.
+// start creates the pool of connections to endpoints and the server of clients' connections. It starts in the
+// group what the operator's file configures: the connections to other instances, and the admin socket.
 func (s *Server) start(
 	ctx context.Context, group *errgroup.Group, listener net.Listener, post func(router.Event),
 	shutdownRequested <-chan struct{},
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// startUpstream makes the connections to endpoints.
+// startUpstream creates the pool of connections to endpoints.
 func (s *Server) startUpstream(ctx context.Context, post func(router.Event)) {
 	s.upstream = upstream.NewPool(ctx, upstream.Config{
 		LoadReportFields: s.config.Settings.LoadReportFields,
@@ -66,14 +66,14 @@
 	})
 }
 
-// startDownstream makes the side of the clients' connections.
+// startDownstream creates the server of clients' connections. Run starts it.
 func (s *Server) startDownstream(listener net.Listener, post func(router.Event)) {
 	connections, policies := s.clientConnections()
 	config := downstream.Config{
 		MaxConnections:           connections,
 		Policies:                 policies,
 		MaxRequestsPerConnection: maxOpenRequestsPerClient,
-		MaxBytes:                 int64(s.memory(responseMemoryShare)),
+		MaxBytes:                 int64(s.memoryBytes(responseMemoryShare)),
 		Cores:                    s.config.Cores,
 		Seed:                     s.config.Seed,
 		Clock:                    s.clock,
@@ -82,7 +82,7 @@
 	s.downstream = downstream.New(listener, config, post, s.emit)
 }
 
-// startCluster opens the links to other instances and shares the periodic tasks with them.
+// startCluster starts the connections to other instances, with which this one shares health checks by leases.
 func (s *Server) startCluster(ctx context.Context, group *errgroup.Group, shutdownRequested <-chan struct{}) error {
 	node, err := newClusterNode(ctx, clusterConfig{
 		operator:    s.operator,
@@ -107,7 +107,8 @@
 	MembersCommand     = "members"     // answered with cluster.MembersStatus
 )
 
-// adminHandlers are the commands that the admin socket answers. The last two are of instances that share tasks.
+// adminHandlers returns the handlers of the admin socket's commands. Leases and members are known only to an
+// instance of a cluster.
 func (s *Server) adminHandlers() map[string]adminsocket.Handler {
 	handlers := map[string]adminsocket.Handler{ConnectionsCommand: s.connections}
 	if s.cluster != nil {
@@ -117,7 +118,7 @@
 	return handlers
 }
 
-// newWatch makes the watch on discovery, which goes on behind what is known.
+// newWatch returns the watch of the discovery service, which resumes after the last event of history.
 func (s *Server) newWatch(history discovery.History, post func(router.Event)) *discovery.Watcher {
 	calls := startup.NewCallSchedule(s.config.Seed, s.config.Settings.Routers, s.readinessHold())
 	calls.SetDrainGrace(s.shortestGrace())
