--- a/internal/server/logevents.go
+++ b/internal/server/logevents.go
@@ -20,20 +20,21 @@
 	}
 }
 
-// PhaseChanged reports where the server stands between its start and its exit.
+// PhaseChanged is logged when the server enters a phase of its life, from its start to its exit.
 type PhaseChanged struct {
 	Phase string `log:"phase"` // starting, serving, draining or stopped
 }
 
 // Kind returns the event's name and level.
 func (PhaseChanged) Kind() logevent.Kind {
-	return logevent.Kind{Name: "server_phase_changed", Level: logevent.Info, Message: "the server enters a phase"}
+	return logevent.Kind{Name: "server_phase_changed", Level: logevent.Info, Message: "the server entered a phase"}
 }
 
-// StartupPhaseChanged reports how far the start has come, from an endpoint list to request rates that can
-// be relied on.
+// StartupPhaseChanged is logged when the startup of a router has entered its next phase.
 type StartupPhaseChanged struct {
-	Phase string `log:"phase"` // alone, listed, warming or whole
+	// Phase is listed (an endpoint list is known), warming (the discovery service has answered, and request rates
+	// are being measured) or whole (request rates can be relied on).
+	Phase string `log:"phase"`
 }
 
 // Kind returns the event's name and level.
@@ -41,21 +42,21 @@
 	return logevent.Kind{
 		Name:    "startup_phase_changed",
 		Level:   logevent.Info,
-		Message: "the start has come further",
+		Message: "the startup entered its next phase",
 	}
 }
 
-// SnapshotRestored reports that the start uses what an earlier process has stored.
+// SnapshotRestored is logged at a start that uses the snapshot of an earlier process.
 type SnapshotRestored struct {
-	// Objects is how many have known request rates.
+	// Objects is the number of objects with request rates in the snapshot.
 	Objects int `log:"objects"`
-	// Scope is how much of it is used: whole, or beliefs, which is all but request rates.
+	// Scope says how much of the snapshot is used: whole, or beliefs, which is all but request rates.
 	Scope string `log:"scope"`
-	// Cause is why not all of it is used.
+	// Cause says why not all of it is used; absent if all of it is.
 	Cause error `log:"cause,omitempty"`
-	// Endpoints counts those of its endpoint list, which waits to be confirmed by discovery.
+	// Endpoints is the length of its endpoint list, which is not used before the discovery service confirms it.
 	Endpoints int `log:"endpoints,omitempty"`
-	// ConfirmedBy is the number of the watch event that confirms the list.
+	// ConfirmedBy is the position of the watch event that confirms the endpoint list.
 	ConfirmedBy int64 `log:"confirmed_by,omitempty"`
 }
 
@@ -64,7 +65,7 @@
 	return logevent.Kind{Name: "snapshot_restored", Level: logevent.Info, Message: "a snapshot was restored"}
 }
 
-// SnapshotIgnored reports that the start goes on without the snapshot that there is.
+// SnapshotIgnored is logged at a start that can't use the snapshot of an earlier process.
 type SnapshotIgnored struct {
 	Cause error `log:"cause"`
 }
@@ -74,17 +75,18 @@
 	return logevent.Kind{Name: "snapshot_ignored", Level: logevent.Warn, Message: "the snapshot is not used"}
 }
 
-// SnapshotWriteFailed reports that snapshots can't be written from now on. The file as it was stays.
+// SnapshotWriteFailed is logged when writing snapshots begins to fail. The file of the last successful write is
+// left as it is.
 type SnapshotWriteFailed struct {
 	Cause error `log:"cause"`
 }
 
 // Kind returns the event's name and level.
 func (SnapshotWriteFailed) Kind() logevent.Kind {
-	return logevent.Kind{Name: "snapshot_write_failed", Level: logevent.Warn, Message: "snapshots are not written"}
+	return logevent.Kind{Name: "snapshot_write_failed", Level: logevent.Warn, Message: "snapshots can't be written"}
 }
 
-// SnapshotWriteRecovered ends SnapshotWriteFailed.
+// SnapshotWriteRecovered is logged when a snapshot is written again after SnapshotWriteFailed.
 type SnapshotWriteRecovered struct{}
 
 // Kind returns the event's name and level.
@@ -96,10 +98,10 @@
 	}
 }
 
-// ConfigReloaded reports that a newer configuration was read.
+// ConfigReloaded is logged when the configuration was reloaded.
 type ConfigReloaded struct {
-	DiscoveryAddress string `log:"discovery_address"`
-	// RestartRequired is what else has changed, and is in force after a restart only.
+	DiscoveryAddress string `log:"discovery_address"` // of the discovery service, in force from now on
+	// RestartRequired names the other parts that have changed, which are in force only after a restart.
 	RestartRequired string `log:"restart_required,omitempty"`
 }
 
@@ -108,11 +110,12 @@
 	return logevent.Kind{
 		Name:    "config_reloaded",
 		Level:   logevent.Info,
-		Message: "the configuration was read again",
+		Message: "the configuration was reloaded",
 	}
 }
 
-// ConfigRejected reports that a newer configuration can't be used. Nothing of it is in force.
+// ConfigRejected is logged when a reload finds a configuration or an operator's file that can't be used. Nothing
+// of it is in force.
 type ConfigRejected struct {
 	Cause error `log:"cause"`
 }
@@ -122,12 +125,12 @@
 	return logevent.Kind{
 		Name:    "config_rejected",
 		Level:   logevent.Warn,
-		Message: "the configuration stays as it was",
+		Message: "the new configuration was rejected, the previous one stays in force",
 	}
 }
 
-// ConfigLoadDelayed reports that a newer configuration can't be read for want of descriptors or memory. It
-// is tried again until it can.
+// ConfigLoadDelayed is logged when a reload can't read its files because this machine lacks descriptors or
+// memory. It is retried until it can.
 type ConfigLoadDelayed struct {
 	Cause error `log:"cause"`
 }
@@ -137,14 +140,14 @@
 	return logevent.Kind{
 		Name:    "config_load_delayed",
 		Level:   logevent.Warn,
-		Message: "the configuration is read as soon as it can be",
+		Message: "the configuration can't be read yet, retrying",
 	}
 }
 
-// OperatorConfigNeedsRestart reports that a newer operator's file differs in what is in force only after a
-// restart.
+// OperatorConfigNeedsRestart is logged when a reload finds that the operator's file has changed in parts that are
+// in force only after a restart.
 type OperatorConfigNeedsRestart struct {
-	Parts string `log:"parts"` // of the file, some of which differ
+	Parts string `log:"parts"` // names of the parts that were compared, at least one of which has changed
 }
 
 // Kind returns the event's name and level.
@@ -152,13 +155,13 @@
 	return logevent.Kind{
 		Name:    "operator_config_needs_restart",
 		Level:   logevent.Warn,
-		Message: "parts of the operator's file are in force after a restart only",
+		Message: "changes of the operator's file need a restart",
 	}
 }
 
-// ClusterMessageIgnored reports a message of another instance that can't be read.
+// ClusterMessageIgnored is logged for a message of another instance that can't be decoded.
 type ClusterMessageIgnored struct {
-	Member string `log:"member"`
+	Member string `log:"member"` // name of the sender
 	Cause  error  `log:"cause"`
 }
 
@@ -167,13 +170,13 @@
 	return logevent.Kind{
 		Name:    "cluster_message_ignored",
 		Level:   logevent.Warn,
-		Message: "a message of another instance can't be read",
+		Message: "a message of another instance can't be decoded",
 	}
 }
 
-// ClusterMessageNotSent reports a message to another instance that can't be encoded.
+// ClusterMessageNotSent is logged for a message to another instance that can't be encoded.
 type ClusterMessageNotSent struct {
-	Member string `log:"member"`
+	Member string `log:"member"` // name of the receiver
 	Cause  error  `log:"cause"`
 }
 
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// LoadFunc reads the configuration and the operator's file as they are now.
+// LoadFunc loads the configuration and the operator's file anew.
 type LoadFunc func() (*config.Config, *operatorconfig.File, error)
 
-// loadRetryInterval is between two tries to read a configuration.
+// loadRetryInterval is the time between two attempts to load a configuration.
 const loadRetryInterval = 50 * time.Millisecond
 
 // Parts of the operator's file that are in force only after a restart, as the log names them.
@@ -23,7 +23,7 @@
 	restartOnlyCluster = "slots, lease, renewal, drift, listen, membership, socket, probe"
 )
 
-// reloadOnSignals loads the configuration anew at each signal.
+// reloadOnSignals reloads the configuration at each signal, until ctx ends.
 func (s *Server) reloadOnSignals(
 	ctx context.Context, signals <-chan os.Signal, load LoadFunc, watch *discovery.Watcher,
 ) error {
@@ -37,8 +37,9 @@
 	}
 }
 
-// reload takes discovery's address, and what instances share, from the configuration as it is now. All else
-// is in force from the next start on; a configuration that cannot be used changes nothing.
+// reload loads the configuration and applies what can change in a running server: the address of the discovery
+// service, and the parts of the cluster that clusterNode.reload applies. All else needs a restart, and is
+// logged. A configuration that cannot be used changes nothing.
 func (s *Server) reload(ctx context.Context, load LoadFunc, watch *discovery.Watcher) {
 	next, operator, err := loadWithRetry(ctx, load, s.emit)
 	if err == nil && s.cluster != nil && operator != nil {
@@ -58,7 +59,8 @@
 	watch.SetAddress(next.DiscoveryAddress)
 }
 
-// operatorNeedsRestart tells whether a newer operator's file differs in what a running server can't change.
+// operatorNeedsRestart reports whether a newer operator's file differs in parts that a running server can't
+// change. Those of a cluster that it is a member of already are compared by clusterNode.needsRestart.
 func (s *Server) operatorNeedsRestart(next *operatorconfig.File) bool {
 	if next == nil || s.operator == nil {
 		return false
@@ -67,17 +69,17 @@
 	return clusterChanged || !next.Idle.Same(s.operator.Idle)
 }
 
-// loadWithRetry reads the configuration, and tries again while this machine lacks the descriptors or the
-// memory: if the reload were passed over, a new address of discovery would never be used.
+// loadWithRetry loads the configuration, and retries while this machine lacks the descriptors or the memory for
+// that: a signal is not repeated, so without a retry the new configuration would never be applied.
 func loadWithRetry(
 	ctx context.Context, load LoadFunc, emit func(logevent.Event),
 ) (*config.Config, *operatorconfig.File, error) {
-	for attempts := 0; ; attempts++ {
+	for isRetry := false; ; isRetry = true {
 		next, operator, err := load()
 		if !neterr.IsExhausted(err) {
 			return next, operator, err
 		}
-		if attempts == 0 {
+		if !isRetry {
 			emit(ConfigLoadDelayed{Cause: err})
 		}
 		select {
--- a/internal/server/restore.go
+++ b/internal/server/restore.go
@@ -9,48 +9,53 @@
 	"time"
 )
 
-// restore takes what a snapshot knows, as far as the rules let it, and begins to write snapshots.
+// restore starts the writer of snapshots and restores the snapshot that an earlier process has stored, if there
+// is one. It may add an endpoint list to history. Without a path in the operator's file it does nothing.
 func (s *Server) restore(now int64, history *discovery.History) {
 	if s.operator == nil || s.operator.SnapshotPath == "" {
 		return
 	}
-	stored := s.readSnapshot()
-	if errors.Is(stored.err, os.ErrNotExist) {
-		return
-	}
-	if stored.err != nil {
+	stored := waitForSnapshot(s.startSnapshotWriter())
+	switch {
+	case errors.Is(stored.err, os.ErrNotExist):
+	case stored.err != nil:
 		s.emit(SnapshotIgnored{Cause: stored.err})
-		return
+	default:
+		s.applySnapshot(now, stored.Snapshot, history)
 	}
-	s.applySnapshot(now, stored.Snapshot, history)
 }
 
-// readSnapshot starts the writer of snapshots, and returns what it found in the file.
-func (s *Server) readSnapshot() snapshotFile {
+// startSnapshotWriter starts the writer of snapshots. The channel gets the snapshot of an earlier process.
+func (s *Server) startSnapshotWriter() (stored <-chan snapshotFile) {
 	header := restore.Header{
 		Version:        restore.FormatVersion,
 		Router:         s.config.Name,
 		SettingsDigest: s.config.SettingsDigest,
 	}
-	var read <-chan snapshotFile
-	s.snapshots, read = newSnapshotWriter(snapshotConfig{
+	s.snapshots, stored = newSnapshotWriter(snapshotConfig{
 		store:    s.openStore(s.operator.SnapshotPath),
 		header:   header,
 		interval: time.Duration(s.operator.SnapshotInterval),
 		clock:    s.clock,
 		emit:     s.emit,
 	})
+	return stored
+}
+
+// waitForSnapshot returns what the writer read, or errSlowRead after snapshotReadTimeout.
+func waitForSnapshot(stored <-chan snapshotFile) snapshotFile {
 	select {
-	case stored := <-read:
-		return stored
+	case file := <-stored:
+		return file
 	case <-time.After(snapshotReadTimeout):
 		return snapshotFile{err: errSlowRead}
 	}
 }
 
-// applySnapshot gives the reducer what of a snapshot is still of use.
+// applySnapshot restores the parts of a snapshot that may be used (restore.Assess): to the reducer what the
+// policy had learned, and to history the endpoint list.
 func (s *Server) applySnapshot(now int64, stored snapshot.Snapshot, history *discovery.History) {
-	wall := s.clock.Wall() // as the process before read it: the two have no axis in common
+	wall := s.clock.Wall() // the snapshot's time is the wall clock's too: processes share no monotonic clock
 	scope, limit := restore.Assess(wall, s.snapshots.header, stored.Header)
 	if scope == restore.None {
 		s.emit(SnapshotIgnored{Cause: limit})
--- a/internal/server/snapshots.go
+++ b/internal/server/snapshots.go
@@ -15,59 +15,60 @@
 )
 
 const (
-	// snapshotReadTimeout bounds how long a start waits for its snapshot: a router told to end while it
-	// starts has 0.7 s.
+	// snapshotReadTimeout bounds how long a start waits for its snapshot. A router that is asked to shut down
+	// while it starts is killed after 0.7 s.
 	snapshotReadTimeout = 500 * time.Millisecond
 
-	// slowSnapshot is from when a write that has not ended counts as a failure of the disk.
-	slowSnapshot = 10 * time.Second
+	// slowSnapshotTimeout is the time after which a write that has not ended counts as failed.
+	slowSnapshotTimeout = 10 * time.Second
 
-	// snapshotExitTimeout is how long a process that ends without a shutdown waits for a write.
+	// snapshotExitTimeout bounds how long a process that ends without a graceful shutdown waits for a write.
 	snapshotExitTimeout = 50 * time.Millisecond
 
-	// maxQueuedSnapshots: write queues one snapshot at a time, and writeLast one behind it.
+	// maxQueuedSnapshots is the capacity of the writer's queue: write queues one snapshot at a time, and
+	// writeLast one behind it.
 	maxQueuedSnapshots = 2
 )
 
 var (
 	errSlowRead  = fmt.Errorf("not read within %v", snapshotReadTimeout)
-	errSlowDisk  = fmt.Errorf("the disk has not answered for %v", slowSnapshot)
+	errSlowDisk  = fmt.Errorf("the disk has not answered for %v", slowSnapshotTimeout)
 	errUnwritten = errors.New("the last one was not written before the process ended")
 )
 
-// snapshotWriter keeps what the router knows in a file, for its next start. A nil writer keeps nothing. Its
-// methods belong to the event loop's goroutine, which waits for no disk: a goroutine of the writer's own
-// reads and writes the file.
+// snapshotWriter stores snapshots of the router's state in a file, for its next start. A nil writer stores
+// nothing. Its methods are called by the event loop's goroutine and never wait for the disk, except for stop: a
+// goroutine of the writer's own reads and writes the file.
 type snapshotWriter struct {
 	clock    clock.Clock
 	header   restore.Header
-	position discovery.EventProcessed // the last event that discovery has handed on
+	position discovery.EventProcessed // the last event of the discovery service that was processed
 	ticker   *time.Ticker
 	health   diskHealth
 	queue    chan snapshot.Snapshot
-	queuedAt time.Time // when the last disk operation was queued
-	exitBy   time.Time // until when the end of the process may wait for the disk; zero: no shutdown has begun
-	stopped  chan struct{}
+	queuedAt time.Time     // when the last disk operation was queued
+	exitBy   time.Time     // by when the process must not wait for the disk any more; zero: no shutdown has begun
+	stopped  chan struct{} // closed when the goroutine has ended
 
-	pending atomic.Int32 // disk operations queued or under way
+	pending atomic.Int32 // disk operations queued or in progress
 }
 
-// snapshotFile is what a read of the file gave.
+// snapshotFile is the result of reading the file.
 type snapshotFile struct {
 	snapshot.Snapshot
 	err error
 }
 
-// snapshotConfig is what a snapshotWriter is made of.
+// snapshotConfig is the configuration of a snapshotWriter.
 type snapshotConfig struct {
 	store    *snapshot.Store
-	header   restore.Header
-	interval time.Duration // between two writes
+	header   restore.Header // of each snapshot, without its time
+	interval time.Duration  // between two writes
 	clock    clock.Clock
 	emit     func(logevent.Event)
 }
 
-// newSnapshotWriter starts a writer. It reads the file as it is first, and hands that on by the channel.
+// newSnapshotWriter starts a writer. It reads the file first, and sends the result on the channel.
 func newSnapshotWriter(config snapshotConfig) (*snapshotWriter, <-chan snapshotFile) {
 	w := &snapshotWriter{
 		clock:    config.clock,
@@ -84,7 +85,7 @@
 	return w, read
 }
 
-// run does all that touches the disk.
+// run makes all disk operations: it reads the file, then writes the snapshots that are queued.
 func (w *snapshotWriter) run(store *snapshot.Store, read chan<- snapshotFile) {
 	defer close(w.stopped)
 	if err := store.RemoveTemporary(); err != nil {
@@ -103,7 +104,8 @@
 	}
 }
 
-// due returns the channel that says when the next snapshot is to be written; nil if none is.
+// due returns the channel of the ticker by which snapshots are written; nil, on which nothing is ever received,
+// if none are.
 func (w *snapshotWriter) due() <-chan time.Time {
 	if w == nil {
 		return nil
@@ -111,26 +113,26 @@
 	return w.ticker.C
 }
 
-// observe notes how far discovery has got.
+// observe records the last event of the discovery service that was processed.
 func (w *snapshotWriter) observe(position discovery.EventProcessed) {
 	if w != nil {
 		w.position = position
 	}
 }
 
-// write queues what is known now, unless the disk is still busy with an earlier snapshot.
+// write queues a snapshot of the reducer's state, unless an earlier disk operation is still in progress.
 func (w *snapshotWriter) write(r *router.Router, now int64) {
 	switch {
 	case w == nil:
 	case w.pending.Load() == 0:
 		w.enqueue(r, now)
-	case time.Since(w.queuedAt) > slowSnapshot:
+	case time.Since(w.queuedAt) > slowSnapshotTimeout:
 		w.health.failed(errSlowDisk)
 	}
 }
 
-// writeLast queues what is known as the shutdown begins, also behind a write under way. The process waits
-// for the disk for this timeout at most.
+// writeLast queues the last snapshot as the shutdown begins, also behind one that is being written. From then on
+// the process waits for the disk for timeout at most.
 func (w *snapshotWriter) writeLast(r *router.Router, now int64, timeout time.Duration) {
 	if w == nil {
 		return
@@ -139,6 +141,7 @@
 	w.enqueue(r, now)
 }
 
+// enqueue takes a snapshot of the reducer's state and queues it.
 func (w *snapshotWriter) enqueue(r *router.Router, now int64) {
 	next := snapshot.Snapshot{
 		Header:    w.header,
@@ -147,13 +150,14 @@
 		Endpoints: r.Endpoints(),
 		Memory:    r.Snapshot(now, snapshot.MaxObjects),
 	}
-	next.TakenAt = w.clock.Wall() // the next process reads it, on an axis of its own
+	next.TakenAt = w.clock.Wall() // for the next process, which has another monotonic clock
 	w.pending.Add(1)
 	w.queuedAt = time.Now()
-	w.queue <- next // does not wait: see maxQueuedSnapshots
+	w.queue <- next // never waits: see maxQueuedSnapshots
 }
 
-// stop ends the writer. A disk that does not answer does not hold up the end of the process.
+// stop ends the writer. It waits until all that is queued is written, until exitBy or for snapshotExitTimeout at
+// most, so that a hung disk does not delay the end of the process.
 func (w *snapshotWriter) stop() {
 	if w == nil {
 		return
@@ -173,7 +177,7 @@
 	}
 }
 
-// diskHealth logs when writing begins to fail and when it succeeds again, once each.
+// diskHealth logs the changes between failing and successful writes, not each failure.
 type diskHealth struct {
 	emit func(logevent.Event)
 
