--- a/internal/operatorconfig/cluster.go
+++ b/internal/operatorconfig/cluster.go
@@ -13,27 +13,29 @@
 	"go4.org/netipx"
 )
 
-// Cluster is how instances talk and share periodic tasks.
+// Cluster is the configuration of the cluster: the instances that share periodic tasks by leases.
 type Cluster struct {
-	Name            string // of this instance
-	Listen          string // where this instance accepts connections of others
-	Weight          float64
-	Instances       []membership.Contact
+	Name            string               // of this instance
+	Listen          string               // address on which this instance accepts connections of others
+	Weight          float64              // of this instance: the share of slots that it should get, against the others
+	Instances       []membership.Contact // including this one
 	Voters          lease.Voters
-	Slots           int
+	Slots           int     // number of slots, each with a lease, to which the tasks hash
 	LeaseDuration   int64   // ns
 	RenewalInterval int64   // ns
-	MaxClockDrift   float64 // by which share a clock's rate may be off
+	MaxClockDrift   float64 // by how much the rate of a clock may be off, as a fraction
 	Membership      cluster.MembershipConfig
 	TLS             peer.KeyFiles
 	Allow           *netipx.IPSet // addresses from and to which connections are allowed
-	// Probe is nil where there are no health checks. What endpoints take while they warm up comes from the settings.
+
+	// Probe is the configuration of health checks; nil: there are none. Its limits of endpoints in slow start are
+	// not in the file: ApplySettings sets them.
 	Probe *probe.Config
 
 	probePosition sexpr.Position
 }
 
-// Values of (fleet …) that stand for those that a file does not have.
+// Default values of (fleet …).
 const (
 	defaultWeight   = 1.0
 	defaultSlots    = 64
@@ -48,7 +50,7 @@
 	maxEpoch   = 1 << 40
 	minLease   = 100 * time.Millisecond
 	minRenewal = 20 * time.Millisecond
-	maxLease   = time.Hour // and of a renewal
+	maxLease   = time.Hour // also of the renewal interval
 	maxDrift   = 0.1
 	minWeight  = 0.01
 	maxWeight  = 1000
@@ -59,7 +61,7 @@
 	maxSilenceTimeout    = time.Hour
 )
 
-// instance is one line of (instances …).
+// instance is one item of (instances …).
 type instance struct {
 	position sexpr.Position
 	name     string
@@ -67,13 +69,13 @@
 	weight   float64
 }
 
-// clusterPositions are where the lists of (fleet …) stand, for errors that are about several of them. One that is
-// missing is zero.
+// clusterPositions are the positions of the lists of (fleet …), for errors that are found after they were decoded.
+// The position of a list that is missing is zero.
 type clusterPositions struct {
 	cluster, listen, voters, lease, renewal, tls, allow, probe, membership sexpr.Position
 }
 
-// clusterLists are the lists of (fleet …) as decoded, before they are checked against each other.
+// clusterLists are the decoded lists of (fleet …), before they are checked against each other.
 type clusterLists struct {
 	cluster   *Cluster
 	positions clusterPositions
@@ -84,7 +86,7 @@
 	epoch     int64
 }
 
-// cluster decodes how instances talk and share periodic tasks.
+// cluster decodes (fleet …) for the instance with a name. Paths in it are relative to a folder.
 func (d *decoder) cluster(into **Cluster, name, folder string) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		lists := &clusterLists{
@@ -130,7 +132,7 @@
 	}
 }
 
-// finish takes over what was decoded into other types than the settings themselves.
+// finish sets the fields of the cluster that were decoded into variables of other types.
 func (l *clusterLists) finish(folder string) {
 	l.cluster.Slots = int(l.slots)
 	l.cluster.Voters.Epoch = uint64(l.epoch)
@@ -142,7 +144,7 @@
 	}
 }
 
-// instances decodes the instances that are known by their addresses.
+// instances decodes (instances …).
 func (d *decoder) instances(into *[]instance) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		if len(arguments) > membership.MaxMembers {
@@ -187,7 +189,7 @@
 	return decoded, true
 }
 
-// voters decodes whose majority grants leases.
+// voters decodes (voters …): the instances whose majority grants leases.
 func (d *decoder) voters(lists *clusterLists) decodeFunc {
 	voters := &lists.cluster.Voters
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
@@ -199,6 +201,7 @@
 	}
 }
 
+// keyFiles decodes (tls …).
 func (d *decoder) keyFiles(into *peer.KeyFiles) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		d.section(list, arguments, section{
@@ -209,7 +212,7 @@
 	}
 }
 
-// allowed decodes addresses, networks and ranges of addresses.
+// allowed decodes (allow …): addresses, networks and ranges of addresses.
 func (d *decoder) allowed(into *netipx.IPSetBuilder) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		for _, value := range arguments {
@@ -240,7 +243,7 @@
 	return false
 }
 
-// membership decodes how instances watch each other.
+// membership decodes (membership …): how instances detect that others have failed.
 func (d *decoder) membership(into *cluster.MembershipConfig) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		d.section(list, arguments, section{
--- a/internal/operatorconfig/cluster_check.go
+++ b/internal/operatorconfig/cluster_check.go
@@ -2,21 +2,23 @@
 
 import (
 	"cmp"
+	"net/netip"
 	"slices"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/operatorconfig/sexpr"
 	"time"
 )
 
-// A lease outlives so many renewals at least, and a silence so many heartbeats.
 const (
-	minRenewalsPerLease     = 3
-	minHeartbeatsPerSilence = 2
+	minRenewalsPerLease     = 3 // renewal intervals that a lease lasts
+	minHeartbeatsPerSilence = 2 // heartbeat intervals after which silence may be reported
 )
 
-// checkCluster checks what the lists of (fleet …) say of each other.
+// checkCluster checks the lists of (fleet …) against each other, and sets the fields of the cluster that depend
+// on several of them.
 func (d *decoder) checkCluster(lists *clusterLists) {
-	d.checkInstances(lists)
+	lists.setInstances()
+	d.checkAddresses(lists)
 	d.checkVoterNames(lists)
 	d.checkDurations(lists)
 	d.checkVoters(lists)
@@ -24,29 +26,41 @@
 	d.checkKeys(lists)
 }
 
-// checkInstances takes over the instances, and from them what concerns this one.
-func (d *decoder) checkInstances(lists *clusterLists) {
-	settings := lists.cluster
-	for _, i := range lists.instances {
+// setInstances sets the instances of the cluster, and the weight and the address of this one. (listen …) takes
+// precedence over the address in (instances …).
+func (l *clusterLists) setInstances() {
+	settings := l.cluster
+	for _, instance := range l.instances {
 		settings.Instances = append(settings.Instances, membership.Contact{
-			Name:    i.name,
-			Address: i.address.String(),
-			Weight:  i.weight,
+			Name:    instance.name,
+			Address: instance.address.String(),
+			Weight:  instance.weight,
 		})
-		if i.address.IsValid() && !settings.Allow.Contains(i.address.Addr()) {
-			d.errors.addf(i.position, "the address %s of %s is outside the allowed sets", i.address, i.name)
-		}
-		if i.name == settings.Name {
-			settings.Weight = i.weight
-			settings.Listen = i.address.String()
+		if instance.name == settings.Name {
+			settings.Weight = instance.weight
+			settings.Listen = instance.address.String()
 		}
 	}
-	if lists.listen.IsValid() {
-		settings.Listen = lists.listen.String()
-		if !settings.Allow.Contains(lists.listen.Addr()) {
-			d.errors.addf(lists.positions.listen, "the address %s is outside the allowed sets", lists.listen)
+	if l.listen.IsValid() {
+		settings.Listen = l.listen.String()
+	}
+}
+
+// checkAddresses checks that connections to all addresses are allowed, and that this instance has one.
+func (d *decoder) checkAddresses(lists *clusterLists) {
+	settings := lists.cluster
+	isOutside := func(address netip.AddrPort) bool {
+		return address.IsValid() && !settings.Allow.Contains(address.Addr())
+	}
+	for _, instance := range lists.instances {
+		if isOutside(instance.address) {
+			d.errors.addf(instance.position, "the address %s of %s is outside the allowed sets",
+				instance.address, instance.name)
 		}
 	}
+	if isOutside(lists.listen) {
+		d.errors.addf(lists.positions.listen, "the address %s is outside the allowed sets", lists.listen)
+	}
 	if settings.Name != "" && settings.Listen == "" {
 		d.errors.addf(lists.positions.cluster,
 			"%s is not among the instances, and no (listen …) says where it takes links", settings.Name)
@@ -55,19 +69,19 @@
 
 // checkVoterNames checks that each voter is an instance.
 func (d *decoder) checkVoterNames(lists *clusterLists) {
-	known := map[string]bool{}
-	for _, i := range lists.instances {
-		known[i.name] = true
+	isInstance := map[string]bool{}
+	for _, instance := range lists.instances {
+		isInstance[instance.name] = true
 	}
 	voters := slices.Concat(lists.cluster.Voters.Current, lists.cluster.Voters.Previous)
 	for _, voter := range voters {
-		if !known[voter] {
+		if !isInstance[voter] {
 			d.errors.addf(lists.positions.voters, "voter %s is not among the instances", voter)
 		}
 	}
 }
 
-// checkDurations checks that the loss of one message ends no lease and is reported by nobody.
+// checkDurations checks that the loss of a single message neither ends a lease nor is reported as silence.
 func (d *decoder) checkDurations(lists *clusterLists) {
 	settings, positions := lists.cluster, lists.positions
 	if settings.LeaseDuration < minRenewalsPerLease*settings.RenewalInterval {
@@ -84,6 +98,7 @@
 	}
 }
 
+// checkVoters checks the sets of voters, those before a change included.
 func (d *decoder) checkVoters(lists *clusterLists) {
 	position := lists.positions.voters
 	if position == (sexpr.Position{}) {
@@ -98,6 +113,7 @@
 	}
 }
 
+// checkProbe checks the health checks, with the settings of the leases under which they are made.
 func (d *decoder) checkProbe(lists *clusterLists) {
 	config := lists.cluster.Probe
 	if config == nil {
--- a/internal/operatorconfig/decoder.go
+++ b/internal/operatorconfig/decoder.go
@@ -7,54 +7,55 @@
 	"tealpath/internal/operatorconfig/sexpr"
 )
 
-// decodeFunc decodes one list; arguments are what stands in it behind its key.
+// decodeFunc decodes one list, (KEY ARGUMENT …).
 type decodeFunc func(list *sexpr.Node, arguments []*sexpr.Node)
 
-// key is a key that may stand in a section, and how its list is decoded.
+// key is the definition of a key: how its list is decoded, and how often it may occur.
 type key struct {
 	decode   decodeFunc
 	required bool
-	repeated bool // it may stand more than once
+	repeated bool // it may occur more than once
 }
 
-// section has the keys that may stand in one list.
+// section is the definition of a list whose elements are lists: the keys that these may have.
 type section map[string]key
 
+// names returns the keys in order.
 func (s section) names() []string {
 	return slices.Sorted(maps.Keys(s))
 }
 
-// decoder decodes lists and gathers their errors.
+// decoder decodes lists and collects their errors.
 type decoder struct {
 	errors errorList
 }
 
-// section decodes the lists that stand in a list. Each must have a known key, and no key may stand twice unless
-// it may be repeated.
-func (d *decoder) section(list *sexpr.Node, items []*sexpr.Node, known section) {
+// section decodes the items of a list by the list's definition. Each must be a list with a defined key, and a
+// key may occur twice only if it may be repeated.
+func (d *decoder) section(list *sexpr.Node, items []*sexpr.Node, definition section) {
 	seen := map[string]sexpr.Position{}
 	for _, item := range items {
-		d.item(list, item, known, seen)
+		d.item(list, item, definition, seen)
 	}
-	for _, name := range known.names() {
+	for _, name := range definition.names() {
 		_, found := seen[name]
-		if known[name].required && !found {
+		if definition[name].required && !found {
 			d.errors.addf(list.Position, "(%s …) lacks (%s …)", list.Head(), name)
 		}
 	}
 }
 
 // item decodes one list of a section and records its key as seen.
-func (d *decoder) item(list, item *sexpr.Node, known section, seen map[string]sexpr.Position) {
+func (d *decoder) item(list, item *sexpr.Node, definition section, seen map[string]sexpr.Position) {
 	name := item.Head()
 	if name == "" {
-		example := known.names()[0]
+		example := definition.names()[0]
 		d.errors.addf(item.Position, "%s, where a list such as (%s …) belongs", item, example)
 		return
 	}
-	found, ok := known[name]
+	found, ok := definition[name]
 	if !ok {
-		allowed := strings.Join(known.names(), ", ")
+		allowed := strings.Join(definition.names(), ", ")
 		d.errors.addf(item.Position, "unknown word %s in (%s …); known are %s", name, list.Head(), allowed)
 		return
 	}
--- a/internal/operatorconfig/errors.go
+++ b/internal/operatorconfig/errors.go
@@ -9,21 +9,20 @@
 // maxErrors bounds how many errors of one file are reported.
 const maxErrors = 20
 
-// Error is something wrong with a file: where it is, and the reason in words. Key, Value and Allowed say the
-// same in parts where a value is at fault.
+// Error is a fault of a file. Key, Value and Allowed are set if a single value is at fault; Reason has them too.
 type Error struct {
 	Position sexpr.Position
-	Key      string // the list in which the value stands, such as lease
-	Value    string // as the file has it
-	Allowed  string // what may stand in its place
-	Reason   string
+	Key      string // of the value, such as lease
+	Value    string // as it is in the file
+	Allowed  string // description of the values that are allowed
+	Reason   string // for the operator
 }
 
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s: %s", e.Position, e.Reason)
 }
 
-// errorList gathers what is wrong with a file, so that an operator is told all of it at once.
+// errorList collects the faults of a file, so that an operator sees all of them at once.
 type errorList []error
 
 func (l *errorList) add(err *Error) {
@@ -32,12 +31,12 @@
 	}
 }
 
-// addf adds an error that no single value is at fault for.
+// addf adds an error that does not concern a single value.
 func (l *errorList) addf(position sexpr.Position, format string, args ...any) {
 	l.add(&Error{Position: position, Reason: fmt.Sprintf(format, args...)})
 }
 
-// addWrongKind adds that a value is not of the kind that its key takes.
+// addWrongKind adds the error of a value that is not of the kind that its key takes.
 func (l *errorList) addWrongKind(key string, value *sexpr.Node, kind string) {
 	l.add(&Error{
 		Position: value.Position,
@@ -48,7 +47,7 @@
 	})
 }
 
-// addOutOfRange adds that a value is below the least or above the greatest that its key takes.
+// addOutOfRange adds the error of a value that is below the minimum or above the maximum of its key.
 func (l *errorList) addOutOfRange(key string, value *sexpr.Node, minimum, maximum any) {
 	allowed := fmt.Sprintf("%v to %v", minimum, maximum)
 	l.add(&Error{
@@ -60,6 +59,7 @@
 	})
 }
 
+// err returns all errors joined, or nil if there are none.
 func (l errorList) err() error {
 	return errors.Join(l...)
 }
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -1,6 +1,6 @@
-// Package operatorconfig reads the operator's file: settings that the platform knows nothing of, as
-// S-expressions. A file is checked as a whole before anything of it is in force; each error names line, column
-// and reason. docs/oncall-fleet.md and deploy/fleet.example.sx explain the keys.
+// Package operatorconfig reads the operator's file: optional settings, as S-expressions, that the platform's
+// configuration file does not have. A file with any error is rejected completely; each error has its line, its
+// column and a reason. docs/oncall-fleet.md and deploy/fleet.example.sx explain the keys.
 package operatorconfig
 
 import (
@@ -17,24 +17,26 @@
 
 // File is an operator's file.
 type File struct {
-	SocketPath    string           // path of the Unix socket for commands; empty is none
-	Cluster       *Cluster         // nil: instances don't talk to each other
-	Idle          *IdleConnections // nil: clients' connections are kept as the platform states it
-	ReadinessHold startup.ReadinessHold
-	// Connections bounds connections to caches; nil: they are opened as attempts need them. The router, the
-	// seed and the number of routers are for others to say.
-	Connections      *connpool.Config
-	SnapshotPath     string // path of the file in which what the router has learned is stored; empty is none
-	SnapshotInterval int64  // ns
+	SocketPath    string                // of the Unix socket for commands; empty: there is none
+	Cluster       *Cluster              // nil: this instance shares nothing with others
+	Idle          *IdleConnections      // nil: the platform's defaults apply to clients' connections
+	ReadinessHold startup.ReadinessHold // zero: the startup is not held
+
+	// Connections bounds connections to caches; nil: they are opened as attempts need them. The caller sets
+	// Router, Seed and Routers, which are not in the file.
+	Connections *connpool.Config
+
+	SnapshotPath     string // of the file in which the router's state is stored; empty: there is none
+	SnapshotInterval int64  // ns; between two writes of it
 
 	startPosition sexpr.Position
 	linksPosition sexpr.Position
 }
 
-// maxSocketPathLength is a little under what the system takes, in bytes.
+// maxSocketPathLength bounds the socket's path, bytes: a little under the 107 that the system allows.
 const maxSocketPathLength = 100
 
-// Load reads and checks an operator's file for the instance of a name. Paths in it are relative to its folder.
+// Load reads and checks an operator's file for the instance with a name. Paths in it are relative to its folder.
 func Load(path, name string) (*File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -47,7 +49,8 @@
 	return file, nil
 }
 
-// Parse checks a file's text. Its paths are relative to a folder. The error joins an *Error for each fault.
+// Parse decodes and checks a file's text for the instance with a name. Paths in it are relative to a folder. The
+// error joins an *Error for each fault.
 func Parse(text, name, folder string) (*File, error) {
 	lists, err := sexpr.Parse(text)
 	if err != nil {
@@ -57,30 +60,30 @@
 		}
 		return nil, err
 	}
-	var d decoder
+	var decode decoder
 	file := &File{}
 	root := &sexpr.Node{
 		Position: sexpr.Position{Line: 1, Column: 1},
 		IsList:   true,
 		List:     []*sexpr.Node{{Word: "file"}},
 	}
-	d.section(root, lists, section{
-		"socket":   {decode: d.text(&file.SocketPath)},
-		"idle":     {decode: d.keeping(&file.Idle)},
-		"start":    {decode: at(&file.startPosition, d.start(&file.ReadinessHold))},
-		"links":    {decode: at(&file.linksPosition, d.links(&file.Connections))},
-		"snapshot": {decode: d.snapshot(file, folder)},
-		"fleet":    {decode: d.cluster(&file.Cluster, name, folder)},
+	decode.section(root, lists, section{
+		"socket":   {decode: decode.text(&file.SocketPath)},
+		"idle":     {decode: decode.idleConnections(&file.Idle)},
+		"start":    {decode: at(&file.startPosition, decode.readinessHold(&file.ReadinessHold))},
+		"links":    {decode: at(&file.linksPosition, decode.connections(&file.Connections))},
+		"snapshot": {decode: decode.snapshot(file, folder)},
+		"fleet":    {decode: decode.cluster(&file.Cluster, name, folder)},
 	})
 	file.SocketPath = resolve(folder, file.SocketPath)
 	if len(file.SocketPath) > maxSocketPathLength {
-		d.errors.addf(root.Position, "the socket's path has %d bytes, %d can be",
+		decode.errors.addf(root.Position, "the socket's path has %d bytes, %d can be",
 			len(file.SocketPath), maxSocketPathLength)
 	}
-	return file, d.errors.err()
+	return file, decode.errors.err()
 }
 
-// resolve returns a path that the file has relative to a folder.
+// resolve returns the path of a file that is named relative to a folder. An empty or absolute path stays.
 func resolve(folder, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
@@ -90,14 +93,14 @@
 
 // Limits of the values of (start …).
 const (
-	minCallRate     = 0.1 // a second
-	maxCallRate     = 1e6
+	minCallRate     = 0.1 // calls a second
+	maxCallRate     = 1e6 // calls a second
 	minHoldDuration = time.Second
 	maxHoldDuration = time.Minute
 )
 
-// start decodes how routers begin together.
-func (d *decoder) start(into *startup.ReadinessHold) decodeFunc {
+// readinessHold decodes (start …).
+func (d *decoder) readinessHold(into *startup.ReadinessHold) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		d.section(list, arguments, section{
 			"rate": {required: true, decode: d.number(&into.CallRate, minCallRate, maxCallRate)},
@@ -109,12 +112,12 @@
 // Limits of the values of (links …).
 const (
 	maxConnectionsPerCache = 1 << 20
-	minConnectRate         = 0.1 // a second
-	maxConnectRate         = 1e6
+	minConnectRate         = 0.1 // connections a second
+	maxConnectRate         = 1e6 // connections a second
 )
 
-// links decodes how many connections caches take.
-func (d *decoder) links(into **connpool.Config) decodeFunc {
+// connections decodes (links …): how many connections each cache takes, and how fast.
+func (d *decoder) connections(into **connpool.Config) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		config := &connpool.Config{}
 		*into = config
@@ -134,7 +137,7 @@
 	maxSnapshotInterval     = time.Hour
 )
 
-// snapshot decodes where and how often what the router has learned is stored.
+// snapshot decodes (snapshot …): where and how often the router's state is stored.
 func (d *decoder) snapshot(file *File, folder string) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		file.SnapshotInterval = int64(defaultSnapshotInterval)
@@ -146,8 +149,8 @@
 	}
 }
 
-// SharedSettings returns what a file says of settings that instances share. routers is the deployment's number,
-// 0 where it is not known.
+// SharedSettings returns the settings of a file that have to be compatible between instances. routers is the
+// number of routers in the deployment; 0: unknown.
 func (f *File) SharedSettings(routers int) compatibility.Settings {
 	shared := compatibility.Settings{Routers: routers}
 	if f.Connections != nil {
@@ -166,8 +169,8 @@
 	return shared
 }
 
-// CheckConnections checks whether connections can be kept within what caches take, with so many routers in the
-// location.
+// CheckConnections checks whether a number of routers in the location can share the connections that caches
+// take.
 func (f *File) CheckConnections(routers int) error {
 	if f.Connections == nil {
 		return nil
@@ -179,7 +182,8 @@
 	return nil
 }
 
-// CheckReadinessHold checks whether what the file says of a start is enough for a deployment's routers.
+// CheckReadinessHold checks whether the hold of the startup is long enough for a number of routers that start
+// together.
 func (f *File) CheckReadinessHold(routers int) error {
 	if err := f.ReadinessHold.Check(routers); err != nil {
 		return &Error{Position: f.startPosition, Reason: err.Error()}
--- a/internal/operatorconfig/idle.go
+++ b/internal/operatorconfig/idle.go
@@ -12,12 +12,12 @@
 	"github.com/gaissmai/bart"
 )
 
-// IdleConnections is how clients' connections are kept.
+// IdleConnections bounds clients' connections, and says how long idle ones are kept open.
 type IdleConnections struct {
-	MaxConnections  int                 // connections in all; 0 is as without the file
-	Policies        []idle.Policy       // the first is for clients that are in no other network
-	PolicyByNetwork *bart.Table[uint16] // the index in Networks of each network
-	positions       []sexpr.Position    // of the networks
+	MaxConnections  int                 // of all clients; 0: the default. CheckResources sets it
+	Policies        []idle.Policy       // the first is for clients that are in none of the networks
+	PolicyByNetwork *bart.Table[uint16] // index in Policies, by the network that has it
+	positions       []sexpr.Position    // in the file, by the index in Policies
 }
 
 // Values of (idle …).
@@ -30,14 +30,14 @@
 	maxClients         = 1 << 20
 )
 
-// networkValues are the values of one network, or of all that are in no other.
+// networkValues are the values of (network …), or those of (idle …) for clients in none of the networks.
 type networkValues struct {
 	policy         idle.Policy
-	maxConnections int64
-	maxPerClient   int64
+	maxConnections int64 // of the network, or of all clients; 0: not stated
+	maxPerClient   int64 // of one client address; 0: not stated
 }
 
-// section returns the keys that set the values.
+// section returns the definition of the keys that set the values.
 func (v *networkValues) section(d *decoder) section {
 	return section{
 		"after":      {decode: d.duration(&v.policy.IdleTimeout, minIdleTimeout, maxIdleTimeout)},
@@ -47,8 +47,8 @@
 	}
 }
 
-// keeping decodes how clients' connections are kept.
-func (d *decoder) keeping(into **IdleConnections) decodeFunc {
+// idleConnections decodes (idle …).
+func (d *decoder) idleConnections(into **IdleConnections) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		values := networkValues{policy: idle.Policy{
 			IdleTimeout: int64(defaultIdleTimeout),
@@ -62,21 +62,22 @@
 		maps.Copy(known, values.section(d))
 		d.section(list, arguments, known)
 		values.policy.MaxPerClient = int(values.maxPerClient)
-		keeping := &IdleConnections{
+		decoded := &IdleConnections{
 			MaxConnections:  int(values.maxConnections),
 			Policies:        []idle.Policy{values.policy},
 			PolicyByNetwork: &bart.Table[uint16]{},
 			positions:       []sexpr.Position{list.Position},
 		}
 		for _, network := range networks {
-			d.network(network, keeping, values)
+			d.network(network, decoded, values)
 		}
-		*into = keeping
+		*into = decoded
 	}
 }
 
-// network decodes one network. What it does not say is as for all others.
-func (d *decoder) network(list *sexpr.Node, keeping *IdleConnections, values networkValues) {
+// network decodes (network …) and adds its policy. values are those of (idle …), which apply where the network
+// has none of its own, except for the bound on connections: a network without one has no bound of its own.
+func (d *decoder) network(list *sexpr.Node, into *IdleConnections, values networkValues) {
 	if len(list.List) < 2 || list.List[1].IsList {
 		d.errors.addf(list.Position, `(network …) takes a network such as "10.0.0.0/8" first`)
 		return
@@ -88,17 +89,18 @@
 	}
 	values.maxConnections = 0
 	d.section(list, list.List[2:], values.section(d))
-	if _, twice := keeping.PolicyByNetwork.Get(prefix); twice {
+	if _, twice := into.PolicyByNetwork.Get(prefix); twice {
 		d.errors.addf(list.Position, "network %s stands twice", prefix)
 	}
 	values.policy.MaxConnections = int(values.maxConnections)
 	values.policy.MaxPerClient = int(values.maxPerClient)
-	keeping.PolicyByNetwork.Insert(prefix, uint16(len(keeping.Policies)))
-	keeping.Policies = append(keeping.Policies, values.policy)
-	keeping.positions = append(keeping.positions, list.Position)
+	into.PolicyByNetwork.Insert(prefix, uint16(len(into.Policies)))
+	into.Policies = append(into.Policies, values.policy)
+	into.positions = append(into.positions, list.Position)
 }
 
-// Same tells whether two files keep connections alike, but for which networks are meant.
+// Same reports whether two files have the same bounds and policies. It does not compare to which networks the
+// policies apply.
 func (k *IdleConnections) Same(other *IdleConnections) bool {
 	if k == nil || other == nil {
 		return k == other
@@ -106,20 +108,20 @@
 	return k.MaxConnections == other.MaxConnections && slices.Equal(k.Policies, other.Policies)
 }
 
-// CheckResources checks the file's bounds on connections against what the process has. usual is how many
-// connections there may be if the file does not say.
-func (f *File) CheckResources(resources idle.Resources, usual int) error {
+// CheckResources checks the file's bounds on connections against the resources of the process. If the file has
+// no bound on all connections, it sets the default.
+func (f *File) CheckResources(resources idle.Resources, defaultMaxConnections int) error {
 	if f.Idle == nil {
 		return nil
 	}
 	if f.Idle.MaxConnections == 0 {
-		f.Idle.MaxConnections = usual
+		f.Idle.MaxConnections = defaultMaxConnections
 	}
 	err := resources.Check(f.Idle.MaxConnections, f.Idle.Policies)
 	if err == nil {
 		return nil
 	}
-	position := f.Idle.positions[0] // the error is about all connections
+	position := f.Idle.positions[0] // unless it concerns one policy, the error concerns all connections
 	if ofPolicy, ok := errors.AsType[*idle.PolicyError](err); ok {
 		position = f.Idle.positions[ofPolicy.Index]
 	}
--- a/internal/operatorconfig/probe.go
+++ b/internal/operatorconfig/probe.go
@@ -14,7 +14,7 @@
 	defaultProbeTimeout = 500 * time.Millisecond
 	minProbeTimeout     = 10 * time.Millisecond
 	maxProbeTimeout     = time.Minute
-	defaultColdPart     = 0.05 // of what an endpoint takes while it warms up
+	defaultColdPart     = 0.05 // of the load that an endpoint in slow start may get
 	minColdPart         = 0.0001
 	maxColdPart         = 1
 	defaultProbeCost    = time.Millisecond // of sending time
@@ -22,7 +22,7 @@
 	maxProbeCost        = time.Minute
 )
 
-// probe decodes how endpoints are checked by the instance that holds their lease.
+// probe decodes (probe …): the health checks of an endpoint by the instance that holds the lease of its slot.
 func (d *decoder) probe(into **probe.Config) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		config := &probe.Config{
@@ -42,13 +42,13 @@
 	}
 }
 
-// ApplySettings checks the file against the deployment's settings, which allow health checks or not, and takes
-// over what those say of endpoints that warm up.
-func (f *File) ApplySettings(allowed bool, cache, parent probe.ColdLimit) error {
+// ApplySettings sets the limits of endpoints in slow start, caches and parents, for health checks. It is an error
+// if the file has health checks that the deployment's settings do not allow.
+func (f *File) ApplySettings(healthChecksAllowed bool, cache, parent probe.ColdLimit) error {
 	if f.Cluster == nil || f.Cluster.Probe == nil {
 		return nil
 	}
-	if !allowed {
+	if !healthChecksAllowed {
 		return &Error{Position: f.Cluster.probePosition, Reason: "the deployment's settings do not allow probes"}
 	}
 	f.Cluster.Probe.Cache = cache
--- a/internal/operatorconfig/values.go
+++ b/internal/operatorconfig/values.go
@@ -28,7 +28,7 @@
 	return arguments[0], true
 }
 
-// text decodes a word or a text in quotes.
+// text decodes a word or a quoted string, which may not be empty.
 func (d *decoder) text(into *string) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		value, ok := d.single(list, arguments)
@@ -56,7 +56,7 @@
 	}
 }
 
-// duration decodes a time with its unit, such as 1500ms, into ns.
+// duration decodes a duration with its unit, such as 1500ms, into ns.
 func (d *decoder) duration(into *int64, minimum, maximum time.Duration) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		value, ok := d.single(list, arguments)
@@ -94,7 +94,7 @@
 	}
 }
 
-// number decodes a number, or a share such as 5%.
+// number decodes a number or a percentage: 5% is 0.05.
 func (d *decoder) number(into *float64, minimum, maximum float64) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		value, ok := d.single(list, arguments)
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -49,8 +49,8 @@
 	Timeout        int64   // ns; how long the client waits for its response
 	IsRetry        bool    // the client marked it as a retry
 	SizeKB         float64 // 0: not stated
-	ClientETag     string // entity tag of the copy that the client has; empty: none
-	IdempotencyKey string // by which servers drop repetitions; empty: none
+	ClientETag     string  // entity tag of the copy that the client has; empty: none
+	IdempotencyKey string  // by which servers drop repetitions; empty: none
 	Body           []byte
 }
 
