--- a/internal/adminsocket/client.go
+++ b/internal/adminsocket/client.go
@@ -10,7 +10,8 @@
 	"strings"
 )
 
-// Query sends a command to a running instance's socket and decodes the answer.
+// Query sends a command to the socket of a running instance and decodes the answer. words are the command's name
+// and its arguments. A text of the instance, such as that the command is unknown, is returned as the error.
 func Query(ctx context.Context, path string, into any, words ...string) error {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
--- a/internal/adminsocket/protocol.go
+++ b/internal/adminsocket/protocol.go
@@ -12,13 +12,15 @@
 const (
 	maxCommandSize = 4 << 10  // bytes of a command with its line end
 	maxReplySize   = 16 << 20 // bytes of a reply
-	maxClients     = 8        // served at a time; the others wait
+	maxClients     = 8        // clients served at a time; the others wait
+
+	// commandTimeout bounds each command, on both sides of the socket.
 	commandTimeout = 5 * time.Second
 
-	// takeoverTimeout is how long another process has to accept a connection, if it answers on the socket.
+	// takeoverTimeout bounds the connect by which Serve finds out whether another process serves the socket.
 	takeoverTimeout = time.Second
 
-	// acceptRetryDelay follows an accept that failed for a reason of this machine's own, such as missing
+	// acceptRetryDelay is the delay after an accept that failed because of this machine, for example for lack of
 	// descriptors.
 	acceptRetryDelay = 50 * time.Millisecond
 
@@ -26,10 +28,10 @@
 	socketMode = 0o600
 )
 
-// Handler answers one command. What it returns is encoded as JSON.
-type Handler func(ctx context.Context, words []string) (any, error)
+// Handler runs a command with its arguments. Its result is encoded as JSON.
+type Handler func(ctx context.Context, arguments []string) (any, error)
 
-// reply is what a client is sent.
+// reply is what a client gets: either an error or an answer.
 type reply struct {
 	Error  string          `json:"error,omitempty"`
 	Answer json.RawMessage `json:"answer,omitempty"`
--- a/internal/adminsocket/server.go
+++ b/internal/adminsocket/server.go
@@ -14,15 +14,11 @@
 	"time"
 )
 
-// Serve answers commands on a Unix socket until the context ends. A socket that an earlier process left is
-// replaced; one that another process answers on is an error.
+// Serve serves commands, by their names, on a Unix socket until the context ends. A socket that an earlier process
+// has left is replaced. It is an error if another process serves the socket.
 func Serve(ctx context.Context, path string, handlers map[string]Handler) error {
-	if conn, err := net.DialTimeout("unix", path, takeoverTimeout); err == nil {
-		ignore(conn.Close())
-		return fmt.Errorf("socket %s: another process answers on it", path)
-	}
-	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
-		ignore(os.Remove(path)) // if that fails, listening says why
+	if err := removeStale(path); err != nil {
+		return err
 	}
 	listener, err := (&net.ListenConfig{}).Listen(ctx, "unix", path)
 	if err != nil {
@@ -35,7 +31,20 @@
 	return accept(ctx, listener, handlers)
 }
 
-// accept serves a listener until the context ends. An error of this machine's own, which passes, is waited for.
+// removeStale removes a socket that no process serves any more.
+func removeStale(path string) error {
+	if conn, err := net.DialTimeout("unix", path, takeoverTimeout); err == nil {
+		ignore(conn.Close())
+		return fmt.Errorf("socket %s: another process answers on it", path)
+	}
+	if info, err := os.Lstat(path); err == nil && info.Mode()&os.ModeSocket != 0 {
+		ignore(os.Remove(path)) // if this fails, Listen fails too, with the reason
+	}
+	return nil
+}
+
+// accept serves a listener's connections until the context ends. Errors of this machine, such as a lack of
+// descriptors, are retried.
 func accept(ctx context.Context, listener net.Listener, handlers map[string]Handler) error {
 	stop := context.AfterFunc(ctx, func() { ignore(listener.Close()) })
 	defer stop()
@@ -74,8 +83,8 @@
 	}
 }
 
-// serve answers the one command of a connection. A client that is gone hears nothing, which is no error of this
-// instance.
+// serve reads the one command of a connection, runs it and writes the reply. Errors of the connection are ignored:
+// they concern the client alone.
 func serve(ctx context.Context, conn net.Conn, handlers map[string]Handler) {
 	defer func() { ignore(conn.Close()) }()
 	if err := conn.SetDeadline(time.Now().Add(commandTimeout)); err != nil {
@@ -85,16 +94,14 @@
 	defer cancel()
 	line, err := bufio.NewReader(io.LimitReader(conn, maxCommandSize)).ReadString('\n')
 	words := strings.Fields(line)
-	var out reply
-	if err != nil || len(words) == 0 {
-		out.Error = "a command and a line end are wanted"
-	} else {
-		out = run(ctx, words, handlers)
+	response := reply{Error: "a command and a line end are wanted"}
+	if err == nil && len(words) > 0 {
+		response = run(ctx, words, handlers)
 	}
-	ignore(json.NewEncoder(conn).Encode(out))
+	ignore(json.NewEncoder(conn).Encode(response))
 }
 
-// run runs one command.
+// run runs a command: words are its name and its arguments.
 func run(ctx context.Context, words []string, handlers map[string]Handler) reply {
 	handler := handlers[words[0]]
 	if handler == nil {
@@ -111,5 +118,6 @@
 	return reply{Answer: answer}
 }
 
-// ignore drops the error of closing what is over anyway, or of a write to a client that may be gone.
+// ignore drops an error that has no consequence: of closing a connection or listener that is not used any more, or
+// of a write to a client that may have disconnected.
 func ignore(error) {}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,21 +24,21 @@
 	Listen           string // address for clients
 	DiscoveryAddress string
 	Seed             uint64          // of the random numbers
-	Cores            float64         // that the router may use; 0: not known
-	MemoryMB         int64           // that the router may use; 0: not known
-	MaxSockets       int64           // open at once; 0: not known
-	KnownEvents      json.RawMessage // the discovery service's watch events up to the start
+	Cores            float64         // that the router may use; 0: unknown
+	MemoryMB         int64           // MiB that the router may use; 0: unknown
+	MaxSockets       int64           // descriptors that may be open at once; 0: unknown
+	KnownEvents      json.RawMessage // watch events of the discovery service up to the start
 	Settings         control.Settings
 
-	// SettingsError is what is wrong with Settings, which have defaults in the places concerned. It keeps a
-	// router from starting, but not a running one from reloading: that takes only the discovery address over.
+	// SettingsError reports invalid settings, nil if there are none. Settings has defaults in their place. A
+	// router can't start with it, but a running one can reload: it uses only the discovery address then.
 	SettingsError error
 
-	// SettingsDigest identifies all settings, those that no router uses included. A snapshot stores it, since
+	// SettingsDigest is a hash of all settings, those that no router uses included. Snapshots have it, because
 	// what was learned under other settings must not be restored.
 	SettingsDigest uint64
 
-	// rawSettings is what Settings was decoded from. RestartRequired compares it, since it holds all settings.
+	// rawSettings is what Settings was decoded from. RestartRequired compares it, as it has all settings.
 	rawSettings control.RawSettings
 }
 
@@ -60,14 +60,15 @@
 	return config, nil
 }
 
-// Reload loads the configuration again for the router that runs with c. A configuration of another router is an
-// *OtherRouterError.
+// Reload loads the configuration again for the router that runs with c. The name and the address come from the
+// file alone, since LB_NAME and LB_LISTEN are as they were at the start. If the file is another router's, the
+// error is an *OtherRouterError.
 func (c *Config) Reload(getenv func(string) string) (*Config, error) {
 	next, err := Load(func(variable string) string {
 		if variable == pathVariable {
 			return getenv(variable)
 		}
-		return "" // the file itself says whose it is
+		return ""
 	})
 	if err != nil {
 		return nil, err
@@ -78,7 +79,8 @@
 	return next, nil
 }
 
-// RestartRequired names what of a newer configuration is in force only after a restart, with commas between.
+// RestartRequired returns the names of the parts in which a newer configuration differs from c and that are in
+// force only after a restart, separated by commas. It is empty if there are none.
 func (c *Config) RestartRequired(next *Config) string {
 	var changed []string
 	if c.Listen != next.Listen {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -12,14 +12,14 @@
 	ErrNotAnObject    = errors.New("not an object")
 )
 
-// MissingError is a field that a configuration has to have.
+// MissingError reports that a required field is missing.
 type MissingError struct {
 	Field string
 }
 
 func (e *MissingError) Error() string { return e.Field + " is missing" }
 
-// SeedError is a seed that is no hexadecimal number of 64 bits.
+// SeedError reports a seed that is not a hexadecimal number of 64 bits.
 type SeedError struct {
 	Seed string
 }
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("seed %q is not a hexadecimal number of 64 bits", e.Seed)
 }
 
-// LineError is an error of the JSON decoder, with its line.
+// LineError is an error of the JSON decoder with the line at which it occurred.
 type LineError struct {
 	Line int // from 1
 	Err  error
@@ -39,28 +39,28 @@
 // Unwrap returns the decoder's error.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// OtherRouterError is a configuration that was to be loaded anew, and is another router's.
+// OtherRouterError reports a configuration file that can't be reloaded because it is another router's.
 type OtherRouterError struct {
 	Path   string
-	Router string
+	Router string // name in the file
 }
 
 func (e *OtherRouterError) Error() string {
 	return fmt.Sprintf("configuration %s: name: it is for router %q", e.Path, e.Router)
 }
 
-// SettingError is a setting that can't be used: a *ValueError, or ErrNotAnObject.
+// SettingError reports a setting that can't be used.
 type SettingError struct {
-	Key string // in the file, with that of its group
-	Err error
+	Key string // in the file, such as limits.cancel
+	Err error  // a *ValueError or ErrNotAnObject
 }
 
 func (e *SettingError) Error() string { return fmt.Sprintf("settings: %s: %v", e.Key, e.Err) }
 
-// Unwrap returns what is wrong with the setting.
+// Unwrap returns the reason.
 func (e *SettingError) Unwrap() error { return e.Err }
 
-// ValueError is a setting's value of a wrong type.
+// ValueError reports a value of the wrong type.
 type ValueError struct {
 	Value any // as encoding/json decodes it
 }
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -1,13 +1,14 @@
 package config
 
-// setting says where a setting stands in the file, of which kind it is, and under which key
-// control.DecodeSettings takes it.
+// setting maps a setting of the file to the one of control.DecodeSettings.
 type setting struct {
-	group, key string // in the file; the group is an object or a list of objects, empty for the settings themselves
-	name       string
-	kind       kind
+	group string // key of the object, or list of objects, that has the setting in the file; empty: the top level
+	key   string // in the file
+	name  string // for control.DecodeSettings
+	kind  kind
 }
 
+// settings are all settings that a router uses, in the order in which they are decoded.
 var settings = []setting{
 	{"", "balancers", "routers", integer},
 	{"", "selfIndex", "router.place", integer},
@@ -72,8 +73,8 @@
 	{"callers", "marksRetry", "client.marksRepeats", flag},
 }
 
-// words translates the file's words into those of control.DecodeSettings. Names, such as those of classes, are
-// never translated, also where one is the same as such a word.
+// words translates the file's words into those of control.DecodeSettings. It applies to values of kind word only:
+// a class may have one of these words as its name, which is not translated.
 var words = map[string]string{
 	"retryable": "harmless", "dedup": "stamped", "fragile": "one-shot",
 	"outstanding": "inHand", "utilization": "busy", "backlog": "queued", "recent_ms": "answerMs",
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -15,7 +15,7 @@
 // bytesPerSecondSetting is the key under which control.DecodeSettings finds the file's flow_bytes_per_s.
 const bytesPerSecondSetting = "answer.bytesPerS"
 
-// fileContent is the form of the configuration file.
+// fileContent is the JSON object of the configuration file.
 type fileContent struct {
 	Name, Listen, Seed, Journal string
 	Limits                      struct {
@@ -43,7 +43,7 @@
 	return parsed.config()
 }
 
-// config checks a file and returns what it says.
+// config checks the file's content and returns the configuration.
 func (f *fileContent) config() (*Config, error) {
 	if err := checkAddress("listen", f.Listen); err != nil {
 		return nil, err
@@ -79,7 +79,8 @@
 	}, nil
 }
 
-// rawSettings reads the settings, with the pace of responses that the file has beside them.
+// rawSettings returns the settings for control.DecodeSettings, with the rate of responses, which the file has
+// outside its settings.
 func (f *fileContent) rawSettings() (control.RawSettings, error) {
 	if len(f.Settings) == 0 {
 		return nil, &MissingError{Field: "settings"}
@@ -94,11 +95,13 @@
 	return settings, nil
 }
 
-// settingsDigest hashes settings as fmt prints them: sorted by name. Stored snapshots hold the result.
+// settingsDigest hashes settings as fmt prints them, sorted by name. The result is in stored snapshots, so a change
+// of it would make them unusable.
 func settingsDigest(settings control.RawSettings) uint64 {
 	return xxhash.Sum64String(fmt.Sprint(settings))
 }
 
+// checkAddress checks that an address is HOST:PORT. field is its key in the file.
 func checkAddress(field, address string) error {
 	if address == "" {
 		return &MissingError{Field: field}
@@ -121,7 +124,7 @@
 	return seed, nil
 }
 
-// withLine adds the line to an error of the JSON decoder that says where it is.
+// withLine returns an error of the JSON decoder as a *LineError if it has an offset, else unchanged.
 func withLine(raw []byte, err error) error {
 	var syntaxError *json.SyntaxError
 	var typeError *json.UnmarshalTypeError
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,19 +9,20 @@
 	"tealpath/control"
 )
 
-// kind is the form in which a setting stands in the file. Lists have elements of one kind.
+// kind is the type of a setting's value in the file or, of a list, of its elements.
 type kind int
 
+// The kinds, with the types that they are decoded to.
 const (
 	seconds kind = iota // a number, decoded as int64 nanoseconds
 	number              // float64
 	integer             // a number, decoded as int64
 	flag                // bool
 	text                // string
-	word                // a string that is translated
+	word                // string, translated by words
 )
 
-// nanosecondsPerSecond converts the file's unit of time to that of package control.
+// nanosecondsPerSecond converts the file's unit of durations to that of package control.
 const nanosecondsPerSecond = 1e9
 
 // ParseSettings reads the settings of a configuration file and returns them under the keys that
@@ -49,8 +50,8 @@
 	return decoded, nil
 }
 
-// decode finds a setting in its group, or collects it from a group that is a list of objects. It is nil if
-// absent.
+// decode returns the setting's value in its group, nil if it is absent. If the group is a list of objects, the
+// value is the list of the objects' values.
 func (s setting) decode(group any) (any, error) {
 	switch group := group.(type) {
 	case nil:
@@ -87,7 +88,7 @@
 	return values, nil
 }
 
-// decode decodes one value. An absent one, which is nil, is the zero value of its kind.
+// decode decodes one value. nil, for an absent one, gives the zero value of the kind's type.
 func (k kind) decode(value any) (any, error) {
 	switch k {
 	case seconds:
@@ -107,7 +108,7 @@
 	return as[string](value)
 }
 
-// as returns a value as a type, and a *ValueError if it is of another one.
+// as returns a value as a T, the zero value if it is nil, and a *ValueError if it is of another type.
 func as[T any](value any) (typed T, err error) {
 	typed, ok := value.(T)
 	if !ok && value != nil {
@@ -116,6 +117,7 @@
 	return typed, nil
 }
 
+// decodeList decodes a list of values of the kind.
 func (k kind) decodeList(values []any) (any, error) {
 	switch k {
 	case seconds, integer:
@@ -128,7 +130,7 @@
 	return decodeElements[string](k, values)
 }
 
-// decodeElements decodes a list of one kind, whose elements are decoded as T.
+// decodeElements decodes a list of values of a kind whose type is T.
 func decodeElements[T any](k kind, values []any) (any, error) {
 	decoded := make([]T, len(values))
 	for i, value := range values {
--- a/internal/snapshot/filesystem.go
+++ b/internal/snapshot/filesystem.go
@@ -8,17 +8,17 @@
 	"syscall"
 )
 
-// FileSystem is the operations on a disk that a Store needs. Tests replace it by disks that fail.
+// FileSystem is the file operations that a Store needs. Tests replace it by file systems that fail.
 type FileSystem interface {
 	// Open opens a file for reading.
 	Open(path string) (io.ReadCloser, error)
 	// Create makes a new file for writing. It fails with os.ErrExist where there is one.
 	Create(path string) (File, error)
-	// Rename puts a file in the place of another.
+	// Rename renames a file, and replaces the one that has the new name.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(path string) error
-	// SyncDir syncs the names in a directory to the disk.
+	// SyncDir syncs the entries of a directory to the disk, so that a rename in it survives a loss of power.
 	SyncDir(path string) error
 }
 
@@ -29,7 +29,7 @@
 	Sync() error
 }
 
-// osFileSystem is the operating system's.
+// osFileSystem is the operating system's FileSystem.
 type osFileSystem struct{}
 
 // Open opens a file for reading.
@@ -40,13 +40,13 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 }
 
-// Rename puts a file in the place of another.
+// Rename renames a file, and replaces the one that has the new name.
 func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove deletes a file.
 func (osFileSystem) Remove(path string) error { return os.Remove(path) }
 
-// SyncDir syncs the names in a directory to the disk.
+// SyncDir syncs the entries of a directory to the disk.
 func (osFileSystem) SyncDir(path string) error {
 	directory, err := os.Open(filepath.Clean(path))
 	if err != nil {
@@ -54,7 +54,7 @@
 	}
 	err = directory.Sync()
 	if errors.Is(err, syscall.EINVAL) {
-		err = nil // fsync(2): this file system has no such operation for directories
+		err = nil // the file system does not support fsync(2) of directories
 	}
 	return errors.Join(err, directory.Close())
 }
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -32,19 +32,19 @@
 	maxMapPairs      = 1 << 12
 )
 
-// ErrCorrupt is a file that is incomplete or damaged, or no snapshot.
+// ErrCorrupt reports a file that is incomplete, damaged, or not a snapshot.
 var ErrCorrupt = errors.New("torn, or no snapshot")
 
-// SizeError is a snapshot that is too large to be stored.
+// SizeError reports a snapshot that is too large to be stored.
 type SizeError struct {
-	Bytes int
+	Bytes int // its size
 }
 
 func (e *SizeError) Error() string {
 	return fmt.Sprintf("a snapshot of %d bytes, %d can be", e.Bytes, maxFileBytes)
 }
 
-// Encode returns a snapshot's file.
+// Encode returns the content of a snapshot's file.
 func Encode(snapshot Snapshot) ([]byte, error) {
 	content, err := cbor.Marshal(snapshot)
 	if err != nil {
@@ -58,8 +58,9 @@
 	return append(file, content...), nil
 }
 
-// Decode reads a file. Of a file of another version than restore.FormatVersion only the version is read. The
-// error is ErrCorrupt where the file is incomplete or damaged, or no snapshot.
+// Decode decodes the content of a snapshot's file. Of another version than restore.FormatVersion it returns a
+// snapshot with nothing but the version, and no error. The error is ErrCorrupt if the file is incomplete, damaged,
+// or not a snapshot.
 func Decode(file []byte) (Snapshot, error) {
 	if len(file) < headBytes || !bytes.HasPrefix(file, []byte(magic)) {
 		return Snapshot{}, ErrCorrupt
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,7 @@
-// Package snapshot stores what a router has learned on a disk, for its next start. A snapshot is written to a
-// temporary file, synced to the disk and renamed, so that the file is either the complete new one or the one
-// before; a digest reveals a damaged one. internal/lifecycle/restore decides what of a snapshot is used.
+// Package snapshot stores snapshots of a router's state in a file, for its next start. A snapshot is written to a
+// temporary file, synced to the disk and renamed, so that the file is always complete: either the new one or the
+// previous one. A digest reveals a damaged file. Package restore (internal/lifecycle/restore) decides which parts
+// of a snapshot are used.
 package snapshot
 
 import (
@@ -9,14 +10,14 @@
 	"tealpath/internal/router"
 )
 
-// MaxObjects is how many objects of the rate table are stored.
+// MaxObjects bounds the objects whose request rates are stored.
 const MaxObjects = 10_000
 
-// Snapshot is what a router has learned. Its fields are stored by CBOR under their names, or those of their
-// tags, so that other versions read them.
+// Snapshot is the state of a router that is stored. Fields are stored as CBOR under their names, or those of their
+// tags. These must not change, so that other versions of the program can read them.
 type Snapshot struct {
 	restore.Header
-	Position  int64                  // of the last watch event of the discovery service; 0: no endpoint list is known
+	Position  int64                  // of the last watch event of the discovery service; 0: there was none
 	Digest    uint64                 // of that event's text
 	Endpoints []router.EndpointEntry `cbor:"Members"`
 	Memory    control.Snapshot
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 )
 
-// temporarySuffix is what the name of a file ends in while it is being written.
+// temporarySuffix is appended to the name of the file to get that of the temporary file.
 const temporarySuffix = ".new"
 
 // Store stores one snapshot in a file. It is not safe for use by two goroutines at once.
@@ -17,23 +17,23 @@
 	files FileSystem
 }
 
-// NewStore returns a store of the file at a path.
+// NewStore returns a store whose file is at a path.
 func NewStore(path string) *Store { return NewStoreWithFileSystem(osFileSystem{}, path) }
 
-// NewStoreWithFileSystem returns a store of the file at a path of a file system.
+// NewStoreWithFileSystem returns a store whose file is at a path of a file system.
 func NewStoreWithFileSystem(files FileSystem, path string) *Store {
 	return &Store{path: path, files: files}
 }
 
-// temporary returns the path of the file that is being written.
-func (s *Store) temporary() string { return s.path + temporarySuffix }
+// temporaryPath returns the path of the temporary file.
+func (s *Store) temporaryPath() string { return s.path + temporarySuffix }
 
-// Write replaces the file by a snapshot, or returns a *SizeError. If it fails, or the process ends meanwhile,
-// the file is the one before or the new one, complete.
+// Write replaces the file by a snapshot. If it fails, or the process ends meanwhile, the file is the previous one
+// or the new one, complete. A snapshot that is too large is a *SizeError.
 //
-// After an error it is not known which of the two a machine that loses power restarts with. The next call
-// writes everything to a new temporary file, because after a failed fsync the kernel may mark pages as clean
-// that it could not write, so that a second fsync of the same file succeeds with nothing written.
+// After an error, which of the two files a machine has after a loss of power is undefined. The next call writes
+// everything to a new temporary file: after a failed fsync the kernel may have marked pages as clean that it could
+// not write, so that another fsync of the same file would succeed although nothing was written.
 func (s *Store) Write(snapshot Snapshot) error {
 	content, err := Encode(snapshot)
 	if err != nil {
@@ -48,7 +48,7 @@
 	if err := s.writeTemporary(content); err != nil {
 		return errors.Join(err, s.RemoveTemporary())
 	}
-	if err := s.files.Rename(s.temporary(), s.path); err != nil {
+	if err := s.files.Rename(s.temporaryPath(), s.path); err != nil {
 		return errors.Join(err, s.RemoveTemporary())
 	}
 	return s.files.SyncDir(filepath.Dir(s.path))
@@ -56,7 +56,7 @@
 
 // writeTemporary writes the temporary file and syncs it to the disk.
 func (s *Store) writeTemporary(content []byte) error {
-	file, err := s.files.Create(s.temporary())
+	file, err := s.files.Create(s.temporaryPath())
 	if err != nil {
 		return err
 	}
@@ -70,16 +70,16 @@
 	return errors.Join(err, file.Close())
 }
 
-// RemoveTemporary deletes what an earlier Write, of this process or one before, has left unfinished.
+// RemoveTemporary deletes the temporary file that an unfinished Write, of this process or an earlier one, has left.
 func (s *Store) RemoveTemporary() error {
-	if err := s.files.Remove(s.temporary()); err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := s.files.Remove(s.temporaryPath()); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
 	}
 	return nil
 }
 
-// Read reads the file. The error is os.ErrNotExist where there is none, and ErrCorrupt where it is incomplete
-// or damaged.
+// Read reads the file. The error is os.ErrNotExist if there is none, and ErrCorrupt if it is incomplete, damaged,
+// or not a snapshot. See Decode for files of other versions.
 func (s *Store) Read() (Snapshot, error) {
 	file, err := s.files.Open(s.path)
 	if err != nil {
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -254,7 +254,7 @@
 		if err := store.RemoveTemporary(); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := os.Stat(store.temporary()); !errors.Is(err, fs.ErrNotExist) {
+		if _, err := os.Stat(store.temporaryPath()); !errors.Is(err, fs.ErrNotExist) {
 			t.Fatal(err)
 		}
 	}
