--- a/internal/logevent/logevent.go
+++ b/internal/logevent/logevent.go
@@ -1,6 +1,6 @@
-// Package logevent defines the log's events: one small typed value for each kind of line. Modules without input
-// and output return them as they return any other effect; the server renders them as JSON, the simulator's
-// adapter as text.
+// Package logevent defines the interface of log events: each kind of log line is a small struct type. Packages
+// define their events in a file logevents.go. The server writes them as JSON (server.WriteEvent), the adapter to
+// the simulator as text (Text).
 package logevent
 
 import (
@@ -12,14 +12,14 @@
 // Level says how urgent an event is.
 type Level int8
 
-// The levels of events.
+// The levels.
 const (
-	Info  Level = iota // a change that needs nobody
-	Warn               // service may be worse until it is over
-	Error              // something has failed that an operator has to look at
+	Info  Level = iota // a change that needs no action
+	Warn               // service may be degraded until it is over
+	Error              // a failure that an operator has to look at
 )
 
-// String returns the level as the log has it.
+// String returns the level's name in the log.
 func (l Level) String() string {
 	switch l {
 	case Warn:
@@ -32,14 +32,14 @@
 
 // Kind is what all events of one type have in common.
 type Kind struct {
-	Name    string // stable, for scripts: words in lower case with underscores between them
+	Name    string // stable, for scripts; in snake_case
 	Level   Level
-	Message string // the same in words, for people; it has no values in it
+	Message string // for people; it has no values in it
 }
 
-// Event is one line of the log. Its exported fields that have a tag `log:"name"` are the line's fields. With
-// `log:"name,omitempty"` a zero value is left out. Durations are rendered in milliseconds, under names that end
-// in _ms.
+// Event is one line of the log: a struct whose exported fields with a tag `log:"name"` are the line's fields. With
+// `log:"name,omitempty"` a zero value is left out. A time.Duration is written in milliseconds, so its name ends in
+// _ms.
 type Event interface {
 	Kind() Kind
 }
@@ -55,7 +55,7 @@
 	omitEmpty = "omitempty"
 )
 
-// Fields returns the fields of an event that are rendered, in the order of its type.
+// Fields returns the fields of an event, in the order of its type, without zero values of omitempty.
 func Fields(event Event) []Field {
 	value := reflect.Indirect(reflect.ValueOf(event))
 	if value.Kind() != reflect.Struct {
@@ -72,7 +72,7 @@
 	return fields
 }
 
-// FieldNames returns the names of all fields that events of this type can have.
+// FieldNames returns the names of all fields that an event of this type may have, in the order of its type.
 func FieldNames(event Event) []string {
 	kind := reflect.Indirect(reflect.ValueOf(event)).Type()
 	if kind.Kind() != reflect.Struct {
@@ -87,7 +87,7 @@
 	return names
 }
 
-// Text renders an event as one line of text: its message, then its fields as name=value.
+// Text returns an event as one line of text: its message, then its fields as name=value.
 func Text(event Event) string {
 	var text strings.Builder
 	text.WriteString(event.Kind().Message)
--- a/internal/router/clients_test.go
+++ b/internal/router/clients_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-func TestClientCancellation(t *testing.T) {
-	runScenarios(t, func(t *testing.T) *harness { return newHarness(t, nil) }, []scenario{
+func TestCancelledRequestsGetNoResponse(t *testing.T) {
+	runScenarios(t, newDefaultHarness, []scenario{
 		{"the client disconnects: no response", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
@@ -28,6 +28,20 @@
 		{"a cancellation of no request", func(h *harness) {
 			h.handle(RequestCancelled{Client: 9, Seq: 1})
 		}, ""},
+		{"an ID that was abandoned on a connection is not sent on it again", func(h *harness) {
+			first := map[string]string{"txn": requestID(1)}
+			h.request(1, nil)
+			h.connectNewest()
+			h.request(2, first)
+			h.handle(RequestCancelled{Client: 1, Seq: 1})
+			h.request(3, first)
+		}, "dial, send 1, bad request 2, cancel 1, dial"},
+	})
+}
+
+// A request that can't be accepted leaves those in flight as they are.
+func TestInvalidRequestsAreAnsweredAtOnce(t *testing.T) {
+	runScenarios(t, newDefaultHarness, []scenario{
 		{"a sequence number in use", func(h *harness) {
 			h.request(1, nil)
 			h.request(1, nil)
@@ -37,20 +51,12 @@
 		{"an unknown class", func(h *harness) {
 			h.request(1, map[string]string{"verb": "odd"})
 		}, "bad request 1"},
-		{"an ID in use, and one abandoned before: no connection carries it twice", func(h *harness) {
-			first := map[string]string{"txn": requestID(1)}
-			h.request(1, nil)
-			h.connectNewest()
-			h.request(2, first)
-			h.handle(RequestCancelled{Client: 1, Seq: 1})
-			h.request(3, first)
-		}, "dial, send 1, bad request 2, cancel 1, dial"},
 	})
 }
 
-// A client that closes its sending side may still read: what is in flight is answered, but nothing more is
-// sent.
-func TestClientHalfClose(t *testing.T) {
+// A client that closes its sending side may still read: its requests in flight are answered, but no further attempt
+// is made for them.
+func TestHalfClosedClientGetsNoFurtherAttempts(t *testing.T) {
 	halfClosed := ClientHalfClosed{Client: 1}
 	runScenarios(t, newTwoClassHarness, []scenario{
 		{"while its connection is dialled: rejected at once, and not sent", func(h *harness) {
@@ -85,24 +91,18 @@
 			h.handle(halfClosed)
 			h.handle(ConnectionDown{Connection: h.dialled[0]})
 		}, "dial, send 1, failed 1"},
-		{"while it waits for an endpoint", func(h *harness) {
-			setPhase := func(phase string) {
-				for _, entry := range initialEndpoints[:2] {
-					entry.Phase = phase
-					h.update(entry)
-				}
-			}
-			setPhase("draining")
+		{"while its request waits for a ready endpoint: rejected at once", func(h *harness) {
+			h.setCachePhases("draining")
 			h.request(1, nil)
 			h.advance(10 * millisecond)
 			if len(h.observed) > 0 {
 				h.t.Fatalf("it does not wait: %v", h.observed)
 			}
 			h.handle(halfClosed)
-			setPhase("ready")
+			h.setCachePhases("ready")
 			h.advance(2 * second)
 		}, "rejected 1"},
-		{"with one of two in flight", func(h *harness) {
+		{"with one of two requests in flight: that is served, the other is rejected", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.request(2, map[string]string{"item": objectOnOtherCache(h.t)}) // its cache has no connection yet
@@ -112,8 +112,8 @@
 	})
 }
 
-// The same request on another connection of its client.
-func TestRepeatedRequestID(t *testing.T) {
+// A client may repeat a request on another connection, with the same ID.
+func TestRepeatedRequestIDOnAnotherConnection(t *testing.T) {
 	halfClosed := ClientHalfClosed{Client: 1}
 	runScenarios(t, newTwoClassHarness, []scenario{
 		{"the first client has closed its sending side: the new request is served", func(h *harness) {
--- a/internal/router/connections_test.go
+++ b/internal/router/connections_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-func TestConnections(t *testing.T) {
-	runScenarios(t, func(t *testing.T) *harness { return newHarness(t, nil) }, []scenario{
+func TestConnectionsAreDialledSharedAndClosed(t *testing.T) {
+	runScenarios(t, newDefaultHarness, []scenario{
 		{"a second request for the same endpoint shares the connection", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
@@ -42,7 +42,7 @@
 	})
 }
 
-// A lost connection is one failure of its endpoint, however much was in flight on it.
+// A lost connection is one failure of its endpoint, however many attempts were in flight on it.
 func TestLostConnectionCountsOnce(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -73,7 +73,7 @@
 	}
 }
 
-// A connection to a machine that has failed stays open and silent, also once the machine is back.
+// A connection to a machine that has crashed stays open and silent, even after the machine has restarted.
 func TestUnresponsiveConnectionIsNotUsedAgain(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -84,7 +84,7 @@
 		{"slow with one response only", true, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHarness(t, nil)
+			h := newDefaultHarness(t)
 			h.request(1, map[string]string{"limit": "600"})
 			h.connectNewest()
 			if c.responds {
@@ -102,14 +102,14 @@
 	}
 }
 
-// With a plan of connections: no more than a router's share of a cache, the subset is connected to ahead, and
-// caches that can't be reached are passed over.
-func TestConnectionPlan(t *testing.T) {
+// With a connection plan the caches of its subset are dialled before there is a request for them, no cache gets
+// more connections than the plan allows, and caches that can't be reached are skipped.
+func TestConnectionPlanIsFollowed(t *testing.T) {
 	plan := connpool.New(connpool.Config{Router: "n", Seed: 7, Routers: 3, MaxConnections: 3, MaxConnectRate: 30})
 	h := newHarness(t, func(limits *Limits, _ *control.Settings) { limits.ConnectionPlan = plan })
-	h.advance(second) // two caches are connected to ahead, the parent and the origin are not
+	h.advance(second) // the two caches are dialled, the parent and the origin are not
 	if count := len(h.dialled); count != 2 {
-		t.Fatalf("%d connections are dialled ahead: %v", count, h.observed)
+		t.Fatalf("%d connections are dialled before the first request: %v", count, h.observed)
 	}
 	h.connectAll()
 	for seq := range int32(20) {
@@ -127,7 +127,7 @@
 			Note:       1,
 		})
 	}
-	h.handle(ConnectionDown{Connection: first.Connection}) // its objects go to the other until it may be dialled again
+	h.handle(ConnectionDown{Connection: first.Connection}) // its objects go to the other cache until it may be dialled again
 	sent := len(h.sends)
 	h.request(100, map[string]string{"item": first.Request.Object})
 	if len(h.sends) != sent+1 || h.sends[sent].Connection == first.Connection {
@@ -139,8 +139,8 @@
 	}
 }
 
-// Where there are more caches than connections, those that have one serve the objects of the others.
-func TestMoreCachesThanConnections(t *testing.T) {
+// With more caches than allowed connections, the caches that have one serve the objects of the others.
+func TestAllRequestsAreServedWithMoreCachesThanConnections(t *testing.T) {
 	const caches, maxConnections, requests = 60, 8, 100
 	h := newHarness(t, func(limits *Limits, _ *control.Settings) { limits.MaxConnections = maxConnections })
 	list := EndpointListUpdated{Complete: true, Entries: slices.Clone(initialEndpoints[2:])}
--- a/internal/router/deadlines_test.go
+++ b/internal/router/deadlines_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-func TestDeadlines(t *testing.T) {
-	runScenarios(t, func(t *testing.T) *harness { return newHarness(t, nil) }, []scenario{
-		{"no response: cancelled at the endpoint, rejected in time, answered once", func(h *harness) {
+func TestRequestsEndByTheirDeadline(t *testing.T) {
+	runScenarios(t, newDefaultHarness, []scenario{
+		{"no response: the attempt is cancelled and the request rejected in time, once", func(h *harness) {
 			h.request(1, map[string]string{"limit": "300"})
 			h.connectNewest()
 			h.advance(279 * millisecond)
-			h.note("279 ms")
+			h.mark("279 ms")
 			h.advance(2 * millisecond)
 			h.advance(2 * second)
 		}, "dial, send 1, 279 ms, cancel 1, rejected 1"},
-		{"no connection is established: rejected before half its time, not at the end of it", func(h *harness) {
+		{"no connection is established: rejected after half its time", func(h *harness) {
 			h.request(1, map[string]string{"limit": "600"})
 			h.advance(289 * millisecond)
-			h.note("289 ms")
+			h.mark("289 ms")
 			h.advance(2 * millisecond)
 		}, "dial, 289 ms, rejected 1"},
-		{"once sent it has all its time", func(h *harness) {
+		{"once sent it has until its deadline", func(h *harness) {
 			h.request(1, map[string]string{"limit": "600"})
 			h.advance(250 * millisecond)
 			h.connectNewest()
@@ -34,14 +34,14 @@
 				h.t.Errorf("deadline in %d ns", at-h.now)
 			}
 		}, "dial"},
-		{"a size that is told, and one that makes no sense", func(h *harness) {
+		{"a valid and an invalid size", func(h *harness) {
 			h.request(1, map[string]string{"ram": "194.179"})
 			h.request(2, map[string]string{"ram": "NaN"})
 			if a, b := h.requests.find(1, 1).SizeKB, h.requests.find(1, 2).SizeKB; a != 194.179 || b != 0 {
 				h.t.Errorf("sizes %v and %v", a, b)
 			}
 		}, "dial"},
-		{"a shutdown shortens the time of all requests in flight and of all that come", func(h *harness) {
+		{"a shutdown shortens the deadlines of requests in flight and of later ones", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.handle(ShutdownStarted{AnswerDeadline: h.now + 300*millisecond})
@@ -51,9 +51,9 @@
 	})
 }
 
-func TestDeadlineEdges(t *testing.T) {
+func TestEventsCloseToDeadlines(t *testing.T) {
 	runScenarios(t, newTwoClassHarness, []scenario{
-		{"a shutdown while its connection is dialled: its time is shortened too", func(h *harness) {
+		{"a shutdown while its connection is dialled: its deadline is shortened too", func(h *harness) {
 			h.request(1, nil)
 			h.handle(ShutdownStarted{AnswerDeadline: h.now + 300*millisecond})
 			h.advance(100 * millisecond)
@@ -63,7 +63,7 @@
 			}
 			h.advance(201 * millisecond)
 		}, "dial, send 1, cancel 1, rejected 1"},
-		// The timer of the send deadline is late in the next two.
+		// In the next two the timer of the send deadline fires late.
 		{"connected just before its send deadline", func(h *harness) {
 			h.request(1, map[string]string{"limit": "600"})
 			h.now += 289 * millisecond
@@ -83,20 +83,20 @@
 	})
 }
 
-// A request's time runs from when it arrived, not from when it was read.
+// A request's deadline is counted from its arrival, not from when it was read.
 func TestDeadlineRunsFromArrival(t *testing.T) {
 	const unknown = -1
 	for _, c := range []struct {
 		name     string
-		waitedMS int64 // until it was read
-		wantMS   int64 // that are left, less the way back to the client; 0: it is rejected at once
+		waitedMS int64 // between its arrival and the event
+		wantMS   int64 // left until its deadline; 0: it is rejected at once
 	}{
 		{"read at once", 0, 2480},
 		{"unknown arrival", unknown, 2480},
 		{"after a second", 1000, 1480},
 		{"at its deadline", 2480, 0},
 		{"after its deadline", 9000, 0},
-		{"before it came: clocks are read in turn", -50, 2480},
+		{"arrival after the event", -50, 2480},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newTwoClassHarness(t)
@@ -117,8 +117,8 @@
 	}
 }
 
-// The response's deadline is the same however late a request is written, and it bounds when that may be.
-func TestSendDeadline(t *testing.T) {
+// The deadline of a response does not depend on when the attempt is written, and the send deadline is half of it.
+func TestSendDeadlineOfLateConnection(t *testing.T) {
 	h := newTwoClassHarness(t)
 	h.request(1, map[string]string{"limit": "600"})
 	h.now += 100 * millisecond
@@ -132,9 +132,9 @@
 	}
 }
 
-// Timers fire a little early at times, before anything is due.
+// A timer may fire a little early, before anything is due.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
-	h := newHarness(t, nil)
+	h := newDefaultHarness(t)
 	h.now = h.timerSetFor - 1
 	set := false
 	for _, effect := range h.Handle(h.now, TimerFired{}) {
@@ -146,9 +146,9 @@
 	}
 }
 
-// A panic of the periodic work does not make it busy.
-func TestPanicOfPeriodicWork(t *testing.T) {
-	h := newHarness(t, nil)
+// If the periodic work panics it is not retried at once, which would keep a core busy.
+func TestPanickingTickIsDelayed(t *testing.T) {
+	h := newDefaultHarness(t)
 	h.policy = nil
 	h.advance(second)
 	if h.timerSetFor < h.now+100*millisecond {
@@ -156,12 +156,12 @@
 	}
 }
 
-// A panic of one event leaves no request without a response.
-func TestPanicOfOneEvent(t *testing.T) {
-	h := newHarness(t, nil)
+// A panic while an event is handled leaves no request without a response.
+func TestRequestIsAnsweredAfterPanic(t *testing.T) {
+	h := newDefaultHarness(t)
 	h.request(1, nil)
 	h.connectNewest()
-	h.connections[h.dialled[0]].endpoint = nil // no event can bring this about
+	h.connections[h.dialled[0]].endpoint = nil // makes the next event panic; no event causes it
 	h.handle(ConnectionDown{Connection: h.dialled[0]})
 	h.advance(3 * second)
 	if last := h.observed[len(h.observed)-1]; !strings.HasSuffix(last, " 1") || h.InFlight() != 0 {
@@ -169,9 +169,9 @@
 	}
 }
 
-// Requests end at their deadline whatever the policy says.
-func TestRequestsEndWithoutThePolicy(t *testing.T) {
-	h := newHarness(t, nil)
+// The deadline timer ends a request that the policy has not ended.
+func TestDeadlineTimerEndsRequestsWithoutThePolicy(t *testing.T) {
+	h := newDefaultHarness(t)
 	h.request(1, nil)
 	h.request(2, nil)
 	request := h.requests.find(1, 1)
--- a/internal/router/drawn_events_test.go
+++ b/internal/router/drawn_events_test.go
@@ -8,7 +8,7 @@
 	"tealpath/control"
 )
 
-// pick draws one of a list, or the zero value of an empty one.
+// pick draws an item of a list, or the zero value if it is empty.
 func pick[T any](rng *rand.Rand, list []T) (value T) {
 	if len(list) == 0 {
 		return value
@@ -16,15 +16,15 @@
 	return list[rng.IntN(len(list))]
 }
 
-// pickNewest draws one of the last few of a list.
+// pickNewest draws one of the last items of a list.
 func pickNewest[T any](rng *rand.Rand, list []T) T {
 	return pick(rng, list[max(0, len(list)-8):])
 }
 
-// oneOf reports, with a chance of one in n, that something happens.
+// oneOf returns true with a probability of 1/n.
 func (run *drawnRun) oneOf(n int) bool { return run.rng.IntN(n) == 0 }
 
-// receive draws a request, some of them odd in one field or another.
+// receive draws a request, which may repeat an earlier one or have an unusable field.
 func (run *drawnRun) receive() {
 	run.lastID++
 	if run.lastClient == 0 || run.oneOf(15) {
@@ -37,7 +37,7 @@
 	}
 	if run.oneOf(15) && len(run.requests) > 0 {
 		earlier := pickNewest(run.rng, run.requests)
-		request.id = earlier.id // also where the earlier one is in flight
+		request.id = earlier.id // which may still be in flight
 		if run.oneOf(2) {
 			request.seq, request.client = earlier.seq, earlier.client
 		}
@@ -84,7 +84,7 @@
 	return fields
 }
 
-// spoil makes one field unusable, or takes it away.
+// spoil makes one field unusable, or removes it.
 func (run *drawnRun) spoil(fields map[string]string) {
 	name := pick(run.rng, []string{"verb", "txn", "limit", "item", "nth", "batch", "unique"})
 	if run.oneOf(3) {
@@ -97,14 +97,14 @@
 	})
 }
 
-// respond draws an endpoint's response, mostly to an attempt that waits for one.
+// respond draws an endpoint's response, mostly to an attempt without a response yet.
 func (run *drawnRun) respond() {
 	if len(run.sent) == 0 {
 		return
 	}
 	at := run.rng.IntN(len(run.sent))
 	attempt := run.sent[at]
-	if !run.oneOf(12) { // else it is answered twice
+	if !run.oneOf(12) { // otherwise it may get a second response
 		run.sent = slices.Delete(run.sent, at, at+1)
 	}
 	if run.oneOf(40) && len(run.answered) > 0 {
@@ -143,7 +143,7 @@
 	run.handle(event)
 }
 
-// connectionUp establishes a connection that was dialled, or tells once more of one that is.
+// connectionUp establishes a connection that was dialled, or repeats the event of one that is established or closed.
 func (run *drawnRun) connectionUp() {
 	if len(run.dialled) == 0 || run.oneOf(30) {
 		known := slices.Concat(run.established, run.closed)
@@ -180,7 +180,7 @@
 	run.handle(event)
 }
 
-// connectionEnded forgets a connection and what was open on it.
+// connectionEnded removes a connection and the attempts on it.
 func (run *drawnRun) connectionEnded(connection ConnectionID) {
 	same := func(other ConnectionID) bool { return other == connection }
 	run.dialled = slices.DeleteFunc(run.dialled, same)
@@ -191,7 +191,7 @@
 	})
 }
 
-// attemptWithdrawn reports that an attempt was not written, mostly one that was to be withdrawn.
+// attemptWithdrawn draws an AttemptWithdrawn, mostly of an attempt that the reducer has withdrawn.
 func (run *drawnRun) attemptWithdrawn() {
 	attempt := pickNewest(run.rng, run.withdrawals)
 	if len(run.sent) > 0 && run.oneOf(4) {
@@ -201,7 +201,7 @@
 	run.handle(AttemptWithdrawn{Connection: attempt.connection, ID: attempt.id})
 }
 
-// clientEnded cancels a request, or closes a client's connection in part or wholly.
+// clientEnded cancels a request, or half-closes or closes its client's connection.
 func (run *drawnRun) clientEnded() {
 	request := pickNewest(run.rng, run.requests)
 	switch run.rng.IntN(4) {
@@ -217,7 +217,7 @@
 	}
 }
 
-// repeatElsewhere hands in a request under an id that was used, from a new client.
+// repeatElsewhere sends a request with an ID that was used before, from a new client.
 func (run *drawnRun) repeatElsewhere(id string) {
 	run.lastClient++
 	request := drawnRequest{client: run.lastClient, seq: 1, id: id}
@@ -225,7 +225,7 @@
 	run.handle(drawnRequestReceived(request, run.now, run.drawFields(id), nil))
 }
 
-// updateEndpoints changes one entry of the endpoint list, or hands in the whole of it.
+// updateEndpoints changes one entry of the endpoint list, or sends the complete list.
 func (run *drawnRun) updateEndpoints() {
 	at := run.rng.IntN(len(run.entries))
 	entry := &run.entries[at]
@@ -253,7 +253,7 @@
 		run.handle(EndpointListUpdated{Complete: true, Entries: slices.Clone(run.entries)})
 		return
 	}
-	for i := range run.entries { // of two entries with one name the changed one counts
+	for i := range run.entries { // entries with the same name become equal to the changed one
 		if i != at && run.entries[i].Instance == run.entries[at].Instance {
 			run.entries[i] = run.entries[at]
 		}
@@ -274,7 +274,7 @@
 	run.handle(event)
 }
 
-// probeEnded draws the outcome of a probe that another instance made, of an endpoint that may be unknown.
+// probeEnded draws the result of a health check, of an endpoint that may be unknown.
 func (run *drawnRun) probeEnded() {
 	event := ProbeEnded{Instance: pick(run.rng, run.entries).Instance, Healthy: !run.oneOf(3)}
 	if run.oneOf(10) {
@@ -286,7 +286,7 @@
 	run.handle(event)
 }
 
-// advance lets the time stand, go on, jump, or at times go back.
+// advance draws a step of the clock: none, a short or a long one, or sometimes one back.
 func (run *drawnRun) advance() {
 	switch n := run.rng.IntN(100); {
 	case n < 35:
@@ -301,7 +301,7 @@
 	}
 }
 
-// timerFired goes on to the time of the timer, or a moment before it.
+// timerFired fires the timer, at its time or a moment before it.
 func (run *drawnRun) timerFired() {
 	if run.timer > run.now && run.timer < run.now+2*second {
 		run.now = run.timer - int64(run.rng.IntN(2))
@@ -309,7 +309,7 @@
 	run.handle(TimerFired{})
 }
 
-// beginShutdown starts the graceful shutdown, in every second run.
+// beginShutdown starts the graceful shutdown, with a probability of 1/2.
 func (run *drawnRun) beginShutdown() {
 	run.shutdown = true
 	if run.oneOf(2) {
@@ -317,7 +317,7 @@
 	}
 }
 
-// step draws one event.
+// step advances the clock and draws one event.
 func (run *drawnRun) step(number int) {
 	run.advance()
 	if number > drawnEventsPerRun*9/10 && !run.shutdown {
@@ -346,6 +346,6 @@
 	case n < 99:
 		run.timerFired()
 	default:
-		run.handle(pick(run.rng, []Event{nil, 7, "no event"})) // it is passed over
+		run.handle(pick(run.rng, []Event{nil, 7, "no event"})) // which is ignored
 	}
 }
--- a/internal/router/drawn_test.go
+++ b/internal/router/drawn_test.go
@@ -21,31 +21,30 @@
 	effectsDigestFile = "testdata/effects.digests"
 )
 
-// recordEffects writes the digests of this code in place of the recorded ones. It is for changes that are to
-// change effects, in the same commit; a change that is to leave all effects as they are is held to the digests
-// before it.
-var recordEffects = flag.Bool("record", false, "record the digests of the drawn effects anew")
+// recordEffects replaces the recorded digests. It is only for commits that are meant to change effects: any other
+// commit must leave the digests as they are.
+var recordEffects = flag.Bool("record", false, "record the digests of the effects again")
 
-// drawnRequest is a request that was handed in.
+// drawnRequest is a request that the run has sent.
 type drawnRequest struct {
 	client ClientID
 	seq    int32
 	id     string
 }
 
-// drawnAttempt is an attempt that was sent, or that is to be withdrawn.
+// drawnAttempt identifies an attempt that the reducer has sent or withdrawn.
 type drawnAttempt struct {
 	connection ConnectionID
 	id         string
 }
 
-// drawnRun hands events that are drawn from a seed to a reducer, and plays the part of all that it is connected
-// to.
+// drawnRun passes random events, which depend on a seed alone, to a reducer. It records which requests, attempts and
+// connections there are, so that most events concern one of them.
 type drawnRun struct {
 	rng    *rand.Rand
 	router *Router
 	now    int64
-	timer  int64 // when TimerFired is wanted
+	timer  int64 // ns; time of the last SetTimer
 
 	requests    []drawnRequest
 	lastID      int
@@ -63,7 +62,7 @@
 	seen   map[string]int
 }
 
-// drawnSettings returns one of several ways to run a router.
+// drawnSettings draws the settings and the limits of a run.
 func drawnSettings(rng *rand.Rand) (control.RawSettings, Limits) {
 	oneOf := func(n int) bool { return rng.IntN(n) == 0 }
 	settings := control.RawSettings{
@@ -118,7 +117,7 @@
 	return settings, limits
 }
 
-// newDrawnRun starts a run that depends on its seed alone.
+// newDrawnRun returns a run with its initial endpoint list.
 func newDrawnRun(t *testing.T, seed uint64) *drawnRun {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 47))
@@ -127,7 +126,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run := &drawnRun{rng: rng, router: New(start, seed, settings, limits), now: start, digest: fnv.New64a(), seen: map[string]int{}}
+	run := &drawnRun{
+		rng:    rng,
+		router: New(start, seed, settings, limits),
+		now:    start,
+		digest: fnv.New64a(),
+		seen:   map[string]int{},
+	}
 	run.entries = append(slices.Clone(initialEndpoints),
 		cacheEntry("s-07e5ff", "10.0.1.1:1"), // its name has the same hash as the next one's
 		cacheEntry("s-0a3e80", "10.0.1.2:1"),
@@ -139,7 +144,7 @@
 	return run
 }
 
-// drawnRequestReceived is the event of a request with these wire fields. What decodes them stands here alone.
+// drawnRequestReceived returns the event of a request with these wire fields.
 func drawnRequestReceived(request drawnRequest, arrivedAt int64, fields map[string]string, body []byte) Event {
 	decoded, err := DecodeRequest(fields, body)
 	return RequestReceived{
@@ -154,11 +159,11 @@
 // note adds values to the digest.
 func (run *drawnRun) note(values ...any) {
 	if _, err := fmt.Fprintln(run.digest, values...); err != nil {
-		panic(err) // a hash takes everything
+		panic(err) // impossible: writing to a hash never fails
 	}
 }
 
-// handle hands an event in and takes its effects into the digest and into what the run knows.
+// handle passes an event to the reducer and records its effects.
 func (run *drawnRun) handle(event Event) {
 	run.note("event at", run.now)
 	for _, effect := range run.router.Handle(run.now, event) {
@@ -166,11 +171,11 @@
 	}
 }
 
-// kindWords are the words for the kinds of responses in what is hashed.
+// kindWords are the names of response kinds in the hashed text. They must not change.
 var kindWords = map[ResponseKind]string{Served: "served", Rejected: "rejected", Failed: "failed", BadRequest: "bad"}
 
-// observe renders an effect field by field, in words of its own, so that a renamed type or field leaves the
-// digest as it is. Of a log line it takes only that there was one.
+// observe adds an effect to the digest. Each field is written explicitly, so that renaming a type or a field does not
+// change the digest. Of a Log effect only its occurrence is added.
 func (run *drawnRun) observe(effect Effect) {
 	switch e := effect.(type) {
 	case Respond:
@@ -207,7 +212,7 @@
 	}
 }
 
-// reasonText is the text of a bad request's reason, empty for none.
+// reasonText returns the text of the reason for a bad request, empty for none.
 func reasonText(reason error) string {
 	if reason == nil {
 		return ""
@@ -215,6 +220,7 @@
 	return reason.Error()
 }
 
+// observeSend adds a Send effect to the digest.
 func (run *drawnRun) observeSend(send Send) {
 	request := send.Request
 	run.sent = append(run.sent, drawnAttempt{send.Connection, string(request.ID)})
@@ -227,7 +233,7 @@
 		attempt.SendTimeout)
 }
 
-// noteState adds what the reducer tells beside its effects.
+// noteState adds the state that the reducer exports to the digest.
 func (run *drawnRun) noteState() {
 	run.note("in flight", run.router.InFlight())
 	for _, entry := range run.router.Endpoints() {
@@ -236,7 +242,7 @@
 	}
 }
 
-// blockDigests hands in all events and returns a digest of each block.
+// blockDigests runs all events and returns the digest after each block.
 func (run *drawnRun) blockDigests() (digests []string) {
 	for number := 1; number <= drawnEventsPerRun; number++ {
 		run.step(number)
@@ -248,7 +254,7 @@
 	return digests
 }
 
-// The effects of drawn events are bit for bit those that were recorded.
+// The effects of random events are exactly those that were recorded.
 func TestDrawnEffectsAsRecorded(t *testing.T) {
 	var digests []string
 	seen := map[string]int{}
--- a/internal/router/endpoint_reference_test.go
+++ b/internal/router/endpoint_reference_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// referenceList is the endpoint list kept without an index: each update goes over all endpoints.
+// referenceList is a simple implementation of the endpoint list, without indexes: each update goes over all
+// endpoints.
 type referenceList map[string]EndpointEntry
 
 // apply applies an update, and returns the complete list for the policy.
@@ -45,7 +46,7 @@
 	return endpoints
 }
 
-// assignIDs gives all endpoints their IDs anew.
+// assignIDs assigns the IDs of all endpoints.
 func (list referenceList) assignIDs() {
 	taken := map[uint32]bool{}
 	for _, name := range sortedKeys(list) {
@@ -61,7 +62,8 @@
 	}
 }
 
-// endpointComparison runs a reducer beside a policy that gets the reference list as a whole with each update.
+// endpointComparison runs a reducer and, for comparison, a policy that gets the complete reference list with each
+// update.
 type endpointComparison struct {
 	*harness
 	rng       *rand.Rand
@@ -83,13 +85,14 @@
 	c := &endpointComparison{harness: h, rng: rng, reference: referenceList{}, policy: policy}
 	initial := EndpointListUpdated{Complete: true, Entries: slices.Clone(initialEndpoints)}
 	policy.UpdateEndpoints(start, c.reference.apply(initial), true)
-	c.names = []string{"s-07e5ff", "s-0a3e80"} // the same hash
+	c.names = []string{"s-07e5ff", "s-0a3e80"} // names with the same hash
 	for n := range 30 {
 		c.names = append(c.names, fmt.Sprint("s-", n))
 	}
 	return c
 }
 
+// drawEntry draws an entry at random.
 func (c *endpointComparison) drawEntry() EndpointEntry {
 	entry := cacheEntry(pick(c.rng, c.names), fmt.Sprint("10.0.0.", c.rng.IntN(40), ":1"))
 	entry.Location = pick(c.rng, []string{"here", "here", "there"})
@@ -102,7 +105,7 @@
 	return entry
 }
 
-// update hands a drawn update to both.
+// update applies a random update to both.
 func (c *endpointComparison) update() {
 	c.now += c.rng.Int64N(second)
 	event := EndpointListUpdated{Complete: c.rng.IntN(30) == 0}
@@ -113,7 +116,7 @@
 	c.handle(event)
 }
 
-// checkEndpoints compares the endpoints, their IDs and the caches of the plan of connections.
+// checkEndpoints compares the endpoints, their IDs and the caches of the connection plan.
 func (c *endpointComparison) checkEndpoints() {
 	c.t.Helper()
 	got := referenceList{}
@@ -132,7 +135,7 @@
 		c.t.Fatalf("endpoints\n%v\nreference\n%v", got, c.reference)
 	}
 	if planned := c.limits.ConnectionPlan.SubsetSize; planned != caches {
-		c.t.Fatalf("the plan knows %d caches, there are %d", planned, caches)
+		c.t.Fatalf("the plan has %d caches, there are %d", planned, caches)
 	}
 }
 
@@ -150,9 +153,9 @@
 	c.policy.AttemptEnded(c.now, &other, end)
 }
 
-// Only what has changed is passed on. The endpoints, their IDs, the policy's decisions and the caches of the
-// plan of connections are those of a list that is kept and passed on as a whole with each update.
-func TestEndpointUpdatesAsByTheWholeList(t *testing.T) {
+// The reducer passes only changes on to the policy and to the connection plan. The endpoints, their IDs, the
+// decisions and the plan's caches are the same as if the complete list were passed on with each update.
+func TestIncrementalEndpointUpdatesMatchReference(t *testing.T) {
 	const runs, updatesPerRun = 50, 200
 	rng := rand.New(rand.NewPCG(1, 2))
 	displaced := 0
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-func TestEndpointChanges(t *testing.T) {
-	runScenarios(t, func(t *testing.T) *harness { return newHarness(t, nil) }, []scenario{
+func TestEndpointChangesCloseStaleConnections(t *testing.T) {
+	runScenarios(t, newDefaultHarness, []scenario{
 		{"the cache of a request that waits for its connection drains: sent elsewhere", func(h *harness) {
 			h.request(1, nil)
 			h.setFirstPhase("draining")
@@ -23,7 +23,7 @@
 			h.update(entry)
 			h.request(2, nil)
 		}, "dial, send 1, served 1:bytes, close 1, dial"},
-		{"a new cache at the address of one that is gone has none of its connections", func(h *harness) {
+		{"a new cache at the address of one that is gone does not get its connections", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.respond(success)
@@ -32,10 +32,10 @@
 			entry.Instance = "s-new"
 			h.update(entry)
 			if got := h.endpoints.byName["s-new"]; len(got.connections) != 0 {
-				h.t.Error("it has a connection of the one before")
+				h.t.Error("it has a connection of the previous one")
 			}
 		}, "dial, send 1, served 1:bytes, close 1"},
-		{"an endpoint whose address a newer one has is gone", func(h *harness) {
+		{"an endpoint is gone once a newer one has its address", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.respond(success)
@@ -46,10 +46,10 @@
 	})
 }
 
-// An endpoint that is restarted under a timestamp before the last, by a clock that was set back: its
-// connections are closed.
+// An endpoint may restart with a timestamp before its last one, after its clock was set back. Its connections are
+// closed.
 func TestRestartWithEarlierTimestamp(t *testing.T) {
-	h := newHarness(t, nil)
+	h := newDefaultHarness(t)
 	h.request(1, nil)
 	h.connectNewest()
 	entry := h.firstEntry()
@@ -72,9 +72,9 @@
 	}
 }
 
-// Hashes over IDs have to agree at routers that learned of the endpoints in different orders.
-func TestEndpointIDsAgree(t *testing.T) {
-	const a, b = "s-07e5ff", "s-0a3e80" // the same hash
+// Routers that learned of endpoints in different orders must have the same IDs for them.
+func TestEndpointIDsAreIndependentOfOrder(t *testing.T) {
+	const a, b = "s-07e5ff", "s-0a3e80" // names with the same hash
 	named := func(instance string) EndpointEntry { return EndpointEntry{Instance: instance} }
 	cases := []struct {
 		name   string
@@ -88,7 +88,7 @@
 			EndpointListUpdated{Entries: []EndpointEntry{named(a)}},
 			EndpointListUpdated{Entries: []EndpointEntry{named(b)}},
 		}},
-		{"the other way round", []Event{
+		{"in the reverse order", []Event{
 			EndpointListUpdated{Entries: []EndpointEntry{named(b)}},
 			EndpointListUpdated{Entries: []EndpointEntry{named(a)}},
 			EndpointListUpdated{Entries: []EndpointEntry{named("x")}},
@@ -97,7 +97,7 @@
 	var first []uint32
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHarness(t, nil)
+			h := newDefaultHarness(t)
 			for _, event := range c.events {
 				h.handle(event)
 			}
@@ -107,13 +107,13 @@
 				first = ids
 			}
 			if !slices.Equal(ids, first) || ids[0] == ids[1] {
-				t.Errorf("ids %v, elsewhere %v", ids, first)
+				t.Errorf("IDs %v, in another order %v", ids, first)
 			}
 		})
 	}
 }
 
-// An update of one entry, at several lengths of the list.
+// BenchmarkEndpointUpdate updates one entry, at several lengths of the list.
 func BenchmarkEndpointUpdate(b *testing.B) {
 	for _, count := range []int{12, 200, 800, 3200} {
 		b.Run(fmt.Sprint("endpoints=", count), func(b *testing.B) {
--- a/internal/router/helpers_test.go
+++ b/internal/router/helpers_test.go
@@ -14,7 +14,7 @@
 	second = int64(1e9)
 	start  = 1000 * second
 
-	objectID = "7f3a9c21e0b4d655" // that requests ask for unless a test says otherwise
+	objectID = "7f3a9c21e0b4d655" // of requests, unless a test changes it
 	seed     = 7
 )
 
@@ -32,28 +32,29 @@
 	return EndpointEntry{Instance: instance, Address: address, Endpoint: endpoint}
 }
 
-// success is a response that is forwarded.
+// success is a response that is forwarded to the client.
 var success = ResponseReceived{Result: control.Succeeded, Body: []byte(":bytes")}
 
-// nonIdempotent are the fields of a request that may be executed only once and that no cache keeps, in a
-// harness of newTwoClassHarness.
+// nonIdempotent are the fields of a request that may be executed only once. Its class is known to a harness of
+// newTwoClassHarness, where it is uncacheable too.
 var nonIdempotent = map[string]string{"verb": "permits"}
 
-// harness hands events to a reducer and notes its effects. It stands in for clients, endpoints and the clock.
+// harness runs a reducer under test: it passes events to it and records the effects. Tests play the roles of
+// clients and endpoints, and set the clock.
 type harness struct {
 	*Router
 	t           *testing.T
 	now         int64
-	observed    []string // effects, in short
+	observed    []string // effects and marks, each as a few words
 	logged      []logevent.Event
-	dialled     []ConnectionID // in the order of their dialling
+	dialled     []ConnectionID // in the order of the Dial effects
 	sends       []Send
 	responses   []Respond
-	withdrawals []WithdrawAttempt // that no AttemptWithdrawn was handed in for
+	withdrawals []WithdrawAttempt // for which no AttemptWithdrawn was handled yet
 }
 
-// testSettings are those of a location with caches, and a hub with parents and the origin. They have one class of
-// requests, which is idempotent.
+// testSettings returns the settings of a location with caches, and a hub with parents and the origin. They have one
+// class of requests, which is idempotent.
 func testSettings() control.Settings {
 	parent, origin := "parent", "origin"
 	settings := control.DefaultSettings()
@@ -83,7 +84,7 @@
 	return settings
 }
 
-// nonIdempotentClass is a second class, whose requests may not be executed twice.
+// nonIdempotentClass returns a second class, whose requests may not be executed twice.
 func nonIdempotentClass() control.ClassSettings {
 	return control.ClassSettings{
 		Name:             "permits",
@@ -94,7 +95,8 @@
 	}
 }
 
-// newHarness returns one whose reducer knows initialEndpoints. The test may change its limits and settings first.
+// newHarness returns a harness whose reducer has initialEndpoints. change may change the limits and the settings
+// that it is made with; it may be nil.
 func newHarness(t *testing.T, change func(*Limits, *control.Settings)) *harness {
 	t.Helper()
 	settings := testSettings()
@@ -108,7 +110,13 @@
 	return h
 }
 
-// newTwoClassHarness returns one with a second class of requests, which is neither idempotent nor cacheable.
+// newDefaultHarness returns a harness with testSettings.
+func newDefaultHarness(t *testing.T) *harness {
+	t.Helper()
+	return newHarness(t, nil)
+}
+
+// newTwoClassHarness returns a harness with a second class of requests, which is neither idempotent nor cacheable.
 func newTwoClassHarness(t *testing.T) *harness {
 	t.Helper()
 	return newHarness(t, func(_ *Limits, settings *control.Settings) {
@@ -118,13 +126,14 @@
 	})
 }
 
-// handle hands an event in and notes the effects.
+// handle passes an event to the reducer and records its effects.
 func (h *harness) handle(event Event) {
 	for _, effect := range h.Handle(h.now, event) {
 		h.observe(effect)
 	}
 }
 
+// observe records an effect.
 func (h *harness) observe(effect Effect) {
 	note := func(format string, values ...any) { h.observed = append(h.observed, fmt.Sprintf(format, values...)) }
 	switch effect := effect.(type) {
@@ -152,11 +161,11 @@
 	}
 }
 
-// note puts a mark of the test's own among the observed effects.
-func (h *harness) note(mark string) { h.observed = append(h.observed, mark) }
+// mark adds a mark between the observed effects, so that a test can check when an effect happened.
+func (h *harness) mark(mark string) { h.observed = append(h.observed, mark) }
 
-// effectsInShort returns what was observed, with ids shortened to their last digits and dials without their
-// address.
+// effectsInShort returns the observed effects and marks, with IDs shortened to their last digit and dials without
+// their address.
 func (h *harness) effectsInShort() string {
 	var short []string
 	for _, effect := range h.observed {
@@ -166,7 +175,7 @@
 	return strings.Join(short, ", ")
 }
 
-// expect checks all effects so far.
+// expect checks all effects so far, as of effectsInShort.
 func (h *harness) expect(want string) {
 	h.t.Helper()
 	if got := h.effectsInShort(); got != want {
@@ -174,7 +183,7 @@
 	}
 }
 
-// advance lets time pass, in the steps of the timer that the reducer asked for.
+// advance advances the clock by a time, ns, and fires the timer whenever it is due.
 func (h *harness) advance(ns int64) {
 	for end := h.now + ns; h.now < end; {
 		h.now = min(end, max(h.timerSetFor, h.now+millisecond))
@@ -182,10 +191,10 @@
 	}
 }
 
-// requestID is the ID of the request with this sequence number.
+// requestID returns the ID of the request with a sequence number.
 func requestID(seq int32) RequestID { return fmt.Sprintf("%016x", seq) }
 
-// requestFields are the fields of a request, some of them changed.
+// requestFields returns the wire fields of a request, with some of them changed or added.
 func requestFields(seq int32, change map[string]string) map[string]string {
 	fields := map[string]string{
 		"verb":  "stills",
@@ -199,23 +208,23 @@
 	return fields
 }
 
-// requestEvent is the event of a request, whether its fields can be decoded or not.
+// requestEvent returns the event of a request, whether its fields can be decoded or not.
 func requestEvent(client ClientID, seq int32, fields map[string]string, body []byte) RequestReceived {
 	request, err := DecodeRequest(fields, body)
 	return RequestReceived{Client: client, Seq: seq, Request: request, DecodeError: err}
 }
 
-// request hands in a request of the first client.
+// request handles a request of client 1.
 func (h *harness) request(seq int32, change map[string]string) {
 	h.handle(requestEvent(1, seq, requestFields(seq, change), []byte("q")))
 }
 
-// requestElsewhere hands in the same request of a second client, without a body.
+// requestElsewhere handles a request of client 2, without a body.
 func (h *harness) requestElsewhere(seq int32, change map[string]string) {
 	h.handle(requestEvent(2, seq, requestFields(seq, change), nil))
 }
 
-// respond hands in a response to the attempt that was sent last.
+// respond handles a response to the attempt that was sent last.
 func (h *harness) respond(response ResponseReceived) {
 	last := h.sends[len(h.sends)-1]
 	response.Connection, response.ID = last.Connection, last.Request.ID
@@ -234,23 +243,31 @@
 	}
 }
 
-// failNewestDial has the last dial fail for an error of this machine's own.
+// failNewestDial ends the connection that was dialled last by an error of this machine.
 func (h *harness) failNewestDial() {
 	h.handle(ConnectionDown{Connection: h.dialled[len(h.dialled)-1], Cause: Local, Reason: "no descriptors"})
 }
 
-// firstEntry is the entry of the endpoint that was dialled first.
+// firstEntry returns the entry of the endpoint that was dialled first.
 func (h *harness) firstEntry() EndpointEntry {
 	address := h.connections[h.dialled[0]].address
 	at := slices.IndexFunc(initialEndpoints, func(entry EndpointEntry) bool { return entry.Address == address })
 	return initialEndpoints[at]
 }
 
-// update hands in a change to entries of the endpoint list.
+// update handles a change of entries of the endpoint list.
 func (h *harness) update(entries ...EndpointEntry) {
 	h.handle(EndpointListUpdated{Entries: entries})
 }
 
+// setCachePhases changes the phase of both caches of initialEndpoints.
+func (h *harness) setCachePhases(phase string) {
+	for _, entry := range initialEndpoints[:2] {
+		entry.Phase = phase
+		h.update(entry)
+	}
+}
+
 // setFirstPhase changes the phase of the endpoint that was dialled first.
 func (h *harness) setFirstPhase(phase string) {
 	entry := h.firstEntry()
@@ -258,7 +275,7 @@
 	h.update(entry)
 }
 
-// confirmWithdrawals reports that nothing was written of what was to be withdrawn.
+// confirmWithdrawals handles an AttemptWithdrawn for each attempt that was to be withdrawn.
 func (h *harness) confirmWithdrawals() {
 	withdrawals := h.withdrawals
 	h.withdrawals = nil
@@ -267,7 +284,7 @@
 	}
 }
 
-// objectOnOtherCache is an object whose first cache is another than that of objectID.
+// objectOnOtherCache returns an object whose first cache is not that of objectID.
 func objectOnOtherCache(t *testing.T) string {
 	t.Helper()
 	firstCache := func(object string) string {
@@ -284,14 +301,14 @@
 	return ""
 }
 
-// scenario is a run of events, and the effects that it has in order.
+// scenario is a sequence of events, and the effects that it must have, in order.
 type scenario struct {
 	name string
 	run  func(*harness)
 	want string // as of effectsInShort
 }
 
-// runScenarios runs each on a harness of its own.
+// runScenarios runs each scenario on a harness of its own, and checks its effects.
 func runScenarios(t *testing.T, newHarness func(*testing.T) *harness, scenarios []scenario) {
 	t.Helper()
 	for _, scenario := range scenarios {
@@ -300,7 +317,7 @@
 			scenario.run(h)
 			h.expect(scenario.want)
 			if len(h.requests.byID) != h.InFlight() {
-				t.Errorf("%d ids for %d requests in flight", len(h.requests.byID), h.InFlight())
+				t.Errorf("%d IDs for %d requests in flight", len(h.requests.byID), h.InFlight())
 			}
 		})
 	}
--- a/internal/router/limits_test.go
+++ b/internal/router/limits_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestNoConnectionAllowed(t *testing.T) {
+func TestRequestsAreRejectedWithoutConnections(t *testing.T) {
 	h := newHarness(t, func(limits *Limits, _ *control.Settings) { limits.MaxConnections = 0 })
 	h.request(1, nil)
 	h.advance(second)
@@ -46,15 +46,15 @@
 	}
 }
 
-// One corrupt response ends all that is in flight on its connection, so requests are spread over several.
+// One corrupt response ends all attempts in flight on its connection, so attempts are spread over several.
 func TestRequestsAreSpreadOverConnections(t *testing.T) {
-	h := newHarness(t, nil)
+	h := newDefaultHarness(t)
 	for seq := range int32(12) {
 		h.request(seq, map[string]string{"item": objectID})
 		h.connectNewest()
 	}
 	for id, connection := range h.connections {
-		// The request for which another connection is dialled goes on the one that is established.
+		// The request for which another connection is dialled is sent on the established one.
 		if len(connection.inFlight) > shareThreshold+1 {
 			t.Errorf("%d in flight on connection %d of %d", len(connection.inFlight), id, len(h.dialled))
 		}
@@ -65,7 +65,7 @@
 }
 
 func TestMaxConnectionsPerEndpoint(t *testing.T) {
-	h := newHarness(t, nil)
+	h := newDefaultHarness(t)
 	for seq := range int32(8) {
 		h.request(seq, map[string]string{"txn": objectID})
 		h.connectAll()
@@ -81,7 +81,7 @@
 }
 
 func TestAbandonedRequestsAreForgotten(t *testing.T) {
-	h := newHarness(t, nil)
+	h := newDefaultHarness(t)
 	for seq := range int32(50) {
 		h.request(seq, nil)
 		h.connectNewest()
@@ -99,7 +99,7 @@
 	}
 }
 
-// stateSize is how much a reducer holds in memory.
+// stateSize returns the sizes of a reducer's tables.
 func stateSize(h *harness) map[string]int {
 	abandoned := 0
 	for _, connection := range h.connections {
@@ -117,10 +117,10 @@
 	}
 }
 
-// Over a long time endpoints, addresses, clients, ids and objects change without end, and nothing is kept of
-// those that have gone.
+// Endpoints, addresses, clients, IDs and objects change for a long time, and the state does not grow: nothing is
+// kept of those that are gone.
 func TestStateIsBounded(t *testing.T) {
-	h := newHarness(t, nil)
+	h := newDefaultHarness(t)
 	largest := map[string]int{}
 	for n := range 6000 {
 		churn(h, n)
@@ -144,10 +144,11 @@
 	}
 }
 
-// churn is a moment in which an endpoint starts, one is gone, and a client comes and goes.
+// churn is one step of TestStateIsBounded: an endpoint starts, another is gone, and a client connects, sends
+// requests and disconnects.
 func churn(h *harness, n int) {
 	entry := initialEndpoints[0]
-	entry.Instance, entry.Address = fmt.Sprint("s-", n), fmt.Sprint("10.0.1.", n%7, ":1") // addresses come again
+	entry.Instance, entry.Address = fmt.Sprint("s-", n), fmt.Sprint("10.0.1.", n%7, ":1") // addresses are reused
 	entry.StartedAt = h.now
 	gone := entry
 	gone.Instance, gone.Phase = fmt.Sprint("s-", n-3), "gone"
--- a/internal/router/local_errors_test.go
+++ b/internal/router/local_errors_test.go
@@ -9,16 +9,16 @@
 	"time"
 )
 
-// Errors of this machine's own: nothing was sent, nothing is held against an endpoint, and it is dialled again
-// in time.
+// After an error of this machine nothing counts as sent, no endpoint counts as failed, and dialling is retried
+// with a backoff.
 func TestLocalErrors(t *testing.T) {
 	runScenarios(t, newTwoClassHarness, []scenario{
 		{"dialled again after the backoff, and served", func(h *harness) {
 			h.request(1, nil)
 			h.failNewestDial()
-			h.note("fails")
+			h.mark("fails")
 			h.advance(24 * millisecond) // a sixteenth of the connect timeout is 25 ms
-			h.note("24 ms")
+			h.mark("24 ms")
 			h.advance(60 * millisecond)
 			h.connectNewest()
 			h.respond(success)
@@ -32,7 +32,7 @@
 				h.advance(millisecond)
 			}
 		}, "dial, dial, dial, dial, dial, rejected 1"},
-		{"no second endpoint is dialled meanwhile", func(h *harness) {
+		{"during the backoff no other endpoint is dialled", func(h *harness) {
 			h.request(1, nil)
 			h.failNewestDial()
 			h.request(2, map[string]string{"item": objectOnOtherCache(h.t)})
@@ -51,7 +51,7 @@
 			h.failNewestDial()
 			h.advance(3 * second)
 		}, "dial, send 1, failed 1"},
-		{"and what was not may be sent again", func(h *harness) {
+		{"what was not written may be sent again", func(h *harness) {
 			h.request(1, nonIdempotent)
 			h.connectNewest()
 			h.handle(ConnectionDown{Connection: h.dialled[0], Cause: Local, Unsent: []RequestID{requestID(1)}})
@@ -60,10 +60,11 @@
 	})
 }
 
-// spreadObject is an object for each sequence number, on all caches alike.
+// spreadObject returns an object for a sequence number, so that requests are spread over all caches.
 func spreadObject(seq int32) string { return fmt.Sprintf("%016x", uint64(seq)*0x9e3779b97f4a7c15) }
 
-// However many requests fail for want of descriptors, no endpoint is ejected, and the log says it twice.
+// However many dials fail for lack of descriptors, no endpoint is ejected, and only the first failure and the
+// recovery are logged.
 func TestLocalErrorsEjectNobody(t *testing.T) {
 	h := newTwoClassHarness(t)
 	for seq := int32(1); seq <= 200; seq++ {
@@ -91,8 +92,8 @@
 	}
 }
 
-// Where dials to one endpoint alone fail here, as for want of local ports to its address, it is not ejected
-// beside one that responds.
+// If only dials to one endpoint fail by errors of this machine, for example for lack of local ports to its address,
+// the endpoint is not ejected.
 func TestLocalErrorsAtOneEndpoint(t *testing.T) {
 	h := newTwoClassHarness(t)
 	failed := 0
@@ -121,7 +122,7 @@
 	}
 }
 
-// respondToAll hands in a response to every attempt on an established connection.
+// respondToAll handles a response to every attempt on an established connection.
 func respondToAll(h *harness) {
 	for _, id := range sortedKeys(h.connections) {
 		for _, attempt := range h.connections[id].attempts() {
@@ -137,8 +138,8 @@
 	}
 }
 
-// While this machine can open no connections, and the established one is full, attempts end at once. They count
-// against the attempts of their request, so that one call of the reducer ends.
+// While this machine can open no connections, and the established one is saturated, attempts end at once. They count
+// towards the request's limit of attempts, so that the reducer does not loop without end.
 func TestAttemptsWithoutConnectionAreBounded(t *testing.T) {
 	h := newHarness(t, func(_ *Limits, settings *control.Settings) { settings.MaxStreamsPerConnection = 1 })
 	h.request(1, nil)
@@ -148,12 +149,12 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		h.request(3, nil) // its endpoint has a connection, which is full
+		h.request(3, nil) // its endpoint has a connection, which is saturated
 		h.advance(3 * second)
 	}()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("one call does not end")
+		t.Fatal("the reducer loops")
 	}
 }
--- a/internal/router/logevents_test.go
+++ b/internal/router/logevents_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A log effect names the endpoint that its event concerns; the fault of one event ends nothing but that event.
-func TestLogEffects(t *testing.T) {
+// A Log effect has the name of the endpoint that its event concerns. A panic is logged as an event.
+func TestLogEffectsNameTheEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		run  func(*harness)
@@ -36,7 +36,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHarness(t, nil)
+			h := newDefaultHarness(t)
 			h.effects = nil
 			c.run(h)
 			if !slices.Equal(h.effects, []Effect{c.want}) {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestLogEventsAreNamedOnce(t *testing.T) {
+func TestLogEventNamesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
 	for _, event := range slices.Concat(LogEvents(), control.LogEvents()) {
 		name := event.Kind().Name
--- a/internal/router/purges_test.go
+++ b/internal/router/purges_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-func TestPurgeWhileConnecting(t *testing.T) {
-	runScenarios(t, func(t *testing.T) *harness { return newHarness(t, nil) }, []scenario{
-		{"what waits for its connection is sent with the new age", func(h *harness) {
+func TestPurgeWhileConnectingLimitsTheAge(t *testing.T) {
+	runScenarios(t, newDefaultHarness, []scenario{
+		{"an attempt that waits for its connection is sent with the new age", func(h *harness) {
 			h.request(1, nil)
 			h.now += 200 * millisecond
 			h.handle(PurgeReceived{Object: objectID, PurgedAt: h.now - 50*millisecond})
@@ -21,9 +21,9 @@
 	})
 }
 
-// A cache may respond with a copy from before a purge, because it finds it young enough: the purge's timestamp
-// is ahead of its clock. The copy is not served. An idempotent request is sent to the same cache once more, for
-// a copy from after the purge was received. The next purge counts from when it is received.
+// If a purge's timestamp is behind because this machine's clock is ahead, a cache may respond with a copy from before
+// the purge. The copy is not served. An idempotent request is retried at the same cache, for a copy from after the
+// purge was received. Later purges count from when they are received.
 func TestStaleCopyIsNotServed(t *testing.T) {
 	const ahead = 600 * second
 	for _, c := range []struct {
@@ -45,7 +45,7 @@
 			h.request(1, c.fields)
 			h.connectNewest()
 			if age := h.sends[0].Request.Attempt.MaxAge; age <= 3*second/2 {
-				t.Fatalf("age %v: the case is another", age)
+				t.Fatalf("age %v: the test does not cover its case", age)
 			}
 			response := ResponseReceived{Result: control.Succeeded}
 			response.IssuedAt, response.Body = h.now-ahead-3*second/2, []byte(":old")
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Optional fields that make no sense are passed over.
-func TestDecodeRequestOptionalFields(t *testing.T) {
+// Invalid optional fields are ignored.
+func TestDecodeRequestIgnoresInvalidOptionalFields(t *testing.T) {
 	for _, c := range []struct{ field, value string }{
 		{"got", "a,b=c"},
 		{"got", "4be0c1927d55a6f"},
@@ -56,8 +56,8 @@
 	}
 }
 
-// A request with an unusable field is answered as a bad one, with the field's name, and is not in flight.
-func TestBadRequests(t *testing.T) {
+// A request with an unusable field is answered as a bad request, with the field's name, and is not in flight.
+func TestUnusableFieldsAreBadRequests(t *testing.T) {
 	for _, c := range []struct{ field, value string }{
 		{"verb", ""},
 		{"txn", "12"},
@@ -84,7 +84,7 @@
 			if want := (FieldError{c.field, c.value, FieldUnusable}); *fieldError != want {
 				t.Errorf("error %+v, want %+v", *fieldError, want)
 			}
-			h := newHarness(t, nil)
+			h := newDefaultHarness(t)
 			h.handle(event)
 			h.expect("bad request 4")
 			want := "field " + c.field + " is missing or unusable"
@@ -95,11 +95,11 @@
 	}
 }
 
-// The reasons that depend on the settings and on what is in flight.
-func TestBadRequestReasons(t *testing.T) {
+// Bad requests by the settings and by the requests in flight.
+func TestBadRequestsByState(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		second RequestReceived // after a request with the number 1
+		second RequestReceived // after a request with sequence number 1
 		want   string
 	}{
 		{
@@ -124,7 +124,7 @@
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHarness(t, nil)
+			h := newDefaultHarness(t)
 			h.request(1, nil)
 			h.handle(c.second)
 			h.expect(fmt.Sprint("dial, bad request ", c.second.Seq))
@@ -141,7 +141,7 @@
 	h := newTwoClassHarness(t)
 	h.request(1, map[string]string{"unique": key})
 	h.connectNewest()
-	h.respond(ResponseReceived{Result: control.ServerError}) // it is sent again
+	h.respond(ResponseReceived{Result: control.ServerError}) // it is retried
 	for i, send := range h.sends {
 		if got := send.Request.IdempotencyKey; got != key {
 			t.Errorf("attempt %d: key %q", i, got)
@@ -152,6 +152,6 @@
 	}
 	h.request(2, map[string]string{"unique": "a,miss=o-a"})
 	if last := h.observed[len(h.observed)-1]; last != "bad request 2" {
-		t.Errorf("a key that would pass for fields: %s", last)
+		t.Errorf("a key that could be read as further fields: %s", last)
 	}
 }
--- a/internal/router/responses_test.go
+++ b/internal/router/responses_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-func TestResponses(t *testing.T) {
+func TestResponsesAreForwardedRetriedOrIgnored(t *testing.T) {
 	notModified := ResponseReceived{Result: control.Succeeded, NotModified: true}
-	runScenarios(t, func(t *testing.T) *harness { return newHarness(t, nil) }, []scenario{
+	runScenarios(t, newDefaultHarness, []scenario{
 		{"a response is forwarded unchanged", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
@@ -44,12 +44,12 @@
 	})
 }
 
-// Some endpoints respond twice, and some responses name no version of the object. That matters for a class that is not
-// idempotent, and for one that no cache keeps.
+// Some endpoints respond twice, and some responses have no version of the object. What that means depends on whether
+// the class is idempotent and cacheable.
 func TestResponsesByClass(t *testing.T) {
 	unversioned := ResponseReceived{Result: control.ServerError, Unversioned: true, Body: []byte(":done")}
 	runScenarios(t, newTwoClassHarness, []scenario{
-		{"a second response to the first attempt is not taken for one to the next", func(h *harness) {
+		{"a second response to the first attempt does not count for the next attempt", func(h *harness) {
 			h.request(1, nonIdempotent)
 			h.connectNewest()
 			first := h.sends[0]
@@ -77,13 +77,12 @@
 	})
 }
 
-// The length of a response tells its size, where the settings say at which rate one is sent: a long one may
-// take longer.
+// If the settings state at which rate responses are sent, long responses may take longer without counting as late.
 func TestLongResponsesAreNotLate(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		bytesPerSecond float64
-		blamed         bool
+		late           bool // the endpoint counts as late
 	}{
 		{"at 10 bytes a second", 10, false},
 		{"at an unknown rate", 0, true},
@@ -106,8 +105,8 @@
 					})
 				}
 			}
-			if got := len(h.logged) > 0; got != c.blamed {
-				t.Errorf("an endpoint counts as late: %v, want %v: %v", got, c.blamed, h.logged)
+			if got := len(h.logged) > 0; got != c.late {
+				t.Errorf("an endpoint counts as late: %v, want %v: %v", got, c.late, h.logged)
 			}
 		})
 	}
--- a/internal/router/withdraw_test.go
+++ b/internal/router/withdraw_test.go
@@ -5,15 +5,16 @@
 	"testing"
 )
 
-// Requests that wait on an established connection because its other side reads nothing.
-func TestUnwrittenAttempts(t *testing.T) {
+// Attempts that are queued on an established connection because the endpoint reads nothing are withdrawn by a purge
+// or a drain.
+func TestUnwrittenAttemptsAreDecidedOnAgain(t *testing.T) {
 	purge := func(h *harness) {
 		h.now += 200 * millisecond
 		h.handle(PurgeReceived{Object: objectID, PurgedAt: h.now - 50*millisecond})
 	}
 	drain := func(h *harness) { h.setFirstPhase("draining") }
 	runScenarios(t, newTwoClassHarness, []scenario{
-		{"a purge: decided on anew, with the new age", func(h *harness) {
+		{"a purge: sent again, with the new age", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			purge(h)
@@ -46,7 +47,7 @@
 	})
 }
 
-// The same as its client, or the time until it may be written, is over.
+// Such attempts are withdrawn, too, if their client half-closes, their send deadline passes, or their connection ends.
 func TestUnwrittenAttemptsEnd(t *testing.T) {
 	drain := func(h *harness) { h.setFirstPhase("draining") }
 	runScenarios(t, newTwoClassHarness, []scenario{
@@ -69,7 +70,7 @@
 			h.advance(291 * millisecond)
 			h.confirmWithdrawals()
 		}, "dial, send 1, rejected 1"},
-		{"half of its time passes, but it is written: it has all its time", func(h *harness) {
+		{"half of its time passes, but it is written: it has until its deadline", func(h *harness) {
 			h.request(1, map[string]string{"limit": "600"})
 			h.connectNewest()
 			h.advance(550 * millisecond)
@@ -100,9 +101,8 @@
 	})
 }
 
-// Where endpoints can't be told that a request is cancelled, one that is not written yet is withdrawn all the
-// same.
-func TestWithdrawnWithoutCancellation(t *testing.T) {
+// Without cancellation at endpoints, attempts that are not written yet are still withdrawn.
+func TestUnwrittenAttemptsAreWithdrawnWithoutCancellation(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		end  Event
@@ -124,8 +124,8 @@
 	}
 }
 
-// A hedge that waits for its connection while the first attempt is answered is not sent once that is
-// established, also where the policy cancels nothing.
+// A hedged attempt that waits for its connection when the first attempt is answered is not sent any more, even if
+// the policy cancels nothing.
 func TestHedgeIsNotSentAfterTheResponse(t *testing.T) {
 	h := newHarness(t, func(_ *Limits, settings *control.Settings) { settings.CancelAttempts = false })
 	h.request(1, nil)
