--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// When a target of probes is warm, on the boot clock that leases go by: a step of the wall clock doesn't
-// move it, and nobody started after it was told.
-func TestTargetsAreWarmByTheirStart(t *testing.T) {
+// The time at which a target's slow start ends is on the boot clock, so that a step of the wall clock does not change
+// it. A start in the future counts as a start now.
+func TestTargetsWarmUpFromTheirStart(t *testing.T) {
 	const second, warmUp = int64(time.Second), int64(8 * time.Second)
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		for _, test := range []struct {
 			name    string
-			started int64 // against now; 0 is long ago
-			want    int64 // until it is warm
+			started int64 // ns after now; 0: unknown, long ago
+			want    int64 // ns until it is warm; math.MinInt64: it is warm already
 		}{
 			{"long ago", 0, math.MinInt64},
 			{"3 s ago", -3 * second, 5 * second},
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// What of a newer operator's file a running instance can't change.
-func TestClusterNeedsRestart(t *testing.T) {
+// A restart is needed if the newer operator's file differs in a part that a running instance can't change.
+func TestClusterChangesThatNeedARestart(t *testing.T) {
 	newFile := func() *operatorconfig.File {
 		return &operatorconfig.File{
 			SocketPath: "socket",
@@ -50,53 +50,56 @@
 			t.Error("it is not said that a restart is needed")
 		}
 	})
-	t.Run("what changes in service", func(t *testing.T) {
+	t.Run("a change that needs none", func(t *testing.T) {
 		node := &clusterNode{operator: newFile()}
 		next := newFile()
 		next.Cluster.Weight = 2
 		if node.needsRestart(next) {
-			t.Error("a restart is asked for")
+			t.Error("it is said that a restart is needed")
 		}
 	})
 }
 
-// A newer file that has no cluster any more is refused, and says why.
-func TestClusterReloadWithoutFleet(t *testing.T) {
+// A newer operator's file without a cluster is rejected by an instance that is a member of one.
+func TestClusterReloadRejectsFileWithoutCluster(t *testing.T) {
 	node := &clusterNode{operator: &operatorconfig.File{Cluster: &operatorconfig.Cluster{}}}
-	if err := node.reload(t.Context(), &operatorconfig.File{}); err == nil {
-		t.Error("it was taken")
+	if err := node.reload(t.Context(), &operatorconfig.File{}); !errors.Is(err, errNoCluster) {
+		t.Errorf("error %v, want %v", err, errNoCluster)
 	}
 }
 
-// A server's idle connections and whether it shares leases at all are fixed at its start.
-func TestOperatorNeedsRestart(t *testing.T) {
-	fleet, idle := &operatorconfig.Cluster{}, &operatorconfig.IdleConnections{MaxConnections: 1}
+// A restart is needed if the newer operator's file differs in its idle connections, or only one of the files has a
+// cluster.
+func TestOperatorConfigChangesThatNeedARestart(t *testing.T) {
+	withCluster := &operatorconfig.File{Cluster: &operatorconfig.Cluster{}}
+	withIdle := &operatorconfig.File{Idle: &operatorconfig.IdleConnections{MaxConnections: 1}}
+	empty := &operatorconfig.File{}
 	for _, test := range []struct {
 		name          string
-		present, next *operatorconfig.File
-		shares, want  bool
+		before, after *operatorconfig.File
+		want          bool
 	}{
-		{"no file before", nil, &operatorconfig.File{Cluster: fleet}, false, false},
-		{"no file any more", &operatorconfig.File{Cluster: fleet}, nil, true, false},
-		{"the same", &operatorconfig.File{Cluster: fleet}, &operatorconfig.File{Cluster: fleet}, true, false},
-		{"it shares from now on", &operatorconfig.File{}, &operatorconfig.File{Cluster: fleet}, false, true},
-		{"it shares no more", &operatorconfig.File{Cluster: fleet}, &operatorconfig.File{}, true, true},
-		{"idle connections", &operatorconfig.File{}, &operatorconfig.File{Idle: idle}, false, true},
+		{"no file before", nil, withCluster, false},
+		{"no file after", withCluster, nil, false},
+		{"the same", withCluster, withCluster, false},
+		{"a cluster is added", empty, withCluster, true},
+		{"the cluster is removed", withCluster, empty, true},
+		{"idle connections", empty, withIdle, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			s := &Server{operator: test.present}
-			if test.shares {
+			s := &Server{operator: test.before}
+			if test.before == withCluster {
 				s.cluster = &clusterNode{}
 			}
-			if got := s.operatorNeedsRestart(test.next); got != test.want {
+			if got := s.operatorNeedsRestart(test.after); got != test.want {
 				t.Errorf("needs a restart: %v", got)
 			}
 		})
 	}
 }
 
-// A query is answered by the goroutine of the reducer, or fails when its time is up.
-func TestQuery(t *testing.T) {
+// A query is answered by the cluster's loop, or fails with errNoAnswer when its context ends.
+func TestQueryOfTheClusterLoop(t *testing.T) {
 	queries := make(chan chan int)
 	go func() { (<-queries) <- 7 }()
 	if got, err := query(t.Context(), queries); err != nil || got != 7 {
--- a/internal/server/disk_test.go
+++ b/internal/server/disk_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// faultyDisk is a disk in memory. It fails as it is told to, or hangs until the test ends.
+// faultyDisk is a file system in memory whose operations can be made to fail, or to hang until the test ends.
 type faultyDisk struct {
 	mu       sync.Mutex
-	files    map[string][]byte
-	fail     error
-	hangs    string // operation that does not return
-	hung     chan struct{}
-	released chan struct{}
+	files    map[string][]byte // guarded by mu
+	fail     error             // guarded by mu; of each write
+	hangs    string            // guarded by mu; name of the operation that hangs
+	hung     chan struct{}     // gets an item for each operation that hangs
+	released chan struct{}     // closed when the test ends, which ends operations that hang
 }
 
 func newFaultyDisk(t *testing.T) *faultyDisk {
@@ -29,6 +29,7 @@
 	return d
 }
 
+// set makes writes fail with an error, and an operation hang.
 func (d *faultyDisk) set(fail error, hangs string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -41,8 +42,8 @@
 	return len(d.files)
 }
 
-// do runs an operation, unless the disk hangs or fails there.
-func (d *faultyDisk) do(operation string, f func()) error {
+// do runs an operation under mu, unless it hangs or fails.
+func (d *faultyDisk) do(operation string, run func()) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.hangs == operation {
@@ -55,20 +56,20 @@
 	if d.fail != nil && operation == "write" {
 		return d.fail
 	}
-	f()
+	run()
 	return nil
 }
 
 func (d *faultyDisk) Open(path string) (file io.ReadCloser, err error) {
-	missing := d.do("open", func() {
+	err = d.do("open", func() {
 		if raw, ok := d.files[path]; ok {
 			file = io.NopCloser(bytes.NewReader(raw))
 		}
 	})
-	if missing == nil && file == nil {
-		missing = os.ErrNotExist
+	if err == nil && file == nil {
+		err = os.ErrNotExist
 	}
-	return file, missing
+	return file, err
 }
 
 func (d *faultyDisk) Create(path string) (snapshot.File, error) {
@@ -101,11 +102,11 @@
 
 func (f *faultyFile) Close() error { return f.disk.do("close", func() {}) }
 
-// slowDisk takes a while to force a file to the disk.
+// slowDisk is a disk on which each fsync of a file takes some time.
 type slowDisk struct {
 	*faultyDisk
-	each  time.Duration
-	syncs atomic.Int32
+	syncTime time.Duration
+	syncs    atomic.Int32 // number of fsyncs begun
 }
 
 func (d *slowDisk) Create(path string) (snapshot.File, error) {
@@ -120,6 +121,6 @@
 
 func (f *slowFile) Sync() error {
 	f.disk.syncs.Add(1)
-	time.Sleep(f.disk.each)
+	time.Sleep(f.disk.syncTime)
 	return f.File.Sync()
 }
--- a/internal/server/listen_test.go
+++ b/internal/server/listen_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// An address that may be had in a moment is waited for at the start; other errors are reported at once.
+// Listening is retried if the address is in use or this machine lacks resources, and after no other error.
 func TestIsTransientListenError(t *testing.T) {
 	for errno, want := range map[syscall.Errno]bool{
 		syscall.EADDRINUSE:    true,
--- a/internal/server/log_test.go
+++ b/internal/server/log_test.go
@@ -21,7 +21,8 @@
 	return logevent.Kind{Name: "endpoint_ejected", Level: logevent.Warn, Message: "endpoint ejected as an outlier"}
 }
 
-func TestWriteEvent(t *testing.T) {
+// A duration is written in milliseconds, an error as its text, and an empty omitempty field not at all.
+func TestWriteEventAsJSON(t *testing.T) {
 	var out bytes.Buffer
 	event := loggedEvent{Endpoint: 17, Elapsed: 1500 * time.Microsecond, Cause: errors.New("connection refused")}
 	WriteEvent(zerolog.New(&out), event)
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -12,8 +12,8 @@
 	"testing"
 )
 
-// A configuration that can't be read for want of descriptors or memory is read once it can be; a faulty one
-// is reported at once.
+// Loading is retried while this machine lacks descriptors or memory, which is logged once. Other errors are returned
+// at once.
 func TestLoadWithRetry(t *testing.T) {
 	for errno, attempts := range map[syscall.Errno]int{
 		syscall.EMFILE: 4,
@@ -52,7 +52,7 @@
 			}
 		})
 	}
-	t.Run("the server ends", func(t *testing.T) {
+	t.Run("the retries end with the server", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		load := func() (*config.Config, *operatorconfig.File, error) { return nil, nil, syscall.EMFILE }
--- a/internal/server/running_test.go
+++ b/internal/server/running_test.go
@@ -21,7 +21,7 @@
 	"github.com/rs/zerolog"
 )
 
-// lockedBuffer is a log that is read while it is written.
+// lockedBuffer is a log that can be read while it is written.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer // guarded by mu
@@ -33,7 +33,7 @@
 	return b.text.Write(raw)
 }
 
-// count counts the lines of an event whose fields have a part.
+// count returns the number of lines of an event that contain a part.
 func (b *lockedBuffer) count(event logevent.Event, part string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,7 +47,7 @@
 	return count
 }
 
-// runningServer is a server that serves within the test, and keeps snapshots on a disk.
+// runningServer is a server that runs in the process of the test.
 type runningServer struct {
 	address  string
 	log      *lockedBuffer
@@ -55,15 +55,15 @@
 	ended    chan error    // what Run returned
 }
 
-// testConfig is a configuration of a router with one cache, with the address of the router, that of
-// discovery, what that has published, and the longest deadline in seconds left open.
+// testConfig is the format of a configuration with one cache. Its arguments are the address of the router, that of the
+// discovery service, the known watch events, and the longest deadline in seconds.
 const testConfig = `{"name":"n1","listen":%q,"seed":"07","limits":{"cores":1,"memory_mb":64,"sockets":256},
  "journal":%q,"known":%s,"settings":{"balancers":1,"locality":"here","failureDomains":["here"],"machineTypes":["cache"],
  "limits":{"attemptsCap":6,"dialTimeoutS":0.4,"connIdleS":30,"streamsPerConn":100,"maxOpen":1000},
  "profiles":[{"name":"stills","onTimeS":0.1,"deadlineS":%g,"points":1,"effect":"retryable"}]}}`
 
-// startServer starts a server that writes a snapshot to a disk in each interval. Its clients' deadline is
-// this at most.
+// startServer starts a server that stores snapshots on a disk, one in each interval. deadline is the longest deadline
+// of its clients.
 func startServer(t *testing.T, disk snapshot.FileSystem, deadline, interval time.Duration) *runningServer {
 	t.Helper()
 	discovery, err := discoveryserver.Start()
@@ -94,7 +94,7 @@
 	return running
 }
 
-// freeAddress is a loopback address that nobody listens on.
+// freeAddress returns a loopback address on which nobody listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -105,7 +105,7 @@
 	return listener.Addr().String()
 }
 
-// waitEnded waits until the server has ended, and returns false if it does not.
+// waitEnded waits until the server has ended, and returns false and fails the test if it does not.
 func (r *runningServer) waitEnded(t *testing.T) bool {
 	t.Helper()
 	select {
@@ -115,12 +115,12 @@
 		}
 		return true
 	case <-time.After(10 * time.Second):
-		t.Error("it never ended")
+		t.Error("the server did not end within 10 s")
 		return false
 	}
 }
 
-// healthy tells whether the server answers that it can serve.
+// healthy reports whether the server answers a health check and is ready.
 func (r *runningServer) healthy() bool {
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
@@ -145,11 +145,11 @@
 	return err == nil && bytes.Contains(answer, []byte{2, 0, 3, 1}) // field 3, `good`, is true
 }
 
-// eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until a condition is true.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	const timeout = 5 * time.Second
-	for end := time.Now().Add(timeout); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(timeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not within %v: %s", timeout, what)
 		}
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -13,16 +13,16 @@
 	"github.com/rs/zerolog"
 )
 
-// Routers share what a location's endpoints bear. Where a location's number is not told, all are taken to be there.
-func TestRoutersOfLocation(t *testing.T) {
+// If the settings do not state the number of routers in the location, all routers count as there.
+func TestRoutersOfLocationDefaultsToAll(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		location, all int
 		want          int
 	}{
-		{"told for the location", 3, 40, 3},
-		{"told for all", 0, 40, 40},
-		{"not told", 0, 0, 1},
+		{"stated for the location", 3, 40, 3},
+		{"stated for all", 0, 40, 40},
+		{"not stated", 0, 0, 1},
 		{"below one", 0, -2, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -34,13 +34,12 @@
 	}
 }
 
-// The discovery service is called as often as the shortest of the known graces needs.
 func TestShortestGrace(t *testing.T) {
 	for _, c := range []struct {
 		name               string
 		drain, purge, want int64
 	}{
-		{"neither is known", 0, 0, 0},
+		{"none is known", 0, 0, 0},
 		{"of drains alone", 3, 0, 3},
 		{"of purges alone", 0, 2, 2},
 		{"both", 3, 2, 2},
@@ -49,23 +48,23 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			settings := control.Settings{DrainGrace: c.drain, PurgeGrace: c.purge}
-			p := New(&config.Config{Settings: settings}, nil, zerolog.Nop())
-			if got := p.shortestGrace(); got != c.want {
+			s := New(&config.Config{Settings: settings}, nil, zerolog.Nop())
+			if got := s.shortestGrace(); got != c.want {
 				t.Errorf("%d, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// A shutdown takes as long as the longest deadline.
-func TestLongestDeadline(t *testing.T) {
+func TestLongestDeadlineIsOfTheSettings(t *testing.T) {
 	settings := control.Settings{LongestDeadline: int64(3 * time.Second)}
 	if got := New(&config.Config{Settings: settings}, nil, zerolog.Nop()).longestDeadline(); got != 3*time.Second {
 		t.Errorf("%v", got)
 	}
 }
 
-// Caches and parents are probed, each by its own time of warming up; the origin, and what is not ready, are not.
+// Ready caches and parents are probed, each kind with its own duration of slow start. The origin and endpoints that are
+// not ready are not probed.
 func TestTargetsByKind(t *testing.T) {
 	const started = int64(10 * time.Second)
 	parent, origin := "parent", "origin"
@@ -75,19 +74,19 @@
 		CacheSlowStart:  control.SlowStartSettings{WarmUpDuration: int64(time.Hour)},
 		ParentSlowStart: control.SlowStartSettings{WarmUpDuration: int64(2 * time.Hour)},
 	}
-	var lines []router.EndpointEntry
-	for _, line := range []struct{ name, kind, phase string }{
+	var entries []router.EndpointEntry
+	for _, entry := range []struct{ name, kind, phase string }{
 		{"a", "cache", "ready"},
 		{"b", "parent", "ready"},
 		{"c", "origin", "ready"},
 		{"d", "cache", "draining"},
 		{"e", "", "ready"},
 	} {
-		endpoint := control.Endpoint{Kind: line.kind, Phase: line.phase, StartedAt: started}
-		lines = append(lines, router.EndpointEntry{Instance: line.name, Endpoint: endpoint})
+		endpoint := control.Endpoint{Kind: entry.kind, Phase: entry.phase, StartedAt: started}
+		entries = append(entries, router.EndpointEntry{Instance: entry.name, Endpoint: endpoint})
 	}
 	node := &clusterNode{clock: clocktest.Running(0), targetsChanged: make(chan struct{}, 1)}
-	node.setEndpoints(lines, settings)
+	node.setEndpoints(entries, settings)
 	targets := *node.targets.Load()
 	if len(targets) != 3 {
 		t.Fatalf("%d targets: %+v", len(targets), targets)
@@ -102,15 +101,18 @@
 	}
 }
 
-// Settings that can't be used keep a process from starting, with all that is wrong in the error. An operator's file is checked
-// against the rest of them all the same.
-func TestUnusableSettings(t *testing.T) {
+// A server can't start with unusable settings, and the error has the reason. An operator's file can still be checked
+// against the other settings.
+func TestUnusableSettingsAreAnErrorOfTheConfiguration(t *testing.T) {
 	wrong := &control.SettingError{Key: "routers", Reason: "is missing"}
 	c := &config.Config{Settings: control.DefaultSettings(), SettingsError: wrong}
 	err := Check(c)
 	var settingError *control.SettingError
-	if !errors.Is(err, ErrConfig) || !errors.As(err, &settingError) || err.Error() != ErrConfig.Error()+": settings: "+wrong.Error() {
-		t.Error(err)
+	if !errors.Is(err, ErrConfig) || !errors.As(err, &settingError) {
+		t.Errorf("error %v of type %T", err, err)
+	}
+	if want := ErrConfig.Error() + ": settings: " + wrong.Error(); err == nil || err.Error() != want {
+		t.Errorf("error %v, want %s", err, want)
 	}
 	if err := CheckOperatorConfig(&operatorconfig.File{}, c); err != nil {
 		t.Error(err)
--- a/internal/server/snapshots_test.go
+++ b/internal/server/snapshots_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// snapshotPath is where the servers of these tests keep their snapshots.
+// snapshotPath is the path of the snapshots of these tests.
 var snapshotPath = filepath.Join("folder", "kept")
 
-// snapshotInterval is between two snapshots: many within a test.
+// snapshotInterval is the time between two snapshots: short, so that there are many in a test.
 const snapshotInterval = 20 * time.Millisecond
 
-// A disk that hangs in any call of a write: service goes on, and the process ends before it is killed.
+// If the disk hangs in any operation, requests are still served, and the process ends before it would be killed.
 func TestHungDisk(t *testing.T) {
 	for _, deadline := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond} {
 		for _, operation := range []string{"open", "remove", "create", "write", "sync", "close", "rename", "syncdir"} {
@@ -28,11 +28,12 @@
 }
 
 func testHungDisk(t *testing.T, operation string, deadline time.Duration) {
-	const killAfter = 700 * time.Millisecond // beyond the longest deadline
+	t.Helper()
+	const killAfter = 700 * time.Millisecond // after the longest deadline
 	disk := newFaultyDisk(t)
 	disk.set(nil, operation)
 	running := startServer(t, disk, deadline, snapshotInterval)
-	eventually(t, "the disk is asked", func() bool { return len(disk.hung) > 0 })
+	eventually(t, "an operation hangs", func() bool { return len(disk.hung) > 0 })
 	eventually(t, "healthy", running.healthy)
 	for range 10 {
 		time.Sleep(snapshotInterval)
@@ -41,7 +42,7 @@
 		}
 	}
 	if len(disk.hung) != 1 {
-		t.Errorf("%d calls hang, one at a time is allowed", len(disk.hung))
+		t.Errorf("%d operations hang, one at a time is allowed", len(disk.hung))
 	}
 	shutdownAt := time.Now()
 	close(running.shutdown)
@@ -52,12 +53,12 @@
 		t.Errorf("ended after %v, killed after %v", took, deadline+killAfter)
 	}
 	if count := running.log.count(SnapshotWriteFailed{}, ""); count != 1 {
-		t.Errorf("%d lines say that the last snapshot was not kept", count)
+		t.Errorf("%d events SnapshotWriteFailed, want 1", count)
 	}
 }
 
-// A disk that is full for many tries: service goes on, one line when it begins, one when it is over, and
-// then the file is there.
+// While the disk is full requests are still served. Its beginning and its end are logged once each, and afterwards the
+// file has a snapshot.
 func TestFullDisk(t *testing.T) {
 	disk := newFaultyDisk(t)
 	disk.set(syscall.ENOSPC, "")
@@ -80,7 +81,7 @@
 	failed := running.log.count(SnapshotWriteFailed{}, "")
 	recovered := running.log.count(SnapshotWriteRecovered{}, "")
 	if failed != 1 || recovered != 1 {
-		t.Errorf("%d and %d lines", failed, recovered)
+		t.Errorf("%d events SnapshotWriteFailed and %d SnapshotWriteRecovered, want 1 of each", failed, recovered)
 	}
 	stored, err := snapshot.NewStoreWithFileSystem(disk, snapshotPath).Read()
 	if err != nil || len(stored.Endpoints) != 1 {
@@ -91,13 +92,13 @@
 	}
 }
 
-// What a process knows as its shutdown begins is kept, also where the disk is still busy with an earlier
-// snapshot.
+// The last snapshot, of when the shutdown begins, is stored even if an earlier one is still being written.
 func TestLastSnapshotIsKept(t *testing.T) {
 	disk := newFaultyDisk(t)
-	slow := &slowDisk{faultyDisk: disk, each: 100 * time.Millisecond}
-	running := startServer(t, slow, 300*time.Millisecond, 1500*time.Millisecond) // none but the last is due before the end
-	eventually(t, "a write is under way", func() bool { return slow.syncs.Load() == 1 })
+	slow := &slowDisk{faultyDisk: disk, syncTime: 100 * time.Millisecond}
+	// With this interval only one snapshot, and the last, are written before the end.
+	running := startServer(t, slow, 300*time.Millisecond, 1500*time.Millisecond)
+	eventually(t, "a write is in progress", func() bool { return slow.syncs.Load() == 1 })
 	shutdownAt := time.Now()
 	close(running.shutdown)
 	running.waitEnded(t)
