--- a/internal/snapshot/compatible_test.go
+++ b/internal/snapshot/compatible_test.go
@@ -13,55 +13,107 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// firstFile was written by Write of commit 9be9074, from the value that is spelled out below.
+// firstFile was written by Write of commit 9be9074, from the value in TestFileOfFirstVersionIsCompatible.
 var firstFile = filepath.Join("testdata", "9be9074.snapshot")
 
-// A file that commit 9be9074 wrote is read with each field as it was, whatever the fields are called by now.
-func TestReadsFirstFile(t *testing.T) {
+// firstEndpoints is the endpoint list of firstFile.
+var firstEndpoints = []router.EndpointEntry{
+	{
+		Instance: "s-00c41f7a",
+		Address:  "10.1.0.9:10080",
+		Endpoint: control.Endpoint{
+			ID:        2166136261,
+			Location:  "east",
+			Kind:      "std",
+			Cell:      2,
+			Phase:     "ready",
+			Capacity:  4,
+			StartedAt: 1764576000123000000,
+		},
+	},
+	{
+		Instance: "s-00c41f7b",
+		Address:  "10.1.0.10:10080",
+		Endpoint: control.Endpoint{
+			ID:       16777619,
+			Location: "west",
+			Kind:     "large",
+			Cell:     3,
+			Phase:    "draining",
+			Capacity: 0.5,
+		},
+	},
+	{
+		Instance: "p-1",
+		Address:  "10.1.1.1:10080",
+		Endpoint: control.Endpoint{
+			ID:        7,
+			Location:  "east",
+			Kind:      "parent",
+			Cell:      -1,
+			Phase:     "ready",
+			Capacity:  1,
+			StartedAt: 1,
+		},
+	},
+}
+
+// firstMemory is what the policy had learned according to firstFile.
+var firstMemory = control.Snapshot{
+	StartedAt:       1764575000000000001,
+	TakenAt:         1764576123456789001,
+	RequestCount:    812.25,
+	RequestCountAt:  1764576123000000002,
+	AdmissionLimits: [3]float64{0.75, 1.5, 4},
+	Classes: []control.ClassSnapshot{
+		{Name: "sign-off", SendingTime: 0.125, ResponseTime: 0.25, Samples: 12},
+		{Name: "stills", SendingTime: 0.0625, ResponseTime: 0.5, Samples: 900.5},
+	},
+	Objects: []control.ObjectSnapshot{
+		{
+			Object:      "7f3a9c21e0b4d655",
+			Part:        3,
+			Group:       17,
+			Count:       2.5,
+			Purges:      1.25,
+			CountedAt:   1764576100000000003,
+			FirstSeenAt: 1764575500000000004,
+			Evicted:     true,
+		},
+		{
+			Object:      "4be0c1927d55a6f3",
+			Part:        0,
+			Group:       255,
+			Count:       40.75,
+			Purges:      0.5,
+			CountedAt:   1764576120000000005,
+			FirstSeenAt: 1764575100000000006,
+		},
+	},
+	Purges: []control.PurgeSnapshot{
+		{Name: "7f3a9c21e0b4d655", PurgedAt: 1764576000123000007},
+		{Name: "g17", PurgedAt: 1764576000480000008},
+	},
+}
+
+// A file of commit 9be9074 is read with all its fields, and a file written now can be read by that commit: Go names of
+// fields may have changed, stored names have not.
+func TestFileOfFirstVersionIsCompatible(t *testing.T) {
 	got, err := NewStore(firstFile).Read()
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := Snapshot{
-		Header:   restore.Header{Version: 1, Router: "n041", SettingsDigest: 0xc0ffee1234567890, TakenAt: 1764576123456789000},
-		Position: 4711,
-		Digest:   0x9e3779b97f4a7c15,
-		Endpoints: []router.EndpointEntry{
-			{Instance: "s-00c41f7a", Address: "10.1.0.9:10080", Endpoint: control.Endpoint{
-				ID: 2166136261, Location: "east", Kind: "std",
-				Cell: 2, Phase: "ready", Capacity: 4, StartedAt: 1764576000123000000,
-			}},
-			{Instance: "s-00c41f7b", Address: "10.1.0.10:10080", Endpoint: control.Endpoint{
-				ID: 16777619, Location: "west", Kind: "large",
-				Cell: 3, Phase: "draining", Capacity: 0.5,
-			}},
-			{Instance: "p-1", Address: "10.1.1.1:10080", Endpoint: control.Endpoint{
-				ID: 7, Location: "east", Kind: "parent", Cell: -1,
-				Phase: "ready", Capacity: 1, StartedAt: 1,
-			}},
-		},
-		Memory: control.Snapshot{
-			StartedAt: 1764575000000000001, TakenAt: 1764576123456789001, RequestCount: 812.25, RequestCountAt: 1764576123000000002,
-			AdmissionLimits: [3]float64{0.75, 1.5, 4},
-			Classes: []control.ClassSnapshot{
-				{Name: "sign-off", SendingTime: 0.125, ResponseTime: 0.25, Samples: 12},
-				{Name: "stills", SendingTime: 0.0625, ResponseTime: 0.5, Samples: 900.5},
-			},
-			Objects: []control.ObjectSnapshot{
-				{
-					Object: "7f3a9c21e0b4d655", Part: 3, Group: 17, Count: 2.5, Purges: 1.25, CountedAt: 1764576100000000003,
-					FirstSeenAt: 1764575500000000004, Evicted: true,
-				},
-				{
-					Object: "4be0c1927d55a6f3", Part: 0, Group: 255, Count: 40.75, Purges: 0.5, CountedAt: 1764576120000000005,
-					FirstSeenAt: 1764575100000000006,
-				},
-			},
-			Purges: []control.PurgeSnapshot{
-				{Name: "7f3a9c21e0b4d655", PurgedAt: 1764576000123000007},
-				{Name: "g17", PurgedAt: 1764576000480000008},
-			},
+		Header: restore.Header{
+			Version:        1,
+			Router:         "n041",
+			SettingsDigest: 0xc0ffee1234567890,
+			TakenAt:        1764576123456789000,
 		},
+		Position:  4711,
+		Digest:    0x9e3779b97f4a7c15,
+		Endpoints: firstEndpoints,
+		Memory:    firstMemory,
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v\nwant %+v", got, want)
@@ -74,11 +126,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	holds(t, "", stored(t, written), stored(t, raw))
+	expectFields(t, "", decodeContent(t, written), decodeContent(t, raw))
 }
 
-// stored is a file's content as it is on the disk, without the program's types.
-func stored(t *testing.T, raw []byte) (content any) {
+// decodeContent decodes a file's content without the types of this program.
+func decodeContent(t *testing.T, raw []byte) (content any) {
 	t.Helper()
 	if err := cbor.Unmarshal(raw[headBytes:], &content); err != nil {
 		t.Fatal(err)
@@ -86,15 +138,15 @@
 	return content
 }
 
-// holds checks that all that one content names is in another, under the same names: the version before reads
-// it.
-func holds(t *testing.T, path string, have, want any) {
+// expectFields checks that content has all fields of another, by name, with equal values. path is where they are in
+// the content, for messages.
+func expectFields(t *testing.T, path string, have, want any) {
 	t.Helper()
 	switch want := want.(type) {
 	case map[any]any:
 		fields, _ := have.(map[any]any)
 		for name, value := range want {
-			holds(t, fmt.Sprint(path, "/", name), fields[name], value)
+			expectFields(t, fmt.Sprint(path, "/", name), fields[name], value)
 		}
 	case []any:
 		items, _ := have.([]any)
@@ -103,7 +155,7 @@
 			return
 		}
 		for i, value := range want {
-			holds(t, fmt.Sprint(path, "/", i), items[i], value)
+			expectFields(t, fmt.Sprint(path, "/", i), items[i], value)
 		}
 	default:
 		if !reflect.DeepEqual(have, want) {
--- a/internal/snapshot/disk_test.go
+++ b/internal/snapshot/disk_test.go
@@ -9,32 +9,37 @@
 	"slices"
 )
 
-// errKilled is what a process that is no more would get; nothing that it asks for is done.
+// errKilled is the error of every operation after the simulated process was killed. The operation has no effect.
 var errKilled = errors.New("killed")
 
-// inode is a file's content: as processes see it, and as a loss of power leaves it.
+// inode is the content of a file: as processes read it, and as it is on the disk after a loss of power.
 type inode struct {
 	data, durable []byte
-	failed        bool // an fsync failed: what was dirty then is called clean and never reaches the disk
+	failed        bool // an fsync failed: the kernel marked the pages as clean, they are never written
 }
 
-// simulatedDisk is a FileSystem in memory that fails where it is told to, stops where its process is killed,
-// and knows what a loss of power would leave.
+// simulatedDisk is a FileSystem in memory. Its operations can be made to fail, its process can be killed after any
+// step, and it computes what would be on the disk after a loss of power.
 type simulatedDisk struct {
-	names     map[string]*inode
-	durable   map[string]*inode // as of the last SyncDir
-	calls     []string
-	fail      map[string]error // by operation, once; "write" after half of the bytes
-	killAfter int              // steps until the process is killed: each call is one, each byte of a write too
+	names     map[string]*inode // files by path, as processes see them
+	durable   map[string]*inode // files by path, as of the last SyncDir
+	calls     []string          // operations so far
+	fail      map[string]error  // error of the next call of an operation; "write" fails after half of the bytes
+	killAfter int               // steps until the process is killed: each call is a step, and each byte of a write
 }
 
 const never = 1 << 30
 
 func newSimulatedDisk() *simulatedDisk {
-	return &simulatedDisk{names: map[string]*inode{}, durable: map[string]*inode{}, fail: map[string]error{}, killAfter: never}
+	return &simulatedDisk{
+		names:     map[string]*inode{},
+		durable:   map[string]*inode{},
+		fail:      map[string]error{},
+		killAfter: never,
+	}
 }
 
-// step begins an operation: it is counted, killed or failed.
+// step begins an operation, and returns the error with which it fails, if any.
 func (d *simulatedDisk) step(operation string) error {
 	if d.killAfter--; d.killAfter < 0 {
 		return errKilled
@@ -130,15 +135,15 @@
 
 func (f *simulatedFile) Close() error { return f.disk.step("close") }
 
-// restarted is the disk as the next process finds it.
+// restarted returns the disk for the next process after this one was killed.
 func (d *simulatedDisk) restarted() *simulatedDisk {
 	next := newSimulatedDisk()
 	next.names, next.durable = maps.Clone(d.names), maps.Clone(d.durable)
 	return next
 }
 
-// afterPowerLoss is each disk that a machine may come back with: with the names of the last SyncDir or those of
-// now, and of each file what an fsync wrote, or any part of what came after it.
+// afterPowerLoss returns the disks that a machine may have after a loss of power: with the names of the last SyncDir
+// or the current ones, and for each file what was synced or, if nothing was, any part of what was written.
 func (d *simulatedDisk) afterPowerLoss() (disks []*simulatedDisk) {
 	for _, names := range []map[string]*inode{d.durable, d.names} {
 		for _, part := range []float64{0, 0.5, 1} {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -1,6 +1,7 @@
 package snapshot
 
 import (
+	"bytes"
 	"errors"
 	"os"
 	"path/filepath"
@@ -11,39 +12,51 @@
 	"testing"
 )
 
-func some() Snapshot {
+// testSnapshot returns a snapshot with an item in each of its lists.
+func testSnapshot() Snapshot {
+	endpoint := control.Endpoint{Phase: "ready", Capacity: 4}
 	return Snapshot{
-		Header: restore.Header{Version: restore.FormatVersion, Router: "n1", SettingsDigest: 7, TakenAt: 99}, Position: 5, Digest: 8,
-		Endpoints: []router.EndpointEntry{{Instance: "s-1", Address: "10.0.0.1:1", Endpoint: control.Endpoint{Phase: "ready", Capacity: 4}}},
+		Header: restore.Header{
+			Version:        restore.FormatVersion,
+			Router:         "n1",
+			SettingsDigest: 7,
+			TakenAt:        99,
+		},
+		Position:  5,
+		Digest:    8,
+		Endpoints: []router.EndpointEntry{{Instance: "s-1", Address: "10.0.0.1:1", Endpoint: endpoint}},
 		Memory: control.Snapshot{
-			TakenAt: 99, Objects: []control.ObjectSnapshot{{Object: "7f3a9c21e0b4d655", Count: 2.5, FirstSeenAt: 3}},
-			Classes: []control.ClassSnapshot{{Name: "stills", SendingTime: .1, ResponseTime: .2, Samples: 9}}, Purges: []control.PurgeSnapshot{{Name: "g3", PurgedAt: 4}},
+			TakenAt: 99,
+			Objects: []control.ObjectSnapshot{{Object: "7f3a9c21e0b4d655", Count: 2.5, FirstSeenAt: 3}},
+			Classes: []control.ClassSnapshot{{Name: "stills", SendingTime: .1, ResponseTime: .2, Samples: 9}},
+			Purges:  []control.PurgeSnapshot{{Name: "g3", PurgedAt: 4}},
 		},
 	}
 }
 
+// A snapshot that was written is read unchanged, and no temporary file is left.
 func TestRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "kept")
 	if _, err := NewStore(path).Read(); !errors.Is(err, os.ErrNotExist) {
 		t.Error(err)
 	}
-	if err := NewStore(path).Write(some()); err != nil {
+	if err := NewStore(path).Write(testSnapshot()); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := NewStore(path).Read(); err != nil || !reflect.DeepEqual(got, some()) {
+	if got, err := NewStore(path).Read(); err != nil || !reflect.DeepEqual(got, testSnapshot()) {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if err := NewStore(filepath.Join(path, "no")).Write(some()); err == nil {
-		t.Error("written below a file")
+	if err := NewStore(filepath.Join(path, "no")).Write(testSnapshot()); err == nil {
+		t.Error("written into a directory that is a file")
 	}
 	if _, err := os.Stat(path + ".new"); !errors.Is(err, os.ErrNotExist) {
-		t.Error("the file aside is left")
+		t.Error("the temporary file is left")
 	}
 }
 
-// Whatever byte is lost or turned: the file is passed over, or says the version that it is of.
-func TestCorrupt(t *testing.T) {
-	raw, err := Encode(some())
+// A file that was cut short, or in which any byte has changed, is corrupt or of another version.
+func TestDamagedFilesAreCorrupt(t *testing.T) {
+	raw, err := Encode(testSnapshot())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,10 +64,10 @@
 		if _, err := Decode(raw[:n]); !errors.Is(err, ErrCorrupt) {
 			t.Fatalf("cut to %d bytes: %v", n, err)
 		}
-		turned := append([]byte(nil), raw...)
-		turned[n] ^= 0x40
-		if s, err := Decode(turned); !errors.Is(err, ErrCorrupt) && s.Version == restore.FormatVersion {
-			t.Fatalf("byte %d turned: %+v, %v", n, s, err)
+		damaged := bytes.Clone(raw)
+		damaged[n] ^= 0x40
+		if s, err := Decode(damaged); !errors.Is(err, ErrCorrupt) && s.Version == restore.FormatVersion {
+			t.Fatalf("byte %d changed: %+v, %v", n, s, err)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "kept")
@@ -67,7 +80,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	raw, err := Encode(some())
+	raw, err := Encode(testSnapshot())
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -19,17 +19,18 @@
 	"time"
 )
 
+// path is the path of the snapshot on a simulatedDisk.
 const path = "folder/kept"
 
-// numbered is a snapshot that is told from others by its number.
+// numbered returns a snapshot that differs from others by its number.
 func numbered(number int64) Snapshot {
-	s := some()
+	s := testSnapshot()
 	s.Position = number
 	return s
 }
 
-// written is a disk on which snapshot 1 is in force.
-func written(t *testing.T) *simulatedDisk {
+// diskWithSnapshot returns a disk on which snapshot 1 is stored.
+func diskWithSnapshot(t *testing.T) *simulatedDisk {
 	t.Helper()
 	disk := newSimulatedDisk()
 	if err := NewStoreWithFileSystem(disk, path).Write(numbered(1)); err != nil {
@@ -39,8 +40,9 @@
 	return disk
 }
 
-// inForce is the number of the snapshot that a process that starts on a disk finds, once it has cleaned up.
-func inForce(t *testing.T, disk *simulatedDisk) int64 {
+// storedNumber returns the number of the snapshot that a process reads at its start, after it has removed the temporary
+// file. It fails the test if there are other files.
+func storedNumber(t *testing.T, disk *simulatedDisk) int64 {
 	t.Helper()
 	store := NewStoreWithFileSystem(disk, path)
 	if err := store.RemoveTemporary(); err != nil {
@@ -56,22 +58,22 @@
 	return got.Position
 }
 
-// A kill, or a loss of power, before and after each call and at each byte of the write: the next start finds
-// the snapshot before or the new one, whole, cleans up, and can keep the next.
+// The process is killed, or the power is lost, before and after each operation and each byte of the write. The next
+// process always reads the previous snapshot or the new one, complete, and can write another.
 func TestEveryCrashPoint(t *testing.T) {
 	found := map[int64]int{}
 	for after := 0; ; after++ {
-		disk := written(t)
+		disk := diskWithSnapshot(t)
 		disk.killAfter = after
 		err := NewStoreWithFileSystem(disk, path).Write(numbered(2))
 		for i, next := range append(disk.afterPowerLoss(), disk.restarted()) {
-			number := inForce(t, next)
+			number := storedNumber(t, next)
 			if number != 2 && (number != 1 || err == nil) {
 				t.Fatalf("killed after %d steps, outcome %d: snapshot %d, written with %v", after, i, number, err)
 			}
 			found[number]++
-			if err := NewStoreWithFileSystem(next, path).Write(numbered(3)); err != nil || inForce(t, next) != 3 {
-				t.Fatalf("killed after %d steps, outcome %d: the next is not kept, %v", after, i, err)
+			if err := NewStoreWithFileSystem(next, path).Write(numbered(3)); err != nil || storedNumber(t, next) != 3 {
+				t.Fatalf("killed after %d steps, outcome %d: the next is not stored, %v", after, i, err)
 			}
 		}
 		if err == nil {
@@ -83,8 +85,8 @@
 	}
 }
 
-// Each call fails once with each error: the file is the one before or the new one, nothing is left beside it,
-// and the next try keeps its snapshot on a file of its own.
+// Each operation fails once with each error. The file is the previous one or the new one, no temporary file is left,
+// and the next write succeeds with a new temporary file.
 func TestEveryFailure(t *testing.T) {
 	for _, operation := range []string{"remove", "create", "write", "sync", "close", "rename", "syncdir"} {
 		for _, failure := range []error{
@@ -92,7 +94,7 @@
 			syscall.EACCES, syscall.EINTR, syscall.ESTALE,
 		} {
 			t.Run(operation+" "+failure.Error(), func(t *testing.T) {
-				disk := written(t)
+				disk := diskWithSnapshot(t)
 				disk.fail[operation] = failure
 				store := NewStoreWithFileSystem(disk, path)
 				if err := store.Write(numbered(2)); !errors.Is(err, failure) {
@@ -105,15 +107,15 @@
 				if len(disk.names) != 1 {
 					t.Errorf("%d files are left", len(disk.names))
 				}
-				if got := inForce(t, disk.restarted()); got != want {
-					t.Errorf("snapshot %d is in force, want %d", got, want)
+				if got := storedNumber(t, disk.restarted()); got != want {
+					t.Errorf("snapshot %d is stored, want %d", got, want)
 				}
 				if err := store.Write(numbered(3)); err != nil {
 					t.Fatal(err)
 				}
 				for _, next := range append(disk.afterPowerLoss(), disk.restarted()) {
-					if got := inForce(t, next); got != 3 {
-						t.Errorf("snapshot %d is in force after the next try", got)
+					if got := storedNumber(t, next); got != 3 {
+						t.Errorf("snapshot %d is stored after the next write, want 3", got)
 					}
 				}
 			})
@@ -121,31 +123,31 @@
 	}
 }
 
-// A temporary file that can't be removed at once is removed by the next start, or by the next try.
+// A temporary file that can't be removed at once is removed at the next start or by the next write.
 func TestTemporaryFileThatStays(t *testing.T) {
-	disk := written(t)
-	// Of each try the first removal is for what was left before, the second for its own failure.
+	disk := diskWithSnapshot(t)
+	// Each write removes an old temporary file first, and its own if it fails.
 	store := NewStoreWithFileSystem(&failingRemoves{simulatedDisk: disk, failing: []int{2, 3}}, path)
 	disk.fail["write"] = syscall.ENOSPC
 	if err := store.Write(numbered(2)); !errors.Is(err, syscall.ENOSPC) || !errors.Is(err, syscall.EBUSY) {
 		t.Fatal(err)
 	}
-	if got := inForce(t, disk.restarted()); got != 1 {
+	if got := storedNumber(t, disk.restarted()); got != 1 {
 		t.Errorf("snapshot %d after a start", got)
 	}
 	if err := store.Write(numbered(2)); !errors.Is(err, syscall.EBUSY) {
-		t.Fatalf("written with %v though the file is there", err)
+		t.Fatalf("written with %v although the temporary file exists", err)
 	}
-	if err := store.Write(numbered(3)); err != nil || len(disk.names) != 1 || inForce(t, disk) != 3 {
-		t.Errorf("the next try: %v", err)
+	if err := store.Write(numbered(3)); err != nil || len(disk.names) != 1 || storedNumber(t, disk) != 3 {
+		t.Errorf("the next write: %v", err)
 	}
 }
 
-// failingRemoves fails some removals, counted from 1.
+// failingRemoves is a disk on which some removals fail.
 type failingRemoves struct {
 	*simulatedDisk
-	failing []int
-	count   int
+	failing []int // numbers of the removals that fail, from 1
+	count   int   // removals so far
 }
 
 func (f *failingRemoves) Remove(path string) error {
@@ -155,9 +157,9 @@
 	return f.simulatedDisk.Remove(path)
 }
 
-// A disk that is full through a thousand tries leaves the snapshot before in force, and nothing else.
+// A thousand writes to a full disk leave the previous snapshot, and no other file.
 func TestFullDisk(t *testing.T) {
-	disk := written(t)
+	disk := diskWithSnapshot(t)
 	store := NewStoreWithFileSystem(disk, path)
 	for n := range 1000 {
 		disk.fail["write"] = syscall.ENOSPC
@@ -165,18 +167,17 @@
 			t.Fatalf("try %d: %v", n, err)
 		}
 	}
-	if got := inForce(t, disk); got != 1 {
+	if got := storedNumber(t, disk); got != 1 {
 		t.Errorf("snapshot %d", got)
 	}
-	if err := store.Write(numbered(3)); err != nil || inForce(t, disk) != 3 {
+	if err := store.Write(numbered(3)); err != nil || storedNumber(t, disk) != 3 {
 		t.Error(err)
 	}
 }
 
-// After a failed fsync the same descriptor is not asked again: it would say that all is well, with nothing on
-// the disk.
+// After a failed fsync the file is not synced again: a second fsync may succeed with nothing written to the disk.
 func TestFailedFsyncIsNotTrusted(t *testing.T) {
-	disk := written(t)
+	disk := diskWithSnapshot(t)
 	store := NewStoreWithFileSystem(disk, path)
 	disk.fail["sync"] = syscall.EIO
 	if err := store.Write(numbered(2)); !errors.Is(err, syscall.EIO) {
@@ -189,67 +190,41 @@
 		t.Fatal(err)
 	}
 	for _, next := range disk.afterPowerLoss() {
-		if got := inForce(t, next); got != 2 {
+		if got := storedNumber(t, next); got != 2 {
 			t.Errorf("snapshot %d after a loss of power", got)
 		}
 	}
 }
 
-// A file that can't be read says so, and is no snapshot.
-func TestReadFails(t *testing.T) {
-	disk := written(t)
+// An error of the disk is returned by Read.
+func TestReadReturnsDiskErrors(t *testing.T) {
+	disk := diskWithSnapshot(t)
 	disk.fail["open"] = syscall.EIO
 	if got, err := NewStoreWithFileSystem(disk, path).Read(); !errors.Is(err, syscall.EIO) || got.Position != 0 {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
 
-// writerFolder has this test's program write snapshots there until it is killed.
+// writerFolder is the environment variable that makes the test's program write snapshots to a folder until it is
+// killed.
 const writerFolder = "SNAPSHOT_TEST_WRITER_FOLDER"
 
-// A real process is killed again and again while it writes to a real disk.
+// A real process is killed several times while it writes to a real disk. The file always has the last snapshot that
+// the process reported as written, or the one after it.
 func TestKilledWriter(t *testing.T) {
 	if folder := os.Getenv(writerFolder); folder != "" {
-		store := NewStore(filepath.Join(folder, "kept"))
-		for number := int64(1); ; number++ {
-			if err := store.Write(numbered(number)); err != nil {
-				fmt.Println("failed:", err)
-				os.Exit(1)
-			}
-			fmt.Println("kept", number)
-		}
+		writeUntilKilled(NewStore(filepath.Join(folder, "kept")))
 	}
 	folder := t.TempDir()
 	store := NewStore(filepath.Join(folder, "kept"))
 	for range 10 {
-		cmd := exec.Command(os.Args[0], "-test.run=^TestKilledWriter$")
-		cmd.Env = append(os.Environ(), writerFolder+"="+folder)
-		out, err := cmd.StdoutPipe()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
-		lines := bufio.NewScanner(out)
-		lines.Scan()
-		time.Sleep(time.Duration(rand.IntN(5000)) * time.Microsecond)
-		if err := cmd.Process.Kill(); err != nil {
-			t.Fatal(err)
-		}
-		last := int64(0)
-		for more := true; more; more = lines.Scan() {
-			if _, err := fmt.Sscanf(lines.Text(), "kept %d", &last); err != nil {
-				t.Fatal(lines.Text())
-			}
-		}
-		var exit *exec.ExitError
-		if err := cmd.Wait(); !errors.As(err, &exit) {
-			t.Fatalf("killed, it ended with %v", err)
-		}
+		last := killWriter(t, folder)
 		got, err := store.Read()
-		if err != nil || got.Position < last || got.Position > last+1 || !reflect.DeepEqual(got, numbered(got.Position)) {
-			t.Fatalf("%d was kept; read %+v, %v", last, got, err)
+		if err != nil || !reflect.DeepEqual(got, numbered(got.Position)) {
+			t.Fatalf("read %+v, %v", got, err)
+		}
+		if got.Position < last || got.Position > last+1 {
+			t.Fatalf("snapshot %d is stored, %d was written last", got.Position, last)
 		}
 		if err := store.RemoveTemporary(); err != nil {
 			t.Fatal(err)
@@ -260,33 +235,90 @@
 	}
 }
 
-// The largest fleet's list and a full rate table fit.
+// writeUntilKilled writes snapshots with growing numbers and prints the number of each after it was written.
+func writeUntilKilled(store *Store) {
+	for number := int64(1); ; number++ {
+		if err := store.Write(numbered(number)); err != nil {
+			fmt.Println("failed:", err)
+			os.Exit(1)
+		}
+		fmt.Println("kept", number)
+	}
+}
+
+// killWriter starts a process that runs writeUntilKilled in a folder, kills it after a random time, and returns the
+// number that it printed last.
+func killWriter(t *testing.T, folder string) (last int64) {
+	t.Helper()
+	cmd := exec.Command(os.Args[0], "-test.run=^TestKilledWriter$")
+	cmd.Env = append(os.Environ(), writerFolder+"="+folder)
+	out, err := cmd.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	lines := bufio.NewScanner(out)
+	lines.Scan()
+	time.Sleep(time.Duration(rand.IntN(5000)) * time.Microsecond)
+	if err := cmd.Process.Kill(); err != nil {
+		t.Fatal(err)
+	}
+	for more := true; more; more = lines.Scan() {
+		if _, err := fmt.Sscanf(lines.Text(), "kept %d", &last); err != nil {
+			t.Fatal(lines.Text())
+		}
+	}
+	var exit *exec.ExitError
+	if err := cmd.Wait(); !errors.As(err, &exit) {
+		t.Fatalf("the killed process ended with %v", err)
+	}
+	return last
+}
+
+// The endpoint list of the largest deployment and a full table of request rates fit into a snapshot.
 func TestLargestSnapshotFits(t *testing.T) {
-	s := some()
+	const timestamp = 1764576000123000000 // Unix ns
+	s := testSnapshot()
 	s.Endpoints, s.Memory.Objects, s.Memory.Purges = nil, nil, nil
 	for n := range 10_000 {
 		name := fmt.Sprintf("cache-server-%050d", n)
 		s.Endpoints = append(s.Endpoints, router.EndpointEntry{
-			Instance: name, Address: "127.100.100.100:10080",
+			Instance: name,
+			Address:  "127.100.100.100:10080",
 			Endpoint: control.Endpoint{
-				ID: uint32(n), Location: "a-zone-with-a-long-name", Kind: "a-kind-with-a-long-name", Cell: 1 << 20,
-				Phase: "draining", Capacity: 1.25, StartedAt: 1764576000123000000,
+				ID:        uint32(n),
+				Location:  "a-zone-with-a-long-name",
+				Kind:      "a-kind-with-a-long-name",
+				Cell:      1 << 20,
+				Phase:     "draining",
+				Capacity:  1.25,
+				StartedAt: timestamp,
 			},
 		})
 	}
 	for n := range MaxObjects {
 		s.Memory.Objects = append(s.Memory.Objects, control.ObjectSnapshot{
-			Object: fmt.Sprintf("%016x", n), Part: 1 << 20, Group: 255,
-			Count: 1.1, Purges: 2.2, CountedAt: 1764576000123000000, FirstSeenAt: 1764576000123000000,
+			Object:      fmt.Sprintf("%016x", n),
+			Part:        1 << 20,
+			Group:       255,
+			Count:       1.1,
+			Purges:      2.2,
+			CountedAt:   timestamp,
+			FirstSeenAt: timestamp,
+		})
+		s.Memory.Purges = append(s.Memory.Purges, control.PurgeSnapshot{
+			Name:     fmt.Sprintf("%016x", n),
+			PurgedAt: timestamp,
 		})
-		s.Memory.Purges = append(s.Memory.Purges, control.PurgeSnapshot{Name: fmt.Sprintf("%016x", n), PurgedAt: 1764576000123000000})
 	}
 	store := NewStore(filepath.Join(t.TempDir(), "kept"))
 	if err := store.Write(s); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := store.Read(); err != nil || !reflect.DeepEqual(got, s) {
-		t.Errorf("%d members, %d objects, %v", len(got.Endpoints), len(got.Memory.Objects), err)
+		t.Errorf("%d endpoints, %d objects, %v", len(got.Endpoints), len(got.Memory.Objects), err)
 	}
 	raw, err := Encode(s)
 	if err != nil || len(raw) > maxFileBytes/2 {
@@ -294,9 +326,9 @@
 	}
 }
 
-// A snapshot that is too large is not stored, and the one before stays.
-func TestTooLarge(t *testing.T) {
-	disk := written(t)
+// A snapshot that is too large is not stored, and the previous one stays.
+func TestTooLargeSnapshotIsNotStored(t *testing.T) {
+	disk := diskWithSnapshot(t)
 	large := numbered(2)
 	large.Router = strings.Repeat("n", maxFileBytes)
 	var size *SizeError
@@ -307,7 +339,7 @@
 	if want := fmt.Sprintf("a snapshot of %d bytes, 8388608 can be", size.Bytes); err.Error() != want {
 		t.Errorf("%v, want %s", err, want)
 	}
-	if got := inForce(t, disk); got != 1 {
+	if got := storedNumber(t, disk); got != 1 {
 		t.Errorf("snapshot %d", got)
 	}
 }
