--- a/internal/adminsocket/accept_test.go
+++ b/internal/adminsocket/accept_test.go
@@ -15,7 +15,7 @@
 type failingListener struct {
 	net.Listener
 	err  error
-	left atomic.Int64
+	left atomic.Int64 // failures left
 }
 
 func (f *failingListener) Accept() (net.Conn, error) {
@@ -25,22 +25,26 @@
 	return f.Listener.Accept()
 }
 
+// acceptError returns an error as net.Listener.Accept does.
 func acceptError(errno syscall.Errno) error {
 	return &net.OpError{Op: "accept", Net: "unix", Err: os.NewSyscallError("accept4", errno)}
 }
 
-func TestAcceptWaitsOutErrorsOfThisMachine(t *testing.T) {
+// Errors of accept by a lack of resources are retried after acceptRetryDelay.
+func TestAcceptRetriesErrorsOfThisMachine(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "s")
 			listener := listen(t, path, errno, 3)
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
-			one := func(context.Context, []string) (any, error) { return 1, nil }
-			go func() { ended <- accept(ctx, listener, map[string]Handler{"x": one}) }()
-			begun, answer := time.Now(), 0
-			if err := Query(ctx, path, &answer, "x"); err != nil || answer != 1 || time.Since(begun) < 3*acceptRetryDelay {
-				t.Errorf("%d, %v after %v", answer, err, time.Since(begun))
+			answerOne := func(context.Context, []string) (any, error) { return 1, nil }
+			go func() { ended <- accept(ctx, listener, map[string]Handler{"x": answerOne}) }()
+			startedAt := time.Now()
+			answer := 0
+			err := Query(ctx, path, &answer, "x")
+			if took := time.Since(startedAt); err != nil || answer != 1 || took < 3*acceptRetryDelay {
+				t.Errorf("answer %d, %v after %v", answer, err, took)
 			}
 			cancel()
 			if err := <-ended; err != nil {
@@ -50,14 +54,14 @@
 	}
 }
 
-func TestAcceptEndsByOtherErrors(t *testing.T) {
+func TestAcceptReturnsOtherErrors(t *testing.T) {
 	listener := listen(t, filepath.Join(t.TempDir(), "s"), syscall.EINVAL, 1)
 	if err := accept(t.Context(), listener, nil); err == nil {
-		t.Error("an error that does not pass is waited out")
+		t.Error("a permanent error is retried")
 	}
 }
 
-// listen opens a socket whose first accepts fail.
+// listen opens a socket whose first accepts fail, as many as failures.
 func listen(t *testing.T, path string, errno syscall.Errno, failures int64) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("unix", path)
--- a/internal/adminsocket/adminsocket_test.go
+++ b/internal/adminsocket/adminsocket_test.go
@@ -10,45 +10,57 @@
 	"time"
 )
 
-func TestCommandsOverTheSocket(t *testing.T) {
+// A socket answers commands of its owner, reports errors to the client, is not replaced while it is served, and ends
+// with its context.
+func TestServeAnswersCommandsUntilItsContextEnds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.sock")
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	serve := func() { ended <- Serve(ctx, path, map[string]Handler{"echo": echo}) }
-	go serve()
-	var got []string
-	for end := time.Now().Add(5 * time.Second); Query(ctx, path, &got, "echo", "a", "b") != nil; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("no answer")
-		}
-	}
-	if strings.Join(got, " ") != "a b" {
-		t.Errorf("%q", got)
-	}
-	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("others may open it: %v %v", info.Mode(), err)
+	go func() { ended <- Serve(ctx, path, map[string]Handler{"echo": echo}) }()
+	if got := queryUntilServed(t, path, "echo", "a", "b"); strings.Join(got, " ") != "a b" {
+		t.Errorf("answer %q", got)
 	}
-	if err := Query(ctx, path, &got, "what"); err == nil || !strings.Contains(err.Error(), "unknown command") {
-		t.Errorf("%v", err)
+	info, err := os.Stat(path)
+	if err != nil {
+		t.Fatal(err)
 	}
-	if err := Query(ctx, path, &got, "echo"); err == nil || !strings.Contains(err.Error(), "nothing to say") {
-		t.Errorf("%v", err)
-	}
-	if err := Serve(ctx, path, nil); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("a live socket was taken over: %v", err)
+	if info.Mode().Perm() != 0o600 {
+		t.Errorf("others may open the socket: %v", info.Mode())
 	}
+	expectError(t, Query(ctx, path, new([]string), "what"), "unknown command")
+	expectError(t, Query(ctx, path, new([]string), "echo"), "nothing to say")
+	expectError(t, Serve(ctx, path, nil), "another process")
 	stop()
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	if err := Query(context.Background(), path, &got, "echo"); err == nil {
-		t.Error("it answers after its end")
+	expectError(t, Query(context.Background(), path, new([]string), "echo"), "no instance answers")
+}
+
+// queryUntilServed sends a command, repeatedly until the socket is served, and returns the answer.
+func queryUntilServed(t *testing.T, path string, words ...string) (answer []string) {
+	t.Helper()
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		if Query(t.Context(), path, &answer, words...) == nil {
+			return answer
+		}
+	}
+	t.Fatal("no answer within 5 s")
+	return nil
+}
+
+// expectError checks that an error contains a text.
+func expectError(t *testing.T, err error, text string) {
+	t.Helper()
+	if err == nil || !strings.Contains(err.Error(), text) {
+		t.Errorf("error %v, want %q", err, text)
 	}
 }
 
-func echo(_ context.Context, words []string) (any, error) {
-	if len(words) == 0 {
+// echo is a handler that answers with its arguments.
+func echo(_ context.Context, arguments []string) (any, error) {
+	if len(arguments) == 0 {
 		return nil, errors.New("nothing to say")
 	}
-	return words, nil
+	return arguments, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -9,17 +9,19 @@
 	"testing"
 )
 
+// file is a valid configuration file, whose settings lack what a router needs to start.
 const file = `{"name":"n3","listen":"127.0.0.4:10080","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"journal":"127.2.0.1:2379","flow_bytes_per_s":310000,
  "known":{"pos":3,"entries":[]},"settings":{"balancers":4,"limits":{"dialTimeoutS":0.4,"streamsPerConn":100},
  "profiles":[{"name":"stills","deadlineS":2.5,"effect":"retryable"}],"novel":1}}`
 
+// Each case replaces a part of file.
 func TestParse(t *testing.T) {
 	tests := []struct {
 		name, old, new string
-		err            string
+		err            string // part of the error; empty: none
 	}{
-		{"as told", "", "", ""},
+		{"as it is", "", "", ""},
 		{"no seed", `"seed":"8c1f30d27a5be964",`, "", ""},
 		{"cut short", `"novel":1}}`, "", "line 4: unexpected end"},
 		{"not JSON", `"limits":{"cores"`, `"limits":{cores`, "line 2: invalid character"},
@@ -27,7 +29,7 @@
 		{"no address to listen on", `"listen":"127.0.0.4:10080",`, "", "listen is missing"},
 		{"no journal service", `"journal":"127.2.0.1:2379",`, "", "journal is missing"},
 		{"an address without a port", "127.2.0.1:2379", "127.2.0.1", "journal: address"},
-		{"an odd seed", "8c1f30d27a5be964", "seven", "seed"},
+		{"an invalid seed", "8c1f30d27a5be964", "seven", "seed"},
 		{"negative limits", "192", "-1", "limits"},
 		{"no settings", `"settings"`, `"sets"`, "settings is missing"},
 		{"a setting of another type", `"balancers":4`, `"balancers":"4"`, `settings: balancers: unexpected value "4"`},
@@ -51,16 +53,17 @@
 			}
 		})
 	}
-	t.Run("the environment wins", func(t *testing.T) {
-		if got, err := Parse([]byte(file), "n4", "127.0.0.5:1"); err != nil || got.Name != "n4" || got.Listen != "127.0.0.5:1" {
+	t.Run("the environment takes precedence", func(t *testing.T) {
+		got, err := Parse([]byte(file), "n4", "127.0.0.5:1")
+		if err != nil || got.Name != "n4" || got.Listen != "127.0.0.5:1" {
 			t.Errorf("%+v, %v", got, err)
 		}
 	})
 }
 
-// Settings that no router can start with are no error of the file: a running router still takes its discovery
-// address.
-func TestSettingsError(t *testing.T) {
+// Settings with which no router can start are no error of Parse, so that a running router can still use the file's
+// discovery address.
+func TestInvalidSettingsAreNoErrorOfParse(t *testing.T) {
 	config, err := Parse([]byte(file), "", "")
 	if err != nil {
 		t.Fatal(err)
@@ -70,14 +73,17 @@
 	if !errors.As(config.SettingsError, &settingError) || config.SettingsError.Error() != want {
 		t.Errorf("%v, want %s", config.SettingsError, want)
 	}
-	whole := strings.Replace(file, `{"balancers":4`, `{"balancers":4,"locality":"here","machineTypes":["cache"]`, 1)
-	config, err = Parse([]byte(strings.Replace(whole, `"deadlineS":2.5`, `"onTimeS":1,"points":1,"deadlineS":2.5`, 1)), "", "")
+	complete := strings.NewReplacer(
+		`{"balancers":4`, `{"balancers":4,"locality":"here","machineTypes":["cache"]`,
+		`"deadlineS":2.5`, `"onTimeS":1,"points":1,"deadlineS":2.5`,
+	).Replace(file)
+	config, err = Parse([]byte(complete), "", "")
 	if err != nil || config.SettingsError != nil {
 		t.Errorf("%v, %v", err, config.SettingsError)
 	}
 }
 
-func TestLoad(t *testing.T) {
+func TestLoadReportsUnreadableFiles(t *testing.T) {
 	for _, test := range []struct{ name, path, err string }{
 		{"not named", "", "LB_CONFIG is not set"},
 		{"absent", "/nowhere/config.json", "no such file"},
@@ -92,7 +98,7 @@
 	}
 }
 
-func TestErrors(t *testing.T) {
+func TestErrorsAreTyped(t *testing.T) {
 	parse := func(old, replacement string) error {
 		_, err := Parse([]byte(strings.Replace(file, old, replacement, 1)), "", "")
 		return err
@@ -106,7 +112,8 @@
 		t.Error(err)
 	}
 	var line *LineError
-	if err := parse(`"limits":{"cores"`, `"limits":{cores`); !errors.As(err, &line) || line.Line != 2 || errors.Unwrap(line) == nil {
+	err := parse(`"limits":{"cores"`, `"limits":{cores`)
+	if !errors.As(err, &line) || line.Line != 2 || errors.Unwrap(line) == nil {
 		t.Error(err)
 	}
 	if err := parse("192", "-1"); !errors.Is(err, ErrNegativeLimits) {
@@ -114,11 +121,15 @@
 	}
 	var setting *SettingError
 	var value *ValueError
-	err := parse(`"dialTimeoutS":0.4`, `"dialTimeoutS":"soon"`)
-	if !errors.As(err, &setting) || setting.Key != "limits.dialTimeoutS" || !errors.As(err, &value) || value.Value != "soon" {
+	err = parse(`"dialTimeoutS":0.4`, `"dialTimeoutS":"soon"`)
+	if !errors.As(err, &setting) || setting.Key != "limits.dialTimeoutS" {
 		t.Error(err)
 	}
-	if err := parse(`{"name":"stills","deadlineS":2.5,"effect":"retryable"}`, "7"); !errors.As(err, &setting) || !errors.Is(err, ErrNotAnObject) {
+	if !errors.As(err, &value) || value.Value != "soon" {
+		t.Error(err)
+	}
+	err = parse(`{"name":"stills","deadlineS":2.5,"effect":"retryable"}`, "7")
+	if !errors.As(err, &setting) || !errors.Is(err, ErrNotAnObject) {
 		t.Error(err)
 	}
 	if err := parse(`"limits":{"dialTimeoutS":0.4,"streamsPerConn":100}`, `"limits":7`); !errors.Is(err, ErrNotAnObject) {
@@ -126,8 +137,8 @@
 	}
 }
 
-// A configuration is loaded anew only for the router that runs, whatever the environment says of its name.
-func TestReload(t *testing.T) {
+// Reload uses the file's name and address, not the environment's, and rejects the file of another router.
+func TestReloadOfTheSameRouterOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
 		t.Fatal(err)
@@ -156,8 +167,8 @@
 		},
 		{"a setting", `"dialTimeoutS":0.4`, `"dialTimeoutS":0.5`, "listen, settings"},
 		{"a setting that no router uses", `"balancers":4`, `"balancers":4,"selfIndex":2`, "listen, settings"},
-		{"a setting that nobody knows", `"novel":1`, `"novel":2`, "listen"},
-		{"settings that no router can start with", `"balancers":4,`, ``, "listen, settings"},
+		{"an unknown setting", `"novel":1`, `"novel":2`, "listen"},
+		{"settings with which no router can start", `"balancers":4,`, ``, "listen, settings"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if err := os.WriteFile(path, []byte(strings.Replace(file, c.old, c.new, 1)), 0o600); err != nil {
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// everySetting has each group of settings, and a value of each form.
+// everySetting has each group of settings and a value of each kind.
 const everySetting = `{"balancers":900,"selfIndex":3,"locality":"east","failureDomains":["hub","east"],"machineTypes":["std","parent","origin"],
  "discovery":"push","weights":"nominal","worthBy":"answer",
  "familyInfo":{"zoneBalancers":[0,300],"homeHub":[0,0],"feedKbPerS":[1.5,2],"clientKbPerS":500,"direct":true,"joins":true,"says":"all",
@@ -19,9 +19,9 @@
  "profiles":[{"name":"stills","points":2,"effect":"retryable","onTimeS":0.5,"deadlineS":2.5},
   {"name":"sign-off","points":1,"effect":"dedup","keyScope":"cell","dedupWindowS":1,"onTimeS":0.25,"deadlineS":1}]}`
 
-// A snapshot's deployment is the digest of the settings as text, so that neither keys nor forms may change: the
-// text is the one that commit 9be9074 gave, whose snapshots are read still.
-func TestSettingsKeepTheirText(t *testing.T) {
+// A snapshot has the digest of the settings' text, so neither keys nor types may change. This is the text of commit
+// 9be9074, whose snapshots can still be read.
+func TestTextOfSettingsIsUnchanged(t *testing.T) {
 	set, err := ParseSettings([]byte(everySetting))
 	if err != nil {
 		t.Fatal(err)
@@ -36,8 +36,8 @@
 	}
 }
 
-// Each setting has the form that the decisions take it in.
-func TestSettingsAreWhatDecisionsTake(t *testing.T) {
+// Each setting has the type that control.DecodeSettings takes.
+func TestSettingsCanBeDecodedByControl(t *testing.T) {
 	raw, err := ParseSettings([]byte(everySetting))
 	if err != nil {
 		t.Fatal(err)
@@ -48,13 +48,13 @@
 }
 
 // The digests are those that commit eeedb81 stored in snapshots.
-func TestSettingsDigest(t *testing.T) {
+func TestSettingsDigestIsUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name, content string
 		want          uint64
 	}{
 		{"a few settings", file, 0xe4f833b541764e13},
-		{"an unknown pace of responses", strings.Replace(file, `"flow_bytes_per_s":310000,`, "", 1), 0xfdeb61330dc015e7},
+		{"an unknown rate of responses", strings.Replace(file, `"flow_bytes_per_s":310000,`, "", 1), 0xfdeb61330dc015e7},
 		{"each group", `{"listen":"127.0.0.4:10080","journal":"127.2.0.1:2379","flow_bytes_per_s":310000,"settings":` +
 			everySetting + `}`, 0xf82c469b4c23d64e},
 	} {
--- a/internal/operatorconfig/cluster_test.go
+++ b/internal/operatorconfig/cluster_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-const good = `; three instances
+// validFile is an operator's file for the instances a, b and c. Its folder is keyFolder.
+const validFile = `; three instances
 (socket "a.sock")
 (fleet
   (instances (instance a (at "127.0.0.1:7101")) (instance b (at "127.0.0.1:7102") (weight 2)) (instance c (at "127.0.0.1:7103")))
@@ -22,7 +23,7 @@
   (probe (period 1s) (within 500ms) (cold-part 5%) (cost 1ms)))
 `
 
-// keyFolder writes keys and certificates for a and b, and an expired one.
+// keyFolder returns a folder with keys and certificates for the instances a and b, and an expired certificate.
 func keyFolder(t *testing.T) string {
 	t.Helper()
 	root, err := certificates.NewRoot("root")
@@ -41,26 +42,55 @@
 	return dir
 }
 
-func TestFleetIsDecoded(t *testing.T) {
+func TestClusterIsDecoded(t *testing.T) {
 	dir := keyFolder(t)
-	file, err := Parse(good, "a", dir)
+	file, err := Parse(validFile, "a", dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := file.Cluster
-	if f.Slots != 32 || f.LeaseDuration != 1500e6 || f.RenewalInterval != 500e6 || f.MaxClockDrift != 0.01 || len(f.Instances) != 3 ||
-		f.Instances[1].Weight != 2 || f.Listen != "127.0.0.1:7101" || f.Probe.ColdPart != 0.05 || f.Probe.Cost != 0.001 ||
-		file.SocketPath != filepath.Join(dir, "a.sock") {
-		t.Errorf("%+v %+v", file, f)
+	settings := file.Cluster
+	for _, c := range []struct {
+		name      string
+		got, want any
+	}{
+		{"socket", file.SocketPath, filepath.Join(dir, "a.sock")},
+		{"slots", settings.Slots, 32},
+		{"lease", settings.LeaseDuration, int64(1500 * time.Millisecond)},
+		{"renewal", settings.RenewalInterval, int64(500 * time.Millisecond)},
+		{"drift", settings.MaxClockDrift, 0.01},
+		{"instances", len(settings.Instances), 3},
+		{"weight of b", settings.Instances[1].Weight, 2.0},
+		{"own address", settings.Listen, "127.0.0.1:7101"},
+		{"cold part", settings.Probe.ColdPart, 0.05},
+		{"cost of a probe", settings.Probe.Cost, 0.001},
+	} {
+		if c.got != c.want {
+			t.Errorf("%s: %v, want %v", c.name, c.got, c.want)
+		}
+	}
+}
+
+func TestEmptyFileIsValid(t *testing.T) {
+	if _, err := Parse("", "a", t.TempDir()); err != nil {
+		t.Error(err)
+	}
+}
+
+// Health checks need to be allowed by the settings, which also have the limits of endpoints in slow start.
+func TestApplySettingsToHealthChecks(t *testing.T) {
+	file, err := Parse(validFile, "a", keyFolder(t))
+	if err != nil {
+		t.Fatal(err)
 	}
-	if err := file.ApplySettings(false, probe.ColdLimit{}, probe.ColdLimit{}); err == nil || !strings.HasPrefix(err.Error(), "9:3: ") {
-		t.Errorf("probes where the settings allow none: %v", err)
+	limit := probe.ColdLimit{Share: 0.5}
+	if err := file.ApplySettings(false, limit, limit); err == nil || !strings.HasPrefix(err.Error(), "9:3: ") {
+		t.Errorf("health checks that are not allowed: %v", err)
 	}
-	if err := file.ApplySettings(true, probe.ColdLimit{Share: 0.5}, probe.ColdLimit{}); err != nil || f.Probe.Cache.Share != 0.5 {
-		t.Errorf("%v, %+v", err, f.Probe)
+	if err := file.ApplySettings(true, limit, probe.ColdLimit{}); err != nil {
+		t.Error(err)
 	}
-	if _, err := Parse("", "a", dir); err != nil {
-		t.Errorf("an empty file shares nothing: %v", err)
+	if got := file.Cluster.Probe.Cache; got != limit {
+		t.Errorf("limit %+v, want %+v", got, limit)
 	}
 }
 
@@ -101,9 +131,9 @@
 		{"escape", `"a.pem"`, `"a\q"`, `after \ only`},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			text := strings.Replace(good, tc.old, tc.new, 1)
-			if text == good {
-				t.Fatal("the case changes nothing")
+			text := strings.Replace(validFile, tc.old, tc.new, 1)
+			if text == validFile {
+				t.Fatal("the replacement changes nothing")
 			}
 			_, err := Parse(text, "a", dir)
 			if err == nil || !strings.Contains(err.Error(), tc.want) {
@@ -111,13 +141,13 @@
 			}
 		})
 	}
-	_, err := Parse(strings.NewReplacer("(slots 32)", "(slot 1)", "1500ms", "1ms").Replace(good), "a", dir)
+	_, err := Parse(strings.NewReplacer("(slots 32)", "(slot 1)", "1500ms", "1ms").Replace(validFile), "a", dir)
 	if err == nil || len(strings.Split(err.Error(), "\n")) < 2 {
-		t.Errorf("two faults are not both told: %v", err)
+		t.Errorf("two faults are not both reported: %v", err)
 	}
 }
 
-func TestErrorsNameKeyValueAndWhatIsAllowed(t *testing.T) {
+func TestErrorsNameKeyValueAndAllowedValues(t *testing.T) {
 	for _, tc := range []struct {
 		name, old, new string
 		want           Error
@@ -132,10 +162,10 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, err := Parse(strings.Replace(good, tc.old, tc.new, 1), "a", keyFolder(t))
+			_, err := Parse(strings.Replace(validFile, tc.old, tc.new, 1), "a", keyFolder(t))
 			var got *Error
 			if !errors.As(err, &got) {
-				t.Fatalf("%v is no Error", err)
+				t.Fatalf("error %v of type %T", err, err)
 			}
 			tc.want.Reason = got.Reason
 			if *got != tc.want {
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -6,11 +6,12 @@
 	"testing"
 )
 
-func TestStartSettingsFitTheDeployment(t *testing.T) {
+// The hold of the startup must be long enough for the first calls of all routers.
+func TestReadinessHoldIsChecked(t *testing.T) {
 	for _, c := range []struct {
 		text    string
 		routers int
-		says    string // empty: usable
+		want    string // beginning of the error; empty: none
 	}{
 		{"(start (rate 100) (hold 4s))", 300, ""},
 		{"(socket \"x\")\n (start (rate 100) (hold 2s))", 300, "2:2: 300 routers call for 3000 ms at 100 a second"},
@@ -25,18 +26,19 @@
 			if err == nil {
 				err = file.CheckReadinessHold(c.routers)
 			}
-			if (err == nil) != (c.says == "") || err != nil && !strings.HasPrefix(err.Error(), c.says) {
-				t.Errorf("%v, want %q", err, c.says)
+			if (err == nil) != (c.want == "") || err != nil && !strings.HasPrefix(err.Error(), c.want) {
+				t.Errorf("%v, want %q", err, c.want)
 			}
 		})
 	}
 }
 
-func TestConnectionSettingsFitTheDeployment(t *testing.T) {
+// The routers of a location must be able to open a connection each in reasonable time.
+func TestConnectionLimitsAreChecked(t *testing.T) {
 	for _, c := range []struct {
 		text    string
 		routers int
-		says    string // empty: usable
+		want    string // beginning of the error; empty: none
 	}{
 		{"(links (holds 60))", 300, ""},
 		{"(links (holds 60) (opens 20))", 300, ""},
@@ -51,15 +53,16 @@
 			if err == nil {
 				err = file.CheckConnections(c.routers)
 			}
-			if (err == nil) != (c.says == "") || err != nil && !strings.HasPrefix(err.Error(), c.says) {
-				t.Errorf("%v, want %q", err, c.says)
+			if (err == nil) != (c.want == "") || err != nil && !strings.HasPrefix(err.Error(), c.want) {
+				t.Errorf("%v, want %q", err, c.want)
 			}
 		})
 	}
 }
 
+// Each error has a position.
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validFile)
 	f.Add(`(a "b\n" (c ; d` + "\n" + `) )`)
 	f.Add("(((((")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -69,7 +72,7 @@
 		}
 		var first *Error
 		if !errors.As(err, &first) || first.Position.Line < 1 || first.Position.Column < 1 {
-			t.Errorf("an error without its position: %v", err)
+			t.Errorf("an error without a position: %v", err)
 		}
 	})
 }
--- a/internal/operatorconfig/idle_test.go
+++ b/internal/operatorconfig/idle_test.go
@@ -2,57 +2,105 @@
 
 import (
 	"net/netip"
+	"slices"
 	"strings"
 	"tealpath/internal/downstream/idle"
 	"testing"
+	"time"
 )
 
-func TestIdleConnectionSettings(t *testing.T) {
-	const text = `(idle (after 2h) (spread 10s) (most 10000) (per-client 50)
+// idleFile has a default policy and those of two networks, one within the other.
+const idleFile = `(idle (after 2h) (spread 10s) (most 10000) (per-client 50)
   (network "10.0.0.0/8" (after 5m) (most 200))
   (network "10.1.0.0/16" (per-client 3)))`
-	file, err := Parse(text, "a", ".")
+
+// A network inherits the values of (idle …), except for the bound on connections.
+func TestIdlePoliciesAreDecoded(t *testing.T) {
+	file, err := Parse(idleFile, "a", ".")
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := file.Idle
-	if k.MaxConnections != 10000 || len(k.Policies) != 3 || k.Policies[1] != (idle.Policy{IdleTimeout: 300e9, MaxJitter: 10e9, MaxConnections: 200, MaxPerClient: 50}) ||
-		k.Policies[2].MaxPerClient != 3 || k.Policies[2].IdleTimeout != 7200e9 {
-		t.Errorf("%+v", k)
+	decoded := file.Idle
+	if decoded.MaxConnections != 10000 {
+		t.Errorf("%d connections, want 10000", decoded.MaxConnections)
+	}
+	const maxJitter = int64(10 * time.Second)
+	want := []idle.Policy{
+		{IdleTimeout: int64(2 * time.Hour), MaxJitter: maxJitter, MaxPerClient: 50},
+		{IdleTimeout: int64(5 * time.Minute), MaxJitter: maxJitter, MaxConnections: 200, MaxPerClient: 50},
+		{IdleTimeout: int64(2 * time.Hour), MaxJitter: maxJitter, MaxPerClient: 3},
+	}
+	if !slices.Equal(decoded.Policies, want) {
+		t.Errorf("policies %+v, want %+v", decoded.Policies, want)
 	}
 	for ip, want := range map[string]uint16{"10.1.2.3": 2, "10.2.0.1": 1, "192.0.2.1": 0} {
-		if got, _ := k.PolicyByNetwork.Lookup(netip.MustParseAddr(ip)); got != want {
-			t.Errorf("%s is of network %d, want %d", ip, got, want)
+		if got, _ := decoded.PolicyByNetwork.Lookup(netip.MustParseAddr(ip)); got != want {
+			t.Errorf("%s has policy %d, want %d", ip, got, want)
 		}
 	}
-	bounds := idle.Resources{Descriptors: 20000, UpstreamConnections: 5000, MemoryBytes: 192 << 20}
-	if err := file.CheckResources(bounds, 500); err != nil {
-		t.Error(err)
-	}
-	for _, tc := range []struct {
-		old, new string
-		bounds   idle.Resources
-		want     string
+}
+
+// The bounds on connections must be within the resources of the process and within each other.
+func TestIdleBoundsAreCheckedAgainstResources(t *testing.T) {
+	const defaultMaxConnections = 500
+	resources := idle.Resources{Descriptors: 20000, UpstreamConnections: 5000, MemoryBytes: 192 << 20}
+	littleMemory := resources
+	littleMemory.MemoryBytes = 4 << 20
+	for _, c := range []struct {
+		name      string
+		old, new  string
+		resources idle.Resources
+		want      string // part of the error; empty: none
 	}{
-		{"(most 10000)", "(most 15000)", bounds, "1:1: 15000 connections: 20000 descriptors less 5000 for links"},
-		{"", "", idle.Resources{Descriptors: 20000, UpstreamConnections: 5000, MemoryBytes: 4 << 20}, "1:1: 10000 connections of 256 bytes each take 2500 KB"},
-		{"(most 200)", "(most 20000)", bounds, "2:3: 20000 connections of a network are more than the 10000 in all"},
-		{"(per-client 3)", "(per-client 30000)", bounds, "3:3: 30000 connections of a client are more"},
+		{"as it is", "", "", resources, ""},
+		{
+			"more than the descriptors", "(most 10000)", "(most 15000)", resources,
+			"1:1: 15000 connections: 20000 descriptors less 5000 for links",
+		},
+		{
+			"more than the memory", "", "", littleMemory,
+			"1:1: 10000 connections of 256 bytes each take 2500 KB",
+		},
+		{
+			"a network with more than all", "(most 200)", "(most 20000)", resources,
+			"2:3: 20000 connections of a network are more than the 10000 in all",
+		},
+		{
+			"a client with more than all", "(per-client 3)", "(per-client 30000)", resources,
+			"3:3: 30000 connections of a client are more",
+		},
 	} {
-		file, err := Parse(strings.Replace(text, tc.old, tc.new, 1), "a", ".")
-		if err == nil {
-			err = file.CheckResources(tc.bounds, 500)
-		}
-		if err == nil || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%v, want %q", err, tc.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			file, err := Parse(strings.Replace(idleFile, c.old, c.new, 1), "a", ".")
+			if err != nil {
+				t.Fatal(err)
+			}
+			expectErrorPart(t, file.CheckResources(c.resources, defaultMaxConnections), c.want)
+		})
 	}
+}
+
+func TestIdleErrorsNamePositionAndReason(t *testing.T) {
 	for text, want := range map[string]string{
-		`(idle (after 2))`: "1:14: 2 is no time", `(idle (network "10.0.0.1/8"))`: "1:16: ",
-		`(idle (network (after 1s)))`: "1:7: (network …) takes", `(idle (network "10.0.0.0/8") (network "10.0.0.0/8"))`: "1:30: network 10.0.0.0/8 stands twice",
+		`(idle (after 2))`:                                     "1:14: 2 is no time",
+		`(idle (network "10.0.0.1/8"))`:                        "1:16: ",
+		`(idle (network (after 1s)))`:                          "1:7: (network …) takes",
+		`(idle (network "10.0.0.0/8") (network "10.0.0.0/8"))`: "1:30: network 10.0.0.0/8 stands twice",
 	} {
-		if _, err := Parse(text, "a", "."); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %q", text, err, want)
-		}
+		t.Run(text, func(t *testing.T) {
+			_, err := Parse(text, "a", ".")
+			expectErrorPart(t, err, want)
+		})
+	}
+}
+
+// expectErrorPart checks that an error contains a text, or that there is none if the text is empty.
+func expectErrorPart(t *testing.T, err error, want string) {
+	t.Helper()
+	if want == "" && err == nil {
+		return
+	}
+	if want == "" || err == nil || !strings.Contains(err.Error(), want) {
+		t.Errorf("error %v, want %q", err, want)
 	}
 }
