--- a/cmd/tealpath/check.go
+++ b/cmd/tealpath/check.go
@@ -11,6 +11,7 @@
 	"github.com/urfave/cli/v3"
 )
 
+// checkCommand returns the command check.
 func checkCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "check",
@@ -22,27 +23,37 @@
 	}
 }
 
+// check checks the configuration file, that of LB_CONFIG if none is named, and the operator's file.
 func check(_ context.Context, cmd *cli.Command) error {
 	if err := checkArgs(cmd, 1); err != nil {
 		return err
 	}
-	env := func(name string) string {
-		if name == "LB_CONFIG" && cmd.Args().Present() {
+	getenv := func(name string) string {
+		if name == configVariable && cmd.Args().Present() {
 			return cmd.Args().First()
 		}
 		return os.Getenv(name)
 	}
-	path := cmd.String("operator")
-	if path != "" && env("LB_CONFIG") == "" {
-		// Alone: without the settings it can't be said whether probes are allowed.
-		operator, err := operatorconfig.Load(path, env("LB_NAME"))
-		if err != nil {
-			return cli.Exit(err, exitUsage)
-		}
-		fmt.Println(describe(path, operator))
-		return nil
+	if cmd.String(operatorFlagName) != "" && getenv(configVariable) == "" {
+		return checkOperatorFile(cmd)
 	}
-	c, err := config.Load(env)
+	return checkConfig(cmd, getenv)
+}
+
+// checkOperatorFile checks an operator's file alone, not whether it is compatible with a configuration.
+func checkOperatorFile(cmd *cli.Command) error {
+	path := cmd.String(operatorFlagName)
+	operator, err := operatorconfig.Load(path, os.Getenv(nameVariable))
+	if err != nil {
+		return cli.Exit(err, exitUsage)
+	}
+	fmt.Println(describe(path, operator))
+	return nil
+}
+
+// checkConfig checks a configuration file and, if one is named, the operator's file with it.
+func checkConfig(cmd *cli.Command, getenv func(string) string) error {
+	c, err := config.Load(getenv)
 	if err != nil {
 		return cli.Exit(err, exitUsage)
 	}
@@ -56,7 +67,7 @@
 	fmt.Printf("configuration of %s is usable: clients at %s, journal service at %s\n",
 		c.Name, c.Listen, c.DiscoveryAddress)
 	if operator != nil {
-		fmt.Println(describe(path, operator))
+		fmt.Println(describe(cmd.String(operatorFlagName), operator))
 	}
 	return nil
 }
--- a/cmd/tealpath/connections.go
+++ b/cmd/tealpath/connections.go
@@ -8,6 +8,7 @@
 	"github.com/urfave/cli/v3"
 )
 
+// connectionsCommand returns the command connections.
 func connectionsCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "connections",
@@ -18,10 +19,10 @@
 	}
 }
 
-// connections asks a running instance how many connections it has.
+// connections prints the numbers of a running instance's client connections, and its use of memory.
 func connections(ctx context.Context, cmd *cli.Command) error {
-	var status server.Connections
-	if err := query(ctx, cmd, server.ConnectionsCommand, &status); err != nil {
+	status, err := query[server.Connections](ctx, cmd, server.ConnectionsCommand)
+	if err != nil {
 		return err
 	}
 	fmt.Printf("%d connections: %d idle, %d of them at rest, %d busy, %d reading, %d fresh, %d closing; "+
--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -10,6 +10,7 @@
 	"github.com/urfave/cli/v3"
 )
 
+// diffCommand returns the command diff.
 func diffCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "diff",
@@ -21,32 +22,32 @@
 	}
 }
 
-// diff says whether two operator's files may be in force side by side, and by which steps one becomes the
-// other. Exit 1: they may not.
+// diff prints whether instances with two operator's files may run side by side, and the steps that lead from one
+// file to the other. It fails if they may not.
 func diff(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 2 {
 		return cli.Exit("diff takes two operator's files", exitUsage)
 	}
 	var settings [2]compatibility.Settings
 	for i := range settings {
-		operator, err := operatorconfig.Load(cmd.Args().Get(i), os.Getenv("LB_NAME"))
+		operator, err := operatorconfig.Load(cmd.Args().Get(i), os.Getenv(nameVariable))
 		if err != nil {
 			return cli.Exit(err, exitUsage)
 		}
 		settings[i] = operator.SharedSettings(0)
 	}
 	conflicts := compatibility.Compare(settings[0], settings[1])
-	steps, err := compatibility.MigrationPath(settings[0], settings[1])
-	if cmd.Bool("json") {
+	steps, pathErr := compatibility.MigrationPath(settings[0], settings[1])
+	if cmd.Bool(jsonFlagName) {
 		if err := printDiffJSON(conflicts, steps); err != nil {
 			return err
 		}
 	} else {
-		printDiff(conflicts, steps, err == nil)
+		printDiff(conflicts, steps)
 	}
 	switch {
-	case err != nil:
-		return cli.Exit(err, exitFailed)
+	case pathErr != nil:
+		return cli.Exit(pathErr, exitFailed)
 	case compatibility.WorstSeverity(conflicts) == compatibility.Exclusive:
 		return cli.Exit("they may not run side by side: the last step takes all instances down at once, "+
 			"or the steps above", exitFailed)
@@ -54,13 +55,14 @@
 	return nil
 }
 
-// diffOutput is what diff --json prints.
+// diffOutput is the output of diff --json. Its field names are part of the command's interface.
 type diffOutput struct {
 	Worst     string
 	Conflicts []conflictOutput
 	Steps     []compatibility.Settings
 }
 
+// conflictOutput is one conflict in diffOutput.
 type conflictOutput struct {
 	Setting, Degree, Why string
 	Rule                 int
@@ -79,15 +81,15 @@
 	return printJSON(out)
 }
 
-// printDiff prints the conflicts, and the steps if there is a way.
-func printDiff(conflicts []compatibility.Conflict, steps []compatibility.Settings, possible bool) {
+// printDiff prints the conflicts, and the steps if there are more than one.
+func printDiff(conflicts []compatibility.Conflict, steps []compatibility.Settings) {
 	for _, conflict := range conflicts {
 		fmt.Println(conflict)
 	}
 	if len(conflicts) == 0 {
 		fmt.Println("they may run side by side")
 	}
-	if !possible || len(steps) <= 1 {
+	if len(steps) <= 1 {
 		return
 	}
 	fmt.Printf("in %d steps:\n", len(steps))
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -11,6 +11,7 @@
 	"github.com/urfave/cli/v3"
 )
 
+// leasesCommand returns the command duties, which is named after the older word for leases.
 func leasesCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "duties",
@@ -21,13 +22,13 @@
 	}
 }
 
-// leases asks a running instance who holds the leases of which slots.
+// leases prints who holds the lease of each slot, as a running instance knows it.
 func leases(ctx context.Context, cmd *cli.Command) error {
-	var status cluster.Status
-	if err := query(ctx, cmd, server.LeasesCommand, &status); err != nil {
+	status, err := query[cluster.Status](ctx, cmd, server.LeasesCommand)
+	if err != nil {
 		return err
 	}
-	if cmd.Bool("json") {
+	if cmd.Bool(jsonFlagName) {
 		return printJSON(status)
 	}
 	printLeases(status)
@@ -46,6 +47,17 @@
 	}
 	out := newTable()
 	defer out.flush()
+	printLeaseMembers(out, status)
+	printSlots(out, status)
+	out.printf("\n%d targets are probed, %d of them here; "+
+		"%d probes left out to spare cold ones, %d stale findings dropped\n",
+		status.Targets, status.OwnTargets, status.Skipped, status.StaleResults)
+	out.printf("%d frames sent to other instances, %d dropped from full queues; %d probes sent\n",
+		status.Frames, status.FramesLost, status.Probes)
+}
+
+// printLeaseMembers prints a row for each member.
+func printLeaseMembers(out table, status cluster.Status) {
 	out.printf("\nMEMBER\tSTATE\tSINCE\tADDRESS\tWEIGHT\tEPOCH\n")
 	for _, member := range status.Members {
 		state := member.State
@@ -55,6 +67,10 @@
 		out.printf("%s\t%s\t%s\t%s\t%g\t%d\n",
 			member.Name, state, duration(member.SinceMS), member.Address, member.Weight, member.Epoch)
 	}
+}
+
+// printSlots prints a row for each slot, with the holder of its lease.
+func printSlots(out table, status cluster.Status) {
 	out.printf("\nSLOT\tOWNER\tNUMBER\tSINCE\tPLANNED\tWHY NOBODY\n")
 	for _, slot := range status.Slots {
 		since := ""
@@ -64,9 +80,4 @@
 		out.printf("%d\t%s\t%x\t%s\t%s\t%s\n",
 			slot.Slot, cmp.Or(slot.Holder, "-"), slot.Ballot, since, slot.Planned, slot.Reason)
 	}
-	out.printf("\n%d targets are probed, %d of them here; "+
-		"%d probes left out to spare cold ones, %d stale findings dropped\n",
-		status.Targets, status.OwnTargets, status.Skipped, status.StaleResults)
-	out.printf("%d frames sent to other instances, %d dropped from full queues; %d probes sent\n",
-		status.Frames, status.FramesLost, status.Probes)
 }
--- a/cmd/tealpath/log.go
+++ b/cmd/tealpath/log.go
@@ -11,23 +11,22 @@
 )
 
 const (
-	// maxQueuedLines is how many lines may wait for whoever reads the log.
+	// maxQueuedLines bounds the lines that are queued to be written.
 	maxQueuedLines = 1000
 
-	// logCloseTimeout bounds how long the end of the process waits for them.
+	// logCloseTimeout bounds how long the end of the process waits for queued lines.
 	logCloseTimeout = 50 * time.Millisecond
 )
 
-// logWriter writes lines in a goroutine of its own, so that whoever reads the log slowly does not hold up
-// the router. A line beyond maxQueuedLines is counted and dropped. zerolog's diode does the same by polling
-// each 0.1 s, and its Close waits for the next poll: with deadlines of 0.3 s the process would end after it
-// was to be killed.
+// logWriter writes lines in a goroutine of its own, so that a slow reader of the log does not block the router.
+// Lines beyond maxQueuedLines are dropped and counted. It is used instead of zerolog's diode, whose Close may wait
+// 0.1 s for its next poll. With deadlines of 0.3 s a process that shuts down would be killed meanwhile.
 type logWriter struct {
 	out     io.Writer
 	lines   chan []byte
-	lost    atomic.Int64 // lines that were dropped since the last LogLinesLost
-	closing chan struct{}
-	closed  chan struct{}
+	lost    atomic.Int64  // lines that were dropped since the last LogLinesLost
+	closing chan struct{} // closed by Close
+	closed  chan struct{} // closed when the goroutine has ended
 }
 
 func newLogWriter(out io.Writer) *logWriter {
@@ -41,7 +40,7 @@
 	return w
 }
 
-// Write queues a line. It never waits and never fails.
+// Write queues a copy of a line, or drops it if the queue is full. It never waits and never fails.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- bytes.Clone(line):
@@ -66,14 +65,15 @@
 	}
 }
 
+// write writes a line, after an event about lines that were dropped before it.
 func (w *logWriter) write(line []byte) {
 	if lost := w.lost.Swap(0); lost > 0 {
 		server.WriteEvent(zerolog.New(w.out), LogLinesLost{Lines: lost})
 	}
-	_, _ = w.out.Write(line) // there is nowhere else to report that the log can't be written
+	_, _ = w.out.Write(line) // if the log can't be written there is nowhere to report it
 }
 
-// Close writes what is queued, for logCloseTimeout at most.
+// Close waits until the queued lines are written, for logCloseTimeout at most.
 func (w *logWriter) Close() {
 	close(w.closing)
 	select {
--- a/cmd/tealpath/logevents.go
+++ b/cmd/tealpath/logevents.go
@@ -2,12 +2,12 @@
 
 import "tealpath/internal/logevent"
 
-// LogEvents returns one zero value of each event that the command logs itself.
+// LogEvents returns one zero value of each event that this command logs itself.
 func LogEvents() []logevent.Event { return []logevent.Event{LogLinesLost{}} }
 
-// LogLinesLost reports that whoever reads the log was too slow for some of it.
+// LogLinesLost is logged before the next line after lines were dropped because the log is read too slowly.
 type LogLinesLost struct {
-	Lines int64 `log:"lines"`
+	Lines int64 `log:"lines"` // number of lines dropped
 }
 
 // Kind returns the event's name and level.
--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -1,4 +1,5 @@
-// Command tealpath is the router.
+// Command tealpath runs the router (serve), checks and compares its files (check, diff), and queries a running
+// instance over its admin socket (duties, members, connections).
 package main
 
 import (
@@ -10,13 +11,19 @@
 	"github.com/urfave/cli/v3"
 )
 
-// version is the release's; the build may set it.
+// version is the version of the release. The build may set it.
 var version = "0.1.0"
 
-// Exit codes: usage or configuration at fault, and all other failures.
+// Exit codes.
 const (
-	exitFailed = 1
-	exitUsage  = 2
+	exitFailed = 1 // any failure but the next
+	exitUsage  = 2 // the command line, the configuration or the operator's file is invalid
+)
+
+// Environment variables that this program reads itself. Package config reads them too.
+const (
+	configVariable = "LB_CONFIG"
+	nameVariable   = "LB_NAME"
 )
 
 func main() {
@@ -30,6 +37,7 @@
 	}
 }
 
+// app returns the program's command line.
 func app() *cli.Command {
 	return &cli.Command{
 		Name:           "tealpath",
@@ -41,6 +49,7 @@
 	}
 }
 
+// commands returns all commands, in the order of the help.
 func commands() []*cli.Command {
 	return []*cli.Command{
 		serveCommand(),
@@ -53,12 +62,12 @@
 	}
 }
 
-// usageError has a command line that can't be parsed end with exitUsage.
+// usageError ends the program with exitUsage if the command line can't be parsed.
 func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
 	return cli.Exit(err, exitUsage)
 }
 
-// showHelp is what the program does without a command.
+// showHelp prints the help if there is no command. An unknown command is a usage error.
 func showHelp(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Present() {
 		return cli.Exit(fmt.Errorf("unknown command %q; see tealpath --help", cmd.Args().First()), exitUsage)
@@ -66,7 +75,7 @@
 	return cli.ShowRootCommandHelp(cmd)
 }
 
-// checkArgs returns a usage error where a command was given more arguments than it takes.
+// checkArgs returns a usage error if a command has more arguments than it takes.
 func checkArgs(cmd *cli.Command, limit int) error {
 	if cmd.Args().Len() > limit {
 		return cli.Exit(fmt.Errorf("%s: unexpected %q", cmd.Name, cmd.Args().Get(limit)), exitUsage)
--- a/cmd/tealpath/members.go
+++ b/cmd/tealpath/members.go
@@ -10,6 +10,7 @@
 	"github.com/urfave/cli/v3"
 )
 
+// membersCommand returns the command members.
 func membersCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "members",
@@ -20,13 +21,13 @@
 	}
 }
 
-// members asks a running instance which others it believes to be alive.
+// members prints the members of the cluster with their states, as a running instance knows them.
 func members(ctx context.Context, cmd *cli.Command) error {
-	var status cluster.MembersStatus
-	if err := query(ctx, cmd, server.MembersCommand, &status); err != nil {
+	status, err := query[cluster.MembersStatus](ctx, cmd, server.MembersCommand)
+	if err != nil {
 		return err
 	}
-	if cmd.Bool("json") {
+	if cmd.Bool(jsonFlagName) {
 		return printJSON(status)
 	}
 	printMembers(status)
--- a/cmd/tealpath/operator.go
+++ b/cmd/tealpath/operator.go
@@ -14,26 +14,35 @@
 	"github.com/urfave/cli/v3"
 )
 
+// Names of flags.
+const (
+	operatorFlagName = "operator"
+	socketFlagName   = "socket"
+	jsonFlagName     = "json"
+)
+
+// operatorFlag returns the flag that names the operator's file.
 func operatorFlag() []cli.Flag {
 	return []cli.Flag{&cli.StringFlag{
-		Name:  "operator",
+		Name:  operatorFlagName,
 		Usage: "the operator's `FILE`; without it instances share nothing",
 	}}
 }
 
-// socketFlags are the flags of commands that ask a running instance.
+// socketFlags returns the flags that name the socket of a running instance.
 func socketFlags() []cli.Flag {
 	return append(operatorFlag(), &cli.StringFlag{
-		Name:  "socket",
+		Name:  socketFlagName,
 		Usage: "`PATH` of the instance's Unix socket, instead of the one in the operator's file",
 	})
 }
 
-func jsonFlag(usage string) cli.Flag { return &cli.BoolFlag{Name: "json", Usage: usage} }
+// jsonFlag returns the flag for output as JSON.
+func jsonFlag(usage string) cli.Flag { return &cli.BoolFlag{Name: jsonFlagName, Usage: usage} }
 
-// operatorFile loads and checks the operator's file; nil if none is named.
+// operatorFile loads the operator's file and checks it against the configuration. It is nil if none is named.
 func operatorFile(cmd *cli.Command, c *config.Config) (*operatorconfig.File, error) {
-	path := cmd.String("operator")
+	path := cmd.String(operatorFlagName)
 	if path == "" {
 		return nil, nil
 	}
@@ -47,30 +56,30 @@
 	return operator, nil
 }
 
-// describe says in a line what a usable file means.
+// describe returns a line with the main settings of a valid operator's file.
 func describe(path string, operator *operatorconfig.File) string {
-	fleet := operator.Cluster
-	if fleet == nil {
+	settings := operator.Cluster
+	if settings == nil {
 		return fmt.Sprintf("operator's file %s is usable: instances share nothing", path)
 	}
 	probing := "nothing is probed"
-	if fleet.Probe != nil {
-		probing = fmt.Sprintf("members are probed every %s", time.Duration(fleet.Probe.Period))
+	if settings.Probe != nil {
+		probing = fmt.Sprintf("members are probed every %s", time.Duration(settings.Probe.Period))
 	}
 	return fmt.Sprintf("operator's file %s is usable: "+
 		"%d instances, %d voters of epoch %d, %d slots, lease %s, renewed every %s; %s",
-		path, len(fleet.Instances), len(fleet.Voters.Current), fleet.Voters.Epoch, fleet.Slots,
-		time.Duration(fleet.LeaseDuration), time.Duration(fleet.RenewalInterval), probing)
+		path, len(settings.Instances), len(settings.Voters.Current), settings.Voters.Epoch, settings.Slots,
+		time.Duration(settings.LeaseDuration), time.Duration(settings.RenewalInterval), probing)
 }
 
-// socket is where a running instance answers, by the flags of a command.
-func socket(cmd *cli.Command) (string, error) {
+// socketPath returns the path of a running instance's socket, by the flags of a command that takes no arguments.
+func socketPath(cmd *cli.Command) (string, error) {
 	if err := checkArgs(cmd, 0); err != nil {
 		return "", err
 	}
-	path := cmd.String("socket")
-	if path == "" && cmd.String("operator") != "" {
-		operator, err := operatorconfig.Load(cmd.String("operator"), os.Getenv("LB_NAME"))
+	path := cmd.String(socketFlagName)
+	if path == "" && cmd.String(operatorFlagName) != "" {
+		operator, err := operatorconfig.Load(cmd.String(operatorFlagName), os.Getenv(nameVariable))
 		if err != nil {
 			return "", cli.Exit(err, exitUsage)
 		}
@@ -83,16 +92,16 @@
 	return path, nil
 }
 
-// query has the running instance that the flags name answer a command.
-func query(ctx context.Context, cmd *cli.Command, command string, answer any) error {
-	path, err := socket(cmd)
+// query sends a command to the running instance that the flags name and decodes its answer.
+func query[T any](ctx context.Context, cmd *cli.Command, adminCommand string) (answer T, err error) {
+	path, err := socketPath(cmd)
 	if err != nil {
-		return err
+		return answer, err
 	}
-	if err := adminsocket.Query(ctx, path, answer, command); err != nil {
-		return cli.Exit(err, exitFailed)
+	if err := adminsocket.Query(ctx, path, &answer, adminCommand); err != nil {
+		return answer, cli.Exit(err, exitFailed)
 	}
-	return nil
+	return answer, nil
 }
 
 // printJSON prints a value as indented JSON.
--- a/cmd/tealpath/serve.go
+++ b/cmd/tealpath/serve.go
@@ -15,6 +15,7 @@
 	"github.com/urfave/cli/v3"
 )
 
+// serveCommand returns the command serve.
 func serveCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "serve",
@@ -25,11 +26,12 @@
 	}
 }
 
+// serve runs a router until SIGTERM or SIGINT, and reloads its configuration at SIGHUP.
 func serve(ctx context.Context, cmd *cli.Command) error {
 	if err := checkArgs(cmd, 0); err != nil {
 		return err
 	}
-	// Asked for from the first moment: a signal that nobody waits for ends the process at once, and not as asked.
+	// Before anything else, because by default each of these signals ends the process at once.
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	defer signal.Stop(reloadSignals)
@@ -57,7 +59,7 @@
 	return nil
 }
 
-// reloadFunc reads the configuration and the operator's file as they are when it is called.
+// reloadFunc returns a function that reloads the configuration c and the operator's file.
 func reloadFunc(cmd *cli.Command, c *config.Config) server.LoadFunc {
 	return func() (*config.Config, *operatorconfig.File, error) {
 		next, err := c.Reload(os.Getenv)
--- a/cmd/tealpath/version.go
+++ b/cmd/tealpath/version.go
@@ -8,6 +8,7 @@
 	"github.com/urfave/cli/v3"
 )
 
+// versionCommand returns the command version.
 func versionCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "version",
@@ -17,6 +18,7 @@
 	}
 }
 
+// printVersion prints the versions of the program and of Go.
 func printVersion(_ context.Context, cmd *cli.Command) error {
 	if err := checkArgs(cmd, 0); err != nil {
 		return err
