--- a/cmd/tealpath/connections.go
+++ b/cmd/tealpath/connections.go
@@ -21,8 +21,8 @@
 
 // connections prints the numbers of a running instance's client connections, and its use of memory.
 func connections(ctx context.Context, cmd *cli.Command) error {
-	status, err := query[server.Connections](ctx, cmd, server.ConnectionsCommand)
-	if err != nil {
+	var status server.Connections
+	if err := query(ctx, cmd, server.ConnectionsCommand, &status); err != nil {
 		return err
 	}
 	fmt.Printf("%d connections: %d idle, %d of them at rest, %d busy, %d reading, %d fresh, %d closing; "+
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -24,8 +24,8 @@
 
 // leases prints who holds the lease of each slot, as a running instance knows it.
 func leases(ctx context.Context, cmd *cli.Command) error {
-	status, err := query[cluster.Status](ctx, cmd, server.LeasesCommand)
-	if err != nil {
+	var status cluster.Status
+	if err := query(ctx, cmd, server.LeasesCommand, &status); err != nil {
 		return err
 	}
 	if cmd.Bool(jsonFlagName) {
--- a/cmd/tealpath/members.go
+++ b/cmd/tealpath/members.go
@@ -23,8 +23,8 @@
 
 // members prints the members of the cluster with their states, as a running instance knows them.
 func members(ctx context.Context, cmd *cli.Command) error {
-	status, err := query[cluster.MembersStatus](ctx, cmd, server.MembersCommand)
-	if err != nil {
+	var status cluster.MembersStatus
+	if err := query(ctx, cmd, server.MembersCommand, &status); err != nil {
 		return err
 	}
 	if cmd.Bool(jsonFlagName) {
--- a/cmd/tealpath/operator.go
+++ b/cmd/tealpath/operator.go
@@ -92,16 +92,16 @@
 	return path, nil
 }
 
-// query sends a command to the running instance that the flags name and decodes its answer.
-func query[T any](ctx context.Context, cmd *cli.Command, adminCommand string) (answer T, err error) {
+// query sends a command to the running instance that the flags name, and decodes its answer.
+func query(ctx context.Context, cmd *cli.Command, command string, answer any) error {
 	path, err := socketPath(cmd)
 	if err != nil {
-		return answer, err
+		return err
 	}
-	if err := adminsocket.Query(ctx, path, &answer, adminCommand); err != nil {
-		return answer, cli.Exit(err, exitFailed)
+	if err := adminsocket.Query(ctx, path, answer, command); err != nil {
+		return cli.Exit(err, exitFailed)
 	}
-	return answer, nil
+	return nil
 }
 
 // printJSON prints a value as indented JSON.
