--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -132,7 +132,8 @@
 	if !errors.As(err, &setting) || !errors.Is(err, ErrNotAnObject) {
 		t.Error(err)
 	}
-	if err := parse(`"limits":{"dialTimeoutS":0.4,"streamsPerConn":100}`, `"limits":7`); !errors.Is(err, ErrNotAnObject) {
+	err = parse(`"limits":{"dialTimeoutS":0.4,"streamsPerConn":100}`, `"limits":7`)
+	if !errors.Is(err, ErrNotAnObject) {
 		t.Error(err)
 	}
 }
@@ -162,8 +163,10 @@
 	}
 	for _, c := range []struct{ name, old, new, want string }{
 		{
-			"limits and a setting", `"memory_mb":192,"sockets":1024},"journal":"127.2.0.1:2379","flow_bytes_per_s":310000`,
-			`"memory_mb":193,"sockets":1024},"journal":"127.2.0.1:2379","flow_bytes_per_s":310001`, "listen, limits, settings",
+			"limits and a setting",
+			`"memory_mb":192,"sockets":1024},"journal":"127.2.0.1:2379","flow_bytes_per_s":310000`,
+			`"memory_mb":193,"sockets":1024},"journal":"127.2.0.1:2379","flow_bytes_per_s":310001`,
+			"listen, limits, settings",
 		},
 		{"a setting", `"dialTimeoutS":0.4`, `"dialTimeoutS":0.5`, "listen, settings"},
 		{"a setting that no router uses", `"balancers":4`, `"balancers":4,"selfIndex":2`, "listen, settings"},
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -42,7 +42,10 @@
 	}{
 		{"(links (holds 60))", 300, ""},
 		{"(links (holds 60) (opens 20))", 300, ""},
-		{"(socket \"x\")\n (links (holds 60) (opens 5))", 300, "2:2: 300 routers take 60 s to open one connection each at 5 a second"},
+		{
+			"(socket \"x\")\n (links (holds 60) (opens 5))", 300,
+			"2:2: 300 routers take 60 s to open one connection each at 5 a second",
+		},
 		{"(links (opens 5))", 3, "1:1"},
 		{"(links (holds 0))", 3, "1:15"},
 		{"(links (holds 60) (opens fast))", 3, "1:26"},
--- a/internal/router/connections_test.go
+++ b/internal/router/connections_test.go
@@ -127,7 +127,8 @@
 			Note:       1,
 		})
 	}
-	h.handle(ConnectionDown{Connection: first.Connection}) // its objects go to the other cache until it may be dialled again
+	// Its objects go to the other cache until it may be dialled again.
+	h.handle(ConnectionDown{Connection: first.Connection})
 	sent := len(h.sends)
 	h.request(100, map[string]string{"item": first.Request.Object})
 	if len(h.sends) != sent+1 || h.sends[sent].Connection == first.Connection {
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -121,7 +121,8 @@
 			router := New(start, seed, testSettings(), limits)
 			var entries []EndpointEntry
 			for n := range count {
-				entries = append(entries, cacheEntry(fmt.Sprintf("s-%06d", n), fmt.Sprintf("10.0.%d.%d:1", n/200, n%200)))
+				address := fmt.Sprintf("10.0.%d.%d:1", n/200, n%200)
+				entries = append(entries, cacheEntry(fmt.Sprintf("s-%06d", n), address))
 			}
 			router.Handle(start, EndpointListUpdated{Complete: true, Entries: entries})
 			b.ReportAllocs()
--- a/internal/router/purges_test.go
+++ b/internal/router/purges_test.go
@@ -51,8 +51,9 @@
 			response.IssuedAt, response.Body = h.now-ahead-3*second/2, []byte(":old")
 			h.respond(response)
 			if c.attempts > 1 {
-				if age := h.sends[1].Request.Attempt.MaxAge; age > second || h.sends[1].Connection != h.sends[0].Connection {
-					t.Errorf("retried with age %v on connection %d", age, h.sends[1].Connection)
+				first, retry := h.sends[0], h.sends[1]
+				if age := retry.Request.Attempt.MaxAge; age > second || retry.Connection != first.Connection {
+					t.Errorf("retried with age %v on connection %d", age, retry.Connection)
 				}
 				response.IssuedAt, response.Body = h.now-ahead-second/2, []byte(":new")
 				h.respond(response)
--- a/internal/server/running_test.go
+++ b/internal/server/running_test.go
@@ -72,7 +72,8 @@
 	}
 	t.Cleanup(discovery.Close)
 	discovery.Publish(`{"pos":%d,"hosts":{"generation":1,"reset":true,"instances":[` +
-		`{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"here","machineType":"cache","lifecycle":"active","weight":4}]}}`)
+		`{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"here","machineType":"cache",` +
+		`"lifecycle":"active","weight":4}]}}`)
 	running := &runningServer{
 		address:  freeAddress(t),
 		log:      &lockedBuffer{},
