--- /dev/null
+++ b/internal/server/limits_test.go
@@ -0,0 +1,60 @@
+package server
+
+import (
+	"slices"
+	"tealpath/internal/config"
+	"tealpath/internal/downstream"
+	"tealpath/internal/downstream/idle"
+	"tealpath/internal/operatorconfig"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+)
+
+// Half of the descriptors are for clients, unless the operator's file has another limit. Its policies get the
+// server's timeout of the first request.
+func TestClientConnectionsByTheOperatorsFile(t *testing.T) {
+	policy := idle.Policy{IdleTimeout: int64(time.Minute)}
+	for _, c := range []struct {
+		name     string
+		operator *operatorconfig.File
+		want     int
+		policies int // number of policies; 0: the platform's defaults
+	}{
+		{"no operator's file", nil, 500, 0},
+		{"a file without idle connections", &operatorconfig.File{}, 500, 0},
+		{
+			"without a limit",
+			&operatorconfig.File{Idle: &operatorconfig.IdleConnections{Policies: []idle.Policy{policy}}},
+			500, 1,
+		},
+		{
+			"with a limit",
+			&operatorconfig.File{Idle: &operatorconfig.IdleConnections{
+				MaxConnections: 70,
+				Policies:       []idle.Policy{policy, policy},
+			}},
+			70, 2,
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := New(&config.Config{MaxSockets: 1000}, c.operator, zerolog.Nop())
+			got, policies := s.clientConnections()
+			if got != c.want {
+				t.Errorf("%d connections, want %d", got, c.want)
+			}
+			if c.policies == 0 {
+				if policies != nil {
+					t.Errorf("policies %+v, want none", policies)
+				}
+				return
+			}
+			want := policy
+			want.FirstRequestTimeout = downstream.MaxIdleBeforeFirstRequest
+			if !slices.Equal(policies.Policies, slices.Repeat([]idle.Policy{want}, c.policies)) {
+				t.Errorf("policies %+v, want %d of %+v", policies.Policies, c.policies, want)
+			}
+		})
+	}
+}
--- a/internal/server/log_test.go
+++ b/internal/server/log_test.go
@@ -3,7 +3,9 @@
 import (
 	"bytes"
 	"errors"
+	"tealpath/internal/config"
 	"tealpath/internal/logevent"
+	"tealpath/internal/router"
 	"testing"
 	"time"
 
@@ -32,3 +34,39 @@
 		t.Errorf("%s, want %s", out.String(), want)
 	}
 }
+
+// An event of the reducer has the name of the endpoint that it concerns, if there is one, before its own fields.
+func TestEventOfRouterNamesItsEndpoint(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		log  router.Log
+		want string
+	}{
+		{
+			"about an endpoint",
+			router.Log{Event: loggedEvent{Endpoint: 17}, Instance: "s-a"},
+			`{"level":"warn","router":"n1","instance":"s-a","event":"endpoint_ejected","endpoint":17,"elapsed_ms":0,` +
+				`"cause":null,"message":"endpoint ejected as an outlier"}` + "\n",
+		},
+		{
+			"about no endpoint",
+			router.Log{Event: router.ConnectAvailable{}},
+			`{"level":"info","router":"n1","event":"connect_available","message":"connections can be opened again"}` + "\n",
+		},
+		{
+			"an error",
+			router.Log{Event: router.PanicRecovered{Cause: "index out of range"}},
+			`{"level":"error","router":"n1","event":"panic_recovered","cause":"index out of range",` +
+				`"message":"recovered from a panic while handling an event"}` + "\n",
+		},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var out bytes.Buffer
+			s := New(&config.Config{Name: "n1"}, nil, zerolog.New(&out))
+			s.emitOfRouter(c.log)
+			if out.String() != c.want {
+				t.Errorf("%s, want %s", out.String(), c.want)
+			}
+		})
+	}
+}
