--- a/internal/operatorconfig/cluster_test.go
+++ b/internal/operatorconfig/cluster_test.go
@@ -94,66 +94,69 @@
 	}
 }
 
+// invalidFiles are changes of validFile, each with a part of the error that it causes.
+var invalidFiles = []struct{ name, old, new, want string }{
+	{"unknown word", "(slots 32)", "(slot 32)", "6:3: unknown word slot in (fleet …); known are allow, drift"},
+	{
+		"lease shorter than three renewals", "(lease 1500ms)", "(lease 1400ms)",
+		"6:14: the lease of 1.4s is shorter than three renewals of 500ms",
+	},
+	{"a majority of none", "(now a b c)", "(now)", "5:3: no voters: a majority of none grants nothing"},
+	{"voter unknown", "(now a b c)", "(now a b d)", "5:3: voter d is not among the instances"},
+	{"voter twice", "(now a b c)", "(now a b b)", "5:3: voter b is named twice"},
+	{
+		"two changes of voters", "(epoch 1) (now a b c)", "(epoch 2) (now a b c) (before a)",
+		"5:3: voters change by one at a time",
+	},
+	{"no set before", "(epoch 1)", "(epoch 2)", "5:3: epoch 2 needs (before …)"},
+	{"own name missing", "(instance a ", "(instance x ", "3:1: a is not among the instances"},
+	{
+		"key of another certificate", `"a.key"`, `"b.key"`,
+		"7:3: certificate and key: tls: private key does not match public key",
+	},
+	{
+		"certificate of another name", `"a.pem") (key "a.key"`, `"b.pem") (key "b.key"`,
+		`7:3: the certificate does not prove "a"`,
+	},
+	{"expired certificate", `"a.pem") (key "a.key"`, `"old.pem") (key "old.key"`, "expired"},
+	{"missing file", `"roots.pem"`, `"none.pem"`, "7:3: roots: "},
+	{
+		"address outside the sets", "127.0.0.1:7102", "192.0.2.1:7102",
+		"the address 192.0.2.1:7102 of b is outside the allowed sets",
+	},
+	{"no address", "127.0.0.1:7102", "localhost:7102", `is no address such as 127.0.0.1:7101`},
+	{"same address", "127.0.0.1:7102", "127.0.0.1:7101", "instance b has the address of a"},
+	{"network with bits", "127.0.0.0/8", "127.0.0.1/8", `8:10: "127.0.0.1/8" has bits behind its length`},
+	{"no network", "127.0.0.0/8", "127/8", `8:10: "127/8" is no address, network or range`},
+	{"time without unit", "(lease 1500ms)", "(lease 1500)", "6:21: 1500 is no time such as 1500ms or 2s"},
+	{"number too large", "(slots 32)", "(slots 5000)", "6:10: 5000: 1 to 4096 can be"},
+	{"twice", "(slots 32)", "(slots 32) (slots 33)", "6:14: slots stands at line 6 already"},
+	{"lacking", "(allow ", "(deny ", "(fleet …) lacks (allow …)"},
+	{"probe part", "(cold-part 5%)", "(cold-part 40%)", "9:3: a cold part of 0.4: above 0 to 0.3 can be"},
+	{
+		"probe slower than its period", "(within 500ms)", "(within 2s)",
+		"9:3: a probe of 2000 ms takes longer than the period of 1000 ms",
+	},
+	{
+		"silence of less than two intervals", "(slots 32)", "(membership (interval 1s) (silence 1500ms))",
+		"6:3: the silence of 1.5s is shorter than two intervals of 1s",
+	},
+	{
+		"silence beside the renewal", "(slots 32)", "(membership (silence 900ms))",
+		"6:3: the silence of 900ms is shorter than two intervals of 500ms",
+	},
+	{"unknown word of membership", "(slots 32)", "(membership (probes 3))", "6:15: unknown word probes"},
+	{"no end", "(cost 1ms)))", "(cost 1ms))", "3:1: this ( has no )"},
+	{"no beginning", "(cost 1ms)))", "(cost 1ms))))", "9:64: a ) without its ("},
+	{"open text", `"a.pem"`, `"a.pem`, `has no end on its line`},
+	{"word outside", "; three instances", "three", "1:1: three stands outside any list"},
+	{"not UTF-8", "three", "\xff", "1:3: this is not UTF-8"},
+	{"escape", `"a.pem"`, `"a\q"`, `after \ only`},
+}
+
 func TestErrorsNamePositionAndReason(t *testing.T) {
 	dir := keyFolder(t)
-	for _, tc := range []struct{ name, old, new, want string }{
-		{"unknown word", "(slots 32)", "(slot 32)", "6:3: unknown word slot in (fleet …); known are allow, drift"},
-		{
-			"lease shorter than three renewals", "(lease 1500ms)", "(lease 1400ms)",
-			"6:14: the lease of 1.4s is shorter than three renewals of 500ms",
-		},
-		{"a majority of none", "(now a b c)", "(now)", "5:3: no voters: a majority of none grants nothing"},
-		{"voter unknown", "(now a b c)", "(now a b d)", "5:3: voter d is not among the instances"},
-		{"voter twice", "(now a b c)", "(now a b b)", "5:3: voter b is named twice"},
-		{
-			"two changes of voters", "(epoch 1) (now a b c)", "(epoch 2) (now a b c) (before a)",
-			"5:3: voters change by one at a time",
-		},
-		{"no set before", "(epoch 1)", "(epoch 2)", "5:3: epoch 2 needs (before …)"},
-		{"own name missing", "(instance a ", "(instance x ", "3:1: a is not among the instances"},
-		{
-			"key of another certificate", `"a.key"`, `"b.key"`,
-			"7:3: certificate and key: tls: private key does not match public key",
-		},
-		{
-			"certificate of another name", `"a.pem") (key "a.key"`, `"b.pem") (key "b.key"`,
-			`7:3: the certificate does not prove "a"`,
-		},
-		{"expired certificate", `"a.pem") (key "a.key"`, `"old.pem") (key "old.key"`, "expired"},
-		{"missing file", `"roots.pem"`, `"none.pem"`, "7:3: roots: "},
-		{
-			"address outside the sets", "127.0.0.1:7102", "192.0.2.1:7102",
-			"the address 192.0.2.1:7102 of b is outside the allowed sets",
-		},
-		{"no address", "127.0.0.1:7102", "localhost:7102", `is no address such as 127.0.0.1:7101`},
-		{"same address", "127.0.0.1:7102", "127.0.0.1:7101", "instance b has the address of a"},
-		{"network with bits", "127.0.0.0/8", "127.0.0.1/8", `8:10: "127.0.0.1/8" has bits behind its length`},
-		{"no network", "127.0.0.0/8", "127/8", `8:10: "127/8" is no address, network or range`},
-		{"time without unit", "(lease 1500ms)", "(lease 1500)", "6:21: 1500 is no time such as 1500ms or 2s"},
-		{"number too large", "(slots 32)", "(slots 5000)", "6:10: 5000: 1 to 4096 can be"},
-		{"twice", "(slots 32)", "(slots 32) (slots 33)", "6:14: slots stands at line 6 already"},
-		{"lacking", "(allow ", "(deny ", "(fleet …) lacks (allow …)"},
-		{"probe part", "(cold-part 5%)", "(cold-part 40%)", "9:3: a cold part of 0.4: above 0 to 0.3 can be"},
-		{
-			"probe slower than its period", "(within 500ms)", "(within 2s)",
-			"9:3: a probe of 2000 ms takes longer than the period of 1000 ms",
-		},
-		{
-			"silence of less than two intervals", "(slots 32)", "(membership (interval 1s) (silence 1500ms))",
-			"6:3: the silence of 1.5s is shorter than two intervals of 1s",
-		},
-		{
-			"silence beside the renewal", "(slots 32)", "(membership (silence 900ms))",
-			"6:3: the silence of 900ms is shorter than two intervals of 500ms",
-		},
-		{"unknown word of membership", "(slots 32)", "(membership (probes 3))", "6:15: unknown word probes"},
-		{"no end", "(cost 1ms)))", "(cost 1ms))", "3:1: this ( has no )"},
-		{"no beginning", "(cost 1ms)))", "(cost 1ms))))", "9:64: a ) without its ("},
-		{"open text", `"a.pem"`, `"a.pem`, `has no end on its line`},
-		{"word outside", "; three instances", "three", "1:1: three stands outside any list"},
-		{"not UTF-8", "three", "\xff", "1:3: this is not UTF-8"},
-		{"escape", `"a.pem"`, `"a\q"`, `after \ only`},
-	} {
+	for _, tc := range invalidFiles {
 		t.Run(tc.name, func(t *testing.T) {
 			text := strings.Replace(validFile, tc.old, tc.new, 1)
 			if text == validFile {
--- a/internal/server/log_test.go
+++ b/internal/server/log_test.go
@@ -51,7 +51,8 @@
 		{
 			"about no endpoint",
 			router.Log{Event: router.ConnectAvailable{}},
-			`{"level":"info","router":"n1","event":"connect_available","message":"connections can be opened again"}` + "\n",
+			`{"level":"info","router":"n1","event":"connect_available",` +
+				`"message":"connections can be opened again"}` + "\n",
 		},
 		{
 			"an error",
