--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -90,8 +90,9 @@
 			if decision == idle.AcceptSuspended && s.idle.suspendNew(conn, slot) {
 				return true
 			}
-			c := s.register(conn, slot, false)
+			c := newConnection(s, conn, slot)
 			c.arrivals.begin(s.earliestArrivalOn(conn, waitingSince), 0)
+			s.register(c)
 			s.start(ctx, c)
 			return true
 		case idle.ClientLimitReached, idle.NetworkLimitReached:
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -59,10 +59,10 @@
 	tableState  idle.State     // guarded by mu; as the table has it
 }
 
-func newConnection(s *Server, id router.ClientID, conn net.Conn, slot slotKey) *connection {
+// newConnection makes a connection that nobody else knows yet: register gives it its ID.
+func newConnection(s *Server, conn net.Conn, slot slotKey) *connection {
 	return &connection{
 		server:      s,
-		id:          id,
 		conn:        conn,
 		slot:        slot,
 		acceptedAt:  time.Now(),
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -91,21 +91,19 @@
 // SetReady sets whether health requests are answered as healthy.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// register creates the connection for a slot and assigns it an ID. responded tells whether it had a response
-// before it was suspended.
-func (s *Server) register(conn net.Conn, slot slotKey, responded bool) *connection {
+// register assigns an ID to the connection for a slot and publishes it. Other goroutines see it from then on:
+// its fields have to be set before.
+func (s *Server) register(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastID++
-	c := newConnection(s, s.lastID, conn, slot)
-	c.responded = responded
+	c.id = s.lastID
 	s.connections[c.id] = c
 	c.tableState = s.idle.attach(c)
 	if s.atLimit && s.idle.len() < s.config.MaxConnections/2 {
 		s.atLimit = false
 		s.emit(ConnectionLimitCleared{})
 	}
-	return c
 }
 
 // unregister removes a connection that is over, and frees its slot.
--- a/internal/downstream/suspend_test.go
+++ b/internal/downstream/suspend_test.go
@@ -136,3 +136,30 @@
 	expectEOF(t, unused, "the one that is idle")
 	checkHealth(t, used)
 }
+
+// A connection that is resumed is complete when the shutdown can see it first. The race detector reports it
+// otherwise.
+func TestResumeWhileShutdownLooks(t *testing.T) {
+	const count = 100
+	server, _ := startServer(t, configWithIdleTimeout(1000, time.Hour))
+	requireSuspension(t, server)
+	conns := dialIdle(t, server, count)
+	waitForSuspension(t, server)
+	answered := make(chan struct{})
+	var group sync.WaitGroup
+	group.Go(func() {
+		for {
+			select {
+			case <-answered:
+				return
+			default:
+				server.Flushed()
+			}
+		}
+	})
+	for _, conn := range conns {
+		checkHealth(t, conn)
+	}
+	close(answered)
+	group.Wait()
+}
--- a/internal/downstream/wake.go
+++ b/internal/downstream/wake.go
@@ -85,9 +85,11 @@
 		s.reject(ctx, conn)
 		return
 	}
-	c := s.register(conn, wake.slot, !taken.beforeFirstRequest)
-	c.arrivals.begin(s.now()-int64(time.Since(wake.since)), uint32(taken.segments))
+	c := newConnection(s, conn, wake.slot)
+	c.responded = !taken.beforeFirstRequest
 	c.reading = true
+	c.arrivals.begin(s.now()-int64(time.Since(wake.since)), uint32(taken.segments))
+	s.register(c)
 	s.start(ctx, c)
 }
 
