--- /dev/null
+++ b/cmd/tealpath/clockhelpers_test.go
@@ -0,0 +1,140 @@
+package main
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"strings"
+	"sync"
+	"tealpath/internal/clock"
+	"tealpath/internal/config"
+	"tealpath/internal/operatorconfig"
+	"tealpath/internal/server"
+	"tealpath/internal/testkit"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+)
+
+// clockSteps are what the wall clock is set forward by in the tests, or back.
+var clockSteps = []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour}
+
+// timedLog is the log of a router, by its lines and when they came.
+type timedLog struct {
+	mu    sync.Mutex
+	lines []string    // guarded by mu
+	times []time.Time // guarded by mu
+}
+
+// Write implements io.Writer for one line.
+func (l *timedLog) Write(raw []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lines = append(l.lines, string(bytes.TrimSpace(raw)))
+	l.times = append(l.times, time.Now())
+	return len(raw), nil
+}
+
+// find returns when a line with a part came first, and whether one did.
+func (l *timedLog) find(part string) (time.Time, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for i, line := range l.lines {
+		if strings.Contains(line, part) {
+			return l.times[i], true
+		}
+	}
+	return time.Time{}, false
+}
+
+// all returns the lines that have come.
+func (l *timedLog) all() []string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]string(nil), l.lines...)
+}
+
+// wait waits for a line with a part and returns when it came.
+func (l *timedLog) wait(t *testing.T, part string, bound time.Duration) (at time.Time) {
+	t.Helper()
+	testkit.WaitUntil(t, bound, "a line with "+part, func() (ok bool) {
+		at, ok = l.find(part)
+		return ok
+	})
+	return at
+}
+
+// clockedRouter is a router in this process on a clock of the test's, with real connections.
+type clockedRouter struct {
+	log      *timedLog
+	shutDown func()
+	ended    <-chan error
+}
+
+// serveOn starts a router on a clock and waits until it listens. It ends with the test.
+func (r *testRouter) serveOn(t *testing.T, c clock.Clock, file *operatorconfig.File) clockedRouter {
+	t.Helper()
+	environment := map[string]string{"LB_CONFIG": r.configPath, "LB_LISTEN": r.address}
+	parsed, err := config.Load(func(name string) string { return environment[name] })
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	shutdownRequested, ended, done := make(chan struct{}), make(chan error, 1), make(chan struct{})
+	log := &timedLog{}
+	go func() {
+		defer close(done)
+		served := server.New(parsed, file, zerolog.New(log), server.WithClock(c))
+		ended <- served.Run(ctx, shutdownRequested, nil, neverReload)
+	}()
+	t.Cleanup(func() {
+		stop()
+		<-done
+	})
+	testkit.WaitListening(t, r.address)
+	return clockedRouter{log: log, shutDown: sync.OnceFunc(func() { close(shutdownRequested) }), ended: ended}
+}
+
+func neverReload() (*config.Config, *operatorconfig.File, error) {
+	return nil, nil, errors.New("not in this test")
+}
+
+// clockTest is a router's configuration, and what it is started among.
+type clockTest struct {
+	*testRouter
+	caches    []*testkit.Cache
+	discovery *testkit.EventStream
+}
+
+// newClockTest starts caches and a discovery service. Where issued is not nil it returns when the copies were issued that
+// the caches respond with.
+func newClockTest(t *testing.T, issued func(testkit.CacheRequest) time.Time) clockTest {
+	t.Helper()
+	test := clockTest{discovery: testkit.StartEventStream(t)}
+	for range 2 {
+		test.caches = append(test.caches, testkit.StartCacheAt(t, "127.0.0.1:0", issued))
+	}
+	test.testRouter = newTestRouter(t, addresses(test.caches), test.discovery.Address, 1.2)
+	return test
+}
+
+// forEachStep runs a test for each step of the clock side by side, each among servers of its own.
+func forEachStep(t *testing.T, run func(t *testing.T, test clockTest, step time.Duration)) {
+	t.Helper()
+	t.Parallel()
+	for _, step := range clockSteps {
+		t.Run(step.String(), func(t *testing.T) {
+			t.Parallel()
+			run(t, newClockTest(t, nil), step)
+		})
+	}
+}
+
+// ask has an object served on a new connection.
+func (test clockTest) ask(t *testing.T, n int) {
+	t.Helper()
+	client := testkit.Dial(t, test.address)
+	defer client.Close()
+	client.ExpectServed(testkit.ObjectID(n), clientTimeout)
+}
--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -2,90 +2,77 @@
 
 import (
 	"bufio"
-	"bytes"
-	"encoding/binary"
-	"fmt"
 	"net"
-	"os"
-	"regexp"
-	"strconv"
 	"strings"
 	"sync"
 	"syscall"
 	"tealpath/internal/protocol/resp"
-	"tealpath/internal/protocol/thrift"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 )
 
-var budgetField = regexp.MustCompile(`\bbudget=(\d+)\b`)
+// budgetSlack is by how much the budget that a cache is told may differ from what the client has left.
+const budgetSlack = 150 * time.Millisecond
 
-// A client's time runs from the first byte of its request: the cache is told of no more than is left of it.
+// budget is the time that a cache was told that the client has left.
+func budget(t *testing.T, request testkit.CacheRequest) time.Duration {
+	t.Helper()
+	milliseconds := request.Number("budget")
+	if milliseconds < 0 {
+		t.Fatalf("no budget in %s", request.Fields)
+	}
+	return time.Duration(milliseconds) * time.Millisecond
+}
+
+// A client's time runs from the first byte of its request: the cache is told no more than what is left of it.
 func TestBudgetIsWhatIsLeft(t *testing.T) {
-	const limit, apart, slack = 1200 * time.Millisecond, 500 * time.Millisecond, 150 * time.Millisecond
-	caches := []*stand{newStand(t, "s-a"), newStand(t, "s-b")}
-	journal, _ := newJournal(t)
-	p := newProgram(t, caches, journal, 3)
-	over := p.run(t)
+	const timeout, betweenParts, firstPart = 1200 * time.Millisecond, 500 * time.Millisecond, 9
+	caches := startCaches(t)
+	discovery := testkit.StartEventStream(t)
+	router := newTestRouter(t, addresses(caches), discovery.Address, 3)
+	ended := router.serve(t)
 	for _, c := range []struct {
-		name  string
-		quiet time.Duration // before the request, on a connection that has been answered
-	}{{"on a new connection", 0}, {"on one that was used", 100 * time.Millisecond}, {"on one that rests", 1500 * time.Millisecond}} {
+		name     string
+		idleTime time.Duration // before the request, on a connection that has had a response
+	}{
+		{"on a new connection", 0},
+		{"on a used connection", 100 * time.Millisecond},
+		{"on a suspended connection", 1500 * time.Millisecond},
+	} {
 		t.Run(c.name, func(t *testing.T) {
-			client := dial(t, p.address)
-			if c.quiet > 0 {
-				client.want(client.call(object(1), 1200), settled)
-				<-asked(caches)
-				time.Sleep(c.quiet)
+			client := testkit.Dial(t, router.address)
+			if c.idleTime > 0 {
+				client.ExpectServed(testkit.ObjectID(1), clientTimeout)
+				time.Sleep(c.idleTime)
 			}
-			frame, sent := frameOf(client, object(2)), time.Now()
-			write(client.conn, frame[:9])
-			time.Sleep(apart)
-			write(client.conn, frame[9:])
-			select {
-			case fields := <-asked(caches):
-				left := limit - time.Since(sent)
-				found := budgetField.FindStringSubmatch(fields)
-				if found == nil {
-					t.Fatalf("no budget in %s", fields)
-				}
-				ms, _ := strconv.Atoi(found[1])
-				if told := time.Duration(ms) * time.Millisecond; told > left+slack || told < left-slack {
-					t.Errorf("told of %v, with %v left", told, left)
-				}
-			case <-time.After(patience):
-				t.Fatal("not asked")
+			frame, sentAt := client.CallFrame(testkit.ObjectID(2), timeout, "body"), time.Now()
+			testkit.Write(client.Conn, frame[:firstPart])
+			time.Sleep(betweenParts)
+			testkit.Write(client.Conn, frame[firstPart:])
+			request := testkit.WaitRequestFor(t, testkit.ObjectID(2), caches...)
+			left := timeout - request.At.Sub(sentAt)
+			if told := budget(t, request); told > left+budgetSlack || told < left-budgetSlack {
+				t.Errorf("told of %v, with %v left", told, left)
 			}
-			client.want(client.seq, settled)
+			client.Expect(client.Sequence(), testkit.Served)
 		})
 	}
-	terminate()
-	ends(t, over, 1500*time.Millisecond)
+	terminate(t)
+	testkit.ExpectEnd(t, ended, drainTimeout)
 }
 
-// asked gives what either cache is asked next.
-func asked(caches []*stand) <-chan string {
-	one := make(chan string, 1)
-	go func() {
-		select {
-		case fields := <-caches[0].asked:
-			one <- fields
-		case fields := <-caches[1].asked:
-			one <- fields
-		}
-	}()
-	return one
+// blockedCache is a cache that accepts connections and reads nothing until it is released. Little goes onto the way to it.
+type blockedCache struct {
+	address  string
+	released <-chan struct{}
+	requests chan<- testkit.CacheRequest
 }
 
-// fetched is a request that a cache has read.
-type fetched struct {
-	id, fields string
-}
-
-// deafStand is a stand-in of a cache that takes connections and reads nothing until it is let; little goes onto the way to it.
-func deafStand(t *testing.T, name string, let <-chan struct{}, read chan<- fetched) *stand {
+// startBlockedCache starts a cache that reads requests once released is closed.
+func startBlockedCache(t *testing.T, released <-chan struct{}, requests chan<- testkit.CacheRequest) blockedCache {
 	t.Helper()
-	const segment, buffer, readBuffer = 1460, 4096, 4 << 20 // bytes: what the system keeps grows with the segments
+	const segment, buffer = 1460, 4096 // bytes: what the system buffers grows with the segments
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			setOption(t, fd, syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, segment)
@@ -96,119 +83,120 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	cache := blockedCache{address: listener.Addr().String(), released: released, requests: requests}
 	var all sync.WaitGroup
-	t.Cleanup(func() { discard(listener); all.Wait() })
+	t.Cleanup(func() {
+		testkit.Close(listener)
+		all.Wait()
+	})
 	all.Go(func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			all.Go(func() {
-				defer discard(conn)
-				<-let
-				if err := conn.(*net.TCPConn).SetReadBuffer(readBuffer); err != nil {
-					t.Error(err)
-				}
-				if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
-					t.Error(err)
-				}
-				for in := bufio.NewReader(conn); ; {
-					words, err := resp.Read(in)
-					if err != nil {
-						return
-					}
-					if string(words[0]) == "fetch" {
-						read <- fetched{string(words[1]), string(words[2])}
-					}
-				}
-			})
+			all.Go(func() { cache.serve(t, conn) })
 		}
 	})
-	return &stand{Listener: listener, name: name}
+	return cache
 }
 
-// large is a request with a body that fills the way to a deaf cache.
-func (c *client) large(object string) {
-	c.seq++
-	fields := []string{
-		"verb", "stills", "txn", fmt.Sprintf("%016x", time.Now().UnixNano()), "limit", "3000", "item", object,
-		"nth", "0", "batch", "17",
-	}
-	args := binary.BigEndian.AppendUint32([]byte{13, 0, 1, 11, 11}, uint32(len(fields)/2))
-	for _, f := range fields {
-		args = text(args, f)
+// setOption sets a socket's option.
+func setOption(t *testing.T, fd uintptr, level, option, value int) {
+	t.Helper()
+	if err := syscall.SetsockoptInt(int(fd), level, option, value); err != nil {
+		t.Error(err)
 	}
-	args = text(append(args, 11, 0, 2), strings.Repeat("x", 200_000))
-	c.send(thrift.Call, "call", c.seq, append(args, 0))
 }
 
-// Caches that read nothing for a while: a request whose client goes meanwhile does not come to them, and one whose client stays
-// comes with what is left of its time.
-func TestNothingIsWrittenForAClientThatHasGone(t *testing.T) {
-	const deaf, limit, slack = 600 * time.Millisecond, 3 * time.Second, 150 * time.Millisecond
-	let, read := make(chan struct{}), make(chan fetched, 1000)
-	caches := []*stand{deafStand(t, "s-a", let, read), deafStand(t, "s-b", let, read)}
-	journal, _ := newJournal(t)
-	p := newProgram(t, caches, journal, limit.Seconds())
-	text := p.text
-	p.text = func(name, journal string) []byte { // room for all that fills the ways, at either cache
-		return bytes.ReplaceAll(text(name, journal), []byte(`"weight":4`), []byte(`"weight":40`))
+// serve reads a connection's requests and responds to none.
+func (c blockedCache) serve(t *testing.T, conn net.Conn) {
+	const readBuffer = 4 << 20 // bytes
+	defer testkit.Close(conn)
+	<-c.released
+	if err := conn.(*net.TCPConn).SetReadBuffer(readBuffer); err != nil {
+		t.Error(err)
 	}
-	p.configure = func(name, journal string) {
-		if err := os.WriteFile(p.file, p.text(name, journal), 0o600); err != nil {
-			t.Fatal(err)
+	testkit.SetTimeout(t, conn, testkit.Timeout)
+	for in := bufio.NewReader(conn); ; {
+		words, err := resp.Read(in)
+		if err != nil {
+			return
 		}
-	}
-	p.configure("n0", journal)
-	over := p.run(t)
-	// A cache has four links at the most, each opened once three requests are in flight on the one before, so all of them are
-	// full then: what is asked next can't be written at once.
-	for range 2 {
-		fills := dial(t, p.address)
-		for range 20 {
-			fills.large(object(1))
-			time.Sleep(5 * time.Millisecond) // links come up between
+		if string(words[0]) == "fetch" {
+			c.requests <- testkit.CacheRequest{ID: string(words[1]), Fields: string(words[2]), At: time.Now()}
 		}
 	}
-	time.Sleep(300 * time.Millisecond)
-	goes, stays := dial(t, p.address), dial(t, p.address)
-	sent := time.Now()
-	goes.call(object(1), int(limit.Milliseconds()), "txn", "00000000000000aa")
-	stays.call(object(1), int(limit.Milliseconds()), "txn", "00000000000000bb")
-	time.Sleep(50 * time.Millisecond)
-	discard(goes.conn)
-	time.Sleep(deaf)
-	close(let)
-	left := limit - time.Since(sent)
-	came := false
-	for end := time.After(time.Second); !came; {
-		select {
-		case f := <-read:
-			if f.id == "00000000000000aa" {
-				t.Error("written for a client that had gone")
-			}
-			if came = f.id == "00000000000000bb"; came {
-				ms, _ := strconv.Atoi(budgetField.FindStringSubmatch(f.fields)[1])
-				if told := time.Duration(ms) * time.Millisecond; told > left+slack {
-					t.Errorf("told of %v, with %v left", told, left)
-				}
-			}
-		case <-end:
-			t.Fatal("the request of the client that stays was not written")
+}
+
+// Caches read nothing for a while: a request whose client goes meanwhile is not written to them, and one whose client
+// stays is written with what is left of its time.
+func TestNothingIsWrittenForDepartedClient(t *testing.T) {
+	const (
+		blockedFor = 600 * time.Millisecond
+		timeout    = 3 * time.Second
+		// Nothing outside the router shows when the connections are full, and when it has read a request.
+		fillPause   = 300 * time.Millisecond
+		arrivePause = 50 * time.Millisecond
+		departed    = "00000000000000aa"
+		staying     = "00000000000000bb"
+	)
+	released, requests := make(chan struct{}), make(chan testkit.CacheRequest, 1000)
+	first, second := startBlockedCache(t, released, requests), startBlockedCache(t, released, requests)
+	discovery := testkit.StartEventStream(t)
+	// Either cache has capacity for all that fills the connections.
+	router := newTestRouter(t, []string{first.address, second.address}, discovery.Address, timeout.Seconds(),
+		`"weight":4`, `"weight":40`)
+	ended := router.serve(t)
+	fillConnections(t, router, timeout)
+	time.Sleep(fillPause)
+	goes, stays := testkit.Dial(t, router.address), testkit.Dial(t, router.address)
+	sentAt := time.Now()
+	goes.Call(testkit.ObjectID(1), timeout, "txn", departed)
+	stays.Call(testkit.ObjectID(1), timeout, "txn", staying)
+	time.Sleep(arrivePause)
+	goes.Close()
+	time.Sleep(blockedFor)
+	close(released)
+	left := timeout - time.Since(sentAt)
+	expectNotDeparted := func(request testkit.CacheRequest) {
+		if request.ID == departed {
+			t.Error("written for a client that had gone")
 		}
 	}
+	var came testkit.CacheRequest
+	for end := time.Now().Add(time.Second); came.ID != staying; {
+		came = testkit.Receive(t, requests, time.Until(end), "the request of the client that stays")
+		expectNotDeparted(came)
+	}
+	if told := budget(t, came); told > left+budgetSlack {
+		t.Errorf("told of %v, with %v left", told, left)
+	}
 	for end := time.After(200 * time.Millisecond); ; {
 		select {
-		case f := <-read:
-			if f.id == "00000000000000aa" {
-				t.Error("written for a client that had gone")
-			}
+		case request := <-requests:
+			expectNotDeparted(request)
 			continue
 		case <-end:
 		}
 		break
 	}
-	terminate()
-	ends(t, over, limit+time.Second)
+	terminate(t)
+	testkit.ExpectEnd(t, ended, timeout+time.Second)
+}
+
+// fillConnections sends large requests until nothing more can be written to blocked caches: a cache has four connections
+// at the most, each opened once three requests are in flight on the one before.
+func fillConnections(t *testing.T, router *testRouter, timeout time.Duration) {
+	t.Helper()
+	const clients, requests, bodySize = 2, 20, 200_000
+	const between = 5 * time.Millisecond // in which connections are opened
+	body := strings.Repeat("x", bodySize)
+	for range clients {
+		client := testkit.Dial(t, router.address)
+		for range requests {
+			testkit.Write(client.Conn, client.CallFrame(testkit.ObjectID(1), timeout, body))
+			time.Sleep(between)
+		}
+	}
 }
--- a/cmd/tealpath/diff_test.go
+++ b/cmd/tealpath/diff_test.go
@@ -2,16 +2,12 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
-	"os"
 	"path/filepath"
-	"strings"
 	"tealpath/internal/emulator/certificates"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
-
-	"github.com/urfave/cli/v3"
 )
 
 // Two operator's files, as an operator would hold them against each other before a change.
@@ -29,17 +25,15 @@
 		path := filepath.Join(dir, name)
 		text := fmt.Sprintf(`(fleet (instances (instance a (at "127.0.0.1:1")) (instance b (at "127.0.0.1:2")) (instance c (at "127.0.0.1:3")))
  (voters %s) (slots %d) (tls (certificate "a.pem") (key "a.key") (roots "roots.pem")) (allow "127.0.0.0/8"))`, voters, slots)
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
+		testkit.WriteFile(t, path, []byte(text))
 		return path
 	}
 	one := file("one", 64, "(epoch 1) (now a b c)")
 	for _, c := range []struct {
-		name string
-		args []string
-		code int
-		says string
+		name      string
+		arguments []string
+		code      int
+		says      string
 	}{
 		{"the same", []string{one, one}, 0, ""},
 		{"one voter less, an epoch on", []string{one, file("two", 64, "(epoch 2) (now a b) (before a b c)")}, 0, ""},
@@ -51,18 +45,8 @@
 		{"no such file", []string{one, filepath.Join(dir, "none")}, exitUsage, "none"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			err := app().Run(context.Background(), append([]string{"tealpath", "diff"}, c.args...))
-			code := 0
-			if err != nil {
-				code = exitUsage
-				var coded cli.ExitCoder
-				if errors.As(err, &coded) {
-					code = coded.ExitCode()
-				}
-			}
-			if code != c.code || err != nil && !strings.Contains(err.Error(), c.says) {
-				t.Errorf("code %d, %v", code, err)
-			}
+			err := app().Run(context.Background(), append([]string{"tealpath", "diff"}, c.arguments...))
+			expectExit(t, err, c.code, c.says)
 		})
 	}
 }
--- a/cmd/tealpath/helpers_test.go
+++ b/cmd/tealpath/helpers_test.go
@@ -1,54 +1,253 @@
 package main
 
 import (
-	"io"
-	"net"
+	"context"
+	"errors"
+	"fmt"
 	"os"
+	"path/filepath"
+	"slices"
+	"strings"
 	"syscall"
+	"tealpath/internal/emulator/discoveryserver"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
+
+	"github.com/urfave/cli/v3"
 )
 
-// discard closes what a test is done with. Its other side may have closed or reset it already: that is no error of the test's.
-func discard(closer io.Closer) { _ = closer.Close() }
+// runAsProgram is the variable of the environment by which this test binary runs as the program itself: a process of its
+// own can be signalled and killed, beside others.
+const runAsProgram = "TEALPATH_TEST_AS_PROGRAM"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(runAsProgram) != "" {
+		os.Args = []string{"tealpath", "serve"}
+		main()
+		return
+	}
+	os.Exit(m.Run())
+}
 
-// write writes to a connection that the other side may have closed. What did not arrive shows in what comes back, which each test
-// checks.
-func write(conn net.Conn, raw []byte) { _, _ = conn.Write(raw) }
+const (
+	// clientTimeout is for how long a client usually waits for a response.
+	clientTimeout = 1200 * time.Millisecond
+	// drainTimeout is within what a router ends on which nothing is outstanding.
+	drainTimeout = 1500 * time.Millisecond
+	// noDiscovery is an address at which no discovery service listens.
+	noDiscovery = "127.0.0.1:1"
+	// unanswered is an object for which caches do not respond.
+	unanswered = "dead000000000001"
+)
 
-// kill ends a process that may have ended already.
-func kill(process *os.Process) { _ = process.Kill() }
+// testRouter is a router's configuration, by which the whole program can be run.
+type testRouter struct {
+	address    string
+	configPath string
+	discovery  string   // address of the discovery service
+	caches     []string // the addresses of two caches, s-a and s-b
+	deadline   float64  // the longest that a client may wait, in seconds
+	changes    []string // replacements in the configuration's text, old and new by turns
+}
 
-// resetOnClose has a connection reset when it is closed, as by a process that dies. One that is closed already stays closed.
-func resetOnClose(conn net.Conn) { _ = conn.(*net.TCPConn).SetLinger(0) }
+// configFormat is a router's configuration. Left open are its name, its address, that of discovery, the known endpoints
+// and the longest deadline in seconds.
+const configFormat = `{"name":"%s","listen":"%s","seed":"07","limits":{"cores":1,"memory_mb":192,"sockets":1024},
+"journal":"%s","known":{"pos":1,"entries":[{"pos":1,"hosts":{"instances":[%s]}}]},"settings":{"balancers":1,
+"locality":"here","failureDomains":["hub","here"],"machineTypes":["cache","parent","origin"],"familyInfo":{
+"upperKind":1,"rootKind":2,"zoneBalancers":[0,1],"purgeTakesS":6},"limits":{"attemptsCap":6,"cancel":true,
+"secondCopies":true,"retryAfter":true,"maxRetryAfterS":0.5,"dialTimeoutS":0.4,"connIdleS":30,
+"streamsPerConn":100,"maxOpen":1000},"obligations":{"graceToAnswerS":0.008},"profiles":[{"name":"stills",
+"onTimeS":0.4,"deadlineS":%g,"points":1,"effect":"retryable","keyScope":"all"}]}}`
 
-// signalSelf sends a signal to this process, in which a router runs.
-func signalSelf(signal syscall.Signal) {
-	if err := syscall.Kill(os.Getpid(), signal); err != nil {
-		panic(err) // a process may always signal itself
+// newTestRouter writes the configuration of a router among two caches.
+func newTestRouter(t *testing.T, caches []string, discovery string, deadline float64, changes ...string) *testRouter {
+	t.Helper()
+	router := &testRouter{
+		address:    testkit.FreeAddress(t),
+		configPath: filepath.Join(t.TempDir(), "config.json"),
+		discovery:  discovery,
+		caches:     caches,
+		deadline:   deadline,
+		changes:    changes,
 	}
+	router.configure(t, "n0", discovery)
+	return router
 }
 
-// setTimeout bounds how long reads and writes of a connection may take from now on.
-func setTimeout(t *testing.T, conn net.Conn, timeout time.Duration) {
+// instanceJSON is one endpoint as it stands in an endpoint list.
+func instanceJSON(name, address, zone, machineType, lifecycle string) string {
+	const format = `{"instanceId":"%s","hostPort":"%s","zone":"%s","machineType":"%s","lifecycle":"%s","weight":4}`
+	return fmt.Sprintf(format, name, address, zone, machineType, lifecycle)
+}
+
+// endpointsJSON are the endpoints that the router knows from its configuration.
+func (r *testRouter) endpointsJSON() string {
+	return strings.Join([]string{
+		instanceJSON("s-a", r.caches[0], "here", "cache", "active"),
+		instanceJSON("s-b", r.caches[1], "here", "cache", "active"),
+		instanceJSON("p-a", "127.0.0.1:1", "hub", "parent", "active"),
+		instanceJSON("o-a", "127.0.0.1:1", "hub", "origin", "active"),
+	}, ",")
+}
+
+// config returns the configuration for a name and a discovery service.
+func (r *testRouter) config(name, discovery string) []byte {
+	text := fmt.Sprintf(configFormat, name, r.address, discovery, r.endpointsJSON(), r.deadline)
+	return []byte(strings.NewReplacer(r.changes...).Replace(text))
+}
+
+// configure replaces the configuration.
+func (r *testRouter) configure(t *testing.T, name, discovery string) {
 	t.Helper()
-	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
-		t.Error(err)
+	testkit.ReplaceFile(t, r.configPath, r.config(name, discovery))
+}
+
+// forgetEndpoints has the configuration know no endpoints.
+func (r *testRouter) forgetEndpoints(t *testing.T) {
+	t.Helper()
+	text := string(r.config("n0", r.discovery))
+	from, to := strings.Index(text, `"known"`), strings.Index(text, `"settings"`)
+	testkit.WriteFile(t, r.configPath, []byte(text[:from]+`"known":null,`+text[to:]))
+}
+
+// change makes replacements in the configuration, and fails the test if nothing is replaced.
+func (r *testRouter) change(t *testing.T, changes ...string) {
+	t.Helper()
+	before := r.config("n0", r.discovery)
+	r.changes = append(r.changes, changes...)
+	if slices.Equal(before, r.config("n0", r.discovery)) {
+		t.Fatal("nothing was replaced")
 	}
+	r.configure(t, "n0", r.discovery)
+}
+
+// listEvent is the endpoint list of the configuration as an event of the discovery service, whose position is left open.
+// A router that asks behind event 1 of its configuration hears of nothing new.
+func (r *testRouter) listEvent() string {
+	return `{"pos":%d,"hosts":{"instances":[` + r.endpointsJSON() + `]}}`
+}
+
+// drainEvent is the event that a cache drains, whose position is left open.
+func drainEvent(cache *testkit.Cache, name string) string {
+	instance := instanceJSON(name, cache.Address(), "here", "cache", "leaving")
+	return `{"pos":%d,"hosts":{"instances":[` + instance + `]}}`
 }
 
-// writeFile writes a file that a router reads.
-func writeFile(t *testing.T, path string, raw []byte) {
+// useEnvironment names the configuration to a router that runs in this process.
+func (r *testRouter) useEnvironment(t *testing.T) {
 	t.Helper()
-	if err := os.WriteFile(path, raw, 0o600); err != nil {
+	t.Setenv("LB_CONFIG", r.configPath)
+	t.Setenv("LB_LISTEN", r.address)
+}
+
+// start starts the program in this process. Its result comes on the channel.
+func (r *testRouter) start() <-chan error {
+	ended := make(chan error, 1)
+	go func() { ended <- app().Run(context.Background(), []string{"tealpath", "serve"}) }()
+	return ended
+}
+
+// serve starts the program in this process and waits until it listens.
+func (r *testRouter) serve(t *testing.T) (ended <-chan error) {
+	t.Helper()
+	r.useEnvironment(t)
+	ended = r.start()
+	testkit.WaitListening(t, r.address)
+	return ended
+}
+
+// spawn starts the router in a process of its own, and does not wait for it.
+func (r *testRouter) spawn(t *testing.T) *testkit.RouterProcess {
+	t.Helper()
+	self, err := os.Executable()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return testkit.StartProcess(t, testkit.ProcessConfig{
+		Command:     []string{self},
+		Environment: []string{runAsProgram + "=1", "LB_CONFIG=" + r.configPath, "LB_LISTEN=" + r.address},
+		Address:     r.address,
+	})
+}
+
+// spawnHealthy starts the router in a process of its own and waits until it can serve.
+func (r *testRouter) spawnHealthy(t *testing.T) *testkit.RouterProcess {
+	t.Helper()
+	process := r.spawn(t)
+	process.WaitHealthy(testkit.Timeout)
+	return process
+}
+
+// terminate has the router that runs in this process shut down.
+func terminate(t *testing.T) {
+	t.Helper()
+	testkit.SignalSelf(t, syscall.SIGTERM)
+}
+
+// startCaches starts two caches, s-a and s-b.
+func startCaches(t *testing.T) []*testkit.Cache {
+	t.Helper()
+	return []*testkit.Cache{testkit.StartCache(t), testkit.StartCache(t)}
+}
+
+// addresses returns where caches listen.
+func addresses(caches []*testkit.Cache) (listed []string) {
+	for _, cache := range caches {
+		listed = append(listed, cache.Address())
+	}
+	return listed
+}
+
+// startDiscovery starts an emulated discovery service that ends with the test.
+func startDiscovery(t *testing.T) *discoveryserver.Service {
+	t.Helper()
+	service, err := discoveryserver.Start()
+	if err != nil {
 		t.Fatal(err)
 	}
+	t.Cleanup(service.Close)
+	return service
+}
+
+// newTestCell starts two caches and a discovery service that has published them, and configures a router among them.
+func newTestCell(t *testing.T, deadline float64, changes ...string) (
+	*testRouter, []*testkit.Cache, *discoveryserver.Service,
+) {
+	t.Helper()
+	service := startDiscovery(t)
+	caches := startCaches(t)
+	router := newTestRouter(t, addresses(caches), service.Address(), deadline, changes...)
+	service.Publish(router.listEvent())
+	return router, caches, service
+}
+
+// requestCount is how often caches were asked for an object, or for all objects where the name is empty.
+func requestCount(caches []*testkit.Cache, object string) (count int) {
+	for _, cache := range caches {
+		count += len(cache.Requests(object))
+	}
+	return count
+}
+
+// exitCode is the exit code of a command that has ended with an error, or with none.
+func exitCode(err error) int {
+	var coded cli.ExitCoder
+	switch {
+	case err == nil:
+		return 0
+	case errors.As(err, &coded):
+		return coded.ExitCode()
+	default:
+		return exitUsage
+	}
 }
 
-// setOption sets a socket's option.
-func setOption(t *testing.T, fd uintptr, level, option, value int) {
+// expectExit checks a command's exit code and that its error, where it has one, says something.
+func expectExit(t *testing.T, err error, code int, part string) {
 	t.Helper()
-	if err := syscall.SetsockoptInt(int(fd), level, option, value); err != nil {
-		t.Error(err)
+	if got := exitCode(err); got != code || err != nil && !strings.Contains(err.Error(), part) {
+		t.Errorf("exit code %d, %v; want %d, %q", got, err, code, part)
 	}
 }
--- a/cmd/tealpath/log_test.go
+++ b/cmd/tealpath/log_test.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"strings"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 )
@@ -52,7 +53,7 @@
 	}
 	go func() {
 		<-w.closed
-		discard(out)
+		testkit.Close(out)
 	}()
 	written, lost := 0, 0
 	for text := bufio.NewScanner(in); text.Scan(); {
--- /dev/null
+++ b/cmd/tealpath/start_test.go
@@ -0,0 +1,136 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"syscall"
+	"tealpath/internal/testkit"
+	"testing"
+	"time"
+)
+
+// minimalConfig is a configuration without endpoints. Left open are what discovery has published and the address.
+const minimalConfig = `{"name":"n0","journal":"127.0.0.1:1","settings":{"balancers":1,"locality":"here",
+"machineTypes":["c"],"profiles":[{"name":"stills","onTimeS":0.4,"deadlineS":1.2,"points":1,"effect":"retryable"}]},
+"known":%s,"listen":"%s"}`
+
+func TestExitCodeNamesFaultAtStart(t *testing.T) {
+	listener := testkit.Listen(t)
+	usable := fmt.Sprintf(minimalConfig, "null", "127.0.0.1:0")
+	addressInUse := fmt.Sprintf(minimalConfig, "null", listener.Addr())
+	malformedList := fmt.Sprintf(minimalConfig, `{"entries":[3]}`, "127.0.0.1:0")
+	const missingSetting = `{"listen":"127.0.0.1:0","journal":"127.0.0.1:1","settings":{}}`
+	for _, c := range []struct {
+		name, config string
+		arguments    []string
+		code         int
+		says         string
+	}{
+		{"no such command", "", []string{"sevre"}, exitUsage, "sevre"},
+		{"no such flag", "", []string{"serve", "--fast"}, exitUsage, "fast"},
+		{"an argument too many", "", []string{"serve", "now"}, exitUsage, "now"},
+		{"malformed", "{", []string{"serve"}, exitUsage, "line 1"},
+		{"a required setting is missing", missingSetting, []string{"serve"}, exitUsage, "product.names"},
+		{"malformed endpoint list", malformedList, []string{"check"}, exitUsage, "entry 1"},
+		{"the address is in use", addressInUse, []string{"serve"}, exitFailed, "address already in use"},
+		{"a usable configuration", usable, []string{"check"}, 0, ""},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			expectExit(t, runWithConfig(t, t.Context(), c.config, c.arguments...), c.code, c.says)
+		})
+	}
+	t.Run("the address becomes free in time", func(t *testing.T) {
+		ctx, cancel := context.WithCancel(context.Background())
+		defer cancel()
+		time.AfterFunc(200*time.Millisecond, func() { testkit.Close(listener) })
+		time.AfterFunc(400*time.Millisecond, cancel)
+		expectExit(t, runWithConfig(t, ctx, addressInUse, "serve"), 0, "")
+	})
+}
+
+// runWithConfig runs the program in this process with a configuration, and returns its error. Standard error has to be
+// open after that.
+func runWithConfig(t *testing.T, ctx context.Context, config string, arguments ...string) error {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	testkit.WriteFile(t, path, []byte(config))
+	t.Setenv("LB_CONFIG", path)
+	err := app().Run(ctx, append([]string{"tealpath"}, arguments...))
+	if _, closed := os.Stderr.WriteString(""); closed != nil {
+		t.Errorf("standard error is closed: %v", closed)
+	}
+	return err
+}
+
+// SIGTERM before there is a listener: the router ends as asked, and does not wait or fail.
+func TestShutdownDuringStart(t *testing.T) {
+	caches := startCaches(t)
+	discovery := testkit.StartEventStream(t)
+	t.Run("as it reads its configuration", func(t *testing.T) {
+		const signalPause = 20 * time.Millisecond // a signal that nobody waits for has ended the process by then
+		router := newTestRouter(t, addresses(caches), discovery.Address, 1.2)
+		pipe := filepath.Join(t.TempDir(), "config")
+		if err := syscall.Mkfifo(pipe, 0o600); err != nil {
+			t.Skip("no pipes here")
+		}
+		router.configPath = pipe
+		router.useEnvironment(t)
+		ended := router.start()
+		file, err := os.OpenFile(pipe, os.O_WRONLY, 0) // opens once the router reads
+		if err != nil {
+			t.Fatal(err)
+		}
+		terminate(t)
+		time.Sleep(signalPause)
+		if _, err := file.Write(router.config("n0", discovery.Address)); err != nil {
+			t.Error(err)
+		}
+		if err := file.Close(); err != nil {
+			t.Error(err)
+		}
+		testkit.ExpectEnd(t, ended, drainTimeout)
+	})
+	t.Run("as it waits for its address", func(t *testing.T) {
+		const startPause = 100 * time.Millisecond // nothing outside the process shows that it waits
+		router := newTestRouter(t, addresses(caches), discovery.Address, 1.2)
+		router.useEnvironment(t)
+		testkit.ListenAt(t, router.address)
+		ended := router.start()
+		time.Sleep(startPause)
+		terminate(t)
+		testkit.ExpectEnd(t, ended, 500*time.Millisecond)
+	})
+}
+
+// A start while discovery is unavailable: a router that knows endpoints serves from them at once. One that knows none
+// says so in its health and rejects requests at once.
+func TestStartWithoutDiscovery(t *testing.T) {
+	caches := startCaches(t)
+	for _, c := range []struct {
+		name     string
+		known    bool
+		response string
+	}{
+		{"endpoints are known", true, testkit.Served},
+		{"no endpoints are known", false, testkit.Rejected},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			router := newTestRouter(t, addresses(caches), noDiscovery, 1.2)
+			if !c.known {
+				router.forgetEndpoints(t)
+			}
+			ended := router.serve(t)
+			client := testkit.Dial(t, router.address)
+			begun := time.Now()
+			client.Expect(client.Call(testkit.ObjectID(1), clientTimeout), c.response)
+			if took := time.Since(begun); took > 600*time.Millisecond {
+				t.Errorf("response after %v", took)
+			}
+			client.ExpectHealth(c.known)
+			terminate(t)
+			testkit.ExpectEnd(t, ended, drainTimeout)
+		})
+	}
+}
--- a/deploy/imports_test.go
+++ b/deploy/imports_test.go
@@ -48,8 +48,12 @@
 
 // forTests are the directories that only tests and the experiments' commands may import.
 var (
-	forTests  = []string{"internal/emulator", "internal/experiment", "internal/cluster/recordtest"}
-	testsOnly = []string{"internal/emulator", "internal/experiment", "cmd/tealexperiment", "cmd/teallab"}
+	forTests = []string{
+		"internal/emulator", "internal/experiment", "internal/cluster/recordtest", "internal/testkit",
+	}
+	testsOnly = []string{
+		"internal/emulator", "internal/experiment", "internal/testkit", "cmd/tealexperiment", "cmd/teallab",
+	}
 )
 
 // pure are the directories that open nothing, wait for nothing and read no clock: times come in as arguments, effects
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -9,6 +9,7 @@
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/logevent"
 	"tealpath/internal/router"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 )
@@ -48,15 +49,7 @@
 // request has been read; the connection stays open unless respond closes it.
 func startFakeService(t *testing.T, respond func(n int, conn net.Conn)) *fakeService {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() {
-		if err := listener.Close(); err != nil {
-			t.Error(err)
-		}
-	})
+	listener := testkit.Listen(t)
 	service := &fakeService{address: listener.Addr().String(), calls: make(chan receivedCall, 64)}
 	go func() {
 		for n := 0; ; n++ {
@@ -144,7 +137,7 @@
 		}
 		stopped = true
 		cancel()
-		if err := receive(t, ended, "end of the watcher"); err != nil {
+		if err := testkit.Receive(t, ended, waitLimit, "the end of the watcher"); err != nil {
 			t.Errorf("the watcher ended with %v", err)
 		}
 	}
@@ -152,17 +145,6 @@
 	return stop
 }
 
-// receive returns the next value of a channel, and fails the test if there is none in time.
-func receive[T any](t *testing.T, from <-chan T, what string) (value T) {
-	t.Helper()
-	select {
-	case value = <-from:
-	case <-time.After(waitLimit):
-		t.Fatalf("no %s within %v", what, waitLimit)
-	}
-	return value
-}
-
 // loggedNames returns the names of the events in the log so far.
 func (w *testWatcher) loggedNames() string {
 	var names []string
--- a/internal/discovery/history_test.go
+++ b/internal/discovery/history_test.go
@@ -6,6 +6,7 @@
 	"tealpath/control"
 	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/router"
+	"tealpath/internal/testkit"
 	"testing"
 
 	"github.com/cespare/xxhash/v2"
@@ -90,7 +91,7 @@
 			}
 			watcher := newTestWatcher(service.Address(), history, nil)
 			watcher.start(t)
-			if got := fmt.Sprint(receive(t, watcher.events, "event")); !strings.HasPrefix(got, test.first) {
+			if got := fmt.Sprint(testkit.Receive(t, watcher.events, waitLimit, "an event")); !strings.HasPrefix(got, test.first) {
 				t.Errorf("%s is posted first, want %s", got, test.first)
 			}
 			calls := service.Calls()
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -12,6 +12,7 @@
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/neterr"
 	"tealpath/internal/router"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 )
@@ -33,7 +34,7 @@
 	stop := watcher.start(t)
 	var resumed []string
 	for range 4 { // the third connection falls silent, so there is a fourth
-		resumed = append(resumed, receive(t, service.calls, "call").resumeAfter)
+		resumed = append(resumed, testkit.Receive(t, service.calls, waitLimit, "a call").resumeAfter)
 	}
 	stop()
 	if strings.Join(resumed, " ") != "4 5 5 5" || len(watcher.events) != 1 {
@@ -84,7 +85,7 @@
 			}
 			stop := watcher.start(t)
 			if test.before == "" {
-				receive(t, watcher.logged, "failed call")
+				testkit.Receive(t, watcher.logged, waitLimit, "the failed call")
 			}
 			for end := time.Now().Add(waitLimit); read.Load() < int64(len(test.before)); time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
@@ -93,12 +94,12 @@
 			}
 			begun := time.Now()
 			watcher.SetAddress(next.address)
-			call := receive(t, next.calls, "call of the new address")
+			call := testkit.Receive(t, next.calls, waitLimit, "the call of the new address")
 			if took := call.at.Sub(begun); call.resumeAfter != test.want || took > time.Second {
 				t.Errorf("resumed after %s, %v later, want %s", call.resumeAfter, took, test.want)
 			}
 			for range 2 { // the second event comes behind a repetition of the first, if that was sent before
-				receive(t, watcher.events, "event")
+				testkit.Receive(t, watcher.events, waitLimit, "an event")
 			}
 			stop()
 			if len(watcher.events) > 0 {
@@ -143,11 +144,11 @@
 			schedule.ListReceived()
 			watcher := newTestWatcher(service.address, History{Position: 4}, schedule)
 			stop := watcher.start(t)
-			first, second := receive(t, service.calls, "call"), receive(t, service.calls, "second call")
+			first, second := testkit.Receive(t, service.calls, waitLimit, "a call"), testkit.Receive(t, service.calls, waitLimit, "the second call")
 			if took := second.at.Sub(first.at); took >= grace {
 				t.Errorf("requested again after %v", took)
 			}
-			receive(t, watcher.events, "event")
+			testkit.Receive(t, watcher.events, waitLimit, "an event")
 			stop()
 		})
 	}
@@ -208,7 +209,7 @@
 				return dial(ctx, network, address)
 			}
 			watcher.start(t)
-			receive(t, watcher.events, "event")
+			testkit.Receive(t, watcher.events, waitLimit, "an event")
 			if took := time.Since(over); took > time.Second/2 {
 				t.Errorf("an event %v after the last error", took)
 			}
@@ -253,7 +254,7 @@
 				return &faultyConn{Conn: conn, fault: errno}, err
 			}
 			watcher.start(t)
-			event := receive(t, watcher.events, "event")
+			event := testkit.Receive(t, watcher.events, waitLimit, "an event")
 			if purge, ok := event.(router.PurgeReceived); !ok || purge.Group != 1 {
 				t.Errorf("%+v", event)
 			}
--- a/internal/downstream/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -6,6 +6,7 @@
 	"slices"
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/neterr"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 
@@ -102,7 +103,7 @@
 	for range 40 { // no more of them are being rejected at a time than a part of the maximum
 		dial(t, server)
 	}
-	waitFor(t, "all are rejected", func() bool { return server.rejecting.Load() == 0 && !server.hasBacklog() })
+	testkit.WaitUntil(t, 2*testTimeout, "all are rejected", func() bool { return server.rejecting.Load() == 0 && !server.hasBacklog() })
 	if server.idle.len() != 1 || len(events) > 0 {
 		t.Errorf("%d connections, %d events", server.idle.len(), len(events))
 	}
@@ -131,6 +132,6 @@
 		t.Error("a network's fourth was admitted")
 	}
 	neterr.Close(first)
-	waitFor(t, "the slot is free", func() bool { return server.idle.len() == 2 })
+	testkit.WaitUntil(t, 2*testTimeout, "the slot is free", func() bool { return server.idle.len() == 2 })
 	checkHealth(t, from("127.0.0.4"))
 }
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -9,6 +9,7 @@
 	"tealpath/internal/logevent"
 	"tealpath/internal/neterr"
 	"tealpath/internal/router"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 )
@@ -84,12 +85,12 @@
 	conn := dial(t, server)
 	send(t, conn, frame(1, "odd", 5, "\x00"))
 	expectResponse(t, conn, "unknown method")
-	waitFor(t, "it lingers", func() bool { return server.Counts().Closing == 1 })
+	testkit.WaitUntil(t, 2*testTimeout, "it lingers", func() bool { return server.Counts().Closing == 1 })
 	if !server.evict(0) {
 		t.Error("it stays")
 	}
 	expectEnd(t, conn)
-	waitFor(t, "its slot is free", func() bool { return server.idle.len() == 0 })
+	testkit.WaitUntil(t, 2*testTimeout, "its slot is free", func() bool { return server.idle.len() == 0 })
 }
 
 // A request that crosses the close of an idle connection is not handled, and the connection is not reset.
@@ -110,7 +111,7 @@
 			test.end(server)
 			checkHalfClosed(t, conn)
 			neterr.Close(conn)
-			waitFor(t, "its descriptor is closed", func() bool {
+			testkit.WaitUntil(t, 2*testTimeout, "its descriptor is closed", func() bool {
 				return server.idle.len() == 0 && server.closingCount() == 0
 			})
 			for len(events) > 0 {
@@ -137,7 +138,7 @@
 			t.Fatalf("%d are closing", n)
 		}
 	}
-	waitFor(t, "all descriptors are closed", func() bool { return server.closingCount() == 0 })
+	testkit.WaitUntil(t, 2*testTimeout, "all descriptors are closed", func() bool { return server.closingCount() == 0 })
 }
 
 // Requests come at the instant of an eviction: each is answered, or its connection ends without a byte.
--- a/internal/downstream/faultyconn_linux_test.go
+++ b/internal/downstream/faultyconn_linux_test.go
@@ -8,6 +8,7 @@
 	"sync/atomic"
 	"syscall"
 	"tealpath/internal/router"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 
@@ -113,7 +114,7 @@
 			if n := tries.Load(); n > 220 {
 				t.Errorf("%d accepts in 2 s", n)
 			}
-			waitFor(t, "all are admitted", func() bool { return server.idle.len() == 20 })
+			testkit.WaitUntil(t, 2*testTimeout, "all are admitted", func() bool { return server.idle.len() == 20 })
 		})
 	}
 }
@@ -197,6 +198,6 @@
 			t.Errorf("%v: %+v", errno, e)
 		}
 		checkHealth(t, stays)
-		waitFor(t, "its slot is free", func() bool { return server.idle.len() == 1 })
+		testkit.WaitUntil(t, 2*testTimeout, "its slot is free", func() bool { return server.idle.len() == 1 })
 	}
 }
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -13,6 +13,7 @@
 	"tealpath/internal/logevent"
 	"tealpath/internal/neterr"
 	"tealpath/internal/router"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 )
@@ -89,11 +90,7 @@
 // listen returns a listener on loopback.
 func listen(t *testing.T) *net.TCPListener {
 	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	return listener.(*net.TCPListener)
+	return testkit.Listen(t).(*net.TCPListener)
 }
 
 // gatedListener is a listener whose connections stay in the system's backlog until it is released.
@@ -280,15 +277,6 @@
 	return err
 }
 
-func waitFor(t *testing.T, what string, done func() bool) {
-	t.Helper()
-	for end := time.Now().Add(2 * testTimeout); !done(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("not in time: " + what)
-		}
-	}
-}
-
 func requireSuspension(t *testing.T, server *Server) {
 	t.Helper()
 	if server.idle.poller == nil {
@@ -299,7 +287,7 @@
 // waitForSuspension waits until all connections are suspended.
 func waitForSuspension(t *testing.T, server *Server) {
 	t.Helper()
-	waitFor(t, "all are suspended", func() bool { return server.activeConnections() == 0 })
+	testkit.WaitUntil(t, 2*testTimeout, "all are suspended", func() bool { return server.activeConnections() == 0 })
 }
 
 // idleConnection brings a connection to where it has its response and is idle, suspended or not.
@@ -307,7 +295,7 @@
 	t.Helper()
 	conn := dial(t, server)
 	checkHealth(t, conn)
-	waitFor(t, "its response is written", server.Flushed)
+	testkit.WaitUntil(t, 2*testTimeout, "its response is written", server.Flushed)
 	if suspended {
 		requireSuspension(t, server)
 		waitForSuspension(t, server)
--- a/internal/downstream/shutdown_test.go
+++ b/internal/downstream/shutdown_test.go
@@ -7,6 +7,7 @@
 	"syscall"
 	"tealpath/internal/neterr"
 	"tealpath/internal/router"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 )
@@ -46,7 +47,7 @@
 	}
 	server.CloseIdle()
 	respondServed(server, 1, 5)
-	waitFor(t, "all is closed", func() bool {
+	testkit.WaitUntil(t, 2*testTimeout, "all is closed", func() bool {
 		server.CloseIdle()
 		return server.OpenConnections() == 0
 	})
@@ -66,8 +67,8 @@
 	nextEvent(t, events)
 	request := emptyCall(6)
 	send(t, partial, request[:9])
-	waitFor(t, "all are there", func() bool { return server.activeConnections() == 4 })
-	waitFor(t, "half a request has come", func() bool { return !server.Flushed() })
+	testkit.WaitUntil(t, 2*testTimeout, "all are there", func() bool { return server.activeConnections() == 4 })
+	testkit.WaitUntil(t, 2*testTimeout, "half a request has come", func() bool { return !server.Flushed() })
 	server.CloseIdle()
 	checkHalfClosed(t, unused)
 	checkHalfClosed(t, resting)
@@ -75,13 +76,13 @@
 	if e := nextEvent(t, events); e != "RequestReceived" && e != "ClientDisconnected" {
 		t.Error(e)
 	}
-	waitFor(t, "both are in flight", func() bool { return len(server.requestsInFlight()) == 2 })
+	testkit.WaitUntil(t, 2*testTimeout, "both are in flight", func() bool { return len(server.requestsInFlight()) == 2 })
 	begun, clients := time.Now(), server.requestsInFlight()
 	for _, seq := range []int32{5, 6} {
 		respondServed(server, clients[seq], seq)
 	}
 	for _, conn := range []net.Conn{active, partial} {
-		waitFor(t, "all is written and closed", func() bool {
+		testkit.WaitUntil(t, 2*testTimeout, "all is written and closed", func() bool {
 			server.CloseIdle()
 			return len(server.requestsInFlight()) == 0 && server.Flushed() && server.OpenConnections() <= 1
 		})
--- a/internal/downstream/suspend_test.go
+++ b/internal/downstream/suspend_test.go
@@ -9,6 +9,7 @@
 	"sync"
 	"tealpath/internal/clock/clocktest"
 	"tealpath/internal/neterr"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 )
@@ -58,7 +59,7 @@
 	neterr.Close(conns[0])
 	reset(t, conns[1])
 	closeWrite(t, conns[2])
-	waitFor(t, "all are closed", func() bool { return server.idle.len() == 0 })
+	testkit.WaitUntil(t, 2*testTimeout, "all are closed", func() bool { return server.idle.len() == 0 })
 	expectEOF(t, conns[2], "a client that closed its side")
 	// Slots are used again, and nothing of before shows on them.
 	again := dial(t, server)
@@ -75,7 +76,7 @@
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		checkHealth(t, kept)
 	}
-	waitFor(t, "the idle ones are closed", func() bool { return server.idle.len() == 1 })
+	testkit.WaitUntil(t, 2*testTimeout, "the idle ones are closed", func() bool { return server.idle.len() == 1 })
 	for _, conn := range conns {
 		expectEOF(t, conn, "an expired connection")
 	}
@@ -92,7 +93,7 @@
 	for _, conn := range conns {
 		send(t, conn, []byte{0})
 	}
-	waitFor(t, "each is closed", func() bool { return server.idle.len() == 0 })
+	testkit.WaitUntil(t, 2*testTimeout, "each is closed", func() bool { return server.idle.len() == 0 })
 }
 
 // A connection is kept idle for its timeout, whichever way the wall clock is set meanwhile.
--- a/internal/downstream/systemcalls_linux_test.go
+++ b/internal/downstream/systemcalls_linux_test.go
@@ -10,6 +10,7 @@
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/downstream/poller"
 	"tealpath/internal/neterr"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 
@@ -137,7 +138,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if server.idle.canSuspend() { // not after an error that does not pass
-		waitFor(t, "all are suspended again", func() bool {
+		testkit.WaitUntil(t, 2*testTimeout, "all are suspended again", func() bool {
 			return server.activeConnections() == 0 && server.Flushed()
 		})
 	} else if errno != unix.EINVAL {
@@ -161,8 +162,8 @@
 	for _, conn := range conns {
 		send(t, conn, healthCall(1))
 	}
-	waitFor(t, "none can be resumed", func() bool { return server.idle.hasPostponed() })
-	waitFor(t, "the poller has told all", func() bool { return !server.idle.poller.HasEvents() })
+	testkit.WaitUntil(t, 2*testTimeout, "none can be resumed", func() bool { return server.idle.hasPostponed() })
+	testkit.WaitUntil(t, 2*testTimeout, "the poller has told all", func() bool { return !server.idle.poller.HasEvents() })
 	if server.Flushed() {
 		t.Error("flushed with requests unread")
 	}
@@ -180,7 +181,7 @@
 	for _, conn := range conns {
 		expectResponse(t, conn, "health")
 	}
-	waitFor(t, "all is flushed", server.Flushed)
+	testkit.WaitUntil(t, 2*testTimeout, "all is flushed", server.Flushed)
 }
 
 // A suspended connection is not evicted where it can't be told whether data waits on it.
@@ -219,12 +220,12 @@
 		closeWrite(t, client)
 	}
 	neterr.Close(gone)
-	waitFor(t, "they can't be resumed", server.idle.hasPostponed)
+	testkit.WaitUntil(t, 2*testTimeout, "they can't be resumed", server.idle.hasPostponed)
 	time.Sleep(100 * time.Millisecond) // longer than after which a client that has closed is taken to have gone
 	exhausted.Store(false)
 	expectResponse(t, conn, rejectionOf(7))
 	expectEnd(t, conn)
-	waitFor(t, "their slots are free", func() bool { return server.idle.len() == 0 && server.rejecting.Load() == 0 })
+	testkit.WaitUntil(t, 2*testTimeout, "their slots are free", func() bool { return server.idle.len() == 0 && server.rejecting.Load() == 0 })
 	if len(events) > 0 {
 		t.Errorf("%s: posted", <-events)
 	}
--- a/internal/server/running_test.go
+++ b/internal/server/running_test.go
@@ -3,18 +3,15 @@
 import (
 	"bytes"
 	"context"
-	"encoding/binary"
 	"fmt"
-	"io"
-	"net"
 	"strings"
 	"sync"
 	"tealpath/internal/config"
 	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/logevent"
 	"tealpath/internal/operatorconfig"
-	"tealpath/internal/protocol/thrift"
 	"tealpath/internal/snapshot"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 
@@ -75,7 +72,7 @@
 		`{"instanceId":"s-1","hostPort":"127.0.0.1:1","zone":"here","machineType":"cache",` +
 		`"lifecycle":"active","weight":4}]}}`)
 	running := &runningServer{
-		address:  freeAddress(t),
+		address:  testkit.FreeAddress(t),
 		log:      &lockedBuffer{},
 		shutdown: make(chan struct{}),
 		ended:    make(chan error, 1),
@@ -95,17 +92,6 @@
 	return running
 }
 
-// freeAddress returns a loopback address on which nobody listens.
-func freeAddress(t *testing.T) string {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer discard(listener)
-	return listener.Addr().String()
-}
-
 // waitEnded waits until the server has ended, and returns false and fails the test if it does not.
 func (r *runningServer) waitEnded(t *testing.T) bool {
 	t.Helper()
@@ -121,38 +107,13 @@
 	}
 }
 
-// healthy reports whether the server answers a health check and is ready.
-func (r *runningServer) healthy() bool {
-	conn, err := net.Dial("tcp", r.address)
-	if err != nil {
-		return false
-	}
-	defer discard(conn)
-	if err := conn.SetDeadline(time.Now().Add(time.Second)); err != nil {
-		return false
-	}
-	message := append([]byte{0x80, 1, 0, thrift.Call, 0, 0, 0, 6}, "health"...)
-	message = append(binary.BigEndian.AppendUint32(message, 1), 2, 0, 1, 0, 0)
-	frame := append(binary.BigEndian.AppendUint32(nil, uint32(len(message))), message...)
-	if _, err := conn.Write(frame); err != nil {
-		return false
-	}
-	size := make([]byte, 4)
-	if _, err := io.ReadFull(conn, size); err != nil {
-		return false
-	}
-	answer := make([]byte, binary.BigEndian.Uint32(size))
-	_, err = io.ReadFull(conn, answer)
-	return err == nil && bytes.Contains(answer, []byte{2, 0, 3, 1}) // field 3, `good`, is true
+// healthy reports whether the server answers a health check in time and is ready.
+func (r *runningServer) healthy(t *testing.T) bool {
+	return testkit.IsHealthy(t, r.address, time.Second)
 }
 
-// eventually waits until a condition is true.
-func eventually(t *testing.T, what string, condition func() bool) {
+// waitHealthy waits until the server is ready.
+func (r *runningServer) waitHealthy(t *testing.T) {
 	t.Helper()
-	const timeout = 5 * time.Second
-	for end := time.Now().Add(timeout); !condition(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", timeout, what)
-		}
-	}
+	testkit.WaitUntil(t, testkit.Timeout, "healthy", func() bool { return r.healthy(t) })
 }
--- a/internal/server/snapshots_test.go
+++ b/internal/server/snapshots_test.go
@@ -5,6 +5,7 @@
 	"path/filepath"
 	"syscall"
 	"tealpath/internal/snapshot"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 )
@@ -33,11 +34,11 @@
 	disk := newFaultyDisk(t)
 	disk.set(nil, operation)
 	running := startServer(t, disk, deadline, snapshotInterval)
-	eventually(t, "an operation hangs", func() bool { return len(disk.hung) > 0 })
-	eventually(t, "healthy", running.healthy)
+	testkit.WaitUntil(t, testkit.Timeout, "an operation hangs", func() bool { return len(disk.hung) > 0 })
+	running.waitHealthy(t)
 	for range 10 {
 		time.Sleep(snapshotInterval)
-		if !running.healthy() {
+		if !running.healthy(t) {
 			t.Error("not healthy while the disk hangs")
 		}
 	}
@@ -63,19 +64,19 @@
 	disk := newFaultyDisk(t)
 	disk.set(syscall.ENOSPC, "")
 	running := startServer(t, disk, 300*time.Millisecond, snapshotInterval)
-	eventually(t, "healthy", running.healthy)
-	eventually(t, "the failure is logged", func() bool {
+	running.waitHealthy(t)
+	testkit.WaitUntil(t, testkit.Timeout, "the failure is logged", func() bool {
 		return running.log.count(SnapshotWriteFailed{}, `"cause":"no space left`) > 0
 	})
 	time.Sleep(500 * time.Millisecond)
-	if !running.healthy() {
+	if !running.healthy(t) {
 		t.Error("not healthy while the disk is full")
 	}
 	if count := disk.fileCount(); count != 0 {
 		t.Errorf("files are left: %d", count)
 	}
 	disk.set(nil, "")
-	eventually(t, "the recovery is logged", func() bool { return running.log.count(SnapshotWriteRecovered{}, "") > 0 })
+	testkit.WaitUntil(t, testkit.Timeout, "the recovery is logged", func() bool { return running.log.count(SnapshotWriteRecovered{}, "") > 0 })
 	close(running.shutdown)
 	running.waitEnded(t)
 	failed := running.log.count(SnapshotWriteFailed{}, "")
@@ -98,7 +99,7 @@
 	slow := &slowDisk{faultyDisk: disk, syncTime: 100 * time.Millisecond}
 	// With this interval only one snapshot, and the last, are written before the end.
 	running := startServer(t, slow, 300*time.Millisecond, 1500*time.Millisecond)
-	eventually(t, "a write is in progress", func() bool { return slow.syncs.Load() == 1 })
+	testkit.WaitUntil(t, testkit.Timeout, "a write is in progress", func() bool { return slow.syncs.Load() == 1 })
 	shutdownAt := time.Now()
 	close(running.shutdown)
 	running.waitEnded(t)
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -15,6 +15,7 @@
 	"tealpath/control"
 	"tealpath/internal/protocol/resp"
 	"tealpath/internal/router"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 )
@@ -142,7 +143,7 @@
 func (c connectionTest) listen(t *testing.T) string {
 	t.Helper()
 	if c.serve == nil {
-		listener := listen(t)
+		listener := testkit.Listen(t)
 		closeTest(t, listener)
 		return listener.Addr().String()
 	}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -12,6 +12,7 @@
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/resp"
 	"tealpath/internal/router"
+	"tealpath/internal/testkit"
 	"testing"
 	"time"
 )
@@ -57,13 +58,7 @@
 // next returns the next event, and fails the test if there is none in time.
 func (p *testPool) next(t *testing.T) router.Event {
 	t.Helper()
-	select {
-	case event := <-p.events:
-		return event
-	case <-time.After(waitLimit):
-		t.Fatalf("no event within %v", waitLimit)
-	}
-	return nil
+	return testkit.Receive(t, p.events, waitLimit, "an event")
 }
 
 // newTestConnection returns a connection of a pool that has not been dialled.
@@ -87,7 +82,7 @@
 // startEndpoint starts an endpoint that serves one connection as a test says, and returns its address.
 func startEndpoint(t *testing.T, serve func(conn net.Conn, in *bufio.Reader)) string {
 	t.Helper()
-	listener := listen(t)
+	listener := testkit.Listen(t)
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -99,17 +94,6 @@
 	return listener.Addr().String()
 }
 
-// listen opens a listener on loopback that is closed with the test.
-func listen(t *testing.T) net.Listener {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { closeTest(t, listener) })
-	return listener
-}
-
 // closeTest closes a connection or a listener, which may have been closed before.
 func closeTest(t *testing.T, closer io.Closer) {
 	t.Helper()
@@ -121,7 +105,7 @@
 // connectedPair returns the two ends of a connection over loopback.
 func connectedPair(t *testing.T) (ours, theirs net.Conn) {
 	t.Helper()
-	listener := listen(t)
+	listener := testkit.Listen(t)
 	ours, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
