--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -116,7 +116,8 @@
 	})
 }
 
-// load sends requests, one each few milliseconds, for objects from a number on, and returns how many there were.
+// load sends requests, one each few milliseconds, for objects from a number on, and returns how many there
+// were.
 func (test clockTest) load(t *testing.T, span time.Duration, firstObject int) (asked int) {
 	t.Helper()
 	const interval = 5 * time.Millisecond
@@ -137,7 +138,8 @@
 		"\"lifecycle\":\"active\",\"weight\":4,\"startedAtMs\":%d}]}}\n\n", test.caches[1].Address(), at.UnixMilli()))
 }
 
-// sharedCopy is the copy of an object that caches hold. They fetch it anew when it is older than a request accepts.
+// sharedCopy is the copy of an object that caches hold. They fetch it anew when it is older than a request
+// accepts.
 type sharedCopy struct {
 	mu     sync.Mutex
 	issued time.Time // guarded by mu
@@ -161,10 +163,12 @@
 	return c.issued.Before(at)
 }
 
-// After a purge no older copy is served, from when the router has heard of it on and for as long as caches may hold one.
+// After a purge no older copy is served, from when the router has heard of it on and for as long as caches may
+// hold one.
 func TestClockStepServesNoPurgedCopy(t *testing.T) {
 	t.Parallel()
-	for _, offset := range []time.Duration{0, time.Hour, -time.Hour, 365 * 24 * time.Hour} { // of the clock at the start
+	const year = 365 * 24 * time.Hour
+	for _, offset := range []time.Duration{0, time.Hour, -time.Hour, year} { // of the clock at the start
 		for _, step := range clockSteps {
 			t.Run(fmt.Sprintf("off by %v, a step of %v", offset, step), func(t *testing.T) {
 				t.Parallel()
@@ -177,7 +181,8 @@
 // expectNoPurgedCopy purges an object under a clock that is off and is then stepped.
 func expectNoPurgedCopy(t *testing.T, offset, step time.Duration) {
 	t.Helper()
-	const purgePause = 100 * time.Millisecond // in which the purge takes effect; a request meanwhile would renew the copy
+	// In which the purge takes effect. A request meanwhile would have the caches fetch the object anew.
+	const purgePause = 100 * time.Millisecond
 	purgedAt := time.Now().Add(-20 * time.Millisecond)
 	held := &sharedCopy{issued: purgedAt.Add(-time.Second)}
 	test := newClockTest(t, held.issuedFor)
--- a/cmd/tealpath/clockhelpers_test.go
+++ b/cmd/tealpath/clockhelpers_test.go
@@ -107,8 +107,8 @@
 	discovery *testkit.EventStream
 }
 
-// newClockTest starts caches and a discovery service. Where issued is not nil it returns when the copies were issued that
-// the caches respond with.
+// newClockTest starts caches and a discovery service. Where issued is not nil it returns when the copies were
+// issued that the caches respond with.
 func newClockTest(t *testing.T, issued func(testkit.CacheRequest) time.Time) clockTest {
 	t.Helper()
 	test := clockTest{discovery: testkit.StartEventStream(t)}
--- a/cmd/tealpath/clocksnapshot_test.go
+++ b/cmd/tealpath/clocksnapshot_test.go
@@ -48,7 +48,8 @@
 	ignoredFuture = `"event":"snapshot_ignored","cause":"it is of ` // followed by how far it is ahead
 )
 
-// snapshotClocks is how the clocks are off around a snapshot: of the router that writes it, and of the one that reads it.
+// snapshotClocks is how the clocks are off around a snapshot: of the router that writes it, and of the one that
+// reads it.
 type snapshotClocks struct {
 	writerOffset, writerStep time.Duration // at its start, and set by before it writes
 	readerOffset, readerStep time.Duration // at its start, and set by before it reads
@@ -98,8 +99,8 @@
 	}
 }
 
-// restoreSnapshot has a router write a snapshot and another one read it, each with its clock, and returns the log of the
-// second, which has to serve.
+// restoreSnapshot has a router write a snapshot and another one read it, each with its clock, and returns the
+// log of the second, which has to serve.
 func restoreSnapshot(t *testing.T, clocks snapshotClocks) (log string) {
 	t.Helper()
 	test := newClockTest(t, nil)
--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -62,7 +62,8 @@
 	testkit.ExpectEnd(t, ended, drainTimeout)
 }
 
-// blockedCache is a cache that accepts connections and reads nothing until it is released. Little goes onto the way to it.
+// blockedCache is a cache that accepts connections and reads nothing until it is released. Little goes onto the
+// way to it.
 type blockedCache struct {
 	address  string
 	released <-chan struct{}
@@ -129,8 +130,8 @@
 	}
 }
 
-// Caches read nothing for a while: a request whose client goes meanwhile is not written to them, and one whose client
-// stays is written with what is left of its time.
+// Caches read nothing for a while: a request whose client goes meanwhile is not written to them, and one whose
+// client stays is written with what is left of its time.
 func TestNothingIsWrittenForDepartedClient(t *testing.T) {
 	const (
 		blockedFor = 600 * time.Millisecond
@@ -185,8 +186,8 @@
 	testkit.ExpectEnd(t, ended, timeout+time.Second)
 }
 
-// fillConnections sends large requests until nothing more can be written to blocked caches: a cache has four connections
-// at the most, each opened once three requests are in flight on the one before.
+// fillConnections sends large requests until nothing more can be written to blocked caches: a cache has four
+// connections at the most, each opened once three requests are in flight on the one before.
 func fillConnections(t *testing.T, router *testRouter, timeout time.Duration) {
 	t.Helper()
 	const clients, requests, bodySize = 2, 20, 200_000
--- a/cmd/tealpath/diff_test.go
+++ b/cmd/tealpath/diff_test.go
@@ -10,6 +10,12 @@
 	"time"
 )
 
+// diffFile is an operator's file. Left open are the voters and the number of slots.
+const diffFile = `(fleet
+ (instances (instance a (at "127.0.0.1:1")) (instance b (at "127.0.0.1:2")) (instance c (at "127.0.0.1:3")))
+ (voters %s) (slots %d)
+ (tls (certificate "a.pem") (key "a.key") (roots "roots.pem")) (allow "127.0.0.0/8"))`
+
 // Two operator's files, as an operator would hold them against each other before a change.
 func TestDiff(t *testing.T) {
 	dir := t.TempDir()
@@ -23,12 +29,14 @@
 	t.Setenv("LB_NAME", "a")
 	file := func(name string, slots int, voters string) string {
 		path := filepath.Join(dir, name)
-		text := fmt.Sprintf(`(fleet (instances (instance a (at "127.0.0.1:1")) (instance b (at "127.0.0.1:2")) (instance c (at "127.0.0.1:3")))
- (voters %s) (slots %d) (tls (certificate "a.pem") (key "a.key") (roots "roots.pem")) (allow "127.0.0.0/8"))`, voters, slots)
-		testkit.WriteFile(t, path, []byte(text))
+		testkit.WriteFile(t, path, fmt.Appendf(nil, diffFile, voters, slots))
 		return path
 	}
+	const sideBySide = "may not run side by side"
 	one := file("one", 64, "(epoch 1) (now a b c)")
+	fewer := file("two", 64, "(epoch 2) (now a b) (before a b c)")
+	otherSlots := file("three", 32, "(epoch 1) (now a b c)")
+	otherVoters := file("four", 64, "(epoch 1) (now a b)")
 	for _, c := range []struct {
 		name      string
 		arguments []string
@@ -36,11 +44,11 @@
 		says      string
 	}{
 		{"the same", []string{one, one}, 0, ""},
-		{"one voter less, an epoch on", []string{one, file("two", 64, "(epoch 2) (now a b) (before a b c)")}, 0, ""},
-		{"other slots", []string{one, file("three", 32, "(epoch 1) (now a b c)")}, exitFailed, "may not run side by side"},
-		{"other voters under one epoch", []string{one, file("four", 64, "(epoch 1) (now a b)")}, exitFailed, "may not run side by side"},
-		{"back", []string{filepath.Join(dir, "two"), one}, exitFailed, "can't follow"},
-		{"as JSON", []string{"--json", one, filepath.Join(dir, "three")}, exitFailed, "may not run side by side"},
+		{"one voter less, an epoch on", []string{one, fewer}, 0, ""},
+		{"other slots", []string{one, otherSlots}, exitFailed, sideBySide},
+		{"other voters under one epoch", []string{one, otherVoters}, exitFailed, sideBySide},
+		{"back", []string{fewer, one}, exitFailed, "can't follow"},
+		{"as JSON", []string{"--json", one, otherSlots}, exitFailed, sideBySide},
 		{"one file", []string{one}, exitUsage, "two operator's files"},
 		{"no such file", []string{one, filepath.Join(dir, "none")}, exitUsage, "none"},
 	} {
--- a/cmd/tealpath/discovery_test.go
+++ b/cmd/tealpath/discovery_test.go
@@ -13,8 +13,8 @@
 // stopSending adds to the settings that within 0.25 s from when a cache drains nothing more is sent to it.
 const formerGrace, stopSending = `"graceToAnswerS"`, `"stopSendingWithinS":0.25,"graceToAnswerS"`
 
-// A cache begins to drain in the moment in which the router restarts: the router that ends and the one that starts, with
-// endpoints from its configuration, both stop sending to it in time, and every client is answered.
+// A cache begins to drain in the moment in which the router restarts: the router that ends and the one that
+// starts, with endpoints from its configuration, both stop sending to it in time, and every client is answered.
 func TestRestartWhileCacheDrains(t *testing.T) {
 	t.Parallel()
 	const grace, slack = 250 * time.Millisecond, 50 * time.Millisecond
@@ -63,8 +63,8 @@
 	}
 }
 
-// New configurations in quick succession, each with another discovery service: what is in flight is answered, and the last
-// one is watched.
+// New configurations in quick succession, each with another discovery service: what is in flight is answered,
+// and the last one is watched.
 func TestLastOfSeveralReloadsCounts(t *testing.T) {
 	t.Parallel()
 	const reloadInterval = 10 * time.Millisecond // signals that wait are delivered only once
@@ -107,8 +107,8 @@
 	}
 }
 
-// Discovery is slow and takes fewer calls than there are routers: those that know endpoints serve at once, those that know
-// none say so until they have got them, and all obey in the end what it publishes.
+// Discovery is slow and takes fewer calls than there are routers: those that know endpoints serve at once,
+// those that know none say so until they have got them, and all obey in the end what it publishes.
 func TestSlowDiscoveryReachesAllRouters(t *testing.T) {
 	t.Parallel()
 	const count = 6
--- a/cmd/tealpath/faults_test.go
+++ b/cmd/tealpath/faults_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Faults of caches that the platform's pages name and the platform's bench does not play, over real connections to
-// routers in processes of their own. docs/endings.md lists them.
+// Faults of caches that the platform's pages name and the platform's bench does not play, over real connections
+// to routers in processes of their own. docs/endings.md lists them.
 
 // kill ends a cache: connections to it are refused.
 func kill(cache *testkit.Cache) { cache.Kill() }
@@ -22,7 +22,8 @@
 // forgetConnections has a cache reset its present connections when the next request comes on them.
 func forgetConnections(cache *testkit.Cache) { cache.SetBehavior(testkit.ForgetConnections, 0) }
 
-// A fault that begins after a time without requests, which is five times as long as the router keeps idle connections.
+// A fault that begins after a time without requests, which is five times as long as the router keeps idle
+// connections.
 func TestRequestsServedDespiteFaultAfterIdleTime(t *testing.T) {
 	const (
 		idleTime = 1500 * time.Millisecond
@@ -64,8 +65,8 @@
 	}
 }
 
-// callTogether sends requests at once, so that the router has much to judge by, and returns how many are served. Each has
-// to be answered once and within its time.
+// callTogether sends requests at once, so that the router has much to judge by, and returns how many are
+// served. Each has to be answered once and within its time.
 func callTogether(t *testing.T, client *testkit.Client, count int) (served int) {
 	t.Helper()
 	begun, inFlight := time.Now(), map[int32]bool{}
@@ -125,8 +126,8 @@
 	}
 }
 
-// Retries and hedged requests that fail at once: one final response, as soon as nothing is left to try, and no more
-// attempts than the settings allow.
+// Retries and hedged requests that fail at once: one final response, as soon as nothing is left to try, and no
+// more attempts than the settings allow.
 func TestFailedRetriesEndInOneResponse(t *testing.T) {
 	const maxAttempts = 6
 	for _, c := range []struct {
--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -11,8 +11,9 @@
 	"time"
 )
 
-// What a router may need in the mean over the same day beside what it needs at the usual size, as the users' page on the
-// full fleet states it: a factor, a part that is added, and one that is added for each thousand cache servers.
+// What a router may need in the mean over the same day beside what it needs at the usual size, as the users'
+// page on the full fleet states it: a factor, a part that is added, and one that is added for each thousand
+// cache servers.
 var growthBounds = []struct {
 	what                     string
 	factor, plus, perServers float64
@@ -47,15 +48,16 @@
 	return binary
 }
 
-// A list of 10,000 members, over three times the largest fleet, is taken like any other: the router serves within its
-// memory.
+// A list of 10,000 members, over three times the largest fleet, is taken like any other: the router serves
+// within its memory.
 func TestListOfTenThousandIsServedWithinMemory(t *testing.T) {
 	t.Parallel()
 	binary := buildProgram(t)
 	playAgain(t, func() (failures []string, late time.Duration) { return playTenThousand(t, binary) })
 }
 
-// playTenThousand plays a day with a list of 10,000. It returns what is wrong with it and how late a timer came meanwhile.
+// playTenThousand plays a day with a list of 10,000. It returns what is wrong with it and how late a timer came
+// meanwhile.
 func playTenThousand(t *testing.T, binary string) (failures []string, late time.Duration) {
 	t.Helper()
 	const here, all = 100, 10_000
@@ -78,8 +80,8 @@
 	return failures, late
 }
 
-// A real router among 3,200 cache servers needs no more beside one among 200 than the users' table lets it, with the same
-// traffic of its own. Both play at the same time, so that a busy machine weighs on both.
+// A real router among 3,200 cache servers needs no more beside one among 200 than the users' table lets it,
+// with the same traffic of its own. Both play at the same time, so that a busy machine weighs on both.
 func TestGrowthStaysWithinBounds(t *testing.T) {
 	t.Parallel()
 	binary := buildProgram(t)
@@ -91,8 +93,8 @@
 	}
 }
 
-// playAgain plays a day, and again where it failed while this test's own timer came late: such a day tells of the
-// machine. The last play counts in any case.
+// playAgain plays a day, and again where it failed while this test's own timer came late: such a day tells of
+// the machine. The last play counts in any case.
 func playAgain(t *testing.T, day func() (failures []string, late time.Duration)) {
 	t.Helper()
 	const (
@@ -112,8 +114,8 @@
 	}
 }
 
-// playGrowth plays a day with both fleets. It returns what is over the table's bounds, and how late a timer came
-// meanwhile.
+// playGrowth plays a day with both fleets. It returns what is over the table's bounds, and how late a timer
+// came meanwhile.
 func playGrowth(t *testing.T, binary string, day growthDay) (failures []string, late time.Duration) {
 	t.Helper()
 	const usualServers, manyServers = 200, 3200
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -57,8 +57,9 @@
 	descriptors atomic.Int64
 }
 
-// serverAddress is a free port of a loopback host that nothing else uses: on 127.0.0.1 another's connection may take a
-// port that is free for a moment, and another's router may look for a server of its own that was there before.
+// serverAddress is a free port of a loopback host that nothing else uses: on 127.0.0.1 another's connection may
+// take a port that is free for a moment, and another's router may look for a server of its own that was there
+// before.
 func serverAddress() string {
 	return fmt.Sprintf("127.100.%d.%d:0", os.Getpid()>>8&255, max(1, os.Getpid()&255))
 }
@@ -123,10 +124,10 @@
 	f.discovery.Publish(`{"pos":%d,"hosts":{"generation":1,"reset":true,"instances":[` + instances + `]}}`)
 }
 
-// growthConfig is a router's configuration. Left open are its address, memory in MB, the address of discovery, the known
-// endpoints, and twice the number of routers.
-const growthConfig = `{"name":"n0","listen":%q,"seed":"07","limits":{"cores":1,"memory_mb":%d,"sockets":1024},"journal":%q,
- "known":%s,"settings":{"balancers":%d,"locality":"here","failureDomains":["here"],"machineTypes":["cache"],
+// growthConfig is a router's configuration. Left open are its address, memory in MB, the address of discovery,
+// the known endpoints, and twice the number of routers.
+const growthConfig = `{"name":"n0","listen":%q,"seed":"07","limits":{"cores":1,"memory_mb":%d,"sockets":1024},
+ "journal":%q,"known":%s,"settings":{"balancers":%d,"locality":"here","failureDomains":["here"],"machineTypes":["cache"],
  "familyInfo":{"zoneBalancers":[%d],"purgeTakesS":6},"limits":{"attemptsCap":6,"cancel":true,"mayProbe":true,
  "secondCopies":true,"retryAfter":true,"maxRetryAfterS":0.5,"dialTimeoutS":0.4,"connIdleS":30,"streamsPerConn":100,
  "maxOpen":1000},"report":{"fields":["inflight","x1","x0"]},"obligations":{"graceToAnswerS":0.008,"coldFrom":0.16,
@@ -232,8 +233,8 @@
 	}
 }
 
-// peakMB is the router's peak memory so far. The usage that a parent gets at the end holds the parent's own, from before
-// exec.
+// peakMB is the router's peak memory so far. The usage that a parent gets at the end holds the parent's own,
+// from before exec.
 func (f *growthFleet) peakMB() float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", f.router.PID()))
 	if err != nil {
--- a/cmd/tealpath/helpers_test.go
+++ b/cmd/tealpath/helpers_test.go
@@ -17,8 +17,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// runAsProgram is the variable of the environment by which this test binary runs as the program itself: a process of its
-// own can be signalled and killed, beside others.
+// runAsProgram is the variable of the environment by which this test binary runs as the program itself: a
+// process of its own can be signalled and killed, beside others.
 const runAsProgram = "TEALPATH_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -51,8 +51,8 @@
 	changes    []string // replacements in the configuration's text, old and new by turns
 }
 
-// configFormat is a router's configuration. Left open are its name, its address, that of discovery, the known endpoints
-// and the longest deadline in seconds.
+// configFormat is a router's configuration. Left open are its name, its address, that of discovery, the known
+// endpoints and the longest deadline in seconds.
 const configFormat = `{"name":"%s","listen":"%s","seed":"07","limits":{"cores":1,"memory_mb":192,"sockets":1024},
 "journal":"%s","known":{"pos":1,"entries":[{"pos":1,"hosts":{"instances":[%s]}}]},"settings":{"balancers":1,
 "locality":"here","failureDomains":["hub","here"],"machineTypes":["cache","parent","origin"],"familyInfo":{
@@ -123,8 +123,8 @@
 	r.configure(t, "n0", r.discovery)
 }
 
-// listEvent is the endpoint list of the configuration as an event of the discovery service, whose position is left open.
-// A router that asks behind event 1 of its configuration hears of nothing new.
+// listEvent is the endpoint list of the configuration as an event of the discovery service, whose position is
+// left open. A router that asks behind event 1 of its configuration hears of nothing new.
 func (r *testRouter) listEvent() string {
 	return `{"pos":%d,"hosts":{"instances":[` + r.endpointsJSON() + `]}}`
 }
@@ -211,7 +211,8 @@
 	return service
 }
 
-// newTestCell starts two caches and a discovery service that has published them, and configures a router among them.
+// newTestCell starts two caches and a discovery service that has published them, and configures a router among
+// them.
 func newTestCell(t *testing.T, deadline float64, changes ...string) (
 	*testRouter, []*testkit.Cache, *discoveryserver.Service,
 ) {
--- a/cmd/tealpath/log_test.go
+++ b/cmd/tealpath/log_test.go
@@ -38,7 +38,8 @@
 	writeLine(t, w, "after the end") // by a goroutine that was left behind
 }
 
-// Nobody reads: who logs and the end of the process go on, and once somebody reads, it is said how many lines were lost.
+// Nobody reads: who logs and the end of the process go on, and once somebody reads, it is said how many lines
+// were lost.
 func TestLogThatNobodyReads(t *testing.T) {
 	in, out := io.Pipe()
 	w := newLogWriter(out)
--- a/cmd/tealpath/logevents_test.go
+++ b/cmd/tealpath/logevents_test.go
@@ -21,8 +21,8 @@
 // root is the repository, seen from this package.
 const root = "../.."
 
-// loggingPackages are the packages that log, by folder, with one zero value of each of their events. A package that is missing here
-// fails TestAllEventsAreListed.
+// loggingPackages are the packages that log, by folder, with one zero value of each of their events. A package
+// that is missing here fails TestAllEventsAreListed.
 var loggingPackages = map[string][]logevent.Event{
 	"cmd/tealpath":          LogEvents(),
 	"control":               control.LogEvents(),
@@ -145,7 +145,8 @@
 	}
 }
 
-// Each event that the sources define stands in the LogEvents of its package, and that package in loggingPackages.
+// Each event that the sources define stands in the LogEvents of its package, and that package in
+// loggingPackages.
 func TestAllEventsAreListed(t *testing.T) {
 	defined := map[string]int{}
 	for _, folder := range []string{"cmd", "control", "internal"} {
--- a/cmd/tealpath/serve_test.go
+++ b/cmd/tealpath/serve_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// reloadPause is how long a signal to reload is given: nothing outside the process shows a configuration that was
-// rejected.
+// reloadPause is how long a signal to reload is given: nothing outside the process shows a configuration that
+// was rejected.
 const reloadPause = 50 * time.Millisecond
 
 // serveTest is the whole program in this process, with two caches and two discovery services.
--- a/cmd/tealpath/shutdown_test.go
+++ b/cmd/tealpath/shutdown_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// What is outstanding when the router is told to end, in each state that a request can be in, over real connections.
+// What is outstanding when the router is told to end, in each state that a request can be in, over real
+// connections.
 func TestShutdownAnswersWhatIsOutstanding(t *testing.T) {
 	caches := startCaches(t)
 	discovery := testkit.StartEventStream(t)
@@ -120,7 +121,8 @@
 	client.Close() // nobody is left who waits, so nothing of it keeps the router
 }
 
-// A client that has half-closed with a request in flight gets the response, and no further attempt is made for it.
+// A client that has half-closed with a request in flight gets the response, and no further attempt is made for
+// it.
 func TestNoRetryForHalfClosedClient(t *testing.T) {
 	const halfClosePause = 50 * time.Millisecond // nothing outside the router shows that it has read the end
 	caches := startCaches(t)
@@ -141,8 +143,8 @@
 	testkit.ExpectEnd(t, ended, drainTimeout)
 }
 
-// A real process whose disk does not respond: a named pipe in the snapshot's place, which nobody writes to, stops whoever
-// opens it. It serves, and ends before it is killed, 0.7 s after the longest deadline.
+// A real process whose disk does not respond: a named pipe in the snapshot's place, which nobody writes to,
+// stops whoever opens it. It serves, and ends before it is killed, 0.7 s after the longest deadline.
 func TestUnresponsiveDiskDelaysNothing(t *testing.T) {
 	const deadline = 300 * time.Millisecond
 	discovery := testkit.StartEventStream(t)
--- a/cmd/tealpath/shutdownbusy_test.go
+++ b/cmd/tealpath/shutdownbusy_test.go
@@ -11,10 +11,12 @@
 	"time"
 )
 
-// Shutdowns of routers in processes of their own while clients go on sending. docs/endings.md lists what has to happen.
+// Shutdowns of routers in processes of their own while clients go on sending. docs/endings.md lists what has to
+// happen.
 
 const (
-	// killDelay is when the platform kills a router that was told to end, beyond the longest time that a client may wait.
+	// killDelay is when the platform kills a router that was told to end, beyond the longest time that a client
+	// may wait.
 	killDelay = 700 * time.Millisecond
 	// lateness is by how much a response may be late on a machine that does other work.
 	lateness = 250 * time.Millisecond
@@ -40,7 +42,8 @@
 	endedAt   time.Time  // guarded by mu
 }
 
-// run sends requests for objects from a number on. It returns what became of them, and when the connection ended.
+// run sends requests for objects from a number on. It returns what became of them, and when the connection
+// ended.
 func (b *busyClient) run(address string, firstObject int) (exchanges []exchange, endedAt time.Time) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -93,7 +96,8 @@
 	return true
 }
 
-// expectNoneLost checks that what was not answered crossed the end of its connection, and that no cache was asked for it.
+// expectNoneLost checks that what was not answered crossed the end of its connection, and that no cache was
+// asked for it.
 func expectNoneLost(t *testing.T, caches []*testkit.Cache, exchanges []exchange, endedAt time.Time) {
 	t.Helper()
 	const crossing = 50 * time.Millisecond
@@ -110,8 +114,8 @@
 	}
 }
 
-// Caches do not respond from before the router is told to end until after: all requests are answered by the clients' own
-// deadlines, and the router has ended before it is killed.
+// Caches do not respond from before the router is told to end until after: all requests are answered by the
+// clients' own deadlines, and the router has ended before it is killed.
 func TestShutdownWhileCachesHang(t *testing.T) {
 	inFlight := func(deadline time.Duration) time.Duration { return deadline } // each request, for all its time
 	expectShutdownInTime(t, inFlight, func(caches []*testkit.Cache) {
@@ -121,7 +125,8 @@
 	})
 }
 
-// SIGKILL comes 0.7 s after the longest deadline from SIGTERM on, while clients go on sending and responses take a while.
+// SIGKILL comes 0.7 s after the longest deadline from SIGTERM on, while clients go on sending and responses
+// take a while.
 func TestShutdownEndsBeforeKillWhileClientsSend(t *testing.T) {
 	inFlight := func(time.Duration) time.Duration { return 250 * time.Millisecond }
 	expectShutdownInTime(t, inFlight, func(caches []*testkit.Cache) {
@@ -130,8 +135,8 @@
 	})
 }
 
-// expectShutdownInTime has a router end under clients that go on sending, with short deadlines and the longest ones.
-// inFlight is how long a request is in flight.
+// expectShutdownInTime has a router end under clients that go on sending, with short deadlines and the longest
+// ones. inFlight is how long a request is in flight.
 func expectShutdownInTime(
 	t *testing.T, inFlight func(deadline time.Duration) time.Duration, disturb func([]*testkit.Cache),
 ) {
@@ -168,9 +173,9 @@
 	}
 }
 
-// A router without requests ends soon after the 0.7 s in which clients come: between that and the platform's SIGKILL there
-// are 100 ms beside the longest deadline. Routers are told at different phases of their polls; the median is judged, as
-// the machine may do other work.
+// A router without requests ends soon after the 0.7 s in which clients come: between that and the platform's
+// SIGKILL there are 100 ms beside the longest deadline. Routers are told at different phases of their polls;
+// the median is judged, as the machine may do other work.
 func TestIdleShutdownEndsInTime(t *testing.T) {
 	t.Parallel()
 	const deadline, routers, phase = 300 * time.Millisecond, 7, 100 * time.Millisecond
--- a/cmd/tealpath/start_test.go
+++ b/cmd/tealpath/start_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// minimalConfig is a configuration without endpoints. Left open are what discovery has published and the address.
+// minimalConfig is a configuration without endpoints. Left open are what discovery has published and the
+// address.
 const minimalConfig = `{"name":"n0","journal":"127.0.0.1:1","settings":{"balancers":1,"locality":"here",
 "machineTypes":["c"],"profiles":[{"name":"stills","onTimeS":0.4,"deadlineS":1.2,"points":1,"effect":"retryable"}]},
 "known":%s,"listen":"%s"}`
@@ -50,8 +51,8 @@
 	})
 }
 
-// runWithConfig runs the program in this process with a configuration, and returns its error. Standard error has to be
-// open after that.
+// runWithConfig runs the program in this process with a configuration, and returns its error. Standard error
+// has to be open after that.
 func runWithConfig(t *testing.T, ctx context.Context, config string, arguments ...string) error {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -104,8 +105,8 @@
 	})
 }
 
-// A start while discovery is unavailable: a router that knows endpoints serves from them at once. One that knows none
-// says so in its health and rejects requests at once.
+// A start while discovery is unavailable: a router that knows endpoints serves from them at once. One that
+// knows none says so in its health and rejects requests at once.
 func TestStartWithoutDiscovery(t *testing.T) {
 	caches := startCaches(t)
 	for _, c := range []struct {
--- a/internal/testkit/cache.go
+++ b/internal/testkit/cache.go
@@ -28,8 +28,8 @@
 	Hang
 	// ResetConnection resets the connection by which a request comes.
 	ResetConnection
-	// ForgetConnections resets those connections by the next request on them that were made before the behavior was set;
-	// new ones are served.
+	// ForgetConnections resets those connections by the next request on them that were made before the behavior
+	// was set; new ones are served.
 	ForgetConnections
 )
 
@@ -60,8 +60,8 @@
 	return ""
 }
 
-// Cache is a cache server that behaves as a test says and records what it is asked for. It has no limits; a model of a
-// cache's capacity is in internal/emulator/cache.
+// Cache is a cache server that behaves as a test says and records what it is asked for. It has no limits; a
+// model of a cache's capacity is in internal/emulator/cache.
 type Cache struct {
 	listener net.Listener
 	issued   func(CacheRequest) time.Time
@@ -80,8 +80,8 @@
 	return StartCacheAt(t, "127.0.0.1:0", nil)
 }
 
-// StartCacheAt starts a cache at an address. Where issued is not nil it returns when the copy was issued that the cache
-// responds with; else that is the time of the response.
+// StartCacheAt starts a cache at an address. Where issued is not nil it returns when the copy was issued that
+// the cache responds with; else that is the time of the response.
 func StartCacheAt(t *testing.T, address string, issued func(CacheRequest) time.Time) *Cache {
 	t.Helper()
 	c := &Cache{listener: ListenAt(t, address), issued: issued, connections: map[net.Conn]bool{}}
@@ -129,8 +129,8 @@
 	}
 }
 
-// Requests returns what has come for an object so far, or all that has come where the name is empty. Aborts are left
-// out.
+// Requests returns what has come for an object so far, or all that has come where the name is empty. Aborts are
+// left out.
 func (c *Cache) Requests(object string) (came []CacheRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,8 +171,8 @@
 	}
 }
 
-// WaitRequest takes requests from caches, each in its order, until one is as wanted, and returns that one. It fails the
-// test if there is none within Timeout.
+// WaitRequest takes requests from caches, each in its order, until one is as wanted, and returns that one. It
+// fails the test if there is none within Timeout.
 func WaitRequest(t *testing.T, what string, wanted func(CacheRequest) bool, caches ...*Cache) (found CacheRequest) {
 	t.Helper()
 	WaitUntil(t, Timeout, "a cache is asked "+what, func() bool {
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -20,7 +20,8 @@
 	NotModified = "\x00\x00\x00\x05ok304\x00\x00\x00\x011"
 	// Rejected is the start of a result that rejects a call.
 	Rejected = "\x0c\x00\x01"
-	// healthResult is the start of the result of a health check; a byte follows that is 1 where the router can serve.
+	// healthResult is the start of the result of a health check; a byte follows that is 1 where the router can
+	// serve.
 	healthResult = "\x02\x00\x03"
 )
 
@@ -79,8 +80,8 @@
 	return append(binary.BigEndian.AppendUint32(out, uint32(len(text))), text...)
 }
 
-// Call asks for an object that the client waits for so long, and returns the sequence number. More fields, name and
-// value by turns, replace those of the same name.
+// Call asks for an object that the client waits for so long, and returns the sequence number. More fields, name
+// and value by turns, replace those of the same name.
 func (c *Client) Call(object string, timeout time.Duration, more ...string) int32 {
 	frame := c.CallFrame(object, timeout, "body", more...)
 	Write(c.Conn, frame)
@@ -115,8 +116,8 @@
 	c.Send(thrift.Oneway, "cancel", 99, arguments)
 }
 
-// Next reads a response, and returns its sequence number and its result. Where none comes the sequence number is
-// ClosedSequence, and the text is the error.
+// Next reads a response, and returns its sequence number and its result. Where none comes the sequence number
+// is ClosedSequence, and the text is the error.
 func (c *Client) Next() (sequence int32, result string) {
 	size, err := thrift.FrameSize(c.in)
 	if err != nil {
--- a/internal/testkit/discovery.go
+++ b/internal/testkit/discovery.go
@@ -13,8 +13,8 @@
 	keepAliveInterval = 500 * time.Millisecond
 )
 
-// EventStream is a discovery service that sends one watcher, the one that has called last, what a test says. A whole
-// service is in internal/emulator/discoveryserver.
+// EventStream is a discovery service that sends one watcher, the one that has called last, what a test says. A
+// whole service is in internal/emulator/discoveryserver.
 type EventStream struct {
 	Address string
 
@@ -42,7 +42,8 @@
 	}
 }
 
-// serve sends events to the latest watcher. The connection of the one before stays open, and nothing comes on it.
+// serve sends events to the latest watcher. The connection of the one before stays open, and nothing comes on
+// it.
 func (s *EventStream) serve(watchers <-chan net.Conn) {
 	conn := <-watchers
 	Write(conn, []byte(streamHead))
--- a/internal/testkit/listen.go
+++ b/internal/testkit/listen.go
@@ -44,9 +44,9 @@
 // routerAddresses counts the loopback addresses that routers under test have had.
 var routerAddresses atomic.Uint32
 
-// FreeAddress returns an address on which no listener is. Its loopback host is one that no other router of this test run
-// has and that no connection comes from: a port that was found free on 127.0.0.1 may be taken, by another router or as
-// the port of a connection, before the router listens there.
+// FreeAddress returns an address on which no listener is. Its loopback host is one that no other router of this
+// test run has and that no connection comes from: a port that was found free on 127.0.0.1 may be taken, by
+// another router or as the port of a connection, before the router listens there.
 func FreeAddress(t *testing.T) string {
 	t.Helper()
 	n := routerAddresses.Add(1)
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -28,8 +28,8 @@
 	err     error
 }
 
-// StartProcess starts a router and does not wait for it. It is killed with the test, and its log is shown where the test
-// has failed.
+// StartProcess starts a router and does not wait for it. It is killed with the test, and its log is shown where
+// the test has failed.
 func StartProcess(t *testing.T, config ProcessConfig) *RouterProcess {
 	t.Helper()
 	p := &RouterProcess{
@@ -92,11 +92,12 @@
 	return p.endedAt, p.command.ProcessState, p.err
 }
 
-// maxStall is the longest stall of the machine with which the time of an end is judged: the platform leaves 0.1 s.
+// maxStall is the longest stall of the machine with which the time of an end is judged: the platform leaves 0.1
+// s.
 const maxStall = 30 * time.Millisecond
 
-// ExpectEndBefore waits for the end of a router that was told to end, and kills it when the platform does, so long after
-// it was told. An end by that kill is an error.
+// ExpectEndBefore waits for the end of a router that was told to end, and kills it when the platform does, so
+// long after it was told. An end by that kill is an error.
 func (p *RouterProcess) ExpectEndBefore(told time.Time, killedAfter time.Duration) {
 	p.t.Helper()
 	machine := WatchStalls()
--- a/internal/testkit/stalls.go
+++ b/internal/testkit/stalls.go
@@ -5,8 +5,8 @@
 // stallCheckInterval is the timer's interval by which stalls are measured.
 const stallCheckInterval = 5 * time.Millisecond
 
-// StallWatch measures by how much the machine holds this process up: what other work takes from it, it takes from
-// routers, too.
+// StallWatch measures by how much the machine holds this process up: what other work takes from it, it takes
+// from routers, too.
 type StallWatch struct {
 	stop  chan struct{}
 	worst chan time.Duration
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,5 +1,6 @@
-// Package testkit has what the tests of several packages share: a client of the Thrift protocol, a cache that behaves as
-// a test says, a discovery service, a router in a process of its own, and waits with a bound. Only tests import it.
+// Package testkit has what the tests of several packages share: a client of the Thrift protocol, a cache that
+// behaves as a test says, a discovery service, a router in a process of its own, and waits with a bound. Only
+// tests import it.
 package testkit
 
 import (
@@ -17,8 +18,8 @@
 // pollInterval is the pause between two looks at a state that a test waits for.
 const pollInterval = 5 * time.Millisecond
 
-// WaitUntil polls a state until it holds, and fails the test at once if it does not within the bound. The state is
-// looked at once more when the bound has passed.
+// WaitUntil polls a state until it holds, and fails the test at once if it does not within the bound. The state
+// is looked at once more when the bound has passed.
 func WaitUntil(t *testing.T, bound time.Duration, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(bound); !holds(); time.Sleep(pollInterval) {
@@ -47,12 +48,12 @@
 	}
 }
 
-// Close closes what a test is done with. Its other side may have closed or reset it already, which is no error of the
-// test.
+// Close closes what a test is done with. Its other side may have closed or reset it already, which is no error
+// of the test.
 func Close(closer io.Closer) { _ = closer.Close() }
 
-// Write writes to a connection that the other side may have closed. What did not arrive shows in what comes back, which
-// each test checks.
+// Write writes to a connection that the other side may have closed. What did not arrive shows in what comes
+// back, which each test checks.
 func Write(conn net.Conn, raw []byte) { _, _ = conn.Write(raw) }
 
 // Reset closes a connection by a reset, as the system does for a process that dies.
@@ -77,7 +78,8 @@
 	}
 }
 
-// ReplaceFile replaces a file as a careful operator does: a reader sees all of the former content, or all of the new.
+// ReplaceFile replaces a file as a careful operator does: a reader sees all of the former content, or all of
+// the new.
 func ReplaceFile(t *testing.T, path string, raw []byte) {
 	t.Helper()
 	WriteFile(t, path+".new", raw)
