--- a/deploy/imports_test.go
+++ b/deploy/imports_test.go
@@ -290,6 +290,7 @@
 		"the same, turned round":                    {"internal/cluster/peer", "tealpath/internal/operatorconfig", false},
 		"what serves knows no emulator":             {"internal/server", "tealpath/internal/emulator/cache", false},
 		"what serves knows no experiment":           {"cmd/tealpath", "tealpath/internal/experiment", false},
+		"what serves knows no test helper":          {"internal/server", "tealpath/internal/testkit", false},
 		"experiments know what serves":              {"internal/experiment", "tealpath/internal/server", true},
 		"a package without a layer":                 {"internal/server", "tealpath/internal/unknown", false},
 		"the reducer opens no socket":               {"internal/router", "net", false},
