--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -71,6 +71,7 @@
 	address     string
 	router      *exec.Cmd
 	connections atomic.Int64
+	listening   atomic.Bool // the router has accepted a connection
 	descriptors atomic.Int64
 }
 
@@ -137,7 +138,7 @@
 	}
 }
 
-// start starts the router and samples its descriptors until the test is over.
+// start starts the router and samples its descriptors, from when it listens until the test is over.
 func (f *growthFleet) start(binary string, known bool) {
 	f.t.Helper()
 	free, err := net.Listen("tcp", growthHost(101))
@@ -174,17 +175,24 @@
 	f.t.Cleanup(func() { kill(f.router.Process) })
 	done := make(chan struct{})
 	f.t.Cleanup(func() { close(done) })
-	go func() {
-		for {
-			names, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", f.router.Process.Pid))
+	go f.sampleDescriptors(f.router.Process.Pid, done)
+}
+
+// sampleDescriptors keeps the most descriptors that the router has had since it listens. Until then its process may still
+// be in exec, where it holds copies of this test's own thousands of descriptors while the system closes them one by one.
+func (f *growthFleet) sampleDescriptors(pid int, done <-chan struct{}) {
+	const interval = 50 * time.Millisecond
+	for {
+		if f.listening.Load() {
+			names, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)) // an error leaves no figure: play fails
 			f.descriptors.Store(max(f.descriptors.Load(), int64(len(names))))
-			select {
-			case <-done:
-				return
-			case <-time.After(50 * time.Millisecond):
-			}
 		}
-	}()
+		select {
+		case <-done:
+			return
+		case <-time.After(interval):
+		}
+	}
 }
 
 // healthy waits until the router can serve.
@@ -192,6 +200,7 @@
 	f.t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if conn, err := net.Dial("tcp", f.address); err == nil {
+			f.listening.Store(true)
 			c := &client{t: f.t, conn: conn, in: bufio.NewReader(conn)}
 			setTimeout(f.t, conn, patience)
 			c.send(1, "health", 9, []byte{0})
@@ -245,6 +254,9 @@
 		served: float64(served) / float64(day.requests), peakMB: f.peakMB(),
 		descriptors: float64(f.descriptors.Load()), connections: float64(f.connections.Load()),
 	}
+	if figures.descriptors == 0 {
+		f.t.Error("the router's descriptors were never sampled")
+	}
 	if err := f.router.Process.Signal(syscall.SIGTERM); err != nil {
 		f.t.Error(err)
 	}
