--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -54,6 +54,7 @@
 	address     string
 	router      *testkit.RouterProcess
 	connections atomic.Int64
+	listening   atomic.Bool // the router has accepted a connection
 	descriptors atomic.Int64
 }
 
@@ -155,12 +156,15 @@
 	go f.sampleDescriptors(done)
 }
 
-// sampleDescriptors keeps the most descriptors that the router has had.
+// sampleDescriptors keeps the most descriptors that the router has had since it listens. Until then its process may still
+// be in exec, where it has copies of this test's own thousands of descriptors while the system closes them one by one.
 func (f *growthFleet) sampleDescriptors(done <-chan struct{}) {
 	const interval = 50 * time.Millisecond
 	for {
-		names, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", f.router.PID()))
-		f.descriptors.Store(max(f.descriptors.Load(), int64(len(names))))
+		if f.listening.Load() {
+			names, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", f.router.PID())) // an error leaves no figure: play fails
+			f.descriptors.Store(max(f.descriptors.Load(), int64(len(names))))
+		}
 		select {
 		case <-done:
 			return
@@ -172,6 +176,7 @@
 // play plays the day, ends the router, and returns what that needed.
 func (f *growthFleet) play(day growthDay) growthFigures {
 	f.router.WaitHealthy(10 * time.Second)
+	f.listening.Store(true)
 	client := testkit.Dial(f.t, f.address)
 	testkit.SetTimeout(f.t, client.Conn, time.Minute)
 	served := 0
@@ -185,6 +190,9 @@
 		descriptors: float64(f.descriptors.Load()),
 		connections: float64(f.connections.Load()),
 	}
+	if figures.descriptors == 0 {
+		f.t.Error("the router's descriptors were never sampled")
+	}
 	f.router.Signal(syscall.SIGTERM)
 	_, usage, err := f.router.Wait()
 	if err != nil {
