--- a/cmd/tealpath/discovery_test.go
+++ b/cmd/tealpath/discovery_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"os"
 	"strings"
 	"syscall"
 	"tealpath/internal/emulator/discoveryserver"
@@ -47,15 +48,17 @@
 func callUntilClosed(t *testing.T, router *testRouter, caches []*testkit.Cache, firstObject, count int) {
 	t.Helper()
 	client := testkit.Dial(t, router.address)
+	stalls := testkit.WatchProcessStalls(os.Getpid())
+	defer stalls.Stop()
 	for n := firstObject; n < firstObject+count; n++ {
-		e := exchange{object: testkit.ObjectID(n), sentAt: time.Now()}
+		e := exchange{object: testkit.ObjectID(n), sentAt: momentOf(stalls)}
 		sequence := client.Call(e.object, clientTimeout)
 		got, result := client.Next()
 		e.answered = got == sequence
 		if e.answered && !strings.Contains(result, testkit.Served) {
 			t.Errorf("%s: %q", e.object, result)
 		}
-		expectNoneLost(t, caches, []exchange{e}, time.Now())
+		expectNoneLost(t, caches, []exchange{e}, momentOf(stalls))
 		if !e.answered {
 			return
 		}
--- a/cmd/tealpath/shutdownbusy_test.go
+++ b/cmd/tealpath/shutdownbusy_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"net"
+	"os"
 	"slices"
 	"sync"
 	"sync/atomic"
@@ -27,28 +28,45 @@
 // exchange is one request of a client that goes on sending, and whether it was answered.
 type exchange struct {
 	object   string
-	sentAt   time.Time
+	sentAt   moment
 	answered bool
 }
 
+// moment is a time, and for how long this process had been held up by then.
+type moment struct {
+	at      time.Time
+	stalled time.Duration
+}
+
+// momentOf reads the time, and this process's stalls so far.
+func momentOf(stalls *testkit.ProcessStallWatch) moment {
+	return moment{stalled: stalls.Measured(), at: time.Now()}
+}
+
+// since returns the time from an earlier moment on in which this process was not held up.
+func (m moment) since(earlier moment) time.Duration {
+	return m.at.Sub(earlier.at) - (m.stalled - earlier.stalled)
+}
+
 // busyClient sends requests on one connection, one each interval, until that ends.
 type busyClient struct {
 	t        *testing.T
 	interval time.Duration
 	timeout  time.Duration
+	stalls   *testkit.ProcessStallWatch // of this process
 
 	mu        sync.Mutex
 	exchanges []exchange // guarded by mu; by sequence number, from 1
-	endedAt   time.Time  // guarded by mu
+	endedAt   moment     // guarded by mu
 }
 
 // run sends requests for objects from a number on. It returns what became of them, and when the connection
 // ended.
-func (b *busyClient) run(address string, firstObject int) (exchanges []exchange, endedAt time.Time) {
+func (b *busyClient) run(address string, firstObject int) (exchanges []exchange, endedAt moment) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		b.t.Error(err)
-		return nil, time.Now()
+		return nil, momentOf(b.stalls)
 	}
 	defer testkit.Close(conn)
 	client := testkit.NewClient(b.t, conn)
@@ -64,8 +82,9 @@
 		case <-time.After(b.interval):
 		}
 		object := testkit.ObjectID(n)
+		sentAt := momentOf(b.stalls)
 		b.mu.Lock()
-		b.exchanges = append(b.exchanges, exchange{object: object, sentAt: time.Now()})
+		b.exchanges = append(b.exchanges, exchange{object: object, sentAt: sentAt})
 		b.mu.Unlock()
 		client.Call(object, b.timeout)
 	}
@@ -86,7 +105,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if sequence == testkit.ClosedSequence {
-		b.endedAt = time.Now()
+		b.endedAt = momentOf(b.stalls)
 		return false
 	}
 	if b.exchanges[sequence-1].answered {
@@ -97,15 +116,16 @@
 }
 
 // expectNoneLost checks that what was not answered crossed the end of its connection, and that no cache was
-// asked for it.
-func expectNoneLost(t *testing.T, caches []*testkit.Cache, exchanges []exchange, endedAt time.Time) {
+// asked for it. Between the two this process may be held up before it writes, or before it reads the end: that
+// time does not count.
+func expectNoneLost(t *testing.T, caches []*testkit.Cache, exchanges []exchange, endedAt moment) {
 	t.Helper()
 	const crossing = 50 * time.Millisecond
 	for _, e := range exchanges {
 		if e.answered {
 			continue
 		}
-		if before := endedAt.Sub(e.sentAt); before > crossing+lateness/2 {
+		if before := endedAt.since(e.sentAt); before > crossing+lateness/2 {
 			t.Errorf("%s was sent %v before its connection ended and not answered", e.object, before)
 		}
 		if count := requestCount(caches, e.object); count > 0 {
@@ -149,11 +169,18 @@
 			router, caches, _ := newTestCell(t, deadline.Seconds(), formerOnTime, lowOnTime)
 			process := router.spawnHealthy(t)
 			disturb(caches)
+			stalls := testkit.WatchProcessStalls(os.Getpid())
+			defer stalls.Stop()
 			var all sync.WaitGroup
 			var sent atomic.Int64
 			for n := range clients {
 				all.Go(func() {
-					client := &busyClient{t: t, interval: inFlight(deadline) / requestsInFlight, timeout: deadline}
+					client := &busyClient{
+						t:        t,
+						interval: inFlight(deadline) / requestsInFlight,
+						timeout:  deadline,
+						stalls:   stalls,
+					}
 					exchanges, endedAt := client.run(router.address, (n+1)*100000)
 					sent.Add(int64(len(exchanges)))
 					expectNoneLost(t, caches, exchanges, endedAt)
@@ -220,16 +247,18 @@
 	for _, cache := range caches {
 		cache.SetBehavior(testkit.Respond, 30*time.Millisecond) // so that some requests are in flight in that moment
 	}
+	stalls := testkit.WatchProcessStalls(os.Getpid())
+	defer stalls.Stop()
 	ending := process.Terminate()
 	var all sync.WaitGroup
 	for n, client := range idle {
 		all.Go(func() {
 			time.Sleep(time.Until(ending.At.Add(firstRequest + time.Duration(n)*apart)))
-			e := exchange{object: testkit.ObjectID(1000 + n), sentAt: time.Now()}
+			e := exchange{object: testkit.ObjectID(1000 + n), sentAt: momentOf(stalls)}
 			sequence := client.Call(e.object, deadline)
 			got, _ := client.Next()
 			e.answered = got == sequence
-			expectNoneLost(t, caches, []exchange{e}, time.Now())
+			expectNoneLost(t, caches, []exchange{e}, momentOf(stalls))
 		})
 	}
 	all.Wait()
