--- a/cmd/tealpath/check.go
+++ b/cmd/tealpath/check.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"os"
+
 	"tealpath/internal/config"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/server"
--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 	"sync"
-	"tealpath/internal/clock/clocktest"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
+
+	"tealpath/internal/clock/clocktest"
+	"tealpath/internal/testkit"
 )
 
 // A request in flight has its time, no less and no more.
--- a/cmd/tealpath/clockhelpers_test.go
+++ b/cmd/tealpath/clockhelpers_test.go
@@ -6,13 +6,14 @@
 	"errors"
 	"strings"
 	"sync"
+	"testing"
+	"time"
+
 	"tealpath/internal/clock"
 	"tealpath/internal/config"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/server"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 
 	"github.com/rs/zerolog"
 )
--- a/cmd/tealpath/clocksnapshot_test.go
+++ b/cmd/tealpath/clocksnapshot_test.go
@@ -4,11 +4,12 @@
 	"os"
 	"path/filepath"
 	"strings"
+	"testing"
+	"time"
+
 	"tealpath/internal/clock/clocktest"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 )
 
 // parseOperatorFile parses an operator's file whose paths are within a folder.
--- a/cmd/tealpath/connections.go
+++ b/cmd/tealpath/connections.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"fmt"
+
 	"tealpath/internal/server"
 
 	"github.com/urfave/cli/v3"
--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -6,10 +6,11 @@
 	"strings"
 	"sync"
 	"syscall"
-	"tealpath/internal/protocol/resp"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
+
+	"tealpath/internal/protocol/resp"
+	"tealpath/internal/testkit"
 )
 
 // budgetSlack is by how much the budget that a cache is told may differ from what the client has left.
--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"os"
+
 	"tealpath/internal/compatibility"
 	"tealpath/internal/operatorconfig"
 
--- a/cmd/tealpath/diff_test.go
+++ b/cmd/tealpath/diff_test.go
@@ -4,10 +4,11 @@
 	"context"
 	"fmt"
 	"path/filepath"
-	"tealpath/internal/emulator/certificates"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
+
+	"tealpath/internal/emulator/certificates"
+	"tealpath/internal/testkit"
 )
 
 // diffFile is an operator's file. Left open are the voters and the number of slots.
--- a/cmd/tealpath/discovery_test.go
+++ b/cmd/tealpath/discovery_test.go
@@ -5,10 +5,11 @@
 	"os"
 	"strings"
 	"syscall"
-	"tealpath/internal/emulator/discoveryserver"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
+
+	"tealpath/internal/emulator/discoveryserver"
+	"tealpath/internal/testkit"
 )
 
 // stopSending adds to the settings that within 0.25 s from when a cache drains nothing more is sent to it.
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -5,6 +5,7 @@
 	"context"
 	"fmt"
 	"strings"
+
 	"tealpath/internal/cluster"
 	"tealpath/internal/server"
 
--- a/cmd/tealpath/faults_test.go
+++ b/cmd/tealpath/faults_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"strings"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
+
+	"tealpath/internal/testkit"
 )
 
 // Faults of caches that the platform's pages name and the platform's bench does not play, over real connections
--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -6,9 +6,10 @@
 	"path/filepath"
 	"strings"
 	"sync"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
+
+	"tealpath/internal/testkit"
 )
 
 // What a router may need in the mean over the same day beside what it needs at the usual size, as the users'
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -12,11 +12,12 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
+	"testing"
+	"time"
+
 	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/protocol/resp"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 )
 
 // growthDay is the traffic of one router, the same in a fleet of any size.
--- a/cmd/tealpath/helpers_test.go
+++ b/cmd/tealpath/helpers_test.go
@@ -9,11 +9,12 @@
 	"slices"
 	"strings"
 	"syscall"
-	"tealpath/internal/emulator/discoveryserver"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
 
+	"tealpath/internal/emulator/discoveryserver"
+	"tealpath/internal/testkit"
+
 	"github.com/urfave/cli/v3"
 )
 
--- a/cmd/tealpath/log.go
+++ b/cmd/tealpath/log.go
@@ -4,9 +4,10 @@
 	"bytes"
 	"io"
 	"sync/atomic"
-	"tealpath/internal/server"
 	"time"
 
+	"tealpath/internal/server"
+
 	"github.com/rs/zerolog"
 )
 
--- a/cmd/tealpath/log_test.go
+++ b/cmd/tealpath/log_test.go
@@ -6,9 +6,10 @@
 	"fmt"
 	"io"
 	"strings"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
+
+	"tealpath/internal/testkit"
 )
 
 // writeLine writes a line to a log, which never fails.
--- a/cmd/tealpath/logevents_test.go
+++ b/cmd/tealpath/logevents_test.go
@@ -7,6 +7,8 @@
 	"regexp"
 	"slices"
 	"strings"
+	"testing"
+
 	"tealpath/control"
 	"tealpath/internal/cluster"
 	"tealpath/internal/cluster/peer"
@@ -15,7 +17,6 @@
 	"tealpath/internal/logevent"
 	"tealpath/internal/router"
 	"tealpath/internal/server"
-	"testing"
 )
 
 // root is the repository, seen from this package.
--- a/cmd/tealpath/members.go
+++ b/cmd/tealpath/members.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"strings"
+
 	"tealpath/internal/cluster"
 	"tealpath/internal/server"
 
--- a/cmd/tealpath/operator.go
+++ b/cmd/tealpath/operator.go
@@ -5,11 +5,12 @@
 	"encoding/json"
 	"fmt"
 	"os"
+	"time"
+
 	"tealpath/internal/adminsocket"
 	"tealpath/internal/config"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/server"
-	"time"
 
 	"github.com/urfave/cli/v3"
 )
--- a/cmd/tealpath/serve.go
+++ b/cmd/tealpath/serve.go
@@ -6,6 +6,7 @@
 	"os"
 	"os/signal"
 	"syscall"
+
 	"tealpath/internal/clock"
 	"tealpath/internal/config"
 	"tealpath/internal/operatorconfig"
--- a/cmd/tealpath/serve_test.go
+++ b/cmd/tealpath/serve_test.go
@@ -6,10 +6,11 @@
 	"runtime"
 	"strings"
 	"syscall"
-	"tealpath/internal/protocol/thrift"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
+
+	"tealpath/internal/protocol/thrift"
+	"tealpath/internal/testkit"
 )
 
 // reloadPause is how long a signal to reload is given: nothing outside the process shows a configuration that
--- a/cmd/tealpath/shutdown_test.go
+++ b/cmd/tealpath/shutdown_test.go
@@ -4,9 +4,10 @@
 	"net"
 	"path/filepath"
 	"syscall"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
+
+	"tealpath/internal/testkit"
 )
 
 // What is outstanding when the router is told to end, in each state that a request can be in, over real
--- a/cmd/tealpath/shutdownbusy_test.go
+++ b/cmd/tealpath/shutdownbusy_test.go
@@ -7,9 +7,10 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
+
+	"tealpath/internal/testkit"
 )
 
 // Shutdowns of routers in processes of their own while clients go on sending. docs/endings.md lists what has to
--- a/cmd/tealpath/start_test.go
+++ b/cmd/tealpath/start_test.go
@@ -6,9 +6,10 @@
 	"os"
 	"path/filepath"
 	"syscall"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
+
+	"tealpath/internal/testkit"
 )
 
 // minimalConfig is a configuration without endpoints. Left open are what discovery has published and the
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -4,6 +4,7 @@
 import (
 	"fmt"
 	"os"
+
 	"tealpath/internal/simulator"
 )
 
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"tealpath/internal/logevent"
 	"testing"
+
+	"tealpath/internal/logevent"
 )
 
 // benchmarkSizes are the numbers of cache servers that the benchmarks run with.
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -3,8 +3,9 @@
 import (
 	"fmt"
 	"math"
-	"tealpath/internal/logevent"
 	"testing"
+
+	"tealpath/internal/logevent"
 )
 
 // runAtConcurrency keeps so many requests in flight for a span, ns, each of which is answered in time. It
--- a/control/control.go
+++ b/control/control.go
@@ -26,6 +26,7 @@
 	"encoding/binary"
 	"hash/crc32"
 	"math"
+
 	"tealpath/internal/logevent"
 )
 
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -10,8 +10,9 @@
 	"os"
 	"slices"
 	"strings"
-	"tealpath/internal/logevent"
 	"testing"
+
+	"tealpath/internal/logevent"
 )
 
 // drawnRun drives a router through events drawn at random: requests, outcomes, endpoint lists, purges, probes
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -1,8 +1,9 @@
 package control
 
 import (
-	"tealpath/internal/logevent"
 	"testing"
+
+	"tealpath/internal/logevent"
 )
 
 // rawTestSettings returns the settings of a small deployment: two caches here, two parents and an origin elsewhere. Its
--- a/control/inflight.go
+++ b/control/inflight.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"tealpath/internal/timerqueue"
 )
 
--- a/control/logevents.go
+++ b/control/logevents.go
@@ -2,6 +2,7 @@
 
 import (
 	"strconv"
+
 	"tealpath/internal/logevent"
 )
 
--- a/control/logevents_test.go
+++ b/control/logevents_test.go
@@ -3,8 +3,9 @@
 import (
 	"math"
 	"regexp"
-	"tealpath/internal/logevent"
 	"testing"
+
+	"tealpath/internal/logevent"
 )
 
 func TestLogEventText(t *testing.T) {
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -5,8 +5,9 @@
 	"math"
 	"math/rand/v2"
 	"reflect"
-	"tealpath/internal/logevent"
 	"testing"
+
+	"tealpath/internal/logevent"
 )
 
 const year = 365 * 24 * 3600 * second
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -4,8 +4,9 @@
 	"fmt"
 	"math"
 	"slices"
-	"tealpath/internal/logevent"
 	"testing"
+
+	"tealpath/internal/logevent"
 )
 
 // ruleLimit returns the number of requests above which an endpoint that can take n is overloaded, as rule 4 has
--- a/control/slowstart_tokens_test.go
+++ b/control/slowstart_tokens_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"tealpath/internal/logevent"
 	"testing"
+
+	"tealpath/internal/logevent"
 )
 
 // moreThan returns the probability of more than so many successes in independent trials, added up term by term.
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"math"
-	"tealpath/internal/logevent"
 	"testing"
+
+	"tealpath/internal/logevent"
 )
 
 // A router that restores a snapshot has the rates of the one before, though time has passed; without rates it
--- a/deploy/example_test.go
+++ b/deploy/example_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"os"
+	"testing"
+
 	"tealpath/internal/config"
 	"tealpath/internal/server"
-	"testing"
 )
 
 // The README's first run takes this file.
--- a/internal/adminsocket/server.go
+++ b/internal/adminsocket/server.go
@@ -10,8 +10,9 @@
 	"os"
 	"strings"
 	"sync"
-	"tealpath/internal/neterr"
 	"time"
+
+	"tealpath/internal/neterr"
 )
 
 // Serve serves commands, by their names, on a Unix socket until the context ends. A socket that an earlier process
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -4,8 +4,9 @@
 
 import (
 	"sync"
-	"tealpath/internal/clock"
 	"time"
+
+	"tealpath/internal/clock"
 )
 
 // Clock is a clock.Clock for tests.
--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -1,10 +1,11 @@
 package cluster
 
 import (
+	"testing"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/probe"
-	"testing"
 )
 
 const (
--- a/internal/cluster/lease/acquire.go
+++ b/internal/cluster/lease/acquire.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"tealpath/internal/cluster/timing"
 )
 
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"slices"
+
 	"tealpath/internal/cluster/timing"
 )
 
--- a/internal/cluster/lease/node.go
+++ b/internal/cluster/lease/node.go
@@ -11,9 +11,10 @@
 import (
 	"math/rand/v2"
 	"slices"
+	"time"
+
 	"tealpath/internal/cluster/paxos"
 	"tealpath/internal/cluster/timing"
-	"time"
 )
 
 // grant is a voter's state of one slot.
--- a/internal/cluster/lease/quorum.go
+++ b/internal/cluster/lease/quorum.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"slices"
+
 	"tealpath/internal/cluster/paxos"
 	"tealpath/internal/cluster/timing"
 )
--- a/internal/cluster/lease/record_test.go
+++ b/internal/cluster/lease/record_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"math/rand/v2"
+	"testing"
+
 	"tealpath/internal/cluster/paxos"
 	"tealpath/internal/cluster/recordtest"
-	"testing"
 )
 
 // recordedDigest is the SHA-256 of all effects in TestRecordedSequence, in order.
--- a/internal/cluster/lease/status.go
+++ b/internal/cluster/lease/status.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+
 	"tealpath/internal/cluster/timing"
 )
 
--- a/internal/cluster/lease/status_test.go
+++ b/internal/cluster/lease/status_test.go
@@ -1,8 +1,9 @@
 package lease
 
 import (
-	"tealpath/internal/cluster/paxos"
 	"testing"
+
+	"tealpath/internal/cluster/paxos"
 )
 
 // reasons counts the slots by the reason why nobody holds them; slots with a holder count under its name.
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/probe"
--- a/internal/cluster/logevents_test.go
+++ b/internal/cluster/logevents_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"reflect"
+	"testing"
+
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/logevent"
-	"testing"
 )
 
 // checkKinds checks that events have names of their own, and messages without values.
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -3,11 +3,12 @@
 import (
 	"maps"
 	"slices"
+	"time"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/timing"
 	"tealpath/internal/logevent"
-	"time"
 )
 
 // leaseLinkDuration is for how long a link stays that a message about leases went by, ns.
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -2,6 +2,7 @@
 
 import (
 	"maps"
+
 	"tealpath/internal/cluster/paxos"
 	"tealpath/internal/cluster/timing"
 )
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"math"
 	"slices"
+
 	"tealpath/internal/cluster/timing"
 )
 
--- a/internal/cluster/membership/record_test.go
+++ b/internal/cluster/membership/record_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"math/rand/v2"
-	"tealpath/internal/cluster/recordtest"
 	"testing"
 
+	"tealpath/internal/cluster/recordtest"
+
 	"github.com/fxamacker/cbor/v2"
 )
 
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -3,6 +3,7 @@
 import (
 	"maps"
 	"slices"
+
 	"tealpath/internal/cluster/timing"
 )
 
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -14,6 +14,7 @@
 import (
 	"math/rand/v2"
 	"slices"
+
 	"tealpath/internal/cluster/timing"
 )
 
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"encoding/binary"
 	"slices"
+
 	"tealpath/internal/cluster/timing"
 
 	"github.com/cespare/xxhash/v2"
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 
--- a/internal/cluster/message_test.go
+++ b/internal/cluster/message_test.go
@@ -8,9 +8,10 @@
 	"os"
 	"reflect"
 	"strings"
+	"testing"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
-	"testing"
 )
 
 var update = flag.Bool("update", false, "write the golden files anew")
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -6,10 +6,11 @@
 
 import (
 	"cmp"
+	"time"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/probe"
-	"time"
 )
 
 // minTimer is the shortest time to which the timer is set, ns.
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -1,9 +1,10 @@
 package cluster
 
 import (
+	"testing"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
-	"testing"
 )
 
 func TestThreeShareAndProbeOnce(t *testing.T) {
--- a/internal/cluster/peer/incoming.go
+++ b/internal/cluster/peer/incoming.go
@@ -8,8 +8,9 @@
 	"net"
 	"net/netip"
 	"slices"
-	"tealpath/internal/logevent"
 	"time"
+
+	"tealpath/internal/logevent"
 )
 
 // accept takes links from others.
--- a/internal/cluster/peer/links.go
+++ b/internal/cluster/peer/links.go
@@ -11,9 +11,10 @@
 	"net"
 	"net/netip"
 	"sync"
-	"tealpath/internal/logevent"
 	"time"
 
+	"tealpath/internal/logevent"
+
 	"go4.org/netipx"
 	"golang.org/x/sync/errgroup"
 )
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -11,11 +11,12 @@
 	"runtime"
 	"strings"
 	"sync"
-	"tealpath/internal/emulator/certificates"
-	"tealpath/internal/logevent"
 	"testing"
 	"time"
 
+	"tealpath/internal/emulator/certificates"
+	"tealpath/internal/logevent"
+
 	"github.com/fxamacker/cbor/v2"
 	"go4.org/netipx"
 )
--- a/internal/cluster/peer/logevents_test.go
+++ b/internal/cluster/peer/logevents_test.go
@@ -3,9 +3,10 @@
 import (
 	"errors"
 	"slices"
-	"tealpath/internal/logevent"
 	"testing"
 	"time"
+
+	"tealpath/internal/logevent"
 )
 
 func TestLogEvents(t *testing.T) {
--- a/internal/cluster/peer/outgoing.go
+++ b/internal/cluster/peer/outgoing.go
@@ -8,9 +8,10 @@
 	"net"
 	"net/netip"
 	"sync"
-	"tealpath/internal/logevent"
 	"time"
 
+	"tealpath/internal/logevent"
+
 	"github.com/fxamacker/cbor/v2"
 )
 
--- a/internal/cluster/peer/refusals.go
+++ b/internal/cluster/peer/refusals.go
@@ -2,8 +2,9 @@
 
 import (
 	"sync"
-	"tealpath/internal/logevent"
 	"time"
+
+	"tealpath/internal/logevent"
 )
 
 const (
--- a/internal/cluster/probe/prober.go
+++ b/internal/cluster/probe/prober.go
@@ -3,9 +3,10 @@
 import (
 	"cmp"
 	"slices"
-	"tealpath/internal/cluster/lease"
 	"time"
 
+	"tealpath/internal/cluster/lease"
+
 	"github.com/cespare/xxhash/v2"
 )
 
--- a/internal/cluster/probe/prober_test.go
+++ b/internal/cluster/probe/prober_test.go
@@ -5,8 +5,9 @@
 	"fmt"
 	"math"
 	"math/rand/v2"
-	"tealpath/internal/cluster/lease"
 	"testing"
+
+	"tealpath/internal/cluster/lease"
 )
 
 const ms = int64(1e6)
--- a/internal/cluster/probes.go
+++ b/internal/cluster/probes.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/probe"
--- a/internal/cluster/probes_test.go
+++ b/internal/cluster/probes_test.go
@@ -1,8 +1,9 @@
 package cluster
 
 import (
-	"tealpath/internal/cluster/lease"
 	"testing"
+
+	"tealpath/internal/cluster/lease"
 )
 
 func TestResultsUnderOldBallotsAreDropped(t *testing.T) {
--- a/internal/cluster/sharedconfig/node.go
+++ b/internal/cluster/sharedconfig/node.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"tealpath/internal/cluster/paxos"
 	"tealpath/internal/cluster/timing"
 )
--- a/internal/cluster/sharedconfig/proposer.go
+++ b/internal/cluster/sharedconfig/proposer.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"hash/fnv"
 	"slices"
+
 	"tealpath/internal/cluster/paxos"
 )
 
--- a/internal/cluster/sharedconfig/record_test.go
+++ b/internal/cluster/sharedconfig/record_test.go
@@ -3,8 +3,9 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"tealpath/internal/cluster/recordtest"
 	"testing"
+
+	"tealpath/internal/cluster/recordtest"
 )
 
 // recordedDigest is the SHA-256 of all effects in TestRecordedSequence, in order.
--- a/internal/cluster/size_test.go
+++ b/internal/cluster/size_test.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 	"strings"
+	"testing"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/peer"
-	"testing"
 )
 
 // What was found of all servers of the largest fleet between two beats is told, in messages that fit a frame.
--- a/internal/compatibility/compare.go
+++ b/internal/compatibility/compare.go
@@ -4,8 +4,9 @@
 	"cmp"
 	"fmt"
 	"slices"
-	"tealpath/internal/cluster/lease"
 	"time"
+
+	"tealpath/internal/cluster/lease"
 )
 
 // The settings as conflicts and errors name them.
--- a/internal/compatibility/compare_test.go
+++ b/internal/compatibility/compare_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"errors"
-	"tealpath/internal/cluster/lease"
 	"testing"
+
+	"tealpath/internal/cluster/lease"
 )
 
 // exampleSettings are valid, with a value in each field.
--- a/internal/compatibility/migration.go
+++ b/internal/compatibility/migration.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"reflect"
 	"slices"
+
 	"tealpath/internal/cluster/lease"
 )
 
--- a/internal/compatibility/migration_test.go
+++ b/internal/compatibility/migration_test.go
@@ -5,8 +5,9 @@
 	"math/rand/v2"
 	"reflect"
 	"slices"
-	"tealpath/internal/cluster/lease"
 	"testing"
+
+	"tealpath/internal/cluster/lease"
 )
 
 // Between any two drawn versions there are steps, each of which differs from the one before by at most one
--- a/internal/compatibility/settings.go
+++ b/internal/compatibility/settings.go
@@ -6,6 +6,7 @@
 
 import (
 	"fmt"
+
 	"tealpath/internal/cluster/lease"
 
 	"github.com/fxamacker/cbor/v2"
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -8,6 +8,7 @@
 	"os"
 	"reflect"
 	"strings"
+
 	"tealpath/control"
 )
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,8 +5,9 @@
 	"os"
 	"path/filepath"
 	"strings"
-	"tealpath/control"
 	"testing"
+
+	"tealpath/control"
 )
 
 // file is a valid configuration file, whose settings lack what a router needs to start.
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"net"
 	"strconv"
+
 	"tealpath/control"
 
 	"github.com/cespare/xxhash/v2"
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"math"
 	"strings"
+
 	"tealpath/control"
 )
 
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"strings"
-	"tealpath/control"
 	"testing"
 
+	"tealpath/control"
+
 	"github.com/cespare/xxhash/v2"
 )
 
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -2,8 +2,9 @@
 
 import (
 	"context"
-	"tealpath/internal/lifecycle/startup"
 	"time"
+
+	"tealpath/internal/lifecycle/startup"
 )
 
 // pause waits for a number of ns, or until the context ends.
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -8,10 +8,11 @@
 	"os"
 	"strconv"
 	"syscall"
+	"time"
+
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/sse"
-	"time"
 )
 
 // watchPath is the path of the watch at the discovery service.
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"math"
 	"strconv"
+
 	"tealpath/control"
 	"tealpath/internal/clock"
 	"tealpath/internal/lifecycle/startup"
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -5,8 +5,9 @@
 	"fmt"
 	"math"
 	"strings"
-	"tealpath/internal/router"
 	"testing"
+
+	"tealpath/internal/router"
 )
 
 func TestDecodeEvent(t *testing.T) {
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -6,12 +6,13 @@
 	"fmt"
 	"net"
 	"strings"
+	"testing"
+	"time"
+
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/logevent"
 	"tealpath/internal/router"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 )
 
 const (
--- a/internal/discovery/history.go
+++ b/internal/discovery/history.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+
 	"tealpath/internal/lifecycle/restore"
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/router"
--- a/internal/discovery/history_test.go
+++ b/internal/discovery/history_test.go
@@ -3,11 +3,12 @@
 import (
 	"fmt"
 	"strings"
+	"testing"
+
 	"tealpath/control"
 	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/router"
 	"tealpath/internal/testkit"
-	"testing"
 
 	"github.com/cespare/xxhash/v2"
 )
--- a/internal/discovery/resume.go
+++ b/internal/discovery/resume.go
@@ -4,6 +4,7 @@
 	"errors"
 	"fmt"
 	"strconv"
+
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/protocol/sse"
 
--- a/internal/discovery/resume_test.go
+++ b/internal/discovery/resume_test.go
@@ -3,8 +3,9 @@
 import (
 	"fmt"
 	"strings"
-	"tealpath/internal/protocol/sse"
 	"testing"
+
+	"tealpath/internal/protocol/sse"
 )
 
 // newPurge is a purge as the stream has it.
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -7,11 +7,12 @@
 	"context"
 	"net"
 	"sync"
+	"time"
+
 	"tealpath/internal/clock"
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/logevent"
 	"tealpath/internal/router"
-	"time"
 )
 
 // dialTimeout bounds how long a connection to the service may take to be established.
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -9,12 +9,13 @@
 	"strings"
 	"sync/atomic"
 	"syscall"
+	"testing"
+	"time"
+
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/neterr"
 	"tealpath/internal/router"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 )
 
 // The service closes, rejects and falls silent in turn: each call resumes after the last event.
--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -4,9 +4,10 @@
 	"context"
 	"errors"
 	"net"
+	"time"
+
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/neterr"
-	"time"
 )
 
 // acceptRetryInterval is the pause after an accept that failed, and between two tries to have capacity for
--- a/internal/downstream/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -4,11 +4,12 @@
 	"net"
 	"net/netip"
 	"slices"
+	"testing"
+	"time"
+
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/neterr"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 
 	"github.com/gaissmai/bart"
 )
--- a/internal/downstream/arrival.go
+++ b/internal/downstream/arrival.go
@@ -3,8 +3,9 @@
 import (
 	"net"
 	"sync"
-	"tealpath/internal/downstream/poller"
 	"time"
+
+	"tealpath/internal/downstream/poller"
 )
 
 const (
--- a/internal/downstream/arrival_test.go
+++ b/internal/downstream/arrival_test.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"net"
-	"tealpath/internal/router"
 	"testing"
 	"time"
+
+	"tealpath/internal/router"
 )
 
 // early and late are how far the stated arrival of a request may be from its sending: the kernel counts in
--- a/internal/downstream/closing.go
+++ b/internal/downstream/closing.go
@@ -5,9 +5,10 @@
 	"io"
 	"net"
 	"os"
+	"time"
+
 	"tealpath/internal/neterr"
 	"tealpath/internal/router"
-	"time"
 )
 
 const (
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -6,10 +6,11 @@
 	"io"
 	"net"
 	"sync"
+	"time"
+
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/neterr"
 	"tealpath/internal/router"
-	"time"
 )
 
 // maxExcessRequests is how many requests in a row may come beyond those that a connection may have in
--- a/internal/downstream/descriptor.go
+++ b/internal/downstream/descriptor.go
@@ -3,8 +3,9 @@
 import (
 	"net"
 	"syscall"
-	"tealpath/internal/downstream/poller"
 	"time"
+
+	"tealpath/internal/downstream/poller"
 )
 
 // setReadDeadline sets when reads time out. It only fails on a connection that is closed, and the next read
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -1,9 +1,10 @@
 package downstream
 
 import (
+	"time"
+
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/neterr"
-	"time"
 )
 
 const (
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -5,13 +5,14 @@
 	"io"
 	"net"
 	"sync"
+	"testing"
+	"time"
+
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/logevent"
 	"tealpath/internal/neterr"
 	"tealpath/internal/router"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 )
 
 // Connections without a request are evicted for new ones, which may have one.
--- a/internal/downstream/faultyconn_linux_test.go
+++ b/internal/downstream/faultyconn_linux_test.go
@@ -7,11 +7,12 @@
 	"strings"
 	"sync/atomic"
 	"syscall"
-	"tealpath/internal/router"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
 
+	"tealpath/internal/router"
+	"tealpath/internal/testkit"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/downstream/filter_linux_test.go
+++ b/internal/downstream/filter_linux_test.go
@@ -6,12 +6,13 @@
 	"runtime"
 	"strings"
 	"sync"
-	"tealpath/internal/logevent"
-	"tealpath/internal/router"
 	"testing"
 	"time"
 	"unsafe"
 
+	"tealpath/internal/logevent"
+	"tealpath/internal/router"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -9,13 +9,14 @@
 	"io"
 	"net"
 	"strings"
+	"testing"
+	"time"
+
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/logevent"
 	"tealpath/internal/neterr"
 	"tealpath/internal/router"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 )
 
 // testTimeout is for how long a test waits for what has to come.
--- a/internal/downstream/idle.go
+++ b/internal/downstream/idle.go
@@ -5,11 +5,12 @@
 	"slices"
 	"sync"
 	"sync/atomic"
+	"time"
+
 	"tealpath/internal/clock"
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/downstream/poller"
 	"tealpath/internal/logevent"
-	"time"
 )
 
 // closingDivisor gives, from the maximum of connections, how many may be lingering or being rejected beside
--- a/internal/downstream/logevents_test.go
+++ b/internal/downstream/logevents_test.go
@@ -3,9 +3,10 @@
 import (
 	"regexp"
 	"slices"
+	"testing"
+
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/logevent"
-	"testing"
 )
 
 func TestLogEventsAreNamed(t *testing.T) {
--- a/internal/downstream/memory.go
+++ b/internal/downstream/memory.go
@@ -5,9 +5,10 @@
 	"context"
 	"io"
 	"sync/atomic"
+	"time"
+
 	"tealpath/internal/logevent"
 	"tealpath/internal/protocol/thrift"
-	"time"
 
 	"golang.org/x/sync/semaphore"
 )
--- a/internal/downstream/memory_test.go
+++ b/internal/downstream/memory_test.go
@@ -5,10 +5,11 @@
 	"io"
 	"slices"
 	"strings"
-	"tealpath/internal/protocol/thrift"
-	"tealpath/internal/router"
 	"testing"
 	"time"
+
+	"tealpath/internal/protocol/thrift"
+	"tealpath/internal/router"
 )
 
 // Large responses to clients that do not read: memory stays bounded, what does not fit fails, other clients
--- a/internal/downstream/policies.go
+++ b/internal/downstream/policies.go
@@ -3,9 +3,10 @@
 import (
 	"hash/maphash"
 	"net"
-	"tealpath/internal/downstream/idle"
 	"time"
 
+	"tealpath/internal/downstream/idle"
+
 	"github.com/gaissmai/bart"
 )
 
--- a/internal/downstream/poller/helpers_test.go
+++ b/internal/downstream/poller/helpers_test.go
@@ -7,10 +7,11 @@
 	"io"
 	"net"
 	"os"
-	"tealpath/internal/neterr"
 	"testing"
 	"time"
 
+	"tealpath/internal/neterr"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/downstream/poller/poller_linux.go
+++ b/internal/downstream/poller/poller_linux.go
@@ -8,6 +8,7 @@
 	"os"
 	"sync"
 	"sync/atomic"
+
 	"tealpath/internal/neterr"
 
 	"golang.org/x/sys/unix"
--- a/internal/downstream/poller/poller_test.go
+++ b/internal/downstream/poller/poller_test.go
@@ -7,10 +7,11 @@
 	"errors"
 	"io"
 	"net"
-	"tealpath/internal/neterr"
 	"testing"
 	"time"
 
+	"tealpath/internal/neterr"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/downstream/poller/systemcalls_linux.go
+++ b/internal/downstream/poller/systemcalls_linux.go
@@ -4,9 +4,10 @@
 	"errors"
 	"net"
 	"os"
-	"tealpath/internal/neterr"
 	"time"
 
+	"tealpath/internal/neterr"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/downstream/poller/systemcalls_test.go
+++ b/internal/downstream/poller/systemcalls_test.go
@@ -3,9 +3,10 @@
 package poller
 
 import (
-	"tealpath/internal/neterr"
 	"testing"
 
+	"tealpath/internal/neterr"
+
 	"golang.org/x/sys/unix"
 )
 
--- a/internal/downstream/poller/tcpstats_test.go
+++ b/internal/downstream/poller/tcpstats_test.go
@@ -4,9 +4,10 @@
 
 import (
 	"net"
-	"tealpath/internal/neterr"
 	"testing"
 	"time"
+
+	"tealpath/internal/neterr"
 )
 
 func TestReadTCPStats(t *testing.T) {
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -8,10 +8,11 @@
 	"io"
 	"os"
 	"strconv"
+	"time"
+
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/thrift"
 	"tealpath/internal/router"
-	"time"
 )
 
 const (
--- a/internal/downstream/reject.go
+++ b/internal/downstream/reject.go
@@ -4,10 +4,11 @@
 	"bufio"
 	"context"
 	"net"
+	"time"
+
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/thrift"
-	"time"
 )
 
 // rejectionLogInterval is the least time between two events about rejected connections.
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -7,12 +7,13 @@
 	"os"
 	"slices"
 	"strings"
+	"testing"
+	"time"
+
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/thrift"
 	"tealpath/internal/router"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 )
 
 func TestPostedEvents(t *testing.T) {
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -4,6 +4,7 @@
 	"net"
 	"sync"
 	"sync/atomic"
+
 	"tealpath/internal/clock"
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/downstream/poller"
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -3,6 +3,7 @@
 import (
 	"maps"
 	"slices"
+
 	"tealpath/internal/neterr"
 )
 
--- a/internal/downstream/shutdown_test.go
+++ b/internal/downstream/shutdown_test.go
@@ -5,11 +5,12 @@
 	"net"
 	"slices"
 	"syscall"
+	"testing"
+	"time"
+
 	"tealpath/internal/neterr"
 	"tealpath/internal/router"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 )
 
 // A process that ends must not leave a request behind that has come in part already.
--- a/internal/downstream/suspend.go
+++ b/internal/downstream/suspend.go
@@ -2,10 +2,11 @@
 
 import (
 	"net"
+	"time"
+
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/downstream/poller"
 	"tealpath/internal/neterr"
-	"time"
 )
 
 // wakeUp is a suspended connection that is to be resumed, and since when data may wait on it.
--- a/internal/downstream/suspend_test.go
+++ b/internal/downstream/suspend_test.go
@@ -7,11 +7,12 @@
 	"os"
 	"runtime"
 	"sync"
+	"testing"
+	"time"
+
 	"tealpath/internal/clock/clocktest"
 	"tealpath/internal/neterr"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 )
 
 // expectEOF checks that the next read of a connection gives its end.
--- a/internal/downstream/systemcalls_linux_test.go
+++ b/internal/downstream/systemcalls_linux_test.go
@@ -7,12 +7,13 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
+	"testing"
+	"time"
+
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/downstream/poller"
 	"tealpath/internal/neterr"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 
 	"golang.org/x/sys/unix"
 )
--- a/internal/downstream/wake.go
+++ b/internal/downstream/wake.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
+	"time"
+
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/downstream/poller"
 	"tealpath/internal/neterr"
-	"time"
 )
 
 // maxMaintenanceInterval is how long maintain waits at most: a new connection may expire sooner than what
--- a/internal/downstream/write.go
+++ b/internal/downstream/write.go
@@ -6,10 +6,11 @@
 	"net"
 	"slices"
 	"strconv"
+	"time"
+
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/thrift"
 	"tealpath/internal/router"
-	"time"
 )
 
 const (
--- a/internal/downstream/write_test.go
+++ b/internal/downstream/write_test.go
@@ -3,9 +3,10 @@
 import (
 	"errors"
 	"reflect"
+	"testing"
+
 	"tealpath/internal/protocol/thrift"
 	"tealpath/internal/router"
-	"testing"
 )
 
 func TestResponsesInTheProtocolsForm(t *testing.T) {
--- a/internal/emulator/cache/cache.go
+++ b/internal/emulator/cache/cache.go
@@ -9,8 +9,9 @@
 	"slices"
 	"strings"
 	"sync"
-	"tealpath/internal/protocol/resp"
 	"time"
+
+	"tealpath/internal/protocol/resp"
 )
 
 const anyPort = "127.0.0.1:0"
--- a/internal/experiment/coldstart/coldstart_test.go
+++ b/internal/experiment/coldstart/coldstart_test.go
@@ -5,10 +5,11 @@
 	"fmt"
 	"reflect"
 	"strings"
-	"tealpath/internal/experiment/report"
-	"tealpath/internal/experiment/testcluster/clustertest"
 	"testing"
 	"time"
+
+	"tealpath/internal/experiment/report"
+	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
 // Real routers start beside a discovery service that is down, slow, breaks off, begins anew, or are killed and
--- a/internal/experiment/coldstart/experiment.go
+++ b/internal/experiment/coldstart/experiment.go
@@ -11,8 +11,9 @@
 	"path/filepath"
 	"slices"
 	"strings"
-	"tealpath/internal/experiment/report"
 	"time"
+
+	"tealpath/internal/experiment/report"
 )
 
 // Fault is what is wrong while the routers start.
--- a/internal/experiment/coldstart/fault.go
+++ b/internal/experiment/coldstart/fault.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 	"errors"
+	"time"
+
 	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/experiment/testcluster"
-	"time"
 )
 
 const (
--- a/internal/experiment/coldstart/play.go
+++ b/internal/experiment/coldstart/play.go
@@ -9,12 +9,13 @@
 	"path/filepath"
 	"slices"
 	"sync"
+	"time"
+
 	"tealpath/internal/emulator/cache"
 	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/experiment/testcluster"
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/server"
-	"time"
 )
 
 const (
--- a/internal/experiment/coldstart/simulation.go
+++ b/internal/experiment/coldstart/simulation.go
@@ -5,9 +5,10 @@
 	"path/filepath"
 	"slices"
 	"strconv"
+	"time"
+
 	"tealpath/internal/experiment/report"
 	"tealpath/internal/lifecycle/startup"
-	"time"
 
 	"gonum.org/v1/plot/plotter"
 )
--- a/internal/experiment/coldstart/summary.go
+++ b/internal/experiment/coldstart/summary.go
@@ -3,9 +3,10 @@
 import (
 	"math"
 	"slices"
+	"time"
+
 	"tealpath/internal/experiment/report"
 	"tealpath/internal/experiment/testcluster"
-	"time"
 )
 
 // summarize fills in the result from what routers, caches and the discovery service have seen.
--- a/internal/experiment/coldstartsim/client.go
+++ b/internal/experiment/coldstartsim/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+
 	"tealpath/internal/router"
 )
 
--- a/internal/experiment/coldstartsim/coldstartsim_test.go
+++ b/internal/experiment/coldstartsim/coldstartsim_test.go
@@ -3,9 +3,10 @@
 import (
 	"errors"
 	"fmt"
-	"tealpath/internal/experiment/experimenttest"
 	"testing"
 	"time"
+
+	"tealpath/internal/experiment/experimenttest"
 )
 
 func mustRun(t *testing.T, plan Plan) Result {
--- a/internal/experiment/coldstartsim/plan.go
+++ b/internal/experiment/coldstartsim/plan.go
@@ -11,9 +11,10 @@
 	"cmp"
 	"fmt"
 	"slices"
+	"time"
+
 	"tealpath/control"
 	"tealpath/internal/emulator/cache"
-	"time"
 )
 
 // Fault is what is wrong during a run.
--- a/internal/experiment/coldstartsim/report.go
+++ b/internal/experiment/coldstartsim/report.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"path/filepath"
 	"strconv"
+
 	"tealpath/internal/experiment/report"
 
 	"gonum.org/v1/plot/plotter"
--- a/internal/experiment/coldstartsim/result.go
+++ b/internal/experiment/coldstartsim/result.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"math"
 	"slices"
+
 	"tealpath/internal/experiment/report"
 )
 
--- a/internal/experiment/coldstartsim/router.go
+++ b/internal/experiment/coldstartsim/router.go
@@ -5,6 +5,7 @@
 	"maps"
 	"slices"
 	"strconv"
+
 	"tealpath/control"
 	"tealpath/internal/connpool"
 	"tealpath/internal/experiment/simulation"
--- a/internal/experiment/coldstartsim/simulation.go
+++ b/internal/experiment/coldstartsim/simulation.go
@@ -3,6 +3,7 @@
 import (
 	"math"
 	"math/rand/v2"
+
 	"tealpath/internal/emulator/cache"
 	"tealpath/internal/experiment/simulation"
 )
--- a/internal/experiment/command/agree.go
+++ b/internal/experiment/command/agree.go
@@ -5,9 +5,10 @@
 	"fmt"
 	"strconv"
 	"strings"
+	"time"
+
 	"tealpath/internal/experiment/report"
 	"tealpath/internal/experiment/sharedconfigsim"
-	"time"
 
 	"github.com/urfave/cli/v3"
 )
--- a/internal/experiment/command/coldstart.go
+++ b/internal/experiment/command/coldstart.go
@@ -4,10 +4,11 @@
 	"context"
 	"errors"
 	"strings"
+	"time"
+
 	"tealpath/internal/experiment/coldstart"
 	"tealpath/internal/experiment/coldstartsim"
 	"tealpath/internal/experiment/report"
-	"time"
 
 	"github.com/urfave/cli/v3"
 )
--- a/internal/experiment/command/command_test.go
+++ b/internal/experiment/command/command_test.go
@@ -6,9 +6,10 @@
 	"fmt"
 	"os/exec"
 	"strings"
-	"tealpath/internal/experiment/testcluster/clustertest"
 	"testing"
 
+	"tealpath/internal/experiment/testcluster/clustertest"
+
 	"github.com/urfave/cli/v3"
 )
 
--- a/internal/experiment/command/duties.go
+++ b/internal/experiment/command/duties.go
@@ -6,11 +6,12 @@
 	"os"
 	"runtime"
 	"sync"
+	"time"
+
 	"tealpath/internal/experiment/leases"
 	"tealpath/internal/experiment/leasesim"
 	"tealpath/internal/experiment/report"
 	"tealpath/internal/experiment/testcluster"
-	"time"
 
 	"github.com/urfave/cli/v3"
 )
--- a/internal/experiment/command/hold.go
+++ b/internal/experiment/command/hold.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"os"
+
 	"tealpath/internal/experiment/idleconnections"
 
 	"github.com/urfave/cli/v3"
--- a/internal/experiment/command/idle.go
+++ b/internal/experiment/command/idle.go
@@ -4,9 +4,10 @@
 	"context"
 	"errors"
 	"os"
-	"tealpath/internal/experiment/idleconnections"
 	"time"
 
+	"tealpath/internal/experiment/idleconnections"
+
 	"github.com/urfave/cli/v3"
 )
 
--- a/internal/experiment/command/members.go
+++ b/internal/experiment/command/members.go
@@ -5,11 +5,12 @@
 	"fmt"
 	"strconv"
 	"strings"
+	"time"
+
 	"tealpath/internal/experiment/membership"
 	"tealpath/internal/experiment/membershipsim"
 	"tealpath/internal/experiment/report"
 	"tealpath/internal/experiment/testcluster"
-	"time"
 
 	"github.com/urfave/cli/v3"
 )
--- a/internal/experiment/command/ways.go
+++ b/internal/experiment/command/ways.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+
 	"tealpath/internal/experiment/descriptors"
 
 	"github.com/urfave/cli/v3"
--- a/internal/experiment/descriptors/methods.go
+++ b/internal/experiment/descriptors/methods.go
@@ -7,6 +7,7 @@
 	"net"
 	"sync"
 	"syscall"
+
 	"tealpath/internal/downstream/poller"
 )
 
--- a/internal/experiment/idleconnections/bench.go
+++ b/internal/experiment/idleconnections/bench.go
@@ -9,8 +9,9 @@
 	"os/exec"
 	"path/filepath"
 	"sync"
-	"tealpath/internal/experiment/testcluster"
 	"time"
+
+	"tealpath/internal/experiment/testcluster"
 )
 
 const (
--- a/internal/experiment/idleconnections/client.go
+++ b/internal/experiment/idleconnections/client.go
@@ -9,8 +9,9 @@
 	"strconv"
 	"strings"
 	"sync"
-	"tealpath/internal/experiment/testcluster"
 	"time"
+
+	"tealpath/internal/experiment/testcluster"
 )
 
 // command is what a client process is told on its standard input.
--- a/internal/experiment/idleconnections/experiment.go
+++ b/internal/experiment/idleconnections/experiment.go
@@ -10,9 +10,10 @@
 	"path/filepath"
 	"slices"
 	"strconv"
+	"time"
+
 	"tealpath/internal/experiment/report"
 	"tealpath/internal/experiment/testcluster"
-	"time"
 
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg/draw"
--- a/internal/experiment/idleconnections/idleconnections_test.go
+++ b/internal/experiment/idleconnections/idleconnections_test.go
@@ -4,10 +4,11 @@
 	"context"
 	"strings"
 	"syscall"
-	"tealpath/internal/experiment/testcluster"
-	"tealpath/internal/experiment/testcluster/clustertest"
 	"testing"
 	"time"
+
+	"tealpath/internal/experiment/testcluster"
+	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
 // The experiment on idle connections at a size that fits here, and a graceful shutdown with all of them open.
--- a/internal/experiment/idleconnections/measure.go
+++ b/internal/experiment/idleconnections/measure.go
@@ -2,8 +2,9 @@
 
 import (
 	"context"
-	"tealpath/internal/experiment/testcluster"
 	"time"
+
+	"tealpath/internal/experiment/testcluster"
 )
 
 const (
--- a/internal/experiment/leases/calm.go
+++ b/internal/experiment/leases/calm.go
@@ -2,8 +2,9 @@
 
 import (
 	"context"
-	"tealpath/internal/experiment/testcluster"
 	"time"
+
+	"tealpath/internal/experiment/testcluster"
 )
 
 // measureCalm measures what instances cost that are left alone.
--- a/internal/experiment/leases/experiment.go
+++ b/internal/experiment/leases/experiment.go
@@ -8,9 +8,10 @@
 	"io"
 	"os"
 	"path/filepath"
+	"time"
+
 	"tealpath/internal/experiment/report"
 	"tealpath/internal/experiment/testcluster"
-	"time"
 )
 
 // Page is the design note whose bounds results are held against.
--- a/internal/experiment/leases/leases_test.go
+++ b/internal/experiment/leases/leases_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"errors"
+	"testing"
+	"time"
+
 	"tealpath/internal/experiment/report"
 	"tealpath/internal/experiment/testcluster"
 	"tealpath/internal/experiment/testcluster/clustertest"
-	"testing"
-	"time"
 )
 
 // Real instances on loopback: holders are killed, told to leave, frozen and cut off. What a busy machine can
--- a/internal/experiment/leases/summary.go
+++ b/internal/experiment/leases/summary.go
@@ -4,9 +4,10 @@
 	"path/filepath"
 	"slices"
 	"strconv"
+	"time"
+
 	"tealpath/internal/emulator/cache"
 	"tealpath/internal/experiment/report"
-	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"gonum.org/v1/plot/plotter"
--- a/internal/experiment/leases/takeover.go
+++ b/internal/experiment/leases/takeover.go
@@ -5,9 +5,10 @@
 	"fmt"
 	"math/rand/v2"
 	"syscall"
+	"time"
+
 	"tealpath/internal/cluster"
 	"tealpath/internal/experiment/testcluster"
-	"time"
 )
 
 const takeoverPollInterval = 10 * time.Millisecond
--- a/internal/experiment/leasesim/instance.go
+++ b/internal/experiment/leasesim/instance.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+
 	"tealpath/internal/cluster"
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
--- a/internal/experiment/leasesim/leasesim_test.go
+++ b/internal/experiment/leasesim/leasesim_test.go
@@ -3,9 +3,10 @@
 import (
 	"context"
 	"fmt"
-	"tealpath/internal/experiment/experimenttest"
 	"testing"
 	"time"
+
+	"tealpath/internal/experiment/experimenttest"
 )
 
 func usualPlan(instances, targets int, hours float64, seed uint64) Plan {
--- a/internal/experiment/leasesim/plan.go
+++ b/internal/experiment/leasesim/plan.go
@@ -8,9 +8,10 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
+	"time"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/experiment/simulation"
-	"time"
 )
 
 // Plan is one run of the experiment.
--- a/internal/experiment/membership/experiment.go
+++ b/internal/experiment/membership/experiment.go
@@ -9,9 +9,10 @@
 	"path/filepath"
 	"slices"
 	"strings"
+	"time"
+
 	"tealpath/internal/experiment/report"
 	"tealpath/internal/experiment/testcluster"
-	"time"
 )
 
 // Page is the design note whose bounds results are held against.
--- a/internal/experiment/membership/fault.go
+++ b/internal/experiment/membership/fault.go
@@ -6,9 +6,10 @@
 	"fmt"
 	"slices"
 	"syscall"
+	"time"
+
 	"tealpath/internal/emulator/relay"
 	"tealpath/internal/experiment/testcluster"
-	"time"
 )
 
 // Fault is what is done to instances or to the links between them.
--- a/internal/experiment/membership/membership_test.go
+++ b/internal/experiment/membership/membership_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"errors"
+	"testing"
+	"time"
+
 	"tealpath/internal/experiment/report"
 	"tealpath/internal/experiment/testcluster"
 	"tealpath/internal/experiment/testcluster/clustertest"
-	"testing"
-	"time"
 )
 
 // Real instances: killed, cut off in one direction, a tenth stopped, split, one starved.
--- a/internal/experiment/membershipsim/member.go
+++ b/internal/experiment/membershipsim/member.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/experiment/heartbeatgossip"
 	"tealpath/internal/experiment/simulation"
--- a/internal/experiment/membershipsim/membershipsim_test.go
+++ b/internal/experiment/membershipsim/membershipsim_test.go
@@ -4,9 +4,10 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"tealpath/internal/experiment/experimenttest"
 	"testing"
 	"time"
+
+	"tealpath/internal/experiment/experimenttest"
 )
 
 // usualPlan is a plan with the usual intervals.
--- a/internal/experiment/membershipsim/plan.go
+++ b/internal/experiment/membershipsim/plan.go
@@ -7,8 +7,9 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"tealpath/internal/experiment/simulation"
 	"time"
+
+	"tealpath/internal/experiment/simulation"
 )
 
 // Plan is one run of the experiment.
--- a/internal/experiment/membershipsim/result.go
+++ b/internal/experiment/membershipsim/result.go
@@ -5,6 +5,7 @@
 	"path/filepath"
 	"slices"
 	"strconv"
+
 	"tealpath/internal/experiment/membership"
 	"tealpath/internal/experiment/report"
 
--- a/internal/experiment/sharedconfigsim/events.go
+++ b/internal/experiment/sharedconfigsim/events.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+
 	"tealpath/internal/compatibility"
 	"tealpath/internal/experiment/simulation"
 )
--- a/internal/experiment/sharedconfigsim/plan.go
+++ b/internal/experiment/sharedconfigsim/plan.go
@@ -7,10 +7,11 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"time"
+
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/compatibility"
 	"tealpath/internal/experiment/simulation"
-	"time"
 )
 
 // Plan is one run of the experiment.
--- a/internal/experiment/sharedconfigsim/result.go
+++ b/internal/experiment/sharedconfigsim/result.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"tealpath/internal/compatibility"
 	"tealpath/internal/experiment/report"
 )
--- a/internal/experiment/sharedconfigsim/sharedconfigsim_test.go
+++ b/internal/experiment/sharedconfigsim/sharedconfigsim_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"fmt"
-	"tealpath/internal/experiment/experimenttest"
 	"testing"
 	"time"
+
+	"tealpath/internal/experiment/experimenttest"
 )
 
 func usualPlan(instances int, duration time.Duration, seed uint64) Plan {
--- a/internal/experiment/testcluster/cluster.go
+++ b/internal/experiment/testcluster/cluster.go
@@ -13,11 +13,12 @@
 	"strings"
 	"sync"
 	"syscall"
+	"time"
+
 	"tealpath/internal/emulator/cache"
 	"tealpath/internal/emulator/certificates"
 	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/emulator/relay"
-	"time"
 )
 
 const (
--- a/internal/experiment/testcluster/clustertest/clustertest.go
+++ b/internal/experiment/testcluster/clustertest/clustertest.go
@@ -5,9 +5,10 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
-	"tealpath/internal/experiment/testcluster"
 	"testing"
 	"time"
+
+	"tealpath/internal/experiment/testcluster"
 )
 
 const (
--- a/internal/experiment/testcluster/endpoint.go
+++ b/internal/experiment/testcluster/endpoint.go
@@ -3,8 +3,9 @@
 import (
 	"fmt"
 	"strings"
-	"tealpath/internal/emulator/cache"
 	"time"
+
+	"tealpath/internal/emulator/cache"
 )
 
 // CacheName returns the name of an emulated cache.
--- a/internal/experiment/testcluster/faults.go
+++ b/internal/experiment/testcluster/faults.go
@@ -1,8 +1,9 @@
 package testcluster
 
 import (
-	"tealpath/internal/emulator/relay"
 	"time"
+
+	"tealpath/internal/emulator/relay"
 )
 
 // Side selects instances by name, as one end of links.
--- a/internal/experiment/testcluster/files.go
+++ b/internal/experiment/testcluster/files.go
@@ -6,6 +6,7 @@
 	"math"
 	"os"
 	"strings"
+
 	"tealpath/internal/emulator/relay"
 )
 
--- a/internal/experiment/testcluster/observe.go
+++ b/internal/experiment/testcluster/observe.go
@@ -4,10 +4,11 @@
 	"context"
 	"fmt"
 	"slices"
+	"time"
+
 	"tealpath/internal/adminsocket"
 	"tealpath/internal/cluster"
 	"tealpath/internal/server"
-	"time"
 )
 
 const (
--- a/internal/experiment/testcluster/reload_test.go
+++ b/internal/experiment/testcluster/reload_test.go
@@ -3,11 +3,12 @@
 import (
 	"os"
 	"syscall"
+	"testing"
+	"time"
+
 	"tealpath/internal/emulator/certificates"
 	"tealpath/internal/experiment/testcluster"
 	"tealpath/internal/experiment/testcluster/clustertest"
-	"testing"
-	"time"
 )
 
 // Keys, roots and voters change in service; a faulty file changes nothing; one that is in no file joins.
--- a/internal/experiment/testcluster/snapshot_test.go
+++ b/internal/experiment/testcluster/snapshot_test.go
@@ -3,10 +3,11 @@
 import (
 	"os"
 	"syscall"
-	"tealpath/internal/experiment/testcluster"
-	"tealpath/internal/experiment/testcluster/clustertest"
 	"testing"
 	"time"
+
+	"tealpath/internal/experiment/testcluster"
+	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
 const snapshotListConfirmed = "snapshot_list_confirmed"
--- a/internal/operatorconfig/cluster.go
+++ b/internal/operatorconfig/cluster.go
@@ -2,13 +2,14 @@
 
 import (
 	"net/netip"
+	"time"
+
 	"tealpath/internal/cluster"
 	"tealpath/internal/cluster/lease"
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/cluster/peer"
 	"tealpath/internal/cluster/probe"
 	"tealpath/internal/operatorconfig/sexpr"
-	"time"
 
 	"go4.org/netipx"
 )
--- a/internal/operatorconfig/cluster_check.go
+++ b/internal/operatorconfig/cluster_check.go
@@ -4,9 +4,10 @@
 	"cmp"
 	"net/netip"
 	"slices"
+	"time"
+
 	"tealpath/internal/cluster/membership"
 	"tealpath/internal/operatorconfig/sexpr"
-	"time"
 )
 
 const (
--- a/internal/operatorconfig/cluster_test.go
+++ b/internal/operatorconfig/cluster_test.go
@@ -4,11 +4,12 @@
 	"errors"
 	"path/filepath"
 	"strings"
+	"testing"
+	"time"
+
 	"tealpath/internal/cluster/probe"
 	"tealpath/internal/emulator/certificates"
 	"tealpath/internal/operatorconfig/sexpr"
-	"testing"
-	"time"
 )
 
 // validFile is an operator's file for the instances a, b and c. Its folder is keyFolder.
--- a/internal/operatorconfig/decoder.go
+++ b/internal/operatorconfig/decoder.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 	"strings"
+
 	"tealpath/internal/operatorconfig/sexpr"
 )
 
--- a/internal/operatorconfig/errors.go
+++ b/internal/operatorconfig/errors.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+
 	"tealpath/internal/operatorconfig/sexpr"
 )
 
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -8,11 +8,12 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"time"
+
 	"tealpath/internal/compatibility"
 	"tealpath/internal/connpool"
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/operatorconfig/sexpr"
-	"time"
 )
 
 // File is an operator's file.
--- a/internal/operatorconfig/idle.go
+++ b/internal/operatorconfig/idle.go
@@ -5,9 +5,10 @@
 	"maps"
 	"net/netip"
 	"slices"
+	"time"
+
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/operatorconfig/sexpr"
-	"time"
 
 	"github.com/gaissmai/bart"
 )
--- a/internal/operatorconfig/idle_test.go
+++ b/internal/operatorconfig/idle_test.go
@@ -4,9 +4,10 @@
 	"net/netip"
 	"slices"
 	"strings"
-	"tealpath/internal/downstream/idle"
 	"testing"
 	"time"
+
+	"tealpath/internal/downstream/idle"
 )
 
 // idleFile has a default policy and those of two networks, one within the other.
--- a/internal/operatorconfig/probe.go
+++ b/internal/operatorconfig/probe.go
@@ -1,9 +1,10 @@
 package operatorconfig
 
 import (
+	"time"
+
 	"tealpath/internal/cluster/probe"
 	"tealpath/internal/operatorconfig/sexpr"
-	"time"
 )
 
 // Values of (probe …).
--- a/internal/operatorconfig/values.go
+++ b/internal/operatorconfig/values.go
@@ -5,8 +5,9 @@
 	"net/netip"
 	"strconv"
 	"strings"
-	"tealpath/internal/operatorconfig/sexpr"
 	"time"
+
+	"tealpath/internal/operatorconfig/sexpr"
 )
 
 // The kinds of values, as errors name them.
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"maps"
 	"slices"
+
 	"tealpath/control"
 )
 
--- a/internal/router/clients_test.go
+++ b/internal/router/clients_test.go
@@ -1,8 +1,9 @@
 package router
 
 import (
-	"tealpath/control"
 	"testing"
+
+	"tealpath/control"
 )
 
 func TestCancelledRequestsGetNoResponse(t *testing.T) {
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -3,6 +3,7 @@
 import (
 	"maps"
 	"slices"
+
 	"tealpath/control"
 )
 
--- a/internal/router/connections_test.go
+++ b/internal/router/connections_test.go
@@ -3,9 +3,10 @@
 import (
 	"fmt"
 	"slices"
+	"testing"
+
 	"tealpath/control"
 	"tealpath/internal/connpool"
-	"testing"
 )
 
 func TestConnectionsAreDialledSharedAndClosed(t *testing.T) {
--- a/internal/router/drawn_events_test.go
+++ b/internal/router/drawn_events_test.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"slices"
 	"strings"
+
 	"tealpath/control"
 )
 
--- a/internal/router/drawn_test.go
+++ b/internal/router/drawn_test.go
@@ -9,9 +9,10 @@
 	"os"
 	"slices"
 	"strings"
+	"testing"
+
 	"tealpath/control"
 	"tealpath/internal/connpool"
-	"testing"
 )
 
 const (
--- a/internal/router/endpoint_reference_test.go
+++ b/internal/router/endpoint_reference_test.go
@@ -6,10 +6,11 @@
 	"maps"
 	"math/rand/v2"
 	"slices"
+	"testing"
+
 	"tealpath/control"
 	"tealpath/internal/connpool"
 	"tealpath/internal/logevent"
-	"testing"
 )
 
 // referenceList is a simple implementation of the endpoint list, without indexes: each update goes over all
--- a/internal/router/helpers_test.go
+++ b/internal/router/helpers_test.go
@@ -5,9 +5,10 @@
 	"maps"
 	"slices"
 	"strings"
+	"testing"
+
 	"tealpath/control"
 	"tealpath/internal/logevent"
-	"testing"
 )
 
 const (
--- a/internal/router/local_errors_test.go
+++ b/internal/router/local_errors_test.go
@@ -3,10 +3,11 @@
 import (
 	"fmt"
 	"slices"
-	"tealpath/control"
-	"tealpath/internal/logevent"
 	"testing"
 	"time"
+
+	"tealpath/control"
+	"tealpath/internal/logevent"
 )
 
 // After an error of this machine nothing counts as sent, no endpoint counts as failed, and dialling is retried
--- a/internal/router/logevents_test.go
+++ b/internal/router/logevents_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"slices"
+	"testing"
+
 	"tealpath/control"
 	"tealpath/internal/logevent"
-	"testing"
 )
 
 // A Log effect has the name of the endpoint that its event concerns. A panic is logged as an event.
--- a/internal/router/purges_test.go
+++ b/internal/router/purges_test.go
@@ -2,9 +2,10 @@
 
 import (
 	"slices"
+	"testing"
+
 	"tealpath/control"
 	"tealpath/internal/logevent"
-	"testing"
 )
 
 func TestPurgeWhileConnectingLimitsTheAge(t *testing.T) {
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -5,6 +5,7 @@
 	"math"
 	"strconv"
 	"strings"
+
 	"tealpath/control"
 )
 
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -4,8 +4,9 @@
 	"errors"
 	"fmt"
 	"reflect"
-	"tealpath/control"
 	"testing"
+
+	"tealpath/control"
 )
 
 func TestDecodeRequest(t *testing.T) {
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"tealpath/control"
 )
 
--- a/internal/router/responses_test.go
+++ b/internal/router/responses_test.go
@@ -2,8 +2,9 @@
 
 import (
 	"fmt"
-	"tealpath/control"
 	"testing"
+
+	"tealpath/control"
 )
 
 func TestResponsesAreForwardedRetriedOrIgnored(t *testing.T) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -8,6 +8,7 @@
 
 import (
 	"fmt"
+
 	"tealpath/control"
 	"tealpath/internal/connpool"
 	"tealpath/internal/timerqueue"
--- a/internal/router/withdraw_test.go
+++ b/internal/router/withdraw_test.go
@@ -1,8 +1,9 @@
 package router
 
 import (
-	"tealpath/control"
 	"testing"
+
+	"tealpath/control"
 )
 
 // Attempts that are queued on an established connection because the endpoint reads nothing are withdrawn by a purge
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -2,11 +2,12 @@
 
 import (
 	"math"
+	"testing"
+	"time"
+
 	"tealpath/control"
 	"tealpath/internal/clock/clocktest"
 	"tealpath/internal/router"
-	"testing"
-	"time"
 )
 
 // The time at which a target's slow start ends is on the boot clock, so that a step of the wall clock does not change
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -3,10 +3,11 @@
 import (
 	"context"
 	"errors"
-	"tealpath/internal/cluster/probe"
-	"tealpath/internal/operatorconfig"
 	"testing"
 	"time"
+
+	"tealpath/internal/cluster/probe"
+	"tealpath/internal/operatorconfig"
 )
 
 // A restart is needed if the newer operator's file differs in a part that a running instance can't change.
--- a/internal/server/clusterloop.go
+++ b/internal/server/clusterloop.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
+	"time"
+
 	"tealpath/internal/cluster"
 	"tealpath/internal/router"
-	"time"
 )
 
 // clusterLoop is the one goroutine that runs the cluster's reducer and carries out its effects.
--- a/internal/server/clusternode.go
+++ b/internal/server/clusternode.go
@@ -7,6 +7,8 @@
 	"fmt"
 	"net"
 	"sync/atomic"
+	"time"
+
 	"tealpath/control"
 	"tealpath/internal/clock"
 	"tealpath/internal/cluster"
@@ -16,7 +18,6 @@
 	"tealpath/internal/logevent"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/router"
-	"time"
 
 	"golang.org/x/sync/errgroup"
 )
--- a/internal/server/clusterprobe.go
+++ b/internal/server/clusterprobe.go
@@ -4,10 +4,11 @@
 	"context"
 	"errors"
 	"fmt"
+	"time"
+
 	"tealpath/internal/cluster"
 	"tealpath/internal/cluster/probe"
 	"tealpath/internal/upstream"
-	"time"
 )
 
 // probe sends a probe in a goroutine of its own. It is skipped while maxProbesInFlight are in flight: the next
--- a/internal/server/clusterreload.go
+++ b/internal/server/clusterreload.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+
 	"tealpath/internal/cluster"
 	"tealpath/internal/cluster/probe"
 	"tealpath/internal/operatorconfig"
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"runtime"
+
 	"tealpath/internal/downstream"
 )
 
--- a/internal/server/disk_test.go
+++ b/internal/server/disk_test.go
@@ -7,9 +7,10 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
-	"tealpath/internal/snapshot"
 	"testing"
 	"time"
+
+	"tealpath/internal/snapshot"
 )
 
 // faultyDisk is a file system in memory whose operations can be made to fail, or to hang until the test ends.
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -1,9 +1,10 @@
 package server
 
 import (
+	"time"
+
 	"tealpath/internal/lifecycle/shutdown"
 	"tealpath/internal/router"
-	"time"
 )
 
 // drainPollInterval is the time between two polls of a shutdown under way. It is not shorter because closing
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -3,13 +3,14 @@
 import (
 	"cmp"
 	"errors"
+	"time"
+
 	"tealpath/internal/config"
 	"tealpath/internal/connpool"
 	"tealpath/internal/downstream"
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/operatorconfig"
-	"time"
 
 	"github.com/rs/zerolog"
 )
--- a/internal/server/limits_test.go
+++ b/internal/server/limits_test.go
@@ -2,12 +2,13 @@
 
 import (
 	"slices"
+	"testing"
+	"time"
+
 	"tealpath/internal/config"
 	"tealpath/internal/downstream"
 	"tealpath/internal/downstream/idle"
 	"tealpath/internal/operatorconfig"
-	"testing"
-	"time"
 
 	"github.com/rs/zerolog"
 )
--- a/internal/server/listen.go
+++ b/internal/server/listen.go
@@ -6,8 +6,9 @@
 	"io"
 	"net"
 	"syscall"
-	"tealpath/internal/neterr"
 	"time"
+
+	"tealpath/internal/neterr"
 )
 
 const (
--- a/internal/server/listen_test.go
+++ b/internal/server/listen_test.go
@@ -6,10 +6,11 @@
 	"net"
 	"os"
 	"syscall"
+	"testing"
+
 	"tealpath/internal/config"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/testkit"
-	"testing"
 
 	"github.com/rs/zerolog"
 )
--- a/internal/server/log.go
+++ b/internal/server/log.go
@@ -1,9 +1,10 @@
 package server
 
 import (
+	"time"
+
 	"tealpath/internal/logevent"
 	"tealpath/internal/router"
-	"time"
 
 	"github.com/rs/zerolog"
 )
--- a/internal/server/log_test.go
+++ b/internal/server/log_test.go
@@ -3,11 +3,12 @@
 import (
 	"bytes"
 	"errors"
+	"testing"
+	"time"
+
 	"tealpath/internal/config"
 	"tealpath/internal/logevent"
 	"tealpath/internal/router"
-	"testing"
-	"time"
 
 	"github.com/rs/zerolog"
 )
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -2,10 +2,11 @@
 
 import (
 	"context"
+	"time"
+
 	"tealpath/internal/clock"
 	"tealpath/internal/discovery"
 	"tealpath/internal/router"
-	"time"
 )
 
 // loop is the event loop: the one goroutine that runs the reducer and carries out its effects. Carrying out an
--- a/internal/server/prepare.go
+++ b/internal/server/prepare.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"runtime"
 	"runtime/debug"
+
 	"tealpath/internal/discovery"
 	"tealpath/internal/lifecycle/startup"
 	"tealpath/internal/router"
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -3,12 +3,13 @@
 import (
 	"context"
 	"os"
+	"time"
+
 	"tealpath/internal/config"
 	"tealpath/internal/discovery"
 	"tealpath/internal/logevent"
 	"tealpath/internal/neterr"
 	"tealpath/internal/operatorconfig"
-	"time"
 )
 
 // LoadFunc loads the configuration and the operator's file anew.
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -6,10 +6,11 @@
 	"fmt"
 	"os"
 	"syscall"
+	"testing"
+
 	"tealpath/internal/config"
 	"tealpath/internal/logevent"
 	"tealpath/internal/operatorconfig"
-	"testing"
 )
 
 // Loading is retried while this machine lacks descriptors or memory, which is logged once. Other errors are returned
--- a/internal/server/restore.go
+++ b/internal/server/restore.go
@@ -3,10 +3,11 @@
 import (
 	"errors"
 	"os"
+	"time"
+
 	"tealpath/internal/discovery"
 	"tealpath/internal/lifecycle/restore"
 	"tealpath/internal/snapshot"
-	"time"
 )
 
 // restore starts the writer of snapshots and restores the snapshot that an earlier process has stored, if there
--- a/internal/server/running_test.go
+++ b/internal/server/running_test.go
@@ -6,14 +6,15 @@
 	"fmt"
 	"strings"
 	"sync"
+	"testing"
+	"time"
+
 	"tealpath/internal/config"
 	"tealpath/internal/emulator/discoveryserver"
 	"tealpath/internal/logevent"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/snapshot"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 
 	"github.com/rs/zerolog"
 )
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -7,6 +7,7 @@
 	"context"
 	"errors"
 	"os"
+
 	"tealpath/internal/clock"
 	"tealpath/internal/config"
 	"tealpath/internal/downstream"
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -1,9 +1,10 @@
 package server
 
 import (
-	"tealpath/internal/config"
 	"testing"
 
+	"tealpath/internal/config"
+
 	"github.com/rs/zerolog"
 )
 
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+
 	"tealpath/control"
 	"tealpath/internal/cluster/probe"
 )
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -2,13 +2,14 @@
 
 import (
 	"errors"
+	"testing"
+	"time"
+
 	"tealpath/control"
 	"tealpath/internal/clock/clocktest"
 	"tealpath/internal/config"
 	"tealpath/internal/operatorconfig"
 	"tealpath/internal/router"
-	"testing"
-	"time"
 
 	"github.com/rs/zerolog"
 )
--- a/internal/server/snapshots.go
+++ b/internal/server/snapshots.go
@@ -5,13 +5,14 @@
 	"fmt"
 	"sync"
 	"sync/atomic"
+	"time"
+
 	"tealpath/internal/clock"
 	"tealpath/internal/discovery"
 	"tealpath/internal/lifecycle/restore"
 	"tealpath/internal/logevent"
 	"tealpath/internal/router"
 	"tealpath/internal/snapshot"
-	"time"
 )
 
 const (
--- a/internal/server/snapshots_test.go
+++ b/internal/server/snapshots_test.go
@@ -4,10 +4,11 @@
 	"fmt"
 	"path/filepath"
 	"syscall"
-	"tealpath/internal/snapshot"
-	"tealpath/internal/testkit"
 	"testing"
 	"time"
+
+	"tealpath/internal/snapshot"
+	"tealpath/internal/testkit"
 )
 
 // snapshotPath is the path of the snapshots of these tests.
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net"
+
 	"tealpath/internal/adminsocket"
 	"tealpath/internal/discovery"
 	"tealpath/internal/downstream"
--- a/internal/simulator/commands.go
+++ b/internal/simulator/commands.go
@@ -2,6 +2,7 @@
 
 import (
 	"strconv"
+
 	"tealpath/control"
 	"tealpath/internal/simulator/wire"
 )
--- a/internal/simulator/decode.go
+++ b/internal/simulator/decode.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"strconv"
+
 	"tealpath/control"
 	"tealpath/internal/simulator/wire"
 )
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -4,6 +4,7 @@
 	"math"
 	"slices"
 	"strconv"
+
 	"tealpath/control"
 	"tealpath/internal/config"
 	"tealpath/internal/logevent"
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"io"
 	"strings"
+
 	"tealpath/internal/simulator/wire"
 )
 
--- a/internal/snapshot/compatible_test.go
+++ b/internal/snapshot/compatible_test.go
@@ -5,10 +5,11 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"testing"
+
 	"tealpath/control"
 	"tealpath/internal/lifecycle/restore"
 	"tealpath/internal/router"
-	"testing"
 
 	"github.com/fxamacker/cbor/v2"
 )
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -5,6 +5,7 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
+
 	"tealpath/internal/lifecycle/restore"
 
 	"github.com/cespare/xxhash/v2"
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -6,10 +6,11 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"testing"
+
 	"tealpath/control"
 	"tealpath/internal/lifecycle/restore"
 	"tealpath/internal/router"
-	"testing"
 )
 
 // testSnapshot returns a snapshot with an item in each of its lists.
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -13,10 +13,11 @@
 	"slices"
 	"strings"
 	"syscall"
-	"tealpath/control"
-	"tealpath/internal/router"
 	"testing"
 	"time"
+
+	"tealpath/control"
+	"tealpath/internal/router"
 )
 
 // path is the path of the snapshot on a simulatedDisk.
--- a/internal/testkit/cache.go
+++ b/internal/testkit/cache.go
@@ -7,9 +7,10 @@
 	"strconv"
 	"strings"
 	"sync"
-	"tealpath/internal/protocol/resp"
 	"testing"
 	"time"
+
+	"tealpath/internal/protocol/resp"
 )
 
 // unansweredPrefix is how the names of objects begin that no cache responds for.
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -7,9 +7,10 @@
 	"io"
 	"net"
 	"strings"
-	"tealpath/internal/protocol/thrift"
 	"testing"
 	"time"
+
+	"tealpath/internal/protocol/thrift"
 )
 
 // Parts of responses to calls.
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -12,12 +12,13 @@
 	"sync"
 	"sync/atomic"
 	"syscall"
+	"testing"
+	"time"
+
 	"tealpath/control"
 	"tealpath/internal/protocol/resp"
 	"tealpath/internal/router"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 )
 
 const (
--- a/internal/upstream/decode.go
+++ b/internal/upstream/decode.go
@@ -6,10 +6,11 @@
 	"slices"
 	"strconv"
 	"strings"
+	"time"
+
 	"tealpath/control"
 	"tealpath/internal/clock"
 	"tealpath/internal/router"
-	"time"
 )
 
 // The second word of a response, apart from those that say only that a request failed.
--- a/internal/upstream/decode_test.go
+++ b/internal/upstream/decode_test.go
@@ -5,9 +5,10 @@
 	"math"
 	"reflect"
 	"strings"
+	"testing"
+
 	"tealpath/control"
 	"tealpath/internal/router"
-	"testing"
 )
 
 // wordsOf splits a response whose words are separated by |.
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -4,9 +4,10 @@
 	"context"
 	"net"
 	"sync"
+	"time"
+
 	"tealpath/internal/neterr"
 	"tealpath/internal/router"
-	"time"
 
 	"golang.org/x/sync/errgroup"
 )
--- a/internal/upstream/encode.go
+++ b/internal/upstream/encode.go
@@ -3,10 +3,11 @@
 import (
 	"strconv"
 	"strings"
+	"time"
+
 	"tealpath/control"
 	"tealpath/internal/protocol/resp"
 	"tealpath/internal/router"
-	"time"
 )
 
 // The first words of what is sent to an endpoint.
--- a/internal/upstream/encode_test.go
+++ b/internal/upstream/encode_test.go
@@ -4,10 +4,11 @@
 	"bufio"
 	"fmt"
 	"strings"
+	"testing"
+
 	"tealpath/control"
 	"tealpath/internal/protocol/resp"
 	"tealpath/internal/router"
-	"testing"
 )
 
 func TestEncodeFetch(t *testing.T) {
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"net"
 	"strings"
+
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/resp"
 )
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -7,14 +7,15 @@
 	"fmt"
 	"io"
 	"net"
+	"testing"
+	"time"
+
 	"tealpath/internal/clock"
 	"tealpath/internal/emulator/cache"
 	"tealpath/internal/neterr"
 	"tealpath/internal/protocol/resp"
 	"tealpath/internal/router"
 	"tealpath/internal/testkit"
-	"testing"
-	"time"
 )
 
 // waitLimit bounds every wait for something that has to happen.
--- a/internal/upstream/localerrors_test.go
+++ b/internal/upstream/localerrors_test.go
@@ -7,11 +7,12 @@
 	"slices"
 	"sync"
 	"sync/atomic"
+	"testing"
+	"time"
+
 	"tealpath/control"
 	"tealpath/internal/logevent"
 	"tealpath/internal/router"
-	"testing"
-	"time"
 )
 
 // testRouter is a reducer with its connections, as the process runs them, and what it has answered.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -7,9 +7,10 @@
 	"net"
 	"sync"
 	"syscall"
+	"time"
+
 	"tealpath/internal/clock"
 	"tealpath/internal/router"
-	"time"
 )
 
 // Config is what a pool is made of.
--- a/internal/upstream/queue.go
+++ b/internal/upstream/queue.go
@@ -2,6 +2,7 @@
 
 import (
 	"slices"
+
 	"tealpath/internal/router"
 )
 
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -4,8 +4,9 @@
 	"bufio"
 	"errors"
 	"net"
-	"tealpath/internal/protocol/resp"
 	"time"
+
+	"tealpath/internal/protocol/resp"
 )
 
 const (
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -6,8 +6,9 @@
 	"net"
 	"slices"
 	"syscall"
-	"tealpath/internal/neterr"
 	"time"
+
+	"tealpath/internal/neterr"
 )
 
 const (
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -10,10 +10,11 @@
 	"strconv"
 	"strings"
 	"syscall"
-	"tealpath/internal/protocol/resp"
-	"tealpath/internal/router"
 	"testing"
 	"time"
+
+	"tealpath/internal/protocol/resp"
+	"tealpath/internal/router"
 )
 
 // A cache closes an idle connection, and before that is read here a request is to be written: it is known not
