--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -109,6 +109,9 @@
 	return Termination{At: at, process: p, stalls: stalls}
 }
 
+// Stalled returns for how long the router has been held up since it was told to end, or 0 where that is not worth mentioning.
+func (e Termination) Stalled() time.Duration { return e.stalls.Total() }
+
 // ExpectEndWithin waits for the end of the router, and kills it when the platform does, so long after it was
 // told. An end by that kill is an error. The time in which the router was held up does not count, so that its
 // own time is judged on any machine.
