--- a/control/admission.go
+++ b/control/admission.go
@@ -3,60 +3,61 @@
 import "math"
 
 const (
-	// Bounds of every admission limit, in attempts in flight as a multiple of the caches' capacity.
+	// Upper and lower bound of each admission limit. Limits are numbers of attempts in flight, as multiples of the
+	// caches' capacity.
 	maxAdmissionLimit = 4.
 	minAdmissionLimit = 0.3
 
-	// An answer in time raises the limit of its kind by a fixed amount, and by more while that limit is
-	// reduced: otherwise traffic would be rejected long after an overload is over. A late answer lowers the
-	// limit by a part of it.
+	// A response in time raises the limit of its kind by limitIncrease, or by reducedLimitIncrease while that limit
+	// is reduced: otherwise requests would be rejected long after the end of an overload. A late response lowers
+	// the limit by the fraction limitDecrease.
 	limitIncrease        = 0.006
 	reducedLimitIncrease = 0.018
 	limitDecrease        = 0.08
 
-	// reducedShare is the part of its initial value below which a limit counts as reduced, until it is back at
-	// that value.
+	// reducedShare is the fraction of its initial value below which a limit counts as reduced. It counts as reduced
+	// until it has grown back to the initial value.
 	reducedShare = 0.5
 
-	// lowValueShare is the part of a limit that is open to clients' retries, and the least part that is open to
+	// lowValueShare is the fraction of a limit that is open to clients' retries. At least this fraction is open to
 	// a class of low value.
 	lowValueShare = 0.7
 
-	// higherValueRatio is how many times the value of another (priority weight by sending time) a class has to
-	// have for a part of the limit to be reserved for it, which is reserveFactor times its part of the offered
-	// work.
+	// A part of a limit is reserved for a class against another one if its value (priority weight divided by
+	// sending time) is more than higherValueRatio times as large. The reserved part is reserveFactor times the
+	// class's share of the offered work.
 	higherValueRatio = 2.
 	reserveFactor    = 2.
 
-	// minOffered is the least offered work that is divided by, s. It avoids a division by 0.
+	// minOffered is the lower bound of the offered work in s, where it is a divisor.
 	minOffered = 0.01
 
-	// maxToleranceFactor bounds by how much a class that tolerates longer delays may exceed the limit.
+	// maxToleranceFactor is the maximum factor by which a class that tolerates longer delays may exceed a limit.
 	maxToleranceFactor = 2.
 
-	// underservedFactor is by how much a class may exceed its part of the limit if the admitted part of its
-	// requests is less than underservedShare of that of all classes.
+	// A class may exceed its share of a limit by underservedFactor while the admitted fraction of its work is less
+	// than underservedShare times the admitted fraction of all classes' work.
 	underservedFactor = 1.5
 	underservedShare  = 0.7
 
-	// divertShare is the part of the limit for hits below which the load of a cache has to be for it to fill an
-	// object whose home cache is at its limit.
+	// divertShare is a fraction of the limit for hits. If an object's home cache is at its limit, a cache with a
+	// load below this fraction may fill the object instead.
 	divertShare = 0.5
 )
 
-// initialAdmissionLimits are the limits by kind at the start.
+// initialAdmissionLimits are the initial limits by kind of attempts.
 var initialAdmissionLimits = [kinds]float64{2, 1.2, 0.4}
 
-// admission holds the admission limits, one for each kind of attempts. They follow from how many answers come
-// in time: additive increase, multiplicative decrease (Chiu and Jain, Analysis of the increase and decrease
-// algorithms, 1989).
+// admission holds the admission limits, one for each kind of attempts. Responses in time raise them and late
+// responses lower them: additive increase, multiplicative decrease (Chiu and Jain, Analysis of the increase and
+// decrease algorithms, 1989).
 type admission struct {
 	limits  [kinds]float64 // attempts in flight, as a multiple of the caches' capacity
-	reduced [kinds]bool    // the limit fell below reducedShare of its initial value and is not back at it yet
+	reduced [kinds]bool    // the limit fell below reducedShare of its initial value and has not grown back to it
 }
 
-// answeredInTime raises a limit.
-func (a *admission) answeredInTime(kind attemptKind) {
+// raiseLimit raises the limit of a kind of attempts after a response in time.
+func (a *admission) raiseLimit(kind attemptKind) {
 	increase := limitIncrease
 	if a.reduced[kind] {
 		increase = reducedLimitIncrease
@@ -64,14 +65,14 @@
 	a.limits[kind] = min(a.limits[kind]+increase, maxAdmissionLimit)
 }
 
-// answeredLate lowers a limit.
-func (a *admission) answeredLate(kind attemptKind) {
+// lowerLimit lowers the limit of a kind of attempts after a late response.
+func (a *admission) lowerLimit(kind attemptKind) {
 	a.limits[kind] = max(a.limits[kind]*(1-limitDecrease), minAdmissionLimit)
 }
 
-// updateReduced updates whether a limit counts as reduced, and reports whether that has changed. With a change
-// for fills the limit for fetches starts anew, since parents fetch less for themselves while fills are reduced
-// (usesOnlyIfCached).
+// updateReduced updates whether a limit counts as reduced, and reports whether that has changed. A change for fills
+// resets the limit for fetches, because parents do fewer fetches of their own while fills are reduced (see
+// usesOnlyIfCached).
 func (a *admission) updateReduced(kind attemptKind) (changed bool) {
 	limit, initial := a.limits[kind], initialAdmissionLimits[kind]
 	if a.reduced[kind] {
@@ -89,17 +90,17 @@
 	return true
 }
 
-// adjustLimit raises or lowers the limit for an attempt's kind by how the attempt ended. Late answers of
-// ejected endpoints do not count: they tell of one endpoint's fault, not of an overload.
-func (r *Router) adjustLimit(attempt *attemptState, found finding) {
+// adjustLimit raises or lowers the limit for an attempt's kind, depending on how the attempt ended. Late responses
+// of ejected endpoints do not count: they are due to a fault of one endpoint, not to an overload.
+func (r *Router) adjustLimit(attempt *attemptState, assessed assessment) {
 	kind := attempt.kind
 	ejected := attempt.cache.ejected || attempt.source != nil && attempt.source.ejected
-	late := found.result == Succeeded || found.timedOut
+	late := assessed.result == Succeeded || assessed.timedOut
 	switch {
-	case found.succeededInTime():
-		r.admission.answeredInTime(kind)
+	case assessed.succeededInTime():
+		r.admission.raiseLimit(kind)
 	case late && !ejected:
-		r.admission.answeredLate(kind)
+		r.admission.lowerLimit(kind)
 	}
 	if r.admission.updateReduced(kind) {
 		r.logLimitChange(kind)
@@ -115,20 +116,20 @@
 	}
 }
 
-// admits reports whether a request may be sent to a cache now. A likely hit is admitted by the load of that
-// cache, a likely fill or fetch by the number of its kind in flight at all caches of the location, as they
-// share the link to the parents. Beyond the limit every answer would be late, and the overload would outlast
-// its cause. Requests of low value are rejected first, and so are clients' retries, most of which come too late
-// for their client anyway.
+// admits reports whether a request may be sent to a cache now. Admission of a likely hit depends on the load of that
+// cache. Admission of a likely fill or fetch depends on how many attempts of that kind are in flight at all caches of
+// the location, because these share the link to the parents. Above the limit every response would be late, and the
+// overload would outlast its cause. Requests of low value are rejected first. So are clients' retries, because most
+// of their responses would be too late for the client.
 func (r *Router) admits(now int64, request *Request, cache *endpointState) bool {
 	load, kind := r.load(now, cache), request.nextKind(now)
 	limit := r.admission.limits[kind]
 	switch {
 	case kind == fills && request.isUncacheable():
-		limit = r.admission.limits[hits] // the origin answers it, and it uses next to nothing of the links for fills
+		limit = r.admission.limits[hits] // it goes to the origin and hardly uses the links that fills use
 	case kind != hits:
 		inFlight := r.inFlight.withinObjective(now, r.endpoints)[kind]
-		load = float64(inFlight) * r.activeSharers() / r.locationCapacity(now)
+		load = float64(inFlight) * r.activeRouters() / r.locationCapacity(now)
 	}
 	if request.ClientRetry {
 		limit *= lowValueShare
@@ -136,14 +137,14 @@
 	return load < limit*r.admissionShare(now, request)
 }
 
-// admissionShare returns the part of a limit that is open to a request, by its class. It may be above 1.
+// admissionShare returns the fraction of a limit that is open to a request of its class. It may be above 1.
 //
-//   - Classes whose value (priority weight by sending time) is more than higherValueRatio times the request's
-//     have a part reserved, in proportion to the work that they offer.
-//   - A class that tolerates longer delays than others may exceed the limit: its answers are still in time when
-//     others are late, and leave the links soon.
-//   - So may a class that was admitted far less than the others: the most valuable one alone could use up the
-//     limit.
+//   - A part of the limit is reserved for classes whose value (priority weight divided by sending time) is more than
+//     higherValueRatio times that of the request. It is proportional to the work that these classes offer.
+//   - A class that tolerates longer delays than others may exceed the limit: its responses are still in time when
+//     those of other classes are late, and they occupy the links only for a short time.
+//   - A class that was admitted far less than the others may exceed its share, because the class of the highest
+//     value could use up the limit alone.
 func (r *Router) admissionShare(now int64, request *Request) float64 {
 	class := request.class
 	value := class.PriorityWeight / r.sendingTime(request)
@@ -170,12 +171,12 @@
 	return share
 }
 
-// mayTryCacheOnly reports whether a request that is not admitted as a fill may be sent to its first cache for
-// what that has cached, without a fill on a miss. A router that gets a small part of the traffic often takes a
-// hit for a fill, and would reject it with the fills. It is done only for a first attempt, and where any entry
-// that the cache may serve will do.
+// mayTryCacheOnly reports whether a request that is not admitted as a fill may be sent to a cache that serves it only
+// if the object is cached, without a fill on a miss. A router that gets a small part of the traffic often mistakes a
+// hit for a fill, and would reject it like the fills. This is allowed only for the first attempt of a request, and
+// only if the accepted age is not below the class's fresh duration, so that any cached entry can be served.
 func (r *Router) mayTryCacheOnly(now int64, request *Request, cache *endpointState) bool {
-	age, _ := r.maxAge(now, request) // first of all: it may set the object's accepted age anew
+	age, _ := r.maxAge(now, request) // must come first: it may update the object's accepted age
 	if request.nextKind(now) != fills || len(request.attempts) > 0 || request.isUncacheable() {
 		return false
 	}
@@ -184,8 +185,8 @@
 	return anyEntryWillDo && r.load(now, cache) < r.admission.limits[hits]*lowValueShare
 }
 
-// usesOnlyIfCached reports whether the parent of an attempt is asked only for what it has cached. That is done
-// while the limit for fills is reduced, unless fetches from the origin come in time at least as well.
+// usesOnlyIfCached reports whether the parent of an attempt may serve only an object that it has cached. This is so
+// while the limit for fills is reduced, unless the limit for fetches from the origin is at least as high.
 func (r *Router) usesOnlyIfCached(attempt *attemptState) bool {
 	if attempt.kind != fills || attempt.source == r.origin {
 		return false
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -13,8 +13,8 @@
 	return router
 }
 
-// While no fills are admitted a first attempt goes to the cache for what it has cached: of a router with little
-// traffic, many requests that look like fills are hits.
+// If fills are not admitted, a first attempt is sent to the cache on the condition that it serves only a cached
+// object. At a router with little traffic, many requests that look like fills are hits.
 func TestCacheOnlyAttempts(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -43,13 +43,14 @@
 			test.before(router)
 			decision := router.Decide(start, newRequest(test.class, "a"))
 			if decision.Verdict != test.want || test.want == Send && !decision.Attempt.CacheOnly {
-				t.Errorf("%+v", decision)
+				t.Errorf("decision %+v, want verdict %v, and CacheOnly set if it is sent", decision, test.want)
 			}
 		})
 	}
 }
 
-// What the cache does not have is filled by the origin, if parents reject fills and the origin cannot be overloaded.
+// After a cache-only attempt that missed, the origin fills the object if parents reject fills and the origin cannot
+// be overloaded.
 func TestMissOfACacheOnlyAttempt(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -75,24 +76,25 @@
 			decision := router.AttemptEnded(start, request, Outcome{Result: NotCached})
 			fromOrigin := decision.Attempt.Source == 5 && !decision.Attempt.CacheOnly
 			if decision.Verdict != test.want || test.want == Send && !fromOrigin {
-				t.Errorf("%+v", decision)
+				t.Errorf("decision %+v, want verdict %v and source 5, the origin, if it is sent", decision, test.want)
 			}
 		})
 	}
 }
 
-// sendsFill decides on a request, and reports whether it is sent as one that may be filled.
+// sendsFill decides on a request and reports whether it is sent without CacheOnly.
 func sendsFill(router *Router, request *Request) bool {
 	decision := router.Decide(start, request)
 	return decision.Verdict == Send && !decision.Attempt.CacheOnly
 }
 
-// maxFills is how many fills one of two routers may have in flight at the start, at caches with a capacity of 10.
-const maxFills = 6 // of initialAdmissionLimits, checked by TestFillsBeyondTheLimitAreNotSent
+// maxFills is the number of fills that one of two routers may initially have in flight, at caches with a total
+// capacity of 10. TestFillsBeyondTheLimitAreNotSent compares it with initialAdmissionLimits.
+const maxFills = 6
 
 func TestFillsBeyondTheLimitAreNotSent(t *testing.T) {
 	if want := int(initialAdmissionLimits[fills] * 10 / 2); want != maxFills {
-		t.Fatalf("the initial limit is %d fills", want)
+		t.Fatalf("the initial limit is %d fills, but maxFills is %d", want, maxFills)
 	}
 	router := newRouter(t, nil)
 	sent := 0
@@ -106,7 +108,7 @@
 	}
 }
 
-// Retries of clients have a lower limit, whether they are marked or guessed from a request that was rejected.
+// Clients' retries have a lower limit, whether they are marked or guessed from an earlier rejection.
 func TestClientRetriesHaveALowerLimit(t *testing.T) {
 	for _, marked := range []bool{true, false} {
 		t.Run(fmt.Sprint("marked ", marked), func(t *testing.T) {
@@ -123,13 +125,13 @@
 				}
 			}
 			if sent == 0 || sent >= maxFills {
-				t.Errorf("%d retries in flight, %d of other requests", sent, maxFills)
+				t.Errorf("%d retries sent, want at least 1 and fewer than the %d of other requests", sent, maxFills)
 			}
 		})
 	}
 }
 
-// rejectBefore has a router reject another request for the same object, half a second before the start.
+// rejectBefore makes a router reject another request for the same object, half a second before start.
 func rejectBefore(router *Router, request *Request) {
 	const before = start - second/2
 	earlier := newRequest(request.Class, request.Object)
@@ -138,14 +140,14 @@
 	router.rejectOrFail(before, earlier)
 }
 
-// answerFill has a router send a request for an object and get its answer in a time, ns.
+// answerFill makes a router send a request for an object and receive the response after elapsed ns.
 func answerFill(router *Router, object string, elapsed int64) {
 	request := newRequest("harmless", object)
 	router.Decide(start, request)
 	router.AttemptEnded(start, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: elapsed})
 }
 
-func TestLateAnswersLowerTheLimitAndOthersRaiseIt(t *testing.T) {
+func TestLateResponsesLowerTheLimitAndOthersRaiseIt(t *testing.T) {
 	router := newRouter(t, nil)
 	for _, test := range []struct {
 		elapsed int64
@@ -154,7 +156,8 @@
 		before := router.admission.limits[fills]
 		answerFill(router, fmt.Sprint(test.elapsed), test.elapsed)
 		if after := router.admission.limits[fills]; (after-before)*test.sign <= 0 {
-			t.Errorf("limit from %v to %v after an answer in %v", before, after, test.elapsed)
+			t.Errorf("limit changed from %v to %v after a response that took %d ns, want a change with the sign of %v",
+				before, after, test.elapsed, test.sign)
 		}
 	}
 }
@@ -170,7 +173,7 @@
 		return router.admission.limits[fills] - limit
 	}
 	if reduced, other := grown(true), grown(false); reduced < 1.5*other || other <= 0 {
-		t.Errorf("grew by %v while reduced, %v otherwise", reduced, other)
+		t.Errorf("limit grew by %v while reduced and by %v otherwise, want at least 1.5 times as much", reduced, other)
 	}
 }
 
@@ -179,25 +182,27 @@
 	first := newRequest("harmless", "a")
 	home := router.Decide(start, first).Attempt.Cache
 	router.AttemptEnded(start, first, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
-	for range 12 { // the limit of 2 times the capacity, shared by two routers
+	for range 12 { // above the limit of 2 times the capacity, shared by two routers
 		endpoint := router.endpoints[home]
 		router.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, lateAt: forever})
 	}
 	decision := router.Decide(start, newRequest("harmless", "a"))
 	if decision.Verdict != Send || decision.Attempt.Cache == home {
-		t.Errorf("verdict %v, to %d", decision.Verdict, decision.Attempt.Cache)
+		t.Errorf("verdict %v to cache %d, want it sent to another cache than %d",
+			decision.Verdict, decision.Attempt.Cache, home)
 	}
 }
 
-// While the limit for fills is reduced, parents are asked for what they have cached before they fetch it.
-func TestReducedFillsUseOnlyCachedOfParents(t *testing.T) {
+// While the limit for fills is reduced, a first attempt lets the parent serve only a cached object, and the parent
+// fetches the object only with the next attempt.
+func TestReducedFillsUseParentsOnlyIfCached(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		result Result
 		want   Verdict
 	}{
-		{"what it lacks is fetched by the next attempt", NotCached, Send},
-		{"what it has cached is served", Succeeded, Wait},
+		{"not cached: the next attempt fetches it", NotCached, Send},
+		{"cached: it is served", Succeeded, Wait},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router, request := newRouter(t, nil), newRequest("harmless", "a")
@@ -205,34 +210,34 @@
 			router.admission.limits[fetches] = maxAdmissionLimit
 			other := newRequest("harmless", "other")
 			if router.Decide(start, other).Attempt.ParentOnlyIfCached {
-				t.Error("only cached entries are used though fetches come in time")
+				t.Error("ParentOnlyIfCached is set although the limit for fetches is higher than that for fills")
 			}
 			router.AttemptEnded(start, other, Outcome{Result: Succeeded, RequestEnded: true})
 			router.admission.limits[fetches] = initialAdmissionLimits[fetches]
 			first := router.Decide(start, request).Attempt
 			if !first.ParentOnlyIfCached {
-				t.Fatal("the parent may fetch at once")
+				t.Fatal("ParentOnlyIfCached is not set in the first attempt")
 			}
 			decision := router.AttemptEnded(start, request, Outcome{
 				Result:       test.result,
 				RequestEnded: test.result == Succeeded,
 			})
 			if decision.Verdict != test.want {
-				t.Errorf("then %+v", decision)
+				t.Errorf("decision after the first attempt: %+v, want verdict %v", decision, test.want)
 			}
 			then := decision.Attempt
 			if decision.Verdict == Send && (then.ParentOnlyIfCached || then.Source != first.Source) {
-				t.Errorf("not fetched by the same parent: %+v", then)
+				t.Errorf("second attempt is not a fetch by the same parent, %d: %+v", first.Source, then)
 			}
 			counts := router.inFlight.withinObjective(start, router.endpoints)
 			if test.want == Send && (counts[fetches] != 1 || counts[fills] != 0) {
-				t.Errorf("in flight by kind: %v", counts)
+				t.Errorf("attempts in flight by kind (hits, fills, fetches): %v, want no fills and 1 fetch", counts)
 			}
 		})
 	}
 }
 
-// Attempts that are late do not count against the limit any more.
+// Attempts that are late no longer count against the limit.
 func TestLateAttemptsDoNotCount(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -243,24 +248,25 @@
 		{"not yet late", 100, second / 3, false},
 		{"late", 100, second, true},
 		{"of unknown size, may be large", 0, second, false},
-		{"of unknown size, late whatever it is", 0, 2 * second, true},
+		{"of unknown size, late whatever its size is", 0, 2 * second, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router, verdict := newRouter(t, nil), Send
-			for i := 0; verdict == Send; i++ { // until attempts without an answer use up the limit
+			for i := 0; verdict == Send; i++ { // until attempts without a response use up the limit
 				request := newRequest("harmless", fmt.Sprint(i))
 				request.SizeKB = test.sizeKB
 				verdict = router.Decide(start, request).Verdict
 			}
 			got := router.Decide(start+test.after, newRequest("harmless", "next")).Verdict == Send
 			if got != test.sends {
-				t.Errorf("sent: %v", got)
+				t.Errorf("request %d ns after the others is sent: %v, want %v", test.after, got, test.sends)
 			}
 		})
 	}
 }
 
-// A router of many draws the load of a cache towards the mean: one attempt of its own says little.
+// If there are many routers, each one biases the load of a cache towards the mean, because one attempt of its own
+// says little about the load.
 func TestLoadsOfOneRouterOfMany(t *testing.T) {
 	for _, test := range []struct {
 		routers  int
@@ -275,7 +281,7 @@
 				router.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, lateAt: forever})
 			}
 			if got := router.admits(start, request, endpoint); got != test.admits {
-				t.Errorf("admitted: %v, load %.2f", got, router.load(start, endpoint))
+				t.Errorf("admitted: %v, want %v; load %.2f", got, test.admits, router.load(start, endpoint))
 			}
 		})
 	}
--- a/control/age.go
+++ b/control/age.go
@@ -6,38 +6,37 @@
 )
 
 const (
-	// missedUpdatesPerKB is how many missed updates a second weigh as much as one KB filled a second: c in
-	// docs/design.md.
+	// missedUpdatesPerKB is the number of missed updates that cost as much as filling one KB: c in docs/design.md.
 	missedUpdatesPerKB = 2e-2
 
-	// defaultSizeKB is the size of an object where clients do not tell it: b in docs/design.md.
+	// defaultSizeKB is the size of an object if the request does not tell it: b in docs/design.md.
 	defaultSizeKB = 500.
 
 	minMaxAge    = second / 1000 // ns; lower bound of an accepted age
-	maxFiniteAge = 1e9           // s; an age above it counts as none
+	maxFiniteAge = 1e9           // s; a greater age counts as unlimited
 
-	// refreshThreshold is how many requests within the accepted age, λ·age, it takes for an entry to be
+	// refreshThreshold is the expected number of requests within the accepted age, λ·age, from which an entry is
 	// refreshed in the background before it expires.
 	refreshThreshold = 1.
 
-	// reuseThreshold is how many earlier requests of the location, decayed over rateWindow, make an object a
-	// reused one.
+	// reuseThreshold is the number of earlier requests in the location, decayed over rateWindow, from which an
+	// object counts as reused.
 	reuseThreshold = 0.2
 
-	// The cache priorities keep objects that are requested once from evicting those that are reused. There is
-	// no third one for popular objects: such an object would stay cached long after its last request.
+	// Cache priorities prevent objects that are requested only once from evicting reused objects. There is no
+	// third priority for popular objects: these would stay cached long after their last request.
 	priorityOnce   = 1
 	priorityReused = 2
 
-	// originFillFactor multiplies an object's size while no parent is ready, as each fill is the origin's work
-	// then.
+	// originFillFactor multiplies an object's size while no parent is ready, because every fill then loads the
+	// origin.
 	originFillFactor = 2
 )
 
-// optimalMaxAge returns the age, in ns, at which missed updates and fills together cost least:
-// sqrt(2·c·b/(μ·λ)), with the size b in KB, the rate μ of updates and the rate λ of requests, both a second. It
-// returns forever if a rate is 0. This is the optimal TTL of ECO-DNS (Chen, Matsumoto and Perrig, section II-E,
-// equation 11) without the sum over descendants; see docs/design.md.
+// optimalMaxAge returns the age in ns that minimizes the total cost of missed updates and fills:
+// sqrt(2·c·b/(μ·λ)), with the size b in KB, the update rate μ and the request rate λ, both per second. It returns
+// forever if a rate is 0. This is the optimal TTL of ECO-DNS (Chen, Matsumoto and Perrig, section II-E, equation 11)
+// without the sum over descendants; see docs/design.md.
 func optimalMaxAge(sizeKB, updateRate, requestRate float64) int64 {
 	if !(updateRate > 0 && requestRate > 0) {
 		return forever
@@ -49,8 +48,8 @@
 	return max(int64(root*1e9), minMaxAge)
 }
 
-// maxAge returns the age up to which a cache may serve its entry for a request, in ns, where 0 stands for the
-// class's fresh duration, and whether the cache is to refresh an ageing entry in the background.
+// maxAge returns the age in ns up to which a cache may serve its entry for a request, where 0 stands for the class's
+// fresh duration, and whether the cache should refresh an ageing entry in the background.
 func (r *Router) maxAge(now int64, request *Request) (age int64, refresh bool) {
 	record := request.record
 	if record.maxAge == 0 || now >= record.maxAgeUntil {
@@ -64,8 +63,8 @@
 	return r.limitAgeByPurges(now, request, age), refresh
 }
 
-// updateMaxAge computes an object's accepted age. The result is valid until an entry that was filled now would
-// reach that age.
+// updateMaxAge computes the accepted age of a request's object. The result is valid until an entry that is filled now
+// reaches that age.
 func (r *Router) updateMaxAge(now int64, request *Request) {
 	record, class := request.record, request.class
 	sizeKB := cmp.Or(request.SizeKB, defaultSizeKB)
@@ -79,8 +78,8 @@
 	record.maxAgeUntil = now + record.maxAge
 }
 
-// updateRate returns an object's updates a second, estimated from its purges. An object of a class with a fresh
-// duration counts as purged once over that time before its first request, so that the rate is never 0.
+// updateRate estimates an object's update rate per second from its purges. If the class has a fresh duration, the
+// object counts as purged once within that duration before its first request, so that the rate is never 0.
 func updateRate(now int64, record *objectRecord, class *classState) float64 {
 	span, purges := float64(now-record.firstSeenAt)/1e9, record.purgeCount
 	if class.FreshDuration > 0 {
@@ -89,17 +88,17 @@
 	return purges / max(span, float64(rateWindow)/1e9)
 }
 
-// locationRate estimates how often an object is requested in the location, in requests a second: this router's
-// rate times the location's routers. It is λ in docs/design.md.
+// locationRate estimates how many requests per second the location gets for an object: this router's rate times the
+// number of routers in the location. It is λ in docs/design.md.
 func (r *Router) locationRate(now int64, record *objectRecord) float64 {
-	return r.rates.ofObject(now, record) * r.settings.cacheSharers()
+	return r.rates.ofObject(now, record) * r.settings.cacheRouters()
 }
 
-// cachePriority returns the priority of an object's entry in a cache. Earlier requests at this router are
-// scaled to the location: one router of many seldom sees an object twice, and a scan of objects would evict all
-// reused ones.
+// cachePriority returns the cache priority of an object. It scales the earlier requests at this router up to the
+// location. Otherwise one router of many would rarely see an object twice, no object would count as reused, and
+// requests for many different objects would evict the reused ones.
 func (r *Router) cachePriority(record *objectRecord) int64 {
-	if (record.requestCount-1)*r.settings.cacheSharers() >= reuseThreshold {
+	if (record.requestCount-1)*r.settings.cacheRouters() >= reuseThreshold {
 		return priorityReused
 	}
 	return priorityOnce
--- a/control/age_test.go
+++ b/control/age_test.go
@@ -9,17 +9,17 @@
 func TestAcceptedAge(t *testing.T) {
 	cases := []struct {
 		name   string
-		count  float64 // this router's requests in the window
+		count  float64 // decayed number of requests at this router
 		purges float64
-		fresh  int64
-		age    int64 // of the record, in seconds
+		fresh  int64 // fresh duration, ns
+		age    int64 // age of the record, in seconds
 		want   float64
 	}{
 		{"a rare object keeps the fresh duration", 0.01, 0, 8 * second, 0, 8},
-		{"the optimal age binds for a hot one", 100, 0, 8 * second, 0, math.Sqrt(2 * 0.1 / (1. / 8 * 20))},
-		{"purges raise the rate of updates", 100, 3, 8 * second, 8, math.Sqrt(2 * 0.1 / (4. / 16 * 20))},
-		{"never purged and without a fresh duration: any age", 100, 0, 0, 0, 0},
-		{"purged and without a fresh duration", 100, 2, 0, 20, math.Sqrt(2 * 0.1 / (2. / 20 * 20))},
+		{"a hot object has the optimal age", 100, 0, 8 * second, 0, math.Sqrt(2 * 0.1 / (1. / 8 * 20))},
+		{"purges raise the update rate", 100, 3, 8 * second, 8, math.Sqrt(2 * 0.1 / (4. / 16 * 20))},
+		{"never purged, without a fresh duration: any age", 100, 0, 0, 0, 0},
+		{"purged, without a fresh duration", 100, 2, 0, 20, math.Sqrt(2 * 0.1 / (2. / 20 * 20))},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -39,10 +39,10 @@
 				got = 0
 			}
 			if math.Abs(got-test.want) > 1e-6 {
-				t.Errorf("age %v, want %v", got, test.want)
+				t.Errorf("accepted age %v s, want %v s", got, test.want)
 			}
 			if until := now + record.maxAge; record.maxAge < forever && record.maxAgeUntil != until {
-				t.Errorf("valid until %v, want %v", record.maxAgeUntil, until)
+				t.Errorf("accepted age is valid until %v, want %v", record.maxAgeUntil, until)
 			}
 		})
 	}
@@ -52,17 +52,17 @@
 	cases := []struct {
 		name      string
 		class     string
-		object    string // "" purges the group
-		received  int64  // ns after the purge
-		requested int64  // ns after the purge
-		maxAge    int64  // ns; 0 is no limit by the purge
+		object    string // purged object; "" purges the group
+		received  int64  // ns from the purge to its arrival
+		requested int64  // ns from the purge to the request
+		maxAge    int64  // ns; largest accepted age; 0: the purge sets no limit
 	}{
-		{"an object, soon after", "harmless", "a", 0, second / 2, second / 2},
-		{"in the same instant: not 0, which means the fresh duration", "harmless", "a", 0, 0, 1000},
+		{"an object, requested soon after", "harmless", "a", 0, second / 2, second / 2},
+		{"an object, requested at the same time: not 0, which means the fresh duration", "harmless", "a", 0, 0, 1000},
 		{"its group", "harmless", "", second / 10, 2 * second, 2 * second},
 		{"without a fresh duration", "stamped", "a", 0, 3 * second, 3 * second},
 		{"another object", "stamped", "b", 0, second, 0},
-		{"expired when all have dropped older entries", "stamped", "a", 0, 8 * second, 0},
+		{"expired, after all caches have dropped older entries", "stamped", "a", 0, 8 * second, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -72,7 +72,7 @@
 			router.Tick(now)
 			age := router.Decide(now, newRequest(test.class, "a")).Attempt.MaxAge
 			if test.maxAge > 0 && (age <= 0 || age > test.maxAge) || test.maxAge == 0 && age != 0 {
-				t.Errorf("age %v, want at most %v", age, test.maxAge)
+				t.Errorf("accepted age %d ns, want at most %d ns (0: no limit)", age, test.maxAge)
 			}
 		})
 	}
@@ -81,8 +81,8 @@
 func TestCachePriorityOfReusedObjects(t *testing.T) {
 	for _, test := range []struct {
 		routers int
-		between int64 // seconds
-		want    int64 // priority at the second request
+		between int64 // seconds between the first and the second request
+		want    int64 // priority of the second request
 	}{{1, 1, 2}, {1, 30, 1}, {20, 30, 2}} {
 		t.Run(fmt.Sprintf("again after %d s, one of %d routers", test.between, test.routers), func(t *testing.T) {
 			router := newRouter(t, func(s *Settings) { s.LocationRouters = test.routers })
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -7,29 +7,29 @@
 	"tealpath/internal/logevent"
 )
 
-// benchmarkSizes are the numbers of cache servers that the benchmarks run with.
+// benchmarkSizes are the numbers of caches that the benchmarks run with.
 var benchmarkSizes = []int{12, 200, 800, 3200}
 
-// benchmarkObjects is how many distinct objects the benchmarks request.
+// benchmarkObjects is the number of distinct objects that the benchmarks request.
 const benchmarkObjects = 2000
 
-// benchmarkAnswer is the outcome of each measured attempt.
-var benchmarkAnswer = Outcome{Result: Succeeded, Elapsed: second / 20, Note: noteHit, RequestEnded: true}
+// benchmarkOutcome is the outcome of each measured attempt.
+var benchmarkOutcome = Outcome{Result: Succeeded, Elapsed: second / 20, Note: noteHit, RequestEnded: true}
 
-// benchmarkWarmUp is how many requests are decided before the measured ones.
+// benchmarkWarmUp is the number of requests that are decided before the measured ones.
 const benchmarkWarmUp = 20
 
-// benchmarkFleet returns one location's caches, one parent for each 16 of them, and an origin.
-func benchmarkFleet(servers int) []Endpoint {
-	var lines []Endpoint
-	nextID := func() uint32 { return uint32(len(lines)+1) * 2654435761 }
+// benchmarkEndpoints returns the caches of one location, one parent per 16 caches but at least two, and an origin.
+func benchmarkEndpoints(servers int) []Endpoint {
+	var entries []Endpoint
+	nextID := func() uint32 { return uint32(len(entries)+1) * 2654435761 }
 	for i := range servers {
-		lines = append(lines, Endpoint{
+		entries = append(entries, Endpoint{
 			ID: nextID(), Location: "here", Kind: "cache", Cell: int64(i), Phase: PhaseReady, Capacity: 5,
 		})
 	}
 	for range max(2, servers/16) {
-		lines = append(lines, Endpoint{
+		entries = append(entries, Endpoint{
 			ID:       nextID(),
 			Location: "hub",
 			Kind:     "parent",
@@ -38,7 +38,7 @@
 			Capacity: 20,
 		})
 	}
-	return append(lines, Endpoint{
+	return append(entries, Endpoint{
 		ID:       nextID(),
 		Location: "hub",
 		Kind:     "origin",
@@ -48,7 +48,7 @@
 	})
 }
 
-// benchmarkRouter makes a router with a full fleet.
+// benchmarkRouter returns a router with the endpoints of benchmarkEndpoints.
 func benchmarkRouter(b *testing.B, servers int, change func(*Settings)) (*Router, []Endpoint) {
 	b.Helper()
 	settings := testSettings(func(s *Settings) { s.LocationRouters, s.Routers = 8, 10 })
@@ -56,13 +56,13 @@
 		change(&settings)
 	}
 	router := New(start, 7, settings, func(logevent.Event) {})
-	lines := benchmarkFleet(servers)
-	router.UpdateEndpoints(start, lines, true)
-	return router, lines
+	entries := benchmarkEndpoints(servers)
+	router.UpdateEndpoints(start, entries, true)
+	return router, entries
 }
 
-// benchmarkDecisions measures Decide and AttemptEnded of one request. The clock moves by a tenth of a second a
-// request, and `inFlight` other requests are in flight all the time.
+// benchmarkDecisions measures Decide and AttemptEnded for one request. The clock advances by 0.1 s per request.
+// inFlight returns how many other requests are in flight during the measurement.
 func benchmarkDecisions(b *testing.B, change func(*Settings), inFlight func(servers int) int, template Request) {
 	objects := make([]string, benchmarkObjects)
 	for i := range objects {
@@ -84,7 +84,7 @@
 				if decision := router.Decide(now, &request); decision.Verdict != Send {
 					b.Fatalf("request %d: %+v", i, decision)
 				}
-				router.AttemptEnded(now+second/20, &request, benchmarkAnswer)
+				router.AttemptEnded(now+second/20, &request, benchmarkOutcome)
 			}
 			for i := range benchmarkWarmUp {
 				decide(i)
@@ -98,37 +98,36 @@
 	}
 }
 
-func none(int) int { return 0 }
+func noneInFlight(int) int { return 0 }
 
-// BenchmarkDecision is an ordinary request while nothing else is in flight.
+// BenchmarkDecision measures an ordinary request while nothing else is in flight.
 func BenchmarkDecision(b *testing.B) {
-	benchmarkDecisions(b, nil, none, Request{Class: "harmless", Group: 1})
+	benchmarkDecisions(b, nil, noneInFlight, Request{Class: "harmless", Group: 1})
 }
 
-// BenchmarkDecisionInFlight is an ordinary request while half as many others as there are caches are in flight.
+// BenchmarkDecisionInFlight measures an ordinary request while one other request per two caches is in flight.
 func BenchmarkDecisionInFlight(b *testing.B) {
 	benchmarkDecisions(b, nil, func(servers int) int { return servers / 2 }, Request{Class: "harmless", Group: 1})
 }
 
-// BenchmarkDecisionMeasured is an ordinary request where the caches' capacities are measured.
+// BenchmarkDecisionMeasured measures an ordinary request if the caches' capacities are measured.
 func BenchmarkDecisionMeasured(b *testing.B) {
-	benchmarkDecisions(b, func(s *Settings) { s.Weights = NoWeights }, none, Request{Class: "harmless", Group: 1})
+	benchmarkDecisions(b, func(s *Settings) { s.Weights = NoWeights }, noneInFlight, Request{Class: "harmless", Group: 1})
 }
 
-// BenchmarkDecisionWrite is a request that is not cacheable, for which the least loaded of all caches is
-// selected.
+// BenchmarkDecisionWrite measures an uncacheable request, which goes to the least loaded of all caches.
 func BenchmarkDecisionWrite(b *testing.B) {
-	benchmarkDecisions(b, nil, none, Request{Class: "harmless", Group: 1, Write: true})
+	benchmarkDecisions(b, nil, noneInFlight, Request{Class: "harmless", Group: 1, Write: true})
 }
 
-// BenchmarkDecisionFewReachable is an ordinary request where one cache in 64 can be reached.
+// BenchmarkDecisionFewReachable measures an ordinary request if only one cache in 64 is reachable.
 func BenchmarkDecisionFewReachable(b *testing.B) {
 	for _, servers := range benchmarkSizes {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
-			router, lines := benchmarkRouter(b, servers, nil)
+			router, entries := benchmarkRouter(b, servers, nil)
 			reachable := map[uint32]bool{}
-			for i, line := range lines {
-				reachable[line.ID] = i%64 == 0 || line.Kind != "cache"
+			for i, entry := range entries {
+				reachable[entry.ID] = i%64 == 0 || entry.Kind != "cache"
 			}
 			router.Reachable = func(id uint32) bool { return reachable[id] }
 			now := start
@@ -144,22 +143,23 @@
 				if decision := router.Decide(now, request); decision.Verdict != Send {
 					b.Fatalf("request %d: %+v", i, decision)
 				}
-				router.AttemptEnded(now+second/20, request, benchmarkAnswer)
+				router.AttemptEnded(now+second/20, request, benchmarkOutcome)
 			}
 		})
 	}
 }
 
-// BenchmarkDecisionRecovering is an ordinary request while all caches are in slow start, shared by 300 routers.
+// BenchmarkDecisionRecovering measures an ordinary request while all caches are in slow start and 300 routers send to
+// them.
 func BenchmarkDecisionRecovering(b *testing.B) {
 	for _, servers := range benchmarkSizes {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
-			router, lines := benchmarkRouter(b, servers, func(s *Settings) { s.Routers, s.LocationRouters = 300, 300 })
+			router, entries := benchmarkRouter(b, servers, func(s *Settings) { s.Routers, s.LocationRouters = 300, 300 })
 			now := start + 100*second
-			for i := range lines {
-				lines[i].StartedAt = now
+			for i := range entries {
+				entries[i].StartedAt = now
 			}
-			router.UpdateEndpoints(now, lines, true)
+			router.UpdateEndpoints(now, entries, true)
 			b.ReportAllocs()
 			for i := range b.N {
 				now += second / 1000
@@ -171,7 +171,7 @@
 				}
 				switch d := router.Decide(now, request); d.Verdict {
 				case Send:
-					router.AttemptEnded(now, request, benchmarkAnswer)
+					router.AttemptEnded(now, request, benchmarkOutcome)
 				case Wait:
 					router.ClientGone(now, request)
 				}
@@ -180,25 +180,26 @@
 	}
 }
 
-// BenchmarkListEvent is a change of one entry of the list: a cache drains, and is ready again with the next.
+// BenchmarkListEvent measures a change of one entry of the endpoint list: the cache drains, and is ready again with
+// the next change.
 func BenchmarkListEvent(b *testing.B) {
 	for _, servers := range benchmarkSizes {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
-			router, lines := benchmarkRouter(b, servers, nil)
+			router, entries := benchmarkRouter(b, servers, nil)
 			b.ReportAllocs()
 			for i := range b.N {
-				line := lines[i/2%servers : i/2%servers+1]
-				line[0].Phase = []string{"draining", "ready"}[i%2]
-				router.UpdateEndpoints(start, line, false)
+				changed := entries[i/2%servers : i/2%servers+1]
+				changed[0].Phase = []string{"draining", "ready"}[i%2]
+				router.UpdateEndpoints(start, changed, false)
 			}
 		})
 	}
 }
 
-// BenchmarkTick is one run of the periodic work after a request to every cache.
-func BenchmarkTick(b *testing.B) { benchmarkTicks(b, none) }
+// BenchmarkTick measures Tick after four requests per cache, with nothing in flight.
+func BenchmarkTick(b *testing.B) { benchmarkTicks(b, noneInFlight) }
 
-// BenchmarkTickInFlight is the same while half as many requests as there are caches are in flight.
+// BenchmarkTickInFlight measures Tick while one request per two caches is in flight.
 func BenchmarkTickInFlight(b *testing.B) {
 	benchmarkTicks(b, func(servers int) int { return servers / 2 })
 }
@@ -212,7 +213,7 @@
 				now += second / 10
 				request := &Request{Class: "harmless", Object: fmt.Sprint(i), Group: 1, Deadline: now + 5*second}
 				router.Decide(now, request)
-				router.AttemptEnded(now+second/20, request, benchmarkAnswer)
+				router.AttemptEnded(now+second/20, request, benchmarkOutcome)
 			}
 			for i := range inFlight(servers) {
 				router.Decide(now, &Request{Class: "harmless", Object: fmt.Sprint(i), Group: 1, Deadline: forever})
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -1,125 +1,129 @@
 package control
 
 const (
-	// sharingWindow is the time over which load reports, and the work that is offered, decay; ns.
-	sharingWindow = 2 * second
+	// loadWindow is the time in ns over which load reports and offered work decay.
+	loadWindow = 2 * second
 
-	// minSharingEvidence is how many attempts of this router have to be in flight when answers come, summed
-	// over sharingWindow, before load reports are used to count the routers that share the caches.
-	minSharingEvidence = 20.
+	// minOwnInFlight is the value of capacityEstimate.ownInFlight from which load reports are used to estimate
+	// how many routers send to the caches.
+	minOwnInFlight = 20.
 
-	// minCapacity is the capacity of an endpoint that is listed with less.
+	// minCapacity is the lower bound of a listed capacity.
 	minCapacity = 0.01
 
-	// maxOfferedCapacity bounds a measured capacity, as a multiple of what a cache has served at its best.
+	// maxOfferedCapacity limits a measured capacity to this multiple of the best capacity that a cache has shown.
 	maxOfferedCapacity = maxAdmissionLimit
 )
 
-// capacityEstimate measures what the endpoints can serve. A capacity is how many answers an endpoint can send
-// at once, each at a client's full rate: seconds of sending time a second.
+// capacityEstimate measures the capacity of the endpoints. A capacity is the number of responses that an endpoint can
+// send at the same time, each at a client's full rate. That equals seconds of sending time per second.
 type capacityEstimate struct {
-	byCaches  decayingWork // served in time by the caches of the location
-	byParents decayingWork // served in time by the parents
-	offered   decayingWork // requested of the caches, served or not; decays over sharingWindow
-
-	// Attempts in flight at the caches whenever an answer came, summed up and decaying over sharingWindow.
-	reportedInFlight float64 // of all routers, by the caches' load reports
-	ownInFlight      float64 // of this router
+	byCaches  decayingWork // work that the caches of the location served in time
+	byParents decayingWork // work that the parents served in time
+	offered   decayingWork // work requested from the caches, served or not; decays over loadWindow
+
+	// With each load report the attempts in flight at the reporting cache are added to these two sums, which decay
+	// over loadWindow.
+	reportedInFlight float64 // attempts of all routers, from the load reports
+	ownInFlight      float64 // attempts of this router
 	reportedAt       int64
 
 	configured configuredSum
-	measured   repeatedSum
+	measured   equalTermsSum
 }
 
-// configuredSum caches the sum and the maximum of the caches' listed capacities until the endpoint list
+// configuredSum holds the sum and the maximum of the caches' listed capacities. It is valid until the endpoint list
 // changes.
 type configuredSum struct {
 	valid        bool
 	sum, largest float64
 }
 
-// offer counts work that was requested, in seconds of sending time.
-func (c *capacityEstimate) offer(now int64, work float64) {
-	c.offered.work = decay(c.offered.work, now-c.offered.lastAt, sharingWindow) + work
+// addOffered adds requested work, in seconds of sending time.
+func (c *capacityEstimate) addOffered(now int64, work float64) {
+	c.offered.work = decay(c.offered.work, now-c.offered.lastAt, loadWindow) + work
 	c.offered.lastAt = now
 }
 
-// observeReport counts a load report: the attempts in flight at a cache, of all routers and of this one, both
-// without the one that was answered.
+// observeReport adds a load report of a cache. reported is the number of attempts in flight there of all routers, own
+// the number of this router's. Both leave out the attempt that the report came with.
 func (c *capacityEstimate) observeReport(now int64, reported, own float64) {
 	elapsed := now - c.reportedAt
-	c.reportedInFlight = decay(c.reportedInFlight, elapsed, sharingWindow) + reported
-	c.ownInFlight = decay(c.ownInFlight, elapsed, sharingWindow) + own
+	c.reportedInFlight = decay(c.reportedInFlight, elapsed, loadWindow) + reported
+	c.ownInFlight = decay(c.ownInFlight, elapsed, loadWindow) + own
 	c.reportedAt = now
 }
 
-// sharers returns how many routers share an endpoint: those of the location for a cache, all of them for any
-// other.
-func (r *Router) sharers(endpoint *endpointState) float64 {
+// routersUsing returns how many routers use an endpoint: the routers of the location for one of its caches, all
+// routers for any other endpoint.
+func (r *Router) routersUsing(endpoint *endpointState) float64 {
 	if endpoint.Location == r.settings.Location {
-		return r.settings.cacheSharers()
+		return r.settings.cacheRouters()
 	}
-	return r.settings.parentSharers()
+	return r.settings.parentRouters()
 }
 
-// activeSharers estimates how many routers send to the location's caches now: what the caches have in flight by
-// their load reports, divided by what this router has in flight there. While its neighbours restart a router
-// has their traffic too.
-func (r *Router) activeSharers() float64 {
-	if r.capacity.ownInFlight < minSharingEvidence {
-		return r.settings.cacheSharers()
+// activeRouters estimates how many routers send to the location's caches now: the number of attempts in flight from
+// the caches' load reports, divided by the number of this router's attempts in flight there. While other routers of
+// the location restart, this one gets their traffic too, and the estimate falls.
+func (r *Router) activeRouters() float64 {
+	if r.capacity.ownInFlight < minOwnInFlight {
+		return r.settings.cacheRouters()
 	}
-	return max(1, min(r.capacity.reportedInFlight/r.capacity.ownInFlight, r.settings.cacheSharers()))
+	return max(1, min(r.capacity.reportedInFlight/r.capacity.ownInFlight, r.settings.cacheRouters()))
 }
 
-// measuredCapacity estimates the capacity of a cache where the list does not tell it. It is what each cache
-// served in time at its best, or what is requested now if that is more, up to maxOfferedCapacity times the
-// best. A router that has not run for a rateWindow yet has no meaningful best, and uses what is requested alone.
+// measuredCapacity estimates the capacity of a cache if the endpoint list does not give it. It is the best capacity
+// that a cache has shown by serving requests in time or, if more is requested now, the requested capacity, up to
+// maxOfferedCapacity times the best. Until a router has run for rateWindow its best is not meaningful and does not
+// limit the requested capacity.
 func (r *Router) measuredCapacity(now int64) float64 {
 	best := max(1, r.capacity.byCaches.best)
-	offered := r.perEndpoint(now, r.capacity.offered, sharingWindow, r.activeSharers(), r.caches)
+	offered := r.perEndpoint(now, r.capacity.offered, loadWindow, r.activeRouters(), r.caches)
 	if now >= r.rates.startedAt+rateWindow {
 		offered = min(offered, maxOfferedCapacity*best)
 	}
 	return max(best, offered)
 }
 
-// sustainedCapacity returns the capacity that a warm endpoint has for sure. Where it is measured it is what the
-// endpoints of the tier serve on average now. The best that one served is no measure here: for a router with
-// little traffic it is chance, and the routers' shares by it would add up to more than the endpoint can serve.
+// sustainedCapacity returns the capacity that an endpoint is certain to have when it is warm. If capacities are
+// measured, it is what the endpoints of the tier serve on average now. The best capacity is not used here: at a
+// router with little traffic it depends on chance, and the shares that all routers derive from it would add up to
+// more than the endpoint can serve.
 func (r *Router) sustainedCapacity(now int64, endpoint *endpointState) float64 {
 	switch {
 	case r.settings.Weights == CapacityWeights:
 		return endpoint.Capacity
 	case endpoint.Location == r.settings.Location:
-		return max(1, r.perEndpoint(now, r.capacity.byCaches, rateWindow, r.activeSharers(), r.caches))
+		return max(1, r.perEndpoint(now, r.capacity.byCaches, rateWindow, r.activeRouters(), r.caches))
 	}
-	return max(1, r.perEndpoint(now, r.capacity.byParents, rateWindow, r.sharers(endpoint), r.parents))
+	return max(1, r.perEndpoint(now, r.capacity.byParents, rateWindow, r.routersUsing(endpoint), r.parents))
 }
 
-// servedByCache counts work that a cache served in time, in seconds of sending time.
+// servedByCache adds work that a cache served in time, in seconds of sending time.
 func (r *Router) servedByCache(now int64, work float64) {
-	r.addServed(now, &r.capacity.byCaches, work, r.activeSharers(), r.caches)
+	r.addServed(now, &r.capacity.byCaches, work, r.activeRouters(), r.caches)
 }
 
-// servedByParent counts work that a parent served in time, in seconds of sending time.
+// servedByParent adds work that a parent served in time, in seconds of sending time.
 func (r *Router) servedByParent(now int64, work float64, parent *endpointState) {
-	r.addServed(now, &r.capacity.byParents, work, r.sharers(parent), r.parents)
+	r.addServed(now, &r.capacity.byParents, work, r.routersUsing(parent), r.parents)
 }
 
-// addServed counts work that a tier served in time, and updates the best that one endpoint served.
-func (r *Router) addServed(now int64, served *decayingWork, work, sharers float64, endpoints []*endpointState) {
+// addServed adds work that a tier served in time, and updates the best capacity of one of its endpoints.
+func (r *Router) addServed(now int64, served *decayingWork, work, routers float64, endpoints []*endpointState) {
 	served.add(now, work)
 	if now >= r.rates.startedAt+rateWindow {
-		served.best = max(served.best, r.perEndpoint(now, *served, rateWindow, sharers, endpoints))
+		served.best = max(served.best, r.perEndpoint(now, *served, rateWindow, routers, endpoints))
 	}
 }
 
-// perEndpoint returns the mean of one endpoint of a tier, in answers sent at once, for all routers together.
+// perEndpoint returns the mean capacity that one endpoint of a tier uses for the work of all routers together. It
+// scales up this router's work, which decays over a window, by the number of routers.
 func (r *Router) perEndpoint(
-	now int64, work decayingWork, window int64, sharers float64, endpoints []*endpointState,
+	now int64, work decayingWork, window int64, routers float64, endpoints []*endpointState,
 ) float64 {
-	return r.rates.perSecond(now, work.work, work.lastAt, window) * sharers / float64(max(1, len(endpoints)))
+	return r.rates.perSecond(now, work.work, work.lastAt, window) * routers / float64(max(1, len(endpoints)))
 }
 
 // locationCapacity returns the capacity of all caches of the location together.
@@ -127,7 +131,7 @@
 	if r.settings.Weights == CapacityWeights {
 		return max(r.configuredCapacity().sum, minCapacity)
 	}
-	return max(r.capacity.measured.of(len(r.caches), r.measuredCapacity(now)), minCapacity)
+	return max(r.capacity.measured.sumOf(len(r.caches), r.measuredCapacity(now)), minCapacity)
 }
 
 // configuredCapacity returns the sum and the maximum of the caches' listed capacities.
@@ -144,22 +148,22 @@
 	return *total
 }
 
-// repeatedSum is a sum of equal terms. It caches the last result.
-type repeatedSum struct {
-	count    int
-	term     float64
-	addedSum float64
+// equalTermsSum computes sums of equal terms. It keeps the last result.
+type equalTermsSum struct {
+	count int
+	term  float64
+	sum   float64
 }
 
-// of returns the sum of so many equal terms. It adds them one by one, because a product is rounded differently:
-// decisions are to be the same, to the last bit, as those by a sum over the endpoints.
-func (s *repeatedSum) of(count int, term float64) float64 {
+// sumOf returns the sum of count equal terms. It adds them one by one, because a product is rounded differently:
+// decisions must be the same, to the last bit, as with a sum over the endpoints.
+func (s *equalTermsSum) sumOf(count int, term float64) float64 {
 	if s.count == count && s.term == term {
-		return s.addedSum
+		return s.sum
 	}
-	s.count, s.term, s.addedSum = count, term, 0
+	s.count, s.term, s.sum = count, term, 0
 	for range count {
-		s.addedSum += term
+		s.sum += term
 	}
-	return s.addedSum
+	return s.sum
 }
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -8,8 +8,8 @@
 	"tealpath/internal/logevent"
 )
 
-// runAtConcurrency keeps so many requests in flight for a span, ns, each of which is answered in time. It
-// returns how many requests came, and how many of them were not sent, in the last second.
+// runAtConcurrency keeps a number of requests in flight for a duration, span, in ns. Each gets a response in time. It
+// returns how many requests were made in the last second, and how many of those were not sent.
 func runAtConcurrency(router *Router, from, span int64, concurrency int) (requested, rejected int) {
 	type sent struct {
 		request *Request
@@ -36,7 +36,7 @@
 				requested++
 			}
 			if decision.Verdict != Send {
-				router.ClientGone(now, request) // what waits counts as rejected too
+				router.ClientGone(now, request) // a waiting request counts as rejected too
 				if now >= from+span-second {
 					rejected++
 				}
@@ -48,8 +48,8 @@
 	return requested, rejected
 }
 
-// Where weights are no capacities, limits follow from what the caches serve. Taken for capacities, weights of
-// one would have half of the traffic rejected.
+// If weights are not capacities, admission limits depend on what the caches serve. If weights of 1 were mistaken for
+// capacities, half of the traffic would be rejected.
 func TestMeasuredCapacitiesAdmitTheTraffic(t *testing.T) {
 	for _, test := range []struct {
 		units  string
@@ -59,34 +59,35 @@
 			router := newRouter(t, func(s *Settings) {
 				s.Weights, s.LocationRouters = decodeWeights(test.units), 1
 			})
-			var lines []Endpoint
-			for _, line := range testEndpoints {
-				line.Capacity = test.weight
-				lines = append(lines, line)
+			var entries []Endpoint
+			for _, entry := range testEndpoints {
+				entry.Capacity = test.weight
+				entries = append(entries, entry)
 			}
-			router.UpdateEndpoints(start, lines, true)
-			// twelve at each of two caches, which can take them
+			router.UpdateEndpoints(start, entries, true)
+			// Twelve requests at each of two caches, which can take them.
 			requested, rejected := runAtConcurrency(router, start, 4*second, 24)
 			if rejected > 0 || requested < 24 {
-				t.Errorf("of %d requests in the fourth second %d rejected", requested, rejected)
+				t.Errorf("in the fourth second %d of %d requests rejected, want 0 of at least 24", rejected, requested)
 			}
 			requested, rejected = runAtConcurrency(router, start+20*second, 4*second, 24)
 			if rejected > 0 || requested < 24 {
-				t.Errorf("later, of %d requests in a second %d rejected", requested, rejected)
+				t.Errorf("in the 24th second %d of %d requests rejected, want 0 of at least 24", rejected, requested)
 			}
 		})
 	}
 }
 
-// A measured capacity follows from what was served: while answers are missing it does not grow without bound.
+// A measured capacity depends on the work that was served: it does not grow without bound while responses are
+// missing.
 func TestMeasuredCapacitiesAreBounded(t *testing.T) {
 	router := newRouter(t, func(s *Settings) { s.Weights, s.LocationRouters = NoWeights, 1 })
-	var lines []Endpoint
-	for _, line := range testEndpoints {
-		line.Capacity = 1
-		lines = append(lines, line)
+	var entries []Endpoint
+	for _, entry := range testEndpoints {
+		entry.Capacity = 1
+		entries = append(entries, entry)
 	}
-	router.UpdateEndpoints(start, lines, true)
+	router.UpdateEndpoints(start, entries, true)
 	runAtConcurrency(router, start, 20*second, 8)
 	now := start + 21*second
 	sent := 0
@@ -96,36 +97,36 @@
 			sent++
 		}
 	}
-	// two caches have served four each
+	// The two caches have served four requests at a time each.
 	if bound := int(2 * maxAdmissionLimit * maxAdmissionLimit * 4); sent > bound || sent < 8 {
-		t.Errorf("%d sent at once to caches that have served 8, want %d at most", sent, bound)
+		t.Errorf("%d requests sent at the same time to caches that have served 8, want 8 to %d", sent, bound)
 	}
 }
 
-// Where capacities are measured, all routers together keep within what a parent in slow start can take: few
-// routers or many, with uneven traffic, with errors in what each has measured, and if the parent is smaller
-// than the others.
+// If capacities are measured, all routers together must not send more than a parent in slow start can take. The
+// number of routers varies, their traffic is uneven, their measurements have errors, and the parent is smaller than
+// the other one.
 func TestSlowStartOfMeasuredCapacities(t *testing.T) {
 	const mean, parents, load, capacity, small = 0.5, 2, 0.7, 20., 12.
 	window := 2 * second
 	for _, routers := range []int{6, 24, 350} {
-		for _, from := range []int64{0, 8 * second} { // from the start on; all at once some time later
+		for _, from := range []int64{0, 8 * second} { // all routers begin at the start, or 8 s later
 			var sentAt []int64
 			for n := range routers {
 				settings := testSettings(func(s *Settings) { s.Routers, s.Weights = routers, NoWeights })
 				router := New(start-20*second, uint64(n), settings, func(logevent.Event) {})
-				lines := make([]Endpoint, len(testEndpoints))
-				for i, line := range testEndpoints {
-					lines[i] = line
-					lines[i].Capacity = 1
+				entries := make([]Endpoint, len(testEndpoints))
+				for i, entry := range testEndpoints {
+					entries[i] = entry
+					entries[i].Capacity = 1
 				}
-				lines[2].StartedAt = start
-				router.UpdateEndpoints(start, lines, true)
-				uneven := 0.5 // one router in ten has ten times the traffic of the others
+				entries[2].StartedAt = start
+				router.UpdateEndpoints(start, entries, true)
+				traffic := 0.5 // one router in ten has ten times the traffic of the others
 				if n%10 == 0 {
-					uneven = 5
+					traffic = 5
 				}
-				measured := load * capacity * parents / float64(routers) * uneven / 0.95 * (0.5 + router.random())
+				measured := load * capacity * parents / float64(routers) * traffic / 0.95 * (0.5 + router.random())
 				endpoint := router.endpoints[3]
 				router.slowStartAdmits(start, endpoint, mean)
 				for now := start + from + int64(n)*second/20/int64(routers); now < start+16*second; now += second / 20 {
@@ -138,7 +139,7 @@
 				}
 			}
 			if len(sentAt) < 4 {
-				t.Errorf("%d routers: %d attempts in 16 s", routers, len(sentAt))
+				t.Errorf("%d routers: %d attempts in 16 s, want at least 4", routers, len(sentAt))
 			}
 			for _, first := range sentAt {
 				sent := 0.
@@ -150,7 +151,7 @@
 				share := 0.1 + 0.9*float64(first-start)/float64(20*second)
 				n := 2 * small * share * 2 / mean
 				if limit := ruleLimit(n); sent > limit {
-					t.Fatalf("%d routers: %.0f attempts within a window %.1f s after the start, the limit is %.1f",
+					t.Fatalf("%d routers: %.0f attempts in the window from %.1f s after the start on, limit %.1f",
 						routers, sent, float64(first-start)/1e9, limit)
 				}
 			}
@@ -158,19 +159,19 @@
 	}
 }
 
-// While other routers of the location are down this one has their traffic too, and must not scale its own
-// counts up.
-func TestActiveSharers(t *testing.T) {
+// While other routers of the location are down, this one gets their traffic too, and must not scale up its own
+// counts.
+func TestActiveRouters(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		report func(own float64) []float64
 		want   float64
 	}{
 		{"no reports", func(float64) []float64 { return nil }, 2},
-		{"all is in flight from this router", func(own float64) []float64 { return []float64{0, own} }, 1},
-		{"another one sends as much", func(own float64) []float64 { return []float64{0, 2*own - 1} }, 2},
-		{"more than there are routers", func(own float64) []float64 { return []float64{0, 9 * own} }, 2},
-		{"a report of nothing", func(float64) []float64 { return []float64{0, 0} }, 1},
+		{"all attempts are from this router", func(own float64) []float64 { return []float64{0, own} }, 1},
+		{"another router sends as much", func(own float64) []float64 { return []float64{0, 2*own - 1} }, 2},
+		{"more than the number of routers", func(own float64) []float64 { return []float64{0, 9 * own} }, 2},
+		{"a report of no attempts", func(float64) []float64 { return []float64{0, 0} }, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router := newRouter(t, func(s *Settings) { s.LoadReportFields = []string{"x1", "inHand"} })
@@ -190,8 +191,8 @@
 					LoadReport:   test.report(own),
 				})
 			}
-			if got := router.activeSharers(); math.Abs(got-test.want) > 0.01 {
-				t.Errorf("%d answers: %v, want %v", len(sent), got, test.want)
+			if got := router.activeRouters(); math.Abs(got-test.want) > 0.01 {
+				t.Errorf("after %d responses: %v active routers, want %v", len(sent), got, test.want)
 			}
 		})
 	}
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// routerOfClasses makes a router with two idempotent classes, "harmless" with a mean sending time of 0.4 s and
-// "stamped" with 0.02 s and half the weight, and a class "once" that is not cacheable. The means count as
-// learned.
+// routerOfClasses returns a router with two idempotent classes and an uncacheable one. "harmless" has a mean
+// sending time of 0.4 s, "stamped" has 0.02 s and half the weight, and "once" is uncacheable. The means count as
+// those of many responses.
 func routerOfClasses(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
 	router := newRouter(t, func(s *Settings) {
@@ -24,8 +24,7 @@
 	return router
 }
 
-// sendUntilFull decides on requests of a class for new objects until one is not sent, and returns how many
-// were.
+// sendUntilFull decides on requests of a class for new objects until one is not sent, and returns how many were sent.
 func sendUntilFull(router *Router, now int64, class string) (sent int) {
 	for ; sent < 1000; sent++ {
 		if router.Decide(now, newRequest(class, fmt.Sprint(class, now, sent))).Verdict != Send {
@@ -35,19 +34,19 @@
 	return sent
 }
 
-// Writes hardly use what the limit for fills protects, and are admitted when it is reached.
+// Writes hardly use the links that the limit for fills protects, so they are admitted even if that limit is reached.
 func TestWritesAreNotLimitedAsFills(t *testing.T) {
 	router := routerOfClasses(t, nil)
 	router.admission.limits[fills] = 0.4
 	if n := sendUntilFull(router, start, "harmless") + sendUntilFull(router, start, "stamped"); n == 0 || n >= 1000 {
-		t.Fatalf("%d sent", n)
+		t.Fatalf("%d requests sent before the limit for fills is reached, want 1 to 999", n)
 	}
 	if decision := router.Decide(start, newRequest("once", "write")); decision.Verdict != Send {
-		t.Errorf("a write while the limit for fills is reached: %+v", decision)
+		t.Errorf("decision on a write while the limit for fills is reached: %+v, want verdict send", decision)
 	}
 }
 
-// A request that is not cacheable has no home cache and goes to the least loaded one.
+// An uncacheable request has no home cache and goes to the least loaded cache.
 func TestWritesGoToTheLeastLoadedCache(t *testing.T) {
 	router := routerOfClasses(t, nil)
 	for n := range 10 {
@@ -55,26 +54,27 @@
 		decision := router.Decide(start, newRequest("once", fmt.Sprint(n)))
 		toFirst := decision.Attempt.Cache == router.caches[0].ID
 		if decision.Verdict != Send || first != second && toFirst != (first < second) {
-			t.Errorf("loads %.2f and %.2f: %+v", first, second, decision)
+			t.Errorf("caches with loads %.2f and %.2f: decision %+v, want it sent to the less loaded one",
+				first, second, decision)
 		}
 	}
 }
 
-// Small answers are still in time in an overload in which large ones are late, and may exceed the limit of the
-// large.
-func TestSmallAnswersMayExceedTheLimit(t *testing.T) {
+// In an overload small responses may still be in time when large ones are late. Therefore they may exceed the limit
+// of the large ones.
+func TestSmallResponsesMayExceedTheLimit(t *testing.T) {
 	router := routerOfClasses(t, nil)
 	large := sendUntilFull(router, start, "harmless")
 	if small := sendUntilFull(router, start, "stamped"); small < large/2 || small > 2*large {
-		t.Errorf("after %d large ones %d small ones were sent", large, small)
+		t.Errorf("after %d large requests %d small ones were sent, want %d to %d", large, small, large/2, 2*large)
 	}
 }
 
-// For a rare class of high value as much is reserved as it needs, not a fixed part of every limit.
+// The part of a limit that is reserved for a rare class of high value is proportional to the work of that class.
 func TestRareClassReservesOnlyWhatItNeeds(t *testing.T) {
 	for _, test := range []struct {
-		rare float64 // part of the requests
-		want float64 // least part of the limit that is open to the rest
+		rare float64 // fraction of the work that is of the rare class
+		want float64 // minimum fraction of the limit that is open to the other class
 	}{{0.01, 0.95}, {0.5, 0.69}} {
 		router := routerOfClasses(t, func(s *Settings) { setWeights(s, 1, 40, 1) })
 		request := newRequest("harmless", "x")
@@ -85,18 +85,19 @@
 		router.classes[0].admitted, router.classes[1].admitted = router.classes[0].offered, router.classes[1].offered
 		share := router.admissionShare(start, request)
 		if share < test.want || share > 1 || test.rare == 0.5 && share > 0.75 {
-			t.Errorf("rare class %.2f: share %.2f, want %.2f", test.rare, share, test.want)
+			t.Errorf("with %.2f of the work of the rare class: share %.2f for the other one, want at least %.2f",
+				test.rare, share, test.want)
 		}
 	}
 }
 
-// The class of highest value could use up the limit alone; others are admitted beside it.
+// The class of the highest value could use up the limit alone. Other classes must be admitted too.
 func TestNoClassIsShedEntirely(t *testing.T) {
 	router := routerOfClasses(t, func(s *Settings) {
 		setWeights(s, 1, 40, 1)
 		setObjectives(s, second/2, second/100, second/2)
 	})
-	router.classes[1].sendingTime = 0.4 // as the other class, with forty times its weight
+	router.classes[1].sendingTime = 0.4 // the same as class 0, which has a fortieth of the weight
 	router.classes[1].LatencyObjective = router.classes[0].LatencyObjective
 	requested, sent := map[string]int{}, map[string]int{}
 	type attempt struct {
@@ -130,12 +131,13 @@
 	best := float64(sent["stamped"]) / float64(requested["stamped"])
 	other := float64(sent["harmless"]) / float64(requested["harmless"])
 	if other < best/2 || best > 0.9 {
-		t.Errorf("admitted parts: %.2f of the class of highest value, %.2f of the other", best, other)
+		t.Errorf("admitted fractions: %.2f of the class of the highest value, want at most 0.9; %.2f of the other, "+
+			"want at least half of that", best, other)
 	}
 }
 
-// An answer that needs more than its latency objective to be sent at full rate is no sign of an overload.
-func TestAnswersTooLargeToBeInTimeLowerNoLimit(t *testing.T) {
+// A response whose sending time alone exceeds its latency objective is no sign of an overload.
+func TestResponsesTooLargeToBeInTimeDoNotLowerTheLimit(t *testing.T) {
 	router := routerOfClasses(t, func(s *Settings) { setObjectiveStretches(s, 0, 0, 0) })
 	for _, test := range []struct {
 		elapsed int64
@@ -152,13 +154,13 @@
 			RequestEnded: true,
 		})
 		if got := router.admission.limits[fills] < before; got != test.lowers {
-			t.Errorf("an answer of 0.9 s that took %.1f s: limit %.3f, was %.3f",
-				float64(test.elapsed)/1e9, router.admission.limits[fills], before)
+			t.Errorf("a response with a sending time of 0.9 s took %.1f s: limit %.3f, before %.3f, want it lowered: %v",
+				float64(test.elapsed)/1e9, router.admission.limits[fills], before, test.lowers)
 		}
 	}
 }
 
-// A retry after a rejected fill needs a token if the origin can be overloaded: else an origin that has stopped
+// If the origin can be overloaded, a retry after a rejected fill needs a token. Otherwise an origin that has stopped
 // would get several attempts for each request.
 func TestRejectedFillsTakeTokensIfTheOriginCanBeOverloaded(t *testing.T) {
 	for _, factor := range []float64{0, 2.5} {
@@ -176,21 +178,22 @@
 			retries-- // the first attempt
 		}
 		if free := retries > 60; free != (factor == 0) {
-			t.Errorf("overload factor %.1f: %d retries of 60 requests", factor, retries)
+			t.Errorf("overload factor %.1f: %d retries of 60 requests, more than 60 allowed: %v",
+				factor, retries, factor == 0)
 		}
 	}
 }
 
-// Settings at their bounds: no division by zero, and each class is admitted.
+// With settings at their bounds there is no division by zero, and each class is admitted.
 func TestClassesWithExtremeSettings(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(*Settings)
 	}{
 		{"no weights", func(s *Settings) { setWeights(s, 0, 0, 0) }},
-		{"one without a weight", func(s *Settings) { setWeights(s, 0, 1, 1) }},
+		{"one class without a weight", func(s *Settings) { setWeights(s, 0, 1, 1) }},
 		{"no latency objectives", func(s *Settings) { setObjectives(s, 0, 0, 0) }},
-		{"one with a thousand times the weight", func(s *Settings) { setWeights(s, 1, 1000, 1) }},
+		{"one class with a thousand times the weight", func(s *Settings) { setWeights(s, 1, 1000, 1) }},
 		{"an objective below a round trip", func(s *Settings) { setObjectives(s, second/1000, second/2, second/2) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -201,10 +204,10 @@
 			for n, class := range []string{"stamped", "harmless", "once"} {
 				request := newRequest(class, fmt.Sprint(n))
 				if decision := router.Decide(start, request); decision.Verdict != Send {
-					t.Fatalf("%s: %+v", class, decision)
+					t.Fatalf("class %s: decision %+v, want verdict send", class, decision)
 				}
 				if share := router.admissionShare(start, request); !(share > 0.1 && share < 10) {
-					t.Errorf("%s: share %v", class, share)
+					t.Errorf("class %s: share %v, want between 0.1 and 10", class, share)
 				}
 				router.AttemptEnded(start+second/10, request, Outcome{
 					Result:       Succeeded,
--- a/control/control.go
+++ b/control/control.go
@@ -1,22 +1,23 @@
-// Package control decides for each request which cache serves it, from where a miss is filled, and whether it
-// is admitted, retried or rejected.
+// Package control decides for each request which cache serves it, which endpoint fills a miss, and whether the
+// request is admitted, retried or rejected.
 //
-// New makes a router. Decide says where to send a request (or to wait, or how it ends), AttemptEnded what to do
-// once an attempt has ended, and RecheckDelay after how long to call Decide again. What happens outside comes
-// in by UpdateEndpoints, Purge, ClientGone, ProbeEnded and Tick.
+// New creates a Router. Decide returns what to do with a request: send it, let it wait, or end it. AttemptEnded
+// returns what to do after an attempt has ended, and RecheckDelay how long to wait before calling Decide again.
+// The caller reports other events through UpdateEndpoints, Purge, ClientGone and ProbeEnded, and calls Tick
+// periodically.
 //
-// Times are int64 nanoseconds of the caller's monotonic clock and spans int64 nanoseconds, unless a comment
-// says otherwise. Sending times are float64 seconds. A router reads no clock, shares no state and must not be
-// used by two goroutines at once.
+// Unless a comment says otherwise, times are int64 nanoseconds of the caller's monotonic clock, and durations are
+// int64 nanoseconds. Sending times are float64 seconds. A Router does not read a clock, shares no state and must
+// not be used by two goroutines at the same time.
 //
-// A decision can be read from top to bottom in Decide. The other files each have one part of it:
+// Decide is the entry point of a decision. Each of the other files implements one part of it:
 //
-//   - selection.go and ranking.go: which endpoints
-//   - admission.go, capacity.go and inflight.go: whether these can take more
-//   - slowstart.go: how much an endpoint that has just started is sent
+//   - selection.go and ranking.go: the endpoints that a request is sent to
+//   - admission.go, capacity.go and inflight.go: whether these endpoints can take more load
+//   - slowstart.go: how much load an endpoint gets while it is warming up after a start
 //   - retries.go: retries and hedged requests
 //   - age.go and rates.go: how old a cache entry may be
-//   - purges.go: what purges leave of that age
+//   - purges.go: how purges limit that age
 //   - outcomes.go and outliers.go: what is learned from an attempt that ended, and which endpoints are ejected
 //
 // docs/design.md has the reasons and the sources.
@@ -32,47 +33,47 @@
 
 const (
 	second  = int64(1e9)               // ns
-	forever = int64(math.MaxInt64 / 2) // ns; no bound
+	forever = int64(math.MaxInt64 / 2) // ns; stands for an unlimited time or duration
 
-	// tickInterval is the time between two calls of Tick, and of Decide for a request with an attempt in
-	// flight; ns.
+	// tickInterval is the time in ns between two calls of Tick, and between two calls of Decide for a request
+	// that has an attempt in flight.
 	tickInterval = second / 10
 
-	// waitRecheckInterval is the time between two calls of Decide for a request that waits for an endpoint; ns.
+	// waitRecheckInterval is the time in ns between two calls of Decide for a request that waits for an endpoint.
 	waitRecheckInterval = second / 20
 
-	// maxWaitDivisor bounds for how long a request waits for an endpoint: its latency objective divided by
-	// this. After a longer wait its answer would be late.
+	// maxWaitDivisor limits how long a request waits for an endpoint: at most its latency objective divided by
+	// maxWaitDivisor. After a longer wait its response would be late.
 	maxWaitDivisor = 8
 )
 
-// Router is one router's decisions.
+// Router makes the decisions of one router process and holds the state that they depend on.
 type Router struct {
-	// Reachable, if set, reports whether a request can be sent to a cache now: the connections to it are
-	// limited. A cache for which it returns false is skipped in an object's ranking, as one at its slow-start
-	// limit is.
+	// Reachable, if set, reports whether a request can be sent to a cache now. It can return false because the
+	// number of connections to each cache is limited. An object's ranking skips such a cache, in the same way as
+	// a cache at its slow-start limit.
 	Reachable func(id uint32) bool
 
-	// ConnectionsExhausted, if set, reports whether this machine can open no connections for now. Meanwhile a
-	// request for which no cache is reachable waits, until the time by which it has to be sent.
+	// ConnectionsExhausted, if set, reports whether this machine currently cannot open any connections. While it
+	// returns true, a request for which no cache is reachable waits, at most until its send deadline.
 	ConnectionsExhausted func() bool
 
 	settings Settings
 	log      func(logevent.Event)
 	seed     uint64
-	draws    uint32 // random numbers drawn so far
+	draws    uint32 // number of random numbers returned so far
 
-	classes     []*classState // in the settings' order
+	classes     []*classState // in the order of the settings
 	classByName map[string]*classState
 
-	endpoints  map[uint32]*endpointState // by ID: all that are listed, and delisted ones with attempts in flight
+	endpoints  map[uint32]*endpointState // by ID: listed endpoints, and delisted ones with attempts in flight
 	caches     []*endpointState          // ready caches of the router's location, in the order of their IDs
 	parents    []*endpointState          // ready parents of all locations, in the order of their IDs
 	origin     *endpointState            // the ready origin with the lowest ID; nil if there is none
-	cacheTier  tier                      // of caches
-	parentTier tier                      // of parents
+	cacheTier  tier                      // the endpoints of caches, with their ranking keys
+	parentTier tier                      // the endpoints of parents, with their ranking keys
 	origins    endpointList              // ready origins
-	delisted   []*endpointState          // no longer listed
+	delisted   []*endpointState          // endpoints that are no longer listed
 
 	rates     requestRates
 	purges    purgeLog
@@ -82,13 +83,13 @@
 	retries   retryState
 	outliers  outlierDetector
 
-	cacheOrder, sourceOrder candidates // buffers of the current decision
+	cacheOrder, sourceOrder candidates // reused by each decision, to avoid allocations
 	postponedUntil          int64      // the latest retryAt of all slow-start budgets
-	keyBytes                []byte     // buffer of objectHash
+	keyBytes                []byte     // reused by objectHash, to avoid allocations
 }
 
-// New makes a router. seed determines its random numbers, and log is called with an event for each change of
-// state that an operator may want to know of.
+// New creates a Router. seed determines its random numbers, and log is called with an event for each change of
+// state that an operator may want to know about.
 func New(now int64, seed uint64, settings Settings, log func(logevent.Event)) *Router {
 	router := &Router{
 		settings:    settings,
@@ -101,31 +102,32 @@
 		admission:   admission{limits: initialAdmissionLimits},
 		retries:     retryState{tokens: maxRetryTokens},
 	}
-	for _, terms := range settings.Classes {
-		class := newClassState(terms)
+	for _, classSettings := range settings.Classes {
+		class := newClassState(classSettings)
 		router.classes = append(router.classes, class)
-		router.classByName[terms.Name] = class
+		router.classByName[classSettings.Name] = class
 	}
 	return router
 }
 
-// Decide says what to do with a request that has arrived, or whose RecheckDelay has passed: send it, wait, or
-// end it.
+// Decide returns what to do with a request that has arrived, or whose RecheckDelay has passed: send it, let it
+// wait, or end it.
 func (r *Router) Decide(now int64, request *Request) Decision {
-	if request.class == nil && !r.accept(now, request) {
+	if request.class == nil && !r.registerRequest(now, request) {
 		return Decision{Verdict: Fail}
 	}
 	switch {
 	case request.ended:
 		return Decision{}
 	case request.inFlight > 0:
-		return r.reconsider(now, request)
+		return r.decideInFlight(now, request)
 	}
 	return r.decideNext(now, request)
 }
 
-// accept starts to track a request that has arrived. It returns false if the request's class is unknown.
-func (r *Router) accept(now int64, request *Request) bool {
+// registerRequest initializes the state of a request that has arrived, and counts the request. It returns false
+// if the request's class is unknown.
+func (r *Router) registerRequest(now int64, request *Request) bool {
 	request.class = r.classByName[request.Class]
 	if request.class == nil {
 		return false
@@ -135,12 +137,13 @@
 	request.arrivedAt = now
 	request.record = r.rates.record(now, request)
 	if !request.ClientRetry {
-		r.capacity.offer(now, work)
+		r.capacity.addOffered(now, work)
 	}
 	return true
 }
 
-// AttemptEnded says what to do once an attempt has ended.
+// AttemptEnded takes the outcome of an attempt and returns what to do with its request next. It ignores outcomes of
+// unknown attempts and of attempts that have already ended.
 func (r *Router) AttemptEnded(now int64, request *Request, outcome Outcome) Decision {
 	number := outcome.Attempt
 	if number < 0 || number >= len(request.attempts) || request.attempts[number].ended {
@@ -164,12 +167,14 @@
 	case now+2*waitRecheckInterval >= request.Deadline:
 		return r.rejectOrFail(now, request)
 	}
-	// The retry waits for the next call of Decide: the cancellation of this attempt may take another connection
-	// than the retry, and two attempts would be in flight where only one may be.
+	// The retry waits for the next call of Decide. The cancellation of this attempt and the retry may take
+	// different connections: an immediate retry could arrive first, and two attempts would be in flight although
+	// hedging is not allowed.
 	return Decision{}
 }
 
-// RecheckDelay returns after how long Decide is to be called again for a request, in ns; 0 is not at all.
+// RecheckDelay returns the time in ns after which Decide must be called again for a request, or 0 if the request
+// has ended and needs no further call.
 func (r *Router) RecheckDelay(_ int64, request *Request) int64 {
 	switch {
 	case request.ended:
@@ -180,8 +185,8 @@
 	return waitRecheckInterval
 }
 
-// ClientGone ends a request whose client has disconnected, or that has ended for another reason outside this
-// package. Attempts may still be in flight.
+// ClientGone ends a request whose client has disconnected, or that the caller has ended for another reason.
+// Attempts may still be in flight.
 func (r *Router) ClientGone(_ int64, request *Request) Decision {
 	request.ended = true
 	return r.cancelInFlight(request)
@@ -200,7 +205,7 @@
 	return decision
 }
 
-// decideNext decides on a request that has no attempt in flight: it is sent, waits, or ends.
+// decideNext decides whether a request that has no attempt in flight is sent, waits or ends.
 func (r *Router) decideNext(now int64, request *Request) Decision {
 	cache, source := r.selectEndpoints(now, request)
 	if r.goesToOrigin(now, request, cache) {
@@ -211,45 +216,45 @@
 		request.exhaustedAt = now
 	}
 	sendDeadline := request.sendDeadline()
-	timeForLater := now+2*waitRecheckInterval < sendDeadline
+	canWait := now+2*waitRecheckInterval < sendDeadline
 	switch {
 	case !r.mayRetry(now, request) || now >= sendDeadline:
-		// No further attempt is allowed, or it would be answered too late.
-	case request.exhaustedAt > 0 && !timeForLater:
-		// No connection can be established in the time left, and the cache would be blamed for it.
+		// No further attempt is allowed, or its response would be too late.
+	case request.exhaustedAt > 0 && !canWait:
+		// No connection can be established in the time left. An attempt would count as a failure of the cache.
 	case cache != nil && r.admits(now, request, cache):
 		if r.takeRetryToken(request) {
 			return r.send(now, request, cache, source)
 		}
 	case cache != nil && r.mayTryCacheOnly(now, request, cache):
 		return r.send(now, request, cache, nil)
-	case now < request.waitUntil() && timeForLater:
+	case now < request.waitUntil() && canWait:
 		return Decision{}
 	}
 	return r.rejectOrFail(now, request)
 }
 
-// send starts an attempt at a cache, which fills a miss from a source; without a source it may serve only what
-// it has cached.
+// send starts an attempt at a cache, which fills a miss from the source. If source is nil, the cache may serve only
+// an object that it has cached.
 func (r *Router) send(now int64, request *Request, cache, source *endpointState) Decision {
 	attempt := r.newAttempt(now, request, cache, source)
-	r.track(now, request, attempt)
-	terms := Attempt{Cache: cache.ID, Timeout: request.Deadline - now, SendTimeout: attempt.sendTimeout}
+	r.registerAttempt(now, request, attempt)
+	details := Attempt{Cache: cache.ID, Timeout: request.Deadline - now, SendTimeout: attempt.sendTimeout}
 	if source == nil {
-		terms.CacheOnly = true
-		return Decision{Verdict: Send, Attempt: terms}
+		details.CacheOnly = true
+		return Decision{Verdict: Send, Attempt: details}
 	}
-	terms.Source = source.ID
+	details.Source = source.ID
 	if !request.isUncacheable() {
-		terms.ParentOnlyIfCached = r.usesOnlyIfCached(attempt)
-		terms.JoinFill = r.settings.JoinFills
-		terms.MaxAge, terms.RefreshBehind = r.maxAge(now, request)
-		terms.CachePriority = r.cachePriority(request.record)
+		details.ParentOnlyIfCached = r.usesOnlyIfCached(attempt)
+		details.JoinFill = r.settings.JoinFills
+		details.MaxAge, details.RefreshBehind = r.maxAge(now, request)
+		details.CachePriority = r.cachePriority(request.record)
 	}
-	return Decision{Verdict: Send, Attempt: terms}
+	return Decision{Verdict: Send, Attempt: details}
 }
 
-// newAttempt makes the state of the next attempt of a request.
+// newAttempt returns the state of the next attempt of a request.
 func (r *Router) newAttempt(now int64, request *Request, cache, source *endpointState) *attemptState {
 	attempt := &attemptState{
 		sentAt:      now,
@@ -264,13 +269,13 @@
 		attempt.kind = hits
 	}
 	if request.SizeKB == 0 {
-		attempt.lateAt += 2 * r.objectiveFor(request, 0) // its answer may be large and still be on its way
+		attempt.lateAt += 2 * r.objectiveFor(request, 0) // a large response may still be on its way
 	}
 	return attempt
 }
 
-// track counts an attempt that starts now, for its request, its class and its endpoints.
-func (r *Router) track(now int64, request *Request, attempt *attemptState) {
+// registerAttempt counts an attempt that starts now: for its request, its class and its endpoints.
+func (r *Router) registerAttempt(now int64, request *Request, attempt *attemptState) {
 	request.attempts = append(request.attempts, attempt)
 	if len(request.attempts) == 1 {
 		request.class.admitted.add(now, r.sendingTime(request))
@@ -289,8 +294,8 @@
 	}
 }
 
-// Tick does the periodic work. It returns the endpoints that a health check is to be sent to now, and after how
-// long Tick is to be called again, in ns.
+// Tick removes expired purges, ejects outliers and starts probes. It returns the IDs of the endpoints that the
+// caller must send a health check to now, and the time in ns after which to call Tick again.
 func (r *Router) Tick(now int64) (probe []uint32, nextTick int64) {
 	r.purges.removeExpired(now, r.settings.PurgeDuration)
 	all := r.cacheEvidence(now)
@@ -306,16 +311,16 @@
 		}
 	}
 	r.outliers.unwatchHealthy(now)
-	r.outliers.forgetFaded(now)
+	r.outliers.forgetDecayed(now)
 	return probe, tickInterval
 }
 
-// cannotConnect reports whether this machine can open no connections for now.
+// cannotConnect reports whether this machine currently cannot open any connections.
 func (r *Router) cannotConnect() bool {
 	return r.ConnectionsExhausted != nil && r.ConnectionsExhausted()
 }
 
-// random returns the router's next random number, from [0, 1). It follows from the seed.
+// random returns the next number, from [0, 1), of a pseudorandom sequence that depends only on the seed.
 func (r *Router) random() float64 {
 	r.draws++
 	seed := binary.LittleEndian.AppendUint64(nil, r.seed)
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A request that no endpoint can take waits a moment, and is rejected while the client can still retry in time.
+// A request that no endpoint can take waits, and is rejected while the client can still retry in time.
 func TestWaitingRequestsAreRejectedInTime(t *testing.T) {
 	for _, left := range []int64{second / 100, 83 * second / 1000, 400 * second / 1000, 5 * second} {
 		t.Run(fmt.Sprint(left), func(t *testing.T) {
@@ -17,20 +17,21 @@
 			for decision.Verdict == Wait {
 				now += router.RecheckDelay(now, request)
 				if now > request.Deadline || now > start+second {
-					t.Fatalf("still waiting after %v", now-start)
+					t.Fatalf("still waiting after %d ns, with a deadline after %d ns", now-start, left)
 				}
 				decision = router.Decide(now, request)
 			}
 			objective := router.classByName["harmless"].LatencyObjective
 			if decision.Verdict != Reject || decision.RetryAfter <= 0 || decision.RetryAfter >= objective/2 {
-				t.Errorf("verdict %v with Retry-After %v", decision.Verdict, decision.RetryAfter)
+				t.Errorf("verdict %v with Retry-After %d ns, want reject with more than 0 and less than %d ns",
+					decision.Verdict, decision.RetryAfter, objective/2)
 			}
 		})
 	}
 }
 
-// A request that reached no cache within half of its time is rejected then: an answer would hardly come in
-// time.
+// A request that has not reached a cache within half of its time is rejected then, because a response would hardly
+// come in time.
 func TestUnsentRequestsAreRejectedAtHalfTheirTime(t *testing.T) {
 	for _, test := range []struct {
 		result Result
@@ -48,7 +49,7 @@
 			router, request := newRouter(t, nil), newRequest("harmless", "a")
 			request.Deadline = start + 2*second
 			if decision := router.Decide(start, request); decision.Attempt.SendTimeout != second {
-				t.Errorf("send timeout %d", decision.Attempt.SendTimeout)
+				t.Errorf("send timeout %d ns, want %d ns", decision.Attempt.SendTimeout, second)
 			}
 			decision := router.AttemptEnded(start+test.after, request, Outcome{Result: test.result})
 			if decision.Verdict != test.want {
@@ -58,8 +59,7 @@
 	}
 }
 
-// Whether an answer is late is judged by its own size where that is known, and by the mean of its class where
-// it is not.
+// Whether a response is late depends on its own size if that is known, and otherwise on the mean of its class.
 func TestLatencyObjectiveFollowsTheSize(t *testing.T) {
 	for _, test := range []struct {
 		name        string
@@ -67,10 +67,10 @@
 		sendingTime float64
 		late        bool
 	}{
-		{"of unknown size, in time by the mean", second, 0, false},
-		{"of unknown size, late by the mean", 2 * second, 0, true},
-		{"large, and not late for its size", 2 * second, 1, false},
-		{"small, and late for its size", second, 0.01, true},
+		{"of unknown size, in time for the mean", second, 0, false},
+		{"of unknown size, late for the mean", 2 * second, 0, true},
+		{"large, in time for its size", 2 * second, 1, false},
+		{"small, late for its size", second, 0.01, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router := newRouter(t, func(s *Settings) { setObjectiveStretches(s, 2, 2, 2) })
@@ -90,35 +90,36 @@
 	}
 }
 
-// Calls that no adapter should make change nothing.
+// Invalid calls change nothing.
 func TestInvalidCallsChangeNothing(t *testing.T) {
 	router := newRouter(t, nil)
 	if decision := router.Decide(start, newRequest("unheard of", "a")); decision.Verdict != Fail {
-		t.Errorf("a request of an unknown class: %+v", decision)
+		t.Errorf("decision on a request of an unknown class: %+v, want verdict fail", decision)
 	}
 	request := newRequest("harmless", "a")
 	router.Decide(start, request)
 	for _, number := range []int{-1, 1} {
 		if decision := router.AttemptEnded(start, request, Outcome{Attempt: number}); decision.Verdict != Wait {
-			t.Errorf("outcome of attempt %d: %+v", number, decision)
+			t.Errorf("decision after an outcome of unknown attempt %d: %+v, want verdict wait", number, decision)
 		}
 		if !router.AcceptsCopy(start, request, number, 1) {
-			t.Errorf("an answer of attempt %d is not accepted", number)
+			t.Errorf("a response to unknown attempt %d is not accepted", number)
 		}
 	}
 	router.ClientGone(start, request)
 	if decision := router.Decide(start, request); decision.Verdict != Wait || router.RecheckDelay(start, request) != 0 {
-		t.Errorf("after its end: %+v", decision)
+		t.Errorf("decision on an ended request: %+v, recheck delay %d, want verdict wait and delay 0",
+			decision, router.RecheckDelay(start, request))
 	}
 	router.ProbeEnded(start, 99, true, nil)
 }
 
-// Where attempts cannot be cancelled none is.
-func TestWithoutCancelling(t *testing.T) {
+// If the settings do not allow cancelling attempts, no attempt is cancelled.
+func TestNoCancellationWithoutCancelAttempts(t *testing.T) {
 	router := newRouter(t, func(s *Settings) { s.CancelAttempts = false })
 	request := newRequest("harmless", "a")
 	router.Decide(start, request)
 	if decision := router.ClientGone(start, request); len(decision.Cancel) > 0 {
-		t.Errorf("%+v", decision)
+		t.Errorf("decision %+v, want no attempts cancelled", decision)
 	}
 }
--- a/control/deadline_test.go
+++ b/control/deadline_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// answers lets requests of a class for new objects be answered, each after so many ms.
-func answers(router *Router, class string, count int, after int64) {
+// answerRequests makes a router send count requests of a class for new objects and receive their responses, each
+// after the given number of ms.
+func answerRequests(router *Router, class string, count int, after int64) {
 	for n := range count {
 		request := newRequest(class, fmt.Sprint(class, n))
 		router.Decide(start, request)
@@ -17,28 +18,28 @@
 	}
 }
 
-// No attempt starts that cannot be answered before the deadline, by the fastest answer of its class so far.
+// No attempt starts if the time to the deadline is not longer than the fastest response of its class took.
 func TestNoAttemptWithTooLittleTimeLeft(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		seen int   // answers after 40 ms; one after 20 ms comes before them
+		seen int   // number of earlier responses after 40 ms; if not 0, one more came after 20 ms
 		left int64 // ms until the deadline
 		want Verdict
 	}{
-		{"no answers so far", 0, 1, Send},
-		{"few answers so far", 8, 1, Send},
-		{"less than the fastest took", 9, 19, Reject},
-		{"as long as the fastest took", 9, 20, Reject},
-		{"more than the fastest took, and half of the mean", 9, 21, Send},
+		{"no earlier responses", 0, 1, Send},
+		{"few earlier responses", 8, 1, Send},
+		{"less time than the fastest took", 9, 19, Reject},
+		{"as much time as the fastest took", 9, 20, Reject},
+		{"more time than the fastest took, about half of the mean", 9, 21, Send},
 		{"no time", 0, 0, Reject},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router := newRouter(t, nil)
 			if test.seen > 0 {
-				answers(router, "harmless", 1, 20)
-				answers(router, "harmless", test.seen, 40)
+				answerRequests(router, "harmless", 1, 20)
+				answerRequests(router, "harmless", test.seen, 40)
 			}
-			answers(router, "stamped", 20, 300) // of another class, which do not count
+			answerRequests(router, "stamped", 20, 300) // another class, which must not matter
 			request := newRequest("harmless", "a")
 			request.Deadline = start + test.left*second/1000
 			if decision := router.Decide(start, request); decision.Verdict != test.want {
@@ -56,44 +57,44 @@
 	}
 }
 
-// An attempt has to be sent while it can still be answered before the deadline.
+// The send timeout leaves enough time for a response before the deadline.
 func TestSendTimeoutLeavesTimeForTheAnswer(t *testing.T) {
 	router := newRouter(t, nil)
-	answers(router, "harmless", 10, 300)
+	answerRequests(router, "harmless", 10, 300)
 	request := newRequest("harmless", "a")
 	request.Deadline = start + 500*second/1000
 	if decision := router.Decide(start, request); decision.Attempt.SendTimeout != 200*second/1000 {
-		t.Errorf("send timeout of %d ms", decision.Attempt.SendTimeout*1000/second)
+		t.Errorf("send timeout %d ms, want 200 ms", decision.Attempt.SendTimeout*1000/second)
 	}
 }
 
-// A server may drop a request with little time left, or its connection may not be up before the time is over.
-// Neither counts against an endpoint or lowers a limit.
+// If a request has little time left, a server may drop it, or its connection may not be established in time. Neither
+// counts against an endpoint or lowers a limit.
 func TestAttemptsThatTimeOutEarly(t *testing.T) {
 	for _, test := range []struct {
 		name          string
 		left          int64 // ms
 		result        Result
 		elapsed       int64 // ms
-		countsAgainst bool  // an endpoint
+		countsAgainst bool  // counts against an endpoint
 		lowersLimit   bool
 	}{
-		{"timed out with less time than the mean", 100, TimedOut, 100, false, false},
-		{"timed out with more time than that", 400, TimedOut, 400, true, true},
-		{"not sent by half of little time", 100, Unreachable, 50, false, false},
-		{"not sent by half of much time", 800, Unreachable, 400, true, false},
+		{"timed out, with less time than the mean", 100, TimedOut, 100, false, false},
+		{"timed out, with more time than the mean", 400, TimedOut, 400, true, true},
+		{"not sent within half of a short time", 100, Unreachable, 50, false, false},
+		{"not sent within half of a long time", 800, Unreachable, 400, true, false},
 		{"unreachable at once", 100, Unreachable, 1, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router := newRouter(t, nil)
-			answers(router, "harmless", 20, 10) // so that an attempt may start
-			answers(router, "harmless", 200, 150)
+			answerRequests(router, "harmless", 20, 10) // so that an attempt may start
+			answerRequests(router, "harmless", 200, 150)
 			before := router.admission.limits
 			for n := range 100 {
 				request := newRequest("harmless", fmt.Sprint("short", n))
 				request.Deadline = start + test.left*second/1000
 				if decision := router.Decide(start, request); n == 0 && decision.Verdict != Send {
-					t.Fatalf("verdict %v", decision.Verdict)
+					t.Fatalf("first request: verdict %v, want %v", decision.Verdict, Send)
 				}
 				elapsed := test.elapsed * second / 1000
 				router.AttemptEnded(start+elapsed, request, Outcome{Result: test.result, Elapsed: elapsed})
@@ -103,10 +104,10 @@
 				counts = counts || endpoint.ejected || endpoint.failures > 0 || endpoint.wasUnreachable
 			}
 			if counts != test.countsAgainst {
-				t.Errorf("it counts against endpoints: %v", counts)
+				t.Errorf("attempts count against endpoints: %v, want %v", counts, test.countsAgainst)
 			}
 			if lowered := router.admission.limits != before; lowered != test.lowersLimit {
-				t.Errorf("limits %v, before %v", router.admission.limits, before)
+				t.Errorf("limits %v, before %v, want them lowered: %v", router.admission.limits, before, test.lowersLimit)
 			}
 		})
 	}
--- a/control/decode.go
+++ b/control/decode.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// RawSettings are settings before they are decoded: plain values by their key. Times are int64 nanoseconds,
-// shares and factors float64, counts int64, switches bool, names string; a setting that has a value for each
-// class or location is a slice of these.
+// RawSettings are undecoded settings: values by their key. Durations are int64 nanoseconds, shares and factors
+// float64, counts int64, switches bool and names string. A setting that has a value for each class or location is a
+// slice of one of these types.
 type RawSettings map[string]any
 
-// SettingError is a setting that can't be used.
+// SettingError reports a setting that cannot be used.
 type SettingError struct {
 	Key    string
-	Value  any // nil where it is missing
+	Value  any // nil if the setting is missing
 	Reason string
 }
 
@@ -25,18 +25,18 @@
 	return fmt.Sprintf("setting %s %s: %#v", e.Key, e.Reason, e.Value)
 }
 
-// requiredSettings are the keys without which no decision can be made.
+// requiredSettings are the keys of the settings that no decision can be made without.
 var requiredSettings = []string{
 	"product.names", "product.due", "product.hardStop", "product.payoff", "product.effect", "location",
 	"kinds", "routers",
 }
 
-// minClientKBPerSecond keeps the time for sending a response finite, whatever the settings say.
+// minClientKBPerSecond is the lower bound of Settings.ClientKBPerSecond. It keeps sending times finite.
 const minClientKBPerSecond = 1
 
-// DecodeSettings checks and decodes settings. The error joins a *SettingError for each one that is missing, of a
-// wrong type, or contradicts another; the returned settings then have a default in its place. They are good for
-// checking other files against them, but no router may run with them.
+// DecodeSettings checks and decodes settings. The error joins a *SettingError for each setting that is missing, has
+// the wrong type or contradicts another setting. The returned settings then have a default value instead. They can
+// be used to check other files against them, but a router must not run with them.
 func DecodeSettings(raw RawSettings) (Settings, error) {
 	decoder := &settingsDecoder{raw: raw}
 	for _, key := range requiredSettings {
@@ -44,23 +44,23 @@
 			decoder.fail(key, "is missing")
 		}
 	}
-	set := DefaultSettings()
-	set.decodeDeployment(decoder)
-	set.decodeRequestHandling(decoder)
-	set.Classes = decodeClasses(decoder)
-	set.decodeLocationRouters(decoder)
-	set.decodeSlowStart(decoder)
-	set.decodeUnchecked(decoder)
-	return set, errors.Join(decoder.errs...)
+	settings := DefaultSettings()
+	settings.decodeDeployment(decoder)
+	settings.decodeRequestHandling(decoder)
+	settings.Classes = decodeClasses(decoder)
+	settings.decodeLocationRouters(decoder)
+	settings.decodeSlowStart(decoder)
+	settings.decodeUnchecked(decoder)
+	return settings, errors.Join(decoder.errs...)
 }
 
-// settingsDecoder reads settings by their key and collects what is wrong with them.
+// settingsDecoder reads settings by their key and collects the errors.
 type settingsDecoder struct {
 	raw  RawSettings
 	errs []error
 }
 
-// fail notes that a setting can't be used, once for each reason.
+// fail adds an error for a setting, unless there is already one with the same key and reason.
 func (decoder *settingsDecoder) fail(key, reason string) {
 	same := func(err error) bool {
 		var other *SettingError
@@ -71,7 +71,7 @@
 	}
 }
 
-// setting reads a setting, or returns the fallback where it is absent. A value of another type is an error.
+// setting returns a setting, or the fallback if it is absent or has another type. Another type is an error.
 func setting[T any](decoder *settingsDecoder, key string, fallback T) T {
 	raw, present := decoder.raw[key]
 	if !present || raw == nil {
@@ -79,13 +79,13 @@
 	}
 	value, ok := raw.(T)
 	if !ok {
-		decoder.fail(key, fmt.Sprintf("is no %T", fallback))
+		decoder.fail(key, fmt.Sprintf("must be of type %T, not %T", fallback, raw))
 		return fallback
 	}
 	return value
 }
 
-// unchecked reads a setting, or returns the fallback where it is absent or of another type.
+// unchecked returns a setting, or the fallback if it is absent or has another type. Another type is not an error.
 func unchecked[T any](decoder *settingsDecoder, key string, fallback T) T {
 	if value, ok := decoder.raw[key].(T); ok {
 		return value
@@ -93,7 +93,7 @@
 	return fallback
 }
 
-// element reads one element of a list, or returns the fallback where the list is too short.
+// element returns one element of a list setting, or the fallback if the list is too short.
 func element[T any](decoder *settingsDecoder, key string, index int, fallback T) T {
 	list := setting[[]T](decoder, key, nil)
 	if index < 0 || index >= len(list) {
@@ -102,7 +102,7 @@
 	return list[index]
 }
 
-// decodeDeployment decodes the location of the router and what is known of its endpoints.
+// decodeDeployment decodes the location of the router and the properties of its endpoints.
 func (s *Settings) decodeDeployment(decoder *settingsDecoder) {
 	s.Weights = decodeWeights(setting(decoder, "units", ""))
 	s.Location = setting(decoder, "location", s.Location)
@@ -114,7 +114,7 @@
 	s.OriginUnlimited = setting(decoder, "origin.fallFactor", 0.) == 0
 }
 
-// decodeWeights decodes the meaning of weights; an unknown one is CapacityWeights.
+// decodeWeights decodes the meaning of weights. An unknown meaning becomes CapacityWeights.
 func decodeWeights(meaning string) WeightMeaning {
 	switch meaning {
 	case "live":
@@ -125,12 +125,13 @@
 	return CapacityWeights
 }
 
-// decodeKind decodes a machine type, which is an index into the list of all; a negative index is none.
+// decodeKind returns the machine type that a setting selects by its index in the setting kinds. It returns nil for
+// a negative or invalid index.
 func decodeKind(decoder *settingsDecoder, key string) *string {
 	index := int(setting(decoder, key, int64(-1)))
 	kinds := setting[[]string](decoder, "kinds", nil)
 	if index >= len(kinds) && len(kinds) > 0 {
-		decoder.fail(key, fmt.Sprintf("is no place in the %d kinds", len(kinds)))
+		decoder.fail(key, fmt.Sprintf("is not an index into the %d elements of kinds", len(kinds)))
 	}
 	if index < 0 || index >= len(kinds) {
 		return nil
@@ -139,7 +140,7 @@
 	return &kind
 }
 
-// decodeRequestHandling decodes what may be done for a request.
+// decodeRequestHandling decodes which actions requests may use, such as hedging and cancelling, and their limits.
 func (s *Settings) decodeRequestHandling(decoder *settingsDecoder) {
 	s.HealthChecks = setting(decoder, "probe", s.HealthChecks)
 	s.JoinFills = setting(decoder, "joins", s.JoinFills)
@@ -151,13 +152,13 @@
 	s.PurgeDuration = setting(decoder, "purge.takes", s.PurgeDuration)
 }
 
-// decodeClasses decodes the classes, each of which has an element in several lists.
+// decodeClasses decodes the classes. A class has one element in each of several list settings.
 func decodeClasses(decoder *settingsDecoder) []ClassSettings {
 	names := setting[[]string](decoder, "product.names", nil)
 	classes := make([]ClassSettings, len(names))
 	for index, name := range names {
 		if slices.Contains(names[:index], name) {
-			decoder.fail("product.names", fmt.Sprintf("has %q twice", name))
+			decoder.fail("product.names", fmt.Sprintf("names class %q twice", name))
 		}
 		classes[index] = ClassSettings{
 			Name:             name,
@@ -174,7 +175,8 @@
 	return classes
 }
 
-// decodeIdempotency decodes the effect of a class's requests. An unknown one is taken for the worst.
+// decodeIdempotency decodes the effect of a class's requests. An unknown effect becomes NonIdempotent, the most
+// restrictive value.
 func decodeIdempotency(effect string) Idempotency {
 	switch effect {
 	case "harmless":
@@ -185,7 +187,8 @@
 	return NonIdempotent
 }
 
-// decodeLocationRouters decodes how many routers the location has, from a list in the order of all locations.
+// decodeLocationRouters decodes the number of routers in this location, from a list that has one element for each
+// element of the setting locations.
 func (s *Settings) decodeLocationRouters(decoder *settingsDecoder) {
 	index := slices.Index(setting[[]string](decoder, "locations", nil), s.Location)
 	routers := setting[[]int64](decoder, "location.routers", nil)
@@ -194,7 +197,7 @@
 	}
 }
 
-// decodeSlowStart decodes the load that caches and parents can take while they are warming up.
+// decodeSlowStart decodes how much load caches and parents can take while they are warming up.
 func (s *Settings) decodeSlowStart(decoder *settingsDecoder) {
 	cache := &s.CacheSlowStart
 	cache.Share = setting(decoder, "cold.share", cache.Share)
@@ -209,8 +212,8 @@
 	parent.Window = cache.Window
 }
 
-// decodeUnchecked decodes the settings that no decision depends on. One of a wrong type counts as absent, so that
-// it does not keep a router from starting.
+// decodeUnchecked decodes the settings that no decision depends on. A value of the wrong type counts as absent, so
+// that it does not keep a router from starting.
 func (s *Settings) decodeUnchecked(decoder *settingsDecoder) {
 	s.PollEndpointList = unchecked(decoder, "list.mode", "") == "ask"
 	for _, deadline := range unchecked[[]int64](decoder, "product.hardStop", nil) {
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -15,22 +15,22 @@
 	"tealpath/internal/logevent"
 )
 
-// drawnRun drives a router through events drawn at random: requests, outcomes, endpoint lists, purges, probes
+// randomRun drives a router through random events: requests, outcomes, changes of the endpoint list, purges, probes
 // and ticks.
-type drawnRun struct {
+type randomRun struct {
 	rng      *rand.Rand
 	router   *Router
 	now      int64
-	entries  []Endpoint // of the endpoint list
+	entries  []Endpoint // current endpoint list
 	nextID   uint32
-	requests []*Request      // that have not ended
-	digest   hash.Hash64     // of all decisions and the figures of log events
-	seen     map[string]int  // how often something happened
-	failing  map[uint32]bool // endpoints at which most attempts fail now
+	requests []*Request      // requests that have not ended
+	digest   hash.Hash64     // hash of all decisions and of the numbers in log events
+	seen     map[string]int  // number of occurrences by kind of event or decision
+	failing  map[uint32]bool // endpoints at which half of the attempts fail now
 }
 
-// drawnSettings returns settings that are drawn at random.
-func drawnSettings(rng *rand.Rand) Settings {
+// randomSettings returns random settings.
+func randomSettings(rng *rand.Rand) Settings {
 	pick := func(n int) bool { return rng.IntN(n) == 0 }
 	settings := testSettings(nil)
 	settings.Weights = []WeightMeaning{CapacityWeights, NoWeights, LoadWeights}[rng.IntN(3)]
@@ -51,10 +51,10 @@
 	return settings
 }
 
-// newDrawnRun starts a run that depends on its seed alone.
-func newDrawnRun(t testing.TB, seed uint64) *drawnRun {
+// newRandomRun starts a run. All its events depend only on the seed.
+func newRandomRun(t testing.TB, seed uint64) *randomRun {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	run := &drawnRun{
+	run := &randomRun{
 		rng:     rng,
 		now:     start,
 		nextID:  1,
@@ -63,33 +63,33 @@
 		failing: map[uint32]bool{},
 	}
 	log := func(event logevent.Event) {
-		run.note("log", loggedFigures(event))
+		run.addToDigest("log", loggedNumbers(event))
 		run.seen["log"]++
 		run.seen[event.Kind().Name]++
 	}
-	router := New(start, seed, drawnSettings(rng), log)
+	router := New(start, seed, randomSettings(rng), log)
 	run.router = router
 	if rng.IntN(4) == 0 {
 		router.Reachable = func(id uint32) bool { return (id*2654435761+uint32(run.now/second))%7 != 0 }
 	}
 	for range 1 + rng.IntN([]int{4, 40, 40, 250}[rng.IntN(4)]) {
-		run.entries = append(run.entries, run.drawEntry())
+		run.entries = append(run.entries, run.randomEntry())
 	}
 	router.UpdateEndpoints(start, run.entries, true)
 	return run
 }
 
-// note adds values to the digest.
-func (run *drawnRun) note(values ...any) {
+// addToDigest adds values to the digest.
+func (run *randomRun) addToDigest(values ...any) {
 	if _, err := fmt.Fprintln(run.digest, values...); err != nil {
-		panic(err) // a hash takes everything
+		panic(err) // writing to a hash does not fail
 	}
 }
 
-// loggedFigures returns the figures of a log event in the form in which the digests were recorded. It has no
-// words, as a changed message changes no decision. The spaces between the figures differ by the event's type,
-// and signs are left out.
-func loggedFigures(event logevent.Event) string {
+// loggedNumbers returns the numbers in a log event in the format of the recorded digests. The text of the message
+// is left out, so that the digests do not depend on it. The spaces between the numbers depend on the type of the
+// event, and signs are omitted.
+func loggedNumbers(event logevent.Event) string {
 	switch e := event.(type) {
 	case EndpointEjected:
 		return fmt.Sprintf(" %d   %.1f  %.1f  %.1f", e.Endpoint, math.Abs(e.SilenceScore), e.Failures, e.Attempts)
@@ -105,8 +105,8 @@
 	return event.Kind().Name
 }
 
-// drawEntry returns an endpoint that is not listed yet.
-func (run *drawnRun) drawEntry() Endpoint {
+// randomEntry returns a random endpoint with a new ID.
+func (run *randomRun) randomEntry() Endpoint {
 	entry := Endpoint{
 		ID: run.nextID*2654435761 + 17, Location: "here", Kind: "cache", Cell: int64(run.rng.IntN(4)), Phase: "ready",
 		Capacity: []float64{1, 5, 5, 5, 0, 7.3, 0.1, 20}[run.rng.IntN(8)],
@@ -126,14 +126,14 @@
 	return entry
 }
 
-// decided adds a decision to the digest. What it was asked is in the recorded digests, so these words stay.
-func (run *drawnRun) decided(what string, request *Request, decision Decision) {
-	// Values without the names of their fields: to rename a field changes no decision.
+// addDecision adds a decision to the digest. trigger is part of the recorded digests, so its values must not change.
+func (run *randomRun) addDecision(trigger string, request *Request, decision Decision) {
+	// The digest has the values without the field names, so that it does not depend on these names.
 	attempt := decision.Attempt
-	run.note(what, run.now, request.Object, int(decision.Verdict), decision.RetryAfter, decision.Cancel,
+	run.addToDigest(trigger, run.now, request.Object, int(decision.Verdict), decision.RetryAfter, decision.Cancel,
 		attempt.Cache, attempt.CacheOnly, attempt.Source, attempt.CachePriority, attempt.MaxAge, attempt.JoinFill,
 		attempt.RefreshBehind, attempt.ParentOnlyIfCached, attempt.ParentNoStore, attempt.Timeout, attempt.SendTimeout)
-	run.seen[fmt.Sprint(what, int(decision.Verdict))]++
+	run.seen[fmt.Sprint(trigger, int(decision.Verdict))]++
 	if decision.Verdict == Send && request.diverted {
 		run.seen["diverted"]++
 	}
@@ -142,8 +142,8 @@
 	}
 }
 
-// sendRequest has the router decide on a new request.
-func (run *drawnRun) sendRequest() {
+// sendRequest makes the router decide on a new random request.
+func (run *randomRun) sendRequest() {
 	classes := []string{"harmless", "harmless", "stamped", "once"}
 	object := run.rng.IntN(1 + run.rng.IntN(60))
 	request := &Request{
@@ -157,11 +157,11 @@
 		SizeKB:      []float64{0, 0, 10, 200, 2000}[run.rng.IntN(5)],
 	}
 	run.requests = append(run.requests, request)
-	run.decided("where", request, run.router.Decide(run.now, request))
+	run.addDecision("where", request, run.router.Decide(run.now, request))
 }
 
-// outcome draws how an attempt ends.
-func (run *drawnRun) outcome(request *Request, number int) Outcome {
+// outcome returns a random outcome of an attempt.
+func (run *randomRun) outcome(request *Request, number int) Outcome {
 	attempt := request.attempts[number]
 	outcome := Outcome{
 		Attempt:     number,
@@ -170,11 +170,11 @@
 		Note:        int64(run.rng.IntN(4)),
 		SharedCause: run.rng.IntN(10) == 0,
 	}
-	chance := 15
+	attemptsPerFailure := 15
 	if run.failing[attempt.cache.ID] || attempt.source != nil && run.failing[attempt.source.ID] {
-		chance = 2
+		attemptsPerFailure = 2
 	}
-	if run.rng.IntN(chance) == 0 {
+	if run.rng.IntN(attemptsPerFailure) == 0 {
 		outcome.Result = Result(run.rng.IntN(int(Cancelled) + 1))
 		outcome.Note = int64(run.rng.IntN(10))
 	}
@@ -188,18 +188,18 @@
 	return outcome
 }
 
-// end ends an attempt of a request that is in flight, if one is drawn.
-func (run *drawnRun) end(request *Request) {
+// endAttempt ends at most one attempt in flight of a request, each with a probability of one half.
+func (run *randomRun) endAttempt(request *Request) {
 	for number, attempt := range request.attempts {
 		if !attempt.ended && run.rng.IntN(2) == 0 {
-			run.decided("after", request, run.router.AttemptEnded(run.now, request, run.outcome(request, number)))
+			run.addDecision("after", request, run.router.AttemptEnded(run.now, request, run.outcome(request, number)))
 			return
 		}
 	}
 }
 
-// list changes some entries of the endpoint list, and may send the complete one.
-func (run *drawnRun) list() {
+// changeEndpointList changes one or two entries of the endpoint list, and sometimes sends the complete list.
+func (run *randomRun) changeEndpointList() {
 	for range 1 + run.rng.IntN(2) {
 		i := run.rng.IntN(len(run.entries))
 		entry := &run.entries[i]
@@ -213,7 +213,7 @@
 		case 4:
 			entry.Capacity = run.rng.Float64() * 10
 		case 5:
-			run.entries = append(run.entries, run.drawEntry())
+			run.entries = append(run.entries, run.randomEntry())
 			i = len(run.entries) - 1
 		case 6:
 			if len(run.entries) > 2 {
@@ -229,8 +229,8 @@
 	}
 }
 
-// step is one drawn event.
-func (run *drawnRun) step() {
+// step executes one random event.
+func (run *randomRun) step() {
 	if run.rng.IntN(3) > 0 {
 		run.now += run.rng.Int64N(second / 20)
 	}
@@ -246,24 +246,24 @@
 		run.sendRequest()
 	case n < 75:
 		if len(run.requests) > 0 {
-			run.end(run.requests[run.rng.IntN(len(run.requests))])
+			run.endAttempt(run.requests[run.rng.IntN(len(run.requests))])
 		}
 	case n < 88:
 		if len(run.requests) > 0 {
 			request := run.requests[run.rng.IntN(len(run.requests))]
 			request.NoNewAttempts = request.NoNewAttempts || run.rng.IntN(40) == 0
-			run.note(router.RecheckDelay(run.now, request))
-			run.decided("again", request, router.Decide(run.now, request))
+			run.addToDigest(router.RecheckDelay(run.now, request))
+			run.addDecision("again", request, router.Decide(run.now, request))
 		}
 	case n < 94:
 		probes, again := router.Tick(run.now)
-		run.note(probes, again)
+		run.addToDigest(probes, again)
 		for _, id := range probes {
 			run.seen["probe"]++
 			router.ProbeEnded(run.now, id, run.rng.IntN(3) > 0, nil)
 		}
 	case n < 96:
-		run.list()
+		run.changeEndpointList()
 	case n < 97:
 		object := fmt.Sprintf("%016x", run.rng.IntN(30))
 		if run.rng.IntN(3) == 0 {
@@ -278,7 +278,7 @@
 	default:
 		if len(run.requests) > 0 {
 			request := run.requests[run.rng.IntN(len(run.requests))]
-			run.decided("departed", request, router.ClientGone(run.now, request))
+			run.addDecision("departed", request, router.ClientGone(run.now, request))
 		}
 	}
 	run.requests = slices.DeleteFunc(run.requests, func(request *Request) bool {
@@ -289,19 +289,19 @@
 	})
 }
 
-// drawnSteps is how many events one recorded run has.
-const drawnSteps = 2500
+// stepsPerRun is the number of events in one recorded run.
+const stepsPerRun = 2500
 
-// recordedRuns is how many runs are recorded, with the seeds 0, 1 and so on.
+// recordedRuns is the number of recorded runs. Their seeds are 0, 1 and so on.
 const recordedRuns = 60
 
-// record replaces the recorded digests by those of this code. It is only for commits that are meant to change
-// decisions: any other has to reproduce the recorded ones.
-var record = flag.Bool("record", false, "record the digests of the drawn runs anew")
+// record replaces the recorded digests with those of the current code. Use it only for commits that are meant to
+// change decisions. All other commits must reproduce the recorded digests.
+var record = flag.Bool("record", false, "replace the recorded digests of the random runs with the current ones")
 
 const digestsFile = "testdata/decisions.digests"
 
-// recordedDigests reads the digests, one line for each run.
+// recordedDigests reads the recorded digests. The file has one line for each run.
 func recordedDigests(t *testing.T) []string {
 	t.Helper()
 	raw, err := os.ReadFile(digestsFile)
@@ -310,18 +310,18 @@
 	}
 	digests := strings.Fields(string(raw))
 	if len(digests) != recordedRuns {
-		t.Fatalf("%d digests are recorded, want %d", len(digests), recordedRuns)
+		t.Fatalf("%s has %d digests, want %d", digestsFile, len(digests), recordedRuns)
 	}
 	return digests
 }
 
-// Decisions and figures of log events are the same, bit by bit, as when the digests were recorded.
+// Decisions and the numbers in log events are the same, to the last bit, as when the digests were recorded.
 func TestDecisionsAsRecorded(t *testing.T) {
 	seen := map[string]int{}
 	digests := make([]string, recordedRuns)
 	for seed := range digests {
-		run := newDrawnRun(t, uint64(seed))
-		for range drawnSteps {
+		run := newRandomRun(t, uint64(seed))
+		for range stepsPerRun {
 			run.step()
 		}
 		digests[seed] = fmt.Sprintf("%016x", run.digest.Sum64())
@@ -336,7 +336,7 @@
 	}
 	for seed, want := range recordedDigests(t) {
 		if digests[seed] != want {
-			t.Errorf("seed %d: %s, recorded %s", seed, digests[seed], want)
+			t.Errorf("seed %d: digest %s, recorded is %s", seed, digests[seed], want)
 		}
 	}
 	for _, what := range []string{
@@ -344,7 +344,7 @@
 		"where0", "where1", "where2", "after1", "after2", "after3", "again1", "again2",
 	} {
 		if seen[what] < 5 {
-			t.Errorf("the runs show %q only %d times", what, seen[what])
+			t.Errorf("%q happens only %d times in all runs, want at least 5", what, seen[what])
 		}
 	}
 }
--- a/control/endings_test.go
+++ b/control/endings_test.go
@@ -2,20 +2,20 @@
 
 import "testing"
 
-// Servers drop repetitions of a keyed request only within a window from its first attempt. A retry that waits
-// for its connection beyond that would take effect a second time.
+// Servers drop repetitions of a keyed request only within a window after its first attempt. A retry that waits for a
+// connection beyond that window could take effect a second time.
 func TestKeyedRetryIsSentWithinTheKeyWindow(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		class  string
 		result Result
-		after  int64 // ms from the first attempt to its end
-		want   int64 // ms within which the retry has to be sent; 0 is no retry
+		after  int64 // ms from the start of the first attempt to its end
+		want   int64 // ms within which the retry must be sent; 0: no retry
 	}{
 		{"late in the window", "stamped", ConnectionLost, 900, 100},
-		{"early in it", "stamped", ConnectionLost, 50, 950},
-		{"at its end", "stamped", ConnectionLost, 1000, 0},
-		{"it has not run: no window", "stamped", Unreachable, 900, 1600},
+		{"early in the window", "stamped", ConnectionLost, 50, 950},
+		{"at the end of the window", "stamped", ConnectionLost, 1000, 0},
+		{"the first attempt has not run: no window", "stamped", Unreachable, 900, 1600},
 		{"idempotent: no window", "harmless", ConnectionLost, 900, 4100},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -26,18 +26,18 @@
 			now += test.after * second / 1000
 			decision := router.AttemptEnded(now, request, Outcome{Result: test.result})
 			if sent := decision.Verdict == Send; sent != (test.want > 0) {
-				t.Fatalf("verdict %v", decision.Verdict)
+				t.Fatalf("verdict %v, want the retry sent: %v", decision.Verdict, test.want > 0)
 			}
 			if got := decision.Attempt.SendTimeout * 1000 / second; decision.Verdict == Send && got != test.want {
-				t.Errorf("send timeout of %d ms, want %d", got, test.want)
+				t.Errorf("send timeout %d ms, want %d ms", got, test.want)
 			}
 		})
 	}
 }
 
-// Where two attempts of a request may not be in flight together, the retry may reach its server before the
-// cancellation of the first attempt does. So it waits a moment, but not beyond the deadline, and not where it
-// may not be sent at all.
+// Without hedging, two attempts of a request must not be in flight at the same time. Since a retry could arrive
+// before the cancellation of the first attempt does, it waits. It does not wait if too little time is left, or if
+// no retry is allowed.
 func TestRetryWaitsForTheCancellation(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -49,11 +49,11 @@
 		then    Verdict // of the next decision
 	}{
 		{"cancelled", "harmless", false, Cancelled, 2000, Wait, Send},
-		{"its connection broke", "harmless", false, ConnectionLost, 2000, Wait, Send},
+		{"its connection was lost", "harmless", false, ConnectionLost, 2000, Wait, Send},
 		{"rejected: nothing is in flight", "harmless", false, Overloaded, 2000, Send, Wait},
-		{"two may be in flight", "harmless", true, Cancelled, 2000, Send, Wait},
+		{"two attempts may be in flight", "harmless", true, Cancelled, 2000, Send, Wait},
 		{"no time is left to wait", "harmless", false, ConnectionLost, 90, Reject, Wait},
-		{"it may not be sent again", "once", false, ConnectionLost, 2000, Fail, Wait},
+		{"no retry is allowed", "once", false, ConnectionLost, 2000, Fail, Wait},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router := newRouter(t, func(s *Settings) { s.Hedging = test.hedging })
@@ -63,14 +63,14 @@
 			now = request.Deadline - test.left*second/1000
 			decision := router.AttemptEnded(now, request, Outcome{Result: test.result})
 			if decision.Verdict != test.want {
-				t.Fatalf("at once: verdict %v, want %v", decision.Verdict, test.want)
+				t.Fatalf("after the first attempt: verdict %v, want %v", decision.Verdict, test.want)
 			}
 			wait := router.RecheckDelay(now, request)
 			if test.then == Send && (wait <= 0 || wait > 2*waitRecheckInterval) {
-				t.Fatalf("recheck delay %d", wait)
+				t.Fatalf("recheck delay %d ns, want more than 0 and at most %d ns", wait, 2*waitRecheckInterval)
 			}
 			if decision := router.Decide(now+wait, request); test.want == Wait && decision.Verdict != test.then {
-				t.Errorf("then: verdict %v, want %v", decision.Verdict, test.then)
+				t.Errorf("after the recheck delay: verdict %v, want %v", decision.Verdict, test.then)
 			}
 		})
 	}
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -6,54 +6,54 @@
 	"slices"
 )
 
-// endpointState is what a router knows of an endpoint. The fields that scans over all endpoints read stand next
-// to each other, so that a scan touches few cache lines of the processor.
+// endpointState is what a router knows about an endpoint. The fields that scans over all endpoints read are next to
+// each other, so that a scan touches few CPU cache lines.
 type endpointState struct {
 	Endpoint
 	role       role
 	listed     bool
-	isDelisted bool // it is among Router.delisted
+	isDelisted bool // it is in Router.delisted
 
-	// Evidence for outlierDetector.
+	// State of outlierDetector.
 	ejected             bool
-	wasUnreachable      bool    // since it was last restored it could not be reached, or rejected a fill
+	wasUnreachable      bool    // since it was last restored, it was not reachable or rejected a fill
 	probing             bool    // a probe is in flight
 	successes, failures float64 // as of scoredAt; they decay over healthWindow
 	scoredAt            int64
 	lastResponseAt      int64
 	inFlight            []*attemptState
-	withinObjective     countsByKind // attempts of inFlight whose answers may still be in time
+	withinObjective     countsByKind // attempts of inFlight whose responses may still be in time
 	nextProbeAt         int64
 	probeBackoff        int64 // ns
 
-	hashWeight float64 // in rendezvous hashing
+	hashWeight float64 // weight in rendezvous hashing
 
-	// Slow start.
-	slowStartFrom       int64 // when it started, as listed or inferred; 0 is long ago
-	slowStartReportedAt int64 // when this router learned that; its own clock
+	// State of the slow start.
+	slowStartFrom       int64 // start time, from the endpoint list or inferred; 0: no recent start
+	slowStartReportedAt int64 // when this router learned of the start, by its own clock
 	slowStart           slowStartBudget
 }
 
-// role is what an endpoint does for this router.
+// role is the function of an endpoint for this router.
 type role int
 
 const (
-	noRole role = iota // none: it is draining or gone, or a cache of another location
+	noRole role = iota // not used: draining, gone, or a cache of another location
 	cacheRole
 	parentRole
 	originRole
 )
 
-// endpointList is a list of endpoints in the order of their IDs.
+// endpointList is a list of endpoints, ordered by ID.
 type endpointList struct{ endpoints []*endpointState }
 
-// search returns the index of an endpoint, or the one at which it is to be inserted.
+// search returns the index of an endpoint, or the index at which to insert it.
 func (l *endpointList) search(endpoint *endpointState) (index int, found bool) {
 	compareID := func(other *endpointState, id uint32) int { return cmp.Compare(other.ID, id) }
 	return slices.BinarySearchFunc(l.endpoints, endpoint.ID, compareID)
 }
 
-// add inserts an endpoint unless it is in the list.
+// add inserts an endpoint unless it is already in the list.
 func (l *endpointList) add(endpoint *endpointState) {
 	if index, found := l.search(endpoint); !found {
 		l.endpoints = slices.Insert(l.endpoints, index, endpoint)
@@ -67,7 +67,7 @@
 	}
 }
 
-// UpdateEndpoints takes over the complete endpoint list, or changes to it.
+// UpdateEndpoints applies the complete endpoint list or, if complete is false, changes to it.
 func (r *Router) UpdateEndpoints(now int64, entries []Endpoint, complete bool) {
 	if complete {
 		for _, endpoint := range r.endpoints {
@@ -92,14 +92,14 @@
 	r.capacity.configured.valid = false
 }
 
-// update takes over one entry of the list.
+// update applies one entry of the endpoint list.
 func (r *Router) update(now int64, entry Endpoint) {
 	endpoint := r.endpoints[entry.ID]
 	if endpoint == nil {
 		endpoint = &endpointState{lastResponseAt: now, scoredAt: now}
 		r.endpoints[entry.ID] = endpoint
 	}
-	// Another start counts also if it is earlier than the last: the clock that stamps it may have been set
+	// An earlier start time than the last one is a restart too: the reporting machine's clock may have been set
 	// back.
 	if entry.StartedAt > 0 && entry.StartedAt != endpoint.StartedAt {
 		endpoint.restarted(now, entry.StartedAt)
@@ -108,19 +108,19 @@
 	endpoint.listed = entry.Phase != PhaseGone
 	endpoint.hashWeight = max(entry.Capacity, minCapacity)
 	if r.settings.Weights == LoadWeights {
-		endpoint.hashWeight = 1 // a weight that follows the load would move objects from one home cache to another
+		endpoint.hashWeight = 1 // weights that change with the load would change the home caches of objects
 	}
 }
 
-// restarted starts the slow start of an endpoint and drops what was learned of it before.
+// restarted begins the slow start of an endpoint and resets its health scores.
 func (endpoint *endpointState) restarted(now, startedAt int64) {
 	endpoint.slowStartFrom, endpoint.slowStartReportedAt = startedAt, now
 	endpoint.forgetScores(now)
 	endpoint.ejected, endpoint.probing, endpoint.wasUnreachable = false, false, false
 }
 
-// roleOf returns the role that an endpoint has by its entry in the list. One that is draining or gone has none:
-// it gets no new attempts and fills no misses (rule 3 in docs/design.md).
+// roleOf returns the role that an endpoint has according to its entry in the endpoint list. An endpoint that is
+// draining or gone has none: it gets no new attempts and fills no misses (rule 3 in docs/design.md).
 func (r *Router) roleOf(endpoint *endpointState) role {
 	switch {
 	case !endpoint.listed || endpoint.Phase != PhaseReady:
@@ -135,7 +135,7 @@
 	return noRole
 }
 
-// assignAll assigns their roles to all endpoints anew.
+// assignAll recomputes the roles of all endpoints and rebuilds the tiers.
 func (r *Router) assignAll() {
 	r.cacheTier.clear()
 	r.parentTier.clear()
@@ -148,7 +148,7 @@
 	}
 }
 
-// assign assigns the role to an endpoint that it has by its entry in the list.
+// assign updates the role of an endpoint and adds the endpoint to the tier of that role.
 func (r *Router) assign(endpoint *endpointState) {
 	if previous, current := endpoint.role, r.roleOf(endpoint); previous != current {
 		r.dropRole(endpoint, previous)
@@ -184,8 +184,8 @@
 	}
 }
 
-// forgetDelisted drops the state of endpoints that are no longer listed once they have no attempts in flight.
-// It bounds the memory: replacements of endpoints have new IDs.
+// forgetDelisted drops the state of endpoints that are no longer listed and have no attempts in flight. Without
+// this the memory would grow without bound, because replacements of endpoints have new IDs.
 func (r *Router) forgetDelisted() {
 	r.delisted = slices.DeleteFunc(r.delisted, func(endpoint *endpointState) bool {
 		if endpoint.listed {
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -20,14 +20,15 @@
 			for i := range 50 {
 				decision := router.Decide(start+second, newRequest("harmless", fmt.Sprint(i)))
 				if decision.Verdict == Send && (decision.Attempt.Cache == 1 || decision.Attempt.Source == 3) {
-					t.Fatalf("sent to %d with source %d", decision.Attempt.Cache, decision.Attempt.Source)
+					t.Fatalf("request %d is sent to cache %d with source %d, want neither cache 1 nor source 3",
+						i, decision.Attempt.Cache, decision.Attempt.Source)
 				}
 			}
 		})
 	}
 }
 
-// Endpoints that are replaced under new IDs without end do not use up the memory.
+// The memory does not grow when endpoints are replaced again and again under new IDs.
 func TestDelistedEndpointsAreForgotten(t *testing.T) {
 	router := newRouter(t, nil)
 	for n := range 5000 {
@@ -36,12 +37,12 @@
 		router.UpdateEndpoints(now, append([]Endpoint{replacement}, testEndpoints...), true)
 		request := newRequest("harmless", fmt.Sprint(n))
 		if decision := router.Decide(now, request); decision.Verdict != Send {
-			t.Fatalf("verdict %v", decision.Verdict)
+			t.Fatalf("request %d: verdict %v, want %v", n, decision.Verdict, Send)
 		}
 		router.AttemptEnded(now, request, Outcome{Result: Succeeded, RequestEnded: true})
 		router.Tick(now)
 	}
 	if len(router.endpoints) > len(testEndpoints)+1 {
-		t.Errorf("%d endpoints are kept", len(router.endpoints))
+		t.Errorf("state of %d endpoints is kept, want at most %d", len(router.endpoints), len(testEndpoints)+1)
 	}
 }
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -6,8 +6,8 @@
 	"tealpath/internal/logevent"
 )
 
-// rawTestSettings returns the settings of a small deployment: two caches here, two parents and an origin elsewhere. Its
-// class "harmless" is idempotent, "stamped" keyed, and "once" non-idempotent.
+// rawTestSettings returns the settings for testEndpoints. Class "harmless" is idempotent, class "stamped" is keyed,
+// and class "once" is non-idempotent.
 func rawTestSettings() RawSettings {
 	return RawSettings{
 		"routers": int64(4), "location": "here", "locations": []string{"hub", "here", "there"},
@@ -27,16 +27,16 @@
 	}
 }
 
-// mustDecode returns settings that are valid.
+// mustDecode decodes valid settings. It panics if they are not valid.
 func mustDecode(raw RawSettings) Settings {
 	settings, err := DecodeSettings(raw)
 	if err != nil {
-		panic(err) // they are this package's own
+		panic(err)
 	}
 	return settings
 }
 
-// testSettings returns the settings of rawTestSettings with a change, which may be nil.
+// testSettings returns the settings of rawTestSettings after applying change, which may be nil.
 func testSettings(change func(*Settings)) Settings {
 	settings := mustDecode(rawTestSettings())
 	if change != nil {
@@ -45,29 +45,32 @@
 	return settings
 }
 
-// setWeights sets the classes' priority weights, in their order.
+// setWeights sets the priority weights of the classes, in their order.
 func setWeights(s *Settings, weights ...float64) {
 	for i, weight := range weights {
 		s.Classes[i].PriorityWeight = weight
 	}
 }
 
-// setObjectives sets the classes' latency objectives, in their order.
+// setObjectives sets the latency objectives of the classes, in their order.
 func setObjectives(s *Settings, objectives ...int64) {
 	for i, objective := range objectives {
 		s.Classes[i].LatencyObjective = objective
 	}
 }
 
-// setObjectiveStretches sets by how much the classes' objectives grow with the sending time, in their order.
+// setObjectiveStretches sets the ObjectiveStretch of the classes, in their order.
 func setObjectiveStretches(s *Settings, stretches ...float64) {
 	for i, stretch := range stretches {
 		s.Classes[i].ObjectiveStretch = stretch
 	}
 }
 
+// start is the time at which the tests begin.
 const start = 1000 * second
 
+// testEndpoints are two caches in this location, two parents and the origin in the location "hub", and a cache in a
+// third location. An endpoint's ID is its index plus 1.
 var testEndpoints = []Endpoint{
 	{ID: 1, Location: "here", Kind: "cache", Cell: 1, Phase: "ready", Capacity: 5},
 	{ID: 2, Location: "here", Kind: "cache", Cell: 2, Phase: "ready", Capacity: 5},
@@ -84,7 +87,7 @@
 	return router
 }
 
-// newRequest returns a new request with a deadline far away.
+// newRequest returns a new request with a deadline 500 s after start.
 func newRequest(class, object string) *Request {
 	return &Request{Class: class, Object: object, Group: 1, Deadline: start + 500*second}
 }
--- a/control/inflight.go
+++ b/control/inflight.go
@@ -6,19 +6,19 @@
 	"tealpath/internal/timerqueue"
 )
 
-// countsByKind counts attempts by kind.
+// countsByKind holds a number of attempts for each kind.
 type countsByKind [kinds]int
 
 // sum returns the number of attempts of all kinds.
 func (c countsByKind) sum() int { return c[hits] + c[fills] + c[fetches] }
 
-// inFlightCounts counts the attempts in flight whose answers may still be in time. Late ones do not count: at a
-// router with little traffic a few attempts at an endpoint that does not answer would use up the whole
-// admission limit.
+// inFlightCounts counts the attempts in flight whose responses may still be in time. Late attempts do not count: at a
+// router with little traffic, a few attempts at an endpoint that does not respond would use up the whole admission
+// limit.
 type inFlightCounts struct {
-	caches        countsByKind                    // at the caches of the location
-	lateTimers    timerqueue.Queue[*attemptState] // of attempts that are not late yet, by their lateAt
-	lateCheckedAt int64                           // the time up to which late attempts are subtracted
+	caches        countsByKind                    // attempts at all caches of the location
+	lateTimers    timerqueue.Queue[*attemptState] // attempts that are not late yet, ordered by lateAt
+	lateCheckedAt int64                           // time up to which late attempts are subtracted
 }
 
 // attemptStarted registers an attempt that starts now with one of its endpoints.
@@ -48,7 +48,8 @@
 	})
 }
 
-// count adds a change to the counts of an endpoint and, if that is a cache of the location, of all caches.
+// count adds a change to the counts of an endpoint. If the endpoint is a cache of the location, it also adds the
+// change to the counts of all caches.
 func (c *inFlightCounts) count(endpoint *endpointState, attempt *attemptState, change int) {
 	endpoint.withinObjective[attempt.kind] += change
 	if endpoint.role == cacheRole {
@@ -63,7 +64,7 @@
 	}
 }
 
-// withinObjective returns how many attempts at the location's caches may still be answered in time, by kind.
+// withinObjective returns how many attempts at the location's caches may still get a response in time, by kind.
 func (c *inFlightCounts) withinObjective(now int64, all map[uint32]*endpointState) countsByKind {
 	c.markLate(now, all)
 	return c.caches
@@ -86,8 +87,8 @@
 	}
 }
 
-// unmarkLate adds the attempts again that are not late at a time before the last one. Callers' clocks should
-// not go back; if one does, the counts are nevertheless those of its time.
+// unmarkLate adds back the attempts that are not yet late at a time before lateCheckedAt. The caller's clock should
+// not go backwards; if it does, the counts are still those of the given time.
 func (c *inFlightCounts) unmarkLate(now int64, all map[uint32]*endpointState) {
 	var notLate []*attemptState
 	for _, endpoint := range all {
@@ -98,7 +99,7 @@
 			}
 		}
 	}
-	for _, attempt := range notLate { // twice, if it is in flight at a cache and at a source
+	for _, attempt := range notLate { // an attempt is listed twice if it is in flight at a cache and at a source
 		if attempt.isLate {
 			attempt.isLate = false
 			attempt.lateTimer = c.lateTimers.Push(attempt.lateAt, attempt)
@@ -106,24 +107,24 @@
 	}
 }
 
-// loadScale holds what the loads of all caches at one instant have in common. The load of a cache is the number
-// of attempts in flight there, estimated for all routers, as a multiple of its capacity.
+// loadScale holds the values that the loads of all caches at one time depend on. The load of a cache is the number of
+// attempts in flight there, estimated for all routers, divided by its capacity.
 type loadScale struct {
-	meanLoad             float64 // of all caches of the location together
-	sharers              float64 // routers that send to the caches
+	meanLoad             float64 // load of all caches of the location together
+	routers              float64 // number of routers that send to the caches
 	capacitiesConfigured bool
-	capacity             float64 // of each cache, where it is not configured
-	minLoad              float64 // load of the largest cache with nothing in flight: none has less
+	capacity             float64 // capacity of each cache, if capacities are not configured
+	minLoad              float64 // lower bound of all loads: that of the largest cache with nothing in flight
 }
 
-// loadScale prepares for the loads at a time.
+// loadScale returns the loadScale for a time.
 func (r *Router) loadScale(now int64) loadScale {
 	scale := loadScale{
-		sharers:              r.activeSharers(),
+		routers:              r.activeRouters(),
 		capacitiesConfigured: r.settings.Weights == CapacityWeights,
 	}
 	inFlight := r.inFlight.withinObjective(now, r.endpoints)
-	scale.meanLoad = float64(inFlight.sum()) * scale.sharers / r.locationCapacity(now)
+	scale.meanLoad = float64(inFlight.sum()) * scale.routers / r.locationCapacity(now)
 	var largest float64
 	if scale.capacitiesConfigured {
 		largest = r.configuredCapacity().largest
@@ -131,26 +132,26 @@
 		scale.capacity = r.measuredCapacity(now)
 		largest = scale.capacity
 	}
-	scale.minLoad = scale.at(0, largest)
+	scale.minLoad = scale.loadAt(0, largest)
 	return scale
 }
 
-// of returns the load of a cache.
-func (s loadScale) of(endpoint *endpointState) float64 {
+// loadOf returns the load of a cache.
+func (s loadScale) loadOf(endpoint *endpointState) float64 {
 	if s.capacitiesConfigured {
-		return s.at(endpoint.withinObjective.sum(), endpoint.Capacity)
+		return s.loadAt(endpoint.withinObjective.sum(), endpoint.Capacity)
 	}
-	return s.at(endpoint.withinObjective.sum(), s.capacity)
+	return s.loadAt(endpoint.withinObjective.sum(), s.capacity)
 }
 
-// at returns the load of a cache with so many attempts of this router in flight. It is drawn towards the mean
-// load, as if this router's part of the cache were larger by a capacity of 1 with the mean load: where many
-// routers share the caches, one attempt of one router says little about the others.
-func (s loadScale) at(inFlight int, capacity float64) float64 {
-	return (float64(inFlight) + s.meanLoad) / (max(capacity, minCapacity)/s.sharers + 1)
+// loadAt returns the load of a cache that has inFlight attempts of this router. The result is biased towards the mean
+// load, as if this router's part of the cache had an additional capacity of 1 with the mean load: if many routers use
+// the caches, one attempt of this router says little about the attempts of the others.
+func (s loadScale) loadAt(inFlight int, capacity float64) float64 {
+	return (float64(inFlight) + s.meanLoad) / (max(capacity, minCapacity)/s.routers + 1)
 }
 
 // load returns the load of a cache at a time.
 func (r *Router) load(now int64, endpoint *endpointState) float64 {
-	return r.loadScale(now).of(endpoint)
+	return r.loadScale(now).loadOf(endpoint)
 }
--- a/control/logevents.go
+++ b/control/logevents.go
@@ -6,13 +6,13 @@
 	"tealpath/internal/logevent"
 )
 
-// EndpointEjected is logged when an endpoint is found to be an outlier. It gets nothing but probes until one
-// succeeds.
+// EndpointEjected is logged when an endpoint is ejected as an outlier. The endpoint then gets only probes until one
+// of them succeeds.
 type EndpointEjected struct {
 	Endpoint     uint32  `log:"endpoint"`
-	SilenceScore float64 `log:"silence_score"` // mean response times that it was silent, beyond its peers' mean
-	Failures     float64 `log:"failures"`      // attempts that failed in the last seconds, decayed
-	Attempts     float64 `log:"attempts"`      // attempts that ended in the last seconds, decayed
+	SilenceScore float64 `log:"silence_score"` // by how much its silence score exceeds the mean of its peers
+	Failures     float64 `log:"failures"`      // recent failed attempts, decayed
+	Attempts     float64 `log:"attempts"`      // recent attempts that have ended, decayed
 }
 
 // Kind implements logevent.Event.
@@ -23,7 +23,7 @@
 // EndpointID returns the ID of the endpoint that the event concerns.
 func (e EndpointEjected) EndpointID() uint32 { return e.Endpoint }
 
-// EndpointRestored is logged when a probe of an ejected endpoint has succeeded: requests are sent to it again.
+// EndpointRestored is logged when a probe of an ejected endpoint has succeeded and the endpoint gets requests again.
 type EndpointRestored struct {
 	Endpoint uint32 `log:"endpoint"`
 }
@@ -40,8 +40,8 @@
 // EndpointID returns the ID of the endpoint that the event concerns.
 func (e EndpointRestored) EndpointID() uint32 { return e.Endpoint }
 
-// AdmissionLimitReduced is logged when the admission limit for one kind of attempts has fallen below half of
-// its initial value, since too many of them were answered late.
+// AdmissionLimitReduced is logged when the admission limit for one kind of attempts has fallen below half of its
+// initial value, because too many responses were late.
 type AdmissionLimitReduced struct {
 	RequestKind string  `log:"request_kind"` // hits, fills or fetches
 	Limit       float64 `log:"limit"`        // attempts in flight, as a multiple of the caches' capacity
@@ -63,9 +63,9 @@
 	return logevent.Kind{Name: "admission_limit_restored", Level: logevent.Info, Message: "admission limit restored"}
 }
 
-// ClockAhead is logged once, when a cache has sent an entry that a purge should have removed by its time stamp:
-// this machine's clock is ahead of the others'. From then on a purge counts from its arrival here, not from its
-// time stamp.
+// ClockAhead is logged once, when a cache has sent an entry that was issued before the timestamp of a purge
+// although it observed the accepted age: this machine's clock is ahead of the other machines' clocks. From then on
+// purges count from their arrival at this router, not from their timestamps.
 type ClockAhead struct{}
 
 // Kind implements logevent.Event.
@@ -73,8 +73,8 @@
 	return logevent.Kind{
 		Name:  "clock_ahead",
 		Level: logevent.Warn,
-		Message: "this clock is ahead of others: a cache entry from before a purge came, " +
-			"purges count from their arrival now",
+		Message: "clock of this machine is ahead of other machines' clocks: " +
+			"a cache sent an entry from before a purge, purges count from their arrival from now on",
 	}
 }
 
@@ -89,15 +89,15 @@
 	}
 }
 
-// Decimal places of the figures in log events.
+// Decimal places of numbers in log events.
 const (
 	scoreDecimals = 1
 	limitDecimals = 2
 )
 
-// rounded returns a value rounded to a number of decimal places, for a log event.
+// rounded returns a value rounded to a number of decimal places.
 func rounded(value float64, decimals int) float64 {
 	text := strconv.FormatFloat(value, 'f', decimals, 64)
-	short, _ := strconv.ParseFloat(text, 64) // what FormatFloat returns can always be parsed
+	short, _ := strconv.ParseFloat(text, 64) // cannot fail on a result of FormatFloat
 	return short
 }
--- a/control/logevents_test.go
+++ b/control/logevents_test.go
@@ -31,13 +31,13 @@
 		},
 		{
 			ClockAhead{},
-			"this clock is ahead of others: a cache entry from before a purge came, " +
-				"purges count from their arrival now",
+			"clock of this machine is ahead of other machines' clocks: " +
+				"a cache sent an entry from before a purge, purges count from their arrival from now on",
 		},
 	} {
 		t.Run(test.event.Kind().Name, func(t *testing.T) {
 			if got := logevent.Text(test.event); got != test.want {
-				t.Errorf("%q, want %q", got, test.want)
+				t.Errorf("text %q, want %q", got, test.want)
 			}
 		})
 	}
@@ -60,7 +60,7 @@
 	for _, event := range LogEvents() {
 		name := event.Kind().Name
 		if !snakeCase.MatchString(name) || seen[name] || event.Kind().Message == "" {
-			t.Errorf("event %+v", event.Kind())
+			t.Errorf("event %+v: want a unique name in snake case, and a message", event.Kind())
 		}
 		seen[name] = true
 	}
@@ -72,7 +72,7 @@
 		decimals int
 		want     float64
 	}{
-		{6.25, scoreDecimals, 6.2}, // to even, as fmt does
+		{6.25, scoreDecimals, 6.2}, // a tie is rounded to even, as in package fmt
 		{6.2501, scoreDecimals, 6.3},
 		{-0.589, limitDecimals, -0.59},
 		{math.Inf(1), scoreDecimals, math.Inf(1)},
@@ -83,13 +83,13 @@
 	}
 }
 
-// A limit that falls below half of its initial value is logged once, and once more when it is back.
+// A limit that falls below half of its initial value is logged once, and again when it is back at the initial value.
 func TestAdmissionLimitChangesAreLogged(t *testing.T) {
 	var logged []logevent.Event
 	router := New(start, 7, testSettings(nil), func(event logevent.Event) { logged = append(logged, event) })
 	attempt := &attemptState{kind: fills, cache: &endpointState{}}
-	inTime := finding{result: Succeeded, inTime: true}
-	late := finding{result: Succeeded}
+	inTime := assessment{result: Succeeded, inTime: true}
+	late := assessment{result: Succeeded}
 	for range 20 {
 		router.adjustLimit(attempt, late)
 	}
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -2,29 +2,30 @@
 
 import "cmp"
 
-// The notes of an outcome. Of an answer they say where it came from, of a rejection who rejected.
+// Values of Outcome.Note. After a success the note tells where the response came from, after a rejection which server
+// rejected the request.
 const (
 	noteHit            = 1
-	noteFilled         = 2
-	noteFilledOrigin   = 3 // by way of the origin
-	noteSourceRejected = 6 // first of three notes that name the source
-	noteSourceLacks    = 8 // last of them
+	noteFilled         = 2 // filled from a parent
+	noteFilledOrigin   = 3 // filled from the origin
+	noteSourceRejected = 6 // first of three notes for rejections by the source
+	noteSourceLacks    = 8 // last of these three notes
 	noteCacheRejected  = 9
 )
 
 const (
-	// likelyCachedDuration is for how long after an answer its object is taken to be cached; ns.
+	// likelyCachedDuration is the time in ns after a response during which its object is likely to be cached.
 	likelyCachedDuration = 10 * second
 
-	// noOverloadFactor is how many times its sending time an answer may take without being taken for late,
-	// whatever its objective: it could not have come much sooner, so that it is no sign of an overload.
+	// noOverloadFactor is how many times its sending time a response may take without counting as late, whatever
+	// its latency objective. It could not have come much sooner, so it is no sign of an overload.
 	noOverloadFactor = 2
 )
 
-// attemptScore is what an attempt adds to an endpoint's successes and failures.
+// attemptScore is what an attempt adds to the successes and failures of an endpoint.
 type attemptScore struct{ success, failure float64 }
 
-// failureScores are what a result adds to the failures of the cache and of the source.
+// failureScores holds what each result adds to the failures of the cache and of the source.
 var failureScores = map[Result]struct{ cache, source float64 }{
 	Overloaded:     {0.3, 0.5},
 	TimedOut:       {0.5, 0.5},
@@ -33,87 +34,87 @@
 	ConnectionLost: {1, 0},
 }
 
-// finding is what follows from an outcome.
-type finding struct {
+// assessment is the result of interpreting the outcome of an attempt.
+type assessment struct {
 	result         Result
-	sendingTime    float64 // s; the request's own, 0 if it is not known
-	inTime         bool    // it took no longer than its objective allows
-	early          bool    // its time was up too soon for the outcome to mean anything
-	timedOut       bool    // no answer came in a time that would have been enough
-	sourceRejected bool    // Outcome.rejectedBySource, for a cause of its own
+	sendingTime    float64 // s; of this response; 0: not known
+	inTime         bool    // the attempt took no longer than its latency objective allows
+	early          bool    // the attempt ran out of time too soon to say anything about the endpoints
+	timedOut       bool    // no response came although there was enough time
+	sourceRejected bool    // rejectedBySource, unless the cause was already reported with another attempt
 	cache          attemptScore
 	source         attemptScore
 }
 
-// succeededInTime reports whether there was an answer in time.
-func (f finding) succeededInTime() bool { return f.result == Succeeded && f.inTime }
+// succeededInTime reports whether a successful response came in time.
+func (a assessment) succeededInTime() bool { return a.result == Succeeded && a.inTime }
 
-// observe learns from an outcome about the cache, the source, the admission limits and the class.
+// observe updates the state of the cache, the source, the admission limits and the class from an outcome.
 func (r *Router) observe(now int64, request *Request, attempt *attemptState, outcome Outcome) {
 	request.sourceMissed = request.sourceMissed || outcome.Result == NotCached && attempt.kind == fills
-	found := r.interpret(request, attempt, outcome)
+	assessed := r.assess(request, attempt, outcome)
 	r.observeLoadReport(now, attempt.cache, outcome.LoadReport)
 	if outcome.Result == Stale {
 		r.distrustTimestamps()
 	}
-	if found.timedOut && attempt.cache.isHealthy() && attempt.source.isHealthy() {
+	if assessed.timedOut && attempt.cache.isHealthy() && attempt.source.isHealthy() {
 		r.retries.lostResponses.add(now)
 	}
-	if found.sourceRejected {
+	if assessed.sourceRejected {
 		attempt.sourceRejected = true
 		r.retries.sourceRejections.add(now)
 	}
-	if found.succeededInTime() {
-		r.countServed(now, request.class, attempt, outcome.Note, found)
+	if assessed.succeededInTime() {
+		r.countServed(now, request.class, attempt, outcome.Note, assessed)
 	}
-	r.adjustLimit(attempt, found)
+	r.adjustLimit(attempt, assessed)
 	if outcome.Result == Succeeded {
-		r.learnFromAnswer(now, request, outcome, found)
+		r.learnFromResponse(now, request, outcome, assessed)
 	}
-	r.scoreEndpoint(now, attempt.cache, attempt, found, found.cache)
+	r.scoreEndpoint(now, attempt.cache, attempt, assessed, assessed.cache)
 	if attempt.source != nil {
-		r.scoreEndpoint(now, attempt.source, attempt, found, found.source)
+		r.scoreEndpoint(now, attempt.source, attempt, assessed, assessed.source)
 	}
 }
 
-// interpret returns what follows from an outcome.
-func (r *Router) interpret(request *Request, attempt *attemptState, outcome Outcome) finding {
-	found := finding{
+// assess interprets the outcome of an attempt.
+func (r *Router) assess(request *Request, attempt *attemptState, outcome Outcome) assessment {
+	assessed := assessment{
 		result:      outcome.Result,
 		sendingTime: cmp.Or(r.sendingTimeBySize(request), outcome.SendingTime),
 		early:       request.class.timedOutEarly(attempt, outcome),
 	}
-	objective := r.objectiveFor(request, found.sendingTime)
-	found.inTime = outcome.Elapsed <= max(objective, int64(noOverloadFactor*1e9*found.sendingTime))
-	found.timedOut = outcome.Result == TimedOut && !found.early
-	found.sourceRejected = outcome.rejectedBySource() && !outcome.SharedCause
-	found.cache, found.source = scores(outcome, found)
+	objective := r.objectiveFor(request, assessed.sendingTime)
+	assessed.inTime = outcome.Elapsed <= max(objective, int64(noOverloadFactor*1e9*assessed.sendingTime))
+	assessed.timedOut = outcome.Result == TimedOut && !assessed.early
+	assessed.sourceRejected = outcome.rejectedBySource() && !outcome.SharedCause
+	assessed.cache, assessed.source = scores(outcome, assessed)
 	if attempt.kind == hits {
-		found.source = attemptScore{} // a likely hit did not involve the source
+		assessed.source = attemptScore{} // a likely hit does not involve the source
 	}
-	return found
+	return assessed
 }
 
-// rejectedBySource reports whether an attempt was rejected because its source rejected the fill, was dead or
-// lacks the object.
+// rejectedBySource reports whether an attempt was rejected because its source rejected the fill, was unreachable or
+// does not have the object.
 func (outcome Outcome) rejectedBySource() bool {
 	return outcome.Result == Overloaded && noteSourceRejected <= outcome.Note && outcome.Note <= noteSourceLacks
 }
 
 // scores returns what an outcome adds to the successes and failures of the cache and of the source.
-func scores(outcome Outcome, found finding) (cache, source attemptScore) {
+func scores(outcome Outcome, assessed assessment) (cache, source attemptScore) {
 	failure := failureScores[outcome.Result]
 	switch {
 	case outcome.Result == Succeeded || outcome.Result == NotCached:
-		if found.inTime {
+		if assessed.inTime {
 			return attemptScore{success: 1}, attemptScore{success: 1}
 		}
-		// Late answers are the only evidence on an endpoint that is merely slow.
+		// Late responses are the only evidence against an endpoint that is merely slow.
 		return attemptScore{failure: 1}, attemptScore{failure: 1}
-	case found.early:
+	case assessed.early:
 		return attemptScore{}, attemptScore{}
 	case outcome.SharedCause:
-		// A connection that broke is one failure, however many attempts were in flight on it.
+		// A lost connection is one failure, however many attempts were in flight on it.
 		return attemptScore{}, attemptScore{}
 	case outcome.Result == Overloaded && outcome.Note == noteCacheRejected:
 		return attemptScore{failure: failure.cache}, attemptScore{}
@@ -123,39 +124,39 @@
 	return attemptScore{failure: failure.cache}, attemptScore{failure: failure.source}
 }
 
-// observeLoadReport learns from the number of requests in flight that a cache reports with an answer.
+// observeLoadReport adds the number of requests in flight that a cache has reported with a response.
 func (r *Router) observeLoadReport(now int64, cache *endpointState, report []float64) {
 	if field := r.settings.inFlightField(); field >= 0 && field < len(report) {
 		r.capacity.observeReport(now, max(report[field]-1, 0), float64(len(cache.inFlight)-1))
 	}
 }
 
-// countServed counts an answer in time for the measured capacities.
-func (r *Router) countServed(now int64, class *classState, attempt *attemptState, note int64, found finding) {
-	work := cmp.Or(found.sendingTime, class.sendingTime)
+// countServed adds a response in time to the measured capacities.
+func (r *Router) countServed(now int64, class *classState, attempt *attemptState, note int64, assessed assessment) {
+	work := cmp.Or(assessed.sendingTime, class.sendingTime)
 	r.servedByCache(now, work)
 	if attempt.kind != hits && note != noteHit && attempt.source != r.origin {
 		r.servedByParent(now, work, attempt.source)
 	}
 }
 
-// learnFromAnswer learns from a successful answer about its class and its object.
-func (r *Router) learnFromAnswer(now int64, request *Request, outcome Outcome, found finding) {
+// learnFromResponse updates the means of the class and the record of the object from a successful response.
+func (r *Router) learnFromResponse(now int64, request *Request, outcome Outcome, assessed assessment) {
 	class, record := request.class, request.record
 	class.observeResponse(outcome.Elapsed)
-	if found.sendingTime > 0 || outcome.Note <= noteHit {
-		class.observeSendingTime(cmp.Or(found.sendingTime, float64(outcome.Elapsed)/1e9))
+	if assessed.sendingTime > 0 || outcome.Note <= noteHit {
+		class.observeSendingTime(cmp.Or(assessed.sendingTime, float64(outcome.Elapsed)/1e9))
 	}
 	record.likelyCachedUntil = now + likelyCachedDuration
 	if outcome.Note == noteFilled || outcome.Note == noteFilledOrigin {
-		r.updateMaxAge(now, request) // the entry is new, and its age starts from now
+		r.updateMaxAge(now, request) // the cache entry is new, so its age counts from now
 	}
 }
 
-// scoreEndpoint counts an attempt that has ended for its cache or its source, and ejects that endpoint if it is
-// an outlier.
+// scoreEndpoint adds an ended attempt to the scores of its cache or its source, and ejects that endpoint if it is an
+// outlier.
 func (r *Router) scoreEndpoint(
-	now int64, endpoint *endpointState, attempt *attemptState, found finding, scored attemptScore,
+	now int64, endpoint *endpointState, attempt *attemptState, assessed assessment, scored attemptScore,
 ) {
 	r.inFlight.finished(endpoint, attempt)
 	endpoint.addScore(now, scored)
@@ -163,7 +164,7 @@
 	if endpoint.failures >= failureThreshold {
 		r.outliers.watched.add(endpoint)
 	}
-	endpoint.observeReachability(now, attempt, found, scored)
+	endpoint.observeReachability(now, attempt, assessed, scored)
 	if attempt.probed == endpoint {
 		endpoint.probing = false
 		if scored != (attemptScore{}) {
@@ -173,25 +174,24 @@
 	r.ejectIfOutlier(now, endpoint)
 }
 
-// observeReachability learns from an attempt that has ended whether its cache or its source could be reached,
-// and when that endpoint responded last.
+// observeReachability updates whether an endpoint was unreachable, and when it last responded, from an ended attempt.
+// The endpoint is the cache or the source of that attempt.
 func (endpoint *endpointState) observeReachability(
-	now int64, attempt *attemptState, found finding, scored attemptScore,
+	now int64, attempt *attemptState, assessed assessment, scored attemptScore,
 ) {
 	isCache := endpoint == attempt.cache
 	switch {
-	case isCache && found.result == Unreachable && !found.early:
+	case isCache && assessed.result == Unreachable && !assessed.early:
 		endpoint.wasUnreachable = true
-	case !isCache && found.result == Overloaded && scored.failure > 0:
+	case !isCache && assessed.result == Overloaded && scored.failure > 0:
 		endpoint.wasUnreachable = true
 	}
-	if isCache && found.result.isFromCache() || attempt.kind != hits && found.result == Succeeded {
+	if isCache && assessed.result.isFromCache() || attempt.kind != hits && assessed.result == Succeeded {
 		endpoint.lastResponseAt = now
 	}
 }
 
-// isFromCache reports whether a result shows that the cache itself has answered, or at least closed a
-// connection.
+// isFromCache reports whether a result shows that the cache has responded or has at least closed a connection.
 func (result Result) isFromCache() bool {
 	switch result {
 	case Unreachable, TimedOut, Cancelled, SendInterrupted, LocalError, NotSent:
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -6,51 +6,52 @@
 )
 
 const (
-	// silenceThreshold is the silence score, beyond the peers' mean, from which an endpoint is ejected. A score
-	// is in mean response times; by chance a score of 6 has the probability e^-6.
+	// silenceThreshold is the silence score, in excess of the peers' mean, from which an endpoint is ejected. The
+	// unit is a mean response time. The probability that a healthy endpoint reaches a score of 6 is e^-6.
 	silenceThreshold = 6.
 
-	maxSilencePerAttempt = 2.  // of the silence score, by one attempt
+	maxSilencePerAttempt = 2.  // maximum that one attempt adds to the silence score
 	minSilence           = 1.2 // mean response times that at least one attempt must have waited
 
-	failureThreshold = 2.5 // failures, decayed, from which an endpoint may be ejected
-	failureShare     = 0.3 // part of its attempts that must have failed, beyond that of its peers
+	failureThreshold = 2.5 // decayed failures from which an endpoint may be ejected
+	failureShare     = 0.3 // failed fraction of its attempts, in excess of its peers', from which it may be ejected
 
-	healthWindow = 4 * second // ns; over which successes and failures decay
+	healthWindow = 4 * second // ns; time over which successes and failures decay
 
-	// An ejected endpoint is first probed after minProbeBackoff; with each failed probe the backoff doubles.
+	// An ejected endpoint is first probed after minProbeBackoff. Each failed probe doubles the backoff, up to
+	// maxProbeBackoff.
 	minProbeBackoff = second     // ns
 	maxProbeBackoff = 8 * second // ns
 
-	// A parent that has answered more than manyAnswers attempts is judged by a smaller failureShare: times
-	// 1/√(answers/manyAnswers), and not below manyAnswersFactor. With hundreds of answers a part of a quarter
-	// is no coincidence.
-	manyAnswers       = 16.
-	manyAnswersFactor = 0.4
+	// For a parent with more than manyAttempts ended attempts, failureShare is multiplied by
+	// √(manyAttempts/attempts), but not by less than minManyAttemptsFactor. With hundreds of attempts, a failed
+	// quarter is no coincidence.
+	manyAttempts          = 16.
+	minManyAttemptsFactor = 0.4
 
-	// fadedPerTick is how many endpoints a tick checks for scores that have decayed to 0.
-	fadedPerTick = 16
+	// decayedChecksPerTick is the number of endpoints that Tick checks for scores that have decayed to 0.
+	decayedChecksPerTick = 16
 
-	// A score above lastingScore is certainly above 0 until it is lastingScoreAge old, in ns: e^-600 times it
-	// is more than the smallest float64. This saves computing the decay.
-	lastingScore    = 1e-40
-	lastingScoreAge = 600 * healthWindow
+	// A score above nonzeroScore cannot have decayed to 0 before it is nonzeroScoreAge old, in ns, because
+	// e^-600 * nonzeroScore is greater than the smallest float64. Computing the decay is then unnecessary.
+	nonzeroScore    = 1e-40
+	nonzeroScoreAge = 600 * healthWindow
 
-	// evidenceMargin is more than by how much the order of a sum's terms can change what is compared with a
-	// threshold.
+	// evidenceMargin is an upper bound of the rounding difference between sums of the same terms in another order.
 	evidenceMargin = 1e-6
 )
 
-// outlierDetector ejects endpoints that fail, or do not answer, far more than their peers, and has them probed.
+// outlierDetector holds the endpoints that may have to be ejected or probed. An endpoint is ejected if it fails, or
+// does not respond, far more often than its peers.
 type outlierDetector struct {
-	scored    endpointList // endpoints with attempts in flight, or with scores that have not decayed to 0
-	watched   endpointList // endpoints that Tick checks: those that may be outliers, and ejected ones
-	nextFaded int          // index in scored that is checked next for decayed scores
+	scored      endpointList // endpoints with attempts in flight, or with scores that have not decayed to 0
+	watched     endpointList // endpoints that Tick checks: possible outliers and ejected endpoints
+	nextDecayed int          // index in scored of the endpoint that is checked next for decayed scores
 }
 
-// evidence is what speaks for and against an endpoint, or the sum over several.
+// evidence is what the health of an endpoint is judged by, or the sum of this over several endpoints.
 type evidence struct {
-	silence   float64 // mean response times that attempts in flight have waited, each up to maxSilencePerAttempt
+	silence   float64 // mean response times waited by attempts in flight, up to maxSilencePerAttempt for each
 	successes float64 // decayed over healthWindow
 	failures  float64 // decayed over healthWindow
 }
@@ -59,7 +60,7 @@
 	return evidence{e.silence + other.silence, e.successes + other.successes, e.failures + other.failures}
 }
 
-// minus subtracts what one endpoint has added to a sum.
+// minus subtracts the evidence of one endpoint from a sum.
 func (e evidence) minus(other evidence) evidence {
 	return evidence{e.silence - other.silence, e.successes - other.successes, e.failures - other.failures}
 }
@@ -67,23 +68,22 @@
 // attempts returns the number of attempts that have ended, decayed over healthWindow.
 func (e evidence) attempts() float64 { return e.successes + e.failures }
 
-// suffices reports whether an endpoint with this evidence may be ejected, depending on its peers.
+// suffices reports whether the evidence is enough to eject an endpoint if its peers are healthy.
 func (e evidence) suffices() bool {
 	return e.silence >= silenceThreshold || e.failures >= failureThreshold
 }
 
-// excess returns by how much the evidence on an endpoint exceeds that on its peers: the silence score, and the
-// part of the attempts that failed.
+// excess returns by how much the silence score and the failed fraction of the attempts exceed those of the peers.
 func (e evidence) excess(peers evidence, peerCount int) (silence, failed float64) {
 	silence = e.silence - peers.silence/float64(max(1, peerCount))
 	failed = e.failures/e.attempts() - peers.failures/max(peers.attempts(), 1)
 	return silence, failed
 }
 
-// ejectIfOutlier ejects an endpoint if it stands out from its peers by its recent failures or by its silence.
-// What all of them show is no evidence: it comes from an overload, and ejecting them in turn would only move
-// objects from cache to cache. Up to half of a tier can stand out at once; if more of it fails, retries have to
-// find the rest.
+// ejectIfOutlier ejects an endpoint if its recent failures or its silence are far above those of its peers.
+// Failures of all peers alike are no reason: they come from an overload, and ejecting one endpoint after the other
+// would only move objects from cache to cache. Up to half of a tier can be ejected at the same time. If more of it
+// fails, retries have to find the healthy endpoints.
 func (r *Router) ejectIfOutlier(now int64, endpoint *endpointState) {
 	if endpoint.ejected || endpoint == r.origin || !endpoint.mayBeEjected(now) {
 		return
@@ -106,7 +106,7 @@
 	})
 }
 
-// peersOf returns the endpoints that one is compared with, itself included.
+// peersOf returns the endpoints that an endpoint is compared with, including itself.
 func (r *Router) peersOf(endpoint *endpointState) []*endpointState {
 	if endpoint.Location == r.settings.Location {
 		return r.caches
@@ -114,19 +114,18 @@
 	return r.parents
 }
 
-// failureShareFor returns the part of an endpoint's attempts that must have failed, beyond that of its peers,
-// for it to be ejected. It is smaller for a parent with many answers, unless that is the last one that is not
-// ejected.
+// failureShareFor returns the failed fraction of an endpoint's attempts, in excess of its peers', from which the
+// endpoint is ejected. It is smaller for a parent with many ended attempts, unless all other parents are ejected.
 func (r *Router) failureShareFor(endpoint *endpointState, own evidence) float64 {
 	isOther := func(peer *endpointState) bool { return peer != endpoint && !peer.ejected }
 	if endpoint.Location == r.settings.Location || !slices.ContainsFunc(r.parents, isOther) {
 		return failureShare
 	}
-	factor := min(1, math.Sqrt(manyAnswers)/math.Sqrt(own.attempts()))
-	return failureShare * max(manyAnswersFactor, factor)
+	factor := min(1, math.Sqrt(manyAttempts)/math.Sqrt(own.attempts()))
+	return failureShare * max(minManyAttemptsFactor, factor)
 }
 
-// eject ejects an endpoint: from now on it gets nothing but probes.
+// eject marks an endpoint as ejected: it gets only probes until it is restored.
 func (endpoint *endpointState) eject(now int64) {
 	endpoint.ejected = true
 	endpoint.probing = false
@@ -134,7 +133,8 @@
 	endpoint.nextProbeAt = now + endpoint.probeBackoff
 }
 
-// startProbe reports whether a health check is to be sent to a cache now, and counts it if so.
+// startProbe reports whether a health check must be sent to a cache now. If so, it charges the check to the slow
+// start of the cache.
 func (r *Router) startProbe(now int64, endpoint *endpointState) bool {
 	isDue := endpoint.ejected && !endpoint.probing && now >= endpoint.nextProbeAt
 	if !isDue || !r.settings.HealthChecks || !r.slowStartAdmits(now, endpoint, r.meanWork(now, 0)) {
@@ -145,8 +145,8 @@
 	return true
 }
 
-// ProbeEnded takes the result of a health check that Tick returned the endpoint of. The load report that came with
-// it is not used.
+// ProbeEnded takes the result of a health check of an endpoint that Tick has returned. The load report of the health
+// check is not used.
 func (r *Router) ProbeEnded(now int64, id uint32, healthy bool, _ []float64) {
 	if endpoint := r.endpoints[id]; endpoint != nil {
 		endpoint.probing = false
@@ -154,7 +154,7 @@
 	}
 }
 
-// probeFinished restores an ejected endpoint after a successful probe; after any other it doubles the backoff.
+// probeFinished restores an ejected endpoint after a successful probe, and doubles the backoff after a failed one.
 func (r *Router) probeFinished(now int64, endpoint *endpointState, healthy bool) {
 	switch {
 	case endpoint.ejected && healthy:
@@ -169,29 +169,29 @@
 // restore ends an ejection.
 func (endpoint *endpointState) restore(now int64) {
 	if endpoint.wasUnreachable {
-		// It has probably restarted, which the list tells only later. Full load at once could bring it down
-		// again.
+		// The endpoint has probably restarted, but the endpoint list does not show this yet. The full load could
+		// overload it again.
 		endpoint.slowStartFrom, endpoint.slowStartReportedAt = now, now
 	}
 	endpoint.ejected, endpoint.wasUnreachable = false, false
 	endpoint.forgetScores(now)
 }
 
-// forgetScores drops the evidence on an endpoint: it counts as healthy from now on.
+// forgetScores resets the scores of an endpoint, so that it counts as healthy.
 func (endpoint *endpointState) forgetScores(now int64) {
 	endpoint.successes, endpoint.failures = 0, 0
 	endpoint.lastResponseAt = now
 }
 
-// addScore adds an attempt that has ended to an endpoint's successes and failures.
+// addScore adds the score of an ended attempt to an endpoint's successes and failures.
 func (endpoint *endpointState) addScore(now int64, scored attemptScore) {
 	endpoint.successes = decay(endpoint.successes, now-endpoint.scoredAt, healthWindow) + scored.success
 	endpoint.failures = decay(endpoint.failures, now-endpoint.scoredAt, healthWindow) + scored.failure
 	endpoint.scoredAt = now
 }
 
-// cacheEvidence returns the evidence on all caches of the location together, if there is a watched cache to
-// compare with it.
+// cacheEvidence returns the sum of the evidence on all caches of the location, or zero if no watched cache needs to
+// be compared with it.
 func (r *Router) cacheEvidence(now int64) (all evidence) {
 	mayBeEjected := func(endpoint *endpointState) bool {
 		return endpoint.role == cacheRole && !endpoint.ejected && endpoint.mayBeEjected(now)
@@ -202,8 +202,8 @@
 	return all
 }
 
-// mayBeOutlier reports whether a cache may stand out from its peers, given the evidence on all caches. In an
-// overload, when all look alike, it spares Tick summing up the peers of each one.
+// mayBeOutlier reports whether a cache may be an outlier, given the sum of the evidence on all caches. In an
+// overload, when all caches look alike, this saves Tick from summing up the peers of each cache.
 func (r *Router) mayBeOutlier(now int64, endpoint *endpointState, all evidence) bool {
 	own := endpoint.evidence(now, r.slowestResponseTime())
 	silence, failed := own.excess(all.minus(own), len(r.caches)-1)
@@ -211,7 +211,7 @@
 	return silence >= silenceThreshold-evidenceMargin || tooManyFailed
 }
 
-// slowestResponseTime returns the longest mean response time of a class, in s.
+// slowestResponseTime returns the mean response time, in s, of the slowest class.
 func (r *Router) slowestResponseTime() float64 {
 	slowest := minResponseTime
 	for _, class := range r.classes {
@@ -220,7 +220,7 @@
 	return slowest
 }
 
-// evidence returns the evidence on an endpoint. responseTime is the unit of its silence score, in s.
+// evidence returns the evidence on an endpoint. responseTime is the unit of the silence score, in s.
 func (endpoint *endpointState) evidence(now int64, responseTime float64) evidence {
 	successes := decay(endpoint.successes, now-endpoint.scoredAt, healthWindow)
 	failures := decay(endpoint.failures, now-endpoint.scoredAt, healthWindow)
@@ -233,21 +233,21 @@
 		}
 	}
 	if longest < minSilence {
-		silence = 0 // many attempts that started at once are no silence, however much they add up to
+		silence = 0 // many attempts that were all sent recently do not count as silence, whatever their sum
 	}
 	return evidence{silence, successes, failures}
 }
 
-// mayBeEjected reports whether the evidence on an endpoint could suffice. It costs little: it counts the
-// attempts in flight as if each had waited long, and failures as if none had decayed.
+// mayBeEjected reports whether the evidence on an endpoint could be enough to eject it. This is a cheap upper
+// bound: it counts each attempt in flight with maxSilencePerAttempt, and failures without their decay.
 func (endpoint *endpointState) mayBeEjected(now int64) bool {
 	maxSilence := float64(len(endpoint.inFlight)) * maxSilencePerAttempt
 	return maxSilence >= silenceThreshold || endpoint.failures >= failureThreshold || now < endpoint.scoredAt
 }
 
-// peerEvidence sums up the evidence on all other caches of the location, or on all other parents. Without an
-// endpoint it is that on all caches. It leaves out endpoints with nothing in flight and without scores, which
-// would add 0.
+// peerEvidence returns the sum of the evidence on the peers of an endpoint: all other caches of the location, or all
+// other parents. For a nil endpoint it sums up all caches. It may skip endpoints that have nothing in flight and no
+// scores, because they would add 0.
 func (r *Router) peerEvidence(now int64, endpoint *endpointState) (sum evidence) {
 	peers, peerRole := r.caches, cacheRole
 	if endpoint != nil && endpoint.Location != r.settings.Location {
@@ -265,8 +265,8 @@
 	return sum
 }
 
-// unwatchHealthy drops from the endpoints that Tick checks those that are not ejected, have nothing in flight
-// and too few failures to be ejected for.
+// unwatchHealthy removes endpoints from the watched ones if they are not ejected, have nothing in flight and have too
+// few failures to be ejected.
 func (d *outlierDetector) unwatchHealthy(now int64) {
 	d.watched.endpoints = slices.DeleteFunc(d.watched.endpoints, func(endpoint *endpointState) bool {
 		if endpoint.ejected || len(endpoint.inFlight) > 0 {
@@ -277,14 +277,14 @@
 	})
 }
 
-// forgetFaded drops endpoints whose scores have decayed to 0 from the list of scored ones. It checks
-// fadedPerTick of them.
-func (d *outlierDetector) forgetFaded(now int64) {
-	for range min(fadedPerTick, len(d.scored.endpoints)) {
-		d.nextFaded %= len(d.scored.endpoints)
-		endpoint := d.scored.endpoints[d.nextFaded]
+// forgetDecayed checks the next decayedChecksPerTick scored endpoints, and removes those that have nothing in flight
+// and whose scores have decayed to 0.
+func (d *outlierDetector) forgetDecayed(now int64) {
+	for range min(decayedChecksPerTick, len(d.scored.endpoints)) {
+		d.nextDecayed %= len(d.scored.endpoints)
+		endpoint := d.scored.endpoints[d.nextDecayed]
 		if len(endpoint.inFlight) > 0 || endpoint.hasScore(now) {
-			d.nextFaded++
+			d.nextDecayed++
 			continue
 		}
 		d.scored.remove(endpoint)
@@ -294,17 +294,17 @@
 	}
 }
 
-// hasScore reports whether an endpoint's successes or failures have not decayed to 0 yet.
+// hasScore reports whether an endpoint's successes or failures have not yet decayed to 0.
 func (endpoint *endpointState) hasScore(now int64) bool {
 	elapsed := now - endpoint.scoredAt
-	if max(endpoint.successes, endpoint.failures) > lastingScore && elapsed < lastingScoreAge {
+	if max(endpoint.successes, endpoint.failures) > nonzeroScore && elapsed < nonzeroScoreAge {
 		return true
 	}
 	return decay(endpoint.successes, elapsed, healthWindow) > 0 ||
 		decay(endpoint.failures, elapsed, healthWindow) > 0
 }
 
-// forget drops an endpoint that is no longer listed.
+// forget removes an endpoint that is no longer listed.
 func (d *outlierDetector) forget(endpoint *endpointState) {
 	d.scored.remove(endpoint)
 	d.watched.remove(endpoint)
--- a/control/outliers_test.go
+++ b/control/outliers_test.go
@@ -8,15 +8,15 @@
 func TestEjection(t *testing.T) {
 	cases := []struct {
 		name    string
-		failing map[uint32]Result // by cache, the result of its attempts; others succeed
-		elapsed int64             // of these attempts
-		want    uint32            // the cache that is ejected; 0 is none
+		failing map[uint32]Result // result of all attempts at a cache, by its ID; others succeed
+		elapsed int64             // duration of these attempts, ns
+		want    uint32            // ID of the cache that is ejected; 0: none
 	}{
-		{"one that breaks connections", map[uint32]Result{1: ConnectionLost}, 0, 1},
-		{"one that cannot be reached", map[uint32]Result{2: Unreachable}, 0, 2},
-		{"one that only slows down", map[uint32]Result{1: Succeeded}, 3 * second, 1},
-		{"all alike: none stands out", map[uint32]Result{1: Overloaded, 2: Overloaded}, 0, 0},
-		{"all slow alike: none stands out", map[uint32]Result{1: Succeeded, 2: Succeeded}, 3 * second, 0},
+		{"one cache loses connections", map[uint32]Result{1: ConnectionLost}, 0, 1},
+		{"one cache is unreachable", map[uint32]Result{2: Unreachable}, 0, 2},
+		{"one cache is slow", map[uint32]Result{1: Succeeded}, 3 * second, 1},
+		{"all are overloaded: no outlier", map[uint32]Result{1: Overloaded, 2: Overloaded}, 0, 0},
+		{"all are slow: no outlier", map[uint32]Result{1: Succeeded, 2: Succeeded}, 3 * second, 0},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -33,12 +33,12 @@
 			}
 			for id := uint32(1); id <= 2; id++ {
 				if got := router.endpoints[id].ejected; got != (id == test.want) {
-					t.Errorf("cache %d ejected: %v", id, got)
+					t.Errorf("cache %d ejected: %v, want %v", id, got, id == test.want)
 				}
 			}
 		})
 	}
-	t.Run("one that goes silent", func(t *testing.T) {
+	t.Run("one cache stops responding", func(t *testing.T) {
 		router := newRouter(t, nil)
 		for i := range 20 {
 			request := newRequest("harmless", fmt.Sprint(i))
@@ -48,12 +48,13 @@
 		}
 		router.Tick(start + 3*second)
 		if !router.endpoints[1].ejected || router.endpoints[2].ejected {
-			t.Errorf("ejected: %v, %v", router.endpoints[1].ejected, router.endpoints[2].ejected)
+			t.Errorf("cache 1 ejected: %v, want true; cache 2 ejected: %v, want false",
+				router.endpoints[1].ejected, router.endpoints[2].ejected)
 		}
 	})
 }
 
-// Likely fills through one parent are not answered, those through the other are: the parent is ejected, and no
+// If likely fills get no response through one parent but get one through the other, that parent is ejected, and no
 // cache.
 func TestSilentParentIsEjected(t *testing.T) {
 	router := newRouter(t, nil)
@@ -64,20 +65,20 @@
 		}
 	}
 	later := start + second
-	for _, endpoint := range router.caches { // they still answer hits
+	for _, endpoint := range router.caches { // the caches still respond to hits
 		endpoint.lastResponseAt = later
 	}
 	router.Tick(later)
 	router.ejectIfOutlier(later, router.endpoints[3])
 	for id := uint32(1); id <= 4; id++ {
 		if got := router.endpoints[id].ejected; got != (id == 3) {
-			t.Errorf("endpoint %d ejected: %v", id, got)
+			t.Errorf("endpoint %d ejected: %v, want %v", id, got, id == 3)
 		}
 	}
 }
 
-// After a broken connection or an error the retry goes to the same cache, after other failures to another one.
-func TestRetryAfterABrokenConnectionGoesToTheSameCache(t *testing.T) {
+// After a lost connection or a server error the retry goes to the same cache, after other failures to another one.
+func TestRetryAfterALostConnectionGoesToTheSameCache(t *testing.T) {
 	sameCache := map[Result]bool{
 		ConnectionLost: true,
 		ServerError:    true,
@@ -91,32 +92,33 @@
 			first := router.Decide(start, request).Attempt.Cache
 			decision := router.AttemptEnded(start+second, request, Outcome{Result: result})
 			if decision.Verdict != Send || (decision.Attempt.Cache == first) != same {
-				t.Errorf("verdict %v, from cache %d to %d", decision.Verdict, first, decision.Attempt.Cache)
+				t.Errorf("verdict %v, first attempt at cache %d, retry at cache %d, want the same cache: %v",
+					decision.Verdict, first, decision.Attempt.Cache, same)
 			}
 		})
 	}
 }
 
-// A parent that is late with a quarter of its answers stands out if there are hundreds of them, though
-// failureShare is more.
-func TestPartlyLateParentIsEjectedByManyAnswers(t *testing.T) {
+// A parent is ejected if a quarter of its responses is late and there are hundreds of them, although failureShare is
+// higher than that.
+func TestPartlyLateParentIsEjectedAfterManyResponses(t *testing.T) {
 	for _, test := range []struct {
 		name         string
-		answers      int // from each parent
-		late         int // one in so many of the first parent
-		otherEjected bool
-		want         bool
+		responses    int  // number of responses from each parent
+		late         int  // one in this many responses of the first parent is late
+		otherEjected bool // the second parent is ejected
+		want         bool // the first parent is ejected
 	}{
 		{"a quarter of hundreds", 200, 4, false, true},
 		{"a quarter of a few", 12, 4, false, false},
 		{"one in twelve of hundreds", 200, 12, false, false},
-		{"the last one that is not ejected", 200, 4, true, false},
+		{"the last parent that is not ejected", 200, 4, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router := newRouter(t, nil)
 			slow := router.endpoints[3]
 			router.endpoints[4].ejected = test.otherEjected
-			for n := range test.answers {
+			for n := range test.responses {
 				for _, endpoint := range []*endpointState{slow, router.endpoints[4]} {
 					request := newRequest("harmless", fmt.Sprint(n, endpoint.ID))
 					attempt := &attemptState{
@@ -136,7 +138,8 @@
 				}
 			}
 			if slow.ejected != test.want || router.endpoints[4].ejected != test.otherEjected {
-				t.Errorf("ejected: %v, want %v; the other: %v", slow.ejected, test.want, router.endpoints[4].ejected)
+				t.Errorf("first parent ejected: %v, want %v; second parent ejected: %v, want %v",
+					slow.ejected, test.want, router.endpoints[4].ejected, test.otherEjected)
 			}
 		})
 	}
