--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -12,11 +12,11 @@
 
 const year = 365 * 24 * 3600 * second
 
-// trueTime in these tests is the time of clocks that are right; offset is by how much this router's clock is
-// ahead of it, ns.
+// In these tests, trueTime is the time of a correct clock. offset is the time in ns by which this router's clock is
+// ahead of it.
 
-// oldestIssuedAt returns when the oldest entry was issued that a cache may serve to an attempt at a time, by
-// trueTime.
+// oldestIssuedAt returns the issue time of the oldest entry that a cache may serve for an attempt at trueTime.
+// fresh is the class's fresh duration.
 func oldestIssuedAt(trueTime int64, attempt Attempt, fresh int64) int64 {
 	if attempt.MaxAge > 0 {
 		return trueTime - attempt.MaxAge
@@ -27,9 +27,9 @@
 	return trueTime - year
 }
 
-// However far this router's clock is off, no entry from before a purge is served to an attempt that was sent
-// after the purge's arrival, and a retry after an entry that was too old gets a newer one.
-func TestNoEntryFromBeforeAPurgeHoweverTheClockIsOff(t *testing.T) {
+// Whatever the offset of this router's clock, no entry from before a purge is served for an attempt that was sent
+// after the arrival of the purge. A retry after an entry that was too old gets a newer one.
+func TestNoEntryFromBeforeAPurgeWithAnyClockOffset(t *testing.T) {
 	offsets := []int64{0, second / 1000, 2 * second, 7 * second, 12 * second, 3600 * second, 24 * 3600 * second, year}
 	for i := range 10_000 {
 		rng := rand.New(rand.NewPCG(uint64(i), 5))
@@ -50,53 +50,54 @@
 				router.Tick(at)
 			}
 			if sentAt > purgedAt+6*second {
-				return false // caches have dropped older entries by themselves
+				return false // caches have already dropped older entries by themselves
 			}
 			request := &Request{Class: class, Object: "a", Group: 1, Deadline: sentAt + offset + 5*second}
 			decision := router.Decide(sentAt+offset, request)
 			for number := range 2 {
 				if decision.Verdict != Send {
-					t.Errorf("attempt %d: %+v", number, decision)
+					t.Errorf("attempt %d: decision %+v, want verdict send", number, decision)
 					return true
 				}
 				issuedAt := oldestIssuedAt(sentAt, decision.Attempt, router.classByName[class].FreshDuration)
 				if router.AcceptsCopy(sentAt+offset, request, number, issuedAt) {
 					if issuedAt < purgedAt {
-						t.Errorf("an entry issued %v ns before the purge is served, accepted age %v",
+						t.Errorf("an entry issued %d ns before the purge is served, accepted age %d ns",
 							purgedAt-issuedAt, decision.Attempt.MaxAge)
 					}
 					return issuedAt < purgedAt
 				}
 				if issuedAt >= purgedAt {
-					t.Errorf("an entry issued after the purge is not accepted")
+					t.Errorf("an entry issued %d ns after the purge is not accepted", issuedAt-purgedAt)
 					return true
 				}
 				if class != "harmless" {
-					return false // it may have run, and is not sent again
+					return false // the request may have run and is not retried
 				}
 				outcome := Outcome{Attempt: number, Result: Stale, Elapsed: second / 100}
 				decision = router.AttemptEnded(sentAt+offset, request, outcome)
 			}
-			t.Error("the entries of both attempts were too old")
+			t.Error("no entry was accepted after two attempts: both were too old")
 			return true
 		}(); failed {
-			t.Fatalf("case %d: clock off by %v s, purge received after %v s, request sent after %v s, %s, object %q", i,
-				float64(offset)/1e9, float64(receivedAt-purgedAt)/1e9, float64(sentAt-purgedAt)/1e9, class, object)
+			t.Fatalf("case %d: clock offset %v s, purge received after %v s, request sent after %v s, class %s, "+
+				"purged object %q",
+				i, float64(offset)/1e9, float64(receivedAt-purgedAt)/1e9, float64(sentAt-purgedAt)/1e9, class, object)
 		}
 	}
 }
 
-// Where clocks agree the accepted age follows from the timestamp, and so does which entries are accepted.
-func TestAgeFollowsTheTimestampWhereClocksAgree(t *testing.T) {
+// If the clocks agree, the purge's timestamp determines the accepted age and which entries are accepted.
+func TestAcceptedAgeDependsOnTheTimestampIfClocksAgree(t *testing.T) {
 	router := newRouter(t, nil)
 	router.Purge(start+second, "a", 0, start)
 	request := newRequest("harmless", "a")
 	if attempt := router.Decide(start+3*second, request).Attempt; attempt.MaxAge != 3*second-purgeMargin {
-		t.Errorf("age %v", attempt.MaxAge)
+		t.Errorf("accepted age %d ns, want %d ns", attempt.MaxAge, 3*second-purgeMargin)
 	}
 	const now = start + 3*second
 	if !router.AcceptsCopy(now, request, 0, start) || router.AcceptsCopy(now, request, 0, start-1) {
-		t.Error("an entry is judged by another time than the timestamp")
+		t.Error("want an entry issued at the purge's timestamp accepted, and one issued 1 ns earlier not accepted")
 	}
 }
 
@@ -105,17 +106,17 @@
 	for _, test := range []struct {
 		name        string
 		purgedAt    int64
-		maxAge      int64 // 2 s after its arrival
+		maxAge      int64 // accepted age 2 s after the arrival; 0: at least the time since 1970
 		minIssuedAt int64
 	}{
 		{"valid", start, 3*second - purgeMargin, start},
 		{"none", 0, 2*second - purgeMargin, 0},
 		{"negative", -5, 2*second - purgeMargin, 0},
-		{"the least number", math.MinInt64, 2*second - purgeMargin, 0},
+		{"the smallest int64", math.MinInt64, 2*second - purgeMargin, 0},
 		{"a second ahead", receivedAt + second, 2*second - purgeMargin, 0},
 		{"a year ahead", receivedAt + year, 2*second - purgeMargin, 0},
-		{"the largest number", math.MaxInt64, 2*second - purgeMargin, 0},
-		{"1970, which may be right and is expired", 1, 0, 1},
+		{"the largest int64", math.MaxInt64, 2*second - purgeMargin, 0},
+		{"1970, which could be correct", 1, 0, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router := newRouter(t, nil)
@@ -124,28 +125,28 @@
 			request := newRequest("stamped", "a")
 			maxAge := router.Decide(receivedAt+2*second, request).Attempt.MaxAge
 			if test.maxAge > 0 && maxAge != test.maxAge || test.maxAge == 0 && maxAge < start {
-				t.Errorf("age %v, want %v", maxAge, test.maxAge)
+				t.Errorf("accepted age %d ns, want %d ns (0: at least %d ns)", maxAge, test.maxAge, start)
 			}
 			if got := request.attempts[0].minIssuedAt; got != test.minIssuedAt {
-				t.Errorf("entries issued from %v on, want %v", got, test.minIssuedAt)
+				t.Errorf("entries are accepted from issue time %d on, want %d", got, test.minIssuedAt)
 			}
 		})
 	}
 }
 
-// The last purge of an object counts, also after one with an invalid timestamp, and after the clock of the
-// timestamps was set back.
+// The last purge of an object counts. This is also so after a purge with an invalid timestamp, and after the clock
+// of the discovery service was set back.
 func TestRepeatedPurges(t *testing.T) {
 	for _, test := range []struct {
 		name       string
-		timestamps []int64 // of purges received a second apart, from start+second on
-		maxAge     int64   // 4 s after start
+		timestamps []int64 // timestamps of purges that are received every second from start+second on
+		maxAge     int64   // accepted age 4 s after start; 0: only the issue time is checked
 	}{
 		{"two", []int64{start, start + 2*second}, 2*second - purgeMargin},
-		{"one after a timestamp of the far future", []int64{math.MaxInt64, start + 2*second}, 2*second - purgeMargin},
-		{"one after none", []int64{0, start + second}, 3*second - purgeMargin},
-		{"the clock was set back", []int64{start, start - 600*second}, 2*second - purgeMargin},
-		{"and the next after that", []int64{start, start - 600*second, start - 599*second}, 0},
+		{"one after a timestamp in the far future", []int64{math.MaxInt64, start + 2*second}, 2*second - purgeMargin},
+		{"one after a purge without a timestamp", []int64{0, start + second}, 3*second - purgeMargin},
+		{"after the clock was set back", []int64{start, start - 600*second}, 2*second - purgeMargin},
+		{"another after the clock was set back", []int64{start, start - 600*second, start - 599*second}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router := newRouter(t, nil)
@@ -155,20 +156,20 @@
 			request := newRequest("stamped", "a")
 			maxAge := router.Decide(start+4*second, request).Attempt.MaxAge
 			if test.maxAge > 0 && maxAge != test.maxAge {
-				t.Errorf("age %v, want %v", maxAge, test.maxAge)
+				t.Errorf("accepted age %d ns, want %d ns", maxAge, test.maxAge)
 			}
 			if test.maxAge > 0 {
 				return
 			}
 			last, minIssuedAt := test.timestamps[len(test.timestamps)-1], request.attempts[0].minIssuedAt
 			if minIssuedAt != last || router.AcceptsCopy(start+4*second, request, 0, last-1) {
-				t.Errorf("entries issued from %v on, want %v", minIssuedAt, last)
+				t.Errorf("entries are accepted from issue time %d on, want %d and not earlier", minIssuedAt, last)
 			}
 		})
 	}
 }
 
-// A purge expires a time after its arrival, by this router's clock, whatever its timestamp.
+// A purge expires a fixed time after its arrival, by this router's clock, whatever its timestamp is.
 func TestPurgesExpireByTheirArrival(t *testing.T) {
 	router := newRouter(t, nil)
 	const receivedAt = start + 3600*second
@@ -179,20 +180,20 @@
 	}{{6 * second, true}, {7 * second, false}} {
 		router.Tick(receivedAt + test.after)
 		if (router.purges.last["oa"] != nil) != test.kept {
-			t.Errorf("after %v: kept is %v", test.after, !test.kept)
+			t.Errorf("%d ns after its arrival the purge is kept: %v, want %v", test.after, !test.kept, test.kept)
 		}
 	}
 }
 
-// The start of an endpoint is stamped by another clock. If this router's clock is ahead the endpoint must not
-// seem warm too soon.
-func TestSlowStartHoweverTheClockIsOff(t *testing.T) {
-	const startedAt = start + 100*second // by trueTime
+// The start time of an endpoint is by another machine's clock. If this router's clock is ahead of that one, the
+// endpoint must not count as warm too early.
+func TestSlowStartWithAnyClockOffset(t *testing.T) {
+	const startedAt = start + 100*second // in trueTime
 	for _, offset := range []int64{0, 2 * second, 3600 * second, -2 * second, -3600 * second, year} {
 		for _, entryCame := range []bool{false, true} {
-			t.Run(fmt.Sprintf("off by %d s, an entry has come: %v", offset/second, entryCame), func(t *testing.T) {
+			t.Run(fmt.Sprintf("clock offset %d s, entry received: %v", offset/second, entryCame), func(t *testing.T) {
 				router := newRouter(t, nil)
-				if entryCame { // one issued 5 ms ago, and an older one
+				if entryCame { // an entry that was issued 5 ms ago, and an older one
 					request := newRequest("harmless", "a")
 					request.Deadline = startedAt + offset + second
 					router.Decide(startedAt+offset, request)
@@ -202,16 +203,19 @@
 				entry := testEndpoints[0]
 				entry.StartedAt = startedAt
 				router.UpdateEndpoints(startedAt+offset+second, []Endpoint{entry}, false)
-				since := router.slowStartSince(router.endpoints[1]) - offset // by trueTime
+				since := router.slowStartSince(router.endpoints[1]) - offset // in trueTime
 				switch {
 				case since > startedAt+second:
-					t.Errorf("slow start from %v s after the list came", (since-startedAt)/second-1)
+					t.Errorf("slow start begins %d s after the arrival of the list, want no later than the arrival",
+						(since-startedAt)/second-1)
 				case (entryCame || offset <= 0) && since < startedAt:
-					t.Errorf("slow start from %v s before the start", (startedAt-since)/second)
+					t.Errorf("slow start begins %d s before the start of the endpoint", (startedAt-since)/second)
 				case offset == 0 && entryCame && since > startedAt+second/100:
-					t.Errorf("slow start from %v ns after the start, clocks agree", since-startedAt)
+					t.Errorf("clocks agree: slow start begins %d ns after the start of the endpoint, want at most %d ns",
+						since-startedAt, second/100)
 				case offset == 0 && !entryCame && since != startedAt:
-					t.Errorf("slow start from %v ns after the start, clocks agree", since-startedAt)
+					t.Errorf("clocks agree: slow start begins %d ns after the start of the endpoint, want 0 ns",
+						since-startedAt)
 				}
 			})
 		}
@@ -222,17 +226,17 @@
 	for _, test := range []struct {
 		name    string
 		starts  []int64
-		limited bool // when last listed, at start+second
-		warm    bool // 10 s later, after its span
+		limited bool // the endpoint is in slow start when last listed, at start+second
+		warm    bool // the endpoint is warm after its warm-up, at start+12*second
 	}{
 		{"long ago", []int64{0}, false, true},
 		{"negative", []int64{-1}, false, true},
-		{"the least number", []int64{math.MinInt64}, false, true},
+		{"the smallest int64", []int64{math.MinInt64}, false, true},
 		{"1970", []int64{1}, false, true},
 		{"now", []int64{start + second}, true, true},
-		{"a year ahead, and not for a year", []int64{start + year}, true, true},
-		{"the largest number", []int64{math.MaxInt64}, true, true},
-		{"a second start, with a clock set back", []int64{start + 3600*second, start + second}, true, true},
+		{"a year ahead: the slow start does not last a year", []int64{start + year}, true, true},
+		{"the largest int64", []int64{math.MaxInt64}, true, true},
+		{"a restart after the clock was set back", []int64{start + 3600*second, start + second}, true, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router := newRouter(t, nil)
@@ -244,10 +248,10 @@
 			endpoint := router.endpoints[1]
 			const work = 20. // s; more than an endpoint in slow start admits
 			if limited := !router.slowStartAdmits(start+second, endpoint, work); limited != test.limited {
-				t.Errorf("limited is %v when listed", limited)
+				t.Errorf("limited when listed: %v, want %v", limited, test.limited)
 			}
 			if warm := router.slowStartAdmits(start+12*second, endpoint, work); warm != test.warm {
-				t.Errorf("warm is %v after its span", warm)
+				t.Errorf("warm after the warm-up: %v, want %v", warm, test.warm)
 			}
 		})
 	}
@@ -255,20 +259,21 @@
 	entry := testEndpoints[0]
 	entry.StartedAt = start - 30*second
 	router.UpdateEndpoints(start, []Endpoint{entry}, false)
-	entry.StartedAt = start - 600*second // it started again, and the clock of the timestamp was set back
+	entry.StartedAt = start - 600*second // a restart after the clock of the timestamp was set back
 	router.UpdateEndpoints(start+second, []Endpoint{entry}, false)
 	if endpoint := router.endpoints[1]; endpoint.slowStartReportedAt != start+second {
-		t.Error("a start with an earlier timestamp was ignored")
+		t.Errorf("a restart with an earlier timestamp was ignored: reported at %d, want %d",
+			endpoint.slowStartReportedAt, start+second)
 	}
 }
 
-// A purge in a snapshot holds for the router that restores it, however far the clocks of both are off.
-func TestPurgesOfASnapshotHoweverTheClocksAreOff(t *testing.T) {
-	const purgedAt = 2*year + second // by trueTime
+// A purge in a snapshot is effective at the router that restores it, whatever the clock offsets of both routers.
+func TestPurgesOfASnapshotWithAnyClockOffsets(t *testing.T) {
+	const purgedAt = 2*year + second // in trueTime
 	for _, firstOffset := range []int64{0, 3600 * second, -3600 * second, year, -year} {
 		for _, offset := range []int64{0, 2 * second, -2 * second, 3600 * second, -3600 * second, year, -year} {
 			for _, rates := range []bool{false, true} {
-				name := fmt.Sprintf("off by %d s, then by %d s, rates %v", firstOffset/second, offset/second, rates)
+				name := fmt.Sprintf("clock offsets %d s and %d s, rates %v", firstOffset/second, offset/second, rates)
 				t.Run(name, func(t *testing.T) {
 					newRouterAt := func(now int64) *Router {
 						router := New(now, 7, testSettings(nil), func(logevent.Event) {})
@@ -287,8 +292,8 @@
 					decision := next.Decide(now, request)
 					issuedAt := oldestIssuedAt(trueTime, decision.Attempt, 0)
 					if decision.Verdict != Send || issuedAt < purgedAt && next.AcceptsCopy(now, request, 0, issuedAt) {
-						t.Errorf("an entry issued %v s before the purge would be served: %+v",
-							float64(purgedAt-issuedAt)/1e9, decision)
+						t.Errorf("decision %+v, want verdict send and no entry from before the purge accepted; "+
+							"one issued %v s before the purge is accepted", decision, float64(purgedAt-issuedAt)/1e9)
 					}
 				})
 			}
@@ -296,7 +301,7 @@
 	}
 }
 
-// The times of a snapshot are shifted to the clock of the process that restores it; timestamps of purges stay.
+// Shifted shifts the times of a snapshot to the clock of another process. Timestamps of purges do not change.
 func TestShiftedSnapshot(t *testing.T) {
 	snapshot := Snapshot{
 		StartedAt:      1,
@@ -313,11 +318,11 @@
 		Purges:         []PurgeSnapshot{{"oa", 6}},
 	}
 	if shifted := snapshot.Shifted(100); !reflect.DeepEqual(shifted, want) || snapshot.Objects[0].CountedAt != 4 {
-		t.Errorf("%+v of %+v, want %+v", shifted, snapshot, want)
+		t.Errorf("snapshot %+v shifted by 100 is %+v, want %+v and the original unchanged", snapshot, shifted, want)
 	}
 }
 
-// A snapshot with times of the future, which no process writes, does not lead to rates that grow without bound.
+// A snapshot with times in the future, which no router writes, does not lead to rates that grow without bound.
 func TestRestoreOfTimesInTheFuture(t *testing.T) {
 	router := newRouter(t, nil)
 	router.Restore(start, Snapshot{
@@ -327,9 +332,10 @@
 	record := router.rates.objects[objectKey{"a", 0}]
 	rate := router.rates.ofObject(start, record)
 	if math.IsInf(rate, 0) || rate > 3 || router.rates.startedAt > start || record.firstSeenAt > start {
-		t.Errorf("rate %v, started %v, first seen %v", rate, router.rates.startedAt, record.firstSeenAt)
+		t.Errorf("rate %v, want at most 3; counting started at %d and the object was first seen at %d, want at most %d",
+			rate, router.rates.startedAt, record.firstSeenAt, start)
 	}
 	if decision := router.Decide(start, newRequest("harmless", "a")); decision.Verdict != Send {
-		t.Errorf("%+v", decision)
+		t.Errorf("decision %+v, want verdict send", decision)
 	}
 }
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -9,36 +9,35 @@
 )
 
 const (
-	// firstBatch is how many candidates are selected at first, batchGrowth by how many times each further batch
-	// is larger. In most cases the first candidate is taken.
+	// firstBatch is the size of the first batch of candidates. Each further batch is batchGrowth times larger. In
+	// most cases the first candidate is used.
 	firstBatch  = 4
 	batchGrowth = 8
 
-	// maxBatch is the largest batch that is selected by a scan. Sorting all that is left is faster than a
-	// larger one.
+	// maxBatch is the size of the largest batch that is selected by a scan. For a larger batch, sorting all
+	// remaining candidates is faster.
 	maxBatch = 256
 
-	// An object is hot if its rate at this router is above hotShare of the mean rate of a cache, and it was
-	// requested at least minHotRequests times in the window: to a router that has just started all objects
-	// would look hot.
+	// An object is hot if its request rate at this router is above hotShare of the mean rate per cache, and its
+	// request count is at least minHotRequests. Without this minimum all objects would look hot to a router that
+	// has just started.
 	hotShare       = 0.1
 	minHotRequests = 3.
 
-	// maxHotCaches is the largest number of caches that serve a hot object. It is less than firstBatch.
+	// maxHotCaches is the maximum number of caches that serve a hot object. It must be less than firstBatch.
 	maxHotCaches = 3
 
-	// roundingMargin covers the rounding of a score that is compared by a bound of it.
+	// roundingMargin allows for rounding errors where a lower bound of a score is compared with another score.
 	roundingMargin = 1 + 1e-12
 )
 
-// tier is a list of endpoints, with what a scan over them needs in an array of its own so that it reads little
-// memory.
+// tier is a list of endpoints of one role. What a scan over the endpoints reads is in a separate, compact array.
 type tier struct {
 	endpointList
-	keys []rankKey // of the endpoint at the same index
+	keys []rankKey // keys[i] belongs to endpoints[i]
 }
 
-// rankKey is what the score of an endpoint depends on, beside the object.
+// rankKey is the input from an endpoint to its score for an object.
 type rankKey struct {
 	id     uint64
 	weight float64
@@ -68,7 +67,7 @@
 	t.endpoints, t.keys = t.endpoints[:0], t.keys[:0]
 }
 
-// objectHash returns the hash of an object, from which the scores of endpoints for it follow.
+// objectHash returns the hash of an object, which determines the scores of endpoints for that object.
 func (r *Router) objectHash(key objectKey) uint64 {
 	r.keyBytes = binary.LittleEndian.AppendUint64(append(r.keyBytes[:0], key.object...), uint64(key.part))
 	hash := fnv.New64a()
@@ -76,21 +75,21 @@
 	return hash.Sum64()
 }
 
-// uniform maps an object's hash and an endpoint's ID to a number that is distributed evenly over (0, 1].
+// uniform maps an object's hash and an endpoint's ID to a number that is uniformly distributed over (0, 1].
 func uniform(hash, id uint64) float64 {
 	x := (hash ^ id) * 0xff51afd7ed558ccd
 	x = (x ^ x>>33) * 0xc4ceb9fe1a85ec53
 	return (float64((x^x>>33)>>11) + 0.5) / (1 << 53)
 }
 
-// score is what weighted rendezvous hashing orders endpoints by, lowest first.
+// score returns the score in weighted rendezvous hashing. The endpoint with the lowest score comes first.
 func score(draw, weight float64) float64 { return -math.Log(draw) / weight }
 
-// candidate is an endpoint of a tier with what it is ordered by: its load, then its score, then its ID.
+// candidate is an endpoint of a tier with its sort keys: its load, then its score, then its ID.
 type candidate struct {
-	load  float64 // 0 where the order is not by load
+	load  float64 // 0 unless candidates are ordered by load
 	score float64
-	index int // in the tier
+	index int // index in the tier
 }
 
 func (c candidate) compare(other candidate) int {
@@ -100,53 +99,53 @@
 	if order := cmp.Compare(c.score, other.score); order != 0 {
 		return order
 	}
-	return cmp.Compare(c.index, other.index) // a tier is in the order of the IDs
+	return cmp.Compare(c.index, other.index) // a tier is ordered by ID
 }
 
-// candidates iterates over the endpoints of a tier in the order in which an object prefers them: rendezvous
-// hashing weighted by capacity, which is the same at every router. They are selected in batches, and no further
-// than next is called.
+// candidates iterates over the endpoints of a tier in the order of an object's ranking: rendezvous hashing weighted
+// by capacity, which is the same at every router. It selects them in batches, on demand.
 type candidates struct {
 	tier      *tier
-	hash      uint64 // of the object
+	hash      uint64 // hash of the object
 	loads     loadScale
-	byLoad    bool           // the least loaded come first
-	hotCaches int            // so many of the first, less than firstBatch, are ordered by load
+	byLoad    bool           // endpoints are ordered by load before their score
+	hotCaches int            // number of the first endpoints that are reordered by load; less than firstBatch
 	limited   bool           // endpoints with a load of loadLimit or more are skipped
-	loadLimit float64        // a multiple of the capacity
+	loadLimit float64        // used if limited; a multiple of the capacity
 	first     *endpointState // comes before the tier's endpoints; may be nil
 	last      *endpointState // comes after the tier's endpoints; may be nil
 
-	// While hundreds of endpoints are in slow start, those that are known to admit no such work now are skipped
-	// from the second batch on. The caller would pass over them, at a greater cost.
+	// If skipsPostponed is set, endpoints whose slow start is known not to admit the work now are skipped from the
+	// second batch on. The caller would reject them too, but at a greater cost when hundreds of endpoints are in
+	// slow start.
 	skipsPostponed bool
 	now            int64
 	work           float64 // s; sending time of the request
 
-	batch      []candidate // in order
-	position   int         // in the batch, of the next candidate
-	batchSize  int         // of the next batch
-	exhausted  bool        // no endpoint of the tier comes after the batch
-	firstGiven bool
-	lastGiven  bool
+	batch         []candidate // in order
+	position      int         // index in batch of the next candidate
+	batchSize     int         // size of the next batch
+	exhausted     bool        // no endpoint of the tier comes after the batch
+	firstReturned bool        // next has returned first
+	lastReturned  bool        // next has returned last
 }
 
 // rewind restarts the iteration.
 func (c *candidates) rewind() {
 	c.batch, c.position, c.batchSize, c.exhausted = c.batch[:0], 0, firstBatch, false
-	c.firstGiven, c.lastGiven = false, false
+	c.firstReturned, c.lastReturned = false, false
 }
 
-// excludeLoaded restarts the iteration, without the endpoints that have at least a load.
+// excludeLoaded restarts the iteration without the endpoints whose load is at least the given one.
 func (c *candidates) excludeLoaded(load float64) {
 	c.limited, c.loadLimit = true, load
 	c.rewind()
 }
 
-// next returns the next candidate, or nil after the last.
+// next returns the next endpoint, or nil after the last one.
 func (c *candidates) next() *endpointState {
-	if !c.firstGiven {
-		c.firstGiven = true
+	if !c.firstReturned {
+		c.firstReturned = true
 		if c.first != nil {
 			return c.first
 		}
@@ -155,7 +154,7 @@
 		if c.position < len(c.batch) {
 			endpoint := c.tier.endpoints[c.batch[c.position].index]
 			c.position++
-			if c.limited && c.loads.of(endpoint) >= c.loadLimit {
+			if c.limited && c.loads.loadOf(endpoint) >= c.loadLimit {
 				continue
 			}
 			return endpoint
@@ -165,14 +164,14 @@
 		}
 		c.selectBatch()
 	}
-	if c.lastGiven {
+	if c.lastReturned {
 		return nil
 	}
-	c.lastGiven = true
+	c.lastReturned = true
 	return c.last
 }
 
-// selectBatch replaces the batch by the candidates that follow it.
+// selectBatch replaces the batch with the candidates that come after it.
 func (c *candidates) selectBatch() {
 	first := len(c.batch) == 0
 	after := candidate{load: math.Inf(-1)}
@@ -192,7 +191,7 @@
 	c.batchSize *= batchGrowth
 	if first && c.hotCaches > 1 {
 		slices.SortStableFunc(c.batch[:min(c.hotCaches, len(c.batch))], func(a, b candidate) int {
-			return cmp.Compare(c.loads.of(c.tier.endpoints[a.index]), c.loads.of(c.tier.endpoints[b.index]))
+			return cmp.Compare(c.loads.loadOf(c.tier.endpoints[a.index]), c.loads.loadOf(c.tier.endpoints[b.index]))
 		})
 	}
 }
@@ -205,7 +204,7 @@
 		}
 		next := candidate{score: score(uniform(c.hash, key.id), key.weight), index: index}
 		if c.byLoad {
-			next.load = c.loads.of(c.tier.endpoints[index])
+			next.load = c.loads.loadOf(c.tier.endpoints[index])
 		}
 		if next.compare(after) > 0 {
 			c.batch = append(c.batch, next)
@@ -214,7 +213,7 @@
 	slices.SortFunc(c.batch, candidate.compare)
 }
 
-// isSkipped reports whether an endpoint is skipped because its slow start admits no such work now.
+// isSkipped reports whether an endpoint is skipped because its slow start does not admit the work now.
 func (c *candidates) isSkipped(index int) bool {
 	if !c.skipsPostponed || c.batchSize == firstBatch {
 		return false
@@ -223,39 +222,39 @@
 	return endpoint.slowStart.isPostponed(c.now, endpoint.slowStartFrom, c.work)
 }
 
-// skipPostponed has endpoints skipped that admit no such work now; there can be any only before a time,
-// postponedUntil.
+// skipPostponed makes the iteration skip endpoints whose slow start does not admit the work now. There are no such
+// endpoints from postponedUntil on.
 func (c *candidates) skipPostponed(now int64, work float64, postponedUntil int64) {
 	c.skipsPostponed, c.now, c.work = now < postponedUntil, now, work
 }
 
-// scanByScore fills the batch with the endpoints of lowest score that come after a candidate.
+// scanByScore fills the batch with the endpoints that have the lowest scores and come after a candidate.
 func (c *candidates) scanByScore(after candidate) {
 	worst := math.Inf(1)
 	for index, key := range c.tier.keys {
 		draw := uniform(c.hash, key.id)
-		if mustExceed(draw, key.weight, worst) || c.isSkipped(index) {
+		if certainlyExceeds(draw, key.weight, worst) || c.isSkipped(index) {
 			continue
 		}
 		worst = c.add(candidate{score: score(draw, key.weight), index: index}, after).score
 	}
 }
 
-// scanByLoad fills the batch with the endpoints of lowest load, and of lowest score among equals, that come
-// after a candidate.
+// scanByLoad fills the batch with the endpoints that have the lowest loads and come after a candidate. Equal loads
+// are ordered by score.
 func (c *candidates) scanByLoad(after candidate) {
 	worst := candidate{load: math.Inf(1), score: math.Inf(1)}
 	var previous *endpointState
 	var load float64
 	for index, key := range c.tier.keys {
 		draw := uniform(c.hash, key.id)
-		exceeds := mustExceed(draw, key.weight, worst.score)
+		exceeds := certainlyExceeds(draw, key.weight, worst.score)
 		if exceeds && worst.load <= c.loads.minLoad || c.isSkipped(index) {
-			continue // whatever its load is
+			continue // its load does not matter
 		}
 		endpoint := c.tier.endpoints[index]
-		if previous == nil || !endpoint.loadsLike(previous) { // most are alike
-			load = c.loads.of(endpoint)
+		if previous == nil || !endpoint.hasSameLoad(previous) { // consecutive endpoints often have the same load
+			load = c.loads.loadOf(endpoint)
 		}
 		previous = endpoint
 		if load > worst.load || load < after.load || exceeds && load == worst.load {
@@ -265,19 +264,20 @@
 	}
 }
 
-// loadsLike reports whether two caches certainly have the same load.
-func (endpoint *endpointState) loadsLike(other *endpointState) bool {
+// hasSameLoad reports whether two caches certainly have the same load. It may return false for equal loads.
+func (endpoint *endpointState) hasSameLoad(other *endpointState) bool {
 	return endpoint.Capacity == other.Capacity && endpoint.withinObjective == other.withinObjective
 }
 
-// mustExceed reports whether a score is certainly above a bound. It computes no logarithm: -ln(u) is at least
-// 1-u.
-func mustExceed(draw, weight, bound float64) bool {
+// certainlyExceeds reports whether the score of a draw and a weight certainly exceeds a bound. It avoids computing a
+// logarithm, because -ln(u) is at least 1-u.
+func certainlyExceeds(draw, weight, bound float64) bool {
 	return 1-draw > bound*weight*roundingMargin
 }
 
-// add inserts a candidate into the batch in order, if it comes after the given one and the batch has space for
-// it or holds a later one, which it drops. It returns the candidate that a further one must come before.
+// add inserts a candidate into the sorted batch if it comes after the given one. A full batch drops its last
+// candidate, or the new one if that would be the last. add returns the candidate that a further one must come
+// before.
 func (c *candidates) add(next, after candidate) (worst candidate) {
 	if next.compare(after) > 0 {
 		if len(c.batch) == c.batchSize && next.compare(c.batch[len(c.batch)-1]) < 0 {
@@ -294,9 +294,9 @@
 	return c.batch[len(c.batch)-1]
 }
 
-// cacheCandidates returns the caches in the order in which they may serve a request. An object goes to its home
-// cache, the first by its hash; a hot one to the least loaded of two or three; a request that is not cacheable
-// to the least loaded of all.
+// cacheCandidates returns the caches in the order of preference for a request. An object is served by its home cache,
+// which is the first in its ranking, and a hot object by the least loaded of the first two or three. An uncacheable
+// request goes to the least loaded of all caches.
 func (r *Router) cacheCandidates(now int64, request *Request) *candidates {
 	ranked := &r.cacheOrder
 	*ranked = candidates{
@@ -316,7 +316,7 @@
 	return ranked
 }
 
-// cachesFor returns over how many caches the requests for an object are spread.
+// cachesFor returns the number of caches that the requests for an object are spread over.
 func (r *Router) cachesFor(now int64, record *objectRecord) int {
 	caches := len(r.caches)
 	if caches <= 1 || record.requestCount < minHotRequests {
@@ -326,10 +326,10 @@
 	return max(1, min(1+int(hot), maxHotCaches, caches))
 }
 
-// sourceCandidates returns the parents, and the origin last, in the order in which they may fill an object. A
-// request that is not cacheable gains nothing from a parent: it goes straight to the origin, and to a parent
-// only after the origin has rejected it. The parent that its hash selects may be in any location, and the
-// detour would cost a class with a short deadline all of its time.
+// sourceCandidates returns the parents, followed by the origin, in the order of preference for filling an object. An
+// uncacheable request does not benefit from a parent: it goes directly to the origin, and to a parent only if the
+// origin has rejected it. The parent that its hash selects may be in any location, and that detour could take longer
+// than a short deadline allows.
 func (r *Router) sourceCandidates(now int64, request *Request) *candidates {
 	ranked := &r.sourceOrder
 	*ranked = candidates{tier: &r.parentTier, hash: r.objectHash(request.record.key), batch: ranked.batch}
--- a/control/rates.go
+++ b/control/rates.go
@@ -6,26 +6,25 @@
 )
 
 const (
-	rateWindow   = 10 * second // ns; over which rates decay
-	recentWindow = 10 * second // ns; over which a decayingCount decays
+	rateWindow   = 10 * second // ns; time over which rates decay
+	recentWindow = 10 * second // ns; time over which a decayingCount decays
 
-	// maxObjects bounds the records of recently requested objects, and those of evicted ones.
+	// maxObjects is the maximum number of records of recently requested objects, and of records of evicted objects.
 	maxObjects = 10000
 
-	// A request that comes within guessedRetryWindow after one for the same object was not served is taken for
-	// a retry of that client, unless the object has maxGuessedRetryCount requests in rateWindow: then it is
-	// probably another client.
+	// A request that arrives within guessedRetryWindow after another one for the same object was rejected or failed
+	// counts as a client's retry. The exception is an object with a request count of maxGuessedRetryCount or more:
+	// there the request probably comes from another client.
 	guessedRetryWindow   = second // ns
 	maxGuessedRetryCount = 10.
 )
 
-// decay returns what is left of a value after a time, if it decays exponentially to 1/e over a window; both in
-// ns.
+// decay returns the rest of a value that decays exponentially, to 1/e over a window, after elapsed. Both are in ns.
 func decay(value float64, elapsed, window int64) float64 {
 	return value * math.Exp(-float64(elapsed)/float64(window))
 }
 
-// decayingCount counts recent occurrences: each fades over recentWindow.
+// decayingCount counts recent events. Each event's contribution decays over recentWindow.
 type decayingCount struct {
 	count  float64 // as of lastAt
 	lastAt int64
@@ -35,11 +34,11 @@
 
 func (c *decayingCount) add(now int64) { c.count, c.lastAt = c.at(now)+1, now }
 
-// decayingWork is recent work in seconds of sending time. By its methods it decays over rateWindow;
-// capacityEstimate.offered decays over sharingWindow.
+// decayingWork is recent work in seconds of sending time. The methods let it decay over rateWindow.
+// capacityEstimate.offered does not use them and decays over loadWindow.
 type decayingWork struct {
 	work   float64 // as of lastAt
-	best   float64 // the highest capacity that one endpoint of a tier showed so far, by this work
+	best   float64 // highest mean capacity per endpoint of a tier that was derived from this work
 	lastAt int64
 }
 
@@ -47,14 +46,13 @@
 
 func (c *decayingWork) add(now int64, work float64) { c.work, c.lastAt = c.at(now)+work, now }
 
-// objectKey identifies an object. Parts of an object are filled and cached separately, so each counts as an
-// object.
+// objectKey identifies one part of an object. Parts are filled and cached separately, so each counts as an object.
 type objectKey struct {
 	object string
 	part   int64
 }
 
-// objectRecord is what a router knows of one object.
+// objectRecord is what a router knows about one object.
 type objectRecord struct {
 	key               objectKey
 	group             int64
@@ -62,12 +60,12 @@
 	countedAt         int64
 	firstSeenAt       int64
 	purgeCount        float64
-	maxAge            int64 // ns; accepted age, valid until maxAgeUntil; 0 is none
+	maxAge            int64 // ns; accepted age, valid until maxAgeUntil; 0: not computed yet
 	maxAgeUntil       int64
-	evicted           bool          // from the recently requested objects
-	unservedAt        int64         // when a request for it was last rejected or failed
-	likelyCachedUntil int64         // until when it is taken to be cached
-	element           *list.Element // in recentObjects or evictedObjects
+	evicted           bool          // in evictedObjects rather than recentObjects
+	unservedAt        int64         // when a request for the object was last rejected or failed
+	likelyCachedUntil int64         // the object is likely cached until then
+	element           *list.Element // element of recentObjects or evictedObjects
 }
 
 // countRequest counts a request for the object.
@@ -76,20 +74,20 @@
 	record.countedAt = now
 }
 
-// isLikelyRetried reports whether a request that comes now is likely the retry of one that was not served here.
+// isLikelyRetried reports whether a request that arrives now is likely a retry of one that was rejected or failed.
 func (record *objectRecord) isLikelyRetried(now int64) bool {
 	return now < record.unservedAt+guessedRetryWindow && record.requestCount < maxGuessedRetryCount
 }
 
-// requestRates counts requests, by object and in all. It keeps records of maxObjects objects, the least
-// recently requested of which is evicted by a new one, and those of as many evicted objects, which keep their
-// rates.
+// requestRates counts requests, per object and in total. It keeps records of maxObjects recently requested objects.
+// A new object evicts the least recently requested one. It also keeps the records, with their rates, of up to
+// maxObjects evicted objects.
 type requestRates struct {
 	startedAt      int64 // when counting started
 	objects        map[objectKey]*objectRecord
 	recentObjects  *list.List // of *objectRecord, the last requested first
 	evictedObjects *list.List // of *objectRecord, the last evicted first
-	requestCount   float64    // of all requests, as of requestCountAt; decays over rateWindow
+	requestCount   float64    // all requests, as of requestCountAt; decays over rateWindow
 	requestCountAt int64
 }
 
@@ -103,9 +101,9 @@
 	}
 }
 
-// record counts a request and returns the record of its object. Clients' retries, marked or guessed, do not
-// count: they are many when parents are overloaded, and would lower accepted ages and so cause still more
-// fills.
+// record counts a request and returns the record of its object. It does not count clients' retries, marked or
+// guessed. There are many of these when parents are overloaded, and counting them would lower accepted ages and so
+// cause even more fills.
 func (rates *requestRates) record(now int64, request *Request) *objectRecord {
 	record := rates.touch(now, request)
 	rates.evict()
@@ -118,7 +116,7 @@
 	return record
 }
 
-// touch returns the record of a request's object, a new one if need be, and makes it the last requested.
+// touch returns the record of a request's object, which it creates if necessary, and makes it the last requested one.
 func (rates *requestRates) touch(now int64, request *Request) *objectRecord {
 	key := objectKey{request.Object, request.Part}
 	record := rates.objects[key]
@@ -135,7 +133,7 @@
 	return record
 }
 
-// evict bounds both lists to maxObjects.
+// evict limits the lengths of both lists to maxObjects, after one record was added.
 func (rates *requestRates) evict() {
 	if rates.recentObjects.Len() > maxObjects {
 		oldest := rates.recentObjects.Remove(rates.recentObjects.Back()).(*objectRecord)
@@ -148,7 +146,7 @@
 	}
 }
 
-// countPurge counts a purge of one object with all its parts or, without an object, of a group.
+// countPurge counts a purge of one object with all its parts or, if object is empty, of a group.
 func (rates *requestRates) countPurge(now int64, object string, group int64) {
 	for element := rates.recentObjects.Front(); element != nil; element = element.Next() {
 		record := element.Value.(*objectRecord)
@@ -159,18 +157,18 @@
 	}
 }
 
-// ofObject returns this router's rate of requests for an object, a second.
+// ofObject returns this router's rate of requests for an object, per second.
 func (rates *requestRates) ofObject(now int64, record *objectRecord) float64 {
 	return rates.perSecond(now, record.requestCount, record.countedAt, rateWindow)
 }
 
-// ofAll returns this router's rate of all requests, a second.
+// ofAll returns this router's rate of all requests, per second.
 func (rates *requestRates) ofAll(now int64) float64 {
 	return rates.perSecond(now, rates.requestCount, rates.requestCountAt, rateWindow)
 }
 
-// perSecond returns the rate that follows from a sum that decays over a window, in ns. It divides by the time
-// since counting started if that is less than the window, but by a second at least.
+// perSecond converts a sum that decays over a window, in ns, to a rate per second. It divides the sum by the window
+// or, if that is shorter, by the time since counting started, but by at least a second.
 func (rates *requestRates) perSecond(now int64, sum float64, countedAt, window int64) float64 {
 	span := float64(max(min(now-rates.startedAt, window), second)) / 1e9
 	return decay(sum, now-countedAt, window) / span
--- a/control/rates_test.go
+++ b/control/rates_test.go
@@ -11,7 +11,7 @@
 		name        string
 		clientRetry bool
 		want        float64
-	}{{"requests count, scaled to the location", false, 2}, {"marked retries do not", true, 0.2}} {
+	}{{"requests count, scaled to the location", false, 2}, {"marked retries do not count", true, 0.2}} {
 		t.Run(test.name, func(t *testing.T) {
 			router := newRouter(t, nil)
 			var record *objectRecord
@@ -21,7 +21,7 @@
 				record = router.rates.record(start+10*second, request)
 			}
 			if got := router.locationRate(start+10*second, record); math.Abs(got-test.want) > 1e-9 {
-				t.Errorf("rate %v, want %v", got, test.want)
+				t.Errorf("rate in the location %v per second, want %v", got, test.want)
 			}
 		})
 	}
@@ -35,17 +35,17 @@
 	}
 	record := router.rates.objects[objectKey{object: "kept"}]
 	if record == nil || !record.evicted {
-		t.Fatal("an object that is not among the last requested is not evicted")
+		t.Fatalf("record of the least recently requested object: %+v, want it kept and evicted", record)
 	}
 	again := router.rates.record(start, newRequest("harmless", "kept"))
 	if again.evicted || again.requestCount != 2 || router.rates.recentObjects.Len() > maxObjects {
-		t.Errorf("requested again: evicted %v, count %v, %d recent objects",
-			again.evicted, again.requestCount, router.rates.recentObjects.Len())
+		t.Errorf("requested again: evicted %v, count %v, %d recent objects, want false, 2, at most %d",
+			again.evicted, again.requestCount, router.rates.recentObjects.Len(), maxObjects)
 	}
 }
 
-// However many objects are requested, the records are bounded, and the least recently requested one is dropped
-// first.
+// The number of records is bounded, whatever the number of objects. The record of the least recently requested object
+// is dropped first.
 func TestRecordsAreBounded(t *testing.T) {
 	rates := newRequestRates(start)
 	for n := range 2*maxObjects + 2 {
@@ -53,9 +53,10 @@
 	}
 	recent, evicted := rates.recentObjects.Len(), rates.evictedObjects.Len()
 	if len(rates.objects) != 2*maxObjects || recent != maxObjects || evicted != maxObjects {
-		t.Errorf("%d records, %d recent, %d evicted", len(rates.objects), recent, evicted)
+		t.Errorf("%d records, %d recent, %d evicted, want %d, %d, %d",
+			len(rates.objects), recent, evicted, 2*maxObjects, maxObjects, maxObjects)
 	}
 	if rates.objects[objectKey{object: "1"}] != nil || rates.objects[objectKey{object: "2"}] == nil {
-		t.Error("others than the oldest were dropped")
+		t.Error("want the records of objects 0 and 1 dropped, and that of object 2 kept")
 	}
 }
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// This file has straightforward implementations of ranking, loads and evidence, which go over all endpoints
-// each time. The selection in batches and the counts that are updated with each change are compared with them.
+// This file has simple reference implementations of ranking, loads and evidence, which scan all endpoints each
+// time. The tests compare the selection in batches and the incrementally updated counts with them.
 
-// plainRank orders endpoints by rendezvous hashing weighted by capacity.
-func plainRank(key objectKey, endpoints []*endpointState) []*endpointState {
+// referenceRank orders endpoints by rendezvous hashing weighted by capacity.
+func referenceRank(key objectKey, endpoints []*endpointState) []*endpointState {
 	hash := fnv.New64a()
 	hash.Write(binary.LittleEndian.AppendUint64([]byte(key.object), uint64(key.part)))
 	scores := make(map[*endpointState]float64, len(endpoints))
@@ -32,9 +32,9 @@
 	return ranked
 }
 
-// plainInFlight returns the attempts in flight at some caches that may be in time, in all and by kind, and the
-// caches' capacity.
-func plainInFlight(
+// referenceInFlight returns the number of attempts in flight at caches that may still be in time, in total and by
+// kind, and the total capacity of the caches.
+func referenceInFlight(
 	router *Router, now int64, caches []*endpointState,
 ) (all float64, byKind [3]float64, capacity float64) {
 	for _, endpoint := range caches {
@@ -53,19 +53,19 @@
 	return all, byKind, max(capacity, 0.01)
 }
 
-// plainLoads returns the load of each cache.
-func plainLoads(router *Router, now int64) map[*endpointState]float64 {
-	all, _, total := plainInFlight(router, now, router.caches)
+// referenceLoads returns the load of each cache.
+func referenceLoads(router *Router, now int64) map[*endpointState]float64 {
+	all, _, total := referenceInFlight(router, now, router.caches)
 	loads := map[*endpointState]float64{}
 	for _, endpoint := range router.caches {
-		own, _, capacity := plainInFlight(router, now, []*endpointState{endpoint})
-		loads[endpoint] = (own + all*router.activeSharers()/total) / (capacity/router.activeSharers() + 1)
+		own, _, capacity := referenceInFlight(router, now, []*endpointState{endpoint})
+		loads[endpoint] = (own + all*router.activeRouters()/total) / (capacity/router.activeRouters() + 1)
 	}
 	return loads
 }
 
-// plainEvidence returns the evidence on an endpoint.
-func plainEvidence(router *Router, now int64, endpoint *endpointState) evidence {
+// referenceEvidence computes the evidence on an endpoint.
+func referenceEvidence(router *Router, now int64, endpoint *endpointState) evidence {
 	responseTime, longest, silence := 0.01, 0., 0.
 	for _, class := range router.classes {
 		responseTime = max(responseTime, class.responseTime)
@@ -86,22 +86,22 @@
 	}
 }
 
-// plainPeerEvidence sums up the evidence on all peers of an endpoint.
-func plainPeerEvidence(router *Router, now int64, endpoint *endpointState) (sum evidence) {
+// referencePeerEvidence computes the sum of the evidence on all peers of an endpoint.
+func referencePeerEvidence(router *Router, now int64, endpoint *endpointState) (sum evidence) {
 	peers := router.caches
 	if endpoint.Location != router.settings.Location {
 		peers = router.parents
 	}
 	for _, peer := range peers {
 		if peer != endpoint {
-			sum = sum.plus(plainEvidence(router, now, peer))
+			sum = sum.plus(referenceEvidence(router, now, peer))
 		}
 	}
 	return sum
 }
 
-// plainTiers returns the endpoints by their roles.
-func plainTiers(router *Router) (caches, parents []*endpointState, origin *endpointState) {
+// referenceTiers returns the ready endpoints by role.
+func referenceTiers(router *Router) (caches, parents []*endpointState, origin *endpointState) {
 	for _, id := range slices.Sorted(maps.Keys(router.endpoints)) {
 		endpoint := router.endpoints[id]
 		switch {
@@ -117,30 +117,30 @@
 	return caches, parents, origin
 }
 
-// plainSelection selects the cache and the source from the complete ranking.
-func plainSelection(router *Router, now int64, request *Request) (cache, source *endpointState) {
-	ranked, hotCaches := plainRank(request.record.key, router.caches), 1
+// referenceSelection selects the cache and the source from the complete ranking.
+func referenceSelection(router *Router, now int64, request *Request) (cache, source *endpointState) {
+	ranked, hotCaches := referenceRank(request.record.key, router.caches), 1
 	if request.isUncacheable() {
 		hotCaches = len(ranked)
 	} else if n := float64(len(ranked)); n > 1 && request.record.requestCount >= minHotRequests {
 		hot := router.rates.ofObject(now, request.record) * n / (hotShare * router.rates.ofAll(now))
 		hotCaches = max(1, min(1+int(hot), 3, len(ranked)))
 	}
-	loads := plainLoads(router, now)
+	loads := referenceLoads(router, now)
 	slices.SortStableFunc(ranked[:min(hotCaches, len(ranked))], func(a, b *endpointState) int {
 		return cmp.Compare(loads[a], loads[b])
 	})
 	request.diverted = false
-	cache = plainPick(router, now, request, ranked)
+	cache = referencePick(router, now, request, ranked)
 	if cache != nil && request.record.likelyCachedUntil > now && !router.admits(now, request, cache) {
 		lightlyLoaded := slices.DeleteFunc(ranked, func(endpoint *endpointState) bool {
 			return loads[endpoint] >= router.admission.limits[hits]/2
 		})
-		if other := plainPick(router, now, request, lightlyLoaded); other != nil {
+		if other := referencePick(router, now, request, lightlyLoaded); other != nil {
 			cache, request.diverted = other, true
 		}
 	}
-	sources := plainRank(request.record.key, router.parents)
+	sources := referenceRank(request.record.key, router.parents)
 	switch {
 	case router.origin == nil:
 	case request.isUncacheable():
@@ -150,19 +150,19 @@
 	default:
 		sources = append(sources, router.origin)
 	}
-	return cache, plainPick(router, now, request, sources)
+	return cache, referencePick(router, now, request, sources)
 }
 
-// plainPick selects from a complete ranking, which it passes as the last batch of candidates.
-func plainPick(router *Router, now int64, request *Request, ranked []*endpointState) *endpointState {
-	complete := &candidates{tier: &tier{endpointList: endpointList{ranked}}, exhausted: true, lastGiven: true}
+// referencePick calls firstUsable with a complete ranking, as a single batch of candidates.
+func referencePick(router *Router, now int64, request *Request, ranked []*endpointState) *endpointState {
+	complete := &candidates{tier: &tier{endpointList: endpointList{ranked}}, exhausted: true, lastReturned: true}
 	for i := range ranked {
 		complete.batch = append(complete.batch, candidate{index: i})
 	}
 	return router.firstUsable(now, request, complete)
 }
 
-// routerState is what the selection of endpoints may change.
+// routerState is the state of a router that the selection of endpoints may change.
 type routerState struct {
 	draws     uint32
 	endpoints map[uint32]endpointState
@@ -183,7 +183,7 @@
 	}
 }
 
-// equal compares what the selection of endpoints may change.
+// equal compares the fields that the selection of endpoints may change.
 func (s routerState) equal(other routerState) bool {
 	return s.draws == other.draws && maps.EqualFunc(s.endpoints, other.endpoints, func(a, b endpointState) bool {
 		return a.ejected == b.ejected && a.nextProbeAt == b.nextProbeAt && a.probeBackoff == b.probeBackoff &&
@@ -191,91 +191,93 @@
 	})
 }
 
-// differences compares the counts and caches of a router with plain sums, and returns what differs.
+// differences compares the incrementally updated state of a router with the reference implementations, and describes
+// each difference.
 func differences(router *Router, now int64) (found []string) {
 	check := func(what string, got, want any) {
 		if got != want {
-			found = append(found, fmt.Sprintf("%s: %v, plainly %v", what, got, want))
+			found = append(found, fmt.Sprintf("%s: %v, want %v", what, got, want))
 		}
 	}
-	caches, parents, origin := plainTiers(router)
-	check("caches", slices.Equal(router.caches, caches), true)
-	check("parents", slices.Equal(router.parents, parents), true)
+	caches, parents, origin := referenceTiers(router)
+	check("caches are equal", slices.Equal(router.caches, caches), true)
+	check("parents are equal", slices.Equal(router.parents, parents), true)
 	check("origin", router.origin, origin)
-	all, byKind, capacity := plainInFlight(router, now, caches)
+	all, byKind, capacity := referenceInFlight(router, now, caches)
 	inTime := router.inFlight.withinObjective(now, router.endpoints)
-	check("in time", float64(inTime.sum()), all)
+	check("attempts in time", float64(inTime.sum()), all)
 	for kind := range byKind {
-		check(fmt.Sprint("in time of kind ", kind), float64(inTime[kind]), byKind[kind])
+		check(fmt.Sprint("attempts in time of kind ", kind), float64(inTime[kind]), byKind[kind])
 	}
 	check("capacity", router.locationCapacity(now), capacity)
-	for endpoint, load := range plainLoads(router, now) {
+	for endpoint, load := range referenceLoads(router, now) {
 		check(fmt.Sprint("load of ", endpoint.ID), router.load(now, endpoint), load)
 	}
 	ids := slices.Sorted(maps.Keys(router.endpoints))
 	for i := range min(4, len(ids)) {
 		endpoint := router.endpoints[ids[(int(now)+i)%len(ids)]]
-		got, want := router.peerEvidence(now, endpoint), plainPeerEvidence(router, now, endpoint)
+		got, want := router.peerEvidence(now, endpoint), referencePeerEvidence(router, now, endpoint)
 		check(fmt.Sprint("evidence on the peers of ", endpoint.ID), got, want)
 	}
 	return found
 }
 
-// plainlyOutlier reports whether a cache is an outlier by plain sums.
-func plainlyOutlier(router *Router, now int64, endpoint *endpointState) bool {
-	own := plainEvidence(router, now, endpoint)
+// isReferenceOutlier reports whether a cache is an outlier according to the reference implementation.
+func isReferenceOutlier(router *Router, now int64, endpoint *endpointState) bool {
+	own := referenceEvidence(router, now, endpoint)
 	if endpoint.ejected || own.silence < silenceThreshold && own.failures < failureThreshold {
 		return false
 	}
-	peers := plainPeerEvidence(router, now, endpoint)
+	peers := referencePeerEvidence(router, now, endpoint)
 	silence := own.silence - peers.silence/float64(max(1, len(router.caches)-1))
 	failed := own.failures/(own.successes+own.failures) - peers.failures/max(peers.successes+peers.failures, 1)
 	return silence >= silenceThreshold || own.failures >= failureThreshold && failed >= failureShare
 }
 
-// overlooked returns the caches that are outliers by plain sums, or are to be probed, and that Tick would
-// nevertheless not check.
-func overlooked(router *Router, now int64) (found []uint32) {
+// missedByTick returns the IDs of caches that Tick does not check although they are ejected, or are outliers
+// according to the reference implementation.
+func missedByTick(router *Router, now int64) (found []uint32) {
 	all := router.cacheEvidence(now)
 	for _, endpoint := range router.caches {
 		_, watched := router.outliers.watched.search(endpoint)
 		checked := watched && endpoint.mayBeEjected(now) && router.mayBeOutlier(now, endpoint, all)
-		if !watched && endpoint.ejected || !checked && plainlyOutlier(router, now, endpoint) {
+		if !watched && endpoint.ejected || !checked && isReferenceOutlier(router, now, endpoint) {
 			found = append(found, endpoint.ID)
 		}
 	}
 	return found
 }
 
-// propertyCases is how many drawn cases each property is tested with.
+// propertyCases is the number of random cases that each property is tested with.
 const propertyCases = 10_000
 
-// The selected endpoints are those by the plain ranking, with the same effects on the state of all endpoints.
-func TestSelectionEqualsPlainRanking(t *testing.T) {
+// The selected endpoints are the same as with the reference implementation, and so are the effects on the state of
+// all endpoints.
+func TestSelectionEqualsReference(t *testing.T) {
 	seen := map[string]int{}
 	for seed, cases := uint64(0), 0; cases < propertyCases; seed++ {
-		run := newDrawnRun(t, 1000+seed)
+		run := newRandomRun(t, 1000+seed)
 		for range 400 {
 			run.step()
 			if len(run.requests) == 0 {
 				continue
 			}
 			request := run.requests[run.rng.IntN(len(run.requests))]
-			// Late attempts are marked now, so that the selections below change no count.
+			// Mark late attempts first, so that the selections below do not change any counts.
 			run.router.inFlight.markLate(run.now, run.router.endpoints)
 			before := stateOf(run.router)
-			wantCache, wantSource := plainSelection(run.router, run.now, request)
+			wantCache, wantSource := referenceSelection(run.router, run.now, request)
 			wantDiverted, want := request.diverted, stateOf(run.router)
 			before.restore(run.router)
 			cache, source := run.router.selectEndpoints(run.now, request)
 			sameEffects := stateOf(run.router).equal(want)
 			if cache != wantCache || source != wantSource || request.diverted != wantDiverted || !sameEffects {
-				t.Fatalf("seed %d, case %d: cache %v, source %v, diverted %v, want %v, %v, %v; the same effects: %v",
-					seed, cases, name(cache), name(source), request.diverted,
-					name(wantCache), name(wantSource), wantDiverted, sameEffects)
+				t.Fatalf("seed %d, case %d: cache %v, source %v, diverted %v, want %v, %v, %v; same effects: %v, want true",
+					seed, cases, idOf(cache), idOf(source), request.diverted,
+					idOf(wantCache), idOf(wantSource), wantDiverted, sameEffects)
 			}
 			cases++
-			if cache != nil && cache != plainRank(request.record.key, run.router.caches)[0] {
+			if cache != nil && cache != referenceRank(request.record.key, run.router.caches)[0] {
 				seen["not the first"]++
 			}
 			if request.diverted {
@@ -284,58 +286,58 @@
 		}
 	}
 	if seen["not the first"] < 500 || seen["diverted"] < 20 {
-		t.Errorf("the cases cover too little: %v", seen)
+		t.Errorf("occurrences %v, want at least 500 of \"not the first\" and 20 of \"diverted\"", seen)
 	}
 }
 
-func name(endpoint *endpointState) any {
+// idOf returns the ID of an endpoint for a message, or "none" for nil.
+func idOf(endpoint *endpointState) any {
 	if endpoint == nil {
 		return "none"
 	}
 	return endpoint.ID
 }
 
-// Counts that are updated with each change equal the sums over all endpoints to the last bit, also after the
-// clock went back.
-func TestCountsEqualPlainSums(t *testing.T) {
+// Incrementally updated counts equal sums over all endpoints to the last bit, also after the clock went backwards.
+func TestCountsEqualReference(t *testing.T) {
 	for seed, cases := uint64(0), 0; cases < propertyCases; seed++ {
-		run := newDrawnRun(t, 5000+seed)
+		run := newRandomRun(t, 5000+seed)
 		for range 400 {
 			run.step()
 			if run.rng.IntN(50) == 0 {
 				run.now += run.rng.Int64N(200 * second) // scores decay, but not to 0
 			}
 			cases++
-			if found := overlooked(run.router, run.now); len(found) > 0 {
-				t.Fatalf("seed %d, case %d: %v are overlooked", seed, cases, found)
+			if found := missedByTick(run.router, run.now); len(found) > 0 {
+				t.Fatalf("seed %d, case %d: Tick does not check caches %v", seed, cases, found)
 			}
 			at := run.now
 			if run.rng.IntN(4) == 0 {
 				at -= run.rng.Int64N(second)
 			}
 			if found := differences(run.router, at); len(found) > 0 {
-				t.Fatalf("seed %d, case %d: %v", seed, cases, found)
+				t.Fatalf("seed %d, case %d: differences %q", seed, cases, found)
 			}
 		}
 	}
 }
 
-// Candidates come in the order of the plain ranking, down to the last one, for tiers of all sizes and drawn
+// Candidates come in the order of the reference ranking, down to the last one, for tiers of all sizes and with random
 // weights.
-func TestCandidatesEqualPlainRanking(t *testing.T) {
-	run := newDrawnRun(t, 1)
+func TestCandidatesEqualReference(t *testing.T) {
+	run := newRandomRun(t, 1)
 	for round := range propertyCases / 100 {
 		router := newRouter(t, nil)
-		var lines []Endpoint
+		var entries []Endpoint
 		equal := run.rng.IntN(2) == 0
 		for id := range 1 + run.rng.IntN([]int{8, 60, 900}[round%3]) {
-			line := Endpoint{ID: uint32(id*7919 + 1), Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}
+			entry := Endpoint{ID: uint32(id*7919 + 1), Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}
 			if !equal {
-				line.Capacity = math.Exp(run.rng.NormFloat64() * 3)
+				entry.Capacity = math.Exp(run.rng.NormFloat64() * 3)
 			}
-			lines = append(lines, line)
+			entries = append(entries, entry)
 		}
-		router.UpdateEndpoints(start, lines, true)
+		router.UpdateEndpoints(start, entries, true)
 		for _, endpoint := range router.caches {
 			for range run.rng.IntN(4) * run.rng.IntN(2) {
 				router.attemptStarted(endpoint, &attemptState{
@@ -351,7 +353,7 @@
 			request := newRequest("harmless", fmt.Sprint(round, n))
 			request.class, request.Write = router.classByName["harmless"], n%4 == 0
 			request.record = &objectRecord{key: objectKey{object: request.Object}}
-			want := plainRank(request.record.key, router.caches)
+			want := referenceRank(request.record.key, router.caches)
 			if request.Write {
 				slices.SortStableFunc(want, func(a, b *endpointState) int {
 					return cmp.Compare(router.load(now, a), router.load(now, b))
@@ -364,11 +366,11 @@
 			for i := range count {
 				if endpoint := got.next(); endpoint != want[i] {
 					t.Fatalf("round %d, write %v, candidate %d of %d: %v, want %v",
-						round, request.Write, i, len(want), name(endpoint), want[i].ID)
+						round, request.Write, i, len(want), idOf(endpoint), want[i].ID)
 				}
 			}
 			if count == len(want) && got.next() != nil {
-				t.Fatal("more candidates than endpoints")
+				t.Fatalf("round %d, write %v: more candidates than the %d endpoints", round, request.Write, len(want))
 			}
 		}
 	}
--- a/control/requests.go
+++ b/control/requests.go
@@ -6,47 +6,47 @@
 	"tealpath/internal/timerqueue"
 )
 
-// attemptKind says which admission limit an attempt counts against.
+// attemptKind determines the admission limit that an attempt counts against.
 type attemptKind int
 
-// The kinds of attempts.
+// Kinds of attempts.
 const (
 	hits    attemptKind = iota // the cache likely has the object
-	fills                      // the cache likely has to fill it from a parent
-	fetches                    // it comes from the origin, because a parent lacks it or parents reject fills
+	fills                      // the cache likely has to fill the object from a parent
+	fetches                    // the object comes from the origin: a parent does not have it, or parents reject fills
 	kinds   = 3                // number of kinds
 )
 
 func (k attemptKind) String() string { return [kinds]string{"hits", "fills", "fetches"}[k] }
 
-// requestState is what a router knows of a request.
+// requestState is what a router knows about a request.
 type requestState struct {
-	class        *classState // nil until Decide has seen the request
+	class        *classState // nil before the first call of Decide
 	record       *objectRecord
 	arrivedAt    int64
-	exhaustedAt  int64 // when it last waited because this machine could open no connections
+	exhaustedAt  int64 // when the request last waited because this machine could not open connections
 	attempts     []*attemptState
-	inFlight     int  // attempts that have not ended
-	ended        bool // it has its final answer, or needs none
-	sourceMissed bool // its source lacks the object, or the origin is to fill it in place of a parent
-	diverted     bool // its home cache is at its limit, and another one is to fill the object
+	inFlight     int  // number of attempts that have not ended
+	ended        bool // the request has its final response, or needs none
+	sourceMissed bool // the source does not have the object, or the origin must fill it instead of a parent
+	diverted     bool // the home cache is at its limit, and another cache must fill the object
 }
 
-// attemptState is what a router knows of an attempt.
+// attemptState is what a router knows about an attempt.
 type attemptState struct {
 	sentAt         int64
 	cache          *endpointState
-	source         *endpointState // nil if the cache may serve only what it has cached
-	probed         *endpointState // the ejected endpoint that this attempt probes; nil is none
+	source         *endpointState // nil if the cache may serve only a cached object
+	probed         *endpointState // the ejected endpoint that this attempt probes, or nil
 	ended          bool
 	result         Result // valid if ended
-	sourceRejected bool   // its source was at its limit, dead or lacked the object
+	sourceRejected bool   // the source rejected the fill, was unreachable or did not have the object
 	kind           attemptKind
-	sendTimeout    int64 // ns; within that it has to be sent
-	lateAt         int64 // from when an answer is late
+	sendTimeout    int64 // ns; time within which the attempt must be sent
+	lateAt         int64 // a response from this time on is late
 	isLate         bool  // lateAt has passed
 	lateTimer      *timerqueue.Timer[*attemptState]
-	minIssuedAt    int64 // Unix ns by the origin's clock; older entries are not accepted; 0 is no bound
+	minIssuedAt    int64 // Unix ns by the origin's clock; entries issued earlier are not accepted; 0: no limit
 }
 
 // mayHaveRun reports whether an attempt may have taken effect at a server.
@@ -54,8 +54,8 @@
 	return !attempt.ended || attempt.result > NotSent && attempt.result != LocalError
 }
 
-// waitsForEjected reports whether an attempt waits for an endpoint that has been ejected. It does not for the
-// endpoint that it probes, until minProbeBackoff is over.
+// waitsForEjected reports whether an attempt waits for an endpoint that is ejected. If the attempt probes that
+// endpoint, this counts only after minProbeBackoff.
 func (attempt *attemptState) waitsForEjected(now int64, endpoint *endpointState) bool {
 	if endpoint == nil || !endpoint.ejected {
 		return false
@@ -63,9 +63,9 @@
 	return attempt.probed != endpoint || now-attempt.sentAt > minProbeBackoff
 }
 
-// disqualifies reports whether an attempt is a reason not to send the request to an endpoint again. A
-// connection that broke and the like are none: a retry may well succeed there, and another cache would have to
-// fill the object first.
+// disqualifies reports whether an attempt is a reason not to send the request to an endpoint again. A lost connection
+// and similar results are no reason: a retry there may well succeed, and another cache would first have to fill the
+// object.
 func (attempt *attemptState) disqualifies(endpoint *endpointState) bool {
 	switch attempt.result {
 	case ConnectionLost, SendInterrupted, ServerError, NotCached, Stale, LocalError:
@@ -74,7 +74,7 @@
 	return attempt.cache == endpoint || attempt.source == endpoint
 }
 
-// nextKind returns the kind that the next attempt of a request is likely to be.
+// nextKind returns the likely kind of the next attempt of a request.
 func (request *Request) nextKind(now int64) attemptKind {
 	switch {
 	case request.sourceMissed:
@@ -85,11 +85,11 @@
 	return hits
 }
 
-// isUncacheable reports whether the answer to a request is never cached, because only the origin can answer it.
+// isUncacheable reports whether the response to a request is never cached, because only the origin can produce it.
 func (request *Request) isUncacheable() bool { return request.class.Uncacheable || request.Write }
 
-// sendDeadline returns by when a request has to be sent to a cache: halfway to its deadline, so that there is
-// time left for the answer, and later only if an attempt got as far as a cache.
+// sendDeadline returns the time by which a request must be sent to a cache. This is halfway to its deadline, so that
+// time is left for the response. After an attempt that has reached a cache it is the deadline itself.
 func (request *Request) sendDeadline() int64 {
 	for _, attempt := range request.attempts {
 		if attempt.mayHaveRun() || attempt.result == Overloaded || attempt.result == NotCached {
@@ -99,21 +99,21 @@
 	return request.arrivedAt + (request.Deadline-request.arrivedAt)/2
 }
 
-// sendTimeout returns for how long an attempt that starts now may wait until it is sent, in ns.
+// sendTimeout returns the time in ns within which an attempt that starts now must be sent.
 func (request *Request) sendTimeout(now int64) int64 {
 	timeout := min(request.sendDeadline(), request.Deadline-request.class.minResponseTime()) - now
 	if request.class.Idempotency != Keyed {
 		return timeout
 	}
 	for _, before := range request.attempts {
-		if before.mayHaveRun() { // the server drops repetitions only within the window, whenever they are sent
+		if before.mayHaveRun() { // the server drops repetitions only within the window after the earlier attempt
 			timeout = min(timeout, before.sentAt+request.class.KeyWindow-now)
 		}
 	}
 	return timeout
 }
 
-// waitUntil returns until when a request waits if no endpoint can take it.
+// waitUntil returns the time until which a request waits if no endpoint can take it.
 func (request *Request) waitUntil() int64 {
 	return max(request.arrivedAt, request.exhaustedAt) + request.class.LatencyObjective/maxWaitDivisor
 }
@@ -126,14 +126,14 @@
 	return request.attempts[len(request.attempts)-1]
 }
 
-// sourceRejected reports whether the source rejected the last attempt. Then the other parents are likely to
-// reject the next one too, and it goes to the origin if that cannot be overloaded.
+// sourceRejected reports whether the source rejected the last attempt. Then the other parents are likely to reject
+// the next attempt too, and it goes to the origin if the origin cannot be overloaded.
 func (request *Request) sourceRejected() bool {
 	last := request.lastAttempt()
 	return last != nil && last.sourceRejected
 }
 
-// attemptCount returns how many attempts of a request count: all but those that failed on this machine.
+// attemptCount returns the number of attempts of a request, without those that failed on this machine.
 func (request *Request) attemptCount() (count int) {
 	for _, attempt := range request.attempts {
 		if !attempt.ended || attempt.result != LocalError {
--- a/control/retries.go
+++ b/control/retries.go
@@ -1,41 +1,42 @@
 package control
 
 const (
-	// Retry tokens: a first attempt adds retryTokensPerRequest times its class's weight, relative to the
-	// largest, up to maxRetryTokens in all.
+	// Retry tokens: a first attempt adds retryTokensPerRequest times its class's weight, divided by the largest
+	// weight. The token bucket holds at most maxRetryTokens.
 	retryTokensPerRequest = 0.15
 	maxRetryTokens        = 10.
 
-	// freeAttempts bounds the attempts of a request up to which a retry takes no token if the attempt before
-	// shows no sign of an overload.
+	// freeAttempts is the number of attempts of a request below which a retry takes no token, provided that the
+	// last attempt shows no sign of an overload.
 	freeAttempts = 3
 
-	// hedgeDelayShare is the part of the latency objective after which an attempt may be hedged.
+	// hedgeDelayShare is the fraction of the latency objective after which an attempt may be hedged.
 	hedgeDelayShare = 0.6
 
-	// lostResponseThreshold is how many recent answers, decayed, have to be missing for attempts to be hedged.
+	// lostResponseThreshold is the decayed number of lost responses above which attempts may be hedged.
 	lostResponseThreshold = 1.5
 
-	// sourceRejectionThreshold is how many recent fills, decayed, parents have to have rejected for the origin
-	// to get requests that are not admitted as fills.
+	// sourceRejectionThreshold is the decayed number of fills rejected by parents above which requests that are not
+	// admitted as fills go to the origin.
 	sourceRejectionThreshold = 1.5
 
-	// maxHealthyFailureRatio is how many failures for each success a healthy endpoint has at most.
+	// maxHealthyFailureRatio is the ratio of failures to successes below which an endpoint is healthy.
 	maxHealthyFailureRatio = 0.03
 
-	// retryAfterShare is the part of the latency objective that Retry-After is at least; it is twice that at
-	// most.
+	// retryAfterShare is the lower bound of Retry-After as a fraction of the latency objective. The upper bound is
+	// twice that.
 	retryAfterShare = 0.2
 
-	// A class without weight is allowed minAllowedAttempts, one of the largest weight attemptsByWeight more.
+	// A class with weight 0 may make minAllowedAttempts per request, and the class with the largest weight
+	// attemptsByWeight more.
 	minAllowedAttempts = 2
 	attemptsByWeight   = 2
 )
 
-// retryState bounds retries and hedges. Without a bound they would make an overload worse. The bound costs
-// requests when one cache of few fails and the others could serve more retries than it allows.
+// retryState limits retries and hedges. Without a limit they would make an overload worse. The disadvantage is that
+// if one of a few caches fails, requests are rejected although the other caches could serve more retries.
 type retryState struct {
-	tokens           float64       // of a token bucket; a retry or hedge takes one
+	tokens           float64       // content of the token bucket; a retry or hedge takes one token
 	lostResponses    decayingCount // attempts at healthy endpoints that timed out
 	sourceRejections decayingCount // fills that parents rejected
 }
@@ -43,7 +44,7 @@
 // deposit adds tokens, up to maxRetryTokens.
 func (s *retryState) deposit(tokens float64) { s.tokens = min(s.tokens+tokens, maxRetryTokens) }
 
-// withdraw takes a token, and reports whether there was one.
+// withdraw takes a token and reports whether there was one.
 func (s *retryState) withdraw() bool {
 	if s.tokens < 1 {
 		return false
@@ -52,9 +53,9 @@
 	return true
 }
 
-// takeRetryToken reports whether the next attempt of a request may be made as far as tokens go, and takes one
-// if it needs one. A first attempt adds tokens instead. A retry after an attempt that shows no sign of an
-// overload needs none.
+// takeRetryToken takes a token if the next attempt of a request needs one, and reports whether the attempt may be
+// made. A first attempt needs no token and adds to the tokens. Early retries after an attempt that shows no sign of
+// an overload need no token either.
 func (r *Router) takeRetryToken(request *Request) bool {
 	last := request.lastAttempt()
 	switch {
@@ -62,15 +63,15 @@
 		r.retries.deposit(retryTokensPerRequest * request.class.PriorityWeight / r.maxWeight())
 		return true
 	case last.result == LocalError:
-		return true // it put no load on any endpoint
+		return true // the last attempt put no load on any endpoint
 	case len(request.attempts) < freeAttempts && r.showsNoOverload(last):
 		return true
 	}
 	return r.retries.withdraw()
 }
 
-// showsNoOverload reports whether an attempt ended in a way that is no sign of an overload. A fill that a
-// source rejected is such a sign only if the origin can be overloaded.
+// showsNoOverload reports whether an attempt ended in a way that is no sign of an overload. A fill that the source
+// rejected counts as a sign of an overload only if the origin can be overloaded.
 func (r *Router) showsNoOverload(attempt *attemptState) bool {
 	switch attempt.result {
 	case NotCached, SendInterrupted, ConnectionLost:
@@ -79,8 +80,8 @@
 	return attempt.sourceRejected && r.settings.OriginUnlimited
 }
 
-// mayRetry reports whether a further attempt of a request is allowed, by the number of attempts and the weight
-// of its class, whether it can be answered in time, and whether it is safe (rule 2 in docs/design.md).
+// mayRetry reports whether a further attempt of a request is allowed. This depends on the number of attempts and the
+// weight of its class, on the time left for a response, and on whether a retry is safe (rule 2 in docs/design.md).
 func (r *Router) mayRetry(now int64, request *Request) bool {
 	byWeight := int(attemptsByWeight * request.class.PriorityWeight / r.maxWeight())
 	allowed := min(r.settings.MaxAttempts, minAllowedAttempts+byWeight)
@@ -90,8 +91,8 @@
 	return request.canBeAnswered(now) && request.isSafeToRetry(now)
 }
 
-// isSafeToRetry reports whether a request takes effect no more than once if it is sent again: because it is
-// idempotent, because the server still drops repetitions, or because no attempt has run.
+// isSafeToRetry reports whether a request can be sent again without taking effect twice: because it is idempotent,
+// because the server still drops repetitions, or because no earlier attempt can have run.
 func (request *Request) isSafeToRetry(now int64) bool {
 	if request.class.Idempotency == Idempotent {
 		return true
@@ -105,8 +106,9 @@
 	return true
 }
 
-// withinKeyScope reports whether a request may be sent to an endpoint as far as the scope of its idempotency
-// key goes: attempts that may have run must be in the same scope, or the endpoint does not know of them.
+// withinKeyScope reports whether the scope of a request's idempotency key allows sending the request to an endpoint.
+// All attempts that may have run must be in the same scope as the endpoint, because servers outside that scope do not
+// recognize the request as a repetition.
 func (request *Request) withinKeyScope(endpoint *endpointState) bool {
 	if request.class.Idempotency != Keyed {
 		return true
@@ -129,10 +131,10 @@
 	return true
 }
 
-// reconsider decides on a request with attempts in flight. If all of them wait for ejected endpoints, or have
-// probably lost their answers, it sends the request to another endpoint: beside them where hedging is allowed,
-// else after cancelling them.
-func (r *Router) reconsider(now int64, request *Request) Decision {
+// decideInFlight decides what to do with a request that has attempts in flight. If each of them waits for an ejected
+// endpoint or has probably lost its response, the request is sent to another endpoint. With hedging this happens
+// immediately, otherwise after the attempts in flight have been cancelled.
+func (r *Router) decideInFlight(now int64, request *Request) Decision {
 	var overdue []int // numbers of attempts
 	for number, attempt := range request.attempts {
 		if attempt.ended {
@@ -156,14 +158,14 @@
 	return Decision{}
 }
 
-// isOverdue reports whether an attempt in flight is probably in vain.
+// isOverdue reports whether an attempt in flight will probably not get a response.
 func (r *Router) isOverdue(now int64, request *Request, attempt *attemptState) bool {
 	return attempt.waitsForEjected(now, attempt.cache) || attempt.waitsForEjected(now, attempt.source) ||
 		r.hedgeDue(now, request, attempt)
 }
 
-// hedgeDue reports whether an attempt may be hedged because its answer is probably lost: other answers were
-// lost recently, and it takes long though its endpoints are healthy.
+// hedgeDue reports whether an attempt may be hedged because its response is probably lost: other responses were lost
+// recently, and the attempt takes long although its endpoints are healthy.
 func (r *Router) hedgeDue(now int64, request *Request, attempt *attemptState) bool {
 	if !r.settings.Hedging || r.retries.lostResponses.at(now) <= lostResponseThreshold {
 		return false
@@ -174,14 +176,14 @@
 	return float64(now-attempt.sentAt) > hedgeDelayShare*float64(r.objectiveFor(request, 0))
 }
 
-// isHealthy reports whether an endpoint is not ejected and next to nothing failed there recently. Hedges to any
-// other would make an overload worse. No endpoint, nil, is healthy.
+// isHealthy reports whether an endpoint is not ejected and has hardly any recent failures. Hedging attempts at
+// unhealthy endpoints would make an overload worse. A nil endpoint counts as healthy.
 func (endpoint *endpointState) isHealthy() bool {
 	return endpoint == nil || !endpoint.ejected && endpoint.failures < maxHealthyFailureRatio*endpoint.successes
 }
 
-// goesToOrigin reports whether a request that its cache lacks is to be filled by the origin, because parents
-// reject fills.
+// goesToOrigin reports whether the origin must fill an object instead of a parent. This is so after an attempt for a
+// cached object only, if parents reject fills and the request is not admitted as a fill.
 func (r *Router) goesToOrigin(now int64, request *Request, cache *endpointState) bool {
 	last := request.lastAttempt()
 	if last == nil || last.source != nil || request.sourceMissed || cache == nil {
@@ -193,7 +195,7 @@
 	return r.retries.sourceRejections.at(now) > sourceRejectionThreshold && !r.admits(now, request, cache)
 }
 
-// rejectOrFail ends a request at once: rejected if its client may safely send it again, else failed.
+// rejectOrFail ends a request: it is rejected if its client can safely send it again, and fails otherwise.
 func (r *Router) rejectOrFail(now int64, request *Request) Decision {
 	request.ended = true
 	request.record.unservedAt = now
@@ -205,8 +207,8 @@
 	case !r.settings.RetryAfter:
 		return Decision{Verdict: Reject}
 	}
-	// Soon enough to be in time, and at random, so that clients that are rejected together do not come back
-	// together.
+	// The delay is short enough for the client's retry to be in time, and random so that clients that are rejected
+	// at the same time do not retry at the same time.
 	wait := int64(retryAfterShare * (1 + r.random()) * float64(class.LatencyObjective))
 	return Decision{Verdict: Reject, RetryAfter: min(wait, r.settings.MaxRetryAfter)}
 }
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// A fill that a parent rejects goes to the origin if that cannot be overloaded, also without tokens.
+// A fill that a parent rejects goes to the origin if the origin cannot be overloaded, even without retry tokens.
 func TestRejectedFillsGoToTheOrigin(t *testing.T) {
 	for _, test := range []struct {
 		note           int64
-		overloadFactor float64 // of the origin; 0 is unlimited
-		want           uint32  // the source of the retry; 0 is none
+		overloadFactor float64 // overload factor of the origin; 0: it cannot be overloaded
+		want           uint32  // source of the retry; 0: any source but the origin, or no retry
 	}{{6, 0, 5}, {7, 0, 5}, {9, 0, 0}, {6, 2, 0}} {
 		t.Run(fmt.Sprint("note ", test.note, ", overload factor ", test.overloadFactor), func(t *testing.T) {
 			router := newRouter(t, func(s *Settings) { s.OriginUnlimited = test.overloadFactor == 0 })
@@ -19,7 +19,7 @@
 			router.retries.tokens = 0
 			decision := router.AttemptEnded(start, request, Outcome{Result: Overloaded, Note: test.note})
 			if got := decision.Attempt.Source; test.want != 0 && got != test.want || test.want == 0 && got == 5 {
-				t.Errorf("%+v", decision)
+				t.Errorf("decision %+v, want source %d (0: not the origin, 5)", decision, test.want)
 			}
 		})
 	}
@@ -34,12 +34,12 @@
 	}{
 		{"idempotent, after a timeout", "harmless", []Result{TimedOut}, Send},
 		{
-			"idempotent, bounded by its weight",
+			"idempotent, attempts limited by its weight",
 			"harmless",
 			[]Result{Overloaded, Overloaded, Overloaded, Overloaded},
 			Reject,
 		},
-		{"half the weight, fewer attempts", "stamped", []Result{Overloaded, Overloaded, Overloaded}, Reject},
+		{"half the weight: fewer attempts", "stamped", []Result{Overloaded, Overloaded, Overloaded}, Reject},
 		{"keyed, has not run: any cache", "stamped", []Result{Unreachable}, Send},
 		{"keyed, may have run: no other cache in its cell", "stamped", []Result{ConnectionLost, ConnectionLost}, Fail},
 		{"non-idempotent, has not run", "once", []Result{Overloaded}, Send},
@@ -52,27 +52,28 @@
 			decision := router.Decide(now, request)
 			for i, result := range test.results {
 				if decision.Verdict != Send {
-					t.Fatalf("attempt %d: verdict %v", i, decision.Verdict)
+					t.Fatalf("attempt %d: verdict %v, want %v", i, decision.Verdict, Send)
 				}
 				first := decision.Attempt.Cache
 				now += second / 2
 				decision = router.AttemptEnded(now, request, Outcome{Attempt: i, Result: result})
 				mayHaveRun := test.class == "stamped" && result == ConnectionLost
 				if mayHaveRun && decision.Verdict == Send && decision.Attempt.Cache != first {
-					t.Fatal("sent to another cell")
+					t.Fatalf("attempt %d is sent to cache %d in another cell, want cache %d",
+						i+1, decision.Attempt.Cache, first)
 				}
 			}
 			if decision.Verdict != test.want {
 				t.Errorf("verdict %v, want %v", decision.Verdict, test.want)
 			}
 			if again := router.Decide(now, request); decision.Verdict != Send && again.Verdict != Wait {
-				t.Errorf("after its final answer: %v", again.Verdict)
+				t.Errorf("after the final response: verdict %v, want %v", again.Verdict, Wait)
 			}
 		})
 	}
 }
 
-// Retries take a token only after results that may be a sign of an overload.
+// Retries take a token only after results that may be signs of an overload.
 func TestRetriesAfterLostConnectionsTakeNoTokens(t *testing.T) {
 	for _, test := range []struct {
 		result Result
@@ -97,20 +98,20 @@
 	}
 }
 
-// Once answers were lost, an attempt that takes long is hedged: a lost answer would be noticed only at the
-// deadline.
+// After responses were lost, an attempt that takes long is hedged. Without a hedge, a lost response would be noticed
+// only at the deadline.
 func TestHedging(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		lost    int
+		lost    int   // number of lost responses
 		elapsed int64 // in tenths of the latency objective
 		change  func(*Settings)
 		want    Verdict
 	}{
-		{"answers were lost", 2, 7, nil, Send},
-		{"none was lost", 0, 7, nil, Wait},
-		{"it does not take long yet", 2, 5, nil, Wait},
-		{"many time out: hedges would make an overload worse", 60, 7, nil, Wait},
+		{"responses were lost", 2, 7, nil, Send},
+		{"no response was lost", 0, 7, nil, Wait},
+		{"the attempt does not take long yet", 2, 5, nil, Wait},
+		{"many attempts time out: hedges would make an overload worse", 60, 7, nil, Wait},
 		{"hedging is not allowed", 2, 7, func(s *Settings) { s.Hedging = false }, Wait},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -118,7 +119,7 @@
 			for n := range 300 + test.lost {
 				request := newRequest("harmless", fmt.Sprint(n))
 				if decision := router.Decide(now, request); decision.Verdict != Send {
-					t.Fatalf("verdict %v", decision.Verdict)
+					t.Fatalf("request %d: verdict %v, want %v", n, decision.Verdict, Send)
 				}
 				outcome := Outcome{Result: Succeeded, Elapsed: second / 10, RequestEnded: true}
 				if n >= 300 {
@@ -132,7 +133,8 @@
 			decision := router.Decide(now, request)
 			sameCache := decision.Verdict == Send && decision.Attempt.Cache == request.attempts[0].cache.ID
 			if decision.Verdict != test.want || sameCache {
-				t.Errorf("verdict %v, want %v", decision.Verdict, test.want)
+				t.Errorf("verdict %v, want %v; sent to the same cache: %v, want false",
+					decision.Verdict, test.want, sameCache)
 			}
 		})
 	}
@@ -150,7 +152,7 @@
 		idempotency Idempotency
 		scope       KeyScope
 		attempt     *attemptState
-		want        [3]bool // in the cell, in the zone, elsewhere
+		want        [3]bool // a retry is allowed in the same cell, in the same zone, elsewhere
 	}{
 		{"cell", Keyed, ScopeCell, ran, [3]bool{true, false, false}},
 		{"zone", Keyed, ScopeZone, ran, [3]bool{true, true, false}},
@@ -167,19 +169,19 @@
 				request.withinKeyScope(elsewhere),
 			}
 			if got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("retry allowed in the same cell, in the same zone, elsewhere: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// Without the setting, a rejection carries no Retry-After.
+// Rejections carry no Retry-After if the settings do not allow it.
 func TestRejectionWithoutRetryAfter(t *testing.T) {
 	router := newRouter(t, func(s *Settings) { s.RetryAfter = false })
 	request := newRequest("harmless", "a")
 	router.Decide(start, request)
 	request.ended = false
 	if decision := router.rejectOrFail(start, request); decision.Verdict != Reject || decision.RetryAfter != 0 {
-		t.Errorf("%+v", decision)
+		t.Errorf("decision %+v, want verdict reject without RetryAfter", decision)
 	}
 }
--- a/control/selection_test.go
+++ b/control/selection_test.go
@@ -12,10 +12,10 @@
 			object := fmt.Sprint(i)
 			source, sourceThere := sourceOf(here, object), sourceOf(there, object)
 			if source != sourceThere {
-				t.Errorf("object %s: %d and %d", object, source, sourceThere)
+				t.Errorf("object %s is filled from %d here and from %d in another location", object, source, sourceThere)
 			}
 			if source != 3 && source != 4 {
-				t.Errorf("object %s filled from %d", object, source)
+				t.Errorf("object %s is filled from %d, want parent 3 or 4", object, source)
 			}
 		}
 	})
@@ -25,12 +25,12 @@
 			seen[router.Decide(start, newRequest("harmless", "hot")).Attempt.Cache]++
 		}
 		if seen[1] == 0 || seen[2] == 0 {
-			t.Errorf("attempts by cache: %v", seen)
+			t.Errorf("attempts by cache: %v, want some at both caches, 1 and 2", seen)
 		}
 	})
 }
 
-// sourceOf returns the source of the first attempt of a request for an object, which is answered at once.
+// sourceOf returns the source of the first attempt of a request for an object. The attempt succeeds immediately.
 func sourceOf(router *Router, object string) uint32 {
 	request := newRequest("harmless", object)
 	decision := router.Decide(start, request)
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -9,39 +9,50 @@
 	"testing"
 )
 
-// What a router can't go by is named with its key and its value, each of several.
-func TestSettingsThatAreWrong(t *testing.T) {
+// The error names the key and the value of each invalid setting.
+func TestInvalidSettings(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change RawSettings
 		want   []SettingError
 	}{
-		{"a number for a switch", RawSettings{"probe": 1.}, []SettingError{{"probe", 1., "is no bool"}}},
-		{"a number for a count", RawSettings{"routers": 4.}, []SettingError{{"routers", 4., "is no int64"}}},
 		{
-			"one for a list",
+			"a float for a switch",
+			RawSettings{"probe": 1.},
+			[]SettingError{{"probe", 1., "must be of type bool, not float64"}},
+		},
+		{
+			"a float for a count",
+			RawSettings{"routers": 4.},
+			[]SettingError{{"routers", 4., "must be of type int64, not float64"}},
+		},
+		{
+			"a single value for a list",
 			RawSettings{"product.due": second},
-			[]SettingError{{"product.due", second, "is no []int64"}},
+			[]SettingError{{"product.due", second, "must be of type []int64, not int64"}},
 		},
 		{
-			"a list of others",
+			"a list of another type",
 			RawSettings{"product.neverKept": []string{"yes"}},
-			[]SettingError{{"product.neverKept", []string{"yes"}, "is no []bool"}},
+			[]SettingError{{"product.neverKept", []string{"yes"}, "must be of type []bool, not []string"}},
 		},
 		{
-			"two at once",
+			"two invalid settings",
 			RawSettings{"joins": "on", "cold.span": 2.5},
-			[]SettingError{{"cold.span", 2.5, "is no int64"}, {"joins", "on", "is no bool"}},
+			[]SettingError{
+				{"cold.span", 2.5, "must be of type int64, not float64"},
+				{"joins", "on", "must be of type bool, not string"},
+			},
 		},
 		{
-			"a kind beyond the list",
+			"an index beyond the list of kinds",
 			RawSettings{"kind.origin": int64(3)},
-			[]SettingError{{"kind.origin", int64(3), "is no place in the 3 kinds"}},
+			[]SettingError{{"kind.origin", int64(3), "is not an index into the 3 elements of kinds"}},
 		},
 		{
 			"a class twice",
 			RawSettings{"product.names": []string{"harmless", "once", "harmless"}},
-			[]SettingError{{"product.names", []string{"harmless", "once", "harmless"}, `has "harmless" twice`}},
+			[]SettingError{{"product.names", []string{"harmless", "once", "harmless"}, `names class "harmless" twice`}},
 		},
 		{
 			"missing",
@@ -58,33 +69,34 @@
 	}
 }
 
-// checkSettingErrors checks that an error joins one for each setting that is wrong, and names its value.
+// checkSettingErrors checks that err joins exactly the wanted errors, and that each contains the value of its
+// setting.
 func checkSettingErrors(t *testing.T, err error, wanted []SettingError) {
 	t.Helper()
 	if err == nil {
-		t.Fatal("no error")
+		t.Fatalf("no error, want %d", len(wanted))
 	}
 	var first *SettingError
 	if !errors.As(err, &first) {
-		t.Fatalf("%T: %v", err, err)
+		t.Fatalf("error of type %T, want a *SettingError: %v", err, err)
 	}
 	if lines := strings.Split(err.Error(), "\n"); len(lines) != len(wanted) {
-		t.Fatalf("%d errors: %v", len(lines), err)
+		t.Fatalf("%d errors, want %d: %v", len(lines), len(wanted), err)
 	}
 	for _, want := range wanted {
 		if !strings.Contains(err.Error(), want.Error()) {
-			t.Errorf("%q, want %q", err, want.Error())
+			t.Errorf("error %q does not contain %q", err, want.Error())
 		}
 		if want.Value != nil && !strings.Contains(want.Error(), fmt.Sprintf("%#v", want.Value)) {
-			t.Errorf("%q has no %#v", want.Error(), want.Value)
+			t.Errorf("error %q does not contain the value %#v", want.Error(), want.Value)
 		}
 	}
 }
 
-// Absent settings are none, lists that are shorter than that of the classes leave the rest as if absent, and
-// what is unknown is taken for the worst.
-func TestSettingsThatAreAbsent(t *testing.T) {
-	set, err := DecodeSettings(RawSettings{
+// Absent settings get defaults. So do the classes beyond the end of a list that is too short. An unknown value gets
+// the most restrictive meaning.
+func TestAbsentSettings(t *testing.T) {
+	settings, err := DecodeSettings(RawSettings{
 		"routers":          int64(0),
 		"location":         "here",
 		"kinds":            []string{"cache"},
@@ -97,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a, b := set.Classes[0], set.Classes[1]
+	a, b := settings.Classes[0], settings.Classes[1]
 	wantA := ClassSettings{
 		Name:             "a",
 		LatencyObjective: 2 * second,
@@ -113,19 +125,19 @@
 		KeyScope:         ScopeCell,
 	}
 	if a != wantA || b != wantB {
-		t.Errorf("%+v and %+v", a, b)
+		t.Errorf("classes %+v and %+v, want %+v and %+v", a, b, wantA, wantB)
 	}
-	if set.parentSharers() != 1 || set.cacheSharers() != 1 ||
-		set.parentKind() != noKind || set.originKind() != noKind || set.inFlightField() != -1 ||
-		set.Weights != CapacityWeights || !set.OriginUnlimited || set.MaxAttempts != 3 ||
-		set.PurgeDuration != 10*second || set.ParentSlowStart != set.CacheSlowStart ||
-		set.CacheSlowStart != (SlowStartSettings{Share: 1, Factor: 1, Window: second}) {
-		t.Errorf("%+v", set)
+	if settings.parentRouters() != 1 || settings.cacheRouters() != 1 ||
+		settings.parentKind() != noKind || settings.originKind() != noKind || settings.inFlightField() != -1 ||
+		settings.Weights != CapacityWeights || !settings.OriginUnlimited || settings.MaxAttempts != 3 ||
+		settings.PurgeDuration != 10*second || settings.ParentSlowStart != settings.CacheSlowStart ||
+		settings.CacheSlowStart != (SlowStartSettings{Share: 1, Factor: 1, Window: second}) {
+		t.Errorf("settings %+v do not have the defaults for absent settings", settings)
 	}
 }
 
-// allWrongSettings have a value that is of no setting's type under each key.
-func allWrongSettings() RawSettings {
+// allInvalidSettings returns settings with a value of the wrong type under each key.
+func allInvalidSettings() RawSettings {
 	raw := RawSettings{}
 	for _, key := range []string{
 		"advice", "advice.most", "answer.bytesPerS", "answer.grace", "cancel", "clientKBPerS", "cold.factor",
@@ -142,34 +154,38 @@
 	return raw
 }
 
-// Parts of the text for settings of wrong types.
-const kindErrors = "setting kind.parent is no int64: struct {}{}\nsetting kinds is no []string: struct {}{}\n" +
-	"setting kind.origin is no int64: struct {}{}\n"
+// kindErrors are the errors for the settings of machine types if they have the wrong type.
+const kindErrors = `setting kind.parent must be of type int64, not struct {}: struct {}{}
+setting kinds must be of type []string, not struct {}: struct {}{}
+setting kind.origin must be of type int64, not struct {}: struct {}{}
+`
 
-const requestErrors = `setting report.fields is no []string: struct {}{}
-setting clientKBPerS is no float64: struct {}{}
-setting origin.fallFactor is no float64: struct {}{}
-setting probe is no bool: struct {}{}
-setting joins is no bool: struct {}{}
-setting dispatches.together is no bool: struct {}{}
-setting cancel is no bool: struct {}{}
-setting advice is no bool: struct {}{}
-setting advice.most is no int64: struct {}{}
-setting dispatches.most is no int64: struct {}{}
-setting purge.takes is no int64: struct {}{}
+// requestErrors are the errors for the settings of request handling if they have the wrong type.
+const requestErrors = `setting report.fields must be of type []string, not struct {}: struct {}{}
+setting clientKBPerS must be of type float64, not struct {}: struct {}{}
+setting origin.fallFactor must be of type float64, not struct {}: struct {}{}
+setting probe must be of type bool, not struct {}: struct {}{}
+setting joins must be of type bool, not struct {}: struct {}{}
+setting dispatches.together must be of type bool, not struct {}: struct {}{}
+setting cancel must be of type bool, not struct {}: struct {}{}
+setting advice must be of type bool, not struct {}: struct {}{}
+setting advice.most must be of type int64, not struct {}: struct {}{}
+setting dispatches.most must be of type int64, not struct {}: struct {}{}
+setting purge.takes must be of type int64, not struct {}: struct {}{}
 `
 
-const slowStartErrors = `setting cold.share is no float64: struct {}{}
-setting cold.factor is no float64: struct {}{}
-setting cold.span is no int64: struct {}{}
-setting cold.window is no int64: struct {}{}
-setting parent.coldShare is no float64: struct {}{}
-setting parent.coldFactor is no float64: struct {}{}
-setting parent.coldSpan is no int64: struct {}{}`
+// slowStartErrors are the errors for the settings of slow start if they have the wrong type.
+const slowStartErrors = `setting cold.share must be of type float64, not struct {}: struct {}{}
+setting cold.factor must be of type float64, not struct {}: struct {}{}
+setting cold.span must be of type int64, not struct {}: struct {}{}
+setting cold.window must be of type int64, not struct {}: struct {}{}
+setting parent.coldShare must be of type float64, not struct {}: struct {}{}
+setting parent.coldFactor must be of type float64, not struct {}: struct {}{}
+setting parent.coldSpan must be of type int64, not struct {}: struct {}{}`
 
-// All that is wrong is named at once, in an order that stays: operators and their tools know the text.
+// The error names all invalid settings, in a fixed order. Operators and their tools depend on the text.
 func TestErrorTextOfSettings(t *testing.T) {
-	withClass := allWrongSettings()
+	withClass := allInvalidSettings()
 	withClass["product.names"] = []string{"a"}
 	withClass["location"] = "here"
 	withClass["locations"] = []string{"here"}
@@ -179,29 +195,29 @@
 		raw  RawSettings
 		want string
 	}{
-		{"all of wrong types", allWrongSettings(), `setting units is no string: struct {}{}
-setting location is no string: struct {}{}
-setting routers is no int64: struct {}{}
-` + kindErrors + requestErrors + `setting product.names is no []string: struct {}{}
-setting locations is no []string: struct {}{}
-setting location.routers is no []int64: struct {}{}
+		{"all of wrong types", allInvalidSettings(), `setting units must be of type string, not struct {}: struct {}{}
+setting location must be of type string, not struct {}: struct {}{}
+setting routers must be of type int64, not struct {}: struct {}{}
+` + kindErrors + requestErrors + `setting product.names must be of type []string, not struct {}: struct {}{}
+setting locations must be of type []string, not struct {}: struct {}{}
+setting location.routers must be of type []int64, not struct {}: struct {}{}
 ` + slowStartErrors},
-		{"those of a class of wrong types", withClass, `setting kinds is missing
-setting units is no string: struct {}{}
-setting routers is no int64: struct {}{}
-setting kind.parent is no int64: struct {}{}
-setting kind.origin is no int64: struct {}{}
-` + requestErrors + `setting product.due is no []int64: struct {}{}
-setting product.dueStretch is no []float64: struct {}{}
-setting product.fresh is no []int64: struct {}{}
-setting product.payoff is no []float64: struct {}{}
-setting product.effect is no []string: struct {}{}
-setting product.scope is no []string: struct {}{}
-setting product.window is no []int64: struct {}{}
-setting product.neverKept is no []bool: struct {}{}
-setting location.routers is no []int64: struct {}{}
+		{"settings of a class of wrong types", withClass, `setting kinds is missing
+setting units must be of type string, not struct {}: struct {}{}
+setting routers must be of type int64, not struct {}: struct {}{}
+setting kind.parent must be of type int64, not struct {}: struct {}{}
+setting kind.origin must be of type int64, not struct {}: struct {}{}
+` + requestErrors + `setting product.due must be of type []int64, not struct {}: struct {}{}
+setting product.dueStretch must be of type []float64, not struct {}: struct {}{}
+setting product.fresh must be of type []int64, not struct {}: struct {}{}
+setting product.payoff must be of type []float64, not struct {}: struct {}{}
+setting product.effect must be of type []string, not struct {}: struct {}{}
+setting product.scope must be of type []string, not struct {}: struct {}{}
+setting product.window must be of type []int64, not struct {}: struct {}{}
+setting product.neverKept must be of type []bool, not struct {}: struct {}{}
+setting location.routers must be of type []int64, not struct {}: struct {}{}
 ` + slowStartErrors},
-		{"none", RawSettings{}, `setting product.names is missing
+		{"no settings", RawSettings{}, `setting product.names is missing
 setting product.due is missing
 setting product.hardStop is missing
 setting product.payoff is missing
@@ -211,21 +227,21 @@
 setting routers is missing`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			set, err := DecodeSettings(test.raw)
+			settings, err := DecodeSettings(test.raw)
 			if err == nil || err.Error() != test.want {
-				t.Errorf("%v\nwant\n%s", err, test.want)
+				t.Errorf("error\n%v\nwant\n%s", err, test.want)
 			}
-			// What is wrong counts as absent, so that other files can still be checked against the rest.
+			// Invalid settings count as absent, so that other files can still be checked against the other settings.
 			want := DefaultSettings()
-			want.Location, want.Classes = set.Location, set.Classes
-			if !reflect.DeepEqual(set, want) {
-				t.Errorf("%+v\nwant %+v", set, want)
+			want.Location, want.Classes = settings.Location, settings.Classes
+			if !reflect.DeepEqual(settings, want) {
+				t.Errorf("settings %+v\nwant %+v", settings, want)
 			}
 		})
 	}
 }
 
-// Settings that no decision depends on: each is read, and of a wrong type it counts as absent.
+// Settings that no decision depends on are decoded. A value of the wrong type counts as absent.
 func TestUncheckedSettings(t *testing.T) {
 	raw := rawTestSettings()
 	raw["list.mode"] = "ask"
@@ -252,7 +268,7 @@
 		s.MaxStreamsPerConnection = 100
 	})
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v\nwant %+v", got, want)
+		t.Errorf("settings %+v\nwant %+v", got, want)
 	}
 	for _, key := range []string{
 		"list.mode", "product.hardStop", "answer.grace", "answer.bytesPerS", "hands.most", "purge.grace", "drain.grace",
@@ -263,15 +279,15 @@
 	got = mustDecode(raw)
 	want = testSettings(func(s *Settings) { s.LongestDeadline, s.PurgeGrace, s.DrainGrace = 0, 0, 0 })
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v\nwant %+v", got, want)
+		t.Errorf("settings with wrong types %+v\nwant %+v", got, want)
 	}
 	raw["hands.most"] = int64(0)
 	if got := mustDecode(raw).MaxInFlight; got != DefaultSettings().MaxInFlight {
-		t.Errorf("%d requests in flight", got)
+		t.Errorf("MaxInFlight %d for hands.most 0, want %d", got, DefaultSettings().MaxInFlight)
 	}
 }
 
-// Each value of an enumeration has a name of its own, and any other its number.
+// String returns a unique name for each enumeration value, and the number for any other value.
 func TestNamesOfValues(t *testing.T) {
 	seen := map[string]bool{}
 	for result := Overloaded; result <= LocalError; result++ {
@@ -287,6 +303,6 @@
 		t.Errorf("%d names, want %d: %v", len(seen), want, seen)
 	}
 	if got := fmt.Sprint(Result(99), Verdict(-1), TimedOut, Reject); got != "99 -1 timed out reject" {
-		t.Error(got)
+		t.Errorf("names %q, want %q", got, "99 -1 timed out reject")
 	}
 }
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -9,8 +9,8 @@
 	"tealpath/internal/logevent"
 )
 
-// ruleLimit returns the number of requests above which an endpoint that can take n is overloaded, as rule 4 has
-// it.
+// ruleLimit returns the number of requests above which an endpoint that can take n is overloaded, according to rule 4
+// in docs/design.md.
 func ruleLimit(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -23,27 +23,28 @@
 	for n := 0.01; n < 5000; n *= 1.001 {
 		limit := overloadLimit(n)
 		if limit > ruleLimit(n)+1e-9 || limit < previous || limit < ruleLimit(n)-6.5 {
-			t.Fatalf("N %.2f: limit %.2f after %.2f, that of the rule is %.2f", n, limit, previous, ruleLimit(n))
+			t.Fatalf("N %.2f: limit %.2f, want it at least %.2f, as for the smaller N, and at most %.2f, as in rule 4, "+
+				"but no more than 6.5 below that", n, limit, previous, ruleLimit(n))
 		}
 		previous = limit
 	}
 }
 
-// sentWork is an attempt at the endpoint in slow start.
+// sentWork is work that was sent to the endpoint in slow start.
 type sentWork struct {
 	at   int64
 	work float64
 }
 
-// sharedSlowStart is a set of routers that share an endpoint that has just started.
+// sharedSlowStart is a set of routers that send to the same endpoint, which has just started.
 type sharedSlowStart struct {
 	routers []*Router
-	sent    []sentWork // of all routers
+	sent    []sentWork // work from all routers
 }
 
 const (
-	startingID = 3   // of a parent, shared by all
-	meanWork   = 0.5 // s; the classes' initial mean, which is their latency objective
+	startingID = 3   // ID of the endpoint in slow start, a parent that all routers send to
+	meanWork   = 0.5 // s; initial mean sending time of the classes, which is their latency objective
 )
 
 func newSharedSlowStart(t *testing.T, routers int, capacity float64) *sharedSlowStart {
@@ -64,7 +65,7 @@
 	return router
 }
 
-// sendAll has a router send as much as it may.
+// sendAll makes a router send as much work as its slow start admits.
 func (s *sharedSlowStart) sendAll(now int64, router *Router) {
 	for endpoint := router.endpoints[startingID]; router.slowStartAdmits(now, endpoint, meanWork); {
 		endpoint.charge(now, meanWork)
@@ -72,7 +73,7 @@
 	}
 }
 
-// check compares the attempts within each window with the limit of the rule at its end.
+// check compares the number of attempts within each window with ruleLimit at the end of the window.
 func (s *sharedSlowStart) check(t *testing.T, capacity float64) {
 	t.Helper()
 	slices.SortFunc(s.sent, func(a, b sentWork) int { return int(a.at - b.at) })
@@ -83,25 +84,25 @@
 		}
 		n := 2 * capacity * (0.1 + 0.9*float64(sent.at-start)/float64(20*second)) * 2 / meanWork
 		if count := float64(last - first + 1); count > ruleLimit(n) {
-			t.Fatalf("%.0f requests within a window %.1f s after the start, N is %.2f and the limit %.2f", count,
+			t.Fatalf("%.0f requests within the window that ends %.1f s after the start, N is %.2f, limit %.2f", count,
 				float64(sent.at-start)/1e9, n, ruleLimit(n))
 		}
 	}
 }
 
-// Routers that send all they may in one instant, and go on, keep within the rule together, few or many,
-// whatever the capacity of the endpoint; also if nine in ten of them restart within the window and do not
-// remember what they sent.
-func TestSlowStartHoldsForAllRoutersTogether(t *testing.T) {
+// All routers together stay within rule 4 if each sends as much as it may at the same moment and continues to do
+// so. This holds for any number of routers and any capacity of the endpoint, and also if nine in ten routers
+// restart within the window and do not know what they sent.
+func TestSlowStartLimitsAllRoutersTogether(t *testing.T) {
 	for _, routers := range []int{1, 6, 24, 350, 900} {
 		for _, n := range []float64{0.3, 1, 4, 17, 29, 150} {
 			for _, restart := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%d routers, N %.1f, restart %v", routers, n, restart), func(t *testing.T) {
 					t.Parallel()
-					capacity := n * meanWork / 2 / 0.1 / 2 // a tenth of it is there at the start
+					capacity := n * meanWork / 2 / 0.1 / 2 // a tenth of it is available at the start
 					shared := newSharedSlowStart(t, routers, capacity)
 					for _, router := range shared.routers {
-						// collects tokens from here on
+						// The first call starts the collection of tokens.
 						router.slowStartAdmits(start, router.endpoints[startingID], meanWork)
 					}
 					for now := start + 4*second; now < start+14*second; now += second / 4 {
@@ -114,7 +115,7 @@
 					}
 					shared.check(t, capacity)
 					if len(shared.sent) == 0 && n >= 1 {
-						t.Error("nothing was sent in ten seconds")
+						t.Error("no request was sent within 10 s")
 					}
 				})
 			}
@@ -122,11 +123,11 @@
 	}
 }
 
-// Phases are distributed evenly over routers, endpoints and restarts.
-func TestPhases(t *testing.T) {
+// The initial fractions of a token are distributed uniformly over routers, endpoints and restarts.
+func TestInitialTokensAreUniform(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		of   func(n int) (seed uint64, now int64, id uint32)
+		of   func(n int) (seed uint64, now int64, id uint32) // parameters of case n
 	}{
 		{"routers", func(n int) (uint64, int64, uint32) { return uint64(n), start, 3 }},
 		{"restarts", func(n int) (uint64, int64, uint32) { return 7, start + int64(n), 3 }},
@@ -138,21 +139,22 @@
 			for n := range draws {
 				seed, now, id := test.of(n)
 				router := &Router{seed: seed}
-				count[int(router.phase(now, &endpointState{Endpoint: Endpoint{ID: id}})*parts)]++
+				count[int(router.initialTokens(now, &endpointState{Endpoint: Endpoint{ID: id}})*parts)]++
 			}
 			for part, n := range count {
 				if mean := draws / parts; n < mean*2/3 || n > mean*4/3 { // five standard deviations
-					t.Errorf("part %d of %d has %d of %d", part, parts, n, draws)
+					t.Errorf("interval %d of %d has %d of %d values, want %d to %d",
+						part, parts, n, draws, mean*2/3, mean*4/3)
 				}
 			}
 		})
 	}
 }
 
-// Retries, hedges, fills and probes are charged to the slow start like first attempts: with the mean sending time
-// of their class, whatever the size of the answer.
+// The next tests check that retries, hedges, fills and probes are charged to the slow start like first attempts: with
+// the mean sending time of their class, whatever the size of the response.
 
-// newRouterWithStart returns a router that lists one endpoint of testEndpoints as started now.
+// newRouterWithStart returns a router with testEndpoints, of which the endpoint with the given ID has just started.
 func newRouterWithStart(t *testing.T, id uint32, change func(*Settings)) *Router {
 	t.Helper()
 	router := newRouter(t, change)
@@ -162,11 +164,11 @@
 	return router
 }
 
-// checkCharged checks how much work, in s, is charged to an endpoint in slow start.
+// checkCharged checks the amount of work, in s, that is charged to an endpoint in slow start.
 func checkCharged(t *testing.T, router *Router, id uint32, want float64) {
 	t.Helper()
 	if work := router.endpoints[id].slowStart.work(); math.Abs(work-want) > 1e-9 {
-		t.Errorf("%.2f s of work are charged, want %.2f", work, want)
+		t.Errorf("%.2f s of work are charged to endpoint %d, want %.2f s", work, id, want)
 	}
 }
 
@@ -178,7 +180,7 @@
 	checkCharged(t, router, 1, 0.5)
 	decision := router.AttemptEnded(start, request, Outcome{Result: ConnectionLost})
 	if decision.Verdict != Send || decision.Attempt.Cache != 1 {
-		t.Fatalf("no retry: %+v", decision)
+		t.Fatalf("decision %+v, want a retry at cache 1", decision)
 	}
 	checkCharged(t, router, 1, 1)
 }
@@ -195,7 +197,8 @@
 	router.retries.tokens = 3
 	decision := router.Decide(start+second, request)
 	if decision.Verdict != Send || decision.Attempt.Cache != 2 || request.inFlight != 2 {
-		t.Fatalf("no hedge: %+v", decision)
+		t.Fatalf("decision %+v with %d attempts in flight, want a hedge at cache 2, the second attempt in flight",
+			decision, request.inFlight)
 	}
 	checkCharged(t, router, 1, 0.5)
 	checkCharged(t, router, 2, 0.5)
@@ -205,9 +208,9 @@
 	router := newRouterWithStart(t, 3, nil)
 	router.UpdateEndpoints(start, []Endpoint{{ID: 4, Location: "hub", Phase: PhaseGone}}, false)
 	large := newRequest("harmless", "a")
-	large.SizeKB = 5000 // 5 s by its size; the mean of its class counts
+	large.SizeKB = 5000 // 5 s by its size, but only the mean of its class counts
 	if decision := router.Decide(start, large); decision.Attempt.Source != 3 {
-		t.Fatalf("filled from %d", decision.Attempt.Source)
+		t.Fatalf("filled from %d, want 3", decision.Attempt.Source)
 	}
 	checkCharged(t, router, 3, 0.5)
 }
@@ -215,13 +218,13 @@
 func TestProbesAreCharged(t *testing.T) {
 	router := newRouterWithStart(t, 1, func(s *Settings) { s.HealthChecks = true })
 	endpoint := router.endpoints[1]
-	for n := range 20 { // until no probe is admitted either
+	for n := range 20 { // until the slow start does not admit any more probes
 		endpoint.ejected, endpoint.probing, endpoint.nextProbeAt = true, false, start
 		router.outliers.watched.add(endpoint) // as after an ejection
 		endpoint.lastResponseAt = start
 		probe, _ := router.Tick(start)
 		if want := n < 4; slices.Contains(probe, 1) != want { // (8 + 3·√8 + 3) / 2 incarnations / 2 routers
-			t.Fatalf("probe %d sent: %v", n, !want)
+			t.Fatalf("probe %d sent: %v, want %v", n, !want, want)
 		}
 	}
 	checkCharged(t, router, 1, 2)
@@ -230,14 +233,14 @@
 func TestSlowStartLimitsOneRouter(t *testing.T) {
 	cases := []struct {
 		name     string
-		endpoint int // index in testEndpoints
-		since    int64
-		budget   float64 // s; work that this router may send in the window
+		endpoint int     // index in testEndpoints
+		since    int64   // ns since its start
+		budget   float64 // s; work that this router may send within the window
 	}{
-		// The mean work is 0.5 s. Half of the limit is left to routers that restart.
+		// The mean work is 0.5 s. Half of the limit is reserved for routers that restart.
 		{"a cache that has just started", 0, 0, (8 + 3*math.Sqrt(8) + 3) / 2 / 2 * 0.5},
-		{"a cache half warm", 0, 5 * second, (24 + 3*math.Sqrt(24) + 3) / 2 / 2 * 0.5},
-		{"a parent that has just started, shared by all routers", 2, 0, (16 + 3*math.Sqrt(16) + 3) / 2 / 4 * 0.5},
+		{"a cache halfway through its warm-up", 0, 5 * second, (24 + 3*math.Sqrt(24) + 3) / 2 / 2 * 0.5},
+		{"a parent that has just started, used by all routers", 2, 0, (16 + 3*math.Sqrt(16) + 3) / 2 / 4 * 0.5},
 		{"a warm cache", 0, 11 * second, math.Inf(1)},
 	}
 	for _, test := range cases {
@@ -256,18 +259,19 @@
 				if decision.Attempt.Cache == entry.ID || decision.Attempt.Source == entry.ID {
 					sent += router.sendingTime(request)
 				}
-				// It is answered at once, so that only the budget binds.
+				// The response comes immediately, so that only the slow start limits the work.
 				router.AttemptEnded(now, request, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 2})
 			}
 			if sent > test.budget || sent == 0 || math.IsInf(test.budget, 1) && sent < 10 {
-				t.Errorf("sent %v s of work, budget %v", sent, test.budget)
+				t.Errorf("sent %v s of work, want more than 0 s and at most %v s (at least 10 s if unlimited)",
+					sent, test.budget)
 			}
 		})
 	}
 }
 
-// An endpoint that could not be reached has probably restarted, which the list tells only seconds later. When
-// it is restored its slow start begins.
+// An endpoint that was unreachable has probably restarted, which the endpoint list shows only seconds later. When
+// it is restored, its slow start begins.
 func TestUnreachableEndpointsRestartInSlowStart(t *testing.T) {
 	for _, test := range []struct {
 		name      string
@@ -281,7 +285,8 @@
 			router.AttemptEnded(start, request, Outcome{Result: test.result, RequestEnded: true})
 			router.ProbeEnded(start+second, endpoint.ID, true, nil)
 			if endpoint.ejected || (endpoint.slowStartFrom == start+second) != test.slowStart {
-				t.Errorf("ejected %v, slow start from %v", endpoint.ejected, endpoint.slowStartFrom)
+				t.Errorf("ejected %v, want false; slow start from %d, want it from %d: %v",
+					endpoint.ejected, endpoint.slowStartFrom, start+second, test.slowStart)
 			}
 		})
 	}
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -7,46 +7,47 @@
 	"slices"
 )
 
-// Snapshot is what a router has learned, for the router that starts in its place: rates, means of classes,
-// admission limits and purges. Scores of endpoints are not in it, as they are soon out of date. Times are by
-// the clock of the process that took it, in ns. CBOR stores the fields under the names in their tags.
+// Snapshot is what a router has learned: rates, means of classes, admission limits and purges. The router that
+// replaces it can restore the snapshot. Scores of endpoints are not included, because they are soon out of date.
+// Times are in ns by the clock of the process that took the snapshot. CBOR stores the fields under the names in
+// their tags.
 type Snapshot struct {
-	StartedAt       int64            `cbor:"Started"` // when counting started
+	StartedAt       int64            `cbor:"Started"` // when counting of requests started
 	TakenAt         int64            `cbor:"Taken"`
-	RequestCount    float64          `cbor:"Total"` // as of RequestCountAt, decayed
+	RequestCount    float64          `cbor:"Total"` // decayed, as of RequestCountAt
 	RequestCountAt  int64            `cbor:"TotalAt"`
-	AdmissionLimits [3]float64       `cbor:"Rooms"`    // by kind of attempts
-	Classes         []ClassSnapshot  `cbor:"Products"` // by name
-	Objects         []ObjectSnapshot // the last requested comes last
-	Purges          []PurgeSnapshot  // by name
+	AdmissionLimits [3]float64       `cbor:"Rooms"`    // indexed by attemptKind
+	Classes         []ClassSnapshot  `cbor:"Products"` // ordered by name
+	Objects         []ObjectSnapshot // ordered by the last request, the most recent one at the end
+	Purges          []PurgeSnapshot  // ordered by name
 }
 
-// ClassSnapshot is what was learned from the answers of a class.
+// ClassSnapshot is what was learned from the responses of a class.
 type ClassSnapshot struct {
 	Name         string
 	SendingTime  float64 `cbor:"Sending"` // s; mean
 	ResponseTime float64 `cbor:"Answer"`  // s; mean
-	Samples      float64 `cbor:"Seen"`    // answers that the means count for
+	Samples      float64 `cbor:"Seen"`    // number of responses that the means count as
 }
 
 // ObjectSnapshot is the record of one object.
 type ObjectSnapshot struct {
 	Object        string
 	Part, Group   int64
-	Count, Purges float64 // requests, as of CountedAt and decayed; purges in all
+	Count, Purges float64 // number of requests, decayed, as of CountedAt; total number of purges
 	CountedAt     int64   `cbor:"Counted"`
 	FirstSeenAt   int64   `cbor:"Born"`
-	Evicted       bool    `cbor:"Ghost"` // from the recently requested objects
+	Evicted       bool    `cbor:"Ghost"` // evicted from the recently requested objects
 }
 
-// PurgeSnapshot is a purge that still matters.
+// PurgeSnapshot is a purge that has not expired.
 type PurgeSnapshot struct {
-	Name     string // see purgeName
+	Name     string // key of the object or group; see purgeKey
 	PurgedAt int64  `cbor:"When"` // Unix ns by the clock of the discovery service
 }
 
-// Shifted returns the snapshot with its times moved by a span, in ns, to the clock of another process.
-// Timestamps of other machines stay.
+// Shifted returns the snapshot with its times shifted by an offset, in ns, to the clock of another process.
+// Timestamps of other machines do not change.
 func (s Snapshot) Shifted(by int64) Snapshot {
 	s.StartedAt += by
 	s.TakenAt += by
@@ -59,7 +60,7 @@
 	return s
 }
 
-// Snapshot returns what the router has learned, with at most so many objects.
+// Snapshot returns what the router has learned, with at most maxObjects objects.
 func (r *Router) Snapshot(now int64, maxObjects int) Snapshot {
 	snapshot := Snapshot{
 		StartedAt:       r.rates.startedAt,
@@ -84,7 +85,8 @@
 	return snapshot
 }
 
-// snapshot returns the records of the last requested objects, at most so many. The last requested comes last.
+// snapshot returns the records of the last requested objects, at most maxCount of them. The most recent one is the
+// last element.
 func (rates *requestRates) snapshot(maxCount int) (objects []ObjectSnapshot) {
 	for _, records := range []*list.List{rates.recentObjects, rates.evictedObjects} {
 		for element := records.Front(); element != nil && len(objects) < maxCount; element = element.Next() {
@@ -105,9 +107,9 @@
 	return objects
 }
 
-// Restore takes over what another router has learned. It is to be called before any other method. With rates,
-// the time since the snapshot does not count: rates are as they were then. Without, only which objects were
-// requested and purged is taken over, and not how often they were requested.
+// Restore applies a snapshot of another router. It must be called before any other method. If rates is true, it
+// restores request rates and admission limits as they were when the snapshot was taken, without decay since then. If
+// rates is false, it restores the objects without their rates, and no admission limits.
 func (r *Router) Restore(now int64, snapshot Snapshot, rates bool) {
 	for _, class := range snapshot.Classes {
 		r.restoreClass(class)
@@ -129,8 +131,8 @@
 	}
 }
 
-// restoreRates takes over the rate of all requests and the admission limits. elapsed is the time since the
-// snapshot, ns.
+// restoreRates restores the rate of all requests and the admission limits. elapsed is the time since the snapshot, in
+// ns.
 func (r *Router) restoreRates(now, elapsed int64, snapshot Snapshot) {
 	r.rates.startedAt = min(snapshot.StartedAt+elapsed, now)
 	r.rates.requestCount = snapshot.RequestCount
@@ -141,7 +143,7 @@
 	}
 }
 
-// restoreClass takes over the means of a class, if the settings still have it and the means are valid.
+// restoreClass restores the means of a class if the settings still have that class and the means are valid.
 func (r *Router) restoreClass(learned ClassSnapshot) {
 	class := r.classByName[learned.Name]
 	if class == nil || learned.SendingTime <= 0 || learned.ResponseTime <= 0 {
@@ -151,7 +153,7 @@
 	class.samples = max(class.samples, learned.Samples)
 }
 
-// record returns the record of an object, without its rate.
+// record returns the record of an object, without its request count.
 func (o ObjectSnapshot) record(now int64) *objectRecord {
 	return &objectRecord{
 		key:         objectKey{o.Object, o.Part},
@@ -163,8 +165,8 @@
 	}
 }
 
-// restore adds a record as the last requested, unless there is one of the object already or the records are
-// full.
+// restore adds a record as the most recently requested one, unless there already is a record of the object or the
+// maximum number of records is reached.
 func (rates *requestRates) restore(record *objectRecord) {
 	if rates.objects[record.key] != nil || len(rates.objects) >= 2*maxObjects {
 		return
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -7,10 +7,10 @@
 	"tealpath/internal/logevent"
 )
 
-// A router that restores a snapshot has the rates of the one before, though time has passed; without rates it
-// knows only which objects were requested.
+// A router that restores a snapshot with rates has the rates at the time of the snapshot, although time has passed.
+// Without rates it knows only which objects were requested and purged.
 func TestSnapshot(t *testing.T) {
-	set := mustDecode(RawSettings{
+	settings := mustDecode(RawSettings{
 		"product.names":    []string{"stills"},
 		"product.due":      []int64{4 * second / 10},
 		"product.hardStop": []int64{second},
@@ -21,7 +21,7 @@
 		"routers":          int64(1),
 	})
 	newRouterAt := func(at int64) *Router {
-		router := New(at, 7, set, func(logevent.Event) {})
+		router := New(at, 7, settings, func(logevent.Event) {})
 		cache := Endpoint{ID: 1, Location: "here", Kind: "cache", Phase: PhaseReady, Capacity: 4}
 		router.UpdateEndpoints(at, []Endpoint{cache}, true)
 		return router
@@ -36,14 +36,14 @@
 		}
 		decision := router.Decide(at, &Request{Class: "stills", Object: object, Deadline: at + second})
 		if decision.Verdict != Send {
-			t.Fatal(decision)
+			t.Fatalf("request %d: decision %+v, want verdict send", i, decision)
 		}
 	}
 	router.Purge(started+9*second, "b", 0, started+9*second)
 	now := started + 10*second
 	snapshot := router.Snapshot(now, 10)
 	if len(snapshot.Objects) != 2 || len(snapshot.Purges) != 1 || snapshot.Objects[1].Object != "a" {
-		t.Fatalf("%+v", snapshot)
+		t.Fatalf("snapshot %+v, want 2 objects, of which a is the last, and 1 purge", snapshot)
 	}
 	next := newRouterAt(later)
 	next.Restore(later, snapshot, true)
@@ -54,25 +54,26 @@
 	for _, object := range []string{"a", "b"} {
 		before, after := rate(router, now, object), rate(next, later, object)
 		if math.Abs(before-after) > 1e-9 || after == 0 {
-			t.Errorf("%s: %f before, %f after", object, before, after)
+			t.Errorf("rate of object %s: %f before, %f after, want equal and above 0", object, before, after)
 		}
 	}
 	if again := next.Snapshot(later, 10); again.Objects[1].Object != "a" || again.Purges[0] != snapshot.Purges[0] {
-		t.Errorf("%+v", again)
+		t.Errorf("snapshot after the restore %+v, want a as the last object, and purge %+v", again, snapshot.Purges[0])
 	}
 	withoutRates := newRouterAt(later)
 	withoutRates.Restore(later, snapshot, false)
 	record := withoutRates.rates.objects[objectKey{"b", 0}]
 	if record == nil || record.requestCount != 0 || record.purgeCount != 1 || withoutRates.rates.requestCount != 0 {
-		t.Errorf("%+v", record)
+		t.Errorf("restored without rates: record of b %+v, want 0 requests and 1 purge; %v requests in total, want 0",
+			record, withoutRates.rates.requestCount)
 	}
 	if one := router.Snapshot(now, 1); len(one.Objects) != 1 || one.Objects[0].Object != "a" {
-		t.Errorf("%+v", one.Objects)
+		t.Errorf("objects of a snapshot with at most 1 object: %+v, want only a", one.Objects)
 	}
 }
 
-// Classes that the settings do not have, invalid means and repeated objects in a snapshot are ignored; evicted
-// objects stay evicted.
+// Restore ignores classes that the settings do not have, invalid means and repeated objects. Evicted objects remain
+// evicted.
 func TestRestoreIgnoresInvalidEntries(t *testing.T) {
 	router := newRouter(t, nil)
 	before := *router.classByName["once"]
@@ -88,12 +89,13 @@
 		},
 	}, true)
 	if got := *router.classByName["once"]; got != before || len(router.classByName) != 3 {
-		t.Errorf("%+v, was %+v", got, before)
+		t.Errorf("class once %+v, want %+v; %d classes, want 3", got, before, len(router.classByName))
 	}
 	if record := router.rates.objects[objectKey{object: "a"}]; len(router.rates.objects) != 2 || record.group != 1 {
-		t.Errorf("%d records, %+v", len(router.rates.objects), record)
+		t.Errorf("%d records, want 2; record of a %+v, want group 1", len(router.rates.objects), record)
 	}
 	if router.rates.recentObjects.Len() != 1 || router.rates.evictedObjects.Len() != 1 {
-		t.Errorf("%d recent, %d evicted", router.rates.recentObjects.Len(), router.rates.evictedObjects.Len())
+		t.Errorf("%d recent objects, %d evicted, want 1 and 1",
+			router.rates.recentObjects.Len(), router.rates.evictedObjects.Len())
 	}
 }
--- a/control/types.go
+++ b/control/types.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// The phases of an endpoint in the endpoint list. Only a ready endpoint gets new attempts and fills misses.
+// Phases of an endpoint in the endpoint list. Only a ready endpoint gets new attempts and fills misses.
 const (
 	PhaseReady    = "ready"
 	PhaseDraining = "draining"
@@ -11,36 +11,36 @@
 
 // Endpoint is one entry of the endpoint list. CBOR stores the fields under the names in their tags.
 type Endpoint struct {
-	ID        uint32  // the same at all routers; the endpoints that an object goes to follow from it
-	Location  string  // zone; caches of the router's own location serve its requests
-	Kind      string  // machine type; the settings kind.parent and kind.origin name those of parents and origins
-	Cell      int64   // group in which servers drop repetitions of an idempotency key, where the scope is cell
+	ID        uint32  // the same at all routers; rendezvous hashing of objects uses it
+	Location  string  // zone; a router's requests are served by the caches of its location
+	Kind      string  // machine type; the settings kind.parent and kind.origin select the parents' and origins' types
+	Cell      int64   // with ScopeCell, the servers of one cell drop repetitions of an idempotency key
 	Phase     string  // PhaseReady, PhaseDraining or PhaseGone
-	Capacity  float64 `cbor:"Units"`   // answers that it can send at once, each at a client's full rate
-	StartedAt int64   `cbor:"Started"` // last start, Unix ns by the clock of whoever reports it; 0 is long ago
+	Capacity  float64 `cbor:"Units"`   // responses that it can send at the same time, each at a client's full rate
+	StartedAt int64   `cbor:"Started"` // last start, in Unix ns by the reporting machine's clock; 0: long ago
 }
 
-// Request is one thing that a client asked for. The adapter fills in the exported fields and passes the same
-// pointer to every call; the rest belongs to this package.
+// Request is a request of a client. The caller fills in the exported fields and passes the same pointer to every
+// call. The unexported fields belong to this package.
 type Request struct {
 	Class         string  // name of one of the classes in the settings
-	Object        string  // what is requested
-	Group         int64   // of objects that are purged together
-	Part          int64   // of the object; each part is cached separately
-	SizeKB        float64 // of the answer; 0 is not known
-	Deadline      int64   // when the client gives up
-	ClientRetry   bool    // the client has marked it as a retry, or it was found to be likely one
-	Write         bool    // the origin has to process it, and its answer is not cached
-	NoNewAttempts bool    // its client has closed its sending side: no further attempt is made
+	Object        string  // name of the requested object
+	Group         int64   // group of objects that are purged together
+	Part          int64   // part of the object; each part is cached separately
+	SizeKB        float64 // size of the response; 0: not known
+	Deadline      int64   // when the client stops waiting for a response
+	ClientRetry   bool    // marked as a retry by the client, or guessed to be one
+	Write         bool    // the origin must process the request, and the response is not cached
+	NoNewAttempts bool    // the client has closed its sending side: no further attempt is made
 
 	requestState
 }
 
-// Verdict says what a Decision asks of the adapter.
+// Verdict is what a Decision asks the caller to do.
 type Verdict int
 
-// The verdicts. Wait leaves the request as it is, Send starts Decision.Attempt, and Reject and Fail are final
-// answers.
+// Verdicts. Wait means to do nothing now, Send to start Decision.Attempt, and Reject and Fail to end the request
+// with that response.
 const (
 	Wait Verdict = iota
 	Send
@@ -52,46 +52,46 @@
 	return enumName(int(v), "wait", "send", "reject", "fail")
 }
 
-// Attempt says where a request is sent and on which terms.
+// Attempt describes where and how a request is sent.
 type Attempt struct {
-	Cache              uint32 // ID of the endpoint that it is sent to
-	CacheOnly          bool   // the cache serves only what it has cached; the fields below up to Timeout are unused
+	Cache              uint32 // ID of the endpoint that the request is sent to
+	CacheOnly          bool   // the cache serves only a cached object; Source to ParentNoStore are not used
 	Source             uint32 // ID of the endpoint that the cache fills a miss from
-	CachePriority      int64  // 2 for reused objects, 1 for others; a full cache evicts lower ones first
-	MaxAge             int64  // ns; oldest cache entry that may be served; 0 is the class's fresh duration
-	JoinFill           bool   // wait for a fill of the object that is under way
-	RefreshBehind      bool   // serve an ageing entry, and refresh it in the background
-	ParentOnlyIfCached bool   // the source serves only what it has cached
-	ParentNoStore      bool   // the source caches nothing of it; no decision sets this so far
-	Timeout            int64  // ns; 0 is until the request's deadline
-	SendTimeout        int64  // ns; if it is not sent within that it counts as Unreachable
+	CachePriority      int64  // 2 for reused objects, 1 for others; a full cache evicts entries of lower priority first
+	MaxAge             int64  // ns; age of the oldest cache entry that may be served; 0: the class's fresh duration
+	JoinFill           bool   // the request may wait for a fill of its object that is already in flight
+	RefreshBehind      bool   // the cache serves an ageing entry and refreshes it in the background
+	ParentOnlyIfCached bool   // the source serves only a cached object
+	ParentNoStore      bool   // the source does not cache the response; no decision sets it
+	Timeout            int64  // ns; 0: until the request's deadline
+	SendTimeout        int64  // ns; an attempt that is not sent within this time ends as Unreachable
 }
 
-// Decision is the answer to Decide, AttemptEnded and ClientGone.
+// Decision is the result of Decide, AttemptEnded and ClientGone.
 type Decision struct {
 	Verdict    Verdict
-	Attempt    Attempt // with Send
-	RetryAfter int64   // with Reject: for how long the client should not retry, ns; 0 is not said
+	Attempt    Attempt // set if Verdict is Send
+	RetryAfter int64   // set if Verdict is Reject: ns until the client may retry; 0: no Retry-After is sent
 	Cancel     []int   // attempts to cancel, by their number in the request
 }
 
-// Result says how an attempt ended.
+// Result is how an attempt ended.
 type Result int
 
-// The results. Those up to NotSent, and LocalError, prove that no server has run the request.
+// Results. The ones up to NotSent, and LocalError, prove that no server has processed the request.
 const (
-	Overloaded      Result = iota // the cache or its source rejected it
-	Unreachable                   // there was no connection, or it was not sent within SendTimeout
-	NotCached                     // the object is not cached, and only a cached one was to be served
-	SendInterrupted               // the connection ended before all of it was sent
-	NotSent                       // nothing of it was sent
-	Succeeded                     // answered in full
-	ServerError                   // answered with an error
-	TimedOut                      // no answer within Timeout
-	ConnectionLost                // the connection ended after it was sent
-	Cancelled                     // the adapter cancelled it
-	Stale                         // the answer is older than a purge known when it was sent; see AcceptsCopy
-	LocalError                    // this machine could open no connection; it does not count against the endpoint
+	Overloaded      Result = iota // the cache or its source rejected the request
+	Unreachable                   // there was no connection, or the request was not sent within SendTimeout
+	NotCached                     // the object is not cached, and the attempt allowed only a cached object
+	SendInterrupted               // the connection ended before the whole request was sent
+	NotSent                       // no part of the request was sent
+	Succeeded                     // a complete response was received
+	ServerError                   // the response was an error
+	TimedOut                      // no response within Timeout
+	ConnectionLost                // the connection ended after the request was sent
+	Cancelled                     // the caller cancelled the attempt
+	Stale                         // the response is older than a purge known at the time of sending; see AcceptsCopy
+	LocalError                    // this machine could not open a connection; does not count against the endpoint
 )
 
 func (result Result) String() string {
@@ -100,7 +100,7 @@
 		"timed out", "connection lost", "cancelled", "stale", "local error")
 }
 
-// enumName returns the name of a value of an enumeration, or its number if it has no name.
+// enumName returns the name of an enumeration value, or the value in decimal if it has no name.
 func enumName(value int, names ...string) string {
 	if value < 0 || value >= len(names) {
 		return strconv.Itoa(value)
@@ -108,15 +108,15 @@
 	return names[value]
 }
 
-// Outcome says how one attempt of a request ended.
+// Outcome describes how one attempt of a request ended.
 type Outcome struct {
 	Attempt         int // number of the attempt in the request, from 0
 	Result          Result
-	Elapsed         int64     // ns; since it was sent
-	RequestEnded    bool      // the request has its final answer, by this attempt or otherwise
-	SharedCause     bool      // the cause was reported already, with another attempt on the same connection
-	Note            int64     // where the answer came from, or who rejected it, as the wire has it; 0 is not known
-	SendingTime     float64   // s; time that the answer took by its size; 0 is not known
-	TimeToFirstByte int64     // ns; until the source's first byte; not used so far
-	LoadReport      []float64 // in the order of the setting report.fields; nil if there is none
+	Elapsed         int64     // ns; since the attempt was sent
+	RequestEnded    bool      // the request has its final response, from this attempt or otherwise
+	SharedCause     bool      // the cause was already reported with another attempt on the same connection
+	Note            int64     // wire code of where the response came from or which server rejected it; 0: not known
+	SendingTime     float64   // s; time to send a response of this size; 0: not known
+	TimeToFirstByte int64     // ns; until the first byte from the source; not used
+	LoadReport      []float64 // figures in the order of the setting report.fields; nil: no report
 }
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// newWriteRouter makes a router with two classes: "read" is cacheable, "write" is not, nor idempotent. The parents
-// are in four hubs that form a ring, the origin is in the first.
+// newWriteRouter returns a router with the endpoints of ringEndpoints and two classes: "read" is cacheable and
+// idempotent, "write" is neither.
 func newWriteRouter(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
 	router := newRouter(t, func(s *Settings) {
@@ -42,10 +42,11 @@
 	hubs        = 4
 )
 
-// ringEndpoints returns four caches of this location, three parents in each hub and the origin in the first.
-func ringEndpoints() (lines []Endpoint) {
+// ringEndpoints returns four caches in this location, three parents in each of four hubs, and the origin in the first
+// hub. The hubs form a ring.
+func ringEndpoints() (entries []Endpoint) {
 	for n := range 4 {
-		lines = append(lines, Endpoint{
+		entries = append(entries, Endpoint{
 			ID:       uint32(1 + n),
 			Location: "here",
 			Kind:     "cache",
@@ -55,12 +56,12 @@
 		})
 	}
 	for n := range 3 * hubs {
-		lines = append(lines, Endpoint{
+		entries = append(entries, Endpoint{
 			ID: uint32(20 + n), Location: fmt.Sprint("hub-", n%hubs), Kind: "parent", Cell: 9,
 			Phase: "ready", Capacity: 20,
 		})
 	}
-	return append(lines, Endpoint{
+	return append(entries, Endpoint{
 		ID:       originID,
 		Location: "hub-0",
 		Kind:     "origin",
@@ -70,7 +71,7 @@
 	})
 }
 
-// hubOf returns the hub of a source of ringEndpoints.
+// hubOf returns the hub of a parent or the origin of ringEndpoints.
 func hubOf(id uint32) int {
 	if id == originID {
 		return 0
@@ -78,26 +79,27 @@
 	return int(id-20) % hubs
 }
 
-// hops returns how many steps along the ring it takes from one hub to another.
+// hops returns the number of steps along the ring from one hub to another.
 func hops(from, to int) int {
 	distance := (from - to + hubs) % hubs
 	return min(distance, hubs-distance)
 }
 
-// roundTrip returns how long a write takes from a location at a hub through a source, ns. Delays are those of a
-// typical deployment: 10 ms one way from the location to its hub, 35 ms from each hub to the next, 15 ms on to
-// the origin, 45 ms of work there and 30 ms to send the answer.
+// roundTrip returns the time in ns that a write takes through a source from a location at hub home. The delays are
+// those of a typical deployment. The one-way delays are 10 ms from the location to its hub, 35 ms from each hub to
+// the next and 15 ms from there to the origin. The origin takes 45 ms to process the write and 30 ms to send the
+// response.
 func roundTrip(home int, source uint32) int64 {
 	oneWay := 10 + 35*(hops(home, hubOf(source))+hops(hubOf(source), 0)) + 15
 	return int64(2*oneWay+45+30) * millisecond
 }
 
-// sendAndAnswer returns the first attempt of a new request, which is answered in time.
+// sendAndAnswer sends a new request, which gets a response in time, and returns its first attempt.
 func sendAndAnswer(t *testing.T, router *Router, request *Request) Attempt {
 	t.Helper()
 	decision := router.Decide(start, request)
 	if decision.Verdict != Send {
-		t.Fatalf("%s %s is not sent: %+v", request.Class, request.Object, decision)
+		t.Fatalf("%s of %s: decision %+v, want verdict send", request.Class, request.Object, decision)
 	}
 	router.AttemptEnded(start, request, Outcome{
 		Result:       Succeeded,
@@ -108,39 +110,39 @@
 	return decision.Attempt
 }
 
-// Writes go straight to the origin. A detour through the parent of the object's hash, which may be in any hub,
-// takes too long.
+// Writes go directly to the origin. A detour through the parent that the object's hash selects, which may be in any
+// hub, would take too long.
 func TestWritesTakeTheShortestPath(t *testing.T) {
 	for home := range hubs {
 		router := newWriteRouter(t, nil)
 		for n := range 200 {
 			source := sendAndAnswer(t, router, newRequest("write", fmt.Sprint("object", n))).Source
 			if took, best := roundTrip(home, source), roundTrip(home, originID); took > best {
-				t.Fatalf("from hub %d write %d takes %d ms through source %d, %d ms straight to the origin", home, n,
+				t.Fatalf("from hub %d write %d takes %d ms through source %d, and %d ms directly to the origin", home, n,
 					took/millisecond, source, best/millisecond)
 			}
 		}
 	}
 }
 
-// A request that is marked as a write is treated as one of a class that is not cacheable.
+// A request that is marked as a write is treated like a request of an uncacheable class.
 func TestMarkedWritesGoToTheOrigin(t *testing.T) {
 	router := newWriteRouter(t, func(s *Settings) { s.Classes[1].Uncacheable = false })
 	for n := range 50 {
 		write := newRequest("read", fmt.Sprint("object", n))
 		write.Write = true
 		if source := sendAndAnswer(t, router, write).Source; source != originID {
-			t.Fatalf("a marked write goes to source %d", source)
+			t.Fatalf("a marked write goes to source %d, want the origin, %d", source, originID)
 		}
 	}
 }
 
-// Requests that are cacheable are filled from the parent of their hash.
+// Cacheable requests are filled from the parent that their hash selects.
 func TestReadsAreFilledFromParents(t *testing.T) {
 	router := newWriteRouter(t, nil)
 	for n := range 50 {
 		if source := sendAndAnswer(t, router, newRequest("read", fmt.Sprint("object", n))).Source; source == originID {
-			t.Fatal("a read is filled straight from the origin")
+			t.Fatalf("read %d is filled directly from the origin, want from a parent", n)
 		}
 	}
 }
@@ -157,18 +159,18 @@
 			Elapsed: 20 * millisecond,
 		})
 		if decision.Verdict != Send || decision.Attempt.Source == originID || decision.Attempt.Source == 0 {
-			t.Errorf("after note %d: %+v", note, decision)
+			t.Errorf("after note %d: decision %+v, want a retry through a parent", note, decision)
 		}
 	}
 }
 
-// Without an origin in the list writes go through a parent.
+// If the endpoint list has no origin, writes go through a parent.
 func TestWritesWithoutAnOriginListed(t *testing.T) {
 	router := newWriteRouter(t, nil)
-	lines := ringEndpoints()
-	router.UpdateEndpoints(start, lines[:len(lines)-1], true)
+	entries := ringEndpoints()
+	router.UpdateEndpoints(start, entries[:len(entries)-1], true)
 	decision := router.Decide(start, newRequest("write", "object"))
 	if decision.Verdict != Send || decision.Attempt.Source == 0 {
-		t.Errorf("%+v", decision)
+		t.Errorf("decision %+v, want verdict send with a parent as source", decision)
 	}
 }
