--- a/control/admission.go
+++ b/control/admission.go
@@ -23,9 +23,9 @@
 	// a class of low value.
 	lowValueShare = 0.7
 
-	// A part of a limit is reserved for a class against another one if its value (priority weight divided by
-	// sending time) is more than higherValueRatio times as large. The reserved part is reserveFactor times the
-	// class's share of the offered work.
+	// For a request, a part of the limit is reserved for other classes whose value (priority weight divided by
+	// sending time) is more than higherValueRatio times that of the request. The reserved part is reserveFactor
+	// times the share of these classes in the offered work.
 	higherValueRatio = 2.
 	reserveFactor    = 2.
 
--- a/control/inflight.go
+++ b/control/inflight.go
@@ -6,7 +6,7 @@
 	"tealpath/internal/timerqueue"
 )
 
-// countsByKind holds a number of attempts for each kind.
+// countsByKind holds the number of attempts of each kind.
 type countsByKind [kinds]int
 
 // sum returns the number of attempts of all kinds.
@@ -21,14 +21,14 @@
 	lateCheckedAt int64                           // time up to which late attempts are subtracted
 }
 
-// attemptStarted registers an attempt that starts now with one of its endpoints.
+// attemptStarted counts an attempt that starts now at one of its endpoints, and watches that endpoint for outliers.
 func (r *Router) attemptStarted(endpoint *endpointState, attempt *attemptState) {
 	r.inFlight.started(endpoint, attempt)
 	r.outliers.scored.add(endpoint)
 	r.outliers.watched.add(endpoint)
 }
 
-// started counts an attempt at one of its endpoints.
+// started adds an attempt to the counts of one of its endpoints.
 func (c *inFlightCounts) started(endpoint *endpointState, attempt *attemptState) {
 	endpoint.inFlight = append(endpoint.inFlight, attempt)
 	c.count(endpoint, attempt, 1)
@@ -37,7 +37,7 @@
 	}
 }
 
-// finished removes an attempt from one of its endpoints.
+// finished removes an attempt from the counts of one of its endpoints.
 func (c *inFlightCounts) finished(endpoint *endpointState, attempt *attemptState) {
 	c.lateTimers.Remove(attempt.lateTimer)
 	endpoint.inFlight = slices.DeleteFunc(endpoint.inFlight, func(other *attemptState) bool {
@@ -57,7 +57,7 @@
 	}
 }
 
-// addCache adds the counts of a cache to those of all caches (sign 1), or subtracts them (sign -1).
+// addCache adds the counts of a cache to the counts of all caches if sign is 1, and subtracts them if sign is -1.
 func (c *inFlightCounts) addCache(endpoint *endpointState, sign int) {
 	for kind, count := range endpoint.withinObjective {
 		c.caches[kind] += sign * count
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -41,7 +41,7 @@
 	inTime         bool    // the attempt took no longer than its latency objective allows
 	early          bool    // the attempt ran out of time too soon to say anything about the endpoints
 	timedOut       bool    // no response came although there was enough time
-	sourceRejected bool    // rejectedBySource, unless the cause was already reported with another attempt
+	sourceRejected bool    // see rejectedBySource; false if the cause was already reported with another attempt
 	cache          attemptScore
 	source         attemptScore
 }
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -49,7 +49,7 @@
 	nextDecayed int          // index in scored of the endpoint that is checked next for decayed scores
 }
 
-// evidence is what the health of an endpoint is judged by, or the sum of this over several endpoints.
+// evidence holds the signs of an endpoint's health, or their sums over several endpoints.
 type evidence struct {
 	silence   float64 // mean response times waited by attempts in flight, up to maxSilencePerAttempt for each
 	successes float64 // decayed over healthWindow
@@ -81,9 +81,9 @@
 }
 
 // ejectIfOutlier ejects an endpoint if its recent failures or its silence are far above those of its peers.
-// Failures of all peers alike are no reason: they come from an overload, and ejecting one endpoint after the other
-// would only move objects from cache to cache. Up to half of a tier can be ejected at the same time. If more of it
-// fails, retries have to find the healthy endpoints.
+// Failures that all peers have alike are not a reason to eject an endpoint: they come from an overload, and ejecting
+// one endpoint after the other would only move objects from cache to cache. Up to half of a tier can be ejected at
+// the same time. If more of it fails, retries have to find the healthy endpoints.
 func (r *Router) ejectIfOutlier(now int64, endpoint *endpointState) {
 	if endpoint.ejected || endpoint == r.origin || !endpoint.mayBeEjected(now) {
 		return
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -27,17 +27,18 @@
 	// maxHotCaches is the maximum number of caches that serve a hot object. It must be less than firstBatch.
 	maxHotCaches = 3
 
-	// roundingMargin allows for rounding errors where a lower bound of a score is compared with another score.
+	// roundingMargin allows for rounding errors when a lower bound of a score is compared with another score.
 	roundingMargin = 1 + 1e-12
 )
 
-// tier is a list of endpoints of one role. What a scan over the endpoints reads is in a separate, compact array.
+// tier is a list of endpoints of one role. The values that scans over the endpoints read are in a compact array of
+// their own.
 type tier struct {
 	endpointList
 	keys []rankKey // keys[i] belongs to endpoints[i]
 }
 
-// rankKey is the input from an endpoint to its score for an object.
+// rankKey holds the properties of an endpoint that its score for an object depends on.
 type rankKey struct {
 	id     uint64
 	weight float64
--- a/control/rates.go
+++ b/control/rates.go
@@ -19,7 +19,7 @@
 	maxGuessedRetryCount = 10.
 )
 
-// decay returns the rest of a value that decays exponentially, to 1/e over a window, after elapsed. Both are in ns.
+// decay returns what remains of a value after elapsed ns if it decays exponentially, to 1/e within window ns.
 func decay(value float64, elapsed, window int64) float64 {
 	return value * math.Exp(-float64(elapsed)/float64(window))
 }
--- a/control/retries.go
+++ b/control/retries.go
@@ -182,8 +182,8 @@
 	return endpoint == nil || !endpoint.ejected && endpoint.failures < maxHealthyFailureRatio*endpoint.successes
 }
 
-// goesToOrigin reports whether the origin must fill an object instead of a parent. This is so after an attempt for a
-// cached object only, if parents reject fills and the request is not admitted as a fill.
+// goesToOrigin reports whether the origin must fill an object instead of a parent. This is so after a cache-only
+// attempt, if parents reject fills and the request is not admitted as a fill.
 func (r *Router) goesToOrigin(now int64, request *Request, cache *endpointState) bool {
 	last := request.lastAttempt()
 	if last == nil || last.source != nil || request.sourceMissed || cache == nil {
--- a/control/settings.go
+++ b/control/settings.go
@@ -21,7 +21,7 @@
 	ResponseBytesPerSecond float64 // rate at which an endpoint sends one response; 0: not known
 	Classes                []ClassSettings
 	LongestDeadline        int64 // ns; the longest time from arrival to deadline of any class
-	AnswerGrace            int64 // ns; how long after its deadline a request still gets a response, as failed
+	AnswerGrace            int64 // ns; time after its deadline at which a request without a response fails
 	MaxInFlight            int   // maximum number of requests in flight; above 0
 
 	HealthChecks   bool  // health checks may be sent
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -142,7 +142,7 @@
 				count[int(router.initialTokens(now, &endpointState{Endpoint: Endpoint{ID: id}})*parts)]++
 			}
 			for part, n := range count {
-				if mean := draws / parts; n < mean*2/3 || n > mean*4/3 { // five standard deviations
+				if mean := draws / parts; n < mean*2/3 || n > mean*4/3 { // about five standard deviations
 					t.Errorf("interval %d of %d has %d of %d values, want %d to %d",
 						part, parts, n, draws, mean*2/3, mean*4/3)
 				}
