--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -13,7 +13,7 @@
 	testSlots = 8
 )
 
-// clusterNames are the instances of the tests, all of them voters.
+// clusterNames are the instances of the test cluster. All of them are voters.
 var clusterNames = []string{"a", "b", "c"}
 
 func newNode(t testing.TB, name string, incarnation uint64) *Node {
@@ -45,7 +45,7 @@
 	return node
 }
 
-// testCluster is nodes by name; messages among them come at once.
+// testCluster is a set of nodes by name. Messages between them arrive at once.
 type testCluster map[string]*Node
 
 func newCluster(t testing.TB) testCluster {
@@ -57,7 +57,7 @@
 	return cluster
 }
 
-// withTarget hands each node a list of one target.
+// withTarget gives each node the same list of one target.
 func (cluster testCluster) withTarget() testCluster {
 	for _, node := range cluster {
 		node.Handle(0, TargetsUpdated{Targets: []probe.Target{{Name: "t", Address: "x", Capacity: 4}}})
@@ -65,7 +65,7 @@
 	return cluster
 }
 
-// run lets time go on in steps of 10 ms and returns the effects of one node.
+// run advances time in steps of 10 ms and returns the effects of the node named follow.
 func (cluster testCluster) run(t testing.TB, from, to int64, follow string) []Effect {
 	t.Helper()
 	var followed []Effect
@@ -79,7 +79,8 @@
 	return followed
 }
 
-// tick fires one node's timer, and hands messages over until it has no more.
+// tick fires one node's timer and delivers its messages until it sends no more. It returns the node's effects if
+// the node is the one named follow.
 func (cluster testCluster) tick(t testing.TB, now int64, name, follow string) []Effect {
 	t.Helper()
 	var followed []Effect
@@ -97,7 +98,7 @@
 	return followed
 }
 
-// exchange hands a message over, and the answers back; it returns what the sender then wants done.
+// exchange delivers a message and the replies to it. It returns the sender's effects on the replies.
 func (cluster testCluster) exchange(t testing.TB, now int64, from string, send Send) []Effect {
 	t.Helper()
 	raw, err := send.Message.Encode()
--- a/internal/cluster/events.go
+++ b/internal/cluster/events.go
@@ -7,73 +7,76 @@
 	"tealpath/internal/logevent"
 )
 
-// Event is something that came in: a MessageReceived, TargetsUpdated, ProbeEnded, TimerFired, ShutdownStarted
-// or ConfigChanged.
+// Event is an input of a Node: a MessageReceived, TargetsUpdated, ProbeEnded, TimerFired, ShutdownStarted or
+// ConfigChanged.
 type Event any
 
-// MessageReceived is a message from another instance, whose name and start the link has proved.
+// MessageReceived is a message from another instance. The link has authenticated the sender's name; the
+// incarnation is the one that the sender states in its hello frame.
 type MessageReceived struct {
 	From    lease.Instance
 	Message Message
 }
 
-// TargetsUpdated is the list of targets as it is now.
+// TargetsUpdated replaces the list of probe targets.
 type TargetsUpdated struct{ Targets []probe.Target }
 
-// ProbeEnded tells how a probe ended that was sent from here.
+// ProbeEnded reports the result of a probe that this instance sent.
 type ProbeEnded struct{ ProbeResult }
 
-// TimerFired reports that the time of the last SetTimer has come, or may have. WallMS is the wall clock, ms
-// since 1970.
+// TimerFired reports that the time of the last SetTimer has come. It may also arrive early. WallMS is the wall
+// clock in ms since 1970.
 type TimerFired struct{ WallMS int64 }
 
-// ShutdownStarted reports that this instance is to end.
+// ShutdownStarted reports that this instance is shutting down.
 type ShutdownStarted struct{}
 
-// ConfigChanged is a newer configuration. Contacts, weights and voters change in a running instance.
+// ConfigChanged is a reloaded configuration. Contacts, weight and voters can change while an instance runs.
 type ConfigChanged struct {
 	Contacts []membership.Contact
 	Weight   float64
 	Voters   lease.Voters
 }
 
-// Effect is what is to be done outside: a Send, SetPeers, SendProbe, LeaseChanged, TargetProbed, Log or SetTimer.
+// Effect is an action that the caller of Handle carries out: a Send, SetPeers, SendProbe, LeaseChanged,
+// TargetProbed, Log or SetTimer.
 type Effect any
 
-// Send wants a message sent to an instance; it may be lost.
+// Send sends a message to an instance. The message may be lost.
 type Send struct {
 	To      string
 	Message Message
 }
 
-// Peer is an instance to which a link is to stand.
+// Peer is an instance to which a link is kept open.
 type Peer struct{ Name, Address string }
 
-// SetPeers wants links to these instances and to no others.
+// SetPeers opens links to these instances and closes all others.
 type SetPeers struct{ Peers []Peer }
 
-// SendProbe wants a target probed: written before Until by this clock, or not at all.
+// SendProbe probes a target. The probe must be written before Until by this instance's clock, or not at all.
 type SendProbe struct{ probe.Probe }
 
-// LeaseChanged tells under which ballot a slot's lease is held from now on, 0 if it no longer is. It comes
-// before any message that would let somebody else have the slot: what is on its way to be done under the
-// lease must see that.
+// LeaseChanged sets the ballot under which this instance holds a slot's lease; 0 means that it no longer holds
+// it. It precedes any message that lets another instance acquire the slot, so that work already started under
+// the lease can be stopped in time.
 type LeaseChanged struct {
 	Slot   int
 	Ballot uint64
 }
 
-// TargetProbed tells the router what a probe found, sent from here or elsewhere.
+// TargetProbed passes a probe result to the router, whether this or another instance sent the probe.
 type TargetProbed struct{ ProbeResult }
 
-// Log wants an event logged.
+// Log writes an event to the log.
 type Log struct{ Event logevent.Event }
 
-// SetTimer wants a TimerFired at a time.
+// SetTimer requests a TimerFired at a time and replaces the previous SetTimer.
 type SetTimer struct{ At int64 }
 
-// combine makes one message of those that go to one instance, as far as one can hold them: each costs its
-// receiver more than what it says. Changes of leases come first, so that no message passes one.
+// combine merges the messages to each instance where one message can hold them, because handling a message
+// costs its receiver more than reading the contents. Lease changes come first, so that no message is sent
+// before them.
 func combine(effects []Effect) []Effect {
 	combined := make([]Effect, 0, len(effects))
 	for _, effect := range effects {
@@ -86,7 +89,7 @@
 		switch effect := effect.(type) {
 		case LeaseChanged:
 		case Send:
-			if index, been := last[effect.To]; been {
+			if index, ok := last[effect.To]; ok {
 				send := combined[index].(Send)
 				if send.Message.merge(effect.Message) {
 					combined[index] = send
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -10,11 +10,11 @@
 	"tealpath/internal/logevent"
 )
 
-// holdsFunc reports whether a slot's lease is held at this instant, under which ballot and until when.
+// holdsFunc reports whether this instance holds a slot's lease now, under which ballot and until when.
 type holdsFunc = probe.HoldsFunc
 
-// periodicTask is one kind of periodic task: it learns which slots are held, and returns what is to be done
-// now for those that are. Each kind hashes its own tasks to slots (lease.SlotOf).
+// periodicTask is one kind of periodic task. It is told which slots this instance holds, and returns the
+// effects that are due for tasks in these slots. Each kind maps its tasks to slots with lease.SlotOf.
 type periodicTask interface {
 	SlotAcquired(now int64, slot int)
 	SlotLost(slot int)
@@ -22,8 +22,8 @@
 	Next(now int64) int64
 }
 
-// receiveLeaseMessage takes a message about leases. A vote does not count from a name under which two may be
-// running, nor is one given by such.
+// receiveLeaseMessage handles a lease message. While two instances may be running under one name, votes from
+// that name are ignored, and an instance with that name does not vote.
 func (node *Node) receiveLeaseMessage(now int64, from lease.Instance, message lease.Message) {
 	switch message.Kind {
 	case lease.Promise, lease.Accept:
@@ -38,7 +38,8 @@
 	node.leases.Receive(now, from, message)
 }
 
-// applyLeaseEffects turns the leases' effects into the node's; what was acquired or lost together is one line.
+// applyLeaseEffects converts the effects of the lease node to effects of this node. Equal consecutive changes
+// of several slots are logged as one event.
 func (node *Node) applyLeaseEffects(now int64) {
 	var changes leaseChanges
 	for _, effect := range node.leases.TakeEffects() {
@@ -65,14 +66,14 @@
 	}
 }
 
-// leaseChange is what the log says of a slot beside its number.
+// leaseChange is a logged change of a slot's lease, without the slot's number.
 type leaseChange struct {
-	acquired bool // else it is lost
+	acquired bool // false: the lease is lost
 	ballot   uint64
 	cause    string
 }
 
-// slotsChange is one change of several slots.
+// slotsChange is a change that applies to several slots.
 type slotsChange struct {
 	leaseChange
 	slots []int
@@ -85,7 +86,7 @@
 	return LeasesLost{Slots: change.slots, Ballot: change.ballot, Cause: change.cause}
 }
 
-// leaseChanges are changes in their order. Equal ones that follow each other are one.
+// leaseChanges are lease changes in order. Equal consecutive changes are merged.
 type leaseChanges []slotsChange
 
 func (changes *leaseChanges) add(change leaseChange, slot int) {
@@ -99,7 +100,7 @@
 	*changes = append(*changes, slotsChange{change, []int{slot}})
 }
 
-// runTasks does what is due of the periodic tasks, and returns when the next is.
+// runTasks runs the periodic tasks that are due and returns when the next one is.
 func (node *Node) runTasks(now int64) (next int64) {
 	next = math.MaxInt64
 	holds := func(slot int) (uint64, int64, bool) { return node.leases.Holds(now, slot) }
@@ -112,21 +113,21 @@
 	return next
 }
 
-// Holds reports whether this instance may act for a slot at this instant, under which ballot and until when.
+// Holds reports whether this instance holds a slot's lease now, under which ballot and until when.
 func (node *Node) Holds(now int64, slot int) (ballot uint64, until int64, ok bool) {
 	return node.leases.Holds(now, slot)
 }
 
-// HasQuorum reports whether a quorum of the voters answers, or is at least believed alive: who neither holds
-// nor tries has no answers.
+// HasQuorum reports whether a quorum of the voters answers or is believed alive. The second condition covers an
+// instance that neither holds nor tries to acquire a lease and so gets no answers.
 func (node *Node) HasQuorum(now int64) bool {
 	return node.leases.HasQuorum(now) || node.isQuorumAlive()
 }
 
-// isQuorumAlive reports whether a majority of each set of voters is believed alive.
+// isQuorumAlive reports whether a majority of each set of voters, current and previous, is believed alive.
 func (node *Node) isQuorumAlive() bool {
 	if node.members.IsCutOff() {
-		return false // what is believed is of before
+		return false // the member states are out of date
 	}
 	voters := node.leases.Voters()
 	for _, set := range [][]string{voters.Current, voters.Previous} {
@@ -148,7 +149,7 @@
 	return name == node.config.Self.Name || member.State == membership.Alive
 }
 
-// missingVoters names the voters that are not believed alive, with what they are believed to be.
+// missingVoters lists the voters that are not believed alive, each with its state.
 func (node *Node) missingVoters() string {
 	var missing []string
 	for _, name := range node.leases.Voters().Current {
@@ -160,7 +161,8 @@
 	return fmt.Sprint(missing)
 }
 
-// logQuorum logs whether a quorum can be reached, once there was time to.
+// logQuorum logs whether a quorum is reachable, when that changes. It logs nothing during the restart silence
+// and the two renewal intervals that follow.
 func (node *Node) logQuorum(now int64) {
 	startTime := node.config.Lease.RestartSilence() + 2*node.config.Lease.RenewInterval
 	if node.shuttingDown || now-node.startedAt < startTime {
--- a/internal/cluster/logevents.go
+++ b/internal/cluster/logevents.go
@@ -25,10 +25,10 @@
 	}
 }
 
-// MemberAlive reports that another instance is believed alive from now on.
+// MemberAlive reports that another instance is now believed alive.
 type MemberAlive struct {
 	Member   string `log:"member"`
-	Previous string `log:"previous"` // what it was believed to be before
+	Previous string `log:"previous"` // the member's state before
 	Cause    string `log:"cause,omitempty"`
 }
 
@@ -37,7 +37,7 @@
 	return logevent.Kind{Name: "member_alive", Level: logevent.Info, Message: "another instance is alive"}
 }
 
-// MemberDead reports that another instance is believed dead from now on.
+// MemberDead reports that another instance is now believed dead.
 type MemberDead struct {
 	Member   string `log:"member"`
 	Previous string `log:"previous"`
@@ -49,7 +49,7 @@
 	return logevent.Kind{Name: "member_dead", Level: logevent.Warn, Message: "another instance is believed dead"}
 }
 
-// MemberLeft reports that another instance has said that it shuts down.
+// MemberLeft reports that another instance has announced that it shuts down.
 type MemberLeft struct {
 	Member   string `log:"member"`
 	Previous string `log:"previous"`
@@ -61,7 +61,7 @@
 	return logevent.Kind{Name: "member_left", Level: logevent.Info, Message: "another instance has left"}
 }
 
-// MembersAlive is MemberAlive for more than maxChangesLogged instances at once.
+// MembersAlive replaces the MemberAlive events of more than maxChangesLogged instances that change at once.
 type MembersAlive struct {
 	Members  int    `log:"members"`
 	Previous string `log:"previous"`
@@ -72,7 +72,7 @@
 	return logevent.Kind{Name: "members_alive", Level: logevent.Info, Message: "many other instances are alive"}
 }
 
-// MembersDead is MemberDead for more than maxChangesLogged instances at once.
+// MembersDead replaces the MemberDead events of more than maxChangesLogged instances that change at once.
 type MembersDead struct {
 	Members  int    `log:"members"`
 	Previous string `log:"previous"`
@@ -87,7 +87,7 @@
 	}
 }
 
-// MembersLeft is MemberLeft for more than maxChangesLogged instances at once.
+// MembersLeft replaces the MemberLeft events of more than maxChangesLogged instances that change at once.
 type MembersLeft struct {
 	Members  int    `log:"members"`
 	Previous string `log:"previous"`
@@ -98,8 +98,8 @@
 	return logevent.Kind{Name: "members_left", Level: logevent.Info, Message: "many other instances have left"}
 }
 
-// InstanceWasAway reports that this instance did nothing for longer than a heartbeat interval. No other
-// instance is reported for that time.
+// InstanceWasAway reports that this instance did not run for at least a heartbeat interval. It does not report
+// other instances as silent for that time.
 type InstanceWasAway struct {
 	DurationMS int64 `log:"duration_ms"`
 }
@@ -113,7 +113,7 @@
 	}
 }
 
-// InstanceCutOff reports that heartbeats of no neighbour are received any more.
+// InstanceCutOff reports that this instance no longer receives heartbeats from any neighbour.
 type InstanceCutOff struct{}
 
 // Kind returns the event's name and level.
@@ -121,22 +121,26 @@
 	return logevent.Kind{
 		Name:    "instance_cut_off",
 		Level:   logevent.Error,
-		Message: "no neighbour is heard: this instance seems to be cut off",
+		Message: "no heartbeats from any neighbour: this instance seems to be cut off",
 	}
 }
 
-// InstanceReconnected ends InstanceCutOff.
+// InstanceReconnected reports that the condition of InstanceCutOff has ended.
 type InstanceReconnected struct{}
 
 // Kind returns the event's name and level.
 func (InstanceReconnected) Kind() logevent.Kind {
-	return logevent.Kind{Name: "instance_reconnected", Level: logevent.Info, Message: "neighbours are heard again"}
+	return logevent.Kind{
+		Name:    "instance_reconnected",
+		Level:   logevent.Info,
+		Message: "heartbeats from neighbours are received again",
+	}
 }
 
-// DuplicateNameDetected reports that another incarnation under this instance's name was heard. Until it is
-// silent no votes are given.
+// DuplicateNameDetected reports that a second instance runs under this instance's name. This instance does not
+// vote until the other one has been silent for a while.
 type DuplicateNameDetected struct {
-	Member string `log:"member"` // the name
+	Member string `log:"member"` // the name that both use
 }
 
 // Kind returns the event's name and level.
@@ -144,11 +148,11 @@
 	return logevent.Kind{
 		Name:    "duplicate_name_detected",
 		Level:   logevent.Warn,
-		Message: "another incarnation under this name was heard: no votes are given until it is silent",
+		Message: "another instance uses this instance's name: this instance does not vote until it is gone",
 	}
 }
 
-// DuplicateNameGone ends DuplicateNameDetected.
+// DuplicateNameGone reports that the condition of DuplicateNameDetected has ended.
 type DuplicateNameGone struct {
 	Member string `log:"member"`
 }
@@ -158,11 +162,11 @@
 	return logevent.Kind{
 		Name:    "duplicate_name_gone",
 		Level:   logevent.Info,
-		Message: "no other incarnation under this name is heard any more",
+		Message: "no other instance uses this instance's name any more",
 	}
 }
 
-// LeasesAcquired reports slots whose leases this instance holds from now on.
+// LeasesAcquired reports slots whose leases this instance now holds.
 type LeasesAcquired struct {
 	Slots  []int  `log:"slots"`
 	Ballot uint64 `log:"ballot"`
@@ -185,7 +189,7 @@
 	return logevent.Kind{Name: "leases_lost", Level: logevent.Info, Message: "leases lost"}
 }
 
-// QuorumReached reports that a majority of the voters can be reached.
+// QuorumReached reports that a majority of the voters is reachable.
 type QuorumReached struct{}
 
 // Kind returns the event's name and level.
@@ -193,13 +197,13 @@
 	return logevent.Kind{
 		Name:    "quorum_reached",
 		Level:   logevent.Info,
-		Message: "a majority of the voters is reached",
+		Message: "a majority of the voters is reachable",
 	}
 }
 
-// QuorumLost reports that no majority of the voters can be reached: this instance holds no lease until one can.
+// QuorumLost reports that no majority of the voters is reachable. Until one is, this instance cannot hold leases.
 type QuorumLost struct {
-	MissingVoters string `log:"missing_voters"` // with what each is believed to be
+	MissingVoters string `log:"missing_voters"` // the voters not believed alive, each with its state
 }
 
 // Kind returns the event's name and level.
@@ -207,24 +211,28 @@
 	return logevent.Kind{
 		Name:    "quorum_lost",
 		Level:   logevent.Error,
-		Message: "no majority of the voters is reached: no lease is held here",
+		Message: "no majority of the voters is reachable: this instance holds no leases",
 	}
 }
 
-// VotersKept reports that the voters of a newer operator's file can't follow those in force yet.
+// VotersKept reports that the voters of a reloaded operator's file cannot replace those in force yet.
 type VotersKept struct {
 	Cause error `log:"cause"`
 }
 
 // Kind returns the event's name and level.
 func (VotersKept) Kind() logevent.Kind {
-	return logevent.Kind{Name: "voters_kept", Level: logevent.Warn, Message: "the voters stay as they were"}
+	return logevent.Kind{
+		Name:    "voters_kept",
+		Level:   logevent.Warn,
+		Message: "the new voters are not accepted: the previous voters stay in force",
+	}
 }
 
-// ConfigReloaded reports that the part of a newer operator's file that instances share is in force.
+// ConfigReloaded reports that the cluster's part of a reloaded operator's file is in force.
 type ConfigReloaded struct {
 	Instances  int    `log:"instances"`
-	VoterEpoch uint64 `log:"voter_epoch"` // of the voters in force
+	VoterEpoch uint64 `log:"voter_epoch"` // the epoch of the voters in force
 }
 
 // Kind returns the event's name and level.
--- a/internal/cluster/logevents_test.go
+++ b/internal/cluster/logevents_test.go
@@ -8,14 +8,14 @@
 	"tealpath/internal/logevent"
 )
 
-// checkKinds checks that events have names of their own, and messages without values.
+// checkKinds checks that each event has a message and a name that no other event has.
 func checkKinds(t *testing.T, events []logevent.Event) {
 	t.Helper()
 	seen := map[string]bool{}
 	for _, event := range events {
 		kind := event.Kind()
 		if kind.Name == "" || kind.Message == "" || seen[kind.Name] {
-			t.Errorf("%T: %+v", event, kind)
+			t.Errorf("%T: kind %+v has an empty message or an empty or repeated name", event, kind)
 		}
 		seen[kind.Name] = true
 	}
@@ -23,7 +23,7 @@
 
 func TestLogEvents(t *testing.T) { checkKinds(t, LogEvents()) }
 
-// Each transition of one member, and of many, has its event with what the member was before.
+// Each transition, of one member or of many, has its own event with the previous state.
 func TestTransitionEvents(t *testing.T) {
 	change := membership.Change{Member: membership.Member{Entry: membership.Entry{Name: "b"}}, Reason: "silent for c"}
 	for _, test := range []struct {
@@ -49,16 +49,16 @@
 		t.Run(test.state.String(), func(t *testing.T) {
 			kind := transition{test.state, membership.Unheard}
 			if got := memberEvent(kind, change); got != test.one {
-				t.Errorf("%+v, want %+v", got, test.one)
+				t.Errorf("event for one member: %+v, want %+v", got, test.one)
 			}
 			if got := membersEvent(kind, 9); got != test.many {
-				t.Errorf("%+v, want %+v", got, test.many)
+				t.Errorf("event for many members: %+v, want %+v", got, test.many)
 			}
 		})
 	}
 }
 
-// What this instance finds of itself is logged by its reason.
+// Each reason for a change of this instance's own condition has its own event.
 func TestOwnChangeEvents(t *testing.T) {
 	for reason, want := range map[string]logevent.Event{
 		membership.ReasonAway:       InstanceWasAway{},
@@ -70,13 +70,13 @@
 			node.effects = nil
 			node.logOwnChange(reason)
 			if len(node.effects) != 1 || node.effects[0] != (Log{want}) {
-				t.Errorf("%+v, want %+v", node.effects, want)
+				t.Errorf("effects %+v, want one Log of %+v", node.effects, want)
 			}
 		})
 	}
 }
 
-// Changes of slots that say the same one after another are one event, and no others.
+// Equal consecutive lease changes are logged as one event, and other changes are not combined.
 func TestLeaseChangesAreCombined(t *testing.T) {
 	var changes leaseChanges
 	changes.add(leaseChange{acquired: true, ballot: 7}, 1)
@@ -97,6 +97,6 @@
 		LeasesAcquired{Slots: []int{6}, Ballot: 7},
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, want %+v", got, want)
+		t.Errorf("events %+v, want %+v", got, want)
 	}
 }
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -11,32 +11,32 @@
 	"tealpath/internal/logevent"
 )
 
-// leaseLinkDuration is for how long a link stays that a message about leases went by, ns.
+// leaseLinkDuration is how long a link is kept after a lease message was last sent on it, ns.
 const leaseLinkDuration = int64(10 * time.Second)
 
-// maxChangesLogged is how many changes of one kind get a line each; more at once are one line: a zone that is
-// lost, or all at a start.
+// maxChangesLogged is how many simultaneous changes of one kind are logged one by one. More are logged as one
+// event, for example when a zone is lost or when all members are found at the start.
 const maxChangesLogged = 8
 
-// peers is to whom links are to stand.
+// peers is the set of instances to which links are kept open.
 type peers struct {
-	linked      []Peer           // as last set
-	leaseUntil  map[string]int64 // until when a link is kept that a message about leases went by
-	leasesMoved bool             // leaseUntil has gained or lost a name
+	linked            []Peer           // the peers of the last SetPeers
+	leaseUntil        map[string]int64 // by name: until when a link is kept for lease messages
+	leaseLinksChanged bool             // a name was added to or removed from leaseUntil
 }
 
 func newPeers() peers { return peers{leaseUntil: map[string]int64{}} }
 
-// dropExpired drops the links that no message about leases went by for long.
+// dropExpired drops links that have sent no lease message for leaseLinkDuration.
 func (peers *peers) dropExpired(now int64) {
 	maps.DeleteFunc(peers.leaseUntil, func(_ string, until int64) bool {
 		expired := now > until
-		peers.leasesMoved = peers.leasesMoved || expired
+		peers.leaseLinksChanged = peers.leaseLinksChanged || expired
 		return expired
 	})
 }
 
-// receiveGossip takes the gossip of a member.
+// receiveGossip handles gossip from a member.
 func (node *Node) receiveGossip(now int64, from string, gossip membership.Gossip) {
 	sends, changes := node.members.Receive(now, from, gossip)
 	node.logChanges(changes)
@@ -47,7 +47,7 @@
 	}
 }
 
-// sendGossip sends what members tell each other.
+// sendGossip emits the membership table's messages.
 func (node *Node) sendGossip(sends []membership.Send) {
 	for _, send := range sends {
 		message := Message{Gossip: &send.Gossip, HighestBallot: node.leases.HighestBallot()}
@@ -55,14 +55,14 @@
 	}
 }
 
-// updateMembers passes a change of the live instances to the leases, and sets the peers.
+// updateMembers passes changes of the live instances to the lease node and updates the peers.
 func (node *Node) updateMembers(now int64) {
 	node.peers.dropExpired(now)
 	version := node.members.Version()
-	if version == node.viewVersion && !node.peers.leasesMoved {
+	if version == node.viewVersion && !node.peers.leaseLinksChanged {
 		return
 	}
-	node.viewVersion, node.peers.leasesMoved = version, false
+	node.viewVersion, node.peers.leaseLinksChanged = version, false
 	if !node.shuttingDown {
 		node.leases.SetCandidates(now, candidates(node.members.Alive()))
 	}
@@ -72,7 +72,8 @@
 	}
 }
 
-// wantedPeers is neighbours and those that were asked about leases a moment ago; all, where all are neighbours.
+// wantedPeers returns the neighbours and the instances that were recently sent lease messages. In a cluster so
+// small that all members are neighbours it returns all of them.
 func (node *Node) wantedPeers() []Peer {
 	addresses := map[string]string{}
 	for _, contact := range node.members.Peers() {
@@ -92,17 +93,17 @@
 	return wanted
 }
 
-// keepLeaseLink has a link to an instance that a message about leases goes to.
+// keepLeaseLink keeps a link to an instance that is sent a lease message.
 func (node *Node) keepLeaseLink(now int64, name string) {
 	_, had := node.peers.leaseUntil[name]
 	node.peers.leaseUntil[name] = now + leaseLinkDuration
 	if !had {
-		node.peers.leasesMoved = true
+		node.peers.leaseLinksChanged = true
 		node.updateMembers(now)
 	}
 }
 
-// candidates is who can hold leases.
+// candidates converts members to candidates for holding leases.
 func candidates(entries []membership.Entry) []lease.Candidate {
 	var candidates []lease.Candidate
 	for _, entry := range entries {
@@ -111,10 +112,10 @@
 	return candidates
 }
 
-// transition is a change from one state to another.
+// transition is a change of a member's state.
 type transition struct{ state, previous membership.State }
 
-// logChanges logs what is believed anew.
+// logChanges logs changes of members' states and of this instance's own condition.
 func (node *Node) logChanges(changes []membership.Change) {
 	byTransition := map[transition][]membership.Change{}
 	for _, change := range changes {
@@ -125,7 +126,7 @@
 		kind := transition{change.State, change.Previous}
 		byTransition[kind] = append(byTransition[kind], change)
 	}
-	// No member gets back to Unheard.
+	// No member returns to Unheard.
 	states := []membership.State{membership.Alive, membership.Dead, membership.Left}
 	for _, state := range states {
 		for _, previous := range append([]membership.State{membership.Unheard}, states...) {
@@ -135,7 +136,7 @@
 	}
 }
 
-// logOwnChange logs what this instance finds of itself.
+// logOwnChange logs a change of this instance's own condition.
 func (node *Node) logOwnChange(reason string) {
 	switch reason {
 	case membership.ReasonAway:
@@ -147,7 +148,7 @@
 	}
 }
 
-// logTransition logs the changes of one kind.
+// logTransition logs the changes of one kind, one by one or as one event.
 func (node *Node) logTransition(kind transition, changes []membership.Change) {
 	if len(changes) > maxChangesLogged {
 		node.emit(Log{membersEvent(kind, len(changes))})
@@ -158,7 +159,7 @@
 	}
 }
 
-// memberEvent is the event of one member's transition.
+// memberEvent returns the event for one member's transition.
 func memberEvent(kind transition, change membership.Change) logevent.Event {
 	previous := kind.previous.String()
 	switch kind.state {
@@ -170,7 +171,7 @@
 	return MemberLeft{Member: change.Name, Previous: previous, Cause: change.Reason}
 }
 
-// membersEvent is the event of one transition of many members.
+// membersEvent returns the event for a transition that many members make at once.
 func membersEvent(kind transition, members int) logevent.Event {
 	previous := kind.previous.String()
 	switch kind.state {
@@ -182,7 +183,7 @@
 	return MembersLeft{Members: members, Previous: previous}
 }
 
-// logDuplicate logs whether another start under the own name is heard.
+// logDuplicate logs when another instance appears or disappears under this instance's name.
 func (node *Node) logDuplicate(now int64) {
 	self := node.config.Self.Name
 	duplicated := node.members.IsDuplicated(now, self)
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -10,36 +10,38 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of what one message holds.
+// Limits of one message.
 const (
 	maxProbeResults = 512
-	maxLoadFields   = 16
-	maxGossipItems  = 2*membership.MaxPerMessage + 2
-	maxMapPairs     = 64
-	maxNesting      = 8
+	maxLoadFields   = 16 // in the load report of one probe result
+	// maxGossipItems bounds entries and reports together: those passed on, and the two entries that a heartbeat
+	// adds.
+	maxGossipItems = 2*membership.MaxPerMessage + 2
+	maxMapPairs    = 64
+	maxNesting     = 8
 )
 
-// ErrLoadReportTooLong is a message with a load report of more fields than one may have.
-var ErrLoadReportTooLong = errors.New("a load report too long")
+// ErrLoadReportTooLong is the error for a load report with more than maxLoadFields fields.
+var ErrLoadReportTooLong = errors.New("load report has too many fields")
 
-// ProbeResult is what a probe found.
+// ProbeResult is the result of a probe.
 type ProbeResult struct {
 	Target  string    `cbor:"1,keyasint"`
-	Ballot  uint64    `cbor:"2,keyasint"` // of the lease under which it was sent
+	Ballot  uint64    `cbor:"2,keyasint"` // of the lease under which the probe was sent
 	Healthy bool      `cbor:"3,keyasint"`
-	Load    []float64 `cbor:"4,keyasint,omitempty"` // the load report, in the order of the settings' fields
-	Seq     uint64    `cbor:"5,keyasint,omitempty"` // grows with each result under a ballot
+	Load    []float64 `cbor:"4,keyasint,omitempty"` // the load report's values, in the order of the settings' fields
+	Seq     uint64    `cbor:"5,keyasint,omitempty"` // increases with each result under a ballot
 }
 
-// Message is what instances send each other.
+// Message is a message between two instances. It may hold several parts.
 type Message struct {
-	HighestBallot uint64             `cbor:"2,keyasint,omitempty"` // that the sender knows
+	HighestBallot uint64             `cbor:"2,keyasint,omitempty"` // the highest ballot that the sender knows
 	Lease         *lease.Message     `cbor:"3,keyasint,omitempty"`
 	ProbeResults  []ProbeResult      `cbor:"4,keyasint,omitempty"`
 	Gossip        *membership.Gossip `cbor:"5,keyasint,omitempty"`
 }
 
-// decoding bounds what a message may have a decoder do.
+// decoding limits the memory and time that decoding a message may take.
 var decoding = mustDecMode(cbor.DecOptions{
 	MaxArrayElements: lease.MaxSlots,
 	MaxMapPairs:      maxMapPairs,
@@ -57,10 +59,10 @@
 	return mode
 }
 
-// Encode returns a message's bytes (CBOR, RFC 8949).
+// Encode returns a message in CBOR (RFC 8949).
 func (message Message) Encode() ([]byte, error) { return cbor.Marshal(message) }
 
-// Decode reads a message and checks its bounds.
+// Decode decodes a message and checks its limits.
 func Decode(raw []byte) (Message, error) {
 	var message Message
 	if err := decoding.Unmarshal(raw, &message); err != nil {
@@ -74,23 +76,28 @@
 
 func (message Message) checkBounds() error {
 	if gossip := message.Gossip; gossip != nil && len(gossip.Entries)+len(gossip.Reports) > maxGossipItems {
-		return fmt.Errorf("%d members and %d reports", len(gossip.Entries), len(gossip.Reports))
+		return fmt.Errorf("gossip has %d entries and %d reports, together at most %d are allowed",
+			len(gossip.Entries), len(gossip.Reports), maxGossipItems)
 	}
 	if len(message.ProbeResults) > maxProbeResults {
-		return fmt.Errorf("%d findings", len(message.ProbeResults))
+		return fmt.Errorf("message has %d probe results, at most %d are allowed",
+			len(message.ProbeResults), maxProbeResults)
 	}
 	if inner := message.Lease; inner != nil && (inner.Kind < lease.Prepare || inner.Kind > lease.Release) {
-		return fmt.Errorf("kind %d", inner.Kind)
+		return fmt.Errorf("unknown lease message kind %d, allowed are %d to %d",
+			inner.Kind, lease.Prepare, lease.Release)
 	}
 	for _, result := range message.ProbeResults {
 		if len(result.Load) > maxLoadFields {
-			return ErrLoadReportTooLong
+			return fmt.Errorf("%w: %d for target %q, at most %d are allowed",
+				ErrLoadReportTooLong, len(result.Load), result.Target, maxLoadFields)
 		}
 	}
 	return nil
 }
 
-// merge adds what another message says to this one, as far as one can hold both; it reports whether it could.
+// merge adds the parts of another message to this one. If both have a part of the same kind, it changes nothing
+// and returns false.
 func (message *Message) merge(other Message) bool {
 	if message.Lease != nil && other.Lease != nil || message.Gossip != nil && other.Gossip != nil ||
 		message.ProbeResults != nil && other.ProbeResults != nil {
--- a/internal/cluster/message_test.go
+++ b/internal/cluster/message_test.go
@@ -14,9 +14,9 @@
 	"tealpath/internal/cluster/membership"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "overwrite the golden files with the actual results")
 
-// golden compares with a file of testdata, byte by byte.
+// golden compares a result with a file in testdata, byte by byte.
 func golden(t *testing.T, name, got string) {
 	t.Helper()
 	path := "testdata/" + name
@@ -34,7 +34,7 @@
 	}
 }
 
-// fullMessage has a value in each field, so that the golden file shows each field's key.
+// fullMessage returns a message with a value in each field, so that the golden file shows each field's key.
 func fullMessage() Message {
 	return Message{
 		HighestBallot: 1,
@@ -59,7 +59,8 @@
 	}
 }
 
-// Instances of this version and of the one before must read each other: the bytes of a message stay as they are.
+// During an upgrade, instances of this version and of the previous one exchange messages. So the encoding of a
+// message must not change.
 func TestMessageBytes(t *testing.T) {
 	message := fullMessage()
 	raw, err := message.Encode()
@@ -69,18 +70,18 @@
 	golden(t, "message.hex", hex.EncodeToString(raw)+"\n")
 	back, err := Decode(raw)
 	if err != nil || !reflect.DeepEqual(back, message) {
-		t.Errorf("read back: %+v, %v", back, err)
+		t.Errorf("decoded %+v, error %v, want %+v", back, err, message)
 	}
 }
 
-// The kinds of messages go over the wire as numbers.
+// Kinds are sent as numbers, which must not change.
 func TestMessageKindNumbers(t *testing.T) {
 	leaseKinds := []lease.MessageKind{
 		lease.Prepare, lease.Promise, lease.Propose, lease.Accept, lease.Reject, lease.Release,
 	}
 	for i, kind := range leaseKinds {
 		if int(kind) != i+1 {
-			t.Errorf("kind %d is %d on the wire", i+1, kind)
+			t.Errorf("lease message kind %d has the number %d, want %d", i, kind, i+1)
 		}
 	}
 	reportKinds := []membership.ReportKind{
@@ -88,12 +89,12 @@
 	}
 	for i, kind := range reportKinds {
 		if int(kind) != i {
-			t.Errorf("report kind %d is %d on the wire", i, kind)
+			t.Errorf("report kind %d has the number %d, want %d", i, kind, i)
 		}
 	}
 }
 
-// Commands print a status as JSON for operators' scripts: its fields stay as they are.
+// Operators' scripts read the status that commands print as JSON, so its fields must not change.
 func TestStatusJSON(t *testing.T) {
 	a := newNode(t, "a", 1)
 	entry := membership.Entry{Name: "b", Incarnation: 2, Start: 1, Version: 1, Address: "b:1", Weight: 1, Epoch: 1}
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -1,7 +1,7 @@
-// Package cluster is what instances decide together, as one reducer: an event goes in, state changes, effects
-// come out. It joins which instances are there (membership), who holds the lease on which slot (lease) and
-// what is probed when (probe). It does no input or output, reads no clock and is not safe for concurrent use.
-// Times are ns of a clock that goes on while the machine is suspended and never goes back.
+// Package cluster coordinates the instances of a cluster as one reducer: it takes events, changes its state and
+// returns effects. It combines membership (which instances are alive), lease (which instance holds the lease on
+// each slot) and probe (when each target is probed). It does no input or output, reads no clock and is not safe
+// for concurrent use. Times are ns of a monotonic clock that also advances while the machine is suspended.
 package cluster
 
 import (
@@ -13,29 +13,29 @@
 	"tealpath/internal/cluster/probe"
 )
 
-// minTimer is the shortest time to which the timer is set, ns.
+// minTimer is the shortest duration that the timer is set to, ns.
 const minTimer = int64(time.Millisecond)
 
-// Config is what an instance starts with.
+// Config is the initial configuration of an instance.
 type Config struct {
 	Self       lease.Instance
-	Address    string // where it takes links
+	Address    string // where this instance accepts links
 	Weight     float64
-	Contacts   []membership.Contact // the instances of the file, the own one among them or not
-	Lease      lease.Config         // Self and Seed are filled in from here
-	Probe      *probe.Config        // nil: nothing is probed; Slots and Drift are filled in from Lease
+	Contacts   []membership.Contact // the instances of the operator's file, with or without this instance
+	Lease      lease.Config         // New sets Self and Seed to those of this Config
+	Probe      *probe.Config        // nil: nothing is probed; New sets Slots and MaxClockDrift to those of Lease
 	Seed       uint64
-	WallMS     int64            // ms since 1970, at the start
-	Membership MembershipConfig // zero: as of the renewals
+	WallMS     int64            // wall clock at the start, ms since 1970
+	Membership MembershipConfig // zero: derived from the renewal interval of leases
 }
 
-// MembershipConfig is how members watch each other.
+// MembershipConfig sets how members detect failures of each other.
 type MembershipConfig struct {
 	HeartbeatInterval int64 // ns; 0 is the renewal interval of leases
-	SilenceTimeout    int64 // without a sign from which one is reported, ns; 0 is three intervals
+	SilenceTimeout    int64 // after which a silent neighbour is reported, ns; 0 is three heartbeat intervals
 }
 
-// Node is one instance.
+// Node is the cluster state of one instance.
 type Node struct {
 	config       Config
 	startedAt    int64
@@ -43,20 +43,20 @@
 	effects      []Effect
 
 	members     *membership.Table
-	viewVersion uint64 // of the members' table, as far as it was handed on
-	duplicated  bool   // another start under the own name was heard
+	viewVersion uint64 // the version of members that was last passed to leases and peers
+	duplicated  bool   // another instance runs under this instance's name
 	peers       peers
 
 	leases      *lease.Node
 	tasks       []periodicTask
 	hadQuorum   bool
-	quorumKnown bool // whether it was ever logged that there is or is no quorum
+	quorumKnown bool // hadQuorum is set and was logged
 
 	prober  *probe.Prober // nil: nothing is probed
 	results probeResults
 }
 
-// New makes a node. It returns the error of the first configuration that is wrong.
+// New returns a node. If a part of the configuration is invalid, it returns the first such part's error.
 func New(now int64, config Config) (*Node, error) {
 	config.Lease.Self, config.Lease.Seed = config.Self, config.Seed
 	leases, err := lease.New(now, config.Lease)
@@ -77,11 +77,11 @@
 	}
 	config.Probe.Slots, config.Probe.MaxClockDrift = config.Lease.Slots, config.Lease.MaxClockDrift
 	node.prober = probe.New(*config.Probe)
-	node.tasks = append(node.tasks, probing{node.prober})
+	node.tasks = append(node.tasks, probeTask{node.prober})
 	return node, nil
 }
 
-// membershipConfig is what the members' table starts with.
+// membershipConfig returns the configuration of the membership table.
 func (config Config) membershipConfig() membership.Config {
 	interval := cmp.Or(config.Membership.HeartbeatInterval, config.Lease.RenewInterval)
 	return membership.Config{
@@ -98,7 +98,8 @@
 	}
 }
 
-// Handle takes an event and returns what is to be done, in order; the slice is good until the next call.
+// Handle processes an event and returns the effects to carry out, in order. The slice is valid until the next
+// call.
 func (node *Node) Handle(now int64, event Event) []Effect {
 	clear(node.effects)
 	node.effects = node.effects[:0]
@@ -125,7 +126,7 @@
 
 func (node *Node) emit(effect Effect) { node.effects = append(node.effects, effect) }
 
-// receive takes a message from another instance.
+// receive handles a message from another instance.
 func (node *Node) receive(now int64, event MessageReceived) {
 	from := event.From
 	node.members.ObserveIncarnation(now, from.Name, from.Incarnation)
@@ -141,7 +142,7 @@
 	}
 }
 
-// tick does the periodic work.
+// tick runs the timed work of all parts.
 func (node *Node) tick(now, wallMS int64) {
 	sends, changes := node.members.Tick(now)
 	node.logChanges(changes)
@@ -153,7 +154,7 @@
 	node.logQuorum(now)
 }
 
-// shutDown releases all leases to successors and announces to the others that this instance leaves.
+// shutDown hands all leases to successors and announces to the other instances that this one leaves.
 func (node *Node) shutDown(now int64) {
 	if node.shuttingDown {
 		return
@@ -165,20 +166,21 @@
 	node.sendGossip(sends)
 }
 
-// reconfigure takes a newer configuration. The voters stay as they are where the newer ones can't follow yet.
+// reconfigure applies a reloaded configuration. If the new voters cannot replace the present ones yet, the
+// present ones are kept.
 func (node *Node) reconfigure(now int64, event ConfigChanged) {
 	if err := node.leases.UpdateVoters(now, event.Voters); err != nil {
 		node.emit(Log{VotersKept{Cause: err}})
 	}
 	node.members.Configure(now, event.Contacts, event.Weight, node.leases.Voters().Epoch)
 	for _, member := range node.members.Members() {
-		// A new set of voters knows of no epochs, and entries come only when they change.
+		// A new set of voters starts without the members' epochs, and members send their entries only on changes.
 		node.leases.ObserveEpoch(member.Name, member.Epoch)
 	}
 	node.emit(Log{ConfigReloaded{Instances: len(event.Contacts), VoterEpoch: node.leases.Voters().Epoch}})
 }
 
-// followUp does what changes of members and leases cause, and sets the timer.
+// followUp handles the consequences of changed members and leases, runs due tasks and sets the timer.
 func (node *Node) followUp(now int64) {
 	node.updateMembers(now)
 	node.applyLeaseEffects(now)
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -7,7 +7,8 @@
 	"tealpath/internal/cluster/membership"
 )
 
-func TestThreeShareAndProbeOnce(t *testing.T) {
+// The instances hold all leases between them, and one target is probed by one instance at a time.
+func TestInstancesShareLeasesAndProbes(t *testing.T) {
 	cluster := newCluster(t).withTarget()
 	cluster.run(t, 0, 6000*ms, "")
 	held := 0
@@ -15,7 +16,7 @@
 		held += countHeld(node, 6000*ms)
 	}
 	if held != testSlots {
-		t.Fatalf("%d of %d slots are held", held, testSlots)
+		t.Fatalf("the instances hold %d slots, want %d", held, testSlots)
 	}
 	probes := 0
 	for _, name := range clusterNames {
@@ -26,16 +27,16 @@
 		}
 	}
 	if probes < 11 || probes > 14 {
-		t.Errorf("%d probes of the one target in 16 s, of which the start takes about 3", probes)
+		t.Errorf("%d probes of the target in 16 s, want 11 to 14: one a second after about 3 s of startup", probes)
 	}
 	status := cluster["a"].Status(6000 * ms)
 	if !status.Majority || len(status.Members) != 3 || len(status.Slots) != testSlots || status.Targets != 1 {
-		t.Errorf("%+v", status)
+		t.Errorf("status %+v, want a majority, 3 members, %d slots and 1 target", status, testSlots)
 	}
 }
 
-// Without a quorum nobody acts, and that is logged and visible.
-func TestNoQuorumIsLoggedAndVisible(t *testing.T) {
+// An instance that loses its quorum loses its leases, logs the loss and shows it in its status.
+func TestQuorumLossIsLoggedAndInStatus(t *testing.T) {
 	cluster := newCluster(t)
 	cluster.run(t, 0, 6000*ms, "")
 	node := cluster["a"]
@@ -46,17 +47,17 @@
 		}
 	}
 	if held := countHeld(node, 12000*ms); held != 0 {
-		t.Errorf("it still holds %d slots", held)
+		t.Errorf("without a quorum the instance holds %d slots, want 0", held)
 	}
 	status := node.Status(12000 * ms)
 	explained := status.Reason != "" && status.Slots[0].Reason == "no majority of the voters answers"
 	if !logged || status.Majority || !explained {
-		t.Errorf("logged %v, %+v", logged, status)
+		t.Errorf("quorum loss logged: %v, want true; status %+v, want no majority, with reasons", logged, status)
 	}
 }
 
-// Two under one name: neither's votes count, so that one voter can't be two.
-func TestTwoUnderOneNameHaveNoVote(t *testing.T) {
+// While two instances run under one name, neither's votes count: otherwise one voter could vote twice.
+func TestDuplicateNamesHaveNoVote(t *testing.T) {
 	cluster := newCluster(t)
 	cluster.run(t, 0, 4000*ms, "")
 	node := cluster["b"]
@@ -74,9 +75,9 @@
 	held := countHeld(node, 4000*ms)
 	accept(3999*ms, 99, nil)
 	if !node.members.IsDuplicated(4000*ms, "c") || held == 0 {
-		t.Fatal("the case is not one")
+		t.Fatalf("b holds %d slots, want some, and must take c for duplicated", held)
 	}
-	// With a dead and c duplicated, b has its own vote alone and must stop within a lease.
+	// Without messages from a and with c duplicated, b has only its own vote. Its leases must end.
 	for now := 4000 * ms; now < 6000*ms; now += 20 * ms {
 		node.Handle(now, TimerFired{WallMS: now / ms})
 		heartbeat(3, uint64(1000+now/ms))
@@ -92,11 +93,12 @@
 		}
 	}
 	if held := countHeld(node, 6000*ms); held != 0 {
-		t.Errorf("%d slots are held by votes of a name that two run under", held)
+		t.Errorf("b holds %d slots by votes of a duplicated name, want 0", held)
 	}
 }
 
-func TestShutdownStopsBeforeItTells(t *testing.T) {
+// An instance that shuts down stops the work under a lease before it releases the lease to others.
+func TestShutdownStopsTasksBeforeRelease(t *testing.T) {
 	cluster := newCluster(t)
 	cluster.run(t, 0, 6000*ms, "")
 	node := cluster["a"]
@@ -117,19 +119,20 @@
 		}
 	}
 	if len(stopped) != held {
-		t.Errorf("%d of %d slots were stopped", len(stopped), held)
+		t.Errorf("work stopped in %d slots, want all %d", len(stopped), held)
 	}
 	if held == 0 || countHeld(node, 6000*ms) != 0 || !released || !left {
-		t.Errorf("it held %d slots; released %v, left %v", held, released, left)
+		t.Errorf("held %d slots before the shutdown, want some, and none after it; released %v, left %v, want true",
+			held, released, left)
 	}
 }
 
-// checkStopped checks that nothing is released before what is done under it is stopped.
+// checkStopped checks that the work in each slot of a message has been stopped before.
 func checkStopped(t *testing.T, items []lease.SlotBallot, stopped map[int]bool) {
 	t.Helper()
 	for _, item := range items {
 		if !stopped[item.Slot] {
-			t.Errorf("slot %d is released before what is done under it is stopped", item.Slot)
+			t.Errorf("slot %d is released before the work in it is stopped", item.Slot)
 		}
 	}
 }
--- a/internal/cluster/probes.go
+++ b/internal/cluster/probes.go
@@ -8,26 +8,26 @@
 	"tealpath/internal/cluster/probe"
 )
 
-// maxTargetsSeen is of how many targets, which peers may name, the order of results is kept.
+// maxTargetsSeen bounds the targets whose newest result order is kept. Peers can send results of any target.
 const maxTargetsSeen = 1 << 14
 
-// maxQueuedResults bounds the probe results that wait to be sent: twice one of each server of the largest
-// fleet.
+// maxQueuedResults bounds the probe results that wait to be sent: two for each of the 4,096 cache servers of the
+// largest fleet.
 const maxQueuedResults = 2 * 4096
 
-// probing is the periodic task of probing the targets.
-type probing struct{ *probe.Prober }
+// probeTask is the periodic task of probing the targets.
+type probeTask struct{ *probe.Prober }
 
-// Do returns the probes that are to go out.
-func (probing probing) Do(now int64, holds holdsFunc) []Effect {
+// Do returns the probes that are due.
+func (task probeTask) Do(now int64, holds holdsFunc) []Effect {
 	var effects []Effect
-	for _, due := range probing.Due(now, holds) {
+	for _, due := range task.Due(now, holds) {
 		effects = append(effects, SendProbe{due})
 	}
 	return effects
 }
 
-// resultOrder orders the results of one target.
+// resultOrder orders the results of one target: by ballot, then by sequence number.
 type resultOrder struct{ ballot, seq uint64 }
 
 func orderOf(result ProbeResult) resultOrder { return resultOrder{result.Ballot, result.Seq} }
@@ -36,25 +36,25 @@
 	return order.ballot < other.ballot || order.ballot == other.ballot && order.seq < other.seq
 }
 
-// probeResults is what is known of probes, and what is to be passed on.
+// probeResults tracks the newest probe result of each target and queues results for neighbours.
 type probeResults struct {
 	newest map[string]resultOrder // by target
-	seq    uint64                 // of the own results
-	stale  int64                  // results under a ballot below one seen
+	seq    uint64                 // of this instance's last result
+	stale  int64                  // results dropped because a result under a higher ballot was known
 	queued []ProbeResult          // to be sent to neighbours
-	sendAt int64                  // when they are
+	sendAt int64                  // earliest time to send the queued results
 }
 
 func newProbeResults() probeResults { return probeResults{newest: map[string]resultOrder{}} }
 
-// queue has a result sent to neighbours.
+// queue adds a result to those to be sent to neighbours, or drops it if the queue is full.
 func (results *probeResults) queue(result ProbeResult) {
 	if len(results.queued) < maxQueuedResults {
 		results.queued = append(results.queued, result)
 	}
 }
 
-// endProbe takes the result of a probe sent from here.
+// endProbe handles the result of a probe that this instance sent.
 func (node *Node) endProbe(now int64, result ProbeResult) {
 	if node.prober == nil {
 		return
@@ -69,27 +69,26 @@
 	node.results.queue(result)
 }
 
-// receiveProbeResult takes a result from another instance.
+// receiveProbeResult handles a result from another instance.
 func (node *Node) receiveProbeResult(result ProbeResult) {
 	if node.relaysResults() {
 		newest, known := node.results.newest[result.Target]
 		if known && !newest.before(orderOf(result)) {
-			return // it came by another way
+			return // it arrived through another neighbour already
 		}
 		node.results.queue(result)
 	}
 	node.takeProbeResult(result)
 }
 
-// relaysResults reports whether what one instance found goes to others by way of its neighbours: where not all
-// are neighbours.
+// relaysResults reports whether instances forward each other's results. They do where not all are neighbours.
 func (node *Node) relaysResults() bool {
 	const self = 1
 	return len(node.members.Alive()) > membership.MaxNeighbours+self
 }
 
-// takeProbeResult takes a result, unless somebody probed under a higher ballot before: its sender may have
-// been frozen.
+// takeProbeResult passes a result to the router. It drops a result if one under a higher ballot is known: the
+// sender may have been paused and lost its lease.
 func (node *Node) takeProbeResult(result ProbeResult) {
 	newest, known := node.results.newest[result.Target]
 	if result.Ballot < newest.ballot {
@@ -103,7 +102,8 @@
 	node.emit(TargetProbed{result})
 }
 
-// sendProbeResults queues what was found for the neighbours, together with what else goes out.
+// sendProbeResults sends the queued results to the neighbours, at most once in a renewal interval and together
+// with other messages.
 func (node *Node) sendProbeResults(now int64) {
 	results := &node.results
 	if len(results.queued) == 0 || now < results.sendAt {
--- a/internal/cluster/probes_test.go
+++ b/internal/cluster/probes_test.go
@@ -22,17 +22,17 @@
 			}
 		}
 		if taken != test.taken {
-			t.Errorf("ballot %d: taken %d times, want %d", test.ballot, taken, test.taken)
+			t.Errorf("ballot %d: result taken %d times, want %d", test.ballot, taken, test.taken)
 		}
 	}
 	if status := node.Status(1); status.StaleResults != 1 {
-		t.Errorf("%d stale", status.StaleResults)
+		t.Errorf("%d stale results counted, want 1", status.StaleResults)
 	}
 }
 
-// After all of a quorum restarted with wall clocks set back, a holder's ballot may be below one seen for its
-// target: it asks anew instead of probing for nothing.
-func TestHolderUnderALowBallotAsksAnew(t *testing.T) {
+// After a whole quorum has restarted with wall clocks set back, a holder's ballot may be below one already seen
+// for its target. Its results would be dropped, so it must reacquire the lease under a higher ballot.
+func TestHolderWithLowBallotReacquiresLease(t *testing.T) {
 	const ahead = 1 << 20
 	cluster := newCluster(t).withTarget()
 	cluster.run(t, 0, 6000*ms, "")
@@ -51,5 +51,5 @@
 			}
 		}
 	}
-	t.Error("the slot is not held under a ballot above the one seen")
+	t.Errorf("slot %d is not held under a ballot above the one seen for its target", slot)
 }
--- a/internal/cluster/size_test.go
+++ b/internal/cluster/size_test.go
@@ -10,45 +10,46 @@
 	"tealpath/internal/cluster/peer"
 )
 
-// What was found of all servers of the largest fleet between two beats is told, in messages that fit a frame.
+// The probe results of all cache servers of the largest fleet, all found within one renewal interval, are sent in
+// messages that fit a frame.
 func TestProbeResultsOfTheLargestFleet(t *testing.T) {
 	const servers = 4096
-	n := newNode(t, "a", 1)
-	n.Handle(1, TimerFired{WallMS: 1e12})
+	node := newNode(t, "a", 1)
+	node.Handle(1, TimerFired{WallMS: 1e12})
 	for i := range servers {
-		n.Handle(2, ProbeEnded{ProbeResult{
+		node.Handle(2, ProbeEnded{ProbeResult{
 			Target:  fmt.Sprintf("cache-server-%051d", i),
 			Ballot:  7,
 			Healthy: true,
 			Load:    make([]float64, maxLoadFields),
 		}})
 	}
-	told := map[string]bool{}
+	sent := map[string]bool{}
 	for now := int64(3); now < 1000*ms; now += 100 * ms {
-		for _, e := range n.Handle(now, TimerFired{WallMS: 1e12}) {
-			send, ok := e.(Send)
+		for _, effect := range node.Handle(now, TimerFired{WallMS: 1e12}) {
+			send, ok := effect.(Send)
 			if !ok || send.To != "b" {
 				continue
 			}
 			raw, err := send.Message.Encode()
 			if err != nil || len(raw) > peer.MaxFrameSize {
-				t.Fatalf("a message of %d bytes, %v", len(raw), err)
+				t.Fatalf("message of %d bytes, at most %d fit a frame; error %v", len(raw), peer.MaxFrameSize, err)
 			}
-			m, err := Decode(raw)
+			message, err := Decode(raw)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, f := range m.ProbeResults {
-				told[f.Target] = true
+			for _, result := range message.ProbeResults {
+				sent[result.Target] = true
 			}
 		}
 	}
-	if len(told) != servers {
-		t.Errorf("%d of %d servers were told of", len(told), servers)
+	if len(sent) != servers {
+		t.Errorf("results of %d servers were sent, want %d", len(sent), servers)
 	}
 }
 
-// The largest messages fit a frame and are read.
+// The largest messages fit a frame and can be decoded.
 func TestLargestMessages(t *testing.T) {
 	name := strings.Repeat("n", 128)
 	rejection := lease.Message{Kind: lease.Reject, Epoch: 1 << 40, SentAt: 1 << 62}
@@ -74,13 +75,13 @@
 		})
 	}
 	largest := map[string]Message{"all slots rejected": {Lease: &rejection}, "full gossip": {Gossip: &gossip}}
-	for what, m := range largest {
-		raw, err := m.Encode()
+	for name, message := range largest {
+		raw, err := message.Encode()
 		if err != nil || len(raw) > peer.MaxFrameSize {
-			t.Errorf("%s: %d bytes, a frame holds %d; %v", what, len(raw), peer.MaxFrameSize, err)
+			t.Errorf("%s: %d bytes, at most %d fit a frame; error %v", name, len(raw), peer.MaxFrameSize, err)
 		}
 		if _, err := Decode(raw); err != nil {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: decoding failed: %v", name, err)
 		}
 	}
 }
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -6,13 +6,13 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// Status is what an instance knows of leases and probes, for people.
+// Status shows an instance's leases and probes to operators.
 type Status struct {
 	Name         string         `json:"name"`
 	Incarnation  uint64         `json:"incarnation"`
 	Majority     bool           `json:"majority"`
-	Reason       string         `json:"why,omitempty"` // why nobody acts
-	SilentMS     int64          `json:"silent_ms,omitempty"`
+	Reason       string         `json:"why,omitempty"`       // why no leases are granted
+	SilentMS     int64          `json:"silent_ms,omitempty"` // until this instance votes after its start
 	Voters       []string       `json:"voters"`
 	Epoch        uint64         `json:"epoch"`
 	Members      []MemberStatus `json:"members"`
@@ -22,11 +22,11 @@
 	Skipped      int64          `json:"probes_left_out"`
 	StaleResults int64          `json:"stale_findings"`
 	Frames       int64          `json:"frames_sent"`    // to other instances
-	FramesLost   uint64         `json:"frames_dropped"` // from full queues
+	FramesLost   uint64         `json:"frames_dropped"` // because a link's queue was full
 	Probes       int64          `json:"probes_sent"`
 }
 
-// MemberStatus is what is believed of one member.
+// MemberStatus is the state of one member as this instance sees it.
 type MemberStatus struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -37,44 +37,44 @@
 	Doubled bool    `json:"doubled,omitempty"`
 }
 
-// SlotStatus is what is known of one slot.
+// SlotStatus is the state of one slot's lease.
 type SlotStatus struct {
 	lease.SlotStatus
-	SinceMS int64 `json:"since_ms,omitempty"` // for how long this instance has held it
-	LeftMS  int64 `json:"left_ms,omitempty"`  // for how long it does still, unless it is renewed
+	SinceMS int64 `json:"since_ms,omitempty"` // how long this instance has held the lease
+	LeftMS  int64 `json:"left_ms,omitempty"`  // how long it still holds the lease, unless it renews it
 }
 
-// MembersStatus is what one instance believes of the others, for people.
+// MembersStatus shows operators the membership as one instance sees it.
 type MembersStatus struct {
 	Name      string         `json:"name"`
-	View      uint64         `json:"view"`   // number of the view handed on, here
-	Digest    uint64         `json:"digest"` // the same wherever the same is believed
-	SinceMS   int64          `json:"since_ms"`
+	View      uint64         `json:"view"`     // this instance's number of the published view
+	Digest    uint64         `json:"digest"`   // of the published view; equal on instances with equal views
+	SinceMS   int64          `json:"since_ms"` // since the view was published
 	Alive     int            `json:"alive"`
-	Health    int            `json:"local_health"`      // 0 is well, 8 is worst
-	AwayMS    int64          `json:"away_ms,omitempty"` // for how long this instance was away, when it last was
+	Health    int            `json:"local_health"`      // 0 is healthy, 8 is worst
+	AwayMS    int64          `json:"away_ms,omitempty"` // how long this instance's last pause took
 	CutOff    bool           `json:"cut_off,omitempty"`
 	Links     int            `json:"links"`
 	BytesSent int64          `json:"bytes_sent"`
-	Refused   int64          `json:"refused"`
+	Refused   int64          `json:"refused"` // gossip entries and reports that were rejected
 	Members   []MemberBelief `json:"members"`
 }
 
-// MemberBelief is what one instance believes of another.
+// MemberBelief is the membership state of another instance, as this instance sees it.
 type MemberBelief struct {
 	Name     string   `json:"name"`
 	State    string   `json:"state"`
 	SinceMS  int64    `json:"since_ms"`
 	Version  uint64   `json:"version"`
-	Held     bool     `json:"held_out,omitempty"` // it keeps dying
-	Doubled  bool     `json:"doubled,omitempty"`
-	Reported []string `json:"reported_by,omitempty"` // "observer silent" or "observer deaf"
+	Held     bool     `json:"held_out,omitempty"`    // left out of the view because it keeps failing
+	Doubled  bool     `json:"doubled,omitempty"`     // two instances may be running under this name
+	Reported []string `json:"reported_by,omitempty"` // an observer's name and its report: "b silent" or "b deaf"
 	Near     bool     `json:"neighbour,omitempty"`
-	InMS     int64    `json:"in_ms,omitempty"`  // since it was last heard here
-	OutMS    int64    `json:"out_ms,omitempty"` // since it last showed that it hears this instance
+	InMS     int64    `json:"in_ms,omitempty"`  // since its last heartbeat arrived here
+	OutMS    int64    `json:"out_ms,omitempty"` // since it last confirmed a heartbeat from this instance
 }
 
-// Status tells what this instance knows of leases and probes.
+// Status returns this instance's state of leases and probes.
 func (node *Node) Status(now int64) Status {
 	voters := node.leases.Voters()
 	status := Status{
@@ -104,7 +104,7 @@
 	return status
 }
 
-// memberStatuses is what is believed of all, the own instance first.
+// memberStatuses returns the state of all members, this instance first.
 func (node *Node) memberStatuses(now int64) []MemberStatus {
 	self := node.members.Self()
 	statuses := []MemberStatus{{
@@ -130,7 +130,7 @@
 	return statuses
 }
 
-// Members tells what this instance believes of the others.
+// Members returns the membership as this instance sees it.
 func (node *Node) Members(now int64) MembersStatus {
 	number, digest, since := node.members.ViewInfo()
 	status := MembersStatus{
@@ -165,7 +165,7 @@
 	return status
 }
 
-// reportedBy is who reports a member, and for what.
+// reportedBy lists the observers that report a member, each with the kind of its report.
 func reportedBy(member membership.Member) []string {
 	var reported []string
 	for _, report := range member.Reports {
