--- a/internal/cluster/membership/cluster_test.go
+++ b/internal/cluster/membership/cluster_test.go
@@ -13,34 +13,35 @@
 	step     = second / 20
 )
 
-// plantedFault is a fault that the checks must find, planted by what a table is told and by its state.
-type plantedFault struct {
-	noRefuting  bool // a table hears nothing of its own instance
-	believeOne  bool // one neighbour's word that a member is dead is enough
-	blameOthers bool // a table does not see that it was late itself
+// injectedFault is a fault of a table that the tests' checks must detect. The test cluster injects it by changing
+// the table's input or state.
+type injectedFault struct {
+	cannotRefute     bool // a table receives nothing about its own instance
+	believesOneClaim bool // one peer's claim that a member is dead is enough
+	ignoresOwnDelay  bool // a table does not notice that it ticks late
 }
 
-// testCluster is tables that tell each other, in steps of 50 ms; a message takes one step.
+// testCluster is a set of tables that exchange messages. Time advances in steps of 50 ms; a message takes one step.
 type testCluster struct {
 	t           *testing.T
 	now         int64
 	names       []string
 	tables      map[string]*Table
-	faults      map[string]plantedFault // of tables started while fault was set
+	faults      map[string]injectedFault // by table: the value of fault when it was started
 	down        map[string]bool
 	pausedUntil map[string]int64
-	cut         func(from, to string) bool
-	loss        float64
+	cut         func(from, to string) bool // reports whether messages on this path are lost
+	loss        float64                    // share of messages that are lost
 	rng         *rand.Rand
-	inTransit   []letter
-	fault       plantedFault // of tables that are started
-	twice       bool         // each message comes twice
+	inTransit   []message
+	fault       injectedFault // of tables to be started
+	twice       bool          // each message is delivered twice
 	starts      uint64
-	observe     func(name string, sends []Send, changes []Change) // of each step of a table; nil: nobody looks
+	observe     func(name string, sends []Send, changes []Change) // called with a table's results; may be nil
 }
 
-// letter is a message under way.
-type letter struct {
+// message is a message in transit.
+type message struct {
 	from        string
 	incarnation uint64
 	send        Send
@@ -50,17 +51,17 @@
 
 func newCluster(t *testing.T, count int) *testCluster {
 	t.Helper()
-	return newFaultyCluster(t, count, plantedFault{})
+	return newFaultyCluster(t, count, injectedFault{})
 }
 
-// newFaultyCluster is a cluster in which each table has a planted fault.
-func newFaultyCluster(t *testing.T, count int, fault plantedFault) *testCluster {
+// newFaultyCluster returns a cluster in which each table has an injected fault.
+func newFaultyCluster(t *testing.T, count int, fault injectedFault) *testCluster {
 	t.Helper()
 	cluster := &testCluster{
 		t:           t,
 		now:         1000 * second,
 		tables:      map[string]*Table{},
-		faults:      map[string]plantedFault{},
+		faults:      map[string]injectedFault{},
 		down:        map[string]bool{},
 		pausedUntil: map[string]int64{},
 		cut:         noCut,
@@ -78,7 +79,7 @@
 
 func (cluster *testCluster) wallMS() uint64 { return uint64(cluster.now / 1e6) }
 
-// start starts a table with a wall clock, ms.
+// start starts an instance's table anew. wallMS is its wall clock, ms since 1970.
 func (cluster *testCluster) start(name string, wallMS uint64) {
 	var contacts []Contact
 	for _, other := range cluster.names {
@@ -100,7 +101,7 @@
 	delete(cluster.down, name)
 }
 
-// run lets time go on in steps.
+// run advances time by a duration, in steps.
 func (cluster *testCluster) run(duration int64) {
 	for end := cluster.now + duration; cluster.now < end; cluster.now += step {
 		cluster.deliver()
@@ -117,7 +118,7 @@
 	if table.Next() > cluster.now {
 		return
 	}
-	if cluster.faults[name].blameOthers {
+	if cluster.faults[name].ignoresOwnDelay {
 		table.health.tickedAt = cluster.now
 	}
 	sends, changes := table.Tick(cluster.now)
@@ -125,46 +126,46 @@
 	cluster.send(name, sends)
 }
 
-// observed shows what a table did to whoever looks.
+// observed calls observe, if it is set.
 func (cluster *testCluster) observed(name string, sends []Send, changes []Change) {
 	if cluster.observe != nil {
 		cluster.observe(name, sends, changes)
 	}
 }
 
-// deliver hands over what is under way; messages to paused tables wait.
+// deliver delivers the messages in transit. Messages to paused tables stay in transit.
 func (cluster *testCluster) deliver() {
-	letters := cluster.inTransit
+	messages := cluster.inTransit
 	cluster.inTransit = nil
-	for _, letter := range letters {
-		to := letter.send.To
+	for _, message := range messages {
+		to := message.send.To
 		table := cluster.tables[to]
-		if cluster.down[to] || table == nil || cluster.cut(letter.from, to) || cluster.rng.Float64() < cluster.loss {
+		if cluster.down[to] || table == nil || cluster.cut(message.from, to) || cluster.rng.Float64() < cluster.loss {
 			continue
 		}
 		if cluster.pausedUntil[to] > cluster.now {
-			cluster.inTransit = append(cluster.inTransit, letter)
+			cluster.inTransit = append(cluster.inTransit, message)
 			continue
 		}
-		table.ObserveIncarnation(cluster.now, letter.from, letter.incarnation)
-		sends, changes := table.Receive(cluster.now, letter.from, cluster.plant(to, letter.send.Gossip))
+		table.ObserveIncarnation(cluster.now, message.from, message.incarnation)
+		sends, changes := table.Receive(cluster.now, message.from, cluster.injectFault(to, message.send.Gossip))
 		cluster.observed(to, sends, changes)
 		cluster.send(to, sends)
 	}
 }
 
-// plant plants faults into what a table is about to be told.
-func (cluster *testCluster) plant(to string, gossip Gossip) Gossip {
+// injectFault applies a table's injected fault to the table and to the gossip that it is about to receive.
+func (cluster *testCluster) injectFault(to string, gossip Gossip) Gossip {
 	fault := cluster.faults[to]
-	if fault.noRefuting {
+	if fault.cannotRefute {
 		ofReceiver := func(entry Entry) bool { return entry.Name == to }
 		aboutReceiver := func(report Report) bool { return report.Subject == to }
 		gossip.Entries = slices.DeleteFunc(slices.Clone(gossip.Entries), ofReceiver)
 		gossip.Reports = slices.DeleteFunc(slices.Clone(gossip.Reports), aboutReceiver)
 	}
-	if fault.believeOne {
+	if fault.believesOneClaim {
 		for _, member := range cluster.tables[to].members.byName {
-			member.deathClaims[to] = true // as if this instance believed it as well
+			member.deathClaims[to] = true // counts as the first of two claims
 		}
 	}
 	return gossip
@@ -172,7 +173,7 @@
 
 func (cluster *testCluster) send(from string, sends []Send) {
 	for _, send := range sends {
-		sent := letter{from, cluster.tables[from].self.entry.Incarnation, send}
+		sent := message{from, cluster.tables[from].self.entry.Incarnation, send}
 		cluster.inTransit = append(cluster.inTransit, sent)
 		if cluster.twice {
 			cluster.inTransit = append(cluster.inTransit, sent)
@@ -180,10 +181,11 @@
 	}
 }
 
-// believers counts those that are up, but for some, and believe a member to be in a state, and all that could.
-func (cluster *testCluster) believers(name string, state State, but ...string) (believe, all int) {
+// believers counts the other instances that are up, without some exceptions: all of them, and those that believe a
+// member to be in a state.
+func (cluster *testCluster) believers(name string, state State, except ...string) (believe, all int) {
 	for _, other := range cluster.names {
-		if other == name || cluster.down[other] || slices.Contains(but, other) {
+		if other == name || cluster.down[other] || slices.Contains(except, other) {
 			continue
 		}
 		all++
@@ -194,33 +196,34 @@
 	return believe, all
 }
 
-// isBelieved reports whether anybody that is up, but for some, believes a member to be in a state.
-func (cluster *testCluster) isBelieved(name string, state State, but ...string) bool {
-	believe, _ := cluster.believers(name, state, but...)
+// isBelieved reports whether any other instance that is up, without some exceptions, believes a member to be in a
+// state.
+func (cluster *testCluster) isBelieved(name string, state State, except ...string) bool {
+	believe, _ := cluster.believers(name, state, except...)
 	return believe > 0
 }
 
-// checkAll wants a member to be believed to be in a state by all others that are up.
+// checkAll checks that all other instances that are up believe a member to be in a state.
 func (cluster *testCluster) checkAll(name string, state State) {
 	cluster.t.Helper()
 	if believe, all := cluster.believers(name, state); believe != all {
-		cluster.t.Errorf("%d of %d believe %s %s", believe, all, name, state)
+		cluster.t.Errorf("%d of %d instances believe %s to be %s, want all", believe, all, name, state)
 	}
 }
 
-// checkAllAlive wants all to believe all alive, and to hand on the same view.
+// checkAllAlive checks that all instances believe each other alive and publish the same view.
 func (cluster *testCluster) checkAllAlive() {
 	cluster.t.Helper()
 	for _, name := range cluster.names {
 		cluster.checkAll(name, Alive)
 	}
-	if name := cluster.otherView(); name != "" {
-		cluster.t.Errorf("%s hands on another view", name)
+	if name := cluster.differentView(); name != "" {
+		cluster.t.Errorf("%s publishes another view than %s", name, cluster.names[0])
 	}
 }
 
-// otherView is one that hands on another view than the first; empty is none.
-func (cluster *testCluster) otherView() string {
+// differentView returns an instance that publishes another view than the first one, or an empty name.
+func (cluster *testCluster) differentView() string {
 	_, first, _ := cluster.tables[cluster.names[0]].ViewInfo()
 	for _, name := range cluster.names {
 		if _, digest, _ := cluster.tables[name].ViewInfo(); digest != first {
--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -2,63 +2,64 @@
 
 import "cmp"
 
-// Bounds of what is kept.
+// Limits of the table.
 const (
-	// MaxMembers bounds the instances that are known; entries of others beyond it are rejected.
+	// MaxMembers bounds the known instances. Entries of further instances are rejected.
 	MaxMembers = 8192
 
-	maxIncarnations  = 64 // under one name that are kept apart
-	maxReports       = 32 // kept of one member
+	maxIncarnations  = 64 // known of one name
+	maxReports       = 32 // known of one member
 	maxQueuedReports = 4096
-	maxLocalHealth   = 8
+	maxLocalHealth   = 8 // the worst score
 )
 
-// Lengths of time in heartbeat intervals.
+// Durations in heartbeat intervals.
 const (
-	defaultSilence   = 3  // without a sign from which a neighbour is reported
-	confirmIntervals = 1  // for which most observers must report a member until it is believed dead
-	reportLifetime   = 50 // for which a report counts, unless it is said again
-	reportRepeat     = 20 // after which it is
-	forgetAfter      = 60 // without a sign, after which one that is not configured is forgotten
+	defaultSilence   = 3  // a neighbour that is silent for longer is reported
+	confirmIntervals = 1  // most observers must report a member for this long before it is believed dead
+	reportLifetime   = 50 // an older report no longer counts
+	reportRepeat     = 20 // an observer repeats a report that still holds after this long
+	forgetAfter      = 60 // an unconfigured member that is not alive is removed after this long without news of it
 	forgetEvery      = forgetAfter / 6
-	unheardOnRings   = forgetAfter / 3 // from the start, in which contacts that nobody has heard of count on the rings
-	strayEvery       = 4               // between two tries to reach one that is not there
-	maxChanging      = 8               // for which a view that goes on changing is held back
-	flapWindow       = 120             // in which deaths count as flapping
-	maxHoldOut       = 60              // for which one that keeps dying is held out of the view
-	syncAfter        = 2               // for which digests differ before all is compared
+	unheardOnRings   = forgetAfter / 3 // after the start, contacts not yet heard from are on the rings for this long
+	reconnectEvery   = 4               // between two attempts to reach members without a link
+	maxChanging      = 8               // a view that keeps changing is published after this long
+	flapWindow       = 120             // deaths within this time count as flapping
+	maxHoldOut       = 60              // longest time for which a flapping member is held out of the view
+	syncAfter        = 2               // digests must differ for this long before bucket digests are sent
 	syncEvery        = 2 * syncAfter
-	forgetInbound    = 4 // without a heartbeat after which one that is no neighbour is answered no more
+	forgetInbound    = 4 // an inbound link without a heartbeat for this long is dropped
 )
 
-// Parts of a heartbeat interval: one over so many.
+// Divisors of a heartbeat interval.
 const (
-	quietPart = 5  // a view is handed on once nothing has changed for so long
-	batchPart = 10 // changes wait for so long to go in one message
-	latePart  = 2  // a step that comes later than this tells against the own health
+	quietDivisor = 5  // the view is published once nothing has changed for interval/quietDivisor
+	batchDivisor = 10 // changes wait for interval/batchDivisor to be sent in one message
+	lateDivisor  = 2  // a tick that is later than interval/lateDivisor worsens the local health
 )
 
-// healthPart is by which part of the silence timeout each point of local health lengthens it: one in so many.
-const healthPart = 4
+// healthDivisor sets how much a poor local health lengthens the silence timeout: each point of the score adds
+// timeout/healthDivisor.
+const healthDivisor = 4
 
-// Contact is an instance as it is configured: somebody to ask at the start.
+// Contact is an instance from the configuration.
 type Contact struct {
 	Name, Address string
 	Weight        float64
 }
 
-// Config is what a table starts with. Durations are in ns.
+// Config is the configuration of a Table. Durations are in ns.
 type Config struct {
 	Self              Entry
-	Contacts          []Contact // the others; those that are not reached are tried on
+	Contacts          []Contact // the other instances; a table keeps trying to reach them
 	HeartbeatInterval int64
 	SilenceTimeout    int64                 // after which a silent neighbour is reported; 0 is three intervals
-	ReplacedTimeout   int64                 // for which a replaced incarnation may still be there
-	Seed              uint64                // of chance
-	NextHeartbeat     func(now int64) int64 // when the next heartbeat is due; nil is an interval on
+	ReplacedTimeout   int64                 // for which a replaced incarnation may still be running
+	Seed              uint64                // of the random number generator
+	NextHeartbeat     func(now int64) int64 // returns when the next heartbeat is due; nil: one interval after now
 }
 
-// withDefaults fills in what is not said.
+// withDefaults returns the configuration with defaults for the fields that are not set.
 func (config Config) withDefaults() Config {
 	config.SilenceTimeout = cmp.Or(config.SilenceTimeout, defaultSilence*config.HeartbeatInterval)
 	if config.NextHeartbeat == nil {
@@ -67,5 +68,5 @@
 	return config
 }
 
-// intervals is a length of time in ns.
+// intervals returns the duration of a number of heartbeat intervals, ns.
 func (config Config) intervals(count int64) int64 { return count * config.HeartbeatInterval }
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -7,19 +7,21 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// minWatched is how many watched neighbours must all be silent for this instance to take itself for cut off.
+// minWatched is the smallest number of watched neighbours whose silence lets this instance conclude that it is
+// cut off itself.
 const minWatched = 3
 
-// quarterOf is how many of so many observers let the silence of those that are reported themselves count as
-// well: those of a zone that is lost at once can't report each other.
+// quarterOf returns a quarter of a number of observers, at least 1. If so many of a member's observers report
+// it, its other observers count against it as well if they are reported themselves: when a zone is lost, the
+// members in it cannot report each other.
 func quarterOf(observers int) int { return max(1, observers/4) }
 
-// checkOwnDelay finds whether this instance itself was late, and by how much: it would otherwise blame
-// others for its own fault. An instance that was away drops all reports that it holds, and starts to watch
-// anew.
+// checkOwnDelay checks whether this instance ticked late. It would otherwise report others for its own delay. An
+// instance that was away (late by an interval or more) drops the reports of other observers and restarts the
+// silence timeouts of its links.
 func (table *Table) checkOwnDelay(now int64) {
 	interval := table.config.HeartbeatInterval
-	wasAway := table.health.noteStep(now, table.nextHeartbeat, interval)
+	wasAway := table.health.recordTick(now, table.nextHeartbeat, interval)
 	if !wasAway {
 		return
 	}
@@ -29,29 +31,29 @@
 		}
 		member.confirmSince = timing.Never
 		maps.DeleteFunc(member.reports, func(observer string, _ receivedReport) bool {
-			return observer != table.self.entry.Name // what others said is as old as the time away
+			return observer != table.self.entry.Name // others' reports may be as old as the time away
 		})
 	}
-	table.noteSelf(now, ReasonAway)
+	table.recordSelfChange(now, ReasonAway)
 }
 
-// Away is for how long this instance was away when it last was, ns; 0 is never.
+// Away returns how long this instance did not run when it was last away, ns; 0 if it never was.
 func (table *Table) Away() int64 { return table.health.away }
 
-// LocalHealth is how this instance judges itself, from 0, well, to 8.
-func (table *Table) LocalHealth() int { return table.health.points }
+// LocalHealth returns this instance's local health score, from 0 (healthy) to 8.
+func (table *Table) LocalHealth() int { return table.health.score }
 
-// IsCutOff reports whether nothing is heard from any neighbour.
+// IsCutOff reports whether this instance receives heartbeats from none of its watched neighbours.
 func (table *Table) IsCutOff() bool { return table.health.cutOff }
 
-// silenceTimeout is how long a neighbour may be silent, ns: longer where this instance is not well itself.
+// silenceTimeout returns how long a neighbour may be silent, ns. It is longer if the local health is poor.
 func (table *Table) silenceTimeout() int64 {
 	return table.health.lengthen(table.config.SilenceTimeout)
 }
 
-// watchLinks looks at the links to neighbours, and reports those that don't work. A link works if heartbeats
-// come by it and show that heartbeats sent by it arrive: so one that can send but not hear is found like one
-// that can hear but not send.
+// watchLinks checks the links to neighbours and reports neighbours whose link does not work. A link works if
+// heartbeats arrive from the neighbour and echo recent heartbeats of this instance. So a neighbour that can send
+// but not receive is detected like one that can receive but not send.
 func (table *Table) watchLinks(now int64) {
 	watched, silent := 0, 0
 	timeout := table.silenceTimeout()
@@ -65,7 +67,7 @@
 			continue
 		}
 		watched++
-		kind := member.link.judge(now, timeout)
+		kind := member.link.evaluate(now, timeout)
 		if kind == Silent {
 			silent++
 		}
@@ -80,18 +82,18 @@
 	}
 }
 
-// judge says how a link works.
-func (link *link) judge(now, timeout int64) ReportKind {
+// evaluate returns the kind of report that a link's state calls for.
+func (link *link) evaluate(now, timeout int64) ReportKind {
 	switch {
 	case now-max(link.heardAt, link.since) > timeout:
 		return Silent
-	case now-max(link.echoedAt, link.since) > timeout+timeout/2: // it takes a way there and one back
+	case now-max(link.echoedAt, link.since) > timeout+timeout/2: // longer, because an echo takes a round trip
 		return Deaf
 	}
 	return Healthy
 }
 
-// forgetInbound lets an inbound link go that has been silent for long.
+// forgetInbound drops an inbound link without a heartbeat for forgetInbound intervals.
 func (table *Table) forgetInbound(now int64, member *record) {
 	if now-member.link.heardAt > table.config.intervals(forgetInbound) {
 		table.links.remove(member)
@@ -105,13 +107,13 @@
 	}
 	table.health.cutOff = cutOff
 	if cutOff {
-		table.noteSelf(now, ReasonCutOff)
+		table.recordSelfChange(now, ReasonCutOff)
 	} else {
-		table.noteSelf(now, ReasonHeardAgain)
+		table.recordSelfChange(now, ReasonHeardAgain)
 	}
 }
 
-// reportNeighbour reports a neighbour, or takes a report back.
+// reportNeighbour reports a neighbour, or withdraws a report of it.
 func (table *Table) reportNeighbour(now int64, member *record, kind ReportKind) {
 	link := member.link
 	if kind == Healthy && link.reported == Healthy {
@@ -130,13 +132,14 @@
 	table.passOnReport(now, report, "")
 }
 
-// judgeSuspects believes a member dead once most of its observers have reported it for a moment, which is the
-// time that it has to refute. All have the same reports and rings, so all judge alike.
-func (table *Table) judgeSuspects(now int64) {
+// evaluateSuspects marks a member as dead once most of its observers have reported it for confirmIntervals. That is
+// the time in which the member can refute the reports. Instances with the same reports and rings come to the same
+// result.
+func (table *Table) evaluateSuspects(now int64) {
 	if len(table.suspicion.members) == 0 {
 		return
 	}
-	reporting := map[string]int{} // observers that report a member, by its name
+	reporting := map[string]int{} // by member: number of its observers that report it
 	for _, name := range table.suspicion.sortedNames() {
 		member := table.suspicion.members[name]
 		member.dropOutdatedReports(now, table.config.intervals(reportLifetime))
@@ -152,11 +155,11 @@
 		}
 	}
 	for _, name := range table.suspicion.sortedNames() {
-		table.judge(now, table.suspicion.members[name], reporting)
+		table.evaluate(now, table.suspicion.members[name], reporting)
 	}
 }
 
-// dropOutdatedReports drops reports that are too old, or of an earlier start or version.
+// dropOutdatedReports drops reports that are older than lifetime, or of another incarnation or an earlier version.
 func (member *record) dropOutdatedReports(now, lifetime int64) {
 	maps.DeleteFunc(member.reports, func(_ string, report receivedReport) bool {
 		return now-report.at > lifetime || report.Incarnation != member.Incarnation || report.Version < member.Version
@@ -169,7 +172,7 @@
 	return ok && report.Kind != Healthy && table.canReport(observer)
 }
 
-// canReport reports whether a name can report: it is this instance, or believed alive.
+// canReport reports whether reports of a name count: it is this instance or a member believed alive.
 func (table *Table) canReport(name string) bool {
 	if name == table.self.entry.Name {
 		return true
@@ -178,8 +181,8 @@
 	return member != nil && member.State == Alive
 }
 
-// judge weighs what observers say of a member.
-func (table *Table) judge(now int64, member *record, reporting map[string]int) {
+// evaluate decides from the reports of its observers whether a member is dead.
+func (table *Table) evaluate(now int64, member *record, reporting map[string]int) {
 	observers := table.links.observersOf(member.Name)
 	count := reporting[member.Name]
 	if count >= quarterOf(len(observers)) {
@@ -195,7 +198,8 @@
 	}
 }
 
-// countSilenced counts the observers that don't report a member but can't any more, or are not believed to.
+// countSilenced counts the observers of a member that do not report it but may be unable to: they are reported
+// by a quarter of their own observers, or are not believed alive.
 func (table *Table) countSilenced(member *record, observers []string, reporting map[string]int) int {
 	count := 0
 	for _, observer := range observers {
@@ -210,9 +214,9 @@
 	return count
 }
 
-// believeDead believes a member dead and passes that on.
+// believeDead marks a member as dead and passes that on.
 func (table *Table) believeDead(now int64, member *record, reason string) {
-	table.enter(now, member, Dead, reason)
+	table.setState(now, member, Dead, reason)
 	table.suspicion.remove(member)
 	table.passOn(now, member.Name, "")
 }
--- a/internal/cluster/membership/detect_test.go
+++ b/internal/cluster/membership/detect_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// All believe a killed member alive 1.9 s later and dead 3 s later. They believe it alive again after a restart.
 func TestKilledMemberIsBelievedDeadInTime(t *testing.T) {
 	for _, count := range []int{2, 3, 5, 30} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -23,9 +24,9 @@
 	}
 }
 
-// Pauses up to 1.5 s kill nobody; one that was paused for longer comes back, knows that it was away and holds
-// it against nobody.
-func TestPauseBelowTheSilenceTimeoutKillsNobody(t *testing.T) {
+// A member that is paused for up to 1.5 s is not believed dead. One that is paused for longer is. After the pause it
+// is alive again, knows how long it was away and reports nobody.
+func TestPausedMembers(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		duration int64
@@ -49,7 +50,7 @@
 			cluster.run(test.duration)
 			for _, name := range paused {
 				if dead := cluster.isBelieved(name, Dead, paused...); dead != test.dead {
-					t.Errorf("%s: dead %v", name, dead)
+					t.Errorf("%s, paused for %d ms: believed dead %v, want %v", name, test.duration/1e6, dead, test.dead)
 				}
 			}
 			wrongly := 0
@@ -61,17 +62,18 @@
 				}
 			}
 			if wrongly > 0 {
-				t.Errorf("%d beliefs that one is dead which never slept", wrongly)
+				t.Errorf("%d times an instance believed a member dead that was never paused", wrongly)
 			}
 			cluster.checkAllAlive()
 			if away := cluster.tables[paused[0]].Away(); test.duration > second && away < test.duration-2*interval {
-				t.Errorf("it was away for %d ms by its own account", away/1e6)
+				t.Errorf("%s was away for %d ms by its own account, want about %d",
+					paused[0], away/1e6, test.duration/1e6)
 			}
 		})
 	}
 }
 
-// ringNext is the name after another in a ring of so many.
+// ringNext returns the name after another one, in a ring of count names.
 func ringNext(t *testing.T, name string, count int) string {
 	t.Helper()
 	var number int
@@ -81,19 +83,19 @@
 	return fmt.Sprintf("n%03d", (number+1)%count)
 }
 
-// checkNobodyDead wants nobody to be believed dead by anybody.
+// checkNobodyDead checks that no instance believes another one dead.
 func (cluster *testCluster) checkNobodyDead() {
 	cluster.t.Helper()
 	for _, name := range cluster.names {
 		if cluster.isBelieved(name, Dead) {
-			cluster.t.Fatalf("%s is believed dead", name)
+			cluster.t.Fatalf("some instance believes %s dead", name)
 		}
 	}
 }
 
-// One that hears nobody, and one that nobody hears, are believed dead by all others within 5 s; a link that
-// works in one direction between two kills nobody, nor does a ring of such.
-func TestOneSidedCutIsJudgedAlike(t *testing.T) {
+// A member that receives no messages, and one whose messages are all lost, is believed dead by all others within
+// 5 s. Links that lose messages in one direction, between two members or around a ring, make nobody dead.
+func TestOneWayCuts(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		cut  func(from, to string) bool
@@ -113,8 +115,8 @@
 			cluster.run(5 * second)
 			if test.dead {
 				cluster.checkAll("n003", Dead)
-				if cluster.tables["n003"].IsCutOff() != (test.name == "deaf") {
-					t.Error("it does not know whether it is cut off")
+				if cutOff := cluster.tables["n003"].IsCutOff(); cutOff != (test.name == "deaf") {
+					t.Errorf("n003 takes itself for cut off: %v, want %v", cutOff, test.name == "deaf")
 				}
 				cluster.run(10 * second)
 				cluster.checkAll("n003", Dead)
@@ -131,7 +133,8 @@
 	}
 }
 
-// Each side of a split agrees within itself; after healing all agree within 5 s.
+// During a network split each side believes its own members alive and the others dead. Once it is healed, all agree
+// within 5 s.
 func TestSplit(t *testing.T) {
 	cluster := newCluster(t, 60)
 	cluster.run(4 * second)
@@ -146,7 +149,7 @@
 			}
 			member, _ := cluster.tables[name].Member(other)
 			if name != other && member.State != want {
-				t.Fatalf("%s believes %s %s", name, other, member.State)
+				t.Fatalf("%s believes %s to be %s, want %s", name, other, member.State, want)
 			}
 		}
 	}
@@ -155,8 +158,9 @@
 	cluster.checkAllAlive()
 }
 
-// A fifth of all messages lost kills nobody; with two fifths who is believed dead is not so for long.
-func TestLostMessagesKillNobodyForLong(t *testing.T) {
+// When a fifth of all messages is lost, nobody is believed dead. When two fifths are lost, some members may be, but
+// all are alive again once messages arrive.
+func TestLostMessages(t *testing.T) {
 	for _, test := range []struct {
 		loss float64
 		most int
@@ -174,7 +178,7 @@
 			}
 		}
 		if len(wrong) > test.most {
-			t.Errorf("loss of %.2f: %d were believed dead", test.loss, len(wrong))
+			t.Errorf("loss of %.2f: %d members were believed dead, want at most %d", test.loss, len(wrong), test.most)
 		}
 		cluster.loss = 0
 		cluster.run(6 * second)
@@ -182,28 +186,28 @@
 	}
 }
 
-// One that can't refute stays dead: the checks see that.
+// A member that cannot refute stays dead after a pause, so the checks of the other tests detect that fault.
 func TestMemberThatCannotRefuteStaysDead(t *testing.T) {
 	cluster := newCluster(t, 30)
-	cluster.fault = plantedFault{noRefuting: true}
+	cluster.fault = injectedFault{cannotRefute: true}
 	cluster.start("n003", cluster.wallMS())
 	cluster.run(4 * second)
 	cluster.pausedUntil["n003"] = cluster.now + 5*second
 	cluster.run(12 * second)
 	if !cluster.isBelieved("n003", Dead) {
-		t.Error("one that can't refute is alive again")
+		t.Error("n003 cannot refute, but is believed alive again")
 	}
 }
 
-// Those that do not blame themselves for a pause report others, those that do report nobody.
+// Members that were paused report nobody, unless the fault keeps them from noticing their own delay.
 func TestLateMemberReportsNobody(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		fault   plantedFault
+		fault   injectedFault
 		reports bool
 	}{
-		{"as it is", plantedFault{}, false},
-		{"where others are blamed", plantedFault{blameOthers: true}, true},
+		{"without a fault", injectedFault{}, false},
+		{"ignoring their own delay", injectedFault{ignoresOwnDelay: true}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			cluster := newFaultyCluster(t, 30, test.fault)
@@ -219,13 +223,13 @@
 				reported += cluster.countReports(paused, awake)
 			}
 			if (reported > 0) != test.reports {
-				t.Errorf("%d reports by those that were paused", reported)
+				t.Errorf("%d reports by paused members, want some: %v", reported, test.reports)
 			}
 		})
 	}
 }
 
-// countReports counts the reports by some of others, as the observers themselves keep them.
+// countReports counts the reports that observers made of subjects, from the observers' own tables.
 func (cluster *testCluster) countReports(observers, subjects []string) int {
 	count := 0
 	for _, observer := range observers {
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digests is a digest of all entries believed alive, and one of each bucket of them, as of a revision of the
+// digests caches the digest of all entries believed alive, and of each bucket of them, for one revision of the
 // table.
 type digests struct {
 	revision uint64
@@ -14,7 +14,7 @@
 	buckets  []uint64
 }
 
-// of returns the digests of a table as it is now.
+// of returns the current digests of a table.
 func (digests *digests) of(table *Table) (all uint64, buckets []uint64) {
 	if digests.buckets != nil && digests.revision == table.revision {
 		return digests.all, digests.buckets
@@ -41,7 +41,7 @@
 
 func bucketOf(name string) int { return int(xxhash.Sum64String(name) % DigestBuckets) }
 
-// hashEntry is a hash of what tells an entry from others under its name.
+// hashEntry returns a hash of the fields that identify an entry: name, start time, incarnation and version.
 func hashEntry(entry Entry) uint64 {
 	key := make([]byte, 0, 24+len(entry.Name))
 	for _, number := range []uint64{entry.Start, entry.Incarnation, entry.Version} {
@@ -50,8 +50,9 @@
 	return xxhash.Sum64(append(key, entry.Name...))
 }
 
-// answerBuckets sends the entries of the buckets that differ, from a drawn one on, as many as one message
-// holds. The asker's own are among them: its clock may have been set back.
+// answerBuckets sends the entries of the buckets that differ, starting at a random bucket, as many as one message
+// holds. They include entries under the asker's own name: if its clock was set back, it learns from them that it
+// has to raise its start time.
 func (table *Table) answerBuckets(to string, theirs []uint64) []Send {
 	_, buckets := table.digests.of(table)
 	names := map[int][]string{}
--- a/internal/cluster/membership/explore_test.go
+++ b/internal/cluster/membership/explore_test.go
@@ -8,18 +8,19 @@
 	"testing"
 )
 
-// event is one thing that happens for a while to three members.
+// event is a fault or restart in a cluster of three members.
 type event struct {
 	name     string
 	duration int64
 	begin    func(cluster *testCluster)
 }
 
-// end takes back what events do to links; pauses end by themselves, and restarts stay.
+// end ends an event's effect on links. Pauses end by themselves.
 func (event) end(cluster *testCluster) { cluster.cut, cluster.twice = noCut, false }
 
-// allEvents are: nothing, each way lost, all ways to or from one, everything twice, a pause, a restart, one
-// with the wall clock set back; each for a moment and for long enough to be believed dead.
+// allEvents returns these events: no fault; messages lost between two members in one direction, or to, from or to
+// and from one member; each message delivered twice; a pause; a restart, with the wall clock right or set back.
+// Each has a short variant and one that lasts long enough for members to be believed dead.
 func allEvents() []event {
 	var events []event
 	add := func(name string, begin func(cluster *testCluster)) {
@@ -30,8 +31,8 @@
 	cut := func(name string, cut func(from, to string) bool) {
 		add(name, func(cluster *testCluster) { cluster.cut = cut })
 	}
-	add("nothing", func(*testCluster) {})
-	add("twice", func(cluster *testCluster) { cluster.twice = true })
+	add("no fault", func(*testCluster) {})
+	add("each message twice", func(cluster *testCluster) { cluster.twice = true })
 	for i := range 3 {
 		name := fmt.Sprintf("n%03d", i)
 		cut("deaf "+name, func(_, to string) bool { return to == name })
@@ -49,104 +50,107 @@
 	return events
 }
 
-// course plays events and watches what each says of itself.
-type course struct {
+// scenario runs a sequence of events and checks the versions that instances publish of themselves.
+type scenario struct {
 	*testCluster
-	issued map[string]map[uint64]uint64 // by name and incarnation: the highest version that it has said of itself
+	issued map[string]map[uint64]uint64 // by name and incarnation: the version in the instance's own entry
 }
 
-// check returns what is wrong at this instant; empty is nothing.
-func (course *course) check() string {
-	for _, name := range course.names {
-		self := course.tables[name].Self()
-		if course.issued[name] == nil {
-			course.issued[name] = map[uint64]uint64{}
+// check checks the present state and returns the first error, or an empty string.
+func (scenario *scenario) check() string {
+	for _, name := range scenario.names {
+		self := scenario.tables[name].Self()
+		if scenario.issued[name] == nil {
+			scenario.issued[name] = map[uint64]uint64{}
 		}
-		if self.Version < course.issued[name][self.Incarnation] {
-			return name + " went back"
+		if self.Version < scenario.issued[name][self.Incarnation] {
+			return fmt.Sprintf("%s lowered its version from %d to %d",
+				name, scenario.issued[name][self.Incarnation], self.Version)
 		}
-		course.issued[name][self.Incarnation] = self.Version
+		scenario.issued[name][self.Incarnation] = self.Version
 	}
-	for _, name := range course.names {
-		for _, member := range course.tables[name].Members() {
-			if member.State == Alive && member.Version > course.issued[member.Name][member.Incarnation] {
-				return fmt.Sprintf("%s believes in version %d of %s, which it never had",
-					name, member.Version, member.Name)
+	for _, name := range scenario.names {
+		for _, member := range scenario.tables[name].Members() {
+			if member.State == Alive && member.Version > scenario.issued[member.Name][member.Incarnation] {
+				return fmt.Sprintf("%s knows version %d of %s, which has published none above %d", name,
+					member.Version, member.Name, scenario.issued[member.Name][member.Incarnation])
 			}
 		}
 	}
 	return ""
 }
 
-// runChecked lets time go on until something is wrong.
-func (course *course) runChecked(duration int64) (wrong string) {
-	for end := course.now + duration; course.now < end && wrong == ""; {
-		course.run(second / 5)
-		wrong = course.check()
+// runChecked advances time until the duration is over or check finds an error, which it returns.
+func (scenario *scenario) runChecked(duration int64) (failure string) {
+	for end := scenario.now + duration; scenario.now < end && failure == ""; {
+		scenario.run(second / 5)
+		failure = scenario.check()
 	}
-	return wrong
+	return failure
 }
 
-// checkEnd returns what is wrong once all is over: then all believe in all, as they are now, and hand on the
-// same view.
-func (course *course) checkEnd() string {
-	for _, name := range course.names {
-		for _, member := range course.tables[name].Members() {
-			self := course.tables[member.Name].Self()
+// checkEnd checks that all instances agree at the end: all know all others as alive, in their present incarnation
+// and version, and publish the same view. It returns the first error, or an empty string.
+func (scenario *scenario) checkEnd() string {
+	for _, name := range scenario.names {
+		for _, member := range scenario.tables[name].Members() {
+			self := scenario.tables[member.Name].Self()
 			if member.State != Alive || member.Incarnation != self.Incarnation || member.Version != self.Version {
-				return fmt.Sprintf("in the end %s believes %s %s, version %d of %d",
-					name, member.Name, member.State, member.Version, self.Version)
+				return fmt.Sprintf(
+					"at the end %s believes %s to be %s, version %d of incarnation %d; want alive, %d of %d",
+					name, member.Name, member.State, member.Version, member.Incarnation,
+					self.Version, self.Incarnation)
 			}
 		}
 	}
-	if name := course.otherView(); name != "" {
-		return name + " hands on another view in the end"
+	if name := scenario.differentView(); name != "" {
+		return fmt.Sprintf("at the end %s publishes another view than %s", name, scenario.names[0])
 	}
 	return ""
 }
 
-// explore plays a course of events and returns what it broke; empty is nothing.
-func explore(t *testing.T, events []event, fault plantedFault) string {
+// explore runs a scenario and returns the first error, or an empty string.
+func explore(t *testing.T, events []event, fault injectedFault) string {
 	t.Helper()
-	course := &course{newFaultyCluster(t, 3, fault), map[string]map[uint64]uint64{}}
-	if wrong := course.runChecked(3 * second); wrong != "" {
-		return wrong
+	scenario := &scenario{newFaultyCluster(t, 3, fault), map[string]map[uint64]uint64{}}
+	if failure := scenario.runChecked(3 * second); failure != "" {
+		return failure
 	}
 	for _, event := range events {
-		event.begin(course.testCluster)
-		if wrong := course.runChecked(event.duration); wrong != "" {
-			return wrong
+		event.begin(scenario.testCluster)
+		if failure := scenario.runChecked(event.duration); failure != "" {
+			return failure
 		}
-		event.end(course.testCluster)
+		event.end(scenario.testCluster)
 	}
-	if wrong := course.runChecked(14 * second); wrong != "" {
-		return wrong
+	if failure := scenario.runChecked(14 * second); failure != "" {
+		return failure
 	}
-	return course.checkEnd()
+	return scenario.checkEnd()
 }
 
-// exploreCourses is how many courses are drawn; TEALPATH_EXPLORE asks for more.
-func exploreCourses(usual int) int {
+// randomScenarios returns the number of random scenarios: TEALPATH_EXPLORE if it is set, else a default.
+func randomScenarios(byDefault int) int {
 	if asked, err := strconv.Atoi(os.Getenv("TEALPATH_EXPLORE")); err == nil {
 		return asked
 	}
-	return usual
+	return byDefault
 }
 
-// Every course of two events, and drawn ones of four; with TEALPATH_EXPLORE=N so many drawn ones, and every
-// one of three for N above 1,000,000.
-func TestDrawnCoursesEndInAgreement(t *testing.T) {
-	const maxDrawn = 1_000_000
-	all, drawn := allEvents(), exploreCourses(400)
+// Runs each scenario of two events, and random ones of four events. TEALPATH_EXPLORE=N sets the number of random
+// scenarios to N. Above 1,000,000 it also adds each scenario of three events.
+func TestScenariosEndInAgreement(t *testing.T) {
+	const maxRandom = 1_000_000
+	all, random := allEvents(), randomScenarios(400)
 	tried := 0
 	try := func(events ...event) {
 		tried++
-		if wrong := explore(t, events, plantedFault{}); wrong != "" {
+		if failure := explore(t, events, injectedFault{}); failure != "" {
 			names := ""
 			for _, event := range events {
 				names += event.name + "; "
 			}
-			t.Fatalf("%s: %s", names, wrong)
+			t.Fatalf("%s: %s", names, failure)
 		}
 	}
 	for _, first := range all {
@@ -155,7 +159,7 @@
 				break
 			}
 			try(first, next)
-			if drawn > maxDrawn {
+			if random > maxRandom {
 				for _, third := range all {
 					try(first, next, third)
 				}
@@ -164,22 +168,22 @@
 	}
 	rng := rand.New(rand.NewPCG(7, 7))
 	draw := func() event { return all[rng.IntN(len(all))] }
-	for range min(drawn, maxDrawn) {
+	for range min(random, maxRandom) {
 		try(draw(), draw(), draw(), draw())
 	}
-	t.Logf("%d courses", tried)
+	t.Logf("%d scenarios", tried)
 }
 
-// A planted fault is found by courses of one event.
-func TestCoursesFindAMemberThatCannotRefute(t *testing.T) {
+// Scenarios of one event are enough to detect members that cannot refute.
+func TestScenariosDetectMembersThatCannotRefute(t *testing.T) {
 	found := 0
 	for _, one := range allEvents() {
-		if explore(t, []event{one}, plantedFault{noRefuting: true}) != "" {
+		if explore(t, []event{one}, injectedFault{cannotRefute: true}) != "" {
 			found++
 		}
 	}
 	if found == 0 {
-		t.Error("one that can't refute is not found")
+		t.Error("no scenario detects that members cannot refute")
 	}
-	t.Logf("found in %d courses", found)
+	t.Logf("detected in %d scenarios", found)
 }
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -5,34 +5,35 @@
 	"slices"
 )
 
-// queuedReport is a report to be passed on to all but the one it came from.
+// queuedReport is a report to be passed on to all neighbours except the one that sent it.
 type queuedReport struct {
 	Report
 	from string
 }
 
-// queuedEntry is an entry to be passed on to all but the one it came from.
+// queuedEntry is an entry to be passed on to all neighbours except the one that sent it.
 type queuedEntry struct {
 	Entry
 	from string
 }
 
-// queuedName is a name whose entry, as it then is, is to be passed on to all but the one it came from.
+// queuedName marks a name whose entry at the time of sending is to be passed on to all neighbours except the one
+// that sent it.
 type queuedName struct{ from string }
 
-// gossipQueue is what is to be passed on.
+// gossipQueue holds entries and reports to be passed on.
 type gossipQueue struct {
 	entries map[string]queuedName
 	reports []queuedReport
-	sendAt  int64             // 0: there is nothing
-	rumours map[string]uint64 // version of a member that somebody believes dead, plus one, that was passed on
+	sendAt  int64             // 0: nothing is queued
+	rumours map[string]uint64 // by member: version of the last rumour passed on, plus one
 }
 
 func newGossipQueue() gossipQueue {
 	return gossipQueue{entries: map[string]queuedName{}, rumours: map[string]uint64{}}
 }
 
-// next is when the queue is to be sent, or noTime.
+// next returns when the queue is to be sent, or noTime.
 func (queue *gossipQueue) next() int64 {
 	if queue.sendAt == 0 {
 		return noTime
@@ -40,7 +41,7 @@
 	return queue.sendAt
 }
 
-// isNewRumour notes a rumour that a member's present version is dead; it reports whether it is the first one.
+// isNewRumour records a rumour that a member's present version is dead, and reports whether it is the first one.
 func (queue *gossipQueue) isNewRumour(member *record) bool {
 	if queue.rumours[member.Name] == member.Version+1 {
 		return false
@@ -49,32 +50,32 @@
 	return true
 }
 
-// schedule has what is new sent soon.
+// schedule sets the time to send the queue, unless one is set.
 func (queue *gossipQueue) schedule(now, interval int64) {
 	if queue.sendAt == 0 {
-		queue.sendAt = now + interval/batchPart
+		queue.sendAt = now + interval/batchDivisor
 	}
 }
 
-// passOn has an entry passed on to all but from.
+// passOn queues a member's entry for all neighbours except from.
 func (table *Table) passOn(now int64, name, from string) {
 	table.gossip.entries[name] = queuedName{from}
 	table.gossip.schedule(now, table.config.HeartbeatInterval)
 }
 
-// passOnReport has a report passed on to all but from.
+// passOnReport queues a report for all neighbours except from.
 func (table *Table) passOnReport(now int64, report Report, from string) {
 	table.gossip.reports = append(table.gossip.reports, queuedReport{report, from})
 	table.gossip.schedule(now, table.config.HeartbeatInterval)
 }
 
-// gossipBatch is what one message passes on.
+// gossipBatch holds the entries and reports that one message passes on.
 type gossipBatch struct {
 	entries []queuedEntry
 	reports []queuedReport
 }
 
-// take takes what is new out of the queue, as much as one message holds.
+// take removes as much from the queue as one message holds and returns it.
 func (queue *gossipQueue) take(table *Table) gossipBatch {
 	var batch gossipBatch
 	names := slices.Sorted(maps.Keys(queue.entries))
@@ -94,7 +95,7 @@
 	return batch
 }
 
-// announcementOf is the entry of a name as it is passed on, if something is to be said of it.
+// announcementOf returns the entry of a name as it is passed on, unless the name is unknown or unheard.
 func (table *Table) announcementOf(name string) (Entry, bool) {
 	if name == table.self.entry.Name {
 		return table.self.entry, true
@@ -106,7 +107,7 @@
 	return member.announcement(), true
 }
 
-// forPeer is a message of the batch without what came from the peer itself.
+// forPeer returns the batch as a message, without what the peer sent or reported itself.
 func (batch gossipBatch) forPeer(name string) Gossip {
 	var gossip Gossip
 	for _, entry := range batch.entries {
@@ -122,7 +123,7 @@
 	return gossip
 }
 
-// sendGossip passes what is new on, once by every link.
+// sendGossip sends a batch of the queue once on each link.
 func (table *Table) sendGossip(now int64) []Send {
 	batch := table.gossip.take(table)
 	table.gossip.sendAt = 0
--- a/internal/cluster/membership/heartbeat.go
+++ b/internal/cluster/membership/heartbeat.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// heartbeats is what goes out at each interval: to every neighbour its number and an echo, with what is new;
-// and now and then a try at one that is not there.
+// heartbeats returns the messages of one heartbeat interval: a numbered heartbeat with an echo and queued gossip
+// for each link and, every reconnectEvery intervals, one to a member without a link.
 func (table *Table) heartbeats(now int64) []Send {
-	table.pickStray(now)
+	table.pickReconnect(now)
 	batch := table.gossip.take(table)
 	digest, _ := table.digests.of(table)
 	var sends []Send
@@ -14,14 +14,14 @@
 		gossip.Digest = digest
 		sends = append(sends, Send{To: name, Gossip: gossip})
 	}
-	if table.stray.name != "" && table.stray.triedAt == now {
+	if table.reconnect.name != "" && table.reconnect.triedAt == now {
 		hello := Gossip{Heartbeat: 1, Digest: digest, Entries: []Entry{table.self.entry}}
-		sends = append(sends, Send{To: table.stray.name, Gossip: hello})
+		sends = append(sends, Send{To: table.reconnect.name, Gossip: hello})
 	}
 	return sends
 }
 
-// heartbeat makes the next heartbeat to a neighbour from the gossip for it.
+// heartbeat adds the next heartbeat to a neighbour to the gossip for it.
 func (table *Table) heartbeat(now int64, member *record, gossip Gossip) Gossip {
 	link := member.link
 	link.sent++
@@ -31,26 +31,26 @@
 	if mayNotKnowSelf && !slices.ContainsFunc(gossip.Entries, isSelf) {
 		gossip.Entries = append([]Entry{table.self.entry}, gossip.Entries...)
 	}
-	if member.State == Dead { // so that it can refute
+	if member.State == Dead { // tell the member, so that it can refute
 		gossip.Entries = append(gossip.Entries, member.announcement())
 	}
 	return gossip
 }
 
-// stray is a member without a link that is tried now and then.
-type stray struct {
+// reconnect is the member without a link that the table tries to reach.
+type reconnect struct {
 	name    string // empty: none
 	triedAt int64
 }
 
-// pickStray draws a member that is believed dead, or has not been heard of, to be tried. After a split
-// only such attempts bring the sides together again.
-func (table *Table) pickStray(now int64) {
-	if now-table.stray.triedAt < table.config.intervals(strayEvery) {
+// pickReconnect picks a random member without a link that is believed dead or unheard. After a network split, only
+// these attempts reconnect the two sides.
+func (table *Table) pickReconnect(now int64) {
+	if now-table.reconnect.triedAt < table.config.intervals(reconnectEvery) {
 		return
 	}
-	previous := table.stray.name
-	table.stray.name, table.stray.triedAt = "", now
+	previous := table.reconnect.name
+	table.reconnect.name, table.reconnect.triedAt = "", now
 	var away []string
 	for _, name := range table.members.sortedNames() {
 		member := table.members.byName[name]
@@ -59,15 +59,15 @@
 		}
 	}
 	if len(away) > 0 {
-		table.stray.name = away[table.rng.IntN(len(away))]
+		table.reconnect.name = away[table.rng.IntN(len(away))]
 	}
-	if previous != table.stray.name {
+	if previous != table.reconnect.name {
 		table.version++
 	}
 }
 
-// receiveHeartbeat takes a heartbeat. One from who is no neighbour makes an inbound link, if there are not
-// too many.
+// receiveHeartbeat handles a heartbeat. A heartbeat from a member without a link creates an inbound link, unless
+// there are maxInbound already.
 func (table *Table) receiveHeartbeat(now int64, member *record, gossip Gossip) []Send {
 	if member.link == nil {
 		if len(table.links.inbound()) >= maxInbound {
@@ -88,7 +88,8 @@
 	return table.compareDigest(now, member, gossip.Digest)
 }
 
-// compareDigest asks for what differs at the first heartbeat, and once digests have differed for a while.
+// compareDigest sends bucket digests to request the entries that differ, at the first heartbeat and once the
+// digests have differed for syncAfter.
 func (table *Table) compareDigest(now int64, member *record, theirs uint64) []Send {
 	link := member.link
 	own, buckets := table.digests.of(table)
--- a/internal/cluster/membership/localhealth.go
+++ b/internal/cluster/membership/localhealth.go
@@ -1,23 +1,23 @@
 package membership
 
-// localHealth is how an instance judges itself, as in Lifeguard: what an instance that is late holds against
-// others may be its own fault.
+// localHealth is an instance's measure of its own health, as in Lifeguard: an instance that runs late may take
+// others for silent through its own fault.
 type localHealth struct {
-	points   int   // from 0, well, to maxLocalHealth
-	tickedAt int64 // when the last step was made
-	away     int64 // for how long the instance last did nothing, ns; 0 is never
-	cutOff   bool  // nothing is heard from any neighbour
+	score    int   // from 0 (healthy) to maxLocalHealth
+	tickedAt int64 // time of the last tick
+	away     int64 // how late the tick after the last absence was, ns; 0: never away
+	cutOff   bool  // no heartbeats arrive from any watched neighbour
 }
 
-// noteStep adds a point for a step that comes late. It reports whether the instance was away: late by an
-// interval or more.
-func (health *localHealth) noteStep(now, due, interval int64) (wasAway bool) {
+// recordTick worsens the score if the tick is late. It reports whether the instance was away: late by an interval
+// or more.
+func (health *localHealth) recordTick(now, due, interval int64) (wasAway bool) {
 	late := now - max(health.tickedAt, due)
 	health.tickedAt = now
-	if late <= interval/latePart {
+	if late <= interval/lateDivisor {
 		return false
 	}
-	health.points = min(health.points+1, maxLocalHealth)
+	health.score = min(health.score+1, maxLocalHealth)
 	if late < interval {
 		return false
 	}
@@ -25,10 +25,10 @@
 	return true
 }
 
-// improve takes a point back.
-func (health *localHealth) improve() { health.points = max(health.points-1, 0) }
+// improve lowers the score by one point.
+func (health *localHealth) improve() { health.score = max(health.score-1, 0) }
 
-// lengthen is a timeout as it counts here: each point makes it longer by one part in healthPart.
+// lengthen returns a timeout lengthened by timeout/healthDivisor for each point of the score.
 func (health *localHealth) lengthen(timeout int64) int64 {
-	return timeout + timeout*int64(health.points)/healthPart
+	return timeout + timeout*int64(health.score)/healthDivisor
 }
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -8,13 +8,14 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// noTime is the next time of a part that has nothing to do: later than any other.
+// noTime is the next due time of a component that has nothing to do. It is later than any other time.
 const noTime = int64(math.MaxInt64)
 
-// State is what is believed of a member.
+// State is the state of a member as this instance sees it.
 type State int
 
-// The states. Unheard is a configured member that has not been heard of yet.
+// The states. An Unheard member is known, usually from the configuration, but no entry of it has arrived yet. A
+// member that Left has announced its shutdown.
 const (
 	Unheard State = iota
 	Alive
@@ -22,71 +23,71 @@
 	Left
 )
 
-// String is the state as logs and `tealpath members` print it.
+// String returns the state as logs and `tealpath members` print it.
 func (state State) String() string { return []string{"unheard", "alive", "dead", "left"}[state] }
 
-// Member is what is believed of one member.
+// Member is another instance as this instance sees it.
 type Member struct {
 	Entry
 	State   State
-	Since   int64    // when it got into this state
-	HeardAt int64    // when it last said something new, or sent a heartbeat here; 0 is never
-	Reports []Report // that count, by observer
-	HeldOut bool     // alive, but held out of the view handed on, as it keeps dying
+	Since   int64    // when it entered this state
+	HeardAt int64    // when a new entry of it or a heartbeat from it last arrived; 0: never
+	Reports []Report // of its observers, sorted by observer
+	HeldOut bool     // alive, but left out of the published view because it keeps failing
 }
 
-// What a Change of the own instance says.
+// Reasons of a Change of this instance's own condition.
 const (
-	ReasonAway       = "away"        // this instance did nothing for longer than an interval
-	ReasonCutOff     = "cut off"     // nothing is heard from any neighbour
-	ReasonHeardAgain = "heard again" // neighbours are heard again
+	ReasonAway       = "away"        // this instance did not run for an interval or longer
+	ReasonCutOff     = "cut off"     // no heartbeats arrive from any neighbour
+	ReasonHeardAgain = "heard again" // heartbeats from neighbours arrive again
 )
 
-// Change reports that what is believed of a member has changed. Of the own instance it tells one of the reasons
-// above.
+// Change is a change of a member's state, or of this instance's own condition. In the second case Reason is one
+// of the reasons above.
 type Change struct {
 	Member
 	Previous State
 	Reason   string
 }
 
-// incarnations are the starts under one name: when each was last known to be there.
+// incarnations holds the incarnations seen under one name, each with the time when it was last seen.
 type incarnations map[uint64]int64
 
-// observe notes a start, unless there are too many to keep apart.
-func (starts incarnations) observe(now int64, incarnation uint64) (kept bool) {
-	if _, known := starts[incarnation]; !known && len(starts) >= maxIncarnations {
+// observe records that an incarnation was seen, unless too many others are recorded.
+func (seen incarnations) observe(now int64, incarnation uint64) (kept bool) {
+	if _, known := seen[incarnation]; !known && len(seen) >= maxIncarnations {
 		return false
 	}
-	starts[incarnation] = now
+	seen[incarnation] = now
 	return true
 }
 
-// forget drops the starts but the present one that were last there longer ago than a length of time.
-func (starts incarnations) forget(now, age int64, present uint64) {
-	for incarnation, at := range starts {
+// forget drops the incarnations, except the present one, that were last seen more than age ago.
+func (seen incarnations) forget(now, age int64, present uint64) {
+	for incarnation, at := range seen {
 		if incarnation != present && now-at > age {
-			delete(starts, incarnation)
+			delete(seen, incarnation)
 		}
 	}
 }
 
-// receivedReport is a report with when it came.
+// receivedReport is a report with its time of arrival.
 type receivedReport struct {
 	Report
 	at int64
 }
 
-// record is one member in the table.
+// record is a member in the table.
 type record struct {
 	Member
 	configured   bool
 	incarnations incarnations
 	reports      map[string]receivedReport // by observer
-	confirmSince int64                     // since when most observers report it, or never
-	deathClaims  map[string]bool           // neighbours that believe it dead
-	deaths       []int64                   // when it was believed dead, of late
-	link         *link                     // nil: it is no neighbour
+	confirmSince int64                     // since when most observers report it, or timing.Never
+	deathClaims  map[string]bool           // peers whose entries say that it is dead
+	deaths       []int64                   // times at which it was marked as dead, within flapWindow
+	link         *link                     // nil: none
 }
 
 func newRecord(now int64, name string) *record {
@@ -99,7 +100,7 @@
 	}
 }
 
-// member is a copy with the reports that are kept.
+// member returns a copy of the member with its reports.
 func (member *record) member() Member {
 	copied := member.Member
 	for _, report := range member.reports {
@@ -109,14 +110,15 @@
 	return copied
 }
 
-// announcement is the entry as it is passed on.
+// announcement returns the member's entry as it is passed on.
 func (member *record) announcement() Entry {
 	entry := member.Entry
 	entry.Dead = member.State == Dead
 	return entry
 }
 
-// countPresent counts the starts under the name that may be there.
+// countPresent counts the incarnations under the name that may be running: those seen within timeout, and the
+// present one of a live member.
 func (member *record) countPresent(now, timeout int64) int {
 	count := 0
 	for incarnation, at := range member.incarnations {
@@ -127,10 +129,10 @@
 	return count
 }
 
-// holdOut is for how long a member must have been alive to count, ns: one that has died twice of late must
-// stay for longer each time, as a link that flaps is no link.
+// holdOut returns how long a member must have been alive before it is in the published view, ns. After two deaths
+// within flapWindow the time doubles with each death, because a member with a flapping link is of no use.
 func (member *record) holdOut(interval int64) int64 {
-	const maxShift = 10 // far above the limit
+	const maxShift = 10 // prevents overflow; maxHoldOut is reached before
 	deaths := len(member.deaths)
 	if deaths < 2 {
 		return 0
--- a/internal/cluster/membership/memberlist.go
+++ b/internal/cluster/membership/memberlist.go
@@ -5,13 +5,13 @@
 	"slices"
 )
 
-// memberList is the members that are known, but for the own instance.
+// memberList holds the known members, without this instance.
 type memberList struct {
 	byName     map[string]*record
-	generation uint64   // grows with each name that comes or goes
-	names      []string // sorted, as of namesAt
-	namesAt    uint64   // generation
-	forgotAt   int64    // when members that are long gone were last dropped
+	generation uint64   // increases with each name that is added or removed
+	names      []string // sorted, as of the generation namesAt
+	namesAt    uint64
+	forgotAt   int64 // when Table.forget last dropped members
 }
 
 func newMemberList() memberList { return memberList{byName: map[string]*record{}} }
@@ -24,13 +24,13 @@
 	return member
 }
 
-// remove drops a member.
+// remove removes a member.
 func (list *memberList) remove(member *record) {
 	delete(list.byName, member.Name)
 	list.generation++
 }
 
-// sortedNames is the name of every member; the slice is not changed later.
+// sortedNames returns the names of all members. The returned slice is never modified.
 func (list *memberList) sortedNames() []string {
 	if len(list.names) != len(list.byName) || list.namesAt != list.generation {
 		list.names, list.namesAt = slices.Sorted(maps.Keys(list.byName)), list.generation
--- a/internal/cluster/membership/neighbourhood.go
+++ b/internal/cluster/membership/neighbourhood.go
@@ -6,59 +6,59 @@
 	"slices"
 )
 
-// maxInbound is how many that are no neighbours are answered: while views differ somebody's neighbours may
-// not know it yet.
+// maxInbound bounds the inbound links. While views differ, an instance may send heartbeats to a member that does
+// not know yet that they are neighbours. The member answers them.
 const maxInbound = 6
 
-// link is the way to and from a neighbour.
+// link is the state of the heartbeats exchanged with a member.
 type link struct {
 	since   int64
-	inbound bool // it sends heartbeats here, but is no neighbour by the own rings
+	inbound bool // the member sends heartbeats here, but is not a neighbour on this instance's rings
 
-	heardAt  int64  // when the last heartbeat came
-	received uint64 // number of the last heartbeat that came
-	sent     uint64 // and of the last one that was sent
-	echoed   uint64 // the last one sent that is known to have arrived
-	echoedAt int64  // when it last showed that it hears
+	heardAt  int64  // when the last heartbeat arrived
+	received uint64 // number of the last heartbeat that arrived
+	sent     uint64 // number of the last heartbeat that was sent
+	echoed   uint64 // number of the last sent heartbeat that the member has confirmed
+	echoedAt int64  // when the member last confirmed a new one
 
-	reported   ReportKind // what was last reported of it
+	reported   ReportKind // the last report of the member
 	reportedAt int64
 
-	differsSince int64 // since when the digests differ; 0: they don't
-	syncedAt     int64 // when bucket digests were last exchanged
+	differsSince int64 // since when the digests differ; 0: they are equal
+	syncedAt     int64 // when bucket digests were last sent
 }
 
 func newLink(now int64, inbound bool) *link {
 	return &link{since: now, heardAt: now, echoedAt: now, inbound: inbound}
 }
 
-// neighbourhood is the members with links, and who watches whom.
+// neighbourhood holds the members with links, and the rings that determine who watches whom.
 type neighbourhood struct {
-	members   map[string]*record // with a link
-	names     []string           // theirs, sorted; nil is to be made
+	members   map[string]*record // the members with a link, by name
+	names     []string           // the sorted names of members; nil: not computed
 	rings     *Rings
-	ringNames []string            // that the rings are of
-	observers map[string][]string // by name, as of the rings
+	ringNames []string            // the names on the rings
+	observers map[string][]string // cached observers of a name
 }
 
 func newNeighbourhood() neighbourhood {
 	return neighbourhood{members: map[string]*record{}, observers: map[string][]string{}}
 }
 
-// add notes that a member has a link.
+// add adds a member that has a link.
 func (links *neighbourhood) add(member *record) {
 	links.members[member.Name] = member
 	links.names = nil
 }
 
-// remove takes a member's link away.
+// remove removes a member's link.
 func (links *neighbourhood) remove(member *record) {
 	member.link = nil
 	delete(links.members, member.Name)
 	links.names = nil
 }
 
-// sortedNames is who has a link; the slice is not changed later.
+// sortedNames returns the names of the members with links. The returned slice is never modified.
 func (links *neighbourhood) sortedNames() []string {
 	if links.names == nil {
 		links.names = slices.Sorted(maps.Keys(links.members))
@@ -66,8 +66,8 @@
 	return links.names
 }
 
-// nextSilence is when the first watched neighbour will have been silent for a timeout, or noTime. Silence
-// that was looked at with heartbeats alone would be found up to an interval late.
+// nextSilence returns when the silence timeout of the first watched neighbour ends, or noTime. If timeouts were
+// checked only at heartbeats, silence would be detected up to an interval late.
 func (links *neighbourhood) nextSilence(timeout int64) int64 {
 	next := noTime
 	for _, member := range links.members {
@@ -80,7 +80,7 @@
 	return next
 }
 
-// observersOf is who watches a member, as the rings are here.
+// observersOf returns the observers of a member on this instance's rings.
 func (links *neighbourhood) observersOf(name string) []string {
 	if observers, ok := links.observers[name]; ok {
 		return observers
@@ -90,7 +90,7 @@
 	return observers
 }
 
-// inbound is who has an inbound link, by name.
+// inbound returns the members with inbound links, sorted by name.
 func (links *neighbourhood) inbound() []*record {
 	var members []*record
 	for _, name := range links.sortedNames() {
@@ -101,8 +101,8 @@
 	return members
 }
 
-// trimInbound drops the inbound links that have been silent longest, beyond the bound. Without it a series
-// of view changes would keep a link to everyone that was a neighbour in any of them.
+// trimInbound drops the inbound links beyond maxInbound, those that have been silent longest first. Without it, a
+// series of view changes would keep links to all members that were neighbours in any of the views.
 func (links *neighbourhood) trimInbound() {
 	inbound := links.inbound()
 	slices.SortStableFunc(inbound, func(a, b *record) int { return cmp.Compare(b.link.heardAt, a.link.heardAt) })
@@ -111,8 +111,9 @@
 	}
 }
 
-// ringMembers returns the names on the rings: the members of the published view and, for a while after the
-// start, contacts that have not been heard of yet, so that all instances start with the same rings.
+// ringMembers returns the names on the rings: this instance, the members of the published view and, for
+// unheardOnRings after the start, contacts that are Unheard. With the contacts all instances start with the same
+// rings.
 func (table *Table) ringMembers(now int64) []string {
 	starting := now-table.startedAt < table.config.intervals(unheardOnRings)
 	names := []string{table.self.entry.Name}
@@ -128,7 +129,7 @@
 	return names
 }
 
-// updateRings computes the rings anew, and with them the links to neighbours.
+// updateRings recomputes the rings, and the links to neighbours from them, if the names on the rings have changed.
 func (table *Table) updateRings(now int64) {
 	names := table.ringMembers(now)
 	links := &table.links
@@ -161,7 +162,8 @@
 	table.links.add(member)
 }
 
-// Peers is to whom links are to stand: neighbours, those that send heartbeats here, and one that is tried.
+// Peers returns the members to connect to: those with links, inbound ones included, and the one that the table
+// tries to reconnect to.
 func (table *Table) Peers() []Contact {
 	var peers []Contact
 	for _, name := range table.links.sortedNames() {
@@ -169,20 +171,20 @@
 			peers = append(peers, Contact{name, member.Address, member.Weight})
 		}
 	}
-	if stray := table.members.byName[table.stray.name]; stray != nil && stray.link == nil && stray.Address != "" {
-		peers = append(peers, Contact{table.stray.name, stray.Address, stray.Weight})
+	if target := table.members.byName[table.reconnect.name]; target != nil && target.link == nil && target.Address != "" {
+		peers = append(peers, Contact{table.reconnect.name, target.Address, target.Weight})
 	}
 	return peers
 }
 
-// LinkState is how a neighbour is reached.
+// LinkState is the state of the heartbeats exchanged with a member.
 type LinkState struct {
-	HeardAgo  int64 // since its last heartbeat, ns
-	EchoedAgo int64 // since it last showed that it hears, ns
-	Inbound   bool  // it sends heartbeats here, but is no neighbour by the own rings
+	HeardAgo  int64 // since its last heartbeat arrived, ns
+	EchoedAgo int64 // since it last confirmed a heartbeat from this instance, ns
+	Inbound   bool  // it sends heartbeats here, but is not a neighbour on this instance's rings
 }
 
-// LinkStates is the links to and from neighbours, by name.
+// LinkStates returns the states of all links, by the member's name.
 func (table *Table) LinkStates(now int64) map[string]LinkState {
 	states := map[string]LinkState{}
 	for name, member := range table.links.members {
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -1,10 +1,10 @@
 package membership
 
-// claimsNeeded is how many neighbours must believe a member dead, so that it is believed here without reports.
+// claimsNeeded is how many peers must claim that a member is dead before a table believes it without reports.
 const claimsNeeded = 2
 
-// Receive takes a message of a member, and returns what is answered at once. from is whom the link has proved
-// it to be from.
+// Receive handles a message from a member and returns the immediate replies. from is the sender's name as
+// authenticated by the link.
 func (table *Table) Receive(now int64, from string, gossip Gossip) ([]Send, []Change) {
 	if !gossip.withinBounds() {
 		table.rejected++
@@ -31,7 +31,7 @@
 	return sends, table.takeChanges()
 }
 
-// receiveEntry brings what is known of a name up to date.
+// receiveEntry updates a member from a received entry.
 func (table *Table) receiveEntry(now int64, entry Entry, from string) {
 	if !entry.usable() {
 		table.rejected++
@@ -46,7 +46,8 @@
 		return
 	}
 	if member.configured {
-		entry.Address, entry.Weight = member.Address, member.Weight // the file says so: a peer can't move another
+		// The configuration decides: a peer must not be able to redirect links to a configured member.
+		entry.Address, entry.Weight = member.Address, member.Weight
 	}
 	sameVersion := entry.Incarnation == member.Incarnation && entry.Version == member.Version
 	switch {
@@ -63,9 +64,8 @@
 	table.update(now, member, entry, from)
 }
 
-// memberFor returns the member that an entry is about, or nil. An unknown member is added, unless the
-// entry says that it is gone already, because entries of members that are gone must not use memory, or
-// unless there are too many members.
+// memberFor returns the member that an entry is about, or nil. It adds an unknown member unless the entry says that
+// the member is dead or leaving, so that such members take no memory, or MaxMembers are known.
 func (table *Table) memberFor(now int64, entry Entry) *record {
 	if member := table.members.byName[entry.Name]; member != nil {
 		return member
@@ -80,7 +80,7 @@
 	return table.addMember(now, entry.Name)
 }
 
-// update takes a newer entry of a member.
+// update replaces a member's entry with a newer one.
 func (table *Table) update(now int64, member *record, entry Entry, from string) {
 	previous := member.Entry
 	if !member.incarnations.observe(now, entry.Incarnation) {
@@ -91,7 +91,7 @@
 	entry.Dead = false
 	restarted := previous.Incarnation != entry.Incarnation
 	if restarted && member.State == Alive {
-		member.incarnations[previous.Incarnation] = now // it may be there still
+		member.incarnations[previous.Incarnation] = now // the previous incarnation may still be running
 	}
 	if restarted && member.link != nil {
 		member.link = newLink(now, member.link.inbound)
@@ -108,7 +108,7 @@
 		state = Left
 	}
 	if member.State != state {
-		table.enter(now, member, state, "")
+		table.setState(now, member, state, "")
 	}
 	table.passOn(now, member.Name, from)
 	if dead {
@@ -116,7 +116,7 @@
 	}
 }
 
-// dropSuspicion forgets what was said of an earlier version of a member.
+// dropSuspicion drops the reports and death claims about an earlier version of a member.
 func (table *Table) dropSuspicion(member *record) {
 	clear(member.reports)
 	clear(member.deathClaims)
@@ -126,9 +126,9 @@
 	}
 }
 
-// receiveDeathClaim handles an entry of a peer that believes a member dead. One claim is not believed, but
-// is passed on as a rumour, so that the member can refute. Two claims are believed, because those peers
-// may have received reports that were lost on the way here.
+// receiveDeathClaim handles an entry in which a peer says that a member is dead. A single claim is only passed on
+// as a rumour, so that the member can refute it. Claims of claimsNeeded peers are believed, because these peers
+// may have received reports that were lost on the way to this instance.
 func (table *Table) receiveDeathClaim(now int64, member *record, from string) {
 	if member.State != Alive {
 		return
@@ -148,16 +148,17 @@
 	table.passOnRumour(now, member, rumour, from)
 }
 
-// passOnRumour passes a rumour that a member is dead on, once for each version of the member.
+// passOnRumour passes on a rumour that a member is dead, once for each version of the member.
 func (table *Table) passOnRumour(now int64, member *record, rumour Report, from string) {
 	if table.gossip.isNewRumour(member) {
 		table.passOnReport(now, rumour, from)
 	}
 }
 
-// receiveOwnEntry handles an entry under the own name. An entry of this incarnation that says more than
-// the own entry is refuted. An entry of another incarnation is of an earlier start, which this one has to
-// outrank, or of a second instance that runs now.
+// receiveOwnEntry handles an entry under this instance's name. An entry of this incarnation with a higher version,
+// or one that says dead, is refuted by a higher version still. An entry of another incarnation is from an earlier
+// run of this instance, which the present entry has to outrank, or from a second instance that runs under the same
+// name.
 func (table *Table) receiveOwnEntry(now int64, entry Entry) {
 	self := &table.self.entry
 	if entry.Incarnation == self.Incarnation {
@@ -172,7 +173,7 @@
 		return
 	}
 	if !entry.Dead && !entry.Leaving {
-		table.self.starts[entry.Incarnation] = now
+		table.self.otherIncarnations[entry.Incarnation] = now
 	}
 	if now-table.self.raisedAt >= table.config.HeartbeatInterval {
 		self.Start = entry.Start + 1
@@ -180,7 +181,7 @@
 	}
 }
 
-// receiveReport takes an observer's report.
+// receiveReport handles an observer's report.
 func (table *Table) receiveReport(now int64, report Report, from string) {
 	if len(report.Subject) > maxNameSize || len(report.Observer) > maxNameSize || report.Kind > Rumour {
 		table.rejected++
@@ -194,8 +195,8 @@
 		return
 	}
 	member := table.members.byName[report.Subject]
-	// A version that is not known here is an old one that was refuted, or one of the future, which can't be
-	// true yet.
+	// A report of another version is ignored: a lower version has been refuted, and a higher one is not known
+	// here yet.
 	if member == nil || member.State != Alive ||
 		report.Incarnation != member.Incarnation || report.Version != member.Version {
 		return
@@ -212,13 +213,13 @@
 	table.passOnReport(now, report, from)
 }
 
-// receiveAccusation refutes once a quarter of the observers, or a rumour, say that this instance is dead.
-// A single report may be about a link, not about this instance.
+// receiveAccusation handles a report about this instance. It refutes a rumour, and the reports of a quarter of the
+// observers. Fewer reports may be caused by broken links rather than by this instance.
 func (table *Table) receiveAccusation(now int64, report Report) {
 	if report.Incarnation != table.self.entry.Incarnation || report.Version != table.self.entry.Version {
 		return
 	}
-	accusers := table.self.noteAccusation(report)
+	accusers := table.self.recordAccusation(report)
 	if report.Kind == Healthy {
 		return
 	}
--- a/internal/cluster/membership/receive_test.go
+++ b/internal/cluster/membership/receive_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Restarts under the same name: also where the wall clock was set back; and two that run at once are seen by all.
+// A member that restarts with its wall clock set back to 1970 is alive again and is not taken for a duplicate. Two
+// instances that run under one name are detected by their contacts and by the instance itself.
 func TestRestartsUnderOneName(t *testing.T) {
 	cluster := newCluster(t, 12)
 	cluster.run(4 * second)
@@ -16,7 +17,7 @@
 	cluster.checkAllAlive()
 	for _, name := range cluster.names {
 		if cluster.tables[name].IsDuplicated(cluster.now, "n003") {
-			t.Errorf("%s holds the one that was replaced for a second one", name)
+			t.Errorf("%s believes that two instances run as n003, but the first one was restarted", name)
 		}
 	}
 	const twinIncarnation = 77
@@ -38,7 +39,7 @@
 	for range 60 {
 		sends, _ := twin.Tick(cluster.now)
 		for _, send := range sends {
-			cluster.inTransit = append(cluster.inTransit, letter{"n003", twinIncarnation, send})
+			cluster.inTransit = append(cluster.inTransit, message{"n003", twinIncarnation, send})
 		}
 		cluster.run(step)
 		for _, name := range cluster.names {
@@ -47,55 +48,57 @@
 		seen = seen || cluster.tables["n003"].IsDuplicated(cluster.now, "n003")
 	}
 	if !twice["n001"] || !twice["n002"] || !seen {
-		t.Errorf("who hears both: %v; itself: %v", twice, seen)
+		t.Errorf("duplicate of n003 detected by others: %v, by n003: %v; want n001, n002 and n003", twice, seen)
 	}
 }
 
-// One that lies: its reports and its word alone bury nobody, in its own name or in others'.
-func TestLiar(t *testing.T) {
+// One member sends false death claims and forges the reports of other observers. Nobody believes them, unless a
+// single claim is enough.
+func TestFalseReportsOfOneMember(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		fault plantedFault
+		fault injectedFault
 		dead  bool
 	}{
-		{"as it is", plantedFault{}, false},
-		{"where one is believed", plantedFault{believeOne: true}, true},
+		{"without a fault", injectedFault{}, false},
+		{"one claim is believed", injectedFault{believesOneClaim: true}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			cluster := newFaultyCluster(t, 30, test.fault)
 			cluster.run(4 * second)
-			buried := false
+			believedDead := false
 			seq := uint64(1) << 50
 			for range 100 {
 				cluster.run(second / 10)
-				lie := lieAbout(cluster.tables["n001"], "n003", &seq)
+				forged := forgeReports(cluster.tables["n001"], "n003", &seq)
 				for _, to := range cluster.names {
 					if to != "n001" && to != "n003" {
-						cluster.send("n001", []Send{{to, lie}})
+						cluster.send("n001", []Send{{to, forged}})
 					}
 				}
-				buried = buried || cluster.isBelieved("n003", Dead)
+				believedDead = believedDead || cluster.isBelieved("n003", Dead)
 			}
-			if buried != test.dead {
-				t.Errorf("believed dead: %v", buried)
+			if believedDead != test.dead {
+				t.Errorf("n003 believed dead: %v, want %v", believedDead, test.dead)
 			}
 		})
 	}
 }
 
-// lieAbout says that a member is dead, and that each of its observers reports it.
-func lieAbout(liar *Table, name string, seq *uint64) Gossip {
-	subject, _ := liar.Member(name)
-	lie := Gossip{Entries: []Entry{subject.Entry}}
-	lie.Entries[0].Dead = true
-	for _, observer := range liar.links.observersOf(name) {
+// forgeReports returns gossip that says that a member is dead and that each of its observers reports it.
+func forgeReports(sender *Table, name string, seq *uint64) Gossip {
+	subject, _ := sender.Member(name)
+	forged := Gossip{Entries: []Entry{subject.Entry}}
+	forged.Entries[0].Dead = true
+	for _, observer := range sender.links.observersOf(name) {
 		*seq++
-		lie.Reports = append(lie.Reports, Report{name, subject.Incarnation, subject.Version, observer, *seq, Silent})
+		report := Report{name, subject.Incarnation, subject.Version, observer, *seq, Silent}
+		forged.Reports = append(forged.Reports, report)
 	}
-	return lie
+	return forged
 }
 
-// What is unusable is refused, and memory is bounded.
+// Unusable input is rejected, and input from other instances takes bounded memory.
 func TestUnusableInputIsRejectedAndMemoryBounded(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.run(2 * second)
@@ -110,19 +113,19 @@
 	receive(Gossip{BucketDigests: make([]uint64, 3)})
 	receive(Gossip{Entries: make([]Entry, MaxPerMessage+3)})
 	if rejected := table.Rejected() - before; rejected != 8 {
-		t.Errorf("%d rejected", rejected)
+		t.Errorf("%d messages, entries and reports rejected, want 8", rejected)
 	}
 	for i := range MaxMembers + 200 {
 		receive(Gossip{Entries: []Entry{{Name: fmt.Sprint("z", i), Incarnation: 1, Start: 1, Weight: 1}}})
 	}
 	if len(table.members.byName) > MaxMembers {
-		t.Errorf("%d members", len(table.members.byName))
+		t.Errorf("%d members kept, want at most %d", len(table.members.byName), MaxMembers)
 	}
 	for i := range uint64(200) {
 		receive(Gossip{Entries: []Entry{{Name: "z1", Incarnation: i + 2, Start: i + 2, Weight: 1}}})
 	}
 	if kept := len(table.members.byName["z1"].incarnations); kept > maxIncarnations {
-		t.Errorf("%d starts under a name", kept)
+		t.Errorf("%d incarnations of one name kept, want at most %d", kept, maxIncarnations)
 	}
 	subject, _ := table.Member("n002")
 	for i := range 100 {
@@ -130,6 +133,6 @@
 		receive(Gossip{Reports: []Report{report}})
 	}
 	if kept := len(table.members.byName["n002"].reports); kept > maxReports {
-		t.Errorf("%d reports", kept)
+		t.Errorf("%d reports of one member kept, want at most %d", kept, maxReports)
 	}
 }
--- a/internal/cluster/membership/record_test.go
+++ b/internal/cluster/membership/record_test.go
@@ -9,12 +9,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// recordedDigest is the SHA-256 of everything that the tables of TestRecordedSequence did, in order.
+// recordedDigest is the SHA-256 of the lines that TestRecordedSequence records.
 const recordedDigest = "7d324924ea1aaccf715d82e5d0f51e3517ac35dc5b98ec2b3ad397e042032ec5"
 
-// TestRecordedSequence plays 300 s of 16 members with drawn faults. Each message, in its encoding, each
-// change and each due time goes into one digest, so that a rewrite that changes any of them, or their order,
-// is found.
+// TestRecordedSequence simulates 16 members for 300 s with random faults. It records each encoded message, each
+// change and each due time in one digest, so that it detects a rewrite that changes any of them or their order.
 func TestRecordedSequence(t *testing.T) {
 	const members, seconds = 16, 300
 	cluster := newCluster(t, members)
@@ -54,7 +53,7 @@
 	recorder.Check(recordedDigest)
 }
 
-// drawFault begins or ends a drawn fault, or does nothing.
+// drawFault begins or ends a random fault, or does nothing.
 func (cluster *testCluster) drawFault(faults *rand.Rand) {
 	name := cluster.names[faults.IntN(len(cluster.names))]
 	other := cluster.names[faults.IntN(len(cluster.names))]
@@ -94,7 +93,7 @@
 	}
 }
 
-// reconfigure gives a table all contacts but one, and another weight.
+// reconfigure gives a table all contacts except one, with new addresses, and another weight.
 func (cluster *testCluster) reconfigure(name, without string) {
 	var contacts []Contact
 	for _, contact := range cluster.names {
--- a/internal/cluster/membership/rings.go
+++ b/internal/cluster/membership/rings.go
@@ -11,20 +11,21 @@
 const (
 	ringCount = 4
 
-	// MaxNeighbours is how many observers a member has at most: the one before and the one after it on each ring.
+	// MaxNeighbours is the largest number of neighbours of a member: the previous and the next one on each ring.
 	MaxNeighbours = 2 * ringCount
 )
 
-// Rings orders names on four rings by hash: all that know the same names compute the same. Each member
-// watches the one before and the one after it on each, and so is watched by the same. That is an expander
-// with eight links a member whatever their number is, and stays connected without a third of them.
+// Rings orders names by hash on four rings. All instances that know the same names compute the same rings. Each
+// member watches the previous and the next member on each ring and is watched by them. The links form an expander
+// graph with at most eight links per member, however many members there are. If a third of the members fail, the
+// others stay connected.
 type Rings struct {
 	names  []string
 	rings  [ringCount][]ringPoint
 	hashes map[string][ringCount]uint64
 }
 
-// ringPoint is a name's place on one ring.
+// ringPoint is a name's position on one ring.
 type ringPoint struct {
 	hash uint64
 	name string
@@ -34,7 +35,7 @@
 	return cmp.Or(cmp.Compare(point.hash, other.hash), cmp.Compare(point.name, other.name))
 }
 
-// NewRings orders names.
+// NewRings returns the rings of some names.
 func NewRings(names []string) *Rings {
 	rings := &Rings{names: names, hashes: make(map[string][ringCount]uint64, len(names))}
 	for _, name := range names {
@@ -50,7 +51,7 @@
 	return rings
 }
 
-// ringHashes is a name's place on each ring.
+// ringHashes returns a name's position on each ring.
 func ringHashes(name string) (hashes [ringCount]uint64) {
 	for i := range hashes {
 		key := binary.LittleEndian.AppendUint32(nil, uint32(i))
@@ -59,7 +60,8 @@
 	return hashes
 }
 
-// Neighbours is who watches a name, and is watched by it; the name itself need not be on the rings.
+// Neighbours returns the sorted names that watch a name and are watched by it. The name itself need not be on the
+// rings.
 func (rings *Rings) Neighbours(name string) []string {
 	if len(rings.names) <= MaxNeighbours+1 {
 		return slices.DeleteFunc(slices.Clone(rings.names), func(other string) bool { return other == name })
--- a/internal/cluster/membership/rings_test.go
+++ b/internal/cluster/membership/rings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// ringNames are names such as those of a large fleet.
+// ringNames returns count names.
 func ringNames(count int) []string {
 	var names []string
 	for i := range count {
@@ -16,8 +16,8 @@
 	return names
 }
 
-// Eight observers at most, each watched by those that it watches, alike at all; connected without any third
-// of them that was drawn; few places change when one comes.
+// Each member has at most eight neighbours, and they watch each other. The members stay connected without a random
+// third of them. A new member changes the neighbours of few others.
 func TestRingsAreMutualAndConnected(t *testing.T) {
 	for _, count := range []int{1, 2, 3, 9, 10, 30, 300, 3000} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -30,9 +30,10 @@
 			checkNeighbours(t, names, neighbours)
 			for seed := range uint64(20) {
 				apart := countApart(names, neighbours, rand.New(rand.NewPCG(seed, 1)))
-				// One in 6,600 has all eight in the third that is gone; it links anew once that is seen.
+				// The probability that all eight neighbours of a member are in the failed third is 1 in 6,600. Such a
+				// member gets new neighbours once the failures are detected.
 				if count >= 30 && apart > 1 {
-					t.Errorf("a third gone: %d are apart", apart)
+					t.Errorf("without a third of the members %d others are disconnected, want at most 1", apart)
 				}
 			}
 			if count < 30 {
@@ -45,29 +46,30 @@
 				}
 			}
 			if moved > MaxNeighbours {
-				t.Errorf("%d have other neighbours for one that came", moved)
+				t.Errorf("a new member changed the neighbours of %d others, want at most %d", moved, MaxNeighbours)
 			}
 		})
 	}
 }
 
-// checkNeighbours checks that nobody has too many or too few neighbours, and that each is one both ways.
+// checkNeighbours checks that each name has a valid number of neighbours, and that neighbours watch each other.
 func checkNeighbours(t *testing.T, names []string, neighbours map[string][]string) {
 	t.Helper()
 	for _, name := range names {
 		near := neighbours[name]
 		if len(near) > MaxNeighbours || len(near) < min(len(names)-1, 4) || slices.Contains(near, name) {
-			t.Fatalf("%s is near %v", name, near)
+			t.Fatalf("%s has the neighbours %v, want %d to %d others",
+				name, near, min(len(names)-1, 4), MaxNeighbours)
 		}
 		for _, other := range near {
 			if !slices.Contains(neighbours[other], name) {
-				t.Fatalf("%s watches %s alone", name, other)
+				t.Fatalf("%s watches %s, but is not watched by it", name, other)
 			}
 		}
 	}
 }
 
-// countApart counts those that can't be reached from the first, once a drawn third is gone.
+// countApart removes a random third of the names and counts the others that the first one of them cannot reach.
 func countApart(names []string, neighbours map[string][]string, rng *rand.Rand) int {
 	there := map[string]bool{}
 	for _, name := range names {
--- a/internal/cluster/membership/self.go
+++ b/internal/cluster/membership/self.go
@@ -1,33 +1,33 @@
 package membership
 
-// selfState is what a table knows of its own instance.
+// selfState is a table's state of its own instance.
 type selfState struct {
-	entry           Entry
-	raisedAt        int64             // when the version of the entry was last raised
-	starts          incarnations      // other starts under the own name
-	accusedVersions map[string]uint64 // by observer: version of the entry, plus one, that it reported
+	entry             Entry
+	raisedAt          int64             // when the version of the entry was last raised
+	otherIncarnations incarnations      // seen under this instance's name
+	accusedVersions   map[string]uint64 // by observer: version of this instance that it reports, plus one
 }
 
 func newSelfState(now int64, config Config) selfState {
 	self := selfState{
-		entry:           config.Self,
-		raisedAt:        now - config.HeartbeatInterval,
-		starts:          incarnations{},
-		accusedVersions: map[string]uint64{},
+		entry:             config.Self,
+		raisedAt:          now - config.HeartbeatInterval,
+		otherIncarnations: incarnations{},
+		accusedVersions:   map[string]uint64{},
 	}
 	self.entry.Start = max(1, self.entry.Start)
 	return self
 }
 
-// raise makes the entry count before all that was said of it.
+// raise raises the entry's version, so that it outranks earlier entries of this instance.
 func (own *selfState) raise(now int64) {
 	own.entry.Version++
 	own.raisedAt = now
 }
 
-// isDuplicated reports whether another start under the own name was there within a timeout.
+// isDuplicated reports whether another incarnation under this instance's name was seen within a timeout.
 func (own *selfState) isDuplicated(now, timeout int64) bool {
-	for _, at := range own.starts {
+	for _, at := range own.otherIncarnations {
 		if now-at <= timeout {
 			return true
 		}
@@ -35,9 +35,9 @@
 	return false
 }
 
-// noteAccusation notes an observer's report of the present version of the own entry, and returns how many
-// report it. A report that all is well takes an earlier one back.
-func (own *selfState) noteAccusation(report Report) (accusers int) {
+// recordAccusation records an observer's report of the present version of this instance, and returns how many
+// observers report that version. A Healthy report withdraws the observer's earlier one.
+func (own *selfState) recordAccusation(report Report) (accusers int) {
 	if report.Kind == Healthy {
 		delete(own.accusedVersions, report.Observer)
 	} else {
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -1,14 +1,15 @@
-// Package membership holds which other instances are there, in fleets of hundreds. Each instance is watched
-// by up to eight others on rings that all compute alike, is believed dead when most of them report it, and
-// can refute. Changes go round once by every link, and digests find what was missed. Observers on rings and
-// counted reports are from Rapid (Suresh and others, 2018), refutation from SWIM (Das, Gupta and Motivala,
-// 2002), distrust of oneself from Lifeguard (Dadgar, Phillips and Currey, 2018). docs/membership.md has the
-// options, the choice and the bounds.
+// Package membership tracks which other instances are alive, in fleets of hundreds of instances. Each instance is
+// watched by up to eight others on rings that all instances compute alike. It is believed dead when most of its
+// observers report it, and it can refute the reports. Each change is passed on once on every link, and digests
+// find missed changes. Observers on rings and counted reports are from Rapid (Suresh and others, 2018), refutation
+// is from SWIM (Das, Gupta and Motivala, 2002), and local health is from Lifeguard (Dadgar, Phillips and Currey,
+// 2018). docs/membership.md has the options, the choice and the bounds.
 //
-// What it says is belief: it decides who tries for a lease, never who holds one (docs/duties.md).
+// Membership may be wrong. It decides which instances try to acquire a lease, never which instance holds one
+// (docs/duties.md).
 //
 // A Table does no input or output, reads no clock and is not safe for concurrent use. Times are ns of one
-// clock that never goes back.
+// monotonic clock.
 package membership
 
 import (
@@ -18,8 +19,8 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// Table is which instances are known, and what is believed of them. Each part below has its own state; the
-// methods of Table are the steps that touch several of them.
+// Table holds the known instances and their states. Its components below have their own state and methods; the
+// methods of Table work on several components.
 type Table struct {
 	config    Config
 	rng       *rand.Rand
@@ -30,19 +31,19 @@
 	members   memberList
 	suspicion suspicion
 	links     neighbourhood
-	stray     stray
+	reconnect reconnect
 	gossip    gossipQueue
 	digests   digests
 	view      view
 
 	nextHeartbeat int64
-	revision      uint64 // grows with each change of what is known
-	version       uint64 // grows with each change of the view handed on, and of whom to link to
-	rejected      int64  // entries and reports that were not taken
+	revision      uint64 // increases with each change of an entry or state
+	version       uint64 // increases with each change of the published view or of the peers to link to
+	rejected      int64  // messages, entries and reports that were rejected
 	changes       []Change
 }
 
-// New makes a table that knows its contacts alone.
+// New returns a table that knows only its contacts.
 func New(now int64, config Config) *Table {
 	config = config.withDefaults()
 	table := &Table{
@@ -54,19 +55,19 @@
 		members:       newMemberList(),
 		suspicion:     newSuspicion(config.Self.Start),
 		links:         newNeighbourhood(),
-		stray:         stray{triedAt: now},
+		reconnect:     reconnect{triedAt: now},
 		gossip:        newGossipQueue(),
-		view:          view{dirtySince: timing.Never, handedAt: now},
+		view:          view{dirtySince: timing.Never, publishedAt: now},
 		nextHeartbeat: now,
 	}
 	table.Configure(now, config.Contacts, config.Self.Weight, config.Self.Epoch)
 	table.publish(now)
-	table.gossip = newGossipQueue() // who does not know this instance gets its entry with the first heartbeat
+	table.gossip = newGossipQueue() // nothing to pass on: the first heartbeat to a neighbour has this instance's entry
 	return table
 }
 
-// Configure applies the contacts of a newer configuration. A member that is no longer a contact stays
-// known while it is heard.
+// Configure applies the contacts, weight and voters' epoch of a reloaded configuration. A member that is no longer
+// a contact stays known while it is alive.
 func (table *Table) Configure(now int64, contacts []Contact, weight float64, epoch uint64) {
 	for _, member := range table.members.byName {
 		member.configured = false
@@ -91,12 +92,12 @@
 	table.publish(now)
 }
 
-// Tick does what is due: heartbeats, reports, judgements, gossip, and the view handed on.
+// Tick does the work that is due: it checks links and reports, sends heartbeats and gossip, and publishes the view.
 func (table *Table) Tick(now int64) ([]Send, []Change) {
 	var sends []Send
 	table.checkOwnDelay(now)
 	table.watchLinks(now)
-	table.judgeSuspects(now)
+	table.evaluateSuspects(now)
 	table.forget(now)
 	if now >= table.nextHeartbeat {
 		table.nextHeartbeat = table.config.NextHeartbeat(now)
@@ -115,7 +116,7 @@
 	return changes
 }
 
-// Next is when Tick has something to do.
+// Next returns when Tick next has work to do.
 func (table *Table) Next() int64 {
 	return min(
 		table.nextHeartbeat,
@@ -126,7 +127,7 @@
 	)
 }
 
-// Leave has the own instance tell its neighbours that it leaves, at once.
+// Leave marks this instance as leaving and returns the messages that tell its neighbours at once.
 func (table *Table) Leave(now int64) []Send {
 	table.self.entry.Leaving = true
 	table.raiseSelf(now)
@@ -135,10 +136,10 @@
 	return table.sendGossip(now)
 }
 
-// Self is the own entry as it is passed on.
+// Self returns this instance's entry as it is passed on.
 func (table *Table) Self() Entry { return table.self.entry }
 
-// Member is what is believed of a member, if it is known.
+// Member returns a member, if it is known.
 func (table *Table) Member(name string) (Member, bool) {
 	if member := table.members.byName[name]; member != nil {
 		return member.member(), true
@@ -146,7 +147,7 @@
 	return Member{}, false
 }
 
-// Members is what is believed of all but the own instance, by name.
+// Members returns all members except this instance, sorted by name.
 func (table *Table) Members() []Member {
 	members := make([]Member, 0, len(table.members.byName))
 	for _, name := range table.members.sortedNames() {
@@ -155,13 +156,14 @@
 	return members
 }
 
-// Count is how many are known beside the own instance.
+// Count returns the number of known members, without this instance.
 func (table *Table) Count() int { return len(table.members.byName) }
 
-// Rejected is how many entries and reports were not taken: unusable ones, and those past the bounds.
+// Rejected returns how many messages, entries and reports were rejected because they exceed a limit or are not
+// usable.
 func (table *Table) Rejected() int64 { return table.rejected }
 
-// Version grows with each view handed on, and each change of whom to link to.
+// Version increases with each change of the published view or of the result of Peers.
 func (table *Table) Version() uint64 { return table.version }
 
 func (table *Table) addMember(now int64, name string) *record {
@@ -169,16 +171,15 @@
 	return table.members.add(now, name)
 }
 
-// raiseSelf raises the version of the own entry, so that it outranks all that was said of it, and passes
-// it on.
+// raiseSelf raises the version of this instance's entry, so that it outranks earlier ones, and passes it on.
 func (table *Table) raiseSelf(now int64) {
 	table.self.raise(now)
 	table.revision++
 	table.passOn(now, table.self.entry.Name, "")
 }
 
-// enter moves a member to a state and emits the change.
-func (table *Table) enter(now int64, member *record, state State, reason string) {
+// setState moves a member to a state and records the change.
+func (table *Table) setState(now int64, member *record, state State, reason string) {
 	previous := member.State
 	member.State, member.Since, member.confirmSince = state, now, timing.Never
 	table.revision++
@@ -193,14 +194,13 @@
 	table.changes = append(table.changes, Change{Member: member.member(), Previous: previous, Reason: reason})
 }
 
-// noteSelf emits a change of the own instance.
-func (table *Table) noteSelf(now int64, reason string) {
+// recordSelfChange records a change of this instance's own condition.
+func (table *Table) recordSelfChange(now int64, reason string) {
 	self := Member{Entry: table.self.entry, State: Alive, Since: now}
 	table.changes = append(table.changes, Change{Member: self, Previous: Alive, Reason: reason})
 }
 
-// forget drops members that were last heard of long ago, and outdated deaths and incarnations of the
-// others.
+// forget removes members without news for forgetAfter, and the outdated deaths and incarnations of the others.
 func (table *Table) forget(now int64) {
 	if now-table.members.forgotAt < table.config.intervals(forgetEvery) {
 		return
@@ -218,7 +218,7 @@
 		member.incarnations.forget(now, age, member.Incarnation)
 	}
 	const noIncarnation = 0
-	table.self.starts.forget(now, age, noIncarnation)
+	table.self.otherIncarnations.forget(now, age, noIncarnation)
 }
 
 func (table *Table) removeMember(now int64, member *record) {
@@ -231,14 +231,15 @@
 	table.touch(now)
 }
 
-// ObserveIncarnation notes which start under a name a message came from, as its link has proved.
+// ObserveIncarnation records that a message came from an incarnation of a member. The link has authenticated the
+// name.
 func (table *Table) ObserveIncarnation(now int64, name string, incarnation uint64) {
 	if member := table.members.byName[name]; member != nil {
 		member.incarnations.observe(now, incarnation)
 	}
 }
 
-// IsDuplicated reports whether two starts under a name, the own one included, may both be there.
+// IsDuplicated reports whether two instances may be running under a name, which may be this instance's.
 func (table *Table) IsDuplicated(now int64, name string) bool {
 	timeout := table.config.ReplacedTimeout
 	if name == table.self.entry.Name {
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -10,22 +10,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// view is what is handed on: the entries that count, held back while what is known keeps changing.
+// view is the published view: the entries of live members. It is not updated while members keep changing.
 type view struct {
 	entries      []Entry
-	number       uint64 // of views handed on
-	handedAt     int64
-	dirtySince   int64 // since when what is known differs from the view, or never
-	changedAt    int64 // when it last changed
-	heldOutUntil int64 // when the next one that is held out may count; 0: none is
+	number       uint64 // of the published view; the first is 1
+	publishedAt  int64
+	dirtySince   int64 // since when there are changes that are not in the view, or timing.Never
+	changedAt    int64 // when the last such change happened
+	heldOutUntil int64 // when the next held-out member may be in the view; 0: no member is held out
 }
 
-// touch notes that the published view is out of date.
+// touch marks the published view as out of date.
 func (table *Table) touch(now int64) {
 	table.view.touch(now)
 }
 
-// touch notes that what is known has changed.
+// touch marks the view as out of date.
 func (view *view) touch(now int64) {
 	view.changedAt = now
 	if !timing.Happened(view.dirtySince) {
@@ -33,11 +33,11 @@
 	}
 }
 
-// next is when the view is to be looked at again, or noTime.
+// next returns when the view may have to be published, or noTime.
 func (view *view) next(interval int64) int64 {
 	next := noTime
 	if timing.Happened(view.dirtySince) {
-		next = view.changedAt + interval/quietPart
+		next = view.changedAt + interval/quietDivisor
 	}
 	if view.heldOutUntil > 0 {
 		next = min(next, view.heldOutUntil)
@@ -45,22 +45,22 @@
 	return next
 }
 
-// settleView publishes the view once what is known has stopped changing, or has gone on changing for long.
-// So the loss of a whole zone is one change of the view.
+// settleView publishes the view once members have stopped changing, or have kept changing for maxChanging. So the
+// loss of a whole zone is one change of the view.
 func (table *Table) settleView(now int64) {
 	view, interval := &table.view, table.config.HeartbeatInterval
 	if view.heldOutUntil > 0 && now >= view.heldOutUntil {
 		table.touch(now - interval)
 		view.heldOutUntil = 0
 	}
-	quiet := now-view.changedAt >= interval/quietPart
+	quiet := now-view.changedAt >= interval/quietDivisor
 	tooLong := now-view.dirtySince >= table.config.intervals(maxChanging)
 	if timing.Happened(view.dirtySince) && (quiet || tooLong) {
 		table.publish(now)
 	}
 }
 
-// publish makes the view of what is known now.
+// publish updates the view and the rings from the members' present states.
 func (table *Table) publish(now int64) {
 	view := &table.view
 	view.dirtySince = timing.Never
@@ -80,18 +80,18 @@
 	view.entries = entries
 	if !same || view.number == 0 {
 		view.number++
-		view.handedAt = now
+		view.publishedAt = now
 		table.version++
 	}
 	table.updateRings(now)
 }
 
-// sameInView reports whether two entries are the same to those that the view is handed to.
+// sameInView reports whether two entries agree in the fields that matter to users of the view.
 func sameInView(a, b Entry) bool {
 	return a.Name == b.Name && a.Weight == b.Weight && a.Address == b.Address && a.Incarnation == b.Incarnation
 }
 
-// updateHeldOut holds a member that keeps dying out of the view, and notes when it may count.
+// updateHeldOut holds a member that keeps failing out of the view, and records when it may return.
 func (table *Table) updateHeldOut(now int64, member *record) {
 	countsFrom := member.Since + member.holdOut(table.config.HeartbeatInterval)
 	member.HeldOut = member.State == Alive && now < countsFrom
@@ -103,16 +103,16 @@
 	}
 }
 
-// Alive returns the instances that can hold leases, by name, as of the published view: the own one unless
-// it leaves, and all that are believed alive.
+// Alive returns the entries of the published view, sorted by name: this instance unless it is leaving, and all
+// members believed alive and not held out. These instances can hold leases.
 func (table *Table) Alive() []Entry { return table.view.entries }
 
-// ViewInfo is the number here of the view handed on, its digest, which is the same wherever the same is
-// believed, and since when it is handed on.
+// ViewInfo returns this instance's number of the published view, the view's digest and the time at which it was
+// published. Instances with the same view have the same digest.
 func (table *Table) ViewInfo() (number, digest uint64, since int64) {
 	for _, entry := range table.view.entries {
 		incarnation := binary.LittleEndian.AppendUint64(nil, entry.Incarnation)
 		digest ^= xxhash.Sum64String(entry.Name + "\x00" + string(incarnation))
 	}
-	return table.view.number, digest, table.view.handedAt
+	return table.view.number, digest, table.view.publishedAt
 }
--- a/internal/cluster/membership/view_test.go
+++ b/internal/cluster/membership/view_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Many at once are few changes of the view handed on.
-func TestManyChangesAtOnceAreFewViews(t *testing.T) {
+// When many members change at once, the published view changes only a few times.
+func TestSimultaneousChangesMakeFewViews(t *testing.T) {
 	cluster := newCluster(t, 120)
 	cluster.run(4 * second)
 	cluster.checkAllAlive()
@@ -16,7 +16,7 @@
 		cluster.checkAll(name, Dead)
 	}
 	if after, _, _ := cluster.tables["n119"].ViewInfo(); after-before > 3 {
-		t.Errorf("%d views for one loss", after-before)
+		t.Errorf("the view changed %d times for one loss of 40 members, want at most 3", after-before)
 	}
 	for _, name := range cluster.names[40:60] {
 		cluster.send(name, cluster.tables[name].Leave(cluster.now))
@@ -35,7 +35,7 @@
 	cluster.checkAllAlive()
 }
 
-// One that keeps dying is held out of the view handed on for longer each time.
+// A member that keeps failing is held out of the published view for longer each time.
 func TestFlappingMemberIsHeldOutOfTheView(t *testing.T) {
 	cluster := newCluster(t, 20)
 	cluster.run(4 * second)
@@ -47,14 +47,14 @@
 		cluster.run(4 * second)
 	}
 	if after, _, _ := cluster.tables["n009"].ViewInfo(); after-before > 10 {
-		t.Errorf("%d views for one that died six times", after-before)
+		t.Errorf("the view changed %d times for a member that failed six times, want at most 10", after-before)
 	}
 	if member, _ := cluster.tables["n009"].Member("n003"); member.State != Alive || !member.HeldOut {
-		t.Errorf("%+v", member)
+		t.Errorf("n003 is %+v, want it alive and held out", member)
 	}
 	cluster.run(40 * second)
 	if member, _ := cluster.tables["n009"].Member("n003"); member.HeldOut {
-		t.Error("it is held out for good")
+		t.Error("n003 is still held out 40 s after its last failure")
 	}
 	cluster.checkAllAlive()
 }
--- a/internal/cluster/recordtest/recordtest.go
+++ b/internal/cluster/recordtest/recordtest.go
@@ -1,5 +1,5 @@
-// Package recordtest compares what a simulation did, in order, with a digest of what it did before. It is for tests of
-// reducers whose sequence of effects has to stay the same when their code is rewritten.
+// Package recordtest compares a digest of the recorded results of a simulation with an expected digest. It is for
+// tests of reducers whose sequence of effects must not change when their code is rewritten.
 package recordtest
 
 import (
@@ -10,19 +10,19 @@
 	"testing"
 )
 
-// Recorder takes the SHA-256 of the lines recorded.
+// Recorder computes the SHA-256 of the recorded lines.
 type Recorder struct {
 	t      *testing.T
 	digest hash.Hash
 }
 
-// New makes a recorder of nothing.
+// New returns a recorder without lines.
 func New(t *testing.T) *Recorder {
 	t.Helper()
 	return &Recorder{t: t, digest: sha256.New()}
 }
 
-// Record adds a line.
+// Record adds a formatted line.
 func (recorder *Recorder) Record(format string, values ...any) {
 	recorder.t.Helper()
 	if _, err := fmt.Fprintf(recorder.digest, format+"\n", values...); err != nil {
@@ -30,10 +30,10 @@
 	}
 }
 
-// Check fails the test if the lines recorded have another digest.
+// Check fails the test if the digest of the recorded lines is not want.
 func (recorder *Recorder) Check(want string) {
 	recorder.t.Helper()
 	if got := hex.EncodeToString(recorder.digest.Sum(nil)); got != want {
-		recorder.t.Errorf("the sequence has the digest %s, not %s", got, want)
+		recorder.t.Errorf("the recorded lines have the digest %s, want %s", got, want)
 	}
 }
--- a/internal/cluster/recordtest/recordtest_test.go
+++ b/internal/cluster/recordtest/recordtest_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// The digest is that of `printf 'a 1\nb 2\n' | sha256sum`.
-func TestCheckTakesTheDigestOfAllLines(t *testing.T) {
+// The expected digest is the output of `printf 'a 1\nb 2\n' | sha256sum`.
+func TestDigestCoversAllLines(t *testing.T) {
 	recorder := New(t)
 	recorder.Record("a %d", 1)
 	recorder.Record("b %d", 2)
