--- a/internal/cluster/peer/frame.go
+++ b/internal/cluster/peer/frame.go
@@ -9,39 +9,39 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ProtocolVersion is the version of what goes over links. Instances of another one are refused: what they say
-// of members means something else to them.
+// ProtocolVersion is the version of the protocol on links. Instances of another version are refused, because the
+// same fields mean something else in their messages.
 const ProtocolVersion = 2
 
-// MaxFrameSize is the size of the longest frame, bytes: more than the members and slots that can be come to.
-// The largest message is one that rejects all slots and names their holders.
+// MaxFrameSize is the size of the largest frame's payload, bytes. It is larger than any message with the largest
+// numbers of members and slots. The largest message rejects all slots and names their holders.
 const MaxFrameSize = 1 << 20
 
 const (
 	maxHelloSize  = 512
-	frameReadStep = 16 << 10 // bytes for which memory is taken at once
+	frameReadStep = 16 << 10 // bytes that are allocated at a time
 )
 
-// ErrMalformedFrame is input that is no frame.
+// ErrMalformedFrame is the error for input that is not a valid frame.
 var ErrMalformedFrame = errors.New("malformed frame")
 
-// VersionError is a peer of another protocol version.
+// VersionError is the error for a peer with another protocol version.
 type VersionError struct{ Version uint64 }
 
 // Error names both versions.
 func (err *VersionError) Error() string {
-	return fmt.Sprintf("protocol version %d, this is %d", err.Version, ProtocolVersion)
+	return fmt.Sprintf("peer has protocol version %d, only %d is supported", err.Version, ProtocolVersion)
 }
 
-// hello is the first frame, from whoever dialled.
+// hello is the first frame on a link. The instance that dialled sends it.
 type hello struct {
 	Version     uint64 `cbor:"1,keyasint"`
 	Name        string `cbor:"2,keyasint"`
 	Incarnation uint64 `cbor:"3,keyasint"`
 }
 
-// readFrame reads a frame: four bytes of length, the most significant first, and so many bytes. Memory is
-// taken as bytes come, not as the length says.
+// readFrame reads a frame: a length of four bytes, big-endian, and a payload of that length. It allocates memory
+// as bytes arrive, so that a false length alone takes no memory.
 func readFrame(in io.Reader, maxSize int) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
@@ -49,27 +49,27 @@
 	}
 	length := binary.BigEndian.Uint32(head[:])
 	if length == 0 || length > uint32(maxSize) {
-		return nil, fmt.Errorf("%w: %d bytes, 1 to %d can be", ErrMalformedFrame, length, maxSize)
+		return nil, fmt.Errorf("%w: length is %d bytes, must be 1 to %d", ErrMalformedFrame, length, maxSize)
 	}
 	size := int(length)
 	payload := make([]byte, 0, min(size, frameReadStep))
 	for len(payload) < size {
 		read := len(payload)
 		payload = append(payload, make([]byte, min(size-read, frameReadStep))...)
-		if _, err := io.ReadFull(in, payload[read:]); err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
+		if count, err := io.ReadFull(in, payload[read:]); err != nil {
+			return nil, fmt.Errorf("%w: payload ends after %d of %d bytes: %w", ErrMalformedFrame, read+count, size, err)
 		}
 	}
 	return payload, nil
 }
 
-// appendFrame appends a frame.
+// appendFrame appends a frame with a payload to frames.
 func appendFrame(frames, payload []byte) []byte {
 	frames = binary.BigEndian.AppendUint32(frames, uint32(len(payload)))
 	return append(frames, payload...)
 }
 
-// readHello reads the first frame, and checks its version.
+// readHello reads the first frame and checks its protocol version.
 func readHello(in io.Reader) (hello, error) {
 	raw, err := readFrame(in, maxHelloSize)
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 	var first hello
 	if err := cbor.Unmarshal(raw, &first); err != nil {
-		return hello{}, fmt.Errorf("%w: %w", ErrMalformedFrame, err)
+		return hello{}, fmt.Errorf("%w: invalid hello of %d bytes: %w", ErrMalformedFrame, len(raw), err)
 	}
 	if first.Version != ProtocolVersion {
 		return hello{}, &VersionError{first.Version}
--- a/internal/cluster/peer/frame_test.go
+++ b/internal/cluster/peer/frame_test.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A peer of another version is told apart from one that sends garbage.
+// Another protocol version gives a VersionError, and an invalid frame gives ErrMalformedFrame.
 func TestReadHello(t *testing.T) {
 	encode := func(sender hello) []byte {
 		raw, err := cbor.Marshal(sender)
@@ -20,13 +20,13 @@
 	}
 	good := hello{ProtocolVersion, "a", 1}
 	if got, err := readHello(bytes.NewReader(encode(good))); err != nil || got != good {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("read %+v, error %v, want %+v", got, err, good)
 	}
 	var version *VersionError
 	_, err := readHello(bytes.NewReader(encode(hello{ProtocolVersion - 1, "a", 1})))
-	const text = "protocol version 1, this is 2"
+	const text = "peer has protocol version 1, only 2 is supported"
 	if !errors.As(err, &version) || version.Version != ProtocolVersion-1 || err.Error() != text {
-		t.Errorf("another version: %v", err)
+		t.Errorf("another version: error %v, want %s", err, text)
 	}
 	for name, raw := range map[string][]byte{
 		"garbage":      appendFrame(nil, []byte{0xff}),
@@ -35,11 +35,11 @@
 		"half a frame": {0, 0, 0, 2, 1},
 	} {
 		if _, err := readHello(bytes.NewReader(raw)); !errors.Is(err, ErrMalformedFrame) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want %v", name, err, ErrMalformedFrame)
 		}
 	}
 	if _, err := readHello(bytes.NewReader(nil)); !errors.Is(err, io.EOF) {
-		t.Errorf("nothing: %v", err)
+		t.Errorf("no input: error %v, want %v", err, io.EOF)
 	}
 }
 
@@ -53,7 +53,7 @@
 			t.Errorf("%x was read as %x", raw, payload)
 		}
 		if sender, err := readHello(bytes.NewReader(raw)); err == nil && sender.Version != ProtocolVersion {
-			t.Errorf("%+v was taken", sender)
+			t.Errorf("hello %+v was accepted, want only version %d", sender, ProtocolVersion)
 		}
 	})
 }
--- a/internal/cluster/peer/incoming.go
+++ b/internal/cluster/peer/incoming.go
@@ -13,7 +13,7 @@
 	"tealpath/internal/logevent"
 )
 
-// accept takes links from others.
+// accept accepts links from other instances until the context ends.
 func (links *Links) accept(ctx context.Context) error {
 	for {
 		conn, err := links.config.Listener.Accept()
@@ -21,7 +21,7 @@
 		case ctx.Err() != nil:
 			return nil
 		case errors.Is(err, net.ErrClosed):
-			return fmt.Errorf("links to instances: %w", err)
+			return fmt.Errorf("accept links from other instances: %w", err)
 		case err != nil:
 			links.refusals.log(func(times int) logevent.Event { return AcceptFailed{Cause: err, Times: times} })
 			time.Sleep(minBackoff)
@@ -32,16 +32,16 @@
 			closeConn(conn)
 			continue
 		}
-		links.countAccepted(1)
+		links.addAccepted(1)
 		links.group.Go(func() error {
-			defer links.countAccepted(-1)
+			defer links.addAccepted(-1)
 			links.serve(ctx, conn, from)
 			return nil
 		})
 	}
 }
 
-// admit reports whether a connection may shake hands, and takes one of the handshakes for it.
+// admit reports whether a connection may start the TLS handshake, and if so reserves one of maxHandshakes for it.
 func (links *Links) admit(conn net.Conn) (from netip.Addr, admitted bool) {
 	remote, err := netip.ParseAddrPort(conn.RemoteAddr().String())
 	from = remote.Addr()
@@ -64,7 +64,8 @@
 	case links.handshakes <- struct{}{}:
 		return from, true
 	default:
-		// Who connects without end must not hold up those who belong here for longer than a handshake.
+		// Close the connection instead of queueing it. In a flood of connections, a queue would delay the links of
+		// other instances for longer than a handshake takes.
 		links.refusals.log(func(times int) logevent.Event {
 			return HandshakeLimitReached{Address: from.String(), Limit: maxHandshakes, Times: times}
 		})
@@ -72,13 +73,13 @@
 	}
 }
 
-func (links *Links) countAccepted(change int) {
+func (links *Links) addAccepted(change int) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
 	links.accepted += change
 }
 
-// serve reads one accepted link until it ends.
+// serve handles an accepted link until it ends.
 func (links *Links) serve(ctx context.Context, raw net.Conn, from netip.Addr) {
 	conn := tls.Server(raw, links.keys.serverConfig())
 	defer closeConn(raw)
@@ -104,7 +105,8 @@
 	}
 }
 
-// handshake shakes hands and reads who it is, within a time.
+// handshake does the TLS handshake, reads the hello and checks that the certificate is valid for its name, all
+// within handshakeTimeout.
 func (links *Links) handshake(ctx context.Context, conn *tls.Conn) (hello, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return hello{}, err
@@ -116,13 +118,13 @@
 	if err != nil {
 		return hello{}, err
 	}
-	if err := provesName(conn.ConnectionState(), sender.Name); err != nil {
+	if err := verifyName(conn.ConnectionState(), sender.Name); err != nil {
 		return hello{}, err
 	}
 	return sender, conn.SetDeadline(time.Time{})
 }
 
-// readFrames hands on what comes until the link ends.
+// readFrames passes received payloads on until the link ends.
 func (links *Links) readFrames(conn net.Conn, sender hello) error {
 	for {
 		if err := conn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
@@ -136,7 +138,7 @@
 	}
 }
 
-// addIncoming bounds the links from one name: the oldest ends.
+// addIncoming adds a link from a name. If the name has more than maxSameName links, it closes the oldest.
 func (links *Links) addIncoming(name string, conn net.Conn) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
--- a/internal/cluster/peer/keys.go
+++ b/internal/cluster/peer/keys.go
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// errNoCertificate is a peer that showed none.
-var errNoCertificate = errors.New("no certificate")
+// errNoCertificate is the error for a peer that sent no certificate.
+var errNoCertificate = errors.New("peer sent no certificate")
 
-// KeyFiles name what an instance proves itself with: its certificate with the chain to a root, its key, and
-// the roots it believes, all PEM. Two roots may be in the file while one takes the place of the other.
+// KeyFiles are the paths of an instance's PEM files: its certificate with the chain to a root, its key, and the
+// root certificates that it trusts. While one root replaces another, the file of roots holds both.
 type KeyFiles struct{ Certificate, Key, Roots string }
 
-// Keys are loaded files.
+// Keys are the loaded contents of KeyFiles.
 type Keys struct {
 	pair  tls.Certificate
 	roots *x509.CertPool
 }
 
-// Load reads the files.
+// Load reads the files. It returns an error if the key does not match the certificate.
 func (files KeyFiles) Load() (*Keys, error) {
 	pair, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
-		return nil, fmt.Errorf("certificate and key: %w", err)
+		return nil, fmt.Errorf("certificate and key: %w (files %s and %s)", err, files.Certificate, files.Key)
 	}
 	raw, err := os.ReadFile(files.Roots)
 	if err != nil {
@@ -35,12 +35,12 @@
 	}
 	keys := &Keys{pair: pair, roots: x509.NewCertPool()}
 	if !keys.roots.AppendCertsFromPEM(raw) {
-		return nil, fmt.Errorf("roots: %s holds no certificate", files.Roots)
+		return nil, fmt.Errorf("roots: %s holds no PEM certificate", files.Roots)
 	}
 	return keys, nil
 }
 
-// CheckName returns what keeps these keys from proving a name at a time, as a server's and as a client's.
+// CheckName returns an error if the certificate is not valid for a name at a time, as a server and as a client.
 func (keys *Keys) CheckName(name string, at time.Time) error {
 	chain := x509.NewCertPool()
 	for _, raw := range keys.pair.Certificate[1:] {
@@ -54,22 +54,22 @@
 			KeyUsages: []x509.ExtKeyUsage{usage},
 		}
 		if _, err := keys.pair.Leaf.Verify(options); err != nil {
-			return fmt.Errorf("the certificate does not prove %q: %w", name, err)
+			return fmt.Errorf("the certificate is not valid for the name %q: %w", name, err)
 		}
 	}
 	return nil
 }
 
-// keyHolder is the keys in force: new connections use them, those that stand go on.
+// keyHolder holds the current keys. New connections use them; replacing them leaves open connections alone.
 type keyHolder struct{ atomic.Pointer[Keys] }
 
-// serverConfig is what an accepted connection is held to.
+// serverConfig returns the TLS configuration of accepted connections. It requires a client certificate.
 func (holder *keyHolder) serverConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			keys := holder.Load()
-			// Without tickets: a session of before would pass with a root that is no longer believed.
+			// Without session tickets, because a resumed session would skip the check against the current roots.
 			return &tls.Config{
 				MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{keys.pair}, ClientCAs: keys.roots,
 				ClientAuth: tls.RequireAndVerifyClientCert, SessionTicketsDisabled: true,
@@ -78,7 +78,8 @@
 	}
 }
 
-// clientConfig is what a dialled connection to an instance is held to.
+// clientConfig returns the TLS configuration of a dialled connection. The peer's certificate must be valid for
+// the name.
 func (holder *keyHolder) clientConfig(name string) *tls.Config {
 	keys := holder.Load()
 	return &tls.Config{
@@ -86,10 +87,11 @@
 	}
 }
 
-// provesName returns what keeps a peer's certificate, verified already, from being for a name.
-func provesName(state tls.ConnectionState, name string) error {
+// verifyName returns an error if a peer's certificate is not valid for a name. The TLS handshake has verified the
+// certificate itself.
+func verifyName(state tls.ConnectionState, name string) error {
 	if len(state.PeerCertificates) == 0 {
-		return errNoCertificate
+		return fmt.Errorf("%w for the name %q", errNoCertificate, name)
 	}
 	return state.PeerCertificates[0].VerifyHostname(name)
 }
--- a/internal/cluster/peer/links.go
+++ b/internal/cluster/peer/links.go
@@ -1,9 +1,9 @@
 // Package peer holds the links between instances: TCP with mutual TLS 1.3 (RFC 8446). Each instance dials its
-// peers and sends on what it dialled; what is accepted is read only. So whoever gets a message sent it is
-// proved by the dialled address's certificate, and whoever it came from by the accepted one's.
+// peers. It only sends on connections that it dialled and only reads from connections that it accepted. So the
+// certificates of the two sides authenticate both the receiver and the sender of each message.
 //
-// Nothing here waits for a slow peer: each has a bounded queue, which loses its oldest frames. What is lost
-// is sent again by those who need it.
+// Sending never waits for a slow peer. Each peer has a bounded queue, which drops its oldest frame when it is full.
+// The packages above send lost messages again where they need them.
 package peer
 
 import (
@@ -19,50 +19,52 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Bounds and times of links.
+// Limits and durations of links.
 const (
-	maxQueue         = 64   // frames waiting for one peer
-	maxHandshakes    = 16   // at a time
-	maxAccepted      = 2048 // all others may link to a voter, and again before their old links are known to be dead
-	maxSameName      = 3    // accepted links from one name; the oldest ends
+	maxQueue      = 64 // frames waiting for one peer
+	maxHandshakes = 16 // at a time
+	// maxAccepted bounds the accepted links. All other instances of the largest fleet may link to a voter, and link
+	// to it again before their old links are detected as dead.
+	maxAccepted      = 2048
+	maxSameName      = 3 // accepted links from one name; beyond it the oldest is closed
 	handshakeTimeout = 2 * time.Second
 	writeTimeout     = 2 * time.Second
-	idleTimeout      = time.Minute // without a frame on an accepted link
+	idleTimeout      = time.Minute // an accepted link without a frame for this long is closed
 	minBackoff       = 50 * time.Millisecond
 	maxBackoff       = 2 * time.Second
-	flushInterval    = 5 * time.Millisecond
+	flushInterval    = 5 * time.Millisecond // between two checks in Flush
 )
 
-// Config is what links go by.
+// Config is the configuration of Links.
 type Config struct {
-	Name        string // the own one
+	Name        string // of this instance
 	Incarnation uint64
 	Listener    net.Listener
 	Keys        *Keys
-	Allow       *netipx.IPSet // addresses from which and to which links are taken
+	Allow       *netipx.IPSet // addresses with which links are allowed
 
-	// Receive handles a message. It may wait.
+	// Receive handles a payload. While it blocks, no more frames are read from that link.
 	Receive func(name string, incarnation uint64, payload []byte)
 	Log     func(logevent.Event)
 }
 
-// Links is all links of one instance. Its methods may be called by several goroutines at once.
+// Links holds all links of one instance. It is safe for concurrent use.
 type Links struct {
 	config     Config
 	keys       keyHolder
 	refusals   refusals
-	handshakes chan struct{} // holds one for each under way
+	handshakes chan struct{} // holds one element for each handshake under way
 
 	mu       sync.Mutex
 	allowed  *netipx.IPSet
-	outgoing map[string]*outgoing
+	outgoing map[string]*outgoing  // by name
 	incoming map[string][]net.Conn // by name, the oldest first
 	accepted int
-	running  context.Context // of Run: links that are added later end with it as well
+	running  context.Context // the context of Run, with which all outgoing links end
 	group    *errgroup.Group // nil before Run
 }
 
-// New makes links that do not run yet.
+// New returns links that do not run yet.
 func New(config Config) *Links {
 	links := &Links{
 		config:     config,
@@ -76,10 +78,10 @@
 	return links
 }
 
-// UseKeys takes new keys into force: new connections use them, those that stand go on.
+// UseKeys replaces the keys. New connections use them; open connections are left alone.
 func (links *Links) UseKeys(keys *Keys) { links.keys.Store(keys) }
 
-// SetAllowed takes new address sets into force, for new connections.
+// SetAllowed replaces the allowed addresses for new connections.
 func (links *Links) SetAllowed(set *netipx.IPSet) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
@@ -92,7 +94,7 @@
 	return links.allowed.Contains(address.Unmap())
 }
 
-// Run accepts and dials until the context ends.
+// Run accepts and dials links until the context ends.
 func (links *Links) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	links.mu.Lock()
@@ -108,7 +110,7 @@
 	return group.Wait()
 }
 
-// SetPeers has links to these names, by address, and to no others.
+// SetPeers opens links to the given peers, a map from name to address, and closes the links to all others.
 func (links *Links) SetPeers(peers map[string]string) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
@@ -130,7 +132,7 @@
 	}
 }
 
-// start runs a link to a peer; the lock is held.
+// start starts a link to a peer, unless it runs already or Run has ended. The caller holds mu.
 func (links *Links) start(link *outgoing) {
 	if links.running.Err() != nil || link.cancel != nil {
 		return
@@ -144,7 +146,8 @@
 	})
 }
 
-// Send queues a payload for a peer. It never waits; a full queue loses its oldest frame.
+// Send queues a payload for a peer and never blocks. A full queue drops its oldest frame. Payloads for unknown peers
+// or larger than MaxFrameSize are dropped.
 func (links *Links) Send(name string, payload []byte) {
 	links.mu.Lock()
 	link := links.outgoing[name]
@@ -154,13 +157,13 @@
 	}
 }
 
-// Dropped is how many frames were lost from the queues of the links there are.
+// Dropped returns how many frames the queues of the current peers have dropped.
 func (links *Links) Dropped() uint64 {
 	dropped, _ := links.queueTotals()
 	return dropped
 }
 
-// Flush waits until all queues are empty, or the time is up.
+// Flush waits until all queues are empty, at most for the timeout.
 func (links *Links) Flush(timeout time.Duration) {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(flushInterval) {
 		if _, queued := links.queueTotals(); queued == 0 {
@@ -169,7 +172,7 @@
 	}
 }
 
-// queueTotals sums the queues of all links.
+// queueTotals returns the numbers of dropped and of queued frames over all outgoing links.
 func (links *Links) queueTotals() (dropped uint64, queued int) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
@@ -182,8 +185,8 @@
 	return dropped, queued
 }
 
-// closer is a connection or listener.
+// closer is a connection or a listener.
 type closer interface{ Close() error }
 
-// closeConn closes what is given up: that it could not be closed cleanly changes nothing.
+// closeConn closes a connection or listener that is no longer used, so an error of Close has no consequence.
 func closeConn(conn closer) { _ = conn.Close() }
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -21,9 +21,9 @@
 	"go4.org/netipx"
 )
 
-const patience = 5 * time.Second
+const waitTimeout = 5 * time.Second
 
-// instance is one instance's links, with what they received and logged.
+// instance is one instance's links, with the messages that they received and the events that they logged.
 type instance struct {
 	*Links
 	address string
@@ -33,7 +33,7 @@
 	logged   []logevent.Event
 }
 
-// countReceived counts the messages with a part.
+// countReceived counts the received messages that contain a text.
 func (instance *instance) countReceived(part string) int {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -46,7 +46,7 @@
 	return count
 }
 
-// countLogged counts the logged events that a condition holds for.
+// countLogged counts the logged events for which holds returns true.
 func (instance *instance) countLogged(holds func(logevent.Event) bool) int {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -59,7 +59,7 @@
 	return count
 }
 
-// isRefusal reports whether an event is about a connection that was refused.
+// isRefusal reports whether an event reports refused connections.
 func isRefusal(event logevent.Event) bool {
 	switch event.(type) {
 	case AddressRefused, LinkLimitReached, HandshakeLimitReached, HandshakeRefused:
@@ -68,7 +68,7 @@
 	return false
 }
 
-// forgetLogged forgets what was logged, and how often.
+// forgetLogged drops the logged events and resets the counters of refusals.
 func (instance *instance) forgetLogged() {
 	instance.refusals.mu.Lock()
 	clear(instance.refusals.kinds)
@@ -78,7 +78,7 @@
 	instance.mu.Unlock()
 }
 
-// mustClose closes a connection or listener.
+// mustClose closes a connection or listener and fails the test on an error.
 func mustClose(t *testing.T, conn closer) {
 	t.Helper()
 	if err := conn.Close(); err != nil {
@@ -86,7 +86,8 @@
 	}
 }
 
-func loopback(t *testing.T, text string) *netipx.IPSet {
+// parseRange returns the set of the addresses in a range, such as 127.0.0.1-127.0.0.9.
+func parseRange(t *testing.T, text string) *netipx.IPSet {
 	t.Helper()
 	var builder netipx.IPSetBuilder
 	addresses, err := netipx.ParseIPRange(text)
@@ -101,7 +102,7 @@
 	return set
 }
 
-func load(t *testing.T, folder, name string) *Keys {
+func loadKeys(t *testing.T, folder, name string) *Keys {
 	t.Helper()
 	loaded, err := KeyFiles{
 		Certificate: filepath.Join(folder, name+".pem"),
@@ -114,8 +115,8 @@
 	return loaded
 }
 
-// open starts an instance's links.
-func open(t *testing.T, name string, loaded *Keys, allow string) *instance {
+// startLinks starts an instance's links.
+func startLinks(t *testing.T, name string, loaded *Keys, allow string) *instance {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,7 +124,7 @@
 	}
 	opened := &instance{address: listener.Addr().String()}
 	opened.Links = New(Config{
-		Name: name, Incarnation: 1, Listener: listener, Keys: loaded, Allow: loopback(t, allow),
+		Name: name, Incarnation: 1, Listener: listener, Keys: loaded, Allow: parseRange(t, allow),
 		Receive: func(from string, _ uint64, payload []byte) {
 			opened.mu.Lock()
 			defer opened.mu.Unlock()
@@ -146,11 +147,12 @@
 	return opened
 }
 
-func wait(t *testing.T, what string, done func() bool) {
+// waitFor fails the test unless a condition holds within waitTimeout.
+func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for until := time.Now().Add(patience); !done(); time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(waitTimeout); !done(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("not within %s: %s", patience, what)
+			t.Fatalf("not within %s: %s", waitTimeout, what)
 		}
 	}
 }
@@ -164,7 +166,7 @@
 	return root
 }
 
-// issue writes an instance's files, with the roots that it believes.
+// issue writes the key files of an instance that trusts some roots.
 func issue(t *testing.T, root *certificates.Root, folder, name string, roots ...*certificates.Root) {
 	t.Helper()
 	if err := root.Write(folder, name, time.Now().Add(time.Hour), roots...); err != nil {
@@ -172,53 +174,55 @@
 	}
 }
 
-func TestMessagesAndKeysChangedInService(t *testing.T) {
+// Messages arrive while both instances change to keys of a new root. A link that is open continues with the old
+// keys. Once only the new root is trusted, a peer with a certificate of the old one gets no messages.
+func TestMessagesWhileKeysChange(t *testing.T) {
 	old, next, folder := newRoot(t, "old"), newRoot(t, "next"), t.TempDir()
 	issue(t, old, folder, "a", old)
 	issue(t, old, folder, "b", old)
-	a := open(t, "a", load(t, folder, "a"), "127.0.0.1-127.0.0.9")
-	b := open(t, "b", load(t, folder, "b"), "127.0.0.1-127.0.0.9")
+	a := startLinks(t, "a", loadKeys(t, folder, "a"), "127.0.0.1-127.0.0.9")
+	b := startLinks(t, "b", loadKeys(t, folder, "b"), "127.0.0.1-127.0.0.9")
 	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("one"))
-	wait(t, "the first message", func() bool { return b.countReceived("a:one") == 1 })
-	// Both roots are believed, then a proves itself by the new one: the standing link goes on.
+	waitFor(t, "the first message", func() bool { return b.countReceived("a:one") == 1 })
+	// Both instances trust both roots, and a gets a certificate of the new root. The open link continues.
 	for _, name := range []string{"a", "b"} {
 		issue(t, old, folder, name, old, next)
 	}
-	b.UseKeys(load(t, folder, "b"))
+	b.UseKeys(loadKeys(t, folder, "b"))
 	issue(t, next, folder, "a", old, next)
-	a.UseKeys(load(t, folder, "a"))
+	a.UseKeys(loadKeys(t, folder, "a"))
 	a.Send("b", []byte("two"))
-	wait(t, "a message on the standing link", func() bool { return b.countReceived("a:two") == 1 })
+	waitFor(t, "a message on the open link", func() bool { return b.countReceived("a:two") == 1 })
 	if b.countLogged(isRefusal) != 0 {
-		t.Errorf("refused: %v", b.logged)
+		t.Errorf("b refused connections while both roots were trusted: %v", b.logged)
 	}
 	a.SetPeers(nil)
 	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("three"))
-	wait(t, "a message under the new key", func() bool { return b.countReceived("a:three") == 1 })
-	// The new root alone is believed from now on: b's old certificate is not.
+	waitFor(t, "a message on a link with the new key", func() bool { return b.countReceived("a:three") == 1 })
+	// a now trusts only the new root, so it no longer accepts b's certificate of the old root.
 	issue(t, next, folder, "a", next)
-	a.UseKeys(load(t, folder, "a"))
+	a.UseKeys(loadKeys(t, folder, "a"))
 	a.SetPeers(nil)
 	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("four"))
-	wait(t, "the refusal", func() bool {
+	waitFor(t, "an event that a cannot connect to b", func() bool {
 		return a.countLogged(func(event logevent.Event) bool {
 			failed, ok := event.(ConnectFailed)
 			return ok && failed.Member == "b"
 		}) > 0
 	})
 	if b.countReceived("four") != 0 {
-		t.Error("sent to one whose root is no longer believed")
+		t.Error("b, whose root a no longer trusts, received a message from a")
 	}
 }
 
-// Peers that are refused: each with one bounded line, and nothing left open.
-func TestRefused(t *testing.T) {
+// Peers with an invalid certificate, hello or frame are refused, with an event that says why.
+func TestRefusedPeers(t *testing.T) {
 	good, bad, folder := newRoot(t, "good"), newRoot(t, "bad"), t.TempDir()
 	issue(t, good, folder, "b", good)
-	b := open(t, "b", load(t, folder, "b"), "127.0.0.1-127.0.0.1")
+	b := startLinks(t, "b", loadKeys(t, folder, "b"), "127.0.0.1-127.0.0.1")
 	certificate := func(root *certificates.Root, name string, lifetime time.Duration) tls.Certificate {
 		certificate, key, err := root.Issue(name, time.Now().Add(lifetime))
 		if err != nil {
@@ -272,7 +276,7 @@
 			if test.name == "half a frame" {
 				mustClose(t, client)
 			}
-			wait(t, test.want, func() bool {
+			waitFor(t, "an event with the text "+test.want, func() bool {
 				return b.countLogged(func(event logevent.Event) bool {
 					return strings.Contains(logevent.Text(event), test.want)
 				}) > 0
@@ -280,40 +284,41 @@
 		})
 	}
 	if received := b.countReceived(""); received != 0 {
-		t.Errorf("%d messages were taken", received)
+		t.Errorf("%d messages of refused peers were received, want 0", received)
 	}
 }
 
-func TestAThousandConnectionsCostNothing(t *testing.T) {
+// Connections from outside the allowed addresses are closed, leave no goroutines and are logged as one event.
+func TestThousandRefusedConnections(t *testing.T) {
 	root, folder := newRoot(t, "r"), t.TempDir()
 	issue(t, root, folder, "b", root)
-	b := open(t, "b", load(t, folder, "b"), "127.0.0.9-127.0.0.9") // 127.0.0.1 is outside
+	b := startLinks(t, "b", loadKeys(t, folder, "b"), "127.0.0.9-127.0.0.9") // 127.0.0.1 is outside
 	before := runtime.NumGoroutine()
 	for range 1000 {
 		conn, err := net.Dial("tcp", b.address)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := conn.SetReadDeadline(time.Now().Add(patience)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(waitTimeout)); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := conn.Read(make([]byte, 1)); err == nil {
-			t.Fatal("not closed")
+			t.Fatal("a connection from outside the allowed addresses was not closed")
 		}
 		mustClose(t, conn)
 	}
-	wait(t, "no goroutine is left", func() bool { return runtime.NumGoroutine() <= before+1 })
+	waitFor(t, "the end of the connections' goroutines", func() bool { return runtime.NumGoroutine() <= before+1 })
 	if events := b.countLogged(func(logevent.Event) bool { return true }); events != 1 {
-		t.Errorf("%d events for 1,000 refusals", events)
+		t.Errorf("%d events for 1,000 refusals, want 1", events)
 	}
 }
 
-// Connections that never shake hands are bounded, and do not keep out for good those that belong here.
+// Connections that send nothing are bounded, and block the links of other instances only until they time out.
 func TestSilentConnectionsAreBounded(t *testing.T) {
 	root, folder := newRoot(t, "r"), t.TempDir()
 	issue(t, root, folder, "a", root)
 	issue(t, root, folder, "b", root)
-	b := open(t, "b", load(t, folder, "b"), "127.0.0.1-127.0.0.1")
+	b := startLinks(t, "b", loadKeys(t, folder, "b"), "127.0.0.1-127.0.0.1")
 	for range 300 {
 		conn, err := net.Dial("tcp", b.address)
 		if err != nil {
@@ -325,47 +330,50 @@
 	held := b.accepted
 	b.Links.mu.Unlock()
 	if held > maxHandshakes {
-		t.Errorf("%d are held", held)
+		t.Errorf("%d silent connections are held, want at most %d", held, maxHandshakes)
 	}
-	a := open(t, "a", load(t, folder, "a"), "127.0.0.1-127.0.0.1")
+	a := startLinks(t, "a", loadKeys(t, folder, "a"), "127.0.0.1-127.0.0.1")
 	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("x"))
-	wait(t, "the message behind 300 silent connections", func() bool { return b.countReceived("a:x") == 1 })
+	waitFor(t, "a message after 300 silent connections", func() bool { return b.countReceived("a:x") == 1 })
 }
 
-// A voter that all others of a large fleet have come to, each twice over a restart, takes one more.
+// A voter accepts another link when it already has links from all others of a large fleet, each twice because of a
+// restart.
 func TestLinksFromTheLargestFleet(t *testing.T) {
 	root, folder := newRoot(t, "r"), t.TempDir()
 	issue(t, root, folder, "a", root)
 	issue(t, root, folder, "b", root)
-	b := open(t, "b", load(t, folder, "b"), "127.0.0.1-127.0.0.1")
+	b := startLinks(t, "b", loadKeys(t, folder, "b"), "127.0.0.1-127.0.0.1")
 	const others = 1024
 	b.Links.mu.Lock()
 	b.accepted += 2*others - 1
 	b.Links.mu.Unlock()
-	a := open(t, "a", load(t, folder, "a"), "127.0.0.1-127.0.0.1")
+	a := startLinks(t, "a", loadKeys(t, folder, "a"), "127.0.0.1-127.0.0.1")
 	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("x"))
-	wait(t, "the message behind the others' links", func() bool { return b.countReceived("a:x") == 1 })
+	waitFor(t, "a message on the last link", func() bool { return b.countReceived("a:x") == 1 })
 }
 
-func TestQueueDropsTheOldest(t *testing.T) {
+// A peer that does not answer does not block Send. Its queue drops the frames beyond maxQueue.
+func TestFullQueueDropsFrames(t *testing.T) {
 	root, folder := newRoot(t, "r"), t.TempDir()
 	issue(t, root, folder, "a", root)
 	issue(t, root, folder, "b", root)
-	a := open(t, "a", load(t, folder, "a"), "127.0.0.1-127.0.0.1")
+	a := startLinks(t, "a", loadKeys(t, folder, "a"), "127.0.0.1-127.0.0.1")
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.SetPeers(map[string]string{"b": free.Addr().String()}) // it accepts and never answers
+	a.SetPeers(map[string]string{"b": free.Addr().String()}) // connections are never answered
 	started := time.Now()
 	for i := range 3 * maxQueue {
 		a.Send("b", fmt.Append(nil, i))
 	}
 	a.Send("nobody", []byte("x"))
 	if time.Since(started) > time.Second || a.Dropped() != 2*maxQueue {
-		t.Errorf("%d of %d were dropped, in %s", a.Dropped(), 3*maxQueue, time.Since(started))
+		t.Errorf("%d of %d frames dropped in %s, want %d in at most 1 s",
+			a.Dropped(), 3*maxQueue, time.Since(started), 2*maxQueue)
 	}
 	mustClose(t, free)
 }
--- a/internal/cluster/peer/logevents.go
+++ b/internal/cluster/peer/logevents.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// Connected reports that the link to another instance is up: the first frame was written to it.
+// Connected reports that the link to another instance is up: the first message was written to it.
 type Connected struct {
 	Member string `log:"member"`
 }
@@ -27,7 +27,7 @@
 	return logevent.Kind{Name: "peer_connected", Level: logevent.Info, Message: "connected to another instance"}
 }
 
-// Disconnected reports that the link to another instance ended. It is opened again after a backoff.
+// Disconnected reports that the link to another instance ended. It is reopened after a backoff.
 type Disconnected struct {
 	Member string `log:"member"`
 	Cause  error  `log:"cause"`
@@ -42,11 +42,11 @@
 	}
 }
 
-// ConnectFailed reports that no link to another instance could be opened. It is tried again after a backoff.
+// ConnectFailed reports that a link to another instance could not be opened. It is tried again after a backoff.
 type ConnectFailed struct {
 	Member string `log:"member"`
 	Cause  error  `log:"cause"`
-	Times  int    `log:"times"` // since the last such event of this member
+	Times  int    `log:"times"` // failures since the last such event for this member
 }
 
 // Kind returns the event's name and level.
@@ -54,14 +54,14 @@
 	return logevent.Kind{
 		Name:    "peer_connect_failed",
 		Level:   logevent.Warn,
-		Message: "no connection to another instance",
+		Message: "cannot connect to another instance",
 	}
 }
 
-// AcceptFailed reports that the system did not hand out a connection of another instance.
+// AcceptFailed reports that the operating system returned an error when a connection was accepted.
 type AcceptFailed struct {
 	Cause error `log:"cause"`
-	Times int   `log:"times"` // since the last such event, as with those that follow
+	Times int   `log:"times"` // failures since the last such event
 }
 
 // Kind returns the event's name and level.
@@ -69,14 +69,14 @@
 	return logevent.Kind{
 		Name:    "peer_accept_failed",
 		Level:   logevent.Error,
-		Message: "connections of other instances are not accepted",
+		Message: "cannot accept connections from other instances",
 	}
 }
 
-// AddressRefused reports a connection from outside the allowed address sets. It was closed at once.
+// AddressRefused reports connections from outside the allowed address sets. They were closed at once.
 type AddressRefused struct {
 	Address string `log:"address"`
-	Times   int    `log:"times"`
+	Times   int    `log:"times"` // refusals since the last such event
 }
 
 // Kind returns the event's name and level.
@@ -88,11 +88,11 @@
 	}
 }
 
-// LinkLimitReached reports a connection that was closed at once, as too many are open.
+// LinkLimitReached reports connections that were closed at once because too many are open.
 type LinkLimitReached struct {
 	Address string `log:"address"`
 	Limit   int    `log:"limit"`
-	Times   int    `log:"times"`
+	Times   int    `log:"times"` // refusals since the last such event
 }
 
 // Kind returns the event's name and level.
@@ -104,11 +104,11 @@
 	}
 }
 
-// HandshakeLimitReached reports a connection that was closed at once, as too many handshakes are under way.
+// HandshakeLimitReached reports connections that were closed at once because too many handshakes are under way.
 type HandshakeLimitReached struct {
 	Address string `log:"address"`
 	Limit   int    `log:"limit"`
-	Times   int    `log:"times"`
+	Times   int    `log:"times"` // refusals since the last such event
 }
 
 // Kind returns the event's name and level.
@@ -120,11 +120,11 @@
 	}
 }
 
-// HandshakeRefused reports a connection whose other side did not prove that it belongs here.
+// HandshakeRefused reports connections whose TLS handshake or hello failed.
 type HandshakeRefused struct {
 	Address string `log:"address"`
 	Cause   error  `log:"cause"`
-	Times   int    `log:"times"`
+	Times   int    `log:"times"` // refusals since the last such event
 }
 
 // Kind returns the event's name and level.
@@ -132,11 +132,11 @@
 	return logevent.Kind{Name: "peer_handshake_refused", Level: logevent.Warn, Message: "handshake refused"}
 }
 
-// ProtocolViolation reports that a member sent what is no frame. Its connection was closed.
+// ProtocolViolation reports that a member sent an invalid frame. Its connection was closed.
 type ProtocolViolation struct {
 	Member string `log:"member"`
 	Cause  error  `log:"cause"`
-	Times  int    `log:"times"`
+	Times  int    `log:"times"` // violations since the last such event
 }
 
 // Kind returns the event's name and level.
--- a/internal/cluster/peer/logevents_test.go
+++ b/internal/cluster/peer/logevents_test.go
@@ -14,20 +14,20 @@
 	for _, event := range LogEvents() {
 		kind := event.Kind()
 		if kind.Name == "" || kind.Message == "" || seen[kind.Name] {
-			t.Errorf("%T: %+v", event, kind)
+			t.Errorf("%T: kind %+v has an empty message or an empty or repeated name", event, kind)
 		}
 		seen[kind.Name] = true
 	}
 }
 
-// Of each kind one event is logged in refusalInterval, with how often it happened; members that can't be
-// reached are kinds of their own.
+// One event of each kind is logged in refusalInterval, with the number of occurrences since the last one. Failed
+// connections are counted for each member separately.
 func TestRefusalsAreCounted(t *testing.T) {
 	var logged []logevent.Event
 	refusals := newRefusals(func(event logevent.Event) { logged = append(logged, event) })
 	cause := errors.New("refused")
 	fail := func(member string) {
-		refusals.logOf(member, func(times int) logevent.Event {
+		refusals.logForMember(member, func(times int) logevent.Event {
 			return ConnectFailed{Member: member, Cause: cause, Times: times}
 		})
 	}
@@ -52,6 +52,6 @@
 		AcceptFailed{Cause: cause, Times: 3},
 	}
 	if !slices.Equal(logged, want) {
-		t.Errorf("%+v, want %+v", logged, want)
+		t.Errorf("logged %+v, want %+v", logged, want)
 	}
 }
--- a/internal/cluster/peer/outgoing.go
+++ b/internal/cluster/peer/outgoing.go
@@ -18,8 +18,8 @@
 // outgoing is the link to one peer.
 type outgoing struct {
 	name, address string
-	cancel        context.CancelFunc // nil before it runs
-	wake          chan struct{}      // the queue may hold something
+	cancel        context.CancelFunc // nil before the link runs
+	wake          chan struct{}      // holds an element if the queue may hold frames
 
 	mu      sync.Mutex
 	queue   [][]byte
@@ -36,7 +36,7 @@
 	}
 }
 
-// enqueue adds a payload, and drops the oldest if there are too many.
+// enqueue adds a payload to the queue. If the queue is full, it drops the oldest one.
 func (link *outgoing) enqueue(payload []byte) {
 	link.mu.Lock()
 	if len(link.queue) >= maxQueue {
@@ -51,7 +51,7 @@
 	}
 }
 
-// takeFrames takes all that is queued, as frames.
+// takeFrames empties the queue and returns its payloads as frames.
 func (link *outgoing) takeFrames() []byte {
 	link.mu.Lock()
 	payloads := link.queue
@@ -64,7 +64,7 @@
 	return frames
 }
 
-// keepConnected keeps a link to a peer: it connects again after a backoff with jitter.
+// keepConnected keeps a link to a peer open. When the link ends, it connects again after a backoff with jitter.
 func (links *Links) keepConnected(ctx context.Context, link *outgoing) {
 	for backoff := minBackoff; ctx.Err() == nil; backoff = min(2*backoff, maxBackoff) {
 		started, up := time.Now(), false
@@ -81,7 +81,7 @@
 		if up {
 			links.config.Log(Disconnected{Member: link.name, Cause: err})
 		} else {
-			links.refusals.logOf(link.name, func(times int) logevent.Event {
+			links.refusals.logForMember(link.name, func(times int) logevent.Event {
 				return ConnectFailed{Member: link.name, Cause: err, Times: times}
 			})
 		}
@@ -93,12 +93,12 @@
 	}
 }
 
-// connect connects, says who this is and writes the queue until the link ends; onUp is called at the first
-// frame written.
+// connect dials a peer, sends the hello and writes the queue until the link ends. It calls onUp once the first
+// queued frames are written.
 func (links *Links) connect(ctx context.Context, link *outgoing, onUp func()) error {
 	address, err := netip.ParseAddrPort(link.address)
 	if err != nil || !links.isAllowed(address.Addr()) {
-		return fmt.Errorf("its address %s is outside the allowed sets", link.address)
+		return fmt.Errorf("address %q of the peer is not an IP address and port in the allowed sets", link.address)
 	}
 	handshake, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
@@ -113,11 +113,11 @@
 	}
 	ended, wait := watchEnd(conn)
 	defer wait()
-	defer closeConn(conn) // before the wait
+	defer closeConn(conn) // runs before wait, which would block on an open connection
 	return writeQueue(ctx, conn, link, ended, onUp)
 }
 
-// writeHello says who this is.
+// writeHello sends the first frame, which identifies this instance.
 func (links *Links) writeHello(conn net.Conn) error {
 	raw, err := cbor.Marshal(hello{ProtocolVersion, links.config.Name, links.config.Incarnation})
 	if err != nil {
@@ -126,22 +126,23 @@
 	return write(conn, appendFrame(nil, raw))
 }
 
-// watchEnd reads what comes by a dialled connection: nothing does but an end, with TLS 1.3 also the refusal
-// of our certificate. wait returns once the reading is over, for which the connection must be closed.
+// watchEnd reads from a dialled connection to detect its end. The peer sends no data on it. With TLS 1.3 this read
+// also returns the peer's refusal of this instance's certificate. wait blocks until the reading goroutine has
+// ended, for which the connection must be closed.
 func watchEnd(conn net.Conn) (ended <-chan error, wait func()) {
 	result, done := make(chan error, 1), make(chan struct{})
 	go func() {
 		defer close(done)
 		_, err := conn.Read(make([]byte, 1))
 		if err == nil {
-			err = fmt.Errorf("%w: bytes where none belong", ErrMalformedFrame)
+			err = fmt.Errorf("%w: the peer sent data on a link that only carries frames to it", ErrMalformedFrame)
 		}
 		result <- err
 	}()
 	return result, func() { <-done }
 }
 
-// writeQueue writes what is queued until the connection ends.
+// writeQueue writes queued frames until the connection ends.
 func writeQueue(ctx context.Context, conn net.Conn, link *outgoing, ended <-chan error, onUp func()) error {
 	up := false
 	for {
--- a/internal/cluster/peer/refusals.go
+++ b/internal/cluster/peer/refusals.go
@@ -9,10 +9,11 @@
 
 const (
 	refusalInterval = 10 * time.Second // between two events of one kind
-	maxRefusalKinds = 512              // kept apart
+	maxRefusalKinds = 512              // counted separately; beyond it all counters are reset
 )
 
-// refusals logs what was refused, each kind at most once in a while, with how often.
+// refusals logs refused and failed connections: at most one event of each kind in refusalInterval, with the number
+// of occurrences since the last one.
 type refusals struct {
 	emit func(logevent.Event)
 
@@ -20,26 +21,26 @@
 	kinds map[string]*refusal
 }
 
-// refusal is one kind of it.
+// refusal is the counter of one kind.
 type refusal struct {
 	loggedAt time.Time
-	times    int // since the last event
+	times    int // since loggedAt
 }
 
 func newRefusals(emit func(logevent.Event)) refusals {
 	return refusals{emit: emit, kinds: map[string]*refusal{}}
 }
 
-// repeatedEvent makes an event that says how often it happened since it was logged last.
+// repeatedEvent returns an event with the number of occurrences since it was last logged.
 type repeatedEvent func(times int) logevent.Event
 
-// log logs an event whose type is its kind.
+// log logs an event that is counted by its name.
 func (refusals *refusals) log(event repeatedEvent) {
 	refusals.logKind(event(0).Kind().Name, event)
 }
 
-// logOf logs an event of which there is one kind for each member.
-func (refusals *refusals) logOf(member string, event repeatedEvent) {
+// logForMember logs an event that is counted by its name and by member.
+func (refusals *refusals) logForMember(member string, event repeatedEvent) {
 	refusals.logKind(event(0).Kind().Name+" "+member, event)
 }
 
@@ -49,7 +50,7 @@
 	}
 }
 
-// count counts one more of a kind, and returns how many an event is to report now; 0 is none.
+// count counts an occurrence of a kind. It returns the number of occurrences to log now, or 0 to log nothing.
 func (refusals *refusals) count(kind string) (times int) {
 	refusals.mu.Lock()
 	defer refusals.mu.Unlock()
--- a/internal/cluster/probe/prober.go
+++ b/internal/cluster/probe/prober.go
@@ -10,51 +10,51 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxWait is for how long Next lets a prober rest that has nothing to do, ns.
+// maxWait is the longest time until the next call of Due that Next returns, ns.
 const maxWait = int64(time.Second)
 
 // Target is one endpoint that is probed.
 type Target struct {
 	Name, Address string
-	Parent        bool    // it is a parent cache: other limits hold
-	Capacity      float64 // seconds of sending time a second
-	WarmAt        int64   // when it will be warm, by the clock of the calls; 0 is long ago
+	Parent        bool    // it is a parent cache, with the limits of Config.Parent
+	Capacity      float64 // seconds of sending time per second
+	WarmAt        int64   // when it will be warm, by the clock of the Prober's callers; 0: it is warm
 }
 
-// Probe is one probe to be sent.
+// Probe is a probe to be sent.
 type Probe struct {
 	Target, Address string
 	Slot            int
 	Ballot          uint64 // of the slot's lease
-	Until           int64  // when the lease ends: it is written before, or not at all
-	Timeout         int64  // by which it is to be answered, ns
+	Until           int64  // when the lease ends; the probe must be written before, or not at all
+	Timeout         int64  // in which the probe must be answered, ns
 }
 
-// HoldsFunc reports whether a slot's lease is held at this instant, under which ballot and until when.
+// HoldsFunc reports whether this instance holds a slot's lease now, under which ballot and until when.
 type HoldsFunc = func(slot int) (ballot uint64, until int64, ok bool)
 
-// targetState is one target, with what its prober keeps of it.
+// targetState is a target with the state of its probing.
 type targetState struct {
 	Target
 	slot      int
-	nextAt    int64
-	probedAt  []int64 // over the cold limit's window
-	answered  bool    // at its last probe
-	wasProbed bool    // there was a last probe
+	nextAt    int64   // when the next probe is due
+	probedAt  []int64 // times of the probes within the cold limit's window
+	answered  bool    // whether the last probe was answered
+	wasProbed bool    // whether a probe has ended, so that answered is set
 }
 
-// Prober is the periodic task of probing, at one instance.
+// Prober decides which probes one instance sends.
 type Prober struct {
 	config     Config
-	targets    []*targetState // by name
-	acquiredAt map[int]int64  // by slot that is held
+	targets    []*targetState // sorted by name
+	acquiredAt map[int]int64  // by held slot: when its lease was acquired
 	skipped    int64
 }
 
-// New makes a prober without targets.
+// New returns a prober without targets.
 func New(config Config) *Prober { return &Prober{config: config, acquiredAt: map[int]int64{}} }
 
-// SetTargets takes the list of targets as it is now.
+// SetTargets replaces the list of targets. Targets that are in both lists keep their state.
 func (prober *Prober) SetTargets(now int64, list []Target) {
 	known := map[string]*targetState{}
 	for _, state := range prober.targets {
@@ -66,7 +66,7 @@
 		if state == nil {
 			state = prober.newTarget(now, target)
 		}
-		target.WarmAt = max(target.WarmAt, state.WarmAt) // what was taken for cold stays so
+		target.WarmAt = max(target.WarmAt, state.WarmAt) // a list must not shorten a known warm-up
 		state.Target = target
 		prober.targets = append(prober.targets, state)
 	}
@@ -81,9 +81,9 @@
 	return state
 }
 
-// SlotAcquired reports that a slot is held from now on. Its holder before may have probed just before it
-// stopped, so the first probe comes a period later, and a window later for what is or may be cold: the part
-// that is set aside is then spent by one holder at a time.
+// SlotAcquired tells the prober that this instance now holds a slot. The previous holder may have probed just before
+// it stopped, so the first probe of each target is due one period later. For a cold target it is due at least one
+// window later, so that only one holder at a time uses the capacity reserved for probing.
 func (prober *Prober) SlotAcquired(now int64, slot int) {
 	prober.acquiredAt[slot] = now
 	for _, state := range prober.targets {
@@ -93,7 +93,7 @@
 	}
 }
 
-// SlotLost reports that a slot is no longer held.
+// SlotLost tells the prober that this instance no longer holds a slot.
 func (prober *Prober) SlotLost(slot int) { delete(prober.acquiredAt, slot) }
 
 func (prober *Prober) holds(state *targetState) bool {
@@ -101,20 +101,20 @@
 	return held
 }
 
-// firstProbe is when a target is probed first after its slot was acquired.
+// firstProbe returns when the first probe of a target is due after its slot was acquired.
 func (prober *Prober) firstProbe(acquiredAt int64, state *targetState) int64 {
 	wait := prober.config.Period
 	if state.isCold(acquiredAt) {
 		wait = max(wait, prober.config.limitOf(state.Target).Window)
 	}
-	// Spread by the name, or all targets of a dead holder would be probed at one instant.
+	// Spread by name, because otherwise all targets of a failed holder would be probed at the same time.
 	spread := int64(xxhash.Sum64String("phase "+state.Name) % uint64(prober.config.Period/2))
 	return acquiredAt + prober.config.withDrift(wait) + spread
 }
 
 func (state *targetState) isCold(now int64) bool { return now < state.WarmAt }
 
-// Due returns the probes that are to go out now.
+// Due returns the probes to be sent now. It skips those that a cold target cannot bear.
 func (prober *Prober) Due(now int64, holds HoldsFunc) []Probe {
 	var probes []Probe
 	for _, state := range prober.targets {
@@ -138,8 +138,8 @@
 	return probes
 }
 
-// schedule sets when the next probe is due: a period from when this one was, so that the period does not grow
-// by how late each one is; never in bursts.
+// schedule sets when the next probe is due: a period after this one was due, so that delays do not lengthen the
+// period. If that time has passed, it is a period from now, so that missed probes are not made up for in a burst.
 func (state *targetState) schedule(now, period int64) {
 	state.nextAt += period
 	if state.nextAt <= now {
@@ -147,7 +147,8 @@
 	}
 }
 
-// spend counts one more probe of a target, unless it is cold and the probe would go beyond the part set aside.
+// spend records a probe of a target and returns true, unless the target is cold and the probe would exceed its
+// ColdBudget.
 func (prober *Prober) spend(now int64, state *targetState) bool {
 	window := prober.config.withDrift(prober.config.limitOf(state.Target).Window)
 	state.probedAt = slices.DeleteFunc(state.probedAt, func(at int64) bool { return at <= now-window })
@@ -159,16 +160,16 @@
 	return true
 }
 
-// ColdBudget is what probing may cost a target over the window while it is cold, seconds of sending time. The
-// capacity is that of the very start, as if it never rose.
+// ColdBudget returns the cost of probes that a cold target can bear within a window, seconds of sending time. It is
+// computed from the target's capacity at its start, although the capacity rises during the warm-up.
 func (prober *Prober) ColdBudget(target Target) float64 {
 	limit := prober.config.limitOf(target)
 	window := float64(limit.Window)
 	return prober.config.ColdPart * limit.Factor * limit.Share * target.Capacity * window / float64(time.Second)
 }
 
-// ProbeEnded tells how a probe ended. A target that answers again may have been restarted, which the list
-// tells too late: it counts as cold.
+// ProbeEnded handles the result of a probe. A target that answers after a failed probe counts as cold, because it
+// may have been restarted and the list of targets shows that only later.
 func (prober *Prober) ProbeEnded(now int64, name string, answered bool) {
 	index, found := slices.BinarySearchFunc(prober.targets, name, func(state *targetState, name string) int {
 		return cmp.Compare(state.Name, name)
@@ -183,7 +184,7 @@
 	state.answered, state.wasProbed = answered, true
 }
 
-// Next is when the next probe is due; a second on where none is.
+// Next returns when Due is to be called next: when the next probe is due, at most maxWait from now.
 func (prober *Prober) Next(now int64) int64 {
 	next := now + maxWait
 	for _, state := range prober.targets {
@@ -194,10 +195,10 @@
 	return max(next, now)
 }
 
-// Skipped is how many probes were left out to spare cold targets.
+// Skipped returns how many probes were not sent because a cold target could not bear them.
 func (prober *Prober) Skipped() int64 { return prober.skipped }
 
-// Count is how many targets there are, and how many of them are this instance's to probe.
+// Count returns the number of all targets, and of those in slots that this instance holds.
 func (prober *Prober) Count() (all, own int) {
 	for _, state := range prober.targets {
 		if prober.holds(state) {
--- a/internal/cluster/probe/prober_test.go
+++ b/internal/cluster/probe/prober_test.go
@@ -31,7 +31,7 @@
 func holdsAll(int) (ballot uint64, until int64, ok bool)  { return 7, 1 << 60, true }
 func holdsNone(int) (ballot uint64, until int64, ok bool) { return 0, 0, false }
 
-// newProber makes a prober of some targets that holds every slot.
+// newProber returns a prober with count targets that holds every slot.
 func newProber(config Config, count int) *Prober {
 	prober := New(config)
 	prober.SetTargets(0, testTargets(count))
@@ -41,10 +41,10 @@
 	return prober
 }
 
-// probeTimes are when each target was probed.
+// probeTimes holds the times of the probes of each target.
 type probeTimes map[string][]int64
 
-// run lets time go on and notes the probes.
+// run advances time in steps of 10 ms and records the probes.
 func (times probeTimes) run(prober *Prober, from, to int64, holds HoldsFunc) {
 	for now := from; now < to; now += 10 * ms {
 		for _, probe := range prober.Due(now, holds) {
@@ -53,25 +53,26 @@
 	}
 }
 
-func TestOneProbeATargetAndPeriod(t *testing.T) {
+func TestOneProbePerTargetAndPeriod(t *testing.T) {
 	for _, count := range []int{3, 200} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			times := probeTimes{}
 			times.run(newProber(testConfig(), count), 0, 32000*ms, holdsAll)
 			for _, target := range testTargets(count) {
 				if probes := len(times[target.Name]); probes < 30 || probes > 31 {
-					t.Errorf("%s was probed %d times in 32 periods", target.Name, probes)
+					t.Errorf("%s was probed %d times in 32 periods, want 30 or 31", target.Name, probes)
 				}
 			}
 		})
 	}
 }
 
-func TestNothingWithoutTheLeaseAtThatInstant(t *testing.T) {
+// A prober sends no probes while the leases are not held, even if no loss was reported, or after a reported loss.
+func TestNoProbesWithoutLease(t *testing.T) {
 	prober, times := newProber(testConfig(), 5), probeTimes{}
 	times.run(prober, 0, 5000*ms, holdsNone)
 	if len(times) != 0 {
-		t.Errorf("probed without holding: %v", times)
+		t.Errorf("probed without holding the leases: %v", times)
 	}
 	for slot := range testConfig().Slots {
 		prober.SlotLost(slot)
@@ -82,54 +83,54 @@
 	}
 }
 
-// A target that is gone from the list is not probed, and comes back in its turn.
-func TestTargetsThatGo(t *testing.T) {
+// A target that is removed from the list is not probed until it is on the list again.
+func TestRemovedTarget(t *testing.T) {
 	prober, times := newProber(testConfig(), 3), probeTimes{}
 	times.run(prober, 0, 5000*ms, holdsAll)
 	prober.SetTargets(5000*ms, testTargets(1))
 	before := len(times["t2"])
 	times.run(prober, 5000*ms, 9000*ms, holdsAll)
 	if len(times["t2"]) != before {
-		t.Error("a target that is gone was probed")
+		t.Errorf("removed target t2 was probed %d times", len(times["t2"])-before)
 	}
 	prober.SetTargets(9000*ms, testTargets(3))
 	times.run(prober, 9000*ms, 13000*ms, holdsAll)
 	if len(times["t2"]) == before {
-		t.Error("a target that came back was not probed")
+		t.Error("target t2 was not probed after it was added to the list again")
 	}
 }
 
 func TestCountAndNext(t *testing.T) {
 	prober := newProber(testConfig(), 3)
 	if all, own := prober.Count(); all != 3 || own != 3 {
-		t.Errorf("%d targets, %d own", all, own)
+		t.Errorf("%d targets, %d of them in held slots, want 3 and 3", all, own)
 	}
 	prober.SlotLost(lease.SlotOf("t1", testConfig().Slots))
 	if all, own := prober.Count(); all != 3 || own != 2 {
-		t.Errorf("%d targets, %d own once a slot is lost", all, own)
+		t.Errorf("%d targets, %d of them in held slots once a slot is lost, want 3 and 2", all, own)
 	}
 	for now := int64(0); now < 5000*ms; now += 10 * ms {
 		due := len(prober.Due(now, holdsAll)) > 0
 		if next := prober.Next(now); next <= now || due && next > now+1000*ms {
-			t.Fatalf("next at %d, asked at %d", next, now)
+			t.Fatalf("next time is %d at %d, want later, and within a period after probes", next, now)
 		}
 	}
 	if next := New(testConfig()).Next(0); next != 1000*ms {
-		t.Errorf("next at %d without targets", next)
+		t.Errorf("next time without targets is %d, want %d", next, 1000*ms)
 	}
 }
 
-// sentProbe is a probe in real time.
+// sentProbe is a probe that one of several lease holders sent.
 type sentProbe struct {
-	at     int64
+	at     int64 // in real time
 	holder int
 }
 
-// Holders follow each other at drawn moments, clocks fast and slow, while the target is cold: no window of
-// the real time holds more than the part set aside, and no two holders probe within a period.
+// Lease holders with fast and slow clocks follow each other at random times while the target is cold. In no window
+// of real time do the probes cost more than the budget, and no two holders probe within one period.
 func TestColdBudgetAndPeriodHoldOverTakeovers(t *testing.T) {
 	config := testConfig()
-	config.Period = 100 * ms // far more often than the budget bears
+	config.Period = 100 * ms // so short that the budget limits the probes
 	config.Timeout = config.Period
 	config.Cost = 0.004
 	for _, parent := range []bool{false, true} {
@@ -138,13 +139,13 @@
 			sent := runTakeovers(seed, config, target)
 			checkBudget(t, seed, config, New(config).ColdBudget(target), sent)
 			if seed == 0 && len(sent) < 5 {
-				t.Fatal("hardly anything was probed")
+				t.Fatalf("seed 0: only %d probes were sent, want at least 5", len(sent))
 			}
 		}
 	}
 }
 
-// runTakeovers has holders follow each other for ten seconds.
+// runTakeovers runs holders one after another for ten seconds and returns their probes.
 func runTakeovers(seed uint64, config Config, target Target) []sentProbe {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var sent []sentProbe
@@ -153,7 +154,7 @@
 		rate := 1 + 0.01*(2*rng.Float64()-1)
 		clock := func(at int64) int64 { return int64(float64(at) * rate) }
 		prober := New(config)
-		// The list reached it at some moment, and its clock gives its own reading of when the target is warm.
+		// Each holder's clock has its own reading of the time at which the target is warm.
 		target.WarmAt = clock(17000 * ms)
 		prober.SetTargets(clock(now), []Target{target})
 		prober.SlotAcquired(clock(now), lease.SlotOf(target.Name, config.Slots))
@@ -180,14 +181,15 @@
 			}
 		}
 		if spent > budget+1e-9 {
-			t.Fatalf("seed %d: %.4f s of probes in a window, %.4f set aside", seed, spent, budget)
+			t.Fatalf("seed %d: probes cost %.4f s in a window, the budget is %.4f s", seed, spent, budget)
 		}
 	}
 }
 
-func TestOneThatAnswersAgainCountsAsCold(t *testing.T) {
+// A target that answers after a failed probe may have been restarted, so it counts as cold.
+func TestTargetThatAnswersAgainCountsAsCold(t *testing.T) {
 	config := testConfig()
-	config.Cost = 1 // more than any cold target bears
+	config.Cost = 1 // more than a cold target can bear
 	prober, times := newProber(config, 1), probeTimes{}
 	times.run(prober, 0, 4000*ms, holdsAll)
 	prober.ProbeEnded(4000*ms, "t0", false)
@@ -195,7 +197,7 @@
 	before := len(times["t0"])
 	times.run(prober, 4500*ms, 9000*ms, holdsAll)
 	if before == 0 || len(times["t0"]) != before || prober.Skipped() == 0 {
-		t.Errorf("probed %d times before, %d after it answered again, %d left out",
+		t.Errorf("probed %d times before it answered again, want some, %d in all, want as many, and %d skipped, want some",
 			before, len(times["t0"]), prober.Skipped())
 	}
 	prober.ProbeEnded(0, "unknown", true)
@@ -204,26 +206,26 @@
 func TestCheck(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		spoil   func(*Config)
+		change  func(*Config)
 		setting string
 	}{
-		{"a large part", func(c *Config) { c.ColdPart = 0.31 }, "cold-part"},
-		{"no part", func(c *Config) { c.ColdPart = 0 }, "cold-part"},
-		{"a part that is no number", func(c *Config) { c.ColdPart = math.NaN() }, "cold-part"},
-		{"no cost", func(c *Config) { c.Cost = 0 }, "cost"},
-		{"a timeout over the period", func(c *Config) { c.Timeout = 2 * c.Period }, "within"},
-		{"no period", func(c *Config) { c.Period = 0 }, "period"},
+		{"cold part above the maximum", func(c *Config) { c.ColdPart = 0.31 }, "cold-part"},
+		{"cold part of 0", func(c *Config) { c.ColdPart = 0 }, "cold-part"},
+		{"cold part of NaN", func(c *Config) { c.ColdPart = math.NaN() }, "cold-part"},
+		{"cost of 0", func(c *Config) { c.Cost = 0 }, "cost"},
+		{"timeout longer than the period", func(c *Config) { c.Timeout = 2 * c.Period }, "within"},
+		{"period of 0", func(c *Config) { c.Period = 0 }, "period"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			config := testConfig()
-			test.spoil(&config)
-			var wrong *ConfigError
-			if err := config.Check(); !errors.As(err, &wrong) || wrong.Setting != test.setting {
-				t.Errorf("error %v, want one of %s", err, test.setting)
+			test.change(&config)
+			var configError *ConfigError
+			if err := config.Check(); !errors.As(err, &configError) || configError.Setting != test.setting {
+				t.Errorf("error %v, want a ConfigError for %s", err, test.setting)
 			}
 		})
 	}
 	if err := testConfig().Check(); err != nil {
-		t.Error(err)
+		t.Errorf("valid configuration: %v", err)
 	}
 }
--- a/internal/operatorconfig/cluster_test.go
+++ b/internal/operatorconfig/cluster_test.go
@@ -117,7 +117,7 @@
 	},
 	{
 		"certificate of another name", `"a.pem") (key "a.key"`, `"b.pem") (key "b.key"`,
-		`7:3: the certificate does not prove "a"`,
+		`7:3: the certificate is not valid for the name "a"`,
 	},
 	{"expired certificate", `"a.pem") (key "a.key"`, `"old.pem") (key "old.key"`, "expired"},
 	{"missing file", `"roots.pem"`, `"none.pem"`, "7:3: roots: "},
@@ -133,10 +133,10 @@
 	{"number too large", "(slots 32)", "(slots 5000)", "6:10: 5000: 1 to 4096 can be"},
 	{"twice", "(slots 32)", "(slots 32) (slots 33)", "6:14: slots stands at line 6 already"},
 	{"lacking", "(allow ", "(deny ", "(fleet …) lacks (allow …)"},
-	{"probe part", "(cold-part 5%)", "(cold-part 40%)", "9:3: a cold part of 0.4: above 0 to 0.3 can be"},
+	{"probe part", "(cold-part 5%)", "(cold-part 40%)", "9:3: the cold part is 0.4, must be above 0 and at most 0.3"},
 	{
 		"probe slower than its period", "(within 500ms)", "(within 2s)",
-		"9:3: a probe of 2000 ms takes longer than the period of 1000 ms",
+		"9:3: the probe timeout of 2000 ms is longer than the period of 1000 ms",
 	},
 	{
 		"silence of less than two intervals", "(slots 32)", "(membership (interval 1s) (silence 1500ms))",
