--- a/internal/cluster/events.go
+++ b/internal/cluster/events.go
@@ -89,7 +89,7 @@
 		switch effect := effect.(type) {
 		case LeaseChanged:
 		case Send:
-			if index, ok := last[effect.To]; ok {
+			if index, found := last[effect.To]; found {
 				send := combined[index].(Send)
 				if send.Message.merge(effect.Message) {
 					combined[index] = send
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -169,10 +169,10 @@
 		return
 	}
 	hasQuorum := node.HasQuorum(now)
-	if hasQuorum == node.hadQuorum && node.quorumKnown {
+	if hasQuorum == node.hadQuorum && node.quorumLogged {
 		return
 	}
-	node.hadQuorum, node.quorumKnown = hasQuorum, true
+	node.hadQuorum, node.quorumLogged = hasQuorum, true
 	if hasQuorum {
 		node.emit(Log{QuorumReached{}})
 		return
--- a/internal/cluster/logevents_test.go
+++ b/internal/cluster/logevents_test.go
@@ -61,9 +61,9 @@
 // Each reason for a change of this instance's own condition has its own event.
 func TestOwnChangeEvents(t *testing.T) {
 	for reason, want := range map[string]logevent.Event{
-		membership.ReasonAway:       InstanceWasAway{},
-		membership.ReasonCutOff:     InstanceCutOff{},
-		membership.ReasonHeardAgain: InstanceReconnected{},
+		membership.ReasonAway:        InstanceWasAway{},
+		membership.ReasonCutOff:      InstanceCutOff{},
+		membership.ReasonReconnected: InstanceReconnected{},
 	} {
 		t.Run(reason, func(t *testing.T) {
 			node := newCluster(t)["a"]
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -109,7 +109,7 @@
 	if cutOff {
 		table.recordSelfChange(now, ReasonCutOff)
 	} else {
-		table.recordSelfChange(now, ReasonHeardAgain)
+		table.recordSelfChange(now, ReasonReconnected)
 	}
 }
 
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -38,9 +38,9 @@
 
 // Reasons of a Change of this instance's own condition.
 const (
-	ReasonAway       = "away"        // this instance did not run for an interval or longer
-	ReasonCutOff     = "cut off"     // no heartbeats arrive from any neighbour
-	ReasonHeardAgain = "heard again" // heartbeats from neighbours arrive again
+	ReasonAway        = "away"        // this instance did not run for an interval or longer
+	ReasonCutOff      = "cut off"     // no heartbeats arrive from any neighbour
+	ReasonReconnected = "heard again" // heartbeats from neighbours arrive again
 )
 
 // Change is a change of a member's state, or of this instance's own condition. In the second case Reason is one
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -1,7 +1,7 @@
 package membership
 
-// claimsNeeded is how many peers must claim that a member is dead before a table believes it without reports.
-const claimsNeeded = 2
+// minDeathClaims is how many peers must claim that a member is dead before a table believes it without reports.
+const minDeathClaims = 2
 
 // Receive handles a message from a member and returns the immediate replies. from is the sender's name as
 // authenticated by the link.
@@ -127,7 +127,7 @@
 }
 
 // receiveDeathClaim handles an entry in which a peer says that a member is dead. A single claim is only passed on
-// as a rumour, so that the member can refute it. Claims of claimsNeeded peers are believed, because these peers
+// as a rumour, so that the member can refute it. Claims of minDeathClaims peers are believed, because these peers
 // may have received reports that were lost on the way to this instance.
 func (table *Table) receiveDeathClaim(now int64, member *record, from string) {
 	if member.State != Alive {
@@ -140,7 +140,7 @@
 			claims++
 		}
 	}
-	if claims >= min(claimsNeeded, max(1, len(table.links.members))) {
+	if claims >= min(minDeathClaims, max(1, len(table.links.members))) {
 		table.believeDead(now, member, "neighbours believe it dead")
 		return
 	}
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -47,10 +47,10 @@
 	duplicated  bool   // another instance runs under this instance's name
 	peers       peers
 
-	leases      *lease.Node
-	tasks       []periodicTask
-	hadQuorum   bool
-	quorumKnown bool // hadQuorum is set and was logged
+	leases       *lease.Node
+	tasks        []periodicTask
+	hadQuorum    bool
+	quorumLogged bool // whether hadQuorum has been logged
 
 	prober  *probe.Prober // nil: nothing is probed
 	results probeResults
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -7,7 +7,7 @@
 	"tealpath/internal/cluster/membership"
 )
 
-// The instances hold all leases between them, and one target is probed by one instance at a time.
+// Three instances hold all leases between them, and a target is probed once per period rather than by each instance.
 func TestInstancesShareLeasesAndProbes(t *testing.T) {
 	cluster := newCluster(t).withTarget()
 	cluster.run(t, 0, 6000*ms, "")
@@ -75,7 +75,8 @@
 	held := countHeld(node, 4000*ms)
 	accept(3999*ms, 99, nil)
 	if !node.members.IsDuplicated(4000*ms, "c") || held == 0 {
-		t.Fatalf("b holds %d slots, want some, and must take c for duplicated", held)
+		t.Fatalf("b holds %d slots and takes c for duplicated: %v, want some and true",
+			held, node.members.IsDuplicated(4000*ms, "c"))
 	}
 	// Without messages from a and with c duplicated, b has only its own vote. Its leases must end.
 	for now := 4000 * ms; now < 6000*ms; now += 20 * ms {
--- a/internal/cluster/peer/incoming.go
+++ b/internal/cluster/peer/incoming.go
@@ -138,12 +138,12 @@
 	}
 }
 
-// addIncoming adds a link from a name. If the name has more than maxSameName links, it closes the oldest.
+// addIncoming adds a link from a name. If the name has more than maxLinksPerName links, it closes the oldest.
 func (links *Links) addIncoming(name string, conn net.Conn) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
 	links.incoming[name] = append(links.incoming[name], conn)
-	if len(links.incoming[name]) > maxSameName {
+	if len(links.incoming[name]) > maxLinksPerName {
 		closeConn(links.incoming[name][0])
 	}
 }
--- a/internal/cluster/peer/links.go
+++ b/internal/cluster/peer/links.go
@@ -26,7 +26,7 @@
 	// maxAccepted bounds the accepted links. All other instances of the largest fleet may link to a voter, and link
 	// to it again before their old links are detected as dead.
 	maxAccepted      = 2048
-	maxSameName      = 3 // accepted links from one name; beyond it the oldest is closed
+	maxLinksPerName  = 3 // accepted links from one name; beyond it the oldest is closed
 	handshakeTimeout = 2 * time.Second
 	writeTimeout     = 2 * time.Second
 	idleTimeout      = time.Minute // an accepted link without a frame for this long is closed
--- a/internal/cluster/probe/prober_test.go
+++ b/internal/cluster/probe/prober_test.go
@@ -197,7 +197,7 @@
 	before := len(times["t0"])
 	times.run(prober, 4500*ms, 9000*ms, holdsAll)
 	if before == 0 || len(times["t0"]) != before || prober.Skipped() == 0 {
-		t.Errorf("probed %d times before it answered again, want some, %d in all, want as many, and %d skipped, want some",
+		t.Errorf("probed %d times before it answered again and %d in all, want above 0 and equal; %d skipped, want above 0",
 			before, len(times["t0"]), prober.Skipped())
 	}
 	prober.ProbeEnded(0, "unknown", true)
