--- a/internal/connpool/bench_test.go
+++ b/internal/connpool/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// benchPlan is a plan with so many caches: 200 are usual, 3,200 are the largest fleet.
+// benchPlan returns a plan with a number of caches, and their names. Usual are 200 caches, the largest fleet has 3,200.
 func benchPlan(servers int) (*Plan, []string) {
 	names := make([]string, servers)
 	for n := range names {
@@ -22,7 +22,7 @@
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
-				names[n%servers] = fmt.Sprintf("s-new-%d", n) // one is replaced
+				names[n%servers] = fmt.Sprintf("s-new-%d", n) // replaces one cache
 				p.SetEndpoints(int64(n), names)
 			}
 		})
--- a/internal/connpool/config.go
+++ b/internal/connpool/config.go
@@ -2,40 +2,41 @@
 
 import "fmt"
 
-// Config is what a plan is made from.
+// Config is the configuration of a Plan.
 type Config struct {
-	Router         string  // the router's name, which decides its subset
-	Seed           uint64  // of its random numbers
-	Routers        int     // of the location, by the settings
-	MaxConnections int     // of all routers together, that a cache accepts
-	MaxConnectRate float64 // connections a second of all routers together, that a cache accepts; 0 is no bound
+	Router         string  // name of the router, from which its subset is computed
+	Seed           uint64  // of the plan's random numbers
+	Routers        int     // number of routers in the location, by the settings
+	MaxConnections int     // connections that a cache accepts from all routers together
+	MaxConnectRate float64 // new connections per second that a cache accepts from all routers; 0: no limit
 }
 
-// maxConnectDuration is how long all routers may take to open a connection each. A cache that starts is idle
-// for about as long.
+// maxConnectDuration limits how long all routers together may take to open one connection each to a cache. A cache
+// that starts is idle for about that long.
 const maxConnectDuration = 30 * second
 
-// MaxConnectionsError is a Config in which a cache accepts no connections.
+// MaxConnectionsError reports a Config whose MaxConnections is less than 1.
 type MaxConnectionsError struct {
 	MaxConnections int
 }
 
 func (e *MaxConnectionsError) Error() string {
-	return fmt.Sprintf("a cache that holds %d connections", e.MaxConnections)
+	return fmt.Sprintf("each cache accepts %d connections, at least 1 is required", e.MaxConnections)
 }
 
-// ConnectRateError is a Config by which all routers take too long to open a connection each.
+// ConnectRateError reports a Config with which all routers take longer than maxConnectDuration to open one
+// connection each to a cache.
 type ConnectRateError struct {
 	Routers        int
-	MaxConnectRate float64 // connections a second
+	MaxConnectRate float64 // connections per second
 }
 
 func (e *ConnectRateError) Error() string {
-	return fmt.Sprintf("%d routers take %.0f s to open one connection each at %g a second, %d s at most",
+	return fmt.Sprintf("%d routers take %.0f s to open one connection each at %g a second; at most %d s are allowed",
 		e.Routers, float64(e.Routers)/e.MaxConnectRate, e.MaxConnectRate, maxConnectDuration/second)
 }
 
-// Check returns a *MaxConnectionsError or a *ConnectRateError if no plan can keep to the bounds.
+// Check returns a *MaxConnectionsError or a *ConnectRateError if no plan can stay within the configured limits.
 func (c Config) Check() error {
 	if c.MaxConnections < 1 {
 		return &MaxConnectionsError{MaxConnections: c.MaxConnections}
--- a/internal/connpool/config_test.go
+++ b/internal/connpool/config_test.go
@@ -15,18 +15,19 @@
 		{Config{Routers: 3}, false},
 	} {
 		if err := test.config.Check(); (err == nil) != test.valid {
-			t.Errorf("%+v: %v", test.config, err)
+			t.Errorf("%+v: error %v, want valid %v", test.config, err, test.valid)
 		}
 	}
 	err := Config{Routers: 300, MaxConnections: 60, MaxConnectRate: 5}.Check()
 	var rate *ConnectRateError
-	const wantRate = "300 routers take 60 s to open one connection each at 5 a second, 30 s at most"
+	const wantRate = "300 routers take 60 s to open one connection each at 5 a second; at most 30 s are allowed"
 	if !errors.As(err, &rate) || err.Error() != wantRate {
-		t.Errorf("%T: %v", err, err)
+		t.Errorf("error %T %q, want *ConnectRateError %q", err, err, wantRate)
 	}
 	err = Config{Routers: 3}.Check()
 	var connections *MaxConnectionsError
-	if !errors.As(err, &connections) || err.Error() != "a cache that holds 0 connections" {
-		t.Errorf("%T: %v", err, err)
+	const wantConnections = "each cache accepts 0 connections, at least 1 is required"
+	if !errors.As(err, &connections) || err.Error() != wantConnections {
+		t.Errorf("error %T %q, want *MaxConnectionsError %q", err, err, wantConnections)
 	}
 }
--- a/internal/connpool/connections.go
+++ b/internal/connpool/connections.go
@@ -1,27 +1,30 @@
 package connpool
 
 const (
-	// Requests are sent on a connection outside the subset for outsideSendDuration. It is open for
-	// maxOutsideDuration at most, with dialling and the requests that are in flight at its end.
+	// Requests are sent on a connection outside the subset for outsideSendDuration after it is dialled. The
+	// connection is open for at most maxOutsideDuration, which includes dialling and the requests that are still in
+	// flight when sending ends.
 	outsideSendDuration = second
 	maxOutsideDuration  = outsideSendDuration + outsideSendDuration/2
 
-	// Delays before a cache that refused a connection is dialled again, by decorrelated jitter (Brooker,
-	// "Exponential Backoff And Jitter", 2015), as in internal/lifecycle/startup: the next is drawn from up to
-	// backoffGrowth times the last.
+	// Delay before a cache that refused a connection is dialled again, with decorrelated jitter (Brooker,
+	// "Exponential Backoff And Jitter", 2015), as in internal/lifecycle/startup: each delay is a random time between
+	// minRefusedDelay and backoffGrowth times the previous delay, but no longer than maxRefusedDelay.
 	minRefusedDelay = 250 * millisecond
 	maxRefusedDelay = 8 * second
 	backoffGrowth   = 3
 
-	// idleTimeout is how long a connection beyond the router's share may be idle before it is closed.
+	// idleTimeout is how long a connection may be idle before it is closed while the router has more than
+	// MaxPerEndpoint connections to its cache.
 	idleTimeout = 500 * millisecond
 
-	// minConnectDelay is the least time between two connections to one cache, so that two events at one instant
-	// open one.
+	// minConnectDelay is the least time between two dials to the same cache, so that two events at the same instant
+	// dial it only once.
 	minConnectDelay = millisecond
 )
 
-// connectDelay returns how long all routers take to open a connection each to a cache.
+// connectDelay returns the time in which all routers together may open one connection each to a cache. It is 0 for a
+// cache of the subset if the connect rate is not limited.
 func (p *Plan) connectDelay(endpoint *endpoint) int64 {
 	delay := int64(0)
 	if p.config.MaxConnectRate > 0 {
@@ -33,8 +36,8 @@
 	return delay
 }
 
-// CanConnect reports whether one more connection to a cache may be opened beside the open ones. A cache that
-// the plan does not have is not bounded by it.
+// CanConnect reports whether one more connection to a cache may be opened now; open is the number of connections that
+// the router has to it. It is true for a cache that is not in the plan.
 func (p *Plan) CanConnect(now int64, name string, open int) bool {
 	endpoint := p.find(name)
 	switch {
@@ -48,16 +51,16 @@
 	return open == 0
 }
 
-// CanSend reports whether another request may be sent on an open connection. One outside the subset is given up
-// in time for other routers.
+// CanSend reports whether another request may be sent on an open connection to a cache. Outside the subset sending
+// ends after outsideSendDuration, so that other routers can connect to the cache.
 func (p *Plan) CanSend(now int64, name string) bool {
 	endpoint := p.find(name)
 	return endpoint == nil || endpoint.inSubset || now < endpoint.sendUntil
 }
 
-// ShouldClose reports whether an idle connection is to be closed before its usual time, with so many open to
-// its cache. That is one outside the subset, or one beyond the router's share of the connections that the cache
-// accepts.
+// ShouldClose reports whether a connection that is idle since idleSince is to be closed before the endpoint's idle
+// timeout; open is the number of connections that the router has to its cache. Connections outside the subset are
+// closed once sending on them has ended, and connections in excess of MaxPerEndpoint after idleTimeout.
 func (p *Plan) ShouldClose(now int64, name string, open int, idleSince int64) bool {
 	endpoint := p.find(name)
 	switch {
@@ -69,9 +72,9 @@
 	return open > p.MaxPerEndpoint && now-idleSince > idleTimeout
 }
 
-// Preconnect returns the caches of the subset that are to be connected to now, before there is a request for
-// them, in the order of preference. It returns some only where a rate bounds connecting, since there a first
-// request would have to wait.
+// Preconnect returns the caches of the subset that the router should connect to now, before there is a request for
+// them, the most preferred first. It returns none if the connect rate is not limited: a first request then opens a
+// connection without having to wait for its turn.
 func (p *Plan) Preconnect(now int64) (names []string) {
 	if p == nil || p.config.MaxConnectRate == 0 {
 		return nil
@@ -85,31 +88,31 @@
 	return names
 }
 
-// Dialled notes that a connection is being opened.
+// Dialled records that the router is opening a connection to a cache.
 func (p *Plan) Dialled(now int64, name string) {
 	endpoint := p.find(name)
 	if endpoint == nil {
 		return
 	}
 	delay := p.connectDelay(endpoint)
-	// From half to one and a half times the delay, so that routers that connected together do not do so the
-	// next time.
+	// The next connection may be opened after 0.5 to 1.5 times the delay, so that routers that connected at the same
+	// time do not do so again.
 	endpoint.connectAt = now + max(minConnectDelay, delay/2+p.draw(delay))
 	if !endpoint.inSubset {
 		endpoint.sendUntil = now + outsideSendDuration
-		endpoint.connectAt = now + delay + p.draw(delay) // never sooner than the mean, since the sum is bounded
+		endpoint.connectAt = now + delay + p.draw(delay) // at least the delay, to stay within outsideConnectRate
 	}
 }
 
-// Established notes that a connection was established.
+// Established records that a connection to a cache is established.
 func (p *Plan) Established(name string) {
 	if endpoint := p.find(name); endpoint != nil {
 		endpoint.refusedDelay = 0
 	}
 }
 
-// Disconnected notes that an established connection ended, without the router having closed it. If the cache
-// crashed, the connections of all routers ended at once, so that they reconnect spread over time.
+// Disconnected records that an established connection ended without being closed by the router. If the cache crashed,
+// all routers lost their connections at once, so the next connection is delayed at random to spread the reconnects.
 func (p *Plan) Disconnected(now int64, name string) {
 	endpoint := p.find(name)
 	if endpoint == nil {
@@ -119,8 +122,8 @@
 	endpoint.connectAt = max(endpoint.connectAt, now+p.draw(p.connectDelay(endpoint)))
 }
 
-// ConnectFailed notes that a connection could not be established because of the cache. It may be full, with
-// connections of more routers than the settings say.
+// ConnectFailed records that a connection could not be established for a reason on the side of the cache. The cache
+// may have reached its limit because there are more routers than the settings state.
 func (p *Plan) ConnectFailed(now int64, name string) {
 	endpoint := p.find(name)
 	if endpoint == nil {
@@ -131,8 +134,8 @@
 	endpoint.connectAt = max(endpoint.connectAt, now+endpoint.refusedDelay)
 }
 
-// LocalError notes that this machine could not dial, which says nothing of the cache. Preconnect returns the
-// cache again.
+// LocalError records that a dial failed because of an error on this machine, which says nothing about the cache.
+// Preconnect will return the cache again.
 func (p *Plan) LocalError(name string) {
 	if endpoint := p.find(name); endpoint != nil {
 		endpoint.preconnected = false
--- a/internal/connpool/connections_test.go
+++ b/internal/connpool/connections_test.go
@@ -8,28 +8,28 @@
 	"testing"
 )
 
-// openConnection is a connection of one router in a simulation of all.
+// openConnection is an open connection of one simulated router.
 type openConnection struct {
 	cache     string
 	idleSince int64
 }
 
-// simulatedRouters are all routers of a location, with the connections that their plans let them open.
+// simulatedRouters simulates all routers of a location, which open as many connections as their plans allow.
 type simulatedRouters struct {
-	config  Config // of each, but for its name and seed
+	config  Config // of each router, except for its name and seed
 	caches  []string
 	rng     *rand.Rand
 	plans   []*Plan
 	open    [][]openConnection // by router
-	atCache map[string]int     // connections of all routers
+	atCache map[string]int     // open connections of all routers, by cache
 
-	outsideSubset int                // connections that were opened to caches outside of the router's subset
-	opened        map[openedIn]int   // connections that were opened
-	accepted      func(cache string) // called after each connection that is opened
+	outsideSubset int                 // number of connections opened to caches outside the router's subset
+	opened        map[cacheSecond]int // number of connections opened in each second
+	accepted      func(cache string)  // called after each connection is opened
 }
 
-// openedIn names a second and a cache.
-type openedIn struct {
+// cacheSecond is a second of the simulated time and a cache.
+type cacheSecond struct {
 	second int64
 	cache  string
 }
@@ -41,7 +41,7 @@
 		rng:     rand.New(rand.NewPCG(7, 7)),
 		open:    make([][]openConnection, config.Routers),
 		atCache: map[string]int{},
-		opened:  map[openedIn]int{},
+		opened:  map[cacheSecond]int{},
 	}
 	for i := range config.Routers {
 		own := config
@@ -66,7 +66,7 @@
 	s.atCache[cache] = 0
 }
 
-// step has a router close the connections that its plan says, and open some.
+// step closes the connections of one router that its plan says are to be closed, and tries to open others.
 func (s *simulatedRouters) step(now int64, router int) {
 	plan, own := s.plans[router], map[string]int{}
 	for _, connection := range s.open[router] {
@@ -80,7 +80,7 @@
 		}
 		return closes
 	})
-	for range 6 { // the first caches are wanted most
+	for range 6 { // the first caches are tried most often
 		cache := s.caches[int(float64(len(s.caches))*math.Pow(s.rng.Float64(), 3))]
 		if !plan.CanConnect(now, cache, own[cache]) {
 			continue
@@ -91,14 +91,14 @@
 		plan.Dialled(now, cache)
 		s.open[router] = append(s.open[router], openConnection{cache, now})
 		own[cache]++
-		s.opened[openedIn{now / second, cache}]++
+		s.opened[cacheSecond{now / second, cache}]++
 		s.atCache[cache]++
 		s.accepted(cache)
 	}
 }
 
-// All routers together stay within the connections that a cache accepts, and within the rate of connecting, also
-// after a cache has crashed; and some connections are opened to caches outside of the subsets.
+// All routers together stay within the connections and the connect rate that each cache accepts, also after a cache
+// has crashed. Some of the connections are to caches outside the routers' subsets.
 func TestAllRoutersTogetherStayWithinTheBounds(t *testing.T) {
 	for _, test := range []struct {
 		routers, caches, maxConnections int
@@ -120,7 +120,7 @@
 			simulated := newSimulatedRouters(config, test.caches)
 			simulated.accepted = func(cache string) {
 				if count := simulated.atCache[cache]; count > test.maxConnections {
-					t.Fatalf("%d connections to %s", count, cache)
+					t.Fatalf("%d connections to %s, want at most %d", count, cache, test.maxConnections)
 				}
 			}
 			for now := int64(0); now < 40*second; now += second / 10 {
@@ -132,21 +132,22 @@
 				}
 			}
 			bound := test.maxConnectRate*1.3 + 3*math.Sqrt(test.maxConnectRate) + 2
-			for in, count := range simulated.opened {
+			for key, count := range simulated.opened {
 				if test.maxConnectRate > 0 && float64(count) > bound {
-					t.Errorf("%d connections to %s opened in second %d, bound %.0f", count, in.cache, in.second, bound)
+					t.Errorf("%d connections to %s opened in second %d, want at most %.0f",
+						count, key.cache, key.second, bound)
 				}
 			}
 			if simulated.plans[0].SubsetSize < test.caches && simulated.outsideSubset == 0 {
-				t.Error("no router ever connected to a cache outside of its subset")
+				t.Error("no router ever connected to a cache outside its subset")
 			}
 		})
 	}
 }
 
-// A cache that refuses connections, since more routers connect to it than the settings say, is dialled again
-// after growing, random delays.
-func TestRefusedBacksOff(t *testing.T) {
+// A cache that refuses connections, because there are more routers than the settings state, is dialled again after
+// random delays that grow.
+func TestBackoffAfterRefusedConnections(t *testing.T) {
 	plan := New(Config{Router: "n", Routers: 3, MaxConnections: 24})
 	plan.SetEndpoints(0, names(2))
 	now, dials := int64(0), 0
@@ -158,12 +159,12 @@
 		}
 	}
 	if dials < 8 || dials > 40 {
-		t.Errorf("%d dials in a minute", dials)
+		t.Errorf("%d dials in a minute, want 8 to 40", dials)
 	}
 	plan.Established("s-000")
 	plan.Disconnected(now+maxRefusedDelay, "s-000")
 	if !plan.CanConnect(now+2*maxRefusedDelay, "s-000", 0) {
-		t.Error("a cache that accepted a connection is not dialled again")
+		t.Error("a cache that accepted a connection is not dialled again after the connection ended")
 	}
 }
 
@@ -174,19 +175,19 @@
 	for now := int64(0); now < 3*second; now += second / 10 {
 		for _, name := range plan.Preconnect(now) {
 			if returned[name] || !plan.InSubset(name) {
-				t.Errorf("%s is returned again, or is not in the subset", name)
+				t.Errorf("Preconnect returned %s, which it returned before or which is not in the subset", name)
 			}
 			returned[name] = true
 			plan.Dialled(now, name)
 		}
 	}
 	if len(returned) != plan.SubsetSize {
-		t.Errorf("%d of %d are returned", len(returned), plan.SubsetSize)
+		t.Errorf("Preconnect returned %d caches, want the %d of the subset", len(returned), plan.SubsetSize)
 	}
-	plan.SetEndpoints(3*second, names(11)) // those that stay keep their state
+	plan.SetEndpoints(3*second, names(11)) // the first ten keep their state
 	for _, name := range plan.Preconnect(3 * second) {
 		if returned[name] {
-			t.Errorf("%s is returned again after an update of the list", name)
+			t.Errorf("Preconnect returned %s again after an update of the list", name)
 		}
 	}
 }
@@ -200,16 +201,16 @@
 	}
 }
 
-// A cache that this machine could not dial is returned by Preconnect again.
+// Preconnect returns a cache again if dialling it failed because of an error on this machine.
 func TestPreconnectAfterLocalError(t *testing.T) {
 	plan := New(Config{Router: "n", Routers: 10, MaxConnections: 100, MaxConnectRate: 100})
 	plan.SetEndpoints(0, names(1))
 	if got := plan.Preconnect(second); len(got) != 1 || len(plan.Preconnect(second)) != 0 {
-		t.Fatalf("preconnects %v", got)
+		t.Fatalf("Preconnect returned %v first, want one cache, and none on the second call", got)
 	}
 	plan.LocalError(names(1)[0])
 	if got := plan.Preconnect(second); len(got) != 1 {
-		t.Error("it is not returned again")
+		t.Error("Preconnect does not return the cache again after the error on this machine")
 	}
 	plan.LocalError("unknown")
 	(*Plan)(nil).LocalError("unknown")
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -1,11 +1,11 @@
-// Package connpool decides how many connections a router has to which caches, and how fast it opens them, so
-// that the sum over all routers of a location stays within what a cache accepts, without messages among them.
-// Each router has connections to a subset of the caches, by rendezvous hashing (Thaler, Ravishankar, "Using
-// name-based mappings to increase hit rates", 1998), and short-lived ones to others. The package does no input
-// or output, reads no clock and starts no goroutine; times come in as arguments, random numbers from a seed.
-// docs/coldstart.md, "Connections to caches", has the arithmetic.
+// Package connpool decides to which caches a router opens connections, how many, and how fast. All routers of a
+// location together stay within the connections that each cache accepts, although they exchange no messages. Each
+// router has connections to a subset of the caches, by rendezvous hashing (Thaler, Ravishankar, "Using name-based
+// mappings to increase hit rates", 1998), and short-lived connections to other caches. The package does no input
+// or output, reads no clock and starts no goroutine: the caller passes the time, and random numbers come from a
+// seed. docs/coldstart.md, "Connections to caches", has the calculations.
 //
-// All instants are ns on the caller's monotonic axis, all durations are ns, all rates are a second.
+// Instants are ns of the caller's monotonic clock, durations are ns, and rates are per second.
 package connpool
 
 import (
@@ -21,54 +21,57 @@
 	millisecond = int64(1e6)
 )
 
-// maxPerEndpoint is how many connections a router has to one cache at most, as without a plan.
+// maxPerEndpoint limits a router's connections to one cache, however many the cache accepts. Package router applies
+// the same limit without a plan.
 const maxPerEndpoint = 4
 
-// planStream makes the random numbers of plans independent of others from the same seed.
-const planStream = 0x6c696e6b
+// randomStream is the second half of the generator's seed. It makes the random numbers of a plan independent of those
+// that other packages generate from the same seed.
+const randomStream = 0x6c696e6b
 
-// Plan decides on one router's connections. A nil Plan allows all. It is not safe for use by two goroutines at
-// once.
+// Plan decides on the connections of one router. A nil Plan allows all connections. It is not safe for concurrent
+// use.
 type Plan struct {
 	config       Config
 	random       *rand.Rand
 	endpoints    map[string]*endpoint
-	ranking      []*endpoint // by preference: the first SubsetSize are the subset
-	listNumber   int         // of the last list of SetEndpoints
-	sizedFor     int         // endpoints that SubsetSize was computed for
-	outsideDelay int64       // between two connections to one endpoint outside the subset
+	ranking      []*endpoint // most preferred first; the first SubsetSize are the subset
+	listNumber   int         // number of the last list passed to SetEndpoints
+	sizedFor     int         // number of endpoints for which SubsetSize was computed
+	outsideDelay int64       // least delay between two connections to the same endpoint outside the subset
 
-	SubsetSize     int // endpoints of the subset
-	MaxPerEndpoint int // connections to one of them
+	SubsetSize     int // number of endpoints in the subset
+	MaxPerEndpoint int // connections to one endpoint of the subset
 }
 
 // endpoint is the state of one cache in a plan.
 type endpoint struct {
 	name         string
-	score        uint64 // of rendezvous hashing: the lowest are preferred
-	listNumber   int    // of the last list that named it
-	isNew        bool   // no list before named it
+	score        uint64 // of rendezvous hashing; the lowest scores are preferred
+	listNumber   int    // number of the last list that contained it
+	isNew        bool   // the current list is the first that contains it
 	inSubset     bool
-	preconnected bool  // Preconnect named it
-	connectAt    int64 // from when on a connection may be opened
-	refusedDelay int64 // the last one after a connection that was refused; 0: there was none
-	sendUntil    int64 // until when requests may be sent on a connection outside the subset
+	preconnected bool  // Preconnect has returned it and need not return it again
+	connectAt    int64 // earliest time at which the next connection may be opened
+	refusedDelay int64 // backoff after the last refused connection; 0: none was refused since the last success
+	sendUntil    int64 // outside the subset, when sending requests on the open connection ends
 }
 
-// New returns a plan that knows no caches yet.
+// New returns a plan without caches; SetEndpoints adds them.
 func New(config Config) *Plan {
 	config.Routers = max(1, config.Routers)
 	return &Plan{
 		config:         config,
-		random:         rand.New(rand.NewPCG(config.Seed, planStream)),
+		random:         rand.New(rand.NewPCG(config.Seed, randomStream)),
 		endpoints:      map[string]*endpoint{},
 		outsideDelay:   int64(float64(config.Routers) / outsideConnectRate(config.MaxConnections) * float64(second)),
 		MaxPerEndpoint: max(1, min(maxPerEndpoint, config.MaxConnections/config.Routers)),
 	}
 }
 
-// SetEndpoints sets the caches to which attempts may go. Those that the plan has already keep their state.
-// Connections to a new one are spread over the time that all routers need to open one each.
+// SetEndpoints sets the caches to which attempts may be sent. Caches that are already in the plan keep their state.
+// If a cache is new, joins the subset or leaves it, its next connection is delayed by a random time, up to the time in
+// which all routers may open one connection each, so that the routers do not connect at the same moment.
 func (p *Plan) SetEndpoints(now int64, names []string) {
 	if p == nil {
 		return
@@ -94,8 +97,8 @@
 	}
 }
 
-// add inserts a cache into the ranking. By rendezvous hashing a cache that is added or removed changes the
-// subset by itself alone.
+// add inserts a cache into the ranking. With rendezvous hashing the order of the other caches stays the same, so that
+// adding or removing one cache hardly changes the subset.
 func (p *Plan) add(name string) {
 	added := &endpoint{name: name, score: xxhash.Sum64String(p.config.Router + "\x00" + name), isNew: true}
 	p.endpoints[name] = added
@@ -105,7 +108,7 @@
 	p.ranking = slices.Insert(p.ranking, rank, added)
 }
 
-// removeUnlisted removes the caches that the last list did not name.
+// removeUnlisted removes the caches that are not in the last list.
 func (p *Plan) removeUnlisted() {
 	p.ranking = slices.DeleteFunc(p.ranking, func(endpoint *endpoint) bool {
 		if endpoint.listNumber == p.listNumber {
@@ -116,7 +119,7 @@
 	})
 }
 
-// find returns the state of a cache, or nil if the plan does not have it.
+// find returns the state of a cache, or nil if the cache is not in the plan.
 func (p *Plan) find(name string) *endpoint {
 	if p == nil {
 		return nil
@@ -124,14 +127,13 @@
 	return p.endpoints[name]
 }
 
-// InSubset reports whether a cache is in the router's subset. A cache that the plan does not have counts as in
-// it.
+// InSubset reports whether a cache is in the router's subset. It is true for a cache that is not in the plan.
 func (p *Plan) InSubset(name string) bool {
 	endpoint := p.find(name)
 	return endpoint == nil || endpoint.inSubset
 }
 
-// draw returns a random duration in [0, limit).
+// draw returns a random duration in [0, limit), or 0 if limit is not positive.
 func (p *Plan) draw(limit int64) int64 {
 	if limit <= 0 {
 		return 0
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -17,8 +17,8 @@
 	return out
 }
 
-// After any changes of the list, in whichever order it names the caches, the plan equals the one that ranking all
-// caches anew gives.
+// After any changes of the list, and in whatever order it lists the caches, the plan is the same as if all caches
+// were ranked from scratch.
 func TestSetEndpointsEqualsRankingAllCaches(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for run := range 100 {
@@ -42,7 +42,7 @@
 			comparePlan(t, plan, listed)
 			for rank, endpoint := range plan.ranking {
 				if *endpoint != *shuffled.ranking[rank] {
-					t.Fatalf("step %d, rank %d: %+v, and %+v in another order",
+					t.Fatalf("step %d, rank %d: %+v, but %+v if the list is in another order",
 						step, rank, endpoint, shuffled.ranking[rank])
 				}
 			}
@@ -63,7 +63,7 @@
 	}
 	for rank, name := range ranked {
 		if plan.ranking[rank].name != name || plan.InSubset(name) != (rank < plan.SubsetSize) {
-			t.Fatalf("rank %d: %+v, want %s", rank, plan.ranking[rank], name)
+			t.Fatalf("rank %d: %+v, want %s, in the subset: %v", rank, plan.ranking[rank], name, rank < plan.SubsetSize)
 		}
 	}
 }
--- a/internal/connpool/localbackoff.go
+++ b/internal/connpool/localbackoff.go
@@ -1,29 +1,29 @@
 package connpool
 
-// Delays of a LocalBackoff, as parts of the time in which a connection is to be established.
+// The first and the longest delay of a LocalBackoff are the connect timeout divided by these numbers.
 const (
 	firstDelayDivisor = 16
 	maxDelayDivisor   = 4
 )
 
-// LocalBackoff pauses dialling while this machine itself can open no connections, because descriptors, memory
-// or ports are used up. A dial that fails so says the same for all caches, so that none is dialled until the
-// delay is over. The delay doubles with each dial until one reaches a cache. A LocalBackoff is not safe for use
-// by two goroutines at once.
+// LocalBackoff suspends dialling while this machine can open no connections because it has run out of descriptors,
+// memory or ports. Such an error affects the connections to all caches, so none is dialled until the delay is over.
+// The delay doubles with each dial that fails this way, up to a limit, until a dial reaches an endpoint. A
+// LocalBackoff is not safe for concurrent use.
 type LocalBackoff struct {
-	connectTimeout int64
-	delay          int64 // the last one; 0: none is active
-	until          int64
+	connectTimeout int64 // ns
+	delay          int64 // ns; the last delay; 0: there was no failure since the last success
+	until          int64 // ns; end of the last delay
 }
 
-// NewLocalBackoff returns one that is not active. connectTimeout is the time in which a connection is to be
-// established, ns.
+// NewLocalBackoff returns a LocalBackoff that is not active. connectTimeout is the time, ns, within which a connection
+// must be established.
 func NewLocalBackoff(connectTimeout int64) *LocalBackoff {
 	return &LocalBackoff{connectTimeout: connectTimeout}
 }
 
-// DialFailed notes that a dial failed on this machine, and reports whether the backoff begins with it. Dials
-// that were under way together fail together and count once.
+// DialFailed records that a dial failed because of an error on this machine, and reports whether the backoff begins
+// with it. Failures during a delay do not count, since their dials began before it.
 func (b *LocalBackoff) DialFailed(now int64) (begins bool) {
 	if now < b.until {
 		return false
@@ -36,13 +36,13 @@
 	return begins
 }
 
-// DialSucceeded notes that a dial reached the other side, whatever that answered, and reports whether the
-// backoff ends with it.
+// DialSucceeded records that a dial reached its endpoint, which may have accepted or refused it, and reports whether
+// the backoff ends with it.
 func (b *LocalBackoff) DialSucceeded() (ends bool) {
 	ends = b.delay > 0
 	b.delay, b.until = 0, 0
 	return ends
 }
 
-// Active reports whether nothing is to be dialled now.
+// Active reports whether dialling is suspended.
 func (b *LocalBackoff) Active(now int64) bool { return now < b.until }
--- a/internal/connpool/localbackoff_test.go
+++ b/internal/connpool/localbackoff_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// While this machine can open no connections the dials are few, and never further apart than the longest delay.
+// While all dials fail on this machine they are few, and at least the first and at most the longest delay apart.
 func TestLocalBackoff(t *testing.T) {
 	const connectTimeout = 400 * millisecond
 	backoff := NewLocalBackoff(connectTimeout)
@@ -15,28 +15,29 @@
 		}
 		dials = append(dials, now)
 		if begins := backoff.DialFailed(now); begins != (len(dials) == 1) {
-			t.Errorf("dial %d: begins %v", len(dials), begins)
+			t.Errorf("dial %d: the backoff begins: %v, want %v", len(dials), begins, len(dials) == 1)
 		}
 		if backoff.DialFailed(now) || backoff.DialFailed(now+millisecond) {
-			t.Error("dials that fail together count more than once")
+			t.Error("a dial that fails during the delay begins another backoff")
 		}
 	}
 	if len(dials) < 35 || len(dials) > 45 {
-		t.Errorf("%d dials in 4 s: %v", len(dials), dials)
+		t.Errorf("%d dials in 4 s, want 35 to 45: %v", len(dials), dials)
 	}
 	for i := 1; i < len(dials); i++ {
 		gap := dials[i] - dials[i-1]
 		if gap < connectTimeout/firstDelayDivisor || gap > connectTimeout/maxDelayDivisor {
-			t.Errorf("dials %d ms apart", gap/millisecond)
+			t.Errorf("dials %d ms apart, want %d to %d ms", gap/millisecond,
+				connectTimeout/firstDelayDivisor/millisecond, connectTimeout/maxDelayDivisor/millisecond)
 		}
 	}
 	if !backoff.DialSucceeded() || backoff.DialSucceeded() || backoff.Active(0) {
-		t.Error("it does not end with a dial that succeeds")
+		t.Error("the backoff does not end with the first dial that succeeds")
 	}
 	if !backoff.DialFailed(5*second) || backoff.until != 5*second+connectTimeout/firstDelayDivisor {
-		t.Error("the next one does not begin as the first did")
+		t.Error("the second backoff does not begin with the first delay")
 	}
 	if tiny := NewLocalBackoff(0); !tiny.DialFailed(0) || !tiny.Active(0) {
-		t.Error("without a connect timeout it dials in a loop")
+		t.Error("with a connect timeout of 0 there is no delay after a failed dial")
 	}
 }
--- a/internal/connpool/subset.go
+++ b/internal/connpool/subset.go
@@ -3,19 +3,19 @@
 import "math"
 
 const (
-	// subsetShare is the part of a cache's connections that subsets may take. The rest is for routers that need
-	// a cache outside of their subset for a moment.
+	// subsetShare is the share of a cache's connections for routers that have the cache in their subset. The rest is
+	// for short-lived connections from other routers.
 	subsetShare = 0.75
 
-	// boundDeviations is by how many standard deviations a random number may exceed its mean within its bound.
-	// One cache in 4,000 is over it.
+	// boundDeviations is the distance, in standard deviations, from the mean of a random number of connections to
+	// its upper bound. About one cache in 4,000 exceeds the bound.
 	boundDeviations = 3.5
 )
 
-// SubsetSize returns how many of the caches each router has connections to, if each cache accepts
-// maxConnections. That is all of them if there is a connection for each router. Else it is the largest size for
-// which the number of routers at a cache, which is binomially distributed, stays within the subsets' share of
-// its connections.
+// SubsetSize returns the number of caches in each router's subset if each cache accepts maxConnections connections. If
+// each cache accepts one connection from every router, the subset is all caches. Otherwise it is the largest size for
+// which the number of routers that have a cache in their subset, which is binomially distributed, stays within
+// subsetShare of the cache's connections.
 func SubsetSize(routers, caches, maxConnections int) int {
 	if routers <= maxConnections {
 		return caches
@@ -32,12 +32,12 @@
 	return 0
 }
 
-// outsideConnectRate returns how many connections a second all routers together may open to a cache that is not
-// in their subset, so that the random number of those that are open at a time stays within the rest of what the
-// cache accepts.
+// outsideConnectRate returns how many connections per second the routers that do not have a cache in their subset may
+// open to it together. At this rate the random number of their open connections stays within the connections that
+// subsetShare leaves.
 func outsideConnectRate(maxConnections int) float64 {
 	rest := (1 - subsetShare) * float64(maxConnections)
-	// The mean number of open ones solves mean + boundDeviations*sqrt(mean) = rest.
+	// The mean number of open connections solves mean + boundDeviations*sqrt(mean) = rest, and root is sqrt(mean).
 	root := (math.Sqrt(boundDeviations*boundDeviations+4*rest) - boundDeviations) / 2
 	return root * root / (float64(maxOutsideDuration) / float64(second))
 }
--- a/internal/connpool/subset_test.go
+++ b/internal/connpool/subset_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Each cache is in about as many subsets as any other, and never in more than its connections for them.
+// All caches are in about the same number of subsets, and none is in more than subsetShare of its connections allows.
 func TestSubsetsAreEven(t *testing.T) {
 	for _, test := range []struct{ routers, caches, maxConnections int }{
 		{300, 40, 225},
@@ -29,21 +29,22 @@
 			size = plan.SubsetSize
 		}
 		if size == 0 || len(routersAt) != test.caches {
-			t.Fatalf("%+v: %d of the caches are in subsets, which have %d each", test, len(routersAt), size)
+			t.Fatalf("%+v: subsets of size %d contain %d caches in all, want every cache", test, size, len(routersAt))
 		}
 		for name, n := range routersAt {
 			if float64(n) > subsetShare*float64(test.maxConnections) {
-				t.Errorf("%+v: %s is in %d subsets", test, name, n)
+				t.Errorf("%+v: %s is in %d subsets, want at most %.0f",
+					test, name, n, subsetShare*float64(test.maxConnections))
 			}
 			mean := float64(test.routers) * float64(size) / float64(test.caches)
 			if float64(n) < mean-5*math.Sqrt(mean)-1 {
-				t.Errorf("%+v: %s is in %d subsets, %f in the mean", test, name, n, mean)
+				t.Errorf("%+v: %s is in %d subsets, too few for the mean of %f", test, name, n, mean)
 			}
 		}
 	}
 }
 
-// The removal of one cache changes a subset by at most one other cache.
+// Removing one cache from the list removes at most one other cache from a subset, and adds at most one.
 func TestSubsetsAreStable(t *testing.T) {
 	for i := range 200 {
 		plan := New(Config{Router: fmt.Sprint("n", i), Routers: 300, MaxConnections: 60})
@@ -61,7 +62,7 @@
 			}
 		}
 		if removed > 1 || added > 1 {
-			t.Fatalf("one cache less removed %d others and added %d", removed, added)
+			t.Fatalf("removing one cache from the list removed %d others from the subset and added %d, want at most 1 each", removed, added)
 		}
 	}
 }
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -1,6 +1,6 @@
-// Package timerqueue is a priority queue of timers, ordered by time. Timers of one time leave it in the order
-// in which they were pushed, so that a run with the same input is repeated exactly. It reads no clock: the owner
-// of a queue compares Next with its own time, and pops the timers that are due.
+// Package timerqueue is a priority queue of timers, ordered by time. Timers with the same time are popped in the
+// order in which they were pushed, so that the same input always gives the same sequence. The package reads no
+// clock: the owner of a queue compares Next with its own time, and pops the timers that are due.
 package timerqueue
 
 import (
@@ -11,25 +11,25 @@
 // Never is the time of a timer that does not fire: an empty queue's Next.
 const Never = int64(math.MaxInt64)
 
-// removed is the heap index of a timer that is not in a queue any more.
+// removed is the heap index of a timer that is no longer in a queue.
 const removed = -1
 
-// Queue holds timers with a value each. Its zero value is empty and ready for use; it is not safe for
-// concurrent use.
+// Queue holds timers, each with a value. Its zero value is empty and ready for use. It is not safe for concurrent
+// use.
 type Queue[T any] struct {
 	timers timerHeap[T]
-	pushed int // timers pushed so far, from which the next takes its sequence number
+	pushed int // number of timers pushed so far, which is the last one's sequence number
 }
 
-// Timer is a handle by which a pushed value can be removed before its time.
+// Timer is a handle for a pushed value, with which Remove takes the value out of the queue before its time.
 type Timer[T any] struct {
 	at       int64
 	sequence int
-	index    int // in the heap, or removed
+	index    int // position in the heap, or removed
 	value    T
 }
 
-// Push adds a value that is to be popped at a time, in the unit of the caller's clock.
+// Push adds a value that is due at a time, in the unit of the caller's clock, and returns its handle.
 func (queue *Queue[T]) Push(at int64, value T) *Timer[T] {
 	queue.pushed++
 	timer := &Timer[T]{at: at, sequence: queue.pushed, value: value}
@@ -37,7 +37,7 @@
 	return timer
 }
 
-// Next returns the earliest time, or Never if the queue is empty.
+// Next returns the time of the earliest timer, or Never if the queue is empty.
 func (queue *Queue[T]) Next() int64 {
 	if len(queue.timers) == 0 {
 		return Never
@@ -89,7 +89,7 @@
 func (timers *timerHeap[T]) Pop() any {
 	old := *timers
 	last := old[len(old)-1]
-	old[len(old)-1] = nil // or the array keeps it from being collected
+	old[len(old)-1] = nil // otherwise the array would keep the timer in memory
 	last.index = removed
 	*timers = old[:len(old)-1]
 	return last
--- a/internal/timerqueue/queue_test.go
+++ b/internal/timerqueue/queue_test.go
@@ -12,7 +12,7 @@
 		at := queue.Next()
 		popped, value := queue.Pop()
 		if popped != at {
-			t.Errorf("popped a timer of %d, Next said %d", popped, at)
+			t.Errorf("Pop returned time %d, but Next returned %d", popped, at)
 		}
 		values = append(values, value)
 	}
@@ -23,11 +23,11 @@
 	for _, test := range []struct {
 		name  string
 		times []int64
-		want  []int // indexes in times
+		want  []int // indexes in times, in the order of Pop
 	}{
 		{"empty", nil, nil},
 		{"by time", []int64{5, 1, 3}, []int{1, 2, 0}},
-		{"within one time by push", []int64{2, 1, 2, 1, 2}, []int{1, 3, 0, 2, 4}},
+		{"equal times in the order of Push", []int64{2, 1, 2, 1, 2}, []int{1, 3, 0, 2, 4}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var queue Queue[int]
@@ -41,7 +41,7 @@
 	}
 }
 
-// A timer that is removed must leave the queue at once, not at its time. Timers of 1, 5, 3 and 7 are pushed.
+// Remove must take a timer out of the queue at once, not when it is due. The queue has timers at 1, 5, 3 and 7.
 func TestRemove(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -64,12 +64,12 @@
 				queue.Remove(timers[i])
 			}
 			if queue.Len() != len(test.want) {
-				t.Errorf("%d timers are left, want %d", queue.Len(), len(test.want))
+				t.Errorf("Len is %d after Remove, want %d", queue.Len(), len(test.want))
 			}
 			var got []int
 			for queue.Next() != Never {
 				_, i := queue.Pop()
-				queue.Remove(timers[i]) // popped already
+				queue.Remove(timers[i]) // ignored, since the timer is popped
 				got = append(got, i)
 			}
 			if !slices.Equal(got, test.want) {
