--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -63,7 +63,8 @@
 	}
 	for rank, name := range ranked {
 		if plan.ranking[rank].name != name || plan.InSubset(name) != (rank < plan.SubsetSize) {
-			t.Fatalf("rank %d: %+v, want %s, in the subset: %v", rank, plan.ranking[rank], name, rank < plan.SubsetSize)
+			t.Fatalf("rank %d: %+v, want %s, in the subset: %v",
+				rank, plan.ranking[rank], name, rank < plan.SubsetSize)
 		}
 	}
 }
--- a/internal/connpool/subset_test.go
+++ b/internal/connpool/subset_test.go
@@ -29,7 +29,7 @@
 			size = plan.SubsetSize
 		}
 		if size == 0 || len(routersAt) != test.caches {
-			t.Fatalf("%+v: subsets of size %d contain %d caches in all, want every cache", test, size, len(routersAt))
+			t.Fatalf("%+v: subsets of size %d contain %d different caches, want all", test, size, len(routersAt))
 		}
 		for name, n := range routersAt {
 			if float64(n) > subsetShare*float64(test.maxConnections) {
@@ -62,7 +62,7 @@
 			}
 		}
 		if removed > 1 || added > 1 {
-			t.Fatalf("removing one cache from the list removed %d others from the subset and added %d, want at most 1 each", removed, added)
+			t.Fatalf("the subset lost %d of the other caches and gained %d, want at most 1 each", removed, added)
 		}
 	}
 }
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -8,23 +8,23 @@
 	"tealpath/control"
 )
 
-// minResponseTime is the least time, ns, that an endpoint is given to respond: timeouts are sent to endpoints in
+// minResponseTime is the shortest time, ns, that an endpoint is given to respond: timeouts are sent to endpoints in
 // whole milliseconds.
 const minResponseTime = millisecond
 
-// attempt is one sending of a request to one endpoint.
+// attempt is one try to get the response to a request from one endpoint.
 type attempt struct {
 	request      *inFlightRequest
-	number       int       // position among the request's attempts, from 0
-	cache        *endpoint // to which it is sent; nil: unknown, and the attempt ends at once
-	source       *endpoint // from which a cache miss is filled; nil: it is not filled
+	number       int       // index in the request's attempts
+	cache        *endpoint // that the request is sent to; nil: its ID is unknown, so the attempt ends at once
+	source       *endpoint // from which the cache fills a miss; nil: it does not fill misses
 	connection   *connection
 	upstream     UpstreamRequest
 	startedAt    int64 // ns
 	deadline     int64 // ns; by when its response must have been received
 	sendDeadline int64 // ns; by when writing it must have begun
 	timer        *timer
-	ended        bool
+	ended        bool // its outcome was reported to the policy
 }
 
 // startAttempt starts an attempt that the policy decided on.
@@ -35,9 +35,9 @@
 		attempt.connection = r.pickConnection(attempt.cache, attempt.upstream.ID)
 	}
 	if attempt.connection == nil {
-		// It counts towards the request's limit of attempts, also while this machine can open no connections.
-		// Otherwise an endpoint that looks reachable, but whose connections are saturated, could be chosen by
-		// the policy again and again without end.
+		// The attempt counts towards the request's limit of attempts, even while this machine can open no
+		// connections. Otherwise the policy could choose an endpoint that is reachable but whose connections are
+		// saturated in an endless loop.
 		attempt.connection = &connection{}
 		r.attemptEnded(attempt, control.Outcome{Result: control.NotSent})
 		return
@@ -51,7 +51,7 @@
 	attempt.timer = r.timers.Push(attempt.sendDeadline, timerTask{kind: attemptTimer, attempt: attempt})
 }
 
-// newAttempt returns an attempt that the policy decided on, without a connection yet.
+// newAttempt returns an attempt that the policy decided on. It has no connection yet.
 func (r *Router) newAttempt(request *inFlightRequest, decided control.Attempt) *attempt {
 	timeout := request.Deadline - r.now
 	if decided.Timeout > 0 {
@@ -98,13 +98,13 @@
 	})
 }
 
-// onEstablishedConnection reports whether an attempt is in flight on a connection that is established: it may
-// be written.
+// onEstablishedConnection reports whether an attempt is in flight on an established connection, where it may have been
+// written.
 func (attempt *attempt) onEstablishedConnection() bool {
 	return !attempt.ended && attempt.connection.established
 }
 
-// usesUnready reports whether an attempt goes to an endpoint that is not ready, or fills a cache miss from one.
+// usesUnready reports whether an attempt's cache or source is not ready.
 func (attempt *attempt) usesUnready() bool {
 	return !attempt.cache.isReady() || attempt.source != nil && !attempt.source.isReady()
 }
@@ -129,7 +129,7 @@
 	r.applyDecision(request, decision)
 }
 
-// cancelAttempts cancels those of a request's attempts that have these numbers and have not ended.
+// cancelAttempts cancels the attempts of a request that have the given numbers and have not ended.
 func (r *Router) cancelAttempts(request *inFlightRequest, numbers []int) {
 	for _, number := range numbers {
 		attempt := request.attempts[number]
@@ -145,9 +145,9 @@
 	}
 }
 
-// abandonAttempt removes an attempt from its connection. If the connection has been silent since the attempt
-// began it is marked unresponsive: a connection to a machine that has crashed stays open, even after the machine
-// has restarted.
+// abandonAttempt removes an attempt from its connection, without waiting for its response. If nothing has been
+// received on the connection since the attempt began, the connection may be drained (drainIfUnresponsive): a
+// connection to a machine that has crashed stays open, even after the machine has restarted.
 func (r *Router) abandonAttempt(attempt *attempt) {
 	connection, id := attempt.connection, attempt.upstream.ID
 	if connection.closed || connection.inFlight[id] != attempt {
@@ -161,14 +161,14 @@
 	if r.config.CancelAttempts {
 		r.emit(CancelAttempt{Connection: connection.id, ID: id})
 	} else {
-		r.emit(WithdrawAttempt{Connection: connection.id, ID: id}) // it is not written if it has not been yet
+		r.emit(WithdrawAttempt{Connection: connection.id, ID: id}) // an attempt that is not written yet is dropped
 	}
-	r.markIfUnresponsive(attempt)
-	r.closeIfUnresponsive(connection)
+	r.drainIfUnresponsive(attempt)
+	r.closeIfDrained(connection)
 }
 
-// withdrawAttempt ends an attempt if it is not written yet. On an established connection only the connection's
-// writer knows whether it is, so the attempt stays in flight until AttemptWithdrawn or a response is received.
+// withdrawAttempt ends an attempt unless it is already written. On an established connection only the connection's
+// writer knows that, so the attempt stays in flight until AttemptWithdrawn or a response is received.
 func (r *Router) withdrawAttempt(attempt *attempt) {
 	if attempt.connection.established {
 		r.emit(WithdrawAttempt{Connection: attempt.connection.id, ID: attempt.upstream.ID})
@@ -187,9 +187,9 @@
 	}
 }
 
-// withdrawMatching withdraws the attempts of any request that match. It is called after a drain or a purge:
-// attempts decided on before it and written much later would be sent to a draining endpoint, or would accept a
-// copy from before the purge.
+// withdrawMatching withdraws all attempts for which matches returns true. It is called when an endpoint drains or a
+// purge is received: an attempt that was decided on earlier and is written later would be sent to a draining endpoint,
+// or would accept a copy from before the purge.
 func (r *Router) withdrawMatching(matches func(*attempt) bool) {
 	for _, id := range sortedKeys(r.connections) {
 		connection := r.connections[id]
@@ -204,7 +204,7 @@
 	}
 }
 
-// attemptWithdrawn ends an attempt that was sent on an established connection and was not written.
+// attemptWithdrawn ends an attempt that was sent on an established connection but was not written.
 func (r *Router) attemptWithdrawn(event AttemptWithdrawn) {
 	connection := r.connections[event.Connection]
 	if connection == nil || connection.inFlight[event.ID] == nil {
@@ -212,19 +212,19 @@
 	}
 	attempt := connection.inFlight[event.ID]
 	delete(connection.inFlight, event.ID)
-	r.markIfUnresponsive(attempt)
+	r.drainIfUnresponsive(attempt)
 	r.attemptEnded(attempt, control.Outcome{Result: control.NotSent})
-	r.closeIfUnresponsive(connection)
+	r.closeIfDrained(connection)
 }
 
-// attempts returns the attempts in flight on a connection, ordered by when they were started.
+// attempts returns the attempts in flight on a connection, ordered by start time.
 func (c *connection) attempts() []*attempt {
 	return slices.SortedFunc(maps.Values(c.inFlight), func(a, b *attempt) int {
 		return cmp.Or(cmp.Compare(a.startedAt, b.startedAt), cmp.Compare(a.upstream.ID, b.upstream.ID))
 	})
 }
 
-// carriesAny reports whether an attempt in flight on a connection matches.
+// carriesAny reports whether matches returns true for any attempt in flight on the connection.
 func (c *connection) carriesAny(matches func(*attempt) bool) bool {
 	for _, attempt := range c.inFlight {
 		if matches(attempt) {
--- a/internal/router/clients_test.go
+++ b/internal/router/clients_test.go
@@ -8,28 +8,28 @@
 
 func TestCancelledRequestsGetNoResponse(t *testing.T) {
 	runScenarios(t, newDefaultHarness, []scenario{
-		{"the client disconnects: no response", func(h *harness) {
+		{"the client disconnects: the attempt is cancelled, and no response is sent", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.handle(ClientDisconnected{Client: 1})
 			h.respond(success)
 		}, "dial, send 1, cancel 1"},
-		{"the client cancels one of two", func(h *harness) {
+		{"the client cancels one of two requests: the other is served", func(h *harness) {
 			h.request(1, nil)
 			h.request(2, nil)
 			h.connectNewest()
 			h.handle(RequestCancelled{Client: 1, Seq: 1})
 			h.respond(success)
 		}, "dial, send 1, send 2, cancel 1, served 2:bytes"},
-		{"cancelled before its connection is established: not sent", func(h *harness) {
+		{"a request is cancelled before its connection is established: not sent", func(h *harness) {
 			h.request(1, nil)
 			h.handle(RequestCancelled{Client: 1, Seq: 1})
 			h.connectNewest()
 		}, "dial"},
-		{"a cancellation of no request", func(h *harness) {
+		{"a cancellation of an unknown request: ignored", func(h *harness) {
 			h.handle(RequestCancelled{Client: 9, Seq: 1})
 		}, ""},
-		{"an ID that was abandoned on a connection is not sent on it again", func(h *harness) {
+		{"a request ID that was abandoned on a connection is not sent on it again", func(h *harness) {
 			first := map[string]string{"txn": requestID(1)}
 			h.request(1, nil)
 			h.connectNewest()
@@ -40,7 +40,7 @@
 	})
 }
 
-// A request that can't be accepted leaves those in flight as they are.
+// A request that cannot be accepted does not affect the requests in flight.
 func TestInvalidRequestsAreAnsweredAtOnce(t *testing.T) {
 	runScenarios(t, newDefaultHarness, []scenario{
 		{"a sequence number in use", func(h *harness) {
@@ -60,33 +60,33 @@
 func TestHalfClosedClientGetsNoFurtherAttempts(t *testing.T) {
 	halfClosed := ClientHalfClosed{Client: 1}
 	runScenarios(t, newTwoClassHarness, []scenario{
-		{"while its connection is dialled: rejected at once, and not sent", func(h *harness) {
+		{"while its request waits for a connection: rejected at once, and not sent", func(h *harness) {
 			h.request(1, nil)
 			h.handle(halfClosed)
 			h.advance(100 * millisecond)
 			h.connectNewest()
 			h.advance(2 * second)
 		}, "dial, rejected 1"},
-		{"while in flight: served", func(h *harness) {
+		{"while its request is in flight: served", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.handle(halfClosed)
 			h.respond(success)
 		}, "dial, send 1, served 1:bytes"},
-		{"while in flight, and the attempt fails: no retry", func(h *harness) {
+		{"while its request is in flight, and the attempt fails: no retry", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.handle(halfClosed)
 			h.respond(ResponseReceived{Result: control.Overloaded})
 			h.advance(2 * second)
 		}, "dial, send 1, rejected 1"},
-		{"while in flight, and no response comes: no hedge", func(h *harness) {
+		{"while its request is in flight, and no response is received: no hedge", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.handle(halfClosed)
 			h.advance(3 * second)
 		}, "dial, send 1, cancel 1, close 1, rejected 1"},
-		{"while a non-idempotent request is in flight whose connection is lost: it fails", func(h *harness) {
+		{"while its non-idempotent request is in flight, and the connection is lost: it fails", func(h *harness) {
 			h.request(1, nonIdempotent)
 			h.connectNewest()
 			h.handle(halfClosed)
@@ -97,13 +97,13 @@
 			h.request(1, nil)
 			h.advance(10 * millisecond)
 			if len(h.observed) > 0 {
-				h.t.Fatalf("it does not wait: %v", h.observed)
+				h.t.Fatalf("the request does not wait for a ready endpoint: effects %v", h.observed)
 			}
 			h.handle(halfClosed)
 			h.setCachePhases("ready")
 			h.advance(2 * second)
 		}, "rejected 1"},
-		{"with one of two requests in flight: that is served, the other is rejected", func(h *harness) {
+		{"while one request is in flight and one waits for a connection: served, and rejected", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.request(2, map[string]string{"item": objectOnOtherCache(h.t)}) // its cache has no connection yet
@@ -124,13 +124,13 @@
 			h.requestElsewhere(1, nil)
 			h.advance(500 * millisecond)
 		}, "dial, send 1, failed 1, cancel 1, dial"},
-		{"the same of a non-idempotent request: it may have been executed", func(h *harness) {
+		{"the same with a non-idempotent request: fails, since it may have been executed", func(h *harness) {
 			h.request(1, nonIdempotent)
 			h.connectNewest()
 			h.handle(halfClosed)
 			h.requestElsewhere(1, nonIdempotent)
 		}, "dial, send 1, failed 1, cancel 1, failed 1"},
-		{"the first client still sends: the ID is in use", func(h *harness) {
+		{"the first client has not closed its sending side: the ID is in use", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.requestElsewhere(1, nil)
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -7,19 +7,19 @@
 	"tealpath/internal/connpool"
 )
 
-// Limits bounds the connections and the requests of a reducer.
+// Limits contains the limits on a reducer's connections and requests.
 type Limits struct {
 	MaxConnections int            // to all endpoints together
-	ConnectionPlan *connpool.Plan // bounds connections to caches; nil: only the other limits do
+	ConnectionPlan *connpool.Plan // limits connections to caches; nil: only the other limits apply
 	MaxInFlight    int            // requests in flight
-	MaxBodyBytes   int            // bytes; of the bodies of all requests in flight together
+	MaxBodyBytes   int            // total size of the bodies of all requests in flight
 }
 
-// config is the settings with indexes for the reducer's look-ups.
+// config contains the settings, with indexes for fast lookup.
 type config struct {
 	control.Settings
 	classes       map[string]control.ClassSettings // by name
-	nonCacheKinds []string                         // kinds of endpoints that are no caches
+	nonCacheKinds []string                         // kinds of endpoints that are not caches
 }
 
 func newConfig(settings control.Settings) config {
@@ -37,15 +37,15 @@
 	return config
 }
 
-// policySettings returns the settings that the policy gets. It schedules no health checks of its own: they show
-// that an endpoint is alive, not how well it serves, so ejected endpoints are probed by attempts. Results of the
-// health checks that instances share by a lease still reach it, through ProbeEnded.
+// policySettings returns the settings for the policy, which must not schedule health checks: they show that an
+// endpoint is alive but not how well it serves, so the policy probes ejected endpoints with attempts instead. The
+// results of the health checks that instances share under a lease still reach the policy, through ProbeEnded.
 func policySettings(settings control.Settings) control.Settings {
 	settings.HealthChecks = false
 	return settings
 }
 
-// isCache reports whether an endpoint is a cache of this router's location.
+// isCache reports whether an endpoint is a cache in this router's location.
 func (c *config) isCache(endpoint *endpoint) bool {
 	return endpoint.Location == c.Location && !slices.Contains(c.nonCacheKinds, endpoint.Kind)
 }
--- a/internal/router/connection_selection.go
+++ b/internal/router/connection_selection.go
@@ -6,30 +6,32 @@
 )
 
 const (
-	// maxConnectionsPerEndpoint bounds the connections to one endpoint that still have capacity. Connections at
-	// MaxStreamsPerConnection do not count, so that a saturated endpoint can get another one.
+	// maxConnectionsPerEndpoint limits the connections to one endpoint that can take more requests. Connections with
+	// MaxStreamsPerConnection requests in flight do not count, so that another one can be opened beside them.
 	maxConnectionsPerEndpoint = 4
 
-	// shareThreshold is the number of requests in flight on an endpoint's least used connection from which
-	// another connection is dialled. It is low because one corrupt response ends all requests in flight on its
+	// dialThreshold is the number of requests in flight on the least used connection to an endpoint at which
+	// another connection is dialled. It is low because one corrupt response ends all attempts in flight on its
 	// connection.
-	shareThreshold = 3
+	dialThreshold = 3
 )
 
-// connectionCandidates are the connections to an endpoint that one attempt could use.
+// connectionCandidates describes the connections to an endpoint that an attempt could use.
 type connectionCandidates struct {
-	preferred *connection // the least used one that is not stalled, an established one if there is any; or nil
-	stalled   *connection // one that is stalled; nil: there is none
+	preferred *connection // the best one that is not stalled, by isPreferred; nil: there is none
+	stalled   *connection // a stalled one; nil: there is none
 	atLimit   bool        // no further connection may be opened
 }
 
-// pickConnection returns the connection to an endpoint that an attempt is to use. That is the least used one,
-// or a new one if there is none yet or the limits allow another. It is nil if none can be used or dialled.
+// pickConnection returns the connection to an endpoint that an attempt is to use: the least used one, which is an
+// established one if possible. If there is none, or if it has dialThreshold requests in flight, another one is dialled
+// if the limits allow that. A stalled connection is used only if no other can be. The result is nil if no connection
+// can be used or dialled.
 func (r *Router) pickConnection(endpoint *endpoint, id RequestID) *connection {
 	candidates := r.findCandidates(endpoint, id)
 	preferred := candidates.preferred
 	switch {
-	case preferred != nil && (candidates.atLimit || len(preferred.inFlight) < shareThreshold):
+	case preferred != nil && (candidates.atLimit || len(preferred.inFlight) < dialThreshold):
 		return preferred
 	case candidates.atLimit:
 		return candidates.stalled
@@ -63,20 +65,21 @@
 	return candidates
 }
 
-// canCarry reports whether a request may be sent on a connection. It may not if an attempt with the same ID is
-// in flight on it or was abandoned: a late response to that one could be mistaken for the response to this one.
+// canCarry reports whether a request may be sent on a connection. It may not if an attempt with the same request ID is
+// in flight on it or was abandoned on it: a response to that attempt could be mistaken for the response to this one.
 func (r *Router) canCarry(connection *connection, id RequestID) bool {
 	_, abandoned := connection.abandonedAt[id]
-	if connection.unresponsive || abandoned || connection.inFlight[id] != nil {
+	if connection.draining || abandoned || connection.inFlight[id] != nil {
 		return false
 	}
 	return r.limits.ConnectionPlan.CanSend(r.now, connection.endpoint.Instance)
 }
 
-func (c *connection) isResponsive() bool { return !c.unresponsive }
+// acceptsAttempts reports whether new attempts may be sent on a connection.
+func (c *connection) acceptsAttempts() bool { return !c.draining }
 
-// isPreferred reports whether a connection is used rather than another. Established connections are preferred
-// and, among equals in that, the one with fewer requests in flight.
+// isPreferred reports whether an attempt should use a connection rather than another one. Established connections come
+// first, then those with fewer requests in flight.
 func (c *connection) isPreferred(other *connection) bool {
 	if c.established != other.established {
 		return c.established
@@ -84,8 +87,8 @@
 	return len(c.inFlight) < len(other.inFlight)
 }
 
-// isStalled reports whether nothing has been received on a connection for longer than a dial may take although
-// an attempt is in flight on it. A response may be slow, and those to further requests would wait behind it.
+// isStalled reports whether nothing has been received on a connection for longer than ConnectTimeout although an
+// attempt is in flight on it. Its response may be slow, and the responses to further requests would wait behind it.
 func (r *Router) isStalled(connection *connection) bool {
 	if !connection.established || len(connection.inFlight) == 0 {
 		return false
@@ -105,9 +108,9 @@
 	return r.limits.ConnectionPlan.CanConnect(r.now, endpoint.Instance, len(endpoint.connections))
 }
 
-// isReachable reports whether an attempt to an endpoint would have a connection or could open one; other
-// endpoints than caches count as reachable. The policy skips caches that are not reachable: with more caches
-// than allowed connections, requests for the objects of a cache without a connection go to one that has one.
+// isReachable reports whether an attempt to an endpoint can use a connection or open one. Endpoints that are not
+// caches always count as reachable. The policy skips caches that are not reachable: if there are more caches than
+// allowed connections, requests for the objects of a cache without a connection are sent to a cache that has one.
 func (r *Router) isReachable(id uint32) bool {
 	endpoint := r.endpoints.byID[id]
 	if endpoint == nil || !r.config.isCache(endpoint) || r.canDial(endpoint) {
@@ -116,10 +119,10 @@
 	if !r.limits.ConnectionPlan.CanSend(r.now, endpoint.Instance) {
 		return false
 	}
-	return slices.ContainsFunc(endpoint.connections, (*connection).isResponsive)
+	return slices.ContainsFunc(endpoint.connections, (*connection).acceptsAttempts)
 }
 
-// preconnect dials the caches that the connection plan names, before there is a request for them.
+// preconnect dials the caches that the connection plan wants to be connected before there is a request for them.
 func (r *Router) preconnect() {
 	if r.localBackoff.Active(r.now) {
 		return
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -13,15 +13,15 @@
 	endpoint       *endpoint
 	address        string
 	established    bool
-	unresponsive   bool // nothing new is sent on it, and it is closed once nothing is in flight
+	draining       bool // no new attempt is sent on it, and it is closed once none is in flight
 	closed         bool
 	inFlight       map[RequestID]*attempt
-	abandonedAt    map[RequestID]int64 // ns; by request to which a late response may still be received
-	lastReceivedAt int64               // ns; when a response was received last, or it was dialled or established
-	lastUsedAt     int64               // ns; when an attempt was last started on it, or it was dialled
+	abandonedAt    map[RequestID]int64 // ns; by the request's ID; a late response may still be received
+	lastReceivedAt int64               // ns; when it last received a response, or was dialled or established
+	lastUsedAt     int64               // ns; when an attempt was last started on it, or when it was dialled
 }
 
-// dial opens one more connection to an endpoint.
+// dial starts opening another connection to an endpoint.
 func (r *Router) dial(endpoint *endpoint) *connection {
 	r.lastConnection++
 	dialled := &connection{
@@ -40,7 +40,7 @@
 	return dialled
 }
 
-// connectionUp handles a connection that is established: it sends the attempts that have waited for it.
+// connectionUp handles a connection that is now established: it sends the attempts that were waiting for it.
 func (r *Router) connectionUp(event ConnectionUp) {
 	connection := r.connections[event.Connection]
 	if connection == nil {
@@ -56,11 +56,11 @@
 	for _, attempt := range connection.attempts() {
 		r.send(attempt)
 	}
-	r.closeIfUnresponsive(connection)
+	r.closeIfDrained(connection)
 }
 
-// endExpired ends the attempts on a connection whose send deadline has passed but whose timer has not fired
-// yet. They must not be sent any more: servers recognize an idempotency key for a limited time only.
+// endExpired ends the attempts on a connection whose send deadline has passed but whose timer has not fired yet. They
+// must not be sent any more, because servers recognize an idempotency key only for a limited time.
 func (r *Router) endExpired(connection *connection) {
 	for _, attempt := range connection.attempts() {
 		if r.now >= attempt.sendDeadline {
@@ -89,39 +89,39 @@
 	r.connectionLost(connection, event.Unsent, event.Cause)
 }
 
-// dialFailedLocally starts the backoff of all dialling after an error of this machine's own.
+// dialFailedLocally starts the backoff of all dialling after an error on this machine.
 func (r *Router) dialFailedLocally(reason string) {
 	if r.localBackoff.DialFailed(r.now) {
 		r.log(ConnectUnavailable{Cause: reason})
 	}
 }
 
-// dialReachedEndpoint ends the backoff that dialFailedLocally started: a dial got as far as its endpoint, which
-// may have accepted or refused it.
+// dialReachedEndpoint ends the backoff that dialFailedLocally started: a dial reached its endpoint, which may have
+// accepted or refused it.
 func (r *Router) dialReachedEndpoint() {
 	if r.localBackoff.DialSucceeded() {
 		r.log(ConnectAvailable{})
 	}
 }
 
-// connectionLost removes a connection and ends the attempts on it. unsent are the requests that were not
-// completely written.
+// connectionLost removes a connection and ends the attempts on it. unsent lists the requests that were not completely
+// written.
 func (r *Router) connectionLost(connection *connection, unsent []RequestID, cause Cause) {
 	r.removeConnection(connection)
 	attempts := connection.attempts()
 	clear(connection.inFlight)
-	countedAlready := cause == Local // an error of this machine is no failure of the endpoint
+	alreadyCounted := cause == Local // an error on this machine is not a failure of the endpoint
 	for _, attempt := range attempts {
 		result := lostResult(connection, cause, slices.Contains(unsent, attempt.upstream.ID))
-		r.attemptEnded(attempt, control.Outcome{Result: result, SharedCause: countedAlready})
+		r.attemptEnded(attempt, control.Outcome{Result: result, SharedCause: alreadyCounted})
 		if result == control.ConnectionLost {
-			countedAlready = true // a lost connection is one failure of its endpoint, not one for each attempt
+			alreadyCounted = true // a lost connection is one failure of its endpoint, not one per attempt
 		}
 	}
 }
 
-// lostResult returns the result of an attempt whose connection was lost. Only an attempt that was completely
-// written may have been executed.
+// lostResult returns the result of an attempt whose connection was lost. The request can have been executed only if it
+// was completely written.
 func lostResult(connection *connection, cause Cause, unsent bool) control.Result {
 	switch {
 	case !connection.established && cause == Local:
@@ -141,7 +141,7 @@
 	connection.endpoint.connections = without(connection.endpoint.connections, connection)
 }
 
-// closeConnection closes a connection from this side and ends the attempts on it.
+// closeConnection closes a connection and ends the attempts on it.
 func (r *Router) closeConnection(connection *connection) {
 	if connection.closed {
 		return
@@ -150,23 +150,23 @@
 	r.connectionLost(connection, nil, Remote)
 }
 
-// markIfUnresponsive marks an attempt's connection as unresponsive if nothing has been received on it since the
-// attempt began, for as long as a dial may take.
-func (r *Router) markIfUnresponsive(attempt *attempt) {
+// drainIfUnresponsive starts draining an attempt's connection if the attempt began at least ConnectTimeout ago and
+// nothing has been received on the connection since.
+func (r *Router) drainIfUnresponsive(attempt *attempt) {
 	silent := attempt.connection.lastReceivedAt <= attempt.startedAt
 	if silent && r.now-attempt.startedAt >= r.config.ConnectTimeout {
-		attempt.connection.unresponsive = true
+		attempt.connection.draining = true
 	}
 }
 
-// closeIfUnresponsive closes an unresponsive connection once nothing is in flight on it.
-func (r *Router) closeIfUnresponsive(connection *connection) {
-	if connection.unresponsive && len(connection.inFlight) == 0 && !connection.closed {
+// closeIfDrained closes a draining connection if no attempt is in flight on it.
+func (r *Router) closeIfDrained(connection *connection) {
+	if connection.draining && len(connection.inFlight) == 0 && !connection.closed {
 		r.closeConnection(connection)
 	}
 }
 
-// closeUnused closes connections that have not been used for some time.
+// closeUnused closes the connections for which isUnused returns true.
 func (r *Router) closeUnused() {
 	var unused []ConnectionID
 	for id, connection := range r.connections {
@@ -176,14 +176,14 @@
 	}
 	slices.Sort(unused)
 	for _, id := range unused {
-		// Closing the ones before it may have left its endpoint too few connections to close this one too.
+		// Closing the previous ones may have left its endpoint so few connections that this one is kept.
 		if connection := r.connections[id]; connection != nil && r.isUnused(connection) {
 			r.closeConnection(connection)
 		}
 	}
 }
 
-// forgetAbandoned forgets abandoned requests that are so old that no response to them will be received any more.
+// forgetAbandoned removes abandoned requests that are so old that no response to them is expected any more.
 func (r *Router) forgetAbandoned() {
 	for _, connection := range r.connections {
 		maps.DeleteFunc(connection.abandonedAt, func(_ RequestID, at int64) bool {
@@ -192,9 +192,9 @@
 	}
 }
 
-// isUnused reports whether a connection is to be closed because it is not used: as soon as the connection plan
-// says so, and after half of its endpoint's idle timeout at the latest. If the endpoint closed it, a request
-// could be on its way at that moment.
+// isUnused reports whether an idle connection is to be closed: as soon as the connection plan says so, and at the
+// latest after half of the endpoint's idle timeout. If the endpoint were to close it, a request could be on the way to
+// the endpoint at that moment.
 func (r *Router) isUnused(connection *connection) bool {
 	if !connection.established || len(connection.inFlight) > 0 {
 		return false
--- a/internal/router/connections_test.go
+++ b/internal/router/connections_test.go
@@ -16,23 +16,23 @@
 			h.connectNewest()
 			h.request(2, map[string]string{"nth": "0"})
 		}, "dial, send 1, send 2"},
-		{"a dial fails: nothing was executed, and it is sent elsewhere", func(h *harness) {
+		{"a dial fails: the request was not executed, and is sent elsewhere", func(h *harness) {
 			h.request(1, nil)
 			h.handle(ConnectionDown{Connection: h.dialled[0]})
 			h.connectNewest()
 		}, "dial, dial, send 1"},
-		{"lost before it was completely written: elsewhere", func(h *harness) {
+		{"the connection is lost before the request was completely written: sent elsewhere", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.handle(ConnectionDown{Connection: h.dialled[0], Unsent: []RequestID{requestID(1)}})
 		}, "dial, send 1, dial"},
-		{"an idle connection is closed before the other side closes it", func(h *harness) {
+		{"an idle connection is closed before the endpoint closes it", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.respond(success)
 			h.advance(16 * second)
 		}, "dial, send 1, served 1:bytes, close 1"},
-		{"beside a connection that is silent for longer than a dial may take another is dialled", func(h *harness) {
+		{"a connection is silent for longer than the connect timeout: another is dialled", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.advance(300 * millisecond)
@@ -49,8 +49,8 @@
 		name   string
 		unsent bool
 	}{
-		{"with all written", false},
-		{"with nothing written", true},
+		{"all attempts were written", false},
+		{"no attempt was written", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, func(_ *Limits, settings *control.Settings) { settings.MaxAttempts = 1 })
@@ -63,26 +63,27 @@
 				unsent = sortedKeys(connection.inFlight)
 			}
 			if len(connection.inFlight) < 3 {
-				t.Fatalf("%d in flight", len(connection.inFlight))
+				t.Fatalf("%d attempts in flight on the connection, want at least 3", len(connection.inFlight))
 			}
 			h.handle(ConnectionDown{Connection: connection.id, Unsent: unsent})
 			h.advance(second / 10)
 			if len(h.logged) > 0 {
-				t.Errorf("log %v", h.logged)
+				t.Errorf("logged %v, want nothing", h.logged)
 			}
 		})
 	}
 }
 
-// A connection to a machine that has crashed stays open and silent, even after the machine has restarted.
+// A connection to a machine that has crashed stays open and silent, even after the machine has restarted. The reducer
+// must close it instead of sending further requests on it.
 func TestUnresponsiveConnectionIsNotUsedAgain(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		responds bool
 		want     int // connections to the cache
 	}{
-		{"silent since the request was sent", false, 0},
-		{"slow with one response only", true, 1},
+		{"no response since the request was sent: closed", false, 0},
+		{"a response to another request since then: kept", true, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newDefaultHarness(t)
@@ -97,27 +98,27 @@
 			cache := h.connections[h.dialled[0]].endpoint
 			h.advance(second)
 			if got := len(cache.connections); got != c.want {
-				t.Errorf("%d connections, want %d; effects %v", got, c.want, h.observed)
+				t.Errorf("%d connections to the cache, want %d; effects %v", got, c.want, h.observed)
 			}
 		})
 	}
 }
 
-// With a connection plan the caches of its subset are dialled before there is a request for them, no cache gets
-// more connections than the plan allows, and caches that can't be reached are skipped.
+// With a connection plan the caches of its subset are dialled before there is a request for them, the plan limits the
+// connections to each cache, and requests skip caches to which no connection may be opened.
 func TestConnectionPlanIsFollowed(t *testing.T) {
 	plan := connpool.New(connpool.Config{Router: "n", Seed: 7, Routers: 3, MaxConnections: 3, MaxConnectRate: 30})
 	h := newHarness(t, func(limits *Limits, _ *control.Settings) { limits.ConnectionPlan = plan })
 	h.advance(second) // the two caches are dialled, the parent and the origin are not
 	if count := len(h.dialled); count != 2 {
-		t.Fatalf("%d connections are dialled before the first request: %v", count, h.observed)
+		t.Fatalf("%d connections are dialled before the first request, want 2; effects %v", count, h.observed)
 	}
 	h.connectAll()
 	for seq := range int32(20) {
 		h.request(seq, map[string]string{"item": fmt.Sprintf("%016x", 77*seq)})
 	}
 	if len(h.dialled) != 2 || len(h.sends) == 0 {
-		t.Errorf("%d connections, %d sent", len(h.dialled), len(h.sends))
+		t.Errorf("%d connections dialled, want 2; %d requests sent, want some", len(h.dialled), len(h.sends))
 	}
 	first := h.sends[0]
 	for _, send := range h.sends {
@@ -128,20 +129,20 @@
 			Note:       1,
 		})
 	}
-	// Its objects go to the other cache until it may be dialled again.
+	// Requests for the objects of the lost cache are sent to the other one until the lost cache may be dialled again.
 	h.handle(ConnectionDown{Connection: first.Connection})
 	sent := len(h.sends)
 	h.request(100, map[string]string{"item": first.Request.Object})
 	if len(h.sends) != sent+1 || h.sends[sent].Connection == first.Connection {
-		t.Errorf("%d sent: %v", len(h.sends)-sent, h.observed)
+		t.Errorf("%d requests sent, want 1 on another connection; effects %v", len(h.sends)-sent, h.observed)
 	}
 	h.advance(second / 2)
 	if len(h.dialled) != 3 {
-		t.Errorf("%d connections: the one that was lost is not dialled again", len(h.dialled))
+		t.Errorf("%d connections dialled, want 3: the lost cache must be dialled again", len(h.dialled))
 	}
 }
 
-// With more caches than allowed connections, the caches that have one serve the objects of the others.
+// If there are more caches than allowed connections, the caches with a connection serve the objects of the others.
 func TestAllRequestsAreServedWithMoreCachesThanConnections(t *testing.T) {
 	const caches, maxConnections, requests = 60, 8, 100
 	h := newHarness(t, func(limits *Limits, _ *control.Settings) { limits.MaxConnections = maxConnections })
@@ -167,6 +168,7 @@
 		h.advance(50 * millisecond)
 	}
 	if served != requests || len(h.dialled) > maxConnections {
-		t.Errorf("%d of %d were served over %d connections", served, requests, len(h.dialled))
+		t.Errorf("%d of %d requests were served, %d connections were dialled, want at most %d",
+			served, requests, len(h.dialled), maxConnections)
 	}
 }
--- a/internal/router/deadlines_test.go
+++ b/internal/router/deadlines_test.go
@@ -7,7 +7,7 @@
 
 func TestRequestsEndByTheirDeadline(t *testing.T) {
 	runScenarios(t, newDefaultHarness, []scenario{
-		{"no response: the attempt is cancelled and the request rejected in time, once", func(h *harness) {
+		{"no response: the attempt is cancelled, and the request rejected once, by its deadline", func(h *harness) {
 			h.request(1, map[string]string{"limit": "300"})
 			h.connectNewest()
 			h.advance(279 * millisecond)
@@ -15,30 +15,30 @@
 			h.advance(2 * millisecond)
 			h.advance(2 * second)
 		}, "dial, send 1, 279 ms, cancel 1, rejected 1"},
-		{"no connection is established: rejected after half its time", func(h *harness) {
+		{"no connection is established: rejected after half of its timeout", func(h *harness) {
 			h.request(1, map[string]string{"limit": "600"})
 			h.advance(289 * millisecond)
 			h.mark("289 ms")
 			h.advance(2 * millisecond)
 		}, "dial, 289 ms, rejected 1"},
-		{"once sent it has until its deadline", func(h *harness) {
+		{"a request that was sent late is served until its deadline", func(h *harness) {
 			h.request(1, map[string]string{"limit": "600"})
 			h.advance(250 * millisecond)
 			h.connectNewest()
 			h.advance(250 * millisecond)
 			h.respond(success)
 		}, "dial, send 1, served 1:bytes"},
-		{"a timeout longer than any class's is shortened to that", func(h *harness) {
+		{"a timeout above LongestDeadline is shortened to it", func(h *harness) {
 			h.request(1, map[string]string{"limit": "99999999"})
 			if at := h.requests.find(1, 1).Deadline; at != h.now+25*second/10 {
-				h.t.Errorf("deadline in %d ns", at-h.now)
+				h.t.Errorf("deadline in %d ms, want 2500", (at-h.now)/millisecond)
 			}
 		}, "dial"},
-		{"a valid and an invalid size", func(h *harness) {
+		{"a valid size is used, an invalid one is ignored", func(h *harness) {
 			h.request(1, map[string]string{"ram": "194.179"})
 			h.request(2, map[string]string{"ram": "NaN"})
 			if a, b := h.requests.find(1, 1).SizeKB, h.requests.find(1, 2).SizeKB; a != 194.179 || b != 0 {
-				h.t.Errorf("sizes %v and %v", a, b)
+				h.t.Errorf("sizes %v and %v, want 194.179 and 0", a, b)
 			}
 		}, "dial"},
 		{"a shutdown shortens the deadlines of requests in flight and of later ones", func(h *harness) {
@@ -53,23 +53,23 @@
 
 func TestEventsCloseToDeadlines(t *testing.T) {
 	runScenarios(t, newTwoClassHarness, []scenario{
-		{"a shutdown while its connection is dialled: its deadline is shortened too", func(h *harness) {
+		{"a shutdown while a request waits for its connection: its deadline is shortened too", func(h *harness) {
 			h.request(1, nil)
 			h.handle(ShutdownStarted{AnswerDeadline: h.now + 300*millisecond})
 			h.advance(100 * millisecond)
 			h.connectNewest()
 			if budget := h.sends[0].Request.Deadline - h.now; budget != 200*millisecond {
-				h.t.Errorf("the endpoint is to respond within %d ms", budget/millisecond)
+				h.t.Errorf("the endpoint must respond within %d ms, want 200", budget/millisecond)
 			}
 			h.advance(201 * millisecond)
 		}, "dial, send 1, cancel 1, rejected 1"},
-		// In the next two the timer of the send deadline fires late.
-		{"connected just before its send deadline", func(h *harness) {
+		// In the next two scenarios the timer of the send deadline fires late.
+		{"the connection is established just before the send deadline: sent", func(h *harness) {
 			h.request(1, map[string]string{"limit": "600"})
 			h.now += 289 * millisecond
 			h.connectNewest()
 		}, "dial, send 1"},
-		{"connected after its send deadline: not sent", func(h *harness) {
+		{"the connection is established after the send deadline: not sent", func(h *harness) {
 			h.request(1, map[string]string{"limit": "600"})
 			h.now += 300 * millisecond
 			h.connectNewest()
@@ -83,13 +83,13 @@
 	})
 }
 
-// A request's deadline is counted from its arrival, not from when it was read.
+// The deadline of a request depends on when it arrived, not on when it was read.
 func TestDeadlineRunsFromArrival(t *testing.T) {
 	const unknown = -1
 	for _, c := range []struct {
 		name     string
-		waitedMS int64 // between its arrival and the event
-		wantMS   int64 // left until its deadline; 0: it is rejected at once
+		waitedMS int64 // ms between the request's arrival and the event
+		wantMS   int64 // ms left until its deadline; 0: it is rejected at once
 	}{
 		{"read at once", 0, 2480},
 		{"unknown arrival", unknown, 2480},
@@ -111,13 +111,14 @@
 			}
 			h.connectNewest()
 			if got := (h.sends[0].Request.Deadline - h.now) / millisecond; got != c.wantMS {
-				t.Errorf("%d ms are left, want %d", got, c.wantMS)
+				t.Errorf("%d ms left until the deadline, want %d", got, c.wantMS)
 			}
 		})
 	}
 }
 
-// The deadline of a response does not depend on when the attempt is written, and the send deadline is half of it.
+// An attempt that waits for its connection keeps its deadlines. The send deadline is after half of the time until the
+// request's deadline.
 func TestSendDeadlineOfLateConnection(t *testing.T) {
 	h := newTwoClassHarness(t)
 	h.request(1, map[string]string{"limit": "600"})
@@ -125,14 +126,14 @@
 	h.connectNewest()
 	send := h.sends[0]
 	if left := send.Request.Deadline - h.now; left != 480*millisecond {
-		t.Errorf("to be answered within %d ms", left/millisecond)
+		t.Errorf("the response is due in %d ms, want 480", left/millisecond)
 	}
 	if left := send.SendDeadline - h.now; left != 190*millisecond {
-		t.Errorf("to be written within %d ms", left/millisecond)
+		t.Errorf("the send deadline is in %d ms, want 190", left/millisecond)
 	}
 }
 
-// A timer may fire a little early, before anything is due.
+// If the timer fires a little early, before anything is due, it is set again.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	h := newDefaultHarness(t)
 	h.now = h.timerSetFor - 1
@@ -146,30 +147,30 @@
 	}
 }
 
-// If the periodic work panics it is not retried at once, which would keep a core busy.
+// If the periodic work panics it is not retried at once: repeated panics would keep a core busy.
 func TestPanickingTickIsDelayed(t *testing.T) {
 	h := newDefaultHarness(t)
 	h.policy = nil
 	h.advance(second)
 	if h.timerSetFor < h.now+100*millisecond {
-		t.Errorf("the timer is set for %d ms from now", (h.timerSetFor-h.now)/millisecond)
+		t.Errorf("the timer fires in %d ms, want at least 100", (h.timerSetFor-h.now)/millisecond)
 	}
 }
 
-// A panic while an event is handled leaves no request without a response.
+// A request gets a response also if handling an event panics.
 func TestRequestIsAnsweredAfterPanic(t *testing.T) {
 	h := newDefaultHarness(t)
 	h.request(1, nil)
 	h.connectNewest()
-	h.connections[h.dialled[0]].endpoint = nil // makes the next event panic; no event causes it
+	h.connections[h.dialled[0]].endpoint = nil // no event can cause this state, in which the next event panics
 	h.handle(ConnectionDown{Connection: h.dialled[0]})
 	h.advance(3 * second)
 	if last := h.observed[len(h.observed)-1]; !strings.HasSuffix(last, " 1") || h.InFlight() != 0 {
-		t.Errorf("effects %v, %d in flight", h.observed, h.InFlight())
+		t.Errorf("effects %v, want a response to request 1; %d requests in flight, want 0", h.observed, h.InFlight())
 	}
 }
 
-// The deadline timer ends a request that the policy has not ended.
+// The deadline timer ends a request that the policy has not ended. The test removes the request's other timers.
 func TestDeadlineTimerEndsRequestsWithoutThePolicy(t *testing.T) {
 	h := newDefaultHarness(t)
 	h.request(1, nil)
@@ -184,10 +185,10 @@
 	const grace = 8 * millisecond // of the settings
 	h.advance(25*second/10 - responseTransit + grace - millisecond)
 	if h.InFlight() != 1 {
-		t.Fatalf("%d requests in flight within the grace after the deadline", h.InFlight())
+		t.Fatalf("%d requests in flight within the grace after the deadline, want 1", h.InFlight())
 	}
 	h.advance(millisecond)
 	if last := h.observed[len(h.observed)-1]; last != "failed 1" || h.InFlight() != 0 {
-		t.Errorf("effects %v, %d in flight", h.observed, h.InFlight())
+		t.Errorf("effects %v, want %q last; %d requests in flight, want 0", h.observed, "failed 1", h.InFlight())
 	}
 }
--- a/internal/router/drawn_events_test.go
+++ b/internal/router/drawn_events_test.go
@@ -9,7 +9,7 @@
 	"tealpath/control"
 )
 
-// pick draws an item of a list, or the zero value if it is empty.
+// pick returns a random item of a list, or the zero value if the list is empty.
 func pick[T any](rng *rand.Rand, list []T) (value T) {
 	if len(list) == 0 {
 		return value
@@ -17,7 +17,7 @@
 	return list[rng.IntN(len(list))]
 }
 
-// pickNewest draws one of the last items of a list.
+// pickNewest returns one of the last eight items of a list at random.
 func pickNewest[T any](rng *rand.Rand, list []T) T {
 	return pick(rng, list[max(0, len(list)-8):])
 }
@@ -25,7 +25,7 @@
 // oneOf returns true with a probability of 1/n.
 func (run *drawnRun) oneOf(n int) bool { return run.rng.IntN(n) == 0 }
 
-// receive draws a request, which may repeat an earlier one or have an unusable field.
+// receive handles a random request, which may repeat an earlier one or have an unusable field.
 func (run *drawnRun) receive() {
 	run.lastID++
 	if run.lastClient == 0 || run.oneOf(15) {
@@ -38,7 +38,7 @@
 	}
 	if run.oneOf(15) && len(run.requests) > 0 {
 		earlier := pickNewest(run.rng, run.requests)
-		request.id = earlier.id // which may still be in flight
+		request.id = earlier.id // the earlier request may still be in flight
 		if run.oneOf(2) {
 			request.seq, request.client = earlier.seq, earlier.client
 		}
@@ -56,7 +56,7 @@
 	run.handle(drawnRequestReceived(request, arrivedAt, fields, body))
 }
 
-// drawFields draws the wire fields of a request.
+// drawFields returns random wire fields of a request with an ID.
 func (run *drawnRun) drawFields(id string) map[string]string {
 	object := run.rng.IntN(1 + run.rng.IntN(40))
 	fields := map[string]string{
@@ -80,13 +80,13 @@
 		fields["ram"] = pick(run.rng, []string{"194.179", "0.5", "NaN", "-1", "1e9", "Inf", "x"})
 	}
 	if run.oneOf(12) {
-		run.spoil(fields)
+		run.invalidateField(fields)
 	}
 	return fields
 }
 
-// spoil makes one field unusable, or removes it.
-func (run *drawnRun) spoil(fields map[string]string) {
+// invalidateField replaces the value of one field by one that is mostly unusable, or removes the field.
+func (run *drawnRun) invalidateField(fields map[string]string) {
 	name := pick(run.rng, []string{"verb", "txn", "limit", "item", "nth", "batch", "unique"})
 	if run.oneOf(3) {
 		delete(fields, name)
@@ -98,14 +98,14 @@
 	})
 }
 
-// respond draws an endpoint's response, mostly to an attempt without a response yet.
+// respond handles a random response of an endpoint, mostly to an attempt that has no response yet.
 func (run *drawnRun) respond() {
 	if len(run.sent) == 0 {
 		return
 	}
 	at := run.rng.IntN(len(run.sent))
 	attempt := run.sent[at]
-	if !run.oneOf(12) { // otherwise it may get a second response
+	if !run.oneOf(12) { // otherwise the attempt may get a second response
 		run.sent = slices.Delete(run.sent, at, at+1)
 	}
 	if run.oneOf(40) && len(run.answered) > 0 {
@@ -144,7 +144,7 @@
 	run.handle(event)
 }
 
-// connectionUp establishes a connection that was dialled, or repeats the event of one that is established or closed.
+// connectionUp establishes a dialled connection, or sometimes repeats the event for an established or closed one.
 func (run *drawnRun) connectionUp() {
 	if len(run.dialled) == 0 || run.oneOf(30) {
 		known := slices.Concat(run.established, run.closed)
@@ -158,7 +158,7 @@
 	run.handle(ConnectionUp{Connection: connection})
 }
 
-// connectionDown ends a connection, dialled or established.
+// connectionDown ends a dialled or an established connection, or sometimes repeats the event for a closed one.
 func (run *drawnRun) connectionDown() {
 	known := run.established
 	if len(run.dialled) > 0 && run.oneOf(2) {
@@ -181,7 +181,7 @@
 	run.handle(event)
 }
 
-// connectionEnded removes a connection and the attempts on it.
+// connectionEnded records that a connection has ended, and removes the attempts on it.
 func (run *drawnRun) connectionEnded(connection ConnectionID) {
 	same := func(other ConnectionID) bool { return other == connection }
 	run.dialled = slices.DeleteFunc(run.dialled, same)
@@ -192,7 +192,7 @@
 	})
 }
 
-// attemptWithdrawn draws an AttemptWithdrawn, mostly of an attempt that the reducer has withdrawn.
+// attemptWithdrawn handles an AttemptWithdrawn, mostly for an attempt that the reducer has withdrawn.
 func (run *drawnRun) attemptWithdrawn() {
 	attempt := pickNewest(run.rng, run.withdrawals)
 	if len(run.sent) > 0 && run.oneOf(4) {
@@ -262,7 +262,7 @@
 	run.handle(EndpointListUpdated{Entries: slices.Clone(run.entries[at : at+1])})
 }
 
-// purge draws the purge of an object or a group.
+// purge handles the purge of a random object or group.
 func (run *drawnRun) purge() {
 	event := PurgeReceived{
 		Object:   fmt.Sprintf("%016x", run.rng.IntN(40)),
@@ -275,7 +275,7 @@
 	run.handle(event)
 }
 
-// probeEnded draws the result of a health check, of an endpoint that may be unknown.
+// probeEnded handles a random result of a health check. Its endpoint may be unknown.
 func (run *drawnRun) probeEnded() {
 	event := ProbeEnded{Instance: pick(run.rng, run.entries).Instance, Healthy: !run.oneOf(3)}
 	if run.oneOf(10) {
@@ -287,7 +287,7 @@
 	run.handle(event)
 }
 
-// advance draws a step of the clock: none, a short or a long one, or sometimes one back.
+// advance moves the clock by a random time: mostly not at all or a little, sometimes far ahead or a little back.
 func (run *drawnRun) advance() {
 	switch n := run.rng.IntN(100); {
 	case n < 35:
@@ -302,7 +302,7 @@
 	}
 }
 
-// timerFired fires the timer, at its time or a moment before it.
+// timerFired fires the timer. If it is due within two seconds, the clock moves to its time, or to 1 ns before.
 func (run *drawnRun) timerFired() {
 	if run.timer > run.now && run.timer < run.now+2*second {
 		run.now = run.timer - int64(run.rng.IntN(2))
@@ -318,7 +318,7 @@
 	}
 }
 
-// step advances the clock and draws one event.
+// step advances the clock and handles one random event.
 func (run *drawnRun) step(number int) {
 	run.advance()
 	if number > drawnEventsPerRun*9/10 && !run.shutdown {
@@ -347,6 +347,6 @@
 	case n < 99:
 		run.timerFired()
 	default:
-		run.handle(pick(run.rng, []Event{nil, 7, "no event"})) // which is ignored
+		run.handle(pick(run.rng, []Event{nil, 7, "no event"})) // unknown types of events are ignored
 	}
 }
--- a/internal/router/drawn_test.go
+++ b/internal/router/drawn_test.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	drawnRuns         = 24   // recorded, with the seeds 0, 1 and so on
-	drawnEventsPerRun = 1000 // 24,000 events in all
-	drawnBlockSize    = 250  // events for each recorded digest
+	drawnRuns         = 24   // runs with recorded digests; their seeds are 0, 1 and so on
+	drawnEventsPerRun = 1000 // 24,000 events in all runs
+	drawnBlockSize    = 250  // events between two recorded digests
 	effectsDigestFile = "testdata/effects.digests"
 )
 
-// recordEffects replaces the recorded digests. It is only for commits that are meant to change effects: any other
-// commit must leave the digests as they are.
-var recordEffects = flag.Bool("record", false, "record the digests of the effects again")
+// recordEffects makes TestDrawnEffectsAsRecorded replace the recorded digests. It is only for commits that are meant
+// to change effects: any other commit must leave the digests as they are.
+var recordEffects = flag.Bool("record", false, "replace the recorded digests of the effects")
 
-// drawnRequest is a request that the run has sent.
+// drawnRequest identifies a request that the reducer has received.
 type drawnRequest struct {
 	client ClientID
 	seq    int32
@@ -39,8 +39,8 @@
 	id         string
 }
 
-// drawnRun passes random events, which depend on a seed alone, to a reducer. It records which requests, attempts and
-// connections there are, so that most events concern one of them.
+// drawnRun passes random (drawn) events, which depend on a seed alone, to a reducer. It keeps track of the requests,
+// attempts and connections, so that most events concern one of them.
 type drawnRun struct {
 	rng    *rand.Rand
 	router *Router
@@ -53,17 +53,17 @@
 	dialled     []ConnectionID
 	established []ConnectionID
 	closed      []ConnectionID
-	sent        []drawnAttempt // not answered yet
+	sent        []drawnAttempt // attempts without a response
 	answered    []drawnAttempt
 	withdrawals []drawnAttempt
 	entries     []EndpointEntry
 	shutdown    bool
 
-	digest hash.Hash64
-	seen   map[string]int
+	digest hash.Hash64    // of all events' times, effects and states so far
+	seen   map[string]int // number of effects, by kind
 }
 
-// drawnSettings draws the settings and the limits of a run.
+// drawnSettings returns random settings and limits for a run.
 func drawnSettings(rng *rand.Rand) (control.RawSettings, Limits) {
 	oneOf := func(n int) bool { return rng.IntN(n) == 0 }
 	settings := control.RawSettings{
@@ -157,7 +157,7 @@
 	}
 }
 
-// note adds values to the digest.
+// note adds values to the digest, as text.
 func (run *drawnRun) note(values ...any) {
 	if _, err := fmt.Fprintln(run.digest, values...); err != nil {
 		panic(err) // impossible: writing to a hash never fails
@@ -172,11 +172,12 @@
 	}
 }
 
-// kindWords are the names of response kinds in the hashed text. They must not change.
+// kindWords are the names of response kinds in the hashed text. They must not change, since the recorded digests
+// depend on them.
 var kindWords = map[ResponseKind]string{Served: "served", Rejected: "rejected", Failed: "failed", BadRequest: "bad"}
 
-// observe adds an effect to the digest. Each field is written explicitly, so that renaming a type or a field does not
-// change the digest. Of a Log effect only its occurrence is added.
+// observe adds an effect to the digest. It writes each field explicitly, so that renaming a type or a field does not
+// change the digest. For a Log effect it adds only that there was one.
 func (run *drawnRun) observe(effect Effect) {
 	switch e := effect.(type) {
 	case Respond:
@@ -209,7 +210,7 @@
 		run.seen["log"]++
 		run.note("log")
 	default:
-		panic(fmt.Sprintf("effect %T is not rendered", effect))
+		panic(fmt.Sprintf("the digest does not support effects of type %T", effect))
 	}
 }
 
@@ -234,7 +235,7 @@
 		attempt.SendTimeout)
 }
 
-// noteState adds the state that the reducer exports to the digest.
+// noteState adds the state that the reducer's exported methods return to the digest.
 func (run *drawnRun) noteState() {
 	run.note("in flight", run.router.InFlight())
 	for _, entry := range run.router.Endpoints() {
@@ -243,7 +244,7 @@
 	}
 }
 
-// blockDigests runs all events and returns the digest after each block.
+// blockDigests handles all events of the run, and returns the digest after each block of drawnBlockSize events.
 func (run *drawnRun) blockDigests() (digests []string) {
 	for number := 1; number <= drawnEventsPerRun; number++ {
 		run.step(number)
@@ -255,7 +256,7 @@
 	return digests
 }
 
-// The effects of random events are exactly those that were recorded.
+// The effects of random events must be exactly those whose digests were recorded.
 func TestDrawnEffectsAsRecorded(t *testing.T) {
 	var digests []string
 	seen := map[string]int{}
@@ -277,12 +278,12 @@
 	}
 	want := strings.Fields(string(recorded))
 	if len(want) != len(digests) {
-		t.Fatalf("%d digests are recorded, want %d", len(want), len(digests))
+		t.Fatalf("%s has %d digests, want %d", effectsDigestFile, len(want), len(digests))
 	}
 	blocksPerRun := drawnEventsPerRun / drawnBlockSize
 	for i, digest := range digests {
 		if digest != want[i] {
-			t.Errorf("seed %d, block %d: %s, recorded %s", i/blocksPerRun, i%blocksPerRun, digest, want[i])
+			t.Errorf("seed %d, block %d: digest %s, recorded %s", i/blocksPerRun, i%blocksPerRun, digest, want[i])
 		}
 	}
 	for _, what := range []string{
@@ -290,7 +291,7 @@
 		"dial", "send", "cancel", "withdraw", "close", "log",
 	} {
 		if seen[what] < 20 {
-			t.Errorf("the runs show %q %d times only", what, seen[what])
+			t.Errorf("the runs have %d effects %q, want at least 20", seen[what], what)
 		}
 	}
 }
--- a/internal/router/effects.go
+++ b/internal/router/effects.go
@@ -5,18 +5,18 @@
 	"tealpath/internal/logevent"
 )
 
-// Effect is something that the caller of Handle has to carry out: one of the types of this file.
+// Effect is an action that the caller of Handle must carry out: one of the types in this file.
 type Effect any
 
 // ResponseKind says how a client's request ended.
 type ResponseKind int
 
-// The kinds of responses.
+// Each request gets a response of one of these kinds, unless its client cancels it or disconnects.
 const (
-	Served     ResponseKind = iota
-	Rejected                // not executed; the client may retry
-	Failed                  // without a usable response; it may have been executed
-	BadRequest              // malformed or not acceptable; Respond.Reason says why
+	Served     ResponseKind = iota // with the response of an endpoint
+	Rejected                       // not executed; the client may retry
+	Failed                         // without a usable response; it may have been executed
+	BadRequest                     // malformed or not allowed; Respond.Reason says why
 )
 
 // String returns the kind's name.
@@ -34,7 +34,7 @@
 	return "unknown"
 }
 
-// Respond gives the one final response to a client's request.
+// Respond sends the final response to a client's request. Each request gets at most one.
 type Respond struct {
 	Client      ClientID
 	Seq         int32
@@ -52,7 +52,7 @@
 	Timeout    int64 // ns
 }
 
-// Send writes a request to a connection. If writing can't begin before SendDeadline, nothing is written and
+// Send writes a request to a connection. If writing cannot begin before SendDeadline, nothing is written and
 // AttemptWithdrawn follows.
 type Send struct {
 	Connection   ConnectionID
@@ -60,8 +60,8 @@
 	SendDeadline int64 // ns
 }
 
-// UpstreamRequest is a request as it is sent to an endpoint. Its strings and its body are the client's, byte
-// for byte.
+// UpstreamRequest is a request as it is sent to an endpoint. The strings and the body that are from the client are
+// sent unchanged, byte for byte.
 type UpstreamRequest struct {
 	ID             RequestID
 	Class          string
@@ -69,14 +69,14 @@
 	Part           string
 	Body           []byte
 	ClientETag     string // entity tag of the copy that the client has; empty: none
-	IdempotencyKey string // of the client, by which the server drops repetitions; empty: none
-	Deadline       int64  // of the response, ns; the endpoint is sent the time that is left when it is written
-	Source         string // instance from which a cache miss is filled; empty: it is not filled
+	IdempotencyKey string // from the client; the server drops repeated requests by it; empty: none
+	Deadline       int64  // of the response, ns; what is sent is the time left when the request is written
+	Source         string // instance from which the cache fills a miss; empty: it does not fill misses
 	Attempt        control.Attempt
 }
 
-// CancelAttempt cancels a request on a connection: if it is not written yet it never is, otherwise the endpoint
-// is sent a cancellation. No event follows.
+// CancelAttempt cancels a request on a connection. If it is not written yet it is dropped, otherwise a cancellation is
+// sent to the endpoint. No event follows.
 type CancelAttempt struct {
 	Connection ConnectionID
 	ID         RequestID
@@ -92,10 +92,10 @@
 // Close closes a connection. No event follows.
 type Close struct{ Connection ConnectionID }
 
-// SetTimer sets the one timer, which replaces the one set before: TimerFired follows at this time, ns.
+// SetTimer sets the reducer's only timer and replaces its previous time. TimerFired follows at this time, ns.
 type SetTimer struct{ At int64 }
 
-// Log writes an event to the log. Instance is the name of the endpoint that it concerns, empty for none.
+// Log writes an event to the log. Instance is the name of the endpoint that the event concerns; empty: none.
 type Log struct {
 	Event    logevent.Event
 	Instance string
--- a/internal/router/endpoint_reference_test.go
+++ b/internal/router/endpoint_reference_test.go
@@ -13,11 +13,11 @@
 	"tealpath/internal/logevent"
 )
 
-// referenceList is a simple implementation of the endpoint list, without indexes: each update goes over all
-// endpoints.
+// referenceList is a simple implementation of the endpoint list without indexes, by instance name: each update loops
+// over all endpoints.
 type referenceList map[string]EndpointEntry
 
-// apply applies an update, and returns the complete list for the policy.
+// apply applies an update, and returns the complete list for the policy. Endpoints that are gone are then removed.
 func (list referenceList) apply(event EndpointListUpdated) (endpoints []control.Endpoint) {
 	setGone := func(name string) {
 		entry := list[name]
@@ -64,7 +64,7 @@
 }
 
 // endpointComparison runs a reducer and, for comparison, a policy that gets the complete reference list with each
-// update.
+// update of the endpoints.
 type endpointComparison struct {
 	*harness
 	rng       *rand.Rand
@@ -93,7 +93,7 @@
 	return c
 }
 
-// drawEntry draws an entry at random.
+// drawEntry returns a random entry.
 func (c *endpointComparison) drawEntry() EndpointEntry {
 	entry := cacheEntry(pick(c.rng, c.names), fmt.Sprint("10.0.0.", c.rng.IntN(40), ":1"))
 	entry.Location = pick(c.rng, []string{"here", "here", "there"})
@@ -106,7 +106,7 @@
 	return entry
 }
 
-// update applies a random update to both.
+// update applies a random update to the reducer and to the reference.
 func (c *endpointComparison) update() {
 	c.now += c.rng.Int64N(second)
 	event := EndpointListUpdated{Complete: c.rng.IntN(30) == 0}
@@ -117,7 +117,7 @@
 	c.handle(event)
 }
 
-// checkEndpoints compares the endpoints, their IDs and the caches of the connection plan.
+// checkEndpoints compares the endpoints, their IDs and the caches of the connection plan with the reference.
 func (c *endpointComparison) checkEndpoints() {
 	c.t.Helper()
 	got := referenceList{}
@@ -129,25 +129,26 @@
 		}
 		isCache := endpoint.Phase == "ready" && endpoint.Location == "here" && endpoint.Kind == "cache"
 		if endpoint.inPlan != isCache || c.endpoints.byID[endpoint.ID] != endpoint {
-			c.t.Fatalf("%s: in the plan %v, by its ID %v", name, endpoint.inPlan, c.endpoints.byID[endpoint.ID])
+			c.t.Fatalf("%s: in the connection plan: %v, want %v; endpoint with its ID: %v",
+				name, endpoint.inPlan, isCache, c.endpoints.byID[endpoint.ID])
 		}
 	}
 	if !maps.Equal(got, c.reference) {
 		c.t.Fatalf("endpoints\n%v\nreference\n%v", got, c.reference)
 	}
 	if planned := c.limits.ConnectionPlan.SubsetSize; planned != caches {
-		c.t.Fatalf("the plan has %d caches, there are %d", planned, caches)
+		c.t.Fatalf("the connection plan has %d caches, want %d", planned, caches)
 	}
 }
 
-// checkDecision compares the decisions on a request.
+// checkDecision compares the decisions of the two policies on a request.
 func (c *endpointComparison) checkDecision(object int) {
 	c.t.Helper()
 	request := control.Request{Class: "stills", Object: fmt.Sprintf("%016x", object), Deadline: c.now + second}
 	other := request
 	decision, want := c.Router.policy.Decide(c.now, &request), c.policy.Decide(c.now, &other)
 	if fmt.Sprint(decision) != fmt.Sprint(want) {
-		c.t.Fatalf("decided %+v, reference %+v", decision, want)
+		c.t.Fatalf("decision %+v, want that of the reference: %+v", decision, want)
 	}
 	end := control.Outcome{Result: control.Succeeded, Elapsed: second / 100, RequestEnded: true}
 	c.Router.policy.AttemptEnded(c.now, &request, end)
@@ -172,11 +173,11 @@
 		}
 		table := &c.endpoints
 		if len(table.byAddress) > len(table.byName) || len(table.gone) > 0 {
-			t.Errorf("%d addresses and %d gone endpoints are kept for %d endpoints",
+			t.Errorf("the table has %d addresses and %d gone endpoints for %d endpoints",
 				len(table.byAddress), len(table.gone), len(table.byName))
 		}
 	}
 	if displaced < 100 {
-		t.Errorf("endpoints were displaced %d times only", displaced)
+		t.Errorf("%d displaced endpoints in all updates together, want at least 100", displaced)
 	}
 }
--- a/internal/router/endpoint_table.go
+++ b/internal/router/endpoint_table.go
@@ -5,7 +5,8 @@
 	"maps"
 )
 
-// The phases of an endpoint that matter here. Nothing new is sent to an endpoint in any other, such as draining.
+// Phases of an endpoint that are handled specially. No new attempt is sent to an endpoint in any phase other than
+// phaseReady, for example one that is draining.
 const (
 	phaseReady = "ready"
 	phaseGone  = "gone"
@@ -15,20 +16,20 @@
 type endpoint struct {
 	EndpointEntry
 	connections []*connection
-	inPlan      bool // the connection plan counts it among the caches
+	inPlan      bool // it is one of the caches in the connection plan
 }
 
 func (e *endpoint) isReady() bool { return e.Phase == phaseReady }
 
-// endpointTable is the endpoint list with its indexes, so that a change need not go over all endpoints.
+// endpointTable is the endpoint list with indexes, so that a change does not need a loop over all endpoints.
 type endpointTable struct {
-	byName      map[string]*endpoint
-	byID        map[uint32]*endpoint
-	byAddress   map[string][]*endpoint
-	gone        map[string]*endpoint // endpoints in phaseGone that still have connections, by name
-	removed     []*endpoint          // since the last assignIDs; byID may still have them
-	displaced   int                  // endpoints whose ID is not the hash of their name, because another has that
-	planCurrent bool                 // the connection plan has been given the caches
+	byName          map[string]*endpoint
+	byID            map[uint32]*endpoint
+	byAddress       map[string][]*endpoint
+	gone            map[string]*endpoint // endpoints in phaseGone that still have connections, by name
+	removed         []*endpoint          // since the last assignIDs; byID may still contain them
+	displaced       int                  // number of endpoints whose ID is not the hash of their name
+	planInitialized bool                 // SetEndpoints of the connection plan was called
 }
 
 func newEndpointTable() endpointTable {
@@ -40,7 +41,7 @@
 	}
 }
 
-// entries returns the list, ordered by name.
+// entries returns the entries of all endpoints, ordered by name.
 func (table *endpointTable) entries() []EndpointEntry {
 	entries := make([]EndpointEntry, 0, len(table.byName))
 	for _, name := range sortedKeys(table.byName) {
@@ -49,7 +50,7 @@
 	return entries
 }
 
-// getOrAdd returns the endpoint of a name, and adds it if there is none.
+// getOrAdd returns the endpoint with a name, and adds it if there is none.
 func (table *endpointTable) getOrAdd(name string) (found *endpoint, added bool) {
 	if found = table.byName[name]; found != nil {
 		return found, false
@@ -67,7 +68,7 @@
 	table.byAddress[entry.Address] = append(table.byAddress[entry.Address], endpoint)
 }
 
-// removeAddress removes an endpoint from those at its address.
+// removeAddress removes an endpoint from byAddress.
 func (table *endpointTable) removeAddress(endpoint *endpoint) {
 	rest := without(table.byAddress[endpoint.Address], endpoint)
 	table.byAddress[endpoint.Address] = rest
@@ -76,7 +77,7 @@
 	}
 }
 
-// updateGone updates the endpoints that are gone by those of a set that have changed.
+// updateGone updates the set of gone endpoints after a change of some endpoints.
 func (table *endpointTable) updateGone(changed endpointSet) {
 	for name, endpoint := range changed {
 		if endpoint.Phase == phaseGone {
@@ -87,7 +88,7 @@
 	}
 }
 
-// remove forgets an endpoint. Its ID is free with the next assignIDs.
+// remove removes an endpoint from the table. The next assignIDs frees its ID.
 func (table *endpointTable) remove(name string) {
 	endpoint := table.byName[name]
 	delete(table.byName, name)
@@ -96,9 +97,10 @@
 	table.removed = append(table.removed, endpoint)
 }
 
-// assignIDs gives each new endpoint the ID that the policy knows it by, and reports whether the IDs of others
-// have changed. An ID is the hash of the instance's name, so that all routers use the same one and agree on
-// which cache has an object. If two names have the same hash, the later name in order gets the next free ID.
+// assignIDs assigns an ID, by which the policy identifies the endpoint, to each new endpoint. It reports whether the
+// IDs of other endpoints have changed. An ID is the hash of the instance's name, so that all routers use the same one
+// and agree on which cache has an object. If two names have the same hash, the name that is later in alphabetical
+// order gets the next free ID.
 func (table *endpointTable) assignIDs(added bool, changed endpointSet) (reassigned bool) {
 	removed := len(table.removed) > 0
 	table.freeIDs()
@@ -132,8 +134,8 @@
 	table.removed = nil
 }
 
-// reassignIDs gives all endpoints their IDs anew, in the order of their names, and reports whether one that had
-// an ID has another now.
+// reassignIDs assigns the IDs of all endpoints again, in the order of their names, and reports whether the ID of an
+// endpoint that had one has changed.
 func (table *endpointTable) reassignIDs() (reassigned bool) {
 	before := maps.Clone(table.byID)
 	clear(table.byID)
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -27,8 +27,8 @@
 	return false
 }
 
-// endpointListUpdated applies the endpoint list, or changes to it, and passes the changes on to the policy and
-// to the connection plan.
+// endpointListUpdated applies the complete endpoint list, or changes to it, and passes the changes on to the policy
+// and the connection plan.
 func (r *Router) endpointListUpdated(event EndpointListUpdated) {
 	changed := endpointSet{}
 	if event.Complete {
@@ -54,7 +54,7 @@
 	r.removeGone()
 }
 
-// markUnlistedGone marks as gone the endpoints that a complete list does not name.
+// markUnlistedGone marks the endpoints that are not in a complete list as gone.
 func (r *Router) markUnlistedGone(entries []EndpointEntry, changed endpointSet) {
 	listed := map[string]bool{}
 	for _, entry := range entries {
@@ -67,8 +67,8 @@
 	}
 }
 
-// applyEntry applies one entry of the list, and reports whether its endpoint is new. It returns the connections
-// that the entry makes stale: if the endpoint was restarted or has another address now, all that it had.
+// applyEntry applies one entry of the list, and reports whether its endpoint is new. If the endpoint was restarted or
+// its address has changed, all its connections are stale, and applyEntry returns them.
 func (r *Router) applyEntry(entry EndpointEntry, changed endpointSet) (stale []*connection, added bool) {
 	endpoint, added := r.endpoints.getOrAdd(entry.Instance)
 	r.markReplacedGone(entry, changed)
@@ -80,14 +80,14 @@
 		return nil, added
 	}
 	for _, connection := range endpoint.connections { // a new endpoint has none
-		connection.unresponsive = true
+		connection.draining = true
 		stale = append(stale, connection)
 	}
 	return stale, added
 }
 
-// markReplacedGone marks as gone the endpoints whose address a newer one has now: requests to them would reach
-// the newer one instead, which may be warming up.
+// markReplacedGone marks the older endpoints that have the same address as a ready entry as gone: requests to them
+// would reach the new endpoint instead, which may be warming up.
 func (r *Router) markReplacedGone(entry EndpointEntry, changed endpointSet) {
 	if entry.Address == "" || entry.Phase != phaseReady {
 		return
@@ -116,7 +116,7 @@
 	if r.limits.ConnectionPlan == nil {
 		return
 	}
-	current := r.endpoints.planCurrent
+	current := r.endpoints.planInitialized
 	for _, endpoint := range changed {
 		isCache := endpoint.isReady() && r.config.isCache(endpoint)
 		current = current && isCache == endpoint.inPlan
@@ -125,8 +125,8 @@
 	if current {
 		return
 	}
-	r.endpoints.planCurrent = true
-	var caches []string // in any order: the plan ranks them itself
+	r.endpoints.planInitialized = true
+	var caches []string // in any order, since the plan ranks them
 	for name, endpoint := range r.endpoints.byName {
 		if endpoint.inPlan {
 			caches = append(caches, name)
@@ -142,8 +142,8 @@
 	for _, name := range sortedKeys(gone) {
 		endpoint := gone[name]
 		for _, connection := range slices.Clone(endpoint.connections) {
-			connection.unresponsive = true
-			r.closeIfUnresponsive(connection)
+			connection.draining = true
+			r.closeIfDrained(connection)
 		}
 		if len(endpoint.connections) == 0 {
 			r.endpoints.remove(name)
@@ -151,8 +151,8 @@
 	}
 }
 
-// purgeReceived reports a purge to the policy. Attempts that were decided on before it are withdrawn if they are
-// not written yet, so that the policy decides on them again.
+// purgeReceived reports a purge to the policy. Attempts for its objects that are not written yet are withdrawn, so
+// that the policy decides on their requests again.
 func (r *Router) purgeReceived(event PurgeReceived) {
 	r.policy.Purge(r.now, event.Object, event.Group, event.PurgedAt)
 	r.withdrawMatching(func(attempt *attempt) bool {
@@ -163,7 +163,7 @@
 	})
 }
 
-// probeEnded reports the result of a health check to the policy.
+// probeEnded reports the result of a health check to the policy, if the settings enable health checks.
 func (r *Router) probeEnded(event ProbeEnded) {
 	endpoint := r.endpoints.byName[event.Instance]
 	if endpoint != nil && r.config.HealthChecks {
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -9,12 +9,12 @@
 
 func TestEndpointChangesCloseStaleConnections(t *testing.T) {
 	runScenarios(t, newDefaultHarness, []scenario{
-		{"the cache of a request that waits for its connection drains: sent elsewhere", func(h *harness) {
+		{"a cache drains while a request waits for a connection to it: sent elsewhere", func(h *harness) {
 			h.request(1, nil)
 			h.setFirstPhase("draining")
 			h.connectNewest()
 		}, "dial, dial, send 1"},
-		{"a cache that was restarted is dialled again", func(h *harness) {
+		{"a cache restarts: its connection is closed, and it is dialled again", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.respond(success)
@@ -32,10 +32,10 @@
 			entry.Instance = "s-new"
 			h.update(entry)
 			if got := h.endpoints.byName["s-new"]; len(got.connections) != 0 {
-				h.t.Error("it has a connection of the previous one")
+				h.t.Error("the new cache has connections of the previous one")
 			}
 		}, "dial, send 1, served 1:bytes, close 1"},
-		{"an endpoint is gone once a newer one has its address", func(h *harness) {
+		{"a newer endpoint has the address of another: the connection to that one is closed", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.respond(success)
@@ -46,8 +46,8 @@
 	})
 }
 
-// An endpoint may restart with a timestamp before its last one, after its clock was set back. Its connections are
-// closed.
+// After its clock was set back, an endpoint may restart with a timestamp before that of its last start. Its
+// connections are closed all the same.
 func TestRestartWithEarlierTimestamp(t *testing.T) {
 	h := newDefaultHarness(t)
 	h.request(1, nil)
@@ -65,10 +65,10 @@
 		h.handle(ConnectionUp{Connection: id})
 	}
 	if !update(start - 600*second) {
-		t.Errorf("%v: no connection was closed", h.observed)
+		t.Errorf("effects %v: no connection was closed after a restart with an earlier timestamp", h.observed)
 	}
 	if update(start - 600*second) {
-		t.Errorf("%v: the same timestamp again is no restart", h.observed)
+		t.Errorf("effects %v: a connection was closed although the timestamp did not change", h.observed)
 	}
 }
 
@@ -107,13 +107,13 @@
 				first = ids
 			}
 			if !slices.Equal(ids, first) || ids[0] == ids[1] {
-				t.Errorf("IDs %v, in another order %v", ids, first)
+				t.Errorf("IDs %v, want %v as in another order, and different IDs for equal hashes", ids, first)
 			}
 		})
 	}
 }
 
-// BenchmarkEndpointUpdate updates one entry, at several lengths of the list.
+// BenchmarkEndpointUpdate updates one entry of lists of several lengths.
 func BenchmarkEndpointUpdate(b *testing.B) {
 	for _, count := range []int{12, 200, 800, 3200} {
 		b.Run(fmt.Sprint("endpoints=", count), func(b *testing.B) {
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -2,24 +2,23 @@
 
 import "tealpath/control"
 
-// ClientID identifies a connection of a client. No ID is ever used again.
+// ClientID identifies a client's connection. IDs are never reused.
 type ClientID uint64
 
-// ConnectionID identifies a connection to an endpoint: a cache, a parent or the origin. No ID is ever used
-// again.
+// ConnectionID identifies a connection to an endpoint: a cache, a parent or the origin. IDs are never reused.
 type ConnectionID uint64
 
-// Event is an input of Handle: one of the types of this file. Timestamps of other machines are Unix ns by their
-// clocks; all other times are ns of the clock whose time Handle is called with.
+// Event is an input of Handle: one of the types in this file. Timestamps from other machines are Unix ns by those
+// machines' clocks. All other times are ns by the clock from which the caller of Handle takes the time.
 type Event any
 
-// RequestReceived is a client's request that has been read completely.
+// RequestReceived reports that a client's request has been read completely.
 type RequestReceived struct {
 	Client      ClientID
 	Seq         int32 // the client's number for its call
-	ArrivedAt   int64 // ns; the earliest that its first byte can have arrived; 0: when the event occurred
+	ArrivedAt   int64 // ns; earliest time at which its first byte can have arrived; 0: the time of the event
 	Request     Request
-	DecodeError error // of DecodeRequest; if it is set the request is answered as a BadRequest
+	DecodeError error // returned by DecodeRequest; if it is set, the request is answered with BadRequest
 }
 
 // RequestCancelled reports that a client has stopped waiting for one request.
@@ -35,14 +34,14 @@
 // get their responses, but no further attempt is made for them.
 type ClientHalfClosed struct{ Client ClientID }
 
-// ConnectionUp reports that a connection that was dialled is established.
+// ConnectionUp reports that a dialled connection is established.
 type ConnectionUp struct{ Connection ConnectionID }
 
-// Cause says on which side the reason for the end of a connection lies.
+// Cause says on which side the cause of a connection's end is.
 type Cause int // Remote or Local
 
-// The causes. Local is an error of this machine's own, such as a lack of file descriptors: it says nothing
-// about the endpoint.
+// Local is an error on this machine, such as a lack of file descriptors, which says nothing about the endpoint. Remote
+// is any other cause.
 const (
 	Remote Cause = iota
 	Local
@@ -51,28 +50,28 @@
 // ConnectionDown reports that a connection has ended or was never established.
 type ConnectionDown struct {
 	Connection ConnectionID
-	Unsent     []RequestID // requests that were not completely written, so that they were not executed
+	Unsent     []RequestID // requests that were not completely written and so cannot have been executed
 	Cause      Cause
-	Reason     string // text of the error; empty: there was none
+	Reason     string // text of the error; empty: no error
 }
 
-// AttemptWithdrawn reports that nothing of a request was written to its connection, and nothing will be: it was
-// withdrawn, or its send deadline has passed.
+// AttemptWithdrawn reports that no byte of a request was written to its connection and none will be, because the
+// attempt was withdrawn or its send deadline has passed.
 type AttemptWithdrawn struct {
 	Connection ConnectionID
 	ID         RequestID
 }
 
-// ResponseReceived is an endpoint's response to one attempt.
+// ResponseReceived reports an endpoint's response to one attempt.
 type ResponseReceived struct {
 	Connection      ConnectionID
 	ID              RequestID
 	Result          control.Result
 	NotModified     bool  // the copy that the client has is still valid
 	Unversioned     bool  // Result is ServerError only because the response names no version of the object
-	IssuedAt        int64 // when the origin gave out the copy, Unix ns by its clock; 0: it is no cacheable copy
+	IssuedAt        int64 // when the origin issued the copy, Unix ns by its clock; 0: it is not a cacheable copy
 	Body            []byte
-	Note            int64     // the wire's note: where the response came from, or who rejected the attempt
+	Note            int64     // code from the wire: where the response came from, or who rejected the attempt
 	TimeToFirstByte int64     // ns
 	LoadReport      []float64 // the endpoint's load, in the order of the setting LoadReportFields
 }
@@ -84,9 +83,9 @@
 	control.Endpoint
 }
 
-// EndpointListUpdated is the complete endpoint list, or changes to it.
+// EndpointListUpdated reports the complete endpoint list, or changes to it.
 type EndpointListUpdated struct {
-	Complete bool
+	Complete bool // Entries is the complete list; otherwise only the entries that were added or changed
 	Entries  []EndpointEntry
 }
 
@@ -97,16 +96,16 @@
 	PurgedAt int64 // Unix ns by the clock of the discovery service
 }
 
-// ProbeEnded reports the result of a health check, made by this instance or by another with which it shares
-// health checks.
+// ProbeEnded reports the result of a health check, which was made by this instance or by another one that shares the
+// work of health checks with it.
 type ProbeEnded struct {
 	Instance   string // the endpoint that was checked
 	Healthy    bool
 	LoadReport []float64 // as in ResponseReceived
 }
 
-// TimerFired reports that the time of SetTimer has come.
+// TimerFired reports that the timer set by SetTimer has fired.
 type TimerFired struct{}
 
-// ShutdownStarted begins the graceful shutdown: every request is answered by AnswerDeadline, ns.
+// ShutdownStarted starts the graceful shutdown: every request is answered by AnswerDeadline, ns.
 type ShutdownStarted struct{ AnswerDeadline int64 }
--- a/internal/router/helpers_test.go
+++ b/internal/router/helpers_test.go
@@ -15,11 +15,11 @@
 	second = int64(1e9)
 	start  = 1000 * second
 
-	objectID = "7f3a9c21e0b4d655" // of requests, unless a test changes it
+	objectID = "7f3a9c21e0b4d655" // object of the requests, unless a test changes it
 	seed     = 7
 )
 
-// initialEndpoints is the endpoint list of every test.
+// initialEndpoints is the endpoint list that every harness starts with.
 var initialEndpoints = []EndpointEntry{
 	cacheEntry("s-a", "10.0.0.1:1"),
 	cacheEntry("s-b", "10.0.0.2:1"),
@@ -27,7 +27,7 @@
 	{"o-a", "10.0.0.4:1", control.Endpoint{Location: "hub", Kind: "origin", Phase: "ready", Capacity: 20}},
 }
 
-// cacheEntry is the entry of a cache that is ready.
+// cacheEntry returns the entry of a cache that is ready.
 func cacheEntry(instance, address string) EndpointEntry {
 	endpoint := control.Endpoint{Location: "here", Kind: "cache", Phase: "ready", Capacity: 5}
 	return EndpointEntry{Instance: instance, Address: address, Endpoint: endpoint}
@@ -36,17 +36,17 @@
 // success is a response that is forwarded to the client.
 var success = ResponseReceived{Result: control.Succeeded, Body: []byte(":bytes")}
 
-// nonIdempotent are the fields of a request that may be executed only once. Its class is known to a harness of
-// newTwoClassHarness, where it is uncacheable too.
+// nonIdempotent contains the fields of a request that may be executed only once, as far as they differ from those of
+// requestFields. testSettings does not have its class; newTwoClassHarness adds it, as an uncacheable class.
 var nonIdempotent = map[string]string{"verb": "permits"}
 
-// harness runs a reducer under test: it passes events to it and records the effects. Tests play the roles of
-// clients and endpoints, and set the clock.
+// harness passes events to a reducer under test and records the effects. Tests play the roles of clients and
+// endpoints, and set the clock.
 type harness struct {
 	*Router
 	t           *testing.T
 	now         int64
-	observed    []string // effects and marks, each as a few words
+	observed    []string // effects and marks, each as a short text
 	logged      []logevent.Event
 	dialled     []ConnectionID // in the order of the Dial effects
 	sends       []Send
@@ -54,7 +54,7 @@
 	withdrawals []WithdrawAttempt // for which no AttemptWithdrawn was handled yet
 }
 
-// testSettings returns the settings of a location with caches, and a hub with parents and the origin. They have one
+// testSettings returns the settings of a location with caches, and a hub with parents and the origin. There is one
 // class of requests, which is idempotent.
 func testSettings() control.Settings {
 	parent, origin := "parent", "origin"
@@ -96,8 +96,8 @@
 	}
 }
 
-// newHarness returns a harness whose reducer has initialEndpoints. change may change the limits and the settings
-// that it is made with; it may be nil.
+// newHarness returns a harness whose reducer has initialEndpoints. change, which may be nil, can change the limits and
+// the settings of the reducer.
 func newHarness(t *testing.T, change func(*Limits, *control.Settings)) *harness {
 	t.Helper()
 	settings := testSettings()
@@ -176,7 +176,7 @@
 	return strings.Join(short, ", ")
 }
 
-// expect checks all effects so far, as of effectsInShort.
+// expect compares all effects so far, as returned by effectsInShort, with want.
 func (h *harness) expect(want string) {
 	h.t.Helper()
 	if got := h.effectsInShort(); got != want {
@@ -184,7 +184,7 @@
 	}
 }
 
-// advance advances the clock by a time, ns, and fires the timer whenever it is due.
+// advance advances the clock by a duration, ns, and fires the timer whenever it is due.
 func (h *harness) advance(ns int64) {
 	for end := h.now + ns; h.now < end; {
 		h.now = min(end, max(h.timerSetFor, h.now+millisecond))
@@ -209,7 +209,7 @@
 	return fields
 }
 
-// requestEvent returns the event of a request, whether its fields can be decoded or not.
+// requestEvent returns the event of a received request, also if its fields cannot be decoded.
 func requestEvent(client ClientID, seq int32, fields map[string]string, body []byte) RequestReceived {
 	request, err := DecodeRequest(fields, body)
 	return RequestReceived{Client: client, Seq: seq, Request: request, DecodeError: err}
@@ -249,14 +249,14 @@
 	h.handle(ConnectionDown{Connection: h.dialled[len(h.dialled)-1], Cause: Local, Reason: "no descriptors"})
 }
 
-// firstEntry returns the entry of the endpoint that was dialled first.
+// firstEntry returns the entry in initialEndpoints of the endpoint that was dialled first.
 func (h *harness) firstEntry() EndpointEntry {
 	address := h.connections[h.dialled[0]].address
 	at := slices.IndexFunc(initialEndpoints, func(entry EndpointEntry) bool { return entry.Address == address })
 	return initialEndpoints[at]
 }
 
-// update handles a change of entries of the endpoint list.
+// update handles the change of some entries of the endpoint list.
 func (h *harness) update(entries ...EndpointEntry) {
 	h.handle(EndpointListUpdated{Entries: entries})
 }
@@ -276,7 +276,7 @@
 	h.update(entry)
 }
 
-// confirmWithdrawals handles an AttemptWithdrawn for each attempt that was to be withdrawn.
+// confirmWithdrawals handles an AttemptWithdrawn for each attempt in withdrawals.
 func (h *harness) confirmWithdrawals() {
 	withdrawals := h.withdrawals
 	h.withdrawals = nil
@@ -285,7 +285,7 @@
 	}
 }
 
-// objectOnOtherCache returns an object whose first cache is not that of objectID.
+// objectOnOtherCache returns an object for which another cache is tried first than for objectID.
 func objectOnOtherCache(t *testing.T) string {
 	t.Helper()
 	firstCache := func(object string) string {
@@ -298,15 +298,15 @@
 			return object
 		}
 	}
-	t.Fatal("all objects have the same first cache")
+	t.Fatal("the same cache is tried first for all objects")
 	return ""
 }
 
-// scenario is a sequence of events, and the effects that it must have, in order.
+// scenario is a sequence of events and the effects that they must have, in order.
 type scenario struct {
 	name string
 	run  func(*harness)
-	want string // as of effectsInShort
+	want string // result of effectsInShort
 }
 
 // runScenarios runs each scenario on a harness of its own, and checks its effects.
@@ -318,7 +318,7 @@
 			scenario.run(h)
 			h.expect(scenario.want)
 			if len(h.requests.byID) != h.InFlight() {
-				t.Errorf("%d IDs for %d requests in flight", len(h.requests.byID), h.InFlight())
+				t.Errorf("the request table has %d IDs for %d requests in flight", len(h.requests.byID), h.InFlight())
 			}
 		})
 	}
--- a/internal/router/limits_test.go
+++ b/internal/router/limits_test.go
@@ -13,7 +13,7 @@
 		change func(*Limits, *control.Settings)
 	}{
 		{"requests in flight", func(limits *Limits, _ *control.Settings) { limits.MaxInFlight = 1 }},
-		{"bytes of their bodies", func(limits *Limits, _ *control.Settings) { limits.MaxBodyBytes = 1 }},
+		{"total size of bodies", func(limits *Limits, _ *control.Settings) { limits.MaxBodyBytes = 1 }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, c.change)
@@ -22,7 +22,8 @@
 			h.handle(ClientDisconnected{Client: 1})
 			h.request(3, nil)
 			if h.observed[1] != "rejected 2" || h.InFlight() != 1 {
-				t.Errorf("effects %v, %d in flight", h.observed, h.InFlight())
+				t.Errorf("effects %v, want %q second; %d requests in flight, want 1",
+					h.observed, "rejected 2", h.InFlight())
 			}
 		})
 	}
@@ -33,7 +34,7 @@
 	h.request(1, nil)
 	h.advance(second)
 	if len(h.dialled) > 0 || h.observed[len(h.observed)-1] != "rejected 1" {
-		t.Errorf("effects %v", h.observed)
+		t.Errorf("effects %v, want no dial and %q last", h.observed, "rejected 1")
 	}
 }
 
@@ -43,11 +44,11 @@
 		h.request(seq, nil)
 	}
 	if len(h.dialled) != 2 {
-		t.Errorf("%d connections for 3 requests at 2 a connection", len(h.dialled))
+		t.Errorf("%d connections for 3 requests with at most 2 on each, want 2", len(h.dialled))
 	}
 }
 
-// One corrupt response ends all attempts in flight on its connection, so attempts are spread over several.
+// One corrupt response ends all attempts in flight on its connection, so attempts are spread over several connections.
 func TestRequestsAreSpreadOverConnections(t *testing.T) {
 	h := newDefaultHarness(t)
 	for seq := range int32(12) {
@@ -56,12 +57,14 @@
 	}
 	for id, connection := range h.connections {
 		// The request for which another connection is dialled is sent on the established one.
-		if len(connection.inFlight) > shareThreshold+1 {
-			t.Errorf("%d in flight on connection %d of %d", len(connection.inFlight), id, len(h.dialled))
+		if len(connection.inFlight) > dialThreshold+1 {
+			t.Errorf("%d requests in flight on connection %d of %d, want at most %d",
+				len(connection.inFlight), id, len(h.dialled), dialThreshold+1)
 		}
 	}
-	if len(h.dialled) < 2 || h.InFlight() < 2*shareThreshold-1 {
-		t.Errorf("%d connections for %d requests in flight", len(h.dialled), h.InFlight())
+	if len(h.dialled) < 2 || h.InFlight() < 2*dialThreshold-1 {
+		t.Errorf("%d connections for %d requests in flight, want at least 2 for %d",
+			len(h.dialled), h.InFlight(), 2*dialThreshold-1)
 	}
 }
 
@@ -96,11 +99,12 @@
 		h.respond(ResponseReceived{Result: control.Succeeded})
 	}
 	if before == 0 || len(connection.abandonedAt) > 0 {
-		t.Errorf("%d, then %d", before, len(connection.abandonedAt))
+		t.Errorf("%d abandoned requests at first, want some; %d after 8 s, want none",
+			before, len(connection.abandonedAt))
 	}
 }
 
-// stateSize returns the sizes of a reducer's tables.
+// stateSize returns the sizes of a reducer's tables, by name.
 func stateSize(h *harness) map[string]int {
 	abandoned := 0
 	for _, connection := range h.connections {
@@ -118,8 +122,8 @@
 	}
 }
 
-// Endpoints, addresses, clients, IDs and objects change for a long time, and the state does not grow: nothing is
-// kept of those that are gone.
+// While endpoints, addresses, clients, IDs and objects change for a long time, the state does not grow: nothing is
+// kept for those that are gone.
 func TestStateIsBounded(t *testing.T) {
 	h := newDefaultHarness(t)
 	largest := map[string]int{}
@@ -140,7 +144,7 @@
 		"bytes of bodies": 0,
 	} {
 		if got, counted := largest[what]; got > bound || !counted {
-			t.Errorf("%s: %d at most, want %d", what, got, bound)
+			t.Errorf("%s: largest size %d (counted: %v), want at most %d", what, got, counted, bound)
 		}
 	}
 }
--- a/internal/router/local_errors_test.go
+++ b/internal/router/local_errors_test.go
@@ -10,11 +10,11 @@
 	"tealpath/internal/logevent"
 )
 
-// After an error of this machine nothing counts as sent, no endpoint counts as failed, and dialling is retried
-// with a backoff.
+// After a dial that failed because of an error on this machine, no request counts as sent, no endpoint counts as
+// failed, and dialling is retried with a backoff.
 func TestLocalErrors(t *testing.T) {
 	runScenarios(t, newTwoClassHarness, []scenario{
-		{"dialled again after the backoff, and served", func(h *harness) {
+		{"the request waits, is sent after the backoff, and served", func(h *harness) {
 			h.request(1, nil)
 			h.failNewestDial()
 			h.mark("fails")
@@ -24,7 +24,7 @@
 			h.connectNewest()
 			h.respond(success)
 		}, "dial, fails, 24 ms, dial, send 1, served 1:bytes"},
-		{"dialled with growing backoff, and rejected before half its time", func(h *harness) {
+		{"dials fail with a growing backoff: rejected before half of the timeout", func(h *harness) {
 			h.request(1, map[string]string{"limit": "1020"})
 			for range 499 {
 				if len(h.dialled) > 0 && h.connections[h.dialled[len(h.dialled)-1]] != nil {
@@ -39,20 +39,20 @@
 			h.request(2, map[string]string{"item": objectOnOtherCache(h.t)})
 			h.advance(20 * millisecond)
 		}, "dial"},
-		{"an established connection to another endpoint is used", func(h *harness) {
+		{"there is an established connection to another endpoint: sent on it", func(h *harness) {
 			h.request(1, map[string]string{"item": objectOnOtherCache(h.t)})
 			h.connectNewest()
 			h.respond(success)
 			h.request(2, nil)
 			h.failNewestDial()
 		}, "dial, send 1, served 1:bytes, dial, send 2"},
-		{"what was written to an established connection may have been executed", func(h *harness) {
+		{"an established connection is lost after a non-idempotent request was written: it fails", func(h *harness) {
 			h.request(1, nonIdempotent)
 			h.connectNewest()
 			h.failNewestDial()
 			h.advance(3 * second)
 		}, "dial, send 1, failed 1"},
-		{"what was not written may be sent again", func(h *harness) {
+		{"an established connection is lost before the request was written: sent again", func(h *harness) {
 			h.request(1, nonIdempotent)
 			h.connectNewest()
 			h.handle(ConnectionDown{Connection: h.dialled[0], Cause: Local, Unsent: []RequestID{requestID(1)}})
@@ -64,9 +64,9 @@
 // spreadObject returns an object for a sequence number, so that requests are spread over all caches.
 func spreadObject(seq int32) string { return fmt.Sprintf("%016x", uint64(seq)*0x9e3779b97f4a7c15) }
 
-// However many dials fail for lack of descriptors, no endpoint is ejected, and only the first failure and the
-// recovery are logged.
-func TestLocalErrorsEjectNobody(t *testing.T) {
+// However many dials fail for lack of descriptors, no endpoint is ejected, and only the first failure and the recovery
+// are logged.
+func TestLocalErrorsEjectNoEndpoint(t *testing.T) {
 	h := newTwoClassHarness(t)
 	for seq := int32(1); seq <= 200; seq++ {
 		h.request(seq, map[string]string{"item": spreadObject(seq), "limit": "800"})
@@ -76,14 +76,14 @@
 		h.advance(10 * millisecond)
 	}
 	if count := len(h.dialled); count < 10 || count > 60 {
-		t.Errorf("%d dials in two seconds", count)
+		t.Errorf("%d dials in two seconds, want 10 to 60", count)
 	}
 	for _, id := range sortedKeys(h.connections) {
 		h.handle(ConnectionUp{Connection: id})
 	}
 	h.advance(second)
 	if h.InFlight() != 0 {
-		t.Errorf("%d are not answered", h.InFlight())
+		t.Errorf("%d requests in flight, want 0", h.InFlight())
 	}
 	h.request(500, nil)
 	h.connectNewest()
@@ -93,9 +93,9 @@
 	}
 }
 
-// If only dials to one endpoint fail by errors of this machine, for example for lack of local ports to its address,
-// the endpoint is not ejected.
-func TestLocalErrorsAtOneEndpoint(t *testing.T) {
+// If only the dials to one endpoint fail because of errors on this machine, for example for lack of local ports for
+// its address, the endpoint is not ejected.
+func TestLocalErrorsAtOneEndpointDoNotEjectIt(t *testing.T) {
 	h := newTwoClassHarness(t)
 	failed := 0
 	for seq := int32(1); seq <= 300; seq++ {
@@ -114,11 +114,11 @@
 		h.advance(10 * millisecond)
 	}
 	if failed < 10 {
-		t.Errorf("%d dials failed", failed)
+		t.Errorf("%d dials failed, want at least 10", failed)
 	}
 	for _, event := range h.logged {
 		if ejected, ok := event.(control.EndpointEjected); ok {
-			t.Errorf("ejected: %+v", ejected)
+			t.Errorf("an endpoint was ejected: %+v", ejected)
 		}
 	}
 }
@@ -139,8 +139,8 @@
 	}
 }
 
-// While this machine can open no connections, and the established one is saturated, attempts end at once. They count
-// towards the request's limit of attempts, so that the reducer does not loop without end.
+// While this machine can open no connections and the established connection is saturated, attempts end at once. They
+// count towards the request's limit of attempts, so that the reducer does not loop forever.
 func TestAttemptsWithoutConnectionAreBounded(t *testing.T) {
 	h := newHarness(t, func(_ *Limits, settings *control.Settings) { settings.MaxStreamsPerConnection = 1 })
 	h.request(1, nil)
@@ -150,12 +150,12 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		h.request(3, nil) // its endpoint has a connection, which is saturated
+		h.request(3, nil) // the only connection to its endpoint is saturated
 		h.advance(3 * second)
 	}()
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("the reducer loops")
+		t.Fatal("the reducer did not return within 5 s")
 	}
 }
--- a/internal/router/logevents.go
+++ b/internal/router/logevents.go
@@ -2,8 +2,8 @@
 
 import "tealpath/internal/logevent"
 
-// ConnectUnavailable is logged when connections can no longer be opened for a reason of this machine's own,
-// such as a lack of file descriptors. Dialling is suspended with a backoff until a dial succeeds.
+// ConnectUnavailable is logged when connections can no longer be opened because of an error on this machine, such as a
+// lack of file descriptors. Dialling is suspended with a backoff until a dial reaches its endpoint.
 type ConnectUnavailable struct {
 	Cause string `log:"cause"` // text of the error
 }
@@ -26,10 +26,10 @@
 	return logevent.Kind{Name: "connect_available", Level: logevent.Info, Message: "connections can be opened again"}
 }
 
-// PanicRecovered is logged when handling an event panicked, which is a defect of this program. The request
-// concerned fails shortly after its deadline at the latest.
+// PanicRecovered is logged when handling an event panicked, which is a defect of this program. The affected request
+// fails shortly after its deadline at the latest.
 type PanicRecovered struct {
-	Cause string `log:"cause"` // text of the panic
+	Cause string `log:"cause"` // text of the panic's value
 }
 
 // Kind implements logevent.Event.
@@ -46,13 +46,12 @@
 	return []logevent.Event{ConnectUnavailable{}, ConnectAvailable{}, PanicRecovered{}}
 }
 
-// endpointEvent is an event that concerns one endpoint, which it names by the policy's ID.
+// endpointEvent is a log event that concerns one endpoint. The policy knows endpoints only by their IDs.
 type endpointEvent interface {
 	EndpointID() uint32
 }
 
-// log emits an event for the log, with the name of the endpoint that it concerns, if there is one: the policy
-// knows endpoints by their IDs alone.
+// log emits an event for the log, and adds the name of the endpoint that it concerns, if there is one.
 func (r *Router) log(event logevent.Event) {
 	effect := Log{Event: event}
 	if about, ok := event.(endpointEvent); ok {
--- a/internal/router/logevents_test.go
+++ b/internal/router/logevents_test.go
@@ -8,7 +8,7 @@
 	"tealpath/internal/logevent"
 )
 
-// A Log effect has the name of the endpoint that its event concerns. A panic is logged as an event.
+// A Log effect contains the name of the endpoint that its event concerns, and a panic is logged as an event.
 func TestLogEffectsNameTheEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -52,12 +52,12 @@
 	for _, event := range slices.Concat(LogEvents(), control.LogEvents()) {
 		name := event.Kind().Name
 		if name == "" || seen[name] {
-			t.Errorf("event %#v", event)
+			t.Errorf("event %#v has the name %q, which is empty or used twice", event, name)
 		}
 		seen[name] = true
 	}
 	if text := logevent.Text(ConnectUnavailable{Cause: "too many open files"}); text !=
 		"no connections can be opened because of an error on this machine cause=too many open files" {
-		t.Error(text)
+		t.Errorf("log text %q", text)
 	}
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -9,7 +9,7 @@
 	"tealpath/control"
 )
 
-// The names of a request's fields on the wire.
+// Names of a request's fields on the wire.
 const (
 	fieldClass          = "verb"
 	fieldID             = "txn"
@@ -24,39 +24,38 @@
 )
 
 const (
-	hexDigits      = 16 // of ids, objects and entity tags
+	hexDigits      = 16 // number of digits in IDs, objects and entity tags
 	maxGroup       = 255
 	maxSizeKB      = 1e9
-	maxBodyBytes   = 240_000 // bytes of an object
-	retryIndicator = "1"     // value of the field that marks a client's retry
+	maxBodyBytes   = 240_000 // of a request's body, as of an object
+	retryIndicator = "1"     // value of fieldIsRetry in a retry by the client
 
-	// keyDelimiters may not occur in an idempotency key. It is forwarded in a comma-separated list of
-	// name=value pairs, where such a key would be read as further fields.
+	// keyDelimiters are the characters that an idempotency key must not contain. The key is forwarded in a
+	// comma-separated list of name=value pairs, where they would start further fields.
 	keyDelimiters = ",=\r\n"
 )
 
-// RequestID identifies a request, both to its client and to endpoints: 16 hexadecimal digits as the client wrote
-// them. It is unique among the requests in flight.
+// RequestID identifies a request, both to its client and to endpoints. It is 16 hexadecimal digits, as the client
+// wrote them, and is unique among the requests in flight.
 type RequestID = string
 
-// Request is a client's request, decoded and validated. Strings are as the client sent them: they are forwarded
-// byte for byte.
+// Request is a client's request, decoded and validated. Its strings are forwarded byte for byte as the client sent
+// them.
 type Request struct {
 	ID             RequestID
 	Class          string  // name of its class in the settings
 	Object         string  // the object requested, 16 hexadecimal digits
 	Part           Part    // of the object
-	Group          int64   // the group of objects that are purged together to which the object belongs
+	Group          int64   // group that the object belongs to; the objects of a group can be purged together
 	Timeout        int64   // ns; how long the client waits for its response
 	IsRetry        bool    // the client marked it as a retry
 	SizeKB         float64 // 0: not stated
 	ClientETag     string  // entity tag of the copy that the client has; empty: none
-	IdempotencyKey string  // by which servers drop repetitions; empty: none
+	IdempotencyKey string  // by which servers drop repeated requests; empty: none
 	Body           []byte
 }
 
-// Part is the number of a part of an object. Text is the same number as the client wrote it, perhaps with
-// leading zeros.
+// Part is the number of a part of an object. Text is the number as the client wrote it, which may have leading zeros.
 type Part struct {
 	Number int64
 	Text   string
@@ -65,34 +64,34 @@
 // FieldReason says what is wrong with a field of a request.
 type FieldReason string
 
-// The reasons, as clients read them after the field's name.
+// Reasons of a FieldError. Clients receive these texts after the field's name.
 const (
 	FieldUnusable     FieldReason = "is missing or unusable"
 	FieldUnknownClass FieldReason = "names no product"
-	FieldIDInUse      FieldReason = "is in use" // responses to the two requests could not be told apart
+	FieldIDInUse      FieldReason = "is in use" // the response to one could be mistaken for the other's
 )
 
-// FieldError reports a field because of which a request can't be served.
+// FieldError reports an invalid field of a request.
 type FieldError struct {
 	Field  string // its name on the wire
-	Value  string // empty also where the field is missing
+	Value  string // empty also if the field is missing
 	Reason FieldReason
 }
 
-// Error returns the text that the client gets. It leaves out the value, which is the client's own.
+// Error returns the text that is sent to the client. It does not contain the value, which the client knows.
 func (e *FieldError) Error() string { return "field " + e.Field + " " + string(e.Reason) }
 
-// Errors of a bad request that concern no single field.
+// Errors of a bad request that do not concern a single field. Their texts are sent to the client.
 var (
 	ErrSequenceInUse = errors.New("sequence number in use")
 	ErrBodyTooLong   = errors.New("the body is too long")
 )
 
-// DecodeRequest decodes the fields and the body of a call. Its error is a *FieldError of the first field that
-// is missing or unusable.
+// DecodeRequest decodes the fields and the body of a client's call. Its error is a *FieldError for the first field
+// that is missing or unusable.
 func DecodeRequest(fields map[string]string, body []byte) (Request, error) {
 	decoder := &fieldDecoder{fields: fields}
-	// In the order in which the fields are checked.
+	// The order of the fields is the order in which they are checked.
 	request := Request{
 		Class:          decoder.class(),
 		ID:             decoder.hexadecimal(fieldID),
@@ -112,13 +111,13 @@
 	return request, nil
 }
 
-// fieldDecoder reads single fields and keeps the error of the first that is unusable.
+// fieldDecoder decodes single fields and keeps the error of the first unusable one.
 type fieldDecoder struct {
 	fields map[string]string
 	err    *FieldError
 }
 
-// require records an error for a field unless it is usable or an earlier field had an error.
+// require records an error for a field that is not usable, unless an earlier field had an error.
 func (d *fieldDecoder) require(name string, usable bool) {
 	if !usable && d.err == nil {
 		d.err = &FieldError{Field: name, Value: d.fields[name], Reason: FieldUnusable}
@@ -137,7 +136,7 @@
 	return text
 }
 
-// number reads a decimal number that consists of digits alone: a sign would be forwarded with it.
+// number decodes a decimal number of digits alone. A sign is an error, because it would be forwarded with the number.
 func (d *fieldDecoder) number(name string, largest uint64) int64 {
 	number, err := strconv.ParseUint(d.fields[name], 10, 32)
 	d.require(name, err == nil && number <= largest)
@@ -154,7 +153,7 @@
 	return key
 }
 
-// clientETag reads an optional field. An invalid entity tag counts as none.
+// clientETag decodes an optional field. An invalid entity tag is ignored.
 func (d *fieldDecoder) clientETag() string {
 	if tag := d.fields[fieldClientETag]; isHexadecimal(tag) {
 		return tag
@@ -162,7 +161,7 @@
 	return ""
 }
 
-// size reads an optional field that only some deployments send. An invalid size counts as none.
+// size decodes an optional field, which only some deployments send. An invalid size is ignored.
 func (d *fieldDecoder) size() (kilobytes float64) {
 	size, err := strconv.ParseFloat(d.fields[fieldSize], 64)
 	if err == nil && size > 0 && size < maxSizeKB {
@@ -180,7 +179,7 @@
 	return err == nil
 }
 
-// policyRequest returns the policy's view of a request that arrived at a time, ns.
+// policyRequest returns the part of a request that the policy needs. arrivedAt is the time of its arrival, ns.
 func (request *Request) policyRequest(arrivedAt int64) control.Request {
 	return control.Request{
 		Class:       request.Class,
--- a/internal/router/request_table.go
+++ b/internal/router/request_table.go
@@ -2,10 +2,10 @@
 
 // requestTable holds the requests in flight.
 type requestTable struct {
-	byClient  map[ClientID]map[int32]*inFlightRequest // by their sequence number
+	byClient  map[ClientID]map[int32]*inFlightRequest // by client and sequence number
 	byID      map[RequestID]*inFlightRequest
 	count     int
-	bodyBytes int // of their bodies, together
+	bodyBytes int // total size of their bodies
 }
 
 func newRequestTable() requestTable {
@@ -15,7 +15,7 @@
 	}
 }
 
-// find returns a client's request, nil if there is none under that number.
+// find returns the request of a client with a sequence number, or nil if there is none.
 func (table *requestTable) find(client ClientID, seq int32) *inFlightRequest {
 	return table.byClient[client][seq]
 }
@@ -49,7 +49,7 @@
 	table.bodyBytes += len(request.received.Body)
 }
 
-// remove removes a request and releases its body, which attempts that are still in flight would keep in memory.
+// remove removes a request and drops its body, which attempts in flight would otherwise keep in memory.
 func (table *requestTable) remove(request *inFlightRequest) {
 	table.count--
 	table.bodyBytes -= len(request.received.Body)
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -32,11 +32,11 @@
 		Body:           []byte("body"),
 	}
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v\nwant %+v", got, err, want)
+		t.Errorf("request %+v, error %v\nwant %+v", got, err, want)
 	}
 }
 
-// Invalid optional fields are ignored.
+// Optional fields with an invalid value are ignored.
 func TestDecodeRequestIgnoresInvalidOptionalFields(t *testing.T) {
 	for _, c := range []struct{ field, value string }{
 		{"got", "a,b=c"},
@@ -51,13 +51,13 @@
 			plain, _ := DecodeRequest(requestFields(1, nil), nil)
 			got, err := DecodeRequest(requestFields(1, map[string]string{c.field: c.value}), nil)
 			if err != nil || !reflect.DeepEqual(got, plain) {
-				t.Errorf("%+v, %v\nwant %+v", got, err, plain)
+				t.Errorf("request %+v, error %v\nwant %+v", got, err, plain)
 			}
 		})
 	}
 }
 
-// A request with an unusable field is answered as a bad request, with the field's name, and is not in flight.
+// A request with an unusable field is answered as a bad request, with the field's name, and is not put in flight.
 func TestUnusableFieldsAreBadRequests(t *testing.T) {
 	for _, c := range []struct{ field, value string }{
 		{"verb", ""},
@@ -74,13 +74,13 @@
 		{"nth", "+3"},
 		{"batch", "256"},
 		{"batch", ""},
-		{"unique", "a,miss=o-a"}, // it would be read as two fields
+		{"unique", "a,miss=o-a"}, // would be read as two fields by the endpoint
 	} {
 		t.Run(c.field+"="+c.value, func(t *testing.T) {
 			event := requestEvent(1, 4, requestFields(4, map[string]string{c.field: c.value}), nil)
 			var fieldError *FieldError
 			if !errors.As(event.DecodeError, &fieldError) {
-				t.Fatalf("error %v", event.DecodeError)
+				t.Fatalf("error %v, want a *FieldError", event.DecodeError)
 			}
 			if want := (FieldError{c.field, c.value, FieldUnusable}); *fieldError != want {
 				t.Errorf("error %+v, want %+v", *fieldError, want)
@@ -90,14 +90,14 @@
 			h.expect("bad request 4")
 			want := "field " + c.field + " is missing or unusable"
 			if got := h.responses[0].Reason.Error(); got != want || h.InFlight() != 0 {
-				t.Errorf("%s, want %s; %d in flight", got, want, h.InFlight())
+				t.Errorf("reason %q, want %q; %d requests in flight, want 0", got, want, h.InFlight())
 			}
 		})
 	}
 }
 
-// Bad requests by the settings and by the requests in flight.
-func TestBadRequestsByState(t *testing.T) {
+// Requests that the settings do not allow, or that conflict with a request in flight, are answered as bad requests.
+func TestBadRequestsBySettingsAndRequestsInFlight(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		second RequestReceived // after a request with sequence number 1
@@ -130,7 +130,7 @@
 			h.handle(c.second)
 			h.expect(fmt.Sprint("dial, bad request ", c.second.Seq))
 			if got := h.responses[0].Reason.Error(); got != c.want || h.InFlight() != 1 {
-				t.Errorf("%s, want %s; %d in flight", got, c.want, h.InFlight())
+				t.Errorf("reason %q, want %q; %d requests in flight, want 1", got, c.want, h.InFlight())
 			}
 		})
 	}
@@ -142,17 +142,17 @@
 	h := newTwoClassHarness(t)
 	h.request(1, map[string]string{"unique": key})
 	h.connectNewest()
-	h.respond(ResponseReceived{Result: control.ServerError}) // it is retried
+	h.respond(ResponseReceived{Result: control.ServerError}) // the request is retried
 	for i, send := range h.sends {
 		if got := send.Request.IdempotencyKey; got != key {
-			t.Errorf("attempt %d: key %q", i, got)
+			t.Errorf("attempt %d: key %q, want %q", i, got, key)
 		}
 	}
 	if len(h.sends) != 2 {
-		t.Errorf("%d attempts", len(h.sends))
+		t.Errorf("%d attempts, want 2", len(h.sends))
 	}
 	h.request(2, map[string]string{"unique": "a,miss=o-a"})
 	if last := h.observed[len(h.observed)-1]; last != "bad request 2" {
-		t.Errorf("a key that could be read as further fields: %s", last)
+		t.Errorf("a key that could be read as further fields: effect %q, want a bad request", last)
 	}
 }
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -6,23 +6,23 @@
 	"tealpath/control"
 )
 
-// responseTransit is the time, ns, that a response may take from this router to its client. It is subtracted
-// from the client's timeout, so that the response arrives in time even over a slow network or a busy core.
+// responseTransit is the time, ns, that a response may take from this router to its client. It is subtracted from the
+// client's timeout, so that the response arrives in time even over a slow network or with a busy core.
 const responseTransit = 20 * millisecond
 
 // inFlightRequest is a request that has no final response yet.
 type inFlightRequest struct {
-	control.Request // the policy's view of it
+	control.Request // the part that the policy needs, and the policy's state
 	received        Request
 	client          ClientID
 	seq             int32
 	attempts        []*attempt
-	finished        bool // it has its final response, or its client cancelled it or disconnected
+	finished        bool // it has its final response, or it was abandoned
 	deadlineTimer   *timer
-	recheckTimer    *timer // when the policy decides on it again; nil: never set
+	recheckTimer    *timer // fires when the policy decides on it again; nil: was never set
 }
 
-// requestReceived puts a request in flight, or answers it at once if it can't be accepted.
+// requestReceived puts a request in flight, or responds at once if the request cannot be accepted.
 func (r *Router) requestReceived(event RequestReceived) {
 	answer := func(response Respond) {
 		response.Client, response.Seq = event.Client, event.Seq
@@ -52,22 +52,22 @@
 	r.startRequest(event)
 }
 
-// replaceAbandoned ends an earlier request of the same ID whose client has closed its sending side: such a
-// client has usually disconnected and retries on another connection. It reports whether the new request may be
-// started: not if the earlier one may have been executed and the class is not idempotent.
+// replaceAbandoned ends an earlier request with the same ID if its client has closed its sending side: such a client
+// has usually disconnected and retries on another connection. It reports whether the new request may be started, which
+// is not the case if the earlier one may have been executed and the class is not idempotent.
 func (r *Router) replaceAbandoned(request *Request) bool {
 	previous := r.requests.byID[request.ID]
 	if previous == nil || !previous.NoNewAttempts {
 		return true
 	}
 	mayHaveRun := len(previous.attempts) > 0
-	r.respond(previous, Respond{Kind: Failed}) // its half-closed connection is kept open until it has a response
+	r.respond(previous, Respond{Kind: Failed}) // until then its half-closed connection stays open
 	r.abandonRequest(previous)
 	return !mayHaveRun || r.config.isIdempotent(request.Class)
 }
 
-// validate makes the checks of a request that depend on the settings and on the requests in flight. All others
-// are made by DecodeRequest.
+// validate checks what DecodeRequest cannot: whether a request is valid under the settings and does not conflict with
+// one in flight, and how long its body is.
 func (r *Router) validate(request *Request) error {
 	if _, known := r.config.classes[request.Class]; !known {
 		return &FieldError{Field: fieldClass, Value: request.Class, Reason: FieldUnknownClass}
@@ -81,7 +81,8 @@
 	return nil
 }
 
-// hasCapacity reports whether one more request is within the limits on requests in flight and their bodies.
+// hasCapacity reports whether one more request is within the limits on the number of requests in flight and on the
+// total size of their bodies.
 func (r *Router) hasCapacity(request *Request) bool {
 	return r.requests.count < r.limits.MaxInFlight && r.requests.bodyBytes+len(request.Body) <= r.limits.MaxBodyBytes
 }
@@ -136,15 +137,16 @@
 	r.emit(response)
 }
 
-// removeRequest marks a request as finished, so that no further attempt is made for it, and drops it with its
-// timers, which would keep it in memory until they fire.
+// removeRequest marks a request as finished, so that no further attempt is made for it, and removes it and its timers,
+// which would keep it in memory until they fire.
 func (r *Router) removeRequest(request *inFlightRequest) {
 	if request.finished {
 		return
 	}
 	request.finished = true
 	if !r.config.CancelAttempts {
-		r.withdrawAttempts(request) // without cancellation the policy leaves attempts to run; unwritten ones need not
+		// Without cancellation the policy lets attempts run, but those that are not written yet need not be sent.
+		r.withdrawAttempts(request)
 	}
 	r.timers.Remove(request.deadlineTimer)
 	r.timers.Remove(request.recheckTimer)
@@ -165,7 +167,7 @@
 	}
 }
 
-// abandonRequest ends a request for which no client waits any more, and cancels its attempts.
+// abandonRequest ends a request whose client no longer waits for it, and cancels its attempts.
 func (r *Router) abandonRequest(request *inFlightRequest) {
 	r.removeRequest(request)
 	r.policy.ClientGone(r.now, &request.Request)
@@ -176,10 +178,10 @@
 	r.cancelAttempts(request, all)
 }
 
-// clientHalfClosed handles a client that has closed its sending side. Such a client has usually disconnected,
-// so no further attempt is made for its requests, and attempts that are not written yet are withdrawn. Requests
-// without an attempt on an established connection get their final response at once: nothing of them was
-// executed, which a client that still reads can use to retry.
+// clientHalfClosed handles a client that has closed its sending side. Such a client has usually disconnected, so no
+// further attempt is made for its requests, and attempts that are not written yet are withdrawn. Requests without an
+// attempt on an established connection get their final response at once. They were not executed, so a client that
+// still reads can retry them.
 func (r *Router) clientHalfClosed(event ClientHalfClosed) {
 	for _, request := range r.requests.ofClient(event.Client) {
 		request.NoNewAttempts = true
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -2,8 +2,8 @@
 
 import "tealpath/control"
 
-// responseReceived ends the attempt that a response is for. The first usable response of a request is forwarded
-// to its client unchanged.
+// responseReceived ends the attempt that a response belongs to. The first usable response to a request is forwarded to
+// its client unchanged.
 func (r *Router) responseReceived(event ResponseReceived) {
 	connection := r.connections[event.Connection]
 	if connection == nil {
@@ -17,8 +17,8 @@
 	delete(connection.inFlight, event.ID)
 	if !r.config.isIdempotent(attempt.request.Class) {
 		// Some endpoints respond twice, the second time some milliseconds later. If a retry of this request were
-		// sent on this connection, the second response could be mistaken for its response, and the retry could
-		// count as not executed although it was.
+		// sent on this connection, the second response could be mistaken for the response to the retry, which
+		// could then count as not executed although it was.
 		connection.abandonedAt[event.ID] = r.now
 	}
 	result := r.effectiveResult(attempt, event)
@@ -32,10 +32,11 @@
 		TimeToFirstByte: event.TimeToFirstByte,
 		LoadReport:      event.LoadReport,
 	})
-	r.closeIfUnresponsive(connection)
+	r.closeIfDrained(connection)
 }
 
-// effectiveResult returns the result of an attempt by its response, its class and the age of the copy.
+// effectiveResult returns the result of an attempt, which depends on the response, the request's class and the age of
+// the copy.
 func (r *Router) effectiveResult(attempt *attempt, event ResponseReceived) control.Result {
 	result := event.Result
 	uncacheable := r.config.classes[attempt.request.Class].Uncacheable
@@ -43,7 +44,7 @@
 	case event.NotModified && attempt.upstream.ClientETag == "":
 		result = control.ServerError // the client named no copy that could be valid
 	case event.Unversioned && uncacheable:
-		result = control.Succeeded // objects that no cache stores need no version
+		result = control.Succeeded // an object that no cache stores needs no version
 	}
 	request := &attempt.request.Request
 	if result == control.Succeeded && !r.policy.AcceptsCopy(r.now, request, attempt.number, event.IssuedAt) {
@@ -52,8 +53,8 @@
 	return result
 }
 
-// sendingTime returns how long the transfer of a response takes by its length, in seconds; 0: unknown. The
-// policy allows large responses that much more time.
+// sendingTime returns how long the transfer of a response takes according to its length, in seconds; 0: unknown. The
+// policy allows long responses that much more time.
 func (r *Router) sendingTime(body []byte) float64 {
 	if r.config.ResponseBytesPerSecond <= 0 {
 		return 0
--- a/internal/router/responses_test.go
+++ b/internal/router/responses_test.go
@@ -21,7 +21,7 @@
 			h.respond(success)
 			h.respond(success)
 		}, "dial, send 1, served 1:bytes"},
-		{"the client's copy is still valid", func(h *harness) {
+		{"not modified, as the client's copy is still valid: served", func(h *harness) {
 			h.request(1, map[string]string{"got": "4be0c1927d55a6f3"})
 			h.connectNewest()
 			h.respond(notModified)
@@ -45,8 +45,8 @@
 	})
 }
 
-// Some endpoints respond twice, and some responses have no version of the object. What that means depends on whether
-// the class is idempotent and cacheable.
+// Some endpoints respond twice, and some responses have no version of the object. How they are handled depends on
+// whether the class is idempotent and cacheable.
 func TestResponsesByClass(t *testing.T) {
 	unversioned := ResponseReceived{Result: control.ServerError, Unversioned: true, Body: []byte(":done")}
 	runScenarios(t, newTwoClassHarness, []scenario{
@@ -78,7 +78,7 @@
 	})
 }
 
-// If the settings state at which rate responses are sent, long responses may take longer without counting as late.
+// If the settings state the rate at which responses are sent, long responses may take longer without counting as late.
 func TestLongResponsesAreNotLate(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -107,7 +107,7 @@
 				}
 			}
 			if got := len(h.logged) > 0; got != c.late {
-				t.Errorf("an endpoint counts as late: %v, want %v: %v", got, c.late, h.logged)
+				t.Errorf("an endpoint counts as late: %v, want %v; logged %v", got, c.late, h.logged)
 			}
 		})
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -2,8 +2,8 @@
 // was received, a connection is up, a timer fired), updates the state, and returns effects (send an attempt,
 // respond to a client, set the timer) for the caller to carry out. Its state is the requests in flight, their
 // attempts, the connections to endpoints, the endpoint list and the timers. Every decision about a request is
-// made by package control, the policy. The package does no input or output and reads no clock, so that a run
-// can be repeated exactly.
+// made by package control, the policy. The package does no input or output and reads no clock, so that the same
+// events always have the same effects.
 package router
 
 import (
@@ -17,7 +17,7 @@
 // millisecond is one millisecond in ns, the unit of all times in this package.
 const millisecond = int64(1e6)
 
-// Router is the reducer of one router. It is not safe for concurrent use.
+// Router is the reducer. It is not safe for concurrent use.
 type Router struct {
 	policy  *control.Router
 	limits  Limits
@@ -33,12 +33,12 @@
 	localBackoff   *connpool.LocalBackoff // delays all dialling while this machine can open no connections
 
 	timers           timerqueue.Queue[timerTask]
-	nextTick         int64 // ns; when the periodic work is due
+	nextTick         int64 // ns; when the periodic work is due next
 	timerSetFor      int64 // ns; time of the last SetTimer, 0 once it has fired
-	shutdownDeadline int64 // ns; by when every request is answered; 0: no shutdown has begun
+	shutdownDeadline int64 // ns; by when every request must be answered; 0: no shutdown has begun
 }
 
-// New returns a reducer that starts at a time, ns. Its effects depend on the arguments and the events alone.
+// New returns a reducer whose clock starts at now, ns. Its effects depend only on these arguments and on the events.
 func New(now int64, seed uint64, settings control.Settings, limits Limits) *Router {
 	router := &Router{
 		limits:       limits,
@@ -74,9 +74,9 @@
 	return r.effects
 }
 
-// recoverPanic does some work and logs its panic, if it has one, so that a defect that one event reveals does
-// not end the process with all requests in flight. The request concerned is answered by its deadline timer at
-// the latest (setDeadlineTimer).
+// recoverPanic calls work and logs its panic, if there is one, so that a defect that one event triggers does not end
+// the process with all requests in flight. The affected request is answered when its deadline timer fires
+// (setDeadlineTimer) if it is not answered before.
 func (r *Router) recoverPanic(work func()) {
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -91,7 +91,7 @@
 func (r *Router) handleEvent(event Event) {
 	switch event := event.(type) {
 	case TimerFired:
-		r.timerSetFor = 0 // so that Handle sets it again, even for the same time if it fired a moment early
+		r.timerSetFor = 0 // so that Handle sets the timer again, even to the same time if it fired early
 	case RequestReceived:
 		r.requestReceived(event)
 	case RequestCancelled:
@@ -122,12 +122,12 @@
 // Endpoints returns the current endpoint list, ordered by name.
 func (r *Router) Endpoints() []EndpointEntry { return r.endpoints.entries() }
 
-// Snapshot returns what the policy has learned up to a time, ns, with maxObjects objects at most.
+// Snapshot returns what the policy has learned up to now, ns, with at most maxObjects objects.
 func (r *Router) Snapshot(now int64, maxObjects int) control.Snapshot {
 	return r.policy.Snapshot(max(now, r.now), maxObjects)
 }
 
-// Restore gives the policy what an earlier process had learned. Request rates are restored only withRates.
+// Restore gives the policy what an earlier process had learned. It restores request rates only if withRates is true.
 func (r *Router) Restore(now int64, snapshot control.Snapshot, withRates bool) {
 	r.policy.Restore(now, snapshot, withRates)
 }
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -1,7 +1,7 @@
 package router
 
-// shutdownStarted begins the graceful shutdown: no request, in flight or received later, has a deadline after
-// the shutdown's.
+// shutdownStarted starts the graceful shutdown: the deadlines of all requests, in flight or received later, end by
+// AnswerDeadline.
 func (r *Router) shutdownStarted(event ShutdownStarted) {
 	r.shutdownDeadline = event.AnswerDeadline
 	for _, request := range r.requests.all() {
@@ -11,8 +11,8 @@
 	}
 }
 
-// shortenDeadline brings forward the deadline of a request and those of its attempts. Attempts that wait for a
-// connection to be established need it too, since their timers are set by their own deadlines.
+// shortenDeadline moves the deadline of a request and those of its attempts to an earlier time. This includes attempts
+// that wait for a connection to be established, whose timers depend on their own deadlines.
 func (r *Router) shortenDeadline(request *inFlightRequest, deadline int64) {
 	request.Deadline = deadline
 	r.setDeadlineTimer(request)
@@ -27,8 +27,8 @@
 	}
 }
 
-// effectiveDeadline bounds the deadline that a client requests by the longest that the settings allow, which
-// bounds how long a request is in memory, and by the deadline of a graceful shutdown.
+// effectiveDeadline limits the deadline that a client wants to the longest that the settings allow, so that no request
+// stays in memory for longer, and to the deadline of a graceful shutdown.
 func (r *Router) effectiveDeadline(wanted, arrivedAt int64) int64 {
 	deadline := min(wanted, arrivedAt+r.config.LongestDeadline)
 	if r.shutdownDeadline > 0 {
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -5,8 +5,8 @@
 	"tealpath/internal/timerqueue"
 )
 
-// tickRetryDelay is the time, ns, until the periodic work is done again if it panics. Without a delay a panic at
-// each run would keep a core busy.
+// tickRetryDelay is the time, ns, after which the periodic work is done again if it panics. Without a delay, repeated
+// panics would keep a core busy.
 const tickRetryDelay = 1000 * millisecond
 
 // timer is a handle on a timer of the reducer.
@@ -17,15 +17,15 @@
 
 const (
 	attemptTimer  timerKind = iota // the attempt's send deadline or its timeout
-	recheckTimer                   // when the policy decides on a request again
+	recheckTimer                   // the time at which the policy decides on a request again
 	deadlineTimer                  // a request's deadline, plus the grace for its final response
 )
 
-// timerTask is what is done when a timer fires.
+// timerTask says what to do when a timer fires.
 type timerTask struct {
 	kind    timerKind
-	request *inFlightRequest // of the other kinds
-	attempt *attempt         // of attemptTimer
+	request *inFlightRequest // for recheckTimer and deadlineTimer
+	attempt *attempt         // for attemptTimer
 }
 
 // runTimers runs all timers that are due.
@@ -49,13 +49,15 @@
 	case recheckTimer:
 		r.decide(request)
 	case deadlineTimer:
-		// The policy normally ends a request before this. If it did not, the request still gets its response.
+		// The policy normally ends a request before this timer fires. If it does not, the client still gets a
+		// response.
 		r.respond(request, Respond{Kind: Failed})
 		r.abandonRequest(request)
 	}
 }
 
-// attemptTimerFired ends an attempt that has timed out. One whose send deadline alone has passed is withdrawn.
+// attemptTimerFired ends an attempt that has timed out. If its connection is established and only its send deadline
+// has passed, the attempt is withdrawn instead.
 func (r *Router) attemptTimerFired(attempt *attempt) {
 	if attempt.ended {
 		return
@@ -64,7 +66,7 @@
 	if attempt.connection.established {
 		if r.now < attempt.deadline {
 			r.withdrawAttempt(attempt)
-			r.setAttemptTimer(attempt) // if it is already written, it waits for its response until the deadline
+			r.setAttemptTimer(attempt) // if it is already written, its response may arrive until the deadline
 			return
 		}
 		result = control.TimedOut
@@ -91,7 +93,7 @@
 	request.deadlineTimer = r.timers.Push(at, timerTask{kind: deadlineTimer, request: request})
 }
 
-// setRecheckTimer sets the timer at which the policy decides on a request again, if it wants one.
+// setRecheckTimer sets the timer after which the policy decides on a request again, if the policy asks for one.
 func (r *Router) setRecheckTimer(request *inFlightRequest) {
 	if request.finished {
 		return
@@ -105,7 +107,7 @@
 // tick does the periodic work.
 func (r *Router) tick() {
 	r.nextTick = r.now + tickRetryDelay
-	_, delay := r.policy.Tick(r.now) // it names no endpoints to probe: see policySettings
+	_, delay := r.policy.Tick(r.now) // returns no endpoints to probe: see policySettings
 	r.nextTick = r.now + delay
 	r.forgetAbandoned()
 	r.closeUnused()
--- a/internal/router/withdraw_test.go
+++ b/internal/router/withdraw_test.go
@@ -6,8 +6,8 @@
 	"tealpath/control"
 )
 
-// Attempts that are queued on an established connection because the endpoint reads nothing are withdrawn by a purge
-// or a drain.
+// Attempts that are queued on an established connection, because the endpoint reads nothing, are withdrawn when a
+// purge is received or an endpoint drains.
 func TestUnwrittenAttemptsAreDecidedOnAgain(t *testing.T) {
 	purge := func(h *harness) {
 		h.now += 200 * millisecond
@@ -15,17 +15,17 @@
 	}
 	drain := func(h *harness) { h.setFirstPhase("draining") }
 	runScenarios(t, newTwoClassHarness, []scenario{
-		{"a purge: sent again, with the new age", func(h *harness) {
+		{"a purge: sent again, with the new maximum age", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			purge(h)
 			h.confirmWithdrawals()
 			h.connectNewest()
 			if age := h.sends[1].Request.Attempt.MaxAge; age <= 0 || age >= 50*millisecond {
-				h.t.Errorf("age %d", age)
+				h.t.Errorf("maximum age %d ms, want more than 0 and less than 50", age/millisecond)
 			}
 		}, "dial, send 1, dial, send 1"},
-		{"a purge, but it is written: served", func(h *harness) {
+		{"a purge, but the attempt is already written: served", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			purge(h)
@@ -38,7 +38,7 @@
 			h.confirmWithdrawals()
 			h.connectNewest()
 		}, "dial, send 1, dial, send 1"},
-		{"the cache of a non-idempotent request drains: it was not executed", func(h *harness) {
+		{"the cache of a non-idempotent request drains: sent elsewhere, since it was not executed", func(h *harness) {
 			h.request(1, nonIdempotent)
 			h.connectNewest()
 			drain(h)
@@ -48,42 +48,43 @@
 	})
 }
 
-// Such attempts are withdrawn, too, if their client half-closes, their send deadline passes, or their connection ends.
+// Attempts that are not written yet also end if their client half-closes, if their send deadline passes, or if their
+// connection ends.
 func TestUnwrittenAttemptsEnd(t *testing.T) {
 	drain := func(h *harness) { h.setFirstPhase("draining") }
 	runScenarios(t, newTwoClassHarness, []scenario{
-		{"its client half-closes: rejected, and nothing more is sent", func(h *harness) {
+		{"its client half-closes: rejected, and not sent again", func(h *harness) {
 			h.request(1, nonIdempotent)
 			h.connectNewest()
 			h.handle(ClientHalfClosed{Client: 1})
 			h.confirmWithdrawals()
 			h.advance(2 * second)
 		}, "dial, send 1, rejected 1"},
-		{"its client half-closes, but it is written: served", func(h *harness) {
+		{"its client half-closes, but the attempt is already written: served", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.handle(ClientHalfClosed{Client: 1})
 			h.respond(success)
 		}, "dial, send 1, served 1:bytes"},
-		{"half of its time passes: it was not executed, and is rejected by then", func(h *harness) {
+		{"half of the timeout passes: rejected, since it was not executed", func(h *harness) {
 			h.request(1, map[string]string{"verb": "permits", "limit": "600"})
 			h.connectNewest()
 			h.advance(291 * millisecond)
 			h.confirmWithdrawals()
 		}, "dial, send 1, rejected 1"},
-		{"half of its time passes, but it is written: it has until its deadline", func(h *harness) {
+		{"half of the timeout passes, but the attempt is already written: served", func(h *harness) {
 			h.request(1, map[string]string{"limit": "600"})
 			h.connectNewest()
 			h.advance(550 * millisecond)
 			h.respond(success)
 		}, "dial, send 1, served 1:bytes"},
-		{"the connection's writer finds that its send deadline has passed", func(h *harness) {
+		{"the connection's writer finds that the send deadline has passed: sent again", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			h.handle(AttemptWithdrawn{Connection: h.sends[0].Connection, ID: h.sends[0].Request.ID})
 			h.connectNewest()
 		}, "dial, send 1, dial, send 1"},
-		{"withdrawn when it was cancelled already", func(h *harness) {
+		{"the withdrawal is confirmed after the attempt was cancelled: ignored", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			drain(h)
@@ -91,7 +92,7 @@
 			h.confirmWithdrawals()
 			h.advance(3 * second)
 		}, "dial, send 1, cancel 1"},
-		{"withdrawn from a connection that has ended", func(h *harness) {
+		{"the withdrawal is confirmed after the connection has ended: ignored", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
 			drain(h)
@@ -102,7 +103,7 @@
 	})
 }
 
-// Without cancellation at endpoints, attempts that are not written yet are still withdrawn.
+// Without cancellation of attempts at endpoints, attempts that are not written yet are still withdrawn.
 func TestUnwrittenAttemptsAreWithdrawnWithoutCancellation(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -125,8 +126,8 @@
 	}
 }
 
-// A hedged attempt that waits for its connection when the first attempt is answered is not sent any more, even if
-// the policy cancels nothing.
+// A hedge that still waits for its connection when the first attempt gets a response is not sent any more, even if the
+// policy cancels no attempts.
 func TestHedgeIsNotSentAfterTheResponse(t *testing.T) {
 	h := newHarness(t, func(_ *Limits, settings *control.Settings) { settings.CancelAttempts = false })
 	h.request(1, nil)
