--- a/internal/connpool/connections.go
+++ b/internal/connpool/connections.go
@@ -58,9 +58,9 @@
 	return endpoint == nil || endpoint.inSubset || now < endpoint.sendUntil
 }
 
-// ShouldClose reports whether a connection that is idle since idleSince is to be closed before the endpoint's idle
-// timeout; open is the number of connections that the router has to its cache. Connections outside the subset are
-// closed once sending on them has ended, and connections in excess of MaxPerEndpoint after idleTimeout.
+// ShouldClose reports whether a connection that has been idle since idleSince is closed before the usual idle timeout;
+// open is the number of connections that the router has to its cache. Connections outside the subset are closed once
+// sending on them has ended, and connections in excess of MaxPerEndpoint after idleTimeout.
 func (p *Plan) ShouldClose(now int64, name string, open int, idleSince int64) bool {
 	endpoint := p.find(name)
 	switch {
@@ -73,8 +73,8 @@
 }
 
 // Preconnect returns the caches of the subset that the router should connect to now, before there is a request for
-// them, the most preferred first. It returns none if the connect rate is not limited: a first request then opens a
-// connection without having to wait for its turn.
+// them, the most preferred first. It returns none if the connect rate is not limited: the first request
+// for a cache can then open a connection without delay.
 func (p *Plan) Preconnect(now int64) (names []string) {
 	if p == nil || p.config.MaxConnectRate == 0 {
 		return nil
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -36,8 +36,8 @@
 	}
 	if attempt.connection == nil {
 		// The attempt counts towards the request's limit of attempts, even while this machine can open no
-		// connections. Otherwise the policy could choose an endpoint that is reachable but whose connections are
-		// saturated in an endless loop.
+		// connections. Otherwise the policy could choose an endpoint whose connections are all saturated again and
+		// again, in an endless loop.
 		attempt.connection = &connection{}
 		r.attemptEnded(attempt, control.Outcome{Result: control.NotSent})
 		return
@@ -104,7 +104,7 @@
 	return !attempt.ended && attempt.connection.established
 }
 
-// usesUnready reports whether an attempt's cache or source is not ready.
+// usesUnready reports whether the endpoint that an attempt is sent to, or its source, is not ready.
 func (attempt *attempt) usesUnready() bool {
 	return !attempt.cache.isReady() || attempt.source != nil && !attempt.source.isReady()
 }
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -7,7 +7,7 @@
 	"tealpath/control"
 )
 
-// connection is one connection to an endpoint.
+// connection is the state of one connection to an endpoint.
 type connection struct {
 	id             ConnectionID
 	endpoint       *endpoint
@@ -16,7 +16,7 @@
 	draining       bool // no new attempt is sent on it, and it is closed once none is in flight
 	closed         bool
 	inFlight       map[RequestID]*attempt
-	abandonedAt    map[RequestID]int64 // ns; by the request's ID; a late response may still be received
+	abandonedAt    map[RequestID]int64 // ns; when attempts were abandoned; late responses may still be received
 	lastReceivedAt int64               // ns; when it last received a response, or was dialled or established
 	lastUsedAt     int64               // ns; when an attempt was last started on it, or when it was dialled
 }
--- a/internal/router/deadlines_test.go
+++ b/internal/router/deadlines_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// An attempt that waits for its connection keeps its deadlines. The send deadline is after half of the time until the
-// request's deadline.
+// An attempt that waits for its connection keeps its deadlines. The send deadline is halfway to the request's
+// deadline.
 func TestSendDeadlineOfLateConnection(t *testing.T) {
 	h := newTwoClassHarness(t)
 	h.request(1, map[string]string{"limit": "600"})
--- a/internal/router/drawn_test.go
+++ b/internal/router/drawn_test.go
@@ -54,7 +54,7 @@
 	established []ConnectionID
 	closed      []ConnectionID
 	sent        []drawnAttempt // attempts without a response
-	answered    []drawnAttempt
+	answered    []drawnAttempt // attempts with a response
 	withdrawals []drawnAttempt
 	entries     []EndpointEntry
 	shutdown    bool
@@ -125,7 +125,7 @@
 	raw, limits := drawnSettings(rng)
 	settings, err := control.DecodeSettings(raw)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("settings of seed %d: %v", seed, err)
 	}
 	run := &drawnRun{
 		rng:    rng,
@@ -135,7 +135,7 @@
 		seen:   map[string]int{},
 	}
 	run.entries = append(slices.Clone(initialEndpoints),
-		cacheEntry("s-07e5ff", "10.0.1.1:1"), // its name has the same hash as the next one's
+		cacheEntry("s-07e5ff", "10.0.1.1:1"), // the names of these two caches have the same hash
 		cacheEntry("s-0a3e80", "10.0.1.2:1"),
 	)
 	for n := range rng.IntN(6) {
--- a/internal/router/endpoint_table.go
+++ b/internal/router/endpoint_table.go
@@ -12,7 +12,7 @@
 	phaseGone  = "gone"
 )
 
-// endpoint is one instance of the endpoint list.
+// endpoint is the state of one instance in the endpoint list.
 type endpoint struct {
 	EndpointEntry
 	connections []*connection
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -54,7 +54,7 @@
 	r.removeGone()
 }
 
-// markUnlistedGone marks the endpoints that are not in a complete list as gone.
+// markUnlistedGone marks as gone the endpoints that are missing from a complete list.
 func (r *Router) markUnlistedGone(entries []EndpointEntry, changed endpointSet) {
 	listed := map[string]bool{}
 	for _, entry := range entries {
@@ -86,8 +86,8 @@
 	return stale, added
 }
 
-// markReplacedGone marks the older endpoints that have the same address as a ready entry as gone: requests to them
-// would reach the new endpoint instead, which may be warming up.
+// markReplacedGone marks an endpoint as gone if a ready entry that is not older has the same address: requests to the
+// endpoint would reach the new instance instead, which may be warming up.
 func (r *Router) markReplacedGone(entry EndpointEntry, changed endpointSet) {
 	if entry.Address == "" || entry.Phase != phaseReady {
 		return
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -37,7 +37,7 @@
 // ConnectionUp reports that a dialled connection is established.
 type ConnectionUp struct{ Connection ConnectionID }
 
-// Cause says on which side the cause of a connection's end is.
+// Cause says on which side the error that ended a connection occurred.
 type Cause int // Remote or Local
 
 // Local is an error on this machine, such as a lack of file descriptors, which says nothing about the endpoint. Remote
--- a/internal/router/helpers_test.go
+++ b/internal/router/helpers_test.go
@@ -33,7 +33,7 @@
 	return EndpointEntry{Instance: instance, Address: address, Endpoint: endpoint}
 }
 
-// success is a response that is forwarded to the client.
+// success is a usable response, which is forwarded to the client.
 var success = ResponseReceived{Result: control.Succeeded, Body: []byte(":bytes")}
 
 // nonIdempotent contains the fields of a request that may be executed only once, as far as they differ from those of
@@ -134,7 +134,7 @@
 	}
 }
 
-// observe records an effect.
+// observe records an effect in the harness's lists.
 func (h *harness) observe(effect Effect) {
 	note := func(format string, values ...any) { h.observed = append(h.observed, fmt.Sprintf(format, values...)) }
 	switch effect := effect.(type) {
@@ -244,7 +244,7 @@
 	}
 }
 
-// failNewestDial ends the connection that was dialled last by an error of this machine.
+// failNewestDial ends the connection that was dialled last with an error on this machine.
 func (h *harness) failNewestDial() {
 	h.handle(ConnectionDown{Connection: h.dialled[len(h.dialled)-1], Cause: Local, Reason: "no descriptors"})
 }
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -27,7 +27,7 @@
 	hexDigits      = 16 // number of digits in IDs, objects and entity tags
 	maxGroup       = 255
 	maxSizeKB      = 1e9
-	maxBodyBytes   = 240_000 // of a request's body, as of an object
+	maxBodyBytes   = 240_000 // a request's body may be as long as an object
 	retryIndicator = "1"     // value of fieldIsRetry in a retry by the client
 
 	// keyDelimiters are the characters that an idempotency key must not contain. The key is forwarded in a
@@ -68,7 +68,7 @@
 const (
 	FieldUnusable     FieldReason = "is missing or unusable"
 	FieldUnknownClass FieldReason = "names no product"
-	FieldIDInUse      FieldReason = "is in use" // the response to one could be mistaken for the other's
+	FieldIDInUse      FieldReason = "is in use" // responses to two requests with one ID could not be told apart
 )
 
 // FieldError reports an invalid field of a request.
@@ -136,7 +136,8 @@
 	return text
 }
 
-// number decodes a decimal number of digits alone. A sign is an error, because it would be forwarded with the number.
+// number decodes a decimal number that consists only of digits. A sign is an error, since it would be forwarded with
+// the number.
 func (d *fieldDecoder) number(name string, largest uint64) int64 {
 	number, err := strconv.ParseUint(d.fields[name], 10, 32)
 	d.require(name, err == nil && number <= largest)
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -55,7 +55,7 @@
 	return router
 }
 
-// Handle handles an event that occurred at a time, ns, then runs the timers and the periodic work that are due.
+// Handle handles an event that occurred at the time at, ns, then runs the timers and the periodic work that are due.
 // It returns the effects to be carried out, in order. The returned slice is valid until the next call.
 func (r *Router) Handle(at int64, event Event) []Effect {
 	clear(r.effects)
--- a/internal/router/shutdown.go
+++ b/internal/router/shutdown.go
@@ -1,6 +1,6 @@
 package router
 
-// shutdownStarted starts the graceful shutdown: the deadlines of all requests, in flight or received later, end by
+// shutdownStarted starts the graceful shutdown: no request, in flight or received later, has a deadline after
 // AnswerDeadline.
 func (r *Router) shutdownStarted(event ShutdownStarted) {
 	r.shutdownDeadline = event.AnswerDeadline
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -104,7 +104,7 @@
 	}
 }
 
-// tick does the periodic work.
+// tick does the periodic work of the policy and on the connections.
 func (r *Router) tick() {
 	r.nextTick = r.now + tickRetryDelay
 	_, delay := r.policy.Tick(r.now) // returns no endpoints to probe: see policySettings
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -8,7 +8,7 @@
 	"math"
 )
 
-// Never is the time of a timer that does not fire: an empty queue's Next.
+// Never is a time that is never reached. Next returns it for an empty queue.
 const Never = int64(math.MaxInt64)
 
 // removed is the heap index of a timer that is no longer in a queue.
