--- a/internal/connpool/connections_test.go
+++ b/internal/connpool/connections_test.go
@@ -24,11 +24,11 @@
 	atCache map[string]int     // open connections of all routers, by cache
 
 	outsideSubset int                 // number of connections opened to caches outside the router's subset
-	opened        map[cacheSecond]int // number of connections opened in each second
+	opened        map[cacheSecond]int // number of connections opened, by cache and second
 	accepted      func(cache string)  // called after each connection is opened
 }
 
-// cacheSecond is a second of the simulated time and a cache.
+// cacheSecond identifies a cache and a second of the simulated time.
 type cacheSecond struct {
 	second int64
 	cache  string
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -3,7 +3,7 @@
 // router has connections to a subset of the caches, by rendezvous hashing (Thaler, Ravishankar, "Using name-based
 // mappings to increase hit rates", 1998), and short-lived connections to other caches. The package does no input
 // or output, reads no clock and starts no goroutine: the caller passes the time, and random numbers come from a
-// seed. docs/coldstart.md, "Connections to caches", has the calculations.
+// seed. docs/coldstart.md, "Connections to caches", explains the calculations.
 //
 // Instants are ns of the caller's monotonic clock, durations are ns, and rates are per second.
 package connpool
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -208,7 +208,7 @@
 func (r *Router) attemptWithdrawn(event AttemptWithdrawn) {
 	connection := r.connections[event.Connection]
 	if connection == nil || connection.inFlight[event.ID] == nil {
-		return // it was cancelled in the meantime
+		return // the attempt was cancelled in the meantime
 	}
 	attempt := connection.inFlight[event.ID]
 	delete(connection.inFlight, event.ID)
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -59,8 +59,8 @@
 	r.closeIfDrained(connection)
 }
 
-// endExpired ends the attempts on a connection whose send deadline has passed but whose timer has not fired yet. They
-// must not be sent any more, because servers recognize an idempotency key only for a limited time.
+// endExpired ends the attempts on a connection that are past their send deadline but whose timer has not fired yet.
+// They must not be sent any more, because servers recognize an idempotency key only for a limited time.
 func (r *Router) endExpired(connection *connection) {
 	for _, attempt := range connection.attempts() {
 		if r.now >= attempt.sendDeadline {
--- a/internal/router/effects.go
+++ b/internal/router/effects.go
@@ -69,8 +69,8 @@
 	Part           string
 	Body           []byte
 	ClientETag     string // entity tag of the copy that the client has; empty: none
-	IdempotencyKey string // from the client; the server drops repeated requests by it; empty: none
-	Deadline       int64  // of the response, ns; what is sent is the time left when the request is written
+	IdempotencyKey string // from the client, lets servers drop repeated requests; empty: none
+	Deadline       int64  // ns; when the response is due; the endpoint is sent the time left until then
 	Source         string // instance from which the cache fills a miss; empty: it does not fill misses
 	Attempt        control.Attempt
 }
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -17,7 +17,7 @@
 	set.add(endpoint)
 }
 
-// anyUnready reports whether an endpoint of the set is not ready.
+// anyUnready reports whether any endpoint of the set is not ready.
 func (set endpointSet) anyUnready() bool {
 	for _, endpoint := range set {
 		if !endpoint.isReady() {
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -15,7 +15,7 @@
 // RequestReceived reports that a client's request has been read completely.
 type RequestReceived struct {
 	Client      ClientID
-	Seq         int32 // the client's number for its call
+	Seq         int32 // sequence number that the client gave its call
 	ArrivedAt   int64 // ns; earliest time at which its first byte can have arrived; 0: the time of the event
 	Request     Request
 	DecodeError error // returned by DecodeRequest; if it is set, the request is answered with BadRequest
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -127,7 +127,7 @@
 	r.setRecheckTimer(request)
 }
 
-// respond gives a request its one final response.
+// respond sends the final response to a request, unless the request is finished.
 func (r *Router) respond(request *inFlightRequest, response Respond) {
 	if request.finished {
 		return
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -79,8 +79,8 @@
 // (setDeadlineTimer) if it is not answered before.
 func (r *Router) recoverPanic(work func()) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			r.log(PanicRecovered{Cause: fmt.Sprint(fault)})
+		if cause := recover(); cause != nil {
+			r.log(PanicRecovered{Cause: fmt.Sprint(cause)})
 		}
 	}()
 	work()
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -16,7 +16,7 @@
 type timerKind int
 
 const (
-	attemptTimer  timerKind = iota // the attempt's send deadline or its timeout
+	attemptTimer  timerKind = iota // an attempt's send deadline or, after that, its deadline
 	recheckTimer                   // the time at which the policy decides on a request again
 	deadlineTimer                  // a request's deadline, plus the grace for its final response
 )
