--- a/internal/cluster/lease/acquire.go
+++ b/internal/cluster/lease/acquire.go
@@ -6,37 +6,38 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// Who tries for a free slot, and when. Times are counted in renewals.
+// These constants decide which candidates request a free slot, and when. "Renewals" stands for renewal intervals.
 const (
 	ticksPerRenewal = 8
-	steadyRenewals  = 2 // for so long a slot must be assigned to another before it is handed over
-	transferShare   = 8 // one in so many slots is handed over in a renewal
-	turnsPerRenewal = 2 // ranks behind the assigned candidate that get their turn in one renewal
-	maxTurnRenewals = 2 // until the turn of the last of those that wait in turn
-	nearRanks       = 4 // ranks behind the assigned candidate that look after a slot; the rest leave it to them
-	farRankRenewals = 2 // that each rank farther down waits longer
-	maxFarRenewals  = 60
+	steadyRenewals  = 2  // time without a change of the assignment before slots are transferred
+	transferDivisor = 8  // about one in this many slots is transferred in one renewal interval
+	turnsPerRenewal = 2  // ranks below the assigned candidate whose turns come within one renewal interval
+	maxTurnRenewals = 2  // longest wait for one's turn, without the extra wait of far ranks
+	nearRanks       = 4  // ranks below the assigned candidate that have no extra wait
+	farRankRenewals = 2  // extra wait for each rank below the near ranks
+	maxFarRenewals  = 60 // longest extra wait
 )
 
-// findFree notes which slots look free.
-func (node *Node) findFree(now int64) {
+// updateFreeSlots updates since when each slot has been free as far as this node knows.
+func (node *Node) updateFreeSlots(now int64) {
 	isVoter := slices.Contains(node.voterNames, node.config.Self.Name) && now >= node.grantsFrom
 	for slot := range node.holdings {
-		own := &node.holdings[slot]
+		holding := &node.holdings[slot]
 		granted := isVoter && now < node.grants[slot].until
 		switch {
-		case own.held || now < own.busyUntil || granted:
-			own.freeSince = timing.Never
-		case !timing.Happened(own.freeSince):
-			own.freeSince, own.tryAt = now, now+node.turnDelay(slot)
+		case holding.held || now < holding.busyUntil || granted:
+			holding.freeSince = timing.Never
+		case !timing.Happened(holding.freeSince):
+			holding.freeSince, holding.attemptAt = now, now+node.turnDelay(slot)
 		}
 	}
 }
 
-// assignedName is the candidate that is to hold a slot; there must be candidates.
+// assignedName returns the name of the candidate that a slot is assigned to. There must be candidates.
 func (node *Node) assignedName(slot int) string { return node.candidates[node.assigned[slot]].Name }
 
-// turnDelay is for how long this instance lets others try for a free slot first, with chance, ns.
+// turnDelay returns how long, in ns, this node waits for better-ranked candidates to request a free slot before it
+// does so itself. The delay has a random part.
 func (node *Node) turnDelay(slot int) int64 {
 	if node.assigned == nil || node.assignedName(slot) == node.config.Self.Name {
 		return 0
@@ -48,48 +49,50 @@
 	if far <= 0 {
 		return delay + node.random(interval/turnsPerRenewal)
 	}
-	// A candidate learns that a slot is held only by asking. If all candidates asked in turn, messages
-	// would grow with the square of their number: those far down the ranking leave it to the first, and
-	// wait longer the farther down they are.
+	// A candidate learns that a slot is held only by requesting it. If every candidate did so in each round, the
+	// number of messages would grow with the square of the number of candidates. So candidates wait longer the
+	// farther down the ranking they are.
 	delay += min(far*farRankRenewals, maxFarRenewals) * interval
 	return delay + node.random(farRankRenewals*interval)
 }
 
-// tryFree asks for the free slots whose turn has come, and gives up tries that came to nothing.
-func (node *Node) tryFree(now int64) {
+// requestFreeSlots abandons attempts that got no quorum within a renewal interval, and requests the free slots for
+// which this node's turn has come.
+func (node *Node) requestFreeSlots(now int64) {
 	if node.releasing || node.assigned == nil {
 		return
 	}
 	var items []SlotBallot
 	for slot := range node.holdings {
-		own := &node.holdings[slot]
-		if own.ballot != 0 && !own.held && now-own.preparedAt >= node.config.RenewInterval {
-			node.giveUp(now, slot)
+		holding := &node.holdings[slot]
+		if holding.ballot != 0 && !holding.held && now-holding.preparedAt >= node.config.RenewInterval {
+			node.abandonAttempt(now, slot)
 		}
-		if own.ballot != 0 || !timing.Happened(own.freeSince) || now < own.tryAt {
+		if holding.ballot != 0 || !timing.Happened(holding.freeSince) || now < holding.attemptAt {
 			continue
 		}
-		own.prepare(now, node.nextBallot())
-		items = append(items, SlotBallot{Slot: slot, Ballot: own.ballot})
+		holding.startAttempt(now, node.nextBallot())
+		items = append(items, SlotBallot{Slot: slot, Ballot: holding.ballot})
 	}
 	if len(items) > 0 {
 		node.requestVotes(now, Prepare, items)
-		// Not before the votes: the lowest ballot that the own voter promises must not be the one that it is asked for.
+		// This must follow the votes: otherwise this node's own promise floor could rise to the ballot that it is
+		// about to request, and its voter would reject that ballot.
 		node.ObserveBallot(items[0].Ballot)
 	}
 }
 
-// prepare begins a try.
-func (own *holding) prepare(now int64, ballot uint64) {
-	own.ballot, own.preparedAt = ballot, now
-	own.promises, own.rejections, own.proposing = 0, 0, false
-	for voter := range own.acceptedSentAt {
-		own.acceptedSentAt[voter] = timing.Never
+// startAttempt starts an attempt to acquire the slot under a ballot.
+func (holding *slotHolding) startAttempt(now int64, ballot uint64) {
+	holding.ballot, holding.preparedAt = ballot, now
+	holding.promises, holding.rejections, holding.proposing = 0, 0, false
+	for voter := range holding.acceptedSentAt {
+		holding.acceptedSentAt[voter] = timing.Never
 	}
 }
 
-// giveUp ends a try; the next one comes after a short random wait.
-func (node *Node) giveUp(now int64, slot int) {
-	node.release(slot, "")
-	node.holdings[slot].tryAt = now + 1 + node.random(node.config.RenewInterval/ticksPerRenewal)
+// abandonAttempt ends an attempt and schedules the next one after a short random wait.
+func (node *Node) abandonAttempt(now int64, slot int) {
+	node.releaseSlot(slot, "")
+	node.holdings[slot].attemptAt = now + 1 + node.random(node.config.RenewInterval/ticksPerRenewal)
 }
--- a/internal/cluster/lease/assign.go
+++ b/internal/cluster/lease/assign.go
@@ -9,22 +9,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidate is an instance that can hold slots, with a weight above 0.
+// Candidate is an instance that can hold slots. Its weight, which is above 0, is proportional to its share of them.
 type Candidate struct {
 	Name   string
 	Weight float64
 }
 
-// pairing is a slot and a candidate for it.
+// pairing is a slot with one candidate for it and the rendezvous score of the two.
 type pairing struct {
 	slot, candidate int
 	score           float64
 }
 
-// Assign returns the candidate for each slot, as an index in candidates, or nil without candidates. Each
-// candidate gets its part by weight to within one slot. Of all pairs of a slot and a candidate the one with
-// the highest rendezvous score comes first, so that a candidate that comes or goes moves few slots.
-// Candidates must be in the same order everywhere: sorted by name.
+// Assign returns the candidate for each slot as an index into candidates, or nil if there are no candidates.
+// The number of slots of a candidate differs from its share by weight by less than one. Pairs of slot and
+// candidate are assigned in descending order of their rendezvous score, so that few slots move when a candidate
+// joins or leaves. All instances must pass the candidates in the same order, sorted by name.
 func Assign(slots int, candidates []Candidate) []int {
 	if len(candidates) == 0 {
 		return nil
@@ -43,10 +43,10 @@
 	return assigned
 }
 
-// unassigned is a slot without a candidate.
+// unassigned marks a slot that has no candidate yet.
 const unassigned = -1
 
-// rankedPairings returns all pairs of a slot and a candidate, the highest score first.
+// rankedPairings returns all pairs of a slot and a candidate in descending order of score.
 func rankedPairings(slots int, candidates []Candidate) []pairing {
 	pairs := make([]pairing, 0, slots*len(candidates))
 	for slot := range slots {
@@ -60,7 +60,7 @@
 	return pairs
 }
 
-// quotas splits slots by weight: the whole part of each fair share, and one more for the largest remainders.
+// quotas returns the number of slots of each candidate, split by weight with the largest remainder method.
 func quotas(slots int, candidates []Candidate) []int {
 	total := 0.
 	for _, candidate := range candidates {
@@ -85,31 +85,31 @@
 	return quota
 }
 
-// rank is how many candidates score higher for a slot than the one of a name.
+// rank returns how many candidates have a higher score for a slot than the named one.
 func rank(slot int, candidates []Candidate, name string) int {
-	own := 0.
+	ownScore := 0.
 	for _, candidate := range candidates {
 		if candidate.Name == name {
-			own = score(slot, candidate)
+			ownScore = score(slot, candidate)
 		}
 	}
 	higher := 0
 	for _, candidate := range candidates {
-		if candidate.Name != name && score(slot, candidate) > own {
+		if candidate.Name != name && score(slot, candidate) > ownScore {
 			higher++
 		}
 	}
 	return higher
 }
 
-// score is weighted rendezvous hashing: -w/ln(u), u drawn by the hash (Schindelhauer and Schomaker, "Weighted
-// distributed hash tables", 2005).
+// score returns the weighted rendezvous hash -w/ln(u), where u is the hash mapped to the interval from 0 to 1
+// (Schindelhauer and Schomaker, "Weighted distributed hash tables", 2005).
 func score(slot int, candidate Candidate) float64 {
 	key := binary.LittleEndian.AppendUint32(nil, uint32(slot))
 	key = append(key, candidate.Name...)
-	uniform := (float64(xxhash.Sum64(key)>>11) + 0.5) / (1 << 53) // the 53 bits that a float64 holds, never 0 or 1
+	uniform := (float64(xxhash.Sum64(key)>>11) + 0.5) / (1 << 53) // a float64 has 53 bits; 0.5 keeps u above 0
 	return -candidate.Weight / math.Log(uniform)
 }
 
-// SlotOf is the slot that the name of a periodic task hashes to.
+// SlotOf returns the slot to which the name of a periodic task hashes.
 func SlotOf(name string, slots int) int { return int(xxhash.Sum64String(name) % uint64(slots)) }
--- a/internal/cluster/lease/assign_test.go
+++ b/internal/cluster/lease/assign_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestAssignIsFairAndSteady(t *testing.T) {
+func TestAssignIsFairAndMovesFewSlots(t *testing.T) {
 	for _, test := range []struct{ slots, candidates int }{{64, 1}, {64, 3}, {64, 5}, {64, 16}, {3, 16}, {1, 2}} {
 		t.Run(fmt.Sprintf("%d slots, %d candidates", test.slots, test.candidates), func(t *testing.T) {
 			var all []Candidate
@@ -22,7 +22,7 @@
 			for i, candidate := range all {
 				fair := float64(test.slots) * candidate.Weight / total
 				if float64(load[i]) <= fair-1 || float64(load[i]) >= fair+1 {
-					t.Errorf("%s has %d slots, fair is %.2f", candidate.Name, load[i], fair)
+					t.Errorf("%s has %d slots, want within 1 of its share of %.2f", candidate.Name, load[i], fair)
 				}
 			}
 			if test.candidates < 3 {
@@ -35,7 +35,8 @@
 				}
 			}
 			if moved > test.slots/4 {
-				t.Errorf("%d slots moved between those who stay", moved)
+				t.Errorf("%d of %d slots moved between the remaining candidates, want at most a quarter",
+					moved, test.slots)
 			}
 		})
 	}
--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -10,41 +10,42 @@
 	clusterSlots = 16
 )
 
-// testCluster runs nodes in simulated time: each has a clock with a rate of its own, links may be cut or slow.
+// testCluster runs nodes in simulated time. Each node has a clock with its own rate; links can be cut or delayed.
 type testCluster struct {
-	t             *testing.T
-	now           int64
-	leaseDuration int64
-	names         []string
-	nodes         map[string]*Node
-	startedAt     map[string]int64 // real time at which a clock read 0
-	rate          map[string]float64
-	frozen        map[string]bool
-	cut           func(from, to string) bool
-	delay         func(from, to string) int64
-	inTransit     []letter
-	wallMS        int64
-	starts        uint64
-	highest       map[int]uint64                   // ballot under which a slot was held
-	overlaps      int                              // moments at which a slot had two holders
-	ballotsBack   int                              // acquired under a ballot that had not grown
-	observe       func(name string, effect Effect) // of each effect; nil: nobody looks
+	t                 *testing.T
+	now               int64
+	leaseDuration     int64
+	names             []string
+	nodes             map[string]*Node
+	startedAt         map[string]int64 // simulated time at which the node's clock read 0
+	rate              map[string]float64
+	frozen            map[string]bool             // nodes that are paused: they neither tick nor receive
+	cut               func(from, to string) bool  // whether a link drops messages; nil drops none
+	delay             func(from, to string) int64 // of a link, ns; nil is 2 ms on all links
+	inTransit         []inFlightMessage
+	wallMS            int64                            // wall clock at simulated time 0
+	starts            uint64                           // number of node starts, used as incarnations
+	highestBallots    map[int]uint64                   // ballot of the latest Acquired, by slot
+	overlaps          int                              // number of steps and slots with more than one holder
+	ballotRegressions int                              // number of Acquired whose ballot was not above the one before
+	observe           func(name string, effect Effect) // called for each effect unless nil
 }
 
-// letter is a message under way.
-type letter struct {
-	at      int64
+// inFlightMessage is a message that has been sent and not yet delivered.
+type inFlightMessage struct {
+	at      int64 // arrival
 	from    Instance
 	to      string
 	message Message
 }
 
+// newCluster starts count nodes, all of them voters, whose clock rates differ by up to 1%.
 func newCluster(t *testing.T, count int) *testCluster {
 	t.Helper()
 	cluster := &testCluster{
 		t: t, leaseDuration: 1500 * ms, wallMS: 1e12,
 		nodes: map[string]*Node{}, startedAt: map[string]int64{}, rate: map[string]float64{},
-		frozen: map[string]bool{}, highest: map[int]uint64{},
+		frozen: map[string]bool{}, highestBallots: map[int]uint64{},
 	}
 	for i := range count {
 		cluster.names = append(cluster.names, fmt.Sprint("n", i))
@@ -56,10 +57,12 @@
 	return cluster
 }
 
+// clock returns the time on a node's clock.
 func (cluster *testCluster) clock(name string) int64 {
 	return int64(float64(cluster.now-cluster.startedAt[name]) * cluster.rate[name])
 }
 
+// start starts a node, or restarts it without its state.
 func (cluster *testCluster) start(name string) {
 	cluster.t.Helper()
 	cluster.starts++
@@ -81,7 +84,8 @@
 	cluster.updateCandidates()
 }
 
-// updateCandidates tells all who is there, as membership would after its time, but for those that are frozen.
+// updateCandidates tells every node which nodes are running. Frozen nodes count as dead, as they would in the
+// membership protocol after its detection time.
 func (cluster *testCluster) updateCandidates() {
 	var candidates []Candidate
 	for _, name := range cluster.names {
@@ -94,7 +98,7 @@
 	}
 }
 
-// run lets time go on in small steps.
+// run advances the simulated time in steps of 5 ms.
 func (cluster *testCluster) run(duration int64) {
 	const step = 5 * ms
 	for end := cluster.now + duration; cluster.now < end; cluster.now += step {
@@ -109,22 +113,23 @@
 	}
 }
 
-// deliver hands over the messages that have arrived; those to frozen nodes wait.
+// deliver delivers the messages that have arrived. Messages to frozen nodes are kept.
 func (cluster *testCluster) deliver() {
-	letters := cluster.inTransit
+	messages := cluster.inTransit
 	cluster.inTransit = nil
-	for _, letter := range letters {
-		node := cluster.nodes[letter.to]
+	for _, inFlight := range messages {
+		node := cluster.nodes[inFlight.to]
 		switch {
-		case letter.at > cluster.now || cluster.frozen[letter.to]:
-			cluster.inTransit = append(cluster.inTransit, letter)
+		case inFlight.at > cluster.now || cluster.frozen[inFlight.to]:
+			cluster.inTransit = append(cluster.inTransit, inFlight)
 		case node != nil:
-			node.Receive(cluster.clock(letter.to), letter.from, letter.message)
-			cluster.send(letter.to)
+			node.Receive(cluster.clock(inFlight.to), inFlight.from, inFlight.message)
+			cluster.send(inFlight.to)
 		}
 	}
 }
 
+// countOverlaps counts the slots that have more than one holder at this step.
 func (cluster *testCluster) countOverlaps() {
 	for slot := range clusterSlots {
 		holders := 0
@@ -139,7 +144,7 @@
 	}
 }
 
-// send carries out a node's effects.
+// send takes a node's effects and puts its messages in transit.
 func (cluster *testCluster) send(name string) {
 	for _, effect := range cluster.nodes[name].TakeEffects() {
 		if cluster.observe != nil {
@@ -154,19 +159,19 @@
 			if cluster.delay != nil {
 				delay = cluster.delay(name, effect.To)
 			}
-			cluster.inTransit = append(cluster.inTransit, letter{
+			cluster.inTransit = append(cluster.inTransit, inFlightMessage{
 				at: cluster.now + delay, from: cluster.nodes[name].config.Self, to: effect.To, message: effect.Message,
 			})
 		case Acquired:
-			if effect.Ballot <= cluster.highest[effect.Slot] {
-				cluster.ballotsBack++
+			if effect.Ballot <= cluster.highestBallots[effect.Slot] {
+				cluster.ballotRegressions++
 			}
-			cluster.highest[effect.Slot] = effect.Ballot
+			cluster.highestBallots[effect.Slot] = effect.Ballot
 		}
 	}
 }
 
-// holders gives the holder of each slot that has one.
+// holders returns the holder of each slot that has one.
 func (cluster *testCluster) holders() map[int]string {
 	holders := map[int]string{}
 	for name, node := range cluster.nodes {
@@ -179,7 +184,7 @@
 	return holders
 }
 
-// heldBy gives the slots that a node holds.
+// heldBy returns the slots that a node holds.
 func (cluster *testCluster) heldBy(name string) (slots []int) {
 	for slot, holder := range cluster.holders() {
 		if holder == name {
@@ -189,19 +194,19 @@
 	return slots
 }
 
-// checkAllHeld checks that each slot has a holder.
+// checkAllHeld checks that every slot has a holder.
 func (cluster *testCluster) checkAllHeld(when string) {
 	cluster.t.Helper()
 	if held := len(cluster.holders()); held != clusterSlots {
-		cluster.t.Errorf("%d of %d slots held %s", held, clusterSlots, when)
+		cluster.t.Errorf("%d of %d slots have a holder %s, want all", held, clusterSlots, when)
 	}
 }
 
-// checkSafety checks what must never happen.
+// checkSafety checks that no slot ever had two holders and that the ballots of each slot always grew.
 func (cluster *testCluster) checkSafety() {
 	cluster.t.Helper()
-	if cluster.overlaps != 0 || cluster.ballotsBack != 0 {
-		cluster.t.Errorf("%d moments with two holders, %d ballots that went back",
-			cluster.overlaps, cluster.ballotsBack)
+	if cluster.overlaps != 0 || cluster.ballotRegressions != 0 {
+		cluster.t.Errorf("%d times a slot had two holders, %d ballots did not grow, want none of either",
+			cluster.overlaps, cluster.ballotRegressions)
 	}
 }
--- a/internal/cluster/lease/config.go
+++ b/internal/cluster/lease/config.go
@@ -11,93 +11,93 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Limits of the configuration.
 const (
 	MaxSlots  = 4096
-	MaxVoters = 64 // of both sets together: they are held as the bits of a word
+	MaxVoters = 64 // names in both sets of voters: a holder keeps one bit per voter in a uint64
 
-	maxDrift         = 0.1
-	minRenewalsLease = 3 // renewals that a lease must outlast, so that two may be lost
+	maxAllowedDrift     = 0.1
+	minRenewalsPerLease = 3 // two renewals in a row may be lost without losing the lease
 )
 
-// Instance is one start of an instance.
+// Instance identifies one run of a router: each start has its own incarnation.
 type Instance struct {
 	Name        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
-// Voters are those whose quorum grants leases: a majority of Current and, unless it is empty, one of
-// Previous, the set of the epoch before. The two differ by one name at most.
+// Voters names the instances whose quorum grants leases. A quorum is a majority of Current and, unless Previous
+// is empty, also a majority of Previous, the voters of the epoch before. The two sets differ by at most one name.
 type Voters struct {
 	Epoch    uint64   `json:"Epoch"`
 	Current  []string `json:"Now"`
 	Previous []string `json:"Before"`
 }
 
-// Config is what a node starts with. Lengths of time are in ns.
+// Config is the configuration of a node. Durations are in nanoseconds.
 type Config struct {
 	Self          Instance
 	Slots         int
-	LeaseDuration int64   // for how long a voter counts a holder in
-	RenewInterval int64   // between two renewals by a holder
-	MaxClockDrift float64 // by which a clock's rate may be off, as a share
+	LeaseDuration int64   // how long a voter honors a lease after granting it
+	RenewInterval int64   // between two renewals of a lease by its holder
+	MaxClockDrift float64 // largest relative error of a clock's rate: 0.01 is 1%
 	Voters        Voters
-	Seed          uint64 // of the chance that spreads tries
+	Seed          uint64 // of the random numbers that spread attempts over time
 }
 
-// ConfigError is a setting that a node can't work with.
+// ConfigError reports an invalid setting.
 type ConfigError struct {
 	Setting string // "name", "slots", "renewal", "lease", "drift" or "voters"
 	Reason  string
 }
 
-// Error names the value and what is wrong with it.
+// Error returns the reason, which names the invalid value.
 func (err *ConfigError) Error() string { return err.Reason }
 
-// configError makes a ConfigError with a formatted reason.
+// configError returns a *ConfigError with a formatted reason.
 func configError(setting, format string, values ...any) error {
 	return &ConfigError{Setting: setting, Reason: fmt.Sprintf(format, values...)}
 }
 
-// Check returns a *ConfigError for the first setting that is wrong.
+// Check returns a *ConfigError for the first invalid setting.
 func (config Config) Check() error {
 	switch {
 	case config.Self.Name == "":
-		return configError("name", "the own name is empty")
+		return configError("name", "the name of this instance is empty")
 	case config.Slots < 1 || config.Slots > MaxSlots:
-		return configError("slots", "%d slots: 1 to %d can be", config.Slots, MaxSlots)
+		return configError("slots", "%d slots: must be from 1 to %d", config.Slots, MaxSlots)
 	case config.RenewInterval <= 0:
-		return configError("renewal", "the renewal interval is not above 0")
-	case config.LeaseDuration < minRenewalsLease*config.RenewInterval:
+		return configError("renewal", "a renewal interval of %d ns: must be above 0", config.RenewInterval)
+	case config.LeaseDuration < minRenewalsPerLease*config.RenewInterval:
 		return configError("lease", "a lease of %d ms is shorter than three renewals of %d ms",
 			timing.Milliseconds(config.LeaseDuration), timing.Milliseconds(config.RenewInterval))
-	case !(config.MaxClockDrift >= 0 && config.MaxClockDrift <= maxDrift): // also where it is not a number
-		return configError("drift", "a drift of %v: 0 to %v can be", config.MaxClockDrift, maxDrift)
+	case !(config.MaxClockDrift >= 0 && config.MaxClockDrift <= maxAllowedDrift): // the negation also rejects NaN
+		return configError("drift", "a drift of %v: must be from 0 to %v", config.MaxClockDrift, maxAllowedDrift)
 	}
 	return config.Voters.Check()
 }
 
-// Check returns a *ConfigError for the first thing that is wrong with a set of voters.
+// Check returns a *ConfigError for the first problem found in the voters.
 func (voters Voters) Check() error {
 	if len(voters.Current) == 0 {
-		return configError("voters", "no voters: a majority of none grants nothing")
+		return configError("voters", "no voters: at least one is needed")
 	}
-	marks := map[uint64]string{}
+	namesByID := map[uint64]string{}
 	for _, set := range [][]string{voters.Current, voters.Previous} {
-		if err := checkNames(set, marks); err != nil {
+		if err := checkNames(set, namesByID); err != nil {
 			return err
 		}
 	}
 	if len(voters.Previous) > 0 && countDifferent(voters.Current, voters.Previous) > 1 {
-		return configError("voters", "voters change by one at a time: now and before differ by more")
+		return configError("voters", "voters change by one at a time: %v and %v differ by more",
+			voters.Previous, voters.Current)
 	}
 	return nil
 }
 
-// checkNames checks one set of voters; marks has the names seen so far by their marks.
-func checkNames(set []string, marks map[uint64]string) error {
+// checkNames checks one set of voters. namesByID holds the names checked so far in both sets, by proposer ID.
+func checkNames(set []string, namesByID map[uint64]string) error {
 	if len(set) > MaxVoters/2 {
-		return configError("voters", "%d voters: %d at most", len(set), MaxVoters/2)
+		return configError("voters", "%d voters in one set: at most %d are allowed", len(set), MaxVoters/2)
 	}
 	seen := map[string]bool{}
 	for _, name := range set {
@@ -105,15 +105,16 @@
 			return configError("voters", "voter %s is named twice", name)
 		}
 		seen[name] = true
-		if other, taken := marks[nameMark(name)]; taken && other != name {
-			return configError("voters", "the names %s and %s give the same mark in numbers: rename one", name, other)
+		if other, taken := namesByID[proposerID(name)]; taken && other != name {
+			return configError("voters", "voters %s and %s have the same proposer ID %#x: rename one",
+				name, other, proposerID(name))
 		}
-		marks[nameMark(name)] = name
+		namesByID[proposerID(name)] = name
 	}
 	return nil
 }
 
-// countDifferent counts the names that are in one set only.
+// countDifferent counts the names that are in only one of two sets.
 func countDifferent(a, b []string) int {
 	count := 0
 	for _, pair := range [][2][]string{{a, b}, {b, a}} {
@@ -126,18 +127,18 @@
 	return count
 }
 
-// nameMark is the part of a ballot that is its proposer's.
-func nameMark(name string) uint64 { return paxos.Mark(xxhash.Sum64String(name)) }
+// proposerID returns the proposer ID that the ballots of the instance with this name carry.
+func proposerID(name string) uint64 { return paxos.ProposerID(xxhash.Sum64String(name)) }
 
-// HoldDuration is for how long a holder acts after it sent the renewal that a quorum accepted, by its own
-// clock, ns. It is shorter than the lease by so much that the lease of no voter ends before, whatever the two
-// clocks' rates are (docs/duties.md).
+// HoldDuration returns how long a holder may act after it sent a renewal that a quorum accepted, in ns of the
+// holder's clock. It is shorter than the lease, so that the holder stops before any voter's lease ends even if
+// the two clocks drift apart (docs/duties.md).
 func (config Config) HoldDuration() int64 {
 	return timing.HoldDuration(config.LeaseDuration, config.MaxClockDrift)
 }
 
-// RestartSilence is for how long a voter that started without memory grants nothing, by its own clock, ns:
-// the longest lease that it could have granted and forgotten.
+// RestartSilence returns how long a voter grants nothing after a start, in ns of the voter's clock. A lease that the
+// voter granted before the restart, and has no record of, can last at most that long.
 func (config Config) RestartSilence() int64 {
 	return int64(math.Ceil(timing.LongestLease(config.LeaseDuration, config.MaxClockDrift)))
 }
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -10,54 +10,57 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The checker explores what three nodes and one slot can come to: every order in which messages arrive, are
-// lost or come twice, nodes crash and start again, and time goes on, under clocks that are fast and slow by
-// the drift. Each node believes that it alone is alive, so that all always try. It looks for two holders at
-// one instant, and for ballots that do not grow. Lengths of time are short numbers of nanoseconds; the drift
-// is 10%, so that it shows in steps of a renewal.
+// The tests in this file explore the reachable states of three nodes and one slot. They try every order in which
+// messages arrive, are lost or are duplicated, nodes crash and restart, and time passes, on clocks that are fast
+// and slow by the maximum drift. Each node has only itself as a candidate, so all of them keep requesting the slot.
+// A state is a violation if the slot has two holders, or if it was acquired under a ballot that did not grow.
+// Durations are short numbers of nanoseconds. The drift is 10%, so that its effect over a lease exceeds a time
+// step, which is half a renewal interval.
 const (
 	exploreRenewal = int64(800)
 	exploreLease   = 3 * exploreRenewal
 	exploreDrift   = 0.1
-	maxInTransit   = 5 // messages under way; the oldest is lost
+	maxInTransit   = 5 // if there are more messages, the oldest are lost
 )
 
-// What the checker finds.
+// These are the results of explore.
 const (
-	foundNothing    = ""
-	foundTwoHolders = "two owners"
-	foundOldBallot  = "a number that did not grow"
+	foundNothing     = ""
+	foundTwoHolders  = "two holders of the slot at one instant"
+	foundStaleBallot = "the slot acquired under a ballot that did not grow"
 )
 
 var exploreNames = [3]string{"a", "b", "c"}
 
-// plantedFault is a fault that the checker must find, planted by what it does to a node's state.
+// plantedFault selects faults that are planted in the nodes to verify that the exploration finds them.
 type plantedFault struct {
-	grantAtOnce   bool // a voter that starts is not silent
-	forgetBallots bool // all forget the ballots that they know, and the wall clock stands
-	wallTime      bool // nodes go by a clock that may be set back
-	noDrift       bool // drift is not reckoned with
+	skipSilence   bool // a voter grants leases right after its start
+	forgetBallots bool // nodes forget all ballots, and the wall clock stays at 0
+	settableClock bool // the nodes' clock can be set back
+	ignoreDrift   bool // nodes are configured with a drift of 0
 }
 
-// exploreState is one state of all nodes, with what may still happen from it.
+// exploreState is one state of all nodes, with the number of events that may still follow.
 type exploreState struct {
-	fault     plantedFault
-	nodes     [3]*Node
-	startedAt [3]int64 // real time at which a clock read 0
-	setBack   [3]int64 // by which a clock was set back
-	now       int64
-	inTransit []letter
-	highest   uint64 // ballot under which the slot was held
-	starts    uint64
+	fault         plantedFault
+	nodes         [3]*Node
+	startedAt     [3]int64 // simulated time at which a node's clock read 0
+	setBack       [3]int64 // by how much a node's clock was set back
+	now           int64
+	inTransit     []inFlightMessage
+	highestBallot uint64 // highest ballot under which the slot was acquired
+	starts        uint64
 
-	crashes, copies, steps int // that may still happen
+	crashes, copies, steps int // how many crashes, duplicated messages and steps may still follow
 }
 
+// clock returns the time on the clock of node i.
 func (state *exploreState) clock(i int) int64 {
-	rate := []float64{1 - exploreDrift, 1 + exploreDrift, 1}[i] // a, the first holder, is slow; b, a voter, fast
+	rate := []float64{1 - exploreDrift, 1 + exploreDrift, 1}[i] // a, the first holder, is slow; b, a voter, is fast
 	return int64(float64(state.now-state.startedAt[i])*rate) - state.setBack[i]
 }
 
+// start starts or restarts node i.
 func (state *exploreState) start(i int) {
 	state.starts++
 	state.startedAt[i], state.setBack[i] = state.now, 0
@@ -66,21 +69,21 @@
 		LeaseDuration: exploreLease, RenewInterval: exploreRenewal, MaxClockDrift: exploreDrift,
 		Voters: Voters{Epoch: 1, Current: exploreNames[:]},
 	}
-	if state.fault.noDrift {
+	if state.fault.ignoreDrift {
 		config.MaxClockDrift = 0
 	}
 	node, err := New(0, config)
 	if err != nil {
-		panic(err) // the configuration is the line above
+		panic(err) // the configuration above is valid
 	}
-	if state.fault.grantAtOnce {
+	if state.fault.skipSilence {
 		node.grantsFrom = 0
 	}
 	node.SetCandidates(0, []Candidate{{exploreNames[i], 1}})
 	state.nodes[i] = node
 }
 
-// cloneNode returns a copy that shares nothing that changes.
+// cloneNode returns a copy of a node that shares no mutable state with it.
 func cloneNode(node *Node) *Node {
 	clone := *node
 	clone.grants, clone.holdings = slices.Clone(node.grants), slices.Clone(node.holdings)
@@ -92,6 +95,7 @@
 	return &clone
 }
 
+// clone returns a copy of the state that shares no mutable state with it.
 func (state *exploreState) clone() *exploreState {
 	clone := *state
 	for i, node := range state.nodes {
@@ -101,57 +105,59 @@
 	return &clone
 }
 
-// forget plants the fault that ballots are used again.
-func (state *exploreState) forget(i int) {
+// plantForgottenBallots makes node i forget all ballots if that fault is planted, so that it reuses ballots.
+func (state *exploreState) plantForgottenBallots(i int) {
 	if !state.fault.forgetBallots {
 		return
 	}
 	node := state.nodes[i]
-	node.highest, node.minBallot = 0, 0
+	node.highestBallot, node.promiseFloor = 0, 0
 	node.grants[0].promisedBallot, node.grants[0].ballot = 0, 0
 }
 
-// collect takes a node's effects; it reports whether a ballot did not grow.
-func (state *exploreState) collect(i int) (oldBallot bool) {
+// collect takes the effects of node i and reports whether it acquired the slot under a ballot that did not grow.
+func (state *exploreState) collect(i int) (staleBallot bool) {
 	for _, effect := range state.nodes[i].TakeEffects() {
 		switch effect := effect.(type) {
 		case Send:
-			// Of two alike the later one is enough; what is not delivered in the end is lost.
+			// A message that is never delivered is a lost one. Of two equal messages it is enough to deliver the later.
 			state.inTransit = append(state.inTransit,
-				letter{from: state.nodes[i].config.Self, to: effect.To, message: effect.Message})
+				inFlightMessage{from: state.nodes[i].config.Self, to: effect.To, message: effect.Message})
 		case Acquired:
-			oldBallot = oldBallot || effect.Ballot <= state.highest
-			state.highest = max(state.highest, effect.Ballot)
+			staleBallot = staleBallot || effect.Ballot <= state.highestBallot
+			state.highestBallot = max(state.highestBallot, effect.Ballot)
 		}
 	}
 	if len(state.inTransit) > maxInTransit {
 		state.inTransit = slices.Clone(state.inTransit[len(state.inTransit)-maxInTransit:])
 	}
-	return oldBallot
+	return staleBallot
 }
 
-func (state *exploreState) deliver(k int, keep bool) (oldBallot bool) {
+// deliver delivers message k in transit, and keeps a copy in transit if keep is set.
+func (state *exploreState) deliver(k int, keep bool) (staleBallot bool) {
 	delivered := state.inTransit[k]
 	if !keep {
 		state.inTransit = slices.Delete(slices.Clone(state.inTransit), k, k+1)
 	}
 	i := slices.Index(exploreNames[:], delivered.to)
-	state.forget(i)
+	state.plantForgottenBallots(i)
 	state.nodes[i].Receive(state.clock(i), delivered.from, delivered.message)
 	return state.collect(i)
 }
 
-// tick lets one node do what is due: nodes that do not are slow.
-func (state *exploreState) tick(i int) (oldBallot bool) {
+// tick calls Tick on node i. A node that is not ticked for a while behaves like a slow one.
+func (state *exploreState) tick(i int) (staleBallot bool) {
 	wallMS := state.now/exploreRenewal + 1
 	if state.fault.forgetBallots {
 		wallMS = 0
 	}
-	state.forget(i)
+	state.plantForgottenBallots(i)
 	state.nodes[i].Tick(state.clock(i), wallMS)
 	return state.collect(i)
 }
 
+// holders returns how many nodes hold the slot.
 func (state *exploreState) holders() (count int) {
 	for i, node := range state.nodes {
 		if _, _, ok := node.Holds(state.clock(i), 0); ok {
@@ -161,7 +167,7 @@
 	return count
 }
 
-// key is a hash of all that what comes next depends on.
+// key returns a hash of everything that the successors of the state depend on.
 func (state *exploreState) key() uint64 {
 	encoded := make([]byte, 0, 512)
 	put := func(values ...int64) {
@@ -169,21 +175,22 @@
 			encoded = binary.LittleEndian.AppendUint64(encoded, uint64(value))
 		}
 	}
-	put(state.now, int64(state.highest), int64(state.crashes), int64(state.copies))
+	put(state.now, int64(state.highestBallot), int64(state.crashes), int64(state.copies))
 	for i, node := range state.nodes {
 		put(state.startedAt[i], state.setBack[i])
-		put(node.tickAt, node.renewAt, int64(node.highest), int64(node.minBallot), int64(node.config.Self.Incarnation))
-		granted := node.grants[0]
-		put(int64(granted.promisedBallot), int64(granted.promisedTo.Incarnation))
-		put(int64(granted.holder.Incarnation), int64(granted.ballot), granted.until)
-		own := node.holdings[0]
-		put(int64(own.ballot), own.preparedAt, int64(own.promises), int64(own.rejections))
-		put(own.until, own.busyUntil, own.freeSince, own.tryAt)
-		put(own.acceptedSentAt...)
-		if own.held {
+		put(node.tickAt, node.renewAt, int64(node.highestBallot), int64(node.promiseFloor))
+		put(int64(node.config.Self.Incarnation))
+		grant := node.grants[0]
+		put(int64(grant.promisedBallot), int64(grant.promisedTo.Incarnation))
+		put(int64(grant.holder.Incarnation), int64(grant.ballot), grant.until)
+		holding := node.holdings[0]
+		put(int64(holding.ballot), holding.preparedAt, int64(holding.promises), int64(holding.rejections))
+		put(holding.until, holding.busyUntil, holding.freeSince, holding.attemptAt)
+		put(holding.acceptedSentAt...)
+		if holding.held {
 			put(-1)
 		}
-		if own.proposing {
+		if holding.proposing {
 			put(-2)
 		}
 	}
@@ -195,9 +202,9 @@
 	return xxhash.Sum64(encoded)
 }
 
-// firstHolder is the state in which the silence of all starts is over and a holds the slot with the votes of
-// itself and b, some time after that.
-func firstHolder(fault plantedFault, after int64, steps int) *exploreState {
+// stateAfterFirstGrant returns the state in which the restart silence of all nodes is over and a has acquired the
+// slot with the votes of a and b; after is the time in ns that has passed since.
+func stateAfterFirstGrant(fault plantedFault, after int64, steps int) *exploreState {
 	first := &exploreState{fault: fault, crashes: 1, copies: 1, steps: steps}
 	for i := range first.nodes {
 		first.start(i)
@@ -216,50 +223,50 @@
 	return first
 }
 
-// next returns the states that can follow, each by one thing that happens, and whether a ballot did not grow
-// in it.
-func (state *exploreState) next() (states []*exploreState, oldBallot []bool) {
-	try := func(happen func(*exploreState) (oldBallot bool)) {
+// next returns the states that can follow by one event and, for each, whether the slot was acquired in it under a
+// ballot that did not grow.
+func (state *exploreState) next() (states []*exploreState, staleBallot []bool) {
+	addState := func(event func(*exploreState) (staleBallot bool)) {
 		next := state.clone()
 		next.steps--
-		oldBallot = append(oldBallot, happen(next))
+		staleBallot = append(staleBallot, event(next))
 		states = append(states, next)
 	}
 	for i := range state.nodes {
 		if state.clock(i) >= state.nodes[i].tickAt {
-			try(func(next *exploreState) bool { return next.tick(i) })
+			addState(func(next *exploreState) bool { return next.tick(i) })
 		}
 		if state.crashes > 0 {
-			try(func(next *exploreState) bool { next.crashes--; next.start(i); return false })
+			addState(func(next *exploreState) bool { next.crashes--; next.start(i); return false })
 		}
-		if state.fault.wallTime && state.setBack[i] == 0 {
-			try(func(next *exploreState) bool { next.setBack[i] = 2 * exploreLease; return false })
+		if state.fault.settableClock && state.setBack[i] == 0 {
+			addState(func(next *exploreState) bool { next.setBack[i] = 2 * exploreLease; return false })
 		}
 	}
-	try(func(next *exploreState) bool { next.now += exploreRenewal / 2; return false })
+	addState(func(next *exploreState) bool { next.now += exploreRenewal / 2; return false })
 	for k := range state.inTransit {
-		try(func(next *exploreState) bool { return next.deliver(k, false) })
+		addState(func(next *exploreState) bool { return next.deliver(k, false) })
 		if state.copies > 0 {
-			try(func(next *exploreState) bool { next.copies--; return next.deliver(k, true) })
+			addState(func(next *exploreState) bool { next.copies--; return next.deliver(k, true) })
 		}
 	}
-	return states, oldBallot
+	return states, staleBallot
 }
 
-// explore looks at up to a number of states, depth first, each once for what may still happen from it. It
-// starts from a first holder, some time after the grant.
+// explore visits up to limit states, depth first, until it finds a violation. It starts from stateAfterFirstGrant
+// with the given number of steps, and visits a state again only if more steps are left than at earlier visits.
 func explore(fault plantedFault, after int64, steps, limit int) (states int, found string) {
-	first := firstHolder(fault, after, steps)
+	first := stateAfterFirstGrant(fault, after, steps)
 	if after == 0 && first.holders() != 1 {
-		return 0, "the first owner did not come to be"
+		return 0, "node a did not acquire the slot in the first state"
 	}
-	seen := map[uint64]int{} // the most steps that were left when a state was looked at
+	seen := map[uint64]int{} // by key, the most steps that were left at a visit of the state
 	stack := []*exploreState{first}
 	for len(stack) > 0 && states < limit {
 		state := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		key := state.key()
-		if steps, been := seen[key]; been && steps >= state.steps {
+		if steps, visited := seen[key]; visited && steps >= state.steps {
 			continue
 		}
 		seen[key] = state.steps
@@ -267,35 +274,37 @@
 		if state.steps == 0 {
 			continue
 		}
-		following, oldBallot := state.next()
-		for i, next := range following {
+		successors, staleBallot := state.next()
+		for i, next := range successors {
 			switch {
 			case next.holders() > 1:
 				return states, foundTwoHolders
-			case oldBallot[i]:
-				return states, foundOldBallot
+			case staleBallot[i]:
+				return states, foundStaleBallot
 			}
 		}
-		stack = append(stack, following...)
+		stack = append(stack, successors...)
 	}
 	return states, foundNothing
 }
 
-// exploreLimit is how many states are looked at; TEALPATH_EXPLORE asks for more.
-func exploreLimit(usual int) int {
+// exploreLimit returns how many states to visit: the value of the environment variable TEALPATH_EXPLORE or, if that
+// is not set, defaultLimit.
+func exploreLimit(defaultLimit int) int {
 	if limit, err := strconv.Atoi(os.Getenv("TEALPATH_EXPLORE")); err == nil && limit > 0 {
 		return limit
 	}
-	return usual
+	return defaultLimit
 }
 
-func TestExploreFindsNothing(t *testing.T) {
+func TestExploreFindsNoViolation(t *testing.T) {
 	for _, after := range []int64{0, exploreLease - exploreRenewal/2, exploreLease + exploreRenewal/2} {
 		for _, steps := range []int{8, 12} {
 			states, found := explore(plantedFault{}, after, steps, exploreLimit(60_000))
-			t.Logf("%d states to depth %d, from %d after the first grant", states, steps, after)
+			t.Logf("visited %d states to depth %d, starting %d ns after the first grant", states, steps, after)
 			if found != foundNothing {
-				t.Errorf("after %d states: %s", states, found)
+				t.Errorf("depth %d, starting %d ns after the first grant: found %s in %d states",
+					steps, after, found, states)
 			}
 		}
 	}
@@ -309,24 +318,24 @@
 		steps int
 		want  string
 	}{
-		{"a restarted voter that grants at once", plantedFault{grantAtOnce: true}, 0, 8, foundTwoHolders},
+		{"restarted voter without restart silence", plantedFault{skipSilence: true}, 0, 8, foundTwoHolders},
 		{
-			"an owner that goes by wall time",
-			plantedFault{wallTime: true},
+			"clock that is set back",
+			plantedFault{settableClock: true},
 			exploreLease - exploreRenewal/2, 8, foundTwoHolders,
 		},
 		{
-			"a clock that drifts more than is reckoned with",
-			plantedFault{noDrift: true},
+			"clocks that drift more than configured",
+			plantedFault{ignoreDrift: true},
 			exploreLease - exploreRenewal/2, 8, foundTwoHolders,
 		},
-		{"numbers used again", plantedFault{forgetBallots: true}, exploreLease + exploreRenewal/2, 10, foundOldBallot},
+		{"reused ballots", plantedFault{forgetBallots: true}, exploreLease + exploreRenewal/2, 10, foundStaleBallot},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			states, found := explore(test.fault, test.after, test.steps, 1_000_000)
-			t.Logf("%d states", states)
+			t.Logf("visited %d states", states)
 			if found != test.want {
-				t.Errorf("found %q, planted %q", found, test.want)
+				t.Errorf("explore found %q in %d states, want %q", found, states, test.want)
 			}
 		})
 	}
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -7,49 +7,50 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// Holds reports whether the node holds a slot's lease at this instant, under which ballot and until when. It is
-// to be asked immediately before each act under the lease, with the clock just read.
+// Holds reports whether the node holds a slot's lease at now, under which ballot and until when. The caller must
+// read the clock and call Holds immediately before each action under the lease.
 func (node *Node) Holds(now int64, slot int) (ballot uint64, until int64, ok bool) {
 	if slot < 0 || slot >= len(node.holdings) || !node.holdings[slot].held {
 		return 0, 0, false
 	}
-	own := &node.holdings[slot]
-	return own.ballot, own.until, now < own.until
+	holding := &node.holdings[slot]
+	return holding.ballot, holding.until, now < holding.until
 }
 
-// expire gives up the leases that have ended.
-func (node *Node) expire(now int64) {
+// expireLeases ends the leases that were not renewed in time.
+func (node *Node) expireLeases(now int64) {
 	for slot := range node.holdings {
-		own := &node.holdings[slot]
-		if !own.held || now < own.until {
+		holding := &node.holdings[slot]
+		if !holding.held || now < holding.until {
 			continue
 		}
 		reason := "no majority of the voters renewed it"
-		if now >= own.until+node.config.RenewInterval {
-			reason = fmt.Sprintf("this instance stood still for %d ms past its end", timing.Milliseconds(now-own.until))
+		if now >= holding.until+node.config.RenewInterval {
+			reason = fmt.Sprintf("this instance stood still for %d ms past its end",
+				timing.Milliseconds(now-holding.until))
 		}
-		node.lose(slot, reason)
-		node.release(slot, "")
-		own.busyUntil = now + node.random(node.config.RenewInterval)
+		node.loseLease(slot, reason)
+		node.releaseSlot(slot, "")
+		holding.busyUntil = now + node.random(node.config.RenewInterval)
 	}
 }
 
-// lose ends the own lease on a slot; from here on nothing is done under it.
-func (node *Node) lose(slot int, reason string) {
-	own := &node.holdings[slot]
-	own.held, own.freeSince = false, timing.Never
-	node.emit(Lost{Slot: slot, Ballot: own.ballot, Reason: reason})
+// loseLease ends this node's lease on a slot: Holds reports false from here on.
+func (node *Node) loseLease(slot int, reason string) {
+	holding := &node.holdings[slot]
+	holding.held, holding.freeSince = false, timing.Never
+	node.emit(Lost{Slot: slot, Ballot: holding.ballot, Reason: reason})
 }
 
-// release tells the voters that the own lease or attempt is over, and the successor that the slot is meant
-// for, if there is one. It is sent after the end, never before.
-func (node *Node) release(slot int, successor string) {
-	own := &node.holdings[slot]
-	if own.ballot == 0 {
+// releaseSlot tells the voters that this node's lease or attempt for a slot is over, and tells the successor, if
+// one is named, that it should acquire the slot. A held lease must be ended first, with loseLease.
+func (node *Node) releaseSlot(slot int, successor string) {
+	holding := &node.holdings[slot]
+	if holding.ballot == 0 {
 		return
 	}
-	ballot := own.ballot
-	own.ballot, own.proposing = 0, false
+	ballot := holding.ballot
+	holding.ballot, holding.proposing = 0, false
 	message := Message{
 		Kind: Release, Epoch: node.config.Voters.Epoch,
 		Items: []SlotBallot{{Slot: slot, Ballot: ballot, Holder: Instance{Name: successor}}},
@@ -60,25 +61,25 @@
 	}
 	for _, name := range receivers {
 		if name == node.config.Self.Name {
-			node.revoke(slot, node.config.Self, ballot)
+			node.revokeLease(slot, node.config.Self, ballot)
 			continue
 		}
 		node.emit(Send{To: name, Message: message})
 	}
 }
 
-// renew proposes again all that is held, and what has a quorum of promises.
-func (node *Node) renew(now int64) {
+// renewLeases proposes again all slots that this node holds or that a quorum has promised to it.
+func (node *Node) renewLeases(now int64) {
 	var items []SlotBallot
 	for slot := range node.holdings {
-		if own := &node.holdings[slot]; own.held || own.proposing {
-			items = append(items, SlotBallot{Slot: slot, Ballot: own.ballot})
+		if holding := &node.holdings[slot]; holding.held || holding.proposing {
+			items = append(items, SlotBallot{Slot: slot, Ballot: holding.ballot})
 		}
 	}
 	node.requestVotes(now, Propose, items)
 }
 
-// requestVotes sends a Prepare or Propose to all voters; the own vote is asked directly, after the others.
+// requestVotes sends a Prepare or Propose to all voters. If this node is a voter, it votes itself after that.
 func (node *Node) requestVotes(now int64, kind MessageKind, items []SlotBallot) {
 	if len(items) == 0 {
 		return
@@ -97,7 +98,7 @@
 	}
 }
 
-// receiveAnswer counts a voter's answer, and proposes what it gave a quorum of promises.
+// receiveAnswer counts a voter's answer, and proposes the slots for which it completes a quorum of promises.
 func (node *Node) receiveAnswer(now int64, name string, message Message) {
 	voter := slices.Index(node.voterNames, name)
 	if voter < 0 {
@@ -113,121 +114,122 @@
 			node.receiveReject(now, voter, message.SentAt, item)
 			continue
 		}
-		own := &node.holdings[item.Slot]
-		if own.ballot == 0 || own.ballot != item.Ballot || message.SentAt > now {
-			continue // an answer to what was given up
+		holding := &node.holdings[item.Slot]
+		if holding.ballot == 0 || holding.ballot != item.Ballot || message.SentAt > now {
+			continue // the answer belongs to an attempt that was abandoned
 		}
 		switch {
-		case message.Kind == Promise && !own.proposing && !own.held:
-			if node.receivePromise(voter, own) {
+		case message.Kind == Promise && !holding.proposing && !holding.held:
+			if node.receivePromise(voter, holding) {
 				promised = append(promised, item)
 			}
-		case message.Kind == Accept && (own.proposing || own.held):
+		case message.Kind == Accept && (holding.proposing || holding.held):
 			node.receiveAccept(now, voter, message.SentAt, item.Slot)
 		}
 	}
 	node.requestVotes(now, Propose, promised)
 }
 
-// receivePromise counts a promise; it reports whether it completed a quorum.
-func (node *Node) receivePromise(voter int, own *holding) (quorum bool) {
-	own.promises |= 1 << voter
-	own.proposing = node.isQuorum(func(voter int) bool { return own.promises&(1<<voter) != 0 })
-	return own.proposing
+// receivePromise counts a voter's promise and reports whether a quorum has now promised.
+func (node *Node) receivePromise(voter int, holding *slotHolding) (quorum bool) {
+	holding.promises |= 1 << voter
+	holding.proposing = node.isQuorum(func(voter int) bool { return holding.promises&(1<<voter) != 0 })
+	return holding.proposing
 }
 
 // receiveAccept counts a voter's acceptance of a proposal.
 func (node *Node) receiveAccept(now int64, voter int, sentAt int64, slot int) {
-	own := &node.holdings[slot]
-	own.acceptedSentAt[voter] = max(own.acceptedSentAt[voter], sentAt)
-	own.until = node.heldUntil(own)
-	if own.held || now >= own.until {
+	holding := &node.holdings[slot]
+	holding.acceptedSentAt[voter] = max(holding.acceptedSentAt[voter], sentAt)
+	holding.until = node.heldUntil(holding)
+	if holding.held || now >= holding.until {
 		return
 	}
-	own.held, own.proposing, own.since = true, false, now
-	node.emit(Acquired{Slot: slot, Ballot: own.ballot})
+	holding.held, holding.proposing, holding.since = true, false, now
+	node.emit(Acquired{Slot: slot, Ballot: holding.ballot})
 }
 
-// receiveReject notes who holds a slot, and gives up a try that can't have a quorum any more.
+// receiveReject records who holds a slot, and abandons an attempt that can no longer get a quorum.
 func (node *Node) receiveReject(now int64, voter int, sentAt int64, item SlotBallot) {
 	node.ObserveBallot(item.Ballot)
-	own := &node.holdings[item.Slot]
-	if own.held {
+	holding := &node.holdings[item.Slot]
+	if holding.held {
 		return
 	}
 	if item.Remaining > 0 {
-		node.noteHolder(now, own, item)
+		node.recordOtherHolder(now, holding, item)
 	}
-	if own.ballot == 0 || sentAt < own.preparedAt {
+	if holding.ballot == 0 || sentAt < holding.preparedAt {
 		return
 	}
-	own.rejections |= 1 << voter
-	if !node.isQuorum(func(voter int) bool { return own.rejections&(1<<voter) == 0 }) {
-		node.giveUp(now, item.Slot)
+	holding.rejections |= 1 << voter
+	if !node.isQuorum(func(voter int) bool { return holding.rejections&(1<<voter) == 0 }) {
+		node.abandonAttempt(now, item.Slot)
 	}
 }
 
-// noteHolder notes that somebody else holds a slot. A holder may release before its time or die, so it is
-// asked again each renewal; where it is the assigned one and alive, that is for others to see.
-func (node *Node) noteHolder(now int64, own *holding, item SlotBallot) {
+// recordOtherHolder records that another instance holds a slot, and delays the next attempt. That instance may
+// release the slot early or die, so the delay is at most one renewal interval. If the slot is assigned to that
+// instance, the delay lasts until its lease ends, because other instances notice if it releases or dies.
+func (node *Node) recordOtherHolder(now int64, holding *slotHolding, item SlotBallot) {
 	wait := min(item.Remaining, node.config.LeaseDuration)
 	if node.assigned == nil || node.assignedName(item.Slot) != item.Holder.Name {
 		wait = min(wait, node.config.RenewInterval)
 	}
-	own.otherHolder, own.otherBallot = item.Holder, item.Ballot
-	own.busyUntil = max(own.busyUntil, now+wait+node.random(node.config.RenewInterval/ticksPerRenewal))
+	holding.otherHolder, holding.otherBallot = item.Holder, item.Ballot
+	holding.busyUntil = max(holding.busyUntil, now+wait+node.random(node.config.RenewInterval/ticksPerRenewal))
 }
 
-// transfer gives held slots to those that they are assigned to, a few at a time: it stops first, and releases
-// then.
-func (node *Node) transfer(now int64) {
+// transferSlots hands slots that this node holds over to the candidates that they are assigned to, a few slots in
+// each renewal interval. For each slot it stops acting under the lease before it releases it.
+func (node *Node) transferSlots(now int64) {
 	steadyFor := steadyRenewals * node.config.RenewInterval
 	if node.assigned == nil || now-node.assignedAt < steadyFor {
 		return
 	}
 	for slot := range node.holdings {
-		if node.transferred > len(node.holdings)/transferShare {
+		if node.transferred > len(node.holdings)/transferDivisor {
 			return
 		}
-		own, successor := &node.holdings[slot], node.assignedName(slot)
-		if !own.held || successor == node.config.Self.Name {
+		holding, successor := &node.holdings[slot], node.assignedName(slot)
+		if !holding.held || successor == node.config.Self.Name {
 			continue
 		}
 		node.transferred++
-		node.lose(slot, "handed to "+successor)
-		node.release(slot, successor)
-		own.busyUntil = now + steadyFor // the successor has until then
+		node.loseLease(slot, "handed to "+successor)
+		node.releaseSlot(slot, successor)
+		holding.busyUntil = now + steadyFor // gives the successor time to acquire the slot
 	}
 }
 
-// Reacquire gives a slot up that is held under a ballot below one seen for what is done under it, and asks
-// for it anew. All of a quorum had restarted with wall clocks set back, and nobody takes what is done under
-// the lower ballot.
+// Reacquire releases a slot that this node holds under a ballot below one that was seen on an action under its
+// lease, and requests the slot again. This happens if all voters of a quorum restart with wall clocks that were
+// set back: the ballots then start lower, and other instances ignore actions under the lower ballot.
 func (node *Node) Reacquire(now int64, slot int, seen uint64) {
 	node.ObserveBallot(seen)
 	ballot, _, ok := node.Holds(now, slot)
-	if !ok || ballot >= seen || node.highest < seen {
+	if !ok || ballot >= seen || node.highestBallot < seen {
 		return
 	}
-	node.lose(slot, "a higher number was seen")
-	node.release(slot, "")
+	node.loseLease(slot, "a higher number was seen")
+	node.releaseSlot(slot, "")
 	node.holdings[slot].busyUntil = 0
-	node.findFree(now)
-	node.tryFree(now)
+	node.updateFreeSlots(now)
+	node.requestFreeSlots(now)
 }
 
-// ReleaseAll stops acting for all slots at once and hands them to successors; nothing is asked for from then on.
+// ReleaseAll releases all slots at once and names successors for them. The node requests no slots after that.
 func (node *Node) ReleaseAll(successors []Candidate) {
 	node.releasing = true
 	assigned := Assign(node.config.Slots, successors)
 	for slot := range node.holdings {
 		if node.holdings[slot].held {
-			node.lose(slot, "this instance leaves")
+			node.loseLease(slot, "this instance leaves")
 		}
 		successor := ""
 		if assigned != nil {
 			successor = successors[assigned[slot]].Name
 		}
-		node.release(slot, successor)
+		node.releaseSlot(slot, successor)
 	}
 }
--- a/internal/cluster/lease/node.go
+++ b/internal/cluster/lease/node.go
@@ -1,11 +1,12 @@
-// Package lease decides which instance holds the lease on which slot. Periodic tasks hash to slots, and only
-// the holder of a slot's lease does the slot's tasks. A quorum of voters grants leases, without a disk: it is
-// PaxosLease (Trencséni, Gazsó and Reinhardt, 2012) with one change. docs/duties.md has the protocol, the
-// proof and the bounds; package paxos says what a voter, a quorum, a ballot and an epoch are.
+// Package lease decides which instance holds the lease on each slot. Periodic tasks hash to slots, and only the
+// holder of a slot's lease runs the tasks of the slot. A quorum of voters grants the leases, and no state is kept
+// on disk. The protocol is PaxosLease (Trencséni, Gazsó and Reinhardt, 2012) with one change. docs/duties.md has
+// the protocol, the proof and the bounds; package paxos defines voter, quorum, ballot and epoch.
 //
-// A Node is one instance, which is a voter, a holder or both. Time, messages and chance come in, effects go
-// out: it does no input or output, reads no clock, starts no goroutine and is not safe for concurrent use.
-// Times are ns of one clock that never goes back; its rate may be off by the configured drift.
+// A Node is the state of one instance, which is a voter, a holder or both. The caller passes in time and
+// messages and carries out the effects that the node returns. A Node does no input or output, reads no clock,
+// starts no goroutine and is not safe for concurrent use. Instants are ns of one monotonic clock, whose rate may
+// be off by the configured drift.
 package lease
 
 import (
@@ -17,68 +18,68 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// grant is a voter's state of one slot.
-type grant struct {
+// slotGrant is the state of a voter for one slot: what it has promised and granted.
+type slotGrant struct {
 	promisedBallot uint64
 	promisedTo     Instance
 	promisedAt     int64
 
 	holder Instance
 	ballot uint64
-	until  int64 // when the lease ends, by the voter's clock
+	until  int64 // end of the lease by the voter's clock
 }
 
-// holding is a holder's state of one slot.
-type holding struct {
-	ballot     uint64 // 0: the slot is neither asked for nor held
-	preparedAt int64  // when it was asked for
-	promises   uint64 // bits of voters
-	rejections uint64 // bits of voters
-	proposing  bool   // a quorum has promised
-
-	acceptedSentAt []int64 // for each voter, when the latest proposal that it accepted was sent, or never
-	held           bool
-	since          int64
-	until          int64 // when the own lease ends, by the holder's clock
-
-	busyUntil   int64 // until then somebody else is taken to hold the slot
-	freeSince   int64 // from when it has looked free, or never
-	tryAt       int64 // when it is asked for, if it is free then
-	otherHolder Instance
-	otherBallot uint64
+// slotHolding is the state of a holder for one slot: its attempt to acquire the lease or the lease itself.
+type slotHolding struct {
+	ballot     uint64 // of the attempt or the lease; 0 if there is neither
+	preparedAt int64  // when Prepare was sent
+	promises   uint64 // one bit for each voter that promised the ballot
+	rejections uint64 // one bit for each voter that rejected the ballot
+	proposing  bool   // a quorum has promised the ballot
+
+	acceptedSentAt []int64 // for each voter, when the latest proposal that it accepted was sent, or timing.Never
+	held           bool    // this node acquired the lease and has not lost it
+	since          int64   // when it was acquired
+	until          int64   // end of the lease by the holder's clock
+
+	busyUntil   int64    // until then the slot is not considered free
+	freeSince   int64    // since when the slot has been considered free, or timing.Never
+	attemptAt   int64    // earliest next attempt to acquire the slot
+	otherHolder Instance // holder named by the last Reject
+	otherBallot uint64   // ballot named by the last Reject
 }
 
-// Node is one instance.
+// Node is the lease state of one instance.
 type Node struct {
-	config     Config
-	grantsFrom int64  // before this the voter is silent, as it may have granted before its start
-	minBallot  uint64 // highest ballot known when the silence ended; 0: it has not ended
-	highest    uint64 // highest ballot known
-	wallMS     int64  // ms since 1970, at the last tick
+	config        Config
+	grantsFrom    int64  // end of the restart silence; until then this node grants nothing as a voter
+	promiseFloor  uint64 // highest ballot known when the restart silence ended; 0 if it has not ended
+	highestBallot uint64 // highest ballot known
+	wallMS        int64  // wall clock at the last tick, ms since 1970
 
 	voterNames     []string
-	voterSets      [][]int  // indexes in voterNames; a quorum has a majority of each set
-	voterEpochs    []uint64 // at which a voter last was
-	voterHeardAt   []int64  // when a voter last answered, or never
-	epochSettledAt int64    // since when a quorum has been at the own epoch, or never
+	voterSets      [][]int  // indexes into voterNames; a quorum has a majority of each set
+	voterEpochs    []uint64 // latest epoch known of each voter
+	voterHeardAt   []int64  // when each voter last answered, or timing.Never
+	epochSettledAt int64    // since when a quorum has been at this node's epoch, or timing.Never
 
-	grants   []grant
-	holdings []holding
+	grants   []slotGrant
+	holdings []slotHolding
 
 	candidates []Candidate
-	assigned   []int // the candidate that is to hold each slot, as an index; nil without candidates
+	assigned   []int // for each slot an index into candidates; nil without candidates
 	assignedAt int64
 
 	renewAt     int64
 	tickAt      int64
-	transferred int // slots, since the last renewal
-	releasing   bool
+	transferred int  // number of slots transferred since the last renewal
+	releasing   bool // ReleaseAll was called
 
 	rng     rand.PCG
 	effects []Effect
 }
 
-// New makes a node that knows nothing. It returns a *ConfigError for a faulty configuration.
+// New returns a node that has just started at now. It returns a *ConfigError for an invalid configuration.
 func New(now int64, config Config) (*Node, error) {
 	if err := config.Check(); err != nil {
 		return nil, err
@@ -89,8 +90,8 @@
 		epochSettledAt: timing.Never,
 		tickAt:         now,
 		renewAt:        now + config.RenewInterval,
-		grants:         make([]grant, config.Slots),
-		holdings:       make([]holding, config.Slots),
+		grants:         make([]slotGrant, config.Slots),
+		holdings:       make([]slotHolding, config.Slots),
 		rng:            *rand.NewPCG(config.Seed, config.Self.Incarnation),
 	}
 	node.enterEpoch(config.Voters)
@@ -100,8 +101,8 @@
 	return node, nil
 }
 
-// Receive takes a message from another instance. Votes must be passed on only from names under which one
-// instance runs.
+// Receive handles a message from another instance. The caller must drop votes that come from a name under which
+// more than one instance runs.
 func (node *Node) Receive(now int64, from Instance, message Message) {
 	switch message.Kind {
 	case Prepare, Propose:
@@ -115,7 +116,7 @@
 	}
 }
 
-// Tick does what is due. wallMS is the wall clock, ms since 1970; it only lifts ballots.
+// Tick does the work that is due. wallMS is the wall clock, ms since 1970; it only raises ballots.
 func (node *Node) Tick(now, wallMS int64) {
 	node.wallMS = wallMS
 	if now < node.tickAt {
@@ -124,25 +125,26 @@
 	node.tickAt = NextTick(now, node.config.Self.Name, node.config.RenewInterval/ticksPerRenewal)
 	node.endSilence(now)
 	node.settleEpoch(now)
-	node.expire(now)
+	node.expireLeases(now)
 	if now >= node.renewAt {
 		node.renewAt = NextTick(now, node.config.Self.Name, node.config.RenewInterval)
 		node.transferred = 0
-		node.renew(now)
+		node.renewLeases(now)
 	}
-	node.transfer(now)
-	node.findFree(now)
-	node.tryFree(now)
+	node.transferSlots(now)
+	node.updateFreeSlots(now)
+	node.requestFreeSlots(now)
 }
 
-// Next is when Tick has something to do.
+// Next returns when Tick next has work to do.
 func (node *Node) Next() int64 { return node.tickAt }
 
-// NextTick returns the next instant on an instance's own grid of an interval. Everything that is due on
-// one grid is done at once, so that messages to one instance are combined into one write.
+// NextTick returns the next multiple of an interval, shifted by an offset that depends on the instance's name.
+// Work with the same interval is therefore due at the same time, and its messages to one instance are combined
+// into one write.
 func NextTick(now int64, name string, interval int64) int64 {
-	// Grids are shifted by the name, or instances that share a clock would all act at once.
-	shift := int64(nameMark(name)) * int64(time.Millisecond) % interval
+	// Without the offset, instances that share a clock would all act at once.
+	shift := int64(proposerID(name)) * int64(time.Millisecond) % interval
 	return now + interval - (now+shift)%interval
 }
 
@@ -153,9 +155,10 @@
 	return effects
 }
 
+// emit adds an effect to those that TakeEffects returns.
 func (node *Node) emit(effect Effect) { node.effects = append(node.effects, effect) }
 
-// SetCandidates takes the instances believed alive, the own one among them, sorted by name.
+// SetCandidates sets the instances that are considered alive, including this one, sorted by name.
 func (node *Node) SetCandidates(now int64, candidates []Candidate) {
 	if slices.Equal(candidates, node.candidates) {
 		return
@@ -163,31 +166,32 @@
 	node.candidates = candidates
 	node.assigned = Assign(node.config.Slots, candidates)
 	node.assignedAt = now
-	// The ranking has changed: an attempt that waits for its turn may come earlier, but not later than before.
+	// The ranking has changed: an attempt that is waiting may be made earlier, but not later.
 	for slot := range node.holdings {
-		if own := &node.holdings[slot]; timing.Happened(own.freeSince) && own.ballot == 0 {
-			own.tryAt = min(own.tryAt, now+node.turnDelay(slot))
+		if holding := &node.holdings[slot]; timing.Happened(holding.freeSince) && holding.ballot == 0 {
+			holding.attemptAt = min(holding.attemptAt, now+node.turnDelay(slot))
 		}
 	}
 }
 
-// ObserveBallot raises the highest ballot known to what somebody else knows.
+// ObserveBallot raises the highest ballot known to one that another instance knows. A ballot whose counter is too
+// far ahead of the wall clock is ignored (see paxos.MaxWallAheadMS).
 func (node *Node) ObserveBallot(ballot uint64) {
 	maxCounter := uint64(max(node.wallMS, 0)) + paxos.MaxWallAheadMS
 	if node.wallMS == 0 || paxos.Counter(ballot) < maxCounter {
-		node.highest = max(node.highest, ballot)
+		node.highestBallot = max(node.highestBallot, ballot)
 	}
 }
 
-// HighestBallot is the highest ballot known.
-func (node *Node) HighestBallot() uint64 { return node.highest }
+// HighestBallot returns the highest ballot known.
+func (node *Node) HighestBallot() uint64 { return node.highestBallot }
 
-// nextBallot is above all ballots known, and not behind the wall clock.
+// nextBallot returns a ballot that is above all known ballots and not behind the wall clock.
 func (node *Node) nextBallot() uint64 {
-	return paxos.NextBallot(node.highest, node.wallMS, nameMark(node.config.Self.Name))
+	return paxos.NextBallot(node.highestBallot, node.wallMS, proposerID(node.config.Self.Name))
 }
 
-// random draws from 0 up to below a limit.
+// random returns a random number from 0 to below limit.
 func (node *Node) random(limit int64) int64 {
 	return int64(node.rng.Uint64() % uint64(max(limit, 1)))
 }
--- a/internal/cluster/lease/node_test.go
+++ b/internal/cluster/lease/node_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-func TestStartTakesAllSlotsOnceTheSilenceIsOver(t *testing.T) {
+func TestNodesAcquireAllSlotsAfterRestartSilence(t *testing.T) {
 	for _, count := range []int{1, 3, 5} {
 		cluster := newCluster(t, count)
 		cluster.run(cluster.leaseDuration)
 		if got := len(cluster.holders()); got != 0 {
-			t.Errorf("%d instances: %d slots held within the silence of a start", count, got)
+			t.Errorf("%d instances: %d slots have a holder during the restart silence, want 0", count, got)
 		}
 		cluster.run(cluster.leaseDuration)
 		cluster.checkAllHeld(fmt.Sprintf("with %d instances", count))
 		for _, name := range cluster.names {
 			if held, fair := len(cluster.heldBy(name)), clusterSlots/count; held < fair-1 || held > fair+1 {
-				t.Errorf("%d instances: %s holds %d slots", count, name, held)
+				t.Errorf("%d instances: %s holds %d slots, want within 1 of %d", count, name, held, fair)
 			}
 		}
 		cluster.checkSafety()
@@ -36,13 +36,14 @@
 		holders := cluster.holders()
 		for _, slot := range lost {
 			if holders[slot] == "" {
-				t.Errorf("round %d: slot %d has no holder %d ms after the death", round, slot, (cluster.now-at)/ms)
+				t.Errorf("round %d: slot %d has no holder %d ms after %s was killed",
+					round, slot, (cluster.now-at)/ms, victim)
 			}
 		}
 		cluster.start(victim)
 		cluster.run(4 * cluster.leaseDuration)
 		if got := len(cluster.heldBy(victim)); got < 2 || got > 4 {
-			t.Errorf("round %d: %s has %d slots after its return", round, victim, got)
+			t.Errorf("round %d: %s holds %d slots after its restart, want 2 to 4", round, victim, got)
 		}
 	}
 	cluster.checkSafety()
@@ -53,23 +54,23 @@
 	cluster.run(4 * cluster.leaseDuration)
 	cluster.nodes["n1"].ReleaseAll([]Candidate{{"n0", 1}, {"n2", 1}})
 	cluster.send("n1")
-	cluster.frozen["n1"] = true // no longer a member
+	cluster.frozen["n1"] = true // counts as dead, so it is not among the candidates
 	cluster.updateCandidates()
 	cluster.frozen["n1"] = false
 	cluster.run(cluster.leaseDuration / 3)
 	if got := len(cluster.heldBy("n0")) + len(cluster.heldBy("n2")); got != clusterSlots {
-		t.Errorf("%d of 16 slots are held by those who stay, one renewal after the leave", got)
+		t.Errorf("the remaining nodes hold %d of 16 slots one renewal interval after ReleaseAll, want all", got)
 	}
 	cluster.checkSafety()
 }
 
-// Splits in which the old holders live on in the minority and believe that they hold.
-func TestOnlyTheSideWithAMajorityHolds(t *testing.T) {
+// After a network partition, holders in a minority must lose their leases before the majority acquires the slots.
+func TestOnlyThePartitionWithAMajorityHolds(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		count int
 		side  map[string]int
-		acts  int // the side that has a majority; -1 none
+		acts  int // the side that has a majority of the voters, or -1
 	}{
 		{"2|3", 5, map[string]int{"n0": 0, "n1": 0, "n2": 1, "n3": 1, "n4": 1}, 1},
 		{"1|1|3", 5, map[string]int{"n0": 0, "n1": 2, "n2": 1, "n3": 1, "n4": 1}, 1},
@@ -79,7 +80,7 @@
 			cluster := newCluster(t, test.count)
 			cluster.run(4 * cluster.leaseDuration)
 			cluster.cut = func(from, to string) bool { return test.side[from] != test.side[to] }
-			for name, node := range cluster.nodes { // each sees its own side only
+			for name, node := range cluster.nodes { // each node sees only the nodes on its side
 				var side []Candidate
 				for _, other := range cluster.names {
 					if test.side[other] == test.side[name] {
@@ -92,31 +93,31 @@
 			holders := cluster.holders()
 			for slot, holder := range holders {
 				if test.side[holder] != test.acts {
-					t.Errorf("slot %d is held by %s, on a side without a majority", slot, holder)
+					t.Errorf("slot %d is held by %s on side %d, which has no majority", slot, holder, test.side[holder])
 				}
 			}
 			if test.acts >= 0 && len(holders) != clusterSlots {
-				t.Errorf("%d of 16 slots held with a majority", len(holders))
+				t.Errorf("the side with a majority holds %d of 16 slots, want all", len(holders))
 			}
 			if minority := cluster.nodes["n0"]; minority.HasQuorum(cluster.clock("n0")) {
-				t.Error("the minority does not see that it is one")
+				t.Error("HasQuorum is true on n0, which is on a side without a majority")
 			}
 			cluster.cut = nil
 			cluster.updateCandidates()
 			cluster.run(4 * cluster.leaseDuration)
-			cluster.checkAllHeld("after the split")
+			cluster.checkAllHeld("after the partition has healed")
 			cluster.checkSafety()
 		})
 	}
 }
 
-func TestHolderThatHearsNothingLosesItsLeases(t *testing.T) {
+func TestHolderThatReceivesNothingLosesItsLeases(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.run(4 * cluster.leaseDuration)
-	cluster.cut = func(from, to string) bool { return to == "n0" } // it sends but hears nothing
+	cluster.cut = func(from, to string) bool { return to == "n0" } // n0 sends but receives nothing
 	cluster.run(3 * cluster.leaseDuration)
 	if got := cluster.heldBy("n0"); len(got) != 0 {
-		t.Errorf("one that hears nothing holds %v", got)
+		t.Errorf("n0, which receives nothing, holds slots %v, want none", got)
 	}
 	cluster.checkSafety()
 }
@@ -133,11 +134,11 @@
 	cluster.run(6 * cluster.leaseDuration)
 	cluster.delay = nil
 	cluster.run(4 * cluster.leaseDuration)
-	cluster.checkAllHeld("once links are quick again")
+	cluster.checkAllHeld("after the delay has ended")
 	cluster.checkSafety()
 }
 
-func TestFrozenHolderHoldsNothingWhenItWakes(t *testing.T) {
+func TestPausedHolderHoldsNothingWhenItResumes(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.run(4 * cluster.leaseDuration)
 	before := cluster.heldBy("n0")
@@ -146,7 +147,7 @@
 	node := cluster.nodes["n0"]
 	for _, slot := range before {
 		if _, until, ok := node.Holds(cluster.clock("n0"), slot); ok {
-			t.Errorf("slot %d is held at the first look after the freeze, until %d at %d",
+			t.Errorf("slot %d is held when n0 resumes: its lease ends at %d ns, its clock reads %d ns",
 				slot, until, cluster.clock("n0"))
 		}
 	}
@@ -157,7 +158,8 @@
 	cluster.checkSafety()
 }
 
-// A majority restarts one after another within a lease: what they granted is forgotten, and nobody grants on.
+// A majority of the voters restarts, one after another within a lease. They no longer know what they granted, so
+// they must not grant a lease to a second holder.
 func TestMajorityThatRestartsWithinALeaseIsSafe(t *testing.T) {
 	cluster := newCluster(t, 5)
 	cluster.run(4 * cluster.leaseDuration)
@@ -173,7 +175,7 @@
 func TestWallClocksSetBackAreSafe(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.run(4 * cluster.leaseDuration)
-	cluster.wallMS -= 3600e3 // also of those that go on: ballots grow from what is remembered
+	cluster.wallMS -= 3600e3 // also for nodes that keep running: their ballots still grow
 	cluster.start("n1")
 	cluster.run(4 * cluster.leaseDuration)
 	cluster.wallMS += 7200e3
@@ -195,15 +197,15 @@
 		node.enterEpoch(old)
 	}
 	cluster.run(4 * cluster.leaseDuration)
-	for _, bad := range []Voters{
+	for _, invalid := range []Voters{
 		{Epoch: 3, Current: next.Current, Previous: next.Previous},
 		{Epoch: 2, Current: next.Current, Previous: next.Current},
 		{Epoch: 2, Current: []string{"n0", "n4", "n5"}, Previous: old.Current},
 	} {
-		var wrong *ConfigError
-		err := cluster.nodes["n0"].UpdateVoters(cluster.clock("n0"), bad)
-		if !errors.As(err, &wrong) || wrong.Setting != "voters" {
-			t.Errorf("%+v: error %v", bad, err)
+		var configError *ConfigError
+		err := cluster.nodes["n0"].UpdateVoters(cluster.clock("n0"), invalid)
+		if !errors.As(err, &configError) || configError.Setting != "voters" {
+			t.Errorf("UpdateVoters(%+v) = %v, want a *ConfigError for voters", invalid, err)
 		}
 	}
 	for _, name := range cluster.names {
@@ -216,7 +218,7 @@
 	var unsettled *EpochUnsettledError
 	err := cluster.nodes["n0"].UpdateVoters(cluster.clock("n0"), third)
 	if !errors.As(err, &unsettled) || unsettled.Epoch != 2 {
-		t.Errorf("a second step before the first is settled: error %v", err)
+		t.Errorf("UpdateVoters before epoch 2 is settled: error %v, want *EpochUnsettledError for epoch 2", err)
 	}
 	cluster.run(4 * cluster.leaseDuration)
 	for _, name := range cluster.names {
--- a/internal/cluster/lease/quorum.go
+++ b/internal/cluster/lease/quorum.go
@@ -9,20 +9,21 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// EpochUnsettledError is a set of voters that can't be taken yet: a quorum must have been at the present
-// epoch for the silence of a restart, so that all that was granted at the epoch before has ended.
+// EpochUnsettledError reports that the next voters can't take effect yet. First a quorum must have been at the
+// current epoch for the duration of a restart silence, so that all leases granted at the epoch before have ended.
 type EpochUnsettledError struct {
-	Epoch    uint64
-	SettleMS int64
+	Epoch    uint64 // the current epoch
+	SettleMS int64  // how long a quorum must have been at Epoch, ms
 }
 
-// Error names the epoch and the time.
+// Error names the epoch and the required time.
 func (err *EpochUnsettledError) Error() string {
-	return fmt.Sprintf("a majority must have been at epoch %d for %d ms first", err.Epoch, err.SettleMS)
+	return fmt.Sprintf("a majority must have been at epoch %d for %d ms before the voters can change",
+		err.Epoch, err.SettleMS)
 }
 
-// UpdateVoters takes the next set of voters, one epoch on. It returns an *EpochUnsettledError where that has
-// to wait, and a *ConfigError where the set can't follow the present one.
+// UpdateVoters replaces the voters by those of the next epoch. It returns an *EpochUnsettledError if that is not
+// possible yet, and a *ConfigError if the new voters can't follow the current ones.
 func (node *Node) UpdateVoters(now int64, voters Voters) error {
 	present := node.config.Voters
 	if err := voters.Check(); err != nil {
@@ -33,9 +34,11 @@
 		slices.Equal(voters.Previous, present.Previous):
 		return nil
 	case voters.Epoch != present.Epoch+1:
-		return configError("voters", "voters of epoch %d can't follow those of epoch %d", voters.Epoch, present.Epoch)
+		return configError("voters", "voters of epoch %d can't follow those of epoch %d: the next epoch must be %d",
+			voters.Epoch, present.Epoch, present.Epoch+1)
 	case countDifferent(voters.Previous, present.Current) > 0:
-		return configError("voters", "voters of epoch %d name others before them than are in force", voters.Epoch)
+		return configError("voters", "voters of epoch %d name the previous voters %v, but those in force are %v",
+			voters.Epoch, voters.Previous, present.Current)
 	case !timing.Happened(node.epochSettledAt) || now-node.epochSettledAt < node.config.RestartSilence():
 		return &EpochUnsettledError{Epoch: present.Epoch, SettleMS: timing.Milliseconds(node.config.RestartSilence())}
 	}
@@ -43,24 +46,24 @@
 	return nil
 }
 
-// enterEpoch puts a set of voters into force. Acceptances of voters of another epoch do not count any
-// more.
+// enterEpoch puts voters into force. Leases and attempts of the previous epoch end, since acceptances by the
+// previous voters no longer count.
 func (node *Node) enterEpoch(voters Voters) {
 	node.config.Voters = voters
 	node.epochSettledAt = timing.Never
 	node.indexVoters(voters)
 	for slot := range node.holdings {
-		own := &node.holdings[slot]
-		if own.held {
-			node.lose(slot, "the voters have changed")
-			node.release(slot, "")
+		holding := &node.holdings[slot]
+		if holding.held {
+			node.loseLease(slot, "the voters have changed")
+			node.releaseSlot(slot, "")
 		}
-		own.ballot = 0
-		own.acceptedSentAt = make([]int64, len(node.voterNames))
+		holding.ballot = 0
+		holding.acceptedSentAt = make([]int64, len(node.voterNames))
 	}
 }
 
-// indexVoters gives each voter of either set an index.
+// indexVoters gives each voter of both sets an index and resets what is known of the voters.
 func (node *Node) indexVoters(voters Voters) {
 	node.voterNames, node.voterSets = nil, nil
 	for _, set := range [][]string{voters.Current, voters.Previous} {
@@ -85,14 +88,14 @@
 	}
 }
 
-// ObserveEpoch notes at which epoch an instance is.
+// ObserveEpoch records the epoch that an instance is at.
 func (node *Node) ObserveEpoch(name string, epoch uint64) {
 	if voter := slices.Index(node.voterNames, name); voter >= 0 {
 		node.voterEpochs[voter] = epoch
 	}
 }
 
-// settleEpoch notes since when a quorum has been at the own epoch.
+// settleEpoch records since when a quorum has been at this node's epoch or a later one.
 func (node *Node) settleEpoch(now int64) {
 	epoch := node.config.Voters.Epoch
 	settled := node.isQuorum(func(voter int) bool {
@@ -109,7 +112,7 @@
 // isSelf reports whether a voter is this instance.
 func (node *Node) isSelf(voter int) bool { return node.voterNames[voter] == node.config.Self.Name }
 
-// isQuorum reports whether the voters that count are a majority of every set.
+// isQuorum reports whether the voters for which counts returns true are a majority of every set.
 func (node *Node) isQuorum(counts func(voter int) bool) bool {
 	for _, set := range node.voterSets {
 		count := 0
@@ -125,15 +128,15 @@
 	return true
 }
 
-// heldUntil is when the own lease on a slot ends, or 0 if no quorum has accepted it. What counts is the
-// latest sending that a majority of every set accepted, or a later one.
-func (node *Node) heldUntil(own *holding) int64 {
+// heldUntil returns when this node's lease on a slot ends, or 0 if no quorum has accepted it. The lease counts from
+// the latest send time for which a majority of every set accepted a proposal sent at that time or later.
+func (node *Node) heldUntil(holding *slotHolding) int64 {
 	sentAt := int64(math.MaxInt64)
 	for _, set := range node.voterSets {
 		var accepted []int64
 		for _, voter := range set {
-			if timing.Happened(own.acceptedSentAt[voter]) {
-				accepted = append(accepted, own.acceptedSentAt[voter])
+			if timing.Happened(holding.acceptedSentAt[voter]) {
+				accepted = append(accepted, holding.acceptedSentAt[voter])
 			}
 		}
 		latest, ok := paxos.LatestMajority(accepted, len(set))
@@ -145,7 +148,8 @@
 	return sentAt + node.config.HoldDuration()
 }
 
-// HasQuorum reports whether a quorum of the voters, the own vote included, answered within the last lease.
+// HasQuorum reports whether a quorum of the voters answered within the last lease duration. This node counts as
+// having answered if it is a voter.
 func (node *Node) HasQuorum(now int64) bool {
 	return node.isQuorum(func(voter int) bool {
 		heardAt := node.voterHeardAt[voter]
@@ -153,5 +157,5 @@
 	})
 }
 
-// Voters is the set in force.
+// Voters returns the voters in force.
 func (node *Node) Voters() Voters { return node.config.Voters }
--- a/internal/cluster/lease/record_test.go
+++ b/internal/cluster/lease/record_test.go
@@ -8,11 +8,11 @@
 	"tealpath/internal/cluster/recordtest"
 )
 
-// recordedDigest is the SHA-256 of all effects in TestRecordedSequence, in order.
+// recordedDigest is the SHA-256 of the lines that TestRecordedSequence records, in order.
 const recordedDigest = "09924d42b89985d2fa434a0478665214bc9d3a82306136db96d52b03ca54b511"
 
-// TestRecordedSequence plays 300 s of five nodes with drawn faults. Each effect goes into one digest, so that
-// a rewrite that changes any of them, or their order, is found.
+// TestRecordedSequence simulates 300 s of five nodes with random faults. Each effect goes into one digest, so that
+// the test detects a refactoring that changes any effect or the order of the effects.
 func TestRecordedSequence(t *testing.T) {
 	const nodes, rounds = 5, 100
 	cluster := newCluster(t, nodes)
@@ -21,9 +21,9 @@
 	cluster.observe = func(name string, effect Effect) { record("%d %s %T %v", cluster.now, name, effect, effect) }
 	faults := rand.New(rand.NewPCG(48, nodes))
 	for range rounds {
-		cluster.drawFault(faults)
+		cluster.injectRandomFault(faults)
 		cluster.run(2 * cluster.leaseDuration)
-		clear(cluster.frozen) // messages to a frozen node pile up, and each step looks at all of them
+		clear(cluster.frozen) // bounds the messages to frozen nodes, all of which are scanned in each step
 		cluster.updateCandidates()
 		for _, name := range cluster.names {
 			if node := cluster.nodes[name]; node != nil {
@@ -37,8 +37,8 @@
 	recorder.Check(recordedDigest)
 }
 
-// drawFault begins or ends a drawn fault, or does nothing.
-func (cluster *testCluster) drawFault(faults *rand.Rand) {
+// injectRandomFault starts or ends a random fault, or does nothing.
+func (cluster *testCluster) injectRandomFault(faults *rand.Rand) {
 	name := cluster.names[faults.IntN(len(cluster.names))]
 	other := cluster.names[faults.IntN(len(cluster.names))]
 	slot := faults.IntN(clusterSlots)
@@ -69,7 +69,7 @@
 		cluster.delay = nil
 	case 10:
 		if node := cluster.nodes[name]; node != nil {
-			node.Reacquire(cluster.clock(name), slot, node.HighestBallot()+1<<paxos.MarkBits)
+			node.Reacquire(cluster.clock(name), slot, node.HighestBallot()+1<<paxos.ProposerIDBits)
 			cluster.send(name)
 		}
 	case 11:
--- a/internal/cluster/lease/status.go
+++ b/internal/cluster/lease/status.go
@@ -6,20 +6,20 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// SlotStatus is what a node knows of one slot, for people.
+// SlotStatus is the lease state of one slot as a node reports it to operators.
 type SlotStatus struct {
 	Slot    int    `json:"slot"`
 	Own     bool   `json:"own"`
 	Holder  string `json:"holder,omitempty"`
 	Ballot  uint64 `json:"number,omitempty"`
-	Planned string `json:"planned,omitempty"` // the candidate that it is assigned to
-	Since   int64  `json:"-"`                 // when it was acquired, if own
-	Until   int64  `json:"-"`
-	Reason  string `json:"why,omitempty"` // why nobody holds it
+	Planned string `json:"planned,omitempty"` // the candidate that the slot is assigned to
+	Since   int64  `json:"-"`                 // when this node acquired the lease; 0 if it does not hold it
+	Until   int64  `json:"-"`                 // when the lease ends; 0 if that is not known
+	Reason  string `json:"why,omitempty"`     // why no holder is known
 }
 
-// Slots is what the node knows of all slots. A voter knows the holders that it granted leases to; others know
-// those for which they were rejected.
+// Slots returns the status of every slot as far as this node knows it. A voter knows the holders to which it
+// granted leases. Other nodes learn the holder of a slot from the voters that reject their requests for it.
 func (node *Node) Slots(now int64) []SlotStatus {
 	statuses := make([]SlotStatus, len(node.holdings))
 	for slot := range statuses {
@@ -28,8 +28,9 @@
 	return statuses
 }
 
+// slotStatus returns the status of one slot.
 func (node *Node) slotStatus(now int64, slot int) SlotStatus {
-	own, granted := &node.holdings[slot], &node.grants[slot]
+	holding, grant := &node.holdings[slot], &node.grants[slot]
 	status := SlotStatus{Slot: slot}
 	if node.assigned != nil {
 		status.Planned = node.assignedName(slot)
@@ -38,26 +39,26 @@
 	switch {
 	case holds:
 		status.Own, status.Holder = true, node.config.Self.Name
-		status.Ballot, status.Since, status.Until = ballot, own.since, until
-	case granted.until > now:
-		status.Holder, status.Ballot, status.Until = granted.holder.Name, granted.ballot, granted.until
-	case !timing.Happened(own.freeSince) && own.otherHolder.Name != "":
-		status.Holder, status.Ballot = own.otherHolder.Name, own.otherBallot
+		status.Ballot, status.Since, status.Until = ballot, holding.since, until
+	case grant.until > now:
+		status.Holder, status.Ballot, status.Until = grant.holder.Name, grant.ballot, grant.until
+	case !timing.Happened(holding.freeSince) && holding.otherHolder.Name != "":
+		status.Holder, status.Ballot = holding.otherHolder.Name, holding.otherBallot
 	default:
-		status.Reason = node.reasonFree(now, own, status.Planned)
+		status.Reason = node.reasonNotHeld(now, holding, status.Planned)
 	}
 	return status
 }
 
-// reasonFree says why nobody is known to hold a slot.
-func (node *Node) reasonFree(now int64, own *holding, planned string) string {
+// reasonNotHeld returns the reason why no holder of a slot is known.
+func (node *Node) reasonNotHeld(now int64, holding *slotHolding, planned string) string {
 	switch {
 	case now < node.grantsFrom:
 		silenceMS := timing.Milliseconds(node.config.RestartSilence())
 		return fmt.Sprintf("voters that have just started grant nothing for %d ms", silenceMS)
 	case !node.HasQuorum(now):
 		return "no majority of the voters answers"
-	case own.ballot != 0:
+	case holding.ballot != 0:
 		return "it is being asked for"
 	}
 	return "it waits for " + planned + " to ask for it"
--- a/internal/cluster/lease/voter.go
+++ b/internal/cluster/lease/voter.go
@@ -1,10 +1,11 @@
 package lease
 
-// vote answers a Prepare or a Propose as a voter. A slot goes to one holder at a time, whatever ballots say:
-// that clause is the change to PaxosLease, and what two holders can never pass (docs/duties.md).
+// vote answers a Prepare or a Propose as a voter. While a lease granted to one holder lasts, requests by all others
+// are rejected whatever their ballots. This rule is the change to PaxosLease, and it guarantees that a slot never
+// has two holders (docs/duties.md).
 func (node *Node) vote(now int64, from Instance, message Message) []Message {
 	if now < node.grantsFrom {
-		return nil // who knows what was granted before the start
+		return nil // leases granted before the restart may still last
 	}
 	node.endSilence(now)
 	epoch := node.config.Voters.Epoch
@@ -18,13 +19,13 @@
 		if item.Slot < 0 || item.Slot >= len(node.grants) {
 			continue
 		}
-		current := &node.grants[item.Slot]
-		leased := now < current.until && current.holder != from
-		if leased || !epochAnswered || node.isOutdated(now, current, from, message.Kind, item.Ballot) {
+		grant := &node.grants[item.Slot]
+		leased := now < grant.until && grant.holder != from
+		if leased || !epochAnswered || node.isOutdated(now, grant, from, message.Kind, item.Ballot) {
 			rejected.Items = append(rejected.Items, node.rejection(now, item.Slot, leased))
 			continue
 		}
-		node.grant(now, current, from, message.Kind, item.Ballot)
+		node.recordGrant(now, grant, from, message.Kind, item.Ballot)
 		granted.Items = append(granted.Items, SlotBallot{Slot: item.Slot, Ballot: item.Ballot})
 	}
 	var answers []Message
@@ -36,82 +37,84 @@
 	return answers
 }
 
-// isOutdated reports whether a ballot lies behind what the voter has promised or granted.
-func (node *Node) isOutdated(now int64, current *grant, from Instance, kind MessageKind, ballot uint64) bool {
-	outdated := ballot < current.promisedBallot || ballot == current.promisedBallot && current.promisedTo != from
+// isOutdated reports whether the ballot is too low given what the voter has promised or granted.
+func (node *Node) isOutdated(now int64, grant *slotGrant, from Instance, kind MessageKind, ballot uint64) bool {
+	outdated := ballot < grant.promisedBallot || ballot == grant.promisedBallot && grant.promisedTo != from
 	if kind == Prepare {
-		// The floor is for ballots that were known when the silence ended: the promises made before it are
-		// forgotten.
-		return outdated || ballot <= node.minBallot || ballot <= current.ballot
+		// Promises made before a restart are not remembered. The floor rejects the ballots that were known at the
+		// end of the restart silence, so that such a promise is not broken.
+		return outdated || ballot <= node.promiseFloor || ballot <= grant.ballot
 	}
-	if ballot >= current.ballot && now-current.promisedAt >= node.config.LeaseDuration {
-		return false // or a promise that nothing came of would keep a voter from its slot's holder for a whole tenure
+	if ballot >= grant.ballot && now-grant.promisedAt >= node.config.LeaseDuration {
+		// A promise that led to no lease within a lease duration no longer binds. Otherwise this voter would reject
+		// the slot's holder for as long as the holder keeps its ballot.
+		return false
 	}
 	return outdated
 }
 
-// rejection returns the ballot that the sender has to exceed and, where the slot is leased to another
-// instance, the holder and the remaining time.
+// rejection returns the item of a Reject for one slot: the ballot that the sender has to exceed and, if the slot
+// is leased to another instance, the holder and the remaining time.
 func (node *Node) rejection(now int64, slot int, leased bool) SlotBallot {
-	current := &node.grants[slot]
-	item := SlotBallot{Slot: slot, Ballot: max(current.promisedBallot, current.ballot, node.minBallot)}
+	grant := &node.grants[slot]
+	item := SlotBallot{Slot: slot, Ballot: max(grant.promisedBallot, grant.ballot, node.promiseFloor)}
 	if leased {
-		item.Holder, item.Remaining = current.holder, current.until-now
+		item.Holder, item.Remaining = grant.holder, grant.until-now
 	}
 	return item
 }
 
-// grant records a promise or, for a Propose, a lease.
-func (node *Node) grant(now int64, current *grant, to Instance, kind MessageKind, ballot uint64) {
-	if kind == Prepare || ballot >= current.promisedBallot {
-		current.promisedBallot = max(current.promisedBallot, ballot)
-		current.promisedTo, current.promisedAt = to, now
+// recordGrant records a promise or, for a Propose, a lease.
+func (node *Node) recordGrant(now int64, grant *slotGrant, to Instance, kind MessageKind, ballot uint64) {
+	if kind == Prepare || ballot >= grant.promisedBallot {
+		grant.promisedBallot = max(grant.promisedBallot, ballot)
+		grant.promisedTo, grant.promisedAt = to, now
 	}
 	if kind == Propose {
-		current.holder, current.ballot = to, ballot
-		current.until = now + node.config.LeaseDuration
+		grant.holder, grant.ballot = to, ballot
+		grant.until = now + node.config.LeaseDuration
 		node.ObserveBallot(ballot)
 	}
 }
 
-// endSilence ends the silence of a start. Promises made before the start are forgotten, so from here on only
-// ballots above all that were heard of until now are promised.
+// endSilence ends the restart silence when its time is over. Promises made before the restart are not remembered,
+// so from then on the voter promises only ballots above all those known at that moment.
 func (node *Node) endSilence(now int64) {
-	if node.minBallot == 0 && now >= node.grantsFrom {
-		node.minBallot = max(node.highest, 1)
+	if node.promiseFloor == 0 && now >= node.grantsFrom {
+		node.promiseFloor = max(node.highestBallot, 1)
 	}
 }
 
-// SilentUntil is until when this voter grants nothing; the silence is over if that is past.
+// SilentUntil returns when the restart silence of this voter ends or ended; it grants nothing before that.
 func (node *Node) SilentUntil() int64 { return node.grantsFrom }
 
-// revoke ends a lease that its holder released. A late Propose under its ballot is not accepted any more.
-func (node *Node) revoke(slot int, from Instance, ballot uint64) {
-	current := &node.grants[slot]
-	if current.holder != from || current.ballot != ballot {
+// revokeLease ends a lease that its holder released. A Propose with its ballot that arrives later is rejected.
+func (node *Node) revokeLease(slot int, from Instance, ballot uint64) {
+	grant := &node.grants[slot]
+	if grant.holder != from || grant.ballot != ballot {
 		return
 	}
-	current.holder, current.ballot, current.until = Instance{}, ballot+1, 0
-	current.promisedBallot = max(current.promisedBallot, ballot+1)
+	grant.holder, grant.ballot, grant.until = Instance{}, ballot+1, 0
+	grant.promisedBallot = max(grant.promisedBallot, ballot+1)
 }
 
-// receiveRelease ends the leases that a holder has released, and asks for the slots when it is this
-// instance's turn.
+// receiveRelease ends the leases that a holder has released, and schedules this node's own attempts to acquire the
+// slots.
 func (node *Node) receiveRelease(now int64, from Instance, message Message) {
 	for _, item := range message.Items {
 		if item.Slot < 0 || item.Slot >= len(node.grants) {
 			continue
 		}
-		node.revoke(item.Slot, from, item.Ballot)
+		node.revokeLease(item.Slot, from, item.Ballot)
 		node.ObserveBallot(item.Ballot)
-		own := &node.holdings[item.Slot]
-		if own.held || own.ballot != 0 || node.releasing {
+		holding := &node.holdings[item.Slot]
+		if holding.held || holding.ballot != 0 || node.releasing {
 			continue
 		}
-		own.busyUntil, own.freeSince, own.tryAt = 0, now, now
+		holding.busyUntil, holding.freeSince, holding.attemptAt = 0, now, now
 		if item.Holder.Name != node.config.Self.Name {
-			own.tryAt = now + node.turnDelay(item.Slot) // the one it is meant for comes first
+			holding.attemptAt = now + node.turnDelay(item.Slot) // the named successor comes first
 		}
 	}
-	node.tryFree(now)
+	node.requestFreeSlots(now)
 }
--- a/internal/cluster/sharedconfig/cluster_test.go
+++ b/internal/cluster/sharedconfig/cluster_test.go
@@ -17,63 +17,67 @@
 	hour          = 3600 * second
 )
 
-// plantedFault is a fault that the checker must find. Faults are planted by what a node is told and by its state.
+// plantedFault selects faults that are planted in the nodes' inputs or state to verify that the tests find them.
 type plantedFault struct {
-	clockSetBack   bool // the clock of the last instance is set back by an hour, ten seconds into a course
-	activeAtAccept bool // a voter has a version in force once it has accepted it
-	numberAgain    bool // neither the wall clock nor the start is in numbers
+	clockSetBack   bool // the last instance's clock is set back by an hour after ten seconds
+	activeAtAccept bool // a voter treats a version as committed once it has accepted it
+	reuseNumbers   bool // version numbers depend on neither the wall clock nor the incarnation
 }
 
-// errBad is what incompatible says of the content "bad".
-var errBad = errors.New("line 1: it would break a rule")
+// errInvalidContent is the error of incompatible for the content "bad".
+var errInvalidContent = errors.New(`content "bad" is invalid`)
 
-// incompatible judges contents such as "a3": those of other letters exclude each other, "bad" can't be.
+// incompatible compares contents such as "a3". Contents with different first letters are incompatible, and the content
+// "bad" is invalid.
 func incompatible(current, proposed []byte) (bool, error) {
 	if string(proposed) == "bad" {
-		return true, errBad
+		return true, errInvalidContent
 	}
 	return len(current) == 0 || len(proposed) == 0 || current[0] != proposed[0], nil
 }
 
+// testInstance is an instance of a testCluster, with its clock and its faults.
 type testInstance struct {
-	name        string
-	node        *Node
-	rate        float64
-	startedAt   int64
-	down        bool
-	frozenUntil int64
-	side        int
-	deaf        bool
-	setBack     int64 // by which its clock was set back
+	name          string
+	node          *Node
+	rate          float64 // of its clock
+	startedAt     int64   // simulated time of its latest start
+	down          bool    // stopped
+	frozenUntil   int64   // paused until then: it neither ticks nor receives
+	side          int     // of a network partition; messages pass only within a side
+	dropsIncoming bool
+	setBack       int64 // by how much its clock was set back
 }
 
-// letter is a message under way; it is lost if its sender has started anew.
-type letter struct {
-	at          int64
+// inFlightMessage is a message that has not been delivered yet. It is lost if its sender restarts before that.
+type inFlightMessage struct {
+	at          int64 // arrival
 	from, to    *testInstance
-	fromStarted int64
+	fromStarted int64 // startedAt of from when it sent the message
 	message     Message
 }
 
-// testCluster is nodes in simulated time, with clocks of their own and a check of what is acted on.
+// testCluster runs instances in simulated time, each with its own clock, and checks which versions are active at once.
 type testCluster struct {
-	rng       *rand.Rand
-	now       int64
-	instances []*testInstance
-	voters    []string
-	fault     plantedFault
-	loss      float64
-	inTransit []letter
-	starts    uint64
-	broken    string            // what must never be, and was
-	apart     int64             // for how long two compatible versions were acted on after the later one first was
-	firstAt   map[uint64]int64  // when a version was first acted on
-	contents  map[uint64]string // of versions that were acted on
-	proposed  map[uint64][]byte // by number; kept for planted faults
-	ended     []ProposalEnded
-	observe   func(name string, effect Effect) // of each effect; nil: nobody looks
+	rng        *rand.Rand
+	now        int64
+	instances  []*testInstance
+	voters     []string
+	fault      plantedFault
+	loss       float64 // probability that a message is lost
+	inTransit  []inFlightMessage
+	starts     uint64            // number of starts, used as incarnations
+	violation  string            // the latest violation of an invariant; empty if there was none
+	maxOverlap int64             // longest time that an earlier version was active after a later one first was
+	firstAt    map[uint64]int64  // when a version was first active, by number
+	contents   map[uint64]string // of versions that were active, by number
+	proposed   map[uint64][]byte // contents proposed, by number; used by a planted fault
+	ended      []ProposalEnded
+	observe    func(name string, effect Effect) // called for each effect unless nil
 }
 
+// newCluster starts count instances, of which the first ones are the voters. Their clock rates are random within the
+// drift.
 func newCluster(seed uint64, count, voters int, fault plantedFault) *testCluster {
 	cluster := &testCluster{
 		rng: rand.New(rand.NewPCG(seed, uint64(count))), fault: fault,
@@ -92,11 +96,12 @@
 	return cluster
 }
 
+// start starts an instance, or restarts it without its state.
 func (cluster *testCluster) start(instance *testInstance) {
 	cluster.starts++
 	instance.startedAt, instance.down, instance.frozenUntil, instance.setBack = cluster.now, false, 0, 0
 	incarnation := cluster.starts
-	if cluster.fault.numberAgain {
+	if cluster.fault.reuseNumbers {
 		incarnation = 0
 	}
 	instance.node = New(0, Config{
@@ -106,25 +111,27 @@
 	})
 }
 
+// clock returns the time on an instance's clock.
 func (cluster *testCluster) clock(instance *testInstance) int64 {
 	return int64(float64(cluster.now-instance.startedAt)*instance.rate) - instance.setBack
 }
 
+// wallMS returns the wall clock, ms since 1970.
 func (cluster *testCluster) wallMS() int64 {
-	if cluster.fault.numberAgain {
+	if cluster.fault.reuseNumbers {
 		return 0
 	}
 	return wallStartMS + cluster.now/ms
 }
 
-// propose has an instance propose a content.
+// propose makes an instance propose a content.
 func (cluster *testCluster) propose(instance *testInstance, content []byte) error {
 	err := instance.node.Propose(cluster.clock(instance), cluster.wallMS(), content)
 	cluster.send(instance)
 	return err
 }
 
-// mustPropose is propose where it has to be taken.
+// mustPropose is like propose, but the test fails if the proposal is refused.
 func (cluster *testCluster) mustPropose(t *testing.T, instance *testInstance, content string) {
 	t.Helper()
 	if err := cluster.propose(instance, []byte(content)); err != nil {
@@ -132,7 +139,7 @@
 	}
 }
 
-// send carries out an instance's effects.
+// send takes an instance's effects and puts its messages in transit.
 func (cluster *testCluster) send(instance *testInstance) {
 	cluster.plantActiveAtAccept(instance)
 	for _, effect := range instance.node.TakeEffects() {
@@ -146,7 +153,7 @@
 			}
 			to := slices.IndexFunc(cluster.instances, func(other *testInstance) bool { return other.name == effect.To })
 			if to >= 0 && cluster.rng.Float64() >= cluster.loss {
-				cluster.inTransit = append(cluster.inTransit, letter{
+				cluster.inTransit = append(cluster.inTransit, inFlightMessage{
 					at: cluster.now + 2*ms + cluster.rng.Int64N(20*ms), from: instance, to: cluster.instances[to],
 					fromStarted: instance.startedAt, message: effect.Message,
 				})
@@ -157,7 +164,8 @@
 	}
 }
 
-// plantActiveAtAccept has a voter go to a version that it has accepted.
+// plantActiveAtAccept changes a voter to a version that it has accepted but that is not committed, if that fault is
+// planted.
 func (cluster *testCluster) plantActiveAtAccept(instance *testInstance) {
 	node := instance.node
 	accepted := node.voter.accepted
@@ -168,7 +176,7 @@
 	node.voter.current, node.voter.next = accepted, accepted
 }
 
-// step lets a little time go on.
+// step advances the simulated time by 10 ms.
 func (cluster *testCluster) step() {
 	cluster.now += 10 * ms
 	if last := cluster.instances[len(cluster.instances)-1]; cluster.fault.clockSetBack && cluster.now == 10*second {
@@ -187,27 +195,28 @@
 	cluster.check()
 }
 
-// deliver hands over the messages that have arrived; those to frozen instances wait.
+// deliver delivers the messages that have arrived. Messages to frozen instances are kept.
 func (cluster *testCluster) deliver() {
-	var later []letter
-	letters := cluster.inTransit
+	var later []inFlightMessage
+	messages := cluster.inTransit
 	cluster.inTransit = nil
-	for _, letter := range letters {
-		to := letter.to
+	for _, inFlight := range messages {
+		to := inFlight.to
 		switch {
-		case letter.at > cluster.now || to.frozenUntil > cluster.now:
-			later = append(later, letter)
-		case to.down || to.deaf || to.side != letter.from.side || letter.from.startedAt != letter.fromStarted:
+		case inFlight.at > cluster.now || to.frozenUntil > cluster.now:
+			later = append(later, inFlight)
+		case to.down || to.dropsIncoming || to.side != inFlight.from.side ||
+			inFlight.from.startedAt != inFlight.fromStarted: // the message is lost
 		default:
-			to.node.Receive(cluster.clock(to), letter.from.name, letter.message)
+			to.node.Receive(cluster.clock(to), inFlight.from.name, inFlight.message)
 			cluster.send(to)
 		}
 	}
 	cluster.inTransit = append(later, cluster.inTransit...)
 }
 
-// check looks at what is acted on at this instant by all that run. Frozen ones are left out: what they do
-// next they do by the clock that they read then.
+// check records a violation if incompatible versions are active now at running instances, or if a version has two
+// contents. Frozen instances are left out, since they read their clock again before they next act.
 func (cluster *testCluster) check() {
 	active := map[uint64][]byte{}
 	for _, instance := range cluster.instances {
@@ -219,11 +228,12 @@
 			continue
 		}
 		active[version.Number] = version.Content
-		if _, been := cluster.firstAt[version.Number]; !been {
+		if _, seen := cluster.firstAt[version.Number]; !seen {
 			cluster.firstAt[version.Number] = cluster.now
 		}
-		if before, been := cluster.contents[version.Number]; been && before != string(version.Content) {
-			cluster.broken = fmt.Sprintf("version %d is %q and %q", version.Number, before, version.Content)
+		if before, seen := cluster.contents[version.Number]; seen && before != string(version.Content) {
+			cluster.violation = fmt.Sprintf("version %d has the contents %q and %q",
+				version.Number, before, version.Content)
 		}
 		cluster.contents[version.Number] = string(version.Content)
 	}
@@ -233,21 +243,22 @@
 				continue
 			}
 			if exclusive, _ := incompatible(before, after); exclusive {
-				cluster.broken = fmt.Sprintf("%q and %q are acted on at once", before, after)
+				cluster.violation = fmt.Sprintf("incompatible versions are active at once: %d (%q) and %d (%q)",
+					earlier, before, later, after)
 			}
-			cluster.apart = max(cluster.apart, cluster.now-cluster.firstAt[later])
+			cluster.maxOverlap = max(cluster.maxOverlap, cluster.now-cluster.firstAt[later])
 		}
 	}
 }
 
-// run lets time go on until something is broken.
+// run advances the simulated time by duration, or until there is a violation.
 func (cluster *testCluster) run(duration int64) {
-	for end := cluster.now + duration; cluster.now < end && cluster.broken == ""; {
+	for end := cluster.now + duration; cluster.now < end && cluster.violation == ""; {
 		cluster.step()
 	}
 }
 
-// allActive reports whether every instance that runs acts on some content.
+// allActive reports whether content is active at every running instance.
 func (cluster *testCluster) allActive(content string) bool {
 	return !slices.ContainsFunc(cluster.instances, func(instance *testInstance) bool {
 		version, _, ok := instance.node.Active(cluster.clock(instance))
--- a/internal/cluster/sharedconfig/config.go
+++ b/internal/cluster/sharedconfig/config.go
@@ -1,54 +1,54 @@
-// Package sharedconfig has instances act on one version of a configuration that they share. Voters grant
-// leases on versions, and an instance acts on a version only while its own clock says that a quorum's leases
-// on it hold. Versions that are incompatible are never acted on at once, others for no longer than a lease.
-// docs/agreement.md has the options and the bound.
+// Package sharedconfig implements the agreement of instances on one version of a shared configuration. Voters grant
+// leases on versions. A version is active at an instance only while, by the instance's own clock, leases on it from a
+// quorum of voters are valid. Two incompatible versions are never active at the same time, not even at different
+// instances; two compatible ones are for no longer than a lease. docs/agreement.md has the options and the bound.
 //
-// A Node is one instance. Time and messages come in, effects go out: it does no input or output, reads no
-// clock and is not safe for concurrent use. Times are ns of a clock that goes on while the machine is
-// suspended and never goes back.
+// A Node is the state of one instance. The caller passes in time and messages and carries out the effects that the
+// node returns. A Node does no input or output, reads no clock and is not safe for concurrent use. Instants are ns
+// of a monotonic clock that keeps running while the machine is suspended.
 package sharedconfig
 
 import "tealpath/internal/cluster/timing"
 
 const (
-	// MaxContentSize is the size of the longest content, bytes.
+	// MaxContentSize is the maximum size of a version's content in bytes.
 	MaxContentSize = 1 << 20
 
-	maxKnownVersions = 8 // whose contents are kept
-	retryRenewals    = 2 // renewals after which a proposal that came to nothing is made again
-	maxAttempts      = 8 // of one proposal
+	maxKnownVersions = 8 // versions whose contents a node keeps
+	retryRenewals    = 2 // renewal intervals without a quorum after which a proposal is retried
+	maxAttempts      = 8 // attempts of one proposal
 )
 
-// Version is one state of the shared configuration. Of two the one with the higher number is the later.
+// Version is one version of the shared configuration. Later versions have higher numbers.
 type Version struct {
 	Number  uint64
 	Content []byte
 }
 
-// IncompatibleFunc reports whether two contents may never be acted on at once; err says why the proposed one
-// can't be acted on at all. internal/compatibility has the one for operators' settings.
+// IncompatibleFunc reports whether two contents must never be active at the same time. It returns an error if the
+// proposed content is invalid. internal/compatibility has the implementation for operators' settings.
 type IncompatibleFunc func(current, proposed []byte) (incompatible bool, err error)
 
-// Config is what a node starts with. Lengths of time are in ns.
+// Config is the configuration of a node. Durations are in nanoseconds.
 type Config struct {
-	Self          string
-	Voters        []string // whose majority grants
-	LeaseDuration int64    // for how long a voter counts an instance in
+	Self          string   // name of this instance
+	Voters        []string // names of the instances whose majority grants leases
+	LeaseDuration int64    // how long a voter honors a lease after granting it
 	RenewInterval int64
-	MaxClockDrift float64 // by which a clock's rate may be off, as a share
+	MaxClockDrift float64 // largest relative error of a clock's rate: 0.01 is 1%
 	Incompatible  IncompatibleFunc
-	Initial       []byte // content of version 0, from the file: what is acted on before anything was proposed
-	Incarnation   uint64 // of this start, so that the numbers of two starts differ
+	Initial       []byte // content of version 0, read from the file and active until another version is committed
+	Incarnation   uint64 // differs at each start, so that two starts don't use the same version numbers
 }
 
-// holdDuration is for how long an instance may act after it sent a renewal, by its own clock: its voters
-// count it in for longer, whatever the clocks' rates are (docs/duties.md has the proof).
+// holdDuration returns how long an instance may use a lease after it sent the renewal, in ns of the instance's clock.
+// The voters honor the lease for longer even if the clocks drift apart (docs/duties.md has the proof).
 func (config Config) holdDuration() int64 {
 	return timing.HoldDuration(config.LeaseDuration, config.MaxClockDrift)
 }
 
-// RestartSilence is for how long a voter that has just started grants nothing, ns: it may have granted
-// before. It is rounded down, unlike that of package lease, which rounds up.
+// RestartSilence returns how many ns a voter grants nothing after a start, because leases that it granted before may
+// still be valid. The result is rounded down; that of package lease is rounded up.
 func (config Config) RestartSilence() int64 {
 	return int64(timing.LongestLease(config.LeaseDuration, config.MaxClockDrift))
 }
--- a/internal/cluster/sharedconfig/message.go
+++ b/internal/cluster/sharedconfig/message.go
@@ -1,11 +1,12 @@
 package sharedconfig
 
-// MessageKind is what a message says.
+// MessageKind is the kind of a message.
 type MessageKind uint8
 
-// The kinds. Renew asks for a lease on the newest version known; Grant gives one, and Redirect says to which
-// version the voter goes instead. Propose asks the voters to accept a version, Accept and Reject answer,
-// Commit says that a quorum has accepted it. Fetch asks for a version's content, which a Redirect brings.
+// The message kinds. Renew requests a lease on the newest version that the sender knows. A voter answers with Grant or,
+// if it grants leases on another version, with a Redirect to that version. Propose asks the voters to accept a
+// version; they answer with Accept or Reject. Commit reports that a quorum has accepted a version. Fetch requests the
+// content of a version, which is sent in a Redirect.
 const (
 	Renew MessageKind = iota + 1
 	Grant
@@ -17,34 +18,35 @@
 	Fetch
 )
 
-// Message is what nodes send each other.
+// Message is a protocol message between two nodes.
 type Message struct {
 	Kind    MessageKind
-	Number  uint64 // of the version it is about
-	Highest uint64 // number that the sender knows
-	SentAt  int64  // of the renewal that is answered, by its sender's clock
-	Content []byte // of the version; with Propose, Commit and the answer to a Fetch
-	Reason  string // with Reject
+	Number  uint64 // number of the version that the message is about
+	Highest uint64 // highest number that the sender knows
+	SentAt  int64  // Renew and Grant: when the Renew was sent, by its sender's clock
+	Content []byte // content of the version; in Propose, Commit and the answer to a Fetch
+	Reason  string // in Reject
 }
 
-// Effect is what a node wants done or known outside: a Send, Activated, Deactivated or ProposalEnded.
+// Effect is an action or report that a node passes to its caller: a Send, Activated, Deactivated or ProposalEnded.
 type Effect any
 
-// Send wants a message sent; it may be lost.
+// Send asks the caller to send a message to an instance. The protocol tolerates the loss of the message.
 type Send struct {
 	To      string
 	Message Message
 }
 
-// Activated reports that a version is acted on from now on, until its leases end or another takes its place.
-// Until when, Active tells.
+// Activated reports that a version is now active. It stays active until its leases end or another version replaces
+// it; Node.Active returns when the leases end.
 type Activated struct{ Version Version }
 
-// Deactivated reports that no version may be acted on: what is safe beside any that may be in force holds instead.
+// Deactivated reports that no version is active. The caller must then use settings that are safe together with every
+// version that may be active at other instances.
 type Deactivated struct{ Reason string }
 
-// ProposalEnded reports what became of a proposal made here.
+// ProposalEnded reports the outcome of a proposal made by this node.
 type ProposalEnded struct {
 	Number uint64
-	Reason string // why it failed; empty: a quorum has accepted it
+	Reason string // why the proposal failed; empty if a quorum accepted it
 }
--- a/internal/cluster/sharedconfig/node.go
+++ b/internal/cluster/sharedconfig/node.go
@@ -7,31 +7,31 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// Node is one instance, a voter or not.
+// Node is the state of one instance, which may be a voter.
 type Node struct {
 	config      Config
-	grantsFrom  int64             // before this the voter is silent, as it may have granted before its start
-	contents    map[uint64][]byte // of the newest few versions
-	newest      uint64            // committed, of which the content is known
-	highest     uint64            // number known
-	voterLeases []voterLease      // for each voter, the lease it last granted here
-	active      uint64            // version that is acted on
+	grantsFrom  int64             // end of the restart silence; until then this node grants nothing as a voter
+	contents    map[uint64][]byte // by version number, for at most maxKnownVersions versions
+	newest      uint64            // newest committed version whose content is known
+	highest     uint64            // highest version number known
+	voterLeases []voterLease      // for each voter, the latest lease that it granted to this node
+	active      uint64            // active version, if isActive
 	isActive    bool
 	renewAt     int64
-	wallMS      int64 // ms since 1970, at the last tick
+	wallMS      int64 // wall clock at the last tick, ms since 1970
 
 	voter    voterState
 	proposal proposal
 	effects  []Effect
 }
 
-// voterLease is the lease that a voter last granted.
+// voterLease is the latest lease that a voter granted to this node.
 type voterLease struct {
 	number uint64
-	sentAt int64 // when the renewal was sent that the voter answered, or never
+	sentAt int64 // when this node sent the Renew that the voter answered, or timing.Never
 }
 
-// New makes a node that knows no version but its file's.
+// New returns a node that has just started at now and knows only version 0, with the content config.Initial.
 func New(now int64, config Config) *Node {
 	node := &Node{
 		config:      config,
@@ -53,14 +53,16 @@
 	return effects
 }
 
+// emit adds an effect to those that TakeEffects returns.
 func (node *Node) emit(effect Effect) { node.effects = append(node.effects, effect) }
 
+// isVoter reports whether this node is one of the voters.
 func (node *Node) isVoter() bool { return slices.Contains(node.config.Voters, node.config.Self) }
 
-// isQuorum reports whether a number of voters is a majority of them.
+// isQuorum reports whether count is a majority of the voters.
 func (node *Node) isQuorum(count int) bool { return count >= paxos.Majority(len(node.config.Voters)) }
 
-// Active is the version that may be acted on at an instant, and until when by the own clock.
+// Active returns the version that is active at now, and until when by this node's clock. ok is false if there is none.
 func (node *Node) Active(now int64) (version Version, until int64, ok bool) {
 	until = node.leasedUntil(node.active)
 	if !node.isActive || now >= until {
@@ -69,14 +71,15 @@
 	return node.version(node.active), until, true
 }
 
-// Newest is the newest version that is committed and known, acted on or not.
+// Newest returns the newest committed version that this node knows, whether or not it is active.
 func (node *Node) Newest() Version { return node.version(node.newest) }
 
+// version returns the version with a number; its content is nil if this node does not have it.
 func (node *Node) version(number uint64) Version {
 	return Version{Number: number, Content: node.contents[number]}
 }
 
-// leasedUntil is until when a quorum's leases on a version hold, or never.
+// leasedUntil returns when the leases of a quorum on a version end, or timing.Never if no quorum granted leases on it.
 func (node *Node) leasedUntil(number uint64) int64 {
 	var sentAt []int64
 	for _, lease := range node.voterLeases {
@@ -84,7 +87,8 @@
 			sentAt = append(sentAt, lease.sentAt)
 		}
 	}
-	// Of the k latest, k a majority, the earliest counts: after it one of them may have forgotten.
+	// Of the latest grants of a majority the earliest one counts: once it has ended, only a minority may still
+	// honor a lease.
 	earliest, ok := paxos.LatestMajority(sentAt, len(node.config.Voters))
 	if !ok {
 		return timing.Never
@@ -92,7 +96,7 @@
 	return earliest + node.config.holdDuration()
 }
 
-// Next is when Tick has something to do.
+// Next returns when Tick next has work to do.
 func (node *Node) Next(now int64) int64 {
 	next := node.renewAt
 	if node.voter.next != node.voter.current {
@@ -107,7 +111,7 @@
 	return next
 }
 
-// Tick does what is due. wallMS is the wall clock, ms since 1970; it only lifts numbers.
+// Tick does the work that is due. wallMS is the wall clock, ms since 1970; it only raises version numbers.
 func (node *Node) Tick(now, wallMS int64) {
 	node.wallMS = wallMS
 	node.advance(now)
@@ -119,7 +123,7 @@
 	}
 }
 
-// Receive takes a message; from is whom the link has proved it to be from.
+// Receive handles a message. The caller must have authenticated from as the sender.
 func (node *Node) Receive(now int64, from string, message Message) {
 	if node.isFarAhead(max(message.Number, message.Highest)) {
 		return
@@ -145,18 +149,19 @@
 	}
 }
 
-// isFarAhead reports whether a number is of a far future: heeding it would use all numbers up.
+// isFarAhead reports whether a version number is too far ahead of the wall clock. Such a number would use up the
+// numbers above it.
 func (node *Node) isFarAhead(number uint64) bool {
 	return node.wallMS > 0 && paxos.Counter(number) > uint64(node.wallMS)+paxos.MaxWallAheadMS
 }
 
-// queue has a message sent to another instance.
+// queue emits a Send of a message to another instance.
 func (node *Node) queue(to string, message Message) {
 	message.Highest = node.highest
 	node.emit(Send{To: to, Message: message})
 }
 
-// send sends a message to an instance, which may be this one: then it is taken at once.
+// send sends a message to an instance. If that is this instance, the message is handled at once.
 func (node *Node) send(now int64, to string, message Message) {
 	if to != node.config.Self {
 		node.queue(to, message)
@@ -166,14 +171,14 @@
 	node.Receive(now, to, message)
 }
 
-// sendToVoters sends a message to each voter.
+// sendToVoters sends a message to every voter.
 func (node *Node) sendToVoters(now int64, message Message) {
 	for _, voter := range node.config.Voters {
 		node.send(now, voter, message)
 	}
 }
 
-// deactivate stops acting once the leases have ended.
+// deactivate ends the activity of the active version once its leases have ended.
 func (node *Node) deactivate(now int64) {
 	if _, _, ok := node.Active(now); node.isActive && !ok {
 		node.isActive = false
@@ -181,7 +186,7 @@
 	}
 }
 
-// receiveGrant counts a voter's lease, and acts on the version once a quorum has granted it.
+// receiveGrant records a voter's lease, and activates the version once a quorum has granted leases on it.
 func (node *Node) receiveGrant(now int64, from string, message Message) {
 	voter := slices.Index(node.config.Voters, from)
 	if voter < 0 || message.SentAt > now || node.contents[message.Number] == nil {
@@ -189,7 +194,7 @@
 	}
 	lease := &node.voterLeases[voter]
 	if message.Number != lease.number && message.SentAt < lease.sentAt {
-		return // an answer from before the voter moved on
+		return // a late answer from before the voter changed to another version
 	}
 	if message.Number != lease.number || message.SentAt > lease.sentAt {
 		lease.number, lease.sentAt = message.Number, message.SentAt
@@ -201,7 +206,7 @@
 	node.emit(Activated{Version: node.version(message.Number)})
 }
 
-// receiveRedirect takes a version's content, or asks for it.
+// receiveRedirect stores the content of a version, or requests it if the message has none.
 func (node *Node) receiveRedirect(now int64, from string, message Message) {
 	node.learn(now, message.Number, message.Content)
 	if message.Content == nil && message.Number > node.newest {
@@ -209,7 +214,7 @@
 	}
 }
 
-// learn keeps a committed version.
+// learn stores a committed version and schedules a request for leases on it.
 func (node *Node) learn(now int64, number uint64, content []byte) {
 	if content == nil || number <= node.newest {
 		return
@@ -222,10 +227,11 @@
 		node.voter.next = number
 	}
 	node.advance(now)
-	node.renewAt = min(node.renewAt, now) // a lease on it is asked for at once
+	node.renewAt = min(node.renewAt, now) // the next Tick requests the leases
 }
 
-// oldestUnused is the oldest version known that is neither granted nor acted on here.
+// oldestUnused returns the oldest known version that is neither active here nor the one on which this node, as a voter,
+// grants leases.
 func (node *Node) oldestUnused() uint64 {
 	oldest := node.newest
 	for number := range node.contents {
--- a/internal/cluster/sharedconfig/node_test.go
+++ b/internal/cluster/sharedconfig/node_test.go
@@ -8,52 +8,53 @@
 	"testing"
 )
 
-func TestChangeIsActiveEverywhere(t *testing.T) {
+func TestChangeBecomesActiveEverywhere(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
 	if !cluster.allActive("a0") {
-		t.Fatal("the file's content is not acted on")
+		t.Fatal("the initial content a0 is not active at every instance after 4 s")
 	}
-	cluster.mustPropose(t, cluster.instances[4], "a1") // compatible with the one before: no gap
+	cluster.mustPropose(t, cluster.instances[4], "a1") // compatible with a0: no gap allowed
 	for range 100 {
 		cluster.run(10 * ms)
 		for _, instance := range cluster.instances {
 			if _, _, ok := instance.node.Active(cluster.clock(instance)); !ok {
-				t.Fatal("a gap")
+				t.Fatalf("%s has no active version during a compatible change", instance.name)
 			}
 		}
 	}
 	if cluster.run(second); !cluster.allActive("a1") {
-		t.Error("not in force after 2 s")
+		t.Error("a1 is not active at every instance after 2 s")
 	}
-	cluster.mustPropose(t, cluster.instances[0], "b1") // incompatible: in force once no lease is left
+	cluster.mustPropose(t, cluster.instances[0], "b1") // incompatible with a1: must wait for its leases to end
 	if cluster.run(second); cluster.allActive("b1") {
-		t.Error("it is in force before leases on the other can have ended")
+		t.Error("b1 is active everywhere before leases on a1 can have ended")
 	}
-	if cluster.run(4 * second); !cluster.allActive("b1") || cluster.broken != "" {
-		t.Errorf("not in force after 5 s; %s", cluster.broken)
+	if cluster.run(4 * second); !cluster.allActive("b1") || cluster.violation != "" {
+		t.Errorf("b1 is not active at every instance after 5 s, or violation %q", cluster.violation)
 	}
 }
 
-func TestBadContentIsRejected(t *testing.T) {
+func TestInvalidContentIsRejected(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
 	cluster.mustPropose(t, cluster.instances[1], "bad")
 	cluster.run(second)
-	if len(cluster.ended) != 1 || cluster.ended[0].Reason != errBad.Error() || !cluster.allActive("a0") {
-		t.Errorf("%+v", cluster.ended)
+	if len(cluster.ended) != 1 || cluster.ended[0].Reason != errInvalidContent.Error() || !cluster.allActive("a0") {
+		t.Errorf("proposals ended with %+v, want one rejected with %q, and a0 still active",
+			cluster.ended, errInvalidContent)
 	}
 	tooLong := make([]byte, MaxContentSize+1)
 	if err := cluster.propose(cluster.instances[0], tooLong); !errors.Is(err, ErrContentTooLong) {
-		t.Errorf("too much content: error %v", err)
+		t.Errorf("content of %d bytes: error %v, want %v", len(tooLong), err, ErrContentTooLong)
 	}
 	cluster.mustPropose(t, cluster.instances[0], "a1")
 	if err := cluster.propose(cluster.instances[0], []byte("a2")); !errors.Is(err, ErrProposalPending) {
-		t.Errorf("two proposals at once: error %v", err)
+		t.Errorf("second proposal while one is pending: error %v, want %v", err, ErrProposalPending)
 	}
 }
 
-// Of two proposals at once one content is in force in the end, and both proposers are told.
+// If two instances propose at the same time, one of the contents becomes active, and both proposals end.
 func TestOneOfTwoProposalsWins(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
@@ -61,13 +62,13 @@
 	cluster.mustPropose(t, cluster.instances[2], "b3")
 	cluster.run(8 * second)
 	if !cluster.allActive("b2") && !cluster.allActive("b3") || len(cluster.ended) != 2 {
-		t.Errorf("%v", cluster.ended)
+		t.Errorf("proposals ended with %v, want two ended and b2 or b3 active everywhere", cluster.ended)
 	}
 }
 
-// A number of a far future, as a faulty instance would tell it, is not heeded: all later ones would come
-// before it.
-func TestNumberOfAFarFutureIsIgnored(t *testing.T) {
+// A version number far ahead of the wall clock, which a faulty instance might send, must be ignored. Otherwise all
+// numbers drawn later would be lower.
+func TestNumberFarAheadIsIgnored(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
 	const farFuture = 1 << 63
@@ -75,11 +76,11 @@
 	commit := Message{Kind: Commit, Number: farFuture, Content: []byte("b9")}
 	instance.node.Receive(cluster.clock(instance), "n01", commit)
 	if instance.node.Newest().Number == farFuture {
-		t.Error("a number of a far future is taken")
+		t.Errorf("version number %#x, far ahead of the wall clock, was accepted", uint64(farFuture))
 	}
 }
 
-// A proposal that no quorum answers is made again a few times, and then given up.
+// A proposal that no quorum answers is retried a few times and then fails.
 func TestProposalWithoutQuorumEnds(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
@@ -87,52 +88,54 @@
 	cluster.mustPropose(t, cluster.instances[4], "a1")
 	cluster.run(12 * second)
 	if len(cluster.ended) != 1 || cluster.ended[0].Reason != "no majority of the voters answered" {
-		t.Errorf("%+v", cluster.ended)
+		t.Errorf("proposals ended with %+v, want one that failed without a majority", cluster.ended)
 	}
 }
 
-// One that is cut off has nothing to act on once its lease is over; it comes to the newest when it is back.
-func TestInstanceThatIsCutOffStopsActing(t *testing.T) {
+// An instance that is cut off has no active version once its leases have ended. When it is reachable again, the newest
+// version becomes active. The same holds for an instance that was paused.
+func TestDisconnectedInstanceHasNoActiveVersion(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
 	cutOff := cluster.instances[4]
 	cutOff.side = 1
 	cluster.run(2 * second)
 	if _, _, ok := cutOff.node.Active(cluster.clock(cutOff)); ok {
-		t.Error("it acts on")
+		t.Errorf("%s still has an active version 2 s after it was cut off", cutOff.name)
 	}
 	cluster.mustPropose(t, cluster.instances[0], "b1")
 	cluster.run(5 * second)
 	cutOff.side = 0
 	if cluster.run(3 * second); !cluster.allActive("b1") {
-		t.Error("it does not come to the newest")
+		t.Errorf("b1 is not active at every instance 3 s after %s was reconnected", cutOff.name)
 	}
-	// A frozen one wakes long after: it acts on nothing old, from the first instant.
+	// An instance that was paused for a minute must not use an old version, not even right after it resumes.
 	cluster.instances[3].frozenUntil = cluster.now + 60*second
 	cluster.mustPropose(t, cluster.instances[0], "c1")
-	if cluster.run(65 * second); cluster.broken != "" || !cluster.allActive("c1") {
-		t.Error(cluster.broken)
+	if cluster.run(65 * second); cluster.violation != "" || !cluster.allActive("c1") {
+		t.Errorf("violation %q, want none, and c1 active everywhere", cluster.violation)
 	}
 }
 
-// runTroubled plays a course drawn by seed until something is broken: proposals beside crashes, pauses,
-// splits, deaf ones, lost messages and restarts of all.
-func runTroubled(seed uint64, count int, duration int64, fault plantedFault) *testCluster {
+// runWithRandomFaults simulates a cluster for duration, or until there is a violation, with proposals and faults drawn
+// from seed: crashes, pauses, network partitions, instances that receive nothing, lost messages, and restarts of all.
+func runWithRandomFaults(seed uint64, count int, duration int64, fault plantedFault) *testCluster {
 	cluster := newCluster(seed, count, min(count, 3+2*int(seed%2)), fault)
-	for cluster.now < duration && cluster.broken == "" {
+	for cluster.now < duration && cluster.violation == "" {
 		cluster.run(int64(200+cluster.rng.IntN(1500)) * ms)
-		cluster.drawTrouble()
+		cluster.injectRandomFault()
 	}
 	return cluster
 }
 
-func (cluster *testCluster) drawTrouble() {
+// injectRandomFault starts or ends a random fault, or proposes a random content.
+func (cluster *testCluster) injectRandomFault() {
 	instance := cluster.instances[cluster.rng.IntN(len(cluster.instances))]
 	switch cluster.rng.IntN(9) {
 	case 0, 1, 2:
 		if !instance.down && instance.frozenUntil <= cluster.now {
 			content := fmt.Appendf(nil, "%c%d", 'a'+rune(cluster.rng.IntN(3)), cluster.rng.IntN(1000))
-			_ = cluster.propose(instance, content) // it may have one pending
+			_ = cluster.propose(instance, content) // an error means that a proposal is already pending
 		}
 	case 3:
 		instance.down = true
@@ -147,11 +150,11 @@
 			other.side = cluster.rng.IntN(2)
 		}
 	case 7:
-		instance.deaf = cluster.rng.IntN(2) == 0
+		instance.dropsIncoming = cluster.rng.IntN(2) == 0
 		cluster.loss = []float64{0, 0.3}[cluster.rng.IntN(2)]
 	case 8:
 		for _, other := range cluster.instances {
-			other.side, other.deaf = 0, false
+			other.side, other.dropsIncoming = 0, false
 		}
 		if cluster.rng.IntN(6) == 0 {
 			for _, other := range cluster.instances {
@@ -161,51 +164,53 @@
 	}
 }
 
-// Under drawn troubles no two incompatible versions are ever acted on at once, and no others for longer than
-// a lease after the later one first was; no number has two contents. TEALPATH_EXPLORE=N plays so many
-// courses.
-func TestTroubled(t *testing.T) {
-	courses := 120
-	if asked, err := strconv.Atoi(os.Getenv("TEALPATH_EXPLORE")); err == nil {
-		courses = asked
+// Under random faults, incompatible versions are never active at the same time, a version is active for at most a lease
+// after a later one first was, and no version has two contents. The environment variable TEALPATH_EXPLORE sets the
+// number of runs.
+func TestRandomFaultsCauseNoViolation(t *testing.T) {
+	runs := 120
+	if value, err := strconv.Atoi(os.Getenv("TEALPATH_EXPLORE")); err == nil {
+		runs = value
 	}
 	versions, longest := 0, int64(0)
-	for seed := range uint64(courses) {
-		cluster := runTroubled(seed, 3+int(seed%4)*2, 60*second, plantedFault{})
-		if cluster.broken != "" {
-			t.Fatalf("course %d: %s", seed, cluster.broken)
+	for seed := range uint64(runs) {
+		cluster := runWithRandomFaults(seed, 3+int(seed%4)*2, 60*second, plantedFault{})
+		if cluster.violation != "" {
+			t.Fatalf("run with seed %d: %s", seed, cluster.violation)
 		}
 		versions += len(cluster.contents)
-		longest = max(longest, cluster.apart)
+		longest = max(longest, cluster.maxOverlap)
 	}
 	if bound := leaseDuration + 100*ms; longest > bound {
-		t.Errorf("two versions for %d ms, at most %d", longest/ms, bound/ms)
+		t.Errorf("an earlier version was active for %d ms after a later one, want at most %d ms", longest/ms, bound/ms)
 	}
-	if versions < 3*courses {
-		t.Errorf("%d versions in %d courses: nothing is shown", versions, courses)
+	if versions < 3*runs {
+		t.Errorf("only %d versions were active in %d runs, want at least %d for a significant result",
+			versions, runs, 3*runs)
 	}
-	t.Logf("%d versions in %d courses; two acted on for %d ms at most", versions, courses, longest/ms)
+	t.Logf("%d versions in %d runs; an earlier version was active for at most %d ms after a later one",
+		versions, runs, longest/ms)
 }
 
-// The check of drawn troubles finds faults that are planted.
-func TestTroubledFindsPlantedFaults(t *testing.T) {
+// The check that TestRandomFaultsCauseNoViolation relies on must find planted faults.
+func TestRandomFaultsFindPlantedFaults(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		fault plantedFault
 	}{
-		{"a lease by wall time", plantedFault{clockSetBack: true}},
-		{"in force once accepted", plantedFault{activeAtAccept: true}},
-		{"a number used again", plantedFault{numberAgain: true}},
+		{"clock that is set back", plantedFault{clockSetBack: true}},
+		{"active once accepted", plantedFault{activeAtAccept: true}},
+		{"reused numbers", plantedFault{reuseNumbers: true}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			const courses = 300
-			for seed := range uint64(courses) {
-				if broken := runTroubled(seed, 5, 60*second, test.fault).broken; broken != "" {
-					t.Logf("found in course %d: %s", seed, broken)
+			const runs = 300
+			for seed := range uint64(runs) {
+				if violation := runWithRandomFaults(seed, 5, 60*second, test.fault).violation; violation != "" {
+					t.Logf("found with seed %d: %s", seed, violation)
 					return
 				}
 			}
-			t.Errorf("not found in %d courses", courses)
+			t.Errorf("no violation found in %d runs, but a fault was planted", runs)
 		})
 	}
 }
--- a/internal/cluster/sharedconfig/proposer.go
+++ b/internal/cluster/sharedconfig/proposer.go
@@ -10,29 +10,30 @@
 	"tealpath/internal/cluster/paxos"
 )
 
-// What Propose can't take.
+// These errors are returned by Propose.
 var (
 	ErrContentTooLong  = errors.New("the content is too long")
 	ErrProposalPending = errors.New("a version is being proposed here already")
 )
 
-// proposal is the version that is being proposed here; its number is 0 if there is none.
+// proposal is the version that this node is proposing; its number is 0 if there is none.
 type proposal struct {
 	version  Version
-	sentAt   int64 // when the voters were last asked
-	attempts int   // that came to nothing
-	accepted map[string]bool
-	rejected map[string]bool
+	sentAt   int64           // when Propose was last sent to the voters
+	attempts int             // number of attempts that got no quorum
+	accepted map[string]bool // voters that accepted the version
+	rejected map[string]bool // voters that rejected the version
 }
 
+// pending reports whether there is a proposal.
 func (proposal *proposal) pending() bool { return proposal.version.Number > 0 }
 
-// Propose has content become the next version; a ProposalEnded reports what became of it. It returns
-// ErrContentTooLong or, as there is one proposal at a time, ErrProposalPending.
+// Propose proposes content as the next version; a ProposalEnded reports the outcome. It returns an
+// ErrContentTooLong, or an ErrProposalPending if this node already has a proposal that has not ended.
 func (node *Node) Propose(now, wallMS int64, content []byte) error {
 	switch {
 	case len(content) > MaxContentSize:
-		return fmt.Errorf("%w: %d bytes, %d can be", ErrContentTooLong, len(content), MaxContentSize)
+		return fmt.Errorf("%w: %d bytes, at most %d are allowed", ErrContentTooLong, len(content), MaxContentSize)
 	case node.proposal.pending():
 		return fmt.Errorf("%w: version %d", ErrProposalPending, node.proposal.version.Number)
 	}
@@ -41,7 +42,7 @@
 	return nil
 }
 
-// requestAccepts asks the voters under a new number.
+// requestAccepts asks the voters to accept the proposal under a new number.
 func (node *Node) requestAccepts(now, wallMS int64) {
 	number := node.nextNumber(wallMS)
 	node.highest = max(node.highest, number)
@@ -51,21 +52,22 @@
 	content := node.proposal.version.Content
 	for _, voter := range node.config.Voters {
 		if node.proposal.version.Number != number {
-			return // the own vote has ended it
+			return // the vote of this node ended the proposal
 		}
 		node.send(now, voter, Message{Kind: Propose, Number: number, Content: content})
 	}
 }
 
-// nextNumber is above all numbers known. The wall clock lifts it over those that all may have forgotten, and
-// a mark of this start keeps two starts from drawing the same.
+// nextNumber returns a number above all known ones. The wall clock keeps it above numbers that no instance remembers
+// after a restart. Its low bits are a hash of this node's name and incarnation, so that two starts don't use the same
+// number.
 func (node *Node) nextNumber(wallMS int64) uint64 {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, node.config.Self, " ", node.config.Incarnation) //nolint:errcheck // a hash's Write never fails
-	return paxos.NextBallot(node.highest, wallMS, paxos.Mark(hash.Sum64()))
+	return paxos.NextBallot(node.highest, wallMS, paxos.ProposerID(hash.Sum64()))
 }
 
-// retryProposal asks again where no quorum answered, and gives up in the end.
+// retryProposal retries a proposal that got no quorum in time, and ends it after maxAttempts attempts.
 func (node *Node) retryProposal(now, wallMS int64) {
 	if !node.proposal.pending() || now-node.proposal.sentAt < retryRenewals*node.config.RenewInterval {
 		return
@@ -78,6 +80,7 @@
 	node.requestAccepts(now, wallMS)
 }
 
+// endProposal ends the proposal and reports its outcome; the reason is empty if it was accepted.
 func (node *Node) endProposal(reason string) {
 	node.emit(ProposalEnded{Number: node.proposal.version.Number, Reason: reason})
 	node.proposal = proposal{}
@@ -92,7 +95,7 @@
 	if message.Kind == Reject {
 		node.proposal.rejected[from] = true
 		if !node.isQuorum(len(node.config.Voters) - len(node.proposal.rejected)) {
-			node.endProposal(cmp.Or(message.Reason, "refused"))
+			node.endProposal(cmp.Or(message.Reason, "the voters rejected it without a reason"))
 		}
 		return
 	}
--- a/internal/cluster/sharedconfig/record_test.go
+++ b/internal/cluster/sharedconfig/record_test.go
@@ -8,11 +8,12 @@
 	"tealpath/internal/cluster/recordtest"
 )
 
-// recordedDigest is the SHA-256 of all effects in TestRecordedSequence, in order.
+// recordedDigest is the SHA-256 of the lines that TestRecordedSequence records, in order.
 const recordedDigest = "c3c7c24f93956e7c28eef4327b2b9a73e9f6f2f5ee748ad56fce7b49a113e7ca"
 
-// TestRecordedSequence plays 300 s of seven instances, five of them voters, with drawn faults and proposals.
-// Each effect goes into one digest, so that a rewrite that changes any of them, or their order, is found.
+// TestRecordedSequence simulates 300 s of seven instances, five of them voters, with random faults and proposals. Each
+// effect goes into one digest, so that the test detects a refactoring that changes any effect or the order of the
+// effects.
 func TestRecordedSequence(t *testing.T) {
 	const instances, voters, seconds = 7, 5, 300
 	cluster := newCluster(48, instances, voters, plantedFault{})
@@ -21,7 +22,7 @@
 	cluster.observe = func(name string, effect Effect) { record("%d %s %T %v", cluster.now, name, effect, effect) }
 	faults := rand.New(rand.NewPCG(48, instances))
 	for round := range seconds {
-		if err := cluster.drawFault(faults, round); err != nil {
+		if err := cluster.injectRecordedFault(faults, round); err != nil {
 			record("refused: %v", err)
 		}
 		cluster.run(second)
@@ -32,14 +33,14 @@
 				instance.node.Next(now))
 		}
 	}
-	if cluster.broken != "" {
-		t.Error(cluster.broken)
+	if cluster.violation != "" {
+		t.Error(cluster.violation)
 	}
 	recorder.Check(recordedDigest)
 }
 
-// drawFault begins or ends a drawn fault, has something proposed, or does nothing.
-func (cluster *testCluster) drawFault(faults *rand.Rand, round int) error {
+// injectRecordedFault starts or ends a random fault, proposes a content, or does nothing.
+func (cluster *testCluster) injectRecordedFault(faults *rand.Rand, round int) error {
 	instance := cluster.instances[faults.IntN(len(cluster.instances))]
 	duration := faults.Int64N(5 * second)
 	content := fmt.Sprint(string(rune('a'+faults.IntN(2))), round)
@@ -57,13 +58,13 @@
 	case 8:
 		instance.side = 1 - instance.side
 	case 9:
-		instance.deaf = !instance.deaf
+		instance.dropsIncoming = !instance.dropsIncoming
 	case 10:
 		cluster.loss = faults.Float64() / 2
 	case 11:
 		cluster.loss = 0
 		for _, other := range cluster.instances {
-			other.side, other.deaf = 0, false
+			other.side, other.dropsIncoming = 0, false
 		}
 	}
 	return nil
--- a/internal/cluster/sharedconfig/voter.go
+++ b/internal/cluster/sharedconfig/voter.go
@@ -5,44 +5,47 @@
 	"slices"
 )
 
-// voterState is what a voter has granted and accepted.
+// voterState is the state of a voter: the leases that it granted and the proposals that it accepted.
 type voterState struct {
-	current     uint64 // version on which it grants leases
-	leasedUntil int64  // when the last lease that it granted on the current version ends
-	next        uint64 // committed version that it goes to, once it may; current if there is none
-	left        []leftVersion
-	accepted    uint64 // highest number that it accepted in a proposal
+	current     uint64 // version on which the voter grants leases
+	leasedUntil int64  // when the last lease granted on the current version ends
+	next        uint64 // committed version that the voter is to change to; equal to current if there is none
+	previous    []previousVersion
+	accepted    uint64 // highest number of the proposals that the voter accepted
 }
 
-// leftVersion is a version that a voter went on from, on which leases granted by it may be left until a time.
-type leftVersion struct {
+// previousVersion is an earlier version of a voter, on which leases that it granted may last until leasedUntil.
+type previousVersion struct {
 	number      uint64
 	leasedUntil int64
 }
 
-// advance has a voter go on to the version committed last: at once where it is compatible with all on which
-// leases granted here may be left, else once those have ended. Not only the version before counts: voters of
-// two epochs may be in force side by side, of three not.
+// advance changes a voter to the newest committed version. It does so only when that version is compatible with every
+// version on which a lease granted by this voter may still last. Checking only the current version is not enough:
+// the voters of two consecutive epochs may be in force at the same time, but not those of three.
 func (node *Node) advance(now int64) {
 	state := &node.voter
 	if !node.isVoter() || state.next == state.current || node.contents[state.next] == nil {
 		return
 	}
-	state.left = slices.DeleteFunc(state.left, func(left leftVersion) bool { return now >= left.leasedUntil })
-	current := leftVersion{number: state.current, leasedUntil: state.leasedUntil}
-	for _, left := range append(slices.Clone(state.left), current) {
-		if now < left.leasedUntil && node.incompatible(left.number, state.next) {
+	state.previous = slices.DeleteFunc(state.previous, func(previous previousVersion) bool {
+		return now >= previous.leasedUntil
+	})
+	current := previousVersion{number: state.current, leasedUntil: state.leasedUntil}
+	for _, previous := range append(slices.Clone(state.previous), current) {
+		if now < previous.leasedUntil && node.incompatible(previous.number, state.next) {
 			return
 		}
 	}
 	if now < node.grantsFrom && node.incompatible(state.current, state.next) {
 		return
 	}
-	state.left = append(state.left, current)
+	state.previous = append(state.previous, current)
 	state.current, state.leasedUntil = state.next, 0
 }
 
-// incompatible reports whether two versions may never be acted on at once; what is not known any more may not.
+// incompatible reports whether two versions must never be active at the same time. A version whose content is no longer
+// known counts as incompatible.
 func (node *Node) incompatible(current, proposed uint64) bool {
 	before, after := node.contents[current], node.contents[proposed]
 	if before == nil || after == nil {
@@ -52,8 +55,8 @@
 	return incompatible || err != nil
 }
 
-// receiveRenew has a voter grant a lease on the version that it is at. A voter that restarted knows no
-// version, and learns from those who ask.
+// receiveRenew grants a lease if the request is for the voter's current version. A restarted voter does not know the
+// newest version, so it fetches versions from the instances that request leases on them.
 func (node *Node) receiveRenew(now int64, from string, message Message) {
 	if !node.isVoter() {
 		return
@@ -67,7 +70,8 @@
 	switch {
 	case now < node.grantsFrom:
 	case message.Number != state.current || state.next != state.current:
-		// No lease on what is left behind; the version that comes next is named.
+		// Leases are granted only on the current version, and no longer once a later one is committed. The answer
+		// names the version to request instead.
 		node.send(now, from, Message{Kind: Redirect, Number: state.next})
 	default:
 		state.leasedUntil = max(state.leasedUntil, now+node.config.LeaseDuration)
@@ -75,13 +79,13 @@
 	}
 }
 
-// receivePropose has a voter accept or reject a version. A silent voter does neither: it doesn't know what it
-// has accepted.
+// receivePropose accepts or rejects a proposed version. During its restart silence a voter does neither, because it
+// does not know what it accepted before the restart.
 func (node *Node) receivePropose(now int64, from string, message Message) {
 	if !node.isVoter() || len(message.Content) > MaxContentSize || now < node.grantsFrom {
 		return
 	}
-	if reason := node.reasonToReject(message); reason != "" {
+	if reason := node.rejectionReason(message); reason != "" {
 		node.send(now, from, Message{Kind: Reject, Number: message.Number, Reason: reason})
 		return
 	}
@@ -89,9 +93,9 @@
 	node.send(now, from, Message{Kind: Accept, Number: message.Number})
 }
 
-// reasonToReject checks a proposal against the newest version and the numbers accepted; it is empty where
-// nothing is wrong.
-func (node *Node) reasonToReject(message Message) string {
+// rejectionReason returns why a proposal must be rejected, or "" if it can be accepted. It checks the content against
+// the newest version, and the number against the newest version and the proposals accepted.
+func (node *Node) rejectionReason(message Message) string {
 	if _, err := node.config.Incompatible(node.contents[node.newest], message.Content); err != nil {
 		return err.Error()
 	}
--- a/internal/cluster/timing/timing.go
+++ b/internal/cluster/timing/timing.go
@@ -1,29 +1,29 @@
-// Package timing has what the packages of a cluster share about instants and lengths of time: nanoseconds of
-// a monotonic clock that reads 0 or more, and whose rate may be off by a known drift.
+// Package timing has constants and functions for instants and durations that the packages of a cluster have in
+// common. Both are in ns of a monotonic clock that reads 0 or more and whose rate may be off by a known drift.
 package timing
 
 import "time"
 
-// Never is the instant of what has not happened.
+// Never stands for the instant of an event that has not happened.
 const Never = int64(-1)
 
-// Happened reports whether an instant is one at which something happened, and not Never.
+// Happened reports whether at is a real instant rather than Never.
 func Happened(at int64) bool { return at >= 0 }
 
-// Milliseconds converts a length of time in ns, cutting off what is under a millisecond.
+// Milliseconds converts a duration from ns to ms and truncates it toward zero.
 func Milliseconds(nanoseconds int64) int64 { return time.Duration(nanoseconds).Milliseconds() }
 
-// HoldDuration is for how long a lease holder may act after it sent the renewal that a quorum accepted, by
-// its own clock, ns. leaseDuration is for how long the voters count it in, by theirs. It is shorter than the
-// lease by so much that the lease of no voter ends before, as long as the rates of both clocks are off by a
-// share of maxDrift at most (docs/duties.md has the proof).
+// HoldDuration returns how long a lease holder may act after it sent a renewal that a quorum accepted, in ns of the
+// holder's clock. Each voter honors the lease for leaseDuration on its own clock. The result is shorter than
+// leaseDuration, so that the holder stops before any voter's lease ends if the rates of all clocks are off by at
+// most the fraction maxDrift (docs/duties.md has the proof).
 func HoldDuration(leaseDuration int64, maxDrift float64) int64 {
 	return int64(float64(leaseDuration) * (1 - maxDrift) / (1 + maxDrift))
 }
 
-// LongestLease is how long a lease of leaseDuration by a slow clock may last by a fast one, ns, not rounded.
-// A voter that has restarted grants nothing for so long, because it may have granted a lease and forgotten
-// it.
+// LongestLease returns how many ns pass on the fastest clock while leaseDuration passes on the slowest; the result is
+// not rounded. A restarted voter grants nothing for that time, because it may have granted a lease before the
+// restart that it has no record of.
 func LongestLease(leaseDuration int64, maxDrift float64) float64 {
 	return float64(leaseDuration) * (1 + maxDrift) / (1 - maxDrift)
 }
--- a/internal/operatorconfig/cluster_test.go
+++ b/internal/operatorconfig/cluster_test.go
@@ -102,7 +102,7 @@
 		"lease shorter than three renewals", "(lease 1500ms)", "(lease 1400ms)",
 		"6:14: the lease of 1.4s is shorter than three renewals of 500ms",
 	},
-	{"a majority of none", "(now a b c)", "(now)", "5:3: no voters: a majority of none grants nothing"},
+	{"a majority of none", "(now a b c)", "(now)", "5:3: no voters: at least one is needed"},
 	{"voter unknown", "(now a b c)", "(now a b d)", "5:3: voter d is not among the instances"},
 	{"voter twice", "(now a b c)", "(now a b b)", "5:3: voter b is named twice"},
 	{
