--- a/internal/compatibility/compare.go
+++ b/internal/compatibility/compare.go
@@ -9,7 +9,7 @@
 	"tealpath/internal/cluster/lease"
 )
 
-// The settings as conflicts and errors name them.
+// These are the names of the settings in conflicts and errors.
 const (
 	settingRouters     = "routers"
 	settingSlots       = "slots"
@@ -22,27 +22,27 @@
 	settingProbePeriod = "probe-period"
 )
 
-// Severity is how bad it is that two versions are in force side by side.
+// Severity is the severity of a conflict between two versions that are in force at the same time.
 type Severity int
 
-// The severities. Harmless costs nothing. Bounded may last as long as a lease, because the rule that it touches
-// allows for that time. Exclusive may not happen at all: no instance puts the one version in force before none
-// can act on the other.
+// The severities of conflicts. A Harmless conflict does no damage. A Bounded one may last as long as a lease,
+// because the rule that it affects allows for that time. An Exclusive one must not occur: no instance puts one of the
+// versions in force as long as another instance may act on the other.
 const (
 	Harmless Severity = iota
 	Bounded
 	Exclusive
 )
 
-// String is the severity in lower case, as `tealpath diff` prints it.
+// String returns the severity in lower case, as `tealpath diff` prints it.
 func (severity Severity) String() string {
 	return []string{"harmless", "bounded", "exclusive"}[severity]
 }
 
-// Rule is the number of the routing rule that a conflict touches (docs/design.md).
+// Rule is the number of the routing rule that a conflict affects (docs/design.md).
 type Rule int
 
-// The rules that shared settings can touch; NoRule is a conflict that touches none.
+// The rules that conflicts between shared settings can affect; NoRule stands for none.
 const (
 	NoRule         Rule = 0
 	RuleDrained    Rule = 3 // no new attempt goes to an endpoint that is draining or removed
@@ -50,7 +50,7 @@
 	RulePurge      Rule = 5 // after a purge's grace no older copy is served
 )
 
-// Conflict is one setting in which two versions differ.
+// Conflict describes a setting that differs between two versions, and the effect of the difference.
 type Conflict struct {
 	Setting  string
 	Severity Severity
@@ -58,7 +58,7 @@
 	Reason   string
 }
 
-// String is the conflict on one line, as `tealpath diff` prints it.
+// String returns the conflict as one line, as `tealpath diff` prints it.
 func (conflict Conflict) String() string {
 	rule := ""
 	if conflict.Rule != NoRule {
@@ -67,7 +67,7 @@
 	return fmt.Sprintf("%s (%s%s): %s", conflict.Setting, conflict.Severity, rule, conflict.Reason)
 }
 
-// Compare returns the conflicts of two versions, the worst first.
+// Compare returns the conflicts between two versions in descending order of severity.
 func Compare(a, b Settings) []Conflict {
 	var conflicts []Conflict
 	for _, compare := range []func(a, b Settings) []Conflict{
@@ -80,7 +80,7 @@
 	return conflicts
 }
 
-// WorstSeverity is the highest severity among conflicts; without any it is Harmless.
+// WorstSeverity returns the highest severity of conflicts, or Harmless if there are none.
 func WorstSeverity(conflicts []Conflict) Severity {
 	worst := Harmless
 	for _, conflict := range conflicts {
@@ -89,8 +89,8 @@
 	return worst
 }
 
-// Incompatible tells whether two encoded versions may never be in force at once; err says why the proposed one
-// can't be in force at all. internal/cluster/sharedconfig judges versions by it.
+// Incompatible reports whether two encoded versions must never be in force at the same time. It returns an error if the
+// proposed version is invalid or one of them can't be decoded. It implements sharedconfig.IncompatibleFunc.
 func Incompatible(current, proposed []byte) (incompatible bool, err error) {
 	before, err := Decode(current)
 	if err != nil {
@@ -111,6 +111,7 @@
 	return WorstSeverity(Compare(before, after)) == Exclusive, nil
 }
 
+// compareRouters compares the numbers of routers, by which slow-start budgets are divided.
 func compareRouters(a, b Settings) []Conflict {
 	fewer, more := min(a.Routers, b.Routers), max(a.Routers, b.Routers)
 	if fewer == more {
@@ -121,6 +122,7 @@
 		more, fewer, float64(more)/float64(max(1, fewer)))}}
 }
 
+// compareSlots compares the numbers of slots to which periodic tasks hash.
 func compareSlots(a, b Settings) []Conflict {
 	if a.Slots == b.Slots {
 		return nil
@@ -129,6 +131,7 @@
 		"a duty hashes to other slots of %d than of %d: it has two owners", a.Slots, b.Slots)}}
 }
 
+// compareLeases compares the lease durations and clock drifts.
 func compareLeases(a, b Settings) []Conflict {
 	if a.LeaseDuration == b.LeaseDuration && a.MaxClockDrift == b.MaxClockDrift {
 		return nil
@@ -138,6 +141,7 @@
 		milliseconds(a.LeaseDuration), a.MaxClockDrift, milliseconds(b.LeaseDuration), b.MaxClockDrift)}}
 }
 
+// compareVoters compares the voters.
 func compareVoters(a, b Settings) []Conflict {
 	reason := votersConflict(a.Voters, b.Voters)
 	if reason == "" {
@@ -146,6 +150,7 @@
 	return []Conflict{{settingVoters, Exclusive, NoRule, reason}}
 }
 
+// comparePurges compares the times during which purges are enforced.
 func comparePurges(a, b Settings) []Conflict {
 	shorter, longer := min(a.PurgeWindow, b.PurgeWindow), max(a.PurgeWindow, b.PurgeWindow)
 	if shorter == longer {
@@ -156,6 +161,7 @@
 		milliseconds(shorter), milliseconds(longer))}}
 }
 
+// compareDrained returns one conflict for each endpoint that is drained in only one of the versions.
 func compareDrained(a, b Settings) []Conflict {
 	var conflicts []Conflict
 	for _, name := range symmetricDifference(a.DrainedEndpoints, b.DrainedEndpoints) {
@@ -165,6 +171,7 @@
 	return conflicts
 }
 
+// compareConnections compares the connection limits of caches.
 func compareConnections(a, b Settings) []Conflict {
 	if a.MaxConnections == b.MaxConnections {
 		return nil
@@ -174,6 +181,7 @@
 		a.MaxConnections, b.MaxConnections)}}
 }
 
+// compareProbes compares the periods of health checks.
 func compareProbes(a, b Settings) []Conflict {
 	if a.ProbePeriod == b.ProbePeriod {
 		return nil
@@ -181,9 +189,9 @@
 	return []Conflict{{settingProbePeriod, Harmless, NoRule, "each target has one owner, which goes by its own"}}
 }
 
-// votersConflict says why two sets of voters can't be in force side by side. It is empty where they can: where
-// any majority of the one meets any majority of the other, as at epochs next to each other that differ by one
-// voter.
+// votersConflict returns why two sets of voters must not be in force at the same time, or "" if they may be. They may
+// if every quorum of one set shares a voter with every quorum of the other, as for consecutive epochs that differ by
+// one voter.
 func votersConflict(a, b lease.Voters) string {
 	older, newer := a, b
 	if older.Epoch > newer.Epoch {
@@ -204,10 +212,10 @@
 	return ""
 }
 
-// milliseconds converts a length of time in ns, cutting off what is under a millisecond.
+// milliseconds converts a duration from ns to ms and truncates it toward zero.
 func milliseconds(nanoseconds int64) int64 { return time.Duration(nanoseconds).Milliseconds() }
 
-// symmetricDifference returns the names that are in one list alone, sorted.
+// symmetricDifference returns the names that are in exactly one of two lists, sorted.
 func symmetricDifference(a, b []string) []string {
 	names := slices.Concat(difference(a, b), difference(b, a))
 	slices.Sort(names)
--- a/internal/compatibility/compare_test.go
+++ b/internal/compatibility/compare_test.go
@@ -7,7 +7,7 @@
 	"tealpath/internal/cluster/lease"
 )
 
-// exampleSettings are valid, with a value in each field.
+// exampleSettings returns valid settings with a value in each field.
 func exampleSettings() Settings {
 	return Settings{
 		Routers: 300, Slots: 64, LeaseDuration: 15e8, MaxClockDrift: .01,
@@ -16,20 +16,20 @@
 	}
 }
 
-// nextVoters are voters one epoch after those of the example.
-func nextVoters(names, before []string) lease.Voters {
-	return lease.Voters{Epoch: 5, Current: names, Previous: before}
+// nextVoters returns voters of the epoch after that of exampleSettings.
+func nextVoters(current, previous []string) lease.Voters {
+	return lease.Voters{Epoch: 5, Current: current, Previous: previous}
 }
 
-// differences are changes to the example's settings, with the worst conflict that each causes.
+// differences are changes to exampleSettings, each with the most severe conflict that it causes.
 var differences = []struct {
 	name     string
 	change   func(*Settings)
-	setting  string // empty: no conflict
+	setting  string // empty if there is no conflict
 	severity Severity
 	rule     Rule
 }{
-	{"the same", func(*Settings) {}, "", Harmless, NoRule},
+	{"no change", func(*Settings) {}, "", Harmless, NoRule},
 	{"fewer routers", func(s *Settings) { s.Routers = 200 }, "routers", Bounded, RuleColdBudget},
 	{"more slots", func(s *Settings) { s.Slots = 128 }, "slots", Exclusive, NoRule},
 	{"a shorter lease", func(s *Settings) { s.LeaseDuration = 1e9 }, "lease", Exclusive, NoRule},
@@ -40,17 +40,19 @@
 	{"two changes of voters", func(s *Settings) {
 		s.Voters = nextVoters([]string{"a", "d"}, []string{"a", "b", "c"})
 	}, "voters", Exclusive, NoRule},
-	{"two epochs on", func(s *Settings) { s.Voters.Epoch = 6 }, "voters", Exclusive, NoRule},
-	{"others under the same epoch", func(s *Settings) { s.Voters.Current = []string{"a", "b"} }, "voters", Exclusive, NoRule},
-	{"others before", func(s *Settings) {
+	{"voters two epochs later", func(s *Settings) { s.Voters.Epoch = 6 }, "voters", Exclusive, NoRule},
+	{"other voters in the same epoch", func(s *Settings) {
+		s.Voters.Current = []string{"a", "b"}
+	}, "voters", Exclusive, NoRule},
+	{"other previous voters", func(s *Settings) {
 		s.Voters = nextVoters([]string{"a", "b", "c"}, []string{"a", "b"})
 	}, "voters", Exclusive, NoRule},
-	{"purges for shorter", func(s *Settings) { s.PurgeWindow = 5e9 }, "purge-takes", Bounded, RulePurge},
-	{"one more drained", func(s *Settings) {
+	{"shorter purge window", func(s *Settings) { s.PurgeWindow = 5e9 }, "purge-takes", Bounded, RulePurge},
+	{"one more drained endpoint", func(s *Settings) {
 		s.DrainedEndpoints = []string{"s-2", "s-1"}
 	}, "withdrawn", Bounded, RuleDrained},
 	{"more connections", func(s *Settings) { s.MaxConnections = 90 }, "holds", Harmless, NoRule},
-	{"another period", func(s *Settings) { s.ProbePeriod = 2e9 }, "probe-period", Harmless, NoRule},
+	{"longer probe period", func(s *Settings) { s.ProbePeriod = 2e9 }, "probe-period", Harmless, NoRule},
 	{"slots and connections", func(s *Settings) { s.MaxConnections, s.Slots = 90, 32 }, "slots", Exclusive, NoRule},
 }
 
@@ -59,22 +61,23 @@
 		t.Run(test.name, func(t *testing.T) {
 			a, b := exampleSettings(), exampleSettings()
 			test.change(&b)
-			there, back := Compare(a, b), Compare(b, a)
+			conflicts, reversed := Compare(a, b), Compare(b, a)
 			var worst Conflict
-			if len(there) > 0 {
-				worst = there[0]
+			if len(conflicts) > 0 {
+				worst = conflicts[0]
 			}
 			if worst.Setting != test.setting || worst.Severity != test.severity || worst.Rule != test.rule {
-				t.Errorf("%v, want %s %s, rule %d", there, test.setting, test.severity, test.rule)
+				t.Errorf("Compare = %v, want %q %s, rule %d, first", conflicts, test.setting, test.severity, test.rule)
 			}
-			if WorstSeverity(there) != test.severity || WorstSeverity(back) != test.severity || len(there) != len(back) {
-				t.Errorf("%v, the other way %v", there, back)
+			if WorstSeverity(conflicts) != test.severity || WorstSeverity(reversed) != test.severity ||
+				len(conflicts) != len(reversed) {
+				t.Errorf("%v, with the arguments swapped %v, want %s in both", conflicts, reversed, test.severity)
 			}
 		})
 	}
 }
 
-// What `tealpath diff` prints of a conflict is read by scripts.
+// Scripts read the conflicts that `tealpath diff` prints, so their text must not change.
 func TestConflictString(t *testing.T) {
 	a, b := exampleSettings(), exampleSettings()
 	b.Slots, b.Routers, b.MaxConnections = 32, 200, 90
@@ -85,11 +88,11 @@
 	}
 	conflicts := Compare(a, b)
 	if len(conflicts) != len(want) {
-		t.Fatalf("%v, want %d conflicts", conflicts, len(want))
+		t.Fatalf("Compare = %v, want %d conflicts", conflicts, len(want))
 	}
 	for i, conflict := range conflicts {
 		if conflict.String() != want[i] {
-			t.Errorf("%s\nwant %s", conflict, want[i])
+			t.Errorf("conflict %d is\n%s\nwant\n%s", i, conflict, want[i])
 		}
 	}
 }
@@ -110,39 +113,40 @@
 		t.Run(test.name, func(t *testing.T) {
 			incompatible, _ := Incompatible(current, encode(t, test.change))
 			if incompatible != (test.severity == Exclusive) {
-				t.Errorf("incompatible: %v, but %s", incompatible, test.severity)
+				t.Errorf("Incompatible = %v for a difference that is %s", incompatible, test.severity)
 			}
 		})
 	}
 	for _, test := range []struct {
 		name    string
-		setting string // that the error names
+		setting string // the one that the error must name
 		change  func(*Settings)
 	}{
 		{"no routers", "routers", func(s *Settings) { s.Routers = 0 }},
 		{"no slots", "slots", func(s *Settings) { s.Slots = 0 }},
 		{"no lease", "lease", func(s *Settings) { s.LeaseDuration = 0 }},
-		{"a clock that runs backwards", "drift", func(s *Settings) { s.MaxClockDrift = 1 }},
-		{"voters two epochs on", "voters", func(s *Settings) { s.Voters.Epoch = 6 }},
+		{"drift of 1", "drift", func(s *Settings) { s.MaxClockDrift = 1 }},
+		{"voters two epochs later", "voters", func(s *Settings) { s.Voters.Epoch = 6 }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			incompatible, err := Incompatible(current, encode(t, test.change))
 			var settingError *SettingError
 			if !incompatible || !errors.As(err, &settingError) || settingError.Setting != test.setting {
-				t.Errorf("incompatible: %v, error %v, want one that names %s", incompatible, err, test.setting)
+				t.Errorf("Incompatible = %v, error %v, want true and an error that names %s",
+					incompatible, err, test.setting)
 			}
 		})
 	}
 	noVoters := encode(t, func(s *Settings) { s.Voters.Current = nil })
 	for name, pair := range map[string][2][]byte{
-		"no voters":             {current, noVoters},
-		"the current unread":    {[]byte("\xff"), current},
-		"the proposed unread":   {current, []byte("\xff")},
-		"the proposed is empty": {current, nil},
+		"no voters":                 {current, noVoters},
+		"current version not CBOR":  {[]byte("\xff"), current},
+		"proposed version not CBOR": {current, []byte("\xff")},
+		"proposed version is empty": {current, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if incompatible, err := Incompatible(pair[0], pair[1]); !incompatible || err == nil {
-				t.Errorf("incompatible: %v, error %v", incompatible, err)
+				t.Errorf("Incompatible = %v, error %v, want true and an error", incompatible, err)
 			}
 		})
 	}
--- a/internal/compatibility/conservative_test.go
+++ b/internal/compatibility/conservative_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// drawSettings draws settings that differ from the example in what is not exclusive and, seldom, in the slots.
-func drawSettings(rng *rand.Rand) Settings {
+// randomSettings returns settings that differ from exampleSettings in settings that are not exclusive and, with a
+// probability of 1/8, in the number of slots, which is.
+func randomSettings(rng *rand.Rand) Settings {
 	settings := exampleSettings()
 	settings.Routers = 1 + rng.IntN(300)
 	settings.PurgeWindow = int64(rng.IntN(9)) * 1e9
@@ -26,34 +27,35 @@
 	return settings
 }
 
-// Whichever of drawn versions is in force, the conservative settings conflict with none: shares sum to at most
-// the whole, purges are enforced for as long, who is drained in one gets nothing.
+// The conservative settings must be safe whichever of several random versions is in force: slow-start shares must not
+// add up to more than the whole, purges must be enforced for at least as long, and an endpoint that is drained in one
+// version must be drained.
 func TestConservative(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 7))
 	for range 2000 {
 		var versions []Settings
 		for range 1 + rng.IntN(4) {
-			versions = append(versions, drawSettings(rng))
+			versions = append(versions, randomSettings(rng))
 		}
 		safe, ok := Conservative(versions...)
 		exclusive := slices.ContainsFunc(versions, func(s Settings) bool { return s.Slots != versions[0].Slots })
 		if ok == exclusive {
-			t.Fatalf("ok %v of %+v", ok, versions)
+			t.Fatalf("Conservative returned ok = %v for %+v, want %v", ok, versions, !exclusive)
 		}
 		for _, version := range versions {
 			if safe.Routers < version.Routers || safe.PurgeWindow < version.PurgeWindow ||
 				version.MaxConnections > 0 && safe.MaxConnections > version.MaxConnections ||
 				safe.ProbePeriod < version.ProbePeriod {
-				t.Fatalf("%+v allows more than %+v", safe, version)
+				t.Fatalf("conservative settings %+v allow more than version %+v", safe, version)
 			}
 			for _, name := range version.DrainedEndpoints {
 				if !slices.Contains(safe.DrainedEndpoints, name) {
-					t.Fatalf("%s is not drained in %+v", name, safe)
+					t.Fatalf("%s is not drained in the conservative settings %+v", name, safe)
 				}
 			}
 		}
 	}
 	if _, ok := Conservative(); ok {
-		t.Error("conservative settings of no version")
+		t.Error("Conservative without versions returned ok = true, want false")
 	}
 }
--- a/internal/compatibility/migration.go
+++ b/internal/compatibility/migration.go
@@ -8,7 +8,7 @@
 	"tealpath/internal/cluster/lease"
 )
 
-// EpochOrderError is a migration to voters of an earlier epoch.
+// EpochOrderError reports that the voters of the target version belong to an earlier epoch than the current ones.
 type EpochOrderError struct{ From, To uint64 }
 
 // Error names both epochs.
@@ -16,10 +16,11 @@
 	return fmt.Sprintf("voters of epoch %d can't follow those of epoch %d", err.To, err.From)
 }
 
-// MigrationPath returns the versions by which one becomes another, the last one being the goal but for the
-// voters' epoch. What is at most bounded comes first, in one step. Then voters change, one a step. What is
-// exclusive comes last, in a step of its own, as all instances have to stop acting for it. An *EpochOrderError
-// says that no steps lead there.
+// MigrationPath returns the versions to put in force one after another to get from one version to another. The last
+// one equals the target, except that the epoch of its voters may differ. The first step makes all changes whose
+// conflicts are at most bounded. Then the voters change, one in each step. Exclusive changes come last, in one step,
+// because no instance may act under the old version any more when the new one takes effect. MigrationPath returns an
+// *EpochOrderError if the target's voters are of an earlier epoch.
 func MigrationPath(from, to Settings) ([]Settings, error) {
 	if to.Voters.Epoch < from.Voters.Epoch {
 		return nil, &EpochOrderError{From: from.Voters.Epoch, To: to.Voters.Epoch}
@@ -39,13 +40,13 @@
 	return path.steps, nil
 }
 
-// migration is a path as far as it has been built.
+// migration is a migration path under construction.
 type migration struct {
-	current Settings
+	current Settings // the version after the latest step
 	steps   []Settings
 }
 
-// add appends a step, unless it changes nothing.
+// add appends a step unless it equals the current version.
 func (path *migration) add(next Settings) {
 	if reflect.DeepEqual(path.current, next) {
 		return
@@ -54,8 +55,8 @@
 	path.steps = append(path.steps, next)
 }
 
-// changeVoters adds and removes voters, one a step. One more comes before one less, so that a quorum bears as
-// many failures all the way as it did at the start.
+// changeVoters appends steps that each add or remove one voter. A voter is added before another is removed, so that at
+// every step a quorum tolerates at least as many failures as at the start, unless the target has fewer voters.
 func (path *migration) changeVoters(goal []string) {
 	start := path.current.Voters.Current
 	removed, added := difference(start, goal), difference(goal, start)
--- a/internal/compatibility/migration_test.go
+++ b/internal/compatibility/migration_test.go
@@ -10,8 +10,8 @@
 	"tealpath/internal/cluster/lease"
 )
 
-// Between any two drawn versions there are steps, each of which differs from the one before by at most one
-// voter, and exclusive settings change in the last alone.
+// Between any two random versions there must be a path on which each step changes at most one voter, and exclusive
+// settings change only in the last step.
 func TestMigrationPath(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}
@@ -30,16 +30,16 @@
 		checkSteps(t, from, steps)
 		end := steps[len(steps)-1]
 		if !slices.Equal(end.Voters.Current, to.Voters.Current) {
-			t.Fatalf("the path ends at voters %v, not at %v", end.Voters.Current, to.Voters.Current)
+			t.Fatalf("the path ends at voters %v, want %v", end.Voters.Current, to.Voters.Current)
 		}
 		end.Voters, to.Voters = lease.Voters{}, lease.Voters{}
 		if !reflect.DeepEqual(end, to) {
-			t.Fatalf("the path ends at %+v, not at %+v", end, to)
+			t.Fatalf("the path ends at %+v, want %+v", end, to)
 		}
 	}
 }
 
-// checkSteps checks that each step of a path may follow the one before.
+// checkSteps checks that each step of a path may directly follow the previous one.
 func checkSteps(t *testing.T, from Settings, steps []Settings) {
 	t.Helper()
 	current := from
@@ -47,23 +47,23 @@
 		last := i == len(steps)-1
 		for _, conflict := range Compare(current, step) {
 			if conflict.Setting == "voters" || conflict.Severity == Exclusive && !last {
-				t.Fatalf("step %d of %d: %v", i, len(steps), conflict)
+				t.Fatalf("step %d of %d has the conflict %v, which is not allowed there", i+1, len(steps), conflict)
 			}
 		}
 		if err := step.Voters.Check(); err != nil {
-			t.Fatalf("step %d: %v", i, err)
+			t.Fatalf("step %d of %d has invalid voters: %v", i+1, len(steps), err)
 		}
 		current = step
 	}
 }
 
-func TestMigrationToAnEarlierEpoch(t *testing.T) {
-	back := exampleSettings()
-	back.Voters.Epoch = 3
-	_, err := MigrationPath(exampleSettings(), back)
+func TestMigrationToEarlierEpochFails(t *testing.T) {
+	earlier := exampleSettings()
+	earlier.Voters.Epoch = 3
+	_, err := MigrationPath(exampleSettings(), earlier)
 	var order *EpochOrderError
 	if !errors.As(err, &order) || order.From != 4 || order.To != 3 {
-		t.Fatalf("error %v", err)
+		t.Fatalf("error %v, want an *EpochOrderError from epoch 4 to 3", err)
 	}
 	if want := "voters of epoch 3 can't follow those of epoch 4"; err.Error() != want {
 		t.Errorf("%q, want %q", err, want)
--- a/internal/compatibility/settings_test.go
+++ b/internal/compatibility/settings_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// Settings go among instances as CBOR, and `tealpath diff --json` prints them: the names of the fields stay as
-// they are.
-func TestWireForm(t *testing.T) {
+// Instances exchange settings as CBOR, and `tealpath diff --json` prints them as JSON, so the field names of both must
+// not change.
+func TestSettingsEncoding(t *testing.T) {
 	const (
 		wantCBOR = "a967526f757465727319012c65536c6f74731840654c656173651a59682f00654472696674fb3f847ae147ae147b66566f74657273a3" +
 			"6545706f636804634e6f7783616161626163664265666f726582616161626a507572676554616b65731b0000000165a0bc006957697468" +
@@ -27,9 +27,9 @@
 	if got := hex.EncodeToString(content); got != wantCBOR {
 		t.Errorf("CBOR %s\nwant %s", got, wantCBOR)
 	}
-	back, err := Decode(content)
-	if err != nil || !reflect.DeepEqual(back, settings) {
-		t.Errorf("read back: %+v, %v", back, err)
+	decoded, err := Decode(content)
+	if err != nil || !reflect.DeepEqual(decoded, settings) {
+		t.Errorf("Decode = %+v, %v, want %+v", decoded, err, settings)
 	}
 	text, err := json.Marshal(settings)
 	if err != nil {
