--- a/internal/cluster/lease/acquire.go
+++ b/internal/cluster/lease/acquire.go
@@ -6,7 +6,8 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// These constants decide which candidates request a free slot, and when. "Renewals" stands for renewal intervals.
+// These constants decide which candidates request a free slot, and when. "Renewals" in their
+// names means renewal intervals.
 const (
 	ticksPerRenewal = 8
 	steadyRenewals  = 2  // time without a change of the assignment before slots are transferred
--- a/internal/cluster/lease/config.go
+++ b/internal/cluster/lease/config.go
@@ -11,6 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
+// These are the limits that Config.Check enforces.
 const (
 	MaxSlots  = 4096
 	MaxVoters = 64 // names in both sets of voters: a holder keeps one bit per voter in a uint64
--- a/internal/cluster/lease/quorum.go
+++ b/internal/cluster/lease/quorum.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// indexVoters gives each voter of both sets an index and resets what is known of the voters.
+// indexVoters gives each voter of both sets an index, and discards the epochs and answer times recorded for voters.
 func (node *Node) indexVoters(voters Voters) {
 	node.voterNames, node.voterSets = nil, nil
 	for _, set := range [][]string{voters.Current, voters.Previous} {
