--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -26,7 +26,7 @@
 		}
 		reason := "no majority of the voters renewed it"
 		if now >= holding.until+node.config.RenewInterval {
-			reason = fmt.Sprintf("this instance stood still for %d ms past its end",
+			reason = fmt.Sprintf("this instance was paused until %d ms after the lease ended",
 				timing.Milliseconds(now-holding.until))
 		}
 		node.loseLease(slot, reason)
@@ -137,7 +137,7 @@
 	return holding.proposing
 }
 
-// receiveAccept counts a voter's acceptance of a proposal.
+// receiveAccept counts a voter's acceptance of a proposal. A quorum of them acquires or renews the lease.
 func (node *Node) receiveAccept(now int64, voter int, sentAt int64, slot int) {
 	holding := &node.holdings[slot]
 	holding.acceptedSentAt[voter] = max(holding.acceptedSentAt[voter], sentAt)
@@ -211,7 +211,7 @@
 	if !ok || ballot >= seen || node.highestBallot < seen {
 		return
 	}
-	node.loseLease(slot, "a higher number was seen")
+	node.loseLease(slot, "a higher ballot was seen")
 	node.releaseSlot(slot, "")
 	node.holdings[slot].busyUntil = 0
 	node.updateFreeSlots(now)
--- a/internal/cluster/lease/record_test.go
+++ b/internal/cluster/lease/record_test.go
@@ -9,7 +9,7 @@
 )
 
 // recordedDigest is the SHA-256 of the lines that TestRecordedSequence records, in order.
-const recordedDigest = "09924d42b89985d2fa434a0478665214bc9d3a82306136db96d52b03ca54b511"
+const recordedDigest = "c4a42ae832d79c19aaf411ba9949f1e92a91dddd59c37c5263674d0cd0a28020"
 
 // TestRecordedSequence simulates 300 s of five nodes with random faults. Each effect goes into one digest, so that
 // the test detects a refactoring that changes any effect or the order of the effects.
--- a/internal/cluster/lease/status.go
+++ b/internal/cluster/lease/status.go
@@ -59,7 +59,7 @@
 	case !node.HasQuorum(now):
 		return "no majority of the voters answers"
 	case holding.ballot != 0:
-		return "it is being asked for"
+		return "this instance is requesting it"
 	}
-	return "it waits for " + planned + " to ask for it"
+	return "waiting for " + planned + " to request it"
 }
--- a/internal/cluster/lease/status_test.go
+++ b/internal/cluster/lease/status_test.go
@@ -61,9 +61,9 @@
 	}
 	waiting := 0
 	for _, name := range []string{"n0", "n1", "n2"} {
-		waiting += got["it waits for "+name+" to ask for it"] + got[name]
+		waiting += got["waiting for "+name+" to request it"] + got[name]
 	}
-	if waiting+got["n3"]+got["it is being asked for"] != clusterSlots {
+	if waiting+got["n3"]+got["this instance is requesting it"] != clusterSlots {
 		t.Errorf("some slots have neither a known holder nor an expected reason: %v", got)
 	}
 }
--- a/internal/cluster/sharedconfig/voter.go
+++ b/internal/cluster/sharedconfig/voter.go
@@ -100,7 +100,8 @@
 		return err.Error()
 	}
 	if later := max(node.voter.accepted, node.newest); message.Number <= later {
-		return fmt.Sprintf("version %d came before it", later)
+		return fmt.Sprintf("version %d is not above version %d, the highest accepted or committed",
+			message.Number, later)
 	}
 	return ""
 }
