--- a/internal/compatibility/migration.go
+++ b/internal/compatibility/migration.go
@@ -66,8 +66,8 @@
 		if len(added) > 0 && (len(names) <= len(start) || len(removed) == 0) {
 			names, added = append(names, added[0]), added[1:]
 		} else {
-			gone := slices.Index(names, removed[0])
-			names, removed = slices.Delete(names, gone, gone+1), removed[1:]
+			index := slices.Index(names, removed[0])
+			names, removed = slices.Delete(names, index, index+1), removed[1:]
 		}
 		slices.Sort(names)
 
