--- a/internal/cluster/lease/assign.go
+++ b/internal/cluster/lease/assign.go
@@ -9,7 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidate is an instance that can hold slots. Its share of the slots is proportional to its weight, which is above 0.
+// Candidate is an instance that can hold slots. Its share of the slots is proportional to its weight, which must be
+// above 0.
 type Candidate struct {
 	Name   string
 	Weight float64
--- a/internal/cluster/sharedconfig/message.go
+++ b/internal/cluster/sharedconfig/message.go
@@ -3,8 +3,8 @@
 // MessageKind is the kind of a message.
 type MessageKind uint8
 
-// The message kinds. Renew requests a lease on the newest version that the sender knows. A voter answers with Grant or,
-// if it grants leases on another version, with a Redirect to that version. Propose asks the voters to accept a
+// The message kinds. Renew requests a lease on the newest version that the sender knows. A voter answers with Grant
+// or, if it grants leases on another version, with a Redirect to that version. Propose asks the voters to accept a
 // version; they answer with Accept or Reject. Commit reports that a quorum has accepted a version. Fetch requests the
 // content of a version, which is sent in a Redirect.
 const (
--- a/internal/cluster/sharedconfig/node.go
+++ b/internal/cluster/sharedconfig/node.go
@@ -230,8 +230,8 @@
 	node.renewAt = min(node.renewAt, now) // the next Tick requests the leases
 }
 
-// oldestUnused returns the oldest known version that is neither active here nor the one on which this node, as a voter,
-// grants leases.
+// oldestUnused returns the oldest known version that is neither active here nor the one on which this node, as a
+// voter, grants leases.
 func (node *Node) oldestUnused() uint64 {
 	oldest := node.newest
 	for number := range node.contents {
--- a/internal/cluster/sharedconfig/node_test.go
+++ b/internal/cluster/sharedconfig/node_test.go
@@ -164,9 +164,9 @@
 	}
 }
 
-// Under random faults, incompatible versions are never active at the same time, a version is active for at most a lease
-// after a later one first was, and no version has two contents. The environment variable TEALPATH_EXPLORE sets the
-// number of runs.
+// Under random faults, incompatible versions are never active at the same time, a version is active for at most a
+// lease after a later one first was, and no version has two contents. The environment variable TEALPATH_EXPLORE sets
+// the number of runs.
 func TestRandomFaultsCauseNoViolation(t *testing.T) {
 	runs := 120
 	if value, err := strconv.Atoi(os.Getenv("TEALPATH_EXPLORE")); err == nil {
--- a/internal/compatibility/compare.go
+++ b/internal/compatibility/compare.go
@@ -89,8 +89,8 @@
 	return worst
 }
 
-// Incompatible reports whether two encoded versions must never be in force at the same time. It returns an error if the
-// proposed version is invalid or one of them can't be decoded. It implements sharedconfig.IncompatibleFunc.
+// Incompatible reports whether two encoded versions must never be in force at the same time. It returns an error if
+// the proposed version is invalid or one of them can't be decoded. It implements sharedconfig.IncompatibleFunc.
 func Incompatible(current, proposed []byte) (incompatible bool, err error) {
 	before, err := Decode(current)
 	if err != nil {
--- a/internal/compatibility/settings.go
+++ b/internal/compatibility/settings.go
@@ -12,8 +12,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Settings are the settings that all instances of a fleet share. Durations are in nanoseconds. The tags name the fields
-// both in the CBOR that instances exchange and in the JSON of `tealpath diff --json`.
+// Settings are the settings that all instances of a fleet share. Durations are in nanoseconds. The tags name the
+// fields both in the CBOR that instances exchange and in the JSON of `tealpath diff --json`.
 type Settings struct {
 	Routers          int          `json:"Routers"`    // number of routers that share slow-start budgets
 	Slots            int          `json:"Slots"`      // number of slots to which periodic tasks hash
