--- a/internal/downstream/poller/helpers_test.go
+++ b/internal/downstream/poller/helpers_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// testTimeout bounds what a test waits for.
+// testTimeout limits how long a test waits for one operation.
 const testTimeout = 10 * time.Second
 
 // connect returns both ends of a TCP connection on loopback.
@@ -42,7 +42,7 @@
 	return client, server
 }
 
-// mustWrite writes a text.
+// mustWrite writes text to a connection and fails the test if that fails.
 func mustWrite(t testing.TB, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -50,24 +50,25 @@
 	}
 }
 
-// expectRead checks what is read next.
+// expectRead checks that the next bytes read from a connection are want.
 func expectRead(t testing.TB, conn net.Conn, want string) {
 	t.Helper()
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(conn, got); err != nil || string(got) != want {
-		t.Errorf("read %q, %v; want %q", got, err, want)
+		t.Errorf("read %q, error %v; want %q", got, err, want)
 	}
 }
 
-// expectEnd checks that the peer has closed and has sent nothing before.
+// expectEnd checks that the peer has closed its sending side and that no unread data is left.
 func expectEnd(t testing.TB, conn net.Conn) {
 	t.Helper()
 	if rest, err := io.ReadAll(conn); err != nil || len(rest) > 0 {
-		t.Errorf("read %q, %v; want the end of the stream", rest, err)
+		t.Errorf("read %q, error %v; want the end of the stream without data", rest, err)
 	}
 }
 
-// descriptorOf returns the descriptor of a connection, which has to stay open.
+// descriptorOf returns the descriptor of a connection. The descriptor is valid only while the connection is
+// open.
 func descriptorOf(t testing.TB, conn net.Conn) int {
 	t.Helper()
 	descriptor := -1
@@ -77,13 +78,13 @@
 	return descriptor
 }
 
-// awaitReadable waits until something can be read from a descriptor.
+// awaitReadable waits until a descriptor is readable.
 func awaitReadable(t testing.TB, fd int) {
 	t.Helper()
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 	n, err := retryInterrupted(func() (int, error) { return unix.Poll(polled, int(testTimeout.Milliseconds())) })
 	if err != nil || n != 1 {
-		t.Fatalf("nothing to read: %v", err)
+		t.Fatalf("descriptor did not become readable in time: poll error %v", err)
 	}
 }
 
@@ -98,7 +99,7 @@
 	return poller
 }
 
-// mustSuspend suspends a connection.
+// mustSuspend suspends a connection and fails the test if that fails.
 func mustSuspend(t testing.TB, poller *Poller, conn net.Conn, key uint64) (fd int) {
 	t.Helper()
 	fd, err := poller.Suspend(conn, key)
@@ -108,7 +109,7 @@
 	return fd
 }
 
-// mustResume resumes a suspended connection.
+// mustResume resumes a suspended connection and fails the test if that fails.
 func mustResume(t testing.TB, poller *Poller, fd int) net.Conn {
 	t.Helper()
 	conn, err := poller.Resume(fd)
@@ -122,7 +123,8 @@
 	return conn
 }
 
-// faultyCalls are system calls that can be made to fail: each one as often as its counter says.
+// faultyCalls are system calls that can be made to fail. Each counter is the number of times that the call of
+// the same name still fails.
 type faultyCalls struct {
 	SystemCalls
 	errno     error
@@ -135,7 +137,7 @@
 	pollable  int
 }
 
-// fail returns the error if a counter is not used up, and counts it down.
+// fail returns the injected error and decrements the counter, or returns nil if the counter is 0.
 func (f *faultyCalls) fail(remaining *int) error {
 	if *remaining <= 0 {
 		return nil
@@ -144,7 +146,7 @@
 	return f.errno
 }
 
-// newFaultyCalls returns system calls that fail with an error as soon as counters are set.
+// newFaultyCalls returns system calls that fail with errno while their counters are above 0.
 func newFaultyCalls(errno error) *faultyCalls {
 	f := &faultyCalls{errno: errno}
 	f.Duplicate = func(fd int) (int, error) {
@@ -189,7 +191,7 @@
 	return f
 }
 
-// forEachErrno runs a test once for each error of a system call.
+// forEachErrno runs a subtest for each errno.
 func forEachErrno(t *testing.T, errnos []unix.Errno, test func(t *testing.T, errno unix.Errno)) {
 	t.Helper()
 	for _, errno := range errnos {
@@ -197,5 +199,5 @@
 	}
 }
 
-// isTimeout says whether an error is that of a deadline.
+// isTimeout reports whether an error means that a deadline has passed.
 func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/downstream/poller/poller.go
+++ b/internal/downstream/poller/poller.go
@@ -1,46 +1,48 @@
-// Package poller holds idle connections as bare descriptors: without a goroutine, a buffer or a net.Conn. An
-// epoll set of its own says on which of them something has been received; such a connection is then made a
-// net.Conn again.
+// Package poller holds idle connections as bare descriptors, without a goroutine, a buffer or a net.Conn. A
+// separate epoll set reports which of them have received data, and such a connection is then turned back into
+// a net.Conn.
 //
-// It works on Linux. Elsewhere New returns errors.ErrUnsupported, and connections stay as they are.
+// The package works on Linux only. On other systems New returns errors.ErrUnsupported, and connections are
+// never suspended.
 package poller
 
 import (
 	"errors"
+	"fmt"
 	"syscall"
 )
 
 var (
-	// ErrNoDescriptor is the error for a connection that is not a socket.
+	// ErrNoDescriptor is returned for a connection that is not backed by a socket, such as a net.Pipe.
 	ErrNoDescriptor = errors.New("connection has no descriptor")
 
-	// ErrInvalidDescriptor is the error for a number that cannot be a descriptor.
+	// ErrInvalidDescriptor is returned for a number that cannot be a descriptor.
 	ErrInvalidDescriptor = errors.New("invalid descriptor")
 )
 
-// PeekResult says what reading from a descriptor would give.
+// PeekResult is the result of looking for unread data on a descriptor.
 type PeekResult int
 
 const (
-	// NoData means that nothing has been received.
+	// NoData means that no unread data is waiting.
 	NoData PeekResult = iota
 
-	// Data means that there is something to read.
+	// Data means that unread data is waiting.
 	Data
 
-	// EndOfStream means that the peer has closed, or that the connection has failed.
+	// EndOfStream means that the peer has closed its sending side or that the connection has failed.
 	EndOfStream
 
-	// Undetermined means that the kernel could not say. There may be something to read.
+	// Undetermined means that the kernel could not tell. Unread data may be waiting.
 	Undetermined
 )
 
-// Control calls use with the descriptor of a connection, a listener or a file, which stays open during the
-// call.
+// Control calls use with the descriptor of a connection, a listener or a file. The descriptor stays open
+// during the call.
 func Control(socket any, use func(fd uintptr)) error {
 	withDescriptor, ok := socket.(syscall.Conn)
 	if !ok {
-		return ErrNoDescriptor
+		return fmt.Errorf("%w: %T", ErrNoDescriptor, socket)
 	}
 	raw, err := withDescriptor.SyscallConn()
 	if err != nil {
--- a/internal/downstream/poller/poller_linux.go
+++ b/internal/downstream/poller/poller_linux.go
@@ -14,23 +14,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// MaxEvents is how many keys Wait returns at most. When it returns that many there may be more.
+// MaxEvents is the maximum number of keys that one call of Wait returns. If Wait returns that many, more
+// events may be pending.
 const MaxEvents = 128
 
-// Poller is an epoll set with suspended connections. Wait is for one goroutine; Suspend, Resume,
-// CloseDescriptor and the other methods may be called by several at the same time.
+// Poller is an epoll set of suspended connections. Only one goroutine may call Wait. All other methods are
+// safe for concurrent use.
 type Poller struct {
 	calls *SystemCalls
 
-	// file is the epoll set. It is waited for by Go's own poller, so that no thread blocks in epoll_wait.
+	// file is the epoll set. Go's runtime poller waits for it, so that no thread blocks in epoll_wait.
 	file *os.File
-	fd   int // of file
+	fd   int // descriptor of file
 
-	// handling is set from before Wait learns of events until it is called again and finds none.
+	// handling is true from before a call of Wait collects events until a later call finds none.
 	handling atomic.Bool
 
-	// unresumed holds the file of each descriptor that could not be resumed, by descriptor. Only that file may
-	// close the descriptor, as its finalizer would otherwise close whatever has the same number by then.
+	// unresumed maps each descriptor that could not be resumed to its file. The descriptor must be closed
+	// through that file: otherwise the file's finalizer could later close a different descriptor with the same
+	// number.
 	unresumed map[int]*os.File // guarded by mu
 	mu        sync.Mutex
 }
@@ -38,15 +40,15 @@
 // New returns a poller without connections.
 func New() (*Poller, error) { return NewWithSystemCalls(Kernel) }
 
-// NewWithSystemCalls is New with system calls of the caller's. Tests use it to make calls fail.
+// NewWithSystemCalls returns a poller that uses the given system calls. Tests use it to make calls fail.
 func NewWithSystemCalls(calls *SystemCalls) (*Poller, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("create an epoll set: %w", err)
 	}
 	if err := unix.SetNonblock(fd, true); err != nil {
 		closeDescriptor(fd)
-		return nil, err
+		return nil, fmt.Errorf("make epoll descriptor %d non-blocking: %w", fd, err)
 	}
 	return &Poller{
 		calls:     calls,
@@ -56,16 +58,16 @@
 	}, nil
 }
 
-// Suspend closes a connection but keeps its socket open by a second descriptor, which the caller owns from then
-// on. Wait returns key once something can be read from it, or at once if that is so already. After an error the
-// connection is as it was.
+// Suspend closes a connection but keeps its socket open through a duplicate descriptor, which the caller owns
+// from then on. Wait returns key as soon as the descriptor is readable. If Suspend fails, the connection is
+// unchanged.
 func (p *Poller) Suspend(conn net.Conn, key uint64) (fd int, err error) {
 	var duplicateErr error
 	err = Control(conn, func(own uintptr) { fd, duplicateErr = p.calls.Duplicate(int(own)) })
 	if err := errors.Join(err, duplicateErr); err != nil {
 		return 0, err
 	}
-	// The connection is closed last, as it cannot be had back if the kernel refuses to watch the descriptor.
+	// The connection is closed last, because it could not be reopened if the kernel refused to watch the descriptor.
 	if err := p.register(fd, key); err != nil {
 		closeDescriptor(fd)
 		return 0, err
@@ -74,7 +76,7 @@
 	return fd, nil
 }
 
-// Watch has Wait return key once something can be read from a connection that stays a net.Conn. It serves the
+// Watch makes Wait return key once a connection that stays a net.Conn is readable. It exists for the
 // comparison with Suspend in docs/idle.md.
 func (p *Poller) Watch(conn net.Conn, key uint64) error {
 	var registerErr error
@@ -82,18 +84,21 @@
 	return errors.Join(err, registerErr)
 }
 
-// register adds a descriptor to the epoll set, for one event.
+// register adds a descriptor to the epoll set and requests a single event.
 func (p *Poller) register(fd int, key uint64) error {
 	event := newEvent(key)
 	err := p.calls.EpollCtl(p.fd, unix.EPOLL_CTL_ADD, fd, &event)
 	if errors.Is(err, unix.EEXIST) {
-		// An earlier descriptor with the same number could not be removed.
+		// An earlier descriptor with the same number is still in the set because its removal failed.
 		err = p.calls.EpollCtl(p.fd, unix.EPOLL_CTL_MOD, fd, &event)
 	}
-	return err
+	if err != nil {
+		return fmt.Errorf("add descriptor %d to the epoll set: %w", fd, err)
+	}
+	return nil
 }
 
-// newEvent returns what epoll is asked for. The key takes both fields that epoll gives back as they are.
+// newEvent returns the event to register for a key. The key occupies both fields that epoll returns unchanged.
 func newEvent(key uint64) unix.EpollEvent {
 	return unix.EpollEvent{
 		Events: unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLONESHOT,
@@ -102,14 +107,14 @@
 	}
 }
 
-// keyOf returns the key of an event.
+// keyOf returns the key stored in an event.
 func keyOf(event *unix.EpollEvent) uint64 {
 	return uint64(uint32(event.Fd)) | uint64(uint32(event.Pad))<<32
 }
 
-// Wait waits until something can be read from suspended connections and returns their keys, each one once. keys
-// is overwritten and may be the result of the call before. When the context ends the poller does not work any
-// more.
+// Wait blocks until suspended connections are readable and returns their keys without duplicates. It
+// overwrites keys, which may be the result of the previous call. Once the context ends, the poller can no
+// longer be used.
 func (p *Poller) Wait(ctx context.Context, keys []uint64) ([]uint64, error) {
 	stop := context.AfterFunc(ctx, func() { neterr.Close(p.file) })
 	defer stop()
@@ -131,13 +136,13 @@
 	return keys, errors.Join(readErr, waitErr)
 }
 
-// collect asks epoll for events without waiting for them.
+// collect returns the pending events without blocking.
 func (p *Poller) collect(events []unix.EpollEvent) (count int, err error) {
-	// Set before the kernel returns the events, so that HasEvents reports them at any moment.
+	// Set before the kernel returns the events, so that HasEvents never misses them.
 	p.handling.Store(true)
 	count, err = retryInterrupted(func() (int, error) { return p.calls.EpollWait(p.fd, events, 0) })
 	if err != nil {
-		return 0, err
+		return 0, fmt.Errorf("wait for events of epoll descriptor %d: %w", p.fd, err)
 	}
 	if count <= 0 {
 		p.handling.Store(false)
@@ -146,17 +151,17 @@
 	return count, nil
 }
 
-// HasEvents says whether something can be read from a suspended connection and is not handled yet. What Wait
-// has returned is handled when Wait is called again.
+// HasEvents reports whether a suspended connection is readable and has not been handled yet. The connections
+// that a call of Wait returns count as handled once Wait is called again.
 func (p *Poller) HasEvents() bool {
 	return p.handling.Load() || p.calls.Readable(p.fd)
 }
 
-// Resume makes a net.Conn of a suspended descriptor. After an error the caller still owns the descriptor, but
-// Wait returns its key no more: the caller tries again later, or closes it.
+// Resume turns a suspended descriptor back into a net.Conn. If Resume fails, the caller still owns the
+// descriptor, but Wait no longer returns its key: the caller has to retry later or close the descriptor.
 func (p *Poller) Resume(fd int) (net.Conn, error) {
-	// Closing the descriptor would not take it out of the set, since the connection keeps the socket open. Its
-	// number would still be there when it is used for another suspended connection.
+	// Closing the descriptor would not remove it from the epoll set, because the resumed connection keeps the
+	// socket open. The set would still contain its number when another suspended connection gets it.
 	p.Remove(fd)
 	file := p.takeUnresumed(fd)
 	if file == nil {
@@ -174,17 +179,18 @@
 		return fileConn{file}, nil
 	}
 	p.storeUnresumed(fd, file)
-	return nil, err
+	return nil, fmt.Errorf("resume descriptor %d: %w", fd, err)
 }
 
-// storeUnresumed keeps the file of a descriptor that could not be resumed.
+// storeUnresumed stores the file of a descriptor that could not be resumed.
 func (p *Poller) storeUnresumed(fd int, file *os.File) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.unresumed[fd] = file
 }
 
-// takeUnresumed removes and returns the file of a descriptor that could not be resumed before; nil is none.
+// takeUnresumed removes and returns the file of a descriptor that could not be resumed earlier, or nil if
+// there is none.
 func (p *Poller) takeUnresumed(fd int) *os.File {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -193,8 +199,9 @@
 	return file
 }
 
-// Remove takes a descriptor out of the epoll set: Wait returns its key no more. It has no effect on one that is
-// not in the set. If the kernel fails to remove one, register replaces its key when the number is used again.
+// Remove removes a descriptor from the epoll set, so that Wait no longer returns its key. It has no effect on
+// a descriptor that is not in the set. If the kernel fails to remove a descriptor, register replaces its key
+// when the number is reused.
 func (p *Poller) Remove(fd int) { _ = p.calls.EpollCtl(p.fd, unix.EPOLL_CTL_DEL, fd, nil) }
 
 // CloseDescriptor closes a suspended connection.
@@ -206,6 +213,6 @@
 	closeDescriptor(fd)
 }
 
-// closeDescriptor closes a bare descriptor and ignores the error, as neterr.Close does. If the socket has an
-// error, reads and writes of its other descriptors return it too.
+// closeDescriptor closes a descriptor and ignores the error, as neterr.Close does. Reads and writes on other
+// descriptors of the same socket still return any error of the socket.
 func closeDescriptor(fd int) { _ = unix.Close(fd) }
--- a/internal/downstream/poller/poller_test.go
+++ b/internal/downstream/poller/poller_test.go
@@ -15,19 +15,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// waitForKey checks that one key, that of a suspended connection, is returned.
+// waitForKey checks that the next call of Wait returns exactly the given key.
 func waitForKey(t *testing.T, poller *Poller, want uint64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	keys, err := poller.Wait(ctx, nil)
 	if err != nil || len(keys) != 1 || keys[0] != want {
-		t.Fatalf("keys %x, %v; want %x", keys, err, want)
+		t.Fatalf("Wait returned keys %x, error %v; want only key %x", keys, err, want)
 	}
 }
 
 func TestSuspendWaitAndResume(t *testing.T) {
-	const key = 1<<63 | 7 // takes both halves of an event
+	const key = 1<<63 | 7 // has bits in both fields of an event that store the key
 	for _, tc := range []struct {
 		name       string
 		sentBefore bool // before the connection is suspended
@@ -47,20 +47,20 @@
 			}
 			fd := mustSuspend(t, poller, server, key)
 			if _, err := server.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
-				t.Errorf("a read of the suspended connection: %v", err)
+				t.Errorf("read of the suspended connection: error %v, want net.ErrClosed", err)
 			}
 			if !tc.sentBefore {
 				if poller.HasEvents() {
-					t.Error("events, though nothing has been sent")
+					t.Error("HasEvents is true before anything has been sent")
 				}
 				mustWrite(t, client, "abc")
 			}
 			waitForKey(t, poller, key)
 			if !poller.HasEvents() {
-				t.Error("no events, though the key is not handled yet")
+				t.Error("HasEvents is false although the returned key has not been handled yet")
 			}
 			if got := Kernel.Peek(fd); got != Data {
-				t.Errorf("peek %d, want data", got)
+				t.Errorf("Peek returned %d, want Data", got)
 			}
 			resumed := mustResume(t, poller, fd)
 			expectRead(t, resumed, "abc")
@@ -72,7 +72,7 @@
 
 func TestInvalidDescriptorIsNotResumed(t *testing.T) {
 	if _, err := newPoller(t, Kernel).Resume(-1); !errors.Is(err, ErrInvalidDescriptor) {
-		t.Errorf("%v, want %v", err, ErrInvalidDescriptor)
+		t.Errorf("Resume(-1) returned error %v, want %v", err, ErrInvalidDescriptor)
 	}
 }
 
@@ -80,11 +80,11 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := newPoller(t, Kernel).Wait(ctx, nil); err == nil {
-		t.Error("no error after the end of the context")
+		t.Error("Wait returned no error after its context ended")
 	}
 }
 
-func TestWatchedConnectionStaysOne(t *testing.T) {
+func TestWatchKeepsConnection(t *testing.T) {
 	poller := newPoller(t, Kernel)
 	client, server := connect(t)
 	if err := poller.Watch(server, 7); err != nil {
@@ -101,10 +101,10 @@
 	defer neterr.Close(pipe)
 	defer neterr.Close(other)
 	if _, err := poller.Suspend(pipe, 1); !errors.Is(err, ErrNoDescriptor) {
-		t.Errorf("suspend: %v", err)
+		t.Errorf("Suspend of a pipe: error %v, want ErrNoDescriptor", err)
 	}
 	if err := poller.Watch(pipe, 1); !errors.Is(err, ErrNoDescriptor) {
-		t.Errorf("watch: %v", err)
+		t.Errorf("Watch of a pipe: error %v, want ErrNoDescriptor", err)
 	}
 }
 
@@ -118,28 +118,29 @@
 	mustWrite(t, client, "a")
 	awaitReadable(t, fd)
 	if got := Kernel.Peek(fd); got != Data {
-		t.Errorf("peek %d, want data", got)
+		t.Errorf("Peek returned %d, want Data", got)
 	}
 }
 
-// A descriptor number that could not be removed from the set is watched under the key of its next connection.
-func TestDescriptorThatStayedInTheSet(t *testing.T) {
+// If a descriptor cannot be removed from the epoll set, the next connection with the same descriptor number is
+// watched under its own key.
+func TestDescriptorNumberReusedAfterFailedRemoval(t *testing.T) {
 	calls := newFaultyCalls(unix.ENOMEM)
 	poller := newPoller(t, &calls.SystemCalls)
 	client, server := connect(t)
 	first := mustSuspend(t, poller, server, 1)
-	calls.epollCtl = 1 // its removal
+	calls.epollCtl = 1 // makes the removal of the first descriptor fail
 	resumed := mustResume(t, poller, first)
 	second := mustSuspend(t, poller, resumed, 2)
 	defer poller.CloseDescriptor(second)
 	if second != first {
-		t.Fatalf("descriptor %d after %d: not the case to be tested", second, first)
+		t.Fatalf("precondition: the second suspension got descriptor %d, want %d again", second, first)
 	}
 	mustWrite(t, client, "a")
 	waitForKey(t, poller, 2)
 }
 
-// A connection that the kernel does not let suspend is as it was, and is suspended later.
+// A connection whose suspension fails remains usable and can be suspended later.
 func TestSuspendErrors(t *testing.T) {
 	errnos := []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.ENOSPC, unix.EINVAL}
 	for _, tc := range []struct {
@@ -156,7 +157,7 @@
 				client, server := connect(t)
 				tc.inject(calls)
 				if _, err := poller.Suspend(server, 1); !errors.Is(err, errno) {
-					t.Fatalf("%v, want %v", err, errno)
+					t.Fatalf("Suspend returned error %v, want %v", err, errno)
 				}
 				mustWrite(t, client, "a")
 				expectRead(t, server, "a")
@@ -166,7 +167,7 @@
 	}
 }
 
-// A wait that is interrupted or fails for a moment loses no event.
+// A call of Wait that is interrupted or fails temporarily loses no event.
 func TestWaitErrors(t *testing.T) {
 	forEachErrno(t, []unix.Errno{unix.EINTR, unix.ENOMEM}, func(t *testing.T, errno unix.Errno) {
 		calls := newFaultyCalls(errno)
@@ -181,10 +182,10 @@
 		if errno != unix.EINTR {
 			for range faults {
 				if _, err := poller.Wait(t.Context(), nil); !errors.Is(err, errno) {
-					t.Fatalf("%v, want %v", err, errno)
+					t.Fatalf("Wait returned error %v, want %v", err, errno)
 				}
 				if !poller.HasEvents() {
-					t.Error("no events after a failed wait")
+					t.Error("HasEvents is false after a failed Wait although an event is pending")
 				}
 			}
 		}
@@ -192,20 +193,20 @@
 	})
 }
 
-// Where no second descriptor can be had, a connection is resumed over the one that there is.
+// If no second descriptor is available, Resume returns a connection that uses the suspended descriptor itself.
 func TestResumeWithoutSecondDescriptor(t *testing.T) {
 	errnos := []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.ENOBUFS, unix.ENOSPC, unix.EINVAL}
 	forEachErrno(t, errnos, func(t *testing.T, errno unix.Errno) {
 		calls := newFaultyCalls(errno)
 		poller := newPoller(t, &calls.SystemCalls)
 		client, server := connect(t)
-		for range 2 { // such a connection can be suspended again
+		for range 2 { // the second round suspends the connection that the first round resumed
 			fd := mustSuspend(t, poller, server, 1)
 			mustWrite(t, client, "abc")
 			calls.fileConn = 1
 			server = mustResume(t, poller, fd)
 			if _, ok := server.(fileConn); !ok {
-				t.Fatalf("%T: not the case to be tested", server)
+				t.Fatalf("precondition: Resume returned a %T, want a fileConn", server)
 			}
 			expectRead(t, server, "abc")
 			expectReadTimeout(t, server)
@@ -221,27 +222,28 @@
 		expectEnd(t, client)
 		neterr.Close(client)
 		if _, err := server.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-			t.Errorf("%v, want %v", err, io.EOF)
+			t.Errorf("read after the client closed: error %v, want %v", err, io.EOF)
 		}
 	})
 }
 
-// expectReadTimeout checks that a read ends at its deadline.
+// expectReadTimeout checks that a read returns a timeout error once its deadline has passed.
 func expectReadTimeout(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond)); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := conn.Read(make([]byte, 1)); !isTimeout(err) {
-		t.Errorf("%v, want a timeout", err)
+		t.Errorf("read past its deadline: error %v, want a timeout", err)
 	}
 	if err := conn.SetReadDeadline(time.Now().Add(testTimeout)); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A descriptor that cannot be resumed at all stays suspended, with what has been received on it.
-func TestResumeIsRetriedOrClosed(t *testing.T) {
+// A descriptor that cannot be resumed stays suspended and keeps its unread data. The caller can retry or close
+// it.
+func TestFailedResumeIsRetriedOrClosed(t *testing.T) {
 	forEachErrno(t, []unix.Errno{unix.EMFILE, unix.ENOMEM, unix.ENOSPC}, func(t *testing.T, errno unix.Errno) {
 		calls := newFaultyCalls(errno)
 		poller := newPoller(t, &calls.SystemCalls)
@@ -253,10 +255,10 @@
 		calls.fileConn, calls.pollable = faults, faults
 		for range faults {
 			if _, err := poller.Resume(fd); !errors.Is(err, errno) {
-				t.Fatalf("%v, want %v", err, errno)
+				t.Fatalf("Resume returned error %v, want %v", err, errno)
 			}
 			if got := calls.Peek(fd); got != Data {
-				t.Errorf("peek %d, want data", got)
+				t.Errorf("Peek after a failed Resume returned %d, want Data", got)
 			}
 		}
 		resumed := mustResume(t, poller, fd)
@@ -265,7 +267,7 @@
 		fd = mustSuspend(t, poller, resumed, 2)
 		calls.fileConn, calls.pollable = 1, 1
 		if _, err := poller.Resume(fd); err == nil {
-			t.Fatal("resumed: not the case to be tested")
+			t.Fatal("precondition: Resume succeeded, want it to fail")
 		}
 		poller.CloseDescriptor(fd)
 		expectEnd(t, client)
--- a/internal/downstream/poller/systemcalls_linux.go
+++ b/internal/downstream/poller/systemcalls_linux.go
@@ -11,18 +11,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// SystemCalls are the system calls that suspended connections take. Tests replace some to make them fail.
+// SystemCalls are the system calls that suspending and resuming connections need. Tests replace some of them
+// to make them fail.
 type SystemCalls struct {
 	Duplicate func(fd int) (int, error)
 	EpollCtl  func(set, operation, fd int, event *unix.EpollEvent) error
 	EpollWait func(set int, events []unix.EpollEvent, milliseconds int) (int, error)
 	Receive   func(fd int, buffer []byte, flags int) (int, error)
 	Poll      func(descriptors []unix.PollFd, milliseconds int) (int, error)
-	FileConn  func(file *os.File) (net.Conn, error) // as net.FileConn: takes a descriptor of its own
-	Pollable  func(file *os.File) bool              // whether Go's own poller waits for the file
+	FileConn  func(file *os.File) (net.Conn, error) // like net.FileConn, which duplicates the descriptor
+	Pollable  func(file *os.File) bool              // whether Go's runtime poller can wait for the file
 }
 
-// Kernel are the system calls of this machine.
+// Kernel makes the real system calls.
 var Kernel = &SystemCalls{
 	Duplicate: func(fd int) (int, error) { return unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0) },
 	EpollCtl:  unix.EpollCtl,
@@ -36,7 +37,7 @@
 	Pollable: func(file *os.File) bool { return file.SetDeadline(time.Time{}) == nil },
 }
 
-// retryInterrupted makes a system call again for as long as a signal interrupts it.
+// retryInterrupted repeats a system call while it fails with EINTR.
 func retryInterrupted(call func() (int, error)) (int, error) {
 	for {
 		n, err := call()
@@ -46,7 +47,7 @@
 	}
 }
 
-// Peek says what reading from a descriptor would give, and leaves it unread.
+// Peek reports whether unread data waits on a descriptor, without reading it.
 func (c *SystemCalls) Peek(fd int) PeekResult {
 	var buffer [1]byte
 	n, err := retryInterrupted(func() (int, error) {
@@ -66,12 +67,12 @@
 }
 
 const (
-	discardBuffer = 4 << 10  // bytes that Discard reads at once
-	maxDiscard    = 32 << 10 // bytes that one call of Discard reads at most, so that no peer can keep it busy
+	discardBuffer = 4 << 10  // bytes per read of Discard
+	maxDiscard    = 32 << 10 // byte limit of one Discard call, so that no peer can keep it busy
 )
 
-// Discard reads what has been received on a descriptor and throws it away, up to maxDiscard bytes. It says
-// whether the peer has closed or the connection has failed.
+// Discard reads and drops up to maxDiscard bytes from a descriptor. It reports whether the peer has closed its
+// sending side or the connection has failed.
 func (c *SystemCalls) Discard(fd int) (ended bool) {
 	buffer := make([]byte, discardBuffer)
 	for range maxDiscard / discardBuffer {
@@ -86,15 +87,15 @@
 	return false
 }
 
-// Readable says whether a descriptor can be read from, or a listener accepted from. It is true if the kernel
-// cannot say.
+// Readable reports whether a connection can be read from or a listener has a connection to accept. It also
+// returns true if the kernel cannot tell.
 func (c *SystemCalls) Readable(fd int) bool {
 	ready, err := c.pollOnce(&unix.PollFd{Fd: int32(fd), Events: unix.POLLIN})
 	return ready || err != nil
 }
 
-// PeerClosed says whether the peer is known to have closed, even if something that it sent before is not read
-// yet.
+// PeerClosed reports whether the peer is known to have closed its sending side, even if unread data precedes
+// the end of the stream.
 func (c *SystemCalls) PeerClosed(fd int) bool {
 	const closed = unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR
 	polled := unix.PollFd{Fd: int32(fd), Events: unix.POLLRDHUP}
@@ -102,7 +103,7 @@
 	return ready && err == nil && polled.Revents&closed != 0
 }
 
-// pollOnce asks for the events of one descriptor without waiting for them.
+// pollOnce polls one descriptor without blocking.
 func (c *SystemCalls) pollOnce(polled *unix.PollFd) (ready bool, err error) {
 	descriptors := []unix.PollFd{*polled}
 	n, err := retryInterrupted(func() (int, error) { return c.Poll(descriptors, 0) })
@@ -110,6 +111,6 @@
 	return n > 0, err
 }
 
-// CloseWrite half-closes a suspended connection: the peer sees its end and may still send. It fails only if the
-// peer has gone, and then there is nobody to notify.
+// CloseWrite half-closes a suspended connection: the peer sees the end of the stream and may still send. It
+// fails only if the peer has disconnected, so the error is ignored.
 func CloseWrite(fd int) { _ = unix.Shutdown(fd, unix.SHUT_WR) }
--- a/internal/downstream/poller/systemcalls_test.go
+++ b/internal/downstream/poller/systemcalls_test.go
@@ -10,11 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Only an error that proves the end of a connection counts as its end.
+// Peek and Discard report the end of a connection only for errors that prove it.
 func TestPeekAndDiscardByError(t *testing.T) {
 	for errno, want := range map[unix.Errno]PeekResult{
 		unix.EAGAIN:       NoData,
-		unix.EINTR:        Data, // called again
+		unix.EINTR:        Data, // the interrupted call is repeated
 		unix.ENOMEM:       Undetermined,
 		unix.ENOBUFS:      Undetermined,
 		unix.EIO:          Undetermined,
@@ -39,23 +39,24 @@
 			calls := newFaultyCalls(errno)
 			calls.receive = 1
 			if got := calls.Peek(fd); got != want {
-				t.Errorf("peek %d, want %d", got, want)
+				t.Errorf("Peek returned %d, want %d", got, want)
 			}
 			calls.receive = 1
 			if ended := calls.Discard(fd); ended != (want == EndOfStream) {
-				t.Errorf("discard says that the connection ended: %v", ended)
+				t.Errorf("Discard reported ended = %v, want %v", ended, !ended)
 			}
 		})
 	}
 }
 
-func TestPeekOfInvalidDescriptorIsItsEnd(t *testing.T) {
+func TestPeekOfInvalidDescriptor(t *testing.T) {
 	if got := Kernel.Peek(-1); got != EndOfStream {
-		t.Errorf("peek %d, want the end of the stream", got)
+		t.Errorf("Peek(-1) returned %d, want EndOfStream", got)
 	}
 }
 
-// What a peer has sent before it closed is thrown away in steps of maxDiscard, then its end is seen.
+// One call of Discard drops at most maxDiscard bytes. The end of the stream is reported only after all data
+// before it has been dropped.
 func TestDiscardStopsAtItsLimit(t *testing.T) {
 	client, server := connect(t)
 	fd := descriptorOf(t, server)
@@ -63,30 +64,30 @@
 	neterr.Close(client)
 	awaitPeerClosed(t, fd)
 	if Kernel.Discard(fd) {
-		t.Fatal("the end is seen before all bytes are read")
+		t.Fatal("the first Discard reported the end of the stream with unread data left")
 	}
 	if got := Kernel.Peek(fd); got != Data {
-		t.Errorf("peek %d after the first step, want data", got)
+		t.Errorf("Peek after the first Discard returned %d, want Data", got)
 	}
 	if !Kernel.Discard(fd) {
-		t.Error("the end is not seen after all bytes are read")
+		t.Error("the second Discard did not report the end of the stream")
 	}
 }
 
-// awaitPeerClosed waits until the peer is known to have closed, behind whatever it has sent.
+// awaitPeerClosed waits until the kernel has received the peer's close, even if unread data precedes it.
 func awaitPeerClosed(t *testing.T, fd int) {
 	t.Helper()
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := retryInterrupted(func() (int, error) { return unix.Poll(polled, int(testTimeout.Milliseconds())) })
 	if err != nil || n != 1 {
-		t.Fatalf("the peer has not closed: %v", err)
+		t.Fatalf("the peer's close was not received in time: poll error %v", err)
 	}
 	if !Kernel.PeerClosed(fd) {
-		t.Error("PeerClosed does not say so")
+		t.Error("PeerClosed is false after the kernel has received the peer's close")
 	}
 }
 
-// Where the kernel cannot say, something may be there to be read, and no peer is taken for closed.
+// If poll fails, Readable returns true, so that no request is lost, and PeerClosed returns false.
 func TestFailedPollLosesNoRequest(t *testing.T) {
 	forEachErrno(t, []unix.Errno{unix.ENOMEM, unix.EINVAL, unix.EFAULT}, func(t *testing.T, errno unix.Errno) {
 		client, server := connect(t)
@@ -95,10 +96,10 @@
 		calls := newFaultyCalls(errno)
 		calls.poll = 2
 		if !calls.Readable(fd) {
-			t.Error("not readable")
+			t.Error("Readable is false after a failed poll, want true")
 		}
 		if calls.PeerClosed(fd) {
-			t.Error("the peer is taken for closed")
+			t.Error("PeerClosed is true after a failed poll, want false")
 		}
 	})
 }
@@ -108,9 +109,9 @@
 	calls := newFaultyCalls(unix.EINTR)
 	calls.poll = 3
 	if calls.Readable(descriptorOf(t, server)) {
-		t.Error("readable, though nothing has been sent")
+		t.Error("Readable is true although nothing has been sent")
 	}
 	if calls.poll != 0 {
-		t.Errorf("%d faults are left: it is not called again", calls.poll)
+		t.Errorf("%d injected EINTR errors are left, want 0: poll was not repeated", calls.poll)
 	}
 }
--- a/internal/downstream/poller/tcpstats.go
+++ b/internal/downstream/poller/tcpstats.go
@@ -1,9 +1,9 @@
 package poller
 
-// TCPStats is what the kernel counts of a TCP connection. Its times are exact to some milliseconds. They are
-// spans, so that no clock has to be compared with the kernel's.
+// TCPStats holds the kernel's statistics of a TCP connection. Times are precise to a few milliseconds. They
+// are durations rather than timestamps, so that no clock has to be compared with the kernel's.
 type TCPStats struct {
-	Segments         uint32 // with data that have been received; 0 also if the kernel does not count them
-	SinceLastData    int64  // ns since the last of them
-	SinceEstablished int64  // ns since the connection was established, as long as nothing has been sent on it
+	Segments         uint32 // received segments with data; also 0 if the kernel does not count them
+	SinceLastData    int64  // ns since the last segment with data was received
+	SinceEstablished int64  // ns since the connection was established; valid until something is sent on it
 }
--- a/internal/downstream/poller/tcpstats_linux.go
+++ b/internal/downstream/poller/tcpstats_linux.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// ReadTCPStats reads the kernel's counts of a connection. ok is false if it is not a TCP connection.
+// ReadTCPStats reads the kernel's statistics of a connection. ok is false if it is not a TCP connection.
 func ReadTCPStats(conn net.Conn) (stats TCPStats, ok bool) {
 	err := Control(conn, func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.SOL_TCP, unix.TCP_INFO)
--- a/internal/downstream/poller/tcpstats_test.go
+++ b/internal/downstream/poller/tcpstats_test.go
@@ -25,7 +25,7 @@
 	time.Sleep(step)
 	mustWrite(t, client, "one")
 	time.Sleep(step)
-	// The kernel has established the connection long before it is accepted.
+	// The kernel established the connection when the client dialed, well before this accept.
 	server, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -33,34 +33,35 @@
 	defer neterr.Close(server)
 	stats, ok := ReadTCPStats(server)
 	if !ok || stats.Segments != 1 {
-		t.Errorf("%+v, %v; want one segment", stats, ok)
+		t.Errorf("after one write: stats %+v, ok %v; want one segment", stats, ok)
 	}
 	expectSpan(t, "since the last data", stats.SinceLastData, step)
 	expectSpan(t, "since the connection was established", stats.SinceEstablished, 2*step)
 	mustWrite(t, client, "two")
 	time.Sleep(step / 10)
 	if stats, _ = ReadTCPStats(server); stats.Segments != 2 {
-		t.Errorf("%+v, want two segments", stats)
+		t.Errorf("after two writes: stats %+v, want two segments", stats)
 	}
 	expectSpan(t, "since the last data", stats.SinceLastData, step/10)
 }
 
-// expectSpan checks a span that the kernel has measured, allowing for its precision and for a slow test.
+// expectSpan checks a duration measured by the kernel. It allows for the kernel's precision and for a slow
+// test run.
 func expectSpan(t *testing.T, what string, nanoseconds int64, want time.Duration) {
 	t.Helper()
 	got := time.Duration(nanoseconds)
 	if got < want-20*time.Millisecond || got > want+100*time.Millisecond {
-		t.Errorf("%v %s, want %v", got, what, want)
+		t.Errorf("time %s: got %v, want about %v", what, got, want)
 	}
 }
 
-func TestReadTCPStatsOfNoSocket(t *testing.T) {
+func TestReadTCPStatsWithoutSocket(t *testing.T) {
 	pipe, other := net.Pipe()
 	defer neterr.Close(pipe)
 	defer neterr.Close(other)
 	for name, conn := range map[string]net.Conn{"nil": nil, "pipe": pipe} {
 		if _, ok := ReadTCPStats(conn); ok {
-			t.Errorf("%s: has stats", name)
+			t.Errorf("%s connection: ReadTCPStats returned ok, want no statistics", name)
 		}
 	}
 }
--- a/internal/downstream/poller/tcpstats_unsupported.go
+++ b/internal/downstream/poller/tcpstats_unsupported.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// ReadTCPStats reads nothing: only Linux counts what it returns.
+// ReadTCPStats returns no statistics: it is implemented on Linux only.
 func ReadTCPStats(net.Conn) (TCPStats, bool) { return TCPStats{}, false }
--- a/internal/downstream/poller/unsupported.go
+++ b/internal/downstream/poller/unsupported.go
@@ -8,10 +8,10 @@
 	"net"
 )
 
-// MaxEvents is how many keys Wait returns at most.
+// MaxEvents is the maximum number of keys that one call of Wait returns.
 const MaxEvents = 1
 
-// Poller cannot be made here; its methods are there for the compiler alone.
+// Poller cannot be created on this system. Its methods exist only so that callers compile.
 type Poller struct{}
 
 // New returns errors.ErrUnsupported.
@@ -41,22 +41,22 @@
 // CloseDescriptor does nothing.
 func (*Poller) CloseDescriptor(int) {}
 
-// SystemCalls are empty here: nothing can be suspended.
+// SystemCalls is empty, because connections cannot be suspended on this system.
 type SystemCalls struct{}
 
-// Kernel are the system calls of this machine.
+// Kernel makes no system calls.
 var Kernel = &SystemCalls{}
 
 // Peek returns NoData.
 func (*SystemCalls) Peek(int) PeekResult { return NoData }
 
-// Discard returns true, so that a connection is closed at once.
+// Discard returns true, so that the connection is closed at once.
 func (*SystemCalls) Discard(int) bool { return true }
 
 // Readable returns false.
 func (*SystemCalls) Readable(int) bool { return false }
 
-// PeerClosed returns false: only a read finds out.
+// PeerClosed returns false: only a read detects that the peer has closed.
 func (*SystemCalls) PeerClosed(int) bool { return false }
 
 // CloseWrite does nothing.
