--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -12,20 +12,20 @@
 	"tealpath/internal/router"
 )
 
-// Config is what a Server may hold, and where it gets its time from.
+// Config holds the limits of a Server and what it depends on.
 type Config struct {
 	MaxConnections           int
-	MaxRequestsPerConnection int   // in flight at once
-	MaxBytes                 int64 // of large requests being read and, apart from them, of unwritten responses
+	MaxRequestsPerConnection int   // maximum number of requests in flight
+	MaxBytes                 int64 // for large requests being read, and separately for unwritten responses
 	Cores                    float64
 	Seed                     uint64
-	Saturated                func() bool         // whether events wait for the router's goroutine; nil: never
-	Policies                 *NetworkPolicies    // how long connections are kept; nil: the platform's timeouts for all
+	Saturated                func() bool         // whether events are waiting for the router's goroutine; nil: never
+	Policies                 *NetworkPolicies    // timeouts and limits; nil: the platform's timeouts, no limits
 	Clock                    clock.Clock         // nil: clock.System
 	SystemCalls              *poller.SystemCalls // for suspended connections; nil: poller.Kernel
 }
 
-// withDefaults returns the configuration with each field that may be nil set.
+// withDefaults returns a copy of the configuration in which nil fields have their default values.
 func (c Config) withDefaults() Config {
 	if c.Policies == nil {
 		c.Policies = defaultPolicies()
@@ -42,13 +42,13 @@
 	return c
 }
 
-// Server serves the clients' connections of one listener.
+// Server serves the client connections of one listener.
 type Server struct {
 	listener   net.Listener
 	config     Config
 	post       func(router.Event)
 	emit       func(logevent.Event)
-	ready      atomic.Bool // whether a health request is answered as healthy
+	ready      atomic.Bool // whether health requests are answered as healthy
 	pacer      *idle.AcceptPacer
 	memory     *memoryLimits
 	idle       *idleConnections
@@ -56,20 +56,20 @@
 	goroutines sync.WaitGroup
 
 	serving   atomic.Int64 // connections that have goroutines
-	rejecting atomic.Int64 // connections whose requests are being rejected; they have no slot in the table
+	rejecting atomic.Int64 // connections without a slot in the table whose requests are being rejected
 
 	draining       atomic.Bool // CloseIdle has closed the listener
-	acceptFinished atomic.Bool // and each connection accepted before that has its slot, or was rejected
+	acceptFinished atomic.Bool // the accept loop has ended: each accepted connection has a slot or was rejected
 
 	mu          sync.Mutex
-	connections map[router.ClientID]*connection // guarded by mu; those that are not suspended
+	connections map[router.ClientID]*connection // guarded by mu; connections that are not suspended
 	lastID      router.ClientID                 // guarded by mu
-	atLimit     bool                            // guarded by mu; ConnectionLimitReached was emitted and not cleared
+	atLimit     bool                            // guarded by mu; ConnectionLimitReached was emitted last
 	rejections  rejectionLog                    // guarded by mu
 }
 
-// New makes a server on a listener. post takes the events of clients and may block. emit takes the events
-// for the log.
+// New returns a server for a listener. The server passes the events of clients to post, which may block, and
+// log events to emit.
 func New(
 	listener net.Listener, config Config, post func(router.Event), emit func(logevent.Event),
 ) *Server {
@@ -86,14 +86,14 @@
 	}
 }
 
-// now returns the time on the process's monotonic axis, ns.
+// now returns the process's monotonic time in ns.
 func (s *Server) now() int64 { return s.config.Clock.Now() }
 
 // SetReady sets whether health requests are answered as healthy.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// register assigns an ID to the connection for a slot and publishes it. Other goroutines see it from then on:
-// its fields have to be set before.
+// register assigns an ID to a connection, publishes it and puts it into its slot. The connection's fields have
+// to be set before, because other goroutines can access it from then on.
 func (s *Server) register(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,7 +107,7 @@
 	}
 }
 
-// unregister removes a connection that is over, and frees its slot.
+// unregister removes a closed connection and frees its slot.
 func (s *Server) unregister(c *connection) {
 	s.mu.Lock()
 	delete(s.connections, c.id)
@@ -115,33 +115,33 @@
 	s.idle.remove(c)
 }
 
-// lookup returns the connection with an ID, or nil if it is over or suspended.
+// lookup returns the connection with the given ID, or nil if it is closed or suspended.
 func (s *Server) lookup(id router.ClientID) *connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.connections[id]
 }
 
-// activeConnections returns how many connections hold goroutines and buffers.
+// activeConnections returns the number of connections that hold goroutines and buffers.
 func (s *Server) activeConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.connections)
 }
 
-// ConnectionCounts is how many connections are in which state.
+// ConnectionCounts holds the number of connections by state.
 type ConnectionCounts struct {
 	All       int `json:"all"`
-	New       int `json:"fresh"` // no request has come yet
-	Active    int `json:"busy"`  // a request is in flight or a response unwritten
+	New       int `json:"fresh"` // no response has been sent yet
+	Active    int `json:"busy"`  // a request is in flight, or a response is unwritten
 	Reading   int `json:"reading"`
 	Idle      int `json:"idle"`
 	Closing   int `json:"closing"`
-	Suspended int `json:"parked"`  // of All: they hold a descriptor and nothing else
-	Waiting   int `json:"waiting"` // suspended, with data that is not read yet
+	Suspended int `json:"parked"`  // of All, those that hold nothing but a descriptor
+	Waiting   int `json:"waiting"` // suspended connections with unread data
 }
 
-// Counts returns how many connections are in which state.
+// Counts returns the number of connections by state.
 func (s *Server) Counts() ConnectionCounts {
 	active := s.activeConnections()
 	counts := s.idle.counts()
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -7,9 +7,9 @@
 	"tealpath/internal/neterr"
 )
 
-// CloseIdle begins the close of each connection without outstanding requests, and closes the listener once its
-// backlog is empty: the connections in it are admitted first. Called again, it goes on with the connections
-// that were in use before.
+// CloseIdle starts to close each connection without outstanding requests. It closes the listener once its
+// backlog is empty, so that the connections in the backlog are admitted first. Further calls close the
+// connections that were in use before.
 func (s *Server) CloseIdle() {
 	if !s.draining.Load() && !s.hasBacklog() {
 		s.draining.Store(true)
@@ -19,7 +19,7 @@
 	connections := slices.Collect(maps.Values(s.connections))
 	s.mu.Unlock()
 	for _, c := range connections {
-		if !c.isLingering() && !c.isReading() { // the rest of a request that has come in part is waited for
+		if !c.isLingering() && !c.isReading() { // a partly received request may still be completed
 			c.tryClose()
 		}
 	}
@@ -27,8 +27,8 @@
 	s.idle.closeFinished()
 }
 
-// Flushed tells whether every response is written, and nothing has come that is not read: on a busy core a
-// request may wait to be read when the process is to end, and a connection to be accepted.
+// Flushed reports whether every response is written and no received data is unread. On a busy core, a request
+// may still wait to be read, or a connection to be accepted, when the process is about to end.
 func (s *Server) Flushed() bool {
 	if s.draining.Load() {
 		if !s.acceptFinished.Load() {
@@ -47,7 +47,7 @@
 	return !s.idle.hasUnread()
 }
 
-// flushed tells whether every response is written, and nothing has come that is to be read.
+// flushed reports whether every response is written and no received data has to be read.
 func (c *connection) flushed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,10 +57,11 @@
 	return c.phase >= phaseEnding || c.draining || !c.reading && !c.server.hasUnread(c.conn)
 }
 
-// OpenConnections returns how many connections are not closed, the listener among them while it accepts.
+// OpenConnections returns the number of connections that are not closed. The listener counts as one while it
+// accepts.
 func (s *Server) OpenConnections() int {
 	open := 0
-	if !s.acceptFinished.Load() { // read first: a connection that is admitted after that is counted below
+	if !s.acceptFinished.Load() { // checked first, so that a connection admitted meanwhile is counted below
 		open = 1
 	}
 	return open + s.idle.openDescriptors() + int(s.rejecting.Load())
--- a/internal/downstream/shutdown_test.go
+++ b/internal/downstream/shutdown_test.go
@@ -13,26 +13,27 @@
 	"tealpath/internal/testkit"
 )
 
-// A process that ends must not leave a request behind that has come in part already.
+// A server with a partly received request is not flushed, so that a process that shuts down does not abandon
+// the request.
 func TestNotFlushedWithPartialRequest(t *testing.T) {
 	server, events := startServer(t, smallConfig)
 	conn, request := dial(t, server), emptyCall(5)
 	send(t, conn, request[:9])
 	time.Sleep(50 * time.Millisecond)
 	if server.Flushed() {
-		t.Error("flushed with half a request")
+		t.Error("Flushed() = true with a partly received request")
 	}
 	send(t, conn, request[9:])
 	nextEvent(t, events)
 	server.Respond(router.Respond{Client: 1, Seq: 5})
 	for end := time.Now().Add(testTimeout); !server.Flushed(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not flushed with all answered")
+			t.Fatal("Flushed() = false although all requests are answered")
 		}
 	}
 }
 
-// A connection that comes as the process begins to end waits in the backlog: its request is answered.
+// A connection that waits in the backlog when the shutdown begins is admitted, and its request is answered.
 func TestBacklogIsAdmittedBeforeShutdown(t *testing.T) {
 	listener := gatedListener{listen(t), make(chan struct{})}
 	server, events, stop := startServerOn(t, listener, configWithIdleTimeout(10, time.Hour))
@@ -40,28 +41,29 @@
 	send(t, conn, emptyCall(5))
 	server.CloseIdle()
 	if server.OpenConnections() == 0 || server.Flushed() {
-		t.Fatal("nothing is open, while a request waits in the backlog")
+		t.Fatal("the server reports no open connection or is flushed while a request waits in the backlog")
 	}
 	close(listener.released)
 	if _, ok := (<-events).(router.RequestReceived); !ok {
-		t.Fatal("not admitted")
+		t.Fatal("the connection in the backlog was not admitted: first event is not RequestReceived")
 	}
 	server.CloseIdle()
 	respondServed(server, 1, 5)
-	testkit.WaitUntil(t, 2*testTimeout, "all is closed", func() bool {
+	testkit.WaitUntil(t, 2*testTimeout, "all connections and the listener are closed", func() bool {
 		server.CloseIdle()
 		return server.OpenConnections() == 0
 	})
 	expectFinalResponse(t, conn, "whole")
 	if _, err := net.Dial("tcp", server.listener.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("a later one: %v", err)
+		t.Errorf("dial after the shutdown: error %v, want connection refused", err)
 	}
 	stop()
 }
 
-// isRead tells whether the reader of a connection without a request in flight has taken part of one. Between
-// its read and that nothing tells that something has come.
-func isRead(server *Server) bool {
+// hasPartialRequest reports whether a reader has recorded that it received part of a request while no request
+// of its connection is in flight. Until the reader records it, received data is not visible to other
+// goroutines.
+func hasPartialRequest(server *Server) bool {
 	server.mu.Lock()
 	defer server.mu.Unlock()
 	for _, c := range server.connections {
@@ -72,54 +74,58 @@
 	return false
 }
 
-// Requests in flight are answered before their connections end; idle connections are closed meanwhile.
+// CloseIdle closes idle connections at once, and the others only after their requests have been answered.
 func TestCloseIdleKeepsActiveConnections(t *testing.T) {
 	server, events := startServer(t, configWithIdleTimeout(10, time.Hour))
 	active, unused, partial := dial(t, server), dial(t, server), dial(t, server)
-	resting := idleConnection(t, server, false)
+	idleAfterResponse := idleConnection(t, server, false)
 	send(t, active, emptyCall(5))
 	nextEvent(t, events)
 	request := emptyCall(6)
 	send(t, partial, request[:9])
-	testkit.WaitUntil(t, 2*testTimeout, "all are there", func() bool { return server.activeConnections() == 4 })
-	testkit.WaitUntil(t, 2*testTimeout, "half a request is being read", func() bool {
-		return !server.Flushed() && isRead(server)
+	testkit.WaitUntil(t, 2*testTimeout, "all connections are active", func() bool {
+		return server.activeConnections() == 4
+	})
+	testkit.WaitUntil(t, 2*testTimeout, "a part of a request is read", func() bool {
+		return !server.Flushed() && hasPartialRequest(server)
 	})
 	server.CloseIdle()
 	checkHalfClosed(t, unused)
-	checkHalfClosed(t, resting)
+	checkHalfClosed(t, idleAfterResponse)
 	send(t, partial, request[9:])
 	if e := nextEvent(t, events); e != "RequestReceived" && e != "ClientDisconnected" {
-		t.Error(e)
+		t.Errorf("event %s, want RequestReceived or ClientDisconnected", e)
 	}
-	testkit.WaitUntil(t, 2*testTimeout, "both are in flight", func() bool { return len(server.requestsInFlight()) == 2 })
+	testkit.WaitUntil(t, 2*testTimeout, "both requests are in flight", func() bool {
+		return len(server.requestsInFlight()) == 2
+	})
 	begun, clients := time.Now(), server.requestsInFlight()
 	for _, seq := range []int32{5, 6} {
 		respondServed(server, clients[seq], seq)
 	}
 	for _, conn := range []net.Conn{active, partial} {
-		testkit.WaitUntil(t, 2*testTimeout, "all is written and closed", func() bool {
+		testkit.WaitUntil(t, 2*testTimeout, "all responses are written and the connections are closed", func() bool {
 			server.CloseIdle()
 			return len(server.requestsInFlight()) == 0 && server.Flushed() && server.OpenConnections() <= 1
 		})
 		expectFinalResponse(t, conn, "whole")
 	}
-	if took := time.Since(begun); took > 800*time.Millisecond { // a second later it would be suspended
-		t.Errorf("its end took %v", took)
+	if took := time.Since(begun); took > 800*time.Millisecond { // well before suspension, which happens after a second
+		t.Errorf("closing the active connections took %v, want 800ms at most", took)
 	}
 }
 
-// Requests that are read from a connection that is draining are not posted, as the client may send them
-// again elsewhere, but rejected before the client sees the end.
+// Requests that are read from a draining connection are not posted, because the client may send them again
+// elsewhere. They are rejected before the client reads the end of the stream.
 func TestRequestsReadWhileDrainingAreRejected(t *testing.T) {
 	server, events := startServer(t, configWithIdleTimeout(10, time.Hour))
 	conn := idleConnection(t, server, false)
 	c := server.lookup(1)
 	c.mu.Lock()
-	c.draining = true // as tryClose does, before it wakes the reader
+	c.draining = true // as tryClose does before it wakes the reader
 	c.mu.Unlock()
-	if c.addRequest(9) != requestTooLate {
-		t.Error("admitted")
+	if c.addRequest(9) != requestWhileDraining {
+		t.Error("addRequest on a draining connection did not return requestWhileDraining")
 	}
 	send(t, conn, slices.Concat(emptyCall(7), emptyCall(8), healthCall(9), emptyCall(10)[:9]))
 	expectResponse(t, conn, rejectionOf(7))
@@ -129,8 +135,8 @@
 	expectEvents(t, events, "ClientDisconnected")
 }
 
-// A connection that waits for capacity is closed as the process ends: all that was admitted has been
-// answered by then.
+// A connection that waits for a free slot is closed when the process ends. By then, all admitted requests have
+// been answered.
 func TestConnectionWaitingForCapacityAtShutdown(t *testing.T) {
 	config := Config{MaxConnections: 1, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20}
 	server, events, stop := startServerOn(t, listen(t), config)
@@ -141,13 +147,13 @@
 	time.Sleep(50 * time.Millisecond)
 	server.CloseIdle()
 	if server.OpenConnections() < 2 {
-		t.Error("nothing is open, while one is open and one waits")
+		t.Error("OpenConnections() is below 2 while one connection is open and one waits for a slot")
 	}
 	respondServed(server, 1, 5)
 	expectResponse(t, conn, "whole")
 	stop()
 	setDeadline(t, waiting, time.Now().Add(testTimeout))
 	if _, err := waiting.Read(make([]byte, 1)); err == nil || errors.Is(err, syscall.EAGAIN) {
-		t.Errorf("the one that waited reads %v", err)
+		t.Errorf("read on the connection that waited: error %v, want the end of the connection", err)
 	}
 }
--- a/internal/downstream/suspend.go
+++ b/internal/downstream/suspend.go
@@ -9,54 +9,55 @@
 	"tealpath/internal/neterr"
 )
 
-// wakeUp is a suspended connection that is to be resumed, and since when data may wait on it.
+// wakeUp is a suspended connection to be resumed, with the earliest time since which unread data may wait on
+// it.
 type wakeUp struct {
 	slot  slotKey
 	since time.Time
 }
 
-// canSuspend tells whether idle connections can be suspended on this system.
+// canSuspend reports whether idle connections can be suspended on this system.
 func (ic *idleConnections) canSuspend() bool {
 	return ic.poller != nil && !ic.suspendDisabled.Load()
 }
 
-// disableSuspend keeps idle connections active from now on. It emits an event the first time.
+// disableSuspend keeps idle connections active from now on. The first call emits an event.
 func (ic *idleConnections) disableSuspend(cause error) {
 	if !ic.suspendDisabled.Swap(true) {
 		ic.emit(SuspendDisabled{Cause: cause.Error()})
 	}
 }
 
-// suspendFailed handles an error of suspending a connection. Where a resource is exhausted it is tried again
-// once the connection has been idle for as long again; after any other error no connection is suspended any
-// more.
+// suspendFailed handles an error of suspending a connection. If a resource is exhausted, suspension is retried
+// once the connection has been idle for the same time again. After any other error, no connection is suspended
+// any more.
 func (ic *idleConnections) suspendFailed(cause error) {
 	if !neterr.IsExhausted(cause) {
 		ic.disableSuspend(cause)
 	}
 }
 
-// suspend gives up all of an active connection but its descriptor, and tells whether that is done. Only the
-// connection's reader calls it.
+// suspend releases everything of an active connection except its descriptor, and reports whether it succeeded.
+// Only the connection's reader may call it.
 func (ic *idleConnections) suspend(c *connection) bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	if !ic.isCurrent(c.slot) {
-		return false // it was evicted
+		return false // the connection was evicted
 	}
 	return ic.suspendAs(c.conn, c.slot, slot{segments: uint16(c.arrivals.segments)})
 }
 
-// suspendNew suspends a connection that was just accepted and has sent nothing yet. It tells whether that
-// is done.
+// suspendNew suspends a connection that was just accepted and has sent nothing yet. It reports whether it
+// succeeded.
 func (ic *idleConnections) suspendNew(conn net.Conn, key slotKey) bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	return ic.suspendAs(conn, key, slot{beforeFirstRequest: true})
 }
 
-// suspendAs hands a connection to the poller and puts its descriptor into its slot. ic.mu is locked, so that a
-// wake-up for the descriptor finds the slot.
+// suspendAs hands a connection to the poller and stores its descriptor in its slot. ic.mu must be locked, so
+// that a wake-up for the descriptor finds the slot.
 func (ic *idleConnections) suspendAs(conn net.Conn, key slotKey, s slot) bool {
 	fd, err := ic.poller.Suspend(conn, key.encode())
 	if err != nil {
@@ -68,7 +69,7 @@
 	return true
 }
 
-// hasData tells whether data can be read from a suspended connection, rather than its end.
+// hasData reports whether a suspended connection has unread data, rather than the end of the stream.
 func (ic *idleConnections) hasData(key slotKey) bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -76,15 +77,15 @@
 	return found && ic.calls.Peek(int(s.fd)) == poller.Data
 }
 
-// takeForResume takes a suspended connection, to be resumed; the caller owns its descriptor. abandoned
-// tells that its client has closed its sending side, and its data has waited for too long since then. A
-// connection that has ended is closed and not found.
+// takeForResume removes a suspended connection from its slot in order to resume it. The caller owns its
+// descriptor. abandoned means that the client has closed its sending side and its data has waited too long to
+// be read. A connection that has ended is closed and not found.
 func (ic *idleConnections) takeForResume(wake wakeUp) (taken slot, abandoned, found bool) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	taken, found = ic.suspended(wake.slot)
 	if !found {
-		return slot{}, false, false // it was evicted or has expired
+		return slot{}, false, false // the connection was evicted or has expired
 	}
 	fd := int(taken.fd)
 	abandoned = idle.Abandoned(int64(time.Since(wake.since)), ic.calls.PeerClosed(fd))
@@ -98,7 +99,7 @@
 	return taken, abandoned, true
 }
 
-// putBack suspends a connection again that could not be resumed, for the next try.
+// putBack returns a connection that could not be resumed to its slot and postpones it for a retry.
 func (ic *idleConnections) putBack(w wakeUp, taken slot) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -106,28 +107,29 @@
 	ic.postpone(w)
 }
 
-// removeTaken frees the slot of a connection that was taken and is not resumed.
+// removeTaken frees the slot of a connection that was taken by takeForResume and is not resumed.
 func (ic *idleConnections) removeTaken(key slotKey) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	ic.table.Remove(key.id)
 }
 
-// postpone keeps a suspended connection for the next try. Its state in the table is active, so that it is not
-// evicted meanwhile. ic.mu is locked.
+// postpone schedules a suspended connection for a retry of resuming it. The connection becomes active in the
+// table, so that it is not evicted meanwhile. ic.mu must be locked.
 func (ic *idleConnections) postpone(w wakeUp) {
 	ic.table.SetState(ic.clock.Now(), w.slot.id, idle.StateActive)
 	ic.postponed = append(ic.postponed, w)
 }
 
-// hasPostponed tells whether suspended connections wait to be resumed again.
+// hasPostponed reports whether connections are postponed or being retried.
 func (ic *idleConnections) hasPostponed() bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	return ic.retrying || len(ic.postponed) > 0
 }
 
-// beginRetry returns the postponed connections. endRetry has to follow once they were tried.
+// beginRetry removes and returns the postponed connections. The caller has to call endRetry after retrying
+// them.
 func (ic *idleConnections) beginRetry() []wakeUp {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -136,7 +138,7 @@
 	return again
 }
 
-// endRetry tells whether some of the postponed connections still can't be resumed.
+// endRetry reports whether connections have been postponed again.
 func (ic *idleConnections) endRetry() bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -158,7 +160,7 @@
 	return keys
 }
 
-// hasUnread tells whether something may have come on a suspended connection that is not handled yet.
+// hasUnread reports whether a suspended connection may have received data that has not been handled yet.
 func (ic *idleConnections) hasUnread() bool {
 	return ic.poller != nil && (ic.poller.HasEvents() || ic.hasPostponed())
 }
--- a/internal/downstream/suspend_test.go
+++ b/internal/downstream/suspend_test.go
@@ -15,11 +15,12 @@
 	"tealpath/internal/testkit"
 )
 
-// expectEOF checks that the next read of a connection gives its end.
+// expectEOF checks that the next read of a connection returns io.EOF. whose names the connection in the
+// failure message.
 func expectEOF(t *testing.T, conn net.Conn, whose string) {
 	t.Helper()
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("%s reads %v", whose, err)
+		t.Errorf("%s: read returned error %v, want EOF", whose, err)
 	}
 }
 
@@ -31,24 +32,24 @@
 	conns := dialIdle(t, server, count)
 	waitForSuspension(t, server)
 	if goroutines := runtime.NumGoroutine(); goroutines > before+5 {
-		t.Errorf("%d goroutines, %d before %d idle connections", goroutines, before, count)
+		t.Errorf("%d goroutines with %d idle connections, want about the %d before them", goroutines, count, before)
 	}
 	if open := server.idle.len(); open != count {
-		t.Errorf("%d connections", open)
+		t.Errorf("%d connections while suspended, want %d", open, count)
 	}
-	// All are resumed at the same moment; each gets its response.
+	// All are resumed at the same time, and each gets its response.
 	var group sync.WaitGroup
 	for _, conn := range conns {
 		group.Go(func() {
 			if err := requestHealth(conn); err != nil {
-				t.Errorf("not answered after it was suspended: %v", err)
+				t.Errorf("request on a suspended connection: %v", err)
 			}
 		})
 	}
 	group.Wait()
 	waitForSuspension(t, server)
 	if open := server.idle.len(); open != count {
-		t.Errorf("%d connections after they were suspended again", open)
+		t.Errorf("%d connections after they were suspended again, want %d", open, count)
 	}
 }
 
@@ -60,13 +61,13 @@
 	neterr.Close(conns[0])
 	reset(t, conns[1])
 	closeWrite(t, conns[2])
-	testkit.WaitUntil(t, 2*testTimeout, "all are closed", func() bool { return server.idle.len() == 0 })
-	expectEOF(t, conns[2], "a client that closed its side")
-	// Slots are used again, and nothing of before shows on them.
-	again := dial(t, server)
-	checkHealth(t, again)
+	testkit.WaitUntil(t, 2*testTimeout, "all connections are closed", func() bool { return server.idle.len() == 0 })
+	expectEOF(t, conns[2], "client that closed its side")
+	// A new connection in one of the freed slots works, active and suspended.
+	reused := dial(t, server)
+	checkHealth(t, reused)
 	waitForSuspension(t, server)
-	checkHealth(t, again)
+	checkHealth(t, reused)
 }
 
 func TestIdleConnectionsExpire(t *testing.T) {
@@ -77,15 +78,17 @@
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		checkHealth(t, kept)
 	}
-	testkit.WaitUntil(t, 2*testTimeout, "the idle ones are closed", func() bool { return server.idle.len() == 1 })
+	testkit.WaitUntil(t, 2*testTimeout, "the idle connections are closed", func() bool {
+		return server.idle.len() == 1
+	})
 	for _, conn := range conns {
-		expectEOF(t, conn, "an expired connection")
+		expectEOF(t, conn, "expired connection")
 	}
 	checkHealth(t, kept)
 }
 
-// A suspended connection on which a part of a request comes has the time of a request for the rest, not its
-// idle timeout.
+// When a suspended connection receives part of a request, the rest has to arrive within the timeout for a
+// request rather than the idle timeout.
 func TestPartialRequestOnSuspendedConnectionTimesOut(t *testing.T) {
 	server, _ := startServer(t, configWithIdleTimeout(100, time.Hour))
 	requireSuspension(t, server)
@@ -94,17 +97,17 @@
 	for _, conn := range conns {
 		send(t, conn, []byte{0})
 	}
-	testkit.WaitUntil(t, 2*testTimeout, "each is closed", func() bool { return server.idle.len() == 0 })
+	testkit.WaitUntil(t, 2*testTimeout, "all connections are closed", func() bool { return server.idle.len() == 0 })
 }
 
-// A connection is kept idle for its timeout, whichever way the wall clock is set meanwhile.
+// A connection is kept for its idle timeout even if the wall clock is set forward or back meanwhile.
 func TestClockStepDoesNotMoveTimeouts(t *testing.T) {
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
 			t.Parallel()
 			checkTimeoutAcrossClockStep(t, step, true)
 		})
-		t.Run(step.String()+", without a request yet", func(t *testing.T) {
+		t.Run(step.String()+", before the first request", func(t *testing.T) {
 			t.Parallel()
 			checkTimeoutAcrossClockStep(t, step, false)
 		})
@@ -132,16 +135,15 @@
 	checkHealth(t, used)
 	setReadDeadline(unused, begun.Add(timeout-time.Second))
 	if _, err := unused.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("%v after its last response: %v", time.Since(begun), err)
+		t.Fatalf("read %v after the connection became idle: error %v, want a timeout of the read", time.Since(begun), err)
 	}
 	setReadDeadline(unused, begun.Add(timeout+2*time.Second))
-	expectEOF(t, unused, "the one that is idle")
+	expectEOF(t, unused, "idle connection")
 	checkHealth(t, used)
 }
 
-// A connection that is resumed is complete when the shutdown can see it first. The race detector reports it
-// otherwise.
-func TestResumeWhileShutdownLooks(t *testing.T) {
+// A resumed connection is complete before Flushed can access it. Otherwise the race detector reports a race.
+func TestResumeDuringShutdownHasNoRace(t *testing.T) {
 	const count = 100
 	server, _ := startServer(t, configWithIdleTimeout(1000, time.Hour))
 	requireSuspension(t, server)
--- a/internal/downstream/systemcalls_linux_test.go
+++ b/internal/downstream/systemcalls_linux_test.go
@@ -18,9 +18,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// documentedErrors are the errors that Linux documents for the calls of suspended connections, but for
-// those that prove that a connection is over. "connect" is net.FileConn; with "poller" the runtime's poller
-// does not take the file either.
+// documentedErrors are the errors that Linux documents for the system calls on suspended connections, except
+// those that prove the end of a connection. "connect" makes net.FileConn fail. With "poller" the runtime's
+// poller cannot wait for the file either.
 var documentedErrors = map[string][]unix.Errno{
 	"fcntl":      {unix.EMFILE, unix.EINVAL},
 	"epoll_ctl":  {unix.ENOMEM, unix.ENOSPC},
@@ -32,8 +32,9 @@
 	"all":        {unix.ENOMEM},
 }
 
-// failingSystemCalls returns calls of which one fails with an error while a function says so. EINTR fails
-// every other call only: a call is repeated after it, and would not end.
+// failingSystemCalls returns system calls of which the given one fails with errno while failing returns true.
+// EINTR is returned by every other call only, because an interrupted call is repeated and would otherwise
+// never end.
 func failingSystemCalls(call string, errno unix.Errno, failing func() bool) *poller.SystemCalls {
 	calls, interrupted := *poller.Kernel, atomic.Int64{}
 	fails := func(name string) bool {
@@ -79,18 +80,20 @@
 	return &calls
 }
 
-// faultWindow makes calls fail: a number of them, or all until a time.
+// faultWindow decides whether calls fail: either a number of calls, or all calls until a given time.
 type faultWindow struct {
-	calls atomic.Int64 // that still fail
-	until atomic.Int64 // Unix ns
+	calls atomic.Int64 // number of calls that still fail
+	until atomic.Int64 // Unix time in ns
 }
 
+// open reports whether the current call fails.
 func (w *faultWindow) open() bool {
 	return w.calls.Add(-1) >= 0 || time.Now().UnixNano() < w.until.Load()
 }
 
 // Clients send requests while a system call fails, once or for two seconds, and their connections are
-// suspended in between: each is answered, no connection ends, and afterwards they are suspended as before.
+// suspended in between. Each request is answered, no connection ends, and afterwards the connections are
+// suspended as before.
 func TestFailingSystemCalls(t *testing.T) {
 	for call, errnos := range documentedErrors {
 		for _, errno := range errnos {
@@ -122,36 +125,36 @@
 		group.Go(func() {
 			for range 3 {
 				if err := requestHealth(conn); err != nil {
-					t.Errorf("not answered: %v", err)
+					t.Errorf("request during the fault: %v", err)
 				}
-				time.Sleep(time.Duration(100+150*i) * time.Millisecond) // some are suspended in between, some are not
+				time.Sleep(time.Duration(100+150*i) * time.Millisecond) // long enough for some connections to be suspended
 			}
 		})
 	}
 	if err := requestHealth(dial(t, server)); err != nil {
-		t.Errorf("one that comes meanwhile: %v", err)
+		t.Errorf("request on a new connection during the fault: %v", err)
 	}
 	group.Wait()
 	if n := server.idle.len(); n != 9 {
-		t.Errorf("%d connections of 9", n)
+		t.Errorf("%d connections after the fault, want 9", n)
 	}
 	for time.Now().UnixNano() < fault.until.Load() {
 		time.Sleep(10 * time.Millisecond)
 	}
-	if server.idle.canSuspend() { // not after an error that does not pass
-		testkit.WaitUntil(t, 2*testTimeout, "all are suspended again", func() bool {
+	if server.idle.canSuspend() { // false after a permanent error
+		testkit.WaitUntil(t, 2*testTimeout, "all connections are suspended again", func() bool {
 			return server.activeConnections() == 0 && server.Flushed()
 		})
 	} else if errno != unix.EINVAL {
-		t.Error("they are suspended no more")
+		t.Errorf("suspension is disabled after %v, want that only after EINVAL", errno)
 	}
 	for _, conn := range conns {
 		checkHealth(t, conn)
 	}
 }
 
-// A request on a suspended connection that can't be resumed for want of a descriptor is answered before its
-// connection is closed, also where the connections are at their limit and the process is ending.
+// A suspended connection that cannot be resumed because no descriptor is left keeps its request, which is
+// answered later. This holds also if the connection limit is reached and the process is shutting down.
 func TestUnreadRequestsSurviveResourceExhaustion(t *testing.T) {
 	var exhausted atomic.Bool
 	exhausted.Store(true)
@@ -163,29 +166,33 @@
 	for _, conn := range conns {
 		send(t, conn, healthCall(1))
 	}
-	testkit.WaitUntil(t, 2*testTimeout, "none can be resumed", func() bool { return server.idle.hasPostponed() })
-	testkit.WaitUntil(t, 2*testTimeout, "the poller has told all", func() bool { return !server.idle.poller.HasEvents() })
+	testkit.WaitUntil(t, 2*testTimeout, "a failed resume has been postponed", func() bool {
+		return server.idle.hasPostponed()
+	})
+	testkit.WaitUntil(t, 2*testTimeout, "the poller has reported all events", func() bool {
+		return !server.idle.poller.HasEvents()
+	})
 	if server.Flushed() {
-		t.Error("flushed with requests unread")
+		t.Error("Flushed() = true with unread requests")
 	}
-	dial(t, server) // one that needs capacity
+	dial(t, server) // needs a slot
 	for id := range 4 {
 		if server.evict(idle.ID(id)) {
-			t.Error("evicted with its request unread")
+			t.Errorf("connection %d was evicted with an unread request", id)
 		}
 	}
 	server.CloseIdle()
 	if server.Flushed() || server.OpenConnections() < 4 {
-		t.Error("ended with requests unread")
+		t.Error("after CloseIdle the server is flushed or has fewer than 4 open connections with unread requests")
 	}
 	exhausted.Store(false)
 	for _, conn := range conns {
 		expectResponse(t, conn, "health")
 	}
-	testkit.WaitUntil(t, 2*testTimeout, "all is flushed", server.Flushed)
+	testkit.WaitUntil(t, 2*testTimeout, "the server is flushed", server.Flushed)
 }
 
-// A suspended connection is not evicted where it can't be told whether data waits on it.
+// A suspended connection is not evicted if it is unknown whether it has unread data.
 func TestUndeterminedPeekDoesNotEvict(t *testing.T) {
 	var unknown atomic.Bool
 	config := configWithIdleTimeout(4, time.Hour)
@@ -201,33 +208,35 @@
 	conn := idleConnection(t, server, true)
 	unknown.Store(true)
 	if server.evict(0) {
-		t.Error("evicted")
+		t.Error("the connection was evicted although it is unknown whether it has unread data")
 	}
 	unknown.Store(false)
 	checkHealth(t, conn)
 }
 
-// A request on a suspended connection whose client has closed its side, and that has waited to be read, is
-// rejected and not posted: the client may still read.
+// If a client sends a request on a suspended connection and closes its side, and the request waits too long to
+// be read, the request is rejected and not posted. The client may still be reading.
 func TestHalfClosedWhileSuspendedIsRejected(t *testing.T) {
 	var exhausted atomic.Bool
 	config := configWithIdleTimeout(4, time.Hour)
 	config.SystemCalls = failingSystemCalls("poller", syscall.EMFILE, exhausted.Load)
 	server, events := startServer(t, config)
-	conn, gone := idleConnection(t, server, true), idleConnection(t, server, true)
+	conn, closed := idleConnection(t, server, true), idleConnection(t, server, true)
 	exhausted.Store(true)
-	for _, client := range []net.Conn{conn, gone} {
+	for _, client := range []net.Conn{conn, closed} {
 		send(t, client, emptyCall(7))
 		closeWrite(t, client)
 	}
-	neterr.Close(gone)
-	testkit.WaitUntil(t, 2*testTimeout, "they can't be resumed", server.idle.hasPostponed)
-	time.Sleep(100 * time.Millisecond) // longer than after which a client that has closed is taken to have gone
+	neterr.Close(closed)
+	testkit.WaitUntil(t, 2*testTimeout, "a failed resume has been postponed", server.idle.hasPostponed)
+	time.Sleep(100 * time.Millisecond) // longer than a request of a client that has closed may wait
 	exhausted.Store(false)
 	expectResponse(t, conn, rejectionOf(7))
 	expectEnd(t, conn)
-	testkit.WaitUntil(t, 2*testTimeout, "their slots are free", func() bool { return server.idle.len() == 0 && server.rejecting.Load() == 0 })
+	testkit.WaitUntil(t, 2*testTimeout, "the slots are free and no request is being rejected", func() bool {
+		return server.idle.len() == 0 && server.rejecting.Load() == 0
+	})
 	if len(events) > 0 {
-		t.Errorf("%s: posted", <-events)
+		t.Errorf("event %s was posted, want none", <-events)
 	}
 }
--- a/internal/downstream/wake.go
+++ b/internal/downstream/wake.go
@@ -9,11 +9,12 @@
 	"tealpath/internal/neterr"
 )
 
-// maxMaintenanceInterval is how long maintain waits at most: a new connection may expire sooner than what
-// it waits for.
+// maxMaintenanceInterval is the longest pause of maintain, because a new connection may expire sooner than
+// those that determine the pause.
 const maxMaintenanceInterval = 100 * time.Millisecond
 
-// maintain resumes suspended connections and closes those whose timeout has passed, at the pace of the table.
+// maintain resumes suspended connections and closes expired ones at the rate of the table, until the context
+// ends.
 func (s *Server) maintain(ctx context.Context) {
 	if s.idle.poller != nil {
 		s.goroutines.Go(func() { newWaker(s).run(ctx) })
@@ -35,7 +36,8 @@
 	}
 }
 
-// closeExpired closes the connections whose timeout has passed, and returns when to call it again.
+// closeExpired closes the connections whose timeout has passed, and returns how long to wait until the next
+// call.
 func (s *Server) closeExpired() time.Duration {
 	for {
 		s.heartbeat.record(s.now())
@@ -48,7 +50,7 @@
 	}
 }
 
-// suspend suspends an active connection, and tells whether that is done.
+// suspend suspends an active connection and reports whether it succeeded.
 func (s *Server) suspend(c *connection) bool {
 	if c.isDraining() {
 		return false
@@ -62,15 +64,15 @@
 	return true
 }
 
-// suspendDelay returns for how long a connection is idle before it is suspended, ns.
+// suspendDelay returns how long a connection is idle, in ns, before it is suspended.
 func (s *Server) suspendDelay() int64 {
-	maxActive := idle.MaxActive(s.config.MaxBytes)
+	maxActive := idle.MaxActiveConnections(s.config.MaxBytes)
 	return idle.SuspendDelay(int(s.idle.waiting.Load()), int(s.serving.Load()), maxActive)
 }
 
-// resume makes an active connection of a suspended one, or closes it if it has ended. Where its client has
-// closed its sending side, and its request has waited to be read since then, the request is rejected: the
-// client may still read.
+// resume turns a suspended connection into an active one, or closes it if it has ended. If its client has
+// closed its sending side and the request has waited too long to be read, the request is rejected, because the
+// client may still be reading.
 func (s *Server) resume(ctx context.Context, wake wakeUp) {
 	taken, abandoned, found := s.idle.takeForResume(wake)
 	if !found {
@@ -94,7 +96,8 @@
 	s.start(ctx, c)
 }
 
-// resumePostponed tries again what could not be resumed, and tells whether some of it still can't.
+// resumePostponed retries to resume the postponed connections, and reports whether some of them still cannot
+// be resumed.
 func (s *Server) resumePostponed(ctx context.Context) bool {
 	for _, w := range s.idle.beginRetry() {
 		s.resume(ctx, w)
@@ -102,35 +105,35 @@
 	return s.idle.endRetry()
 }
 
-// resumeAll resumes all suspended connections, because the poller does not report events any more.
+// resumeAll resumes all suspended connections when the poller no longer reports events.
 func (s *Server) resumeAll(ctx context.Context) {
 	for _, key := range s.idle.allSuspended() {
 		s.resume(ctx, wakeUp{slot: key, since: time.Now()})
 	}
 }
 
-// waker resumes the suspended connections on which data has come, as many at a time as the memory allows.
+// waker resumes the suspended connections that have received data, as many at a time as the memory allows.
 type waker struct {
 	server      *Server
-	maxActive   int // connections with goroutines and buffers
+	maxActive   int // maximum number of connections with goroutines and buffers
 	resumePacer *idle.Pacer
 	closePacer  *idle.Pacer
-	emptyAt     time.Time // when the poller was last known to have reported all events
-	keys        []uint64  // returned by the poller last
+	emptyAt     time.Time // last time at which the poller was known to have reported all events
+	keys        []uint64  // returned by the last call of poller.Wait
 }
 
 func newWaker(s *Server) *waker {
 	return &waker{
 		server:      s,
-		maxActive:   idle.MaxActive(s.config.MaxBytes),
-		resumePacer: idle.NewWakePacer(s.config.Cores),
+		maxActive:   idle.MaxActiveConnections(s.config.MaxBytes),
+		resumePacer: idle.NewResumePacer(s.config.Cores),
 		closePacer:  idle.NewClosePacer(s.config.Cores),
 		emptyAt:     time.Now(),
 	}
 }
 
-// run resumes connections until the context ends, or the poller fails for good: then all are resumed, and
-// none is suspended any more.
+// run resumes connections until the context ends or the poller fails permanently. In the latter case all
+// connections are resumed, and none is suspended any more.
 func (w *waker) run(ctx context.Context) {
 	for {
 		since, err := w.wait(ctx)
@@ -151,7 +154,8 @@
 	}
 }
 
-// wait waits for the poller, and returns since when data may wait on the connections that it reports.
+// wait waits for the poller and returns the earliest time since which data may wait on the connections that it
+// reported.
 func (w *waker) wait(ctx context.Context) (since time.Time, err error) {
 	called := time.Now()
 	w.keys, err = w.server.idle.poller.Wait(ctx, w.keys)
@@ -168,9 +172,9 @@
 	return since, err
 }
 
-// handle resumes the connections that the poller has reported, and returns false if the context ends. Those with
-// data are resumed first, because clients may close many connections at the same time. None may be left out: the
-// poller reports each only once.
+// handle resumes the connections that the poller has reported, and returns false if the context ends.
+// Connections with data are resumed first, because clients may close many connections at the same time. None
+// may be skipped, because the poller reports each of them only once.
 func (w *waker) handle(ctx context.Context, since time.Time) bool {
 	w.server.idle.waiting.Store(int64(len(w.keys)))
 	var withData, ended []wakeUp
@@ -185,7 +189,7 @@
 	return w.resume(ctx, withData, w.resumePacer) && w.resume(ctx, ended, w.closePacer)
 }
 
-// resume resumes connections at a pace, and returns false if the context ends.
+// resume resumes connections at the rate of the pacer, and returns false if the context ends.
 func (w *waker) resume(ctx context.Context, wakes []wakeUp, pacer *idle.Pacer) bool {
 	for _, wake := range wakes {
 		if !w.awaitPacer(ctx, pacer) || !w.awaitCapacity(ctx) {
@@ -197,7 +201,7 @@
 	return true
 }
 
-// awaitPacer waits for the pacer, and returns false if the context ends.
+// awaitPacer waits until the pacer admits the next connection, and returns false if the context ends.
 func (w *waker) awaitPacer(ctx context.Context, pacer *idle.Pacer) bool {
 	for {
 		wait := time.Duration(pacer.Wait(w.server.now(), w.server.config.Saturated()))
@@ -210,10 +214,10 @@
 	}
 }
 
-// awaitCapacity waits until an active connection is suspended or closed, where there are too many, but not
-// for long. It returns false if the context ends.
+// awaitCapacity waits while too many connections are active, but for at most about idle.MaxResumeDelayMS. It
+// returns false if the context ends.
 func (w *waker) awaitCapacity(ctx context.Context) bool {
-	for tries := 0; w.server.activeConnections() >= w.maxActive && tries < idle.MaxWakeDelayMS; tries++ {
+	for tries := 0; w.server.activeConnections() >= w.maxActive && tries < idle.MaxResumeDelayMS; tries++ {
 		if !pause(ctx, time.Millisecond) {
 			return false
 		}
--- a/internal/downstream/write.go
+++ b/internal/downstream/write.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	// writeTimeout is for how long a client may take nothing of what is written to it.
+	// writeTimeout is how long a client may take to accept a batch of responses.
 	writeTimeout = 10 * time.Second
 
-	// maxBatchBytes is about how many bytes are written at once, under one deadline: little enough that a
-	// slow client that takes some all the time is not taken for a dead one.
+	// maxBatchBytes is about how many bytes are written under one deadline. It is small enough that a slow
+	// client that keeps reading does not run into the deadline.
 	maxBatchBytes = 1 << 18
 
-	// maxQueuedPieces is how many pieces of responses wait for one client, at three pieces a response. A
-	// client that keeps to the protocol has 32 requests in flight at most.
+	// maxQueuedPieces is how many pieces of responses, at three pieces per response, may be queued for one
+	// client. A client that obeys the protocol has 32 requests in flight at most.
 	maxQueuedPieces = 3 * 1000
 )
 
-// Fields of a response in the protocol.
+// Names of response fields in the protocol.
 const (
 	fieldNotModified = "ok304"
 	fieldRetryAfter  = "later" // ms
 )
 
-// Which struct a response has in the protocol, beside the result.
+// Numbers of the result field that holds the struct of an unsuccessful response.
 const (
-	structRejected = 1
-	structFailed   = 2
+	resultFieldRejected = 1
+	resultFieldFailed   = 2
 )
 
-// Respond writes the final response to a request, if its client's connection is still there. It never waits.
+// Respond sends the final response to a request, if its client is still connected. It never blocks.
 func (s *Server) Respond(effect router.Respond) {
 	c := s.lookup(effect.Client)
 	if c == nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// newResponse returns a response in the protocol's form.
+// newResponse converts a response to the form of the protocol.
 func newResponse(effect router.Respond) thrift.Response {
 	response := thrift.Response{Method: methodCall, Seq: effect.Seq}
 	switch effect.Kind {
@@ -66,12 +66,12 @@
 			response.Body = effect.Body
 		}
 	case router.Rejected:
-		response.ResultField = structRejected
+		response.ResultField = resultFieldRejected
 		if ms := effect.RetryAfter / int64(time.Millisecond); ms > 0 {
 			response.Fields = [][2]string{{fieldRetryAfter, strconv.FormatInt(ms, 10)}}
 		}
 	case router.Failed:
-		response.ResultField = structFailed
+		response.ResultField = resultFieldFailed
 	case router.BadRequest:
 		response.ExceptionKind = thrift.ProtocolError
 		response.ExceptionText = effect.Reason.Error()
@@ -79,17 +79,17 @@
 	return response
 }
 
-// rejection returns the response to a request of which nothing was executed.
+// rejection returns the response to a request of which nothing has been executed.
 func rejection(seq int32) thrift.Response {
-	return thrift.Response{Method: methodCall, Seq: seq, ResultField: structRejected}
+	return thrift.Response{Method: methodCall, Seq: seq, ResultField: resultFieldRejected}
 }
 
 // failure returns the response to a request that may have been executed.
 func failure(seq int32) thrift.Response {
-	return thrift.Response{Method: methodCall, Seq: seq, ResultField: structFailed}
+	return thrift.Response{Method: methodCall, Seq: seq, ResultField: resultFieldFailed}
 }
 
-// failRequests fails all requests in flight.
+// failRequests answers all requests in flight as failed.
 func (c *connection) failRequests() {
 	c.mu.Lock()
 	inFlight := slices.Sorted(maps.Keys(c.inFlight))
@@ -99,8 +99,8 @@
 	}
 }
 
-// respond queues the response to a request in flight. It removes and queues under one lock: between the two
-// a connection that ends once nothing is in flight would end without the response.
+// respond queues the response to a request in flight. It removes the request and queues the response under one
+// lock. Otherwise a connection that ends once nothing is in flight could end in between, without the response.
 func (c *connection) respond(response thrift.Response) {
 	pieces := thrift.EncodeResponse(response)
 	c.mu.Lock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// send queues a response to what was never in flight.
+// send queues a response to a message that was never in flight.
 func (c *connection) send(response thrift.Response) {
 	pieces := thrift.EncodeResponse(response)
 	c.mu.Lock()
@@ -119,7 +119,7 @@
 	c.enqueue(pieces)
 }
 
-// enqueue queues the pieces of a response. c.mu is locked.
+// enqueue queues the pieces of a response. c.mu must be locked.
 func (c *connection) enqueue(pieces [][]byte) {
 	if c.phase == phaseClosed {
 		return
@@ -134,12 +134,12 @@
 	c.responded = true
 	c.updateTableState()
 	if len(c.queue) > maxQueuedPieces {
-		neterr.Close(c.conn) // its client sends requests without end and reads nothing
+		neterr.Close(c.conn) // the client keeps sending requests but reads no responses
 	}
 	c.signalWriter()
 }
 
-// signalWriter has the writer look at the queue and the phase again.
+// signalWriter makes the writer check the queue and the phase again.
 func (c *connection) signalWriter() {
 	select {
 	case c.writeSignal <- struct{}{}:
@@ -147,12 +147,13 @@
 	}
 }
 
-// writeResponses writes what is queued, until the connection fails or ends with all written.
+// writeResponses writes queued responses until the connection fails, or until it is no longer open and
+// everything is written.
 func (c *connection) writeResponses(ctx context.Context) {
 	for {
-		batch, size, over := c.nextBatch()
+		batch, size, done := c.nextBatch()
 		switch {
-		case over:
+		case done:
 			return
 		case len(batch) == 0:
 			select {
@@ -166,9 +167,9 @@
 	}
 }
 
-// nextBatch takes from the queue what is to be written at once, and its size. over tells that the writer
-// has nothing left to do.
-func (c *connection) nextBatch() (batch net.Buffers, size int64, over bool) {
+// nextBatch removes the next pieces to write from the queue and returns them with their size in bytes. done
+// means that the writer has nothing left to do.
+func (c *connection) nextBatch() (batch net.Buffers, size int64, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	count := 0
@@ -182,7 +183,7 @@
 	return batch, size, c.phase != phaseOpen && len(c.inFlight) == 0 && count == 0
 }
 
-// writeBatch writes a batch, and closes the connection and returns false if that fails.
+// writeBatch writes a batch. If that fails, it closes the connection and returns false.
 func (c *connection) writeBatch(batch net.Buffers, size int64) bool {
 	setWriteDeadline(c.conn, time.Now().Add(writeTimeout))
 	err := writeAll(c.conn, &batch)
@@ -197,7 +198,7 @@
 	return err == nil
 }
 
-// writeAll writes buffers, and goes on after transient errors.
+// writeAll writes all buffers and retries after transient errors.
 func writeAll(conn net.Conn, buffers *net.Buffers) error {
 	return neterr.Retry(func() error {
 		_, err := buffers.WriteTo(conn)
--- a/internal/downstream/write_test.go
+++ b/internal/downstream/write_test.go
@@ -9,7 +9,7 @@
 	"tealpath/internal/router"
 )
 
-func TestResponsesInTheProtocolsForm(t *testing.T) {
+func TestNewResponse(t *testing.T) {
 	const ms = int64(1e6)
 	for _, test := range []struct {
 		name     string
@@ -32,7 +32,7 @@
 			thrift.Response{Method: "call", Seq: 5, ResultField: 1, Fields: [][2]string{{"later", "250"}}},
 		},
 		{
-			"rejected, to come again at once",
+			"rejected, retry delay below 1 ms",
 			router.Respond{Kind: router.Rejected, Seq: 5, RetryAfter: ms - 1},
 			thrift.Response{Method: "call", Seq: 5, ResultField: 1},
 		},
@@ -54,7 +54,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := newResponse(test.response); !reflect.DeepEqual(got, test.want) {
-				t.Errorf("%+v, want %+v", got, test.want)
+				t.Errorf("newResponse returned %+v, want %+v", got, test.want)
 			}
 		})
 	}
--- a/internal/operatorconfig/idle_test.go
+++ b/internal/operatorconfig/idle_test.go
@@ -56,19 +56,19 @@
 		{"as it is", "", "", resources, ""},
 		{
 			"more than the descriptors", "(most 10000)", "(most 15000)", resources,
-			"1:1: 15000 connections: 20000 descriptors less 5000 for links",
+			"1:1: 15000 connections need too many descriptors: of 20000, 5000 are reserved for connections to endpoints",
 		},
 		{
 			"more than the memory", "", "", littleMemory,
-			"1:1: 10000 connections of 256 bytes each take 2500 KB",
+			"1:1: 10000 connections of 256 bytes each need 2500 KB",
 		},
 		{
 			"a network with more than all", "(most 200)", "(most 20000)", resources,
-			"2:3: 20000 connections of a network are more than the 10000 in all",
+			"2:3: limit of 20000 connections for a network exceeds the limit of 10000 for all connections",
 		},
 		{
 			"a client with more than all", "(per-client 3)", "(per-client 30000)", resources,
-			"3:3: 30000 connections of a client are more",
+			"3:3: limit of 30000 connections for a client exceeds",
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
