--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -62,7 +62,7 @@
 		return c.result(err), err
 	}
 	resumeAfter := strconv.FormatInt(c.watcher.position, 10)
-	if err := sse.Request(c.conn, address, watchPath, resumeAfter); err != nil {
+	if err := sse.WriteRequest(c.conn, address, watchPath, resumeAfter); err != nil {
 		return c.result(err), err
 	}
 	stream, err := sse.Open(c)
@@ -124,7 +124,7 @@
 func (c *call) streamResult(err error) startup.CallResult {
 	result := c.result(err)
 	endedBeforeData := !c.hasData && result == startup.Disconnected
-	if c.stream.Inside() || endedBeforeData {
+	if c.stream.InsideEvent() || endedBeforeData {
 		return startup.Truncated
 	}
 	return result
@@ -135,7 +135,7 @@
 // act on until it is complete.
 func (c *call) Read(p []byte) (int, error) {
 	deadline := c.watcher.readDeadline()
-	if c.stream != nil && c.stream.Inside() {
+	if c.stream != nil && c.stream.InsideEvent() {
 		deadline = time.Now().Add(time.Duration(c.watcher.schedule.StallTimeout()))
 	}
 	if err := c.conn.SetReadDeadline(deadline); err != nil {
--- a/internal/protocol/resp/reader.go
+++ b/internal/protocol/resp/reader.go
@@ -7,10 +7,10 @@
 	"strconv"
 )
 
-// Read reads one array. The error is io.EOF if the input ends before the array begins, and io.ErrUnexpectedEOF
-// if it ends within.
+// Read reads one array. It returns io.EOF if the input ends before the array begins, and io.ErrUnexpectedEOF if it ends
+// inside the array.
 func Read(in *bufio.Reader) ([][]byte, error) {
-	count, err := readLength(in, arrayMark, MaxItems)
+	count, err := readLength(in, arrayType, MaxItems)
 	if err != nil {
 		return nil, err
 	}
@@ -18,7 +18,7 @@
 	for i := range items {
 		items[i], err = readString(in)
 		if err != nil {
-			return nil, endWithin(err)
+			return nil, unexpectedEOF(err)
 		}
 	}
 	return items, nil
@@ -26,7 +26,7 @@
 
 // readString reads one bulk string.
 func readString(in *bufio.Reader) ([]byte, error) {
-	size, err := readLength(in, stringMark, MaxStringSize)
+	size, err := readLength(in, stringType, MaxStringSize)
 	if err != nil {
 		return nil, err
 	}
@@ -35,27 +35,27 @@
 		return nil, err
 	}
 	if string(item[size:]) != lineEnd {
-		return nil, formError("no line end behind a string")
+		return nil, malformed("string of %d bytes is followed by %q, want %q", size, item[size:], lineEnd)
 	}
-	return item[:size:size], nil // an append to it must not overwrite anything
+	return item[:size:size], nil // without spare capacity, so that appending to it copies
 }
 
-// endWithin makes an end of the input within an array an unexpected one.
-func endWithin(err error) error {
+// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF. It is used for input that ends inside an array.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// readLength reads a line of a mark and a number from 0 to limit.
-func readLength(in *bufio.Reader, mark byte, limit int) (int, error) {
+// readLength reads the header line of an array or string: its type byte and a length from 0 to limit.
+func readLength(in *bufio.Reader, typeByte byte, limit int) (int, error) {
 	first, err := in.ReadByte()
 	if err != nil {
 		return 0, err
 	}
-	if first != mark {
-		return 0, formError("%q where %q belongs", first, mark)
+	if first != typeByte {
+		return 0, malformed("type byte %q, want %q", first, typeByte)
 	}
 	digits, err := readDigits(in)
 	if err != nil {
@@ -63,30 +63,30 @@
 	}
 	length, err := strconv.ParseUint(string(digits), 10, 31)
 	if err != nil || int(length) > limit {
-		return 0, formError("length %q", digits)
+		return 0, malformed("length %q, want a number from 0 to %d", digits, limit)
 	}
 	return int(length), nil
 }
 
-// readDigits reads the rest of a line and returns it without its end.
+// readDigits reads the rest of a header line and returns it without the line end.
 func readDigits(in *bufio.Reader) ([]byte, error) {
 	line := make([]byte, 0, maxLengthDigits)
 	for {
 		next, err := in.ReadByte()
 		if err != nil {
-			return nil, endWithin(err)
+			return nil, unexpectedEOF(err)
 		}
 		if next == '\n' {
 			break
 		}
 		if len(line) == maxLengthDigits {
-			return nil, formError("a length too long")
+			return nil, malformed("length of more than %d characters", maxLengthDigits-1)
 		}
 		line = append(line, next)
 	}
 	last := len(line) - 1
 	if last < 0 || line[last] != '\r' {
-		return nil, formError("no line end")
+		return nil, malformed("length %q does not end with CR LF", line)
 	}
 	return line[:last], nil
 }
--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -1,5 +1,5 @@
-// Package resp reads and writes arrays of bulk strings in RESP, the serialization protocol of Redis (version
-// 2), which is all that caches speak.
+// Package resp reads and writes arrays of bulk strings in version 2 of RESP, the serialization protocol of Redis. The
+// protocol between the router and caches uses no other RESP types.
 package resp
 
 import (
@@ -7,38 +7,38 @@
 	"fmt"
 )
 
-// Limits of what is read.
+// Limits for input. Read returns an error for anything larger.
 const (
 	MaxItems      = 8       // strings in one array
-	MaxStringSize = 1 << 18 // of one string; the largest object has 240,000
+	MaxStringSize = 1 << 18 // bytes in one string; the largest object has 240,000
 
-	// maxLengthDigits bounds the line that says how long an array or a string is, its carriage return included.
+	// maxLengthDigits bounds the length in a header line, in characters including the carriage return.
 	maxLengthDigits = 24
 )
 
 const (
-	arrayMark  = '*'
-	stringMark = '$'
+	arrayType  = '*'
+	stringType = '$'
 	lineEnd    = "\r\n"
 )
 
-// ErrForm is input that is no array of bulk strings within the limits. Every FormError is one.
-var ErrForm = errors.New("resp: malformed")
+// ErrMalformed is the sentinel error that every MalformedError wraps.
+var ErrMalformed = errors.New("resp: malformed")
 
-// FormError says what is wrong with input that is no array of bulk strings within the limits.
-type FormError struct {
+// MalformedError reports input that is not an array of bulk strings or exceeds the limits.
+type MalformedError struct {
 	Reason string
 }
 
-func (e *FormError) Error() string {
-	return ErrForm.Error() + ": " + e.Reason
+func (e *MalformedError) Error() string {
+	return ErrMalformed.Error() + ": " + e.Reason
 }
 
-// Unwrap makes every FormError an ErrForm.
-func (e *FormError) Unwrap() error {
-	return ErrForm
+// Unwrap returns ErrMalformed, so that errors.Is matches it.
+func (e *MalformedError) Unwrap() error {
+	return ErrMalformed
 }
 
-func formError(format string, arguments ...any) error {
-	return &FormError{Reason: fmt.Sprintf(format, arguments...)}
+func malformed(format string, arguments ...any) error {
+	return &MalformedError{Reason: fmt.Sprintf(format, arguments...)}
 }
--- a/internal/protocol/resp/writer.go
+++ b/internal/protocol/resp/writer.go
@@ -2,19 +2,19 @@
 
 import "strconv"
 
-// Head appends the head of an array of so many strings.
+// Head appends the header line of an array with the given number of strings.
 func Head(out []byte, items int) []byte {
-	return appendLength(out, arrayMark, items)
+	return appendLength(out, arrayType, items)
 }
 
-// Text appends a bulk string.
+// Text appends item as a bulk string.
 func Text[T string | []byte](out []byte, item T) []byte {
-	out = appendLength(out, stringMark, len(item))
+	out = appendLength(out, stringType, len(item))
 	out = append(out, item...)
 	return append(out, lineEnd...)
 }
 
-func appendLength(out []byte, mark byte, length int) []byte {
-	out = strconv.AppendInt(append(out, mark), int64(length), 10)
+func appendLength(out []byte, typeByte byte, length int) []byte {
+	out = strconv.AppendInt(append(out, typeByte), int64(length), 10)
 	return append(out, lineEnd...)
 }
--- a/internal/protocol/sse/chunked.go
+++ b/internal/protocol/sse/chunked.go
@@ -5,18 +5,19 @@
 	"errors"
 	"fmt"
 	"io"
+	"math"
 	"strconv"
 	"strings"
 )
 
-// chunkedReader reads a body in HTTP's chunked coding.
+// chunkedReader decodes a body in HTTP's chunked transfer coding.
 type chunkedReader struct {
 	in      *bufio.Reader
 	left    int64 // bytes of the current chunk that are not read yet
-	started bool  // a chunk has been read, so that a line end precedes the next one
+	started bool  // a chunk has been read, so a line end precedes the next chunk
 }
 
-// Read reads from the current chunk, or from the next one once that is used up.
+// Read reads from the current chunk, or from the next chunk once the current one is used up.
 func (c *chunkedReader) Read(p []byte) (int, error) {
 	for c.left == 0 {
 		if err := c.nextChunk(); err != nil {
@@ -31,11 +32,12 @@
 	return n, err
 }
 
-// nextChunk reads the head of a chunk. The last chunk, which is empty, is io.EOF.
+// nextChunk reads the header of the next chunk. It returns io.EOF for the last chunk, which is empty.
 func (c *chunkedReader) nextChunk() error {
 	if c.started {
 		if end, err := readLine(c.in); err != nil || len(end) > 0 {
-			return errors.Join(ErrForm, err)
+			reason := fmt.Sprintf("chunk is followed by %.20q, want a line end", end)
+			return errors.Join(&MalformedError{Reason: reason}, err)
 		}
 	}
 	line, err := readLine(c.in)
@@ -45,7 +47,8 @@
 	digits, _, _ := strings.Cut(string(line), ";")
 	size, err := strconv.ParseInt(strings.TrimSpace(digits), 16, 32)
 	if err != nil || size < 0 {
-		return &FormError{Reason: fmt.Sprintf("chunk of %.20q", digits)}
+		reason := fmt.Sprintf("chunk size %.20q, want a hexadecimal number from 0 to %x", digits, math.MaxInt32)
+		return &MalformedError{Reason: reason}
 	}
 	c.left, c.started = size, true
 	if size == 0 {
--- a/internal/protocol/sse/request.go
+++ b/internal/protocol/sse/request.go
@@ -5,8 +5,8 @@
 	"io"
 )
 
-// Request writes the request for a stream that goes on behind the event named lastID.
-func Request(out io.Writer, host, path, lastID string) error {
+// WriteRequest writes the HTTP request for a stream that resumes after the event with the ID lastID.
+func WriteRequest(out io.Writer, host, path, lastID string) error {
 	_, err := fmt.Fprintf(out, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: text/event-stream\r\n"+
 		"Cache-Control: no-cache\r\nLast-Event-ID: %s\r\n\r\n", path, host, lastID)
 	return err
--- a/internal/protocol/sse/sse.go
+++ b/internal/protocol/sse/sse.go
@@ -1,5 +1,6 @@
-// Package sse requests a stream of server-sent events over HTTP/1.1 and reads it (the "Server-sent events"
-// section of the HTML standard; chunked coding by RFC 9112). Lines, events and the response's head are bounded.
+// Package sse requests a stream of server-sent events over HTTP/1.1 and reads it, as specified in the "Server-sent
+// events" section of the HTML standard and, for the chunked transfer coding, in RFC 9112. The sizes of lines and events
+// and the number of header lines are limited.
 package sse
 
 import (
@@ -7,36 +8,36 @@
 	"fmt"
 )
 
-// Limits of what is read.
+// Limits for input, and the size of the read buffer.
 const (
-	maxLineSize    = 4 << 20  // bytes; a complete endpoint list is one line: 10,000 endpoints of 400 bytes
-	maxEventSize   = 4 << 20  // bytes of an event's data
-	maxHeaderLines = 64       // of a response's head
+	maxLineSize    = 4 << 20  // bytes; a complete endpoint list is one line, of 10,000 endpoints with 400 bytes each
+	maxEventSize   = 4 << 20  // bytes of data in an event
+	maxHeaderLines = 64       // header lines of the response
 	bufferSize     = 16 << 10 // bytes read from the connection at a time
 )
 
-// ErrForm is input that is no such stream, or one beyond the limits. Every FormError is one.
-var ErrForm = errors.New("sse: malformed")
+// ErrMalformed is the sentinel error that every MalformedError wraps.
+var ErrMalformed = errors.New("sse: malformed")
 
-// FormError says what is wrong with input that is no such stream.
-type FormError struct {
+// MalformedError reports input that is not an event stream or exceeds the limits.
+type MalformedError struct {
 	Reason string
 }
 
-func (e *FormError) Error() string {
-	return ErrForm.Error() + ": " + e.Reason
+func (e *MalformedError) Error() string {
+	return ErrMalformed.Error() + ": " + e.Reason
 }
 
-// Unwrap makes every FormError an ErrForm.
-func (e *FormError) Unwrap() error {
-	return ErrForm
+// Unwrap returns ErrMalformed, so that errors.Is matches it.
+func (e *MalformedError) Unwrap() error {
+	return ErrMalformed
 }
 
-// StatusError is a response with another status than 200.
+// StatusError reports a response with a status other than 200.
 type StatusError struct {
-	Status string // code and reason phrase
+	Status string // status code and reason phrase
 }
 
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("sse: answered %.40q", e.Status)
+	return fmt.Sprintf("sse: response status %.40q, want 200", e.Status)
 }
--- a/internal/protocol/sse/sse_test.go
+++ b/internal/protocol/sse/sse_test.go
@@ -13,7 +13,7 @@
 	const chunked = "HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n"
 	for _, test := range []struct {
 		name, in string
-		want     string // events as ID=DATA, comments as #
+		want     string // events as ID=DATA, comments as #, separated by spaces
 		err      error
 	}{
 		{
@@ -22,20 +22,25 @@
 			"# 4={} # 5=a\nb",
 			io.EOF,
 		},
-		{"lines that end in CR LF", head + "id: 4\r\ndata: x\r\n\r\n", "4=x", io.EOF},
-		{"unknown fields, and an id alone", head + "retry: 9\nevent: z\nid: 3\n\nid: 4\ndata: x\n\n", "4=x", io.EOF},
-		{"a comment inside an event", head + "id: 4\n: beat\ndata: x\n\n", "4=x", io.EOF},
-		{"a head that is cut short", "HTTP/1.1 200 OK\r\nA: b", "", io.EOF},
-		{"chunks that are cut short", chunked + "2\r\n:\n\r\n", "#", io.EOF},
+		{"lines that end with CR LF", head + "id: 4\r\ndata: x\r\n\r\n", "4=x", io.EOF},
+		{"unknown fields, and an ID without data", head + "retry: 9\nevent: z\nid: 3\n\nid: 4\ndata: x\n\n", "4=x", io.EOF},
+		{"a comment inside an event is ignored", head + "id: 4\n: beat\ndata: x\n\n", "4=x", io.EOF},
+		{"headers cut short", "HTTP/1.1 200 OK\r\nA: b", "", io.EOF},
+		{"chunks cut short", chunked + "2\r\n:\n\r\n", "#", io.EOF},
 		{"no response", "", "", io.EOF},
-		{"an event that is cut short", head + "id: 4\ndata: x\n", "", io.EOF},
+		{"an event cut short", head + "id: 4\ndata: x\n", "", io.EOF},
 		{"chunks that split an event", chunked + "9;x=1\r\nid: 4\ndat\r\n6\r\na: x\n\n\r\n0\r\n\r\n", "4=x", io.EOF},
-		{"a chunk of no number", chunked + "zz\r\nid", "", ErrForm},
-		{"a chunk longer than told", chunked + "2\r\n:\n:\n\r\n", "#", ErrForm},
-		{"no HTTP", "*1\r\n", "", ErrForm},
-		{"a head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 99), "", ErrForm},
-		{"an endless line", head + strings.Repeat("x", maxLineSize+1), "", ErrForm},
-		{"an endless event", head + strings.Repeat("data: "+strings.Repeat("x", maxLineSize/2)+"\n", 9), "", ErrForm},
+		{"a chunk size that is not a number", chunked + "zz\r\nid", "", ErrMalformed},
+		{"a chunk longer than its size", chunked + "2\r\n:\n:\n\r\n", "#", ErrMalformed},
+		{"not HTTP", "*1\r\n", "", ErrMalformed},
+		{"too many header lines", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 99), "", ErrMalformed},
+		{"a line that is too long", head + strings.Repeat("x", maxLineSize+1), "", ErrMalformed},
+		{
+			"an event that is too long",
+			head + strings.Repeat("data: "+strings.Repeat("x", maxLineSize/2)+"\n", 9),
+			"",
+			ErrMalformed,
+		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var got []string
@@ -49,17 +54,18 @@
 				}
 			}
 			if !errors.Is(err, test.err) || strings.Join(got, " ") != test.want {
-				t.Errorf("%q, %v; want %q, %v", got, err, test.want, test.err)
+				t.Errorf("read %q, error %v; want %q, error %v", got, err, test.want, test.err)
 			}
 		})
 	}
 }
 
-// The list of the largest fleet is one line: 3,200 members with long names, and 10,000 with usual ones.
+// The endpoint list of the largest fleet is one line. It must be readable for 3,200 members with long names and for
+// 10,000 members with names of the usual length.
 func TestLongLists(t *testing.T) {
 	for _, test := range []struct {
 		name           string
-		members, bytes int // of each
+		members, bytes int // bytes of each member
 	}{{"3,200 with long names", 3200, 1000}, {"10,000", 10_000, 400}} {
 		t.Run(test.name, func(t *testing.T) {
 			list := strings.Repeat("x", test.members*test.bytes)
@@ -68,35 +74,35 @@
 				t.Fatal(err)
 			}
 			if e, err := s.Next(); err != nil || string(e.Data) != list {
-				t.Errorf("%d bytes, %v", len(e.Data), err)
+				t.Errorf("read %d bytes, error %v, want %d bytes", len(e.Data), err, len(list))
 			}
 		})
 	}
 }
 
-func TestErrorsSayWhatIsWrong(t *testing.T) {
+func TestOpenErrorTexts(t *testing.T) {
 	for _, test := range []struct {
 		name, in string
 		want     string
 	}{
-		{"status", "HTTP/1.1 503 Busy\r\n\r\n", `sse: answered "503 Busy"`},
-		{"no HTTP", "*1\r\n", "sse: malformed: no HTTP answer"},
+		{"status", "HTTP/1.1 503 Busy\r\n\r\n", `sse: response status "503 Busy", want 200`},
+		{"not HTTP", "*1\r\n", `sse: malformed: status line "*1", want HTTP/1.x`},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := Open(strings.NewReader(test.in))
 			if err == nil || err.Error() != test.want {
-				t.Errorf("%v, want %s", err, test.want)
+				t.Errorf("error %v, want %s", err, test.want)
 			}
 		})
 	}
 	var status *StatusError
 	_, err := Open(strings.NewReader("HTTP/1.1 503 Busy\r\n\r\n"))
 	if !errors.As(err, &status) || status.Status != "503 Busy" {
-		t.Errorf("%v is no status", err)
+		t.Errorf("error %v, want a StatusError with status 503 Busy", err)
 	}
 }
 
-func TestInsideAnEvent(t *testing.T) {
+func TestInsideEvent(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\n\r\n"
 	for _, test := range []struct {
 		name, in string
@@ -105,23 +111,23 @@
 		{"between events", "id: 4\ndata: x\n\n", false},
 		{"within an event", "id: 4\ndata: x\n", true},
 		{"within a line", "id", true},
-		{"behind a comment", ":\n", false},
+		{"after a comment", ":\n", false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s, err := Open(strings.NewReader(head + test.in))
 			for err == nil {
 				_, err = s.Next()
 			}
-			if s.Inside() != test.want {
-				t.Errorf("inside: %t, want %t", s.Inside(), test.want)
+			if s.InsideEvent() != test.want {
+				t.Errorf("InsideEvent returned %t, want %t", s.InsideEvent(), test.want)
 			}
 		})
 	}
 }
 
-func TestRequest(t *testing.T) {
+func TestWriteRequest(t *testing.T) {
 	var out bytes.Buffer
-	if err := Request(&out, "10.2.0.1:2379", "/journal", "41"); err != nil {
+	if err := WriteRequest(&out, "10.2.0.1:2379", "/journal", "41"); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{
@@ -130,10 +136,10 @@
 		"\r\nLast-Event-ID: 41\r\n",
 	} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in %q", want, out.String())
+			t.Errorf("request %q does not contain %q", out.String(), want)
 		}
 	}
 	if !strings.HasSuffix(out.String(), "\r\n\r\n") {
-		t.Error("no end")
+		t.Errorf("request %q does not end with an empty line", out.String())
 	}
 }
--- a/internal/protocol/sse/stream.go
+++ b/internal/protocol/sse/stream.go
@@ -4,30 +4,31 @@
 	"bufio"
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"strings"
 )
 
-// Event is one event, or a comment.
+// Event is an event or a comment of the stream.
 type Event struct {
 	ID      string
 	Data    []byte
-	Comment bool
+	Comment bool // a comment: ID and Data are empty
 }
 
-// Stream reads events.
+// Stream reads events and comments from the body of a response.
 type Stream struct {
 	in      *bufio.Reader
-	partial bool // some lines of an event have come, not all
+	partial bool // the current event or line has been read in part
 }
 
-// Inside tells whether part of an event or of a line has come, and not the rest. It may be called from the
-// reader that the stream was opened on, or once Next has failed.
-func (s *Stream) Inside() bool {
+// InsideEvent reports whether an event or line has been received in part. It may be called by the Read method of the
+// reader that was passed to Open, or after Next has returned an error.
+func (s *Stream) InsideEvent() bool {
 	return s.partial || s.in.Buffered() > 0
 }
 
-// Open reads the head of the response to a request.
+// Open reads the status line and headers of a response, and returns the stream in its body.
 func Open(raw io.Reader) (*Stream, error) {
 	in := bufio.NewReaderSize(raw, bufferSize)
 	if err := readStatus(in); err != nil {
@@ -43,7 +44,7 @@
 	return &Stream{in: in}, nil
 }
 
-// readStatus reads the status line. Any status but 200 is an error.
+// readStatus reads the status line. It returns a StatusError for any status other than 200.
 func readStatus(in *bufio.Reader) error {
 	line, err := readLine(in)
 	if err != nil {
@@ -52,7 +53,7 @@
 	version, status, _ := strings.Cut(string(line), " ")
 	code, _, _ := strings.Cut(status, " ")
 	if !strings.HasPrefix(version, "HTTP/1.") {
-		return &FormError{Reason: "no HTTP answer"}
+		return &MalformedError{Reason: fmt.Sprintf("status line %.40q, want HTTP/1.x", line)}
 	}
 	if code != "200" {
 		return &StatusError{Status: status}
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// readHeader reads the header lines and says whether the body is in chunked coding.
+// readHeader reads the header lines and reports whether the body has the chunked transfer coding.
 func readHeader(in *bufio.Reader) (chunked bool, err error) {
 	for lines := 0; ; lines++ {
 		line, err := readLine(in)
@@ -71,17 +72,17 @@
 			return chunked, nil
 		}
 		if lines == maxHeaderLines {
-			return false, &FormError{Reason: "head too long"}
+			return false, &MalformedError{Reason: fmt.Sprintf("more than %d header lines", maxHeaderLines)}
 		}
 		name, value, _ := strings.Cut(string(line), ":")
-		isCoding := strings.EqualFold(name, "Transfer-Encoding")
-		if isCoding && strings.EqualFold(strings.TrimSpace(value), "chunked") {
+		isTransferCoding := strings.EqualFold(name, "Transfer-Encoding")
+		if isTransferCoding && strings.EqualFold(strings.TrimSpace(value), "chunked") {
 			chunked = true
 		}
 	}
 }
 
-// Next reads the next event or comment. An event is returned once the empty line behind it has come.
+// Next reads the next event or comment. An event is complete once the empty line after it has been read.
 func (s *Stream) Next() (Event, error) {
 	var event Event
 	hasData := false
@@ -97,7 +98,7 @@
 		case len(line) == 0 && hasData:
 			return event, nil
 		case len(line) == 0:
-			event = Event{} // without data it is none
+			event = Event{} // a block of lines without data is not an event
 		case line[0] == ':':
 			if !hasData && event.ID == "" {
 				s.partial = false
@@ -112,7 +113,8 @@
 	}
 }
 
-// addLine adds one line of an event, and says whether the event has data now.
+// addLine adds a line to the event. hasData says whether the event has data already; addLine returns whether it has
+// data with this line.
 func (e *Event) addLine(line []byte, hasData bool) (bool, error) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
@@ -121,24 +123,25 @@
 		e.ID = string(value)
 	case "data":
 		if !hasData {
-			e.Data = value // no other line shares its memory, so a long list is not copied
+			e.Data = value // readLine's memory belongs to this line alone, so that a long list need not be copied
 			return true, nil
 		}
 		if len(e.Data)+len(value) >= maxEventSize {
-			return true, &FormError{Reason: "event too long"}
+			return true, &MalformedError{Reason: fmt.Sprintf("event with more than %d bytes of data", maxEventSize)}
 		}
 		e.Data = append(append(e.Data, '\n'), value...)
 	}
 	return hasData, nil
 }
 
-// readLine reads a line and returns it without its end. With an error it returns what of the line has come.
+// readLine reads a line and returns it without its line end. With a read error, it returns the part of the line that
+// has been read.
 func readLine(in *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
 		part, err := in.ReadSlice('\n')
 		if len(line)+len(part) > maxLineSize {
-			return nil, &FormError{Reason: "line too long"}
+			return nil, &MalformedError{Reason: fmt.Sprintf("line of more than %d bytes", maxLineSize)}
 		}
 		line = append(line, part...)
 		if errors.Is(err, bufio.ErrBufferFull) {
--- a/internal/protocol/thrift/message.go
+++ b/internal/protocol/thrift/message.go
@@ -2,10 +2,11 @@
 
 import (
 	"encoding/binary"
+	"fmt"
 	"io"
 )
 
-// Message is one message; Body is its arguments, encoded.
+// Message is one message. Body holds its encoded arguments.
 type Message struct {
 	Name string
 	Type byte
@@ -13,7 +14,7 @@
 	Body []byte
 }
 
-// FrameSize reads the length that precedes a frame, in bytes.
+// FrameSize reads the length prefix of a frame and returns the frame's size in bytes.
 func FrameSize(in io.Reader) (int, error) {
 	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
@@ -21,70 +22,73 @@
 	}
 	size := int32(binary.BigEndian.Uint32(header[:]))
 	if size <= 0 || size > MaxFrameSize {
-		return 0, ErrFrame
+		return 0, fmt.Errorf("%w: %d bytes, allowed are 1 to %d", ErrFrameSize, size, MaxFrameSize)
 	}
 	return int(size), nil
 }
 
-// Parse reads the message in a frame.
+// Parse parses the message in a frame, up to its arguments.
 func Parse(frame []byte) (Message, error) {
 	r := reader{in: frame}
 	word := r.uint32()
-	if r.err != nil || word&versionMask != version {
-		return Message{}, ErrVersion
+	if r.err != nil {
+		return Message{}, fmt.Errorf("%w: %w", ErrVersion, r.err)
+	}
+	if word&versionMask != version {
+		return Message{}, fmt.Errorf("%w: first word 0x%08x, want 0x%08x in its upper half", ErrVersion, word, version)
 	}
 	name := string(r.bytes())
 	sequence := int32(r.uint32())
 	if r.err != nil {
-		return Message{}, ErrVersion
+		return Message{}, fmt.Errorf("%w: %w", ErrVersion, r.err)
 	}
 	return Message{Name: name, Type: byte(word), Seq: sequence, Body: r.in}, nil
 }
 
-// The identifiers of the arguments of the service's methods.
+// Field identifiers of the arguments of the service's methods.
 const (
 	FirstArgument  = 1 // the fields of `call`, or the sequence number of `cancel`
 	SecondArgument = 2 // the body of `call`
 )
 
-// Arguments are those of the service's methods: `call` has Fields and Body, `cancel` has Number.
+// Arguments are the arguments of the service's methods: `call` has Fields and Body, `cancel` has Number.
 type Arguments struct {
 	Fields map[string]string
-	Body   []byte // a part of the frame, not a copy; nil if it is empty
-	Number int32
-	Has    map[int16]bool // the identifiers of the arguments that came
+	Body   []byte         // shares the frame's memory; nil if empty
+	Number int32          // sequence number of the call to cancel
+	Has    map[int16]bool // identifiers of the arguments that are present
 }
 
-// ParseArguments reads a method's arguments. Those that it does not know are skipped.
+// ParseArguments parses the arguments of a method, which are the body of a message. Unknown arguments are skipped.
 func ParseArguments(body []byte) (Arguments, error) {
 	input := reader{in: body}
 	arguments := Arguments{Has: map[int16]bool{}}
 	for {
-		kind := input.byte()
-		if input.err != nil || kind == typeStop {
+		typ := input.byte()
+		if input.err != nil || typ == typeStop {
 			break
 		}
 		id := int16(input.uint16())
-		if !arguments.parse(&input, id, kind) {
-			input.skip(kind, 0)
+		if !arguments.parse(&input, id, typ) {
+			input.skip(typ, 0)
 			continue
 		}
 		arguments.Has[id] = true
 	}
 	if input.err == nil && len(input.in) > 0 {
-		input.err = ErrTrailingBytes
+		input.err = fmt.Errorf("%w: %d", ErrTrailingBytes, len(input.in))
 	}
 	return arguments, input.err
 }
 
-// parse reads one argument. It returns false, and reads nothing, if the argument is not known.
-func (a *Arguments) parse(r *reader, id int16, kind byte) bool {
+// parse reads one argument. If the argument is unknown, it reads nothing and returns false.
+func (a *Arguments) parse(r *reader, id int16, typ byte) bool {
 	switch {
-	case id == FirstArgument && kind == typeMap:
+	case id == FirstArgument && typ == typeMap:
 		a.Fields = r.stringMap()
-	case id == FirstArgument && kind == typeI32:
+	case id == FirstArgument && typ == typeI32:
 		a.Number = int32(r.uint32())
-	case id == SecondArgument && kind == typeString:
+	case id == SecondArgument && typ == typeString:
 		a.Body = r.bytes()
 		if len(a.Body) == 0 {
 			a.Body = nil // an empty slice would keep the whole frame in memory
--- a/internal/protocol/thrift/reader.go
+++ b/internal/protocol/thrift/reader.go
@@ -1,20 +1,23 @@
 package thrift
 
-import "encoding/binary"
+import (
+	"encoding/binary"
+	"fmt"
+)
 
-// reader reads values from a frame. After its first error all it reads is zero.
+// reader reads values from a frame. After the first error, which it keeps in err, all values it returns are zero.
 type reader struct {
-	in  []byte // what is left of the frame
+	in  []byte // unread part of the frame
 	err error
 }
 
-// take returns the next n bytes, as a part of the frame.
+// take returns the next n bytes. They share the frame's memory.
 func (r *reader) take(n int) []byte {
 	if r.err != nil {
 		return nil
 	}
 	if n < 0 || n > len(r.in) {
-		r.err = ErrTruncated
+		r.err = fmt.Errorf("%w: length %d, %d bytes left in the frame", ErrTruncated, n, len(r.in))
 		return nil
 	}
 	taken := r.in[:n]
@@ -43,7 +46,7 @@
 	return 0
 }
 
-// count reads a length or a number of elements. It may be negative.
+// count reads a length or a number of elements. The result may be negative.
 func (r *reader) count() int {
 	return int(int32(r.uint32()))
 }
@@ -52,14 +55,15 @@
 	return r.take(r.count())
 }
 
-// stringMap reads a map of strings by strings.
+// stringMap reads a map from strings to strings.
 func (r *reader) stringMap() map[string]string {
 	keyType, valueType := r.byte(), r.byte()
 	count := r.count()
 	fits := count >= 0 && count <= len(r.in)/minMapEntrySize
-	strings := keyType == typeString && valueType == typeString
-	if r.err == nil && (!fits || count > 0 && !strings) {
-		r.err = ErrMap
+	hasStrings := keyType == typeString && valueType == typeString
+	if r.err == nil && (!fits || count > 0 && !hasStrings) {
+		r.err = fmt.Errorf("%w: %d entries from type %d to type %d in %d bytes, want strings (type %d)",
+			ErrInvalidMap, count, keyType, valueType, len(r.in), typeString)
 	}
 	entries := map[string]string{}
 	for range count {
@@ -73,15 +77,15 @@
 	return entries
 }
 
-// skip passes over a value of any type, at a depth of values within values.
-func (r *reader) skip(kind byte, depth int) {
+// skip skips a value of any type. depth is the number of values that contain it.
+func (r *reader) skip(typ byte, depth int) {
 	if depth > maxSkipDepth {
-		r.err = ErrTooDeep
+		r.err = fmt.Errorf("%w: more than %d levels", ErrTooDeep, maxSkipDepth)
 	}
 	if r.err != nil {
 		return
 	}
-	switch kind {
+	switch typ {
 	case typeString:
 		r.bytes()
 	case typeStruct:
@@ -93,9 +97,9 @@
 		elementType := r.byte()
 		r.skipElements(r.count(), depth, elementType)
 	default:
-		size := fixedSize(kind)
+		size := fixedSize(typ)
 		if size == 0 {
-			r.err = &UnknownTypeError{Type: kind}
+			r.err = &UnknownTypeError{Type: typ}
 			return
 		}
 		r.take(size)
@@ -113,19 +117,18 @@
 	}
 }
 
-// skipElements passes over so many elements, each of which has one value of every type given.
+// skipElements skips the elements of a container. Each element consists of one value of each of the types.
 func (r *reader) skipElements(count, depth int, types ...byte) {
 	for i := 0; i < count && r.err == nil; i++ {
-		for _, kind := range types {
-			r.skip(kind, depth+1)
+		for _, typ := range types {
+			r.skip(typ, depth+1)
 		}
 	}
 }
 
-// fixedSize returns how many bytes a value of a type takes, and 0 where that depends on the value or the type
-// is unknown.
-func fixedSize(kind byte) int {
-	switch kind {
+// fixedSize returns the size in bytes of the values of a type, or 0 if the size varies or the type is unknown.
+func fixedSize(typ byte) int {
+	switch typ {
 	case typeBool, typeByte:
 		return 1
 	case typeI16:
--- a/internal/protocol/thrift/thrift.go
+++ b/internal/protocol/thrift/thrift.go
@@ -1,5 +1,5 @@
-// Package thrift reads and writes framed messages of Thrift's strict binary protocol, as far as the clients'
-// service needs it. Every length is checked against the frame before anything of that length is allocated.
+// Package thrift reads and writes framed messages of Thrift's strict binary protocol. It supports only what the service
+// that the router offers to clients needs. Every length is checked against the frame before memory is allocated for it.
 package thrift
 
 import (
@@ -7,10 +7,10 @@
 	"fmt"
 )
 
-// MaxFrameSize is the largest frame that is read, in bytes. The largest object has 240,000.
+// MaxFrameSize is the maximum size of a received frame, in bytes. The largest object has 240,000 bytes.
 const MaxFrameSize = 1 << 18
 
-// Types of messages.
+// Message types.
 const (
 	Call      = 1
 	Reply     = 2
@@ -18,7 +18,7 @@
 	Oneway    = 4
 )
 
-// Kinds of application exceptions.
+// Application exception types.
 const (
 	UnknownMethod = 1
 	InvalidType   = 2
@@ -26,7 +26,7 @@
 	ProtocolError = 7
 )
 
-// Types of fields.
+// Value types.
 const (
 	typeStop   = 0
 	typeBool   = 2
@@ -42,40 +42,41 @@
 	typeList   = 15
 )
 
-// The first word of a message has the version in its upper half and the type of the message in its lowest byte.
+// The first 32-bit word of a message holds the protocol version in its upper half and the message type in its lowest
+// byte.
 const (
 	version     = 0x80010000
 	versionMask = 0xffff0000
 )
 
 const (
-	frameHeaderSize = 4  // bytes of the length that precedes a frame
-	maxSkipDepth    = 16 // nested values of unknown fields; deeper ones are an error
+	frameHeaderSize = 4  // bytes of the length prefix of a frame
+	maxSkipDepth    = 16 // maximum nesting of values in an unknown field
 
-	// minMapEntrySize is the least that an entry of two strings takes: their two lengths.
+	// minMapEntrySize is the size in bytes of a map entry of two empty strings: their two lengths.
 	minMapEntrySize = 8
 )
 
 var (
-	// ErrFrame is a frame whose length is not positive, or over FrameMost.
-	ErrFrame = errors.New("thrift: bad length of a frame")
-	// ErrVersion is a frame that is no message of the strict protocol.
+	// ErrFrameSize is returned for a frame size that is not positive or exceeds MaxFrameSize.
+	ErrFrameSize = errors.New("thrift: invalid frame size")
+	// ErrVersion is returned for a frame that does not begin with a message of the strict binary protocol.
 	ErrVersion = errors.New("thrift: not a message of the strict binary protocol")
-	// ErrTruncated is a value that ends behind the end of its frame.
+	// ErrTruncated is returned for a value that extends beyond the end of its frame or has a negative length.
 	ErrTruncated = errors.New("thrift: value cut short")
-	// ErrTrailingBytes is a frame that goes on behind the end of its arguments.
-	ErrTrailingBytes = errors.New("thrift: bytes behind the arguments")
-	// ErrMap is a map that is not of strings by strings, or has more entries than fit into its frame.
-	ErrMap = errors.New("thrift: bad map")
-	// ErrTooDeep is an unknown field whose values are nested too deeply.
+	// ErrTrailingBytes is returned for a frame that continues after the end of its arguments.
+	ErrTrailingBytes = errors.New("thrift: bytes after the arguments")
+	// ErrInvalidMap is returned for a map whose keys or values are not strings, or whose size does not fit the frame.
+	ErrInvalidMap = errors.New("thrift: invalid map")
+	// ErrTooDeep is returned for an unknown field whose values are nested more than maxSkipDepth levels deep.
 	ErrTooDeep = errors.New("thrift: nested too deeply")
 )
 
-// UnknownTypeError is a field of a type that the protocol does not have.
+// UnknownTypeError reports a value whose type is not defined by the protocol.
 type UnknownTypeError struct {
 	Type byte
 }
 
 func (e *UnknownTypeError) Error() string {
-	return fmt.Sprintf("thrift: unknown type %d", e.Type)
+	return fmt.Sprintf("thrift: unknown value type %d", e.Type)
 }
--- a/internal/protocol/thrift/thrift_test.go
+++ b/internal/protocol/thrift/thrift_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// text is a string as it stands in a message.
+// text encodes a string value.
 func text(s string) string { return string(appendString(nil, s)) }
 
 func TestFrameSize(t *testing.T) {
@@ -18,17 +18,17 @@
 		want     int
 		err      error
 	}{
-		{"a frame", "\x00\x00\x01\x02", 258, nil},
-		{"the largest", "\x00\x04\x00\x00", MaxFrameSize, nil},
-		{"too large", "\x00\x04\x00\x01", 0, ErrFrame},
-		{"negative", "\xff\xff\xff\xff", 0, ErrFrame},
-		{"empty", "\x00\x00\x00\x00", 0, ErrFrame},
+		{"an allowed size", "\x00\x00\x01\x02", 258, nil},
+		{"the maximum size", "\x00\x04\x00\x00", MaxFrameSize, nil},
+		{"too large", "\x00\x04\x00\x01", 0, ErrFrameSize},
+		{"negative", "\xff\xff\xff\xff", 0, ErrFrameSize},
+		{"empty", "\x00\x00\x00\x00", 0, ErrFrameSize},
 		{"cut short", "\x00\x00", 0, io.ErrUnexpectedEOF},
-		{"ended", "", 0, io.EOF},
+		{"no input", "", 0, io.EOF},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got, err := FrameSize(strings.NewReader(test.in)); got != test.want || !errors.Is(err, test.err) {
-				t.Errorf("%d, %v", got, err)
+				t.Errorf("size %d, error %v, want %d, %v", got, err, test.want, test.err)
 			}
 		})
 	}
@@ -37,7 +37,7 @@
 func TestParse(t *testing.T) {
 	for _, test := range []struct {
 		name, in string
-		good     bool
+		valid    bool
 	}{
 		{"a call", "\x80\x01\x00\x01" + text("call") + "\x00\x00\x00\x07\x00", true},
 		{"not strict", text("call") + "\x01\x00\x00\x00\x07\x00", false},
@@ -48,11 +48,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m, err := Parse([]byte(test.in))
-			if (err == nil) != test.good {
-				t.Fatalf("%+v, %v", m, err)
+			if (err == nil) != test.valid {
+				t.Fatalf("message %+v, error %v, want valid: %t", m, err, test.valid)
 			}
-			if test.good && (m.Name != "call" || m.Type != Call || m.Seq != 7 || len(m.Body) != 1) {
-				t.Errorf("%+v", m)
+			if test.valid && (m.Name != "call" || m.Type != Call || m.Seq != 7 || len(m.Body) != 1) {
+				t.Errorf("message %+v, want Name call, Type %d, Seq 7 and a Body of 1 byte", m, Call)
 			}
 		})
 	}
@@ -69,39 +69,39 @@
 		{"fields and body", fields + "\x0b\x00\x02" + text("b\x00y") + "\x00", "b\x00y", ""},
 		{"an empty body", fields + "\x0b\x00\x02" + text("") + "\x00", "", ""},
 		{
-			"unknown values are skipped", "\x0c\x00\x09\x0f\x00\x01\x0b\x00\x00\x00\x01" + text("x") + "\x00" +
+			"unknown fields are skipped", "\x0c\x00\x09\x0f\x00\x01\x0b\x00\x00\x00\x01" + text("x") + "\x00" +
 				"\x0d\x00\x08\x08\x0a\x00\x00\x00\x01\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00\x00\x02" +
 				"\x02\x00\x07\x01\x03\x00\x06\x01\x06\x00\x05\x00\x01" +
 				"\x04\x00\x04\x00\x00\x00\x00\x00\x00\x00\x00" + fields + "\x00",
 			"", "",
 		},
 		{"no end", fields, "", "cut short"},
-		{"bytes behind the end", fields + "\x00x", "", "behind"},
+		{"bytes after the end", fields + "\x00x", "", "after the arguments"},
 		{"a string longer than the rest", fields + "\x0b\x00\x02\x00\x00\x00\x09b\x00", "", "cut short"},
-		{"a map of negative size", "\x0d\x00\x01\x0b\x0b\xff\xff\xff\xff\x00", "", "bad map"},
-		{"a map larger than the rest", "\x0d\x00\x01\x0b\x0b\x00\x0f\xff\xff\x00", "", "bad map"},
-		{"a map of numbers", "\x0d\x00\x01\x08\x08\x00\x00\x00\x01\x00\x00\x00\x01\x00\x00\x00\x01\x00", "", "bad map"},
-		{"an unknown type", "\x63\x00\x01\x00", "", "unknown type"},
+		{"a map of negative size", "\x0d\x00\x01\x0b\x0b\xff\xff\xff\xff\x00", "", "invalid map"},
+		{"a map larger than the rest", "\x0d\x00\x01\x0b\x0b\x00\x0f\xff\xff\x00", "", "invalid map"},
+		{"a map of numbers", "\x0d\x00\x01\x08\x08\x00\x00\x00\x01\x00\x00\x00\x01\x00\x00\x00\x01\x00", "", "invalid map"},
+		{"an unknown type", "\x63\x00\x01\x00", "", "unknown value type"},
 		{"nested too deeply", nested, "", "too deeply"},
-		{"a list of very many empty values", "\x0f\x00\x09\x63\x7f\xff\xff\xff\x00", "", "unknown type"},
+		{"a huge list of an unknown type", "\x0f\x00\x09\x63\x7f\xff\xff\xff\x00", "", "unknown value type"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			a, err := ParseArguments([]byte(test.in))
 			if test.err != "" {
 				if err == nil || !strings.Contains(err.Error(), test.err) {
-					t.Errorf("error %v, want %s", err, test.err)
+					t.Errorf("error %v, want one that contains %q", err, test.err)
 				}
 				return
 			}
 			if err != nil || a.Fields["verb"] != "stills" || string(a.Body) != test.body {
-				t.Errorf("%+v, %v", a, err)
+				t.Errorf("arguments %+v, error %v, want verb stills and body %q", a, err, test.body)
 			}
 		})
 	}
-	t.Run("the number to cancel", func(t *testing.T) {
+	t.Run("the sequence number to cancel", func(t *testing.T) {
 		a, err := ParseArguments([]byte("\x08\x00\x01\x00\x00\x00\x05\x00"))
 		if err != nil || a.Number != 5 || !a.Has[FirstArgument] {
-			t.Errorf("%+v, %v", a, err)
+			t.Errorf("arguments %+v, error %v, want Number 5", a, err)
 		}
 	})
 }
@@ -110,7 +110,7 @@
 	for _, test := range []struct {
 		name string
 		in   Response
-		want string // behind the sequence number
+		want string // the frame after the sequence number
 	}{
 		{"served", Response{Body: []byte("xy"), Good: true}, "\x0c\x00\x00\x0b\x00\x01" + text("xy") +
 			"\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00\x02\x00\x03\x01\x00\x00"},
@@ -124,13 +124,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			test.in.Method, test.in.Seq = "call", 258
 			got := bytes.Join(EncodeResponse(test.in), nil)
-			kind := "\x02"
+			messageType := "\x02"
 			if test.in.ExceptionKind != 0 {
-				kind = "\x03"
+				messageType = "\x03"
 			}
-			want := "\x80\x01\x00" + kind + text("call") + "\x00\x00\x01\x02" + test.want
+			want := "\x80\x01\x00" + messageType + text("call") + "\x00\x00\x01\x02" + test.want
 			if size := binary.BigEndian.Uint32(got); int(size) != len(got)-4 || string(got[4:]) != want {
-				t.Errorf("%d %q\nwant %q", size, got[4:], want)
+				t.Errorf("frame size %d, frame %q\nwant size %d, frame %q", size, got[4:], len(want), want)
 			}
 		})
 	}
--- a/internal/protocol/thrift/writer.go
+++ b/internal/protocol/thrift/writer.go
@@ -2,13 +2,12 @@
 
 import "encoding/binary"
 
-// The identifiers of the fields of a reply's result.
+// Field identifier of a successful result. The others are exceptions of the service: 1 rejected, 2 failed.
 const (
-	resultServed = 0 // the others are the service's exceptions: 1 rejected, 2 failed
+	resultServed = 0
 )
 
-// The identifiers of the fields of an object that is served, of a service's exception, and of an application
-// exception.
+// Field identifiers in the struct of a served object, in a service exception and in an application exception.
 const (
 	servedBody   = 1
 	servedFields = 2
@@ -20,28 +19,30 @@
 	applicationKind = 2
 )
 
-// Bytes of a reply beside its texts, as a first size of its buffer.
+// replyHeadSize is the initial capacity for the part of a reply before its body, in bytes without an exception's text.
 const replyHeadSize = 96
 
-// The first word of a message as bytes; the last has the message's type.
+// replyHeader is the first word of a reply. Its last byte is the message type.
 var replyHeader = [4]byte{0x80, 0x01, 0x00, Reply}
 
-const messageTypeOffset = frameHeaderSize + 3 // of the message's type in a frame with its length
+// messageTypeOffset is the offset of the message type from the start of the length prefix.
+const messageTypeOffset = frameHeaderSize + 3
 
-// Response is the response to a `call` or `health` message. ExceptionKind and ResultField say what it is.
+// Response is the response to a `call` or `health` message: an application exception if ExceptionKind is set, otherwise
+// the result that ResultField names.
 type Response struct {
 	Method        string
 	Seq           int32
-	ExceptionKind int         // kind of an application exception, with ExceptionText; 0 is none
-	ExceptionText string      // with ExceptionKind
-	ResultField   int16       // of the result: 0 is served, 1 rejected, 2 failed
-	Fields        [][2]string // names with values
-	Body          []byte      // with ResultField 0
-	Good          bool        // with ResultField 0
+	ExceptionKind int         // application exception type; 0: no application exception
+	ExceptionText string      // message of the application exception
+	ResultField   int16       // field identifier of the result: 0 served, 1 rejected, 2 failed
+	Fields        [][2]string // name and value pairs
+	Body          []byte      // if served: the object
+	Good          bool        // if served: true for an object; for `health`, whether the router is ready
 }
 
-// EncodeResponse encodes a response as a frame with its length, in three pieces. The middle one is the body, which is
-// not copied.
+// EncodeResponse encodes a response as a frame with its length prefix. It returns the frame in three slices: the part
+// before the body, the body itself, which is not copied, and the rest.
 func EncodeResponse(response Response) [][]byte {
 	head := make([]byte, frameHeaderSize, replyHeadSize+len(response.ExceptionText))
 	head = append(head, replyHeader[:]...)
@@ -70,15 +71,15 @@
 	return [][]byte{head, response.Body, tail}
 }
 
-func appendApplicationException(out []byte, kind int, text string) []byte {
+func appendApplicationException(out []byte, exceptionType int, text string) []byte {
 	out = appendField(out, typeString, applicationText)
 	out = appendString(out, text)
 	out = appendField(out, typeI32, applicationKind)
-	out = binary.BigEndian.AppendUint32(out, uint32(kind))
+	out = binary.BigEndian.AppendUint32(out, uint32(exceptionType))
 	return append(out, typeStop)
 }
 
-// appendServedTail appends what follows the body of an object that is served.
+// appendServedTail appends the fields after the body of a served object.
 func appendServedTail(out []byte, response Response) []byte {
 	out = appendField(out, typeMap, servedFields)
 	out = appendStringMap(out, response.Fields)
@@ -93,8 +94,8 @@
 	return 0
 }
 
-func appendField(out []byte, kind byte, id int16) []byte {
-	return binary.BigEndian.AppendUint16(append(out, kind), uint16(id))
+func appendField(out []byte, typ byte, id int16) []byte {
+	return binary.BigEndian.AppendUint16(append(out, typ), uint16(id))
 }
 
 func appendString(out []byte, s string) []byte {
