--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -131,8 +131,8 @@
 }
 
 // Read implements io.Reader for the stream. Between events, its timeout allows for the time between two comments of
-// the service. Inside an event the timeout is much shorter, because the service takes the router as notified of the
-// event once it has sent it, while the router can act on it only when it is complete.
+// the service. Inside an event the timeout is much shorter, because the service counts the router as notified of an
+// event as soon as it has sent it, while the router can act on the event only when it is complete.
 func (c *call) Read(p []byte) (int, error) {
 	deadline := c.watcher.readDeadline()
 	if c.stream != nil && c.stream.InsideEvent() {
--- a/internal/discovery/logevents.go
+++ b/internal/discovery/logevents.go
@@ -13,7 +13,7 @@
 // Disconnected reports a call that failed or ended. Further failures are not reported until Reconnected.
 type Disconnected struct {
 	Position int64  `log:"position"` // position of the last processed event
-	Result   string `log:"result"`   // refused, unreached, unanswered, broke, silent, cut or not called
+	Result   string `log:"result"`   // one of refused, unreached, unanswered, broke, silent, cut, not called
 	Cause    error  `log:"cause"`
 }
 
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// A response that ends or stalls inside an event must be requested again within the drain grace. The service takes
+// A response that ends or stalls inside an event must be requested again within the drain grace. The service counts
 // the router as notified of that event, so if it were requested later, the router would still send requests to an
 // endpoint that is draining.
 func TestTruncatedResponseIsRequestedAgainWithinDrainGrace(t *testing.T) {
@@ -192,7 +192,7 @@
 }
 
 // For two seconds every dial fails with a local error. The watcher must back off, and must reach the service soon
-// after dialing works again.
+// after dialling works again.
 func TestLocalErrorsAreRetriedWithBackoff(t *testing.T) {
 	for _, errno := range localErrors {
 		t.Run(errno.Error(), func(t *testing.T) {
--- a/internal/protocol/sse/stream.go
+++ b/internal/protocol/sse/stream.go
@@ -123,7 +123,7 @@
 		e.ID = string(value)
 	case "data":
 		if !hasData {
-			e.Data = value // readLine's memory belongs to this line alone, so that a long list need not be copied
+			e.Data = value // readLine allocates each line anew, so a long list need not be copied
 			return true, nil
 		}
 		if len(e.Data)+len(value) >= maxEventSize {
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -33,7 +33,7 @@
 	name  string
 	serve func(conn net.Conn, in *bufio.Reader) // called once the request has arrived; nil: the connection is refused
 	do    func(*Pool)                           // called once the request is queued; may be nil
-	want  string                                // the expected events: up, response RESULT, down [UNSENT]
+	want  string                                // expected events; a response with the number of its Result
 }
 
 // respond returns a serve function that sends text and closes the connection.
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestConnectionClosedFromThisSide(t *testing.T) {
+func TestCloseConnection(t *testing.T) {
 	closing := make(chan struct{})
 	connectionTest{
 		serve: func(_ net.Conn, in *bufio.Reader) {
--- a/internal/upstream/decode.go
+++ b/internal/upstream/decode.go
@@ -43,7 +43,7 @@
 	"FILL_FULL", "ROOT_FAIL",
 }
 
-// errNoResponse is returned for an array that answers no request: an empty one, or a late health check response.
+// errNoResponse is returned for an array that answers no request: an empty one, or the response to a health check.
 var errNoResponse = errors.New("upstream: not a response to a request")
 
 // FieldError reports an unusable part of a response.
--- a/internal/upstream/decode_test.go
+++ b/internal/upstream/decode_test.go
@@ -27,7 +27,7 @@
 
 type response = router.ResponseReceived
 
-// serverError is the result of a response with an serverError field.
+// serverError is the result of a response with an unusable field.
 var serverError = response{ID: "i", Result: control.ServerError}
 
 var decodeResponseTests = []struct {
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -15,7 +15,7 @@
 // dialFunc has the signature of net.Dialer.DialContext; tests replace it to inject errors.
 type dialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// connection is one connection to an endpoint. Requests can be queued on it as soon as dialing begins.
+// connection is one connection to an endpoint. Requests can be queued on it as soon as dialling begins.
 type connection struct {
 	pool   *Pool
 	id     router.ConnectionID
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -25,7 +25,7 @@
 }
 
 // CheckHealth sends a health check on a new connection. It returns the load report, or nil if the response has none.
-// MayWrite is called only after the connection is established, because dialing takes time and the process may have
+// MayWrite is called only after the connection is established, because dialling takes time and the process may have
 // been suspended in the meantime.
 func CheckHealth(ctx context.Context, check HealthCheck) ([]float64, error) {
 	return checkHealth(ctx, new(net.Dialer).DialContext, check)
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -63,7 +63,7 @@
 	return testkit.Receive(t, p.events, waitLimit, "an event")
 }
 
-// newTestConnection adds a connection to the pool without dialing it.
+// newTestConnection adds a connection to the pool without dialling it.
 func newTestConnection(pool *Pool) *connection {
 	c := newConnection(pool, 1, func() {})
 	pool.connections[1] = c
