--- a/internal/protocol/thrift/thrift.go
+++ b/internal/protocol/thrift/thrift.go
@@ -66,9 +66,9 @@
 	// ErrTruncated is returned for a value that extends beyond the end of its frame or has a negative length.
 	ErrTruncated = errors.New("thrift: value cut short")
 	// ErrTrailingBytes is returned for a frame that continues after the end of its arguments.
-	ErrTrailingBytes = errors.New("thrift: bytes after the arguments")
+	ErrTrailingBytes = errors.New("thrift: bytes behind the arguments")
 	// ErrInvalidMap is returned for a map whose keys or values are not strings, or whose size does not fit the frame.
-	ErrInvalidMap = errors.New("thrift: invalid map")
+	ErrInvalidMap = errors.New("thrift: bad map")
 	// ErrTooDeep is returned for an unknown field whose values are nested more than maxSkipDepth levels deep.
 	ErrTooDeep = errors.New("thrift: nested too deeply")
 )
@@ -79,5 +79,5 @@
 }
 
 func (e *UnknownTypeError) Error() string {
-	return fmt.Sprintf("thrift: unknown value type %d", e.Type)
+	return fmt.Sprintf("thrift: unknown type %d", e.Type)
 }
