--- a/cmd/tealpath/clocksnapshot_test.go
+++ b/cmd/tealpath/clocksnapshot_test.go
@@ -46,7 +46,7 @@
 // Parts of log lines that say what became of a snapshot.
 const (
 	restoredWhole = `"scope":"whole"`                               // of a snapshot_restored event
-	ignoredFuture = `"event":"snapshot_ignored","cause":"it is of ` // followed by how far it is ahead
+	ignoredFuture = `"event":"snapshot_ignored","cause":"it was taken ` // followed by how far it is ahead
 )
 
 // snapshotClocks is how the clocks are off around a snapshot: of the router that writes it, and of the one that
--- a/internal/lifecycle/restore/confirmation.go
+++ b/internal/lifecycle/restore/confirmation.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// Outcome is what became of an endpoint list that was known before.
+// Outcome is what an observation of the discovery service says about the endpoint list of a snapshot.
 type Outcome int
 
 // The outcomes.
 const (
-	Pending   Outcome = iota // nothing has been learned, or it was learned before
-	Confirmed                // the list is in force
-	Denied                   // the service is another one, or numbers its events anew: the list is to be requested
+	Pending   Outcome = iota // it says nothing, or an earlier observation has decided
+	Confirmed                // the list is still in force
+	Denied                   // the list may be out of date and has to be requested from the service
 )
 
 var outcomeNames = [...]string{Pending: "pending", Confirmed: "confirmed", Denied: "denied"}
@@ -21,32 +21,32 @@
 	return outcomeNames[o]
 }
 
-// ListConfirmation finds out whether an endpoint list from a snapshot is still in force. The router resumes the
-// watch one event before the last that it knows. If the service sends that last event again, byte for byte, it
-// is the service that sent the list, no event since is missing, and later ones follow. A service that numbers
-// its events anew for each start of a router, as the platform's does, sends something else under that number. A
-// service that sends nothing proves nothing.
+// ListConfirmation finds out whether the endpoint list of a snapshot is still in force. The router resumes the watch
+// one event before the last one that it knows. If the service sends that last event again, byte for byte, it is the
+// service that sent the list, and it sends all later events too. A service that restarts the numbers of its events
+// for each start of a router, as the platform's does, sends another event under that number. If the service sends
+// nothing, the list is not confirmed.
 //
-// A nil ListConfirmation observes nothing: its outcomes are Pending.
+// A nil ListConfirmation is for a router without such a list: its outcomes are all Pending.
 type ListConfirmation struct {
-	Position int64  // of the last event
-	Digest   uint64 // of its text
-	decided  bool
+	Position int64  // of the last watch event that the router knows
+	Digest   uint64 // of that event's text
+	decided  bool   // an event or comment was observed
 }
 
-// ResumeAfter returns the position after which the service is asked to go on.
+// ResumeAfter returns the position after which the router asks the service to resume the watch.
 func (c *ListConfirmation) ResumeAfter() int64 { return c.Position - 1 }
 
-// ObserveEvent takes an event of the service. The first one decides.
+// ObserveEvent returns the outcome of a watch event. The first event or comment decides.
 func (c *ListConfirmation) ObserveEvent(position int64, digest uint64) Outcome {
 	return c.decide(c != nil && position == c.Position && digest == c.Digest)
 }
 
-// ObserveComment takes a comment of the service. A comment before any event says that there is no event after
-// the position that was named.
+// ObserveComment returns the outcome of a comment of the service. A comment before any event means that the service has
+// no event after the position of ResumeAfter, so it does not have the event at Position.
 func (c *ListConfirmation) ObserveComment() Outcome { return c.decide(false) }
 
-// decide returns the outcome of what was observed first, and Pending after that.
+// decide returns the outcome of the first observation, and Pending for all later ones.
 func (c *ListConfirmation) decide(same bool) Outcome {
 	if c == nil || c.decided {
 		return Pending
--- a/internal/lifecycle/restore/limit.go
+++ b/internal/lifecycle/restore/limit.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// Reason is why not all of a snapshot may be used.
+// Reason is a reason why only a part of a snapshot, or nothing of it, may be used.
 type Reason int
 
 // The reasons.
 const (
-	OtherVersion  Reason = iota // of the format
+	OtherVersion  Reason = iota // its format has another version
 	OtherRouter                 // another router wrote it
-	OtherSettings               // it was learned under other settings
-	InFuture                    // it was taken later than now, by the wall clock
-	Old
+	OtherSettings               // it was taken under other settings
+	InFuture                    // by the wall clock it was taken later than now
+	TooOld                      // its age is over maxRateAge or maxAge
 )
 
 var reasonNames = [...]string{
@@ -19,7 +19,7 @@
 	OtherRouter:   "other router",
 	OtherSettings: "other settings",
 	InFuture:      "in the future",
-	Old:           "old",
+	TooOld:        "old",
 }
 
 func (r Reason) String() string {
@@ -29,12 +29,12 @@
 	return reasonNames[r]
 }
 
-// LimitError says why not all of a snapshot may be used. Its text is part of a log line that docs/oncall.md
-// explains.
+// LimitError reports why only a part of a snapshot, or nothing of it, may be used. Its text is the cause in a log line
+// that docs/oncall.md explains.
 type LimitError struct {
 	Reason Reason
-	Own    Header // what the router that reads would write
-	Stored Header // what the snapshot says
+	Own    Header // header that the router itself would write
+	Stored Header // header of the snapshot
 	Age    int64  // of the snapshot, ns; negative if it was taken in the future
 }
 
@@ -42,17 +42,21 @@
 	switch e.Reason {
 	case OtherVersion:
 		if e.Stored.Version > e.Own.Version {
-			return fmt.Sprintf("it is of version %d, this program reads %d", e.Stored.Version, e.Own.Version)
+			return fmt.Sprintf("it has version %d, this program reads version %d", e.Stored.Version, e.Own.Version)
 		}
-		return fmt.Sprintf("it is of version %d, before this program's %d", e.Stored.Version, e.Own.Version)
+		return fmt.Sprintf("it has version %d, older than version %d that this program reads",
+			e.Stored.Version, e.Own.Version)
 	case OtherRouter:
-		return fmt.Sprintf("it is router %q's", e.Stored.Router)
+		return fmt.Sprintf("it was written by router %q, this is router %q", e.Stored.Router, e.Own.Router)
 	case OtherSettings:
-		return "it was learned under other settings"
+		return fmt.Sprintf("it was taken under other settings: their digest is %#x, that of the present ones is %#x",
+			e.Stored.SettingsDigest, e.Own.SettingsDigest)
 	case InFuture:
-		return fmt.Sprintf("it is of %d s in the future", -e.Age/second)
-	case Old:
-		return fmt.Sprintf("it is %d s old", e.Age/second)
+		return fmt.Sprintf("it was taken %d s in the future, at most %d s are allowed",
+			-e.Age/second, maxClockStep/second)
+	case TooOld:
+		return fmt.Sprintf("it is %d s old, the limit is %d s for request rates and %d s for all else",
+			e.Age/second, maxRateAge/second, maxAge/second)
 	}
 	return e.Reason.String()
 }
--- a/internal/lifecycle/restore/restore.go
+++ b/internal/lifecycle/restore/restore.go
@@ -1,10 +1,9 @@
-// Package restore decides what a router that starts may use of a snapshot that it finds on its disk. It does no
-// input or output and reads no clock. docs/coldstart.md, "What was known before", has the rules and their
-// reasons.
+// Package restore decides which parts of a stored snapshot a router may use when it starts. It does no I/O and reads
+// no clock. docs/coldstart.md, "What was known before", has the rules and their reasons.
 //
-// All times are Unix ns by the wall clock, read when the snapshot was taken and when the process that reads it
-// began: two processes have no monotonic axis in common. docs/time.md says what a step of the clock between the
-// two does.
+// All times are Unix ns of the wall clock, read when the snapshot was taken and when the process that reads it
+// started: two processes share no monotonic clock. docs/time.md describes the effects of a step of the wall clock
+// between these two times.
 package restore
 
 import "fmt"
@@ -15,38 +14,38 @@
 const FormatVersion = 1
 
 const (
-	// maxRateAge is the age up to which the request rates of a snapshot are used. It covers a restart, not a
-	// longer outage.
+	// maxRateAge is the age up to which the request rates of a snapshot are used. It is long enough for a restart,
+	// but not for a longer outage.
 	maxRateAge = 60 * second
 
-	// maxAge is the age up to which sending times, and the objects that were requested and purged, are used.
+	// maxAge is the age up to which all else is used: sending times, and which objects were requested and purged.
 	maxAge = 3600 * second
 
-	// maxClockStep is by how much a snapshot may be in the future, since a machine's clock may be set back a
-	// little. The age of such a snapshot counts as zero.
+	// maxClockStep is how far in the future the time of a snapshot may be, since the machine's clock may have been
+	// set back a little. The age of such a snapshot counts as zero.
 	maxClockStep = 5 * second
 )
 
-// Header identifies a snapshot: who wrote it, when, and under which settings.
+// Header identifies a snapshot: the router that wrote it, its settings, and the time.
 type Header struct {
 	Version        int    // of the format
 	Router         string // name of the router that wrote it
-	SettingsDigest uint64 `cbor:"Deployment"` // of the settings that it was learned under
-	TakenAt        int64  `cbor:"Taken"`
+	SettingsDigest uint64 `cbor:"Deployment"` // digest of that router's settings
+	TakenAt        int64  `cbor:"Taken"`      // when the snapshot was taken
 }
 
-// Scope is how much of a snapshot may be used. The endpoint list in it is never used by itself: see
-// ListConfirmation.
+// Scope is how much of a snapshot may be used. It does not apply to the endpoint list, which is used only once the
+// discovery service has confirmed it: see ListConfirmation.
 type Scope int
 
-// The scopes, in order.
+// The scopes, from the least to the most.
 const (
-	None         Scope = iota
-	WithoutRates       // all but the request rates
-	All
+	None         Scope = iota // nothing may be used
+	WithoutRates              // all but the request rates
+	All                       // everything
 )
 
-// scopeNames are the words of the log line, which docs/oncall.md names.
+// scopeNames are the names of scopes in log lines, which docs/oncall.md explains.
 var scopeNames = [...]string{None: "nothing", WithoutRates: "beliefs", All: "whole"}
 
 func (s Scope) String() string {
@@ -56,26 +55,27 @@
 	return scopeNames[s]
 }
 
-// Assess returns how much of a snapshot a router may use that starts now. own is what the router itself would
-// write, stored is the snapshot's header. Where it is not All, the error is a *LimitError that says why.
+// Assess returns how much of a snapshot may be used by a router that starts now. own is the header that the router
+// itself would write, stored is the header of the snapshot. If the scope is not All, the error is a *LimitError with
+// the reason.
 func Assess(now int64, own, stored Header) (Scope, error) {
 	age := now - stored.TakenAt
-	limited := func(reason Reason) error {
+	limitError := func(reason Reason) error {
 		return &LimitError{Reason: reason, Own: own, Stored: stored, Age: age}
 	}
 	switch {
 	case stored.Version != own.Version:
-		return None, limited(OtherVersion)
+		return None, limitError(OtherVersion)
 	case stored.Router != own.Router:
-		return None, limited(OtherRouter)
+		return None, limitError(OtherRouter)
 	case stored.SettingsDigest != own.SettingsDigest:
-		return None, limited(OtherSettings)
+		return None, limitError(OtherSettings)
 	case age < -maxClockStep:
-		return None, limited(InFuture)
+		return None, limitError(InFuture)
 	case age > maxAge:
-		return None, limited(Old)
+		return None, limitError(TooOld)
 	case age > maxRateAge:
-		return WithoutRates, limited(Old)
+		return WithoutRates, limitError(TooOld)
 	}
 	return All, nil
 }
--- a/internal/lifecycle/restore/restore_test.go
+++ b/internal/lifecycle/restore/restore_test.go
@@ -17,48 +17,55 @@
 		stored Header
 		want   Scope
 		reason Reason
-		text   string // "": all may be used
+		text   string // of the error; empty: all of the snapshot may be used
 	}{
 		{"a moment ago", header(FormatVersion, "n1", 7, now-second), All, 0, ""},
 		{"a minute ago", header(FormatVersion, "n1", 7, now-maxRateAge), All, 0, ""},
 		{
 			"over a minute ago", header(FormatVersion, "n1", 7, now-maxRateAge-1),
-			WithoutRates, Old, "it is 60 s old",
+			WithoutRates, TooOld, "it is 60 s old, the limit is 60 s for request rates and 3600 s for all else",
+		},
+		{
+			"over an hour ago", header(FormatVersion, "n1", 7, now-maxAge-1),
+			None, TooOld, "it is 3600 s old, the limit is 60 s for request rates and 3600 s for all else",
+		},
+		{
+			"another router's", header(FormatVersion, "n2", 7, now),
+			None, OtherRouter, `it was written by router "n2", this is router "n1"`,
 		},
-		{"over an hour ago", header(FormatVersion, "n1", 7, now-maxAge-1), None, Old, "it is 3600 s old"},
-		{"another router's", header(FormatVersion, "n2", 7, now), None, OtherRouter, `it is router "n2"'s`},
 		{
 			"under other settings", header(FormatVersion, "n1", 8, now),
-			None, OtherSettings, "it was learned under other settings",
+			None, OtherSettings,
+			"it was taken under other settings: their digest is 0x8, that of the present ones is 0x7",
 		},
 		{
 			"from a newer program", header(FormatVersion+1, "n1", 7, now),
-			None, OtherVersion, "it is of version 2, this program reads 1",
+			None, OtherVersion, "it has version 2, this program reads version 1",
 		},
 		{
 			"from an older program", header(FormatVersion-1, "n1", 7, now),
-			None, OtherVersion, "it is of version 0, before this program's 1",
+			None, OtherVersion, "it has version 0, older than version 1 that this program reads",
 		},
 		{"the clock was set back a little", header(FormatVersion, "n1", 7, now+second), All, 0, ""},
 		{
 			"the clock was set back an hour", header(FormatVersion, "n1", 7, now+3600*second),
-			None, InFuture, "it is of 3600 s in the future",
+			None, InFuture, "it was taken 3600 s in the future, at most 5 s are allowed",
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			scope, err := Assess(now, own, test.stored)
 			if scope != test.want || (scope == All) != (err == nil) {
-				t.Fatalf("%s, %v", scope, err)
+				t.Fatalf("scope %s, error %v; want scope %s", scope, err, test.want)
 			}
 			if err == nil {
 				return
 			}
 			var limit *LimitError
 			if !errors.As(err, &limit) || limit.Reason != test.reason || limit.Stored != test.stored {
-				t.Fatalf("%+v, want reason %v", err, test.reason)
+				t.Fatalf("error %v, want reason %v and the stored header %+v", err, test.reason, test.stored)
 			}
 			if err.Error() != test.text {
-				t.Errorf("%q, want %q", err, test.text)
+				t.Errorf("error %q, want %q", err, test.text)
 			}
 		})
 	}
@@ -74,7 +81,11 @@
 		{"another text", func(c *ListConfirmation) Outcome { return c.ObserveEvent(5, 8) }, Denied},
 		{"another number", func(c *ListConfirmation) Outcome { return c.ObserveEvent(6, 9) }, Denied},
 		{"a comment first", func(c *ListConfirmation) Outcome { return c.ObserveComment() }, Denied},
-		{"once only", func(c *ListConfirmation) Outcome { c.ObserveEvent(5, 9); return c.ObserveEvent(5, 9) }, Pending},
+		{
+			"the same event twice",
+			func(c *ListConfirmation) Outcome { c.ObserveEvent(5, 9); return c.ObserveEvent(5, 9) },
+			Pending,
+		},
 		{
 			"a comment later",
 			func(c *ListConfirmation) Outcome { c.ObserveEvent(5, 9); return c.ObserveComment() },
@@ -89,22 +100,22 @@
 		t.Run(test.name, func(t *testing.T) {
 			confirmation := &ListConfirmation{Position: 5, Digest: 9}
 			if after := confirmation.ResumeAfter(); after != 4 {
-				t.Errorf("resumes after %d", after)
+				t.Errorf("the watch resumes after position %d, want 4", after)
 			}
 			if got := test.observe(confirmation); got != test.want {
-				t.Errorf("%v, want %v", got, test.want)
+				t.Errorf("outcome %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// The names of scopes are fields of log lines that docs/oncall.md explains.
+// The names of scopes appear in log lines that docs/oncall.md explains.
 func TestNames(t *testing.T) {
 	got := fmt.Sprint(None, WithoutRates, All, Scope(9), Pending, Confirmed, Denied, Outcome(9),
-		OtherVersion, OtherRouter, OtherSettings, InFuture, Old, &LimitError{Reason: 9})
+		OtherVersion, OtherRouter, OtherSettings, InFuture, TooOld, &LimitError{Reason: 9})
 	const want = "nothing beliefs whole scope 9 pending confirmed denied outcome 9 " +
 		"other version other router other settings in the future old reason 9"
 	if got != want {
-		t.Errorf("%s, want %s", got, want)
+		t.Errorf("names %q, want %q", got, want)
 	}
 }
--- a/internal/lifecycle/shutdown/shutdown.go
+++ b/internal/lifecycle/shutdown/shutdown.go
@@ -1,10 +1,10 @@
-// Package shutdown decides how a router ends gracefully: until when it answers requests, and when its process
-// may exit. It does no input or output and reads no clock.
+// Package shutdown plans the graceful shutdown of a router: until when it answers requests, and when its process may
+// exit. It does no I/O and reads no clock.
 //
-// Source of the platform's times: its page on planned restarts. Requests go on coming for 0.7 s after SIGTERM,
-// and SIGKILL comes no sooner than the longest deadline of a client (3 s at most) and 0.7 s more.
+// The platform's page on planned restarts states its times: new requests arrive for 0.7 s after SIGTERM, and SIGKILL
+// follows SIGTERM no sooner than after the longest deadline of a client (3 s at most) plus 0.7 s.
 //
-// All instants are ns on the caller's monotonic axis.
+// All times are ns of the caller's monotonic clock.
 package shutdown
 
 import (
@@ -12,64 +12,64 @@
 	"time"
 )
 
-// What the platform's page states.
+// Times that the platform's page states.
 const (
-	arrivalWindow     = 700 * time.Millisecond // after SIGTERM, in which new requests still come
+	arrivalWindow     = 700 * time.Millisecond // after SIGTERM, during which new requests still arrive
 	maxClientDeadline = 3 * time.Second
 	killAfterLimit    = 700 * time.Millisecond // from the longest deadline to SIGKILL
 )
 
-// Durations after the longest deadline. Requests in flight are answered by the end of the first, and responses
-// are written by the end of the second. They differ so that the last responses are not queued in the step that
-// ends the process, which would close their connections before they are written.
+// Durations after the longest deadline. Requests in flight are answered by the end of answerGrace, and the responses
+// are written by the end of writeGrace. They differ because responses that are queued just before the process exits
+// would not be written: the exit closes their connections.
 const (
 	answerGrace = 350 * time.Millisecond
 	writeGrace  = killAfterLimit - 100*time.Millisecond
 
-	// diskGrace is for how long the process waits for a slow disk. The rest of the time until SIGKILL is for
-	// the last lines of the log, which take up to 0.1 s on a busy machine.
+	// diskGrace is how long after the longest deadline the process waits for a slow disk. The rest of the time
+	// until SIGKILL is for the last log lines, which take up to 0.1 s on a busy machine.
 	diskGrace = killAfterLimit - 300*time.Millisecond
 )
 
-// maxCloseWait is how long clients have to close their side of a connection that was half-closed by the router.
+// maxCloseWait is the time that clients have to close their side of a connection that the router has half-closed.
 const maxCloseWait = 250 * time.Millisecond
 
-// Plan is the plan of one shutdown. It is not safe for use by two goroutines at once.
+// Plan is the plan of one shutdown. It is not safe for concurrent use.
 type Plan struct {
 	startedAt   int64
-	maxDeadline time.Duration // of the clients that are served
-	finishedAt  int64         // since when every request is answered and every response written; 0: not yet
+	maxDeadline time.Duration // longest deadline of a client
+	finishedAt  int64         // when the last request was answered and the last response written; 0: not yet
 }
 
-// New plans a shutdown that started at an instant, for clients whose deadline is at most clientDeadline. Of
-// that no more counts than the platform allows.
+// New plans a shutdown that began at startedAt. clientDeadline is the longest deadline of a client; one that is longer
+// than the platform allows counts as maxClientDeadline.
 func New(startedAt int64, clientDeadline time.Duration) *Plan {
 	return &Plan{startedAt: startedAt, maxDeadline: min(clientDeadline, maxClientDeadline)}
 }
 
-// AnswerDeadline returns the instant by which the last answer is given.
+// AnswerDeadline returns the time by which all requests are answered.
 func (p *Plan) AnswerDeadline() int64 { return p.startedAt + int64(p.maxDeadline+answerGrace) }
 
-// DiskDeadline returns the instant until which a process that has nothing else to do waits for a slow disk.
+// DiskDeadline returns the time until which a process that only waits for its disk may run.
 func (p *Plan) DiskDeadline() int64 { return p.startedAt + int64(p.maxDeadline+diskGrace) }
 
 // State is what a router that shuts down still has to do.
 type State struct {
 	InFlight        int  // requests without a final answer
-	QueuedEvents    int  // events that have come and are not handled
-	Flushed         bool // every answer has been written, and nothing has come that is not read
-	OpenConnections int  // connections that have not ended, with the listener if it is open
+	QueuedEvents    int  // events that are not handled yet
+	Flushed         bool // every response has been written, and all received data has been read
+	OpenConnections int  // connections that have not ended, plus 1 while the listener is open
 }
 
 // finished reports whether every request is answered and every response written.
 func (s State) finished() bool { return s.InFlight == 0 && s.QueuedEvents == 0 && s.Flushed }
 
-// Step is what a router that shuts down does now.
+// Step is what a router does next during its shutdown.
 type Step int
 
 // The steps, in order.
 const (
-	Serve     Step = iota // go on as before
+	Serve     Step = iota // serve all connections as before
 	CloseIdle             // half-close the idle connections, and serve the others
 	Exit                  // end the process
 )
@@ -83,10 +83,10 @@
 	return stepNames[s]
 }
 
-// Next returns the step to take now. The process may exit when every request is answered, every response is
-// written, no new request can come, and the idle connections have ended or had maxCloseWait to do so; or when
-// its time is up. The wait matters because a connection that is closed just as something comes on it is reset,
-// and its client loses what it has not read by then.
+// Next returns the step to take now. The process may exit when every request is answered, every response is written,
+// no new request can arrive, and all connections have ended or had maxCloseWait to end; or when writeGrace is over.
+// Without the wait, a connection that is closed just as data arrives would be reset, and its client would lose the
+// part of the response that it has not read yet.
 func (p *Plan) Next(now int64, state State) Step {
 	elapsed := time.Duration(now - p.startedAt)
 	switch {
--- a/internal/lifecycle/startup/listfilter.go
+++ b/internal/lifecycle/startup/listfilter.go
@@ -2,29 +2,29 @@
 
 import "fmt"
 
-// ListSummary is what an endpoint list says of itself.
+// ListSummary summarizes a watch event with an endpoint list: a complete list, or changes of it.
 type ListSummary struct {
-	Position       int64  // number of its event
-	Generation     int64  // of the list, as the service counts; 0 is not known
-	Complete       bool   // it names all endpoints; else only what changed
-	Endpoints      int    // that it names
-	ReadyEndpoints int    // of them
-	Digest         uint64 // of its content
+	Position       int64  // number of the watch event
+	Generation     int64  // of the list, counted by the service; 0: unknown
+	Complete       bool   // the event lists all endpoints; otherwise only those that changed
+	Endpoints      int    // number of endpoints in the event
+	ReadyEndpoints int    // number of those that are ready
+	Digest         uint64 // of the list's content
 }
 
-// sameContent reports whether two lists name the same.
+// sameContent reports whether two lists have the same content.
 func (l ListSummary) sameContent(other ListSummary) bool {
 	return l.Digest == other.Digest && l.Endpoints == other.Endpoints
 }
 
-// Verdict is what becomes of an endpoint list.
+// Verdict is the decision on an endpoint list.
 type Verdict int
 
 // The verdicts.
 const (
-	Accept      Verdict = iota // it is in force
-	Unconfirmed                // the one before stays in force, until the service sends the same list again
-	Stale                      // it is older than the one in force, and dropped
+	Accept      Verdict = iota // the list is in force from now on
+	Unconfirmed                // the previous list stays in force until the service sends the new one again
+	Stale                      // the list is not newer than the one in force, and is dropped
 )
 
 var verdictNames = [...]string{Accept: "accept", Unconfirmed: "unconfirmed", Stale: "stale"}
@@ -37,31 +37,31 @@
 }
 
 const (
-	// A complete list that names less than this share of the endpoints before is to be confirmed, if there were
-	// at least so many. Of fewer, half may well be removed at once.
+	// A complete list with less than minRemainingShare of the previous number of endpoints has to be confirmed if
+	// that number was at least minShrinkEndpoints. Of fewer endpoints, more than half may well be removed at once.
 	minRemainingShare  = 0.5
 	minShrinkEndpoints = 4
 
-	// confirmationWindow is how long an unconfirmed list can be confirmed.
+	// confirmationWindow is the time within which an unconfirmed list can be confirmed.
 	confirmationWindow = 5 * second
 
-	// firstPosition is the number of the first event after the service's own start.
+	// firstPosition is the number of the first event after a start of the service.
 	firstPosition = 1
 )
 
-// ListFilter decides which endpoint lists are put in force. A service that has just started or lost its state
-// may send a complete list of no or few endpoints; a router that went by it would have nowhere to send
-// requests. The zero value knows no list.
+// ListFilter decides which endpoint lists a router accepts. A service that has just started or lost its state may
+// send a complete list with no or few endpoints; a router that accepted it would have no endpoint for its requests.
+// The zero value has no list yet.
 type ListFilter struct {
-	endpoints  int // of the list in force
-	position   int64
-	generation int64 // the highest
+	endpoints  int   // in the list in force
+	position   int64 // of the last event that was processed
+	generation int64 // highest of all accepted lists
 
 	unconfirmed   ListSummary
 	unconfirmedAt int64 // 0: no list is unconfirmed
 }
 
-// Evaluate returns what becomes of a list that came now, and puts it in force if that is Accept.
+// Evaluate returns the verdict on a list that is received now. If it is Accept, later lists are compared with this one.
 func (f *ListFilter) Evaluate(now int64, next ListSummary) Verdict {
 	verdict := f.verdict(now, next)
 	switch verdict {
@@ -101,20 +101,21 @@
 	f.generation = max(f.generation, next.Generation)
 }
 
-// Advance notes an event that is no list.
+// Advance records the position of an event without a list.
 func (f *ListFilter) Advance(position int64) { f.position = max(f.position, position) }
 
-// isFromRestartedService reports whether a list is the first of a service that numbers its events anew.
-// Positions can't be compared then; the list is newer if its generation is higher.
+// isFromRestartedService reports whether a list is the first event of a service that has started again and numbers
+// its events from 1. Positions can't be compared then; the list is newer if its generation is higher.
 func (f *ListFilter) isFromRestartedService(next ListSummary) bool {
 	return next.Position == firstPosition && next.Generation > f.generation
 }
 
-// confirms reports whether a list has the same content as the unconfirmed one before it.
+// confirms reports whether a list has the same content as the unconfirmed one, and comes within confirmationWindow.
 func (f *ListFilter) confirms(now int64, next ListSummary) bool {
 	return f.unconfirmedAt > 0 && now-f.unconfirmedAt <= confirmationWindow && f.unconfirmed.sameContent(next)
 }
 
+// shrinks reports whether a complete list has so few endpoints that it has to be confirmed.
 func (f *ListFilter) shrinks(next ListSummary) bool {
 	return f.endpoints >= minShrinkEndpoints && float64(next.Endpoints) < minRemainingShare*float64(f.endpoints)
 }
--- a/internal/lifecycle/startup/listfilter_test.go
+++ b/internal/lifecycle/startup/listfilter_test.go
@@ -23,53 +23,53 @@
 	for _, test := range []struct {
 		name  string
 		lists []ListSummary
-		at    []int64 // ns after the start; nil: one after the other
+		at    []int64 // time of each list, ns; nil: 1 ns apart
 		want  string
 	}{
-		{"the first is accepted, whatever it says", []ListSummary{list(1, 1, 0, 0)}, nil, "[accept]"},
+		{"a first list without endpoints", []ListSummary{list(1, 1, 0, 0)}, nil, "[accept]"},
 		{
-			"no endpoints",
+			"a list without endpoints, sent twice",
 			[]ListSummary{list(1, 1, 8, 8), list(5, 2, 0, 0), list(5, 2, 0, 0)},
 			nil,
 			"[accept unconfirmed accept]",
 		},
-		{"none ready", []ListSummary{list(1, 1, 8, 8), list(5, 2, 8, 0)}, nil, "[accept unconfirmed]"},
+		{"no endpoint is ready", []ListSummary{list(1, 1, 8, 8), list(5, 2, 8, 0)}, nil, "[accept unconfirmed]"},
 		{
-			"a third",
+			"a third of the endpoints, then all",
 			[]ListSummary{list(1, 1, 9, 9), list(5, 2, 3, 3), list(5, 2, 9, 9)},
 			nil,
 			"[accept unconfirmed accept]",
 		},
-		{"half", []ListSummary{list(1, 1, 8, 8), list(5, 2, 4, 4)}, nil, "[accept accept]"},
-		{"a third of few", []ListSummary{list(1, 1, 3, 3), list(5, 2, 1, 1)}, nil, "[accept accept]"},
+		{"half of the endpoints", []ListSummary{list(1, 1, 8, 8), list(5, 2, 4, 4)}, nil, "[accept accept]"},
+		{"a third of 3 endpoints", []ListSummary{list(1, 1, 3, 3), list(5, 2, 1, 1)}, nil, "[accept accept]"},
 		{
-			"confirmed too late",
+			"a repetition after confirmationWindow",
 			[]ListSummary{list(1, 1, 8, 8), list(5, 2, 2, 2), list(5, 2, 2, 2)},
 			[]int64{0, 1, 6 * second},
 			"[accept unconfirmed unconfirmed]",
 		},
 		{
-			"unconfirmed twice, with different content",
+			"two unconfirmed lists with different content",
 			[]ListSummary{list(1, 1, 8, 8), list(5, 2, 2, 2), list(6, 2, 3, 3)},
 			nil,
 			"[accept unconfirmed unconfirmed]",
 		},
-		{"older", []ListSummary{list(7, 3, 8, 8), list(5, 2, 8, 8)}, nil, "[accept stale]"},
-		{"a repetition", []ListSummary{list(7, 3, 8, 8), list(7, 3, 8, 8)}, nil, "[accept stale]"},
+		{"an older list", []ListSummary{list(7, 3, 8, 8), list(5, 2, 8, 8)}, nil, "[accept stale]"},
+		{"the same list again", []ListSummary{list(7, 3, 8, 8), list(7, 3, 8, 8)}, nil, "[accept stale]"},
 		{
-			"changes after it, and a repetition of one",
+			"a change of the list, sent twice",
 			[]ListSummary{list(7, 3, 8, 8), change, change},
 			nil,
 			"[accept accept stale]",
 		},
 		{
-			"a service that numbers its events anew",
+			"a restarted service with a newer list",
 			[]ListSummary{list(7, 3, 8, 8), list(1, 4, 8, 8), {Position: 2, Endpoints: 1}},
 			nil,
 			"[accept accept accept]",
 		},
 		{
-			"one that numbers anew, with an older list",
+			"a restarted service with the same generation",
 			[]ListSummary{list(7, 3, 8, 8), list(1, 3, 8, 8)},
 			nil,
 			"[accept stale]",
@@ -86,7 +86,7 @@
 				got = append(got, filter.Evaluate(at, list))
 			}
 			if fmt.Sprint(got) != test.want {
-				t.Errorf("%v, want %s", got, test.want)
+				t.Errorf("verdicts %v, want %s", got, test.want)
 			}
 		})
 	}
--- a/internal/lifecycle/startup/progress.go
+++ b/internal/lifecycle/startup/progress.go
@@ -2,22 +2,22 @@
 
 import "fmt"
 
-// RateWindow is the duration over which the control package counts requests (docs/design.md, "λ"), ns. A router
-// that started more recently knows request rates from a shorter time.
+// RateWindow is the duration over which package control counts requests (docs/design.md, "λ"), ns. A router that
+// has run for less time has counted requests for that time only.
 const RateWindow = 10 * second
 
-// Phase is how far a start has come.
+// Phase is a phase of a router's startup.
 type Phase int
 
 // The phases, in order.
 const (
 	NoList    Phase = iota // no endpoint list is known; the health check fails
-	ListKnown              // from the configuration or a snapshot, so it may be out of date
-	WarmingUp              // the discovery service has answered; rates and health are known from less than RateWindow
-	Warm                   // rates and health are known from RateWindow
+	ListKnown              // the list is from the configuration or a snapshot, so it may be out of date
+	WarmingUp              // the discovery service has answered; rates were observed for less than RateWindow
+	Warm                   // rates were observed for at least RateWindow
 )
 
-// phaseNames are the words of the log line, which docs/oncall.md names.
+// phaseNames are the names of phases in log lines, which docs/oncall.md explains.
 var phaseNames = [...]string{NoList: "alone", ListKnown: "listed", WarmingUp: "warming", Warm: "whole"}
 
 func (p Phase) String() string {
@@ -27,33 +27,34 @@
 	return phaseNames[p]
 }
 
-// Progress is how far one start has come. It is not safe for use by two goroutines at once.
+// Progress tracks the startup of one router. It is not safe for concurrent use.
 type Progress struct {
-	startedAt    int64
-	rateWindow   int64
-	maxHold      int64 // for so long at most the router waits for the service before it is ready
-	phase        Phase
-	hasList      bool
-	firstHeardAt int64 // when the service first answered; 0: not yet
+	startedAt     int64
+	rateWindow    int64
+	maxHold       int64 // longest time for which the router waits for the service before it is ready
+	phase         Phase
+	hasList       bool
+	firstAnswerAt int64 // when the service first answered; 0: it has not answered yet
 }
 
-// NewProgress begins a start. Requests are counted over rateWindow, ns.
+// NewProgress returns the progress of a startup that begins now. rateWindow is the duration over which requests are
+// counted, ns.
 func NewProgress(now, rateWindow int64, hold ReadinessHold) *Progress {
 	return &Progress{startedAt: now, rateWindow: rateWindow, maxHold: hold.MaxDuration}
 }
 
-// ListReceived notes that an endpoint list is in force.
+// ListReceived records that an endpoint list is in force.
 func (p *Progress) ListReceived() { p.hasList = true }
 
-// ServiceReached notes that the discovery service has answered.
+// ServiceReached records that the discovery service has answered.
 func (p *Progress) ServiceReached(now int64) {
-	if p.firstHeardAt == 0 {
-		p.firstHeardAt = now
+	if p.firstAnswerAt == 0 {
+		p.firstAnswerAt = now
 	}
 }
 
-// Update returns the phase at an instant, and whether it has changed. A phase is never left for an earlier one,
-// because a router keeps what it has learned when the service is down.
+// Update returns the phase at a time, and whether it differs from the one of the previous call. A phase is never
+// followed by an earlier one, because a router keeps what it has learned while the service is down.
 func (p *Progress) Update(now int64) (phase Phase, changed bool) {
 	next := p.phaseAt(now)
 	if next <= p.phase {
@@ -67,7 +68,7 @@
 	switch {
 	case !p.hasList:
 		return NoList
-	case p.firstHeardAt == 0:
+	case p.firstAnswerAt == 0:
 		return ListKnown
 	case now < p.startedAt+p.rateWindow:
 		return WarmingUp
@@ -75,9 +76,8 @@
 	return Warm
 }
 
-// Ready reports whether clients may connect. Once its hold is over a router that knows endpoints is ready,
-// whether or not the service has answered, so that a service that is down does not keep all routers from
-// serving.
+// Ready reports whether the router may report that it is ready. This takes an endpoint list, and an answer of the
+// discovery service or the end of the hold: a service that is down must not keep all routers from serving.
 func (p *Progress) Ready(now int64) bool {
-	return p.hasList && (p.firstHeardAt > 0 || now >= p.startedAt+p.maxHold)
+	return p.hasList && (p.firstAnswerAt > 0 || now >= p.startedAt+p.maxHold)
 }
--- a/internal/lifecycle/startup/readiness.go
+++ b/internal/lifecycle/startup/readiness.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// ReadinessHold bounds how routers start together: their first calls together come at CallRate a second, and a
-// router is not ready until it has had an answer of the discovery service, for MaxDuration at most. The zero
-// value holds nothing back: the first calls come at once, since routers count as notified of a change as soon
-// as the service has it.
+// ReadinessHold limits the calls of routers that start together: all of them together make their first calls at
+// CallRate, and each one reports that it is not ready until the discovery service has answered it, for MaxDuration
+// at most. The zero value is no hold: routers that serve from a list of their configuration call within
+// maxFirstSpread, since they count as notified of a change as soon as the service has it.
 type ReadinessHold struct {
-	CallRate    float64 // calls a second
+	CallRate    float64 // calls per second of all routers together
 	MaxDuration int64   // ns
 }
 
-// HoldTooShortError is a ReadinessHold in which not all routers could call at its rate and be answered. Times
-// are ns.
+// HoldTooShortError reports a ReadinessHold that is too short for all routers to call at its rate and get an answer.
 type HoldTooShortError struct {
 	Routers       int
-	CallsDuration int64 // that the calls of all routers take
+	CallsDuration int64 // duration of the first calls of all routers at the rate of Hold, ns
 	Hold          ReadinessHold
 }
 
 func (e *HoldTooShortError) Error() string {
-	return fmt.Sprintf("%d routers call for %d ms at %g a second and %d ms are for the answer: hold is %d ms",
-		e.Routers, e.CallsDuration/millisecond, e.Hold.CallRate,
-		answerAllowance/millisecond, e.Hold.MaxDuration/millisecond)
+	return fmt.Sprintf("a hold of %d ms is too short: %d routers need %d ms for their calls at %g per second, "+
+		"and %d ms for the answer",
+		e.Hold.MaxDuration/millisecond, e.Routers, e.CallsDuration/millisecond, e.Hold.CallRate,
+		answerAllowance/millisecond)
 }
 
-// Check returns a *HoldTooShortError if a hold is too short for so many routers to call at its rate and to be
-// answered.
+// Check returns a *HoldTooShortError if the hold is too short for this number of routers to call at its rate and get
+// an answer.
 func (h ReadinessHold) Check(routers int) error {
 	if h == (ReadinessHold{}) {
 		return nil
--- a/internal/lifecycle/startup/readiness_test.go
+++ b/internal/lifecycle/startup/readiness_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// With a hold the first calls of all routers come at the operator's rate, each early enough to be answered before
+// With a hold all routers make their first calls at the operator's rate, each one early enough to be answered before
 // the hold ends.
 func TestReadinessHold(t *testing.T) {
 	for _, test := range []struct {
@@ -23,7 +23,7 @@
 		t.Run(fmt.Sprint(test.routers, test.hold), func(t *testing.T) {
 			err := test.hold.Check(test.routers)
 			if (err == nil) != test.fits {
-				t.Fatal(err)
+				t.Fatalf("error %v, want none: %v", err, test.fits)
 			}
 			if !test.fits || test.hold.CallRate == 0 {
 				return
@@ -32,26 +32,28 @@
 			for i := range max(1, test.routers) {
 				all = append(all, NewCallSchedule(uint64(i), test.routers, test.hold).FirstDelay())
 				if last := all[i]; last > test.hold.MaxDuration-answerAllowance {
-					t.Fatalf("called after %d ms of a hold of %d", last/millisecond, test.hold.MaxDuration/millisecond)
+					t.Fatalf("first call after %d ms, too late for a hold of %d ms",
+						last/millisecond, test.hold.MaxDuration/millisecond)
 				}
 			}
 			if peak := peakCalls(all, second); float64(peak) > 1.3*test.hold.CallRate+5 {
-				t.Errorf("%d calls in a second at a rate of %g", peak, test.hold.CallRate)
+				t.Errorf("%d calls in one second, the rate is %g per second", peak, test.hold.CallRate)
 			}
 		})
 	}
 	var tooShort *HoldTooShortError
 	err := ReadinessHold{100, 3 * second}.Check(300)
 	if !errors.As(err, &tooShort) ||
-		err.Error() != "300 routers call for 3000 ms at 100 a second and 500 ms are for the answer: hold is 3000 ms" {
-		t.Errorf("%T: %v", err, err)
+		err.Error() != "a hold of 3000 ms is too short: 300 routers need 3000 ms for their calls at 100 per second, "+
+			"and 500 ms for the answer" {
+		t.Errorf("error %v of type %T, want a *HoldTooShortError", err, err)
 	}
 	progress := NewProgress(0, RateWindow, ReadinessHold{100, 4 * second})
 	progress.ListReceived()
 	if progress.Ready(3*second) || !progress.Ready(4*second) {
-		t.Error("not ready exactly from the end of the hold")
+		t.Error("ready before the end of the hold, or not ready at its end")
 	}
 	if progress.ServiceReached(second); !progress.Ready(second) {
-		t.Error("not ready though the service has answered")
+		t.Error("not ready although the service has answered")
 	}
 }
--- a/internal/lifecycle/startup/result.go
+++ b/internal/lifecycle/startup/result.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// CallResult is how a call of the discovery service ended, or the connection that it made.
+// CallResult is how a call of the discovery service, or the connection that it opened, has ended.
 type CallResult int
 
-// The results.
+// The results of calls.
 const (
 	Refused      CallResult = iota // the connection was refused: no process listens there
-	Unreachable                    // dialling timed out
-	Unanswered                     // the call was accepted, and nothing came
-	Disconnected                   // the connection ended after something had come
-	Silent                         // nothing came any more after something had
-	Truncated                      // it ended or stalled inside an event, or before anything complete had come
-	LocalError                     // this machine could not make the call, which says nothing of the service
+	Unreachable                    // the attempt to connect timed out
+	Unanswered                     // the connection was accepted, but nothing was received
+	Disconnected                   // the connection ended after data was received
+	Silent                         // data was received at first, and then none until the timeout
+	Truncated                      // it ended or stalled within an event, or before the first complete event or comment
+	LocalError                     // this machine could not make the call; the state of the service is unknown
 )
 
-// resultNames are the words of the log line, which docs/oncall.md names.
+// resultNames are the names of results in log lines, which docs/oncall.md explains.
 var resultNames = [...]string{
 	Refused: "refused", Unreachable: "unreached", Unanswered: "unanswered", Disconnected: "broke", Silent: "silent",
 	Truncated: "cut", LocalError: "not called",
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -2,8 +2,8 @@
 
 import "math/rand/v2"
 
-// Notification deadlines: so long after a disconnect, a silence or a change of address, a router counts as
-// notified of every change before it, whether it has been or not. Source: the platform's pages.
+// Notification deadlines: this long after a disconnect, a silence or a change of address, the platform regards a
+// router as notified of all earlier changes, whether or not it has received them. Source: the platform's pages.
 const (
 	deadlineAfterDisconnect    = 2 * second
 	deadlineAfterSilence       = 4 * second
@@ -11,94 +11,94 @@
 	maxNotificationTime        = 7 * second
 )
 
-// answerAllowance is the part of a notification deadline that is left for dialling and for the answer.
+// answerAllowance is the time before a notification deadline that is reserved for connecting and for the answer.
 const answerAllowance = 500 * millisecond
 
-// Rates of calls that all routers together keep to, as far as the notification deadlines let them, and the
-// longest times that calls are spread over.
+// Target rates of the calls of all routers together, per second, and the longest durations over which calls are
+// spread. Where a longer duration would miss a notification deadline, the rate is exceeded.
 const (
-	retryRate = 110. // while the service refuses or does not answer
+	retryRate = 110. // while the service refuses calls or does not answer
 
 	reconnectRate          = 300.                        // after a disconnect
 	maxReconnectSpread     = deadlineAfterDisconnect / 2 // the other half is for one retry
 	maxAddressChangeSpread = second
 
-	// maxFirstSpread is for the first calls of routers that know a list from their configuration and serve from
-	// it. They count as notified of a change as soon as the service has it, so they have to hear of it within
-	// the grace for draining endpoints, 250 ms. The spread is a part of that.
+	// maxFirstSpread is for the first calls of routers that have a list from their configuration and serve with
+	// it. They count as notified of a change as soon as the service has it, so they have to learn of it within
+	// the grace period of draining endpoints, 250 ms. The spread is only a part of that.
 	maxFirstSpread = 100 * millisecond
 
-	// A router that knows no list serves nobody, so no deadline binds its calls, but only the capacity of the
-	// service and how soon the router is to serve. All routers without a list call once in half to one and a
-	// half times this duration.
+	// A router without a list serves no client, so no notification deadline applies to its calls. Their rate
+	// depends on the capacity of the service and on how soon the router should serve. All routers without a list
+	// call once within half to one and a half times the duration that follows from these constants.
 	noListRate      = 85.
 	maxNoListSpread = 2600 * millisecond
 )
 
 // Delays of retries.
 const (
-	minRetryDelay = 200 * millisecond // of a router that is alone, or whose settings name few others
+	minRetryDelay = 200 * millisecond // for deployments with few routers, or settings that state too few
 	maxRetryDelay = maxNotificationTime - 2*second
-	backoffGrowth = 3 // of decorrelated jitter: the next delay is drawn up to so many times the last
+	backoffGrowth = 3 // decorrelated jitter: the next delay is at most this multiple of the last one
 
-	// minUnansweredDelay follows a call that was accepted and never answered. Routers that give up in the
-	// service's queue and soon call again would keep the queue at its length.
+	// minUnansweredDelay is the shortest delay after a call that was accepted but not answered. If routers that
+	// give up called again soon, their calls would keep the service's queue as long as it is.
 	minUnansweredDelay = maxRetryDelay * 2 / 3
 
-	// A truncated answer is requested again almost at once, up to so many times, since the router counts as
-	// notified of what the answer would have said: the usual spread is longer than the grace for draining
-	// endpoints, 250 ms. A router without a list sends to nobody and backs off instead, so that a service that
-	// truncates all its answers is not called more often.
+	// A truncated answer is requested again almost at once, up to maxTruncatedRetries times in a row, since the
+	// router counts as notified of the changes in it: the usual spread is longer than the grace period of draining
+	// endpoints, 250 ms. A router without a list sends no requests and backs off instead, so that it does not
+	// call a service that truncates all its answers more often.
 	maxTruncatedRetries  = 2
 	truncatedRetrySpread = 20 * millisecond
-	maxTruncatedAge      = second // the service sends a comment each second: it has sent all that was due by then
+	maxTruncatedAge      = second // on an older connection the service has sent all earlier changes, and a comment
 
-	// A call that this machine could not make is made again soon, since the service got no call. Many routers
-	// of one machine that wait for the same descriptors are spread over as long as after a disconnect.
+	// A call that this machine could not make is retried soon, since it put no load on the service. If many
+	// routers of one machine wait for the same descriptors, their calls are spread as after a disconnect.
 	minLocalErrorDelay = 20 * millisecond
 	maxLocalErrorDelay = 200 * millisecond
 )
 
-// Timeouts of reads.
+// Timeouts of reads from the service.
 const (
 	silenceTimeout = 1700 * millisecond // the service sends a comment each second
 
-	// The timeout of the first byte grows while the service accepts calls and does not answer.
+	// The timeout of the first byte is multiplied by firstByteTimeoutGrowth after each call that the service
+	// accepts but does not answer.
 	initialFirstByteTimeout = 1700 * millisecond
 	maxFirstByteTimeout     = 7 * second
 	firstByteTimeoutGrowth  = 4
 
-	// An event that has begun may stall for this part of the shortest grace.
+	// Reading an event may stall for the shortest grace period divided by stallGraceDivisor.
 	stallGraceDivisor = 3
 	maxStallTimeout   = silenceTimeout
 )
 
-// scheduleStream makes the random numbers of schedules independent of others from the same seed.
+// scheduleStream makes the random numbers of schedules independent of others with the same seed.
 const scheduleStream = 0x6c697374
 
-// CallSchedule decides when one router of many calls the discovery service. It is not safe for use by two
-// goroutines at once.
+// CallSchedule decides when one router of many calls the discovery service. It is not safe for concurrent use.
 type CallSchedule struct {
-	routers float64 // that call the service
+	routers float64 // number of routers that call the service
 	hold    ReadinessHold
 	random  *rand.Rand
 
 	hasList  bool
-	hasData  bool  // a complete event or comment has come since the last call ended
+	hasData  bool  // a complete event or comment was received since the last call ended
 	calledAt int64 // when the last call was made
-	grace    int64 // the shortest in which the router has to act on a watch event; 0 is not known
+	grace    int64 // shortest time within which the router has to act on a watch event; 0: unknown
 
 	firstByteTimeout int64
-	lastDelay        int64 // of the backoff; 0: it starts anew
-	localErrorDelay  int64 // the last one after a call that this machine could not make; 0: there was none
-	truncations      int   // young answers in a row that were truncated
+	lastDelay        int64 // last delay of the backoff; 0: the backoff starts again
+	localErrorDelay  int64 // last delay after a call that this machine could not make; 0: there was none
+	truncations      int   // consecutive answers that were truncated before maxTruncatedAge
 
-	answerBy   int64 // until when a call has to be answered; 0: nothing binds it but maxRetryDelay
-	retryMoved bool  // a retry was moved forward, to be before answerBy
+	answerDeadline int64 // notification deadline by which a call has to be answered; 0: none applies
+	retryAdvanced  bool  // a retry was moved to an earlier time to meet answerDeadline
 }
 
-// NewCallSchedule returns the schedule of one router of so many. hold is the operator's; the zero value is
-// none.
+// NewCallSchedule returns the schedule of one router out of a number of routers. hold is that of the operator's file;
+// the zero value is no hold.
 func NewCallSchedule(seed uint64, routers int, hold ReadinessHold) *CallSchedule {
 	return &CallSchedule{
 		routers:          float64(max(1, routers)),
@@ -108,9 +108,9 @@
 	}
 }
 
-// FirstDelay returns the wait from the start to the first call.
+// FirstDelay returns the delay of the first call after the start.
 func (s *CallSchedule) FirstDelay() int64 {
-	s.answerBy = 0 // if the call fails, retries at most maxRetryDelay apart are in time for later changes
+	s.answerDeadline = 0 // if the call fails, retries maxRetryDelay apart are soon enough for later changes
 	switch {
 	case s.hold.CallRate > 0:
 		return s.draw(s.spread(s.hold.CallRate, s.hold.MaxDuration-answerAllowance))
@@ -120,28 +120,28 @@
 	return s.draw(s.spread(retryRate, maxFirstSpread))
 }
 
-// AddressChanged returns the wait before the first call at another address of the service.
+// AddressChanged returns the delay of the first call to a new address of the service.
 func (s *CallSchedule) AddressChanged(now int64) int64 {
-	s.answerBy, s.retryMoved = now+deadlineAfterAddressChange, false
+	s.answerDeadline, s.retryAdvanced = now+deadlineAfterAddressChange, false
 	s.firstByteTimeout, s.hasData = initialFirstByteTimeout, false
 	return s.draw(s.spread(reconnectRate, maxAddressChangeSpread))
 }
 
-// ListReceived notes that an endpoint list is known.
+// ListReceived records that the router has an endpoint list.
 func (s *CallSchedule) ListReceived() { s.hasList = true }
 
-// CallStarted notes that a call is made.
+// CallStarted records the time of a call.
 func (s *CallSchedule) CallStarted(now int64) { s.calledAt = now }
 
-// DataReceived notes that a complete event or comment has come.
+// DataReceived records that a complete event or comment was received.
 func (s *CallSchedule) DataReceived() {
 	s.hasData, s.firstByteTimeout, s.lastDelay = true, initialFirstByteTimeout, 0
 }
 
-// SetDrainGrace notes the shortest time in which the router has to act on a watch event, ns.
+// SetDrainGrace sets the shortest time within which the router has to act on a watch event, ns; 0: unknown.
 func (s *CallSchedule) SetDrainGrace(grace int64) { s.grace = grace }
 
-// StallTimeout returns for how long an event that has begun may stall, ns.
+// StallTimeout returns the timeout for the rest of an event of which a part was received, ns.
 func (s *CallSchedule) StallTimeout() int64 {
 	if s.grace <= 0 {
 		return maxStallTimeout
@@ -149,7 +149,7 @@
 	return min(s.grace/stallGraceDivisor, maxStallTimeout)
 }
 
-// ReadTimeout returns for how long to wait for the next byte between events, or for the first.
+// ReadTimeout returns the timeout for the first byte of an answer or, after that, of the next event or comment, ns.
 func (s *CallSchedule) ReadTimeout() int64 {
 	if s.hasData {
 		return silenceTimeout
@@ -157,19 +157,19 @@
 	return s.firstByteTimeout
 }
 
-// CallEnded returns the wait before the next call, after one that ended.
+// CallEnded returns the delay of the next call after one that has ended.
 //
-// A connection on which something had come is followed by a call within the notification deadline; all routers
-// spread theirs over half of that. Other calls back off by decorrelated jitter (Brooker, "Exponential Backoff
-// And Jitter", 2015) over as long as all routers need at their rate, with one retry before the notification
-// deadline.
+// After a connection on which data was received, the next call meets the notification deadline: all routers spread
+// their calls over at most half of that time. After other calls the schedule backs off with decorrelated jitter
+// (Brooker, "Exponential Backoff And Jitter", 2015). Its delays grow with the time that all routers need at their
+// rate, and one retry is made before the notification deadline.
 func (s *CallSchedule) CallEnded(now int64, result CallResult) int64 {
 	if result == LocalError {
 		return s.delayAfterLocalError()
 	}
 	hadData := s.hasData
 	s.hasData, s.localErrorDelay = false, 0
-	if s.retriesAtOnce(now, result) {
+	if s.retriesAlmostAtOnce(now, result) {
 		s.truncations++
 		return s.draw(truncatedRetrySpread)
 	}
@@ -180,16 +180,16 @@
 	case !s.hasList && result != Unanswered:
 		return s.delayWithoutList()
 	}
-	return s.beforeDeadline(now, s.retryDelay(result))
+	return s.advanceToDeadline(now, s.retryDelay(result))
 }
 
-// retriesAtOnce reports whether a truncated answer is requested again at once.
-func (s *CallSchedule) retriesAtOnce(now int64, result CallResult) bool {
+// retriesAlmostAtOnce reports whether a truncated answer is requested again at once.
+func (s *CallSchedule) retriesAlmostAtOnce(now int64, result CallResult) bool {
 	isYoung := now-s.calledAt < maxTruncatedAge
 	return result == Truncated && s.hasList && isYoung && s.truncations < maxTruncatedRetries
 }
 
-// delayAfterLocalError returns a delay that doubles from one call to the next.
+// delayAfterLocalError returns a random delay whose upper bound doubles from one call to the next.
 func (s *CallSchedule) delayAfterLocalError() int64 {
 	limit := max(maxLocalErrorDelay, s.spread(reconnectRate, maxReconnectSpread))
 	s.localErrorDelay = min(max(2*s.localErrorDelay, minLocalErrorDelay), limit)
@@ -197,21 +197,23 @@
 	return half + s.draw(half)
 }
 
+// delayAfterDisconnect sets the notification deadline and returns the delay of the call that has to meet it.
 func (s *CallSchedule) delayAfterDisconnect(now int64, result CallResult) int64 {
-	s.answerBy, s.retryMoved = now+deadlineAfterDisconnect, false
+	s.answerDeadline, s.retryAdvanced = now+deadlineAfterDisconnect, false
 	if result == Silent {
-		s.answerBy = now + deadlineAfterSilence - silenceTimeout // the silence began before it was noticed
+		s.answerDeadline = now + deadlineAfterSilence - silenceTimeout // the silence began before it was noticed
 	}
 	return s.draw(s.spread(reconnectRate, maxReconnectSpread))
 }
 
-// delayWithoutList spreads calls by the number of routers in the settings. Where that is too low, growing
-// delays spread them further.
+// delayWithoutList returns a delay that depends on the number of routers in the settings. If that number is too low,
+// the delays of the backoff still grow.
 func (s *CallSchedule) delayWithoutList() int64 {
 	minDelay := max(s.spread(noListRate, maxNoListSpread), minRetryDelay) / 2
 	return s.backoff(minDelay, 3*minDelay, maxNoListSpread*3/2)
 }
 
+// retryDelay returns the delay of the backoff after a call that was refused or got no answer.
 func (s *CallSchedule) retryDelay(result CallResult) int64 {
 	minDelay := min(max(s.spread(retryRate, maxRetryDelay), minRetryDelay), maxRetryDelay/2)
 	if result == Unanswered {
@@ -221,27 +223,27 @@
 	return s.backoff(minDelay, 2*minDelay, maxRetryDelay)
 }
 
-// beforeDeadline moves a retry that would miss the notification deadline forward, to the second half of the
-// time left, so that routers that were disconnected together do not call together at the last moment either. It
-// does so once for a deadline: halved again and again the delays would come to nothing.
-func (s *CallSchedule) beforeDeadline(now, delay int64) int64 {
-	left := s.answerBy - answerAllowance - now
-	if left <= 0 || delay <= left || s.retryMoved {
+// advanceToDeadline shortens the delay of a retry that would miss the notification deadline. The retry is made at a
+// random time in the second half of the time left, so that routers that were disconnected together do not all call at
+// the last moment. It does this once per deadline, since delays halved again and again would approach 0.
+func (s *CallSchedule) advanceToDeadline(now, delay int64) int64 {
+	left := s.answerDeadline - answerAllowance - now
+	if left <= 0 || delay <= left || s.retryAdvanced {
 		return delay
 	}
-	s.retryMoved = true
+	s.retryAdvanced = true
 	return left/2 + s.draw(left/2)
 }
 
-// backoff returns the next delay by decorrelated jitter: from minDelay up to a multiple of the last delay, at
-// first up to firstLimit, and never over maxDelay.
+// backoff returns the next delay of decorrelated jitter: random, from minDelay to backoffGrowth times the last delay
+// or firstLimit, whichever is more, and at most maxDelay.
 func (s *CallSchedule) backoff(minDelay, firstLimit, maxDelay int64) int64 {
 	limit := min(max(backoffGrowth*s.lastDelay, firstLimit), maxDelay)
 	s.lastDelay = minDelay + s.draw(limit-minDelay)
 	return s.lastDelay
 }
 
-// spread returns how long all routers take to call once at a rate, and maxSpread at most.
+// spread returns the time that all routers need to call once at a rate, at most maxSpread.
 func (s *CallSchedule) spread(rate float64, maxSpread int64) int64 {
 	return min(int64(s.routers/rate*float64(second)), maxSpread)
 }
--- a/internal/lifecycle/startup/schedule_test.go
+++ b/internal/lifecycle/startup/schedule_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// refusedCalls returns the times of all calls, up to a time, of routers that start together while the service
-// refuses connections. configured is their number by the settings.
+// refusedCalls returns the times of all calls, until a given time, of routers that start together while the service
+// refuses connections. configured is the number of routers in the settings.
 func refusedCalls(routers, configured int, until int64) (all []int64) {
 	for i := range routers {
 		schedule := NewCallSchedule(uint64(i)+1, configured, ReadinessHold{})
@@ -17,8 +17,8 @@
 	return all
 }
 
-// unscheduledCalls returns the times of the calls that routers make by a backoff without jitter: at once, then
-// after 50 ms that double up to 500 ms.
+// unscheduledCalls returns the times of the calls of routers that back off without jitter: at once, then after delays
+// that double from 50 ms to 500 ms.
 func unscheduledCalls(routers int, until int64) (all []int64) {
 	for range routers {
 		delay := 50 * millisecond
@@ -31,17 +31,17 @@
 	return all
 }
 
-// peakCalls returns the most calls within a span.
-func peakCalls(all []int64, span int64) (peak int) {
+// peakCalls returns the largest number of calls in one interval. The intervals follow each other from time 0.
+func peakCalls(all []int64, interval int64) (peak int) {
 	calls := map[int64]int{}
 	for _, at := range all {
-		calls[at/span]++
-		peak = max(peak, calls[at/span])
+		calls[at/interval]++
+		peak = max(peak, calls[at/interval])
 	}
 	return peak
 }
 
-// callsFrom returns the calls from a time on.
+// callsFrom returns the calls that are made at or after a time.
 func callsFrom(all []int64, from int64) (late []int64) {
 	for _, at := range all {
 		if at >= from {
@@ -55,42 +55,43 @@
 	const until = 30 * second
 	for _, test := range []struct {
 		routers, configured int
-		bound               int // calls a second: the rate, and what chance adds
+		bound               int // calls per second: the rate, with a margin for random peaks
 	}{
 		{1, 1, 6},
 		{3, 3, 15},
 		{300, 300, 330},
 		{1000, 1000, 1100},
 		{5000, 5000, 5500},
-		{300, 3, 1300}, // the settings name few routers: calls are spread from the second on
+		{300, 3, 1300}, // the settings state too few routers, so only later calls are spread enough
 	} {
-		t.Run(fmt.Sprintf("%d routers, %d by the settings", test.routers, test.configured), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d routers, %d in the settings", test.routers, test.configured), func(t *testing.T) {
 			all := refusedCalls(test.routers, test.configured, until)
 			unscheduled := unscheduledCalls(test.routers, until)
 			if peak := peakCalls(all, second); peak > test.bound {
-				t.Errorf("%d calls in a second, bound %d", peak, test.bound)
+				t.Errorf("%d calls in one second, want at most %d", peak, test.bound)
 			}
 			if test.configured >= 300 {
 				checkQuarter(t, all, unscheduled)
 				checkQuarter(t, callsFrom(all, 10*second), callsFrom(unscheduled, 10*second))
 			}
 			if len(all) < test.routers*4 {
-				t.Errorf("%d calls in 30 s: the service's return is noticed late", len(all))
+				t.Errorf("%d calls in 30 s, want at least %d, or routers notice too late that the service is back",
+					len(all), test.routers*4)
 			}
 		})
 	}
 }
 
-// checkQuarter checks that at most a quarter as many calls come in a second as without a schedule.
+// checkQuarter checks that the most calls in one second are at most a quarter of those without a schedule.
 func checkQuarter(t *testing.T, all, unscheduled []int64) {
 	t.Helper()
 	if peak, limit := peakCalls(all, second), peakCalls(unscheduled, second); 4*peak > limit {
-		t.Errorf("%d calls in a second, %d without a schedule", peak, limit)
+		t.Errorf("%d calls in one second, want at most a quarter of %d", peak, limit)
 	}
 }
 
-// After a disconnect, a silence or a change of address, and at the start, the service is called in time for the
-// router to be answered before it counts as notified, whatever the number of routers and the seed.
+// After a disconnect, a silence or a change of address, and at the start, a router calls the service early enough to be
+// answered before the notification deadline, for any number of routers and any seed.
 func TestCallsBeforeTheNotificationDeadline(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -119,9 +120,10 @@
 			for _, routers := range []int{0, 1, 3, 300, 100_000} {
 				for seed := range uint64(200) {
 					schedule := NewCallSchedule(seed, routers, ReadinessHold{})
-					schedule.ListReceived() // without a list no deadline binds the router
+					schedule.ListReceived() // without a list no deadline applies
 					if delay := test.delay(schedule); delay < 0 || delay > test.maxDelay {
-						t.Fatalf("%d routers: %d ms, at most %d", routers, delay/millisecond, test.maxDelay/millisecond)
+						t.Fatalf("%d routers: a delay of %d ms, want at most %d ms",
+							routers, delay/millisecond, test.maxDelay/millisecond)
 					}
 				}
 			}
@@ -129,37 +131,38 @@
 	}
 }
 
-// Routers without a list serve nobody. Their calls are spread from the first on, to a tenth of those without a
-// schedule in any second, and no delay is longer than all routers take to call.
-func TestCallsWithoutAListAreSpreadFromTheFirst(t *testing.T) {
+// Routers without a list serve no client, so all their calls are spread, including the first ones. In any second there
+// is at most a tenth of the calls that there are without a schedule, and delays have an upper bound.
+func TestCallsWithoutListAreSpread(t *testing.T) {
 	const until = 30 * second
 	for _, routers := range []int{300, 1000, 5000} {
 		peak := peakCalls(refusedCalls(routers, routers, until), second)
 		limit := peakCalls(unscheduledCalls(routers, until), second)
 		if float64(peak) > 0.1*float64(limit) {
-			t.Errorf("%d routers: %d calls in a second, %d without a schedule", routers, peak, limit)
+			t.Errorf("%d routers: %d calls in one second, want at most a tenth of %d", routers, peak, limit)
 		}
 	}
 	for seed := range uint64(50) {
 		schedule := NewCallSchedule(seed, 300, ReadinessHold{})
 		for range 30 {
 			if delay := schedule.CallEnded(0, Refused); delay < maxNoListSpread/2 || delay > maxNoListSpread*3/2 {
-				t.Fatalf("a delay of %d ms", delay/millisecond)
+				t.Fatalf("a delay of %d ms, want %d to %d ms",
+					delay/millisecond, maxNoListSpread/2/millisecond, maxNoListSpread*3/2/millisecond)
 			}
 		}
 		schedule.ListReceived()
 		if schedule.CallEnded(0, Refused) > maxRetryDelay {
-			t.Fatal("later than the notification deadline with a list")
+			t.Fatal("with a list the delay is over maxRetryDelay")
 		}
 	}
 }
 
-// slowService answers calls in order, one at a time. A router that gives up leaves its call in the queue.
+// slowService answers calls in order, one at a time. The call of a router that gives up stays in the queue.
 type slowService struct {
 	schedules []*CallSchedule
-	nextCall  map[int]int64 // by router; routers that wait for an answer, or have one, are not in it
+	nextCall  map[int]int64 // time by router; without routers that wait for an answer or have one
 	queue     []queuedCall
-	answered  int // routers
+	answered  int // number of routers that got an answer
 }
 
 // queuedCall is a call that is not answered yet.
@@ -168,7 +171,7 @@
 	givesUpAt int64 // 0: the router has given up
 }
 
-// step has the routers call and give up that do so at a time.
+// step makes the calls that are due now, and gives up those whose timeout has passed.
 func (s *slowService) step(now int64) {
 	for router, schedule := range s.schedules {
 		if at, calls := s.nextCall[router]; calls && at <= now {
@@ -196,9 +199,9 @@
 	s.queue = s.queue[1:]
 }
 
-// A service that answers ten calls a second answers all routers in the end, though those that give up leave calls
-// in its queue.
-func TestSlowServiceAnswersAllInTheEnd(t *testing.T) {
+// A service that answers ten calls per second answers all routers within a minute, although the calls of routers that
+// have given up stay in its queue.
+func TestSlowServiceAnswersAllRouters(t *testing.T) {
 	const routers, interval = 100, second / 10
 	service := &slowService{nextCall: map[int]int64{}}
 	for i := range routers {
@@ -213,14 +216,14 @@
 		}
 	}
 	if service.answered < routers {
-		t.Errorf("%d of %d were answered within a minute, %d calls in the queue",
+		t.Errorf("%d of %d routers were answered within a minute, %d calls are still queued",
 			service.answered, routers, len(service.queue))
 	}
 }
 
-// A truncated answer is requested again at once, but only a few times in a row: a service that truncates all its
-// answers is not called by hundreds of routers at full speed.
-func TestTruncatedAnswersAreRequestedAgainAFewTimes(t *testing.T) {
+// A truncated answer is requested again almost at once, but only maxTruncatedRetries times in a row, so that hundreds of
+// routers do not overload a service that truncates all its answers.
+func TestTruncatedAnswersAreRetriedFewTimes(t *testing.T) {
 	for seed := range uint64(50) {
 		schedule := NewCallSchedule(seed, 300, ReadinessHold{})
 		schedule.ListReceived()
@@ -231,17 +234,19 @@
 			delay := schedule.CallEnded(now, Truncated)
 			wantAtOnce := calls%(maxTruncatedRetries+1) < maxTruncatedRetries
 			if atOnce := delay < truncatedRetrySpread; atOnce != wantAtOnce {
-				t.Fatalf("call %d: a delay of %d ms", calls, delay/millisecond)
+				t.Fatalf("call %d: a delay of %d ms, want a retry at once: %v",
+					calls, delay/millisecond, wantAtOnce)
 			}
 			now += delay
 		}
 		if calls > 90 {
-			t.Fatalf("%d calls in 30 s", calls)
+			t.Fatalf("%d calls in 30 s, want at most 90", calls)
 		}
 		schedule.CallStarted(now)
 		schedule.DataReceived()
 		if delay := schedule.CallEnded(now+maxTruncatedAge, Truncated); delay > maxReconnectSpread {
-			t.Fatalf("an old connection that is truncated is followed after %d ms", delay/millisecond)
+			t.Fatalf("a delay of %d ms after an old connection was truncated, want at most %d ms",
+				delay/millisecond, maxReconnectSpread/millisecond)
 		}
 	}
 }
@@ -255,15 +260,15 @@
 		schedule := NewCallSchedule(1, 1, ReadinessHold{})
 		schedule.SetDrainGrace(test.grace)
 		if got := schedule.StallTimeout(); got != test.want {
-			t.Errorf("with a grace of %d ms an event may stall for %d ns, want %d",
+			t.Errorf("a grace period of %d ms: a stall timeout of %d ns, want %d",
 				test.grace/millisecond, got, test.want)
 		}
 	}
 }
 
-// A call that this machine could not make counts neither as a disconnect nor as a refusal: the schedule goes on as
-// before it.
-func TestLocalErrorsLeaveTheSchedule(t *testing.T) {
+// A call that this machine could not make counts neither as a disconnect nor as a refused call: the deadline and the
+// backoff of the schedule stay as they are.
+func TestLocalErrorsKeepScheduleState(t *testing.T) {
 	for _, routers := range []int{1, 300} {
 		schedule := NewCallSchedule(1, routers, ReadinessHold{})
 		same := NewCallSchedule(1, routers, ReadinessHold{})
@@ -272,16 +277,17 @@
 		longest := max(maxLocalErrorDelay, maxReconnectSpread)
 		for range 20 {
 			if delay := schedule.CallEnded(0, LocalError); delay < minLocalErrorDelay/2 || delay > longest {
-				t.Fatalf("%d routers: a delay of %d ms", routers, delay/millisecond)
+				t.Fatalf("%d routers: a delay of %d ms, want %d to %d ms",
+					routers, delay/millisecond, minLocalErrorDelay/2/millisecond, longest/millisecond)
 			}
 		}
-		isSame := schedule.answerBy == same.answerBy && schedule.lastDelay == same.lastDelay
-		if !schedule.hasData || !isSame || schedule.retryMoved {
-			t.Errorf("%d routers: %+v, without local errors %+v", routers, schedule, same)
+		isSame := schedule.answerDeadline == same.answerDeadline && schedule.lastDelay == same.lastDelay
+		if !schedule.hasData || !isSame || schedule.retryAdvanced {
+			t.Errorf("%d routers: state %+v, want that without local errors, %+v", routers, schedule, same)
 		}
 		schedule.CallEnded(0, Refused)
 		if schedule.localErrorDelay != 0 {
-			t.Error("the backoff of later local errors does not start anew")
+			t.Error("the delay of later local errors does not start again from the shortest")
 		}
 	}
 }
--- a/internal/lifecycle/startup/startup.go
+++ b/internal/lifecycle/startup/startup.go
@@ -1,9 +1,9 @@
 // Package startup decides how a router starts among hundreds that start in the same second: when it calls the
-// discovery service and when it retries, which endpoint lists it puts in force, and how far its start has come.
-// It does no input or output, reads no clock and starts no goroutine; times come in as arguments, random
-// numbers from a seed. docs/coldstart.md has the arithmetic and the options.
+// discovery service and when it retries, which endpoint lists it accepts, and which phase its startup has reached.
+// It does no I/O, reads no clock and starts no goroutine: times are passed as arguments, and random numbers are
+// derived from a seed. docs/coldstart.md has the calculations and the alternatives.
 //
-// All instants are ns on the caller's monotonic axis, all durations are ns, all rates are a second.
+// All times are ns of the caller's monotonic clock, all durations are in ns, and all rates are per second.
 package startup
 
 const (
