--- a/internal/adminsocket/accept_test.go
+++ b/internal/adminsocket/accept_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// failingListener is a listener whose first accepts fail with an error.
+// failingListener is a listener whose first calls of Accept fail with an error.
 type failingListener struct {
 	net.Listener
 	err  error
-	left atomic.Int64 // failures left
+	left atomic.Int64 // number of calls that will still fail
 }
 
 func (f *failingListener) Accept() (net.Conn, error) {
@@ -25,13 +25,13 @@
 	return f.Listener.Accept()
 }
 
-// acceptError returns an error as net.Listener.Accept does.
+// acceptError returns an error like one of net.Listener.Accept.
 func acceptError(errno syscall.Errno) error {
 	return &net.OpError{Op: "accept", Net: "unix", Err: os.NewSyscallError("accept4", errno)}
 }
 
-// Errors of accept by a lack of resources are retried after acceptRetryDelay.
-func TestAcceptRetriesErrorsOfThisMachine(t *testing.T) {
+// If accepting fails because the machine lacks resources, it is retried after acceptRetryDelay.
+func TestAcceptRetriesLackOfResources(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "s")
@@ -44,11 +44,12 @@
 			answer := 0
 			err := Query(ctx, path, &answer, "x")
 			if took := time.Since(startedAt); err != nil || answer != 1 || took < 3*acceptRetryDelay {
-				t.Errorf("answer %d, %v after %v", answer, err, took)
+				t.Errorf("answer %d, error %v after %v; want answer 1 after at least %v",
+					answer, err, took, 3*acceptRetryDelay)
 			}
 			cancel()
 			if err := <-ended; err != nil {
-				t.Error(err)
+				t.Errorf("accept returned %v after its context ended", err)
 			}
 		})
 	}
@@ -57,11 +58,11 @@
 func TestAcceptReturnsOtherErrors(t *testing.T) {
 	listener := listen(t, filepath.Join(t.TempDir(), "s"), syscall.EINVAL, 1)
 	if err := accept(t.Context(), listener, nil); err == nil {
-		t.Error("a permanent error is retried")
+		t.Error("accept returned no error for EINVAL")
 	}
 }
 
-// listen opens a socket whose first accepts fail, as many as failures.
+// listen opens a Unix socket whose first calls of Accept fail. Their number is failures.
 func listen(t *testing.T, path string, errno syscall.Errno, failures int64) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("unix", path)
--- a/internal/adminsocket/adminsocket_test.go
+++ b/internal/adminsocket/adminsocket_test.go
@@ -10,34 +10,34 @@
 	"time"
 )
 
-// A socket answers commands of its owner, reports errors to the client, is not replaced while it is served, and ends
-// with its context.
-func TestServeAnswersCommandsUntilItsContextEnds(t *testing.T) {
+// Only the owner may open the socket. Serve answers commands, reports errors to the client, does not replace a socket
+// that is served, and returns when its context ends.
+func TestServeUntilContextEnds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.sock")
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- Serve(ctx, path, map[string]Handler{"echo": echo}) }()
 	if got := queryUntilServed(t, path, "echo", "a", "b"); strings.Join(got, " ") != "a b" {
-		t.Errorf("answer %q", got)
+		t.Errorf("answer %q, want the arguments a and b", got)
 	}
 	info, err := os.Stat(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if info.Mode().Perm() != 0o600 {
-		t.Errorf("others may open the socket: %v", info.Mode())
+		t.Errorf("the socket has mode %v, want 0600", info.Mode())
 	}
 	expectError(t, Query(ctx, path, new([]string), "what"), "unknown command")
 	expectError(t, Query(ctx, path, new([]string), "echo"), "nothing to say")
 	expectError(t, Serve(ctx, path, nil), "another process")
 	stop()
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Errorf("Serve returned %v after its context ended", err)
 	}
 	expectError(t, Query(context.Background(), path, new([]string), "echo"), "no instance answers")
 }
 
-// queryUntilServed sends a command, repeatedly until the socket is served, and returns the answer.
+// queryUntilServed sends a command until it is answered, and returns the answer.
 func queryUntilServed(t *testing.T, path string, words ...string) (answer []string) {
 	t.Helper()
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -45,7 +45,7 @@
 			return answer
 		}
 	}
-	t.Fatal("no answer within 5 s")
+	t.Fatalf("no answer to %q within 5 s", words)
 	return nil
 }
 
@@ -53,7 +53,7 @@
 func expectError(t *testing.T, err error, text string) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), text) {
-		t.Errorf("error %v, want %q", err, text)
+		t.Errorf("error %v, want one that contains %q", err, text)
 	}
 }
 
--- a/internal/adminsocket/client.go
+++ b/internal/adminsocket/client.go
@@ -10,8 +10,9 @@
 	"strings"
 )
 
-// Query sends a command to the socket of a running instance and decodes the answer. words are the command's name
-// and its arguments. A text of the instance, such as that the command is unknown, is returned as the error.
+// Query sends a command to the socket of a running instance and decodes its answer into a value. words are the
+// command's name and its arguments. If the instance replies with an error, such as an unknown command, Query returns
+// it.
 func Query(ctx context.Context, path string, into any, words ...string) error {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
--- a/internal/adminsocket/protocol.go
+++ b/internal/adminsocket/protocol.go
@@ -1,6 +1,6 @@
-// Package adminsocket carries commands to a running instance over a Unix socket that only its owner may open. A
-// command is one line of words; the reply is one JSON object. Sizes, times and the number of clients are
-// bounded.
+// Package adminsocket sends commands to a running instance over a Unix socket that only its owner may open. A command
+// is one line of words; the reply is one JSON object. The sizes of both, the duration of a command, and the number of
+// clients at a time are limited.
 package adminsocket
 
 import (
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxCommandSize = 4 << 10  // bytes of a command with its line end
+	maxCommandSize = 4 << 10  // bytes of a command, including its newline
 	maxReplySize   = 16 << 20 // bytes of a reply
 	maxClients     = 8        // clients served at a time; the others wait
 
@@ -20,18 +20,18 @@
 	// takeoverTimeout bounds the connect by which Serve finds out whether another process serves the socket.
 	takeoverTimeout = time.Second
 
-	// acceptRetryDelay is the delay after an accept that failed because of this machine, for example for lack of
+	// acceptRetryDelay is the delay after an accept that failed because this machine lacks resources, for example
 	// descriptors.
 	acceptRetryDelay = 50 * time.Millisecond
 
-	// socketMode lets the owner alone open the socket.
+	// socketMode allows only the owner to open the socket.
 	socketMode = 0o600
 )
 
 // Handler runs a command with its arguments. Its result is encoded as JSON.
 type Handler func(ctx context.Context, arguments []string) (any, error)
 
-// reply is what a client gets: either an error or an answer.
+// reply is the reply to a command: either an error or an answer.
 type reply struct {
 	Error  string          `json:"error,omitempty"`
 	Answer json.RawMessage `json:"answer,omitempty"`
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads what the platform gives a router at its start: the environment variables LB_NAME,
-// LB_LISTEN and LB_CONFIG, and the JSON file that the last one names.
+// Package config reads the configuration that the platform gives a router: the environment variables LB_NAME,
+// LB_LISTEN and LB_CONFIG, and the JSON file whose path is in LB_CONFIG.
 package config
 
 import (
@@ -19,32 +19,34 @@
 	listenVariable = "LB_LISTEN"
 )
 
-// Config is one router's configuration.
+// Config is the configuration of one router.
 type Config struct {
 	Name             string
-	Listen           string // address for clients
-	DiscoveryAddress string
+	Listen           string          // HOST:PORT on which clients connect
+	DiscoveryAddress string          // HOST:PORT of the discovery service
 	Seed             uint64          // of the random numbers
-	Cores            float64         // that the router may use; 0: unknown
-	MemoryMB         int64           // MiB that the router may use; 0: unknown
-	MaxSockets       int64           // descriptors that may be open at once; 0: unknown
+	Cores            float64         // number of CPU cores that the router may use; 0: unknown
+	MemoryMB         int64           // memory that the router may use, MiB; 0: unknown
+	MaxSockets       int64           // number of descriptors that may be open at once; 0: unknown
 	KnownEvents      json.RawMessage // watch events of the discovery service up to the start
 	Settings         control.Settings
 
-	// SettingsError reports invalid settings, nil if there are none. Settings has defaults in their place. A
-	// router can't start with it, but a running one can reload: it uses only the discovery address then.
+	// SettingsError reports invalid settings, for which Settings has defaults; nil: all settings are valid. A
+	// router can't start with invalid settings, but a running one can reload the file, since it applies only the
+	// address of the discovery service.
 	SettingsError error
 
-	// SettingsDigest is a hash of all settings, those that no router uses included. Snapshots have it, because
-	// what was learned under other settings must not be restored.
+	// SettingsDigest is a hash of all settings, including those that no router uses. It is stored in snapshots,
+	// because a snapshot that was taken under other settings must not be restored.
 	SettingsDigest uint64
 
-	// rawSettings is what Settings was decoded from. RestartRequired compares it, as it has all settings.
+	// rawSettings is the input from which Settings was decoded. RestartRequired compares it because it has all
+	// settings.
 	rawSettings control.RawSettings
 }
 
-// Load reads the configuration that LB_CONFIG names. LB_NAME and LB_LISTEN, where set, take precedence over the
-// file. getenv returns an environment variable, empty if it is not set.
+// Load reads the configuration file whose path is in LB_CONFIG. LB_NAME and LB_LISTEN take precedence over the file if
+// they are set. getenv returns the value of an environment variable, empty if it is not set.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv(pathVariable)
 	if path == "" {
@@ -61,9 +63,9 @@
 	return config, nil
 }
 
-// Reload loads the configuration again for the router that runs with c. The name and the address come from the
-// file alone, since LB_NAME and LB_LISTEN are as they were at the start. If the file is another router's, the
-// error is an *OtherRouterError.
+// Reload loads the configuration again for the router that runs with c. The name and the address of clients are those
+// of the file, since the environment variables LB_NAME and LB_LISTEN of a running process do not change. If the file
+// is for another router, the error is an *OtherRouterError.
 func (c *Config) Reload(getenv func(string) string) (*Config, error) {
 	next, err := Load(func(variable string) string {
 		if variable == pathVariable {
@@ -75,13 +77,13 @@
 		return nil, err
 	}
 	if next.Name != c.Name {
-		return nil, &OtherRouterError{Path: getenv(pathVariable), Router: next.Name}
+		return nil, &OtherRouterError{Path: getenv(pathVariable), Router: next.Name, Own: c.Name}
 	}
 	return next, nil
 }
 
-// RestartRequired returns the names of the parts in which a newer configuration differs from c and that are in
-// force only after a restart, separated by commas. It is empty if there are none.
+// RestartRequired returns the names, separated by commas, of the parts in which a newer configuration differs from c
+// and which take effect only after a restart. It is empty if there are none.
 func (c *Config) RestartRequired(next *Config) string {
 	var changed []string
 	if c.Listen != next.Listen {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,17 +16,17 @@
  "known":{"pos":3,"entries":[]},"settings":{"balancers":4,"limits":{"dialTimeoutS":0.4,"streamsPerConn":100},
  "profiles":[{"name":"stills","deadlineS":2.5,"effect":"retryable"}],"novel":1}}`
 
-// Each case replaces a part of file.
+// Each case replaces a part of file, and has a part of the expected error.
 func TestParse(t *testing.T) {
 	tests := []struct {
 		name, old, new string
 		err            string // part of the error; empty: none
 	}{
-		{"as it is", "", "", ""},
+		{"unchanged", "", "", ""},
 		{"no seed", `"seed":"8c1f30d27a5be964",`, "", ""},
-		{"cut short", `"novel":1}}`, "", "line 4: unexpected end"},
+		{"truncated", `"novel":1}}`, "", "line 4: unexpected end"},
 		{"not JSON", `"limits":{"cores"`, `"limits":{cores`, "line 2: invalid character"},
-		{"a number that is text", `"memory_mb":192`, `"memory_mb":"192"`, "line 2: "},
+		{"a string instead of a number", `"memory_mb":192`, `"memory_mb":"192"`, "line 2: "},
 		{"no address to listen on", `"listen":"127.0.0.4:10080",`, "", "listen is missing"},
 		{"no journal service", `"journal":"127.2.0.1:2379",`, "", "journal is missing"},
 		{"an address without a port", "127.2.0.1:2379", "127.2.0.1", "journal: address"},
@@ -50,21 +50,21 @@
 			}
 			if got.Name != "n3" || got.MemoryMB != 192 || got.Settings.ResponseBytesPerSecond != 310000 ||
 				got.Settings.ConnectTimeout != 4e8 || got.Settings.Classes[0].Idempotency != control.Idempotent {
-				t.Errorf("%+v", got)
+				t.Errorf("unexpected configuration %+v", got)
 			}
 		})
 	}
 	t.Run("the environment takes precedence", func(t *testing.T) {
 		got, err := Parse([]byte(file), "n4", "127.0.0.5:1")
 		if err != nil || got.Name != "n4" || got.Listen != "127.0.0.5:1" {
-			t.Errorf("%+v, %v", got, err)
+			t.Errorf("configuration %+v, error %v; want name n4 and address 127.0.0.5:1", got, err)
 		}
 	})
 }
 
-// Settings with which no router can start are no error of Parse, so that a running router can still use the file's
-// discovery address.
-func TestInvalidSettingsAreNoErrorOfParse(t *testing.T) {
+// Parse returns no error for settings with which no router can start, so that a running router can still apply the
+// file's discovery address.
+func TestParseAcceptsInvalidSettings(t *testing.T) {
 	config, err := Parse([]byte(file), "", "")
 	if err != nil {
 		t.Fatal(err)
@@ -72,7 +72,7 @@
 	const want = "setting location is missing\nsetting kinds is missing"
 	var settingError *control.SettingError
 	if !errors.As(config.SettingsError, &settingError) || config.SettingsError.Error() != want {
-		t.Errorf("%v, want %s", config.SettingsError, want)
+		t.Errorf("error of the settings %v, want %s", config.SettingsError, want)
 	}
 	complete := strings.NewReplacer(
 		`{"balancers":4`, `{"balancers":4,"locality":"here","machineTypes":["cache"]`,
@@ -80,15 +80,15 @@
 	).Replace(file)
 	config, err = Parse([]byte(complete), "", "")
 	if err != nil || config.SettingsError != nil {
-		t.Errorf("%v, %v", err, config.SettingsError)
+		t.Errorf("error %v, error of the settings %v; want none", err, config.SettingsError)
 	}
 }
 
 func TestLoadReportsUnreadableFiles(t *testing.T) {
 	for _, test := range []struct{ name, path, err string }{
-		{"not named", "", "LB_CONFIG is not set"},
-		{"absent", "/nowhere/config.json", "no such file"},
-		{"a folder", t.TempDir(), "is a directory"},
+		{"no path", "", "LB_CONFIG is not set"},
+		{"no such file", "/nowhere/config.json", "no such file"},
+		{"a directory", t.TempDir(), "is a directory"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := Load(func(name string) string { return map[string]string{"LB_CONFIG": test.path}[name] })
@@ -106,41 +106,42 @@
 	}
 	var missing *MissingError
 	if err := parse(`"settings"`, `"sets"`); !errors.As(err, &missing) || missing.Field != "settings" {
-		t.Error(err)
+		t.Errorf("error %v, want a *MissingError for settings", err)
 	}
 	var seed *SeedError
 	if err := parse("8c1f30d27a5be964", "seven"); !errors.As(err, &seed) || seed.Seed != "seven" {
-		t.Error(err)
+		t.Errorf("error %v, want a *SeedError for \"seven\"", err)
 	}
 	var line *LineError
 	err := parse(`"limits":{"cores"`, `"limits":{cores`)
 	if !errors.As(err, &line) || line.Line != 2 || errors.Unwrap(line) == nil {
-		t.Error(err)
+		t.Errorf("error %v, want a *LineError for line 2", err)
 	}
 	if err := parse("192", "-1"); !errors.Is(err, ErrNegativeLimits) {
-		t.Error(err)
+		t.Errorf("error %v, want %v", err, ErrNegativeLimits)
 	}
 	var setting *SettingError
 	var value *ValueError
 	err = parse(`"dialTimeoutS":0.4`, `"dialTimeoutS":"soon"`)
 	if !errors.As(err, &setting) || setting.Key != "limits.dialTimeoutS" {
-		t.Error(err)
+		t.Errorf("error %v, want a *SettingError for limits.dialTimeoutS", err)
 	}
 	if !errors.As(err, &value) || value.Value != "soon" {
-		t.Error(err)
+		t.Errorf("error %v, want a *ValueError for \"soon\"", err)
 	}
 	err = parse(`{"name":"stills","deadlineS":2.5,"effect":"retryable"}`, "7")
 	if !errors.As(err, &setting) || !errors.Is(err, ErrNotAnObject) {
-		t.Error(err)
+		t.Errorf("error %v, want a *SettingError with %v", err, ErrNotAnObject)
 	}
 	err = parse(`"limits":{"dialTimeoutS":0.4,"streamsPerConn":100}`, `"limits":7`)
 	if !errors.Is(err, ErrNotAnObject) {
-		t.Error(err)
+		t.Errorf("error %v, want %v", err, ErrNotAnObject)
 	}
 }
 
-// Reload uses the file's name and address, not the environment's, and rejects the file of another router.
-func TestReloadOfTheSameRouterOnly(t *testing.T) {
+// Reload uses the name and the address of the file, not those of the environment, and rejects a file for another
+// router.
+func TestReloadAcceptsOnlySameRouter(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(file), 0o600); err != nil {
 		t.Fatal(err)
@@ -150,17 +151,17 @@
 	}
 	running, err := Load(getenv)
 	if err != nil || running.Name != "n9" {
-		t.Fatal(running, err)
+		t.Fatalf("configuration %+v, error %v; want name n9", running, err)
 	}
 	var other *OtherRouterError
 	_, err = running.Reload(getenv)
-	if !errors.As(err, &other) || err.Error() != "configuration "+path+`: name: it is for router "n3"` {
-		t.Error(err)
+	if !errors.As(err, &other) || err.Error() != "configuration "+path+` is for router "n3", this is router "n9"` {
+		t.Errorf("error %v, want an *OtherRouterError for n3", err)
 	}
 	running.Name = "n3"
 	next, err := running.Reload(getenv)
 	if err != nil || running.RestartRequired(next) != "listen" {
-		t.Errorf("%+v, %v", next, err)
+		t.Errorf("configuration %+v, error %v; want a restart for listen only", next, err)
 	}
 	for _, c := range []struct{ name, old, new, want string }{
 		{
@@ -180,11 +181,11 @@
 			}
 			next, err := running.Reload(getenv)
 			if err != nil || running.RestartRequired(next) != c.want {
-				t.Errorf("%+v, %v", next, err)
+				t.Errorf("configuration %+v, error %v; want a restart for %q", next, err, c.want)
 			}
 		})
 	}
 	if _, err := running.Reload(func(string) string { return "" }); !errors.Is(err, ErrNoFile) {
-		t.Error(err)
+		t.Errorf("error %v, want %v", err, ErrNoFile)
 	}
 }
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// Errors of a configuration.
+// Errors of a configuration without a type of their own.
 var (
-	ErrNoFile         = errors.New("LB_CONFIG is not set: it names the configuration file")
-	ErrNegativeLimits = errors.New("limits: negative")
-	ErrNotAnObject    = errors.New("not an object")
+	ErrNoFile         = errors.New("LB_CONFIG is not set: it must be the path of the configuration file")
+	ErrNegativeLimits = errors.New("limits must not be negative")
+	ErrNotAnObject    = errors.New("not a JSON object")
 )
 
 // MissingError reports that a required field is missing.
 type MissingError struct {
-	Field string
+	Field string // key in the file
 }
 
 func (e *MissingError) Error() string { return e.Field + " is missing" }
@@ -43,16 +43,17 @@
 type OtherRouterError struct {
 	Path   string
 	Router string // name in the file
+	Own    string // name of the running router
 }
 
 func (e *OtherRouterError) Error() string {
-	return fmt.Sprintf("configuration %s: name: it is for router %q", e.Path, e.Router)
+	return fmt.Sprintf("configuration %s is for router %q, this is router %q", e.Path, e.Router, e.Own)
 }
 
 // SettingError reports a setting that can't be used.
 type SettingError struct {
 	Key string // in the file, such as limits.cancel
-	Err error  // a *ValueError or ErrNotAnObject
+	Err error  // wraps a *ValueError or ErrNotAnObject
 }
 
 func (e *SettingError) Error() string { return fmt.Sprintf("settings: %s: %v", e.Key, e.Err) }
@@ -63,6 +64,9 @@
 // ValueError reports a value of the wrong type.
 type ValueError struct {
 	Value any // as encoding/json decodes it
+	Want  any // a value of the right type
 }
 
-func (e *ValueError) Error() string { return fmt.Sprintf("unexpected value %#v", e.Value) }
+func (e *ValueError) Error() string {
+	return fmt.Sprintf("unexpected value %#v, want one of type %T", e.Value, e.Want)
+}
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -1,14 +1,14 @@
 package config
 
-// setting maps a setting of the file to the one of control.DecodeSettings.
+// setting maps a setting of the configuration file to a key of control.DecodeSettings.
 type setting struct {
-	group string // key of the object, or list of objects, that has the setting in the file; empty: the top level
-	key   string // in the file
-	name  string // for control.DecodeSettings
-	kind  kind
+	group     string // key of the object, or list of objects, with the setting in the file; empty: the top level
+	key       string // key of the setting in the file
+	name      string // key for control.DecodeSettings
+	valueType valueType
 }
 
-// settings are all settings that a router uses, in the order in which they are decoded.
+// settings lists all settings that a router uses, in the order in which they are decoded.
 var settings = []setting{
 	{"", "balancers", "routers", integer},
 	{"", "selfIndex", "router.place", integer},
@@ -58,11 +58,11 @@
 	{"obligations", "fallS", "cold.window", seconds},
 	{"obligations", "stopSendingWithinS", "drain.grace", seconds},
 	{"obligations", "graceToAnswerS", "answer.grace", seconds},
-	{"report", "fields", "report.fields", word},
+	{"report", "fields", "report.fields", translatedWord},
 	{"report", "source", "report.mode", text},
 	{"profiles", "name", "product.names", text},
 	{"profiles", "points", "product.payoff", number},
-	{"profiles", "effect", "product.effect", word},
+	{"profiles", "effect", "product.effect", translatedWord},
 	{"profiles", "keyScope", "product.scope", text},
 	{"profiles", "dedupWindowS", "product.window", seconds},
 	{"profiles", "onTimeS", "product.due", seconds},
@@ -73,8 +73,8 @@
 	{"callers", "marksRetry", "client.marksRepeats", flag},
 }
 
-// words translates the file's words into those of control.DecodeSettings. It applies to values of kind word only:
-// a class may have one of these words as its name, which is not translated.
+// words translates words of the file into those of control.DecodeSettings. It applies only to values of type
+// translatedWord: a name, such as that of a class, may be the same as one of these words and is not translated.
 var words = map[string]string{
 	"retryable": "harmless", "dedup": "stamped", "fragile": "one-shot",
 	"outstanding": "inHand", "utilization": "busy", "backlog": "queued", "recent_ms": "answerMs",
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -6,23 +6,23 @@
 	"testing"
 )
 
-// Names of locations, kinds and classes are not translated, even if one is the same as a word that is.
+// Names of locations, kinds and classes are not translated, even if a name is the same as a word in words.
 func TestNamesAreNotTranslated(t *testing.T) {
-	for wire := range words {
-		t.Run(wire, func(t *testing.T) {
+	for word := range words {
+		t.Run(word, func(t *testing.T) {
 			raw := fmt.Sprintf(`{"locality":%[1]q,"failureDomains":[%[1]q],"machineTypes":[%[1]q],
-				"profiles":[{"name":%[1]q,"effect":%[1]q}],"report":{"fields":[%[1]q]}}`, wire)
+				"profiles":[{"name":%[1]q,"effect":%[1]q}],"report":{"fields":[%[1]q]}}`, word)
 			settings, err := ParseSettings([]byte(raw))
 			if err != nil {
 				t.Fatal(err)
 			}
 			for key, want := range map[string]any{
-				"location":       wire,
-				"locations":      []string{wire},
-				"kinds":          []string{wire},
-				"product.names":  []string{wire},
-				"product.effect": []string{words[wire]},
-				"report.fields":  []string{words[wire]},
+				"location":       word,
+				"locations":      []string{word},
+				"kinds":          []string{word},
+				"product.names":  []string{word},
+				"product.effect": []string{words[word]},
+				"report.fields":  []string{words[word]},
 			} {
 				if got := settings[key]; !reflect.DeepEqual(got, want) {
 					t.Errorf("%s: %#v, want %#v", key, got, want)
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -13,10 +13,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bytesPerSecondSetting is the key under which control.DecodeSettings finds the file's flow_bytes_per_s.
+// bytesPerSecondSetting is the key for control.DecodeSettings of the file's flow_bytes_per_s.
 const bytesPerSecondSetting = "answer.bytesPerS"
 
-// fileContent is the JSON object of the configuration file.
+// fileContent is the JSON object in the configuration file.
 type fileContent struct {
 	Name, Listen, Seed, Journal string
 	Limits                      struct {
@@ -28,8 +28,8 @@
 	Known, Settings    json.RawMessage
 }
 
-// Parse decodes a configuration file. A name and an address for clients that are not empty take precedence over
-// the file's.
+// Parse decodes a configuration file. name is the router's name and listen its address for clients; if they are not
+// empty, they take precedence over those of the file.
 func Parse(raw []byte, name, listen string) (*Config, error) {
 	var parsed fileContent
 	if err := json.Unmarshal(raw, &parsed); err != nil {
@@ -53,7 +53,8 @@
 		return nil, err
 	}
 	if f.Limits.Cores < 0 || f.Limits.MemoryMB < 0 || f.Limits.Sockets < 0 {
-		return nil, ErrNegativeLimits
+		return nil, fmt.Errorf("%w: cores %g, memory_mb %d, sockets %d",
+			ErrNegativeLimits, f.Limits.Cores, f.Limits.MemoryMB, f.Limits.Sockets)
 	}
 	seed, err := parseSeed(f.Seed)
 	if err != nil {
@@ -80,8 +81,8 @@
 	}, nil
 }
 
-// rawSettings returns the settings for control.DecodeSettings, with the rate of responses, which the file has
-// outside its settings.
+// rawSettings returns the settings for control.DecodeSettings. They include the rate of responses, which is not among
+// the settings in the file.
 func (f *fileContent) rawSettings() (control.RawSettings, error) {
 	if len(f.Settings) == 0 {
 		return nil, &MissingError{Field: "settings"}
@@ -96,8 +97,8 @@
 	return settings, nil
 }
 
-// settingsDigest hashes settings as fmt prints them, sorted by name. The result is in stored snapshots, so a change
-// of it would make them unusable.
+// settingsDigest hashes settings as fmt prints them, sorted by key. Stored snapshots have the digest, so they would
+// become unusable if it changed for the same settings.
 func settingsDigest(settings control.RawSettings) uint64 {
 	return xxhash.Sum64String(fmt.Sprint(settings))
 }
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// parseSeed reads a seed; an empty one is 0.
+// parseSeed parses a hexadecimal seed. An empty text gives 0.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
@@ -125,7 +126,7 @@
 	return seed, nil
 }
 
-// withLine returns an error of the JSON decoder as a *LineError if it has an offset, else unchanged.
+// withLine returns an error of the JSON decoder as a *LineError if it has an offset, otherwise unchanged.
 func withLine(raw []byte, err error) error {
 	var syntaxError *json.SyntaxError
 	var typeError *json.UnmarshalTypeError
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,25 +10,25 @@
 	"tealpath/control"
 )
 
-// kind is the type of a setting's value in the file or, of a list, of its elements.
-type kind int
+// valueType is the type of a setting's value in the file. If the value is a list, it is the type of its elements.
+type valueType int
 
-// The kinds, with the types that they are decoded to.
+// The types of values, with the Go types to which they are decoded.
 const (
-	seconds kind = iota // a number, decoded as int64 nanoseconds
-	number              // float64
-	integer             // a number, decoded as int64
-	flag                // bool
-	text                // string
-	word                // string, translated by words
+	seconds        valueType = iota // a number, decoded as int64 nanoseconds
+	number                          // float64
+	integer                         // a number, decoded as int64
+	flag                            // bool
+	text                            // string
+	translatedWord                  // string, translated according to words
 )
 
-// nanosecondsPerSecond converts the file's unit of durations to that of package control.
+// nanosecondsPerSecond converts durations from the file's unit to that of package control.
 const nanosecondsPerSecond = 1e9
 
-// ParseSettings reads the settings of a configuration file and returns them under the keys that
-// control.DecodeSettings takes. Unknown keys are skipped, absent ones are left out. A setting that can't be
-// read is a *SettingError.
+// ParseSettings decodes the settings of a configuration file and returns them under the keys of
+// control.DecodeSettings. It ignores unknown keys, and the result lacks settings that the file lacks. If a setting
+// can't be decoded, the error is a *SettingError.
 func ParseSettings(raw []byte) (control.RawSettings, error) {
 	var groups map[string]any
 	if err := json.Unmarshal(raw, &groups); err != nil {
@@ -51,8 +51,8 @@
 	return decoded, nil
 }
 
-// decode returns the setting's value in its group, nil if it is absent. If the group is a list of objects, the
-// value is the list of the objects' values.
+// decode returns the setting's value in its group, nil if it is absent. If the group is a list of objects, the result
+// is a list with the value in each object.
 func (s setting) decode(group any) (any, error) {
 	switch group := group.(type) {
 	case nil:
@@ -62,82 +62,82 @@
 		case nil:
 			return nil, nil
 		case []any:
-			return s.kind.decodeList(value)
+			return s.valueType.decodeList(value)
 		default:
-			return s.kind.decode(value)
+			return s.valueType.decode(value)
 		}
 	case []any:
-		values, err := column(group, s.key)
+		values, err := valuesOfKey(group, s.key)
 		if err != nil {
 			return nil, err
 		}
-		return s.kind.decodeList(values)
+		return s.valueType.decodeList(values)
 	}
-	return nil, ErrNotAnObject
+	return nil, fmt.Errorf("%s is %w: %#v", s.group, ErrNotAnObject, group)
 }
 
-// column returns the values of one key in a list of objects, nil where it is absent.
-func column(objects []any, key string) ([]any, error) {
+// valuesOfKey returns the values of one key in a list of objects, nil for an object without the key.
+func valuesOfKey(objects []any, key string) ([]any, error) {
 	values := make([]any, len(objects))
 	for i, item := range objects {
 		object, ok := item.(map[string]any)
 		if !ok {
-			return nil, ErrNotAnObject
+			return nil, fmt.Errorf("element %d is %w: %#v", i, ErrNotAnObject, item)
 		}
 		values[i] = object[key]
 	}
 	return values, nil
 }
 
-// decode decodes one value. nil, for an absent one, gives the zero value of the kind's type.
-func (k kind) decode(value any) (any, error) {
-	switch k {
+// decode decodes one value. A nil value, which stands for an absent one, gives the zero value of the Go type.
+func (t valueType) decode(value any) (any, error) {
+	switch t {
 	case seconds:
-		duration, err := as[float64](value)
+		duration, err := asType[float64](value)
 		return int64(math.Round(duration * nanosecondsPerSecond)), err
 	case number:
-		return as[float64](value)
+		return asType[float64](value)
 	case integer:
-		count, err := as[float64](value)
+		count, err := asType[float64](value)
 		return int64(count), err
 	case flag:
-		return as[bool](value)
-	case word:
-		wireWord, err := as[string](value)
-		return cmp.Or(words[wireWord], wireWord), err
+		return asType[bool](value)
+	case translatedWord:
+		fileWord, err := asType[string](value)
+		return cmp.Or(words[fileWord], fileWord), err
 	}
-	return as[string](value)
+	return asType[string](value)
 }
 
-// as returns a value as a T, the zero value if it is nil, and a *ValueError if it is of another type.
-func as[T any](value any) (typed T, err error) {
+// asType returns a value as a T, the zero value if it is nil, and a *ValueError if it has another type.
+func asType[T any](value any) (typed T, err error) {
 	typed, ok := value.(T)
 	if !ok && value != nil {
-		return typed, &ValueError{Value: value}
+		return typed, &ValueError{Value: value, Want: typed}
 	}
 	return typed, nil
 }
 
-// decodeList decodes a list of values of the kind.
-func (k kind) decodeList(values []any) (any, error) {
-	switch k {
+// decodeList decodes a list of values.
+func (t valueType) decodeList(values []any) (any, error) {
+	switch t {
 	case seconds, integer:
-		return decodeElements[int64](k, values)
+		return decodeElements[int64](t, values)
 	case number:
-		return decodeElements[float64](k, values)
+		return decodeElements[float64](t, values)
 	case flag:
-		return decodeElements[bool](k, values)
+		return decodeElements[bool](t, values)
 	}
-	return decodeElements[string](k, values)
+	return decodeElements[string](t, values)
 }
 
-// decodeElements decodes a list of values of a kind whose type is T.
-func decodeElements[T any](k kind, values []any) (any, error) {
+// decodeElements decodes a list of values whose Go type is T.
+func decodeElements[T any](t valueType, values []any) (any, error) {
 	decoded := make([]T, len(values))
 	for i, value := range values {
-		element, err := k.decode(value)
+		element, err := t.decode(value)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("element %d: %w", i, err)
 		}
 		decoded[i] = element.(T)
 	}
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// everySetting has each group of settings and a value of each kind.
+// everySetting has settings of each group and of each value type.
 const everySetting = `{"balancers":900,"selfIndex":3,"locality":"east","failureDomains":["hub","east"],"machineTypes":["std",
   "parent","origin"],
  "discovery":"push","weights":"nominal","worthBy":"answer",
@@ -26,8 +26,8 @@
   {"name":"sign-off","points":1,"effect":"dedup","keyScope":"cell","dedupWindowS":1,"onTimeS":0.25,
   "deadlineS":1}]}`
 
-// A snapshot has the digest of the settings' text, so neither keys nor types may change. This is the text of commit
-// 9be9074, whose snapshots can still be read.
+// Snapshots have the digest of the settings as fmt prints them, so neither keys nor types may change. The expected
+// text is that of commit 9be9074, whose snapshots can still be read.
 func TestTextOfSettingsIsUnchanged(t *testing.T) {
 	set, err := ParseSettings([]byte(everySetting))
 	if err != nil {
@@ -46,14 +46,14 @@
 		`report.fields:[inHand busy] report.mode:answers router.place:3 routers:900 units:nominal]`
 	got := fmt.Sprint(set)
 	if got != want {
-		t.Errorf("%s\nwant %s", got, want)
+		t.Errorf("settings %s\nwant %s", got, want)
 	}
 	if digest := xxhash.Sum64String(got); digest != 0x359606f899bd13e2 {
-		t.Errorf("digest %#x", digest)
+		t.Errorf("digest %#x, want 0x359606f899bd13e2", digest)
 	}
 }
 
-// Each setting has the type that control.DecodeSettings takes.
+// Each setting has the type that control.DecodeSettings expects.
 func TestSettingsCanBeDecodedByControl(t *testing.T) {
 	raw, err := ParseSettings([]byte(everySetting))
 	if err != nil {
@@ -64,20 +64,20 @@
 	}
 }
 
-// The digests are those that commit eeedb81 stored in snapshots.
+// The expected digests are those that commit eeedb81 stores in snapshots.
 func TestSettingsDigestIsUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name, content string
 		want          uint64
 	}{
-		{"a few settings", file, 0xe4f833b541764e13},
+		{"some settings", file, 0xe4f833b541764e13},
 		{
-			"an unknown rate of responses",
+			"no flow_bytes_per_s",
 			strings.Replace(file, `"flow_bytes_per_s":310000,`, "", 1),
 			0xfdeb61330dc015e7,
 		},
 		{
-			"each group",
+			"settings of each group",
 			`{"listen":"127.0.0.4:10080","journal":"127.2.0.1:2379","flow_bytes_per_s":310000,"settings":` +
 				everySetting + `}`,
 			0xf82c469b4c23d64e,
@@ -86,7 +86,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			config, err := Parse([]byte(c.content), "", "")
 			if err != nil || config.SettingsDigest != c.want {
-				t.Errorf("digest %#x, %v", config.SettingsDigest, err)
+				t.Errorf("digest %#x, want %#x; error %v", config.SettingsDigest, c.want, err)
 			}
 		})
 	}
--- a/internal/lifecycle/restore/confirmation.go
+++ b/internal/lifecycle/restore/confirmation.go
@@ -42,8 +42,8 @@
 	return c.decide(c != nil && position == c.Position && digest == c.Digest)
 }
 
-// ObserveComment returns the outcome of a comment of the service. A comment before any event means that the service has
-// no event after the position of ResumeAfter, so it does not have the event at Position.
+// ObserveComment returns the outcome of a comment of the service. A comment before any event means that the service
+// has no event after the position of ResumeAfter, so it does not have the event at Position.
 func (c *ListConfirmation) ObserveComment() Outcome { return c.decide(false) }
 
 // decide returns the outcome of the first observation, and Pending for all later ones.
--- a/internal/lifecycle/startup/listfilter.go
+++ b/internal/lifecycle/startup/listfilter.go
@@ -61,7 +61,8 @@
 	unconfirmedAt int64 // 0: no list is unconfirmed
 }
 
-// Evaluate returns the verdict on a list that is received now. If it is Accept, later lists are compared with this one.
+// Evaluate returns the verdict on a list that is received now. If it is Accept, later lists are compared with this
+// one.
 func (f *ListFilter) Evaluate(now int64, next ListSummary) Verdict {
 	verdict := f.verdict(now, next)
 	switch verdict {
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -51,7 +51,7 @@
 	// call a service that truncates all its answers more often.
 	maxTruncatedRetries  = 2
 	truncatedRetrySpread = 20 * millisecond
-	maxTruncatedAge      = second // on an older connection the service has sent all earlier changes, and a comment
+	maxTruncatedAge      = second // by then the service has sent all earlier changes: it sends a comment each second
 
 	// A call that this machine could not make is retried soon, since it put no load on the service. If many
 	// routers of one machine wait for the same descriptors, their calls are spread as after a disconnect.
@@ -69,7 +69,7 @@
 	maxFirstByteTimeout     = 7 * second
 	firstByteTimeoutGrowth  = 4
 
-	// Reading an event may stall for the shortest grace period divided by stallGraceDivisor.
+	// Within an event, the timeout of the next byte is the shortest grace period divided by stallGraceDivisor.
 	stallGraceDivisor = 3
 	maxStallTimeout   = silenceTimeout
 )
@@ -141,7 +141,7 @@
 // SetDrainGrace sets the shortest time within which the router has to act on a watch event, ns; 0: unknown.
 func (s *CallSchedule) SetDrainGrace(grace int64) { s.grace = grace }
 
-// StallTimeout returns the timeout for the rest of an event of which a part was received, ns.
+// StallTimeout returns how long to wait for the next byte within an event, ns.
 func (s *CallSchedule) StallTimeout() int64 {
 	if s.grace <= 0 {
 		return maxStallTimeout
@@ -149,7 +149,7 @@
 	return min(s.grace/stallGraceDivisor, maxStallTimeout)
 }
 
-// ReadTimeout returns the timeout for the first byte of an answer or, after that, of the next event or comment, ns.
+// ReadTimeout returns how long to wait for the first byte of an answer, or after that of an event or comment, ns.
 func (s *CallSchedule) ReadTimeout() int64 {
 	if s.hasData {
 		return silenceTimeout
--- a/internal/lifecycle/startup/schedule_test.go
+++ b/internal/lifecycle/startup/schedule_test.go
@@ -90,8 +90,8 @@
 	}
 }
 
-// After a disconnect, a silence or a change of address, and at the start, a router calls the service early enough to be
-// answered before the notification deadline, for any number of routers and any seed.
+// After a disconnect, a silence or a change of address, and at the start, a router calls the service early enough to
+// be answered before the notification deadline, for any number of routers and any seed.
 func TestCallsBeforeTheNotificationDeadline(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -221,8 +221,8 @@
 	}
 }
 
-// A truncated answer is requested again almost at once, but only maxTruncatedRetries times in a row, so that hundreds of
-// routers do not overload a service that truncates all its answers.
+// A truncated answer is requested again almost at once, but only maxTruncatedRetries times in a row, so that hundreds
+// of routers do not overload a service that truncates all its answers.
 func TestTruncatedAnswersAreRetriedFewTimes(t *testing.T) {
 	for seed := range uint64(50) {
 		schedule := NewCallSchedule(seed, 300, ReadinessHold{})
@@ -260,7 +260,7 @@
 		schedule := NewCallSchedule(1, 1, ReadinessHold{})
 		schedule.SetDrainGrace(test.grace)
 		if got := schedule.StallTimeout(); got != test.want {
-			t.Errorf("a grace period of %d ms: a stall timeout of %d ns, want %d",
+			t.Errorf("a grace period of %d ms: the stall timeout is %d ns, want %d ns",
 				test.grace/millisecond, got, test.want)
 		}
 	}
--- a/internal/logevent/logevent.go
+++ b/internal/logevent/logevent.go
@@ -1,6 +1,6 @@
-// Package logevent defines the interface of log events: each kind of log line is a small struct type. Packages
-// define their events in a file logevents.go. The server writes them as JSON (server.WriteEvent), the adapter to
-// the simulator as text (Text).
+// Package logevent defines the interface of log events: each kind of log line is a small struct type. Packages define
+// their events in a file logevents.go. The server writes events as JSON (server.WriteEvent), the adapter to the
+// simulator (internal/simulator) writes them as text (Text).
 package logevent
 
 import (
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// Level says how urgent an event is.
+// Level is the urgency of an event.
 type Level int8
 
 // The levels.
 const (
 	Info  Level = iota // a change that needs no action
-	Warn               // service may be degraded until it is over
+	Warn               // a fault that may degrade the service while it lasts
 	Error              // a failure that an operator has to look at
 )
 
@@ -30,21 +30,22 @@
 	return "info"
 }
 
-// Kind is what all events of one type have in common.
+// Kind has the properties that all events of one type have in common.
 type Kind struct {
-	Name    string // stable, for scripts; in snake_case
+	Name    string // for scripts, so it does not change; in snake_case
 	Level   Level
-	Message string // for people; it has no values in it
+	Message string // for people; a fixed text without values
 }
 
 // Event is one line of the log: a struct whose exported fields with a tag `log:"name"` are the line's fields. With
-// `log:"name,omitempty"` a zero value is left out. A time.Duration is written in milliseconds, so its name ends in
-// _ms.
+// `log:"name,omitempty"` a zero value is left out. A time.Duration is written in milliseconds, so the name in its tag
+// ends in _ms.
 type Event interface {
+	// Kind returns the event's name, level and message.
 	Kind() Kind
 }
 
-// Field is one value of an event.
+// Field is one named value of an event.
 type Field struct {
 	Name  string
 	Value any
@@ -55,7 +56,8 @@
 	omitEmpty = "omitempty"
 )
 
-// Fields returns the fields of an event, in the order of its type, without zero values of omitempty.
+// Fields returns the fields of an event, in the order of its type. Fields with omitempty and a zero value are left
+// out.
 func Fields(event Event) []Field {
 	value := reflect.Indirect(reflect.ValueOf(event))
 	if value.Kind() != reflect.Struct {
@@ -74,13 +76,13 @@
 
 // FieldNames returns the names of all fields that an event of this type may have, in the order of its type.
 func FieldNames(event Event) []string {
-	kind := reflect.Indirect(reflect.ValueOf(event)).Type()
-	if kind.Kind() != reflect.Struct {
+	eventType := reflect.Indirect(reflect.ValueOf(event)).Type()
+	if eventType.Kind() != reflect.Struct {
 		return nil
 	}
 	var names []string
-	for i := range kind.NumField() {
-		if name, _, _ := strings.Cut(kind.Field(i).Tag.Get(fieldTag), ","); name != "" {
+	for i := range eventType.NumField() {
+		if name, _, _ := strings.Cut(eventType.Field(i).Tag.Get(fieldTag), ","); name != "" {
 			names = append(names, name)
 		}
 	}
--- a/internal/snapshot/compatible_test.go
+++ b/internal/snapshot/compatible_test.go
@@ -14,7 +14,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// firstFile was written by Write of commit 9be9074, from the value in TestFileOfFirstVersionIsCompatible.
+// firstFile was written by commit 9be9074 from the snapshot in TestFileOfFirstVersionIsCompatible.
 var firstFile = filepath.Join("testdata", "9be9074.snapshot")
 
 // firstEndpoints is the endpoint list of firstFile.
@@ -59,7 +59,7 @@
 	},
 }
 
-// firstMemory is what the policy had learned according to firstFile.
+// firstMemory is the memory of the policy in firstFile.
 var firstMemory = control.Snapshot{
 	StartedAt:       1764575000000000001,
 	TakenAt:         1764576123456789001,
@@ -97,8 +97,8 @@
 	},
 }
 
-// A file of commit 9be9074 is read with all its fields, and a file written now can be read by that commit: Go names of
-// fields may have changed, stored names have not.
+// A file of commit 9be9074 is read with all its fields, and this program writes all fields that that commit reads: the
+// Go names of fields may differ, the stored names may not.
 func TestFileOfFirstVersionIsCompatible(t *testing.T) {
 	got, err := NewStore(firstFile).Read()
 	if err != nil {
@@ -130,17 +130,17 @@
 	expectFields(t, "", decodeContent(t, written), decodeContent(t, raw))
 }
 
-// decodeContent decodes a file's content without the types of this program.
+// decodeContent decodes a file's content into maps and lists, without the struct types of this program.
 func decodeContent(t *testing.T, raw []byte) (content any) {
 	t.Helper()
-	if err := cbor.Unmarshal(raw[headBytes:], &content); err != nil {
+	if err := cbor.Unmarshal(raw[headerBytes:], &content); err != nil {
 		t.Fatal(err)
 	}
 	return content
 }
 
-// expectFields checks that content has all fields of another, by name, with equal values. path is where they are in
-// the content, for messages.
+// expectFields checks that decoded content has all fields of another, by name, with equal values. path is the position
+// in the content, for failure messages.
 func expectFields(t *testing.T, path string, have, want any) {
 	t.Helper()
 	switch want := want.(type) {
@@ -152,7 +152,7 @@
 	case []any:
 		items, _ := have.([]any)
 		if len(items) != len(want) {
-			t.Errorf("%s: %d items are written, %d were", path, len(items), len(want))
+			t.Errorf("%s: %d items, want %d", path, len(items), len(want))
 			return
 		}
 		for i, value := range want {
@@ -160,7 +160,7 @@
 		}
 	default:
 		if !reflect.DeepEqual(have, want) {
-			t.Errorf("%s: %v is written, %v was", path, have, want)
+			t.Errorf("%s: %v, want %v", path, have, want)
 		}
 	}
 }
--- a/internal/snapshot/disk_test.go
+++ b/internal/snapshot/disk_test.go
@@ -9,13 +9,14 @@
 	"slices"
 )
 
-// errKilled is the error of every operation after the simulated process was killed. The operation has no effect.
+// errKilled is the error of every operation once the simulated process was killed. The operation has no effect.
 var errKilled = errors.New("killed")
 
-// inode is the content of a file: as processes read it, and as it is on the disk after a loss of power.
+// inode is the content of a file: as processes read it (data), and as it is on the disk after a loss of power
+// (durable).
 type inode struct {
 	data, durable []byte
-	failed        bool // an fsync failed: the kernel marked the pages as clean, they are never written
+	failed        bool // an fsync failed: the kernel marked the pages as clean, so they are never written
 }
 
 // simulatedDisk is a FileSystem in memory. Its operations can be made to fail, its process can be killed after any
@@ -28,6 +29,7 @@
 	killAfter int               // steps until the process is killed: each call is a step, and each byte of a write
 }
 
+// never is a number of steps that no test reaches.
 const never = 1 << 30
 
 func newSimulatedDisk() *simulatedDisk {
@@ -39,7 +41,7 @@
 	}
 }
 
-// step begins an operation, and returns the error with which it fails, if any.
+// step records the start of an operation and returns the error with which it fails, if any.
 func (d *simulatedDisk) step(operation string) error {
 	if d.killAfter--; d.killAfter < 0 {
 		return errKilled
@@ -102,6 +104,7 @@
 	return nil
 }
 
+// simulatedFile is a file of a simulatedDisk that is open for writing.
 type simulatedFile struct {
 	disk *simulatedDisk
 	*inode
--- a/internal/snapshot/filesystem.go
+++ b/internal/snapshot/filesystem.go
@@ -8,13 +8,13 @@
 	"syscall"
 )
 
-// FileSystem is the file operations that a Store needs. Tests replace it by file systems that fail.
+// FileSystem has the file operations that a Store needs. Tests use file systems whose operations fail.
 type FileSystem interface {
 	// Open opens a file for reading.
 	Open(path string) (io.ReadCloser, error)
-	// Create makes a new file for writing. It fails with os.ErrExist where there is one.
+	// Create creates a file for writing. It fails with os.ErrExist if the file exists.
 	Create(path string) (File, error)
-	// Rename renames a file, and replaces the one that has the new name.
+	// Rename renames a file. It replaces a file that already has the new name.
 	Rename(from, to string) error
 	// Remove deletes a file.
 	Remove(path string) error
@@ -35,12 +35,12 @@
 // Open opens a file for reading.
 func (osFileSystem) Open(path string) (io.ReadCloser, error) { return os.Open(path) }
 
-// Create makes a new file that only this user reads.
+// Create creates a file that only this user may read and write.
 func (osFileSystem) Create(path string) (File, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 }
 
-// Rename renames a file, and replaces the one that has the new name.
+// Rename renames a file. It replaces a file that already has the new name.
 func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove deletes a file.
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -12,37 +12,37 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A file is the magic, the version, the content's length, the content's digest (XXH64), and the content (CBOR,
-// RFC 8949). Numbers are big-endian.
+// A file consists of a header and the content (CBOR, RFC 8949). The header has the magic, the version, the length of
+// the content, and its digest (XXH64). Numbers are big-endian.
 const (
 	magic = "tealpath snapshot\n"
 
 	versionBytes = 4
 	lengthBytes  = 8
 	digestBytes  = 8
-	headBytes    = len(magic) + versionBytes + lengthBytes + digestBytes
+	headerBytes  = len(magic) + versionBytes + lengthBytes + digestBytes
 )
 
-// Bounds on what is read.
+// Limits that keep a damaged file from using much memory.
 const (
-	// maxFileBytes bounds a file: 10,000 objects and 10,000 endpoints with long names take under 4 MB.
+	// maxFileBytes limits the size of a file: 10,000 objects and 10,000 endpoints with long names take under 4 MB.
 	maxFileBytes = 8 << 20
 
-	// maxArrayElements bounds each list of a file, maxMapPairs the fields of each structure.
+	// maxArrayElements limits the length of each list in a file, maxMapPairs the number of fields of each struct.
 	maxArrayElements = 1 << 17
 	maxMapPairs      = 1 << 12
 )
 
 // ErrCorrupt reports a file that is incomplete, damaged, or not a snapshot.
-var ErrCorrupt = errors.New("torn, or no snapshot")
+var ErrCorrupt = errors.New("the file is incomplete, damaged or not a snapshot")
 
 // SizeError reports a snapshot that is too large to be stored.
 type SizeError struct {
-	Bytes int // its size
+	Bytes int // size of the snapshot's file
 }
 
 func (e *SizeError) Error() string {
-	return fmt.Sprintf("a snapshot of %d bytes, %d can be", e.Bytes, maxFileBytes)
+	return fmt.Sprintf("the snapshot has %d bytes, at most %d are allowed", e.Bytes, maxFileBytes)
 }
 
 // Encode returns the content of a snapshot's file.
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, err
 	}
-	file := make([]byte, 0, headBytes+len(content))
+	file := make([]byte, 0, headerBytes+len(content))
 	file = append(file, magic...)
 	file = binary.BigEndian.AppendUint32(file, uint32(snapshot.Version))
 	file = binary.BigEndian.AppendUint64(file, uint64(len(content)))
@@ -59,24 +59,26 @@
 	return append(file, content...), nil
 }
 
-// Decode decodes the content of a snapshot's file. Of another version than restore.FormatVersion it returns a
-// snapshot with nothing but the version, and no error. The error is ErrCorrupt if the file is incomplete, damaged,
-// or not a snapshot.
+// Decode decodes the content of a snapshot's file. If its version is not restore.FormatVersion, it returns a snapshot
+// that has only the version, and no error. The error is ErrCorrupt if the file is incomplete, damaged or not a
+// snapshot.
 func Decode(file []byte) (Snapshot, error) {
-	if len(file) < headBytes || !bytes.HasPrefix(file, []byte(magic)) {
-		return Snapshot{}, ErrCorrupt
+	if len(file) < headerBytes || !bytes.HasPrefix(file, []byte(magic)) {
+		return Snapshot{}, fmt.Errorf("%w: it has %d bytes, and must have a header of %d bytes that begins with %q",
+			ErrCorrupt, len(file), headerBytes, magic)
 	}
-	head, content := file[len(magic):headBytes], file[headBytes:]
-	version := int(binary.BigEndian.Uint32(head))
-	length := binary.BigEndian.Uint64(head[versionBytes:])
-	digest := binary.BigEndian.Uint64(head[versionBytes+lengthBytes:])
+	header, content := file[len(magic):headerBytes], file[headerBytes:]
+	version := int(binary.BigEndian.Uint32(header))
+	length := binary.BigEndian.Uint64(header[versionBytes:])
+	digest := binary.BigEndian.Uint64(header[versionBytes+lengthBytes:])
 
 	snapshot := Snapshot{Header: restore.Header{Version: version}}
 	if version != restore.FormatVersion {
 		return snapshot, nil
 	}
 	if length != uint64(len(content)) || digest != xxhash.Sum64(content) {
-		return snapshot, ErrCorrupt
+		return snapshot, fmt.Errorf("%w: the content has %d bytes and digest %#x, its header states %d bytes and %#x",
+			ErrCorrupt, len(content), xxhash.Sum64(content), length, digest)
 	}
 	mode, err := cbor.DecOptions{MaxArrayElements: maxArrayElements, MaxMapPairs: maxMapPairs}.DecMode()
 	if err != nil {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,7 +1,7 @@
 // Package snapshot stores snapshots of a router's state in a file, for its next start. A snapshot is written to a
 // temporary file, synced to the disk and renamed, so that the file is always complete: either the new one or the
-// previous one. A digest reveals a damaged file. Package restore (internal/lifecycle/restore) decides which parts
-// of a snapshot are used.
+// previous one. A digest detects damaged files. Package restore (internal/lifecycle/restore) decides which parts of a
+// snapshot are used.
 package snapshot
 
 import (
@@ -10,14 +10,14 @@
 	"tealpath/internal/router"
 )
 
-// MaxObjects bounds the objects whose request rates are stored.
+// MaxObjects is the largest number of objects whose request rates are stored.
 const MaxObjects = 10_000
 
-// Snapshot is the state of a router that is stored. Fields are stored as CBOR under their names, or those of their
-// tags. These must not change, so that other versions of the program can read them.
+// Snapshot is the stored state of a router. Its fields are stored as CBOR under their Go names, or under the names in
+// their tags. The stored names must not change, so that other versions of the program can read the file.
 type Snapshot struct {
 	restore.Header
-	Position  int64                  // of the last watch event of the discovery service; 0: there was none
+	Position  int64                  // of the last processed watch event; 0: there was none
 	Digest    uint64                 // of that event's text
 	Endpoints []router.EndpointEntry `cbor:"Members"`
 	Memory    control.Snapshot
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -13,7 +13,7 @@
 	"tealpath/internal/router"
 )
 
-// testSnapshot returns a snapshot with an item in each of its lists.
+// testSnapshot returns a snapshot with one item in each list.
 func testSnapshot() Snapshot {
 	endpoint := control.Endpoint{Phase: "ready", Capacity: 4}
 	return Snapshot{
@@ -39,23 +39,23 @@
 func TestRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "kept")
 	if _, err := NewStore(path).Read(); !errors.Is(err, os.ErrNotExist) {
-		t.Error(err)
+		t.Errorf("error %v for a file that does not exist, want %v", err, os.ErrNotExist)
 	}
 	if err := NewStore(path).Write(testSnapshot()); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := NewStore(path).Read(); err != nil || !reflect.DeepEqual(got, testSnapshot()) {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("read %+v, error %v; want %+v", got, err, testSnapshot())
 	}
 	if err := NewStore(filepath.Join(path, "no")).Write(testSnapshot()); err == nil {
-		t.Error("written into a directory that is a file")
+		t.Error("no error for a path below a regular file")
 	}
 	if _, err := os.Stat(path + ".new"); !errors.Is(err, os.ErrNotExist) {
-		t.Error("the temporary file is left")
+		t.Errorf("the temporary file is still there: error %v", err)
 	}
 }
 
-// A file that was cut short, or in which any byte has changed, is corrupt or of another version.
+// A truncated file is corrupt. If any one byte is changed, the file is corrupt or has another version.
 func TestDamagedFilesAreCorrupt(t *testing.T) {
 	raw, err := Encode(testSnapshot())
 	if err != nil {
@@ -63,12 +63,12 @@
 	}
 	for n := range raw {
 		if _, err := Decode(raw[:n]); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("cut to %d bytes: %v", n, err)
+			t.Fatalf("truncated to %d bytes: error %v, want %v", n, err, ErrCorrupt)
 		}
 		damaged := bytes.Clone(raw)
 		damaged[n] ^= 0x40
 		if s, err := Decode(damaged); !errors.Is(err, ErrCorrupt) && s.Version == restore.FormatVersion {
-			t.Fatalf("byte %d changed: %+v, %v", n, s, err)
+			t.Fatalf("byte %d changed: decoded %+v, error %v, want %v", n, s, err, ErrCorrupt)
 		}
 	}
 	path := filepath.Join(t.TempDir(), "kept")
@@ -76,10 +76,11 @@
 		t.Fatal(err)
 	}
 	if _, err := NewStore(path).Read(); !errors.Is(err, ErrCorrupt) {
-		t.Error(err)
+		t.Errorf("error %v for a file that is too large, want %v", err, ErrCorrupt)
 	}
 }
 
+// FuzzDecode checks that whatever can be decoded can be encoded.
 func FuzzDecode(f *testing.F) {
 	raw, err := Encode(testSnapshot())
 	if err != nil {
@@ -90,7 +91,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if s, err := Decode(raw); err == nil && s.Version == restore.FormatVersion {
 			if _, err := Encode(s); err != nil {
-				t.Error(err)
+				t.Errorf("decoded %+v, which can't be encoded: %v", s, err)
 			}
 		}
 	})
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -8,19 +8,19 @@
 	"path/filepath"
 )
 
-// temporarySuffix is appended to the name of the file to get that of the temporary file.
+// temporarySuffix is appended to the path of the snapshot's file to get the path of the temporary file.
 const temporarySuffix = ".new"
 
-// Store stores one snapshot in a file. It is not safe for use by two goroutines at once.
+// Store stores one snapshot in a file. It is not safe for concurrent use.
 type Store struct {
 	path  string
 	files FileSystem
 }
 
-// NewStore returns a store whose file is at a path.
+// NewStore returns a store whose file has the given path.
 func NewStore(path string) *Store { return NewStoreWithFileSystem(osFileSystem{}, path) }
 
-// NewStoreWithFileSystem returns a store whose file is at a path of a file system.
+// NewStoreWithFileSystem returns a store whose file has the given path in a file system.
 func NewStoreWithFileSystem(files FileSystem, path string) *Store {
 	return &Store{path: path, files: files}
 }
@@ -28,12 +28,12 @@
 // temporaryPath returns the path of the temporary file.
 func (s *Store) temporaryPath() string { return s.path + temporarySuffix }
 
-// Write replaces the file by a snapshot. If it fails, or the process ends meanwhile, the file is the previous one
-// or the new one, complete. A snapshot that is too large is a *SizeError.
+// Write replaces the file with a new snapshot. If it fails, or the process ends before it returns, the file is either
+// the previous one or the new one, and complete. If the snapshot is too large, the error is a *SizeError.
 //
-// After an error, which of the two files a machine has after a loss of power is undefined. The next call writes
-// everything to a new temporary file: after a failed fsync the kernel may have marked pages as clean that it could
-// not write, so that another fsync of the same file would succeed although nothing was written.
+// If Write fails and the machine then loses power, either of the two files may be there afterwards. The next call
+// writes everything to a new temporary file: after a failed fsync the kernel may have marked pages as clean that it
+// could not write, so another fsync of the same file would succeed although nothing was written.
 func (s *Store) Write(snapshot Snapshot) error {
 	content, err := Encode(snapshot)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// RemoveTemporary deletes the temporary file that an unfinished Write, of this process or an earlier one, has left.
+// RemoveTemporary deletes the temporary file that an unfinished Write of this process or an earlier one has left.
 func (s *Store) RemoveTemporary() error {
 	if err := s.files.Remove(s.temporaryPath()); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return err
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Read reads the file. The error is os.ErrNotExist if there is none, and ErrCorrupt if it is incomplete, damaged,
-// or not a snapshot. See Decode for files of other versions.
+// Read reads the file. The error is os.ErrNotExist if there is no file, and ErrCorrupt if it is incomplete, damaged or
+// not a snapshot. See Decode for files of other versions.
 func (s *Store) Read() (Snapshot, error) {
 	file, err := s.files.Open(s.path)
 	if err != nil {
@@ -91,7 +91,7 @@
 	case err != nil:
 		return Snapshot{}, err
 	case len(content) > maxFileBytes:
-		return Snapshot{}, fmt.Errorf("%w: over %d bytes", ErrCorrupt, maxFileBytes)
+		return Snapshot{}, fmt.Errorf("%w: it has more than %d bytes", ErrCorrupt, maxFileBytes)
 	}
 	return Decode(content)
 }
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -20,10 +20,10 @@
 	"tealpath/internal/router"
 )
 
-// path is the path of the snapshot on a simulatedDisk.
+// path is the path of the snapshot's file on a simulatedDisk.
 const path = "folder/kept"
 
-// numbered returns a snapshot that differs from others by its number.
+// numbered returns a snapshot with a number as its position, so that snapshots can be told apart.
 func numbered(number int64) Snapshot {
 	s := testSnapshot()
 	s.Position = number
@@ -41,8 +41,8 @@
 	return disk
 }
 
-// storedNumber returns the number of the snapshot that a process reads at its start, after it has removed the temporary
-// file. It fails the test if there are other files.
+// storedNumber removes the temporary file, as a process does at its start, and returns the number of the snapshot that
+// is stored. The test fails if the disk has other files.
 func storedNumber(t *testing.T, disk *simulatedDisk) int64 {
 	t.Helper()
 	store := NewStoreWithFileSystem(disk, path)
@@ -51,16 +51,16 @@
 	}
 	got, err := store.Read()
 	if err != nil || !reflect.DeepEqual(got, numbered(got.Position)) {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("read %+v, error %v; want one of the numbered snapshots", got, err)
 	}
 	if len(disk.names) != 1 {
-		t.Fatalf("%d files are left", len(disk.names))
+		t.Fatalf("%d files on the disk, want 1", len(disk.names))
 	}
 	return got.Position
 }
 
-// The process is killed, or the power is lost, before and after each operation and each byte of the write. The next
-// process always reads the previous snapshot or the new one, complete, and can write another.
+// The process is killed, or the power is lost, before and after each operation and each byte of a write. The next
+// process always reads the complete previous snapshot or the complete new one, and can write another.
 func TestEveryCrashPoint(t *testing.T) {
 	found := map[int64]int{}
 	for after := 0; ; after++ {
@@ -70,11 +70,12 @@
 		for i, next := range append(disk.afterPowerLoss(), disk.restarted()) {
 			number := storedNumber(t, next)
 			if number != 2 && (number != 1 || err == nil) {
-				t.Fatalf("killed after %d steps, outcome %d: snapshot %d, written with %v", after, i, number, err)
+				t.Fatalf("killed after %d steps, disk %d: snapshot %d is stored, Write returned %v",
+					after, i, number, err)
 			}
 			found[number]++
 			if err := NewStoreWithFileSystem(next, path).Write(numbered(3)); err != nil || storedNumber(t, next) != 3 {
-				t.Fatalf("killed after %d steps, outcome %d: the next is not stored, %v", after, i, err)
+				t.Fatalf("killed after %d steps, disk %d: snapshot 3 is not stored, error %v", after, i, err)
 			}
 		}
 		if err == nil {
@@ -82,12 +83,12 @@
 		}
 	}
 	if found[1] == 0 || found[2] == 0 {
-		t.Errorf("outcomes %v", found)
+		t.Errorf("counts by stored snapshot %v, want both 1 and 2", found)
 	}
 }
 
-// Each operation fails once with each error. The file is the previous one or the new one, no temporary file is left,
-// and the next write succeeds with a new temporary file.
+// Each operation fails once with each error. Then the file is the previous one or, after a failed sync of the
+// directory, the new one, no temporary file is left, and the next write succeeds.
 func TestEveryFailure(t *testing.T) {
 	for _, operation := range []string{"remove", "create", "write", "sync", "close", "rename", "syncdir"} {
 		for _, failure := range []error{
@@ -99,14 +100,14 @@
 				disk.fail[operation] = failure
 				store := NewStoreWithFileSystem(disk, path)
 				if err := store.Write(numbered(2)); !errors.Is(err, failure) {
-					t.Fatalf("written with %v", err)
+					t.Fatalf("Write returned %v, want %v", err, failure)
 				}
 				want := int64(1)
 				if operation == "syncdir" {
 					want = 2
 				}
 				if len(disk.names) != 1 {
-					t.Errorf("%d files are left", len(disk.names))
+					t.Errorf("%d files on the disk, want 1", len(disk.names))
 				}
 				if got := storedNumber(t, disk.restarted()); got != want {
 					t.Errorf("snapshot %d is stored, want %d", got, want)
@@ -124,31 +125,31 @@
 	}
 }
 
-// A temporary file that can't be removed at once is removed at the next start or by the next write.
-func TestTemporaryFileThatStays(t *testing.T) {
+// A temporary file that can't be removed at first is removed by a later start or a later write.
+func TestTemporaryFileIsRemovedLater(t *testing.T) {
 	disk := diskWithSnapshot(t)
 	// Each write removes an old temporary file first, and its own if it fails.
 	store := NewStoreWithFileSystem(&failingRemoves{simulatedDisk: disk, failing: []int{2, 3}}, path)
 	disk.fail["write"] = syscall.ENOSPC
 	if err := store.Write(numbered(2)); !errors.Is(err, syscall.ENOSPC) || !errors.Is(err, syscall.EBUSY) {
-		t.Fatal(err)
+		t.Fatalf("Write returned %v, want %v and %v", err, syscall.ENOSPC, syscall.EBUSY)
 	}
 	if got := storedNumber(t, disk.restarted()); got != 1 {
-		t.Errorf("snapshot %d after a start", got)
+		t.Errorf("snapshot %d is stored after a restart, want 1", got)
 	}
 	if err := store.Write(numbered(2)); !errors.Is(err, syscall.EBUSY) {
-		t.Fatalf("written with %v although the temporary file exists", err)
+		t.Fatalf("Write returned %v while the temporary file can't be removed, want %v", err, syscall.EBUSY)
 	}
 	if err := store.Write(numbered(3)); err != nil || len(disk.names) != 1 || storedNumber(t, disk) != 3 {
-		t.Errorf("the next write: %v", err)
+		t.Errorf("the next write returned %v, or snapshot 3 is not the only file", err)
 	}
 }
 
-// failingRemoves is a disk on which some removals fail.
+// failingRemoves is a disk on which some calls of Remove fail.
 type failingRemoves struct {
 	*simulatedDisk
-	failing []int // numbers of the removals that fail, from 1
-	count   int   // removals so far
+	failing []int // numbers of the calls that fail, counted from 1
+	count   int   // calls so far
 }
 
 func (f *failingRemoves) Remove(path string) error {
@@ -158,60 +159,60 @@
 	return f.simulatedDisk.Remove(path)
 }
 
-// A thousand writes to a full disk leave the previous snapshot, and no other file.
+// After a thousand writes to a full disk the previous snapshot is the only file.
 func TestFullDisk(t *testing.T) {
 	disk := diskWithSnapshot(t)
 	store := NewStoreWithFileSystem(disk, path)
 	for n := range 1000 {
 		disk.fail["write"] = syscall.ENOSPC
 		if err := store.Write(numbered(2)); !errors.Is(err, syscall.ENOSPC) {
-			t.Fatalf("try %d: %v", n, err)
+			t.Fatalf("write %d returned %v, want %v", n, err, syscall.ENOSPC)
 		}
 	}
 	if got := storedNumber(t, disk); got != 1 {
-		t.Errorf("snapshot %d", got)
+		t.Errorf("snapshot %d is stored, want 1", got)
 	}
 	if err := store.Write(numbered(3)); err != nil || storedNumber(t, disk) != 3 {
-		t.Error(err)
+		t.Errorf("snapshot 3 is not stored, error %v", err)
 	}
 }
 
-// After a failed fsync the file is not synced again: a second fsync may succeed with nothing written to the disk.
+// After a failed fsync the same file is not synced again: another fsync might succeed although nothing was written.
 func TestFailedFsyncIsNotTrusted(t *testing.T) {
 	disk := diskWithSnapshot(t)
 	store := NewStoreWithFileSystem(disk, path)
 	disk.fail["sync"] = syscall.EIO
 	if err := store.Write(numbered(2)); !errors.Is(err, syscall.EIO) {
-		t.Fatal(err)
+		t.Fatalf("Write returned %v, want %v", err, syscall.EIO)
 	}
 	if got := strings.Join(disk.calls, " "); got != "remove create write sync close remove" {
-		t.Errorf("calls: %s", got)
+		t.Errorf("operations %q, want the temporary file to be removed after one sync", got)
 	}
 	if err := store.Write(numbered(2)); err != nil {
 		t.Fatal(err)
 	}
 	for _, next := range disk.afterPowerLoss() {
 		if got := storedNumber(t, next); got != 2 {
-			t.Errorf("snapshot %d after a loss of power", got)
+			t.Errorf("snapshot %d is stored after a loss of power, want 2", got)
 		}
 	}
 }
 
-// An error of the disk is returned by Read.
+// Read returns errors of the disk.
 func TestReadReturnsDiskErrors(t *testing.T) {
 	disk := diskWithSnapshot(t)
 	disk.fail["open"] = syscall.EIO
 	if got, err := NewStoreWithFileSystem(disk, path).Read(); !errors.Is(err, syscall.EIO) || got.Position != 0 {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("read %+v, error %v; want error %v and no snapshot", got, err, syscall.EIO)
 	}
 }
 
-// writerFolder is the environment variable that makes the test's program write snapshots to a folder until it is
-// killed.
+// writerFolder is the environment variable with the directory to which TestKilledWriter writes snapshots until its
+// process is killed. If it is not set, the test starts and kills such processes.
 const writerFolder = "SNAPSHOT_TEST_WRITER_FOLDER"
 
-// A real process is killed several times while it writes to a real disk. The file always has the last snapshot that
-// the process reported as written, or the one after it.
+// A process is killed ten times while it writes snapshots to the machine's disk. Each time the file has the last
+// snapshot that the process reported as written, or the next one.
 func TestKilledWriter(t *testing.T) {
 	if folder := os.Getenv(writerFolder); folder != "" {
 		writeUntilKilled(NewStore(filepath.Join(folder, "kept")))
@@ -222,21 +223,21 @@
 		last := killWriter(t, folder)
 		got, err := store.Read()
 		if err != nil || !reflect.DeepEqual(got, numbered(got.Position)) {
-			t.Fatalf("read %+v, %v", got, err)
+			t.Fatalf("read %+v, error %v; want one of the numbered snapshots", got, err)
 		}
 		if got.Position < last || got.Position > last+1 {
-			t.Fatalf("snapshot %d is stored, %d was written last", got.Position, last)
+			t.Fatalf("snapshot %d is stored, the last one reported as written is %d", got.Position, last)
 		}
 		if err := store.RemoveTemporary(); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := os.Stat(store.temporaryPath()); !errors.Is(err, fs.ErrNotExist) {
-			t.Fatal(err)
+			t.Fatalf("the temporary file is still there: error %v", err)
 		}
 	}
 }
 
-// writeUntilKilled writes snapshots with growing numbers and prints the number of each after it was written.
+// writeUntilKilled writes snapshots with increasing numbers, and prints the number of each one once it is written.
 func writeUntilKilled(store *Store) {
 	for number := int64(1); ; number++ {
 		if err := store.Write(numbered(number)); err != nil {
@@ -247,8 +248,8 @@
 	}
 }
 
-// killWriter starts a process that runs writeUntilKilled in a folder, kills it after a random time, and returns the
-// number that it printed last.
+// killWriter starts a process that runs writeUntilKilled in a directory, kills it after a random time, and returns the
+// last number that it printed.
 func killWriter(t *testing.T, folder string) (last int64) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^TestKilledWriter$")
@@ -268,17 +269,18 @@
 	}
 	for more := true; more; more = lines.Scan() {
 		if _, err := fmt.Sscanf(lines.Text(), "kept %d", &last); err != nil {
-			t.Fatal(lines.Text())
+			t.Fatalf("the process printed %q, want \"kept\" and a number", lines.Text())
 		}
 	}
 	var exit *exec.ExitError
 	if err := cmd.Wait(); !errors.As(err, &exit) {
-		t.Fatalf("the killed process ended with %v", err)
+		t.Fatalf("the killed process ended with %v, want an *exec.ExitError", err)
 	}
 	return last
 }
 
-// The endpoint list of the largest deployment and a full table of request rates fit into a snapshot.
+// A snapshot of the largest deployment, with 10,000 endpoints and MaxObjects objects, all with long names, takes at
+// most half of maxFileBytes.
 func TestLargestSnapshotFits(t *testing.T) {
 	const timestamp = 1764576000123000000 // Unix ns
 	s := testSnapshot()
@@ -319,15 +321,16 @@
 		t.Fatal(err)
 	}
 	if got, err := store.Read(); err != nil || !reflect.DeepEqual(got, s) {
-		t.Errorf("%d endpoints, %d objects, %v", len(got.Endpoints), len(got.Memory.Objects), err)
+		t.Errorf("read %d endpoints and %d objects, error %v; want %d and %d, all unchanged",
+			len(got.Endpoints), len(got.Memory.Objects), err, len(s.Endpoints), len(s.Memory.Objects))
 	}
 	raw, err := Encode(s)
 	if err != nil || len(raw) > maxFileBytes/2 {
-		t.Errorf("%d bytes, %v", len(raw), err)
+		t.Errorf("the file has %d bytes, want at most %d; error %v", len(raw), maxFileBytes/2, err)
 	}
 }
 
-// A snapshot that is too large is not stored, and the previous one stays.
+// Write returns a *SizeError for a snapshot that is too large, and the previous one stays.
 func TestTooLargeSnapshotIsNotStored(t *testing.T) {
 	disk := diskWithSnapshot(t)
 	large := numbered(2)
@@ -335,12 +338,12 @@
 	var size *SizeError
 	err := NewStoreWithFileSystem(disk, path).Write(large)
 	if !errors.As(err, &size) || size.Bytes <= maxFileBytes {
-		t.Fatal(err)
+		t.Fatalf("error %v, want a *SizeError for more than %d bytes", err, maxFileBytes)
 	}
-	if want := fmt.Sprintf("a snapshot of %d bytes, 8388608 can be", size.Bytes); err.Error() != want {
-		t.Errorf("%v, want %s", err, want)
+	if want := fmt.Sprintf("the snapshot has %d bytes, at most 8388608 are allowed", size.Bytes); err.Error() != want {
+		t.Errorf("error %v, want %s", err, want)
 	}
 	if got := storedNumber(t, disk); got != 1 {
-		t.Errorf("snapshot %d", got)
+		t.Errorf("snapshot %d is stored, want 1", got)
 	}
 }
