--- a/internal/experiment/testcluster/snapshot_test.go
+++ b/internal/experiment/testcluster/snapshot_test.go
@@ -26,12 +26,12 @@
 	return []snapshotCase{
 		{name: "as it was", change: unchanged, event: snapshotListConfirmed},
 		{name: "a cache drained", change: drainFirstCache, event: snapshotListConfirmed},
-		{name: "torn", change: tearSnapshot, event: "snapshot_ignored", part: `"cause":"torn`},
+		{name: "torn", change: tearSnapshot, event: "snapshot_ignored", part: `"cause":"the file is incomplete`},
 		{
 			name:   "of a newer program",
 			change: raiseSnapshotVersion,
 			event:  "snapshot_ignored",
-			part:   `"cause":"it is of version 9`,
+			part:   `"cause":"it has version 9`,
 		},
 		{
 			name:   "the service began anew",
