--- a/internal/lifecycle/startup/result.go
+++ b/internal/lifecycle/startup/result.go
@@ -13,7 +13,7 @@
 	Disconnected                   // the connection ended after data was received
 	Silent                         // data was received at first, and then none until the timeout
 	Truncated                      // it ended or stalled within an event, or before the first complete event or comment
-	LocalError                     // this machine could not make the call: says nothing about the service
+	LocalError                     // this machine could not make the call; the service is not at fault
 )
 
 // resultNames are the names of results in log lines, which docs/oncall.md explains.
--- a/internal/server/clock_linux.go
+++ b/internal/server/clock_linux.go
@@ -2,9 +2,9 @@
 
 import "golang.org/x/sys/unix"
 
-// bootTime reads CLOCK_BOOTTIME, ns since the machine was booted. It is monotonic and goes on while the machine
-// is suspended, unlike Go's monotonic clock, by which a resumed instance would still hold a lease that has
-// expired in the meantime.
+// bootTime returns the time since the machine was booted, ns, from CLOCK_BOOTTIME. This clock is monotonic and
+// advances while the machine is suspended. Go's monotonic clock does not: by that clock an instance on a resumed
+// machine would still hold a lease that expired during the suspension.
 func bootTime() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/internal/server/clock_other.go
+++ b/internal/server/clock_other.go
@@ -4,7 +4,9 @@
 
 import "time"
 
+// started is the origin of bootTime.
 var started = time.Now()
 
-// bootTime is a clock in ns that never goes back. A suspended machine is not covered here (docs/duties.md).
+// bootTime returns the time of a monotonic clock, ns. This clock may stop while the machine is suspended, a case that
+// leases do not cover on this platform (docs/duties.md).
 func bootTime() int64 { return int64(time.Since(started)) }
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -10,17 +10,17 @@
 	"tealpath/internal/router"
 )
 
-// The time at which a target's slow start ends is on the boot clock, so that a step of the wall clock does not change
-// it. A start in the future counts as a start now.
-func TestTargetsWarmUpFromTheirStart(t *testing.T) {
+// A target's slow start ends at a time of the boot clock, so a step of the wall clock does not change it. A start in
+// the future counts as a start now.
+func TestSlowStartEndsOnBootClock(t *testing.T) {
 	const second, warmUp = int64(time.Second), int64(8 * time.Second)
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		for _, test := range []struct {
 			name    string
-			started int64 // ns after now; 0: unknown, long ago
-			want    int64 // ns until it is warm; math.MinInt64: it is warm already
+			started int64 // ns after now; 0: the start is unknown
+			want    int64 // ns until the slow start ends; math.MinInt64: there is none
 		}{
-			{"long ago", 0, math.MinInt64},
+			{"unknown", 0, math.MinInt64},
 			{"3 s ago", -3 * second, 5 * second},
 			{"an hour ago", -3600 * second, -3592 * second},
 			{"a second ahead", second, warmUp},
@@ -39,12 +39,12 @@
 				warmAt := (*node.targets.Load())[0].WarmAt
 				if test.want == math.MinInt64 {
 					if warmAt != 0 {
-						t.Errorf("warm at %d", warmAt)
+						t.Errorf("slow start until %d, want none", warmAt)
 					}
 					return
 				}
 				if left := warmAt - bootTime(); left > test.want+second/10 || left < test.want-second {
-					t.Errorf("warm in %v, want %v", time.Duration(left), time.Duration(test.want))
+					t.Errorf("slow start ends in %v, want %v", time.Duration(left), time.Duration(test.want))
 				}
 			})
 		}
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -10,7 +10,7 @@
 	"tealpath/internal/operatorconfig"
 )
 
-// A restart is needed if the newer operator's file differs in a part that a running instance can't change.
+// A restart is needed if a newer operator's file differs in a part that can't be changed in a running instance.
 func TestClusterChangesThatNeedARestart(t *testing.T) {
 	newFile := func() *operatorconfig.File {
 		return &operatorconfig.File{
@@ -40,7 +40,7 @@
 			next := newFile()
 			change(next)
 			if !node.needsRestart(next) {
-				t.Error("it is not said that a restart is needed")
+				t.Errorf("a change of %s needs no restart, want one", name)
 			}
 		})
 	}
@@ -48,15 +48,15 @@
 		present, next := newFile(), newFile()
 		present.Cluster.Probe, next.Cluster.Probe = &probe.Config{Period: 1}, &probe.Config{Period: 2}
 		if node := (&clusterNode{operator: present}); !node.needsRestart(next) {
-			t.Error("it is not said that a restart is needed")
+			t.Error("a change of the probe's period needs no restart, want one")
 		}
 	})
-	t.Run("a change that needs none", func(t *testing.T) {
+	t.Run("the weight, which needs no restart", func(t *testing.T) {
 		node := &clusterNode{operator: newFile()}
 		next := newFile()
 		next.Cluster.Weight = 2
 		if node.needsRestart(next) {
-			t.Error("it is said that a restart is needed")
+			t.Error("a change of the weight needs a restart, want none")
 		}
 	})
 }
@@ -69,8 +69,8 @@
 	}
 }
 
-// A restart is needed if the newer operator's file differs in its idle connections, or only one of the files has a
-// cluster.
+// A restart is needed if a newer operator's file differs in the settings of idle connections, or if only one of the
+// two files has a cluster.
 func TestOperatorConfigChangesThatNeedARestart(t *testing.T) {
 	withCluster := &operatorconfig.File{Cluster: &operatorconfig.Cluster{}}
 	withIdle := &operatorconfig.File{Idle: &operatorconfig.IdleConnections{MaxConnections: 1}}
@@ -82,10 +82,10 @@
 	}{
 		{"no file before", nil, withCluster, false},
 		{"no file after", withCluster, nil, false},
-		{"the same", withCluster, withCluster, false},
+		{"no change", withCluster, withCluster, false},
 		{"a cluster is added", empty, withCluster, true},
 		{"the cluster is removed", withCluster, empty, true},
-		{"idle connections", empty, withIdle, true},
+		{"settings of idle connections are added", empty, withIdle, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			s := &Server{operator: test.before}
@@ -93,22 +93,22 @@
 				s.cluster = &clusterNode{}
 			}
 			if got := s.operatorNeedsRestart(test.after); got != test.want {
-				t.Errorf("needs a restart: %v", got)
+				t.Errorf("needs a restart: %v, want %v", got, test.want)
 			}
 		})
 	}
 }
 
-// A query is answered by the cluster's loop, or fails with errNoAnswer when its context ends.
+// A query returns the answer of the cluster's loop, or fails with errNoAnswer when its context ends.
 func TestQueryOfTheClusterLoop(t *testing.T) {
 	queries := make(chan chan int)
 	go func() { (<-queries) <- 7 }()
 	if got, err := query(t.Context(), queries); err != nil || got != 7 {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("answer %v, error %v; want 7 and no error", got, err)
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
 	if _, err := query(ctx, queries); !errors.Is(err, errNoAnswer) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want %v", err, errNoAnswer)
 	}
 }
--- a/internal/server/clusterloop.go
+++ b/internal/server/clusterloop.go
@@ -8,7 +8,8 @@
 	"tealpath/internal/router"
 )
 
-// clusterLoop is the one goroutine that runs the cluster's reducer and carries out its effects.
+// clusterLoop is the event loop of the cluster. Its goroutine is the only one that runs the cluster's reducer and
+// carries out its effects.
 type clusterLoop struct {
 	node              *clusterNode
 	shutdownRequested <-chan struct{} // nil once the shutdown has begun
@@ -38,15 +39,15 @@
 	}
 }
 
-// beginShutdown releases this instance's leases, and waits until the messages about it are written, for
-// shutdownFlushTimeout at most.
+// beginShutdown releases this instance's leases, and waits for at most shutdownFlushTimeout until the messages about
+// this are written.
 func (l *clusterLoop) beginShutdown(ctx context.Context) {
 	l.shutdownRequested = nil
 	l.handle(ctx, cluster.ShutdownStarted{})
 	l.node.links.Flush(shutdownFlushTimeout)
 }
 
-// leaseStatus returns the reducer's status with the counts of messages and probes.
+// leaseStatus returns the status of the reducer, with the counts of messages and probes.
 func (l *clusterLoop) leaseStatus() cluster.Status {
 	status := l.node.reducer.Status(bootTime())
 	status.Frames = l.node.framesSent.Load()
@@ -55,7 +56,7 @@
 	return status
 }
 
-// memberStatus returns the reducer's view of the members with the count of bytes sent.
+// memberStatus returns the members that the reducer knows, with the count of bytes sent.
 func (l *clusterLoop) memberStatus() cluster.MembersStatus {
 	status := l.node.reducer.Members(bootTime())
 	status.BytesSent = l.node.bytesSent.Load()
@@ -82,7 +83,7 @@
 	case cluster.SendProbe:
 		node.probe(ctx, effect.Probe)
 	case cluster.TargetProbed:
-		node.probeResult(router.ProbeEnded{
+		node.postProbeResult(router.ProbeEnded{
 			Instance:   effect.Target,
 			Healthy:    effect.Healthy,
 			LoadReport: effect.Load,
@@ -106,7 +107,7 @@
 	node.links.Send(effect.To, payload)
 }
 
-// setPeers keeps connections to these instances and to no others.
+// setPeers makes these instances the only ones to which connections are kept.
 func (node *clusterNode) setPeers(peers []cluster.Peer) {
 	addresses := make(map[string]string, len(peers))
 	for _, peer := range peers {
--- a/internal/server/clusternode.go
+++ b/internal/server/clusternode.go
@@ -23,37 +23,37 @@
 )
 
 const (
-	// maxClusterInbox is the capacity of the inbox of the cluster's loop. While it is full, goroutines that post
-	// an event wait.
+	// maxClusterInbox is the capacity of the inbox of the cluster's loop. While the inbox is full, goroutines that
+	// post an event wait.
 	maxClusterInbox = 256
 
-	// maxProbesInFlight bounds the probes without a result yet.
+	// maxProbesInFlight is the largest number of probes that have no result yet.
 	maxProbesInFlight = 256
 
-	// shutdownFlushTimeout bounds how long a shutdown waits until its messages to other instances are written.
+	// shutdownFlushTimeout is how long a shutdown waits at most until its messages to other instances are written.
 	shutdownFlushTimeout = 300 * time.Millisecond
 
-	// frameOverhead is the size of a frame beside its payload, bytes: 4 for its length and 22 for the TLS 1.3
-	// record.
+	// frameOverhead is the number of bytes that are sent in addition to a frame's payload: 4 for its length and 22
+	// for the TLS 1.3 record.
 	frameOverhead = 4 + 22
 )
 
-// clusterNode is this instance as a member of its cluster: the cluster's reducer, the connections to other
-// instances, and the probes of endpoints. One goroutine runs the reducer (clusterLoop).
+// clusterNode is this instance as a member of its cluster. It has the cluster's reducer, which is run by the goroutine
+// of clusterLoop, the connections to other instances, and the probes of endpoints.
 type clusterNode struct {
-	operator         *operatorconfig.File // as at the start
+	operator         *operatorconfig.File // the one with which the instance started
 	reducer          *cluster.Node        // used by the loop's goroutine only
 	links            *peer.Links          // connections to other instances
-	clock            clock.Clock          // for timestamps of other machines; the cluster itself uses bootTime
+	clock            clock.Clock          // for times of other machines; the reducer uses bootTime
 	emit             func(logevent.Event)
-	probeResult      func(router.Event) // posts a router.ProbeEnded; must not wait
+	postProbeResult  func(router.Event) // posts a router.ProbeEnded; must not wait
 	loadReportFields []string
 
 	inbox          chan cluster.Event
 	leaseQueries   chan chan cluster.Status
 	memberQueries  chan chan cluster.MembersStatus
 	targets        atomic.Pointer[[]probe.Target] // by the latest endpoint list
-	targetsChanged chan struct{}                  // has an item if the reducer has not got the latest targets
+	targetsChanged chan struct{}                  // has an item if the reducer does not have the latest targets yet
 
 	probeTokens chan struct{}   // a semaphore: it has an item for each probe in flight
 	ballots     []atomic.Uint64 // by slot: the ballot of the lease that this instance holds; 0: it holds none
@@ -65,18 +65,18 @@
 
 // clusterConfig is the configuration of a clusterNode.
 type clusterConfig struct {
-	operator    *operatorconfig.File
-	settings    control.Settings
-	clock       clock.Clock
-	emit        func(logevent.Event)
-	probeResult func(router.Event) // posts a router.ProbeEnded; must not wait
+	operator        *operatorconfig.File
+	settings        control.Settings
+	clock           clock.Clock
+	emit            func(logevent.Event)
+	postProbeResult func(router.Event) // posts a router.ProbeEnded; must not wait
 }
 
-// unixMilli returns the wall clock's Unix time in ms. It is used only to choose ballots of leases above earlier
-// ones (docs/duties.md), never to measure a duration.
+// unixMilli returns the Unix time of the wall clock in ms. It is used only to choose lease ballots that are higher
+// than earlier ones (docs/duties.md), never to measure a duration.
 func unixMilli(c clock.Clock) int64 { return c.Wall() / int64(time.Millisecond) }
 
-// newClusterNode returns a node whose listener is open. Its incarnation is random, and odd so that it is not 0.
+// newClusterNode returns a node whose listener is open. Its incarnation is random, and odd because it must not be 0.
 func newClusterNode(ctx context.Context, config clusterConfig) (*clusterNode, error) {
 	settings := config.operator.Cluster
 	var random [16]byte
@@ -86,7 +86,7 @@
 	self := lease.Instance{Name: settings.Name, Incarnation: binary.LittleEndian.Uint64(random[:8]) | 1}
 	keys, err := settings.TLS.Load()
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrConfig, err)
+		return nil, fmt.Errorf("%w: fleet: %w", ErrConfig, err)
 	}
 	initial := reducerConfig(settings, self)
 	initial.Seed = binary.LittleEndian.Uint64(random[8:])
@@ -97,14 +97,14 @@
 	}
 	listener, err := listenWithRetry(ctx, nil, settings.Listen, net.KeepAliveConfig{Enable: true})
 	if err != nil {
-		return nil, fmt.Errorf("links to instances: %w", err)
+		return nil, fmt.Errorf("listener for connections from other instances: %w", err)
 	}
 	node := &clusterNode{
 		operator:         config.operator,
 		reducer:          reducer,
 		clock:            config.clock,
 		emit:             config.emit,
-		probeResult:      config.probeResult,
+		postProbeResult:  config.postProbeResult,
 		loadReportFields: config.settings.LoadReportFields,
 		inbox:            make(chan cluster.Event, maxClusterInbox),
 		leaseQueries:     make(chan chan cluster.Status),
@@ -127,7 +127,7 @@
 	return node, nil
 }
 
-// reducerConfig returns the configuration of the cluster's reducer by the operator's file.
+// reducerConfig returns the configuration of the cluster's reducer according to the operator's file.
 func reducerConfig(settings *operatorconfig.Cluster, self lease.Instance) cluster.Config {
 	return cluster.Config{
 		Self:     self,
--- a/internal/server/clusterprobe.go
+++ b/internal/server/clusterprobe.go
@@ -11,8 +11,8 @@
 	"tealpath/internal/upstream"
 )
 
-// probe sends a probe in a goroutine of its own. It is skipped while maxProbesInFlight are in flight: the next
-// one of its target is due a period later.
+// probe sends a probe in a separate goroutine. The probe is skipped if maxProbesInFlight probes are in flight: the
+// next probe of the same target is due one period later.
 func (node *clusterNode) probe(ctx context.Context, due probe.Probe) {
 	select {
 	case node.probeTokens <- struct{}{}:
@@ -25,8 +25,8 @@
 	}()
 }
 
-// runProbe sends a probe and posts its result to the cluster's loop. The probe is not written once this instance
-// no longer holds the lease under which it was scheduled.
+// runProbe sends a probe and posts its result to the cluster's loop. It does not write the probe if this instance no
+// longer holds the lease under which the probe was scheduled.
 func (node *clusterNode) runProbe(ctx context.Context, due probe.Probe) {
 	probeCtx, cancel := context.WithTimeout(ctx, time.Duration(due.Timeout))
 	defer cancel()
--- a/internal/server/clusterreload.go
+++ b/internal/server/clusterreload.go
@@ -9,11 +9,12 @@
 	"tealpath/internal/operatorconfig"
 )
 
-// errNoCluster is a newer operator's file without the cluster that this instance is a member of.
-var errNoCluster = errors.New("it has no (fleet …) any more: that takes a restart")
+// errNoCluster reports that a newer operator's file lacks the cluster of which this instance is a member.
+var errNoCluster = errors.New("the operator's file has no (fleet …): leaving the cluster takes a restart")
 
-// reload applies the parts of a newer operator's file that may change in a running instance: keys, allowed
-// addresses, instances, this instance's weight, voters. If it returns an error, nothing is applied.
+// reload applies the parts of a newer operator's file that may change in a running instance: the keys, the allowed
+// addresses, the instances, the weight of this instance, and the voters. If it returns an error, it has applied
+// nothing.
 func (node *clusterNode) reload(ctx context.Context, next *operatorconfig.File) error {
 	if next.Cluster == nil {
 		return errNoCluster
@@ -36,8 +37,8 @@
 	return nil
 }
 
-// needsRestart reports whether a newer operator's file differs from the one at the start in a part that a
-// running instance can't change.
+// needsRestart reports whether a newer operator's file differs from the one at the start in a part that can't be
+// changed in a running instance.
 func (node *clusterNode) needsRestart(next *operatorconfig.File) bool {
 	before, after := node.operator.Cluster, next.Cluster
 	return leasesDiffer(before, after) || probesDiffer(before.Probe, after.Probe) ||
@@ -46,7 +47,7 @@
 		node.operator.SocketPath != next.SocketPath
 }
 
-// leasesDiffer reports whether two configurations differ in how leases are held.
+// leasesDiffer reports whether two configurations differ in the parameters of leases.
 func leasesDiffer(before, after *operatorconfig.Cluster) bool {
 	return before.Slots != after.Slots ||
 		before.LeaseDuration != after.LeaseDuration ||
@@ -54,7 +55,7 @@
 		before.MaxClockDrift != after.MaxClockDrift
 }
 
-// probesDiffer reports whether two configurations differ in how endpoints are probed; nil is not at all.
+// probesDiffer reports whether two configurations of probes differ. nil means that endpoints are not probed.
 func probesDiffer(before, after *probe.Config) bool {
 	if before == nil || after == nil {
 		return before != after
--- a/internal/server/clusterstatus.go
+++ b/internal/server/clusterstatus.go
@@ -5,8 +5,8 @@
 	"errors"
 )
 
-// errNoAnswer is a query that the cluster's loop did not answer in time.
-var errNoAnswer = errors.New("the instance does not answer in time")
+// errNoAnswer reports that the cluster's loop did not take a query before the command's timeout.
+var errNoAnswer = errors.New("the instance's cluster loop did not take the query before the command's timeout")
 
 // leaseStatus handles LeasesCommand: it returns a cluster.Status.
 func (node *clusterNode) leaseStatus(ctx context.Context, _ []string) (any, error) {
@@ -18,8 +18,8 @@
 	return query(ctx, node.memberQueries)
 }
 
-// query sends a query to the cluster's loop, which owns the reducer, and returns the answer. An error is
-// errNoAnswer.
+// query sends a query to the cluster's loop, which owns the reducer, and returns the answer. If the loop does not take
+// the query before ctx ends, the error is errNoAnswer.
 func query[T any](ctx context.Context, queries chan<- chan T) (any, error) {
 	reply := make(chan T, 1)
 	select {
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -7,16 +7,16 @@
 	"tealpath/internal/downstream"
 )
 
-// Connections is the answer to ConnectionsCommand: the clients' connections, and the memory of the process.
+// Connections is the answer to ConnectionsCommand: counts of the clients' connections, and the memory of the process.
 type Connections struct {
 	downstream.ConnectionCounts
 	Goroutines int    `json:"goroutines"`
-	HeapBytes  uint64 `json:"heap_bytes"` // in use after a collection
+	HeapBytes  uint64 `json:"heap_bytes"` // in use after a garbage collection
 	StackBytes uint64 `json:"stack_bytes"`
 }
 
-// connections handles ConnectionsCommand. It runs the garbage collector, which pauses the router, so it is not
-// to be polled by monitoring.
+// connections handles ConnectionsCommand. It runs the garbage collector, which pauses the router, so monitoring must
+// not poll it.
 func (s *Server) connections(context.Context, []string) (any, error) {
 	runtime.GC()
 	var memory runtime.MemStats
--- a/internal/server/disk_test.go
+++ b/internal/server/disk_test.go
@@ -17,10 +17,10 @@
 type faultyDisk struct {
 	mu       sync.Mutex
 	files    map[string][]byte // guarded by mu
-	fail     error             // guarded by mu; of each write
-	hangs    string            // guarded by mu; name of the operation that hangs
+	fail     error             // guarded by mu; error of each write; nil: writes succeed
+	hangs    string            // guarded by mu; name of the operation that hangs; empty: none
 	hung     chan struct{}     // gets an item for each operation that hangs
-	released chan struct{}     // closed when the test ends, which ends operations that hang
+	released chan struct{}     // closed when the test ends, to end the operations that hang
 }
 
 func newFaultyDisk(t *testing.T) *faultyDisk {
@@ -30,7 +30,7 @@
 	return d
 }
 
-// set makes writes fail with an error, and an operation hang.
+// set makes all writes fail with an error, unless it is nil, and makes an operation hang, unless its name is empty.
 func (d *faultyDisk) set(fail error, hangs string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -43,7 +43,7 @@
 	return len(d.files)
 }
 
-// do runs an operation under mu, unless it hangs or fails.
+// do runs an operation while it holds mu, unless the operation hangs or fails.
 func (d *faultyDisk) do(operation string, run func()) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,6 +90,7 @@
 
 func (d *faultyDisk) SyncDir(string) error { return d.do("syncdir", func() {}) }
 
+// faultyFile is a file of a faultyDisk that is open for writing.
 type faultyFile struct {
 	disk *faultyDisk
 	path string
@@ -115,6 +116,7 @@
 	return &slowFile{file, d}, err
 }
 
+// slowFile is a file of a slowDisk that is open for writing.
 type slowFile struct {
 	snapshot.File
 	disk *slowDisk
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -7,20 +7,21 @@
 	"tealpath/internal/router"
 )
 
-// drainPollInterval is the time between two polls of a shutdown under way. It is not shorter because closing
-// idle connections takes a system call for each of them. It is not longer, and does not rely on the reducer's
-// timer, which may fire only every 100 ms, because the platform kills the process 100 ms after the plan's end.
+// drainPollInterval is the interval at which the loop checks for the next step of a shutdown. It is not shorter,
+// because closing idle connections takes a system call for each of them. It is not longer, and the reducer's timer is
+// not used instead, which may fire only every 100 ms, because the platform kills the process 100 ms after the end of
+// the plan.
 const drainPollInterval = 10 * time.Millisecond
 
-// drain is a graceful shutdown under way. It is nil before the shutdown begins.
+// drain is a graceful shutdown in progress. It is nil before the shutdown begins.
 type drain struct {
 	plan         *shutdown.Plan
 	poll         *time.Ticker
 	idleClosedAt time.Time // when idle connections were last closed
 }
 
-// pollDue returns the channel of the poll's ticker; nil, on which nothing is ever received, before the shutdown
-// begins.
+// pollDue returns the channel of the poll's ticker. Before the shutdown begins it returns nil, from which nothing can
+// be received.
 func (d *drain) pollDue() <-chan time.Time {
 	if d == nil {
 		return nil
@@ -28,14 +29,15 @@
 	return d.poll.C
 }
 
+// stop stops the poll's ticker.
 func (d *drain) stop() {
 	if d != nil {
 		d.poll.Stop()
 	}
 }
 
-// beginShutdown begins the graceful shutdown: health checks report that this router is not ready, a last
-// snapshot is written, and the reducer answers all requests by the plan's deadline.
+// beginShutdown begins the graceful shutdown: health checks report from now on that this router is not ready, the last
+// snapshot is queued, and the reducer is told to answer all requests by the deadline of the plan.
 func (l *loop) beginShutdown() {
 	s := l.server
 	now := s.clock.Now()
@@ -48,7 +50,7 @@
 	l.handle(now, router.ShutdownStarted{AnswerDeadline: plan.AnswerDeadline()})
 }
 
-// stepShutdown takes the next step of a shutdown under way, and reports whether the process may exit now.
+// stepShutdown takes the next step of a shutdown in progress, and reports whether the process may exit now.
 func (l *loop) stepShutdown() (complete bool) {
 	if l.drain == nil {
 		return false
@@ -74,7 +76,8 @@
 	return state
 }
 
-// closeIdle closes the clients' connections without a request in flight, once per drainPollInterval at most.
+// closeIdle closes the clients' connections without a request in flight. It does so at most once per
+// drainPollInterval.
 func (l *loop) closeIdle() {
 	now := time.Now()
 	if now.Sub(l.drain.idleClosedAt) < drainPollInterval {
--- a/internal/server/limits_test.go
+++ b/internal/server/limits_test.go
@@ -13,25 +13,25 @@
 	"github.com/rs/zerolog"
 )
 
-// Half of the descriptors are for clients, unless the operator's file has another limit. Its policies get the
-// server's timeout of the first request.
-func TestClientConnectionsByTheOperatorsFile(t *testing.T) {
+// Half of the descriptors are for clients, unless the operator's file sets a limit. In the policies of the file, the
+// timeout of the first request is set to that of the server.
+func TestClientConnectionsByOperatorsFile(t *testing.T) {
 	policy := idle.Policy{IdleTimeout: int64(time.Minute)}
 	for _, c := range []struct {
 		name     string
 		operator *operatorconfig.File
 		want     int
-		policies int // number of policies; 0: the platform's defaults
+		policies int // number of policies; 0: those of the platform apply
 	}{
 		{"no operator's file", nil, 500, 0},
 		{"a file without idle connections", &operatorconfig.File{}, 500, 0},
 		{
-			"without a limit",
+			"idle connections without a limit",
 			&operatorconfig.File{Idle: &operatorconfig.IdleConnections{Policies: []idle.Policy{policy}}},
 			500, 1,
 		},
 		{
-			"with a limit",
+			"idle connections with a limit",
 			&operatorconfig.File{Idle: &operatorconfig.IdleConnections{
 				MaxConnections: 70,
 				Policies:       []idle.Policy{policy, policy},
@@ -43,7 +43,7 @@
 			s := New(&config.Config{MaxSockets: 1000}, c.operator, zerolog.Nop())
 			got, policies := s.clientConnections()
 			if got != c.want {
-				t.Errorf("%d connections, want %d", got, c.want)
+				t.Errorf("limit of %d connections, want %d", got, c.want)
 			}
 			if c.policies == 0 {
 				if policies != nil {
--- a/internal/server/listen.go
+++ b/internal/server/listen.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// listenTimeout bounds how long listening on an address is retried after a transient error.
+	// listenTimeout is how long listening on an address is retried after transient errors.
 	listenTimeout = time.Second
 
 	// listenRetryInterval is the time between two attempts to listen.
@@ -20,8 +20,8 @@
 )
 
 // clientKeepAlive configures TCP keep-alive on clients' connections. A peer that has vanished is detected after
-// Idle + Count*Interval = 150 s, as with Go's defaults. But those send a probe every 15 s, which for 100,000 idle
-// connections is 6,700 probes a second.
+// Idle + Count*Interval = 150 s, as with Go's defaults. Those defaults would send a probe every 15 s, which is 6,700
+// probes per second for 100,000 idle connections.
 var clientKeepAlive = net.KeepAliveConfig{
 	Enable:   true,
 	Idle:     90 * time.Second,
@@ -29,8 +29,9 @@
 	Count:    3,
 }
 
-// listenWithRetry opens a listener, and retries for listenTimeout: after a restart the earlier process may not
-// have released the address yet. If a shutdown is requested meanwhile it returns neither a listener nor an error.
+// listenWithRetry opens a listener. It retries for listenTimeout after transient errors, because after a restart the
+// previous process may not have released the address yet. If a shutdown is requested while it waits for a retry, it
+// returns neither a listener nor an error.
 func listenWithRetry(
 	ctx context.Context, shutdownRequested <-chan struct{}, address string, keepAlive net.KeepAliveConfig,
 ) (net.Listener, error) {
@@ -48,12 +49,11 @@
 	}
 }
 
-// isTransientListenError reports whether listening may succeed in a moment: once another process has released the
-// address, or the descriptors or the memory that this machine lacks.
+// isTransientListenError reports whether listening may succeed soon: when another process has released the address, or
+// when this machine has descriptors and memory again.
 func isTransientListenError(err error) bool {
 	return errors.Is(err, syscall.EADDRINUSE) || neterr.IsExhausted(err)
 }
 
-// discard closes a listener or connection that is not used any more, so that an error of Close has no
-// consequence and is ignored.
+// discard closes a listener or connection that is no longer used. An error of Close has no consequence and is ignored.
 func discard(closer io.Closer) { _ = closer.Close() }
--- a/internal/server/listen_test.go
+++ b/internal/server/listen_test.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Listening is retried if the address is in use or this machine lacks resources, and after no other error.
+// Only two kinds of errors are transient: an address in use, and a lack of resources of this machine.
 func TestIsTransientListenError(t *testing.T) {
 	for errno, want := range map[syscall.Errno]bool{
 		syscall.EADDRINUSE:    true,
@@ -29,13 +29,14 @@
 		t.Run(errno.Error(), func(t *testing.T) {
 			err := &net.OpError{Op: "listen", Net: "tcp", Err: os.NewSyscallError("bind", errno)}
 			if isTransientListenError(err) != want {
-				t.Errorf("%v: transient: %v", errno, !want)
+				t.Errorf("%v is transient: %v, want %v", errno, !want, want)
 			}
 		})
 	}
 }
 
-// A start that fails once the router listens, here as the cluster has no certificate, closes the listener.
+// A start that fails after the listener was opened closes the listener. Here it fails because the cluster has no
+// certificate.
 func TestFailedStartClosesListener(t *testing.T) {
 	address := testkit.FreeAddress(t)
 	raw := fmt.Appendf(nil, testConfig, address, "127.0.0.1:1", "null", 1.0)
@@ -46,9 +47,9 @@
 	operator := &operatorconfig.File{Cluster: &operatorconfig.Cluster{}}
 	s := New(configuration, operator, zerolog.Nop())
 	if err := s.Run(t.Context(), make(chan struct{}), nil, nil); !errors.Is(err, ErrConfig) {
-		t.Errorf("the start ended with %v", err)
+		t.Errorf("Run returned %v, want an ErrConfig", err)
 	}
 	if testkit.IsListening(address) {
-		t.Error("it listens still")
+		t.Errorf("%s still accepts connections", address)
 	}
 }
--- a/internal/server/log.go
+++ b/internal/server/log.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// eventKey is the key of the event's name in each line.
+	// eventKey is the key of the event's name in each log line.
 	eventKey = "event"
 
-	// instanceKey is the key of the endpoint's name in a line about one endpoint. Such events have the ID by
-	// which the policy knows it under "endpoint".
+	// instanceKey is the key of the endpoint's name in a log line about one endpoint. The event itself has only the
+	// endpoint's ID in the policy, under the key "endpoint".
 	instanceKey = "instance"
 )
 
 // emit logs an event. It may be called by any goroutine.
 func (s *Server) emit(event logevent.Event) { WriteEvent(s.logger, event) }
 
-// emitOfRouter logs an event of the reducer, with the name of the endpoint that it concerns, if there is one.
-func (s *Server) emitOfRouter(log router.Log) {
+// emitRouterEvent logs an event of the reducer. If the event is about one endpoint, its name is added.
+func (s *Server) emitRouterEvent(log router.Log) {
 	logger := s.logger
 	if log.Instance != "" {
 		logger = logger.With().Str(instanceKey, log.Instance).Logger()
@@ -40,6 +40,7 @@
 	line.Msg(kind.Message)
 }
 
+// zerologLevel converts a level to that of package zerolog.
 func zerologLevel(level logevent.Level) zerolog.Level {
 	switch level {
 	case logevent.Warn:
--- a/internal/server/log_test.go
+++ b/internal/server/log_test.go
@@ -13,6 +13,7 @@
 	"github.com/rs/zerolog"
 )
 
+// loggedEvent is an event with fields of each type that is written in its own way.
 type loggedEvent struct {
 	Endpoint uint32        `log:"endpoint"`
 	Elapsed  time.Duration `log:"elapsed_ms"`
@@ -24,7 +25,7 @@
 	return logevent.Kind{Name: "endpoint_ejected", Level: logevent.Warn, Message: "endpoint ejected as an outlier"}
 }
 
-// A duration is written in milliseconds, an error as its text, and an empty omitempty field not at all.
+// A duration is written in milliseconds, an error as its text, and an empty field with omitempty not at all.
 func TestWriteEventAsJSON(t *testing.T) {
 	var out bytes.Buffer
 	event := loggedEvent{Endpoint: 17, Elapsed: 1500 * time.Microsecond, Cause: errors.New("connection refused")}
@@ -32,12 +33,12 @@
 	want := `{"level":"warn","event":"endpoint_ejected","endpoint":17,"elapsed_ms":1.5,"cause":"connection refused",` +
 		`"message":"endpoint ejected as an outlier"}` + "\n"
 	if out.String() != want {
-		t.Errorf("%s, want %s", out.String(), want)
+		t.Errorf("wrote %s, want %s", out.String(), want)
 	}
 }
 
-// An event of the reducer has the name of the endpoint that it concerns, if there is one, before its own fields.
-func TestEventOfRouterNamesItsEndpoint(t *testing.T) {
+// If an event of the reducer is about one endpoint, the endpoint's name is written before the event's fields.
+func TestRouterEventNamesEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		log  router.Log
@@ -56,7 +57,7 @@
 				`"message":"connections can be opened again"}` + "\n",
 		},
 		{
-			"an error",
+			"a panic",
 			router.Log{Event: router.PanicRecovered{Cause: "index out of range"}},
 			`{"level":"error","router":"n1","event":"panic_recovered","cause":"index out of range",` +
 				`"message":"recovered from a panic while handling an event"}` + "\n",
@@ -65,9 +66,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
 			s := New(&config.Config{Name: "n1"}, nil, zerolog.New(&out))
-			s.emitOfRouter(c.log)
+			s.emitRouterEvent(c.log)
 			if out.String() != c.want {
-				t.Errorf("%s, want %s", out.String(), c.want)
+				t.Errorf("wrote %s, want %s", out.String(), c.want)
 			}
 		})
 	}
--- a/internal/server/logevents.go
+++ b/internal/server/logevents.go
@@ -30,10 +30,10 @@
 	return logevent.Kind{Name: "server_phase_changed", Level: logevent.Info, Message: "the server entered a phase"}
 }
 
-// StartupPhaseChanged is logged when the startup of a router has entered its next phase.
+// StartupPhaseChanged is logged when the startup of a router enters its next phase.
 type StartupPhaseChanged struct {
 	// Phase is listed (an endpoint list is known), warming (the discovery service has answered, and request rates
-	// are being measured) or whole (request rates can be relied on).
+	// are being measured) or whole (request rates were measured for long enough).
 	Phase string `log:"phase"`
 }
 
@@ -46,15 +46,15 @@
 	}
 }
 
-// SnapshotRestored is logged at a start that uses the snapshot of an earlier process.
+// SnapshotRestored is logged at a start that uses the stored snapshot of an earlier process.
 type SnapshotRestored struct {
 	// Objects is the number of objects with request rates in the snapshot.
 	Objects int `log:"objects"`
-	// Scope says how much of the snapshot is used: whole, or beliefs, which is all but request rates.
+	// Scope is how much of the snapshot is used: whole, or beliefs, which is everything but request rates.
 	Scope string `log:"scope"`
-	// Cause says why not all of it is used; absent if all of it is.
+	// Cause is the reason why only a part of the snapshot is used; absent if all of it is used.
 	Cause error `log:"cause,omitempty"`
-	// Endpoints is the length of its endpoint list, which is not used before the discovery service confirms it.
+	// Endpoints is the number of endpoints in its list, which is used only if the discovery service confirms it.
 	Endpoints int `log:"endpoints,omitempty"`
 	// ConfirmedBy is the position of the watch event that confirms the endpoint list.
 	ConfirmedBy int64 `log:"confirmed_by,omitempty"`
@@ -65,7 +65,7 @@
 	return logevent.Kind{Name: "snapshot_restored", Level: logevent.Info, Message: "a snapshot was restored"}
 }
 
-// SnapshotIgnored is logged at a start that can't use the snapshot of an earlier process.
+// SnapshotIgnored is logged at a start that can't use the stored snapshot of an earlier process.
 type SnapshotIgnored struct {
 	Cause error `log:"cause"`
 }
@@ -75,8 +75,8 @@
 	return logevent.Kind{Name: "snapshot_ignored", Level: logevent.Warn, Message: "the snapshot is not used"}
 }
 
-// SnapshotWriteFailed is logged when writing snapshots begins to fail. The file of the last successful write is
-// left as it is.
+// SnapshotWriteFailed is logged when writing snapshots begins to fail. The file of the last successful write stays as
+// it is.
 type SnapshotWriteFailed struct {
 	Cause error `log:"cause"`
 }
@@ -98,10 +98,10 @@
 	}
 }
 
-// ConfigReloaded is logged when the configuration was reloaded.
+// ConfigReloaded is logged after the configuration was reloaded.
 type ConfigReloaded struct {
-	DiscoveryAddress string `log:"discovery_address"` // of the discovery service, in force from now on
-	// RestartRequired names the other parts that have changed, which are in force only after a restart.
+	DiscoveryAddress string `log:"discovery_address"` // address of the discovery service, used from now on
+	// RestartRequired names the other parts that have changed and take effect only after a restart.
 	RestartRequired string `log:"restart_required,omitempty"`
 }
 
@@ -114,8 +114,8 @@
 	}
 }
 
-// ConfigRejected is logged when a reload finds a configuration or an operator's file that can't be used. Nothing
-// of it is in force.
+// ConfigRejected is logged when a reload finds a configuration or an operator's file that can't be used. Nothing of it
+// is applied.
 type ConfigRejected struct {
 	Cause error `log:"cause"`
 }
@@ -129,8 +129,8 @@
 	}
 }
 
-// ConfigLoadDelayed is logged when a reload can't read its files because this machine lacks descriptors or
-// memory. It is retried until it can.
+// ConfigLoadDelayed is logged when a reload can't read its files because this machine lacks descriptors or memory. The
+// reload is retried until it can.
 type ConfigLoadDelayed struct {
 	Cause error `log:"cause"`
 }
@@ -144,8 +144,8 @@
 	}
 }
 
-// OperatorConfigNeedsRestart is logged when a reload finds that the operator's file has changed in parts that are
-// in force only after a restart.
+// OperatorConfigNeedsRestart is logged when a reload finds that the operator's file has changed in parts that take
+// effect only after a restart.
 type OperatorConfigNeedsRestart struct {
 	Parts string `log:"parts"` // names of the parts that were compared, at least one of which has changed
 }
@@ -159,7 +159,7 @@
 	}
 }
 
-// ClusterMessageIgnored is logged for a message of another instance that can't be decoded.
+// ClusterMessageIgnored is logged for a message from another instance that can't be decoded.
 type ClusterMessageIgnored struct {
 	Member string `log:"member"` // name of the sender
 	Cause  error  `log:"cause"`
@@ -176,7 +176,7 @@
 
 // ClusterMessageNotSent is logged for a message to another instance that can't be encoded.
 type ClusterMessageNotSent struct {
-	Member string `log:"member"` // name of the receiver
+	Member string `log:"member"` // name of the instance to which it was addressed
 	Cause  error  `log:"cause"`
 }
 
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -9,8 +9,8 @@
 	"tealpath/internal/router"
 )
 
-// loop is the event loop: the one goroutine that runs the reducer and carries out its effects. Carrying out an
-// effect never waits.
+// loop is the event loop. Its goroutine is the only one that runs the reducer and carries out its effects, none of
+// which waits.
 type loop struct {
 	server            *Server
 	shutdownRequested <-chan struct{} // nil once the shutdown has begun
@@ -31,11 +31,11 @@
 			return nil
 		case <-l.shutdownRequested:
 			l.beginShutdown()
-		case arrived := <-l.server.inbox:
-			if l.observeDiscovery(arrived) {
+		case posted := <-l.server.inbox:
+			if l.observeDiscovery(posted) {
 				continue
 			}
-			l.receive(arrived)
+			l.receive(posted)
 		case <-l.reducerTimer.C:
 			l.advance()
 		case <-l.server.snapshots.due():
@@ -48,18 +48,18 @@
 	}
 }
 
-// stop ends the loop's timers.
+// stop stops the loop's timers.
 func (l *loop) stop() {
 	l.reducerTimer.Stop()
 	l.drain.stop()
 }
 
-// observeDiscovery handles an event that reports the state of the watch of the discovery service, which is not
-// for the reducer. It returns false for all other events.
-func (l *loop) observeDiscovery(arrived arrival) bool {
-	switch event := arrived.event.(type) {
+// observeDiscovery handles an event about the watch of the discovery service itself, which is not for the reducer. It
+// returns false for all other events.
+func (l *loop) observeDiscovery(posted postedEvent) bool {
+	switch event := posted.event.(type) {
 	case discovery.ServiceReached:
-		l.server.progress.ServiceReached(arrived.at)
+		l.server.progress.ServiceReached(posted.at)
 		l.server.advanceStartup()
 		return true
 	case discovery.EventProcessed:
@@ -69,21 +69,21 @@
 	return false
 }
 
-// receive handles an event from a client, an endpoint or the discovery service. Of a connection that has ended
-// the pool adds the requests that were queued on it meanwhile.
-func (l *loop) receive(arrived arrival) {
-	switch event := arrived.event.(type) {
+// receive handles an event from a client, an endpoint or the discovery service. If the event reports that a connection
+// has ended, the pool adds the requests that were queued on the connection since then.
+func (l *loop) receive(posted postedEvent) {
+	switch event := posted.event.(type) {
 	case router.ConnectionDown:
-		l.handle(arrived.at, l.server.upstream.RemoveConnection(event))
+		l.handle(posted.at, l.server.upstream.RemoveConnection(event))
 	case router.EndpointListUpdated:
-		l.updateEndpoints(arrived.at, event)
+		l.updateEndpoints(posted.at, event)
 	default:
-		l.handle(arrived.at, event)
+		l.handle(posted.at, event)
 	}
 }
 
-// updateEndpoints passes an update of the endpoint list to the reducer, and the complete list that results to
-// the cluster, whose probes go to these endpoints.
+// updateEndpoints passes an update of the endpoint list to the reducer, and then the complete updated list to the
+// cluster, which probes these endpoints.
 func (l *loop) updateEndpoints(at int64, list router.EndpointListUpdated) {
 	s := l.server
 	s.progress.ListReceived()
@@ -94,13 +94,13 @@
 	}
 }
 
-// advance runs the reducer's timers.
+// advance lets the reducer handle what is due by its timer.
 func (l *loop) advance() {
 	l.handle(l.server.clock.Now(), router.TimerFired{})
 	l.server.advanceStartup()
 }
 
-// writeSnapshot queues a snapshot of the reducer's state to be written.
+// writeSnapshot queues a snapshot of the reducer's state for writing.
 func (l *loop) writeSnapshot() { l.server.snapshots.write(l.server.router, l.server.clock.Now()) }
 
 // handle runs the reducer on an event and carries out its effects.
@@ -129,6 +129,6 @@
 	case router.SetTimer:
 		l.reducerTimer.Reset(clock.Until(server.clock, effect.At))
 	case router.Log:
-		server.emitOfRouter(effect)
+		server.emitRouterEvent(effect)
 	}
 }
--- a/internal/server/phase.go
+++ b/internal/server/phase.go
@@ -3,7 +3,7 @@
 // Phase is a phase in the life of a server, from its start to its exit.
 type Phase int
 
-// The phases, in order.
+// The phases, in chronological order.
 const (
 	Starting Phase = iota
 	Serving
@@ -15,14 +15,14 @@
 
 func (phase Phase) String() string { return phaseNames[phase] }
 
-// enter begins a phase.
+// enter starts a phase and logs it.
 func (s *Server) enter(next Phase) {
 	s.phase = next
 	s.emit(PhaseChanged{Phase: next.String()})
 }
 
-// advanceStartup sets what health checks report of this router, ready or not, and logs a new phase of the
-// startup.
+// advanceStartup sets whether health checks of this router report that it is ready, and logs the startup's phase if it
+// has changed.
 func (s *Server) advanceStartup() {
 	s.downstream.SetReady(s.phase < Draining && s.progress.Ready(s.clock.Now()))
 	if phase, changed := s.progress.Update(s.clock.Now()); changed {
--- a/internal/server/prepare.go
+++ b/internal/server/prepare.go
@@ -10,9 +10,9 @@
 	"tealpath/internal/router"
 )
 
-// prepare does what a start needs before it opens any socket: it sets the runtime's limits, creates the reducer,
-// restores the snapshot, and handles the watch events of the configuration file. It returns the history after
-// which the watch of the discovery service resumes.
+// prepare does all steps of a start that come before the first socket is opened: it sets the runtime's limits, creates
+// the reducer, restores the snapshot, and handles the watch events in the configuration file. It returns the history
+// after which the watch of the discovery service resumes.
 func (s *Server) prepare() (history discovery.History, err error) {
 	s.limitRuntime()
 	if err := s.config.SettingsError; err != nil {
@@ -38,7 +38,7 @@
 	return history, nil
 }
 
-// limitRuntime sets the Go runtime's limits by the configured cores and memory.
+// limitRuntime sets the limits of the Go runtime according to the configured cores and memory.
 func (s *Server) limitRuntime() {
 	if s.config.Cores > 0 {
 		runtime.GOMAXPROCS(max(1, int(s.config.Cores)))
@@ -48,15 +48,15 @@
 	}
 }
 
-// handleKnownEvent has the reducer handle a watch event of the configuration file. As there are no connections
-// yet, only the log effects are carried out.
+// handleKnownEvent passes a watch event in the configuration file to the reducer. Since there are no connections yet,
+// it carries out only the effects that write log lines.
 func (s *Server) handleKnownEvent(now int64, event router.Event) {
 	if _, isList := event.(router.EndpointListUpdated); isList {
 		s.progress.ListReceived()
 	}
 	for _, effect := range s.router.Handle(now, event) {
 		if line, ok := effect.(router.Log); ok {
-			s.emitOfRouter(line)
+			s.emitRouterEvent(line)
 		}
 	}
 }
--- a/internal/server/probetargets.go
+++ b/internal/server/probetargets.go
@@ -6,8 +6,8 @@
 	"tealpath/internal/router"
 )
 
-// setEndpoints sets the targets of probes by the endpoint list, and notifies the cluster's loop. It does not
-// wait: if the loop has not got the previous targets yet, it gets only these.
+// setEndpoints derives the targets of probes from the endpoint list and notifies the cluster's loop. It does not wait:
+// if the loop has not taken the previous targets yet, it gets only the new ones.
 func (node *clusterNode) setEndpoints(entries []router.EndpointEntry, settings control.Settings) {
 	builder := newTargetBuilder(settings, node.clock.Now(), bootTime())
 	var targets []probe.Target
@@ -23,11 +23,11 @@
 	}
 }
 
-// targetBuilder builds targets of probes from endpoints.
+// targetBuilder derives targets of probes from endpoints.
 type targetBuilder struct {
 	cache, parent           probe.ColdLimit
-	parentKind, originKind  *string // nil: there are none
-	serverTime, clusterTime int64   // ns; the same instant by the server's clock and by bootTime
+	parentKind, originKind  *string // nil: there are no endpoints of this kind
+	serverTime, clusterTime int64   // the same time on the server's clock and on that of bootTime, ns
 }
 
 func newTargetBuilder(settings control.Settings, serverTime, clusterTime int64) targetBuilder {
@@ -42,12 +42,12 @@
 	}
 }
 
-// isProbed reports whether an endpoint is probed: only ready ones are, except for the origin.
+// isProbed reports whether an endpoint is probed: it must be ready and not an origin.
 func (b targetBuilder) isProbed(entry router.EndpointEntry) bool {
 	return entry.Phase == control.PhaseReady && !isOfKind(entry, b.originKind)
 }
 
-// isOfKind reports whether an endpoint is of a kind. An unknown kind, "" or nil, matches nothing.
+// isOfKind reports whether an endpoint has the given kind. A kind that is not known, "" or nil, matches no other.
 func isOfKind(entry router.EndpointEntry, kind *string) bool {
 	return kind != nil && entry.Kind != "" && entry.Kind == *kind
 }
@@ -65,7 +65,8 @@
 		warmUp = b.parent.WarmUpDuration
 	}
 	if entry.StartedAt > 0 {
-		// Discovery reports a start after it happened, so a start in the future is an error of a clock.
+		// The discovery service reports a start after it has happened, so a start in the future is due to a wrong
+		// clock.
 		age := b.serverTime - min(entry.StartedAt, b.serverTime)
 		target.WarmAt = b.clusterTime - age + warmUp
 	}
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -12,13 +12,13 @@
 	"tealpath/internal/operatorconfig"
 )
 
-// LoadFunc loads the configuration and the operator's file anew.
+// LoadFunc loads the current configuration and the operator's file. The file is nil if there is none.
 type LoadFunc func() (*config.Config, *operatorconfig.File, error)
 
-// loadRetryInterval is the time between two attempts to load a configuration.
+// loadRetryInterval is the interval between attempts to load a configuration.
 const loadRetryInterval = 50 * time.Millisecond
 
-// Parts of the operator's file that are in force only after a restart, as the log names them.
+// Parts of the operator's file that take effect only after a restart, as they are named in the log.
 const (
 	restartOnlyIdle    = "idle, and fleet where there was none"
 	restartOnlyCluster = "slots, lease, renewal, drift, listen, membership, socket, probe"
@@ -38,9 +38,9 @@
 	}
 }
 
-// reload loads the configuration and applies what can change in a running server: the address of the discovery
-// service, and the parts of the cluster that clusterNode.reload applies. All else needs a restart, and is
-// logged. A configuration that cannot be used changes nothing.
+// reload loads the configuration and applies the parts that can change in a running server: the address of the
+// discovery service, and the parts of the cluster that clusterNode.reload applies. Changes of other parts, which need
+// a restart, are logged. If the configuration can't be used, nothing changes.
 func (s *Server) reload(ctx context.Context, load LoadFunc, watch *discovery.Watcher) {
 	next, operator, err := loadWithRetry(ctx, load, s.emit)
 	if err == nil && s.cluster != nil && operator != nil {
@@ -60,8 +60,8 @@
 	watch.SetAddress(next.DiscoveryAddress)
 }
 
-// operatorNeedsRestart reports whether a newer operator's file differs in parts that a running server can't
-// change. Those of a cluster that it is a member of already are compared by clusterNode.needsRestart.
+// operatorNeedsRestart reports whether a newer operator's file differs in parts that can't be changed in a running
+// server. The parts of a cluster of which this instance is already a member are compared by clusterNode.needsRestart.
 func (s *Server) operatorNeedsRestart(next *operatorconfig.File) bool {
 	if next == nil || s.operator == nil {
 		return false
@@ -70,8 +70,8 @@
 	return clusterChanged || !next.Idle.Same(s.operator.Idle)
 }
 
-// loadWithRetry loads the configuration, and retries while this machine lacks the descriptors or the memory for
-// that: a signal is not repeated, so without a retry the new configuration would never be applied.
+// loadWithRetry loads the configuration. It retries while this machine lacks the descriptors or the memory to do so:
+// the reload signal is not repeated, so without a retry the new configuration would never be applied.
 func loadWithRetry(
 	ctx context.Context, load LoadFunc, emit func(logevent.Event),
 ) (*config.Config, *operatorconfig.File, error) {
--- a/internal/server/reload_test.go
+++ b/internal/server/reload_test.go
@@ -13,8 +13,8 @@
 	"tealpath/internal/operatorconfig"
 )
 
-// Loading is retried while this machine lacks descriptors or memory, which is logged once. Other errors are returned
-// at once.
+// Loading is retried while this machine lacks descriptors or memory, and the delay is logged once. Other errors are
+// returned without a retry.
 func TestLoadWithRetry(t *testing.T) {
 	for errno, attempts := range map[syscall.Errno]int{
 		syscall.EMFILE: 4,
@@ -35,20 +35,20 @@
 			emit := func(event logevent.Event) { logged = append(logged, event) }
 			next, _, err := loadWithRetry(t.Context(), load, emit)
 			if calls != attempts {
-				t.Errorf("%d calls, want %d", calls, attempts)
+				t.Errorf("%d attempts, want %d", calls, attempts)
 			}
 			if loaded := next != nil; loaded != (attempts > 1) {
-				t.Errorf("loaded: %v", loaded)
+				t.Errorf("loaded: %v, want %v", loaded, attempts > 1)
 			}
 			if attempts == 1 && !errors.Is(err, errno) {
-				t.Error(err)
+				t.Errorf("error %v, want %v", err, errno)
 			}
 			if len(logged) != min(attempts-1, 1) {
-				t.Errorf("logged %v", logged)
+				t.Errorf("logged %v, want %d events", logged, min(attempts-1, 1))
 			}
 			for _, event := range logged {
 				if delayed, ok := event.(ConfigLoadDelayed); !ok || !errors.Is(delayed.Cause, errno) {
-					t.Errorf("logged %v", event)
+					t.Errorf("logged %v, want a ConfigLoadDelayed with %v", event, errno)
 				}
 			}
 		})
@@ -58,7 +58,7 @@
 		cancel()
 		load := func() (*config.Config, *operatorconfig.File, error) { return nil, nil, syscall.EMFILE }
 		if _, _, err := loadWithRetry(ctx, load, func(logevent.Event) {}); err == nil {
-			t.Error("it does not end with the server")
+			t.Error("no error after the context of the server ended")
 		}
 	})
 }
--- a/internal/server/restore.go
+++ b/internal/server/restore.go
@@ -10,8 +10,8 @@
 	"tealpath/internal/snapshot"
 )
 
-// restore starts the writer of snapshots and restores the snapshot that an earlier process has stored, if there
-// is one. It may add an endpoint list to history. Without a path in the operator's file it does nothing.
+// restore starts the snapshot writer and restores the snapshot that an earlier process has stored, if there is one. It
+// may add the snapshot's endpoint list to history. Without a path of snapshots in the operator's file it does nothing.
 func (s *Server) restore(now int64, history *discovery.History) {
 	if s.operator == nil || s.operator.SnapshotPath == "" {
 		return
@@ -26,7 +26,7 @@
 	}
 }
 
-// startSnapshotWriter starts the writer of snapshots. The channel gets the snapshot of an earlier process.
+// startSnapshotWriter starts the snapshot writer. The result of reading the stored snapshot is sent on the channel.
 func (s *Server) startSnapshotWriter() (stored <-chan snapshotFile) {
 	header := restore.Header{
 		Version:        restore.FormatVersion,
@@ -43,20 +43,20 @@
 	return stored
 }
 
-// waitForSnapshot returns what the writer read, or errSlowRead after snapshotReadTimeout.
+// waitForSnapshot returns the result of reading the stored snapshot, or errReadTimeout after snapshotReadTimeout.
 func waitForSnapshot(stored <-chan snapshotFile) snapshotFile {
 	select {
 	case file := <-stored:
 		return file
 	case <-time.After(snapshotReadTimeout):
-		return snapshotFile{err: errSlowRead}
+		return snapshotFile{err: errReadTimeout}
 	}
 }
 
-// applySnapshot restores the parts of a snapshot that may be used (restore.Assess): to the reducer what the
-// policy had learned, and to history the endpoint list.
+// applySnapshot restores the parts of a snapshot that may be used according to restore.Assess. It passes the memory of
+// the policy to the reducer, and adds the endpoint list to history.
 func (s *Server) applySnapshot(now int64, stored snapshot.Snapshot, history *discovery.History) {
-	wall := s.clock.Wall() // the snapshot's time is the wall clock's too: processes share no monotonic clock
+	wall := s.clock.Wall() // as for the snapshot's time, because two processes share no monotonic clock
 	scope, limit := restore.Assess(wall, s.snapshots.header, stored.Header)
 	if scope == restore.None {
 		s.emit(SnapshotIgnored{Cause: limit})
--- a/internal/server/running_test.go
+++ b/internal/server/running_test.go
@@ -19,26 +19,26 @@
 	"github.com/rs/zerolog"
 )
 
-// lockedBuffer is a log that can be read while it is written.
+// lockedBuffer is a buffer for log lines that is safe for concurrent use.
 type lockedBuffer struct {
-	mu   sync.Mutex
-	text bytes.Buffer // guarded by mu
+	mu    sync.Mutex
+	lines bytes.Buffer // guarded by mu
 }
 
 func (b *lockedBuffer) Write(raw []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.text.Write(raw)
+	return b.lines.Write(raw)
 }
 
-// count returns the number of lines of an event that contain a part.
-func (b *lockedBuffer) count(event logevent.Event, part string) int {
+// count returns the number of log lines of an event that contain a text.
+func (b *lockedBuffer) count(event logevent.Event, text string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	count := 0
-	for line := range strings.Lines(b.text.String()) {
+	for line := range strings.Lines(b.lines.String()) {
 		isEvent := strings.Contains(line, fmt.Sprintf(`"event":%q`, event.Kind().Name))
-		if isEvent && strings.Contains(line, part) {
+		if isEvent && strings.Contains(line, text) {
 			count++
 		}
 	}
@@ -50,18 +50,18 @@
 	address  string
 	log      *lockedBuffer
 	shutdown chan struct{} // closed to begin the shutdown
-	ended    chan error    // what Run returned
+	ended    chan error    // gets the result of Run
 }
 
-// testConfig is the format of a configuration with one cache. Its arguments are the address of the router, that of the
-// discovery service, the known watch events, and the longest deadline in seconds.
+// testConfig is the format of a router's configuration. Its arguments are the address of the router, the address of
+// the discovery service, the known watch events, and the longest deadline in seconds.
 const testConfig = `{"name":"n1","listen":%q,"seed":"07","limits":{"cores":1,"memory_mb":64,"sockets":256},
  "journal":%q,"known":%s,"settings":{"balancers":1,"locality":"here","failureDomains":["here"],"machineTypes":["cache"],
  "limits":{"attemptsCap":6,"dialTimeoutS":0.4,"connIdleS":30,"streamsPerConn":100,"maxOpen":1000},
  "profiles":[{"name":"stills","onTimeS":0.1,"deadlineS":%g,"points":1,"effect":"retryable"}]}}`
 
-// startServer starts a server that stores snapshots on a disk, one in each interval. deadline is the longest deadline
-// of its clients.
+// startServer starts a server that stores a snapshot on a disk once per interval. deadline is the longest deadline of
+// its clients.
 func startServer(t *testing.T, disk snapshot.FileSystem, deadline, interval time.Duration) *runningServer {
 	t.Helper()
 	discovery, err := discoveryserver.Start()
@@ -93,13 +93,14 @@
 	return running
 }
 
-// waitEnded waits until the server has ended, and returns false and fails the test if it does not.
+// waitEnded waits until the server has ended. If it does not end within 10 s, waitEnded fails the test and returns
+// false.
 func (r *runningServer) waitEnded(t *testing.T) bool {
 	t.Helper()
 	select {
 	case err := <-r.ended:
 		if err != nil {
-			t.Error(err)
+			t.Errorf("Run returned %v", err)
 		}
 		return true
 	case <-time.After(10 * time.Second):
@@ -108,7 +109,7 @@
 	}
 }
 
-// healthy reports whether the server answers a health check in time and is ready.
+// healthy reports whether the server answers a health check within 1 s and is ready.
 func (r *runningServer) healthy(t *testing.T) bool {
 	return testkit.IsHealthy(t, r.address, time.Second)
 }
@@ -116,5 +117,5 @@
 // waitHealthy waits until the server is ready.
 func (r *runningServer) waitHealthy(t *testing.T) {
 	t.Helper()
-	testkit.WaitUntil(t, testkit.Timeout, "healthy", func() bool { return r.healthy(t) })
+	testkit.WaitUntil(t, testkit.Timeout, "the server is healthy", func() bool { return r.healthy(t) })
 }
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -1,6 +1,6 @@
-// Package server runs a router from its start to its exit: prepare, start, serve, reload, drain, exit. Its event
-// loop passes events from the connections to the reducer (internal/router) and carries out the reducer's
-// effects. It starts all goroutines of the router and waits for their ends.
+// Package server runs a router from its start to its exit: prepare, start, serve, reload, drain, exit. Its event loop
+// passes events from the connections to the reducer (internal/router) and carries out the reducer's effects. The
+// package starts all goroutines of the router and waits until they have ended.
 package server
 
 import (
@@ -21,14 +21,15 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// ErrConfig is the error of a configuration with which a server can't start.
+// ErrConfig is wrapped by the error of a configuration with which a server can't start.
 var ErrConfig = errors.New("configuration")
 
-// maxInboxEvents is the capacity of the event loop's inbox. While it is full, goroutines that post an event wait.
+// maxInboxEvents is the capacity of the event loop's inbox. While the inbox is full, goroutines that post an event
+// wait.
 const maxInboxEvents = 64
 
-// Server is one router. Its fields are set before the goroutines that use them start. Afterwards they do not
-// change, except for the state of phase, router, progress and snapshots, which the event loop's goroutine owns.
+// Server is one router. Its fields are set before the goroutines that use them start, and do not change afterwards.
+// The exceptions are phase and the state of router, progress and snapshots, which the event loop's goroutine owns.
 type Server struct {
 	config    *config.Config
 	operator  *operatorconfig.File // nil: there is no operator's file
@@ -37,23 +38,23 @@
 	openStore func(path string) *snapshot.Store
 
 	phase     Phase
-	inbox     chan arrival
+	inbox     chan postedEvent
 	router    *router.Router
 	progress  *startup.Progress
 	snapshots *snapshotWriter // nil: no snapshots are written
 
 	downstream *downstream.Server
 	upstream   *upstream.Pool
-	cluster    *clusterNode // nil: this instance shares nothing with others
+	cluster    *clusterNode // nil: this instance is not a member of a cluster
 }
 
-// arrival is an event for the event loop with the time at which it was posted.
-type arrival struct {
+// postedEvent is an event for the event loop with the time at which it was posted.
+type postedEvent struct {
 	at    int64 // ns of the server's clock
 	event router.Event
 }
 
-// Option is an option of New.
+// Option changes a server in New.
 type Option func(*Server)
 
 // WithClock sets the server's clock. The default is clock.System.
@@ -67,7 +68,7 @@
 		logger:    logger.With().Str("router", c.Name).Logger(),
 		clock:     clock.System(),
 		openStore: snapshot.NewStore,
-		inbox:     make(chan arrival, maxInboxEvents),
+		inbox:     make(chan postedEvent, maxInboxEvents),
 	}
 	for _, option := range options {
 		option(s)
@@ -75,15 +76,15 @@
 	return s
 }
 
-// Check reports whether a server can start with a configuration. It does not check whether its addresses can be
-// listened on.
+// Check returns an error if a server can't start with a configuration. It does not check whether the server can listen
+// on its addresses.
 func Check(c *config.Config) error {
 	_, err := New(c, nil, zerolog.Nop()).prepare()
 	return err
 }
 
-// Run serves until shutdownRequested is closed and all accepted requests are answered, or until ctx ends, which
-// stops it without a graceful shutdown. At each of reloadSignals it reloads the configuration with load.
+// Run serves until shutdownRequested is closed and all accepted requests are answered, or until ctx ends, which stops
+// the server without a graceful shutdown. At each signal of reloadSignals it reloads the configuration with load.
 func (s *Server) Run(
 	ctx context.Context, shutdownRequested <-chan struct{}, reloadSignals <-chan os.Signal, load LoadFunc,
 ) error {
@@ -120,8 +121,8 @@
 	return err
 }
 
-// exit waits for the goroutines that are not in Run's group: those of the connections to endpoints, and the
-// writer of snapshots.
+// exit waits for the goroutines that are not in the group of Run: those of the connections to endpoints, and that of
+// the snapshot writer.
 func (s *Server) exit() {
 	s.upstream.Wait()
 	s.snapshots.stop()
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -8,12 +8,12 @@
 	"github.com/rs/zerolog"
 )
 
-// The memory limit of the runtime is a share of the configured memory, or of the default if none is configured.
+// The memory limit of the Go runtime is a share of the configured memory, or of the default if none is configured.
 func TestMemoryLimitIsShareOfConfiguredMemory(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		memoryMB int64 // MiB
-		want     int   // MiB for the runtime
+		want     int   // limit of the runtime, MiB
 	}{
 		{"less than the default", 32, 22},
 		{"more than the default", 192, 134},
@@ -22,7 +22,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			s := New(&config.Config{MemoryMB: test.memoryMB}, nil, zerolog.Nop())
 			if got := s.memoryBytes(collectorMemoryShare) >> 20; got != test.want {
-				t.Errorf("%d MB, want %d", got, test.want)
+				t.Errorf("memory limit of %d MiB, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -7,11 +7,12 @@
 	"tealpath/internal/cluster/probe"
 )
 
-// coldLimits returns the limits of endpoints in slow start, of caches and of parents.
+// coldLimits returns the limits for caches and for parents in slow start.
 func coldLimits(settings control.Settings) (cache, parent probe.ColdLimit) {
 	return coldLimit(settings.CacheSlowStart), coldLimit(settings.ParentSlowStart)
 }
 
+// coldLimit converts settings of the slow start to the type of package probe.
 func coldLimit(slowStart control.SlowStartSettings) probe.ColdLimit {
 	return probe.ColdLimit{
 		Share:          slowStart.Share,
@@ -21,8 +22,8 @@
 	}
 }
 
-// routersHere returns the number of routers in this one's location, itself included. If the settings do not
-// state it, that is the number of all routers.
-func routersHere(settings control.Settings) int {
+// routersInLocation returns the number of routers in the location of this one, including itself. If the settings do
+// not state it, the number of all routers is returned.
+func routersInLocation(settings control.Settings) int {
 	return max(1, cmp.Or(settings.LocationRouters, settings.Routers))
 }
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 )
 
-// If the settings do not state the number of routers in the location, all routers count as there.
+// If the settings do not state the number of routers in the location, it is the number of all routers.
 func TestRoutersOfLocationDefaultsToAll(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -22,14 +22,14 @@
 		want          int
 	}{
 		{"stated for the location", 3, 40, 3},
-		{"stated for all", 0, 40, 40},
+		{"stated for all routers only", 0, 40, 40},
 		{"not stated", 0, 0, 1},
 		{"below one", 0, -2, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			got := routersHere(control.Settings{LocationRouters: c.location, Routers: c.all})
+			got := routersInLocation(control.Settings{LocationRouters: c.location, Routers: c.all})
 			if got != c.want {
-				t.Errorf("%d routers, want %d", got, c.want)
+				t.Errorf("%d routers in the location, want %d", got, c.want)
 			}
 		})
 	}
@@ -40,32 +40,32 @@
 		name               string
 		drain, purge, want int64
 	}{
-		{"none is known", 0, 0, 0},
-		{"of drains alone", 3, 0, 3},
-		{"of purges alone", 0, 2, 2},
-		{"both", 3, 2, 2},
-		{"the other way round", 2, 3, 2},
-		{"a negative one is not known", -1, 3, 3},
+		{"both unknown", 0, 0, 0},
+		{"only drains", 3, 0, 3},
+		{"only purges", 0, 2, 2},
+		{"both, purges shorter", 3, 2, 2},
+		{"both, drains shorter", 2, 3, 2},
+		{"a negative one counts as unknown", -1, 3, 3},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			settings := control.Settings{DrainGrace: c.drain, PurgeGrace: c.purge}
 			s := New(&config.Config{Settings: settings}, nil, zerolog.Nop())
-			if got := s.shortestGrace(); got != c.want {
-				t.Errorf("%d, want %d", got, c.want)
+			if got := s.shortestGracePeriod(); got != c.want {
+				t.Errorf("shortest grace period %d, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-func TestLongestDeadlineIsOfTheSettings(t *testing.T) {
+func TestLongestDeadlineIsFromSettings(t *testing.T) {
 	settings := control.Settings{LongestDeadline: int64(3 * time.Second)}
 	if got := New(&config.Config{Settings: settings}, nil, zerolog.Nop()).longestDeadline(); got != 3*time.Second {
-		t.Errorf("%v", got)
+		t.Errorf("longest deadline %v, want 3s", got)
 	}
 }
 
-// Ready caches and parents are probed, each kind with its own duration of slow start. The origin and endpoints that are
-// not ready are not probed.
+// Caches and parents that are ready are probed, each kind with its own duration of slow start. Origins, and endpoints
+// that are not ready, are not probed.
 func TestTargetsByKind(t *testing.T) {
 	const started = int64(10 * time.Second)
 	parent, origin := "parent", "origin"
@@ -90,36 +90,36 @@
 	node.setEndpoints(entries, settings)
 	targets := *node.targets.Load()
 	if len(targets) != 3 {
-		t.Fatalf("%d targets: %+v", len(targets), targets)
+		t.Fatalf("%d targets, want 3: %+v", len(targets), targets)
 	}
 	names := targets[0].Name + targets[1].Name + targets[2].Name
 	if names != "abe" || targets[0].Parent || !targets[1].Parent || targets[2].Parent {
-		t.Errorf("%+v", targets)
+		t.Errorf("targets %+v, want a, b and e, with b as the only parent", targets)
 	}
 	later := time.Duration(targets[1].WarmAt - targets[0].WarmAt)
 	if later != time.Hour || targets[2].WarmAt != targets[0].WarmAt {
-		t.Errorf("a parent is warm %v after a cache", later)
+		t.Errorf("the slow start of a parent ends %v after that of a cache, want %v", later, time.Hour)
 	}
 }
 
-// A server can't start with unusable settings, and the error has the reason. An operator's file can still be checked
-// against the other settings.
-func TestUnusableSettingsAreAnErrorOfTheConfiguration(t *testing.T) {
+// Check returns an ErrConfig with the reason if settings are invalid. An operator's file can still be checked against
+// the other settings.
+func TestCheckRejectsInvalidSettings(t *testing.T) {
 	wrong := &control.SettingError{Key: "routers", Reason: "is missing"}
 	c := &config.Config{Settings: control.DefaultSettings(), SettingsError: wrong}
 	err := Check(c)
 	var settingError *control.SettingError
 	if !errors.Is(err, ErrConfig) || !errors.As(err, &settingError) {
-		t.Errorf("error %v of type %T", err, err)
+		t.Errorf("error %v of type %T, want an ErrConfig with a *control.SettingError", err, err)
 	}
 	if want := ErrConfig.Error() + ": settings: " + wrong.Error(); err == nil || err.Error() != want {
 		t.Errorf("error %v, want %s", err, want)
 	}
 	if err := CheckOperatorConfig(&operatorconfig.File{}, c); err != nil {
-		t.Error(err)
+		t.Errorf("the operator's file is rejected: %v", err)
 	}
 	c.SettingsError = nil
 	if err := Check(c); err != nil {
-		t.Error(err)
+		t.Errorf("valid settings are rejected: %v", err)
 	}
 }
--- a/internal/server/snapshots.go
+++ b/internal/server/snapshots.go
@@ -16,45 +16,45 @@
 )
 
 const (
-	// snapshotReadTimeout bounds how long a start waits for its snapshot. A router that is asked to shut down
-	// while it starts is killed after 0.7 s.
+	// snapshotReadTimeout is how long a start waits for its snapshot. It is short because a router that is asked to
+	// shut down while it starts is killed after 0.7 s.
 	snapshotReadTimeout = 500 * time.Millisecond
 
 	// slowSnapshotTimeout is the time after which a write that has not ended counts as failed.
 	slowSnapshotTimeout = 10 * time.Second
 
-	// snapshotExitTimeout bounds how long a process that ends without a graceful shutdown waits for a write.
+	// snapshotExitTimeout is how long a process that ends without a graceful shutdown waits for a write.
 	snapshotExitTimeout = 50 * time.Millisecond
 
-	// maxQueuedSnapshots is the capacity of the writer's queue: write queues one snapshot at a time, and
-	// writeLast one behind it.
+	// maxQueuedSnapshots is the capacity of the writer's queue: there is at most one snapshot of write, and one of
+	// writeLast behind it.
 	maxQueuedSnapshots = 2
 )
 
 var (
-	errSlowRead  = fmt.Errorf("not read within %v", snapshotReadTimeout)
-	errSlowDisk  = fmt.Errorf("the disk has not answered for %v", slowSnapshotTimeout)
-	errUnwritten = errors.New("the last one was not written before the process ended")
+	errReadTimeout    = fmt.Errorf("it could not be read within %v", snapshotReadTimeout)
+	errDiskTimeout    = fmt.Errorf("a disk operation has not ended after %v", slowSnapshotTimeout)
+	errLastNotWritten = errors.New("the last snapshot was not written before the process ended")
 )
 
-// snapshotWriter stores snapshots of the router's state in a file, for its next start. A nil writer stores
-// nothing. Its methods are called by the event loop's goroutine and never wait for the disk, except for stop: a
-// goroutine of the writer's own reads and writes the file.
+// snapshotWriter stores snapshots of the router's state in a file, for its next start. A nil writer stores nothing.
+// Its methods are called by the event loop's goroutine. They never wait for the disk, except for stop, because a
+// goroutine of the writer reads and writes the file.
 type snapshotWriter struct {
-	clock    clock.Clock
-	header   restore.Header
-	position discovery.EventProcessed // the last event of the discovery service that was processed
-	ticker   *time.Ticker
-	health   diskHealth
-	queue    chan snapshot.Snapshot
-	queuedAt time.Time     // when the last disk operation was queued
-	exitBy   time.Time     // by when the process must not wait for the disk any more; zero: no shutdown has begun
-	stopped  chan struct{} // closed when the goroutine has ended
+	clock        clock.Clock
+	header       restore.Header
+	position     discovery.EventProcessed // the last processed watch event
+	ticker       *time.Ticker
+	health       diskHealth
+	queue        chan snapshot.Snapshot
+	queuedAt     time.Time     // when the last disk operation was queued
+	exitDeadline time.Time     // when the process stops waiting for the disk; zero: no shutdown has begun
+	stopped      chan struct{} // closed when the goroutine has ended
 
 	pending atomic.Int32 // disk operations queued or in progress
 }
 
-// snapshotFile is the result of reading the file.
+// snapshotFile is the result of reading the stored snapshot.
 type snapshotFile struct {
 	snapshot.Snapshot
 	err error
@@ -63,13 +63,13 @@
 // snapshotConfig is the configuration of a snapshotWriter.
 type snapshotConfig struct {
 	store    *snapshot.Store
-	header   restore.Header // of each snapshot, without its time
+	header   restore.Header // header of each snapshot; its time is set when the snapshot is taken
 	interval time.Duration  // between two writes
 	clock    clock.Clock
 	emit     func(logevent.Event)
 }
 
-// newSnapshotWriter starts a writer. It reads the file first, and sends the result on the channel.
+// newSnapshotWriter starts a writer. The writer first reads the stored snapshot and sends the result on the channel.
 func newSnapshotWriter(config snapshotConfig) (*snapshotWriter, <-chan snapshotFile) {
 	w := &snapshotWriter{
 		clock:    config.clock,
@@ -86,7 +86,7 @@
 	return w, read
 }
 
-// run makes all disk operations: it reads the file, then writes the snapshots that are queued.
+// run does all disk operations: it reads the file, and then writes the snapshots that are queued.
 func (w *snapshotWriter) run(store *snapshot.Store, read chan<- snapshotFile) {
 	defer close(w.stopped)
 	if err := store.RemoveTemporary(); err != nil {
@@ -105,8 +105,8 @@
 	}
 }
 
-// due returns the channel of the ticker by which snapshots are written; nil, on which nothing is ever received,
-// if none are.
+// due returns the channel of the ticker for writing snapshots. A nil writer returns nil, from which nothing can be
+// received.
 func (w *snapshotWriter) due() <-chan time.Time {
 	if w == nil {
 		return nil
@@ -114,31 +114,32 @@
 	return w.ticker.C
 }
 
-// observe records the last event of the discovery service that was processed.
+// observe records the last processed watch event.
 func (w *snapshotWriter) observe(position discovery.EventProcessed) {
 	if w != nil {
 		w.position = position
 	}
 }
 
-// write queues a snapshot of the reducer's state, unless an earlier disk operation is still in progress.
+// write queues a snapshot of the reducer's state, unless an earlier disk operation is in progress. If that operation
+// takes longer than slowSnapshotTimeout, it counts as failed.
 func (w *snapshotWriter) write(r *router.Router, now int64) {
 	switch {
 	case w == nil:
 	case w.pending.Load() == 0:
 		w.enqueue(r, now)
 	case time.Since(w.queuedAt) > slowSnapshotTimeout:
-		w.health.failed(errSlowDisk)
+		w.health.failed(errDiskTimeout)
 	}
 }
 
-// writeLast queues the last snapshot as the shutdown begins, also behind one that is being written. From then on
-// the process waits for the disk for timeout at most.
+// writeLast queues the last snapshot when the shutdown begins, even while another one is being written. The process
+// waits for the disk for at most timeout from now.
 func (w *snapshotWriter) writeLast(r *router.Router, now int64, timeout time.Duration) {
 	if w == nil {
 		return
 	}
-	w.exitBy = time.Now().Add(timeout)
+	w.exitDeadline = time.Now().Add(timeout)
 	w.enqueue(r, now)
 }
 
@@ -151,14 +152,14 @@
 		Endpoints: r.Endpoints(),
 		Memory:    r.Snapshot(now, snapshot.MaxObjects),
 	}
-	next.TakenAt = w.clock.Wall() // for the next process, which has another monotonic clock
+	next.TakenAt = w.clock.Wall() // wall time, because the next process has another monotonic clock
 	w.pending.Add(1)
 	w.queuedAt = time.Now()
 	w.queue <- next // never waits: see maxQueuedSnapshots
 }
 
-// stop ends the writer. It waits until all that is queued is written, until exitBy or for snapshotExitTimeout at
-// most, so that a hung disk does not delay the end of the process.
+// stop ends the writer. It waits until all queued snapshots are written, but only until exitDeadline, or for
+// snapshotExitTimeout if no shutdown has begun, so that a hung disk does not delay the end of the process.
 func (w *snapshotWriter) stop() {
 	if w == nil {
 		return
@@ -166,19 +167,19 @@
 	w.ticker.Stop()
 	close(w.queue)
 	timeout := snapshotExitTimeout
-	if !w.exitBy.IsZero() {
-		timeout = time.Until(w.exitBy)
+	if !w.exitDeadline.IsZero() {
+		timeout = time.Until(w.exitDeadline)
 	}
 	select {
 	case <-w.stopped:
 	case <-time.After(timeout):
 		if w.pending.Load() > 0 {
-			w.health.failed(errUnwritten)
+			w.health.failed(errLastNotWritten)
 		}
 	}
 }
 
-// diskHealth logs the changes between failing and successful writes, not each failure.
+// diskHealth logs when writes begin to fail and when they succeed again, but not each failure.
 type diskHealth struct {
 	emit func(logevent.Event)
 
@@ -186,6 +187,7 @@
 	failing bool // guarded by mu
 }
 
+// failed records a failure, and logs it if it is the first one after a success.
 func (h *diskHealth) failed(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -195,6 +197,7 @@
 	h.failing = true
 }
 
+// succeeded records a successful write, and logs it if it is the first one after a failure.
 func (h *diskHealth) succeeded() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/server/snapshots_test.go
+++ b/internal/server/snapshots_test.go
@@ -11,13 +11,14 @@
 	"tealpath/internal/testkit"
 )
 
-// snapshotPath is the path of the snapshots of these tests.
+// snapshotPath is the path of the snapshots in these tests.
 var snapshotPath = filepath.Join("folder", "kept")
 
-// snapshotInterval is the time between two snapshots: short, so that there are many in a test.
+// snapshotInterval is the interval of snapshots. It is short so that many are written during a test.
 const snapshotInterval = 20 * time.Millisecond
 
-// If the disk hangs in any operation, requests are still served, and the process ends before it would be killed.
+// If any disk operation hangs, health checks are still answered, and the server ends before the platform would kill
+// it.
 func TestHungDisk(t *testing.T) {
 	for _, deadline := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond} {
 		for _, operation := range []string{"open", "remove", "create", "write", "sync", "close", "rename", "syncdir"} {
@@ -29,6 +30,7 @@
 	}
 }
 
+// testHungDisk starts a server on a disk on which an operation hangs, and shuts it down.
 func testHungDisk(t *testing.T, operation string, deadline time.Duration) {
 	t.Helper()
 	const killAfter = 700 * time.Millisecond // after the longest deadline
@@ -40,11 +42,11 @@
 	for range 10 {
 		time.Sleep(snapshotInterval)
 		if !running.healthy(t) {
-			t.Error("not healthy while the disk hangs")
+			t.Errorf("not healthy while %s hangs", operation)
 		}
 	}
 	if len(disk.hung) != 1 {
-		t.Errorf("%d operations hang, one at a time is allowed", len(disk.hung))
+		t.Errorf("%d operations hang, want 1 at a time", len(disk.hung))
 	}
 	shutdownAt := time.Now()
 	close(running.shutdown)
@@ -52,15 +54,15 @@
 		return
 	}
 	if took := time.Since(shutdownAt); took >= deadline+killAfter {
-		t.Errorf("ended after %v, killed after %v", took, deadline+killAfter)
+		t.Errorf("the server ended after %v, the platform kills it after %v", took, deadline+killAfter)
 	}
 	if count := running.log.count(SnapshotWriteFailed{}, ""); count != 1 {
 		t.Errorf("%d events SnapshotWriteFailed, want 1", count)
 	}
 }
 
-// While the disk is full requests are still served. Its beginning and its end are logged once each, and afterwards the
-// file has a snapshot.
+// While the disk is full, health checks are still answered. The first failure and the recovery are logged once each,
+// and after the recovery a snapshot is stored.
 func TestFullDisk(t *testing.T) {
 	disk := newFaultyDisk(t)
 	disk.set(syscall.ENOSPC, "")
@@ -74,10 +76,12 @@
 		t.Error("not healthy while the disk is full")
 	}
 	if count := disk.fileCount(); count != 0 {
-		t.Errorf("files are left: %d", count)
+		t.Errorf("%d files on the full disk, want none", count)
 	}
 	disk.set(nil, "")
-	testkit.WaitUntil(t, testkit.Timeout, "the recovery is logged", func() bool { return running.log.count(SnapshotWriteRecovered{}, "") > 0 })
+	testkit.WaitUntil(t, testkit.Timeout, "the recovery is logged", func() bool {
+		return running.log.count(SnapshotWriteRecovered{}, "") > 0
+	})
 	close(running.shutdown)
 	running.waitEnded(t)
 	failed := running.log.count(SnapshotWriteFailed{}, "")
@@ -87,18 +91,18 @@
 	}
 	stored, err := snapshot.NewStoreWithFileSystem(disk, snapshotPath).Read()
 	if err != nil || len(stored.Endpoints) != 1 {
-		t.Errorf("%+v, %v", stored, err)
+		t.Errorf("read %+v, error %v; want a snapshot with 1 endpoint", stored, err)
 	}
 	if count := disk.fileCount(); count != 1 {
-		t.Errorf("%d files", count)
+		t.Errorf("%d files on the disk, want 1", count)
 	}
 }
 
-// The last snapshot, of when the shutdown begins, is stored even if an earlier one is still being written.
-func TestLastSnapshotIsKept(t *testing.T) {
+// The last snapshot, which is taken when the shutdown begins, is stored even if an earlier one is still being written.
+func TestLastSnapshotIsStored(t *testing.T) {
 	disk := newFaultyDisk(t)
 	slow := &slowDisk{faultyDisk: disk, syncTime: 100 * time.Millisecond}
-	// With this interval only one snapshot, and the last, are written before the end.
+	// With an interval of 1.5 s only one snapshot is written before the last one.
 	running := startServer(t, slow, 300*time.Millisecond, 1500*time.Millisecond)
 	testkit.WaitUntil(t, testkit.Timeout, "a write is in progress", func() bool { return slow.syncs.Load() == 1 })
 	shutdownAt := time.Now()
@@ -106,6 +110,7 @@
 	running.waitEnded(t)
 	stored, err := snapshot.NewStoreWithFileSystem(disk, snapshotPath).Read()
 	if err != nil || stored.TakenAt < shutdownAt.UnixNano() {
-		t.Errorf("taken %v before the shutdown, %v", time.Duration(shutdownAt.UnixNano()-stored.TakenAt), err)
+		t.Errorf("the stored snapshot was taken %v before the shutdown, error %v",
+			time.Duration(shutdownAt.UnixNano()-stored.TakenAt), err)
 	}
 }
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -14,28 +14,28 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// poster returns a function that posts an event to the event loop with the current time. It waits while the
-// inbox is full.
+// poster returns a function that posts an event to the event loop with the current time. The function waits while the
+// inbox is full, until ctx ends.
 func (s *Server) poster(ctx context.Context) func(router.Event) {
 	return func(event router.Event) {
 		select {
-		case s.inbox <- arrival{s.clock.Now(), event}:
+		case s.inbox <- postedEvent{s.clock.Now(), event}:
 		case <-ctx.Done():
 		}
 	}
 }
 
 // tryPost posts an event to the event loop, or drops it if the inbox is full. It is for results of probes: the
-// cluster's loop must not wait for this one, and the next probe has a newer result.
+// cluster's loop must not wait for the event loop, and the next probe has a newer result.
 func (s *Server) tryPost(event router.Event) {
 	select {
-	case s.inbox <- arrival{s.clock.Now(), event}:
+	case s.inbox <- postedEvent{s.clock.Now(), event}:
 	default:
 	}
 }
 
-// start creates the pool of connections to endpoints and the server of clients' connections. It starts in the
-// group what the operator's file configures: the connections to other instances, and the admin socket.
+// start creates the pool of connections to endpoints and the server of clients' connections. In the group it starts
+// the connections to other instances and the admin socket, if the operator's file configures them.
 func (s *Server) start(
 	ctx context.Context, group *errgroup.Group, listener net.Listener, post func(router.Event),
 	shutdownRequested <-chan struct{},
@@ -83,14 +83,14 @@
 	s.downstream = downstream.New(listener, config, post, s.emit)
 }
 
-// startCluster starts the connections to other instances, with which this one shares health checks by leases.
+// startCluster starts the connections to other instances. Leases divide the probes of endpoints among the instances.
 func (s *Server) startCluster(ctx context.Context, group *errgroup.Group, shutdownRequested <-chan struct{}) error {
 	node, err := newClusterNode(ctx, clusterConfig{
-		operator:    s.operator,
-		settings:    s.config.Settings,
-		clock:       s.clock,
-		emit:        s.emit,
-		probeResult: s.tryPost,
+		operator:        s.operator,
+		settings:        s.config.Settings,
+		clock:           s.clock,
+		emit:            s.emit,
+		postProbeResult: s.tryPost,
 	})
 	if err != nil {
 		return err
@@ -108,8 +108,8 @@
 	MembersCommand     = "members"     // answered with cluster.MembersStatus
 )
 
-// adminHandlers returns the handlers of the admin socket's commands. Leases and members are known only to an
-// instance of a cluster.
+// adminHandlers returns the handlers of the admin socket's commands. Only an instance that is a member of a cluster
+// answers those for leases and members.
 func (s *Server) adminHandlers() map[string]adminsocket.Handler {
 	handlers := map[string]adminsocket.Handler{ConnectionsCommand: s.connections}
 	if s.cluster != nil {
@@ -119,14 +119,14 @@
 	return handlers
 }
 
-// newWatch returns the watch of the discovery service, which resumes after the last event of history.
+// newWatch returns the watch of the discovery service. It resumes after the last event of history.
 func (s *Server) newWatch(history discovery.History, post func(router.Event)) *discovery.Watcher {
-	calls := startup.NewCallSchedule(s.config.Seed, s.config.Settings.Routers, s.readinessHold())
-	calls.SetDrainGrace(s.shortestGrace())
+	schedule := startup.NewCallSchedule(s.config.Seed, s.config.Settings.Routers, s.readinessHold())
+	schedule.SetDrainGrace(s.shortestGracePeriod())
 	return discovery.NewWatcher(discovery.Config{
 		Address:  s.config.DiscoveryAddress,
 		History:  history,
-		Schedule: calls,
+		Schedule: schedule,
 		Post:     post,
 		Log:      s.emit,
 		Clock:    s.clock,
