--- a/internal/adminsocket/client.go
+++ b/internal/adminsocket/client.go
@@ -27,7 +27,7 @@
 		}
 	}
 	if _, err := fmt.Fprintln(conn, strings.Join(words, " ")); err != nil {
-		return err
+		return fmt.Errorf("command %q to %s: %w", words, path, err)
 	}
 	var received reply
 	if err := json.NewDecoder(io.LimitReader(conn, maxReplySize)).Decode(&received); err != nil {
--- a/internal/adminsocket/protocol.go
+++ b/internal/adminsocket/protocol.go
@@ -14,10 +14,11 @@
 	maxReplySize   = 16 << 20 // bytes of a reply
 	maxClients     = 8        // clients served at a time; the others wait
 
-	// commandTimeout bounds each command, on both sides of the socket.
+	// commandTimeout limits the duration of each command, on both sides of the socket.
 	commandTimeout = 5 * time.Second
 
-	// takeoverTimeout bounds the connect by which Serve finds out whether another process serves the socket.
+	// takeoverTimeout limits the attempt to connect by which Serve finds out whether another process serves the
+	// socket.
 	takeoverTimeout = time.Second
 
 	// acceptRetryDelay is the delay after an accept that failed because this machine lacks resources, for example
--- a/internal/lifecycle/shutdown/shutdown.go
+++ b/internal/lifecycle/shutdown/shutdown.go
@@ -53,7 +53,7 @@
 // DiskDeadline returns the time until which a process that only waits for its disk may run.
 func (p *Plan) DiskDeadline() int64 { return p.startedAt + int64(p.maxDeadline+diskGrace) }
 
-// State is what a router that shuts down still has to do.
+// State is the work that remains for a router during its shutdown.
 type State struct {
 	InFlight        int  // requests without a final answer
 	QueuedEvents    int  // events that are not handled yet
--- a/internal/lifecycle/shutdown/shutdown_test.go
+++ b/internal/lifecycle/shutdown/shutdown_test.go
@@ -12,7 +12,7 @@
 	done, open := State{Flushed: true}, State{Flushed: true, OpenConnections: 2}
 	for _, test := range []struct {
 		name        string
-		maxDeadline time.Duration // of the clients
+		maxDeadline time.Duration // longest deadline of a client
 		at          int64         // ms after the start
 		state       State
 		want        Step
--- a/internal/lifecycle/startup/listfilter.go
+++ b/internal/lifecycle/startup/listfilter.go
@@ -58,7 +58,7 @@
 	generation int64 // highest of all accepted lists
 
 	unconfirmed   ListSummary
-	unconfirmedAt int64 // 0: no list is unconfirmed
+	unconfirmedAt int64 // when that list was received; 0: no list is unconfirmed
 }
 
 // Evaluate returns the verdict on a list that is received now. If it is Accept, later lists are compared with this
--- a/internal/lifecycle/startup/readiness.go
+++ b/internal/lifecycle/startup/readiness.go
@@ -8,7 +8,7 @@
 // maxFirstSpread, since they count as notified of a change as soon as the service has it.
 type ReadinessHold struct {
 	CallRate    float64 // calls per second of all routers together
-	MaxDuration int64   // ns
+	MaxDuration int64   // longest time for which the service may keep a router from being ready, ns
 }
 
 // HoldTooShortError reports a ReadinessHold that is too short for all routers to call at its rate and get an answer.
--- a/internal/lifecycle/startup/result.go
+++ b/internal/lifecycle/startup/result.go
@@ -12,7 +12,7 @@
 	Unanswered                     // the connection was accepted, but nothing was received
 	Disconnected                   // the connection ended after data was received
 	Silent                         // data was received at first, and then none until the timeout
-	Truncated                      // it ended or stalled within an event, or before the first complete event or comment
+	Truncated                      // the connection ended or stalled before an event or the first comment was complete
 	LocalError                     // this machine could not make the call; the service is not at fault
 )
 
--- a/internal/server/clusternode.go
+++ b/internal/server/clusternode.go
@@ -44,7 +44,7 @@
 	operator         *operatorconfig.File // the one with which the instance started
 	reducer          *cluster.Node        // used by the loop's goroutine only
 	links            *peer.Links          // connections to other instances
-	clock            clock.Clock          // for times of other machines; the reducer uses bootTime
+	clock            clock.Clock          // for the wall clock and endpoints' start times; the reducer uses bootTime
 	emit             func(logevent.Event)
 	postProbeResult  func(router.Event) // posts a router.ProbeEnded; must not wait
 	loadReportFields []string
@@ -52,7 +52,7 @@
 	inbox          chan cluster.Event
 	leaseQueries   chan chan cluster.Status
 	memberQueries  chan chan cluster.MembersStatus
-	targets        atomic.Pointer[[]probe.Target] // by the latest endpoint list
+	targets        atomic.Pointer[[]probe.Target] // from the latest endpoint list
 	targetsChanged chan struct{}                  // has an item if the reducer does not have the latest targets yet
 
 	probeTokens chan struct{}   // a semaphore: it has an item for each probe in flight
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -8,9 +8,9 @@
 )
 
 // drainPollInterval is the interval at which the loop checks for the next step of a shutdown. It is not shorter,
-// because closing idle connections takes a system call for each of them. It is not longer, and the reducer's timer is
-// not used instead, which may fire only every 100 ms, because the platform kills the process 100 ms after the end of
-// the plan.
+// because closing idle connections takes a system call for each of them. It is not longer because the platform kills
+// the process 100 ms after the end of the plan. The reducer's timer is too slow for the same reason: it may fire only
+// every 100 ms.
 const drainPollInterval = 10 * time.Millisecond
 
 // drain is a graceful shutdown in progress. It is nil before the shutdown begins.
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// advance lets the reducer handle what is due by its timer.
+// advance reports to the reducer that its timer has fired, and updates the startup's phase.
 func (l *loop) advance() {
 	l.handle(l.server.clock.Now(), router.TimerFired{})
 	l.server.advanceStartup()
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -54,7 +54,7 @@
 	event router.Event
 }
 
-// Option changes a server in New.
+// Option sets an optional property of a server that New creates.
 type Option func(*Server)
 
 // WithClock sets the server's clock. The default is clock.System.
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -23,7 +23,7 @@
 	headerBytes  = len(magic) + versionBytes + lengthBytes + digestBytes
 )
 
-// Limits that keep a damaged file from using much memory.
+// Limits of files and of their decoder. maxFileBytes also applies when a file is written.
 const (
 	// maxFileBytes limits the size of a file: 10,000 objects and 10,000 endpoints with long names take under 4 MB.
 	maxFileBytes = 8 << 20
