--- a/internal/experiment/coldstart/coldstart_test.go
+++ b/internal/experiment/coldstart/coldstart_test.go
@@ -12,9 +12,8 @@
 	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
-// Real routers start beside a discovery service that is down, slow, breaks off, begins anew, or are killed and
-// come back: the service is called no faster than the note says, all have the list soon after it can be had,
-// and no request that was taken stays without an answer but where its router was killed.
+// Under each fault the bounds of docs/coldstart.md hold: calls of the discovery service stay within their rate, all
+// routers become healthy, and no request is lost except those at routers that were killed.
 func TestColdStart(t *testing.T) {
 	const routers = 12
 	binary := clustertest.Build(t, "tealpath")
@@ -35,21 +34,21 @@
 			}
 			if r.NeverHealthy > 0 || r.PeakCallsPerSecond > routers*4 || r.StaleListAttempts > 0 ||
 				r.NotNotified > 0 || r.CacheCrashes > 0 || r.PeakLoad > 1 {
-				t.Errorf("%+v", r)
+				t.Errorf("a bound is broken: %+v", r)
 			}
 			if !strings.Contains(string(fault), "killed") && r.Lost > 0 {
-				t.Errorf("%d lost: %+v", r.Lost, r)
+				t.Errorf("%d requests lost although no router was killed: %+v", r.Lost, r)
 			}
-			// Without chance and growth: 12 calls of each in 5 s, and then one.
+			// Without jitter and backoff growth, each router makes 12 calls in the 5 s of the outage and one after it.
 			if fault == ServiceDown && r.Calls > routers*16 {
-				t.Errorf("%d calls", r.Calls)
+				t.Errorf("%d calls of the discovery service, want at most %d", r.Calls, routers*16)
 			}
 		})
 	}
 }
 
-// With a hold no router is healthy before it has heard the service, nor do all call at once; one that is down
-// keeps none from serving for longer than the hold.
+// With a readiness hold, routers spread their first calls, and each reports that it is not ready until the discovery
+// service has answered, but not for longer than the hold.
 func TestColdStartHoldsHealthBack(t *testing.T) {
 	r, err := Experiment{
 		Routers:  12,
@@ -64,14 +63,14 @@
 		t.Fatal(err)
 	}
 	if r.NeverHealthy > 0 || r.PeakCallsPerSecond > 10 || r.HealthyP99MS < 500 || r.HealthyP99MS > 6000 {
-		t.Errorf("%+v", r)
+		t.Errorf("want all routers healthy after 0.5 to 6 s and at most 10 calls per second, got %+v", r)
 	}
 }
 
 func TestUnknownFaultIsRejected(t *testing.T) {
 	_, err := Experiment{Routers: 1, Caches: 1, Fault: "nonsense"}.Run(t.Context(), Build{})
 	if err == nil || !strings.Contains(err.Error(), FaultNames()) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v does not list the faults %s", err, FaultNames())
 	}
 }
 
@@ -92,7 +91,7 @@
 		breakBound(&broken)
 		var bound *report.BoundError
 		if err := broken.CheckBounds(); !errors.As(err, &bound) || bound.Page != "docs/coldstart.md" {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v, want a *report.BoundError for docs/coldstart.md", name, err)
 		}
 	}
 }
@@ -103,10 +102,11 @@
 			simulation := Simulation{Routers: n, Seed: 7, DownDuration: 30 * time.Second, Duration: time.Minute}
 			r := simulation.Run()
 			if again := simulation.Run(); !reflect.DeepEqual(again, r) {
-				t.Error("another play of the same seed differs")
+				t.Error("another run with the same seed gives another result")
 			}
 			if r.CheckBounds() != nil || 4*r.PeakCallsPerSecond > r.BaselinePeak || r.ReachedP99MS > 5500 {
-				t.Errorf("%+v", r)
+				t.Errorf("want calls within the bound and at most a quarter of the baseline's peak, "+
+					"and all routers answered within 5.5 s, got %+v", r)
 			}
 			if err := r.Write(t.TempDir()); err != nil {
 				t.Error(err)
--- a/internal/experiment/coldstart/drain.go
+++ b/internal/experiment/coldstart/drain.go
@@ -6,25 +6,26 @@
 )
 
 const (
-	// maxNotificationDelay is the time after all routers accept connections within which the discovery service
-	// has to have notified all of them. A router that serves from a list that it knew spreads its first call
-	// over 0.1 s; the rest is for a machine that is busy.
+	// maxNotificationDelay is the time within which the discovery service must have notified all routers of the
+	// drain, counted from when all of them accept connections. A router that has an endpoint list in its
+	// configuration makes its first call within 0.1 s; the rest allows for a busy machine.
 	maxNotificationDelay = time.Second
 
-	// drainGrace is how long a router that was notified of a drain may still send to the endpoint.
+	// drainGrace is how long a router may still send requests to an endpoint after it was notified that the
+	// endpoint drains.
 	drainGrace = 250 * time.Millisecond
 
 	notificationPollInterval = 5 * time.Millisecond
 )
 
-// watchDrain waits until the discovery service has notified all routers of the first cache's drain and the
-// grace is over, and notes how many attempts had come to that cache by then: only later ones are stale. Where a
-// router was not notified in time all attempts are.
-func (p *play) watchDrain(ctx context.Context) {
+// watchDrain waits until the discovery service has notified all routers that the first cache drains and
+// drainGrace has passed. It records how many attempts the cache has received by then: only later ones count as
+// stale. If a router was not notified in time, all attempts count as stale.
+func (r *experimentRun) watchDrain(ctx context.Context) {
 	deadline := time.Now().Add(maxNotificationDelay)
 	for {
-		p.result.NotNotified = p.Routers - p.service.Notified()
-		if p.result.NotNotified == 0 {
+		r.result.NotNotified = r.Routers - r.service.Notified()
+		if r.result.NotNotified == 0 {
 			break
 		}
 		if ctx.Err() != nil || time.Now().After(deadline) {
@@ -33,5 +34,5 @@
 		time.Sleep(notificationPollInterval)
 	}
 	time.Sleep(drainGrace)
-	p.attemptsBeforeDrain = p.caches[0].Fetches()
+	r.attemptsBeforeDrain = r.caches[0].Fetches()
 }
--- a/internal/experiment/coldstart/experiment.go
+++ b/internal/experiment/coldstart/experiment.go
@@ -1,6 +1,6 @@
-// Package coldstart measures what happens when many routers start at once: with real processes beside a
-// discovery service that fails or can bear little, and with the routers' call schedules alone in simulated
-// time.
+// Package coldstart measures the load on the discovery service and on caches when many routers start at once.
+// Experiment starts real router processes next to a discovery service that fails or has little capacity.
+// Simulation runs only the routers' schedules of discovery calls, in simulated time.
 package coldstart
 
 import (
@@ -16,23 +16,23 @@
 	"tealpath/internal/experiment/report"
 )
 
-// Fault is what is wrong while the routers start.
+// Fault is what goes wrong while the routers start.
 type Fault string
 
 // Faults of the discovery service, of routers and of caches.
 const (
-	NoFault              Fault = "none"
-	ServiceDown          Fault = "list-down"
-	ServiceSlow          Fault = "list-slow"
-	ListTruncated        Fault = "list-half"
-	ListStale            Fault = "list-old"
-	ServiceRestarted     Fault = "list-restart"
-	RoutersKilled        Fault = "half-killed"
-	RoutersKilledTwice   Fault = "killed-twice"
-	CachesWarmingUp      Fault = "caches-cold"
-	CachesUnresponsive   Fault = "caches-silent"
-	OneCacheHangs        Fault = "cache-hangs"
-	CacheDrainsUnnoticed Fault = "drained"
+	NoFault            Fault = "none"
+	ServiceDown        Fault = "list-down"     // the discovery service refuses calls at first
+	ServiceSlow        Fault = "list-slow"     // the discovery service accepts few calls per second
+	ListTruncated      Fault = "list-half"     // the discovery service disconnects in the middle of the endpoint list
+	ListStale          Fault = "list-old"      // the discovery service sends an endpoint list that is out of date
+	ServiceRestarted   Fault = "list-restart"  // the discovery service restarts and loses its state
+	RoutersKilled      Fault = "half-killed"   // seven routers in ten are killed and started again
+	RoutersKilledTwice Fault = "killed-twice"  // all routers are killed and started again, twice
+	CachesWarmingUp    Fault = "caches-cold"   // all caches have just been started
+	CachesUnresponsive Fault = "caches-silent" // one cache in three accepts connections and answers nothing
+	OneCacheHangs      Fault = "cache-hangs"   // one cache accepts connections and answers nothing
+	CacheDraining      Fault = "drained"       // one cache drains, but not yet in the routers' configurations
 )
 
 // Faults returns all faults, in the order of docs/coldstart.md.
@@ -40,11 +40,11 @@
 	return []Fault{
 		NoFault, ServiceDown, ServiceSlow, ListTruncated, ListStale, ServiceRestarted,
 		RoutersKilled, RoutersKilledTwice,
-		CachesWarmingUp, CachesUnresponsive, OneCacheHangs, CacheDrainsUnnoticed,
+		CachesWarmingUp, CachesUnresponsive, OneCacheHangs, CacheDraining,
 	}
 }
 
-// FaultNames returns the faults as they are written on a command line.
+// FaultNames returns the names of all faults, separated by commas.
 func FaultNames() string {
 	var names []string
 	for _, fault := range Faults() {
@@ -56,70 +56,72 @@
 const (
 	page = "docs/coldstart.md"
 
-	// callRateTolerance is allowed beside what the call schedules alone keep to: calls are counted as they
-	// reach the service, and on a machine with fewer cores than routers the lateness of processes bunches them.
+	// callRateTolerance is the factor by which the measured peak of calls may exceed the peak that the call
+	// schedules allow. Calls are counted when they reach the service, and on a machine with fewer cores than
+	// routers, processes are scheduled late, so that their calls arrive in bunches.
 	callRateTolerance = 1.5
 
-	minCallRate = 20 // calls a second
+	minCallRate = 20 // calls per second that are allowed to any number of routers
 
-	// holdMargin is by how much the readiness hold is longer than the time over which first calls are spread.
+	// holdMargin is the ratio of the readiness hold to the time over which first calls are spread.
 	holdMargin = 1.25
 )
 
-// Experiment starts real routers within a second and plays their clients.
+// Experiment starts real routers all at once and sends requests to them as their clients.
 type Experiment struct {
 	Routers  int
 	Caches   int
 	Seed     uint64
 	Fault    Fault
 	Duration time.Duration
-	Rate     float64 // requests a second, over all routers together
+	Rate     float64 // requests per second to all routers together
 	Dir      string  // an existing directory for the routers' files
 
-	ConfiguredRouters int // how many routers the settings say that there are; 0 is as many as there are
-	MaxConnections    int // that a cache takes; 0 is four for each three routers
+	ConfiguredRouters int // number of routers that the settings state; 0 means Routers
+	MaxConnections    int // connections that one cache accepts; 0 means 4/3 of Routers
 }
 
-// Build is a build of the router, with the options that it is started with.
+// Build is a router binary with the options that it is started with.
 type Build struct {
 	Binary string
-	// ReadinessHold spreads first calls over a part of it and keeps health back meanwhile; 0 is off.
+	// ReadinessHold is the longest time for which a router that has had no answer from the discovery service
+	// reports that it is not ready. The first calls of all routers are spread over most of it. 0 turns it off.
 	ReadinessHold time.Duration
-	// PlanConnections plans the connections to caches ahead of requests.
+	// PlanConnections has routers limit their connections to caches by a connection plan.
 	PlanConnections bool
 }
 
-// Result is what one run found.
+// Result holds what one run measured. Times are counted from the start of the routers.
 type Result struct {
 	Binary              string  `json:"binary"`
 	Fault               Fault   `json:"faults"`
 	Routers             int     `json:"routers"`
-	Calls               int     `json:"list_calls"`
+	Calls               int     `json:"list_calls"` // of the discovery service
 	PeakCallsPerSecond  int     `json:"list_connects_peak_per_s"`
 	PeakCallsPer100MS   int     `json:"list_connects_peak_per_100ms"`
-	ListBytes           int     `json:"list_bytes"`
-	PeakConnections     int     `json:"cache_connections_peak"`
+	ListBytes           int     `json:"list_bytes"`             // sent by the discovery service
+	PeakConnections     int     `json:"cache_connections_peak"` // at any one cache
 	HealthyP50MS        float64 `json:"time_to_listed_p50_ms"`
 	HealthyP99MS        float64 `json:"time_to_listed_p99_ms"`
-	NeverHealthy        int     `json:"unlisted"`
-	Sent                int     `json:"sent"`
+	NeverHealthy        int     `json:"unlisted"` // routers
+	Sent                int     `json:"sent"`     // requests
 	ServedShare         float64 `json:"settled_share_first_10s"`
-	Lost                int     `json:"lost"`
+	Lost                int     `json:"lost"` // requests that were never answered
 	HoldSeconds         float64 `json:"hold_s"`
 	PlannedConnections  bool    `json:"links"`
-	MaxConnections      int     `json:"cache_connections_held"`
+	MaxConnections      int     `json:"cache_connections_held"` // that one cache accepts
 	RefusedConnections  int     `json:"cache_connections_refused"`
-	PeakLoad            float64 `json:"cold_budget_worst_share"`
+	PeakLoad            float64 `json:"cold_budget_worst_share"` // 1 is the load above which a cold cache crashes
 	CacheCrashes        int     `json:"caches_fallen"`
 	WarmP99MS           float64 `json:"time_to_whole_p99_ms"`
-	StaleListAttempts   int     `json:"stale_list_dispatches"`
-	NotNotified         int     `json:"not_notified"` // routers, of a drain, within maxNotificationDelay
+	StaleListAttempts   int     `json:"stale_list_dispatches"` // sent to a draining cache too late
+	NotNotified         int     `json:"not_notified"`          // routers, of the drain, within maxNotificationDelay
 	CPUMSPerRouter      float64 `json:"cpu_ms_a_router"`
 	ResidentKBPerRouter int64   `json:"resident_kb_a_router"`
 	MaxCallsPerSecond   int     `json:"bound_connects_per_s"`
 }
 
-// CheckBounds returns a *report.BoundError where the result breaks a bound.
+// CheckBounds returns a *report.BoundError if the result breaks a bound of docs/coldstart.md.
 func (r Result) CheckBounds() error {
 	broken := r.PeakCallsPerSecond > r.MaxCallsPerSecond ||
 		r.NeverHealthy > 0 ||
@@ -128,28 +130,32 @@
 		r.PeakLoad > 1 ||
 		r.PlannedConnections && r.PeakConnections > r.MaxConnections
 	if broken {
-		return &report.BoundError{Page: page}
+		return &report.BoundError{Page: page, Detail: fmt.Sprintf("%d calls per second (at most %d), "+
+			"%d routers never healthy, %d requests lost, %d cache crashes, load %g (at most 1), "+
+			"%d connections to a cache (at most %d, if planned: %t)",
+			r.PeakCallsPerSecond, r.MaxCallsPerSecond, r.NeverHealthy, r.Lost, r.CacheCrashes, r.PeakLoad,
+			r.PeakConnections, r.MaxConnections, r.PlannedConnections)}
 	}
 	return nil
 }
 
-// Run plays the experiment with one build.
+// Run runs the experiment with one build.
 func (e Experiment) Run(ctx context.Context, build Build) (Result, error) {
-	p, err := e.plan(build)
+	r, err := e.newRun(build)
 	if err != nil {
 		return Result{}, err
 	}
-	return p.run(ctx)
+	return r.run(ctx)
 }
 
-// plan fills in what the experiment leaves open.
-func (e Experiment) plan(build Build) (*play, error) {
+// newRun checks the fault and sets the defaults of fields that are zero.
+func (e Experiment) newRun(build Build) (*experimentRun, error) {
 	if !slices.Contains(Faults(), e.Fault) {
-		return nil, fmt.Errorf("faults are one of %s", FaultNames())
+		return nil, fmt.Errorf("unknown fault %q: must be one of %s", e.Fault, FaultNames())
 	}
 	e.MaxConnections = cmp.Or(e.MaxConnections, e.Routers*4/3)
 	e.ConfiguredRouters = cmp.Or(e.ConfiguredRouters, e.Routers)
-	return &play{
+	return &experimentRun{
 		Experiment: e,
 		build:      build,
 		result: Result{
@@ -164,12 +170,13 @@
 	}, nil
 }
 
-// maxCallRate is the peak of calls a second that docs/coldstart.md derives for so many routers.
+// maxCallRate returns the highest number of calls in a second that docs/coldstart.md allows, by the number of
+// routers.
 func maxCallRate(routers int) int {
 	return int(callRateTolerance * 1.1 * math.Max(minCallRate, float64(routers)))
 }
 
-// operatorFile returns the operator's file of a build; empty is none.
+// operatorFile returns the contents of the operator's file for a build, or "" if the build needs none.
 func (e Experiment) operatorFile(build Build) string {
 	text := ""
 	if hold := build.ReadinessHold; hold > 0 {
--- a/internal/experiment/coldstart/fault.go
+++ b/internal/experiment/coldstart/fault.go
@@ -10,74 +10,75 @@
 )
 
 const (
-	// outageDuration is how long a fault of the discovery service lasts, and how long after the start routers
-	// are killed.
+	// outageDuration is how long a fault of the discovery service lasts. It is also the time from the start of
+	// the routers until some are killed.
 	outageDuration = 5 * time.Second
 
-	// restartDuration is how long the discovery service is away when it restarts.
+	// restartDuration is how long the discovery service refuses calls while it restarts.
 	restartDuration = outageDuration / 5
 
-	// secondKillDelay is the time between two kills of all routers.
+	// secondKillDelay is the time between the two kills of RoutersKilledTwice.
 	secondKillDelay = outageDuration / 2
 
-	// slowCallRate is how many calls a second the slow discovery service accepts.
+	// slowCallRate is how many calls per second the discovery service accepts under ServiceSlow.
 	slowCallRate = 10
 )
 
-// beginFault lets a fault of the discovery service begin before the routers start.
-func (p *play) beginFault() {
-	switch p.Fault {
+// beginFault begins a fault of the discovery service before the routers start.
+func (r *experimentRun) beginFault() {
+	switch r.Fault {
 	case ServiceDown:
-		p.service.Stop()
+		r.service.Stop()
 	case ServiceSlow:
-		p.service.SetBehavior(discoveryserver.Behavior{MaxCallRate: slowCallRate})
+		r.service.SetBehavior(discoveryserver.Behavior{MaxCallRate: slowCallRate})
 	case ListTruncated:
-		p.service.SetBehavior(discoveryserver.Behavior{Truncate: true})
+		r.service.SetBehavior(discoveryserver.Behavior{Truncate: true})
 	case ListStale:
-		// What it sends first is the state of before, in which all caches but one drain.
-		for _, endpoint := range p.endpoints[1:] {
-			p.service.Publish(testcluster.EndpointChangeEvent(2, endpoint))
+		// The service sends only its first event at first, the list of generation 1. These later changes make
+		// that list out of date.
+		for _, endpoint := range r.endpoints[1:] {
+			r.service.Publish(testcluster.EndpointChangeEvent(2, endpoint))
 		}
-		p.service.SetBehavior(discoveryserver.Behavior{Stale: true})
+		r.service.SetBehavior(discoveryserver.Behavior{Stale: true})
 	}
 }
 
-// continueFault ends a fault of the discovery service when its time is over, or kills routers then.
-func (p *play) continueFault(ctx context.Context) error {
+// continueFault waits for outageDuration, and then ends the fault of the discovery service or kills routers.
+func (r *experimentRun) continueFault(ctx context.Context) error {
 	select {
 	case <-time.After(outageDuration):
 	case <-ctx.Done():
 		return nil
 	}
-	switch p.Fault {
+	switch r.Fault {
 	case ServiceDown:
-		return p.service.Listen()
+		return r.service.Listen()
 	case ListTruncated:
-		p.service.SetBehavior(discoveryserver.Behavior{})
+		r.service.SetBehavior(discoveryserver.Behavior{})
 	case ServiceRestarted:
-		p.service.Stop()
-		p.service.Reset()
+		r.service.Stop()
+		r.service.Reset()
 		time.Sleep(restartDuration)
-		p.publishList(2)
-		return p.service.Listen()
+		r.publishList(2)
+		return r.service.Listen()
 	case RoutersKilled:
-		return p.restartRouters(p.Routers * 7 / 10)
+		return r.restartRouters(r.Routers * 7 / 10)
 	case RoutersKilledTwice:
-		first := p.restartRouters(p.Routers)
+		first := r.restartRouters(r.Routers)
 		time.Sleep(secondKillDelay)
-		return errors.Join(first, p.restartRouters(p.Routers))
+		return errors.Join(first, r.restartRouters(r.Routers))
 	}
 	return nil
 }
 
-// restartRouters kills so many routers and then starts them again.
-func (p *play) restartRouters(count int) error {
-	for _, router := range p.routers[:count] {
+// restartRouters kills the first count routers and then starts them again.
+func (r *experimentRun) restartRouters(count int) error {
+	for _, router := range r.routers[:count] {
 		router.KillAndWait()
 	}
 	var err error
 	for i := range count {
-		err = errors.Join(err, p.startRouter(i))
+		err = errors.Join(err, r.startRouter(i))
 	}
 	return err
 }
--- a/internal/experiment/coldstart/play.go
+++ b/internal/experiment/coldstart/play.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// maxLoadDuration is how much of the experiment has active traffic: the first 10 s count.
+	// maxLoadDuration is how long requests are sent: the share of requests served is that of the first 10 s.
 	maxLoadDuration = 10 * time.Second
 
 	healthPollInterval = 100 * time.Millisecond
@@ -28,109 +28,111 @@
 
 	routerMemoryMB   = 32
 	routerMaxSockets = 256
-	warmUpDuration   = 8 * time.Second // of a cache
+	warmUpDuration   = 8 * time.Second // of a cache that has just started
 )
 
-// startupPhaseChanged is the event by which routers log that their start has come further.
+// startupPhaseChanged is the name of the event that routers log when they enter another startup phase.
 var startupPhaseChanged = server.StartupPhaseChanged{}.Kind().Name
 
-// play is one run of an experiment.
-type play struct {
+// experimentRun is one run of an experiment.
+type experimentRun struct {
 	Experiment
 	build  Build
 	result Result
 
 	service      *discoveryserver.Service
 	caches       []*cache.Cache
-	endpoints    []string // the caches, as the endpoint list has them
-	addresses    []string // where routers take clients
-	operatorPath string   // empty is none
+	endpoints    []string // the caches' entries in the endpoint list, as JSON
+	addresses    []string // at which the routers accept clients
+	operatorPath string   // of the operator's file; empty if there is none
 	routers      []*testcluster.Process
 	startedAt    time.Time
-	healthyAtMS  []float64 // by router, since startedAt; 0 is not yet
+	healthyAtMS  []float64 // by router, since startedAt; 0 means not healthy yet
 
-	attemptsBeforeDrain int // at the first cache, until all routers had to know that it drains
+	// attemptsBeforeDrain counts the attempts at the first cache before all routers had to stop sending to it.
+	attemptsBeforeDrain int
 
 	mu     sync.Mutex
-	warmMS []float64 // guarded by mu; what each start took until request rates could be relied on
+	warmMS []float64 // guarded by mu; time of each router start until the phase startup.Warm
 }
 
-func (p *play) run(ctx context.Context) (Result, error) {
-	defer p.close()
-	if err := p.prepare(); err != nil {
-		return p.result, err
+func (r *experimentRun) run(ctx context.Context) (Result, error) {
+	defer r.close()
+	if err := r.prepare(); err != nil {
+		return r.result, err
 	}
-	if err := p.startRouters(); err != nil {
-		return p.result, err
+	if err := r.startRouters(); err != nil {
+		return r.result, err
 	}
-	served, err := p.observe(ctx)
+	served, err := r.observe(ctx)
 	if err != nil {
-		return p.result, err
+		return r.result, err
 	}
-	p.summarize(served)
-	return p.result, nil
+	r.summarize(served)
+	return r.result, nil
 }
 
-// close kills the routers and ends the emulators.
-func (p *play) close() {
-	for _, router := range p.routers {
+// close kills the routers and closes the emulators.
+func (r *experimentRun) close() {
+	for _, router := range r.routers {
 		if router != nil {
 			router.KillAndWait()
 		}
 	}
-	for _, emulated := range p.caches {
+	for _, emulated := range r.caches {
 		emulated.Close()
 	}
-	if p.service != nil {
-		p.service.Close()
+	if r.service != nil {
+		r.service.Close()
 	}
 }
 
-// prepare starts the emulators, lets the fault begin and writes the routers' files.
-func (p *play) prepare() error {
+// prepare starts the emulators, begins the fault and writes the routers' files.
+func (r *experimentRun) prepare() error {
 	service, err := discoveryserver.Start()
 	if err != nil {
 		return err
 	}
-	p.service = service
-	if err := p.startCaches(); err != nil {
+	r.service = service
+	if err := r.startCaches(); err != nil {
 		return err
 	}
-	p.publishList(1)
+	r.publishList(1)
 	watchEvents := json.RawMessage(nil)
-	if p.Fault == CacheDrainsUnnoticed {
-		// After the configurations were written, before the routers start.
+	if r.Fault == CacheDraining {
+		// The routers' configurations contain only the events up to here, so that the routers start without
+		// knowing that the cache drains.
 		watchEvents = json.RawMessage(service.KnownEvents())
-		service.Publish(testcluster.EndpointChangeEvent(2, testcluster.Draining(p.endpoints[0])))
+		service.Publish(testcluster.EndpointChangeEvent(2, testcluster.Draining(r.endpoints[0])))
 	}
-	p.beginFault()
-	return p.writeFiles(watchEvents)
+	r.beginFault()
+	return r.writeFiles(watchEvents)
 }
 
-func (p *play) startCaches() error {
-	for i := range p.Caches {
+func (r *experimentRun) startCaches() error {
+	for i := range r.Caches {
 		emulated, err := cache.Start(testcluster.CacheName(i), "")
 		if err != nil {
 			return err
 		}
-		p.caches = append(p.caches, emulated)
+		r.caches = append(r.caches, emulated)
 		var listedStart time.Time
 		startedAt := time.Unix(0, 0)
-		if p.Fault == CachesWarmingUp {
+		if r.Fault == CachesWarmingUp {
 			startedAt = time.Now()
 			listedStart = startedAt
 		}
-		emulated.SetLimits(p.cacheLimits(i), startedAt)
-		p.endpoints = append(p.endpoints, testcluster.EndpointJSON(emulated, listedStart))
+		emulated.SetLimits(r.cacheLimits(i), startedAt)
+		r.endpoints = append(r.endpoints, testcluster.EndpointJSON(emulated, listedStart))
 	}
 	return nil
 }
 
-func (p *play) cacheLimits(index int) cache.Limits {
-	hangs := p.Fault == OneCacheHangs && index == 0
-	isSilent := p.Fault == CachesUnresponsive && index%3 == 0
+func (r *experimentRun) cacheLimits(index int) cache.Limits {
+	hangs := r.Fault == OneCacheHangs && index == 0
+	isSilent := r.Fault == CachesUnresponsive && index%3 == 0
 	return cache.Limits{
-		MaxConnections: p.MaxConnections,
+		MaxConnections: r.MaxConnections,
 		Concurrency:    4,
 		ServiceTime:    int64(5 * time.Millisecond),
 		FillTime:       int64(20 * time.Millisecond),
@@ -143,53 +145,54 @@
 	}
 }
 
-// publishList has the discovery service send a complete endpoint list.
-func (p *play) publishList(generation int) {
-	p.service.Publish(testcluster.EndpointListEvent(generation, p.endpoints))
+// publishList publishes a complete endpoint list at the discovery service.
+func (r *experimentRun) publishList(generation int) {
+	r.service.Publish(testcluster.EndpointListEvent(generation, r.endpoints))
 }
 
-// writeFiles writes the configurations of all routers and the operator's file that they share.
-func (p *play) writeFiles(watchEvents json.RawMessage) error {
-	for i := range p.Routers {
+// writeFiles writes the configurations of all routers, and the operator's file that they share if the build needs
+// one. watchEvents are the discovery service's events in the configurations; nil means none.
+func (r *experimentRun) writeFiles(watchEvents json.RawMessage) error {
+	for i := range r.Routers {
 		address, err := testcluster.FreeAddress()
 		if err != nil {
 			return err
 		}
-		p.addresses = append(p.addresses, address)
+		r.addresses = append(r.addresses, address)
 		config := testcluster.RouterConfig{
 			Name:           fmt.Sprintf("n%d", i),
 			Listen:         address,
-			Seed:           fmt.Sprintf("%016x", p.Seed*1000+uint64(i)+1),
+			Seed:           fmt.Sprintf("%016x", r.Seed*1000+uint64(i)+1),
 			Cores:          1,
 			MemoryMB:       routerMemoryMB,
 			MaxSockets:     routerMaxSockets,
-			Discovery:      p.service.Address(),
+			Discovery:      r.service.Address(),
 			WatchEvents:    watchEvents,
-			Routers:        p.ConfiguredRouters,
+			Routers:        r.ConfiguredRouters,
 			WarmUpDuration: int(warmUpDuration / time.Second),
 		}
-		if err := config.Write(p.configPath(i)); err != nil {
+		if err := config.Write(r.configPath(i)); err != nil {
 			return err
 		}
 	}
-	text := p.operatorFile(p.build)
+	text := r.operatorFile(r.build)
 	if text == "" {
 		return nil
 	}
-	p.operatorPath = filepath.Join(p.Dir, "operator.sx")
-	return os.WriteFile(p.operatorPath, []byte(text), 0o600)
+	r.operatorPath = filepath.Join(r.Dir, "operator.sx")
+	return os.WriteFile(r.operatorPath, []byte(text), 0o600)
 }
 
-func (p *play) configPath(router int) string {
-	return filepath.Join(p.Dir, fmt.Sprintf("n%d.json", router))
+func (r *experimentRun) configPath(router int) string {
+	return filepath.Join(r.Dir, fmt.Sprintf("n%d.json", router))
 }
 
-func (p *play) startRouters() error {
-	p.startedAt = time.Now()
-	p.routers = make([]*testcluster.Process, p.Routers)
-	p.healthyAtMS = make([]float64, p.Routers)
-	for i := range p.routers {
-		if err := p.startRouter(i); err != nil {
+func (r *experimentRun) startRouters() error {
+	r.startedAt = time.Now()
+	r.routers = make([]*testcluster.Process, r.Routers)
+	r.healthyAtMS = make([]float64, r.Routers)
+	for i := range r.routers {
+		if err := r.startRouter(i); err != nil {
 			return err
 		}
 	}
@@ -197,62 +200,63 @@
 }
 
 // startRouter starts a router, for the first time or again.
-func (p *play) startRouter(index int) error {
+func (r *experimentRun) startRouter(index int) error {
 	startedAt := time.Now()
 	router, err := testcluster.StartProcess(testcluster.Command{
-		Binary:       p.build.Binary,
-		Config:       p.configPath(index),
-		OperatorFile: p.operatorPath,
+		Binary:       r.build.Binary,
+		Config:       r.configPath(index),
+		OperatorFile: r.operatorPath,
 	}, func(line testcluster.LogLine) {
 		if line.Event != startupPhaseChanged || line.Phase != startup.Warm.String() {
 			return
 		}
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		p.warmMS = append(p.warmMS, milliseconds(time.Since(startedAt)))
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.warmMS = append(r.warmMS, milliseconds(time.Since(startedAt)))
 	})
 	if err != nil {
 		return err
 	}
-	p.routers[index] = router
+	r.routers[index] = router
 	return nil
 }
 
-// observe plays clients and the fault's course, and waits until all routers were healthy or the time is over.
-func (p *play) observe(ctx context.Context) (testcluster.LoadResult, error) {
-	ctx, stop := context.WithTimeout(ctx, p.Duration)
+// observe sends requests and continues the fault. It waits until each router has been healthy once or the
+// experiment's duration is over.
+func (r *experimentRun) observe(ctx context.Context) (testcluster.LoadResult, error) {
+	ctx, stop := context.WithTimeout(ctx, r.Duration)
 	defer stop()
 	var watchers sync.WaitGroup
 	var faultErr error
-	for i := range p.addresses {
-		watchers.Go(func() { p.waitForHealth(ctx, i) })
+	for i := range r.addresses {
+		watchers.Go(func() { r.waitForHealth(ctx, i) })
 	}
-	watchers.Go(func() { faultErr = p.continueFault(ctx) })
-	p.waitForListeners()
-	if p.Fault == CacheDrainsUnnoticed {
-		watchers.Go(func() { p.watchDrain(ctx) })
+	watchers.Go(func() { faultErr = r.continueFault(ctx) })
+	r.waitForListeners()
+	if r.Fault == CacheDraining {
+		watchers.Go(func() { r.watchDrain(ctx) })
 	}
-	load := testcluster.Load{Rate: p.Rate, Addresses: p.addresses, ConnectionsPer: 1}
-	served, err := load.Run(ctx, min(p.Duration, maxLoadDuration))
+	load := testcluster.Load{Rate: r.Rate, Addresses: r.addresses, ConnectionsPer: 1}
+	served, err := load.Run(ctx, min(r.Duration, maxLoadDuration))
 	watchers.Wait()
 	return served, errors.Join(faultErr, err)
 }
 
-// waitForHealth notes when a router is healthy for the first time.
-func (p *play) waitForHealth(ctx context.Context, router int) {
+// waitForHealth records when a router is healthy for the first time.
+func (r *experimentRun) waitForHealth(ctx context.Context, router int) {
 	for ctx.Err() == nil {
-		if testcluster.IsHealthy(p.addresses[router]) {
-			p.healthyAtMS[router] = milliseconds(time.Since(p.startedAt))
+		if testcluster.IsHealthy(r.addresses[router]) {
+			r.healthyAtMS[router] = milliseconds(time.Since(r.startedAt))
 			return
 		}
 		time.Sleep(healthPollInterval)
 	}
 }
 
-// waitForListeners waits until all routers accept connections, for a while.
-func (p *play) waitForListeners() {
+// waitForListeners waits until all routers accept connections, for maxListenWait at most.
+func (r *experimentRun) waitForListeners() {
 	deadline := time.Now().Add(maxListenWait)
-	for time.Now().Before(deadline) && !allListen(p.addresses) {
+	for time.Now().Before(deadline) && !allListen(r.addresses) {
 		time.Sleep(listenPollInterval)
 	}
 }
--- a/internal/experiment/coldstart/simulation.go
+++ b/internal/experiment/coldstart/simulation.go
@@ -14,49 +14,51 @@
 )
 
 const (
-	seedStride = 1_000_003 // between the seeds of two simulations, so that routers' seeds do not meet
+	// seedStride separates the seeds of simulations, so that no router of one has the seed of a router of another.
+	seedStride = 1_000_003
 
-	// The baseline calls at once, and then after waits that double from the first to the longest, without
-	// jitter.
+	// The baseline calls at once, and then after waits without jitter that double from baselineFirstWait to
+	// baselineLongestWait, in ns.
 	baselineFirstWait   = int64(50 * time.Millisecond)
 	baselineLongestWait = int64(500 * time.Millisecond)
 )
 
-// Simulation plays the routers' schedules of calls to a discovery service that is down, in simulated time.
+// Simulation simulates the routers' schedules of calls to a discovery service that is down at first.
 type Simulation struct {
 	Routers      int
 	Seed         uint64
-	DownDuration time.Duration // since the start
-	Duration     time.Duration
+	DownDuration time.Duration // of the discovery service, from the start
+	Duration     time.Duration // of the simulation
 }
 
-// SimulationResult is what a simulation found. The baseline is how routers called before they had a schedule.
+// SimulationResult holds the calls of routers with call schedules, and those of the baseline, routers that retry
+// with exponential backoff without jitter.
 type SimulationResult struct {
 	Routers            int     `json:"routers"`
 	PeakCallsPerSecond int     `json:"list_connects_peak_per_s"`
 	BaselinePeak       int     `json:"before_peak_per_s"`
-	ReachedP99MS       float64 `json:"time_to_heard_p99_ms"` // since the service is up
+	ReachedP99MS       float64 `json:"time_to_heard_p99_ms"` // from the end of the outage
 	BaselineReached    float64 `json:"before_time_to_heard_p99_ms"`
 	MaxCallsPerSecond  int     `json:"bound_connects_per_s"`
-	Calls              []int   `json:"-"` // by second
+	Calls              []int   `json:"-"` // in each second
 	BaselineCalls      []int   `json:"-"`
 }
 
-// nextCall returns the time of a router's next call, ns since the start.
+// nextCall returns the time of a router's next call, ns after the start.
 type nextCall func() int64
 
-// Run plays the simulation.
+// Run runs the simulation.
 func (s Simulation) Run() SimulationResult {
 	result := SimulationResult{Routers: s.Routers, MaxCallsPerSecond: max(minCallRate, s.Routers+s.Routers/10)}
-	result.Calls, result.ReachedP99MS = s.play(s.scheduled)
-	result.BaselineCalls, result.BaselineReached = s.play(baseline)
+	result.Calls, result.ReachedP99MS = s.simulateCalls(s.scheduled)
+	result.BaselineCalls, result.BaselineReached = s.simulateCalls(baseline)
 	result.PeakCallsPerSecond, result.BaselinePeak = slices.Max(result.Calls), slices.Max(result.BaselineCalls)
 	return result
 }
 
-// play counts the calls by second, each router's up to the first one that succeeds, and returns the 99th
-// percentile of the time from the end of the outage to that call, ms.
-func (s Simulation) play(schedule func(router int) nextCall) (calls []int, reachedP99MS float64) {
+// simulateCalls counts the calls in each second. Each router calls until a call succeeds; reachedP99MS is the 99th
+// percentile of the time from the end of the outage to that call.
+func (s Simulation) simulateCalls(schedule func(router int) nextCall) (calls []int, reachedP99MS float64) {
 	calls = make([]int, int(s.Duration/time.Second)+1)
 	var reachedMS []float64
 	for router := range s.Routers {
@@ -72,7 +74,7 @@
 	return calls, percentile(reachedMS, 99)
 }
 
-// scheduled calls as routers do.
+// scheduled returns the calls of a router with a call schedule.
 func (s Simulation) scheduled(router int) nextCall {
 	schedule := startup.NewCallSchedule(s.Seed*seedStride+uint64(router), s.Routers, startup.ReadinessHold{})
 	at, isFirst := int64(0), true
@@ -87,7 +89,7 @@
 	}
 }
 
-// baseline calls as routers did before they had a schedule.
+// baseline returns the calls of a router that retries with exponential backoff without jitter.
 func baseline(int) nextCall {
 	at, wait := int64(0), int64(0)
 	return func() int64 {
@@ -97,15 +99,18 @@
 	}
 }
 
-// CheckBounds returns a *report.BoundError where the result breaks a bound.
+// CheckBounds returns a *report.BoundError if the result breaks a bound of docs/coldstart.md.
 func (r SimulationResult) CheckBounds() error {
 	if r.PeakCallsPerSecond > r.MaxCallsPerSecond {
-		return &report.BoundError{Page: page}
+		return &report.BoundError{
+			Page:   page,
+			Detail: fmt.Sprintf("%d calls per second, at most %d", r.PeakCallsPerSecond, r.MaxCallsPerSecond),
+		}
 	}
 	return nil
 }
 
-// Write writes the calls by second as a table and a chart into a directory.
+// Write writes a table and a chart of the calls in each second into a directory.
 func (r SimulationResult) Write(dir string) error {
 	name := fmt.Sprintf("coldstart-%d", r.Routers)
 	var rows [][]string
--- a/internal/experiment/coldstart/summary.go
+++ b/internal/experiment/coldstart/summary.go
@@ -9,30 +9,30 @@
 	"tealpath/internal/experiment/testcluster"
 )
 
-// summarize fills in the result from what routers, caches and the discovery service have seen.
-func (p *play) summarize(served testcluster.LoadResult) {
-	for _, router := range p.routers {
-		p.result.CPUMSPerRouter += 1000 * testcluster.CPUSeconds(router.PID()) / float64(p.Routers)
-		p.result.ResidentKBPerRouter += testcluster.ResidentKB(router.PID()) / int64(p.Routers)
+// summarize computes the result from the load and from what routers, caches and the discovery service recorded.
+func (r *experimentRun) summarize(served testcluster.LoadResult) {
+	for _, router := range r.routers {
+		r.result.CPUMSPerRouter += 1000 * testcluster.CPUSeconds(router.PID()) / float64(r.Routers)
+		r.result.ResidentKBPerRouter += testcluster.ResidentKB(router.PID()) / int64(r.Routers)
 	}
-	p.summarizeCalls()
-	p.summarizeCaches()
-	p.summarizeStarts()
-	p.result.Sent, p.result.Lost = served.Sent, served.Lost
-	p.result.ServedShare = float64(served.Served) / math.Max(1, float64(served.Sent))
+	r.summarizeCalls()
+	r.summarizeCaches()
+	r.summarizeStarts()
+	r.result.Sent, r.result.Lost = served.Sent, served.Lost
+	r.result.ServedShare = float64(served.Served) / math.Max(1, float64(served.Sent))
 }
 
-func (p *play) summarizeCalls() {
-	calls := p.service.Calls()
+func (r *experimentRun) summarizeCalls() {
+	calls := r.service.Calls()
 	perSecond, per100MS := map[time.Duration]int{}, map[time.Duration]int{}
 	for _, call := range calls {
-		sinceStart := call.At.Sub(p.startedAt)
-		p.result.ListBytes += call.BytesSent
+		sinceStart := call.At.Sub(r.startedAt)
+		r.result.ListBytes += call.BytesSent
 		perSecond[sinceStart/time.Second]++
 		per100MS[sinceStart/(100*time.Millisecond)]++
 	}
-	p.result.Calls = len(calls)
-	p.result.PeakCallsPerSecond, p.result.PeakCallsPer100MS = peak(perSecond), peak(per100MS)
+	r.result.Calls = len(calls)
+	r.result.PeakCallsPerSecond, r.result.PeakCallsPer100MS = peak(perSecond), peak(per100MS)
 }
 
 func peak(counts map[time.Duration]int) int {
@@ -43,36 +43,36 @@
 	return highest
 }
 
-func (p *play) summarizeCaches() {
-	for _, emulated := range p.caches {
+func (r *experimentRun) summarizeCaches() {
+	for _, emulated := range r.caches {
 		model := emulated.Model()
-		p.result.PeakConnections = max(p.result.PeakConnections, model.PeakConnections)
-		p.result.PeakLoad = math.Max(p.result.PeakLoad, model.PeakLoad)
-		p.result.RefusedConnections += model.RefusedConnections
-		p.result.CacheCrashes += model.Crashes
+		r.result.PeakConnections = max(r.result.PeakConnections, model.PeakConnections)
+		r.result.PeakLoad = math.Max(r.result.PeakLoad, model.PeakLoad)
+		r.result.RefusedConnections += model.RefusedConnections
+		r.result.CacheCrashes += model.Crashes
 	}
-	if p.Fault == CacheDrainsUnnoticed {
-		p.result.StaleListAttempts = p.caches[0].Fetches() - p.attemptsBeforeDrain
+	if r.Fault == CacheDraining {
+		r.result.StaleListAttempts = r.caches[0].Fetches() - r.attemptsBeforeDrain
 	}
 }
 
-func (p *play) summarizeStarts() {
+func (r *experimentRun) summarizeStarts() {
 	var healthy []float64
-	for _, at := range p.healthyAtMS {
+	for _, at := range r.healthyAtMS {
 		if at > 0 {
 			healthy = append(healthy, at)
 		} else {
-			p.result.NeverHealthy++
+			r.result.NeverHealthy++
 		}
 	}
-	p.mu.Lock()
-	warm := slices.Clone(p.warmMS)
-	p.mu.Unlock()
-	p.result.HealthyP50MS, p.result.HealthyP99MS = percentile(healthy, 50), percentile(healthy, 99)
-	p.result.WarmP99MS = percentile(warm, 99)
+	r.mu.Lock()
+	warm := slices.Clone(r.warmMS)
+	r.mu.Unlock()
+	r.result.HealthyP50MS, r.result.HealthyP99MS = percentile(healthy, 50), percentile(healthy, 99)
+	r.result.WarmP99MS = percentile(warm, 99)
 }
 
-// percentile returns a percentile of values in any order; 0 if there are none.
+// percentile returns a percentile of unsorted values, or 0 if there are none.
 func percentile(values []float64, percent int) float64 {
 	return report.Percentile(slices.Sorted(slices.Values(values)), percent)
 }
--- a/internal/experiment/coldstartsim/client.go
+++ b/internal/experiment/coldstartsim/client.go
@@ -6,15 +6,15 @@
 	"tealpath/internal/router"
 )
 
-// clientRequest is an object that a client wants, over all its attempts to get it.
+// clientRequest is a client's request for an object, with all its attempts.
 type clientRequest struct {
 	object   uint64
 	attempts int
-	second   int   // of the run in which it began
-	deadline int64 // after which the client makes no further attempt
+	second   int   // second of the run in which the request began
+	deadline int64 // time after which the client makes no further attempt
 }
 
-// requestKey names a request at a router.
+// requestKey identifies an attempt at a router.
 type requestKey struct {
 	router int
 	seq    int32
@@ -31,8 +31,8 @@
 	s.attempt(request)
 }
 
-// attempt sends a client's request to any router. One that is not ready is not asked: the client tries
-// another one a moment later.
+// attempt sends a client's request to a random router. If that router is not ready, the client retries after
+// unreadyRetryDelay.
 func (s *runState) attempt(request *clientRequest) {
 	request.attempts++
 	to := s.routers[s.random.IntN(len(s.routers))]
@@ -49,7 +49,7 @@
 	})
 }
 
-// routerRequest is a client's request as a router decodes it.
+// routerRequest returns a client's request in the form in which a router decodes it.
 func routerRequest(seq int32, object uint64) router.Request {
 	return router.Request{
 		ID:      fmt.Sprintf("%016x", uint64(seq)),
@@ -61,15 +61,16 @@
 	}
 }
 
-// retry makes a further attempt after a delay, if the client has one left.
+// retry makes another attempt after a delay, unless the client has used up its attempts or its deadline passes
+// before.
 func (s *runState) retry(request *clientRequest, delay int64) {
 	if request.attempts < s.plan.MaxAttempts && s.now()+delay < request.deadline {
 		s.scheduler.After(delay, func() { s.attempt(request) })
 	}
 }
 
-// responded takes a router's response to a client.
-func (s *runState) responded(from *simulatedRouter, response router.Respond) {
+// handleResponse handles a router's response to a client.
+func (s *runState) handleResponse(from *simulatedRouter, response router.Respond) {
 	key := requestKey{from.index, response.Seq}
 	request := s.requests[key]
 	if request == nil {
@@ -87,8 +88,9 @@
 	s.retry(request, delay)
 }
 
-// connectionsReset drops the requests at a router that was killed: their clients know, and wait for nothing.
-func (s *runState) connectionsReset(at *simulatedRouter) {
+// dropRequests drops the requests at a router that was killed. Their clients see the connections reset and stop
+// waiting for responses.
+func (s *runState) dropRequests(at *simulatedRouter) {
 	for key := range s.requests {
 		if key.router == at.index {
 			delete(s.requests, key)
--- a/internal/experiment/coldstartsim/coldstartsim_test.go
+++ b/internal/experiment/coldstartsim/coldstartsim_test.go
@@ -23,8 +23,9 @@
 	return plan
 }
 
-// Where routers without jitter and without a connection plan open more connections than caches hold, or
-// never get the endpoint list, those with both stay within the bounds, and no request is lost.
+// Under each fault, routers with jitter and a connection plan stay within the bounds of docs/coldstart.md and lose no
+// request. Baseline routers, which have neither, may open more connections than caches accept or never receive the
+// endpoint list.
 func TestBoundsUnderEachFault(t *testing.T) {
 	for _, fault := range Faults {
 		t.Run(string(fault), func(t *testing.T) {
@@ -43,22 +44,24 @@
 			current := mustRun(t, plan)
 			if fault == FaultNone {
 				if again := mustRun(t, plan); fmt.Sprint(again) != fmt.Sprint(current) {
-					t.Error("another run of the same seed differs")
+					t.Error("another run with the same seed gives another result")
 				}
 			}
 			baseline := mustRun(t, withBaseline(plan))
 			if !current.BoundsHold() || current.RefusedConnections > 0 {
-				t.Errorf("%v", current)
+				t.Errorf("a bound is broken or a connection was refused: %v", current)
 			}
 			if current.PeakDiscoveryCalls > baseline.PeakDiscoveryCalls {
-				t.Errorf("%v, baseline %v", current, baseline)
+				t.Errorf("%d discovery calls in a second, baseline %d", current.PeakDiscoveryCalls,
+					baseline.PeakDiscoveryCalls)
 			}
 			mostGetEndpoints := current.Served >= baseline.Served+0.1 && current.TimeToEndpointsP99 >= 0
 			if fault == FaultDiscoverySlow && !mostGetEndpoints {
-				t.Errorf("served %f, baseline %f", current.Served, baseline.Served)
+				t.Errorf("served share %f, want 0.1 more than the baseline's %f; time to endpoints %f ms, want not -1",
+					current.Served, baseline.Served, current.TimeToEndpointsP99)
 			}
 			if current.RecoveryTime < 0 || current.Served < 0.4 {
-				t.Errorf("the usual service is not back: %v", current)
+				t.Errorf("the service has not recovered, or less than 0.4 of all requests were served: %v", current)
 			}
 		})
 	}
@@ -78,21 +81,24 @@
 	current, baseline := mustRun(t, plan), mustRun(t, withBaseline(plan))
 	if current.PeakConnections > 50 || current.RefusedConnections > 0 || baseline.RefusedConnections < 100 ||
 		current.Served < baseline.Served-0.05 {
-		t.Errorf("%v, baseline %v", current, baseline)
+		t.Errorf("want at most 50 connections to a cache, none refused (at least 100 in the baseline), and a served "+
+			"share at most 0.05 below the baseline's; got %v, baseline %v", current, baseline)
 	}
-	// Where the settings know of three routers only, refused connections are tried again with growing backoff.
+	// If the settings state only three routers, each router connects to all caches, and retries refused
+	// connections with growing backoff.
 	plan.ConfiguredRouters = 3
 	if few := mustRun(t, plan); few.Lost > 0 || few.Served < 0.8 || few.Connects > baseline.Connects {
-		t.Errorf("%v, baseline %v", few, baseline)
+		t.Errorf("want no requests lost, a served share of 0.8 and no more connects than the baseline; "+
+			"got %v, baseline %v", few, baseline)
 	}
 }
 
 func TestUnknownFault(t *testing.T) {
 	_, err := Plan{Routers: 1, Caches: 1, Fault: "x", RequestRate: 1}.Run()
 	var unknown *UnknownFaultError
-	if !errors.As(err, &unknown) || unknown.Fault != "x" || err.Error() !=
-		"faults are one of [none list-down list-slow caches-cold caches-silent cache-hangs retries half-killed]" {
-		t.Errorf("%v", err)
+	if !errors.As(err, &unknown) || unknown.Fault != "x" || err.Error() != `unknown fault "x": must be one of `+
+		"none, list-down, list-slow, caches-cold, caches-silent, cache-hangs, retries, half-killed" {
+		t.Errorf("got error %v, want an UnknownFaultError that lists all faults", err)
 	}
 }
 
--- a/internal/experiment/coldstartsim/plan.go
+++ b/internal/experiment/coldstartsim/plan.go
@@ -1,45 +1,46 @@
-// Package coldstartsim simulates a cold start: many routers start within a second, next to caches of little
-// capacity, a discovery service that may be down or slow, and clients that retry.
+// Package coldstartsim simulates a cold start: many routers start within a second. The caches have little capacity,
+// the discovery service may be down or slow, and clients retry.
 //
-// Each router is made of the real parts, which read no clock and open nothing: the routing module (package
+// Each router runs production code that reads no clock and does no input or output: the routing module (package
 // control), the router's reducer (internal/router), the schedule of discovery calls and the readiness hold
-// (internal/lifecycle/startup), and the connection plan (internal/connpool). What is simulated is time, the
-// network, the caches' capacity, the discovery service and the clients.
+// (internal/lifecycle/startup), and the connection plan (internal/connpool). Time, the network, the caches'
+// capacity, the discovery service and the clients are simulated.
 package coldstartsim
 
 import (
 	"cmp"
 	"fmt"
 	"slices"
+	"strings"
 	"time"
 
 	"tealpath/control"
 	"tealpath/internal/emulator/cache"
 )
 
-// Fault is what is wrong during a run.
+// Fault is what goes wrong during a run.
 type Fault string
 
-// The faults.
+// Faults of the discovery service, of caches, of clients and of routers.
 const (
 	FaultNone              = Fault("none")
-	FaultDiscoveryDown     = Fault("list-down")     // the discovery service refuses calls for its first seconds
-	FaultDiscoverySlow     = Fault("list-slow")     // it takes a quarter of the calls that it usually takes
+	FaultDiscoveryDown     = Fault("list-down")     // the discovery service refuses calls for the first seconds
+	FaultDiscoverySlow     = Fault("list-slow")     // the discovery service takes a quarter of its usual call rate
 	FaultCachesWarmingUp   = Fault("caches-cold")   // all caches have just been started
-	FaultCachesSilent      = Fault("caches-silent") // a third of the caches answers no connection attempt
-	FaultCacheUnresponsive = Fault("cache-hangs")   // one cache takes connections and answers no request
+	FaultCachesSilent      = Fault("caches-silent") // a third of the caches do not answer connection attempts
+	FaultCacheUnresponsive = Fault("cache-hangs")   // one cache accepts connections and answers no request
 	FaultAggressiveRetries = Fault("retries")       // caches are cold, and clients ignore Retry-After
 	FaultRoutersKilled     = Fault("half-killed")   // seven routers in ten are killed and start again
 )
 
-// How far the faults go.
+// Extent of the faults.
 const (
-	slowDiscoveryFactor    = 4
-	silentCachesOneIn      = 3
-	restartedRoutersPerTen = 7
+	slowDiscoveryFactor    = 4 // by which a call takes longer under FaultDiscoverySlow
+	silentCachesOneIn      = 3 // one cache in three is silent under FaultCachesSilent
+	restartedRoutersPerTen = 7 // routers of each ten that are killed under FaultRoutersKilled
 )
 
-// Faults are all faults.
+// Faults lists all faults.
 var Faults = []Fault{
 	FaultNone,
 	FaultDiscoveryDown,
@@ -51,7 +52,7 @@
 	FaultRoutersKilled,
 }
 
-// FaultNames are the names of all faults.
+// FaultNames returns the names of all faults.
 func FaultNames() []string {
 	names := make([]string, len(Faults))
 	for i, fault := range Faults {
@@ -60,30 +61,32 @@
 	return names
 }
 
-// UnknownFaultError is a fault that is not one of Faults.
+// UnknownFaultError reports a fault that is not one of Faults.
 type UnknownFaultError struct{ Fault Fault }
 
-func (e *UnknownFaultError) Error() string { return fmt.Sprintf("faults are one of %v", Faults) }
+func (e *UnknownFaultError) Error() string {
+	return fmt.Sprintf("unknown fault %q: must be one of %s", e.Fault, strings.Join(FaultNames(), ", "))
+}
 
-// Plan is one run of the experiment.
+// Plan describes one run of the simulation.
 type Plan struct {
 	Routers             int
 	Caches              int
 	Seed                uint64
 	Fault               Fault
 	Duration            time.Duration // simulated
-	RequestRate         float64       // objects wanted a second by all clients
-	MaxAttempts         int           // requests of a client for one object, the first included; 0 is 1
-	Baseline            bool          // routers call without jitter, and connect without a connection plan
-	MaxConnections      int           // that one cache takes; 0 is four for each three routers
-	MaxConnectRate      float64       // new connections that one cache takes a second; 0 is no bound
-	ReadinessHold       time.Duration // for how long a router may wait for the discovery service before it is ready
-	ConfiguredRouters   int           // how many routers the settings say there are; 0 is as many as there are
-	EndpointsConfigured bool          // the configuration contains the endpoint list
-	DiscoveryCallRate   float64       // calls that the discovery service takes a second; 0 is 100
+	RequestRate         float64       // requests per second by all clients, not counting retries
+	MaxAttempts         int           // attempts of a client at one request, including the first; 0 means 1
+	Baseline            bool          // routers call discovery without jitter, and connect without a connection plan
+	MaxConnections      int           // connections that one cache accepts; 0 means 4/3 of Routers
+	MaxConnectRate      float64       // new connections per second to one cache in the connection plan; 0: no limit
+	ReadinessHold       time.Duration // longest time for which a router waits for discovery before it is ready
+	ConfiguredRouters   int           // number of routers that the settings state; 0 means Routers
+	EndpointsConfigured bool          // the routers' configuration contains the endpoint list
+	DiscoveryCallRate   float64       // calls per second that the discovery service takes; 0 means 100
 }
 
-// withDefaults fills in what a plan leaves at zero.
+// withDefaults sets the defaults of fields that are zero.
 func (p Plan) withDefaults() Plan {
 	p.MaxAttempts = max(1, p.MaxAttempts)
 	p.ConfiguredRouters = cmp.Or(p.ConfiguredRouters, p.Routers)
@@ -104,7 +107,7 @@
 	return run.result(), nil
 }
 
-// faultEnd is when the cause of the fault has ended, ns from the start of the run.
+// faultEnd returns the time at which the cause of the fault has ended, ns after the start of the run.
 func (p Plan) faultEnd() int64 {
 	switch p.Fault {
 	case FaultDiscoveryDown, FaultRoutersKilled:
@@ -118,33 +121,33 @@
 // Times of the simulated deployment, ns.
 const (
 	startTime           = int64(1e18)    // wall-clock time at which the run begins
-	startSpread         = int64(1e9)     // all routers start within it
-	networkDelay        = int64(500_000) // one way
+	startSpread         = int64(1e9)     // time within which all routers start
+	networkDelay        = int64(500_000) // in one direction
 	cacheServiceTime    = int64(60e6)
 	cacheFillTime       = int64(60e6)
 	cacheWarmUp         = int64(15e9)
 	cacheOverloadWindow = int64(15e8)
 	cacheDownTime       = int64(3e9)
-	faultDuration       = int64(5e9)  // for how long the discovery service is down; after it routers are killed
-	clientTimeout       = int64(15e8) // for an object, over all attempts
+	faultDuration       = int64(5e9)  // how long the discovery service is down, or the time until routers are killed
+	clientTimeout       = int64(15e8) // of a client's request, with all its attempts
 	requestTimeout      = int64(1e9)  // of one attempt
-	unreadyRetryDelay   = int64(2e8)
-	maxIgnoredDelay     = int64(5e7) // after which a client that ignores Retry-After comes again
+	unreadyRetryDelay   = int64(2e8)  // of a client whose router was not ready
+	maxIgnoredDelay     = int64(5e7)  // the longest delay of a client that ignores Retry-After
 )
 
-// Capacities of the simulated deployment.
+// Capacities and load of the simulated deployment.
 const (
 	cacheConcurrency    = 8
-	cacheSlowStartShare = .16 // of the requests that a warm cache takes
+	cacheSlowStartShare = .16 // capacity of a cache that has just started, as a share of its full capacity
 	cacheOverloadFactor = 2.5
 	distinctObjects     = 4000
-	objectSkew          = 2.5 // objects are drawn as the number of objects times an even draw to this power
+	objectSkew          = 2.5 // an object is drawn as distinctObjects · u^objectSkew, u evenly from 0 to 1
 	location            = "here"
 	requestClass        = "stills"
 	requestGroup        = 17
 )
 
-// cacheLimits are the capacity of one cache.
+// cacheLimits returns the capacity of the cache with an index.
 func (p Plan) cacheLimits(index int) cache.Limits {
 	return cache.Limits{
 		MaxConnections: p.MaxConnections,
@@ -160,7 +163,7 @@
 	}
 }
 
-// settings are a deployment of one location and one class of requests.
+// settings returns the routers' settings, with one location and one class of requests.
 func (p Plan) settings() control.Settings {
 	settings := control.DefaultSettings()
 	settings.Location = location
--- a/internal/experiment/coldstartsim/report.go
+++ b/internal/experiment/coldstartsim/report.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// WriteReport writes runs under one fault as a table and charts with a curve for each run.
+// WriteReport writes a table of runs under one fault, and charts with a curve for each run.
 func WriteReport(folder string, runs ...Result) error {
 	base := filepath.Join(folder, fmt.Sprintf("coldfleet-%s-%d", runs[0].Fault, runs[0].Routers))
 	return errors.Join(
@@ -44,8 +44,8 @@
 	return report.WriteCSV(path, header, rows)
 }
 
-// chart draws one figure of each second.
-func chart(title, unit string, runs []Result, figure func(Second) float64) report.Chart {
+// chart returns a chart that shows a value of each second, computed by valueOf.
+func chart(title, unit string, runs []Result, valueOf func(Second) float64) report.Chart {
 	chart := report.Chart{
 		Title:     fmt.Sprintf("%s, %d routers, %s, simulated", title, runs[0].Routers, runs[0].Fault),
 		XLabel:    "s after the start",
@@ -55,7 +55,7 @@
 	for _, run := range runs {
 		points := make(plotter.XYs, len(run.Seconds))
 		for i, second := range run.Seconds {
-			points[i] = plotter.XY{X: float64(i), Y: figure(second)}
+			points[i] = plotter.XY{X: float64(i), Y: valueOf(second)}
 		}
 		chart.Series = append(chart.Series, report.Series{Baseline: run.Baseline, Points: points})
 	}
--- a/internal/experiment/coldstartsim/result.go
+++ b/internal/experiment/coldstartsim/result.go
@@ -9,40 +9,39 @@
 	"tealpath/internal/experiment/report"
 )
 
-// Result is what a run gave. Shares are of the objects that clients wanted.
+// Result holds what a run measured. Times in ms are counted from a router's start.
 type Result struct {
 	Fault              Fault    `json:"faults"`
 	Baseline           bool     `json:"before"`
 	Routers            int      `json:"routers"`
-	PeakDiscoveryCalls int      `json:"list_connects_peak_per_s"` // in the worst second, by all routers
-	PeakConnections    int      `json:"cache_connections_peak"`   // at any one cache
-	MaxConnections     int      `json:"cache_connections_held"`   // that a cache takes
+	PeakDiscoveryCalls int      `json:"list_connects_peak_per_s"` // highest number in a second, by all routers
+	PeakConnections    int      `json:"cache_connections_peak"`   // highest number at one cache
+	MaxConnections     int      `json:"cache_connections_held"`   // that one cache accepts
 	RefusedConnections int      `json:"cache_connections_refused"`
-	PeakWarmUpLoad     float64  `json:"cold_budget_worst_share"` // 1 is the load under which a cold cache crashes
+	PeakWarmUpLoad     float64  `json:"cold_budget_worst_share"` // 1 is the load above which a cold cache crashes
 	Crashes            int      `json:"caches_fallen"`
-	TimeToEndpointsP99 float64  `json:"time_to_listed_p99_ms"` // from a router's start; -1 is never
-	TimeToWarmP99      float64  `json:"time_to_whole_p99_ms"`  // from a router's start; -1 is never
+	TimeToEndpointsP99 float64  `json:"time_to_listed_p99_ms"` // -1 means never
+	TimeToWarmP99      float64  `json:"time_to_whole_p99_ms"`  // -1 means never
 	Requests           int      `json:"sent"`
-	ServedFirst10s     float64  `json:"settled_share_first_10s"` // share served of what was wanted by then
-	Served             float64  `json:"settled_share"`
-	RecoveryTime       float64  `json:"usual_service_again_s"` // after the fault ended; -1 is never
-	Lost               int      `json:"lost"`                  // requests that a running router never answered
-	Connects           int      `json:"connects"`              // connection attempts to caches
+	ServedFirst10s     float64  `json:"settled_share_first_10s"` // share of the requests begun in that time
+	Served             float64  `json:"settled_share"`           // share of all requests
+	RecoveryTime       float64  `json:"usual_service_again_s"`   // s after the end of the fault; -1 means never
+	Lost               int      `json:"lost"`                    // requests that a running router never answered
+	Connects           int      `json:"connects"`                // connection attempts to caches
 	Seconds            []Second `json:"-"`
 }
 
-// Second is one second of a run. Wanted and Served count the clients' requests by the second in which they
-// began.
+// Second holds the counts of one second of a run.
 type Second struct {
 	Calls           int // of the discovery service
 	Connects        int // connection attempts to caches
-	Wanted          int
-	Served          int
+	Wanted          int // client requests that began in this second
+	Served          int // those of them that were served, also if that was later
 	Crashes         int // of caches
-	PeakConnections int // at any one cache so far, where one was opened
+	PeakConnections int // highest number at one cache up to now; 0 if no connection was established in this second
 }
 
-// String is the result as JSON.
+// String returns the result as JSON.
 func (r Result) String() string {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -51,24 +50,25 @@
 	return string(raw)
 }
 
-// BoundsHold tells whether the bounds of docs/coldstart.md hold.
+// BoundsHold reports whether the bounds of docs/coldstart.md hold.
 func (r Result) BoundsHold() bool {
 	return r.PeakConnections <= r.MaxConnections && r.Crashes == 0 && r.PeakWarmUpLoad <= 1 && r.Lost == 0
 }
 
 const (
-	// firstSeconds are the seconds that ServedFirst10s covers: the routers start in the first of them, and
-	// nothing is wanted in it.
+	// firstSeconds is the number of seconds that ServedFirst10s covers. One more than 10, since the routers start
+	// in the first second and no requests begin in it.
 	firstSeconds = 11
-	// lostAfter is how long after a client's deadline a request without a response counts as lost, ns.
+	// lostAfter is the time after a client's deadline from which a request without a response counts as lost, ns.
 	lostAfter = int64(3e9)
-	// recoveredShare is the part of the usual service from which on it counts as recovered.
+	// recoveredShare is the part of the usual served share from which the service counts as recovered.
 	recoveredShare = 0.95
-	// recoveryWindow is over how many seconds the service is averaged to tell whether it has recovered.
+	// recoveryWindow is the number of seconds over which the served share is averaged to detect the recovery.
 	recoveryWindow = 2
-	// usualWindow is over how many seconds at the end of a run the usual service is averaged.
+	// usualWindow is the number of seconds, near the end of a run, over which the usual served share is averaged.
 	usualWindow = 3
-	// unfinishedSeconds at the end of a run are left out: what was wanted then may be served later.
+	// unfinishedSeconds is the number of seconds at the end of a run that are left out, because requests that
+	// began in them may be served after the end.
 	unfinishedSeconds = 4
 )
 
@@ -111,8 +111,8 @@
 	r.ServedFirst10s = servedShare(r.Seconds[:min(firstSeconds, len(r.Seconds))])
 }
 
-// lostRequests counts requests whose clients have stopped waiting long ago. Those at a router that has not
-// got the endpoint list again after it was killed are not lost: its clients' connections were reset.
+// lostRequests counts the requests without a response lostAfter past their client's deadline. Requests at a router
+// without an endpoint list do not count: it was killed, which reset its clients' connections.
 func (s *runState) lostRequests() int {
 	lost := 0
 	for key, request := range s.requests {
@@ -123,7 +123,7 @@
 	return lost
 }
 
-// percentile99 is the 99th percentile of times in which 0 stands for never, and -1 if that is never.
+// percentile99 returns the 99th percentile of times, in which 0 means never, or -1 if the percentile is never.
 func percentile99(times []float64) float64 {
 	for i := range times {
 		times[i] = cmp.Or(times[i], math.Inf(1))
@@ -135,7 +135,8 @@
 	return -1
 }
 
-// recoveryTime is how long after the fault the share served is nearly what it is at the end of the run.
+// recoveryTime returns the time, in s after the end of the fault, from which the served share is at least
+// recoveredShare of the share at the end of the run; -1 if that is never so.
 func (r *Result) recoveryTime(faultEnd int64) float64 {
 	last := len(r.Seconds) - unfinishedSeconds
 	usual := servedShare(r.Seconds[max(0, last-usualWindow):last])
@@ -147,7 +148,7 @@
 	return -1
 }
 
-// servedShare is the part of what was wanted in some seconds that was served.
+// servedShare returns the share of the requests begun in some seconds that were served.
 func servedShare(seconds []Second) float64 {
 	wanted, served := 0, 0
 	for _, second := range seconds {
--- a/internal/experiment/coldstartsim/router.go
+++ b/internal/experiment/coldstartsim/router.go
@@ -20,33 +20,33 @@
 	maxBodyBytes           = 1 << 22
 )
 
-// How routers called the discovery service before calls had jitter, ns.
+// Timeout and backoff of the baseline's calls to the discovery service, which have no jitter, ns.
 const (
 	baselineReadTimeout  = int64(17e8)
 	baselineFirstBackoff = int64(5e7)
 	baselineMaxBackoff   = int64(5e8)
 )
 
-// simulatedRouter is one router process over all its starts.
+// simulatedRouter is a router through all its starts.
 type simulatedRouter struct {
 	run   *runState
 	index int
 	host  simulation.Host
 
-	// Of the present incarnation:
+	// The fields below belong to the current incarnation.
 	reducer         *router.Router
 	calls           *startup.CallSchedule
 	progress        *startup.Progress
 	startedAt       int64
 	baselineBackoff int64
-	connections     map[router.ConnectionID]int // indexes of caches by connection
-	timerAt         int64                       // of the reducer's timer
+	connections     map[router.ConnectionID]int // index of the cache of each connection
+	timerAt         int64                       // when the reducer's timer fires
 	hasEndpoints    bool
-	timeToEndpoints float64 // ms from the start; 0 is not yet
-	timeToWarm      float64 // ms from the start; 0 is not yet
+	timeToEndpoints float64 // ms from the start until the endpoint list was received; 0 means not yet
+	timeToWarm      float64 // ms from the start until the phase startup.Warm; 0 means not yet
 }
 
-// start begins a process.
+// start starts the process with an empty state.
 func (r *simulatedRouter) start() {
 	plan, now := r.run.plan, r.run.now()
 	seed := plan.Seed*1_000_003 + uint64(r.index) + uint64(r.host.Incarnation)<<40
@@ -61,7 +61,7 @@
 	r.hasEndpoints = false
 	r.timeToEndpoints, r.timeToWarm = 0, 0
 	if plan.EndpointsConfigured {
-		r.takeEndpoints()
+		r.receiveEndpoints()
 	}
 	if plan.Baseline {
 		r.callDiscovery()
@@ -89,7 +89,8 @@
 	return limits
 }
 
-// readinessHold spreads the first calls of all routers over four fifths of the hold.
+// readinessHold returns the hold of the plan, with a call rate that spreads the first calls of all routers over four
+// fifths of it.
 func (r *simulatedRouter) readinessHold() startup.ReadinessHold {
 	hold := int64(r.run.plan.ReadinessHold)
 	if hold <= 0 {
@@ -101,7 +102,7 @@
 	}
 }
 
-// kill ends the process without a word to anybody.
+// kill ends the process. It does not notify discovery or clients, and its connections are reset.
 func (r *simulatedRouter) kill() {
 	r.host.Incarnation++
 	for _, connection := range slices.Sorted(maps.Keys(r.connections)) {
@@ -109,10 +110,10 @@
 	}
 	r.connections = map[router.ConnectionID]int{}
 	r.hasEndpoints = false
-	r.run.connectionsReset(r)
+	r.run.dropRequests(r)
 }
 
-// after schedules an event of the present incarnation; it is dropped if the process is killed before.
+// after schedules an event, which does not run if the process is killed before then.
 func (r *simulatedRouter) after(delay int64, event func()) {
 	incarnation := r.host.Incarnation
 	r.run.scheduler.After(delay, func() {
@@ -143,11 +144,11 @@
 	r.after(wait+networkDelay, func() {
 		r.calls.DataReceived()
 		r.progress.ServiceReached(run.now())
-		r.takeEndpoints()
+		r.receiveEndpoints()
 	})
 }
 
-// retryCall schedules the next call after one that brought nothing.
+// retryCall schedules the next call after one that failed.
 func (r *simulatedRouter) retryCall(result startup.CallResult) {
 	if r.run.plan.Baseline {
 		r.baselineBackoff = min(max(2*r.baselineBackoff, baselineFirstBackoff), baselineMaxBackoff)
@@ -157,8 +158,8 @@
 	r.after(r.calls.CallEnded(r.run.now(), result), r.callDiscovery)
 }
 
-// takeEndpoints hands the complete endpoint list to the reducer.
-func (r *simulatedRouter) takeEndpoints() {
+// receiveEndpoints passes the complete endpoint list to the reducer.
+func (r *simulatedRouter) receiveEndpoints() {
 	entries := make([]router.EndpointEntry, 0, len(r.run.caches))
 	for i, cache := range r.run.caches {
 		entries = append(entries, router.EndpointEntry{
@@ -182,10 +183,10 @@
 	r.handle(router.EndpointListUpdated{Complete: true, Entries: entries})
 }
 
-// sinceStart is the age of the process in ms.
+// sinceStart returns the time since the process started, in ms.
 func (r *simulatedRouter) sinceStart() float64 { return float64(r.run.now()-r.startedAt) / 1e6 }
 
-// handle gives an event to the reducer and carries its effects out.
+// handle passes an event to the reducer and applies the resulting effects.
 func (r *simulatedRouter) handle(event router.Event) {
 	for _, effect := range slices.Clone(r.reducer.Handle(r.run.now(), event)) {
 		switch effect := effect.(type) {
@@ -198,7 +199,7 @@
 		case router.Close:
 			r.close(effect)
 		case router.Respond:
-			r.run.responded(r, effect)
+			r.run.handleResponse(r, effect)
 		}
 	}
 }
@@ -222,7 +223,7 @@
 	run.connects++
 	index, err := strconv.Atoi(dial.Address)
 	if err != nil {
-		panic(err) // addresses are indexes: see takeEndpoints
+		panic(err) // receiveEndpoints sets the addresses to indexes of caches
 	}
 	cache := run.caches[index]
 	if cache.silent {
@@ -248,13 +249,13 @@
 	}
 }
 
-// Notes of a cache's response on what it had to do.
+// Notes in a cache's response that state where the object came from.
 const (
-	noteFromCache = int64(1)
-	noteFilled    = int64(2)
+	noteFromCache = int64(1) // the cache had the object
+	noteFilled    = int64(2) // the cache filled the object first
 )
 
-// requestArrived has the cache at the other end of a connection serve a request.
+// requestArrived has the cache at the other end of the connection handle a request, and schedules its response.
 func (r *simulatedRouter) requestArrived(send router.Send) {
 	index, open := r.connections[send.Connection]
 	if !open {
@@ -263,7 +264,7 @@
 	cache := r.run.caches[index]
 	response := cache.Request(r.run.now(), send.Request.Object)
 	if response.Crashed {
-		r.run.crashed(index)
+		r.run.cacheCrashed(index)
 		return
 	}
 	if cache.Unresponsive {
@@ -286,7 +287,7 @@
 	})
 }
 
-// cacheCrashed ends the router's connections to a cache.
+// cacheCrashed ends the router's connections to a cache that has crashed.
 func (r *simulatedRouter) cacheCrashed(index int) {
 	for _, connection := range slices.Sorted(maps.Keys(r.connections)) {
 		if r.connections[connection] != index {
--- a/internal/experiment/coldstartsim/simulation.go
+++ b/internal/experiment/coldstartsim/simulation.go
@@ -16,23 +16,23 @@
 	routers        []*simulatedRouter
 	caches         []*simulatedCache
 	discovery      discoveryService
-	requests       map[requestKey]*clientRequest // at routers, without a response so far
+	requests       map[requestKey]*clientRequest // at routers that have not responded yet
 	nextSeq        int32
 	seconds        []Second
 	connects       int
 	clientRequests int
 }
 
-// simulatedCache is the capacity model of a cache, and whether it answers connection attempts.
+// simulatedCache is a cache.
 type simulatedCache struct {
 	*cache.CapacityModel
-	silent bool
+	silent bool // it does not answer connection attempts
 }
 
-// discoveryService takes one call after the other.
+// discoveryService is a discovery service that handles one call at a time.
 type discoveryService struct {
-	freeAt      int64 // when it takes the next call
-	timePerCall int64
+	freeAt      int64 // when it can handle the next call
+	timePerCall int64 // ns
 }
 
 func newSimulation(plan Plan) *runState {
@@ -60,7 +60,8 @@
 	return run
 }
 
-// scheduleRouters has each router start at a moment of the first second, and some of them be killed later.
+// scheduleRouters schedules the start of each router at a random time within startSpread, and the kills of
+// FaultRoutersKilled.
 func (s *runState) scheduleRouters() {
 	for i := range s.plan.Routers {
 		router := &simulatedRouter{run: s, index: i}
@@ -79,7 +80,7 @@
 	}
 }
 
-// scheduleClients has clients want objects once all routers run.
+// scheduleClients schedules the clients' requests, which begin when all routers have started.
 func (s *runState) scheduleClients() {
 	meanInterval := int64(1e9 / s.plan.RequestRate)
 	interval := func() int64 { return meanInterval/2 + s.random.Int64N(meanInterval) }
@@ -91,14 +92,14 @@
 
 func (s *runState) now() int64 { return s.scheduler.Now() }
 
-// second is the index of the present second of the run.
+// second returns the index of the current second of the run.
 func (s *runState) second() int { return int((s.now() - startTime) / 1e9) }
 
-// currentSecond is where the present second is counted.
+// currentSecond returns the counts of the current second.
 func (s *runState) currentSecond() *Second { return &s.seconds[min(s.second(), len(s.seconds)-1)] }
 
-// crashed ends all connections to a cache that fell under its load.
-func (s *runState) crashed(cacheIndex int) {
+// cacheCrashed counts the crash of an overloaded cache and ends all connections to it.
+func (s *runState) cacheCrashed(cacheIndex int) {
 	s.currentSecond().Crashes++
 	for _, router := range s.routers {
 		router.cacheCrashed(cacheIndex)
