--- a/internal/experiment/command/agree.go
+++ b/internal/experiment/command/agree.go
@@ -16,11 +16,15 @@
 func agreeCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "agree",
-		Usage:        "have instances agree on settings through faults, in simulated time (docs/agreement.md)",
+		Usage:        "simulate how instances agree on settings while faults occur (docs/agreement.md)",
 		OnUsageError: usageError,
 		Action:       agree,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "instances", Value: "5", Usage: "`COUNTS` of instances, one run each, such as 5,50"},
+			&cli.StringFlag{
+				Name:  "instances",
+				Value: "5",
+				Usage: "`COUNTS` of instances, such as 5,50, with one run each",
+			},
 			&cli.Float64Flag{Name: "virtual", Value: 1, Usage: "`HOURS` of simulated time"},
 			seedFlag(),
 			&cli.DurationFlag{Name: "lease", Value: 1500 * time.Millisecond, Usage: "duration of a lease"},
@@ -39,11 +43,12 @@
 }
 
 func agree(_ context.Context, cmd *cli.Command) error {
-	broken := false
+	var broken []string // counts of instances
 	for _, word := range strings.Split(cmd.String("instances"), ",") {
 		instances, err := strconv.Atoi(word)
 		if err != nil || instances < 1 || cmd.Float64("virtual") <= 0 {
-			err := fmt.Errorf("instances from 1, hours above 0: %q, %g", word, cmd.Float64("virtual"))
+			err := fmt.Errorf("--instances needs whole numbers from 1 (got %q), --virtual a number above 0 (got %g)",
+				word, cmd.Float64("virtual"))
 			return cli.Exit(err, exitUsage)
 		}
 		result := sharedconfigsim.Plan{
@@ -57,10 +62,13 @@
 		if err := printJSON(result); err != nil {
 			return err
 		}
-		broken = broken || !result.BoundsHold()
+		if !result.BoundsHold() {
+			broken = append(broken, word)
+		}
 	}
-	if broken {
-		return failed(&report.BoundError{Page: "docs/agreement.md"})
+	if len(broken) > 0 {
+		detail := "with --instances " + strings.Join(broken, ",")
+		return failed(&report.BoundError{Page: "docs/agreement.md", Detail: detail})
 	}
 	return nil
 }
--- a/internal/experiment/command/coldstart.go
+++ b/internal/experiment/command/coldstart.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"strings"
 	"time"
 
@@ -25,8 +25,8 @@
 		OnUsageError: usageError,
 		Action:       runColdstart,
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "routers", Value: 100, Usage: "routers that start"},
-			&cli.IntFlag{Name: "caches", Value: 40, Usage: "caches that they share"},
+			&cli.IntFlag{Name: "routers", Value: 100, Usage: "number of routers that start"},
+			&cli.IntFlag{Name: "caches", Value: 40, Usage: "number of caches that the routers share"},
 			seedFlag(),
 			outFlag(),
 			&cli.StringFlag{
@@ -40,42 +40,44 @@
 				Value: 20 * time.Second,
 				Usage: "time from the start to the end of a run",
 			},
-			&cli.Float64Flag{Name: "rate", Value: 300, Usage: "requests a second, over all routers"},
+			&cli.Float64Flag{Name: "rate", Value: 300, Usage: "requests per second to all routers together"},
 			binaryFlag(),
 			&cli.DurationFlag{
 				Name:  "hold",
-				Usage: "run once more with readiness held back for so long, first calls spread over 4/5 of it",
+				Usage: "run once more with a readiness hold of this duration; first calls are spread over 4/5 of it",
 			},
 			&cli.BoolFlag{
 				Name:  "links",
-				Usage: "plan connections to caches ahead of requests, by (links …) of the operator's file",
+				Usage: "limit the routers' connections to caches by (links …) in the operator's file",
 			},
 			baselineFlag(),
 			&cli.BoolFlag{
 				Name: "virtual",
-				Usage: "simulate complete routers instead, and their call schedules alone with a discovery service " +
-					"that is down for 30 s",
+				Usage: "simulate complete routers instead of starting real ones; also simulate their call schedules " +
+					"alone with a discovery service that is down for 30 s",
 			},
-			&cli.IntFlag{Name: "tries", Value: 3, Usage: "attempts of a client for one object; with --virtual"},
-			&cli.IntFlag{Name: "holds", Usage: "connections that a cache takes; 0 is four for each three routers"},
-			&cli.BoolFlag{Name: "known", Usage: "configurations have the endpoint list; with --virtual"},
+			&cli.IntFlag{Name: "tries", Value: 3, Usage: "attempts of a client for one object; only with --virtual"},
+			&cli.IntFlag{Name: "holds", Usage: "connections that a cache accepts; 0 means 4/3 of the routers"},
+			&cli.BoolFlag{Name: "known", Usage: "routers start with the endpoint list; only with --virtual"},
 			&cli.Float64Flag{
 				Name:  "list-bears",
 				Value: 100,
-				Usage: "calls a second that the discovery service takes; with --virtual",
+				Usage: "calls per second that the discovery service takes; only with --virtual",
 			},
 			&cli.Float64Flag{
 				Name:  "opens",
-				Usage: "new connections that a cache takes a second; 0 is no limit; with --virtual",
+				Usage: "new connections per second that a cache accepts; 0 means no limit; only with --virtual",
 			},
-			&cli.IntFlag{Name: "told", Usage: "routers that the settings say there are; 0 is as many as there are"},
+			&cli.IntFlag{Name: "told", Usage: "number of routers that the settings state; 0 means --routers"},
 		},
 	}
 }
 
 func runColdstart(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Int("routers") < 1 || cmd.Int("caches") < 1 || cmd.Float64("rate") <= 0 {
-		return cli.Exit(errors.New("routers and caches from 1, the rate above 0"), exitUsage)
+		err := fmt.Errorf("--routers and --caches must be at least 1 (got %d and %d), --rate above 0 (got %g)",
+			cmd.Int("routers"), cmd.Int("caches"), cmd.Float64("rate"))
+		return cli.Exit(err, exitUsage)
 	}
 	out, err := makeOutDir(cmd)
 	if err != nil {
@@ -102,8 +104,8 @@
 	})
 }
 
-// startRouters runs the experiment with the baseline, the current build, and the current build with a readiness
-// hold, as the flags say. The last of them is held against the bounds.
+// startRouters runs the experiment with the baseline if there is one, with the current build, and with the current
+// build and a readiness hold if there is one. The bounds are checked for the last run only.
 func startRouters(ctx context.Context, cmd *cli.Command, e coldstart.Experiment) error {
 	current := coldstart.Build{Binary: cmd.String("binary"), PlanConnections: cmd.Bool("links")}
 	builds := []coldstart.Build{current}
@@ -128,7 +130,7 @@
 	return failed(last.CheckBounds())
 }
 
-// simulateCallSchedules plays the routers' schedules of calls alone.
+// simulateCallSchedules simulates only the routers' schedules of discovery calls.
 func simulateCallSchedules(cmd *cli.Command, out string) error {
 	result := coldstart.Simulation{
 		Routers:      cmd.Int("routers"),
@@ -145,7 +147,7 @@
 	return failed(result.CheckBounds())
 }
 
-// simulateColdstart plays complete routers, as the baseline was and as they are.
+// simulateColdstart simulates complete routers, first those of the baseline and then the current ones.
 func simulateColdstart(cmd *cli.Command, out string) error {
 	plan := coldstartsim.Plan{
 		Routers:             cmd.Int("routers"),
@@ -177,7 +179,9 @@
 		return failed(err)
 	}
 	if current := results[1]; !current.BoundsHold() {
-		return failed(&report.BoundError{Page: "docs/coldstart.md"})
+		return failed(&report.BoundError{Page: "docs/coldstart.md", Detail: fmt.Sprintf(
+			"%d connections to a cache (at most %d), %d cache crashes, load %g (at most 1), %d requests lost",
+			current.PeakConnections, current.MaxConnections, current.Crashes, current.PeakWarmUpLoad, current.Lost)})
 	}
 	return nil
 }
--- a/internal/experiment/command/command.go
+++ b/internal/experiment/command/command.go
@@ -1,4 +1,5 @@
-// Package command is the command line of the experiments on routers and their modules, on loopback alone.
+// Package command implements the command line of the experiments with routers and their modules. Experiments
+// use the network on loopback only.
 package command
 
 import (
@@ -13,13 +14,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Exit codes: an experiment that failed or broke a bound, and the command line at fault.
+// Exit codes.
 const (
-	exitFailed = 1
-	exitUsage  = 2
+	exitFailed = 1 // the experiment failed or broke a bound
+	exitUsage  = 2 // the command line is invalid
 )
 
-// Main runs the command line under the name of its program and ends the process.
+// Main runs the command line of the program called name. It exits the process if the command fails.
 func Main(name string) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	err := app(name).Run(ctx, os.Args)
@@ -30,7 +31,7 @@
 	}
 }
 
-// exitCode returns the code of an error. One without a code comes from the parser of the command line.
+// exitCode returns the exit code of an error. An error without a code comes from the command-line parser.
 func exitCode(err error) int {
 	var coded cli.ExitCoder
 	if errors.As(err, &coded) {
@@ -58,12 +59,12 @@
 	}
 }
 
-// usageError has a command line that can't be parsed end with exitUsage.
+// usageError makes the program exit with exitUsage if the command line cannot be parsed.
 func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
 	return cli.Exit(err, exitUsage)
 }
 
-// showHelp is what the program does without a command.
+// showHelp shows the help if no command is given, and returns an error if the command is unknown.
 func showHelp(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Present() {
 		return cli.Exit(fmt.Errorf("unknown command %q; see %s --help", cmd.Args().First(), cmd.Name), exitUsage)
@@ -71,7 +72,7 @@
 	return cli.ShowRootCommandHelp(cmd)
 }
 
-// Flags that several commands have.
+// The functions below return flags that several commands have.
 
 func seedFlag() cli.Flag {
 	return &cli.Uint64Flag{Name: "seed", Value: 7, Usage: "`SEED` of all random choices"}
@@ -81,22 +82,22 @@
 	return &cli.StringFlag{
 		Name:  "out",
 		Value: "lab-out",
-		Usage: "`DIR` for tables and charts, made if it is not there",
+		Usage: "`DIR` for tables and charts, created if it does not exist",
 	}
 }
 
 func binaryFlag() cli.Flag {
-	return &cli.StringFlag{Name: "binary", Value: "bin/tealpath", Usage: "`PATH` of the router's program"}
+	return &cli.StringFlag{Name: "binary", Value: "bin/tealpath", Usage: "`PATH` of the router binary"}
 }
 
 func baselineFlag() cli.Flag {
 	return &cli.StringFlag{
 		Name:  "baseline",
-		Usage: "`PATH` of an earlier build of the router, measured in the same call",
+		Usage: "`PATH` of an earlier build of the router to measure as well",
 	}
 }
 
-// makeOutDir makes the directory for results and returns its path.
+// makeOutDir creates the directory for results and returns its path.
 func makeOutDir(cmd *cli.Command) (string, error) {
 	dir := cmd.String("out")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -105,7 +106,7 @@
 	return dir, nil
 }
 
-// withTempDir calls a function with a directory for the files of routers, which is removed afterwards.
+// withTempDir calls run with a temporary directory for the routers' files, and removes the directory afterwards.
 func withTempDir(run func(dir string) error) error {
 	dir, err := os.MkdirTemp("", "teallab")
 	if err != nil {
@@ -114,10 +115,10 @@
 	return errors.Join(run(dir), os.RemoveAll(dir))
 }
 
-// printJSON prints a result as one line.
+// printJSON prints a result as one line of JSON.
 func printJSON(result any) error { return failed(json.NewEncoder(os.Stdout).Encode(result)) }
 
-// failed returns an error that ends the process with exitFailed; nil for none.
+// failed returns err with the exit code exitFailed, or nil if err is nil.
 func failed(err error) error {
 	if err == nil {
 		return nil
--- a/internal/experiment/command/command_test.go
+++ b/internal/experiment/command/command_test.go
@@ -13,13 +13,13 @@
 	"github.com/urfave/cli/v3"
 )
 
-// programRun is what came of a run of a program.
+// programRun is the exit code and the output of a program.
 type programRun struct {
 	code           int
 	stdout, stderr string
 }
 
-// run runs a program in a directory of its own.
+// run runs a program in a temporary directory.
 func run(t *testing.T, binary string, arguments ...string) programRun {
 	t.Helper()
 	var stdout, stderr strings.Builder
@@ -34,7 +34,7 @@
 	return programRun{code: command.ProcessState.ExitCode(), stdout: stdout.String(), stderr: stderr.String()}
 }
 
-// Each command prints its help with every flag, and ends with 0.
+// Each command prints help that contains all its flags, and exits with 0.
 func TestHelp(t *testing.T) {
 	for _, program := range []string{"tealexperiment", "teallab"} {
 		t.Run(program, func(t *testing.T) {
@@ -43,11 +43,11 @@
 			for _, arguments := range [][]string{nil, {"--help"}, {"help"}} {
 				help := run(t, binary, arguments...)
 				if help.code != 0 || help.stderr != "" || !strings.Contains(help.stdout, root.Usage) {
-					t.Errorf("%v: %+v", arguments, help)
+					t.Errorf("%v: want exit code 0, help with %q and no error, got %+v", arguments, root.Usage, help)
 				}
 				for _, command := range root.Commands {
 					if !command.Hidden && !strings.Contains(help.stdout, command.Usage) {
-						t.Errorf("%v does not name %s", arguments, command.Name)
+						t.Errorf("help of %v does not contain the usage of %s", arguments, command.Name)
 					}
 				}
 			}
@@ -62,7 +62,7 @@
 	t.Helper()
 	help := run(t, binary, command.Name, "--help")
 	if help.code != 0 || help.stderr != "" || !strings.Contains(help.stdout, command.Usage) {
-		t.Errorf("%+v", help)
+		t.Errorf("want exit code 0, help with %q and no error, got %+v", command.Usage, help)
 	}
 	for _, flag := range command.Flags {
 		documented, ok := flag.(cli.DocGenerationFlag)
@@ -70,12 +70,12 @@
 			t.Errorf("%v has no help text", flag.Names())
 		}
 		if !strings.Contains(help.stdout, "--"+flag.Names()[0]) {
-			t.Errorf("%v is not in the help", flag.Names())
+			t.Errorf("help does not contain the flag %v", flag.Names())
 		}
 	}
 }
 
-// Names and defaults of flags are what scripts and pages rely on.
+// Scripts and pages rely on the names and defaults of flags.
 func TestFlagsAndDefaults(t *testing.T) {
 	want := map[string]string{
 		"duties": "instances=5 kills=20 caches=20 slots=64 seed=7 out=lab-out lease=1.5s renewal=500ms period=1s " +
@@ -108,41 +108,53 @@
 			t.Fatal(err)
 		}
 		if text := strings.Join(got, " "); text != want[command.Name] {
-			t.Errorf("%s has\n%s, want\n%s", command.Name, text, want[command.Name])
+			t.Errorf("flags of %s:\n%s, want\n%s", command.Name, text, want[command.Name])
 		}
 	}
 }
 
-// The codes are those of README: 2 for the command line at fault, 1 for an experiment that failed or broke a
-// bound. Errors go to standard error.
+// The exit codes are those of README.md: 2 if the command line is invalid, 1 if an experiment failed or broke a bound.
+// Errors are written to standard error.
 func TestExitCodes(t *testing.T) {
 	const missing = "/nonexistent/tealpath"
 	binary := clustertest.Build(t, "tealexperiment")
 	tests := []struct {
 		arguments string
 		code      int
-		stderr    string // a part of it
+		stderr    string // part of the expected output
 	}{
 		{"nonsense", exitUsage, `unknown command "nonsense"`},
 		{"--nonsense", exitUsage, "nonsense"},
 		{"duties --nonsense", exitUsage, "nonsense"},
 		{"duties --kills many", exitUsage, "kills"},
-		{"duties --instances 0", exitUsage, "instances and caches from 1, kills from 0"},
+		{
+			"duties --instances 0",
+			exitUsage,
+			"--instances and --caches must be at least 1 (got 0 and 20), --kills at least 0",
+		},
 		{"duties --out /dev/null/out", exitUsage, "/dev/null"},
 		{"idle --nonsense", exitUsage, "nonsense"},
-		{"idle --counts 5", exitUsage, "counts rise from 0"},
+		{"idle --counts 5", exitUsage, "--counts must start at 0 and be in ascending order (got [5])"},
 		{"hold --nonsense", exitUsage, "nonsense"},
 		{"ways --nonsense", exitUsage, "nonsense"},
 		{"coldstart --nonsense", exitUsage, "nonsense"},
-		{"coldstart --routers 0", exitUsage, "routers and caches from 1, the rate above 0"},
+		{
+			"coldstart --routers 0",
+			exitUsage,
+			"--routers and --caches must be at least 1 (got 0 and 40), --rate above 0",
+		},
 		{"members --nonsense", exitUsage, "nonsense"},
-		{"members --instances 1", exitUsage, `instances: "1"`},
+		{"members --instances 1", exitUsage, `--instances needs whole numbers from 2, got "1"`},
 		{"agree --nonsense", exitUsage, "nonsense"},
-		{"agree --instances x", exitUsage, "instances from 1, hours above 0"},
+		{
+			"agree --instances x",
+			exitUsage,
+			`--instances needs whole numbers from 1 (got "x"), --virtual a number above 0`,
+		},
 		{"duties --instances 1 --caches 1 --binary " + missing, exitFailed, missing},
 		{"idle --counts 0 --binary " + missing, exitFailed, missing},
 		{"coldstart --routers 1 --caches 1 --binary " + missing, exitFailed, missing},
-		{"coldstart --faults nonsense", exitFailed, "faults are one of none, list-down"},
+		{"coldstart --faults nonsense", exitFailed, `unknown fault "nonsense": must be one of none, list-down`},
 		{"members --instances 2 --binary " + missing, exitFailed, missing},
 		{"members --faults nonsense", exitFailed, "faults are of kill, pause"},
 		{
@@ -156,16 +168,16 @@
 			t.Parallel()
 			got := run(t, binary, strings.Fields(test.arguments)...)
 			if got.code != test.code || !strings.Contains(got.stderr, test.stderr) {
-				t.Errorf("%+v, want code %d and %q", got, test.code, test.stderr)
+				t.Errorf("got %+v, want exit code %d and standard error with %q", got, test.code, test.stderr)
 			}
 			if !strings.HasPrefix(got.stderr, "tealexperiment: ") || strings.Contains(got.stdout, test.stderr) {
-				t.Errorf("the error is not on standard error alone: %+v", got)
+				t.Errorf("want the error on standard error only, after the name of the program, got %+v", got)
 			}
 		})
 	}
 }
 
-// Results go to standard output, the last line is one JSON object, and nothing is on standard error.
+// Results are written to standard output, of which the last line is JSON, and nothing is written to standard error.
 func TestResultsAreOnStandardOutput(t *testing.T) {
 	binary := clustertest.Build(t, "tealexperiment")
 	for _, arguments := range []string{
@@ -180,7 +192,7 @@
 			lines := strings.Split(strings.TrimSpace(got.stdout), "\n")
 			last := lines[len(lines)-1]
 			if got.code != 0 || got.stderr != "" || !strings.HasPrefix(last, "{") && !strings.HasPrefix(last, "[{") {
-				t.Errorf("%+v", got)
+				t.Errorf("want exit code 0, JSON in the last line and no error, got %+v", got)
 			}
 		})
 	}
--- a/internal/experiment/command/duties.go
+++ b/internal/experiment/command/duties.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"os"
 	"runtime"
 	"sync"
@@ -19,14 +20,14 @@
 func leasesCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "duties",
-		Usage:        "take lease holders away and measure how fast other instances take over (docs/duties.md)",
+		Usage:        "make lease holders fail and measure how fast other instances take over (docs/duties.md)",
 		OnUsageError: usageError,
 		Action:       measureLeases,
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "instances", Value: 5, Usage: "instances that share the leases"},
-			&cli.IntFlag{Name: "kills", Value: 20, Usage: "holders that are taken away, one after another"},
-			&cli.IntFlag{Name: "caches", Value: 20, Usage: "caches, which the lease holders probe"},
-			&cli.IntFlag{Name: "slots", Value: 64, Usage: "leases that are shared out"},
+			&cli.IntFlag{Name: "instances", Value: 5, Usage: "number of instances that share the leases"},
+			&cli.IntFlag{Name: "kills", Value: 20, Usage: "number of failures of lease holders, one after another"},
+			&cli.IntFlag{Name: "caches", Value: 20, Usage: "number of caches that the lease holders probe"},
+			&cli.IntFlag{Name: "slots", Value: 64, Usage: "number of leases"},
 			seedFlag(),
 			outFlag(),
 			&cli.DurationFlag{Name: "lease", Value: 1500 * time.Millisecond, Usage: "duration of a lease"},
@@ -39,12 +40,12 @@
 			&cli.DurationFlag{
 				Name:  "calm",
 				Value: 10 * time.Second,
-				Usage: "time for which instances are left alone at first, to measure what they cost",
+				Usage: "time at the start without faults, in which the cost of idle instances is measured",
 			},
 			binaryFlag(),
 			&cli.Float64Flag{
 				Name:  "virtual",
-				Usage: "run the modules alone for so many `HOURS` of simulated time instead; 0 is off",
+				Usage: "simulate only the modules, for this many `HOURS` of simulated time; 0 starts real instances",
 			},
 		},
 	}
@@ -52,7 +53,9 @@
 
 func measureLeases(ctx context.Context, cmd *cli.Command) error {
 	if cmd.Int("instances") < 1 || cmd.Int("kills") < 0 || cmd.Int("caches") < 1 {
-		return cli.Exit(errors.New("instances and caches from 1, kills from 0"), exitUsage)
+		err := fmt.Errorf("--instances and --caches must be at least 1 (got %d and %d), --kills at least 0 (got %d)",
+			cmd.Int("instances"), cmd.Int("caches"), cmd.Int("kills"))
+		return cli.Exit(err, exitUsage)
 	}
 	if cmd.Float64("virtual") > 0 {
 		return simulateLeases(ctx, cmd)
@@ -83,7 +86,8 @@
 	})
 }
 
-// printWithBounds prints a result, also one that breaks a bound, but none of an experiment that failed.
+// printWithBounds prints a result if err is nil or a *report.BoundError. It prints nothing if the experiment failed
+// for another reason.
 func printWithBounds(result any, err error) error {
 	var bound *report.BoundError
 	if err != nil && !errors.As(err, &bound) {
@@ -95,7 +99,7 @@
 	return failed(err)
 }
 
-// simulateLeases plays parts of the time side by side, each from a seed of its own.
+// simulateLeases divides the simulated time among parallel simulations, each with its own seed.
 func simulateLeases(ctx context.Context, cmd *cli.Command) error {
 	parts := runtime.GOMAXPROCS(0)
 	results := make([]leasesim.Result, parts)
--- a/internal/experiment/command/hold.go
+++ b/internal/experiment/command/hold.go
@@ -12,7 +12,7 @@
 func holdCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "hold",
-		Usage:        "hold idle connections as commands on the standard input say; the idle command starts this",
+		Usage:        "hold idle connections and read commands from standard input; started by the idle command",
 		Hidden:       true,
 		OnUsageError: usageError,
 		Action: func(_ context.Context, cmd *cli.Command) error {
--- a/internal/experiment/command/idle.go
+++ b/internal/experiment/command/idle.go
@@ -2,7 +2,7 @@
 
 import (
 	"context"
-	"errors"
+	"fmt"
 	"os"
 	"time"
 
@@ -11,29 +11,30 @@
 	"github.com/urfave/cli/v3"
 )
 
-// minPerRouter is the least that one router process may hold: some connections are left for active traffic.
+// minPerRouter is the lowest allowed number of connections to one router process. Some of them are needed for
+// active traffic.
 const minPerRouter = 200
 
 func idleCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "idle",
-		Usage:        "measure what idle connections cost, and active traffic beside them (docs/idle.md)",
+		Usage:        "measure the cost of idle connections and the latency of active traffic (docs/idle.md)",
 		OnUsageError: usageError,
 		Action:       idle,
 		Flags: []cli.Flag{
 			&cli.IntSliceFlag{
 				Name:  "counts",
 				Value: []int{0, 1000, 10000},
-				Usage: "`COUNTS` of idle connections, rising from 0, measured one after another",
+				Usage: "`COUNTS` of idle connections to measure, in ascending order from 0",
 			},
-			&cli.IntFlag{Name: "most", Value: 14900, Usage: "connections that one router process holds"},
-			&cli.Float64Flag{Name: "rate", Value: 500, Usage: "requests a second of active traffic"},
-			&cli.DurationFlag{Name: "seconds", Value: 20 * time.Second, Usage: "time for which each count is measured"},
+			&cli.IntFlag{Name: "most", Value: 14900, Usage: "highest number of connections to one router process"},
+			&cli.Float64Flag{Name: "rate", Value: 500, Usage: "requests per second of active traffic"},
+			&cli.DurationFlag{Name: "seconds", Value: 20 * time.Second, Usage: "measuring time for each count"},
 			outFlag(),
 			&cli.DurationFlag{
 				Name:  "expire",
 				Value: time.Minute,
-				Usage: "idle timeout in the measurement of a mass expiry; 0s leaves that out",
+				Usage: "idle timeout for measuring the expiry of all connections at once; 0s skips that",
 			},
 			binaryFlag(),
 			baselineFlag(),
@@ -45,7 +46,9 @@
 	counts := cmd.IntSlice("counts")
 	areCountsValid := idleconnections.ValidateCounts(counts)
 	if !areCountsValid || cmd.Int("most") < minPerRouter || cmd.Float64("rate") <= 0 {
-		return cli.Exit(errors.New("counts rise from 0, most is 200 at least, the rate above 0"), exitUsage)
+		err := fmt.Errorf("--counts must start at 0 and be in ascending order (got %v), --most must be at least %d "+
+			"(got %d), --rate above 0 (got %g)", counts, minPerRouter, cmd.Int("most"), cmd.Float64("rate"))
+		return cli.Exit(err, exitUsage)
 	}
 	out, err := makeOutDir(cmd)
 	if err != nil {
--- a/internal/experiment/command/members.go
+++ b/internal/experiment/command/members.go
@@ -31,37 +31,37 @@
 			&cli.StringFlag{
 				Name:  "instances",
 				Value: "24",
-				Usage: "`COUNT` of instances; with --virtual several, such as 300,1000, one run each",
+				Usage: "`COUNT` of instances; with --virtual also several, such as 300,1000, with one run each",
 			},
 			&cli.Float64Flag{Name: "minutes", Value: 3, Usage: "time for which faults are injected"},
 			&cli.StringFlag{
 				Name:  "faults",
 				Value: "kill,pause",
-				Usage: "`FAULTS` in turn, of " + membership.FaultNames() + "; with --virtual of " +
-					strings.Join(membershipsim.FaultNames(), ", ") + "; empty is none",
+				Usage: "`FAULTS` to inject in turn, of " + membership.FaultNames() + "; with --virtual of " +
+					strings.Join(membershipsim.FaultNames(), ", ") + "; empty means none",
 			},
-			&cli.IntFlag{Name: "slots", Value: 16, Usage: "leases that instances share out"},
+			&cli.IntFlag{Name: "slots", Value: 16, Usage: "number of leases that the instances share"},
 			seedFlag(),
 			outFlag(),
 			binaryFlag(),
 			&cli.Float64Flag{
 				Name:  "virtual",
-				Usage: "run the module alone for so many `HOURS` of simulated time instead; 0 is off",
+				Usage: "simulate only the module, for this many `HOURS` of simulated time; 0 starts real instances",
 			},
-			&cli.Float64Flag{Name: "loss", Usage: "part of all messages that is lost; with --virtual"},
+			&cli.Float64Flag{Name: "loss", Usage: "share of messages that are lost, from 0 to 1; only with --virtual"},
 			&cli.BoolFlag{
 				Name:  "before",
-				Usage: "also run the baseline, heartbeat counters, for a minute; with --virtual",
+				Usage: "also run the baseline, heartbeat counters, for at most a minute; only with --virtual",
 			},
 			&cli.DurationFlag{
 				Name:  "every",
 				Value: 20 * time.Second,
-				Usage: "interval between two faults; with --virtual",
+				Usage: "interval between two faults; only with --virtual",
 			},
 			&cli.DurationFlag{
 				Name:  "silence",
 				Value: 2100 * time.Millisecond,
-				Usage: "time without a message after which an instance is suspected; with --virtual",
+				Usage: "time without a message after which an instance is suspected; only with --virtual",
 			},
 		},
 	}
@@ -86,20 +86,20 @@
 	return withTempDir(func(dir string) error {
 		result, err := membersExperiment(cmd, dir, out, counts[0], faults).Run(ctx)
 		for _, fault := range result.Faults {
-			fmt.Printf("%s of %s: believed after %.0f ms, agreed after %.0f ms, %d false deaths\n",
+			fmt.Printf("%s of %s: detected after %.0f ms, views agreed after %.0f ms, %d false deaths\n",
 				fault.Kind, fault.Victim, fault.DetectionMS, fault.DisagreementMS, fault.FalseDeaths)
 		}
 		return printWithBounds(result, err)
 	})
 }
 
-// parseInstances parses numbers of instances, from 2, with commas between them.
+// parseInstances parses numbers of instances separated by commas. Each must be at least 2.
 func parseInstances(text string) ([]int, error) {
 	var counts []int
 	for _, word := range strings.Split(text, ",") {
 		count, err := strconv.Atoi(word)
 		if err != nil || count < 2 {
-			return nil, fmt.Errorf("instances: %q", word)
+			return nil, fmt.Errorf("--instances needs whole numbers from 2, got %q", word)
 		}
 		counts = append(counts, count)
 	}
@@ -107,7 +107,7 @@
 }
 
 func membersExperiment(cmd *cli.Command, dir, out string, instances int, faults []string) membership.Experiment {
-	play := membership.Experiment{
+	experiment := membership.Experiment{
 		Config: testcluster.Config{
 			Binary:        cmd.String("binary"),
 			Dir:           dir,
@@ -122,16 +122,16 @@
 		ResultsDir: out,
 	}
 	for _, fault := range faults {
-		play.Faults = append(play.Faults, membership.Fault(fault))
+		experiment.Faults = append(experiment.Faults, membership.Fault(fault))
 	}
-	return play
+	return experiment
 }
 
-// simulateMembers plays the module with each number of instances.
+// simulateMembers simulates the module with each number of instances.
 func simulateMembers(cmd *cli.Command, out string, counts []int, faults []string) error {
 	var results []membershipsim.Result
 	for _, instances := range counts {
-		plan := simulatedMembers(cmd, instances, faults)
+		plan := membersPlan(cmd, instances, faults)
 		plans := []membershipsim.Plan{plan}
 		if cmd.Bool("before") {
 			baseline := plan
@@ -150,8 +150,8 @@
 	return reportMembers(out, results)
 }
 
-// simulatedMembers is the plan that the flags ask for.
-func simulatedMembers(cmd *cli.Command, instances int, faults []string) membershipsim.Plan {
+// membersPlan returns the plan of a simulation from the flags.
+func membersPlan(cmd *cli.Command, instances int, faults []string) membershipsim.Plan {
 	plan := membershipsim.Plan{
 		Instances:         instances,
 		Duration:          time.Duration(cmd.Float64("virtual") * float64(time.Hour)),
@@ -170,12 +170,13 @@
 	return plan
 }
 
-// reportMembers writes a table and charts, and says whether a bound is broken.
+// reportMembers writes a table and, if no bound is broken, charts. A broken bound is returned as an error.
 func reportMembers(out string, results []membershipsim.Result) error {
 	err := membershipsim.WriteTable(out, results)
 	for _, result := range results {
 		if !result.Baseline && !result.BoundsHold() {
-			return failed(&report.BoundError{Page: membership.Page})
+			detail := fmt.Sprintf("with --instances %d", result.Instances)
+			return failed(&report.BoundError{Page: membership.Page, Detail: detail})
 		}
 	}
 	if err != nil {
--- a/internal/experiment/command/ways.go
+++ b/internal/experiment/command/ways.go
@@ -11,7 +11,7 @@
 func descriptorsCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "ways",
-		Usage:        "compare the memory and wake-up time of three ways to keep an idle connection (docs/idle.md)",
+		Usage:        "compare the memory and wake-up time of three ways to hold idle connections (docs/idle.md)",
 		OnUsageError: usageError,
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			results, err := descriptors.Compare(ctx, cmd.Int("count"))
@@ -21,7 +21,7 @@
 			return printJSON(results)
 		},
 		Flags: []cli.Flag{
-			&cli.IntFlag{Name: "count", Value: 4000, Usage: "connections; the backlog of a listener has to hold them"},
+			&cli.IntFlag{Name: "count", Value: 4000, Usage: "connections, at most the backlog of a listener"},
 		},
 	}
 }
