--- a/internal/experiment/command/duties.go
+++ b/internal/experiment/command/duties.go
@@ -128,7 +128,8 @@
 		return err
 	}
 	if !sum.BoundsHold() {
-		return failed(&report.BoundError{Page: leases.Page})
+		detail := fmt.Sprintf("with --instances %d, --slots %d", cmd.Int("instances"), cmd.Int("slots"))
+		return failed(&report.BoundError{Page: leases.Page, Detail: detail})
 	}
 	return nil
 }
--- a/internal/experiment/descriptors/descriptors.go
+++ b/internal/experiment/descriptors/descriptors.go
@@ -1,9 +1,10 @@
-// Package descriptors compares the ways in which a program can keep an idle connection: what memory each takes,
-// and how fast the program notices that something was received.
+// Package descriptors compares ways to hold idle connections: how much memory each way takes, and how fast the
+// program notices that something was received.
 package descriptors
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"runtime"
 	"slices"
@@ -11,25 +12,25 @@
 )
 
 const (
-	maxWakeups    = 500 // that are timed
+	maxWakeups    = 500 // number of wake-ups that are timed
 	wakeupTimeout = 5 * time.Second
 )
 
-// Result is what one way costs.
+// Result holds the memory and the wake-up times of one way to hold idle connections.
 type Result struct {
 	Method             string  `json:"way"`
 	Connections        int     `json:"count"`
-	BytesPerConnection float64 `json:"user_bytes_per_conn"` // heap and stacks after a collection
-	WakeupP50Micros    float64 `json:"wake_p50_us"`         // from a byte's write to the notice
+	BytesPerConnection float64 `json:"user_bytes_per_conn"` // heap and stacks after a garbage collection
+	WakeupP50Micros    float64 `json:"wake_p50_us"`         // from the write of a byte until the program notices it
 	WakeupP99Micros    float64 `json:"wake_p99_us"`
 	Goroutines         int     `json:"goroutines"`
 }
 
-// method is a way to keep idle connections. suspend takes over the connections and sends an index to received when
-// something has been received on the connection that stood there. It may empty the slice. The function that it
-// returns closes the connections.
+// method is a way to hold idle connections.
 type method struct {
-	name    string
+	name string
+	// suspend takes over conns, whose elements it may set to nil. When something is received on a connection, it
+	// sends the connection's index in conns to received. closeAll closes the connections.
 	suspend func(ctx context.Context, conns []net.Conn, received chan<- int) (closeAll func(), err error)
 }
 
@@ -39,7 +40,7 @@
 	{"descriptor alone", suspendToDescriptors},
 }
 
-// Compare measures each way with so many connections.
+// Compare measures each method with a number of connections.
 func Compare(ctx context.Context, connections int) ([]Result, error) {
 	var results []Result
 	for _, method := range methods {
@@ -92,8 +93,8 @@
 	}, nil
 }
 
-// dialAll opens connections, which wait in the listener's backlog. It returns those that it opened also beside
-// an error.
+// dialAll opens connections, which wait in the listener's backlog. If a dial fails, dialAll returns the connections
+// opened before and the error.
 func dialAll(address string, count int) ([]net.Conn, error) {
 	var clients []net.Conn
 	for range count {
@@ -117,8 +118,8 @@
 	return conns, nil
 }
 
-// matchPeers returns the clients in the order of the accepted connections. These are matched by address, as
-// they may have been accepted in another order than they were opened.
+// matchPeers returns the client of each accepted connection. It matches addresses, since connections may be accepted
+// in another order than they were opened.
 func matchPeers(clients, conns []net.Conn) []net.Conn {
 	byAddress := map[string]net.Conn{}
 	for _, client := range clients {
@@ -131,8 +132,8 @@
 	return peers
 }
 
-// timeWakeups writes to connections one after another, and returns how long each took to be noticed, µs,
-// sorted.
+// timeWakeups writes a byte to one connection after another. It returns the times until the program noticed each
+// byte, in µs, sorted.
 func timeWakeups(peers []net.Conn, received <-chan int) ([]float64, error) {
 	var micros []float64
 	for _, peer := range peers[:min(maxWakeups, len(peers))] {
@@ -143,7 +144,7 @@
 		select {
 		case <-received:
 		case <-time.After(wakeupTimeout):
-			return nil, context.DeadlineExceeded
+			return nil, fmt.Errorf("written byte not noticed within %s: %w", wakeupTimeout, context.DeadlineExceeded)
 		}
 		micros = append(micros, float64(time.Since(startedAt).Nanoseconds())/1000)
 	}
@@ -151,7 +152,7 @@
 	return micros, nil
 }
 
-// memoryInUse returns heap and stacks after a collection, and the number of goroutines.
+// memoryInUse returns the size of heap and stacks after a garbage collection, and the number of goroutines.
 func memoryInUse() (bytes uint64, goroutines int) {
 	runtime.GC()
 	runtime.GC()
--- a/internal/experiment/descriptors/methods.go
+++ b/internal/experiment/descriptors/methods.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 	"io"
 	"net"
 	"sync"
@@ -11,12 +12,12 @@
 	"tealpath/internal/downstream/poller"
 )
 
-// waitInGoroutines has a goroutine wait for each connection, without a buffer.
+// waitInGoroutines starts a goroutine for each connection, which waits for data without holding a buffer.
 func waitInGoroutines(_ context.Context, conns []net.Conn, received chan<- int) (func(), error) {
 	for i, conn := range conns {
 		socket, ok := conn.(syscall.Conn)
 		if !ok {
-			return nil, errors.ErrUnsupported
+			return nil, fmt.Errorf("connection of type %T has no descriptor: %w", conn, errors.ErrUnsupported)
 		}
 		raw, err := socket.SyscallConn()
 		if err != nil {
@@ -31,7 +32,8 @@
 	return func() { closeQuietly(conns...) }, nil
 }
 
-// waitUntilReadable waits until something was received: Read calls its function a second time then.
+// waitUntilReadable waits until something is received. Read calls the function at once, and again when the connection
+// is readable.
 func waitUntilReadable(raw syscall.RawConn) error {
 	calls := 0
 	return raw.Read(func(uintptr) bool {
@@ -40,7 +42,7 @@
 	})
 }
 
-// watchByPoller watches the connections by a poller.
+// watchByPoller has a poller watch the connections, which stay net.Conns.
 func watchByPoller(ctx context.Context, conns []net.Conn, received chan<- int) (func(), error) {
 	watcher, err := poller.New()
 	if err != nil {
@@ -55,43 +57,42 @@
 	return func() { closeQuietly(conns...) }, nil
 }
 
-// suspendToDescriptors suspends the connections, so that a poller has their descriptors and nothing else is left
-// of them.
+// suspendToDescriptors suspends the connections, so that only their descriptors remain, which a poller watches.
 func suspendToDescriptors(ctx context.Context, conns []net.Conn, received chan<- int) (func(), error) {
 	watcher, err := poller.New()
 	if err != nil {
 		return nil, err
 	}
-	kept := &suspended{watcher: watcher, descriptors: make([]int32, len(conns))}
+	store := &suspendedConns{watcher: watcher, descriptors: make([]int32, len(conns))}
 	for i, conn := range conns {
 		descriptor, err := watcher.Suspend(conn, uint64(i))
 		if err != nil {
 			return nil, err
 		}
-		kept.descriptors[i], conns[i] = int32(descriptor), nil
+		store.descriptors[i], conns[i] = int32(descriptor), nil
 	}
 	go forEachEvent(ctx, watcher, func(key uint64) {
-		if kept.resume(key) {
+		if store.resume(key) {
 			received <- int(key)
 		}
 	})
-	return kept.closeAll, nil
+	return store.closeAll, nil
 }
 
-// resumedDescriptor stands in place of a descriptor whose connection was resumed.
+// resumedDescriptor replaces the descriptor of a connection that has been resumed.
 const resumedDescriptor = -1
 
-// suspended holds suspended connections, and those that were resumed.
-type suspended struct {
+// suspendedConns holds the suspended connections and those that have been resumed.
+type suspendedConns struct {
 	watcher *poller.Poller
 
 	mu          sync.Mutex
-	descriptors []int32    // guarded by mu; by key
+	descriptors []int32    // guarded by mu; indexed by key
 	resumed     []net.Conn // guarded by mu
 }
 
-// resume makes a descriptor a connection again.
-func (s *suspended) resume(key uint64) bool {
+// resume makes a net.Conn of the suspended connection with a key, and reports whether that succeeded.
+func (s *suspendedConns) resume(key uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	conn, err := s.watcher.Resume(int(s.descriptors[key]))
@@ -103,7 +104,7 @@
 	return true
 }
 
-func (s *suspended) closeAll() {
+func (s *suspendedConns) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, descriptor := range s.descriptors {
@@ -114,8 +115,8 @@
 	closeQuietly(s.resumed...)
 }
 
-// forEachEvent calls a function with the key of each connection on which something was received, until the
-// context ends.
+// forEachEvent calls do with the key of each connection on which something was received, until the context ends or
+// the poller fails.
 func forEachEvent(ctx context.Context, watcher *poller.Poller, do func(key uint64)) {
 	for keys, err := watcher.Wait(ctx, nil); err == nil; keys, err = watcher.Wait(ctx, keys) {
 		for _, key := range keys {
@@ -124,7 +125,7 @@
 	}
 }
 
-// closeQuietly closes what nothing more is wanted of: a Close that fails loses nothing.
+// closeQuietly closes closers and ignores errors, since a failed Close loses nothing that the comparison needs.
 func closeQuietly[C io.Closer](closers ...C) {
 	for _, closer := range closers {
 		_ = closer.Close()
--- a/internal/experiment/experimenttest/recorded.go
+++ b/internal/experiment/experimenttest/recorded.go
@@ -1,7 +1,7 @@
-// Package experimenttest helps tests to compare results of simulations with results that were recorded earlier.
+// Package experimenttest compares results of simulations with recorded results, for tests.
 //
-// The simulations are deterministic: a run with the same plan and seed gives the same result to the last
-// digit. So a change of the code that changes a decision, a time or the order of random draws is seen.
+// The simulations are deterministic: a run with the same plan and seed gives the same result to the last digit. The
+// comparison therefore fails if a code change alters a decision, a time or the order of random draws.
 package experimenttest
 
 import (
@@ -14,16 +14,16 @@
 	"testing"
 )
 
-// Recording collects what is compared with the file testdata/recorded.txt of the package under test.
+// Recording collects results to compare with the file testdata/recorded.txt of the package under test.
 type Recording struct {
 	t    testing.TB
 	text strings.Builder
 }
 
-// NewRecording makes an empty recording.
+// NewRecording returns an empty recording.
 func NewRecording(t testing.TB) *Recording { return &Recording{t: t} }
 
-// Result adds a result as JSON, which is what the commands print.
+// Result adds a line with a name and a result as JSON, in the format that the commands print.
 func (r *Recording) Result(name string, result any) {
 	r.t.Helper()
 	raw, err := json.Marshal(result)
@@ -33,7 +33,7 @@
 	r.Line(name, string(raw))
 }
 
-// Line adds a line of values with spaces between them.
+// Line adds a line of values separated by spaces.
 func (r *Recording) Line(values ...any) { fmt.Fprintln(&r.text, values...) }
 
 // Files adds a line with the name and the SHA-256 of each file in a folder.
@@ -52,7 +52,7 @@
 	}
 }
 
-// Compare fails the test where the recording differs from the file.
+// Compare fails the test if the recording differs from testdata/recorded.txt.
 func (r *Recording) Compare() {
 	r.t.Helper()
 	recorded, err := os.ReadFile(filepath.Join("testdata", "recorded.txt"))
@@ -60,6 +60,6 @@
 		r.t.Fatal(err)
 	}
 	if got := r.text.String(); got != string(recorded) {
-		r.t.Errorf("results differ from those that were recorded; got\n%s", got)
+		r.t.Errorf("results differ from testdata/recorded.txt; got\n%s", got)
 	}
 }
--- a/internal/experiment/heartbeatgossip/table.go
+++ b/internal/experiment/heartbeatgossip/table.go
@@ -7,33 +7,33 @@
 	"slices"
 )
 
-// memberState is one member in the table.
+// memberState is the state of one member in the table.
 type memberState struct {
 	Member
 	configured   bool
-	incarnations map[uint64]*incarnation // the one in the entry, and others that may still be there
+	incarnations map[uint64]*incarnation // the current one, and former ones whose entries may still arrive
 }
 
-// incarnation is one start under a name.
+// incarnation is one start of an instance.
 type incarnation struct {
-	heartbeat uint64
-	heardAt   int64 // when the counter grew here
-	raisedAt  int64 // when the instance raised it, by the age in the entry
+	heartbeat     uint64
+	heardAt       int64 // when an entry with this counter was received
+	incrementedAt int64 // when the instance incremented the counter, computed from the entry's age
 }
 
-// Table holds the members that one instance knows. All times are of one clock that never goes back.
+// Table holds the members that one instance knows. All times are ns of one monotonic clock.
 type Table struct {
 	config        Config
 	self          Entry
 	members       map[string]*memberState
-	duplicates    memberState // other starts under the own name
+	duplicates    memberState // other incarnations under this instance's name
 	nextHeartbeat int64
 	random        *rand.Rand
 	version       uint64
 	rejected      int64
 }
 
-// New makes a table that knows the configured contacts.
+// New returns a table with the configured contacts as members.
 func New(now int64, config Config) *Table {
 	table := &Table{
 		config:        config,
@@ -58,7 +58,7 @@
 	return table
 }
 
-// add takes a name into the table.
+// add adds a member to the table.
 func (table *Table) add(now int64, name string) *memberState {
 	member := &memberState{
 		Member:       Member{Since: now, Entry: Entry{Name: name}},
@@ -69,8 +69,8 @@
 	return member
 }
 
-// Tick notices members that have died and raises the own counter when that is due. It returns the
-// heartbeats to send and what has changed.
+// Tick detects members that have died, and increments this instance's counter when a heartbeat is due. It returns
+// the messages to send and the members whose state has changed.
 func (table *Table) Tick(now int64) (messages []Message, changes []Change) {
 	interval := table.config.Interval
 	for _, name := range table.names() {
@@ -94,10 +94,10 @@
 	return table.heartbeat(now), changes
 }
 
-// names are those of all members, sorted.
+// names returns the names of all members, sorted.
 func (table *Table) names() []string { return slices.Sorted(maps.Keys(table.members)) }
 
-// heartbeat goes to a few members drawn from all; dead ones are among them, as they may be back.
+// heartbeat returns messages to fanOut random members. Dead members can be among them, since they may have restarted.
 func (table *Table) heartbeat(now int64) []Message {
 	names := table.names()
 	table.random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
@@ -109,24 +109,24 @@
 	return messages
 }
 
-// entries are the own one, and those of members whose counter grew lately. Older ones are left out, so that
-// instances do not keep each other's memory of a dead one alive.
+// entries returns the entries of this instance and of members whose counter was incremented recently. Older entries
+// are omitted: otherwise instances would keep reminding each other of dead members, and none would be forgotten.
 func (table *Table) entries(now int64) []Entry {
 	entries := []Entry{table.self}
 	for _, name := range table.names() {
 		member := table.members[name]
 		current := member.incarnations[member.Incarnation]
-		if current == nil || now-current.raisedAt > 2*deadIntervals*table.config.Interval {
+		if current == nil || now-current.incrementedAt > 2*deadIntervals*table.config.Interval {
 			continue
 		}
 		entry := member.Entry
-		entry.Age = max(0, now-current.raisedAt)
+		entry.Age = max(0, now-current.incrementedAt)
 		entries = append(entries, entry)
 	}
 	return entries
 }
 
-// Receive takes the entries of a heartbeat, and returns what has changed.
+// Receive updates the table from the entries of a heartbeat message. It returns the members whose state has changed.
 func (table *Table) Receive(now int64, entries []Entry) (changes []Change) {
 	for _, entry := range entries {
 		if entry.Name == table.self.Name {
@@ -147,7 +147,8 @@
 	return changes
 }
 
-// memberFor finds or adds the member of an entry; nil if the entry is invalid or the table is full.
+// memberFor returns the member that an entry belongs to, and adds it to the table if necessary. It returns nil if the
+// entry is invalid or the table is full.
 func (table *Table) memberFor(now int64, entry Entry) *memberState {
 	validName := entry.Name != "" && len(entry.Name) <= maxNameLength
 	validWeight := entry.Weight > 0 && entry.Weight < maxWeight
@@ -163,16 +164,16 @@
 	return table.add(now, entry.Name)
 }
 
-// update brings a member up to date with an entry. Entries of a former incarnation go round for a while;
-// they are told from news by their counter, which does not grow any more.
+// update updates a member from an entry. Entries of a former incarnation circulate for a while. They are ignored,
+// because their counter no longer increases.
 func (table *Table) update(now int64, member *memberState, entry Entry) (Change, bool) {
 	known := member.incarnations[entry.Incarnation]
 	switch {
 	case known != nil && entry.Heartbeat <= known.heartbeat:
 		return Change{}, false
 	case known == nil && entry.Age > deadIntervals*table.config.Interval:
-		// An incarnation that was forgotten here. Taken as new, it would be passed on as new by others as
-		// well, and would never be forgotten by all.
+		// This is an incarnation that the table has forgotten. If instances accepted it as new, they would pass it
+		// on to each other, and it would never be forgotten by all of them.
 		return Change{}, false
 	case known == nil && len(member.incarnations) >= maxIncarnations:
 		table.rejected++
@@ -183,9 +184,9 @@
 	}
 	known.heartbeat = entry.Heartbeat
 	known.heardAt = now
-	known.raisedAt = now - max(0, entry.Age)
+	known.incrementedAt = now - max(0, entry.Age)
 	if member.configured {
-		entry.Address, entry.Weight = member.Address, member.Weight // a peer cannot change what is configured
+		entry.Address, entry.Weight = member.Address, member.Weight // the configuration takes precedence over peers
 	}
 	if member.Weight != entry.Weight || member.Incarnation != entry.Incarnation {
 		table.version++
@@ -208,14 +209,14 @@
 	return Change{Member: member.Member, Previous: previous}
 }
 
-// forgetIncarnations drops former ones of which no entry can go round any more.
+// forgetIncarnations removes former incarnations whose entries no longer circulate.
 func (member *memberState) forgetIncarnations(now, interval int64) {
 	maps.DeleteFunc(member.incarnations, func(id uint64, former *incarnation) bool {
 		return id != member.Incarnation && now-former.heardAt > forgetIntervals*interval
 	})
 }
 
-// recentIncarnations counts the incarnations that were heard of within a time.
+// recentIncarnations counts the incarnations whose counter has increased within a timeout before now.
 func (member *memberState) recentIncarnations(now, timeout int64) int {
 	count := 0
 	for _, known := range member.incarnations {
@@ -226,7 +227,7 @@
 	return count
 }
 
-// HasDuplicate tells whether two instances under one name, which may be the own one, may both be there.
+// HasDuplicate reports whether two running instances may have the same name. The name may be this instance's own.
 func (table *Table) HasDuplicate(now int64, name string) bool {
 	if name == table.self.Name {
 		return table.duplicates.recentIncarnations(now, table.config.ReplacedTimeout) > 0
@@ -235,7 +236,7 @@
 	return member != nil && member.recentIncarnations(now, table.config.ReplacedTimeout) > 1
 }
 
-// Member returns what is believed of a member.
+// Member returns the member with a name, and whether the table has it.
 func (table *Table) Member(name string) (Member, bool) {
 	if member := table.members[name]; member != nil {
 		return member.Member, true
@@ -243,7 +244,7 @@
 	return Member{}, false
 }
 
-// Members returns all members but the own instance, by name.
+// Members returns all members except this instance, sorted by name.
 func (table *Table) Members() []Member {
 	members := make([]Member, 0, len(table.members))
 	for _, name := range table.names() {
@@ -252,7 +253,8 @@
 	return members
 }
 
-// Alive returns who can hold leases, by name: the own instance unless it leaves, and whoever is believed alive.
+// Alive returns the instances that can hold leases, sorted by name: this instance unless it is leaving, and all
+// members in the state Alive.
 func (table *Table) Alive() []Entry {
 	var alive []Entry
 	if !table.self.Leaving {
@@ -267,16 +269,17 @@
 	return alive
 }
 
-// Version grows with each change of who is known, in which state, and with which weight.
+// Version returns a number that increases whenever the set of members, or a member's state, weight or incarnation
+// changes.
 func (table *Table) Version() uint64 { return table.version }
 
-// Rejected returns how many entries were rejected: invalid ones, and those beyond a limit.
+// Rejected returns the number of entries that were rejected because they were invalid or exceeded a limit.
 func (table *Table) Rejected() int64 { return table.rejected }
 
-// Next returns when the next heartbeat is due.
+// Next returns the time at which the next heartbeat is due.
 func (table *Table) Next() int64 { return table.nextHeartbeat }
 
-// Leave returns the messages that tell all members at once that the own instance leaves.
+// Leave returns messages to all members that announce that this instance is leaving.
 func (table *Table) Leave(now int64) []Message {
 	table.self.Leaving = true
 	table.self.Heartbeat++
--- a/internal/experiment/heartbeatgossip/table_test.go
+++ b/internal/experiment/heartbeatgossip/table_test.go
@@ -21,7 +21,7 @@
 	return New(0, config)
 }
 
-// exchange lets tables send heartbeats to each other from one time to another.
+// exchange calls Tick on all tables from one time to another, and delivers their messages at once.
 func exchange(tables map[string]*Table, from, to int64) {
 	for now := from; now < to; now += interval / 10 {
 		for _, table := range tables {
@@ -43,38 +43,38 @@
 	return text
 }
 
-func TestInstanceJoinsThroughAnyKnownOne(t *testing.T) {
+func TestInstanceJoinsThroughOneContact(t *testing.T) {
 	tables := map[string]*Table{
 		"a": newTable("a", 1, "b", "c"),
 		"b": newTable("b", 2, "a", "c"),
 		"c": newTable("c", 3, "a", "b"),
-		"d": newTable("d", 4, "c"), // d is configured nowhere and knows c alone
+		"d": newTable("d", 4, "c"), // no instance has d as a contact, and d has only c
 	}
 	exchange(tables, 0, 10*interval)
 	for name, table := range tables {
 		if got := len(table.Alive()); got != 4 {
-			t.Errorf("%s knows %s", name, states(table))
+			t.Errorf("%s knows %d live instances, want 4: %s", name, got, states(table))
 		}
 	}
 	if d, _ := tables["a"].Member("d"); d.Address != "d:1" {
-		t.Errorf("the address of d was not passed on: %+v", d)
+		t.Errorf("a knows d with the address %q, want d:1: %+v", d.Address, d)
 	}
 	delete(tables, "d")
 	exchange(tables, 10*interval, 16*interval)
 	if d, _ := tables["a"].Member("d"); d.State != Dead {
-		t.Errorf("d is %v six intervals after its death", d.State)
+		t.Errorf("d is %v six intervals after its death, want %v", d.State, Dead)
 	}
 	exchange(tables, 16*interval, 90*interval)
 	if _, known := tables["a"].Member("d"); known {
-		t.Error("d is never forgotten")
+		t.Error("d is not forgotten 80 intervals after its death")
 	}
 }
 
-func TestInstanceHeardByOneOtherOnlyIsAlive(t *testing.T) {
+func TestMemberHeardThroughAnotherIsAlive(t *testing.T) {
 	a, b, c := newTable("a", 1, "b"), newTable("b", 2, "a", "c"), newTable("c", 3, "b")
 	exchange(map[string]*Table{"a": a, "b": b, "c": c}, 0, 12*interval)
 	if got := len(a.Alive()); got != 3 {
-		t.Errorf("a, connected to b alone, knows %s", states(a))
+		t.Errorf("a, whose only contact is b, knows %d live instances, want 3: %s", got, states(a))
 	}
 }
 
@@ -84,13 +84,13 @@
 	tables["b"] = newTable("b", 9, "a")
 	exchange(tables, 5*interval, 6*interval)
 	if b, _ := tables["a"].Member("b"); b.Incarnation != 9 || b.State != Alive {
-		t.Errorf("a sees %+v", b)
+		t.Errorf("a knows b as %+v, want the incarnation 9 alive", b)
 	}
 	if !tables["a"].HasDuplicate(6*interval, "b") {
-		t.Error("the former incarnation may still be there")
+		t.Error("the former incarnation does not count as a duplicate, one interval after the restart")
 	}
 	if tables["a"].HasDuplicate(10*interval, "b") {
-		t.Error("the former incarnation is not forgotten")
+		t.Error("the former incarnation still counts as a duplicate, five intervals after the restart")
 	}
 }
 
@@ -112,7 +112,7 @@
 		t.Error("two live instances under one name are not detected")
 	}
 	if a.HasDuplicate(40*interval, "a") {
-		t.Error("the own name counts as duplicate")
+		t.Error("a counts its own name as a duplicate")
 	}
 }
 
@@ -123,10 +123,10 @@
 		a.Receive(3*interval, message.Entries)
 	}
 	if b, _ := a.Member("b"); b.State != Left {
-		t.Errorf("b is %v", b.State)
+		t.Errorf("b is %v after it announced that it leaves, want %v", b.State, Left)
 	}
 	if got := len(b.Alive()); got != 1 {
-		t.Errorf("b still counts itself: %d", got)
+		t.Errorf("b knows %d live instances after it left, want only a", got)
 	}
 }
 
@@ -140,17 +140,17 @@
 	}
 	a.Receive(1, []Entry{{Name: "", Weight: 1}, {Name: "y", Weight: -1}, {Name: "z", Weight: 1e9}})
 	if n := len(a.Members()); n > MaxMembers {
-		t.Errorf("%d members", n)
+		t.Errorf("%d members, want at most %d", n, MaxMembers)
 	}
 	if b, _ := a.Member("b"); b.Address != "b:1" || b.Weight != 1 {
-		t.Errorf("a peer changed a configured member: %+v", b)
+		t.Errorf("a peer changed the address or the weight of a configured member: %+v", b)
 	}
 	if a.Rejected() == 0 {
-		t.Error("nothing was rejected")
+		t.Error("no entry was rejected")
 	}
 }
 
-func TestHeartbeatsGrowWithMembersNotTheirSquare(t *testing.T) {
+func TestHeartbeatsAreLinearInMembers(t *testing.T) {
 	for _, count := range []int{3, 16} {
 		var names []string
 		for i := range count {
@@ -168,20 +168,20 @@
 			}
 		}
 		if most := count * 3 * 10; sent > most {
-			t.Errorf("%d members sent %d heartbeats in 10 intervals, %d at most", count, sent, most)
+			t.Errorf("%d members sent %d heartbeats in 10 intervals, want at most %d", count, sent, most)
 		}
 	}
 }
 
-// delayedMessage is a heartbeat under way.
+// delayedMessage is a heartbeat message that has not arrived yet.
 type delayedMessage struct {
 	arrivesAt int64
 	Message
 }
 
-// deliver hands over the messages that have arrived, and returns the others.
-func deliver(tables map[string]*Table, now int64, underWay []delayedMessage) (later []delayedMessage) {
-	for _, message := range underWay {
+// deliver delivers the messages that have arrived by now, and returns the others.
+func deliver(tables map[string]*Table, now int64, inTransit []delayedMessage) (later []delayedMessage) {
+	for _, message := range inTransit {
 		if message.arrivesAt > now {
 			later = append(later, message)
 		} else {
@@ -191,9 +191,9 @@
 	return later
 }
 
-// Entries of former incarnations stop going round, also where messages are late and many instances restart
-// and start with an empty table.
-func TestEntriesOfFormerIncarnationsDieOut(t *testing.T) {
+// Entries of former incarnations stop circulating, even if messages are late and many instances restart with an empty
+// table.
+func TestEntriesOfFormerIncarnationsExpire(t *testing.T) {
 	var names []string
 	for i := range 16 {
 		names = append(names, fmt.Sprintf("m%02d", i))
@@ -207,25 +207,25 @@
 	for _, name := range names {
 		start(name)
 	}
-	var underWay []delayedMessage
+	var inTransit []delayedMessage
 	random := rand.New(rand.NewPCG(1, 1))
 	const end = 150 * interval
 	for now := int64(0); now < end; now += interval / 10 {
 		if n := now / interval; now%interval == 0 && n >= 10 && n < 42 {
 			start(names[n%16])
 		}
-		underWay = deliver(tables, now, underWay)
+		inTransit = deliver(tables, now, inTransit)
 		for _, name := range names {
 			messages, _ := tables[name].Tick(now)
 			for _, message := range messages {
-				underWay = append(underWay, delayedMessage{now + random.Int64N(4*interval), message})
+				inTransit = append(inTransit, delayedMessage{now + random.Int64N(4*interval), message})
 			}
 		}
 	}
 	for _, name := range names {
 		for _, of := range names {
 			if tables[name].HasDuplicate(end, of) {
-				t.Errorf("%s counts %s as duplicate, 108 intervals after the last restart", name, of)
+				t.Errorf("%s counts %s as a duplicate, 108 intervals after the last restart", name, of)
 			}
 		}
 	}
--- a/internal/experiment/heartbeatgossip/types.go
+++ b/internal/experiment/heartbeatgossip/types.go
@@ -1,86 +1,86 @@
-// Package heartbeatgossip is a membership protocol of an earlier version, kept as the baseline that
-// internal/cluster/membership is measured against (internal/experiment/membershipsim).
+// Package heartbeatgossip is a membership protocol that serves as a baseline: internal/experiment/membershipsim
+// compares internal/cluster/membership with it.
 //
-// It is a gossip-style failure detector after van Renesse, Minsky and Hayden (A Gossip-Style Failure
-// Detection Service, 1998): each instance raises a heartbeat counter of its own and passes the counters of
-// all that it knows on to a few others. An instance whose counter has not grown for a while is believed
-// dead. The package does no input or output, reads no clock and is not safe for concurrent use.
+// It is a gossip-style failure detector after van Renesse, Minsky and Hayden (A Gossip-Style Failure Detection
+// Service, 1998). Each instance increments its own heartbeat counter, and sends the counters of all instances that it
+// knows to a few others. An instance whose counter has not increased for a while is considered dead. The package does
+// no input or output, reads no clock and is not safe for concurrent use.
 package heartbeatgossip
 
-// Limits on what is kept and accepted.
+// Limits on the size of the table and of entries from other instances.
 const (
-	// MaxMembers is how many instances are known at most; entries of further ones are rejected.
+	// MaxMembers is the largest number of members in a table. Entries of further instances are rejected.
 	MaxMembers = 4096
 
-	maxNameLength    = 128
-	maxAddressLength = 256
+	maxNameLength    = 128 // bytes
+	maxAddressLength = 256 // bytes
 	maxWeight        = 1e6
-	maxIncarnations  = 64 // starts under one name that are told apart
+	maxIncarnations  = 64 // incarnations of one member that the table distinguishes
 )
 
-// How the protocol spreads and forgets, the latter two in heartbeat intervals.
+// Parameters of the protocol.
 const (
-	fanOut          = 3  // members that a heartbeat is sent to
-	deadIntervals   = 3  // without a higher counter, after which a member is believed dead
-	forgetIntervals = 60 // after which a dead member is forgotten, unless it is configured
+	fanOut          = 3  // members to which each heartbeat is sent
+	deadIntervals   = 3  // heartbeat intervals without a higher counter after which a member is considered dead
+	forgetIntervals = 60 // the same, after which a dead or left member is forgotten, unless it is configured
 )
 
-// State is what is believed of a member.
+// State is the state of a member as one instance knows it.
 type State int
 
-// The states. Unheard is a configured member that nothing was heard of yet.
+// States of a member.
 const (
-	Unheard State = iota
+	Unheard State = iota // configured, but no entry has been received yet
 	Alive
-	Dead
-	Left
+	Dead // its counter has not increased for deadIntervals
+	Left // it has announced that it leaves
 )
 
 func (s State) String() string { return []string{"unheard", "alive", "dead", "left"}[s] }
 
-// Entry is one instance as instances report it to each other.
+// Entry describes one instance in the messages between instances.
 type Entry struct {
 	Name        string  `cbor:"1,keyasint"`
-	Incarnation uint64  `cbor:"2,keyasint"` // drawn at each start
-	Heartbeat   uint64  `cbor:"3,keyasint"` // counter that the instance itself alone raises
-	Address     string  `cbor:"4,keyasint"` // where it accepts connections
-	Weight      float64 `cbor:"5,keyasint"` // its share of the leases
+	Incarnation uint64  `cbor:"2,keyasint"` // differs between two starts of an instance
+	Heartbeat   uint64  `cbor:"3,keyasint"` // counter that only the instance itself increments
+	Address     string  `cbor:"4,keyasint"` // at which the instance accepts connections
+	Weight      float64 `cbor:"5,keyasint"` // determines its share of the leases
 	Leaving     bool    `cbor:"6,keyasint,omitempty"`
-	Epoch       uint64  `cbor:"7,keyasint,omitempty"` // of its voters
-	Age         int64   `cbor:"8,keyasint,omitempty"` // ns since the counter was raised
+	Epoch       uint64  `cbor:"7,keyasint,omitempty"` // voter epoch of the instance
+	Age         int64   `cbor:"8,keyasint,omitempty"` // ns since the instance incremented Heartbeat
 }
 
-// Contact is a configured instance.
+// Contact is an instance that is named in the configuration.
 type Contact struct {
 	Name    string
 	Address string
 	Weight  float64
 }
 
-// Config is what a table starts with. Times are ns.
+// Config is the configuration of a Table. Times are in ns.
 type Config struct {
 	Self            Entry
 	Contacts        []Contact
 	Interval        int64 // between two heartbeats
-	ReplacedTimeout int64 // for how long a replaced incarnation counts as possibly still there
+	ReplacedTimeout int64 // time without news after which a former incarnation no longer counts as a duplicate
 	Seed            uint64
 }
 
-// Member is what is believed of one instance.
+// Member is one other instance as a table knows it.
 type Member struct {
 	Entry
 	State   State
-	Since   int64 // when it got into this state
-	HeardAt int64 // when its counter last grew; 0 is never
+	Since   int64 // when it entered this state
+	HeardAt int64 // when an entry with a higher counter last came; 0 means never
 }
 
-// Change is a member whose state has changed.
+// Change reports that a member's state has changed.
 type Change struct {
 	Member
 	Previous State
 }
 
-// Message is a heartbeat to one member.
+// Message is a heartbeat message to one member.
 type Message struct {
 	To      string
 	Entries []Entry
--- a/internal/experiment/idleconnections/bench.go
+++ b/internal/experiment/idleconnections/bench.go
@@ -20,31 +20,31 @@
 	routerMemoryMB   = 192
 	startDelay       = time.Second
 
-	// activeConnections are those of active traffic, over all routers.
+	// activeConnections is the number of connections of active traffic to all routers together.
 	activeConnections = 16
 )
 
-// bench is a set of routers on one core, each with a client process that holds idle connections to it.
-type bench struct {
+// testbed is a set of routers on one core, each with a client process that holds idle connections to it.
+type testbed struct {
 	*testcluster.Cluster
 	clients []*clientProcess
-	failed  int // connections that could not be opened or were not answered
+	failed  int // connections that failed: they could not be opened, or the router did not answer or close them
 }
 
-// startBench starts as many routers as the experiment needs. An idle timeout of 0 starts them without an
-// operator's file.
-func (p *play) startBench(name, binary string, idleTimeout time.Duration) (*bench, error) {
+// startTestbed starts as many routers as the experiment needs, with their client processes. An idle timeout of 0
+// starts the routers without an operator's file.
+func (r *experimentRun) startTestbed(name, binary string, idleTimeout time.Duration) (*testbed, error) {
 	config := testcluster.Config{
 		Binary:              binary,
-		Dir:                 filepath.Join(p.Dir, name),
-		Instances:           p.result.Routers,
+		Dir:                 filepath.Join(r.Dir, name),
+		Instances:           r.result.Routers,
 		Caches:              caches,
 		MaxSockets:          routerMaxSockets,
 		MemoryMB:            routerMemoryMB,
 		ShareCore:           true,
 		WithoutOperatorFile: idleTimeout == 0,
 		OperatorFile: fmt.Sprintf("(socket \"%%s\")\n(idle (after %s) (spread 5s) (most %d))\n",
-			idleTimeout, p.MaxPerRouter),
+			idleTimeout, r.MaxPerRouter),
 	}
 	if err := os.MkdirAll(config.Dir, 0o700); err != nil {
 		return nil, err
@@ -53,9 +53,9 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &bench{Cluster: cluster}
+	b := &testbed{Cluster: cluster}
 	for i, router := range cluster.Names {
-		if err := b.startRouter(router, p.ClientBinary, fmt.Sprintf("127.1.0.%d", i+1)); err != nil {
+		if err := b.startRouter(router, r.ClientBinary, fmt.Sprintf("127.1.0.%d", i+1)); err != nil {
 			b.close()
 			return nil, err
 		}
@@ -64,8 +64,8 @@
 	return b, nil
 }
 
-// startRouter starts a router and its client process, which connects from an address of its own.
-func (b *bench) startRouter(router, clientBinary, from string) error {
+// startRouter starts a router and its client process, which connects from the local address from.
+func (b *testbed) startRouter(router, clientBinary, from string) error {
 	if err := b.Start(router); err != nil {
 		return err
 	}
@@ -77,37 +77,37 @@
 	return nil
 }
 
-func (b *bench) close() {
+func (b *testbed) close() {
 	for _, client := range b.clients {
 		client.close()
 	}
 	b.Close()
 }
 
-// open has the client processes open so many connections more, shared out evenly.
-func (b *bench) open(count int) (seconds float64, err error) {
+// open has the client processes open count more connections in total, in nearly equal shares.
+func (b *testbed) open(count int) (seconds float64, err error) {
 	each, rest := count/len(b.clients), count%len(b.clients)
-	return b.tell(func(client int) string {
+	return b.sendEach(func(client int) string {
 		share := each
 		if client < rest {
 			share++
 		}
-		return fmt.Sprintf("%s %d", open, share)
+		return fmt.Sprintf("%s %d", openCommand, share)
 	})
 }
 
-// tellAll gives all client processes the same command at once.
-func (b *bench) tellAll(command command) (seconds float64, err error) {
-	return b.tell(func(int) string { return string(command) })
+// sendAll sends the same command to all client processes at once, and returns how long the slowest took.
+func (b *testbed) sendAll(command command) (seconds float64, err error) {
+	return b.sendEach(func(int) string { return string(command) })
 }
 
-// tell gives each client process a command at once, and returns how long the slowest took.
-func (b *bench) tell(line func(client int) string) (slowestSeconds float64, err error) {
+// sendEach sends a command line to each client process, all at once, and returns how long the slowest took.
+func (b *testbed) sendEach(line func(client int) string) (slowestSeconds float64, err error) {
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	for i, client := range b.clients {
 		group.Go(func() {
-			answer, clientErr := client.tell(line(i))
+			answer, clientErr := client.send(line(i))
 			mu.Lock()
 			defer mu.Unlock()
 			b.failed += answer.failed
@@ -121,18 +121,18 @@
 	return slowestSeconds, err
 }
 
-// usage is what the routers hold and have used, summed up.
+// usage holds sums over all routers.
 type usage struct {
-	suspended   int
+	suspended   int // connections
 	goroutines  int
-	memoryBytes uint64 // heap and stacks after a collection
+	memoryBytes uint64 // heap and stacks after a garbage collection
 	residentKB  int64
-	cpuSeconds  float64
+	cpuSeconds  float64 // since the routers started
 }
 
-// usage asks the routers. One that has no Unix socket, or does not answer, adds only what the system says of
-// it.
-func (b *bench) usage(ctx context.Context) usage {
+// usage measures the routers. Only the operating system's values are known of a router that has no Unix socket or
+// does not answer on it.
+func (b *testbed) usage(ctx context.Context) usage {
 	var sum usage
 	for _, name := range b.Names {
 		sum.residentKB += testcluster.ResidentKB(b.PID(name))
@@ -151,8 +151,8 @@
 	return sum
 }
 
-// openConnections counts the clients' connections of all routers.
-func (b *bench) openConnections(ctx context.Context) (int, error) {
+// openConnections returns the number of client connections of all routers.
+func (b *testbed) openConnections(ctx context.Context) (int, error) {
 	count := 0
 	for _, name := range b.Names {
 		status, err := b.Connections(ctx, name)
@@ -165,7 +165,7 @@
 }
 
 // load sends active traffic to all routers.
-func (b *bench) load(ctx context.Context, rate float64, duration time.Duration) (testcluster.LoadResult, error) {
+func (b *testbed) load(ctx context.Context, rate float64, duration time.Duration) (testcluster.LoadResult, error) {
 	addresses := b.ClientAddresses()
 	return testcluster.Load{
 		Rate:           rate,
@@ -198,18 +198,18 @@
 	return &clientProcess{process: process, input: input, output: bufio.NewScanner(output)}, nil
 }
 
-// tell gives the process a command and waits for its answer.
-func (c *clientProcess) tell(line string) (answer, error) {
+// send sends a command line to the process and waits for the answer.
+func (c *clientProcess) send(line string) (answer, error) {
 	if _, err := fmt.Fprintln(c.input, line); err != nil {
 		return answer{}, err
 	}
 	if !c.output.Scan() {
-		return answer{}, fmt.Errorf("a client process ended at %q", line)
+		return answer{}, fmt.Errorf("client process ended without an answer to the command %q", line)
 	}
 	return parseAnswer(c.output.Text())
 }
 
-// close ends the process: it exits at the end of its input.
+// close ends the process, which exits at the end of its input.
 func (c *clientProcess) close() {
 	_ = c.input.Close()
 	_ = c.process.Wait()
--- a/internal/experiment/idleconnections/client.go
+++ b/internal/experiment/idleconnections/client.go
@@ -14,60 +14,64 @@
 	"tealpath/internal/experiment/testcluster"
 )
 
-// command is what a client process is told on its standard input.
+// command is a command that a client process reads from its standard input.
 type command string
 
+// Commands of client processes.
 const (
-	open      command = "open"  // with a number: open so many connections more, each asks for health once
-	wake      command = "wake"  // have all connections ask for health again, at once
-	reconnect command = "renew" // close all connections and open as many
-	ended     command = "ended" // wait until the router has closed all connections
-	quit      command = "quit"
+	openCommand      command = "open"  // with a number: open that many more connections, and check health on each
+	wakeCommand      command = "wake"  // check health on all connections again
+	reconnectCommand command = "renew" // close all connections and open as many new ones
+	endedCommand     command = "ended" // wait until the router has closed all connections
+	quitCommand      command = "quit"  // exit
 )
 
 const (
-	clientWorkers     = 64 // connections that are handled at the same time
+	clientWorkers     = 64 // connections that are handled concurrently
 	clientDialTimeout = 10 * time.Second
-	clientTimeout     = 20 * time.Second // for an answer
+	clientTimeout     = 20 * time.Second // of a health check
 
-	// A client whose connection is closed or rejected tries again for a while, as usual clients do.
+	// If a new connection fails, the client retries every clientRetryInterval for clientRetryDuration, as real
+	// clients do.
 	clientRetryDuration = time.Minute
 	clientRetryInterval = 50 * time.Millisecond
 
-	endTimeout = time.Minute
+	endTimeout = time.Minute // for the router to close a connection
 )
 
-// answer is what a client process says of a command that it has carried out.
+// answer is the answer of a client process to a command.
 type answer struct {
 	command command
-	open    int // connections
-	failed  int
-	tookMS  int64
+	open    int   // open connections after the command
+	failed  int   // connections for which the command failed
+	tookMS  int64 // duration of the command
 }
 
 func (a answer) String() string { return fmt.Sprintln(a.command, a.open, a.failed, a.tookMS) }
 
 func parseAnswer(line string) (answer, error) {
 	var a answer
-	_, err := fmt.Sscan(line, &a.command, &a.open, &a.failed, &a.tookMS)
-	return a, err
+	if _, err := fmt.Sscan(line, &a.command, &a.open, &a.failed, &a.tookMS); err != nil {
+		return a, fmt.Errorf("answer %q of a client process: %w", line, err)
+	}
+	return a, nil
 }
 
-// RunClients holds idle connections from one local address to a router, as commands on its input say: "open N",
-// "wake", "renew", "ended" and "quit". Each but the last is answered by a line with the command, the open
-// connections, how many failed and how long it took in milliseconds.
+// RunClients holds idle connections from one local address to a router. It reads the commands "open N", "wake",
+// "renew", "ended" and "quit" from in. It answers each command except "quit" with a line on out: the command, the
+// number of open connections, the number of connections that failed, and the duration in ms.
 func RunClients(address, from string, in io.Reader, out io.Writer) error {
-	clients := &holder{address: address, from: net.ParseIP(from)}
+	clients := &connectionHolder{address: address, from: net.ParseIP(from)}
 	for lines := bufio.NewScanner(in); lines.Scan(); {
 		words := strings.Fields(lines.Text())
 		if len(words) == 0 {
 			continue
 		}
-		if command(words[0]) == quit {
+		if command(words[0]) == quitCommand {
 			return nil
 		}
 		startedAt := time.Now()
-		failed := clients.carryOut(command(words[0]), words[1:])
+		failed := clients.execute(command(words[0]), words[1:])
 		result := answer{
 			command: command(words[0]),
 			open:    len(clients.conns),
@@ -81,31 +85,31 @@
 	return nil
 }
 
-// holder holds idle connections.
-type holder struct {
-	address string
-	from    net.IP
+// connectionHolder holds idle connections.
+type connectionHolder struct {
+	address string // of the router
+	from    net.IP // local address of the connections
 
 	mu    sync.Mutex
 	conns []net.Conn // guarded by mu while workers run
 }
 
-// carryOut carries out a command and returns how many connections failed.
-func (h *holder) carryOut(command command, arguments []string) (failed int) {
+// execute executes a command and returns the number of connections that failed. Unknown commands have no effect.
+func (h *connectionHolder) execute(command command, arguments []string) (failed int) {
 	switch command {
-	case open:
+	case openCommand:
 		return h.open(firstNumber(arguments))
-	case wake:
+	case wakeCommand:
 		return h.forEach(func(conn net.Conn) error { return testcluster.CheckHealth(conn, clientTimeout) })
-	case reconnect:
+	case reconnectCommand:
 		return h.reconnect()
-	case ended:
+	case endedCommand:
 		return h.forEach(waitForEnd)
 	}
 	return 0
 }
 
-// firstNumber returns the first argument as a number; 0 if there is none.
+// firstNumber returns the first argument as a number, or 0 if it is missing or not a number.
 func firstNumber(arguments []string) int {
 	if len(arguments) == 0 {
 		return 0
@@ -117,7 +121,7 @@
 	return number
 }
 
-// waitForEnd waits until the router has closed a connection.
+// waitForEnd waits until the router has closed a connection, for endTimeout at most.
 func waitForEnd(conn net.Conn) error {
 	if err := conn.SetReadDeadline(time.Now().Add(endTimeout)); err != nil {
 		return err
@@ -127,27 +131,27 @@
 	case errors.Is(err, io.EOF):
 		return nil
 	case err == nil:
-		return errors.New("the router sent something")
+		return errors.New("router sent data instead of closing the connection")
 	}
 	return err
 }
 
-// forEach does something with every connection, clientWorkers at a time, and counts what failed.
-func (h *holder) forEach(do func(net.Conn) error) (failed int) {
+// forEach calls do with each connection, clientWorkers at a time, and returns the number of calls that failed.
+func (h *connectionHolder) forEach(do func(net.Conn) error) (failed int) {
 	return h.work(len(h.conns), func(i int) error { return do(h.conns[i]) })
 }
 
-// reconnect closes all connections and opens as many.
-func (h *holder) reconnect() (failed int) {
+// reconnect closes all connections and opens as many new ones.
+func (h *connectionHolder) reconnect() (failed int) {
 	count := len(h.conns)
 	for _, conn := range h.conns {
-		_ = conn.Close() // it is gone either way
+		_ = conn.Close() // the connection is not used again, even if Close fails
 	}
 	h.conns = nil
 	return h.open(count)
 }
 
-func (h *holder) open(count int) (failed int) {
+func (h *connectionHolder) open(count int) (failed int) {
 	return h.work(count, func(int) error {
 		conn, err := h.dial()
 		if err != nil {
@@ -160,8 +164,9 @@
 	})
 }
 
-// work calls a function with each of 0 to count-1, clientWorkers at a time, and counts what failed.
-func (h *holder) work(count int, do func(i int) error) (failed int) {
+// work calls do with each number from 0 to count-1, clientWorkers at a time, and returns the number of calls that
+// failed.
+func (h *connectionHolder) work(count int, do func(i int) error) (failed int) {
 	next := make(chan int)
 	var workers sync.WaitGroup
 	for range min(count, clientWorkers) {
@@ -183,8 +188,8 @@
 	return failed
 }
 
-// dial connects and asks for health once. It tries again for a while.
-func (h *holder) dial() (net.Conn, error) {
+// dial opens a connection and checks health on it once. If that fails, it retries for clientRetryDuration.
+func (h *connectionHolder) dial() (net.Conn, error) {
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: h.from}, Timeout: clientDialTimeout, KeepAlive: -1}
 	for deadline := time.Now().Add(clientRetryDuration); ; time.Sleep(clientRetryInterval) {
 		conn, err := dialer.Dial("tcp", h.address)
@@ -192,7 +197,7 @@
 			if err = testcluster.CheckHealth(conn, clientTimeout); err == nil {
 				return conn, nil
 			}
-			_ = conn.Close() // the error that counts is the answer's
+			_ = conn.Close() // the error to return is that of the health check
 		}
 		if time.Now().After(deadline) {
 			return nil, err
--- a/internal/experiment/idleconnections/experiment.go
+++ b/internal/experiment/idleconnections/experiment.go
@@ -1,6 +1,6 @@
-// Package idleconnections measures what idle client connections cost the real router, and how active traffic
-// fares beside them: while they are idle, while all reconnect or send at once, and while all are closed for
-// being idle too long.
+// Package idleconnections measures the memory and processor time that idle client connections cost a real router,
+// and the latency of active traffic on other connections: while the idle connections stay idle, while all of them
+// reconnect or send at once, and while the router closes all of them because they have been idle too long.
 package idleconnections
 
 import (
@@ -20,188 +20,195 @@
 )
 
 const (
-	// spareConnections of a router process are left for active traffic.
+	// spareConnections is the number of connections to each router that are reserved for active traffic.
 	spareConnections = 100
 
-	// suspendDelay is the time in which connections come to rest after they were opened or woken.
+	// suspendDelay is the time within which the router suspends connections after they were opened or used.
 	suspendDelay = 3 * time.Second
 
-	// maxBaselineDuration is shorter than the 10 s after which a baseline closes idle connections.
+	// maxBaselineDuration is shorter than the 10 s after which a baseline router closes idle connections.
 	maxBaselineDuration = 6 * time.Second
 
-	minP99MS = 0.001 // against a division by 0
+	minP99MS = 0.001 // lower limit of a divisor, against division by 0
 )
 
-// Version names the build that a row belongs to.
+// Version identifies the build of the router that a row belongs to.
 type Version string
 
-// The builds that are compared.
+// Builds that are compared.
 const (
 	Current  Version = "now"
 	Baseline Version = "before"
 )
 
-// Experiment opens more and more idle connections to routers that share one core.
+// Experiment opens a growing number of idle connections to routers that share one core.
 type Experiment struct {
 	Binary         string
-	BaselineBinary string // an earlier build; empty is none
-	ClientBinary   string // the program whose hold command is RunClients
+	BaselineBinary string // an earlier build of the router; empty if there is none
+	ClientBinary   string // the program whose hold command calls RunClients
 	Dir            string // an existing directory for the routers' files
 	ResultsDir     string
-	Counts         []int // of idle connections, rising from 0
-	MaxPerRouter   int   // connections that one router process holds
-	Rate           float64
-	Duration       time.Duration // for which active traffic is measured
-	IdleTimeout    time.Duration // in the measurement of the mass expiry; 0 leaves that out
-	Progress       io.Writer     // a line for each step
+	Counts         []int         // numbers of idle connections, in ascending order from 0
+	MaxPerRouter   int           // connections that one router process holds
+	Rate           float64       // active traffic, requests per second to all routers together
+	Duration       time.Duration // of active traffic for each row
+	IdleTimeout    time.Duration // for measuring the expiry of all connections; 0 skips that
+	Progress       io.Writer     // receives a line for each step
 }
 
-// Row is what was seen with so many idle connections.
+// Row holds the measurements with one number of idle connections.
 type Row struct {
 	Version             Version `json:"version"`
 	Idle                int     `json:"idle"`
 	Suspended           int     `json:"parked"`
-	MemoryPerConnection float64 `json:"heap_per_conn_bytes"` // heap and stacks after a collection; 0 of a baseline
+	MemoryPerConnection float64 `json:"heap_per_conn_bytes"` // heap and stacks after a collection; 0 for a baseline
 	ResidentPerConn     float64 `json:"rss_per_conn_bytes"`
 	Goroutines          int     `json:"goroutines"`
 	LatencyP50MS        float64 `json:"active_p50_ms"`
 	LatencyP99MS        float64 `json:"active_p99_ms"`
 	LatencyP999MS       float64 `json:"active_p999_ms"`
 	ServedShare         float64 `json:"settled_share"`
-	CPUShare            float64 `json:"cpu_share"` // of the one core
-	OpenSeconds         float64 `json:"opened_in_s"`
+	CPUShare            float64 `json:"cpu_share"`   // of the one core
+	OpenSeconds         float64 `json:"opened_in_s"` // time to open the connections that the row before did not have
 }
 
-// Result is what an experiment found.
+// Result holds the measurements of an experiment. Each P99MS is the latency of active traffic during one event, and
+// each ratio compares a 99th percentile with that of the first row, which has no idle connections.
 type Result struct {
 	Routers          int     `json:"routers"` // processes on the one core
 	Rows             []Row   `json:"rows"`
-	ReconnectSeconds float64 `json:"wave_s"`
+	ReconnectSeconds float64 `json:"wave_s"` // until all connections were closed and opened again
 	ReconnectP99MS   float64 `json:"wave_active_p99_ms"`
-	WakeSeconds      float64 `json:"wake_s"`
+	WakeSeconds      float64 `json:"wake_s"` // until a health check was answered on every connection
 	WakeP99MS        float64 `json:"wake_active_p99_ms"`
-	ExpirySeconds    float64 `json:"expiry_s"`
+	ExpirySeconds    float64 `json:"expiry_s"` // from the first closed connections until nearly all were closed
 	ExpiryP99MS      float64 `json:"expiry_active_p99_ms"`
-	Failed           int     `json:"failed"` // connections that could not be opened or were not answered
-	P99Ratio         float64 `json:"p99_ratio_most_to_none"`
+	Failed           int     `json:"failed"`                 // connections that could not be opened or were not answered
+	P99Ratio         float64 `json:"p99_ratio_most_to_none"` // of the row with most idle connections
 	ReconnectRatio   float64 `json:"p99_ratio_wave_to_none"`
 	ExpiryRatio      float64 `json:"p99_ratio_expiry_to_none"`
 }
 
-// Run plays the experiment, writes its files and returns its result.
+// Run runs the experiment, writes its files and returns its result.
 func (e Experiment) Run(ctx context.Context) (Result, error) {
 	if err := testcluster.AvoidRouterCore(); err != nil {
 		return Result{}, err
 	}
-	p := e.plan()
-	if err := p.run(ctx); err != nil {
-		return p.result, err
+	r := e.newRun()
+	if err := r.run(ctx); err != nil {
+		return r.result, err
 	}
-	return p.result, p.report()
+	return r.result, r.report()
 }
 
-// plan finds out how many router processes the connections need.
-func (e Experiment) plan() *play {
+// newRun computes the number of router processes from the largest number of connections.
+func (e Experiment) newRun() *experimentRun {
 	maxIdle := e.Counts[len(e.Counts)-1]
 	perRouter := e.MaxPerRouter - spareConnections
 	routers := max(1, (maxIdle+perRouter-1)/perRouter)
-	return &play{Experiment: e, maxIdle: maxIdle, result: Result{Routers: routers}}
+	return &experimentRun{Experiment: e, maxIdle: maxIdle, result: Result{Routers: routers}}
 }
 
-// play is one run of an experiment.
-type play struct {
+// experimentRun is one run of an experiment.
+type experimentRun struct {
 	Experiment
-	maxIdle int // the highest of the counts
+	maxIdle int // the largest of Counts
 	result  Result
 }
 
-func (p *play) run(ctx context.Context) error {
-	if err := p.measureCurrent(ctx); err != nil {
+func (r *experimentRun) run(ctx context.Context) error {
+	if err := r.measureCurrent(ctx); err != nil {
 		return err
 	}
-	if p.IdleTimeout > 0 && p.maxIdle > 0 {
-		if err := p.measureExpiry(ctx); err != nil {
+	if r.IdleTimeout > 0 && r.maxIdle > 0 {
+		if err := r.measureExpiry(ctx); err != nil {
 			return err
 		}
 	}
-	if p.BaselineBinary != "" {
-		if err := p.measureBaseline(ctx); err != nil {
+	if r.BaselineBinary != "" {
+		if err := r.measureBaseline(ctx); err != nil {
 			return err
 		}
 	}
-	base := max(p.result.Rows[0].LatencyP99MS, minP99MS)
-	p.result.P99Ratio = p.result.Rows[len(p.Counts)-1].LatencyP99MS / base
-	p.result.ReconnectRatio = p.result.ReconnectP99MS / base
-	p.result.ExpiryRatio = p.result.ExpiryP99MS / base
+	base := max(r.result.Rows[0].LatencyP99MS, minP99MS)
+	r.result.P99Ratio = r.result.Rows[len(r.Counts)-1].LatencyP99MS / base
+	r.result.ReconnectRatio = r.result.ReconnectP99MS / base
+	r.result.ExpiryRatio = r.result.ExpiryP99MS / base
 	return nil
 }
 
-// measureCurrent measures each number of connections, and then all reconnecting and all sending at once.
-func (p *play) measureCurrent(ctx context.Context) error {
-	b, err := p.startBench("now", p.Binary, time.Hour)
+// measureCurrent measures the current build with each number of connections, and then while all connections reconnect
+// and while all send at once.
+func (r *experimentRun) measureCurrent(ctx context.Context) error {
+	b, err := r.startTestbed("now", r.Binary, time.Hour)
 	if err != nil {
 		return err
 	}
 	defer b.close()
-	if err := p.measureRows(ctx, b, Current); err != nil {
+	if err := r.measureRows(ctx, b, Current); err != nil {
 		return err
 	}
-	if p.maxIdle > 0 {
-		if err := p.measureWave(ctx, b, reconnect, &p.result.ReconnectSeconds, &p.result.ReconnectP99MS); err != nil {
+	if r.maxIdle > 0 {
+		if err := r.measureCommand(
+			ctx, b, reconnectCommand, &r.result.ReconnectSeconds, &r.result.ReconnectP99MS,
+		); err != nil {
 			return err
 		}
-		if err := p.measureWave(ctx, b, wake, &p.result.WakeSeconds, &p.result.WakeP99MS); err != nil {
+		if err := r.measureCommand(ctx, b, wakeCommand, &r.result.WakeSeconds, &r.result.WakeP99MS); err != nil {
 			return err
 		}
 	}
-	p.result.Failed = b.failed
+	r.result.Failed = b.failed
 	return nil
 }
 
-func (p *play) measureBaseline(ctx context.Context) error {
-	b, err := p.startBench("before", p.BaselineBinary, 0)
+// measureBaseline measures the baseline build with each number of connections.
+func (r *experimentRun) measureBaseline(ctx context.Context) error {
+	b, err := r.startTestbed("before", r.BaselineBinary, 0)
 	if err != nil {
 		return err
 	}
 	defer b.close()
-	return p.measureRows(ctx, b, Baseline)
+	return r.measureRows(ctx, b, Baseline)
 }
 
-// measureWave measures active traffic while all connections do something at once.
-func (p *play) measureWave(ctx context.Context, b *bench, command command, seconds, p99MS *float64) error {
+// measureCommand measures active traffic while all client processes execute a command.
+func (r *experimentRun) measureCommand(
+	ctx context.Context, b *testbed, command command, seconds, p99MS *float64,
+) error {
 	var err error
-	*p99MS, err = p.measureDuring(ctx, b, func() (err error) {
-		*seconds, err = b.tellAll(command)
+	*p99MS, err = r.measureDuring(ctx, b, func() (err error) {
+		*seconds, err = b.sendAll(command)
 		return err
 	})
 	if err != nil {
 		return err
 	}
-	p.logf("%s of %d: %.1f s, active p99 %.2f ms\n", command, p.maxIdle, *seconds, *p99MS)
+	r.logf("%s of %d connections: %.1f s, active p99 %.2f ms\n", command, r.maxIdle, *seconds, *p99MS)
 	time.Sleep(suspendDelay)
 	return nil
 }
 
 // report writes the result as JSON, and its rows as a table and a chart.
-func (p *play) report() error {
-	if err := report.WriteJSON(filepath.Join(p.ResultsDir, "idle.json"), p.result); err != nil {
+func (r *experimentRun) report() error {
+	if err := report.WriteJSON(filepath.Join(r.ResultsDir, "idle.json"), r.result); err != nil {
 		return err
 	}
 	var rows [][]string
-	for _, row := range p.result.Rows {
+	for _, row := range r.result.Rows {
 		rows = append(rows, row.columns())
 	}
 	header := []string{
 		"version", "idle", "parked", "goroutines",
 		"heap_per_conn", "rss_per_conn", "p50_ms", "p99_ms", "p999_ms", "cpu",
 	}
-	if err := report.WriteCSV(filepath.Join(p.ResultsDir, "idle.csv"), header, rows); err != nil {
+	if err := report.WriteCSV(filepath.Join(r.ResultsDir, "idle.csv"), header, rows); err != nil {
 		return err
 	}
-	return p.chart().SaveAs(filepath.Join(p.ResultsDir, "idle"), "svg", "png")
+	return r.chart().SaveAs(filepath.Join(r.ResultsDir, "idle"), "svg", "png")
 }
 
-// columns returns the row as it stands in the table.
+// columns returns the row's columns in the table.
 func (r Row) columns() []string {
 	columns := []string{string(r.Version), strconv.Itoa(r.Idle), strconv.Itoa(r.Suspended), strconv.Itoa(r.Goroutines)}
 	for _, value := range []float64{
@@ -212,8 +219,8 @@
 	return columns
 }
 
-// chart shows the latency of active traffic by the number of idle connections.
-func (p *play) chart() report.Chart {
+// chart returns a chart of active traffic's latency by the number of idle connections.
+func (r *experimentRun) chart() report.Chart {
 	chart := report.Chart{
 		Title:    "Active traffic beside idle connections",
 		XLabel:   "idle connections",
@@ -227,7 +234,7 @@
 			Dashed: version == Baseline,
 			Shape:  draw.RingGlyph{},
 		}
-		for _, row := range p.result.Rows {
+		for _, row := range r.result.Rows {
 			if row.Version == version {
 				series.Points = append(series.Points, plotter.XY{X: float64(row.Idle), Y: row.LatencyP99MS})
 			}
@@ -239,10 +246,12 @@
 	return chart
 }
 
-// logf reports progress. A writer that fails is no reason to end the experiment.
-func (p *play) logf(format string, values ...any) { _, _ = fmt.Fprintf(p.Progress, format, values...) }
+// logf reports progress. It ignores errors of the writer, which must not end the experiment.
+func (r *experimentRun) logf(format string, values ...any) {
+	_, _ = fmt.Fprintf(r.Progress, format, values...)
+}
 
-// ValidateCounts tells whether counts rise from 0.
+// ValidateCounts reports whether counts start at 0 and are in ascending order.
 func ValidateCounts(counts []int) bool {
 	return len(counts) > 0 && counts[0] == 0 && slices.IsSorted(counts)
 }
--- a/internal/experiment/idleconnections/idleconnections_test.go
+++ b/internal/experiment/idleconnections/idleconnections_test.go
@@ -11,7 +11,7 @@
 	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
-// The experiment on idle connections at a size that fits here, and a graceful shutdown with all of them open.
+// The experiment runs with 1,000 idle connections, and a router shuts down gracefully while it has 2,000 of them.
 func TestIdleConnectionsOfRealInstances(t *testing.T) {
 	e := Experiment{
 		Binary:       clustertest.Build(t, "tealpath"),
@@ -30,16 +30,17 @@
 	}
 	last := r.Rows[1]
 	if r.Failed != 0 || last.Suspended < 1000 || last.Goroutines > 100 || last.ServedShare < 0.9 {
-		t.Errorf("%+v", r)
+		t.Errorf("want no failed connections, 1000 suspended, at most 100 goroutines and a served share of 0.9; got %+v",
+			r)
 	}
 
-	b, err := e.plan().startBench("leaving", e.Binary, time.Hour)
+	b, err := e.newRun().startTestbed("leaving", e.Binary, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.close()
 	if _, err := b.open(2000); err != nil || b.failed != 0 {
-		t.Fatalf("%v, %d failed", err, b.failed)
+		t.Fatalf("opening 2000 connections: %v, %d connections failed", err, b.failed)
 	}
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
@@ -58,14 +59,14 @@
 	}
 	clustertest.WaitForLog(t, b.Cluster, "n00", "server_phase_changed", `"phase":"stopped"`)
 	if took := time.Since(startedAt); took > 3500*time.Millisecond {
-		t.Errorf("it ended after %s with 2,000 idle connections", took)
+		t.Errorf("graceful shutdown with 2,000 idle connections took %s, want at most 3.5s", took)
 	}
 	if load := <-answered; load.Served < load.Sent/2 {
-		t.Errorf("%d of %d were answered beside the end", load.Served, load.Sent)
+		t.Errorf("%d of %d requests were served during the shutdown, want half of them", load.Served, load.Sent)
 	}
 }
 
-// A client that can't connect would try for a minute, so only commands without connections are given here.
+// The commands open no connections, since a client that cannot connect retries for a minute.
 func TestClientCommands(t *testing.T) {
 	var out strings.Builder
 	in := strings.NewReader("open 0\n\nwake\nrenew\nended\nnonsense\nquit\nwake\n")
@@ -75,23 +76,23 @@
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	want := []command{"open", "wake", "renew", "ended", "nonsense"}
 	if len(lines) != len(want) {
-		t.Fatalf("%q", lines)
+		t.Fatalf("got answers %q, want one for each of %q", lines, want)
 	}
 	for i, line := range lines {
 		if got, err := parseAnswer(line); err != nil || got.command != want[i] || got.open != 0 || got.failed != 0 {
-			t.Errorf("%q: %+v, %v", line, got, err)
+			t.Errorf("answer %q: got %+v and error %v, want command %s, no connections", line, got, err, want[i])
 		}
 	}
 }
 
 func TestRowsOfBaselineAreInTheChart(t *testing.T) {
-	p := &play{result: Result{Rows: []Row{
+	r := &experimentRun{result: Result{Rows: []Row{
 		{Version: Current, Idle: 0, LatencyP99MS: 1},
 		{Version: Current, Idle: 10, LatencyP99MS: 2},
 		{Version: Baseline, Idle: 0, LatencyP99MS: 3},
 	}}}
-	chart := p.chart()
+	chart := r.chart()
 	if len(chart.Series) != 2 || len(chart.Series[0].Points) != 2 || len(chart.Series[1].Points) != 1 {
-		t.Errorf("%+v", chart.Series)
+		t.Errorf("want two series, with 2 and 1 points, got %+v", chart.Series)
 	}
 }
--- a/internal/experiment/idleconnections/measure.go
+++ b/internal/experiment/idleconnections/measure.go
@@ -8,51 +8,51 @@
 )
 
 const (
-	// duringLead is how long active traffic runs before something happens, duringTail how long afterwards.
-	duringLead      = 300 * time.Millisecond
-	duringTail      = time.Second
-	maxDuringLength = 5 * time.Minute
+	// Active traffic starts actionLead before a measured action and ends actionTail after it.
+	actionLead      = 300 * time.Millisecond
+	actionTail      = time.Second
+	maxLoadDuration = 5 * time.Minute
 
 	expiryPollInterval = 250 * time.Millisecond
 
-	// expiryLead is how long before the connections run out their expiry is watched.
+	// expiryLead is how long before the idle timeout of the connections the measurement of their expiry begins.
 	expiryLead = 4 * time.Second
 )
 
-// measureRows opens more and more connections, and measures with each number.
-func (p *play) measureRows(ctx context.Context, b *bench, version Version) error {
-	var none usage // with no idle connections
+// measureRows opens each number of connections in turn, and measures a row with each.
+func (r *experimentRun) measureRows(ctx context.Context, b *testbed, version Version) error {
+	var baseUsage usage // without idle connections
 	open := 0
-	for i, count := range p.Counts {
+	for i, count := range r.Counts {
 		row := Row{Version: version, Idle: count}
 		var err error
-		if row.OpenSeconds, err = p.openUpTo(b, version, open, count); err != nil {
+		if row.OpenSeconds, err = r.openUpTo(b, version, open, count); err != nil {
 			return err
 		}
 		open = count
-		used, err := p.measureRow(ctx, b, &row)
+		used, err := r.measureRow(ctx, b, &row)
 		if err != nil {
 			return err
 		}
 		if i == 0 {
-			none = used
+			baseUsage = used
 		} else {
-			row.ResidentPerConn = float64(used.residentKB-none.residentKB) * 1024 / float64(count)
+			row.ResidentPerConn = float64(used.residentKB-baseUsage.residentKB) * 1024 / float64(count)
 			if version == Current {
-				row.MemoryPerConnection = (float64(used.memoryBytes) - float64(none.memoryBytes)) / float64(count)
+				row.MemoryPerConnection = (float64(used.memoryBytes) - float64(baseUsage.memoryBytes)) / float64(count)
 			}
 		}
-		p.result.Rows = append(p.result.Rows, row)
-		p.logRow(row)
+		r.result.Rows = append(r.result.Rows, row)
+		r.logRow(row)
 	}
 	return nil
 }
 
-// openUpTo opens the connections that a count has more than there are. A baseline has closed those before,
-// which were idle for too long, so these are opened again first.
-func (p *play) openUpTo(b *bench, version Version, open, count int) (seconds float64, err error) {
+// openUpTo opens connections until there are count of them; open is the number that has been opened before. A
+// baseline router has closed those in the meantime because they were idle too long, so they are opened again first.
+func (r *experimentRun) openUpTo(b *testbed, version Version, open, count int) (seconds float64, err error) {
 	if version == Baseline && open > 0 {
-		if _, err := b.tellAll(reconnect); err != nil {
+		if _, err := b.sendAll(reconnectCommand); err != nil {
 			return 0, err
 		}
 	}
@@ -63,14 +63,14 @@
 	return seconds, err
 }
 
-// measureRow measures active traffic beside the connections that are open.
-func (p *play) measureRow(ctx context.Context, b *bench, row *Row) (usage, error) {
-	duration := p.Duration
+// measureRow measures active traffic while the idle connections stay open.
+func (r *experimentRun) measureRow(ctx context.Context, b *testbed, row *Row) (usage, error) {
+	duration := r.Duration
 	if row.Version == Baseline {
 		duration = min(duration, maxBaselineDuration)
 	}
 	before, startedAt := b.usage(ctx), time.Now()
-	load, err := b.load(ctx, p.Rate, duration)
+	load, err := b.load(ctx, r.Rate, duration)
 	if err != nil {
 		return usage{}, err
 	}
@@ -83,16 +83,18 @@
 	return after, nil
 }
 
-func (p *play) logRow(row Row) {
-	p.logf("%s, %d idle (%d parked, %d goroutines): %.0f B heap and %.0f B resident each; "+
-		"p50 %.2f p99 %.2f p99.9 %.2f ms, %.4f settled, %.2f of a core\n",
+func (r *experimentRun) logRow(row Row) {
+	r.logf("%s, %d idle (%d suspended, %d goroutines): %.0f B heap and stacks and %.0f B resident each; "+
+		"p50 %.2f p99 %.2f p99.9 %.2f ms, share served %.4f, %.2f of a core\n",
 		row.Version, row.Idle, row.Suspended, row.Goroutines, row.MemoryPerConnection, row.ResidentPerConn,
 		row.LatencyP50MS, row.LatencyP99MS, row.LatencyP999MS, row.ServedShare, row.CPUShare)
 }
 
-// measureDuring measures the 99th percentile of active traffic's latency while something happens, and a second
-// after.
-func (p *play) measureDuring(ctx context.Context, b *bench, happen func() error) (p99MS float64, err error) {
+// measureDuring returns the 99th percentile of active traffic's latency from actionLead before an action until
+// actionTail after it.
+func (r *experimentRun) measureDuring(
+	ctx context.Context, b *testbed, action func() error,
+) (p99MS float64, err error) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var load testcluster.LoadResult
@@ -100,11 +102,11 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		load, loadErr = b.load(ctx, p.Rate, maxDuringLength)
+		load, loadErr = b.load(ctx, r.Rate, maxLoadDuration)
 	}()
-	time.Sleep(duringLead)
-	err = happen()
-	time.Sleep(duringTail)
+	time.Sleep(actionLead)
+	err = action()
+	time.Sleep(actionTail)
 	stop()
 	<-ended
 	if err == nil {
@@ -113,42 +115,44 @@
 	return load.LatencyMS(99), err
 }
 
-// measureExpiry measures active traffic while all connections are closed for having been idle too long.
-func (p *play) measureExpiry(ctx context.Context) error {
-	b, err := p.startBench("expiry", p.Binary, p.IdleTimeout)
+// measureExpiry measures active traffic while the router closes all connections because they have been idle too long.
+func (r *experimentRun) measureExpiry(ctx context.Context) error {
+	b, err := r.startTestbed("expiry", r.Binary, r.IdleTimeout)
 	if err != nil {
 		return err
 	}
 	defer b.close()
-	if _, err := b.open(p.maxIdle); err != nil {
+	if _, err := b.open(r.maxIdle); err != nil {
 		return err
 	}
-	if _, err := b.tellAll(wake); err != nil {
+	if _, err := b.sendAll(wakeCommand); err != nil {
 		return err
 	}
-	time.Sleep(p.IdleTimeout - expiryLead)
+	time.Sleep(r.IdleTimeout - expiryLead)
 	var firstAt time.Time
-	p.result.ExpiryP99MS, err = p.measureDuring(ctx, b, func() (err error) {
-		firstAt, err = p.waitForExpiry(ctx, b)
+	r.result.ExpiryP99MS, err = r.measureDuring(ctx, b, func() (err error) {
+		firstAt, err = r.waitForExpiry(ctx, b)
 		return err
 	})
-	p.result.ExpirySeconds = (time.Since(firstAt) - duringTail).Seconds()
-	p.logf("expiry of %d: %.1f s, active p99 %.2f ms\n", p.maxIdle, p.result.ExpirySeconds, p.result.ExpiryP99MS)
+	r.result.ExpirySeconds = (time.Since(firstAt) - actionTail).Seconds()
+	r.logf("expiry of %d connections: %.1f s, active p99 %.2f ms\n",
+		r.maxIdle, r.result.ExpirySeconds, r.result.ExpiryP99MS)
 	return err
 }
 
-// waitForExpiry waits until nearly all connections are closed, and returns when the first were.
-func (p *play) waitForExpiry(ctx context.Context, b *bench) (firstAt time.Time, err error) {
-	deadline := time.Now().Add(2 * p.IdleTimeout)
+// waitForExpiry waits until nearly all connections are closed, for two idle timeouts at most. It returns the time at
+// which the first connections were closed.
+func (r *experimentRun) waitForExpiry(ctx context.Context, b *testbed) (firstAt time.Time, err error) {
+	deadline := time.Now().Add(2 * r.IdleTimeout)
 	for time.Now().Before(deadline) {
 		open, err := b.openConnections(ctx)
 		if err != nil {
 			return firstAt, err
 		}
-		if firstAt.IsZero() && open < p.maxIdle*99/100 {
+		if firstAt.IsZero() && open < r.maxIdle*99/100 {
 			firstAt = time.Now()
 		}
-		if open < p.maxIdle/100+50 {
+		if open < r.maxIdle/100+50 {
 			break
 		}
 		time.Sleep(expiryPollInterval)
