--- a/internal/emulator/cache/cache.go
+++ b/internal/emulator/cache/cache.go
@@ -1,5 +1,6 @@
-// Package cache emulates a cache on loopback: it answers fetches and health checks by the endpoints' protocol
-// within the limits that it is given, can stop to answer, and records what came.
+// Package cache emulates a cache server on a loopback address. It responds to fetches and health checks in the
+// protocol between router and endpoints, can have capacity limits, can be made unresponsive, and counts the
+// requests that it receives.
 package cache
 
 import (
@@ -14,50 +15,52 @@
 	"tealpath/internal/protocol/resp"
 )
 
-const anyPort = "127.0.0.1:0"
+const anyLoopbackPort = "127.0.0.1:0"
 
-// HealthCheck is one health check that came.
+// HealthCheck is one health check that a cache has received.
 type HealthCheck struct {
-	At time.Time
-	ID string
+	At time.Time // when it was received
+	ID string    // the identifier that the router gave it
 }
 
-// Cache is one emulated cache.
+// Cache is one emulated cache server.
 type Cache struct {
 	Name string
 
-	listener net.Listener
-	group    sync.WaitGroup
+	listener   net.Listener
+	goroutines sync.WaitGroup
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	connections     map[net.Conn]bool
 	healthChecks    []HealthCheck
 	fetches         int
 	peakConnections int
 	unresponsive    bool
-	model           *CapacityModel // nil: it has no limits
+	model           *CapacityModel // nil: the cache has no limits
 }
 
-// Start opens a cache at an address; an empty one is any free port of 127.0.0.1.
+// Start starts a cache that listens on an address. If the address is empty, the cache listens on a free port of
+// 127.0.0.1.
 func Start(name, address string) (*Cache, error) {
 	if address == "" {
-		address = anyPort
+		address = anyLoopbackPort
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	c := &Cache{Name: name, listener: listener, connections: map[net.Conn]bool{}}
-	c.group.Go(c.accept)
+	c.goroutines.Go(c.accept)
 	return c, nil
 }
 
-// Address returns where it listens.
+// Address returns the address on which the cache listens.
 func (c *Cache) Address() string {
 	return c.listener.Addr().String()
 }
 
-// SetLimits has it serve within limits from now on, as if it had started at a time.
+// SetLimits replaces the limits of the cache, whose warm-up counts from startedAt. Open connections stay open
+// and count against the new limits.
 func (c *Cache) SetLimits(limits Limits, startedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +71,7 @@
 	}
 }
 
-// Model returns its state under its limits, a copy.
+// Model returns a copy of the cache's capacity model. Without limits only PeakConnections is set.
 func (c *Cache) Model() CapacityModel {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,34 +81,35 @@
 	return *c.model
 }
 
-// SetUnresponsive has it read on and answer nothing, or answer again.
+// SetUnresponsive sets whether the cache reads requests without responding to them.
 func (c *Cache) SetUnresponsive(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.unresponsive = on
 }
 
-// HealthChecks returns those that came so far, in order.
+// HealthChecks returns all health checks received so far, in the order of their arrival.
 func (c *Cache) HealthChecks() []HealthCheck {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.healthChecks)
 }
 
-// Fetches returns how many came so far.
+// Fetches returns the number of fetches received so far.
 func (c *Cache) Fetches() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.fetches
 }
 
-// Close resets all connections, as those of a process that dies.
+// Close closes the listener, resets all connections, as the system does for a process that dies, and waits for
+// the goroutines of the cache.
 func (c *Cache) Close() {
 	ignore(c.listener.Close())
 	c.mu.Lock()
 	c.resetConnections()
 	c.mu.Unlock()
-	c.group.Wait()
+	c.goroutines.Wait()
 }
 
 func (c *Cache) accept() {
@@ -118,14 +122,14 @@
 			reset(conn)
 			continue
 		}
-		c.group.Go(func() {
+		c.goroutines.Go(func() {
 			c.serve(conn)
 			c.remove(conn)
 		})
 	}
 }
 
-// admit records a connection that is within the limits.
+// admit records a new connection and returns true, or returns false if the limits do not allow the connection.
 func (c *Cache) admit(conn net.Conn) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -147,7 +151,7 @@
 	delete(c.connections, conn)
 }
 
-// resetConnections resets all connections; the mutex is held.
+// resetConnections resets all connections. The caller holds mu.
 func (c *Cache) resetConnections() {
 	for conn := range c.connections {
 		reset(conn)
@@ -155,16 +159,16 @@
 	}
 }
 
-// serve answers what comes on one connection until it ends.
+// serve responds to the requests on one connection until the connection ends.
 func (c *Cache) serve(conn net.Conn) {
 	in := bufio.NewReader(conn)
-	var writing sync.Mutex // held while an answer is written
-	var delayed sync.WaitGroup
-	defer delayed.Wait()
-	write := func(answer []byte) error {
-		writing.Lock()
-		defer writing.Unlock()
-		_, err := conn.Write(answer)
+	var writeMu sync.Mutex // held while a response is written
+	var delayedWrites sync.WaitGroup
+	defer delayedWrites.Wait()
+	write := func(response []byte) error {
+		writeMu.Lock()
+		defer writeMu.Unlock()
+		_, err := conn.Write(response)
 		return err
 	}
 	for {
@@ -172,66 +176,68 @@
 		if err != nil || len(words) < 2 {
 			return
 		}
-		answer, delay := c.answer(words)
+		response, delay := c.respond(words)
 		switch {
-		case answer == nil:
-		case delay > 0: // others may overtake it
-			delayed.Go(func() {
+		case response == nil:
+		case delay > 0: // responses to later requests may be written before this one
+			delayedWrites.Go(func() {
 				time.Sleep(delay)
-				ignore(write(answer))
+				ignore(write(response))
 			})
-		case write(answer) != nil:
+		case write(response) != nil:
 			return
 		}
 	}
 }
 
-// answer records a command and returns its answer, nil for none, and after which time that is to be written.
-func (c *Cache) answer(words [][]byte) (answer []byte, delay time.Duration) {
+// respond records a request and returns the encoded response to it, nil for none, and the delay before it is
+// to be written.
+func (c *Cache) respond(words [][]byte) (response []byte, delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	id := string(words[1])
 	switch string(words[0]) {
 	case "alive":
 		c.healthChecks = append(c.healthChecks, HealthCheck{At: time.Now(), ID: id})
-		answer = encodeHealth(id, len(c.connections)-1)
+		response = encodeHealth(id, len(c.connections)-1)
 	case "fetch":
 		c.fetches++
 		if len(words) == 4 {
-			answer, delay = c.fetch(id, string(words[2]), words[3])
+			response, delay = c.fetch(id, string(words[2]), words[3])
 		}
 	}
 	if c.unresponsive {
 		return nil, 0
 	}
-	return answer, delay
+	return response, delay
 }
 
-// The words of a response for where its object is from.
+// Values of the field detail of a response, which tells where the object was found.
 const (
 	detailHit  = "TCP_HIT"
 	detailFill = "TCP_MISS"
 )
 
-// fetch serves an object, whose content is the request's body. The mutex is held.
-func (c *Cache) fetch(id, fields string, body []byte) (answer []byte, delay time.Duration) {
+// fetch returns the response to the request for an object and its delay. The content of the object is the body
+// of the request. The caller holds mu.
+func (c *Cache) fetch(id, fields string, body []byte) (response []byte, delay time.Duration) {
 	if c.model == nil {
 		return encodeServed(id, detailHit, body), 0
 	}
-	response := c.model.Request(time.Now().UnixNano(), pathOf(fields))
-	delay = time.Duration(response.Delay)
+	outcome := c.model.Request(time.Now().UnixNano(), objectPath(fields))
+	delay = time.Duration(outcome.Delay)
 	switch {
-	case response.Crashed:
+	case outcome.Crashed:
 		c.resetConnections()
 		return nil, 0
-	case response.Fill:
+	case outcome.Fill:
 		return encodeServed(id, detailFill, body), delay
 	}
 	return encodeServed(id, detailHit, body), delay
 }
 
-// pathOf returns the object that the fields of a fetch name.
-func pathOf(fields string) string {
+// objectPath returns the value of the last field path of a fetch, which names the requested object.
+func objectPath(fields string) string {
 	object := ""
 	for field := range strings.SplitSeq(fields, ",") {
 		if path, ok := strings.CutPrefix(field, "path="); ok {
@@ -242,22 +248,22 @@
 }
 
 func encodeHealth(id string, inFlight int) []byte {
-	answer := resp.Head(nil, 3)
-	answer = resp.Text(answer, id)
-	answer = resp.Text(answer, "green")
-	return resp.Text(answer, fmt.Sprintf("use=inflight:%d;x1:0.1;x0:0.5", inFlight))
+	response := resp.Head(nil, 3)
+	response = resp.Text(response, id)
+	response = resp.Text(response, "green")
+	return resp.Text(response, fmt.Sprintf("use=inflight:%d;x1:0.1;x0:0.5", inFlight))
 }
 
 func encodeServed(id, detail string, body []byte) []byte {
-	answer := resp.Head(nil, 4)
-	answer = resp.Text(answer, id)
-	answer = resp.Text(answer, "served")
+	response := resp.Head(nil, 4)
+	response = resp.Text(response, id)
+	response = resp.Text(response, "served")
 	fields := fmt.Sprintf("entity=4be0c1927d55a6f3,issued=%d,detail=%s", time.Now().UnixMilli(), detail)
-	answer = resp.Text(answer, fields)
-	return resp.Text(answer, body)
+	response = resp.Text(response, fields)
+	return resp.Text(response, body)
 }
 
-// reset closes a connection so that its peer sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		ignore(tcp.SetLinger(0))
@@ -265,6 +271,6 @@
 	ignore(conn.Close())
 }
 
-// ignore drops the error of an operation on a connection or listener that its peer may have ended: an emulated
-// cache has nobody to report it to, and the router under test sees the end itself.
+// ignore drops the error of an operation on a connection or listener that may be closed already. The router
+// under test sees the closed connection itself, so the error need not be reported.
 func ignore(error) {}
--- a/internal/emulator/cache/capacity.go
+++ b/internal/emulator/cache/capacity.go
@@ -2,73 +2,74 @@
 
 import "math"
 
-// Limits are what a cache can do. The zero value serves everything at once.
+// Limits describes the capacity of a cache. A cache with the zero value serves all requests without delay.
 type Limits struct {
-	MaxConnections int // those beyond are refused; 0 is no bound
+	MaxConnections int // further connections are refused; 0: unlimited
 
-	Concurrency float64 // requests that are served side by side; 0 is no bound
-	ServiceTime int64   // ns that one of them takes
-	FillTime    int64   // ns that it takes longer where the cache does not hold the object yet
+	Concurrency float64 // requests that are served in parallel; 0: unlimited
+	ServiceTime int64   // ns that it takes to serve one request
+	FillTime    int64   // ns that a request takes longer if its object is not cached yet
 
-	// A cache that warms up starts with InitialShare of its capacity, which rises evenly to all of it within
-	// WarmUpDuration. While it warms up it crashes if more than N + 3·sqrt(N) + 3 requests come within
-	// OverloadWindow, N being OverloadFactor times what it can serve in that.
+	// A cache that is warming up starts with InitialShare of its capacity. The share rises linearly to 1 within
+	// WarmUpDuration. Meanwhile the cache crashes if more than N + 3·sqrt(N) + 3 requests arrive within
+	// OverloadWindow, where N is OverloadFactor times the number of requests that it can serve in that window.
 	InitialShare   float64
 	OverloadFactor float64
 	WarmUpDuration int64 // ns
 	OverloadWindow int64 // ns
-	DownTime       int64 // ns from a crash until it is up again, empty and warming up
+	DownTime       int64 // ns from a crash until the cache restarts, empty and warming up
 
-	Unresponsive bool // it accepts connections and answers nothing
+	Unresponsive bool // the cache accepts connections and responds to no request
 }
 
-// overloadDeviations is how many times the root of the expected number of requests may come beside it, and
-// overloadMargin how many more, before a cache that warms up crashes.
+// A cache that is warming up crashes if more than N + overloadDeviations·sqrt(N) + overloadMargin requests arrive
+// within a window, see Limits. The terms after N allow for random arrivals.
 const (
 	overloadDeviations = 3
 	overloadMargin     = 3
 )
 
-// CapacityModel is the state of one cache under its limits: what it does with connections and requests as they
-// come, by any clock. It does nothing by itself and is not safe for use by two goroutines at once.
+// CapacityModel models the load of one cache with limits. The caller passes the time to its methods, real or
+// simulated, in ns. It is not safe for concurrent use.
 type CapacityModel struct {
 	Limits
 	Crashes            int
 	PeakConnections    int
-	PeakLoad           float64 // most requests in a window while it warmed up, as a share of those at which it crashes
+	PeakLoad           float64 // while warming up: highest number of requests in a window, as a share of the limit
 	RefusedConnections int
 
-	startedAt   int64 // of its last start, ns; 0 is long ago
-	upAt        int64 // when it is up again after a crash
+	startedAt   int64 // ns; time of the last start, 0: long ago
+	upAt        int64 // ns; time of the restart after the last crash
 	connections int
-	idleAt      int64   // when everything requested so far is served
-	arrivals    []int64 // of the requests of the last window
-	held        map[string]bool
+	idleAt      int64           // ns; when all requests so far will have been served
+	arrivals    []int64         // ns; arrival times of the requests in the current window
+	cached      map[string]bool // the objects that are cached
 }
 
-// Response is what a cache does with one request.
+// Response describes how a cache responds to one request.
 type Response struct {
-	Delay   int64 // ns until it is answered
-	Fill    bool  // the cache did not hold the object
-	Crashed bool  // there is no answer: the cache crashed under this request
+	Delay   int64 // ns until the response
+	Fill    bool  // the object was not cached
+	Crashed bool  // the request made the cache crash, so there is no response
 }
 
-// NewCapacityModel returns a cache that started at a time; 0 is long ago, so that it is warm.
+// NewCapacityModel returns the model of a cache that started at a time in ns. With 0 it started long ago and is
+// not warming up.
 func NewCapacityModel(limits Limits, startedAt int64) *CapacityModel {
-	return &CapacityModel{Limits: limits, startedAt: startedAt, held: map[string]bool{}}
+	return &CapacityModel{Limits: limits, startedAt: startedAt, cached: map[string]bool{}}
 }
 
-// StartedAt returns when it last started, 0 for long ago.
+// StartedAt returns the time of the cache's last start in ns, or 0 if that was long ago.
 func (m *CapacityModel) StartedAt() int64 {
 	return m.startedAt
 }
 
-// Down tells whether it crashed and is not up again.
+// Down tells whether the cache has crashed and has not restarted yet.
 func (m *CapacityModel) Down(now int64) bool {
 	return now < m.upAt
 }
 
-// Connect accepts a connection, or refuses it.
+// Connect counts a new connection and tells whether the cache accepts it.
 func (m *CapacityModel) Connect(now int64) bool {
 	full := m.MaxConnections > 0 && m.connections >= m.MaxConnections
 	if full || m.Down(now) {
@@ -80,7 +81,7 @@
 	return true
 }
 
-// Disconnect notes that a connection ended.
+// Disconnect counts the end of an accepted connection.
 func (m *CapacityModel) Disconnect() {
 	m.connections = max(0, m.connections-1)
 }
@@ -89,7 +90,8 @@
 	return m.startedAt != 0 && m.WarmUpDuration != 0 && now < m.startedAt+m.WarmUpDuration
 }
 
-// capacityShare returns the share of its capacity that it has now.
+// capacityShare returns the share of its full capacity that the cache has now, which is below 1 while it is
+// warming up.
 func (m *CapacityModel) capacityShare(now int64) float64 {
 	if !m.warmingUp(now) {
 		return 1
@@ -98,8 +100,9 @@
 	return m.InitialShare + (1-m.InitialShare)*elapsed/float64(m.WarmUpDuration)
 }
 
-// overloadLimit returns how many requests may come within the window now, and whether there is such a bound.
-func (m *CapacityModel) overloadLimit(now int64) (limit float64, bounded bool) {
+// overloadLimit returns how many requests may arrive within OverloadWindow before the cache crashes, and whether
+// there is such a limit now.
+func (m *CapacityModel) overloadLimit(now int64) (limit float64, limited bool) {
 	if !m.warmingUp(now) || m.ServiceTime == 0 || m.Concurrency == 0 {
 		return 0, false
 	}
@@ -108,9 +111,9 @@
 	return expected + overloadDeviations*math.Sqrt(expected) + overloadMargin, true
 }
 
-// Request takes a request for an object.
+// Request counts a request for an object and returns how the cache responds to it.
 func (m *CapacityModel) Request(now int64, object string) Response {
-	if m.overloads(now) {
+	if m.countArrival(now) {
 		m.crash(now)
 		return Response{Crashed: true}
 	}
@@ -119,22 +122,22 @@
 		m.idleAt = max(m.idleAt, now) + int64(float64(m.ServiceTime)/m.Concurrency/m.capacityShare(now))
 		response.Delay = max(m.ServiceTime, m.idleAt-now)
 	}
-	response.Fill = !m.held[object]
+	response.Fill = !m.cached[object]
 	if response.Fill {
-		m.held[object] = true
+		m.cached[object] = true
 		response.Delay += m.FillTime
 	}
 	return response
 }
 
-// overloads counts a request that comes now and tells whether the cache crashes under it.
-func (m *CapacityModel) overloads(now int64) bool {
-	limit, bounded := m.overloadLimit(now)
+// countArrival counts a request that arrives now and tells whether it exceeds the overload limit.
+func (m *CapacityModel) countArrival(now int64) bool {
+	limit, limited := m.overloadLimit(now)
 	for len(m.arrivals) > 0 && m.arrivals[0] <= now-m.OverloadWindow {
 		m.arrivals = m.arrivals[1:]
 	}
 	m.arrivals = append(m.arrivals, now)
-	if !bounded {
+	if !limited {
 		return false
 	}
 	count := float64(len(m.arrivals))
@@ -142,7 +145,7 @@
 	return count > limit
 }
 
-// crash takes it down for a while. It comes up again without what it held.
+// crash takes the cache down for DownTime. All connections and cached objects are lost.
 func (m *CapacityModel) crash(now int64) {
 	m.Crashes++
 	m.upAt = now + m.DownTime
@@ -150,5 +153,5 @@
 	m.connections = 0
 	m.idleAt = 0
 	m.arrivals = nil
-	m.held = map[string]bool{}
+	m.cached = map[string]bool{}
 }
--- a/internal/emulator/cache/capacity_test.go
+++ b/internal/emulator/cache/capacity_test.go
@@ -18,34 +18,37 @@
 	now := 100 * second
 	for n, want := range []bool{true, true, false} {
 		if got := model.Connect(now); got != want {
-			t.Errorf("connection %d: %t", n+1, got)
+			t.Errorf("connection %d: accepted %t, want %t", n+1, got, want)
 		}
 	}
 	if model.RefusedConnections != 1 || model.PeakConnections != 2 {
-		t.Errorf("%d refused, %d at a time", model.RefusedConnections, model.PeakConnections)
+		t.Errorf("%d refused and at most %d open connections, want 1 and 2",
+			model.RefusedConnections, model.PeakConnections)
 	}
 	if response := model.Request(now, "o"); response.Delay != second*3/20 || !response.Fill {
-		t.Errorf("a fill: %+v", response)
+		t.Errorf("first request: %+v, want a fill with a delay of %d ns", response, second*3/20)
 	}
-	// N is 2·4·0.25·1 s/0.1 s = 20; 20 + 3·sqrt(20) + 3 is 36.4.
+	// The limit while warming up is 36.4 requests in a window: with N = 2·4·0.25·1 s/0.1 s = 20 it is
+	// 20 + 3·sqrt(20) + 3.
 	for n := 2; n <= 36; n++ {
 		if model.Request(now, "o").Crashed {
-			t.Fatalf("it crashes at %d", n)
+			t.Fatalf("crash at request %d, want one at request 37", n)
 		}
 	}
 	if !model.Request(now, "o").Crashed || model.Crashes != 1 || model.Connect(now) || !model.Down(now+2*second) {
-		t.Error("it crashes at 37, and is down")
+		t.Errorf("%d crashes after request 37, want 1, no new connections and 2 s later still down", model.Crashes)
 	}
 	if now += 3 * second; !model.Connect(now) || model.StartedAt() != now {
-		t.Error("it is up again and warms up")
+		t.Errorf("3 s after the crash: last start at %d ns, want a restart at %d ns that accepts connections",
+			model.StartedAt(), now)
 	}
 	if !model.Request(now, "o").Fill {
-		t.Error("it holds what it held before")
+		t.Error("object is still cached after the restart")
 	}
 	now += 20 * second
 	for range 200 {
 		if model.Request(now, "o").Crashed {
-			t.Fatal("a warm one crashes")
+			t.Fatal("cache crashes after its warm-up")
 		}
 	}
 }
--- a/internal/emulator/certificates/certificates.go
+++ b/internal/emulator/certificates/certificates.go
@@ -1,5 +1,5 @@
-// Package certificates issues certificates for tests and experiments. They are valid for hours and prove
-// nothing elsewhere.
+// Package certificates issues short-lived certificates for tests and experiments, signed by root certificates
+// that it creates itself.
 package certificates
 
 import (
@@ -9,6 +9,7 @@
 	"crypto/x509"
 	"crypto/x509/pkix"
 	"encoding/pem"
+	"fmt"
 	"math/big"
 	"os"
 	"path/filepath"
@@ -16,23 +17,26 @@
 )
 
 const (
-	rootBackdated   = time.Hour // before now, when a root's time begins
-	rootValidity    = 24 * time.Hour
-	issuedBackdated = 2 * time.Hour // before now, when an issued certificate's time begins
+	// rootBackdating is how long before its creation the validity of a root certificate starts.
+	rootBackdating = time.Hour
+	// rootValidity is how long after its creation a root certificate expires.
+	rootValidity = 24 * time.Hour
+	// issuedBackdating is how long before its creation the validity of an issued certificate starts.
+	issuedBackdating = 2 * time.Hour
 
 	certificateBlock = "CERTIFICATE"
 	privateKeyBlock  = "EC PRIVATE KEY"
 	fileMode         = 0o600
 )
 
-// Root is a root that signs.
+// Root is a root certificate with its private key.
 type Root struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
-	PEM         []byte
+	PEM         []byte // the certificate in PEM
 }
 
-// NewRoot makes a root.
+// NewRoot creates a root certificate with a common name.
 func NewRoot(name string) (*Root, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -42,7 +46,7 @@
 	template := &x509.Certificate{
 		SerialNumber:          big.NewInt(1),
 		Subject:               pkix.Name{CommonName: name},
-		NotBefore:             now.Add(-rootBackdated),
+		NotBefore:             now.Add(-rootBackdating),
 		NotAfter:              now.Add(rootValidity),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
@@ -50,18 +54,19 @@
 	}
 	raw, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("create root certificate %q: %w", name, err)
 	}
 	certificate, err := x509.ParseCertificate(raw)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("parse root certificate %q: %w", name, err)
 	}
 	return &Root{certificate: certificate, key: key, PEM: encodePEM(certificateBlock, raw)}, nil
 }
 
-// Issue returns a certificate and its key for a name, valid until a time, both in PEM.
+// Issue creates a certificate for a DNS name that is valid until a time, signed by the root. It returns the
+// certificate and its private key, both in PEM.
 func (r *Root) Issue(name string, until time.Time) (certificate, key []byte, err error) {
-	ownKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -70,24 +75,24 @@
 		SerialNumber: big.NewInt(now.UnixNano()),
 		Subject:      pkix.Name{CommonName: name},
 		DNSNames:     []string{name},
-		NotBefore:    now.Add(-issuedBackdated),
+		NotBefore:    now.Add(-issuedBackdating),
 		NotAfter:     until,
 		KeyUsage:     x509.KeyUsageDigitalSignature,
 		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 	}
-	raw, err := x509.CreateCertificate(rand.Reader, template, r.certificate, &ownKey.PublicKey, r.key)
+	raw, err := x509.CreateCertificate(rand.Reader, template, r.certificate, &privateKey.PublicKey, r.key)
 	if err != nil {
-		return nil, nil, err
+		return nil, nil, fmt.Errorf("create certificate for %q: %w", name, err)
 	}
-	rawKey, err := x509.MarshalECPrivateKey(ownKey)
+	rawKey, err := x509.MarshalECPrivateKey(privateKey)
 	if err != nil {
-		return nil, nil, err
+		return nil, nil, fmt.Errorf("encode private key for %q: %w", name, err)
 	}
 	return encodePEM(certificateBlock, raw), encodePEM(privateKeyBlock, rawKey), nil
 }
 
-// Write issues a certificate for a name into NAME.pem and NAME.key in a folder, and writes the roots into
-// roots.pem there.
+// Write issues a certificate for a DNS name and writes it with its private key to NAME.pem and NAME.key in a
+// folder. It also writes the given root certificates to roots.pem in that folder.
 func (r *Root) Write(folder, name string, until time.Time, roots ...*Root) error {
 	certificate, key, err := r.Issue(name, until)
 	if err != nil {
@@ -110,6 +115,6 @@
 	return nil
 }
 
-func encodePEM(kind string, raw []byte) []byte {
-	return pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: raw})
+func encodePEM(blockType string, raw []byte) []byte {
+	return pem.EncodeToMemory(&pem.Block{Type: blockType, Bytes: raw})
 }
--- a/internal/emulator/discoveryserver/discoveryserver.go
+++ b/internal/emulator/discoveryserver/discoveryserver.go
@@ -1,7 +1,7 @@
-// Package discoveryserver emulates a discovery service of little capacity: it takes so many calls a second and
-// queues the others, sends so many bytes a second in all, can be down, stay silent, break off in the middle of
-// a list, send a stale list, or number its events anew; and it records every call. The protocol is that of the
-// real service: server-sent events over HTTP.
+// Package discoveryserver emulates a discovery service on a loopback address. It speaks the protocol of the real
+// service, server-sent events over HTTP, and records every call. Its rate of calls and its bandwidth can be
+// limited. It can also be stopped, send nothing, close a call in the middle of an event, send an outdated list,
+// or restart the numbering of its events.
 package discoveryserver
 
 import (
@@ -12,64 +12,64 @@
 	"time"
 )
 
-const anyPort = "127.0.0.1:0"
+const anyLoopbackPort = "127.0.0.1:0"
 
-// Behavior is how the service treats calls.
+// Behavior describes how the service responds to calls.
 type Behavior struct {
-	MaxCallRate    float64 // calls accepted a second; 0 is no bound
-	BytesPerSecond float64 // sent by all calls together; 0 is no bound
-	Truncate       bool    // it breaks off in the middle of the first event
-	Silent         bool    // it accepts calls and sends nothing
-	Stale          bool    // it sends the complete list as it was at first, under its number
+	MaxCallRate    float64 // calls accepted per second; 0: unlimited
+	BytesPerSecond float64 // bandwidth of all calls together; 0: unlimited
+	Truncate       bool    // the service closes the call in the middle of the first event
+	Silent         bool    // the service accepts calls and sends nothing
+	Stale          bool    // the service sends event 1, an outdated list, in place of all events so far
 }
 
-// Call is one call that came.
+// Call is one call that the service has received.
 type Call struct {
 	At          time.Time
-	LastEventID int // the event behind which it asked to go on
+	LastEventID int // number of the last event that the caller already has
 	BytesSent   int
 
-	sentEventID int // the last event that was written to it
+	sentEventID int // number of the last event that was sent
 }
 
-// Service is one emulated service.
+// Service is one emulated discovery service.
 type Service struct {
-	address string
-	group   sync.WaitGroup
+	address    string
+	goroutines sync.WaitGroup
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	behavior    Behavior
 	listener    net.Listener
 	events      []string
-	published   chan struct{}      // closed when an event is published, and replaced
-	connections map[net.Conn]*Call // the open ones
+	published   chan struct{}      // closed and replaced when an event is published
+	connections map[net.Conn]*Call // open connections
 	calls       []*Call
 	sendAt      time.Time // when the next bytes may be sent
 }
 
-// Start opens a service on a free port of 127.0.0.1.
+// Start starts a service on a free port of 127.0.0.1.
 func Start() (*Service, error) {
 	s := &Service{
-		address:     anyPort,
+		address:     anyLoopbackPort,
 		published:   make(chan struct{}),
 		connections: map[net.Conn]*Call{},
 	}
 	return s, s.Listen()
 }
 
-// Address returns where it listens, or did before it was stopped.
+// Address returns the address of the service. It stays the same while the service is stopped.
 func (s *Service) Address() string {
 	return s.address
 }
 
-// SetBehavior has it treat calls so that come from now on.
+// SetBehavior sets the behavior of the service for calls that arrive from now on.
 func (s *Service) SetBehavior(behavior Behavior) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.behavior = behavior
 }
 
-// Listen has it accept calls, at the same address after a stop.
+// Listen makes the service accept calls. After Stop it listens on the same address again.
 func (s *Service) Listen() error {
 	listener, err := net.Listen("tcp", s.address)
 	if err != nil {
@@ -79,11 +79,11 @@
 	defer s.mu.Unlock()
 	s.listener = listener
 	s.address = listener.Addr().String()
-	s.group.Go(func() { s.accept(listener) })
+	s.goroutines.Go(func() { s.accept(listener) })
 	return nil
 }
 
-// Stop ends it and every call. Further calls are refused.
+// Stop closes the listener and all calls. Further calls are refused until Listen is called.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	ignore(s.listener.Close())
@@ -91,15 +91,15 @@
 		ignore(conn.Close())
 	}
 	s.mu.Unlock()
-	s.group.Wait()
+	s.goroutines.Wait()
 }
 
-// Close ends it.
+// Close stops the service.
 func (s *Service) Close() {
 	s.Stop()
 }
 
-// Publish adds an event; %d in the format is its number.
+// Publish adds an event and sends it to all callers. The format contains %d for the number of the event.
 func (s *Service) Publish(format string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,21 +108,21 @@
 	s.published = make(chan struct{})
 }
 
-// Reset has it forget all events. The next one is number 1.
+// Reset removes all events. The next event gets number 1.
 func (s *Service) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = nil
 }
 
-// KnownEvents returns all events so far, as a router's configuration holds them.
+// KnownEvents returns all events so far in the form in which a router's configuration lists known events.
 func (s *Service) KnownEvents() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return fmt.Sprintf(`{"pos":%d,"entries":[%s]}`, len(s.events), strings.Join(s.events, ","))
 }
 
-// Calls returns all that came so far, in order.
+// Calls returns copies of all calls so far, in the order of their arrival.
 func (s *Service) Calls() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -133,7 +133,8 @@
 	return calls
 }
 
-// Notified returns how many open calls have been sent every event so far.
+// Notified returns the number of open calls to which the last event was sent. A call that started after the last
+// event and already had it does not count.
 func (s *Service) Notified() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,11 +159,11 @@
 		s.connections[conn] = call
 		behavior := s.behavior
 		s.mu.Unlock()
-		s.group.Go(func() {
+		s.goroutines.Go(func() {
 			defer s.remove(conn)
 			s.serve(session{conn: conn, call: call, behavior: behavior})
 		})
-		if behavior.MaxCallRate > 0 { // the others wait in the system's queue
+		if behavior.MaxCallRate > 0 { // further calls wait in the listener's backlog
 			time.Sleep(time.Duration(float64(time.Second) / behavior.MaxCallRate))
 		}
 	}
@@ -175,5 +176,6 @@
 	delete(s.connections, conn)
 }
 
-// ignore drops the error of closing a connection or listener: what ends is to end, and its peer sees that itself.
+// ignore drops an error on a connection or listener that is being closed. The peer sees the closed connection
+// itself, so the error need not be reported.
 func ignore(error) {}
--- a/internal/emulator/discoveryserver/session.go
+++ b/internal/emulator/discoveryserver/session.go
@@ -18,27 +18,27 @@
 	lastEventHeader = "Last-Event-ID: "
 )
 
-// session is the service's side of one call.
+// session is a call with its connection and the behavior of the service when the call arrived.
 type session struct {
 	conn     net.Conn
-	call     *Call // guarded by the service's mutex
+	call     *Call // guarded by Service.mu
 	behavior Behavior
 }
 
-// serve answers one call until either side ends it.
+// serve responds to one call until either side closes the connection.
 func (s *Service) serve(session session) {
 	in := bufio.NewReader(session.conn)
-	position, err := readRequest(in)
+	lastEventID, err := readRequest(in)
 	if err != nil {
 		return
 	}
 	s.mu.Lock()
-	session.call.LastEventID = position
+	session.call.LastEventID = lastEventID
 	s.mu.Unlock()
 	clientGone := make(chan struct{})
 	go func() {
 		defer close(clientGone)
-		_, err := in.ReadByte() // a client sends nothing more: this ends with the connection
+		_, err := in.ReadByte() // a client sends nothing after its request, so this returns when the connection ends
 		ignore(err)
 	}()
 	if session.behavior.Silent {
@@ -46,12 +46,13 @@
 		return
 	}
 	if s.send(session, responseHead) {
-		s.stream(session, position, clientGone)
+		s.stream(session, lastEventID, clientGone)
 	}
 }
 
-// readRequest reads a request and returns the event behind which it asks to go on.
-func readRequest(in *bufio.Reader) (position int, err error) {
+// readRequest reads the head of a request and returns the number of the last event that the client already has,
+// or 0 if the request has no valid number.
+func readRequest(in *bufio.Reader) (lastEventID int, err error) {
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
@@ -59,36 +60,36 @@
 		}
 		line = strings.TrimSpace(line)
 		if line == "" {
-			return position, nil
+			return lastEventID, nil
 		}
 		if id, found := strings.CutPrefix(line, lastEventHeader); found {
-			position, err = strconv.Atoi(id)
+			lastEventID, err = strconv.Atoi(id)
 			if err != nil {
-				position = 0
+				lastEventID = 0
 			}
 		}
 	}
 }
 
-// stream sends the events behind a position as they are published, and heartbeats.
-func (s *Service) stream(session session, position int, clientGone <-chan struct{}) {
+// stream sends the events after a number as they are published, and heartbeats.
+func (s *Service) stream(session session, lastEventID int, clientGone <-chan struct{}) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		s.mu.Lock()
 		events, published := s.events, s.published
 		s.mu.Unlock()
-		if position > len(events) || session.behavior.Stale {
-			position = 0 // its numbers began anew since, or it sends an old list
+		if lastEventID > len(events) || session.behavior.Stale {
+			lastEventID = 0 // the numbering has restarted, or the outdated list is sent
 		}
-		for _, event := range events[position:] {
-			position++
-			if !s.sendEvent(session, position, event) {
+		for _, event := range events[lastEventID:] {
+			lastEventID++
+			if !s.sendEvent(session, lastEventID, event) {
 				return
 			}
 			if session.behavior.Stale {
 				session.behavior.Stale = false
-				position = len(events)
+				lastEventID = len(events)
 				break
 			}
 		}
@@ -104,9 +105,9 @@
 	}
 }
 
-// sendEvent sends an event and tells whether the call goes on.
-func (s *Service) sendEvent(session session, position int, event string) bool {
-	text := fmt.Sprintf("id: %d\ndata: %s\n\n", position, event)
+// sendEvent sends an event and tells whether the call is still open.
+func (s *Service) sendEvent(session session, eventID int, event string) bool {
+	text := fmt.Sprintf("id: %d\ndata: %s\n\n", eventID, event)
 	if session.behavior.Truncate {
 		s.send(session, text[:len(text)/2])
 		return false
@@ -116,18 +117,19 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	session.call.sentEventID = position
+	session.call.sentEventID = eventID
 	return true
 }
 
-// send writes a text at the service's pace and tells whether the call goes on.
+// send writes a text within the bandwidth of the service and tells whether the call is still open.
 func (s *Service) send(session session, text string) bool {
 	time.Sleep(s.reserve(session, len(text)))
 	_, err := session.conn.Write([]byte(text))
 	return err == nil
 }
 
-// reserve counts bytes that are to be sent and returns how long they have to wait for those before them.
+// reserve counts bytes that are about to be sent and returns how long to wait before sending them, so that all
+// calls together stay within the bandwidth.
 func (s *Service) reserve(session session, size int) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/relay/relay.go
+++ b/internal/emulator/relay/relay.go
@@ -1,5 +1,6 @@
-// Package relay emulates a network path: TCP from one address to another that can be cut in each direction
-// (bytes are kept, as by a network that loses them until they are sent again), delayed, or closed.
+// Package relay emulates a network path. A relay forwards TCP connections to a target address and can delay the
+// data, block it in either direction, or close the connections. Blocked data is kept and forwarded once the
+// direction is open again, like data that TCP retransmits after packet loss.
 package relay
 
 import (
@@ -9,34 +10,37 @@
 )
 
 const (
-	anyPort        = "127.0.0.1:0"
-	dialTimeout    = time.Second
-	chunkSize      = 32 << 10 // bytes read at a time
-	maxQueueChunks = 256      // in one direction; then reading stops, as a TCP window fills
+	anyLoopbackPort = "127.0.0.1:0"
+	dialTimeout     = time.Second
+	maxChunkSize    = 32 << 10 // bytes in one read
+
+	// maxQueuedChunks limits the queue of one direction of a connection. While the queue is full, nothing is read,
+	// so the sender is blocked as by a full TCP window.
+	maxQueuedChunks = 256
 )
 
-// Conditions are those of a path.
+// Conditions describes the state of a network path.
 type Conditions struct {
-	CutForward  bool // nothing passes from the side that dials
-	CutBackward bool // nothing passes to it
+	CutForward  bool // blocks data from the dialling side to the target
+	CutBackward bool // blocks data from the target to the dialling side
 	Delay       time.Duration
 }
 
-// Relay is one path.
+// Relay is one emulated network path.
 type Relay struct {
-	listener net.Listener
-	target   string
-	group    sync.WaitGroup
+	listener   net.Listener
+	target     string
+	goroutines sync.WaitGroup
 
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards the fields below
 	conditions  Conditions
-	changed     chan struct{} // closed when the conditions change, and replaced
+	changed     chan struct{} // closed and replaced when the conditions change
 	connections map[net.Conn]bool
 }
 
-// Start opens a path to a target from a free port of 127.0.0.1.
+// Start starts a relay that listens on a free port of 127.0.0.1 and forwards connections to a target address.
 func Start(target string) (*Relay, error) {
-	listener, err := net.Listen("tcp", anyPort)
+	listener, err := net.Listen("tcp", anyLoopbackPort)
 	if err != nil {
 		return nil, err
 	}
@@ -46,16 +50,16 @@
 		changed:     make(chan struct{}),
 		connections: map[net.Conn]bool{},
 	}
-	r.group.Go(r.accept)
+	r.goroutines.Go(r.accept)
 	return r, nil
 }
 
-// Address returns what is to be dialled.
+// Address returns the address to dial to reach the target through the relay.
 func (r *Relay) Address() string {
 	return r.listener.Addr().String()
 }
 
-// SetConditions changes the path's conditions, also for what is on its way.
+// SetConditions changes the conditions of the path. They also apply to data that was read but not forwarded yet.
 func (r *Relay) SetConditions(conditions Conditions) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,7 +68,7 @@
 	r.changed = make(chan struct{})
 }
 
-// Close ends the path and all connections over it.
+// Close closes the listener and all connections.
 func (r *Relay) Close() {
 	ignore(r.listener.Close())
 	r.mu.Lock()
@@ -72,7 +76,7 @@
 		ignore(conn.Close())
 	}
 	r.mu.Unlock()
-	r.group.Wait()
+	r.goroutines.Wait()
 }
 
 func (r *Relay) accept() {
@@ -81,7 +85,7 @@
 		if err != nil {
 			return
 		}
-		r.group.Go(func() { r.pass(conn) })
+		r.goroutines.Go(func() { r.forward(conn) })
 	}
 }
 
@@ -98,8 +102,9 @@
 	ignore(conn.Close())
 }
 
-// pass carries one connection until either side ends it.
-func (r *Relay) pass(from net.Conn) {
+// forward connects an accepted connection to the target and forwards data in both directions until either side
+// closes its connection.
+func (r *Relay) forward(from net.Conn) {
 	r.add(from)
 	defer r.remove(from)
 	to, err := net.DialTimeout("tcp", r.target, dialTimeout)
@@ -117,27 +122,28 @@
 			ignore(to.Close())
 		})
 	}
-	var both sync.WaitGroup
-	both.Go(func() {
+	var directions sync.WaitGroup
+	directions.Go(func() {
 		defer end()
-		r.carry(to, from, func(c Conditions) bool { return c.CutForward }, ended)
+		r.copyChunks(to, from, func(c Conditions) bool { return c.CutForward }, ended)
 	})
-	both.Go(func() {
+	directions.Go(func() {
 		defer end()
-		r.carry(from, to, func(c Conditions) bool { return c.CutBackward }, ended)
+		r.copyChunks(from, to, func(c Conditions) bool { return c.CutBackward }, ended)
 	})
-	both.Wait()
+	directions.Wait()
 }
 
-// chunk is some bytes on their way.
+// chunk is data that was read from one side and not forwarded yet.
 type chunk struct {
-	at    time.Time // when they came
-	bytes []byte
+	readAt time.Time
+	bytes  []byte
 }
 
-// carry passes bytes on in order, each chunk under the conditions that hold when it goes.
-func (r *Relay) carry(to, from net.Conn, isCut func(Conditions) bool, ended chan struct{}) {
-	queue := make(chan chunk, maxQueueChunks)
+// copyChunks forwards the data of one direction in order. Each chunk waits until the current conditions let it
+// pass.
+func (r *Relay) copyChunks(to, from net.Conn, isCut func(Conditions) bool, ended chan struct{}) {
+	queue := make(chan chunk, maxQueuedChunks)
 	go readChunks(from, queue, ended)
 	for next := range queue {
 		if !r.wait(next, isCut, ended) {
@@ -152,11 +158,11 @@
 func readChunks(from net.Conn, queue chan<- chunk, ended <-chan struct{}) {
 	defer close(queue)
 	for {
-		buffer := make([]byte, chunkSize)
+		buffer := make([]byte, maxChunkSize)
 		n, err := from.Read(buffer)
 		if n > 0 {
 			select {
-			case queue <- chunk{at: time.Now(), bytes: buffer[:n]}:
+			case queue <- chunk{readAt: time.Now(), bytes: buffer[:n]}:
 			case <-ended:
 				return
 			}
@@ -167,14 +173,14 @@
 	}
 }
 
-// wait waits until a chunk may pass. It returns false if the connection ended before.
+// wait waits until the conditions let a chunk pass. It returns false if the connection ends before that.
 func (r *Relay) wait(next chunk, isCut func(Conditions) bool, ended <-chan struct{}) bool {
 	for {
 		r.mu.Lock()
 		conditions, changed := r.conditions, r.changed
 		r.mu.Unlock()
-		delay := time.Until(next.at.Add(conditions.Delay))
-		var due <-chan time.Time // never, while the direction is cut
+		delay := time.Until(next.readAt.Add(conditions.Delay))
+		var due <-chan time.Time // stays nil while the direction is cut, so that it never fires
 		if !isCut(conditions) {
 			if delay <= 0 {
 				return true
@@ -190,5 +196,6 @@
 	}
 }
 
-// ignore drops the error of closing a connection or listener: what ends is to end, and its peer sees that itself.
+// ignore drops the error of closing a connection or listener. The peer sees the closed connection itself, so the
+// error need not be reported.
 func ignore(error) {}
