--- a/internal/testkit/cache.go
+++ b/internal/testkit/cache.go
@@ -13,37 +13,37 @@
 	"tealpath/internal/protocol/resp"
 )
 
-// unansweredPrefix is how the names of objects begin that no cache responds for.
+// unansweredPrefix is the prefix of the IDs of objects for which no cache sends a response.
 const unansweredPrefix = "dead"
 
-// UnansweredID returns the name of an object that no cache responds for.
+// UnansweredID returns the ID of the object with a number. No cache responds to requests for this object.
 func UnansweredID(n int) string { return fmt.Sprintf("%s%012x", unansweredPrefix, n) }
 
-// Behavior is how a cache treats the requests that come to it.
+// Behavior is how a cache reacts to requests.
 type Behavior int
 
 const (
-	// Respond serves each request, but those for objects of UnansweredID.
+	// Respond serves all requests except those for objects of UnansweredID.
 	Respond Behavior = iota
 	// Hang reads requests and never responds.
 	Hang
-	// ResetConnection resets the connection by which a request comes.
+	// ResetConnection resets the connection of each request.
 	ResetConnection
-	// ForgetConnections resets those connections by the next request on them that were made before the behavior
-	// was set; new ones are served.
+	// ForgetConnections resets each connection that is open when the behavior is set, once a request arrives on
+	// it. Requests on later connections are served.
 	ForgetConnections
 )
 
-// CacheRequest is what a router has asked a cache for.
+// CacheRequest is a request or an abort that a cache has received from a router.
 type CacheRequest struct {
 	ID     string
 	Object string
-	Fields string // as they were sent, NAME=VALUE separated by commas
+	Fields string // as they were received: NAME=VALUE, separated by commas
 	At     time.Time
-	Abort  bool // the router has given up request ID; the other fields are empty
+	Abort  bool // the router has aborted the request ID; Object and Fields are empty
 }
 
-// Number returns the number that a field has, or -1 if there is none.
+// Number returns the value of a numeric field, or -1 if the request has no such field.
 func (r CacheRequest) Number(name string) int64 {
 	number, err := strconv.ParseInt(r.field(name), 10, 64)
 	if err != nil {
@@ -61,28 +61,28 @@
 	return ""
 }
 
-// Cache is a cache server that behaves as a test says and records what it is asked for. It has no limits; a
-// model of a cache's capacity is in internal/emulator/cache.
+// Cache is a cache server whose behavior a test sets. It records all requests. It has no capacity limits, unlike
+// the cache in internal/emulator/cache.
 type Cache struct {
 	listener net.Listener
 	issued   func(CacheRequest) time.Time
 
 	mu          sync.Mutex
 	behavior    Behavior          // guarded by mu
-	delay       time.Duration     // guarded by mu; until it responds
+	delay       time.Duration     // guarded by mu; from a request to its response
 	connections map[net.Conn]bool // guarded by mu; whether the next request resets the connection
-	requests    []CacheRequest    // guarded by mu; all that came
-	taken       int               // guarded by mu; how many of them Next has returned
+	requests    []CacheRequest    // guarded by mu; all requests and aborts received
+	taken       int               // guarded by mu; number of requests that take has returned
 }
 
-// StartCache starts a cache that ends with the test.
+// StartCache starts a cache on a free port of 127.0.0.1 and stops it at the end of the test.
 func StartCache(t *testing.T) *Cache {
 	t.Helper()
 	return StartCacheAt(t, "127.0.0.1:0", nil)
 }
 
-// StartCacheAt starts a cache at an address. Where issued is not nil it returns when the copy was issued that
-// the cache responds with; else that is the time of the response.
+// StartCacheAt starts a cache on an address and stops it at the end of the test. Its responses report the time
+// that issued returns as the time of issue, or their own time if issued is nil.
 func StartCacheAt(t *testing.T, address string, issued func(CacheRequest) time.Time) *Cache {
 	t.Helper()
 	c := &Cache{listener: ListenAt(t, address), issued: issued, connections: map[net.Conn]bool{}}
@@ -94,7 +94,7 @@
 	return c
 }
 
-// Address returns where the cache listens.
+// Address returns the address on which the cache listens.
 func (c *Cache) Address() string { return c.listener.Addr().String() }
 
 // Kill closes the listener and resets all connections, as the system does for a process that dies.
@@ -118,7 +118,7 @@
 	Reset(conn)
 }
 
-// SetBehavior sets how the cache treats requests from now on, and how long after a request it responds.
+// SetBehavior sets how the cache reacts to requests from now on, and the delay before each response.
 func (c *Cache) SetBehavior(behavior Behavior, delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,28 +130,28 @@
 	}
 }
 
-// Requests returns what has come for an object so far, or all that has come where the name is empty. Aborts are
-// left out.
-func (c *Cache) Requests(object string) (came []CacheRequest) {
+// Requests returns the requests for an object received so far, or all requests if the object is empty. Aborts are
+// not included.
+func (c *Cache) Requests(object string) (received []CacheRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, request := range c.requests {
 		isWanted := object == "" || request.Object == object
 		if isWanted && !request.Abort {
-			came = append(came, request)
+			received = append(received, request)
 		}
 	}
-	return came
+	return received
 }
 
-// OpenConnections returns how many connections there are.
+// OpenConnections returns the number of open connections.
 func (c *Cache) OpenConnections() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.connections)
 }
 
-// take returns the oldest request that was not taken yet, and whether there is one.
+// take returns the oldest request or abort that it has not returned before, and whether there is one.
 func (c *Cache) take() (CacheRequest, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +162,7 @@
 	return c.requests[c.taken-1], true
 }
 
-// Drain takes all requests that have come so far, and returns how many there were.
+// Drain discards all requests and aborts that WaitRequest has not looked at, and returns their number.
 func (c *Cache) Drain() (count int) {
 	for {
 		if _, ok := c.take(); !ok {
@@ -172,14 +172,16 @@
 	}
 }
 
-// WaitRequest takes requests from caches, each in its order, until one is as wanted, and returns that one. It
-// fails the test if there is none within Timeout.
-func WaitRequest(t *testing.T, what string, wanted func(CacheRequest) bool, caches ...*Cache) (found CacheRequest) {
+// WaitRequest waits until one of the caches receives a matching request or abort, and returns it. It discards the
+// requests before it. If there is none within Timeout, the test fails with a message that contains the description.
+func WaitRequest(
+	t *testing.T, description string, matches func(CacheRequest) bool, caches ...*Cache,
+) (found CacheRequest) {
 	t.Helper()
-	WaitUntil(t, Timeout, "a cache is asked "+what, func() bool {
+	WaitUntil(t, Timeout, "a cache is asked "+description, func() bool {
 		for _, cache := range caches {
 			for request, ok := cache.take(); ok; request, ok = cache.take() {
-				if wanted(request) {
+				if matches(request) {
 					found = request
 					return true
 				}
@@ -190,7 +192,7 @@
 	return found
 }
 
-// WaitRequestFor is WaitRequest for an object.
+// WaitRequestFor waits like WaitRequest for a request for an object.
 func WaitRequestFor(t *testing.T, object string, caches ...*Cache) CacheRequest {
 	t.Helper()
 	isFor := func(request CacheRequest) bool { return request.Object == object }
@@ -210,7 +212,7 @@
 	delete(c.connections, conn)
 }
 
-// serve serves a connection until it ends.
+// serve handles the requests on a connection until the connection ends.
 func (c *Cache) serve(conn net.Conn) {
 	defer c.remove(conn)
 	for in := bufio.NewReader(conn); ; {
@@ -227,7 +229,8 @@
 	}
 }
 
-// record records a request, and returns how it is to be treated.
+// record records a request or an abort. It returns whether and with which delay the cache responds, and resets the
+// connection if the behavior says so.
 func (c *Cache) record(conn net.Conn, request CacheRequest) (responds bool, delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -243,7 +246,7 @@
 	return c.behavior != Hang && !strings.HasPrefix(request.Object, unansweredPrefix), c.delay
 }
 
-// fetch responds to a request. Its words are the command, the identifier, the fields and the body.
+// fetch handles a request, whose words are the command, the ID, the fields and the body.
 func (c *Cache) fetch(conn net.Conn, words [][]byte) {
 	request := CacheRequest{ID: string(words[1]), Fields: string(words[2])}
 	request.Object = request.field("path")
@@ -251,7 +254,7 @@
 	if !responds {
 		return
 	}
-	respond := func() { Write(conn, c.response(request, words[3])) } // in one write
+	respond := func() { Write(conn, c.response(request, words[3])) } // one write, so that responses do not mix
 	if delay > 0 {
 		time.AfterFunc(delay, respond)
 		return
@@ -259,7 +262,8 @@
 	respond()
 }
 
-// response returns the response to a request: that the client's copy holds if it has one, else a body.
+// response encodes the response to a request. If the client has a copy of the object, the response says that the
+// copy is still valid, else it has a body.
 func (c *Cache) response(request CacheRequest, body []byte) []byte {
 	status, content := "served", append([]byte("whole:"), body...)
 	if request.field("mine") != "" {
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -13,29 +13,29 @@
 	"tealpath/internal/protocol/thrift"
 )
 
-// Parts of responses to calls.
+// Parts of the encoded results of calls, by which tests recognize the results.
 const (
-	// Served is the start of a result with the body that Cache gives to a request of Client.Call.
+	// Served is the start of a result with the body that Cache returns for a request of Client.Call.
 	Served = "\x0c\x00\x00\x0b\x00\x01\x00\x00\x00\x0awhole:body"
-	// NotModified is a part of a result that says that the client's own copy holds.
+	// NotModified is a part of a result that says that the client's copy is still valid.
 	NotModified = "\x00\x00\x00\x05ok304\x00\x00\x00\x011"
 	// Rejected is the start of a result that rejects a call.
 	Rejected = "\x0c\x00\x01"
-	// healthResult is the start of the result of a health check; a byte follows that is 1 where the router can
-	// serve.
-	healthResult = "\x02\x00\x03"
+	// healthResultPrefix is the start of the result of a health check. The next byte is 1 if the router can serve
+	// clients, else 0.
+	healthResultPrefix = "\x02\x00\x03"
 )
 
-// ClosedSequence is the sequence number that Client.Next returns where no response came.
+// ClosedSequence is the sequence number that Client.Next returns if it receives no valid response.
 const ClosedSequence = -1
 
 // healthSequence is the sequence number of health checks.
 const healthSequence = 9
 
-// ObjectID returns the name of the object with a number.
+// ObjectID returns the ID of the object with a number.
 func ObjectID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// Client is a connection of a client to a router. One goroutine may send while another reads.
+// Client is a client with one connection to a router. One goroutine may send while another one reads.
 type Client struct {
 	Conn net.Conn
 
@@ -44,7 +44,8 @@
 	sequence int32
 }
 
-// Dial connects a client, for whose connection all reads and writes have to be done within twice Timeout.
+// Dial connects a client to a router and closes the connection at the end of the test. Reads and writes fail once
+// the connection is older than twice Timeout.
 func Dial(t *testing.T, address string) *Client {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -56,7 +57,7 @@
 	return NewClient(t, conn)
 }
 
-// NewClient returns a client that uses a connection.
+// NewClient returns a client that uses an open connection.
 func NewClient(t *testing.T, conn net.Conn) *Client {
 	return &Client{Conn: conn, t: t, in: bufio.NewReader(conn)}
 }
@@ -64,33 +65,33 @@
 // Close closes the client's connection.
 func (c *Client) Close() { Close(c.Conn) }
 
-// Send sends a message with encoded arguments.
+// Send sends a message of a Thrift message kind with encoded arguments.
 func (c *Client) Send(kind byte, method string, sequence int32, arguments []byte) {
 	Write(c.Conn, messageFrame(kind, method, sequence, arguments))
 }
 
-// messageFrame returns a message behind its length.
+// messageFrame encodes a message with its length before it.
 func messageFrame(kind byte, method string, sequence int32, arguments []byte) []byte {
 	message := appendText([]byte{0x80, 1, 0, kind}, method)
 	message = binary.BigEndian.AppendUint32(message, uint32(sequence))
 	return appendText(nil, string(append(message, arguments...)))
 }
 
-// appendText appends a text behind its length.
+// appendText appends the length of a text and the text.
 func appendText(out []byte, text string) []byte {
 	return append(binary.BigEndian.AppendUint32(out, uint32(len(text))), text...)
 }
 
-// Call asks for an object that the client waits for so long, and returns the sequence number. More fields, name
-// and value by turns, replace those of the same name.
-func (c *Client) Call(object string, timeout time.Duration, more ...string) int32 {
-	frame := c.CallFrame(object, timeout, "body", more...)
+// Call sends a call for an object with the client's timeout, and returns the sequence number of the call. The
+// additional fields are names and values in turn. A value replaces the default value of the same field.
+func (c *Client) Call(object string, timeout time.Duration, additional ...string) int32 {
+	frame := c.CallFrame(object, timeout, "body", additional...)
 	Write(c.Conn, frame)
 	return c.sequence
 }
 
-// CallFrame returns the bytes of a call without sending them. Its sequence number is Sequence.
-func (c *Client) CallFrame(object string, timeout time.Duration, body string, more ...string) []byte {
+// CallFrame encodes a call like Call without sending it. Sequence returns the sequence number of the call.
+func (c *Client) CallFrame(object string, timeout time.Duration, body string, additional ...string) []byte {
 	c.sequence++
 	fields := append([]string{
 		"verb", "stills",
@@ -99,7 +100,7 @@
 		"item", object,
 		"nth", "0",
 		"batch", "17",
-	}, more...)
+	}, additional...)
 	arguments := binary.BigEndian.AppendUint32([]byte{13, 0, 1, 11, 11}, uint32(len(fields)/2))
 	for _, field := range fields {
 		arguments = appendText(arguments, field)
@@ -111,14 +112,14 @@
 // Sequence returns the sequence number of the last call.
 func (c *Client) Sequence() int32 { return c.sequence }
 
-// Cancel cancels a call.
+// Cancel cancels the call with a sequence number.
 func (c *Client) Cancel(sequence int32) {
 	arguments := append(binary.BigEndian.AppendUint32([]byte{8, 0, 1}, uint32(sequence)), 0)
-	c.Send(thrift.Oneway, "cancel", 99, arguments)
+	c.Send(thrift.Oneway, "cancel", 99, arguments) // a cancellation gets no response, so any number will do
 }
 
-// Next reads a response, and returns its sequence number and its result. Where none comes the sequence number
-// is ClosedSequence, and the text is the error.
+// Next reads a response and returns its sequence number and its encoded result. If it fails, it returns
+// ClosedSequence and the text of the error.
 func (c *Client) Next() (sequence int32, result string) {
 	size, err := thrift.FrameSize(c.in)
 	if err != nil {
@@ -130,50 +131,54 @@
 	}
 	message, err := thrift.Parse(frame)
 	if err != nil {
-		c.t.Errorf("malformed response %q: %v", frame, err)
+		c.t.Errorf("malformed response frame %q: %v", frame, err)
 		return ClosedSequence, err.Error()
 	}
 	return message.Seq, string(message.Body)
 }
 
-// Expect reads a response, and checks its sequence number and that its result has a part.
+// Expect reads a response and checks its sequence number and that its result contains a part.
 func (c *Client) Expect(sequence int32, part string) {
 	c.t.Helper()
 	if got, result := c.Next(); got != sequence || !strings.Contains(result, part) {
-		c.t.Errorf("response %d %q, want %d with %q", got, result, sequence, part)
+		c.t.Errorf("response has sequence number %d and result %q, want number %d and a result with %q",
+			got, result, sequence, part)
 	}
 }
 
-// ExpectServed asks for an object and checks that it is served.
+// ExpectServed sends a call for an object and checks that the object is served.
 func (c *Client) ExpectServed(object string, timeout time.Duration) {
 	c.t.Helper()
 	c.Expect(c.Call(object, timeout), Served)
 }
 
-// ExpectEOF checks that the router has closed the connection without a reset and without a further response.
+// ExpectEOF checks that the router closes the connection without a reset and without a further response. The
+// failure message starts with when.
 func (c *Client) ExpectEOF(when string) {
 	c.t.Helper()
 	if got, result := c.Next(); got != ClosedSequence || result != io.EOF.Error() {
-		c.t.Errorf("%s: response %d %q, want the end of the connection", when, got, result)
+		c.t.Errorf("%s: read sequence number %d and result %q, want EOF", when, got, result)
 	}
 }
 
-// ExpectHealth checks that the router responds to a health check, and whether it says that it can serve.
-func (c *Client) ExpectHealth(good bool) {
+// ExpectHealth sends a health check and checks that the router responds that it can serve clients, or that it
+// can't if healthy is false.
+func (c *Client) ExpectHealth(healthy bool) {
 	c.t.Helper()
 	c.Send(thrift.Call, "health", healthSequence, []byte{0})
-	c.Expect(healthSequence, healthPart(good))
+	c.Expect(healthSequence, healthResult(healthy))
 }
 
-// healthPart returns the part of the result of a health check that says whether the router can serve.
-func healthPart(good bool) string {
-	if good {
-		return healthResult + "\x01"
+// healthResult returns the start of the encoded result of a health check.
+func healthResult(healthy bool) string {
+	if healthy {
+		return healthResultPrefix + "\x01"
 	}
-	return healthResult + "\x00"
+	return healthResultPrefix + "\x00"
 }
 
-// IsHealthy tells whether the router at an address says within a time that it can serve.
+// IsHealthy sends a health check to the router at an address and tells whether the router responds within the
+// timeout that it can serve clients.
 func IsHealthy(t *testing.T, address string, timeout time.Duration) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -186,5 +191,5 @@
 	client := NewClient(t, conn)
 	client.Send(thrift.Call, "health", healthSequence, []byte{0})
 	sequence, result := client.Next()
-	return sequence == healthSequence && strings.Contains(result, healthPart(true))
+	return sequence == healthSequence && strings.Contains(result, healthResult(true))
 }
--- a/internal/testkit/listen.go
+++ b/internal/testkit/listen.go
@@ -9,13 +9,14 @@
 	"testing"
 )
 
-// Listen opens a listener on a free port of 127.0.0.1, and closes it with the test.
+// Listen opens a listener on a free port of 127.0.0.1 and closes it at the end of the test.
 func Listen(t *testing.T) net.Listener {
 	t.Helper()
 	return ListenAt(t, "127.0.0.1:0")
 }
 
-// ListenAt opens a listener on an address, and closes it with the test, which may have closed it before.
+// ListenAt opens a listener on an address and closes it at the end of the test, unless the test has closed it
+// before.
 func ListenAt(t *testing.T, address string) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -24,13 +25,13 @@
 	}
 	t.Cleanup(func() {
 		if err := listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-			t.Errorf("close: %v", err)
+			t.Errorf("close the listener on %s: %v", address, err)
 		}
 	})
 	return listener
 }
 
-// accept hands the connections of a listener to a function, one after the other, until the listener is closed.
+// accept passes the connections of a listener to a function, one after the other, until the listener is closed.
 func accept(listener net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
@@ -41,28 +42,28 @@
 	}
 }
 
-// routerAddresses counts the loopback addresses that routers under test have had.
-var routerAddresses atomic.Uint32
+// freeAddresses counts the calls of FreeAddress, so that each one uses another loopback IP address.
+var freeAddresses atomic.Uint32
 
-// FreeAddress returns an address on which no listener is. Its loopback host is one that no other router of this
-// test run has and that no connection comes from: a port that was found free on 127.0.0.1 may be taken, by
-// another router or as the port of a connection, before the router listens there.
+// FreeAddress returns an address on which nothing listens, for a router under test. Each call uses another
+// loopback IP address, from which no connection is opened. A free port of 127.0.0.1 could be taken before the
+// router listens on it, by another router or as the local port of a connection.
 func FreeAddress(t *testing.T) string {
 	t.Helper()
-	n := routerAddresses.Add(1)
+	n := freeAddresses.Add(1)
 	host := fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, 1+n/250%250, 1+n%250)
-	free, err := net.Listen("tcp", host+":0")
-	if err != nil { // a system that has 127.0.0.1 alone
-		free, err = net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", host+":0")
+	if err != nil { // on some systems 127.0.0.1 is the only loopback address
+		listener, err = net.Listen("tcp", "127.0.0.1:0")
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer Close(free)
-	return free.Addr().String()
+	defer Close(listener)
+	return listener.Addr().String()
 }
 
-// IsListening tells whether a connection to an address can be made.
+// IsListening tells whether an address accepts connections.
 func IsListening(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -72,8 +73,8 @@
 	return true
 }
 
-// WaitListening waits until connections to an address can be made.
+// WaitListening waits until an address accepts connections.
 func WaitListening(t *testing.T, address string) {
 	t.Helper()
-	WaitUntil(t, Timeout, "it listens", func() bool { return IsListening(address) })
+	WaitUntil(t, Timeout, "a listener on "+address, func() bool { return IsListening(address) })
 }
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// ProcessConfig says how a router is started.
+// ProcessConfig describes how to start a router process.
 type ProcessConfig struct {
 	Command     []string // the program and its arguments
-	Environment []string // NAME=VALUE, beside the environment of the test
-	Address     string   // where it will listen
+	Environment []string // NAME=VALUE; added to the environment of the test
+	Address     string   // the address on which the router will listen
 }
 
-// RouterProcess is a router in a process of its own, which can be signalled and killed.
+// RouterProcess is a router in a separate process, which a test can signal and wait for.
 type RouterProcess struct {
 	t       *testing.T
 	command *exec.Cmd
 	address string
 	logPath string
 
-	ended   chan struct{} // closed at the end of the process; what follows is set before
+	ended   chan struct{} // closed after the process has exited and endedAt and err are set
 	endedAt time.Time
 	err     error
 }
 
-// StartProcess starts a router and does not wait for it. It is killed with the test, and its log is shown where
-// the test has failed.
+// StartProcess starts a router process and returns without waiting until it is ready. At the end of the test the
+// process is killed and, if the test has failed, its log is printed.
 func StartProcess(t *testing.T, config ProcessConfig) *RouterProcess {
 	t.Helper()
 	p := &RouterProcess{
@@ -45,7 +45,7 @@
 	}
 	defer Close(log)
 	p.command.Stderr = log
-	// Under the race detector a process sleeps for a second before it exits, unless told otherwise.
+	// A program built with the race detector sleeps for one second before it exits, unless atexit_sleep_ms is 0.
 	p.command.Env = append(append(os.Environ(), config.Environment...), "GORACE=atexit_sleep_ms=0")
 	if err := p.command.Start(); err != nil {
 		t.Fatal(err)
@@ -62,44 +62,47 @@
 	p.kill()
 	<-p.ended
 	if text, err := os.ReadFile(p.logPath); err == nil && p.t.Failed() {
-		p.t.Logf("log of %d:\n%s", p.PID(), text)
+		p.t.Logf("log of router process %d:\n%s", p.PID(), text)
 	}
 }
 
-// kill ends a process that may have ended already.
+// kill kills the process. It ignores the error, because the process may have exited already.
 func (p *RouterProcess) kill() { _ = p.command.Process.Kill() }
 
-// PID returns the process's identifier.
+// PID returns the process ID of the router.
 func (p *RouterProcess) PID() int { return p.command.Process.Pid }
 
-// WaitHealthy waits until the router says that it can serve.
-func (p *RouterProcess) WaitHealthy(bound time.Duration) {
+// WaitHealthy waits until the router responds to a health check that it can serve clients.
+func (p *RouterProcess) WaitHealthy(timeout time.Duration) {
 	p.t.Helper()
-	WaitUntil(p.t, bound, "the router can serve", func() bool { return IsHealthy(p.t, p.address, Timeout) })
+	WaitUntil(p.t, timeout, "a healthy router at "+p.address, func() bool {
+		return IsHealthy(p.t, p.address, Timeout)
+	})
 }
 
 // Signal sends a signal to the router.
 func (p *RouterProcess) Signal(signal syscall.Signal) {
 	p.t.Helper()
 	if err := p.command.Process.Signal(signal); err != nil {
-		p.t.Fatal(err)
+		p.t.Fatalf("send %v to router process %d: %v", signal, p.PID(), err)
 	}
 }
 
-// Wait waits for the end of the router, and returns when it ended, what it used, and its error.
+// Wait waits until the router has exited. It returns the time of the exit, the state of the process with its
+// resource usage, and the error of the process.
 func (p *RouterProcess) Wait() (endedAt time.Time, usage *os.ProcessState, err error) {
 	<-p.ended
 	return p.endedAt, p.command.ProcessState, p.err
 }
 
-// Termination is a router that was told to end, and what it was held up since.
+// Termination is the graceful shutdown of a router process. It measures how long the process is stalled meanwhile.
 type Termination struct {
-	At      time.Time // when it was told
+	At      time.Time // when SIGTERM was sent
 	process *RouterProcess
 	stalls  *ProcessStallWatch
 }
 
-// Terminate tells the router to end.
+// Terminate sends SIGTERM to the router.
 func (p *RouterProcess) Terminate() Termination {
 	p.t.Helper()
 	stalls := WatchProcessStalls(p.PID())
@@ -109,12 +112,12 @@
 	return Termination{At: at, process: p, stalls: stalls}
 }
 
-// Stalled returns for how long the router has been held up since it was told to end, or 0 where that is not worth mentioning.
+// Stalled returns how long the router has been stalled since SIGTERM was sent, see ProcessStallWatch.Total.
 func (e Termination) Stalled() time.Duration { return e.stalls.Total() }
 
-// ExpectEndWithin waits for the end of the router, and kills it when the platform does, so long after it was
-// told. An end by that kill is an error. The time in which the router was held up does not count, so that its
-// own time is judged on any machine.
+// ExpectEndWithin checks that the router exits without an error before the platform would kill it, which is the
+// duration killedAfter after SIGTERM. A router that is still running then is killed, which fails the test. The time
+// in which the router was stalled is added to killedAfter, so that a loaded machine does not make the test fail.
 func (e Termination) ExpectEndWithin(killedAfter time.Duration) {
 	p := e.process
 	p.t.Helper()
@@ -122,7 +125,7 @@
 	for !p.endsWithin(time.Until(e.At.Add(allowed))) {
 		stalled := e.stalls.Total()
 		if killedAfter+stalled <= allowed || stalled > Timeout {
-			break // it was not held up again, and is there still
+			break // no further stalls, or too many, and the router is still running
 		}
 		allowed = killedAfter + stalled
 	}
@@ -130,16 +133,17 @@
 	<-p.ended
 	stalled := e.stalls.Total()
 	if took := p.endedAt.Sub(e.At); p.err != nil || took > killedAfter+stalled {
-		p.t.Errorf("ended after %v: %v; killed after %v, and it was held up for %v", took, p.err, killedAfter, stalled)
+		p.t.Errorf("router exited %v after SIGTERM with error %v, want no error within %v plus %v of stalls",
+			took, p.err, killedAfter, stalled)
 	}
 }
 
-// endsWithin waits for the end of the router, and tells whether it has come.
-func (p *RouterProcess) endsWithin(wait time.Duration) bool {
+// endsWithin waits until the router has exited, and tells whether it has within the timeout.
+func (p *RouterProcess) endsWithin(timeout time.Duration) bool {
 	select {
 	case <-p.ended:
 		return true
-	case <-time.After(wait):
+	case <-time.After(timeout):
 		return false
 	}
 }
--- a/internal/testkit/processstalls.go
+++ b/internal/testkit/processstalls.go
@@ -10,44 +10,45 @@
 )
 
 const (
-	// processCheckInterval is the pause between two looks at a process's threads.
+	// processCheckInterval is the pause between two readings of the thread times of a process.
 	processCheckInterval = 10 * time.Millisecond
 
-	// maxIgnoredStall is up to which total a process counts as not held up.
+	// maxIgnoredStall is the longest total of stalls that is reported as 0.
 	maxIgnoredStall = 30 * time.Millisecond
 )
 
-// runnable is the state of a thread that runs or waits for a core, in /proc.
+// runnable is the state in /proc of a thread that runs or waits for a CPU core.
 const runnable = 'R'
 
-// threadTimes is what the kernel has counted for a thread.
+// threadTimes contains the scheduler's figures for one thread.
 type threadTimes struct {
-	ran    time.Duration // on a core
-	waited time.Duration // for a core, without a wait under way
+	ran    time.Duration // time on a CPU core
+	waited time.Duration // time of all completed waits for a CPU core
 	state  byte
 }
 
-// ProcessStallWatch measures for how long a process had something to do and got no core. The kernel counts that
-// for each thread. A timer of this process that comes late does not tell alone, as one thread may have a core
-// while another waits; but it tells when the whole machine stands still, which the kernel does not count.
+// ProcessStallWatch measures how long a process was stalled: it had something to do, but got no CPU core. It uses
+// the time that each thread has waited for a core, as the kernel reports it, and the delay of a timer in the process
+// of the test. Neither is enough alone. The timer may be on time while a thread of the watched process waits, and
+// the kernel counts no waiting time while the whole machine is paused.
 type ProcessStallWatch struct {
 	pid     int
 	stopped chan struct{}
 
 	mu      sync.Mutex
-	threads map[string]threadTimes // guarded by mu; by the thread's folder
-	last    time.Time              // guarded by mu; when threads was read
-	total   time.Duration          // guarded by mu
+	threads map[string]threadTimes // guarded by mu; the key is the thread's folder in /proc
+	readAt  time.Time              // guarded by mu; when threads was read
+	total   time.Duration          // guarded by mu; all stalls so far
 }
 
-// WatchProcessStalls starts a measurement. It has to be stopped. Where the kernel does not tell of threads, the
-// timer counts alone.
+// WatchProcessStalls starts to measure the stalls of a process. The caller must stop the measurement. On a system
+// without /proc only the timer is used.
 func WatchProcessStalls(pid int) *ProcessStallWatch {
 	watch := &ProcessStallWatch{
 		pid:     pid,
 		stopped: make(chan struct{}),
 		threads: readThreads(pid),
-		last:    time.Now(),
+		readAt:  time.Now(),
 	}
 	go watch.run()
 	return watch
@@ -64,22 +65,22 @@
 	}
 }
 
-// record adds the stalls since the last look.
+// record adds the stalls since the last reading of the thread times.
 func (w *ProcessStallWatch) record() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	threads, now := readThreads(w.pid), time.Now()
-	elapsed := now.Sub(w.last)
+	elapsed := now.Sub(w.readAt)
 	stalled := stalledBetween(w.threads, threads, elapsed)
 	if late := elapsed - processCheckInterval; late >= minStall {
 		stalled = max(stalled, late)
 	}
 	w.total += stalled
-	w.threads, w.last = threads, now
+	w.threads, w.readAt = threads, now
 }
 
-// Total returns for how long the process was held up until now, or 0 where that is not worth mentioning: a test
-// that allows for it is exact on a machine with little else to do.
+// Total returns how long the process has been stalled until now. A total up to maxIgnoredStall is returned as 0,
+// so that a test that adds the total to its timeout is exact on an idle machine.
 func (w *ProcessStallWatch) Total() time.Duration {
 	w.record()
 	w.mu.Lock()
@@ -93,33 +94,34 @@
 // Stop ends the measurement.
 func (w *ProcessStallWatch) Stop() { close(w.stopped) }
 
-// stalledBetween returns for how long a process has waited for a core between two looks at its threads: all of
-// the time where a thread waited throughout, which the kernel counts only once the wait has ended, or may have
-// waited until it ended; else what the threads waited together, but no more than the time that has passed.
+// stalledBetween returns how long a process waited for a core between two readings of its thread times. That is all
+// of the elapsed time if a thread may have waited throughout: it was runnable and has not run since, or has exited.
+// The kernel counts such a wait only once it is over. Else it is the sum of the waits of all threads, but not more
+// than the elapsed time.
 func stalledBetween(before, after map[string]threadTimes, elapsed time.Duration) time.Duration {
 	waited := time.Duration(0)
-	for thread, was := range before {
-		now, found := after[thread]
-		hasRun := found && (now.state != runnable || now.ran > was.ran)
-		if was.state == runnable && !hasRun {
+	for thread, old := range before {
+		current, found := after[thread]
+		hasRun := found && (current.state != runnable || current.ran > old.ran)
+		if old.state == runnable && !hasRun {
 			return elapsed
 		}
 	}
-	for thread, now := range after {
-		waited += now.waited - before[thread].waited
+	for thread, current := range after {
+		waited += current.waited - before[thread].waited
 	}
 	return min(waited, elapsed)
 }
 
-// readThreads returns what the kernel has counted for the threads of a process that have not ended.
+// readThreads reads the times of the running threads of a process from /proc. The keys are the threads' folders.
 func readThreads(pid int) map[string]threadTimes {
 	threads := map[string]threadTimes{}
-	folders, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid)) // its only error is that of a bad pattern
+	folders, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid)) // fails only for a malformed pattern
 	for _, folder := range folders {
 		schedule, scheduleErr := os.ReadFile(filepath.Join(folder, "schedstat"))
 		status, statusErr := os.ReadFile(filepath.Join(folder, "stat"))
 		if scheduleErr != nil || statusErr != nil {
-			continue // it has ended
+			continue // the thread has exited
 		}
 		if times, ok := parseThread(string(schedule), string(status)); ok {
 			threads[folder] = times
@@ -128,14 +130,14 @@
 	return threads
 }
 
-// parseThread reads a thread's schedstat (ns on a core, ns waited, time slices) and stat (number, name in
-// parentheses, state and more).
+// parseThread parses the files schedstat and stat of a thread. schedstat contains the ns on a core, the ns of waits
+// and the number of time slices; stat starts with the thread ID, the name in parentheses and the state.
 func parseThread(schedule, status string) (times threadTimes, ok bool) {
 	var ran, waited int64
 	if _, err := fmt.Sscan(schedule, &ran, &waited); err != nil {
 		return threadTimes{}, false
 	}
-	end := strings.LastIndex(status, ") ") // the name may contain one, too
+	end := strings.LastIndex(status, ") ") // the last one, because the name may contain ") "
 	if end < 0 || end+2 >= len(status) {
 		return threadTimes{}, false
 	}
--- a/internal/testkit/stalls.go
+++ b/internal/testkit/stalls.go
@@ -6,26 +6,27 @@
 )
 
 const (
-	// stallCheckInterval is the timer's interval by which stalls are measured.
+	// stallCheckInterval is the interval of the timer whose delays are measured.
 	stallCheckInterval = 5 * time.Millisecond
 
-	// minStall is the lateness of a timer from which it counts as a stall. On a machine with nothing else to
-	// do timers come less than 1 ms late.
+	// minStall is the shortest delay of a timer that counts as a stall. On an idle machine timers fire less than
+	// 1 ms late.
 	minStall = 5 * time.Millisecond
 )
 
-// StallWatch measures by how much the machine holds this process up. It measures until it is asked: a stall
-// under way counts, also when whoever asks is woken before the watch's own timer.
+// StallWatch measures how long the process of the test is stalled because it gets no CPU time. It does so by the
+// delays of a timer. Total and Stop also count the time since the timer last fired, because the goroutine that
+// calls them may be woken before the timer after a stall.
 type StallWatch struct {
 	stopped chan struct{}
 
-	mu    sync.Mutex
-	last  time.Time     // guarded by mu; when the timer was last looked at
-	worst time.Duration // guarded by mu
-	total time.Duration // guarded by mu
+	mu         sync.Mutex
+	recordedAt time.Time     // guarded by mu; time of the last call of record
+	longest    time.Duration // guarded by mu; longest delay of the timer
+	total      time.Duration // guarded by mu; all stalls together
 }
 
-// WatchStalls starts a measurement. It has to be stopped.
+// WatchStalls starts to measure stalls. The caller must stop the measurement.
 func WatchStalls() *StallWatch {
 	watch := newStallWatch(time.Now())
 	go watch.run()
@@ -33,7 +34,7 @@
 }
 
 func newStallWatch(now time.Time) *StallWatch {
-	return &StallWatch{stopped: make(chan struct{}), last: now}
+	return &StallWatch{stopped: make(chan struct{}), recordedAt: now}
 }
 
 func (w *StallWatch) run() {
@@ -47,19 +48,19 @@
 	}
 }
 
-// record notes that this process runs.
+// record adds the delay since the last call, as far as it exceeds the timer's interval.
 func (w *StallWatch) record(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	late := now.Sub(w.last) - stallCheckInterval
-	w.last = now
-	w.worst = max(w.worst, late)
+	late := now.Sub(w.recordedAt) - stallCheckInterval
+	w.recordedAt = now
+	w.longest = max(w.longest, late)
 	if late >= minStall {
 		w.total += late
 	}
 }
 
-// Total returns for how long the machine has held this process up until now, all stalls together.
+// Total returns the duration of all stalls until now together.
 func (w *StallWatch) Total() time.Duration {
 	w.record(time.Now())
 	w.mu.Lock()
@@ -67,11 +68,11 @@
 	return w.total
 }
 
-// Stop ends the measurement and returns by how much a timer came late at the most.
+// Stop ends the measurement and returns the longest delay of the timer.
 func (w *StallWatch) Stop() time.Duration {
 	w.record(time.Now())
 	close(w.stopped)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.worst
+	return w.longest
 }
--- a/internal/testkit/stalls_test.go
+++ b/internal/testkit/stalls_test.go
@@ -7,47 +7,48 @@
 	"time"
 )
 
-// A stall counts from its begin until the watch is asked, whether or not its timer has come by then: when a
-// stall ends, whoever waits may be woken before the timer.
-func TestStallUnderWayCounts(t *testing.T) {
+// A stall counts as a whole even if Total is called before the timer fires: when a stall ends, the goroutine of the
+// test may be woken before that of the timer.
+func TestUnrecordedStallCounts(t *testing.T) {
 	const stall = 200 * time.Millisecond
 	for _, c := range []struct {
-		name   string
-		record bool // the timer comes first
-	}{{"asked before the timer", false}, {"asked after the timer", true}} {
+		name       string
+		timerFirst bool
+	}{{"total before the timer", false}, {"total after the timer", true}} {
 		t.Run(c.name, func(t *testing.T) {
 			watch := newStallWatch(time.Now().Add(-stall))
-			if c.record {
+			if c.timerFirst {
 				watch.record(time.Now())
 			}
 			if total := watch.Total(); total < stall-stallCheckInterval {
-				t.Errorf("%v of %v", total, stall)
+				t.Errorf("total %v, want at least %v", total, stall-stallCheckInterval)
 			}
-			if worst := watch.Stop(); worst < stall-stallCheckInterval {
-				t.Errorf("%v of %v at most", worst, stall)
+			if longest := watch.Stop(); longest < stall-stallCheckInterval {
+				t.Errorf("longest delay %v, want at least %v", longest, stall-stallCheckInterval)
 			}
 		})
 	}
 }
 
-// Stalls add up, and what a timer is late on a quiet machine is none.
+// The total is the sum of all stalls. Timer delays shorter than minStall do not count.
 func TestStallsAddUp(t *testing.T) {
-	begun := time.Now().Add(-time.Second)
-	watch := newStallWatch(begun)
-	now := begun
+	start := time.Now().Add(-time.Second)
+	watch := newStallWatch(start)
+	now := start
 	for range 100 {
 		now = now.Add(stallCheckInterval + minStall - 1)
 		watch.record(now)
 	}
 	if watch.total != 0 {
-		t.Errorf("%v without a stall", watch.total)
+		t.Errorf("total %v after delays shorter than %v, want 0", watch.total, minStall)
 	}
 	for range 2 {
 		now = now.Add(stallCheckInterval + 20*time.Millisecond)
 		watch.record(now)
 	}
-	if watch.total != 40*time.Millisecond || watch.worst != 20*time.Millisecond {
-		t.Errorf("%v, %v at most", watch.total, watch.worst)
+	if watch.total != 40*time.Millisecond || watch.longest != 20*time.Millisecond {
+		t.Errorf("total %v and longest delay %v after two stalls of 20ms, want 40ms and 20ms",
+			watch.total, watch.longest)
 	}
 }
 
@@ -55,23 +56,23 @@
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name          string
-		before, after threadTimes
-		other         time.Duration // that another thread has waited
+		before, after threadTimes   // of the first thread
+		secondWaited  time.Duration // time that a second thread waited for a core
 		want          time.Duration
 	}{
-		{"it sleeps", threadTimes{5 * ms, 2 * ms, 'S'}, threadTimes{5 * ms, 2 * ms, 'S'}, 0, 0},
-		{"it runs", threadTimes{5 * ms, 2 * ms, 'R'}, threadTimes{15 * ms, 2 * ms, 'R'}, 0, 0},
-		{"it begins to wait", threadTimes{5 * ms, 2 * ms, 'S'}, threadTimes{5 * ms, 2 * ms, 'R'}, 0, 0},
-		{"it waits throughout", threadTimes{5 * ms, 2 * ms, 'R'}, threadTimes{5 * ms, 2 * ms, 'R'}, 0, 10 * ms},
-		{"a wait has ended", threadTimes{5 * ms, 2 * ms, 'R'}, threadTimes{6 * ms, 5 * ms, 'S'}, 0, 3 * ms},
-		{"a long wait has ended", threadTimes{5 * ms, 2 * ms, 'R'}, threadTimes{6 * ms, 90 * ms, 'S'}, 0, 10 * ms},
-		{"two wait", threadTimes{5 * ms, 2 * ms, 'R'}, threadTimes{6 * ms, 5 * ms, 'S'}, 4 * ms, 7 * ms},
+		{"sleeping", threadTimes{5 * ms, 2 * ms, 'S'}, threadTimes{5 * ms, 2 * ms, 'S'}, 0, 0},
+		{"running", threadTimes{5 * ms, 2 * ms, 'R'}, threadTimes{15 * ms, 2 * ms, 'R'}, 0, 0},
+		{"starts to wait", threadTimes{5 * ms, 2 * ms, 'S'}, threadTimes{5 * ms, 2 * ms, 'R'}, 0, 0},
+		{"waits all the time", threadTimes{5 * ms, 2 * ms, 'R'}, threadTimes{5 * ms, 2 * ms, 'R'}, 0, 10 * ms},
+		{"completed wait", threadTimes{5 * ms, 2 * ms, 'R'}, threadTimes{6 * ms, 5 * ms, 'S'}, 0, 3 * ms},
+		{"wait longer than elapsed", threadTimes{5 * ms, 2 * ms, 'R'}, threadTimes{6 * ms, 90 * ms, 'S'}, 0, 10 * ms},
+		{"two waiting threads", threadTimes{5 * ms, 2 * ms, 'R'}, threadTimes{6 * ms, 5 * ms, 'S'}, 4 * ms, 7 * ms},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			before := map[string]threadTimes{"1": c.before, "2": {state: 'S'}}
-			after := map[string]threadTimes{"1": c.after, "2": {state: 'S', waited: c.other}}
+			after := map[string]threadTimes{"1": c.after, "2": {state: 'S', waited: c.secondWaited}}
 			if got := stalledBetween(before, after, 10*ms); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("stalled for %v, want %v", got, c.want)
 			}
 		})
 	}
@@ -80,47 +81,48 @@
 func TestParseThread(t *testing.T) {
 	times, ok := parseThread("3000000 4000000 17\n", "42 (odd ) R name) S 1 42")
 	if want := (threadTimes{3 * time.Millisecond, 4 * time.Millisecond, 'S'}); !ok || times != want {
-		t.Errorf("%+v, %v", times, ok)
+		t.Errorf("parsed %+v, %v, want %+v, true", times, ok, want)
 	}
 	for _, text := range []struct{ schedule, status string }{{"", "42 (a) S 1"}, {"3 4 5", "42 (a"}, {"3 4 5", ""}} {
 		if times, ok := parseThread(text.schedule, text.status); ok {
-			t.Errorf("%+v of %q and %q", times, text.schedule, text.status)
+			t.Errorf("parsed %+v from schedstat %q and stat %q, want a failure", times, text.schedule, text.status)
 		}
 	}
 }
 
-// A thread that was runnable may have waited until it ended; one that slept has not.
-func TestStalledBeforeEnd(t *testing.T) {
+// A thread that was runnable may have waited for a core until it exited. A sleeping thread did not wait.
+func TestStalledBetweenWithExitedThread(t *testing.T) {
 	const elapsed = 10 * time.Millisecond
 	for state, want := range map[byte]time.Duration{runnable: elapsed, 'S': 0} {
 		if got := stalledBetween(map[string]threadTimes{"1": {state: state}}, nil, elapsed); got != want {
-			t.Errorf("%c: %v, want %v", state, got, want)
+			t.Errorf("thread in state %c: stalled for %v, want %v", state, got, want)
 		}
 	}
 }
 
-// What a process is held up counts from some ms on only, and a look at it that comes late counts, too.
+// A total up to maxIgnoredStall is reported as 0. A reading of the thread times that comes late counts as a stall,
+// also for a process without threads.
 func TestProcessStallsAddUp(t *testing.T) {
-	watch := &ProcessStallWatch{pid: -1, last: time.Now().Add(-processCheckInterval - maxIgnoredStall/2)}
+	watch := &ProcessStallWatch{pid: -1, readAt: time.Now().Add(-processCheckInterval - maxIgnoredStall/2)}
 	if total := watch.Total(); total != 0 {
-		t.Errorf("%v of half of what is ignored", total)
+		t.Errorf("total %v after a stall of %v, want 0", total, maxIgnoredStall/2)
 	}
-	watch.last = time.Now().Add(-processCheckInterval - maxIgnoredStall)
+	watch.readAt = time.Now().Add(-processCheckInterval - maxIgnoredStall)
 	if total := watch.Total(); total < maxIgnoredStall*3/2 {
-		t.Errorf("%v of one and a half times what is ignored", total)
+		t.Errorf("total %v after another stall of %v, want at least %v", total, maxIgnoredStall, maxIgnoredStall*3/2)
 	}
 }
 
-// This process's own threads are found, and one of them runs.
+// The threads of the test's process are found, and at least one of them is running.
 func TestReadThreads(t *testing.T) {
 	if runtime.GOOS != "linux" {
-		t.Skip("this system does not tell of threads")
+		t.Skip("thread times are read from /proc, which only Linux has")
 	}
 	running := false
 	for _, thread := range readThreads(os.Getpid()) {
 		running = running || thread.state == runnable && thread.ran > 0
 	}
 	if !running {
-		t.Error("no thread runs")
+		t.Errorf("process %d has no running thread, want at least one", os.Getpid())
 	}
 }
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,5 +1,5 @@
-// Package testkit has what the tests of several packages share: a client of the Thrift protocol, a cache that
-// behaves as a test says, a discovery service, a router in a process of its own, and waits with a bound. Only
+// Package testkit contains helpers for the tests of several packages: a client of the Thrift protocol, a cache
+// and a discovery service that a test controls, a router in a separate process, and waits with a timeout. Only
 // tests import it.
 package testkit
 
@@ -12,61 +12,61 @@
 	"time"
 )
 
-// Timeout bounds a wait for something that has to happen, where a test has no closer bound.
+// Timeout is the default timeout for something that must happen in a test.
 const Timeout = 5 * time.Second
 
-// pollInterval is the pause between two looks at a state that a test waits for.
+// pollInterval is the pause between two checks of a condition that a test waits for.
 const pollInterval = 5 * time.Millisecond
 
-// WaitUntil polls a state until it holds, and fails the test at once if it does not within the bound. The state
-// is looked at once more when the bound has passed.
-func WaitUntil(t *testing.T, bound time.Duration, what string, holds func() bool) {
+// WaitUntil polls a condition until it holds. It fails the test immediately if the condition still does not hold
+// after the timeout. The failure message contains the description.
+func WaitUntil(t *testing.T, timeout time.Duration, description string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(bound); !holds(); time.Sleep(pollInterval) {
+	for end := time.Now().Add(timeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %v: %s", bound, what)
+			t.Fatalf("timed out after %v, waiting for: %s", timeout, description)
 		}
 	}
 }
 
-// Receive returns the next value of a channel, and fails the test at once if there is none within the bound.
-func Receive[T any](t *testing.T, from <-chan T, bound time.Duration, what string) (value T) {
+// Receive returns the next value of a channel. It fails the test immediately if there is none within the timeout.
+// The failure message contains the description.
+func Receive[T any](t *testing.T, from <-chan T, timeout time.Duration, description string) (value T) {
 	t.Helper()
 	select {
 	case value = <-from:
-	case <-time.After(bound):
-		t.Fatalf("not within %v: %s", bound, what)
+	case <-time.After(timeout):
+		t.Fatalf("timed out after %v, waiting for: %s", timeout, description)
 	}
 	return value
 }
 
-// ExpectEnd waits for the result of something that has to end without an error within the bound.
-func ExpectEnd(t *testing.T, result <-chan error, bound time.Duration) {
+// ExpectEnd waits for the result of an operation and checks that it ends within the timeout and without an error.
+func ExpectEnd(t *testing.T, result <-chan error, timeout time.Duration) {
 	t.Helper()
-	if err := Receive(t, result, bound, "its end"); err != nil {
-		t.Error(err)
+	if err := Receive(t, result, timeout, "the end of the operation"); err != nil {
+		t.Errorf("the operation ended with an error: %v", err)
 	}
 }
 
-// Close closes what a test is done with. Its other side may have closed or reset it already, which is no error
-// of the test.
+// Close closes something and ignores the error, because the peer may have closed or reset the connection already.
 func Close(closer io.Closer) { _ = closer.Close() }
 
-// Write writes to a connection that the other side may have closed. What did not arrive shows in what comes
-// back, which each test checks.
+// Write writes to a connection and ignores the error, because the peer may have closed the connection already.
+// Lost data shows in the responses, which each test checks.
 func Write(conn net.Conn, raw []byte) { _, _ = conn.Write(raw) }
 
-// Reset closes a connection by a reset, as the system does for a process that dies.
+// Reset closes a connection with a TCP reset, as the system does for a process that dies.
 func Reset(conn net.Conn) {
-	_ = conn.(*net.TCPConn).SetLinger(0) // fails on a connection that is closed already, and that stays closed
+	_ = conn.(*net.TCPConn).SetLinger(0) // fails only on a connection that is already closed
 	Close(conn)
 }
 
-// SetTimeout bounds how long reads and writes of a connection may take from now on.
+// SetTimeout makes all reads and writes of a connection fail after the timeout, which starts now.
 func SetTimeout(t *testing.T, conn net.Conn, timeout time.Duration) {
 	t.Helper()
 	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
-		t.Errorf("deadline: %v", err)
+		t.Errorf("set a deadline in %v on the connection to %v: %v", timeout, conn.RemoteAddr(), err)
 	}
 }
 
@@ -78,8 +78,7 @@
 	}
 }
 
-// ReplaceFile replaces a file as a careful operator does: a reader sees all of the former content, or all of
-// the new.
+// ReplaceFile replaces a file atomically: a reader sees either all of the old content or all of the new content.
 func ReplaceFile(t *testing.T, path string, raw []byte) {
 	t.Helper()
 	WriteFile(t, path+".new", raw)
@@ -88,10 +87,10 @@
 	}
 }
 
-// SignalSelf sends a signal to the test's own process, in which a router runs.
+// SignalSelf sends a signal to the process of the test, for tests that run a router in it.
 func SignalSelf(t *testing.T, signal syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), signal); err != nil {
-		t.Fatal(err)
+		t.Fatalf("send %v to the process of the test: %v", signal, err)
 	}
 }
