--- a/internal/simulator/commands.go
+++ b/internal/simulator/commands.go
@@ -7,7 +7,7 @@
 	"tealpath/internal/simulator/wire"
 )
 
-// The wire's commands.
+// Commands to the simulator.
 const (
 	commandBailOut   = "BAIL_OUT"
 	commandCancel    = "REVOKE"
@@ -15,13 +15,13 @@
 	commandLog       = "PRINT"
 	commandProbe     = "INSPECT"
 	commandReject    = "SAY_NO"
-	commandSend      = "TRANSMIT" // to a cache, which serves only what it holds
-	commandSendFill  = "PULL_VIA" // to a cache, which may fill from a source
+	commandSend      = "TRANSMIT" // an attempt at a cache that serves only a cached object
+	commandSendFill  = "PULL_VIA" // an attempt at a cache that fills a miss from a source
 	commandSetTimer  = "WAKE_ME"
 	commandSubscribe = "SUBSCRIBE"
 )
 
-// The wire's flags of an attempt that may fill.
+// Flags of commandSendFill, see control.Attempt.
 const (
 	flagJoinFill = 1 << iota
 	flagParentOnlyIfCached
@@ -29,7 +29,7 @@
 	flagRefreshBehind
 )
 
-// apply carries out a decision on a request.
+// apply sends the commands for a decision on a request and schedules the next decision.
 func (h *Host) apply(now int64, in *instance, r *request, decision control.Decision) {
 	if r.finished {
 		return
@@ -48,14 +48,14 @@
 	h.scheduleRecheck(now, in, r)
 }
 
-// cancel cancels attempts of a request, by their numbers.
+// cancel cancels the attempts of a request with the given numbers.
 func (h *Host) cancel(in *instance, r *request, attempts []int) {
 	for _, number := range attempts {
 		h.out.Line(commandCancel, in.name, r.id, strconv.Itoa(number))
 	}
 }
 
-// send starts an attempt.
+// send sends the command that starts an attempt.
 func (h *Host) send(in *instance, r *request, attempt control.Attempt) {
 	r.attempts++
 	cache := encodeEndpoint(attempt.Cache)
--- a/internal/simulator/decode.go
+++ b/internal/simulator/decode.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"strconv"
 
 	"tealpath/control"
@@ -9,31 +10,31 @@
 )
 
 var (
-	errSeed     = errors.New("bad seed")
-	errEndpoint = errors.New("bad member id")
-	errOutcome  = errors.New("unknown outcome")
+	errSeed          = errors.New("not an unsigned 64-bit number")
+	errEndpointID    = errors.New("not an unsigned 32-bit number")
+	errUnknownResult = errors.New("unknown result of an attempt")
 )
 
 const (
-	// listChanges marks an endpoint list that has only what changed.
-	listChanges = "delta"
-	// listFailed marks a subscription that failed.
+	// listDelta marks an endpoint list that contains only the changed endpoints.
+	listDelta = "delta"
+	// listFailed marks a failed subscription to the endpoint list.
 	listFailed = "failed"
 
-	// purgesGroup in place of an object means that a whole group is purged.
-	purgesGroup = "0"
+	// groupPurge stands in place of the object in the purge of a whole group.
+	groupPurge = "0"
 
-	// probeSucceeded is the result of a health check that was answered.
+	// probeSucceeded is the result of a successful health check.
 	probeSucceeded = "GOOD"
 )
 
-// The wire's flags of a request.
+// Flags of a request.
 const (
 	flagClientRetry = 2
 	flagWrite       = 4
 )
 
-// results has the result that each word of the wire for an attempt's end stands for.
+// results maps the wire's words for the end of an attempt to the results of package control.
 var results = map[string]control.Result{
 	"GOOD":   control.Succeeded,
 	"BAD":    control.ServerError,
@@ -46,21 +47,21 @@
 	"MISS":   control.NotCached,
 }
 
-// decodeEndpoint decodes one line of an endpoint list.
-func decodeEndpoint(line wire.Event) (control.Endpoint, error) {
-	id, err := decodeEndpointID(line.Fields[0])
+// decodeEndpoint decodes one ITEM line of an endpoint list.
+func decodeEndpoint(item wire.Event) (control.Endpoint, error) {
+	id, err := decodeEndpointID(item.Fields[0])
 	if err != nil {
 		return control.Endpoint{}, err
 	}
-	cell, cellErr := line.Int(3)
-	capacity, capacityErr := line.Float(5)
-	startedAt, startedErr := line.Time(6)
+	cell, cellErr := item.Int(3)
+	capacity, capacityErr := item.Float(5)
+	startedAt, startedErr := item.Time(6)
 	return control.Endpoint{
 		ID:        id,
-		Location:  line.Fields[1],
-		Kind:      line.Fields[2],
+		Location:  item.Fields[1],
+		Kind:      item.Fields[2],
 		Cell:      cell,
-		Phase:     line.Fields[4],
+		Phase:     item.Fields[4],
 		Capacity:  capacity,
 		StartedAt: startedAt,
 	}, errors.Join(cellErr, capacityErr, startedErr)
@@ -69,12 +70,12 @@
 func decodeEndpointID(field string) (uint32, error) {
 	id, err := strconv.ParseUint(field, 10, 32)
 	if err != nil {
-		return 0, errEndpoint
+		return 0, fmt.Errorf("endpoint ID %q: %w", field, errEndpointID)
 	}
 	return uint32(id), nil
 }
 
-// decodeRequest decodes a request that came.
+// decodeRequest decodes a SUBMIT event, which is a new request.
 func decodeRequest(event wire.Event) (*request, error) {
 	flags, flagsErr := event.Int(2)
 	sizeKB, sizeErr := event.Float(4)
@@ -96,11 +97,11 @@
 	}, errors.Join(flagsErr, sizeErr, partErr, deadlineErr, groupErr)
 }
 
-// decodeOutcome decodes how an attempt ended.
+// decodeOutcome decodes an ENDED event, which is the end of an attempt.
 func decodeOutcome(event wire.Event) (control.Outcome, error) {
 	result, known := results[event.Fields[4]]
 	if !known {
-		return control.Outcome{}, errOutcome
+		return control.Outcome{}, fmt.Errorf("%w %q", errUnknownResult, event.Fields[4])
 	}
 	number, numberErr := event.Int(2)
 	elapsed, elapsedErr := event.Time(5)
@@ -119,11 +120,11 @@
 	}, errors.Join(numberErr, elapsedErr, endedErr, noteErr, firstByteErr, reportErr)
 }
 
-// purge is a purge of one object, or of a group where it names none.
+// purge is a purge of one object or, if object is empty, of a group.
 type purge struct {
 	object string
 	group  int64
-	age    int64 // since it took place, ns
+	age    int64 // ns since the purge
 }
 
 func decodePurge(event wire.Event) (purge, error) {
@@ -136,7 +137,7 @@
 		return purge{}, err
 	}
 	object := event.Text(1)
-	if object == purgesGroup {
+	if object == groupPurge {
 		object = ""
 	}
 	return purge{object: object, group: group, age: age}, nil
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -1,6 +1,7 @@
 package simulator
 
 import (
+	"fmt"
 	"math"
 	"slices"
 	"strconv"
@@ -11,7 +12,7 @@
 	"tealpath/internal/simulator/wire"
 )
 
-// handle handles one event. Events of instances that have ended are ignored.
+// handle handles one event. Events of unknown and stopped instances and of those with invalid settings are ignored.
 func (h *Host) handle(now int64, event wire.Event) error {
 	if event.Name == "START" {
 		return h.start(now, event)
@@ -43,12 +44,13 @@
 	return nil
 }
 
-// start starts an instance. One whose settings can't be used bails out.
+// start starts an instance. If package control rejects its settings, it reports that to the simulator with
+// commandBailOut.
 func (h *Host) start(now int64, event wire.Event) error {
 	name := event.Fields[0]
 	seed, err := strconv.ParseUint(event.Fields[1], 10, 64)
 	if err != nil {
-		return errSeed
+		return fmt.Errorf("seed %q: %w", event.Fields[1], errSeed)
 	}
 	raw, err := config.ParseSettings([]byte(event.Fields[2]))
 	if err != nil {
@@ -67,7 +69,8 @@
 	return nil
 }
 
-// tick does the periodic work and sets its timer again.
+// tick does the periodic work of an instance: it starts the health checks that are due, subscribes to the endpoint
+// list if that is due, and sets the timer for the next tick.
 func (h *Host) tick(now int64, in *instance) {
 	probes, delay := in.router.Tick(now)
 	for _, id := range probes {
@@ -95,14 +98,14 @@
 		return nil
 	}
 	endpoints := make([]control.Endpoint, len(event.Items))
-	for i, line := range event.Items {
-		endpoint, err := decodeEndpoint(line)
+	for i, item := range event.Items {
+		endpoint, err := decodeEndpoint(item)
 		if err != nil {
-			return err
+			return fmt.Errorf("endpoint %q: %w", item.Line, err)
 		}
 		endpoints[i] = endpoint
 	}
-	complete := event.Fields[1] != listChanges
+	complete := event.Fields[1] != listDelta
 	in.router.UpdateEndpoints(now, endpoints, complete)
 	return nil
 }
@@ -137,7 +140,8 @@
 	return nil
 }
 
-// startResponse handles an attempt whose response goes to the client from now on: the others are cancelled.
+// startResponse handles an ESTABLISHED event: the response of one attempt is being forwarded to the client. All
+// other attempts of the request are cancelled.
 func (h *Host) startResponse(now int64, in *instance, event wire.Event) error {
 	r := in.requests[event.Fields[1]]
 	if r == nil {
@@ -147,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	others := in.router.ClientGone(now, &r.Request).Cancel
+	others := in.router.ClientGone(now, &r.Request).Cancel // ends the request; Cancel has all attempts in flight
 	others = slices.DeleteFunc(others, func(other int) bool { return other == int(number) })
 	h.cancel(in, r, others)
 	return nil
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -7,42 +7,41 @@
 )
 
 const (
-	// subscribeRetryDelay is how long after a failed subscription to the endpoint list the next one is sent, in
-	// ns.
+	// subscribeRetryDelay is the time in ns from a failed subscription to the endpoint list to the next one.
 	subscribeRetryDelay = int64(5e8)
 
-	// minWakeUpDelay keeps the wait of a timer that is due from being 0, which is no time on the wire; ns.
+	// minWakeUpDelay is the shortest delay in ns of a timer. On the wire a delay of 0 is an absent value.
 	minWakeUpDelay = int64(1000)
 )
 
-// Tokens of the two timers that an instance keeps.
+// Tokens of the two timers of an instance, by which the simulator tells which of them has fired.
 const (
 	tickTimer    = "1"
 	recheckTimer = "2"
 )
 
-// request is a request in flight at an instance.
+// request is a request of an instance that is unfinished or has attempts in flight.
 type request struct {
 	control.Request
 	id        string
 	finished  bool
-	attempts  int   // that have not ended
-	recheckAt int64 // when the control package wants to be asked again, ns; 0 is not at all
+	attempts  int   // number of attempts in flight
+	recheckAt int64 // ns; when Decide must be called again, 0: not at all
 }
 
-// instance is one router and what the adapter keeps for it.
+// instance is one router with its requests and timers.
 type instance struct {
-	name     string
-	router   *control.Router
-	requests map[string]*request
-	rechecks timerqueue.Queue[*request]
-	timerAt  int64 // when the next timer for rechecks fires, ns; 0 if none is set
+	name           string
+	router         *control.Router // nil if its settings are invalid
+	requests       map[string]*request
+	rechecks       timerqueue.Queue[*request]
+	recheckTimerAt int64 // ns; when recheckTimer fires, 0: it is not set
 
-	subscribes  bool  // changes of the endpoint list come only to who subscribed
-	subscribeAt int64 // when that is due, ns
+	subscribes  bool  // the simulator sends the endpoint list only after a subscription
+	subscribeAt int64 // ns; when to subscribe next
 }
 
-// finish marks a request as finished, and drops it once none of its attempts is in flight.
+// finish marks a request as finished, and removes it if none of its attempts is in flight.
 func (in *instance) finish(r *request) {
 	r.finished = true
 	if r.attempts <= 0 {
@@ -50,7 +49,7 @@
 	}
 }
 
-// scheduleRecheck asks how long a request waits until it is decided on again, and enters that into the queue.
+// scheduleRecheck schedules the next call of Decide for an unfinished request, after its RecheckDelay.
 func (h *Host) scheduleRecheck(now int64, in *instance, r *request) {
 	if r.finished {
 		return
@@ -65,27 +64,27 @@
 	h.setRecheckTimer(now, in)
 }
 
-// setRecheckTimer sets a timer for the earliest recheck, unless one fires by then.
+// setRecheckTimer sets the timer for the earliest recheck, unless the timer already fires by then.
 func (h *Host) setRecheckTimer(now int64, in *instance) {
 	next := in.rechecks.Next()
 	if next == timerqueue.Never {
 		return
 	}
-	if in.timerAt != 0 && in.timerAt <= next {
+	if in.recheckTimerAt != 0 && in.recheckTimerAt <= next {
 		return
 	}
-	in.timerAt = next
-	delay := max(in.timerAt-now, minWakeUpDelay)
+	in.recheckTimerAt = next
+	delay := max(in.recheckTimerAt-now, minWakeUpDelay)
 	h.out.Line(commandSetTimer, in.name, wire.Seconds(delay), recheckTimer)
 }
 
-// recheck decides again on every request whose time for that has come.
+// recheck calls Decide for every request whose recheck is due.
 func (h *Host) recheck(now int64, in *instance) {
-	in.timerAt = 0
+	in.recheckTimerAt = 0
 	for in.rechecks.Next() <= now {
 		at, r := in.rechecks.Pop()
 		if r.finished || r.recheckAt != at {
-			continue // it was scheduled anew since
+			continue // the request is finished or was rescheduled, so this queue entry is outdated
 		}
 		r.recheckAt = 0
 		h.apply(now, in, r, in.router.Decide(now, &r.Request))
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -1,6 +1,6 @@
-// Package simulator runs routers on the wire of the operators' simulator: it decodes events into calls of the
-// control package, keeps the timers and the requests in flight, and encodes what the calls return. It decides
-// nothing.
+// Package simulator connects routers to the operators' simulator. It decodes the simulator's events into calls of
+// package control, keeps the timers and the requests in flight, and encodes the results of the calls as commands.
+// All decisions are made by package control.
 package simulator
 
 import (
@@ -12,14 +12,14 @@
 	"tealpath/internal/simulator/wire"
 )
 
-// Host is all instances of one process.
+// Host runs the router instances of one process.
 type Host struct {
 	out       *wire.Writer
 	instances map[string]*instance
 }
 
-// Run answers batches of events from in until it ends. The error names the batch and the line that the wire
-// does not allow.
+// Run reads batches of events from in and writes the reply to each one to out, until in ends. It fails at the first
+// invalid line, with a *wire.LineError that names the batch and the line, or if it can't read or write.
 func Run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
 	h := &Host{out: wire.NewWriter(out), instances: map[string]*instance{}}
@@ -39,25 +39,25 @@
 
 func (h *Host) handleBatch(batch *wire.Batch) error {
 	for _, event := range batch.Events {
-		if err := h.handleRecovered(batch.Now, event); err != nil {
+		if err := h.handleWithRecover(batch.Now, event); err != nil {
 			return &wire.LineError{Batch: batch.Number, Line: event.Line, Reason: err.Error()}
 		}
 	}
 	return h.out.Ready(batch.Number)
 }
 
-// handleRecovered handles an event. A panic of the control package ends the instance on the wire, not the
-// process.
-func (h *Host) handleRecovered(now int64, event wire.Event) (err error) {
+// handleWithRecover handles an event. A panic is reported to the simulator as the failure of the event's instance
+// and does not end the process.
+func (h *Host) handleWithRecover(now int64, event wire.Event) (err error) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			h.bailOut(event.Fields[0], fmt.Sprint(fault))
+		if panicValue := recover(); panicValue != nil {
+			h.bailOut(event.Fields[0], fmt.Sprint(panicValue))
 		}
 	}()
 	return h.handle(now, event)
 }
 
-// bailOut says that an instance can't go on, and why.
+// bailOut reports that an instance can't continue, and the reason.
 func (h *Host) bailOut(name, reason string) {
 	h.out.Line(commandBailOut, name, strings.ReplaceAll(reason, "\n", " "))
 }
--- a/internal/simulator/wire/reader.go
+++ b/internal/simulator/wire/reader.go
@@ -18,12 +18,13 @@
 	lineItem  = "ITEM"
 )
 
-// layout is the form of one kind of line.
+// layout describes the values of lines with one name.
 type layout struct {
 	fields   int
-	freeText bool // the last field runs to the end of the line, spaces included
+	freeText bool // the last value is the rest of the line and may contain spaces
 }
 
+// layouts maps the names of all input lines to their layouts.
 var layouts = map[string]layout{
 	"START":       {fields: 3, freeText: true},
 	"SUBMIT":      {fields: 10},
@@ -41,13 +42,13 @@
 	lineEnd:       {fields: 0},
 }
 
-// Reader reads batches.
+// Reader reads batches of events.
 type Reader struct {
 	in    *bufio.Reader
-	batch string // number of the last batch seen, for errors
+	batch string // number of the last batch started, for errors
 }
 
-// NewReader returns a reader of in.
+// NewReader returns a reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, readBufferSize), batch: absent}
 }
@@ -56,47 +57,49 @@
 	return &LineError{Batch: r.batch, Line: line, Reason: reason}
 }
 
-// readLine reads one line and splits it by the layout of its kind.
+// readLine reads one line and splits it into its name and values. The error is io.EOF if the input ends before the
+// line.
 func (r *Reader) readLine() (Event, error) {
 	text, err := r.in.ReadString('\n')
 	if err != nil {
 		if errors.Is(err, io.EOF) && text != "" {
-			return Event{}, r.lineError(text, "line without an end")
+			return Event{}, r.lineError(text, "input ended within a line")
 		}
 		return Event{}, err
 	}
 	text = strings.TrimSuffix(text, "\n")
 	name, rest, hasFields := strings.Cut(text, " ")
-	form, known := layouts[name]
+	expected, known := layouts[name]
 	if !known {
-		return Event{}, r.lineError(text, "unknown line")
+		return Event{}, r.lineError(text, fmt.Sprintf("unknown line name %q", name))
 	}
 	var fields []string
 	switch {
 	case !hasFields:
-	case form.freeText:
-		fields = strings.SplitN(rest, " ", form.fields)
+	case expected.freeText:
+		fields = strings.SplitN(rest, " ", expected.fields)
 	default:
 		fields = strings.Split(rest, " ")
 	}
-	if len(fields) != form.fields {
-		return Event{}, r.lineError(text, fmt.Sprintf("%s has %d values, not %d", name, len(fields), form.fields))
+	if len(fields) != expected.fields {
+		reason := fmt.Sprintf("%s has %d values, want %d", name, len(fields), expected.fields)
+		return Event{}, r.lineError(text, reason)
 	}
 	return Event{Name: name, Fields: fields, Line: text}, nil
 }
 
-// Read returns the next batch. The error is io.EOF if the input ends between two batches, and else a
-// *LineError.
+// Read returns the next batch. The error is io.EOF if the input ends between two batches, a *LineError if a line
+// violates the protocol, or the error of the underlying reader.
 func (r *Reader) Read() (*Batch, error) {
 	batch, err := r.readHead()
 	if err != nil {
 		return nil, err
 	}
-	items := 0 // lines of an endpoint list that are still to come
+	items := 0 // number of ITEM lines of the current endpoint list that have not been read yet
 	for {
 		event, err := r.readLine()
 		if errors.Is(err, io.EOF) {
-			return nil, r.lineError("", "input ended inside a batch")
+			return nil, r.lineError("", "input ended before "+lineEnd)
 		}
 		if err != nil {
 			return nil, err
@@ -109,13 +112,15 @@
 			items--
 			continue
 		case isItem || items > 0 || event.Name == lineBatch:
-			return nil, r.lineError(event.Line, "line out of place")
+			reason := fmt.Sprintf("unexpected %s with %d ITEM lines outstanding", event.Name, items)
+			return nil, r.lineError(event.Line, reason)
 		case event.Name == lineEnd:
 			return batch, nil
 		case event.Name == lineList:
 			count, err := event.Int(3)
 			if err != nil || count < 0 {
-				return nil, r.lineError(event.Line, "bad number of entries")
+				reason := fmt.Sprintf("number of ITEM lines is %q, want a whole number from 0", event.Fields[3])
+				return nil, r.lineError(event.Line, reason)
 			}
 			items = int(count)
 		}
@@ -123,14 +128,14 @@
 	}
 }
 
-// readHead reads the first line of a batch.
+// readHead reads the first line of a batch, which contains its time and its number.
 func (r *Reader) readHead() (*Batch, error) {
 	first, err := r.readLine()
 	if err != nil {
 		return nil, err
 	}
 	if first.Name != lineBatch {
-		return nil, r.lineError(first.Line, "a batch starts with MARK")
+		return nil, r.lineError(first.Line, fmt.Sprintf("a batch starts with %s, not with %s", lineBatch, first.Name))
 	}
 	r.batch = first.Fields[1]
 	now, err := first.Time(0)
--- a/internal/simulator/wire/values.go
+++ b/internal/simulator/wire/values.go
@@ -12,7 +12,7 @@
 	microsecondsPerSecond     = 1e6
 )
 
-// Text returns field i, or an empty text where it is absent.
+// Text returns field i, or an empty string if the field is absent.
 func (e Event) Text(i int) string {
 	if e.Fields[i] == absent {
 		return ""
@@ -20,19 +20,19 @@
 	return e.Fields[i]
 }
 
-// Int returns field i as a whole number; an absent one is 0.
+// Int returns field i as a whole number, or 0 if the field is absent.
 func (e Event) Int(i int) (int64, error) {
 	if e.Fields[i] == absent {
 		return 0, nil
 	}
 	number, err := strconv.ParseInt(e.Fields[i], 10, 64)
 	if err != nil {
-		return 0, &ValueError{Position: i + 1, Want: "not a whole number"}
+		return 0, &ValueError{Position: i + 1, Value: e.Fields[i], Want: "a whole number"}
 	}
 	return number, nil
 }
 
-// Bool returns field i as a switch; an absent one is false.
+// Bool returns whether field i is 1 rather than 0, or false if the field is absent.
 func (e Event) Bool(i int) (bool, error) {
 	switch e.Fields[i] {
 	case "1":
@@ -40,23 +40,23 @@
 	case "0", absent:
 		return false, nil
 	}
-	return false, &ValueError{Position: i + 1, Want: "neither 0 nor 1"}
+	return false, &ValueError{Position: i + 1, Value: e.Fields[i], Want: "0 or 1"}
 }
 
-// Float returns field i as a finite number; an absent one is 0.
+// Float returns field i as a finite number, or 0 if the field is absent.
 func (e Event) Float(i int) (float64, error) {
 	if e.Fields[i] == absent {
 		return 0, nil
 	}
 	number, err := strconv.ParseFloat(e.Fields[i], 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-		return 0, &ValueError{Position: i + 1, Want: "not a number"}
+		return 0, &ValueError{Position: i + 1, Value: e.Fields[i], Want: "a finite number"}
 	}
 	return number, nil
 }
 
-// Floats returns field i as a row of numbers with commas between them. An absent row is nil, an absent number
-// in it is 0.
+// Floats returns field i as a list of numbers, which are separated by commas. It returns nil if the field is absent
+// or empty. An absent number in the list is 0.
 func (e Event) Floats(i int) ([]float64, error) {
 	if e.Fields[i] == absent || e.Fields[i] == "" {
 		return nil, nil
@@ -69,14 +69,14 @@
 		}
 		number, err := strconv.ParseFloat(part, 64)
 		if err != nil {
-			return nil, &ValueError{Position: i + 1, Want: "not a row of numbers"}
+			return nil, &ValueError{Position: i + 1, Value: e.Fields[i], Want: "numbers separated by commas"}
 		}
 		numbers[k] = number
 	}
 	return numbers, nil
 }
 
-// Time returns field i, given in seconds, in ns.
+// Time converts field i from seconds to ns. An absent field is 0.
 func (e Event) Time(i int) (int64, error) {
 	seconds, err := e.Float(i)
 	return Nanos(seconds), err
@@ -87,8 +87,8 @@
 	return int64(math.Round(seconds * nanosecondsPerSecond))
 }
 
-// Seconds converts ns to seconds, to the microsecond that the wire counts in, rounded down. Zero is absent on
-// the wire, so a shorter positive time becomes one microsecond.
+// Seconds formats a time in ns as decimal seconds, rounded down to whole microseconds. On the wire 0 is an absent
+// value, so positive times below one microsecond are rounded up to one.
 func Seconds(ns int64) string {
 	if ns == 0 {
 		return absent
--- a/internal/simulator/wire/wire.go
+++ b/internal/simulator/wire/wire.go
@@ -1,44 +1,45 @@
-// Package wire reads and writes the line-based wire of the operators' simulator. Values are separated by single
-// spaces; an absent one is a dash; times are decimal seconds.
+// Package wire reads and writes the line-based protocol of the operators' simulator. A line is a name and its
+// values, separated by single spaces. A dash stands for an absent value. Times are decimal seconds.
 package wire
 
 import "fmt"
 
-// absent stands in place of a value that is not there.
+// absent stands for an absent value.
 const absent = "-"
 
-// Batch is all that arrived at one moment of the clock.
+// Batch contains all events of one moment in simulated time.
 type Batch struct {
 	Now    int64 // ns
 	Number string
 	Events []Event
 }
 
-// Event is one line of a batch. An endpoint list carries its ITEM lines with it.
+// Event is one line of a batch. The event of an endpoint list contains the ITEM lines that follow it.
 type Event struct {
 	Name   string
-	Fields []string
-	Items  []Event
-	Line   string
+	Fields []string // the values after the name
+	Items  []Event  // the ITEM lines of an endpoint list
+	Line   string   // the complete line
 }
 
-// LineError is a line that the wire does not allow.
+// LineError reports a line that violates the protocol.
 type LineError struct {
-	Batch  string // number of the batch, or of the last one read
+	Batch  string // number of the batch or, outside of a batch, of the one before
 	Line   string
 	Reason string
 }
 
 func (e *LineError) Error() string {
-	return fmt.Sprintf("batch %s: %s: %q", e.Batch, e.Reason, e.Line)
+	return fmt.Sprintf("batch %s: %s, in line %q", e.Batch, e.Reason, e.Line)
 }
 
-// ValueError is a value of an event that is not of its type.
+// ValueError reports a value of a line that is not of the expected type.
 type ValueError struct {
-	Position int    // counted from 1
-	Want     string // what it has to be
+	Position int    // counted from 1, after the name of the line
+	Value    string // the value itself
+	Want     string // the expected type
 }
 
 func (e *ValueError) Error() string {
-	return fmt.Sprintf("value %d is %s", e.Position, e.Want)
+	return fmt.Sprintf("value %d is %q, want %s", e.Position, e.Value, e.Want)
 }
--- a/internal/simulator/wire/writer.go
+++ b/internal/simulator/wire/writer.go
@@ -5,21 +5,22 @@
 	"io"
 )
 
-// lineReady ends a reply.
+// lineReady is the name of the last line of a reply.
 const lineReady = "READY"
 
-// Writer writes replies. A reply is buffered until it is complete, so that an error leaves no half of one.
+// Writer writes replies, each of them a list of commands. It buffers a reply until it is complete, so that no part
+// of a reply is written if an event of the batch is invalid.
 type Writer struct {
 	out   io.Writer
 	reply bytes.Buffer
 }
 
-// NewWriter returns a writer to out.
+// NewWriter returns a writer that writes to out.
 func NewWriter(out io.Writer) *Writer {
 	return &Writer{out: out}
 }
 
-// Line adds one command: its name and its values.
+// Line adds a command with its name and values to the reply.
 func (w *Writer) Line(name string, values ...string) {
 	w.reply.WriteString(name)
 	for _, value := range values {
@@ -29,7 +30,7 @@
 	w.reply.WriteByte('\n')
 }
 
-// Ready ends the reply to a batch and sends it.
+// Ready completes the reply to the batch with a number and writes it.
 func (w *Writer) Ready(batch string) error {
 	w.Line(lineReady, batch)
 	_, err := w.reply.WriteTo(w.out)
