--- a/internal/emulator/certificates/certificates.go
+++ b/internal/emulator/certificates/certificates.go
@@ -1,5 +1,5 @@
-// Package certificates issues short-lived certificates for tests and experiments, signed by root certificates
-// that it creates itself.
+// Package certificates issues short-lived certificates for tests and experiments. They are signed by root
+// certificates that the package creates itself, so nothing else trusts them.
 package certificates
 
 import (
--- a/internal/simulator/drawn_test.go
+++ b/internal/simulator/drawn_test.go
@@ -153,8 +153,8 @@
 	return len(p), nil
 }
 
-// The replies to random events equal the recorded ones. This detects unintended changes of the adapter and of
-// package control.
+// The replies to random events equal the recorded ones. This detects unintended changes of the decisions and of the
+// commands that are sent for them.
 func TestRepliesToRandomEventsAreAsRecorded(t *testing.T) {
 	for _, c := range []struct {
 		seed   uint64
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -44,8 +44,7 @@
 	return nil
 }
 
-// start starts an instance. If package control rejects its settings, it reports that to the simulator with
-// commandBailOut.
+// start starts an instance. If package control rejects its settings, commandBailOut is sent instead.
 func (h *Host) start(now int64, event wire.Event) error {
 	name := event.Fields[0]
 	seed, err := strconv.ParseUint(event.Fields[1], 10, 64)
--- a/internal/simulator/simulator.go
+++ b/internal/simulator/simulator.go
@@ -18,7 +18,7 @@
 	instances map[string]*instance
 }
 
-// Run reads batches of events from in and writes the reply to each one to out, until in ends. It fails at the first
+// Run reads batches of events from in until its end, and writes the reply to each batch to out. It fails at the first
 // invalid line, with a *wire.LineError that names the batch and the line, or if it can't read or write.
 func Run(in io.Reader, out io.Writer) error {
 	reader := wire.NewReader(in)
--- a/internal/simulator/wire/values.go
+++ b/internal/simulator/wire/values.go
@@ -32,7 +32,7 @@
 	return number, nil
 }
 
-// Bool returns whether field i is 1 rather than 0, or false if the field is absent.
+// Bool returns field i, which is 1 for true and 0 for false, or false if the field is absent.
 func (e Event) Bool(i int) (bool, error) {
 	switch e.Fields[i] {
 	case "1":
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -115,7 +115,7 @@
 // Cancel cancels the call with a sequence number.
 func (c *Client) Cancel(sequence int32) {
 	arguments := append(binary.BigEndian.AppendUint32([]byte{8, 0, 1}, uint32(sequence)), 0)
-	c.Send(thrift.Oneway, "cancel", 99, arguments) // a cancellation gets no response, so any number will do
+	c.Send(thrift.Oneway, "cancel", 99, arguments) // there is no response, so the number is not used
 }
 
 // Next reads a response and returns its sequence number and its encoded result. If it fails, it returns
