--- a/internal/operatorconfig/cluster.go
+++ b/internal/operatorconfig/cluster.go
@@ -14,23 +14,23 @@
 	"go4.org/netipx"
 )
 
-// Cluster is the configuration of the cluster: the instances that share periodic tasks by leases.
+// Cluster is the configuration of a cluster: instances that divide periodic tasks among themselves by leases.
 type Cluster struct {
-	Name            string               // of this instance
-	Listen          string               // address on which this instance accepts connections of others
-	Weight          float64              // of this instance: the share of slots that it should get, against the others
-	Instances       []membership.Contact // including this one
+	Name            string               // name of this instance
+	Listen          string               // address on which this instance accepts connections of other instances
+	Weight          float64              // weight of this instance: its share of slots is proportional to it
+	Instances       []membership.Contact // all instances, including this one
 	Voters          lease.Voters
-	Slots           int     // number of slots, each with a lease, to which the tasks hash
+	Slots           int     // number of slots; each has a lease, and tasks are hashed to slots
 	LeaseDuration   int64   // ns
 	RenewalInterval int64   // ns
-	MaxClockDrift   float64 // by how much the rate of a clock may be off, as a fraction
+	MaxClockDrift   float64 // maximum relative error of a clock's rate
 	Membership      cluster.MembershipConfig
 	TLS             peer.KeyFiles
 	Allow           *netipx.IPSet // addresses from and to which connections are allowed
 
-	// Probe is the configuration of health checks; nil: there are none. Its limits of endpoints in slow start are
-	// not in the file: ApplySettings sets them.
+	// Probe is the configuration of health checks; nil: there are none. The file does not contain the load limits
+	// of endpoints in slow start; ApplySettings sets them.
 	Probe *probe.Config
 
 	probePosition sexpr.Position
@@ -51,7 +51,7 @@
 	maxEpoch   = 1 << 40
 	minLease   = 100 * time.Millisecond
 	minRenewal = 20 * time.Millisecond
-	maxLease   = time.Hour // also of the renewal interval
+	maxLease   = time.Hour // also the maximum renewal interval
 	maxDrift   = 0.1
 	minWeight  = 0.01
 	maxWeight  = 1000
@@ -62,7 +62,7 @@
 	maxSilenceTimeout    = time.Hour
 )
 
-// instance is one item of (instances …).
+// instance is a decoded (instance …).
 type instance struct {
 	position sexpr.Position
 	name     string
@@ -70,24 +70,24 @@
 	weight   float64
 }
 
-// clusterPositions are the positions of the lists of (fleet …), for errors that are found after they were decoded.
-// The position of a list that is missing is zero.
+// clusterPositions contains the positions of (fleet …) and of lists in it, for errors that are found after
+// decoding. The position of a missing list is zero.
 type clusterPositions struct {
 	cluster, listen, voters, lease, renewal, tls, allow, probe, membership sexpr.Position
 }
 
-// clusterLists are the decoded lists of (fleet …), before they are checked against each other.
+// clusterLists contains the decoded lists of (fleet …) until they are checked against each other.
 type clusterLists struct {
 	cluster   *Cluster
 	positions clusterPositions
 	instances []instance
 	listen    netip.AddrPort
-	allowed   netipx.IPSetBuilder
+	allowed   netipx.IPSetBuilder // from (allow …)
 	slots     int64
 	epoch     int64
 }
 
-// cluster decodes (fleet …) for the instance with a name. Paths in it are relative to a folder.
+// cluster decodes (fleet …). name is the name of this instance. Paths in the list are relative to folder.
 func (d *decoder) cluster(into **Cluster, name, folder string) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		lists := &clusterLists{
@@ -104,10 +104,10 @@
 		}
 		*into = lists.cluster
 		d.section(list, arguments, d.clusterSection(lists))
-		lists.finish(folder)
+		lists.convertFields(folder)
 		allowed, err := lists.allowed.IPSet()
 		if err != nil {
-			d.errors.addf(lists.positions.allow, "%v", err)
+			d.errors.addf(lists.positions.allow, "allow: %v", err)
 			return
 		}
 		lists.cluster.Allow = allowed
@@ -115,26 +115,29 @@
 	}
 }
 
-// clusterSection returns the keys of (fleet …).
+// clusterSection returns the definition of (fleet …).
 func (d *decoder) clusterSection(lists *clusterLists) section {
 	settings, positions := lists.cluster, &lists.positions
 	return section{
-		"instances":  {required: true, decode: d.instances(&lists.instances)},
-		"listen":     {decode: at(&positions.listen, d.address(&lists.listen))},
-		"voters":     {required: true, decode: at(&positions.voters, d.voters(lists))},
-		"slots":      {decode: d.integer(&lists.slots, 1, lease.MaxSlots)},
-		"lease":      {decode: at(&positions.lease, d.duration(&settings.LeaseDuration, minLease, maxLease))},
-		"renewal":    {decode: at(&positions.renewal, d.duration(&settings.RenewalInterval, minRenewal, maxLease))},
+		"instances": {required: true, decode: d.instances(&lists.instances)},
+		"listen":    {decode: withPosition(&positions.listen, d.address(&lists.listen))},
+		"voters":    {required: true, decode: withPosition(&positions.voters, d.voters(lists))},
+		"slots":     {decode: d.integer(&lists.slots, 1, lease.MaxSlots)},
+		"lease": {decode: withPosition(&positions.lease,
+			d.duration(&settings.LeaseDuration, minLease, maxLease))},
+		"renewal": {decode: withPosition(&positions.renewal,
+			d.duration(&settings.RenewalInterval, minRenewal, maxLease))},
 		"drift":      {decode: d.number(&settings.MaxClockDrift, 0, maxDrift)},
-		"tls":        {required: true, decode: at(&positions.tls, d.keyFiles(&settings.TLS))},
-		"allow":      {required: true, decode: at(&positions.allow, d.allowed(&lists.allowed))},
-		"probe":      {decode: at(&positions.probe, d.probe(&settings.Probe))},
-		"membership": {decode: at(&positions.membership, d.membership(&settings.Membership))},
+		"tls":        {required: true, decode: withPosition(&positions.tls, d.keyFiles(&settings.TLS))},
+		"allow":      {required: true, decode: withPosition(&positions.allow, d.allowedAddresses(&lists.allowed))},
+		"probe":      {decode: withPosition(&positions.probe, d.probe(&settings.Probe))},
+		"membership": {decode: withPosition(&positions.membership, d.membership(&settings.Membership))},
 	}
 }
 
-// finish sets the fields of the cluster that were decoded into variables of other types.
-func (l *clusterLists) finish(folder string) {
+// convertFields sets the fields of the cluster that need a conversion after decoding: numbers of another type, and
+// paths relative to folder.
+func (l *clusterLists) convertFields(folder string) {
 	l.cluster.Slots = int(l.slots)
 	l.cluster.Voters.Epoch = uint64(l.epoch)
 	l.cluster.probePosition = l.positions.probe
@@ -145,11 +148,12 @@
 	}
 }
 
-// instances decodes (instances …).
+// instances decodes (instances …). Names and addresses must be unique.
 func (d *decoder) instances(into *[]instance) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		if len(arguments) > membership.MaxMembers {
-			d.errors.addf(list.Position, "%d instances, %d can be", len(arguments), membership.MaxMembers)
+			d.errors.addf(list.Position, "(instances …) has %d instances, at most %d are allowed",
+				len(arguments), membership.MaxMembers)
 			return
 		}
 		names := map[string]sexpr.Position{}
@@ -160,10 +164,11 @@
 				continue
 			}
 			if first, twice := names[decoded.name]; twice {
-				d.errors.addf(item.Position, "instance %s stands at line %d already", decoded.name, first.Line)
+				d.errors.addf(item.Position, "duplicate instance %s, first listed at line %d", decoded.name, first.Line)
 			}
 			if other, twice := addresses[decoded.address]; twice && decoded.address.IsValid() {
-				d.errors.addf(item.Position, "instance %s has the address of %s", decoded.name, other)
+				d.errors.addf(item.Position, "instance %s has the same address %s as instance %s",
+					decoded.name, decoded.address, other)
 			}
 			names[decoded.name] = item.Position
 			addresses[decoded.address] = decoded.name
@@ -175,7 +180,7 @@
 // instance decodes (instance NAME …).
 func (d *decoder) instance(list *sexpr.Node) (decoded instance, ok bool) {
 	if list.Head() != "instance" || len(list.List) < 2 || list.List[1].IsList {
-		d.errors.addf(list.Position, "%s, where (instance NAME (at ADDRESS)) belongs", list)
+		d.errors.addf(list.Position, "instances: %s is invalid, want (instance NAME (at ADDRESS))", list)
 		return instance{}, false
 	}
 	decoded = instance{
@@ -190,7 +195,7 @@
 	return decoded, true
 }
 
-// voters decodes (voters …): the instances whose majority grants leases.
+// voters decodes (voters …): the instances that vote on leases. A majority of them is needed to grant one.
 func (d *decoder) voters(lists *clusterLists) decodeFunc {
 	voters := &lists.cluster.Voters
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
@@ -213,22 +218,22 @@
 	}
 }
 
-// allowed decodes (allow …): addresses, networks and ranges of addresses.
-func (d *decoder) allowed(into *netipx.IPSetBuilder) decodeFunc {
+// allowedAddresses decodes (allow …): addresses, networks and ranges of addresses.
+func (d *decoder) allowedAddresses(into *netipx.IPSetBuilder) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		for _, value := range arguments {
-			if value.IsList || !d.allow(value, into) {
+			if value.IsList || !d.addAllowed(value, into) {
 				d.errors.addWrongKind(list.Head(), value, kindNetworks)
 			}
 		}
 	}
 }
 
-// allow adds one address, network or range. It returns false for anything else.
-func (d *decoder) allow(value *sexpr.Node, into *netipx.IPSetBuilder) bool {
+// addAllowed adds one address, network or range. It returns false if the value is none of these.
+func (d *decoder) addAllowed(value *sexpr.Node, into *netipx.IPSetBuilder) bool {
 	if prefix, err := netip.ParsePrefix(value.Word); err == nil {
 		if prefix != prefix.Masked() {
-			d.errors.addf(value.Position, "%s has bits behind its length; %s is meant", value, prefix.Masked())
+			d.errors.addf(value.Position, "allow: %s has address bits set after the prefix, want %s", value, prefix.Masked())
 		}
 		into.AddPrefix(prefix)
 		return true
@@ -244,7 +249,7 @@
 	return false
 }
 
-// membership decodes (membership …): how instances detect that others have failed.
+// membership decodes (membership …): the timing by which instances detect failures of other instances.
 func (d *decoder) membership(into *cluster.MembershipConfig) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		d.section(list, arguments, section{
--- a/internal/operatorconfig/cluster_check.go
+++ b/internal/operatorconfig/cluster_check.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	minRenewalsPerLease     = 3 // renewal intervals that a lease lasts
-	minHeartbeatsPerSilence = 2 // heartbeat intervals after which silence may be reported
+	minRenewalsPerLease     = 3 // minimum lease duration, in renewal intervals
+	minHeartbeatsPerSilence = 2 // minimum silence timeout, in heartbeat intervals
 )
 
-// checkCluster checks the lists of (fleet …) against each other, and sets the fields of the cluster that depend
-// on several of them.
+// checkCluster checks the lists of (fleet …) against each other, and sets the fields of the cluster that depend on
+// more than one list.
 func (d *decoder) checkCluster(lists *clusterLists) {
 	lists.setInstances()
 	d.checkAddresses(lists)
@@ -27,8 +27,8 @@
 	d.checkKeys(lists)
 }
 
-// setInstances sets the instances of the cluster, and the weight and the address of this one. (listen …) takes
-// precedence over the address in (instances …).
+// setInstances sets the instances of the cluster, and the weight and the listen address of this instance. (listen …)
+// takes precedence over the address in (instances …).
 func (l *clusterLists) setInstances() {
 	settings := l.cluster
 	for _, instance := range l.instances {
@@ -47,28 +47,29 @@
 	}
 }
 
-// checkAddresses checks that connections to all addresses are allowed, and that this instance has one.
+// checkAddresses checks that (allow …) contains the addresses of all instances, and that this instance has a listen
+// address.
 func (d *decoder) checkAddresses(lists *clusterLists) {
 	settings := lists.cluster
-	isOutside := func(address netip.AddrPort) bool {
+	isForbidden := func(address netip.AddrPort) bool {
 		return address.IsValid() && !settings.Allow.Contains(address.Addr())
 	}
 	for _, instance := range lists.instances {
-		if isOutside(instance.address) {
-			d.errors.addf(instance.position, "the address %s of %s is outside the allowed sets",
+		if isForbidden(instance.address) {
+			d.errors.addf(instance.position, "(allow …) does not contain the address %s of instance %s",
 				instance.address, instance.name)
 		}
 	}
-	if isOutside(lists.listen) {
-		d.errors.addf(lists.positions.listen, "the address %s is outside the allowed sets", lists.listen)
+	if isForbidden(lists.listen) {
+		d.errors.addf(lists.positions.listen, "(allow …) does not contain the listen address %s", lists.listen)
 	}
 	if settings.Name != "" && settings.Listen == "" {
 		d.errors.addf(lists.positions.cluster,
-			"%s is not among the instances, and no (listen …) says where it takes links", settings.Name)
+			"this instance, %s, is not in (instances …), so (listen ADDRESS) is required", settings.Name)
 	}
 }
 
-// checkVoterNames checks that each voter is an instance.
+// checkVoterNames checks that each voter is in (instances …).
 func (d *decoder) checkVoterNames(lists *clusterLists) {
 	isInstance := map[string]bool{}
 	for _, instance := range lists.instances {
@@ -77,44 +78,46 @@
 	voters := slices.Concat(lists.cluster.Voters.Current, lists.cluster.Voters.Previous)
 	for _, voter := range voters {
 		if !isInstance[voter] {
-			d.errors.addf(lists.positions.voters, "voter %s is not among the instances", voter)
+			d.errors.addf(lists.positions.voters, "voter %s is not in (instances …)", voter)
 		}
 	}
 }
 
-// checkDurations checks that the loss of a single message neither ends a lease nor is reported as silence.
+// checkDurations checks that a single lost message neither ends a lease nor is reported as silence.
 func (d *decoder) checkDurations(lists *clusterLists) {
 	settings, positions := lists.cluster, lists.positions
 	if settings.LeaseDuration < minRenewalsPerLease*settings.RenewalInterval {
 		position := cmp.Or(positions.lease, positions.renewal, positions.cluster)
-		d.errors.addf(position, "the lease of %s is shorter than three renewals of %s",
+		d.errors.addf(position, "the lease of %s is shorter than three renewal intervals of %s",
 			time.Duration(settings.LeaseDuration), time.Duration(settings.RenewalInterval))
 	}
 	silence := settings.Membership.SilenceTimeout
 	interval := cmp.Or(settings.Membership.HeartbeatInterval, settings.RenewalInterval)
 	if silence > 0 && silence < minHeartbeatsPerSilence*interval {
 		d.errors.addf(positions.membership,
-			"the silence of %s is shorter than two intervals of %s: one lost beat would be reported",
+			"the silence timeout of %s is shorter than two heartbeat intervals of %s: "+
+				"one lost heartbeat would be reported as silence",
 			time.Duration(silence), time.Duration(interval))
 	}
 }
 
-// checkVoters checks the sets of voters, those before a change included.
+// checkVoters checks the current set of voters and, during a change, the previous one.
 func (d *decoder) checkVoters(lists *clusterLists) {
 	position := lists.positions.voters
 	if position == (sexpr.Position{}) {
-		return // that they are missing is an error already
+		return // section has already reported that (voters …) is missing
 	}
 	voters := lists.cluster.Voters
 	if err := voters.Check(); err != nil {
 		d.errors.addf(position, "%v", err)
 	}
 	if voters.Epoch > 1 && len(voters.Previous) == 0 {
-		d.errors.addf(position, "epoch %d needs (before …): the voters of the epoch before", voters.Epoch)
+		d.errors.addf(position, "epoch %d requires (before …) with the voters of epoch %d",
+			voters.Epoch, voters.Epoch-1)
 	}
 }
 
-// checkProbe checks the health checks, with the settings of the leases under which they are made.
+// checkProbe sets the fields of the health checks that come from other lists, and checks the configuration.
 func (d *decoder) checkProbe(lists *clusterLists) {
 	config := lists.cluster.Probe
 	if config == nil {
@@ -127,11 +130,11 @@
 	}
 }
 
-// checkKeys checks that the certificate can be loaded and is valid for this instance's name.
+// checkKeys checks that the TLS files can be loaded and that the certificate is valid for this instance's name.
 func (d *decoder) checkKeys(lists *clusterLists) {
 	files := lists.cluster.TLS
 	if files.Certificate == "" || files.Key == "" || files.Roots == "" {
-		return // that one is missing is an error already
+		return // a missing list or an empty text has already been reported
 	}
 	keys, err := files.Load()
 	if err == nil && lists.cluster.Name != "" {
--- a/internal/operatorconfig/cluster_test.go
+++ b/internal/operatorconfig/cluster_test.go
@@ -12,7 +12,8 @@
 	"tealpath/internal/operatorconfig/sexpr"
 )
 
-// validFile is an operator's file for the instances a, b and c. Its folder is keyFolder.
+// validFile is a valid operator's file for the instances a, b and c. Its paths are relative to the folder that
+// keyFolder returns.
 const validFile = `; three instances
 (socket "a.sock")
 (fleet
@@ -24,7 +25,8 @@
   (probe (period 1s) (within 500ms) (cold-part 5%) (cost 1ms)))
 `
 
-// keyFolder returns a folder with keys and certificates for the instances a and b, and an expired certificate.
+// keyFolder returns a folder with keys and certificates for the instances a and b, and with old.key and old.pem, whose
+// certificate has expired.
 func keyFolder(t *testing.T) string {
 	t.Helper()
 	root, err := certificates.NewRoot("root")
@@ -66,7 +68,7 @@
 		{"cost of a probe", settings.Probe.Cost, 0.001},
 	} {
 		if c.got != c.want {
-			t.Errorf("%s: %v, want %v", c.name, c.got, c.want)
+			t.Errorf("%s is %v, want %v", c.name, c.got, c.want)
 		}
 	}
 }
@@ -77,7 +79,8 @@
 	}
 }
 
-// Health checks need to be allowed by the settings, which also have the limits of endpoints in slow start.
+// Health checks must be allowed by the deployment's settings, which also contain the load limits of endpoints in slow
+// start.
 func TestApplySettingsToHealthChecks(t *testing.T) {
 	file, err := Parse(validFile, "a", keyFolder(t))
 	if err != nil {
@@ -85,32 +88,38 @@
 	}
 	limit := probe.ColdLimit{Share: 0.5}
 	if err := file.ApplySettings(false, limit, limit); err == nil || !strings.HasPrefix(err.Error(), "9:3: ") {
-		t.Errorf("health checks that are not allowed: %v", err)
+		t.Errorf("error %v for health checks that are not allowed, want one at 9:3", err)
 	}
 	if err := file.ApplySettings(true, limit, probe.ColdLimit{}); err != nil {
 		t.Error(err)
 	}
 	if got := file.Cluster.Probe.Cache; got != limit {
-		t.Errorf("limit %+v, want %+v", got, limit)
+		t.Errorf("load limit of caches %+v, want %+v", got, limit)
 	}
 }
 
-// invalidFiles are changes of validFile, each with a part of the error that it causes.
+// invalidFiles contains invalid variants of validFile, in which old is replaced by new. want is a part of the error.
 var invalidFiles = []struct{ name, old, new, want string }{
-	{"unknown word", "(slots 32)", "(slot 32)", "6:3: unknown word slot in (fleet …); known are allow, drift"},
+	{"unknown key", "(slots 32)", "(slot 32)", "6:3: unknown key slot in (fleet …), allowed keys: allow, drift"},
 	{
-		"lease shorter than three renewals", "(lease 1500ms)", "(lease 1400ms)",
-		"6:14: the lease of 1.4s is shorter than three renewals of 500ms",
+		"lease shorter than three renewal intervals", "(lease 1500ms)", "(lease 1400ms)",
+		"6:14: the lease of 1.4s is shorter than three renewal intervals of 500ms",
 	},
-	{"a majority of none", "(now a b c)", "(now)", "5:3: no voters: a majority of none grants nothing"},
-	{"voter unknown", "(now a b c)", "(now a b d)", "5:3: voter d is not among the instances"},
+	{"no voters", "(now a b c)", "(now)", "5:3: no voters: a majority of none grants nothing"},
+	{"voter that is no instance", "(now a b c)", "(now a b d)", "5:3: voter d is not in (instances …)"},
 	{"voter twice", "(now a b c)", "(now a b b)", "5:3: voter b is named twice"},
 	{
-		"two changes of voters", "(epoch 1) (now a b c)", "(epoch 2) (now a b c) (before a)",
+		"change of more than one voter", "(epoch 1) (now a b c)", "(epoch 2) (now a b c) (before a)",
 		"5:3: voters change by one at a time",
 	},
-	{"no set before", "(epoch 1)", "(epoch 2)", "5:3: epoch 2 needs (before …)"},
-	{"own name missing", "(instance a ", "(instance x ", "3:1: a is not among the instances"},
+	{
+		"no previous voters", "(epoch 1)", "(epoch 2)",
+		"5:3: epoch 2 requires (before …) with the voters of epoch 1",
+	},
+	{
+		"own name missing", "(instance a ", "(instance x ",
+		"3:1: this instance, a, is not in (instances …), so (listen ADDRESS) is required",
+	},
 	{
 		"key of another certificate", `"a.key"`, `"b.key"`,
 		"7:3: certificate and key: tls: private key does not match public key",
@@ -122,37 +131,55 @@
 	{"expired certificate", `"a.pem") (key "a.key"`, `"old.pem") (key "old.key"`, "expired"},
 	{"missing file", `"roots.pem"`, `"none.pem"`, "7:3: roots: "},
 	{
-		"address outside the sets", "127.0.0.1:7102", "192.0.2.1:7102",
-		"the address 192.0.2.1:7102 of b is outside the allowed sets",
+		"address that is not allowed", "127.0.0.1:7102", "192.0.2.1:7102",
+		"(allow …) does not contain the address 192.0.2.1:7102 of instance b",
+	},
+	{
+		"host name", "127.0.0.1:7102", "localhost:7102",
+		`at: "localhost:7102" is invalid, want an IP address with a port, such as 127.0.0.1:7101`,
+	},
+	{
+		"same address", "127.0.0.1:7102", "127.0.0.1:7101",
+		"instance b has the same address 127.0.0.1:7101 as instance a",
+	},
+	{
+		"network with address bits", "127.0.0.0/8", "127.0.0.1/8",
+		`8:10: allow: "127.0.0.1/8" has address bits set after the prefix, want 127.0.0.0/8`,
+	},
+	{
+		"malformed network", "127.0.0.0/8", "127/8",
+		`8:10: allow: "127/8" is invalid, want an IP address, a network or a range of addresses`,
+	},
+	{
+		"duration without unit", "(lease 1500ms)", "(lease 1500)",
+		"6:21: lease: 1500 is invalid, want a duration such as 1500ms or 2s",
+	},
+	{"number too large", "(slots 32)", "(slots 5000)", "6:10: slots: 5000 is out of range, want 1 to 4096"},
+	{
+		"duplicate key", "(slots 32)", "(slots 32) (slots 33)",
+		"6:14: duplicate key slots in (fleet …), first used at line 6",
 	},
-	{"no address", "127.0.0.1:7102", "localhost:7102", `is no address such as 127.0.0.1:7101`},
-	{"same address", "127.0.0.1:7102", "127.0.0.1:7101", "instance b has the address of a"},
-	{"network with bits", "127.0.0.0/8", "127.0.0.1/8", `8:10: "127.0.0.1/8" has bits behind its length`},
-	{"no network", "127.0.0.0/8", "127/8", `8:10: "127/8" is no address, network or range`},
-	{"time without unit", "(lease 1500ms)", "(lease 1500)", "6:21: 1500 is no time such as 1500ms or 2s"},
-	{"number too large", "(slots 32)", "(slots 5000)", "6:10: 5000: 1 to 4096 can be"},
-	{"twice", "(slots 32)", "(slots 32) (slots 33)", "6:14: slots stands at line 6 already"},
-	{"lacking", "(allow ", "(deny ", "(fleet …) lacks (allow …)"},
-	{"probe part", "(cold-part 5%)", "(cold-part 40%)", "9:3: the cold part is 0.4, must be above 0 and at most 0.3"},
+	{"missing key", "(allow ", "(deny ", "(allow …) is missing in (fleet …)"},
+	{"cold part too large", "(cold-part 5%)", "(cold-part 40%)", "9:3: the cold part is 0.4, must be above 0 and at most 0.3"},
 	{
-		"probe slower than its period", "(within 500ms)", "(within 2s)",
+		"probe timeout longer than the period", "(within 500ms)", "(within 2s)",
 		"9:3: the probe timeout of 2000 ms is longer than the period of 1000 ms",
 	},
 	{
-		"silence of less than two intervals", "(slots 32)", "(membership (interval 1s) (silence 1500ms))",
-		"6:3: the silence of 1.5s is shorter than two intervals of 1s",
+		"silence timeout shorter than two heartbeat intervals", "(slots 32)", "(membership (interval 1s) (silence 1500ms))",
+		"6:3: the silence timeout of 1.5s is shorter than two heartbeat intervals of 1s",
 	},
 	{
-		"silence beside the renewal", "(slots 32)", "(membership (silence 900ms))",
-		"6:3: the silence of 900ms is shorter than two intervals of 500ms",
+		"silence timeout shorter than two renewal intervals", "(slots 32)", "(membership (silence 900ms))",
+		"6:3: the silence timeout of 900ms is shorter than two heartbeat intervals of 500ms",
 	},
-	{"unknown word of membership", "(slots 32)", "(membership (probes 3))", "6:15: unknown word probes"},
-	{"no end", "(cost 1ms)))", "(cost 1ms))", "3:1: this ( has no )"},
-	{"no beginning", "(cost 1ms)))", "(cost 1ms))))", "9:64: a ) without its ("},
-	{"open text", `"a.pem"`, `"a.pem`, `has no end on its line`},
-	{"word outside", "; three instances", "three", "1:1: three stands outside any list"},
-	{"not UTF-8", "three", "\xff", "1:3: this is not UTF-8"},
-	{"escape", `"a.pem"`, `"a\q"`, `after \ only`},
+	{"unknown key in a nested list", "(slots 32)", "(membership (probes 3))", "6:15: unknown key probes"},
+	{"unclosed list", "(cost 1ms)))", "(cost 1ms))", "3:1: unclosed ("},
+	{"unmatched parenthesis", "(cost 1ms)))", "(cost 1ms))))", "9:64: unmatched )"},
+	{"unclosed text", `"a.pem"`, `"a.pem`, `the quoted text is not closed on its line`},
+	{"word outside of a list", "; three instances", "three", "1:1: three is not in a list"},
+	{"not UTF-8", "three", "\xff", "1:3: byte 0xff is not valid UTF-8"},
+	{"unknown escape", `"a.pem"`, `"a\q"`, `unknown escape: \ before 'q', allowed are \" \\ \n \t`},
 }
 
 func TestErrorsNamePositionAndReason(t *testing.T) {
@@ -161,17 +188,17 @@
 		t.Run(tc.name, func(t *testing.T) {
 			text := strings.Replace(validFile, tc.old, tc.new, 1)
 			if text == validFile {
-				t.Fatal("the replacement changes nothing")
+				t.Fatalf("validFile does not contain %q", tc.old)
 			}
 			_, err := Parse(text, "a", dir)
 			if err == nil || !strings.Contains(err.Error(), tc.want) {
-				t.Errorf("%v, want %q", err, tc.want)
+				t.Errorf("error %v, want one with %q", err, tc.want)
 			}
 		})
 	}
 	_, err := Parse(strings.NewReplacer("(slots 32)", "(slot 1)", "1500ms", "1ms").Replace(validFile), "a", dir)
 	if err == nil || len(strings.Split(err.Error(), "\n")) < 2 {
-		t.Errorf("two faults are not both reported: %v", err)
+		t.Errorf("the file has two errors, but only this is reported: %v", err)
 	}
 }
 
@@ -181,16 +208,16 @@
 		want           Error
 	}{
 		{
-			"wrong kind", "(lease 1500ms)", "(lease 1500)",
+			"wrong kind of value", "(lease 1500ms)", "(lease 1500)",
 			Error{
 				Position: sexpr.Position{Line: 6, Column: 21},
 				Key:      "lease",
 				Value:    "1500",
-				Allowed:  "time such as 1500ms or 2s",
+				Allowed:  "a duration such as 1500ms or 2s",
 			},
 		},
 		{
-			"out of range", "(slots 32)", "(slots 5000)",
+			"value out of range", "(slots 32)", "(slots 5000)",
 			Error{
 				Position: sexpr.Position{Line: 6, Column: 10},
 				Key:      "slots",
@@ -203,11 +230,11 @@
 			_, err := Parse(strings.Replace(validFile, tc.old, tc.new, 1), "a", keyFolder(t))
 			var got *Error
 			if !errors.As(err, &got) {
-				t.Fatalf("error %v of type %T", err, err)
+				t.Fatalf("error %v of type %T, want an *Error", err, err)
 			}
 			tc.want.Reason = got.Reason
 			if *got != tc.want {
-				t.Errorf("%+v, want %+v", *got, tc.want)
+				t.Errorf("error %+v, want %+v", *got, tc.want)
 			}
 		})
 	}
--- a/internal/operatorconfig/decoder.go
+++ b/internal/operatorconfig/decoder.go
@@ -8,20 +8,20 @@
 	"tealpath/internal/operatorconfig/sexpr"
 )
 
-// decodeFunc decodes one list, (KEY ARGUMENT …).
+// decodeFunc decodes one list, (KEY ARGUMENT …). list.Head() is the key.
 type decodeFunc func(list *sexpr.Node, arguments []*sexpr.Node)
 
-// key is the definition of a key: how its list is decoded, and how often it may occur.
+// key defines how the lists with one key are decoded and how often they may occur.
 type key struct {
 	decode   decodeFunc
 	required bool
-	repeated bool // it may occur more than once
+	repeated bool // the key may occur more than once
 }
 
-// section is the definition of a list whose elements are lists: the keys that these may have.
+// section defines a list whose elements are lists: it maps each key that these may have to its definition.
 type section map[string]key
 
-// names returns the keys in order.
+// names returns the keys in alphabetical order.
 func (s section) names() []string {
 	return slices.Sorted(maps.Keys(s))
 }
@@ -31,8 +31,8 @@
 	errors errorList
 }
 
-// section decodes the items of a list by the list's definition. Each must be a list with a defined key, and a
-// key may occur twice only if it may be repeated.
+// section decodes the items of a list. Each item must be a list whose key is in the definition, and only keys
+// that are marked as repeated may occur more than once.
 func (d *decoder) section(list *sexpr.Node, items []*sexpr.Node, definition section) {
 	seen := map[string]sexpr.Position{}
 	for _, item := range items {
@@ -41,7 +41,7 @@
 	for _, name := range definition.names() {
 		_, found := seen[name]
 		if definition[name].required && !found {
-			d.errors.addf(list.Position, "(%s …) lacks (%s …)", list.Head(), name)
+			d.errors.addf(list.Position, "(%s …) is missing in (%s …)", name, list.Head())
 		}
 	}
 }
@@ -51,25 +51,26 @@
 	name := item.Head()
 	if name == "" {
 		example := definition.names()[0]
-		d.errors.addf(item.Position, "%s, where a list such as (%s …) belongs", item, example)
+		d.errors.addf(item.Position, "(%s …) contains %s, want only lists that begin with a key, such as (%s …)",
+			list.Head(), item, example)
 		return
 	}
 	found, ok := definition[name]
 	if !ok {
 		allowed := strings.Join(definition.names(), ", ")
-		d.errors.addf(item.Position, "unknown word %s in (%s …); known are %s", name, list.Head(), allowed)
+		d.errors.addf(item.Position, "unknown key %s in (%s …), allowed keys: %s", name, list.Head(), allowed)
 		return
 	}
 	if first, twice := seen[name]; twice && !found.repeated {
-		d.errors.addf(item.Position, "%s stands at line %d already", name, first.Line)
+		d.errors.addf(item.Position, "duplicate key %s in (%s …), first used at line %d", name, list.Head(), first.Line)
 		return
 	}
 	seen[name] = item.Position
 	found.decode(item, item.List[1:])
 }
 
-// at returns a decoder that records the position of its list before it decodes it.
-func at(position *sexpr.Position, decode decodeFunc) decodeFunc {
+// withPosition returns a decodeFunc that stores the position of the list and then calls decode.
+func withPosition(position *sexpr.Position, decode decodeFunc) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		*position = list.Position
 		decode(list, arguments)
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -1,6 +1,6 @@
-// Package operatorconfig reads the operator's file: optional settings, as S-expressions, that the platform's
-// configuration file does not have. A file with any error is rejected completely; each error has its line, its
-// column and a reason. docs/oncall-fleet.md and deploy/fleet.example.sx explain the keys.
+// Package operatorconfig reads the operator's file: optional settings, written as S-expressions, that the
+// platform's configuration file does not have. A file with any error is rejected as a whole; each error has a line,
+// a column and a reason. docs/oncall-fleet.md and deploy/fleet.example.sx explain the keys.
 package operatorconfig
 
 import (
@@ -16,28 +16,29 @@
 	"tealpath/internal/operatorconfig/sexpr"
 )
 
-// File is an operator's file.
+// File contains the settings of an operator's file.
 type File struct {
-	SocketPath    string                // of the Unix socket for commands; empty: there is none
-	Cluster       *Cluster              // nil: this instance shares nothing with others
+	SocketPath    string                // path of the admin socket; empty: there is none
+	Cluster       *Cluster              // nil: this instance is stand-alone
 	Idle          *IdleConnections      // nil: the platform's defaults apply to clients' connections
-	ReadinessHold startup.ReadinessHold // zero: the startup is not held
+	ReadinessHold startup.ReadinessHold // zero: readiness is not delayed at startup
 
-	// Connections bounds connections to caches; nil: they are opened as attempts need them. The caller sets
-	// Router, Seed and Routers, which are not in the file.
+	// Connections limits the connections to caches; nil: they are opened as attempts need them. The caller sets the
+	// fields Router, Seed and Routers, which are not in the file.
 	Connections *connpool.Config
 
-	SnapshotPath     string // of the file in which the router's state is stored; empty: there is none
-	SnapshotInterval int64  // ns; between two writes of it
+	SnapshotPath     string // path of the file in which the router's state is stored; empty: there is none
+	SnapshotInterval int64  // time between two writes of the snapshot, ns
 
 	startPosition sexpr.Position
 	linksPosition sexpr.Position
 }
 
-// maxSocketPathLength bounds the socket's path, bytes: a little under the 107 that the system allows.
+// maxSocketPathLength is the maximum length of the socket's path in bytes. Linux allows 107.
 const maxSocketPathLength = 100
 
-// Load reads and checks an operator's file for the instance with a name. Paths in it are relative to its folder.
+// Load reads and checks an operator's file. name is the name of this instance. Paths in the file are relative to
+// the file's folder.
 func Load(path, name string) (*File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -50,8 +51,8 @@
 	return file, nil
 }
 
-// Parse decodes and checks a file's text for the instance with a name. Paths in it are relative to a folder. The
-// error joins an *Error for each fault.
+// Parse decodes and checks the text of an operator's file. name is the name of this instance. Paths in the text are
+// relative to folder. The returned error joins one *Error for each error in the text.
 func Parse(text, name, folder string) (*File, error) {
 	lists, err := sexpr.Parse(text)
 	if err != nil {
@@ -71,20 +72,20 @@
 	decode.section(root, lists, section{
 		"socket":   {decode: decode.text(&file.SocketPath)},
 		"idle":     {decode: decode.idleConnections(&file.Idle)},
-		"start":    {decode: at(&file.startPosition, decode.readinessHold(&file.ReadinessHold))},
-		"links":    {decode: at(&file.linksPosition, decode.connections(&file.Connections))},
+		"start":    {decode: withPosition(&file.startPosition, decode.readinessHold(&file.ReadinessHold))},
+		"links":    {decode: withPosition(&file.linksPosition, decode.connections(&file.Connections))},
 		"snapshot": {decode: decode.snapshot(file, folder)},
 		"fleet":    {decode: decode.cluster(&file.Cluster, name, folder)},
 	})
 	file.SocketPath = resolve(folder, file.SocketPath)
 	if len(file.SocketPath) > maxSocketPathLength {
-		decode.errors.addf(root.Position, "the socket's path has %d bytes, %d can be",
-			len(file.SocketPath), maxSocketPathLength)
+		decode.errors.addf(root.Position, "socket: the path %q has %d bytes, at most %d are allowed",
+			file.SocketPath, len(file.SocketPath), maxSocketPathLength)
 	}
 	return file, decode.errors.err()
 }
 
-// resolve returns the path of a file that is named relative to a folder. An empty or absolute path stays.
+// resolve joins a relative path to the folder. It returns an empty or absolute path unchanged.
 func resolve(folder, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
@@ -100,7 +101,8 @@
 	maxHoldDuration = time.Minute
 )
 
-// readinessHold decodes (start …).
+// readinessHold decodes (start …): how many routers may call discovery per second, and how long readiness may be
+// delayed until a router has been answered.
 func (d *decoder) readinessHold(into *startup.ReadinessHold) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		d.section(list, arguments, section{
@@ -117,7 +119,7 @@
 	maxConnectRate         = 1e6 // connections a second
 )
 
-// connections decodes (links …): how many connections each cache takes, and how fast.
+// connections decodes (links …): how many connections each cache accepts from all routers, and at which rate.
 func (d *decoder) connections(into **connpool.Config) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		config := &connpool.Config{}
@@ -131,7 +133,7 @@
 	}
 }
 
-// Values of (snapshot …).
+// Default value and limits of (every …) in (snapshot …).
 const (
 	defaultSnapshotInterval = 10 * time.Second
 	minSnapshotInterval     = time.Second
@@ -150,8 +152,8 @@
 	}
 }
 
-// SharedSettings returns the settings of a file that have to be compatible between instances. routers is the
-// number of routers in the deployment; 0: unknown.
+// SharedSettings returns the settings that must be compatible between all instances. routers is the number of
+// routers in the deployment, or 0 if it is unknown.
 func (f *File) SharedSettings(routers int) compatibility.Settings {
 	shared := compatibility.Settings{Routers: routers}
 	if f.Connections != nil {
@@ -170,8 +172,8 @@
 	return shared
 }
 
-// CheckConnections checks whether a number of routers in the location can share the connections that caches
-// take.
+// CheckConnections checks that the limits of (links …) suffice for this number of routers in the location. It sets
+// Connections.Routers.
 func (f *File) CheckConnections(routers int) error {
 	if f.Connections == nil {
 		return nil
@@ -183,8 +185,8 @@
 	return nil
 }
 
-// CheckReadinessHold checks whether the hold of the startup is long enough for a number of routers that start
-// together.
+// CheckReadinessHold checks that (hold …) is long enough for the first calls of this number of routers if they start
+// at the same time.
 func (f *File) CheckReadinessHold(routers int) error {
 	if err := f.ReadinessHold.Check(routers); err != nil {
 		return &Error{Position: f.startPosition, Reason: err.Error()}
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The hold of the startup must be long enough for the first calls of all routers.
+// (hold …) must be long enough for the first calls of all routers to discovery.
 func TestReadinessHoldIsChecked(t *testing.T) {
 	for _, c := range []struct {
 		text    string
@@ -27,13 +27,13 @@
 				err = file.CheckReadinessHold(c.routers)
 			}
 			if (err == nil) != (c.want == "") || err != nil && !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("error %v, want one that begins with %q (empty: no error)", err, c.want)
 			}
 		})
 	}
 }
 
-// The routers of a location must be able to open a connection each in reasonable time.
+// All routers of a location must be able to open one connection each to a cache within 30 s.
 func TestConnectionLimitsAreChecked(t *testing.T) {
 	for _, c := range []struct {
 		text    string
@@ -57,13 +57,13 @@
 				err = file.CheckConnections(c.routers)
 			}
 			if (err == nil) != (c.want == "") || err != nil && !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("error %v, want one that begins with %q (empty: no error)", err, c.want)
 			}
 		})
 	}
 }
 
-// Each error has a position.
+// Each error has the position at which it occurs.
 func FuzzParse(f *testing.F) {
 	f.Add(validFile)
 	f.Add(`(a "b\n" (c ; d` + "\n" + `) )`)
@@ -75,7 +75,7 @@
 		}
 		var first *Error
 		if !errors.As(err, &first) || first.Position.Line < 1 || first.Position.Column < 1 {
-			t.Errorf("an error without a position: %v", err)
+			t.Errorf("error without a position: %v", err)
 		}
 	})
 }
--- a/internal/operatorconfig/idle.go
+++ b/internal/operatorconfig/idle.go
@@ -13,15 +13,15 @@
 	"github.com/gaissmai/bart"
 )
 
-// IdleConnections bounds clients' connections, and says how long idle ones are kept open.
+// IdleConnections limits the number of clients' connections and sets how long idle ones are kept open.
 type IdleConnections struct {
-	MaxConnections  int                 // of all clients; 0: the default. CheckResources sets it
+	MaxConnections  int                 // of all clients together; 0 until CheckResources sets the default
 	Policies        []idle.Policy       // the first is for clients that are in none of the networks
-	PolicyByNetwork *bart.Table[uint16] // index in Policies, by the network that has it
-	positions       []sexpr.Position    // in the file, by the index in Policies
+	PolicyByNetwork *bart.Table[uint16] // network to index in Policies
+	positions       []sexpr.Position    // positions of the lists of the Policies, in the same order
 }
 
-// Values of (idle …).
+// Default values and limits of (idle …).
 const (
 	defaultIdleTimeout = 10 * time.Second
 	defaultMaxJitter   = time.Second
@@ -31,14 +31,14 @@
 	maxClients         = 1 << 20
 )
 
-// networkValues are the values of (network …), or those of (idle …) for clients in none of the networks.
+// networkValues contains the values of (network …), or those of (idle …) for clients in none of the networks.
 type networkValues struct {
 	policy         idle.Policy
-	maxConnections int64 // of the network, or of all clients; 0: not stated
-	maxPerClient   int64 // of one client address; 0: not stated
+	maxConnections int64 // in the network, or in all; 0: not set
+	maxPerClient   int64 // from one client address; 0: not set
 }
 
-// section returns the definition of the keys that set the values.
+// section returns the definition of the keys that (idle …) and (network …) have in common. They decode into v.
 func (v *networkValues) section(d *decoder) section {
 	return section{
 		"after":      {decode: d.duration(&v.policy.IdleTimeout, minIdleTimeout, maxIdleTimeout)},
@@ -48,7 +48,7 @@
 	}
 }
 
-// idleConnections decodes (idle …).
+// idleConnections decodes (idle …). Its networks are decoded last, because they inherit its values.
 func (d *decoder) idleConnections(into **IdleConnections) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		values := networkValues{policy: idle.Policy{
@@ -56,12 +56,12 @@
 			MaxJitter:   int64(defaultMaxJitter),
 		}}
 		var networks []*sexpr.Node
-		known := section{"network": {
+		definition := section{"network": {
 			repeated: true,
 			decode:   func(list *sexpr.Node, _ []*sexpr.Node) { networks = append(networks, list) },
 		}}
-		maps.Copy(known, values.section(d))
-		d.section(list, arguments, known)
+		maps.Copy(definition, values.section(d))
+		d.section(list, arguments, definition)
 		values.policy.MaxPerClient = int(values.maxPerClient)
 		decoded := &IdleConnections{
 			MaxConnections:  int(values.maxConnections),
@@ -76,11 +76,11 @@
 	}
 }
 
-// network decodes (network …) and adds its policy. values are those of (idle …), which apply where the network
-// has none of its own, except for the bound on connections: a network without one has no bound of its own.
+// network decodes (network …) and adds its policy. values are those of (idle …). The network inherits those that it
+// does not set, except for the maximum number of connections: a network without (most …) has no limit of its own.
 func (d *decoder) network(list *sexpr.Node, into *IdleConnections, values networkValues) {
 	if len(list.List) < 2 || list.List[1].IsList {
-		d.errors.addf(list.Position, `(network …) takes a network such as "10.0.0.0/8" first`)
+		d.errors.addf(list.Position, `(network …) must begin with a network such as "10.0.0.0/8"`)
 		return
 	}
 	prefix, err := netip.ParsePrefix(list.List[1].Word)
@@ -91,7 +91,7 @@
 	values.maxConnections = 0
 	d.section(list, list.List[2:], values.section(d))
 	if _, twice := into.PolicyByNetwork.Get(prefix); twice {
-		d.errors.addf(list.Position, "network %s stands twice", prefix)
+		d.errors.addf(list.Position, "duplicate network %s", prefix)
 	}
 	values.policy.MaxConnections = int(values.maxConnections)
 	values.policy.MaxPerClient = int(values.maxPerClient)
@@ -100,17 +100,17 @@
 	into.positions = append(into.positions, list.Position)
 }
 
-// Same reports whether two files have the same bounds and policies. It does not compare to which networks the
+// Same reports whether two files have the same limits and policies. It does not compare the networks to which the
 // policies apply.
-func (k *IdleConnections) Same(other *IdleConnections) bool {
-	if k == nil || other == nil {
-		return k == other
+func (c *IdleConnections) Same(other *IdleConnections) bool {
+	if c == nil || other == nil {
+		return c == other
 	}
-	return k.MaxConnections == other.MaxConnections && slices.Equal(k.Policies, other.Policies)
+	return c.MaxConnections == other.MaxConnections && slices.Equal(c.Policies, other.Policies)
 }
 
-// CheckResources checks the file's bounds on connections against the resources of the process. If the file has
-// no bound on all connections, it sets the default.
+// CheckResources checks the file's connection limits against the resources of the process. If the file does not limit
+// the connections of all clients, CheckResources sets the default limit.
 func (f *File) CheckResources(resources idle.Resources, defaultMaxConnections int) error {
 	if f.Idle == nil {
 		return nil
@@ -122,7 +122,7 @@
 	if err == nil {
 		return nil
 	}
-	position := f.Idle.positions[0] // unless it concerns one policy, the error concerns all connections
+	position := f.Idle.positions[0] // the list (idle …), unless the error is about one network
 	if ofPolicy, ok := errors.AsType[*idle.PolicyError](err); ok {
 		position = f.Idle.positions[ofPolicy.Index]
 	}
--- a/internal/operatorconfig/idle_test.go
+++ b/internal/operatorconfig/idle_test.go
@@ -10,12 +10,12 @@
 	"tealpath/internal/downstream/idle"
 )
 
-// idleFile has a default policy and those of two networks, one within the other.
+// idleFile has a default policy and policies for two networks, one of which contains the other.
 const idleFile = `(idle (after 2h) (spread 10s) (most 10000) (per-client 50)
   (network "10.0.0.0/8" (after 5m) (most 200))
   (network "10.1.0.0/16" (per-client 3)))`
 
-// A network inherits the values of (idle …), except for the bound on connections.
+// A network inherits the values of (idle …), except for the maximum number of connections.
 func TestIdlePoliciesAreDecoded(t *testing.T) {
 	file, err := Parse(idleFile, "a", ".")
 	if err != nil {
@@ -23,7 +23,7 @@
 	}
 	decoded := file.Idle
 	if decoded.MaxConnections != 10000 {
-		t.Errorf("%d connections, want 10000", decoded.MaxConnections)
+		t.Errorf("MaxConnections is %d, want 10000", decoded.MaxConnections)
 	}
 	const maxJitter = int64(10 * time.Second)
 	want := []idle.Policy{
@@ -41,8 +41,9 @@
 	}
 }
 
-// The bounds on connections must be within the resources of the process and within each other.
-func TestIdleBoundsAreCheckedAgainstResources(t *testing.T) {
+// The connection limits must not exceed the resources of the process, and those of a network or a client must not
+// exceed the limit of all connections.
+func TestIdleLimitsAreCheckedAgainstResources(t *testing.T) {
 	const defaultMaxConnections = 500
 	resources := idle.Resources{Descriptors: 20000, UpstreamConnections: 5000, MemoryBytes: 192 << 20}
 	littleMemory := resources
@@ -51,23 +52,23 @@
 		name      string
 		old, new  string
 		resources idle.Resources
-		want      string // part of the error; empty: none
+		want      string // part of the error; empty: no error
 	}{
-		{"as it is", "", "", resources, ""},
+		{"unchanged file", "", "", resources, ""},
 		{
-			"more than the descriptors", "(most 10000)", "(most 15000)", resources,
+			"more connections than descriptors", "(most 10000)", "(most 15000)", resources,
 			"1:1: 15000 connections: 20000 descriptors less 5000 for links",
 		},
 		{
-			"more than the memory", "", "", littleMemory,
+			"more connections than the memory allows", "", "", littleMemory,
 			"1:1: 10000 connections of 256 bytes each take 2500 KB",
 		},
 		{
-			"a network with more than all", "(most 200)", "(most 20000)", resources,
+			"a network with a higher limit than all", "(most 200)", "(most 20000)", resources,
 			"2:3: 20000 connections of a network are more than the 10000 in all",
 		},
 		{
-			"a client with more than all", "(per-client 3)", "(per-client 30000)", resources,
+			"a client with a higher limit than all", "(per-client 3)", "(per-client 30000)", resources,
 			"3:3: 30000 connections of a client are more",
 		},
 	} {
@@ -83,10 +84,10 @@
 
 func TestIdleErrorsNamePositionAndReason(t *testing.T) {
 	for text, want := range map[string]string{
-		`(idle (after 2))`:                                     "1:14: 2 is no time",
-		`(idle (network "10.0.0.1/8"))`:                        "1:16: ",
-		`(idle (network (after 1s)))`:                          "1:7: (network …) takes",
-		`(idle (network "10.0.0.0/8") (network "10.0.0.0/8"))`: "1:30: network 10.0.0.0/8 stands twice",
+		`(idle (after 2))`:                                     "1:14: after: 2 is invalid, want a duration",
+		`(idle (network "10.0.0.1/8"))`:                        `1:16: network: "10.0.0.1/8" is invalid`,
+		`(idle (network (after 1s)))`:                          "1:7: (network …) must begin with a network",
+		`(idle (network "10.0.0.0/8") (network "10.0.0.0/8"))`: "1:30: duplicate network 10.0.0.0/8",
 	} {
 		t.Run(text, func(t *testing.T) {
 			_, err := Parse(text, "a", ".")
@@ -95,13 +96,13 @@
 	}
 }
 
-// expectErrorPart checks that an error contains a text, or that there is none if the text is empty.
+// expectErrorPart checks that err contains the text want, or that err is nil if want is empty.
 func expectErrorPart(t *testing.T, err error, want string) {
 	t.Helper()
 	if want == "" && err == nil {
 		return
 	}
 	if want == "" || err == nil || !strings.Contains(err.Error(), want) {
-		t.Errorf("error %v, want %q", err, want)
+		t.Errorf("error %v, want one with %q (empty: no error)", err, want)
 	}
 }
--- a/internal/operatorconfig/probe.go
+++ b/internal/operatorconfig/probe.go
@@ -7,7 +7,7 @@
 	"tealpath/internal/operatorconfig/sexpr"
 )
 
-// Values of (probe …).
+// Default values and limits of (probe …).
 const (
 	defaultProbePeriod  = time.Second
 	minProbePeriod      = 50 * time.Millisecond
@@ -15,15 +15,16 @@
 	defaultProbeTimeout = 500 * time.Millisecond
 	minProbeTimeout     = 10 * time.Millisecond
 	maxProbeTimeout     = time.Minute
-	defaultColdPart     = 0.05 // of the load that an endpoint in slow start may get
+	defaultColdPart     = 0.05 // part of the load limit of an endpoint in slow start
 	minColdPart         = 0.0001
 	maxColdPart         = 1
-	defaultProbeCost    = time.Millisecond // of sending time
+	defaultProbeCost    = time.Millisecond // sending time that a probe takes
 	minProbeCost        = time.Microsecond
 	maxProbeCost        = time.Minute
 )
 
-// probe decodes (probe …): the health checks of an endpoint by the instance that holds the lease of its slot.
+// probe decodes (probe …): the configuration of health checks, each of which is done by the instance that holds the
+// lease of the endpoint's slot.
 func (d *decoder) probe(into **probe.Config) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		config := &probe.Config{
@@ -43,14 +44,17 @@
 	}
 }
 
-// ApplySettings sets the limits of endpoints in slow start, caches and parents, for health checks. It is an error
-// if the file has health checks that the deployment's settings do not allow.
+// ApplySettings sets the load limits of caches and parents in slow start for health checks. It returns an error if
+// the file has health checks but the deployment's settings do not allow them.
 func (f *File) ApplySettings(healthChecksAllowed bool, cache, parent probe.ColdLimit) error {
 	if f.Cluster == nil || f.Cluster.Probe == nil {
 		return nil
 	}
 	if !healthChecksAllowed {
-		return &Error{Position: f.Cluster.probePosition, Reason: "the deployment's settings do not allow probes"}
+		return &Error{
+			Position: f.Cluster.probePosition,
+			Reason:   "(probe …) is not allowed: mayProbe is not true in the deployment's settings",
+		}
 	}
 	f.Cluster.Probe.Cache = cache
 	f.Cluster.Probe.Parent = parent
--- a/internal/operatorconfig/sexpr/node.go
+++ b/internal/operatorconfig/sexpr/node.go
@@ -1,20 +1,20 @@
-// Package sexpr reads S-expressions: lists in parentheses of words, texts in quotes and other lists. A comment
-// goes from a semicolon to the end of its line. The size of a text and the depth of its lists are bounded.
+// Package sexpr parses S-expressions: parenthesized lists of words, quoted texts and other lists. A comment begins
+// with a semicolon and ends with its line. The size of the input and the nesting depth of lists are limited.
 package sexpr
 
 import "fmt"
 
-// Position is where something stands in a text. Both are counted from 1; columns count characters.
+// Position is a place in the input. Lines and columns start at 1; columns count characters, not bytes.
 type Position struct {
 	Line, Column int
 }
 
-// String returns the position as errors have it.
+// String returns the position as LINE:COLUMN.
 func (p Position) String() string {
 	return fmt.Sprintf("%d:%d", p.Line, p.Column)
 }
 
-// SyntaxError is a text that is no sequence of lists.
+// SyntaxError reports where and why the input is not a sequence of lists.
 type SyntaxError struct {
 	Position Position
 	Reason   string
@@ -24,16 +24,17 @@
 	return fmt.Sprintf("%s: %s", e.Position, e.Reason)
 }
 
-// Node is a list, a word or a text in quotes.
+// Node is a list, a word or a quoted text.
 type Node struct {
 	Position Position
-	Word     string  // of a word or a text
-	IsQuoted bool    // it is a text in quotes
-	IsList   bool    // it is a list
-	List     []*Node // of a list
+	Word     string  // the word or the quoted text without its quotes; empty for a list
+	IsQuoted bool    // whether the node is a quoted text
+	IsList   bool    // whether the node is a list
+	List     []*Node // the elements of a list
 }
 
-// Head returns the first word of a list, or an empty text where it has none.
+// Head returns the word that a list begins with. It returns "" if the node is not a list or does not begin with a
+// word.
 func (n *Node) Head() string {
 	if !n.IsList || len(n.List) == 0 {
 		return ""
@@ -45,7 +46,7 @@
 	return first.Word
 }
 
-// String returns the node as errors name it.
+// String returns a short form of the node for errors. It abbreviates lists.
 func (n *Node) String() string {
 	switch {
 	case n.IsList && n.Head() != "":
--- a/internal/operatorconfig/sexpr/parser.go
+++ b/internal/operatorconfig/sexpr/parser.go
@@ -7,23 +7,24 @@
 	"unicode/utf8"
 )
 
-// Bounds of a text.
+// Limits of the input.
 const (
 	maxSize  = 1 << 20 // bytes
-	maxDepth = 32      // lists within lists
+	maxDepth = 32      // nested lists
 )
 
-// endOfText is what peek returns behind the last character.
+// endOfText is what peek returns after the last character.
 const endOfText rune = -1
 
-// escapes has what a character stands for behind a backslash in quotes.
+// escapes maps the character after a backslash in a quoted text to the character that both represent.
 var escapes = map[rune]rune{'"': '"', '\\': '\\', 'n': '\n', 't': '\t'}
 
-// Parse returns the lists of a text. Any error is a *SyntaxError.
+// Parse returns the top-level lists of a text. Any error is a *SyntaxError.
 func Parse(text string) ([]*Node, error) {
 	start := Position{Line: 1, Column: 1}
 	if len(text) > maxSize {
-		return nil, &SyntaxError{Position: start, Reason: fmt.Sprintf("the file has more than %d bytes", maxSize)}
+		reason := fmt.Sprintf("the file has %d bytes, at most %d are allowed", len(text), maxSize)
+		return nil, &SyntaxError{Position: start, Reason: reason}
 	}
 	if err := checkEncoding(text); err != nil {
 		return nil, err
@@ -36,7 +37,7 @@
 			return nil, err
 		}
 		if !node.IsList {
-			return nil, &SyntaxError{Position: node.Position, Reason: fmt.Sprintf("%s stands outside any list", node)}
+			return nil, &SyntaxError{Position: node.Position, Reason: fmt.Sprintf("%s is not in a list", node)}
 		}
 		nodes = append(nodes, node)
 	}
@@ -55,14 +56,15 @@
 		}
 		p.next()
 	}
-	return &SyntaxError{Position: p.position, Reason: "this is not UTF-8"}
+	reason := fmt.Sprintf("byte 0x%02x is not valid UTF-8", p.text[p.offset])
+	return &SyntaxError{Position: p.position, Reason: reason}
 }
 
-// parser stands at a place in a text.
+// parser reads a text from its beginning to its end.
 type parser struct {
 	text     string
-	offset   int // bytes
-	position Position
+	offset   int      // of the next character, bytes
+	position Position // of the next character
 }
 
 func (p *parser) atEnd() bool {
@@ -78,7 +80,7 @@
 	return c
 }
 
-// next returns the next character and goes past it.
+// next returns the next character and advances past it.
 func (p *parser) next() rune {
 	c, size := utf8.DecodeRuneInString(p.text[p.offset:])
 	p.offset += size
@@ -90,7 +92,7 @@
 	return c
 }
 
-// skipSpace goes past white space and comments.
+// skipSpace skips white space and comments.
 func (p *parser) skipSpace() {
 	for !p.atEnd() {
 		c := p.peek()
@@ -113,11 +115,11 @@
 	}
 }
 
-// node reads a node within so many lists.
+// node reads one node. depth is the number of lists that contain it.
 func (p *parser) node(depth int) (*Node, error) {
 	switch p.peek() {
 	case ')':
-		return nil, &SyntaxError{Position: p.position, Reason: "a ) without its ("}
+		return nil, &SyntaxError{Position: p.position, Reason: "unmatched )"}
 	case '"':
 		return p.quoted()
 	case '(':
@@ -126,13 +128,13 @@
 	return p.word()
 }
 
-// word reads a word: characters up to white space or one that delimits.
+// word reads a word, which ends before white space or one of the delimiters ( ) ; ".
 func (p *parser) word() (*Node, error) {
 	node := &Node{Position: p.position}
 	for !p.atEnd() && !isDelimiter(p.peek()) {
 		c := p.next()
 		if unicode.IsControl(c) {
-			return nil, &SyntaxError{Position: node.Position, Reason: "a word with a control character"}
+			return nil, &SyntaxError{Position: node.Position, Reason: fmt.Sprintf("control character %q in a word", c)}
 		}
 		node.Word += string(c)
 	}
@@ -145,7 +147,8 @@
 
 func (p *parser) list(depth int) (*Node, error) {
 	if depth >= maxDepth {
-		return nil, &SyntaxError{Position: p.position, Reason: fmt.Sprintf("lists more than %d deep", maxDepth)}
+		reason := fmt.Sprintf("lists are nested more than %d deep", maxDepth)
+		return nil, &SyntaxError{Position: p.position, Reason: reason}
 	}
 	node := &Node{Position: p.position, IsList: true}
 	p.next()
@@ -153,7 +156,7 @@
 		p.skipSpace()
 		switch p.peek() {
 		case endOfText:
-			return nil, &SyntaxError{Position: node.Position, Reason: "this ( has no )"}
+			return nil, &SyntaxError{Position: node.Position, Reason: "unclosed ("}
 		case ')':
 			p.next()
 			return node, nil
@@ -166,7 +169,7 @@
 	}
 }
 
-// quoted reads a text in quotes, which ends on its line.
+// quoted reads a quoted text, which must end on the line on which it begins.
 func (p *parser) quoted() (*Node, error) {
 	node := &Node{Position: p.position, IsQuoted: true}
 	p.next()
@@ -178,11 +181,12 @@
 			node.Word = text.String()
 			return node, nil
 		case '\n':
-			return nil, &SyntaxError{Position: node.Position, Reason: `this " has no end on its line`}
+			return nil, &SyntaxError{Position: node.Position, Reason: "the quoted text is not closed on its line"}
 		case '\\':
 			escaped, known := escapes[p.peek()]
 			if !known {
-				return nil, &SyntaxError{Position: position, Reason: `after \ only " \ n t can stand`}
+				reason := fmt.Sprintf(`unknown escape: \ before %q, allowed are \" \\ \n \t`, p.peek())
+				return nil, &SyntaxError{Position: position, Reason: reason}
 			}
 			p.next()
 			text.WriteRune(escaped)
@@ -190,5 +194,5 @@
 			text.WriteRune(c)
 		}
 	}
-	return nil, &SyntaxError{Position: node.Position, Reason: `this " has no end`}
+	return nil, &SyntaxError{Position: node.Position, Reason: "the quoted text is not closed"}
 }
--- a/internal/operatorconfig/sexpr/parser_test.go
+++ b/internal/operatorconfig/sexpr/parser_test.go
@@ -16,13 +16,13 @@
 		if err != nil {
 			var syntax *SyntaxError
 			if !errors.As(err, &syntax) || syntax.Position.Line < 1 || syntax.Position.Column < 1 {
-				t.Errorf("an error without its position: %v", err)
+				t.Errorf("error without a position: %v", err)
 			}
 			return
 		}
 		for _, node := range nodes {
 			if !node.IsList {
-				t.Errorf("%s outside a list", node)
+				t.Errorf("node %s is not in a list", node)
 			}
 		}
 	})
@@ -33,21 +33,24 @@
 		name, text string
 		want       string
 	}{
-		{"no end of a list", "(a", "1:1: this ( has no )"},
-		{"no beginning of a list", "(a))", "1:4: a ) without its ("},
-		{"no end of a text on its line", "(a \"b\n\")", `1:4: this " has no end on its line`},
-		{"no end of a text", "(a \"b", `1:4: this " has no end`},
-		{"unknown escape", `(a "\q")`, `1:5: after \ only " \ n t can stand`},
-		{"control character", "(a b\x01)", "1:4: a word with a control character"},
-		{"word outside a list", "a", "1:1: a stands outside any list"},
-		{"text outside a list", `"a"`, `1:1: "a" stands outside any list`},
-		{"not UTF-8", "(a)\n \xff", "2:2: this is not UTF-8"},
-		{"too deep", strings.Repeat("(", maxDepth+1), "1:33: lists more than 32 deep"},
-		{"too large", strings.Repeat(" ", maxSize+1), "1:1: the file has more than 1048576 bytes"},
+		{"unclosed list", "(a", "1:1: unclosed ("},
+		{"unmatched parenthesis", "(a))", "1:4: unmatched )"},
+		{"text not closed on its line", "(a \"b\n\")", "1:4: the quoted text is not closed on its line"},
+		{"unclosed text", "(a \"b", "1:4: the quoted text is not closed"},
+		{"unknown escape", `(a "\q")`, `1:5: unknown escape: \ before 'q', allowed are \" \\ \n \t`},
+		{"control character", "(a b\x01)", `1:4: control character '\x01' in a word`},
+		{"word outside a list", "a", "1:1: a is not in a list"},
+		{"text outside a list", `"a"`, `1:1: "a" is not in a list`},
+		{"not UTF-8", "(a)\n \xff", "2:2: byte 0xff is not valid UTF-8"},
+		{"lists nested too deep", strings.Repeat("(", maxDepth+1), "1:33: lists are nested more than 32 deep"},
+		{
+			"file too large", strings.Repeat(" ", maxSize+1),
+			"1:1: the file has 1048577 bytes, at most 1048576 are allowed",
+		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, err := Parse(c.text); err == nil || err.Error() != c.want {
-				t.Errorf("%v, want %s", err, c.want)
+				t.Errorf("error %v, want %s", err, c.want)
 			}
 		})
 	}
@@ -60,12 +63,12 @@
 	}
 	list := nodes[0]
 	if len(nodes) != 1 || list.Head() != "a" || len(list.List) != 3 || list.Position != (Position{Line: 2, Column: 1}) {
-		t.Fatalf("%+v", list)
+		t.Fatalf("%d lists, the first is %+v; want one with key a, three elements and position 2:1", len(nodes), list)
 	}
 	if text := list.List[1]; !text.IsQuoted || text.Word != "x\n\"y" {
-		t.Errorf("%+v", text)
+		t.Errorf("second element %+v, want the quoted text x\\n\\\"y", text)
 	}
 	if inner := list.List[2]; inner.Head() != "b" || inner.Position != (Position{Line: 3, Column: 3}) {
-		t.Errorf("%+v", inner)
+		t.Errorf("third element %+v, want a list with key b at 3:3", inner)
 	}
 }
--- a/internal/operatorconfig/values.go
+++ b/internal/operatorconfig/values.go
@@ -10,46 +10,48 @@
 	"tealpath/internal/operatorconfig/sexpr"
 )
 
-// The kinds of values, as errors name them.
+// Descriptions of the kinds of values, for errors.
 const (
-	kindDuration = "time such as 1500ms or 2s"
-	kindInteger  = "whole number"
-	kindNumber   = "number such as 0.05 or 5%"
-	kindAddress  = "address such as 127.0.0.1:7101"
-	kindNetwork  = "network"
-	kindNetworks = "address, network or range"
+	kindDuration = "a duration such as 1500ms or 2s"
+	kindInteger  = "a whole number"
+	kindNumber   = "a number such as 0.05 or 5%"
+	kindAddress  = "an IP address with a port, such as 127.0.0.1:7101"
+	kindNetwork  = "a network such as 10.0.0.0/8, with no address bits set after the prefix"
+	kindNetworks = "an IP address, a network or a range of addresses"
 )
 
-// single returns the one value of a list.
-func (d *decoder) single(list *sexpr.Node, arguments []*sexpr.Node) (value *sexpr.Node, ok bool) {
+// singleValue returns the value of a list that must have exactly one. If it has not, it adds an error and ok is
+// false.
+func (d *decoder) singleValue(list *sexpr.Node, arguments []*sexpr.Node) (value *sexpr.Node, ok bool) {
 	if len(arguments) != 1 || arguments[0].IsList {
-		d.errors.addf(list.Position, "(%s …) takes one value", list.Head())
+		d.errors.addf(list.Position, "(%s …) requires exactly one word or quoted text, got %v", list.Head(), arguments)
 		return nil, false
 	}
 	return arguments[0], true
 }
 
-// text decodes a word or a quoted string, which may not be empty.
+// text decodes a word or a quoted text, which must not be empty.
 func (d *decoder) text(into *string) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
-		value, ok := d.single(list, arguments)
+		value, ok := d.singleValue(list, arguments)
 		if !ok {
 			return
 		}
 		if value.Word == "" {
-			d.errors.addf(value.Position, "an empty text")
+			d.errors.addf(value.Position, "%s: the text is empty", list.Head())
 		}
 		*into = value.Word
 	}
 }
 
-// words decodes any number of words.
+// words decodes any number of words or quoted texts, none of which may be empty.
 func (d *decoder) words(into *[]string) decodeFunc {
-	return func(_ *sexpr.Node, arguments []*sexpr.Node) {
+	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		*into = []string{}
 		for _, value := range arguments {
 			if value.IsList || value.Word == "" {
-				d.errors.addf(value.Position, "%s, where a word belongs", value)
+				d.errors.addf(value.Position, "%s: %s is invalid, want a word or a quoted text that is not empty",
+					list.Head(), value)
 				continue
 			}
 			*into = append(*into, value.Word)
@@ -60,7 +62,7 @@
 // duration decodes a duration with its unit, such as 1500ms, into ns.
 func (d *decoder) duration(into *int64, minimum, maximum time.Duration) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
-		value, ok := d.single(list, arguments)
+		value, ok := d.singleValue(list, arguments)
 		if !ok {
 			return
 		}
@@ -79,7 +81,7 @@
 // integer decodes a whole number.
 func (d *decoder) integer(into *int64, minimum, maximum int64) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
-		value, ok := d.single(list, arguments)
+		value, ok := d.singleValue(list, arguments)
 		if !ok {
 			return
 		}
@@ -98,7 +100,7 @@
 // number decodes a number or a percentage: 5% is 0.05.
 func (d *decoder) number(into *float64, minimum, maximum float64) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
-		value, ok := d.single(list, arguments)
+		value, ok := d.singleValue(list, arguments)
 		if !ok {
 			return
 		}
@@ -118,10 +120,10 @@
 	}
 }
 
-// address decodes HOST:PORT. The host is an IP address, since names are not looked up.
+// address decodes HOST:PORT. The host must be an IP address, because host names are not resolved.
 func (d *decoder) address(into *netip.AddrPort) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
-		value, ok := d.single(list, arguments)
+		value, ok := d.singleValue(list, arguments)
 		if !ok {
 			return
 		}
