--- a/cmd/tealexperiment/main.go
+++ b/cmd/tealexperiment/main.go
@@ -1,4 +1,4 @@
-// Command tealexperiment runs experiments on routers and their modules, on loopback alone.
+// Command tealexperiment runs experiments on routers and their modules. It uses only the loopback network.
 package main
 
 import "tealpath/internal/experiment/command"
--- a/cmd/teallab/main.go
+++ b/cmd/teallab/main.go
@@ -1,4 +1,4 @@
-// Command teallab is the former name of tealexperiment, kept for scripts that call it.
+// Command teallab does the same as tealexperiment. It exists for scripts that use this former name.
 package main
 
 import "tealpath/internal/experiment/command"
--- a/cmd/tealpath/check.go
+++ b/cmd/tealpath/check.go
@@ -12,11 +12,11 @@
 	"github.com/urfave/cli/v3"
 )
 
-// checkCommand returns the command check.
+// checkCommand returns the definition of the command check.
 func checkCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "check",
-		Usage:        "check a configuration file, that of LB_CONFIG if none is named, and an operator's file",
+		Usage:        "check a configuration file (by default the one in LB_CONFIG) and an operator's file",
 		ArgsUsage:    "[FILE]",
 		OnUsageError: usageError,
 		Action:       check,
@@ -24,7 +24,8 @@
 	}
 }
 
-// check checks the configuration file, that of LB_CONFIG if none is named, and the operator's file.
+// check checks a configuration file, by default the one in LB_CONFIG, and the operator's file if there is one. Without
+// a configuration file it checks the operator's file alone.
 func check(_ context.Context, cmd *cli.Command) error {
 	if err := checkArgs(cmd, 1); err != nil {
 		return err
@@ -41,7 +42,7 @@
 	return checkConfig(cmd, getenv)
 }
 
-// checkOperatorFile checks an operator's file alone, not whether it is compatible with a configuration.
+// checkOperatorFile checks the operator's file by itself, without a configuration that it must be compatible with.
 func checkOperatorFile(cmd *cli.Command) error {
 	path := cmd.String(operatorFlagName)
 	operator, err := operatorconfig.Load(path, os.Getenv(nameVariable))
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// checkConfig checks a configuration file and, if one is named, the operator's file with it.
+// checkConfig checks a configuration and, if the flag names an operator's file, whether both are compatible.
 func checkConfig(cmd *cli.Command, getenv func(string) string) error {
 	c, err := config.Load(getenv)
 	if err != nil {
--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -10,7 +10,7 @@
 	"tealpath/internal/testkit"
 )
 
-// A request in flight has its time, no less and no more.
+// A step of the wall clock neither shortens nor extends the deadline of a request in flight.
 func TestClockStepKeepsDeadlineOfRequestInFlight(t *testing.T) {
 	forEachStep(t, func(t *testing.T, test clockTest, step time.Duration) {
 		clock := clocktest.Running(0)
@@ -23,14 +23,14 @@
 		served.ExpectServed(testkit.ObjectID(1), clientTimeout)
 		waiting.Expect(sequence, testkit.Rejected)
 		if took := time.Since(begun); took < 500*time.Millisecond || took > 850*time.Millisecond {
-			t.Errorf("response after %v, its client had 700 ms", took)
+			t.Errorf("response after %v, want 500 ms to 850 ms for a timeout of 700 ms", took)
 		}
 		clock.Step(-step)
 		served.ExpectServed(testkit.ObjectID(2), clientTimeout)
 	})
 }
 
-// A drain takes its time, and what is in flight is answered within it.
+// A step of the wall clock does not change the duration of a drain, and a request in flight is answered during it.
 func TestClockStepKeepsDurationOfDrain(t *testing.T) {
 	forEachStep(t, func(t *testing.T, test clockTest, step time.Duration) {
 		clock := clocktest.Running(0)
@@ -51,15 +51,15 @@
 		testkit.ExpectEnd(t, router.ended, testkit.Timeout)
 		ended := time.Since(begun)
 		if answered < 600*time.Millisecond || answered > 1350*time.Millisecond {
-			t.Errorf("response after %v, its client had 1.2 s", answered)
+			t.Errorf("response after %v, want 600 ms to 1.35 s for a timeout of 1.2 s", answered)
 		}
 		if ended < 700*time.Millisecond || ended > 2*time.Second {
-			t.Errorf("ended after %v", ended)
+			t.Errorf("the router ended after %v, want 700 ms to 2 s", ended)
 		}
 	})
 }
 
-// A cache that failed is tried again after its backoff, and not at once.
+// A step of the wall clock does not change the backoff after which a failed cache is tried again.
 func TestClockStepKeepsBackoff(t *testing.T) {
 	forEachStep(t, func(t *testing.T, test clockTest, step time.Duration) {
 		const ejected, restored = `"event":"endpoint_ejected"`, `"event":"endpoint_restored"`
@@ -76,7 +76,7 @@
 		down := router.log.wait(t, ejected, time.Second)
 		clock.Step(step)
 		testkit.StartCacheAt(t, test.caches[0].Address(), nil)
-		testkit.WaitUntil(t, testkit.Timeout, "the cache is used again", func() bool {
+		testkit.WaitUntil(t, testkit.Timeout, "the cache is restored", func() bool {
 			test.ask(t, asked)
 			asked++
 			_, up := router.log.find(restored)
@@ -84,22 +84,23 @@
 		})
 		up := router.log.wait(t, restored, time.Second)
 		if after := up.Sub(down); after < 900*time.Millisecond || after > 3*time.Second {
-			t.Errorf("tried again after %v, its backoff is 1 s", after)
+			t.Errorf("the cache was restored after %v, want 0.9 s to 3 s for a backoff of 1 s", after)
 		}
 	})
 }
 
-// A cache that has just started gets its share during its slow start, and its full share after that.
+// A step of the wall clock does not change the slow start of a cache, which gets few requests at first and its full
+// share after it.
 func TestClockStepKeepsSlowStart(t *testing.T) {
 	forEachStep(t, func(t *testing.T, test clockTest, step time.Duration) {
 		const slowStart = 3200 * time.Millisecond
-		const listPause = 50 * time.Millisecond // nothing outside the router shows that it has taken the list
+		const listPause = 50 * time.Millisecond // the router applies the list in this time; no event shows it
 		test.change(t, `"obligations":{`, `"obligations":{"coldFrom":0.1,"warmUpS":3,"overloadFactor":1,"fallS":1,`)
 		clock := clocktest.Running(0)
 		test.serveOn(t, clock, nil)
 		test.load(t, 300*time.Millisecond, 0)
 		if test.caches[1].Drain() == 0 {
-			t.Fatal("it is not asked when it is warm")
+			t.Fatal("the second cache got no requests before its restart")
 		}
 		begun := time.Now()
 		test.publishRestart(t, begun)
@@ -112,13 +113,14 @@
 		later := test.load(t, time.Second, 5000)
 		warm := test.caches[1].Drain()
 		if cold > asked/8 || warm < later/4 {
-			t.Errorf("asked %d of %d times in its first second, %d of %d once warm", cold, asked, warm, later)
+			t.Errorf("the restarted cache got %d of %d requests in its first second, want at most 1 in 8; "+
+				"after its slow start %d of %d, want at least 1 in 4", cold, asked, warm, later)
 		}
 	})
 }
 
-// load sends requests, one each few milliseconds, for objects from a number on, and returns how many there
-// were.
+// load sends one request every 5 ms for the duration span, for a different object each, beginning with firstObject. It
+// returns the number of requests.
 func (test clockTest) load(t *testing.T, span time.Duration, firstObject int) (asked int) {
 	t.Helper()
 	const interval = 5 * time.Millisecond
@@ -131,7 +133,7 @@
 	return asked
 }
 
-// publishRestart publishes that the second cache has restarted.
+// publishRestart publishes that the second cache restarted at a time.
 func (test clockTest) publishRestart(t *testing.T, at time.Time) {
 	t.Helper()
 	test.discovery.Publish(t, fmt.Sprintf("id: 2\ndata: {\"pos\":2,\"hosts\":{\"generation\":2,\"instances\":["+
@@ -139,14 +141,14 @@
 		"\"lifecycle\":\"active\",\"weight\":4,\"startedAtMs\":%d}]}}\n\n", test.caches[1].Address(), at.UnixMilli()))
 }
 
-// sharedCopy is the copy of an object that caches hold. They fetch it anew when it is older than a request
+// sharedCopy is the copy of an object that all caches of a test hold. They refetch it if it is older than a request
 // accepts.
 type sharedCopy struct {
 	mu     sync.Mutex
 	issued time.Time // guarded by mu
 }
 
-// issuedFor returns when the copy was issued that serves a request.
+// issuedFor returns when the copy was issued that is the response to a request.
 func (c *sharedCopy) issuedFor(request testkit.CacheRequest) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -157,21 +159,21 @@
 	return c.issued
 }
 
-// isBefore tells whether the copy was issued before a time.
+// isBefore reports whether the copy was issued before a time.
 func (c *sharedCopy) isBefore(at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.issued.Before(at)
 }
 
-// After a purge no older copy is served, from when the router has heard of it on and for as long as caches may
-// hold one.
+// After the router has received a purge, no copy from before the purge is served, although the wall clock is wrong and
+// steps.
 func TestClockStepServesNoPurgedCopy(t *testing.T) {
 	t.Parallel()
 	const year = 365 * 24 * time.Hour
-	for _, offset := range []time.Duration{0, time.Hour, -time.Hour, year} { // of the clock at the start
+	for _, offset := range []time.Duration{0, time.Hour, -time.Hour, year} { // error of the wall clock at the start
 		for _, step := range clockSteps {
-			t.Run(fmt.Sprintf("off by %v, a step of %v", offset, step), func(t *testing.T) {
+			t.Run(fmt.Sprintf("offset %v, step %v", offset, step), func(t *testing.T) {
 				t.Parallel()
 				expectNoPurgedCopy(t, offset, step)
 			})
@@ -179,10 +181,12 @@
 	}
 }
 
-// expectNoPurgedCopy purges an object under a clock that is off and is then stepped.
+// expectNoPurgedCopy starts a router whose wall clock has an offset, purges an object, steps the wall clock, and checks
+// that copies from before the purge are not served.
 func expectNoPurgedCopy(t *testing.T, offset, step time.Duration) {
 	t.Helper()
-	// In which the purge takes effect. A request meanwhile would have the caches fetch the object anew.
+	// The purge takes effect within purgePause. The test sends no request meanwhile, because it would make the caches
+	// refetch the object.
 	const purgePause = 100 * time.Millisecond
 	purgedAt := time.Now().Add(-20 * time.Millisecond)
 	held := &sharedCopy{issued: purgedAt.Add(-time.Second)}
@@ -198,7 +202,7 @@
 	for range 20 {
 		client.ExpectServed(testkit.ObjectID(1), clientTimeout)
 		if held.isBefore(purgedAt) {
-			t.Fatal("a copy from before the purge was served")
+			t.Fatalf("a copy from before the purge at %v was served", purgedAt)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/cmd/tealpath/clockhelpers_test.go
+++ b/cmd/tealpath/clockhelpers_test.go
@@ -18,17 +18,17 @@
 	"github.com/rs/zerolog"
 )
 
-// clockSteps are what the wall clock is set forward by in the tests, or back.
+// clockSteps are the steps of the wall clock that the tests make; a negative step sets it back.
 var clockSteps = []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour}
 
-// timedLog is the log of a router, by its lines and when they came.
+// timedLog records the log lines of a router and when each was written.
 type timedLog struct {
 	mu    sync.Mutex
 	lines []string    // guarded by mu
 	times []time.Time // guarded by mu
 }
 
-// Write implements io.Writer for one line.
+// Write implements io.Writer. raw is one line.
 func (l *timedLog) Write(raw []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -37,7 +37,7 @@
 	return len(raw), nil
 }
 
-// find returns when a line with a part came first, and whether one did.
+// find returns when the first line that contains part was written, and whether there is one.
 func (l *timedLog) find(part string) (time.Time, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,14 +49,15 @@
 	return time.Time{}, false
 }
 
-// all returns the lines that have come.
+// all returns the lines that have been written until now.
 func (l *timedLog) all() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]string(nil), l.lines...)
 }
 
-// wait waits for a line with a part and returns when it came.
+// wait waits for a line that contains part and returns when it was written. It fails the test if there is none within
+// bound.
 func (l *timedLog) wait(t *testing.T, part string, bound time.Duration) (at time.Time) {
 	t.Helper()
 	testkit.WaitUntil(t, bound, "a line with "+part, func() (ok bool) {
@@ -66,14 +67,14 @@
 	return at
 }
 
-// clockedRouter is a router in this process on a clock of the test's, with real connections.
+// clockedRouter is a router in this process that uses a clock of the test and real connections.
 type clockedRouter struct {
 	log      *timedLog
 	shutDown func()
 	ended    <-chan error
 }
 
-// serveOn starts a router on a clock and waits until it listens. It ends with the test.
+// serveOn starts a router that uses the clock c, and waits until it listens. The router ends with the test.
 func (r *testRouter) serveOn(t *testing.T, c clock.Clock, file *operatorconfig.File) clockedRouter {
 	t.Helper()
 	environment := map[string]string{"LB_CONFIG": r.configPath, "LB_LISTEN": r.address}
@@ -98,18 +99,18 @@
 }
 
 func neverReload() (*config.Config, *operatorconfig.File, error) {
-	return nil, nil, errors.New("not in this test")
+	return nil, nil, errors.New("reload is not supported in this test")
 }
 
-// clockTest is a router's configuration, and what it is started among.
+// clockTest is a router's configuration with the caches and the discovery service in it.
 type clockTest struct {
 	*testRouter
 	caches    []*testkit.Cache
 	discovery *testkit.EventStream
 }
 
-// newClockTest starts caches and a discovery service. Where issued is not nil it returns when the copies were
-// issued that the caches respond with.
+// newClockTest starts two caches and a discovery service, and writes the configuration of a router. issued returns when
+// the copy was issued that a cache responds with; if issued is nil, this is the time of the response.
 func newClockTest(t *testing.T, issued func(testkit.CacheRequest) time.Time) clockTest {
 	t.Helper()
 	test := clockTest{discovery: testkit.StartEventStream(t)}
@@ -120,7 +121,7 @@
 	return test
 }
 
-// forEachStep runs a test for each step of the clock side by side, each among servers of its own.
+// forEachStep runs a test for each of clockSteps in parallel, each with its own caches and discovery service.
 func forEachStep(t *testing.T, run func(t *testing.T, test clockTest, step time.Duration)) {
 	t.Helper()
 	t.Parallel()
@@ -132,7 +133,7 @@
 	}
 }
 
-// ask has an object served on a new connection.
+// ask requests object n on a new connection and checks that it is served.
 func (test clockTest) ask(t *testing.T, n int) {
 	t.Helper()
 	client := testkit.Dial(t, test.address)
--- a/cmd/tealpath/clocksnapshot_test.go
+++ b/cmd/tealpath/clocksnapshot_test.go
@@ -12,7 +12,7 @@
 	"tealpath/internal/testkit"
 )
 
-// parseOperatorFile parses an operator's file whose paths are within a folder.
+// parseOperatorFile parses an operator's file. Its paths are relative to folder.
 func parseOperatorFile(t *testing.T, text, folder string) *operatorconfig.File {
 	t.Helper()
 	file, err := operatorconfig.Parse(text, "n0", folder)
@@ -22,12 +22,13 @@
 	return file
 }
 
-// A clock that steps from one reading to the next, from before the configuration is read until the end.
+// A router serves requests and writes a snapshot although the wall clock steps by an hour at each reading, forward and
+// back in turn.
 func TestServesWhileClockStepsAtEachReading(t *testing.T) {
 	t.Parallel()
 	test, folder := newClockTest(t, nil), t.TempDir()
 	file := parseOperatorFile(t, `(snapshot (file "kept") (every 1s))`, folder)
-	for range 2 { // the second reads the snapshot of the first
+	for range 2 { // the second router reads the snapshot of the first
 		clock := clocktest.Running(0)
 		clock.Swing(time.Hour)
 		router := test.serveOn(t, clock, file)
@@ -39,53 +40,54 @@
 		testkit.ExpectEnd(t, router.ended, testkit.Timeout)
 	}
 	if _, err := os.Stat(filepath.Join(folder, "kept")); err != nil {
-		t.Error(err)
+		t.Errorf("no snapshot was written: %v", err)
 	}
 }
 
-// Parts of log lines that say what became of a snapshot.
+// Parts of the log lines about the restoring of a snapshot.
 const (
-	restoredWhole = `"scope":"whole"`                               // of a snapshot_restored event
-	ignoredFuture = `"event":"snapshot_ignored","cause":"it is of ` // followed by how far it is ahead
+	restoredWhole = `"scope":"whole"`                               // in a snapshot_restored event
+	ignoredFuture = `"event":"snapshot_ignored","cause":"it is of ` // followed by how far ahead the snapshot's time is
 )
 
-// snapshotClocks is how the clocks are off around a snapshot: of the router that writes it, and of the one that
+// snapshotClocks contains the errors of the wall clocks of the router that writes a snapshot and of the router that
 // reads it.
 type snapshotClocks struct {
-	writerOffset, writerStep time.Duration // at its start, and set by before it writes
-	readerOffset, readerStep time.Duration // at its start, and set by before it reads
+	writerOffset, writerStep time.Duration // offset at the start, and step before the snapshot is written
+	readerOffset, readerStep time.Duration // offset at the start, and step before the snapshot is read
 }
 
-// A step just before a snapshot is written, while it is stored, and just before it is read.
+// The wall clock steps just before a snapshot is written or just before it is read. A snapshot is restored only if its
+// time is plausible by the clock of the router that reads it.
 func TestSnapshotAfterClockSteps(t *testing.T) {
 	t.Parallel()
 	const year = 365 * 24 * time.Hour
 	for _, c := range []struct {
 		name   string
 		clocks snapshotClocks
-		says   string
+		want   string // part of the log
 	}{
 		{"no step", snapshotClocks{}, restoredWhole},
-		{"2 s ahead before it was written", snapshotClocks{writerStep: 2 * time.Second}, restoredWhole},
-		{"2 s behind before it was written", snapshotClocks{writerStep: -2 * time.Second}, restoredWhole},
-		{"an hour ahead before it was written", snapshotClocks{writerStep: time.Hour}, ignoredFuture + "3"},
-		{"an hour behind before it was written", snapshotClocks{writerStep: -time.Hour}, "s old"},
-		{"a year ahead all along", snapshotClocks{writerOffset: year}, ignoredFuture + "31"},
+		{"2 s forward before writing", snapshotClocks{writerStep: 2 * time.Second}, restoredWhole},
+		{"2 s back before writing", snapshotClocks{writerStep: -2 * time.Second}, restoredWhole},
+		{"an hour forward before writing", snapshotClocks{writerStep: time.Hour}, ignoredFuture + "3"},
+		{"an hour back before writing", snapshotClocks{writerStep: -time.Hour}, "s old"},
+		{"writer a year ahead", snapshotClocks{writerOffset: year}, ignoredFuture + "31"},
 		{
-			"a year ahead, set right before it was written",
+			"writer a year ahead, corrected before writing",
 			snapshotClocks{writerOffset: year, writerStep: -year},
 			restoredWhole,
 		},
-		{"a year ahead at both", snapshotClocks{writerOffset: year, readerOffset: year}, restoredWhole},
+		{"writer and reader a year ahead", snapshotClocks{writerOffset: year, readerOffset: year}, restoredWhole},
 		{
-			"a year behind, set right before it was written",
+			"writer a year behind, corrected before writing",
 			snapshotClocks{writerOffset: -year, writerStep: year},
 			restoredWhole,
 		},
-		{"an hour ahead before it is read", snapshotClocks{readerStep: time.Hour}, "s old"},
-		{"an hour behind before it is read", snapshotClocks{readerStep: -time.Hour}, ignoredFuture + "3"},
+		{"an hour forward before reading", snapshotClocks{readerStep: time.Hour}, "s old"},
+		{"an hour back before reading", snapshotClocks{readerStep: -time.Hour}, ignoredFuture + "3"},
 		{
-			"an hour behind, set right before it is read",
+			"reader an hour behind, corrected before reading",
 			snapshotClocks{readerOffset: -time.Hour, readerStep: time.Hour},
 			restoredWhole,
 		},
@@ -93,15 +95,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			log := restoreSnapshot(t, c.clocks)
-			if !strings.Contains(log, c.says) {
-				t.Errorf("log: %s, want %q", log, c.says)
+			if !strings.Contains(log, c.want) {
+				t.Errorf("log: %s\nwant a line with %q", log, c.want)
 			}
 		})
 	}
 }
 
-// restoreSnapshot has a router write a snapshot and another one read it, each with its clock, and returns the
-// log of the second, which has to serve.
+// restoreSnapshot starts one router that writes a snapshot and another one that reads it, each with its own clock. It
+// checks that the second router serves, and returns its log.
 func restoreSnapshot(t *testing.T, clocks snapshotClocks) (log string) {
 	t.Helper()
 	test := newClockTest(t, nil)
--- a/cmd/tealpath/connections.go
+++ b/cmd/tealpath/connections.go
@@ -9,25 +9,25 @@
 	"github.com/urfave/cli/v3"
 )
 
-// connectionsCommand returns the command connections.
+// connectionsCommand returns the definition of the command connections.
 func connectionsCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "connections",
-		Usage:        "ask a running instance for its client connections and what they cost",
+		Usage:        "ask a running instance for its client connections and the memory it uses",
 		OnUsageError: usageError,
 		Action:       connections,
 		Flags:        socketFlags(),
 	}
 }
 
-// connections prints the numbers of a running instance's client connections, and its use of memory.
+// connections prints how many client connections of a running instance are in each state, and its memory usage.
 func connections(ctx context.Context, cmd *cli.Command) error {
 	var status server.Connections
 	if err := query(ctx, cmd, server.ConnectionsCommand, &status); err != nil {
 		return err
 	}
-	fmt.Printf("%d connections: %d idle, %d of them at rest, %d busy, %d reading, %d fresh, %d closing; "+
-		"%d wait to be woken\n",
+	fmt.Printf("%d connections: %d idle, %d of them suspended, %d busy, %d reading, %d fresh, %d closing; "+
+		"%d suspended with unread data\n",
 		status.All, status.Idle, status.Suspended, status.Active, status.Reading, status.New, status.Closing,
 		status.Waiting)
 	fmt.Printf("%d goroutines, %d KB of heap, %d KB of stacks\n",
--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -13,21 +13,23 @@
 	"tealpath/internal/testkit"
 )
 
-// budgetSlack is by how much the budget that a cache is told may differ from what the client has left.
+// budgetSlack is the maximum difference between the budget field of a request to a cache and the client's remaining
+// time.
 const budgetSlack = 150 * time.Millisecond
 
-// budget is the time that a cache was told that the client has left.
+// budget returns the client's remaining time according to the budget field of a request to a cache.
 func budget(t *testing.T, request testkit.CacheRequest) time.Duration {
 	t.Helper()
 	milliseconds := request.Number("budget")
 	if milliseconds < 0 {
-		t.Fatalf("no budget in %s", request.Fields)
+		t.Fatalf("no budget in the fields %q", request.Fields)
 	}
 	return time.Duration(milliseconds) * time.Millisecond
 }
 
-// A client's time runs from the first byte of its request: the cache is told no more than what is left of it.
-func TestBudgetIsWhatIsLeft(t *testing.T) {
+// A client's timeout starts with the first byte of its request. The budget that the cache receives is the remaining
+// time.
+func TestBudgetIsRemainingTime(t *testing.T) {
 	const timeout, betweenParts, firstPart = 1200 * time.Millisecond, 500 * time.Millisecond, 9
 	caches := startCaches(t)
 	discovery := testkit.StartEventStream(t)
@@ -35,7 +37,7 @@
 	ended := router.serve(t)
 	for _, c := range []struct {
 		name     string
-		idleTime time.Duration // before the request, on a connection that has had a response
+		idleTime time.Duration // between a first response and the request; 0: there is no first response
 	}{
 		{"on a new connection", 0},
 		{"on a used connection", 100 * time.Millisecond},
@@ -53,8 +55,8 @@
 			testkit.Write(client.Conn, frame[firstPart:])
 			request := testkit.WaitRequestFor(t, testkit.ObjectID(2), caches...)
 			left := timeout - request.At.Sub(sentAt)
-			if told := budget(t, request); told > left+budgetSlack || told < left-budgetSlack {
-				t.Errorf("told of %v, with %v left", told, left)
+			if got := budget(t, request); got > left+budgetSlack || got < left-budgetSlack {
+				t.Errorf("budget %v, want the remaining %v, +/- %v", got, left, budgetSlack)
 			}
 			client.Expect(client.Sequence(), testkit.Served)
 		})
@@ -63,8 +65,8 @@
 	testkit.ExpectEnd(t, ended, drainTimeout)
 }
 
-// blockedCache is a cache that accepts connections and reads nothing until it is released. Little goes onto the
-// way to it.
+// blockedCache is a cache that accepts connections and reads nothing until it is released. The system buffers only
+// little data for it.
 type blockedCache struct {
 	address  string
 	released <-chan struct{}
@@ -74,7 +76,7 @@
 // startBlockedCache starts a cache that reads requests once released is closed.
 func startBlockedCache(t *testing.T, released <-chan struct{}, requests chan<- testkit.CacheRequest) blockedCache {
 	t.Helper()
-	const segment, buffer = 1460, 4096 // bytes: what the system buffers grows with the segments
+	const segment, buffer = 1460, 4096 // bytes; the system buffers more data with larger segments
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			setOption(t, fd, syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, segment)
@@ -103,7 +105,7 @@
 	return cache
 }
 
-// setOption sets a socket's option.
+// setOption sets a socket option.
 func setOption(t *testing.T, fd uintptr, level, option, value int) {
 	t.Helper()
 	if err := syscall.SetsockoptInt(int(fd), level, option, value); err != nil {
@@ -111,7 +113,7 @@
 	}
 }
 
-// serve reads a connection's requests and responds to none.
+// serve reads the requests on a connection and responds to none.
 func (c blockedCache) serve(t *testing.T, conn net.Conn) {
 	const readBuffer = 4 << 20 // bytes
 	defer testkit.Close(conn)
@@ -131,48 +133,48 @@
 	}
 }
 
-// Caches read nothing for a while: a request whose client goes meanwhile is not written to them, and one whose
-// client stays is written with what is left of its time.
-func TestNothingIsWrittenForDepartedClient(t *testing.T) {
+// A request waits because caches read nothing for a while. If its client disconnects meanwhile, the request is not
+// written to a cache. If its client stays, the request is written with the remaining time as its budget.
+func TestNothingIsWrittenForDisconnectedClient(t *testing.T) {
 	const (
 		blockedFor = 600 * time.Millisecond
 		timeout    = 3 * time.Second
-		// Nothing outside the router shows when the connections are full, and when it has read a request.
+		// No event shows when the connections are full, or when the router has read a request.
 		fillPause   = 300 * time.Millisecond
 		arrivePause = 50 * time.Millisecond
-		departed    = "00000000000000aa"
-		staying     = "00000000000000bb"
+		departedID  = "00000000000000aa"
+		remainingID = "00000000000000bb"
 	)
 	released, requests := make(chan struct{}), make(chan testkit.CacheRequest, 1000)
 	first, second := startBlockedCache(t, released, requests), startBlockedCache(t, released, requests)
 	discovery := testkit.StartEventStream(t)
-	// Either cache has capacity for all that fills the connections.
+	// With a weight of 40, each cache has the capacity for all requests that fill the connections.
 	router := newTestRouter(t, []string{first.address, second.address}, discovery.Address, timeout.Seconds(),
 		`"weight":4`, `"weight":40`)
 	ended := router.serve(t)
 	fillConnections(t, router, timeout)
 	time.Sleep(fillPause)
-	goes, stays := testkit.Dial(t, router.address), testkit.Dial(t, router.address)
+	departing, remaining := testkit.Dial(t, router.address), testkit.Dial(t, router.address)
 	sentAt := time.Now()
-	goes.Call(testkit.ObjectID(1), timeout, "txn", departed)
-	stays.Call(testkit.ObjectID(1), timeout, "txn", staying)
+	departing.Call(testkit.ObjectID(1), timeout, "txn", departedID)
+	remaining.Call(testkit.ObjectID(1), timeout, "txn", remainingID)
 	time.Sleep(arrivePause)
-	goes.Close()
+	departing.Close()
 	time.Sleep(blockedFor)
 	close(released)
 	left := timeout - time.Since(sentAt)
 	expectNotDeparted := func(request testkit.CacheRequest) {
-		if request.ID == departed {
-			t.Error("written for a client that had gone")
+		if request.ID == departedID {
+			t.Errorf("request %s of a disconnected client was written to a cache", departedID)
 		}
 	}
-	var came testkit.CacheRequest
-	for end := time.Now().Add(time.Second); came.ID != staying; {
-		came = testkit.Receive(t, requests, time.Until(end), "the request of the client that stays")
-		expectNotDeparted(came)
+	var received testkit.CacheRequest
+	for end := time.Now().Add(time.Second); received.ID != remainingID; {
+		received = testkit.Receive(t, requests, time.Until(end), "the request of the client that stays connected")
+		expectNotDeparted(received)
 	}
-	if told := budget(t, came); told > left+budgetSlack {
-		t.Errorf("told of %v, with %v left", told, left)
+	if got := budget(t, received); got > left+budgetSlack {
+		t.Errorf("budget %v, want at most the remaining %v, + %v", got, left, budgetSlack)
 	}
 	for end := time.After(200 * time.Millisecond); ; {
 		select {
@@ -187,18 +189,18 @@
 	testkit.ExpectEnd(t, ended, timeout+time.Second)
 }
 
-// fillConnections sends large requests until nothing more can be written to blocked caches: a cache has four
-// connections at the most, each opened once three requests are in flight on the one before.
+// fillConnections sends large requests until nothing more can be written to blocked caches. A router opens at most four
+// connections to a cache, the next one whenever three requests are in flight on the last one.
 func fillConnections(t *testing.T, router *testRouter, timeout time.Duration) {
 	t.Helper()
 	const clients, requests, bodySize = 2, 20, 200_000
-	const between = 5 * time.Millisecond // in which connections are opened
+	const interval = 5 * time.Millisecond // in which the router opens connections
 	body := strings.Repeat("x", bodySize)
 	for range clients {
 		client := testkit.Dial(t, router.address)
 		for range requests {
 			testkit.Write(client.Conn, client.CallFrame(testkit.ObjectID(1), timeout, body))
-			time.Sleep(between)
+			time.Sleep(interval)
 		}
 	}
 }
--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -11,11 +11,11 @@
 	"github.com/urfave/cli/v3"
 )
 
-// diffCommand returns the command diff.
+// diffCommand returns the definition of the command diff.
 func diffCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "diff",
-		Usage:        "say whether instances with these two operator's files may run side by side, and how to migrate",
+		Usage:        "check whether instances with these two operator's files may run side by side, and show how to migrate",
 		ArgsUsage:    "A B",
 		OnUsageError: usageError,
 		Action:       diff,
@@ -23,11 +23,11 @@
 	}
 }
 
-// diff prints whether instances with two operator's files may run side by side, and the steps that lead from one
-// file to the other. It fails if they may not.
+// diff prints whether instances with two operator's files may run side by side, and the steps of a migration from the
+// first file to the second. It returns an error if they may not run side by side.
 func diff(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Len() != 2 {
-		return cli.Exit("diff takes two operator's files", exitUsage)
+		return cli.Exit(fmt.Errorf("diff: got %d arguments, want two operator's files", cmd.Args().Len()), exitUsage)
 	}
 	var settings [2]compatibility.Settings
 	for i := range settings {
@@ -50,13 +50,13 @@
 	case pathErr != nil:
 		return cli.Exit(pathErr, exitFailed)
 	case compatibility.WorstSeverity(conflicts) == compatibility.Exclusive:
-		return cli.Exit("they may not run side by side: the last step takes all instances down at once, "+
-			"or the steps above", exitFailed)
+		return cli.Exit("instances with these files may not run side by side: "+
+			"follow the steps above, if any; to change slots, lease or drift, stop all instances at the same time", exitFailed)
 	}
 	return nil
 }
 
-// diffOutput is the output of diff --json. Its field names are part of the command's interface.
+// diffOutput is the output of diff --json. Scripts depend on its field names.
 type diffOutput struct {
 	Worst     string
 	Conflicts []conflictOutput
@@ -82,18 +82,18 @@
 	return printJSON(out)
 }
 
-// printDiff prints the conflicts, and the steps if there are more than one.
+// printDiff prints the conflicts, and the migration's steps if it has more than one.
 func printDiff(conflicts []compatibility.Conflict, steps []compatibility.Settings) {
 	for _, conflict := range conflicts {
 		fmt.Println(conflict)
 	}
 	if len(conflicts) == 0 {
-		fmt.Println("they may run side by side")
+		fmt.Println("instances with these files may run side by side")
 	}
 	if len(steps) <= 1 {
 		return
 	}
-	fmt.Printf("in %d steps:\n", len(steps))
+	fmt.Printf("migration in %d steps:\n", len(steps))
 	for i, step := range steps {
 		fmt.Printf("%d. voters of epoch %d: %v; slots %d\n",
 			i+1, step.Voters.Epoch, step.Voters.Current, step.Slots)
--- a/cmd/tealpath/diff_test.go
+++ b/cmd/tealpath/diff_test.go
@@ -11,13 +11,13 @@
 	"tealpath/internal/testkit"
 )
 
-// diffFile is an operator's file. Left open are the voters and the number of slots.
+// diffFile is the format of an operator's file. Its arguments are the voters and the number of slots.
 const diffFile = `(fleet
  (instances (instance a (at "127.0.0.1:1")) (instance b (at "127.0.0.1:2")) (instance c (at "127.0.0.1:3")))
  (voters %s) (slots %d)
  (tls (certificate "a.pem") (key "a.key") (roots "roots.pem")) (allow "127.0.0.0/8"))`
 
-// Two operator's files, as an operator would hold them against each other before a change.
+// The command diff compares two operator's files and fails if instances with them may not run side by side.
 func TestDiff(t *testing.T) {
 	dir := t.TempDir()
 	root, err := certificates.NewRoot("root")
@@ -42,20 +42,20 @@
 		name      string
 		arguments []string
 		code      int
-		says      string
+		wantError string // part of the error
 	}{
-		{"the same", []string{one, one}, 0, ""},
-		{"one voter less, an epoch on", []string{one, fewer}, 0, ""},
+		{"the same file", []string{one, one}, 0, ""},
+		{"one voter less in the next epoch", []string{one, fewer}, 0, ""},
 		{"other slots", []string{one, otherSlots}, exitFailed, sideBySide},
-		{"other voters under one epoch", []string{one, otherVoters}, exitFailed, sideBySide},
-		{"back", []string{fewer, one}, exitFailed, "can't follow"},
+		{"other voters in the same epoch", []string{one, otherVoters}, exitFailed, sideBySide},
+		{"back to an earlier epoch", []string{fewer, one}, exitFailed, "can't follow"},
 		{"as JSON", []string{"--json", one, otherSlots}, exitFailed, sideBySide},
 		{"one file", []string{one}, exitUsage, "two operator's files"},
-		{"no such file", []string{one, filepath.Join(dir, "none")}, exitUsage, "none"},
+		{"missing file", []string{one, filepath.Join(dir, "none")}, exitUsage, "none"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			err := app().Run(context.Background(), append([]string{"tealpath", "diff"}, c.arguments...))
-			expectExit(t, err, c.code, c.says)
+			expectExit(t, err, c.code, c.wantError)
 		})
 	}
 }
--- a/cmd/tealpath/discovery_test.go
+++ b/cmd/tealpath/discovery_test.go
@@ -11,40 +11,44 @@
 	"tealpath/internal/testkit"
 )
 
-// stopSending adds to the settings that within 0.25 s from when a cache drains nothing more is sent to it.
+// stopSending replaces formerGrace in the configuration. It adds the setting that a router must stop sending requests
+// to a cache within 0.25 s after the cache begins to drain.
 const formerGrace, stopSending = `"graceToAnswerS"`, `"stopSendingWithinS":0.25,"graceToAnswerS"`
 
-// A cache begins to drain in the moment in which the router restarts: the router that ends and the one that
-// starts, with endpoints from its configuration, both stop sending to it in time, and every client is answered.
+// A cache begins to drain while the router restarts. Both the router that ends and the one that starts, which knows the
+// cache from its configuration, stop sending requests to the cache in time, and every request is answered.
 func TestRestartWhileCacheDrains(t *testing.T) {
 	t.Parallel()
 	const grace, slack = 250 * time.Millisecond, 50 * time.Millisecond
 	router, caches, service := newTestCell(t, 1.2, formerGrace, stopSending)
 	former := router.spawnHealthy(t)
-	ending := former.Terminate()
+	termination := former.Terminate()
 	service.Publish(drainEvent(caches[0], "s-a"))
-	callUntilClosed(t, router, caches, 0, 20) // the one that ends still serves on new connections
-	ending.ExpectEndWithin(clientTimeout + killDelay)
+	callUntilClosed(t, router, caches, 0, 20) // the router that ends still accepts connections
+	termination.ExpectEndWithin(clientTimeout + killDelay)
 	begun := time.Now()
 	router.spawnHealthy(t)
 	for time.Since(begun) < time.Second {
 		callUntilClosed(t, router, caches, 1000, 20)
 	}
 	for _, request := range caches[0].Requests("") {
-		sinceTold, sinceRestart := request.At.Sub(ending.At), request.At.Sub(begun)
-		if sinceTold > grace+slack && request.At.Before(begun) {
-			t.Errorf("asked %v after it began to drain", sinceTold)
+		sinceDrain, sinceRestart := request.At.Sub(termination.At), request.At.Sub(begun)
+		if sinceDrain > grace+slack && request.At.Before(begun) {
+			t.Errorf("the draining cache got a request %v after it began to drain, at most %v is allowed",
+				sinceDrain, grace+slack)
 		}
 		if sinceRestart > grace+slack {
-			t.Errorf("asked %v after the next router began", sinceRestart)
+			t.Errorf("the draining cache got a request %v after the next router started, at most %v is allowed",
+				sinceRestart, grace+slack)
 		}
 	}
-	if len(caches[1].Requests("")) < 20 {
-		t.Error("the other cache was hardly asked")
+	if count := len(caches[1].Requests("")); count < 20 {
+		t.Errorf("the other cache got %d requests, want at least 20", count)
 	}
 }
 
-// callUntilClosed sends one request after the other on a new connection, until the router closes that.
+// callUntilClosed sends count requests on a new connection, each after the response to the one before, and stops early
+// if the router closes the connection.
 func callUntilClosed(t *testing.T, router *testRouter, caches []*testkit.Cache, firstObject, count int) {
 	t.Helper()
 	client := testkit.Dial(t, router.address)
@@ -54,7 +58,7 @@
 		got, result := client.Next()
 		e.answered = got == sequence
 		if e.answered && !strings.Contains(result, testkit.Served) {
-			t.Errorf("%s: %q", e.object, result)
+			t.Errorf("response %q to the request for %s, want %q", result, e.object, testkit.Served)
 		}
 		expectNoneLost(t, caches, []exchange{e}, time.Now(), 0)
 		if !e.answered {
@@ -63,11 +67,11 @@
 	}
 }
 
-// New configurations in quick succession, each with another discovery service: what is in flight is answered,
-// and the last one is watched.
-func TestLastOfSeveralReloadsCounts(t *testing.T) {
+// The configuration is reloaded several times in quick succession, each time with another discovery service. The
+// request in flight is answered, and the router watches the last service.
+func TestLastOfSeveralReloadsIsInEffect(t *testing.T) {
 	t.Parallel()
-	const reloadInterval = 10 * time.Millisecond // signals that wait are delivered only once
+	const reloadInterval = 10 * time.Millisecond // a signal that is sent while the same one is pending is lost
 	router, caches, first := newTestCell(t, 1.2, formerGrace, stopSending)
 	services := []*discoveryserver.Service{first}
 	for range 5 {
@@ -81,7 +85,7 @@
 	}
 	client := testkit.Dial(t, router.address)
 	inFlight := client.Call(testkit.ObjectID(1), clientTimeout)
-	testkit.WaitUntil(t, testkit.Timeout, "it is in flight", func() bool {
+	testkit.WaitUntil(t, testkit.Timeout, "the request is in flight", func() bool {
 		return requestCount(caches, testkit.ObjectID(1)) > 0
 	})
 	for _, service := range services[1:] {
@@ -93,22 +97,23 @@
 	last := services[len(services)-1]
 	testkit.WaitUntil(t, testkit.Timeout, "the last service is watched", func() bool { return len(last.Calls()) > 0 })
 	last.Publish(drainEvent(caches[0], "s-a"))
-	told := time.Now()
+	publishedAt := time.Now()
 	for _, cache := range caches {
 		cache.SetBehavior(testkit.Respond, 0)
 	}
-	for n := 10; time.Since(told) < 600*time.Millisecond; n++ {
+	for n := 10; time.Since(publishedAt) < 600*time.Millisecond; n++ {
 		client.ExpectServed(testkit.ObjectID(n), clientTimeout)
 	}
 	for _, request := range caches[0].Requests("") {
-		if sent := request.At.Sub(told); sent > 300*time.Millisecond {
-			t.Errorf("asked %v after the last service published that it drains", sent)
+		if sent := request.At.Sub(publishedAt); sent > 300*time.Millisecond {
+			t.Errorf("the draining cache got a request %v after the last service published it, at most 300 ms are allowed", sent)
 		}
 	}
 }
 
-// Discovery is slow and takes fewer calls than there are routers: those that know endpoints serve at once,
-// those that know none say so until they have got them, and all obey in the end what it publishes.
+// Discovery is slow: it sends few bytes per second and accepts few calls per second. Routers that know endpoints serve
+// at once, routers that know none fail health checks until they have received them, and all routers apply the watch
+// events that are published later.
 func TestSlowDiscoveryReachesAllRouters(t *testing.T) {
 	t.Parallel()
 	const count = 6
@@ -130,10 +135,12 @@
 		processes[n].WaitHealthy(testkit.Timeout)
 		testkit.Dial(t, router.address).ExpectServed(testkit.ObjectID(n), clientTimeout)
 	}
-	testkit.WaitUntil(t, testkit.Timeout, "all have called", func() bool { return len(service.Calls()) >= count })
+	testkit.WaitUntil(t, testkit.Timeout, "all routers have called discovery", func() bool {
+		return len(service.Calls()) >= count
+	})
 	service.Publish(drainEvent(caches[0], "s-a"))
 	for n, router := range routers[1:] {
-		// Those that knew no endpoints have those of router 0. All must stop sending to the cache that drains.
+		// Routers that knew no endpoints have received those of router 0, whose first cache is draining.
 		client := testkit.Dial(t, router.address)
 		testkit.WaitUntil(t, testkit.Timeout, fmt.Sprintf("router %d stops sending to the cache", n+1), func() bool {
 			before := len(caches[0].Requests(""))
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -12,7 +12,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// leasesCommand returns the command duties, which is named after the older word for leases.
+// leasesCommand returns the definition of the command duties. Its name is a former word for leases.
 func leasesCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "duties",
@@ -23,7 +23,7 @@
 	}
 }
 
-// leases prints who holds the lease of each slot, as a running instance knows it.
+// leases prints which instance holds the lease of each slot, according to a running instance.
 func leases(ctx context.Context, cmd *cli.Command) error {
 	var status cluster.Status
 	if err := query(ctx, cmd, server.LeasesCommand, &status); err != nil {
@@ -39,7 +39,7 @@
 func printLeases(status cluster.Status) {
 	quorum := "a majority is reached"
 	if !status.Majority {
-		quorum = "NO MAJORITY: nobody here acts"
+		quorum = "NO MAJORITY: this instance does no periodic tasks"
 	}
 	fmt.Printf("%s, voters of epoch %d: %s; %s\n",
 		status.Name, status.Epoch, strings.Join(status.Voters, " "), quorum)
@@ -50,33 +50,33 @@
 	defer out.flush()
 	printLeaseMembers(out, status)
 	printSlots(out, status)
-	out.printf("\n%d targets are probed, %d of them here; "+
-		"%d probes left out to spare cold ones, %d stale findings dropped\n",
+	out.printf("\n%d targets are probed, %d of them by this instance; "+
+		"%d probes left out because of targets in slow start, %d stale probe results dropped\n",
 		status.Targets, status.OwnTargets, status.Skipped, status.StaleResults)
 	out.printf("%d frames sent to other instances, %d dropped from full queues; %d probes sent\n",
 		status.Frames, status.FramesLost, status.Probes)
 }
 
-// printLeaseMembers prints a row for each member.
+// printLeaseMembers prints a table row for each member.
 func printLeaseMembers(out table, status cluster.Status) {
 	out.printf("\nMEMBER\tSTATE\tSINCE\tADDRESS\tWEIGHT\tEPOCH\n")
 	for _, member := range status.Members {
 		state := member.State
 		if member.Doubled {
-			state += ", two starts"
+			state += ", duplicate name"
 		}
 		out.printf("%s\t%s\t%s\t%s\t%g\t%d\n",
-			member.Name, state, duration(member.SinceMS), member.Address, member.Weight, member.Epoch)
+			member.Name, state, formatMilliseconds(member.SinceMS), member.Address, member.Weight, member.Epoch)
 	}
 }
 
-// printSlots prints a row for each slot, with the holder of its lease.
+// printSlots prints a table row for each slot, with the holder of its lease.
 func printSlots(out table, status cluster.Status) {
 	out.printf("\nSLOT\tOWNER\tNUMBER\tSINCE\tPLANNED\tWHY NOBODY\n")
 	for _, slot := range status.Slots {
 		since := ""
 		if slot.Own {
-			since = duration(slot.SinceMS)
+			since = formatMilliseconds(slot.SinceMS)
 		}
 		out.printf("%d\t%s\t%x\t%s\t%s\t%s\n",
 			slot.Slot, cmp.Or(slot.Holder, "-"), slot.Ballot, since, slot.Planned, slot.Reason)
--- a/cmd/tealpath/faults_test.go
+++ b/cmd/tealpath/faults_test.go
@@ -8,35 +8,35 @@
 	"tealpath/internal/testkit"
 )
 
-// Faults of caches that the platform's pages name and the platform's bench does not play, over real connections
-// to routers in processes of their own. docs/endings.md lists them.
+// The tests of this file use real connections to routers in separate processes. They cover faults of caches that the
+// platform's documentation names but its bench does not simulate. docs/endings.md lists them.
 
-// kill ends a cache: connections to it are refused.
+// kill ends a cache, so that connections to it are refused.
 func kill(cache *testkit.Cache) { cache.Kill() }
 
-// hang has a cache read requests and never respond.
+// hang makes a cache read requests and never respond.
 func hang(cache *testkit.Cache) { cache.SetBehavior(testkit.Hang, 0) }
 
-// resetRequests has a cache reset each connection by which a request comes.
+// resetRequests makes a cache reset each connection on which it receives a request.
 func resetRequests(cache *testkit.Cache) { cache.SetBehavior(testkit.ResetConnection, 0) }
 
-// forgetConnections has a cache reset its present connections when the next request comes on them.
+// forgetConnections makes a cache reset each of its current connections on the next request.
 func forgetConnections(cache *testkit.Cache) { cache.SetBehavior(testkit.ForgetConnections, 0) }
 
-// A fault that begins after a time without requests, which is five times as long as the router keeps idle
-// connections.
+// A cache becomes faulty while there are no requests, for five times the duration for which the router keeps idle
+// connections. Requests that arrive after that are served by the other cache.
 func TestRequestsServedDespiteFaultAfterIdleTime(t *testing.T) {
 	const (
 		idleTime = 1500 * time.Millisecond
-		together = 8 // requests at once, as many as one cache has capacity for
+		together = 8 // requests sent at once, the capacity of one cache
 	)
 	for _, c := range []struct {
 		name        string
 		begin       func(*testkit.Cache)
-		servedFirst int // of those that come together, at least
-		servedLater int
+		servedFirst int // minimum number of served requests in the first round
+		servedLater int // minimum number of served requests in each later round
 	}{
-		{"a cache resets what comes", func(cache *testkit.Cache) {
+		{"a cache resets connections", func(cache *testkit.Cache) {
 			cache.ResetAll()
 			resetRequests(cache)
 		}, 8, 8},
@@ -59,15 +59,15 @@
 					want = c.servedFirst
 				}
 				if served := callTogether(t, client, together); served < want {
-					t.Errorf("round %d: %d of %d served", round, served, together)
+					t.Errorf("round %d: %d of %d requests served, want at least %d", round, served, together, want)
 				}
 			}
 		})
 	}
 }
 
-// callTogether sends requests at once, so that the router has much to judge by, and returns how many are
-// served. Each has to be answered once and within its time.
+// callTogether sends count requests at once, so that the router gets enough results to eject a cache, and returns how
+// many are served. It checks that each request gets exactly one response in time.
 func callTogether(t *testing.T, client *testkit.Client, count int) (served int) {
 	t.Helper()
 	begun, inFlight := time.Now(), map[int32]bool{}
@@ -76,8 +76,9 @@
 	}
 	for len(inFlight) > 0 {
 		sequence, result := client.Next()
-		if took := time.Since(begun); !inFlight[sequence] || took > clientTimeout+lateness {
-			t.Fatalf("response %d %q after %v", sequence, result, took)
+		if took := time.Since(begun); !inFlight[sequence] || took > clientTimeout+maxLateness {
+			t.Fatalf("response %d %q after %v, want one response to each request within %v",
+				sequence, result, took, clientTimeout+maxLateness)
 		}
 		delete(inFlight, sequence)
 		if strings.Contains(result, testkit.Served) {
@@ -87,15 +88,15 @@
 	return served
 }
 
-// Caches reset or forget connections while nothing is on them: what comes next is served.
+// Caches reset or forget idle connections. The next requests are served.
 func TestRequestsServedAfterCachesEndIdleConnections(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		end  func(*testkit.Cache)
 	}{
 		{"reset", (*testkit.Cache).ResetAll},
-		{"forgotten, so that the next request resets them", forgetConnections},
-		{"reset just after the request has left", func(cache *testkit.Cache) {
+		{"forgotten: reset by the next request", forgetConnections},
+		{"forgotten, and reset just after the next request is sent", func(cache *testkit.Cache) {
 			forgetConnections(cache)
 			time.AfterFunc(time.Millisecond, cache.ResetAll)
 		}},
@@ -108,7 +109,7 @@
 			for n := range 20 {
 				client.ExpectServed(testkit.ObjectID(n), clientTimeout)
 			}
-			testkit.WaitUntil(t, testkit.Timeout, "both have idle connections", func() bool {
+			testkit.WaitUntil(t, testkit.Timeout, "both caches have idle connections", func() bool {
 				return caches[0].OpenConnections() > 0 && caches[1].OpenConnections() > 0
 			})
 			for round := range 3 {
@@ -120,15 +121,15 @@
 					client.ExpectServed(testkit.ObjectID(100*round+n), clientTimeout)
 				}
 				if took := time.Since(begun); took > 600*time.Millisecond {
-					t.Errorf("five requests took %v", took)
+					t.Errorf("five requests took %v, want at most 600 ms", took)
 				}
 			}
 		})
 	}
 }
 
-// Retries and hedged requests that fail at once: one final response, as soon as nothing is left to try, and no
-// more attempts than the settings allow.
+// If all retries and hedged requests fail, the client gets exactly one response, as soon as there is nothing left to
+// try, and the router makes no more attempts than the settings allow.
 func TestFailedRetriesEndInOneResponse(t *testing.T) {
 	const maxAttempts = 6
 	for _, c := range []struct {
@@ -155,11 +156,11 @@
 				object := testkit.ObjectID(500 + n)
 				begun := time.Now()
 				client.Expect(client.Call(object, clientTimeout), testkit.Rejected)
-				if took := time.Since(begun); took > c.within+lateness {
-					t.Errorf("given up on after %v, not %v", took, c.within)
+				if took := time.Since(begun); took > c.within+maxLateness {
+					t.Errorf("rejected after %v, want at most %v", took, c.within+maxLateness)
 				}
 				if attempts := requestCount(caches, object); attempts > maxAttempts {
-					t.Errorf("%d attempts", attempts)
+					t.Errorf("%d attempts for one request, at most %d are allowed", attempts, maxAttempts)
 				}
 			}
 			expectNoResponse(t, client, 100*time.Millisecond)
@@ -167,11 +168,11 @@
 	}
 }
 
-// expectNoResponse checks that no response comes for a time.
+// expectNoResponse checks that the client receives no response during the time span.
 func expectNoResponse(t *testing.T, client *testkit.Client, span time.Duration) {
 	t.Helper()
 	testkit.SetTimeout(t, client.Conn, span)
 	if sequence, result := client.Next(); sequence != testkit.ClosedSequence {
-		t.Errorf("another response: %d %q", sequence, result)
+		t.Errorf("unexpected response %d %q", sequence, result)
 	}
 }
--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -12,9 +12,9 @@
 	"tealpath/internal/testkit"
 )
 
-// What a router may need in the mean over the same day beside what it needs at the usual size, as the users'
-// page on the full fleet states it: a factor, a part that is added, and one that is added for each thousand
-// cache servers.
+// growthBounds limits the resources that a router may use on average among many cache servers, relative to what it uses
+// among the usual number with the same traffic. The users' documentation of the full fleet states these limits. A limit
+// is factor * usage among the usual number + plus + perServers * thousands of cache servers.
 var growthBounds = []struct {
 	what                     string
 	factor, plus, perServers float64
@@ -24,19 +24,21 @@
 	{"peak memory, MB", 1.5, 8, 4, func(f growthFigures) float64 { return f.peakMB }},
 	{"descriptors", 2, 40, 0, func(f growthFigures) float64 { return f.descriptors }},
 	{"connections to cache servers", 2.5, 40, 0, func(f growthFigures) float64 { return f.connections }},
-	{"bytes of lists, KB", 2, 64, 500, func(f growthFigures) float64 { return f.listKB }},
+	{"endpoint lists received, KB", 2, 64, 500, func(f growthFigures) float64 { return f.listKB }},
 }
 
-// minServedShare is the part of the share served at the usual size that has to be served.
+// minServedShare is the minimum share of served requests among many cache servers, as a part of the share among the
+// usual number.
 const minServedShare = 0.85
 
+// growthDays are the kinds of traffic that the growth tests use.
 var growthDays = []growthDay{
 	{"list in the configuration", true, 300, 25 * time.Millisecond, 150, 1.1},
 	{"list from the service", false, 300, 25 * time.Millisecond, 150, 1.1},
-	{"more objects than links", true, 1200, 8 * time.Millisecond, 30_000, 0},
+	{"more objects than connections", true, 1200, 8 * time.Millisecond, 30_000, 0},
 }
 
-// listFromService is the day of a router whose configuration knows no endpoints.
+// listFromService is the traffic of a router that receives its endpoint list from discovery.
 var listFromService = growthDays[1]
 
 // buildProgram builds the router and returns the path of the binary.
@@ -44,27 +46,27 @@
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "tealpath")
 	if out, err := exec.Command("go", "build", "-o", binary, ".").CombinedOutput(); err != nil {
-		t.Fatalf("%v\n%s", err, out)
+		t.Fatalf("go build: %v\n%s", err, out)
 	}
 	return binary
 }
 
-// A list of 10,000 members, over three times the largest fleet, is taken like any other: the router serves
-// within its memory.
+// A router with an endpoint list of 10,000 cache servers, over three times the largest fleet, serves requests and stays
+// within its memory limit.
 func TestListOfTenThousandIsServedWithinMemory(t *testing.T) {
 	t.Parallel()
 	binary := buildProgram(t)
-	playAgain(t, func() (failures []string, late time.Duration) { return playTenThousand(t, binary) })
+	playUntilUndisturbed(t, func() (failures []string, late time.Duration) { return playTenThousand(t, binary) })
 }
 
-// playTenThousand plays a day with a list of 10,000. It returns what is wrong with it and how late a timer came
-// meanwhile.
+// playTenThousand runs a router with an endpoint list of 10,000 cache servers. It returns the failed checks, and how
+// late a timer of this process fired meanwhile.
 func playTenThousand(t *testing.T, binary string) (failures []string, late time.Duration) {
 	t.Helper()
 	const here, all = 100, 10_000
 	f := newGrowthFleet(t, here, 900)
 	instances := []string{f.instances(0, here, 0, "active")}
-	for n := here; n < all; n++ { // of another zone; nobody listens there
+	for n := here; n < all; n++ { // in another zone; nothing listens there
 		address := fmt.Sprintf("127.99.%d.%d:1", n>>8, n&255)
 		instances = append(instances, growthInstance(n, 0, address, "there", "active"))
 	}
@@ -75,37 +77,37 @@
 	late = stalls.Stop()
 	t.Logf("%+v", figures)
 	if figures.served < 0.98 || figures.peakMB > routerMemoryMB {
-		failures = append(failures, fmt.Sprintf("served %.3f, peak memory %.1f of %d MB",
+		failures = append(failures, fmt.Sprintf("share served %.3f, want at least 0.98; peak memory %.1f MB, limit %d MB",
 			figures.served, figures.peakMB, routerMemoryMB))
 	}
 	return failures, late
 }
 
-// A real router among 3,200 cache servers needs no more beside one among 200 than the users' table lets it,
-// with the same traffic of its own. Both play at the same time, so that a busy machine weighs on both.
+// A router among 3,200 cache servers uses no more resources than growthBounds allows, relative to a router among 200
+// with the same traffic. Both run at the same time, so that other load on the machine affects both.
 func TestGrowthStaysWithinBounds(t *testing.T) {
 	t.Parallel()
 	binary := buildProgram(t)
 	for _, day := range growthDays {
 		t.Run(day.name, func(t *testing.T) {
 			t.Parallel()
-			playAgain(t, func() (failures []string, late time.Duration) { return playGrowth(t, binary, day) })
+			playUntilUndisturbed(t, func() (failures []string, late time.Duration) { return playGrowth(t, binary, day) })
 		})
 	}
 }
 
-// playAgain plays a day, and again where it failed while this test's own timer came late: such a day tells of
-// the machine. The last play counts in any case.
-func playAgain(t *testing.T, day func() (failures []string, late time.Duration)) {
+// playUntilUndisturbed calls day, and repeats it if it failed while a timer of this process fired late: then the load
+// of the machine may be the cause. The last of maxPlays counts in any case.
+func playUntilUndisturbed(t *testing.T, day func() (failures []string, late time.Duration)) {
 	t.Helper()
 	const (
 		maxPlays = 3
-		maxLate  = 50 * time.Millisecond // a timer that comes so late tells of a machine that stood still
+		maxLate  = 50 * time.Millisecond // maximum lateness of a timer in an undisturbed play
 	)
 	for play := 1; ; play++ {
 		failures, late := day()
 		if len(failures) > 0 && late > maxLate && play < maxPlays {
-			t.Logf("played again: this test's timer came %v late in play %d, which failed: %v", late, play, failures)
+			t.Logf("repeated: in play %d a timer of this test fired %v late, and these checks failed: %v", play, late, failures)
 			continue
 		}
 		for _, failure := range failures {
@@ -115,8 +117,8 @@
 	}
 }
 
-// playGrowth plays a day with both fleets. It returns what is over the table's bounds, and how late a timer
-// came meanwhile.
+// playGrowth runs a day's traffic in a fleet of the usual size and in a large one at the same time. It returns the
+// failed checks, and how late a timer of this process fired meanwhile.
 func playGrowth(t *testing.T, binary string, day growthDay) (failures []string, late time.Duration) {
 	t.Helper()
 	const usualServers, manyServers = 200, 3200
@@ -135,15 +137,17 @@
 	for _, b := range growthBounds {
 		usually, got := b.of(atUsual), b.of(atMany)
 		bound := b.factor*usually + b.plus + b.perServers*manyServers/1000
-		t.Logf("%-30s %8.3f at %d, %8.3f at %d, bound %8.3f", b.what, usually, usualServers, got, manyServers, bound)
+		t.Logf("%-30s %8.3f at %d, %8.3f at %d, limit %8.3f", b.what, usually, usualServers, got, manyServers, bound)
 		if got > bound {
-			failures = append(failures, fmt.Sprintf("%s: %.3f, at most %.3f", b.what, got, bound))
+			failures = append(failures, fmt.Sprintf("%s: %.3f, at most %.3f are allowed", b.what, got, bound))
 		}
 	}
-	t.Logf("%-30s %8.3f at %d, %8.3f at %d; a timer came %v late",
+	t.Logf("%-30s %8.3f at %d, %8.3f at %d; a timer fired %v late",
 		"share served", atUsual.served, usualServers, atMany.served, manyServers, late)
 	if atUsual.served < 0.9 || atMany.served < minServedShare*atUsual.served {
-		failures = append(failures, fmt.Sprintf("share served: %.3f and %.3f", atUsual.served, atMany.served))
+		failures = append(failures, fmt.Sprintf(
+			"share served: %.3f at %d cache servers, want at least 0.9; %.3f at %d, want at least %.3f",
+			atUsual.served, usualServers, atMany.served, manyServers, minServedShare*atUsual.served))
 	}
 	return failures, late
 }
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -20,53 +20,53 @@
 	"tealpath/internal/testkit"
 )
 
-// growthDay is the traffic of one router, the same in a fleet of any size.
+// growthDay is the traffic of one router in a growth test. It does not depend on the size of the fleet.
 type growthDay struct {
 	name     string
-	known    bool // the configuration knows the endpoints
+	known    bool // the configuration contains the endpoint list
 	requests int
-	interval time.Duration // between two requests
+	interval time.Duration // time between two requests
 	objects  int
-	skew     float64 // of their popularity, Zipf's exponent; 0: all are asked for alike
+	skew     float64 // Zipf exponent of the objects' popularity; 0: all objects are equally popular
 }
 
-// listChanges are the changes of the endpoint list in a day, each of one in a hundred servers.
+// listChanges is how often the endpoint list changes during a day. Each change replaces 1% of the cache servers.
 const listChanges = 15
 
-// routerMemoryMB is a router's limit.
+// routerMemoryMB is the memory limit of a router, MB.
 const routerMemoryMB = 32
 
-// growthFigures is what one router needed for the day.
+// growthFigures contains the resources that one router used during a day, and how much it served.
 type growthFigures struct {
 	cpuSeconds  float64
 	peakMB      float64
-	descriptors float64
-	connections float64 // to cache servers
-	listKB      float64
-	served      float64 // share of the requests
+	descriptors float64 // maximum number of open descriptors
+	connections float64 // number of connections opened to cache servers
+	listKB      float64 // bytes received from discovery
+	served      float64 // share of the requests that were served
 }
 
-// growthFleet is one real router among emulators of cache servers and of discovery, at one size.
+// growthFleet is one router in a separate process, with emulated cache servers and an emulated discovery service.
 type growthFleet struct {
 	t           *testing.T
 	servers     []net.Listener
-	routers     int
+	routers     int // number of routers according to the settings; only one runs
 	discovery   *discoveryserver.Service
-	address     string
+	address     string // of the router
 	router      *testkit.RouterProcess
-	connections atomic.Int64
-	listening   atomic.Bool // the router has accepted a connection
-	descriptors atomic.Int64
+	connections atomic.Int64 // connections that cache servers have accepted
+	listening   atomic.Bool  // the router has accepted a connection
+	descriptors atomic.Int64 // maximum of the samples
 }
 
-// serverAddress is a free port of a loopback host that nothing else uses: on 127.0.0.1 another's connection may
-// take a port that is free for a moment, and another's router may look for a server of its own that was there
-// before.
+// serverAddress returns an address with port 0 on a loopback host that only this process uses. On 127.0.0.1 the
+// connections of other processes could take the ports, and other routers could connect to a cache server of this test
+// if it has the address of a former one of theirs.
 func serverAddress() string {
 	return fmt.Sprintf("127.100.%d.%d:0", os.Getpid()>>8&255, max(1, os.Getpid()&255))
 }
 
-// newGrowthFleet starts cache servers and discovery for one of many routers.
+// newGrowthFleet starts cache servers and a discovery service. routers is the number of routers in the settings.
 func newGrowthFleet(t *testing.T, servers, routers int) *growthFleet {
 	t.Helper()
 	f := &growthFleet{t: t, routers: routers, discovery: startDiscovery(t)}
@@ -78,7 +78,7 @@
 	return f
 }
 
-// accept serves a cache server's connections, and counts them.
+// accept counts and serves the connections of one cache server.
 func (f *growthFleet) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
@@ -90,7 +90,7 @@
 	}
 }
 
-// serveGrowth responds to each request of a connection at once.
+// serveGrowth responds to all requests on a connection, without a delay.
 func serveGrowth(conn net.Conn) {
 	defer testkit.Close(conn)
 	in := bufio.NewReader(conn)
@@ -105,7 +105,8 @@
 	}
 }
 
-// instances is the entries of servers in a list, as they are of a generation.
+// instances returns the list entries of the servers with the numbers from (inclusive) to to (exclusive). A server that
+// restarts gets a new generation, which is part of its name.
 func (f *growthFleet) instances(from, to, generation int, lifecycle string) string {
 	var entries []string
 	for n := from; n < to; n++ {
@@ -114,20 +115,20 @@
 	return strings.Join(entries, ",")
 }
 
-// growthInstance is the entry of the server with a number in a list. Names are spread as hashes are.
+// growthInstance returns the list entry of server n. The names are spread over the range of a 32-bit hash.
 func growthInstance(n, generation int, address, zone, lifecycle string) string {
 	const nameFactor = 2654435761
 	return fmt.Sprintf(`{"instanceId":"s-%08x-%d","hostPort":%q,"zone":%q,"machineType":"cache","cell":%d,`+
 		`"lifecycle":%q,"weight":4,"startedAtMs":0}`, uint32(n)*nameFactor, generation, address, zone, n%8, lifecycle)
 }
 
-// publishAll publishes a list in place of any that came before.
+// publishAll publishes a list that replaces the former list.
 func (f *growthFleet) publishAll(instances string) {
 	f.discovery.Publish(`{"pos":%d,"hosts":{"generation":1,"reset":true,"instances":[` + instances + `]}}`)
 }
 
-// growthConfig is a router's configuration. Left open are its address, memory in MB, the address of discovery,
-// the known endpoints, and twice the number of routers.
+// growthConfig is the format of a router's configuration. Its arguments are the router's address, its memory in MB, the
+// address of discovery, the known watch events, and twice the number of routers.
 const growthConfig = `{"name":"n0","listen":%q,"seed":"07","limits":{"cores":1,"memory_mb":%d,"sockets":1024},
  "journal":%q,"known":%s,"settings":{"balancers":%d,"locality":"here","failureDomains":["here"],"machineTypes":["cache"],
  "familyInfo":{"zoneBalancers":[%d],"purgeTakesS":6},"limits":{"attemptsCap":6,"cancel":true,"mayProbe":true,
@@ -136,7 +137,7 @@
  "warmUpS":17,"overloadFactor":2.5,"fallS":1.5,"stopSendingWithinS":0.25},
  "profiles":[{"name":"stills","onTimeS":0.4,"deadlineS":1.2,"points":1,"effect":"retryable","keyScope":"all"}]}}`
 
-// start starts the router and samples its descriptors until the test is over.
+// start starts the router, and a goroutine that samples its descriptors until the test ends.
 func (f *growthFleet) start(binary string, known bool) {
 	f.t.Helper()
 	f.address = testkit.FreeAddress(f.t)
@@ -157,13 +158,15 @@
 	go f.sampleDescriptors(done)
 }
 
-// sampleDescriptors keeps the most descriptors that the router has had since it listens. Until then its process may still
-// be in exec, where it has copies of this test's own thousands of descriptors while the system closes them one by one.
+// sampleDescriptors records the maximum number of open descriptors of the router since it listens. Before that, the
+// process may still be in exec, where it has copies of this test's thousands of descriptors until the system has closed
+// them one by one.
 func (f *growthFleet) sampleDescriptors(done <-chan struct{}) {
 	const interval = 50 * time.Millisecond
 	for {
 		if f.listening.Load() {
-			names, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", f.router.PID())) // an error leaves no figure: play fails
+			// After an error the count is 0. play fails the test if there is no other sample.
+			names, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", f.router.PID()))
 			f.descriptors.Store(max(f.descriptors.Load(), int64(len(names))))
 		}
 		select {
@@ -174,7 +177,7 @@
 	}
 }
 
-// play plays the day, ends the router, and returns what that needed.
+// play sends the requests of the day, shuts down the router, and returns the resources that it used.
 func (f *growthFleet) play(day growthDay) growthFigures {
 	f.router.WaitHealthy(10 * time.Second)
 	f.listening.Store(true)
@@ -192,7 +195,7 @@
 		connections: float64(f.connections.Load()),
 	}
 	if figures.descriptors == 0 {
-		f.t.Error("the router's descriptors were never sampled")
+		f.t.Errorf("the descriptors of process %d were never sampled", f.router.PID())
 	}
 	f.router.Signal(syscall.SIGTERM)
 	_, usage, err := f.router.Wait()
@@ -206,7 +209,7 @@
 	return figures
 }
 
-// countServed reads responses and returns how many have the body of the request.
+// countServed reads one response per request and returns how many contain the body of the request.
 func countServed(client *testkit.Client, requests int) (served int) {
 	for range requests {
 		sequence, result := client.Next()
@@ -220,7 +223,7 @@
 	return served
 }
 
-// send sends the requests of the day, and changes the list meanwhile.
+// send sends the requests of the day and publishes the changes of the endpoint list in between.
 func (f *growthFleet) send(client *testkit.Client, day growthDay) {
 	random := rand.New(rand.NewPCG(1, 2))
 	draw := func() int { return random.IntN(day.objects) }
@@ -242,8 +245,8 @@
 	}
 }
 
-// peakMB is the router's peak memory so far. The usage that a parent gets at the end holds the parent's own,
-// from before exec.
+// peakMB returns the peak memory of the router until now, MB. The usage that the kernel returns when a process ends is
+// not suitable: its peak includes the memory of the parent process before exec.
 func (f *growthFleet) peakMB() float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", f.router.PID()))
 	if err != nil {
@@ -258,6 +261,6 @@
 			return number / 1000
 		}
 	}
-	f.t.Fatal("no peak memory in the status")
+	f.t.Fatalf("no line VmHWM in /proc/%d/status", f.router.PID())
 	return 0
 }
--- a/cmd/tealpath/helpers_test.go
+++ b/cmd/tealpath/helpers_test.go
@@ -18,8 +18,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// runAsProgram is the variable of the environment by which this test binary runs as the program itself: a
-// process of its own can be signalled and killed, beside others.
+// runAsProgram is the environment variable that makes this test binary run as tealpath serve. Tests start it in a
+// separate process, which can be signalled and killed without ending the tests.
 const runAsProgram = "TEALPATH_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -32,28 +32,28 @@
 }
 
 const (
-	// clientTimeout is for how long a client usually waits for a response.
+	// clientTimeout is how long a client waits for a response, unless a test says otherwise.
 	clientTimeout = 1200 * time.Millisecond
-	// drainTimeout is within what a router ends on which nothing is outstanding.
+	// drainTimeout is the maximum duration of a shutdown without outstanding requests.
 	drainTimeout = 1500 * time.Millisecond
 	// noDiscovery is an address at which no discovery service listens.
 	noDiscovery = "127.0.0.1:1"
-	// unanswered is an object for which caches do not respond.
+	// unanswered is the name of an object for which caches never respond.
 	unanswered = "dead000000000001"
 )
 
-// testRouter is a router's configuration, by which the whole program can be run.
+// testRouter is a router's configuration, with which the program can be run in this process or in a separate one.
 type testRouter struct {
 	address    string
 	configPath string
 	discovery  string   // address of the discovery service
-	caches     []string // the addresses of two caches, s-a and s-b
-	deadline   float64  // the longest that a client may wait, in seconds
-	changes    []string // replacements in the configuration's text, old and new by turns
+	caches     []string // addresses of the caches s-a and s-b
+	deadline   float64  // maximum deadline of a request, in seconds
+	changes    []string // replacements in the configuration's text: old, new, old, new, …
 }
 
-// configFormat is a router's configuration. Left open are its name, its address, that of discovery, the known
-// endpoints and the longest deadline in seconds.
+// configFormat is the format of a router's configuration. Its arguments are the router's name, its address, the
+// address of discovery, the known endpoints and the maximum deadline in seconds.
 const configFormat = `{"name":"%s","listen":"%s","seed":"07","limits":{"cores":1,"memory_mb":192,"sockets":1024},
 "journal":"%s","known":{"pos":1,"entries":[{"pos":1,"hosts":{"instances":[%s]}}]},"settings":{"balancers":1,
 "locality":"here","failureDomains":["hub","here"],"machineTypes":["cache","parent","origin"],"familyInfo":{
@@ -62,7 +62,7 @@
 "streamsPerConn":100,"maxOpen":1000},"obligations":{"graceToAnswerS":0.008},"profiles":[{"name":"stills",
 "onTimeS":0.4,"deadlineS":%g,"points":1,"effect":"retryable","keyScope":"all"}]}}`
 
-// newTestRouter writes the configuration of a router among two caches.
+// newTestRouter writes the configuration of a router that has two caches.
 func newTestRouter(t *testing.T, caches []string, discovery string, deadline float64, changes ...string) *testRouter {
 	t.Helper()
 	router := &testRouter{
@@ -77,13 +77,13 @@
 	return router
 }
 
-// instanceJSON is one endpoint as it stands in an endpoint list.
+// instanceJSON returns the entry of an endpoint in an endpoint list.
 func instanceJSON(name, address, zone, machineType, lifecycle string) string {
 	const format = `{"instanceId":"%s","hostPort":"%s","zone":"%s","machineType":"%s","lifecycle":"%s","weight":4}`
 	return fmt.Sprintf(format, name, address, zone, machineType, lifecycle)
 }
 
-// endpointsJSON are the endpoints that the router knows from its configuration.
+// endpointsJSON returns the endpoints that the router knows from its configuration.
 func (r *testRouter) endpointsJSON() string {
 	return strings.Join([]string{
 		instanceJSON("s-a", r.caches[0], "here", "cache", "active"),
@@ -93,19 +93,19 @@
 	}, ",")
 }
 
-// config returns the configuration for a name and a discovery service.
+// config returns the configuration with the given router name and address of discovery.
 func (r *testRouter) config(name, discovery string) []byte {
 	text := fmt.Sprintf(configFormat, name, r.address, discovery, r.endpointsJSON(), r.deadline)
 	return []byte(strings.NewReplacer(r.changes...).Replace(text))
 }
 
-// configure replaces the configuration.
+// configure replaces the configuration file.
 func (r *testRouter) configure(t *testing.T, name, discovery string) {
 	t.Helper()
 	testkit.ReplaceFile(t, r.configPath, r.config(name, discovery))
 }
 
-// forgetEndpoints has the configuration know no endpoints.
+// forgetEndpoints removes the known endpoints from the configuration file.
 func (r *testRouter) forgetEndpoints(t *testing.T) {
 	t.Helper()
 	text := string(r.config("n0", r.discovery))
@@ -113,37 +113,38 @@
 	testkit.WriteFile(t, r.configPath, []byte(text[:from]+`"known":null,`+text[to:]))
 }
 
-// change makes replacements in the configuration, and fails the test if nothing is replaced.
+// change adds replacements of the configuration's text, and fails the test if they change nothing.
 func (r *testRouter) change(t *testing.T, changes ...string) {
 	t.Helper()
 	before := r.config("n0", r.discovery)
 	r.changes = append(r.changes, changes...)
 	if slices.Equal(before, r.config("n0", r.discovery)) {
-		t.Fatal("nothing was replaced")
+		t.Fatalf("the configuration contains nothing to replace: %q", changes)
 	}
 	r.configure(t, "n0", r.discovery)
 }
 
-// listEvent is the endpoint list of the configuration as an event of the discovery service, whose position is
-// left open. A router that asks behind event 1 of its configuration hears of nothing new.
+// listEvent returns the format of a watch event with the endpoint list of the configuration. Its argument is the
+// position. The configuration contains the event at position 1, so a router that watches from there on receives
+// nothing new.
 func (r *testRouter) listEvent() string {
 	return `{"pos":%d,"hosts":{"instances":[` + r.endpointsJSON() + `]}}`
 }
 
-// drainEvent is the event that a cache drains, whose position is left open.
+// drainEvent returns the format of the watch event that a cache is draining. Its argument is the position.
 func drainEvent(cache *testkit.Cache, name string) string {
 	instance := instanceJSON(name, cache.Address(), "here", "cache", "leaving")
 	return `{"pos":%d,"hosts":{"instances":[` + instance + `]}}`
 }
 
-// useEnvironment names the configuration to a router that runs in this process.
+// useEnvironment sets the environment variables for a router that runs in this process.
 func (r *testRouter) useEnvironment(t *testing.T) {
 	t.Helper()
 	t.Setenv("LB_CONFIG", r.configPath)
 	t.Setenv("LB_LISTEN", r.address)
 }
 
-// start starts the program in this process. Its result comes on the channel.
+// start starts the program in this process. The channel receives the program's error when it ends.
 func (r *testRouter) start() <-chan error {
 	ended := make(chan error, 1)
 	go func() { ended <- app().Run(context.Background(), []string{"tealpath", "serve"}) }()
@@ -159,7 +160,7 @@
 	return ended
 }
 
-// spawn starts the router in a process of its own, and does not wait for it.
+// spawn starts the router in a separate process, and does not wait until it listens.
 func (r *testRouter) spawn(t *testing.T) *testkit.RouterProcess {
 	t.Helper()
 	self, err := os.Executable()
@@ -173,7 +174,7 @@
 	})
 }
 
-// spawnHealthy starts the router in a process of its own and waits until it can serve.
+// spawnHealthy starts the router in a separate process and waits until it can serve.
 func (r *testRouter) spawnHealthy(t *testing.T) *testkit.RouterProcess {
 	t.Helper()
 	process := r.spawn(t)
@@ -181,7 +182,7 @@
 	return process
 }
 
-// terminate has the router that runs in this process shut down.
+// terminate sends SIGTERM to this process, which shuts down the router in it.
 func terminate(t *testing.T) {
 	t.Helper()
 	testkit.SignalSelf(t, syscall.SIGTERM)
@@ -193,7 +194,7 @@
 	return []*testkit.Cache{testkit.StartCache(t), testkit.StartCache(t)}
 }
 
-// addresses returns where caches listen.
+// addresses returns the addresses of caches.
 func addresses(caches []*testkit.Cache) (listed []string) {
 	for _, cache := range caches {
 		listed = append(listed, cache.Address())
@@ -212,8 +213,8 @@
 	return service
 }
 
-// newTestCell starts two caches and a discovery service that has published them, and configures a router among
-// them.
+// newTestCell starts two caches and a discovery service that has published them, and writes the configuration of a
+// router that uses them.
 func newTestCell(t *testing.T, deadline float64, changes ...string) (
 	*testRouter, []*testkit.Cache, *discoveryserver.Service,
 ) {
@@ -225,7 +226,8 @@
 	return router, caches, service
 }
 
-// requestCount is how often caches were asked for an object, or for all objects where the name is empty.
+// requestCount returns how many requests for an object caches have received in total, or for all objects if the name
+// is empty.
 func requestCount(caches []*testkit.Cache, object string) (count int) {
 	for _, cache := range caches {
 		count += len(cache.Requests(object))
@@ -233,7 +235,7 @@
 	return count
 }
 
-// exitCode is the exit code of a command that has ended with an error, or with none.
+// exitCode returns the exit code of the program for the error of a command, or for nil.
 func exitCode(err error) int {
 	var coded cli.ExitCoder
 	switch {
@@ -246,10 +248,10 @@
 	}
 }
 
-// expectExit checks a command's exit code and that its error, where it has one, says something.
+// expectExit checks the exit code of a command, and that its error, if it has one, contains a text.
 func expectExit(t *testing.T, err error, code int, part string) {
 	t.Helper()
 	if got := exitCode(err); got != code || err != nil && !strings.Contains(err.Error(), part) {
-		t.Errorf("exit code %d, %v; want %d, %q", got, err, code, part)
+		t.Errorf("exit code %d, error %v; want exit code %d, an error with %q", got, err, code, part)
 	}
 }
--- a/cmd/tealpath/log.go
+++ b/cmd/tealpath/log.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// maxQueuedLines bounds the lines that are queued to be written.
+	// maxQueuedLines is how many lines may wait to be written.
 	maxQueuedLines = 1000
 
-	// logCloseTimeout bounds how long the end of the process waits for queued lines.
+	// logCloseTimeout is how long Close waits for queued lines to be written.
 	logCloseTimeout = 50 * time.Millisecond
 )
 
-// logWriter writes lines in a goroutine of its own, so that a slow reader of the log does not block the router.
-// Lines beyond maxQueuedLines are dropped and counted. It is used instead of zerolog's diode, whose Close may wait
-// 0.1 s for its next poll. With deadlines of 0.3 s a process that shuts down would be killed meanwhile.
+// logWriter writes log lines in a separate goroutine, so that a slow reader of the log does not block the router. If
+// the queue is full, lines are dropped and counted. zerolog's diode is not used, because its Close may wait 0.1 s for
+// the next poll: with deadlines of 0.3 s, a process that shuts down would be killed during this wait.
 type logWriter struct {
 	out     io.Writer
 	lines   chan []byte
-	lost    atomic.Int64  // lines that were dropped since the last LogLinesLost
+	lost    atomic.Int64  // lines dropped since the last LogLinesLost event
 	closing chan struct{} // closed by Close
 	closed  chan struct{} // closed when the goroutine has ended
 }
@@ -41,7 +41,7 @@
 	return w
 }
 
-// Write queues a copy of a line, or drops it if the queue is full. It never waits and never fails.
+// Write queues a copy of a line, or drops the line if the queue is full. It never blocks and never returns an error.
 func (w *logWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- bytes.Clone(line):
@@ -66,15 +66,15 @@
 	}
 }
 
-// write writes a line, after an event about lines that were dropped before it.
+// write writes a line. If lines have been dropped, it first writes a LogLinesLost event.
 func (w *logWriter) write(line []byte) {
 	if lost := w.lost.Swap(0); lost > 0 {
 		server.WriteEvent(zerolog.New(w.out), LogLinesLost{Lines: lost})
 	}
-	_, _ = w.out.Write(line) // if the log can't be written there is nowhere to report it
+	_, _ = w.out.Write(line) // there is no other place to report an error of the log itself
 }
 
-// Close waits until the queued lines are written, for logCloseTimeout at most.
+// Close waits until the queued lines are written, but at most for logCloseTimeout.
 func (w *logWriter) Close() {
 	close(w.closing)
 	select {
--- a/cmd/tealpath/log_test.go
+++ b/cmd/tealpath/log_test.go
@@ -12,7 +12,7 @@
 	"tealpath/internal/testkit"
 )
 
-// writeLine writes a line to a log, which never fails.
+// writeLine writes a line to the log and checks that Write returns no error.
 func writeLine(t *testing.T, w *logWriter, line string) {
 	t.Helper()
 	if _, err := fmt.Fprintln(w, line); err != nil {
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestLogIsWrittenAtTheEnd(t *testing.T) {
+func TestCloseWritesQueuedLogLines(t *testing.T) {
 	var out strings.Builder
 	w := newLogWriter(&out)
 	var want strings.Builder
@@ -31,17 +31,16 @@
 	begun := time.Now()
 	w.Close()
 	if took := time.Since(begun); took > logCloseTimeout {
-		t.Errorf("closed after %v", took)
+		t.Errorf("Close took %v, want at most %v", took, logCloseTimeout)
 	}
 	if out.String() != want.String() {
-		t.Errorf("written: %q", out.String())
+		t.Errorf("written: %q, want %q", out.String(), want.String())
 	}
-	writeLine(t, w, "after the end") // by a goroutine that was left behind
+	writeLine(t, w, "after the end") // as a goroutine does that still runs after Close
 }
 
-// Nobody reads: who logs and the end of the process go on, and once somebody reads, it is said how many lines
-// were lost.
-func TestLogThatNobodyReads(t *testing.T) {
+// If nobody reads the log, neither Write nor Close blocks. Once the log is read, it says how many lines were lost.
+func TestUnreadLogBlocksNothing(t *testing.T) {
 	in, out := io.Pipe()
 	w := newLogWriter(out)
 	const lines = 3 * maxQueuedLines
@@ -51,7 +50,7 @@
 	}
 	w.Close()
 	if took := time.Since(begun); took > time.Second {
-		t.Errorf("it took %v", took)
+		t.Errorf("Write of %d lines and Close took %v, want at most 1 s", lines, took)
 	}
 	go func() {
 		<-w.closed
@@ -69,11 +68,12 @@
 			Lines int
 		}
 		if err := json.Unmarshal([]byte(line), &event); err != nil || event.Event != (LogLinesLost{}).Kind().Name {
-			t.Fatalf("%q, %v", line, err)
+			t.Fatalf("line %q is neither a written line nor a LogLinesLost event (%v)", line, err)
 		}
 		lost += event.Lines
 	}
 	if lost == 0 || written+lost != lines {
-		t.Errorf("of %d lines %d were written and %d are said to be lost", lines, written, lost)
+		t.Errorf("of %d lines, %d were written and %d reported as lost; want some lost and the sum equal",
+			lines, written, lost)
 	}
 }
--- a/cmd/tealpath/logevents.go
+++ b/cmd/tealpath/logevents.go
@@ -2,12 +2,13 @@
 
 import "tealpath/internal/logevent"
 
-// LogEvents returns one zero value of each event that this command logs itself.
+// LogEvents returns one zero value of each event that this package logs.
 func LogEvents() []logevent.Event { return []logevent.Event{LogLinesLost{}} }
 
-// LogLinesLost is logged before the next line after lines were dropped because the log is read too slowly.
+// LogLinesLost reports log lines that were dropped because the log is read too slowly. It is logged before the first
+// line that is written after them.
 type LogLinesLost struct {
-	Lines int64 `log:"lines"` // number of lines dropped
+	Lines int64 `log:"lines"` // number of dropped lines
 }
 
 // Kind returns the event's name and level.
--- a/cmd/tealpath/logevents_test.go
+++ b/cmd/tealpath/logevents_test.go
@@ -19,11 +19,11 @@
 	"tealpath/internal/server"
 )
 
-// root is the repository, seen from this package.
+// root is the path of the repository from this package's directory.
 const root = "../.."
 
-// loggingPackages are the packages that log, by folder, with one zero value of each of their events. A package
-// that is missing here fails TestAllEventsAreListed.
+// loggingPackages maps the folder of each package that logs to one zero value of each of its events.
+// TestAllEventsAreListed fails if a package is missing here.
 var loggingPackages = map[string][]logevent.Event{
 	"cmd/tealpath":          LogEvents(),
 	"control":               control.LogEvents(),
@@ -35,13 +35,14 @@
 	"internal/server":       server.LogEvents(),
 }
 
-// eventPages are the pages that describe the events, each in one place.
+// eventPages are the pages that describe the events. Each event is described on exactly one of them.
 var eventPages = []string{"docs/oncall.md", "docs/oncall-fleet.md"}
 
-// eventHeader is the head of a table of events.
+// eventHeader is the header row of a table of events.
 const eventHeader = "| event | level | fields | meaning | what to do | former text |"
 
-// instanceField is added by the server to an event of the reducer that is about one endpoint.
+// instanceField is a field that the server adds to the reducer's events about one endpoint. It is in the tables, but
+// not in the event's type.
 const instanceField = "instance"
 
 var (
@@ -49,13 +50,13 @@
 	kindMethods = regexp.MustCompile(`(?m)^func \(\w*\s*\*?\w+\) Kind\(\) logevent\.Kind\b`)
 )
 
-// eventRow is what a page says of an event.
+// eventRow is the description of an event in a table.
 type eventRow struct {
 	page, level, meaning, action string
 	fields                       []string
 }
 
-// readEvents reads the tables of events of a page.
+// readEvents reads the tables of events of a page into rows, by event name.
 func readEvents(t *testing.T, page string, rows map[string]eventRow) {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join(root, page))
@@ -73,7 +74,7 @@
 		case inTable && !strings.HasPrefix(line, "| ---"):
 			name, row := parseEventRow(t, page, line)
 			if other, ok := rows[name]; ok {
-				t.Errorf("%s: %s stands in %s already", page, name, other.page)
+				t.Errorf("%s: event %s is already described in %s", page, name, other.page)
 			}
 			rows[name] = row
 		}
@@ -85,7 +86,8 @@
 	t.Helper()
 	cells := strings.Split(strings.TrimSuffix(strings.TrimPrefix(line, "|"), "|"), "|")
 	if len(cells) != strings.Count(eventHeader, "|")-1 {
-		t.Fatalf("%s: %d cells: %s", page, len(cells), line)
+		t.Fatalf("%s: table row has %d cells, want %d: %s",
+			page, len(cells), strings.Count(eventHeader, "|")-1, line)
 	}
 	for i := range cells {
 		cells[i] = strings.TrimSpace(cells[i])
@@ -100,7 +102,7 @@
 	return strings.Trim(cells[0], "`"), row
 }
 
-// The tables of the pages and the code say the same: names, levels and fields.
+// The names, levels and fields of events are the same in the pages' tables and in the code.
 func TestEventsAreDescribed(t *testing.T) {
 	rows := map[string]eventRow{}
 	for _, page := range eventPages {
@@ -111,7 +113,7 @@
 		for _, event := range events {
 			kind := event.Kind()
 			if other, ok := seen[kind.Name]; ok {
-				t.Errorf("%s is an event of %s and of %s", kind.Name, other, folder)
+				t.Errorf("event %s is defined in both %s and %s", kind.Name, other, folder)
 			}
 			seen[kind.Name] = folder
 			checkEvent(t, event, rows[kind.Name])
@@ -119,34 +121,34 @@
 	}
 	for name, row := range rows {
 		if _, ok := seen[name]; !ok {
-			t.Errorf("%s: no package logs %s", row.page, name)
+			t.Errorf("%s: no package defines event %s", row.page, name)
 		}
 	}
 }
 
-// checkEvent compares an event with its row.
+// checkEvent compares an event with its table row.
 func checkEvent(t *testing.T, event logevent.Event, row eventRow) {
 	t.Helper()
 	kind := event.Kind()
 	if !eventName.MatchString(kind.Name) || kind.Message == "" {
-		t.Errorf("%T has name %q, message %q", event, kind.Name, kind.Message)
+		t.Errorf("%T has name %q and message %q, want a snake_case name and a message", event, kind.Name, kind.Message)
 	}
 	if row.page == "" {
-		t.Errorf("%s (%T) stands in none of %v", kind.Name, event, eventPages)
+		t.Errorf("event %s (%T) is described in none of %v", kind.Name, event, eventPages)
 		return
 	}
 	if row.level != kind.Level.String() {
-		t.Errorf("%s: %s has level %s, its event %s", row.page, kind.Name, row.level, kind.Level)
+		t.Errorf("%s: %s has level %s, in the code %s", row.page, kind.Name, row.level, kind.Level)
 	}
 	if fields := logevent.FieldNames(event); !slices.Equal(row.fields, fields) {
-		t.Errorf("%s: %s has the fields %q, its event %q", row.page, kind.Name, row.fields, fields)
+		t.Errorf("%s: %s has the fields %q, in the code %q", row.page, kind.Name, row.fields, fields)
 	}
 	if row.meaning == "" || row.action == "" {
-		t.Errorf("%s: %s lacks its meaning or what to do", row.page, kind.Name)
+		t.Errorf("%s: %s has no text for its meaning or for what to do", row.page, kind.Name)
 	}
 }
 
-// Each event that the sources define stands in the LogEvents of its package, and that package in
+// Each event that the sources define is in the LogEvents of its package, and each package that defines events is in
 // loggingPackages.
 func TestAllEventsAreListed(t *testing.T) {
 	defined := map[string]int{}
@@ -174,12 +176,12 @@
 	}
 	for folder, count := range defined {
 		if listed := len(loggingPackages[folder]); listed != count {
-			t.Errorf("%s defines %d events, %d are listed", folder, count, listed)
+			t.Errorf("%s defines %d events, but LogEvents lists %d", folder, count, listed)
 		}
 	}
 	for folder := range loggingPackages {
 		if defined[folder] == 0 {
-			t.Errorf("%s defines no events", folder)
+			t.Errorf("%s is in loggingPackages but defines no events", folder)
 		}
 	}
 }
--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -16,11 +16,11 @@
 
 // Exit codes.
 const (
-	exitFailed = 1 // any failure but the next
+	exitFailed = 1 // any failure that is not exitUsage
 	exitUsage  = 2 // the command line, the configuration or the operator's file is invalid
 )
 
-// Environment variables that this program reads itself. Package config reads them too.
+// Environment variables that this package reads. Package config reads them too.
 const (
 	configVariable = "LB_CONFIG"
 	nameVariable   = "LB_NAME"
@@ -37,7 +37,7 @@
 	}
 }
 
-// app returns the program's command line.
+// app returns the root of the program's commands.
 func app() *cli.Command {
 	return &cli.Command{
 		Name:           "tealpath",
@@ -49,7 +49,7 @@
 	}
 }
 
-// commands returns all commands, in the order of the help.
+// commands returns all commands, in the order in which the help lists them.
 func commands() []*cli.Command {
 	return []*cli.Command{
 		serveCommand(),
@@ -62,12 +62,12 @@
 	}
 }
 
-// usageError ends the program with exitUsage if the command line can't be parsed.
+// usageError adds exitUsage to the error of a command line that cannot be parsed.
 func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
 	return cli.Exit(err, exitUsage)
 }
 
-// showHelp prints the help if there is no command. An unknown command is a usage error.
+// showHelp runs if there is no known command. It prints the help, or returns a usage error for an unknown command.
 func showHelp(_ context.Context, cmd *cli.Command) error {
 	if cmd.Args().Present() {
 		return cli.Exit(fmt.Errorf("unknown command %q; see tealpath --help", cmd.Args().First()), exitUsage)
@@ -75,10 +75,10 @@
 	return cli.ShowRootCommandHelp(cmd)
 }
 
-// checkArgs returns a usage error if a command has more arguments than it takes.
+// checkArgs returns a usage error if a command has more than limit arguments.
 func checkArgs(cmd *cli.Command, limit int) error {
 	if cmd.Args().Len() > limit {
-		return cli.Exit(fmt.Errorf("%s: unexpected %q", cmd.Name, cmd.Args().Get(limit)), exitUsage)
+		return cli.Exit(fmt.Errorf("%s: unexpected argument %q", cmd.Name, cmd.Args().Get(limit)), exitUsage)
 	}
 	return nil
 }
--- a/cmd/tealpath/members.go
+++ b/cmd/tealpath/members.go
@@ -11,18 +11,18 @@
 	"github.com/urfave/cli/v3"
 )
 
-// membersCommand returns the command members.
+// membersCommand returns the definition of the command members.
 func membersCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "members",
-		Usage:        "ask a running instance which others it believes to be alive, and why",
+		Usage:        "ask a running instance which other instances it considers alive, and why",
 		OnUsageError: usageError,
 		Action:       members,
 		Flags:        append(socketFlags(), jsonFlag("print the complete answer as JSON")),
 	}
 }
 
-// members prints the members of the cluster with their states, as a running instance knows them.
+// members prints the members of the cluster and their states, according to a running instance.
 func members(ctx context.Context, cmd *cli.Command) error {
 	var status cluster.MembersStatus
 	if err := query(ctx, cmd, server.MembersCommand, &status); err != nil {
@@ -37,12 +37,14 @@
 
 func printMembers(status cluster.MembersStatus) {
 	fmt.Printf("%s: %d alive, view %d, digest %016x, for %s; local health %d of 8, %d links\n",
-		status.Name, status.Alive, status.View, status.Digest, duration(status.SinceMS), status.Health, status.Links)
+		status.Name, status.Alive, status.View, status.Digest, formatMilliseconds(status.SinceMS), status.Health,
+		status.Links)
 	if status.CutOff {
-		fmt.Println("NOTHING IS HEARD from any neighbour: this instance seems to be cut off")
+		fmt.Println("NO HEARTBEATS from any neighbour: this instance seems to be cut off")
 	}
 	if status.AwayMS > 0 {
-		fmt.Printf("it was away for %s once; nothing was held against others for that\n", duration(status.AwayMS))
+		fmt.Printf("the last pause of this instance took %s; it did not count silence of other instances during it\n",
+			formatMilliseconds(status.AwayMS))
 	}
 	out := newTable()
 	defer out.flush()
@@ -52,18 +54,18 @@
 	}
 }
 
-func printMember(out table, member cluster.MemberBelief) {
+func printMember(rows table, member cluster.MemberBelief) {
 	state := member.State
 	if member.Held {
 		state += ", held out"
 	}
 	if member.Doubled {
-		state += ", two starts"
+		state += ", duplicate name"
 	}
-	in, back := "", ""
+	in, out := "", ""
 	if member.Near {
-		in, back = duration(member.InMS), duration(member.OutMS)
+		in, out = formatMilliseconds(member.InMS), formatMilliseconds(member.OutMS)
 	}
-	out.printf("%s\t%s\t%s\t%s\t%s\t%s\n",
-		member.Name, state, duration(member.SinceMS), in, back, strings.Join(member.Reported, ", "))
+	rows.printf("%s\t%s\t%s\t%s\t%s\t%s\n",
+		member.Name, state, formatMilliseconds(member.SinceMS), in, out, strings.Join(member.Reported, ", "))
 }
--- a/cmd/tealpath/operator.go
+++ b/cmd/tealpath/operator.go
@@ -22,26 +22,27 @@
 	jsonFlagName     = "json"
 )
 
-// operatorFlag returns the flag that names the operator's file.
+// operatorFlag returns the flag --operator, which names the operator's file.
 func operatorFlag() []cli.Flag {
 	return []cli.Flag{&cli.StringFlag{
 		Name:  operatorFlagName,
-		Usage: "the operator's `FILE`; without it instances share nothing",
+		Usage: "the operator's `FILE`; without it the instance is stand-alone",
 	}}
 }
 
-// socketFlags returns the flags that name the socket of a running instance.
+// socketFlags returns the flags that select the admin socket of a running instance.
 func socketFlags() []cli.Flag {
 	return append(operatorFlag(), &cli.StringFlag{
 		Name:  socketFlagName,
-		Usage: "`PATH` of the instance's Unix socket, instead of the one in the operator's file",
+		Usage: "`PATH` of the instance's admin socket, instead of the one in the operator's file",
 	})
 }
 
-// jsonFlag returns the flag for output as JSON.
+// jsonFlag returns the flag --json.
 func jsonFlag(usage string) cli.Flag { return &cli.BoolFlag{Name: jsonFlagName, Usage: usage} }
 
-// operatorFile loads the operator's file and checks it against the configuration. It is nil if none is named.
+// operatorFile loads the operator's file and checks it against the configuration. It returns nil without an error if
+// the flag --operator is not set.
 func operatorFile(cmd *cli.Command, c *config.Config) (*operatorconfig.File, error) {
 	path := cmd.String(operatorFlagName)
 	if path == "" {
@@ -61,11 +62,11 @@
 func describe(path string, operator *operatorconfig.File) string {
 	settings := operator.Cluster
 	if settings == nil {
-		return fmt.Sprintf("operator's file %s is usable: instances share nothing", path)
+		return fmt.Sprintf("operator's file %s is usable: the instance is stand-alone", path)
 	}
-	probing := "nothing is probed"
+	probing := "no endpoints are probed"
 	if settings.Probe != nil {
-		probing = fmt.Sprintf("members are probed every %s", time.Duration(settings.Probe.Period))
+		probing = fmt.Sprintf("endpoints are probed every %s", time.Duration(settings.Probe.Period))
 	}
 	return fmt.Sprintf("operator's file %s is usable: "+
 		"%d instances, %d voters of epoch %d, %d slots, lease %s, renewed every %s; %s",
@@ -73,7 +74,7 @@
 		time.Duration(settings.LeaseDuration), time.Duration(settings.RenewalInterval), probing)
 }
 
-// socketPath returns the path of a running instance's socket, by the flags of a command that takes no arguments.
+// socketPath returns the path of a running instance's admin socket, from the flags of a command without arguments.
 func socketPath(cmd *cli.Command) (string, error) {
 	if err := checkArgs(cmd, 0); err != nil {
 		return "", err
@@ -87,13 +88,14 @@
 		path = operator.SocketPath
 	}
 	if path == "" {
-		err := fmt.Errorf("%s: name the socket by --socket, or by --operator a file that has one", cmd.Name)
+		err := fmt.Errorf("%s: no admin socket: set --socket PATH, or --operator FILE with a file that has (socket …)",
+			cmd.Name)
 		return "", cli.Exit(err, exitUsage)
 	}
 	return path, nil
 }
 
-// query sends a command to the running instance that the flags name, and decodes its answer.
+// query sends a command to the running instance that the flags select, and decodes its answer.
 func query(ctx context.Context, cmd *cli.Command, command string, answer any) error {
 	path, err := socketPath(cmd)
 	if err != nil {
--- a/cmd/tealpath/print.go
+++ b/cmd/tealpath/print.go
@@ -10,18 +10,18 @@
 // durationStep is the unit to which printed durations are rounded.
 const durationStep = 100 * time.Millisecond
 
-// table writes aligned columns to standard output. As with fmt.Printf, errors of standard output are ignored.
+// table writes aligned columns to standard output. Write errors are ignored, as the callers of fmt.Printf do.
 type table struct{ *tabwriter.Writer }
 
 func newTable() table { return table{tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)} }
 
-// printf writes one or more lines. Columns are separated by tabs.
+// printf adds one or more lines, whose columns are separated by tabs.
 func (t table) printf(format string, values ...any) { _, _ = fmt.Fprintf(t, format, values...) }
 
-// flush prints what was written.
+// flush aligns the lines and prints them.
 func (t table) flush() { _ = t.Flush() }
 
-// duration returns milliseconds as text, rounded to durationStep.
-func duration(ms int64) string {
+// formatMilliseconds formats a duration in milliseconds, rounded to durationStep.
+func formatMilliseconds(ms int64) string {
 	return (time.Duration(ms) * time.Millisecond).Round(durationStep).String()
 }
--- a/cmd/tealpath/serve.go
+++ b/cmd/tealpath/serve.go
@@ -16,23 +16,23 @@
 	"github.com/urfave/cli/v3"
 )
 
-// serveCommand returns the command serve.
+// serveCommand returns the definition of the command serve.
 func serveCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "serve",
-		Usage:        "serve clients, as LB_CONFIG, LB_NAME and LB_LISTEN say, until SIGTERM or SIGINT",
+		Usage:        "serve clients, configured by LB_CONFIG, LB_NAME and LB_LISTEN, until SIGTERM or SIGINT",
 		OnUsageError: usageError,
 		Action:       serve,
 		Flags:        operatorFlag(),
 	}
 }
 
-// serve runs a router until SIGTERM or SIGINT, and reloads its configuration at SIGHUP.
+// serve runs a router until SIGTERM or SIGINT. It reloads the configuration on SIGHUP.
 func serve(ctx context.Context, cmd *cli.Command) error {
 	if err := checkArgs(cmd, 0); err != nil {
 		return err
 	}
-	// Before anything else, because by default each of these signals ends the process at once.
+	// The signals are registered first, because by default each of them ends the process at once.
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	defer signal.Stop(reloadSignals)
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// reloadFunc returns a function that reloads the configuration c and the operator's file.
+// reloadFunc returns a function that loads the next version of the configuration c and of the operator's file.
 func reloadFunc(cmd *cli.Command, c *config.Config) server.LoadFunc {
 	return func() (*config.Config, *operatorconfig.File, error) {
 		next, err := c.Reload(os.Getenv)
--- a/cmd/tealpath/serve_test.go
+++ b/cmd/tealpath/serve_test.go
@@ -13,21 +13,22 @@
 	"tealpath/internal/testkit"
 )
 
-// reloadPause is how long a signal to reload is given: nothing outside the process shows a configuration that
-// was rejected.
+// reloadPause is the wait after SIGHUP in which a router has reloaded its configuration. Nothing visible outside the
+// router shows that a configuration was rejected.
 const reloadPause = 50 * time.Millisecond
 
-// serveTest is the whole program in this process, with two caches and two discovery services.
+// serveTest is the state that the parts of TestServeFromStartToShutdown share: the program in this process, two caches
+// and two discovery services.
 type serveTest struct {
 	router        *testRouter
 	caches        []*testkit.Cache
 	first, second *testkit.EventStream
 	client        *testkit.Client
 	ended         <-chan error
-	goroutines    int // before the start
+	goroutines    int // number of goroutines before the start
 }
 
-// The whole program over loopback, from its start to its end. The parts follow upon each other.
+// The program serves real connections from its start to its shutdown. The parts depend on each other and run in order.
 func TestServeFromStartToShutdown(t *testing.T) {
 	s := &serveTest{
 		caches: startCaches(t),
@@ -41,20 +42,20 @@
 	testkit.Dial(t, s.router.address).ExpectHealth(true)
 
 	t.Run("a request is forwarded and served", s.testForwarded)
-	t.Run("the client's copy holds", s.testNotModified)
-	t.Run("a cancel reaches the cache, and nothing is responded", s.testCancel)
-	t.Run("a silent cache is given up in the client's time", s.testSilentCache)
-	t.Run("a malformed request ends its connection", s.testMalformedRequests)
-	t.Run("a negative frame length ends its connection behind what is in flight", s.testNegativeFrameLength)
-	t.Run("a purge bounds the age of copies", func(t *testing.T) { s.expectPurge(t, 2, s.first) })
-	t.Run("SIGHUP reloads a valid configuration alone", s.testReload)
+	t.Run("the client's copy is not modified", s.testNotModified)
+	t.Run("a cancel is forwarded to the cache and gets no response", s.testCancel)
+	t.Run("a request to an unresponsive cache is rejected within the client's timeout", s.testSilentCache)
+	t.Run("a malformed request closes its connection", s.testMalformedRequests)
+	t.Run("a negative frame length closes its connection after the requests in flight", s.testNegativeFrameLength)
+	t.Run("a purge limits the accepted age of copies", func(t *testing.T) { s.expectPurge(t, 2, s.first) })
+	t.Run("SIGHUP reloads only valid configurations", s.testReload)
 	t.Run("a killed cache is avoided", s.testKilledCache)
 	t.Run("SIGTERM drains", s.testDrain)
 }
 
 func (s *serveTest) testForwarded(t *testing.T) {
 	s.client.ExpectServed(testkit.ObjectID(1), clientTimeout)
-	testkit.WaitRequest(t, "in the form of the platform's page", func(request testkit.CacheRequest) bool {
+	testkit.WaitRequest(t, "with the fields queue, path, blk and budget", func(request testkit.CacheRequest) bool {
 		return strings.Contains(request.Fields, "queue=stills,path="+testkit.ObjectID(1)+",blk=0,budget=")
 	}, s.caches...)
 }
@@ -76,10 +77,10 @@
 func (s *serveTest) testSilentCache(t *testing.T) {
 	begun := time.Now()
 	silent := s.client.Call(testkit.UnansweredID(2), time.Second)
-	s.client.ExpectServed(testkit.ObjectID(4), clientTimeout) // it is not held up
+	s.client.ExpectServed(testkit.ObjectID(4), clientTimeout) // the request does not wait for the other one
 	s.client.Expect(silent, testkit.Rejected)
 	if took := time.Since(begun); took < 900*time.Millisecond || took > 1200*time.Millisecond {
-		t.Errorf("given up after %v", took)
+		t.Errorf("rejected after %v, want 0.9 s to 1.2 s", took)
 	}
 }
 
@@ -88,7 +89,7 @@
 		name     string
 		sequence int32
 		send     func(*testkit.Client)
-		says     string
+		want     string // part of the response
 	}{
 		{"unknown method", 77, func(client *testkit.Client) {
 			client.Send(thrift.Call, "odd", 77, []byte{0})
@@ -96,14 +97,14 @@
 		{"truncated arguments", 78, func(client *testkit.Client) {
 			client.Send(thrift.Call, "call", 78, []byte{13, 0, 1})
 		}, "cut short"},
-		{"object that cannot be sent on", 1, func(client *testkit.Client) {
+		{"object name that is not allowed in a field", 1, func(client *testkit.Client) {
 			client.Call("7f=a,miss=p-a,xx", clientTimeout)
 		}, "field item"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			client := testkit.Dial(t, s.router.address)
 			c.send(client)
-			client.Expect(c.sequence, c.says)
+			client.Expect(c.sequence, c.want)
 			client.ExpectEOF("after its error")
 		})
 	}
@@ -118,11 +119,11 @@
 	s.client.ExpectServed(testkit.ObjectID(5), clientTimeout)
 }
 
-// expectPurge publishes a purge, and checks that copies from before it are not accepted.
+// expectPurge publishes a purge and checks that the router accepts no copies from before it.
 func (s *serveTest) expectPurge(t *testing.T, position int, service *testkit.EventStream) {
 	t.Helper()
-	const takesEffect = 100 * time.Millisecond
-	const agePause = 10 * time.Millisecond // ages are in ms, so that one of some milliseconds is judged
+	const effectTimeout = 100 * time.Millisecond
+	const agePause = 10 * time.Millisecond // so that the accepted age, in whole ms, is more than 0
 	purgedAt := time.Now()
 	object := testkit.ObjectID(1000 + position)
 	service.Publish(t, fmt.Sprintf("id: %d\ndata: {\"pos\":%d,\"expire\":{\"name\":\"%s\",\"stamp\":%d}}\n\n",
@@ -131,11 +132,11 @@
 		s.client.ExpectServed(object, clientTimeout)
 		return testkit.WaitRequestFor(t, object, s.caches...).Number("within")
 	}
-	testkit.WaitUntil(t, takesEffect, "the purge bounds the age", func() bool { return askMaxAge() >= 0 })
+	testkit.WaitUntil(t, effectTimeout, "the purge limits the accepted age", func() bool { return askMaxAge() >= 0 })
 	time.Sleep(agePause)
 	maxAge := askMaxAge()
 	if sincePurge := time.Since(purgedAt); maxAge < 1 || maxAge > sincePurge.Milliseconds() {
-		t.Errorf("accepted age %d ms, %v after the purge", maxAge, sincePurge)
+		t.Errorf("accepted age %d ms, want at least 1 ms and at most the time since the purge, %v", maxAge, sincePurge)
 	}
 }
 
@@ -158,7 +159,7 @@
 		breakConfig()
 		reload()
 	}
-	s.expectPurge(t, 3, s.first) // which is watched still
+	s.expectPurge(t, 3, s.first) // the router still watches the first service
 	s.router.configure(t, "n0", s.second.Address)
 	reload()
 	reload()
@@ -176,25 +177,25 @@
 func (s *serveTest) testDrain(t *testing.T) {
 	const (
 		betweenSignals = 20 * time.Millisecond
-		idlePause      = 150 * time.Millisecond // nothing is outstanding, but clients still come
-		lastRequest    = 600 * time.Millisecond // within the 0.7 s for which clients come
+		idlePause      = 150 * time.Millisecond // nothing is outstanding, but clients still connect
+		lastRequest    = 600 * time.Millisecond // within the 0.7 s in which clients still connect
 	)
 	inFlight := s.client.Call(testkit.UnansweredID(3), 250*time.Millisecond)
 	testkit.WaitRequestFor(t, testkit.UnansweredID(3), s.caches...)
-	told := time.Now()
+	signaledAt := time.Now()
 	terminate(t)
 	time.Sleep(betweenSignals)
-	testkit.SignalSelf(t, syscall.SIGHUP) // while it drains: it reads the configuration, and drains on
+	testkit.SignalSelf(t, syscall.SIGHUP) // while draining, the router reloads its configuration and continues to drain
 	s.client.Expect(inFlight, testkit.Rejected)
 	time.Sleep(idlePause)
 	late := testkit.Dial(t, s.router.address)
 	late.ExpectServed(testkit.ObjectID(7), clientTimeout)
 	testkit.Dial(t, s.router.address).ExpectHealth(false)
-	time.Sleep(time.Until(told.Add(lastRequest)))
-	// Its deadline is beyond all that the router waits for, so it is rejected before the router ends.
+	time.Sleep(time.Until(signaledAt.Add(lastRequest)))
+	// The deadline is after the end of the drain, so the router rejects the request before it ends.
 	late.Expect(late.Call(testkit.UnansweredID(4), clientTimeout), testkit.Rejected)
 	testkit.ExpectEnd(t, s.ended, testkit.Timeout)
-	// The goroutines of caches end with their connections; that of the signals stays.
+	// The caches' goroutines end with their connections; the goroutine of package os/signal remains.
 	testkit.WaitUntil(t, testkit.Timeout, "no goroutine is left behind", func() bool {
 		return runtime.NumGoroutine() <= s.goroutines+2
 	})
--- a/cmd/tealpath/shutdown_test.go
+++ b/cmd/tealpath/shutdown_test.go
@@ -10,27 +10,26 @@
 	"tealpath/internal/testkit"
 )
 
-// What is outstanding when the router is told to end, in each state that a request can be in, over real
-// connections.
+// Outstanding requests are answered when the router shuts down, whatever state they are in. Connections are real.
 func TestShutdownAnswersWhatIsOutstanding(t *testing.T) {
 	caches := startCaches(t)
 	discovery := testkit.StartEventStream(t)
 	for _, c := range []struct {
 		name     string
-		deadline float64 // the longest of clients, in seconds
+		deadline float64 // maximum deadline of a request, in seconds
 		shutdown func(t *testing.T, router *testRouter, caches []*testkit.Cache)
 		within   time.Duration
 	}{
-		{"idle clients read the end and are not reset", 1.2, shutDownIdleClients, drainTimeout},
-		{"an unresponsive cache is given up at the client's deadline", 5, shutDownUnresponsiveCache, drainTimeout},
-		{"a deadline beyond what the platform leaves", 7, shutDownLongDeadline, 4 * time.Second},
-		{"half a request has come", 1.2, shutDownHalfRequest, drainTimeout},
-		{"told twice, and a new configuration after that", 1.2, shutDownTwice, 2 * time.Second},
-		{"a client closes as the router ends", 5, shutDownClosedClient, 3600 * time.Millisecond},
+		{"idle clients read EOF and no reset", 1.2, shutDownIdleClients, drainTimeout},
+		{"a request to an unresponsive cache is rejected at its deadline", 5, shutDownUnresponsiveCache, drainTimeout},
+		{"a deadline after the platform's SIGKILL", 7, shutDownLongDeadline, 4 * time.Second},
+		{"half of a request has arrived", 1.2, shutDownHalfRequest, drainTimeout},
+		{"SIGTERM twice, and then SIGHUP", 1.2, shutDownTwice, 2 * time.Second},
+		{"a client closes its connection during the shutdown", 5, shutDownClosedClient, 3600 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, cache := range caches {
-				cache.Drain() // what the case before has left behind
+				cache.Drain() // discard the requests of the case before
 			}
 			router := newTestRouter(t, addresses(caches), discovery.Address, c.deadline)
 			ended := router.serve(t)
@@ -38,16 +37,17 @@
 			c.shutdown(t, router, caches)
 			testkit.ExpectEnd(t, ended, c.within)
 			if took := time.Since(begun); took < 700*time.Millisecond {
-				t.Errorf("ended after %v, while clients come still", took)
+				t.Errorf("ended after %v, want at least 700 ms, in which clients may still connect", took)
 			}
 			if testkit.IsListening(router.address) {
-				t.Error("it listens still")
+				t.Errorf("the router still listens at %s after its end", router.address)
 			}
 		})
 	}
 }
 
-// callUnanswered sends a call that caches leave without a response, and waits until it has come to one.
+// callUnanswered sends a request that caches never respond to, and waits until a cache has received it. It returns the
+// client and the sequence number.
 func callUnanswered(
 	t *testing.T, router *testRouter, caches []*testkit.Cache, timeout time.Duration,
 ) (*testkit.Client, int32) {
@@ -63,8 +63,8 @@
 	used.ExpectServed(testkit.ObjectID(1), clientTimeout)
 	terminate(t)
 	for _, client := range []*testkit.Client{used, unused} {
-		client.ExpectEOF("after the router was told to end")
-		for range 5 { // over a connection that was closed, not half-closed, the first write would bring a reset
+		client.ExpectEOF("after SIGTERM")
+		for range 5 { // if the router had closed the connection completely, the first write would cause a reset
 			if _, err := client.Conn.Write([]byte{0}); err != nil {
 				t.Fatal(err)
 			}
@@ -80,7 +80,7 @@
 	terminate(t)
 	client.Expect(sequence, testkit.Rejected)
 	if took := time.Since(begun); took > 500*time.Millisecond {
-		t.Errorf("response after %v", took)
+		t.Errorf("response after %v, want at most 500 ms", took)
 	}
 }
 
@@ -90,7 +90,7 @@
 	terminate(t)
 	client.Expect(sequence, testkit.Rejected)
 	if took := time.Since(begun); took > 3500*time.Millisecond {
-		t.Errorf("response after %v, killed after 3.7 s", took)
+		t.Errorf("response after %v, want at most 3.5 s; SIGKILL comes after 3.7 s", took)
 	}
 }
 
@@ -119,13 +119,13 @@
 func shutDownClosedClient(t *testing.T, router *testRouter, caches []*testkit.Cache) {
 	client, _ := callUnanswered(t, router, caches, 3*time.Second)
 	terminate(t)
-	client.Close() // nobody is left who waits, so nothing of it keeps the router
+	client.Close() // the router must not wait for the request of a client that has disconnected
 }
 
-// A client that has half-closed with a request in flight gets the response, and no further attempt is made for
-// it.
+// A client that half-closes its connection while a request is in flight gets the response, but the router makes no
+// further attempt for the request.
 func TestNoRetryForHalfClosedClient(t *testing.T) {
-	const halfClosePause = 50 * time.Millisecond // nothing outside the router shows that it has read the end
+	const halfClosePause = 50 * time.Millisecond // the router reads the half-close in this time; no event shows it
 	caches := startCaches(t)
 	discovery := testkit.StartEventStream(t)
 	router := newTestRouter(t, addresses(caches), discovery.Address, 5)
@@ -144,8 +144,8 @@
 	testkit.ExpectEnd(t, ended, drainTimeout)
 }
 
-// A real process whose disk does not respond: a named pipe in the snapshot's place, which nobody writes to,
-// stops whoever opens it. It serves, and ends before it is killed, 0.7 s after the longest deadline.
+// A router whose disk does not respond serves requests and ends before the platform's SIGKILL, 0.7 s after the maximum
+// deadline. A named pipe at the path of the snapshot simulates the disk: opening it blocks, as nobody writes to it.
 func TestUnresponsiveDiskDelaysNothing(t *testing.T) {
 	const deadline = 300 * time.Millisecond
 	discovery := testkit.StartEventStream(t)
@@ -167,13 +167,13 @@
 		client.ExpectServed(testkit.ObjectID(n), deadline)
 	}
 	client.Close()
-	told := time.Now()
+	signaledAt := time.Now()
 	process.Signal(syscall.SIGTERM)
 	endedAt, _, err := process.Wait()
 	if err != nil {
 		t.Error(err)
 	}
-	if took := endedAt.Sub(told); took >= deadline+killDelay {
-		t.Errorf("ended after %v", took)
+	if took := endedAt.Sub(signaledAt); took >= deadline+killDelay {
+		t.Errorf("ended after %v, want less than %v", took, deadline+killDelay)
 	}
 }
--- a/cmd/tealpath/shutdownbusy_test.go
+++ b/cmd/tealpath/shutdownbusy_test.go
@@ -12,39 +12,38 @@
 	"tealpath/internal/testkit"
 )
 
-// Shutdowns of routers in processes of their own while clients go on sending. docs/endings.md lists what has to
-// happen.
+// The tests of this file shut down routers in separate processes while clients continue to send requests.
+// docs/endings.md lists the requirements.
 
 const (
-	// killDelay is when the platform kills a router that was told to end, beyond the longest time that a client
-	// may wait.
+	// killDelay is the time between the end of the maximum deadline, counted from SIGTERM, and the platform's SIGKILL.
 	killDelay = 700 * time.Millisecond
-	// lateness is by how much a response may be late on a machine that does other work.
-	lateness = 250 * time.Millisecond
-	// lowOnTime replaces the time in which responses are on time by one that short deadlines allow.
+	// maxLateness is how late a response may be on a machine with other load.
+	maxLateness = 250 * time.Millisecond
+	// lowOnTime replaces formerOnTime in the configuration: the latency objective must be shorter than the deadline.
 	formerOnTime, lowOnTime = `"onTimeS":0.4`, `"onTimeS":0.2`
 )
 
-// exchange is one request of a client that goes on sending, and whether it was answered.
+// exchange is one request, and whether the client received a response to it.
 type exchange struct {
 	object   string
-	sentAt   time.Time // when it was written
+	sentAt   time.Time // when the request was written
 	answered bool
 }
 
-// busyClient sends requests on one connection, one each interval, until that ends.
+// busyClient sends one request per interval on one connection until the router closes the connection.
 type busyClient struct {
 	t        *testing.T
 	interval time.Duration
 	timeout  time.Duration
 
 	mu        sync.Mutex
-	exchanges []exchange // guarded by mu; by sequence number, from 1
-	endedAt   time.Time  // guarded by mu
+	exchanges []exchange // guarded by mu; the index is the sequence number - 1
+	endedAt   time.Time  // guarded by mu; end of the connection
 }
 
-// run sends requests for objects from a number on. It returns what became of them, and when the connection
-// ended.
+// run sends requests, for a different object each, beginning with firstObject. It returns the requests and when the
+// connection ended.
 func (b *busyClient) run(address string, firstObject int) (exchanges []exchange, endedAt time.Time) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -69,29 +68,30 @@
 		b.exchanges = append(b.exchanges, exchange{object: object, sentAt: time.Now()})
 		b.mu.Unlock()
 		sequence := client.Call(object, b.timeout)
-		b.written(sequence)
+		b.recordWritten(sequence)
 	}
 }
 
-// written records that a request is written: how long this process waited for a core before does not count.
-func (b *busyClient) written(sequence int32) {
+// recordWritten records that a request was written now. The time that this process waited for a core before does not
+// count.
+func (b *busyClient) recordWritten(sequence int32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.exchanges[sequence-1].sentAt = time.Now()
 }
 
-// read reads responses until the connection ends.
+// read records responses until the connection ends.
 func (b *busyClient) read(client *testkit.Client) {
 	for {
 		sequence, _ := client.Next()
-		if !b.answered(sequence) {
+		if !b.recordResponse(sequence) {
 			return
 		}
 	}
 }
 
-// answered records a response, or the end of the connection, for which it returns false.
-func (b *busyClient) answered(sequence int32) bool {
+// recordResponse records a response, or the end of the connection. It returns false if the connection has ended.
+func (b *busyClient) recordResponse(sequence int32) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if sequence == testkit.ClosedSequence {
@@ -99,36 +99,38 @@
 		return false
 	}
 	if b.exchanges[sequence-1].answered {
-		b.t.Errorf("%s answered twice", b.exchanges[sequence-1].object)
+		b.t.Errorf("two responses to the request for %s", b.exchanges[sequence-1].object)
 	}
 	b.exchanges[sequence-1].answered = true
 	return true
 }
 
-// expectNoneLost checks that what was not answered crossed the end of its connection, and that no cache was
-// asked for it. stalled is for how long the router was held up: what comes meanwhile waits unread.
+// expectNoneLost checks that each request without a response was sent at most shortly before its connection ended, and
+// was not forwarded to a cache. stalled is how long the router could not run; it reads no requests during that time.
 func expectNoneLost(
 	t *testing.T, caches []*testkit.Cache, exchanges []exchange, endedAt time.Time, stalled time.Duration,
 ) {
 	t.Helper()
-	const crossing = 50 * time.Millisecond
+	const maxCrossing = 50 * time.Millisecond // between sending a request and the end of the connection
 	for _, e := range exchanges {
 		if e.answered {
 			continue
 		}
-		if before := endedAt.Sub(e.sentAt); before > crossing+lateness/2+stalled {
-			t.Errorf("%s was sent %v before its connection ended and not answered", e.object, before)
+		if before := endedAt.Sub(e.sentAt); before > maxCrossing+maxLateness/2+stalled {
+			t.Errorf("request for %s, sent %v before its connection ended, has no response; at most %v are allowed",
+				e.object, before, maxCrossing+maxLateness/2+stalled)
 		}
 		if count := requestCount(caches, e.object); count > 0 {
-			t.Errorf("%s was forwarded %d times and not answered", e.object, count)
+			t.Errorf("request for %s was forwarded %d times and has no response", e.object, count)
 		}
 	}
 }
 
-// Caches do not respond from before the router is told to end until after: all requests are answered by the
-// clients' own deadlines, and the router has ended before it is killed.
+// Caches do not respond during the whole shutdown: all requests are answered by their deadlines, and the router ends
+// before it is killed.
 func TestShutdownWhileCachesHang(t *testing.T) {
-	inFlight := func(deadline time.Duration) time.Duration { return deadline } // each request, for all its time
+	// No cache responds, so each request is in flight until its deadline.
+	inFlight := func(deadline time.Duration) time.Duration { return deadline }
 	expectShutdownInTime(t, inFlight, func(caches []*testkit.Cache) {
 		for _, cache := range caches {
 			cache.SetBehavior(testkit.Hang, 0)
@@ -136,8 +138,8 @@
 	})
 }
 
-// SIGKILL comes 0.7 s after the longest deadline from SIGTERM on, while clients go on sending and responses
-// take a while.
+// The router ends before the platform's SIGKILL, which comes 0.7 s after the maximum deadline from SIGTERM on, although
+// clients continue to send requests and responses take 0.1 s to 0.25 s.
 func TestShutdownEndsBeforeKillWhileClientsSend(t *testing.T) {
 	inFlight := func(time.Duration) time.Duration { return 250 * time.Millisecond }
 	expectShutdownInTime(t, inFlight, func(caches []*testkit.Cache) {
@@ -146,14 +148,15 @@
 	})
 }
 
-// expectShutdownInTime has a router end under clients that go on sending, with short deadlines and the longest
-// ones. inFlight is how long a request is in flight.
+// expectShutdownInTime shuts down routers with short and long deadlines while clients continue to send requests, and
+// checks that no request is lost and that the routers end in time. inFlight returns how long a request is in flight.
+// disturb changes the caches' behavior before the shutdown.
 func expectShutdownInTime(
 	t *testing.T, inFlight func(deadline time.Duration) time.Duration, disturb func([]*testkit.Cache),
 ) {
 	t.Helper()
 	const clients = 6
-	const requestsInFlight = 25 // of each client, under the 32 that it may have
+	const requestsInFlight = 25 // per client; the router allows 32
 	for _, deadline := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
@@ -162,93 +165,95 @@
 			disturb(caches)
 			var all sync.WaitGroup
 			var sent atomic.Int64
-			var ending testkit.Termination // set before the clients end
-			told := make(chan struct{})
+			var termination testkit.Termination // set before terminated is closed
+			terminated := make(chan struct{})
 			for n := range clients {
 				all.Go(func() {
 					client := &busyClient{t: t, interval: inFlight(deadline) / requestsInFlight, timeout: deadline}
 					exchanges, endedAt := client.run(router.address, (n+1)*100000)
 					sent.Add(int64(len(exchanges)))
-					<-told
-					expectNoneLost(t, caches, exchanges, endedAt, ending.Stalled())
+					<-terminated
+					expectNoneLost(t, caches, exchanges, endedAt, termination.Stalled())
 				})
 			}
-			testkit.WaitUntil(t, testkit.Timeout, "clients have asked", func() bool {
+			testkit.WaitUntil(t, testkit.Timeout, "requests of clients reach the caches", func() bool {
 				return requestCount(caches, "") > clients
 			})
-			ending = process.Terminate()
-			close(told)
-			ending.ExpectEndWithin(deadline + killDelay)
+			termination = process.Terminate()
+			close(terminated)
+			termination.ExpectEndWithin(deadline + killDelay)
 			all.Wait()
 			if sent.Load() < 5*clients {
-				t.Errorf("%d requests were sent", sent.Load())
+				t.Errorf("%d requests were sent, want at least %d", sent.Load(), 5*clients)
 			}
 		})
 	}
 }
 
-// A router without requests ends soon after the 0.7 s in which clients come: between that and the platform's
-// SIGKILL there are 100 ms beside the longest deadline. Routers are told at different phases of their polls;
-// the median is judged, as the machine may do other work.
+// A router without requests ends at most 0.23 s after the 0.7 s in which clients may still connect. With the deadline
+// of this test, SIGKILL comes 1 s after SIGTERM. The signals are spread over a poll interval of 100 ms, because the
+// duration depends on when in this interval the signal arrives. The median is checked, because other load may delay
+// single routers.
 func TestIdleShutdownEndsInTime(t *testing.T) {
 	t.Parallel()
-	const deadline, routers, phase = 300 * time.Millisecond, 7, 100 * time.Millisecond
-	const bound = deadline + killDelay - phase*7/10 // it may end 0.2 s after the 0.7 s in which clients come
+	const deadline, routers, pollInterval = 300 * time.Millisecond, 7, 100 * time.Millisecond
+	const maxDuration = deadline + killDelay - pollInterval*7/10
 	var processes []*testkit.RouterProcess
 	for range routers {
 		router, _, _ := newTestCell(t, deadline.Seconds(), formerOnTime, lowOnTime)
 		processes = append(processes, router.spawnHealthy(t))
-		testkit.Dial(t, router.address) // is idle, and ignores its end
+		testkit.Dial(t, router.address) // an idle client that does not close its connection when the router does
 	}
-	machine := testkit.WatchStalls()
-	var told []time.Time
+	stalls := testkit.WatchStalls()
+	var signaledAt []time.Time
 	for _, process := range processes {
-		told = append(told, time.Now())
+		signaledAt = append(signaledAt, time.Now())
 		process.Signal(syscall.SIGTERM)
-		time.Sleep(phase / routers)
+		time.Sleep(pollInterval / routers)
 	}
 	var took []time.Duration
 	for n, process := range processes {
 		endedAt, _, _ := process.Wait()
-		took = append(took, endedAt.Sub(told[n]))
+		took = append(took, endedAt.Sub(signaledAt[n]))
 	}
 	slices.Sort(took)
-	if median := took[routers/2]; median > bound+machine.Stop() {
-		t.Errorf("ended after %v, killed after %v", took, deadline+killDelay)
+	if median := took[routers/2]; median > maxDuration+stalls.Stop() {
+		t.Errorf("shutdowns took %v, want a median of at most %v; SIGKILL comes after %v",
+			took, maxDuration, deadline+killDelay)
 	}
 }
 
-// Requests come on idle connections in the very moments in which a router that shuts down closes them.
+// No request is lost that arrives on an idle connection at the moment at which a router that shuts down closes it.
 func TestRequestsCrossTheCloseOfIdleConnections(t *testing.T) {
 	t.Parallel()
 	const clients, deadline = 60, 300 * time.Millisecond
-	const firstRequest, apart = 650 * time.Millisecond, 5 * time.Millisecond // from the signal on
+	const firstRequest, interval = 650 * time.Millisecond, 5 * time.Millisecond // first request after the signal
 	router, caches, _ := newTestCell(t, deadline.Seconds())
 	process := router.spawnHealthy(t)
 	var idle []*testkit.Client
 	for n := range clients {
 		client := testkit.Dial(t, router.address)
-		if n%2 == 0 { // the others have never asked
+		if n%2 == 0 { // the other clients have sent no request before
 			client.Expect(client.Call(testkit.ObjectID(n), deadline), "")
 		}
 		idle = append(idle, client)
 	}
 	for _, cache := range caches {
-		cache.SetBehavior(testkit.Respond, 30*time.Millisecond) // so that some requests are in flight in that moment
+		cache.SetBehavior(testkit.Respond, 30*time.Millisecond) // so that requests are in flight when connections close
 	}
-	ending := process.Terminate()
+	termination := process.Terminate()
 	var all sync.WaitGroup
 	for n, client := range idle {
 		all.Go(func() {
-			time.Sleep(time.Until(ending.At.Add(firstRequest + time.Duration(n)*apart)))
+			time.Sleep(time.Until(termination.At.Add(firstRequest + time.Duration(n)*interval)))
 			e := exchange{object: testkit.ObjectID(1000 + n)}
 			sequence := client.Call(e.object, deadline)
 			e.sentAt = time.Now()
 			got, _ := client.Next()
 			e.answered = got == sequence
-			expectNoneLost(t, caches, []exchange{e}, time.Now(), ending.Stalled())
+			expectNoneLost(t, caches, []exchange{e}, time.Now(), termination.Stalled())
 		})
 	}
 	all.Wait()
-	ending.ExpectEndWithin(deadline + killDelay)
+	termination.ExpectEndWithin(deadline + killDelay)
 }
--- a/cmd/tealpath/start_test.go
+++ b/cmd/tealpath/start_test.go
@@ -12,13 +12,13 @@
 	"tealpath/internal/testkit"
 )
 
-// minimalConfig is a configuration without endpoints. Left open are what discovery has published and the
+// minimalConfig is the format of a configuration without endpoints. Its arguments are the known watch events and the
 // address.
 const minimalConfig = `{"name":"n0","journal":"127.0.0.1:1","settings":{"balancers":1,"locality":"here",
 "machineTypes":["c"],"profiles":[{"name":"stills","onTimeS":0.4,"deadlineS":1.2,"points":1,"effect":"retryable"}]},
 "known":%s,"listen":"%s"}`
 
-func TestExitCodeNamesFaultAtStart(t *testing.T) {
+func TestExitCodeAndErrorAtStart(t *testing.T) {
 	listener := testkit.Listen(t)
 	usable := fmt.Sprintf(minimalConfig, "null", "127.0.0.1:0")
 	addressInUse := fmt.Sprintf(minimalConfig, "null", listener.Addr())
@@ -28,22 +28,22 @@
 		name, config string
 		arguments    []string
 		code         int
-		says         string
+		wantError    string // part of the error
 	}{
-		{"no such command", "", []string{"sevre"}, exitUsage, "sevre"},
-		{"no such flag", "", []string{"serve", "--fast"}, exitUsage, "fast"},
-		{"an argument too many", "", []string{"serve", "now"}, exitUsage, "now"},
-		{"malformed", "{", []string{"serve"}, exitUsage, "line 1"},
+		{"unknown command", "", []string{"sevre"}, exitUsage, "sevre"},
+		{"unknown flag", "", []string{"serve", "--fast"}, exitUsage, "fast"},
+		{"too many arguments", "", []string{"serve", "now"}, exitUsage, "now"},
+		{"malformed configuration", "{", []string{"serve"}, exitUsage, "line 1"},
 		{"a required setting is missing", missingSetting, []string{"serve"}, exitUsage, "product.names"},
 		{"malformed endpoint list", malformedList, []string{"check"}, exitUsage, "entry 1"},
 		{"the address is in use", addressInUse, []string{"serve"}, exitFailed, "address already in use"},
 		{"a usable configuration", usable, []string{"check"}, 0, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			expectExit(t, runWithConfig(t, t.Context(), c.config, c.arguments...), c.code, c.says)
+			expectExit(t, runWithConfig(t, t.Context(), c.config, c.arguments...), c.code, c.wantError)
 		})
 	}
-	t.Run("the address becomes free in time", func(t *testing.T) {
+	t.Run("the address becomes free while the router waits for it", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		time.AfterFunc(200*time.Millisecond, func() { testkit.Close(listener) })
@@ -52,8 +52,8 @@
 	})
 }
 
-// runWithConfig runs the program in this process with a configuration, and returns its error. Standard error
-// has to be open after that.
+// runWithConfig runs the program in this process with a configuration and returns its error. It checks that the
+// program does not close standard error.
 func runWithConfig(t *testing.T, ctx context.Context, config string, arguments ...string) error {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -66,21 +66,21 @@
 	return err
 }
 
-// SIGTERM before there is a listener: the router ends as asked, and does not wait or fail.
+// If SIGTERM arrives before the router listens, the router ends without an error and does not wait for its address.
 func TestShutdownDuringStart(t *testing.T) {
 	caches := startCaches(t)
 	discovery := testkit.StartEventStream(t)
-	t.Run("as it reads its configuration", func(t *testing.T) {
-		const signalPause = 20 * time.Millisecond // a signal that nobody waits for has ended the process by then
+	t.Run("while it reads its configuration", func(t *testing.T) {
+		const signalPause = 20 * time.Millisecond // an unhandled signal ends the process within this time
 		router := newTestRouter(t, addresses(caches), discovery.Address, 1.2)
 		pipe := filepath.Join(t.TempDir(), "config")
 		if err := syscall.Mkfifo(pipe, 0o600); err != nil {
-			t.Skip("no pipes here")
+			t.Skipf("named pipes are not available: %v", err)
 		}
 		router.configPath = pipe
 		router.useEnvironment(t)
 		ended := router.start()
-		file, err := os.OpenFile(pipe, os.O_WRONLY, 0) // opens once the router reads
+		file, err := os.OpenFile(pipe, os.O_WRONLY, 0) // blocks until the router opens the pipe
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -94,8 +94,8 @@
 		}
 		testkit.ExpectEnd(t, ended, drainTimeout)
 	})
-	t.Run("as it waits for its address", func(t *testing.T) {
-		const startPause = 100 * time.Millisecond // nothing outside the process shows that it waits
+	t.Run("while it waits for its address", func(t *testing.T) {
+		const startPause = 100 * time.Millisecond // the router waits after this time; no event shows it
 		router := newTestRouter(t, addresses(caches), discovery.Address, 1.2)
 		router.useEnvironment(t)
 		testkit.ListenAt(t, router.address)
@@ -106,8 +106,8 @@
 	})
 }
 
-// A start while discovery is unavailable: a router that knows endpoints serves from them at once. One that
-// knows none says so in its health and rejects requests at once.
+// While discovery is unavailable, a router that knows endpoints from its configuration serves at once. A router that
+// knows no endpoints fails health checks and rejects requests at once.
 func TestStartWithoutDiscovery(t *testing.T) {
 	caches := startCaches(t)
 	for _, c := range []struct {
@@ -128,7 +128,7 @@
 			begun := time.Now()
 			client.Expect(client.Call(testkit.ObjectID(1), clientTimeout), c.response)
 			if took := time.Since(begun); took > 600*time.Millisecond {
-				t.Errorf("response after %v", took)
+				t.Errorf("response after %v, want at most 600 ms", took)
 			}
 			client.ExpectHealth(c.known)
 			terminate(t)
--- a/cmd/tealpath/version.go
+++ b/cmd/tealpath/version.go
@@ -8,7 +8,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// versionCommand returns the command version.
+// versionCommand returns the definition of the command version.
 func versionCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "version",
@@ -18,7 +18,7 @@
 	}
 }
 
-// printVersion prints the versions of the program and of Go.
+// printVersion prints the version of the program and the Go version that it was built with.
 func printVersion(_ context.Context, cmd *cli.Command) error {
 	if err := checkArgs(cmd, 0); err != nil {
 		return err
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,5 @@
-// Command wirehost hosts routers on the bench's wire: batches on standard input, replies on standard output.
+// Command wirehost runs routers in simulated time for the platform's bench: it reads batches of events from standard
+// input and writes the replies to standard output.
 package main
 
 import (
