--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -1,8 +1,10 @@
-// Package deploy holds the deploy file; its test keeps that within what the platform's bench starts.
+// Package deploy contains the deploy file and examples of configuration files. Its tests check that the platform's
+// bench can run what the deploy file builds, that an example is valid, and that packages import only what they may.
 package deploy
 
 import (
 	"debug/elf"
+	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -11,7 +13,7 @@
 	"testing"
 )
 
-// field reads one value of the deploy file: name = "value".
+// field returns the value of name in the deploy file, from a line name = "value".
 func field(t *testing.T, name string) string {
 	t.Helper()
 	raw, err := os.ReadFile("balancer.toml")
@@ -20,34 +22,35 @@
 	}
 	found := regexp.MustCompile(`(?m)^` + name + `\s*=\s*"([^"]*)"`).FindSubmatch(raw)
 	if found == nil {
-		t.Fatalf("%s is not in the deploy file", name)
+		t.Fatalf("the deploy file has no line %s = \"…\"", name)
 	}
 	return string(found[1])
 }
 
-// unfit says what of a build and a run line the full fleet's bench could not start: it loads a library of its own into
-// the process, which takes one linked dynamically, and follows one process.
-func unfit(build, run string) (why []string) {
+// deployErrors returns why the bench of the full fleet could not run a program with these build and run lines. The
+// bench preloads a library into the process, so the program must be linked dynamically, and it observes one process
+// only.
+func deployErrors(build, run string) (reasons []string) {
 	if !strings.Contains(build, "CGO_ENABLED=1") || !strings.Contains(build, "-ldflags=-linkmode=external") ||
 		strings.Contains(build, "-static") {
-		why = append(why, "build does not link against the C library")
+		reasons = append(reasons, fmt.Sprintf("build %q does not link dynamically against the C library", build))
 	}
 	if !regexp.MustCompile(`^exec bin/[a-z]+( [a-z]+)*$`).MatchString(run) {
-		why = append(why, "run does not end by exec in one process")
+		reasons = append(reasons, fmt.Sprintf("run %q is not a single exec of a program in bin/", run))
 	}
-	return why
+	return reasons
 }
 
 func TestDeployFile(t *testing.T) {
-	if why := unfit(field(t, "build"), field(t, "run")); why != nil {
-		t.Error(why)
+	if reasons := deployErrors(field(t, "build"), field(t, "run")); reasons != nil {
+		t.Error(reasons)
 	}
 	if sim := field(t, "sim"); !strings.HasPrefix(sim, "exec bin/wirehost") {
-		t.Errorf("sim is %q", sim)
+		t.Errorf("sim is %q, want a command that begins with exec bin/wirehost", sim)
 	}
-	for _, folder := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(nodes(t), -1) {
+	for _, folder := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(nodeLine(t), -1) {
 		if _, err := os.Stat(filepath.Join("..", folder[1])); err != nil {
-			t.Errorf("node: %v", err)
+			t.Errorf("node names a folder that does not exist: %v", err)
 		}
 	}
 	for _, c := range [][2]string{
@@ -56,13 +59,14 @@
 		{"CGO_ENABLED=1 go build -ldflags=-linkmode=external ./...", "bin/tealpath serve"},
 		{"CGO_ENABLED=1 go build -ldflags=-linkmode=external ./...", "exec bin/tealpath serve & exec bin/other"},
 	} {
-		if unfit(c[0], c[1]) == nil {
-			t.Errorf("taken for fit: %q", c)
+		if deployErrors(c[0], c[1]) == nil {
+			t.Errorf("build %q and run %q are accepted, want an error", c[0], c[1])
 		}
 	}
 }
 
-func nodes(t *testing.T) string {
+// nodeLine returns the line node = … of the deploy file.
+func nodeLine(t *testing.T) string {
 	t.Helper()
 	raw, err := os.ReadFile("balancer.toml")
 	if err != nil {
@@ -71,14 +75,15 @@
 	return string(regexp.MustCompile(`(?m)^node\s*=.*$`).Find(raw))
 }
 
-// Built as the deploy file says, the router names the C library's loader. Without it the bench's library is never loaded.
+// A router that is built with the flags of the deploy file is linked dynamically. Otherwise the dynamic loader would
+// not run, and the bench could not preload its library.
 func TestRouterIsLinkedDynamically(t *testing.T) {
 	out := filepath.Join(t.TempDir(), "tealpath")
 	flags := regexp.MustCompile(`-ldflags=\S+`).FindString(field(t, "build"))
 	build := exec.Command("go", "build", flags, "-o", out, "../cmd/tealpath")
 	build.Env = append(os.Environ(), "CGO_ENABLED=1")
-	if said, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, said)
+	if output, err := build.CombinedOutput(); err != nil {
+		t.Fatalf("go build: %v: %s", err, output)
 	}
 	file, err := elf.Open(out)
 	if err != nil {
@@ -90,10 +95,10 @@
 		}
 	})
 	if file.Section(".interp") == nil {
-		t.Error("no ELF interpreter")
+		t.Errorf("%s has no ELF interpreter", out)
 	}
 	libraries, err := file.ImportedLibraries()
 	if err != nil || !strings.Contains(strings.Join(libraries, " "), "libc.so") {
-		t.Errorf("libraries %v, %v", libraries, err)
+		t.Errorf("imported libraries %v (%v), want libc.so among them", libraries, err)
 	}
 }
--- a/deploy/example_test.go
+++ b/deploy/example_test.go
@@ -8,7 +8,7 @@
 	"tealpath/internal/server"
 )
 
-// The README's first run takes this file.
+// The README uses config.example.json for the first run.
 func TestExampleConfigurationIsUsable(t *testing.T) {
 	text, err := os.ReadFile("config.example.json")
 	if err != nil {
--- a/deploy/imports_test.go
+++ b/deploy/imports_test.go
@@ -15,11 +15,12 @@
 	"testing"
 )
 
-const module = "tealpath/"
+// modulePrefix is the prefix of the import paths of this module.
+const modulePrefix = "tealpath/"
 
-// layers are the packages of docs/architecture.md, lowest first. A directory stands for itself and for those below it,
-// unless they are listed themselves. A package may import packages of lower layers, and of its own layer only what
-// sameLayer names.
+// layers lists the directories of each layer in docs/architecture.md, the lowest layer first. An entry includes the
+// directories below it, unless they have an entry of their own. A package may import packages of lower layers. Imports
+// within a layer are allowed only if they are in sameLayer.
 var layers = [][]string{
 	{
 		"internal/clock", "internal/logevent", "internal/neterr", "internal/protocol", "internal/simulator/wire",
@@ -31,14 +32,14 @@
 	},
 	{"internal/router", "internal/cluster"},
 	{
-		"internal/adminsocket", "internal/config", "internal/operatorconfig", "internal/snapshot", "internal/simulator", "internal/cluster/peer",
-		"internal/discovery", "internal/downstream", "internal/upstream",
+		"internal/adminsocket", "internal/config", "internal/operatorconfig", "internal/snapshot", "internal/simulator",
+		"internal/cluster/peer", "internal/discovery", "internal/downstream", "internal/upstream",
 	},
 	{"internal/server"},
 	{"cmd/tealpath", "cmd/wirehost", "deploy"},
 }
 
-// sameLayer are the imports between directories of one layer.
+// sameLayer lists the allowed imports between directories of the same layer: importing and imported directory.
 var sameLayer = [][2]string{
 	{"internal/compatibility", "internal/cluster/lease"},
 	{"internal/cluster/probe", "internal/cluster/lease"},
@@ -46,18 +47,19 @@
 	{"internal/simulator", "internal/config"},
 }
 
-// forTests are the directories that only tests and the experiments' commands may import.
 var (
-	forTests = []string{
+	// testImports lists the directories that only tests and the directories in testImporters may import.
+	testImports = []string{
 		"internal/emulator", "internal/experiment", "internal/cluster/recordtest", "internal/testkit",
 	}
-	testsOnly = []string{
+	// testImporters lists the directories whose imports are not restricted. They are not part of the router.
+	testImporters = []string{
 		"internal/emulator", "internal/experiment", "internal/testkit", "cmd/tealexperiment", "cmd/teallab",
 	}
 )
 
-// pure are the directories that open nothing, wait for nothing and read no clock: times come in as arguments, effects
-// go out.
+// pure lists the directories whose packages do no I/O, do not wait and do not read a clock. They get the time as an
+// argument and return effects that the caller performs.
 var pure = []string{
 	"control", "internal/compatibility", "internal/connpool", "internal/downstream/idle", "internal/lifecycle",
 	"internal/cluster/lease", "internal/cluster/membership", "internal/cluster/probe", "internal/cluster/sharedconfig",
@@ -65,16 +67,17 @@
 	"internal/cluster/paxos", "internal/cluster/timing",
 }
 
-// impure are the imports that no pure package has; the packages below them count, too.
+// impure lists the packages that no pure package may import, nor any package below them.
 var impure = []string{"net", "os", "syscall", "context", "sync", "log", "runtime", "crypto/rand", "golang.org/x/sys"}
 
-// pureSelectors are what pure packages may use of packages that also read a clock or draw from a shared source.
+// pureSelectors lists the names that pure packages may use of packages whose other names read a clock or use a shared
+// source of random numbers.
 var pureSelectors = map[string][]string{
 	"time":         {"Duration", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour"},
 	"math/rand/v2": {"New", "NewPCG", "Rand", "PCG"},
 }
 
-// goPackage is what `go list -json` says of one package.
+// goPackage contains the fields of a package that go list -json prints.
 type goPackage struct {
 	Dir        string
 	ImportPath string
@@ -82,10 +85,11 @@
 	Imports    []string
 }
 
-// within tells whether a directory is one of those listed, or below one.
+// within reports whether a directory is one of those listed, or below one of them.
 func within(directory string, listed []string) bool { return enclosing(directory, listed) != "" }
 
-// enclosing is the longest listed directory that a directory is or is below; empty if there is none.
+// enclosing returns the longest listed directory that contains a directory or is equal to it. It returns "" if there is
+// none.
 func enclosing(directory string, listed []string) string {
 	longest := ""
 	for _, parent := range listed {
@@ -97,53 +101,54 @@
 	return longest
 }
 
-// placed is the listed directory of a package and its layer; -1 if it has none.
-func placed(directory string) (string, int) {
+// findLayer returns the entry of layers that contains a directory, and the index of its layer. The index is -1 if there
+// is no such entry.
+func findLayer(directory string) (string, int) {
 	parent := enclosing(directory, slices.Concat(layers...))
 	return parent, slices.IndexFunc(layers, func(layer []string) bool { return slices.Contains(layer, parent) })
 }
 
-// checkImport says what is wrong with one import between directories of this module; nil is nothing.
+// checkImport returns an error if an import between directories of this module is not allowed.
 func checkImport(from, to string) error {
-	if within(from, testsOnly) {
+	if within(from, testImporters) {
 		return nil
 	}
-	if within(to, forTests) {
-		return errors.New("only tests and experiments may import it")
+	if within(to, testImports) {
+		return fmt.Errorf("only tests and %v may import %s", testImporters, to)
 	}
-	fromParent, fromLayer := placed(from)
-	toParent, toLayer := placed(to)
+	fromParent, fromLayer := findLayer(from)
+	toParent, toLayer := findLayer(to)
 	switch {
 	case fromLayer < 0 || toLayer < 0:
-		return errors.New("a package has no layer yet")
+		return fmt.Errorf("layers contains no directory for %s (layer %d) or %s (layer %d)", from, fromLayer, to, toLayer)
 	case toLayer > fromLayer:
-		return errors.New("the import goes upward")
+		return fmt.Errorf("layer %d may not import the higher layer %d", fromLayer, toLayer)
 	case toLayer == fromLayer && toParent != fromParent && !slices.Contains(sameLayer, [2]string{fromParent, toParent}):
-		return errors.New("the import stays in its layer, and is not listed")
+		return fmt.Errorf("the import within layer %d is not in sameLayer", fromLayer)
 	case from == "control" && !slices.Contains([]string{"internal/timerqueue", "internal/logevent"}, to):
-		return errors.New("control has two imports of this module at most")
+		return errors.New("control may import only internal/timerqueue and internal/logevent of this module")
 	}
 	return nil
 }
 
-// isPure tells whether a package must do no I/O. A subdirectory of a listed directory counts by itself if it has a layer
-// of its own.
+// isPure reports whether pure contains the package's entry in layers. A subdirectory of a pure directory is therefore
+// not pure if it has its own entry in layers and none in pure.
 func isPure(directory string) bool {
-	parent, _ := placed(directory)
+	parent, _ := findLayer(directory)
 	return slices.Contains(pure, parent)
 }
 
-// checkPureImport says what is wrong with an import of a pure package that is not of this module.
+// checkPureImport returns an error if a pure package may not import a package from outside of this module.
 func checkPureImport(path string) error {
 	if within(path, impure) {
-		return errors.New("a pure package does no I/O")
+		return fmt.Errorf("a pure package may not import %v or packages below them", impure)
 	}
 	return nil
 }
 
-// impureSelectors names what a file uses of the packages in pureSelectors beyond what those list.
+// impureSelectors returns the names that a file uses of the packages in pureSelectors and that are not listed there.
 func impureSelectors(file *ast.File) (found []string) {
-	listed := map[string][]string{}
+	allowedNames := map[string][]string{} // by the name under which the file imports the package
 	for _, spec := range file.Imports {
 		path := strings.Trim(spec.Path.Value, `"`)
 		if allowed, ok := pureSelectors[path]; ok {
@@ -151,7 +156,7 @@
 			if spec.Name != nil {
 				name = spec.Name.Name
 			}
-			listed[name] = allowed
+			allowedNames[name] = allowed
 		}
 	}
 	ast.Inspect(file, func(node ast.Node) bool {
@@ -163,7 +168,7 @@
 		if !ok {
 			return true
 		}
-		if allowed, ok := listed[name.Name]; ok && !slices.Contains(allowed, selector.Sel.Name) {
+		if allowed, ok := allowedNames[name.Name]; ok && !slices.Contains(allowed, selector.Sel.Name) {
 			found = append(found, name.Name+"."+selector.Sel.Name)
 		}
 		return true
@@ -171,8 +176,8 @@
 	return found
 }
 
-// list runs `go list` from the module's root.
-func list(t *testing.T, arguments ...string) []byte {
+// goList runs go list in the module's root and returns its output.
+func goList(t *testing.T, arguments ...string) []byte {
 	t.Helper()
 	command := exec.Command("go", append([]string{"list"}, arguments...)...)
 	command.Dir = ".."
@@ -183,10 +188,10 @@
 	return output
 }
 
-// goPackages are all packages of this module.
+// goPackages returns all packages of this module.
 func goPackages(t *testing.T) (packages []goPackage) {
 	t.Helper()
-	decoder := json.NewDecoder(strings.NewReader(string(list(t, "-json=Dir,ImportPath,GoFiles,Imports", "./..."))))
+	decoder := json.NewDecoder(strings.NewReader(string(goList(t, "-json=Dir,ImportPath,GoFiles,Imports", "./..."))))
 	for {
 		var next goPackage
 		if err := decoder.Decode(&next); errors.Is(err, io.EOF) {
@@ -198,18 +203,18 @@
 	}
 }
 
-// violations are the imports of a package that the layers or its purity forbid.
+// violations returns a description of each import of a package that is not allowed.
 func violations(p goPackage) (found []string) {
-	from := strings.TrimPrefix(p.ImportPath, module)
+	from := strings.TrimPrefix(p.ImportPath, modulePrefix)
 	for _, path := range p.Imports {
 		var err error
-		if to, ours := strings.CutPrefix(path, module); ours {
+		if to, inModule := strings.CutPrefix(path, modulePrefix); inModule {
 			err = checkImport(from, to)
 		} else if isPure(from) {
 			err = checkPureImport(path)
 		}
 		if err == nil && from == "control" && strings.Contains(path, ".") {
-			err = errors.New("control has the standard library only")
+			err = errors.New("outside of this module, control may import only the standard library")
 		}
 		if err != nil {
 			found = append(found, fmt.Sprintf("%s imports %s: %v", from, path, err))
@@ -218,10 +223,11 @@
 	return found
 }
 
-func TestImportsGoDownward(t *testing.T) {
+// Each package imports only what its layer allows.
+func TestImportsRespectLayers(t *testing.T) {
 	packages := goPackages(t)
 	if len(packages) < 30 {
-		t.Errorf("%d packages", len(packages))
+		t.Errorf("go list found %d packages, want at least 30", len(packages))
 	}
 	for _, p := range packages {
 		for _, violation := range violations(p) {
@@ -230,12 +236,12 @@
 	}
 }
 
-// Decisions and reducers take the time as an argument and draw from a seeded source, so that the simulator and tests
-// can replay them.
+// Decisions and reducers get the time as an argument and use a seeded source of random numbers, so that the simulator
+// and tests can replay them.
 func TestPurePackagesReadNoClock(t *testing.T) {
 	seen := 0
 	for _, p := range goPackages(t) {
-		if !isPure(strings.TrimPrefix(p.ImportPath, module)) {
+		if !isPure(strings.TrimPrefix(p.ImportPath, modulePrefix)) {
 			continue
 		}
 		seen++
@@ -246,28 +252,28 @@
 				t.Fatal(err)
 			}
 			if found := impureSelectors(file); found != nil {
-				t.Errorf("%s/%s: %v", p.ImportPath, name, found)
+				t.Errorf("%s/%s uses %v, which pure packages may not use", p.ImportPath, name, found)
 			}
 		}
 	}
 	if seen < len(pure) {
-		t.Errorf("%d pure packages, %d are listed", seen, len(pure))
+		t.Errorf("%d pure packages found, but pure lists %d directories", seen, len(pure))
 	}
 }
 
-// The router links nothing that draws charts, and no RPC framework or store client.
-func TestRouterLinksNothingOfTheExperiments(t *testing.T) {
+// The router links no emulators or experiments, no chart library, no RPC framework and no store client.
+func TestRouterLinksNoExperiments(t *testing.T) {
 	unwanted := []string{
-		"grpc", "plot", "redis", "hdrhistogram", module + "internal/emulator", module + "internal/experiment",
+		"grpc", "plot", "redis", "hdrhistogram", modulePrefix + "internal/emulator", modulePrefix + "internal/experiment",
 	}
-	linked := strings.Fields(string(list(t, "-deps", "./cmd/tealpath")))
-	if !slices.Contains(linked, module+"internal/server") {
-		t.Fatal("the router's server is not among its dependencies")
+	linked := strings.Fields(string(goList(t, "-deps", "./cmd/tealpath")))
+	if !slices.Contains(linked, modulePrefix+"internal/server") {
+		t.Fatalf("internal/server is not among the %d dependencies that go list found", len(linked))
 	}
 	for _, path := range linked {
 		for _, part := range unwanted {
 			if strings.Contains(strings.ToLower(path), part) {
-				t.Errorf("tealpath links %s", path)
+				t.Errorf("tealpath links %s, which contains %q", path, part)
 			}
 		}
 	}
@@ -278,33 +284,41 @@
 		from, imported string
 		allowed        bool
 	}{
-		"the reducer asks for decisions":            {"internal/router", "tealpath/control", true},
-		"decisions know no reducer":                 {"control", "tealpath/internal/router", false},
-		"decisions have a timer queue":              {"control", "tealpath/internal/timerqueue", true},
-		"decisions know no other leaf":              {"control", "tealpath/internal/clock", false},
-		"decisions have no library":                 {"control", "github.com/cespare/xxhash/v2", false},
-		"connections do not know the process":       {"internal/downstream", "tealpath/internal/server", false},
-		"client and endpoint connections are apart": {"internal/downstream", "tealpath/internal/upstream", false},
-		"a package and its part":                    {"internal/downstream", "tealpath/internal/downstream/poller", true},
-		"a listed import in one layer":              {"internal/operatorconfig", "tealpath/internal/cluster/peer", true},
-		"the same, turned round":                    {"internal/cluster/peer", "tealpath/internal/operatorconfig", false},
-		"what serves knows no emulator":             {"internal/server", "tealpath/internal/emulator/cache", false},
-		"what serves knows no experiment":           {"cmd/tealpath", "tealpath/internal/experiment", false},
-		"what serves knows no test helper":          {"internal/server", "tealpath/internal/testkit", false},
-		"experiments know what serves":              {"internal/experiment", "tealpath/internal/server", true},
-		"a package without a layer":                 {"internal/server", "tealpath/internal/unknown", false},
-		"the reducer opens no socket":               {"internal/router", "net", false},
-		"the reducer has no lock":                   {"internal/router", "sync/atomic", false},
-		"the cluster's reducer opens no file":       {"internal/cluster", "os", false},
-		"links among instances are sockets":         {"internal/cluster/peer", "net", true},
-		"leases ask no system":                      {"internal/cluster/lease", "golang.org/x/sys/unix", false},
-		"the table of idle connections has no I/O":  {"internal/downstream/idle", "net", false},
-		"client connections have":                   {"internal/downstream", "net", true},
+		"the reducer imports decisions":                         {"internal/router", "tealpath/control", true},
+		"decisions import no reducer":                           {"control", "tealpath/internal/router", false},
+		"decisions import the timer queue":                      {"control", "tealpath/internal/timerqueue", true},
+		"decisions import nothing else of this module":          {"control", "tealpath/internal/clock", false},
+		"decisions import no third-party package":               {"control", "github.com/cespare/xxhash/v2", false},
+		"client connections do not import the server":           {"internal/downstream", "tealpath/internal/server", false},
+		"client connections do not import endpoint connections": {"internal/downstream", "tealpath/internal/upstream", false},
+		"a package imports its subpackage": {
+			"internal/downstream", "tealpath/internal/downstream/poller", true,
+		},
+		"an import in sameLayer": {
+			"internal/operatorconfig", "tealpath/internal/cluster/peer", true,
+		},
+		"the reverse of an import in sameLayer": {
+			"internal/cluster/peer", "tealpath/internal/operatorconfig", false,
+		},
+		"the server imports no emulator": {
+			"internal/server", "tealpath/internal/emulator/cache", false,
+		},
+		"the router imports no experiment":                  {"cmd/tealpath", "tealpath/internal/experiment", false},
+		"the server imports no test helper":                 {"internal/server", "tealpath/internal/testkit", false},
+		"experiments import the server":                     {"internal/experiment", "tealpath/internal/server", true},
+		"a package without a layer":                         {"internal/server", "tealpath/internal/unknown", false},
+		"the reducer does not import net":                   {"internal/router", "net", false},
+		"the reducer does not import sync":                  {"internal/router", "sync/atomic", false},
+		"the cluster's reducer does not import os":          {"internal/cluster", "os", false},
+		"connections between instances import net":          {"internal/cluster/peer", "net", true},
+		"leases make no system calls":                       {"internal/cluster/lease", "golang.org/x/sys/unix", false},
+		"the table of idle connections does not import net": {"internal/downstream/idle", "net", false},
+		"client connections import net":                     {"internal/downstream", "net", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			found := violations(goPackage{ImportPath: module + c.from, Imports: []string{c.imported}})
+			found := violations(goPackage{ImportPath: modulePrefix + c.from, Imports: []string{c.imported}})
 			if (found == nil) != c.allowed {
-				t.Errorf("allowed: %v, found %q", c.allowed, found)
+				t.Errorf("violations %q, want none: %v", found, c.allowed)
 			}
 		})
 	}
@@ -323,7 +337,7 @@
 			t.Fatal(err)
 		}
 		if found := impureSelectors(file); len(found) != want {
-			t.Errorf("%s: %v", source, found)
+			t.Errorf("%s: found %v, want %d names", source, found, want)
 		}
 	}
 }
