--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -16,13 +16,13 @@
 		clock := clocktest.Running(0)
 		test.serveOn(t, clock, nil)
 		waiting, served := testkit.Dial(t, test.address), testkit.Dial(t, test.address)
-		begun := time.Now()
+		startedAt := time.Now()
 		sequence := waiting.Call(unanswered, 700*time.Millisecond)
 		testkit.WaitRequestFor(t, unanswered, test.caches...)
 		clock.Step(step)
 		served.ExpectServed(testkit.ObjectID(1), clientTimeout)
 		waiting.Expect(sequence, testkit.Rejected)
-		if took := time.Since(begun); took < 500*time.Millisecond || took > 850*time.Millisecond {
+		if took := time.Since(startedAt); took < 500*time.Millisecond || took > 850*time.Millisecond {
 			t.Errorf("response after %v, want 500 ms to 850 ms for a timeout of 700 ms", took)
 		}
 		clock.Step(-step)
@@ -36,7 +36,7 @@
 		clock := clocktest.Running(0)
 		router := test.serveOn(t, clock, nil)
 		waiting := testkit.Dial(t, test.address)
-		begun := time.Now()
+		startedAt := time.Now()
 		sequence := waiting.Call(unanswered, clientTimeout)
 		testkit.WaitRequestFor(t, unanswered, test.caches...)
 		router.shutDown()
@@ -45,11 +45,11 @@
 		late := testkit.Dial(t, test.address)
 		late.ExpectServed(testkit.ObjectID(1), clientTimeout)
 		waiting.Expect(sequence, testkit.Rejected)
-		answered := time.Since(begun)
+		answered := time.Since(startedAt)
 		waiting.Close()
 		late.Close()
 		testkit.ExpectEnd(t, router.ended, testkit.Timeout)
-		ended := time.Since(begun)
+		ended := time.Since(startedAt)
 		if answered < 600*time.Millisecond || answered > 1350*time.Millisecond {
 			t.Errorf("response after %v, want 600 ms to 1.35 s for a timeout of 1.2 s", answered)
 		}
@@ -66,19 +66,19 @@
 		clock := clocktest.Running(0)
 		router := test.serveOn(t, clock, nil)
 		test.caches[0].Kill()
-		asked := 0
-		for ; asked < 500; asked++ {
+		sent := 0
+		for ; sent < 500; sent++ {
 			if _, down := router.log.find(ejected); down {
 				break
 			}
-			test.ask(t, asked)
+			test.expectServed(t, sent)
 		}
 		down := router.log.wait(t, ejected, time.Second)
 		clock.Step(step)
 		testkit.StartCacheAt(t, test.caches[0].Address(), nil)
 		testkit.WaitUntil(t, testkit.Timeout, "the cache is restored", func() bool {
-			test.ask(t, asked)
-			asked++
+			test.expectServed(t, sent)
+			sent++
 			_, up := router.log.find(restored)
 			return up
 		})
@@ -94,43 +94,43 @@
 func TestClockStepKeepsSlowStart(t *testing.T) {
 	forEachStep(t, func(t *testing.T, test clockTest, step time.Duration) {
 		const slowStart = 3200 * time.Millisecond
-		const listPause = 50 * time.Millisecond // the router applies the list in this time; no event shows it
-		test.change(t, `"obligations":{`, `"obligations":{"coldFrom":0.1,"warmUpS":3,"overloadFactor":1,"fallS":1,`)
+		const listPause = 50 * time.Millisecond // until the router has applied the list; the test cannot observe it
+		test.replaceInConfig(t, `"obligations":{`, `"obligations":{"coldFrom":0.1,"warmUpS":3,"overloadFactor":1,"fallS":1,`)
 		clock := clocktest.Running(0)
 		test.serveOn(t, clock, nil)
-		test.load(t, 300*time.Millisecond, 0)
+		test.sendRequests(t, 300*time.Millisecond, 0)
 		if test.caches[1].Drain() == 0 {
 			t.Fatal("the second cache got no requests before its restart")
 		}
-		begun := time.Now()
-		test.publishRestart(t, begun)
+		startedAt := time.Now()
+		test.publishRestart(t, startedAt)
 		time.Sleep(listPause)
 		test.caches[1].Drain()
 		clock.Step(step)
-		asked := test.load(t, time.Second, 1000)
+		sent := test.sendRequests(t, time.Second, 1000)
 		cold := test.caches[1].Drain()
-		time.Sleep(time.Until(begun.Add(slowStart)))
-		later := test.load(t, time.Second, 5000)
+		time.Sleep(time.Until(startedAt.Add(slowStart)))
+		later := test.sendRequests(t, time.Second, 5000)
 		warm := test.caches[1].Drain()
-		if cold > asked/8 || warm < later/4 {
+		if cold > sent/8 || warm < later/4 {
 			t.Errorf("the restarted cache got %d of %d requests in its first second, want at most 1 in 8; "+
-				"after its slow start %d of %d, want at least 1 in 4", cold, asked, warm, later)
+				"after its slow start %d of %d, want at least 1 in 4", cold, sent, warm, later)
 		}
 	})
 }
 
-// load sends one request every 5 ms for the duration span, for a different object each, beginning with firstObject. It
-// returns the number of requests.
-func (test clockTest) load(t *testing.T, span time.Duration, firstObject int) (asked int) {
+// sendRequests sends one request every 5 ms for the duration span, for a different object each, beginning with
+// firstObject. It returns the number of requests.
+func (test clockTest) sendRequests(t *testing.T, span time.Duration, firstObject int) (sent int) {
 	t.Helper()
 	const interval = 5 * time.Millisecond
 	client := testkit.Dial(t, test.address)
 	defer client.Close()
-	for end := time.Now().Add(span); time.Now().Before(end); asked++ {
-		client.ExpectServed(testkit.ObjectID(firstObject+asked), clientTimeout)
+	for end := time.Now().Add(span); time.Now().Before(end); sent++ {
+		client.ExpectServed(testkit.ObjectID(firstObject+sent), clientTimeout)
 		time.Sleep(interval)
 	}
-	return asked
+	return sent
 }
 
 // publishRestart publishes that the second cache restarted at a time.
@@ -166,8 +166,8 @@
 	return c.issued.Before(at)
 }
 
-// After the router has received a purge, no copy from before the purge is served, although the wall clock is wrong and
-// steps.
+// After the router has received a purge, it serves no copy from before the purge, even if the wall clock has an offset
+// and steps.
 func TestClockStepServesNoPurgedCopy(t *testing.T) {
 	t.Parallel()
 	const year = 365 * 24 * time.Hour
--- a/cmd/tealpath/clockhelpers_test.go
+++ b/cmd/tealpath/clockhelpers_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// ask requests object n on a new connection and checks that it is served.
-func (test clockTest) ask(t *testing.T, n int) {
+// expectServed requests object n on a new connection and checks that it is served.
+func (test clockTest) expectServed(t *testing.T, n int) {
 	t.Helper()
 	client := testkit.Dial(t, test.address)
 	defer client.Close()
--- a/cmd/tealpath/clocksnapshot_test.go
+++ b/cmd/tealpath/clocksnapshot_test.go
@@ -124,6 +124,6 @@
 	reader := test.serveOn(t, clock, file)
 	reader.log.wait(t, `"event":"snapshot_`, time.Second)
 	log = strings.Join(reader.log.all(), "\n")
-	test.ask(t, 1)
+	test.expectServed(t, 1)
 	return log
 }
--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -139,7 +139,7 @@
 	const (
 		blockedFor = 600 * time.Millisecond
 		timeout    = 3 * time.Second
-		// No event shows when the connections are full, or when the router has read a request.
+		// The test cannot observe when the connections are full, or when the router has read a request.
 		fillPause   = 300 * time.Millisecond
 		arrivePause = 50 * time.Millisecond
 		departedID  = "00000000000000aa"
--- a/cmd/tealpath/discovery_test.go
+++ b/cmd/tealpath/discovery_test.go
@@ -26,14 +26,14 @@
 	service.Publish(drainEvent(caches[0], "s-a"))
 	callUntilClosed(t, router, caches, 0, 20) // the router that ends still accepts connections
 	termination.ExpectEndWithin(clientTimeout + killDelay)
-	begun := time.Now()
+	startedAt := time.Now()
 	router.spawnHealthy(t)
-	for time.Since(begun) < time.Second {
+	for time.Since(startedAt) < time.Second {
 		callUntilClosed(t, router, caches, 1000, 20)
 	}
 	for _, request := range caches[0].Requests("") {
-		sinceDrain, sinceRestart := request.At.Sub(termination.At), request.At.Sub(begun)
-		if sinceDrain > grace+slack && request.At.Before(begun) {
+		sinceDrain, sinceRestart := request.At.Sub(termination.At), request.At.Sub(startedAt)
+		if sinceDrain > grace+slack && request.At.Before(startedAt) {
 			t.Errorf("the draining cache got a request %v after it began to drain, at most %v is allowed",
 				sinceDrain, grace+slack)
 		}
@@ -89,7 +89,7 @@
 		return requestCount(caches, testkit.ObjectID(1)) > 0
 	})
 	for _, service := range services[1:] {
-		router.configure(t, "n0", service.Address())
+		router.writeConfig(t, "n0", service.Address())
 		process.Signal(syscall.SIGHUP)
 		time.Sleep(reloadInterval)
 	}
--- a/cmd/tealpath/faults_test.go
+++ b/cmd/tealpath/faults_test.go
@@ -23,12 +23,12 @@
 // forgetConnections makes a cache reset each of its current connections on the next request.
 func forgetConnections(cache *testkit.Cache) { cache.SetBehavior(testkit.ForgetConnections, 0) }
 
-// A cache becomes faulty while there are no requests, for five times the duration for which the router keeps idle
-// connections. Requests that arrive after that are served by the other cache.
+// A cache becomes faulty after a pause in the requests that is five times as long as the router keeps idle connections.
+// The other cache serves the next requests; only if the faulty one hangs, the first of them may fail.
 func TestRequestsServedDespiteFaultAfterIdleTime(t *testing.T) {
 	const (
-		idleTime = 1500 * time.Millisecond
-		together = 8 // requests sent at once, the capacity of one cache
+		idleTime  = 1500 * time.Millisecond
+		batchSize = 8 // requests sent at once, the capacity of one cache
 	)
 	for _, c := range []struct {
 		name        string
@@ -58,25 +58,25 @@
 				if round == 0 {
 					want = c.servedFirst
 				}
-				if served := callTogether(t, client, together); served < want {
-					t.Errorf("round %d: %d of %d requests served, want at least %d", round, served, together, want)
+				if served := callConcurrently(t, client, batchSize); served < want {
+					t.Errorf("round %d: %d of %d requests served, want at least %d", round, served, batchSize, want)
 				}
 			}
 		})
 	}
 }
 
-// callTogether sends count requests at once, so that the router gets enough results to eject a cache, and returns how
-// many are served. It checks that each request gets exactly one response in time.
-func callTogether(t *testing.T, client *testkit.Client, count int) (served int) {
+// callConcurrently sends count requests at once, so that the router gets enough results to eject a cache. It returns
+// how many are served, and checks that each request gets exactly one response in time.
+func callConcurrently(t *testing.T, client *testkit.Client, count int) (served int) {
 	t.Helper()
-	begun, inFlight := time.Now(), map[int32]bool{}
+	startedAt, inFlight := time.Now(), map[int32]bool{}
 	for n := range count {
 		inFlight[client.Call(testkit.ObjectID(n), clientTimeout)] = true
 	}
 	for len(inFlight) > 0 {
 		sequence, result := client.Next()
-		if took := time.Since(begun); !inFlight[sequence] || took > clientTimeout+maxLateness {
+		if took := time.Since(startedAt); !inFlight[sequence] || took > clientTimeout+maxLateness {
 			t.Fatalf("response %d %q after %v, want one response to each request within %v",
 				sequence, result, took, clientTimeout+maxLateness)
 		}
@@ -116,11 +116,11 @@
 				for _, cache := range caches {
 					c.end(cache)
 				}
-				begun := time.Now()
+				startedAt := time.Now()
 				for n := range 5 {
 					client.ExpectServed(testkit.ObjectID(100*round+n), clientTimeout)
 				}
-				if took := time.Since(begun); took > 600*time.Millisecond {
+				if took := time.Since(startedAt); took > 600*time.Millisecond {
 					t.Errorf("five requests took %v, want at most 600 ms", took)
 				}
 			}
@@ -154,9 +154,9 @@
 			c.second(caches[1])
 			for n := range 2 {
 				object := testkit.ObjectID(500 + n)
-				begun := time.Now()
+				startedAt := time.Now()
 				client.Expect(client.Call(object, clientTimeout), testkit.Rejected)
-				if took := time.Since(begun); took > c.within+maxLateness {
+				if took := time.Since(startedAt); took > c.within+maxLateness {
 					t.Errorf("rejected after %v, want at most %v", took, c.within+maxLateness)
 				}
 				if attempts := requestCount(caches, object); attempts > maxAttempts {
--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -31,15 +31,15 @@
 // usual number.
 const minServedShare = 0.85
 
-// growthDays are the kinds of traffic that the growth tests use.
-var growthDays = []growthDay{
+// trafficProfiles are the kinds of traffic that the growth tests send.
+var trafficProfiles = []trafficProfile{
 	{"list in the configuration", true, 300, 25 * time.Millisecond, 150, 1.1},
 	{"list from the service", false, 300, 25 * time.Millisecond, 150, 1.1},
 	{"more objects than connections", true, 1200, 8 * time.Millisecond, 30_000, 0},
 }
 
 // listFromService is the traffic of a router that receives its endpoint list from discovery.
-var listFromService = growthDays[1]
+var listFromService = trafficProfiles[1]
 
 // buildProgram builds the router and returns the path of the binary.
 func buildProgram(t *testing.T) string {
@@ -56,24 +56,24 @@
 func TestListOfTenThousandIsServedWithinMemory(t *testing.T) {
 	t.Parallel()
 	binary := buildProgram(t)
-	playUntilUndisturbed(t, func() (failures []string, late time.Duration) { return playTenThousand(t, binary) })
+	repeatIfDisturbed(t, func() (failures []string, late time.Duration) { return runTenThousand(t, binary) })
 }
 
-// playTenThousand runs a router with an endpoint list of 10,000 cache servers. It returns the failed checks, and how
+// runTenThousand runs a router with an endpoint list of 10,000 cache servers. It returns the failed checks, and how
 // late a timer of this process fired meanwhile.
-func playTenThousand(t *testing.T, binary string) (failures []string, late time.Duration) {
+func runTenThousand(t *testing.T, binary string) (failures []string, late time.Duration) {
 	t.Helper()
-	const here, all = 100, 10_000
-	f := newGrowthFleet(t, here, 900)
-	instances := []string{f.instances(0, here, 0, "active")}
-	for n := here; n < all; n++ { // in another zone; nothing listens there
+	const localServers, allServers = 100, 10_000
+	f := newGrowthFleet(t, localServers, 900)
+	instances := []string{f.instances(0, localServers, 0, "active")}
+	for n := localServers; n < allServers; n++ { // in another zone; nothing listens there
 		address := fmt.Sprintf("127.99.%d.%d:1", n>>8, n&255)
 		instances = append(instances, growthInstance(n, 0, address, "there", "active"))
 	}
 	f.publishAll(strings.Join(instances, ","))
 	f.start(binary, false)
 	stalls := testkit.WatchStalls()
-	figures := f.play(listFromService)
+	figures := f.run(listFromService)
 	late = stalls.Stop()
 	t.Logf("%+v", figures)
 	if figures.served < 0.98 || figures.peakMB > routerMemoryMB {
@@ -88,26 +88,27 @@
 func TestGrowthStaysWithinBounds(t *testing.T) {
 	t.Parallel()
 	binary := buildProgram(t)
-	for _, day := range growthDays {
-		t.Run(day.name, func(t *testing.T) {
+	for _, profile := range trafficProfiles {
+		t.Run(profile.name, func(t *testing.T) {
 			t.Parallel()
-			playUntilUndisturbed(t, func() (failures []string, late time.Duration) { return playGrowth(t, binary, day) })
+			repeatIfDisturbed(t, func() (failures []string, late time.Duration) { return compareGrowth(t, binary, profile) })
 		})
 	}
 }
 
-// playUntilUndisturbed calls day, and repeats it if it failed while a timer of this process fired late: then the load
-// of the machine may be the cause. The last of maxPlays counts in any case.
-func playUntilUndisturbed(t *testing.T, day func() (failures []string, late time.Duration)) {
+// repeatIfDisturbed calls run, and repeats it if it failed while a timer of this process fired late: then the load of
+// the machine may be the cause. The last of maxRuns counts in any case.
+func repeatIfDisturbed(t *testing.T, run func() (failures []string, late time.Duration)) {
 	t.Helper()
 	const (
-		maxPlays = 3
-		maxLate  = 50 * time.Millisecond // maximum lateness of a timer in an undisturbed play
+		maxRuns = 3
+		maxLate = 50 * time.Millisecond // maximum lateness of a timer in an undisturbed run
 	)
-	for play := 1; ; play++ {
-		failures, late := day()
-		if len(failures) > 0 && late > maxLate && play < maxPlays {
-			t.Logf("repeated: in play %d a timer of this test fired %v late, and these checks failed: %v", play, late, failures)
+	for attempt := 1; ; attempt++ {
+		failures, late := run()
+		if len(failures) > 0 && late > maxLate && attempt < maxRuns {
+			t.Logf("repeated: in run %d a timer of this test fired %v late, and these checks failed: %v",
+				attempt, late, failures)
 			continue
 		}
 		for _, failure := range failures {
@@ -117,21 +118,21 @@
 	}
 }
 
-// playGrowth runs a day's traffic in a fleet of the usual size and in a large one at the same time. It returns the
-// failed checks, and how late a timer of this process fired meanwhile.
-func playGrowth(t *testing.T, binary string, day growthDay) (failures []string, late time.Duration) {
+// compareGrowth sends the same traffic to a router among the usual number of cache servers and to one among many, at
+// the same time. It returns the failed checks, and how late a timer of this process fired meanwhile.
+func compareGrowth(t *testing.T, binary string, profile trafficProfile) (failures []string, late time.Duration) {
 	t.Helper()
 	const usualServers, manyServers = 200, 3200
 	usual, many := newGrowthFleet(t, usualServers, 300), newGrowthFleet(t, manyServers, 900)
 	for _, f := range []*growthFleet{usual, many} {
 		f.publishAll(f.instances(0, len(f.servers), 0, "active"))
-		f.start(binary, day.known)
+		f.start(binary, profile.known)
 	}
 	stalls := testkit.WatchStalls()
 	var atUsual, atMany growthFigures
 	var both sync.WaitGroup
-	both.Go(func() { atUsual = usual.play(day) })
-	both.Go(func() { atMany = many.play(day) })
+	both.Go(func() { atUsual = usual.run(profile) })
+	both.Go(func() { atMany = many.run(profile) })
 	both.Wait()
 	late = stalls.Stop()
 	for _, b := range growthBounds {
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -20,8 +20,8 @@
 	"tealpath/internal/testkit"
 )
 
-// growthDay is the traffic of one router in a growth test. It does not depend on the size of the fleet.
-type growthDay struct {
+// trafficProfile is the traffic that a growth test sends to one router. It does not depend on the size of the fleet.
+type trafficProfile struct {
 	name     string
 	known    bool // the configuration contains the endpoint list
 	requests int
@@ -30,13 +30,13 @@
 	skew     float64 // Zipf exponent of the objects' popularity; 0: all objects are equally popular
 }
 
-// listChanges is how often the endpoint list changes during a day. Each change replaces 1% of the cache servers.
+// listChanges is how often the endpoint list changes during the traffic. Each change replaces 1% of the cache servers.
 const listChanges = 15
 
 // routerMemoryMB is the memory limit of a router, MB.
 const routerMemoryMB = 32
 
-// growthFigures contains the resources that one router used during a day, and how much it served.
+// growthFigures contains the resources that one router used for its traffic, and how much it served.
 type growthFigures struct {
 	cpuSeconds  float64
 	peakMB      float64
@@ -105,11 +105,11 @@
 	}
 }
 
-// instances returns the list entries of the servers with the numbers from (inclusive) to to (exclusive). A server that
-// restarts gets a new generation, which is part of its name.
-func (f *growthFleet) instances(from, to, generation int, lifecycle string) string {
+// instances returns the list entries of the servers from number first to number end - 1. A server that restarts gets a
+// new generation, which is part of its name.
+func (f *growthFleet) instances(first, end, generation int, lifecycle string) string {
 	var entries []string
-	for n := from; n < to; n++ {
+	for n := first; n < end; n++ {
 		entries = append(entries, growthInstance(n, generation, f.servers[n].Addr().String(), "here", lifecycle))
 	}
 	return strings.Join(entries, ",")
@@ -165,7 +165,7 @@
 	const interval = 50 * time.Millisecond
 	for {
 		if f.listening.Load() {
-			// After an error the count is 0. play fails the test if there is no other sample.
+			// After an error the count is 0. run fails the test if there is no other sample.
 			names, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", f.router.PID()))
 			f.descriptors.Store(max(f.descriptors.Load(), int64(len(names))))
 		}
@@ -177,19 +177,19 @@
 	}
 }
 
-// play sends the requests of the day, shuts down the router, and returns the resources that it used.
-func (f *growthFleet) play(day growthDay) growthFigures {
+// run sends the traffic, shuts down the router, and returns the resources that it used.
+func (f *growthFleet) run(profile trafficProfile) growthFigures {
 	f.router.WaitHealthy(10 * time.Second)
 	f.listening.Store(true)
 	client := testkit.Dial(f.t, f.address)
 	testkit.SetTimeout(f.t, client.Conn, time.Minute)
 	served := 0
 	var reader sync.WaitGroup
-	reader.Go(func() { served = countServed(client, day.requests) })
-	f.send(client, day)
+	reader.Go(func() { served = countServed(client, profile.requests) })
+	f.send(client, profile)
 	reader.Wait()
 	figures := growthFigures{
-		served:      float64(served) / float64(day.requests),
+		served:      float64(served) / float64(profile.requests),
 		peakMB:      f.peakMB(),
 		descriptors: float64(f.descriptors.Load()),
 		connections: float64(f.connections.Load()),
@@ -223,19 +223,19 @@
 	return served
 }
 
-// send sends the requests of the day and publishes the changes of the endpoint list in between.
-func (f *growthFleet) send(client *testkit.Client, day growthDay) {
+// send sends the requests and publishes the changes of the endpoint list in between.
+func (f *growthFleet) send(client *testkit.Client, profile trafficProfile) {
 	random := rand.New(rand.NewPCG(1, 2))
-	draw := func() int { return random.IntN(day.objects) }
-	if day.skew > 0 {
-		popular := rand.NewZipf(random, day.skew, 4, uint64(day.objects-1))
+	draw := func() int { return random.IntN(profile.objects) }
+	if profile.skew > 0 {
+		popular := rand.NewZipf(random, profile.skew, 4, uint64(profile.objects-1))
 		draw = func() int { return int(popular.Uint64()) }
 	}
 	group := len(f.servers) / 100
-	betweenChanges := day.requests / listChanges
+	betweenChanges := profile.requests / listChanges
 	began := time.Now()
-	for n := range day.requests {
-		time.Sleep(time.Until(began.Add(time.Duration(n) * day.interval)))
+	for n := range profile.requests {
+		time.Sleep(time.Until(began.Add(time.Duration(n) * profile.interval)))
 		if n%betweenChanges == betweenChanges-1 {
 			from := n / betweenChanges * group
 			f.discovery.Publish(`{"pos":%d,"hosts":{"generation":2,"instances":[` +
--- a/cmd/tealpath/helpers_test.go
+++ b/cmd/tealpath/helpers_test.go
@@ -73,7 +73,7 @@
 		deadline:   deadline,
 		changes:    changes,
 	}
-	router.configure(t, "n0", discovery)
+	router.writeConfig(t, "n0", discovery)
 	return router
 }
 
@@ -99,8 +99,8 @@
 	return []byte(strings.NewReplacer(r.changes...).Replace(text))
 }
 
-// configure replaces the configuration file.
-func (r *testRouter) configure(t *testing.T, name, discovery string) {
+// writeConfig replaces the configuration file.
+func (r *testRouter) writeConfig(t *testing.T, name, discovery string) {
 	t.Helper()
 	testkit.ReplaceFile(t, r.configPath, r.config(name, discovery))
 }
@@ -113,15 +113,15 @@
 	testkit.WriteFile(t, r.configPath, []byte(text[:from]+`"known":null,`+text[to:]))
 }
 
-// change adds replacements of the configuration's text, and fails the test if they change nothing.
-func (r *testRouter) change(t *testing.T, changes ...string) {
+// replaceInConfig adds replacements of the configuration's text, and fails the test if they change nothing.
+func (r *testRouter) replaceInConfig(t *testing.T, changes ...string) {
 	t.Helper()
 	before := r.config("n0", r.discovery)
 	r.changes = append(r.changes, changes...)
 	if slices.Equal(before, r.config("n0", r.discovery)) {
 		t.Fatalf("the configuration contains nothing to replace: %q", changes)
 	}
-	r.configure(t, "n0", r.discovery)
+	r.writeConfig(t, "n0", r.discovery)
 }
 
 // listEvent returns the format of a watch event with the endpoint list of the configuration. Its argument is the
--- a/cmd/tealpath/log_test.go
+++ b/cmd/tealpath/log_test.go
@@ -28,9 +28,9 @@
 		writeLine(t, w, fmt.Sprint("line ", n))
 		fmt.Fprintln(&want, "line", n)
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	w.Close()
-	if took := time.Since(begun); took > logCloseTimeout {
+	if took := time.Since(startedAt); took > logCloseTimeout {
 		t.Errorf("Close took %v, want at most %v", took, logCloseTimeout)
 	}
 	if out.String() != want.String() {
@@ -44,12 +44,12 @@
 	in, out := io.Pipe()
 	w := newLogWriter(out)
 	const lines = 3 * maxQueuedLines
-	begun := time.Now()
+	startedAt := time.Now()
 	for n := range lines {
 		writeLine(t, w, fmt.Sprint("line ", n))
 	}
 	w.Close()
-	if took := time.Since(begun); took > time.Second {
+	if took := time.Since(startedAt); took > time.Second {
 		t.Errorf("Write of %d lines and Close took %v, want at most 1 s", lines, took)
 	}
 	go func() {
--- a/cmd/tealpath/serve_test.go
+++ b/cmd/tealpath/serve_test.go
@@ -13,8 +13,8 @@
 	"tealpath/internal/testkit"
 )
 
-// reloadPause is the wait after SIGHUP in which a router has reloaded its configuration. Nothing visible outside the
-// router shows that a configuration was rejected.
+// reloadPause is how long a test waits after SIGHUP for the router to reload its configuration. The test cannot observe
+// that the router has rejected a configuration.
 const reloadPause = 50 * time.Millisecond
 
 // serveTest is the state that the parts of TestServeFromStartToShutdown share: the program in this process, two caches
@@ -75,11 +75,11 @@
 }
 
 func (s *serveTest) testSilentCache(t *testing.T) {
-	begun := time.Now()
+	startedAt := time.Now()
 	silent := s.client.Call(testkit.UnansweredID(2), time.Second)
 	s.client.ExpectServed(testkit.ObjectID(4), clientTimeout) // the request does not wait for the other one
 	s.client.Expect(silent, testkit.Rejected)
-	if took := time.Since(begun); took < 900*time.Millisecond || took > 1200*time.Millisecond {
+	if took := time.Since(startedAt); took < 900*time.Millisecond || took > 1200*time.Millisecond {
 		t.Errorf("rejected after %v, want 0.9 s to 1.2 s", took)
 	}
 }
@@ -148,8 +148,8 @@
 	inFlight := s.client.Call(testkit.UnansweredID(5), time.Second)
 	for _, breakConfig := range []func(){
 		func() { testkit.WriteFile(t, s.router.configPath, []byte(`{"name":"n0","jour`)) },
-		func() { s.router.configure(t, "n9", s.second.Address) },
-		func() { s.router.configure(t, "n0", "nowhere") },
+		func() { s.router.writeConfig(t, "n9", s.second.Address) },
+		func() { s.router.writeConfig(t, "n0", "nowhere") },
 		func() {
 			if err := os.Remove(s.router.configPath); err != nil {
 				t.Error(err)
@@ -160,7 +160,7 @@
 		reload()
 	}
 	s.expectPurge(t, 3, s.first) // the router still watches the first service
-	s.router.configure(t, "n0", s.second.Address)
+	s.router.writeConfig(t, "n0", s.second.Address)
 	reload()
 	reload()
 	s.expectPurge(t, 4, s.second)
@@ -196,7 +196,7 @@
 	late.Expect(late.Call(testkit.UnansweredID(4), clientTimeout), testkit.Rejected)
 	testkit.ExpectEnd(t, s.ended, testkit.Timeout)
 	// The caches' goroutines end with their connections; the goroutine of package os/signal remains.
-	testkit.WaitUntil(t, testkit.Timeout, "no goroutine is left behind", func() bool {
+	testkit.WaitUntil(t, testkit.Timeout, "all goroutines of the router have ended", func() bool {
 		return runtime.NumGoroutine() <= s.goroutines+2
 	})
 }
--- a/cmd/tealpath/shutdown_test.go
+++ b/cmd/tealpath/shutdown_test.go
@@ -10,7 +10,7 @@
 	"tealpath/internal/testkit"
 )
 
-// Outstanding requests are answered when the router shuts down, whatever state they are in. Connections are real.
+// When the router shuts down it answers all outstanding requests, whatever state they are in.
 func TestShutdownAnswersWhatIsOutstanding(t *testing.T) {
 	caches := startCaches(t)
 	discovery := testkit.StartEventStream(t)
@@ -33,10 +33,10 @@
 			}
 			router := newTestRouter(t, addresses(caches), discovery.Address, c.deadline)
 			ended := router.serve(t)
-			begun := time.Now()
+			startedAt := time.Now()
 			c.shutdown(t, router, caches)
 			testkit.ExpectEnd(t, ended, c.within)
-			if took := time.Since(begun); took < 700*time.Millisecond {
+			if took := time.Since(startedAt); took < 700*time.Millisecond {
 				t.Errorf("ended after %v, want at least 700 ms, in which clients may still connect", took)
 			}
 			if testkit.IsListening(router.address) {
@@ -76,20 +76,20 @@
 
 func shutDownUnresponsiveCache(t *testing.T, router *testRouter, caches []*testkit.Cache) {
 	client, sequence := callUnanswered(t, router, caches, 400*time.Millisecond)
-	begun := time.Now()
+	startedAt := time.Now()
 	terminate(t)
 	client.Expect(sequence, testkit.Rejected)
-	if took := time.Since(begun); took > 500*time.Millisecond {
+	if took := time.Since(startedAt); took > 500*time.Millisecond {
 		t.Errorf("response after %v, want at most 500 ms", took)
 	}
 }
 
 func shutDownLongDeadline(t *testing.T, router *testRouter, caches []*testkit.Cache) {
 	client, sequence := callUnanswered(t, router, caches, 7*time.Second)
-	begun := time.Now()
+	startedAt := time.Now()
 	terminate(t)
 	client.Expect(sequence, testkit.Rejected)
-	if took := time.Since(begun); took > 3500*time.Millisecond {
+	if took := time.Since(startedAt); took > 3500*time.Millisecond {
 		t.Errorf("response after %v, want at most 3.5 s; SIGKILL comes after 3.7 s", took)
 	}
 }
@@ -125,7 +125,7 @@
 // A client that half-closes its connection while a request is in flight gets the response, but the router makes no
 // further attempt for the request.
 func TestNoRetryForHalfClosedClient(t *testing.T) {
-	const halfClosePause = 50 * time.Millisecond // the router reads the half-close in this time; no event shows it
+	const halfClosePause = 50 * time.Millisecond // until the router has read the half-close; the test cannot observe it
 	caches := startCaches(t)
 	discovery := testkit.StartEventStream(t)
 	router := newTestRouter(t, addresses(caches), discovery.Address, 5)
--- a/cmd/tealpath/shutdownbusy_test.go
+++ b/cmd/tealpath/shutdownbusy_test.go
@@ -16,7 +16,7 @@
 // docs/endings.md lists the requirements.
 
 const (
-	// killDelay is the time between the end of the maximum deadline, counted from SIGTERM, and the platform's SIGKILL.
+	// killDelay is how much later than the maximum deadline, counted from SIGTERM, the platform sends SIGKILL.
 	killDelay = 700 * time.Millisecond
 	// maxLateness is how late a response may be on a machine with other load.
 	maxLateness = 250 * time.Millisecond
--- a/cmd/tealpath/start_test.go
+++ b/cmd/tealpath/start_test.go
@@ -95,7 +95,7 @@
 		testkit.ExpectEnd(t, ended, drainTimeout)
 	})
 	t.Run("while it waits for its address", func(t *testing.T) {
-		const startPause = 100 * time.Millisecond // the router waits after this time; no event shows it
+		const startPause = 100 * time.Millisecond // until the router waits; the test cannot observe it
 		router := newTestRouter(t, addresses(caches), discovery.Address, 1.2)
 		router.useEnvironment(t)
 		testkit.ListenAt(t, router.address)
@@ -125,9 +125,9 @@
 			}
 			ended := router.serve(t)
 			client := testkit.Dial(t, router.address)
-			begun := time.Now()
+			startedAt := time.Now()
 			client.Expect(client.Call(testkit.ObjectID(1), clientTimeout), c.response)
-			if took := time.Since(begun); took > 600*time.Millisecond {
+			if took := time.Since(startedAt); took > 600*time.Millisecond {
 				t.Errorf("response after %v, want at most 600 ms", took)
 			}
 			client.ExpectHealth(c.known)
--- a/internal/operatorconfig/idle.go
+++ b/internal/operatorconfig/idle.go
@@ -17,7 +17,7 @@
 type IdleConnections struct {
 	MaxConnections  int                 // of all clients together; 0 until CheckResources sets the default
 	Policies        []idle.Policy       // the first is for clients that are in none of the networks
-	PolicyByNetwork *bart.Table[uint16] // network to index in Policies
+	PolicyByNetwork *bart.Table[uint16] // index in Policies, by network
 	positions       []sexpr.Position    // positions of the lists of the Policies, in the same order
 }
 
--- a/internal/operatorconfig/values.go
+++ b/internal/operatorconfig/values.go
@@ -20,7 +20,7 @@
 	kindNetworks = "an IP address, a network or a range of addresses"
 )
 
-// singleValue returns the value of a list that must have exactly one. If it has not, it adds an error and ok is
+// singleValue returns the value of a list that must have exactly one. For any other list it adds an error, and ok is
 // false.
 func (d *decoder) singleValue(list *sexpr.Node, arguments []*sexpr.Node) (value *sexpr.Node, ok bool) {
 	if len(arguments) != 1 || arguments[0].IsList {
