--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The hold of the startup must be long enough for the first calls of all routers.
+// The duration in (hold …) must be long enough for the first calls of all routers to discovery.
 func TestReadinessHoldIsChecked(t *testing.T) {
 	for _, c := range []struct {
 		text    string
@@ -14,7 +14,7 @@
 		want    string // beginning of the error; empty: none
 	}{
 		{"(start (rate 100) (hold 4s))", 300, ""},
-		{"(socket \"x\")\n (start (rate 100) (hold 2s))", 300, "2:2: 300 routers call for 3000 ms at 100 a second"},
+		{"(socket \"x\")\n (start (rate 100) (hold 2s))", 300, "2:2: a hold of 2000 ms is too short: 300 routers need 3000 ms for their calls at 100 per second"},
 		{"(start (hold 4s))", 3, "1:1"},
 		{"(start (rate 0) (hold 4s))", 3, "1:14"},
 		{"(start (rate 100) (hold 2h))", 3, "1:25"},
@@ -27,13 +27,13 @@
 				err = file.CheckReadinessHold(c.routers)
 			}
 			if (err == nil) != (c.want == "") || err != nil && !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("error %v, want one that begins with %q (empty: no error)", err, c.want)
 			}
 		})
 	}
 }
 
-// The routers of a location must be able to open a connection each in reasonable time.
+// All routers of a location must be able to open one connection each to a cache within 30 s.
 func TestConnectionLimitsAreChecked(t *testing.T) {
 	for _, c := range []struct {
 		text    string
@@ -57,13 +57,13 @@
 				err = file.CheckConnections(c.routers)
 			}
 			if (err == nil) != (c.want == "") || err != nil && !strings.HasPrefix(err.Error(), c.want) {
-				t.Errorf("%v, want %q", err, c.want)
+				t.Errorf("error %v, want one that begins with %q (empty: no error)", err, c.want)
 			}
 		})
 	}
 }
 
-// Each error has a position.
+// Each error has the position at which it occurs.
 func FuzzParse(f *testing.F) {
 	f.Add(validFile)
 	f.Add(`(a "b\n" (c ; d` + "\n" + `) )`)
@@ -75,7 +75,7 @@
 		}
 		var first *Error
 		if !errors.As(err, &first) || first.Position.Line < 1 || first.Position.Column < 1 {
-			t.Errorf("an error without a position: %v", err)
+			t.Errorf("error without a position: %v", err)
 		}
 	})
 }
