--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -14,7 +14,10 @@
 		want    string // beginning of the error; empty: none
 	}{
 		{"(start (rate 100) (hold 4s))", 300, ""},
-		{"(socket \"x\")\n (start (rate 100) (hold 2s))", 300, "2:2: a hold of 2000 ms is too short: 300 routers need 3000 ms for their calls at 100 per second"},
+		{
+			"(socket \"x\")\n (start (rate 100) (hold 2s))", 300,
+			"2:2: a hold of 2000 ms is too short: 300 routers need 3000 ms for their calls at 100 per second",
+		},
 		{"(start (hold 4s))", 3, "1:1"},
 		{"(start (rate 0) (hold 4s))", 3, "1:14"},
 		{"(start (rate 100) (hold 2h))", 3, "1:25"},
