--- a/control/admission.go
+++ b/control/admission.go
@@ -19,8 +19,8 @@
 	// until it has grown back to the initial value.
 	reducedShare = 0.5
 
-	// lowValueShare is the fraction of a limit that is open to clients' retries. At least this fraction is open to
-	// a class of low value.
+	// lowValueShare is the fraction of a limit that is open to clients' retries and to cache-only attempts. At least
+	// this fraction is open to a class of low value.
 	lowValueShare = 0.7
 
 	// For a request, a part of the limit is reserved for other classes whose value (priority weight divided by
@@ -46,14 +46,14 @@
 )
 
 // initialAdmissionLimits are the initial limits by kind of attempts.
-var initialAdmissionLimits = [kinds]float64{2, 1.2, 0.4}
+var initialAdmissionLimits = [attemptKinds]float64{2, 1.2, 0.4}
 
 // admission holds the admission limits, one for each kind of attempts. Responses in time raise them and late
 // responses lower them: additive increase, multiplicative decrease (Chiu and Jain, Analysis of the increase and
 // decrease algorithms, 1989).
 type admission struct {
-	limits  [kinds]float64 // attempts in flight, as a multiple of the caches' capacity
-	reduced [kinds]bool    // the limit fell below reducedShare of its initial value and has not grown back to it
+	limits  [attemptKinds]float64 // attempts in flight, as a multiple of the caches' capacity
+	reduced [attemptKinds]bool    // the limit fell below reducedShare of its initial value and has not grown back to it
 }
 
 // raiseLimit raises the limit of a kind of attempts after a response in time.
--- a/control/age.go
+++ b/control/age.go
@@ -9,7 +9,7 @@
 	// missedUpdatesPerKB is the number of missed updates that cost as much as filling one KB: c in docs/design.md.
 	missedUpdatesPerKB = 2e-2
 
-	// defaultSizeKB is the size of an object if the request does not tell it: b in docs/design.md.
+	// defaultSizeKB is the size of an object if the request does not give it: b in docs/design.md.
 	defaultSizeKB = 500.
 
 	minMaxAge    = second / 1000 // ns; lower bound of an accepted age
--- a/control/age_test.go
+++ b/control/age_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// In all cases the cost of a fill, c·b in docs/design.md, is 0.1. With a count of 100 the location has a request rate
+// of 20 per second: 100 requests within rateWindow, 10 s, times 2 routers.
 func TestAcceptedAge(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -82,7 +82,7 @@
 				request := template
 				request.Object, request.Deadline = objects[i%len(objects)], now+5*second
 				if decision := router.Decide(now, &request); decision.Verdict != Send {
-					b.Fatalf("request %d: %+v", i, decision)
+					b.Fatalf("request %d: decision %+v, want verdict send", i, decision)
 				}
 				router.AttemptEnded(now+second/20, &request, benchmarkOutcome)
 			}
@@ -141,7 +141,7 @@
 					Deadline: now + 5*second,
 				}
 				if decision := router.Decide(now, request); decision.Verdict != Send {
-					b.Fatalf("request %d: %+v", i, decision)
+					b.Fatalf("request %d: decision %+v, want verdict send", i, decision)
 				}
 				router.AttemptEnded(now+second/20, request, benchmarkOutcome)
 			}
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -107,7 +107,13 @@
 // number of routers varies, their traffic is uneven, their measurements have errors, and the parent is smaller than
 // the other one.
 func TestSlowStartOfMeasuredCapacities(t *testing.T) {
-	const mean, parents, load, capacity, small = 0.5, 2, 0.7, 20., 12.
+	const (
+		mean             = 0.5 // s; mean work of a request
+		parents          = 2
+		load             = 0.7 // mean load of the parents
+		capacity         = 20. // capacity of a parent according to the measurements
+		startingCapacity = 12. // capacity of the parent in slow start
+	)
 	window := 2 * second
 	for _, routers := range []int{6, 24, 350} {
 		for _, from := range []int64{0, 8 * second} { // all routers begin at the start, or 8 s later
@@ -126,6 +132,7 @@
 				if n%10 == 0 {
 					traffic = 5
 				}
+				// The mean traffic of a router is 0.95. Measurements are between half and 1.5 times the correct value.
 				measured := load * capacity * parents / float64(routers) * traffic / 0.95 * (0.5 + router.random())
 				endpoint := router.endpoints[3]
 				router.slowStartAdmits(start, endpoint, mean)
@@ -149,7 +156,7 @@
 					}
 				}
 				share := 0.1 + 0.9*float64(first-start)/float64(20*second)
-				n := 2 * small * share * 2 / mean
+				n := 2 * startingCapacity * share * 2 / mean // the factor is 2, and the window 2 s
 				if limit := ruleLimit(n); sent > limit {
 					t.Fatalf("%d routers: %.0f attempts in the window from %.1f s after the start on, limit %.1f",
 						routers, sent, float64(first-start)/1e9, limit)
--- a/control/classes.go
+++ b/control/classes.go
@@ -15,9 +15,9 @@
 	// class's minimum response time.
 	minSamplesForFastest = initialSamples
 
-	minSendingTime  = 1e-3 // s; lower bound of a class's initial mean sending time
-	minResponseTime = 0.01 // s; lower bound of slowestResponseTime, the unit of the silence score
-	minWeight       = 0.01 // lower bound of maxWeight, which weights are divided by
+	minSendingTime         = 1e-3 // s; lower bound of a class's initial mean sending time
+	minSlowestResponseTime = 0.01 // s; lower bound of slowestResponseTime, the unit of the silence score
+	minWeight              = 0.01 // lower bound of maxWeight, which weights are divided by
 )
 
 // classState holds a class's settings and what was learned from its responses.
@@ -41,7 +41,8 @@
 	}
 }
 
-// observeResponse updates the mean and the fastest response time by a successful response, which took elapsed ns.
+// observeResponse updates the mean and the fastest response time with those of a successful response, which took
+// elapsed ns.
 func (class *classState) observeResponse(elapsed int64) {
 	if class.fastestResponse == 0 || elapsed < class.fastestResponse {
 		class.fastestResponse = elapsed
@@ -50,8 +51,8 @@
 	class.responseTime += (float64(elapsed)/1e9 - class.responseTime) / class.samples
 }
 
-// observeSendingTime updates the mean sending time, in s. It must be called after observeResponse for the same
-// response, which counts the sample.
+// observeSendingTime updates the mean sending time, in s. For each response it must be called after observeResponse,
+// because that method counts the sample.
 func (class *classState) observeSendingTime(sendingTime float64) {
 	class.sendingTime += (sendingTime - class.sendingTime) / class.samples
 }
@@ -83,7 +84,7 @@
 	return now+request.class.minResponseTime() < request.Deadline
 }
 
-// maxWeight returns the largest priority weight of all classes.
+// maxWeight returns the largest priority weight of all classes, but at least minWeight.
 func (r *Router) maxWeight() float64 {
 	largest := minWeight
 	for _, class := range r.classes {
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -172,6 +172,7 @@
 			for decision.Verdict == Send {
 				retries++
 				last := len(request.attempts) - 1
+				// Note 7: the source could not be reached.
 				decision = router.AttemptEnded(now, request, Outcome{Result: Overloaded, Note: 7, Attempt: last})
 			}
 			router.ClientGone(now, request)
@@ -212,7 +213,7 @@
 				router.AttemptEnded(start+second/10, request, Outcome{
 					Result:       Succeeded,
 					Elapsed:      second / 10,
-					Note:         1,
+					Note:         noteHit,
 					RequestEnded: true,
 				})
 			}
--- a/control/control.go
+++ b/control/control.go
@@ -16,8 +16,8 @@
 //   - admission.go, capacity.go and inflight.go: whether these endpoints can take more load
 //   - slowstart.go: how much load an endpoint gets while it is warming up after a start
 //   - retries.go: retries and hedged requests
-//   - age.go and rates.go: how old a cache entry may be
-//   - purges.go: how purges limit that age
+//   - age.go and rates.go: how old a cache entry may be to be served for a request, called the accepted age
+//   - purges.go: how purges limit the accepted age
 //   - outcomes.go and outliers.go: what is learned from an attempt that ended, and which endpoints are ejected
 //
 // docs/design.md has the reasons and the sources.
@@ -49,9 +49,10 @@
 
 // Router makes the decisions of one router process and holds the state that they depend on.
 type Router struct {
-	// Reachable, if set, reports whether a request can be sent to a cache now. It can return false because the
-	// number of connections to each cache is limited. An object's ranking skips such a cache, in the same way as
-	// a cache at its slow-start limit.
+	// Reachable, if set, reports whether an endpoint can be used now. For a cache it can return false because the
+	// number of connections is limited. Selection skips an endpoint that is not reachable, in the same way as an
+	// endpoint at its slow-start limit. Reachable is also called for parents and the origin, which the caller does
+	// not connect to and should report as reachable.
 	Reachable func(id uint32) bool
 
 	// ConnectionsExhausted, if set, reports whether this machine currently cannot open any connections. While it
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -8,7 +8,7 @@
 // A request that no endpoint can take waits, and is rejected while the client can still retry in time.
 func TestWaitingRequestsAreRejectedInTime(t *testing.T) {
 	for _, left := range []int64{second / 100, 83 * second / 1000, 400 * second / 1000, 5 * second} {
-		t.Run(fmt.Sprint(left), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d ns left", left), func(t *testing.T) {
 			router := newRouter(t, nil)
 			router.UpdateEndpoints(start, nil, true)
 			request, now := newRequest("harmless", "a"), start
@@ -35,7 +35,7 @@
 func TestUnsentRequestsAreRejectedAtHalfTheirTime(t *testing.T) {
 	for _, test := range []struct {
 		result Result
-		after  int64
+		after  int64 // ns from the start of the attempt to its end
 		want   Verdict
 	}{
 		{Unreachable, second - 1, Send},
@@ -45,7 +45,7 @@
 		{Overloaded, second, Send},
 		{ConnectionLost, second, Send},
 	} {
-		t.Run(fmt.Sprint(test.result, test.after), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%v after %d ns", test.result, test.after), func(t *testing.T) {
 			router, request := newRouter(t, nil), newRequest("harmless", "a")
 			request.Deadline = start + 2*second
 			if decision := router.Decide(start, request); decision.Attempt.SendTimeout != second {
--- a/control/deadline_test.go
+++ b/control/deadline_test.go
@@ -22,7 +22,7 @@
 func TestNoAttemptWithTooLittleTimeLeft(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		seen int   // number of earlier responses after 40 ms; if not 0, one more came after 20 ms
+		seen int   // number of earlier responses that took 40 ms; if not 0, one more took 20 ms
 		left int64 // ms until the deadline
 		want Verdict
 	}{
@@ -58,7 +58,7 @@
 }
 
 // The send timeout leaves enough time for a response before the deadline.
-func TestSendTimeoutLeavesTimeForTheAnswer(t *testing.T) {
+func TestSendTimeoutLeavesTimeForTheResponse(t *testing.T) {
 	router := newRouter(t, nil)
 	answerRequests(router, "harmless", 10, 300)
 	request := newRequest("harmless", "a")
--- a/control/decode.go
+++ b/control/decode.go
@@ -129,15 +129,15 @@
 // a negative or invalid index.
 func decodeKind(decoder *settingsDecoder, key string) *string {
 	index := int(setting(decoder, key, int64(-1)))
-	kinds := setting[[]string](decoder, "kinds", nil)
-	if index >= len(kinds) && len(kinds) > 0 {
-		decoder.fail(key, fmt.Sprintf("is not an index into the %d elements of kinds", len(kinds)))
+	machineTypes := setting[[]string](decoder, "kinds", nil)
+	if index >= len(machineTypes) && len(machineTypes) > 0 {
+		decoder.fail(key, fmt.Sprintf("is not an index into the %d elements of kinds", len(machineTypes)))
 	}
-	if index < 0 || index >= len(kinds) {
+	if index < 0 || index >= len(machineTypes) {
 		return nil
 	}
-	kind := kinds[index]
-	return &kind
+	machineType := machineTypes[index]
+	return &machineType
 }
 
 // decodeRequestHandling decodes which actions requests may use, such as hedging and cancelling, and their limits.
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -31,7 +31,7 @@
 
 // randomSettings returns random settings.
 func randomSettings(rng *rand.Rand) Settings {
-	pick := func(n int) bool { return rng.IntN(n) == 0 }
+	pick := func(n int) bool { return rng.IntN(n) == 0 } // true with a probability of 1/n
 	settings := testSettings(nil)
 	settings.Weights = []WeightMeaning{CapacityWeights, NoWeights, LoadWeights}[rng.IntN(3)]
 	settings.HealthChecks = pick(2)
@@ -188,7 +188,8 @@
 	return outcome
 }
 
-// endAttempt ends at most one attempt in flight of a request, each with a probability of one half.
+// endAttempt goes through the attempts in flight of a request and ends the first one that a random draw selects. Each
+// draw selects with a probability of one half, so that sometimes no attempt ends.
 func (run *randomRun) endAttempt(request *Request) {
 	for number, attempt := range request.attempts {
 		if !attempt.ended && run.rng.IntN(2) == 0 {
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// endpointState is what a router knows about an endpoint. The fields that scans over all endpoints read are next to
-// each other, so that a scan touches few CPU cache lines.
+// endpointState is what a router knows about an endpoint. The fields that are read by scans over all endpoints are
+// next to each other, so that a scan touches few CPU cache lines.
 type endpointState struct {
 	Endpoint
 	role       role
@@ -16,7 +16,7 @@
 
 	// State of outlierDetector.
 	ejected             bool
-	wasUnreachable      bool    // since it was last restored, it was not reachable or rejected a fill
+	wasUnreachable      bool    // it was not reachable, or rejected a fill, since its last restart or restoration
 	probing             bool    // a probe is in flight
 	successes, failures float64 // as of scoredAt; they decay over healthWindow
 	scoredAt            int64
--- a/control/inflight.go
+++ b/control/inflight.go
@@ -7,7 +7,7 @@
 )
 
 // countsByKind holds the number of attempts of each kind.
-type countsByKind [kinds]int
+type countsByKind [attemptKinds]int
 
 // sum returns the number of attempts of all kinds.
 func (c countsByKind) sum() int { return c[hits] + c[fills] + c[fetches] }
@@ -21,7 +21,8 @@
 	lateCheckedAt int64                           // time up to which late attempts are subtracted
 }
 
-// attemptStarted counts an attempt that starts now at one of its endpoints, and watches that endpoint for outliers.
+// attemptStarted counts an attempt that starts now at one of its endpoints, and makes the outlier detector watch that
+// endpoint.
 func (r *Router) attemptStarted(endpoint *endpointState, attempt *attemptState) {
 	r.inFlight.started(endpoint, attempt)
 	r.outliers.scored.add(endpoint)
@@ -107,8 +108,8 @@
 	}
 }
 
-// loadScale holds the values that the loads of all caches at one time depend on. The load of a cache is the number of
-// attempts in flight there, estimated for all routers, divided by its capacity.
+// loadScale holds the values that are common to the loads of all caches at a given time. The load of a cache is the
+// number of attempts in flight there, estimated for all routers, divided by its capacity.
 type loadScale struct {
 	meanLoad             float64 // load of all caches of the location together
 	routers              float64 // number of routers that send to the caches
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -8,8 +8,8 @@
 	noteHit            = 1
 	noteFilled         = 2 // filled from a parent
 	noteFilledOrigin   = 3 // filled from the origin
-	noteSourceRejected = 6 // first of three notes for rejections by the source
-	noteSourceLacks    = 8 // last of these three notes
+	noteSourceRejected = 6 // the source rejected the fill; 7: the source could not be reached
+	noteSourceLacks    = 8 // the source does not have the object
 	noteCacheRejected  = 9
 )
 
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -7,11 +7,12 @@
 
 const (
 	// silenceThreshold is the silence score, in excess of the peers' mean, from which an endpoint is ejected. The
-	// unit is a mean response time. The probability that a healthy endpoint reaches a score of 6 is e^-6.
+	// unit is the mean response time of the slowest class. The probability that a healthy endpoint reaches a score
+	// of 6 is e^-6.
 	silenceThreshold = 6.
 
 	maxSilencePerAttempt = 2.  // maximum that one attempt adds to the silence score
-	minSilence           = 1.2 // mean response times that at least one attempt must have waited
+	minSilence           = 1.2 // minimum that one attempt must have waited for any silence to count; same unit
 
 	failureThreshold = 2.5 // decayed failures from which an endpoint may be ejected
 	failureShare     = 0.3 // failed fraction of its attempts, in excess of its peers', from which it may be ejected
@@ -213,7 +214,7 @@
 
 // slowestResponseTime returns the mean response time, in s, of the slowest class.
 func (r *Router) slowestResponseTime() float64 {
-	slowest := minResponseTime
+	slowest := minSlowestResponseTime
 	for _, class := range r.classes {
 		slowest = max(slowest, class.responseTime)
 	}
@@ -239,7 +240,8 @@
 }
 
 // mayBeEjected reports whether the evidence on an endpoint could be enough to eject it. This is a cheap upper
-// bound: it counts each attempt in flight with maxSilencePerAttempt, and failures without their decay.
+// bound: it counts each attempt in flight with maxSilencePerAttempt, and failures without their decay. If now is
+// before scoredAt, the decay would increase the failures, so the result is true.
 func (endpoint *endpointState) mayBeEjected(now int64) bool {
 	maxSilence := float64(len(endpoint.inFlight)) * maxSilencePerAttempt
 	return maxSilence >= silenceThreshold || endpoint.failures >= failureThreshold || now < endpoint.scoredAt
--- a/control/outliers_test.go
+++ b/control/outliers_test.go
@@ -24,7 +24,7 @@
 			for i := range 40 {
 				request := newRequest("harmless", fmt.Sprint(i))
 				if decision := router.Decide(start, request); decision.Verdict == Send {
-					outcome := Outcome{Result: Succeeded, RequestEnded: true, Note: 9}
+					outcome := Outcome{Result: Succeeded, RequestEnded: true, Note: noteCacheRejected}
 					if result, fails := test.failing[decision.Attempt.Cache]; fails {
 						outcome.Result, outcome.Elapsed = result, test.elapsed
 					}
--- a/control/purges.go
+++ b/control/purges.go
@@ -67,17 +67,17 @@
 
 func groupPurgeKey(group int64) string { return fmt.Sprint("g", group) }
 
-// add registers a purge.
-func (l *purgeLog) add(now int64, name string, purgedAt int64) {
-	l.last[name] = l.last[name].followedBy(now, purgedAt)
+// add registers a purge of the object or group with a key; see purgeKey.
+func (l *purgeLog) add(now int64, key string, purgedAt int64) {
+	l.last[key] = l.last[key].followedBy(now, purgedAt)
 }
 
 // removeExpired removes purges that are so old that all caches and parents have dropped older entries by themselves.
 // They do so within duration, in ns.
 func (l *purgeLog) removeExpired(now, duration int64) {
-	for name, purge := range l.last {
+	for key, purge := range l.last {
 		if now > purge.receivedAt+duration+purgeExpiryMargin {
-			delete(l.last, name)
+			delete(l.last, key)
 		}
 	}
 }
@@ -157,8 +157,9 @@
 	return issuedAt >= request.attempts[number].minIssuedAt
 }
 
-// distrustTimestamps is called when a cache has sent an entry that was issued before a purge's timestamp, although it
-// observed the accepted age: this clock is ahead of others. From then on purges count from their arrival.
+// distrustTimestamps makes purges count from their arrival instead of their timestamps. It is called when a cache has
+// sent an entry that was issued before a purge's timestamp although it observed the accepted age, which shows that
+// this clock is ahead of others.
 func (r *Router) distrustTimestamps() {
 	if !r.purges.clockAhead {
 		r.purges.clockAhead = true
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -175,7 +175,7 @@
 	const receivedAt = start + 3600*second
 	router.Purge(receivedAt, "a", 0, start)
 	for _, test := range []struct {
-		after int64
+		after int64 // ns since its arrival
 		kept  bool
 	}{{6 * second, true}, {7 * second, false}} {
 		router.Tick(receivedAt + test.after)
@@ -188,12 +188,12 @@
 // The start time of an endpoint is by another machine's clock. If this router's clock is ahead of that one, the
 // endpoint must not count as warm too early.
 func TestSlowStartWithAnyClockOffset(t *testing.T) {
-	const startedAt = start + 100*second // in trueTime
+	const startedAt = start + 100*second // by a correct clock
 	for _, offset := range []int64{0, 2 * second, 3600 * second, -2 * second, -3600 * second, year} {
-		for _, entryCame := range []bool{false, true} {
-			t.Run(fmt.Sprintf("clock offset %d s, entry received: %v", offset/second, entryCame), func(t *testing.T) {
+		for _, entryReceived := range []bool{false, true} {
+			t.Run(fmt.Sprintf("clock offset %d s, entry received: %v", offset/second, entryReceived), func(t *testing.T) {
 				router := newRouter(t, nil)
-				if entryCame { // an entry that was issued 5 ms ago, and an older one
+				if entryReceived { // an entry that was issued 5 ms ago, and an older one
 					request := newRequest("harmless", "a")
 					request.Deadline = startedAt + offset + second
 					router.Decide(startedAt+offset, request)
@@ -203,17 +203,17 @@
 				entry := testEndpoints[0]
 				entry.StartedAt = startedAt
 				router.UpdateEndpoints(startedAt+offset+second, []Endpoint{entry}, false)
-				since := router.slowStartSince(router.endpoints[1]) - offset // in trueTime
+				since := router.slowStartSince(router.endpoints[1]) - offset // by a correct clock
 				switch {
 				case since > startedAt+second:
 					t.Errorf("slow start begins %d s after the arrival of the list, want no later than the arrival",
 						(since-startedAt)/second-1)
-				case (entryCame || offset <= 0) && since < startedAt:
+				case (entryReceived || offset <= 0) && since < startedAt:
 					t.Errorf("slow start begins %d s before the start of the endpoint", (startedAt-since)/second)
-				case offset == 0 && entryCame && since > startedAt+second/100:
+				case offset == 0 && entryReceived && since > startedAt+second/100:
 					t.Errorf("clocks agree: slow start begins %d ns after the start of the endpoint, want at most %d ns",
 						since-startedAt, second/100)
-				case offset == 0 && !entryCame && since != startedAt:
+				case offset == 0 && !entryReceived && since != startedAt:
 					t.Errorf("clocks agree: slow start begins %d ns after the start of the endpoint, want 0 ns",
 						since-startedAt)
 				}
@@ -269,7 +269,7 @@
 
 // A purge in a snapshot is effective at the router that restores it, whatever the clock offsets of both routers.
 func TestPurgesOfASnapshotWithAnyClockOffsets(t *testing.T) {
-	const purgedAt = 2*year + second // in trueTime
+	const purgedAt = 2*year + second // by a correct clock
 	for _, firstOffset := range []int64{0, 3600 * second, -3600 * second, year, -year} {
 		for _, offset := range []int64{0, 2 * second, -2 * second, 3600 * second, -3600 * second, year, -year} {
 			for _, rates := range []bool{false, true} {
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// firstBatch is the size of the first batch of candidates. Each further batch is batchGrowth times larger. In
-	// most cases the first candidate is used.
+	// firstBatch is the size of the first batch of candidates. It is small because in most cases the first candidate
+	// is used. Each further batch is batchGrowth times as large as the one before.
 	firstBatch  = 4
 	batchGrowth = 8
 
@@ -31,8 +31,8 @@
 	roundingMargin = 1 + 1e-12
 )
 
-// tier is a list of endpoints of one role. The values that scans over the endpoints read are in a compact array of
-// their own.
+// tier is a list of endpoints of one role. The values that are read by scans over all endpoints are also in a compact
+// array.
 type tier struct {
 	endpointList
 	keys []rankKey // keys[i] belongs to endpoints[i]
@@ -83,7 +83,8 @@
 	return (float64((x^x>>33)>>11) + 0.5) / (1 << 53)
 }
 
-// score returns the score in weighted rendezvous hashing. The endpoint with the lowest score comes first.
+// score returns an endpoint's score in weighted rendezvous hashing. draw is the result of uniform for the object and
+// the endpoint. The endpoint with the lowest score comes first.
 func score(draw, weight float64) float64 { return -math.Log(draw) / weight }
 
 // candidate is an endpoint of a tier with its sort keys: its load, then its score, then its ID.
@@ -110,7 +111,7 @@
 	hash      uint64 // hash of the object
 	loads     loadScale
 	byLoad    bool           // endpoints are ordered by load before their score
-	hotCaches int            // number of the first endpoints that are reordered by load; less than firstBatch
+	hotCaches int            // how many of the first endpoints are reordered by load; less than firstBatch
 	limited   bool           // endpoints with a load of loadLimit or more are skipped
 	loadLimit float64        // used if limited; a multiple of the capacity
 	first     *endpointState // comes before the tier's endpoints; may be nil
@@ -270,15 +271,15 @@
 	return endpoint.Capacity == other.Capacity && endpoint.withinObjective == other.withinObjective
 }
 
-// certainlyExceeds reports whether the score of a draw and a weight certainly exceeds a bound. It avoids computing a
-// logarithm, because -ln(u) is at least 1-u.
+// certainlyExceeds reports whether the score of a draw and a weight certainly exceeds a bound. Instead of computing a
+// logarithm, it uses that -ln(draw) is at least 1-draw.
 func certainlyExceeds(draw, weight, bound float64) bool {
 	return 1-draw > bound*weight*roundingMargin
 }
 
 // add inserts a candidate into the sorted batch if it comes after the given one. A full batch drops its last
-// candidate, or the new one if that would be the last. add returns the candidate that a further one must come
-// before.
+// candidate, or the new one if that would be the last. A candidate that does not come before the returned one need
+// not be added.
 func (c *candidates) add(next, after candidate) (worst candidate) {
 	if next.compare(after) > 0 {
 		if len(c.batch) == c.batchSize && next.compare(c.batch[len(c.batch)-1]) < 0 {
@@ -330,7 +331,8 @@
 // sourceCandidates returns the parents, followed by the origin, in the order of preference for filling an object. An
 // uncacheable request does not benefit from a parent: it goes directly to the origin, and to a parent only if the
 // origin has rejected it. The parent that its hash selects may be in any location, and that detour could take longer
-// than a short deadline allows.
+// than a short deadline allows. After a parent has rejected a fill, the origin is the only candidate if it cannot be
+// overloaded.
 func (r *Router) sourceCandidates(now int64, request *Request) *candidates {
 	ranked := &r.sourceOrder
 	*ranked = candidates{tier: &r.parentTier, hash: r.objectHash(request.record.key), batch: ranked.batch}
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -309,7 +309,7 @@
 			}
 			cases++
 			if found := missedByTick(run.router, run.now); len(found) > 0 {
-				t.Fatalf("seed %d, case %d: Tick does not check caches %v", seed, cases, found)
+				t.Fatalf("seed %d, case %d: Tick does not check caches %v, which are ejected or outliers", seed, cases, found)
 			}
 			at := run.now
 			if run.rng.IntN(4) == 0 {
@@ -343,7 +343,7 @@
 				router.attemptStarted(endpoint, &attemptState{
 					sentAt: start,
 					cache:  endpoint,
-					kind:   attemptKind(run.rng.IntN(kinds)),
+					kind:   attemptKind(run.rng.IntN(attemptKinds)),
 					lateAt: start + run.rng.Int64N(second),
 				})
 			}
--- a/control/requests.go
+++ b/control/requests.go
@@ -11,13 +11,13 @@
 
 // Kinds of attempts.
 const (
-	hits    attemptKind = iota // the cache likely has the object
-	fills                      // the cache likely has to fill the object from a parent
-	fetches                    // the object comes from the origin: a parent does not have it, or parents reject fills
-	kinds   = 3                // number of kinds
+	hits         attemptKind = iota // the cache likely has the object
+	fills                           // the cache likely has to fill the object from a parent
+	fetches                         // the object comes from the origin: a parent lacks it, or parents reject fills
+	attemptKinds = 3                // number of kinds
 )
 
-func (k attemptKind) String() string { return [kinds]string{"hits", "fills", "fetches"}[k] }
+func (k attemptKind) String() string { return [attemptKinds]string{"hits", "fills", "fetches"}[k] }
 
 // requestState is what a router knows about a request.
 type requestState struct {
--- a/control/retries.go
+++ b/control/retries.go
@@ -133,7 +133,7 @@
 
 // decideInFlight decides what to do with a request that has attempts in flight. If each of them waits for an ejected
 // endpoint or has probably lost its response, the request is sent to another endpoint. With hedging this happens
-// immediately, otherwise after the attempts in flight have been cancelled.
+// immediately. Without hedging the attempts in flight are cancelled first, and only if the request is idempotent.
 func (r *Router) decideInFlight(now int64, request *Request) Decision {
 	var overdue []int // numbers of attempts
 	for number, attempt := range request.attempts {
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -8,7 +8,7 @@
 // A fill that a parent rejects goes to the origin if the origin cannot be overloaded, even without retry tokens.
 func TestRejectedFillsGoToTheOrigin(t *testing.T) {
 	for _, test := range []struct {
-		note           int64
+		note           int64   // 6: the source rejected it; 7: the source could not be reached; 9: the cache rejected it
 		overloadFactor float64 // overload factor of the origin; 0: it cannot be overloaded
 		want           uint32  // source of the retry; 0: any source but the origin, or no retry
 	}{{6, 0, 5}, {7, 0, 5}, {9, 0, 0}, {6, 2, 0}} {
--- a/control/settings.go
+++ b/control/settings.go
@@ -14,14 +14,14 @@
 
 	Weights           WeightMeaning
 	LoadReportFields  []string // names of the figures in load reports, in the order of the reports
-	PollEndpointList  bool     // the endpoint list changes only after a subscription; used by the simulator
+	PollEndpointList  bool     // the endpoint list is sent only after a subscription; used only by the simulator
 	OriginUnlimited   bool     // the origin cannot be overloaded
 	ClientKBPerSecond float64  // rate at which one client receives a response; at least 1
 
 	ResponseBytesPerSecond float64 // rate at which an endpoint sends one response; 0: not known
 	Classes                []ClassSettings
 	LongestDeadline        int64 // ns; the longest time from arrival to deadline of any class
-	AnswerGrace            int64 // ns; time after its deadline at which a request without a response fails
+	AnswerGrace            int64 // ns; how long after its deadline a request that still has no final response is ended
 	MaxInFlight            int   // maximum number of requests in flight; above 0
 
 	HealthChecks   bool  // health checks may be sent
@@ -65,7 +65,7 @@
 	WarmUpDuration int64   // ns; 0: the endpoint needs no warm-up
 }
 
-// Idempotency is whether a request may be sent again after an earlier attempt may have taken effect.
+// Idempotency tells whether a request may be sent again although an earlier attempt may have taken effect.
 type Idempotency int
 
 // Values of Idempotency.
@@ -75,8 +75,9 @@
 	Idempotent                       // always
 )
 
-// KeyScope names the servers among which repetitions of an idempotency key are dropped. Any value other than
-// ScopeZone and ScopeCell stands for all servers.
+// KeyScope names the servers among which repetitions of an idempotency key are dropped. Any unknown value allows the
+// router's retries at all servers, but only ScopeAll allows rejecting a request that may have run, which asks its
+// client to retry.
 type KeyScope string
 
 // Scopes of idempotency keys.
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -296,10 +296,10 @@
 	for verdict := Wait; verdict <= Fail; verdict++ {
 		seen[verdict.String()] = true
 	}
-	for kind := hits; kind < kinds; kind++ {
+	for kind := hits; kind < attemptKinds; kind++ {
 		seen[kind.String()] = true
 	}
-	if want := int(LocalError) + 1 + int(Fail) + 1 + kinds; len(seen) != want {
+	if want := int(LocalError) + 1 + int(Fail) + 1 + attemptKinds; len(seen) != want {
 		t.Errorf("%d names, want %d: %v", len(seen), want, seen)
 	}
 	if got := fmt.Sprint(Result(99), Verdict(-1), TimedOut, Reject); got != "99 -1 timed out reject" {
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -269,12 +269,12 @@
 	return float64((hash^hash>>33)>>11) / (1 << 53)
 }
 
-// meanWork returns the mean sending time, in s, of recent requests. It includes only classes whose mean is greater
-// than above.
-func (r *Router) meanWork(now int64, above float64) float64 {
+// meanWork returns the mean sending time, in s, of recent requests. It includes only classes whose mean sending time
+// is greater than threshold.
+func (r *Router) meanWork(now int64, threshold float64) float64 {
 	work, requests := 0., 0.
 	for _, class := range r.classes {
-		if class.sendingTime > above {
+		if class.sendingTime > threshold {
 			offered := class.offered.at(now) + minOfferedWork
 			work += offered
 			requests += offered / class.sendingTime
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -82,6 +82,7 @@
 		for s.sent[first].at <= sent.at-2*second {
 			first++
 		}
+		// The factor is 2, the share grows from 0.1 to 1 within 20 s, and the window is 2 s.
 		n := 2 * capacity * (0.1 + 0.9*float64(sent.at-start)/float64(20*second)) * 2 / meanWork
 		if count := float64(last - first + 1); count > ruleLimit(n) {
 			t.Fatalf("%.0f requests within the window that ends %.1f s after the start, N is %.2f, limit %.2f", count,
@@ -99,7 +100,7 @@
 			for _, restart := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%d routers, N %.1f, restart %v", routers, n, restart), func(t *testing.T) {
 					t.Parallel()
-					capacity := n * meanWork / 2 / 0.1 / 2 // a tenth of it is available at the start
+					capacity := n * meanWork / 2 / 0.1 / 2 // N is n at the start: factor 2, share 0.1, window 2 s
 					shared := newSharedSlowStart(t, routers, capacity)
 					for _, router := range shared.routers {
 						// The first call starts the collection of tokens.
--- a/control/slowstart_tokens_test.go
+++ b/control/slowstart_tokens_test.go
@@ -143,6 +143,7 @@
 					}
 				}
 				share := 0.1 + 0.9*float64(first.at-start)/float64(20*second)
+				// The factor is 2, the capacity 20 and the window 2 s.
 				if sustainable := 2 * 20 * share * 2; sum > sustainable {
 					t.Fatalf("%.1f s of work within the window from %.1f s after the start on, want at most %.1f s", sum,
 						float64(first.at-start)/1e9, sustainable)
@@ -158,7 +159,7 @@
 	const routers = 350
 	for _, n := range []float64{0.3, 4, 17} {
 		t.Run(fmt.Sprintf("N %.1f", n), func(t *testing.T) {
-			capacity := n * meanWork / 2 / 0.1 / 2
+			capacity := n * meanWork / 2 / 0.1 / 2 // N is n at the start: factor 2, share 0.1, window 2 s
 			sent := map[bool]int{}
 			for _, postpones := range []bool{true, false} {
 				shared := newSharedSlowStart(t, routers, capacity)
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -60,15 +60,15 @@
 	return s
 }
 
-// Snapshot returns what the router has learned, with at most maxObjects objects.
-func (r *Router) Snapshot(now int64, maxObjects int) Snapshot {
+// Snapshot returns what the router has learned, with at most maxCount objects.
+func (r *Router) Snapshot(now int64, maxCount int) Snapshot {
 	snapshot := Snapshot{
 		StartedAt:       r.rates.startedAt,
 		TakenAt:         now,
 		RequestCount:    r.rates.requestCount,
 		RequestCountAt:  r.rates.requestCountAt,
 		AdmissionLimits: r.admission.limits,
-		Objects:         r.rates.snapshot(maxObjects),
+		Objects:         r.rates.snapshot(maxCount),
 	}
 	for _, name := range slices.Sorted(maps.Keys(r.classByName)) {
 		class := r.classByName[name]
--- a/control/types.go
+++ b/control/types.go
@@ -16,7 +16,7 @@
 	Kind      string  // machine type; the settings kind.parent and kind.origin select the parents' and origins' types
 	Cell      int64   // with ScopeCell, the servers of one cell drop repetitions of an idempotency key
 	Phase     string  // PhaseReady, PhaseDraining or PhaseGone
-	Capacity  float64 `cbor:"Units"`   // responses that it can send at the same time, each at a client's full rate
+	Capacity  float64 `cbor:"Units"`   // responses sent at once, each at a client's full rate; see WeightMeaning
 	StartedAt int64   `cbor:"Started"` // last start, in Unix ns by the reporting machine's clock; 0: long ago
 }
 
@@ -39,8 +39,8 @@
 // Verdict is what a Decision asks the caller to do.
 type Verdict int
 
-// Verdicts. Wait means to do nothing now, Send to start Decision.Attempt, and Reject and Fail to end the request
-// with that response.
+// Verdicts. Wait means to do nothing now, and Send to start Decision.Attempt. Reject and Fail mean to end the request
+// with an error response: after Reject the client can safely send it again, after Fail possibly not.
 const (
 	Wait Verdict = iota
 	Send
@@ -55,7 +55,7 @@
 // Attempt describes where and how a request is sent.
 type Attempt struct {
 	Cache              uint32 // ID of the endpoint that the request is sent to
-	CacheOnly          bool   // the cache serves only a cached object; Source to ParentNoStore are not used
+	CacheOnly          bool   // the cache serves only a cached object; fields from Source to ParentNoStore are not used
 	Source             uint32 // ID of the endpoint that the cache fills a miss from
 	CachePriority      int64  // 2 for reused objects, 1 for others; a full cache evicts entries of lower priority first
 	MaxAge             int64  // ns; age of the oldest cache entry that may be served; 0: the class's fresh duration
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -103,7 +103,7 @@
 	}
 	router.AttemptEnded(start, request, Outcome{
 		Result:       Succeeded,
-		Note:         2,
+		Note:         noteFilled,
 		Elapsed:      20 * millisecond,
 		RequestEnded: true,
 	})
