--- a/control/settings.go
+++ b/control/settings.go
@@ -75,9 +75,9 @@
 	Idempotent                       // always
 )
 
-// KeyScope names the servers among which repetitions of an idempotency key are dropped. Any unknown value allows the
-// router's retries at all servers, but only ScopeAll allows rejecting a request that may have run, which asks its
-// client to retry.
+// KeyScope names the servers among which repetitions of an idempotency key are dropped. An unknown value allows the
+// router's retries at all servers. A keyed request that may have run is rejected, so that its client can retry, only
+// with ScopeAll; with any other value it fails.
 type KeyScope string
 
 // Scopes of idempotency keys.
