--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -14,8 +14,8 @@
 // messages arrive, are lost or are duplicated, nodes crash and restart, and time passes, on clocks that are fast
 // and slow by the maximum drift. Each node has only itself as a candidate, so all of them keep requesting the slot.
 // A state is a violation if the slot has two holders, or if it was acquired under a ballot that did not grow.
-// Durations are short numbers of nanoseconds. The drift is 10%, so that its effect over a lease exceeds a time
-// step, which is half a renewal interval.
+// Durations are small numbers of nanoseconds. The drift is 10%, so that the clocks of two nodes differ by more than a
+// time step, which is half a renewal interval, after a lease.
 const (
 	exploreRenewal = int64(800)
 	exploreLease   = 3 * exploreRenewal
@@ -120,7 +120,7 @@
 	for _, effect := range state.nodes[i].TakeEffects() {
 		switch effect := effect.(type) {
 		case Send:
-			// A message that is never delivered is a lost one. Of two equal messages it is enough to deliver the later.
+			// A message that is never delivered counts as lost.
 			state.inTransit = append(state.inTransit,
 				inFlightMessage{from: state.nodes[i].config.Self, to: effect.To, message: effect.Message})
 		case Acquired:
@@ -129,6 +129,7 @@
 		}
 	}
 	if len(state.inTransit) > maxInTransit {
+		// The oldest messages are lost. Of two equal messages it is enough to deliver the later one.
 		state.inTransit = slices.Clone(state.inTransit[len(state.inTransit)-maxInTransit:])
 	}
 	return staleBallot
--- a/internal/cluster/membership/detect_test.go
+++ b/internal/cluster/membership/detect_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// All believe a killed member alive 1.9 s later and dead 3 s later. They believe it alive again after a restart.
+// All other members believe a killed member alive 1.9 s after the kill and dead 3 s after it. They believe it alive
+// again after a restart.
 func TestKilledMemberIsBelievedDeadInTime(t *testing.T) {
 	for _, count := range []int{2, 3, 5, 30} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -24,8 +25,9 @@
 	}
 }
 
-// A member that is paused for up to 1.5 s is not believed dead. One that is paused for longer is. After the pause it
-// is alive again, knows how long it was away and reports nobody.
+// A member that is paused for up to 1.5 s is not believed dead. One that is paused for 5 s or longer is. After the
+// pause it is believed alive again and knows how long it was away. A member that was never paused is not believed
+// dead, neither by the members that were paused nor by the others.
 func TestPausedMembers(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -73,7 +75,7 @@
 	}
 }
 
-// ringNext returns the name after another one, in a ring of count names.
+// ringNext returns the name that follows a name in a ring of count members.
 func ringNext(t *testing.T, name string, count int) string {
 	t.Helper()
 	var number int
@@ -94,7 +96,8 @@
 }
 
 // A member that receives no messages, and one whose messages are all lost, is believed dead by all others within
-// 5 s. Links that lose messages in one direction, between two members or around a ring, make nobody dead.
+// 5 s. Links that lose messages in one direction, between two members or around a ring, cause no member
+// to be believed dead.
 func TestOneWayCuts(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -116,7 +119,7 @@
 			if test.dead {
 				cluster.checkAll("n003", Dead)
 				if cutOff := cluster.tables["n003"].IsCutOff(); cutOff != (test.name == "deaf") {
-					t.Errorf("n003 takes itself for cut off: %v, want %v", cutOff, test.name == "deaf")
+					t.Errorf("n003 considers itself cut off: %v, want %v", cutOff, test.name == "deaf")
 				}
 				cluster.run(10 * second)
 				cluster.checkAll("n003", Dead)
@@ -162,8 +165,8 @@
 // all are alive again once messages arrive.
 func TestLostMessages(t *testing.T) {
 	for _, test := range []struct {
-		loss float64
-		most int
+		loss    float64
+		maxDead int // members that may be believed dead
 	}{{0.05, 0}, {0.2, 0}, {0.4, 3}} {
 		cluster := newCluster(t, 40)
 		cluster.run(4 * second)
@@ -177,8 +180,8 @@
 				}
 			}
 		}
-		if len(wrong) > test.most {
-			t.Errorf("loss of %.2f: %d members were believed dead, want at most %d", test.loss, len(wrong), test.most)
+		if len(wrong) > test.maxDead {
+			t.Errorf("loss of %.2f: %d members were believed dead, want at most %d", test.loss, len(wrong), test.maxDead)
 		}
 		cluster.loss = 0
 		cluster.run(6 * second)
@@ -199,7 +202,7 @@
 	}
 }
 
-// Members that were paused report nobody, unless the fault keeps them from noticing their own delay.
+// Members that were paused report no other member, unless the fault keeps them from noticing their own delay.
 func TestLateMemberReportsNobody(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -249,14 +249,14 @@
 		bytes []byte
 		want  string
 	}{
-		{"another root's", certificate(bad, "a", time.Hour), usual, "unknown authority"},
-		{"expired", certificate(good, "a", -time.Hour), usual, "expired"},
-		{"another name's", certificate(good, "c", time.Hour), usual, "valid for c, not a"},
-		{"none", tls.Certificate{}, usual, "didn't provide a certificate"},
+		{"certificate of another root", certificate(bad, "a", time.Hour), usual, "unknown authority"},
+		{"expired certificate", certificate(good, "a", -time.Hour), usual, "expired"},
+		{"certificate of another name", certificate(good, "c", time.Hour), usual, "valid for c, not a"},
+		{"no certificate", tls.Certificate{}, usual, "didn't provide a certificate"},
 		{"another version", pair, first(hello{ProtocolVersion + 1, "a", 1}), "protocol version"},
 		{"garbage", pair, bytes.Repeat([]byte{0xff}, 64), "malformed frame"},
 		{"garbage in a frame", pair, appendFrame(nil, bytes.Repeat([]byte{0xff}, 64)), "malformed frame"},
-		{"100 MB", pair, binary.BigEndian.AppendUint32(bytes.Clone(usual), 100<<20), "104857600 bytes"},
+		{"frame of 100 MB", pair, binary.BigEndian.AppendUint32(bytes.Clone(usual), 100<<20), "104857600 bytes"},
 		{"half a frame", pair, append(bytes.Clone(usual), 0, 0, 1, 0, 1), "malformed frame"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -361,11 +361,11 @@
 	issue(t, root, folder, "a", root)
 	issue(t, root, folder, "b", root)
 	a := startLinks(t, "a", loadKeys(t, folder, "a"), "127.0.0.1-127.0.0.1")
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.SetPeers(map[string]string{"b": free.Addr().String()}) // connections are never answered
+	a.SetPeers(map[string]string{"b": listener.Addr().String()}) // connections are never answered
 	started := time.Now()
 	for i := range 3 * maxQueue {
 		a.Send("b", fmt.Append(nil, i))
@@ -375,5 +375,5 @@
 		t.Errorf("%d of %d frames dropped in %s, want %d in at most 1 s",
 			a.Dropped(), 3*maxQueue, time.Since(started), 2*maxQueue)
 	}
-	mustClose(t, free)
+	mustClose(t, listener)
 }
--- a/internal/cluster/sharedconfig/cluster_test.go
+++ b/internal/cluster/sharedconfig/cluster_test.go
@@ -68,10 +68,10 @@
 	inTransit  []inFlightMessage
 	starts     uint64            // number of starts, used as incarnations
 	violation  string            // the latest violation of an invariant; empty if there was none
-	maxOverlap int64             // longest time that an earlier version was active after a later one first was
+	maxOverlap int64             // longest time that an earlier version stayed active once a later one was
 	firstAt    map[uint64]int64  // when a version was first active, by number
 	contents   map[uint64]string // of versions that were active, by number
-	proposed   map[uint64][]byte // contents proposed, by number; used by a planted fault
+	proposed   map[uint64][]byte // contents proposed, by number; used by plantActiveAtAccept
 	ended      []ProposalEnded
 	observe    func(name string, effect Effect) // called for each effect unless nil
 }
@@ -242,7 +242,7 @@
 			if earlier >= later {
 				continue
 			}
-			if exclusive, _ := incompatible(before, after); exclusive {
+			if isIncompatible, _ := incompatible(before, after); isIncompatible {
 				cluster.violation = fmt.Sprintf("incompatible versions are active at once: %d (%q) and %d (%q)",
 					earlier, before, later, after)
 			}
--- a/internal/downstream/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -70,7 +70,7 @@
 	case <-time.After(300 * time.Millisecond):
 	}
 	expectResponse(t, halfClosed, rejectionOf(7))
-	respondServed(server, 41, 6)
+	respondServed(server, 41, 6) // the clients ahead have the IDs 1 to 40, and the rejected ones get none
 	expectResponse(t, connected, "whole")
 }
 
--- a/internal/downstream/idle/table_test.go
+++ b/internal/downstream/idle/table_test.go
@@ -35,7 +35,7 @@
 	t.Helper()
 	id, verdict := table.Add(now, client, network)
 	if verdict != Admitted {
-		t.Fatalf("Add returned verdict %d, want Admitted", verdict)
+		t.Fatalf("Add returned verdict %d, want %d (Admitted)", verdict, Admitted)
 	}
 	return id
 }
@@ -145,11 +145,11 @@
 		}
 	}
 	if id := table.oldest(StateIdle); id != None && table.StateSince(id) != oldestIdle {
-		t.Fatalf("oldest idle connection is idle since %d ns, want %d ns", table.StateSince(id), oldestIdle)
+		t.Fatalf("the oldest idle connection became idle at %d ns, want %d ns", table.StateSince(id), oldestIdle)
 	}
 }
 
-func TestEntrySizeWithoutPointers(t *testing.T) {
+func TestEntryIsSmallAndHasNoPointers(t *testing.T) {
 	if size := unsafe.Sizeof(entry{}); size > 40 {
 		t.Errorf("entry has %d bytes, want 40 at most", size)
 	}
--- a/internal/experiment/coldstart/coldstart_test.go
+++ b/internal/experiment/coldstart/coldstart_test.go
@@ -106,7 +106,7 @@
 			}
 			if r.CheckBounds() != nil || 4*r.PeakCallsPerSecond > r.BaselinePeak || r.ReachedP99MS > 5500 {
 				t.Errorf("want calls within the bound and at most a quarter of the baseline's peak, "+
-					"and all routers answered within 5.5 s, got %+v", r)
+					"and responses of the service to 99%% of the routers within 5.5 s, got %+v", r)
 			}
 			if err := r.Write(t.TempDir()); err != nil {
 				t.Error(err)
--- a/internal/operatorconfig/cluster_test.go
+++ b/internal/operatorconfig/cluster_test.go
@@ -160,7 +160,10 @@
 		"6:14: duplicate key slots in (fleet …), first used at line 6",
 	},
 	{"missing key", "(allow ", "(deny ", "(allow …) is missing in (fleet …)"},
-	{"cold part too large", "(cold-part 5%)", "(cold-part 40%)", "9:3: the cold part is 0.4, must be above 0 and at most 0.3"},
+	{
+		"cold part too large", "(cold-part 5%)", "(cold-part 40%)",
+		"9:3: the cold part is 0.4, must be above 0 and at most 0.3",
+	},
 	{
 		"probe timeout longer than the period", "(within 500ms)", "(within 2s)",
 		"9:3: the probe timeout of 2000 ms is longer than the period of 1000 ms",
@@ -170,7 +173,7 @@
 		"6:3: the silence timeout of 1.5s is shorter than two heartbeat intervals of 1s",
 	},
 	{
-		"silence timeout shorter than two renewal intervals", "(slots 32)", "(membership (silence 900ms))",
+		"silence timeout shorter than two default heartbeat intervals", "(slots 32)", "(membership (silence 900ms))",
 		"6:3: the silence timeout of 900ms is shorter than two heartbeat intervals of 500ms",
 	},
 	{"unknown key in a nested list", "(slots 32)", "(membership (probes 3))", "6:15: unknown key probes"},
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -16,8 +16,8 @@
 type attempt struct {
 	request      *inFlightRequest
 	number       int       // index in the request's attempts
-	cache        *endpoint // that the request is sent to; nil: its ID is unknown, so the attempt ends at once
-	source       *endpoint // from which the cache fills a miss; nil: it does not fill misses
+	cache        *endpoint // endpoint to send the request to; nil: it is unknown, so the attempt ends at once
+	source       *endpoint // endpoint from which the cache fills a miss; nil: the cache does not fill misses
 	connection   *connection
 	upstream     UpstreamRequest
 	startedAt    int64 // ns
@@ -36,8 +36,8 @@
 	}
 	if attempt.connection == nil {
 		// The attempt counts towards the request's limit of attempts, even while this machine can open no
-		// connections. Otherwise the policy could choose an endpoint whose connections are all saturated again and
-		// again, in an endless loop.
+		// connections. Otherwise the policy could choose the same endpoint, whose connections are all saturated, in an
+		// endless loop.
 		attempt.connection = &connection{}
 		r.attemptEnded(attempt, control.Outcome{Result: control.NotSent})
 		return
@@ -167,8 +167,8 @@
 	r.closeIfDrained(connection)
 }
 
-// withdrawAttempt ends an attempt unless it is already written. On an established connection only the connection's
-// writer knows that, so the attempt stays in flight until AttemptWithdrawn or a response is received.
+// withdrawAttempt ends an attempt that is not written yet. On an established connection only the connection's writer
+// knows whether it is, so there the attempt stays in flight, usually until AttemptWithdrawn or a response is received.
 func (r *Router) withdrawAttempt(attempt *attempt) {
 	if attempt.connection.established {
 		r.emit(WithdrawAttempt{Connection: attempt.connection.id, ID: attempt.upstream.ID})
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -37,9 +37,9 @@
 	return config
 }
 
-// policySettings returns the settings for the policy, which must not schedule health checks: they show that an
+// policySettings returns the settings for the policy, with health checks disabled: a health check shows that an
 // endpoint is alive but not how well it serves, so the policy probes ejected endpoints with attempts instead. The
-// results of the health checks that instances share under a lease still reach the policy, through ProbeEnded.
+// results of the health checks that routers share under a lease still reach the policy, through ProbeEnded.
 func policySettings(settings control.Settings) control.Settings {
 	settings.HealthChecks = false
 	return settings
--- a/internal/router/connection_selection.go
+++ b/internal/router/connection_selection.go
@@ -66,7 +66,7 @@
 }
 
 // canCarry reports whether a request may be sent on a connection. It may not if an attempt with the same request ID is
-// in flight on it or was abandoned on it: a response to that attempt could be mistaken for the response to this one.
+// in flight on it or listed in abandonedAt: a response to that attempt could be mistaken for the response to this one.
 func (r *Router) canCarry(connection *connection, id RequestID) bool {
 	_, abandoned := connection.abandonedAt[id]
 	if connection.draining || abandoned || connection.inFlight[id] != nil {
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -9,16 +9,20 @@
 
 // connection is the state of one connection to an endpoint.
 type connection struct {
-	id             ConnectionID
-	endpoint       *endpoint
-	address        string
-	established    bool
-	draining       bool // no new attempt is sent on it, and it is closed once none is in flight
-	closed         bool
-	inFlight       map[RequestID]*attempt
-	abandonedAt    map[RequestID]int64 // ns; when attempts were abandoned; late responses may still be received
-	lastReceivedAt int64               // ns; when it last received a response, or was dialled or established
-	lastUsedAt     int64               // ns; when an attempt was last started on it, or when it was dialled
+	id          ConnectionID
+	endpoint    *endpoint
+	address     string
+	established bool
+	draining    bool // no new attempt is sent on it, and it is closed once none is in flight
+	closed      bool
+	inFlight    map[RequestID]*attempt
+
+	// abandonedAt contains the times, ns, at which attempts were abandoned, or non-idempotent ones got a response.
+	// Another response to them may still be received.
+	abandonedAt map[RequestID]int64
+
+	lastReceivedAt int64 // ns; when it last received a response, or was dialled or established
+	lastUsedAt     int64 // ns; when an attempt was last started on it, or when it was dialled
 }
 
 // dial starts opening another connection to an endpoint.
@@ -49,7 +53,7 @@
 	if !connection.established {
 		r.endExpired(connection)
 	}
-	r.dialReachedEndpoint()
+	r.endLocalBackoff()
 	connection.established = true
 	connection.lastReceivedAt = r.now
 	r.limits.ConnectionPlan.Established(connection.endpoint.Instance)
@@ -83,7 +87,7 @@
 		r.limits.ConnectionPlan.LocalError(instance)
 		r.dialFailedLocally(event.Reason)
 	default:
-		r.dialReachedEndpoint()
+		r.endLocalBackoff()
 		r.limits.ConnectionPlan.ConnectFailed(r.now, instance)
 	}
 	r.connectionLost(connection, event.Unsent, event.Cause)
@@ -96,9 +100,9 @@
 	}
 }
 
-// dialReachedEndpoint ends the backoff that dialFailedLocally started: a dial reached its endpoint, which may have
-// accepted or refused it.
-func (r *Router) dialReachedEndpoint() {
+// endLocalBackoff ends the backoff that dialFailedLocally started. It is called when a dial succeeds, or fails for
+// another reason than an error on this machine, such as a refusal by the endpoint.
+func (r *Router) endLocalBackoff() {
 	if r.localBackoff.DialSucceeded() {
 		r.log(ConnectAvailable{})
 	}
@@ -183,7 +187,7 @@
 	}
 }
 
-// forgetAbandoned removes abandoned requests that are so old that no response to them is expected any more.
+// forgetAbandoned removes the entries of abandonedAt that are so old that no response to them is expected any more.
 func (r *Router) forgetAbandoned() {
 	for _, connection := range r.connections {
 		maps.DeleteFunc(connection.abandonedAt, func(_ RequestID, at int64) bool {
--- a/internal/router/connections_test.go
+++ b/internal/router/connections_test.go
@@ -168,7 +168,7 @@
 		h.advance(50 * millisecond)
 	}
 	if served != requests || len(h.dialled) > maxConnections {
-		t.Errorf("%d of %d requests were served, %d connections were dialled, want at most %d",
+		t.Errorf("%d of %d requests were served, want all; %d connections were dialled, want at most %d",
 			served, requests, len(h.dialled), maxConnections)
 	}
 }
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -107,7 +107,7 @@
 				first = ids
 			}
 			if !slices.Equal(ids, first) || ids[0] == ids[1] {
-				t.Errorf("IDs %v, want %v as in another order, and different IDs for equal hashes", ids, first)
+				t.Errorf("IDs %v, want %v as in the first case, and different IDs for the names with the same hash", ids, first)
 			}
 		})
 	}
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -96,8 +96,8 @@
 	PurgedAt int64 // Unix ns by the clock of the discovery service
 }
 
-// ProbeEnded reports the result of a health check, which was made by this instance or by another one that shares the
-// work of health checks with it.
+// ProbeEnded reports the result of a health check of an endpoint. The check was made by this router or by another one
+// with which it shares the health checks.
 type ProbeEnded struct {
 	Instance   string // the endpoint that was checked
 	Healthy    bool
--- a/internal/router/limits_test.go
+++ b/internal/router/limits_test.go
@@ -68,6 +68,8 @@
 	}
 }
 
+// All requests have the same ID. A request is not sent on a connection on which one with its ID was abandoned, so each
+// needs another connection.
 func TestMaxConnectionsPerEndpoint(t *testing.T) {
 	h := newDefaultHarness(t)
 	for seq := range int32(8) {
--- a/internal/router/local_errors_test.go
+++ b/internal/router/local_errors_test.go
@@ -18,7 +18,7 @@
 			h.request(1, nil)
 			h.failNewestDial()
 			h.mark("fails")
-			h.advance(24 * millisecond) // a sixteenth of the connect timeout is 25 ms
+			h.advance(24 * millisecond) // the first delay of the backoff is 25 ms, a sixteenth of the connect timeout
 			h.mark("24 ms")
 			h.advance(60 * millisecond)
 			h.connectNewest()
--- a/internal/router/logevents.go
+++ b/internal/router/logevents.go
@@ -3,7 +3,7 @@
 import "tealpath/internal/logevent"
 
 // ConnectUnavailable is logged when connections can no longer be opened because of an error on this machine, such as a
-// lack of file descriptors. Dialling is suspended with a backoff until a dial reaches its endpoint.
+// lack of file descriptors. Dialling is suspended with a backoff until a dial does not fail with such an error.
 type ConnectUnavailable struct {
 	Cause string `log:"cause"` // text of the error
 }
@@ -17,8 +17,8 @@
 	}
 }
 
-// ConnectAvailable is logged when a dial reaches its endpoint again after ConnectUnavailable, whether or not the
-// endpoint accepts it.
+// ConnectAvailable is logged after ConnectUnavailable when a dial succeeds, or fails for another reason than an error
+// on this machine, such as a refusal by the endpoint.
 type ConnectAvailable struct{}
 
 // Kind implements logevent.Event.
--- a/internal/router/logevents_test.go
+++ b/internal/router/logevents_test.go
@@ -56,8 +56,8 @@
 		}
 		seen[name] = true
 	}
-	if text := logevent.Text(ConnectUnavailable{Cause: "too many open files"}); text !=
-		"no connections can be opened because of an error on this machine cause=too many open files" {
-		t.Errorf("log text %q", text)
+	const want = "no connections can be opened because of an error on this machine cause=too many open files"
+	if text := logevent.Text(ConnectUnavailable{Cause: "too many open files"}); text != want {
+		t.Errorf("log text %q, want %q", text, want)
 	}
 }
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -61,7 +61,7 @@
 		return true
 	}
 	mayHaveRun := len(previous.attempts) > 0
-	r.respond(previous, Respond{Kind: Failed}) // until then its half-closed connection stays open
+	r.respond(previous, Respond{Kind: Failed}) // its client's half-closed connection stays open until it gets a response
 	r.abandonRequest(previous)
 	return !mayHaveRun || r.config.isIdempotent(request.Class)
 }
--- a/internal/router/responses_test.go
+++ b/internal/router/responses_test.go
@@ -54,10 +54,10 @@
 			h.request(1, nonIdempotent)
 			h.connectNewest()
 			first := h.sends[0]
-			notHeld := ResponseReceived{Connection: first.Connection, ID: first.Request.ID, Result: control.NotCached}
-			h.handle(notHeld)
+			notCached := ResponseReceived{Connection: first.Connection, ID: first.Request.ID, Result: control.NotCached}
+			h.handle(notCached)
 			h.connectNewest()
-			h.handle(notHeld)
+			h.handle(notCached)
 			h.respond(unversioned)
 		}, "dial, send 1, dial, send 1, served 1:done"},
 		{"an unversioned response of an uncacheable class is served", func(h *harness) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -14,7 +14,7 @@
 	"tealpath/internal/timerqueue"
 )
 
-// millisecond is one millisecond in ns, the unit of all times in this package.
+// millisecond is one millisecond in ns. Times in this package are in ns unless stated otherwise.
 const millisecond = int64(1e6)
 
 // Router is the reducer. It is not safe for concurrent use.
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -21,9 +21,9 @@
 	submit := "SUBMIT router-0 ab 0 - - 0 12 3 obj:x stills\n"
 	cases := []struct {
 		name, in string
-		want     []string // parts of the output
-		unwanted string   // not a part of the output
-		wantErr  string
+		want     []string // texts that the output must contain
+		unwanted string   // text that the output must not contain; empty: none
+		wantErr  string   // part of the error; empty: no error
 	}{
 		{
 			"an attempt and its end", firstBatch + "MARK 9 2\n" + submit + "FLUSH\nMARK 9.1 3\n" +
@@ -78,7 +78,7 @@
 			err := Run(strings.NewReader(c.in), &out)
 			if c.wantErr == "" && err != nil ||
 				c.wantErr != "" && (err == nil || !strings.Contains(err.Error(), c.wantErr)) {
-				t.Fatalf("error %v, want one with %q", err, c.wantErr)
+				t.Fatalf("error %v, want one with %q (empty: no error)", err, c.wantErr)
 			}
 			for _, want := range c.want {
 				if !strings.Contains(out.String(), want) {
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -59,6 +59,7 @@
 	t.Fatalf("the peer's close did not arrive within %v", waitLimit)
 }
 
+// Input that the reader has not read yet is not mistaken for the peer's close: requests are still written.
 func TestWriteWithUnreadInput(t *testing.T) {
 	local, peer := connectedPair(t)
 	if !send(peer, "*4") {
@@ -241,8 +242,8 @@
 	f.Send(requestWithin("last", time.Minute))
 	budgets, aborts := f.readUpTo(t, "last")
 	for _, id := range []string{"withdrawn", "cancelled", "expires"} {
-		if _, came := budgets[id]; came {
-			t.Errorf("the %s request was written", id)
+		if _, received := budgets[id]; received {
+			t.Errorf("request %q was written", id)
 		}
 	}
 	if len(aborts) > 0 {
@@ -258,7 +259,7 @@
 }
 
 // A partially written request cannot be withdrawn. If it is cancelled, an abort follows it.
-func TestPartlyWrittenRequestIsAborted(t *testing.T) {
+func TestPartiallyWrittenRequestIsAborted(t *testing.T) {
 	f := newFullConnection(t)
 	_, partial := f.queued()
 	if partial == "" {
@@ -268,8 +269,8 @@
 	f.CancelAttempt(router.CancelAttempt{Connection: 1, ID: partial})
 	f.Send(requestWithin("last", time.Minute))
 	budgets, aborts := f.readUpTo(t, "last")
-	if _, came := budgets[partial]; !came || !slices.Equal(aborts, []string{partial}) {
-		t.Errorf("request %s received: %v; aborts %v, want it received and one abort of it", partial, came, aborts)
+	if _, received := budgets[partial]; !received || !slices.Equal(aborts, []string{partial}) {
+		t.Errorf("request %s received: %v; aborts %v, want it received and one abort of it", partial, received, aborts)
 	}
 }
 
@@ -293,7 +294,7 @@
 				want--
 			}
 			if len(event.Unsent) != want {
-				t.Errorf("%d unsent, want %d: %v", len(event.Unsent), want, event.Unsent)
+				t.Errorf("%d requests listed as unsent, want %d: %v", len(event.Unsent), want, event.Unsent)
 			}
 			return
 		}
@@ -332,6 +333,6 @@
 		t.Errorf("the pool has %d connections after the removal, want 0", len(p.connections))
 	}
 	if again := p.RemoveConnection(down); len(again.Unsent) > 0 {
-		t.Errorf("removed connection lists %v as unsent, want none", again.Unsent)
+		t.Errorf("removing the connection again lists %v as unsent, want none", again.Unsent)
 	}
 }
