--- a/internal/experiment/leases/calm.go
+++ b/internal/experiment/leases/calm.go
@@ -7,46 +7,48 @@
 	"tealpath/internal/experiment/testcluster"
 )
 
-// measureCalm measures what instances cost that are left alone.
-func (p *play) measureCalm(ctx context.Context) {
+// measureIdleCost measures processor time, memory, frames and health checks of instances while no fault is injected.
+func (r *experimentRun) measureIdleCost(ctx context.Context) {
 	startedAt := time.Now()
 	cpuBefore := map[string]float64{}
-	for _, name := range p.cluster.Names {
-		cpuBefore[name] = testcluster.CPUSeconds(p.cluster.PID(name))
+	for _, name := range r.cluster.Names {
+		cpuBefore[name] = testcluster.CPUSeconds(r.cluster.PID(name))
 	}
-	unsharedPID := p.unshared.PID(p.unshared.Names[0])
+	unsharedPID := r.unshared.PID(r.unshared.Names[0])
 	unsharedBefore := testcluster.CPUSeconds(unsharedPID)
-	probesBefore, framesBefore := p.cluster.HealthChecks(), p.framesSent(ctx)
-	time.Sleep(p.CalmDuration)
+	probesBefore, framesBefore := r.cluster.HealthChecks(), r.framesSent(ctx)
+	time.Sleep(r.CalmDuration)
 	seconds := time.Since(startedAt).Seconds()
-	for _, name := range p.cluster.Names {
-		pid := p.cluster.PID(name)
+	for _, name := range r.cluster.Names {
+		pid := r.cluster.PID(name)
 		percent := 100 * (testcluster.CPUSeconds(pid) - cpuBefore[name]) / seconds
-		p.result.IdleCPUPercent = max(p.result.IdleCPUPercent, percent)
-		p.result.ResidentKB = max(p.result.ResidentKB, testcluster.ResidentKB(pid))
+		r.result.IdleCPUPercent = max(r.result.IdleCPUPercent, percent)
+		r.result.ResidentKB = max(r.result.ResidentKB, testcluster.ResidentKB(pid))
 	}
-	p.result.UnsharedCPUPercent = 100 * (testcluster.CPUSeconds(unsharedPID) - unsharedBefore) / seconds
-	p.result.UnsharedResidentKB = testcluster.ResidentKB(unsharedPID)
-	frames := float64(p.framesSent(ctx) - framesBefore)
-	p.result.FramesPerSecond = frames / seconds / float64(p.Instances)
-	p.result.CalmProbesPerPeriod = p.probesPerPeriod(p.cluster.HealthChecks()-probesBefore, seconds)
-	p.result.UnsharedProbes = float64(p.Instances)
-	p.logf("calm for %.0f s: %.3f probes a target and period, %.1f frames a second and instance; "+
-		"%.2f%% of a core at the busiest and %d KB, without operator's file %.2f%% and %d KB\n",
-		seconds, p.result.CalmProbesPerPeriod, p.result.FramesPerSecond, p.result.IdleCPUPercent,
-		p.result.ResidentKB, p.result.UnsharedCPUPercent, p.result.UnsharedResidentKB)
+	r.result.UnsharedCPUPercent = 100 * (testcluster.CPUSeconds(unsharedPID) - unsharedBefore) / seconds
+	r.result.UnsharedResidentKB = testcluster.ResidentKB(unsharedPID)
+	frames := float64(r.framesSent(ctx) - framesBefore)
+	r.result.FramesPerSecond = frames / seconds / float64(r.Instances)
+	r.result.IdleProbesPerPeriod = r.probesPerPeriod(r.cluster.HealthChecks()-probesBefore, seconds)
+	r.result.UnsharedProbes = float64(r.Instances)
+	r.logf("no faults for %.0f s: %.3f probes per target and period, %.1f frames per second and instance; "+
+		"at most %.2f%% of a core and %d KB per instance, without operator's file %.2f%% and %d KB\n",
+		seconds, r.result.IdleProbesPerPeriod, r.result.FramesPerSecond, r.result.IdleCPUPercent,
+		r.result.ResidentKB, r.result.UnsharedCPUPercent, r.result.UnsharedResidentKB)
 }
 
-// probesPerPeriod returns how many of so many health checks each target had in a period.
-func (p *play) probesPerPeriod(probes int, seconds float64) float64 {
-	return float64(probes) / float64(p.Caches) / (seconds / p.ProbePeriod.Seconds())
+// probesPerPeriod returns the mean number of health checks that a target received in a probe period, from their total
+// over some seconds.
+func (r *experimentRun) probesPerPeriod(probes int, seconds float64) float64 {
+	return float64(probes) / float64(r.Caches) / (seconds / r.ProbePeriod.Seconds())
 }
 
-// framesSent sums up what instances have sent to each other. One that does not answer counts as none.
-func (p *play) framesSent(ctx context.Context) int64 {
+// framesSent returns how many frames all instances have sent to each other. It leaves out instances that do not
+// answer.
+func (r *experimentRun) framesSent(ctx context.Context) int64 {
 	sum := int64(0)
-	for _, name := range p.cluster.Names {
-		if status, err := p.cluster.LeaseStatus(ctx, name); err == nil {
+	for _, name := range r.cluster.Names {
+		if status, err := r.cluster.LeaseStatus(ctx, name); err == nil {
 			sum += status.Frames
 		}
 	}
--- a/internal/experiment/leases/experiment.go
+++ b/internal/experiment/leases/experiment.go
@@ -1,5 +1,5 @@
-// Package leases measures how instances of the real router share leases: how fast others take over the slots of
-// a holder that is lost, whether a slot ever has two holders, and what instances cost that are left alone.
+// Package leases measures how instances of the real router share leases: how fast other instances take over the slots
+// of a lease holder that fails, whether a slot ever has two holders, and what instances cost without faults.
 package leases
 
 import (
@@ -14,54 +14,55 @@
 	"tealpath/internal/experiment/testcluster"
 )
 
-// Page is the design note whose bounds results are held against.
+// Page is the design note whose bounds the results are checked against.
 const Page = "docs/duties.md"
 
-// Fault is the way in which a holder is lost.
+// Fault is the way in which a lease holder fails.
 type Fault string
 
-// Faults of a holder.
+// Faults of a lease holder.
 const (
 	Kill      Fault = "SIGKILL"
 	Terminate Fault = "SIGTERM"
-	Freeze    Fault = "freeze" // by SIGSTOP
-	Isolate   Fault = "cut"    // its links are cut
-	Delay     Fault = "delay"  // its links are slower than a lease is long
+	Freeze    Fault = "freeze" // SIGSTOP, until SIGCONT ends the fault
+	Isolate   Fault = "cut"    // all its links are cut
+	Delay     Fault = "delay"  // its links delay messages by more than a lease's duration
 )
 
-// faultCycle is the order in which holders are lost.
+// faultCycle is the order in which faults are injected. It repeats.
 var faultCycle = []Fault{Kill, Kill, Terminate, Freeze, Isolate, Delay}
 
-// Experiment has instances share leases and takes one after another away from them.
+// Experiment runs instances that share leases and injects a fault into one of them after another.
 type Experiment struct {
 	testcluster.Config
-	Kills        int
+	Kills        int // number of faults of any kind
 	Seed         uint64
 	ResultsDir   string
-	CalmDuration time.Duration // for which instances are left alone at first
-	Progress     io.Writer     // a line for each step
+	CalmDuration time.Duration // how long instances run without faults at first, to measure what they cost
+	Progress     io.Writer     // receives a line for each step
 }
 
-// Takeover is the loss of one holder, and what followed.
+// Takeover describes the failure of one lease holder and the takeover of its slots.
 type Takeover struct {
 	Kill   int     `json:"kill"`
 	Fault  Fault   `json:"how"`
 	Victim string  `json:"victim"`
 	Slots  int     `json:"slots"`
-	GapMS  float64 `json:"gap_ms"` // until the last of its slots had a new holder
+	GapMS  float64 `json:"gap_ms"` // from the fault until the last of the victim's slots had a new holder
 }
 
-// Result is what an experiment found.
+// Result is the outcome of an experiment.
 type Result struct {
-	Kills               int     `json:"kills"`
-	GapP50MS            float64 `json:"gap_p50_ms"`
-	GapP99MS            float64 `json:"gap_p99_ms"`
-	GapMaxMS            float64 `json:"gap_max_ms"`
-	Overlaps            int     `json:"overlaps"`      // of health checks of a target by different holders
-	StaleActions        int     `json:"stale_actions"` // health checks under a ballot below one seen at the target
+	Kills    int     `json:"kills"`
+	GapP50MS float64 `json:"gap_p50_ms"`
+	GapP99MS float64 `json:"gap_p99_ms"`
+	GapMaxMS float64 `json:"gap_max_ms"`
+	Overlaps int     `json:"overlaps"` // health checks of a target by two holders within one period
+	// StaleActions counts health checks with a lower ballot than an earlier one of the same target.
+	StaleActions        int     `json:"stale_actions"`
 	ProbesPerPeriod     float64 `json:"probes_per_target_per_period"`
-	PeakWarmUpBudget    float64 `json:"cold_budget_worst_share"`
-	CalmProbesPerPeriod float64 `json:"calm_probes_per_target_per_period"`
+	PeakWarmUpShare     float64 `json:"cold_budget_worst_share"` // of the warm-up budget, by health checks
+	IdleProbesPerPeriod float64 `json:"calm_probes_per_target_per_period"`
 	UnsharedProbes      float64 `json:"undivided_probes_per_target_per_period"` // if every instance probed
 	KillGapMaxMS        float64 `json:"gap_sigkill_max_ms"`
 	TerminateGapMaxMS   float64 `json:"gap_sigterm_max_ms"`
@@ -71,16 +72,16 @@
 	IdleCPUPercent      float64 `json:"idle_cpu_percent_of_a_core"`
 	FramesPerSecond     float64 `json:"frames_per_second_an_instance"`
 	ResidentKB          int64   `json:"resident_kb"`
-	UnsharedCPUPercent  float64 `json:"cpu_percent_without_operator"` // of an instance that shares nothing
+	UnsharedCPUPercent  float64 `json:"cpu_percent_without_operator"` // of an instance without an operator's file
 	UnsharedResidentKB  int64   `json:"resident_kb_without_operator"`
-	MaxGapMS            float64 `json:"bound_ms"`
+	GapBoundMS          float64 `json:"bound_ms"` // bound of GapP99MS
 	BrokenBounds        string  `json:"bounds_broken,omitempty"`
-	Probes              int     `json:"probes"` // while holders were taken away
+	Probes              int     `json:"probes"` // while faults were injected
 	Seconds             float64 `json:"seconds"`
 	TargetsNeverProbed  int     `json:"targets_never_probed"`
 }
 
-// CheckBounds returns a *report.BoundError where the result breaks a bound.
+// CheckBounds returns a *report.BoundError if the result breaks a bound.
 func (r Result) CheckBounds() error {
 	if r.BrokenBounds != "" {
 		return &report.BoundError{Page: Page, Detail: r.BrokenBounds}
@@ -88,49 +89,50 @@
 	return nil
 }
 
-// Run plays the experiment, writes its files and returns its result, also beside a *report.BoundError.
+// Run runs the experiment, writes the result files and returns the result. The result is complete even if the error
+// is a *report.BoundError.
 func (e Experiment) Run(ctx context.Context) (Result, error) {
-	p, err := e.plan()
+	r, err := e.newRun()
 	if err != nil {
 		return Result{}, err
 	}
-	defer p.close()
-	if err := p.run(ctx); err != nil {
-		return p.result, err
+	defer r.close()
+	if err := r.run(ctx); err != nil {
+		return r.result, err
 	}
-	if err := p.report(); err != nil {
-		return p.result, err
+	if err := r.report(); err != nil {
+		return r.result, err
 	}
-	return p.result, p.result.CheckBounds()
+	return r.result, r.result.CheckBounds()
 }
 
-// plan makes the cluster, and beside it one instance that shares nothing, for comparison.
-func (e Experiment) plan() (*play, error) {
+// newRun creates the cluster and, for comparison, one instance without an operator's file.
+func (e Experiment) newRun() (*experimentRun, error) {
 	e.WithRelays = true
-	p := &play{Experiment: e}
+	r := &experimentRun{Experiment: e}
 	cluster, err := testcluster.New(e.Config)
 	if err != nil {
 		return nil, err
 	}
-	p.cluster = cluster
-	alone := e.Config
-	alone.Dir = filepath.Join(e.Dir, "bare")
-	alone.Instances = 1
-	alone.WithoutOperatorFile = true
-	alone.WithRelays = false
-	if err := os.MkdirAll(alone.Dir, 0o700); err != nil {
-		p.close()
+	r.cluster = cluster
+	unsharedConfig := e.Config
+	unsharedConfig.Dir = filepath.Join(e.Dir, "bare")
+	unsharedConfig.Instances = 1
+	unsharedConfig.WithoutOperatorFile = true
+	unsharedConfig.WithRelays = false
+	if err := os.MkdirAll(unsharedConfig.Dir, 0o700); err != nil {
+		r.close()
 		return nil, err
 	}
-	if p.unshared, err = testcluster.New(alone); err != nil {
-		p.close()
+	if r.unshared, err = testcluster.New(unsharedConfig); err != nil {
+		r.close()
 		return nil, err
 	}
-	return p, nil
+	return r, nil
 }
 
-// play is one run of an experiment.
-type play struct {
+// experimentRun is one run of an experiment.
+type experimentRun struct {
 	Experiment
 	cluster   *testcluster.Cluster
 	unshared  *testcluster.Cluster // one instance without an operator's file
@@ -138,35 +140,38 @@
 	result    Result
 }
 
-func (p *play) close() {
-	p.cluster.Close()
-	if p.unshared != nil {
-		p.unshared.Close()
+func (r *experimentRun) close() {
+	r.cluster.Close()
+	if r.unshared != nil {
+		r.unshared.Close()
 	}
 }
 
-// settleTimeout bounds how long it takes until every slot has a holder.
-func (p *play) settleTimeout() time.Duration { return 10*p.LeaseDuration + 10*time.Second }
+// settleTimeout limits the wait until every slot has a holder.
+func (r *experimentRun) settleTimeout() time.Duration { return 10*r.LeaseDuration + 10*time.Second }
 
-func (p *play) run(ctx context.Context) error {
-	if err := p.cluster.StartAll(); err != nil {
+func (r *experimentRun) run(ctx context.Context) error {
+	if err := r.cluster.StartAll(); err != nil {
 		return err
 	}
-	if err := p.cluster.WaitForAllSlotsLeased(ctx, p.settleTimeout()); err != nil {
+	if err := r.cluster.WaitForAllSlotsLeased(ctx, r.settleTimeout()); err != nil {
 		return err
 	}
-	if err := p.unshared.StartAll(); err != nil {
+	if err := r.unshared.StartAll(); err != nil {
 		return err
 	}
-	time.Sleep(2*p.LeaseDuration + 2*p.ProbePeriod) // slots change hands once more, and targets get their first probes
-	p.measureCalm(ctx)
+	// Slots change holders once more after the start, and targets receive their first health checks.
+	time.Sleep(2*r.LeaseDuration + 2*r.ProbePeriod)
+	r.measureIdleCost(ctx)
 	startedAt := time.Now()
-	if err := p.loseHolders(ctx); err != nil {
+	if err := r.injectFaults(ctx); err != nil {
 		return err
 	}
-	p.summarize(startedAt, time.Now())
+	r.summarize(startedAt, time.Now())
 	return nil
 }
 
-// logf reports progress. A writer that fails is no reason to end the experiment.
-func (p *play) logf(format string, values ...any) { _, _ = fmt.Fprintf(p.Progress, format, values...) }
+// logf reports progress. It ignores write errors, which must not end the experiment.
+func (r *experimentRun) logf(format string, values ...any) {
+	_, _ = fmt.Fprintf(r.Progress, format, values...)
+}
--- a/internal/experiment/leases/leases_test.go
+++ b/internal/experiment/leases/leases_test.go
@@ -10,8 +10,8 @@
 	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
-// Real instances on loopback: holders are killed, told to leave, frozen and cut off. What a busy machine can
-// stretch is held to twice the bound here; the tool holds it to the bound.
+// Lease holders among real instances are killed, shut down, frozen, isolated and delayed. A busy machine slows
+// takeovers down, so the test allows twice the bound; the tealexperiment command checks the bound itself.
 func TestLeasesOfRealInstances(t *testing.T) {
 	r, err := Experiment{
 		Config: testcluster.Config{
@@ -33,36 +33,36 @@
 	if err != nil && r.Kills == 0 {
 		t.Fatal(err)
 	}
-	if r.Overlaps != 0 || r.StaleActions != 0 || r.PeakWarmUpBudget > 1 || r.TargetsNeverProbed != 0 ||
-		r.GapMaxMS > 2*r.MaxGapMS {
-		t.Errorf("%+v", r)
+	if r.Overlaps != 0 || r.StaleActions != 0 || r.PeakWarmUpShare > 1 || r.TargetsNeverProbed != 0 ||
+		r.GapMaxMS > 2*r.GapBoundMS {
+		t.Errorf("overlaps, stale actions, warm-up budget, unprobed targets or takeover time out of bounds: %+v", r)
 	}
-	if r.CalmProbesPerPeriod < 0.5 || r.CalmProbesPerPeriod > 1.5 {
-		t.Errorf("%.2f probes a target and period in the calm", r.CalmProbesPerPeriod)
+	if r.IdleProbesPerPeriod < 0.5 || r.IdleProbesPerPeriod > 1.5 {
+		t.Errorf("%.2f probes per target and period without faults, want 0.5 to 1.5", r.IdleProbesPerPeriod)
 	}
 }
 
 func TestBrokenBoundsAreNamed(t *testing.T) {
-	within := Result{GapP99MS: 2500, MaxGapMS: 2500, PeakWarmUpBudget: 1, CalmProbesPerPeriod: 1.05}
+	within := Result{GapP99MS: 2500, GapBoundMS: 2500, PeakWarmUpShare: 1, IdleProbesPerPeriod: 1.05}
 	if got := brokenBounds(within); got != "" {
-		t.Errorf("%q", got)
+		t.Errorf("brokenBounds names %q for a result within all bounds", got)
 	}
 	if err := within.CheckBounds(); err != nil {
-		t.Error(err)
+		t.Errorf("result within all bounds: %v", err)
 	}
 	broken := Result{
 		GapP99MS:            2501,
-		MaxGapMS:            2500,
+		GapBoundMS:          2500,
 		Overlaps:            1,
 		StaleActions:        1,
-		PeakWarmUpBudget:    1.01,
-		CalmProbesPerPeriod: 1.06,
+		PeakWarmUpShare:     1.01,
+		IdleProbesPerPeriod: 1.06,
 		TargetsNeverProbed:  1,
 	}
 	broken.BrokenBounds = brokenBounds(broken)
 	const want = "takeover; two owners; stale actions; cold budget; probes; targets left out; "
 	var bound *report.BoundError
 	if err := broken.CheckBounds(); !errors.As(err, &bound) || bound.Page != "docs/duties.md" || bound.Detail != want {
-		t.Errorf("%v, want detail %q", err, want)
+		t.Errorf("error %v, want a bound error of docs/duties.md with detail %q", err, want)
 	}
 }
--- a/internal/experiment/leases/summary.go
+++ b/internal/experiment/leases/summary.go
@@ -15,81 +15,81 @@
 )
 
 const (
-	// warmUpBudget is the budget of health checks of a cold cache in a window, in load units, by the settings
-	// that testcluster writes: part of the budget, overload factor, initial share, capacity and window in
-	// seconds.
+	// warmUpBudget is the load that health checks may put on a cold cache in one window, in load units. Its factors
+	// are the values in testcluster's files: the part of the warm-up load that is left to health checks, the
+	// overload factor, the initial share, the capacity of a cache and the window in seconds.
 	warmUpBudget = 0.05 * 2.5 * 0.16 * 4 * 1.5
 	warmUpWindow = 1500 * time.Millisecond
-	probeCost    = 0.001
+	probeCost    = 0.001 // load units per health check
 
-	// minPeriodPercent is the part of a period that has to pass between health checks of two holders: their
-	// clocks may differ by the drift, and the way to the target takes its time.
+	// minPeriodPercent is the percentage of a probe period that must pass between health checks by two holders. It is
+	// below 100 because the holders' clocks drift and the network delay to the target varies.
 	minPeriodPercent = 98
 
-	maxCalmProbesPerPeriod = 1.05
+	maxIdleProbesPerPeriod = 1.05 // bound of docs/duties.md
 )
 
-// summarize fills in the result from the takeovers and from what the caches have seen.
-func (p *play) summarize(startedAt, endedAt time.Time) {
-	p.summarizeGaps()
-	for _, target := range p.cluster.Caches {
+// summarize fills in the result from the takeovers and from the health checks that the caches received.
+func (r *experimentRun) summarize(startedAt, endedAt time.Time) {
+	r.summarizeGaps()
+	for _, target := range r.cluster.Caches {
 		probes := target.HealthChecks()
-		p.summarizeTarget(probes)
+		r.summarizeTarget(probes)
 		for _, probe := range probes {
 			if probe.At.After(startedAt) && probe.At.Before(endedAt) {
-				p.result.Probes++
+				r.result.Probes++
 			}
 		}
 	}
-	p.result.Seconds = endedAt.Sub(startedAt).Seconds()
-	p.result.ProbesPerPeriod = p.probesPerPeriod(p.result.Probes, p.result.Seconds)
-	p.result.MaxGapMS = float64(p.LeaseDuration+2*p.RenewInterval) / float64(time.Millisecond)
-	p.result.BrokenBounds = brokenBounds(p.result)
+	r.result.Seconds = endedAt.Sub(startedAt).Seconds()
+	r.result.ProbesPerPeriod = r.probesPerPeriod(r.result.Probes, r.result.Seconds)
+	r.result.GapBoundMS = float64(r.LeaseDuration+2*r.RenewInterval) / float64(time.Millisecond)
+	r.result.BrokenBounds = brokenBounds(r.result)
 }
 
-func (p *play) summarizeGaps() {
+func (r *experimentRun) summarizeGaps() {
 	gaps := hdrhistogram.New(1, time.Minute.Microseconds(), 3)
-	maxOf := map[Fault]*float64{
-		Kill:      &p.result.KillGapMaxMS,
-		Terminate: &p.result.TerminateGapMaxMS,
-		Freeze:    &p.result.FreezeGapMaxMS,
-		Isolate:   &p.result.IsolateGapMaxMS,
-		Delay:     &p.result.DelayGapMaxMS,
+	maxGapByFault := map[Fault]*float64{
+		Kill:      &r.result.KillGapMaxMS,
+		Terminate: &r.result.TerminateGapMaxMS,
+		Freeze:    &r.result.FreezeGapMaxMS,
+		Isolate:   &r.result.IsolateGapMaxMS,
+		Delay:     &r.result.DelayGapMaxMS,
 	}
-	for _, takeover := range p.takeovers {
-		// Takeovers are given up long before a minute, the histogram's range.
+	for _, takeover := range r.takeovers {
+		// The wait for a takeover ends long before a minute, the histogram's range.
 		_ = gaps.RecordValue(max(1, int64(takeover.GapMS*1000)))
-		*maxOf[takeover.Fault] = max(*maxOf[takeover.Fault], takeover.GapMS)
-		p.result.GapMaxMS = max(p.result.GapMaxMS, takeover.GapMS)
+		*maxGapByFault[takeover.Fault] = max(*maxGapByFault[takeover.Fault], takeover.GapMS)
+		r.result.GapMaxMS = max(r.result.GapMaxMS, takeover.GapMS)
 	}
-	p.result.Kills = len(p.takeovers)
-	p.result.GapP50MS = float64(gaps.ValueAtQuantile(50)) / 1000
-	p.result.GapP99MS = float64(gaps.ValueAtQuantile(99)) / 1000
+	r.result.Kills = len(r.takeovers)
+	r.result.GapP50MS = float64(gaps.ValueAtQuantile(50)) / 1000
+	r.result.GapP99MS = float64(gaps.ValueAtQuantile(99)) / 1000
 }
 
-// summarizeTarget holds the health checks of one target against the rules. Each carries the ballot under which
-// it was sent, which is one holder's.
-func (p *play) summarizeTarget(probes []cache.HealthCheck) {
+// summarizeTarget counts violations in the health checks that one target received. The ID of a health check is the
+// ballot under which it was sent. A ballot belongs to a single holder.
+func (r *experimentRun) summarizeTarget(probes []cache.HealthCheck) {
 	if len(probes) == 0 {
-		p.result.TargetsNeverProbed++
+		r.result.TargetsNeverProbed++
 	}
 	var highest, previous uint64
 	var previousAt time.Time
 	for i, probe := range probes {
-		ballot, _ := strconv.ParseUint(probe.ID, 16, 64) // 0 is below all ballots, and counts as stale
+		ballot, _ := strconv.ParseUint(probe.ID, 16, 64) // an invalid ID gives 0, which is below all ballots
 		if ballot < highest {
-			p.result.StaleActions++
+			r.result.StaleActions++
 		}
-		isOther := previous != 0 && ballot != previous
-		if isOther && probe.At.Sub(previousAt) < p.ProbePeriod*minPeriodPercent/100 {
-			p.result.Overlaps++
+		holderChanged := previous != 0 && ballot != previous
+		if holderChanged && probe.At.Sub(previousAt) < r.ProbePeriod*minPeriodPercent/100 {
+			r.result.Overlaps++
 		}
 		highest, previous, previousAt = max(highest, ballot), ballot, probe.At
-		p.result.PeakWarmUpBudget = max(p.result.PeakWarmUpBudget, windowCost(probes[i:])/warmUpBudget)
+		r.result.PeakWarmUpShare = max(r.result.PeakWarmUpShare, windowCost(probes[i:])/warmUpBudget)
 	}
 }
 
-// windowCost sums up the cost of the health checks in the window that begins with the first of them.
+// windowCost returns the load of the health checks in the warm-up window that starts with the first one.
 func windowCost(probes []cache.HealthCheck) float64 {
 	cost := 0.
 	for _, probe := range probes {
@@ -100,17 +100,17 @@
 	return cost
 }
 
-// brokenBounds names the bounds that a result breaks, each with a "; " behind it.
+// brokenBounds names the bounds that a result breaks, each followed by "; ".
 func brokenBounds(result Result) string {
 	bounds := []struct {
 		name     string
 		isBroken bool
 	}{
-		{"takeover", result.GapP99MS > result.MaxGapMS},
+		{"takeover", result.GapP99MS > result.GapBoundMS},
 		{"two owners", result.Overlaps > 0},
 		{"stale actions", result.StaleActions > 0},
-		{"cold budget", result.PeakWarmUpBudget > 1},
-		{"probes", result.CalmProbesPerPeriod > maxCalmProbesPerPeriod},
+		{"cold budget", result.PeakWarmUpShare > 1},
+		{"probes", result.IdleProbesPerPeriod > maxIdleProbesPerPeriod},
 		{"targets left out", result.TargetsNeverProbed > 0},
 	}
 	broken := ""
@@ -122,17 +122,17 @@
 	return broken
 }
 
-// report writes the result as JSON, the takeovers as a table and a chart.
-func (p *play) report() error {
-	err := report.WriteJSON(filepath.Join(p.ResultsDir, "duties.json"), struct {
+// report writes the result as JSON, and the takeovers as a CSV table and as a chart.
+func (r *experimentRun) report() error {
+	err := report.WriteJSON(filepath.Join(r.ResultsDir, "duties.json"), struct {
 		Result    Result
 		Takeovers []Takeover
-	}{p.result, p.takeovers})
+	}{r.result, r.takeovers})
 	if err != nil {
 		return err
 	}
 	var rows [][]string
-	for _, takeover := range p.takeovers {
+	for _, takeover := range r.takeovers {
 		rows = append(rows, []string{
 			strconv.Itoa(takeover.Kill),
 			string(takeover.Fault),
@@ -142,14 +142,14 @@
 		})
 	}
 	header := []string{"kill", "how", "victim", "slots", "gap_ms"}
-	if err := report.WriteCSV(filepath.Join(p.ResultsDir, "duties.csv"), header, rows); err != nil {
+	if err := report.WriteCSV(filepath.Join(r.ResultsDir, "duties.csv"), header, rows); err != nil {
 		return err
 	}
-	return p.chart().SaveAs(filepath.Join(p.ResultsDir, "duties"), "svg", "png")
+	return r.chart().SaveAs(filepath.Join(r.ResultsDir, "duties"), "svg", "png")
 }
 
-// chart shows the gaps by fault, each sorted, with the bound as a line.
-func (p *play) chart() report.Chart {
+// chart draws the sorted takeover times of each fault, and their bound as a line.
+func (r *experimentRun) chart() report.Chart {
 	chart := report.Chart{
 		Title:      "Until all slots of a lost owner have a new one",
 		XLabel:     "share of the kills of a kind",
@@ -169,13 +169,13 @@
 		{Delay, report.Series{Color: report.Purple}},
 	} {
 		fault.series.Name = string(fault.Fault)
-		fault.series.Points = sortedGaps(p.takeovers, fault.Fault)
+		fault.series.Points = sortedGaps(r.takeovers, fault.Fault)
 		fault.series.Shape = draw.CircleGlyph{}
 		if len(fault.series.Points) > 0 {
 			chart.Series = append(chart.Series, fault.series)
 		}
 	}
-	bound := p.result.MaxGapMS
+	bound := r.result.GapBoundMS
 	chart.Series = append(chart.Series, report.Series{
 		Name:   "bound: lease and two renewals",
 		Points: plotter.XYs{{X: 0, Y: bound}, {X: 1, Y: bound}},
@@ -185,7 +185,8 @@
 	return chart
 }
 
-// sortedGaps returns the gaps of one fault, the shortest first, over their share of all of that fault.
+// sortedGaps returns the takeover times of one fault in ascending order. The X value of each is the share of the
+// fault's takeovers that took at most as long.
 func sortedGaps(takeovers []Takeover, fault Fault) plotter.XYs {
 	var gaps []float64
 	for _, takeover := range takeovers {
--- a/internal/experiment/leases/takeover.go
+++ b/internal/experiment/leases/takeover.go
@@ -13,28 +13,28 @@
 
 const takeoverPollInterval = 10 * time.Millisecond
 
-// leasesAcquired is the event by which an instance logs that it holds leases.
+// leasesAcquired is the name of the event that an instance logs when it acquires leases.
 var leasesAcquired = cluster.LeasesAcquired{}.Kind().Name
 
-// loseHolders takes holders away one after another, each at a random moment between two renewals, and brings
-// them back.
-func (p *play) loseHolders(ctx context.Context) error {
-	random := rand.New(rand.NewPCG(p.Seed, 1))
-	for kill := range p.Kills {
-		victim := p.cluster.Names[random.IntN(len(p.cluster.Names))]
-		ballots, err := p.ballotsOf(ctx, victim)
+// injectFaults makes one random instance after another fail, each at a random moment between two renewals, and lets
+// it recover.
+func (r *experimentRun) injectFaults(ctx context.Context) error {
+	random := rand.New(rand.NewPCG(r.Seed, 1))
+	for kill := range r.Kills {
+		victim := r.cluster.Names[random.IntN(len(r.cluster.Names))]
+		ballots, err := r.heldBallots(ctx, victim)
 		if err != nil {
 			return err
 		}
 		fault := faultCycle[kill%len(faultCycle)]
-		time.Sleep(time.Duration(random.Int64N(int64(p.RenewInterval))))
-		lostAt, incarnation := time.Now(), p.cluster.Incarnation(victim)
-		if err := p.lose(victim, fault); err != nil {
+		time.Sleep(time.Duration(random.Int64N(int64(r.RenewInterval))))
+		lostAt, incarnation := time.Now(), r.cluster.Incarnation(victim)
+		if err := r.injectFault(victim, fault); err != nil {
 			return err
 		}
-		gap, err := p.waitForTakeover(ballots, victim, lostAt, 4*p.LeaseDuration)
+		gap, err := r.waitForTakeover(ballots, victim, lostAt, 4*r.LeaseDuration)
 		if err != nil {
-			return fmt.Errorf("kill %d, %s of %s: %w", kill, fault, victim, err)
+			return fmt.Errorf("fault %d, %s of %s: %w", kill, fault, victim, err)
 		}
 		takeover := Takeover{
 			Kill:   kill,
@@ -43,20 +43,20 @@
 			Slots:  len(ballots),
 			GapMS:  float64(gap) / float64(time.Millisecond),
 		}
-		p.takeovers = append(p.takeovers, takeover)
-		p.logf("%d: %s of %s with %d slots: taken over after %.0f ms\n",
+		r.takeovers = append(r.takeovers, takeover)
+		r.logf("%d: %s of %s with %d slots: taken over after %.0f ms\n",
 			kill, fault, victim, takeover.Slots, takeover.GapMS)
-		time.Sleep(time.Duration(random.Int64N(int64(p.LeaseDuration))))
-		if err := p.bringBack(ctx, victim, fault, incarnation); err != nil {
+		time.Sleep(time.Duration(random.Int64N(int64(r.LeaseDuration))))
+		if err := r.endFault(ctx, victim, fault, incarnation); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// ballotsOf returns the ballots of the slots that an instance holds.
-func (p *play) ballotsOf(ctx context.Context, name string) (map[int]uint64, error) {
-	status, err := p.cluster.LeaseStatus(ctx, name)
+// heldBallots returns the ballot of each slot that an instance holds, by slot.
+func (r *experimentRun) heldBallots(ctx context.Context, name string) (map[int]uint64, error) {
+	status, err := r.cluster.LeaseStatus(ctx, name)
 	if err != nil {
 		return nil, err
 	}
@@ -69,59 +69,64 @@
 	return ballots, nil
 }
 
-func (p *play) lose(victim string, fault Fault) error {
+func (r *experimentRun) injectFault(victim string, fault Fault) error {
 	switch fault {
 	case Kill:
-		return p.cluster.Signal(victim, syscall.SIGKILL)
+		return r.cluster.Signal(victim, syscall.SIGKILL)
 	case Terminate:
-		return p.cluster.Signal(victim, syscall.SIGTERM)
+		return r.cluster.Signal(victim, syscall.SIGTERM)
 	case Freeze:
-		return p.cluster.Signal(victim, syscall.SIGSTOP)
+		return r.cluster.Signal(victim, syscall.SIGSTOP)
 	case Isolate:
-		p.cluster.Isolate(victim)
+		r.cluster.Isolate(victim)
 	case Delay:
-		p.cluster.Delay(victim, 4*p.LeaseDuration/3)
+		r.cluster.Delay(victim, 4*r.LeaseDuration/3)
 	}
 	return nil
 }
 
-// bringBack ends the fault and waits until the instance has its slots again.
-func (p *play) bringBack(ctx context.Context, victim string, fault Fault, incarnation int) error {
+// endFault ends the fault, and waits until every slot has a holder and the instance has had time to acquire its
+// share of the slots.
+func (r *experimentRun) endFault(ctx context.Context, victim string, fault Fault, incarnation int) error {
 	var err error
 	switch fault {
 	case Freeze:
-		err = p.cluster.Signal(victim, syscall.SIGCONT)
+		err = r.cluster.Signal(victim, syscall.SIGCONT)
 	case Isolate, Delay:
-		p.cluster.Heal()
+		r.cluster.Heal()
 	default:
-		p.cluster.WaitForExit(victim, incarnation)
-		err = p.cluster.Start(victim)
+		r.cluster.WaitForExit(victim, incarnation)
+		err = r.cluster.Start(victim)
 	}
 	if err != nil {
 		return err
 	}
-	if err := p.cluster.WaitForAllSlotsLeased(ctx, p.settleTimeout()); err != nil {
+	if err := r.cluster.WaitForAllSlotsLeased(ctx, r.settleTimeout()); err != nil {
 		return err
 	}
-	time.Sleep(2*p.LeaseDuration + 2*p.RenewInterval)
+	time.Sleep(2*r.LeaseDuration + 2*r.RenewInterval)
 	return nil
 }
 
-// waitForTakeover waits until others have logged that they acquired all of some slots under higher ballots.
-func (p *play) waitForTakeover(
+// waitForTakeover waits until other instances have logged that they acquired all of the victim's slots under higher
+// ballots. It returns the time from the fault until they acquired the last one.
+func (r *experimentRun) waitForTakeover(
 	ballots map[int]uint64, victim string, since time.Time, timeout time.Duration,
 ) (time.Duration, error) {
+	taken := 0
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(takeoverPollInterval) {
-		taken, last := takenOver(p.cluster.LogLines(), ballots, victim, since)
+		var last time.Time
+		taken, last = countTakenOver(r.cluster.LogLines(), ballots, victim, since)
 		if taken == len(ballots) {
 			return last.Sub(since), nil
 		}
 	}
-	return 0, fmt.Errorf("not all of %d slots were taken over within %s", len(ballots), timeout)
+	return 0, fmt.Errorf("%d of %d slots were taken over within %s, want all", taken, len(ballots), timeout)
 }
 
-// takenOver counts the slots that others have acquired since a time, and returns when the last one was.
-func takenOver(
+// countTakenOver returns how many of the victim's slots other instances have acquired since a time, and when they
+// acquired the last one.
+func countTakenOver(
 	lines []testcluster.LogLine, ballots map[int]uint64, victim string, since time.Time,
 ) (int, time.Time) {
 	taken, last := map[int]bool{}, since
--- a/internal/experiment/leasesim/faults.go
+++ b/internal/experiment/leasesim/faults.go
@@ -2,29 +2,29 @@
 
 import "tealpath/internal/experiment/simulation"
 
-// Kinds of faults, by the number that is drawn.
+// Kinds of faults. injectFault draws one of these numbers.
 const (
-	faultKill            = iota // twice as likely as the others
-	faultKillAlternative        // the same as faultKill
-	faultKillMajority           // more than half of the instances, at once
+	faultKill            = iota // has two numbers, so it is drawn twice as often as the others
+	faultKillAlternative        // same as faultKill
+	faultKillMajority           // more than half of the instances at once
 	faultPartition
 	faultInboundLost
 	faultLoss
-	faultLatency // of up to one and a half leases
+	faultLatency // mean latency of up to one and a half leases
 	faultPause
 	faultClockStep
-	faultsEnd // all faults of the network end
+	faultHeal // ends all network faults
 	faultKinds
 )
 
-// How far faults go.
+// Limits of what injectFault draws.
 const (
-	maxLoss          = 0.3
-	maxLatencyHalves = 3 // halves of a lease
-	maxPauseLeases   = 4
+	maxLoss          = 0.3 // of all messages
+	maxLatencyHalves = 3   // mean latency, in halves of a lease
+	maxPauseLeases   = 4   // pause, in leases
 )
 
-// injectFault begins a fault. Half of all faults of the network pass at once.
+// injectFault starts a random fault. With a probability of one half it then ends all network faults at once.
 func (s *runState) injectFault() {
 	victim := s.instances[s.random.IntN(len(s.instances))]
 	leaseDuration := int64(s.plan.LeaseDuration)
@@ -50,7 +50,7 @@
 		if s.plan.ClockSteps {
 			victim.wallOffsetMS = []int64{-wallClockStepMS, wallClockStepMS}[s.random.IntN(2)]
 		}
-	case faultsEnd:
+	case faultHeal:
 		s.healNetwork()
 	}
 	if s.random.IntN(2) == 0 {
@@ -58,7 +58,7 @@
 	}
 }
 
-// kill ends an instance, which starts again at once.
+// kill kills an instance, which starts again at once.
 func (s *runState) kill(index int) {
 	s.result.Kills++
 	s.instances[index].start()
@@ -67,5 +67,5 @@
 func (s *runState) healNetwork() {
 	simulation.HealNetwork(s.hosts)
 	s.network.Loss = 0
-	s.network.Latency = s.plan.usualLatency()
+	s.network.Latency = s.plan.normalLatency()
 }
--- a/internal/experiment/leasesim/instance.go
+++ b/internal/experiment/leasesim/instance.go
@@ -10,19 +10,20 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// simulatedInstance is one process over all its starts.
+// simulatedInstance is one router process through all its restarts.
 type simulatedInstance struct {
 	run          *runState
 	name         string
 	index        int
 	clock        simulation.Clock
-	wallOffsetMS int64 // by which its wall clock is wrong
+	wallOffsetMS int64 // error of its wall clock
 	host         simulation.Host
 	node         *cluster.Node
-	timerAt      int64 // of the node's timer
+	timerAt      int64 // simulated time at which the node's timer fires
 }
 
-// start begins the next incarnation. One that was there before is killed, and what it held is held no more.
+// start starts the next incarnation. A previous incarnation ends without notice, and the leases that it held count as
+// released.
 func (i *simulatedInstance) start() {
 	run := i.run
 	if i.node != nil {
@@ -33,13 +34,13 @@
 	i.timerAt = 0
 	node, err := cluster.New(0, i.config())
 	if err != nil {
-		panic(err) // the configuration is this package'run
+		panic(err) // this package generates the configuration
 	}
 	i.node = node
 	i.handle(0, cluster.TargetsUpdated{Targets: run.targets()})
 }
 
-// identity is the process as others know it.
+// identity returns the name and incarnation by which other instances know the process.
 func (i *simulatedInstance) identity() lease.Instance {
 	return lease.Instance{Name: i.name, Incarnation: uint64(i.host.Incarnation)}
 }
@@ -82,7 +83,7 @@
 	}
 }
 
-// targets are the endpoints to probe.
+// targets returns the endpoints to probe.
 func (s *runState) targets() []probe.Target {
 	var targets []probe.Target
 	for t := range s.plan.Targets {
@@ -91,43 +92,44 @@
 	return targets
 }
 
-// localTime is what the clock of the process shows.
+// localTime returns the reading of the process's monotonic clock.
 func (i *simulatedInstance) localTime() int64 { return i.clock.Read(i.run.now()) }
 
-// holds tells whether the process would act as holder of a slot at this moment. A paused one does nothing,
-// but what it would do if it resumed now is what counts.
+// holds reports whether the process would act as holder of a slot at this moment. A paused process does nothing,
+// but it counts as the holder if it would act as the holder when resumed now.
 func (i *simulatedInstance) holds(slot int) bool {
 	_, _, holds := i.node.Holds(i.localTime(), slot)
 	return holds
 }
 
-// whenAwake runs an event of the process once it is not paused.
-func (i *simulatedInstance) whenAwake(event func()) {
+// runWhenResumed runs an event of the process now, or when its pause ends.
+func (i *simulatedInstance) runWhenResumed(event func()) {
 	run := i.run
 	if i.host.Paused(run.now()) {
-		run.scheduler.At(i.host.PausedUntil, func() { i.whenAwake(event) })
+		run.scheduler.At(i.host.PausedUntil, func() { i.runWhenResumed(event) })
 		return
 	}
 	event()
 }
 
-// handle gives an event to the node and carries its effects out.
+// handle passes an event to the node and carries out the resulting effects.
 func (i *simulatedInstance) handle(now int64, event cluster.Event) {
 	for _, effect := range i.node.Handle(now, event) {
 		switch effect := effect.(type) {
 		case cluster.Send:
 			i.send(effect)
 		case cluster.SendProbe:
-			i.run.probeSent(i, effect)
+			i.run.recordProbe(i, effect)
 		case cluster.SetTimer:
 			i.setTimer(effect)
 		case cluster.Log:
-			i.run.leasesChanged(i, effect.Event)
+			i.run.recordLeaseEvent(i, effect.Event)
 		}
 	}
 }
 
-// send hands a message to the network. It also arrives where one of the two processes has been started anew.
+// send passes a message to the simulated network. The message also arrives if the sender or the receiver is restarted
+// in the meantime.
 func (i *simulatedInstance) send(effect cluster.Send) {
 	run := i.run
 	run.result.Messages++
@@ -140,7 +142,7 @@
 	copies := 1 + run.random.IntN(duplicateOneIn)/(duplicateOneIn-1)
 	for range copies {
 		run.scheduler.After(run.network.Delay(), func() {
-			to.whenAwake(func() {
+			to.runWhenResumed(func() {
 				if i.host.Reaches(&to.host) {
 					to.handle(to.localTime(), received)
 				}
@@ -149,14 +151,14 @@
 	}
 }
 
-// setTimer schedules the node's timer. One that fires during a pause is lost; the next message has the node
-// set it anew.
+// setTimer schedules the node's timer. A timer that fires during a pause is lost; the next message makes the node set
+// it again.
 func (i *simulatedInstance) setTimer(effect cluster.SetTimer) {
 	run := i.run
 	i.timerAt = max(run.now()+1, i.clock.TimeAt(effect.At))
 	incarnation := i.host.Incarnation
 	run.scheduler.At(i.timerAt, func() {
-		i.whenAwake(func() {
+		i.runWhenResumed(func() {
 			if i.host.Incarnation != incarnation || i.timerAt != run.now() {
 				return
 			}
--- a/internal/experiment/leasesim/leasesim_test.go
+++ b/internal/experiment/leasesim/leasesim_test.go
@@ -9,7 +9,7 @@
 	"tealpath/internal/experiment/experimenttest"
 )
 
-func usualPlan(instances, targets int, hours float64, seed uint64) Plan {
+func newTestPlan(instances, targets int, hours float64, seed uint64) Plan {
 	return Plan{
 		Instances:     instances,
 		Slots:         16,
@@ -21,18 +21,18 @@
 	}
 }
 
-// A quarter of an hour at each size; `tealexperiment duties --virtual` runs for longer.
+// Each size runs for a quarter of an hour of simulated time; `tealexperiment duties --virtual` runs longer.
 func TestOneHolderASlotUnderFaults(t *testing.T) {
 	for _, size := range []struct{ instances, targets int }{{3, 200}, {5, 10}, {16, 3}} {
-		plan := usualPlan(size.instances, size.targets, 0.25, 5)
+		plan := newTestPlan(size.instances, size.targets, 0.25, 5)
 		plan.ClockSteps = size.instances == 5
 		r := plan.Run(t.Context())
 		t.Logf("%+v", r)
-		if !r.BoundsHold() || r.Overlaps != 0 || r.BallotsBack != 0 || r.DuplicateProbes != 0 {
-			t.Errorf("%d instances: %+v", size.instances, r)
+		if !r.BoundsHold() || r.Overlaps != 0 || r.BallotRegressions != 0 || r.DuplicateProbes != 0 {
+			t.Errorf("%d instances: overlaps, ballot regressions or duplicate probes: %+v", size.instances, r)
 		}
 		if r.Tenures < 100 || r.LeasedShare < 0.3 || r.Probes == 0 {
-			t.Errorf("%d instances: hardly anything was held: %+v", size.instances, r)
+			t.Errorf("%d instances: too few tenures, leased slots or probes: %+v", size.instances, r)
 		}
 	}
 }
@@ -40,8 +40,8 @@
 func TestRunEndsWithItsContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if r := usualPlan(3, 1, 1, 5).Run(ctx); r.Kills > 0 || r.Hours > 0.1 {
-		t.Errorf("%+v", r)
+	if r := newTestPlan(3, 1, 1, 5).Run(ctx); r.Kills > 0 || r.Hours > 0.1 {
+		t.Errorf("the run went on after its context was canceled: %+v", r)
 	}
 }
 
@@ -50,7 +50,7 @@
 	recording := experimenttest.NewRecording(t)
 	for _, clockSteps := range []bool{false, true} {
 		for _, instances := range []int{1, 3, 6, 12} {
-			plan := usualPlan(instances, 10, 0.1, 11)
+			plan := newTestPlan(instances, 10, 0.1, 11)
 			plan.ClockSteps = clockSteps
 			result := plan.Run(t.Context())
 			recording.Result(fmt.Sprint(instances, clockSteps), result)
--- a/internal/experiment/leasesim/plan.go
+++ b/internal/experiment/leasesim/plan.go
@@ -1,7 +1,6 @@
-// Package leasesim simulates instances that share slots by leases (internal/cluster/lease) and probe
-// endpoints for the slots that they hold, under faults and with clocks that drift. It checks that a slot
-// never has two holders and that ballots only grow, and measures for what part of the time slots have a
-// holder.
+// Package leasesim simulates instances that share slots by means of leases (internal/cluster/lease) and probe the
+// endpoints of the slots that they hold, under faults and with clocks that drift. It checks that a slot never has two
+// holders and that ballots only grow, and measures the share of time for which slots have a holder.
 package leasesim
 
 import (
@@ -14,31 +13,31 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// Plan is one run of the experiment.
+// Plan configures one run of the simulation.
 type Plan struct {
 	Instances     int
 	Slots         int
-	Targets       int // endpoints to probe
-	Hours         float64
-	ClockSteps    bool // wall clocks are set back and forth by an hour
+	Targets       int     // endpoints to probe
+	Hours         float64 // simulated
+	ClockSteps    bool    // faults include setting a wall clock back or forward by an hour
 	Seed          uint64
 	LeaseDuration time.Duration
 	RenewInterval time.Duration
 }
 
 const (
-	maxVoters         = 5
-	maxClockDrift     = 0.01
+	maxVoters         = 5                  // the first instances
+	maxClockDrift     = 0.01               // of the monotonic clocks' rates
 	hour              = 3600e9             // ns
 	wallClockMS       = int64(1.7e12)      // at the start of the run
 	wallClockStepMS   = int64(3600 * 1000) // one hour
 	probePeriod       = int64(1e9)         // ns
 	probeTimeout      = int64(5e8)         // ns
-	firstFaultLeases  = 4                  // leases after the start until the first fault
-	maxFaultLeases    = 10                 // leases between two faults, beside the first one
-	usualLatencyParts = 100                // of a renewal interval
-	duplicateOneIn    = 21                 // messages
-	nobody            = -1                 // holder of a slot without one
+	firstFaultLeases  = 4                  // time of the first fault, in leases
+	faultJitterLeases = 10                 // random part of the interval between faults, in leases
+	latencyDivisor    = 100                // the normal mean latency is this part of a renewal interval
+	duplicateOneIn    = 21                 // on average, one message in 21 is delivered twice
+	noHolder          = -1                 // in runState.holders: the slot has no holder
 )
 
 // runState is the state of one simulation.
@@ -48,24 +47,24 @@
 	scheduler   *simulation.Scheduler
 	network     *simulation.Network
 	instances   []*simulatedInstance
-	indexes     map[string]int // of instances by name
+	indexes     map[string]int // indexes of instances, by name
 	hosts       []*simulation.Host
-	holders     []int    // indexes of instances by slot; nobody where none holds the lease
-	ballots     []uint64 // highest by slot
-	lastProbes  map[string]sentProbe
-	leasedSlots int
-	leasedTime  float64 // ns, summed over slots
+	holders     []int                // index of the holder of each slot, or noHolder
+	ballots     []uint64             // highest ballot of each slot so far
+	lastProbes  map[string]sentProbe // by name of the endpoint
+	leasedSlots int                  // slots that have a holder
+	leasedTime  float64              // ns, summed over all slots
 	result      Result
 }
 
-// sentProbe is the last probe of an endpoint.
+// sentProbe records when an endpoint was last probed, and by which instance.
 type sentProbe struct {
-	at    int64
-	owner int // index of the instance
+	at     int64 // simulated time
+	holder int   // index of the instance
 }
 
-// Run simulates the plan until its end, or until the first fault after the context has ended. Faults come
-// every few leases.
+// Run simulates the plan until its end, or until the first fault after the context has ended. Faults are one to
+// eleven leases apart.
 func (p Plan) Run(ctx context.Context) Result {
 	run := newRun(p)
 	for _, instance := range run.instances {
@@ -95,7 +94,7 @@
 		plan:       plan,
 		random:     random,
 		scheduler:  simulation.NewScheduler(0),
-		network:    simulation.NewNetwork(random, plan.usualLatency()),
+		network:    simulation.NewNetwork(random, plan.normalLatency()),
 		indexes:    map[string]int{},
 		holders:    make([]int, plan.Slots),
 		ballots:    make([]uint64, plan.Slots),
@@ -103,7 +102,7 @@
 		result:     Result{Instances: plan.Instances},
 	}
 	for slot := range run.holders {
-		run.holders[slot] = nobody
+		run.holders[slot] = noHolder
 	}
 	for i := range plan.Instances {
 		instance := &simulatedInstance{
@@ -119,11 +118,11 @@
 	return run
 }
 
-func (p Plan) usualLatency() simulation.Latency {
-	return simulation.LatencyAround(int64(p.RenewInterval) / usualLatencyParts)
+func (p Plan) normalLatency() simulation.Latency {
+	return simulation.LatencyAround(int64(p.RenewInterval) / latencyDivisor)
 }
 
-// voters are the first instances.
+// voters returns the first instances as voters of epoch 1.
 func (s *runState) voters() lease.Voters {
 	voters := lease.Voters{Epoch: 1}
 	for _, instance := range s.instances[:min(maxVoters, len(s.instances))] {
@@ -136,5 +135,5 @@
 
 func (s *runState) drawFaultInterval() int64 {
 	leaseDuration := int64(s.plan.LeaseDuration)
-	return leaseDuration + s.random.Int64N(maxFaultLeases*leaseDuration)
+	return leaseDuration + s.random.Int64N(faultJitterLeases*leaseDuration)
 }
--- a/internal/experiment/leasesim/result.go
+++ b/internal/experiment/leasesim/result.go
@@ -5,33 +5,38 @@
 	"tealpath/internal/logevent"
 )
 
-// Result is what a run gave.
+// Result is the outcome of one or more runs.
 type Result struct {
-	Instances              int     `json:"instances"`
-	Hours                  float64 `json:"hours"`
-	Overlaps               int     `json:"overlaps"`                      // moments at which a slot had two holders
-	BallotsBack            int     `json:"backward"`                      // ballots that did not grow
-	BallotsBackClocksWrong int     `json:"backward_with_clocks_set_back"` // the same with ClockSteps
-	DuplicateProbes        int     `json:"duplicated"`                    // probes by two holders within one period
-	Tenures                int     `json:"tenures"`
-	Kills                  int     `json:"kills"`
-	Partitions             int     `json:"splits"`
-	Messages               int     `json:"messages"`
-	Probes                 int     `json:"probes"`
-	ExpectedProbes         float64 `json:"probes_of_an_undisturbed_owner"`
-	LeasedShare            float64 `json:"owned_share"` // of slots and time
+	Instances int     `json:"instances"`
+	Hours     float64 `json:"hours"`
+	// Overlaps counts acquisitions of a slot that another instance still held, and probes by instances that did not
+	// hold the lease of the endpoint's slot.
+	Overlaps int `json:"overlaps"`
+	// BallotRegressions counts acquisitions of a slot under a ballot not above all earlier ones, in runs without
+	// ClockSteps.
+	BallotRegressions int `json:"backward"`
+	// BallotRegressionsWithClockSteps counts the same in runs with ClockSteps.
+	BallotRegressionsWithClockSteps int `json:"backward_with_clocks_set_back"`
+	// DuplicateProbes counts probes of an endpoint within one period after a probe by another instance.
+	DuplicateProbes int     `json:"duplicated"`
+	Tenures         int     `json:"tenures"` // acquisitions of a slot
+	Kills           int     `json:"kills"`
+	Partitions      int     `json:"splits"`
+	Messages        int     `json:"messages"`
+	Probes          int     `json:"probes"`
+	ExpectedProbes  float64 `json:"probes_of_an_undisturbed_owner"`
+	LeasedShare     float64 `json:"owned_share"` // part of slots and time with a holder
 }
 
-// BoundsHold tells whether the bounds of docs/duties.md hold.
-func (r Result) BoundsHold() bool { return r.Overlaps+r.BallotsBack+r.DuplicateProbes == 0 }
+// BoundsHold reports whether the result keeps the bounds of docs/duties.md.
+func (r Result) BoundsHold() bool { return r.Overlaps+r.BallotRegressions+r.DuplicateProbes == 0 }
 
-// Add adds the result of another run. Shares are added as well: whoever adds divides them by the number of
-// runs.
+// Add adds the result of another run. It also sums LeasedShare, which the caller divides by the number of runs.
 func (r *Result) Add(other Result) {
 	r.Hours += other.Hours
 	r.Overlaps += other.Overlaps
-	r.BallotsBack += other.BallotsBack
-	r.BallotsBackClocksWrong += other.BallotsBackClocksWrong
+	r.BallotRegressions += other.BallotRegressions
+	r.BallotRegressionsWithClockSteps += other.BallotRegressionsWithClockSteps
 	r.DuplicateProbes += other.DuplicateProbes
 	r.Tenures += other.Tenures
 	r.Kills += other.Kills
@@ -42,12 +47,12 @@
 	r.LeasedShare += other.LeasedShare
 }
 
-// leasesChanged follows who holds what by the events that instances log.
-func (s *runState) leasesChanged(instance *simulatedInstance, logged logevent.Event) {
+// recordLeaseEvent updates the holders of slots by an event that an instance logs.
+func (s *runState) recordLeaseEvent(instance *simulatedInstance, logged logevent.Event) {
 	switch event := logged.(type) {
 	case cluster.LeasesAcquired:
 		for _, slot := range event.Slots {
-			s.acquired(instance, slot, event.Ballot)
+			s.recordAcquisition(instance, slot, event.Ballot)
 		}
 	case cluster.LeasesLost:
 		for _, slot := range event.Slots {
@@ -56,15 +61,16 @@
 	}
 }
 
-// acquired notes that an instance holds a slot from now on, and asks every other one whether it holds it, too.
-func (s *runState) acquired(instance *simulatedInstance, slot int, ballot uint64) {
+// recordAcquisition records that an instance has acquired a slot. It counts a regression if the ballot has not grown,
+// and an overlap for each other instance that still holds the slot.
+func (s *runState) recordAcquisition(instance *simulatedInstance, slot int, ballot uint64) {
 	s.result.Tenures++
 	switch {
 	case ballot > s.ballots[slot]:
 	case s.plan.ClockSteps:
-		s.result.BallotsBackClocksWrong++
+		s.result.BallotRegressionsWithClockSteps++
 	default:
-		s.result.BallotsBack++
+		s.result.BallotRegressions++
 	}
 	s.ballots[slot] = max(s.ballots[slot], ballot)
 	for _, other := range s.instances {
@@ -72,33 +78,33 @@
 			s.result.Overlaps++
 		}
 	}
-	if s.holders[slot] == nobody {
+	if s.holders[slot] == noHolder {
 		s.leasedSlots++
 	}
 	s.holders[slot] = instance.index
 }
 
-// release notes that an instance does not hold a slot any more.
+// release records that an instance no longer holds a slot.
 func (s *runState) release(index, slot int) {
 	if s.holders[slot] == index {
-		s.holders[slot] = nobody
+		s.holders[slot] = noHolder
 		s.leasedSlots--
 	}
 }
 
-// releaseAll notes that an instance was killed.
+// releaseAll records that an instance no longer holds any slot.
 func (s *runState) releaseAll(index int) {
 	for slot := range s.holders {
 		s.release(index, slot)
 	}
 }
 
-// probeSent checks that the sender holds the endpoint's slot, and that no other instance has probed it just
-// before.
-func (s *runState) probeSent(instance *simulatedInstance, effect cluster.SendProbe) {
+// recordProbe counts a probe. It checks that the sender holds the endpoint's slot and that no other instance has
+// probed the endpoint within the last period.
+func (s *runState) recordProbe(instance *simulatedInstance, effect cluster.SendProbe) {
 	s.result.Probes++
 	last, probed := s.lastProbes[effect.Target]
-	if probed && last.owner != instance.index && s.now()-last.at < probePeriod {
+	if probed && last.holder != instance.index && s.now()-last.at < probePeriod {
 		s.result.DuplicateProbes++
 	}
 	s.lastProbes[effect.Target] = sentProbe{s.now(), instance.index}
--- a/internal/experiment/membership/experiment.go
+++ b/internal/experiment/membership/experiment.go
@@ -1,5 +1,5 @@
-// Package membership measures how instances of the real router watch each other: how fast they detect that one
-// is dead, whether they take a live one for dead, and how long they disagree after a fault.
+// Package membership measures how instances of the real router monitor each other: how fast they detect a dead
+// instance, whether they believe a live one dead, and how long their views differ after a fault.
 package membership
 
 import (
@@ -15,15 +15,15 @@
 	"tealpath/internal/experiment/testcluster"
 )
 
-// Page is the design note whose bounds results are held against.
+// Page is the design note whose bounds the results are checked against.
 const Page = "docs/membership.md"
 
-// Bounds of docs/membership.md, for the options that the experiment runs with.
+// Bounds of docs/membership.md for the options below, options of the instances, and timeouts of the experiment.
 const (
-	MaxDetectionMS    = 3000.
-	MaxJudgementMS    = 5000. // until one is detected that hears or is heard no more
-	MaxDisagreementMS = 5000.
-	MaxLinks          = 16 // between an instance and those that it watches or is watched by
+	MaxDetectionMS       = 3000. // until all others have detected a kill
+	MaxOneWayDetectionMS = 5000. // until all others have detected an instance with a one-way fault
+	MaxDisagreementMS    = 5000. // until all views are equal after a fault
+	MaxLinks             = 16    // between an instance and those that it monitors or is monitored by
 
 	operatorOptions = "(membership (interval 500ms) (silence 2100ms))"
 	maxVoters       = 5
@@ -32,84 +32,91 @@
 	agreementTimeout = 20 * time.Second
 	detectionTimeout = 10 * time.Second
 
-	// Before the calm is measured, traffic of the start passes.
-	calmDelay    = 3 * time.Second
-	calmDuration = 6 * time.Second
+	// idleDelay lets the traffic of the start pass before measureIdleCost measures for idleDuration.
+	idleDelay    = 3 * time.Second
+	idleDuration = 6 * time.Second
 )
 
-// Experiment has instances watch each other through faults.
+// Experiment runs instances that monitor each other, and injects faults.
 type Experiment struct {
 	testcluster.Config
-	Faults     []Fault // in turn; none has the instances run without one
-	Duration   time.Duration
+	Faults     []Fault       // injected in turn; if empty, instances run without faults
+	Duration   time.Duration // of the faults together, or of the run without faults
 	Seed       uint64
-	ResultsDir string // empty writes no file
+	ResultsDir string // directory of the result file; empty writes none
 }
 
-// Result is what an experiment found.
+// Result is the outcome of an experiment.
 type Result struct {
-	Instances         int           `json:"instances"`
-	Seconds           float64       `json:"seconds"`
-	Kills             int           `json:"kills"`
-	DetectionP50MS    float64       `json:"detect_p50_ms"` // until the last of the others detected a kill
-	DetectionP99MS    float64       `json:"detect_p99_ms"`
-	DetectionMaxMS    float64       `json:"detect_max_ms"`
-	UndetectedKills   int           `json:"kills_not_believed_by_all"`
-	FalseDeaths       int           `json:"false_deaths"`
-	Pauses            int           `json:"pauses"`
-	JudgementMaxMS    float64       `json:"oneway_judged_max_ms"`
-	Unjudged          int           `json:"oneway_not_judged"`
-	DisagreementMaxMS float64       `json:"disagree_max_ms"` // after the end of a fault, until all have the same view
-	BytesPerSecond    float64       `json:"bytes_per_member_per_s"`
-	MaxLinks          int           `json:"links_per_member_max"`
-	ViewChanges       float64       `json:"view_changes"`
-	FormedMS          float64       `json:"formed_ms"`          // since the start
-	SlotsLeasedMS     float64       `json:"all_slots_owned_ms"` // since the start
-	IdleCPUShare      float64       `json:"cpu_share_idle"`     // of a core, an instance
-	ResidentKB        int64         `json:"resident_kb"`
-	Faults            []FaultResult `json:"-"`
+	Instances            int           `json:"instances"`
+	Seconds              float64       `json:"seconds"`
+	Kills                int           `json:"kills"`
+	DetectionP50MS       float64       `json:"detect_p50_ms"` // from a kill until all others have detected it
+	DetectionP99MS       float64       `json:"detect_p99_ms"`
+	DetectionMaxMS       float64       `json:"detect_max_ms"`
+	UndetectedKills      int           `json:"kills_not_believed_by_all"`
+	FalseDeaths          int           `json:"false_deaths"` // logged deaths of live instances
+	Pauses               int           `json:"pauses"`
+	OneWayDetectionMaxMS float64       `json:"oneway_judged_max_ms"` // until all others have detected a one-way fault
+	UndetectedOneWay     int           `json:"oneway_not_judged"`
+	DisagreementMaxMS    float64       `json:"disagree_max_ms"` // from the end of a fault until all have the same view
+	BytesPerSecond       float64       `json:"bytes_per_member_per_s"`
+	MaxLinks             int           `json:"links_per_member_max"`
+	ViewChanges          float64       `json:"view_changes"`
+	FormedMS             float64       `json:"formed_ms"`          // from the start until all believe all alive
+	SlotsLeasedMS        float64       `json:"all_slots_owned_ms"` // from the start until all slots have a holder
+	IdleCPUShare         float64       `json:"cpu_share_idle"`     // of a core, mean over all instances
+	ResidentKB           int64         `json:"resident_kb"`
+	Faults               []FaultResult `json:"-"`
 }
 
-// CheckBounds returns a *report.BoundError where the result breaks a bound.
+// CheckBounds returns a *report.BoundError if the result breaks a bound.
 func (r Result) CheckBounds() error {
-	// A voter may have a link more to each instance that asks it for leases.
+	// A voter may have an additional link to each instance that asks it for leases.
 	maxLinks := MaxLinks + r.Instances
 	hasTooManyLinks := r.Instances > 3*MaxLinks && r.MaxLinks > maxLinks
 	broken := r.DetectionMaxMS > MaxDetectionMS ||
-		r.UndetectedKills+r.FalseDeaths+r.Unjudged > 0 ||
-		r.JudgementMaxMS > MaxJudgementMS ||
+		r.UndetectedKills+r.FalseDeaths+r.UndetectedOneWay > 0 ||
+		r.OneWayDetectionMaxMS > MaxOneWayDetectionMS ||
 		r.DisagreementMaxMS > MaxDisagreementMS ||
 		hasTooManyLinks
 	if broken {
-		return &report.BoundError{Page: Page}
+		return &report.BoundError{Page: Page, Detail: fmt.Sprintf(
+			"detection %.0f ms (at most %.0f), %d undetected kills, %d false deaths, "+
+				"one-way detection %.0f ms (at most %.0f), %d undetected one-way faults, "+
+				"disagreement %.0f ms (at most %.0f), %d links (at most %d with more than %d instances)",
+			r.DetectionMaxMS, MaxDetectionMS, r.UndetectedKills, r.FalseDeaths,
+			r.OneWayDetectionMaxMS, MaxOneWayDetectionMS, r.UndetectedOneWay,
+			r.DisagreementMaxMS, MaxDisagreementMS, r.MaxLinks, maxLinks, 3*MaxLinks)}
 	}
 	return nil
 }
 
-// Run plays the experiment, writes its files and returns its result, also beside a *report.BoundError.
+// Run runs the experiment, writes the result file and returns the result. The result is complete even if the error
+// is a *report.BoundError.
 func (e Experiment) Run(ctx context.Context) (Result, error) {
-	p, err := e.plan()
+	r, err := e.newRun()
 	if err != nil {
 		return Result{Instances: e.Instances}, err
 	}
-	defer p.cluster.Close()
-	if err := p.run(ctx); err != nil {
-		return p.result, err
+	defer r.cluster.Close()
+	if err := r.run(ctx); err != nil {
+		return r.result, err
 	}
-	if err := p.report(); err != nil {
-		return p.result, err
+	if err := r.report(); err != nil {
+		return r.result, err
 	}
-	return p.result, p.result.CheckBounds()
+	return r.result, r.result.CheckBounds()
 }
 
-// plan makes the cluster. Instances have relays between them where a fault needs those.
-func (e Experiment) plan() (*play, error) {
+// newRun creates the cluster, with relays between instances if a fault needs them.
+func (e Experiment) newRun() (*experimentRun, error) {
 	e.ClusterOptions = operatorOptions
 	e.Voters = min(maxVoters, e.Instances)
 	e.Caches = 1
 	for _, fault := range e.Faults {
 		if !slices.Contains(Faults(), fault) {
-			return nil, fmt.Errorf("faults are of %s", FaultNames())
+			return nil, fmt.Errorf("unknown fault %q; faults are %s", fault, FaultNames())
 		}
 		e.WithRelays = e.WithRelays || fault != Kill && fault != Pause
 	}
@@ -117,7 +124,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &play{
+	return &experimentRun{
 		Experiment: e,
 		cluster:    cluster,
 		random:     rand.New(rand.NewPCG(e.Seed, uint64(e.Instances))),
@@ -125,7 +132,7 @@
 	}, nil
 }
 
-// FaultNames returns the faults as they are written on a command line.
+// FaultNames returns the names of all faults, separated by commas.
 func FaultNames() string {
 	var names []string
 	for _, fault := range Faults() {
@@ -134,124 +141,124 @@
 	return strings.Join(names, ", ")
 }
 
-// play is one run of an experiment.
-type play struct {
+// experimentRun is one run of an experiment.
+type experimentRun struct {
 	Experiment
 	cluster *testcluster.Cluster
 	random  *rand.Rand
 	result  Result
 }
 
-func (p *play) run(ctx context.Context) error {
+func (r *experimentRun) run(ctx context.Context) error {
 	startedAt := time.Now()
-	if err := p.form(ctx, startedAt); err != nil {
+	if err := r.formCluster(ctx, startedAt); err != nil {
 		return err
 	}
-	if err := p.measureCalm(ctx); err != nil {
+	if err := r.measureIdleCost(ctx); err != nil {
 		return err
 	}
-	if len(p.Faults) == 0 {
-		p.watchWithoutFaults(ctx)
-	} else if err := p.injectFaults(ctx); err != nil {
+	if len(r.Faults) == 0 {
+		r.runWithoutFaults(ctx)
+	} else if err := r.injectFaults(ctx); err != nil {
 		return err
 	}
-	p.summarizeDetections()
-	p.result.Seconds = time.Since(startedAt).Seconds()
-	return p.summarizeMembers(ctx)
+	r.summarizeDetections()
+	r.result.Seconds = time.Since(startedAt).Seconds()
+	return r.summarizeMembers(ctx)
 }
 
-// form starts the instances and waits until all believe in all, and every slot has a holder.
-func (p *play) form(ctx context.Context, startedAt time.Time) error {
-	if err := p.cluster.StartAll(); err != nil {
+// formCluster starts the instances and waits until all believe all alive and every slot has a holder.
+func (r *experimentRun) formCluster(ctx context.Context, startedAt time.Time) error {
+	if err := r.cluster.StartAll(); err != nil {
 		return err
 	}
-	if _, err := p.cluster.WaitForAgreement(ctx, p.Instances, formTimeout); err != nil {
+	if _, err := r.cluster.WaitForAgreement(ctx, r.Instances, formTimeout); err != nil {
 		return err
 	}
-	p.result.FormedMS = milliseconds(time.Since(startedAt))
-	if err := p.cluster.WaitForAllSlotsLeased(ctx, formTimeout); err != nil {
+	r.result.FormedMS = milliseconds(time.Since(startedAt))
+	if err := r.cluster.WaitForAllSlotsLeased(ctx, formTimeout); err != nil {
 		return err
 	}
-	p.result.SlotsLeasedMS = milliseconds(time.Since(startedAt))
+	r.result.SlotsLeasedMS = milliseconds(time.Since(startedAt))
 	return nil
 }
 
-// measureCalm measures what instances cost that do nothing but watch each other.
-func (p *play) measureCalm(ctx context.Context) error {
-	time.Sleep(calmDelay)
-	bytesBefore, cpuBefore, err := p.usage(ctx)
+// measureIdleCost measures traffic and processor time of instances that only monitor each other and share leases.
+func (r *experimentRun) measureIdleCost(ctx context.Context) error {
+	time.Sleep(idleDelay)
+	bytesBefore, cpuBefore, err := r.usage(ctx)
 	if err != nil {
 		return err
 	}
 	startedAt := time.Now()
-	time.Sleep(calmDuration)
-	bytes, cpu, err := p.usage(ctx)
+	time.Sleep(idleDuration)
+	bytes, cpu, err := r.usage(ctx)
 	if err != nil {
 		return err
 	}
-	instanceSeconds := time.Since(startedAt).Seconds() * float64(p.Instances)
-	p.result.BytesPerSecond = float64(bytes-bytesBefore) / instanceSeconds
-	p.result.IdleCPUShare = (cpu - cpuBefore) / instanceSeconds
+	instanceSeconds := time.Since(startedAt).Seconds() * float64(r.Instances)
+	r.result.BytesPerSecond = float64(bytes-bytesBefore) / instanceSeconds
+	r.result.IdleCPUShare = (cpu - cpuBefore) / instanceSeconds
 	return nil
 }
 
-// usage sums up what instances have sent to each other and the processor time they have had, and notes their
-// memory.
-func (p *play) usage(ctx context.Context) (bytes int64, cpuSeconds float64, err error) {
-	for _, name := range p.cluster.Names {
-		status, err := p.cluster.MembersStatus(ctx, name)
+// usage returns the bytes that all instances have sent to each other and the processor time that they have used. It
+// also records the largest resident memory of an instance.
+func (r *experimentRun) usage(ctx context.Context) (bytes int64, cpuSeconds float64, err error) {
+	for _, name := range r.cluster.Names {
+		status, err := r.cluster.MembersStatus(ctx, name)
 		if err != nil {
 			return 0, 0, err
 		}
-		pid := p.cluster.PID(name)
+		pid := r.cluster.PID(name)
 		bytes += status.BytesSent
 		cpuSeconds += testcluster.CPUSeconds(pid)
-		p.result.ResidentKB = max(p.result.ResidentKB, testcluster.ResidentKB(pid))
+		r.result.ResidentKB = max(r.result.ResidentKB, testcluster.ResidentKB(pid))
 	}
 	return bytes, cpuSeconds, nil
 }
 
-// watchWithoutFaults lets the instances run, and counts deaths that they see.
-func (p *play) watchWithoutFaults(ctx context.Context) {
+// runWithoutFaults lets the instances run, and counts the deaths that they report.
+func (r *experimentRun) runWithoutFaults(ctx context.Context) {
 	startedAt := time.Now()
 	select {
-	case <-time.After(p.Duration):
+	case <-time.After(r.Duration):
 	case <-ctx.Done():
 	}
-	p.result.FalseDeaths = p.cluster.FalseDeaths(startedAt)
+	r.result.FalseDeaths = r.cluster.FalseDeaths(startedAt)
 }
 
-func (p *play) summarizeDetections() {
+func (r *experimentRun) summarizeDetections() {
 	var detections []float64
-	for _, fault := range p.result.Faults {
+	for _, fault := range r.result.Faults {
 		if fault.Kind == Kill && fault.DetectionMS > 0 {
 			detections = append(detections, fault.DetectionMS)
 		}
 	}
 	slices.Sort(detections)
-	p.result.DetectionP50MS = report.Percentile(detections, 50)
-	p.result.DetectionP99MS = report.Percentile(detections, 99)
-	p.result.DetectionMaxMS = report.Percentile(detections, 100)
+	r.result.DetectionP50MS = report.Percentile(detections, 50)
+	r.result.DetectionP99MS = report.Percentile(detections, 99)
+	r.result.DetectionMaxMS = report.Percentile(detections, 100)
 }
 
-func (p *play) summarizeMembers(ctx context.Context) error {
-	for _, name := range p.cluster.Names {
-		status, err := p.cluster.MembersStatus(ctx, name)
+func (r *experimentRun) summarizeMembers(ctx context.Context) error {
+	for _, name := range r.cluster.Names {
+		status, err := r.cluster.MembersStatus(ctx, name)
 		if err != nil {
 			return err
 		}
-		p.result.MaxLinks = max(p.result.MaxLinks, status.Links)
-		p.result.ViewChanges += float64(status.View) / float64(p.Instances)
+		r.result.MaxLinks = max(r.result.MaxLinks, status.Links)
+		r.result.ViewChanges += float64(status.View) / float64(r.Instances)
 	}
 	return nil
 }
 
-// report writes what came of each fault.
-func (p *play) report() error {
-	if p.ResultsDir == "" {
+// report writes the result of each fault.
+func (r *experimentRun) report() error {
+	if r.ResultsDir == "" {
 		return nil
 	}
-	return report.WriteJSON(filepath.Join(p.ResultsDir, "members.json"), p.result.Faults)
+	return report.WriteJSON(filepath.Join(r.ResultsDir, "members.json"), r.result.Faults)
 }
 
 func milliseconds(duration time.Duration) float64 {
--- a/internal/experiment/membership/fault.go
+++ b/internal/experiment/membership/fault.go
@@ -12,22 +12,22 @@
 	"tealpath/internal/experiment/testcluster"
 )
 
-// Fault is what is done to instances or to the links between them.
+// Fault is a fault of instances or of the links between them.
 type Fault string
 
 // Faults of instances and links.
 const (
-	Kill       Fault = "kill"    // one is killed and started again
-	Pause      Fault = "pause"   // one stands still for a while
-	LinkDelay  Fault = "late"    // what one sends and is sent comes late
-	CutOneLink Fault = "oneway"  // one can't open connections to another
-	CutInward  Fault = "deaf"    // nobody can open connections to one
-	CutOutward Fault = "mute"    // one can't open connections to anybody
-	Partition  Fault = "split"   // a third and the rest can't reach each other
-	Flapping   Fault = "flap"    // one's links are cut and mended in turn
-	PauseMany  Fault = "many"    // a tenth stands still at once
-	Starve     Fault = "slow"    // one runs for a twentieth of the time
-	RestartAll Fault = "rolling" // all are restarted in turn
+	Kill       Fault = "kill"    // an instance is killed and started again
+	Pause      Fault = "pause"   // an instance is stopped for a while
+	LinkDelay  Fault = "late"    // all messages from and to an instance are delayed
+	CutOneLink Fault = "oneway"  // links that one instance opens to another are cut
+	CutInward  Fault = "deaf"    // links that others open to an instance are cut
+	CutOutward Fault = "mute"    // links that an instance opens to others are cut
+	Partition  Fault = "split"   // links between a third of the instances and the others are cut
+	Flapping   Fault = "flap"    // links that an instance opens are repeatedly cut and healed
+	PauseMany  Fault = "many"    // a tenth of the instances is stopped at once
+	Starve     Fault = "slow"    // an instance runs for a twentieth of the time
+	RestartAll Fault = "rolling" // all instances are restarted in turn
 )
 
 // Faults returns all faults.
@@ -38,86 +38,86 @@
 }
 
 const (
-	// maxUndetectedPause is a pause after which nobody may take the instance for dead.
+	// maxUndetectedPause is the longest pause after which no other instance may believe the paused one dead.
 	maxUndetectedPause = 1500 * time.Millisecond
 
 	pauseManyDuration = 5 * time.Second
-	pauseManyPart     = 10 // one in so many
+	pauseManyOneIn    = 10 // every tenth instance is stopped
 	delayDuration     = 5 * time.Second
 	linkDelay         = 300 * time.Millisecond
 	oneLinkDuration   = 8 * time.Second
 	partitionDuration = 10 * time.Second
-	partitionPart     = 3 // one in so many is on the smaller side
-	judgementDelay    = time.Second
-	flaps             = 6
+	partitionOneIn    = 3 // every third instance is on the smaller side
+	healDelay         = time.Second
+	flapCount         = 6
 	flapDuration      = time.Second
 	starveDuration    = 10 * time.Second
 	starveStopped     = 95 * time.Millisecond
 	starveRunning     = 5 * time.Millisecond
 )
 
-// pauses are the durations of pauses, in turn.
+// pauses are the durations of successive pauses.
 var pauses = []time.Duration{500 * time.Millisecond, maxUndetectedPause, 5 * time.Second}
 
-// FaultResult is one fault, and what came of it.
+// FaultResult is the outcome of one fault.
 type FaultResult struct {
 	Kind           Fault
 	Victim         string
-	DetectionMS    float64 `json:"MS"`    // until all others had detected it; 0 where nobody was to
-	FalseDeaths    int     `json:"False"` // live instances that were taken for dead
-	DisagreementMS float64 `json:"AgreedMS"`
+	DetectionMS    float64 `json:"MS"`       // until all others had detected it; 0 if none had to detect it
+	FalseDeaths    int     `json:"False"`    // logged deaths of live instances
+	DisagreementMS float64 `json:"AgreedMS"` // from the end of the fault until all have the same view
 }
 
-// injection is one fault while it is there.
+// injection is the state of one fault while it is injected.
 type injection struct {
-	*play
+	*experimentRun
 	victimIndex int
 	victim      string
 	others      []string // all but the victim
 	startedAt   time.Time
-	excluded    []string // instances whose logged deaths, and those that they log, are not counted as false
+	excluded    []string // deaths that these instances log, or that others log of them, are not false
 	result      FaultResult
 }
 
-// injectFaults injects faults in turn until the experiment's time is over.
-func (p *play) injectFaults(ctx context.Context) error {
-	deadline := time.Now().Add(p.Duration)
+// injectFaults injects faults in turn until the experiment's duration has passed.
+func (r *experimentRun) injectFaults(ctx context.Context) error {
+	deadline := time.Now().Add(r.Duration)
 	for i := 0; time.Now().Before(deadline) && ctx.Err() == nil; i++ {
-		result, err := p.inject(ctx, p.Faults[i%len(p.Faults)])
+		result, err := r.inject(ctx, r.Faults[i%len(r.Faults)])
 		if err != nil {
 			return err
 		}
 		if result.Kind == CutInward || result.Kind == CutOutward {
-			p.result.JudgementMaxMS = max(p.result.JudgementMaxMS, result.DetectionMS)
+			r.result.OneWayDetectionMaxMS = max(r.result.OneWayDetectionMaxMS, result.DetectionMS)
 		}
-		p.result.FalseDeaths += result.FalseDeaths
-		p.result.DisagreementMaxMS = max(p.result.DisagreementMaxMS, result.DisagreementMS)
-		p.result.Faults = append(p.result.Faults, result)
+		r.result.FalseDeaths += result.FalseDeaths
+		r.result.DisagreementMaxMS = max(r.result.DisagreementMaxMS, result.DisagreementMS)
+		r.result.Faults = append(r.result.Faults, result)
 	}
 	return nil
 }
 
 // inject injects one fault, ends it, and waits until all instances agree again.
-func (p *play) inject(ctx context.Context, fault Fault) (FaultResult, error) {
-	index := p.random.IntN(len(p.cluster.Names))
-	victim := p.cluster.Names[index]
+func (r *experimentRun) inject(ctx context.Context, fault Fault) (FaultResult, error) {
+	index := r.random.IntN(len(r.cluster.Names))
+	victim := r.cluster.Names[index]
 	in := &injection{
-		play:        p,
-		victimIndex: index,
-		victim:      victim,
-		others:      slices.DeleteFunc(slices.Clone(p.cluster.Names), testcluster.Only(victim)),
-		startedAt:   time.Now(),
-		excluded:    []string{victim},
-		result:      FaultResult{Kind: fault, Victim: victim},
+		experimentRun: r,
+		victimIndex:   index,
+		victim:        victim,
+		others:        slices.DeleteFunc(slices.Clone(r.cluster.Names), testcluster.Only(victim)),
+		startedAt:     time.Now(),
+		excluded:      []string{victim},
+		result:        FaultResult{Kind: fault, Victim: victim},
 	}
 	if err := in.apply(fault); err != nil {
 		return in.result, err
 	}
-	disagreement, err := p.cluster.WaitForAgreement(ctx, len(p.cluster.Names), agreementTimeout)
-	if fault != Kill { // a start is no disagreement
+	disagreement, err := r.cluster.WaitForAgreement(ctx, len(r.cluster.Names), agreementTimeout)
+	if fault != Kill { // after a kill, the wait is for the victim's restart
 		in.result.DisagreementMS = milliseconds(disagreement)
 	}
-	in.result.FalseDeaths = p.cluster.FalseDeaths(in.startedAt, in.excluded...)
+	in.result.FalseDeaths = r.cluster.FalseDeaths(in.startedAt, in.excluded...)
 	if err != nil {
 		return in.result, fmt.Errorf("after %s of %s: %w", fault, victim, err)
 	}
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// waitForDetection waits until all others have detected the victim's death, and counts it if they don't.
+// waitForDetection waits until all others have logged the victim's death. It increments undetected if they do not.
 func (in *injection) waitForDetection(undetected *int) {
 	took, ok := in.cluster.WaitForDetection(in.victim, in.others, in.startedAt, detectionTimeout)
 	in.result.DetectionMS = milliseconds(took)
@@ -163,26 +163,26 @@
 }
 
 func (in *injection) kill() error {
-	in.play.result.Kills++
+	in.experimentRun.result.Kills++
 	err := in.cluster.Signal(in.victim, syscall.SIGKILL)
-	in.waitForDetection(&in.play.result.UndetectedKills)
+	in.waitForDetection(&in.experimentRun.result.UndetectedKills)
 	return errors.Join(err, in.cluster.Start(in.victim))
 }
 
 func (in *injection) pause() error {
-	in.play.result.Pauses++
-	duration := pauses[in.play.result.Pauses%len(pauses)]
+	in.experimentRun.result.Pauses++
+	duration := pauses[in.experimentRun.result.Pauses%len(pauses)]
 	if duration <= maxUndetectedPause {
 		in.excluded = nil
 	}
 	return in.stopFor(duration, in.victim)
 }
 
-// pauseMany stops a tenth of the instances at once, for longer than the silence after which one counts as dead.
+// pauseMany stops a tenth of the instances at once, for longer than the silence timeout.
 func (in *injection) pauseMany() error {
 	var stopped []string
 	for i, name := range in.cluster.Names {
-		if i%pauseManyPart == in.victimIndex%pauseManyPart {
+		if i%pauseManyOneIn == in.victimIndex%pauseManyOneIn {
 			stopped = append(stopped, name)
 		}
 	}
@@ -190,7 +190,7 @@
 	return in.stopFor(pauseManyDuration, stopped...)
 }
 
-// stopFor stops instances for a time.
+// stopFor stops instances by SIGSTOP for a duration.
 func (in *injection) stopFor(duration time.Duration, names ...string) error {
 	var err error
 	for _, name := range names {
@@ -243,17 +243,17 @@
 	in.cluster.Heal()
 }
 
-// cutUntilDetected cuts links of the victim in one direction until all others have taken it for dead.
-func (in *injection) cutUntilDetected(from, to testcluster.Side) {
+// cutUntilDetected cuts the victim's links in one direction until all others have detected its death.
+func (in *injection) cutUntilDetected(from, to testcluster.Selector) {
 	in.cluster.CutLinks(from, to)
-	in.waitForDetection(&in.play.result.Unjudged)
-	time.Sleep(judgementDelay)
+	in.waitForDetection(&in.experimentRun.result.UndetectedOneWay)
+	time.Sleep(healDelay)
 	in.cluster.Heal()
 }
 
 func (in *injection) partition() {
 	in.excluded = in.cluster.Names
-	smaller := func(name string) bool { return slices.Index(in.cluster.Names, name)%partitionPart == 0 }
+	smaller := func(name string) bool { return slices.Index(in.cluster.Names, name)%partitionOneIn == 0 }
 	in.cluster.CutLinks(smaller, testcluster.Not(smaller))
 	in.cluster.CutLinks(testcluster.Not(smaller), smaller)
 	time.Sleep(partitionDuration)
@@ -261,7 +261,7 @@
 }
 
 func (in *injection) flap() {
-	for i := range flaps {
+	for i := range flapCount {
 		isCut := i%2 == 0
 		in.cluster.SetLinks(testcluster.Only(in.victim), testcluster.Any,
 			relay.Conditions{CutForward: isCut, CutBackward: isCut})
--- a/internal/experiment/membership/membership_test.go
+++ b/internal/experiment/membership/membership_test.go
@@ -10,7 +10,7 @@
 	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
-// Real instances: killed, cut off in one direction, a tenth stopped, split, one starved.
+// Real instances are killed, cut off in one direction, stopped, partitioned and starved.
 func TestMembersOfRealInstances(t *testing.T) {
 	t.Parallel()
 	r, err := Experiment{
@@ -27,48 +27,49 @@
 		Duration: 42 * time.Second,
 		Seed:     7,
 	}.Run(t.Context())
-	// How long it took is the machine's as well: tests hold only what was detected, and that all agreed again.
+	// Durations depend on the machine's load, so the test only checks that faults were detected and that all
+	// instances agreed again.
 	var bound *report.BoundError
 	if err != nil && !errors.As(err, &bound) {
-		t.Errorf("%v %+v", err, r)
+		t.Errorf("the experiment failed: %v; result %+v", err, r)
 	}
-	if r.FalseDeaths+r.UndetectedKills+r.Unjudged > 0 || len(r.Faults) < 5 {
-		t.Errorf("%v %+v", err, r)
+	if r.FalseDeaths+r.UndetectedKills+r.UndetectedOneWay > 0 || len(r.Faults) < 5 {
+		t.Errorf("false deaths, undetected faults or fewer than 5 faults: error %v, result %+v", err, r)
 	}
 }
 
 func TestCheckBounds(t *testing.T) {
 	within := Result{
-		Instances:         50,
-		DetectionMaxMS:    MaxDetectionMS,
-		JudgementMaxMS:    MaxJudgementMS,
-		DisagreementMaxMS: MaxDisagreementMS,
-		MaxLinks:          66,
+		Instances:            50,
+		DetectionMaxMS:       MaxDetectionMS,
+		OneWayDetectionMaxMS: MaxOneWayDetectionMS,
+		DisagreementMaxMS:    MaxDisagreementMS,
+		MaxLinks:             66,
 	}
 	if err := within.CheckBounds(); err != nil {
-		t.Error(err)
+		t.Errorf("result within all bounds: %v", err)
 	}
 	for name, breakBound := range map[string]func(*Result){
-		"detection":    func(r *Result) { r.DetectionMaxMS++ },
-		"undetected":   func(r *Result) { r.UndetectedKills++ },
-		"false deaths": func(r *Result) { r.FalseDeaths++ },
-		"unjudged":     func(r *Result) { r.Unjudged++ },
-		"judgement":    func(r *Result) { r.JudgementMaxMS++ },
-		"disagreement": func(r *Result) { r.DisagreementMaxMS++ },
-		"links":        func(r *Result) { r.MaxLinks++ },
+		"detection":                func(r *Result) { r.DetectionMaxMS++ },
+		"undetected kill":          func(r *Result) { r.UndetectedKills++ },
+		"false deaths":             func(r *Result) { r.FalseDeaths++ },
+		"undetected one-way fault": func(r *Result) { r.UndetectedOneWay++ },
+		"one-way detection":        func(r *Result) { r.OneWayDetectionMaxMS++ },
+		"disagreement":             func(r *Result) { r.DisagreementMaxMS++ },
+		"links":                    func(r *Result) { r.MaxLinks++ },
 	} {
 		broken := within
 		breakBound(&broken)
 		var bound *report.BoundError
 		if err := broken.CheckBounds(); !errors.As(err, &bound) || bound.Page != "docs/membership.md" {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("broken bound of %s: got %v, want a bound error of docs/membership.md", name, err)
 		}
 	}
 }
 
 func TestUnknownFaultIsRejected(t *testing.T) {
 	_, err := Experiment{Faults: []Fault{Kill, "nonsense"}}.Run(t.Context())
-	if want := "faults are of " + FaultNames(); err == nil || err.Error() != want {
-		t.Errorf("%v, want %s", err, want)
+	if want := `unknown fault "nonsense"; faults are ` + FaultNames(); err == nil || err.Error() != want {
+		t.Errorf("error %v, want %s", err, want)
 	}
 }
--- a/internal/experiment/membershipsim/faults.go
+++ b/internal/experiment/membershipsim/faults.go
@@ -5,24 +5,24 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// Fault is what can happen to instances or the network: those of the experiment with real processes, and two more.
+// Fault is a fault of instances or of the network. Most faults are those of the experiment with real processes.
 type Fault = membership.Fault
 
-// The faults.
+// Faults of instances and of the network.
 const (
-	FaultKill          = membership.Kill       // an instance is killed, and starts again after a while
-	FaultPause         = membership.Pause      // a process is stopped for up to 30 s
-	FaultLoss          = Fault("loss")         // a fifth of all messages is lost
-	FaultOneWayLink    = membership.CutOneLink // nothing arrives from one instance at another
-	FaultInboundLost   = membership.CutInward  // an instance hears nothing
-	FaultOutboundLost  = membership.CutOutward // an instance is heard by nobody
-	FaultPartition     = membership.Partition  // the network is split in two
-	FaultFlapping      = membership.Flapping   // an instance is heard every other second only
-	FaultLatency       = membership.LinkDelay  // messages take half a second
+	FaultKill          = membership.Kill       // an instance is killed and starts again after restartDelay
+	FaultPause         = membership.Pause      // an instance is suspended for up to 30 s
+	FaultLoss          = Fault("loss")         // a fifth of all messages are lost
+	FaultOneWayLink    = membership.CutOneLink // all messages from one instance to another are lost
+	FaultInboundLost   = membership.CutInward  // all messages to an instance are lost
+	FaultOutboundLost  = membership.CutOutward // all messages from an instance are lost
+	FaultPartition     = membership.Partition  // the network is split into two partitions
+	FaultFlapping      = membership.Flapping   // all messages from an instance are lost in every other second
+	FaultLatency       = membership.LinkDelay  // the mean latency is half a second
 	FaultDuplicateSend = Fault("twice")        // half of all messages arrive twice
 )
 
-// Faults are all faults.
+// Faults lists all faults.
 var Faults = []Fault{
 	FaultKill,
 	FaultPause,
@@ -36,7 +36,7 @@
 	FaultDuplicateSend,
 }
 
-// FaultNames are the names of all faults.
+// FaultNames returns the names of all faults.
 func FaultNames() []string {
 	names := make([]string, len(Faults))
 	for i, fault := range Faults {
@@ -45,33 +45,35 @@
 	return names
 }
 
-// How long faults last and how much time members then have to agree again, ns.
+// Durations of faults and of the time that members then have to agree again, in ns, and degrees of faults.
 const (
 	second              = int64(1e9)
 	restartDelay        = 20 * second
 	networkFaultTime    = 10 * second
 	oneWayFaultTime     = 8 * second
-	maxOneWayDetection  = 5 * second // until all others are to believe an instance with a one-way fault dead
-	settleTime          = 5 * second // after the end of a fault
+	maxOneWayDetection  = 5 * second // within which all others must believe an instance with a one-way fault dead
+	settleTime          = 5 * second // after the end of most faults
 	duplicateSettleTime = 2 * second
-	flaps               = 8
+	flapCount           = 8
 	flapSettleTime      = 6 * second
-	longestShortPause   = 3 * second / 2 // a longer one may rightly be taken for a death
+	maxUndetectedPause  = 3 * second / 2 // after a longer one, members may believe the instance dead
 
-	lossDuringFault    = 0.2
-	latencyDuringFault = second / 2
-	minoritySideOneIn  = 3
+	lossDuringFault    = 0.2        // of all messages
+	latencyDuringFault = second / 2 // mean
+	minoritySideOneIn  = 3          // every third member is on the smaller side of a partition
 )
 
-// pauses are the lengths of pauses to draw from.
-var pauses = []int64{second / 2, longestShortPause, 5 * second, 30 * second}
+// pauses are the durations of pauses to draw from.
+var pauses = []int64{second / 2, maxUndetectedPause, 5 * second, 30 * second}
 
-// faultLasts notes that a fault is at work, or its effects are, for so long from now on.
-func (s *runState) faultLasts(duration int64) { s.calmFrom = max(s.calmFrom, s.now()+duration) }
+// extendFaultPeriod records that a fault and its effects last at least for a duration from now.
+func (s *runState) extendFaultPeriod(duration int64) {
+	s.faultFreeFrom = max(s.faultFreeFrom, s.now()+duration)
+}
 
-// injectFault begins a fault, one at a time: each figure is of one fault.
+// injectFault starts a random fault if the previous one is over: each measurement is to show the effect of one fault.
 func (s *runState) injectFault() {
-	if s.now() < s.calmFrom {
+	if s.now() < s.faultFreeFrom {
 		return
 	}
 	victim := s.members[s.random.IntN(len(s.members))]
@@ -104,13 +106,13 @@
 	}
 }
 
-// kill ends a member, which starts again later.
+// kill kills a member, which starts again after restartDelay.
 func (s *runState) kill(victim *simulatedMember) {
 	s.measured.kills++
 	victim.host.Stopped = true
 	victim.host.Incarnation++
 	victim.mayBeDeadUntil = s.now() + restartDelay + settleTime
-	s.faultLasts(restartDelay + settleTime)
+	s.extendFaultPeriod(restartDelay + settleTime)
 	s.awaitDetection(victim, restartDelay, s.measured.killDetected, s.measured.killMissed)
 	s.scheduler.After(restartDelay, victim.start)
 }
@@ -119,43 +121,44 @@
 	duration := pauses[s.random.IntN(len(pauses))]
 	s.measured.pauses++
 	victim.host.PausedUntil = s.now() + duration
-	if duration > longestShortPause {
+	if duration > maxUndetectedPause {
 		victim.mayBeDeadUntil = victim.host.PausedUntil + settleTime
 	}
-	s.faultLasts(duration + settleTime)
+	s.extendFaultPeriod(duration + settleTime)
 }
 
 func (s *runState) loseMessages() {
-	usual := s.network.Loss
+	before := s.network.Loss
 	s.network.Loss = lossDuringFault
-	s.faultLasts(networkFaultTime + settleTime)
-	s.scheduler.After(networkFaultTime, func() { s.network.Loss = usual })
+	s.extendFaultPeriod(networkFaultTime + settleTime)
+	s.scheduler.After(networkFaultTime, func() { s.network.Loss = before })
 }
 
 func (s *runState) delayMessages() {
-	usual := s.network.Latency
+	before := s.network.Latency
 	s.network.Latency = simulation.LatencyAround(latencyDuringFault)
-	s.faultLasts(networkFaultTime + settleTime)
-	s.scheduler.After(networkFaultTime, func() { s.network.Latency = usual })
+	s.extendFaultPeriod(networkFaultTime + settleTime)
+	s.scheduler.After(networkFaultTime, func() { s.network.Latency = before })
 }
 
 func (s *runState) duplicateMessages() {
 	s.duplicateSends = true
-	s.faultLasts(networkFaultTime + duplicateSettleTime)
+	s.extendFaultPeriod(networkFaultTime + duplicateSettleTime)
 	s.scheduler.After(networkFaultTime, func() { s.duplicateSends = false })
 }
 
 func (s *runState) cutOneWay(from, to *simulatedMember) {
 	s.cutLinks[directedPair{from.index, to.index}] = true
-	s.faultLasts(networkFaultTime + settleTime)
+	s.extendFaultPeriod(networkFaultTime + settleTime)
 	s.scheduler.After(networkFaultTime, func() { clear(s.cutLinks) })
 }
 
-// isolateOneWay follows a member that can only send or only hear; others are to believe it dead.
+// isolateOneWay measures when all other members believe a member dead that can only send or only receive, and then
+// ends the fault.
 func (s *runState) isolateOneWay(victim *simulatedMember) {
 	s.awaitDetection(victim, maxOneWayDetection, s.measured.oneWayDetected, s.measured.oneWayMissed)
 	victim.mayBeDeadUntil = s.now() + networkFaultTime + settleTime
-	s.faultLasts(networkFaultTime + settleTime)
+	s.extendFaultPeriod(networkFaultTime + settleTime)
 	s.scheduler.After(oneWayFaultTime, func() {
 		victim.host.InboundLost, victim.host.OutboundLost = false, false
 	})
@@ -168,7 +171,7 @@
 		}
 		member.mayBeDeadUntil = s.now() + networkFaultTime + settleTime
 	}
-	s.faultLasts(networkFaultTime + settleTime)
+	s.extendFaultPeriod(networkFaultTime + settleTime)
 	s.scheduler.After(networkFaultTime, func() {
 		for _, member := range s.members {
 			member.host.Partition = 0
@@ -177,9 +180,9 @@
 }
 
 func (s *runState) flap(victim *simulatedMember) {
-	for i := range int64(flaps) {
+	for i := range int64(flapCount) {
 		s.scheduler.After(i*second, func() { victim.host.OutboundLost = i%2 == 0 })
 	}
-	victim.mayBeDeadUntil = s.now() + flaps*second + flapSettleTime
-	s.faultLasts(flaps*second + flapSettleTime)
+	victim.mayBeDeadUntil = s.now() + flapCount*second + flapSettleTime
+	s.extendFaultPeriod(flapCount*second + flapSettleTime)
 }
--- a/internal/experiment/membershipsim/member.go
+++ b/internal/experiment/membershipsim/member.go
@@ -8,25 +8,25 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// simulatedMember is one process over all its starts.
+// simulatedMember is one router process through all its restarts.
 type simulatedMember struct {
 	run      *runState
 	name     string
 	index    int
 	host     simulation.Host
 	protocol protocol // nil before the first start
-	timerAt  int64    // of the protocol's timer
+	timerAt  int64    // simulated time at which the protocol's timer fires
 
-	// mayBeDeadUntil is until when a fault justifies that others believe the member dead, and that it
-	// believes others dead.
+	// mayBeDeadUntil is the time until which a fault justifies that other members believe this one dead and that it
+	// believes them dead.
 	mayBeDeadUntil int64
-	duringPause    []func() // what came while the process was paused, in the order in which it came
+	pausedEvents   []func() // events that occurred during the current pause, in order
 }
 
-// start begins the next incarnation.
+// start starts the next incarnation.
 func (m *simulatedMember) start() {
 	m.host.Start()
-	m.duringPause = nil
+	m.pausedEvents = nil
 	if m.run.plan.Baseline {
 		m.protocol = m.newBaselineProtocol()
 	} else {
@@ -81,7 +81,7 @@
 	})}
 }
 
-// setTimer schedules what the protocol has to do next.
+// setTimer schedules the protocol's next tick.
 func (m *simulatedMember) setTimer() {
 	run := m.run
 	at := max(m.protocol.next(), run.now()+minTimerDelay)
@@ -91,24 +91,23 @@
 		if m.host.Incarnation != incarnation || m.timerAt != at || m.host.Stopped {
 			return
 		}
-		m.whenAwake(func() {
+		m.runWhenResumed(func() {
 			m.send(m.protocol.tick(run.now()))
 			m.setTimer()
 		})
 	})
 }
 
-// whenAwake runs an event of the process once it is not paused. Events of a pause run in reverse order, the
-// latest one first: the protocol has to notice by itself how long it was away, whichever event a resumed
-// process finds first.
-func (m *simulatedMember) whenAwake(event func()) {
+// runWhenResumed runs an event of the process now, or when its pause ends. Events that occurred during a pause then
+// run in reverse order: the protocol has to detect how long the pause was, whichever event it receives first.
+func (m *simulatedMember) runWhenResumed(event func()) {
 	run := m.run
 	if !m.host.Paused(run.now()) {
 		event()
 		return
 	}
-	m.duringPause = append(m.duringPause, event)
-	if len(m.duringPause) > 1 {
+	m.pausedEvents = append(m.pausedEvents, event)
+	if len(m.pausedEvents) > 1 {
 		return
 	}
 	incarnation := m.host.Incarnation
@@ -116,19 +115,19 @@
 		if m.host.Incarnation != incarnation || m.host.Stopped {
 			return
 		}
-		events := m.duringPause
-		m.duringPause = nil
+		events := m.pausedEvents
+		m.pausedEvents = nil
 		for _, event := range slices.Backward(events) {
 			event()
 		}
 	})
 }
 
-// send hands messages to the network.
+// send passes messages to the simulated network.
 func (m *simulatedMember) send(messages []message) {
 	run := m.run
 	for _, message := range messages {
-		run.measured.sent(message, run.now() >= run.calmFrom)
+		run.measured.countSent(message, run.now() >= run.faultFreeFrom)
 		to := run.byName[message.to]
 		if to == nil || !run.connected(m, to) || run.network.LosesNext() {
 			continue
@@ -141,17 +140,17 @@
 			m.deliver(to, message)
 		}
 	}
-	if run.measured.messages%connectionSampling == 0 || run.now() < run.calmFrom {
+	if run.measured.messages%connectionSamplingInterval == 0 || run.now() < run.faultFreeFrom {
 		run.measured.maxConnections = max(run.measured.maxConnections, m.protocol.connections())
 	}
 }
 
-// connected tells whether no fault keeps all messages of one member from another.
+// connected reports whether messages from one member can reach another, apart from random losses.
 func (s *runState) connected(from, to *simulatedMember) bool {
 	return from.host.Reaches(&to.host) && !s.cutLinks[directedPair{from.index, to.index}]
 }
 
-// deliver schedules the arrival of a message. It does not arrive if one of the two processes has ended by then.
+// deliver schedules the arrival of a message. The message is dropped if either process has ended by then.
 func (m *simulatedMember) deliver(to *simulatedMember, message message) {
 	run := m.run
 	senderIncarnation, receiverIncarnation := m.host.Incarnation, to.host.Incarnation
@@ -160,7 +159,7 @@
 		if receiverGone || m.host.Incarnation != senderIncarnation {
 			return
 		}
-		to.whenAwake(func() {
+		to.runWhenResumed(func() {
 			to.send(to.protocol.receive(run.now(), m.name, message))
 			if to.protocol.next() < to.timerAt {
 				to.setTimer()
@@ -169,13 +168,13 @@
 	})
 }
 
-// healthy tells whether the member is there to believe something, and to be believed in.
+// healthy reports whether the member is running and can both send and receive.
 func (m *simulatedMember) healthy() bool {
 	host := &m.host
 	return m.protocol != nil && host.Running(m.run.now()) && !host.InboundLost && !host.OutboundLost
 }
 
-// believesDead tells whether the member believes another one dead.
+// believesDead reports whether the member believes another one dead.
 func (m *simulatedMember) believesDead(other *simulatedMember) bool {
 	dead, _ := m.protocol.belief(other.name)
 	return dead
--- a/internal/experiment/membershipsim/membershipsim_test.go
+++ b/internal/experiment/membershipsim/membershipsim_test.go
@@ -10,8 +10,8 @@
 	"tealpath/internal/experiment/experimenttest"
 )
 
-// usualPlan is a plan with the usual intervals.
-func usualPlan(instances int, duration time.Duration, seed uint64) Plan {
+// newTestPlan returns a plan without faults, with the default heartbeat interval and silence timeout.
+func newTestPlan(instances int, duration time.Duration, seed uint64) Plan {
 	return Plan{
 		Instances:         instances,
 		Duration:          duration,
@@ -45,9 +45,9 @@
 	} {
 		t.Run(fmt.Sprint(faults), func(t *testing.T) {
 			t.Parallel()
-			r := usualPlan(40, 150*time.Second, 7).withFaults(20*time.Second, faults...).Run()
-			if !r.BoundsHold() || r.TimeToFormMS < 0 || r.CalmBytes > 2000 {
-				t.Errorf("%+v", r)
+			r := newTestPlan(40, 150*time.Second, 7).withFaults(20*time.Second, faults...).Run()
+			if !r.BoundsHold() || r.TimeToFormMS < 0 || r.FaultFreeBytesPerSecond > 2000 {
+				t.Errorf("a bound is broken, the group never formed or over 2000 bytes per second: %+v", r)
 			}
 		})
 	}
@@ -55,23 +55,24 @@
 
 func TestBoundsWithAFifthOfAllMessagesLost(t *testing.T) {
 	t.Parallel()
-	plan := usualPlan(40, 100*time.Second, 7)
+	plan := newTestPlan(40, 100*time.Second, 7)
 	plan.Loss = 0.2
 	if r := plan.Run(); !r.BoundsHold() {
-		t.Errorf("%+v", r)
+		t.Errorf("a bound is broken: %+v", r)
 	}
 }
 
-func TestBaselineTakesLiveInstancesForDeadAndSendsMore(t *testing.T) {
+func TestBaselineHasFalseDeathsAndSendsMore(t *testing.T) {
 	t.Parallel()
-	plan := usualPlan(40, 30*time.Second, 7)
-	plan.SilenceTimeout = 0 // the default
+	plan := newTestPlan(40, 30*time.Second, 7)
+	plan.SilenceTimeout = 0 // selects the protocol's default
 	baseline, current := plan.asBaseline().Run(), plan.Run()
 	if baseline.FalseDeaths == 0 || current.FalseDeaths > 0 || current.BytesPerSecond > baseline.BytesPerSecond/4 {
-		t.Errorf("%+v, baseline %+v", current, baseline)
+		t.Errorf("want false deaths and over four times the bytes in the baseline only: %+v, baseline %+v",
+			current, baseline)
 	}
 	if again := plan.Run(); again != current {
-		t.Error("another run of the same seed differs")
+		t.Error("another run with the same seed gives a different result")
 	}
 }
 
@@ -86,14 +87,14 @@
 		recording.Line("broken", !result.BoundsHold())
 	}
 	for _, fault := range Faults {
-		run(string(fault), usualPlan(16, 90*time.Second, 11).withFaults(15*time.Second, fault))
+		run(string(fault), newTestPlan(16, 90*time.Second, 11).withFaults(15*time.Second, fault))
 	}
-	all := usualPlan(30, 300*time.Second, 12).withFaults(15*time.Second, Faults...)
+	all := newTestPlan(30, 300*time.Second, 12).withFaults(15*time.Second, Faults...)
 	all.Loss = 0.05
 	run("all", all)
-	run("many", usualPlan(60, 60*time.Second, 12).withFaults(10*time.Second, Faults...))
-	run("before", usualPlan(16, 120*time.Second, 11).withFaults(15*time.Second, Faults...).asBaseline())
-	run("before, calm", usualPlan(30, 40*time.Second, 11).asBaseline())
+	run("many", newTestPlan(60, 60*time.Second, 12).withFaults(10*time.Second, Faults...))
+	run("before", newTestPlan(16, 120*time.Second, 11).withFaults(15*time.Second, Faults...).asBaseline())
+	run("before, calm", newTestPlan(30, 40*time.Second, 11).asBaseline())
 	folder := t.TempDir()
 	if err := WriteCharts(folder, runs); err != nil {
 		t.Fatal(err)
@@ -102,7 +103,7 @@
 	recording.Compare()
 }
 
-func TestTableHasALineForEachRun(t *testing.T) {
+func TestTableHasARowForEachRun(t *testing.T) {
 	folder := t.TempDir()
 	runs := []Result{{Instances: 3, Baseline: true, DetectionP99: 1.5, FalseDeaths: 2}, {Instances: 4}}
 	if err := WriteTable(folder, runs); err != nil {
@@ -111,6 +112,6 @@
 	got, err := os.ReadFile(filepath.Join(folder, "members.csv"))
 	want := "instances,before,detect_p99_ms,false_deaths,bytes_calm,links\n3,true,1.5,2,0,0\n4,false,0,0,0,0\n"
 	if err != nil || string(got) != want {
-		t.Errorf("%v %s", err, got)
+		t.Errorf("members.csv holds\n%s, want\n%s; error %v", got, want, err)
 	}
 }
--- a/internal/experiment/membershipsim/observe.go
+++ b/internal/experiment/membershipsim/observe.go
@@ -3,17 +3,17 @@
 import "slices"
 
 const (
-	// observersAtOnce is how many members' beliefs are looked at in one observation; with more than twice
-	// as many, they take turns.
-	observersAtOnce = 24
-	// connectionSampling: connections are counted at every so manieth message only, as counting them takes
-	// long.
-	connectionSampling = 16
-	detectionPoll      = int64(20e6) // ns between two looks at whether all believe a member dead
-	notDiffering       = int64(-1)
+	// observersPerRound is how many members' beliefs one observation checks if there are more than twice as many
+	// members, which then take turns. A smaller number of members are all checked.
+	observersPerRound = 24
+	// connectionSamplingInterval is the number of messages between two counts of a member's connections while there
+	// is no fault. Counting at every message would take too long.
+	connectionSamplingInterval = 16
+	detectionPollInterval      = int64(20e6) // ns between two checks whether all believe a member dead
+	notDiffering               = int64(-1)   // value of differSince while views are equal
 )
 
-// measurements are what a run counts.
+// measurements collects what a run measures.
 type measurements struct {
 	kills          int
 	missedKills    int
@@ -22,18 +22,19 @@
 	missedOneWay   int
 	maxOneWay      float64 // ms
 	falseDeaths    int
-	believedDead   map[directedPair]bool // which of them were counted
-	maxDifference  float64               // ms
-	differSince    int64                 // when views began to differ; notDiffering is not now
-	formedAt       int64                 // when all first believed all alive; notFormed is not yet
+	believedDead   map[directedPair]bool // pairs of observer and member whose false death was counted
+	maxDifference  float64               // ms for which views differed
+	differSince    int64                 // when views began to differ, or notDiffering
+	formedAt       int64                 // when all first believed all others alive, or notFormed
 	bytes          int
 	messages       int
-	calmBytes      int
-	calmTime       int64 // ns
+	faultFreeBytes int
+	faultFreeTime  int64 // ns
 	maxConnections int
 	observations   int
 }
 
+// notFormed is the value of formedAt until all members believe all others alive.
 const notFormed = int64(-1)
 
 func newMeasurements() measurements {
@@ -44,11 +45,11 @@
 	}
 }
 
-func (m *measurements) sent(message message, calm bool) {
+func (m *measurements) countSent(message message, faultFree bool) {
 	m.bytes += message.bytes
 	m.messages++
-	if calm {
-		m.calmBytes += message.bytes
+	if faultFree {
+		m.faultFreeBytes += message.bytes
 	}
 }
 
@@ -57,7 +58,7 @@
 func (m *measurements) oneWayDetected(ms float64) { m.maxOneWay = max(m.maxOneWay, ms) }
 func (m *measurements) oneWayMissed()             { m.missedOneWay++ }
 
-// observe looks at what members believe at this moment.
+// observe checks what members believe at this moment.
 func (s *runState) observe() {
 	if s.measured.formedAt == notFormed && s.allBelieveAllAlive() {
 		s.measured.formedAt = s.now()
@@ -80,29 +81,29 @@
 	return true
 }
 
-// countFalseDeaths counts beliefs that a member is dead which no fault justifies.
+// countFalseDeaths counts the members that others believe dead although no fault justifies it.
 func (s *runState) countFalseDeaths() {
 	s.measured.observations++
-	inTurns := len(s.members) > 2*observersAtOnce
+	inTurns := len(s.members) > 2*observersPerRound
 	for i, observer := range s.members {
-		if inTurns && (i+s.measured.observations)%(len(s.members)/observersAtOnce) != 0 || !observer.healthy() {
+		if inTurns && (i+s.measured.observations)%(len(s.members)/observersPerRound) != 0 || !observer.healthy() {
 			continue
 		}
 		for _, member := range s.members {
 			if member != observer && s.mustBelieveAlive(observer, member) {
-				s.noteBelief(observer, member)
+				s.recordBelief(observer, member)
 			}
 		}
 	}
 }
 
-// mustBelieveAlive tells whether no fault justifies that an observer believes a member dead.
+// mustBelieveAlive reports whether no fault justifies that an observer believes a member dead.
 func (s *runState) mustBelieveAlive(observer, member *simulatedMember) bool {
 	justified := member.mayBeDeadUntil > s.now() || observer.mayBeDeadUntil > s.now()
 	return member.healthy() && !justified && member.host.Partition == observer.host.Partition
 }
 
-func (s *runState) noteBelief(observer, member *simulatedMember) {
+func (s *runState) recordBelief(observer, member *simulatedMember) {
 	pair := directedPair{observer.index, member.index}
 	dead := observer.believesDead(member)
 	if dead && !s.measured.believedDead[pair] {
@@ -111,19 +112,19 @@
 	s.measured.believedDead[pair] = dead
 }
 
-// compareViews measures for how long the views of healthy members differ after the end of a fault.
+// compareViews measures how long the views of healthy members differ after the end of a fault.
 func (s *runState) compareViews() {
-	if s.now() < s.calmFrom {
+	if s.now() < s.faultFreeFrom {
 		s.measured.differSince = notDiffering
 		return
 	}
-	s.measured.calmTime += s.observationInterval()
+	s.measured.faultFreeTime += s.observationInterval()
 	if s.sameViews() {
 		s.measured.differSince = notDiffering
 		return
 	}
 	if s.measured.differSince == notDiffering {
-		s.measured.differSince = s.calmFrom
+		s.measured.differSince = s.faultFreeFrom
 	}
 	s.measured.maxDifference = max(s.measured.maxDifference, float64(s.now()-s.measured.differSince)/1e6)
 }
@@ -139,8 +140,8 @@
 	return len(slices.Compact(digests)) <= 1
 }
 
-// awaitDetection reports when all other healthy members believe one dead, in ms from now, or that they do
-// not in time.
+// awaitDetection calls detected with the time in ms until all other healthy members believe the victim dead, or
+// missed if they do not within the timeout.
 func (s *runState) awaitDetection(victim *simulatedMember, timeout int64, detected func(ms float64), missed func()) {
 	began := s.now()
 	var poll func()
@@ -151,10 +152,10 @@
 		case s.allBelieveDead(victim):
 			detected(float64(elapsed) / 1e6)
 		default:
-			s.scheduler.After(detectionPoll, poll)
+			s.scheduler.After(detectionPollInterval, poll)
 		}
 	}
-	s.scheduler.After(detectionPoll, poll)
+	s.scheduler.After(detectionPollInterval, poll)
 }
 
 func (s *runState) allBelieveDead(victim *simulatedMember) bool {
--- a/internal/experiment/membershipsim/plan.go
+++ b/internal/experiment/membershipsim/plan.go
@@ -1,7 +1,7 @@
-// Package membershipsim simulates many instances that watch each other by internal/cluster/membership, or
-// by its baseline (internal/experiment/heartbeatgossip), while one fault after the other is at work. It
-// measures how fast dead instances are detected, whether live ones are taken for dead, how long views
-// differ, and what that costs.
+// Package membershipsim simulates many instances that monitor each other through internal/cluster/membership, or
+// through its baseline (internal/experiment/heartbeatgossip), while one fault after another is injected. It measures
+// how fast dead instances are detected, whether live ones are believed dead, how long views differ, and the cost in
+// messages and connections.
 package membershipsim
 
 import (
@@ -12,25 +12,25 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// Plan is one run of the experiment.
+// Plan configures one run of the simulation.
 type Plan struct {
 	Instances         int
 	Duration          time.Duration // simulated
 	Seed              uint64
 	HeartbeatInterval time.Duration
-	SilenceTimeout    time.Duration // after which a silent neighbour is reported; the baseline has none
-	Loss              float64       // part of all messages that is lost during the whole run
+	SilenceTimeout    time.Duration // after which a silent neighbour is suspected; the baseline has none
+	Loss              float64       // fraction of messages lost during the whole run
 	Faults            []Fault
-	FaultInterval     time.Duration // mean time between two faults; 0 is no fault at all
-	Baseline          bool          // heartbeat gossip in place of membership
-	StartSpread       time.Duration // all instances start within it
+	FaultInterval     time.Duration // mean time between two faults; 0 injects none
+	Baseline          bool          // run heartbeatgossip instead of membership
+	StartSpread       time.Duration // time within which all instances start
 }
 
 const (
-	usualLatency        = int64(2e6) // mean time of a message on the network, ns
-	settleIntervals     = 20         // heartbeat intervals after the start until the run counts as calm
+	meanLatency         = int64(2e6) // mean latency of a message, in ns
+	settleIntervals     = 20         // heartbeat intervals after the start that do not count as fault-free
 	firstFaultIntervals = 40         // heartbeat intervals after the start until the first fault
-	minTimerDelay       = int64(1e6) // ns; a timer is never set closer than this
+	minTimerDelay       = int64(1e6) // ns; shortest delay of a timer
 )
 
 // runState is the state of one simulation.
@@ -43,14 +43,14 @@
 	members   []*simulatedMember
 	byName    map[string]*simulatedMember
 
-	cutLinks       map[directedPair]bool // nothing sent from the first arrives at the second
+	cutLinks       map[directedPair]bool // messages in these directions are lost
 	duplicateSends bool                  // half of all messages arrive twice
-	calmFrom       int64                 // no fault is at work from then on
+	faultFreeFrom  int64                 // end of the current fault and its effects
 
 	measured measurements
 }
 
-// directedPair is two members by index, in one direction.
+// directedPair is an ordered pair of members, by index.
 type directedPair struct{ from, to int }
 
 // Run simulates the plan.
@@ -60,7 +60,7 @@
 	for _, member := range run.members {
 		run.scheduler.After(run.random.Int64N(max(1, spread)), member.start)
 	}
-	run.calmFrom = spread + settleIntervals*run.interval
+	run.faultFreeFrom = spread + settleIntervals*run.interval
 	run.scheduler.Repeat(spread+run.interval, run.observationInterval, run.observe)
 	if p.FaultInterval > 0 {
 		run.scheduler.Repeat(spread+firstFaultIntervals*run.interval, run.drawFaultInterval, run.injectFault)
@@ -76,7 +76,7 @@
 		interval:  int64(plan.HeartbeatInterval),
 		random:    random,
 		scheduler: simulation.NewScheduler(0),
-		network:   simulation.NewNetwork(random, simulation.LatencyAround(usualLatency)),
+		network:   simulation.NewNetwork(random, simulation.LatencyAround(meanLatency)),
 		byName:    map[string]*simulatedMember{},
 		cutLinks:  map[directedPair]bool{},
 		measured:  newMeasurements(),
--- a/internal/experiment/membershipsim/protocol.go
+++ b/internal/experiment/membershipsim/protocol.go
@@ -8,54 +8,53 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// protocol is the membership protocol of one member.
+// protocol is the membership protocol that one member runs.
 type protocol interface {
-	// tick does what is due, receive takes a message; both return what is to be sent.
+	// tick performs what is due, and receive handles a message. Both return the messages to send.
 	tick(now int64) []message
 	receive(now int64, from string, received message) []message
-	// next is when tick has something to do.
+	// next returns the time at which tick has to be called next.
 	next() int64
-	// belief tells whether a member is believed to be dead, or to be alive; neither holds until it was
-	// heard of.
+	// belief reports whether a member is believed to be dead or alive. Both are false for an unknown member.
 	belief(name string) (dead, alive bool)
-	// view identifies the members that are handed on: a digest of them, and how often they have changed.
+	// view identifies the view that the protocol publishes, by its digest and by the number of changes so far.
 	view() (digest, number uint64)
-	// connections is to how many others the member is connected.
+	// connections returns the number of other members that the member is connected to.
 	connections() int
 }
 
-// message is what one member sends to another: one of the two contents, and its size on the network.
+// message is a message to another member. One of gossip and heartbeats is set.
 type message struct {
 	to         string
-	gossip     membership.Gossip       // of membershipProtocol
-	heartbeats []heartbeatgossip.Entry // of baselineProtocol
-	bytes      int
+	gossip     membership.Gossip       // set by membershipProtocol
+	heartbeats []heartbeatgossip.Entry // set by baselineProtocol
+	bytes      int                     // size on the network
 }
 
 const (
-	frameHeaderBytes      = 4          // length of a frame
+	frameHeaderBytes      = 4          // length prefix of a frame
 	tlsRecordBytes        = 22         // what TLS 1.3 adds to a record
-	baselineOverheadBytes = 40         // frame, TLS and the message around the entries
-	usualBallot           = 1 << 40    // a ballot of the usual length in the encoded message
-	digestFactor          = uint64(31) // of the polynomial over the bytes of names
+	baselineOverheadBytes = 40         // frame, TLS record and message around the entries
+	typicalBallot         = 1 << 40    // has the encoded length of a typical ballot
+	digestFactor          = uint64(31) // of the polynomial hash over the bytes of names
 )
 
-// encodedLength is the length of a value in CBOR.
+// encodedLength returns the length of a value's CBOR encoding.
 func encodedLength(value any) int {
 	raw, err := cbor.Marshal(value)
 	if err != nil {
-		panic(err) // the types are this program's
+		panic(err) // all values passed here are of types that CBOR can encode
 	}
 	return len(raw)
 }
 
-// membershipProtocol is internal/cluster/membership.
+// membershipProtocol runs internal/cluster/membership.
 type membershipProtocol struct{ table *membership.Table }
 
 func (p membershipProtocol) messages(sends []membership.Send) []message {
 	var messages []message
 	for _, send := range sends {
-		envelope := cluster.Message{Gossip: &send.Gossip, HighestBallot: usualBallot}
+		envelope := cluster.Message{Gossip: &send.Gossip, HighestBallot: typicalBallot}
 		messages = append(messages, message{
 			to:     send.To,
 			gossip: send.Gossip,
@@ -89,7 +88,7 @@
 
 func (p membershipProtocol) connections() int { return len(p.table.Peers()) }
 
-// baselineProtocol is internal/experiment/heartbeatgossip.
+// baselineProtocol runs internal/experiment/heartbeatgossip.
 type baselineProtocol struct{ table *heartbeatgossip.Table }
 
 func (p baselineProtocol) tick(now int64) []message {
--- a/internal/experiment/membershipsim/result.go
+++ b/internal/experiment/membershipsim/result.go
@@ -12,36 +12,38 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// Result is what a run gave.
+// Result is the outcome of a run.
 type Result struct {
-	Instances       int     `json:"instances"`
-	Baseline        bool    `json:"before"`
-	Seconds         float64 `json:"simulated_s"`
-	Kills           int     `json:"kills"`
-	DetectionP50    float64 `json:"detect_p50_ms"` // until all live members believe a killed one dead
-	DetectionP99    float64 `json:"detect_p99_ms"`
-	MaxDetection    float64 `json:"detect_max_ms"`
-	MissedKills     int     `json:"kills_not_believed_by_all"`
-	FalseDeaths     int     `json:"false_deaths"` // beliefs, each of one member about another
-	Pauses          int     `json:"pauses"`
-	MaxOneWay       float64 `json:"oneway_judged_max_ms"` // until all believe an isolated one dead
-	MissedOneWay    int     `json:"oneway_not_judged"`
-	MaxDisagreement float64 `json:"disagree_max_ms"` // for which views differ, from the end of the last fault on
-	BytesPerSecond  float64 `json:"bytes_per_member_per_s"`
-	CalmBytes       float64 `json:"bytes_per_member_per_s_calm"` // a second, while no fault is at work
-	Messages        float64 `json:"messages_per_member_per_s"`
-	PeakConnections int     `json:"links_per_member_max"`
-	ViewChanges     float64 `json:"view_changes"` // a member
-	TimeToFormMS    float64 `json:"formed_ms"`    // until all believe all alive; -1 is never
+	Instances    int     `json:"instances"`
+	Baseline     bool    `json:"before"`
+	Seconds      float64 `json:"simulated_s"`
+	Kills        int     `json:"kills"`
+	DetectionP50 float64 `json:"detect_p50_ms"` // until all healthy members believe a killed one dead
+	DetectionP99 float64 `json:"detect_p99_ms"`
+	MaxDetection float64 `json:"detect_max_ms"`
+	MissedKills  int     `json:"kills_not_believed_by_all"`
+	FalseDeaths  int     `json:"false_deaths"` // unjustified beliefs, each of one member about another
+	Pauses       int     `json:"pauses"`
+	// MaxOneWayDetection is the longest time until all others believed a member with a one-way fault dead.
+	MaxOneWayDetection float64 `json:"oneway_judged_max_ms"`
+	MissedOneWayFaults int     `json:"oneway_not_judged"`
+	// MaxDisagreement is the longest time for which views differed after a fault and its effects had ended.
+	MaxDisagreement         float64 `json:"disagree_max_ms"`
+	BytesPerSecond          float64 `json:"bytes_per_member_per_s"`
+	FaultFreeBytesPerSecond float64 `json:"bytes_per_member_per_s_calm"` // while there is no fault
+	MessagesPerSecond       float64 `json:"messages_per_member_per_s"`
+	MaxConnections          int     `json:"links_per_member_max"`
+	ViewChanges             float64 `json:"view_changes"` // mean over all members
+	TimeToFormMS            float64 `json:"formed_ms"`    // until all believe all others alive; -1 is never
 }
 
-// BoundsHold tells whether the bounds of docs/membership.md hold.
+// BoundsHold reports whether the result keeps the bounds of docs/membership.md.
 func (r Result) BoundsHold() bool {
 	return r.MaxDetection <= membership.MaxDetectionMS &&
-		r.MissedKills+r.FalseDeaths+r.MissedOneWay == 0 &&
-		r.MaxOneWay <= membership.MaxJudgementMS &&
+		r.MissedKills+r.FalseDeaths+r.MissedOneWayFaults == 0 &&
+		r.MaxOneWayDetection <= membership.MaxOneWayDetectionMS &&
 		r.MaxDisagreement <= membership.MaxDisagreementMS &&
-		r.PeakConnections <= membership.MaxLinks
+		r.MaxConnections <= membership.MaxLinks
 }
 
 func (s *runState) result() Result {
@@ -49,26 +51,27 @@
 	slices.Sort(measured.detections)
 	instances, seconds := float64(s.plan.Instances), float64(s.plan.Duration)/1e9
 	result := Result{
-		Instances:       s.plan.Instances,
-		Baseline:        s.plan.Baseline,
-		Seconds:         seconds,
-		Kills:           measured.kills,
-		DetectionP50:    report.Percentile(measured.detections, 50),
-		DetectionP99:    report.Percentile(measured.detections, 99),
-		MaxDetection:    report.Percentile(measured.detections, 100),
-		MissedKills:     measured.missedKills,
-		FalseDeaths:     measured.falseDeaths,
-		Pauses:          measured.pauses,
-		MaxOneWay:       measured.maxOneWay,
-		MissedOneWay:    measured.missedOneWay,
-		MaxDisagreement: measured.maxDifference,
-		BytesPerSecond:  float64(measured.bytes) / seconds / instances,
-		Messages:        float64(measured.messages) / seconds / instances,
-		PeakConnections: measured.maxConnections,
-		TimeToFormMS:    notFormedMS,
+		Instances:          s.plan.Instances,
+		Baseline:           s.plan.Baseline,
+		Seconds:            seconds,
+		Kills:              measured.kills,
+		DetectionP50:       report.Percentile(measured.detections, 50),
+		DetectionP99:       report.Percentile(measured.detections, 99),
+		MaxDetection:       report.Percentile(measured.detections, 100),
+		MissedKills:        measured.missedKills,
+		FalseDeaths:        measured.falseDeaths,
+		Pauses:             measured.pauses,
+		MaxOneWayDetection: measured.maxOneWay,
+		MissedOneWayFaults: measured.missedOneWay,
+		MaxDisagreement:    measured.maxDifference,
+		BytesPerSecond:     float64(measured.bytes) / seconds / instances,
+		MessagesPerSecond:  float64(measured.messages) / seconds / instances,
+		MaxConnections:     measured.maxConnections,
+		TimeToFormMS:       notFormedMS,
 	}
-	if measured.calmTime > 0 {
-		result.CalmBytes = float64(measured.calmBytes) / (float64(measured.calmTime) / 1e9) / instances
+	if measured.faultFreeTime > 0 {
+		result.FaultFreeBytesPerSecond =
+			float64(measured.faultFreeBytes) / (float64(measured.faultFreeTime) / 1e9) / instances
 	}
 	if measured.formedAt != notFormed {
 		result.TimeToFormMS = float64(measured.formedAt-int64(s.plan.StartSpread)) / 1e6
@@ -82,9 +85,10 @@
 	return result
 }
 
+// notFormedMS is the value of Result.TimeToFormMS if members never all believed all others alive.
 const notFormedMS = -1
 
-// WriteTable writes a line for each run to members.csv.
+// WriteTable writes a row for each run to members.csv.
 func WriteTable(folder string, runs []Result) error {
 	header := []string{"instances", "before", "detect_p99_ms", "false_deaths", "bytes_calm", "links"}
 	var rows [][]string
@@ -94,19 +98,19 @@
 			strconv.FormatBool(run.Baseline),
 			fmt.Sprint(run.DetectionP99),
 			strconv.Itoa(run.FalseDeaths),
-			fmt.Sprint(run.CalmBytes),
-			strconv.Itoa(run.PeakConnections),
+			fmt.Sprint(run.FaultFreeBytesPerSecond),
+			strconv.Itoa(run.MaxConnections),
 		})
 	}
 	return report.WriteCSV(filepath.Join(folder, "members.csv"), header, rows)
 }
 
-// WriteCharts draws bytes and times of detection over the number of members.
+// WriteCharts draws the bytes sent and the detection times over the number of members.
 func WriteCharts(folder string, runs []Result) error {
 	bytes := report.Chart{
 		Title:  "Bytes a member sends a second, no fault at work, simulated",
 		YLabel: "bytes a second",
-		Series: bySize(runs, func(r Result) float64 { return r.CalmBytes }),
+		Series: bySize(runs, func(r Result) float64 { return r.FaultFreeBytesPerSecond }),
 	}
 	if err := writeChart(filepath.Join(folder, "members-bytes.svg"), bytes); err != nil {
 		return err
@@ -126,7 +130,8 @@
 	return chart.Save(path)
 }
 
-// bySize gives a series of the baseline's runs and one of the others, where there are any.
+// bySize returns one series of the baseline's runs and one of the others, each if there are any. Points have the
+// number of instances as X and the figure as Y.
 func bySize(runs []Result, figure func(Result) float64) []report.Series {
 	var all []report.Series
 	for _, baseline := range []bool{true, false} {
--- a/internal/experiment/report/bound_test.go
+++ b/internal/experiment/report/bound_test.go
@@ -22,7 +22,7 @@
 	}
 	for _, test := range tests {
 		if got := test.err.Error(); got != test.want {
-			t.Errorf("%q, want %q", got, test.want)
+			t.Errorf("Error() is %q, want %q", got, test.want)
 		}
 	}
 }
@@ -33,10 +33,10 @@
 		t.Fatal(err)
 	}
 	if raw, err := os.ReadFile(path); err != nil || string(raw) != "[\n 1\n]" {
-		t.Errorf("%q %v", raw, err)
+		t.Errorf("the file holds %q, want indented JSON of [1]; error %v", raw, err)
 	}
 	if err := WriteJSON(path, func() {}); err == nil {
-		t.Error("no error for what has no JSON")
+		t.Error("WriteJSON accepts a function, which has no JSON encoding")
 	}
 }
 
@@ -50,9 +50,9 @@
 	if err := chart.SaveAs(path, "svg", "png"); err != nil {
 		t.Fatal(err)
 	}
-	for _, ending := range []string{".svg", ".png"} {
-		if info, err := os.Stat(path + ending); err != nil || info.Size() == 0 {
-			t.Errorf("%s: %v", ending, err)
+	for _, extension := range []string{".svg", ".png"} {
+		if info, err := os.Stat(path + extension); err != nil || info.Size() == 0 {
+			t.Errorf("chart file with extension %s is missing or empty: %v", extension, err)
 		}
 	}
 }
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -1,11 +1,12 @@
-// Package report writes the results of experiments: JSON, tables as CSV, charts, percentiles, and the bounds
-// that a result breaks.
+// Package report writes the results of experiments as JSON, CSV tables and charts. It also computes percentiles and
+// defines the error for a result that breaks a bound.
 package report
 
 import (
 	"encoding/csv"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"image/color"
 	"os"
 
@@ -15,25 +16,26 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// Size of a chart.
+// Dimensions of all charts.
 const (
 	chartWidth  = 16 * vg.Centimeter
 	chartHeight = 10 * vg.Centimeter
 	dashLength  = 4 // points
 )
 
-// Names and colours of the two curves that most charts compare.
+// Names of the two curves that most charts compare.
 const (
 	BaselineName = "before"
 	CurrentName  = "now"
 )
 
+// Colors of the two curves that most charts compare.
 var (
 	baselineColor = color.RGBA{R: 0xb0, A: 0xff}
 	currentColor  = color.RGBA{B: 0xc0, A: 0xff}
 )
 
-// Colours for charts that compare something else.
+// Colors for charts that compare other curves.
 var (
 	Black  = color.RGBA{A: 0xff}
 	Red    = baselineColor
@@ -43,16 +45,16 @@
 	Purple = color.RGBA{R: 0x60, B: 0x80, A: 0xff}
 )
 
-// WriteJSON writes a value as indented JSON.
+// WriteJSON writes a value to a file as indented JSON.
 func WriteJSON(path string, value any) error {
 	raw, err := json.MarshalIndent(value, "", " ")
 	if err != nil {
-		return err
+		return fmt.Errorf("encode %s: %w", path, err)
 	}
 	return os.WriteFile(path, raw, 0o644)
 }
 
-// WriteCSV writes a table.
+// WriteCSV writes a header and rows to a CSV file.
 func WriteCSV(path string, header []string, rows [][]string) (err error) {
 	file, err := os.Create(path)
 	if err != nil {
@@ -68,27 +70,27 @@
 
 // Series is one curve of a chart.
 type Series struct {
-	Baseline bool // red and called "before"; else blue and called "now"
+	Baseline bool // red and named BaselineName; other series are blue and named CurrentName
 	Points   plotter.XYs
 
-	Name   string      // instead of those
-	Color  color.Color // instead of those
+	Name   string      // used instead of BaselineName or CurrentName, unless empty
+	Color  color.Color // used instead of red or blue, unless nil
 	Dashed bool
-	Shape  draw.GlyphDrawer // marks each point, also in the legend; nil is none
+	Shape  draw.GlyphDrawer // marker of each point and in the legend; nil draws none
 }
 
 // Chart is a line chart with one curve for each series.
 type Chart struct {
 	Title, XLabel, YLabel string
-	FromZero              bool    // the vertical axis begins at 0
-	XMax                  float64 // the horizontal axis goes from 0 to it; 0 is as far as the points go
-	Markers               bool    // each point is marked
+	FromZero              bool    // the vertical axis starts at 0
+	XMax                  float64 // end of the horizontal axis, which then starts at 0; 0 fits the axis to the points
+	Markers               bool    // draw a marker at each point
 	LegendTop             bool
 	LegendLeft            bool
 	Series                []Series
 }
 
-// Save writes the chart; the ending of the path says in which format.
+// Save writes the chart to a file. The path's extension selects the format.
 func (c Chart) Save(path string) error {
 	canvas := plot.New()
 	canvas.Title.Text = c.Title
@@ -109,7 +111,7 @@
 	return canvas.Save(chartWidth, chartHeight, path)
 }
 
-// SaveAs writes the chart in several formats, such as "svg", each with its ending behind the path.
+// SaveAs writes the chart in several formats, such as "svg", each to the path with the format as extension.
 func (c Chart) SaveAs(path string, formats ...string) error {
 	for _, format := range formats {
 		if err := c.Save(path + "." + format); err != nil {
@@ -120,11 +122,11 @@
 }
 
 func (c Chart) add(canvas *plot.Plot, series Series) error {
+	name, lineColor := series.label()
 	line, points, err := plotter.NewLinePoints(series.Points)
 	if err != nil {
-		return err
+		return fmt.Errorf("chart series %q: %w", name, err)
 	}
-	name, lineColor := series.label()
 	line.Color = lineColor
 	if series.Dashed {
 		line.Dashes = []vg.Length{vg.Points(dashLength), vg.Points(dashLength)}
@@ -144,7 +146,7 @@
 	return nil
 }
 
-// label returns the name and the colour of a series.
+// label returns the name and the color of a series.
 func (s Series) label() (string, color.Color) {
 	name, lineColor := CurrentName, color.Color(currentColor)
 	if s.Baseline {
@@ -159,7 +161,7 @@
 	return name, lineColor
 }
 
-// Percentile gives a percentile of sorted values, 0 if there are none.
+// Percentile returns a percentile, from 0 to 100, of values in ascending order. It returns 0 if there are none.
 func Percentile(sorted []float64, percent int) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -22,7 +22,7 @@
 		{[]float64{1, 2, 3, 4}, 100, 4},
 	} {
 		if got := Percentile(test.values, test.percent); got != test.want {
-			t.Errorf("percentile %d of %v: %g, want %g", test.percent, test.values, got, test.want)
+			t.Errorf("percentile %d of %v is %g, want %g", test.percent, test.values, got, test.want)
 		}
 	}
 }
@@ -33,10 +33,10 @@
 		t.Fatal(err)
 	}
 	if got, err := os.ReadFile(path); err != nil || string(got) != "a,b\n1,x y\n2,\"x,y\"\n" {
-		t.Errorf("%q %v", got, err)
+		t.Errorf("the file holds %q, want a header and two rows; error %v", got, err)
 	}
 	if err := WriteCSV(filepath.Join(path, "in-a-file"), nil, nil); err == nil {
-		t.Error("no error where no file can be made")
+		t.Error("WriteCSV accepts a path below a regular file")
 	}
 }
 
@@ -59,11 +59,11 @@
 	}
 	for _, word := range []string{"Calls", "calls a second", BaselineName, CurrentName} {
 		if !strings.Contains(string(got), ">"+word+"<") {
-			t.Errorf("the chart does not show %q", word)
+			t.Errorf("the chart does not contain the text %q", word)
 		}
 	}
 	chart.Series = []Series{{Points: plotter.XYs{{X: math.NaN()}}}}
 	if err := chart.Save(path); err == nil {
-		t.Error("no error for a point that is not a number")
+		t.Error("Save accepts a point whose coordinate is not a number")
 	}
 }
--- a/internal/experiment/sharedconfigsim/events.go
+++ b/internal/experiment/sharedconfigsim/events.go
@@ -7,8 +7,8 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// Kinds of changes and faults, by the number that is drawn. Numbers below eventKill are changes, so that
-// four of ten are. Those above eventRestartAll do nothing.
+// Kinds of events. changeOrFault draws one of eventKinds numbers. Numbers below eventKill are changes of a setting,
+// which are thus four of ten events. Numbers above eventRestartAll do nothing.
 const (
 	eventKill       = 4
 	eventPause      = 5
@@ -18,17 +18,17 @@
 	eventKinds      = 10
 )
 
-// How far faults go.
+// Durations and degrees of faults.
 const (
-	maxRestartSeconds = 10 // below which a killed instance starts again
-	maxPauseSeconds   = 60
+	maxRestartSeconds = 10 // a killed instance starts again in less than this
+	maxPauseSeconds   = 60 // a paused instance resumes in less than this
 	partitionTime     = 6 * second
 	lossTime          = 5 * second
-	lossDuringFault   = 0.2
-	restartAllOneIn   = 5
+	lossDuringFault   = 0.2 // of all messages
+	restartAllOneIn   = 5   // on average, one eventRestartAll in five restarts the instances
 )
 
-// changeOrFault proposes a change, or begins a fault.
+// changeOrFault proposes a random change or starts a random fault.
 func (s *runState) changeOrFault() {
 	instance := s.instances[s.random.IntN(len(s.instances))]
 	switch kind := s.random.IntN(eventKinds); {
@@ -48,24 +48,24 @@
 	}
 }
 
-// propose has an instance propose a change of one setting to the newest version that it knows.
+// propose makes an instance propose the newest version that it knows with one setting changed.
 func (s *runState) propose(instance *simulatedInstance) {
 	if !instance.host.Running(s.now()) {
 		return
 	}
 	settings, err := compatibility.Decode(instance.node.Newest().Content)
 	if err != nil {
-		panic(err) // only settings are proposed
+		panic(err) // this package proposes valid settings only
 	}
-	content := mustEncode(s.changed(settings))
+	content := mustEncode(s.withRandomChange(settings))
 	if instance.node.Propose(instance.localTime(), s.wallMS(), content) == nil {
 		s.measured.changes++
-		instance.carryOut()
+		instance.applyEffects()
 		instance.setTimer()
 	}
 }
 
-func (s *runState) changed(settings compatibility.Settings) compatibility.Settings {
+func (s *runState) withRandomChange(settings compatibility.Settings) compatibility.Settings {
 	switch s.random.IntN(4) {
 	case 0:
 		settings.Slots = 32 << s.random.IntN(3)
@@ -79,8 +79,8 @@
 	return settings
 }
 
-// kill ends an instance, which starts again unless it has been started by restartAll before. What it sent
-// still arrives.
+// kill kills an instance, which starts again later unless restartAll has started it before. Messages that it has sent
+// still arrive until then.
 func (s *runState) kill(victim *simulatedInstance) {
 	victim.host.Stopped = true
 	incarnation := victim.host.Incarnation
@@ -96,6 +96,7 @@
 	s.scheduler.After(partitionTime, func() { simulation.HealNetwork(s.hosts) })
 }
 
+// restartAll restarts all instances at once, on one in restartAllOneIn calls.
 func (s *runState) restartAll() {
 	if s.random.IntN(restartAllOneIn) != 0 {
 		return
--- a/internal/experiment/sharedconfigsim/instance.go
+++ b/internal/experiment/sharedconfigsim/instance.go
@@ -6,17 +6,17 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// simulatedInstance is one process over all its starts.
+// simulatedInstance is one router process through all its restarts.
 type simulatedInstance struct {
 	run     *runState
 	name    string
 	clock   simulation.Clock
 	host    simulation.Host
 	node    *sharedconfig.Node
-	timerAt int64 // of the node's timer; 0 is none
+	timerAt int64 // simulated time at which the node's timer fires; 0 is none
 }
 
-// start begins the next incarnation, which knows nothing but its configuration.
+// start starts the next incarnation, which has no state except its configuration.
 func (i *simulatedInstance) start() {
 	run := i.run
 	i.host.Start()
@@ -34,10 +34,10 @@
 	i.setTimer()
 }
 
-// localTime is what the clock of the process shows.
+// localTime returns the reading of the process's monotonic clock.
 func (i *simulatedInstance) localTime() int64 { return i.clock.Read(i.run.now()) }
 
-// setTimer schedules what the node has to do next.
+// setTimer schedules the node's next tick.
 func (i *simulatedInstance) setTimer() {
 	run := i.run
 	wait := i.clock.SimulatedDuration(i.node.Next(i.localTime()) - i.localTime())
@@ -56,19 +56,19 @@
 			})
 		default:
 			i.node.Tick(i.localTime(), run.wallMS())
-			i.carryOut()
+			i.applyEffects()
 			i.setTimer()
 		}
 	})
 }
 
-// ended tells whether an incarnation is not there any more.
+// ended reports whether an incarnation no longer runs.
 func (i *simulatedInstance) ended(incarnation int) bool {
 	return i.host.Stopped || i.host.Incarnation != incarnation
 }
 
-// carryOut does what the node asks for.
-func (i *simulatedInstance) carryOut() {
+// applyEffects carries out the effects that the node has produced.
+func (i *simulatedInstance) applyEffects() {
 	run := i.run
 	for _, effect := range i.node.TakeEffects() {
 		switch effect := effect.(type) {
@@ -106,7 +106,7 @@
 
 func (i *simulatedInstance) receive(from string, message sharedconfig.Message) {
 	i.node.Receive(i.localTime(), from, message)
-	i.carryOut()
+	i.applyEffects()
 	if next := i.node.Next(i.localTime()); next < i.localTime()+millisecond {
 		i.setTimer()
 	}
--- a/internal/experiment/sharedconfigsim/plan.go
+++ b/internal/experiment/sharedconfigsim/plan.go
@@ -1,7 +1,7 @@
 // Package sharedconfigsim simulates instances that agree on versions of the shared configuration
-// (internal/cluster/sharedconfig, with the real settings of internal/compatibility), while changes are
-// proposed and faults happen. It measures whether versions that exclude each other are ever in use at once,
-// and how long a change takes until all use it.
+// (internal/cluster/sharedconfig, with the real settings of internal/compatibility) while changes are proposed and
+// faults are injected. It measures whether incompatible versions are ever in use at once, and how long it takes until
+// all instances use a change.
 package sharedconfigsim
 
 import (
@@ -14,7 +14,7 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// Plan is one run of the experiment.
+// Plan configures one run of the simulation.
 type Plan struct {
 	Instances     int
 	Duration      time.Duration // simulated
@@ -25,20 +25,20 @@
 }
 
 const (
-	maxVoters     = 5
-	maxClockDrift = 0.01
+	maxVoters     = 5    // the first instances
+	maxClockDrift = 0.01 // of the monotonic clocks' rates
 	slots         = 64
-	purgeWindow   = second * 6
-	second        = int64(1e9)
-	millisecond   = int64(1e6)
+	purgeWindow   = second * 6  // ns
+	second        = int64(1e9)  // ns
+	millisecond   = int64(1e6)  // ns
 	wallClockMS   = int64(1e12) // at the start of the run
 
 	observationsPerRenewal = 10
-	firstEventAfterLeases  = 4
-	firstObservationLeases = 2
+	firstEventAfterLeases  = 4 // time of the first event, in leases
+	firstObservationLeases = 2 // time of the first observation, in leases
 )
 
-// networkLatency is how long messages are under way.
+// networkLatency is the latency of messages: 1 ms to 11 ms.
 var networkLatency = simulation.Latency{Min: millisecond, Jitter: 10 * millisecond}
 
 // runState is the state of one simulation.
@@ -50,7 +50,7 @@
 	instances []*simulatedInstance
 	byName    map[string]*simulatedInstance
 	hosts     []*simulation.Host // of the instances
-	initial   []byte             // content of the first version
+	initial   []byte             // content of the first version of the configuration
 	voters    []string
 	measured  measurements
 }
@@ -102,7 +102,7 @@
 	return run
 }
 
-// mustEncode encodes settings that this package has made.
+// mustEncode encodes settings. It panics if they are invalid, which settings of this package never are.
 func mustEncode(settings compatibility.Settings) []byte {
 	content, err := compatibility.Encode(settings)
 	if err != nil {
@@ -113,7 +113,7 @@
 
 func (s *runState) now() int64 { return s.scheduler.Now() }
 
-// wallMS is the wall clock, which all instances share.
+// wallMS returns the time of the wall clock, which all instances share, in ms since the epoch.
 func (s *runState) wallMS() int64 { return wallClockMS + s.now()/millisecond }
 
 func (s *runState) observationInterval() int64 {
--- a/internal/experiment/sharedconfigsim/result.go
+++ b/internal/experiment/sharedconfigsim/result.go
@@ -7,50 +7,53 @@
 	"tealpath/internal/experiment/report"
 )
 
-// Result is what a run gave.
+// Result is the outcome of a run.
 type Result struct {
-	Instances          int     `json:"instances"`
-	Hours              float64 `json:"hours"`
-	Changes            int     `json:"changes"`          // proposed
-	InForce            int     `json:"changes_in_force"` // used by all that run, at some moment
-	Rejected           int     `json:"changes_refused"`
-	Contradictions     int     `json:"contradictions"`       // incompatible versions in use at once
-	MaxOverlapMS       float64 `json:"contradiction_max_ms"` // for which two versions were in use at once
-	OverlapBoundMS     float64 `json:"bound_ms"`             // of MaxOverlapMS
-	InForceP50         float64 `json:"in_force_p50_ms"`      // from acceptance until all that run use it
-	InForceP99         float64 `json:"in_force_p99_ms"`
-	InactiveShare      float64 `json:"floor_share_of_time"` // of running instances, without a version
-	PeakSlowStartShare float64 `json:"share_sum_worst"`     // of the budget of a cache in slow start, all instances
+	Instances int     `json:"instances"`
+	Hours     float64 `json:"hours"`
+	Changes   int     `json:"changes"`          // proposed
+	InForce   int     `json:"changes_in_force"` // used by all running instances at some moment
+	Rejected  int     `json:"changes_refused"`
+	// Contradictions counts pairs of incompatible versions in use at once, summed over all observations.
+	Contradictions int     `json:"contradictions"`
+	MaxOverlapMS   float64 `json:"contradiction_max_ms"` // longest time for which two versions were in use at once
+	OverlapBoundMS float64 `json:"bound_ms"`             // of MaxOverlapMS
+	InForceP50     float64 `json:"in_force_p50_ms"`      // from acceptance until all running instances use it
+	InForceP99     float64 `json:"in_force_p99_ms"`
+	InactiveShare  float64 `json:"floor_share_of_time"` // share of running instances without an active version
+	// PeakSlowStartShare is the largest sum, over all instances, of their shares of the budget of a cache in slow
+	// start.
+	PeakSlowStartShare float64 `json:"share_sum_worst"`
 }
 
-// shareTolerance allows for rounding where shares of all instances are added.
+// shareTolerance allows for rounding errors in the sum of all instances' shares.
 const shareTolerance = 1e-6
 
-// BoundsHold tells whether the bounds of docs/agreement.md hold.
+// BoundsHold reports whether the result keeps the bounds of docs/agreement.md.
 func (r Result) BoundsHold() bool {
 	return r.Contradictions == 0 && r.MaxOverlapMS <= r.OverlapBoundMS && r.PeakSlowStartShare <= 1+shareTolerance
 }
 
-// notInForceTimeout is how long a change may take until all use it, ns; later it counts as overtaken by
-// another one, or not known to some.
-const notInForceTimeout = 60 * second
+// inForceTimeout is the time, in ns, after which a change no longer counts as coming into force: a newer change has
+// replaced it, or some instances have not received it.
+const inForceTimeout = 60 * second
 
-// measurements are what a run counts.
+// measurements collects what a run measures.
 type measurements struct {
 	changes            int
 	rejectedChanges    int
 	contradictions     int
 	maxOverlapMS       float64
-	timesToForce       []float64        // ms
-	acceptedAt         map[uint64]int64 // by version number, of changes that not all use yet
+	timesToInForce     []float64        // ms
+	acceptedAt         map[uint64]int64 // by version number, of changes that are not yet in force
 	firstUsedAt        map[uint64]int64 // by version number
 	runningInstances   int              // summed over the observations
 	inactiveInstances  int              // summed over the observations
 	peakSlowStartShare float64
-	incompatiblePairs  map[contentPair]bool
+	incompatiblePairs  map[contentPair]bool // cached results of compatibility.Incompatible
 }
 
-// contentPair is the contents of two versions, the older one first.
+// contentPair holds the contents of two versions, the older one first.
 type contentPair struct{ older, newer string }
 
 func newMeasurements() measurements {
@@ -61,7 +64,7 @@
 	}
 }
 
-// observe looks at the versions that are in use at this moment.
+// observe records which versions are in use at this moment, and checks them against each other.
 func (s *runState) observe() {
 	inUse := map[uint64][]byte{} // contents by version number
 	users := map[uint64]int{}
@@ -89,10 +92,10 @@
 	s.measured.runningInstances += running
 	s.measured.peakSlowStartShare = max(s.measured.peakSlowStartShare, slowStartShare)
 	s.compareVersions(inUse)
-	s.noteInForce(users, running)
+	s.recordInForce(users, running)
 }
 
-// compareVersions looks at each pair of versions in use.
+// compareVersions checks each pair of versions in use for contradictions and for how long it has been in use.
 func (s *runState) compareVersions(inUse map[uint64][]byte) {
 	for older, olderContent := range inUse {
 		for newer, newerContent := range inUse {
@@ -108,7 +111,7 @@
 	}
 }
 
-// incompatible tells whether contents exclude each other, and remembers the answer.
+// incompatible reports whether the contents of two versions are incompatible. It caches the answer.
 func (m *measurements) incompatible(older, newer []byte) bool {
 	pair := contentPair{string(older), string(newer)}
 	incompatible, known := m.incompatiblePairs[pair]
@@ -119,15 +122,15 @@
 	return incompatible
 }
 
-// noteInForce notes the changes that all running instances use by now.
-func (s *runState) noteInForce(users map[uint64]int, running int) {
+// recordInForce records the changes that have come into force: all running instances use them.
+func (s *runState) recordInForce(users map[uint64]int, running int) {
 	for number, acceptedAt := range s.measured.acceptedAt {
 		elapsed := s.now() - acceptedAt
 		switch {
 		case users[number] == running && running > 0:
-			s.measured.timesToForce = append(s.measured.timesToForce, float64(elapsed)/1e6)
+			s.measured.timesToInForce = append(s.measured.timesToInForce, float64(elapsed)/1e6)
 			delete(s.measured.acceptedAt, number)
-		case elapsed > notInForceTimeout:
+		case elapsed > inForceTimeout:
 			delete(s.measured.acceptedAt, number)
 		}
 	}
@@ -135,18 +138,18 @@
 
 func (s *runState) result() Result {
 	measured := &s.measured
-	slices.Sort(measured.timesToForce)
+	slices.Sort(measured.timesToInForce)
 	return Result{
 		Instances:          s.plan.Instances,
 		Hours:              float64(s.plan.Duration) / 3600e9,
 		Changes:            measured.changes,
-		InForce:            len(measured.timesToForce),
+		InForce:            len(measured.timesToInForce),
 		Rejected:           measured.rejectedChanges,
 		Contradictions:     measured.contradictions,
 		MaxOverlapMS:       measured.maxOverlapMS,
 		OverlapBoundMS:     float64(s.plan.LeaseDuration+s.plan.RenewInterval/5) / 1e6,
-		InForceP50:         report.Percentile(measured.timesToForce, 50),
-		InForceP99:         report.Percentile(measured.timesToForce, 99),
+		InForceP50:         report.Percentile(measured.timesToInForce, 50),
+		InForceP99:         report.Percentile(measured.timesToInForce, 99),
 		InactiveShare:      float64(measured.inactiveInstances) / max(1, float64(measured.runningInstances)),
 		PeakSlowStartShare: measured.peakSlowStartShare,
 	}
--- a/internal/experiment/sharedconfigsim/sharedconfigsim_test.go
+++ b/internal/experiment/sharedconfigsim/sharedconfigsim_test.go
@@ -8,7 +8,7 @@
 	"tealpath/internal/experiment/experimenttest"
 )
 
-func usualPlan(instances int, duration time.Duration, seed uint64) Plan {
+func newTestPlan(instances int, duration time.Duration, seed uint64) Plan {
 	return Plan{
 		Instances:     instances,
 		Duration:      duration,
@@ -21,13 +21,13 @@
 
 func TestBoundsUnderChangesAndFaults(t *testing.T) {
 	for _, n := range []int{5, 20} {
-		plan := usualPlan(n, 20*time.Minute, 7)
+		plan := newTestPlan(n, 20*time.Minute, 7)
 		r := plan.Run()
 		if !r.BoundsHold() || r.PeakSlowStartShare > 1+1e-9 || r.InForce < 20 {
-			t.Errorf("%+v", r)
+			t.Errorf("%d instances: a bound is broken or fewer than 20 changes came into force: %+v", n, r)
 		}
 		if n == 5 && plan.Run() != r {
-			t.Error("another run of the same seed differs")
+			t.Error("another run with the same seed gives a different result")
 		}
 		t.Logf("%+v", r)
 	}
@@ -36,11 +36,11 @@
 func TestResultsAreAsRecorded(t *testing.T) {
 	t.Parallel()
 	recording := experimenttest.NewRecording(t)
-	frequent := usualPlan(3, 15*time.Minute, 11)
+	frequent := newTestPlan(3, 15*time.Minute, 11)
 	frequent.EventInterval = 2 * time.Second
-	longLeases := usualPlan(12, 10*time.Minute, 13)
+	longLeases := newTestPlan(12, 10*time.Minute, 13)
 	longLeases.LeaseDuration, longLeases.EventInterval = 3*time.Second, 3*time.Second
-	for _, plan := range []Plan{frequent, usualPlan(5, 15*time.Minute, 12), longLeases} {
+	for _, plan := range []Plan{frequent, newTestPlan(5, 15*time.Minute, 12), longLeases} {
 		recording.Result(fmt.Sprint(plan.Instances), plan.Run())
 	}
 	recording.Compare()
--- a/internal/experiment/simulation/scheduler.go
+++ b/internal/experiment/simulation/scheduler.go
@@ -1,14 +1,13 @@
-// Package simulation is what the simulated experiments share: an event queue with a virtual clock, and the
-// faults that processes, clocks and networks can have. A simulation runs in one goroutine and draws from
-// one seeded source of randomness, so that a run with the same plan and seed gives the same result to the
-// last digit.
+// Package simulation provides what the simulated experiments share: an event queue with a virtual clock, and models
+// of faulty processes, clocks and networks. A simulation runs in one goroutine and draws from one seeded source of
+// randomness, so that every run with the same plan and seed gives exactly the same result.
 //
 // All times are nanoseconds of simulated time.
 package simulation
 
 import "tealpath/internal/timerqueue"
 
-// Scheduler runs events in the order of their times; events of one time run in the order in which they were
+// Scheduler runs events in the order of their times. Events at the same time run in the order in which they were
 // scheduled.
 type Scheduler struct {
 	now       int64
@@ -17,20 +16,20 @@
 	onAdvance func(elapsed int64)
 }
 
-// NewScheduler makes a scheduler whose clock begins at a time.
+// NewScheduler creates a scheduler whose clock starts at a time.
 func NewScheduler(start int64) *Scheduler { return &Scheduler{now: start} }
 
-// Now is the time of the event that is running.
+// Now returns the time of the current event.
 func (s *Scheduler) Now() int64 { return s.now }
 
-// At schedules an event. A time that has passed counts as now.
+// At schedules an event. A time in the past counts as now.
 func (s *Scheduler) At(at int64, event func()) { s.queue.Push(max(at, s.now), event) }
 
-// After schedules an event relative to now.
+// After schedules an event after a delay from now.
 func (s *Scheduler) After(delay int64, event func()) { s.At(s.now+delay, event) }
 
-// Repeat runs an event at a time, and again after each interval. The interval is asked for after the event
-// has run.
+// Repeat runs an event at a time and then repeatedly. After each run it calls interval for the time until the next
+// one.
 func (s *Scheduler) Repeat(first int64, interval func() int64, event func()) {
 	s.At(first, func() {
 		event()
@@ -38,11 +37,11 @@
 	})
 }
 
-// OnAdvance has a function called with the time that passes between two events, before the clock moves on.
+// OnAdvance sets a function that is called before the clock advances, with the time from one event to the next.
 func (s *Scheduler) OnAdvance(observe func(elapsed int64)) { s.onAdvance = observe }
 
-// RunUntil runs all events up to and including a time, or until Stop. The clock stays at the last event
-// that ran.
+// RunUntil runs all events up to and including a time, or until Stop is called. The clock then shows the time of the
+// last event that ran.
 func (s *Scheduler) RunUntil(end int64) {
 	for !s.stopped && s.queue.Len() > 0 && s.queue.Next() <= end {
 		at, event := s.queue.Pop()
@@ -54,5 +53,5 @@
 	}
 }
 
-// Stop ends RunUntil after the event that is running.
+// Stop makes RunUntil return after the current event.
 func (s *Scheduler) Stop() { s.stopped = true }
--- a/internal/experiment/simulation/simulation_test.go
+++ b/internal/experiment/simulation/simulation_test.go
@@ -6,24 +6,24 @@
 	"testing"
 )
 
-func TestEventsRunInOrderOfTimeAndThenOfScheduling(t *testing.T) {
+func TestEventsRunInOrderOfTimeAndScheduling(t *testing.T) {
 	s := NewScheduler(100)
 	var got []int64
 	var elapsed int64
 	s.OnAdvance(func(span int64) { elapsed += span })
-	note := func(sign int64) func() { return func() { got = append(got, sign*s.Now()) } }
-	s.At(300, note(1))
-	s.At(200, note(1))
-	s.At(300, note(-1))
-	s.At(50, note(1)) // has passed: counts as now
-	s.After(400, note(1))
-	s.At(501, note(1))
+	record := func(sign int64) func() { return func() { got = append(got, sign*s.Now()) } }
+	s.At(300, record(1))
+	s.At(200, record(1))
+	s.At(300, record(-1))
+	s.At(50, record(1)) // in the past, so it counts as now
+	s.After(400, record(1))
+	s.At(501, record(1))
 	s.RunUntil(500)
 	if want := []int64{100, 200, 300, -300, 500}; !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("events ran at %v, want %v", got, want)
 	}
 	if s.Now() != 500 || elapsed != 400 {
-		t.Errorf("the clock stands at %d after %d", s.Now(), elapsed)
+		t.Errorf("the clock shows %d and advanced by %d, want 500 and 400", s.Now(), elapsed)
 	}
 }
 
@@ -38,35 +38,35 @@
 	})
 	s.RunUntil(1000)
 	if want := []int64{10, 20, 40, 70}; !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("the repeated event ran at %v, want %v", got, want)
 	}
 }
 
 func TestHostFaults(t *testing.T) {
 	a, b := &Host{}, &Host{}
 	for name, fault := range map[string]func(){
-		"split":         func() { b.Partition = 1 },
-		"sends nothing": func() { a.OutboundLost = true },
-		"hears nothing": func() { b.InboundLost = true },
+		"partition":     func() { b.Partition = 1 },
+		"outbound lost": func() { a.OutboundLost = true },
+		"inbound lost":  func() { b.InboundLost = true },
 	} {
 		t.Run(name, func(t *testing.T) {
 			if !a.Reaches(b) {
-				t.Error("no fault, yet a does not reach b")
+				t.Error("a does not reach b without a fault")
 			}
 			if fault(); a.Reaches(b) {
 				t.Error("a reaches b through the fault")
 			}
 			if HealNetwork([]*Host{a, b}); !a.Reaches(b) {
-				t.Error("a does not reach b once the network is healed")
+				t.Error("a does not reach b after HealNetwork")
 			}
 		})
 	}
 	a.Stopped, a.PausedUntil = true, 100
 	if a.Running(200) || !a.Paused(99) || a.Paused(100) {
-		t.Errorf("%+v", a)
+		t.Errorf("Running or Paused is wrong for %+v, which is stopped and paused until 100", a)
 	}
 	if a.Start(); !a.Running(0) || a.Incarnation != 1 {
-		t.Errorf("after its start: %+v", a)
+		t.Errorf("after Start the host is not running as incarnation 1: %+v", a)
 	}
 }
 
@@ -79,11 +79,11 @@
 			lost++
 		}
 		if delay := network.Delay(); delay < 50 || delay >= 150 {
-			t.Fatalf("a delay of %d", delay)
+			t.Fatalf("Delay drew %d ns, want 50 to 149", delay)
 		}
 	}
 	if lost < 2300 || lost > 2700 {
-		t.Errorf("%d of 10,000 messages lost at a loss of a quarter", lost)
+		t.Errorf("%d of 10,000 messages lost, want 2300 to 2700", lost)
 	}
 }
 
@@ -93,11 +93,12 @@
 		clock := NewClock(random, 0.01)
 		clock.Restart(5e9)
 		if got := clock.Read(105e9); got < 99e9 || got > 101e9 {
-			t.Errorf("%d ns after 100 s", got)
+			t.Errorf("the clock shows %d ns after 100 s, want 99 s to 101 s", got)
 		}
 		for _, reading := range []int64{0, 1, 3e9} {
 			if at := clock.TimeAt(reading); clock.Read(at) < reading || at > 5e9+reading*102/100+2 {
-				t.Errorf("the clock shows %d at %d", clock.Read(at), at)
+				t.Errorf("TimeAt(%d) is too early or too late: %d, at which the clock shows %d",
+					reading, at, clock.Read(at))
 			}
 		}
 	}
--- a/internal/experiment/testcluster/affinity.go
+++ b/internal/experiment/testcluster/affinity.go
@@ -1,4 +1,4 @@
 package testcluster
 
-// RouterCore is the core that instances share where a Config has ShareCore.
+// RouterCore is the processor core on which instances run if Config.ShareCore is set.
 const RouterCore = 0
--- a/internal/experiment/testcluster/affinity_other.go
+++ b/internal/experiment/testcluster/affinity_other.go
@@ -4,8 +4,8 @@
 
 import "os/exec"
 
-// startOnCore starts a command; cores cannot be chosen here.
+// startOnCore starts a command on any core: the core can only be chosen on Linux.
 func startOnCore(command *exec.Cmd, _ int) error { return command.Start() }
 
-// AvoidRouterCore does nothing here.
+// AvoidRouterCore does nothing: cores can only be chosen on Linux.
 func AvoidRouterCore() error { return nil }
--- a/internal/experiment/testcluster/cluster.go
+++ b/internal/experiment/testcluster/cluster.go
@@ -1,6 +1,6 @@
-// Package testcluster runs instances of the real router on loopback beside emulated caches, an emulated
-// discovery service and relays that delay or cut the connections between instances. Experiments and tests share
-// it, with a client that sends requests at a fixed rate and with readings of what a process uses.
+// Package testcluster runs instances of the real router on loopback, together with emulated caches, an emulated
+// discovery service and relays that delay or cut the connections between instances. It also contains a client that
+// sends requests at a fixed rate, and functions that read the processor time and memory that a process uses.
 package testcluster
 
 import (
@@ -29,40 +29,41 @@
 	certificateLifetime = 12 * time.Hour
 )
 
-// Config says what a cluster consists of.
+// Config describes a cluster.
 type Config struct {
-	Binary    string // the router's program
-	Dir       string // an existing directory for configurations, keys, sockets and logs
+	Binary    string // path of the router's program
+	Dir       string // existing directory for configurations, keys, sockets and logs
 	Instances int
 	Caches    int
-	Slots     int // leases that instances share out among themselves
+	Slots     int // number of slots, whose leases the instances share
 
 	LeaseDuration time.Duration
 	RenewInterval time.Duration
 	ProbePeriod   time.Duration // between two health checks of one cache
 
-	// WithoutOperatorFile starts instances that share nothing and have no Unix socket.
+	// WithoutOperatorFile starts instances that share no leases and have no admin socket.
 	WithoutOperatorFile bool
-	// OperatorFile replaces the operator's file that has instances share leases; %s in it is the socket's path.
+	// OperatorFile replaces the content of the operator's file, by default a configuration for sharing leases. %s
+	// in it stands for the admin socket's path.
 	OperatorFile string
-	// ClusterOptions are further options of the operator's (fleet …).
+	// ClusterOptions are additional options in the (fleet …) list of the operator's file.
 	ClusterOptions string
-	// WithRelays leads every connection between two instances through a relay of its own.
+	// WithRelays sends the connections of each Link through a separate relay.
 	WithRelays bool
-	// WithoutEndpointList starts instances that know no endpoint list before discovery sends one.
+	// WithoutEndpointList starts instances that have no endpoint list until the discovery service sends one.
 	WithoutEndpointList bool
-	// ShareCore has all instances run on one core, RouterCore.
+	// ShareCore runs all instances on one processor core, RouterCore.
 	ShareCore bool
 
-	MaxSockets int // of an instance; 0 is defaultMaxSockets
-	MemoryMB   int // of an instance; 0 is defaultMemoryMB
-	Voters     int // how many of the first instances are voters; 0 is all
+	MaxSockets int // per instance; 0 is defaultMaxSockets
+	MemoryMB   int // per instance; 0 is defaultMemoryMB
+	Voters     int // number of voters, which are the first instances; 0 makes all instances voters
 }
 
 // Link is the path on which one instance opens connections to another.
 type Link struct{ From, To string }
 
-// Cluster is a set of router processes with the emulators that they talk to.
+// Cluster is a set of router processes and the emulated services that they connect to.
 type Cluster struct {
 	Config
 	Names     []string // of the instances
@@ -71,23 +72,23 @@
 	Discovery *discoveryserver.Service
 	Root      *certificates.Root // issues the instances' certificates
 
-	voters    string               // what stands in the operator's (voters …)
+	voters    string               // content of the (voters …) list in operator's files
 	instances map[string]*instance // by name
 
 	mu      sync.Mutex
-	lines   []LogLine // guarded by mu
-	readers sync.WaitGroup
+	lines   []LogLine      // guarded by mu; logged by all instances so far
+	readers sync.WaitGroup // of the instances' logs
 }
 
 // instance is one router of a cluster.
 type instance struct {
-	peerAddress   string   // where it takes connections of other instances
-	clientAddress string   // where it takes clients
-	process       *Process // guarded by the cluster's mu; nil while it does not run
-	incarnation   int      // guarded by the cluster's mu; how often it was started
+	peerAddress   string   // address on which it listens for other instances
+	clientAddress string   // address on which it listens for clients
+	process       *Process // guarded by the cluster's mu; nil after SIGKILL or SIGTERM and before the first start
+	incarnation   int      // guarded by the cluster's mu; number of starts so far
 }
 
-// New starts the emulators and writes the files of all instances. Start starts the instances.
+// New starts the emulators and writes the files of all instances. It does not start the instances.
 func New(config Config) (*Cluster, error) {
 	config.MaxSockets = cmp.Or(config.MaxSockets, defaultMaxSockets)
 	config.MemoryMB = cmp.Or(config.MemoryMB, defaultMemoryMB)
@@ -99,7 +100,7 @@
 	if err := c.startEmulators(); err != nil {
 		return nil, err
 	}
-	if err := c.nameInstances(); err != nil {
+	if err := c.addInstances(); err != nil {
 		return nil, err
 	}
 	for _, name := range c.Names {
@@ -130,8 +131,8 @@
 	return nil
 }
 
-// nameInstances gives each instance a name, an address and a certificate, and says which are voters.
-func (c *Cluster) nameInstances() error {
+// addInstances gives each instance a name, an address and a certificate, and sets the voters.
+func (c *Cluster) addInstances() error {
 	root, err := certificates.NewRoot("lab")
 	if err != nil {
 		return err
@@ -155,16 +156,16 @@
 	return nil
 }
 
-// SetVoters sets what stands in (voters …) of operator's files that are written from now on.
+// SetVoters sets the content of the (voters …) list in operator's files that are written from now on.
 func (c *Cluster) SetVoters(voters string) { c.voters = voters }
 
-// Path returns the path of a file of an instance, as of its log with the extension ".log".
+// Path returns the path of an instance's file with an extension, such as ".log" for its log.
 func (c *Cluster) Path(name, extension string) string { return filepath.Join(c.Dir, name+extension) }
 
-// ClientAddress returns where an instance takes clients.
+// ClientAddress returns the address on which an instance listens for clients.
 func (c *Cluster) ClientAddress(name string) string { return c.instances[name].clientAddress }
 
-// ClientAddresses returns where the instances take clients.
+// ClientAddresses returns the addresses on which the instances listen for clients.
 func (c *Cluster) ClientAddresses() []string {
 	var addresses []string
 	for _, name := range c.Names {
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// Start starts an instance. Its log is appended to its file and parsed for LogLines.
+// Start starts an instance. The instance's log is appended to its log file and parsed for LogLines.
 func (c *Cluster) Start(name string) error {
 	command := Command{Binary: c.Binary, Config: c.Path(name, ".json"), ShareCore: c.ShareCore}
 	if !c.WithoutOperatorFile {
@@ -206,33 +207,33 @@
 	c.readers.Go(func() {
 		defer closeAll(logFile)
 		process.readLog(output, func(raw []byte) {
-			_, _ = fmt.Fprintf(logFile, "%s\n", raw) // the file is for people; the lines are kept in memory
+			_, _ = fmt.Fprintf(logFile, "%s\n", raw) // a write error does no harm: the file is for people only
 			if line, ok := parseLogLine(raw); ok {
 				line.Instance, line.Incarnation = name, incarnation
-				c.appendLine(line)
+				c.appendLogLine(line)
 			}
 		})
 	})
 	return nil
 }
 
-// Incarnation returns how often an instance was started.
+// Incarnation returns how often an instance has been started.
 func (c *Cluster) Incarnation(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.instances[name].incarnation
 }
 
-// Signal sends a signal to an instance, which counts as not running after SIGKILL and SIGTERM.
+// Signal sends a signal to an instance. After SIGKILL and SIGTERM the instance counts as not running.
 func (c *Cluster) Signal(name string, signal syscall.Signal) error {
 	c.mu.Lock()
 	process := c.instances[name].process
 	c.mu.Unlock()
 	if process == nil {
-		return fmt.Errorf("%s does not run", name)
+		return fmt.Errorf("send signal %q to instance %s: it is not running", signal, name)
 	}
 	if err := process.Signal(signal); err != nil {
-		return err
+		return fmt.Errorf("send signal %q to instance %s: %w", signal, name, err)
 	}
 	if signal == syscall.SIGKILL || signal == syscall.SIGTERM {
 		c.mu.Lock()
@@ -242,7 +243,7 @@
 	return nil
 }
 
-// PID returns an instance's process; 0 is none.
+// PID returns the process ID of an instance, or 0 if it is not running.
 func (c *Cluster) PID(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -252,7 +253,7 @@
 	return 0
 }
 
-// Close kills all instances and ends the emulators.
+// Close kills all instances and stops the relays and emulators.
 func (c *Cluster) Close() {
 	c.mu.Lock()
 	for _, started := range c.instances {
@@ -262,8 +263,8 @@
 		}
 	}
 	c.mu.Unlock()
-	for _, path := range c.Relays {
-		path.Close()
+	for _, started := range c.Relays {
+		started.Close()
 	}
 	c.readers.Wait()
 	for _, emulated := range c.Caches {
@@ -272,7 +273,7 @@
 	c.Discovery.Close()
 }
 
-// closeAll closes files and connections of which nothing more is wanted: a Close that fails loses nothing.
+// closeAll closes files and connections that are no longer needed. It ignores errors, as no data can be lost.
 func closeAll(closers ...io.Closer) {
 	for _, closer := range closers {
 		_ = closer.Close()
--- a/internal/experiment/testcluster/endpoint.go
+++ b/internal/experiment/testcluster/endpoint.go
@@ -11,7 +11,7 @@
 // CacheName returns the name of an emulated cache.
 func CacheName(index int) string { return fmt.Sprintf("s-%03d", index) }
 
-// EndpointJSON returns a cache as it stands in an endpoint list. The zero time is a start long ago.
+// EndpointJSON returns the entry of a cache in an endpoint list. A zero startedAt means that it started long ago.
 func EndpointJSON(emulated *cache.Cache, startedAt time.Time) string {
 	startedAtMS := int64(0)
 	if !startedAt.IsZero() {
@@ -21,16 +21,18 @@
 		`"lifecycle":"active","weight":4,"startedAtMs":%d}`, emulated.Name, emulated.Address(), startedAtMS)
 }
 
-// Draining returns an endpoint of EndpointJSON, or an event with it, as it reads while that cache drains.
+// Draining marks an active endpoint as draining. It takes a result of EndpointJSON, or an event that contains one.
 func Draining(endpoint string) string { return strings.Replace(endpoint, "active", "leaving", 1) }
 
-// EndpointListEvent returns a watch event with a complete endpoint list, with %d for its position.
+// EndpointListEvent returns a watch event with a complete endpoint list. The event contains %d in place of its
+// position.
 func EndpointListEvent(generation int, endpoints []string) string {
 	return fmt.Sprintf(`{"pos":%%d,"hosts":{"generation":%d,"reset":true,"instances":[%s]}}`,
 		generation, strings.Join(endpoints, ","))
 }
 
-// EndpointChangeEvent returns a watch event that changes some endpoints, with %d for its position.
+// EndpointChangeEvent returns a watch event that changes some endpoints. The event contains %d in place of its
+// position.
 func EndpointChangeEvent(generation int, endpoints ...string) string {
 	return fmt.Sprintf(`{"pos":%%d,"hosts":{"generation":%d,"instances":[%s]}}`,
 		generation, strings.Join(endpoints, ","))
--- a/internal/experiment/testcluster/faults.go
+++ b/internal/experiment/testcluster/faults.go
@@ -6,30 +6,30 @@
 	"tealpath/internal/emulator/relay"
 )
 
-// Side selects instances by name, as one end of links.
-type Side func(name string) bool
+// Selector reports whether the instance with a name is selected.
+type Selector func(name string) bool
 
 // Any selects all instances.
 func Any(string) bool { return true }
 
 // Only selects one instance.
-func Only(name string) Side { return func(other string) bool { return other == name } }
+func Only(name string) Selector { return func(other string) bool { return other == name } }
 
-// Not selects the instances that a side leaves out.
-func Not(side Side) Side { return func(name string) bool { return !side(name) } }
+// Not selects the instances that a selector does not select.
+func Not(selector Selector) Selector { return func(name string) bool { return !selector(name) } }
 
-// SetLinks sets the conditions of the links on which instances of one side open connections to those of
-// another.
-func (c *Cluster) SetLinks(from, to Side, conditions relay.Conditions) {
-	for link, path := range c.Relays {
+// SetLinks sets the conditions of the links on which the instances selected by from open connections to those
+// selected by to.
+func (c *Cluster) SetLinks(from, to Selector, conditions relay.Conditions) {
+	for link, linkRelay := range c.Relays {
 		if from(link.From) && to(link.To) {
-			path.SetConditions(conditions)
+			linkRelay.SetConditions(conditions)
 		}
 	}
 }
 
-// CutLinks cuts links: nothing passes, and connections stay open.
-func (c *Cluster) CutLinks(from, to Side) {
+// CutLinks cuts links in both directions: no data passes, but connections stay open.
+func (c *Cluster) CutLinks(from, to Selector) {
 	c.SetLinks(from, to, relay.Conditions{CutForward: true, CutBackward: true})
 }
 
@@ -39,11 +39,11 @@
 	c.CutLinks(Any, Only(name))
 }
 
-// Delay delays what passes on all links from and to an instance, and lets all pass.
+// Delay sets the delay of all links from and to an instance. It also restores those that were cut.
 func (c *Cluster) Delay(name string, delay time.Duration) {
 	c.SetLinks(Only(name), Any, relay.Conditions{Delay: delay})
 	c.SetLinks(Any, Only(name), relay.Conditions{Delay: delay})
 }
 
-// Heal lets all pass on all links, without delay.
+// Heal restores all links, without delay.
 func (c *Cluster) Heal() { c.SetLinks(Any, Any, relay.Conditions{}) }
--- a/internal/experiment/testcluster/files.go
+++ b/internal/experiment/testcluster/files.go
@@ -10,7 +10,7 @@
 	"tealpath/internal/emulator/relay"
 )
 
-// RouterConfig is what experiments choose in a router's configuration file.
+// RouterConfig holds the values in a router's configuration file that experiments choose.
 type RouterConfig struct {
 	Name           string
 	Listen         string
@@ -19,10 +19,10 @@
 	MemoryMB       int
 	MaxSockets     int
 	Discovery      string          // address of the discovery service
-	WatchEvents    json.RawMessage // of the service up to now; nil is none
-	Routers        int             // how many the settings say that there are
+	WatchEvents    json.RawMessage // watch events that the router knows at its start; nil is none
+	Routers        int             // number of routers, according to the settings
 	HealthChecks   bool            // the settings allow health checks, and caches report their load
-	WarmUpDuration int             // s, of a cache
+	WarmUpDuration int             // of a cache, in s
 }
 
 // routerFile is the layout of a router's configuration file.
@@ -93,7 +93,7 @@
 	KeyScope         string  `json:"keyScope"`
 }
 
-// Write writes the configuration file.
+// Write writes the configuration file to a path.
 func (r RouterConfig) Write(path string) error {
 	raw, err := json.Marshal(routerFile{
 		Name:   r.Name,
@@ -183,7 +183,7 @@
 	return c.WriteOperatorFile(name)
 }
 
-// coresPerInstance is an instance's share of the cores.
+// coresPerInstance returns the number of cores that an instance may use.
 func (c *Cluster) coresPerInstance() float64 {
 	if c.ShareCore {
 		return 1 / float64(c.Instances)
@@ -191,7 +191,7 @@
 	return 1
 }
 
-// WriteOperatorFile writes an instance's operator's file.
+// WriteOperatorFile writes the operator's file of an instance.
 func (c *Cluster) WriteOperatorFile(name string) error {
 	path := c.Path(name, ".sx")
 	if c.OperatorFile != "" {
@@ -204,25 +204,25 @@
 	return os.WriteFile(path, []byte(c.leaseOperatorFile(name, instances)), 0o600)
 }
 
-// instanceOptions returns the (instance …) lines of an operator's file. Other instances stand there at the
-// addresses of the relays that lead to them, if there are relays.
+// instanceOptions returns the (instance …) lines of an operator's file. With relays, the address of each other
+// instance is that of the relay to it.
 func (c *Cluster) instanceOptions(name string) (string, error) {
 	var lines strings.Builder
 	for _, other := range c.Names {
 		address := c.instances[other].peerAddress
 		if c.WithRelays && other != name {
-			path, err := c.relay(Link{From: name, To: other})
+			linkRelay, err := c.relay(Link{From: name, To: other})
 			if err != nil {
 				return "", err
 			}
-			address = path.Address()
+			address = linkRelay.Address()
 		}
 		fmt.Fprintf(&lines, "    (instance %s (at \"%s\"))\n", other, address)
 	}
 	return lines.String(), nil
 }
 
-// relay returns the relay of a link, and starts it the first time.
+// relay returns the relay of a link. The first call for a link starts the relay.
 func (c *Cluster) relay(link Link) (*relay.Relay, error) {
 	if started := c.Relays[link]; started != nil {
 		return started, nil
@@ -235,7 +235,7 @@
 	return started, nil
 }
 
-// leaseOperatorFile returns an operator's file that has instances share leases and health checks.
+// leaseOperatorFile returns the content of an operator's file with which instances share leases and health checks.
 func (c *Cluster) leaseOperatorFile(name, instances string) string {
 	return fmt.Sprintf(`(socket "%[1]s.sock")
 (fleet
--- a/internal/experiment/testcluster/frame.go
+++ b/internal/experiment/testcluster/frame.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// The clients' protocol is framed binary Thrift. Frames are built here by hand, so that a fault of the router's
-// own protocol package shows.
+// Constants of the clients' protocol, framed binary Thrift. This file does not use the router's protocol package,
+// so that tests detect that package's faults.
 const (
 	frameHeaderBytes = 4
 	thriftMap        = 13
@@ -17,7 +17,7 @@
 	messageReply = 2
 )
 
-// callFrame returns a framed call.
+// callFrame returns a framed call of a method with encoded arguments.
 func callFrame(method string, sequence uint32, arguments []byte) []byte {
 	message := binary.BigEndian.AppendUint32([]byte{0x80, 1, 0, 1}, uint32(len(method)))
 	message = append(message, method...)
@@ -29,7 +29,7 @@
 // healthFrame returns a framed call that asks a router whether it is ready.
 func healthFrame() []byte { return callFrame("health", 1, []byte{0}) }
 
-// requestFrame returns a framed request for an object, which the client gives up after a second.
+// requestFrame returns a framed request for an object, with a timeout of one second.
 func requestFrame(sequence uint32, id uint64, object int) []byte {
 	fields := []string{
 		"verb", "stills",
@@ -53,7 +53,7 @@
 	return append(binary.BigEndian.AppendUint32(out, uint32(len(text))), text...)
 }
 
-// readFrame reads one frame without its header.
+// readFrame reads one frame and returns it without its header.
 func readFrame(in io.Reader) ([]byte, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
@@ -64,7 +64,7 @@
 	return frame, err
 }
 
-// readResponse reads a response. It returns the number of its request, and whether the request was served.
+// readResponse reads a response. It returns the sequence number of the request and whether the request was served.
 func readResponse(in *bufio.Reader) (sequence uint32, served bool, err error) {
 	frame, err := readFrame(in)
 	if err != nil {
@@ -72,15 +72,17 @@
 	}
 	const nameAt = 8 // after the version and the length of the method's name
 	if len(frame) < nameAt {
-		return 0, false, io.ErrUnexpectedEOF
+		return 0, false, fmt.Errorf("response of %d bytes, want at least %d: %w",
+			len(frame), nameAt, io.ErrUnexpectedEOF)
 	}
 	nameLength := int(binary.BigEndian.Uint32(frame[nameAt-4:]))
 	sequenceAt := nameAt + nameLength
 	resultFieldAt := sequenceAt + 4
 	if len(frame) < resultFieldAt+3 {
-		return 0, false, io.ErrUnexpectedEOF
+		return 0, false, fmt.Errorf("response of %d bytes, want at least %d: %w",
+			len(frame), resultFieldAt+3, io.ErrUnexpectedEOF)
 	}
 	isReply := frame[3] == messageReply
-	isSuccess := frame[resultFieldAt+2] == 0 // the result's field 0; others are errors
+	isSuccess := frame[resultFieldAt+2] == 0 // field 0 of the result; other fields are errors
 	return binary.BigEndian.Uint32(frame[sequenceAt:]), isReply && isSuccess, nil
 }
--- a/internal/experiment/testcluster/load.go
+++ b/internal/experiment/testcluster/load.go
@@ -15,10 +15,10 @@
 	loadDialTimeout  = 5 * time.Second
 	loadWriteTimeout = time.Second
 
-	// lastResponseWait is for how long responses are waited for after the last request.
+	// lastResponseWait is how long Run waits for responses after the last request.
 	lastResponseWait = 1500 * time.Millisecond
 
-	// loadObjects is how many objects are asked for.
+	// loadObjects is the number of different objects that are requested.
 	loadObjects = 200
 
 	maxLatencyMicros     = 10_000_000
@@ -26,22 +26,22 @@
 	loadSeedA, loadSeedB = 1, 2
 )
 
-// Load is active traffic at a fixed rate. Each request is sent when it is due, whether or not earlier ones were
-// answered, and its latency counts from then, so that a router that holds up the client does not look fast
-// (coordinated omission).
+// Load sends requests at a fixed rate. Each request is sent when it is due, even if earlier ones are still pending,
+// and its latency counts from the due time. This avoids coordinated omission: a router that blocks the client would
+// otherwise appear fast.
 type Load struct {
-	Rate           float64 // requests a second, over all addresses together
+	Rate           float64 // requests per second over all addresses together
 	Addresses      []string
-	ConnectionsPer int // address
+	ConnectionsPer int // connections per address
 }
 
-// LoadResult is what came of a load.
+// LoadResult is the outcome of a load.
 type LoadResult struct {
 	Sent      int
 	Served    int
-	Failed    int                     // answered otherwise, or not sent
-	Lost      int                     // never answered
-	Latencies *hdrhistogram.Histogram // of what was answered, µs
+	Failed    int                     // answered with an error, or not sent
+	Lost      int                     // without a response
+	Latencies *hdrhistogram.Histogram // of requests with a response, µs
 }
 
 // LatencyMS returns a percentile of the latency in milliseconds.
@@ -49,7 +49,7 @@
 	return float64(r.Latencies.ValueAtQuantile(percentile)) / 1000
 }
 
-// Run sends the load until the context ends or the duration is over, and then waits for the last responses.
+// Run sends the load until the context ends or the duration has passed, and then waits for the last responses.
 func (l Load) Run(ctx context.Context, duration time.Duration) (LoadResult, error) {
 	run := &loadRun{result: LoadResult{Latencies: hdrhistogram.New(1, maxLatencyMicros, latencyPrecision)}}
 	defer run.readers.Wait()
@@ -68,19 +68,19 @@
 	connections []*loadConnection
 	readers     sync.WaitGroup
 
-	mu     sync.Mutex // taken alone or while no connection's lock is held
-	result LoadResult // Served, Failed and Latencies are guarded by mu while readers run
+	mu     sync.Mutex // never held together with a connection's lock
+	result LoadResult // mu guards Served, Failed and Latencies while readers run
 }
 
-// loadConnection is a client's place; its connection is opened again when the router has closed it.
+// loadConnection is one client of a router. It opens a new connection after the router has closed the previous one.
 type loadConnection struct {
 	address string
 
 	mu       sync.Mutex
 	conn     net.Conn             // guarded by mu
-	pending  map[uint32]time.Time // guarded by mu; requests without a response, by number: when each was due
-	sequence uint32               // guarded by mu; number of the last request
-	closed   bool                 // guarded by mu; by the router
+	pending  map[uint32]time.Time // guarded by mu; due times of requests without a response, by sequence number
+	sequence uint32               // guarded by mu; sequence number of the last request
+	closed   bool                 // guarded by mu; the connection has ended
 }
 
 func (r *loadRun) connect(load Load) error {
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// dial opens the connection and starts its reader. The caller holds the connection's lock once others know of
-// it.
+// dial opens the connection and starts its reader. The caller holds the connection's lock if a reader was started
+// before.
 func (r *loadRun) dial(connection *loadConnection) error {
 	conn, err := net.DialTimeout("tcp", connection.address, loadDialTimeout)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// read takes responses until the connection ends.
+// read reads responses until the connection ends.
 func (r *loadRun) read(connection *loadConnection, conn net.Conn) {
 	defer closeAll(conn)
 	for in := bufio.NewReader(conn); ; {
@@ -127,7 +127,7 @@
 	}
 }
 
-// count counts a response. One to no request counts as failed.
+// count counts a response. A response that belongs to no pending request counts as failed.
 func (r *loadRun) count(dueAt time.Time, isPending, served bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,12 +137,12 @@
 		r.result.Failed++
 	}
 	if isPending {
-		// A latency beyond the histogram's range is left out.
+		// RecordValue omits latencies beyond the histogram's range.
 		_ = r.result.Latencies.RecordValue(max(1, time.Since(dueAt).Microseconds()))
 	}
 }
 
-// send sends requests at a fixed rate over connections drawn at random.
+// send sends requests at a fixed rate, each over a random connection.
 func (r *loadRun) send(ctx context.Context, rate float64, duration time.Duration) {
 	random := rand.New(rand.NewPCG(loadSeedA, loadSeedB))
 	start, interval := time.Now(), time.Duration(float64(time.Second)/rate)
@@ -150,20 +150,20 @@
 		time.Sleep(time.Until(dueAt))
 		connection := r.connections[random.IntN(len(r.connections))]
 		r.result.Sent++
-		sequence, conn, ok := r.begin(connection, dueAt)
+		sequence, conn, ok := r.beginRequest(connection, dueAt)
 		if !ok {
 			r.countUnsent()
 			continue
 		}
-		// A request that can't be written is never answered and counts as lost.
+		// A request that can't be written gets no response and counts as lost.
 		_ = conn.SetWriteDeadline(time.Now().Add(loadWriteTimeout))
 		_, _ = conn.Write(requestFrame(sequence, random.Uint64(), random.IntN(loadObjects)))
 	}
 }
 
-// begin notes a request as pending. As usual clients do, it opens the connection again if the router closed it
-// while nothing was pending, as it does when nothing was asked for 2 s. It returns false where that fails.
-func (r *loadRun) begin(connection *loadConnection, dueAt time.Time) (uint32, net.Conn, bool) {
+// beginRequest registers a request as pending. It first reconnects, as other clients do, if the connection was closed
+// while no request was pending: the router closes connections that are idle for 2 s. It returns false if that fails.
+func (r *loadRun) beginRequest(connection *loadConnection, dueAt time.Time) (uint32, net.Conn, bool) {
 	connection.mu.Lock()
 	defer connection.mu.Unlock()
 	if connection.closed && len(connection.pending) == 0 && r.dial(connection) != nil {
@@ -180,7 +180,7 @@
 	r.result.Failed++
 }
 
-// close counts what was not answered and closes all connections.
+// close counts requests without a response as lost and closes all connections.
 func (r *loadRun) close() {
 	for _, connection := range r.connections {
 		connection.mu.Lock()
--- a/internal/experiment/testcluster/process.go
+++ b/internal/experiment/testcluster/process.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// Command says how a router process is started.
+// Command describes how to start a router process.
 type Command struct {
 	Binary       string
 	Config       string // path of its configuration file
-	OperatorFile string // path; empty is none
-	ShareCore    bool   // it runs on RouterCore alone
+	OperatorFile string // path of its operator's file; empty is none
+	ShareCore    bool   // run on RouterCore only
 }
 
 // Process is a router process.
 type Process struct {
 	command *exec.Cmd
-	ended   chan struct{} // closed when the process has ended and all that it logged was read
+	ended   chan struct{} // closed when the process has ended and its log was read completely
 }
 
-// StartProcess starts a router and calls onLine with each line of its log, until the process ends.
+// StartProcess starts a router and calls onLine with each event that the router logs, until the process ends.
 func StartProcess(command Command, onLine func(LogLine)) (*Process, error) {
 	process, output, err := command.start()
 	if err != nil {
@@ -38,7 +38,7 @@
 	return process, nil
 }
 
-// start starts the process. Whoever calls it has readLog read the output.
+// start starts the process. The caller must pass the output to readLog.
 func (c Command) start() (*Process, io.Reader, error) {
 	arguments := []string{"serve"}
 	if c.OperatorFile != "" {
@@ -60,47 +60,47 @@
 	return &Process{command: command, ended: make(chan struct{})}, output, nil
 }
 
-// readLog reads what the process logs until it ends.
+// readLog calls onLine with each line that the process logs, until the process ends.
 func (p *Process) readLog(output io.Reader, onLine func([]byte)) {
 	defer close(p.ended)
 	for lines := bufio.NewScanner(output); lines.Scan(); {
 		onLine(lines.Bytes())
 	}
-	_ = p.command.Wait() // a process that was killed ends with an error
+	_ = p.command.Wait() // the error only says how the process ended
 }
 
-// PID returns the process's number.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
 // Signal sends a signal to the process.
 func (p *Process) Signal(signal syscall.Signal) error { return p.command.Process.Signal(signal) }
 
-// KillAndWait kills the process, also one that is stopped, and waits until it has ended.
+// KillAndWait kills the process, even while it is stopped by SIGSTOP, and waits until it has ended.
 func (p *Process) KillAndWait() {
 	p.kill()
 	<-p.ended
 }
 
-// kill does nothing to a process that has ended already.
+// kill kills the process. It does nothing if the process has ended.
 func (p *Process) kill() {
 	_ = p.Signal(syscall.SIGCONT)
 	_ = p.command.Process.Kill()
 }
 
-// LogLine is one event that an instance logged.
+// LogLine is one event that a router logged.
 type LogLine struct {
-	At          time.Time // when it was read
+	At          time.Time // when the line was read
 	Instance    string
-	Incarnation int    // which start of the instance
-	Event       string // its name
+	Incarnation int    // of the instance, counted from 1
+	Event       string // name of the event
 	Text        string // the complete line
 	Phase       string
 	Slots       []int
 	Ballot      uint64
-	Member      string // the instance that the event is about
+	Member      string // name of the member that the event is about
 }
 
-// parseLogLine parses a line as JSON.
+// parseLogLine parses a line of a log. It returns false if the line is not a JSON object.
 func parseLogLine(raw []byte) (LogLine, bool) {
 	var fields struct {
 		Event, Phase, Member string
--- a/internal/experiment/testcluster/reload_test.go
+++ b/internal/experiment/testcluster/reload_test.go
@@ -11,7 +11,8 @@
 	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
-// Keys, roots and voters change in service; a faulty file changes nothing; one that is in no file joins.
+// Running instances reload new certificates, roots and voters. A faulty operator's file is rejected and changes
+// nothing, and an instance that is not yet a voter joins.
 func TestReloadOfRealInstances(t *testing.T) {
 	c, err := testcluster.New(testcluster.Config{
 		Binary:        clustertest.Build(t, "tealpath"),
@@ -33,7 +34,7 @@
 			t.Fatal(err)
 		}
 	}
-	operate := func(names ...string) {
+	reloadOperatorFiles := func(names ...string) {
 		t.Helper()
 		for _, name := range names {
 			must(c.WriteOperatorFile(name))
@@ -55,34 +56,34 @@
 	clustertest.WaitForLog(t, c, "n00", "config_rejected", `"cause":"operator's file`)
 	must(c.WaitForAllSlotsLeased(t.Context(), time.Second))
 
-	// A new root, beside the old one at first.
+	// Instances trust a new root in addition to the old one, and then get certificates of the new root.
 	next, err := certificates.NewRoot("next")
 	must(err)
 	for _, name := range c.Names {
 		must(c.Root.Write(c.Dir, name, time.Now().Add(time.Hour), c.Root, next))
 	}
-	operate(first...)
+	reloadOperatorFiles(first...)
 	for _, name := range c.Names {
 		must(next.Write(c.Dir, name, time.Now().Add(time.Hour), c.Root, next))
 	}
-	operate(first...)
-	must(c.Start(last)) // it proves itself by the new root alone, and has no vote
+	reloadOperatorFiles(first...)
+	must(c.Start(last)) // its certificate is of the new root only, and it is not a voter
 	clustertest.WaitForLog(t, c, last, "leases_acquired", "")
 	must(c.WaitForAllSlotsLeased(t.Context(), 10*time.Second))
 
-	// The fourth gets a vote; a second change at once is refused.
+	// The fourth instance becomes a voter. Another change of voters right after that is rejected.
 	time.Sleep(2 * c.LeaseDuration)
 	c.SetVoters("(epoch 2) (now n00 n01 n02 n03) (before n00 n01 n02)")
-	operate(c.Names...)
+	reloadOperatorFiles(c.Names...)
 	clustertest.WaitForLog(t, c, "n00", "cluster_config_reloaded", `"instances":4,"voter_epoch":2`)
 	c.SetVoters("(epoch 3) (now n01 n02 n03) (before n00 n01 n02 n03)")
-	operate("n00")
+	reloadOperatorFiles("n00")
 	clustertest.WaitForLog(t, c, "n00", "voters_kept", "a majority must have been at epoch 2")
 	must(c.WaitForAllSlotsLeased(t.Context(), 10*time.Second))
 	s, err := c.LeaseStatus(t.Context(), "n00")
 	must(err)
 	if s.Epoch != 2 || len(s.Voters) != 4 || !s.Majority || s.Targets != 2 {
-		t.Errorf("%+v", s)
+		t.Errorf("lease status of n00 is %+v, want epoch 2, 4 voters, a majority and 2 targets", s)
 	}
 	must(c.Signal(last, syscall.SIGTERM))
 	clustertest.WaitForLog(t, c, last, "leases_lost", "this instance leaves")
--- a/internal/experiment/testcluster/snapshot_test.go
+++ b/internal/experiment/testcluster/snapshot_test.go
@@ -12,33 +12,38 @@
 
 const snapshotListConfirmed = "snapshot_list_confirmed"
 
-// snapshotCase is a change of the world between a router's kill and its next start.
+// snapshotCase is a change of the snapshot or of the discovery service while the router is not running.
 type snapshotCase struct {
-	name   string
-	change func(t *testing.T, cluster *testcluster.Cluster, snapshot string)
-	event  string // in the log
-	part   string // of its line
-	behind int    // what the list service is asked behind, in the end
+	name             string
+	change           func(t *testing.T, cluster *testcluster.Cluster, snapshot string)
+	wantEvent        string // name of the event that the restarted router logs
+	wantText         string // contained in the event's line
+	skipEventIDCheck int    // 1 if the event ID of the last call to the discovery service does not matter
 }
 
 func snapshotCases() []snapshotCase {
 	unchanged := func(*testing.T, *testcluster.Cluster, string) {}
 	return []snapshotCase{
-		{name: "as it was", change: unchanged, event: snapshotListConfirmed},
-		{name: "a cache drained", change: drainFirstCache, event: snapshotListConfirmed},
-		{name: "torn", change: tearSnapshot, event: "snapshot_ignored", part: `"cause":"torn`},
+		{name: "unchanged", change: unchanged, wantEvent: snapshotListConfirmed},
+		{name: "a cache drains", change: drainFirstCache, wantEvent: snapshotListConfirmed},
 		{
-			name:   "of a newer program",
-			change: raiseSnapshotVersion,
-			event:  "snapshot_ignored",
-			part:   `"cause":"it is of version 9`,
+			name:      "truncated snapshot",
+			change:    truncateSnapshot,
+			wantEvent: "snapshot_ignored",
+			wantText:  `"cause":"torn`,
 		},
 		{
-			name:   "the service began anew",
-			change: resetDiscovery,
-			event:  "startup_phase_changed",
-			part:   `"phase":"warming"`,
-			behind: 1,
+			name:      "snapshot of a newer version",
+			change:    raiseSnapshotVersion,
+			wantEvent: "snapshot_ignored",
+			wantText:  `"cause":"it is of version 9`,
+		},
+		{
+			name:             "discovery service reset",
+			change:           resetDiscovery,
+			wantEvent:        "startup_phase_changed",
+			wantText:         `"phase":"warming"`,
+			skipEventIDCheck: 1,
 		},
 	}
 }
@@ -48,7 +53,7 @@
 	cluster.Discovery.Publish(testcluster.EndpointChangeEvent(3, testcluster.Draining(endpoint)))
 }
 
-func tearSnapshot(t *testing.T, _ *testcluster.Cluster, snapshot string) {
+func truncateSnapshot(t *testing.T, _ *testcluster.Cluster, snapshot string) {
 	t.Helper()
 	if err := os.Truncate(snapshot, 200); err != nil {
 		t.Fatal(err)
@@ -73,9 +78,9 @@
 	cluster.Discovery.Publish(testcluster.EndpointListEvent(4, []string{endpoint}))
 }
 
-// A real router is killed, the world changes, and it starts again from its snapshot: the list is used only once
-// the service has confirmed it, a cache that drained meanwhile gets nothing, and what is torn, another's or
-// newer is passed over.
+// A router that restarts from a snapshot must use the snapshot's endpoint list only after the discovery service has
+// confirmed it, send nothing to a cache that started to drain in the meantime, and ignore a snapshot that is
+// truncated or of a newer version.
 func TestRestartFromSnapshot(t *testing.T) {
 	binary := clustertest.Build(t, "tealpath")
 	for _, test := range snapshotCases() {
@@ -105,7 +110,7 @@
 	if err := cluster.Start(name); err != nil {
 		t.Fatal(err)
 	}
-	serve(t, cluster, name)
+	sendLoad(t, cluster, name)
 	snapshot := cluster.Path("kept", "")
 	waitFor(t, "a snapshot", func() bool {
 		_, err := os.Stat(snapshot)
@@ -120,25 +125,25 @@
 	if err := cluster.Start(name); err != nil {
 		t.Fatal(err)
 	}
-	result := serve(t, cluster, name)
-	clustertest.WaitForLog(t, cluster, name, test.event, test.part)
+	result := sendLoad(t, cluster, name)
+	clustertest.WaitForLog(t, cluster, name, test.wantEvent, test.wantText)
 	if result.Served < result.Sent*9/10 || result.Lost > 0 {
-		t.Errorf("%+v", result)
+		t.Errorf("fewer than 90%% of the requests served, or some lost, after the restart: %+v", result)
 	}
 	after := cluster.Caches[0].Fetches()
-	if test.name == "a cache drained" && after != before || test.name == "as it was" && after == before {
-		t.Errorf("the first cache was asked %d times before the restart, %d in all", before, after)
+	if test.name == "a cache drains" && after != before || test.name == "unchanged" && after == before {
+		t.Errorf("the first cache received %d requests before the restart and %d in total", before, after)
 	}
 	calls := cluster.Discovery.Calls()
-	isConfirmed := test.event == snapshotListConfirmed
+	isConfirmed := test.wantEvent == snapshotListConfirmed
 	lastEventID := calls[len(calls)-1].LastEventID
-	if isConfirmed != (lastEventID == 1) && test.behind == 0 {
-		t.Errorf("the last call asked behind %d", lastEventID)
+	if isConfirmed != (lastEventID == 1) && test.skipEventIDCheck == 0 {
+		t.Errorf("the last call asked for events after %d; want after 1 only if the list was confirmed", lastEventID)
 	}
 }
 
-// serve sends load to a router once it is healthy.
-func serve(t *testing.T, cluster *testcluster.Cluster, name string) testcluster.LoadResult {
+// sendLoad waits until a router is healthy and sends load to it.
+func sendLoad(t *testing.T, cluster *testcluster.Cluster, name string) testcluster.LoadResult {
 	t.Helper()
 	address := cluster.ClientAddress(name)
 	waitFor(t, "a healthy router", func() bool { return testcluster.IsHealthy(address) })
@@ -155,7 +160,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s never came", what)
+			t.Fatalf("%s did not appear within 10 s", what)
 		}
 	}
 }
