--- a/internal/experiment/testcluster/usage.go
+++ b/internal/experiment/testcluster/usage.go
@@ -8,9 +8,9 @@
 	"strings"
 )
 
-// CPUSeconds returns the processor time that a process's threads have had, by the scheduler's account in
-// nanoseconds: that in clock ticks counts a whole tick for a moment at its end. It is 0 where it cannot be
-// read.
+// CPUSeconds returns the processor time that the threads of a process have used, or 0 if it cannot be read. It uses
+// the scheduler's statistics in nanoseconds: those in clock ticks count a whole tick if a thread runs at the tick's
+// end.
 func CPUSeconds(pid int) float64 {
 	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is well formed
 	sum := 0.
@@ -20,13 +20,13 @@
 		if err != nil || len(fields) == 0 {
 			continue
 		}
-		nanoseconds, _ := strconv.ParseFloat(fields[0], 64) // 0 is right where it is no number
+		nanoseconds, _ := strconv.ParseFloat(fields[0], 64) // an invalid number counts as 0
 		sum += nanoseconds / 1e9
 	}
 	return sum
 }
 
-// ResidentKB returns a process's resident memory. It is 0 where it cannot be read.
+// ResidentKB returns the resident memory of a process, or 0 if it cannot be read.
 func ResidentKB(pid int) int64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
