--- a/internal/experiment/leasesim/plan.go
+++ b/internal/experiment/leasesim/plan.go
@@ -26,7 +26,7 @@
 }
 
 const (
-	maxVoters         = 5                  // the first instances
+	maxVoters         = 5                  // the first instances are voters, up to this number
 	maxClockDrift     = 0.01               // of the monotonic clocks' rates
 	hour              = 3600e9             // ns
 	wallClockMS       = int64(1.7e12)      // at the start of the run
@@ -35,7 +35,7 @@
 	probeTimeout      = int64(5e8)         // ns
 	firstFaultLeases  = 4                  // time of the first fault, in leases
 	faultJitterLeases = 10                 // random part of the interval between faults, in leases
-	latencyDivisor    = 100                // the normal mean latency is this part of a renewal interval
+	latencyDivisor    = 100                // a renewal interval divided by this is the normal mean latency
 	duplicateOneIn    = 21                 // on average, one message in 21 is delivered twice
 	noHolder          = -1                 // in runState.holders: the slot has no holder
 )
@@ -53,7 +53,7 @@
 	ballots     []uint64             // highest ballot of each slot so far
 	lastProbes  map[string]sentProbe // by name of the endpoint
 	leasedSlots int                  // slots that have a holder
-	leasedTime  float64              // ns, summed over all slots
+	leasedTime  float64              // ns with a holder, summed over all slots
 	result      Result
 }
 
--- a/internal/experiment/membership/experiment.go
+++ b/internal/experiment/membership/experiment.go
@@ -18,12 +18,12 @@
 // Page is the design note whose bounds the results are checked against.
 const Page = "docs/membership.md"
 
-// Bounds of docs/membership.md for the options below, options of the instances, and timeouts of the experiment.
+// Bounds of docs/membership.md, which apply to instances with operatorOptions, and durations of the experiment.
 const (
 	MaxDetectionMS       = 3000. // until all others have detected a kill
 	MaxOneWayDetectionMS = 5000. // until all others have detected an instance with a one-way fault
 	MaxDisagreementMS    = 5000. // until all views are equal after a fault
-	MaxLinks             = 16    // between an instance and those that it monitors or is monitored by
+	MaxLinks             = 16    // between an instance and the instances that it monitors or that monitor it
 
 	operatorOptions = "(membership (interval 500ms) (silence 2100ms))"
 	maxVoters       = 5
--- a/internal/experiment/membership/fault.go
+++ b/internal/experiment/membership/fault.go
@@ -47,8 +47,8 @@
 	linkDelay         = 300 * time.Millisecond
 	oneLinkDuration   = 8 * time.Second
 	partitionDuration = 10 * time.Second
-	partitionOneIn    = 3 // every third instance is on the smaller side
-	healDelay         = time.Second
+	partitionOneIn    = 3           // every third instance is on the smaller side
+	healDelay         = time.Second // from the detection of a one-way fault until its links heal
 	flapCount         = 6
 	flapDuration      = time.Second
 	starveDuration    = 10 * time.Second
--- a/internal/experiment/membershipsim/faults.go
+++ b/internal/experiment/membershipsim/faults.go
@@ -5,7 +5,7 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// Fault is a fault of instances or of the network. Most faults are those of the experiment with real processes.
+// Fault is a fault of instances or of the network. Most faults also exist in the experiment with real processes.
 type Fault = membership.Fault
 
 // Faults of instances and of the network.
@@ -52,7 +52,7 @@
 	networkFaultTime    = 10 * second
 	oneWayFaultTime     = 8 * second
 	maxOneWayDetection  = 5 * second // within which all others must believe an instance with a one-way fault dead
-	settleTime          = 5 * second // after the end of most faults
+	settleTime          = 5 * second // until all must agree again after most faults
 	duplicateSettleTime = 2 * second
 	flapCount           = 8
 	flapSettleTime      = 6 * second
@@ -71,7 +71,8 @@
 	s.faultFreeFrom = max(s.faultFreeFrom, s.now()+duration)
 }
 
-// injectFault starts a random fault if the previous one is over: each measurement is to show the effect of one fault.
+// injectFault starts a random fault unless the previous one is still in effect. Faults never overlap, so that each
+// measurement shows the effect of a single fault.
 func (s *runState) injectFault() {
 	if s.now() < s.faultFreeFrom {
 		return
@@ -153,8 +154,8 @@
 	s.scheduler.After(networkFaultTime, func() { clear(s.cutLinks) })
 }
 
-// isolateOneWay measures when all other members believe a member dead that can only send or only receive, and then
-// ends the fault.
+// isolateOneWay waits until all other members believe a member dead that can only send or only receive. It ends the
+// fault after oneWayFaultTime.
 func (s *runState) isolateOneWay(victim *simulatedMember) {
 	s.awaitDetection(victim, maxOneWayDetection, s.measured.oneWayDetected, s.measured.oneWayMissed)
 	victim.mayBeDeadUntil = s.now() + networkFaultTime + settleTime
--- a/internal/experiment/sharedconfigsim/plan.go
+++ b/internal/experiment/sharedconfigsim/plan.go
@@ -25,7 +25,7 @@
 }
 
 const (
-	maxVoters     = 5    // the first instances
+	maxVoters     = 5    // the first instances are voters, up to this number
 	maxClockDrift = 0.01 // of the monotonic clocks' rates
 	slots         = 64
 	purgeWindow   = second * 6  // ns
--- a/internal/experiment/sharedconfigsim/result.go
+++ b/internal/experiment/sharedconfigsim/result.go
@@ -18,7 +18,7 @@
 	Contradictions int     `json:"contradictions"`
 	MaxOverlapMS   float64 `json:"contradiction_max_ms"` // longest time for which two versions were in use at once
 	OverlapBoundMS float64 `json:"bound_ms"`             // of MaxOverlapMS
-	InForceP50     float64 `json:"in_force_p50_ms"`      // from acceptance until all running instances use it
+	InForceP50     float64 `json:"in_force_p50_ms"`      // from acceptance of a change until all use it
 	InForceP99     float64 `json:"in_force_p99_ms"`
 	InactiveShare  float64 `json:"floor_share_of_time"` // share of running instances without an active version
 	// PeakSlowStartShare is the largest sum, over all instances, of their shares of the budget of a cache in slow
--- a/internal/experiment/testcluster/observe.go
+++ b/internal/experiment/testcluster/observe.go
@@ -144,7 +144,7 @@
 			return err
 		}
 		if status.Alive != alive || digest != 0 && status.Digest != digest {
-			return fmt.Errorf("instance %s has %d live members and view digest %x, want %d and, if not 0, %x",
+			return fmt.Errorf("instance %s has %d live members and view digest %x, want %d and %x (0 is any)",
 				name, status.Alive, status.Digest, alive, digest)
 		}
 		digest = status.Digest
