--- a/cmd/tealpath/helpers_test.go
+++ b/cmd/tealpath/helpers_test.go
@@ -194,7 +194,7 @@
 	return []*testkit.Cache{testkit.StartCache(t), testkit.StartCache(t)}
 }
 
-// addresses returns the addresses of caches.
+// addresses returns the address at which each of the caches listens.
 func addresses(caches []*testkit.Cache) (listed []string) {
 	for _, cache := range caches {
 		listed = append(listed, cache.Address())
--- a/internal/adminsocket/client.go
+++ b/internal/adminsocket/client.go
@@ -31,7 +31,7 @@
 	}
 	var received reply
 	if err := json.NewDecoder(io.LimitReader(conn, maxReplySize)).Decode(&received); err != nil {
-		return fmt.Errorf("answer of %s: %w", path, err)
+		return fmt.Errorf("decode the reply to %q from %s: %w", words, path, err)
 	}
 	if received.Error != "" {
 		return errors.New(received.Error)
--- a/internal/adminsocket/server.go
+++ b/internal/adminsocket/server.go
@@ -32,7 +32,7 @@
 	return accept(ctx, listener, handlers)
 }
 
-// removeStale removes a socket that no process serves any more. It is an error if a process serves it.
+// removeStale removes a socket that no process serves. It is an error if a process serves it.
 func removeStale(path string) error {
 	if conn, err := net.DialTimeout("unix", path, takeoverTimeout); err == nil {
 		ignore(conn.Close())
--- a/internal/cluster/membership/cluster_test.go
+++ b/internal/cluster/membership/cluster_test.go
@@ -79,7 +79,7 @@
 
 func (cluster *testCluster) wallMS() uint64 { return uint64(cluster.now / 1e6) }
 
-// start starts an instance's table anew. wallMS is its wall clock, ms since 1970.
+// start starts an instance with a new table. wallMS is its wall clock, ms since 1970.
 func (cluster *testCluster) start(name string, wallMS uint64) {
 	var contacts []Contact
 	for _, other := range cluster.names {
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// reportNeighbour reports a neighbour, or withdraws a report of it.
+// reportNeighbour sends the other instances a report that a neighbour has a problem of this kind. With the kind
+// Healthy it withdraws the earlier report, if there is one.
 func (table *Table) reportNeighbour(now int64, member *record, kind ReportKind) {
 	link := member.link
 	if kind == Healthy && link.reported == Healthy {
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -10,7 +10,7 @@
 	// that differ.
 	DigestBuckets = 64
 
-	// maxExtraEntries is how many entries a heartbeat has beside those passed on: the sender's and, if the
+	// maxExtraEntries is how many entries a heartbeat has besides those passed on: the sender's and, if the
 	// receiver is believed dead, the receiver's.
 	maxExtraEntries = 2
 	maxNameSize     = 128
--- a/internal/cluster/membership/receive_test.go
+++ b/internal/cluster/membership/receive_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// One member sends false death claims and forges the reports of other observers. Nobody believes them, unless a
-// single claim is enough.
+// One member sends false death claims and forges the reports of other observers. No instance may believe them. With
+// the injected fault believesOneClaim, a single claim is enough, and the test must notice that.
 func TestFalseReportsOfOneMember(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/internal/cluster/membership/rings.go
+++ b/internal/cluster/membership/rings.go
@@ -35,7 +35,7 @@
 	return cmp.Or(cmp.Compare(point.hash, other.hash), cmp.Compare(point.name, other.name))
 }
 
-// NewRings returns the rings of some names.
+// NewRings returns rings on which each name is placed by its hashes.
 func NewRings(names []string) *Rings {
 	rings := &Rings{names: names, hashes: make(map[string][ringCount]uint64, len(names))}
 	for _, name := range names {
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -24,7 +24,7 @@
 // ErrLoadReportTooLong is the error for a load report with more than maxLoadFields fields.
 var ErrLoadReportTooLong = errors.New("load report has too many fields")
 
-// ProbeResult is the result of a probe.
+// ProbeResult is the result of a health check of an endpoint.
 type ProbeResult struct {
 	Target  string    `cbor:"1,keyasint"`
 	Ballot  uint64    `cbor:"2,keyasint"` // of the lease under which the probe was sent
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -115,7 +115,8 @@
 	return loaded
 }
 
-// startLinks starts an instance's links.
+// startLinks runs the links of an instance that listens on a loopback port. allow lists the addresses from which it
+// accepts connections.
 func startLinks(t *testing.T, name string, loaded *Keys, allow string) *instance {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -313,7 +314,8 @@
 	}
 }
 
-// Connections that send nothing are bounded, and block the links of other instances only until they time out.
+// The number of connections that send nothing is limited, and they block the links of other instances only until they
+// time out.
 func TestSilentConnectionsAreBounded(t *testing.T) {
 	root, folder := newRoot(t, "r"), t.TempDir()
 	issue(t, root, folder, "a", root)
--- a/internal/cluster/peer/refusals.go
+++ b/internal/cluster/peer/refusals.go
@@ -21,7 +21,7 @@
 	kinds map[string]*refusal
 }
 
-// refusal is the counter of one kind.
+// refusal counts the occurrences of one kind since the last one that was logged.
 type refusal struct {
 	loggedAt time.Time
 	times    int // since loggedAt
--- a/internal/cluster/probe/prober.go
+++ b/internal/cluster/probe/prober.go
@@ -21,7 +21,7 @@
 	WarmAt        int64   // when it will be warm, by the clock of the Prober's callers; 0: it is warm
 }
 
-// Probe is a probe to be sent.
+// Probe is a health check that the caller must send.
 type Probe struct {
 	Target, Address string
 	Slot            int
--- a/internal/cluster/sharedconfig/cluster_test.go
+++ b/internal/cluster/sharedconfig/cluster_test.go
@@ -124,7 +124,7 @@
 	return wallStartMS + cluster.now/ms
 }
 
-// propose makes an instance propose a content.
+// propose makes an instance propose a version with this content.
 func (cluster *testCluster) propose(instance *testInstance, content []byte) error {
 	err := instance.node.Propose(cluster.clock(instance), cluster.wallMS(), content)
 	cluster.send(instance)
--- a/internal/cluster/sharedconfig/message.go
+++ b/internal/cluster/sharedconfig/message.go
@@ -1,6 +1,6 @@
 package sharedconfig
 
-// MessageKind is the kind of a message.
+// MessageKind says what a message requests or answers.
 type MessageKind uint8
 
 // The message kinds. Renew requests a lease on the newest version that the sender knows. A voter answers with Grant
--- a/internal/compatibility/compare.go
+++ b/internal/compatibility/compare.go
@@ -141,7 +141,7 @@
 		milliseconds(a.LeaseDuration), a.MaxClockDrift, milliseconds(b.LeaseDuration), b.MaxClockDrift)}}
 }
 
-// compareVoters compares the voters.
+// compareVoters returns a conflict if the sets of voters must not be in force at the same time.
 func compareVoters(a, b Settings) []Conflict {
 	reason := votersConflict(a.Voters, b.Voters)
 	if reason == "" {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -118,7 +118,7 @@
 	return typed, nil
 }
 
-// decodeList decodes a list of values.
+// decodeList decodes values of type t to a slice of the Go type that control.DecodeSettings expects for them.
 func (t valueType) decodeList(values []any) (any, error) {
 	switch t {
 	case seconds, integer:
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -122,7 +122,7 @@
 	halfClosed := errors.Is(readError, io.EOF) || errors.Is(readError, io.ErrUnexpectedEOF)
 	switch {
 	case violated:
-		// The client's other requests fail, because serving them would cost other clients.
+		// The client's other requests fail: serving them would take resources from other clients.
 		c.server.post(router.ClientDisconnected{Client: c.id})
 		c.failRequests()
 	case halfClosed:
--- a/internal/downstream/suspend.go
+++ b/internal/downstream/suspend.go
@@ -30,7 +30,7 @@
 
 // suspendFailed handles an error of suspending a connection. If a resource is exhausted, suspension is retried
 // once the connection has been idle for the same time again. After any other error, no connection is suspended
-// any more.
+// from then on.
 func (ic *idleConnections) suspendFailed(cause error) {
 	if !neterr.IsExhausted(cause) {
 		ic.disableSuspend(cause)
--- a/internal/downstream/wake.go
+++ b/internal/downstream/wake.go
@@ -133,7 +133,7 @@
 }
 
 // run resumes connections until the context ends or the poller fails permanently. In the latter case all
-// connections are resumed, and none is suspended any more.
+// connections are resumed, and no connection is suspended from then on.
 func (w *waker) run(ctx context.Context) {
 	for {
 		since, err := w.wait(ctx)
--- a/internal/emulator/cache/capacity.go
+++ b/internal/emulator/cache/capacity.go
@@ -64,12 +64,12 @@
 	return m.startedAt
 }
 
-// Down tells whether the cache has crashed and has not restarted yet.
+// Down reports whether the cache has crashed and has not restarted yet.
 func (m *CapacityModel) Down(now int64) bool {
 	return now < m.upAt
 }
 
-// Connect counts a new connection and tells whether the cache accepts it.
+// Connect counts a new connection and reports whether the cache accepts it.
 func (m *CapacityModel) Connect(now int64) bool {
 	full := m.MaxConnections > 0 && m.connections >= m.MaxConnections
 	if full || m.Down(now) {
@@ -130,7 +130,7 @@
 	return response
 }
 
-// countArrival counts a request that arrives now and tells whether it exceeds the overload limit.
+// countArrival counts a request that arrives now and reports whether it exceeds the overload limit.
 func (m *CapacityModel) countArrival(now int64) bool {
 	limit, limited := m.overloadLimit(now)
 	for len(m.arrivals) > 0 && m.arrivals[0] <= now-m.OverloadWindow {
--- a/internal/emulator/discoveryserver/session.go
+++ b/internal/emulator/discoveryserver/session.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// sendEvent sends an event and tells whether the call is still open.
+// sendEvent sends an event and reports whether the call is still open.
 func (s *Service) sendEvent(session session, eventID int, event string) bool {
 	text := fmt.Sprintf("id: %d\ndata: %s\n\n", eventID, event)
 	if session.behavior.Truncate {
@@ -121,7 +121,7 @@
 	return true
 }
 
-// send writes a text within the bandwidth of the service and tells whether the call is still open.
+// send writes a text within the bandwidth of the service and reports whether the call is still open.
 func (s *Service) send(session session, text string) bool {
 	time.Sleep(s.reserve(session, len(text)))
 	_, err := session.conn.Write([]byte(text))
--- a/internal/experiment/command/command_test.go
+++ b/internal/experiment/command/command_test.go
@@ -156,7 +156,7 @@
 		{"coldstart --routers 1 --caches 1 --binary " + missing, exitFailed, missing},
 		{"coldstart --faults nonsense", exitFailed, `unknown fault "nonsense": must be one of none, list-down`},
 		{"members --instances 2 --binary " + missing, exitFailed, missing},
-		{"members --faults nonsense", exitFailed, "faults are of kill, pause"},
+		{"members --faults nonsense", exitFailed, `unknown fault "nonsense": must be one of kill, pause`},
 		{
 			"members --virtual 0.01 --instances 20 --silence 1ms --loss 0.9 --faults kill",
 			exitFailed,
--- a/internal/experiment/idleconnections/client.go
+++ b/internal/experiment/idleconnections/client.go
@@ -52,7 +52,8 @@
 func parseAnswer(line string) (answer, error) {
 	var a answer
 	if _, err := fmt.Sscan(line, &a.command, &a.open, &a.failed, &a.tookMS); err != nil {
-		return a, fmt.Errorf("answer %q of a client process: %w", line, err)
+		return a, fmt.Errorf("answer %q of a client process: want a command, two counts and a duration in ms: %w",
+			line, err)
 	}
 	return a, nil
 }
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// connectionHolder holds idle connections.
+// connectionHolder opens idle connections to a router and executes commands on them.
 type connectionHolder struct {
 	address string // of the router
 	from    net.IP // local address of the connections
--- a/internal/experiment/leases/calm.go
+++ b/internal/experiment/leases/calm.go
@@ -7,7 +7,7 @@
 	"tealpath/internal/experiment/testcluster"
 )
 
-// measureCalm measures what instances cost that are left alone.
+// measureCalm measures the processor time, memory, frames and health checks of instances without faults.
 func (p *play) measureCalm(ctx context.Context) {
 	startedAt := time.Now()
 	cpuBefore := map[string]float64{}
@@ -31,18 +31,20 @@
 	p.result.FramesPerSecond = frames / seconds / float64(p.Instances)
 	p.result.CalmProbesPerPeriod = p.probesPerPeriod(p.cluster.HealthChecks()-probesBefore, seconds)
 	p.result.UnsharedProbes = float64(p.Instances)
-	p.logf("calm for %.0f s: %.3f probes a target and period, %.1f frames a second and instance; "+
-		"%.2f%% of a core at the busiest and %d KB, without operator's file %.2f%% and %d KB\n",
+	p.logf("calm for %.0f s: %.3f probes per target and period, %.1f frames per second and instance; "+
+		"%.2f%% of a core and %d KB at most, without operator's file %.2f%% and %d KB\n",
 		seconds, p.result.CalmProbesPerPeriod, p.result.FramesPerSecond, p.result.IdleCPUPercent,
 		p.result.ResidentKB, p.result.UnsharedCPUPercent, p.result.UnsharedResidentKB)
 }
 
-// probesPerPeriod returns how many of so many health checks each target had in a period.
+// probesPerPeriod returns the mean number of health checks of a target per period, from the number of all health
+// checks in a time.
 func (p *play) probesPerPeriod(probes int, seconds float64) float64 {
 	return float64(probes) / float64(p.Caches) / (seconds / p.ProbePeriod.Seconds())
 }
 
-// framesSent sums up what instances have sent to each other. One that does not answer counts as none.
+// framesSent returns the number of frames that instances have sent to each other. It leaves out instances that do not
+// answer.
 func (p *play) framesSent(ctx context.Context) int64 {
 	sum := int64(0)
 	for _, name := range p.cluster.Names {
--- a/internal/experiment/leases/experiment.go
+++ b/internal/experiment/leases/experiment.go
@@ -1,5 +1,5 @@
 // Package leases measures how instances of the real router share leases: how fast others take over the slots of
-// a holder that is lost, whether a slot ever has two holders, and what instances cost that are left alone.
+// a holder that fails, whether a slot ever has two holders, and the cost of instances without faults.
 package leases
 
 import (
@@ -14,55 +14,55 @@
 	"tealpath/internal/experiment/testcluster"
 )
 
-// Page is the design note whose bounds results are held against.
+// Page is the design note with the bounds that results are checked against.
 const Page = "docs/duties.md"
 
-// Fault is the way in which a holder is lost.
+// Fault is the way in which a lease holder fails.
 type Fault string
 
-// Faults of a holder.
+// Faults of a lease holder.
 const (
 	Kill      Fault = "SIGKILL"
 	Terminate Fault = "SIGTERM"
 	Freeze    Fault = "freeze" // by SIGSTOP
 	Isolate   Fault = "cut"    // its links are cut
-	Delay     Fault = "delay"  // its links are slower than a lease is long
+	Delay     Fault = "delay"  // messages on its links take longer than a lease lasts
 )
 
-// faultCycle is the order in which holders are lost.
+// faultCycle is the order of the faults. It is repeated.
 var faultCycle = []Fault{Kill, Kill, Terminate, Freeze, Isolate, Delay}
 
-// Experiment has instances share leases and takes one after another away from them.
+// Experiment has instances share leases, and makes one holder after another fail.
 type Experiment struct {
 	testcluster.Config
 	Kills        int
 	Seed         uint64
 	ResultsDir   string
-	CalmDuration time.Duration // for which instances are left alone at first
-	Progress     io.Writer     // a line for each step
+	CalmDuration time.Duration // of the measurement without faults at the start
+	Progress     io.Writer     // receives a line for each step
 }
 
-// Takeover is the loss of one holder, and what followed.
+// Takeover describes the failure of one holder and the takeover of its slots.
 type Takeover struct {
 	Kill   int     `json:"kill"`
 	Fault  Fault   `json:"how"`
 	Victim string  `json:"victim"`
 	Slots  int     `json:"slots"`
-	GapMS  float64 `json:"gap_ms"` // until the last of its slots had a new holder
+	GapMS  float64 `json:"gap_ms"` // from the fault until the last of its slots had a new holder
 }
 
-// Result is what an experiment found.
+// Result holds what an experiment measured.
 type Result struct {
 	Kills               int     `json:"kills"`
 	GapP50MS            float64 `json:"gap_p50_ms"`
 	GapP99MS            float64 `json:"gap_p99_ms"`
 	GapMaxMS            float64 `json:"gap_max_ms"`
-	Overlaps            int     `json:"overlaps"`      // of health checks of a target by different holders
-	StaleActions        int     `json:"stale_actions"` // health checks under a ballot below one seen at the target
+	Overlaps            int     `json:"overlaps"`      // health checks of a target by two holders within a period
+	StaleActions        int     `json:"stale_actions"` // health checks with a lower ballot than an earlier one
 	ProbesPerPeriod     float64 `json:"probes_per_target_per_period"`
 	PeakWarmUpBudget    float64 `json:"cold_budget_worst_share"`
 	CalmProbesPerPeriod float64 `json:"calm_probes_per_target_per_period"`
-	UnsharedProbes      float64 `json:"undivided_probes_per_target_per_period"` // if every instance probed
+	UnsharedProbes      float64 `json:"undivided_probes_per_target_per_period"` // if every instance probed each target
 	KillGapMaxMS        float64 `json:"gap_sigkill_max_ms"`
 	TerminateGapMaxMS   float64 `json:"gap_sigterm_max_ms"`
 	FreezeGapMaxMS      float64 `json:"gap_freeze_max_ms"`
@@ -71,16 +71,16 @@
 	IdleCPUPercent      float64 `json:"idle_cpu_percent_of_a_core"`
 	FramesPerSecond     float64 `json:"frames_per_second_an_instance"`
 	ResidentKB          int64   `json:"resident_kb"`
-	UnsharedCPUPercent  float64 `json:"cpu_percent_without_operator"` // of an instance that shares nothing
+	UnsharedCPUPercent  float64 `json:"cpu_percent_without_operator"` // of an instance without an operator's file
 	UnsharedResidentKB  int64   `json:"resident_kb_without_operator"`
 	MaxGapMS            float64 `json:"bound_ms"`
 	BrokenBounds        string  `json:"bounds_broken,omitempty"`
-	Probes              int     `json:"probes"` // while holders were taken away
+	Probes              int     `json:"probes"` // health checks sent during the faults
 	Seconds             float64 `json:"seconds"`
 	TargetsNeverProbed  int     `json:"targets_never_probed"`
 }
 
-// CheckBounds returns a *report.BoundError where the result breaks a bound.
+// CheckBounds returns a *report.BoundError if the result breaks a bound.
 func (r Result) CheckBounds() error {
 	if r.BrokenBounds != "" {
 		return &report.BoundError{Page: Page, Detail: r.BrokenBounds}
@@ -88,7 +88,8 @@
 	return nil
 }
 
-// Run plays the experiment, writes its files and returns its result, also beside a *report.BoundError.
+// Run runs the experiment, writes its files and returns its result. The result is also valid if the error is a
+// *report.BoundError.
 func (e Experiment) Run(ctx context.Context) (Result, error) {
 	p, err := e.plan()
 	if err != nil {
@@ -104,7 +105,7 @@
 	return p.result, p.result.CheckBounds()
 }
 
-// plan makes the cluster, and beside it one instance that shares nothing, for comparison.
+// plan creates the cluster and, for comparison, one stand-alone instance without an operator's file.
 func (e Experiment) plan() (*play, error) {
 	e.WithRelays = true
 	p := &play{Experiment: e}
@@ -145,7 +146,7 @@
 	}
 }
 
-// settleTimeout bounds how long it takes until every slot has a holder.
+// settleTimeout returns the time within which every slot must have a holder.
 func (p *play) settleTimeout() time.Duration { return 10*p.LeaseDuration + 10*time.Second }
 
 func (p *play) run(ctx context.Context) error {
@@ -158,7 +159,8 @@
 	if err := p.unshared.StartAll(); err != nil {
 		return err
 	}
-	time.Sleep(2*p.LeaseDuration + 2*p.ProbePeriod) // slots change hands once more, and targets get their first probes
+	// Slots may change holders again, and targets get their first probes.
+	time.Sleep(2*p.LeaseDuration + 2*p.ProbePeriod)
 	p.measureCalm(ctx)
 	startedAt := time.Now()
 	if err := p.loseHolders(ctx); err != nil {
@@ -168,5 +170,5 @@
 	return nil
 }
 
-// logf reports progress. A writer that fails is no reason to end the experiment.
+// logf reports progress. It ignores errors of the writer, which must not end the experiment.
 func (p *play) logf(format string, values ...any) { _, _ = fmt.Fprintf(p.Progress, format, values...) }
--- a/internal/experiment/leases/leases_test.go
+++ b/internal/experiment/leases/leases_test.go
@@ -10,8 +10,8 @@
 	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
-// Real instances on loopback: holders are killed, told to leave, frozen and cut off. What a busy machine can
-// stretch is held to twice the bound here; the tool holds it to the bound.
+// Holders among real instances on loopback are killed, terminated, stopped and cut off. The test allows twice the
+// bound for takeovers, since a busy machine delays them. The command checks the bound itself.
 func TestLeasesOfRealInstances(t *testing.T) {
 	r, err := Experiment{
 		Config: testcluster.Config{
@@ -35,17 +35,18 @@
 	}
 	if r.Overlaps != 0 || r.StaleActions != 0 || r.PeakWarmUpBudget > 1 || r.TargetsNeverProbed != 0 ||
 		r.GapMaxMS > 2*r.MaxGapMS {
-		t.Errorf("%+v", r)
+		t.Errorf("want no overlaps, stale actions, exceeded budget or unprobed targets, and gaps of at most "+
+			"%.0f ms; got %+v", 2*r.MaxGapMS, r)
 	}
 	if r.CalmProbesPerPeriod < 0.5 || r.CalmProbesPerPeriod > 1.5 {
-		t.Errorf("%.2f probes a target and period in the calm", r.CalmProbesPerPeriod)
+		t.Errorf("%.2f probes per target and period without faults, want 0.5 to 1.5", r.CalmProbesPerPeriod)
 	}
 }
 
 func TestBrokenBoundsAreNamed(t *testing.T) {
 	within := Result{GapP99MS: 2500, MaxGapMS: 2500, PeakWarmUpBudget: 1, CalmProbesPerPeriod: 1.05}
 	if got := brokenBounds(within); got != "" {
-		t.Errorf("%q", got)
+		t.Errorf("broken bounds %q, want none", got)
 	}
 	if err := within.CheckBounds(); err != nil {
 		t.Error(err)
@@ -63,6 +64,6 @@
 	const want = "takeover; two owners; stale actions; cold budget; probes; targets left out; "
 	var bound *report.BoundError
 	if err := broken.CheckBounds(); !errors.As(err, &bound) || bound.Page != "docs/duties.md" || bound.Detail != want {
-		t.Errorf("%v, want detail %q", err, want)
+		t.Errorf("error %v, want a *report.BoundError for docs/duties.md with detail %q", err, want)
 	}
 }
--- a/internal/experiment/leases/summary.go
+++ b/internal/experiment/leases/summary.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// warmUpBudget is the budget of health checks of a cold cache in a window, in load units, by the settings
-	// that testcluster writes: part of the budget, overload factor, initial share, capacity and window in
-	// seconds.
+	// warmUpBudget is the work, in s, that health checks of a cold cache may cost within a window. It is the product
+	// of values that testcluster writes into the settings: the part for probing, the overload factor, the initial
+	// share, the capacity and the window in s.
 	warmUpBudget = 0.05 * 2.5 * 0.16 * 4 * 1.5
 	warmUpWindow = 1500 * time.Millisecond
 	probeCost    = 0.001
 
-	// minPeriodPercent is the part of a period that has to pass between health checks of two holders: their
-	// clocks may differ by the drift, and the way to the target takes its time.
+	// minPeriodPercent is the percentage of a period that must pass between health checks by two holders. It is
+	// below 100, because their clocks may differ by the drift and the network delay varies.
 	minPeriodPercent = 98
 
 	maxCalmProbesPerPeriod = 1.05
 )
 
-// summarize fills in the result from the takeovers and from what the caches have seen.
+// summarize computes the result from the takeovers and the health checks that the caches received.
 func (p *play) summarize(startedAt, endedAt time.Time) {
 	p.summarizeGaps()
 	for _, target := range p.cluster.Caches {
@@ -57,7 +57,7 @@
 		Delay:     &p.result.DelayGapMaxMS,
 	}
 	for _, takeover := range p.takeovers {
-		// Takeovers are given up long before a minute, the histogram's range.
+		// RecordValue cannot fail: waiting for a takeover times out long before a minute, the histogram's maximum.
 		_ = gaps.RecordValue(max(1, int64(takeover.GapMS*1000)))
 		*maxOf[takeover.Fault] = max(*maxOf[takeover.Fault], takeover.GapMS)
 		p.result.GapMaxMS = max(p.result.GapMaxMS, takeover.GapMS)
@@ -67,8 +67,8 @@
 	p.result.GapP99MS = float64(gaps.ValueAtQuantile(99)) / 1000
 }
 
-// summarizeTarget holds the health checks of one target against the rules. Each carries the ballot under which
-// it was sent, which is one holder's.
+// summarizeTarget checks the health checks of one target for overlaps, stale ballots and cost. Each health check
+// carries the ballot of the lease under which it was sent, and each ballot belongs to one holder.
 func (p *play) summarizeTarget(probes []cache.HealthCheck) {
 	if len(probes) == 0 {
 		p.result.TargetsNeverProbed++
@@ -76,7 +76,7 @@
 	var highest, previous uint64
 	var previousAt time.Time
 	for i, probe := range probes {
-		ballot, _ := strconv.ParseUint(probe.ID, 16, 64) // 0 is below all ballots, and counts as stale
+		ballot, _ := strconv.ParseUint(probe.ID, 16, 64) // an invalid ID gives 0, which counts as stale
 		if ballot < highest {
 			p.result.StaleActions++
 		}
@@ -89,7 +89,7 @@
 	}
 }
 
-// windowCost sums up the cost of the health checks in the window that begins with the first of them.
+// windowCost returns the cost, in s, of the health checks in the window that begins with the first of them.
 func windowCost(probes []cache.HealthCheck) float64 {
 	cost := 0.
 	for _, probe := range probes {
@@ -100,7 +100,7 @@
 	return cost
 }
 
-// brokenBounds names the bounds that a result breaks, each with a "; " behind it.
+// brokenBounds returns the names of the bounds that a result breaks, each followed by "; ".
 func brokenBounds(result Result) string {
 	bounds := []struct {
 		name     string
@@ -122,7 +122,7 @@
 	return broken
 }
 
-// report writes the result as JSON, the takeovers as a table and a chart.
+// report writes the result as JSON, and the takeovers as a table and a chart.
 func (p *play) report() error {
 	err := report.WriteJSON(filepath.Join(p.ResultsDir, "duties.json"), struct {
 		Result    Result
@@ -148,7 +148,7 @@
 	return p.chart().SaveAs(filepath.Join(p.ResultsDir, "duties"), "svg", "png")
 }
 
-// chart shows the gaps by fault, each sorted, with the bound as a line.
+// chart returns a chart with a curve of the sorted gaps of each fault, and a line for the bound.
 func (p *play) chart() report.Chart {
 	chart := report.Chart{
 		Title:      "Until all slots of a lost owner have a new one",
@@ -185,7 +185,8 @@
 	return chart
 }
 
-// sortedGaps returns the gaps of one fault, the shortest first, over their share of all of that fault.
+// sortedGaps returns the gaps of one fault as a curve: for each gap in ascending order, the share of the takeovers
+// whose gap is not longer.
 func sortedGaps(takeovers []Takeover, fault Fault) plotter.XYs {
 	var gaps []float64
 	for _, takeover := range takeovers {
--- a/internal/experiment/leases/takeover.go
+++ b/internal/experiment/leases/takeover.go
@@ -13,11 +13,10 @@
 
 const takeoverPollInterval = 10 * time.Millisecond
 
-// leasesAcquired is the event by which an instance logs that it holds leases.
+// leasesAcquired is the name of the event that an instance logs when it has acquired leases.
 var leasesAcquired = cluster.LeasesAcquired{}.Kind().Name
 
-// loseHolders takes holders away one after another, each at a random moment between two renewals, and brings
-// them back.
+// loseHolders makes one holder after another fail, each at a random time between two renewals, and recovers it.
 func (p *play) loseHolders(ctx context.Context) error {
 	random := rand.New(rand.NewPCG(p.Seed, 1))
 	for kill := range p.Kills {
@@ -34,7 +33,7 @@
 		}
 		gap, err := p.waitForTakeover(ballots, victim, lostAt, 4*p.LeaseDuration)
 		if err != nil {
-			return fmt.Errorf("kill %d, %s of %s: %w", kill, fault, victim, err)
+			return fmt.Errorf("fault %d, %s of %s: %w", kill, fault, victim, err)
 		}
 		takeover := Takeover{
 			Kill:   kill,
@@ -85,7 +84,8 @@
 	return nil
 }
 
-// bringBack ends the fault and waits until the instance has its slots again.
+// bringBack ends the fault, and waits until every slot has a holder and the recovered instance has had time to get its
+// slots again.
 func (p *play) bringBack(ctx context.Context, victim string, fault Fault, incarnation int) error {
 	var err error
 	switch fault {
@@ -107,20 +107,24 @@
 	return nil
 }
 
-// waitForTakeover waits until others have logged that they acquired all of some slots under higher ballots.
+// waitForTakeover waits until other instances have logged that they acquired each slot of ballots under a higher
+// ballot than the one in ballots. It returns the time from since until the last of them was acquired.
 func (p *play) waitForTakeover(
 	ballots map[int]uint64, victim string, since time.Time, timeout time.Duration,
 ) (time.Duration, error) {
+	taken := 0
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(takeoverPollInterval) {
-		taken, last := takenOver(p.cluster.LogLines(), ballots, victim, since)
+		var last time.Time
+		taken, last = takenOver(p.cluster.LogLines(), ballots, victim, since)
 		if taken == len(ballots) {
 			return last.Sub(since), nil
 		}
 	}
-	return 0, fmt.Errorf("not all of %d slots were taken over within %s", len(ballots), timeout)
+	return 0, fmt.Errorf("%d of %d slots were taken over within %s, want all", taken, len(ballots), timeout)
 }
 
-// takenOver counts the slots that others have acquired since a time, and returns when the last one was.
+// takenOver returns how many slots of ballots other instances have acquired since a time, and when they acquired the
+// last one.
 func takenOver(
 	lines []testcluster.LogLine, ballots map[int]uint64, victim string, since time.Time,
 ) (int, time.Time) {
--- a/internal/experiment/leasesim/faults.go
+++ b/internal/experiment/leasesim/faults.go
@@ -2,29 +2,29 @@
 
 import "tealpath/internal/experiment/simulation"
 
-// Kinds of faults, by the number that is drawn.
+// Kinds of faults, from which one is drawn with equal probability.
 const (
-	faultKill            = iota // twice as likely as the others
+	faultKill            = iota // with faultKillAlternative, a kill is twice as likely as other faults
 	faultKillAlternative        // the same as faultKill
-	faultKillMajority           // more than half of the instances, at once
+	faultKillMajority           // more than half of the instances, at the same time
 	faultPartition
 	faultInboundLost
 	faultLoss
-	faultLatency // of up to one and a half leases
+	faultLatency // up to one and a half lease durations on average
 	faultPause
 	faultClockStep
-	faultsEnd // all faults of the network end
+	faultsEnd // ends all network faults
 	faultKinds
 )
 
-// How far faults go.
+// Extent of the faults.
 const (
-	maxLoss          = 0.3
-	maxLatencyHalves = 3 // halves of a lease
-	maxPauseLeases   = 4
+	maxLoss          = 0.3 // share of all messages
+	maxLatencyHalves = 3   // halves of a lease duration
+	maxPauseLeases   = 4   // lease durations
 )
 
-// injectFault begins a fault. Half of all faults of the network pass at once.
+// injectFault begins a random fault. With a probability of one half, all network faults then end.
 func (s *runState) injectFault() {
 	victim := s.instances[s.random.IntN(len(s.instances))]
 	leaseDuration := int64(s.plan.LeaseDuration)
@@ -58,7 +58,7 @@
 	}
 }
 
-// kill ends an instance, which starts again at once.
+// kill ends an instance and starts it again at once.
 func (s *runState) kill(index int) {
 	s.result.Kills++
 	s.instances[index].start()
--- a/internal/experiment/leasesim/instance.go
+++ b/internal/experiment/leasesim/instance.go
@@ -10,19 +10,19 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// simulatedInstance is one process over all its starts.
+// simulatedInstance is an instance with the state that outlasts restarts of its process.
 type simulatedInstance struct {
 	run          *runState
 	name         string
 	index        int
 	clock        simulation.Clock
-	wallOffsetMS int64 // by which its wall clock is wrong
+	wallOffsetMS int64 // by how much its wall clock is ahead
 	host         simulation.Host
 	node         *cluster.Node
-	timerAt      int64 // of the node's timer
+	timerAt      int64 // when the node's timer fires
 }
 
-// start begins the next incarnation. One that was there before is killed, and what it held is held no more.
+// start starts the next incarnation. An earlier incarnation is killed, and its leases end.
 func (i *simulatedInstance) start() {
 	run := i.run
 	if i.node != nil {
@@ -33,13 +33,13 @@
 	i.timerAt = 0
 	node, err := cluster.New(0, i.config())
 	if err != nil {
-		panic(err) // the configuration is this package'run
+		panic(err) // config returns a valid configuration
 	}
 	i.node = node
 	i.handle(0, cluster.TargetsUpdated{Targets: run.targets()})
 }
 
-// identity is the process as others know it.
+// identity returns the name and incarnation under which others know the process.
 func (i *simulatedInstance) identity() lease.Instance {
 	return lease.Instance{Name: i.name, Incarnation: uint64(i.host.Incarnation)}
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-// targets are the endpoints to probe.
+// targets returns the endpoints to probe.
 func (s *runState) targets() []probe.Target {
 	var targets []probe.Target
 	for t := range s.plan.Targets {
@@ -91,17 +91,17 @@
 	return targets
 }
 
-// localTime is what the clock of the process shows.
+// localTime returns the time on the clock of the process, ns.
 func (i *simulatedInstance) localTime() int64 { return i.clock.Read(i.run.now()) }
 
-// holds tells whether the process would act as holder of a slot at this moment. A paused one does nothing,
-// but what it would do if it resumed now is what counts.
+// holds reports whether the process would act as holder of a slot at this moment. For a paused process, that is
+// whether it would do so if it resumed now.
 func (i *simulatedInstance) holds(slot int) bool {
 	_, _, holds := i.node.Holds(i.localTime(), slot)
 	return holds
 }
 
-// whenAwake runs an event of the process once it is not paused.
+// whenAwake runs an event of the process, after the pause if the process is paused.
 func (i *simulatedInstance) whenAwake(event func()) {
 	run := i.run
 	if i.host.Paused(run.now()) {
@@ -111,7 +111,7 @@
 	event()
 }
 
-// handle gives an event to the node and carries its effects out.
+// handle passes an event to the node and applies the resulting effects.
 func (i *simulatedInstance) handle(now int64, event cluster.Event) {
 	for _, effect := range i.node.Handle(now, event) {
 		switch effect := effect.(type) {
@@ -127,7 +127,7 @@
 	}
 }
 
-// send hands a message to the network. It also arrives where one of the two processes has been started anew.
+// send sends a message over the network. It arrives even if one of the two processes has restarted meanwhile.
 func (i *simulatedInstance) send(effect cluster.Send) {
 	run := i.run
 	run.result.Messages++
@@ -149,8 +149,8 @@
 	}
 }
 
-// setTimer schedules the node's timer. One that fires during a pause is lost; the next message has the node
-// set it anew.
+// setTimer schedules the node's timer. A timer that fires during a pause is lost, and the node sets it again when it
+// handles the next message.
 func (i *simulatedInstance) setTimer(effect cluster.SetTimer) {
 	run := i.run
 	i.timerAt = max(run.now()+1, i.clock.TimeAt(effect.At))
--- a/internal/experiment/leasesim/leasesim_test.go
+++ b/internal/experiment/leasesim/leasesim_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// A quarter of an hour at each size; `tealexperiment duties --virtual` runs for longer.
+// Under faults, no slot has two holders within a simulated quarter of an hour. `tealexperiment duties --virtual`
+// simulates longer times.
 func TestOneHolderASlotUnderFaults(t *testing.T) {
 	for _, size := range []struct{ instances, targets int }{{3, 200}, {5, 10}, {16, 3}} {
 		plan := usualPlan(size.instances, size.targets, 0.25, 5)
@@ -29,10 +30,10 @@
 		r := plan.Run(t.Context())
 		t.Logf("%+v", r)
 		if !r.BoundsHold() || r.Overlaps != 0 || r.BallotsBack != 0 || r.DuplicateProbes != 0 {
-			t.Errorf("%d instances: %+v", size.instances, r)
+			t.Errorf("%d instances: want no overlaps, lower ballots or duplicate probes, got %+v", size.instances, r)
 		}
 		if r.Tenures < 100 || r.LeasedShare < 0.3 || r.Probes == 0 {
-			t.Errorf("%d instances: hardly anything was held: %+v", size.instances, r)
+			t.Errorf("%d instances: want 100 tenures, a leased share of 0.3 and probes, got %+v", size.instances, r)
 		}
 	}
 }
@@ -41,7 +42,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if r := usualPlan(3, 1, 1, 5).Run(ctx); r.Kills > 0 || r.Hours > 0.1 {
-		t.Errorf("%+v", r)
+		t.Errorf("want no kills and at most 0.1 hours after the context was cancelled, got %+v", r)
 	}
 }
 
--- a/internal/experiment/leasesim/plan.go
+++ b/internal/experiment/leasesim/plan.go
@@ -1,7 +1,6 @@
-// Package leasesim simulates instances that share slots by leases (internal/cluster/lease) and probe
-// endpoints for the slots that they hold, under faults and with clocks that drift. It checks that a slot
-// never has two holders and that ballots only grow, and measures for what part of the time slots have a
-// holder.
+// Package leasesim simulates instances that share slots by leases (internal/cluster/lease) and probe the endpoints of
+// the slots that they hold, under faults and with clocks that drift. It checks that a slot never has two holders and
+// that ballots only increase, and measures the share of time for which slots have a holder.
 package leasesim
 
 import (
@@ -14,13 +13,13 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// Plan is one run of the experiment.
+// Plan describes one run of the simulation.
 type Plan struct {
 	Instances     int
 	Slots         int
 	Targets       int // endpoints to probe
 	Hours         float64
-	ClockSteps    bool // wall clocks are set back and forth by an hour
+	ClockSteps    bool // faults include wall clocks that are set forward or back by an hour
 	Seed          uint64
 	LeaseDuration time.Duration
 	RenewInterval time.Duration
@@ -30,15 +29,15 @@
 	maxVoters         = 5
 	maxClockDrift     = 0.01
 	hour              = 3600e9             // ns
-	wallClockMS       = int64(1.7e12)      // at the start of the run
+	wallClockMS       = int64(1.7e12)      // wall-clock time at the start of the run
 	wallClockStepMS   = int64(3600 * 1000) // one hour
 	probePeriod       = int64(1e9)         // ns
 	probeTimeout      = int64(5e8)         // ns
-	firstFaultLeases  = 4                  // leases after the start until the first fault
-	maxFaultLeases    = 10                 // leases between two faults, beside the first one
-	usualLatencyParts = 100                // of a renewal interval
-	duplicateOneIn    = 21                 // messages
-	nobody            = -1                 // holder of a slot without one
+	firstFaultLeases  = 4                  // lease durations from the start to the first fault
+	maxFaultLeases    = 10                 // lease durations by which the time between two faults varies
+	usualLatencyParts = 100                // the usual mean latency is a renewal interval divided by this
+	duplicateOneIn    = 21                 // one message in 21 arrives twice
+	nobody            = -1                 // in place of a holder: the slot has none
 )
 
 // runState is the state of one simulation.
@@ -50,22 +49,22 @@
 	instances   []*simulatedInstance
 	indexes     map[string]int // of instances by name
 	hosts       []*simulation.Host
-	holders     []int    // indexes of instances by slot; nobody where none holds the lease
-	ballots     []uint64 // highest by slot
+	holders     []int    // by slot: index of the holder, or nobody
+	ballots     []uint64 // by slot: highest ballot of a holder so far
 	lastProbes  map[string]sentProbe
 	leasedSlots int
 	leasedTime  float64 // ns, summed over slots
 	result      Result
 }
 
-// sentProbe is the last probe of an endpoint.
+// sentProbe holds the time and the sender of the last probe of an endpoint.
 type sentProbe struct {
 	at    int64
-	owner int // index of the instance
+	owner int // index of the sender
 }
 
-// Run simulates the plan until its end, or until the first fault after the context has ended. Faults come
-// every few leases.
+// Run simulates the plan. If the context is cancelled, the simulation stops at the next fault. There is a fault every
+// few lease durations.
 func (p Plan) Run(ctx context.Context) Result {
 	run := newRun(p)
 	for _, instance := range run.instances {
@@ -123,7 +122,7 @@
 	return simulation.LatencyAround(int64(p.RenewInterval) / usualLatencyParts)
 }
 
-// voters are the first instances.
+// voters returns the first instances, at most maxVoters, as voters.
 func (s *runState) voters() lease.Voters {
 	voters := lease.Voters{Epoch: 1}
 	for _, instance := range s.instances[:min(maxVoters, len(s.instances))] {
--- a/internal/experiment/leasesim/result.go
+++ b/internal/experiment/leasesim/result.go
@@ -5,13 +5,13 @@
 	"tealpath/internal/logevent"
 )
 
-// Result is what a run gave.
+// Result holds what a run measured.
 type Result struct {
 	Instances              int     `json:"instances"`
 	Hours                  float64 `json:"hours"`
-	Overlaps               int     `json:"overlaps"`                      // moments at which a slot had two holders
-	BallotsBack            int     `json:"backward"`                      // ballots that did not grow
-	BallotsBackClocksWrong int     `json:"backward_with_clocks_set_back"` // the same with ClockSteps
+	Overlaps               int     `json:"overlaps"`                      // events at which a slot had two holders
+	BallotsBack            int     `json:"backward"`                      // leases with a ballot not above earlier ones
+	BallotsBackClocksWrong int     `json:"backward_with_clocks_set_back"` // the same, in runs with ClockSteps
 	DuplicateProbes        int     `json:"duplicated"`                    // probes by two holders within one period
 	Tenures                int     `json:"tenures"`
 	Kills                  int     `json:"kills"`
@@ -19,14 +19,13 @@
 	Messages               int     `json:"messages"`
 	Probes                 int     `json:"probes"`
 	ExpectedProbes         float64 `json:"probes_of_an_undisturbed_owner"`
-	LeasedShare            float64 `json:"owned_share"` // of slots and time
+	LeasedShare            float64 `json:"owned_share"` // of the slots' total time
 }
 
-// BoundsHold tells whether the bounds of docs/duties.md hold.
+// BoundsHold reports whether the bounds of docs/duties.md hold.
 func (r Result) BoundsHold() bool { return r.Overlaps+r.BallotsBack+r.DuplicateProbes == 0 }
 
-// Add adds the result of another run. Shares are added as well: whoever adds divides them by the number of
-// runs.
+// Add adds the result of another run. It also adds LeasedShare, which the caller must divide by the number of runs.
 func (r *Result) Add(other Result) {
 	r.Hours += other.Hours
 	r.Overlaps += other.Overlaps
@@ -42,7 +41,7 @@
 	r.LeasedShare += other.LeasedShare
 }
 
-// leasesChanged follows who holds what by the events that instances log.
+// leasesChanged updates the holders of slots from an event that an instance has logged.
 func (s *runState) leasesChanged(instance *simulatedInstance, logged logevent.Event) {
 	switch event := logged.(type) {
 	case cluster.LeasesAcquired:
@@ -56,7 +55,7 @@
 	}
 }
 
-// acquired notes that an instance holds a slot from now on, and asks every other one whether it holds it, too.
+// acquired records that an instance holds a slot from now on, and checks that no other instance holds it too.
 func (s *runState) acquired(instance *simulatedInstance, slot int, ballot uint64) {
 	s.result.Tenures++
 	switch {
@@ -78,7 +77,7 @@
 	s.holders[slot] = instance.index
 }
 
-// release notes that an instance does not hold a slot any more.
+// release records that an instance no longer holds a slot.
 func (s *runState) release(index, slot int) {
 	if s.holders[slot] == index {
 		s.holders[slot] = nobody
@@ -86,15 +85,15 @@
 	}
 }
 
-// releaseAll notes that an instance was killed.
+// releaseAll records that an instance holds no slots, since it was killed.
 func (s *runState) releaseAll(index int) {
 	for slot := range s.holders {
 		s.release(index, slot)
 	}
 }
 
-// probeSent checks that the sender holds the endpoint's slot, and that no other instance has probed it just
-// before.
+// probeSent checks that the sender holds the endpoint's slot, and that no other instance has probed the endpoint
+// within the last probe period.
 func (s *runState) probeSent(instance *simulatedInstance, effect cluster.SendProbe) {
 	s.result.Probes++
 	last, probed := s.lastProbes[effect.Target]
--- a/internal/experiment/membership/experiment.go
+++ b/internal/experiment/membership/experiment.go
@@ -1,5 +1,5 @@
 // Package membership measures how instances of the real router watch each other: how fast they detect that one
-// is dead, whether they take a live one for dead, and how long they disagree after a fault.
+// is dead, whether they consider a live one dead, and how long they disagree after a fault.
 package membership
 
 import (
@@ -15,15 +15,15 @@
 	"tealpath/internal/experiment/testcluster"
 )
 
-// Page is the design note whose bounds results are held against.
+// Page is the design note with the bounds that results are checked against.
 const Page = "docs/membership.md"
 
 // Bounds of docs/membership.md, for the options that the experiment runs with.
 const (
 	MaxDetectionMS    = 3000.
-	MaxJudgementMS    = 5000. // until one is detected that hears or is heard no more
+	MaxJudgementMS    = 5000. // until an instance whose messages are lost in one direction is detected
 	MaxDisagreementMS = 5000.
-	MaxLinks          = 16 // between an instance and those that it watches or is watched by
+	MaxLinks          = 16 // of an instance, to those that it watches or is watched by
 
 	operatorOptions = "(membership (interval 500ms) (silence 2100ms))"
 	maxVoters       = 5
@@ -32,26 +32,26 @@
 	agreementTimeout = 20 * time.Second
 	detectionTimeout = 10 * time.Second
 
-	// Before the calm is measured, traffic of the start passes.
+	// The measurement without faults starts after calmDelay, when the traffic of the startup has ended.
 	calmDelay    = 3 * time.Second
 	calmDuration = 6 * time.Second
 )
 
-// Experiment has instances watch each other through faults.
+// Experiment runs instances that watch each other, and injects faults.
 type Experiment struct {
 	testcluster.Config
-	Faults     []Fault // in turn; none has the instances run without one
+	Faults     []Fault // injected in turn; empty: no faults
 	Duration   time.Duration
 	Seed       uint64
-	ResultsDir string // empty writes no file
+	ResultsDir string // empty: no files are written
 }
 
-// Result is what an experiment found.
+// Result holds what an experiment measured.
 type Result struct {
 	Instances         int           `json:"instances"`
 	Seconds           float64       `json:"seconds"`
 	Kills             int           `json:"kills"`
-	DetectionP50MS    float64       `json:"detect_p50_ms"` // until the last of the others detected a kill
+	DetectionP50MS    float64       `json:"detect_p50_ms"` // from a kill until the last of the others detected it
 	DetectionP99MS    float64       `json:"detect_p99_ms"`
 	DetectionMaxMS    float64       `json:"detect_max_ms"`
 	UndetectedKills   int           `json:"kills_not_believed_by_all"`
@@ -59,20 +59,20 @@
 	Pauses            int           `json:"pauses"`
 	JudgementMaxMS    float64       `json:"oneway_judged_max_ms"`
 	Unjudged          int           `json:"oneway_not_judged"`
-	DisagreementMaxMS float64       `json:"disagree_max_ms"` // after the end of a fault, until all have the same view
+	DisagreementMaxMS float64       `json:"disagree_max_ms"` // from the end of a fault until all have the same view
 	BytesPerSecond    float64       `json:"bytes_per_member_per_s"`
 	MaxLinks          int           `json:"links_per_member_max"`
 	ViewChanges       float64       `json:"view_changes"`
-	FormedMS          float64       `json:"formed_ms"`          // since the start
-	SlotsLeasedMS     float64       `json:"all_slots_owned_ms"` // since the start
-	IdleCPUShare      float64       `json:"cpu_share_idle"`     // of a core, an instance
+	FormedMS          float64       `json:"formed_ms"`          // from the start until all consider all alive
+	SlotsLeasedMS     float64       `json:"all_slots_owned_ms"` // from the start until all slots are leased
+	IdleCPUShare      float64       `json:"cpu_share_idle"`     // of a core, mean of the instances
 	ResidentKB        int64         `json:"resident_kb"`
 	Faults            []FaultResult `json:"-"`
 }
 
-// CheckBounds returns a *report.BoundError where the result breaks a bound.
+// CheckBounds returns a *report.BoundError if the result breaks a bound.
 func (r Result) CheckBounds() error {
-	// A voter may have a link more to each instance that asks it for leases.
+	// A voter may have an additional link to each instance that requests leases from it.
 	maxLinks := MaxLinks + r.Instances
 	hasTooManyLinks := r.Instances > 3*MaxLinks && r.MaxLinks > maxLinks
 	broken := r.DetectionMaxMS > MaxDetectionMS ||
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// Run plays the experiment, writes its files and returns its result, also beside a *report.BoundError.
+// Run runs the experiment, writes its files and returns its result. The result is also valid if the error is a
+// *report.BoundError.
 func (e Experiment) Run(ctx context.Context) (Result, error) {
 	p, err := e.plan()
 	if err != nil {
@@ -102,14 +103,14 @@
 	return p.result, p.result.CheckBounds()
 }
 
-// plan makes the cluster. Instances have relays between them where a fault needs those.
+// plan creates the cluster, with relays between the instances if a fault needs them.
 func (e Experiment) plan() (*play, error) {
 	e.ClusterOptions = operatorOptions
 	e.Voters = min(maxVoters, e.Instances)
 	e.Caches = 1
 	for _, fault := range e.Faults {
 		if !slices.Contains(Faults(), fault) {
-			return nil, fmt.Errorf("faults are of %s", FaultNames())
+			return nil, fmt.Errorf("unknown fault %q: must be one of %s", fault, FaultNames())
 		}
 		e.WithRelays = e.WithRelays || fault != Kill && fault != Pause
 	}
@@ -125,7 +126,7 @@
 	}, nil
 }
 
-// FaultNames returns the faults as they are written on a command line.
+// FaultNames returns the names of all faults, separated by commas.
 func FaultNames() string {
 	var names []string
 	for _, fault := range Faults() {
@@ -160,7 +161,7 @@
 	return p.summarizeMembers(ctx)
 }
 
-// form starts the instances and waits until all believe in all, and every slot has a holder.
+// form starts the instances, and waits until all of them consider all alive and every slot has a holder.
 func (p *play) form(ctx context.Context, startedAt time.Time) error {
 	if err := p.cluster.StartAll(); err != nil {
 		return err
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// measureCalm measures what instances cost that do nothing but watch each other.
+// measureCalm measures the traffic and processor time of instances that only watch each other.
 func (p *play) measureCalm(ctx context.Context) error {
 	time.Sleep(calmDelay)
 	bytesBefore, cpuBefore, err := p.usage(ctx)
@@ -195,8 +196,8 @@
 	return nil
 }
 
-// usage sums up what instances have sent to each other and the processor time they have had, and notes their
-// memory.
+// usage returns the bytes that all instances have sent to each other and the processor time that they have used. It
+// also updates the result's ResidentKB.
 func (p *play) usage(ctx context.Context) (bytes int64, cpuSeconds float64, err error) {
 	for _, name := range p.cluster.Names {
 		status, err := p.cluster.MembersStatus(ctx, name)
@@ -211,7 +212,7 @@
 	return bytes, cpuSeconds, nil
 }
 
-// watchWithoutFaults lets the instances run, and counts deaths that they see.
+// watchWithoutFaults lets the instances run for the experiment's duration, and counts the deaths that they log.
 func (p *play) watchWithoutFaults(ctx context.Context) {
 	startedAt := time.Now()
 	select {
@@ -246,7 +247,7 @@
 	return nil
 }
 
-// report writes what came of each fault.
+// report writes the results of all faults as JSON.
 func (p *play) report() error {
 	if p.ResultsDir == "" {
 		return nil
--- a/internal/experiment/membership/fault.go
+++ b/internal/experiment/membership/fault.go
@@ -12,22 +12,22 @@
 	"tealpath/internal/experiment/testcluster"
 )
 
-// Fault is what is done to instances or to the links between them.
+// Fault is a kind of fault of instances or of the links between them.
 type Fault string
 
 // Faults of instances and links.
 const (
-	Kill       Fault = "kill"    // one is killed and started again
-	Pause      Fault = "pause"   // one stands still for a while
-	LinkDelay  Fault = "late"    // what one sends and is sent comes late
-	CutOneLink Fault = "oneway"  // one can't open connections to another
-	CutInward  Fault = "deaf"    // nobody can open connections to one
-	CutOutward Fault = "mute"    // one can't open connections to anybody
-	Partition  Fault = "split"   // a third and the rest can't reach each other
-	Flapping   Fault = "flap"    // one's links are cut and mended in turn
-	PauseMany  Fault = "many"    // a tenth stands still at once
-	Starve     Fault = "slow"    // one runs for a twentieth of the time
-	RestartAll Fault = "rolling" // all are restarted in turn
+	Kill       Fault = "kill"    // an instance is killed and started again
+	Pause      Fault = "pause"   // an instance is stopped for a while
+	LinkDelay  Fault = "late"    // messages from and to an instance are delayed
+	CutOneLink Fault = "oneway"  // nothing passes on the link that one instance opens to another
+	CutInward  Fault = "deaf"    // nothing passes on links that others open to an instance
+	CutOutward Fault = "mute"    // nothing passes on links that an instance opens
+	Partition  Fault = "split"   // a third of the instances and the others cannot reach each other
+	Flapping   Fault = "flap"    // the links that an instance opens are cut and healed in turn
+	PauseMany  Fault = "many"    // a tenth of the instances are stopped at the same time
+	Starve     Fault = "slow"    // an instance runs for a twentieth of the time
+	RestartAll Fault = "rolling" // all instances are restarted in turn
 )
 
 // Faults returns all faults.
@@ -38,16 +38,16 @@
 }
 
 const (
-	// maxUndetectedPause is a pause after which nobody may take the instance for dead.
+	// maxUndetectedPause is the longest pause of an instance during which no other may consider it dead.
 	maxUndetectedPause = 1500 * time.Millisecond
 
 	pauseManyDuration = 5 * time.Second
-	pauseManyPart     = 10 // one in so many
+	pauseManyPart     = 10 // one instance in ten is stopped
 	delayDuration     = 5 * time.Second
 	linkDelay         = 300 * time.Millisecond
 	oneLinkDuration   = 8 * time.Second
 	partitionDuration = 10 * time.Second
-	partitionPart     = 3 // one in so many is on the smaller side
+	partitionPart     = 3 // one instance in three is on the smaller side
 	judgementDelay    = time.Second
 	flaps             = 6
 	flapDuration      = time.Second
@@ -56,30 +56,30 @@
 	starveRunning     = 5 * time.Millisecond
 )
 
-// pauses are the durations of pauses, in turn.
+// pauses lists the durations of successive pauses. It is repeated.
 var pauses = []time.Duration{500 * time.Millisecond, maxUndetectedPause, 5 * time.Second}
 
-// FaultResult is one fault, and what came of it.
+// FaultResult holds what was measured during one fault.
 type FaultResult struct {
 	Kind           Fault
 	Victim         string
-	DetectionMS    float64 `json:"MS"`    // until all others had detected it; 0 where nobody was to
-	FalseDeaths    int     `json:"False"` // live instances that were taken for dead
+	DetectionMS    float64 `json:"MS"`    // until all others had detected it; 0 if they were not to detect it
+	FalseDeaths    int     `json:"False"` // logged deaths of live instances
 	DisagreementMS float64 `json:"AgreedMS"`
 }
 
-// injection is one fault while it is there.
+// injection is the state of one fault while it is injected.
 type injection struct {
 	*play
 	victimIndex int
 	victim      string
 	others      []string // all but the victim
 	startedAt   time.Time
-	excluded    []string // instances whose logged deaths, and those that they log, are not counted as false
+	excluded    []string // deaths of these instances, and deaths that they log, do not count as false
 	result      FaultResult
 }
 
-// injectFaults injects faults in turn until the experiment's time is over.
+// injectFaults injects the faults in turn until the experiment's duration is over.
 func (p *play) injectFaults(ctx context.Context) error {
 	deadline := time.Now().Add(p.Duration)
 	for i := 0; time.Now().Before(deadline) && ctx.Err() == nil; i++ {
@@ -114,7 +114,7 @@
 		return in.result, err
 	}
 	disagreement, err := p.cluster.WaitForAgreement(ctx, len(p.cluster.Names), agreementTimeout)
-	if fault != Kill { // a start is no disagreement
+	if fault != Kill { // after a kill, the views differ because the victim starts again
 		in.result.DisagreementMS = milliseconds(disagreement)
 	}
 	in.result.FalseDeaths = p.cluster.FalseDeaths(in.startedAt, in.excluded...)
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// waitForDetection waits until all others have detected the victim's death, and counts it if they don't.
+// waitForDetection waits until all others have logged the victim's death, and increments undetected if they do not.
 func (in *injection) waitForDetection(undetected *int) {
 	took, ok := in.cluster.WaitForDetection(in.victim, in.others, in.startedAt, detectionTimeout)
 	in.result.DetectionMS = milliseconds(took)
@@ -190,7 +190,7 @@
 	return in.stopFor(pauseManyDuration, stopped...)
 }
 
-// stopFor stops instances for a time.
+// stopFor stops instances by SIGSTOP for a time.
 func (in *injection) stopFor(duration time.Duration, names ...string) error {
 	var err error
 	for _, name := range names {
@@ -243,7 +243,7 @@
 	in.cluster.Heal()
 }
 
-// cutUntilDetected cuts links of the victim in one direction until all others have taken it for dead.
+// cutUntilDetected cuts links of the victim in one direction until all others consider it dead.
 func (in *injection) cutUntilDetected(from, to testcluster.Side) {
 	in.cluster.CutLinks(from, to)
 	in.waitForDetection(&in.play.result.Unjudged)
--- a/internal/experiment/membership/membership_test.go
+++ b/internal/experiment/membership/membership_test.go
@@ -10,7 +10,8 @@
 	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
-// Real instances: killed, cut off in one direction, a tenth stopped, split, one starved.
+// Real instances detect kills and links that are cut in one direction. They consider no live instance dead while a
+// tenth of them are stopped, the network is partitioned or one instance is starved of processor time.
 func TestMembersOfRealInstances(t *testing.T) {
 	t.Parallel()
 	r, err := Experiment{
@@ -27,13 +28,14 @@
 		Duration: 42 * time.Second,
 		Seed:     7,
 	}.Run(t.Context())
-	// How long it took is the machine's as well: tests hold only what was detected, and that all agreed again.
+	// Times depend on the load of the machine. The test checks only that faults were detected and that all agreed
+	// again.
 	var bound *report.BoundError
 	if err != nil && !errors.As(err, &bound) {
-		t.Errorf("%v %+v", err, r)
+		t.Errorf("error %v, want none or a *report.BoundError; result %+v", err, r)
 	}
 	if r.FalseDeaths+r.UndetectedKills+r.Unjudged > 0 || len(r.Faults) < 5 {
-		t.Errorf("%v %+v", err, r)
+		t.Errorf("want at least 5 faults, all detected, and no false deaths; got error %v, result %+v", err, r)
 	}
 }
 
@@ -61,14 +63,14 @@
 		breakBound(&broken)
 		var bound *report.BoundError
 		if err := broken.CheckBounds(); !errors.As(err, &bound) || bound.Page != "docs/membership.md" {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error %v, want a *report.BoundError for docs/membership.md", name, err)
 		}
 	}
 }
 
 func TestUnknownFaultIsRejected(t *testing.T) {
 	_, err := Experiment{Faults: []Fault{Kill, "nonsense"}}.Run(t.Context())
-	if want := "faults are of " + FaultNames(); err == nil || err.Error() != want {
-		t.Errorf("%v, want %s", err, want)
+	if want := `unknown fault "nonsense": must be one of ` + FaultNames(); err == nil || err.Error() != want {
+		t.Errorf("error %v, want %s", err, want)
 	}
 }
--- a/internal/experiment/membershipsim/faults.go
+++ b/internal/experiment/membershipsim/faults.go
@@ -5,24 +5,25 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// Fault is what can happen to instances or the network: those of the experiment with real processes, and two more.
+// Fault is a kind of fault of instances or the network. Besides faults of package membership there are FaultLoss and
+// FaultDuplicateSend.
 type Fault = membership.Fault
 
-// The faults.
+// Faults of instances and the network.
 const (
 	FaultKill          = membership.Kill       // an instance is killed, and starts again after a while
 	FaultPause         = membership.Pause      // a process is stopped for up to 30 s
 	FaultLoss          = Fault("loss")         // a fifth of all messages is lost
 	FaultOneWayLink    = membership.CutOneLink // nothing arrives from one instance at another
-	FaultInboundLost   = membership.CutInward  // an instance hears nothing
-	FaultOutboundLost  = membership.CutOutward // an instance is heard by nobody
+	FaultInboundLost   = membership.CutInward  // an instance receives nothing
+	FaultOutboundLost  = membership.CutOutward // nothing that an instance sends arrives
 	FaultPartition     = membership.Partition  // the network is split in two
-	FaultFlapping      = membership.Flapping   // an instance is heard every other second only
+	FaultFlapping      = membership.Flapping   // nothing that an instance sends arrives, every other second
 	FaultLatency       = membership.LinkDelay  // messages take half a second
 	FaultDuplicateSend = Fault("twice")        // half of all messages arrive twice
 )
 
-// Faults are all faults.
+// Faults lists all faults.
 var Faults = []Fault{
 	FaultKill,
 	FaultPause,
@@ -36,7 +37,7 @@
 	FaultDuplicateSend,
 }
 
-// FaultNames are the names of all faults.
+// FaultNames returns the names of all faults.
 func FaultNames() []string {
 	names := make([]string, len(Faults))
 	for i, fault := range Faults {
@@ -45,31 +46,32 @@
 	return names
 }
 
-// How long faults last and how much time members then have to agree again, ns.
+// Durations of faults, the times that members then have to agree again, all in ns, and the extent of faults.
 const (
 	second              = int64(1e9)
 	restartDelay        = 20 * second
 	networkFaultTime    = 10 * second
 	oneWayFaultTime     = 8 * second
-	maxOneWayDetection  = 5 * second // until all others are to believe an instance with a one-way fault dead
+	maxOneWayDetection  = 5 * second // until all others must believe an instance with a one-way fault dead
 	settleTime          = 5 * second // after the end of a fault
 	duplicateSettleTime = 2 * second
 	flaps               = 8
 	flapSettleTime      = 6 * second
-	longestShortPause   = 3 * second / 2 // a longer one may rightly be taken for a death
+	longestShortPause   = 3 * second / 2 // during a longer pause others may believe the instance dead
 
 	lossDuringFault    = 0.2
 	latencyDuringFault = second / 2
 	minoritySideOneIn  = 3
 )
 
-// pauses are the lengths of pauses to draw from.
+// pauses lists the possible durations of pauses, ns.
 var pauses = []int64{second / 2, longestShortPause, 5 * second, 30 * second}
 
-// faultLasts notes that a fault is at work, or its effects are, for so long from now on.
+// faultLasts records that a fault or its effects last for a duration from now.
 func (s *runState) faultLasts(duration int64) { s.calmFrom = max(s.calmFrom, s.now()+duration) }
 
-// injectFault begins a fault, one at a time: each figure is of one fault.
+// injectFault begins a random fault, unless the effects of the previous one still last. Each measurement is thus of a
+// single fault.
 func (s *runState) injectFault() {
 	if s.now() < s.calmFrom {
 		return
@@ -151,7 +153,7 @@
 	s.scheduler.After(networkFaultTime, func() { clear(s.cutLinks) })
 }
 
-// isolateOneWay follows a member that can only send or only hear; others are to believe it dead.
+// isolateOneWay measures how long it takes until all others believe a member dead that can only send or only receive.
 func (s *runState) isolateOneWay(victim *simulatedMember) {
 	s.awaitDetection(victim, maxOneWayDetection, s.measured.oneWayDetected, s.measured.oneWayMissed)
 	victim.mayBeDeadUntil = s.now() + networkFaultTime + settleTime
--- a/internal/experiment/membershipsim/member.go
+++ b/internal/experiment/membershipsim/member.go
@@ -8,19 +8,19 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// simulatedMember is one process over all its starts.
+// simulatedMember is a member with the state that outlasts restarts of its process.
 type simulatedMember struct {
 	run      *runState
 	name     string
 	index    int
 	host     simulation.Host
 	protocol protocol // nil before the first start
-	timerAt  int64    // of the protocol's timer
+	timerAt  int64    // when the protocol's timer fires
 
-	// mayBeDeadUntil is until when a fault justifies that others believe the member dead, and that it
-	// believes others dead.
+	// mayBeDeadUntil is the time until which, because of a fault, others may believe the member dead and it may
+	// believe others dead.
 	mayBeDeadUntil int64
-	duringPause    []func() // what came while the process was paused, in the order in which it came
+	duringPause    []func() // events that arrived while the process was paused, the oldest first
 }
 
 // start begins the next incarnation.
@@ -81,7 +81,7 @@
 	})}
 }
 
-// setTimer schedules what the protocol has to do next.
+// setTimer schedules the protocol's next tick.
 func (m *simulatedMember) setTimer() {
 	run := m.run
 	at := max(m.protocol.next(), run.now()+minTimerDelay)
@@ -98,9 +98,8 @@
 	})
 }
 
-// whenAwake runs an event of the process once it is not paused. Events of a pause run in reverse order, the
-// latest one first: the protocol has to notice by itself how long it was away, whichever event a resumed
-// process finds first.
+// whenAwake runs an event of the process, after the pause if the process is paused. Events that arrived during a pause
+// run in reverse order, since the protocol must notice the pause whichever event a resumed process handles first.
 func (m *simulatedMember) whenAwake(event func()) {
 	run := m.run
 	if !m.host.Paused(run.now()) {
@@ -124,7 +123,7 @@
 	})
 }
 
-// send hands messages to the network.
+// send sends messages over the network.
 func (m *simulatedMember) send(messages []message) {
 	run := m.run
 	for _, message := range messages {
@@ -146,7 +145,7 @@
 	}
 }
 
-// connected tells whether no fault keeps all messages of one member from another.
+// connected reports whether messages from one member can reach another. It ignores random loss.
 func (s *runState) connected(from, to *simulatedMember) bool {
 	return from.host.Reaches(&to.host) && !s.cutLinks[directedPair{from.index, to.index}]
 }
@@ -169,13 +168,13 @@
 	})
 }
 
-// healthy tells whether the member is there to believe something, and to be believed in.
+// healthy reports whether the member runs, is not paused, and can send and receive.
 func (m *simulatedMember) healthy() bool {
 	host := &m.host
 	return m.protocol != nil && host.Running(m.run.now()) && !host.InboundLost && !host.OutboundLost
 }
 
-// believesDead tells whether the member believes another one dead.
+// believesDead reports whether the member believes another one dead.
 func (m *simulatedMember) believesDead(other *simulatedMember) bool {
 	dead, _ := m.protocol.belief(other.name)
 	return dead
--- a/internal/experiment/membershipsim/membershipsim_test.go
+++ b/internal/experiment/membershipsim/membershipsim_test.go
@@ -10,7 +10,7 @@
 	"tealpath/internal/experiment/experimenttest"
 )
 
-// usualPlan is a plan with the usual intervals.
+// usualPlan returns a plan without faults, with the intervals of the experiment with real instances.
 func usualPlan(instances int, duration time.Duration, seed uint64) Plan {
 	return Plan{
 		Instances:         instances,
@@ -47,7 +47,8 @@
 			t.Parallel()
 			r := usualPlan(40, 150*time.Second, 7).withFaults(20*time.Second, faults...).Run()
 			if !r.BoundsHold() || r.TimeToFormMS < 0 || r.CalmBytes > 2000 {
-				t.Errorf("%+v", r)
+				t.Errorf("want all bounds kept, all members alive at first, and at most 2000 bytes/s without faults; "+
+					"got %+v", r)
 			}
 		})
 	}
@@ -58,7 +59,7 @@
 	plan := usualPlan(40, 100*time.Second, 7)
 	plan.Loss = 0.2
 	if r := plan.Run(); !r.BoundsHold() {
-		t.Errorf("%+v", r)
+		t.Errorf("a bound is broken: %+v", r)
 	}
 }
 
@@ -68,10 +69,11 @@
 	plan.SilenceTimeout = 0 // the default
 	baseline, current := plan.asBaseline().Run(), plan.Run()
 	if baseline.FalseDeaths == 0 || current.FalseDeaths > 0 || current.BytesPerSecond > baseline.BytesPerSecond/4 {
-		t.Errorf("%+v, baseline %+v", current, baseline)
+		t.Errorf("want false deaths in the baseline only, and a quarter of its bytes at most; got %+v, baseline %+v",
+			current, baseline)
 	}
 	if again := plan.Run(); again != current {
-		t.Error("another run of the same seed differs")
+		t.Error("another run with the same seed gives another result")
 	}
 }
 
@@ -111,6 +113,6 @@
 	got, err := os.ReadFile(filepath.Join(folder, "members.csv"))
 	want := "instances,before,detect_p99_ms,false_deaths,bytes_calm,links\n3,true,1.5,2,0,0\n4,false,0,0,0,0\n"
 	if err != nil || string(got) != want {
-		t.Errorf("%v %s", err, got)
+		t.Errorf("members.csv: error %v, content\n%s, want\n%s", err, got, want)
 	}
 }
--- a/internal/experiment/membershipsim/observe.go
+++ b/internal/experiment/membershipsim/observe.go
@@ -3,37 +3,37 @@
 import "slices"
 
 const (
-	// observersAtOnce is how many members' beliefs are looked at in one observation; with more than twice
-	// as many, they take turns.
+	// observersAtOnce is the approximate number of members whose beliefs one observation checks if there are more
+	// than twice as many members. They take turns. In smaller clusters each observation checks all members.
 	observersAtOnce = 24
-	// connectionSampling: connections are counted at every so manieth message only, as counting them takes
-	// long.
+	// connectionSampling is the number of messages between two counts of connections, since counting is slow.
 	connectionSampling = 16
-	detectionPoll      = int64(20e6) // ns between two looks at whether all believe a member dead
-	notDiffering       = int64(-1)
+	detectionPoll      = int64(20e6) // ns between two checks whether all believe a member dead
+	notDiffering       = int64(-1)   // value of differSince while views do not differ
 )
 
-// measurements are what a run counts.
+// measurements holds what a run has measured so far.
 type measurements struct {
 	kills          int
 	missedKills    int
-	detections     []float64 // of kills, ms
+	detections     []float64 // times from a kill until all others believed the member dead, ms
 	pauses         int
 	missedOneWay   int
-	maxOneWay      float64 // ms
+	maxOneWay      float64 // longest time until all believed a member with a one-way fault dead, ms
 	falseDeaths    int
-	believedDead   map[directedPair]bool // which of them were counted
-	maxDifference  float64               // ms
-	differSince    int64                 // when views began to differ; notDiffering is not now
-	formedAt       int64                 // when all first believed all alive; notFormed is not yet
+	believedDead   map[directedPair]bool // pairs whose from believes its to dead without a fault that justifies it
+	maxDifference  float64               // longest time for which views differed after a fault, ms
+	differSince    int64                 // when views began to differ; notDiffering: they do not differ
+	formedAt       int64                 // when all first believed all alive; notFormed: not yet
 	bytes          int
 	messages       int
 	calmBytes      int
-	calmTime       int64 // ns
+	calmTime       int64 // observed time without a fault, ns
 	maxConnections int
 	observations   int
 }
 
+// notFormed is the value of formedAt before all believed all alive.
 const notFormed = int64(-1)
 
 func newMeasurements() measurements {
@@ -57,7 +57,7 @@
 func (m *measurements) oneWayDetected(ms float64) { m.maxOneWay = max(m.maxOneWay, ms) }
 func (m *measurements) oneWayMissed()             { m.missedOneWay++ }
 
-// observe looks at what members believe at this moment.
+// observe checks and compares the beliefs of all members at the current time.
 func (s *runState) observe() {
 	if s.measured.formedAt == notFormed && s.allBelieveAllAlive() {
 		s.measured.formedAt = s.now()
@@ -80,7 +80,7 @@
 	return true
 }
 
-// countFalseDeaths counts beliefs that a member is dead which no fault justifies.
+// countFalseDeaths counts beliefs that a member is dead if no fault justifies them.
 func (s *runState) countFalseDeaths() {
 	s.measured.observations++
 	inTurns := len(s.members) > 2*observersAtOnce
@@ -96,7 +96,7 @@
 	}
 }
 
-// mustBelieveAlive tells whether no fault justifies that an observer believes a member dead.
+// mustBelieveAlive reports whether no fault justifies that an observer believes a member dead.
 func (s *runState) mustBelieveAlive(observer, member *simulatedMember) bool {
 	justified := member.mayBeDeadUntil > s.now() || observer.mayBeDeadUntil > s.now()
 	return member.healthy() && !justified && member.host.Partition == observer.host.Partition
@@ -139,8 +139,8 @@
 	return len(slices.Compact(digests)) <= 1
 }
 
-// awaitDetection reports when all other healthy members believe one dead, in ms from now, or that they do
-// not in time.
+// awaitDetection calls detected once all other healthy members believe the victim dead, with the time in ms that this
+// took. If it takes longer than timeout, awaitDetection calls missed.
 func (s *runState) awaitDetection(victim *simulatedMember, timeout int64, detected func(ms float64), missed func()) {
 	began := s.now()
 	var poll func()
--- a/internal/experiment/membershipsim/plan.go
+++ b/internal/experiment/membershipsim/plan.go
@@ -1,7 +1,6 @@
-// Package membershipsim simulates many instances that watch each other by internal/cluster/membership, or
-// by its baseline (internal/experiment/heartbeatgossip), while one fault after the other is at work. It
-// measures how fast dead instances are detected, whether live ones are taken for dead, how long views
-// differ, and what that costs.
+// Package membershipsim simulates many instances that watch each other by internal/cluster/membership, or by its
+// baseline (internal/experiment/heartbeatgossip), while faults occur one at a time. It measures how fast dead
+// instances are detected, whether live ones are believed dead, how long views differ, and the traffic.
 package membershipsim
 
 import (
@@ -12,45 +11,45 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// Plan is one run of the experiment.
+// Plan describes one run of the simulation.
 type Plan struct {
 	Instances         int
 	Duration          time.Duration // simulated
 	Seed              uint64
 	HeartbeatInterval time.Duration
-	SilenceTimeout    time.Duration // after which a silent neighbour is reported; the baseline has none
-	Loss              float64       // part of all messages that is lost during the whole run
+	SilenceTimeout    time.Duration // after which a silent neighbour is reported; unused by the baseline
+	Loss              float64       // share of all messages that are lost during the whole run
 	Faults            []Fault
-	FaultInterval     time.Duration // mean time between two faults; 0 is no fault at all
-	Baseline          bool          // heartbeat gossip in place of membership
-	StartSpread       time.Duration // all instances start within it
+	FaultInterval     time.Duration // mean time between two faults; 0: no faults
+	Baseline          bool          // heartbeatgossip runs in place of membership
+	StartSpread       time.Duration // time within which all instances start
 }
 
 const (
-	usualLatency        = int64(2e6) // mean time of a message on the network, ns
+	usualLatency        = int64(2e6) // mean latency of a message, ns
 	settleIntervals     = 20         // heartbeat intervals after the start until the run counts as calm
 	firstFaultIntervals = 40         // heartbeat intervals after the start until the first fault
-	minTimerDelay       = int64(1e6) // ns; a timer is never set closer than this
+	minTimerDelay       = int64(1e6) // ns; least time from setting a timer until it fires
 )
 
 // runState is the state of one simulation.
 type runState struct {
 	plan      Plan
-	interval  int64 // between heartbeats, ns
+	interval  int64 // between two heartbeats of a member, ns
 	random    *rand.Rand
 	scheduler *simulation.Scheduler
 	network   *simulation.Network
 	members   []*simulatedMember
 	byName    map[string]*simulatedMember
 
-	cutLinks       map[directedPair]bool // nothing sent from the first arrives at the second
+	cutLinks       map[directedPair]bool // no message passes from the first member to the second
 	duplicateSends bool                  // half of all messages arrive twice
-	calmFrom       int64                 // no fault is at work from then on
+	calmFrom       int64                 // time from which no fault or effect of one lasts
 
 	measured measurements
 }
 
-// directedPair is two members by index, in one direction.
+// directedPair is an ordered pair of members, by index.
 type directedPair struct{ from, to int }
 
 // Run simulates the plan.
--- a/internal/experiment/membershipsim/protocol.go
+++ b/internal/experiment/membershipsim/protocol.go
@@ -10,21 +10,21 @@
 
 // protocol is the membership protocol of one member.
 type protocol interface {
-	// tick does what is due, receive takes a message; both return what is to be sent.
+	// tick performs the actions that are due, and receive handles a message. Both return the messages to send.
 	tick(now int64) []message
 	receive(now int64, from string, received message) []message
-	// next is when tick has something to do.
+	// next returns the time at which tick must be called next.
 	next() int64
-	// belief tells whether a member is believed to be dead, or to be alive; neither holds until it was
-	// heard of.
+	// belief reports whether a member is believed dead, and whether it is believed alive. Both are false for a member
+	// of which nothing is known yet.
 	belief(name string) (dead, alive bool)
-	// view identifies the members that are handed on: a digest of them, and how often they have changed.
+	// view returns a digest of the members in the published view, and the number of the view's changes.
 	view() (digest, number uint64)
-	// connections is to how many others the member is connected.
+	// connections returns the number of members to which this member is connected.
 	connections() int
 }
 
-// message is what one member sends to another: one of the two contents, and its size on the network.
+// message is a message to another member, with its size on the network. It holds either gossip or heartbeats.
 type message struct {
 	to         string
 	gossip     membership.Gossip       // of membershipProtocol
@@ -33,23 +33,23 @@
 }
 
 const (
-	frameHeaderBytes      = 4          // length of a frame
-	tlsRecordBytes        = 22         // what TLS 1.3 adds to a record
+	frameHeaderBytes      = 4          // frame header with the payload's length
+	tlsRecordBytes        = 22         // overhead of a TLS 1.3 record
 	baselineOverheadBytes = 40         // frame, TLS and the message around the entries
-	usualBallot           = 1 << 40    // a ballot of the usual length in the encoded message
-	digestFactor          = uint64(31) // of the polynomial over the bytes of names
+	usualBallot           = 1 << 40    // a ballot of typical encoded length
+	digestFactor          = uint64(31) // base of the polynomial hash of names
 )
 
-// encodedLength is the length of a value in CBOR.
+// encodedLength returns the length of a value's CBOR encoding in bytes.
 func encodedLength(value any) int {
 	raw, err := cbor.Marshal(value)
 	if err != nil {
-		panic(err) // the types are this program's
+		panic(err) // all types passed to it can be encoded
 	}
 	return len(raw)
 }
 
-// membershipProtocol is internal/cluster/membership.
+// membershipProtocol implements protocol by internal/cluster/membership.
 type membershipProtocol struct{ table *membership.Table }
 
 func (p membershipProtocol) messages(sends []membership.Send) []message {
@@ -89,7 +89,7 @@
 
 func (p membershipProtocol) connections() int { return len(p.table.Peers()) }
 
-// baselineProtocol is internal/experiment/heartbeatgossip.
+// baselineProtocol implements protocol by internal/experiment/heartbeatgossip.
 type baselineProtocol struct{ table *heartbeatgossip.Table }
 
 func (p baselineProtocol) tick(now int64) []message {
--- a/internal/experiment/membershipsim/result.go
+++ b/internal/experiment/membershipsim/result.go
@@ -12,30 +12,30 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// Result is what a run gave.
+// Result holds what a run measured.
 type Result struct {
 	Instances       int     `json:"instances"`
 	Baseline        bool    `json:"before"`
 	Seconds         float64 `json:"simulated_s"`
 	Kills           int     `json:"kills"`
-	DetectionP50    float64 `json:"detect_p50_ms"` // until all live members believe a killed one dead
+	DetectionP50    float64 `json:"detect_p50_ms"` // from a kill until all live members believe the member dead
 	DetectionP99    float64 `json:"detect_p99_ms"`
 	MaxDetection    float64 `json:"detect_max_ms"`
 	MissedKills     int     `json:"kills_not_believed_by_all"`
-	FalseDeaths     int     `json:"false_deaths"` // beliefs, each of one member about another
+	FalseDeaths     int     `json:"false_deaths"` // times that a member believed another one dead without reason
 	Pauses          int     `json:"pauses"`
-	MaxOneWay       float64 `json:"oneway_judged_max_ms"` // until all believe an isolated one dead
+	MaxOneWay       float64 `json:"oneway_judged_max_ms"` // until all believe a member with a one-way fault dead
 	MissedOneWay    int     `json:"oneway_not_judged"`
-	MaxDisagreement float64 `json:"disagree_max_ms"` // for which views differ, from the end of the last fault on
+	MaxDisagreement float64 `json:"disagree_max_ms"` // longest time for which views differed after a fault
 	BytesPerSecond  float64 `json:"bytes_per_member_per_s"`
-	CalmBytes       float64 `json:"bytes_per_member_per_s_calm"` // a second, while no fault is at work
+	CalmBytes       float64 `json:"bytes_per_member_per_s_calm"` // while no fault lasts
 	Messages        float64 `json:"messages_per_member_per_s"`
 	PeakConnections int     `json:"links_per_member_max"`
-	ViewChanges     float64 `json:"view_changes"` // a member
-	TimeToFormMS    float64 `json:"formed_ms"`    // until all believe all alive; -1 is never
+	ViewChanges     float64 `json:"view_changes"` // changes of a member's view, mean
+	TimeToFormMS    float64 `json:"formed_ms"`    // until all believe all alive; -1: never
 }
 
-// BoundsHold tells whether the bounds of docs/membership.md hold.
+// BoundsHold reports whether the bounds of docs/membership.md hold.
 func (r Result) BoundsHold() bool {
 	return r.MaxDetection <= membership.MaxDetectionMS &&
 		r.MissedKills+r.FalseDeaths+r.MissedOneWay == 0 &&
@@ -84,7 +84,7 @@
 
 const notFormedMS = -1
 
-// WriteTable writes a line for each run to members.csv.
+// WriteTable writes members.csv, with a line for each run.
 func WriteTable(folder string, runs []Result) error {
 	header := []string{"instances", "before", "detect_p99_ms", "false_deaths", "bytes_calm", "links"}
 	var rows [][]string
@@ -101,7 +101,7 @@
 	return report.WriteCSV(filepath.Join(folder, "members.csv"), header, rows)
 }
 
-// WriteCharts draws bytes and times of detection over the number of members.
+// WriteCharts writes charts of the bytes sent and of the detection times by the number of members.
 func WriteCharts(folder string, runs []Result) error {
 	bytes := report.Chart{
 		Title:  "Bytes a member sends a second, no fault at work, simulated",
@@ -126,7 +126,7 @@
 	return chart.Save(path)
 }
 
-// bySize gives a series of the baseline's runs and one of the others, where there are any.
+// bySize returns a series of the baseline's runs and one of the other runs, without series that would be empty.
 func bySize(runs []Result, figure func(Result) float64) []report.Series {
 	var all []report.Series
 	for _, baseline := range []bool{true, false} {
--- a/internal/experiment/report/bound.go
+++ b/internal/experiment/report/bound.go
@@ -1,9 +1,9 @@
 package report
 
-// BoundError says that an experiment's result breaks a bound of a design note.
+// BoundError reports that an experiment's result breaks a bound of a design note.
 type BoundError struct {
 	Page   string // path of the note
-	Detail string // which bounds; may be empty
+	Detail string // names of the broken bounds; may be empty
 }
 
 // Error implements error.
--- a/internal/experiment/report/bound_test.go
+++ b/internal/experiment/report/bound_test.go
@@ -22,7 +22,7 @@
 	}
 	for _, test := range tests {
 		if got := test.err.Error(); got != test.want {
-			t.Errorf("%q, want %q", got, test.want)
+			t.Errorf("error %q, want %q", got, test.want)
 		}
 	}
 }
@@ -33,10 +33,10 @@
 		t.Fatal(err)
 	}
 	if raw, err := os.ReadFile(path); err != nil || string(raw) != "[\n 1\n]" {
-		t.Errorf("%q %v", raw, err)
+		t.Errorf("JSON of []int{1}: got %q, error %v", raw, err)
 	}
 	if err := WriteJSON(path, func() {}); err == nil {
-		t.Error("no error for what has no JSON")
+		t.Error("no error for a function, which cannot be written as JSON")
 	}
 }
 
@@ -52,7 +52,7 @@
 	}
 	for _, ending := range []string{".svg", ".png"} {
 		if info, err := os.Stat(path + ending); err != nil || info.Size() == 0 {
-			t.Errorf("%s: %v", ending, err)
+			t.Errorf("chart%s: want a non-empty file, got error %v", ending, err)
 		}
 	}
 }
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -1,5 +1,5 @@
-// Package report writes the results of experiments: JSON, tables as CSV, charts, percentiles, and the bounds
-// that a result breaks.
+// Package report writes the results of experiments as JSON, CSV tables and charts. It also has the error for results
+// that break a bound, and computes percentiles.
 package report
 
 import (
@@ -52,7 +52,7 @@
 	return os.WriteFile(path, raw, 0o644)
 }
 
-// WriteCSV writes a table.
+// WriteCSV writes a table as CSV.
 func WriteCSV(path string, header []string, rows [][]string) (err error) {
 	file, err := os.Create(path)
 	if err != nil {
@@ -68,27 +68,27 @@
 
 // Series is one curve of a chart.
 type Series struct {
-	Baseline bool // red and called "before"; else blue and called "now"
+	Baseline bool // the curve is red and named BaselineName, otherwise blue and named CurrentName
 	Points   plotter.XYs
 
-	Name   string      // instead of those
-	Color  color.Color // instead of those
+	Name   string      // replaces that name if it is not empty
+	Color  color.Color // replaces that color if it is not nil
 	Dashed bool
-	Shape  draw.GlyphDrawer // marks each point, also in the legend; nil is none
+	Shape  draw.GlyphDrawer // marks each point, also in the legend; nil: no marks
 }
 
 // Chart is a line chart with one curve for each series.
 type Chart struct {
 	Title, XLabel, YLabel string
 	FromZero              bool    // the vertical axis begins at 0
-	XMax                  float64 // the horizontal axis goes from 0 to it; 0 is as far as the points go
+	XMax                  float64 // end of the horizontal axis, which then starts at 0; 0: the axis fits the points
 	Markers               bool    // each point is marked
 	LegendTop             bool
 	LegendLeft            bool
 	Series                []Series
 }
 
-// Save writes the chart; the ending of the path says in which format.
+// Save writes the chart in the format that the path's extension names.
 func (c Chart) Save(path string) error {
 	canvas := plot.New()
 	canvas.Title.Text = c.Title
@@ -109,7 +109,7 @@
 	return canvas.Save(chartWidth, chartHeight, path)
 }
 
-// SaveAs writes the chart in several formats, such as "svg", each with its ending behind the path.
+// SaveAs writes the chart once in each format, such as "svg". The format is added to the path as its extension.
 func (c Chart) SaveAs(path string, formats ...string) error {
 	for _, format := range formats {
 		if err := c.Save(path + "." + format); err != nil {
@@ -159,7 +159,7 @@
 	return name, lineColor
 }
 
-// Percentile gives a percentile of sorted values, 0 if there are none.
+// Percentile returns a percentile of sorted values, or 0 if there are none.
 func Percentile(sorted []float64, percent int) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -33,10 +33,10 @@
 		t.Fatal(err)
 	}
 	if got, err := os.ReadFile(path); err != nil || string(got) != "a,b\n1,x y\n2,\"x,y\"\n" {
-		t.Errorf("%q %v", got, err)
+		t.Errorf("table: got %q, error %v", got, err)
 	}
 	if err := WriteCSV(filepath.Join(path, "in-a-file"), nil, nil); err == nil {
-		t.Error("no error where no file can be made")
+		t.Error("no error for a path below a file")
 	}
 }
 
--- a/internal/experiment/sharedconfigsim/events.go
+++ b/internal/experiment/sharedconfigsim/events.go
@@ -7,8 +7,8 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// Kinds of changes and faults, by the number that is drawn. Numbers below eventKill are changes, so that
-// four of ten are. Those above eventRestartAll do nothing.
+// Kinds of events. A number below eventKinds is drawn: numbers below eventKill propose a change, and the one above
+// eventRestartAll does nothing.
 const (
 	eventKill       = 4
 	eventPause      = 5
@@ -18,17 +18,17 @@
 	eventKinds      = 10
 )
 
-// How far faults go.
+// Extent of the faults.
 const (
-	maxRestartSeconds = 10 // below which a killed instance starts again
-	maxPauseSeconds   = 60
+	maxRestartSeconds = 10 // a killed instance starts again within this time
+	maxPauseSeconds   = 60 // a pause is shorter than this
 	partitionTime     = 6 * second
 	lossTime          = 5 * second
-	lossDuringFault   = 0.2
-	restartAllOneIn   = 5
+	lossDuringFault   = 0.2 // share of all messages
+	restartAllOneIn   = 5   // one eventRestartAll in five restarts the instances, the others do nothing
 )
 
-// changeOrFault proposes a change, or begins a fault.
+// changeOrFault proposes a random change or begins a random fault.
 func (s *runState) changeOrFault() {
 	instance := s.instances[s.random.IntN(len(s.instances))]
 	switch kind := s.random.IntN(eventKinds); {
@@ -48,14 +48,14 @@
 	}
 }
 
-// propose has an instance propose a change of one setting to the newest version that it knows.
+// propose has an instance propose the newest version that it knows with one setting changed.
 func (s *runState) propose(instance *simulatedInstance) {
 	if !instance.host.Running(s.now()) {
 		return
 	}
 	settings, err := compatibility.Decode(instance.node.Newest().Content)
 	if err != nil {
-		panic(err) // only settings are proposed
+		panic(err) // all proposed contents are valid settings
 	}
 	content := mustEncode(s.changed(settings))
 	if instance.node.Propose(instance.localTime(), s.wallMS(), content) == nil {
@@ -79,8 +79,8 @@
 	return settings
 }
 
-// kill ends an instance, which starts again unless it has been started by restartAll before. What it sent
-// still arrives.
+// kill ends an instance. Messages that it has sent still arrive until it starts again, which is after a random delay
+// unless restartAll starts it before.
 func (s *runState) kill(victim *simulatedInstance) {
 	victim.host.Stopped = true
 	incarnation := victim.host.Incarnation
--- a/internal/experiment/sharedconfigsim/instance.go
+++ b/internal/experiment/sharedconfigsim/instance.go
@@ -6,17 +6,17 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// simulatedInstance is one process over all its starts.
+// simulatedInstance is an instance with the state that outlasts restarts of its process.
 type simulatedInstance struct {
 	run     *runState
 	name    string
 	clock   simulation.Clock
 	host    simulation.Host
 	node    *sharedconfig.Node
-	timerAt int64 // of the node's timer; 0 is none
+	timerAt int64 // when the node's timer fires; 0: no timer is set
 }
 
-// start begins the next incarnation, which knows nothing but its configuration.
+// start starts the next incarnation, which knows only its configuration.
 func (i *simulatedInstance) start() {
 	run := i.run
 	i.host.Start()
@@ -34,10 +34,10 @@
 	i.setTimer()
 }
 
-// localTime is what the clock of the process shows.
+// localTime returns the time on the clock of the process, ns.
 func (i *simulatedInstance) localTime() int64 { return i.clock.Read(i.run.now()) }
 
-// setTimer schedules what the node has to do next.
+// setTimer schedules the node's next tick.
 func (i *simulatedInstance) setTimer() {
 	run := i.run
 	wait := i.clock.SimulatedDuration(i.node.Next(i.localTime()) - i.localTime())
@@ -62,12 +62,12 @@
 	})
 }
 
-// ended tells whether an incarnation is not there any more.
+// ended reports whether an incarnation no longer runs.
 func (i *simulatedInstance) ended(incarnation int) bool {
 	return i.host.Stopped || i.host.Incarnation != incarnation
 }
 
-// carryOut does what the node asks for.
+// carryOut applies the effects that the node has returned.
 func (i *simulatedInstance) carryOut() {
 	run := i.run
 	for _, effect := range i.node.TakeEffects() {
--- a/internal/experiment/sharedconfigsim/plan.go
+++ b/internal/experiment/sharedconfigsim/plan.go
@@ -1,7 +1,7 @@
 // Package sharedconfigsim simulates instances that agree on versions of the shared configuration
-// (internal/cluster/sharedconfig, with the real settings of internal/compatibility), while changes are
-// proposed and faults happen. It measures whether versions that exclude each other are ever in use at once,
-// and how long a change takes until all use it.
+// (internal/cluster/sharedconfig, with the real settings of internal/compatibility), while changes are proposed and
+// faults occur. It measures whether incompatible versions are ever in use at the same time, and how long it takes
+// until all instances use a change.
 package sharedconfigsim
 
 import (
@@ -14,7 +14,7 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// Plan is one run of the experiment.
+// Plan describes one run of the simulation.
 type Plan struct {
 	Instances     int
 	Duration      time.Duration // simulated
@@ -31,14 +31,14 @@
 	purgeWindow   = second * 6
 	second        = int64(1e9)
 	millisecond   = int64(1e6)
-	wallClockMS   = int64(1e12) // at the start of the run
+	wallClockMS   = int64(1e12) // wall-clock time at the start of the run
 
 	observationsPerRenewal = 10
 	firstEventAfterLeases  = 4
 	firstObservationLeases = 2
 )
 
-// networkLatency is how long messages are under way.
+// networkLatency is the latency of messages between instances.
 var networkLatency = simulation.Latency{Min: millisecond, Jitter: 10 * millisecond}
 
 // runState is the state of one simulation.
@@ -102,7 +102,7 @@
 	return run
 }
 
-// mustEncode encodes settings that this package has made.
+// mustEncode encodes settings, which must be valid.
 func mustEncode(settings compatibility.Settings) []byte {
 	content, err := compatibility.Encode(settings)
 	if err != nil {
@@ -113,7 +113,7 @@
 
 func (s *runState) now() int64 { return s.scheduler.Now() }
 
-// wallMS is the wall clock, which all instances share.
+// wallMS returns the wall-clock time, ms since 1970. All instances have the same.
 func (s *runState) wallMS() int64 { return wallClockMS + s.now()/millisecond }
 
 func (s *runState) observationInterval() int64 {
--- a/internal/experiment/sharedconfigsim/result.go
+++ b/internal/experiment/sharedconfigsim/result.go
@@ -7,50 +7,50 @@
 	"tealpath/internal/experiment/report"
 )
 
-// Result is what a run gave.
+// Result holds what a run measured.
 type Result struct {
 	Instances          int     `json:"instances"`
 	Hours              float64 `json:"hours"`
-	Changes            int     `json:"changes"`          // proposed
-	InForce            int     `json:"changes_in_force"` // used by all that run, at some moment
+	Changes            int     `json:"changes"`          // proposed changes
+	InForce            int     `json:"changes_in_force"` // changes that all running instances used at some moment
 	Rejected           int     `json:"changes_refused"`
-	Contradictions     int     `json:"contradictions"`       // incompatible versions in use at once
-	MaxOverlapMS       float64 `json:"contradiction_max_ms"` // for which two versions were in use at once
-	OverlapBoundMS     float64 `json:"bound_ms"`             // of MaxOverlapMS
-	InForceP50         float64 `json:"in_force_p50_ms"`      // from acceptance until all that run use it
+	Contradictions     int     `json:"contradictions"`       // observed pairs of incompatible versions in use
+	MaxOverlapMS       float64 `json:"contradiction_max_ms"` // longest time for which two versions were in use
+	OverlapBoundMS     float64 `json:"bound_ms"`             // upper bound of MaxOverlapMS
+	InForceP50         float64 `json:"in_force_p50_ms"`      // from acceptance until all running instances use it
 	InForceP99         float64 `json:"in_force_p99_ms"`
-	InactiveShare      float64 `json:"floor_share_of_time"` // of running instances, without a version
-	PeakSlowStartShare float64 `json:"share_sum_worst"`     // of the budget of a cache in slow start, all instances
+	InactiveShare      float64 `json:"floor_share_of_time"` // share of running time without an active version
+	PeakSlowStartShare float64 `json:"share_sum_worst"`     // of a warming-up cache's budget; sum of all instances
 }
 
-// shareTolerance allows for rounding where shares of all instances are added.
+// shareTolerance allows for rounding errors in the sum of all instances' shares.
 const shareTolerance = 1e-6
 
-// BoundsHold tells whether the bounds of docs/agreement.md hold.
+// BoundsHold reports whether the bounds of docs/agreement.md hold.
 func (r Result) BoundsHold() bool {
 	return r.Contradictions == 0 && r.MaxOverlapMS <= r.OverlapBoundMS && r.PeakSlowStartShare <= 1+shareTolerance
 }
 
-// notInForceTimeout is how long a change may take until all use it, ns; later it counts as overtaken by
-// another one, or not known to some.
+// notInForceTimeout is the time, in ns, after which a change that not all instances use is ignored. Another change has
+// probably replaced it by then, or some instances have not received it.
 const notInForceTimeout = 60 * second
 
-// measurements are what a run counts.
+// measurements holds what a run has measured so far.
 type measurements struct {
 	changes            int
 	rejectedChanges    int
 	contradictions     int
 	maxOverlapMS       float64
-	timesToForce       []float64        // ms
-	acceptedAt         map[uint64]int64 // by version number, of changes that not all use yet
-	firstUsedAt        map[uint64]int64 // by version number
+	timesToForce       []float64        // from a change's acceptance until all use it, ms
+	acceptedAt         map[uint64]int64 // times by version number, of changes that not all use yet
+	firstUsedAt        map[uint64]int64 // times by version number
 	runningInstances   int              // summed over the observations
 	inactiveInstances  int              // summed over the observations
 	peakSlowStartShare float64
 	incompatiblePairs  map[contentPair]bool
 }
 
-// contentPair is the contents of two versions, the older one first.
+// contentPair holds the contents of two versions.
 type contentPair struct{ older, newer string }
 
 func newMeasurements() measurements {
@@ -61,7 +61,7 @@
 	}
 }
 
-// observe looks at the versions that are in use at this moment.
+// observe records the versions that are in use at the current time.
 func (s *runState) observe() {
 	inUse := map[uint64][]byte{} // contents by version number
 	users := map[uint64]int{}
@@ -92,7 +92,7 @@
 	s.noteInForce(users, running)
 }
 
-// compareVersions looks at each pair of versions in use.
+// compareVersions checks each pair of versions in use for contradictions and overlap.
 func (s *runState) compareVersions(inUse map[uint64][]byte) {
 	for older, olderContent := range inUse {
 		for newer, newerContent := range inUse {
@@ -108,7 +108,7 @@
 	}
 }
 
-// incompatible tells whether contents exclude each other, and remembers the answer.
+// incompatible reports whether two contents are incompatible, and caches the result.
 func (m *measurements) incompatible(older, newer []byte) bool {
 	pair := contentPair{string(older), string(newer)}
 	incompatible, known := m.incompatiblePairs[pair]
@@ -119,7 +119,7 @@
 	return incompatible
 }
 
-// noteInForce notes the changes that all running instances use by now.
+// noteInForce records the changes that all running instances now use, and drops those that took too long.
 func (s *runState) noteInForce(users map[uint64]int, running int) {
 	for number, acceptedAt := range s.measured.acceptedAt {
 		elapsed := s.now() - acceptedAt
--- a/internal/experiment/sharedconfigsim/sharedconfigsim_test.go
+++ b/internal/experiment/sharedconfigsim/sharedconfigsim_test.go
@@ -24,10 +24,10 @@
 		plan := usualPlan(n, 20*time.Minute, 7)
 		r := plan.Run()
 		if !r.BoundsHold() || r.PeakSlowStartShare > 1+1e-9 || r.InForce < 20 {
-			t.Errorf("%+v", r)
+			t.Errorf("%d instances: want all bounds kept and at least 20 changes in force, got %+v", n, r)
 		}
 		if n == 5 && plan.Run() != r {
-			t.Error("another run of the same seed differs")
+			t.Error("another run with the same seed gives another result")
 		}
 		t.Logf("%+v", r)
 	}
--- a/internal/experiment/simulation/simulation_test.go
+++ b/internal/experiment/simulation/simulation_test.go
@@ -15,15 +15,15 @@
 	s.At(300, note(1))
 	s.At(200, note(1))
 	s.At(300, note(-1))
-	s.At(50, note(1)) // has passed: counts as now
+	s.At(50, note(1)) // in the past: runs at the current time
 	s.After(400, note(1))
 	s.At(501, note(1))
 	s.RunUntil(500)
 	if want := []int64{100, 200, 300, -300, 500}; !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("events ran at %v, want %v", got, want)
 	}
 	if s.Now() != 500 || elapsed != 400 {
-		t.Errorf("the clock stands at %d after %d", s.Now(), elapsed)
+		t.Errorf("clock at %d after %d ns, want 500 after 400 ns", s.Now(), elapsed)
 	}
 }
 
@@ -38,7 +38,7 @@
 	})
 	s.RunUntil(1000)
 	if want := []int64{10, 20, 40, 70}; !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("events ran at %v, want %v", got, want)
 	}
 }
 
@@ -63,10 +63,10 @@
 	}
 	a.Stopped, a.PausedUntil = true, 100
 	if a.Running(200) || !a.Paused(99) || a.Paused(100) {
-		t.Errorf("%+v", a)
+		t.Errorf("want a host that is stopped, and paused until 100, got %+v", a)
 	}
 	if a.Start(); !a.Running(0) || a.Incarnation != 1 {
-		t.Errorf("after its start: %+v", a)
+		t.Errorf("want a running host with incarnation 1 after Start, got %+v", a)
 	}
 }
 
@@ -79,11 +79,11 @@
 			lost++
 		}
 		if delay := network.Delay(); delay < 50 || delay >= 150 {
-			t.Fatalf("a delay of %d", delay)
+			t.Fatalf("delay of %d ns, want 50 to 149", delay)
 		}
 	}
 	if lost < 2300 || lost > 2700 {
-		t.Errorf("%d of 10,000 messages lost at a loss of a quarter", lost)
+		t.Errorf("%d of 10,000 messages lost with a loss of 0.25, want 2300 to 2700", lost)
 	}
 }
 
@@ -93,11 +93,11 @@
 		clock := NewClock(random, 0.01)
 		clock.Restart(5e9)
 		if got := clock.Read(105e9); got < 99e9 || got > 101e9 {
-			t.Errorf("%d ns after 100 s", got)
+			t.Errorf("clock reads %d ns after 100 s, want an error of at most 1%%", got)
 		}
 		for _, reading := range []int64{0, 1, 3e9} {
 			if at := clock.TimeAt(reading); clock.Read(at) < reading || at > 5e9+reading*102/100+2 {
-				t.Errorf("the clock shows %d at %d", clock.Read(at), at)
+				t.Errorf("TimeAt(%d) is %d, at which the clock reads %d", reading, at, clock.Read(at))
 			}
 		}
 	}
--- a/internal/experiment/testcluster/address.go
+++ b/internal/experiment/testcluster/address.go
@@ -7,13 +7,13 @@
 	"sync"
 )
 
-// usedAddresses holds every address that FreeAddress returned in this process: without it, two experiments side
-// by side could be given the same one, as nobody listens on it yet.
+// usedAddresses holds the addresses that FreeAddress has returned. Otherwise two experiments in this process could get
+// the same address before one of them listens on it.
 var usedAddresses sync.Map
 
-// FreeAddress returns an address of a loopback host that nobody listens on now, each once. Where all of
-// 127.0.0.0/8 is the machine's own, the host is one that is used for nothing else: on 127.0.0.1 another
-// process's outgoing connection may take the port in between.
+// FreeAddress returns a loopback address on which no process listens. It returns each address only once. If the
+// machine accepts all of 127.0.0.0/8, the host is one that nothing else uses: on 127.0.0.1 an outgoing connection of
+// another process could take the port before the caller listens on it.
 func FreeAddress() (string, error) {
 	host := fmt.Sprintf("127.%d.%d.2", 2+os.Getpid()%250, os.Getpid()/250%250)
 	for {
--- a/internal/experiment/testcluster/affinity.go
+++ b/internal/experiment/testcluster/affinity.go
@@ -1,4 +1,4 @@
 package testcluster
 
-// RouterCore is the core that instances share where a Config has ShareCore.
+// RouterCore is the core that instances share if Config.ShareCore is set.
 const RouterCore = 0
--- a/internal/experiment/testcluster/affinity_linux.go
+++ b/internal/experiment/testcluster/affinity_linux.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// startOnCore starts a command on one core, which its threads inherit.
+// startOnCore starts a command with all its threads on one core.
 func startOnCore(command *exec.Cmd, core int) (err error) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -26,8 +26,8 @@
 	return command.Start()
 }
 
-// AvoidRouterCore takes this process, and what it starts from then on, off the routers' core, unless it is the
-// only one.
+// AvoidRouterCore keeps this process, and processes that it starts later, off RouterCore. It has no effect if there is
+// no other core.
 func AvoidRouterCore() error {
 	var mask unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &mask); err != nil {
--- a/internal/experiment/testcluster/cluster.go
+++ b/internal/experiment/testcluster/cluster.go
@@ -1,6 +1,6 @@
-// Package testcluster runs instances of the real router on loopback beside emulated caches, an emulated
-// discovery service and relays that delay or cut the connections between instances. Experiments and tests share
-// it, with a client that sends requests at a fixed rate and with readings of what a process uses.
+// Package testcluster runs router processes on loopback for experiments and tests, with emulated caches, an emulated
+// discovery service and relays that delay or cut the connections between instances. It also has a client that sends
+// requests at a fixed rate, and functions that return the memory and processor time of a process.
 package testcluster
 
 import (
@@ -25,38 +25,39 @@
 	defaultMaxSockets = 1024
 	defaultMemoryMB   = 32
 
-	// certificateLifetime is longer than any experiment.
+	// certificateLifetime is the validity of the instances' certificates. It is longer than any experiment.
 	certificateLifetime = 12 * time.Hour
 )
 
-// Config says what a cluster consists of.
+// Config is the configuration of a Cluster.
 type Config struct {
-	Binary    string // the router's program
+	Binary    string // path of the router's program
 	Dir       string // an existing directory for configurations, keys, sockets and logs
 	Instances int
 	Caches    int
-	Slots     int // leases that instances share out among themselves
+	Slots     int // number of slots whose leases the instances share
 
 	LeaseDuration time.Duration
 	RenewInterval time.Duration
 	ProbePeriod   time.Duration // between two health checks of one cache
 
-	// WithoutOperatorFile starts instances that share nothing and have no Unix socket.
+	// WithoutOperatorFile starts stand-alone instances, without a Unix socket.
 	WithoutOperatorFile bool
-	// OperatorFile replaces the operator's file that has instances share leases; %s in it is the socket's path.
+	// OperatorFile replaces the content of the operator's file, which otherwise has instances share leases. %s in it
+	// is replaced by the socket's path.
 	OperatorFile string
 	// ClusterOptions are further options of the operator's (fleet …).
 	ClusterOptions string
-	// WithRelays leads every connection between two instances through a relay of its own.
+	// WithRelays adds a relay to each Link, through which its connections pass.
 	WithRelays bool
-	// WithoutEndpointList starts instances that know no endpoint list before discovery sends one.
+	// WithoutEndpointList starts instances whose configuration has no endpoint list.
 	WithoutEndpointList bool
-	// ShareCore has all instances run on one core, RouterCore.
+	// ShareCore runs all instances on one core, RouterCore.
 	ShareCore bool
 
-	MaxSockets int // of an instance; 0 is defaultMaxSockets
-	MemoryMB   int // of an instance; 0 is defaultMemoryMB
-	Voters     int // how many of the first instances are voters; 0 is all
+	MaxSockets int // limit of an instance; 0 means defaultMaxSockets
+	MemoryMB   int // limit of an instance; 0 means defaultMemoryMB
+	Voters     int // number of voters, which are the first instances; 0 means all
 }
 
 // Link is the path on which one instance opens connections to another.
@@ -65,13 +66,13 @@
 // Cluster is a set of router processes with the emulators that they talk to.
 type Cluster struct {
 	Config
-	Names     []string // of the instances
+	Names     []string // names of the instances
 	Caches    []*cache.Cache
 	Relays    map[Link]*relay.Relay
 	Discovery *discoveryserver.Service
 	Root      *certificates.Root // issues the instances' certificates
 
-	voters    string               // what stands in the operator's (voters …)
+	voters    string               // content of (voters …) in the operator's files
 	instances map[string]*instance // by name
 
 	mu      sync.Mutex
@@ -81,10 +82,10 @@
 
 // instance is one router of a cluster.
 type instance struct {
-	peerAddress   string   // where it takes connections of other instances
-	clientAddress string   // where it takes clients
-	process       *Process // guarded by the cluster's mu; nil while it does not run
-	incarnation   int      // guarded by the cluster's mu; how often it was started
+	peerAddress   string   // at which it accepts connections from other instances
+	clientAddress string   // at which it accepts clients
+	process       *Process // guarded by the cluster's mu; nil while the instance does not run
+	incarnation   int      // guarded by the cluster's mu; number of starts
 }
 
 // New starts the emulators and writes the files of all instances. Start starts the instances.
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// nameInstances gives each instance a name, an address and a certificate, and says which are voters.
+// nameInstances assigns a name, an address and a certificate to each instance, and sets the voters.
 func (c *Cluster) nameInstances() error {
 	root, err := certificates.NewRoot("lab")
 	if err != nil {
@@ -155,16 +156,16 @@
 	return nil
 }
 
-// SetVoters sets what stands in (voters …) of operator's files that are written from now on.
+// SetVoters sets the content of (voters …) in operator's files that are written from now on.
 func (c *Cluster) SetVoters(voters string) { c.voters = voters }
 
-// Path returns the path of a file of an instance, as of its log with the extension ".log".
+// Path returns the path of an instance's file with an extension, such as ".log" for its log.
 func (c *Cluster) Path(name, extension string) string { return filepath.Join(c.Dir, name+extension) }
 
-// ClientAddress returns where an instance takes clients.
+// ClientAddress returns the address at which an instance accepts clients.
 func (c *Cluster) ClientAddress(name string) string { return c.instances[name].clientAddress }
 
-// ClientAddresses returns where the instances take clients.
+// ClientAddresses returns the addresses at which the instances accept clients.
 func (c *Cluster) ClientAddresses() []string {
 	var addresses []string
 	for _, name := range c.Names {
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// Start starts an instance. Its log is appended to its file and parsed for LogLines.
+// Start starts an instance. Its log is appended to its log file and parsed for LogLines.
 func (c *Cluster) Start(name string) error {
 	command := Command{Binary: c.Binary, Config: c.Path(name, ".json"), ShareCore: c.ShareCore}
 	if !c.WithoutOperatorFile {
@@ -206,7 +207,8 @@
 	c.readers.Go(func() {
 		defer closeAll(logFile)
 		process.readLog(output, func(raw []byte) {
-			_, _ = fmt.Fprintf(logFile, "%s\n", raw) // the file is for people; the lines are kept in memory
+			// Errors are ignored: only people read the file, and the lines are also kept in memory.
+			_, _ = fmt.Fprintf(logFile, "%s\n", raw)
 			if line, ok := parseLogLine(raw); ok {
 				line.Instance, line.Incarnation = name, incarnation
 				c.appendLine(line)
@@ -216,7 +218,7 @@
 	return nil
 }
 
-// Incarnation returns how often an instance was started.
+// Incarnation returns the number of starts of an instance.
 func (c *Cluster) Incarnation(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -229,7 +231,7 @@
 	process := c.instances[name].process
 	c.mu.Unlock()
 	if process == nil {
-		return fmt.Errorf("%s does not run", name)
+		return fmt.Errorf("send %v to instance %s: it does not run", signal, name)
 	}
 	if err := process.Signal(signal); err != nil {
 		return err
@@ -242,7 +244,7 @@
 	return nil
 }
 
-// PID returns an instance's process; 0 is none.
+// PID returns the process ID of an instance, or 0 if it does not run.
 func (c *Cluster) PID(name string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -252,7 +254,7 @@
 	return 0
 }
 
-// Close kills all instances and ends the emulators.
+// Close kills all instances and closes the emulators.
 func (c *Cluster) Close() {
 	c.mu.Lock()
 	for _, started := range c.instances {
@@ -272,7 +274,7 @@
 	c.Discovery.Close()
 }
 
-// closeAll closes files and connections of which nothing more is wanted: a Close that fails loses nothing.
+// closeAll closes files and connections that are no longer needed. It ignores errors, since no data can be lost.
 func closeAll(closers ...io.Closer) {
 	for _, closer := range closers {
 		_ = closer.Close()
--- a/internal/experiment/testcluster/clustertest/clustertest.go
+++ b/internal/experiment/testcluster/clustertest/clustertest.go
@@ -1,4 +1,4 @@
-// Package clustertest helps tests that run the real programs.
+// Package clustertest has helpers for tests that run a testcluster.Cluster.
 package clustertest
 
 import (
@@ -21,12 +21,12 @@
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), program)
 	if out, err := exec.Command("go", "build", "-o", binary, "tealpath/cmd/"+program).CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("build %s: %v: %s", program, err, out)
 	}
 	return binary
 }
 
-// WaitForLog waits until an instance has logged an event whose line contains a text; an empty event is any.
+// WaitForLog waits until an instance has logged an event whose line contains a text. An empty event matches any event.
 func WaitForLog(t testing.TB, cluster *testcluster.Cluster, name, event, text string) {
 	t.Helper()
 	for deadline := time.Now().Add(logTimeout); time.Now().Before(deadline); time.Sleep(logPollInterval) {
@@ -37,5 +37,5 @@
 			}
 		}
 	}
-	t.Fatalf("%s never logged %q, %q", name, event, text)
+	t.Fatalf("%s has not logged event %q with %q within %s", name, event, text, logTimeout)
 }
--- a/internal/experiment/testcluster/faults.go
+++ b/internal/experiment/testcluster/faults.go
@@ -6,7 +6,7 @@
 	"tealpath/internal/emulator/relay"
 )
 
-// Side selects instances by name, as one end of links.
+// Side selects the instances at one end of links by their names.
 type Side func(name string) bool
 
 // Any selects all instances.
@@ -15,11 +15,11 @@
 // Only selects one instance.
 func Only(name string) Side { return func(other string) bool { return other == name } }
 
-// Not selects the instances that a side leaves out.
+// Not selects the instances that a side does not select.
 func Not(side Side) Side { return func(name string) bool { return !side(name) } }
 
-// SetLinks sets the conditions of the links on which instances of one side open connections to those of
-// another.
+// SetLinks sets the conditions of the links on which instances selected by from open connections to those selected by
+// to.
 func (c *Cluster) SetLinks(from, to Side, conditions relay.Conditions) {
 	for link, path := range c.Relays {
 		if from(link.From) && to(link.To) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// CutLinks cuts links: nothing passes, and connections stay open.
+// CutLinks cuts links. No data passes on them, but their connections stay open.
 func (c *Cluster) CutLinks(from, to Side) {
 	c.SetLinks(from, to, relay.Conditions{CutForward: true, CutBackward: true})
 }
@@ -39,11 +39,11 @@
 	c.CutLinks(Any, Only(name))
 }
 
-// Delay delays what passes on all links from and to an instance, and lets all pass.
+// Delay delays the data on all links from and to an instance. Those of them that were cut are healed.
 func (c *Cluster) Delay(name string, delay time.Duration) {
 	c.SetLinks(Only(name), Any, relay.Conditions{Delay: delay})
 	c.SetLinks(Any, Only(name), relay.Conditions{Delay: delay})
 }
 
-// Heal lets all pass on all links, without delay.
+// Heal removes all cuts and delays of links.
 func (c *Cluster) Heal() { c.SetLinks(Any, Any, relay.Conditions{}) }
--- a/internal/experiment/testcluster/files.go
+++ b/internal/experiment/testcluster/files.go
@@ -10,7 +10,7 @@
 	"tealpath/internal/emulator/relay"
 )
 
-// RouterConfig is what experiments choose in a router's configuration file.
+// RouterConfig holds the values that experiments set in a router's configuration file.
 type RouterConfig struct {
 	Name           string
 	Listen         string
@@ -19,10 +19,10 @@
 	MemoryMB       int
 	MaxSockets     int
 	Discovery      string          // address of the discovery service
-	WatchEvents    json.RawMessage // of the service up to now; nil is none
-	Routers        int             // how many the settings say that there are
-	HealthChecks   bool            // the settings allow health checks, and caches report their load
-	WarmUpDuration int             // s, of a cache
+	WatchEvents    json.RawMessage // events of the service up to now; nil: none
+	Routers        int             // number of routers that the settings state
+	HealthChecks   bool            // health checks are allowed, and caches report their load
+	WarmUpDuration int             // warm-up time of a cache, s
 }
 
 // routerFile is the layout of a router's configuration file.
@@ -183,7 +183,7 @@
 	return c.WriteOperatorFile(name)
 }
 
-// coresPerInstance is an instance's share of the cores.
+// coresPerInstance returns the number of cores that an instance may use.
 func (c *Cluster) coresPerInstance() float64 {
 	if c.ShareCore {
 		return 1 / float64(c.Instances)
@@ -204,8 +204,8 @@
 	return os.WriteFile(path, []byte(c.leaseOperatorFile(name, instances)), 0o600)
 }
 
-// instanceOptions returns the (instance …) lines of an operator's file. Other instances stand there at the
-// addresses of the relays that lead to them, if there are relays.
+// instanceOptions returns the (instance …) lines of an operator's file. If there are relays, the lines of other
+// instances have the addresses of the relays to them.
 func (c *Cluster) instanceOptions(name string) (string, error) {
 	var lines strings.Builder
 	for _, other := range c.Names {
@@ -222,7 +222,7 @@
 	return lines.String(), nil
 }
 
-// relay returns the relay of a link, and starts it the first time.
+// relay returns the relay of a link. It starts the relay on the first call.
 func (c *Cluster) relay(link Link) (*relay.Relay, error) {
 	if started := c.Relays[link]; started != nil {
 		return started, nil
--- a/internal/experiment/testcluster/frame.go
+++ b/internal/experiment/testcluster/frame.go
@@ -7,8 +7,8 @@
 	"io"
 )
 
-// The clients' protocol is framed binary Thrift. Frames are built here by hand, so that a fault of the router's
-// own protocol package shows.
+// The clients' protocol is framed binary Thrift. This package encodes frames itself, so that errors in the router's
+// protocol package are detected.
 const (
 	frameHeaderBytes = 4
 	thriftMap        = 13
@@ -17,7 +17,7 @@
 	messageReply = 2
 )
 
-// callFrame returns a framed call.
+// callFrame returns a framed call of a method.
 func callFrame(method string, sequence uint32, arguments []byte) []byte {
 	message := binary.BigEndian.AppendUint32([]byte{0x80, 1, 0, 1}, uint32(len(method)))
 	message = append(message, method...)
@@ -26,10 +26,10 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(message))), message...)
 }
 
-// healthFrame returns a framed call that asks a router whether it is ready.
+// healthFrame returns a framed health check.
 func healthFrame() []byte { return callFrame("health", 1, []byte{0}) }
 
-// requestFrame returns a framed request for an object, which the client gives up after a second.
+// requestFrame returns a framed request for an object with a deadline of 1 s.
 func requestFrame(sequence uint32, id uint64, object int) []byte {
 	fields := []string{
 		"verb", "stills",
@@ -64,7 +64,7 @@
 	return frame, err
 }
 
-// readResponse reads a response. It returns the number of its request, and whether the request was served.
+// readResponse reads a response. It returns the sequence number of its request, and whether the request was served.
 func readResponse(in *bufio.Reader) (sequence uint32, served bool, err error) {
 	frame, err := readFrame(in)
 	if err != nil {
@@ -81,6 +81,6 @@
 		return 0, false, io.ErrUnexpectedEOF
 	}
 	isReply := frame[3] == messageReply
-	isSuccess := frame[resultFieldAt+2] == 0 // the result's field 0; others are errors
+	isSuccess := frame[resultFieldAt+2] == 0 // field 0 is the result, other fields are errors
 	return binary.BigEndian.Uint32(frame[sequenceAt:]), isReply && isSuccess, nil
 }
--- a/internal/experiment/testcluster/health.go
+++ b/internal/experiment/testcluster/health.go
@@ -9,11 +9,11 @@
 const (
 	healthTimeout = time.Second
 
-	// healthyField is how field 3 of a health answer, a true boolean, is encoded.
+	// healthyField is the encoding of field 3, a boolean, of a health response if it is true.
 	healthyField = "\x02\x00\x03\x01"
 )
 
-// IsHealthy asks a router whether it is ready for clients.
+// IsHealthy reports whether a router responds to a health check that it is ready for clients.
 func IsHealthy(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, healthTimeout)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return err == nil && strings.Contains(string(frame), healthyField)
 }
 
-// CheckHealth asks a router on a connection whether it is ready, and takes any answer.
+// CheckHealth sends a health check on a connection. It returns nil for any response, also if the router is not ready.
 func CheckHealth(conn net.Conn, timeout time.Duration) error {
 	_, err := requestHealth(conn, timeout)
 	return err
@@ -40,7 +40,7 @@
 	return readFrame(conn)
 }
 
-// IsListening tells whether connections to an address are accepted.
+// IsListening reports whether an address accepts connections.
 func IsListening(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, healthTimeout)
 	if err != nil {
--- a/internal/experiment/testcluster/load.go
+++ b/internal/experiment/testcluster/load.go
@@ -15,10 +15,10 @@
 	loadDialTimeout  = 5 * time.Second
 	loadWriteTimeout = time.Second
 
-	// lastResponseWait is for how long responses are waited for after the last request.
+	// lastResponseWait is the time for which a load waits for responses after the last request.
 	lastResponseWait = 1500 * time.Millisecond
 
-	// loadObjects is how many objects are asked for.
+	// loadObjects is the number of different objects that are requested.
 	loadObjects = 200
 
 	maxLatencyMicros     = 10_000_000
@@ -27,21 +27,21 @@
 )
 
 // Load is active traffic at a fixed rate. Each request is sent when it is due, whether or not earlier ones were
-// answered, and its latency counts from then, so that a router that holds up the client does not look fast
+// answered. Its latency is measured from that time, so that a router that delays the client does not seem fast
 // (coordinated omission).
 type Load struct {
-	Rate           float64 // requests a second, over all addresses together
+	Rate           float64 // requests per second, to all addresses together
 	Addresses      []string
-	ConnectionsPer int // address
+	ConnectionsPer int // connections to each address
 }
 
-// LoadResult is what came of a load.
+// LoadResult holds the results of the requests of a load.
 type LoadResult struct {
 	Sent      int
 	Served    int
-	Failed    int                     // answered otherwise, or not sent
-	Lost      int                     // never answered
-	Latencies *hdrhistogram.Histogram // of what was answered, µs
+	Failed    int                     // requests with another response, requests not sent, and unexpected responses
+	Lost      int                     // requests without a response
+	Latencies *hdrhistogram.Histogram // of requests with a response, µs
 }
 
 // LatencyMS returns a percentile of the latency in milliseconds.
@@ -68,19 +68,19 @@
 	connections []*loadConnection
 	readers     sync.WaitGroup
 
-	mu     sync.Mutex // taken alone or while no connection's lock is held
+	mu     sync.Mutex // must not be locked while a connection's mu is held
 	result LoadResult // Served, Failed and Latencies are guarded by mu while readers run
 }
 
-// loadConnection is a client's place; its connection is opened again when the router has closed it.
+// loadConnection is the connection of one client. It is opened again after the router has closed it.
 type loadConnection struct {
 	address string
 
 	mu       sync.Mutex
 	conn     net.Conn             // guarded by mu
-	pending  map[uint32]time.Time // guarded by mu; requests without a response, by number: when each was due
-	sequence uint32               // guarded by mu; number of the last request
-	closed   bool                 // guarded by mu; by the router
+	pending  map[uint32]time.Time // guarded by mu; due times of the requests without a response, by sequence number
+	sequence uint32               // guarded by mu; sequence number of the last request
+	closed   bool                 // guarded by mu; the router has closed conn, or reading failed
 }
 
 func (r *loadRun) connect(load Load) error {
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// dial opens the connection and starts its reader. The caller holds the connection's lock once others know of
-// it.
+// dial opens the connection and starts its reader. The caller must hold connection.mu, unless the connection is not in
+// use by other goroutines yet.
 func (r *loadRun) dial(connection *loadConnection) error {
 	conn, err := net.DialTimeout("tcp", connection.address, loadDialTimeout)
 	if err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// read takes responses until the connection ends.
+// read reads and counts responses until the connection ends.
 func (r *loadRun) read(connection *loadConnection, conn net.Conn) {
 	defer closeAll(conn)
 	for in := bufio.NewReader(conn); ; {
@@ -127,7 +127,7 @@
 	}
 }
 
-// count counts a response. One to no request counts as failed.
+// count counts a response. A response without a pending request counts as failed.
 func (r *loadRun) count(dueAt time.Time, isPending, served bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -137,7 +137,7 @@
 		r.result.Failed++
 	}
 	if isPending {
-		// A latency beyond the histogram's range is left out.
+		// RecordValue fails for a latency above maxLatencyMicros, which is left out.
 		_ = r.result.Latencies.RecordValue(max(1, time.Since(dueAt).Microseconds()))
 	}
 }
@@ -155,14 +155,14 @@
 			r.countUnsent()
 			continue
 		}
-		// A request that can't be written is never answered and counts as lost.
+		// A request that cannot be written gets no response and counts as lost.
 		_ = conn.SetWriteDeadline(time.Now().Add(loadWriteTimeout))
 		_, _ = conn.Write(requestFrame(sequence, random.Uint64(), random.IntN(loadObjects)))
 	}
 }
 
-// begin notes a request as pending. As usual clients do, it opens the connection again if the router closed it
-// while nothing was pending, as it does when nothing was asked for 2 s. It returns false where that fails.
+// begin records a request as pending. If the router has closed the connection while no request was pending, as it does
+// after 2 s without requests, begin opens the connection again, as real clients do. It returns false if that fails.
 func (r *loadRun) begin(connection *loadConnection, dueAt time.Time) (uint32, net.Conn, bool) {
 	connection.mu.Lock()
 	defer connection.mu.Unlock()
@@ -180,7 +180,7 @@
 	r.result.Failed++
 }
 
-// close counts what was not answered and closes all connections.
+// close counts the requests without a response as lost and closes all connections.
 func (r *loadRun) close() {
 	for _, connection := range r.connections {
 		connection.mu.Lock()
--- a/internal/experiment/testcluster/observe.go
+++ b/internal/experiment/testcluster/observe.go
@@ -15,11 +15,11 @@
 	logPollInterval    = 20 * time.Millisecond
 	statusPollInterval = 50 * time.Millisecond
 
-	// maxShutdownDuration is longer than a router's graceful shutdown takes.
+	// maxShutdownDuration is an upper bound of the duration of a router's graceful shutdown.
 	maxShutdownDuration = 5 * time.Second
 )
 
-// Names of the events that are waited for in the routers' logs.
+// Names and values of the log events that the functions below look for.
 var (
 	phaseChanged = server.PhaseChanged{}.Kind().Name
 	stoppedPhase = server.Stopped.String()
@@ -40,28 +40,28 @@
 	return slices.Clone(c.lines)
 }
 
-// LeaseStatus asks an instance who holds the leases.
+// LeaseStatus queries an instance for the status of its leases.
 func (c *Cluster) LeaseStatus(ctx context.Context, name string) (cluster.Status, error) {
 	var status cluster.Status
 	err := adminsocket.Query(ctx, c.Path(name, ".sock"), &status, server.LeasesCommand)
 	return status, err
 }
 
-// MembersStatus asks an instance which others it believes to be alive.
+// MembersStatus queries an instance for the members that it knows and their states.
 func (c *Cluster) MembersStatus(ctx context.Context, name string) (cluster.MembersStatus, error) {
 	var status cluster.MembersStatus
 	err := adminsocket.Query(ctx, c.Path(name, ".sock"), &status, server.MembersCommand)
 	return status, err
 }
 
-// Connections asks an instance for its clients' connections and for what they cost.
+// Connections queries an instance for the number of its client connections and the resources that they use.
 func (c *Cluster) Connections(ctx context.Context, name string) (server.Connections, error) {
 	var status server.Connections
 	err := adminsocket.Query(ctx, c.Path(name, ".sock"), &status, server.ConnectionsCommand)
 	return status, err
 }
 
-// WaitForAllSlotsLeased waits until every slot's lease is held by an instance that runs.
+// WaitForAllSlotsLeased waits until running instances hold the leases of all slots.
 func (c *Cluster) WaitForAllSlotsLeased(ctx context.Context, timeout time.Duration) error {
 	last := ctx.Err()
 	deadline := time.Now().Add(timeout)
@@ -71,14 +71,14 @@
 			return nil
 		}
 		if last = err; err == nil {
-			last = fmt.Errorf("%d of %d slots are owned", held, c.Slots)
+			last = fmt.Errorf("%d of %d slots are leased", held, c.Slots)
 		}
 		time.Sleep(statusPollInterval)
 	}
-	return fmt.Errorf("not settled within %s: %w", timeout, last)
+	return fmt.Errorf("not all slots leased within %s: %w", timeout, last)
 }
 
-// leasedSlots counts the slots that some running instance says it holds the lease of.
+// leasedSlots returns the number of slots whose lease a running instance reports to hold.
 func (c *Cluster) leasedSlots(ctx context.Context) (int, error) {
 	held := map[int]bool{}
 	for _, name := range c.Names {
@@ -98,8 +98,8 @@
 	return len(held), nil
 }
 
-// WaitForExit waits until an incarnation of an instance has logged that it stopped or answers no more. Graceful
-// shutdown takes seconds.
+// WaitForExit waits until an incarnation of an instance has logged that it has stopped, or until the instance no
+// longer answers, for maxShutdownDuration at most.
 func (c *Cluster) WaitForExit(name string, incarnation int) {
 	stopped := func(line LogLine) bool {
 		return line.Instance == name && line.Incarnation == incarnation &&
@@ -117,8 +117,8 @@
 	}
 }
 
-// WaitForAgreement waits until all running instances believe in so many live ones and in the same view. It
-// returns how long that took.
+// WaitForAgreement waits until all running instances have the same view and report alive as the number of live
+// instances. It returns how long that took.
 func (c *Cluster) WaitForAgreement(ctx context.Context, alive int, timeout time.Duration) (time.Duration, error) {
 	start := time.Now()
 	last := ctx.Err()
@@ -128,10 +128,11 @@
 		}
 		time.Sleep(statusPollInterval)
 	}
-	return 0, fmt.Errorf("no agreement on %d within %s: %w", alive, timeout, last)
+	return 0, fmt.Errorf("instances do not agree on %d live instances within %s: %w", alive, timeout, last)
 }
 
-// disagreement says which running instance has another view than those before it; nil is none.
+// disagreement returns an error that names the first running instance with another number of live instances than
+// alive, or with another view than the instances before it. It returns nil if there is none.
 func (c *Cluster) disagreement(ctx context.Context, alive int) error {
 	digest := uint64(0)
 	for _, name := range c.Names {
@@ -143,15 +144,16 @@
 			return err
 		}
 		if status.Alive != alive || digest != 0 && status.Digest != digest {
-			return fmt.Errorf("%s believes in %d", name, status.Alive)
+			return fmt.Errorf("instance %s reports %d live instances and view digest %#x, want %d and, unless 0, %#x",
+				name, status.Alive, status.Digest, alive, digest)
 		}
 		digest = status.Digest
 	}
 	return nil
 }
 
-// WaitForDetection waits until all observers have logged since a time that an instance is dead. It returns when
-// the last of them did, counted from that time, and whether all did within the timeout.
+// WaitForDetection waits until all observers have logged, after the time since, that an instance is dead. It returns
+// the time from since until the last of them logged it, and whether all did within the timeout.
 func (c *Cluster) WaitForDetection(
 	victim string, observers []string, since time.Time, timeout time.Duration,
 ) (time.Duration, bool) {
@@ -175,8 +177,8 @@
 	return 0, false
 }
 
-// FalseDeaths counts the logged deaths since a time, but for those of the named instances and those that these
-// logged.
+// FalseDeaths returns the number of deaths logged since a time. It leaves out deaths of the excluded instances and
+// deaths that these instances logged.
 func (c *Cluster) FalseDeaths(since time.Time, excluded ...string) int {
 	count := 0
 	for _, line := range c.LogLines() {
@@ -190,7 +192,7 @@
 	return count
 }
 
-// HealthChecks counts those that the caches have had.
+// HealthChecks returns the number of health checks that all caches have received.
 func (c *Cluster) HealthChecks() int {
 	count := 0
 	for _, emulated := range c.Caches {
--- a/internal/experiment/testcluster/process.go
+++ b/internal/experiment/testcluster/process.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// Command says how a router process is started.
+// Command holds the options with which a router process is started.
 type Command struct {
 	Binary       string
-	Config       string // path of its configuration file
-	OperatorFile string // path; empty is none
-	ShareCore    bool   // it runs on RouterCore alone
+	Config       string // path of the configuration file
+	OperatorFile string // path of the operator's file; empty: there is none
+	ShareCore    bool   // the process runs on RouterCore only
 }
 
 // Process is a router process.
 type Process struct {
 	command *exec.Cmd
-	ended   chan struct{} // closed when the process has ended and all that it logged was read
+	ended   chan struct{} // closed when the process has ended and its whole log was read
 }
 
 // StartProcess starts a router and calls onLine with each line of its log, until the process ends.
@@ -38,7 +38,7 @@
 	return process, nil
 }
 
-// start starts the process. Whoever calls it has readLog read the output.
+// start starts the process and returns its log output. The caller must call readLog with the output.
 func (c Command) start() (*Process, io.Reader, error) {
 	arguments := []string{"serve"}
 	if c.OperatorFile != "" {
@@ -60,28 +60,28 @@
 	return &Process{command: command, ended: make(chan struct{})}, output, nil
 }
 
-// readLog reads what the process logs until it ends.
+// readLog reads the log until the process ends, and calls onLine with each line.
 func (p *Process) readLog(output io.Reader, onLine func([]byte)) {
 	defer close(p.ended)
 	for lines := bufio.NewScanner(output); lines.Scan(); {
 		onLine(lines.Bytes())
 	}
-	_ = p.command.Wait() // a process that was killed ends with an error
+	_ = p.command.Wait() // errors are ignored: Wait returns one for each process that was killed
 }
 
-// PID returns the process's number.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
 // Signal sends a signal to the process.
 func (p *Process) Signal(signal syscall.Signal) error { return p.command.Process.Signal(signal) }
 
-// KillAndWait kills the process, also one that is stopped, and waits until it has ended.
+// KillAndWait kills the process, even if it is stopped, and waits until it has ended.
 func (p *Process) KillAndWait() {
 	p.kill()
 	<-p.ended
 }
 
-// kill does nothing to a process that has ended already.
+// kill kills the process. It has no effect if the process has ended already.
 func (p *Process) kill() {
 	_ = p.Signal(syscall.SIGCONT)
 	_ = p.command.Process.Kill()
@@ -89,10 +89,10 @@
 
 // LogLine is one event that an instance logged.
 type LogLine struct {
-	At          time.Time // when it was read
+	At          time.Time // when the line was read
 	Instance    string
-	Incarnation int    // which start of the instance
-	Event       string // its name
+	Incarnation int    // incarnation of the instance that logged it
+	Event       string // name of the event
 	Text        string // the complete line
 	Phase       string
 	Slots       []int
@@ -100,7 +100,7 @@
 	Member      string // the instance that the event is about
 }
 
-// parseLogLine parses a line as JSON.
+// parseLogLine parses a line of JSON. It returns false if the line is not valid.
 func parseLogLine(raw []byte) (LogLine, bool) {
 	var fields struct {
 		Event, Phase, Member string
--- a/internal/experiment/testcluster/reload_test.go
+++ b/internal/experiment/testcluster/reload_test.go
@@ -11,7 +11,8 @@
 	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
-// Keys, roots and voters change in service; a faulty file changes nothing; one that is in no file joins.
+// Running instances reload keys, roots and voters. An invalid operator's file changes nothing, and an instance that no
+// (voters …) lists can join.
 func TestReloadOfRealInstances(t *testing.T) {
 	c, err := testcluster.New(testcluster.Config{
 		Binary:        clustertest.Build(t, "tealpath"),
@@ -55,7 +56,7 @@
 	clustertest.WaitForLog(t, c, "n00", "config_rejected", `"cause":"operator's file`)
 	must(c.WaitForAllSlotsLeased(t.Context(), time.Second))
 
-	// A new root, beside the old one at first.
+	// A second root is added, and then all certificates are replaced by ones that it has issued.
 	next, err := certificates.NewRoot("next")
 	must(err)
 	for _, name := range c.Names {
@@ -66,11 +67,11 @@
 		must(next.Write(c.Dir, name, time.Now().Add(time.Hour), c.Root, next))
 	}
 	operate(first...)
-	must(c.Start(last)) // it proves itself by the new root alone, and has no vote
+	must(c.Start(last)) // its certificate is issued by the new root only, and it is not a voter
 	clustertest.WaitForLog(t, c, last, "leases_acquired", "")
 	must(c.WaitForAllSlotsLeased(t.Context(), 10*time.Second))
 
-	// The fourth gets a vote; a second change at once is refused.
+	// The fourth instance becomes a voter. A second change of voters immediately after that is rejected.
 	time.Sleep(2 * c.LeaseDuration)
 	c.SetVoters("(epoch 2) (now n00 n01 n02 n03) (before n00 n01 n02)")
 	operate(c.Names...)
@@ -82,7 +83,7 @@
 	s, err := c.LeaseStatus(t.Context(), "n00")
 	must(err)
 	if s.Epoch != 2 || len(s.Voters) != 4 || !s.Majority || s.Targets != 2 {
-		t.Errorf("%+v", s)
+		t.Errorf("want epoch 2, 4 voters, a majority and 2 targets, got %+v", s)
 	}
 	must(c.Signal(last, syscall.SIGTERM))
 	clustertest.WaitForLog(t, c, last, "leases_lost", "this instance leaves")
--- a/internal/experiment/testcluster/snapshot_test.go
+++ b/internal/experiment/testcluster/snapshot_test.go
@@ -12,13 +12,13 @@
 
 const snapshotListConfirmed = "snapshot_list_confirmed"
 
-// snapshotCase is a change of the world between a router's kill and its next start.
+// snapshotCase is a change between the kill of a router and its next start, with the log event that must follow.
 type snapshotCase struct {
 	name   string
 	change func(t *testing.T, cluster *testcluster.Cluster, snapshot string)
-	event  string // in the log
-	part   string // of its line
-	behind int    // what the list service is asked behind, in the end
+	event  string // name of the expected log event
+	part   string // expected part of the event's log line
+	behind int    // if not 0, the event ID of the last call is not checked
 }
 
 func snapshotCases() []snapshotCase {
@@ -73,9 +73,9 @@
 	cluster.Discovery.Publish(testcluster.EndpointListEvent(4, []string{endpoint}))
 }
 
-// A real router is killed, the world changes, and it starts again from its snapshot: the list is used only once
-// the service has confirmed it, a cache that drained meanwhile gets nothing, and what is torn, another's or
-// newer is passed over.
+// A router is killed and starts again from its snapshot. It must use the endpoint list only after the discovery
+// service has confirmed it, send no requests to a cache that has drained meanwhile, and ignore a snapshot that is
+// truncated or of a newer version.
 func TestRestartFromSnapshot(t *testing.T) {
 	binary := clustertest.Build(t, "tealpath")
 	for _, test := range snapshotCases() {
@@ -123,21 +123,23 @@
 	result := serve(t, cluster, name)
 	clustertest.WaitForLog(t, cluster, name, test.event, test.part)
 	if result.Served < result.Sent*9/10 || result.Lost > 0 {
-		t.Errorf("%+v", result)
+		t.Errorf("want at least 9 in 10 requests served and none lost, got %+v", result)
 	}
 	after := cluster.Caches[0].Fetches()
 	if test.name == "a cache drained" && after != before || test.name == "as it was" && after == before {
-		t.Errorf("the first cache was asked %d times before the restart, %d in all", before, after)
+		t.Errorf("the first cache received %d requests before the restart and %d after it, want some after it, "+
+			"or none if the cache drained", before, after-before)
 	}
 	calls := cluster.Discovery.Calls()
 	isConfirmed := test.event == snapshotListConfirmed
 	lastEventID := calls[len(calls)-1].LastEventID
 	if isConfirmed != (lastEventID == 1) && test.behind == 0 {
-		t.Errorf("the last call asked behind %d", lastEventID)
+		t.Errorf("the last call has event ID %d, want 1 only if the list was confirmed (%v)",
+			lastEventID, isConfirmed)
 	}
 }
 
-// serve sends load to a router once it is healthy.
+// serve waits until a router is healthy, sends load to it and returns the result.
 func serve(t *testing.T, cluster *testcluster.Cluster, name string) testcluster.LoadResult {
 	t.Helper()
 	address := cluster.ClientAddress(name)
@@ -150,12 +152,12 @@
 	return result
 }
 
-// waitFor waits until a condition holds, for ten seconds.
+// waitFor waits until a condition holds. The test fails if it does not hold within 10 s.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s never came", what)
+			t.Fatalf("not observed within 10 s: %s", what)
 		}
 	}
 }
--- a/internal/experiment/testcluster/usage.go
+++ b/internal/experiment/testcluster/usage.go
@@ -8,11 +8,10 @@
 	"strings"
 )
 
-// CPUSeconds returns the processor time that a process's threads have had, by the scheduler's account in
-// nanoseconds: that in clock ticks counts a whole tick for a moment at its end. It is 0 where it cannot be
-// read.
+// CPUSeconds returns the processor time that a process's threads have used, or 0 if it cannot be read. It uses the
+// scheduler's statistics in ns: those in clock ticks count a whole tick for a thread that runs only at its end.
 func CPUSeconds(pid int) float64 {
-	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is well formed
+	files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is valid
 	sum := 0.
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
@@ -20,13 +19,13 @@
 		if err != nil || len(fields) == 0 {
 			continue
 		}
-		nanoseconds, _ := strconv.ParseFloat(fields[0], 64) // 0 is right where it is no number
+		nanoseconds, _ := strconv.ParseFloat(fields[0], 64) // an invalid number counts as 0
 		sum += nanoseconds / 1e9
 	}
 	return sum
 }
 
-// ResidentKB returns a process's resident memory. It is 0 where it cannot be read.
+// ResidentKB returns the resident memory of a process in KB, or 0 if it cannot be read.
 func ResidentKB(pid int) int64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -177,7 +177,7 @@
 	return healthResultPrefix + "\x00"
 }
 
-// IsHealthy sends a health check to the router at an address and tells whether the router responds within the
+// IsHealthy sends a health check to the router at an address and reports whether the router responds within the
 // timeout that it can serve clients.
 func IsHealthy(t *testing.T, address string, timeout time.Duration) bool {
 	conn, err := net.Dial("tcp", address)
--- a/internal/testkit/listen.go
+++ b/internal/testkit/listen.go
@@ -63,7 +63,7 @@
 	return listener.Addr().String()
 }
 
-// IsListening tells whether an address accepts connections.
+// IsListening reports whether an address accepts connections.
 func IsListening(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// endsWithin waits until the router has exited, and tells whether it has within the timeout.
+// endsWithin waits until the router has exited, and reports whether it has within the timeout.
 func (p *RouterProcess) endsWithin(timeout time.Duration) bool {
 	select {
 	case <-p.ended:
