--- a/internal/cluster/membership/detect_test.go
+++ b/internal/cluster/membership/detect_test.go
@@ -25,7 +25,7 @@
 }
 
 // A member that is paused for up to 1.5 s is not believed dead. One that is paused for longer is. After the pause it
-// is alive again, knows how long it was away and reports nobody.
+// is alive again, knows how long it was paused and reports no other member.
 func TestPausedMembers(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -94,7 +94,8 @@
 }
 
 // A member that receives no messages, and one whose messages are all lost, is believed dead by all others within
-// 5 s. Links that lose messages in one direction, between two members or around a ring, make nobody dead.
+// 5 s. Links that lose messages in one direction, between two members or around a ring, cause no
+// member to be believed dead.
 func TestOneWayCuts(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -158,7 +159,7 @@
 	cluster.checkAllAlive()
 }
 
-// When a fifth of all messages is lost, nobody is believed dead. When two fifths are lost, some members may be, but
+// When a fifth of all messages is lost, no member is believed dead. When two fifths are lost, some members may be, but
 // all are alive again once messages arrive.
 func TestLostMessages(t *testing.T) {
 	for _, test := range []struct {
@@ -199,7 +200,7 @@
 	}
 }
 
-// Members that were paused report nobody, unless the fault keeps them from noticing their own delay.
+// Members that were paused report no others, unless an injected fault keeps them from noticing the pause.
 func TestLateMemberReportsNobody(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/cluster/membership/explore_test.go
+++ b/internal/cluster/membership/explore_test.go
@@ -150,7 +150,7 @@
 			for _, event := range events {
 				names += event.name + "; "
 			}
-			t.Fatalf("%s: %s", names, failure)
+			t.Fatalf("after the events %s: %s", names, failure)
 		}
 	}
 	for _, first := range all {
--- a/internal/testkit/stalls_test.go
+++ b/internal/testkit/stalls_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// A total up to maxIgnoredStall is reported as 0. A reading of the thread times that comes late counts as a stall,
-// also for a process without threads.
+// A total up to maxIgnoredStall is reported as 0. If the thread times are read late, the delay counts as a
+// stall, also for a process without threads.
 func TestProcessStallsAddUp(t *testing.T) {
 	watch := &ProcessStallWatch{pid: -1, readAt: time.Now().Add(-processCheckInterval - maxIgnoredStall/2)}
 	if total := watch.Total(); total != 0 {
