--- a/internal/cluster/membership/detect_test.go
+++ b/internal/cluster/membership/detect_test.go
@@ -161,7 +161,7 @@
 	cluster.checkAllAlive()
 }
 
-// When a fifth of all messages is lost, nobody is believed dead. When two fifths are lost, some members may be, but
+// When a fifth of all messages is lost, no member is believed dead. When two fifths are lost, some members may be, but
 // all are alive again once messages arrive.
 func TestLostMessages(t *testing.T) {
 	for _, test := range []struct {
