--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -48,7 +48,7 @@
 		answered := time.Since(startedAt)
 		waiting.Close()
 		late.Close()
-		testkit.ExpectEnd(t, router.ended, testkit.Timeout)
+		testkit.ExpectNoError(t, router.ended, testkit.Timeout)
 		ended := time.Since(startedAt)
 		if answered < 600*time.Millisecond || answered > 1350*time.Millisecond {
 			t.Errorf("response after %v, want 600 ms to 1.35 s for a timeout of 1.2 s", answered)
@@ -99,19 +99,19 @@
 		clock := clocktest.Running(0)
 		test.serveOn(t, clock, nil)
 		test.sendRequests(t, 300*time.Millisecond, 0)
-		if test.caches[1].Drain() == 0 {
+		if test.caches[1].DiscardRequests() == 0 {
 			t.Fatal("the second cache got no requests before its restart")
 		}
 		startedAt := time.Now()
 		test.publishRestart(t, startedAt)
 		time.Sleep(listPause)
-		test.caches[1].Drain()
+		test.caches[1].DiscardRequests()
 		clock.Step(step)
 		sent := test.sendRequests(t, time.Second, 1000)
-		cold := test.caches[1].Drain()
+		cold := test.caches[1].DiscardRequests()
 		time.Sleep(time.Until(startedAt.Add(slowStart)))
 		later := test.sendRequests(t, time.Second, 5000)
-		warm := test.caches[1].Drain()
+		warm := test.caches[1].DiscardRequests()
 		if cold > sent/8 || warm < later/4 {
 			t.Errorf("the restarted cache got %d of %d requests in its first second, want at most 1 in 8; "+
 				"after its slow start %d of %d, want at least 1 in 4", cold, sent, warm, later)
--- a/cmd/tealpath/clocksnapshot_test.go
+++ b/cmd/tealpath/clocksnapshot_test.go
@@ -30,14 +30,14 @@
 	file := parseOperatorFile(t, `(snapshot (file "kept") (every 1s))`, folder)
 	for range 2 { // the second router reads the snapshot of the first
 		clock := clocktest.Running(0)
-		clock.Swing(time.Hour)
+		clock.StepEachReading(time.Hour)
 		router := test.serveOn(t, clock, file)
 		client := testkit.Dial(t, test.address)
 		client.ExpectServed(testkit.ObjectID(1), clientTimeout)
 		client.Expect(client.Call(unanswered, 300*time.Millisecond), testkit.Rejected)
 		client.Close()
 		router.shutDown()
-		testkit.ExpectEnd(t, router.ended, testkit.Timeout)
+		testkit.ExpectNoError(t, router.ended, testkit.Timeout)
 	}
 	if _, err := os.Stat(filepath.Join(folder, "kept")); err != nil {
 		t.Errorf("no snapshot was written: %v", err)
@@ -117,7 +117,7 @@
 	client.Close()
 	clock.Step(clocks.writerStep)
 	writer.shutDown()
-	testkit.ExpectEnd(t, writer.ended, testkit.Timeout)
+	testkit.ExpectNoError(t, writer.ended, testkit.Timeout)
 
 	clock = clocktest.Running(clocks.readerOffset)
 	clock.Step(clocks.readerStep)
--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -62,7 +62,7 @@
 		})
 	}
 	terminate(t)
-	testkit.ExpectEnd(t, ended, drainTimeout)
+	testkit.ExpectNoError(t, ended, drainTimeout)
 }
 
 // blockedCache is a cache that accepts connections and reads nothing until it is released. The system buffers only
@@ -186,7 +186,7 @@
 		break
 	}
 	terminate(t)
-	testkit.ExpectEnd(t, ended, timeout+time.Second)
+	testkit.ExpectNoError(t, ended, timeout+time.Second)
 }
 
 // fillConnections sends large requests until nothing more can be written to blocked caches. A router opens at most four
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -62,7 +62,7 @@
 	out.printf("\nMEMBER\tSTATE\tSINCE\tADDRESS\tWEIGHT\tEPOCH\n")
 	for _, member := range status.Members {
 		state := member.State
-		if member.Doubled {
+		if member.Duplicated {
 			state += ", duplicate name"
 		}
 		out.printf("%s\t%s\t%s\t%s\t%g\t%d\n",
--- a/cmd/tealpath/faults_test.go
+++ b/cmd/tealpath/faults_test.go
@@ -21,7 +21,7 @@
 func resetRequests(cache *testkit.Cache) { cache.SetBehavior(testkit.ResetConnection, 0) }
 
 // forgetConnections makes a cache reset each of its current connections on the next request.
-func forgetConnections(cache *testkit.Cache) { cache.SetBehavior(testkit.ForgetConnections, 0) }
+func forgetConnections(cache *testkit.Cache) { cache.SetBehavior(testkit.ResetOldConnections, 0) }
 
 // A cache becomes faulty after a pause in the requests that is five times as long as the router keeps idle connections.
 // The other cache serves the next requests; only if the faulty one hangs, the first of them may fail.
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -99,9 +99,10 @@
 		if err != nil || len(words) < 4 {
 			return
 		}
-		out := resp.Text(resp.Text(resp.Head(nil, 4), words[1]), "served")
-		out = resp.Text(out, fmt.Sprintf("entity=4be0c1927d55a6f3,issued=%d,detail=TCP_HIT", time.Now().UnixMilli()))
-		testkit.Write(conn, resp.Text(out, words[3]))
+		out := resp.AppendString(resp.AppendString(resp.AppendArrayHeader(nil, 4), words[1]), "served")
+		out = resp.AppendString(out,
+			fmt.Sprintf("entity=4be0c1927d55a6f3,issued=%d,detail=TCP_HIT", time.Now().UnixMilli()))
+		testkit.Write(conn, resp.AppendString(out, words[3]))
 	}
 }
 
--- a/cmd/tealpath/members.go
+++ b/cmd/tealpath/members.go
@@ -56,15 +56,15 @@
 
 func printMember(rows table, member cluster.MemberBelief) {
 	state := member.State
-	if member.Held {
+	if member.HeldOut {
 		state += ", held out"
 	}
-	if member.Doubled {
+	if member.Duplicated {
 		state += ", duplicate name"
 	}
 	in, out := "", ""
-	if member.Near {
-		in, out = formatMilliseconds(member.InMS), formatMilliseconds(member.OutMS)
+	if member.Neighbour {
+		in, out = formatMilliseconds(member.SinceHeardMS), formatMilliseconds(member.SinceEchoedMS)
 	}
 	rows.printf("%s\t%s\t%s\t%s\t%s\t%s\n",
 		member.Name, state, formatMilliseconds(member.SinceMS), in, out, strings.Join(member.Reported, ", "))
--- a/cmd/tealpath/serve_test.go
+++ b/cmd/tealpath/serve_test.go
@@ -76,7 +76,7 @@
 
 func (s *serveTest) testSilentCache(t *testing.T) {
 	startedAt := time.Now()
-	silent := s.client.Call(testkit.UnansweredID(2), time.Second)
+	silent := s.client.Call(testkit.UnansweredObjectID(2), time.Second)
 	s.client.ExpectServed(testkit.ObjectID(4), clientTimeout) // the request does not wait for the other one
 	s.client.Expect(silent, testkit.Rejected)
 	if took := time.Since(startedAt); took < 900*time.Millisecond || took > 1200*time.Millisecond {
@@ -145,7 +145,7 @@
 		testkit.SignalSelf(t, syscall.SIGHUP)
 		time.Sleep(reloadPause)
 	}
-	inFlight := s.client.Call(testkit.UnansweredID(5), time.Second)
+	inFlight := s.client.Call(testkit.UnansweredObjectID(5), time.Second)
 	for _, breakConfig := range []func(){
 		func() { testkit.WriteFile(t, s.router.configPath, []byte(`{"name":"n0","jour`)) },
 		func() { s.router.writeConfig(t, "n9", s.second.Address) },
@@ -180,8 +180,8 @@
 		idlePause      = 150 * time.Millisecond // nothing is outstanding, but clients still connect
 		lastRequest    = 600 * time.Millisecond // within the 0.7 s in which clients still connect
 	)
-	inFlight := s.client.Call(testkit.UnansweredID(3), 250*time.Millisecond)
-	testkit.WaitRequestFor(t, testkit.UnansweredID(3), s.caches...)
+	inFlight := s.client.Call(testkit.UnansweredObjectID(3), 250*time.Millisecond)
+	testkit.WaitRequestFor(t, testkit.UnansweredObjectID(3), s.caches...)
 	signaledAt := time.Now()
 	terminate(t)
 	time.Sleep(betweenSignals)
@@ -193,8 +193,8 @@
 	testkit.Dial(t, s.router.address).ExpectHealth(false)
 	time.Sleep(time.Until(signaledAt.Add(lastRequest)))
 	// The deadline is after the end of the drain, so the router rejects the request before it ends.
-	late.Expect(late.Call(testkit.UnansweredID(4), clientTimeout), testkit.Rejected)
-	testkit.ExpectEnd(t, s.ended, testkit.Timeout)
+	late.Expect(late.Call(testkit.UnansweredObjectID(4), clientTimeout), testkit.Rejected)
+	testkit.ExpectNoError(t, s.ended, testkit.Timeout)
 	// The caches' goroutines end with their connections; the goroutine of package os/signal remains.
 	testkit.WaitUntil(t, testkit.Timeout, "all goroutines of the router have ended", func() bool {
 		return runtime.NumGoroutine() <= s.goroutines+2
--- a/cmd/tealpath/shutdown_test.go
+++ b/cmd/tealpath/shutdown_test.go
@@ -29,13 +29,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, cache := range caches {
-				cache.Drain() // discard the requests of the case before
+				cache.DiscardRequests() // discard the requests of the case before
 			}
 			router := newTestRouter(t, addresses(caches), discovery.Address, c.deadline)
 			ended := router.serve(t)
 			startedAt := time.Now()
 			c.shutdown(t, router, caches)
-			testkit.ExpectEnd(t, ended, c.within)
+			testkit.ExpectNoError(t, ended, c.within)
 			if took := time.Since(startedAt); took < 700*time.Millisecond {
 				t.Errorf("ended after %v, want at least 700 ms, in which clients may still connect", took)
 			}
@@ -141,7 +141,7 @@
 	client.ExpectEOF("after its response")
 	testkit.Dial(t, router.address).ExpectHealth(true)
 	terminate(t)
-	testkit.ExpectEnd(t, ended, drainTimeout)
+	testkit.ExpectNoError(t, ended, drainTimeout)
 }
 
 // A router whose disk does not respond serves requests and ends before the platform's SIGKILL, 0.7 s after the maximum
--- a/cmd/tealpath/start_test.go
+++ b/cmd/tealpath/start_test.go
@@ -92,7 +92,7 @@
 		if err := file.Close(); err != nil {
 			t.Error(err)
 		}
-		testkit.ExpectEnd(t, ended, drainTimeout)
+		testkit.ExpectNoError(t, ended, drainTimeout)
 	})
 	t.Run("while it waits for its address", func(t *testing.T) {
 		const startPause = 100 * time.Millisecond // until the router waits; the test cannot observe it
@@ -102,7 +102,7 @@
 		ended := router.start()
 		time.Sleep(startPause)
 		terminate(t)
-		testkit.ExpectEnd(t, ended, 500*time.Millisecond)
+		testkit.ExpectNoError(t, ended, 500*time.Millisecond)
 	})
 }
 
@@ -132,7 +132,7 @@
 			}
 			client.ExpectHealth(c.known)
 			terminate(t)
-			testkit.ExpectEnd(t, ended, drainTimeout)
+			testkit.ExpectNoError(t, ended, drainTimeout)
 		})
 	}
 }
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -173,7 +173,7 @@
 				case Send:
 					router.AttemptEnded(now, request, benchmarkOutcome)
 				case Wait:
-					router.ClientGone(now, request)
+					router.EndRequest(now, request)
 				}
 			}
 		})
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -36,7 +36,7 @@
 				requested++
 			}
 			if decision.Verdict != Send {
-				router.ClientGone(now, request) // a waiting request counts as rejected too
+				router.EndRequest(now, request) // a waiting request counts as rejected too
 				if now >= from+span-second {
 					rejected++
 				}
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -124,7 +124,7 @@
 				sent[class]++
 				inFlight = append(inFlight, attempt{request, now + second/2})
 			} else {
-				router.ClientGone(now, request)
+				router.EndRequest(now, request)
 			}
 		}
 	}
@@ -175,7 +175,7 @@
 				// Note 7: the source could not be reached.
 				decision = router.AttemptEnded(now, request, Outcome{Result: Overloaded, Note: 7, Attempt: last})
 			}
-			router.ClientGone(now, request)
+			router.EndRequest(now, request)
 			retries-- // the first attempt
 		}
 		if free := retries > 60; free != (factor == 0) {
--- a/control/control.go
+++ b/control/control.go
@@ -3,7 +3,7 @@
 //
 // New creates a Router. Decide returns what to do with a request: send it, let it wait, or end it. AttemptEnded
 // returns what to do after an attempt has ended, and RecheckDelay how long to wait before calling Decide again.
-// The caller reports other events through UpdateEndpoints, Purge, ClientGone and ProbeEnded, and calls Tick
+// The caller reports other events through UpdateEndpoints, Purge, EndRequest and ProbeEnded, and calls Tick
 // periodically.
 //
 // Unless a comment says otherwise, times are int64 nanoseconds of the caller's monotonic clock, and durations are
@@ -186,9 +186,9 @@
 	return waitRecheckInterval
 }
 
-// ClientGone ends a request whose client has disconnected, or that the caller has ended for another reason.
+// EndRequest ends a request whose client has disconnected, or that the caller has ended for another reason.
 // Attempts may still be in flight.
-func (r *Router) ClientGone(_ int64, request *Request) Decision {
+func (r *Router) EndRequest(_ int64, request *Request) Decision {
 	request.ended = true
 	return r.cancelInFlight(request)
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -102,11 +102,11 @@
 		if decision := router.AttemptEnded(start, request, Outcome{Attempt: number}); decision.Verdict != Wait {
 			t.Errorf("decision after an outcome of unknown attempt %d: %+v, want verdict wait", number, decision)
 		}
-		if !router.AcceptsCopy(start, request, number, 1) {
+		if !router.AcceptsEntry(start, request, number, 1) {
 			t.Errorf("a response to unknown attempt %d is not accepted", number)
 		}
 	}
-	router.ClientGone(start, request)
+	router.EndRequest(start, request)
 	if decision := router.Decide(start, request); decision.Verdict != Wait || router.RecheckDelay(start, request) != 0 {
 		t.Errorf("decision on an ended request: %+v, recheck delay %d, want verdict wait and delay 0",
 			decision, router.RecheckDelay(start, request))
@@ -119,7 +119,7 @@
 	router := newRouter(t, func(s *Settings) { s.CancelAttempts = false })
 	request := newRequest("harmless", "a")
 	router.Decide(start, request)
-	if decision := router.ClientGone(start, request); len(decision.Cancel) > 0 {
+	if decision := router.EndRequest(start, request); len(decision.Cancel) > 0 {
 		t.Errorf("decision %+v, want no attempts cancelled", decision)
 	}
 }
--- a/control/decode.go
+++ b/control/decode.go
@@ -215,11 +215,11 @@
 // decodeUnchecked decodes the settings that no decision depends on. A value of the wrong type counts as absent, so
 // that it does not keep a router from starting.
 func (s *Settings) decodeUnchecked(decoder *settingsDecoder) {
-	s.PollEndpointList = unchecked(decoder, "list.mode", "") == "ask"
+	s.SubscribesToEndpointList = unchecked(decoder, "list.mode", "") == "ask"
 	for _, deadline := range unchecked[[]int64](decoder, "product.hardStop", nil) {
 		s.LongestDeadline = max(s.LongestDeadline, deadline)
 	}
-	s.AnswerGrace = unchecked(decoder, "answer.grace", s.AnswerGrace)
+	s.ResponseGrace = unchecked(decoder, "answer.grace", s.ResponseGrace)
 	s.ResponseBytesPerSecond = unchecked(decoder, "answer.bytesPerS", s.ResponseBytesPerSecond)
 	if maxInFlight := unchecked(decoder, "hands.most", int64(0)); maxInFlight > 0 {
 		s.MaxInFlight = int(maxInFlight)
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -279,12 +279,12 @@
 	default:
 		if len(run.requests) > 0 {
 			request := run.requests[run.rng.IntN(len(run.requests))]
-			run.addDecision("departed", request, router.ClientGone(run.now, request))
+			run.addDecision("departed", request, router.EndRequest(run.now, request))
 		}
 	}
 	run.requests = slices.DeleteFunc(run.requests, func(request *Request) bool {
 		if request.inFlight == 0 && !request.ended && run.now > request.Deadline {
-			router.ClientGone(run.now, request)
+			router.EndRequest(run.now, request)
 		}
 		return request.inFlight == 0 && request.ended || request.record == nil
 	})
--- a/control/purges.go
+++ b/control/purges.go
@@ -145,11 +145,11 @@
 	return earliest
 }
 
-// AcceptsCopy reports whether the response to an attempt may be served, given the last purge that was known when
+// AcceptsEntry reports whether the response to an attempt may be served, given the last purge that was known when
 // the attempt was sent. issuedAt is the issue time of the cache entry in Unix ns, by the origin's clock; 0 or less
 // means that the response is not from a cache entry. If the response may not be served, the caller must end the
 // attempt with the result Stale.
-func (r *Router) AcceptsCopy(now int64, request *Request, number int, issuedAt int64) bool {
+func (r *Router) AcceptsEntry(now int64, request *Request, number int, issuedAt int64) bool {
 	if issuedAt <= 0 || number < 0 || number >= len(request.attempts) {
 		return true
 	}
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -60,7 +60,7 @@
 					return true
 				}
 				issuedAt := oldestIssuedAt(sentAt, decision.Attempt, router.classByName[class].FreshDuration)
-				if router.AcceptsCopy(sentAt+offset, request, number, issuedAt) {
+				if router.AcceptsEntry(sentAt+offset, request, number, issuedAt) {
 					if issuedAt < purgedAt {
 						t.Errorf("an entry issued %d ns before the purge is served, accepted age %d ns",
 							purgedAt-issuedAt, decision.Attempt.MaxAge)
@@ -96,7 +96,7 @@
 		t.Errorf("accepted age %d ns, want %d ns", attempt.MaxAge, 3*second-purgeMargin)
 	}
 	const now = start + 3*second
-	if !router.AcceptsCopy(now, request, 0, start) || router.AcceptsCopy(now, request, 0, start-1) {
+	if !router.AcceptsEntry(now, request, 0, start) || router.AcceptsEntry(now, request, 0, start-1) {
 		t.Error("want an entry issued at the purge's timestamp accepted, and one issued 1 ns earlier not accepted")
 	}
 }
@@ -162,7 +162,7 @@
 				return
 			}
 			last, minIssuedAt := test.timestamps[len(test.timestamps)-1], request.attempts[0].minIssuedAt
-			if minIssuedAt != last || router.AcceptsCopy(start+4*second, request, 0, last-1) {
+			if minIssuedAt != last || router.AcceptsEntry(start+4*second, request, 0, last-1) {
 				t.Errorf("entries are accepted from issue time %d on, want %d and not earlier", minIssuedAt, last)
 			}
 		})
@@ -197,8 +197,8 @@
 					request := newRequest("harmless", "a")
 					request.Deadline = startedAt + offset + second
 					router.Decide(startedAt+offset, request)
-					router.AcceptsCopy(startedAt+offset, request, 0, startedAt-second/200)
-					router.AcceptsCopy(startedAt+offset, request, 0, startedAt-second)
+					router.AcceptsEntry(startedAt+offset, request, 0, startedAt-second/200)
+					router.AcceptsEntry(startedAt+offset, request, 0, startedAt-second)
 				}
 				entry := testEndpoints[0]
 				entry.StartedAt = startedAt
@@ -291,7 +291,7 @@
 					request := &Request{Class: "stamped", Object: "a", Group: 1, Deadline: now + 5*second}
 					decision := next.Decide(now, request)
 					issuedAt := oldestIssuedAt(trueTime, decision.Attempt, 0)
-					if decision.Verdict != Send || issuedAt < purgedAt && next.AcceptsCopy(now, request, 0, issuedAt) {
+					if decision.Verdict != Send || issuedAt < purgedAt && next.AcceptsEntry(now, request, 0, issuedAt) {
 						t.Errorf("decision %+v, want verdict send and no entry from before the purge accepted; "+
 							"one issued %v s before the purge is accepted", decision, float64(purgedAt-issuedAt)/1e9)
 					}
--- a/control/settings.go
+++ b/control/settings.go
@@ -12,16 +12,16 @@
 	ParentKind      *string // machine type of the parents; nil: there are no parents
 	OriginKind      *string // machine type of the origin; nil: there is no origin
 
-	Weights           WeightMeaning
-	LoadReportFields  []string // names of the figures in load reports, in the order of the reports
-	PollEndpointList  bool     // the endpoint list is sent only after a subscription; used only by the simulator
-	OriginUnlimited   bool     // the origin cannot be overloaded
-	ClientKBPerSecond float64  // rate at which one client receives a response; at least 1
+	Weights                  WeightMeaning
+	LoadReportFields         []string // names of the figures in load reports, in the order of the reports
+	SubscribesToEndpointList bool     // the endpoint list is sent only after a subscription; used only by the simulator
+	OriginUnlimited          bool     // the origin cannot be overloaded
+	ClientKBPerSecond        float64  // rate at which one client receives a response; at least 1
 
 	ResponseBytesPerSecond float64 // rate at which an endpoint sends one response; 0: not known
 	Classes                []ClassSettings
 	LongestDeadline        int64 // ns; the longest time from arrival to deadline of any class
-	AnswerGrace            int64 // ns; how long after its deadline a request that still has no final response is ended
+	ResponseGrace          int64 // ns; how long after its deadline a request that still has no final response is ended
 	MaxInFlight            int   // maximum number of requests in flight; above 0
 
 	HealthChecks   bool  // health checks may be sent
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -256,9 +256,9 @@
 	raw["connect.streams"] = int64(100)
 	got := mustDecode(raw)
 	want := testSettings(func(s *Settings) {
-		s.PollEndpointList = true
+		s.SubscribesToEndpointList = true
 		s.LongestDeadline = 9 * second
-		s.AnswerGrace = 8 * second / 1000
+		s.ResponseGrace = 8 * second / 1000
 		s.ResponseBytesPerSecond = 310000
 		s.MaxInFlight = 500
 		s.PurgeGrace = 2 * second
--- a/control/types.go
+++ b/control/types.go
@@ -67,7 +67,7 @@
 	SendTimeout        int64  // ns; an attempt that is not sent within this time ends as Unreachable
 }
 
-// Decision is the result of Decide, AttemptEnded and ClientGone.
+// Decision is the result of Decide, AttemptEnded and EndRequest.
 type Decision struct {
 	Verdict    Verdict
 	Attempt    Attempt // set if Verdict is Send
@@ -90,7 +90,7 @@
 	TimedOut                      // no response within Timeout
 	ConnectionLost                // the connection ended after the request was sent
 	Cancelled                     // the caller cancelled the attempt
-	Stale                         // the response is older than a purge known at the time of sending; see AcceptsCopy
+	Stale                         // the response is older than a purge known at the time of sending; see AcceptsEntry
 	LocalError                    // this machine could not open a connection; does not count against the endpoint
 )
 
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -70,8 +70,9 @@
 	c.wallOffset += by
 }
 
-// Swing makes the wall clock step before each of its readings, alternately forward and back by the given duration.
-func (c *Clock) Swing(by time.Duration) {
+// StepEachReading makes the wall clock step before each of its readings, alternately forward and back by the given
+// duration.
+func (c *Clock) StepEachReading(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.nextSwing = by
--- a/internal/clock/clocktest/clocktest_test.go
+++ b/internal/clock/clocktest/clocktest_test.go
@@ -12,7 +12,7 @@
 	if now, wall := c.Now(), c.Wall(); now != 1e18+1e9 || wall != now-int64(time.Hour) {
 		t.Errorf("Now %d, Wall %d, want a second after 1e18, and an hour before Now", now, wall)
 	}
-	c.Swing(time.Minute)
+	c.StepEachReading(time.Minute)
 	if first, second := c.Wall(), c.Wall(); first-second != int64(time.Minute) {
 		t.Errorf("the wall clock swung by %d ns, want a minute", first-second)
 	}
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -28,13 +28,13 @@
 
 // MemberStatus is the state of one member as this instance sees it.
 type MemberStatus struct {
-	Name    string  `json:"name"`
-	Address string  `json:"address"`
-	State   string  `json:"state"`
-	SinceMS int64   `json:"since_ms"`
-	Weight  float64 `json:"weight"`
-	Epoch   uint64  `json:"epoch"`
-	Doubled bool    `json:"doubled,omitempty"`
+	Name       string  `json:"name"`
+	Address    string  `json:"address"`
+	State      string  `json:"state"`
+	SinceMS    int64   `json:"since_ms"`
+	Weight     float64 `json:"weight"`
+	Epoch      uint64  `json:"epoch"`
+	Duplicated bool    `json:"doubled,omitempty"`
 }
 
 // SlotStatus is the state of one slot's lease.
@@ -56,22 +56,22 @@
 	CutOff    bool           `json:"cut_off,omitempty"`
 	Links     int            `json:"links"`
 	BytesSent int64          `json:"bytes_sent"`
-	Refused   int64          `json:"refused"` // gossip entries and reports that were rejected
+	Rejected  int64          `json:"refused"` // gossip entries and reports that were rejected
 	Members   []MemberBelief `json:"members"`
 }
 
 // MemberBelief is the membership state of another instance, as this instance sees it.
 type MemberBelief struct {
-	Name     string   `json:"name"`
-	State    string   `json:"state"`
-	SinceMS  int64    `json:"since_ms"`
-	Version  uint64   `json:"version"`
-	Held     bool     `json:"held_out,omitempty"`    // left out of the view because it keeps failing
-	Doubled  bool     `json:"doubled,omitempty"`     // two instances may be running under this name
-	Reported []string `json:"reported_by,omitempty"` // an observer's name and its report: "b silent" or "b deaf"
-	Near     bool     `json:"neighbour,omitempty"`
-	InMS     int64    `json:"in_ms,omitempty"`  // since its last heartbeat arrived here
-	OutMS    int64    `json:"out_ms,omitempty"` // since it last confirmed a heartbeat from this instance
+	Name          string   `json:"name"`
+	State         string   `json:"state"`
+	SinceMS       int64    `json:"since_ms"`
+	Version       uint64   `json:"version"`
+	HeldOut       bool     `json:"held_out,omitempty"`    // left out of the view because it keeps failing
+	Duplicated    bool     `json:"doubled,omitempty"`     // two instances may be running under this name
+	Reported      []string `json:"reported_by,omitempty"` // an observer's name and its report: "b silent" or "b deaf"
+	Neighbour     bool     `json:"neighbour,omitempty"`
+	SinceHeardMS  int64    `json:"in_ms,omitempty"`  // since its last heartbeat arrived here
+	SinceEchoedMS int64    `json:"out_ms,omitempty"` // since it last confirmed a heartbeat from this instance
 }
 
 // Status returns this instance's state of leases and probes.
@@ -108,23 +108,23 @@
 func (node *Node) memberStatuses(now int64) []MemberStatus {
 	self := node.members.Self()
 	statuses := []MemberStatus{{
-		Name:    self.Name,
-		Address: self.Address,
-		State:   membership.Alive.String(),
-		SinceMS: timing.Milliseconds(now - node.startedAt),
-		Weight:  self.Weight,
-		Epoch:   self.Epoch,
-		Doubled: node.duplicated,
+		Name:       self.Name,
+		Address:    self.Address,
+		State:      membership.Alive.String(),
+		SinceMS:    timing.Milliseconds(now - node.startedAt),
+		Weight:     self.Weight,
+		Epoch:      self.Epoch,
+		Duplicated: node.duplicated,
 	}}
 	for _, member := range node.members.Members() {
 		statuses = append(statuses, MemberStatus{
-			Name:    member.Name,
-			Address: member.Address,
-			State:   member.State.String(),
-			SinceMS: timing.Milliseconds(now - member.Since),
-			Weight:  member.Weight,
-			Epoch:   member.Epoch,
-			Doubled: node.members.IsDuplicated(now, member.Name),
+			Name:       member.Name,
+			Address:    member.Address,
+			State:      member.State.String(),
+			SinceMS:    timing.Milliseconds(now - member.Since),
+			Weight:     member.Weight,
+			Epoch:      member.Epoch,
+			Duplicated: node.members.IsDuplicated(now, member.Name),
 		})
 	}
 	return statuses
@@ -134,31 +134,32 @@
 func (node *Node) Members(now int64) MembersStatus {
 	number, digest, since := node.members.ViewInfo()
 	status := MembersStatus{
-		Name:    node.config.Self.Name,
-		View:    number,
-		Digest:  digest,
-		SinceMS: timing.Milliseconds(now - since),
-		Alive:   len(node.members.Alive()),
-		Health:  node.members.LocalHealth(),
-		AwayMS:  timing.Milliseconds(node.members.Away()),
-		CutOff:  node.members.IsCutOff(),
-		Links:   len(node.peers.linked),
-		Refused: node.members.Rejected(),
+		Name:     node.config.Self.Name,
+		View:     number,
+		Digest:   digest,
+		SinceMS:  timing.Milliseconds(now - since),
+		Alive:    len(node.members.Alive()),
+		Health:   node.members.LocalHealth(),
+		AwayMS:   timing.Milliseconds(node.members.Away()),
+		CutOff:   node.members.IsCutOff(),
+		Links:    len(node.peers.linked),
+		Rejected: node.members.Rejected(),
 	}
 	links := node.members.LinkStates(now)
 	for _, member := range node.members.Members() {
 		belief := MemberBelief{
-			Name:     member.Name,
-			State:    member.State.String(),
-			SinceMS:  timing.Milliseconds(now - member.Since),
-			Version:  member.Version,
-			Held:     member.HeldOut,
-			Doubled:  node.members.IsDuplicated(now, member.Name),
-			Reported: reportedBy(member),
+			Name:       member.Name,
+			State:      member.State.String(),
+			SinceMS:    timing.Milliseconds(now - member.Since),
+			Version:    member.Version,
+			HeldOut:    member.HeldOut,
+			Duplicated: node.members.IsDuplicated(now, member.Name),
+			Reported:   reportedBy(member),
 		}
 		if link, ok := links[member.Name]; ok {
-			belief.Near = !link.Inbound
-			belief.InMS, belief.OutMS = timing.Milliseconds(link.HeardAgo), timing.Milliseconds(link.EchoedAgo)
+			belief.Neighbour = !link.Inbound
+			belief.SinceHeardMS = timing.Milliseconds(link.HeardAgo)
+			belief.SinceEchoedMS = timing.Milliseconds(link.EchoedAgo)
 		}
 		status.Members = append(status.Members, belief)
 	}
--- a/internal/connpool/localbackoff.go
+++ b/internal/connpool/localbackoff.go
@@ -36,9 +36,9 @@
 	return begins
 }
 
-// DialSucceeded records that a dial reached its endpoint, which may have accepted or refused it, and reports whether
-// the backoff ends with it.
-func (b *LocalBackoff) DialSucceeded() (ends bool) {
+// End ends the backoff and reports whether there was one. It is called when a dial succeeded, was refused or timed out:
+// none of these is an error on this machine.
+func (b *LocalBackoff) End() (ends bool) {
 	ends = b.delay > 0
 	b.delay, b.until = 0, 0
 	return ends
--- a/internal/connpool/localbackoff_test.go
+++ b/internal/connpool/localbackoff_test.go
@@ -31,7 +31,7 @@
 				connectTimeout/firstDelayDivisor/millisecond, connectTimeout/maxDelayDivisor/millisecond)
 		}
 	}
-	if !backoff.DialSucceeded() || backoff.DialSucceeded() || backoff.Active(0) {
+	if !backoff.End() || backoff.End() || backoff.Active(0) {
 		t.Error("the backoff does not end with the first dial that succeeds")
 	}
 	if !backoff.DialFailed(5*second) || backoff.until != 5*second+connectTimeout/firstDelayDivisor {
--- a/internal/discovery/history.go
+++ b/internal/discovery/history.go
@@ -81,7 +81,7 @@
 	case restore.Confirmed:
 		w.useSnapshotList(decoded.position, digest)
 		return true, nil
-	case restore.Denied:
+	case restore.Outdated:
 		w.dropSnapshotList()
 		if !decoded.list.Complete { // a complete list replaces the snapshot's
 			return true, fmt.Errorf("event %d: %w", decoded.position, errSnapshotListDenied)
@@ -93,7 +93,7 @@
 // processComment processes a comment. A comment before any event means that the service has no event after the
 // requested position, so the snapshot's list is not confirmed.
 func (w *Watcher) processComment() error {
-	if w.snapshotList == nil || w.snapshotList.confirmation.ObserveComment() != restore.Denied {
+	if w.snapshotList == nil || w.snapshotList.confirmation.ObserveComment() != restore.Outdated {
 		return nil
 	}
 	w.dropSnapshotList()
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -142,7 +142,7 @@
 				}
 			})
 			schedule := startup.NewCallSchedule(1, 300, startup.ReadinessHold{})
-			schedule.SetDrainGrace(int64(grace))
+			schedule.SetShortestGracePeriod(int64(grace))
 			schedule.ListReceived()
 			watcher := newTestWatcher(service.address, History{Position: 4}, schedule)
 			stop := watcher.start(t)
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -155,7 +155,7 @@
 // mayStillRead reports whether a client may still read responses after a read from it returned an error. That
 // is so if the client closed only its sending side, if it sent data that cannot be parsed, or if nothing
 // proves that it has disconnected. If it has closed both sides, the first write of a response fails.
-func mayStillRead(readError error) bool { return !neterr.IsEnd(readError) }
+func mayStillRead(readError error) bool { return !neterr.IsConnectionEnded(readError) }
 
 // markClosed makes the connection queue no more responses, and releases the memory of the unwritten ones.
 func (c *connection) markClosed() {
--- a/internal/downstream/poller/systemcalls_linux.go
+++ b/internal/downstream/poller/systemcalls_linux.go
@@ -60,7 +60,7 @@
 		return Data
 	case errors.Is(err, unix.EAGAIN):
 		return NoData
-	case neterr.IsEnd(err):
+	case neterr.IsConnectionEnded(err):
 		return EndOfStream
 	}
 	return Undetermined
@@ -78,7 +78,7 @@
 	for range maxDiscard / discardBuffer {
 		n, err := retryInterrupted(func() (int, error) { return c.Receive(fd, buffer, unix.MSG_DONTWAIT) })
 		if err != nil {
-			return neterr.IsEnd(err)
+			return neterr.IsConnectionEnded(err)
 		}
 		if n == 0 {
 			return true
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -154,7 +154,7 @@
 // received, so that a client that merely announces large frames takes no memory. If no memory is available,
 // readFrame rejects the request and returns nil.
 func (c *connection) readFrame(ctx context.Context, in *bufio.Reader) ([]byte, error) {
-	size, err := thrift.FrameSize(in)
+	size, err := thrift.ReadFrameSize(in)
 	if err != nil {
 		return nil, err
 	}
@@ -191,8 +191,8 @@
 	arguments, err := thrift.ParseArguments(message.Body)
 	switch {
 	case message.Name == methodCancel:
-		if err == nil && arguments.Has[thrift.FirstArgument] && c.removeRequest(arguments.Number) {
-			c.server.post(router.RequestCancelled{Client: c.id, Seq: arguments.Number})
+		if err == nil && arguments.Has[thrift.FirstArgument] && c.removeRequest(arguments.CancelSeq) {
+			c.server.post(router.RequestCancelled{Client: c.id, Seq: arguments.CancelSeq})
 		}
 	case message.Type == thrift.Oneway: // an unknown one-way message is ignored, as it has no response
 	case message.Name != methodCall && message.Name != methodHealth:
@@ -244,7 +244,7 @@
 
 // sendException answers a message that violates the protocol, and stops reading from the client.
 func (c *connection) sendException(m thrift.Message, kind int, text string) {
-	c.send(thrift.Response{Method: m.Name, Seq: m.Seq, ExceptionKind: kind, ExceptionText: text})
+	c.send(thrift.Response{Method: m.Name, Seq: m.Seq, ExceptionType: kind, ExceptionText: text})
 	c.closeForProtocolViolation()
 }
 
@@ -276,7 +276,7 @@
 
 // readHeader reads a frame and parses the start of its message: the name, type and sequence number.
 func readHeader(in *bufio.Reader) (thrift.Message, error) {
-	size, err := thrift.FrameSize(in)
+	size, err := thrift.ReadFrameSize(in)
 	if err != nil {
 		return thrift.Message{}, err
 	}
--- a/internal/downstream/write.go
+++ b/internal/downstream/write.go
@@ -73,7 +73,7 @@
 	case router.Failed:
 		response.ResultField = resultFieldFailed
 	case router.BadRequest:
-		response.ExceptionKind = thrift.ProtocolError
+		response.ExceptionType = thrift.ProtocolError
 		response.ExceptionText = effect.Reason.Error()
 	}
 	return response
--- a/internal/downstream/write_test.go
+++ b/internal/downstream/write_test.go
@@ -47,7 +47,7 @@
 			thrift.Response{
 				Method:        "call",
 				Seq:           5,
-				ExceptionKind: thrift.ProtocolError,
+				ExceptionType: thrift.ProtocolError,
 				ExceptionText: "no such class",
 			},
 		},
--- a/internal/emulator/cache/cache.go
+++ b/internal/emulator/cache/cache.go
@@ -248,19 +248,19 @@
 }
 
 func encodeHealth(id string, inFlight int) []byte {
-	response := resp.Head(nil, 3)
-	response = resp.Text(response, id)
-	response = resp.Text(response, "green")
-	return resp.Text(response, fmt.Sprintf("use=inflight:%d;x1:0.1;x0:0.5", inFlight))
+	response := resp.AppendArrayHeader(nil, 3)
+	response = resp.AppendString(response, id)
+	response = resp.AppendString(response, "green")
+	return resp.AppendString(response, fmt.Sprintf("use=inflight:%d;x1:0.1;x0:0.5", inFlight))
 }
 
 func encodeServed(id, detail string, body []byte) []byte {
-	response := resp.Head(nil, 4)
-	response = resp.Text(response, id)
-	response = resp.Text(response, "served")
+	response := resp.AppendArrayHeader(nil, 4)
+	response = resp.AppendString(response, id)
+	response = resp.AppendString(response, "served")
 	fields := fmt.Sprintf("entity=4be0c1927d55a6f3,issued=%d,detail=%s", time.Now().UnixMilli(), detail)
-	response = resp.Text(response, fields)
-	return resp.Text(response, body)
+	response = resp.AppendString(response, fields)
+	return resp.AppendString(response, body)
 }
 
 // reset closes a connection with a TCP reset.
--- a/internal/experiment/coldstart/play.go
+++ b/internal/experiment/coldstart/play.go
@@ -103,7 +103,7 @@
 		// The routers' configurations contain only the events up to here, so that the routers start without
 		// knowing that the cache drains.
 		watchEvents = json.RawMessage(service.KnownEvents())
-		service.Publish(testcluster.EndpointChangeEvent(2, testcluster.Draining(r.endpoints[0])))
+		service.Publish(testcluster.EndpointChangeEvent(2, testcluster.DrainingEndpoint(r.endpoints[0])))
 	}
 	r.beginFault()
 	return r.writeFiles(watchEvents)
@@ -236,7 +236,7 @@
 	if r.Fault == CacheDraining {
 		watchers.Go(func() { r.watchDrain(ctx) })
 	}
-	load := testcluster.Load{Rate: r.Rate, Addresses: r.addresses, ConnectionsPer: 1}
+	load := testcluster.Load{Rate: r.Rate, Addresses: r.addresses, ConnectionsPerAddress: 1}
 	served, err := load.Run(ctx, min(r.Duration, maxLoadDuration))
 	watchers.Wait()
 	return served, errors.Join(faultErr, err)
--- a/internal/experiment/coldstartsim/plan.go
+++ b/internal/experiment/coldstartsim/plan.go
@@ -176,7 +176,7 @@
 	settings.MaxRetryAfter = 5e8
 	settings.ConnectTimeout = 4e8
 	settings.MaxStreamsPerConnection = 100
-	settings.AnswerGrace = 8e6
+	settings.ResponseGrace = 8e6
 	settings.MaxInFlight = maxInFlight
 	settings.LongestDeadline = 12e8
 	settings.Classes = []control.ClassSettings{{
--- a/internal/experiment/command/duties.go
+++ b/internal/experiment/command/duties.go
@@ -76,10 +76,10 @@
 				RenewInterval: cmd.Duration("renewal"),
 				ProbePeriod:   cmd.Duration("period"),
 			},
-			Kills:        cmd.Int("kills"),
+			Faults:       cmd.Int("kills"),
 			Seed:         cmd.Uint64("seed"),
 			ResultsDir:   out,
-			CalmDuration: cmd.Duration("calm"),
+			IdleDuration: cmd.Duration("calm"),
 			Progress:     os.Stdout,
 		}.Run(ctx)
 		return printWithBounds(result, err)
--- a/internal/experiment/idleconnections/bench.go
+++ b/internal/experiment/idleconnections/bench.go
@@ -168,9 +168,9 @@
 func (b *testbed) load(ctx context.Context, rate float64, duration time.Duration) (testcluster.LoadResult, error) {
 	addresses := b.ClientAddresses()
 	return testcluster.Load{
-		Rate:           rate,
-		Addresses:      addresses,
-		ConnectionsPer: max(1, activeConnections/len(addresses)),
+		Rate:                  rate,
+		Addresses:             addresses,
+		ConnectionsPerAddress: max(1, activeConnections/len(addresses)),
 	}.Run(ctx, duration)
 }
 
--- a/internal/experiment/leases/calm.go
+++ b/internal/experiment/leases/calm.go
@@ -17,7 +17,7 @@
 	unsharedPID := r.unshared.PID(r.unshared.Names[0])
 	unsharedBefore := testcluster.CPUSeconds(unsharedPID)
 	probesBefore, framesBefore := r.cluster.HealthChecks(), r.framesSent(ctx)
-	time.Sleep(r.CalmDuration)
+	time.Sleep(r.IdleDuration)
 	seconds := time.Since(startedAt).Seconds()
 	for _, name := range r.cluster.Names {
 		pid := r.cluster.PID(name)
--- a/internal/experiment/leases/experiment.go
+++ b/internal/experiment/leases/experiment.go
@@ -35,10 +35,10 @@
 // Experiment runs instances that share leases and injects a fault into one of them after another.
 type Experiment struct {
 	testcluster.Config
-	Kills        int // number of faults of any kind
+	Faults       int // number of faults of any kind
 	Seed         uint64
 	ResultsDir   string
-	CalmDuration time.Duration // how long instances run without faults at first, to measure what they cost
+	IdleDuration time.Duration // how long instances run without faults at first, to measure what they cost
 	Progress     io.Writer     // receives a line for each step
 }
 
--- a/internal/experiment/leases/leases_test.go
+++ b/internal/experiment/leases/leases_test.go
@@ -24,10 +24,10 @@
 			RenewInterval: 500 * time.Millisecond,
 			ProbePeriod:   time.Second,
 		},
-		Kills:        len(faultCycle),
+		Faults:       len(faultCycle),
 		Seed:         3,
 		ResultsDir:   t.TempDir(),
-		CalmDuration: 3 * time.Second,
+		IdleDuration: 3 * time.Second,
 		Progress:     t.Output(),
 	}.Run(t.Context())
 	if err != nil && r.Kills == 0 {
--- a/internal/experiment/leases/takeover.go
+++ b/internal/experiment/leases/takeover.go
@@ -20,7 +20,7 @@
 // it recover.
 func (r *experimentRun) injectFaults(ctx context.Context) error {
 	random := rand.New(rand.NewPCG(r.Seed, 1))
-	for kill := range r.Kills {
+	for kill := range r.Faults {
 		victim := r.cluster.Names[random.IntN(len(r.cluster.Names))]
 		ballots, err := r.heldBallots(ctx, victim)
 		if err != nil {
--- a/internal/experiment/testcluster/endpoint.go
+++ b/internal/experiment/testcluster/endpoint.go
@@ -21,8 +21,11 @@
 		`"lifecycle":"active","weight":4,"startedAtMs":%d}`, emulated.Name, emulated.Address(), startedAtMS)
 }
 
-// Draining marks an active endpoint as draining. It takes a result of EndpointJSON, or an event that contains one.
-func Draining(endpoint string) string { return strings.Replace(endpoint, "active", "leaving", 1) }
+// DrainingEndpoint marks an active endpoint as draining. It takes a result of EndpointJSON, or an event that
+// contains one.
+func DrainingEndpoint(endpoint string) string {
+	return strings.Replace(endpoint, "active", "leaving", 1)
+}
 
 // EndpointListEvent returns a watch event with a complete endpoint list. The event contains %d in place of its
 // position.
--- a/internal/experiment/testcluster/load.go
+++ b/internal/experiment/testcluster/load.go
@@ -30,9 +30,9 @@
 // and its latency counts from the due time. This avoids coordinated omission: a router that blocks the client would
 // otherwise appear fast.
 type Load struct {
-	Rate           float64 // requests per second over all addresses together
-	Addresses      []string
-	ConnectionsPer int // connections per address
+	Rate                  float64 // requests per second over all addresses together
+	Addresses             []string
+	ConnectionsPerAddress int // connections per address
 }
 
 // LoadResult is the outcome of a load.
@@ -85,7 +85,7 @@
 
 func (r *loadRun) connect(load Load) error {
 	for _, address := range load.Addresses {
-		for range load.ConnectionsPer {
+		for range load.ConnectionsPerAddress {
 			connection := &loadConnection{address: address, pending: map[uint32]time.Time{}}
 			if err := r.dial(connection); err != nil {
 				return err
--- a/internal/experiment/testcluster/snapshot_test.go
+++ b/internal/experiment/testcluster/snapshot_test.go
@@ -50,7 +50,7 @@
 
 func drainFirstCache(_ *testing.T, cluster *testcluster.Cluster, _ string) {
 	endpoint := testcluster.EndpointJSON(cluster.Caches[0], time.Time{})
-	cluster.Discovery.Publish(testcluster.EndpointChangeEvent(3, testcluster.Draining(endpoint)))
+	cluster.Discovery.Publish(testcluster.EndpointChangeEvent(3, testcluster.DrainingEndpoint(endpoint)))
 }
 
 func truncateSnapshot(t *testing.T, _ *testcluster.Cluster, snapshot string) {
@@ -147,7 +147,7 @@
 	t.Helper()
 	address := cluster.ClientAddress(name)
 	waitFor(t, "a healthy router", func() bool { return testcluster.IsHealthy(address) })
-	load := testcluster.Load{Rate: 100, Addresses: []string{address}, ConnectionsPer: 1}
+	load := testcluster.Load{Rate: 100, Addresses: []string{address}, ConnectionsPerAddress: 1}
 	result, err := load.Run(t.Context(), 1200*time.Millisecond)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lifecycle/restore/confirmation.go
+++ b/internal/lifecycle/restore/confirmation.go
@@ -9,10 +9,10 @@
 const (
 	Pending   Outcome = iota // it says nothing, or an earlier observation has decided
 	Confirmed                // the list is still in force
-	Denied                   // the list may be out of date and has to be requested from the service
+	Outdated                 // the list may be out of date and has to be requested from the service
 )
 
-var outcomeNames = [...]string{Pending: "pending", Confirmed: "confirmed", Denied: "denied"}
+var outcomeNames = [...]string{Pending: "pending", Confirmed: "confirmed", Outdated: "denied"}
 
 func (o Outcome) String() string {
 	if o < 0 || int(o) >= len(outcomeNames) {
@@ -55,5 +55,5 @@
 	if same {
 		return Confirmed
 	}
-	return Denied
+	return Outdated
 }
--- a/internal/lifecycle/restore/restore_test.go
+++ b/internal/lifecycle/restore/restore_test.go
@@ -78,9 +78,9 @@
 		want    Outcome
 	}{
 		{"the same event", func(c *ListConfirmation) Outcome { return c.ObserveEvent(5, 9) }, Confirmed},
-		{"another text", func(c *ListConfirmation) Outcome { return c.ObserveEvent(5, 8) }, Denied},
-		{"another number", func(c *ListConfirmation) Outcome { return c.ObserveEvent(6, 9) }, Denied},
-		{"a comment first", func(c *ListConfirmation) Outcome { return c.ObserveComment() }, Denied},
+		{"another text", func(c *ListConfirmation) Outcome { return c.ObserveEvent(5, 8) }, Outdated},
+		{"another number", func(c *ListConfirmation) Outcome { return c.ObserveEvent(6, 9) }, Outdated},
+		{"a comment first", func(c *ListConfirmation) Outcome { return c.ObserveComment() }, Outdated},
 		{
 			"the same event twice",
 			func(c *ListConfirmation) Outcome { c.ObserveEvent(5, 9); return c.ObserveEvent(5, 9) },
@@ -111,7 +111,7 @@
 
 // The names of scopes appear in log lines that docs/oncall.md explains.
 func TestNames(t *testing.T) {
-	got := fmt.Sprint(None, WithoutRates, All, Scope(9), Pending, Confirmed, Denied, Outcome(9),
+	got := fmt.Sprint(None, WithoutRates, All, Scope(9), Pending, Confirmed, Outdated, Outcome(9),
 		OtherVersion, OtherRouter, OtherSettings, InFuture, TooOld, &LimitError{Reason: 9})
 	const want = "nothing beliefs whole scope 9 pending confirmed denied outcome 9 " +
 		"other version other router other settings in the future old reason 9"
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -138,8 +138,8 @@
 	s.hasData, s.firstByteTimeout, s.lastDelay = true, initialFirstByteTimeout, 0
 }
 
-// SetDrainGrace sets the shortest time within which the router has to act on a watch event, ns; 0: unknown.
-func (s *CallSchedule) SetDrainGrace(grace int64) { s.grace = grace }
+// SetShortestGracePeriod sets the shortest time within which the router has to act on a watch event, ns; 0: unknown.
+func (s *CallSchedule) SetShortestGracePeriod(grace int64) { s.grace = grace }
 
 // StallTimeout returns how long to wait for the next byte within an event, ns.
 func (s *CallSchedule) StallTimeout() int64 {
--- a/internal/lifecycle/startup/schedule_test.go
+++ b/internal/lifecycle/startup/schedule_test.go
@@ -258,7 +258,7 @@
 		{60 * second, maxStallTimeout},
 	} {
 		schedule := NewCallSchedule(1, 1, ReadinessHold{})
-		schedule.SetDrainGrace(test.grace)
+		schedule.SetShortestGracePeriod(test.grace)
 		if got := schedule.StallTimeout(); got != test.want {
 			t.Errorf("a grace period of %d ms: the stall timeout is %d ns, want %d ns",
 				test.grace/millisecond, got, test.want)
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -37,9 +37,11 @@
 // later retry may find available again.
 func IsExhausted(err error) bool { return isOneOf(err, exhaustedErrors) }
 
-// IsEnd reports whether err proves that a connection has ended in both directions. The peer may still have read what
-// was written before.
-func IsEnd(err error) bool { return isOneOf(err, endErrors) || errors.Is(err, net.ErrClosed) }
+// IsConnectionEnded reports whether err proves that a connection has ended in both directions. The peer may still
+// have read what was written before.
+func IsConnectionEnded(err error) bool {
+	return isOneOf(err, endErrors) || errors.Is(err, net.ErrClosed)
+}
 
 // IsLocal reports whether an attempt to open, accept, duplicate or watch a connection failed on this machine: nothing
 // was sent, and the peer is not at fault. A name server that does not answer counts as local too, because that says
--- a/internal/operatorconfig/idle.go
+++ b/internal/operatorconfig/idle.go
@@ -100,9 +100,9 @@
 	into.positions = append(into.positions, list.Position)
 }
 
-// Same reports whether two files have the same limits and policies. It does not compare the networks to which the
-// policies apply.
-func (c *IdleConnections) Same(other *IdleConnections) bool {
+// EqualLimits reports whether two files have the same limits and policies. It does not compare the networks to
+// which the policies apply.
+func (c *IdleConnections) EqualLimits(other *IdleConnections) bool {
 	if c == nil || other == nil {
 		return c == other
 	}
--- a/internal/protocol/resp/resp_test.go
+++ b/internal/protocol/resp/resp_test.go
@@ -52,7 +52,7 @@
 }
 
 func TestWrite(t *testing.T) {
-	got := string(Text(Text(Head(nil, 2), "abort"), []byte("")))
+	got := string(AppendString(AppendString(AppendArrayHeader(nil, 2), "abort"), []byte("")))
 	if want := "*2\r\n$5\r\nabort\r\n$0\r\n\r\n"; got != want {
 		t.Errorf("encoded as %q, want %q", got, want)
 	}
--- a/internal/protocol/resp/writer.go
+++ b/internal/protocol/resp/writer.go
@@ -2,13 +2,13 @@
 
 import "strconv"
 
-// Head appends the header line of an array with the given number of strings.
-func Head(out []byte, items int) []byte {
+// AppendArrayHeader appends the header line of an array with the given number of strings.
+func AppendArrayHeader(out []byte, items int) []byte {
 	return appendLength(out, arrayType, items)
 }
 
-// Text appends item as a bulk string.
-func Text[T string | []byte](out []byte, item T) []byte {
+// AppendString appends item as a bulk string.
+func AppendString[T string | []byte](out []byte, item T) []byte {
 	out = appendLength(out, stringType, len(item))
 	out = append(out, item...)
 	return append(out, lineEnd...)
--- a/internal/protocol/thrift/message.go
+++ b/internal/protocol/thrift/message.go
@@ -14,8 +14,8 @@
 	Body []byte
 }
 
-// FrameSize reads the length prefix of a frame and returns the frame's size in bytes.
-func FrameSize(in io.Reader) (int, error) {
+// ReadFrameSize reads the length prefix of a frame and returns the frame's size in bytes.
+func ReadFrameSize(in io.Reader) (int, error) {
 	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
 		return 0, err
@@ -51,12 +51,12 @@
 	SecondArgument = 2 // the body of `call`
 )
 
-// Arguments are the arguments of the service's methods: `call` has Fields and Body, `cancel` has Number.
+// Arguments are the arguments of the service's methods: `call` has Fields and Body, `cancel` has CancelSeq.
 type Arguments struct {
-	Fields map[string]string
-	Body   []byte         // shares the frame's memory; nil if empty
-	Number int32          // sequence number of the call to cancel
-	Has    map[int16]bool // identifiers of the arguments that are present
+	Fields    map[string]string
+	Body      []byte         // shares the frame's memory; nil if empty
+	CancelSeq int32          // sequence number of the call to cancel
+	Has       map[int16]bool // identifiers of the arguments that are present
 }
 
 // ParseArguments parses the arguments of a method, which are the body of a message. Unknown arguments are skipped.
@@ -87,7 +87,7 @@
 	case id == FirstArgument && typ == typeMap:
 		a.Fields = r.stringMap()
 	case id == FirstArgument && typ == typeI32:
-		a.Number = int32(r.uint32())
+		a.CancelSeq = int32(r.uint32())
 	case id == SecondArgument && typ == typeString:
 		a.Body = r.bytes()
 		if len(a.Body) == 0 {
--- a/internal/protocol/thrift/thrift_test.go
+++ b/internal/protocol/thrift/thrift_test.go
@@ -27,7 +27,7 @@
 		{"no input", "", 0, io.EOF},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got, err := FrameSize(strings.NewReader(test.in)); got != test.want || !errors.Is(err, test.err) {
+			if got, err := ReadFrameSize(strings.NewReader(test.in)); got != test.want || !errors.Is(err, test.err) {
 				t.Errorf("size %d, error %v, want %d, %v", got, err, test.want, test.err)
 			}
 		})
@@ -100,8 +100,8 @@
 	}
 	t.Run("the sequence number to cancel", func(t *testing.T) {
 		a, err := ParseArguments([]byte("\x08\x00\x01\x00\x00\x00\x05\x00"))
-		if err != nil || a.Number != 5 || !a.Has[FirstArgument] {
-			t.Errorf("arguments %+v, error %v, want Number 5", a, err)
+		if err != nil || a.CancelSeq != 5 || !a.Has[FirstArgument] {
+			t.Errorf("arguments %+v, error %v, want CancelSeq 5", a, err)
 		}
 	})
 }
@@ -118,14 +118,14 @@
 			"\x0c\x00\x01\x0d\x00\x01\x0b\x0b" +
 			"\x00\x00\x00\x01" + text("later") + text("80") + "\x00\x00"},
 		{"failed", Response{ResultField: 2}, "\x0c\x00\x02\x0d\x00\x01\x0b\x0b\x00\x00\x00\x00\x00\x00"},
-		{"an exception", Response{ExceptionKind: UnknownMethod, ExceptionText: "odd"}, "\x0b\x00\x01" + text("odd") +
+		{"an exception", Response{ExceptionType: UnknownMethod, ExceptionText: "odd"}, "\x0b\x00\x01" + text("odd") +
 			"\x08\x00\x02\x00\x00\x00\x01\x00"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.in.Method, test.in.Seq = "call", 258
 			got := bytes.Join(EncodeResponse(test.in), nil)
 			messageType := "\x02"
-			if test.in.ExceptionKind != 0 {
+			if test.in.ExceptionType != 0 {
 				messageType = "\x03"
 			}
 			want := "\x80\x01\x00" + messageType + text("call") + "\x00\x00\x01\x02" + test.want
--- a/internal/protocol/thrift/writer.go
+++ b/internal/protocol/thrift/writer.go
@@ -28,12 +28,12 @@
 // messageTypeOffset is the offset of the message type from the start of the length prefix.
 const messageTypeOffset = frameHeaderSize + 3
 
-// Response is the response to a `call` or `health` message: an application exception if ExceptionKind is set,
+// Response is the response to a `call` or `health` message: an application exception if ExceptionType is set,
 // otherwise the result that ResultField names.
 type Response struct {
 	Method        string
 	Seq           int32
-	ExceptionKind int         // application exception type; 0: no application exception
+	ExceptionType int         // application exception type; 0: no application exception
 	ExceptionText string      // message of the application exception
 	ResultField   int16       // field identifier of the result: 0 served, 1 rejected, 2 failed
 	Fields        [][2]string // name and value pairs
@@ -46,15 +46,15 @@
 func EncodeResponse(response Response) [][]byte {
 	head := make([]byte, frameHeaderSize, replyHeadSize+len(response.ExceptionText))
 	head = append(head, replyHeader[:]...)
-	if response.ExceptionKind != 0 {
+	if response.ExceptionType != 0 {
 		head[messageTypeOffset] = Exception
 	}
 	head = appendString(head, response.Method)
 	head = binary.BigEndian.AppendUint32(head, uint32(response.Seq))
 	var tail []byte
 	switch {
-	case response.ExceptionKind != 0:
-		head = appendApplicationException(head, response.ExceptionKind, response.ExceptionText)
+	case response.ExceptionType != 0:
+		head = appendApplicationException(head, response.ExceptionType, response.ExceptionText)
 	case response.ResultField == resultServed:
 		head = appendField(head, typeStruct, resultServed)
 		head = appendField(head, typeString, servedBody)
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -103,7 +103,7 @@
 // endLocalBackoff ends the backoff that dialFailedLocally started. It is called when a dial succeeds, or fails for
 // another reason than an error on this machine, such as a refusal by the endpoint.
 func (r *Router) endLocalBackoff() {
-	if r.localBackoff.DialSucceeded() {
+	if r.localBackoff.End() {
 		r.log(ConnectAvailable{})
 	}
 }
--- a/internal/router/deadlines_test.go
+++ b/internal/router/deadlines_test.go
@@ -182,7 +182,7 @@
 		attempt.ended = true
 	}
 	h.handle(RequestCancelled{Client: 1, Seq: 2})
-	const grace = 8 * millisecond // AnswerGrace of testSettings
+	const grace = 8 * millisecond // ResponseGrace of testSettings
 	h.advance(25*second/10 - responseTransit + grace - millisecond)
 	if h.InFlight() != 1 {
 		t.Fatalf("%d requests in flight within the grace after the deadline, want 1", h.InFlight())
--- a/internal/router/helpers_test.go
+++ b/internal/router/helpers_test.go
@@ -71,7 +71,7 @@
 	settings.ConnectTimeout = 4 * second / 10
 	settings.IdleTimeout = 30 * second
 	settings.MaxStreamsPerConnection = 100
-	settings.AnswerGrace = 8 * millisecond
+	settings.ResponseGrace = 8 * millisecond
 	settings.PurgeDuration = 6 * second
 	settings.LongestDeadline = 25 * second / 10
 	settings.Classes = []control.ClassSettings{{
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -170,7 +170,7 @@
 // abandonRequest ends a request whose client no longer waits for it, and cancels its attempts.
 func (r *Router) abandonRequest(request *inFlightRequest) {
 	r.removeRequest(request)
-	r.policy.ClientGone(r.now, &request.Request)
+	r.policy.EndRequest(r.now, &request.Request)
 	all := make([]int, len(request.attempts))
 	for i := range all {
 		all[i] = i
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -47,7 +47,7 @@
 		result = control.Succeeded // an object that no cache stores needs no version
 	}
 	request := &attempt.request.Request
-	if result == control.Succeeded && !r.policy.AcceptsCopy(r.now, request, attempt.number, event.IssuedAt) {
+	if result == control.Succeeded && !r.policy.AcceptsEntry(r.now, request, attempt.number, event.IssuedAt) {
 		return control.Stale
 	}
 	return result
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -89,7 +89,7 @@
 // case the policy has not ended it before.
 func (r *Router) setDeadlineTimer(request *inFlightRequest) {
 	r.timers.Remove(request.deadlineTimer)
-	at := request.Deadline + r.config.AnswerGrace
+	at := request.Deadline + r.config.ResponseGrace
 	request.deadlineTimer = r.timers.Push(at, timerTask{kind: deadlineTimer, request: request})
 }
 
--- a/internal/server/reload.go
+++ b/internal/server/reload.go
@@ -67,7 +67,7 @@
 		return false
 	}
 	clusterChanged := (s.cluster == nil) != (next.Cluster == nil)
-	return clusterChanged || !next.Idle.Same(s.operator.Idle)
+	return clusterChanged || !next.Idle.EqualLimits(s.operator.Idle)
 }
 
 // loadWithRetry loads the configuration. It retries while this machine lacks the descriptors or the memory to do so:
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -122,7 +122,7 @@
 // newWatch returns the watch of the discovery service. It resumes after the last event of history.
 func (s *Server) newWatch(history discovery.History, post func(router.Event)) *discovery.Watcher {
 	schedule := startup.NewCallSchedule(s.config.Seed, s.config.Settings.Routers, s.readinessHold())
-	schedule.SetDrainGrace(s.shortestGracePeriod())
+	schedule.SetShortestGracePeriod(s.shortestGracePeriod())
 	return discovery.NewWatcher(discovery.Config{
 		Address:  s.config.DiscoveryAddress,
 		History:  history,
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -56,7 +56,7 @@
 		return err
 	}
 	settings, err := control.DecodeSettings(raw)
-	in := &instance{name: name, requests: map[string]*request{}, subscribes: settings.PollEndpointList}
+	in := &instance{name: name, requests: map[string]*request{}, subscribes: settings.SubscribesToEndpointList}
 	h.instances[name] = in
 	if err != nil {
 		h.out.Line(commandBailOut, name, err.Error())
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	others := in.router.ClientGone(now, &r.Request).Cancel // ends the request; Cancel has all attempts in flight
+	others := in.router.EndRequest(now, &r.Request).Cancel // ends the request; Cancel has all attempts in flight
 	others = slices.DeleteFunc(others, func(other int) bool { return other == int(number) })
 	h.cancel(in, r, others)
 	return nil
@@ -161,7 +161,7 @@
 	if r == nil {
 		return
 	}
-	in.router.ClientGone(now, &r.Request)
+	in.router.EndRequest(now, &r.Request)
 	in.finish(r)
 }
 
--- a/internal/testkit/cache.go
+++ b/internal/testkit/cache.go
@@ -16,22 +16,22 @@
 // unansweredPrefix is the prefix of the IDs of objects for which no cache sends a response.
 const unansweredPrefix = "dead"
 
-// UnansweredID returns the ID of the object with a number. No cache responds to requests for this object.
-func UnansweredID(n int) string { return fmt.Sprintf("%s%012x", unansweredPrefix, n) }
+// UnansweredObjectID returns the ID of the object with a number. No cache responds to requests for this object.
+func UnansweredObjectID(n int) string { return fmt.Sprintf("%s%012x", unansweredPrefix, n) }
 
 // Behavior is how a cache reacts to requests.
 type Behavior int
 
 const (
-	// Respond serves all requests except those for objects of UnansweredID.
+	// Respond serves all requests except those for objects of UnansweredObjectID.
 	Respond Behavior = iota
 	// Hang reads requests and never responds.
 	Hang
 	// ResetConnection resets the connection of each request.
 	ResetConnection
-	// ForgetConnections resets each connection that is open when the behavior is set, once a request arrives on
+	// ResetOldConnections resets each connection that is open when the behavior is set, once a request arrives on
 	// it. Requests on later connections are served.
-	ForgetConnections
+	ResetOldConnections
 )
 
 // CacheRequest is a request or an abort that a cache has received from a router.
@@ -124,7 +124,7 @@
 	defer c.mu.Unlock()
 	c.behavior, c.delay = behavior, delay
 	for conn := range c.connections {
-		if behavior == ForgetConnections {
+		if behavior == ResetOldConnections {
 			c.connections[conn] = true
 		}
 	}
@@ -162,8 +162,8 @@
 	return c.requests[c.taken-1], true
 }
 
-// Drain discards all requests and aborts that WaitRequest has not looked at, and returns their number.
-func (c *Cache) Drain() (count int) {
+// DiscardRequests discards all requests and aborts that WaitRequest has not looked at, and returns their number.
+func (c *Cache) DiscardRequests() (count int) {
 	for {
 		if _, ok := c.take(); !ok {
 			return count
@@ -273,7 +273,7 @@
 	if c.issued != nil {
 		issued = c.issued(request)
 	}
-	out := resp.Text(resp.Text(resp.Head(nil, 4), request.ID), status)
-	out = resp.Text(out, fmt.Sprintf("entity=4be0c1927d55a6f3,issued=%d,detail=TCP_MISS", issued.UnixMilli()))
-	return resp.Text(out, content)
+	out := resp.AppendString(resp.AppendString(resp.AppendArrayHeader(nil, 4), request.ID), status)
+	out = resp.AppendString(out, fmt.Sprintf("entity=4be0c1927d55a6f3,issued=%d,detail=TCP_MISS", issued.UnixMilli()))
+	return resp.AppendString(out, content)
 }
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -121,7 +121,7 @@
 // Next reads a response and returns its sequence number and its encoded result. If it fails, it returns
 // ClosedSequence and the text of the error.
 func (c *Client) Next() (sequence int32, result string) {
-	size, err := thrift.FrameSize(c.in)
+	size, err := thrift.ReadFrameSize(c.in)
 	if err != nil {
 		return ClosedSequence, err.Error()
 	}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -41,8 +41,8 @@
 	return value
 }
 
-// ExpectEnd waits for the result of an operation and checks that it ends within the timeout and without an error.
-func ExpectEnd(t *testing.T, result <-chan error, timeout time.Duration) {
+// ExpectNoError waits for the result of an operation and checks that it ends within the timeout and without an error.
+func ExpectNoError(t *testing.T, result <-chan error, timeout time.Duration) {
 	t.Helper()
 	if err := Receive(t, result, timeout, "the end of the operation"); err != nil {
 		t.Errorf("the operation ended with an error: %v", err)
--- a/internal/upstream/encode.go
+++ b/internal/upstream/encode.go
@@ -34,11 +34,11 @@
 	fields.addUnlessEmpty("mine", request.ClientETag)
 	fields.addUnlessEmpty("uniq", request.IdempotencyKey)
 	out := make([]byte, 0, fetchHeadSize+fields.text.Len()+len(request.Body))
-	out = resp.Head(out, 4)
-	out = resp.Text(out, commandFetch)
-	out = resp.Text(out, request.ID)
-	out = resp.Text(out, fields.text.String())
-	return resp.Text(out, request.Body)
+	out = resp.AppendArrayHeader(out, 4)
+	out = resp.AppendString(out, commandFetch)
+	out = resp.AppendString(out, request.ID)
+	out = resp.AppendString(out, fields.text.String())
+	return resp.AppendString(out, request.Body)
 }
 
 // encodeAbort encodes the command that tells an endpoint to stop working on a request.
@@ -48,9 +48,9 @@
 func encodeAlive(id string) []byte { return encodeCommand(commandAlive, id) }
 
 func encodeCommand(command, id string) []byte {
-	out := resp.Head(nil, 2)
-	out = resp.Text(out, command)
-	return resp.Text(out, id)
+	out := resp.AppendArrayHeader(nil, 2)
+	out = resp.AppendString(out, command)
+	return resp.AppendString(out, id)
 }
 
 // fieldList builds the fields of a command: name=value pairs separated by commas.
