--- a/internal/cluster/events.go
+++ b/internal/cluster/events.go
@@ -57,9 +57,9 @@
 // SendProbe probes a target. The probe must be written before Until by this instance's clock, or not at all.
 type SendProbe struct{ probe.Probe }
 
-// LeaseChanged sets the ballot under which this instance holds a slot's lease; 0 means that it no longer holds
-// it. It precedes any message that lets another instance acquire the slot, so that work already started under
-// the lease can be stopped in time.
+// LeaseChanged reports the ballot under which this instance now holds a slot's lease. Ballot 0 reports that the
+// instance no longer holds the lease. That effect precedes any message that lets another instance acquire the slot,
+// so that work already started under the lease can be stopped in time.
 type LeaseChanged struct {
 	Slot   int
 	Ballot uint64
@@ -74,9 +74,8 @@
 // SetTimer requests a TimerFired at a time and replaces the previous SetTimer.
 type SetTimer struct{ At int64 }
 
-// combine merges the messages to each instance where one message can hold them, because handling a message
-// costs its receiver more than reading the contents. Lease changes come first, so that no message is sent
-// before them.
+// combine merges the messages to each instance where one message can hold them, because a second message costs its
+// receiver more than a second part of one message. Lease changes come first, so that no message is sent before them.
 func combine(effects []Effect) []Effect {
 	combined := make([]Effect, 0, len(effects))
 	for _, effect := range effects {
--- a/internal/cluster/lease/acquire.go
+++ b/internal/cluster/lease/acquire.go
@@ -9,7 +9,7 @@
 // These constants decide which candidates request a free slot, and when. "Renewals" in their
 // names means renewal intervals.
 const (
-	ticksPerRenewal = 8
+	ticksPerRenewal = 8  // ticks in one renewal interval
 	steadyRenewals  = 2  // time without a change of the assignment before slots are transferred
 	transferDivisor = 8  // about one in this many slots is transferred in one renewal interval
 	turnsPerRenewal = 2  // ranks below the assigned candidate whose turns come within one renewal interval
@@ -19,7 +19,7 @@
 	maxFarRenewals  = 60 // longest extra wait
 )
 
-// updateFreeSlots updates since when each slot has been free as far as this node knows.
+// updateFreeSlots records since when each slot has been free, as far as this node knows.
 func (node *Node) updateFreeSlots(now int64) {
 	isVoter := slices.Contains(node.voterNames, node.config.Self.Name) && now >= node.grantsFrom
 	for slot := range node.holdings {
--- a/internal/cluster/lease/assign.go
+++ b/internal/cluster/lease/assign.go
@@ -23,7 +23,7 @@
 }
 
 // Assign returns the candidate for each slot as an index into candidates, or nil if there are no candidates.
-// The number of slots of a candidate differs from its share by weight by less than one. Pairs of slot and
+// Each candidate gets its share by weight, rounded up or down to a whole number of slots. Pairs of slot and
 // candidate are assigned in descending order of their rendezvous score, so that few slots move when a candidate
 // joins or leaves. All instances must pass the candidates in the same order, sorted by name.
 func Assign(slots int, candidates []Candidate) []int {
--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -17,8 +17,8 @@
 	leaseDuration     int64
 	names             []string
 	nodes             map[string]*Node
-	startedAt         map[string]int64 // simulated time at which the node's clock read 0
-	rate              map[string]float64
+	startedAt         map[string]int64            // simulated time at which the node's clock read 0
+	rate              map[string]float64          // of the node's clock
 	frozen            map[string]bool             // nodes that are paused: they neither tick nor receive
 	cut               func(from, to string) bool  // whether a link drops messages; nil drops none
 	delay             func(from, to string) int64 // of a link, ns; nil is 2 ms on all links
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -14,8 +14,8 @@
 // messages arrive, are lost or are duplicated, nodes crash and restart, and time passes, on clocks that are fast
 // and slow by the maximum drift. Each node has only itself as a candidate, so all of them keep requesting the slot.
 // A state is a violation if the slot has two holders, or if it was acquired under a ballot that did not grow.
-// Durations are small numbers of nanoseconds. The drift is 10%, so that the clocks of two nodes differ by more than a
-// time step, which is half a renewal interval, after a lease.
+// Durations are small numbers of nanoseconds. The drift is 10%, so that during one lease the clocks of two nodes move
+// apart by more than a time step, which is half a renewal interval.
 const (
 	exploreRenewal = int64(800)
 	exploreLease   = 3 * exploreRenewal
@@ -23,7 +23,7 @@
 	maxInTransit   = 5 // if there are more messages, the oldest are lost
 )
 
-// These are the results of explore.
+// explore returns one of these results.
 const (
 	foundNothing     = ""
 	foundTwoHolders  = "two holders of the slot at one instant"
@@ -36,7 +36,7 @@
 type plantedFault struct {
 	skipSilence   bool // a voter grants leases right after its start
 	forgetBallots bool // nodes forget all ballots, and the wall clock stays at 0
-	settableClock bool // the nodes' clock can be set back
+	settableClock bool // each node's clock can be set back once
 	ignoreDrift   bool // nodes are configured with a drift of 0
 }
 
@@ -56,7 +56,8 @@
 
 // clock returns the time on the clock of node i.
 func (state *exploreState) clock(i int) int64 {
-	rate := []float64{1 - exploreDrift, 1 + exploreDrift, 1}[i] // a, the first holder, is slow; b, a voter, is fast
+	// a, the first holder, is slow; b, whose vote it needs, is fast.
+	rate := []float64{1 - exploreDrift, 1 + exploreDrift, 1}[i]
 	return int64(float64(state.now-state.startedAt[i])*rate) - state.setBack[i]
 }
 
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -170,7 +170,7 @@
 
 // recordOtherHolder records that another instance holds a slot, and delays the next attempt. That instance may
 // release the slot early or die, so the delay is at most one renewal interval. If the slot is assigned to that
-// instance, the delay lasts until its lease ends, because other instances notice if it releases or dies.
+// instance, the delay lasts until its lease ends, because other instances notice if it releases the slot or dies.
 func (node *Node) recordOtherHolder(now int64, holding *slotHolding, item SlotBallot) {
 	wait := min(item.Remaining, node.config.LeaseDuration)
 	if node.assigned == nil || node.assignedName(item.Slot) != item.Holder.Name {
--- a/internal/cluster/lease/node.go
+++ b/internal/cluster/lease/node.go
@@ -140,8 +140,8 @@
 func (node *Node) Next() int64 { return node.tickAt }
 
 // NextTick returns the next multiple of an interval, shifted by an offset that depends on the instance's name.
-// Work with the same interval is therefore due at the same time, and its messages to one instance are combined
-// into one write.
+// All work of one instance with the same interval is therefore due at the same time, and its messages to another
+// instance can be combined into one write.
 func NextTick(now int64, name string, interval int64) int64 {
 	// Without the offset, instances that share a clock would all act at once.
 	shift := int64(proposerID(name)) * int64(time.Millisecond) % interval
@@ -174,8 +174,8 @@
 	}
 }
 
-// ObserveBallot raises the highest ballot known to one that another instance knows. A ballot whose counter is too
-// far ahead of the wall clock is ignored (see paxos.MaxWallAheadMS).
+// ObserveBallot records a ballot that another instance knows, so that this node's next ballot is above it. A ballot
+// whose counter is too far ahead of the wall clock is ignored (see paxos.MaxWallAheadMS).
 func (node *Node) ObserveBallot(ballot uint64) {
 	maxCounter := uint64(max(node.wallMS, 0)) + paxos.MaxWallAheadMS
 	if node.wallMS == 0 || paxos.Counter(ballot) < maxCounter {
--- a/internal/cluster/lease/node_test.go
+++ b/internal/cluster/lease/node_test.go
@@ -67,10 +67,10 @@
 // After a network partition, holders in a minority must lose their leases before the majority acquires the slots.
 func TestOnlyThePartitionWithAMajorityHolds(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		count int
-		side  map[string]int
-		acts  int // the side that has a majority of the voters, or -1
+		name     string
+		count    int
+		side     map[string]int
+		majority int // the side that has a majority of the voters, or -1
 	}{
 		{"2|3", 5, map[string]int{"n0": 0, "n1": 0, "n2": 1, "n3": 1, "n4": 1}, 1},
 		{"1|1|3", 5, map[string]int{"n0": 0, "n1": 2, "n2": 1, "n3": 1, "n4": 1}, 1},
@@ -92,11 +92,11 @@
 			cluster.run(3 * cluster.leaseDuration)
 			holders := cluster.holders()
 			for slot, holder := range holders {
-				if test.side[holder] != test.acts {
+				if test.side[holder] != test.majority {
 					t.Errorf("slot %d is held by %s on side %d, which has no majority", slot, holder, test.side[holder])
 				}
 			}
-			if test.acts >= 0 && len(holders) != clusterSlots {
+			if test.majority >= 0 && len(holders) != clusterSlots {
 				t.Errorf("the side with a majority holds %d of 16 slots, want all", len(holders))
 			}
 			if minority := cluster.nodes["n0"]; minority.HasQuorum(cluster.clock("n0")) {
@@ -210,7 +210,7 @@
 	}
 	for _, name := range cluster.names {
 		if err := cluster.nodes[name].UpdateVoters(cluster.clock(name), next); err != nil {
-			t.Fatal(name, err)
+			t.Fatalf("UpdateVoters on %s: %v", name, err)
 		}
 		cluster.run(cluster.leaseDuration / 2)
 	}
@@ -223,7 +223,7 @@
 	cluster.run(4 * cluster.leaseDuration)
 	for _, name := range cluster.names {
 		if err := cluster.nodes[name].UpdateVoters(cluster.clock(name), third); err != nil {
-			t.Fatal(name, err)
+			t.Fatalf("UpdateVoters on %s: %v", name, err)
 		}
 	}
 	cluster.run(3 * cluster.leaseDuration)
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -149,7 +149,7 @@
 	return name == node.config.Self.Name || member.State == membership.Alive
 }
 
-// missingVoters lists the voters that are not believed alive, each with its state.
+// missingVoters lists the current voters that are not believed alive, each with its state.
 func (node *Node) missingVoters() string {
 	var missing []string
 	for _, name := range node.leases.Voters().Current {
@@ -164,8 +164,8 @@
 // logQuorum logs whether a quorum is reachable, when that changes. It logs nothing during the restart silence
 // and the two renewal intervals that follow.
 func (node *Node) logQuorum(now int64) {
-	startTime := node.config.Lease.RestartSilence() + 2*node.config.Lease.RenewInterval
-	if node.shuttingDown || now-node.startedAt < startTime {
+	startup := node.config.Lease.RestartSilence() + 2*node.config.Lease.RenewInterval
+	if node.shuttingDown || now-node.startedAt < startup {
 		return
 	}
 	hasQuorum := node.HasQuorum(now)
--- a/internal/cluster/logevents.go
+++ b/internal/cluster/logevents.go
@@ -98,8 +98,8 @@
 	return logevent.Kind{Name: "members_left", Level: logevent.Info, Message: "many other instances have left"}
 }
 
-// InstanceWasAway reports that this instance did not run for at least a heartbeat interval. It does not report
-// other instances as silent for that time.
+// InstanceWasAway reports that this instance was paused for a heartbeat interval or longer. The instance does not
+// report others as silent because of that time.
 type InstanceWasAway struct {
 	DurationMS int64 `log:"duration_ms"`
 }
@@ -215,7 +215,7 @@
 	}
 }
 
-// VotersKept reports that the voters of a reloaded operator's file cannot replace those in force yet.
+// VotersKept reports that the voters of a reloaded operator's file are invalid or cannot replace those in force yet.
 type VotersKept struct {
 	Cause error `log:"cause"`
 }
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -27,7 +27,7 @@
 
 func newPeers() peers { return peers{leaseUntil: map[string]int64{}} }
 
-// dropExpired drops links that have sent no lease message for leaseLinkDuration.
+// dropExpired drops the links on which no lease message was sent for leaseLinkDuration.
 func (peers *peers) dropExpired(now int64) {
 	maps.DeleteFunc(peers.leaseUntil, func(_ string, until int64) bool {
 		expired := now > until
@@ -72,8 +72,8 @@
 	}
 }
 
-// wantedPeers returns the neighbours and the instances that were recently sent lease messages. In a cluster so
-// small that all members are neighbours it returns all of them.
+// wantedPeers returns the members that the membership table wants links to, and those that were recently sent lease
+// messages. In a cluster so small that all members are neighbours, it returns all members that have not left.
 func (node *Node) wantedPeers() []Peer {
 	addresses := map[string]string{}
 	for _, contact := range node.members.Peers() {
@@ -93,7 +93,7 @@
 	return wanted
 }
 
-// keepLeaseLink keeps a link to an instance that is sent a lease message.
+// keepLeaseLink keeps the link to an instance open for leaseLinkDuration, because a lease message is sent to it.
 func (node *Node) keepLeaseLink(now int64, name string) {
 	_, had := node.peers.leaseUntil[name]
 	node.peers.leaseUntil[name] = now + leaseLinkDuration
@@ -148,7 +148,8 @@
 	}
 }
 
-// logTransition logs the changes of one kind, one by one or as one event.
+// logTransition logs the changes with the same transition: one by one, or as one event if there are more than
+// maxChangesLogged.
 func (node *Node) logTransition(kind transition, changes []membership.Change) {
 	if len(changes) > maxChangesLogged {
 		node.emit(Log{membersEvent(kind, len(changes))})
--- a/internal/cluster/membership/cluster_test.go
+++ b/internal/cluster/membership/cluster_test.go
@@ -181,8 +181,8 @@
 	}
 }
 
-// believers counts the other instances that are up, without some exceptions: all of them, and those that believe a
-// member to be in a state.
+// believers counts the other instances that are up and not in except, and how many of them believe a member to be in
+// a state.
 func (cluster *testCluster) believers(name string, state State, except ...string) (believe, all int) {
 	for _, other := range cluster.names {
 		if other == name || cluster.down[other] || slices.Contains(except, other) {
@@ -196,8 +196,7 @@
 	return believe, all
 }
 
-// isBelieved reports whether any other instance that is up, without some exceptions, believes a member to be in a
-// state.
+// isBelieved reports whether any other instance that is up and not in except believes a member to be in a state.
 func (cluster *testCluster) isBelieved(name string, state State, except ...string) bool {
 	believe, _ := cluster.believers(name, state, except...)
 	return believe > 0
--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -7,10 +7,10 @@
 	// MaxMembers bounds the known instances. Entries of further instances are rejected.
 	MaxMembers = 8192
 
-	maxIncarnations  = 64 // known of one name
-	maxReports       = 32 // known of one member
-	maxQueuedReports = 4096
-	maxLocalHealth   = 8 // the worst score
+	maxIncarnations  = 64   // recorded for one name
+	maxReports       = 32   // kept about one member
+	maxQueuedReports = 4096 // waiting to be passed on
+	maxLocalHealth   = 8    // the worst score
 )
 
 // Durations in heartbeat intervals.
@@ -51,10 +51,10 @@
 // Config is the configuration of a Table. Durations are in ns.
 type Config struct {
 	Self              Entry
-	Contacts          []Contact // the other instances; a table keeps trying to reach them
+	Contacts          []Contact // may include this instance; a table keeps trying to reach the others
 	HeartbeatInterval int64
 	SilenceTimeout    int64                 // after which a silent neighbour is reported; 0 is three intervals
-	ReplacedTimeout   int64                 // for which a replaced incarnation may still be running
+	ReplacedTimeout   int64                 // how long a replaced incarnation may still be running
 	Seed              uint64                // of the random number generator
 	NextHeartbeat     func(now int64) int64 // returns when the next heartbeat is due; nil: one interval after now
 }
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -11,9 +11,9 @@
 // cut off itself.
 const minWatched = 3
 
-// quarterOf returns a quarter of a number of observers, at least 1. If so many of a member's observers report
-// it, its other observers count against it as well if they are reported themselves: when a zone is lost, the
-// members in it cannot report each other.
+// quarterOf returns a quarter of a number of observers, at least 1. Once that many of a member's observers report the
+// member, its observers that may be unable to report (see countSilenced) count against it as well: when a zone is
+// lost, the members in it cannot report each other.
 func quarterOf(observers int) int { return max(1, observers/4) }
 
 // checkOwnDelay checks whether this instance ticked late. It would otherwise report others for its own delay. An
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digests caches the digest of all entries believed alive, and of each bucket of them, for one revision of the
-// table.
+// digests caches the digest of the entries of all members believed alive, and that of each bucket of these entries,
+// for one revision of the table.
 type digests struct {
 	revision uint64
 	all      uint64
--- a/internal/cluster/membership/explore_test.go
+++ b/internal/cluster/membership/explore_test.go
@@ -137,8 +137,9 @@
 	return byDefault
 }
 
-// Runs each scenario of two events, and random ones of four events. TEALPATH_EXPLORE=N sets the number of random
-// scenarios to N. Above 1,000,000 it also adds each scenario of three events.
+// The test runs each scenario of two events, and random ones of four events. TEALPATH_EXPLORE=N sets the number of
+// random scenarios to N. With an N above 1,000,000, the test also runs each scenario of three events, and 1,000,000
+// random ones.
 func TestScenariosEndInAgreement(t *testing.T) {
 	const maxRandom = 1_000_000
 	all, random := allEvents(), randomScenarios(400)
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -26,7 +26,7 @@
 	entries map[string]queuedName
 	reports []queuedReport
 	sendAt  int64             // 0: nothing is queued
-	rumours map[string]uint64 // by member: version of the last rumour passed on, plus one
+	rumours map[string]uint64 // by member: the member's version in the last rumour passed on, plus one
 }
 
 func newGossipQueue() gossipQueue {
@@ -75,7 +75,8 @@
 	reports []queuedReport
 }
 
-// take removes as much from the queue as one message holds and returns it.
+// take removes as much from the queue as one message holds and returns it. Of the reports that remain it keeps the
+// latest maxQueuedReports.
 func (queue *gossipQueue) take(table *Table) gossipBatch {
 	var batch gossipBatch
 	names := slices.Sorted(maps.Keys(queue.entries))
--- a/internal/cluster/membership/heartbeat.go
+++ b/internal/cluster/membership/heartbeat.go
@@ -21,7 +21,7 @@
 	return sends
 }
 
-// heartbeat adds the next heartbeat to a neighbour to the gossip for it.
+// heartbeat makes the gossip for a member with a link into the next heartbeat to that member.
 func (table *Table) heartbeat(now int64, member *record, gossip Gossip) Gossip {
 	link := member.link
 	link.sent++
@@ -89,7 +89,7 @@
 }
 
 // compareDigest sends bucket digests to request the entries that differ, at the first heartbeat and once the
-// digests have differed for syncAfter.
+// digests have differed for syncAfter intervals.
 func (table *Table) compareDigest(now int64, member *record, theirs uint64) []Send {
 	link := member.link
 	own, buckets := table.digests.of(table)
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -15,7 +15,7 @@
 type State int
 
 // The states. An Unheard member is known, usually from the configuration, but no entry of it has arrived yet. A
-// member that Left has announced its shutdown.
+// member in the state Left has announced its shutdown.
 const (
 	Unheard State = iota
 	Alive
@@ -81,7 +81,7 @@
 // record is a member in the table.
 type record struct {
 	Member
-	configured   bool
+	configured   bool // it is a contact of the configuration
 	incarnations incarnations
 	reports      map[string]receivedReport // by observer
 	confirmSince int64                     // since when most observers report it, or timing.Never
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -13,9 +13,9 @@
 	// maxExtraEntries is how many entries a heartbeat has besides those passed on: the sender's and, if the
 	// receiver is believed dead, the receiver's.
 	maxExtraEntries = 2
-	maxNameSize     = 128
-	maxAddressSize  = 256
-	maxWeight       = 1e6
+	maxNameSize     = 128 // bytes
+	maxAddressSize  = 256 // bytes
+	maxWeight       = 1e6 // a weight must be below this
 )
 
 // Entry describes one instance in gossip. Of two entries under one name, the one with the later start time
@@ -83,7 +83,7 @@
 type Gossip struct {
 	Heartbeat     uint64   `cbor:"1,keyasint,omitempty"` // its number on this link; 0: not a heartbeat
 	Echo          uint64   `cbor:"2,keyasint,omitempty"` // number of the last heartbeat received from the other side
-	Digest        uint64   `cbor:"3,keyasint,omitempty"` // of all entries believed alive
+	Digest        uint64   `cbor:"3,keyasint,omitempty"` // of the entries of all members believed alive
 	Entries       []Entry  `cbor:"4,keyasint,omitempty"`
 	Reports       []Report `cbor:"5,keyasint,omitempty"`
 	BucketDigests []uint64 `cbor:"6,keyasint,omitempty"` // requests the entries of buckets that differ
--- a/internal/cluster/membership/neighbourhood.go
+++ b/internal/cluster/membership/neighbourhood.go
@@ -7,13 +7,13 @@
 )
 
 // maxInbound bounds the inbound links. While views differ, an instance may send heartbeats to a member that does
-// not know yet that they are neighbours. The member answers them.
+// not know yet that they are neighbours. The member answers on an inbound link.
 const maxInbound = 6
 
 // link is the state of the heartbeats exchanged with a member.
 type link struct {
-	since   int64
-	inbound bool // the member sends heartbeats here, but is not a neighbour on this instance's rings
+	since   int64 // silence counts from this time at the earliest
+	inbound bool  // the member sends heartbeats here, but is not a neighbour on this instance's rings
 
 	heardAt  int64  // when the last heartbeat arrived
 	received uint64 // number of the last heartbeat that arrived
@@ -21,8 +21,8 @@
 	echoed   uint64 // number of the last sent heartbeat that the member has confirmed
 	echoedAt int64  // when the member last confirmed a new one
 
-	reported   ReportKind // the last report of the member
-	reportedAt int64
+	reported   ReportKind // kind of this instance's last report of the member
+	reportedAt int64      // when that report was made
 
 	differsSince int64 // since when the digests differ; 0: they are equal
 	syncedAt     int64 // when bucket digests were last sent
@@ -112,8 +112,8 @@
 }
 
 // ringMembers returns the names on the rings: this instance, the members of the published view and, for
-// unheardOnRings after the start, contacts that are Unheard. With the contacts all instances start with the same
-// rings.
+// unheardOnRings intervals after the start, contacts that are Unheard. Because of these contacts all instances start
+// with the same rings.
 func (table *Table) ringMembers(now int64) []string {
 	starting := now-table.startedAt < table.config.intervals(unheardOnRings)
 	names := []string{table.self.entry.Name}
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -64,8 +64,8 @@
 	table.update(now, member, entry, from)
 }
 
-// memberFor returns the member that an entry is about, or nil. It adds an unknown member unless the entry says that
-// the member is dead or leaving, so that such members take no memory, or MaxMembers are known.
+// memberFor returns the member that an entry is about, or nil. It adds an unknown member, unless MaxMembers are known
+// already or the entry says that the member is dead or leaving: there is no use in remembering such a member.
 func (table *Table) memberFor(now int64, entry Entry) *record {
 	if member := table.members.byName[entry.Name]; member != nil {
 		return member
@@ -155,10 +155,10 @@
 	}
 }
 
-// receiveOwnEntry handles an entry under this instance's name. An entry of this incarnation with a higher version,
-// or one that says dead, is refuted by a higher version still. An entry of another incarnation is from an earlier
-// run of this instance, which the present entry has to outrank, or from a second instance that runs under the same
-// name.
+// receiveOwnEntry handles an entry under this instance's name. If an entry of this incarnation has a higher
+// version or says dead, this instance refutes it by raising its version above that of the entry. An entry of another
+// incarnation is from an earlier run of this instance, which the present entry has to outrank, or from a second
+// instance that runs under the same name.
 func (table *Table) receiveOwnEntry(now int64, entry Entry) {
 	self := &table.self.entry
 	if entry.Incarnation == self.Incarnation {
--- a/internal/cluster/membership/self.go
+++ b/internal/cluster/membership/self.go
@@ -5,7 +5,7 @@
 	entry             Entry
 	raisedAt          int64             // when the version of the entry was last raised
 	otherIncarnations incarnations      // seen under this instance's name
-	accusedVersions   map[string]uint64 // by observer: version of this instance that it reports, plus one
+	accusedVersions   map[string]uint64 // by observer: the version of this instance that the observer reports, plus one
 }
 
 func newSelfState(now int64, config Config) selfState {
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -200,8 +200,8 @@
 	table.changes = append(table.changes, Change{Member: self, Previous: Alive, Reason: reason})
 }
 
-// forget removes unconfigured members that are not alive and of which no news came for forgetAfter intervals. For the
-// other members it removes deaths and former incarnations that are too old to matter.
+// forget removes unconfigured members that are not alive and about which no news came for forgetAfter intervals. For
+// the other members it removes deaths and former incarnations that are too old to matter.
 func (table *Table) forget(now int64) {
 	if now-table.members.forgotAt < table.config.intervals(forgetEvery) {
 		return
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -17,7 +17,7 @@
 	publishedAt  int64
 	dirtySince   int64 // since when there are changes that are not in the view, or timing.Never
 	changedAt    int64 // when the last such change happened
-	heldOutUntil int64 // when the next held-out member may be in the view; 0: no member is held out
+	heldOutUntil int64 // when the first held-out member may return to the view; 0: no member is held out
 }
 
 // touch marks the published view as out of date.
@@ -45,8 +45,8 @@
 	return next
 }
 
-// settleView publishes the view once members have stopped changing, or have kept changing for maxChanging. So the
-// loss of a whole zone is one change of the view.
+// settleView publishes the view once members have stopped changing, or have kept changing for maxChanging intervals.
+// So the loss of a whole zone is one change of the view.
 func (table *Table) settleView(now int64) {
 	view, interval := &table.view, table.config.HeartbeatInterval
 	if view.heldOutUntil > 0 && now >= view.heldOutUntil {
@@ -91,7 +91,8 @@
 	return a.Name == b.Name && a.Weight == b.Weight && a.Address == b.Address && a.Incarnation == b.Incarnation
 }
 
-// updateHeldOut holds a member that keeps failing out of the view, and records when it may return.
+// updateHeldOut decides whether a member is left out of the view because it keeps failing, and records when it may
+// return.
 func (table *Table) updateHeldOut(now int64, member *record) {
 	countsFrom := member.Since + member.holdOut(table.config.HeartbeatInterval)
 	member.HeldOut = member.State == Alive && now < countsFrom
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -10,15 +10,15 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Limits of one message.
+// These limits apply to one message.
 const (
 	maxProbeResults = 512
 	maxLoadFields   = 16 // in the load report of one probe result
 	// maxGossipItems bounds entries and reports together: those passed on, and the two entries that a heartbeat
 	// adds.
 	maxGossipItems = 2*membership.MaxPerMessage + 2
-	maxMapPairs    = 64
-	maxNesting     = 8
+	maxMapPairs    = 64 // in one CBOR map
+	maxNesting     = 8  // levels of CBOR arrays and maps inside each other
 )
 
 // ErrLoadReportTooLong is the error for a load report with more than maxLoadFields fields.
@@ -30,7 +30,7 @@
 	Ballot  uint64    `cbor:"2,keyasint"` // of the lease under which the probe was sent
 	Healthy bool      `cbor:"3,keyasint"`
 	Load    []float64 `cbor:"4,keyasint,omitempty"` // the load report's values, in the order of the settings' fields
-	Seq     uint64    `cbor:"5,keyasint,omitempty"` // increases with each result under a ballot
+	Seq     uint64    `cbor:"5,keyasint,omitempty"` // increases with each result of the instance that sent the probe
 }
 
 // Message is a message between two instances. It may hold several parts.
@@ -66,7 +66,7 @@
 func Decode(raw []byte) (Message, error) {
 	var message Message
 	if err := decoding.Unmarshal(raw, &message); err != nil {
-		return Message{}, err
+		return Message{}, fmt.Errorf("decode message of %d bytes: %w", len(raw), err)
 	}
 	if err := message.checkBounds(); err != nil {
 		return Message{}, err
--- a/internal/cluster/message_test.go
+++ b/internal/cluster/message_test.go
@@ -81,7 +81,7 @@
 	}
 	for i, kind := range leaseKinds {
 		if int(kind) != i+1 {
-			t.Errorf("lease message kind %d has the number %d, want %d", i, kind, i+1)
+			t.Errorf("lease message kind at index %d has the number %d, want %d", i, kind, i+1)
 		}
 	}
 	reportKinds := []membership.ReportKind{
@@ -89,7 +89,7 @@
 	}
 	for i, kind := range reportKinds {
 		if int(kind) != i {
-			t.Errorf("report kind %d has the number %d, want %d", i, kind, i)
+			t.Errorf("report kind at index %d has the number %d, want %d", i, kind, i)
 		}
 	}
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -19,14 +19,14 @@
 // Config is the initial configuration of an instance.
 type Config struct {
 	Self       lease.Instance
-	Address    string // where this instance accepts links
-	Weight     float64
+	Address    string               // where this instance accepts links
+	Weight     float64              // this instance's share of the leases, relative to others
 	Contacts   []membership.Contact // the instances of the operator's file, with or without this instance
 	Lease      lease.Config         // New sets Self and Seed to those of this Config
 	Probe      *probe.Config        // nil: nothing is probed; New sets Slots and MaxClockDrift to those of Lease
-	Seed       uint64
-	WallMS     int64            // wall clock at the start, ms since 1970
-	Membership MembershipConfig // zero: derived from the renewal interval of leases
+	Seed       uint64               // of random numbers
+	WallMS     int64                // wall clock at the start, ms since 1970
+	Membership MembershipConfig     // zero: derived from the renewal interval of leases
 }
 
 // MembershipConfig sets how members detect failures of each other.
@@ -56,7 +56,7 @@
 	results probeResults
 }
 
-// New returns a node. If a part of the configuration is invalid, it returns the first such part's error.
+// New returns a node. If the configuration is invalid, it returns the error of the first invalid part.
 func New(now int64, config Config) (*Node, error) {
 	config.Lease.Self, config.Lease.Seed = config.Self, config.Seed
 	leases, err := lease.New(now, config.Lease)
@@ -166,8 +166,8 @@
 	node.sendGossip(sends)
 }
 
-// reconfigure applies a reloaded configuration. If the new voters cannot replace the present ones yet, the
-// present ones are kept.
+// reconfigure applies a reloaded configuration. If the new voters are invalid or cannot replace the present ones yet,
+// the present ones are kept.
 func (node *Node) reconfigure(now int64, event ConfigChanged) {
 	if err := node.leases.UpdateVoters(now, event.Voters); err != nil {
 		node.emit(Log{VotersKept{Cause: err}})
--- a/internal/cluster/paxos/paxos.go
+++ b/internal/cluster/paxos/paxos.go
@@ -4,7 +4,8 @@
 //
 //   - A voter is an instance that takes part in votes (an acceptor in Lamport's paper).
 //   - A quorum is a set of voters that shares at least one voter with every other quorum; here it is a majority.
-//   - A ballot is the number of an attempt. A voter that has promised a ballot rejects all lower ballots.
+//   - A ballot is the number of one attempt to win the votes of a quorum. A voter that has promised a ballot rejects
+//     all lower ballots.
 //   - An epoch, or term, is the number of a set of voters.
 package paxos
 
@@ -36,8 +37,9 @@
 // Majority returns the smallest number of voters that is more than half of all voters.
 func Majority(voters int) int { return voters/2 + 1 }
 
-// LatestMajority returns the latest instant that is not after the instants of a majority of the voters. instants has
-// at most one instant per voter, and is sorted by the call. ok is false if fewer than a majority have one.
+// LatestMajority returns the latest instant for which a majority of the voters have that instant or a later one.
+// instants has at most one instant per voter, and is sorted by the call. ok is false if fewer than a majority of the
+// voters have an instant.
 func LatestMajority(instants []int64, voters int) (latest int64, ok bool) {
 	majority := Majority(voters)
 	if len(instants) < majority {
--- a/internal/cluster/peer/links.go
+++ b/internal/cluster/peer/links.go
@@ -3,7 +3,7 @@
 // certificates of the two sides authenticate both the receiver and the sender of each message.
 //
 // Sending never waits for a slow peer. Each peer has a bounded queue, which drops its oldest frame when it is full.
-// The packages above send lost messages again where they need them.
+// Callers must send a message again if they need it and it may have been lost.
 package peer
 
 import (
--- a/internal/cluster/probe/config.go
+++ b/internal/cluster/probe/config.go
@@ -24,7 +24,7 @@
 // Config is the configuration of a Prober.
 type Config struct {
 	Period        int64   // between two probes of a target, ns
-	Timeout       int64   // in which a probe must be answered, ns
+	Timeout       int64   // within which a probe must be answered, ns
 	ColdPart      float64 // the part of a cold target's limit that probing may use
 	Cost          float64 // of a probe, seconds of sending time
 	MaxClockDrift float64 // the largest relative error of a clock's rate
@@ -53,7 +53,8 @@
 			time.Duration(config.Timeout).Milliseconds(), time.Duration(config.Period).Milliseconds())}
 	case !(config.ColdPart > 0 && config.ColdPart <= MaxColdPart): // true for NaN as well
 		return &ConfigError{"cold-part", fmt.Sprintf(
-			"the cold part is %v, must be above 0 and at most %v, because traffic uses 0.6", config.ColdPart, MaxColdPart)}
+			"the cold part is %v, must be above 0 and at most %v, because traffic uses 0.6 of a cold target's limit",
+			config.ColdPart, MaxColdPart)}
 	case !(config.Cost > 0):
 		return &ConfigError{"cost", fmt.Sprintf("the cost of a probe is %v s, must be above 0", config.Cost)}
 	}
--- a/internal/cluster/probe/prober.go
+++ b/internal/cluster/probe/prober.go
@@ -26,8 +26,8 @@
 	Target, Address string
 	Slot            int
 	Ballot          uint64 // of the slot's lease
-	Until           int64  // when the lease ends; the probe must be written before, or not at all
-	Timeout         int64  // in which the probe must be answered, ns
+	Until           int64  // when the lease ends; the probe must be sent before then, or not at all
+	Timeout         int64  // within which the probe must be answered, ns
 }
 
 // HoldsFunc reports whether this instance holds a slot's lease now, under which ballot and until when.
@@ -160,8 +160,8 @@
 	return true
 }
 
-// ColdBudget returns the cost of probes that a cold target can bear within a window, seconds of sending time. It is
-// computed from the target's capacity at its start, although the capacity rises during the warm-up.
+// ColdBudget returns how much all probes of a cold target within a window may cost together, in seconds of sending
+// time. It is computed from the target's capacity at its start, although the capacity rises during the warm-up.
 func (prober *Prober) ColdBudget(target Target) float64 {
 	limit := prober.config.limitOf(target)
 	window := float64(limit.Window)
--- a/internal/cluster/probe/prober_test.go
+++ b/internal/cluster/probe/prober_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// A prober sends no probes while the leases are not held, even if no loss was reported, or after a reported loss.
+// A prober sends no probes while the leases are not held, even before SlotLost reports that, and none after SlotLost.
 func TestNoProbesWithoutLease(t *testing.T) {
 	prober, times := newProber(testConfig(), 5), probeTimes{}
 	times.run(prober, 0, 5000*ms, holdsNone)
@@ -112,11 +112,11 @@
 	for now := int64(0); now < 5000*ms; now += 10 * ms {
 		due := len(prober.Due(now, holdsAll)) > 0
 		if next := prober.Next(now); next <= now || due && next > now+1000*ms {
-			t.Fatalf("next time is %d at %d, want later, and within a period after probes", next, now)
+			t.Fatalf("Next returned %d at %d, want a later time, and at most a period later if probes were due", next, now)
 		}
 	}
 	if next := New(testConfig()).Next(0); next != 1000*ms {
-		t.Errorf("next time without targets is %d, want %d", next, 1000*ms)
+		t.Errorf("Next without targets returned %d, want %d", next, 1000*ms)
 	}
 }
 
--- a/internal/cluster/probes.go
+++ b/internal/cluster/probes.go
@@ -8,7 +8,8 @@
 	"tealpath/internal/cluster/probe"
 )
 
-// maxTargetsSeen bounds the targets whose newest result order is kept. Peers can send results of any target.
+// maxTargetsSeen bounds the targets for which the order of the newest result is kept. Without a bound, a faulty peer
+// could fill the memory with results of targets that do not exist.
 const maxTargetsSeen = 1 << 14
 
 // maxQueuedResults bounds the probe results that wait to be sent: two for each of the 4,096 cache servers of the
@@ -81,7 +82,8 @@
 	node.takeProbeResult(result)
 }
 
-// relaysResults reports whether instances forward each other's results. They do where not all are neighbours.
+// relaysResults reports whether instances forward each other's results. They do in clusters in which not
+// all instances are neighbours.
 func (node *Node) relaysResults() bool {
 	const self = 1
 	return len(node.members.Alive()) > membership.MaxNeighbours+self
--- a/internal/cluster/sharedconfig/config.go
+++ b/internal/cluster/sharedconfig/config.go
@@ -1,7 +1,8 @@
 // Package sharedconfig implements the agreement of instances on one version of a shared configuration. Voters grant
 // leases on versions. A version is active at an instance only while, by the instance's own clock, leases on it from a
 // quorum of voters are valid. Two incompatible versions are never active at the same time, not even at different
-// instances; two compatible ones are for no longer than a lease. docs/agreement.md has the options and the bound.
+// instances. Two compatible versions are active at the same time for at most the duration of a lease.
+// docs/agreement.md has the options and the bound.
 //
 // A Node is the state of one instance. The caller passes in time and messages and carries out the effects that the
 // node returns. A Node does no input or output, reads no clock and is not safe for concurrent use. Instants are ns
@@ -34,8 +35,8 @@
 	Self          string   // name of this instance
 	Voters        []string // names of the instances whose majority grants leases
 	LeaseDuration int64    // how long a voter honors a lease after granting it
-	RenewInterval int64
-	MaxClockDrift float64 // largest relative error of a clock's rate: 0.01 is 1%
+	RenewInterval int64    // between two requests for leases on the newest version
+	MaxClockDrift float64  // largest relative error of a clock's rate: 0.01 is 1%
 	Incompatible  IncompatibleFunc
 	Initial       []byte // content of version 0, read from the file and active until another version is committed
 	Incarnation   uint64 // differs at each start, so that two starts don't use the same version numbers
--- a/internal/cluster/sharedconfig/node.go
+++ b/internal/cluster/sharedconfig/node.go
@@ -178,7 +178,7 @@
 	}
 }
 
-// deactivate ends the activity of the active version once its leases have ended.
+// deactivate reports that no version is active once the leases on the active one have ended.
 func (node *Node) deactivate(now int64) {
 	if _, _, ok := node.Active(now); node.isActive && !ok {
 		node.isActive = false
--- a/internal/cluster/sharedconfig/voter.go
+++ b/internal/cluster/sharedconfig/voter.go
@@ -44,8 +44,8 @@
 	state.current, state.leasedUntil = state.next, 0
 }
 
-// incompatible reports whether two versions must never be active at the same time. A version whose content is no longer
-// known counts as incompatible.
+// incompatible reports whether two versions must never be active at the same time. A version whose content is no
+// longer known counts as incompatible.
 func (node *Node) incompatible(current, proposed uint64) bool {
 	before, after := node.contents[current], node.contents[proposed]
 	if before == nil || after == nil {
--- a/internal/cluster/size_test.go
+++ b/internal/cluster/size_test.go
@@ -10,7 +10,7 @@
 	"tealpath/internal/cluster/peer"
 )
 
-// The probe results of all cache servers of the largest fleet, all found within one renewal interval, are sent in
+// If the probes of all cache servers of the largest fleet end within one renewal interval, the results are sent in
 // messages that fit a frame.
 func TestProbeResultsOfTheLargestFleet(t *testing.T) {
 	const servers = 4096
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -12,17 +12,17 @@
 	Incarnation  uint64         `json:"incarnation"`
 	Majority     bool           `json:"majority"`
 	Reason       string         `json:"why,omitempty"`       // why no leases are granted
-	SilentMS     int64          `json:"silent_ms,omitempty"` // until this instance votes after its start
+	SilentMS     int64          `json:"silent_ms,omitempty"` // time until this instance votes after its start
 	Voters       []string       `json:"voters"`
-	Epoch        uint64         `json:"epoch"`
+	Epoch        uint64         `json:"epoch"` // of the voters in force
 	Members      []MemberStatus `json:"members"`
 	Slots        []SlotStatus   `json:"slots"`
 	Targets      int            `json:"targets"`
-	OwnTargets   int            `json:"own_targets"`
-	Skipped      int64          `json:"probes_left_out"`
-	StaleResults int64          `json:"stale_findings"`
-	Frames       int64          `json:"frames_sent"`    // to other instances
-	FramesLost   uint64         `json:"frames_dropped"` // because a link's queue was full
+	OwnTargets   int            `json:"own_targets"`     // targets in slots whose leases this instance holds
+	Skipped      int64          `json:"probes_left_out"` // probes not sent to spare a cold target
+	StaleResults int64          `json:"stale_findings"`  // probe results dropped for a known higher ballot
+	Frames       int64          `json:"frames_sent"`     // to other instances
+	FramesLost   uint64         `json:"frames_dropped"`  // because a link's queue was full
 	Probes       int64          `json:"probes_sent"`
 }
 
@@ -31,10 +31,10 @@
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	State   string  `json:"state"`
-	SinceMS int64   `json:"since_ms"`
+	SinceMS int64   `json:"since_ms"` // how long it has been in this state
 	Weight  float64 `json:"weight"`
-	Epoch   uint64  `json:"epoch"`
-	Doubled bool    `json:"doubled,omitempty"`
+	Epoch   uint64  `json:"epoch"`             // of the voters that it uses
+	Doubled bool    `json:"doubled,omitempty"` // two instances may be running under this name
 }
 
 // SlotStatus is the state of one slot's lease.
@@ -52,8 +52,8 @@
 	SinceMS   int64          `json:"since_ms"` // since the view was published
 	Alive     int            `json:"alive"`
 	Health    int            `json:"local_health"`      // 0 is healthy, 8 is worst
-	AwayMS    int64          `json:"away_ms,omitempty"` // how long this instance's last pause took
-	CutOff    bool           `json:"cut_off,omitempty"`
+	AwayMS    int64          `json:"away_ms,omitempty"` // how long this instance's last pause lasted
+	CutOff    bool           `json:"cut_off,omitempty"` // no heartbeats arrive from any watched neighbour
 	Links     int            `json:"links"`
 	BytesSent int64          `json:"bytes_sent"`
 	Refused   int64          `json:"refused"` // gossip entries and reports that were rejected
@@ -69,12 +69,12 @@
 	Held     bool     `json:"held_out,omitempty"`    // left out of the view because it keeps failing
 	Doubled  bool     `json:"doubled,omitempty"`     // two instances may be running under this name
 	Reported []string `json:"reported_by,omitempty"` // an observer's name and its report: "b silent" or "b deaf"
-	Near     bool     `json:"neighbour,omitempty"`
-	InMS     int64    `json:"in_ms,omitempty"`  // since its last heartbeat arrived here
-	OutMS    int64    `json:"out_ms,omitempty"` // since it last confirmed a heartbeat from this instance
+	Near     bool     `json:"neighbour,omitempty"`   // this instance watches it
+	InMS     int64    `json:"in_ms,omitempty"`       // since its last heartbeat arrived here
+	OutMS    int64    `json:"out_ms,omitempty"`      // since it last confirmed a heartbeat from this instance
 }
 
-// Status returns this instance's state of leases and probes.
+// Status returns the state of this instance's leases and probes.
 func (node *Node) Status(now int64) Status {
 	voters := node.leases.Voters()
 	status := Status{
--- a/internal/compatibility/compare.go
+++ b/internal/compatibility/compare.go
@@ -27,7 +27,7 @@
 
 // The severities of conflicts. A Harmless conflict does no damage. A Bounded one may last as long as a lease,
 // because the rule that it affects allows for that time. An Exclusive one must not occur: no instance puts one of the
-// versions in force as long as another instance may act on the other.
+// versions in force as long as another instance may act on the other version.
 const (
 	Harmless Severity = iota
 	Bounded
--- a/internal/compatibility/compare_test.go
+++ b/internal/compatibility/compare_test.go
@@ -71,7 +71,8 @@
 			}
 			if WorstSeverity(conflicts) != test.severity || WorstSeverity(reversed) != test.severity ||
 				len(conflicts) != len(reversed) {
-				t.Errorf("%v, with the arguments swapped %v, want %s in both", conflicts, reversed, test.severity)
+				t.Errorf("conflicts %v, and %v with the arguments swapped; want %s as the worst of both",
+					conflicts, reversed, test.severity)
 			}
 		})
 	}
