--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -39,7 +39,7 @@
 	message Message
 }
 
-// newCluster starts count nodes, all of them voters, whose clock rates differ by up to 1%.
+// newCluster starts count nodes, all of them voters, whose clock rates are off by up to 1%.
 func newCluster(t *testing.T, count int) *testCluster {
 	t.Helper()
 	cluster := &testCluster{
--- a/internal/cluster/lease/config.go
+++ b/internal/cluster/lease/config.go
@@ -14,10 +14,10 @@
 // These are the limits that Config.Check enforces.
 const (
 	MaxSlots  = 4096
-	MaxVoters = 64 // names in both sets of voters: a holder keeps one bit per voter in a uint64
+	MaxVoters = 64 // names in both sets of voters together: a holder keeps one bit per voter in a uint64
 
-	maxAllowedDrift     = 0.1
-	minRenewalsPerLease = 3 // two renewals in a row may be lost without losing the lease
+	maxAllowedDrift     = 0.1 // of MaxClockDrift
+	minRenewalsPerLease = 3   // two renewals in a row may be lost without losing the lease
 )
 
 // Instance identifies one run of a router: each start has its own incarnation.
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -10,9 +10,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The tests in this file explore the reachable states of three nodes and one slot. They try every order in which
-// messages arrive, are lost or are duplicated, nodes crash and restart, and time passes, on clocks that are fast
-// and slow by the maximum drift. Each node has only itself as a candidate, so all of them keep requesting the slot.
+// The tests in this file explore the reachable states of three nodes and one slot. Up to a number of steps, they try
+// every order in which messages arrive, are lost or are duplicated, nodes crash and restart, and time passes, on
+// clocks that are fast and slow by the maximum drift. Each node has only itself as a candidate, so all of them keep
+// requesting the slot.
 // A state is a violation if the slot has two holders, or if it was acquired under a ballot that did not grow.
 // Durations are small numbers of nanoseconds. The drift is 10%, so that during one lease the clocks of two nodes move
 // apart by more than a time step, which is half a renewal interval.
--- a/internal/cluster/lease/node.go
+++ b/internal/cluster/lease/node.go
@@ -59,7 +59,7 @@
 
 	voterNames     []string
 	voterSets      [][]int  // indexes into voterNames; a quorum has a majority of each set
-	voterEpochs    []uint64 // latest epoch known of each voter
+	voterEpochs    []uint64 // latest known epoch of each voter
 	voterHeardAt   []int64  // when each voter last answered, or timing.Never
 	epochSettledAt int64    // since when a quorum has been at this node's epoch, or timing.Never
 
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -100,7 +100,7 @@
 	*changes = append(*changes, slotsChange{change, []int{slot}})
 }
 
-// runTasks runs the periodic tasks that are due and returns when the next one is.
+// runTasks runs the periodic tasks that are due and returns when the next one is due.
 func (node *Node) runTasks(now int64) (next int64) {
 	next = math.MaxInt64
 	holds := func(slot int) (uint64, int64, bool) { return node.leases.Holds(now, slot) }
--- a/internal/cluster/logevents.go
+++ b/internal/cluster/logevents.go
@@ -32,7 +32,7 @@
 	Cause    string `log:"cause,omitempty"`
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (MemberAlive) Kind() logevent.Kind {
 	return logevent.Kind{Name: "member_alive", Level: logevent.Info, Message: "another instance is alive"}
 }
@@ -44,7 +44,7 @@
 	Cause    string `log:"cause,omitempty"`
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (MemberDead) Kind() logevent.Kind {
 	return logevent.Kind{Name: "member_dead", Level: logevent.Warn, Message: "another instance is believed dead"}
 }
@@ -56,7 +56,7 @@
 	Cause    string `log:"cause,omitempty"`
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (MemberLeft) Kind() logevent.Kind {
 	return logevent.Kind{Name: "member_left", Level: logevent.Info, Message: "another instance has left"}
 }
@@ -67,7 +67,7 @@
 	Previous string `log:"previous"`
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (MembersAlive) Kind() logevent.Kind {
 	return logevent.Kind{Name: "members_alive", Level: logevent.Info, Message: "many other instances are alive"}
 }
@@ -78,7 +78,7 @@
 	Previous string `log:"previous"`
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (MembersDead) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "members_dead",
@@ -93,7 +93,7 @@
 	Previous string `log:"previous"`
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (MembersLeft) Kind() logevent.Kind {
 	return logevent.Kind{Name: "members_left", Level: logevent.Info, Message: "many other instances have left"}
 }
@@ -104,7 +104,7 @@
 	DurationMS int64 `log:"duration_ms"`
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (InstanceWasAway) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "instance_was_away",
@@ -116,7 +116,7 @@
 // InstanceCutOff reports that this instance no longer receives heartbeats from any neighbour.
 type InstanceCutOff struct{}
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (InstanceCutOff) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "instance_cut_off",
@@ -128,7 +128,7 @@
 // InstanceReconnected reports that the condition of InstanceCutOff has ended.
 type InstanceReconnected struct{}
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (InstanceReconnected) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "instance_reconnected",
@@ -143,7 +143,7 @@
 	Member string `log:"member"` // the name that both use
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (DuplicateNameDetected) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "duplicate_name_detected",
@@ -157,7 +157,7 @@
 	Member string `log:"member"`
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (DuplicateNameGone) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "duplicate_name_gone",
@@ -172,7 +172,7 @@
 	Ballot uint64 `log:"ballot"`
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (LeasesAcquired) Kind() logevent.Kind {
 	return logevent.Kind{Name: "leases_acquired", Level: logevent.Info, Message: "leases acquired"}
 }
@@ -184,7 +184,7 @@
 	Cause  string `log:"cause,omitempty"`
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (LeasesLost) Kind() logevent.Kind {
 	return logevent.Kind{Name: "leases_lost", Level: logevent.Info, Message: "leases lost"}
 }
@@ -192,7 +192,7 @@
 // QuorumReached reports that a majority of the voters is reachable.
 type QuorumReached struct{}
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (QuorumReached) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "quorum_reached",
@@ -206,7 +206,7 @@
 	MissingVoters string `log:"missing_voters"` // the voters not believed alive, each with its state
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (QuorumLost) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "quorum_lost",
@@ -220,7 +220,7 @@
 	Cause error `log:"cause"`
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (VotersKept) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "voters_kept",
@@ -235,7 +235,7 @@
 	VoterEpoch uint64 `log:"voter_epoch"` // the epoch of the voters in force
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (ConfigReloaded) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "cluster_config_reloaded",
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -14,8 +14,8 @@
 // leaseLinkDuration is how long a link is kept after a lease message was last sent on it, ns.
 const leaseLinkDuration = int64(10 * time.Second)
 
-// maxChangesLogged is how many simultaneous changes of one kind are logged one by one. More are logged as one
-// event, for example when a zone is lost or when all members are found at the start.
+// maxChangesLogged is how many simultaneous changes with the same transition are logged one by one. More are logged as
+// one event, for example when a zone is lost or when all members are found at the start.
 const maxChangesLogged = 8
 
 // peers is the set of instances to which links are kept open.
--- a/internal/cluster/membership/cluster_test.go
+++ b/internal/cluster/membership/cluster_test.go
@@ -13,9 +13,9 @@
 	step     = second / 20
 )
 
-// injectedFault is a fault of a table that the tests' checks must detect. The test cluster injects it by changing
+// plantedFault is a fault of a table that the tests' checks must detect. The test cluster plants it by changing
 // the table's input or state.
-type injectedFault struct {
+type plantedFault struct {
 	cannotRefute     bool // a table receives nothing about its own instance
 	believesOneClaim bool // one peer's claim that a member is dead is enough
 	ignoresOwnDelay  bool // a table does not notice that it ticks late
@@ -27,15 +27,15 @@
 	now         int64
 	names       []string
 	tables      map[string]*Table
-	faults      map[string]injectedFault // by table: the value of fault when it was started
+	faults      map[string]plantedFault // by table: the value of fault when it was started
 	down        map[string]bool
 	pausedUntil map[string]int64
 	cut         func(from, to string) bool // reports whether messages on this path are lost
 	loss        float64                    // share of messages that are lost
 	rng         *rand.Rand
 	inTransit   []message
-	fault       injectedFault // of tables to be started
-	twice       bool          // each message is delivered twice
+	fault       plantedFault // of tables to be started
+	twice       bool         // each message is delivered twice
 	starts      uint64
 	observe     func(name string, sends []Send, changes []Change) // called with a table's results; may be nil
 }
@@ -51,17 +51,17 @@
 
 func newCluster(t *testing.T, count int) *testCluster {
 	t.Helper()
-	return newFaultyCluster(t, count, injectedFault{})
+	return newFaultyCluster(t, count, plantedFault{})
 }
 
-// newFaultyCluster returns a cluster in which each table has an injected fault.
-func newFaultyCluster(t *testing.T, count int, fault injectedFault) *testCluster {
+// newFaultyCluster returns a cluster in which each table has a planted fault.
+func newFaultyCluster(t *testing.T, count int, fault plantedFault) *testCluster {
 	t.Helper()
 	cluster := &testCluster{
 		t:           t,
 		now:         1000 * second,
 		tables:      map[string]*Table{},
-		faults:      map[string]injectedFault{},
+		faults:      map[string]plantedFault{},
 		down:        map[string]bool{},
 		pausedUntil: map[string]int64{},
 		cut:         noCut,
@@ -148,14 +148,14 @@
 			continue
 		}
 		table.ObserveIncarnation(cluster.now, message.from, message.incarnation)
-		sends, changes := table.Receive(cluster.now, message.from, cluster.injectFault(to, message.send.Gossip))
+		sends, changes := table.Receive(cluster.now, message.from, cluster.plantFault(to, message.send.Gossip))
 		cluster.observed(to, sends, changes)
 		cluster.send(to, sends)
 	}
 }
 
-// injectFault applies a table's injected fault to the table and to the gossip that it is about to receive.
-func (cluster *testCluster) injectFault(to string, gossip Gossip) Gossip {
+// plantFault applies a table's planted fault to the table and to the gossip that it is about to receive.
+func (cluster *testCluster) plantFault(to string, gossip Gossip) Gossip {
 	fault := cluster.faults[to]
 	if fault.cannotRefute {
 		ofReceiver := func(entry Entry) bool { return entry.Name == to }
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -160,7 +160,8 @@
 	}
 }
 
-// dropOutdatedReports drops reports that are older than lifetime, or of another incarnation or an earlier version.
+// dropOutdatedReports drops reports that are older than lifetime, or about another incarnation or an earlier version
+// of the member.
 func (member *record) dropOutdatedReports(now, lifetime int64) {
 	maps.DeleteFunc(member.reports, func(_ string, report receivedReport) bool {
 		return now-report.at > lifetime || report.Incarnation != member.Incarnation || report.Version < member.Version
--- a/internal/cluster/membership/detect_test.go
+++ b/internal/cluster/membership/detect_test.go
@@ -192,7 +192,7 @@
 // A member that cannot refute stays dead after a pause, so the checks of the other tests detect that fault.
 func TestMemberThatCannotRefuteStaysDead(t *testing.T) {
 	cluster := newCluster(t, 30)
-	cluster.fault = injectedFault{cannotRefute: true}
+	cluster.fault = plantedFault{cannotRefute: true}
 	cluster.start("n003", cluster.wallMS())
 	cluster.run(4 * second)
 	cluster.pausedUntil["n003"] = cluster.now + 5*second
@@ -206,11 +206,11 @@
 func TestLateMemberReportsNobody(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		fault   injectedFault
+		fault   plantedFault
 		reports bool
 	}{
-		{"without a fault", injectedFault{}, false},
-		{"ignoring their own delay", injectedFault{ignoresOwnDelay: true}, true},
+		{"without a fault", plantedFault{}, false},
+		{"ignoring their own delay", plantedFault{ignoresOwnDelay: true}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			cluster := newFaultyCluster(t, 30, test.fault)
--- a/internal/cluster/membership/explore_test.go
+++ b/internal/cluster/membership/explore_test.go
@@ -18,8 +18,9 @@
 // end ends an event's effect on links. Pauses end by themselves.
 func (event) end(cluster *testCluster) { cluster.cut, cluster.twice = noCut, false }
 
-// allEvents returns these events: no fault; messages lost between two members in one direction, or to, from or to
-// and from one member; each message delivered twice; a pause; a restart, with the wall clock right or set back.
+// allEvents returns these events: no fault; the loss of all messages from one member to another, to one member, from
+// one member, or both to and from one member; each message delivered twice; a pause; a restart, with the wall clock
+// right or set back.
 // Each has a short variant and one that lasts long enough for members to be believed dead.
 func allEvents() []event {
 	var events []event
@@ -110,7 +111,7 @@
 }
 
 // explore runs a scenario and returns the first error, or an empty string.
-func explore(t *testing.T, events []event, fault injectedFault) string {
+func explore(t *testing.T, events []event, fault plantedFault) string {
 	t.Helper()
 	scenario := &scenario{newFaultyCluster(t, 3, fault), map[string]map[uint64]uint64{}}
 	if failure := scenario.runChecked(3 * second); failure != "" {
@@ -146,7 +147,7 @@
 	tried := 0
 	try := func(events ...event) {
 		tried++
-		if failure := explore(t, events, injectedFault{}); failure != "" {
+		if failure := explore(t, events, plantedFault{}); failure != "" {
 			names := ""
 			for _, event := range events {
 				names += event.name + "; "
@@ -179,7 +180,7 @@
 func TestScenariosDetectMembersThatCannotRefute(t *testing.T) {
 	found := 0
 	for _, one := range allEvents() {
-		if explore(t, []event{one}, injectedFault{cannotRefute: true}) != "" {
+		if explore(t, []event{one}, plantedFault{cannotRefute: true}) != "" {
 			found++
 		}
 	}
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -41,7 +41,8 @@
 	return queue.sendAt
 }
 
-// isNewRumour records a rumour that a member's present version is dead, and reports whether it is the first one.
+// isNewRumour records a rumour that a member's present version is dead, and reports whether it is the first rumour
+// about that version.
 func (queue *gossipQueue) isNewRumour(member *record) bool {
 	if queue.rumours[member.Name] == member.Version+1 {
 		return false
--- a/internal/cluster/membership/receive_test.go
+++ b/internal/cluster/membership/receive_test.go
@@ -53,15 +53,15 @@
 }
 
 // One member sends false death claims and forges the reports of other observers. No instance may believe them. With
-// the injected fault believesOneClaim, a single claim is enough, and the test must notice that.
+// the planted fault believesOneClaim, a single claim is enough, and the test must notice that.
 func TestFalseReportsOfOneMember(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		fault injectedFault
+		fault plantedFault
 		dead  bool
 	}{
-		{"without a fault", injectedFault{}, false},
-		{"one claim is believed", injectedFault{believesOneClaim: true}, true},
+		{"without a fault", plantedFault{}, false},
+		{"one claim is believed", plantedFault{believesOneClaim: true}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			cluster := newFaultyCluster(t, 30, test.fault)
--- a/internal/cluster/membership/record_test.go
+++ b/internal/cluster/membership/record_test.go
@@ -39,7 +39,7 @@
 	}
 	faults := rand.New(rand.NewPCG(48, members))
 	for range seconds {
-		cluster.drawFault(faults)
+		cluster.injectRandomFault(faults)
 		cluster.run(second)
 		for _, name := range cluster.names {
 			table := cluster.tables[name]
@@ -53,8 +53,8 @@
 	recorder.Check(recordedDigest)
 }
 
-// drawFault begins or ends a random fault, or does nothing.
-func (cluster *testCluster) drawFault(faults *rand.Rand) {
+// injectRandomFault begins or ends a random fault, or does nothing.
+func (cluster *testCluster) injectRandomFault(faults *rand.Rand) {
 	name := cluster.names[faults.IntN(len(cluster.names))]
 	other := cluster.names[faults.IntN(len(cluster.names))]
 	duration := faults.Int64N(8 * second)
--- a/internal/cluster/membership/rings.go
+++ b/internal/cluster/membership/rings.go
@@ -18,7 +18,7 @@
 // Rings orders names by hash on four rings. All instances that know the same names compute the same rings. Each
 // member watches the previous and the next member on each ring and is watched by them. The links form an expander
 // graph with at most eight links per member, however many members there are. If a third of the members fail, the
-// others stay connected.
+// others almost always stay connected.
 type Rings struct {
 	names  []string
 	rings  [ringCount][]ringPoint
--- a/internal/cluster/membership/rings_test.go
+++ b/internal/cluster/membership/rings_test.go
@@ -16,8 +16,8 @@
 	return names
 }
 
-// Each member has at most eight neighbours, and they watch each other. The members stay connected without a random
-// third of them. A new member changes the neighbours of few others.
+// Each member has at most eight neighbours, and they watch each other. Without a random third of them, at most one of
+// the other members is disconnected. A new member changes the neighbours of few others.
 func TestRingsAreMutualAndConnected(t *testing.T) {
 	for _, count := range []int{1, 2, 3, 9, 10, 30, 300, 3000} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
--- a/internal/cluster/message_test.go
+++ b/internal/cluster/message_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// During an upgrade, instances of this version and of the previous one exchange messages. So the encoding of a
-// message must not change.
+// During an upgrade, instances that run this version of the program and the previous one exchange messages. So the
+// encoding of a message must not change.
 func TestMessageBytes(t *testing.T) {
 	message := fullMessage()
 	raw, err := message.Encode()
--- a/internal/cluster/peer/frame_test.go
+++ b/internal/cluster/peer/frame_test.go
@@ -50,7 +50,7 @@
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		payload, err := readFrame(bytes.NewReader(raw), MaxFrameSize)
 		if err == nil && !bytes.HasPrefix(raw, appendFrame(nil, payload)) {
-			t.Errorf("%x was read as %x", raw, payload)
+			t.Errorf("input %x does not begin with the frame of the payload read from it, %x", raw, payload)
 		}
 		if sender, err := readHello(bytes.NewReader(raw)); err == nil && sender.Version != ProtocolVersion {
 			t.Errorf("hello %+v was accepted, want only version %d", sender, ProtocolVersion)
--- a/internal/cluster/peer/keys.go
+++ b/internal/cluster/peer/keys.go
@@ -40,7 +40,8 @@
 	return keys, nil
 }
 
-// CheckName returns an error if the certificate is not valid for a name at a time, as a server and as a client.
+// CheckName returns an error if the certificate is not valid for a name at the given time, both as a server and as a
+// client.
 func (keys *Keys) CheckName(name string, at time.Time) error {
 	chain := x509.NewCertPool()
 	for _, raw := range keys.pair.Certificate[1:] {
--- a/internal/cluster/peer/logevents.go
+++ b/internal/cluster/peer/logevents.go
@@ -22,7 +22,7 @@
 	Member string `log:"member"`
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (Connected) Kind() logevent.Kind {
 	return logevent.Kind{Name: "peer_connected", Level: logevent.Info, Message: "connected to another instance"}
 }
@@ -33,7 +33,7 @@
 	Cause  error  `log:"cause"`
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (Disconnected) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "peer_disconnected",
@@ -49,7 +49,7 @@
 	Times  int    `log:"times"` // failures since the last such event for this member
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (ConnectFailed) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "peer_connect_failed",
@@ -64,7 +64,7 @@
 	Times int   `log:"times"` // failures since the last such event
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (AcceptFailed) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "peer_accept_failed",
@@ -79,7 +79,7 @@
 	Times   int    `log:"times"` // refusals since the last such event
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (AddressRefused) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "peer_address_refused",
@@ -95,7 +95,7 @@
 	Times   int    `log:"times"` // refusals since the last such event
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (LinkLimitReached) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "peer_link_limit_reached",
@@ -111,7 +111,7 @@
 	Times   int    `log:"times"` // refusals since the last such event
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (HandshakeLimitReached) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "peer_handshake_limit_reached",
@@ -127,7 +127,7 @@
 	Times   int    `log:"times"` // refusals since the last such event
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (HandshakeRefused) Kind() logevent.Kind {
 	return logevent.Kind{Name: "peer_handshake_refused", Level: logevent.Warn, Message: "handshake refused"}
 }
@@ -139,7 +139,7 @@
 	Times  int    `log:"times"` // violations since the last such event
 }
 
-// Kind returns the event's name and level.
+// Kind implements logevent.Event.
 func (ProtocolViolation) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "peer_protocol_violation",
--- a/internal/cluster/probe/config.go
+++ b/internal/cluster/probe/config.go
@@ -23,14 +23,14 @@
 
 // Config is the configuration of a Prober.
 type Config struct {
-	Period        int64   // between two probes of a target, ns
-	Timeout       int64   // within which a probe must be answered, ns
-	ColdPart      float64 // the part of a cold target's limit that probing may use
-	Cost          float64 // of a probe, seconds of sending time
-	MaxClockDrift float64 // the largest relative error of a clock's rate
-	Slots         int
-	Cache         ColdLimit
-	Parent        ColdLimit
+	Period        int64     // between two probes of a target, ns
+	Timeout       int64     // within which a probe must be answered, ns
+	ColdPart      float64   // the part of a cold target's limit that probing may use
+	Cost          float64   // of a probe, seconds of sending time
+	MaxClockDrift float64   // the largest relative error of a clock's rate
+	Slots         int       // to which the targets hash
+	Cache         ColdLimit // of targets that are not parent caches
+	Parent        ColdLimit // of parent caches
 }
 
 // ConfigError is the error for an invalid setting.
--- a/internal/cluster/sharedconfig/node.go
+++ b/internal/cluster/sharedconfig/node.go
@@ -74,7 +74,7 @@
 // Newest returns the newest committed version that this node knows, whether or not it is active.
 func (node *Node) Newest() Version { return node.version(node.newest) }
 
-// version returns the version with a number; its content is nil if this node does not have it.
+// version returns the version with the given number; its content is nil if this node does not have it.
 func (node *Node) version(number uint64) Version {
 	return Version{Number: number, Content: node.contents[number]}
 }
--- a/internal/cluster/sharedconfig/voter.go
+++ b/internal/cluster/sharedconfig/voter.go
@@ -14,7 +14,8 @@
 	accepted    uint64 // highest number of the proposals that the voter accepted
 }
 
-// previousVersion is an earlier version of a voter, on which leases that it granted may last until leasedUntil.
+// previousVersion is a version on which a voter granted leases before it changed to its current one. These leases may
+// last until leasedUntil.
 type previousVersion struct {
 	number      uint64
 	leasedUntil int64
--- a/internal/compatibility/migration_test.go
+++ b/internal/compatibility/migration_test.go
@@ -66,6 +66,6 @@
 		t.Fatalf("error %v, want an *EpochOrderError from epoch 4 to 3", err)
 	}
 	if want := "voters of epoch 3 can't follow those of epoch 4"; err.Error() != want {
-		t.Errorf("%q, want %q", err, want)
+		t.Errorf("error text %q, want %q", err, want)
 	}
 }
