--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -17,8 +17,8 @@
 	leaseDuration     int64
 	names             []string
 	nodes             map[string]*Node
-	startedAt         map[string]int64 // simulated time at which the node's clock read 0
-	rate              map[string]float64
+	startedAt         map[string]int64            // simulated time at which the node's clock read 0
+	rate              map[string]float64          // of the node's clock
 	frozen            map[string]bool             // nodes that are paused: they neither tick nor receive
 	cut               func(from, to string) bool  // whether a link drops messages; nil drops none
 	delay             func(from, to string) int64 // of a link, ns; nil is 2 ms on all links
@@ -39,7 +39,7 @@
 	message Message
 }
 
-// newCluster starts count nodes, all of them voters, whose clock rates differ by up to 1%.
+// newCluster starts count nodes, all of them voters, whose clock rates are off by up to 1%.
 func newCluster(t *testing.T, count int) *testCluster {
 	t.Helper()
 	cluster := &testCluster{
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -26,7 +26,7 @@
 	entries map[string]queuedName
 	reports []queuedReport
 	sendAt  int64             // 0: nothing is queued
-	rumours map[string]uint64 // by member: version of the last rumour passed on, plus one
+	rumours map[string]uint64 // by member: the member's version in the last rumour passed on, plus one
 }
 
 func newGossipQueue() gossipQueue {
@@ -41,7 +41,8 @@
 	return queue.sendAt
 }
 
-// isNewRumour records a rumour that a member's present version is dead, and reports whether it is the first one.
+// isNewRumour records a rumour that a member's present version is dead, and reports whether it is the first rumour
+// about that version.
 func (queue *gossipQueue) isNewRumour(member *record) bool {
 	if queue.rumours[member.Name] == member.Version+1 {
 		return false
@@ -75,7 +76,8 @@
 	reports []queuedReport
 }
 
-// take removes as much from the queue as one message holds and returns it.
+// take removes as much from the queue as one message holds and returns it. Of the reports that remain it keeps the
+// latest maxQueuedReports.
 func (queue *gossipQueue) take(table *Table) gossipBatch {
 	var batch gossipBatch
 	names := slices.Sorted(maps.Keys(queue.entries))
--- a/internal/cluster/sharedconfig/voter.go
+++ b/internal/cluster/sharedconfig/voter.go
@@ -14,7 +14,8 @@
 	accepted    uint64 // highest number of the proposals that the voter accepted
 }
 
-// previousVersion is an earlier version of a voter, on which leases that it granted may last until leasedUntil.
+// previousVersion is a version on which a voter granted leases before it changed to its current one. These leases may
+// last until leasedUntil.
 type previousVersion struct {
 	number      uint64
 	leasedUntil int64
@@ -44,8 +45,8 @@
 	state.current, state.leasedUntil = state.next, 0
 }
 
-// incompatible reports whether two versions must never be active at the same time. A version whose content is no longer
-// known counts as incompatible.
+// incompatible reports whether two versions must never be active at the same time. A version whose content is no
+// longer known counts as incompatible.
 func (node *Node) incompatible(current, proposed uint64) bool {
 	before, after := node.contents[current], node.contents[proposed]
 	if before == nil || after == nil {
