--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -148,7 +148,7 @@
 	issued time.Time // guarded by mu
 }
 
-// issuedFor returns when the copy was issued that is the response to a request.
+// issuedFor returns the time at which the copy in the response to a request was issued.
 func (c *sharedCopy) issuedFor(request testkit.CacheRequest) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/tealpath/clockhelpers_test.go
+++ b/cmd/tealpath/clockhelpers_test.go
@@ -109,8 +109,8 @@
 	discovery *testkit.EventStream
 }
 
-// newClockTest starts two caches and a discovery service, and writes the configuration of a router. issued returns when
-// the copy was issued that a cache responds with; if issued is nil, this is the time of the response.
+// newClockTest starts two caches and a discovery service, and writes the configuration of a router. issued returns the
+// time at which the copy in a cache's response was issued; if issued is nil, this is the time of the response.
 func newClockTest(t *testing.T, issued func(testkit.CacheRequest) time.Time) clockTest {
 	t.Helper()
 	test := clockTest{discovery: testkit.StartEventStream(t)}
--- a/cmd/tealpath/clocksnapshot_test.go
+++ b/cmd/tealpath/clocksnapshot_test.go
@@ -22,8 +22,8 @@
 	return file
 }
 
-// A router serves requests and writes a snapshot although the wall clock steps by an hour at each reading, forward and
-// back in turn.
+// A router serves requests and writes a snapshot although the wall clock steps by an hour each time it is read, forward
+// and back in turn.
 func TestServesWhileClockStepsAtEachReading(t *testing.T) {
 	t.Parallel()
 	test, folder := newClockTest(t, nil), t.TempDir()
@@ -50,8 +50,8 @@
 	ignoredFuture = `"event":"snapshot_ignored","cause":"it was taken ` // followed by how far ahead the snapshot's time is
 )
 
-// snapshotClocks contains the errors of the wall clocks of the router that writes a snapshot and of the router that
-// reads it.
+// snapshotClocks contains the offsets and steps of the wall clocks of the router that writes a snapshot and of the
+// router that reads it.
 type snapshotClocks struct {
 	writerOffset, writerStep time.Duration // offset at the start, and step before the snapshot is written
 	readerOffset, readerStep time.Duration // offset at the start, and step before the snapshot is read
--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -27,7 +27,7 @@
 	{"endpoint lists received, KB", 2, 64, 500, func(f growthFigures) float64 { return f.listKB }},
 }
 
-// minServedShare is the minimum share of served requests among many cache servers, as a part of the share among the
+// minServedShare is the minimum share of served requests among many cache servers, relative to the share among the
 // usual number.
 const minServedShare = 0.85
 
@@ -38,7 +38,7 @@
 	{"more objects than connections", true, 1200, 8 * time.Millisecond, 30_000, 0},
 }
 
-// listFromService is the traffic of a router that receives its endpoint list from discovery.
+// listFromService is the traffic of a router that receives its endpoint list from the discovery service.
 var listFromService = trafficProfiles[1]
 
 // buildProgram builds the router and returns the path of the binary.
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -42,7 +42,7 @@
 	peakMB      float64
 	descriptors float64 // maximum number of open descriptors
 	connections float64 // number of connections opened to cache servers
-	listKB      float64 // bytes received from discovery
+	listKB      float64 // data received from the discovery service, KB
 	served      float64 // share of the requests that were served
 }
 
@@ -60,8 +60,8 @@
 }
 
 // serverAddress returns an address with port 0 on a loopback host that only this process uses. On 127.0.0.1 the
-// connections of other processes could take the ports, and other routers could connect to a cache server of this test
-// if it has the address of a former one of theirs.
+// connections of other processes could take the ports, and a cache server of this test could get the address of one
+// that has ended and to which routers of other tests still connect.
 func serverAddress() string {
 	return fmt.Sprintf("127.100.%d.%d:0", os.Getpid()>>8&255, max(1, os.Getpid()&255))
 }
@@ -128,7 +128,7 @@
 }
 
 // growthConfig is the format of a router's configuration. Its arguments are the router's address, its memory in MB, the
-// address of discovery, the known watch events, and twice the number of routers.
+// address of the discovery service, the known watch events, and twice the number of routers.
 const growthConfig = `{"name":"n0","listen":%q,"seed":"07","limits":{"cores":1,"memory_mb":%d,"sockets":1024},
  "journal":%q,"known":%s,"settings":{"balancers":%d,"locality":"here","failureDomains":["here"],"machineTypes":["cache"],
  "familyInfo":{"zoneBalancers":[%d],"purgeTakesS":6},"limits":{"attemptsCap":6,"cancel":true,"mayProbe":true,
@@ -158,9 +158,9 @@
 	go f.sampleDescriptors(done)
 }
 
-// sampleDescriptors records the maximum number of open descriptors of the router since it listens. Before that, the
-// process may still be in exec, where it has copies of this test's thousands of descriptors until the system has closed
-// them one by one.
+// sampleDescriptors records the maximum number of open descriptors of the router since it began to listen. Before
+// that, the process may still be in exec, where it has copies of this test's thousands of descriptors until the system
+// has closed them one by one.
 func (f *growthFleet) sampleDescriptors(done <-chan struct{}) {
 	const interval = 50 * time.Millisecond
 	for {
--- a/cmd/tealpath/helpers_test.go
+++ b/cmd/tealpath/helpers_test.go
@@ -48,12 +48,12 @@
 	configPath string
 	discovery  string   // address of the discovery service
 	caches     []string // addresses of the caches s-a and s-b
-	deadline   float64  // maximum deadline of a request, in seconds
+	deadline   float64  // longest deadline of a request, in seconds
 	changes    []string // replacements in the configuration's text: old, new, old, new, …
 }
 
 // configFormat is the format of a router's configuration. Its arguments are the router's name, its address, the
-// address of discovery, the known endpoints and the maximum deadline in seconds.
+// address of the discovery service, the known endpoints and the longest deadline in seconds.
 const configFormat = `{"name":"%s","listen":"%s","seed":"07","limits":{"cores":1,"memory_mb":192,"sockets":1024},
 "journal":"%s","known":{"pos":1,"entries":[{"pos":1,"hosts":{"instances":[%s]}}]},"settings":{"balancers":1,
 "locality":"here","failureDomains":["hub","here"],"machineTypes":["cache","parent","origin"],"familyInfo":{
@@ -93,7 +93,7 @@
 	}, ",")
 }
 
-// config returns the configuration with the given router name and address of discovery.
+// config returns the configuration with the given router name and address of the discovery service.
 func (r *testRouter) config(name, discovery string) []byte {
 	text := fmt.Sprintf(configFormat, name, r.address, discovery, r.endpointsJSON(), r.deadline)
 	return []byte(strings.NewReplacer(r.changes...).Replace(text))
--- a/cmd/tealpath/print.go
+++ b/cmd/tealpath/print.go
@@ -10,8 +10,7 @@
 // durationStep is the unit to which printed durations are rounded.
 const durationStep = 100 * time.Millisecond
 
-// table writes aligned columns to standard output. Write errors are ignored, as is usual for
-// fmt.Printf.
+// table writes aligned columns to standard output. Write errors are ignored, as is usual for fmt.Printf.
 type table struct{ *tabwriter.Writer }
 
 func newTable() table { return table{tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)} }
--- a/cmd/tealpath/shutdown_test.go
+++ b/cmd/tealpath/shutdown_test.go
@@ -16,7 +16,7 @@
 	discovery := testkit.StartEventStream(t)
 	for _, c := range []struct {
 		name     string
-		deadline float64 // maximum deadline of a request, in seconds
+		deadline float64 // longest deadline of a request, in seconds
 		shutdown func(t *testing.T, router *testRouter, caches []*testkit.Cache)
 		within   time.Duration
 	}{
--- a/cmd/tealpath/shutdownbusy_test.go
+++ b/cmd/tealpath/shutdownbusy_test.go
@@ -16,7 +16,7 @@
 // docs/endings.md lists the requirements.
 
 const (
-	// killDelay is how much later than the maximum deadline, counted from SIGTERM, the platform sends SIGKILL.
+	// killDelay is the time from the longest deadline, counted from SIGTERM, to the platform's SIGKILL.
 	killDelay = 700 * time.Millisecond
 	// maxLateness is how late a response may be on a machine with other load.
 	maxLateness = 250 * time.Millisecond
@@ -105,8 +105,8 @@
 	return true
 }
 
-// expectNoneLost checks that each request without a response was sent at most shortly before its connection ended, and
-// was not forwarded to a cache. stalled is how long the router could not run; it reads no requests during that time.
+// expectNoneLost checks that each request without a response was sent shortly before its connection ended, and was not
+// forwarded to a cache. stalled is how long the router could not run; it reads no requests during that time.
 func expectNoneLost(
 	t *testing.T, caches []*testkit.Cache, exchanges []exchange, endedAt time.Time, stalled time.Duration,
 ) {
@@ -138,7 +138,7 @@
 	})
 }
 
-// The router ends before the platform's SIGKILL, which comes 0.7 s after the maximum deadline from SIGTERM on, although
+// The router ends before the platform's SIGKILL, which comes the longest deadline plus 0.7 s after SIGTERM, although
 // clients continue to send requests and responses take 0.1 s to 0.25 s.
 func TestShutdownEndsBeforeKillWhileClientsSend(t *testing.T) {
 	inFlight := func(time.Duration) time.Duration { return 250 * time.Millisecond }
@@ -223,7 +223,7 @@
 	}
 }
 
-// No request is lost that arrives on an idle connection at the moment at which a router that shuts down closes it.
+// A request is not lost if it arrives on an idle connection just as the router, during its shutdown, closes it.
 func TestRequestsCrossTheCloseOfIdleConnections(t *testing.T) {
 	t.Parallel()
 	const clients, deadline = 60, 300 * time.Millisecond
--- a/deploy/imports_test.go
+++ b/deploy/imports_test.go
@@ -70,8 +70,8 @@
 // impure lists the packages that no pure package may import, nor any package below them.
 var impure = []string{"net", "os", "syscall", "context", "sync", "log", "runtime", "crypto/rand", "golang.org/x/sys"}
 
-// pureSelectors lists the names that pure packages may use of packages whose other names read a clock or use a shared
-// source of random numbers.
+// pureSelectors maps packages to the only names of them that pure packages may use. Their other names read a clock or
+// use a shared source of random numbers.
 var pureSelectors = map[string][]string{
 	"time":         {"Duration", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour"},
 	"math/rand/v2": {"New", "NewPCG", "Rand", "PCG"},
@@ -146,7 +146,8 @@
 	return nil
 }
 
-// impureSelectors returns the names that a file uses of the packages in pureSelectors and that are not listed there.
+// impureSelectors returns the names that a file uses of packages in pureSelectors although pureSelectors does not list
+// them.
 func impureSelectors(file *ast.File) (found []string) {
 	allowedNames := map[string][]string{} // by the name under which the file imports the package
 	for _, spec := range file.Imports {
--- a/deploy/red_test.go
+++ b/deploy/red_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// .ci/red runs the tests that are known to fail separately from the others. This test runs it on a module with two
+// .ci/red runs the tests that are known to fail apart from all other tests. This test runs it on a module with two
 // packages, in which one test passes and two fail.
 func TestKnownRed(t *testing.T) {
 	red, err := filepath.Abs("../.ci/red")
--- a/internal/adminsocket/accept_test.go
+++ b/internal/adminsocket/accept_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// listen opens a Unix socket whose first calls of Accept fail. Their number is failures.
+// listen opens a Unix socket. failures is the number of calls of Accept that fail with errno before one can succeed.
 func listen(t *testing.T, path string, errno syscall.Errno, failures int64) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("unix", path)
--- a/internal/adminsocket/client.go
+++ b/internal/adminsocket/client.go
@@ -36,5 +36,8 @@
 	if received.Error != "" {
 		return errors.New(received.Error)
 	}
-	return json.Unmarshal(received.Answer, into)
+	if err := json.Unmarshal(received.Answer, into); err != nil {
+		return fmt.Errorf("decode the answer to %q from %s: %w", words, path, err)
+	}
+	return nil
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -63,7 +63,7 @@
 	return config, nil
 }
 
-// Reload loads the configuration again for the router that runs with c. The name and the address of clients are those
+// Reload loads the configuration again for the router that runs with c. The name and the address for clients are those
 // of the file, since the environment variables LB_NAME and LB_LISTEN of a running process do not change. If the file
 // is for another router, the error is an *OtherRouterError.
 func (c *Config) Reload(getenv func(string) string) (*Config, error) {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Errors of a configuration without a type of their own.
+// Sentinel errors of this package.
 var (
 	ErrNoFile         = errors.New("LB_CONFIG is not set: it must be the path of the configuration file")
 	ErrNegativeLimits = errors.New("limits must not be negative")
@@ -19,13 +19,13 @@
 
 func (e *MissingError) Error() string { return e.Field + " is missing" }
 
-// SeedError reports a seed that is not a hexadecimal number of 64 bits.
+// SeedError reports a seed that is not a hexadecimal number of at most 64 bits.
 type SeedError struct {
 	Seed string
 }
 
 func (e *SeedError) Error() string {
-	return fmt.Sprintf("seed %q is not a hexadecimal number of 64 bits", e.Seed)
+	return fmt.Sprintf("seed %q is not a hexadecimal number of at most 64 bits", e.Seed)
 }
 
 // LineError is an error of the JSON decoder with the line at which it occurred.
--- a/internal/config/parse.go
+++ b/internal/config/parse.go
@@ -13,7 +13,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bytesPerSecondSetting is the key for control.DecodeSettings of the file's flow_bytes_per_s.
+// bytesPerSecondSetting is the key under which control.DecodeSettings expects the file's flow_bytes_per_s.
 const bytesPerSecondSetting = "answer.bytesPerS"
 
 // fileContent is the JSON object in the configuration file.
--- a/internal/connpool/config.go
+++ b/internal/connpool/config.go
@@ -6,7 +6,7 @@
 type Config struct {
 	Router         string  // name of the router, from which its subset is computed
 	Seed           uint64  // of the plan's random numbers
-	Routers        int     // number of routers in the location, by the settings
+	Routers        int     // number of routers in the location, according to the settings
 	MaxConnections int     // connections that a cache accepts from all routers together
 	MaxConnectRate float64 // new connections per second that a cache accepts from all routers; 0: no limit
 }
--- a/internal/connpool/connections.go
+++ b/internal/connpool/connections.go
@@ -73,8 +73,8 @@
 }
 
 // Preconnect returns the caches of the subset that the router should connect to now, before there is a request for
-// them, the most preferred first. It returns none if the connect rate is not limited: the first request
-// for a cache can then open a connection without delay.
+// them, the most preferred first. It returns none if the connect rate is not limited: the first request for a cache can
+// then open a connection without delay.
 func (p *Plan) Preconnect(now int64) (names []string) {
 	if p == nil || p.config.MaxConnectRate == 0 {
 		return nil
--- a/internal/lifecycle/restore/confirmation.go
+++ b/internal/lifecycle/restore/confirmation.go
@@ -23,8 +23,8 @@
 
 // ListConfirmation finds out whether the endpoint list of a snapshot is still in force. The router resumes the watch
 // one event before the last one that it knows. If the service sends that last event again, byte for byte, it is the
-// service that sent the list, and it sends all later events too. A service that restarts the numbers of its events
-// for each start of a router, as the platform's does, sends another event under that number. If the service sends
+// service that sent the list, and it sends all later events too. A service that numbers its events from 1
+// again at each start of a router, as the platform's does, sends another event under that number. If the service sends
 // nothing, the list is not confirmed.
 //
 // A nil ListConfirmation is for a router without such a list: its outcomes are all Pending.
--- a/internal/lifecycle/startup/progress.go
+++ b/internal/lifecycle/startup/progress.go
@@ -13,8 +13,8 @@
 const (
 	NoList    Phase = iota // no endpoint list is known; the health check fails
 	ListKnown              // the list is from the configuration or a snapshot, so it may be out of date
-	WarmingUp              // the discovery service has answered; rates were observed for less than RateWindow
-	Warm                   // rates were observed for at least RateWindow
+	WarmingUp              // the discovery service has answered; request rates were counted for less than RateWindow
+	Warm                   // request rates were counted for at least RateWindow
 )
 
 // phaseNames are the names of phases in log lines, which docs/oncall.md explains.
@@ -53,8 +53,8 @@
 	}
 }
 
-// Update returns the phase at a time, and whether it differs from the one of the previous call. A phase is never
-// followed by an earlier one, because a router keeps what it has learned while the service is down.
+// Update returns the phase at a time, and whether it differs from the phase that the previous call returned. A phase is
+// never followed by an earlier one, because a router keeps its list and its request rates while the service is down.
 func (p *Progress) Update(now int64) (phase Phase, changed bool) {
 	next := p.phaseAt(now)
 	if next <= p.phase {
--- a/internal/lifecycle/startup/readiness.go
+++ b/internal/lifecycle/startup/readiness.go
@@ -4,11 +4,11 @@
 
 // ReadinessHold limits the calls of routers that start together: all of them together make their first calls at
 // CallRate, and each one reports that it is not ready until the discovery service has answered it, for MaxDuration
-// at most. The zero value is no hold: routers that serve from a list of their configuration call within
+// at most. The zero value is no hold: routers that serve from a list in their configuration call within
 // maxFirstSpread, since they count as notified of a change as soon as the service has it.
 type ReadinessHold struct {
 	CallRate    float64 // calls per second of all routers together
-	MaxDuration int64   // longest time for which the service may keep a router from being ready, ns
+	MaxDuration int64   // longest time for which a router that gets no answer is not ready, ns
 }
 
 // HoldTooShortError reports a ReadinessHold that is too short for all routers to call at its rate and get an answer.
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -42,13 +42,13 @@
 	backoffGrowth = 3 // decorrelated jitter: the next delay is at most this multiple of the last one
 
 	// minUnansweredDelay is the shortest delay after a call that was accepted but not answered. If routers that
-	// give up called again soon, their calls would keep the service's queue as long as it is.
+	// give up called again soon, their calls would refill the service's queue as fast as it empties.
 	minUnansweredDelay = maxRetryDelay * 2 / 3
 
-	// A truncated answer is requested again almost at once, up to maxTruncatedRetries times in a row, since the
-	// router counts as notified of the changes in it: the usual spread is longer than the grace period of draining
-	// endpoints, 250 ms. A router without a list sends no requests and backs off instead, so that it does not
-	// call a service that truncates all its answers more often.
+	// A truncated answer is requested again almost at once, up to maxTruncatedRetries times in a row: the router
+	// counts as notified of the changes in it, and the usual spread of retries is longer than the grace period of
+	// draining endpoints, 250 ms. A router without a list sends no requests and backs off instead, so that it does
+	// not call a service that truncates all its answers more often.
 	maxTruncatedRetries  = 2
 	truncatedRetrySpread = 20 * millisecond
 	maxTruncatedAge      = second // by then the service has sent all earlier changes: it sends a comment each second
@@ -74,7 +74,8 @@
 	maxStallTimeout   = silenceTimeout
 )
 
-// scheduleStream makes the random numbers of schedules independent of others with the same seed.
+// scheduleStream is the second half of the generator's seed. It makes the random numbers of schedules independent of
+// those that other packages generate from the same seed.
 const scheduleStream = 0x6c697374
 
 // CallSchedule decides when one router of many calls the discovery service. It is not safe for concurrent use.
@@ -97,8 +98,8 @@
 	retryAdvanced  bool  // a retry was moved to an earlier time to meet answerDeadline
 }
 
-// NewCallSchedule returns the schedule of one router out of a number of routers. hold is that of the operator's file;
-// the zero value is no hold.
+// NewCallSchedule returns the schedule of one router. routers is the number of all routers that call the service. hold
+// is the readiness hold in the operator's file; the zero value is no hold.
 func NewCallSchedule(seed uint64, routers int, hold ReadinessHold) *CallSchedule {
 	return &CallSchedule{
 		routers:          float64(max(1, routers)),
@@ -149,7 +150,8 @@
 	return min(s.grace/stallGraceDivisor, maxStallTimeout)
 }
 
-// ReadTimeout returns how long to wait for the first byte of an answer, or after that of an event or comment, ns.
+// ReadTimeout returns how long to wait for the first byte of an answer or, after the first complete event or comment,
+// for the first byte of the next one, ns.
 func (s *CallSchedule) ReadTimeout() int64 {
 	if s.hasData {
 		return silenceTimeout
--- a/internal/lifecycle/startup/schedule_test.go
+++ b/internal/lifecycle/startup/schedule_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// checkQuarter checks that the most calls in one second are at most a quarter of those without a schedule.
+// checkQuarter checks that the peak of calls per second is at most a quarter of the peak without a schedule.
 func checkQuarter(t *testing.T, all, unscheduled []int64) {
 	t.Helper()
 	if peak, limit := peakCalls(all, second), peakCalls(unscheduled, second); 4*peak > limit {
@@ -131,8 +131,8 @@
 	}
 }
 
-// Routers without a list serve no client, so all their calls are spread, including the first ones. In any second there
-// is at most a tenth of the calls that there are without a schedule, and delays have an upper bound.
+// Routers without a list serve no client, so all their calls are spread, including the first ones. The peak of
+// calls per second is at most a tenth of the peak without a schedule, and delays have an upper bound.
 func TestCallsWithoutListAreSpread(t *testing.T) {
 	const until = 30 * second
 	for _, routers := range []int{300, 1000, 5000} {
@@ -151,8 +151,8 @@
 			}
 		}
 		schedule.ListReceived()
-		if schedule.CallEnded(0, Refused) > maxRetryDelay {
-			t.Fatal("with a list the delay is over maxRetryDelay")
+		if delay := schedule.CallEnded(0, Refused); delay > maxRetryDelay {
+			t.Fatalf("a delay of %d ms with a list, want at most %d ms", delay/millisecond, maxRetryDelay/millisecond)
 		}
 	}
 }
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The duration in (hold …) must be long enough for the first calls of all routers to discovery.
+// The duration in (hold …) must be long enough for the first calls of all routers to the discovery service.
 func TestReadinessHoldIsChecked(t *testing.T) {
 	for _, c := range []struct {
 		text    string
--- a/internal/operatorconfig/idle.go
+++ b/internal/operatorconfig/idle.go
@@ -80,7 +80,8 @@
 // does not set, except for the maximum number of connections: a network without (most …) has no limit of its own.
 func (d *decoder) network(list *sexpr.Node, into *IdleConnections, values networkValues) {
 	if len(list.List) < 2 || list.List[1].IsList {
-		d.errors.addf(list.Position, `(network …) must begin with a network such as "10.0.0.0/8"`)
+		d.errors.addf(list.Position, `(network …) must begin with a network such as "10.0.0.0/8", got %v`,
+			list.List[1:])
 		return
 	}
 	prefix, err := netip.ParsePrefix(list.List[1].Word)
@@ -123,8 +124,8 @@
 		return nil
 	}
 	position := f.Idle.positions[0] // the list (idle …), unless the error is about one network
-	if ofPolicy, ok := errors.AsType[*idle.PolicyError](err); ok {
-		position = f.Idle.positions[ofPolicy.Index]
+	if policyError, ok := errors.AsType[*idle.PolicyError](err); ok {
+		position = f.Idle.positions[policyError.Index]
 	}
 	return &Error{Position: position, Reason: err.Error()}
 }
--- a/internal/operatorconfig/probe.go
+++ b/internal/operatorconfig/probe.go
@@ -15,7 +15,7 @@
 	defaultProbeTimeout = 500 * time.Millisecond
 	minProbeTimeout     = 10 * time.Millisecond
 	maxProbeTimeout     = time.Minute
-	defaultColdPart     = 0.05 // part of the load limit of an endpoint in slow start
+	defaultColdPart     = 0.05 // part of the load limit of an endpoint in slow start that probes may use
 	minColdPart         = 0.0001
 	maxColdPart         = 1
 	defaultProbeCost    = time.Millisecond // sending time that a probe takes
--- a/internal/server/clusterloop.go
+++ b/internal/server/clusterloop.go
@@ -13,7 +13,7 @@
 type clusterLoop struct {
 	node              *clusterNode
 	shutdownRequested <-chan struct{} // nil once the shutdown has begun
-	reducerTimer      *time.Timer     // the timer of cluster.SetTimer
+	reducerTimer      *time.Timer     // set by the effect cluster.SetTimer
 }
 
 // run handles events until ctx ends.
@@ -39,8 +39,8 @@
 	}
 }
 
-// beginShutdown releases this instance's leases, and waits for at most shutdownFlushTimeout until the messages about
-// this are written.
+// beginShutdown releases this instance's leases, and waits for at most shutdownFlushTimeout until the messages that
+// tell other instances so are written.
 func (l *clusterLoop) beginShutdown(ctx context.Context) {
 	l.shutdownRequested = nil
 	l.handle(ctx, cluster.ShutdownStarted{})
@@ -107,7 +107,7 @@
 	node.links.Send(effect.To, payload)
 }
 
-// setPeers makes these instances the only ones to which connections are kept.
+// setPeers opens connections to the given instances and closes those to all others.
 func (node *clusterNode) setPeers(peers []cluster.Peer) {
 	addresses := make(map[string]string, len(peers))
 	for _, peer := range peers {
--- a/internal/server/clusternode.go
+++ b/internal/server/clusternode.go
@@ -27,7 +27,7 @@
 	// post an event wait.
 	maxClusterInbox = 256
 
-	// maxProbesInFlight is the largest number of probes that have no result yet.
+	// maxProbesInFlight limits the number of probes that wait for their results at the same time.
 	maxProbesInFlight = 256
 
 	// shutdownFlushTimeout is how long a shutdown waits at most until its messages to other instances are written.
@@ -41,12 +41,12 @@
 // clusterNode is this instance as a member of its cluster. It has the cluster's reducer, which is run by the goroutine
 // of clusterLoop, the connections to other instances, and the probes of endpoints.
 type clusterNode struct {
-	operator         *operatorconfig.File // the one with which the instance started
+	operator         *operatorconfig.File // the file with which the instance started
 	reducer          *cluster.Node        // used by the loop's goroutine only
 	links            *peer.Links          // connections to other instances
 	clock            clock.Clock          // for the wall clock and endpoints' start times; the reducer uses bootTime
 	emit             func(logevent.Event)
-	postProbeResult  func(router.Event) // posts a router.ProbeEnded; must not wait
+	postProbeResult  func(router.Event) // posts a router.ProbeEnded; must not block
 	loadReportFields []string
 
 	inbox          chan cluster.Event
@@ -69,7 +69,7 @@
 	settings        control.Settings
 	clock           clock.Clock
 	emit            func(logevent.Event)
-	postProbeResult func(router.Event) // posts a router.ProbeEnded; must not wait
+	postProbeResult func(router.Event) // posts a router.ProbeEnded; must not block
 }
 
 // unixMilli returns the Unix time of the wall clock in ms. It is used only to choose lease ballots that are higher
--- a/internal/server/clusterreload.go
+++ b/internal/server/clusterreload.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 
 	"tealpath/internal/cluster"
 	"tealpath/internal/cluster/probe"
@@ -10,7 +11,8 @@
 )
 
 // errNoCluster reports that a newer operator's file lacks the cluster of which this instance is a member.
-var errNoCluster = errors.New("the operator's file has no (fleet …): leaving the cluster takes a restart")
+var errNoCluster = errors.New("the operator's file has no (fleet …), but this instance is a member of a cluster: " +
+	"leaving it requires a restart")
 
 // reload applies the parts of a newer operator's file that may change in a running instance: the keys, the allowed
 // addresses, the instances, the weight of this instance, and the voters. If it returns an error, it has applied
@@ -22,7 +24,7 @@
 	settings := next.Cluster
 	keys, err := settings.TLS.Load()
 	if err != nil {
-		return err
+		return fmt.Errorf("fleet: %w", err)
 	}
 	if node.needsRestart(next) {
 		node.emit(OperatorConfigNeedsRestart{Parts: restartOnlyCluster})
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -17,7 +17,7 @@
 
 // Shares of the configured memory.
 const (
-	// collectorMemoryShare is the runtime's soft memory limit, near which the garbage collector runs more often.
+	// collectorMemoryShare is the Go runtime's soft memory limit, near which the garbage collector runs more often.
 	collectorMemoryShare = 0.7
 
 	// responseMemoryShare limits the memory of responses that wait for slow clients. The same limit applies
--- a/internal/server/log.go
+++ b/internal/server/log.go
@@ -14,7 +14,7 @@
 	eventKey = "event"
 
 	// instanceKey is the key of the endpoint's name in a log line about one endpoint. The event itself has only the
-	// endpoint's ID in the policy, under the key "endpoint".
+	// endpoint's number (control.Endpoint.ID), under the key "endpoint".
 	instanceKey = "instance"
 )
 
--- a/internal/server/log_test.go
+++ b/internal/server/log_test.go
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 )
 
-// loggedEvent is an event with fields of each type that is written in its own way.
+// loggedEvent has a field of each type that WriteEvent formats differently.
 type loggedEvent struct {
 	Endpoint uint32        `log:"endpoint"`
 	Elapsed  time.Duration `log:"elapsed_ms"`
--- a/internal/server/logevents.go
+++ b/internal/server/logevents.go
@@ -130,7 +130,7 @@
 }
 
 // ConfigLoadDelayed is logged when a reload can't read its files because this machine lacks descriptors or memory. The
-// reload is retried until it can.
+// reload is retried until they can be read.
 type ConfigLoadDelayed struct {
 	Cause error `log:"cause"`
 }
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -10,11 +10,11 @@
 )
 
 // loop is the event loop. Its goroutine is the only one that runs the reducer and carries out its effects, none of
-// which waits.
+// which blocks.
 type loop struct {
 	server            *Server
 	shutdownRequested <-chan struct{} // nil once the shutdown has begun
-	reducerTimer      *time.Timer     // the timer of router.SetTimer
+	reducerTimer      *time.Timer     // set by the effect router.SetTimer
 	drain             *drain          // nil until the shutdown begins
 }
 
@@ -70,7 +70,7 @@
 }
 
 // receive handles an event from a client, an endpoint or the discovery service. If the event reports that a connection
-// has ended, the pool adds the requests that were queued on the connection since then.
+// has ended, the pool first adds the requests that were queued on the connection after the event was posted.
 func (l *loop) receive(posted postedEvent) {
 	switch event := posted.event.(type) {
 	case router.ConnectionDown:
--- a/internal/server/probetargets.go
+++ b/internal/server/probetargets.go
@@ -6,7 +6,7 @@
 	"tealpath/internal/router"
 )
 
-// setEndpoints derives the targets of probes from the endpoint list and notifies the cluster's loop. It does not wait:
+// setEndpoints derives the targets of probes from the endpoint list and notifies the cluster's loop. It does not block:
 // if the loop has not taken the previous targets yet, it gets only the new ones.
 func (node *clusterNode) setEndpoints(entries []router.EndpointEntry, settings control.Settings) {
 	builder := newTargetBuilder(settings, node.clock.Now(), bootTime())
@@ -27,7 +27,7 @@
 type targetBuilder struct {
 	cache, parent           probe.ColdLimit
 	parentKind, originKind  *string // nil: there are no endpoints of this kind
-	serverTime, clusterTime int64   // the same time on the server's clock and on that of bootTime, ns
+	serverTime, clusterTime int64   // now, by the server's clock and by bootTime, ns
 }
 
 func newTargetBuilder(settings control.Settings, serverTime, clusterTime int64) targetBuilder {
--- a/internal/server/restore.go
+++ b/internal/server/restore.go
@@ -11,7 +11,7 @@
 )
 
 // restore starts the snapshot writer and restores the snapshot that an earlier process has stored, if there is one. It
-// may add the snapshot's endpoint list to history. Without a path of snapshots in the operator's file it does nothing.
+// may add the snapshot's endpoint list to history. It does nothing if the operator's file has no path for snapshots.
 func (s *Server) restore(now int64, history *discovery.History) {
 	if s.operator == nil || s.operator.SnapshotPath == "" {
 		return
@@ -53,10 +53,10 @@
 	}
 }
 
-// applySnapshot restores the parts of a snapshot that may be used according to restore.Assess. It passes the memory of
-// the policy to the reducer, and adds the endpoint list to history.
+// applySnapshot restores the parts of a snapshot that may be used according to restore.Assess. It passes
+// the snapshot's control.Snapshot to the reducer, and adds the endpoint list to history.
 func (s *Server) applySnapshot(now int64, stored snapshot.Snapshot, history *discovery.History) {
-	wall := s.clock.Wall() // as for the snapshot's time, because two processes share no monotonic clock
+	wall := s.clock.Wall() // TakenAt is wall time too, because two processes share no monotonic clock
 	scope, limit := restore.Assess(wall, s.snapshots.header, stored.Header)
 	if scope == restore.None {
 		s.emit(SnapshotIgnored{Cause: limit})
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -21,7 +21,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// ErrConfig is wrapped by the error of a configuration with which a server can't start.
+// ErrConfig is wrapped by all errors that report a configuration with which a server can't start.
 var ErrConfig = errors.New("configuration")
 
 // maxInboxEvents is the capacity of the event loop's inbox. While the inbox is full, goroutines that post an event
--- a/internal/server/settings.go
+++ b/internal/server/settings.go
@@ -7,7 +7,7 @@
 	"tealpath/internal/cluster/probe"
 )
 
-// coldLimits returns the limits for caches and for parents in slow start.
+// coldLimits returns the load limits of caches and of parents in slow start.
 func coldLimits(settings control.Settings) (cache, parent probe.ColdLimit) {
 	return coldLimit(settings.CacheSlowStart), coldLimit(settings.ParentSlowStart)
 }
--- a/internal/server/snapshots.go
+++ b/internal/server/snapshots.go
@@ -26,8 +26,8 @@
 	// snapshotExitTimeout is how long a process that ends without a graceful shutdown waits for a write.
 	snapshotExitTimeout = 50 * time.Millisecond
 
-	// maxQueuedSnapshots is the capacity of the writer's queue: there is at most one snapshot of write, and one of
-	// writeLast behind it.
+	// maxQueuedSnapshots is the capacity of the writer's queue: it holds at most one snapshot from write and,
+	// behind it, one from writeLast.
 	maxQueuedSnapshots = 2
 )
 
@@ -155,7 +155,7 @@
 	next.TakenAt = w.clock.Wall() // wall time, because the next process has another monotonic clock
 	w.pending.Add(1)
 	w.queuedAt = time.Now()
-	w.queue <- next // never waits: see maxQueuedSnapshots
+	w.queue <- next // never blocks: see maxQueuedSnapshots
 }
 
 // stop ends the writer. It waits until all queued snapshots are written, but only until exitDeadline, or for
--- a/internal/server/snapshots_test.go
+++ b/internal/server/snapshots_test.go
@@ -11,7 +11,7 @@
 	"tealpath/internal/testkit"
 )
 
-// snapshotPath is the path of the snapshots in these tests.
+// snapshotPath is the path of the snapshot's file in these tests.
 var snapshotPath = filepath.Join("folder", "kept")
 
 // snapshotInterval is the interval of snapshots. It is short so that many are written during a test.
