--- a/cmd/tealpath/check.go
+++ b/cmd/tealpath/check.go
@@ -66,7 +66,7 @@
 	if err := server.Check(c); err != nil {
 		return cli.Exit(err, exitUsage)
 	}
-	fmt.Printf("configuration of %s is usable: clients at %s, journal service at %s\n",
+	fmt.Printf("configuration of %s is usable: clients at %s, discovery service at %s\n",
 		c.Name, c.Listen, c.DiscoveryAddress)
 	if operator != nil {
 		fmt.Println(describe(cmd.String(operatorFlagName), operator))
--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -59,8 +59,8 @@
 	repeatIfDisturbed(t, func() (failures []string, late time.Duration) { return runTenThousand(t, binary) })
 }
 
-// runTenThousand runs a router with an endpoint list of 10,000 cache servers. It returns the failed checks, and how
-// late a timer of this process fired meanwhile.
+// runTenThousand runs a router with an endpoint list of 10,000 cache servers. It returns the failed checks, and the
+// longest delay of a timer of this process during the run.
 func runTenThousand(t *testing.T, binary string) (failures []string, late time.Duration) {
 	t.Helper()
 	const localServers, allServers = 100, 10_000
@@ -119,7 +119,7 @@
 }
 
 // compareGrowth sends the same traffic to a router among the usual number of cache servers and to one among many, at
-// the same time. It returns the failed checks, and how late a timer of this process fired meanwhile.
+// the same time. It returns the failed checks, and the longest delay of a timer of this process during the run.
 func compareGrowth(t *testing.T, binary string, profile trafficProfile) (failures []string, late time.Duration) {
 	t.Helper()
 	const usualServers, manyServers = 200, 3200
--- a/cmd/tealpath/shutdown_test.go
+++ b/cmd/tealpath/shutdown_test.go
@@ -144,7 +144,7 @@
 	testkit.ExpectEnd(t, ended, drainTimeout)
 }
 
-// A router whose disk does not respond serves requests and ends before the platform's SIGKILL, 0.7 s after the maximum
+// A router whose disk does not respond serves requests and ends before the platform's SIGKILL, 0.7 s after the longest
 // deadline. A named pipe at the path of the snapshot simulates the disk: opening it blocks, as nobody writes to it.
 func TestUnresponsiveDiskDelaysNothing(t *testing.T) {
 	const deadline = 300 * time.Millisecond
--- a/deploy/imports_test.go
+++ b/deploy/imports_test.go
@@ -70,7 +70,7 @@
 // impure lists the packages that no pure package may import, nor any package below them.
 var impure = []string{"net", "os", "syscall", "context", "sync", "log", "runtime", "crypto/rand", "golang.org/x/sys"}
 
-// pureSelectors maps packages to the only names of them that pure packages may use. Their other names read a clock or
+// pureSelectors maps packages to the names that pure packages may use of them. Their other names read a clock or
 // use a shared source of random numbers.
 var pureSelectors = map[string][]string{
 	"time":         {"Duration", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour"},
--- a/deploy/red_test.go
+++ b/deploy/red_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// .ci/red runs the tests that are known to fail apart from all other tests. This test runs it on a module with two
-// packages, in which one test passes and two fail.
+// .ci/red runs the tests that are known to fail, and separately all other tests, which must pass. This test runs it on
+// a module with two packages, in which one test passes and two fail.
 func TestKnownRed(t *testing.T) {
 	red, err := filepath.Abs("../.ci/red")
 	if err != nil {
--- a/internal/adminsocket/protocol.go
+++ b/internal/adminsocket/protocol.go
@@ -17,7 +17,7 @@
 	// commandTimeout limits the duration of each command, on both sides of the socket.
 	commandTimeout = 5 * time.Second
 
-	// takeoverTimeout limits the attempt to connect by which Serve finds out whether another process serves the
+	// takeoverTimeout limits the connection attempt with which Serve checks whether another process serves the
 	// socket.
 	takeoverTimeout = time.Second
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,7 +28,7 @@
 		{"not JSON", `"limits":{"cores"`, `"limits":{cores`, "line 2: invalid character"},
 		{"a string instead of a number", `"memory_mb":192`, `"memory_mb":"192"`, "line 2: "},
 		{"no address to listen on", `"listen":"127.0.0.4:10080",`, "", "listen is missing"},
-		{"no journal service", `"journal":"127.2.0.1:2379",`, "", "journal is missing"},
+		{"no address of the discovery service", `"journal":"127.2.0.1:2379",`, "", "journal is missing"},
 		{"an address without a port", "127.2.0.1:2379", "127.2.0.1", "journal: address"},
 		{"an invalid seed", "8c1f30d27a5be964", "seven", "seed"},
 		{"negative limits", "192", "-1", "limits"},
--- a/internal/lifecycle/startup/readiness.go
+++ b/internal/lifecycle/startup/readiness.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// ReadinessHold limits the calls of routers that start together: all of them together make their first calls at
+// ReadinessHold limits the calls of routers that start together: together they make their first calls at
 // CallRate, and each one reports that it is not ready until the discovery service has answered it, for MaxDuration
 // at most. The zero value is no hold: routers that serve from a list in their configuration call within
 // maxFirstSpread, since they count as notified of a change as soon as the service has it.
--- a/internal/operatorconfig/cluster.go
+++ b/internal/operatorconfig/cluster.go
@@ -17,7 +17,7 @@
 // Cluster is the configuration of a cluster: instances that divide periodic tasks among themselves by leases.
 type Cluster struct {
 	Name            string               // name of this instance
-	Listen          string               // address on which this instance accepts connections of other instances
+	Listen          string               // address on which this instance accepts connections from other instances
 	Weight          float64              // weight of this instance: its share of slots is proportional to it
 	Instances       []membership.Contact // all instances, including this one
 	Voters          lease.Voters
@@ -195,7 +195,7 @@
 	return decoded, true
 }
 
-// voters decodes (voters …): the instances that vote on leases. A majority of them is needed to grant one.
+// voters decodes (voters …): the instances that vote on leases. Granting a lease requires a majority.
 func (d *decoder) voters(lists *clusterLists) decodeFunc {
 	voters := &lists.cluster.Voters
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -30,8 +30,9 @@
 	SnapshotPath     string // path of the file in which the router's state is stored; empty: there is none
 	SnapshotInterval int64  // time between two writes of the snapshot, ns
 
-	startPosition sexpr.Position // of (start …), for errors that are found after decoding
-	linksPosition sexpr.Position // of (links …), likewise
+	// Positions of (start …) and (links …), for errors that are found after decoding.
+	startPosition sexpr.Position
+	linksPosition sexpr.Position
 }
 
 // maxSocketPathLength is the maximum length of the socket's path in bytes. Linux allows 107.
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -63,7 +63,7 @@
 }
 
 // clientConnections returns the largest number of clients' connections, and the policies for closing idle ones. The
-// policies are nil if those of the platform apply.
+// policies are nil if the platform's defaults apply.
 func (s *Server) clientConnections() (maxConnections int, policies *downstream.NetworkPolicies) {
 	limit := s.maxClientSockets()
 	if s.operator == nil || s.operator.Idle == nil {
--- a/internal/server/limits_test.go
+++ b/internal/server/limits_test.go
@@ -13,15 +13,15 @@
 	"github.com/rs/zerolog"
 )
 
-// Half of the descriptors are for clients, unless the operator's file sets a limit. In the policies of the file, the
-// timeout of the first request is set to that of the server.
+// Half of the descriptors are for clients, unless the operator's file sets a limit. The policies of the file get
+// the server's timeout of the first request.
 func TestClientConnectionsByOperatorsFile(t *testing.T) {
 	policy := idle.Policy{IdleTimeout: int64(time.Minute)}
 	for _, c := range []struct {
 		name     string
 		operator *operatorconfig.File
 		want     int
-		policies int // number of policies; 0: those of the platform apply
+		policies int // number of policies; 0: the platform's defaults apply
 	}{
 		{"no operator's file", nil, 500, 0},
 		{"a file without idle connections", &operatorconfig.File{}, 500, 0},
--- a/internal/server/log.go
+++ b/internal/server/log.go
@@ -40,7 +40,7 @@
 	line.Msg(kind.Message)
 }
 
-// zerologLevel converts a level to that of package zerolog.
+// zerologLevel converts a level to the type of package zerolog.
 func zerologLevel(level logevent.Level) zerolog.Level {
 	switch level {
 	case logevent.Warn:
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -121,8 +121,8 @@
 	return err
 }
 
-// exit waits for the goroutines that are not in the group of Run: those of the connections to endpoints, and that of
-// the snapshot writer.
+// exit waits for the goroutines that are not in Run's group: those of connections to endpoints, and the snapshot
+// writer's.
 func (s *Server) exit() {
 	s.upstream.Wait()
 	s.snapshots.stop()
--- a/internal/server/snapshots_test.go
+++ b/internal/server/snapshots_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// testHungDisk starts a server on a disk on which an operation hangs, and shuts it down.
+// testHungDisk starts a server whose disk hangs in one operation, and shuts the server down.
 func testHungDisk(t *testing.T, operation string, deadline time.Duration) {
 	t.Helper()
 	const killAfter = 700 * time.Millisecond // after the longest deadline
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -17,10 +17,10 @@
 	files FileSystem
 }
 
-// NewStore returns a store whose file has the given path.
+// NewStore returns a store for the file at path.
 func NewStore(path string) *Store { return NewStoreWithFileSystem(osFileSystem{}, path) }
 
-// NewStoreWithFileSystem returns a store whose file has the given path in a file system.
+// NewStoreWithFileSystem returns a store for the file at path in the given file system.
 func NewStoreWithFileSystem(files FileSystem, path string) *Store {
 	return &Store{path: path, files: files}
 }
