--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -32,7 +32,7 @@
 func ParseSettings(raw []byte) (control.RawSettings, error) {
 	var groups map[string]any
 	if err := json.Unmarshal(raw, &groups); err != nil {
-		return nil, fmt.Errorf("settings: %w", err)
+		return nil, fmt.Errorf("settings: %w: %w", ErrNotAnObject, err)
 	}
 	decoded := control.RawSettings{}
 	for _, setting := range settings {
--- a/internal/server/clusternode.go
+++ b/internal/server/clusternode.go
@@ -78,24 +78,24 @@
 
 // newClusterNode returns a node whose listener is open. Its incarnation is random, and odd because it must not be 0.
 func newClusterNode(ctx context.Context, config clusterConfig) (*clusterNode, error) {
-	settings := config.operator.Cluster
+	configured := config.operator.Cluster
 	var random [16]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, err
 	}
-	self := lease.Instance{Name: settings.Name, Incarnation: binary.LittleEndian.Uint64(random[:8]) | 1}
-	keys, err := settings.TLS.Load()
+	self := lease.Instance{Name: configured.Name, Incarnation: binary.LittleEndian.Uint64(random[:8]) | 1}
+	keys, err := configured.TLS.Load()
 	if err != nil {
 		return nil, fmt.Errorf("%w: fleet: %w", ErrConfig, err)
 	}
-	initial := reducerConfig(settings, self)
+	initial := reducerConfig(configured, self)
 	initial.Seed = binary.LittleEndian.Uint64(random[8:])
 	initial.WallMS = unixMilli(config.clock)
 	reducer, err := cluster.New(bootTime(), initial)
 	if err != nil {
 		return nil, fmt.Errorf("%w: fleet: %w", ErrConfig, err)
 	}
-	listener, err := listenWithRetry(ctx, nil, settings.Listen, net.KeepAliveConfig{Enable: true})
+	listener, err := listenWithRetry(ctx, nil, configured.Listen, net.KeepAliveConfig{Enable: true})
 	if err != nil {
 		return nil, fmt.Errorf("listener for connections from other instances: %w", err)
 	}
@@ -111,14 +111,14 @@
 		memberQueries:    make(chan chan cluster.MembersStatus),
 		targetsChanged:   make(chan struct{}, 1),
 		probeTokens:      make(chan struct{}, maxProbesInFlight),
-		ballots:          make([]atomic.Uint64, settings.Slots),
+		ballots:          make([]atomic.Uint64, configured.Slots),
 	}
 	node.links = peer.New(peer.Config{
 		Name:        self.Name,
 		Incarnation: self.Incarnation,
 		Listener:    listener,
 		Keys:        keys,
-		Allow:       settings.Allow,
+		Allow:       configured.Allow,
 		Log:         node.emit,
 		Receive: func(name string, incarnation uint64, payload []byte) {
 			node.receive(ctx, lease.Instance{Name: name, Incarnation: incarnation}, payload)
@@ -128,21 +128,21 @@
 }
 
 // reducerConfig returns the configuration of the cluster's reducer according to the operator's file.
-func reducerConfig(settings *operatorconfig.Cluster, self lease.Instance) cluster.Config {
+func reducerConfig(configured *operatorconfig.Cluster, self lease.Instance) cluster.Config {
 	return cluster.Config{
 		Self:     self,
-		Address:  settings.Listen,
-		Weight:   settings.Weight,
-		Contacts: settings.Instances,
+		Address:  configured.Listen,
+		Weight:   configured.Weight,
+		Contacts: configured.Instances,
 		Lease: lease.Config{
-			Slots:         settings.Slots,
-			LeaseDuration: settings.LeaseDuration,
-			RenewInterval: settings.RenewalInterval,
-			MaxClockDrift: settings.MaxClockDrift,
-			Voters:        settings.Voters,
+			Slots:         configured.Slots,
+			LeaseDuration: configured.LeaseDuration,
+			RenewInterval: configured.RenewalInterval,
+			MaxClockDrift: configured.MaxClockDrift,
+			Voters:        configured.Voters,
 		},
-		Probe:      settings.Probe,
-		Membership: settings.Membership,
+		Probe:      configured.Probe,
+		Membership: configured.Membership,
 	}
 }
 
--- a/internal/server/clusterreload.go
+++ b/internal/server/clusterreload.go
@@ -21,8 +21,8 @@
 	if next.Cluster == nil {
 		return errNoCluster
 	}
-	settings := next.Cluster
-	keys, err := settings.TLS.Load()
+	configured := next.Cluster
+	keys, err := configured.TLS.Load()
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
@@ -30,11 +30,11 @@
 		node.emit(OperatorConfigNeedsRestart{Parts: restartOnlyCluster})
 	}
 	node.links.UseKeys(keys)
-	node.links.SetAllowed(settings.Allow)
+	node.links.SetAllowed(configured.Allow)
 	node.post(ctx, cluster.ConfigChanged{
-		Contacts: settings.Instances,
-		Weight:   settings.Weight,
-		Voters:   settings.Voters,
+		Contacts: configured.Instances,
+		Weight:   configured.Weight,
+		Voters:   configured.Voters,
 	})
 	return nil
 }
