--- a/internal/server/restore.go
+++ b/internal/server/restore.go
@@ -54,7 +54,7 @@
 }
 
 // applySnapshot restores the parts of a snapshot that may be used according to restore.Assess. It passes
-// the snapshot's control.Snapshot to the reducer, and adds the endpoint list to history.
+// the state of package control (Memory) to the reducer, and adds the endpoint list to history.
 func (s *Server) applySnapshot(now int64, stored snapshot.Snapshot, history *discovery.History) {
 	wall := s.clock.Wall() // TakenAt is wall time too, because two processes share no monotonic clock
 	scope, limit := restore.Assess(wall, s.snapshots.header, stored.Header)
