--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -27,7 +27,7 @@
 	{"endpoint lists received, KB", 2, 64, 500, func(f growthFigures) float64 { return f.listKB }},
 }
 
-// minServedShare is the minimum share of served requests among many cache servers, as a part of the share among the
+// minServedShare is the minimum share of served requests among many cache servers, relative to the share among the
 // usual number.
 const minServedShare = 0.85
 
@@ -38,7 +38,7 @@
 	{"more objects than connections", true, 1200, 8 * time.Millisecond, 30_000, 0},
 }
 
-// listFromService is the traffic of a router that receives its endpoint list from discovery.
+// listFromService is the traffic of a router that receives its endpoint list from the discovery service.
 var listFromService = trafficProfiles[1]
 
 // buildProgram builds the router and returns the path of the binary.
@@ -59,8 +59,8 @@
 	repeatIfDisturbed(t, func() (failures []string, late time.Duration) { return runTenThousand(t, binary) })
 }
 
-// runTenThousand runs a router with an endpoint list of 10,000 cache servers. It returns the failed checks, and how
-// late a timer of this process fired meanwhile.
+// runTenThousand runs a router with an endpoint list of 10,000 cache servers. It returns the failed checks, and the
+// longest delay of a timer of this process during the run.
 func runTenThousand(t *testing.T, binary string) (failures []string, late time.Duration) {
 	t.Helper()
 	const localServers, allServers = 100, 10_000
@@ -119,7 +119,7 @@
 }
 
 // compareGrowth sends the same traffic to a router among the usual number of cache servers and to one among many, at
-// the same time. It returns the failed checks, and how late a timer of this process fired meanwhile.
+// the same time. It returns the failed checks, and the longest delay of a timer of this process during the run.
 func compareGrowth(t *testing.T, binary string, profile trafficProfile) (failures []string, late time.Duration) {
 	t.Helper()
 	const usualServers, manyServers = 200, 3200
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -30,6 +30,7 @@
 	SnapshotPath     string // path of the file in which the router's state is stored; empty: there is none
 	SnapshotInterval int64  // time between two writes of the snapshot, ns
 
+	// Positions of (start …) and (links …), for errors that are found after decoding.
 	startPosition sexpr.Position
 	linksPosition sexpr.Position
 }
--- a/internal/server/clusternode.go
+++ b/internal/server/clusternode.go
@@ -27,7 +27,7 @@
 	// post an event wait.
 	maxClusterInbox = 256
 
-	// maxProbesInFlight is the largest number of probes that have no result yet.
+	// maxProbesInFlight limits the number of probes that wait for their results at the same time.
 	maxProbesInFlight = 256
 
 	// shutdownFlushTimeout is how long a shutdown waits at most until its messages to other instances are written.
@@ -41,12 +41,12 @@
 // clusterNode is this instance as a member of its cluster. It has the cluster's reducer, which is run by the goroutine
 // of clusterLoop, the connections to other instances, and the probes of endpoints.
 type clusterNode struct {
-	operator         *operatorconfig.File // the one with which the instance started
+	operator         *operatorconfig.File // the file with which the instance started
 	reducer          *cluster.Node        // used by the loop's goroutine only
 	links            *peer.Links          // connections to other instances
 	clock            clock.Clock          // for the wall clock and endpoints' start times; the reducer uses bootTime
 	emit             func(logevent.Event)
-	postProbeResult  func(router.Event) // posts a router.ProbeEnded; must not wait
+	postProbeResult  func(router.Event) // posts a router.ProbeEnded; must not block
 	loadReportFields []string
 
 	inbox          chan cluster.Event
@@ -69,7 +69,7 @@
 	settings        control.Settings
 	clock           clock.Clock
 	emit            func(logevent.Event)
-	postProbeResult func(router.Event) // posts a router.ProbeEnded; must not wait
+	postProbeResult func(router.Event) // posts a router.ProbeEnded; must not block
 }
 
 // unixMilli returns the Unix time of the wall clock in ms. It is used only to choose lease ballots that are higher
@@ -78,24 +78,24 @@
 
 // newClusterNode returns a node whose listener is open. Its incarnation is random, and odd because it must not be 0.
 func newClusterNode(ctx context.Context, config clusterConfig) (*clusterNode, error) {
-	settings := config.operator.Cluster
+	configured := config.operator.Cluster
 	var random [16]byte
 	if _, err := rand.Read(random[:]); err != nil {
 		return nil, err
 	}
-	self := lease.Instance{Name: settings.Name, Incarnation: binary.LittleEndian.Uint64(random[:8]) | 1}
-	keys, err := settings.TLS.Load()
+	self := lease.Instance{Name: configured.Name, Incarnation: binary.LittleEndian.Uint64(random[:8]) | 1}
+	keys, err := configured.TLS.Load()
 	if err != nil {
 		return nil, fmt.Errorf("%w: fleet: %w", ErrConfig, err)
 	}
-	initial := reducerConfig(settings, self)
+	initial := reducerConfig(configured, self)
 	initial.Seed = binary.LittleEndian.Uint64(random[8:])
 	initial.WallMS = unixMilli(config.clock)
 	reducer, err := cluster.New(bootTime(), initial)
 	if err != nil {
 		return nil, fmt.Errorf("%w: fleet: %w", ErrConfig, err)
 	}
-	listener, err := listenWithRetry(ctx, nil, settings.Listen, net.KeepAliveConfig{Enable: true})
+	listener, err := listenWithRetry(ctx, nil, configured.Listen, net.KeepAliveConfig{Enable: true})
 	if err != nil {
 		return nil, fmt.Errorf("listener for connections from other instances: %w", err)
 	}
@@ -111,14 +111,14 @@
 		memberQueries:    make(chan chan cluster.MembersStatus),
 		targetsChanged:   make(chan struct{}, 1),
 		probeTokens:      make(chan struct{}, maxProbesInFlight),
-		ballots:          make([]atomic.Uint64, settings.Slots),
+		ballots:          make([]atomic.Uint64, configured.Slots),
 	}
 	node.links = peer.New(peer.Config{
 		Name:        self.Name,
 		Incarnation: self.Incarnation,
 		Listener:    listener,
 		Keys:        keys,
-		Allow:       settings.Allow,
+		Allow:       configured.Allow,
 		Log:         node.emit,
 		Receive: func(name string, incarnation uint64, payload []byte) {
 			node.receive(ctx, lease.Instance{Name: name, Incarnation: incarnation}, payload)
@@ -128,21 +128,21 @@
 }
 
 // reducerConfig returns the configuration of the cluster's reducer according to the operator's file.
-func reducerConfig(settings *operatorconfig.Cluster, self lease.Instance) cluster.Config {
+func reducerConfig(configured *operatorconfig.Cluster, self lease.Instance) cluster.Config {
 	return cluster.Config{
 		Self:     self,
-		Address:  settings.Listen,
-		Weight:   settings.Weight,
-		Contacts: settings.Instances,
+		Address:  configured.Listen,
+		Weight:   configured.Weight,
+		Contacts: configured.Instances,
 		Lease: lease.Config{
-			Slots:         settings.Slots,
-			LeaseDuration: settings.LeaseDuration,
-			RenewInterval: settings.RenewalInterval,
-			MaxClockDrift: settings.MaxClockDrift,
-			Voters:        settings.Voters,
+			Slots:         configured.Slots,
+			LeaseDuration: configured.LeaseDuration,
+			RenewInterval: configured.RenewalInterval,
+			MaxClockDrift: configured.MaxClockDrift,
+			Voters:        configured.Voters,
 		},
-		Probe:      settings.Probe,
-		Membership: settings.Membership,
+		Probe:      configured.Probe,
+		Membership: configured.Membership,
 	}
 }
 
--- a/internal/server/clusterreload.go
+++ b/internal/server/clusterreload.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"errors"
+	"fmt"
 
 	"tealpath/internal/cluster"
 	"tealpath/internal/cluster/probe"
@@ -10,7 +11,8 @@
 )
 
 // errNoCluster reports that a newer operator's file lacks the cluster of which this instance is a member.
-var errNoCluster = errors.New("the operator's file has no (fleet …): leaving the cluster takes a restart")
+var errNoCluster = errors.New("the operator's file has no (fleet …), but this instance is a member of a cluster: " +
+	"leaving it requires a restart")
 
 // reload applies the parts of a newer operator's file that may change in a running instance: the keys, the allowed
 // addresses, the instances, the weight of this instance, and the voters. If it returns an error, it has applied
@@ -19,20 +21,20 @@
 	if next.Cluster == nil {
 		return errNoCluster
 	}
-	settings := next.Cluster
-	keys, err := settings.TLS.Load()
+	configured := next.Cluster
+	keys, err := configured.TLS.Load()
 	if err != nil {
-		return err
+		return fmt.Errorf("fleet: %w", err)
 	}
 	if node.needsRestart(next) {
 		node.emit(OperatorConfigNeedsRestart{Parts: restartOnlyCluster})
 	}
 	node.links.UseKeys(keys)
-	node.links.SetAllowed(settings.Allow)
+	node.links.SetAllowed(configured.Allow)
 	node.post(ctx, cluster.ConfigChanged{
-		Contacts: settings.Instances,
-		Weight:   settings.Weight,
-		Voters:   settings.Voters,
+		Contacts: configured.Instances,
+		Weight:   configured.Weight,
+		Voters:   configured.Voters,
 	})
 	return nil
 }
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -17,7 +17,7 @@
 
 // Shares of the configured memory.
 const (
-	// collectorMemoryShare is the runtime's soft memory limit, near which the garbage collector runs more often.
+	// collectorMemoryShare is the Go runtime's soft memory limit, near which the garbage collector runs more often.
 	collectorMemoryShare = 0.7
 
 	// responseMemoryShare limits the memory of responses that wait for slow clients. The same limit applies
@@ -63,7 +63,7 @@
 }
 
 // clientConnections returns the largest number of clients' connections, and the policies for closing idle ones. The
-// policies are nil if those of the platform apply.
+// policies are nil if the platform's defaults apply.
 func (s *Server) clientConnections() (maxConnections int, policies *downstream.NetworkPolicies) {
 	limit := s.maxClientSockets()
 	if s.operator == nil || s.operator.Idle == nil {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -21,7 +21,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// ErrConfig is wrapped by the error of a configuration with which a server can't start.
+// ErrConfig is wrapped by all errors that report a configuration with which a server can't start.
 var ErrConfig = errors.New("configuration")
 
 // maxInboxEvents is the capacity of the event loop's inbox. While the inbox is full, goroutines that post an event
@@ -121,8 +121,8 @@
 	return err
 }
 
-// exit waits for the goroutines that are not in the group of Run: those of the connections to endpoints, and that of
-// the snapshot writer.
+// exit waits for the goroutines that are not in Run's group: those of connections to endpoints, and the snapshot
+// writer's.
 func (s *Server) exit() {
 	s.upstream.Wait()
 	s.snapshots.stop()
--- a/internal/server/snapshots_test.go
+++ b/internal/server/snapshots_test.go
@@ -11,7 +11,7 @@
 	"tealpath/internal/testkit"
 )
 
-// snapshotPath is the path of the snapshots in these tests.
+// snapshotPath is the path of the snapshot's file in these tests.
 var snapshotPath = filepath.Join("folder", "kept")
 
 // snapshotInterval is the interval of snapshots. It is short so that many are written during a test.
@@ -30,7 +30,7 @@
 	}
 }
 
-// testHungDisk starts a server on a disk on which an operation hangs, and shuts it down.
+// testHungDisk starts a server whose disk hangs in one operation, and shuts the server down.
 func testHungDisk(t *testing.T, operation string, deadline time.Duration) {
 	t.Helper()
 	const killAfter = 700 * time.Millisecond // after the longest deadline
