--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -74,7 +74,7 @@
 	StartedAtMS int64    `json:"startedAtMs"` // Unix ms
 }
 
-// wirePurge is a purge of one object or of a group of them.
+// wirePurge is a purge of one object or of a group of objects.
 type wirePurge struct {
 	Object string    `json:"name"`
 	Group  *int64    `json:"set"`
--- a/internal/discovery/history_test.go
+++ b/internal/discovery/history_test.go
@@ -88,7 +88,7 @@
 			test.change(service)
 			var history History
 			if !history.AddSnapshotList(2, test.digest, snapshotEndpoints()) {
-				t.Fatal("AddSnapshotList returned false")
+				t.Fatal("precondition: AddSnapshotList returned false")
 			}
 			watcher := newTestWatcher(service.Address(), history, nil)
 			watcher.start(t)
--- a/internal/downstream/arrival.go
+++ b/internal/downstream/arrival.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// minBlockedRead is the duration, in ns, from which a read or wait counts as blocked: no data was there when it
-	// began.
+	// minBlockedRead is the minimum duration, in ns, of a read or wait that counts as blocked: its data arrived only
+	// after it had begun.
 	minBlockedRead = int64(time.Millisecond)
 
-	// minEmptyAgeForPeek is the time, in ns, after which a reader no longer assumes that a connection without
-	// unread data is still without, and checks this before it reads. The duration of the read alone does not
-	// show whether the read blocked, since on a busy core a read may take long in any case.
+	// minEmptyAgeForPeek is the time, in ns, since a connection was last known to have no unread data, after which
+	// its reader checks for unread data before it reads. The duration of the read alone does not show whether the
+	// read blocked, since on a busy core a read may take long in any case.
 	minEmptyAgeForPeek = int64(5 * time.Millisecond)
 
 	// maxHeartbeatInterval is the time without a heartbeat, in ns, after which the process is considered to
--- a/internal/downstream/arrival_test.go
+++ b/internal/downstream/arrival_test.go
@@ -48,7 +48,7 @@
 			t.Errorf("request %d: arrival time %v after it was sent, want between %v and %v", r.Seq, after, -early, late)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the server posted no request in time")
+		t.Fatalf("the server posted no request within %v", testTimeout)
 	}
 }
 
@@ -184,7 +184,7 @@
 			after := arrivedAfter(server, r, sent)
 			latest, earliest = max(latest, after), min(earliest, after)
 		case <-time.After(testTimeout):
-			t.Fatal("the server posted no request in time")
+			t.Fatalf("the server posted no request within %v", testTimeout)
 		}
 	}
 	if took := time.Since(sent); took < 500*time.Millisecond {
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -60,7 +60,7 @@
 				t.Errorf("Serve returned error %v with %d bytes queued and %d connections left", err, queued, connections)
 			}
 		case <-time.After(testTimeout):
-			t.Error("Serve did not return in time: goroutines of a connection are still running")
+			t.Errorf("Serve did not return within %v: goroutines of a connection are still running", testTimeout)
 		}
 	}
 	t.Cleanup(stop)
@@ -196,7 +196,7 @@
 	case e := <-events:
 		return e
 	case <-time.After(testTimeout):
-		t.Fatal("the server posted no event in time")
+		t.Fatalf("the server posted no event within %v", testTimeout)
 		return ""
 	}
 }
--- a/internal/downstream/poller/helpers_test.go
+++ b/internal/downstream/poller/helpers_test.go
@@ -84,7 +84,7 @@
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 	n, err := retryInterrupted(func() (int, error) { return unix.Poll(polled, int(testTimeout.Milliseconds())) })
 	if err != nil || n != 1 {
-		t.Fatalf("descriptor did not become readable in time: poll error %v", err)
+		t.Fatalf("descriptor %d is not readable after %v: poll returned %d, error %v; want 1", fd, testTimeout, n, err)
 	}
 }
 
--- a/internal/downstream/poller/systemcalls_test.go
+++ b/internal/downstream/poller/systemcalls_test.go
@@ -80,7 +80,7 @@
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 	n, err := retryInterrupted(func() (int, error) { return unix.Poll(polled, int(testTimeout.Milliseconds())) })
 	if err != nil || n != 1 {
-		t.Fatalf("the peer's close was not received in time: poll error %v", err)
+		t.Fatalf("the peer's close was not received within %v: poll returned %d, error %v; want 1", testTimeout, n, err)
 	}
 	if !Kernel.PeerClosed(fd) {
 		t.Error("PeerClosed is false after the kernel has received the peer's close")
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -107,7 +107,7 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	if c.responded {
-		// After this deadline the connection is suspended. The table decides when to close it.
+		// At this deadline the connection is suspended if it is idle. The table decides when to close it.
 		return now.Add(time.Duration(c.server.suspendDelay()))
 	}
 	if first := c.activeSince.Add(firstRequestTimeout); now.Before(first) {
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -9,7 +9,7 @@
 
 // CloseIdle starts to close each connection without outstanding requests. It closes the listener once its
 // backlog is empty, so that the connections in the backlog are admitted first. Further calls close the
-// connections that were in use before.
+// connections that have no outstanding requests any more.
 func (s *Server) CloseIdle() {
 	if !s.draining.Load() && !s.hasBacklog() {
 		s.draining.Store(true)
--- a/internal/downstream/systemcalls_linux_test.go
+++ b/internal/downstream/systemcalls_linux_test.go
@@ -20,7 +20,7 @@
 
 // documentedErrors are the errors that Linux documents for the system calls on suspended connections, except
 // those that prove the end of a connection. "connect" makes net.FileConn fail. With "poller" the runtime's
-// poller cannot wait for the file either.
+// poller cannot wait for the file either. "all" makes all system calls of SystemCalls fail.
 var documentedErrors = map[string][]unix.Errno{
 	"fcntl":      {unix.EMFILE, unix.EINVAL},
 	"epoll_ctl":  {unix.ENOMEM, unix.ENOSPC},
@@ -32,7 +32,8 @@
 	"all":        {unix.ENOMEM},
 }
 
-// failingSystemCalls returns system calls of which the given one fails with errno while failing returns true.
+// failingSystemCalls returns system calls in which call, a key of documentedErrors, fails with errno while failing
+// returns true.
 // EINTR is returned by every other call only, because an interrupted call is repeated and would otherwise
 // never end.
 func failingSystemCalls(call string, errno unix.Errno, failing func() bool) *poller.SystemCalls {
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -63,7 +63,7 @@
 func TestWriteWithUnreadInput(t *testing.T) {
 	local, peer := connectedPair(t)
 	if !send(peer, "*4") {
-		t.Fatal("could not write to the connection")
+		t.Fatal("precondition: the peer could not write to its connection")
 	}
 	c := newTestConnection(newTestPool(t, Config{}).Pool)
 	request := requestWithin("a", time.Second)
@@ -110,7 +110,7 @@
 
 const (
 	fillers     = 48       // requests that fill the buffers between the router and a cache that reads nothing
-	fillerBytes = 200_000  // body size of each of them
+	fillerBytes = 200_000  // bytes in the body of each filler
 	smallBuffer = 16 << 10 // receive buffer of the cache's socket, bytes
 )
 
@@ -263,7 +263,7 @@
 	f := newFullConnection(t)
 	_, partial := f.queued()
 	if partial == "" {
-		t.Fatal("no request is partially written") // each is larger than the write that fills the buffer
+		t.Fatal("precondition: no request is partially written") // each is larger than the write that fills the buffer
 	}
 	f.WithdrawAttempt(router.WithdrawAttempt{Connection: 1, ID: partial})
 	f.CancelAttempt(router.CancelAttempt{Connection: 1, ID: partial})
