--- a/internal/emulator/cache/cache.go
+++ b/internal/emulator/cache/cache.go
@@ -59,8 +59,8 @@
 	return c.listener.Addr().String()
 }
 
-// SetLimits replaces the limits of the cache, whose warm-up counts from startedAt. Open connections stay open
-// and count against the new limits.
+// SetLimits replaces the limits of the cache. Its warm-up begins at startedAt. Open connections stay open and count
+// against the new limits.
 func (c *Cache) SetLimits(limits Limits, startedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,8 +190,8 @@
 	}
 }
 
-// respond records a request and returns the encoded response to it, nil for none, and the delay before it is
-// to be written.
+// respond records a request. It returns the encoded response, or nil if there is none, and the delay after which the
+// response must be written.
 func (c *Cache) respond(words [][]byte) (response []byte, delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,7 +212,7 @@
 	return response, delay
 }
 
-// Values of the field detail of a response, which tells where the object was found.
+// Values of the detail field of a response, which tells whether the cache had the object or filled it first.
 const (
 	detailHit  = "TCP_HIT"
 	detailFill = "TCP_MISS"
@@ -236,7 +236,7 @@
 	return encodeServed(id, detailHit, body), delay
 }
 
-// objectPath returns the value of the last field path of a fetch, which names the requested object.
+// objectPath returns the value of the last "path" field of a fetch, which names the requested object.
 func objectPath(fields string) string {
 	object := ""
 	for field := range strings.SplitSeq(fields, ",") {
--- a/internal/emulator/cache/capacity.go
+++ b/internal/emulator/cache/capacity.go
@@ -8,7 +8,7 @@
 
 	Concurrency float64 // requests that are served in parallel; 0: unlimited
 	ServiceTime int64   // ns that it takes to serve one request
-	FillTime    int64   // ns that a request takes longer if its object is not cached yet
+	FillTime    int64   // additional ns for a request whose object is not cached yet
 
 	// A cache that is warming up starts with InitialShare of its capacity. The share rises linearly to 1 within
 	// WarmUpDuration. Meanwhile the cache crashes if more than N + 3·sqrt(N) + 3 requests arrive within
@@ -35,7 +35,7 @@
 	Limits
 	Crashes            int
 	PeakConnections    int
-	PeakLoad           float64 // while warming up: highest number of requests in a window, as a share of the limit
+	PeakLoad           float64 // while warming up: highest ratio of the requests in a window to their limit
 	RefusedConnections int
 
 	startedAt   int64 // ns; time of the last start, 0: long ago
--- a/internal/emulator/cache/capacity_test.go
+++ b/internal/emulator/cache/capacity_test.go
@@ -36,7 +36,8 @@
 		}
 	}
 	if !model.Request(now, "o").Crashed || model.Crashes != 1 || model.Connect(now) || !model.Down(now+2*second) {
-		t.Errorf("%d crashes after request 37, want 1, no new connections and 2 s later still down", model.Crashes)
+		t.Errorf("%d crashes after request 37, want 1 and a cache that refuses connections and is still down 2 s later",
+			model.Crashes)
 	}
 	if now += 3 * second; !model.Connect(now) || model.StartedAt() != now {
 		t.Errorf("3 s after the crash: last start at %d ns, want a restart at %d ns that accepts connections",
--- a/internal/emulator/discoveryserver/discoveryserver.go
+++ b/internal/emulator/discoveryserver/discoveryserver.go
@@ -29,7 +29,7 @@
 	LastEventID int // number of the last event that the caller already has
 	BytesSent   int
 
-	sentEventID int // number of the last event that was sent
+	sentEventID int // number of the last event that was sent to the caller
 }
 
 // Service is one emulated discovery service.
--- a/internal/emulator/discoveryserver/session.go
+++ b/internal/emulator/discoveryserver/session.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// stream sends the events after a number as they are published, and heartbeats.
+// stream sends the events after lastEventID as they are published. It sends a heartbeat after them and then every
+// heartbeatInterval.
 func (s *Service) stream(session session, lastEventID int, clientGone <-chan struct{}) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
--- a/internal/emulator/relay/relay.go
+++ b/internal/emulator/relay/relay.go
@@ -21,9 +21,9 @@
 
 // Conditions describes the state of a network path.
 type Conditions struct {
-	CutForward  bool // blocks data from the dialling side to the target
-	CutBackward bool // blocks data from the target to the dialling side
-	Delay       time.Duration
+	CutForward  bool          // blocks data from the dialling side to the target
+	CutBackward bool          // blocks data from the target to the dialling side
+	Delay       time.Duration // of data in both directions
 }
 
 // Relay is one emulated network path.
--- a/internal/experiment/coldstart/coldstart_test.go
+++ b/internal/experiment/coldstart/coldstart_test.go
@@ -12,7 +12,7 @@
 	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
-// Under each fault the bounds of docs/coldstart.md hold: calls of the discovery service stay within their rate, all
+// Under each fault the bounds of docs/coldstart.md hold: calls to the discovery service stay within their rate, all
 // routers become healthy, and no request is lost except those at routers that were killed.
 func TestColdStart(t *testing.T) {
 	const routers = 12
@@ -34,14 +34,15 @@
 			}
 			if r.NeverHealthy > 0 || r.PeakCallsPerSecond > routers*4 || r.StaleListAttempts > 0 ||
 				r.NotNotified > 0 || r.CacheCrashes > 0 || r.PeakLoad > 1 {
-				t.Errorf("a bound is broken: %+v", r)
+				t.Errorf("want all routers healthy, at most %d calls per second, no attempts with a stale list, all routers "+
+					"notified of the drain, no cache crash and a load of at most 1; got %+v", routers*4, r)
 			}
 			if !strings.Contains(string(fault), "killed") && r.Lost > 0 {
 				t.Errorf("%d requests lost although no router was killed: %+v", r.Lost, r)
 			}
 			// Without jitter and backoff growth, each router makes 12 calls in the 5 s of the outage and one after it.
 			if fault == ServiceDown && r.Calls > routers*16 {
-				t.Errorf("%d calls of the discovery service, want at most %d", r.Calls, routers*16)
+				t.Errorf("%d calls to the discovery service, want at most %d", r.Calls, routers*16)
 			}
 		})
 	}
--- a/internal/experiment/coldstart/experiment.go
+++ b/internal/experiment/coldstart/experiment.go
@@ -54,7 +54,7 @@
 }
 
 const (
-	page = "docs/coldstart.md" // has the bounds that results are checked against
+	page = "docs/coldstart.md" // the design note whose bounds the results are checked against
 
 	// callRateTolerance is the factor by which the measured peak of calls may exceed the peak that the call
 	// schedules allow. Calls are counted when they reach the service, and on a machine with fewer cores than
@@ -96,7 +96,7 @@
 	Binary              string  `json:"binary"`
 	Fault               Fault   `json:"faults"`
 	Routers             int     `json:"routers"`
-	Calls               int     `json:"list_calls"` // of the discovery service
+	Calls               int     `json:"list_calls"` // to the discovery service
 	PeakCallsPerSecond  int     `json:"list_connects_peak_per_s"`
 	PeakCallsPer100MS   int     `json:"list_connects_peak_per_100ms"`
 	ListBytes           int     `json:"list_bytes"`             // sent by the discovery service
--- a/internal/experiment/coldstart/simulation.go
+++ b/internal/experiment/coldstart/simulation.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// seedStride separates the seeds of simulations, so that no router of one has the seed of a router of another.
+	// seedStride is the distance between the router seeds of simulations with consecutive seeds. It exceeds the number
+	// of routers, so that routers of different simulations have different seeds.
 	seedStride = 1_000_003
 
 	// The baseline calls at once, and then after waits without jitter that double from baselineFirstWait to
@@ -126,7 +127,7 @@
 		return err
 	}
 	return report.Chart{
-		Title:     fmt.Sprintf("Calls at a list service that is down, %d routers, simulated", r.Routers),
+		Title:     fmt.Sprintf("Calls to a discovery service that is down, %d routers, simulated", r.Routers),
 		XLabel:    "s after the start",
 		YLabel:    "calls a second",
 		LegendTop: true,
--- a/internal/experiment/coldstartsim/client.go
+++ b/internal/experiment/coldstartsim/client.go
@@ -83,7 +83,7 @@
 	}
 	delay := response.RetryAfter
 	if s.plan.Fault == FaultAggressiveRetries {
-		delay = min(delay, maxIgnoredDelay)
+		delay = min(delay, impatientRetryDelay)
 	}
 	s.retry(request, delay)
 }
--- a/internal/experiment/coldstartsim/coldstartsim_test.go
+++ b/internal/experiment/coldstartsim/coldstartsim_test.go
@@ -57,7 +57,7 @@
 			}
 			mostGetEndpoints := current.Served >= baseline.Served+0.1 && current.TimeToEndpointsP99 >= 0
 			if fault == FaultDiscoverySlow && !mostGetEndpoints {
-				t.Errorf("served share %f, want 0.1 more than the baseline's %f; time to endpoints %f ms, want not -1",
+				t.Errorf("served share %f, want 0.1 more than the baseline's %f; time to endpoints %f ms, want at least 0",
 					current.Served, baseline.Served, current.TimeToEndpointsP99)
 			}
 			if current.RecoveryTime < 0 || current.Served < 0.4 {
--- a/internal/experiment/coldstartsim/plan.go
+++ b/internal/experiment/coldstartsim/plan.go
@@ -35,7 +35,7 @@
 
 // Extent of the faults.
 const (
-	slowDiscoveryFactor    = 4 // by which a call takes longer under FaultDiscoverySlow
+	slowDiscoveryFactor    = 4 // a call takes this many times as long under FaultDiscoverySlow
 	silentCachesOneIn      = 3 // one cache in three is silent under FaultCachesSilent
 	restartedRoutersPerTen = 7 // routers of each ten that are killed under FaultRoutersKilled
 )
@@ -132,7 +132,7 @@
 	clientTimeout       = int64(15e8) // of a client's request, with all its attempts
 	requestTimeout      = int64(1e9)  // of one attempt
 	unreadyRetryDelay   = int64(2e8)  // of a client whose router was not ready
-	maxIgnoredDelay     = int64(5e7)  // the longest delay of a client that ignores Retry-After
+	impatientRetryDelay = int64(5e7)  // the longest delay of a client that ignores Retry-After
 )
 
 // Capacities and load of the simulated deployment.
@@ -141,7 +141,7 @@
 	cacheSlowStartShare = .16 // capacity of a cache that has just started, as a share of its full capacity
 	cacheOverloadFactor = 2.5
 	distinctObjects     = 4000
-	objectSkew          = 2.5 // an object is drawn as distinctObjects · u^objectSkew, u evenly from 0 to 1
+	objectSkew          = 2.5 // an object is drawn as distinctObjects · u^objectSkew, with u uniform between 0 and 1
 	location            = "here"
 	requestClass        = "stills"
 	requestGroup        = 17
--- a/internal/experiment/coldstartsim/result.go
+++ b/internal/experiment/coldstartsim/result.go
@@ -33,12 +33,12 @@
 
 // Second holds the counts of one second of a run.
 type Second struct {
-	Calls           int // of the discovery service
+	Calls           int // to the discovery service
 	Connects        int // connection attempts to caches
 	Wanted          int // client requests that began in this second
-	Served          int // those of them that were served, also if that was later
+	Served          int // client requests that began in this second and were served, then or later
 	Crashes         int // of caches
-	PeakConnections int // highest number at one cache up to now; 0 if no connection was established in this second
+	PeakConnections int // highest number at one cache so far; 0 if no connection was established in this second
 }
 
 // String returns the result as JSON.
@@ -56,12 +56,12 @@
 }
 
 const (
-	// firstSeconds is the number of seconds that ServedFirst10s covers. One more than 10, since the routers start
-	// in the first second and no requests begin in it.
+	// firstSeconds is the number of seconds that ServedFirst10s covers. It is one more than 10, because the
+	// routers start in the first second and no requests begin in it.
 	firstSeconds = 11
 	// lostAfter is the time after a client's deadline from which a request without a response counts as lost, ns.
 	lostAfter = int64(3e9)
-	// recoveredShare is the part of the usual served share from which the service counts as recovered.
+	// recoveredShare is the fraction of the usual served share at which the service counts as recovered.
 	recoveredShare = 0.95
 	// recoveryWindow is the number of seconds over which the served share is averaged to detect the recovery.
 	recoveryWindow = 2
@@ -111,8 +111,8 @@
 	r.ServedFirst10s = servedShare(r.Seconds[:min(firstSeconds, len(r.Seconds))])
 }
 
-// lostRequests counts the requests without a response lostAfter past their client's deadline. Requests at a router
-// without an endpoint list do not count: it was killed, which reset its clients' connections.
+// lostRequests counts the requests that still have no response when lostAfter has passed since their client's deadline.
+// Requests at a router without an endpoint list do not count: it was killed, which reset its clients' connections.
 func (s *runState) lostRequests() int {
 	lost := 0
 	for key, request := range s.requests {
@@ -136,7 +136,7 @@
 }
 
 // recoveryTime returns the time, in s after the end of the fault, from which the served share is at least
-// recoveredShare of the share at the end of the run; -1 if that is never so.
+// recoveredShare of the share at the end of the run, or -1 if it never is.
 func (r *Result) recoveryTime(faultEnd int64) float64 {
 	last := len(r.Seconds) - unfinishedSeconds
 	usual := servedShare(r.Seconds[max(0, last-usualWindow):last])
--- a/internal/experiment/coldstartsim/router.go
+++ b/internal/experiment/coldstartsim/router.go
@@ -27,7 +27,7 @@
 	baselineMaxBackoff   = int64(5e8)
 )
 
-// simulatedRouter is a router through all its starts.
+// simulatedRouter is one router, which can be killed and started again.
 type simulatedRouter struct {
 	run   *runState
 	index int
@@ -102,7 +102,7 @@
 	}
 }
 
-// kill ends the process. It does not notify discovery or clients, and its connections are reset.
+// kill ends the process without notice to the discovery service or to clients. The process's connections are reset.
 func (r *simulatedRouter) kill() {
 	r.host.Incarnation++
 	for _, connection := range slices.Sorted(maps.Keys(r.connections)) {
--- a/internal/experiment/coldstartsim/simulation.go
+++ b/internal/experiment/coldstartsim/simulation.go
@@ -23,7 +23,7 @@
 	clientRequests int
 }
 
-// simulatedCache is a cache.
+// simulatedCache is a cache with limited capacity, which may also not be reachable at all.
 type simulatedCache struct {
 	*cache.CapacityModel
 	silent bool // it does not answer connection attempts
--- a/internal/experiment/command/coldstart.go
+++ b/internal/experiment/command/coldstart.go
@@ -90,7 +90,7 @@
 		return simulateColdstart(cmd, out)
 	}
 	return withTempDir(func(dir string) error {
-		return startRouters(ctx, cmd, coldstart.Experiment{
+		return runBuilds(ctx, cmd, coldstart.Experiment{
 			Routers:           cmd.Int("routers"),
 			Caches:            cmd.Int("caches"),
 			Seed:              cmd.Uint64("seed"),
@@ -104,9 +104,9 @@
 	})
 }
 
-// startRouters runs the experiment with the baseline if there is one, with the current build, and with the current
+// runBuilds runs the experiment with the baseline if there is one, with the current build, and with the current
 // build and a readiness hold if there is one. The bounds are checked for the last run only.
-func startRouters(ctx context.Context, cmd *cli.Command, e coldstart.Experiment) error {
+func runBuilds(ctx context.Context, cmd *cli.Command, e coldstart.Experiment) error {
 	current := coldstart.Build{Binary: cmd.String("binary"), PlanConnections: cmd.Bool("links")}
 	builds := []coldstart.Build{current}
 	if baseline := cmd.String("baseline"); baseline != "" {
--- a/internal/experiment/command/members.go
+++ b/internal/experiment/command/members.go
@@ -127,7 +127,7 @@
 	return experiment
 }
 
-// simulateMembers simulates the module with each number of instances.
+// simulateMembers simulates the membership module with each number of instances.
 func simulateMembers(cmd *cli.Command, out string, counts []int, faults []string) error {
 	var results []membershipsim.Result
 	for _, instances := range counts {
--- a/internal/experiment/descriptors/methods.go
+++ b/internal/experiment/descriptors/methods.go
@@ -91,7 +91,7 @@
 	resumed     []net.Conn // guarded by mu
 }
 
-// resume makes a net.Conn of the suspended connection with a key, and reports whether that succeeded.
+// resume turns the suspended connection with a key back into a net.Conn, and reports whether that succeeded.
 func (s *suspendedConns) resume(key uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/experiment/heartbeatgossip/table.go
+++ b/internal/experiment/heartbeatgossip/table.go
@@ -279,7 +279,7 @@
 // Next returns the time at which the next heartbeat is due.
 func (table *Table) Next() int64 { return table.nextHeartbeat }
 
-// Leave returns messages to all members that announce that this instance is leaving.
+// Leave marks this instance as leaving. It returns messages that announce this to all members.
 func (table *Table) Leave(now int64) []Message {
 	table.self.Leaving = true
 	table.self.Heartbeat++
--- a/internal/experiment/heartbeatgossip/types.go
+++ b/internal/experiment/heartbeatgossip/types.go
@@ -78,7 +78,7 @@
 	Entry
 	State   State
 	Since   int64 // when it entered this state
-	HeardAt int64 // when an entry with a higher counter last came; 0 means never
+	HeardAt int64 // when an entry with a higher counter was last received; 0 means never
 }
 
 // Change reports that a member's state has changed.
--- a/internal/experiment/idleconnections/bench.go
+++ b/internal/experiment/idleconnections/bench.go
@@ -18,7 +18,7 @@
 	caches           = 4
 	routerMaxSockets = 20000
 	routerMemoryMB   = 192
-	startDelay       = time.Second
+	startDelay       = time.Second // lets routers and clients start
 
 	// activeConnections is the number of connections of active traffic to all routers together.
 	activeConnections = 16
@@ -130,8 +130,8 @@
 	cpuSeconds  float64 // since the routers started
 }
 
-// usage returns the usage of the routers. Of a router that has no Unix socket, or does not answer on it, only the
-// resident memory and the processor time are included, which the operating system reports.
+// usage returns what all routers use together. For a router that has no admin socket, or does not answer on it, only
+// the resident memory and the processor time are included, which the operating system reports.
 func (b *testbed) usage(ctx context.Context) usage {
 	var sum usage
 	for _, name := range b.Names {
--- a/internal/experiment/idleconnections/experiment.go
+++ b/internal/experiment/idleconnections/experiment.go
@@ -49,7 +49,7 @@
 	Dir            string // an existing directory for the routers' files
 	ResultsDir     string
 	Counts         []int         // numbers of idle connections, in ascending order from 0
-	MaxPerRouter   int           // connections that one router process holds
+	MaxPerRouter   int           // largest number of connections to one router process
 	Rate           float64       // active traffic, requests per second to all routers together
 	Duration       time.Duration // of active traffic for each row
 	IdleTimeout    time.Duration // for measuring the expiry of all connections; 0 skips that
@@ -222,7 +222,7 @@
 // chart returns a chart of active traffic's latency by the number of idle connections.
 func (r *experimentRun) chart() report.Chart {
 	chart := report.Chart{
-		Title:    "Active traffic beside idle connections",
+		Title:    "Latency of active traffic while other connections are idle",
 		XLabel:   "idle connections",
 		YLabel:   "p99, ms",
 		FromZero: true,
--- a/internal/experiment/leases/experiment.go
+++ b/internal/experiment/leases/experiment.go
@@ -32,7 +32,7 @@
 // faultCycle is the order in which faults are injected. It repeats.
 var faultCycle = []Fault{Kill, Kill, Terminate, Freeze, Isolate, Delay}
 
-// Experiment runs instances that share leases and injects a fault into one of them after another.
+// Experiment runs instances that share leases and injects faults into one instance after another.
 type Experiment struct {
 	testcluster.Config
 	Kills        int // number of faults of any kind
@@ -61,9 +61,9 @@
 	// StaleActions counts health checks with a lower ballot than an earlier one of the same target.
 	StaleActions        int     `json:"stale_actions"`
 	ProbesPerPeriod     float64 `json:"probes_per_target_per_period"`
-	PeakWarmUpShare     float64 `json:"cold_budget_worst_share"` // of the warm-up budget, by health checks
+	PeakWarmUpShare     float64 `json:"cold_budget_worst_share"` // largest share of warmUpBudget used by health checks
 	IdleProbesPerPeriod float64 `json:"calm_probes_per_target_per_period"`
-	UnsharedProbes      float64 `json:"undivided_probes_per_target_per_period"` // if every instance probed
+	UnsharedProbes      float64 `json:"undivided_probes_per_target_per_period"` // if every instance probed all targets
 	KillGapMaxMS        float64 `json:"gap_sigkill_max_ms"`
 	TerminateGapMaxMS   float64 `json:"gap_sigterm_max_ms"`
 	FreezeGapMaxMS      float64 `json:"gap_freeze_max_ms"`
--- a/internal/experiment/leases/summary.go
+++ b/internal/experiment/leases/summary.go
@@ -151,8 +151,8 @@
 // chart draws the sorted takeover times of each fault, and their bound as a line.
 func (r *experimentRun) chart() report.Chart {
 	chart := report.Chart{
-		Title:      "Until all slots of a lost owner have a new one",
-		XLabel:     "share of the kills of a kind",
+		Title:      "Time until all slots of a failed lease holder have a new one",
+		XLabel:     "share of the faults of one kind",
 		YLabel:     "ms",
 		XMax:       1,
 		FromZero:   true,
--- a/internal/experiment/leasesim/faults.go
+++ b/internal/experiment/leasesim/faults.go
@@ -10,7 +10,7 @@
 	faultPartition
 	faultInboundLost
 	faultLoss
-	faultLatency // mean latency of up to one and a half leases
+	faultLatency // mean latency of up to one and a half lease durations
 	faultPause
 	faultClockStep
 	faultHeal // ends all network faults
@@ -20,8 +20,8 @@
 // Limits of what injectFault draws.
 const (
 	maxLoss          = 0.3 // of all messages
-	maxLatencyHalves = 3   // mean latency, in halves of a lease
-	maxPauseLeases   = 4   // pause, in leases
+	maxLatencyHalves = 3   // mean latency, in halves of a lease duration
+	maxPauseLeases   = 4   // pause, in lease durations
 )
 
 // injectFault starts a random fault. With a probability of one half it then ends all network faults at once.
--- a/internal/experiment/leasesim/leasesim_test.go
+++ b/internal/experiment/leasesim/leasesim_test.go
@@ -22,7 +22,7 @@
 }
 
 // Each size runs for a quarter of an hour of simulated time; `tealexperiment duties --virtual` runs longer.
-func TestOneHolderASlotUnderFaults(t *testing.T) {
+func TestOneHolderPerSlotUnderFaults(t *testing.T) {
 	for _, size := range []struct{ instances, targets int }{{3, 200}, {5, 10}, {16, 3}} {
 		plan := newTestPlan(size.instances, size.targets, 0.25, 5)
 		plan.ClockSteps = size.instances == 5
--- a/internal/experiment/leasesim/plan.go
+++ b/internal/experiment/leasesim/plan.go
@@ -33,8 +33,8 @@
 	wallClockStepMS   = int64(3600 * 1000) // one hour
 	probePeriod       = int64(1e9)         // ns
 	probeTimeout      = int64(5e8)         // ns
-	firstFaultLeases  = 4                  // time of the first fault, in leases
-	faultJitterLeases = 10                 // random part of the interval between faults, in leases
+	firstFaultLeases  = 4                  // time of the first fault, in lease durations
+	faultJitterLeases = 10                 // random part of the interval between faults, in lease durations
 	latencyDivisor    = 100                // a renewal interval divided by this is the normal mean latency
 	duplicateOneIn    = 21                 // on average, one message in 21 is delivered twice
 	noHolder          = -1                 // in runState.holders: the slot has no holder
@@ -64,7 +64,7 @@
 }
 
 // Run simulates the plan until its end, or until the first fault after the context has ended. Faults are one to
-// eleven leases apart.
+// eleven lease durations apart.
 func (p Plan) Run(ctx context.Context) Result {
 	run := newRun(p)
 	for _, instance := range run.instances {
--- a/internal/experiment/leasesim/result.go
+++ b/internal/experiment/leasesim/result.go
@@ -12,8 +12,8 @@
 	// Overlaps counts acquisitions of a slot that another instance still held, and probes by instances that did not
 	// hold the lease of the endpoint's slot.
 	Overlaps int `json:"overlaps"`
-	// BallotRegressions counts acquisitions of a slot under a ballot not above all earlier ones, in runs without
-	// ClockSteps.
+	// BallotRegressions counts acquisitions of a slot under a ballot that is not higher than all earlier ballots of
+	// the slot, in runs without ClockSteps.
 	BallotRegressions int `json:"backward"`
 	// BallotRegressionsWithClockSteps counts the same in runs with ClockSteps.
 	BallotRegressionsWithClockSteps int `json:"backward_with_clocks_set_back"`
@@ -25,7 +25,7 @@
 	Messages        int     `json:"messages"`
 	Probes          int     `json:"probes"`
 	ExpectedProbes  float64 `json:"probes_of_an_undisturbed_owner"`
-	LeasedShare     float64 `json:"owned_share"` // part of slots and time with a holder
+	LeasedShare     float64 `json:"owned_share"` // share of time with a holder, mean over all slots
 }
 
 // BoundsHold reports whether the result keeps the bounds of docs/duties.md.
--- a/internal/experiment/membership/experiment.go
+++ b/internal/experiment/membership/experiment.go
@@ -63,7 +63,7 @@
 	BytesPerSecond       float64       `json:"bytes_per_member_per_s"`
 	MaxLinks             int           `json:"links_per_member_max"`
 	ViewChanges          float64       `json:"view_changes"`
-	FormedMS             float64       `json:"formed_ms"`          // from the start until all believe all alive
+	FormedMS             float64       `json:"formed_ms"`          // until every instance believes all others alive
 	SlotsLeasedMS        float64       `json:"all_slots_owned_ms"` // from the start until all slots have a holder
 	IdleCPUShare         float64       `json:"cpu_share_idle"`     // of a core, mean over all instances
 	ResidentKB           int64         `json:"resident_kb"`
@@ -167,7 +167,8 @@
 	return r.summarizeMembers(ctx)
 }
 
-// formCluster starts the instances and waits until all believe all alive and every slot has a holder.
+// formCluster starts the instances and waits until every instance believes all others alive and
+// every slot has a holder.
 func (r *experimentRun) formCluster(ctx context.Context, startedAt time.Time) error {
 	if err := r.cluster.StartAll(); err != nil {
 		return err
--- a/internal/experiment/membership/fault.go
+++ b/internal/experiment/membership/fault.go
@@ -75,7 +75,7 @@
 	victim      string
 	others      []string // all but the victim
 	startedAt   time.Time
-	excluded    []string // deaths that these instances log, or that others log of them, are not false
+	excluded    []string // deaths of these instances, and deaths that they log, do not count as false
 	result      FaultResult
 }
 
--- a/internal/experiment/membershipsim/faults.go
+++ b/internal/experiment/membershipsim/faults.go
@@ -45,7 +45,7 @@
 	return names
 }
 
-// Durations of faults and of the time that members then have to agree again, in ns, and degrees of faults.
+// Durations of faults and the times that members then have to agree again, both in ns, and the severity of faults.
 const (
 	second              = int64(1e9)
 	restartDelay        = 20 * second
@@ -154,8 +154,8 @@
 	s.scheduler.After(networkFaultTime, func() { clear(s.cutLinks) })
 }
 
-// isolateOneWay waits until all other members believe a member dead that can only send or only receive. It ends the
-// fault after oneWayFaultTime.
+// isolateOneWay measures how long it takes until all other members believe the victim dead, which can only send or only
+// receive. It ends the fault after oneWayFaultTime.
 func (s *runState) isolateOneWay(victim *simulatedMember) {
 	s.awaitDetection(victim, maxOneWayDetection, s.measured.oneWayDetected, s.measured.oneWayMissed)
 	victim.mayBeDeadUntil = s.now() + networkFaultTime + settleTime
--- a/internal/experiment/membershipsim/member.go
+++ b/internal/experiment/membershipsim/member.go
@@ -8,7 +8,7 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// simulatedMember is one router process through all its restarts.
+// simulatedMember is one router, which can be restarted. It holds the state of the current process.
 type simulatedMember struct {
 	run      *runState
 	name     string
--- a/internal/experiment/membershipsim/observe.go
+++ b/internal/experiment/membershipsim/observe.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	// observersPerRound is how many members' beliefs one observation checks if there are more than twice as many
-	// members, which then take turns. A smaller number of members are all checked.
+	// observersPerRound is about how many members' beliefs one observation checks if there are more than twice as many
+	// members. The members then take turns. If there are fewer, every observation checks all of them.
 	observersPerRound = 24
 	// connectionSamplingInterval is the number of messages between two counts of a member's connections while there
 	// is no fault. Counting at every message would take too long.
--- a/internal/experiment/sharedconfigsim/events.go
+++ b/internal/experiment/sharedconfigsim/events.go
@@ -7,8 +7,8 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// Kinds of events. changeOrFault draws one of eventKinds numbers. Numbers below eventKill are changes of a setting,
-// which are thus four of ten events. Numbers above eventRestartAll do nothing.
+// Kinds of events. changeOrFault draws one of eventKinds numbers. Numbers below eventKill are changes of a setting, so
+// that four events in ten are changes. Numbers above eventRestartAll do nothing.
 const (
 	eventKill       = 4
 	eventPause      = 5
--- a/internal/experiment/sharedconfigsim/instance.go
+++ b/internal/experiment/sharedconfigsim/instance.go
@@ -6,7 +6,7 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// simulatedInstance is one router process through all its restarts.
+// simulatedInstance is one router, which can be restarted. It holds the state of the current process.
 type simulatedInstance struct {
 	run     *runState
 	name    string
--- a/internal/experiment/sharedconfigsim/plan.go
+++ b/internal/experiment/sharedconfigsim/plan.go
@@ -34,8 +34,8 @@
 	wallClockMS   = int64(1e12) // at the start of the run
 
 	observationsPerRenewal = 10
-	firstEventAfterLeases  = 4 // time of the first event, in leases
-	firstObservationLeases = 2 // time of the first observation, in leases
+	firstEventAfterLeases  = 4 // time of the first event, in lease durations
+	firstObservationLeases = 2 // time of the first observation, in lease durations
 )
 
 // networkLatency is the latency of messages: 1 ms to 11 ms.
--- a/internal/simulator/decode.go
+++ b/internal/simulator/decode.go
@@ -3,7 +3,10 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
+	"slices"
 	"strconv"
+	"strings"
 
 	"tealpath/control"
 	"tealpath/internal/simulator/wire"
@@ -101,7 +104,8 @@
 func decodeOutcome(event wire.Event) (control.Outcome, error) {
 	result, known := results[event.Fields[4]]
 	if !known {
-		return control.Outcome{}, fmt.Errorf("%w %q", errUnknownResult, event.Fields[4])
+		allowed := strings.Join(slices.Sorted(maps.Keys(results)), ", ")
+		return control.Outcome{}, fmt.Errorf("%w %q: must be one of %s", errUnknownResult, event.Fields[4], allowed)
 	}
 	number, numberErr := event.Int(2)
 	elapsed, elapsedErr := event.Time(5)
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -69,7 +69,7 @@
 		{
 			"an unknown result of an attempt", firstBatch + "MARK 9 2\nENDED router-0 ab 0 11 ODD 0.1 1 - - -\nFLUSH\n",
 			nil, "READY 2",
-			`batch 2: unknown result of an attempt "ODD"`,
+			`batch 2: unknown result of an attempt "ODD": must be one of BAD, CXL, `,
 		},
 	}
 	for _, c := range cases {
--- a/internal/testkit/cache.go
+++ b/internal/testkit/cache.go
@@ -81,8 +81,8 @@
 	return StartCacheAt(t, "127.0.0.1:0", nil)
 }
 
-// StartCacheAt starts a cache on an address and stops it at the end of the test. Its responses report the time
-// that issued returns as the time of issue, or their own time if issued is nil.
+// StartCacheAt starts a cache on an address and stops it at the end of the test. Each response reports as its time of
+// issue what issued returns for the request, or the current time if issued is nil.
 func StartCacheAt(t *testing.T, address string, issued func(CacheRequest) time.Time) *Cache {
 	t.Helper()
 	c := &Cache{listener: ListenAt(t, address), issued: issued, connections: map[net.Conn]bool{}}
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -115,8 +115,8 @@
 // Stalled returns how long the router has been stalled since SIGTERM was sent, see ProcessStallWatch.Total.
 func (e Termination) Stalled() time.Duration { return e.stalls.Total() }
 
-// ExpectEndWithin checks that the router exits without an error before the platform would kill it, which is the
-// duration killedAfter after SIGTERM. A router that is still running then is killed, which fails the test. The time
+// ExpectEndWithin checks that the router exits without an error within killedAfter of SIGTERM, which is when the
+// platform would kill it. A router that is still running then is killed, which fails the test. The time
 // in which the router was stalled is added to killedAfter, so that a loaded machine does not make the test fail.
 func (e Termination) ExpectEndWithin(killedAfter time.Duration) {
 	p := e.process
--- a/internal/testkit/stalls.go
+++ b/internal/testkit/stalls.go
@@ -14,8 +14,8 @@
 	minStall = 5 * time.Millisecond
 )
 
-// StallWatch measures how long the process of the test is stalled because it gets no CPU time. It does so by the
-// delays of a timer. Total and Stop also count the time since the timer last fired, because the goroutine that
+// StallWatch measures how long the process of the test is stalled because it gets no CPU time. A stall shows as the
+// delay of a timer. Total and Stop also count the time since the timer last fired, because the goroutine that
 // calls them may be woken before the timer after a stall.
 type StallWatch struct {
 	stopped chan struct{}
@@ -23,7 +23,7 @@
 	mu         sync.Mutex
 	recordedAt time.Time     // guarded by mu; time of the last call of record
 	longest    time.Duration // guarded by mu; longest delay of the timer
-	total      time.Duration // guarded by mu; all stalls together
+	total      time.Duration // guarded by mu; total duration of all stalls
 }
 
 // WatchStalls starts to measure stalls. The caller must stop the measurement.
@@ -48,7 +48,8 @@
 	}
 }
 
-// record adds the delay since the last call, as far as it exceeds the timer's interval.
+// record measures by how much the time since the last call exceeds the timer's interval. It counts this delay as a
+// stall if it is at least minStall.
 func (w *StallWatch) record(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -60,7 +61,7 @@
 	}
 }
 
-// Total returns the duration of all stalls until now together.
+// Total returns the total duration of all stalls until now.
 func (w *StallWatch) Total() time.Duration {
 	w.record(time.Now())
 	w.mu.Lock()
