--- a/internal/emulator/certificates/certificates.go
+++ b/internal/emulator/certificates/certificates.go
@@ -17,11 +17,11 @@
 )
 
 const (
-	// rootBackdating is how long before its creation the validity of a root certificate starts.
+	// rootBackdating is how far the start of a root certificate's validity lies before its creation.
 	rootBackdating = time.Hour
-	// rootValidity is how long after its creation a root certificate expires.
+	// rootValidity is the time from a root certificate's creation until it expires.
 	rootValidity = 24 * time.Hour
-	// issuedBackdating is how long before its creation the validity of an issued certificate starts.
+	// issuedBackdating is how far the start of an issued certificate's validity lies before its creation.
 	issuedBackdating = 2 * time.Hour
 
 	certificateBlock = "CERTIFICATE"
@@ -40,7 +40,7 @@
 func NewRoot(name string) (*Root, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("generate private key of root certificate %q: %w", name, err)
 	}
 	now := time.Now()
 	template := &x509.Certificate{
@@ -68,7 +68,7 @@
 func (r *Root) Issue(name string, until time.Time) (certificate, key []byte, err error) {
 	privateKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, nil, err
+		return nil, nil, fmt.Errorf("generate private key for %q: %w", name, err)
 	}
 	now := time.Now()
 	template := &x509.Certificate{
--- a/internal/experiment/coldstart/experiment.go
+++ b/internal/experiment/coldstart/experiment.go
@@ -32,7 +32,7 @@
 	CachesWarmingUp    Fault = "caches-cold"   // all caches have just been started
 	CachesUnresponsive Fault = "caches-silent" // one cache in three accepts connections and answers nothing
 	OneCacheHangs      Fault = "cache-hangs"   // one cache accepts connections and answers nothing
-	CacheDraining      Fault = "drained"       // one cache drains, but not yet in the routers' configurations
+	CacheDraining      Fault = "drained"       // one cache drains, but the routers' configurations list it as active
 )
 
 // Faults returns all faults, in the order of docs/coldstart.md.
--- a/internal/experiment/coldstart/simulation.go
+++ b/internal/experiment/coldstart/simulation.go
@@ -28,7 +28,7 @@
 type Simulation struct {
 	Routers      int
 	Seed         uint64
-	DownDuration time.Duration // of the discovery service, from the start
+	DownDuration time.Duration // how long the discovery service is down, from the start
 	Duration     time.Duration // of the simulation
 }
 
--- a/internal/experiment/command/coldstart.go
+++ b/internal/experiment/command/coldstart.go
@@ -43,8 +43,9 @@
 			&cli.Float64Flag{Name: "rate", Value: 300, Usage: "requests per second to all routers together"},
 			binaryFlag(),
 			&cli.DurationFlag{
-				Name:  "hold",
-				Usage: "run once more with a readiness hold of this duration; first calls are spread over 4/5 of it",
+				Name: "hold",
+				Usage: "run once more with a readiness hold of this duration, or with --virtual run only with it; " +
+					"first calls are spread over 4/5 of it",
 			},
 			&cli.BoolFlag{
 				Name:  "links",
--- a/internal/experiment/command/command.go
+++ b/internal/experiment/command/command.go
@@ -43,7 +43,7 @@
 func app(name string) *cli.Command {
 	return &cli.Command{
 		Name:           name,
-		Usage:          "run experiments on loopback or in simulated time; the last line of output is one JSON object",
+		Usage:          "run experiments on loopback or in simulated time; the last line of output is JSON",
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		OnUsageError:   usageError,
 		Action:         showHelp,
--- a/internal/experiment/command/duties.go
+++ b/internal/experiment/command/duties.go
@@ -45,7 +45,7 @@
 			binaryFlag(),
 			&cli.Float64Flag{
 				Name:  "virtual",
-				Usage: "simulate only the modules, for this many `HOURS` of simulated time; 0 starts real instances",
+				Usage: "simulate only the cluster module, for this many `HOURS` of simulated time; 0 starts real instances",
 			},
 		},
 	}
--- a/internal/experiment/command/members.go
+++ b/internal/experiment/command/members.go
@@ -46,7 +46,7 @@
 			binaryFlag(),
 			&cli.Float64Flag{
 				Name:  "virtual",
-				Usage: "simulate only the module, for this many `HOURS` of simulated time; 0 starts real instances",
+				Usage: "simulate only the membership module, for this many `HOURS` of simulated time; 0 starts real instances",
 			},
 			&cli.Float64Flag{Name: "loss", Usage: "share of messages that are lost, from 0 to 1; only with --virtual"},
 			&cli.BoolFlag{
--- a/internal/experiment/leasesim/leasesim_test.go
+++ b/internal/experiment/leasesim/leasesim_test.go
@@ -29,10 +29,11 @@
 		r := plan.Run(t.Context())
 		t.Logf("%+v", r)
 		if !r.BoundsHold() || r.Overlaps != 0 || r.BallotRegressions != 0 || r.DuplicateProbes != 0 {
-			t.Errorf("%d instances: overlaps, ballot regressions or duplicate probes: %+v", size.instances, r)
+			t.Errorf("%d instances: want no overlaps, ballot regressions or duplicate probes, got %+v", size.instances, r)
 		}
 		if r.Tenures < 100 || r.LeasedShare < 0.3 || r.Probes == 0 {
-			t.Errorf("%d instances: too few tenures, leased slots or probes: %+v", size.instances, r)
+			t.Errorf("%d instances: want at least 100 tenures, a leased share of 0.3 and one probe, got %+v",
+				size.instances, r)
 		}
 	}
 }
--- a/internal/experiment/leasesim/result.go
+++ b/internal/experiment/leasesim/result.go
@@ -24,8 +24,8 @@
 	Partitions      int     `json:"splits"`
 	Messages        int     `json:"messages"`
 	Probes          int     `json:"probes"`
-	ExpectedProbes  float64 `json:"probes_of_an_undisturbed_owner"`
-	LeasedShare     float64 `json:"owned_share"` // share of time with a holder, mean over all slots
+	ExpectedProbes  float64 `json:"probes_of_an_undisturbed_owner"` // if each slot always had one holder
+	LeasedShare     float64 `json:"owned_share"`                    // share of time with a holder, mean over all slots
 }
 
 // BoundsHold reports whether the result keeps the bounds of docs/duties.md.
--- a/internal/experiment/testcluster/snapshot_test.go
+++ b/internal/experiment/testcluster/snapshot_test.go
@@ -132,7 +132,8 @@
 	}
 	after := cluster.Caches[0].Fetches()
 	if test.name == "a cache drains" && after != before || test.name == "unchanged" && after == before {
-		t.Errorf("the first cache received %d requests before the restart and %d in total", before, after)
+		t.Errorf("the first cache received %d requests before the restart and %d in total, want more only if it is active",
+			before, after)
 	}
 	calls := cluster.Discovery.Calls()
 	isConfirmed := test.wantEvent == snapshotListConfirmed
--- a/internal/testkit/processstalls.go
+++ b/internal/testkit/processstalls.go
@@ -113,7 +113,8 @@
 	return min(waited, elapsed)
 }
 
-// readThreads reads the times of the running threads of a process from /proc. The keys are the threads' folders.
+// readThreads reads the times of all threads of a process from /proc, except those that have exited. The keys are
+// the threads' folders.
 func readThreads(pid int) map[string]threadTimes {
 	threads := map[string]threadTimes{}
 	folders, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*", pid)) // fails only for a malformed pattern
