--- a/internal/experiment/coldstart/play.go
+++ b/internal/experiment/coldstart/play.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// publishList publishes a complete endpoint list at the discovery service.
+// publishList makes the discovery service send a complete endpoint list.
 func (r *experimentRun) publishList(generation int) {
 	r.service.Publish(testcluster.EndpointListEvent(generation, r.endpoints))
 }
--- a/internal/experiment/coldstart/simulation.go
+++ b/internal/experiment/coldstart/simulation.go
@@ -18,7 +18,7 @@
 	// of routers, so that routers of different simulations have different seeds.
 	seedStride = 1_000_003
 
-	// The baseline calls at once, and then after waits without jitter that double from baselineFirstWait to
+	// The baseline calls at once and then retries after waits without jitter, which double from baselineFirstWait to
 	// baselineLongestWait, in ns.
 	baselineFirstWait   = int64(50 * time.Millisecond)
 	baselineLongestWait = int64(500 * time.Millisecond)
--- a/internal/experiment/coldstartsim/coldstartsim_test.go
+++ b/internal/experiment/coldstartsim/coldstartsim_test.go
@@ -49,10 +49,10 @@
 			}
 			baseline := mustRun(t, withBaseline(plan))
 			if !current.BoundsHold() || current.RefusedConnections > 0 {
-				t.Errorf("a bound is broken or a connection was refused: %v", current)
+				t.Errorf("a bound of docs/coldstart.md is broken or a connection was refused: %v", current)
 			}
 			if current.PeakDiscoveryCalls > baseline.PeakDiscoveryCalls {
-				t.Errorf("%d discovery calls in a second, baseline %d", current.PeakDiscoveryCalls,
+				t.Errorf("up to %d discovery calls in a second, want at most the baseline's %d", current.PeakDiscoveryCalls,
 					baseline.PeakDiscoveryCalls)
 			}
 			mostGetEndpoints := current.Served >= baseline.Served+0.1 && current.TimeToEndpointsP99 >= 0
--- a/internal/experiment/descriptors/descriptors.go
+++ b/internal/experiment/descriptors/descriptors.go
@@ -40,7 +40,7 @@
 	{"descriptor alone", suspendToDescriptors},
 }
 
-// Compare measures each method with a number of connections.
+// Compare measures each method with the same number of connections.
 func Compare(ctx context.Context, connections int) ([]Result, error) {
 	var results []Result
 	for _, method := range methods {
--- a/internal/experiment/heartbeatgossip/table.go
+++ b/internal/experiment/heartbeatgossip/table.go
@@ -14,7 +14,7 @@
 	incarnations map[uint64]*incarnation // the current one, and former ones whose entries may still arrive
 }
 
-// incarnation is one start of an instance.
+// incarnation holds the heartbeat counter of one start of an instance.
 type incarnation struct {
 	heartbeat     uint64
 	heardAt       int64 // when an entry with this counter was received
@@ -172,8 +172,8 @@
 	case known != nil && entry.Heartbeat <= known.heartbeat:
 		return Change{}, false
 	case known == nil && entry.Age > deadIntervals*table.config.Interval:
-		// This is an incarnation that the table has forgotten. If instances accepted it as new, they would pass it
-		// on to each other, and it would never be forgotten by all of them.
+		// This is an incarnation that the table has forgotten. If instances accepted it as new, they would keep
+		// passing it on to each other, and there would always be some that know it.
 		return Change{}, false
 	case known == nil && len(member.incarnations) >= maxIncarnations:
 		table.rejected++
--- a/internal/experiment/heartbeatgossip/table_test.go
+++ b/internal/experiment/heartbeatgossip/table_test.go
@@ -126,7 +126,7 @@
 		t.Errorf("b is %v after it announced that it leaves, want %v", b.State, Left)
 	}
 	if got := len(b.Alive()); got != 1 {
-		t.Errorf("b knows %d live instances after it left, want only a", got)
+		t.Errorf("b knows %d live instances after it left, want 1, which is a", got)
 	}
 }
 
--- a/internal/experiment/idleconnections/bench.go
+++ b/internal/experiment/idleconnections/bench.go
@@ -64,7 +64,7 @@
 	return b, nil
 }
 
-// startRouter starts a router and its client process, which connects from the local address from.
+// startRouter starts a router and its client process. The client process connects from the local IP address from.
 func (b *testbed) startRouter(router, clientBinary, from string) error {
 	if err := b.Start(router); err != nil {
 		return err
--- a/internal/experiment/idleconnections/measure.go
+++ b/internal/experiment/idleconnections/measure.go
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// openUpTo opens connections until there are count of them; open is the number that has been opened before. A
-// baseline router has closed those in the meantime because they were idle too long, so they are opened again first.
+// openUpTo opens connections until count connections are open. The parameter open is the number that was opened before.
+// A baseline router has closed those in the meantime because they were idle too long, so they are opened again first.
 func (r *experimentRun) openUpTo(b *testbed, version Version, open, count int) (seconds float64, err error) {
 	if version == Baseline && open > 0 {
 		if _, err := b.sendAll(reconnectCommand); err != nil {
--- a/internal/experiment/leases/leases_test.go
+++ b/internal/experiment/leases/leases_test.go
@@ -35,7 +35,8 @@
 	}
 	if r.Overlaps != 0 || r.StaleActions != 0 || r.PeakWarmUpShare > 1 || r.TargetsNeverProbed != 0 ||
 		r.GapMaxMS > 2*r.GapBoundMS {
-		t.Errorf("overlaps, stale actions, warm-up budget, unprobed targets or takeover time out of bounds: %+v", r)
+		t.Errorf("want no overlaps, stale actions or unprobed targets, probes within the warm-up budget and takeovers "+
+			"within %.0f ms, got %+v", 2*r.GapBoundMS, r)
 	}
 	if r.IdleProbesPerPeriod < 0.5 || r.IdleProbesPerPeriod > 1.5 {
 		t.Errorf("%.2f probes per target and period without faults, want 0.5 to 1.5", r.IdleProbesPerPeriod)
--- a/internal/experiment/membership/fault.go
+++ b/internal/experiment/membership/fault.go
@@ -114,7 +114,7 @@
 		return in.result, err
 	}
 	disagreement, err := r.cluster.WaitForAgreement(ctx, len(r.cluster.Names), agreementTimeout)
-	if fault != Kill { // after a kill, the wait is for the victim's restart
+	if fault != Kill { // after a kill, instances agree only once the victim has started again
 		in.result.DisagreementMS = milliseconds(disagreement)
 	}
 	in.result.FalseDeaths = r.cluster.FalseDeaths(in.startedAt, in.excluded...)
--- a/internal/experiment/membership/membership_test.go
+++ b/internal/experiment/membership/membership_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("the experiment failed: %v; result %+v", err, r)
 	}
 	if r.FalseDeaths+r.UndetectedKills+r.UndetectedOneWay > 0 || len(r.Faults) < 5 {
-		t.Errorf("false deaths, undetected faults or fewer than 5 faults: error %v, result %+v", err, r)
+		t.Errorf("want no false deaths or undetected faults and at least 5 faults; error %v, result %+v", err, r)
 	}
 }
 
--- a/internal/experiment/membershipsim/membershipsim_test.go
+++ b/internal/experiment/membershipsim/membershipsim_test.go
@@ -47,7 +47,7 @@
 			t.Parallel()
 			r := newTestPlan(40, 150*time.Second, 7).withFaults(20*time.Second, faults...).Run()
 			if !r.BoundsHold() || r.TimeToFormMS < 0 || r.FaultFreeBytesPerSecond > 2000 {
-				t.Errorf("a bound is broken, the group never formed or over 2000 bytes per second: %+v", r)
+				t.Errorf("want the bounds of docs/membership.md, a group that forms and at most 2000 bytes per second, got %+v", r)
 			}
 		})
 	}
@@ -58,7 +58,7 @@
 	plan := newTestPlan(40, 100*time.Second, 7)
 	plan.Loss = 0.2
 	if r := plan.Run(); !r.BoundsHold() {
-		t.Errorf("a bound is broken: %+v", r)
+		t.Errorf("a bound of docs/membership.md is broken: %+v", r)
 	}
 }
 
--- a/internal/experiment/report/report_test.go
+++ b/internal/experiment/report/report_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestTable(t *testing.T) {
+func TestWriteCSV(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "table.csv")
 	if err := WriteCSV(path, []string{"a", "b"}, [][]string{{"1", "x y"}, {"2", "x,y"}}); err != nil {
 		t.Fatal(err)
--- a/internal/experiment/sharedconfigsim/sharedconfigsim_test.go
+++ b/internal/experiment/sharedconfigsim/sharedconfigsim_test.go
@@ -24,7 +24,7 @@
 		plan := newTestPlan(n, 20*time.Minute, 7)
 		r := plan.Run()
 		if !r.BoundsHold() || r.PeakSlowStartShare > 1+1e-9 || r.InForce < 20 {
-			t.Errorf("%d instances: a bound is broken or fewer than 20 changes came into force: %+v", n, r)
+			t.Errorf("%d instances: want the bounds of docs/agreement.md and at least 20 changes in force, got %+v", n, r)
 		}
 		if n == 5 && plan.Run() != r {
 			t.Error("another run with the same seed gives a different result")
--- a/internal/experiment/testcluster/files.go
+++ b/internal/experiment/testcluster/files.go
@@ -204,8 +204,8 @@
 	return os.WriteFile(path, []byte(c.leaseOperatorFile(name, instances)), 0o600)
 }
 
-// instanceOptions returns the (instance …) lines of an operator's file. With relays, the address of each other
-// instance is that of the relay to it.
+// instanceOptions returns the (instance …) lines of an operator's file. With relays, it gives the address of
+// the relay to each other instance in place of that instance's address.
 func (c *Cluster) instanceOptions(name string) (string, error) {
 	var lines strings.Builder
 	for _, other := range c.Names {
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -20,7 +20,7 @@
 	recheckTimer = "2"
 )
 
-// request is a request of an instance that is unfinished or has attempts in flight.
+// request is a client's request to an instance. It is kept while it is unfinished or has attempts in flight.
 type request struct {
 	control.Request
 	id        string
