--- a/internal/experiment/coldstartsim/plan.go
+++ b/internal/experiment/coldstartsim/plan.go
@@ -37,7 +37,7 @@
 const (
 	slowDiscoveryFactor    = 4 // a call takes this many times as long under FaultDiscoverySlow
 	silentCachesOneIn      = 3 // one cache in three is silent under FaultCachesSilent
-	restartedRoutersPerTen = 7 // routers of each ten that are killed under FaultRoutersKilled
+	restartedRoutersPerTen = 7 // so many of every ten routers are killed and restarted under FaultRoutersKilled
 )
 
 // Faults lists all faults.
--- a/internal/experiment/membershipsim/result.go
+++ b/internal/experiment/membershipsim/result.go
@@ -34,7 +34,7 @@
 	MessagesPerSecond       float64 `json:"messages_per_member_per_s"`
 	MaxConnections          int     `json:"links_per_member_max"`
 	ViewChanges             float64 `json:"view_changes"` // mean over all members
-	TimeToFormMS            float64 `json:"formed_ms"`    // until all believe all others alive; -1 is never
+	TimeToFormMS            float64 `json:"formed_ms"`    // until all believe all others alive; -1 means never
 }
 
 // BoundsHold reports whether the result keeps the bounds of docs/membership.md.
--- a/internal/simulator/wire/wire.go
+++ b/internal/simulator/wire/wire.go
@@ -4,7 +4,7 @@
 
 import "fmt"
 
-// absent stands for an absent value.
+// absent is written on the wire in place of an absent value.
 const absent = "-"
 
 // Batch contains all events of one moment in simulated time.
