--- a/internal/experiment/coldstartsim/coldstartsim_test.go
+++ b/internal/experiment/coldstartsim/coldstartsim_test.go
@@ -49,15 +49,15 @@
 			}
 			baseline := mustRun(t, withBaseline(plan))
 			if !current.BoundsHold() || current.RefusedConnections > 0 {
-				t.Errorf("a bound is broken or a connection was refused: %v", current)
+				t.Errorf("a bound of docs/coldstart.md is broken or a connection was refused: %v", current)
 			}
 			if current.PeakDiscoveryCalls > baseline.PeakDiscoveryCalls {
-				t.Errorf("%d discovery calls in a second, baseline %d", current.PeakDiscoveryCalls,
+				t.Errorf("up to %d discovery calls in a second, want at most the baseline's %d", current.PeakDiscoveryCalls,
 					baseline.PeakDiscoveryCalls)
 			}
 			mostGetEndpoints := current.Served >= baseline.Served+0.1 && current.TimeToEndpointsP99 >= 0
 			if fault == FaultDiscoverySlow && !mostGetEndpoints {
-				t.Errorf("served share %f, want 0.1 more than the baseline's %f; time to endpoints %f ms, want not -1",
+				t.Errorf("served share %f, want 0.1 more than the baseline's %f; time to endpoints %f ms, want at least 0",
 					current.Served, baseline.Served, current.TimeToEndpointsP99)
 			}
 			if current.RecoveryTime < 0 || current.Served < 0.4 {
--- a/internal/experiment/command/coldstart.go
+++ b/internal/experiment/command/coldstart.go
@@ -43,8 +43,9 @@
 			&cli.Float64Flag{Name: "rate", Value: 300, Usage: "requests per second to all routers together"},
 			binaryFlag(),
 			&cli.DurationFlag{
-				Name:  "hold",
-				Usage: "run once more with a readiness hold of this duration; first calls are spread over 4/5 of it",
+				Name: "hold",
+				Usage: "run once more with a readiness hold of this duration, or with --virtual run only with it; " +
+					"first calls are spread over 4/5 of it",
 			},
 			&cli.BoolFlag{
 				Name:  "links",
@@ -90,7 +91,7 @@
 		return simulateColdstart(cmd, out)
 	}
 	return withTempDir(func(dir string) error {
-		return startRouters(ctx, cmd, coldstart.Experiment{
+		return runBuilds(ctx, cmd, coldstart.Experiment{
 			Routers:           cmd.Int("routers"),
 			Caches:            cmd.Int("caches"),
 			Seed:              cmd.Uint64("seed"),
@@ -104,9 +105,9 @@
 	})
 }
 
-// startRouters runs the experiment with the baseline if there is one, with the current build, and with the current
+// runBuilds runs the experiment with the baseline if there is one, with the current build, and with the current
 // build and a readiness hold if there is one. The bounds are checked for the last run only.
-func startRouters(ctx context.Context, cmd *cli.Command, e coldstart.Experiment) error {
+func runBuilds(ctx context.Context, cmd *cli.Command, e coldstart.Experiment) error {
 	current := coldstart.Build{Binary: cmd.String("binary"), PlanConnections: cmd.Bool("links")}
 	builds := []coldstart.Build{current}
 	if baseline := cmd.String("baseline"); baseline != "" {
--- a/internal/experiment/command/members.go
+++ b/internal/experiment/command/members.go
@@ -46,7 +46,7 @@
 			binaryFlag(),
 			&cli.Float64Flag{
 				Name:  "virtual",
-				Usage: "simulate only the module, for this many `HOURS` of simulated time; 0 starts real instances",
+				Usage: "simulate only the membership module, for this many `HOURS` of simulated time; 0 starts real instances",
 			},
 			&cli.Float64Flag{Name: "loss", Usage: "share of messages that are lost, from 0 to 1; only with --virtual"},
 			&cli.BoolFlag{
@@ -127,7 +127,7 @@
 	return experiment
 }
 
-// simulateMembers simulates the module with each number of instances.
+// simulateMembers simulates the membership module with each number of instances.
 func simulateMembers(cmd *cli.Command, out string, counts []int, faults []string) error {
 	var results []membershipsim.Result
 	for _, instances := range counts {
--- a/internal/experiment/membership/fault.go
+++ b/internal/experiment/membership/fault.go
@@ -75,7 +75,7 @@
 	victim      string
 	others      []string // all but the victim
 	startedAt   time.Time
-	excluded    []string // deaths that these instances log, or that others log of them, are not false
+	excluded    []string // deaths of these instances, and deaths that they log, do not count as false
 	result      FaultResult
 }
 
@@ -114,7 +114,7 @@
 		return in.result, err
 	}
 	disagreement, err := r.cluster.WaitForAgreement(ctx, len(r.cluster.Names), agreementTimeout)
-	if fault != Kill { // after a kill, the wait is for the victim's restart
+	if fault != Kill { // after a kill, instances agree only once the victim has started again
 		in.result.DisagreementMS = milliseconds(disagreement)
 	}
 	in.result.FalseDeaths = r.cluster.FalseDeaths(in.startedAt, in.excluded...)
