--- a/cmd/tealpath/logevents_test.go
+++ b/cmd/tealpath/logevents_test.go
@@ -50,7 +50,7 @@
 	kindMethods = regexp.MustCompile(`(?m)^func \(\w*\s*\*?\w+\) Kind\(\) logevent\.Kind\b`)
 )
 
-// eventRow is the description of an event in a table.
+// eventRow is the description of one event in a table of eventPages.
 type eventRow struct {
 	page, level, meaning, action string
 	fields                       []string
--- a/cmd/tealpath/shutdownbusy_test.go
+++ b/cmd/tealpath/shutdownbusy_test.go
@@ -227,7 +227,8 @@
 func TestRequestsCrossTheCloseOfIdleConnections(t *testing.T) {
 	t.Parallel()
 	const clients, deadline = 60, 300 * time.Millisecond
-	const firstRequest, interval = 650 * time.Millisecond, 5 * time.Millisecond // first request after the signal
+	// firstRequest is the time from the termination signal to the first request, interval the time between requests.
+	const firstRequest, interval = 650 * time.Millisecond, 5 * time.Millisecond
 	router, caches, _ := newTestCell(t, deadline.Seconds())
 	process := router.spawnHealthy(t)
 	var idle []*testkit.Client
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -104,8 +104,8 @@
 }
 
 // If capacities are measured, all routers together must not send more than a parent in slow start can take. The
-// number of routers varies, their traffic is uneven, their measurements have errors, and the parent is smaller than
-// the other one.
+// number of routers varies, their traffic is uneven, their measurements have errors, and the parent in slow start
+// has less capacity than the other parent.
 func TestSlowStartOfMeasuredCapacities(t *testing.T) {
 	const (
 		mean             = 0.5 // s; mean work of a request
@@ -132,7 +132,8 @@
 				if n%10 == 0 {
 					traffic = 5
 				}
-				// The mean traffic of a router is 0.95. Measurements are between half and 1.5 times the correct value.
+				// The mean of traffic over all routers is 0.95, so that the sum over all routers corresponds to load.
+				// Measurements are between half and 1.5 times the correct value.
 				measured := load * capacity * parents / float64(routers) * traffic / 0.95 * (0.5 + router.random())
 				endpoint := router.endpoints[3]
 				router.slowStartAdmits(start, endpoint, mean)
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// Invalid calls change nothing.
+// Calls for an unknown class, attempt or endpoint, or for a request that has ended, change nothing.
 func TestInvalidCallsChangeNothing(t *testing.T) {
 	router := newRouter(t, nil)
 	if decision := router.Decide(start, newRequest("unheard of", "a")); decision.Verdict != Fail {
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -158,7 +158,7 @@
 // tokenParams are the parameters that token rates are computed from.
 type tokenParams struct {
 	limit  float64 // s; work within the window above which the endpoint is overloaded
-	trials float64 // requests that may come within one window, one for each incarnation of a router
+	trials float64 // number of trials in one window: at most one request for each incarnation of a router
 	starts float64 // slow starts per day, assuming that each listed endpoint starts once
 }
 
--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -27,7 +27,7 @@
 	starts            uint64                           // number of node starts, used as incarnations
 	highestBallots    map[int]uint64                   // ballot of the latest Acquired, by slot
 	overlaps          int                              // number of steps and slots with more than one holder
-	ballotRegressions int                              // number of Acquired whose ballot was not above the one before
+	ballotRegressions int                              // Acquired effects whose ballot is not above the slot's last one
 	observe           func(name string, effect Effect) // called for each effect unless nil
 }
 
--- a/internal/cluster/lease/quorum.go
+++ b/internal/cluster/lease/quorum.go
@@ -9,8 +9,8 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// EpochUnsettledError reports that the next voters can't take effect yet. First a quorum must have been at the
-// current epoch for the duration of a restart silence, so that all leases granted at the epoch before have ended.
+// EpochUnsettledError reports that the next voters can't take effect yet. A quorum must first have been at the current
+// epoch for Config.RestartSilence, so that all leases granted in the previous epoch have ended.
 type EpochUnsettledError struct {
 	Epoch    uint64 // the current epoch
 	SettleMS int64  // how long a quorum must have been at Epoch, ms
--- a/internal/cluster/membership/neighbourhood.go
+++ b/internal/cluster/membership/neighbourhood.go
@@ -37,7 +37,7 @@
 	members   map[string]*record // the members with a link, by name
 	names     []string           // the sorted names of members; nil: not computed
 	rings     *Rings
-	ringNames []string            // the names on the rings
+	ringNames []string            // the names that rings was built from; rings is rebuilt when they change
 	observers map[string][]string // cached observers of a name
 }
 
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -9,7 +9,7 @@
 
 // suspicion holds the members that observers report, and the sequence number of this instance's last report.
 type suspicion struct {
-	members   map[string]*record // with reports
+	members   map[string]*record // members that observers have reported, by name
 	reportSeq uint64
 }
 
--- a/internal/cluster/peer/incoming.go
+++ b/internal/cluster/peer/incoming.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// handshake does the TLS handshake, reads the hello and checks that the certificate is valid for its name, all
-// within handshakeTimeout.
+// handshake does the TLS handshake, reads the hello and checks that the certificate is valid for the name in the
+// hello, all within handshakeTimeout.
 func (links *Links) handshake(ctx context.Context, conn *tls.Conn) (hello, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return hello{}, err
--- a/internal/downstream/filter_linux_test.go
+++ b/internal/downstream/filter_linux_test.go
@@ -39,8 +39,8 @@
 // filter, because the Go runtime needs the system call itself.
 const epollFails = "epoll_wait fails"
 
-// filters maps the names of the filters under which the server is tested to the calls that they refuse, and to
-// whether idle connections can be suspended under them.
+// filters holds the filters under which the server is tested, by name: the calls that each of them refuses, and
+// whether idle connections can be suspended under it.
 var filters = map[string]struct {
 	suspends bool
 	refused  []refusal
--- a/internal/downstream/idle/list.go
+++ b/internal/downstream/idle/list.go
@@ -4,7 +4,7 @@
 // that state. It is doubly linked through the prev and next fields of the entries.
 type list struct{ first, last ID }
 
-// emptyList is a list without connections.
+// emptyList is a list without connections. The zero value of list is not empty, because 0 is a valid ID.
 var emptyList = list{first: None, last: None}
 
 // link appends a connection to its network's list for a state.
--- a/internal/experiment/sharedconfigsim/events.go
+++ b/internal/experiment/sharedconfigsim/events.go
@@ -96,7 +96,7 @@
 	s.scheduler.After(partitionTime, func() { simulation.HealNetwork(s.hosts) })
 }
 
-// restartAll restarts all instances at once, on one in restartAllOneIn calls.
+// restartAll restarts all instances at once with probability 1/restartAllOneIn, and otherwise does nothing.
 func (s *runState) restartAll() {
 	if s.random.IntN(restartAllOneIn) != 0 {
 		return
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -72,7 +72,7 @@
 	IssuedAt        int64 // when the origin issued the copy, Unix ns by its clock; 0: it is not a cacheable copy
 	Body            []byte
 	Note            int64     // code from the wire: where the response came from, or who rejected the attempt
-	TimeToFirstByte int64     // ns
+	TimeToFirstByte int64     // ns; until the first byte came from the source, as the endpoint reports it; 0: unknown
 	LoadReport      []float64 // the endpoint's load, in the order of the setting LoadReportFields
 }
 
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// Close closes a connection.
+// Close closes a connection, or ends the attempt to establish it. It does nothing if the pool has no such connection.
 func (p *Pool) Close(effect router.Close) {
 	if c := p.find(effect.Connection); c != nil {
 		c.cancel()
