--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -57,7 +57,7 @@
 	return cluster
 }
 
-// withTarget gives each node the same list of one target.
+// withTarget gives every node the same list with a single probe target and returns the cluster.
 func (cluster testCluster) withTarget() testCluster {
 	for _, node := range cluster {
 		node.Handle(0, TargetsUpdated{Targets: []probe.Target{{Name: "t", Address: "x", Capacity: 4}}})
--- a/internal/cluster/events.go
+++ b/internal/cluster/events.go
@@ -71,11 +71,12 @@
 // Log writes an event to the log.
 type Log struct{ Event logevent.Event }
 
-// SetTimer requests a TimerFired at a time and replaces the previous SetTimer.
+// SetTimer requests a TimerFired at the time At and replaces the previous SetTimer.
 type SetTimer struct{ At int64 }
 
-// combine merges the messages to each instance where one message can hold them, because a second message costs its
-// receiver more than a second part of one message. Lease changes come first, so that no message is sent before them.
+// combine merges messages to the same instance where one message can hold the parts of both, because receiving one
+// message with two parts costs less than receiving two messages. It moves lease changes to the front, so that they are
+// carried out before any message is sent.
 func combine(effects []Effect) []Effect {
 	combined := make([]Effect, 0, len(effects))
 	for _, effect := range effects {
@@ -83,7 +84,7 @@
 			combined = append(combined, effect)
 		}
 	}
-	last := map[string]int{} // the index of the last message to an instance
+	last := map[string]int{} // by instance: the index in combined of the last message to it
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case LeaseChanged:
--- a/internal/cluster/lease/acquire.go
+++ b/internal/cluster/lease/acquire.go
@@ -6,16 +6,16 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// These constants decide which candidates request a free slot, and when. "Renewals" in their
-// names means renewal intervals.
+// These constants decide which candidates request a free slot, and when. Those whose names end in Renewals are
+// durations in renewal intervals. Candidates other than the assigned one take turns in the order of their rank.
 const (
 	ticksPerRenewal = 8  // ticks in one renewal interval
 	steadyRenewals  = 2  // time without a change of the assignment before slots are transferred
 	transferDivisor = 8  // about one in this many slots is transferred in one renewal interval
-	turnsPerRenewal = 2  // ranks below the assigned candidate whose turns come within one renewal interval
-	maxTurnRenewals = 2  // longest wait for one's turn, without the extra wait of far ranks
-	nearRanks       = 4  // ranks below the assigned candidate that have no extra wait
-	farRankRenewals = 2  // extra wait for each rank below the near ranks
+	turnsPerRenewal = 2  // number of ranks whose turns come within one renewal interval
+	maxTurnRenewals = 2  // longest wait for a turn, not counting the extra wait
+	nearRanks       = 4  // number of the first ranks, which have no extra wait
+	farRankRenewals = 2  // extra wait for each rank after the near ranks
 	maxFarRenewals  = 60 // longest extra wait
 )
 
--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -18,15 +18,15 @@
 	names             []string
 	nodes             map[string]*Node
 	startedAt         map[string]int64            // simulated time at which the node's clock read 0
-	rate              map[string]float64          // of the node's clock
+	rate              map[string]float64          // by node: ns that its clock advances in 1 ns of simulated time
 	frozen            map[string]bool             // nodes that are paused: they neither tick nor receive
 	cut               func(from, to string) bool  // whether a link drops messages; nil drops none
-	delay             func(from, to string) int64 // of a link, ns; nil is 2 ms on all links
+	delay             func(from, to string) int64 // returns the delay of a link, ns; nil: 2 ms on all links
 	inTransit         []inFlightMessage
 	wallMS            int64                            // wall clock at simulated time 0
 	starts            uint64                           // number of node starts, used as incarnations
 	highestBallots    map[int]uint64                   // ballot of the latest Acquired, by slot
-	overlaps          int                              // number of steps and slots with more than one holder
+	overlaps          int                              // slots with more than one holder, summed over all steps
 	ballotRegressions int                              // Acquired effects whose ballot is not above the slot's last one
 	observe           func(name string, effect Effect) // called for each effect unless nil
 }
--- a/internal/cluster/lease/config.go
+++ b/internal/cluster/lease/config.go
@@ -16,7 +16,7 @@
 	MaxSlots  = 4096
 	MaxVoters = 64 // names in both sets of voters together: a holder keeps one bit per voter in a uint64
 
-	maxAllowedDrift     = 0.1 // of MaxClockDrift
+	maxAllowedDrift     = 0.1 // largest valid MaxClockDrift
 	minRenewalsPerLease = 3   // two renewals in a row may be lost without losing the lease
 )
 
@@ -27,7 +27,7 @@
 }
 
 // Voters names the instances whose quorum grants leases. A quorum is a majority of Current and, unless Previous
-// is empty, also a majority of Previous, the voters of the epoch before. The two sets differ by at most one name.
+// is empty, also a majority of Previous, the voters of the previous epoch. The two sets differ by at most one name.
 type Voters struct {
 	Epoch    uint64   `json:"Epoch"`
 	Current  []string `json:"Now"`
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -131,7 +131,7 @@
 		}
 	}
 	if len(state.inTransit) > maxInTransit {
-		// The oldest messages are lost. Of two equal messages it is enough to deliver the later one.
+		// Drop the oldest messages. If a later message equals a dropped one, it is enough to deliver the later one.
 		state.inTransit = slices.Clone(state.inTransit[len(state.inTransit)-maxInTransit:])
 	}
 	return staleBallot
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// renewLeases proposes again all slots that this node holds or that a quorum has promised to it.
+// renewLeases sends a new Propose for every slot that this node holds or that a quorum has promised to it. If a quorum
+// accepts it, the lease on the slot is renewed or acquired.
 func (node *Node) renewLeases(now int64) {
 	var items []SlotBallot
 	for slot := range node.holdings {
@@ -79,7 +80,7 @@
 	node.requestVotes(now, Propose, items)
 }
 
-// requestVotes sends a Prepare or Propose to all voters. If this node is a voter, it votes itself after that.
+// requestVotes sends a Prepare or Propose to all other voters, and then votes on it itself if this node is a voter.
 func (node *Node) requestVotes(now int64, kind MessageKind, items []SlotBallot) {
 	if len(items) == 0 {
 		return
@@ -168,9 +169,10 @@
 	}
 }
 
-// recordOtherHolder records that another instance holds a slot, and delays the next attempt. That instance may
-// release the slot early or die, so the delay is at most one renewal interval. If the slot is assigned to that
-// instance, the delay lasts until its lease ends, because other instances notice if it releases the slot or dies.
+// recordOtherHolder records that another instance holds a slot, and delays the next attempt to acquire it. If the slot
+// is assigned to that instance, the delay lasts until its lease ends, because other instances notice if it releases
+// the slot or dies. Otherwise the delay is at most one renewal interval, because the holder may release the slot early
+// or die.
 func (node *Node) recordOtherHolder(now int64, holding *slotHolding, item SlotBallot) {
 	wait := min(item.Remaining, node.config.LeaseDuration)
 	if node.assigned == nil || node.assignedName(item.Slot) != item.Holder.Name {
@@ -202,9 +204,9 @@
 	}
 }
 
-// Reacquire releases a slot that this node holds under a ballot below one that was seen on an action under its
-// lease, and requests the slot again. This happens if all voters of a quorum restart with wall clocks that were
-// set back: the ballots then start lower, and other instances ignore actions under the lower ballot.
+// Reacquire releases a slot and requests it again if this node holds it under a ballot below seen, the ballot of
+// another action for the slot. That happens if all voters of a quorum have restarted with wall clocks that were set
+// back. Other instances ignore actions under the lower ballot.
 func (node *Node) Reacquire(now int64, slot int, seen uint64) {
 	node.ObserveBallot(seen)
 	ballot, _, ok := node.Holds(now, slot)
--- a/internal/cluster/lease/node_test.go
+++ b/internal/cluster/lease/node_test.go
@@ -175,7 +175,7 @@
 func TestWallClocksSetBackAreSafe(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.run(4 * cluster.leaseDuration)
-	cluster.wallMS -= 3600e3 // also for nodes that keep running: their ballots still grow
+	cluster.wallMS -= 3600e3 // on all nodes; ballots must keep growing
 	cluster.start("n1")
 	cluster.run(4 * cluster.leaseDuration)
 	cluster.wallMS += 7200e3
--- a/internal/cluster/lease/quorum.go
+++ b/internal/cluster/lease/quorum.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// enterEpoch puts voters into force. Leases and attempts of the previous epoch end, since acceptances by the
+// enterEpoch replaces the voters in force. Leases and attempts of the previous epoch end, since acceptances by the
 // previous voters no longer count.
 func (node *Node) enterEpoch(voters Voters) {
 	node.config.Voters = voters
@@ -63,7 +63,8 @@
 	}
 }
 
-// indexVoters gives each voter of both sets an index, and discards the epochs and answer times recorded for voters.
+// indexVoters gives each voter of both sets an index, and discards the epochs and answer times that were recorded for
+// the earlier voters.
 func (node *Node) indexVoters(voters Voters) {
 	node.voterNames, node.voterSets = nil, nil
 	for _, set := range [][]string{voters.Current, voters.Previous} {
@@ -128,8 +129,8 @@
 	return true
 }
 
-// heldUntil returns when this node's lease on a slot ends, or 0 if no quorum has accepted it. The lease counts from
-// the latest send time for which a majority of every set accepted a proposal sent at that time or later.
+// heldUntil returns when this node's lease on a slot ends, or 0 if no quorum has accepted a proposal for the slot. The
+// lease starts at the latest instant T such that a majority of every set has accepted a proposal sent at T or later.
 func (node *Node) heldUntil(holding *slotHolding) int64 {
 	sentAt := int64(math.MaxInt64)
 	for _, set := range node.voterSets {
--- a/internal/cluster/lease/record_test.go
+++ b/internal/cluster/lease/record_test.go
@@ -23,7 +23,8 @@
 	for range rounds {
 		cluster.injectRandomFault(faults)
 		cluster.run(2 * cluster.leaseDuration)
-		clear(cluster.frozen) // bounds the messages to frozen nodes, all of which are scanned in each step
+		// Messages to frozen nodes are kept, and each step scans all of them. Resuming the nodes bounds their number.
+		clear(cluster.frozen)
 		cluster.updateCandidates()
 		for _, name := range cluster.names {
 			if node := cluster.nodes[name]; node != nil {
--- a/internal/cluster/lease/status.go
+++ b/internal/cluster/lease/status.go
@@ -28,7 +28,8 @@
 	return statuses
 }
 
-// slotStatus returns the status of one slot.
+// slotStatus returns the status of one slot. It prefers this node's own lease, then a lease that this node granted
+// as a voter, then the holder that the last Reject named.
 func (node *Node) slotStatus(now int64, slot int) SlotStatus {
 	holding, grant := &node.holdings[slot], &node.grants[slot]
 	status := SlotStatus{Slot: slot}
@@ -50,7 +51,7 @@
 	return status
 }
 
-// reasonNotHeld returns the reason why no holder of a slot is known.
+// reasonNotHeld returns the text for operators that says why no holder of a slot is known.
 func (node *Node) reasonNotHeld(now int64, holding *slotHolding, planned string) string {
 	switch {
 	case now < node.grantsFrom:
--- a/internal/cluster/lease/voter.go
+++ b/internal/cluster/lease/voter.go
@@ -77,15 +77,16 @@
 	}
 }
 
-// endSilence ends the restart silence when its time is over. Promises made before the restart are not remembered,
-// so from then on the voter promises only ballots above all those known at that moment.
+// endSilence sets the promise floor once the voter has been running for Config.RestartSilence, in which it grants
+// nothing. Promises made before the restart are not remembered, so from then on the voter promises only ballots above
+// all those known at that moment.
 func (node *Node) endSilence(now int64) {
 	if node.promiseFloor == 0 && now >= node.grantsFrom {
 		node.promiseFloor = max(node.highestBallot, 1)
 	}
 }
 
-// SilentUntil returns when the restart silence of this voter ends or ended; it grants nothing before that.
+// SilentUntil returns until when this node grants nothing as a voter after its start. It may be in the past.
 func (node *Node) SilentUntil() int64 { return node.grantsFrom }
 
 // revokeLease ends a lease that its holder released. A Propose with its ballot that arrives later is rejected.
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -73,7 +73,7 @@
 	cause    string
 }
 
-// slotsChange is a change that applies to several slots.
+// slotsChange is a lease change with the slots that it applies to.
 type slotsChange struct {
 	leaseChange
 	slots []int
@@ -161,8 +161,8 @@
 	return fmt.Sprint(missing)
 }
 
-// logQuorum logs whether a quorum is reachable, when that changes. It logs nothing during the restart silence
-// and the two renewal intervals that follow.
+// logQuorum logs whether a quorum is reachable, when that changes. It logs nothing for lease.Config.RestartSilence
+// after the start, in which a voter grants no leases, nor in the two renewal intervals that follow.
 func (node *Node) logQuorum(now int64) {
 	startup := node.config.Lease.RestartSilence() + 2*node.config.Lease.RenewInterval
 	if node.shuttingDown || now-node.startedAt < startup {
--- a/internal/cluster/logevents.go
+++ b/internal/cluster/logevents.go
@@ -28,7 +28,7 @@
 // MemberAlive reports that another instance is now believed alive.
 type MemberAlive struct {
 	Member   string `log:"member"`
-	Previous string `log:"previous"` // the member's state before
+	Previous string `log:"previous"` // the member's state before the change
 	Cause    string `log:"cause,omitempty"`
 }
 
@@ -98,8 +98,8 @@
 	return logevent.Kind{Name: "members_left", Level: logevent.Info, Message: "many other instances have left"}
 }
 
-// InstanceWasAway reports that this instance was paused for a heartbeat interval or longer. The instance does not
-// report others as silent because of that time.
+// InstanceWasAway reports that this instance was paused for a heartbeat interval or longer. It does not count the time
+// of the pause as silence of other instances.
 type InstanceWasAway struct {
 	DurationMS int64 `log:"duration_ms"`
 }
@@ -138,7 +138,7 @@
 }
 
 // DuplicateNameDetected reports that a second instance runs under this instance's name. This instance does not
-// vote until the other one has been silent for a while.
+// vote until nothing has been heard from the other one for lease.Config.RestartSilence.
 type DuplicateNameDetected struct {
 	Member string `log:"member"` // the name that both use
 }
--- a/internal/cluster/logevents_test.go
+++ b/internal/cluster/logevents_test.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// Equal consecutive lease changes are logged as one event, and other changes are not combined.
+// A takeover of many slots must not fill the log with one event per slot. Changes that differ in ballot or cause, or
+// are not consecutive, must stay separate.
 func TestLeaseChangesAreCombined(t *testing.T) {
 	var changes leaseChanges
 	changes.add(leaseChange{acquired: true, ballot: 7}, 1)
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// receiveGossip handles gossip from a member.
+// receiveGossip updates the membership table from gossip, and passes the voter epochs in it to the lease node.
 func (node *Node) receiveGossip(now int64, from string, gossip membership.Gossip) {
 	sends, changes := node.members.Receive(now, from, gossip)
 	node.logChanges(changes)
@@ -47,7 +47,7 @@
 	}
 }
 
-// sendGossip emits the membership table's messages.
+// sendGossip emits the membership table's messages, each with the highest ballot known.
 func (node *Node) sendGossip(sends []membership.Send) {
 	for _, send := range sends {
 		message := Message{Gossip: &send.Gossip, HighestBallot: node.leases.HighestBallot()}
--- a/internal/cluster/membership/cluster_test.go
+++ b/internal/cluster/membership/cluster_test.go
@@ -27,7 +27,7 @@
 	now         int64
 	names       []string
 	tables      map[string]*Table
-	faults      map[string]plantedFault // by table: the value of fault when it was started
+	faults      map[string]plantedFault // by table: the value of fault when the table was started
 	down        map[string]bool
 	pausedUntil map[string]int64
 	cut         func(from, to string) bool // reports whether messages on this path are lost
@@ -101,7 +101,7 @@
 	delete(cluster.down, name)
 }
 
-// run advances time by a duration, in steps.
+// run advances time by a duration. In each step it delivers messages and ticks the running tables.
 func (cluster *testCluster) run(duration int64) {
 	for end := cluster.now + duration; cluster.now < end; cluster.now += step {
 		cluster.deliver()
@@ -126,7 +126,7 @@
 	cluster.send(name, sends)
 }
 
-// observed calls observe, if it is set.
+// observed passes a table's results to observe, if it is set.
 func (cluster *testCluster) observed(name string, sends []Send, changes []Change) {
 	if cluster.observe != nil {
 		cluster.observe(name, sends, changes)
@@ -181,8 +181,8 @@
 	}
 }
 
-// believers counts the other instances that are up and not in except, and how many of them believe a member to be in
-// a state.
+// believers returns how many instances believe a member to be in a state, and how many were asked: all others that are
+// up and not in except.
 func (cluster *testCluster) believers(name string, state State, except ...string) (believe, all int) {
 	for _, other := range cluster.names {
 		if other == name || cluster.down[other] || slices.Contains(except, other) {
--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -10,7 +10,7 @@
 	maxIncarnations  = 64   // recorded for one name
 	maxReports       = 32   // kept about one member
 	maxQueuedReports = 4096 // waiting to be passed on
-	maxLocalHealth   = 8    // the worst score
+	maxLocalHealth   = 8    // the worst local health score
 )
 
 // Durations in heartbeat intervals.
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -31,7 +31,7 @@
 		}
 		member.confirmSince = timing.Never
 		maps.DeleteFunc(member.reports, func(observer string, _ receivedReport) bool {
-			return observer != table.self.entry.Name // others' reports may be as old as the time away
+			return observer != table.self.entry.Name // their reports may date from before the pause
 		})
 	}
 	table.recordSelfChange(now, ReasonAway)
@@ -174,7 +174,7 @@
 	return ok && report.Kind != Healthy && table.canReport(observer)
 }
 
-// canReport reports whether reports of a name count: it is this instance or a member believed alive.
+// canReport reports whether reports from an observer count. It must be this instance or a member believed alive.
 func (table *Table) canReport(name string) bool {
 	if name == table.self.entry.Name {
 		return true
--- a/internal/cluster/membership/detect_test.go
+++ b/internal/cluster/membership/detect_test.go
@@ -232,7 +232,7 @@
 	}
 }
 
-// countReports counts the reports that observers made of subjects, from the observers' own tables.
+// countReports counts the observers' own reports that a subject is silent or deaf, as their tables hold them.
 func (cluster *testCluster) countReports(observers, subjects []string) int {
 	count := 0
 	for _, observer := range observers {
--- a/internal/cluster/membership/explore_test.go
+++ b/internal/cluster/membership/explore_test.go
@@ -110,7 +110,7 @@
 	return ""
 }
 
-// explore runs a scenario and returns the first error, or an empty string.
+// explore runs events one after another in a new cluster and returns the first error, or an empty string.
 func explore(t *testing.T, events []event, fault plantedFault) string {
 	t.Helper()
 	scenario := &scenario{newFaultyCluster(t, 3, fault), map[string]map[uint64]uint64{}}
--- a/internal/cluster/membership/heartbeat.go
+++ b/internal/cluster/membership/heartbeat.go
@@ -21,7 +21,8 @@
 	return sends
 }
 
-// heartbeat makes the gossip for a member with a link into the next heartbeat to that member.
+// heartbeat turns gossip for a member with a link into the next heartbeat to it: it adds the number, the echo and any
+// entries that the member may lack.
 func (table *Table) heartbeat(now int64, member *record, gossip Gossip) Gossip {
 	link := member.link
 	link.sent++
--- a/internal/cluster/membership/memberlist.go
+++ b/internal/cluster/membership/memberlist.go
@@ -24,7 +24,7 @@
 	return member
 }
 
-// remove deletes a member, which changes generation.
+// remove deletes a member and increments generation.
 func (list *memberList) remove(member *record) {
 	delete(list.byName, member.Name)
 	list.generation++
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -52,7 +52,8 @@
 		entry.Weight > 0 && entry.Weight < maxWeight
 }
 
-// Report is an observer's report of one incarnation and version of a member.
+// Report is an observer's statement that one incarnation and version of a member is silent, deaf or healthy again. A
+// Rumour uses the same type.
 type Report struct {
 	Subject     string     `cbor:"1,keyasint"`
 	Incarnation uint64     `cbor:"2,keyasint"`
--- a/internal/cluster/membership/neighbourhood.go
+++ b/internal/cluster/membership/neighbourhood.go
@@ -45,7 +45,7 @@
 	return neighbourhood{members: map[string]*record{}, observers: map[string][]string{}}
 }
 
-// add adds a member that has a link.
+// add adds a member, whose link must be set, to the members with links.
 func (links *neighbourhood) add(member *record) {
 	links.members[member.Name] = member
 	links.names = nil
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -80,7 +80,7 @@
 	return table.addMember(now, entry.Name)
 }
 
-// update replaces a member's entry with a newer one.
+// update replaces a member's entry with a newer one, drops suspicions of the earlier version and passes the entry on.
 func (table *Table) update(now int64, member *record, entry Entry, from string) {
 	previous := member.Entry
 	if !member.incarnations.observe(now, entry.Incarnation) {
@@ -181,7 +181,8 @@
 	}
 }
 
-// receiveReport handles an observer's report.
+// receiveReport stores and passes on an observer's report of a member's present version. Reports about this
+// instance go to receiveAccusation.
 func (table *Table) receiveReport(now int64, report Report, from string) {
 	if len(report.Subject) > maxNameSize || len(report.Observer) > maxNameSize || report.Kind > Rumour {
 		table.rejected++
--- a/internal/cluster/membership/receive_test.go
+++ b/internal/cluster/membership/receive_test.go
@@ -6,7 +6,7 @@
 )
 
 // A member that restarts with its wall clock set back to 1970 is alive again and is not taken for a duplicate. Two
-// instances that run under one name are detected by their contacts and by the instance itself.
+// instances that run under one name are detected by the first of them and by the contacts of the second.
 func TestRestartsUnderOneName(t *testing.T) {
 	cluster := newCluster(t, 12)
 	cluster.run(4 * second)
@@ -98,7 +98,7 @@
 	return forged
 }
 
-// Unusable input is rejected, and input from other instances takes bounded memory.
+// A faulty instance must not be able to put unusable entries into the tables of others or to fill their memory.
 func TestUnusableInputIsRejectedAndMemoryBounded(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.run(2 * second)
--- a/internal/cluster/membership/rings_test.go
+++ b/internal/cluster/membership/rings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// ringNames returns count names.
+// ringNames returns the names n0000, n0001 and so on, in sorted order.
 func ringNames(count int) []string {
 	var names []string
 	for i := range count {
@@ -69,7 +69,7 @@
 	}
 }
 
-// countApart removes a random third of the names and counts the others that the first one of them cannot reach.
+// countApart removes a random third of the names, and counts the remaining ones that the first of these cannot reach.
 func countApart(names []string, neighbours map[string][]string, rng *rand.Rand) int {
 	there := map[string]bool{}
 	for _, name := range names {
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -139,7 +139,7 @@
 // Self returns this instance's entry as it is passed on.
 func (table *Table) Self() Entry { return table.self.entry }
 
-// Member returns a member, if it is known.
+// Member returns a copy of the member with this name, or false if the name is unknown or that of this instance.
 func (table *Table) Member(name string) (Member, bool) {
 	if member := table.members.byName[name]; member != nil {
 		return member.member(), true
--- a/internal/cluster/membership/view_test.go
+++ b/internal/cluster/membership/view_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// When many members change at once, the published view changes only a few times.
+// Each change of the published view may move leases. The loss of a third of the members must therefore change the view
+// at most three times rather than once per member.
 func TestSimultaneousChangesMakeFewViews(t *testing.T) {
 	cluster := newCluster(t, 120)
 	cluster.run(4 * second)
@@ -35,7 +36,8 @@
 	cluster.checkAllAlive()
 }
 
-// A member that keeps failing is held out of the published view for longer each time.
+// If a member that keeps failing returned to the published view each time it is alive, leases would move to it and
+// back again. It must be held out until it has been alive for long enough.
 func TestFlappingMemberIsHeldOutOfTheView(t *testing.T) {
 	cluster := newCluster(t, 20)
 	cluster.run(4 * second)
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -126,7 +126,7 @@
 
 func (node *Node) emit(effect Effect) { node.effects = append(node.effects, effect) }
 
-// receive handles a message from another instance.
+// receive passes the parts of a message from another instance to the components that they are for.
 func (node *Node) receive(now int64, event MessageReceived) {
 	from := event.From
 	node.members.ObserveIncarnation(now, from.Name, from.Incarnation)
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -35,7 +35,8 @@
 	}
 }
 
-// An instance that loses its quorum loses its leases, logs the loss and shows it in its status.
+// An instance without a quorum must stop acting under its leases, because others may acquire them. It must also tell
+// operators the reason, in the log and in its status.
 func TestQuorumLossIsLoggedAndInStatus(t *testing.T) {
 	cluster := newCluster(t)
 	cluster.run(t, 0, 6000*ms, "")
@@ -98,7 +99,8 @@
 	}
 }
 
-// An instance that shuts down stops the work under a lease before it releases the lease to others.
+// Another instance may acquire a slot as soon as it is released. If the work in the slot were stopped only after that,
+// two instances could do it at the same time.
 func TestShutdownStopsTasksBeforeRelease(t *testing.T) {
 	cluster := newCluster(t)
 	cluster.run(t, 0, 6000*ms, "")
@@ -128,7 +130,7 @@
 	}
 }
 
-// checkStopped checks that the work in each slot of a message has been stopped before.
+// checkStopped checks that the work in each slot that a message releases was stopped before the message.
 func checkStopped(t *testing.T, items []lease.SlotBallot, stopped map[int]bool) {
 	t.Helper()
 	for _, item := range items {
--- a/internal/cluster/peer/frame.go
+++ b/internal/cluster/peer/frame.go
@@ -13,8 +13,8 @@
 // same fields mean something else in their messages.
 const ProtocolVersion = 2
 
-// MaxFrameSize is the size of the largest frame's payload, bytes. It is larger than any message with the largest
-// numbers of members and slots. The largest message rejects all slots and names their holders.
+// MaxFrameSize is the largest size of a frame's payload, in bytes. Every message fits, even with the largest numbers
+// of members and slots. The largest message is a Reject of all slots that names their holders.
 const MaxFrameSize = 1 << 20
 
 const (
@@ -63,7 +63,7 @@
 	return payload, nil
 }
 
-// appendFrame appends a frame with a payload to frames.
+// appendFrame appends the payload's length and the payload to frames.
 func appendFrame(frames, payload []byte) []byte {
 	frames = binary.BigEndian.AppendUint32(frames, uint32(len(payload)))
 	return append(frames, payload...)
--- a/internal/cluster/peer/incoming.go
+++ b/internal/cluster/peer/incoming.go
@@ -79,7 +79,7 @@
 	links.accepted += change
 }
 
-// serve handles an accepted link until it ends.
+// serve does the handshake of an accepted link and reads its frames until the link or the context ends.
 func (links *Links) serve(ctx context.Context, raw net.Conn, from netip.Addr) {
 	conn := tls.Server(raw, links.keys.serverConfig())
 	defer closeConn(raw)
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -357,7 +357,7 @@
 	waitFor(t, "a message on the last link", func() bool { return b.countReceived("a:x") == 1 })
 }
 
-// A peer that does not answer does not block Send. Its queue drops the frames beyond maxQueue.
+// A peer that does not answer must neither block Send nor let its queue grow beyond maxQueue frames.
 func TestFullQueueDropsFrames(t *testing.T) {
 	root, folder := newRoot(t, "r"), t.TempDir()
 	issue(t, root, folder, "a", root)
--- a/internal/cluster/peer/refusals.go
+++ b/internal/cluster/peer/refusals.go
@@ -34,12 +34,12 @@
 // repeatedEvent returns an event with the number of occurrences since it was last logged.
 type repeatedEvent func(times int) logevent.Event
 
-// log logs an event that is counted by its name.
+// log counts an occurrence under the event's name, and logs the event if it is due.
 func (refusals *refusals) log(event repeatedEvent) {
 	refusals.logKind(event(0).Kind().Name, event)
 }
 
-// logForMember logs an event that is counted by its name and by member.
+// logForMember is like log but counts the occurrences for each member separately.
 func (refusals *refusals) logForMember(member string, event repeatedEvent) {
 	refusals.logKind(event(0).Kind().Name+" "+member, event)
 }
--- a/internal/cluster/probe/config.go
+++ b/internal/cluster/probe/config.go
@@ -26,9 +26,9 @@
 	Period        int64     // between two probes of a target, ns
 	Timeout       int64     // within which a probe must be answered, ns
 	ColdPart      float64   // the part of a cold target's limit that probing may use
-	Cost          float64   // of a probe, seconds of sending time
+	Cost          float64   // of one probe, in seconds of sending time
 	MaxClockDrift float64   // the largest relative error of a clock's rate
-	Slots         int       // to which the targets hash
+	Slots         int       // number of slots to which the targets hash
 	Cache         ColdLimit // of targets that are not parent caches
 	Parent        ColdLimit // of parent caches
 }
--- a/internal/cluster/probe/prober.go
+++ b/internal/cluster/probe/prober.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxWait is the longest time until the next call of Due that Next returns, ns.
+// maxWait is how far ahead of now the time that Next returns may be, ns.
 const maxWait = int64(time.Second)
 
 // Target is one endpoint that is probed.
--- a/internal/cluster/probes.go
+++ b/internal/cluster/probes.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// endProbe handles the result of a probe that this instance sent.
+// endProbe passes the result of a probe that this instance sent to the router and queues it for other instances. If
+// the probe's ballot is below one already seen for the target, all drop the result, so the slot is reacquired.
 func (node *Node) endProbe(now int64, result ProbeResult) {
 	if node.prober == nil {
 		return
@@ -70,7 +71,7 @@
 	node.results.queue(result)
 }
 
-// receiveProbeResult handles a result from another instance.
+// receiveProbeResult passes a result from another instance to the router and, if need be, on to the neighbours.
 func (node *Node) receiveProbeResult(result ProbeResult) {
 	if node.relaysResults() {
 		newest, known := node.results.newest[result.Target]
--- a/internal/cluster/sharedconfig/node_test.go
+++ b/internal/cluster/sharedconfig/node_test.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// A proposal that no quorum answers is retried a few times and then fails.
+// A proposal that no quorum answers must fail after a few attempts. Until it has ended, its instance can't make
+// another proposal.
 func TestProposalWithoutQuorumEnds(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
--- a/internal/cluster/sharedconfig/proposer.go
+++ b/internal/cluster/sharedconfig/proposer.go
@@ -28,8 +28,8 @@
 // pending reports whether there is a proposal.
 func (proposal *proposal) pending() bool { return proposal.version.Number > 0 }
 
-// Propose proposes content as the next version; a ProposalEnded reports the outcome. It returns an
-// ErrContentTooLong, or an ErrProposalPending if this node already has a proposal that has not ended.
+// Propose proposes content as the next version; a ProposalEnded reports the outcome. It returns
+// ErrContentTooLong, or ErrProposalPending if this node has a proposal that has not ended.
 func (node *Node) Propose(now, wallMS int64, content []byte) error {
 	switch {
 	case len(content) > MaxContentSize:
--- a/internal/cluster/sharedconfig/voter.go
+++ b/internal/cluster/sharedconfig/voter.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// receivePropose accepts or rejects a proposed version. During its restart silence a voter does neither, because it
-// does not know what it accepted before the restart.
+// receivePropose accepts or rejects a proposed version. For Config.RestartSilence after its start a voter does
+// neither, because it does not know what it accepted before a restart.
 func (node *Node) receivePropose(now int64, from string, message Message) {
 	if !node.isVoter() || len(message.Content) > MaxContentSize || now < node.grantsFrom {
 		return
--- a/internal/cluster/size_test.go
+++ b/internal/cluster/size_test.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// The largest messages fit a frame and can be decoded.
+// A link drops a message that does not fit a frame, so the largest messages must fit. They must also pass the decoding
+// limits.
 func TestLargestMessages(t *testing.T) {
 	name := strings.Repeat("n", 128)
 	rejection := lease.Message{Kind: lease.Reject, Epoch: 1 << 40, SentAt: 1 << 62}
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -20,7 +20,7 @@
 	Targets      int            `json:"targets"`
 	OwnTargets   int            `json:"own_targets"`     // targets in slots whose leases this instance holds
 	Skipped      int64          `json:"probes_left_out"` // probes not sent to spare a cold target
-	StaleResults int64          `json:"stale_findings"`  // probe results dropped for a known higher ballot
+	StaleResults int64          `json:"stale_findings"`  // probe results dropped because a higher ballot was known
 	Frames       int64          `json:"frames_sent"`     // to other instances
 	FramesLost   uint64         `json:"frames_dropped"`  // because a link's queue was full
 	Probes       int64          `json:"probes_sent"`
--- a/internal/compatibility/compare.go
+++ b/internal/compatibility/compare.go
@@ -47,7 +47,7 @@
 	NoRule         Rule = 0
 	RuleDrained    Rule = 3 // no new attempt goes to an endpoint that is draining or removed
 	RuleColdBudget Rule = 4 // all routers together stay within the capacity of an endpoint that is warming up
-	RulePurge      Rule = 5 // after a purge's grace no older copy is served
+	RulePurge      Rule = 5 // once a purge's grace period is over, no older copy is served
 )
 
 // Conflict describes a setting that differs between two versions, and the effect of the difference.
--- a/internal/compatibility/conservative_test.go
+++ b/internal/compatibility/conservative_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// randomSettings returns settings that differ from exampleSettings in settings that are not exclusive and, with a
-// probability of 1/8, in the number of slots, which is.
+// randomSettings returns exampleSettings with random values of the settings in which a difference is no exclusive
+// conflict. With a probability of 1/8 the number of slots differs as well, which is an exclusive conflict.
 func randomSettings(rng *rand.Rand) Settings {
 	settings := exampleSettings()
 	settings.Routers = 1 + rng.IntN(300)
