--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -27,7 +27,7 @@
 	starts            uint64                           // number of node starts, used as incarnations
 	highestBallots    map[int]uint64                   // ballot of the latest Acquired, by slot
 	overlaps          int                              // slots with more than one holder, summed over all steps
-	ballotRegressions int                              // Acquired effects whose ballot is not above the slot's last one
+	ballotRegressions int                              // Acquired effects whose ballot did not grow for the slot
 	observe           func(name string, effect Effect) // called for each effect unless nil
 }
 
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -205,8 +205,8 @@
 	return xxhash.Sum64(encoded)
 }
 
-// stateAfterFirstGrant returns the state in which the restart silence of all nodes is over and a has acquired the
-// slot with the votes of a and b; after is the time in ns that has passed since.
+// stateAfterFirstGrant returns the state in which all nodes have been running for Config.RestartSilence and a has
+// acquired the slot with the votes of a and b; after is the time in ns that has passed since then.
 func stateAfterFirstGrant(fault plantedFault, after int64, steps int) *exploreState {
 	first := &exploreState{fault: fault, crashes: 1, copies: 1, steps: steps}
 	for i := range first.nodes {
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -80,7 +80,7 @@
 	node.requestVotes(now, Propose, items)
 }
 
-// requestVotes sends a Prepare or Propose to all other voters, and then votes on it itself if this node is a voter.
+// requestVotes sends a Prepare or Propose to all other voters. If this node is a voter, it then votes on it as well.
 func (node *Node) requestVotes(now int64, kind MessageKind, items []SlotBallot) {
 	if len(items) == 0 {
 		return
--- a/internal/cluster/lease/node.go
+++ b/internal/cluster/lease/node.go
@@ -1,7 +1,8 @@
 // Package lease decides which instance holds the lease on each slot. Periodic tasks hash to slots, and only the
 // holder of a slot's lease runs the tasks of the slot. A quorum of voters grants the leases, and no state is kept
-// on disk. The protocol is PaxosLease (Trencséni, Gazsó and Reinhardt, 2012) with one change. docs/duties.md has
-// the protocol, the proof and the bounds; package paxos defines voter, quorum, ballot and epoch.
+// on disk. The protocol is PaxosLease (Trencséni, Gazsó and Reinhardt, 2012) with one change, which
+// Node.vote describes. docs/duties.md has the protocol, the proof and the bounds; package paxos defines voter, quorum,
+// ballot and epoch.
 //
 // A Node is the state of one instance, which is a voter, a holder or both. The caller passes in time and
 // messages and carries out the effects that the node returns. A Node does no input or output, reads no clock,
@@ -101,8 +102,8 @@
 	return node, nil
 }
 
-// Receive handles a message from another instance. The caller must drop votes that come from a name under which
-// more than one instance runs.
+// Receive handles a message from another instance. If several instances run under one name, the caller must
+// drop the votes from that name.
 func (node *Node) Receive(now int64, from Instance, message Message) {
 	switch message.Kind {
 	case Prepare, Propose:
--- a/internal/cluster/lease/voter.go
+++ b/internal/cluster/lease/voter.go
@@ -41,8 +41,8 @@
 func (node *Node) isOutdated(now int64, grant *slotGrant, from Instance, kind MessageKind, ballot uint64) bool {
 	outdated := ballot < grant.promisedBallot || ballot == grant.promisedBallot && grant.promisedTo != from
 	if kind == Prepare {
-		// Promises made before a restart are not remembered. The floor rejects the ballots that were known at the
-		// end of the restart silence, so that such a promise is not broken.
+		// Promises made before a restart are not remembered. The floor rejects the ballots that were known when
+		// this node began to grant leases, so that such a promise is not broken.
 		return outdated || ballot <= node.promiseFloor || ballot <= grant.ballot
 	}
 	if ballot >= grant.ballot && now-grant.promisedAt >= node.config.LeaseDuration {
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -50,9 +50,9 @@
 	return xxhash.Sum64(append(key, entry.Name...))
 }
 
-// answerBuckets sends the entries of the buckets that differ, starting at a random bucket, as many as one message
-// holds. They include entries under the asker's own name: if its clock was set back, it learns from them that it
-// has to raise its start time.
+// answerBuckets sends the entries of the buckets whose digests differ from the asker's, starting at a random bucket.
+// It sends as many as one message holds. They include entries under the asker's own name: if the asker's clock was set
+// back, it learns from them that it has to raise its start time.
 func (table *Table) answerBuckets(to string, theirs []uint64) []Send {
 	_, buckets := table.digests.of(table)
 	names := map[int][]string{}
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -108,8 +108,8 @@
 // members believed alive and not held out. These instances can hold leases.
 func (table *Table) Alive() []Entry { return table.view.entries }
 
-// ViewInfo returns this instance's number of the published view, the view's digest and the time at which it was
-// published. Instances with the same view have the same digest.
+// ViewInfo returns the number that this instance gave the published view, the view's digest and the time at which it
+// was published. Instances with the same view have the same digest.
 func (table *Table) ViewInfo() (number, digest uint64, since int64) {
 	for _, entry := range table.view.entries {
 		incarnation := binary.LittleEndian.AppendUint64(nil, entry.Incarnation)
--- a/internal/cluster/message_test.go
+++ b/internal/cluster/message_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Kinds are sent as numbers, which must not change.
+// Instances send the kinds of messages and reports as numbers, which must not change.
 func TestMessageKindNumbers(t *testing.T) {
 	leaseKinds := []lease.MessageKind{
 		lease.Prepare, lease.Promise, lease.Propose, lease.Accept, lease.Reject, lease.Release,
--- a/internal/cluster/probes.go
+++ b/internal/cluster/probes.go
@@ -8,7 +8,7 @@
 	"tealpath/internal/cluster/probe"
 )
 
-// maxTargetsSeen bounds the targets for which the order of the newest result is kept. Without a bound, a faulty peer
+// maxTargetsSeen bounds the number of targets whose newest result is remembered. Without a bound, a faulty peer
 // could fill the memory with results of targets that do not exist.
 const maxTargetsSeen = 1 << 14
 
--- a/internal/cluster/sharedconfig/config.go
+++ b/internal/cluster/sharedconfig/config.go
@@ -48,8 +48,8 @@
 	return timing.HoldDuration(config.LeaseDuration, config.MaxClockDrift)
 }
 
-// RestartSilence returns how many ns a voter grants nothing after a start, because leases that it granted before may
-// still be valid. The result is rounded down; that of package lease is rounded up.
+// RestartSilence returns for how many ns after a start a voter grants nothing, because leases that it granted before
+// may still be valid. The result is rounded down; that of package lease is rounded up.
 func (config Config) RestartSilence() int64 {
 	return int64(timing.LongestLease(config.LeaseDuration, config.MaxClockDrift))
 }
--- a/internal/cluster/sharedconfig/node.go
+++ b/internal/cluster/sharedconfig/node.go
@@ -87,7 +87,7 @@
 			sentAt = append(sentAt, lease.sentAt)
 		}
 	}
-	// Of the latest grants of a majority the earliest one counts: once it has ended, only a minority may still
+	// The leases of a majority end with the earliest of them: after that, only a minority of the voters may still
 	// honor a lease.
 	earliest, ok := paxos.LatestMajority(sentAt, len(node.config.Voters))
 	if !ok {
@@ -178,7 +178,7 @@
 	}
 }
 
-// deactivate reports that no version is active once the leases on the active one have ended.
+// deactivate emits a Deactivated if the leases on the active version have ended.
 func (node *Node) deactivate(now int64) {
 	if _, _, ok := node.Active(now); node.isActive && !ok {
 		node.isActive = false
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -47,7 +47,7 @@
 // MembersStatus shows operators the membership as one instance sees it.
 type MembersStatus struct {
 	Name      string         `json:"name"`
-	View      uint64         `json:"view"`     // this instance's number of the published view
+	View      uint64         `json:"view"`     // number that this instance gave the published view
 	Digest    uint64         `json:"digest"`   // of the published view; equal on instances with equal views
 	SinceMS   int64          `json:"since_ms"` // since the view was published
 	Alive     int            `json:"alive"`
--- a/internal/cluster/timing/timing_test.go
+++ b/internal/cluster/timing/timing_test.go
@@ -19,7 +19,8 @@
 }
 
 // The holder must stop before the lease of a voter ends even if the holder's clock is the slowest allowed and the
-// voter's the fastest. The silence of a restarted voter must likewise outlast a lease granted by the slowest clock.
+// voter's the fastest. The time in which a restarted voter grants nothing must likewise outlast a lease granted by the
+// slowest clock.
 func TestHolderStopsBeforeAnyVotersLeaseEnds(t *testing.T) {
 	const lease = int64(1_500_000_000)
 	for _, drift := range []float64{0, 0.001, 0.01, 0.1} {
