--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -20,7 +20,7 @@
 	Targets      int            `json:"targets"`
 	OwnTargets   int            `json:"own_targets"`     // targets in slots whose leases this instance holds
 	Skipped      int64          `json:"probes_left_out"` // probes not sent to spare a cold target
-	StaleResults int64          `json:"stale_findings"`  // probe results dropped for a known higher ballot
+	StaleResults int64          `json:"stale_findings"`  // probe results dropped because a higher ballot was known
 	Frames       int64          `json:"frames_sent"`     // to other instances
 	FramesLost   uint64         `json:"frames_dropped"`  // because a link's queue was full
 	Probes       int64          `json:"probes_sent"`
@@ -47,7 +47,7 @@
 // MembersStatus shows operators the membership as one instance sees it.
 type MembersStatus struct {
 	Name      string         `json:"name"`
-	View      uint64         `json:"view"`     // this instance's number of the published view
+	View      uint64         `json:"view"`     // number that this instance gave the published view
 	Digest    uint64         `json:"digest"`   // of the published view; equal on instances with equal views
 	SinceMS   int64          `json:"since_ms"` // since the view was published
 	Alive     int            `json:"alive"`
