--- a/cmd/tealpath/check.go
+++ b/cmd/tealpath/check.go
@@ -12,7 +12,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// checkCommand returns the definition of the command check.
+// checkCommand defines tealpath check, which takes an optional FILE and the flag --operator.
 func checkCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "check",
--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -133,7 +133,7 @@
 	return sent
 }
 
-// publishRestart publishes that the second cache restarted at a time.
+// publishRestart publishes an entry of the endpoint list, according to which the second cache started at the time at.
 func (test clockTest) publishRestart(t *testing.T, at time.Time) {
 	t.Helper()
 	test.discovery.Publish(t, fmt.Sprintf("id: 2\ndata: {\"pos\":2,\"hosts\":{\"generation\":2,\"instances\":["+
@@ -159,7 +159,7 @@
 	return c.issued
 }
 
-// isBefore reports whether the copy was issued before a time.
+// isBefore reports whether the caches still hold a copy that was issued before the time at.
 func (c *sharedCopy) isBefore(at time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/cmd/tealpath/clockhelpers_test.go
+++ b/cmd/tealpath/clockhelpers_test.go
@@ -49,7 +49,7 @@
 	return time.Time{}, false
 }
 
-// all returns the lines that have been written until now.
+// all returns the lines written so far.
 func (l *timedLog) all() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cmd/tealpath/connections.go
+++ b/cmd/tealpath/connections.go
@@ -9,7 +9,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// connectionsCommand returns the definition of the command connections.
+// connectionsCommand defines tealpath connections, which takes the flags that select a running instance's admin
+// socket.
 func connectionsCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "connections",
--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -36,8 +36,10 @@
 	router := newTestRouter(t, addresses(caches), discovery.Address, 3)
 	ended := router.serve(t)
 	for _, c := range []struct {
-		name     string
-		idleTime time.Duration // between a first response and the request; 0: there is no first response
+		name string
+		// idleTime is the pause between the response to an earlier request on the connection and the request under
+		// test; 0: there is no earlier request.
+		idleTime time.Duration
 	}{
 		{"on a new connection", 0},
 		{"on a used connection", 100 * time.Millisecond},
@@ -105,7 +107,8 @@
 	return cache
 }
 
-// setOption sets a socket option.
+// setOption sets an integer option of the socket fd. level is the protocol of the option, such as syscall.IPPROTO_TCP.
+// The test fails if the system refuses the value.
 func setOption(t *testing.T, fd uintptr, level, option, value int) {
 	t.Helper()
 	if err := syscall.SetsockoptInt(int(fd), level, option, value); err != nil {
--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -11,7 +11,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// diffCommand returns the definition of the command diff.
+// diffCommand defines tealpath diff, which takes the paths of two operator's files and the flag --json.
 func diffCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "diff",
--- a/cmd/tealpath/discovery_test.go
+++ b/cmd/tealpath/discovery_test.go
@@ -140,7 +140,8 @@
 	})
 	service.Publish(drainEvent(caches[0], "s-a"))
 	for n, router := range routers[1:] {
-		// Routers that knew no endpoints have received those of router 0, whose first cache is draining.
+		// The routers that started without endpoints received the service's list, which has the caches of router 0.
+		// The first of these is draining now.
 		client := testkit.Dial(t, router.address)
 		testkit.WaitUntil(t, testkit.Timeout, fmt.Sprintf("router %d stops sending to the cache", n+1), func() bool {
 			before := len(caches[0].Requests(""))
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -12,7 +12,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// leasesCommand returns the definition of the command duties. Its name is a former word for leases.
+// leasesCommand defines tealpath duties, which prints leases: "duties" is a former word for them. It takes the flag
+// --json and those that select a running instance's admin socket.
 func leasesCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "duties",
--- a/cmd/tealpath/faults_test.go
+++ b/cmd/tealpath/faults_test.go
@@ -23,8 +23,9 @@
 // forgetConnections makes a cache reset each of its current connections on the next request.
 func forgetConnections(cache *testkit.Cache) { cache.SetBehavior(testkit.ResetOldConnections, 0) }
 
-// A cache becomes faulty after a pause in the requests that is five times as long as the router keeps idle connections.
-// The other cache serves the next requests; only if the faulty one hangs, the first of them may fail.
+// A cache becomes faulty after a pause in the requests that is five times as long as the router keeps idle
+// connections. The other cache serves the requests that follow. Only if the faulty cache hangs may the first of them
+// fail.
 func TestRequestsServedDespiteFaultAfterIdleTime(t *testing.T) {
 	const (
 		idleTime  = 1500 * time.Millisecond
--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -12,9 +12,10 @@
 	"tealpath/internal/testkit"
 )
 
-// growthBounds limits the resources that a router may use on average among many cache servers, relative to what it uses
-// among the usual number with the same traffic. The users' documentation of the full fleet states these limits. A limit
-// is factor * usage among the usual number + plus + perServers * thousands of cache servers.
+// growthBounds are the limits of the resources that a router uses on average with many cache servers. Each depends on
+// the usage of a router that handles the same traffic with the usual number of cache servers: it is factor * that
+// usage + plus + perServers * (number of cache servers / 1000). The users' documentation of the full fleet states
+// these limits.
 var growthBounds = []struct {
 	what                     string
 	factor, plus, perServers float64
@@ -27,8 +28,8 @@
 	{"endpoint lists received, KB", 2, 64, 500, func(f growthFigures) float64 { return f.listKB }},
 }
 
-// minServedShare is the minimum share of served requests among many cache servers, relative to the share among the
-// usual number.
+// minServedShare is the minimum ratio of the share of requests served with many cache servers to the share served with
+// the usual number.
 const minServedShare = 0.85
 
 // trafficProfiles are the kinds of traffic that the growth tests send.
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -123,7 +123,7 @@
 		`"lifecycle":%q,"weight":4,"startedAtMs":0}`, uint32(n)*nameFactor, generation, address, zone, n%8, lifecycle)
 }
 
-// publishAll publishes a list that replaces the former list.
+// publishAll publishes a complete endpoint list, which replaces the previous one.
 func (f *growthFleet) publishAll(instances string) {
 	f.discovery.Publish(`{"pos":%d,"hosts":{"generation":1,"reset":true,"instances":[` + instances + `]}}`)
 }
--- a/cmd/tealpath/logevents.go
+++ b/cmd/tealpath/logevents.go
@@ -11,7 +11,7 @@
 	Lines int64 `log:"lines"` // number of dropped lines
 }
 
-// Kind returns the event's name and level.
+// Kind returns the name, level and message that all events of this type have.
 func (LogLinesLost) Kind() logevent.Kind {
 	return logevent.Kind{Name: "log_lines_lost", Level: logevent.Warn, Message: "lines of the log were lost"}
 }
--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// app returns the root of the program's commands.
+// app returns the root command, tealpath, with all its subcommands.
 func app() *cli.Command {
 	return &cli.Command{
 		Name:           "tealpath",
--- a/cmd/tealpath/members.go
+++ b/cmd/tealpath/members.go
@@ -11,7 +11,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// membersCommand returns the definition of the command members.
+// membersCommand defines tealpath members, which takes the flag --json and those that select a running instance's
+// admin socket.
 func membersCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "members",
--- a/cmd/tealpath/operator.go
+++ b/cmd/tealpath/operator.go
@@ -38,7 +38,7 @@
 	})
 }
 
-// jsonFlag returns the flag --json.
+// jsonFlag returns the flag --json with the given help text.
 func jsonFlag(usage string) cli.Flag { return &cli.BoolFlag{Name: jsonFlagName, Usage: usage} }
 
 // operatorFile loads the operator's file and checks it against the configuration. It returns nil without an error if
--- a/cmd/tealpath/serve.go
+++ b/cmd/tealpath/serve.go
@@ -16,7 +16,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// serveCommand returns the definition of the command serve.
+// serveCommand defines tealpath serve, which takes no arguments and the flag --operator.
 func serveCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "serve",
--- a/cmd/tealpath/serve_test.go
+++ b/cmd/tealpath/serve_test.go
@@ -77,7 +77,7 @@
 func (s *serveTest) testSilentCache(t *testing.T) {
 	startedAt := time.Now()
 	silent := s.client.Call(testkit.UnansweredObjectID(2), time.Second)
-	s.client.ExpectServed(testkit.ObjectID(4), clientTimeout) // the request does not wait for the other one
+	s.client.ExpectServed(testkit.ObjectID(4), clientTimeout) // a cache that hangs delays no other request
 	s.client.Expect(silent, testkit.Rejected)
 	if took := time.Since(startedAt); took < 900*time.Millisecond || took > 1200*time.Millisecond {
 		t.Errorf("rejected after %v, want 0.9 s to 1.2 s", took)
--- a/cmd/tealpath/shutdown_test.go
+++ b/cmd/tealpath/shutdown_test.go
@@ -29,7 +29,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, cache := range caches {
-				cache.DiscardRequests() // discard the requests of the case before
+				cache.DiscardRequests() // those of the previous test case
 			}
 			router := newTestRouter(t, addresses(caches), discovery.Address, c.deadline)
 			ended := router.serve(t)
--- a/cmd/tealpath/shutdownbusy_test.go
+++ b/cmd/tealpath/shutdownbusy_test.go
@@ -72,8 +72,8 @@
 	}
 }
 
-// recordWritten records that a request was written now. The time that this process waited for a core before does not
-// count.
+// recordWritten sets the time of a request to now, just after it was written. The time before the write does not
+// count, because this process may have waited for a CPU core then.
 func (b *busyClient) recordWritten(sequence int32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/cmd/tealpath/start_test.go
+++ b/cmd/tealpath/start_test.go
@@ -95,7 +95,7 @@
 		testkit.ExpectNoError(t, ended, drainTimeout)
 	})
 	t.Run("while it waits for its address", func(t *testing.T) {
-		const startPause = 100 * time.Millisecond // until the router waits; the test cannot observe it
+		const startPause = 100 * time.Millisecond // until the router waits for its address; the test cannot observe it
 		router := newTestRouter(t, addresses(caches), discovery.Address, 1.2)
 		router.useEnvironment(t)
 		testkit.ListenAt(t, router.address)
--- a/cmd/tealpath/version.go
+++ b/cmd/tealpath/version.go
@@ -8,7 +8,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// versionCommand returns the definition of the command version.
+// versionCommand defines tealpath version, which takes no arguments.
 func versionCommand() *cli.Command {
 	return &cli.Command{
 		Name:         "version",
--- a/deploy/example_test.go
+++ b/deploy/example_test.go
@@ -8,7 +8,7 @@
 	"tealpath/internal/server"
 )
 
-// The README uses config.example.json for the first run.
+// The README uses config.example.json for the first run. A router must be able to start with it.
 func TestExampleConfigurationIsUsable(t *testing.T) {
 	text, err := os.ReadFile("config.example.json")
 	if err != nil {
--- a/internal/adminsocket/accept_test.go
+++ b/internal/adminsocket/accept_test.go
@@ -25,7 +25,7 @@
 	return f.Listener.Accept()
 }
 
-// acceptError returns an error like one of net.Listener.Accept.
+// acceptError returns errno in the types in which net.Listener.Accept returns it.
 func acceptError(errno syscall.Errno) error {
 	return &net.OpError{Op: "accept", Net: "unix", Err: os.NewSyscallError("accept4", errno)}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,7 +12,7 @@
 	"tealpath/control"
 )
 
-// The environment variables.
+// Environment variables that Load reads.
 const (
 	pathVariable   = "LB_CONFIG"
 	nameVariable   = "LB_NAME"
@@ -28,7 +28,7 @@
 	Cores            float64         // number of CPU cores that the router may use; 0: unknown
 	MemoryMB         int64           // memory that the router may use, MiB; 0: unknown
 	MaxSockets       int64           // number of descriptors that may be open at once; 0: unknown
-	KnownEvents      json.RawMessage // watch events of the discovery service up to the start
+	KnownEvents      json.RawMessage // watch events that the discovery service sent before the router's start
 	Settings         control.Settings
 
 	// SettingsError reports invalid settings, for which Settings has defaults; nil: all settings are valid. A
@@ -82,8 +82,8 @@
 	return next, nil
 }
 
-// RestartRequired returns the names, separated by commas, of the parts in which a newer configuration differs from c
-// and which take effect only after a restart. It is empty if there are none.
+// RestartRequired compares c with a newer configuration. It returns the names, separated by commas, of the changed
+// parts that take effect only after a restart, or an empty text if there are none.
 func (c *Config) RestartRequired(next *Config) string {
 	var changed []string
 	if c.Listen != next.Listen {
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Sentinel errors of this package.
+// Errors without further details, for errors.Is.
 var (
 	ErrNoFile         = errors.New("LB_CONFIG is not set: it must be the path of the configuration file")
 	ErrNegativeLimits = errors.New("limits must not be negative")
--- a/internal/lifecycle/restore/confirmation.go
+++ b/internal/lifecycle/restore/confirmation.go
@@ -2,12 +2,12 @@
 
 import "fmt"
 
-// Outcome is what an observation of the discovery service says about the endpoint list of a snapshot.
+// Outcome is what one event or comment of the discovery service shows about the endpoint list of a snapshot.
 type Outcome int
 
-// The outcomes.
+// Outcomes of an event or comment.
 const (
-	Pending   Outcome = iota // it says nothing, or an earlier observation has decided
+	Pending   Outcome = iota // it shows nothing, or an earlier event or comment has decided
 	Confirmed                // the list is still in force
 	Outdated                 // the list may be out of date and has to be requested from the service
 )
@@ -46,7 +46,8 @@
 // has no event after the position of ResumeAfter, so it does not have the event at Position.
 func (c *ListConfirmation) ObserveComment() Outcome { return c.decide(false) }
 
-// decide returns the outcome of the first observation, and Pending for all later ones.
+// decide returns the outcome of the first event or comment, and Pending for all later ones. same is whether it is the
+// event at Position, byte for byte.
 func (c *ListConfirmation) decide(same bool) Outcome {
 	if c == nil || c.decided {
 		return Pending
--- a/internal/lifecycle/restore/limit.go
+++ b/internal/lifecycle/restore/limit.go
@@ -5,7 +5,7 @@
 // Reason is a reason why only a part of a snapshot, or nothing of it, may be used.
 type Reason int
 
-// The reasons.
+// Reasons, each about the snapshot that was read.
 const (
 	OtherVersion  Reason = iota // its format has another version
 	OtherRouter                 // another router wrote it
--- a/internal/lifecycle/startup/listfilter.go
+++ b/internal/lifecycle/startup/listfilter.go
@@ -20,7 +20,7 @@
 // Verdict is the decision on an endpoint list.
 type Verdict int
 
-// The verdicts.
+// Verdicts of ListFilter.Evaluate.
 const (
 	Accept      Verdict = iota // the list is in force from now on
 	Unconfirmed                // the previous list stays in force until the service sends the new one again
--- a/internal/lifecycle/startup/listfilter_test.go
+++ b/internal/lifecycle/startup/listfilter_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// completeList is the summary of a complete endpoint list. Lists with the same numbers have the same content.
+// completeList is the summary of a complete endpoint list. Lists with equal endpoints and ready have the same digest,
+// so they count as having the same content.
 func completeList(position, generation int64, endpoints, ready int) ListSummary {
 	return ListSummary{
 		Position:       position,
--- a/internal/lifecycle/startup/progress.go
+++ b/internal/lifecycle/startup/progress.go
@@ -9,7 +9,7 @@
 // Phase is a phase of a router's startup.
 type Phase int
 
-// The phases, in order.
+// Phases of the startup, in order.
 const (
 	NoList    Phase = iota // no endpoint list is known; the health check fails
 	ListKnown              // the list is from the configuration or a snapshot, so it may be out of date
@@ -46,7 +46,7 @@
 // ListReceived records that an endpoint list is in force.
 func (p *Progress) ListReceived() { p.hasList = true }
 
-// ServiceReached records that the discovery service has answered.
+// ServiceReached records the time of the discovery service's first answer. Later calls have no effect.
 func (p *Progress) ServiceReached(now int64) {
 	if p.firstAnswerAt == 0 {
 		p.firstAnswerAt = now
--- a/internal/lifecycle/startup/readiness.go
+++ b/internal/lifecycle/startup/readiness.go
@@ -2,10 +2,12 @@
 
 import "fmt"
 
-// ReadinessHold limits the calls of routers that start together: together they make their first calls at
-// CallRate, and each one reports that it is not ready until the discovery service has answered it, for MaxDuration
-// at most. The zero value is no hold: routers that serve from a list in their configuration call within
-// maxFirstSpread, since they count as notified of a change as soon as the service has it.
+// ReadinessHold delays the readiness of routers that start at the same time, so that they can spread their first calls
+// of the discovery service: all routers together make CallRate calls per second. Each router reports that it is not
+// ready until the service has answered it, or until MaxDuration has passed.
+//
+// The zero value is no hold. Without one, routers with a list from their configuration serve at once, and make their
+// first calls within maxFirstSpread: they count as notified of a change as soon as the service has it.
 type ReadinessHold struct {
 	CallRate    float64 // calls per second of all routers together
 	MaxDuration int64   // longest time for which a router that gets no answer is not ready, ns
@@ -14,7 +16,7 @@
 // HoldTooShortError reports a ReadinessHold that is too short for all routers to call at its rate and get an answer.
 type HoldTooShortError struct {
 	Routers       int
-	CallsDuration int64 // duration of the first calls of all routers at the rate of Hold, ns
+	CallsDuration int64 // time that all routers need for their first calls at Hold.CallRate, ns
 	Hold          ReadinessHold
 }
 
--- a/internal/lifecycle/startup/result.go
+++ b/internal/lifecycle/startup/result.go
@@ -5,7 +5,7 @@
 // CallResult is how a call of the discovery service, or the connection that it opened, has ended.
 type CallResult int
 
-// The results of calls.
+// Results of a call.
 const (
 	Refused      CallResult = iota // the connection was refused: no process listens there
 	Unreachable                    // the attempt to connect timed out
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -2,8 +2,9 @@
 
 import "math/rand/v2"
 
-// Notification deadlines: this long after a disconnect, a silence or a change of address, the platform regards a
-// router as notified of all earlier changes, whether or not it has received them. Source: the platform's pages.
+// Notification deadlines: this long after a disconnect, a silence of the discovery service or a change of its address,
+// the platform regards a router as notified of all earlier changes, whether or not it has received them. Source: the
+// platform's pages.
 const (
 	deadlineAfterDisconnect    = 2 * second
 	deadlineAfterSilence       = 4 * second
@@ -28,9 +29,10 @@
 	// the grace period of draining endpoints, 250 ms. The spread is only a part of that.
 	maxFirstSpread = 100 * millisecond
 
-	// A router without a list serves no client, so no notification deadline applies to its calls. Their rate
-	// depends on the capacity of the service and on how soon the router should serve. All routers without a list
-	// call once within half to one and a half times the duration that follows from these constants.
+	// A router without a list serves no client, so no notification deadline applies to its calls. Their rate depends
+	// on the capacity of the service and on how soon the router should serve. The first retry is made after 0.5 to 1.5
+	// times the duration in which all routers can call once at noListRate; that duration counts as minRetryDelay at
+	// least and as maxNoListSpread at most.
 	noListRate      = 85.
 	maxNoListSpread = 2600 * millisecond
 )
@@ -69,7 +71,8 @@
 	maxFirstByteTimeout     = 7 * second
 	firstByteTimeoutGrowth  = 4
 
-	// Within an event, the timeout of the next byte is the shortest grace period divided by stallGraceDivisor.
+	// Within an event, the timeout of the next byte is the shortest grace period for acting on a watch event, divided
+	// by stallGraceDivisor.
 	stallGraceDivisor = 3
 	maxStallTimeout   = silenceTimeout
 )
@@ -109,7 +112,7 @@
 	}
 }
 
-// FirstDelay returns the delay of the first call after the start.
+// FirstDelay returns the delay from the router's start to its first call, ns.
 func (s *CallSchedule) FirstDelay() int64 {
 	s.answerDeadline = 0 // if the call fails, retries maxRetryDelay apart are soon enough for later changes
 	switch {
@@ -121,14 +124,15 @@
 	return s.draw(s.spread(retryRate, maxFirstSpread))
 }
 
-// AddressChanged returns the delay of the first call to a new address of the service.
+// AddressChanged returns the delay, ns, of the first call to the new address of the service. The address changed at
+// now, from which time the notification deadline counts.
 func (s *CallSchedule) AddressChanged(now int64) int64 {
 	s.answerDeadline, s.retryAdvanced = now+deadlineAfterAddressChange, false
 	s.firstByteTimeout, s.hasData = initialFirstByteTimeout, false
 	return s.draw(s.spread(reconnectRate, maxAddressChangeSpread))
 }
 
-// ListReceived records that the router has an endpoint list.
+// ListReceived records that the router has an endpoint list, so that notification deadlines apply to its calls.
 func (s *CallSchedule) ListReceived() { s.hasList = true }
 
 // CallStarted records the time of a call.
@@ -159,12 +163,12 @@
 	return s.firstByteTimeout
 }
 
-// CallEnded returns the delay of the next call after one that has ended.
+// CallEnded returns the delay, ns, of the next call after one that has ended.
 //
 // After a connection on which data was received, the next call meets the notification deadline: all routers spread
-// their calls over at most half of that time. After other calls the schedule backs off with decorrelated jitter
-// (Brooker, "Exponential Backoff And Jitter", 2015). Its delays grow with the time that all routers need at their
-// rate, and one retry is made before the notification deadline.
+// their calls over at most half of the time until then. After other calls the schedule backs off with decorrelated
+// jitter (Brooker, "Exponential Backoff And Jitter", 2015). The delays of the backoff grow with the time in which all
+// routers can call once at the target rate, and one retry is made before the notification deadline.
 func (s *CallSchedule) CallEnded(now int64, result CallResult) int64 {
 	if result == LocalError {
 		return s.delayAfterLocalError()
@@ -185,13 +189,15 @@
 	return s.advanceToDeadline(now, s.retryDelay(result))
 }
 
-// retriesAlmostAtOnce reports whether a truncated answer is requested again at once.
+// retriesAlmostAtOnce reports whether the next call is made within truncatedRetrySpread because the answer was
+// truncated.
 func (s *CallSchedule) retriesAlmostAtOnce(now int64, result CallResult) bool {
 	isYoung := now-s.calledAt < maxTruncatedAge
 	return result == Truncated && s.hasList && isYoung && s.truncations < maxTruncatedRetries
 }
 
-// delayAfterLocalError returns a random delay whose upper bound doubles from one call to the next.
+// delayAfterLocalError returns a random delay. Its upper bound doubles with each further call that this machine could
+// not make, up to a limit.
 func (s *CallSchedule) delayAfterLocalError() int64 {
 	limit := max(maxLocalErrorDelay, s.spread(reconnectRate, maxReconnectSpread))
 	s.localErrorDelay = min(max(2*s.localErrorDelay, minLocalErrorDelay), limit)
@@ -237,8 +243,8 @@
 	return left/2 + s.draw(left/2)
 }
 
-// backoff returns the next delay of decorrelated jitter: random, from minDelay to backoffGrowth times the last delay
-// or firstLimit, whichever is more, and at most maxDelay.
+// backoff returns the next delay of decorrelated jitter, ns. It is random, and at least minDelay. Its upper bound is
+// the larger of firstLimit and backoffGrowth times the last delay, but not more than maxDelay.
 func (s *CallSchedule) backoff(minDelay, firstLimit, maxDelay int64) int64 {
 	limit := min(max(backoffGrowth*s.lastDelay, firstLimit), maxDelay)
 	s.lastDelay = minDelay + s.draw(limit-minDelay)
--- a/internal/lifecycle/startup/schedule_test.go
+++ b/internal/lifecycle/startup/schedule_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// refusedCalls returns the times of all calls, until a given time, of routers that start together while the service
-// refuses connections. configured is the number of routers in the settings.
+// refusedCalls returns the times, before until, of the calls that routers make if they start together and the service
+// refuses all connections. configured is the number of routers in the settings.
 func refusedCalls(routers, configured int, until int64) (all []int64) {
 	for i := range routers {
 		schedule := NewCallSchedule(uint64(i)+1, configured, ReadinessHold{})
@@ -160,9 +160,11 @@
 // slowService answers calls in order, one at a time. The call of a router that gives up stays in the queue.
 type slowService struct {
 	schedules []*CallSchedule
-	nextCall  map[int]int64 // time by router; without routers that wait for an answer or have one
-	queue     []queuedCall
-	answered  int // number of routers that got an answer
+	// nextCall is the time of the next call by router. It has no entry for a router that waits for an answer or has
+	// got one.
+	nextCall map[int]int64
+	queue    []queuedCall
+	answered int // number of routers that got an answer
 }
 
 // queuedCall is a call that is not answered yet.
--- a/internal/logevent/logevent.go
+++ b/internal/logevent/logevent.go
@@ -12,7 +12,7 @@
 // Level is the urgency of an event.
 type Level int8
 
-// The levels.
+// Levels, from the least to the most urgent.
 const (
 	Info  Level = iota // a change that needs no action
 	Warn               // a fault that may degrade the service while it lasts
--- a/internal/operatorconfig/cluster.go
+++ b/internal/operatorconfig/cluster.go
@@ -62,7 +62,7 @@
 	maxSilenceTimeout    = time.Hour
 )
 
-// instance is a decoded (instance …).
+// instance is one (instance NAME …) in (instances …).
 type instance struct {
 	position sexpr.Position
 	name     string
@@ -177,7 +177,7 @@
 	}
 }
 
-// instance decodes (instance NAME …).
+// instance decodes (instance NAME …). If the list does not have this form, it adds an error, and ok is false.
 func (d *decoder) instance(list *sexpr.Node) (decoded instance, ok bool) {
 	if list.Head() != "instance" || len(list.List) < 2 || list.List[1].IsList {
 		d.errors.addf(list.Position, "instances: %s is invalid, want (instance NAME (at ADDRESS))", list)
@@ -207,7 +207,7 @@
 	}
 }
 
-// keyFiles decodes (tls …).
+// keyFiles decodes (tls …): the paths of the certificate, of its key and of the root certificates.
 func (d *decoder) keyFiles(into *peer.KeyFiles) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		d.section(list, arguments, section{
--- a/internal/operatorconfig/cluster_check.go
+++ b/internal/operatorconfig/cluster_check.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// checkProbe sets the fields of the health checks that come from other lists, and checks the configuration.
+// checkProbe checks the configuration of health checks, after it has set the fields that come from lists other than
+// (probe …).
 func (d *decoder) checkProbe(lists *clusterLists) {
 	config := lists.cluster.Probe
 	if config == nil {
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// Each error has the position at which it occurs.
+// For any text, Parse does not panic, and the first error that it returns has a line and a column.
 func FuzzParse(f *testing.F) {
 	f.Add(validFile)
 	f.Add(`(a "b\n" (c ; d` + "\n" + `) )`)
--- a/internal/operatorconfig/idle.go
+++ b/internal/operatorconfig/idle.go
@@ -18,7 +18,7 @@
 	MaxConnections  int                 // of all clients together; 0 until CheckResources sets the default
 	Policies        []idle.Policy       // the first is for clients that are in none of the networks
 	PolicyByNetwork *bart.Table[uint16] // index in Policies, by network
-	positions       []sexpr.Position    // positions of the lists of the Policies, in the same order
+	positions       []sexpr.Position    // of the lists from which Policies was decoded, in the same order
 }
 
 // Default values and limits of (idle …).
@@ -34,7 +34,7 @@
 // networkValues contains the values of (network …), or those of (idle …) for clients in none of the networks.
 type networkValues struct {
 	policy         idle.Policy
-	maxConnections int64 // in the network, or in all; 0: not set
+	maxConnections int64 // limit of the network or, in (idle …), of all clients; 0: not set
 	maxPerClient   int64 // from one client address; 0: not set
 }
 
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -10,8 +10,8 @@
 	"tealpath/internal/router"
 )
 
-// A target's slow start ends at a time of the boot clock, so a step of the wall clock does not change it. A start in
-// the future counts as a start now.
+// The slow start of an endpoint that is probed ends at a time of the boot clock, so a step of the wall clock does not
+// change it. A start that is reported for the future counts as a start now.
 func TestSlowStartEndsOnBootClock(t *testing.T) {
 	const second, warmUp = int64(time.Second), int64(8 * time.Second)
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
--- a/internal/server/clusterloop.go
+++ b/internal/server/clusterloop.go
@@ -70,7 +70,8 @@
 	}
 }
 
-// carryOut carries out one effect of the cluster's reducer.
+// carryOut carries out one effect of the cluster's reducer. The ballot of a lease is stored for the goroutines of
+// probes, which check it before they write.
 func (l *clusterLoop) carryOut(ctx context.Context, effect cluster.Effect) {
 	node := l.node
 	switch effect := effect.(type) {
--- a/internal/server/clusternode.go
+++ b/internal/server/clusternode.go
@@ -63,7 +63,7 @@
 	bytesSent  atomic.Int64
 }
 
-// clusterConfig is the configuration of a clusterNode.
+// clusterConfig has the parameters of newClusterNode.
 type clusterConfig struct {
 	operator        *operatorconfig.File
 	settings        control.Settings
--- a/internal/server/drain.go
+++ b/internal/server/drain.go
@@ -29,7 +29,7 @@
 	return d.poll.C
 }
 
-// stop stops the poll's ticker.
+// stop stops the poll's ticker. It does nothing if the shutdown has not begun.
 func (d *drain) stop() {
 	if d != nil {
 		d.poll.Stop()
--- a/internal/server/limits_test.go
+++ b/internal/server/limits_test.go
@@ -13,8 +13,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Half of the descriptors are for clients, unless the operator's file sets a limit. The policies of the file get
-// the server's timeout of the first request.
+// Half of the descriptors are for clients, unless the operator's file sets a limit. The policies in the file are
+// completed with the server's timeout for the first request on a connection.
 func TestClientConnectionsByOperatorsFile(t *testing.T) {
 	policy := idle.Policy{IdleTimeout: int64(time.Minute)}
 	for _, c := range []struct {
--- a/internal/server/logevents.go
+++ b/internal/server/logevents.go
@@ -25,7 +25,7 @@
 	Phase string `log:"phase"` // starting, serving, draining or stopped
 }
 
-// Kind returns the event's name and level.
+// Kind returns the name, level and message that all events of this type have.
 func (PhaseChanged) Kind() logevent.Kind {
 	return logevent.Kind{Name: "server_phase_changed", Level: logevent.Info, Message: "the server entered a phase"}
 }
@@ -37,7 +37,7 @@
 	Phase string `log:"phase"`
 }
 
-// Kind returns the event's name and level.
+// Kind returns the name, level and message that all events of this type have.
 func (StartupPhaseChanged) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "startup_phase_changed",
@@ -60,7 +60,7 @@
 	ConfirmedBy int64 `log:"confirmed_by,omitempty"`
 }
 
-// Kind returns the event's name and level.
+// Kind returns the name, level and message that all events of this type have.
 func (SnapshotRestored) Kind() logevent.Kind {
 	return logevent.Kind{Name: "snapshot_restored", Level: logevent.Info, Message: "a snapshot was restored"}
 }
@@ -70,7 +70,7 @@
 	Cause error `log:"cause"`
 }
 
-// Kind returns the event's name and level.
+// Kind returns the name, level and message that all events of this type have.
 func (SnapshotIgnored) Kind() logevent.Kind {
 	return logevent.Kind{Name: "snapshot_ignored", Level: logevent.Warn, Message: "the snapshot is not used"}
 }
@@ -81,7 +81,7 @@
 	Cause error `log:"cause"`
 }
 
-// Kind returns the event's name and level.
+// Kind returns the name, level and message that all events of this type have.
 func (SnapshotWriteFailed) Kind() logevent.Kind {
 	return logevent.Kind{Name: "snapshot_write_failed", Level: logevent.Warn, Message: "snapshots can't be written"}
 }
@@ -89,7 +89,7 @@
 // SnapshotWriteRecovered is logged when a snapshot is written again after SnapshotWriteFailed.
 type SnapshotWriteRecovered struct{}
 
-// Kind returns the event's name and level.
+// Kind returns the name, level and message that all events of this type have.
 func (SnapshotWriteRecovered) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "snapshot_write_recovered",
@@ -105,7 +105,7 @@
 	RestartRequired string `log:"restart_required,omitempty"`
 }
 
-// Kind returns the event's name and level.
+// Kind returns the name, level and message that all events of this type have.
 func (ConfigReloaded) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "config_reloaded",
@@ -120,7 +120,7 @@
 	Cause error `log:"cause"`
 }
 
-// Kind returns the event's name and level.
+// Kind returns the name, level and message that all events of this type have.
 func (ConfigRejected) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "config_rejected",
@@ -135,7 +135,7 @@
 	Cause error `log:"cause"`
 }
 
-// Kind returns the event's name and level.
+// Kind returns the name, level and message that all events of this type have.
 func (ConfigLoadDelayed) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "config_load_delayed",
@@ -150,7 +150,7 @@
 	Parts string `log:"parts"` // names of the parts that were compared, at least one of which has changed
 }
 
-// Kind returns the event's name and level.
+// Kind returns the name, level and message that all events of this type have.
 func (OperatorConfigNeedsRestart) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "operator_config_needs_restart",
@@ -165,7 +165,7 @@
 	Cause  error  `log:"cause"`
 }
 
-// Kind returns the event's name and level.
+// Kind returns the name, level and message that all events of this type have.
 func (ClusterMessageIgnored) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "cluster_message_ignored",
@@ -180,7 +180,7 @@
 	Cause  error  `log:"cause"`
 }
 
-// Kind returns the event's name and level.
+// Kind returns the name, level and message that all events of this type have.
 func (ClusterMessageNotSent) Kind() logevent.Kind {
 	return logevent.Kind{
 		Name:    "cluster_message_not_sent",
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// stop stops the loop's timers.
+// stop stops the reducer's timer and, during a shutdown, the ticker of the drain.
 func (l *loop) stop() {
 	l.reducerTimer.Stop()
 	l.drain.stop()
@@ -110,7 +110,7 @@
 	}
 }
 
-// carryOut carries out one effect of the reducer.
+// carryOut passes one effect of the reducer to the component that carries it out.
 func (l *loop) carryOut(effect router.Effect) {
 	server := l.server
 	switch effect := effect.(type) {
--- a/internal/server/phase.go
+++ b/internal/server/phase.go
@@ -15,7 +15,7 @@
 
 func (phase Phase) String() string { return phaseNames[phase] }
 
-// enter starts a phase and logs it.
+// enter sets the server's phase to next and logs the change.
 func (s *Server) enter(next Phase) {
 	s.phase = next
 	s.emit(PhaseChanged{Phase: next.String()})
--- a/internal/server/snapshots.go
+++ b/internal/server/snapshots.go
@@ -60,7 +60,7 @@
 	err error
 }
 
-// snapshotConfig is the configuration of a snapshotWriter.
+// snapshotConfig has the parameters of newSnapshotWriter.
 type snapshotConfig struct {
 	store    *snapshot.Store
 	header   restore.Header // header of each snapshot; its time is set when the snapshot is taken
@@ -114,7 +114,7 @@
 	return w.ticker.C
 }
 
-// observe records the last processed watch event.
+// observe records the last processed watch event, whose position and digest become part of the next snapshot.
 func (w *snapshotWriter) observe(position discovery.EventProcessed) {
 	if w != nil {
 		w.position = position
--- a/internal/snapshot/compatible_test.go
+++ b/internal/snapshot/compatible_test.go
@@ -59,7 +59,7 @@
 	},
 }
 
-// firstMemory is the memory of the policy in firstFile.
+// firstMemory is the state of package control in firstFile.
 var firstMemory = control.Snapshot{
 	StartedAt:       1764575000000000001,
 	TakenAt:         1764576123456789001,
@@ -139,8 +139,8 @@
 	return content
 }
 
-// expectFields checks that decoded content has all fields of another, by name, with equal values. path is the position
-// in the content, for failure messages.
+// expectFields checks that have contains each field of want with an equal value. path is the position in the content,
+// for failure messages.
 func expectFields(t *testing.T, path string, have, want any) {
 	t.Helper()
 	switch want := want.(type) {
--- a/internal/snapshot/disk_test.go
+++ b/internal/snapshot/disk_test.go
@@ -145,8 +145,9 @@
 	return next
 }
 
-// afterPowerLoss returns the disks that a machine may have after a loss of power: with the names of the last SyncDir
-// or the current ones, and for each file what was synced or, if nothing was, any part of what was written.
+// afterPowerLoss returns the possible states of the disk after a loss of power. The names are those of the last
+// SyncDir or the current ones. A file has the content that was synced or, if nothing was, none, half or all of what
+// was written; after a failed fsync, it has none.
 func (d *simulatedDisk) afterPowerLoss() (disks []*simulatedDisk) {
 	for _, names := range []map[string]*inode{d.durable, d.names} {
 		for _, part := range []float64{0, 0.5, 1} {
--- a/internal/snapshot/filesystem.go
+++ b/internal/snapshot/filesystem.go
@@ -10,13 +10,13 @@
 
 // FileSystem has the file operations that a Store needs. Tests use file systems whose operations fail.
 type FileSystem interface {
-	// Open opens a file for reading.
+	// Open opens a file for reading. It fails with os.ErrNotExist if there is no file.
 	Open(path string) (io.ReadCloser, error)
 	// Create creates a file for writing. It fails with os.ErrExist if the file exists.
 	Create(path string) (File, error)
 	// Rename renames a file. It replaces a file that already has the new name.
 	Rename(from, to string) error
-	// Remove deletes a file.
+	// Remove deletes a file. It fails with os.ErrNotExist if there is no file.
 	Remove(path string) error
 	// SyncDir syncs the entries of a directory to the disk, so that a rename in it survives a loss of power.
 	SyncDir(path string) error
@@ -25,14 +25,14 @@
 // File is a file that is being written.
 type File interface {
 	io.WriteCloser
-	// Sync syncs the content to the disk.
+	// Sync writes the content to the disk, so that it survives a loss of power.
 	Sync() error
 }
 
 // osFileSystem is the operating system's FileSystem.
 type osFileSystem struct{}
 
-// Open opens a file for reading.
+// Open implements FileSystem.
 func (osFileSystem) Open(path string) (io.ReadCloser, error) { return os.Open(path) }
 
 // Create creates a file that only this user may read and write.
@@ -40,10 +40,10 @@
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 }
 
-// Rename renames a file. It replaces a file that already has the new name.
+// Rename implements FileSystem.
 func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
 
-// Remove deletes a file.
+// Remove implements FileSystem.
 func (osFileSystem) Remove(path string) error { return os.Remove(path) }
 
 // SyncDir syncs the entries of a directory to the disk.
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -17,7 +17,7 @@
 	files FileSystem
 }
 
-// NewStore returns a store for the file at path.
+// NewStore returns a store for the file at path in the operating system's file system. It does not access the file.
 func NewStore(path string) *Store { return NewStoreWithFileSystem(osFileSystem{}, path) }
 
 // NewStoreWithFileSystem returns a store for the file at path in the given file system.
@@ -25,7 +25,7 @@
 	return &Store{path: path, files: files}
 }
 
-// temporaryPath returns the path of the temporary file.
+// temporaryPath returns the path to which Write writes a new file before it renames it.
 func (s *Store) temporaryPath() string { return s.path + temporarySuffix }
 
 // Write replaces the file with a new snapshot. If it fails, or the process ends before it returns, the file is either
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// Read reads the file. The error is os.ErrNotExist if there is no file, and ErrCorrupt if it is incomplete, damaged or
-// not a snapshot. See Decode for files of other versions.
+// Read returns the stored snapshot. The error is os.ErrNotExist if there is no file, and ErrCorrupt if it is
+// incomplete, damaged or not a snapshot. See Decode for files of other versions.
 func (s *Store) Read() (Snapshot, error) {
 	file, err := s.files.Open(s.path)
 	if err != nil {
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -198,7 +198,7 @@
 	}
 }
 
-// Read returns errors of the disk.
+// An error of the disk is returned as it is: the file must not count as missing or corrupt.
 func TestReadReturnsDiskErrors(t *testing.T) {
 	disk := diskWithSnapshot(t)
 	disk.fail["open"] = syscall.EIO
