--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// serve reads the requests on a connection and responds to none.
+// serve reads the requests on a connection once released is closed, and responds to none.
 func (c blockedCache) serve(t *testing.T, conn net.Conn) {
 	const readBuffer = 4 << 20 // bytes
 	defer testkit.Close(conn)
@@ -192,8 +192,8 @@
 	testkit.ExpectNoError(t, ended, timeout+time.Second)
 }
 
-// fillConnections sends large requests until nothing more can be written to blocked caches. A router opens at most four
-// connections to a cache, the next one whenever three requests are in flight on the last one.
+// fillConnections sends large requests until nothing more can be written to blocked caches. A router opens at most
+// four connections to a cache: it opens the next one when three requests are in flight on the newest one.
 func fillConnections(t *testing.T, router *testRouter, timeout time.Duration) {
 	t.Helper()
 	const clients, requests, bodySize = 2, 20, 200_000
--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// repeatIfDisturbed calls run, and repeats it if it failed while a timer of this process fired late: then the load of
-// the machine may be the cause. The last of maxRuns counts in any case.
+// repeatIfDisturbed calls run, and calls it again if it failed while a timer of this process fired late: then the load
+// of the machine may be the cause. Of at most maxRuns runs, the result of the last one counts in any case.
 func repeatIfDisturbed(t *testing.T, run func() (failures []string, late time.Duration)) {
 	t.Helper()
 	const (
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -56,12 +56,12 @@
 	router      *testkit.RouterProcess
 	connections atomic.Int64 // connections that cache servers have accepted
 	listening   atomic.Bool  // the router has accepted a connection
-	descriptors atomic.Int64 // maximum of the samples
+	descriptors atomic.Int64 // largest number of open descriptors in a sample
 }
 
-// serverAddress returns an address with port 0 on a loopback host that only this process uses. On 127.0.0.1 the
-// connections of other processes could take the ports, and a cache server of this test could get the address of one
-// that has ended and to which routers of other tests still connect.
+// serverAddress returns an address with port 0 on a loopback host that only this process uses. On 127.0.0.1,
+// connections of other processes could take the ports. A cache server of this test could also get the address of an
+// ended server of another test, to which that test's routers still connect.
 func serverAddress() string {
 	return fmt.Sprintf("127.100.%d.%d:0", os.Getpid()>>8&255, max(1, os.Getpid()&255))
 }
--- a/cmd/tealpath/serve_test.go
+++ b/cmd/tealpath/serve_test.go
@@ -192,7 +192,8 @@
 	late.ExpectServed(testkit.ObjectID(7), clientTimeout)
 	testkit.Dial(t, s.router.address).ExpectHealth(false)
 	time.Sleep(time.Until(signaledAt.Add(lastRequest)))
-	// The deadline is after the end of the drain, so the router rejects the request before it ends.
+	// The deadline of the request is after the end of the drain, so the router rejects the request before its process
+	// ends.
 	late.Expect(late.Call(testkit.UnansweredObjectID(4), clientTimeout), testkit.Rejected)
 	testkit.ExpectNoError(t, s.ended, testkit.Timeout)
 	// The caches' goroutines end with their connections; the goroutine of package os/signal remains.
--- a/deploy/imports_test.go
+++ b/deploy/imports_test.go
@@ -224,7 +224,9 @@
 	return found
 }
 
-// Each package imports only what its layer allows.
+// No package imports one of a higher layer, or one of its own layer that sameLayer does not list. Otherwise lower
+// layers could no longer be used and tested without the higher ones. The packages in testImports must stay out of the
+// router, and control may import only two packages of this module.
 func TestImportsRespectLayers(t *testing.T) {
 	packages := goPackages(t)
 	if len(packages) < 30 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -16,7 +16,8 @@
  "known":{"pos":3,"entries":[]},"settings":{"balancers":4,"limits":{"dialTimeoutS":0.4,"streamsPerConn":100},
  "profiles":[{"name":"stills","deadlineS":2.5,"effect":"retryable"}],"novel":1}}`
 
-// Each case replaces a part of file, and has a part of the expected error.
+// An invalid file must be rejected with an error from which an operator finds the line or the field. Each case
+// replaces old by new in file.
 func TestParse(t *testing.T) {
 	tests := []struct {
 		name, old, new string
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// Each setting has the type that control.DecodeSettings expects.
+// If a setting had another type than control.DecodeSettings expects, a router would reject valid configuration files
+// at its start.
 func TestSettingsCanBeDecodedByControl(t *testing.T) {
 	raw, err := ParseSettings([]byte(everySetting))
 	if err != nil {
--- a/internal/lifecycle/shutdown/shutdown.go
+++ b/internal/lifecycle/shutdown/shutdown.go
@@ -67,7 +67,7 @@
 // Step is what a router does next during its shutdown.
 type Step int
 
-// The steps, in order.
+// Steps of a shutdown, in order.
 const (
 	Serve     Step = iota // serve all connections as before
 	CloseIdle             // half-close the idle connections, and serve the others
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -53,7 +53,9 @@
 	// not call a service that truncates all its answers more often.
 	maxTruncatedRetries  = 2
 	truncatedRetrySpread = 20 * millisecond
-	maxTruncatedAge      = second // by then the service has sent all earlier changes: it sends a comment each second
+	// maxTruncatedAge is the age of a call from which a truncated answer is no longer requested again almost at once:
+	// by then the service has sent all earlier changes, since it sends a comment each second.
+	maxTruncatedAge = second
 
 	// A call that this machine could not make is retried soon, since it put no load on the service. If many
 	// routers of one machine wait for the same descriptors, their calls are spread as after a disconnect.
--- a/internal/server/clusterloop.go
+++ b/internal/server/clusterloop.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// send queues a message to another instance.
+// send queues a message to another instance. A message that can't be encoded is logged and dropped.
 func (node *clusterNode) send(effect cluster.Send) {
 	payload, err := effect.Message.Encode()
 	if err != nil {
--- a/internal/server/loop.go
+++ b/internal/server/loop.go
@@ -69,8 +69,9 @@
 	return false
 }
 
-// receive handles an event from a client, an endpoint or the discovery service. If the event reports that a connection
-// has ended, the pool first adds the requests that were queued on the connection after the event was posted.
+// receive handles an event from a client, an endpoint or the discovery service. An event that a connection to an
+// endpoint has ended may have been posted before the last requests were queued on that connection. The pool adds these
+// requests to the event, so that the reducer does not count them as written.
 func (l *loop) receive(posted postedEvent) {
 	switch event := posted.event.(type) {
 	case router.ConnectionDown:
--- a/internal/snapshot/compatible_test.go
+++ b/internal/snapshot/compatible_test.go
@@ -97,8 +97,8 @@
 	},
 }
 
-// A file of commit 9be9074 is read with all its fields, and this program writes all fields that that commit reads: the
-// Go names of fields may differ, the stored names may not.
+// A file that commit 9be9074 wrote is read with all its fields, and this program still writes all fields that a
+// program of that commit reads. The Go names of fields may change, their stored names may not.
 func TestFileOfFirstVersionIsCompatible(t *testing.T) {
 	got, err := NewStore(firstFile).Read()
 	if err != nil {
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// Each operation fails once with each error. Then the file is the previous one or, after a failed sync of the
-// directory, the new one, no temporary file is left, and the next write succeeds.
+// Each operation fails once with each error. Afterwards no temporary file is left, and the next write succeeds. The
+// file is still the previous one; only if the sync of the directory failed is it the new one.
 func TestEveryFailure(t *testing.T) {
 	for _, operation := range []string{"remove", "create", "write", "sync", "close", "rename", "syncdir"} {
 		for _, failure := range []error{
