--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -36,8 +36,10 @@
 	router := newTestRouter(t, addresses(caches), discovery.Address, 3)
 	ended := router.serve(t)
 	for _, c := range []struct {
-		name     string
-		idleTime time.Duration // between a first response and the request; 0: there is no first response
+		name string
+		// idleTime is the pause between the response to an earlier request on the connection and the request under
+		// test; 0: there is no earlier request.
+		idleTime time.Duration
 	}{
 		{"on a new connection", 0},
 		{"on a used connection", 100 * time.Millisecond},
@@ -105,7 +107,8 @@
 	return cache
 }
 
-// setOption sets a socket option.
+// setOption sets an integer option of the socket fd. level is the protocol of the option, such as syscall.IPPROTO_TCP.
+// The test fails if the system refuses the value.
 func setOption(t *testing.T, fd uintptr, level, option, value int) {
 	t.Helper()
 	if err := syscall.SetsockoptInt(int(fd), level, option, value); err != nil {
@@ -113,7 +116,7 @@
 	}
 }
 
-// serve reads the requests on a connection and responds to none.
+// serve reads the requests on a connection once released is closed, and responds to none.
 func (c blockedCache) serve(t *testing.T, conn net.Conn) {
 	const readBuffer = 4 << 20 // bytes
 	defer testkit.Close(conn)
@@ -189,8 +192,8 @@
 	testkit.ExpectNoError(t, ended, timeout+time.Second)
 }
 
-// fillConnections sends large requests until nothing more can be written to blocked caches. A router opens at most four
-// connections to a cache, the next one whenever three requests are in flight on the last one.
+// fillConnections sends large requests until nothing more can be written to blocked caches. A router opens at most
+// four connections to a cache: it opens the next one when three requests are in flight on the newest one.
 func fillConnections(t *testing.T, router *testRouter, timeout time.Duration) {
 	t.Helper()
 	const clients, requests, bodySize = 2, 20, 200_000
--- a/cmd/tealpath/serve_test.go
+++ b/cmd/tealpath/serve_test.go
@@ -77,7 +77,7 @@
 func (s *serveTest) testSilentCache(t *testing.T) {
 	startedAt := time.Now()
 	silent := s.client.Call(testkit.UnansweredObjectID(2), time.Second)
-	s.client.ExpectServed(testkit.ObjectID(4), clientTimeout) // the request does not wait for the other one
+	s.client.ExpectServed(testkit.ObjectID(4), clientTimeout) // a cache that hangs delays no other request
 	s.client.Expect(silent, testkit.Rejected)
 	if took := time.Since(startedAt); took < 900*time.Millisecond || took > 1200*time.Millisecond {
 		t.Errorf("rejected after %v, want 0.9 s to 1.2 s", took)
@@ -192,7 +192,8 @@
 	late.ExpectServed(testkit.ObjectID(7), clientTimeout)
 	testkit.Dial(t, s.router.address).ExpectHealth(false)
 	time.Sleep(time.Until(signaledAt.Add(lastRequest)))
-	// The deadline is after the end of the drain, so the router rejects the request before it ends.
+	// The deadline of the request is after the end of the drain, so the router rejects the request before its process
+	// ends.
 	late.Expect(late.Call(testkit.UnansweredObjectID(4), clientTimeout), testkit.Rejected)
 	testkit.ExpectNoError(t, s.ended, testkit.Timeout)
 	// The caches' goroutines end with their connections; the goroutine of package os/signal remains.
--- a/internal/snapshot/compatible_test.go
+++ b/internal/snapshot/compatible_test.go
@@ -59,7 +59,7 @@
 	},
 }
 
-// firstMemory is the memory of the policy in firstFile.
+// firstMemory is the state of package control in firstFile.
 var firstMemory = control.Snapshot{
 	StartedAt:       1764575000000000001,
 	TakenAt:         1764576123456789001,
@@ -97,8 +97,8 @@
 	},
 }
 
-// A file of commit 9be9074 is read with all its fields, and this program writes all fields that that commit reads: the
-// Go names of fields may differ, the stored names may not.
+// A file that commit 9be9074 wrote is read with all its fields, and this program still writes all fields that a
+// program of that commit reads. The Go names of fields may change, their stored names may not.
 func TestFileOfFirstVersionIsCompatible(t *testing.T) {
 	got, err := NewStore(firstFile).Read()
 	if err != nil {
@@ -139,8 +139,8 @@
 	return content
 }
 
-// expectFields checks that decoded content has all fields of another, by name, with equal values. path is the position
-// in the content, for failure messages.
+// expectFields checks that have contains each field of want with an equal value. path is the position in the content,
+// for failure messages.
 func expectFields(t *testing.T, path string, have, want any) {
 	t.Helper()
 	switch want := want.(type) {
