--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -108,7 +108,9 @@
 	}
 }
 
-// Clients' retries have a lower limit, whether they are marked or guessed from an earlier rejection.
+// Clients' retries are rejected at a lower load than other requests, because most of their responses would be too late
+// for the client. A request counts as a retry if the client marked it, or if one for the same object was just
+// rejected.
 func TestClientRetriesHaveALowerLimit(t *testing.T) {
 	for _, marked := range []bool{true, false} {
 		t.Run(fmt.Sprint("marked ", marked), func(t *testing.T) {
@@ -237,7 +239,8 @@
 	}
 }
 
-// Attempts that are late no longer count against the limit.
+// Once an attempt is late it no longer counts against the admission limit. Otherwise a few attempts at an endpoint
+// that does not respond would use up the limit of a router with little traffic.
 func TestLateAttemptsDoNotCount(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -13,7 +13,7 @@
 // benchmarkObjects is the number of distinct objects that the benchmarks request.
 const benchmarkObjects = 2000
 
-// benchmarkOutcome is the outcome of each measured attempt.
+// benchmarkOutcome ends each measured attempt: a hit with a response after 50 ms.
 var benchmarkOutcome = Outcome{Result: Succeeded, Elapsed: second / 20, Note: noteHit, RequestEnded: true}
 
 // benchmarkWarmUp is the number of requests that are decided before the measured ones.
@@ -48,7 +48,8 @@
 	})
 }
 
-// benchmarkRouter returns a router with the endpoints of benchmarkEndpoints.
+// benchmarkRouter returns one of 8 routers in a location with the endpoints of benchmarkEndpoints, and these
+// endpoints.
 func benchmarkRouter(b *testing.B, servers int, change func(*Settings)) (*Router, []Endpoint) {
 	b.Helper()
 	settings := testSettings(func(s *Settings) { s.LocationRouters, s.Routers = 8, 10 })
@@ -110,7 +111,8 @@
 	benchmarkDecisions(b, nil, func(servers int) int { return servers / 2 }, Request{Class: "harmless", Group: 1})
 }
 
-// BenchmarkDecisionMeasured measures an ordinary request if the caches' capacities are measured.
+// BenchmarkDecisionMeasured measures an ordinary request if the endpoint list does not give the caches' capacities and
+// the router estimates them from the work that the caches do.
 func BenchmarkDecisionMeasured(b *testing.B) {
 	benchmarkDecisions(b, func(s *Settings) { s.Weights = NoWeights }, noneInFlight, Request{Class: "harmless", Group: 1})
 }
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -45,8 +45,9 @@
 	c.offered.lastAt = now
 }
 
-// observeReport adds a load report of a cache. reported is the number of attempts in flight there of all routers, own
-// the number of this router's. Both leave out the attempt that the report came with.
+// observeReport adds a load report of a cache. reported is how many attempts of all routers are in flight at the
+// cache, and own is how many of them are this router's. Neither includes the attempt whose response contained the
+// report.
 func (c *capacityEstimate) observeReport(now int64, reported, own float64) {
 	elapsed := now - c.reportedAt
 	c.reportedInFlight = decay(c.reportedInFlight, elapsed, loadWindow) + reported
@@ -75,8 +76,8 @@
 
 // measuredCapacity estimates the capacity of a cache if the endpoint list does not give it. It is the best capacity
 // that a cache has shown by serving requests in time or, if more is requested now, the requested capacity, up to
-// maxOfferedCapacity times the best. Until a router has run for rateWindow its best is not meaningful and does not
-// limit the requested capacity.
+// maxOfferedCapacity times the best. During the first rateWindow after the router's start the best capacity is not yet
+// known, and the requested capacity is not limited.
 func (r *Router) measuredCapacity(now int64) float64 {
 	best := max(1, r.capacity.byCaches.best)
 	offered := r.perEndpoint(now, r.capacity.offered, loadWindow, r.activeRouters(), r.caches)
@@ -110,7 +111,8 @@
 	r.addServed(now, &r.capacity.byParents, work, r.routersUsing(parent), r.parents)
 }
 
-// addServed adds work that a tier served in time, and updates the best capacity of one of its endpoints.
+// addServed adds work that the endpoints of a tier served in time, and updates the highest mean capacity that they have
+// shown.
 func (r *Router) addServed(now int64, served *decayingWork, work, routers float64, endpoints []*endpointState) {
 	served.add(now, work)
 	if now >= r.rates.startedAt+rateWindow {
@@ -118,8 +120,8 @@
 	}
 }
 
-// perEndpoint returns the mean capacity that one endpoint of a tier uses for the work of all routers together. It
-// scales up this router's work, which decays over a window, by the number of routers.
+// perEndpoint estimates the mean work per second that all routers together send to each endpoint of a tier. It
+// multiplies this router's work, which decays over the window in ns, by the number of routers.
 func (r *Router) perEndpoint(
 	now int64, work decayingWork, window int64, routers float64, endpoints []*endpointState,
 ) float64 {
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -116,7 +116,7 @@
 	)
 	window := 2 * second
 	for _, routers := range []int{6, 24, 350} {
-		for _, from := range []int64{0, 8 * second} { // all routers begin at the start, or 8 s later
+		for _, from := range []int64{0, 8 * second} { // ns from the parent's start to the first requests
 			var sentAt []int64
 			for n := range routers {
 				settings := testSettings(func(s *Settings) { s.Routers, s.Weights = routers, NoWeights })
--- a/control/classes.go
+++ b/control/classes.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// observeResponse updates the mean and the fastest response time with those of a successful response, which took
+// observeResponse updates the mean and the fastest response time of a class after a successful response, which took
 // elapsed ns.
 func (class *classState) observeResponse(elapsed int64) {
 	if class.fastestResponse == 0 || elapsed < class.fastestResponse {
@@ -57,8 +57,8 @@
 	class.sendingTime += (sendingTime - class.sendingTime) / class.samples
 }
 
-// minResponseTime returns the fastest response time of a class in ns, or 0 after too few responses. A mean instead
-// of the minimum would reject requests that a cache could still serve in time with a hit.
+// minResponseTime returns the fastest response time of a class in ns, or 0 after too few responses. If it returned the
+// mean, the router would reject requests that a cache could still serve in time with a hit.
 func (class *classState) minResponseTime() int64 {
 	if class.samples < initialSamples+minSamplesForFastest {
 		return 0
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -114,7 +114,8 @@
 	router.ProbeEnded(start, 99, true, nil)
 }
 
-// If the settings do not allow cancelling attempts, no attempt is cancelled.
+// If the settings state that attempts cannot be cancelled once they were sent, the end of a request leaves its
+// attempts in flight.
 func TestNoCancellationWithoutCancelAttempts(t *testing.T) {
 	router := newRouter(t, func(s *Settings) { s.CancelAttempts = false })
 	request := newRequest("harmless", "a")
--- a/control/deadline_test.go
+++ b/control/deadline_test.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// The send timeout leaves enough time for a response before the deadline.
+// The send timeout of an attempt ends so early that the fastest response of its class could still come before the
+// deadline.
 func TestSendTimeoutLeavesTimeForTheResponse(t *testing.T) {
 	router := newRouter(t, nil)
 	answerRequests(router, "harmless", 10, 300)
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -29,7 +29,7 @@
 	failing  map[uint32]bool // endpoints at which half of the attempts fail now
 }
 
-// randomSettings returns random settings.
+// randomSettings returns testSettings with random values for some of the settings.
 func randomSettings(rng *rand.Rand) Settings {
 	pick := func(n int) bool { return rng.IntN(n) == 0 } // true with a probability of 1/n
 	settings := testSettings(nil)
@@ -160,7 +160,8 @@
 	run.addDecision("where", request, run.router.Decide(run.now, request))
 }
 
-// outcome returns a random outcome of an attempt.
+// outcome returns the outcome of an attempt: a success, or a random result for one attempt in 15. At failing endpoints
+// one in two gets a random result.
 func (run *randomRun) outcome(request *Request, number int) Outcome {
 	attempt := request.attempts[number]
 	outcome := Outcome{
--- a/control/endings_test.go
+++ b/control/endings_test.go
@@ -46,7 +46,7 @@
 		result  Result
 		left    int64 // ms until the deadline
 		want    Verdict
-		then    Verdict // of the next decision
+		then    Verdict // verdict of the next decision
 	}{
 		{"cancelled", "harmless", false, Cancelled, 2000, Wait, Send},
 		{"its connection was lost", "harmless", false, ConnectionLost, 2000, Wait, Send},
@@ -76,7 +76,8 @@
 	}
 }
 
-// No further attempt is made for a client that has closed its sending side.
+// No further attempt is made for a client that has closed its sending side, because it has usually disconnected. If it
+// still reads, it learns from the verdict whether it can safely send the request again.
 func TestNoRetryForHalfClosedClients(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -14,7 +14,7 @@
 	listed     bool
 	isDelisted bool // it is in Router.delisted
 
-	// State of outlierDetector.
+	// Health of the endpoint, by which outlierDetector ejects and restores it.
 	ejected             bool
 	wasUnreachable      bool    // it was not reachable, or rejected a fill, since its last restart or restoration
 	probing             bool    // a probe is in flight
@@ -28,7 +28,7 @@
 
 	hashWeight float64 // weight in rendezvous hashing
 
-	// State of the slow start.
+	// Slow start: when the endpoint started, and how much work this router may send to it meanwhile.
 	slowStartFrom       int64 // start time, from the endpoint list or inferred; 0: no recent start
 	slowStartReportedAt int64 // when this router learned of the start, by its own clock
 	slowStart           slowStartBudget
--- a/control/helpers_test.go
+++ b/control/helpers_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// start is the time at which the tests begin.
+// start is the time at which most tests begin, in ns of the router's clock.
 const start = 1000 * second
 
 // testEndpoints are two caches in this location, two parents and the origin in the location "hub", and a cache in a
--- a/control/inflight.go
+++ b/control/inflight.go
@@ -71,7 +71,7 @@
 	return c.caches
 }
 
-// markLate subtracts the attempts that have become late.
+// markLate subtracts the attempts that are late at the given time from the counts of their endpoints.
 func (c *inFlightCounts) markLate(now int64, all map[uint32]*endpointState) {
 	if now < c.lateCheckedAt {
 		c.unmarkLate(now, all)
@@ -88,8 +88,8 @@
 	}
 }
 
-// unmarkLate adds back the attempts that are not yet late at a time before lateCheckedAt. The caller's clock should
-// not go backwards; if it does, the counts are still those of the given time.
+// unmarkLate corrects the counts if the caller's clock has gone backwards to a time before lateCheckedAt: it adds
+// attempts that are not late at that time to the counts of their endpoints again.
 func (c *inFlightCounts) unmarkLate(now int64, all map[uint32]*endpointState) {
 	var notLate []*attemptState
 	for _, endpoint := range all {
@@ -118,7 +118,7 @@
 	minLoad              float64 // lower bound of all loads: that of the largest cache with nothing in flight
 }
 
-// loadScale returns the loadScale for a time.
+// loadScale computes the values that the loads of all caches have in common at a time.
 func (r *Router) loadScale(now int64) loadScale {
 	scale := loadScale{
 		routers:              r.activeRouters(),
@@ -137,7 +137,7 @@
 	return scale
 }
 
-// loadOf returns the load of a cache.
+// loadOf returns the load of a cache, relative to its configured capacity or else to the measured capacity.
 func (s loadScale) loadOf(endpoint *endpointState) float64 {
 	if s.capacitiesConfigured {
 		return s.loadAt(endpoint.withinObjective.sum(), endpoint.Capacity)
@@ -152,7 +152,7 @@
 	return (float64(inFlight) + s.meanLoad) / (max(capacity, minCapacity)/s.routers + 1)
 }
 
-// load returns the load of a cache at a time.
+// load returns the load of one cache at a time. For several caches it is cheaper to compute loadScale once.
 func (r *Router) load(now int64, endpoint *endpointState) float64 {
 	return r.loadScale(now).loadOf(endpoint)
 }
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -34,7 +34,7 @@
 	ConnectionLost: {1, 0},
 }
 
-// assessment is the result of interpreting the outcome of an attempt.
+// assessment is what the outcome of an attempt says about the load and about the health of its cache and its source.
 type assessment struct {
 	result         Result
 	sendingTime    float64 // s; of this response; 0: not known
@@ -77,7 +77,8 @@
 	}
 }
 
-// assess interprets the outcome of an attempt.
+// assess derives from an outcome whether the response was late, whether the source rejected the attempt, and how the
+// health scores of the cache and the source change.
 func (r *Router) assess(request *Request, attempt *attemptState, outcome Outcome) assessment {
 	assessed := assessment{
 		result:      outcome.Result,
@@ -131,7 +132,8 @@
 	}
 }
 
-// countServed adds a response in time to the measured capacities.
+// countServed adds the work of a response in time to the work that the caches have served and, if the cache filled the
+// object from a parent, to the work of the parents.
 func (r *Router) countServed(now int64, class *classState, attempt *attemptState, note int64, assessed assessment) {
 	work := cmp.Or(assessed.sendingTime, class.sendingTime)
 	r.servedByCache(now, work)
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -12,7 +12,7 @@
 	silenceThreshold = 6.
 
 	maxSilencePerAttempt = 2.  // maximum that one attempt adds to the silence score
-	minSilence           = 1.2 // minimum that one attempt must have waited for any silence to count; same unit
+	minSilence           = 1.2 // silence counts only if one attempt has waited at least this long; same unit
 
 	failureThreshold = 2.5 // decayed failures from which an endpoint may be ejected
 	failureShare     = 0.3 // failed fraction of its attempts, in excess of its peers', from which it may be ejected
@@ -38,7 +38,7 @@
 	nonzeroScore    = 1e-40
 	nonzeroScoreAge = 600 * healthWindow
 
-	// evidenceMargin is an upper bound of the rounding difference between sums of the same terms in another order.
+	// evidenceMargin is an upper bound of how much two sums of the same terms, added in different orders, differ.
 	evidenceMargin = 1e-6
 )
 
@@ -52,7 +52,7 @@
 
 // evidence holds the signs of an endpoint's health, or their sums over several endpoints.
 type evidence struct {
-	silence   float64 // mean response times waited by attempts in flight, up to maxSilencePerAttempt for each
+	silence   float64 // sum of the waits of attempts in flight, in mean response times; see evidence
 	successes float64 // decayed over healthWindow
 	failures  float64 // decayed over healthWindow
 }
@@ -167,7 +167,7 @@
 	}
 }
 
-// restore ends an ejection.
+// restore ends the ejection of an endpoint and resets its scores, which could otherwise eject it again.
 func (endpoint *endpointState) restore(now int64) {
 	if endpoint.wasUnreachable {
 		// The endpoint has probably restarted, but the endpoint list does not show this yet. The full load could
@@ -221,7 +221,9 @@
 	return slowest
 }
 
-// evidence returns the evidence on an endpoint. responseTime is the unit of the silence score, in s.
+// evidence returns the evidence on an endpoint. Its silence is how long the attempts in flight have waited since they
+// were sent or, if that is later, since the endpoint's last response. Each wait is divided by responseTime, in s, and
+// counts at most maxSilencePerAttempt.
 func (endpoint *endpointState) evidence(now int64, responseTime float64) evidence {
 	successes := decay(endpoint.successes, now-endpoint.scoredAt, healthWindow)
 	failures := decay(endpoint.failures, now-endpoint.scoredAt, healthWindow)
--- a/control/outliers_test.go
+++ b/control/outliers_test.go
@@ -54,8 +54,8 @@
 	})
 }
 
-// If likely fills get no response through one parent but get one through the other, that parent is ejected, and no
-// cache.
+// If likely fills get responses from only one of two parents, the other parent is ejected. The caches are not, because
+// they still respond to hits.
 func TestSilentParentIsEjected(t *testing.T) {
 	router := newRouter(t, nil)
 	for i := range 60 {
@@ -77,7 +77,8 @@
 	}
 }
 
-// After a lost connection or a server error the retry goes to the same cache, after other failures to another one.
+// After a lost connection or a server error the retry goes to the same cache, because another cache would first have
+// to fill the object. After other failures it goes to another cache.
 func TestRetryAfterALostConnectionGoesToTheSameCache(t *testing.T) {
 	sameCache := map[Result]bool{
 		ConnectionLost: true,
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -18,9 +18,9 @@
 	// remaining candidates is faster.
 	maxBatch = 256
 
-	// An object is hot if its request rate at this router is above hotShare of the mean rate per cache, and its
-	// request count is at least minHotRequests. Without this minimum all objects would look hot to a router that
-	// has just started.
+	// An object is hot if its request rate at this router is above hotShare times the mean rate of all requests per
+	// cache, and its request count is at least minHotRequests. Without this minimum all objects would look hot to a
+	// router that has just started.
 	hotShare       = 0.1
 	minHotRequests = 3.
 
@@ -62,7 +62,7 @@
 	}
 }
 
-// clear empties the tier.
+// clear removes all endpoints from the tier, and keeps its memory for the next ones.
 func (t *tier) clear() {
 	clear(t.endpoints)
 	t.endpoints, t.keys = t.endpoints[:0], t.keys[:0]
@@ -252,7 +252,7 @@
 		draw := uniform(c.hash, key.id)
 		exceeds := certainlyExceeds(draw, key.weight, worst.score)
 		if exceeds && worst.load <= c.loads.minLoad || c.isSkipped(index) {
-			continue // its load does not matter
+			continue // even with the lowest load it would come after worst
 		}
 		endpoint := c.tier.endpoints[index]
 		if previous == nil || !endpoint.hasSameLoad(previous) { // consecutive endpoints often have the same load
@@ -277,9 +277,8 @@
 	return 1-draw > bound*weight*roundingMargin
 }
 
-// add inserts a candidate into the sorted batch if it comes after the given one. A full batch drops its last
-// candidate, or the new one if that would be the last. A candidate that does not come before the returned one need
-// not be added.
+// add inserts next into the sorted batch if it comes after the candidate after. If the batch is full, the last of its
+// candidates and next is dropped. From then on only candidates that come before worst need to be added.
 func (c *candidates) add(next, after candidate) (worst candidate) {
 	if next.compare(after) > 0 {
 		if len(c.batch) == c.batchSize && next.compare(c.batch[len(c.batch)-1]) < 0 {
--- a/control/rates.go
+++ b/control/rates.go
@@ -68,7 +68,7 @@
 	element           *list.Element // element of recentObjects or evictedObjects
 }
 
-// countRequest counts a request for the object.
+// countRequest lets the request count decay until now and adds one request.
 func (record *objectRecord) countRequest(now int64) {
 	record.requestCount = decay(record.requestCount, now-record.countedAt, rateWindow) + 1
 	record.countedAt = now
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -8,7 +8,7 @@
 // A fill that a parent rejects goes to the origin if the origin cannot be overloaded, even without retry tokens.
 func TestRejectedFillsGoToTheOrigin(t *testing.T) {
 	for _, test := range []struct {
-		note           int64   // 6: the source rejected it; 7: the source could not be reached; 9: the cache rejected it
+		note           int64   // 6: the source rejected it; 7: the source was unreachable; 9: the cache rejected it
 		overloadFactor float64 // overload factor of the origin; 0: it cannot be overloaded
 		want           uint32  // source of the retry; 0: any source but the origin, or no retry
 	}{{6, 0, 5}, {7, 0, 5}, {9, 0, 0}, {6, 2, 0}} {
@@ -104,7 +104,7 @@
 	for _, test := range []struct {
 		name    string
 		lost    int   // number of lost responses
-		elapsed int64 // in tenths of the latency objective
+		elapsed int64 // time since the attempt was sent, in tenths of the latency objective
 		change  func(*Settings)
 		want    Verdict
 	}{
@@ -140,7 +140,8 @@
 	}
 }
 
-// A keyed request that may have run is retried only within the scope of its key.
+// A keyed request that may have run is retried only within the scope of its key: servers outside that scope could
+// execute it a second time.
 func TestKeyScopes(t *testing.T) {
 	ran := &attemptState{cache: &endpointState{Endpoint: Endpoint{Location: "here", Cell: 1}}}
 	didNotRun := &attemptState{cache: ran.cache, ended: true, result: NotSent}
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -24,8 +24,8 @@
 	// restarted does not know what it sent before.
 	incarnationsPerWindow = 2
 
-	// tiltRange and tiltSteps limit the search for the best t of the Chernoff bound. For many routers the optimum is
-	// less than tiltRange above the lower end, in units of 1 / mean work.
+	// tokenParams.rate searches for the best t of the Chernoff bound by tiltSteps bisections of an interval whose
+	// length is tiltRange / mean work. For many routers the best t is inside that interval.
 	tiltRange = 4.
 	tiltSteps = 24
 
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// check compares the number of attempts within each window with ruleLimit at the end of the window.
+// check compares the number of attempts within each window with the ruleLimit that applies at its end.
 func (s *sharedSlowStart) check(t *testing.T, capacity float64) {
 	t.Helper()
 	slices.SortFunc(s.sent, func(a, b sentWork) int { return int(a.at - b.at) })
@@ -224,7 +224,7 @@
 		router.outliers.watched.add(endpoint) // as after an ejection
 		endpoint.lastResponseAt = start
 		probe, _ := router.Tick(start)
-		if want := n < 4; slices.Contains(probe, 1) != want { // (8 + 3·√8 + 3) / 2 incarnations / 2 routers
+		if want := n < 4; slices.Contains(probe, 1) != want { // ruleLimit(8) is 19.5 for 2 incarnations of 2 routers
 			t.Fatalf("probe %d sent: %v, want %v", n, !want, want)
 		}
 	}
--- a/control/slowstart_tokens_test.go
+++ b/control/slowstart_tokens_test.go
@@ -61,7 +61,8 @@
 // A mixture of heavy and light requests, each at the token rate for its work, does not overload an endpoint more
 // often.
 func TestTokensOfHeavyAndLightRequests(t *testing.T) {
-	const routers, starts, heavyWork = 350, 256, 4 // the work of a light request is 1, and the unit of the limit
+	// heavyWork and limit are in units of the work of a light request.
+	const routers, starts, heavyWork = 350, 256, 4
 	for _, limit := range []int{12, 40, 120} {
 		params := tokenParams{limit: float64(limit), trials: incarnationsPerWindow * routers, starts: starts}
 		light, heavy := params.rate(1, 1), params.rate(heavyWork, 1)
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// Cacheable requests are filled from the parent that their hash selects.
+// Objects of cacheable requests are filled from parents, which the object's hash selects, not from the origin.
 func TestReadsAreFilledFromParents(t *testing.T) {
 	router := newWriteRouter(t, nil)
 	for n := range 50 {
@@ -147,7 +147,7 @@
 	}
 }
 
-// A write that the origin has rejected is retried through a parent.
+// A write that the origin has rejected, or for which the origin could not be reached, is retried through a parent.
 func TestRejectedWritesGoThroughAParent(t *testing.T) {
 	for _, note := range []int64{6, 7} { // the source rejected it; the source could not be reached
 		router := newWriteRouter(t, nil)
--- a/internal/connpool/bench_test.go
+++ b/internal/connpool/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// benchPlan returns a plan with a number of caches, and their names. 200 caches are usual, the largest fleet has
-// 3,200.
+// benchPlan returns a plan with as many caches as servers says, and the names of the caches. A fleet usually has 200
+// caches, the largest one 3,200.
 func benchPlan(servers int) (*Plan, []string) {
 	names := make([]string, servers)
 	for n := range names {
--- a/internal/connpool/connections.go
+++ b/internal/connpool/connections.go
@@ -88,7 +88,7 @@
 	return names
 }
 
-// Dialled records that the router is opening a connection to a cache.
+// Dialled records that the router is opening a connection to a cache, and sets when the next one may be opened.
 func (p *Plan) Dialled(now int64, name string) {
 	endpoint := p.find(name)
 	if endpoint == nil {
@@ -104,7 +104,7 @@
 	}
 }
 
-// Established records that a connection to a cache is established.
+// Established records that a connection to a cache is established, and resets the backoff after refusals.
 func (p *Plan) Established(name string) {
 	if endpoint := p.find(name); endpoint != nil {
 		endpoint.refusedDelay = 0
--- a/internal/connpool/localbackoff.go
+++ b/internal/connpool/localbackoff.go
@@ -16,8 +16,8 @@
 	until          int64 // ns; end of the last delay
 }
 
-// NewLocalBackoff returns a LocalBackoff that is not active. connectTimeout is the time, ns, within which a connection
-// must be established.
+// NewLocalBackoff returns a LocalBackoff that is not active. connectTimeout is the time in ns within which a
+// connection must be established.
 func NewLocalBackoff(connectTimeout int64) *LocalBackoff {
 	return &LocalBackoff{connectTimeout: connectTimeout}
 }
--- a/internal/connpool/localbackoff_test.go
+++ b/internal/connpool/localbackoff_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// While all dials fail on this machine they are few, and at least the first and at most the longest delay apart.
+// While every dial fails because of an error on this machine, few dials are made. The time between two of them is at
+// least the first delay of the backoff and at most the longest one.
 func TestLocalBackoff(t *testing.T) {
 	const connectTimeout = 400 * millisecond
 	backoff := NewLocalBackoff(connectTimeout)
--- a/internal/connpool/subset_test.go
+++ b/internal/connpool/subset_test.go
@@ -16,7 +16,7 @@
 		{1000, 40, 200},
 		{5000, 200, 500},
 	} {
-		routersAt := map[string]int{} // by cache
+		routersAt := map[string]int{} // number of routers with the cache in their subset, by cache
 		size := 0
 		for i := range test.routers {
 			plan := New(Config{Router: fmt.Sprint("n", i), Routers: test.routers, MaxConnections: test.maxConnections})
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -8,7 +8,7 @@
 	"tealpath/control"
 )
 
-// minResponseTime is the shortest time, ns, that an endpoint is given to respond: timeouts are sent to endpoints in
+// minResponseTime is the shortest time in ns that an endpoint is given to respond: timeouts are sent to endpoints in
 // whole milliseconds.
 const minResponseTime = millisecond
 
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -17,7 +17,7 @@
 	closed      bool
 	inFlight    map[RequestID]*attempt
 
-	// abandonedAt contains the times, ns, at which attempts were abandoned, or non-idempotent ones got a response.
+	// abandonedAt contains the times in ns at which attempts were abandoned, or non-idempotent ones got a response.
 	// Another response to them may still be received.
 	abandonedAt map[RequestID]int64
 
@@ -145,7 +145,8 @@
 	connection.endpoint.connections = without(connection.endpoint.connections, connection)
 }
 
-// closeConnection closes a connection and ends the attempts on it.
+// closeConnection closes a connection. Attempts in flight on it end as lost. If the connection was established, they
+// count as completely written, because it is not known which ones were.
 func (r *Router) closeConnection(connection *connection) {
 	if connection.closed {
 		return
--- a/internal/router/connections_test.go
+++ b/internal/router/connections_test.go
@@ -43,7 +43,8 @@
 	})
 }
 
-// A lost connection is one failure of its endpoint, however many attempts were in flight on it.
+// A lost connection is one failure of its endpoint, however many attempts were in flight on it. Otherwise a single
+// lost connection could eject the endpoint.
 func TestLostConnectionCountsOnce(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/router/effects.go
+++ b/internal/router/effects.go
@@ -19,7 +19,7 @@
 	BadRequest                     // malformed or not allowed; Respond.Reason says why
 )
 
-// String returns the kind's name.
+// String returns the kind's name in lower case, or "unknown" if the value is not one of the constants.
 func (kind ResponseKind) String() string {
 	switch kind {
 	case Served:
@@ -92,7 +92,7 @@
 // Close closes a connection. No event follows.
 type Close struct{ Connection ConnectionID }
 
-// SetTimer sets the reducer's only timer and replaces its previous time. TimerFired follows at this time, ns.
+// SetTimer sets the reducer's only timer and replaces its previous time. TimerFired follows at this time, in ns.
 type SetTimer struct{ At int64 }
 
 // Log writes an event to the log. Instance is the name of the endpoint that the event concerns; empty: none.
--- a/internal/router/endpoint_reference_test.go
+++ b/internal/router/endpoint_reference_test.go
@@ -93,7 +93,7 @@
 	return c
 }
 
-// drawEntry returns a random entry.
+// drawEntry returns an entry of the endpoint list with one of the given names and random values.
 func (c *endpointComparison) drawEntry() EndpointEntry {
 	entry := cacheEntry(pick(c.rng, c.names), fmt.Sprint("10.0.0.", c.rng.IntN(40), ":1"))
 	entry.Location = pick(c.rng, []string{"here", "here", "there"})
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -107,5 +107,5 @@
 // TimerFired reports that the timer set by SetTimer has fired.
 type TimerFired struct{}
 
-// ShutdownStarted starts the graceful shutdown: every request is answered by AnswerDeadline, ns.
+// ShutdownStarted starts the graceful shutdown: every request is answered by AnswerDeadline, in ns.
 type ShutdownStarted struct{ AnswerDeadline int64 }
--- a/internal/router/helpers_test.go
+++ b/internal/router/helpers_test.go
@@ -184,7 +184,7 @@
 	}
 }
 
-// advance advances the clock by a duration, ns, and fires the timer whenever it is due.
+// advance advances the clock by a duration in ns, and fires the timer whenever it is due.
 func (h *harness) advance(ns int64) {
 	for end := h.now + ns; h.now < end; {
 		h.now = min(end, max(h.timerSetFor, h.now+millisecond))
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -180,7 +180,7 @@
 	return err == nil
 }
 
-// policyRequest returns the part of a request that the policy needs. arrivedAt is the time of its arrival, ns.
+// policyRequest returns the part of a request that the policy needs. arrivedAt is the time of its arrival in ns.
 func (request *Request) policyRequest(arrivedAt int64) control.Request {
 	return control.Request{
 		Class:       request.Class,
--- a/internal/router/request_table.go
+++ b/internal/router/request_table.go
@@ -5,7 +5,7 @@
 	byClient  map[ClientID]map[int32]*inFlightRequest // by client and sequence number
 	byID      map[RequestID]*inFlightRequest
 	count     int
-	bodyBytes int // total size of their bodies
+	bodyBytes int // total size of the bodies of all requests in flight
 }
 
 func newRequestTable() requestTable {
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Optional fields with an invalid value are ignored.
+// An optional field with an invalid value counts as absent. The request is not refused because of it.
 func TestDecodeRequestIgnoresInvalidOptionalFields(t *testing.T) {
 	for _, c := range []struct{ field, value string }{
 		{"got", "a,b=c"},
@@ -136,7 +136,8 @@
 	}
 }
 
-// The idempotency key is forwarded with every attempt, as the client sent it.
+// Servers recognize a repeated request by its idempotency key. The key is therefore forwarded with every attempt, byte
+// for byte.
 func TestIdempotencyKeyIsForwarded(t *testing.T) {
 	const key = "6ad8595c69c03e9f5892348d52ee1791"
 	h := newTwoClassHarness(t)
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -6,7 +6,7 @@
 	"tealpath/control"
 )
 
-// responseTransit is the time, ns, that a response may take from this router to its client. It is subtracted from the
+// responseTransit is the time in ns that a response may take from this router to its client. It is subtracted from the
 // client's timeout, so that the response arrives in time even over a slow network or with a busy core.
 const responseTransit = 20 * millisecond
 
@@ -61,7 +61,8 @@
 		return true
 	}
 	mayHaveRun := len(previous.attempts) > 0
-	r.respond(previous, Respond{Kind: Failed}) // its client's half-closed connection stays open until it gets a response
+	// The client's half-closed connection stays open until it gets a response.
+	r.respond(previous, Respond{Kind: Failed})
 	r.abandonRequest(previous)
 	return !mayHaveRun || r.config.isIdempotent(request.Class)
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -38,7 +38,8 @@
 	shutdownDeadline int64 // ns; by when every request must be answered; 0: no shutdown has begun
 }
 
-// New returns a reducer whose clock starts at now, ns. Its effects depend only on these arguments and on the events.
+// New returns a reducer whose clock starts at now, in ns. Its effects depend only on these arguments and on the
+// events.
 func New(now int64, seed uint64, settings control.Settings, limits Limits) *Router {
 	router := &Router{
 		limits:       limits,
@@ -55,8 +56,8 @@
 	return router
 }
 
-// Handle handles an event that occurred at the time at, ns, then runs the timers and the periodic work that are due.
-// It returns the effects to be carried out, in order. The returned slice is valid until the next call.
+// Handle handles an event that occurred at the time at, in ns, then runs the timers and the periodic work that are
+// due. It returns the effects to be carried out, in order. The returned slice is valid until the next call.
 func (r *Router) Handle(at int64, event Event) []Effect {
 	clear(r.effects)
 	r.effects = r.effects[:0]
@@ -122,7 +123,7 @@
 // Endpoints returns the current endpoint list, ordered by name.
 func (r *Router) Endpoints() []EndpointEntry { return r.endpoints.entries() }
 
-// Snapshot returns what the policy has learned up to now, ns, with at most maxObjects objects.
+// Snapshot returns what the policy has learned up to now, in ns, with at most maxObjects objects.
 func (r *Router) Snapshot(now int64, maxObjects int) control.Snapshot {
 	return r.policy.Snapshot(max(now, r.now), maxObjects)
 }
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -5,11 +5,11 @@
 	"tealpath/internal/timerqueue"
 )
 
-// tickRetryDelay is the time, ns, after which the periodic work is done again if it panics. Without a delay, repeated
+// tickRetryDelay is the time in ns after which the periodic work is done again if it panics. Without a delay, repeated
 // panics would keep a core busy.
 const tickRetryDelay = 1000 * millisecond
 
-// timer is a handle on a timer of the reducer.
+// timer is a handle with which one of the reducer's timers can be removed before it fires.
 type timer = timerqueue.Timer[timerTask]
 
 // timerKind says what a timer is for.
@@ -93,7 +93,8 @@
 	request.deadlineTimer = r.timers.Push(at, timerTask{kind: deadlineTimer, request: request})
 }
 
-// setRecheckTimer sets the timer after which the policy decides on a request again, if the policy asks for one.
+// setRecheckTimer sets the timer that makes the policy decide on a request again, if the policy wants to, and replaces
+// the request's previous one.
 func (r *Router) setRecheckTimer(request *inFlightRequest) {
 	if request.finished {
 		return
@@ -104,7 +105,8 @@
 	}
 }
 
-// tick does the periodic work of the policy and on the connections.
+// tick does the periodic work: that of the policy, forgetting old abandoned attempts, closing unused connections and
+// opening those that the connection plan wants.
 func (r *Router) tick() {
 	r.nextTick = r.now + tickRetryDelay
 	_, delay := r.policy.Tick(r.now) // returns no endpoints to probe: see policySettings
