--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// newRouterWithoutFills returns a router that admits no fills.
+// newRouterWithoutFills returns a router whose admission limit for fills is 0.
 func newRouterWithoutFills(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
 	router := newRouter(t, change)
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -101,7 +101,7 @@
 
 func noneInFlight(int) int { return 0 }
 
-// BenchmarkDecision measures an ordinary request while nothing else is in flight.
+// BenchmarkDecision measures an ordinary request, which is cacheable and idempotent, while nothing else is in flight.
 func BenchmarkDecision(b *testing.B) {
 	benchmarkDecisions(b, nil, noneInFlight, Request{Class: "harmless", Group: 1})
 }
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -4,8 +4,8 @@
 	// loadWindow is the time in ns over which load reports and offered work decay.
 	loadWindow = 2 * second
 
-	// minOwnInFlight is the value of capacityEstimate.ownInFlight from which load reports are used to estimate
-	// how many routers send to the caches.
+	// Load reports are used to estimate how many routers send to the caches only if capacityEstimate.ownInFlight is at
+	// least minOwnInFlight.
 	minOwnInFlight = 20.
 
 	// minCapacity is the lower bound of a listed capacity.
--- a/control/inflight.go
+++ b/control/inflight.go
@@ -29,7 +29,7 @@
 	r.outliers.watched.add(endpoint)
 }
 
-// started adds an attempt to the counts of one of its endpoints.
+// started adds an attempt to the counts of one of its endpoints, until it ends or is late.
 func (c *inFlightCounts) started(endpoint *endpointState, attempt *attemptState) {
 	endpoint.inFlight = append(endpoint.inFlight, attempt)
 	c.count(endpoint, attempt, 1)
@@ -38,7 +38,8 @@
 	}
 }
 
-// finished removes an attempt from the counts of one of its endpoints.
+// finished removes an attempt from the attempts in flight of one of its endpoints and, unless it is late, from the
+// counts.
 func (c *inFlightCounts) finished(endpoint *endpointState, attempt *attemptState) {
 	c.lateTimers.Remove(attempt.lateTimer)
 	endpoint.inFlight = slices.DeleteFunc(endpoint.inFlight, func(other *attemptState) bool {
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -6,16 +6,17 @@
 )
 
 const (
-	// silenceThreshold is the silence score, in excess of the peers' mean, from which an endpoint is ejected. The
-	// unit is the mean response time of the slowest class. The probability that a healthy endpoint reaches a score
-	// of 6 is e^-6.
+	// silenceThreshold is by how much the silence score of an endpoint must exceed the mean of its peers for the
+	// endpoint to be ejected. The unit is the mean response time of the slowest class. The probability that a healthy
+	// endpoint reaches a score of 6 is e^-6.
 	silenceThreshold = 6.
 
 	maxSilencePerAttempt = 2.  // maximum that one attempt adds to the silence score
 	minSilence           = 1.2 // silence counts only if one attempt has waited at least this long; same unit
 
-	failureThreshold = 2.5 // decayed failures from which an endpoint may be ejected
-	failureShare     = 0.3 // failed fraction of its attempts, in excess of its peers', from which it may be ejected
+	// An endpoint may be ejected if it reaches both of these thresholds.
+	failureThreshold = 2.5 // decayed failures
+	failureShare     = 0.3 // excess of its failed fraction of attempts over that of its peers
 
 	healthWindow = 4 * second // ns; time over which successes and failures decay
 
@@ -115,8 +116,9 @@
 	return r.parents
 }
 
-// failureShareFor returns the failed fraction of an endpoint's attempts, in excess of its peers', from which the
-// endpoint is ejected. It is smaller for a parent with many ended attempts, unless all other parents are ejected.
+// failureShareFor returns by how much the failed fraction of an endpoint's attempts must exceed that of its peers for
+// the endpoint to be ejected. It is smaller for a parent with many ended attempts, unless all other parents are
+// ejected.
 func (r *Router) failureShareFor(endpoint *endpointState, own evidence) float64 {
 	isOther := func(peer *endpointState) bool { return peer != endpoint && !peer.ejected }
 	if endpoint.Location == r.settings.Location || !slices.ContainsFunc(r.parents, isOther) {
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -53,7 +53,7 @@
 	return all, byKind, max(capacity, 0.01)
 }
 
-// referenceLoads returns the load of each cache.
+// referenceLoads computes the load of each cache from the attempts in flight.
 func referenceLoads(router *Router, now int64) map[*endpointState]float64 {
 	all, _, total := referenceInFlight(router, now, router.caches)
 	loads := map[*endpointState]float64{}
@@ -100,7 +100,7 @@
 	return sum
 }
 
-// referenceTiers returns the ready endpoints by role.
+// referenceTiers returns the listed endpoints that are ready, by role. The origin is the one with the lowest ID.
 func referenceTiers(router *Router) (caches, parents []*endpointState, origin *endpointState) {
 	for _, id := range slices.Sorted(maps.Keys(router.endpoints)) {
 		endpoint := router.endpoints[id]
--- a/control/retries.go
+++ b/control/retries.go
@@ -6,8 +6,8 @@
 	retryTokensPerRequest = 0.15
 	maxRetryTokens        = 10.
 
-	// freeAttempts is the number of attempts of a request below which a retry takes no token, provided that the
-	// last attempt shows no sign of an overload.
+	// A retry takes no token while the request has made fewer than freeAttempts attempts, provided that the last
+	// attempt shows no sign of an overload.
 	freeAttempts = 3
 
 	// hedgeDelayShare is the fraction of the latency objective after which an attempt may be hedged.
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -53,7 +53,8 @@
 	routers int // number of routers that send to the endpoint
 }
 
-// slowStartParams returns the parameters for a cache or a parent.
+// slowStartParams returns the parameters of an endpoint: those of caches in the router's location, else those of
+// parents.
 func (r *Router) slowStartParams(endpoint *endpointState) slowStartParams {
 	if endpoint.Location == r.settings.Location {
 		return slowStartParams{r.settings.CacheSlowStart, int(r.settings.cacheRouters())}
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -27,7 +27,8 @@
 	ended        bool // its outcome was reported to the policy
 }
 
-// startAttempt starts an attempt that the policy decided on.
+// startAttempt starts an attempt that the policy decided on. The attempt is sent at once if its connection is
+// established, waits for the connection if not, and ends as NotSent if no connection can be used or opened.
 func (r *Router) startAttempt(request *inFlightRequest, decided control.Attempt) {
 	attempt := r.newAttempt(request, decided)
 	request.attempts = append(request.attempts, attempt)
--- a/internal/router/drawn_test.go
+++ b/internal/router/drawn_test.go
@@ -222,7 +222,7 @@
 	return reason.Error()
 }
 
-// observeSend adds a Send effect to the digest.
+// observeSend adds a Send effect to the digest, and its attempt to those that have no response yet.
 func (run *drawnRun) observeSend(send Send) {
 	request := send.Request
 	run.sent = append(run.sent, drawnAttempt{send.Connection, string(request.ID)})
--- a/internal/router/endpoint_reference_test.go
+++ b/internal/router/endpoint_reference_test.go
@@ -47,7 +47,8 @@
 	return endpoints
 }
 
-// assignIDs assigns the IDs of all endpoints.
+// assignIDs sets each endpoint's ID to the hash of its name or, if that is taken by an earlier name, to the next free
+// one.
 func (list referenceList) assignIDs() {
 	taken := map[uint32]bool{}
 	for _, name := range sortedKeys(list) {
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -133,5 +133,5 @@
 	r.policy.Restore(now, snapshot, withRates)
 }
 
-// InFlight returns how many requests are in flight.
+// InFlight returns how many requests were accepted and are neither answered nor cancelled yet.
 func (r *Router) InFlight() int { return r.requests.count }
