--- a/control/admission.go
+++ b/control/admission.go
@@ -65,7 +65,7 @@
 	a.limits[kind] = min(a.limits[kind]+increase, maxAdmissionLimit)
 }
 
-// lowerLimit lowers the limit of a kind of attempts after a late response, down to minAdmissionLimit.
+// lowerLimit lowers the limit of a kind of attempts after a late response, but not below minAdmissionLimit.
 func (a *admission) lowerLimit(kind attemptKind) {
 	a.limits[kind] = max(a.limits[kind]*(1-limitDecrease), minAdmissionLimit)
 }
@@ -173,8 +173,8 @@
 
 // mayTryCacheOnly reports whether a request that is not admitted as a fill may be sent to a cache that serves it only
 // if the object is cached, without a fill on a miss. A router that gets a small part of the traffic often mistakes a
-// hit for a fill, and would otherwise reject it. This is allowed only for the first attempt of a request, and only
-// if// the accepted age is not below the class's fresh duration, so that any cached entry can be served.
+// hit for a fill, and would otherwise reject it. This is allowed only for the first attempt of a request, and only if
+// the accepted age is not below the class's fresh duration, so that any cached entry can be served.
 func (r *Router) mayTryCacheOnly(now int64, request *Request, cache *endpointState) bool {
 	age, _ := r.maxAge(now, request) // must come first: it may update the object's accepted age
 	if request.nextKind(now) != fills || len(request.attempts) > 0 || request.isUncacheable() {
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -88,8 +88,9 @@
 	return decision.Verdict == Send && !decision.Attempt.CacheOnly
 }
 
-// maxFills is the number of fills that one of two routers may initially have in flight, at caches with a total
-// capacity of 10. TestFillsBeyondTheLimitAreNotSent compares it with initialAdmissionLimits.
+// maxFills is the number of fills that each of two routers may have in flight at first, at caches with a total
+// capacity of 10: the initial limit for fills, 1.2, times 10, divided by 2. TestFillsBeyondTheLimitAreNotSent compares
+// it with initialAdmissionLimits.
 const maxFills = 6
 
 func TestFillsBeyondTheLimitAreNotSent(t *testing.T) {
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -277,8 +277,9 @@
 	return 1-draw > bound*weight*roundingMargin
 }
 
-// add inserts next into the sorted batch if it comes after the candidate after. If the batch is full, the last of its
-// candidates and next is dropped. From then on only candidates that come before worst need to be added.
+// add inserts next into the sorted batch if it comes after the candidate that is passed as after. If the batch is
+// full, either its last candidate or next is dropped, whichever comes later. From then on only candidates that come
+// before worst need to be added.
 func (c *candidates) add(next, after candidate) (worst candidate) {
 	if next.compare(after) > 0 {
 		if len(c.batch) == c.batchSize && next.compare(c.batch[len(c.batch)-1]) < 0 {
--- a/control/settings.go
+++ b/control/settings.go
@@ -21,7 +21,7 @@
 	ResponseBytesPerSecond float64 // rate at which an endpoint sends one response; 0: not known
 	Classes                []ClassSettings
 	LongestDeadline        int64 // ns; the longest time from arrival to deadline of any class
-	ResponseGrace          int64 // ns; how long after its deadline a request that still has no final response is ended
+	ResponseGrace          int64 // ns; a request without a final response is ended this long after its deadline
 	MaxInFlight            int   // maximum number of requests in flight; above 0
 
 	HealthChecks   bool  // health checks may be sent
@@ -61,7 +61,7 @@
 type SlowStartSettings struct {
 	Share          float64 // part of its capacity that it has at its start; grows linearly to 1 during the warm-up
 	Factor         float64 // multiple of its capacity above which the endpoint is overloaded
-	Window         int64   // ns; time over which the load is measured that overloads the endpoint
+	Window         int64   // ns; the endpoint is overloaded by too much load within this time
 	WarmUpDuration int64   // ns; 0: the endpoint needs no warm-up
 }
 
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -76,7 +76,7 @@
 	// A router whose share of the work is less than one request collects tokens. Each admits a single request.
 	tokens    float64
 	tokensAt  int64 // when tokens was last updated
-	tokensFor int64 // start that the tokens belong to, as endpointState.slowStartFrom
+	tokensFor int64 // slowStartFrom of the start that the tokens belong to
 
 	// Computing the token rate costs more than the rest of a decision, and hundreds of endpoints may be in slow start
 	// at the same time. Before retryAt there cannot be a whole token for retryWork, so the rate is not computed.
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -224,7 +224,7 @@
 		router.outliers.watched.add(endpoint) // as after an ejection
 		endpoint.lastResponseAt = start
 		probe, _ := router.Tick(start)
-		if want := n < 4; slices.Contains(probe, 1) != want { // ruleLimit(8) is 19.5 for 2 incarnations of 2 routers
+		if want := n < 4; slices.Contains(probe, 1) != want { // ruleLimit(8), 19.5, for 2 incarnations of 2 routers
 			t.Fatalf("probe %d sent: %v, want %v", n, !want, want)
 		}
 	}
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-// Objects of cacheable requests are filled from parents, which the object's hash selects, not from the origin.
+// The object of a cacheable request is filled from the parent that its hash selects, not directly from the origin.
 func TestReadsAreFilledFromParents(t *testing.T) {
 	router := newWriteRouter(t, nil)
 	for n := range 50 {
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -169,7 +169,8 @@
 }
 
 // withdrawAttempt ends an attempt that is not written yet. On an established connection only the connection's writer
-// knows whether it is, so there the attempt stays in flight, usually until AttemptWithdrawn or a response is received.
+// knows whether it is written, so there the attempt stays in flight, usually until AttemptWithdrawn or a response is
+// received.
 func (r *Router) withdrawAttempt(attempt *attempt) {
 	if attempt.connection.established {
 		r.emit(WithdrawAttempt{Connection: attempt.connection.id, ID: attempt.upstream.ID})
--- a/internal/router/drawn_test.go
+++ b/internal/router/drawn_test.go
@@ -214,7 +214,7 @@
 	}
 }
 
-// reasonText returns the text of the reason for a bad request, empty for none.
+// reasonText returns the text of the reason for a bad request, or an empty text if there is no reason.
 func reasonText(reason error) string {
 	if reason == nil {
 		return ""
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -61,7 +61,7 @@
 		return true
 	}
 	mayHaveRun := len(previous.attempts) > 0
-	// The client's half-closed connection stays open until it gets a response.
+	// The client's half-closed connection stays open until the client gets a response.
 	r.respond(previous, Respond{Kind: Failed})
 	r.abandonRequest(previous)
 	return !mayHaveRun || r.config.isIdempotent(request.Class)
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -53,8 +53,8 @@
 	return result
 }
 
-// sendingTime returns how long the transfer of a response takes according to its length, in seconds; 0: unknown. The
-// policy allows long responses that much more time.
+// sendingTime returns how long the transfer of a response takes according to its length, in seconds, or 0 if that is
+// unknown. The policy allows long responses that much more time.
 func (r *Router) sendingTime(body []byte) float64 {
 	if r.config.ResponseBytesPerSecond <= 0 {
 		return 0
