--- a/control/outliers.go
+++ b/control/outliers.go
@@ -225,7 +225,7 @@
 
 // evidence returns the evidence on an endpoint. Its silence is how long the attempts in flight have waited since they
 // were sent or, if that is later, since the endpoint's last response. Each wait is divided by responseTime, in s, and
-// counts at most maxSilencePerAttempt.
+// counts at most maxSilencePerAttempt. Likely hits do not count for their source.
 func (endpoint *endpointState) evidence(now int64, responseTime float64) evidence {
 	successes := decay(endpoint.successes, now-endpoint.scoredAt, healthWindow)
 	failures := decay(endpoint.failures, now-endpoint.scoredAt, healthWindow)
