--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// newRouterWithoutFills returns a router that admits no fills.
+// newRouterWithoutFills returns a router whose admission limit for fills is 0.
 func newRouterWithoutFills(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
 	router := newRouter(t, change)
@@ -88,8 +88,9 @@
 	return decision.Verdict == Send && !decision.Attempt.CacheOnly
 }
 
-// maxFills is the number of fills that one of two routers may initially have in flight, at caches with a total
-// capacity of 10. TestFillsBeyondTheLimitAreNotSent compares it with initialAdmissionLimits.
+// maxFills is the number of fills that each of two routers may have in flight at first, at caches with a total
+// capacity of 10: the initial limit for fills, 1.2, times 10, divided by 2. TestFillsBeyondTheLimitAreNotSent compares
+// it with initialAdmissionLimits.
 const maxFills = 6
 
 func TestFillsBeyondTheLimitAreNotSent(t *testing.T) {
@@ -108,7 +109,9 @@
 	}
 }
 
-// Clients' retries have a lower limit, whether they are marked or guessed from an earlier rejection.
+// Clients' retries are rejected at a lower load than other requests, because most of their responses would be too late
+// for the client. A request counts as a retry if the client marked it, or if one for the same object was just
+// rejected.
 func TestClientRetriesHaveALowerLimit(t *testing.T) {
 	for _, marked := range []bool{true, false} {
 		t.Run(fmt.Sprint("marked ", marked), func(t *testing.T) {
@@ -237,7 +240,8 @@
 	}
 }
 
-// Attempts that are late no longer count against the limit.
+// Once an attempt is late it no longer counts against the admission limit. Otherwise a few attempts at an endpoint
+// that does not respond would use up the limit of a router with little traffic.
 func TestLateAttemptsDoNotCount(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -24,8 +24,8 @@
 	// restarted does not know what it sent before.
 	incarnationsPerWindow = 2
 
-	// tiltRange and tiltSteps limit the search for the best t of the Chernoff bound. For many routers the optimum is
-	// less than tiltRange above the lower end, in units of 1 / mean work.
+	// tokenParams.rate searches for the best t of the Chernoff bound by tiltSteps bisections of an interval whose
+	// length is tiltRange / mean work. For many routers the best t is inside that interval.
 	tiltRange = 4.
 	tiltSteps = 24
 
@@ -53,7 +53,8 @@
 	routers int // number of routers that send to the endpoint
 }
 
-// slowStartParams returns the parameters for a cache or a parent.
+// slowStartParams returns the parameters of an endpoint: those of caches in the router's location, else those of
+// parents.
 func (r *Router) slowStartParams(endpoint *endpointState) slowStartParams {
 	if endpoint.Location == r.settings.Location {
 		return slowStartParams{r.settings.CacheSlowStart, int(r.settings.cacheRouters())}
@@ -75,7 +76,7 @@
 	// A router whose share of the work is less than one request collects tokens. Each admits a single request.
 	tokens    float64
 	tokensAt  int64 // when tokens was last updated
-	tokensFor int64 // start that the tokens belong to, as endpointState.slowStartFrom
+	tokensFor int64 // slowStartFrom of the start that the tokens belong to
 
 	// Computing the token rate costs more than the rest of a decision, and hundreds of endpoints may be in slow start
 	// at the same time. Before retryAt there cannot be a whole token for retryWork, so the rate is not computed.
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -8,7 +8,7 @@
 	"tealpath/control"
 )
 
-// minResponseTime is the shortest time, ns, that an endpoint is given to respond: timeouts are sent to endpoints in
+// minResponseTime is the shortest time in ns that an endpoint is given to respond: timeouts are sent to endpoints in
 // whole milliseconds.
 const minResponseTime = millisecond
 
@@ -27,7 +27,8 @@
 	ended        bool // its outcome was reported to the policy
 }
 
-// startAttempt starts an attempt that the policy decided on.
+// startAttempt starts an attempt that the policy decided on. The attempt is sent at once if its connection is
+// established, waits for the connection if not, and ends as NotSent if no connection can be used or opened.
 func (r *Router) startAttempt(request *inFlightRequest, decided control.Attempt) {
 	attempt := r.newAttempt(request, decided)
 	request.attempts = append(request.attempts, attempt)
@@ -168,7 +169,8 @@
 }
 
 // withdrawAttempt ends an attempt that is not written yet. On an established connection only the connection's writer
-// knows whether it is, so there the attempt stays in flight, usually until AttemptWithdrawn or a response is received.
+// knows whether it is written, so there the attempt stays in flight, usually until AttemptWithdrawn or a response is
+// received.
 func (r *Router) withdrawAttempt(attempt *attempt) {
 	if attempt.connection.established {
 		r.emit(WithdrawAttempt{Connection: attempt.connection.id, ID: attempt.upstream.ID})
--- a/internal/router/drawn_test.go
+++ b/internal/router/drawn_test.go
@@ -214,7 +214,7 @@
 	}
 }
 
-// reasonText returns the text of the reason for a bad request, empty for none.
+// reasonText returns the text of the reason for a bad request, or an empty text if there is no reason.
 func reasonText(reason error) string {
 	if reason == nil {
 		return ""
@@ -222,7 +222,7 @@
 	return reason.Error()
 }
 
-// observeSend adds a Send effect to the digest.
+// observeSend adds a Send effect to the digest, and its attempt to those that have no response yet.
 func (run *drawnRun) observeSend(send Send) {
 	request := send.Request
 	run.sent = append(run.sent, drawnAttempt{send.Connection, string(request.ID)})
--- a/internal/router/endpoint_reference_test.go
+++ b/internal/router/endpoint_reference_test.go
@@ -47,7 +47,8 @@
 	return endpoints
 }
 
-// assignIDs assigns the IDs of all endpoints.
+// assignIDs sets each endpoint's ID to the hash of its name or, if that is taken by an earlier name, to the next free
+// one.
 func (list referenceList) assignIDs() {
 	taken := map[uint32]bool{}
 	for _, name := range sortedKeys(list) {
@@ -93,7 +94,7 @@
 	return c
 }
 
-// drawEntry returns a random entry.
+// drawEntry returns an entry of the endpoint list with one of the given names and random values.
 func (c *endpointComparison) drawEntry() EndpointEntry {
 	entry := cacheEntry(pick(c.rng, c.names), fmt.Sprint("10.0.0.", c.rng.IntN(40), ":1"))
 	entry.Location = pick(c.rng, []string{"here", "here", "there"})
