--- a/internal/emulator/cache/cache.go
+++ b/internal/emulator/cache/cache.go
@@ -151,7 +151,8 @@
 	delete(c.connections, conn)
 }
 
-// resetConnections resets all connections. The caller holds mu.
+// resetConnections ends all connections with a TCP reset, so that requests in flight fail at once. The caller holds
+// mu.
 func (c *Cache) resetConnections() {
 	for conn := range c.connections {
 		reset(conn)
--- a/internal/emulator/cache/capacity.go
+++ b/internal/emulator/cache/capacity.go
@@ -15,8 +15,8 @@
 	// OverloadWindow, where N is OverloadFactor times the number of requests that it can serve in that window.
 	InitialShare   float64
 	OverloadFactor float64
-	WarmUpDuration int64 // ns
-	OverloadWindow int64 // ns
+	WarmUpDuration int64 // ns from a start until the full capacity is reached
+	OverloadWindow int64 // ns; length of the window in which requests are counted
 	DownTime       int64 // ns from a crash until the cache restarts, empty and warming up
 
 	Unresponsive bool // the cache accepts connections and responds to no request
@@ -35,7 +35,7 @@
 	Limits
 	Crashes            int
 	PeakConnections    int
-	PeakLoad           float64 // while warming up: highest ratio of the requests in a window to their limit
+	PeakLoad           float64 // while warming up: highest ratio of requests in a window to the overload limit
 	RefusedConnections int
 
 	startedAt   int64 // ns; time of the last start, 0: long ago
--- a/internal/emulator/discoveryserver/discoveryserver.go
+++ b/internal/emulator/discoveryserver/discoveryserver.go
@@ -1,7 +1,7 @@
 // Package discoveryserver emulates a discovery service on a loopback address. It speaks the protocol of the real
 // service, server-sent events over HTTP, and records every call. Its rate of calls and its bandwidth can be
-// limited. It can also be stopped, send nothing, close a call in the middle of an event, send an outdated list,
-// or restart the numbering of its events.
+// limited. It can also be stopped, send nothing, close a call in the middle of an event, send an outdated endpoint
+// list, or restart the numbering of its events.
 package discoveryserver
 
 import (
@@ -20,7 +20,7 @@
 	BytesPerSecond float64 // bandwidth of all calls together; 0: unlimited
 	Truncate       bool    // the service closes the call in the middle of the first event
 	Silent         bool    // the service accepts calls and sends nothing
-	Stale          bool    // the service sends event 1, an outdated list, in place of all events so far
+	Stale          bool    // the service sends event 1, an outdated endpoint list, instead of all events so far
 }
 
 // Call is one call that the service has received.
@@ -83,7 +83,8 @@
 	return nil
 }
 
-// Stop closes the listener and all calls. Further calls are refused until Listen is called.
+// Stop closes the listener and all calls, and waits until their goroutines have ended. Further calls are refused
+// until Listen is called.
 func (s *Service) Stop() {
 	s.mu.Lock()
 	ignore(s.listener.Close())
@@ -94,12 +95,13 @@
 	s.goroutines.Wait()
 }
 
-// Close stops the service.
+// Close does the same as Stop, for callers that do not start the service again.
 func (s *Service) Close() {
 	s.Stop()
 }
 
-// Publish adds an event and sends it to all callers. The format contains %d for the number of the event.
+// Publish adds an event and sends it to all callers. The format must contain %d, which is replaced by the number of
+// the event.
 func (s *Service) Publish(format string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/emulator/discoveryserver/session.go
+++ b/internal/emulator/discoveryserver/session.go
@@ -81,7 +81,7 @@
 		events, published := s.events, s.published
 		s.mu.Unlock()
 		if lastEventID > len(events) || session.behavior.Stale {
-			lastEventID = 0 // the numbering has restarted, or the outdated list is sent
+			lastEventID = 0 // the numbering has restarted, or only the outdated event 1 is sent
 		}
 		for _, event := range events[lastEventID:] {
 			lastEventID++
--- a/internal/emulator/relay/relay.go
+++ b/internal/emulator/relay/relay.go
@@ -23,7 +23,7 @@
 type Conditions struct {
 	CutForward  bool          // blocks data from the dialling side to the target
 	CutBackward bool          // blocks data from the target to the dialling side
-	Delay       time.Duration // of data in both directions
+	Delay       time.Duration // from reading data to forwarding it, in each direction
 }
 
 // Relay is one emulated network path.
@@ -68,7 +68,7 @@
 	r.changed = make(chan struct{})
 }
 
-// Close closes the listener and all connections.
+// Close closes the listener and all connections, and waits until no more data is forwarded.
 func (r *Relay) Close() {
 	ignore(r.listener.Close())
 	r.mu.Lock()
--- a/internal/experiment/coldstart/experiment.go
+++ b/internal/experiment/coldstart/experiment.go
@@ -103,8 +103,8 @@
 	PeakConnections     int     `json:"cache_connections_peak"` // at any one cache
 	HealthyP50MS        float64 `json:"time_to_listed_p50_ms"`
 	HealthyP99MS        float64 `json:"time_to_listed_p99_ms"`
-	NeverHealthy        int     `json:"unlisted"` // routers
-	Sent                int     `json:"sent"`     // requests
+	NeverHealthy        int     `json:"unlisted"` // number of routers
+	Sent                int     `json:"sent"`     // number of requests
 	ServedShare         float64 `json:"settled_share_first_10s"`
 	Lost                int     `json:"lost"` // requests that were never answered
 	HoldSeconds         float64 `json:"hold_s"`
@@ -115,7 +115,7 @@
 	CacheCrashes        int     `json:"caches_fallen"`
 	WarmP99MS           float64 `json:"time_to_whole_p99_ms"`  // from each router start to the phase startup.Warm
 	StaleListAttempts   int     `json:"stale_list_dispatches"` // at the draining cache, after drainGrace
-	NotNotified         int     `json:"not_notified"`          // routers, of the drain, within maxNotificationDelay
+	NotNotified         int     `json:"not_notified"`          // routers not notified of the drain in time
 	CPUMSPerRouter      float64 `json:"cpu_ms_a_router"`
 	ResidentKBPerRouter int64   `json:"resident_kb_a_router"`
 	MaxCallsPerSecond   int     `json:"bound_connects_per_s"`
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// Run runs the experiment with one build.
+// Run starts the routers of one build under the fault, sends requests to them, and returns what it measured.
 func (e Experiment) Run(ctx context.Context, build Build) (Result, error) {
 	r, err := e.newRun(build)
 	if err != nil {
@@ -170,8 +170,8 @@
 	}, nil
 }
 
-// maxCallRate returns the highest allowed number of calls in a second: one call of each router, or minCallRate if that
-// is more, plus a tenth, times callRateTolerance. docs/coldstart.md explains it.
+// maxCallRate returns the highest allowed number of calls in a second. It is the number of routers, but at least
+// minCallRate, increased by a tenth and multiplied by callRateTolerance. docs/coldstart.md explains it.
 func maxCallRate(routers int) int {
 	return int(callRateTolerance * 1.1 * math.Max(minCallRate, float64(routers)))
 }
--- a/internal/experiment/coldstart/fault.go
+++ b/internal/experiment/coldstart/fault.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// outageDuration is how long a fault of the discovery service lasts. It is also the time from the start of
-	// the routers until some are killed.
+	// outageDuration is how long ServiceDown and ListTruncated last. It is also the time from the start of the
+	// routers until ServiceRestarted stops the discovery service, or until routers are killed.
 	outageDuration = 5 * time.Second
 
 	// restartDuration is how long the discovery service refuses calls while it restarts.
@@ -42,7 +42,8 @@
 	}
 }
 
-// continueFault waits for outageDuration, and then ends the fault of the discovery service or kills routers.
+// continueFault waits for outageDuration. Then it ends ServiceDown and ListTruncated, restarts the discovery service
+// or kills routers, depending on the fault. ServiceSlow and ListStale last until the end of the run.
 func (r *experimentRun) continueFault(ctx context.Context) error {
 	select {
 	case <-time.After(outageDuration):
--- a/internal/experiment/coldstart/play.go
+++ b/internal/experiment/coldstart/play.go
@@ -34,7 +34,7 @@
 // startupPhaseChanged is the name of the event that routers log when they enter another startup phase.
 var startupPhaseChanged = server.StartupPhaseChanged{}.Kind().Name
 
-// experimentRun is one run of an experiment.
+// experimentRun holds the routers and emulators of one run, and what has been measured so far.
 type experimentRun struct {
 	Experiment
 	build  Build
@@ -53,7 +53,7 @@
 	attemptsBeforeDrain int
 
 	mu     sync.Mutex
-	warmMS []float64 // guarded by mu; time of each router start until the phase startup.Warm
+	warmMS []float64 // guarded by mu; time from each router start to the phase startup.Warm
 }
 
 func (r *experimentRun) run(ctx context.Context) (Result, error) {
--- a/internal/experiment/coldstart/simulation.go
+++ b/internal/experiment/coldstart/simulation.go
@@ -29,26 +29,26 @@
 	Routers      int
 	Seed         uint64
 	DownDuration time.Duration // how long the discovery service is down, from the start
-	Duration     time.Duration // of the simulation
+	Duration     time.Duration // simulated time
 }
 
-// SimulationResult holds the calls of routers with call schedules, and those of the baseline, routers that retry
-// with exponential backoff without jitter.
+// SimulationResult compares two simulations: one of routers that follow their call schedules, and a baseline of
+// routers that retry with exponential backoff without jitter. Fields of the baseline start with Baseline.
 type SimulationResult struct {
 	Routers            int     `json:"routers"`
 	PeakCallsPerSecond int     `json:"list_connects_peak_per_s"`
 	BaselinePeak       int     `json:"before_peak_per_s"`
-	ReachedP99MS       float64 `json:"time_to_heard_p99_ms"` // from the end of the outage
+	ReachedP99MS       float64 `json:"time_to_heard_p99_ms"` // from the end of the outage to a successful call
 	BaselineReached    float64 `json:"before_time_to_heard_p99_ms"`
 	MaxCallsPerSecond  int     `json:"bound_connects_per_s"`
-	Calls              []int   `json:"-"` // in each second
+	Calls              []int   `json:"-"` // number of calls in each second
 	BaselineCalls      []int   `json:"-"`
 }
 
 // nextCall returns the time of a router's next call, ns after the start.
 type nextCall func() int64
 
-// Run runs the simulation.
+// Run simulates the routers twice, first with their call schedules and then as the baseline.
 func (s Simulation) Run() SimulationResult {
 	result := SimulationResult{Routers: s.Routers, MaxCallsPerSecond: max(minCallRate, s.Routers+s.Routers/10)}
 	result.Calls, result.ReachedP99MS = s.simulateCalls(s.scheduled)
@@ -75,7 +75,7 @@
 	return calls, percentile(reachedMS, 99)
 }
 
-// scheduled returns the calls of a router with a call schedule.
+// scheduled returns a function that computes the call times of a router with a call schedule.
 func (s Simulation) scheduled(router int) nextCall {
 	schedule := startup.NewCallSchedule(s.Seed*seedStride+uint64(router), s.Routers, startup.ReadinessHold{})
 	at, isFirst := int64(0), true
@@ -90,7 +90,8 @@
 	}
 }
 
-// baseline returns the calls of a router that retries with exponential backoff without jitter.
+// baseline returns a function that computes the call times of a router that retries with exponential backoff without
+// jitter.
 func baseline(int) nextCall {
 	at, wait := int64(0), int64(0)
 	return func() int64 {
--- a/internal/experiment/coldstartsim/client.go
+++ b/internal/experiment/coldstartsim/client.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// handleResponse handles a router's response to a client.
+// handleResponse counts a served request. For any other response the client retries after the response's RetryAfter,
+// or sooner if clients ignore Retry-After.
 func (s *runState) handleResponse(from *simulatedRouter, response router.Respond) {
 	key := requestKey{from.index, response.Seq}
 	request := s.requests[key]
--- a/internal/experiment/coldstartsim/plan.go
+++ b/internal/experiment/coldstartsim/plan.go
@@ -37,7 +37,7 @@
 const (
 	slowDiscoveryFactor    = 4 // a call takes this many times as long under FaultDiscoverySlow
 	silentCachesOneIn      = 3 // one cache in three is silent under FaultCachesSilent
-	restartedRoutersPerTen = 7 // so many of every ten routers are killed and restarted under FaultRoutersKilled
+	restartedRoutersPerTen = 7 // of ten routers, this many are killed and restarted under FaultRoutersKilled
 )
 
 // Faults lists all faults.
@@ -74,7 +74,7 @@
 	Caches              int
 	Seed                uint64
 	Fault               Fault
-	Duration            time.Duration // simulated
+	Duration            time.Duration // simulated time
 	RequestRate         float64       // requests per second by all clients, not counting retries
 	MaxAttempts         int           // attempts of a client at one request, including the first; 0 means 1
 	Baseline            bool          // routers call discovery without jitter, and connect without a connection plan
@@ -95,7 +95,8 @@
 	return p
 }
 
-// Run simulates the plan.
+// Run simulates the plan for its duration and returns what it measured. The error is an *UnknownFaultError if the
+// plan has an unknown fault.
 func (p Plan) Run() (Result, error) {
 	if !slices.Contains(Faults, p.Fault) {
 		return Result{}, &UnknownFaultError{p.Fault}
@@ -122,16 +123,16 @@
 const (
 	startTime           = int64(1e18)    // wall-clock time at which the run begins
 	startSpread         = int64(1e9)     // time within which all routers start
-	networkDelay        = int64(500_000) // in one direction
+	networkDelay        = int64(500_000) // of a message in one direction
 	cacheServiceTime    = int64(60e6)
-	cacheFillTime       = int64(60e6) // in addition, if the cache does not hold the object
+	cacheFillTime       = int64(60e6) // added to cacheServiceTime if the object is not cached
 	cacheWarmUp         = int64(15e9)
 	cacheOverloadWindow = int64(15e8)
 	cacheDownTime       = int64(3e9)
 	faultDuration       = int64(5e9)  // how long the discovery service is down, or the time until routers are killed
 	clientTimeout       = int64(15e8) // of a client's request, with all its attempts
 	requestTimeout      = int64(1e9)  // of one attempt
-	unreadyRetryDelay   = int64(2e8)  // of a client whose router was not ready
+	unreadyRetryDelay   = int64(2e8)  // until a client whose router was not ready retries
 	impatientRetryDelay = int64(5e7)  // the longest delay of a client that ignores Retry-After
 )
 
--- a/internal/experiment/coldstartsim/result.go
+++ b/internal/experiment/coldstartsim/result.go
@@ -14,7 +14,7 @@
 	Fault              Fault    `json:"faults"`
 	Baseline           bool     `json:"before"`
 	Routers            int      `json:"routers"`
-	PeakDiscoveryCalls int      `json:"list_connects_peak_per_s"` // highest number in a second, by all routers
+	PeakDiscoveryCalls int      `json:"list_connects_peak_per_s"` // most calls in one second, by all routers together
 	PeakConnections    int      `json:"cache_connections_peak"`   // highest number at one cache
 	MaxConnections     int      `json:"cache_connections_held"`   // that one cache accepts
 	RefusedConnections int      `json:"cache_connections_refused"`
@@ -23,7 +23,7 @@
 	TimeToEndpointsP99 float64  `json:"time_to_listed_p99_ms"` // -1 means never
 	TimeToWarmP99      float64  `json:"time_to_whole_p99_ms"`  // -1 means never
 	Requests           int      `json:"sent"`
-	ServedFirst10s     float64  `json:"settled_share_first_10s"` // share of the requests begun in that time
+	ServedFirst10s     float64  `json:"settled_share_first_10s"` // share of the requests begun in the first 10 s
 	Served             float64  `json:"settled_share"`           // share of all requests
 	RecoveryTime       float64  `json:"usual_service_again_s"`   // s after the end of the fault; -1 means never
 	Lost               int      `json:"lost"`                    // requests that a running router never answered
@@ -123,7 +123,8 @@
 	return lost
 }
 
-// percentile99 returns the 99th percentile of times, in which 0 means never, or -1 if the percentile is never.
+// percentile99 returns the 99th percentile of times. A time of 0 stands for an event that never happened and counts as
+// infinite. If the percentile is infinite, percentile99 returns -1.
 func percentile99(times []float64) float64 {
 	for i := range times {
 		times[i] = cmp.Or(times[i], math.Inf(1))
@@ -135,8 +136,8 @@
 	return -1
 }
 
-// recoveryTime returns the time, in s after the end of the fault, from which the served share is at least
-// recoveredShare of the share at the end of the run, or -1 if it never is.
+// recoveryTime returns when the first recoveryWindow begins whose served share is at least recoveredShare of the usual
+// one near the end of the run. The result is in s after the end of the fault, or -1 if there is no such window.
 func (r *Result) recoveryTime(faultEnd int64) float64 {
 	last := len(r.Seconds) - unfinishedSeconds
 	usual := servedShare(r.Seconds[max(0, last-usualWindow):last])
--- a/internal/experiment/coldstartsim/simulation.go
+++ b/internal/experiment/coldstartsim/simulation.go
@@ -8,7 +8,7 @@
 	"tealpath/internal/experiment/simulation"
 )
 
-// runState is the state of one simulation.
+// runState holds the simulated routers, caches, discovery service and clients of one run, and the counts so far.
 type runState struct {
 	plan           Plan
 	random         *rand.Rand
@@ -16,7 +16,7 @@
 	routers        []*simulatedRouter
 	caches         []*simulatedCache
 	discovery      discoveryService
-	requests       map[requestKey]*clientRequest // at routers that have not responded yet
+	requests       map[requestKey]*clientRequest // requests whose router has not responded yet
 	nextSeq        int32
 	seconds        []Second
 	connects       int
@@ -32,7 +32,7 @@
 // discoveryService is a discovery service that handles one call at a time.
 type discoveryService struct {
 	freeAt      int64 // when it can handle the next call
-	timePerCall int64 // ns
+	timePerCall int64 // ns that it takes to handle one call
 }
 
 func newSimulation(plan Plan) *runState {
--- a/internal/experiment/command/coldstart.go
+++ b/internal/experiment/command/coldstart.go
@@ -105,8 +105,8 @@
 	})
 }
 
-// runBuilds runs the experiment with the baseline if there is one, with the current build, and with the current
-// build and a readiness hold if there is one. The bounds are checked for the last run only.
+// runBuilds runs the experiment up to three times: with the baseline build if one is given, with the current build,
+// and with the current build and a readiness hold if one is given. The bounds are checked for the last run only.
 func runBuilds(ctx context.Context, cmd *cli.Command, e coldstart.Experiment) error {
 	current := coldstart.Build{Binary: cmd.String("binary"), PlanConnections: cmd.Bool("links")}
 	builds := []coldstart.Build{current}
--- a/internal/experiment/command/command_test.go
+++ b/internal/experiment/command/command_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// Scripts and pages rely on the names and defaults of flags.
+// A renamed flag or a changed default would break scripts and documented commands.
 func TestFlagsAndDefaults(t *testing.T) {
 	want := map[string]string{
 		"duties": "instances=5 kills=20 caches=20 slots=64 seed=7 out=lab-out lease=1.5s renewal=500ms period=1s " +
--- a/internal/experiment/descriptors/methods.go
+++ b/internal/experiment/descriptors/methods.go
@@ -32,8 +32,8 @@
 	return func() { closeQuietly(conns...) }, nil
 }
 
-// waitUntilReadable waits until something is received. Read calls the function at once, and again when the connection
-// is readable.
+// waitUntilReadable waits until something is received. raw.Read calls the function that it is given at once, and again
+// when the connection is readable.
 func waitUntilReadable(raw syscall.RawConn) error {
 	calls := 0
 	return raw.Read(func(uintptr) bool {
--- a/internal/experiment/experimenttest/recorded.go
+++ b/internal/experiment/experimenttest/recorded.go
@@ -20,7 +20,7 @@
 	text strings.Builder
 }
 
-// NewRecording returns an empty recording.
+// NewRecording returns an empty recording that fails the test t if its results differ from the recorded ones.
 func NewRecording(t testing.TB) *Recording { return &Recording{t: t} }
 
 // Result adds a line with a name and a result as JSON, in the format that the commands print.
--- a/internal/experiment/heartbeatgossip/table.go
+++ b/internal/experiment/heartbeatgossip/table.go
@@ -58,7 +58,7 @@
 	return table
 }
 
-// add adds a member to the table.
+// add adds a member, in the state Unheard and without an address, and increments the version of the table.
 func (table *Table) add(now int64, name string) *memberState {
 	member := &memberState{
 		Member:       Member{Since: now, Entry: Entry{Name: name}},
@@ -216,7 +216,7 @@
 	})
 }
 
-// recentIncarnations counts the incarnations whose counter has increased within a timeout before now.
+// recentIncarnations counts the incarnations whose counter has increased within the last timeout ns.
 func (member *memberState) recentIncarnations(now, timeout int64) int {
 	count := 0
 	for _, known := range member.incarnations {
@@ -227,7 +227,7 @@
 	return count
 }
 
-// HasDuplicate reports whether two running instances may have the same name. The name may be this instance's own.
+// HasDuplicate reports whether more than one running instance may be using the name, which may be this instance's own.
 func (table *Table) HasDuplicate(now int64, name string) bool {
 	if name == table.self.Name {
 		return table.duplicates.recentIncarnations(now, table.config.ReplacedTimeout) > 0
--- a/internal/experiment/idleconnections/bench.go
+++ b/internal/experiment/idleconnections/bench.go
@@ -84,7 +84,8 @@
 	b.Close()
 }
 
-// open has the client processes open count more connections in total, in nearly equal shares.
+// open makes the client processes open additional connections, count in total, divided almost equally among them. It
+// returns how long the slowest process took.
 func (b *testbed) open(count int) (seconds float64, err error) {
 	each, rest := count/len(b.clients), count%len(b.clients)
 	return b.sendEach(func(client int) string {
@@ -123,7 +124,7 @@
 
 // usage holds sums over all routers.
 type usage struct {
-	suspended   int // connections
+	suspended   int // number of suspended connections
 	goroutines  int
 	memoryBytes uint64 // heap and stacks after a garbage collection
 	residentKB  int64
@@ -164,7 +165,7 @@
 	return count, nil
 }
 
-// load sends active traffic to all routers.
+// load sends active traffic to all routers together, rate requests per second, for the duration.
 func (b *testbed) load(ctx context.Context, rate float64, duration time.Duration) (testcluster.LoadResult, error) {
 	addresses := b.ClientAddresses()
 	return testcluster.Load{
--- a/internal/experiment/idleconnections/client.go
+++ b/internal/experiment/idleconnections/client.go
@@ -36,7 +36,7 @@
 	clientRetryDuration = time.Minute
 	clientRetryInterval = 50 * time.Millisecond
 
-	endTimeout = time.Minute // for the router to close a connection
+	endTimeout = time.Minute // longest wait for the router to close a connection
 )
 
 // answer is the answer of a client process to a command.
--- a/internal/experiment/idleconnections/experiment.go
+++ b/internal/experiment/idleconnections/experiment.go
@@ -29,7 +29,7 @@
 	// maxBaselineDuration is shorter than the 10 s after which a baseline router closes idle connections.
 	maxBaselineDuration = 6 * time.Second
 
-	minP99MS = 0.001 // lower limit of a divisor, against division by 0
+	minP99MS = 0.001 // lower limit of the 99th percentile that ratios are divided by; it avoids a division by 0
 )
 
 // Version identifies the build of the router that a row belongs to.
@@ -68,23 +68,23 @@
 	LatencyP99MS        float64 `json:"active_p99_ms"`
 	LatencyP999MS       float64 `json:"active_p999_ms"`
 	ServedShare         float64 `json:"settled_share"`
-	CPUShare            float64 `json:"cpu_share"`   // of the one core
-	OpenSeconds         float64 `json:"opened_in_s"` // time to open the connections that the row before did not have
+	CPUShare            float64 `json:"cpu_share"`   // of the core that all routers share
+	OpenSeconds         float64 `json:"opened_in_s"` // time to open the connections that the previous row did not have
 }
 
 // Result holds the measurements of an experiment. Each P99MS is the latency of active traffic during one event, and
 // each ratio compares a 99th percentile with that of the first row, which has no idle connections.
 type Result struct {
-	Routers          int     `json:"routers"` // processes on the one core
+	Routers          int     `json:"routers"` // router processes, which share one core
 	Rows             []Row   `json:"rows"`
 	ReconnectSeconds float64 `json:"wave_s"` // until all connections were closed and opened again
 	ReconnectP99MS   float64 `json:"wave_active_p99_ms"`
 	WakeSeconds      float64 `json:"wake_s"` // until a health check was answered on every connection
 	WakeP99MS        float64 `json:"wake_active_p99_ms"`
-	ExpirySeconds    float64 `json:"expiry_s"` // from the first closed connections until nearly all were closed
+	ExpirySeconds    float64 `json:"expiry_s"` // from 1% of the connections closed until nearly all closed
 	ExpiryP99MS      float64 `json:"expiry_active_p99_ms"`
 	Failed           int     `json:"failed"`                 // connections that could not be opened or were not answered
-	P99Ratio         float64 `json:"p99_ratio_most_to_none"` // of the row with most idle connections
+	P99Ratio         float64 `json:"p99_ratio_most_to_none"` // of the row with the most idle connections
 	ReconnectRatio   float64 `json:"p99_ratio_wave_to_none"`
 	ExpiryRatio      float64 `json:"p99_ratio_expiry_to_none"`
 }
@@ -109,7 +109,7 @@
 	return &experimentRun{Experiment: e, maxIdle: maxIdle, result: Result{Routers: routers}}
 }
 
-// experimentRun is one run of an experiment.
+// experimentRun holds the settings of one run and what has been measured so far.
 type experimentRun struct {
 	Experiment
 	maxIdle int // the largest of Counts
--- a/internal/experiment/idleconnections/idleconnections_test.go
+++ b/internal/experiment/idleconnections/idleconnections_test.go
@@ -11,7 +11,8 @@
 	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
-// The experiment runs with 1,000 idle connections, and a router shuts down gracefully while it has 2,000 of them.
+// Idle connections must be suspended without failures and without a goroutine each, while active traffic is served. A
+// router with 2,000 idle connections must still shut down gracefully in time.
 func TestIdleConnectionsOfRealInstances(t *testing.T) {
 	e := Experiment{
 		Binary:       clustertest.Build(t, "tealpath"),
--- a/internal/experiment/idleconnections/measure.go
+++ b/internal/experiment/idleconnections/measure.go
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// openUpTo opens connections until count connections are open. The parameter open is the number that was opened before.
-// A baseline router has closed those in the meantime because they were idle too long, so they are opened again first.
+// openUpTo opens connections until count are open. The parameter open is how many were opened for the previous row. A
+// baseline router has closed these in the meantime because they were idle too long, so they are opened again first.
 func (r *experimentRun) openUpTo(b *testbed, version Version, open, count int) (seconds float64, err error) {
 	if version == Baseline && open > 0 {
 		if _, err := b.sendAll(reconnectCommand); err != nil {
@@ -140,8 +140,8 @@
 	return err
 }
 
-// waitForExpiry waits until nearly all connections are closed, for two idle timeouts at most. It returns the time at
-// which the first connections were closed.
+// waitForExpiry waits until nearly all connections are closed, for two idle timeouts at most. It returns the time
+// at which it found more than 1% of the connections closed, or the zero time if it never did.
 func (r *experimentRun) waitForExpiry(ctx context.Context, b *testbed) (firstAt time.Time, err error) {
 	deadline := time.Now().Add(2 * r.IdleTimeout)
 	for time.Now().Before(deadline) {
--- a/internal/experiment/leases/experiment.go
+++ b/internal/experiment/leases/experiment.go
@@ -76,7 +76,7 @@
 	UnsharedResidentKB  int64   `json:"resident_kb_without_operator"`
 	GapBoundMS          float64 `json:"bound_ms"` // bound of GapP99MS
 	BrokenBounds        string  `json:"bounds_broken,omitempty"`
-	Probes              int     `json:"probes"` // while faults were injected
+	Probes              int     `json:"probes"` // health checks that caches received while faults were injected
 	Seconds             float64 `json:"seconds"`
 	TargetsNeverProbed  int     `json:"targets_never_probed"`
 }
@@ -131,7 +131,7 @@
 	return r, nil
 }
 
-// experimentRun is one run of an experiment.
+// experimentRun holds the instances of one run, the takeovers so far and the result that is being computed.
 type experimentRun struct {
 	Experiment
 	cluster   *testcluster.Cluster
@@ -160,7 +160,8 @@
 	if err := r.unshared.StartAll(); err != nil {
 		return err
 	}
-	// Slots change holders once more after the start, and targets receive their first health checks.
+	// Slots change holders once more after the start, and targets receive their first health checks. Neither must
+	// count as idle cost.
 	time.Sleep(2*r.LeaseDuration + 2*r.ProbePeriod)
 	r.measureIdleCost(ctx)
 	startedAt := time.Now()
--- a/internal/experiment/leases/leases_test.go
+++ b/internal/experiment/leases/leases_test.go
@@ -10,8 +10,9 @@
 	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
-// Lease holders among real instances are killed, shut down, frozen, isolated and delayed. A busy machine slows
-// takeovers down, so the test allows twice the bound; the tealexperiment command checks the bound itself.
+// Guards against two holders of a slot, targets that get no health checks and late takeovers when a lease holder is
+// killed, shut down, frozen, isolated or delayed. A busy machine slows takeovers down, so the test allows twice the
+// bound; the tealexperiment command checks the bound itself.
 func TestLeasesOfRealInstances(t *testing.T) {
 	r, err := Experiment{
 		Config: testcluster.Config{
--- a/internal/experiment/leasesim/faults.go
+++ b/internal/experiment/leasesim/faults.go
@@ -19,7 +19,7 @@
 
 // Limits of what injectFault draws.
 const (
-	maxLoss          = 0.3 // of all messages
+	maxLoss          = 0.3 // largest share of messages that are lost
 	maxLatencyHalves = 3   // mean latency, in halves of a lease duration
 	maxPauseLeases   = 4   // pause, in lease durations
 )
--- a/internal/experiment/leasesim/instance.go
+++ b/internal/experiment/leasesim/instance.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// targets returns the endpoints to probe.
+// targets returns the simulated endpoints, which are probed by name: no address is dialled.
 func (s *runState) targets() []probe.Target {
 	var targets []probe.Target
 	for t := range s.plan.Targets {
--- a/internal/experiment/leasesim/leasesim_test.go
+++ b/internal/experiment/leasesim/leasesim_test.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// Each size runs for a quarter of an hour of simulated time; `tealexperiment duties --virtual` runs longer.
+// Guards against two instances that hold or probe the same slot, and against ballots that decrease. Each number of
+// instances runs for a quarter of an hour of simulated time; `tealexperiment duties --virtual` runs longer.
 func TestOneHolderPerSlotUnderFaults(t *testing.T) {
 	for _, size := range []struct{ instances, targets int }{{3, 200}, {5, 10}, {16, 3}} {
 		plan := newTestPlan(size.instances, size.targets, 0.25, 5)
--- a/internal/experiment/leasesim/plan.go
+++ b/internal/experiment/leasesim/plan.go
@@ -18,7 +18,7 @@
 	Instances     int
 	Slots         int
 	Targets       int     // endpoints to probe
-	Hours         float64 // simulated
+	Hours         float64 // simulated time
 	ClockSteps    bool    // faults include setting a wall clock back or forward by an hour
 	Seed          uint64
 	LeaseDuration time.Duration
@@ -27,12 +27,12 @@
 
 const (
 	maxVoters         = 5                  // the first instances are voters, up to this number
-	maxClockDrift     = 0.01               // of the monotonic clocks' rates
-	hour              = 3600e9             // ns
-	wallClockMS       = int64(1.7e12)      // at the start of the run
+	maxClockDrift     = 0.01               // largest relative error of a monotonic clock's rate
+	hour              = 3600e9             // length of an hour in ns
+	wallClockMS       = int64(1.7e12)      // what wall clocks show at the start of the run
 	wallClockStepMS   = int64(3600 * 1000) // one hour
-	probePeriod       = int64(1e9)         // ns
-	probeTimeout      = int64(5e8)         // ns
+	probePeriod       = int64(1e9)         // ns between two probes of an endpoint
+	probeTimeout      = int64(5e8)         // ns that an instance waits for the response to a probe
 	firstFaultLeases  = 4                  // time of the first fault, in lease durations
 	faultJitterLeases = 10                 // random part of the interval between faults, in lease durations
 	latencyDivisor    = 100                // a renewal interval divided by this is the normal mean latency
@@ -40,7 +40,7 @@
 	noHolder          = -1                 // in runState.holders: the slot has no holder
 )
 
-// runState is the state of one simulation.
+// runState holds the simulated instances and network of one run, the current holders of slots and the counts so far.
 type runState struct {
 	plan        Plan
 	random      *rand.Rand
--- a/internal/experiment/leasesim/result.go
+++ b/internal/experiment/leasesim/result.go
@@ -15,7 +15,7 @@
 	// BallotRegressions counts acquisitions of a slot under a ballot that is not higher than all earlier ballots of
 	// the slot, in runs without ClockSteps.
 	BallotRegressions int `json:"backward"`
-	// BallotRegressionsWithClockSteps counts the same in runs with ClockSteps.
+	// BallotRegressionsWithClockSteps is the equivalent of BallotRegressions for runs with ClockSteps.
 	BallotRegressionsWithClockSteps int `json:"backward_with_clocks_set_back"`
 	// DuplicateProbes counts probes of an endpoint within one period after a probe by another instance.
 	DuplicateProbes int     `json:"duplicated"`
--- a/internal/experiment/membership/experiment.go
+++ b/internal/experiment/membership/experiment.go
@@ -32,7 +32,8 @@
 	agreementTimeout = 20 * time.Second
 	detectionTimeout = 10 * time.Second
 
-	// idleDelay lets the traffic of the start pass before measureIdleCost measures for idleDuration.
+	// idleDelay is how long measureIdleCost waits for the traffic of the start to end. It then measures for
+	// idleDuration.
 	idleDelay    = 3 * time.Second
 	idleDuration = 6 * time.Second
 )
@@ -41,7 +42,7 @@
 type Experiment struct {
 	testcluster.Config
 	Faults     []Fault       // injected in turn; if empty, instances run without faults
-	Duration   time.Duration // of the faults together, or of the run without faults
+	Duration   time.Duration // how long faults are injected, or how long instances run without faults
 	Seed       uint64
 	ResultsDir string // directory of the result file; empty writes none
 }
@@ -141,7 +142,7 @@
 	return strings.Join(names, ", ")
 }
 
-// experimentRun is one run of an experiment.
+// experimentRun holds the instances of one run, its random numbers and what has been measured so far.
 type experimentRun struct {
 	Experiment
 	cluster *testcluster.Cluster
--- a/internal/experiment/membership/fault.go
+++ b/internal/experiment/membership/fault.go
@@ -56,7 +56,7 @@
 	starveRunning     = 5 * time.Millisecond
 )
 
-// pauses are the durations of successive pauses.
+// pauses are the durations of the fault Pause, which takes the next one each time.
 var pauses = []time.Duration{500 * time.Millisecond, maxUndetectedPause, 5 * time.Second}
 
 // FaultResult is the outcome of one fault.
--- a/internal/experiment/membership/membership_test.go
+++ b/internal/experiment/membership/membership_test.go
@@ -10,7 +10,8 @@
 	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
-// Real instances are killed, cut off in one direction, stopped, partitioned and starved.
+// Guards against undetected faults, live instances believed dead, and views that stay different after a fault. Real
+// instances are killed, cut off in one direction, stopped, partitioned and starved.
 func TestMembersOfRealInstances(t *testing.T) {
 	t.Parallel()
 	r, err := Experiment{
--- a/internal/experiment/membershipsim/faults.go
+++ b/internal/experiment/membershipsim/faults.go
@@ -58,8 +58,8 @@
 	flapSettleTime      = 6 * second
 	maxUndetectedPause  = 3 * second / 2 // after a longer one, members may believe the instance dead
 
-	lossDuringFault    = 0.2        // of all messages
-	latencyDuringFault = second / 2 // mean
+	lossDuringFault    = 0.2        // share of messages that are lost
+	latencyDuringFault = second / 2 // mean latency of a message
 	minoritySideOneIn  = 3          // every third member is on the smaller side of a partition
 )
 
@@ -154,8 +154,8 @@
 	s.scheduler.After(networkFaultTime, func() { clear(s.cutLinks) })
 }
 
-// isolateOneWay measures how long it takes until all other members believe the victim dead, which can only send or only
-// receive. It ends the fault after oneWayFaultTime.
+// isolateOneWay continues a fault in which the victim can only send or only receive. It measures the time until all
+// other members believe the victim dead, and ends the fault after oneWayFaultTime.
 func (s *runState) isolateOneWay(victim *simulatedMember) {
 	s.awaitDetection(victim, maxOneWayDetection, s.measured.oneWayDetected, s.measured.oneWayMissed)
 	victim.mayBeDeadUntil = s.now() + networkFaultTime + settleTime
--- a/internal/experiment/membershipsim/member.go
+++ b/internal/experiment/membershipsim/member.go
@@ -23,7 +23,8 @@
 	pausedEvents   []func() // events that occurred during the current pause, in order
 }
 
-// start starts the next incarnation.
+// start starts the next incarnation with a new protocol state. It drops events that were waiting for the end of a
+// pause.
 func (m *simulatedMember) start() {
 	m.host.Start()
 	m.pausedEvents = nil
--- a/internal/experiment/membershipsim/observe.go
+++ b/internal/experiment/membershipsim/observe.go
@@ -3,8 +3,8 @@
 import "slices"
 
 const (
-	// observersPerRound is about how many members' beliefs one observation checks if there are more than twice as many
-	// members. The members then take turns. If there are fewer, every observation checks all of them.
+	// observersPerRound is roughly the number of members whose beliefs one observation checks in a large run, in which
+	// members take turns. A run with at most twice as many members is small: each observation checks them all.
 	observersPerRound = 24
 	// connectionSamplingInterval is the number of messages between two counts of a member's connections while there
 	// is no fault. Counting at every message would take too long.
@@ -17,19 +17,19 @@
 type measurements struct {
 	kills          int
 	missedKills    int
-	detections     []float64 // of kills, ms
+	detections     []float64 // ms from each kill until it was detected
 	pauses         int
 	missedOneWay   int
-	maxOneWay      float64 // ms
+	maxOneWay      float64 // longest time in ms until a one-way fault was detected
 	falseDeaths    int
 	believedDead   map[directedPair]bool // pairs of observer and member whose false death was counted
-	maxDifference  float64               // ms for which views differed
+	maxDifference  float64               // longest time in ms for which views differed
 	differSince    int64                 // when views began to differ, or notDiffering
 	formedAt       int64                 // when all first believed all others alive, or notFormed
 	bytes          int
 	messages       int
 	faultFreeBytes int
-	faultFreeTime  int64 // ns
+	faultFreeTime  int64 // ns without a fault or its effects
 	maxConnections int
 	observations   int
 }
@@ -58,7 +58,7 @@
 func (m *measurements) oneWayDetected(ms float64) { m.maxOneWay = max(m.maxOneWay, ms) }
 func (m *measurements) oneWayMissed()             { m.missedOneWay++ }
 
-// observe checks what members believe at this moment.
+// observe records when all members first believe all others alive, counts false deaths and compares views.
 func (s *runState) observe() {
 	if s.measured.formedAt == notFormed && s.allBelieveAllAlive() {
 		s.measured.formedAt = s.now()
--- a/internal/experiment/membershipsim/plan.go
+++ b/internal/experiment/membershipsim/plan.go
@@ -15,7 +15,7 @@
 // Plan configures one run of the simulation.
 type Plan struct {
 	Instances         int
-	Duration          time.Duration // simulated
+	Duration          time.Duration // simulated time
 	Seed              uint64
 	HeartbeatInterval time.Duration
 	SilenceTimeout    time.Duration // after which a silent neighbour is suspected; the baseline has none
@@ -33,7 +33,7 @@
 	minTimerDelay       = int64(1e6) // ns; shortest delay of a timer
 )
 
-// runState is the state of one simulation.
+// runState holds the simulated members and network of one run, the current faults and the measurements so far.
 type runState struct {
 	plan      Plan
 	interval  int64 // between heartbeats, ns
@@ -53,7 +53,7 @@
 // directedPair is an ordered pair of members, by index.
 type directedPair struct{ from, to int }
 
-// Run simulates the plan.
+// Run starts all members within StartSpread, simulates them until the end of the plan, and returns what it measured.
 func (p Plan) Run() Result {
 	run := newRun(p)
 	spread := int64(p.StartSpread)
--- a/internal/experiment/membershipsim/result.go
+++ b/internal/experiment/membershipsim/result.go
@@ -33,8 +33,11 @@
 	FaultFreeBytesPerSecond float64 `json:"bytes_per_member_per_s_calm"` // while there is no fault
 	MessagesPerSecond       float64 `json:"messages_per_member_per_s"`
 	MaxConnections          int     `json:"links_per_member_max"`
-	ViewChanges             float64 `json:"view_changes"` // mean over all members
-	TimeToFormMS            float64 `json:"formed_ms"`    // until all believe all others alive; -1 means never
+	ViewChanges             float64 `json:"view_changes"` // changes of the view, mean over all members
+
+	// TimeToFormMS is the time from the end of the plan's StartSpread until all members believed all others alive, or
+	// -1 if they never did.
+	TimeToFormMS float64 `json:"formed_ms"`
 }
 
 // BoundsHold reports whether the result keeps the bounds of docs/membership.md.
@@ -130,8 +133,8 @@
 	return chart.Save(path)
 }
 
-// bySize returns one series of the baseline's runs and one of the others, each if there are any. Points have the
-// number of instances as X and the figure as Y.
+// bySize returns a series for the runs of the baseline and one for all other runs. A series without runs is left out.
+// Each point has the number of instances as X and the figure as Y.
 func bySize(runs []Result, figure func(Result) float64) []report.Series {
 	var all []report.Series
 	for _, baseline := range []bool{true, false} {
--- a/internal/experiment/report/bound.go
+++ b/internal/experiment/report/bound.go
@@ -6,7 +6,7 @@
 	Detail string // names or values of the broken bounds; may be empty
 }
 
-// Error implements error.
+// Error names the design note, followed by the detail if there is one.
 func (e *BoundError) Error() string {
 	text := "a bound of " + e.Page + " is broken"
 	if e.Detail != "" {
--- a/internal/experiment/sharedconfigsim/events.go
+++ b/internal/experiment/sharedconfigsim/events.go
@@ -24,7 +24,7 @@
 	maxPauseSeconds   = 60 // a paused instance resumes in less than this
 	partitionTime     = 6 * second
 	lossTime          = 5 * second
-	lossDuringFault   = 0.2 // of all messages
+	lossDuringFault   = 0.2 // share of messages that are lost
 	restartAllOneIn   = 5   // on average, one eventRestartAll in five restarts the instances
 )
 
--- a/internal/experiment/sharedconfigsim/plan.go
+++ b/internal/experiment/sharedconfigsim/plan.go
@@ -17,7 +17,7 @@
 // Plan configures one run of the simulation.
 type Plan struct {
 	Instances     int
-	Duration      time.Duration // simulated
+	Duration      time.Duration // simulated time
 	Seed          uint64
 	LeaseDuration time.Duration
 	RenewInterval time.Duration
@@ -26,12 +26,12 @@
 
 const (
 	maxVoters     = 5    // the first instances are voters, up to this number
-	maxClockDrift = 0.01 // of the monotonic clocks' rates
+	maxClockDrift = 0.01 // largest relative error of a monotonic clock's rate
 	slots         = 64
-	purgeWindow   = second * 6  // ns
-	second        = int64(1e9)  // ns
-	millisecond   = int64(1e6)  // ns
-	wallClockMS   = int64(1e12) // at the start of the run
+	purgeWindow   = second * 6  // PurgeWindow of the first settings, ns
+	second        = int64(1e9)  // one second in ns
+	millisecond   = int64(1e6)  // one millisecond in ns
+	wallClockMS   = int64(1e12) // what the wall clock shows at the start of the run
 
 	observationsPerRenewal = 10
 	firstEventAfterLeases  = 4 // time of the first event, in lease durations
@@ -41,7 +41,7 @@
 // networkLatency is the latency of messages: 1 ms to 11 ms.
 var networkLatency = simulation.Latency{Min: millisecond, Jitter: 10 * millisecond}
 
-// runState is the state of one simulation.
+// runState holds the simulated instances and network of one run, and the measurements so far.
 type runState struct {
 	plan      Plan
 	random    *rand.Rand
@@ -55,7 +55,8 @@
 	measured  measurements
 }
 
-// Run simulates the plan.
+// Run starts all instances, proposes changes and injects faults until the end of the plan, and returns what it
+// measured.
 func (p Plan) Run() Result {
 	run := newRun(p)
 	for _, instance := range run.instances {
--- a/internal/experiment/sharedconfigsim/result.go
+++ b/internal/experiment/sharedconfigsim/result.go
@@ -11,13 +11,13 @@
 type Result struct {
 	Instances int     `json:"instances"`
 	Hours     float64 `json:"hours"`
-	Changes   int     `json:"changes"`          // proposed
+	Changes   int     `json:"changes"`          // proposed and not rejected by the proposing instance
 	InForce   int     `json:"changes_in_force"` // used by all running instances at some moment
 	Rejected  int     `json:"changes_refused"`
 	// Contradictions counts pairs of incompatible versions in use at once, summed over all observations.
 	Contradictions int     `json:"contradictions"`
 	MaxOverlapMS   float64 `json:"contradiction_max_ms"` // longest time for which two versions were in use at once
-	OverlapBoundMS float64 `json:"bound_ms"`             // of MaxOverlapMS
+	OverlapBoundMS float64 `json:"bound_ms"`             // upper bound of MaxOverlapMS
 	InForceP50     float64 `json:"in_force_p50_ms"`      // from acceptance of a change until all use it
 	InForceP99     float64 `json:"in_force_p99_ms"`
 	InactiveShare  float64 `json:"floor_share_of_time"` // share of running instances without an active version
@@ -44,9 +44,9 @@
 	rejectedChanges    int
 	contradictions     int
 	maxOverlapMS       float64
-	timesToInForce     []float64        // ms
+	timesToInForce     []float64        // ms from the acceptance of each change until all used it
 	acceptedAt         map[uint64]int64 // by version number, of changes that are not yet in force
-	firstUsedAt        map[uint64]int64 // by version number
+	firstUsedAt        map[uint64]int64 // when each version was first seen in use, by version number
 	runningInstances   int              // summed over the observations
 	inactiveInstances  int              // summed over the observations
 	peakSlowStartShare float64
--- a/internal/experiment/testcluster/cluster.go
+++ b/internal/experiment/testcluster/cluster.go
@@ -43,8 +43,8 @@
 
 	// WithoutOperatorFile starts instances that share no leases and have no admin socket.
 	WithoutOperatorFile bool
-	// OperatorFile replaces the content of the operator's file, by default a configuration for sharing leases. %s
-	// in it stands for the admin socket's path.
+	// OperatorFile, unless empty, replaces the default content of the operator's file, with which instances share
+	// leases. It must contain %s, which is replaced by the name of the admin socket.
 	OperatorFile string
 	// ClusterOptions are additional options in the (fleet …) list of the operator's file.
 	ClusterOptions string
@@ -174,7 +174,7 @@
 	return addresses
 }
 
-// StartAll starts all instances.
+// StartAll starts the instances in the order of Names. It stops at the first one that fails to start.
 func (c *Cluster) StartAll() error {
 	for _, name := range c.Names {
 		if err := c.Start(name); err != nil {
--- a/internal/experiment/testcluster/files.go
+++ b/internal/experiment/testcluster/files.go
@@ -191,7 +191,7 @@
 	return 1
 }
 
-// WriteOperatorFile writes the operator's file of an instance.
+// WriteOperatorFile writes an instance's operator's file with the cluster's current options and voters.
 func (c *Cluster) WriteOperatorFile(name string) error {
 	path := c.Path(name, ".sx")
 	if c.OperatorFile != "" {
--- a/internal/experiment/testcluster/load.go
+++ b/internal/experiment/testcluster/load.go
@@ -32,7 +32,7 @@
 type Load struct {
 	Rate                  float64 // requests per second over all addresses together
 	Addresses             []string
-	ConnectionsPerAddress int // connections per address
+	ConnectionsPerAddress int // each connection acts as one client
 }
 
 // LoadResult is the outcome of a load.
@@ -63,7 +63,7 @@
 	return run.result, nil
 }
 
-// loadRun is one run of a load.
+// loadRun holds the connections and the counts of one call of Load.Run.
 type loadRun struct {
 	connections []*loadConnection
 	readers     sync.WaitGroup
@@ -162,7 +162,8 @@
 }
 
 // beginRequest registers a request as pending. It first reconnects, as other clients do, if the connection was closed
-// while no request was pending: the router closes connections that are idle for 2 s. It returns false if that fails.
+// while no request was pending: the router closes connections that are idle for 2 s. It returns false if it cannot
+// reconnect.
 func (r *loadRun) beginRequest(connection *loadConnection, dueAt time.Time) (uint32, net.Conn, bool) {
 	connection.mu.Lock()
 	defer connection.mu.Unlock()
--- a/internal/experiment/testcluster/process.go
+++ b/internal/experiment/testcluster/process.go
@@ -72,7 +72,7 @@
 // PID returns the process ID.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
-// Signal sends a signal to the process.
+// Signal sends a signal to the process. It returns an error if the process has ended.
 func (p *Process) Signal(signal syscall.Signal) error { return p.command.Process.Signal(signal) }
 
 // KillAndWait kills the process, even while it is stopped by SIGSTOP, and waits until it has ended.
--- a/internal/experiment/testcluster/snapshot_test.go
+++ b/internal/experiment/testcluster/snapshot_test.go
@@ -156,7 +156,7 @@
 	return result
 }
 
-// waitFor waits until a condition holds, for ten seconds.
+// waitFor polls a condition, and fails the test if it does not hold within ten seconds.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(20 * time.Millisecond) {
--- a/internal/simulator/drawn_test.go
+++ b/internal/simulator/drawn_test.go
@@ -22,7 +22,7 @@
 // depend only on its seed and the replies.
 type randomSimulator struct {
 	random     *rand.Rand
-	now        int64 // ms
+	now        int64 // simulated time in ms
 	batch      int
 	eventsLeft int
 	requests   int
@@ -34,7 +34,7 @@
 }
 
 type pendingTimer struct {
-	at    int64 // ms
+	at    int64 // simulated time in ms
 	token string
 }
 
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// subscribeRetryDelay is the time in ns from a failed subscription to the endpoint list to the next one.
+	// subscribeRetryDelay is the time in ns after which a failed subscription to the endpoint list is retried.
 	subscribeRetryDelay = int64(5e8)
 
 	// minWakeUpDelay is the shortest delay in ns of a timer. On the wire a delay of 0 is an absent value.
--- a/internal/simulator/wire/reader.go
+++ b/internal/simulator/wire/reader.go
@@ -10,7 +10,7 @@
 
 const readBufferSize = 1 << 20 // bytes
 
-// The lines that delimit batches and endpoint lists.
+// Names of the lines that delimit batches and endpoint lists.
 const (
 	lineBatch = "MARK"
 	lineEnd   = "FLUSH"
@@ -18,7 +18,7 @@
 	lineItem  = "ITEM"
 )
 
-// layout describes the values of lines with one name.
+// layout describes the values that follow the name in a line. All lines with the same name have the same layout.
 type layout struct {
 	fields   int
 	freeText bool // the last value is the rest of the line and may contain spaces
@@ -48,7 +48,7 @@
 	batch string // number of the last batch started, for errors
 }
 
-// NewReader returns a reader that reads from in.
+// NewReader returns a Reader of the batches that the simulator sends, which are read from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, readBufferSize), batch: absent}
 }
--- a/internal/simulator/wire/wire.go
+++ b/internal/simulator/wire/wire.go
@@ -9,7 +9,7 @@
 
 // Batch contains all events of one moment in simulated time.
 type Batch struct {
-	Now    int64 // ns
+	Now    int64 // simulated time in ns
 	Number string
 	Events []Event
 }
@@ -24,7 +24,7 @@
 
 // LineError reports a line that violates the protocol.
 type LineError struct {
-	Batch  string // number of the batch or, outside of a batch, of the one before
+	Batch  string // number of the current batch; between two batches, of the previous one
 	Line   string
 	Reason string
 }
--- a/internal/simulator/wire/writer.go
+++ b/internal/simulator/wire/writer.go
@@ -15,7 +15,7 @@
 	reply bytes.Buffer
 }
 
-// NewWriter returns a writer that writes to out.
+// NewWriter returns a Writer that sends complete replies to the simulator through out.
 func NewWriter(out io.Writer) *Writer {
 	return &Writer{out: out}
 }
--- a/internal/testkit/cache.go
+++ b/internal/testkit/cache.go
@@ -103,7 +103,7 @@
 	c.ResetAll()
 }
 
-// ResetAll resets all connections.
+// ResetAll ends all connections with a TCP reset. The cache still accepts new connections.
 func (c *Cache) ResetAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,8 +172,9 @@
 	}
 }
 
-// WaitRequest waits until one of the caches receives a matching request or abort, and returns it. It discards the
-// requests before it. If there is none within Timeout, the test fails with a message that contains the description.
+// WaitRequest waits until one of the caches receives a matching request or abort, and returns it. It discards those
+// that it looks at and that do not match. If there is no match within Timeout, the test fails with a message that
+// contains the description.
 func WaitRequest(
 	t *testing.T, description string, matches func(CacheRequest) bool, caches ...*Cache,
 ) (found CacheRequest) {
@@ -229,8 +230,8 @@
 	}
 }
 
-// record records a request or an abort. It returns whether and with which delay the cache responds, and resets the
-// connection if the behavior says so.
+// record records a request or an abort, and resets the connection if the behavior says so. It returns whether the
+// cache responds, and after which delay.
 func (c *Cache) record(conn net.Conn, request CacheRequest) (responds bool, delay time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -62,7 +62,7 @@
 	return &Client{Conn: conn, t: t, in: bufio.NewReader(conn)}
 }
 
-// Close closes the client's connection.
+// Close closes the connection before the end of the test, as a client that disconnects does.
 func (c *Client) Close() { Close(c.Conn) }
 
 // Send sends a message of a Thrift message kind with encoded arguments.
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -80,7 +80,7 @@
 	})
 }
 
-// Signal sends a signal to the router.
+// Signal sends a signal to the router, and fails the test if the process has already exited.
 func (p *RouterProcess) Signal(signal syscall.Signal) {
 	p.t.Helper()
 	if err := p.command.Process.Signal(signal); err != nil {
@@ -102,7 +102,7 @@
 	stalls  *ProcessStallWatch
 }
 
-// Terminate sends SIGTERM to the router.
+// Terminate sends SIGTERM to the router and measures its stalls from then until the end of the test.
 func (p *RouterProcess) Terminate() Termination {
 	p.t.Helper()
 	stalls := WatchProcessStalls(p.PID())
--- a/internal/testkit/processstalls.go
+++ b/internal/testkit/processstalls.go
@@ -91,7 +91,7 @@
 	return w.total
 }
 
-// Stop ends the measurement.
+// Stop ends the measurement. It must be called only once.
 func (w *ProcessStallWatch) Stop() { close(w.stopped) }
 
 // stalledBetween returns how long a process waited for a core between two readings of its thread times. That is all
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// WriteFile writes a file that a router reads.
+// WriteFile writes a file for a router under test. It fails the test if the file cannot be written.
 func WriteFile(t *testing.T, path string, raw []byte) {
 	t.Helper()
 	if err := os.WriteFile(path, raw, 0o600); err != nil {
