--- a/internal/experiment/leases/summary.go
+++ b/internal/experiment/leases/summary.go
@@ -26,7 +26,7 @@
 	// below 100 because the holders' clocks drift and the network delay to the target varies.
 	minPeriodPercent = 98
 
-	maxIdleProbesPerPeriod = 1.05 // bound of docs/duties.md
+	maxIdleProbesPerPeriod = 1.05 // bound of Result.IdleProbesPerPeriod, set by docs/duties.md
 )
 
 // summarize fills in the result from the takeovers and from the health checks that the caches received.
--- a/internal/experiment/membership/fault.go
+++ b/internal/experiment/membership/fault.go
@@ -63,7 +63,7 @@
 type FaultResult struct {
 	Kind           Fault
 	Victim         string
-	DetectionMS    float64 `json:"MS"`       // until all others had detected it; 0 if none had to detect it
+	DetectionMS    float64 `json:"MS"`       // until all others had detected it; 0 if they did not or need not
 	FalseDeaths    int     `json:"False"`    // logged deaths of live instances
 	DisagreementMS float64 `json:"AgreedMS"` // from the end of the fault until all have the same view
 }
@@ -153,7 +153,8 @@
 	return nil
 }
 
-// waitForDetection waits until all others have logged the victim's death. It increments undetected if they do not.
+// waitForDetection waits until all others have logged the victim's death. It increments undetected if they have not
+// within detectionTimeout.
 func (in *injection) waitForDetection(undetected *int) {
 	took, ok := in.cluster.WaitForDetection(in.victim, in.others, in.startedAt, detectionTimeout)
 	in.result.DetectionMS = milliseconds(took)
--- a/internal/experiment/testcluster/observe.go
+++ b/internal/experiment/testcluster/observe.go
@@ -61,7 +61,8 @@
 	return status, err
 }
 
-// WaitForAllSlotsLeased waits until running instances hold the leases of all slots.
+// WaitForAllSlotsLeased waits until running instances hold the leases of all slots. After the timeout it returns an
+// error.
 func (c *Cluster) WaitForAllSlotsLeased(ctx context.Context, timeout time.Duration) error {
 	last := ctx.Err()
 	deadline := time.Now().Add(timeout)
@@ -153,7 +154,8 @@
 }
 
 // WaitForDetection waits until all observers have logged, after a given time, that an instance is dead. It returns
-// the duration from that time until the last observer logged it, and whether all did so within the timeout.
+// the duration from that time until the last observer logged it, or 0 and false if not all did within the timeout.
+// The timeout also counts from that time.
 func (c *Cluster) WaitForDetection(
 	victim string, observers []string, since time.Time, timeout time.Duration,
 ) (time.Duration, bool) {
--- a/internal/simulator/decode.go
+++ b/internal/simulator/decode.go
@@ -31,7 +31,7 @@
 	probeSucceeded = "GOOD"
 )
 
-// Flags of a request.
+// Bits of the flags field of a SUBMIT event.
 const (
 	flagClientRetry = 2
 	flagWrite       = 4
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -83,7 +83,7 @@
 }
 
 // Call sends a call for an object with the client's timeout, and returns the sequence number of the call. The
-// additional fields are names and values in turn. A value replaces the default value of the same field.
+// additional fields are alternating names and values. A value replaces the default value of the field with that name.
 func (c *Client) Call(object string, timeout time.Duration, additional ...string) int32 {
 	frame := c.CallFrame(object, timeout, "body", additional...)
 	Write(c.Conn, frame)
