--- a/internal/experiment/coldstartsim/plan.go
+++ b/internal/experiment/coldstartsim/plan.go
@@ -40,7 +40,7 @@
 	restartedRoutersPerTen = 7 // of ten routers, this many are killed and restarted under FaultRoutersKilled
 )
 
-// Faults lists all faults.
+// Faults lists all values that Plan.Fault may have.
 var Faults = []Fault{
 	FaultNone,
 	FaultDiscoveryDown,
--- a/internal/experiment/idleconnections/bench.go
+++ b/internal/experiment/idleconnections/bench.go
@@ -122,7 +122,7 @@
 	return slowestSeconds, err
 }
 
-// usage holds sums over all routers.
+// usage holds what all routers use together.
 type usage struct {
 	suspended   int // number of suspended connections
 	goroutines  int
--- a/internal/experiment/membershipsim/faults.go
+++ b/internal/experiment/membershipsim/faults.go
@@ -22,7 +22,7 @@
 	FaultDuplicateSend = Fault("twice")        // half of all messages arrive twice
 )
 
-// Faults lists all faults.
+// Faults lists all faults that a run can inject.
 var Faults = []Fault{
 	FaultKill,
 	FaultPause,
--- a/internal/experiment/membershipsim/observe.go
+++ b/internal/experiment/membershipsim/observe.go
@@ -13,7 +13,7 @@
 	notDiffering               = int64(-1)   // value of differSince while views are equal
 )
 
-// measurements collects what a run measures.
+// measurements collects the detections, wrong beliefs, differing views and traffic of a run.
 type measurements struct {
 	kills          int
 	missedKills    int
--- a/internal/experiment/sharedconfigsim/result.go
+++ b/internal/experiment/sharedconfigsim/result.go
@@ -38,7 +38,7 @@
 // replaced it, or some instances have not received it.
 const inForceTimeout = 60 * second
 
-// measurements collects what a run measures.
+// measurements collects the changes of a run, how long they take, and the contradictions between versions in use.
 type measurements struct {
 	changes            int
 	rejectedChanges    int
--- a/internal/experiment/testcluster/files.go
+++ b/internal/experiment/testcluster/files.go
@@ -93,7 +93,7 @@
 	KeyScope         string  `json:"keyScope"`
 }
 
-// Write writes the configuration file to a path.
+// Write writes the configuration as JSON to a file that only its owner can read.
 func (r RouterConfig) Write(path string) error {
 	raw, err := json.Marshal(routerFile{
 		Name:   r.Name,
--- a/internal/experiment/testcluster/process.go
+++ b/internal/experiment/testcluster/process.go
@@ -69,7 +69,7 @@
 	_ = p.command.Wait() // the error only says how the process ended
 }
 
-// PID returns the process ID.
+// PID returns the process ID, even if the process has ended.
 func (p *Process) PID() int { return p.command.Process.Pid }
 
 // Signal sends a signal to the process. It returns an error if the process has ended.
--- a/internal/testkit/listen.go
+++ b/internal/testkit/listen.go
@@ -73,7 +73,7 @@
 	return true
 }
 
-// WaitListening waits until an address accepts connections.
+// WaitListening waits until an address accepts connections. The test fails if it does not within Timeout.
 func WaitListening(t *testing.T, address string) {
 	t.Helper()
 	WaitUntil(t, Timeout, "a listener on "+address, func() bool { return IsListening(address) })
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -69,7 +69,7 @@
 // kill kills the process. It ignores the error, because the process may have exited already.
 func (p *RouterProcess) kill() { _ = p.command.Process.Kill() }
 
-// PID returns the process ID of the router.
+// PID returns the process ID of the router, even if the router has exited.
 func (p *RouterProcess) PID() int { return p.command.Process.Pid }
 
 // WaitHealthy waits until the router responds to a health check that it can serve clients.
