--- a/internal/experiment/testcluster/files.go
+++ b/internal/experiment/testcluster/files.go
@@ -93,7 +93,7 @@
 	KeyScope         string  `json:"keyScope"`
 }
 
-// Write writes the configuration file to a path.
+// Write writes the configuration as JSON to a file that only its owner can read.
 func (r RouterConfig) Write(path string) error {
 	raw, err := json.Marshal(routerFile{
 		Name:   r.Name,
@@ -191,7 +191,7 @@
 	return 1
 }
 
-// WriteOperatorFile writes the operator's file of an instance.
+// WriteOperatorFile writes an instance's operator's file with the cluster's current options and voters.
 func (c *Cluster) WriteOperatorFile(name string) error {
 	path := c.Path(name, ".sx")
 	if c.OperatorFile != "" {
--- a/internal/testkit/process.go
+++ b/internal/testkit/process.go
@@ -69,7 +69,7 @@
 // kill kills the process. It ignores the error, because the process may have exited already.
 func (p *RouterProcess) kill() { _ = p.command.Process.Kill() }
 
-// PID returns the process ID of the router.
+// PID returns the process ID of the router, even if the router has exited.
 func (p *RouterProcess) PID() int { return p.command.Process.Pid }
 
 // WaitHealthy waits until the router responds to a health check that it can serve clients.
@@ -80,7 +80,7 @@
 	})
 }
 
-// Signal sends a signal to the router.
+// Signal sends a signal to the router, and fails the test if the process has already exited.
 func (p *RouterProcess) Signal(signal syscall.Signal) {
 	p.t.Helper()
 	if err := p.command.Process.Signal(signal); err != nil {
@@ -102,7 +102,7 @@
 	stalls  *ProcessStallWatch
 }
 
-// Terminate sends SIGTERM to the router.
+// Terminate sends SIGTERM to the router and measures its stalls from then until the end of the test.
 func (p *RouterProcess) Terminate() Termination {
 	p.t.Helper()
 	stalls := WatchProcessStalls(p.PID())
