--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -22,7 +22,7 @@
 
 var _ clock.Clock = (*Clock)(nil)
 
-// New returns a clock that stands still at the Unix time at, in ns, until it is advanced.
+// New returns a stopped clock. Its monotonic time and its wall clock both show the Unix time at, in ns.
 func New(at int64) *Clock { return &Clock{beginNow: at} }
 
 // Running returns a clock that runs with the system's monotonic clock. Its wall clock is ahead of the system's by
--- a/internal/discovery/history.go
+++ b/internal/discovery/history.go
@@ -90,8 +90,8 @@
 	return false, nil
 }
 
-// processComment processes a comment. A comment before any event means that the service has no event after the
-// requested position, so the snapshot's list is not confirmed.
+// processComment returns an error if a comment arrives before any event while the snapshot's list is unconfirmed. The
+// service then has no event after the requested position, and so does not confirm the list.
 func (w *Watcher) processComment() error {
 	if w.snapshotList == nil || w.snapshotList.confirmation.ObserveComment() != restore.Outdated {
 		return nil
--- a/internal/discovery/resume.go
+++ b/internal/discovery/resume.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxEventRetries is the number of times that an unusable event is requested again before it is skipped.
+// maxEventRetries is how often unusable or missing events are requested again before the watch continues without them.
 const maxEventRetries = 3
 
 var (
@@ -22,9 +22,10 @@
 	errUnexpectedPosition = errors.New("unexpected position")
 )
 
-// processEvent decodes an event and posts it if it is the next one. If it returns an error, the call ends and the next
-// call requests the event again. An event that remains unusable is skipped after maxEventRetries further requests,
-// because the events after it are more important.
+// processEvent decodes an event and posts it, unless it was processed before. If the event cannot be decoded or an
+// earlier event is missing, it returns an error: the call ends, and the next call requests the events again. After
+// maxEventRetries such requests the watch continues without the unusable or missing events, because those after them
+// are more important.
 func (w *Watcher) processEvent(event sse.Event) error {
 	decoded, decodeErr := decodeEvent(event.Data)
 	digest := xxhash.Sum64(event.Data)
@@ -83,8 +84,8 @@
 	return true, nil
 }
 
-// checkUsable returns an error for an event that cannot be decoded or is not the next one, until it has been requested
-// again maxEventRetries times.
+// checkUsable returns an error for an event that cannot be decoded or is not the next one. After maxEventRetries
+// errors it returns nil, so that the watch continues.
 func (w *Watcher) checkUsable(position int64, decodeErr error) error {
 	isNext := decodeErr == nil && position == w.position+1
 	if isNext || w.eventRetries >= maxEventRetries {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -41,7 +41,7 @@
 
 	disconnected bool  // a call has failed, and no data has been received since
 	position     int64 // position of the last processed event
-	eventRetries int   // number of times that the event after position was unusable
+	eventRetries int   // number of times that the event after position was unusable or missing
 	lists        startup.ListFilter
 	snapshotList *snapshotList // waits for confirmation; may be nil
 
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// serve serves a connection until it is closed or suspended.
+// serve exchanges requests and responses with the client until the connection is closed or suspended.
 func (c *connection) serve(ctx context.Context) {
 	defer neterr.Close(c.conn)
 	stop := context.AfterFunc(ctx, func() { neterr.Close(c.conn) })
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -39,7 +39,8 @@
 	return false
 }
 
-// evict closes an unused connection unless it has unread data, and reports whether the connection was closed.
+// evict closes a connection, or starts to close it, unless it has a request in flight, an unwritten response or
+// unread data. It reports whether it did so.
 func (s *Server) evict(id idle.ID) bool {
 	active, evicted := s.idle.evictSuspended(id)
 	if active == nil {
--- a/internal/downstream/idle.go
+++ b/internal/downstream/idle.go
@@ -124,7 +124,8 @@
 	return ic.table.Generation(key.id) == key.generation
 }
 
-// suspended returns the slot of a suspended connection. ic.mu must be locked.
+// suspended returns the slot of a suspended connection. found is false if the connection is not suspended, or not
+// any more. ic.mu must be locked.
 func (ic *idleConnections) suspended(key slotKey) (s slot, found bool) {
 	if int(key.id) >= len(ic.slots) || !ic.isCurrent(key) {
 		return slot{}, false
@@ -151,7 +152,7 @@
 	}
 }
 
-// free frees a slot. ic.mu must be locked.
+// free empties a slot and removes its connection from the table, which can then reuse the ID. ic.mu must be locked.
 func (ic *idleConnections) free(id idle.ID) {
 	ic.slots[id] = emptySlot
 	ic.table.Remove(id)
--- a/internal/downstream/idle/pacer.go
+++ b/internal/downstream/idle/pacer.go
@@ -12,11 +12,11 @@
 
 	saturatedFactor = 0.25  // factor applied to a rate while the router is saturated
 	minCores        = 0.05  // lower bound of the number of cores that rates are computed with
-	burstSeconds    = 0.002 // s; a bucket holds at most the tokens of this time
+	burstSeconds    = 0.002 // s; a bucket holds at most the tokens added in this time
 )
 
-// tokenBucket limits a rate. Tokens are added at that rate, and the bucket holds at most the tokens of
-// burstSeconds, but always at least one.
+// tokenBucket limits a rate. Tokens are added at that rate. The bucket can hold the tokens that are added within
+// burstSeconds, but at least one.
 type tokenBucket struct {
 	rate     float64 // tokens per second
 	tokens   float64
--- a/internal/downstream/idle/table.go
+++ b/internal/downstream/idle/table.go
@@ -143,8 +143,8 @@
 	return id
 }
 
-// SetState records the state of a connection. If the connection is in that state already, nothing changes, and
-// it keeps its place in the list.
+// SetState records the state of a connection. It has no effect if the connection is in that state already, so that
+// the connection keeps its place in the list, or if the connection has been removed.
 func (t *Table) SetState(now int64, id ID, state State) {
 	changed := &t.entries[id]
 	if changed.state == state || changed.state == stateUnused {
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -142,7 +142,7 @@
 	one := calls(1)
 	for _, before := range []struct {
 		name, in string
-		unparsed bool // messages that follow are not read
+		unparsed bool // messages sent afterwards are not parsed
 		noMemory bool // no memory is available for large requests
 		inFlight int
 	}{
--- a/internal/downstream/suspend.go
+++ b/internal/downstream/suspend.go
@@ -138,7 +138,7 @@
 	return again
 }
 
-// endRetry reports whether connections have been postponed again.
+// endRetry ends the retry that beginRetry began, and reports whether connections have been postponed again.
 func (ic *idleConnections) endRetry() bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
--- a/internal/downstream/wake.go
+++ b/internal/downstream/wake.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// wait waits for the poller and returns the earliest time since which data may wait on the connections that it
-// reported.
+// wait waits until the poller reports connections, whose keys it stores in w.keys. It returns the earliest time
+// since which data may wait on them.
 func (w *waker) wait(ctx context.Context) (since time.Time, err error) {
 	called := time.Now()
 	w.keys, err = w.server.idle.poller.Wait(ctx, w.keys)
--- a/internal/protocol/resp/reader.go
+++ b/internal/protocol/resp/reader.go
@@ -40,7 +40,7 @@
 	return item[:size:size], nil // without spare capacity, so that appending to it copies
 }
 
-// unexpectedEOF replaces io.EOF by io.ErrUnexpectedEOF. It is used for input that ends inside an array.
+// unexpectedEOF converts io.EOF to io.ErrUnexpectedEOF, for input that ends inside an array.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/protocol/thrift/reader.go
+++ b/internal/protocol/thrift/reader.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// skipElements skips the elements of a container. Each element consists of one value of each of the types.
+// skipElements skips count elements of a container. An element consists of one value of each type in types.
 func (r *reader) skipElements(count, depth int, types ...byte) {
 	for i := 0; i < count && r.err == nil; i++ {
 		for _, typ := range types {
--- a/internal/upstream/decode.go
+++ b/internal/upstream/decode.go
@@ -122,9 +122,9 @@
 	return response, nil
 }
 
-// decodeCopy decodes the body, issue time and entity tag of a successful response. A response that no cache stores has
-// neither issue time nor entity tag: it is marked Unversioned, and the router accepts it only for an uncacheable
-// request.
+// decodeCopy decodes the body, issue time and entity tag of a successful response. A served response with neither
+// issue time nor entity tag is one that caches do not store. It is marked Unversioned, and the router accepts it only
+// for an uncacheable request.
 func decodeCopy(response *router.ResponseReceived, word string, fields responseFields, body []byte) error {
 	hasVersion := fields.issued != "" || fields.entity != ""
 	if !hasVersion && word == wordServed {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// CancelAttempt removes a request from the queue. If any byte of the request has been written, it sends the endpoint
-// an abort command instead.
+// CancelAttempt removes a request from the queue. If the request is no longer queued, because at least a part of it
+// has been written, it queues an abort command for the endpoint instead.
 func (p *Pool) CancelAttempt(effect router.CancelAttempt) {
 	if c := p.find(effect.Connection); c != nil {
 		c.cancelAttempt(effect.ID)
--- a/internal/upstream/queue.go
+++ b/internal/upstream/queue.go
@@ -49,7 +49,7 @@
 	return len(c.queue) < before
 }
 
-// cancelAttempt removes a request from the queue. If the request is not there, it queues an abort of it.
+// cancelAttempt removes a request from the queue. If the request is not queued, it queues an abort command for it.
 func (c *connection) cancelAttempt(id string) {
 	c.mu.Lock()
 	removed := c.removeLocked(id)
@@ -82,7 +82,8 @@
 	}
 }
 
-// unsent returns the IDs of the requests that have not been written completely.
+// unsent returns the IDs of the requests that have not been written completely, including removed ones whose
+// AttemptWithdrawn is not posted yet.
 func (c *connection) unsent() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// flush writes until the queue is empty.
+// flush writes until the queue is empty or a write fails with an error that is not transient.
 func (c *connection) flush(conn net.Conn, raw syscall.RawConn) error {
 	for {
 		var step writeStep
