--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -136,7 +136,7 @@
 	})
 }
 
-// hasBacklog reports whether a connection waits to be accepted. It also returns true if that is unknown.
+// hasBacklog reports whether a connection waits to be accepted. It also returns true if the kernel cannot tell.
 func (s *Server) hasBacklog() bool {
 	waits := false
 	withDescriptor(s.listener, func(fd int) { waits = s.config.SystemCalls.Readable(fd) })
--- a/internal/downstream/arrival.go
+++ b/internal/downstream/arrival.go
@@ -13,7 +13,7 @@
 	// after it had begun.
 	minBlockedRead = int64(time.Millisecond)
 
-	// minEmptyAgeForPeek is the time, in ns, since a connection was last known to have no unread data, after which
+	// minEmptyAgeForPeek is an age in ns. If a connection was last known to have no unread data longer ago than that,
 	// its reader checks for unread data before it reads. The duration of the read alone does not show whether the
 	// read blocked, since on a busy core a read may take long in any case.
 	minEmptyAgeForPeek = int64(5 * time.Millisecond)
--- a/internal/downstream/closing.go
+++ b/internal/downstream/closing.go
@@ -73,7 +73,8 @@
 	return err
 }
 
-// dropRequests drops the requests of a client that has disconnected, and closes its connection.
+// dropRequests closes the connection of a client that has disconnected, and removes the client's requests in flight,
+// so that responses to them are discarded.
 func (c *connection) dropRequests() {
 	c.mu.Lock()
 	clear(c.inFlight)
--- a/internal/downstream/descriptor.go
+++ b/internal/downstream/descriptor.go
@@ -39,7 +39,7 @@
 	return closed
 }
 
-// hasUnread reports whether unread data waits on a connection. It also returns true if that is unknown.
+// hasUnread reports whether unread data waits on a connection. It also returns true if the kernel cannot tell.
 func (s *Server) hasUnread(conn net.Conn) bool {
 	result := poller.NoData
 	withDescriptor(conn, func(fd int) { result = s.config.SystemCalls.Peek(fd) })
--- a/internal/downstream/idle.go
+++ b/internal/downstream/idle.go
@@ -32,7 +32,7 @@
 	return slotKey{id: idle.ID(int32(key >> 32)), generation: uint32(key)}
 }
 
-// slot is the content of a slot of the table: an active connection, a suspended descriptor, or neither.
+// slot is the content of one slot of idleConnections: an active connection, a suspended descriptor, or neither.
 type slot struct {
 	connection         *connection
 	fd                 int32  // of a suspended connection, or noDescriptor
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// A client that has closed its sending side still gets the response to its request, whatever it sent before.
+// A client that has closed its sending side may still be reading. It must not be treated as disconnected before its
+// request is answered, even if an incomplete request or invalid data precedes the end of the stream.
 func TestHalfClosedClientGetsItsResponse(t *testing.T) {
 	request := string(emptyCall(5))
 	for _, test := range []struct{ name, more string }{
@@ -130,7 +131,8 @@
 	},
 }
 
-// The close of a client is posted in time, whatever the state of its connection.
+// If a client's close or cancel were noticed late, for example because nothing more is read from the client, the router
+// could begin attempts for a request whose response nobody waits for.
 func TestPeerCloseIsPostedInTime(t *testing.T) {
 	calls := func(count uint32) string {
 		var all []byte
