--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// decodeEvent decodes the JSON of one watch event. Even if it returns a FieldError, the position of
-// the returned event may be set.
+// decodeEvent decodes the JSON of one watch event. Even if it returns a FieldError, the position of the returned
+// event may be set.
 func decodeEvent(raw []byte) (watchEvent, error) {
 	var wire wireEvent
 	if err := json.Unmarshal(raw, &wire); err != nil {
--- a/internal/discovery/logevents.go
+++ b/internal/discovery/logevents.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// Renumbered reports a new endpoint list whose position is not above that of the last processed event. This means that
-// the service has restarted and numbers its events from the beginning.
+// Renumbered reports a newer endpoint list whose position is not above that of the last processed event. This means
+// that the service has restarted and numbers its events anew.
 type Renumbered struct {
 	Position         int64 `log:"position"`
 	PreviousPosition int64 `log:"previous_position"`
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -131,8 +131,8 @@
 	},
 }
 
-// If a client's close or cancel were noticed late, for example because nothing more is read from the client, the router
-// could begin attempts for a request whose response nobody waits for.
+// If a client's close or cancel were noticed late, for example because nothing more is read from the client, the
+// router could begin attempts for a request whose response nobody waits for.
 func TestPeerCloseIsPostedInTime(t *testing.T) {
 	calls := func(count uint32) string {
 		var all []byte
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -316,8 +316,8 @@
 	}
 }
 
-// A request queued between the end of its connection and the handling of ConnectionDown must be listed as unsent, or it
-// would count as one that may have run.
+// A request queued between the end of its connection and the handling of ConnectionDown must be listed as unsent, or
+// it would count as one that may have run.
 func TestSendAfterConnectionEnded(t *testing.T) {
 	p := newTestPool(t, Config{})
 	p.dialEndpoint("127.0.0.1:1")
