--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -22,8 +22,8 @@
 
 var _ clock.Clock = (*Clock)(nil)
 
-// New returns a clock that stands still until a test changes it. Its monotonic time and its wall clock begin at the Unix
-// time at, in ns.
+// New returns a clock that stands still until a test changes it. Its monotonic time and its wall clock begin at the
+// Unix time at, in ns.
 func New(at int64) *Clock { return &Clock{beginNow: at} }
 
 // Running returns a clock that runs with the system's monotonic clock. Its wall clock is ahead of the system's by
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -45,7 +45,7 @@
 	return c.receive()
 }
 
-// dialResult returns the result of a call that failed to connect.
+// dialResult returns the result of a call that failed to connect: LocalError, Refused or Unreachable.
 func dialResult(err error) startup.CallResult {
 	switch {
 	case neterr.IsLocal(err):
@@ -107,7 +107,8 @@
 	}
 }
 
-// result returns the result of a call whose connection failed with err.
+// result returns the result of a call whose connection failed with err: Silent or Unanswered after a timeout,
+// depending on whether any data had been received, and Disconnected otherwise.
 func (c *call) result(err error) startup.CallResult {
 	timedOut := errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
--- a/internal/downstream/idle/expiry_test.go
+++ b/internal/downstream/idle/expiry_test.go
@@ -41,8 +41,8 @@
 	expect(second+maxRequestTime, justConnected)
 }
 
-// If many connections expire at the same instant, closing all of them at once would take processor time from requests.
-// They are closed at a limited rate.
+// If thirty thousand connections expire at the same instant, closing all of them at once would take processor time
+// from requests. They are closed at a limited rate.
 func TestMassExpiryIsPaced(t *testing.T) {
 	const count = 30000
 	for _, tc := range []struct {
--- a/internal/downstream/idle/pacer.go
+++ b/internal/downstream/idle/pacer.go
@@ -15,8 +15,8 @@
 	burstSeconds    = 0.002 // s; a bucket holds at most the tokens added in this time
 )
 
-// tokenBucket limits a rate. Tokens are added at that rate. The bucket can hold the tokens that are added within
-// burstSeconds, but at least one.
+// tokenBucket limits a rate. Tokens are added at that rate. The bucket holds at most the tokens that are added
+// within burstSeconds, or one token if that is more.
 type tokenBucket struct {
 	rate     float64 // tokens per second
 	tokens   float64
--- a/internal/downstream/idle/state.go
+++ b/internal/downstream/idle/state.go
@@ -1,6 +1,6 @@
 package idle
 
-// State is the state of a connection in the table.
+// State is the state of a connection in the table. It decides whether the connection can expire or be evicted.
 type State uint8
 
 // The states of a connection.
--- a/internal/downstream/idle/table_test.go
+++ b/internal/downstream/idle/table_test.go
@@ -128,7 +128,8 @@
 	}
 }
 
-// compare checks the connection counts of a table, and when its oldest idle connection became idle.
+// compare checks a table's connection counts, and the time at which its oldest idle connection became idle, against
+// the model.
 func (m model) compare(t *testing.T, table *Table) {
 	t.Helper()
 	var counts [numStates]int
--- a/internal/downstream/poller/poller_linux.go
+++ b/internal/downstream/poller/poller_linux.go
@@ -204,7 +204,7 @@
 // when the number is reused.
 func (p *Poller) Remove(fd int) { _ = p.calls.EpollCtl(p.fd, unix.EPOLL_CTL_DEL, fd, nil) }
 
-// CloseDescriptor closes a suspended connection.
+// CloseDescriptor closes a suspended connection, which may be one that could not be resumed.
 func (p *Poller) CloseDescriptor(fd int) {
 	if file := p.takeUnresumed(fd); file != nil {
 		neterr.Close(file)
--- a/internal/downstream/suspend.go
+++ b/internal/downstream/suspend.go
@@ -9,8 +9,7 @@
 	"tealpath/internal/neterr"
 )
 
-// wakeUp is a suspended connection to be resumed, with the earliest time since which unread data may wait on
-// it.
+// wakeUp is a suspended connection to be resumed, with the earliest time at which its unread data can have arrived.
 type wakeUp struct {
 	slot  slotKey
 	since time.Time
--- a/internal/downstream/wake.go
+++ b/internal/downstream/wake.go
@@ -155,7 +155,7 @@
 }
 
 // wait waits until the poller reports connections, whose keys it stores in w.keys. It returns the earliest time
-// since which data may wait on them.
+// at which their unread data can have arrived.
 func (w *waker) wait(ctx context.Context) (since time.Time, err error) {
 	called := time.Now()
 	w.keys, err = w.server.idle.poller.Wait(ctx, w.keys)
--- a/internal/downstream/write.go
+++ b/internal/downstream/write.go
@@ -17,8 +17,8 @@
 	// writeTimeout is how long a client may take to accept a batch of responses.
 	writeTimeout = 10 * time.Second
 
-	// maxBatchBytes is about how many bytes are written under one deadline. It is small enough that a slow
-	// client that keeps reading does not run into the deadline.
+	// maxBatchBytes is the approximate number of bytes that are written under one deadline. It is small enough that
+	// a slow client that keeps reading does not exceed the deadline.
 	maxBatchBytes = 1 << 18
 
 	// maxQueuedPieces is how many pieces of responses, at three pieces per response, may be queued for one
@@ -32,7 +32,7 @@
 	fieldRetryAfter  = "later" // ms
 )
 
-// Numbers of the result field that holds the struct of an unsuccessful response.
+// Numbers of the fields of a Thrift result. An unsuccessful response sets one of these fields.
 const (
 	resultFieldRejected = 1
 	resultFieldFailed   = 2
