--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -15,7 +15,8 @@
 	"tealpath/internal/testkit"
 )
 
-// Connections without a request are evicted for new connections, which may have one.
+// Connections that never send a request must not keep out clients that have one: they are evicted for new
+// connections.
 func TestSilentConnectionsAreEvictedForNewOnes(t *testing.T) {
 	server, events := startServer(t, smallConfig)
 	requesting := dial(t, server)
@@ -79,8 +80,8 @@
 	expectResponse(t, third, "whole")
 }
 
-// A connection that lingers after its last response is closed at once for a new one. The client has read the
-// response.
+// A connection lingers after its last response, which its client has read. It must not keep its slot from a new
+// connection: it is closed at once.
 func TestLingeringConnectionIsEvicted(t *testing.T) {
 	server, _ := startServer(t, configWithIdleTimeout(10, time.Hour))
 	conn := dial(t, server)
--- a/internal/downstream/idle/table.go
+++ b/internal/downstream/idle/table.go
@@ -143,8 +143,8 @@
 	return id
 }
 
-// SetState records the state of a connection. If the connection is in that state already, nothing changes, and
-// it keeps its place in the list.
+// SetState records the state of a connection. It has no effect if the connection is in that state already, so that
+// the connection keeps its place in the list, or if the connection has been removed.
 func (t *Table) SetState(now int64, id ID, state State) {
 	changed := &t.entries[id]
 	if changed.state == state || changed.state == stateUnused {
@@ -186,7 +186,7 @@
 	t.firstUnused = id
 }
 
-// State returns the state of a connection.
+// State returns the state that was last set for a connection in the table.
 func (t *Table) State(id ID) State { return t.entries[id].state }
 
 // StateSince returns when a connection entered its state, in ns.
@@ -195,7 +195,7 @@
 // Generation returns a number that differs between two consecutive connections with the same ID.
 func (t *Table) Generation(id ID) uint32 { return t.entries[id].generation }
 
-// Count returns the number of connections in a state.
+// Count returns the number of connections in a state, over all networks.
 func (t *Table) Count(state State) int { return t.stateCounts[state] }
 
 // Len returns the number of connections in the table.
--- a/internal/downstream/poller/poller_linux.go
+++ b/internal/downstream/poller/poller_linux.go
@@ -27,7 +27,7 @@
 	file *os.File
 	fd   int // descriptor of file
 
-	// handling is true from before a call of Wait collects events until a later call finds none.
+	// handling is set before Wait asks the kernel for events, and cleared once the kernel has returned none.
 	handling atomic.Bool
 
 	// unresumed maps each descriptor that could not be resumed to its file. The descriptor must be closed
@@ -204,7 +204,7 @@
 // when the number is reused.
 func (p *Poller) Remove(fd int) { _ = p.calls.EpollCtl(p.fd, unix.EPOLL_CTL_DEL, fd, nil) }
 
-// CloseDescriptor closes a suspended connection.
+// CloseDescriptor closes a suspended connection, which may be one that could not be resumed.
 func (p *Poller) CloseDescriptor(fd int) {
 	if file := p.takeUnresumed(fd); file != nil {
 		neterr.Close(file)
--- a/internal/downstream/suspend.go
+++ b/internal/downstream/suspend.go
@@ -9,8 +9,7 @@
 	"tealpath/internal/neterr"
 )
 
-// wakeUp is a suspended connection to be resumed, with the earliest time since which unread data may wait on
-// it.
+// wakeUp is a suspended connection to be resumed, with the earliest time at which its unread data can have arrived.
 type wakeUp struct {
 	slot  slotKey
 	since time.Time
@@ -138,7 +137,7 @@
 	return again
 }
 
-// endRetry reports whether connections have been postponed again.
+// endRetry ends the retry that beginRetry began, and reports whether connections have been postponed again.
 func (ic *idleConnections) endRetry() bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -160,7 +159,7 @@
 	return keys
 }
 
-// hasUnread reports whether a suspended connection may have received data that has not been handled yet.
+// hasUnread reports whether any suspended connection may have received data that has not been handled yet.
 func (ic *idleConnections) hasUnread() bool {
 	return ic.poller != nil && (ic.poller.HasEvents() || ic.hasPostponed())
 }
