--- a/control/logevents.go
+++ b/control/logevents.go
@@ -10,7 +10,7 @@
 // of them succeeds.
 type EndpointEjected struct {
 	Endpoint     uint32  `log:"endpoint"`
-	SilenceScore float64 `log:"silence_score"` // by how much its silence score exceeds the mean of its peers
+	SilenceScore float64 `log:"silence_score"` // excess over the mean score of its peers; see evidence.excess
 	Failures     float64 `log:"failures"`      // recent failed attempts, decayed
 	Attempts     float64 `log:"attempts"`      // recent attempts that have ended, decayed
 }
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -50,7 +50,7 @@
 				router.Tick(at)
 			}
 			if sentAt > purgedAt+6*second {
-				return false // caches have already dropped older entries by themselves
+				return false // PurgeDuration is over: caches have dropped entries from before the purge by themselves
 			}
 			request := &Request{Class: class, Object: "a", Group: 1, Deadline: sentAt + offset + 5*second}
 			decision := router.Decide(sentAt+offset, request)
--- a/control/rates.go
+++ b/control/rates.go
@@ -60,7 +60,7 @@
 	countedAt         int64
 	firstSeenAt       int64
 	purgeCount        float64
-	maxAge            int64 // ns; accepted age, valid until maxAgeUntil; 0: not computed yet
+	maxAge            int64 // ns; accepted age of cache entries, valid until maxAgeUntil; 0: not computed yet
 	maxAgeUntil       int64
 	evicted           bool          // in evictedObjects rather than recentObjects
 	unservedAt        int64         // when a request for the object was last rejected or failed
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -160,7 +160,7 @@
 type tokenParams struct {
 	limit  float64 // s; work within the window above which the endpoint is overloaded
 	trials float64 // number of trials in one window: at most one request for each incarnation of a router
-	starts float64 // slow starts per day, assuming that each listed endpoint starts once
+	starts float64 // slow starts per day, assuming that each listed endpoint starts once a day
 }
 
 // rate returns the number of tokens that each router may collect per window for requests of the given work. usual
--- a/internal/cluster/sharedconfig/node_test.go
+++ b/internal/cluster/sharedconfig/node_test.go
@@ -14,7 +14,7 @@
 	if !cluster.allActive("a0") {
 		t.Fatal("the initial content a0 is not active at every instance after 4 s")
 	}
-	cluster.mustPropose(t, cluster.instances[4], "a1") // compatible with a0: no gap allowed
+	cluster.mustPropose(t, cluster.instances[4], "a1") // compatible with a0: some version must always be active
 	for range 100 {
 		cluster.run(10 * ms)
 		for _, instance := range cluster.instances {
--- a/internal/compatibility/settings.go
+++ b/internal/compatibility/settings.go
@@ -59,7 +59,7 @@
 // Encode encodes settings in CBOR (RFC 8949) as the content of a version.
 func Encode(settings Settings) ([]byte, error) { return cbor.Marshal(settings) }
 
-// Decode decodes the content of a version.
+// Decode decodes settings that Encode has encoded as the content of a version.
 func Decode(content []byte) (Settings, error) {
 	var settings Settings
 	if err := cbor.Unmarshal(content, &settings); err != nil {
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Names of locations, kinds and classes are not translated, even if a name is the same as a word in words.
+// Names of locations, kinds and classes are not translated, even if the map words has a translation for the same text.
 func TestNamesAreNotTranslated(t *testing.T) {
 	for word := range words {
 		t.Run(word, func(t *testing.T) {
--- a/internal/downstream/arrival_test.go
+++ b/internal/downstream/arrival_test.go
@@ -13,7 +13,10 @@
 // sent it. The kernel's times have steps of a few ms, and the test shares its core with other processes.
 const (
 	early = 30 * time.Millisecond
-	late  = 100 * time.Millisecond // less than the margin of 150 ms in the deadline that is passed on
+
+	// late is below 150 ms, the difference that the platform tolerates between the deadline that the router passes on
+	// and the time that the client really has left.
+	late = 100 * time.Millisecond
 )
 
 // recordArrivals runs a server on a listener. It returns the server and a channel with the requests that the
--- a/internal/downstream/suspend.go
+++ b/internal/downstream/suspend.go
@@ -98,7 +98,7 @@
 	return taken, abandoned, true
 }
 
-// putBack returns a connection that could not be resumed to its slot and postpones it for a retry.
+// putBack puts a connection back into its slot after its resumption has failed, and postpones the next try.
 func (ic *idleConnections) putBack(w wakeUp, taken slot) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
--- a/internal/experiment/coldstartsim/result.go
+++ b/internal/experiment/coldstartsim/result.go
@@ -23,7 +23,7 @@
 	TimeToEndpointsP99 float64  `json:"time_to_listed_p99_ms"` // -1 means never
 	TimeToWarmP99      float64  `json:"time_to_whole_p99_ms"`  // -1 means never
 	Requests           int      `json:"sent"`
-	ServedFirst10s     float64  `json:"settled_share_first_10s"` // share of the requests begun in the first 10 s
+	ServedFirst10s     float64  `json:"settled_share_first_10s"` // servedShare of the first firstSeconds seconds
 	Served             float64  `json:"settled_share"`           // share of all requests
 	RecoveryTime       float64  `json:"usual_service_again_s"`   // s after the end of the fault; -1 means never
 	Lost               int      `json:"lost"`                    // requests that a running router never answered
@@ -149,7 +149,7 @@
 	return -1
 }
 
-// servedShare returns the share of the requests begun in some seconds that were served.
+// servedShare returns the share of requests that were served, among all that began in the given seconds.
 func servedShare(seconds []Second) float64 {
 	wanted, served := 0, 0
 	for _, second := range seconds {
--- a/internal/experiment/idleconnections/experiment.go
+++ b/internal/experiment/idleconnections/experiment.go
@@ -32,7 +32,7 @@
 	minP99MS = 0.001 // lower limit of the 99th percentile that ratios are divided by; it avoids a division by 0
 )
 
-// Version identifies the build of the router that a row belongs to.
+// Version identifies the build of the router with which a Row was measured.
 type Version string
 
 // Builds that are compared.
--- a/internal/experiment/sharedconfigsim/result.go
+++ b/internal/experiment/sharedconfigsim/result.go
@@ -34,8 +34,8 @@
 	return r.Contradictions == 0 && r.MaxOverlapMS <= r.OverlapBoundMS && r.PeakSlowStartShare <= 1+shareTolerance
 }
 
-// inForceTimeout is the time, in ns, after which a change no longer counts as coming into force: a newer change has
-// replaced it, or some instances have not received it.
+// inForceTimeout is the time, in ns, within which a change must be used by all running instances to be measured. A
+// change that takes longer was replaced by a newer one or has not reached some instances.
 const inForceTimeout = 60 * second
 
 // measurements collects the changes of a run, how long they take, and the contradictions between versions in use.
--- a/internal/server/probetargets.go
+++ b/internal/server/probetargets.go
@@ -47,7 +47,8 @@
 	return entry.Phase == control.PhaseReady && !isOfKind(entry, b.originKind)
 }
 
-// isOfKind reports whether an endpoint has the given kind. A kind that is not known, "" or nil, matches no other.
+// isOfKind reports whether an endpoint has the given kind. It returns false if the kind of the endpoint ("") or the
+// given kind (nil) is not known.
 func isOfKind(entry router.EndpointEntry, kind *string) bool {
 	return kind != nil && entry.Kind != "" && entry.Kind == *kind
 }
--- a/internal/simulator/commands.go
+++ b/internal/simulator/commands.go
@@ -15,8 +15,8 @@
 	commandLog       = "PRINT"
 	commandProbe     = "INSPECT"
 	commandReject    = "SAY_NO"
-	commandSend      = "TRANSMIT" // an attempt at a cache that serves only a cached object
-	commandSendFill  = "PULL_VIA" // an attempt at a cache that fills a miss from a source
+	commandSend      = "TRANSMIT" // start an attempt; on a miss the cache does not fill the object
+	commandSendFill  = "PULL_VIA" // start an attempt; on a miss the cache fills the object from a source
 	commandSetTimer  = "WAKE_ME"
 	commandSubscribe = "SUBSCRIBE"
 )
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -128,7 +128,8 @@
 // A temporary file that can't be removed at first is removed by a later start or a later write.
 func TestTemporaryFileIsRemovedLater(t *testing.T) {
 	disk := diskWithSnapshot(t)
-	// Each write removes an old temporary file first, and its own if it fails.
+	// Write calls Remove before it writes, for an old temporary file, and after a failure, for its own. Calls 2 and 3
+	// are the second call of the first Write and the first call of the second Write.
 	store := NewStoreWithFileSystem(&failingRemoves{simulatedDisk: disk, failing: []int{2, 3}}, path)
 	disk.fail["write"] = syscall.ENOSPC
 	if err := store.Write(numbered(2)); !errors.Is(err, syscall.ENOSPC) || !errors.Is(err, syscall.EBUSY) {
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// Close closes something and ignores the error, because the peer may have closed or reset the connection already.
+// Close closes a connection, listener or file and ignores the error, because the peer may have closed or reset the
+// connection already.
 func Close(closer io.Closer) { _ = closer.Close() }
 
 // Write writes to a connection and ignores the error, because the peer may have closed the connection already.
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -9,8 +9,9 @@
 // fieldLoadReport is the response field with the load report: name:value pairs separated by semicolons.
 const fieldLoadReport = "use"
 
-// loadReportAliases maps the names that settings use for load report fields to the names that endpoints may send
-// instead: first the name of the wire protocol, then the name in site files.
+// loadReportAliases maps the names of load report fields in the settings to the names that a report may have instead.
+// The first is the name in the wire protocol. The second, if any, is the name in site files. These files describe
+// deployments, which may use names of their own.
 var loadReportAliases = map[string][]string{
 	"inHand":       {"outstanding", "inflight"},
 	"busy":         {"utilization", "util"},
--- a/internal/upstream/localerrors_test.go
+++ b/internal/upstream/localerrors_test.go
@@ -162,8 +162,8 @@
 	const (
 		limit = 2500 * time.Millisecond // time limit of a request
 
-		// Requests sent earlier than margin before the end of the outage may fail: half of their time may have passed
-		// before the last backoff delay of the outage begins.
+		// Requests sent within margin before the end of the outage, or later, must be served. Earlier ones may fail:
+		// half of their time limit may have passed before the last backoff delay is over.
 		margin = 800 * time.Millisecond
 	)
 	outages := [][]error{localDialErrors}
