--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -58,7 +58,7 @@
 		status.Frames, status.FramesLost, status.Probes)
 }
 
-// printLeaseMembers prints a table row for each member.
+// printLeaseMembers prints a table with the column names and a row for each member of the cluster.
 func printLeaseMembers(out table, status cluster.Status) {
 	out.printf("\nMEMBER\tSTATE\tSINCE\tADDRESS\tWEIGHT\tEPOCH\n")
 	for _, member := range status.Members {
@@ -71,7 +71,7 @@
 	}
 }
 
-// printSlots prints a table row for each slot, with the holder of its lease.
+// printSlots prints a table with the column names and a row for each slot, which names the holder of the slot's lease.
 func printSlots(out table, status cluster.Status) {
 	out.printf("\nSLOT\tOWNER\tNUMBER\tSINCE\tPLANNED\tWHY NOBODY\n")
 	for _, slot := range status.Slots {
--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -67,7 +67,7 @@
 	const localServers, allServers = 100, 10_000
 	f := newGrowthFleet(t, localServers, 900)
 	instances := []string{f.instances(0, localServers, 0, "active")}
-	for n := localServers; n < allServers; n++ { // in another zone; nothing listens there
+	for n := localServers; n < allServers; n++ { // servers in another zone, at addresses where nothing listens
 		address := fmt.Sprintf("127.99.%d.%d:1", n>>8, n&255)
 		instances = append(instances, growthInstance(n, 0, address, "there", "active"))
 	}
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -43,7 +43,7 @@
 	descriptors float64 // maximum number of open descriptors
 	connections float64 // number of connections opened to cache servers
 	listKB      float64 // data received from the discovery service, KB
-	served      float64 // share of the requests that were served
+	served      float64 // share of the requests that were served, 0 to 1
 }
 
 // growthFleet is one router in a separate process, with emulated cache servers and an emulated discovery service.
@@ -52,7 +52,7 @@
 	servers     []net.Listener
 	routers     int // number of routers according to the settings; only one runs
 	discovery   *discoveryserver.Service
-	address     string // of the router
+	address     string // HOST:PORT of the router
 	router      *testkit.RouterProcess
 	connections atomic.Int64 // connections that cache servers have accepted
 	listening   atomic.Bool  // the router has accepted a connection
--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -14,7 +14,7 @@
 // version is the version of the release. The build may set it.
 var version = "0.1.0"
 
-// Exit codes.
+// Exit codes of the program.
 const (
 	exitFailed = 1 // any failure that is not exitUsage
 	exitUsage  = 2 // the command line, the configuration or the operator's file is invalid
--- a/cmd/tealpath/operator.go
+++ b/cmd/tealpath/operator.go
@@ -15,7 +15,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Names of flags.
+// Names of flags, without the leading dashes.
 const (
 	operatorFlagName = "operator"
 	socketFlagName   = "socket"
--- a/cmd/tealpath/shutdownbusy_test.go
+++ b/cmd/tealpath/shutdownbusy_test.go
@@ -16,7 +16,7 @@
 // docs/endings.md lists the requirements.
 
 const (
-	// killDelay is the time from the longest deadline, counted from SIGTERM, to the platform's SIGKILL.
+	// killDelay is how much longer than the longest deadline the platform waits between SIGTERM and SIGKILL.
 	killDelay = 700 * time.Millisecond
 	// maxLateness is how late a response may be on a machine with other load.
 	maxLateness = 250 * time.Millisecond
--- a/deploy/red_test.go
+++ b/deploy/red_test.go
@@ -18,9 +18,9 @@
 	const known1, known2 = "./a:TestOld\tcounts twice\tissue 7", "./b:TestOther\tcomes late\tissue 8"
 	for _, c := range []struct {
 		name, file string
-		body       string // of TestOther
-		fails      bool   // .ci/red fails
-		want       string // part of its output
+		body       string // body of the function TestOther
+		fails      bool   // whether .ci/red must fail
+		want       string // part of the output of .ci/red
 	}{
 		{
 			"both failures are known", known1 + "\n" + known2, "t.Fail()", false,
--- a/internal/adminsocket/accept_test.go
+++ b/internal/adminsocket/accept_test.go
@@ -15,7 +15,7 @@
 type failingListener struct {
 	net.Listener
 	err  error
-	left atomic.Int64 // number of calls that will still fail
+	left atomic.Int64 // number of further calls of Accept that fail
 }
 
 func (f *failingListener) Accept() (net.Conn, error) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,7 +24,7 @@
 	Name             string
 	Listen           string          // HOST:PORT on which clients connect
 	DiscoveryAddress string          // HOST:PORT of the discovery service
-	Seed             uint64          // of the random numbers
+	Seed             uint64          // seed of the router's random numbers
 	Cores            float64         // number of CPU cores that the router may use; 0: unknown
 	MemoryMB         int64           // memory that the router may use, MiB; 0: unknown
 	MaxSockets       int64           // number of descriptors that may be open at once; 0: unknown
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Errors without further details, for errors.Is.
+// Errors that callers compare with errors.Is, as they carry no details.
 var (
 	ErrNoFile         = errors.New("LB_CONFIG is not set: it must be the path of the configuration file")
 	ErrNegativeLimits = errors.New("limits must not be negative")
@@ -14,7 +14,7 @@
 
 // MissingError reports that a required field is missing.
 type MissingError struct {
-	Field string // key in the file
+	Field string // key of the missing field in the file
 }
 
 func (e *MissingError) Error() string { return e.Field + " is missing" }
@@ -30,7 +30,7 @@
 
 // LineError is an error of the JSON decoder with the line at which it occurred.
 type LineError struct {
-	Line int // from 1
+	Line int // line of the file, counted from 1
 	Err  error
 }
 
@@ -42,7 +42,7 @@
 // OtherRouterError reports a configuration file that can't be reloaded because it is another router's.
 type OtherRouterError struct {
 	Path   string
-	Router string // name in the file
+	Router string // name of the router in the file
 	Own    string // name of the running router
 }
 
@@ -52,19 +52,19 @@
 
 // SettingError reports a setting that can't be used.
 type SettingError struct {
-	Key string // in the file, such as limits.cancel
+	Key string // key of the setting in the file, such as limits.cancel
 	Err error  // wraps a *ValueError or ErrNotAnObject
 }
 
 func (e *SettingError) Error() string { return fmt.Sprintf("settings: %s: %v", e.Key, e.Err) }
 
-// Unwrap returns the reason.
+// Unwrap returns Err, which says why the setting can't be used.
 func (e *SettingError) Unwrap() error { return e.Err }
 
 // ValueError reports a value of the wrong type.
 type ValueError struct {
-	Value any // as encoding/json decodes it
-	Want  any // a value of the right type
+	Value any // the value in the file, as encoding/json decodes it
+	Want  any // an example of a value of the right type
 }
 
 func (e *ValueError) Error() string {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -15,12 +15,12 @@
 
 // The types of values, with the Go types to which they are decoded.
 const (
-	seconds        valueType = iota // a number, decoded as int64 nanoseconds
-	number                          // float64
+	seconds        valueType = iota // a number of seconds, decoded as int64 nanoseconds
+	number                          // a number, decoded as float64
 	integer                         // a number, decoded as int64
-	flag                            // bool
-	text                            // string
-	translatedWord                  // string, translated according to words
+	flag                            // true or false, decoded as bool
+	text                            // a string, decoded without a change
+	translatedWord                  // a string, translated by the map words
 )
 
 // nanosecondsPerSecond converts durations from the file's unit to that of package control.
--- a/internal/lifecycle/restore/confirmation.go
+++ b/internal/lifecycle/restore/confirmation.go
@@ -7,7 +7,7 @@
 
 // Outcomes of an event or comment.
 const (
-	Pending   Outcome = iota // it shows nothing, or an earlier event or comment has decided
+	Pending   Outcome = iota // the event or comment shows nothing, or an earlier one has decided
 	Confirmed                // the list is still in force
 	Outdated                 // the list may be out of date and has to be requested from the service
 )
@@ -29,9 +29,9 @@
 //
 // A nil ListConfirmation is for a router without such a list: its outcomes are all Pending.
 type ListConfirmation struct {
-	Position int64  // of the last watch event that the router knows
-	Digest   uint64 // of that event's text
-	decided  bool   // an event or comment was observed
+	Position int64  // position of the last watch event that the router knows
+	Digest   uint64 // hash of the text of the event at Position
+	decided  bool   // whether an event or comment has been observed before
 }
 
 // ResumeAfter returns the position after which the router asks the service to resume the watch.
