--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -145,7 +145,7 @@
 // accepts.
 type sharedCopy struct {
 	mu     sync.Mutex
-	issued time.Time // guarded by mu
+	issued time.Time // guarded by mu; when the copy was issued
 }
 
 // issuedFor returns the time at which the copy in the response to a request was issued.
--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -197,7 +197,7 @@
 func fillConnections(t *testing.T, router *testRouter, timeout time.Duration) {
 	t.Helper()
 	const clients, requests, bodySize = 2, 20, 200_000
-	const interval = 5 * time.Millisecond // in which the router opens connections
+	const interval = 5 * time.Millisecond // between two requests, so that the router can open connections
 	body := strings.Repeat("x", bodySize)
 	for range clients {
 		client := testkit.Dial(t, router.address)
--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -82,7 +82,7 @@
 	return printJSON(out)
 }
 
-// printDiff prints the conflicts, and the migration's steps if it has more than one.
+// printDiff prints the conflicts between the two files, and the steps of the migration if there is more than one.
 func printDiff(conflicts []compatibility.Conflict, steps []compatibility.Settings) {
 	for _, conflict := range conflicts {
 		fmt.Println(conflict)
--- a/cmd/tealpath/duties.go
+++ b/cmd/tealpath/duties.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// printSlots prints a table with the column names and a row for each slot, which names the holder of the slot's lease.
+// printSlots prints a table with the column names and a row for each slot, with the holder of its lease.
 func printSlots(out table, status cluster.Status) {
 	out.printf("\nSLOT\tOWNER\tNUMBER\tSINCE\tPLANNED\tWHY NOBODY\n")
 	for _, slot := range status.Slots {
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -23,7 +23,7 @@
 // trafficProfile is the traffic that a growth test sends to one router. It does not depend on the size of the fleet.
 type trafficProfile struct {
 	name     string
-	known    bool // the configuration contains the endpoint list
+	known    bool // whether the configuration contains the endpoint list
 	requests int
 	interval time.Duration // time between two requests
 	objects  int
--- a/cmd/tealpath/main.go
+++ b/cmd/tealpath/main.go
@@ -11,7 +11,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// version is the version of the release. The build may set it.
+// version is the version of the program. The build may replace it.
 var version = "0.1.0"
 
 // Exit codes of the program.
--- a/cmd/tealpath/shutdownbusy_test.go
+++ b/cmd/tealpath/shutdownbusy_test.go
@@ -18,7 +18,7 @@
 const (
 	// killDelay is how much longer than the longest deadline the platform waits between SIGTERM and SIGKILL.
 	killDelay = 700 * time.Millisecond
-	// maxLateness is how late a response may be on a machine with other load.
+	// maxLateness is the longest delay of a response that may be due to other load on the machine.
 	maxLateness = 250 * time.Millisecond
 	// lowOnTime replaces formerOnTime in the configuration: the latency objective must be shorter than the deadline.
 	formerOnTime, lowOnTime = `"onTimeS":0.4`, `"onTimeS":0.2`
@@ -111,7 +111,7 @@
 	t *testing.T, caches []*testkit.Cache, exchanges []exchange, endedAt time.Time, stalled time.Duration,
 ) {
 	t.Helper()
-	const maxCrossing = 50 * time.Millisecond // between sending a request and the end of the connection
+	const maxCrossing = 50 * time.Millisecond // from sending a request without a response to the end of its connection
 	for _, e := range exchanges {
 		if e.answered {
 			continue
--- a/deploy/imports_test.go
+++ b/deploy/imports_test.go
@@ -149,7 +149,7 @@
 // impureSelectors returns the names that a file uses of packages in pureSelectors although pureSelectors does not list
 // them.
 func impureSelectors(file *ast.File) (found []string) {
-	allowedNames := map[string][]string{} // the names allowed of each package, by the package's name in the file
+	allowedNames := map[string][]string{} // allowed names of each package, by its name in the file
 	for _, spec := range file.Imports {
 		path := strings.Trim(spec.Path.Value, `"`)
 		if allowed, ok := pureSelectors[path]; ok {
--- a/internal/adminsocket/protocol.go
+++ b/internal/adminsocket/protocol.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxCommandSize = 4 << 10  // bytes of a command, including its newline
-	maxReplySize   = 16 << 20 // bytes of a reply
-	maxClients     = 8        // clients served at a time; the others wait
+	maxCommandSize = 4 << 10  // size of a command, including its newline, bytes
+	maxReplySize   = 16 << 20 // size of a reply, bytes
+	maxClients     = 8        // number of clients served at a time; the others wait
 
 	// commandTimeout limits the duration of each command, on both sides of the socket.
 	commandTimeout = 5 * time.Second
--- a/internal/adminsocket/server.go
+++ b/internal/adminsocket/server.go
@@ -105,7 +105,8 @@
 	ignore(json.NewEncoder(conn).Encode(response))
 }
 
-// run runs a command. words are the command's name and its arguments.
+// run calls the handler of a command and returns its reply. words are the command's name and its arguments. An unknown
+// command is replied to with an error.
 func run(ctx context.Context, words []string, handlers map[string]Handler) reply {
 	handler := handlers[words[0]]
 	if handler == nil {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -23,7 +23,7 @@
 	translatedWord                  // a string, translated by the map words
 )
 
-// nanosecondsPerSecond converts durations from the file's unit to that of package control.
+// nanosecondsPerSecond converts durations in seconds, as in the file, to ns, as package control has them.
 const nanosecondsPerSecond = 1e9
 
 // ParseSettings decodes the settings of a configuration file and returns them under the keys of
@@ -131,7 +131,7 @@
 	return decodeElements[string](t, values)
 }
 
-// decodeElements decodes a list of values whose Go type is T.
+// decodeElements decodes each value of a list and returns them as a []T, where T is the Go type of valueType t.
 func decodeElements[T any](t valueType, values []any) (any, error) {
 	decoded := make([]T, len(values))
 	for i, value := range values {
--- a/internal/lifecycle/restore/limit.go
+++ b/internal/lifecycle/restore/limit.go
@@ -7,11 +7,11 @@
 
 // Reasons, each about the snapshot that was read.
 const (
-	OtherVersion  Reason = iota // its format has another version
-	OtherRouter                 // another router wrote it
-	OtherSettings               // it was taken under other settings
-	InFuture                    // by the wall clock it was taken later than now
-	TooOld                      // its age is over maxRateAge or maxAge
+	OtherVersion  Reason = iota // the format of the snapshot has another version than FormatVersion
+	OtherRouter                 // another router wrote the snapshot
+	OtherSettings               // the snapshot was taken under other settings
+	InFuture                    // by the wall clock the snapshot was taken over maxClockStep from now
+	TooOld                      // the age of the snapshot is over maxRateAge or maxAge
 )
 
 var reasonNames = [...]string{
@@ -35,7 +35,7 @@
 	Reason Reason
 	Own    Header // header that the router itself would write
 	Stored Header // header of the snapshot
-	Age    int64  // of the snapshot, ns; negative if it was taken in the future
+	Age    int64  // age of the snapshot, ns; negative if it was taken in the future
 }
 
 func (e *LimitError) Error() string {
--- a/internal/lifecycle/restore/restore.go
+++ b/internal/lifecycle/restore/restore.go
@@ -18,7 +18,8 @@
 	// but not for a longer outage.
 	maxRateAge = 60 * second
 
-	// maxAge is the age up to which all else is used: sending times, and which objects were requested and purged.
+	// maxAge is the age up to which all other parts of a snapshot are used: sending times, and which objects were
+	// requested and purged.
 	maxAge = 3600 * second
 
 	// maxClockStep is how far in the future the time of a snapshot may be, since the machine's clock may have been
@@ -26,12 +27,12 @@
 	maxClockStep = 5 * second
 )
 
-// Header identifies a snapshot: the router that wrote it, its settings, and the time.
+// Header identifies a snapshot: the router that wrote it, that router's settings, and when it was taken.
 type Header struct {
-	Version        int    // of the format
+	Version        int    // version of the snapshot's format
 	Router         string // name of the router that wrote it
 	SettingsDigest uint64 `cbor:"Deployment"` // digest of that router's settings
-	TakenAt        int64  `cbor:"Taken"`      // when the snapshot was taken
+	TakenAt        int64  `cbor:"Taken"`      // when the snapshot was taken, Unix ns
 }
 
 // Scope is how much of a snapshot may be used. It does not apply to the endpoint list, which is used only once the
@@ -42,7 +43,7 @@
 const (
 	None         Scope = iota // nothing may be used
 	WithoutRates              // all but the request rates
-	All                       // everything
+	All                       // all parts of the snapshot
 )
 
 // scopeNames are the names of scopes in log lines, which docs/oncall.md explains.
--- a/internal/lifecycle/restore/restore_test.go
+++ b/internal/lifecycle/restore/restore_test.go
@@ -17,7 +17,7 @@
 		stored Header
 		want   Scope
 		reason Reason
-		text   string // of the error; empty: all of the snapshot may be used
+		text   string // text of the error; empty: all of the snapshot may be used
 	}{
 		{"a moment ago", header(FormatVersion, "n1", 7, now-second), All, 0, ""},
 		{"a minute ago", header(FormatVersion, "n1", 7, now-maxRateAge), All, 0, ""},
@@ -109,7 +109,7 @@
 	}
 }
 
-// The names of scopes appear in log lines that docs/oncall.md explains.
+// docs/oncall.md explains log lines by the names of scopes, so a changed name would leave operators without help.
 func TestNames(t *testing.T) {
 	got := fmt.Sprint(None, WithoutRates, All, Scope(9), Pending, Confirmed, Outdated, Outcome(9),
 		OtherVersion, OtherRouter, OtherSettings, InFuture, TooOld, &LimitError{Reason: 9})
--- a/internal/lifecycle/shutdown/shutdown.go
+++ b/internal/lifecycle/shutdown/shutdown.go
@@ -56,7 +56,7 @@
 // State is the work that remains for a router during its shutdown.
 type State struct {
 	InFlight        int  // requests without a final answer
-	QueuedEvents    int  // events that are not handled yet
+	QueuedEvents    int  // events that the router has received and not handled yet
 	Flushed         bool // every response has been written, and all received data has been read
 	OpenConnections int  // connections that have not ended, plus 1 while the listener is open
 }
--- a/internal/lifecycle/shutdown/shutdown_test.go
+++ b/internal/lifecycle/shutdown/shutdown_test.go
@@ -13,7 +13,7 @@
 	for _, test := range []struct {
 		name        string
 		maxDeadline time.Duration // longest deadline of a client
-		at          int64         // ms after the start
+		at          int64         // time since the start of the shutdown, ms
 		state       State
 		want        Step
 	}{
--- a/internal/lifecycle/startup/listfilter.go
+++ b/internal/lifecycle/startup/listfilter.go
@@ -5,14 +5,14 @@
 // ListSummary summarizes a watch event with an endpoint list: a complete list, or changes of it.
 type ListSummary struct {
 	Position       int64  // number of the watch event
-	Generation     int64  // of the list, counted by the service; 0: unknown
+	Generation     int64  // generation of the list, counted by the service; 0: unknown
 	Complete       bool   // the event lists all endpoints; otherwise only those that changed
 	Endpoints      int    // number of endpoints in the event
-	ReadyEndpoints int    // number of those that are ready
-	Digest         uint64 // of the list's content
+	ReadyEndpoints int    // number of endpoints in the event that are ready
+	Digest         uint64 // hash of all fields of the endpoints
 }
 
-// sameContent reports whether two lists have the same content.
+// sameContent reports whether two lists have the same digest and the same number of endpoints.
 func (l ListSummary) sameContent(other ListSummary) bool {
 	return l.Digest == other.Digest && l.Endpoints == other.Endpoints
 }
@@ -42,7 +42,7 @@
 	minRemainingShare  = 0.5
 	minShrinkEndpoints = 4
 
-	// confirmationWindow is the time within which an unconfirmed list can be confirmed.
+	// confirmationWindow is how long after an unconfirmed list was received a list with the same content confirms it.
 	confirmationWindow = 5 * second
 
 	// firstPosition is the number of the first event after a start of the service.
@@ -53,9 +53,9 @@
 // send a complete list with no or few endpoints; a router that accepted it would have no endpoint for its requests.
 // The zero value has no list yet.
 type ListFilter struct {
-	endpoints  int   // in the list in force
-	position   int64 // of the last event that was processed
-	generation int64 // highest of all accepted lists
+	endpoints  int   // number of endpoints in the list in force; 0: there is none
+	position   int64 // position of the last event that was processed
+	generation int64 // highest generation of all accepted lists
 
 	unconfirmed   ListSummary
 	unconfirmedAt int64 // when that list was received; 0: no list is unconfirmed
@@ -102,7 +102,7 @@
 	f.generation = max(f.generation, next.Generation)
 }
 
-// Advance records the position of an event without a list.
+// Advance records the position of an event without a list. The positions of later lists are compared with it.
 func (f *ListFilter) Advance(position int64) { f.position = max(f.position, position) }
 
 // isFromRestartedService reports whether a list is the first event of a service that has started again and numbers
--- a/internal/lifecycle/startup/listfilter_test.go
+++ b/internal/lifecycle/startup/listfilter_test.go
@@ -24,7 +24,7 @@
 	for _, test := range []struct {
 		name  string
 		lists []ListSummary
-		at    []int64 // time of each list, ns; nil: 1 ns apart
+		at    []int64 // when each list is received, ns; nil: 1 ns apart
 		want  string
 	}{
 		{"a first list without endpoints", []ListSummary{list(1, 1, 0, 0)}, nil, "[accept]"},
--- a/internal/lifecycle/startup/progress.go
+++ b/internal/lifecycle/startup/progress.go
@@ -43,7 +43,7 @@
 	return &Progress{startedAt: now, rateWindow: rateWindow, maxHold: hold.MaxDuration}
 }
 
-// ListReceived records that an endpoint list is in force.
+// ListReceived records that an endpoint list is in force. Without one the router is not ready.
 func (p *Progress) ListReceived() { p.hasList = true }
 
 // ServiceReached records the time of the discovery service's first answer. Later calls have no effect.
@@ -53,7 +53,7 @@
 	}
 }
 
-// Update returns the phase at a time, and whether it differs from the phase that the previous call returned. A phase is
+// Update returns the phase at time now, and whether it differs from the phase that the last call returned. A phase is
 // never followed by an earlier one, because a router keeps its list and its request rates while the service is down.
 func (p *Progress) Update(now int64) (phase Phase, changed bool) {
 	next := p.phaseAt(now)
--- a/internal/lifecycle/startup/progress_test.go
+++ b/internal/lifecycle/startup/progress_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// The names of phases and results appear in log lines that docs/oncall.md explains.
+// docs/oncall.md explains log lines by the names of phases and results, so a changed name would leave operators
+// without help.
 func TestNames(t *testing.T) {
 	got := fmt.Sprint(NoList, ListKnown, WarmingUp, Warm, Phase(9), Accept, Unconfirmed, Stale, Verdict(9),
 		Refused, Unreachable, Unanswered, Disconnected, Silent, Truncated, LocalError, CallResult(9))
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -21,7 +21,7 @@
 	retryRate = 110. // while the service refuses calls or does not answer
 
 	reconnectRate          = 300.                        // after a disconnect
-	maxReconnectSpread     = deadlineAfterDisconnect / 2 // the other half is for one retry
+	maxReconnectSpread     = deadlineAfterDisconnect / 2 // the other half of that time is for one retry
 	maxAddressChangeSpread = second
 
 	// maxFirstSpread is for the first calls of routers that have a list from their configuration and serve with
@@ -126,8 +126,8 @@
 	return s.draw(s.spread(retryRate, maxFirstSpread))
 }
 
-// AddressChanged returns the delay, ns, of the first call to the new address of the service. The address changed at
-// now, from which time the notification deadline counts.
+// AddressChanged returns the delay, ns, of the first call to the new address of the service. now is the time of the
+// change, from which the notification deadline counts.
 func (s *CallSchedule) AddressChanged(now int64) int64 {
 	s.answerDeadline, s.retryAdvanced = now+deadlineAfterAddressChange, false
 	s.firstByteTimeout, s.hasData = initialFirstByteTimeout, false
@@ -137,10 +137,11 @@
 // ListReceived records that the router has an endpoint list, so that notification deadlines apply to its calls.
 func (s *CallSchedule) ListReceived() { s.hasList = true }
 
-// CallStarted records the time of a call.
+// CallStarted records when a call is made. CallEnded treats a truncated answer by the age of its call.
 func (s *CallSchedule) CallStarted(now int64) { s.calledAt = now }
 
-// DataReceived records that a complete event or comment was received.
+// DataReceived records that a complete event or comment was received. It resets the backoff and the timeout of the
+// first byte.
 func (s *CallSchedule) DataReceived() {
 	s.hasData, s.firstByteTimeout, s.lastDelay = true, initialFirstByteTimeout, 0
 }
@@ -216,8 +217,8 @@
 	return s.draw(s.spread(reconnectRate, maxReconnectSpread))
 }
 
-// delayWithoutList returns a delay that depends on the number of routers in the settings. If that number is too low,
-// the delays of the backoff still grow.
+// delayWithoutList returns the delay of a retry by a router without a list. The first delays depend on the number of
+// routers in the settings. If that number is too low, the delays still grow, because they back off.
 func (s *CallSchedule) delayWithoutList() int64 {
 	minDelay := max(s.spread(noListRate, maxNoListSpread), minRetryDelay) / 2
 	return s.backoff(minDelay, 3*minDelay, maxNoListSpread*3/2)
--- a/internal/lifecycle/startup/schedule_test.go
+++ b/internal/lifecycle/startup/schedule_test.go
@@ -55,7 +55,7 @@
 	const until = 30 * second
 	for _, test := range []struct {
 		routers, configured int
-		bound               int // calls per second: the rate, with a margin for random peaks
+		bound               int // maximum calls in one second: the target rate and a margin for random peaks
 	}{
 		{1, 1, 6},
 		{3, 3, 15},
@@ -170,7 +170,7 @@
 // queuedCall is a call that is not answered yet.
 type queuedCall struct {
 	router    int
-	givesUpAt int64 // 0: the router has given up
+	givesUpAt int64 // when the router gives up the call, ns; 0: it has given up
 }
 
 // step makes the calls that are due now, and gives up those whose timeout has passed.
@@ -189,7 +189,7 @@
 	}
 }
 
-// answerFirst answers the first call in the queue.
+// answerFirst removes the first call from the queue. Its router gets an answer unless it has given up the call.
 func (s *slowService) answerFirst() {
 	if len(s.queue) == 0 {
 		return
--- a/internal/logevent/logevent.go
+++ b/internal/logevent/logevent.go
@@ -32,9 +32,9 @@
 
 // Kind has the properties that all events of one type have in common.
 type Kind struct {
-	Name    string // for scripts, so it does not change; in snake_case
+	Name    string // name by which scripts find the event, so it never changes; in snake_case
 	Level   Level
-	Message string // for people; a fixed text without values
+	Message string // fixed text for people, without values
 }
 
 // Event is one line of the log: a struct whose exported fields with a tag `log:"name"` are the line's fields. With
--- a/internal/operatorconfig/cluster.go
+++ b/internal/operatorconfig/cluster.go
@@ -22,8 +22,8 @@
 	Instances       []membership.Contact // all instances, including this one
 	Voters          lease.Voters
 	Slots           int     // number of slots; each has a lease, and tasks are hashed to slots
-	LeaseDuration   int64   // ns
-	RenewalInterval int64   // ns
+	LeaseDuration   int64   // duration of a lease, ns
+	RenewalInterval int64   // time between two renewals of a lease, ns
 	MaxClockDrift   float64 // maximum relative error of a clock's rate
 	Membership      cluster.MembershipConfig
 	TLS             peer.KeyFiles
@@ -82,7 +82,7 @@
 	positions clusterPositions
 	instances []instance
 	listen    netip.AddrPort
-	allowed   netipx.IPSetBuilder // from (allow …)
+	allowed   netipx.IPSetBuilder // addresses in (allow …)
 	slots     int64
 	epoch     int64
 }
--- a/internal/operatorconfig/cluster_check.go
+++ b/internal/operatorconfig/cluster_check.go
@@ -101,7 +101,8 @@
 	}
 }
 
-// checkVoters checks the current set of voters and, during a change, the previous one.
+// checkVoters checks that the current set of voters is valid and, during a change, the previous one. It also checks
+// that only the first epoch has no previous set.
 func (d *decoder) checkVoters(lists *clusterLists) {
 	position := lists.positions.voters
 	if position == (sexpr.Position{}) {
--- a/internal/operatorconfig/decoder.go
+++ b/internal/operatorconfig/decoder.go
@@ -18,7 +18,7 @@
 	repeated bool // the key may occur more than once
 }
 
-// section defines a list whose elements are lists: it maps each key that these may have to its definition.
+// section defines which lists another list may contain: it maps the key of each of them to its definition.
 type section map[string]key
 
 // names returns the keys in alphabetical order.
@@ -46,7 +46,8 @@
 	}
 }
 
-// item decodes one list of a section and records its key as seen.
+// item decodes one list of a section and records its key in seen. It adds an error instead if the list has no key, or
+// if the key is unknown or may not occur again.
 func (d *decoder) item(list, item *sexpr.Node, definition section, seen map[string]sexpr.Position) {
 	name := item.Head()
 	if name == "" {
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -19,9 +19,9 @@
 // File contains the settings of an operator's file.
 type File struct {
 	SocketPath    string                // path of the admin socket; empty: there is none
-	Cluster       *Cluster              // nil: this instance is stand-alone
-	Idle          *IdleConnections      // nil: the platform's defaults apply to clients' connections
-	ReadinessHold startup.ReadinessHold // zero: readiness is not delayed at startup
+	Cluster       *Cluster              // cluster of this instance; nil: the instance is stand-alone
+	Idle          *IdleConnections      // limits of clients' connections; nil: the platform's defaults apply
+	ReadinessHold startup.ReadinessHold // delay of readiness at startup; zero value: none
 
 	// Connections limits the connections to caches; nil: they are opened as attempts need them. The caller sets the
 	// fields Router, Seed and Routers, which are not in the file.
--- a/internal/operatorconfig/idle.go
+++ b/internal/operatorconfig/idle.go
@@ -15,10 +15,10 @@
 
 // IdleConnections limits the number of clients' connections and sets how long idle ones are kept open.
 type IdleConnections struct {
-	MaxConnections  int                 // of all clients together; 0 until CheckResources sets the default
-	Policies        []idle.Policy       // the first is for clients that are in none of the networks
-	PolicyByNetwork *bart.Table[uint16] // index in Policies, by network
-	positions       []sexpr.Position    // of the lists from which Policies was decoded, in the same order
+	MaxConnections  int                 // limit for all clients together; 0 until CheckResources sets the default
+	Policies        []idle.Policy       // the first applies to clients that are in none of the networks
+	PolicyByNetwork *bart.Table[uint16] // index in Policies of each network's policy
+	positions       []sexpr.Position    // positions of the lists from which Policies was decoded, in the same order
 }
 
 // Default values and limits of (idle …).
@@ -34,8 +34,8 @@
 // networkValues contains the values of (network …), or those of (idle …) for clients in none of the networks.
 type networkValues struct {
 	policy         idle.Policy
-	maxConnections int64 // limit of the network or, in (idle …), of all clients; 0: not set
-	maxPerClient   int64 // from one client address; 0: not set
+	maxConnections int64 // limit for the network or, in (idle …), for all clients; 0: not set
+	maxPerClient   int64 // limit for each client address; 0: not set
 }
 
 // section returns the definition of the keys that (idle …) and (network …) have in common. They decode into v.
--- a/internal/operatorconfig/probe.go
+++ b/internal/operatorconfig/probe.go
@@ -18,7 +18,7 @@
 	defaultColdPart     = 0.05 // part of the load limit of an endpoint in slow start that probes may use
 	minColdPart         = 0.0001
 	maxColdPart         = 1
-	defaultProbeCost    = time.Millisecond // cost of a probe to its target, as sending time
+	defaultProbeCost    = time.Millisecond // load that one probe counts as, in sending time
 	minProbeCost        = time.Microsecond
 	maxProbeCost        = time.Minute
 )
--- a/internal/operatorconfig/sexpr/parser.go
+++ b/internal/operatorconfig/sexpr/parser.go
@@ -9,8 +9,8 @@
 
 // Limits of the input.
 const (
-	maxSize  = 1 << 20 // bytes
-	maxDepth = 32      // nested lists
+	maxSize  = 1 << 20 // size of the text, bytes
+	maxDepth = 32      // number of lists that are nested in each other
 )
 
 // endOfText is what peek returns after the last character.
@@ -63,8 +63,8 @@
 // parser reads a text from its beginning to its end.
 type parser struct {
 	text     string
-	offset   int      // of the next character, bytes
-	position Position // of the next character
+	offset   int      // offset of the next character, bytes
+	position Position // position of the next character
 }
 
 func (p *parser) atEnd() bool {
--- a/internal/operatorconfig/values.go
+++ b/internal/operatorconfig/values.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// integer decodes a whole number.
+// integer decodes a whole number, which must be from minimum to maximum.
 func (d *decoder) integer(into *int64, minimum, maximum int64) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		value, ok := d.singleValue(list, arguments)
--- a/internal/server/clock_test.go
+++ b/internal/server/clock_test.go
@@ -17,8 +17,8 @@
 	for _, step := range []time.Duration{0, 2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		for _, test := range []struct {
 			name    string
-			started int64 // ns after now; 0: the start is unknown
-			want    int64 // ns until the slow start ends; math.MinInt64: there is none
+			started int64 // start of the endpoint, ns after now; negative: it is past; 0: it is unknown
+			want    int64 // end of the slow start, ns after now; negative: it is past; math.MinInt64: there is none
 		}{
 			{"unknown", 0, math.MinInt64},
 			{"3 s ago", -3 * second, 5 * second},
--- a/internal/server/clusterloop.go
+++ b/internal/server/clusterloop.go
@@ -16,7 +16,7 @@
 	reducerTimer      *time.Timer     // set by the effect cluster.SetTimer
 }
 
-// run handles events until ctx ends.
+// run handles events, queries and the reducer's timer until ctx ends.
 func (l *clusterLoop) run(ctx context.Context) {
 	defer l.reducerTimer.Stop()
 	for {
@@ -47,7 +47,7 @@
 	l.node.links.Flush(shutdownFlushTimeout)
 }
 
-// leaseStatus returns the status of the reducer, with the counts of messages and probes.
+// leaseStatus returns the answer to LeasesCommand: the reducer's status with the numbers of messages and probes sent.
 func (l *clusterLoop) leaseStatus() cluster.Status {
 	status := l.node.reducer.Status(bootTime())
 	status.Frames = l.node.framesSent.Load()
@@ -56,7 +56,7 @@
 	return status
 }
 
-// memberStatus returns the members that the reducer knows, with the count of bytes sent.
+// memberStatus returns the answer to MembersCommand: the members that the reducer knows, and the number of bytes sent.
 func (l *clusterLoop) memberStatus() cluster.MembersStatus {
 	status := l.node.reducer.Members(bootTime())
 	status.BytesSent = l.node.bytesSent.Load()
--- a/internal/server/clusternode.go
+++ b/internal/server/clusternode.go
@@ -52,7 +52,7 @@
 	inbox          chan cluster.Event
 	leaseQueries   chan chan cluster.Status
 	memberQueries  chan chan cluster.MembersStatus
-	targets        atomic.Pointer[[]probe.Target] // from the latest endpoint list
+	targets        atomic.Pointer[[]probe.Target] // targets of probes, from the latest endpoint list
 	targetsChanged chan struct{}                  // has an item if the reducer does not have the latest targets yet
 
 	probeTokens chan struct{}   // a semaphore: it has an item for each probe in flight
@@ -146,7 +146,8 @@
 	}
 }
 
-// receive decodes a message from another instance and posts it to the loop.
+// receive decodes a message from another instance and posts it to the loop. A message that can't be decoded is logged
+// and dropped.
 func (node *clusterNode) receive(ctx context.Context, from lease.Instance, payload []byte) {
 	message, err := cluster.Decode(payload)
 	if err != nil {
--- a/internal/server/connections.go
+++ b/internal/server/connections.go
@@ -11,7 +11,7 @@
 type Connections struct {
 	downstream.ConnectionCounts
 	Goroutines int    `json:"goroutines"`
-	HeapBytes  uint64 `json:"heap_bytes"` // in use after a garbage collection
+	HeapBytes  uint64 `json:"heap_bytes"` // heap in use after a garbage collection, bytes
 	StackBytes uint64 `json:"stack_bytes"`
 }
 
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -17,7 +17,7 @@
 
 // Shares of the configured memory.
 const (
-	// collectorMemoryShare is the Go runtime's soft memory limit, near which the garbage collector runs more often.
+	// collectorMemoryShare sets the Go runtime's soft memory limit, near which the garbage collector runs more often.
 	collectorMemoryShare = 0.7
 
 	// responseMemoryShare limits the memory of responses that wait for slow clients. The same limit applies
@@ -36,11 +36,11 @@
 )
 
 const (
-	// minSockets is used if fewer descriptors are configured, because shares of a smaller number would be too small
-	// to serve any client.
+	// minSockets replaces a smaller configured number of descriptors, because its shares would be too small to serve
+	// any client.
 	minSockets = 64
 
-	// defaultMemoryMB is used if no memory limit is configured, MiB.
+	// defaultMemoryMB is the memory that the router may use if no limit is configured, MiB.
 	defaultMemoryMB = 64
 
 	// maxOpenRequestsPerClient is the largest number of requests in flight on one client's connection.
--- a/internal/server/probetargets.go
+++ b/internal/server/probetargets.go
@@ -27,7 +27,7 @@
 type targetBuilder struct {
 	cache, parent           probe.ColdLimit
 	parentKind, originKind  *string // nil: there are no endpoints of this kind
-	serverTime, clusterTime int64   // now, by the server's clock and by bootTime, ns
+	serverTime, clusterTime int64   // time of the update by the server's clock and by bootTime, ns
 }
 
 func newTargetBuilder(settings control.Settings, serverTime, clusterTime int64) targetBuilder {
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -50,7 +50,7 @@
 
 // postedEvent is an event for the event loop with the time at which it was posted.
 type postedEvent struct {
-	at    int64 // ns of the server's clock
+	at    int64 // when the event was posted, ns of the server's clock
 	event router.Event
 }
 
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -12,7 +12,7 @@
 func TestMemoryLimitIsShareOfConfiguredMemory(t *testing.T) {
 	for _, test := range []struct {
 		name     string
-		memoryMB int64 // MiB
+		memoryMB int64 // configured memory, MiB; 0: none is configured
 		want     int   // limit of the runtime, MiB
 	}{
 		{"less than the default", 32, 22},
--- a/internal/server/snapshots.go
+++ b/internal/server/snapshots.go
@@ -43,7 +43,7 @@
 type snapshotWriter struct {
 	clock        clock.Clock
 	header       restore.Header
-	position     discovery.EventProcessed // the last processed watch event
+	position     discovery.EventProcessed // position and digest of the last processed watch event
 	ticker       *time.Ticker
 	health       diskHealth
 	queue        chan snapshot.Snapshot
@@ -51,7 +51,7 @@
 	exitDeadline time.Time     // when the process stops waiting for the disk; zero: no shutdown has begun
 	stopped      chan struct{} // closed when the goroutine has ended
 
-	pending atomic.Int32 // disk operations queued or in progress
+	pending atomic.Int32 // number of disk operations that are queued or in progress
 }
 
 // snapshotFile is the result of reading the stored snapshot.
@@ -64,7 +64,7 @@
 type snapshotConfig struct {
 	store    *snapshot.Store
 	header   restore.Header // header of each snapshot; its time is set when the snapshot is taken
-	interval time.Duration  // between two writes
+	interval time.Duration  // time between two snapshots
 	clock    clock.Clock
 	emit     func(logevent.Event)
 }
@@ -184,7 +184,7 @@
 	emit func(logevent.Event)
 
 	mu      sync.Mutex
-	failing bool // guarded by mu
+	failing bool // guarded by mu; whether the last recorded result is a failure
 }
 
 // failed records a failure, and logs it if it is the first one after a success.
--- a/internal/server/snapshots_test.go
+++ b/internal/server/snapshots_test.go
@@ -30,10 +30,11 @@
 	}
 }
 
-// testHungDisk starts a server whose disk hangs in one operation, and shuts the server down.
+// testHungDisk checks that a server whose disk hangs in one operation answers health checks, logs one failed write,
+// and ends before it would be killed.
 func testHungDisk(t *testing.T, operation string, deadline time.Duration) {
 	t.Helper()
-	const killAfter = 700 * time.Millisecond // after the longest deadline
+	const killAfter = 700 * time.Millisecond // from the longest deadline to the platform's SIGKILL
 	disk := newFaultyDisk(t)
 	disk.set(nil, operation)
 	running := startServer(t, disk, deadline, snapshotInterval)
--- a/internal/snapshot/disk_test.go
+++ b/internal/snapshot/disk_test.go
@@ -24,12 +24,12 @@
 type simulatedDisk struct {
 	names     map[string]*inode // files by path, as processes see them
 	durable   map[string]*inode // files by path, as of the last SyncDir
-	calls     []string          // operations so far
+	calls     []string          // names of the operations that were called so far
 	fail      map[string]error  // error of the next call of an operation; "write" fails after half of the bytes
 	killAfter int               // steps until the process is killed: each call is a step, and each byte of a write
 }
 
-// never is a number of steps that no test reaches.
+// never is the value of killAfter with which the process is not killed: no test takes so many steps.
 const never = 1 << 30
 
 func newSimulatedDisk() *simulatedDisk {
@@ -138,7 +138,7 @@
 
 func (f *simulatedFile) Close() error { return f.disk.step("close") }
 
-// restarted returns the disk for the next process after this one was killed.
+// restarted returns a disk with the same files for a process that starts after the process of this one was killed.
 func (d *simulatedDisk) restarted() *simulatedDisk {
 	next := newSimulatedDisk()
 	next.names, next.durable = maps.Clone(d.names), maps.Clone(d.durable)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -17,8 +17,8 @@
 // their tags. The stored names must not change, so that other versions of the program can read the file.
 type Snapshot struct {
 	restore.Header
-	Position  int64                  // of the last processed watch event; 0: there was none
-	Digest    uint64                 // of that event's text
+	Position  int64                  // position of the last processed watch event; 0: there was none
+	Digest    uint64                 // hash of the text of the event at Position
 	Endpoints []router.EndpointEntry `cbor:"Members"`
 	Memory    control.Snapshot
 }
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -149,8 +149,8 @@
 // failingRemoves is a disk on which some calls of Remove fail.
 type failingRemoves struct {
 	*simulatedDisk
-	failing []int // numbers of the calls that fail, counted from 1
-	count   int   // calls so far
+	failing []int // numbers of the calls of Remove that fail, counted from 1
+	count   int   // number of calls of Remove so far
 }
 
 func (f *failingRemoves) Remove(path string) error {
@@ -283,7 +283,7 @@
 // A snapshot of the largest deployment, with 10,000 endpoints and MaxObjects objects, all with long names, takes at
 // most half of maxFileBytes.
 func TestLargestSnapshotFits(t *testing.T) {
-	const timestamp = 1764576000123000000 // Unix ns
+	const timestamp = 1764576000123000000 // time of all records in the snapshot, Unix ns
 	s := testSnapshot()
 	s.Endpoints, s.Memory.Objects, s.Memory.Purges = nil, nil, nil
 	for n := range 10_000 {
