--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -10,7 +10,7 @@
 	"tealpath/internal/testkit"
 )
 
-// A step of the wall clock neither shortens nor extends the deadline of a request in flight.
+// If deadlines were times of the wall clock, a step of it would end a request in flight too early or too late.
 func TestClockStepKeepsDeadlineOfRequestInFlight(t *testing.T) {
 	forEachStep(t, func(t *testing.T, test clockTest, step time.Duration) {
 		clock := clocktest.Running(0)
@@ -30,7 +30,8 @@
 	})
 }
 
-// A step of the wall clock does not change the duration of a drain, and a request in flight is answered during it.
+// If a drain were measured by the wall clock, a step of it would end the router before a request in flight is answered,
+// or too late.
 func TestClockStepKeepsDurationOfDrain(t *testing.T) {
 	forEachStep(t, func(t *testing.T, test clockTest, step time.Duration) {
 		clock := clocktest.Running(0)
@@ -59,7 +60,8 @@
 	})
 }
 
-// A step of the wall clock does not change the backoff after which a failed cache is tried again.
+// If the backoff were measured by the wall clock, a step of it would let a failed cache be tried again too early or too
+// late.
 func TestClockStepKeepsBackoff(t *testing.T) {
 	forEachStep(t, func(t *testing.T, test clockTest, step time.Duration) {
 		const ejected, restored = `"event":"endpoint_ejected"`, `"event":"endpoint_restored"`
--- a/cmd/tealpath/clockhelpers_test.go
+++ b/cmd/tealpath/clockhelpers_test.go
@@ -25,10 +25,10 @@
 type timedLog struct {
 	mu    sync.Mutex
 	lines []string    // guarded by mu
-	times []time.Time // guarded by mu
+	times []time.Time // guarded by mu; when each of lines was written
 }
 
-// Write implements io.Writer. raw is one line.
+// Write records a log line and when it was written. raw is the line.
 func (l *timedLog) Write(raw []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,7 +102,7 @@
 	return nil, nil, errors.New("reload is not supported in this test")
 }
 
-// clockTest is a router's configuration with the caches and the discovery service in it.
+// clockTest has the configuration of a router, and the caches and the discovery service that the configuration names.
 type clockTest struct {
 	*testRouter
 	caches    []*testkit.Cache
--- a/cmd/tealpath/clocksnapshot_test.go
+++ b/cmd/tealpath/clocksnapshot_test.go
@@ -65,7 +65,7 @@
 	for _, c := range []struct {
 		name   string
 		clocks snapshotClocks
-		want   string // part of the log
+		want   string // part of the log of the router that reads the snapshot
 	}{
 		{"no step", snapshotClocks{}, restoredWhole},
 		{"2 s forward before writing", snapshotClocks{writerStep: 2 * time.Second}, restoredWhole},
--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -78,7 +78,7 @@
 // startBlockedCache starts a cache that reads requests once released is closed.
 func startBlockedCache(t *testing.T, released <-chan struct{}, requests chan<- testkit.CacheRequest) blockedCache {
 	t.Helper()
-	const segment, buffer = 1460, 4096 // bytes; the system buffers more data with larger segments
+	const segment, buffer = 1460, 4096 // sizes in bytes; the system buffers more data with larger segments
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			setOption(t, fd, syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, segment)
--- a/cmd/tealpath/discovery_test.go
+++ b/cmd/tealpath/discovery_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// callUntilClosed sends count requests on a new connection, each after the response to the one before, and stops early
-// if the router closes the connection.
+// callUntilClosed sends count requests on a new connection, each after the response to the previous request, and stops
+// early if the router closes the connection. It checks that no request is lost.
 func callUntilClosed(t *testing.T, router *testRouter, caches []*testkit.Cache, firstObject, count int) {
 	t.Helper()
 	client := testkit.Dial(t, router.address)
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -40,7 +40,7 @@
 type growthFigures struct {
 	cpuSeconds  float64
 	peakMB      float64
-	descriptors float64 // maximum number of open descriptors
+	descriptors float64 // maximum number of open descriptors of the router
 	connections float64 // number of connections opened to cache servers
 	listKB      float64 // data received from the discovery service, KB
 	served      float64 // share of the requests that were served, 0 to 1
@@ -54,8 +54,8 @@
 	discovery   *discoveryserver.Service
 	address     string // HOST:PORT of the router
 	router      *testkit.RouterProcess
-	connections atomic.Int64 // connections that cache servers have accepted
-	listening   atomic.Bool  // the router has accepted a connection
+	connections atomic.Int64 // number of connections that cache servers have accepted
+	listening   atomic.Bool  // whether the router has accepted a connection
 	descriptors atomic.Int64 // largest number of open descriptors in a sample
 }
 
--- a/cmd/tealpath/log.go
+++ b/cmd/tealpath/log.go
@@ -25,9 +25,9 @@
 type logWriter struct {
 	out     io.Writer
 	lines   chan []byte
-	lost    atomic.Int64  // lines dropped since the last LogLinesLost event
+	lost    atomic.Int64  // number of lines dropped since the last LogLinesLost event
 	closing chan struct{} // closed by Close
-	closed  chan struct{} // closed when the goroutine has ended
+	closed  chan struct{} // closed when the goroutine that writes lines has ended
 }
 
 func newLogWriter(out io.Writer) *logWriter {
--- a/cmd/tealpath/shutdownbusy_test.go
+++ b/cmd/tealpath/shutdownbusy_test.go
@@ -156,7 +156,7 @@
 ) {
 	t.Helper()
 	const clients = 6
-	const requestsInFlight = 25 // per client; the router allows 32
+	const requestsInFlight = 25 // number of requests in flight per client; the router allows 32
 	for _, deadline := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// The expected digests are those that commit eeedb81 stores in snapshots.
+// If the digest of the same settings changed, routers would ignore the snapshots that they have stored. The expected
+// digests are those of commit eeedb81.
 func TestSettingsDigestIsUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name, content string
--- a/internal/lifecycle/shutdown/shutdown.go
+++ b/internal/lifecycle/shutdown/shutdown.go
@@ -14,9 +14,9 @@
 
 // Times that the platform's page states.
 const (
-	arrivalWindow     = 700 * time.Millisecond // after SIGTERM, during which new requests still arrive
+	arrivalWindow     = 700 * time.Millisecond // time from SIGTERM, during which new requests still arrive
 	maxClientDeadline = 3 * time.Second
-	killAfterLimit    = 700 * time.Millisecond // from the longest deadline to SIGKILL
+	killAfterLimit    = 700 * time.Millisecond // time from the longest deadline to SIGKILL
 )
 
 // Durations after the longest deadline. Requests in flight are answered by the end of answerGrace, and the responses
@@ -55,10 +55,10 @@
 
 // State is the work that remains for a router during its shutdown.
 type State struct {
-	InFlight        int  // requests without a final answer
-	QueuedEvents    int  // events that the router has received and not handled yet
+	InFlight        int  // number of requests without a final answer
+	QueuedEvents    int  // number of events that the router has received and not handled yet
 	Flushed         bool // every response has been written, and all received data has been read
-	OpenConnections int  // connections that have not ended, plus 1 while the listener is open
+	OpenConnections int  // number of connections that have not ended, plus 1 while the listener is open
 }
 
 // finished reports whether every request is answered and every response written.
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -97,7 +97,7 @@
 	firstByteTimeout int64
 	lastDelay        int64 // last delay of the backoff; 0: the backoff starts again
 	localErrorDelay  int64 // last delay after a call that this machine could not make; 0: there was none
-	truncations      int   // consecutive answers that were truncated before maxTruncatedAge
+	truncations      int   // number of consecutive answers that were truncated before maxTruncatedAge
 
 	answerDeadline int64 // notification deadline by which a call has to be answered; 0: none applies
 	retryAdvanced  bool  // a retry was moved to an earlier time to meet answerDeadline
--- a/internal/operatorconfig/errors.go
+++ b/internal/operatorconfig/errors.go
@@ -16,7 +16,7 @@
 	Position sexpr.Position
 	Key      string // key of the list that has the value, such as lease
 	Value    string // the value as written in the file
-	Allowed  string // description of the allowed values
+	Allowed  string // description of the values that the key allows
 	Reason   string // the complete message for the operator, without the position
 }
 
--- a/internal/operatorconfig/values.go
+++ b/internal/operatorconfig/values.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// duration decodes a duration with its unit, such as 1500ms, into ns.
+// duration decodes a duration with its unit, such as 1500ms, into ns. It must be from minimum to maximum.
 func (d *decoder) duration(into *int64, minimum, maximum time.Duration) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		value, ok := d.singleValue(list, arguments)
@@ -97,7 +97,7 @@
 	}
 }
 
-// number decodes a number or a percentage: 5% is 0.05.
+// number decodes a number or a percentage: 5% is 0.05. The number must be from minimum to maximum.
 func (d *decoder) number(into *float64, minimum, maximum float64) decodeFunc {
 	return func(list *sexpr.Node, arguments []*sexpr.Node) {
 		value, ok := d.singleValue(list, arguments)
--- a/internal/server/cluster_test.go
+++ b/internal/server/cluster_test.go
@@ -10,7 +10,7 @@
 	"tealpath/internal/operatorconfig"
 )
 
-// A restart is needed if a newer operator's file differs in a part that can't be changed in a running instance.
+// Changes that a running instance can't apply must be reported, or an operator would take them to be in effect.
 func TestClusterChangesThatNeedARestart(t *testing.T) {
 	newFile := func() *operatorconfig.File {
 		return &operatorconfig.File{
@@ -61,7 +61,7 @@
 	})
 }
 
-// A newer operator's file without a cluster is rejected by an instance that is a member of one.
+// An instance can't leave its cluster by a reload, so it rejects a newer operator's file without a cluster.
 func TestClusterReloadRejectsFileWithoutCluster(t *testing.T) {
 	node := &clusterNode{operator: &operatorconfig.File{Cluster: &operatorconfig.Cluster{}}}
 	if err := node.reload(t.Context(), &operatorconfig.File{}); !errors.Is(err, errNoCluster) {
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 )
 
-// The memory limit of the Go runtime is a share of the configured memory, or of the default if none is configured.
+// Without a configured memory limit, the Go runtime must have a limit nevertheless: a share of defaultMemoryMB.
 func TestMemoryLimitIsShareOfConfiguredMemory(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/internal/server/settings_test.go
+++ b/internal/server/settings_test.go
@@ -14,7 +14,8 @@
 	"github.com/rs/zerolog"
 )
 
-// If the settings do not state the number of routers in the location, it is the number of all routers.
+// Settings without the number of routers in the location must not count as a location without routers: the number of
+// all routers is used.
 func TestRoutersOfLocationDefaultsToAll(t *testing.T) {
 	for _, c := range []struct {
 		name          string
--- a/internal/server/snapshots.go
+++ b/internal/server/snapshots.go
@@ -49,7 +49,7 @@
 	queue        chan snapshot.Snapshot
 	queuedAt     time.Time     // when the last disk operation was queued
 	exitDeadline time.Time     // when the process stops waiting for the disk; zero: no shutdown has begun
-	stopped      chan struct{} // closed when the goroutine has ended
+	stopped      chan struct{} // closed when the goroutine that accesses the disk has ended
 
 	pending atomic.Int32 // number of disk operations that are queued or in progress
 }
--- a/internal/snapshot/disk_test.go
+++ b/internal/snapshot/disk_test.go
@@ -25,7 +25,7 @@
 	names     map[string]*inode // files by path, as processes see them
 	durable   map[string]*inode // files by path, as of the last SyncDir
 	calls     []string          // names of the operations that were called so far
-	fail      map[string]error  // error of the next call of an operation; "write" fails after half of the bytes
+	fail      map[string]error  // by operation: error of its next call; "write" fails after half of the bytes
 	killAfter int               // steps until the process is killed: each call is a step, and each byte of a write
 }
 
