--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -30,8 +30,8 @@
 	})
 }
 
-// If a drain were measured by the wall clock, a step of it would end the router before a request in flight is answered,
-// or too late.
+// If a drain were measured by the wall clock, a step of it would end the router before a request in flight is
+// answered, or too late.
 func TestClockStepKeepsDurationOfDrain(t *testing.T) {
 	forEachStep(t, func(t *testing.T, test clockTest, step time.Duration) {
 		clock := clocktest.Running(0)
@@ -60,8 +60,8 @@
 	})
 }
 
-// If the backoff were measured by the wall clock, a step of it would let a failed cache be tried again too early or too
-// late.
+// If the backoff were measured by the wall clock, a step of it would let a failed cache be tried again too early or
+// too late.
 func TestClockStepKeepsBackoff(t *testing.T) {
 	forEachStep(t, func(t *testing.T, test clockTest, step time.Duration) {
 		const ejected, restored = `"event":"endpoint_ejected"`, `"event":"endpoint_restored"`
--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -118,7 +118,7 @@
 
 // serve reads the requests on a connection once released is closed, and responds to none.
 func (c blockedCache) serve(t *testing.T, conn net.Conn) {
-	const readBuffer = 4 << 20 // bytes
+	const readBuffer = 4 << 20 // size of the connection's receive buffer, bytes
 	defer testkit.Close(conn)
 	<-c.released
 	if err := conn.(*net.TCPConn).SetReadBuffer(readBuffer); err != nil {
