--- a/cmd/tealpath/growth_test.go
+++ b/cmd/tealpath/growth_test.go
@@ -12,7 +12,7 @@
 	"tealpath/internal/testkit"
 )
 
-// growthBounds are the limits of the resources that a router uses on average with many cache servers. Each depends on
+// growthBounds are the limits of the resources that a router uses with many cache servers. Each limit depends on
 // the usage of a router that handles the same traffic with the usual number of cache servers: it is factor * that
 // usage + plus + perServers * (number of cache servers / 1000). The users' documentation of the full fleet states
 // these limits.
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -210,7 +210,8 @@
 	return figures
 }
 
-// countServed reads one response per request and returns how many contain the body of the request.
+// countServed reads one response per request, or until the connection ends, and returns how many contain the body of
+// an object.
 func countServed(client *testkit.Client, requests int) (served int) {
 	for range requests {
 		sequence, result := client.Next()
--- a/cmd/tealpath/helpers_test.go
+++ b/cmd/tealpath/helpers_test.go
@@ -18,8 +18,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// runAsProgram is the environment variable that makes this test binary run as tealpath serve. Tests start it in a
-// separate process, which can be signalled and killed without ending the tests.
+// runAsProgram is the environment variable that makes this test binary run as tealpath serve. Tests start the binary
+// with it in a separate process, which can be signalled and killed without ending the tests.
 const runAsProgram = "TEALPATH_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
--- a/cmd/tealpath/operator.go
+++ b/cmd/tealpath/operator.go
@@ -74,7 +74,8 @@
 		time.Duration(settings.LeaseDuration), time.Duration(settings.RenewalInterval), probing)
 }
 
-// socketPath returns the path of a running instance's admin socket, from the flags of a command without arguments.
+// socketPath returns the path of the admin socket that the flags of a command select. It returns a usage error if the
+// command has arguments.
 func socketPath(cmd *cli.Command) (string, error) {
 	if err := checkArgs(cmd, 0); err != nil {
 		return "", err
--- a/cmd/tealpath/start_test.go
+++ b/cmd/tealpath/start_test.go
@@ -13,7 +13,7 @@
 )
 
 // minimalConfig is the format of a configuration without endpoints. Its arguments are the known watch events and the
-// address.
+// address on which the router listens.
 const minimalConfig = `{"name":"n0","journal":"127.0.0.1:1","settings":{"balancers":1,"locality":"here",
 "machineTypes":["c"],"profiles":[{"name":"stills","onTimeS":0.4,"deadlineS":1.2,"points":1,"effect":"retryable"}]},
 "known":%s,"listen":"%s"}`
--- a/internal/config/keys.go
+++ b/internal/config/keys.go
@@ -8,7 +8,8 @@
 	valueType valueType
 }
 
-// settings lists all settings that a router uses, in the order in which they are decoded.
+// settings lists the settings of the file that are decoded, in the order in which this is done. All of them are part
+// of the digest in snapshots, including those that control.DecodeSettings ignores.
 var settings = []setting{
 	{"", "balancers", "routers", integer},
 	{"", "selfIndex", "router.place", integer},
--- a/internal/lifecycle/restore/confirmation.go
+++ b/internal/lifecycle/restore/confirmation.go
@@ -46,8 +46,8 @@
 // has no event after the position of ResumeAfter, so it does not have the event at Position.
 func (c *ListConfirmation) ObserveComment() Outcome { return c.decide(false) }
 
-// decide returns the outcome of the first event or comment, and Pending for all later ones. same is whether it is the
-// event at Position, byte for byte.
+// decide returns the outcome of the first event or comment, and Pending for all later ones. same is whether the first
+// one is the event at Position, byte for byte.
 func (c *ListConfirmation) decide(same bool) Outcome {
 	if c == nil || c.decided {
 		return Pending
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -79,8 +79,8 @@
 	maxStallTimeout   = silenceTimeout
 )
 
-// scheduleStream is the second half of the generator's seed. It makes the random numbers of schedules independent of
-// those that other packages generate from the same seed.
+// scheduleStream is the second half of the seed of a schedule's random numbers. It makes them independent of those
+// that other packages generate from the same router's seed.
 const scheduleStream = 0x6c697374
 
 // CallSchedule decides when one router of many calls the discovery service. It is not safe for concurrent use.
--- a/internal/server/disk_test.go
+++ b/internal/server/disk_test.go
@@ -43,7 +43,7 @@
 	return len(d.files)
 }
 
-// do runs an operation while it holds mu, unless the operation hangs or fails.
+// do locks mu and runs an operation, unless the operation is made to hang or fail.
 func (d *faultyDisk) do(operation string, run func()) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/server/logevents.go
+++ b/internal/server/logevents.go
@@ -54,9 +54,10 @@
 	Scope string `log:"scope"`
 	// Cause is the reason why only a part of the snapshot is used; absent if all of it is used.
 	Cause error `log:"cause,omitempty"`
-	// Endpoints is the number of endpoints in its list, which is used only if the discovery service confirms it.
+	// Endpoints is the number of endpoints in the snapshot's list, which is used only if the discovery service
+	// confirms it; absent if the snapshot has no usable list or the configuration contains one.
 	Endpoints int `log:"endpoints,omitempty"`
-	// ConfirmedBy is the position of the watch event that confirms the endpoint list.
+	// ConfirmedBy is the position of the watch event that confirms the endpoint list if the service sends it again.
 	ConfirmedBy int64 `log:"confirmed_by,omitempty"`
 }
 
