--- a/cmd/tealpath/faults_test.go
+++ b/cmd/tealpath/faults_test.go
@@ -89,7 +89,7 @@
 	return served
 }
 
-// Caches reset or forget idle connections. The next requests are served.
+// A request must not fail because a cache has reset or forgotten the connection while it was idle.
 func TestRequestsServedAfterCachesEndIdleConnections(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/cmd/tealpath/help_test.go
+++ b/cmd/tealpath/help_test.go
@@ -11,7 +11,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// programRun is the result of a run of the program.
+// programRun is the exit code and the output of one run of the program.
 type programRun struct {
 	code           int
 	stdout, stderr string
--- a/cmd/tealpath/print.go
+++ b/cmd/tealpath/print.go
@@ -18,7 +18,7 @@
 // printf adds one or more lines, whose columns are separated by tabs.
 func (t table) printf(format string, values ...any) { _, _ = fmt.Fprintf(t, format, values...) }
 
-// flush aligns the lines and prints them.
+// flush aligns the lines that printf has added and prints them.
 func (t table) flush() { _ = t.Flush() }
 
 // formatMilliseconds formats a duration in milliseconds, rounded to durationStep.
--- a/internal/adminsocket/protocol.go
+++ b/internal/adminsocket/protocol.go
@@ -25,7 +25,7 @@
 	// descriptors.
 	acceptRetryDelay = 50 * time.Millisecond
 
-	// socketMode allows only the owner to open the socket.
+	// socketMode is the socket's file mode. It allows only the owner to open the socket.
 	socketMode = 0o600
 )
 
--- a/internal/operatorconfig/cluster.go
+++ b/internal/operatorconfig/cluster.go
@@ -62,7 +62,7 @@
 	maxSilenceTimeout    = time.Hour
 )
 
-// instance is one (instance NAME …) in (instances …).
+// instance is one decoded list (instance NAME …) of (instances …).
 type instance struct {
 	position sexpr.Position
 	name     string
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// SharedSettings returns the settings that must be compatible between all instances. routers is the number of
-// routers in the deployment, or 0 if it is unknown.
+// SharedSettings returns the settings that must be compatible between the files of all instances. routers is the
+// number of routers in the deployment, or 0 if it is unknown.
 func (f *File) SharedSettings(routers int) compatibility.Settings {
 	shared := compatibility.Settings{Routers: routers}
 	if f.Connections != nil {
--- a/internal/server/clock_other.go
+++ b/internal/server/clock_other.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// started is the origin of bootTime.
+// started is the time from which bootTime counts: the start of this process.
 var started = time.Now()
 
 // bootTime returns the time of a monotonic clock, ns. This clock may stop while the machine is suspended, a case that
--- a/internal/server/running_test.go
+++ b/internal/server/running_test.go
@@ -114,7 +114,7 @@
 	return testkit.IsHealthy(t, r.address, time.Second)
 }
 
-// waitHealthy waits until the server is ready.
+// waitHealthy waits until the server is ready. It fails the test if this takes longer than testkit.Timeout.
 func (r *runningServer) waitHealthy(t *testing.T) {
 	t.Helper()
 	testkit.WaitUntil(t, testkit.Timeout, "the server is healthy", func() bool { return r.healthy(t) })
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -331,7 +331,7 @@
 	}
 }
 
-// Write returns a *SizeError for a snapshot that is too large, and the previous one stays.
+// Write returns a *SizeError for a snapshot that is too large, and the previous snapshot stays stored.
 func TestTooLargeSnapshotIsNotStored(t *testing.T) {
 	disk := diskWithSnapshot(t)
 	large := numbered(2)
