--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -33,7 +33,7 @@
 // listChanges is how often the endpoint list changes during the traffic. Each change replaces 1% of the cache servers.
 const listChanges = 15
 
-// routerMemoryMB is the memory limit of a router, MB.
+// routerMemoryMB is the memory limit in the configuration of each router of the growth tests, MB.
 const routerMemoryMB = 32
 
 // growthFigures contains the resources that one router used for its traffic, and how much it served.
--- a/cmd/tealpath/helpers_test.go
+++ b/cmd/tealpath/helpers_test.go
@@ -99,7 +99,7 @@
 	return []byte(strings.NewReplacer(r.changes...).Replace(text))
 }
 
-// writeConfig replaces the configuration file.
+// writeConfig replaces the configuration file by one with the given router name and address of the discovery service.
 func (r *testRouter) writeConfig(t *testing.T, name, discovery string) {
 	t.Helper()
 	testkit.ReplaceFile(t, r.configPath, r.config(name, discovery))
--- a/cmd/tealpath/operator.go
+++ b/cmd/tealpath/operator.go
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// printJSON prints a value as indented JSON.
+// printJSON prints a value to standard output as indented JSON.
 func printJSON(value any) error {
 	out := json.NewEncoder(os.Stdout)
 	out.SetIndent("", "  ")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,7 +19,7 @@
 	listenVariable = "LB_LISTEN"
 )
 
-// Config is the configuration of one router.
+// Config is the configuration of one router, decoded from its file and the environment variables.
 type Config struct {
 	Name             string
 	Listen           string          // HOST:PORT on which clients connect
--- a/internal/lifecycle/shutdown/shutdown.go
+++ b/internal/lifecycle/shutdown/shutdown.go
@@ -34,7 +34,7 @@
 // maxCloseWait is the time that clients have to close their side of a connection that the router has half-closed.
 const maxCloseWait = 250 * time.Millisecond
 
-// Plan is the plan of one shutdown. It is not safe for concurrent use.
+// Plan decides the steps and the deadlines of one shutdown. It is not safe for concurrent use.
 type Plan struct {
 	startedAt   int64
 	maxDeadline time.Duration // longest deadline of a client
--- a/internal/lifecycle/startup/listfilter.go
+++ b/internal/lifecycle/startup/listfilter.go
@@ -17,7 +17,7 @@
 	return l.Digest == other.Digest && l.Endpoints == other.Endpoints
 }
 
-// Verdict is the decision on an endpoint list.
+// Verdict is what a router does with an endpoint list that it has received.
 type Verdict int
 
 // Verdicts of ListFilter.Evaluate.
--- a/internal/lifecycle/startup/progress.go
+++ b/internal/lifecycle/startup/progress.go
@@ -6,7 +6,7 @@
 // has run for less time has counted requests for that time only.
 const RateWindow = 10 * second
 
-// Phase is a phase of a router's startup.
+// Phase is how far the startup of a router has come.
 type Phase int
 
 // Phases of the startup, in order.
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -259,7 +259,7 @@
 	return min(int64(s.routers/rate*float64(second)), maxSpread)
 }
 
-// draw returns a random duration in [0, limit).
+// draw returns a random duration in [0, limit), or 0 if limit is not positive.
 func (s *CallSchedule) draw(limit int64) int64 {
 	if limit <= 0 {
 		return 0
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -47,7 +47,7 @@
 	maxOpenRequestsPerClient = 32
 )
 
-// maxSockets returns how many descriptors may be open at once.
+// maxSockets returns how many descriptors may be open at once, at least minSockets.
 func (s *Server) maxSockets() int64 { return max(s.config.MaxSockets, minSockets) }
 
 // maxClientSockets returns how many descriptors may be open for clients' connections if the operator's file sets no
@@ -57,7 +57,7 @@
 // maxUpstreamSockets returns how many descriptors may be open for connections to endpoints.
 func (s *Server) maxUpstreamSockets() int { return int(upstreamSocketShare * float64(s.maxSockets())) }
 
-// memoryBytes returns a share of the configured memory, in bytes.
+// memoryBytes returns a share of the configured memory, or of defaultMemoryMB if none is configured, in bytes.
 func (s *Server) memoryBytes(share float64) int {
 	return int(share * float64(cmp.Or(s.config.MemoryMB, defaultMemoryMB)<<20))
 }
--- a/internal/server/logevents.go
+++ b/internal/server/logevents.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// ConfigReloaded is logged after the configuration was reloaded.
+// ConfigReloaded is logged after a reload has applied the parts of the configuration that a running server can change.
 type ConfigReloaded struct {
 	DiscoveryAddress string `log:"discovery_address"` // address of the discovery service, used from now on
 	// RestartRequired names the other parts that have changed and take effect only after a restart.
