--- a/internal/lifecycle/restore/limit.go
+++ b/internal/lifecycle/restore/limit.go
@@ -10,7 +10,7 @@
 	OtherVersion  Reason = iota // the format of the snapshot has another version than FormatVersion
 	OtherRouter                 // another router wrote the snapshot
 	OtherSettings               // the snapshot was taken under other settings
-	InFuture                    // the snapshot was taken over maxClockStep later than the wall clock is now
+	InFuture                    // the time of the snapshot is over maxClockStep ahead of the wall clock
 	TooOld                      // the age of the snapshot is over maxRateAge or maxAge
 )
 
--- a/internal/lifecycle/shutdown/shutdown.go
+++ b/internal/lifecycle/shutdown/shutdown.go
@@ -14,7 +14,7 @@
 
 // Times that the platform's page states.
 const (
-	arrivalWindow     = 700 * time.Millisecond // time from SIGTERM, during which new requests still arrive
+	arrivalWindow     = 700 * time.Millisecond // time after SIGTERM in which new requests still arrive
 	maxClientDeadline = 3 * time.Second
 	killAfterLimit    = 700 * time.Millisecond // time from the longest deadline to SIGKILL
 )
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -18,9 +18,9 @@
 // Target rates of the calls of all routers together, per second, and the longest durations over which calls are
 // spread. Where a longer duration would miss a notification deadline, the rate is exceeded.
 const (
-	retryRate = 110. // while the service refuses calls or does not answer
+	retryRate = 110. // rate of retries while the service refuses calls or does not answer
 
-	reconnectRate          = 300.                        // after a disconnect
+	reconnectRate          = 300.                        // rate of calls after a disconnect
 	maxReconnectSpread     = deadlineAfterDisconnect / 2 // the other half of that time is for one retry
 	maxAddressChangeSpread = second
 
@@ -65,7 +65,7 @@
 
 // Timeouts of reads from the service.
 const (
-	silenceTimeout = 1700 * millisecond // the service sends a comment each second
+	silenceTimeout = 1700 * millisecond // time without data; the service sends a comment each second
 
 	// The timeout of the first byte is multiplied by firstByteTimeoutGrowth after each call that the service
 	// accepts but does not answer.
@@ -137,7 +137,8 @@
 // ListReceived records that the router has an endpoint list, so that notification deadlines apply to its calls.
 func (s *CallSchedule) ListReceived() { s.hasList = true }
 
-// CallStarted records when a call is made. CallEnded treats a truncated answer by the age of its call.
+// CallStarted records when a call is made. Only for a young call does CallEnded let a truncated answer be requested
+// again almost at once.
 func (s *CallSchedule) CallStarted(now int64) { s.calledAt = now }
 
 // DataReceived records that a complete event or comment was received. It resets the backoff and the timeout of the
--- a/internal/server/disk_test.go
+++ b/internal/server/disk_test.go
@@ -16,7 +16,7 @@
 // faultyDisk is a file system in memory whose operations can be made to fail, or to hang until the test ends.
 type faultyDisk struct {
 	mu       sync.Mutex
-	files    map[string][]byte // guarded by mu
+	files    map[string][]byte // guarded by mu; content of each file, by path
 	fail     error             // guarded by mu; error of each write; nil: writes succeed
 	hangs    string            // guarded by mu; name of the operation that hangs; empty: none
 	hung     chan struct{}     // gets an item for each operation that hangs
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -40,7 +40,7 @@
 	// any client.
 	minSockets = 64
 
-	// defaultMemoryMB is the memory that the router may use if no limit is configured, MiB.
+	// defaultMemoryMB takes the place of the configured memory if none is configured, MiB.
 	defaultMemoryMB = 64
 
 	// maxOpenRequestsPerClient is the largest number of requests in flight on one client's connection.
--- a/internal/server/probetargets.go
+++ b/internal/server/probetargets.go
@@ -26,7 +26,7 @@
 // targetBuilder derives targets of probes from endpoints.
 type targetBuilder struct {
 	cache, parent           probe.ColdLimit
-	parentKind, originKind  *string // nil: there are no endpoints of this kind
+	parentKind, originKind  *string // names of the kinds; nil: there are no endpoints of the kind
 	serverTime, clusterTime int64   // time of the update by the server's clock and by bootTime, ns
 }
 
--- a/internal/server/server.go
+++ b/internal/server/server.go
@@ -32,7 +32,7 @@
 // The exceptions are phase and the state of router, progress and snapshots, which the event loop's goroutine owns.
 type Server struct {
 	config    *config.Config
-	operator  *operatorconfig.File // nil: there is no operator's file
+	operator  *operatorconfig.File // the operator's file; nil: there is none
 	logger    zerolog.Logger
 	clock     clock.Clock
 	openStore func(path string) *snapshot.Store
@@ -41,11 +41,11 @@
 	inbox     chan postedEvent
 	router    *router.Router
 	progress  *startup.Progress
-	snapshots *snapshotWriter // nil: no snapshots are written
+	snapshots *snapshotWriter // writer of the router's snapshots; nil: none are written
 
 	downstream *downstream.Server
 	upstream   *upstream.Pool
-	cluster    *clusterNode // nil: this instance is not a member of a cluster
+	cluster    *clusterNode // this instance as a member of its cluster; nil: it is in none
 }
 
 // postedEvent is an event for the event loop with the time at which it was posted.
--- a/internal/server/start.go
+++ b/internal/server/start.go
@@ -103,9 +103,9 @@
 
 // Commands that the admin socket answers.
 const (
-	ConnectionsCommand = "connections" // answered with Connections
-	LeasesCommand      = "duties"      // answered with cluster.Status
-	MembersCommand     = "members"     // answered with cluster.MembersStatus
+	ConnectionsCommand = "connections" // the answer is a Connections
+	LeasesCommand      = "duties"      // the answer is a cluster.Status
+	MembersCommand     = "members"     // the answer is a cluster.MembersStatus
 )
 
 // adminHandlers returns the handlers of the admin socket's commands. Only an instance that is a member of a cluster
