--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -78,7 +78,7 @@
 // startBlockedCache starts a cache that reads requests once released is closed.
 func startBlockedCache(t *testing.T, released <-chan struct{}, requests chan<- testkit.CacheRequest) blockedCache {
 	t.Helper()
-	const segment, buffer = 1460, 4096 // bytes; the system buffers more data with larger segments
+	const segment, buffer = 1460, 4096 // sizes in bytes; the system buffers more data with larger segments
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			setOption(t, fd, syscall.IPPROTO_TCP, syscall.TCP_MAXSEG, segment)
@@ -118,7 +118,7 @@
 
 // serve reads the requests on a connection once released is closed, and responds to none.
 func (c blockedCache) serve(t *testing.T, conn net.Conn) {
-	const readBuffer = 4 << 20 // bytes
+	const readBuffer = 4 << 20 // size of the connection's receive buffer, bytes
 	defer testkit.Close(conn)
 	<-c.released
 	if err := conn.(*net.TCPConn).SetReadBuffer(readBuffer); err != nil {
@@ -197,7 +197,7 @@
 func fillConnections(t *testing.T, router *testRouter, timeout time.Duration) {
 	t.Helper()
 	const clients, requests, bodySize = 2, 20, 200_000
-	const interval = 5 * time.Millisecond // in which the router opens connections
+	const interval = 5 * time.Millisecond // between two requests, so that the router can open connections
 	body := strings.Repeat("x", bodySize)
 	for range clients {
 		client := testkit.Dial(t, router.address)
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -23,7 +23,7 @@
 // trafficProfile is the traffic that a growth test sends to one router. It does not depend on the size of the fleet.
 type trafficProfile struct {
 	name     string
-	known    bool // the configuration contains the endpoint list
+	known    bool // whether the configuration contains the endpoint list
 	requests int
 	interval time.Duration // time between two requests
 	objects  int
@@ -33,17 +33,17 @@
 // listChanges is how often the endpoint list changes during the traffic. Each change replaces 1% of the cache servers.
 const listChanges = 15
 
-// routerMemoryMB is the memory limit of a router, MB.
+// routerMemoryMB is the memory limit in the configuration of each router of the growth tests, MB.
 const routerMemoryMB = 32
 
 // growthFigures contains the resources that one router used for its traffic, and how much it served.
 type growthFigures struct {
 	cpuSeconds  float64
 	peakMB      float64
-	descriptors float64 // maximum number of open descriptors
+	descriptors float64 // maximum number of open descriptors of the router
 	connections float64 // number of connections opened to cache servers
 	listKB      float64 // data received from the discovery service, KB
-	served      float64 // share of the requests that were served
+	served      float64 // share of the requests that were served, 0 to 1
 }
 
 // growthFleet is one router in a separate process, with emulated cache servers and an emulated discovery service.
@@ -52,10 +52,10 @@
 	servers     []net.Listener
 	routers     int // number of routers according to the settings; only one runs
 	discovery   *discoveryserver.Service
-	address     string // of the router
+	address     string // HOST:PORT of the router
 	router      *testkit.RouterProcess
-	connections atomic.Int64 // connections that cache servers have accepted
-	listening   atomic.Bool  // the router has accepted a connection
+	connections atomic.Int64 // number of connections that cache servers have accepted
+	listening   atomic.Bool  // whether the router has accepted a connection
 	descriptors atomic.Int64 // largest number of open descriptors in a sample
 }
 
@@ -210,7 +210,8 @@
 	return figures
 }
 
-// countServed reads one response per request and returns how many contain the body of the request.
+// countServed reads one response per request, or until the connection ends, and returns how many contain the body of
+// an object.
 func countServed(client *testkit.Client, requests int) (served int) {
 	for range requests {
 		sequence, result := client.Next()
--- a/cmd/tealpath/operator.go
+++ b/cmd/tealpath/operator.go
@@ -15,7 +15,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// Names of flags.
+// Names of flags, without the leading dashes.
 const (
 	operatorFlagName = "operator"
 	socketFlagName   = "socket"
@@ -74,7 +74,8 @@
 		time.Duration(settings.LeaseDuration), time.Duration(settings.RenewalInterval), probing)
 }
 
-// socketPath returns the path of a running instance's admin socket, from the flags of a command without arguments.
+// socketPath returns the path of the admin socket that the flags of a command select. It returns a usage error if the
+// command has arguments.
 func socketPath(cmd *cli.Command) (string, error) {
 	if err := checkArgs(cmd, 0); err != nil {
 		return "", err
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// printJSON prints a value as indented JSON.
+// printJSON prints a value to standard output as indented JSON.
 func printJSON(value any) error {
 	out := json.NewEncoder(os.Stdout)
 	out.SetIndent("", "  ")
--- a/cmd/tealpath/shutdownbusy_test.go
+++ b/cmd/tealpath/shutdownbusy_test.go
@@ -16,9 +16,9 @@
 // docs/endings.md lists the requirements.
 
 const (
-	// killDelay is the time from the longest deadline, counted from SIGTERM, to the platform's SIGKILL.
+	// killDelay is how much longer than the longest deadline the platform waits between SIGTERM and SIGKILL.
 	killDelay = 700 * time.Millisecond
-	// maxLateness is how late a response may be on a machine with other load.
+	// maxLateness is the longest delay of a response that may be due to other load on the machine.
 	maxLateness = 250 * time.Millisecond
 	// lowOnTime replaces formerOnTime in the configuration: the latency objective must be shorter than the deadline.
 	formerOnTime, lowOnTime = `"onTimeS":0.4`, `"onTimeS":0.2`
@@ -111,7 +111,7 @@
 	t *testing.T, caches []*testkit.Cache, exchanges []exchange, endedAt time.Time, stalled time.Duration,
 ) {
 	t.Helper()
-	const maxCrossing = 50 * time.Millisecond // between sending a request and the end of the connection
+	const maxCrossing = 50 * time.Millisecond // from sending a request without a response to the end of its connection
 	for _, e := range exchanges {
 		if e.answered {
 			continue
@@ -156,7 +156,7 @@
 ) {
 	t.Helper()
 	const clients = 6
-	const requestsInFlight = 25 // per client; the router allows 32
+	const requestsInFlight = 25 // number of requests in flight per client; the router allows 32
 	for _, deadline := range []time.Duration{300 * time.Millisecond, 1200 * time.Millisecond, 3 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
--- a/internal/lifecycle/restore/confirmation.go
+++ b/internal/lifecycle/restore/confirmation.go
@@ -7,7 +7,7 @@
 
 // Outcomes of an event or comment.
 const (
-	Pending   Outcome = iota // it shows nothing, or an earlier event or comment has decided
+	Pending   Outcome = iota // the event or comment shows nothing, or an earlier one has decided
 	Confirmed                // the list is still in force
 	Outdated                 // the list may be out of date and has to be requested from the service
 )
@@ -29,9 +29,9 @@
 //
 // A nil ListConfirmation is for a router without such a list: its outcomes are all Pending.
 type ListConfirmation struct {
-	Position int64  // of the last watch event that the router knows
-	Digest   uint64 // of that event's text
-	decided  bool   // an event or comment was observed
+	Position int64  // position of the last watch event that the router knows
+	Digest   uint64 // hash of the text of the event at Position
+	decided  bool   // whether an event or comment has been observed before
 }
 
 // ResumeAfter returns the position after which the router asks the service to resume the watch.
@@ -46,8 +46,8 @@
 // has no event after the position of ResumeAfter, so it does not have the event at Position.
 func (c *ListConfirmation) ObserveComment() Outcome { return c.decide(false) }
 
-// decide returns the outcome of the first event or comment, and Pending for all later ones. same is whether it is the
-// event at Position, byte for byte.
+// decide returns the outcome of the first event or comment, and Pending for all later ones. same is whether the first
+// one is the event at Position, byte for byte.
 func (c *ListConfirmation) decide(same bool) Outcome {
 	if c == nil || c.decided {
 		return Pending
--- a/internal/lifecycle/startup/schedule.go
+++ b/internal/lifecycle/startup/schedule.go
@@ -18,10 +18,10 @@
 // Target rates of the calls of all routers together, per second, and the longest durations over which calls are
 // spread. Where a longer duration would miss a notification deadline, the rate is exceeded.
 const (
-	retryRate = 110. // while the service refuses calls or does not answer
+	retryRate = 110. // rate of retries while the service refuses calls or does not answer
 
-	reconnectRate          = 300.                        // after a disconnect
-	maxReconnectSpread     = deadlineAfterDisconnect / 2 // the other half is for one retry
+	reconnectRate          = 300.                        // rate of calls after a disconnect
+	maxReconnectSpread     = deadlineAfterDisconnect / 2 // the other half of that time is for one retry
 	maxAddressChangeSpread = second
 
 	// maxFirstSpread is for the first calls of routers that have a list from their configuration and serve with
@@ -65,7 +65,7 @@
 
 // Timeouts of reads from the service.
 const (
-	silenceTimeout = 1700 * millisecond // the service sends a comment each second
+	silenceTimeout = 1700 * millisecond // time without data; the service sends a comment each second
 
 	// The timeout of the first byte is multiplied by firstByteTimeoutGrowth after each call that the service
 	// accepts but does not answer.
@@ -79,8 +79,8 @@
 	maxStallTimeout   = silenceTimeout
 )
 
-// scheduleStream is the second half of the generator's seed. It makes the random numbers of schedules independent of
-// those that other packages generate from the same seed.
+// scheduleStream is the second half of the seed of a schedule's random numbers. It makes them independent of those
+// that other packages generate from the same router's seed.
 const scheduleStream = 0x6c697374
 
 // CallSchedule decides when one router of many calls the discovery service. It is not safe for concurrent use.
@@ -97,7 +97,7 @@
 	firstByteTimeout int64
 	lastDelay        int64 // last delay of the backoff; 0: the backoff starts again
 	localErrorDelay  int64 // last delay after a call that this machine could not make; 0: there was none
-	truncations      int   // consecutive answers that were truncated before maxTruncatedAge
+	truncations      int   // number of consecutive answers that were truncated before maxTruncatedAge
 
 	answerDeadline int64 // notification deadline by which a call has to be answered; 0: none applies
 	retryAdvanced  bool  // a retry was moved to an earlier time to meet answerDeadline
@@ -126,8 +126,8 @@
 	return s.draw(s.spread(retryRate, maxFirstSpread))
 }
 
-// AddressChanged returns the delay, ns, of the first call to the new address of the service. The address changed at
-// now, from which time the notification deadline counts.
+// AddressChanged returns the delay, ns, of the first call to the new address of the service. now is the time of the
+// change, from which the notification deadline counts.
 func (s *CallSchedule) AddressChanged(now int64) int64 {
 	s.answerDeadline, s.retryAdvanced = now+deadlineAfterAddressChange, false
 	s.firstByteTimeout, s.hasData = initialFirstByteTimeout, false
@@ -137,10 +137,12 @@
 // ListReceived records that the router has an endpoint list, so that notification deadlines apply to its calls.
 func (s *CallSchedule) ListReceived() { s.hasList = true }
 
-// CallStarted records the time of a call.
+// CallStarted records when a call is made. Only for a young call does CallEnded let a truncated answer be requested
+// again almost at once.
 func (s *CallSchedule) CallStarted(now int64) { s.calledAt = now }
 
-// DataReceived records that a complete event or comment was received.
+// DataReceived records that a complete event or comment was received. It resets the backoff and the timeout of the
+// first byte.
 func (s *CallSchedule) DataReceived() {
 	s.hasData, s.firstByteTimeout, s.lastDelay = true, initialFirstByteTimeout, 0
 }
@@ -216,8 +218,8 @@
 	return s.draw(s.spread(reconnectRate, maxReconnectSpread))
 }
 
-// delayWithoutList returns a delay that depends on the number of routers in the settings. If that number is too low,
-// the delays of the backoff still grow.
+// delayWithoutList returns the delay of a retry by a router without a list. The first delays depend on the number of
+// routers in the settings. If that number is too low, the delays still grow, because they back off.
 func (s *CallSchedule) delayWithoutList() int64 {
 	minDelay := max(s.spread(noListRate, maxNoListSpread), minRetryDelay) / 2
 	return s.backoff(minDelay, 3*minDelay, maxNoListSpread*3/2)
@@ -258,7 +260,7 @@
 	return min(int64(s.routers/rate*float64(second)), maxSpread)
 }
 
-// draw returns a random duration in [0, limit).
+// draw returns a random duration in [0, limit), or 0 if limit is not positive.
 func (s *CallSchedule) draw(limit int64) int64 {
 	if limit <= 0 {
 		return 0
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -19,9 +19,9 @@
 // File contains the settings of an operator's file.
 type File struct {
 	SocketPath    string                // path of the admin socket; empty: there is none
-	Cluster       *Cluster              // nil: this instance is stand-alone
-	Idle          *IdleConnections      // nil: the platform's defaults apply to clients' connections
-	ReadinessHold startup.ReadinessHold // zero: readiness is not delayed at startup
+	Cluster       *Cluster              // cluster of this instance; nil: the instance is stand-alone
+	Idle          *IdleConnections      // limits of clients' connections; nil: the platform's defaults apply
+	ReadinessHold startup.ReadinessHold // delay of readiness at startup; zero value: none
 
 	// Connections limits the connections to caches; nil: they are opened as attempts need them. The caller sets the
 	// fields Router, Seed and Routers, which are not in the file.
@@ -153,8 +153,8 @@
 	}
 }
 
-// SharedSettings returns the settings that must be compatible between all instances. routers is the number of
-// routers in the deployment, or 0 if it is unknown.
+// SharedSettings returns the settings that must be compatible between the files of all instances. routers is the
+// number of routers in the deployment, or 0 if it is unknown.
 func (f *File) SharedSettings(routers int) compatibility.Settings {
 	shared := compatibility.Settings{Routers: routers}
 	if f.Connections != nil {
--- a/internal/server/limits.go
+++ b/internal/server/limits.go
@@ -17,7 +17,7 @@
 
 // Shares of the configured memory.
 const (
-	// collectorMemoryShare is the Go runtime's soft memory limit, near which the garbage collector runs more often.
+	// collectorMemoryShare sets the Go runtime's soft memory limit, near which the garbage collector runs more often.
 	collectorMemoryShare = 0.7
 
 	// responseMemoryShare limits the memory of responses that wait for slow clients. The same limit applies
@@ -36,18 +36,18 @@
 )
 
 const (
-	// minSockets is used if fewer descriptors are configured, because shares of a smaller number would be too small
-	// to serve any client.
+	// minSockets replaces a smaller configured number of descriptors, because its shares would be too small to serve
+	// any client.
 	minSockets = 64
 
-	// defaultMemoryMB is used if no memory limit is configured, MiB.
+	// defaultMemoryMB takes the place of the configured memory if none is configured, MiB.
 	defaultMemoryMB = 64
 
 	// maxOpenRequestsPerClient is the largest number of requests in flight on one client's connection.
 	maxOpenRequestsPerClient = 32
 )
 
-// maxSockets returns how many descriptors may be open at once.
+// maxSockets returns how many descriptors may be open at once, at least minSockets.
 func (s *Server) maxSockets() int64 { return max(s.config.MaxSockets, minSockets) }
 
 // maxClientSockets returns how many descriptors may be open for clients' connections if the operator's file sets no
@@ -57,7 +57,7 @@
 // maxUpstreamSockets returns how many descriptors may be open for connections to endpoints.
 func (s *Server) maxUpstreamSockets() int { return int(upstreamSocketShare * float64(s.maxSockets())) }
 
-// memoryBytes returns a share of the configured memory, in bytes.
+// memoryBytes returns a share of the configured memory, or of defaultMemoryMB if none is configured, in bytes.
 func (s *Server) memoryBytes(share float64) int {
 	return int(share * float64(cmp.Or(s.config.MemoryMB, defaultMemoryMB)<<20))
 }
