--- a/internal/emulator/cache/capacity.go
+++ b/internal/emulator/cache/capacity.go
@@ -38,12 +38,12 @@
 	PeakLoad           float64 // while warming up: highest ratio of requests in a window to the overload limit
 	RefusedConnections int
 
-	startedAt   int64 // ns; time of the last start, 0: long ago
-	upAt        int64 // ns; time of the restart after the last crash
+	startedAt   int64 // ns; time of the last start, 0: so long ago that the cache is not warming up
+	upAt        int64 // ns; time of the restart after the last crash, 0: no crash so far
 	connections int
 	idleAt      int64           // ns; when all requests so far will have been served
 	arrivals    []int64         // ns; arrival times of the requests in the current window
-	cached      map[string]bool // the objects that are cached
+	cached      map[string]bool // by object: whether it is cached
 }
 
 // Response describes how a cache responds to one request.
--- a/internal/emulator/discoveryserver/discoveryserver.go
+++ b/internal/emulator/discoveryserver/discoveryserver.go
@@ -26,7 +26,7 @@
 // Call is one call that the service has received.
 type Call struct {
 	At          time.Time
-	LastEventID int // number of the last event that the caller already has
+	LastEventID int // number of the last event that the caller already has; 0: none
 	BytesSent   int
 
 	sentEventID int // number of the last event that was sent to the caller
@@ -42,9 +42,9 @@
 	listener    net.Listener
 	events      []string
 	published   chan struct{}      // closed and replaced when an event is published
-	connections map[net.Conn]*Call // open connections
+	connections map[net.Conn]*Call // open connections, each with its call
 	calls       []*Call
-	sendAt      time.Time // when the next bytes may be sent
+	sendAt      time.Time // earliest time at which the bandwidth allows more bytes
 }
 
 // Start starts a service on a free port of 127.0.0.1.
--- a/internal/experiment/coldstart/experiment.go
+++ b/internal/experiment/coldstart/experiment.go
@@ -96,25 +96,25 @@
 	Binary              string  `json:"binary"`
 	Fault               Fault   `json:"faults"`
 	Routers             int     `json:"routers"`
-	Calls               int     `json:"list_calls"` // to the discovery service
+	Calls               int     `json:"list_calls"` // number of calls to the discovery service
 	PeakCallsPerSecond  int     `json:"list_connects_peak_per_s"`
 	PeakCallsPer100MS   int     `json:"list_connects_peak_per_100ms"`
-	ListBytes           int     `json:"list_bytes"`             // sent by the discovery service
-	PeakConnections     int     `json:"cache_connections_peak"` // at any one cache
+	ListBytes           int     `json:"list_bytes"`             // bytes sent by the discovery service
+	PeakConnections     int     `json:"cache_connections_peak"` // highest number at any one cache
 	HealthyP50MS        float64 `json:"time_to_listed_p50_ms"`
 	HealthyP99MS        float64 `json:"time_to_listed_p99_ms"`
-	NeverHealthy        int     `json:"unlisted"` // number of routers
-	Sent                int     `json:"sent"`     // number of requests
+	NeverHealthy        int     `json:"unlisted"` // routers that were not healthy once
+	Sent                int     `json:"sent"`     // requests sent to all routers
 	ServedShare         float64 `json:"settled_share_first_10s"`
 	Lost                int     `json:"lost"` // requests that were never answered
 	HoldSeconds         float64 `json:"hold_s"`
 	PlannedConnections  bool    `json:"links"`
-	MaxConnections      int     `json:"cache_connections_held"` // that one cache accepts
+	MaxConnections      int     `json:"cache_connections_held"` // connections that one cache accepts
 	RefusedConnections  int     `json:"cache_connections_refused"`
-	PeakLoad            float64 `json:"cold_budget_worst_share"` // 1 is the load above which a cold cache crashes
+	PeakLoad            float64 `json:"cold_budget_worst_share"` // of a cache warming up; above 1 it crashes
 	CacheCrashes        int     `json:"caches_fallen"`
-	WarmP99MS           float64 `json:"time_to_whole_p99_ms"`  // from each router start to the phase startup.Warm
-	StaleListAttempts   int     `json:"stale_list_dispatches"` // at the draining cache, after drainGrace
+	WarmP99MS           float64 `json:"time_to_whole_p99_ms"`  // ms from a router's start to startup.Warm
+	StaleListAttempts   int     `json:"stale_list_dispatches"` // attempts at the draining cache after drainGrace
 	NotNotified         int     `json:"not_notified"`          // routers not notified of the drain in time
 	CPUMSPerRouter      float64 `json:"cpu_ms_a_router"`
 	ResidentKBPerRouter int64   `json:"resident_kb_a_router"`
--- a/internal/experiment/coldstart/play.go
+++ b/internal/experiment/coldstart/play.go
@@ -28,7 +28,7 @@
 
 	routerMemoryMB   = 32
 	routerMaxSockets = 256
-	warmUpDuration   = 8 * time.Second // of a cache that has just started
+	warmUpDuration   = 8 * time.Second // until a cache that has just started has its full capacity
 )
 
 // startupPhaseChanged is the name of the event that routers log when they enter another startup phase.
@@ -43,11 +43,11 @@
 	service      *discoveryserver.Service
 	caches       []*cache.Cache
 	endpoints    []string // the caches' entries in the endpoint list, as JSON
-	addresses    []string // at which the routers accept clients
-	operatorPath string   // of the operator's file; empty if there is none
+	addresses    []string // addresses on which the routers accept clients
+	operatorPath string   // path of the operator's file; empty if there is none
 	routers      []*testcluster.Process
 	startedAt    time.Time
-	healthyAtMS  []float64 // by router, since startedAt; 0 means not healthy yet
+	healthyAtMS  []float64 // by router: ms from startedAt until it was first healthy; 0: not yet
 
 	// attemptsBeforeDrain counts the attempts at the first cache before all routers had to stop sending to it.
 	attemptsBeforeDrain int
--- a/internal/experiment/coldstart/simulation.go
+++ b/internal/experiment/coldstart/simulation.go
@@ -38,7 +38,7 @@
 	Routers            int     `json:"routers"`
 	PeakCallsPerSecond int     `json:"list_connects_peak_per_s"`
 	BaselinePeak       int     `json:"before_peak_per_s"`
-	ReachedP99MS       float64 `json:"time_to_heard_p99_ms"` // from the end of the outage to a successful call
+	ReachedP99MS       float64 `json:"time_to_heard_p99_ms"` // from the outage's end to a router's successful call
 	BaselineReached    float64 `json:"before_time_to_heard_p99_ms"`
 	MaxCallsPerSecond  int     `json:"bound_connects_per_s"`
 	Calls              []int   `json:"-"` // number of calls in each second
--- a/internal/experiment/coldstartsim/plan.go
+++ b/internal/experiment/coldstartsim/plan.go
@@ -123,15 +123,15 @@
 const (
 	startTime           = int64(1e18)    // wall-clock time at which the run begins
 	startSpread         = int64(1e9)     // time within which all routers start
-	networkDelay        = int64(500_000) // of a message in one direction
+	networkDelay        = int64(500_000) // latency of a message in one direction
 	cacheServiceTime    = int64(60e6)
 	cacheFillTime       = int64(60e6) // added to cacheServiceTime if the object is not cached
 	cacheWarmUp         = int64(15e9)
 	cacheOverloadWindow = int64(15e8)
 	cacheDownTime       = int64(3e9)
 	faultDuration       = int64(5e9)  // how long the discovery service is down, or the time until routers are killed
-	clientTimeout       = int64(15e8) // of a client's request, with all its attempts
-	requestTimeout      = int64(1e9)  // of one attempt
+	clientTimeout       = int64(15e8) // longest duration of a client's request, with all its attempts
+	requestTimeout      = int64(1e9)  // longest duration of one attempt
 	unreadyRetryDelay   = int64(2e8)  // until a client whose router was not ready retries
 	impatientRetryDelay = int64(5e7)  // the longest delay of a client that ignores Retry-After
 )
--- a/internal/experiment/coldstartsim/result.go
+++ b/internal/experiment/coldstartsim/result.go
@@ -15,17 +15,17 @@
 	Baseline           bool     `json:"before"`
 	Routers            int      `json:"routers"`
 	PeakDiscoveryCalls int      `json:"list_connects_peak_per_s"` // most calls in one second, by all routers together
-	PeakConnections    int      `json:"cache_connections_peak"`   // highest number at one cache
-	MaxConnections     int      `json:"cache_connections_held"`   // that one cache accepts
+	PeakConnections    int      `json:"cache_connections_peak"`   // highest number of connections at one cache
+	MaxConnections     int      `json:"cache_connections_held"`   // connections that one cache accepts
 	RefusedConnections int      `json:"cache_connections_refused"`
-	PeakWarmUpLoad     float64  `json:"cold_budget_worst_share"` // 1 is the load above which a cold cache crashes
+	PeakWarmUpLoad     float64  `json:"cold_budget_worst_share"` // of a cache warming up; above 1 it crashes
 	Crashes            int      `json:"caches_fallen"`
-	TimeToEndpointsP99 float64  `json:"time_to_listed_p99_ms"` // -1 means never
-	TimeToWarmP99      float64  `json:"time_to_whole_p99_ms"`  // -1 means never
+	TimeToEndpointsP99 float64  `json:"time_to_listed_p99_ms"` // ms until a router has the endpoint list; -1: never
+	TimeToWarmP99      float64  `json:"time_to_whole_p99_ms"`  // ms until the phase startup.Warm; -1: never
 	Requests           int      `json:"sent"`
-	ServedFirst10s     float64  `json:"settled_share_first_10s"` // servedShare of the first firstSeconds seconds
-	Served             float64  `json:"settled_share"`           // share of all requests
-	RecoveryTime       float64  `json:"usual_service_again_s"`   // s after the end of the fault; -1 means never
+	ServedFirst10s     float64  `json:"settled_share_first_10s"` // share served of requests begun in firstSeconds
+	Served             float64  `json:"settled_share"`           // share of all requests that were served
+	RecoveryTime       float64  `json:"usual_service_again_s"`   // s from the end of the fault to recovery; -1: never
 	Lost               int      `json:"lost"`                    // requests that a running router never answered
 	Connects           int      `json:"connects"`                // connection attempts to caches
 	Seconds            []Second `json:"-"`
@@ -33,12 +33,12 @@
 
 // Second holds the counts of one second of a run.
 type Second struct {
-	Calls           int // to the discovery service
+	Calls           int // calls to the discovery service
 	Connects        int // connection attempts to caches
 	Wanted          int // client requests that began in this second
 	Served          int // client requests that began in this second and were served, then or later
-	Crashes         int // of caches
-	PeakConnections int // highest number at one cache so far; 0 if no connection was established in this second
+	Crashes         int // crashes of caches
+	PeakConnections int // highest number of connections at one cache so far; 0: none was established in this second
 }
 
 // String returns the result as JSON.
--- a/internal/experiment/heartbeatgossip/table.go
+++ b/internal/experiment/heartbeatgossip/table.go
@@ -109,8 +109,8 @@
 	return messages
 }
 
-// entries returns the entries of this instance and of members whose counter was incremented recently. Older entries
-// are omitted: otherwise instances would keep reminding each other of dead members, and none would be forgotten.
+// entries returns the entries of this instance and of members whose counter was incremented recently. The other
+// members are omitted: otherwise instances would keep sending each other the dead ones, and none would be forgotten.
 func (table *Table) entries(now int64) []Entry {
 	entries := []Entry{table.self}
 	for _, name := range table.names() {
--- a/internal/experiment/idleconnections/bench.go
+++ b/internal/experiment/idleconnections/bench.go
@@ -128,7 +128,7 @@
 	goroutines  int
 	memoryBytes uint64 // heap and stacks after a garbage collection
 	residentKB  int64
-	cpuSeconds  float64 // since the routers started
+	cpuSeconds  float64 // processor time used since the routers started
 }
 
 // usage returns what all routers use together. For a router that has no admin socket, or does not answer on it, only
--- a/internal/experiment/idleconnections/client.go
+++ b/internal/experiment/idleconnections/client.go
@@ -29,7 +29,7 @@
 const (
 	clientWorkers     = 64 // connections that are handled concurrently
 	clientDialTimeout = 10 * time.Second
-	clientTimeout     = 20 * time.Second // of a health check
+	clientTimeout     = 20 * time.Second // longest wait for the response to a health check
 
 	// If a new connection fails, the client retries every clientRetryInterval for clientRetryDuration, as real
 	// clients do.
--- a/internal/experiment/idleconnections/experiment.go
+++ b/internal/experiment/idleconnections/experiment.go
@@ -51,7 +51,7 @@
 	Counts         []int         // numbers of idle connections, in ascending order from 0
 	MaxPerRouter   int           // largest number of connections to one router process
 	Rate           float64       // active traffic, requests per second to all routers together
-	Duration       time.Duration // of active traffic for each row
+	Duration       time.Duration // how long active traffic is sent for each Row
 	IdleTimeout    time.Duration // for measuring the expiry of all connections; 0 skips that
 	Progress       io.Writer     // receives a line for each step
 }
@@ -68,7 +68,7 @@
 	LatencyP99MS        float64 `json:"active_p99_ms"`
 	LatencyP999MS       float64 `json:"active_p999_ms"`
 	ServedShare         float64 `json:"settled_share"`
-	CPUShare            float64 `json:"cpu_share"`   // of the core that all routers share
+	CPUShare            float64 `json:"cpu_share"`   // fraction used of the core that all routers share
 	OpenSeconds         float64 `json:"opened_in_s"` // time to open the connections that the previous row did not have
 }
 
--- a/internal/experiment/leases/experiment.go
+++ b/internal/experiment/leases/experiment.go
@@ -72,7 +72,7 @@
 	IdleCPUPercent      float64 `json:"idle_cpu_percent_of_a_core"`
 	FramesPerSecond     float64 `json:"frames_per_second_an_instance"`
 	ResidentKB          int64   `json:"resident_kb"`
-	UnsharedCPUPercent  float64 `json:"cpu_percent_without_operator"` // of an instance without an operator's file
+	UnsharedCPUPercent  float64 `json:"cpu_percent_without_operator"` // of one instance that shares no leases
 	UnsharedResidentKB  int64   `json:"resident_kb_without_operator"`
 	GapBoundMS          float64 `json:"bound_ms"` // bound of GapP99MS
 	BrokenBounds        string  `json:"bounds_broken,omitempty"`
--- a/internal/experiment/leasesim/faults.go
+++ b/internal/experiment/leasesim/faults.go
@@ -20,8 +20,8 @@
 // Limits of what injectFault draws.
 const (
 	maxLoss          = 0.3 // largest share of messages that are lost
-	maxLatencyHalves = 3   // mean latency, in halves of a lease duration
-	maxPauseLeases   = 4   // pause, in lease durations
+	maxLatencyHalves = 3   // highest mean latency, in halves of a lease duration
+	maxPauseLeases   = 4   // longest pause, in lease durations
 )
 
 // injectFault starts a random fault. With a probability of one half it then ends all network faults at once.
--- a/internal/experiment/leasesim/plan.go
+++ b/internal/experiment/leasesim/plan.go
@@ -51,7 +51,7 @@
 	hosts       []*simulation.Host
 	holders     []int                // index of the holder of each slot, or noHolder
 	ballots     []uint64             // highest ballot of each slot so far
-	lastProbes  map[string]sentProbe // by name of the endpoint
+	lastProbes  map[string]sentProbe // last probe of each endpoint, by its name
 	leasedSlots int                  // slots that have a holder
 	leasedTime  float64              // ns with a holder, summed over all slots
 	result      Result
--- a/internal/experiment/leasesim/result.go
+++ b/internal/experiment/leasesim/result.go
@@ -24,7 +24,7 @@
 	Partitions      int     `json:"splits"`
 	Messages        int     `json:"messages"`
 	Probes          int     `json:"probes"`
-	ExpectedProbes  float64 `json:"probes_of_an_undisturbed_owner"` // if each slot always had one holder
+	ExpectedProbes  float64 `json:"probes_of_an_undisturbed_owner"` // probes if each slot always had one holder
 	LeasedShare     float64 `json:"owned_share"`                    // share of time with a holder, mean over all slots
 }
 
--- a/internal/experiment/membership/experiment.go
+++ b/internal/experiment/membership/experiment.go
@@ -23,7 +23,7 @@
 	MaxDetectionMS       = 3000. // until all others have detected a kill
 	MaxOneWayDetectionMS = 5000. // until all others have detected an instance with a one-way fault
 	MaxDisagreementMS    = 5000. // until all views are equal after a fault
-	MaxLinks             = 16    // between an instance and the instances that it monitors or that monitor it
+	MaxLinks             = 16    // links between an instance and those that it monitors or that monitor it
 
 	operatorOptions = "(membership (interval 500ms) (silence 2100ms))"
 	maxVoters       = 5
@@ -66,7 +66,7 @@
 	ViewChanges          float64       `json:"view_changes"`
 	FormedMS             float64       `json:"formed_ms"`          // until every instance believes all others alive
 	SlotsLeasedMS        float64       `json:"all_slots_owned_ms"` // from the start until all slots have a holder
-	IdleCPUShare         float64       `json:"cpu_share_idle"`     // of a core, mean over all instances
+	IdleCPUShare         float64       `json:"cpu_share_idle"`     // fraction of a core, mean over all instances
 	ResidentKB           int64         `json:"resident_kb"`
 	Faults               []FaultResult `json:"-"`
 }
--- a/internal/experiment/membershipsim/protocol.go
+++ b/internal/experiment/membershipsim/protocol.go
@@ -23,7 +23,7 @@
 	connections() int
 }
 
-// message is a message to another member. One of gossip and heartbeats is set.
+// message is a message to another member. Exactly one of gossip and heartbeats is set.
 type message struct {
 	to         string
 	gossip     membership.Gossip       // set by membershipProtocol
@@ -32,11 +32,11 @@
 }
 
 const (
-	frameHeaderBytes      = 4          // length prefix of a frame
-	tlsRecordBytes        = 22         // what TLS 1.3 adds to a record
-	baselineOverheadBytes = 40         // frame, TLS record and message around the entries
+	frameHeaderBytes      = 4          // bytes of a frame's length prefix
+	tlsRecordBytes        = 22         // bytes that TLS 1.3 adds to a record
+	baselineOverheadBytes = 40         // bytes of frame, TLS record and message around the entries
 	typicalBallot         = 1 << 40    // has the encoded length of a typical ballot
-	digestFactor          = uint64(31) // of the polynomial hash over the bytes of names
+	digestFactor          = uint64(31) // multiplier of the polynomial hash over the bytes of names
 )
 
 // encodedLength returns the length of a value's CBOR encoding.
--- a/internal/experiment/membershipsim/result.go
+++ b/internal/experiment/membershipsim/result.go
@@ -18,7 +18,7 @@
 	Baseline     bool    `json:"before"`
 	Seconds      float64 `json:"simulated_s"`
 	Kills        int     `json:"kills"`
-	DetectionP50 float64 `json:"detect_p50_ms"` // until all healthy members believe a killed one dead
+	DetectionP50 float64 `json:"detect_p50_ms"` // ms until all healthy members believe a killed one dead
 	DetectionP99 float64 `json:"detect_p99_ms"`
 	MaxDetection float64 `json:"detect_max_ms"`
 	MissedKills  int     `json:"kills_not_believed_by_all"`
--- a/internal/experiment/sharedconfigsim/plan.go
+++ b/internal/experiment/sharedconfigsim/plan.go
@@ -49,7 +49,7 @@
 	network   *simulation.Network
 	instances []*simulatedInstance
 	byName    map[string]*simulatedInstance
-	hosts     []*simulation.Host // of the instances
+	hosts     []*simulation.Host // one host for each instance
 	initial   []byte             // content of the first version of the configuration
 	voters    []string
 	measured  measurements
--- a/internal/experiment/sharedconfigsim/result.go
+++ b/internal/experiment/sharedconfigsim/result.go
@@ -18,7 +18,7 @@
 	Contradictions int     `json:"contradictions"`
 	MaxOverlapMS   float64 `json:"contradiction_max_ms"` // longest time for which two versions were in use at once
 	OverlapBoundMS float64 `json:"bound_ms"`             // upper bound of MaxOverlapMS
-	InForceP50     float64 `json:"in_force_p50_ms"`      // from acceptance of a change until all use it
+	InForceP50     float64 `json:"in_force_p50_ms"`      // ms from acceptance of a change until all use it
 	InForceP99     float64 `json:"in_force_p99_ms"`
 	InactiveShare  float64 `json:"floor_share_of_time"` // share of running instances without an active version
 	// PeakSlowStartShare is the largest sum, over all instances, of their shares of the budget of a cache in slow
@@ -47,8 +47,8 @@
 	timesToInForce     []float64        // ms from the acceptance of each change until all used it
 	acceptedAt         map[uint64]int64 // by version number, of changes that are not yet in force
 	firstUsedAt        map[uint64]int64 // when each version was first seen in use, by version number
-	runningInstances   int              // summed over the observations
-	inactiveInstances  int              // summed over the observations
+	runningInstances   int              // running instances, summed over the observations
+	inactiveInstances  int              // running instances without an active version, summed over the observations
 	peakSlowStartShare float64
 	incompatiblePairs  map[contentPair]bool // cached results of compatibility.Incompatible
 }
--- a/internal/experiment/simulation/faults.go
+++ b/internal/experiment/simulation/faults.go
@@ -73,7 +73,7 @@
 // Clock is a process's monotonic clock, which runs a little faster or slower than simulated time.
 type Clock struct {
 	startedAt int64   // simulated time at which the clock read 0
-	rate      float64 // of the clock, relative to simulated time
+	rate      float64 // ns by which the clock advances per ns of simulated time
 }
 
 // NewClock creates a clock with a random rate between 1-maxDrift and 1+maxDrift.
--- a/internal/experiment/testcluster/cluster.go
+++ b/internal/experiment/testcluster/cluster.go
@@ -66,7 +66,7 @@
 // Cluster is a set of router processes and the emulated services that they connect to.
 type Cluster struct {
 	Config
-	Names     []string // of the instances
+	Names     []string // names of the instances
 	Caches    []*cache.Cache
 	Relays    map[Link]*relay.Relay
 	Discovery *discoveryserver.Service
@@ -77,7 +77,7 @@
 
 	mu      sync.Mutex
 	lines   []LogLine      // guarded by mu; logged by all instances so far
-	readers sync.WaitGroup // of the instances' logs
+	readers sync.WaitGroup // goroutines that read the instances' logs
 }
 
 // instance is one router of a cluster.
--- a/internal/experiment/testcluster/files.go
+++ b/internal/experiment/testcluster/files.go
@@ -22,7 +22,7 @@
 	WatchEvents    json.RawMessage // watch events that the router knows at its start; nil is none
 	Routers        int             // number of routers, according to the settings
 	HealthChecks   bool            // the settings allow health checks, and caches report their load
-	WarmUpDuration int             // of a cache, in s
+	WarmUpDuration int             // how long a cache that has just started is warming up, in s
 }
 
 // routerFile is the layout of a router's configuration file.
--- a/internal/testkit/stalls_test.go
+++ b/internal/testkit/stalls_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// The total is the sum of all stalls. Timer delays shorter than minStall do not count.
+// Total must include every stall, not only the longest, and leave out timer delays shorter than minStall.
 func TestStallsAddUp(t *testing.T) {
 	start := time.Now().Add(-time.Second)
 	watch := newStallWatch(start)
@@ -113,7 +113,7 @@
 	}
 }
 
-// The threads of the test's process are found, and at least one of them is running.
+// Guards against a misread /proc: the threads of the test's process must be found, and at least one must be running.
 func TestReadThreads(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("thread times are read from /proc, which only Linux has")
