--- a/internal/experiment/coldstart/experiment.go
+++ b/internal/experiment/coldstart/experiment.go
@@ -91,7 +91,7 @@
 	PlanConnections bool
 }
 
-// Result holds what one run measured. Times are counted from the start of the routers.
+// Result holds what one run measured. Times are counted from the start of the routers, unless a field says otherwise.
 type Result struct {
 	Binary              string  `json:"binary"`
 	Fault               Fault   `json:"faults"`
--- a/internal/experiment/coldstart/play.go
+++ b/internal/experiment/coldstart/play.go
@@ -53,7 +53,7 @@
 	attemptsBeforeDrain int
 
 	mu     sync.Mutex
-	warmMS []float64 // guarded by mu; time from each router start to the phase startup.Warm
+	warmMS []float64 // guarded by mu; ms from each router's start to the phase startup.Warm
 }
 
 func (r *experimentRun) run(ctx context.Context) (Result, error) {
--- a/internal/experiment/command/agree.go
+++ b/internal/experiment/command/agree.go
@@ -43,7 +43,7 @@
 }
 
 func agree(_ context.Context, cmd *cli.Command) error {
-	var broken []string // numbers of instances whose run broke a bound
+	var broken []string // instance counts of the runs that broke a bound
 	for _, word := range strings.Split(cmd.String("instances"), ",") {
 		instances, err := strconv.Atoi(word)
 		if err != nil || instances < 1 || cmd.Float64("virtual") <= 0 {
--- a/internal/experiment/descriptors/methods.go
+++ b/internal/experiment/descriptors/methods.go
@@ -87,8 +87,8 @@
 	watcher *poller.Poller
 
 	mu          sync.Mutex
-	descriptors []int32    // guarded by mu; indexed by key
-	resumed     []net.Conn // guarded by mu
+	descriptors []int32    // guarded by mu; by key: a connection's descriptor, or resumedDescriptor
+	resumed     []net.Conn // guarded by mu; the resumed connections, in the order in which they were resumed
 }
 
 // resume turns the suspended connection with a key back into a net.Conn, and reports whether that succeeded.
--- a/internal/experiment/heartbeatgossip/table.go
+++ b/internal/experiment/heartbeatgossip/table.go
@@ -17,7 +17,7 @@
 // incarnation holds the heartbeat counter of one start of an instance.
 type incarnation struct {
 	heartbeat     uint64
-	heardAt       int64 // when an entry with this counter was received
+	heardAt       int64 // when an entry with this counter was first received
 	incrementedAt int64 // when the instance incremented the counter, computed from the entry's age
 }
 
@@ -164,16 +164,17 @@
 	return table.add(now, entry.Name)
 }
 
-// update updates a member from an entry. Entries of a former incarnation circulate for a while. They are ignored,
-// because their counter no longer increases.
+// update updates a member from an entry. It returns the change of the member's state, or false if the state is the
+// same as before. Entries of a former incarnation circulate for a while. They have no effect, because their counter no
+// longer increases.
 func (table *Table) update(now int64, member *memberState, entry Entry) (Change, bool) {
 	known := member.incarnations[entry.Incarnation]
 	switch {
 	case known != nil && entry.Heartbeat <= known.heartbeat:
 		return Change{}, false
 	case known == nil && entry.Age > deadIntervals*table.config.Interval:
-		// This is an incarnation that the table has forgotten. If instances accepted it as new, they would keep
-		// passing it on to each other, and there would always be some that know it.
+		// The entry is too old to be of a new incarnation, so it is of one that the table has forgotten. If
+		// instances accepted it, they would keep passing it on to each other and none would forget it.
 		return Change{}, false
 	case known == nil && len(member.incarnations) >= maxIncarnations:
 		table.rejected++
--- a/internal/experiment/heartbeatgossip/types.go
+++ b/internal/experiment/heartbeatgossip/types.go
@@ -50,7 +50,7 @@
 	Name        string  `cbor:"1,keyasint"`
 	Incarnation uint64  `cbor:"2,keyasint"` // identifies one start of the instance
 	Heartbeat   uint64  `cbor:"3,keyasint"` // counter that only the instance itself increments
-	Address     string  `cbor:"4,keyasint"` // at which the instance accepts connections
+	Address     string  `cbor:"4,keyasint"` // address on which the instance accepts connections
 	Weight      float64 `cbor:"5,keyasint"` // determines its share of the leases
 	Leaving     bool    `cbor:"6,keyasint,omitempty"`
 	Epoch       uint64  `cbor:"7,keyasint,omitempty"` // voter epoch of the instance
@@ -68,7 +68,7 @@
 type Config struct {
 	Self            Entry
 	Contacts        []Contact
-	Interval        int64 // between two heartbeats
+	Interval        int64 // time between two heartbeats of an instance
 	ReplacedTimeout int64 // time without news after which a former incarnation no longer counts as a duplicate
 	Seed            uint64
 }
--- a/internal/experiment/idleconnections/bench.go
+++ b/internal/experiment/idleconnections/bench.go
@@ -165,7 +165,7 @@
 	return count, nil
 }
 
-// load sends active traffic to all routers together, rate requests per second, for the duration.
+// load sends active traffic for the duration, at a rate in requests per second to all routers together.
 func (b *testbed) load(ctx context.Context, rate float64, duration time.Duration) (testcluster.LoadResult, error) {
 	addresses := b.ClientAddresses()
 	return testcluster.Load{
--- a/internal/experiment/idleconnections/experiment.go
+++ b/internal/experiment/idleconnections/experiment.go
@@ -50,9 +50,9 @@
 	ResultsDir     string
 	Counts         []int         // numbers of idle connections, in ascending order from 0
 	MaxPerRouter   int           // largest number of connections to one router process
-	Rate           float64       // active traffic, requests per second to all routers together
+	Rate           float64       // requests per second of active traffic to all routers together
 	Duration       time.Duration // how long active traffic is sent for each Row
-	IdleTimeout    time.Duration // for measuring the expiry of all connections; 0 skips that
+	IdleTimeout    time.Duration // idle timeout when the expiry of connections is measured; 0 skips that
 	Progress       io.Writer     // receives a line for each step
 }
 
--- a/internal/experiment/idleconnections/measure.go
+++ b/internal/experiment/idleconnections/measure.go
@@ -63,7 +63,8 @@
 	return seconds, err
 }
 
-// measureRow measures active traffic while the idle connections stay open.
+// measureRow measures active traffic while the idle connections stay open. It sets the fields of row that depend on
+// this traffic, and returns what the routers use after it.
 func (r *experimentRun) measureRow(ctx context.Context, b *testbed, row *Row) (usage, error) {
 	duration := r.Duration
 	if row.Version == Baseline {
--- a/internal/experiment/leases/experiment.go
+++ b/internal/experiment/leases/experiment.go
@@ -74,7 +74,7 @@
 	ResidentKB          int64   `json:"resident_kb"`
 	UnsharedCPUPercent  float64 `json:"cpu_percent_without_operator"` // of one instance that shares no leases
 	UnsharedResidentKB  int64   `json:"resident_kb_without_operator"`
-	GapBoundMS          float64 `json:"bound_ms"` // bound of GapP99MS
+	GapBoundMS          float64 `json:"bound_ms"` // upper bound of GapP99MS
 	BrokenBounds        string  `json:"bounds_broken,omitempty"`
 	Probes              int     `json:"probes"` // health checks that caches received while faults were injected
 	Seconds             float64 `json:"seconds"`
--- a/internal/experiment/leases/summary.go
+++ b/internal/experiment/leases/summary.go
@@ -89,7 +89,8 @@
 	}
 }
 
-// windowCost returns the load of the health checks in the warm-up window that starts with the first one.
+// windowCost returns the load of the health checks in the warm-up window that starts with the first one, in load
+// units.
 func windowCost(probes []cache.HealthCheck) float64 {
 	cost := 0.
 	for _, probe := range probes {
--- a/internal/experiment/leasesim/instance.go
+++ b/internal/experiment/leasesim/instance.go
@@ -16,7 +16,7 @@
 	name         string
 	index        int
 	clock        simulation.Clock
-	wallOffsetMS int64 // error of its wall clock
+	wallOffsetMS int64 // ms by which its wall clock is ahead of the right time; negative if behind
 	host         simulation.Host
 	node         *cluster.Node
 	timerAt      int64 // simulated time at which the node's timer fires
--- a/internal/experiment/leasesim/plan.go
+++ b/internal/experiment/leasesim/plan.go
@@ -17,8 +17,8 @@
 type Plan struct {
 	Instances     int
 	Slots         int
-	Targets       int     // endpoints to probe
-	Hours         float64 // simulated time
+	Targets       int     // number of endpoints to probe
+	Hours         float64 // simulated time in hours
 	ClockSteps    bool    // faults include setting a wall clock back or forward by an hour
 	Seed          uint64
 	LeaseDuration time.Duration
@@ -29,8 +29,8 @@
 	maxVoters         = 5                  // the first instances are voters, up to this number
 	maxClockDrift     = 0.01               // largest relative error of a monotonic clock's rate
 	hour              = 3600e9             // length of an hour in ns
-	wallClockMS       = int64(1.7e12)      // what wall clocks show at the start of the run
-	wallClockStepMS   = int64(3600 * 1000) // one hour
+	wallClockMS       = int64(1.7e12)      // reading of a right wall clock at the start, in ms since the Unix epoch
+	wallClockStepMS   = int64(3600 * 1000) // one hour in ms
 	probePeriod       = int64(1e9)         // ns between two probes of an endpoint
 	probeTimeout      = int64(5e8)         // ns that an instance waits for the response to a probe
 	firstFaultLeases  = 4                  // time of the first fault, in lease durations
@@ -49,8 +49,8 @@
 	instances   []*simulatedInstance
 	indexes     map[string]int // indexes of instances, by name
 	hosts       []*simulation.Host
-	holders     []int                // index of the holder of each slot, or noHolder
-	ballots     []uint64             // highest ballot of each slot so far
+	holders     []int                // by slot: index of the holder, or noHolder
+	ballots     []uint64             // by slot: highest ballot so far
 	lastProbes  map[string]sentProbe // last probe of each endpoint, by its name
 	leasedSlots int                  // slots that have a holder
 	leasedTime  float64              // ns with a holder, summed over all slots
@@ -59,7 +59,7 @@
 
 // sentProbe records when an endpoint was last probed, and by which instance.
 type sentProbe struct {
-	at     int64 // simulated time
+	at     int64 // simulated time in ns
 	holder int   // index of the instance
 }
 
--- a/internal/experiment/membership/experiment.go
+++ b/internal/experiment/membership/experiment.go
@@ -56,7 +56,7 @@
 	DetectionP99MS       float64       `json:"detect_p99_ms"`
 	DetectionMaxMS       float64       `json:"detect_max_ms"`
 	UndetectedKills      int           `json:"kills_not_believed_by_all"`
-	FalseDeaths          int           `json:"false_deaths"` // logged deaths of live instances
+	FalseDeaths          int           `json:"false_deaths"` // logged deaths of instances that were alive
 	Pauses               int           `json:"pauses"`
 	OneWayDetectionMaxMS float64       `json:"oneway_judged_max_ms"` // until all others have detected a one-way fault
 	UndetectedOneWay     int           `json:"oneway_not_judged"`
--- a/internal/experiment/membership/fault.go
+++ b/internal/experiment/membership/fault.go
@@ -56,7 +56,7 @@
 	starveRunning     = 5 * time.Millisecond
 )
 
-// pauses are the durations of the fault Pause, which takes the next one each time.
+// pauses lists how long a Pause stops its victim. Successive faults of this kind take the durations in turn.
 var pauses = []time.Duration{500 * time.Millisecond, maxUndetectedPause, 5 * time.Second}
 
 // FaultResult is the outcome of one fault.
@@ -64,7 +64,7 @@
 	Kind           Fault
 	Victim         string
 	DetectionMS    float64 `json:"MS"`       // until all others had detected it; 0 if they did not or need not
-	FalseDeaths    int     `json:"False"`    // logged deaths of live instances
+	FalseDeaths    int     `json:"False"`    // logged deaths of instances that were alive
 	DisagreementMS float64 `json:"AgreedMS"` // from the end of the fault until all have the same view
 }
 
@@ -73,7 +73,7 @@
 	*experimentRun
 	victimIndex int
 	victim      string
-	others      []string // all but the victim
+	others      []string // names of all instances but the victim
 	startedAt   time.Time
 	excluded    []string // deaths of these instances, and deaths that they log, do not count as false
 	result      FaultResult
--- a/internal/experiment/membershipsim/observe.go
+++ b/internal/experiment/membershipsim/observe.go
@@ -17,15 +17,15 @@
 type measurements struct {
 	kills          int
 	missedKills    int
-	detections     []float64 // ms from each kill until it was detected
+	detections     []float64 // ms from each kill until all other healthy members believed the victim dead
 	pauses         int
 	missedOneWay   int
 	maxOneWay      float64 // longest time in ms until a one-way fault was detected
 	falseDeaths    int
 	believedDead   map[directedPair]bool // pairs of observer and member whose false death was counted
 	maxDifference  float64               // longest time in ms for which views differed
-	differSince    int64                 // when views began to differ, or notDiffering
-	formedAt       int64                 // when all first believed all others alive, or notFormed
+	differSince    int64                 // ns; when views began to differ, or notDiffering
+	formedAt       int64                 // ns; when all first believed all others alive, or notFormed
 	bytes          int
 	messages       int
 	faultFreeBytes int
--- a/internal/experiment/membershipsim/plan.go
+++ b/internal/experiment/membershipsim/plan.go
@@ -18,7 +18,7 @@
 	Duration          time.Duration // simulated time
 	Seed              uint64
 	HeartbeatInterval time.Duration
-	SilenceTimeout    time.Duration // after which a silent neighbour is suspected; the baseline has none
+	SilenceTimeout    time.Duration // silence until a neighbour is suspected; 0: the default; the baseline has none
 	Loss              float64       // fraction of messages lost during the whole run
 	Faults            []Fault
 	FaultInterval     time.Duration // mean time between two faults; 0 injects none
@@ -36,16 +36,16 @@
 // runState holds the simulated members and network of one run, the current faults and the measurements so far.
 type runState struct {
 	plan      Plan
-	interval  int64 // between heartbeats, ns
+	interval  int64 // ns between two heartbeats of a member
 	random    *rand.Rand
 	scheduler *simulation.Scheduler
 	network   *simulation.Network
 	members   []*simulatedMember
 	byName    map[string]*simulatedMember
 
-	cutLinks       map[directedPair]bool // messages in these directions are lost
+	cutLinks       map[directedPair]bool // directions in which messages are lost
 	duplicateSends bool                  // half of all messages arrive twice
-	faultFreeFrom  int64                 // end of the current fault and its effects
+	faultFreeFrom  int64                 // ns; end of the latest fault and of its effects
 
 	measured measurements
 }
--- a/internal/experiment/membershipsim/result.go
+++ b/internal/experiment/membershipsim/result.go
@@ -22,18 +22,18 @@
 	DetectionP99 float64 `json:"detect_p99_ms"`
 	MaxDetection float64 `json:"detect_max_ms"`
 	MissedKills  int     `json:"kills_not_believed_by_all"`
-	FalseDeaths  int     `json:"false_deaths"` // unjustified beliefs, each of one member about another
+	FalseDeaths  int     `json:"false_deaths"` // times that a member wrongly believed another one dead
 	Pauses       int     `json:"pauses"`
-	// MaxOneWayDetection is the longest time until all others believed a member with a one-way fault dead.
+	// MaxOneWayDetection is the longest time in ms until all others believed a member with a one-way fault dead.
 	MaxOneWayDetection float64 `json:"oneway_judged_max_ms"`
 	MissedOneWayFaults int     `json:"oneway_not_judged"`
-	// MaxDisagreement is the longest time for which views differed after a fault and its effects had ended.
+	// MaxDisagreement is the longest time in ms for which views differed after a fault and its effects had ended.
 	MaxDisagreement         float64 `json:"disagree_max_ms"`
 	BytesPerSecond          float64 `json:"bytes_per_member_per_s"`
 	FaultFreeBytesPerSecond float64 `json:"bytes_per_member_per_s_calm"` // while there is no fault
 	MessagesPerSecond       float64 `json:"messages_per_member_per_s"`
 	MaxConnections          int     `json:"links_per_member_max"`
-	ViewChanges             float64 `json:"view_changes"` // changes of the view, mean over all members
+	ViewChanges             float64 `json:"view_changes"` // changes of a member's view, mean over all members
 
 	// TimeToFormMS is the time from the end of the plan's StartSpread until all members believed all others alive, or
 	// -1 if they never did.
--- a/internal/experiment/sharedconfigsim/plan.go
+++ b/internal/experiment/sharedconfigsim/plan.go
@@ -28,10 +28,10 @@
 	maxVoters     = 5    // the first instances are voters, up to this number
 	maxClockDrift = 0.01 // largest relative error of a monotonic clock's rate
 	slots         = 64
-	purgeWindow   = second * 6  // PurgeWindow of the first settings, ns
+	purgeWindow   = second * 6  // ns; PurgeWindow in the first version of the settings
 	second        = int64(1e9)  // one second in ns
 	millisecond   = int64(1e6)  // one millisecond in ns
-	wallClockMS   = int64(1e12) // what the wall clock shows at the start of the run
+	wallClockMS   = int64(1e12) // ms since the Unix epoch that the wall clock shows at the start of the run
 
 	observationsPerRenewal = 10
 	firstEventAfterLeases  = 4 // time of the first event, in lease durations
@@ -114,7 +114,7 @@
 
 func (s *runState) now() int64 { return s.scheduler.Now() }
 
-// wallMS returns the time of the wall clock, which all instances share, in ms since the epoch.
+// wallMS returns the time of the wall clock, which all instances share, in ms since the Unix epoch.
 func (s *runState) wallMS() int64 { return wallClockMS + s.now()/millisecond }
 
 func (s *runState) observationInterval() int64 {
--- a/internal/experiment/sharedconfigsim/result.go
+++ b/internal/experiment/sharedconfigsim/result.go
@@ -11,8 +11,8 @@
 type Result struct {
 	Instances int     `json:"instances"`
 	Hours     float64 `json:"hours"`
-	Changes   int     `json:"changes"`          // proposed and not rejected by the proposing instance
-	InForce   int     `json:"changes_in_force"` // used by all running instances at some moment
+	Changes   int     `json:"changes"`          // changes proposed and not rejected by the proposing instance
+	InForce   int     `json:"changes_in_force"` // changes that all running instances used at some moment
 	Rejected  int     `json:"changes_refused"`
 	// Contradictions counts pairs of incompatible versions in use at once, summed over all observations.
 	Contradictions int     `json:"contradictions"`
@@ -45,8 +45,8 @@
 	contradictions     int
 	maxOverlapMS       float64
 	timesToInForce     []float64        // ms from the acceptance of each change until all used it
-	acceptedAt         map[uint64]int64 // by version number, of changes that are not yet in force
-	firstUsedAt        map[uint64]int64 // when each version was first seen in use, by version number
+	acceptedAt         map[uint64]int64 // ns; when a change was accepted that is not yet in force, by version number
+	firstUsedAt        map[uint64]int64 // ns; when each version was first seen in use, by version number
 	runningInstances   int              // running instances, summed over the observations
 	inactiveInstances  int              // running instances without an active version, summed over the observations
 	peakSlowStartShare float64
--- a/internal/experiment/simulation/scheduler.go
+++ b/internal/experiment/simulation/scheduler.go
@@ -16,7 +16,7 @@
 	onAdvance func(elapsed int64)
 }
 
-// NewScheduler creates a scheduler whose clock starts at a time.
+// NewScheduler creates a scheduler without events, whose clock shows start until the first event runs.
 func NewScheduler(start int64) *Scheduler { return &Scheduler{now: start} }
 
 // Now returns the time of the current event.
--- a/internal/experiment/testcluster/cluster.go
+++ b/internal/experiment/testcluster/cluster.go
@@ -25,7 +25,7 @@
 	defaultMaxSockets = 1024
 	defaultMemoryMB   = 32
 
-	// certificateLifetime is longer than any experiment.
+	// certificateLifetime is how long the instances' certificates are valid. No experiment runs as long.
 	certificateLifetime = 12 * time.Hour
 )
 
@@ -39,7 +39,7 @@
 
 	LeaseDuration time.Duration
 	RenewInterval time.Duration
-	ProbePeriod   time.Duration // between two health checks of one cache
+	ProbePeriod   time.Duration // time between two health checks of one cache
 
 	// WithoutOperatorFile starts instances that share no leases and have no admin socket.
 	WithoutOperatorFile bool
@@ -55,8 +55,8 @@
 	// ShareCore runs all instances on one processor core, RouterCore.
 	ShareCore bool
 
-	MaxSockets int // per instance; 0 is defaultMaxSockets
-	MemoryMB   int // per instance; 0 is defaultMemoryMB
+	MaxSockets int // sockets that an instance may open; 0 is defaultMaxSockets
+	MemoryMB   int // memory limit of an instance; 0 is defaultMemoryMB
 	Voters     int // number of voters, which are the first instances; 0 makes all instances voters
 }
 
@@ -73,10 +73,10 @@
 	Root      *certificates.Root // issues the instances' certificates
 
 	voters    string               // content of the (voters …) list in operator's files
-	instances map[string]*instance // by name
+	instances map[string]*instance // instances, by name
 
 	mu      sync.Mutex
-	lines   []LogLine      // guarded by mu; logged by all instances so far
+	lines   []LogLine      // guarded by mu; events that the instances have logged so far
 	readers sync.WaitGroup // goroutines that read the instances' logs
 }
 
--- a/internal/experiment/testcluster/faults.go
+++ b/internal/experiment/testcluster/faults.go
@@ -12,10 +12,10 @@
 // Any selects all instances.
 func Any(string) bool { return true }
 
-// Only selects one instance.
+// Only returns a selector of the instance with a name.
 func Only(name string) Selector { return func(other string) bool { return other == name } }
 
-// Not selects the instances that a selector does not select.
+// Not returns a selector of the instances that the given selector does not select.
 func Not(selector Selector) Selector { return func(name string) bool { return !selector(name) } }
 
 // SetLinks sets the conditions of the links on which the instances selected by from open connections to those
--- a/internal/experiment/testcluster/load.go
+++ b/internal/experiment/testcluster/load.go
@@ -22,7 +22,7 @@
 	loadObjects = 200
 
 	maxLatencyMicros     = 10_000_000
-	latencyPrecision     = 3 // significant digits
+	latencyPrecision     = 3 // significant digits of recorded latencies
 	loadSeedA, loadSeedB = 1, 2
 )
 
@@ -39,9 +39,9 @@
 type LoadResult struct {
 	Sent      int
 	Served    int
-	Failed    int                     // answered with an error, or not sent
-	Lost      int                     // without a response
-	Latencies *hdrhistogram.Histogram // of requests with a response, µs
+	Failed    int                     // requests not sent or answered with an error; responses to no request
+	Lost      int                     // requests without a response
+	Latencies *hdrhistogram.Histogram // latencies in µs of requests with a response
 }
 
 // LatencyMS returns a percentile of the latency in milliseconds.
--- a/internal/experiment/testcluster/observe.go
+++ b/internal/experiment/testcluster/observe.go
@@ -15,7 +15,7 @@
 	logPollInterval    = 20 * time.Millisecond
 	statusPollInterval = 50 * time.Millisecond
 
-	// maxShutdownDuration is longer than a router's graceful shutdown takes.
+	// maxShutdownDuration limits the wait of WaitForExit. It is longer than a graceful shutdown takes.
 	maxShutdownDuration = 5 * time.Second
 )
 
@@ -100,7 +100,7 @@
 }
 
 // WaitForExit waits until an incarnation of an instance has logged that it stopped, or no longer responds on its
-// admin socket. A graceful shutdown takes seconds.
+// admin socket, but at most for maxShutdownDuration.
 func (c *Cluster) WaitForExit(name string, incarnation int) {
 	stopped := func(line LogLine) bool {
 		return line.Instance == name && line.Incarnation == incarnation &&
@@ -132,8 +132,8 @@
 	return 0, fmt.Errorf("instances did not agree on %d live members within %s: %w", alive, timeout, last)
 }
 
-// checkAgreement returns an error if a running instance has another number of live members, or another view than the
-// running instances before it.
+// checkAgreement returns an error if a running instance does not count alive live members, does not answer, or has
+// another view than the running instances before it in Names.
 func (c *Cluster) checkAgreement(ctx context.Context, alive int) error {
 	digest := uint64(0)
 	for _, name := range c.Names {
--- a/internal/simulator/drawn_test.go
+++ b/internal/simulator/drawn_test.go
@@ -30,11 +30,11 @@
 	attempts   [][2]string    // request ID and number of the attempts in flight
 	started    map[string]int // number of attempts started per request ID
 	timers     []pendingTimer
-	replies    []byte // without log lines
+	replies    []byte // all replies so far, without log lines
 }
 
 type pendingTimer struct {
-	at    int64 // simulated time in ms
+	at    int64 // when the timer fires, in ms of simulated time
 	token string
 }
 
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -38,7 +38,7 @@
 	recheckTimerAt int64 // ns; when recheckTimer fires, 0: it is not set
 
 	subscribes  bool  // the simulator sends the endpoint list only after a subscription
-	subscribeAt int64 // ns; when to subscribe next
+	subscribeAt int64 // ns; when to subscribe next, math.MaxInt64: not until a subscription fails
 }
 
 // finish marks a request as finished, and removes it if none of its attempts is in flight.
--- a/internal/simulator/wire/wire.go
+++ b/internal/simulator/wire/wire.go
@@ -35,8 +35,8 @@
 
 // ValueError reports a value of a line that is not of the expected type.
 type ValueError struct {
-	Position int    // counted from 1, after the name of the line
-	Value    string // as written in the line
+	Position int    // position of the value, counted from 1 after the name of the line
+	Value    string // the value as written in the line
 	Want     string // the expected type
 }
 
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -29,7 +29,7 @@
 // ClosedSequence is the sequence number that Client.Next returns if it receives no valid response.
 const ClosedSequence = -1
 
-// healthSequence is the sequence number of health checks.
+// healthSequence is the sequence number that ExpectHealth and IsHealthy give to health checks.
 const healthSequence = 9
 
 // ObjectID returns the ID of the object with a number.
@@ -109,10 +109,10 @@
 	return messageFrame(thrift.Call, "call", c.sequence, arguments)
 }
 
-// Sequence returns the sequence number of the last call.
+// Sequence returns the sequence number of the last call that Call or CallFrame encoded.
 func (c *Client) Sequence() int32 { return c.sequence }
 
-// Cancel cancels the call with a sequence number.
+// Cancel asks the router to cancel the call with a sequence number. The request has no response of its own.
 func (c *Client) Cancel(sequence int32) {
 	arguments := append(binary.BigEndian.AppendUint32([]byte{8, 0, 1}, uint32(sequence)), 0)
 	c.Send(thrift.Oneway, "cancel", 99, arguments) // there is no response, so the number is not used
--- a/internal/testkit/stalls_test.go
+++ b/internal/testkit/stalls_test.go
@@ -56,7 +56,7 @@
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name          string
-		before, after threadTimes   // of the first thread
+		before, after threadTimes   // two readings of the times of the first thread
 		secondWaited  time.Duration // time that a second thread waited for a core
 		want          time.Duration
 	}{
@@ -90,7 +90,8 @@
 	}
 }
 
-// A thread that was runnable may have waited for a core until it exited. A sleeping thread did not wait.
+// The waits of a thread that has exited cannot be read. If it was runnable before, all of the elapsed time must count
+// as a stall, and if it was sleeping, none of it.
 func TestStalledBetweenWithExitedThread(t *testing.T) {
 	const elapsed = 10 * time.Millisecond
 	for state, want := range map[byte]time.Duration{runnable: elapsed, 'S': 0} {
