--- a/internal/emulator/cache/capacity.go
+++ b/internal/emulator/cache/capacity.go
@@ -6,7 +6,7 @@
 type Limits struct {
 	MaxConnections int // further connections are refused; 0: unlimited
 
-	Concurrency float64 // requests that are served in parallel; 0: unlimited
+	Concurrency float64 // requests that are served in parallel; 0: unlimited, and ServiceTime does not apply
 	ServiceTime int64   // ns that it takes to serve one request
 	FillTime    int64   // additional ns for a request whose object is not cached yet
 
@@ -49,7 +49,7 @@
 // Response describes how a cache responds to one request.
 type Response struct {
 	Delay   int64 // ns until the response
-	Fill    bool  // the object was not cached
+	Fill    bool  // the object was not cached, so Delay includes FillTime
 	Crashed bool  // the request made the cache crash, so there is no response
 }
 
@@ -59,7 +59,8 @@
 	return &CapacityModel{Limits: limits, startedAt: startedAt, cached: map[string]bool{}}
 }
 
-// StartedAt returns the time of the cache's last start in ns, or 0 if that was long ago.
+// StartedAt returns the time of the cache's last start in ns, or 0 if that was long ago. After a crash it is the time
+// of the restart, which may still lie ahead.
 func (m *CapacityModel) StartedAt() int64 {
 	return m.startedAt
 }
@@ -90,8 +91,8 @@
 	return m.startedAt != 0 && m.WarmUpDuration != 0 && now < m.startedAt+m.WarmUpDuration
 }
 
-// capacityShare returns the share of its full capacity that the cache has now, which is below 1 while it is
-// warming up.
+// capacityShare returns the share of its full capacity that the cache has now. It rises from InitialShare to 1 while
+// the cache is warming up.
 func (m *CapacityModel) capacityShare(now int64) float64 {
 	if !m.warmingUp(now) {
 		return 1
--- a/internal/experiment/coldstart/play.go
+++ b/internal/experiment/coldstart/play.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// publishList makes the discovery service send a complete endpoint list.
+// publishList makes the discovery service send a complete endpoint list with the given generation.
 func (r *experimentRun) publishList(generation int) {
 	r.service.Publish(testcluster.EndpointListEvent(generation, r.endpoints))
 }
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// startRouter starts a router, for the first time or again.
+// startRouter starts the router with an index, for the first time or again after it was killed.
 func (r *experimentRun) startRouter(index int) error {
 	startedAt := time.Now()
 	router, err := testcluster.StartProcess(testcluster.Command{
@@ -242,7 +242,7 @@
 	return served, errors.Join(faultErr, err)
 }
 
-// waitForHealth records when a router is healthy for the first time.
+// waitForHealth polls a router until it is healthy, and records when that was. It gives up when the context ends.
 func (r *experimentRun) waitForHealth(ctx context.Context, router int) {
 	for ctx.Err() == nil {
 		if testcluster.IsHealthy(r.addresses[router]) {
--- a/internal/experiment/coldstart/simulation.go
+++ b/internal/experiment/coldstart/simulation.go
@@ -29,7 +29,7 @@
 	Routers      int
 	Seed         uint64
 	DownDuration time.Duration // how long the discovery service is down, from the start
-	Duration     time.Duration // simulated time
+	Duration     time.Duration // simulated time from the start of the routers to the end
 }
 
 // SimulationResult compares two simulations: one of routers that follow their call schedules, and a baseline of
@@ -41,11 +41,11 @@
 	ReachedP99MS       float64 `json:"time_to_heard_p99_ms"` // from the outage's end to a router's successful call
 	BaselineReached    float64 `json:"before_time_to_heard_p99_ms"`
 	MaxCallsPerSecond  int     `json:"bound_connects_per_s"`
-	Calls              []int   `json:"-"` // number of calls in each second
+	Calls              []int   `json:"-"` // by second: number of calls of all routers
 	BaselineCalls      []int   `json:"-"`
 }
 
-// nextCall returns the time of a router's next call, ns after the start.
+// nextCall returns the time of a router's next call, in ns after the start of the simulation.
 type nextCall func() int64
 
 // Run simulates the routers twice, first with their call schedules and then as the baseline.
@@ -75,7 +75,8 @@
 	return calls, percentile(reachedMS, 99)
 }
 
-// scheduled returns a function that computes the call times of a router with a call schedule.
+// scheduled returns a function that computes the call times of a router with a call schedule, as long as the discovery
+// service refuses the calls.
 func (s Simulation) scheduled(router int) nextCall {
 	schedule := startup.NewCallSchedule(s.Seed*seedStride+uint64(router), s.Routers, startup.ReadinessHold{})
 	at, isFirst := int64(0), true
--- a/internal/experiment/coldstartsim/client.go
+++ b/internal/experiment/coldstartsim/client.go
@@ -11,7 +11,7 @@
 	object   uint64
 	attempts int
 	second   int   // second of the run in which the request began
-	deadline int64 // time after which the client makes no further attempt
+	deadline int64 // ns; time after which the client makes no further attempt
 }
 
 // requestKey identifies an attempt at a router.
--- a/internal/experiment/coldstartsim/plan.go
+++ b/internal/experiment/coldstartsim/plan.go
@@ -74,12 +74,12 @@
 	Caches              int
 	Seed                uint64
 	Fault               Fault
-	Duration            time.Duration // simulated time
+	Duration            time.Duration // simulated time from the start of the run to its end
 	RequestRate         float64       // requests per second by all clients, not counting retries
 	MaxAttempts         int           // attempts of a client at one request, including the first; 0 means 1
 	Baseline            bool          // routers call discovery without jitter, and connect without a connection plan
 	MaxConnections      int           // connections that one cache accepts; 0 means 4/3 of Routers
-	MaxConnectRate      float64       // new connections per second to one cache in the connection plan; 0: no limit
+	MaxConnectRate      float64       // new connections per second that the plan allows to one cache; 0: no limit
 	ReadinessHold       time.Duration // longest time for which a router waits for discovery before it is ready
 	ConfiguredRouters   int           // number of routers that the settings state; 0 means Routers
 	EndpointsConfigured bool          // the routers' configuration contains the endpoint list
@@ -132,7 +132,7 @@
 	faultDuration       = int64(5e9)  // how long the discovery service is down, or the time until routers are killed
 	clientTimeout       = int64(15e8) // longest duration of a client's request, with all its attempts
 	requestTimeout      = int64(1e9)  // longest duration of one attempt
-	unreadyRetryDelay   = int64(2e8)  // until a client whose router was not ready retries
+	unreadyRetryDelay   = int64(2e8)  // time until a client retries if the router was not ready
 	impatientRetryDelay = int64(5e7)  // the longest delay of a client that ignores Retry-After
 )
 
--- a/internal/experiment/coldstartsim/result.go
+++ b/internal/experiment/coldstartsim/result.go
@@ -136,8 +136,8 @@
 	return -1
 }
 
-// recoveryTime returns when the first recoveryWindow begins whose served share is at least recoveredShare of the usual
-// one near the end of the run. The result is in s after the end of the fault, or -1 if there is no such window.
+// recoveryTime returns the s from the end of the fault to the recovery: the begin of the first recoveryWindow in which
+// the served share is at least recoveredShare times the usual one. It returns -1 if there is no such window.
 func (r *Result) recoveryTime(faultEnd int64) float64 {
 	last := len(r.Seconds) - unfinishedSeconds
 	usual := servedShare(r.Seconds[max(0, last-usualWindow):last])
--- a/internal/experiment/coldstartsim/router.go
+++ b/internal/experiment/coldstartsim/router.go
@@ -39,8 +39,8 @@
 	progress        *startup.Progress
 	startedAt       int64
 	baselineBackoff int64
-	connections     map[router.ConnectionID]int // index of the cache of each connection
-	timerAt         int64                       // when the reducer's timer fires
+	connections     map[router.ConnectionID]int // by connection: index of the cache at its other end
+	timerAt         int64                       // ns; when the reducer's timer fires
 	hasEndpoints    bool
 	timeToEndpoints float64 // ms from the start until the endpoint list was received; 0 means not yet
 	timeToWarm      float64 // ms from the start until the phase startup.Warm; 0 means not yet
--- a/internal/experiment/coldstartsim/simulation.go
+++ b/internal/experiment/coldstartsim/simulation.go
@@ -31,7 +31,7 @@
 
 // discoveryService is a discovery service that handles one call at a time.
 type discoveryService struct {
-	freeAt      int64 // when it can handle the next call
+	freeAt      int64 // ns; when it can handle the next call
 	timePerCall int64 // ns that it takes to handle one call
 }
 
--- a/internal/experiment/heartbeatgossip/types.go
+++ b/internal/experiment/heartbeatgossip/types.go
@@ -69,7 +69,7 @@
 	Self            Entry
 	Contacts        []Contact
 	Interval        int64 // time between two heartbeats of an instance
-	ReplacedTimeout int64 // time without news after which a former incarnation no longer counts as a duplicate
+	ReplacedTimeout int64 // time without a higher counter after which an incarnation is no duplicate
 	Seed            uint64
 }
 
--- a/internal/experiment/leases/takeover.go
+++ b/internal/experiment/leases/takeover.go
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// heldBallots returns the ballot of each slot that an instance holds, by slot.
+// heldBallots returns the slots whose leases an instance holds, each with the ballot of the lease.
 func (r *experimentRun) heldBallots(ctx context.Context, name string) (map[int]uint64, error) {
 	status, err := r.cluster.LeaseStatus(ctx, name)
 	if err != nil {
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// endFault ends the fault, and waits until every slot has a holder and the instance has had time to acquire its
-// share of the slots.
+// endFault ends the fault; after Kill and Terminate it starts the instance again. It then waits until every slot has a
+// holder and the instance has had time to acquire its share of the slots.
 func (r *experimentRun) endFault(ctx context.Context, victim string, fault Fault, incarnation int) error {
 	var err error
 	switch fault {
@@ -109,7 +109,7 @@
 }
 
 // waitForTakeover waits until other instances have logged that they acquired all of the victim's slots under higher
-// ballots. It returns the time from the fault until they acquired the last one.
+// ballots. It returns the time from the fault until they acquired the last one, or an error after the timeout.
 func (r *experimentRun) waitForTakeover(
 	ballots map[int]uint64, victim string, since time.Time, timeout time.Duration,
 ) (time.Duration, error) {
@@ -124,8 +124,8 @@
 	return 0, fmt.Errorf("%d of %d slots were taken over within %s, want all", taken, len(ballots), timeout)
 }
 
-// countTakenOver returns how many of the victim's slots other instances have acquired since a time, and when they
-// acquired the last one.
+// countTakenOver returns how many of the victim's slots other instances have acquired under higher ballots since a
+// time, and when they acquired the last one. If they acquired none, it returns 0 and that time.
 func countTakenOver(
 	lines []testcluster.LogLine, ballots map[int]uint64, victim string, since time.Time,
 ) (int, time.Time) {
--- a/internal/experiment/leasesim/instance.go
+++ b/internal/experiment/leasesim/instance.go
@@ -19,7 +19,7 @@
 	wallOffsetMS int64 // ms by which its wall clock is ahead of the right time; negative if behind
 	host         simulation.Host
 	node         *cluster.Node
-	timerAt      int64 // simulated time at which the node's timer fires
+	timerAt      int64 // simulated time in ns at which the node's timer fires; 0: not set
 }
 
 // start starts the next incarnation. A previous incarnation ends without notice, and the leases that it held count as
--- a/internal/experiment/membershipsim/faults.go
+++ b/internal/experiment/membershipsim/faults.go
@@ -51,8 +51,8 @@
 	restartDelay        = 20 * second
 	networkFaultTime    = 10 * second
 	oneWayFaultTime     = 8 * second
-	maxOneWayDetection  = 5 * second // within which all others must believe an instance with a one-way fault dead
-	settleTime          = 5 * second // until all must agree again after most faults
+	maxOneWayDetection  = 5 * second // time until all others must believe an instance with a one-way fault dead
+	settleTime          = 5 * second // time until all must agree again after most faults
 	duplicateSettleTime = 2 * second
 	flapCount           = 8
 	flapSettleTime      = 6 * second
--- a/internal/experiment/membershipsim/observe.go
+++ b/internal/experiment/membershipsim/observe.go
@@ -97,7 +97,8 @@
 	}
 }
 
-// mustBelieveAlive reports whether no fault justifies that an observer believes a member dead.
+// mustBelieveAlive reports whether an observer must not believe a member dead: the member is healthy and in the same
+// partition, and no fault of either justifies the belief.
 func (s *runState) mustBelieveAlive(observer, member *simulatedMember) bool {
 	justified := member.mayBeDeadUntil > s.now() || observer.mayBeDeadUntil > s.now()
 	return member.healthy() && !justified && member.host.Partition == observer.host.Partition
--- a/internal/experiment/membershipsim/plan.go
+++ b/internal/experiment/membershipsim/plan.go
@@ -15,7 +15,7 @@
 // Plan configures one run of the simulation.
 type Plan struct {
 	Instances         int
-	Duration          time.Duration // simulated time
+	Duration          time.Duration // simulated time from the start of the run to its end
 	Seed              uint64
 	HeartbeatInterval time.Duration
 	SilenceTimeout    time.Duration // silence until a neighbour is suspected; 0: the default; the baseline has none
--- a/internal/experiment/membershipsim/protocol.go
+++ b/internal/experiment/membershipsim/protocol.go
@@ -28,7 +28,7 @@
 	to         string
 	gossip     membership.Gossip       // set by membershipProtocol
 	heartbeats []heartbeatgossip.Entry // set by baselineProtocol
-	bytes      int                     // size on the network
+	bytes      int                     // size on the network, with frame header and TLS record
 }
 
 const (
--- a/internal/experiment/membershipsim/result.go
+++ b/internal/experiment/membershipsim/result.go
@@ -30,7 +30,7 @@
 	// MaxDisagreement is the longest time in ms for which views differed after a fault and its effects had ended.
 	MaxDisagreement         float64 `json:"disagree_max_ms"`
 	BytesPerSecond          float64 `json:"bytes_per_member_per_s"`
-	FaultFreeBytesPerSecond float64 `json:"bytes_per_member_per_s_calm"` // while there is no fault
+	FaultFreeBytesPerSecond float64 `json:"bytes_per_member_per_s_calm"` // sent while there is no fault
 	MessagesPerSecond       float64 `json:"messages_per_member_per_s"`
 	MaxConnections          int     `json:"links_per_member_max"`
 	ViewChanges             float64 `json:"view_changes"` // changes of a member's view, mean over all members
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -20,7 +20,7 @@
 const (
 	chartWidth  = 16 * vg.Centimeter
 	chartHeight = 10 * vg.Centimeter
-	dashLength  = 4 // points
+	dashLength  = 4 // length of dashes and of the gaps between them, in points
 )
 
 // Names of the two curves that most charts compare.
--- a/internal/experiment/sharedconfigsim/plan.go
+++ b/internal/experiment/sharedconfigsim/plan.go
@@ -17,7 +17,7 @@
 // Plan configures one run of the simulation.
 type Plan struct {
 	Instances     int
-	Duration      time.Duration // simulated time
+	Duration      time.Duration // simulated time from the start of the run to its end
 	Seed          uint64
 	LeaseDuration time.Duration
 	RenewInterval time.Duration
--- a/internal/experiment/simulation/faults.go
+++ b/internal/experiment/simulation/faults.go
@@ -59,7 +59,7 @@
 	random  *rand.Rand
 }
 
-// NewNetwork creates a network without loss.
+// NewNetwork creates a network that loses no messages, unless the caller sets Loss.
 func NewNetwork(random *rand.Rand, latency Latency) *Network {
 	return &Network{Latency: latency, random: random}
 }
--- a/internal/experiment/testcluster/load.go
+++ b/internal/experiment/testcluster/load.go
@@ -32,7 +32,7 @@
 type Load struct {
 	Rate                  float64 // requests per second over all addresses together
 	Addresses             []string
-	ConnectionsPerAddress int // each connection acts as one client
+	ConnectionsPerAddress int // number of connections to each address, each of them a client
 }
 
 // LoadResult is the outcome of a load.
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// read reads responses until the connection ends.
+// read counts the responses on a connection until the connection ends.
 func (r *loadRun) read(connection *loadConnection, conn net.Conn) {
 	defer closeAll(conn)
 	for in := bufio.NewReader(conn); ; {
--- a/internal/experiment/testcluster/observe.go
+++ b/internal/experiment/testcluster/observe.go
@@ -33,7 +33,7 @@
 	c.lines = append(c.lines, line)
 }
 
-// LogLines returns all events that the instances have logged so far.
+// LogLines returns all events that the instances have logged so far, in the order in which they were read.
 func (c *Cluster) LogLines() []LogLine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/experiment/testcluster/process.go
+++ b/internal/experiment/testcluster/process.go
@@ -91,7 +91,7 @@
 type LogLine struct {
 	At          time.Time // when the line was read
 	Instance    string
-	Incarnation int    // of the instance, counted from 1
+	Incarnation int    // which start of the instance logged the event, counted from 1
 	Event       string // name of the event
 	Text        string // the complete line
 	Phase       string
--- a/internal/experiment/testcluster/snapshot_test.go
+++ b/internal/experiment/testcluster/snapshot_test.go
@@ -18,7 +18,7 @@
 	change           func(t *testing.T, cluster *testcluster.Cluster, snapshot string)
 	wantEvent        string // name of the event that the restarted router logs
 	wantText         string // contained in the event's line
-	skipEventIDCheck int    // 1 if the event ID of the last call to the discovery service does not matter
+	skipEventIDCheck int    // 1: the event ID of the last call to the discovery service is not checked; 0: it is
 }
 
 func snapshotCases() []snapshotCase {
--- a/internal/testkit/cache.go
+++ b/internal/testkit/cache.go
@@ -27,7 +27,7 @@
 	Respond Behavior = iota
 	// Hang reads requests and never responds.
 	Hang
-	// ResetConnection resets the connection of each request.
+	// ResetConnection resets each connection on which a request arrives, without a response.
 	ResetConnection
 	// ResetOldConnections resets each connection that is open when the behavior is set, once a request arrives on
 	// it. Requests on later connections are served.
@@ -69,10 +69,10 @@
 
 	mu          sync.Mutex
 	behavior    Behavior          // guarded by mu
-	delay       time.Duration     // guarded by mu; from a request to its response
+	delay       time.Duration     // guarded by mu; time from a request to its response; 0: respond at once
 	connections map[net.Conn]bool // guarded by mu; whether the next request resets the connection
 	requests    []CacheRequest    // guarded by mu; all requests and aborts received
-	taken       int               // guarded by mu; number of requests that take has returned
+	taken       int               // guarded by mu; number of requests and aborts that take has returned
 }
 
 // StartCache starts a cache on a free port of 127.0.0.1 and stops it at the end of the test.
@@ -193,7 +193,8 @@
 	return found
 }
 
-// WaitRequestFor waits like WaitRequest for a request for an object.
+// WaitRequestFor waits until one of the caches receives a request for an object, and returns it. It discards requests
+// and fails the test like WaitRequest.
 func WaitRequestFor(t *testing.T, object string, caches ...*Cache) CacheRequest {
 	t.Helper()
 	isFor := func(request CacheRequest) bool { return request.Object == object }
--- a/internal/testkit/processstalls.go
+++ b/internal/testkit/processstalls.go
@@ -41,8 +41,8 @@
 	total   time.Duration          // guarded by mu; all stalls so far
 }
 
-// WatchProcessStalls starts to measure the stalls of a process. The caller must stop the measurement. On a system
-// without /proc only the timer is used.
+// WatchProcessStalls starts to measure the stalls of a process. The caller must call Stop to end the measurement. On a
+// system without /proc only the timer is used.
 func WatchProcessStalls(pid int) *ProcessStallWatch {
 	watch := &ProcessStallWatch{
 		pid:     pid,
@@ -65,7 +65,7 @@
 	}
 }
 
-// record adds the stalls since the last reading of the thread times.
+// record reads the thread times and adds the stalls since the previous reading to the total.
 func (w *ProcessStallWatch) record() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -95,9 +95,9 @@
 func (w *ProcessStallWatch) Stop() { close(w.stopped) }
 
 // stalledBetween returns how long a process waited for a core between two readings of its thread times. That is all
-// of the elapsed time if a thread may have waited throughout: it was runnable and has not run since, or has exited.
-// The kernel counts such a wait only once it is over. Else it is the sum of the waits of all threads, but not more
-// than the elapsed time.
+// of the elapsed time if a thread may have waited throughout: it was runnable at the first reading, and at the second
+// one it has exited, or is still runnable and has not run. The kernel counts such a wait only once it is over.
+// Otherwise it is the sum of the waits of all threads, but not more than the elapsed time.
 func stalledBetween(before, after map[string]threadTimes, elapsed time.Duration) time.Duration {
 	waited := time.Duration(0)
 	for thread, old := range before {
--- a/internal/testkit/stalls.go
+++ b/internal/testkit/stalls.go
@@ -26,7 +26,7 @@
 	total      time.Duration // guarded by mu; total duration of all stalls
 }
 
-// WatchStalls starts to measure stalls. The caller must stop the measurement.
+// WatchStalls starts to measure the stalls of the test's process. The caller must call Stop to end the measurement.
 func WatchStalls() *StallWatch {
 	watch := newStallWatch(time.Now())
 	go watch.run()
