--- a/internal/emulator/cache/cache.go
+++ b/internal/emulator/cache/cache.go
@@ -95,7 +95,7 @@
 	return slices.Clone(c.healthChecks)
 }
 
-// Fetches returns the number of fetches received so far.
+// Fetches returns the number of fetches received so far, including those that got no response.
 func (c *Cache) Fetches() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/experiment/coldstart/experiment.go
+++ b/internal/experiment/coldstart/experiment.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// FaultNames returns the names of all faults, separated by commas.
+// FaultNames returns the names of all faults in the order of Faults, separated by commas.
 func FaultNames() string {
 	var names []string
 	for _, fault := range Faults() {
@@ -121,7 +121,7 @@
 	MaxCallsPerSecond   int     `json:"bound_connects_per_s"`
 }
 
-// CheckBounds returns a *report.BoundError if the result breaks a bound of docs/coldstart.md.
+// CheckBounds returns a *report.BoundError if the result breaks a bound of docs/coldstart.md, otherwise nil.
 func (r Result) CheckBounds() error {
 	broken := r.PeakCallsPerSecond > r.MaxCallsPerSecond ||
 		r.NeverHealthy > 0 ||
--- a/internal/experiment/coldstart/simulation.go
+++ b/internal/experiment/coldstart/simulation.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// CheckBounds returns a *report.BoundError if the result breaks a bound of docs/coldstart.md.
+// CheckBounds returns a *report.BoundError if the result breaks a bound of docs/coldstart.md, otherwise nil.
 func (r SimulationResult) CheckBounds() error {
 	if r.PeakCallsPerSecond > r.MaxCallsPerSecond {
 		return &report.BoundError{
--- a/internal/experiment/coldstartsim/plan.go
+++ b/internal/experiment/coldstartsim/plan.go
@@ -52,7 +52,7 @@
 	FaultRoutersKilled,
 }
 
-// FaultNames returns the names of all faults.
+// FaultNames returns the names of all faults, in the order of Faults.
 func FaultNames() []string {
 	names := make([]string, len(Faults))
 	for i, fault := range Faults {
--- a/internal/experiment/heartbeatgossip/table.go
+++ b/internal/experiment/heartbeatgossip/table.go
@@ -94,7 +94,7 @@
 	return table.heartbeat(now), changes
 }
 
-// names returns the names of all members, sorted.
+// names returns the names of all members in a fixed order, since the order of iteration over a map is random.
 func (table *Table) names() []string { return slices.Sorted(maps.Keys(table.members)) }
 
 // heartbeat returns messages to fanOut random members. Dead members can be among them, since they may have restarted.
--- a/internal/experiment/idleconnections/client.go
+++ b/internal/experiment/idleconnections/client.go
@@ -142,7 +142,7 @@
 	return h.work(len(h.conns), func(i int) error { return do(h.conns[i]) })
 }
 
-// reconnect closes all connections and opens as many new ones.
+// reconnect closes all connections and opens as many new ones. It returns how many of these could not be opened.
 func (h *connectionHolder) reconnect() (failed int) {
 	count := len(h.conns)
 	for _, conn := range h.conns {
--- a/internal/experiment/idleconnections/experiment.go
+++ b/internal/experiment/idleconnections/experiment.go
@@ -208,7 +208,7 @@
 	return r.chart().SaveAs(filepath.Join(r.ResultsDir, "idle"), "svg", "png")
 }
 
-// columns returns the row's columns in the table.
+// columns returns the values of the row, formatted and in the order of the columns in idle.csv.
 func (r Row) columns() []string {
 	columns := []string{string(r.Version), strconv.Itoa(r.Idle), strconv.Itoa(r.Suspended), strconv.Itoa(r.Goroutines)}
 	for _, value := range []float64{
--- a/internal/experiment/leases/experiment.go
+++ b/internal/experiment/leases/experiment.go
@@ -81,7 +81,7 @@
 	TargetsNeverProbed  int     `json:"targets_never_probed"`
 }
 
-// CheckBounds returns a *report.BoundError if the result breaks a bound.
+// CheckBounds returns a *report.BoundError that names the broken bounds, or nil if there are none.
 func (r Result) CheckBounds() error {
 	if r.BrokenBounds != "" {
 		return &report.BoundError{Page: Page, Detail: r.BrokenBounds}
--- a/internal/experiment/leasesim/plan.go
+++ b/internal/experiment/leasesim/plan.go
@@ -122,7 +122,7 @@
 	return simulation.LatencyAround(int64(p.RenewInterval) / latencyDivisor)
 }
 
-// voters returns the first instances as voters of epoch 1.
+// voters returns the first instances, at most maxVoters, as the voters of epoch 1.
 func (s *runState) voters() lease.Voters {
 	voters := lease.Voters{Epoch: 1}
 	for _, instance := range s.instances[:min(maxVoters, len(s.instances))] {
--- a/internal/experiment/leasesim/result.go
+++ b/internal/experiment/leasesim/result.go
@@ -84,7 +84,7 @@
 	s.holders[slot] = instance.index
 }
 
-// release records that an instance no longer holds a slot.
+// release records that an instance no longer holds a slot. It has no effect if the instance was not the holder.
 func (s *runState) release(index, slot int) {
 	if s.holders[slot] == index {
 		s.holders[slot] = noHolder
--- a/internal/experiment/membership/experiment.go
+++ b/internal/experiment/membership/experiment.go
@@ -71,7 +71,7 @@
 	Faults               []FaultResult `json:"-"`
 }
 
-// CheckBounds returns a *report.BoundError if the result breaks a bound.
+// CheckBounds returns a *report.BoundError if the result breaks a bound of docs/membership.md, otherwise nil.
 func (r Result) CheckBounds() error {
 	// A voter may have an additional link to each instance that asks it for leases.
 	maxLinks := MaxLinks + r.Instances
@@ -133,7 +133,7 @@
 	}, nil
 }
 
-// FaultNames returns the names of all faults, separated by commas.
+// FaultNames returns the names of all faults in the order of Faults, separated by commas.
 func FaultNames() string {
 	var names []string
 	for _, fault := range Faults() {
@@ -255,7 +255,7 @@
 	return nil
 }
 
-// report writes the result of each fault.
+// report writes the result of each fault to members.json in ResultsDir. It writes nothing if ResultsDir is empty.
 func (r *experimentRun) report() error {
 	if r.ResultsDir == "" {
 		return nil
--- a/internal/experiment/membership/fault.go
+++ b/internal/experiment/membership/fault.go
@@ -30,7 +30,7 @@
 	RestartAll Fault = "rolling" // all instances are restarted in turn
 )
 
-// Faults returns all faults.
+// Faults returns all faults that an Experiment can inject.
 func Faults() []Fault {
 	return []Fault{
 		Kill, Pause, LinkDelay, CutOneLink, CutInward, CutOutward, Partition, Flapping, PauseMany, Starve, RestartAll,
@@ -204,7 +204,7 @@
 	return err
 }
 
-// starve lets the victim run for a twentieth of the time.
+// starve lets the victim run for a twentieth of the time during starveDuration.
 func (in *injection) starve() error {
 	in.excluded = nil
 	deadline := time.Now().Add(starveDuration)
--- a/internal/experiment/membershipsim/member.go
+++ b/internal/experiment/membershipsim/member.go
@@ -175,7 +175,7 @@
 	return m.protocol != nil && host.Running(m.run.now()) && !host.InboundLost && !host.OutboundLost
 }
 
-// believesDead reports whether the member believes another one dead.
+// believesDead reports whether the member believes another one dead. It returns false if the member does not know it.
 func (m *simulatedMember) believesDead(other *simulatedMember) bool {
 	dead, _ := m.protocol.belief(other.name)
 	return dead
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// label returns the name and the color of a series.
+// label returns the name and the color of a series: those that Baseline selects, unless Name or Color is set.
 func (s Series) label() (string, color.Color) {
 	name, lineColor := CurrentName, color.Color(currentColor)
 	if s.Baseline {
--- a/internal/experiment/testcluster/endpoint.go
+++ b/internal/experiment/testcluster/endpoint.go
@@ -8,7 +8,7 @@
 	"tealpath/internal/emulator/cache"
 )
 
-// CacheName returns the name of an emulated cache.
+// CacheName returns the name of the emulated cache with an index, such as s-003 for 3.
 func CacheName(index int) string { return fmt.Sprintf("s-%03d", index) }
 
 // EndpointJSON returns the entry of a cache in an endpoint list. A zero startedAt means that it started long ago.
--- a/internal/experiment/testcluster/faults.go
+++ b/internal/experiment/testcluster/faults.go
@@ -45,5 +45,5 @@
 	c.SetLinks(Any, Only(name), relay.Conditions{Delay: delay})
 }
 
-// Heal restores all links, without delay.
+// Heal restores all links, so that they are neither cut nor delayed.
 func (c *Cluster) Heal() { c.SetLinks(Any, Any, relay.Conditions{}) }
--- a/internal/experiment/testcluster/usage.go
+++ b/internal/experiment/testcluster/usage.go
@@ -26,7 +26,7 @@
 	return sum
 }
 
-// ResidentKB returns the resident memory of a process, or 0 if it cannot be read.
+// ResidentKB returns the resident memory of a process in KB, or 0 if it cannot be read.
 func ResidentKB(pid int) int64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/internal/simulator/commands.go
+++ b/internal/simulator/commands.go
@@ -48,7 +48,7 @@
 	h.scheduleRecheck(now, in, r)
 }
 
-// cancel cancels the attempts of a request with the given numbers.
+// cancel sends a command for each of the given attempt numbers of a request, which cancels that attempt.
 func (h *Host) cancel(in *instance, r *request, attempts []int) {
 	for _, number := range attempts {
 		h.out.Line(commandCancel, in.name, r.id, strconv.Itoa(number))
--- a/internal/testkit/cache.go
+++ b/internal/testkit/cache.go
@@ -144,7 +144,7 @@
 	return received
 }
 
-// OpenConnections returns the number of open connections.
+// OpenConnections returns the number of connections that the cache has accepted and that have not ended.
 func (c *Cache) OpenConnections() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testkit/client.go
+++ b/internal/testkit/client.go
@@ -32,7 +32,7 @@
 // healthSequence is the sequence number that ExpectHealth and IsHealthy give to health checks.
 const healthSequence = 9
 
-// ObjectID returns the ID of the object with a number.
+// ObjectID returns an object ID of 16 hexadecimal digits, another one for each number.
 func ObjectID(n int) string { return fmt.Sprintf("%016x", n) }
 
 // Client is a client with one connection to a router. One goroutine may send while another one reads.
