--- a/internal/emulator/discoveryserver/discoveryserver.go
+++ b/internal/emulator/discoveryserver/discoveryserver.go
@@ -62,8 +62,7 @@
 	return s.address
 }
 
-// SetBehavior sets the behavior of the service for calls that arrive from now on. Earlier
-// calls are not affected.
+// SetBehavior sets the behavior of the service for calls that arrive from now on. Earlier calls are not affected.
 func (s *Service) SetBehavior(behavior Behavior) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/experiment/coldstart/experiment.go
+++ b/internal/experiment/coldstart/experiment.go
@@ -111,7 +111,7 @@
 	PlannedConnections  bool    `json:"links"`
 	MaxConnections      int     `json:"cache_connections_held"` // connections that one cache accepts
 	RefusedConnections  int     `json:"cache_connections_refused"`
-	PeakLoad            float64 `json:"cold_budget_worst_share"` // of a cache warming up; above 1 it crashes
+	PeakLoad            float64 `json:"cold_budget_worst_share"` // highest while warming up; above 1 a cache crashes
 	CacheCrashes        int     `json:"caches_fallen"`
 	WarmP99MS           float64 `json:"time_to_whole_p99_ms"`  // ms from a router's start to startup.Warm
 	StaleListAttempts   int     `json:"stale_list_dispatches"` // attempts at the draining cache after drainGrace
--- a/internal/experiment/coldstartsim/result.go
+++ b/internal/experiment/coldstartsim/result.go
@@ -18,12 +18,12 @@
 	PeakConnections    int      `json:"cache_connections_peak"`   // highest number of connections at one cache
 	MaxConnections     int      `json:"cache_connections_held"`   // connections that one cache accepts
 	RefusedConnections int      `json:"cache_connections_refused"`
-	PeakWarmUpLoad     float64  `json:"cold_budget_worst_share"` // of a cache warming up; above 1 it crashes
+	PeakWarmUpLoad     float64  `json:"cold_budget_worst_share"` // highest while warming up; above 1 a cache crashes
 	Crashes            int      `json:"caches_fallen"`
 	TimeToEndpointsP99 float64  `json:"time_to_listed_p99_ms"` // ms until a router has the endpoint list; -1: never
 	TimeToWarmP99      float64  `json:"time_to_whole_p99_ms"`  // ms until the phase startup.Warm; -1: never
 	Requests           int      `json:"sent"`
-	ServedFirst10s     float64  `json:"settled_share_first_10s"` // share served of requests begun in firstSeconds
+	ServedFirst10s     float64  `json:"settled_share_first_10s"` // like Served, but for the first firstSeconds only
 	Served             float64  `json:"settled_share"`           // share of all requests that were served
 	RecoveryTime       float64  `json:"usual_service_again_s"`   // s from the end of the fault to recovery; -1: never
 	Lost               int      `json:"lost"`                    // requests that a running router never answered
@@ -136,8 +136,8 @@
 	return -1
 }
 
-// recoveryTime returns the s from the end of the fault to the recovery: the begin of the first recoveryWindow in which
-// the served share is at least recoveredShare times the usual one. It returns -1 if there is no such window.
+// recoveryTime returns the time in s from the end of the fault to the recovery: the start of the first recoveryWindow
+// in which the served share is at least recoveredShare times the usual one. It returns -1 if there is no such window.
 func (r *Result) recoveryTime(faultEnd int64) float64 {
 	last := len(r.Seconds) - unfinishedSeconds
 	usual := servedShare(r.Seconds[max(0, last-usualWindow):last])
--- a/internal/experiment/idleconnections/experiment.go
+++ b/internal/experiment/idleconnections/experiment.go
@@ -52,7 +52,7 @@
 	MaxPerRouter   int           // largest number of connections to one router process
 	Rate           float64       // requests per second of active traffic to all routers together
 	Duration       time.Duration // how long active traffic is sent for each Row
-	IdleTimeout    time.Duration // idle timeout when the expiry of connections is measured; 0 skips that
+	IdleTimeout    time.Duration // idle timeout of the routers in the expiry measurement; 0 skips it
 	Progress       io.Writer     // receives a line for each step
 }
 
@@ -68,7 +68,7 @@
 	LatencyP99MS        float64 `json:"active_p99_ms"`
 	LatencyP999MS       float64 `json:"active_p999_ms"`
 	ServedShare         float64 `json:"settled_share"`
-	CPUShare            float64 `json:"cpu_share"`   // fraction used of the core that all routers share
+	CPUShare            float64 `json:"cpu_share"`   // fraction of their shared core that the routers used
 	OpenSeconds         float64 `json:"opened_in_s"` // time to open the connections that the previous row did not have
 }
 
--- a/internal/experiment/leases/calm.go
+++ b/internal/experiment/leases/calm.go
@@ -37,8 +37,8 @@
 		r.result.ResidentKB, r.result.UnsharedCPUPercent, r.result.UnsharedResidentKB)
 }
 
-// probesPerPeriod returns the mean number of health checks that a target received in a probe period, from their total
-// over some seconds.
+// probesPerPeriod returns the mean number of health checks that a target received in a probe period. Its arguments are
+// the number that all targets together received, and the seconds in which they did.
 func (r *experimentRun) probesPerPeriod(probes int, seconds float64) float64 {
 	return float64(probes) / float64(r.Caches) / (seconds / r.ProbePeriod.Seconds())
 }
--- a/internal/experiment/leases/summary.go
+++ b/internal/experiment/leases/summary.go
@@ -67,8 +67,9 @@
 	r.result.GapP99MS = float64(gaps.ValueAtQuantile(99)) / 1000
 }
 
-// summarizeTarget counts violations in the health checks that one target received. The ID of a health check is the
-// ballot under which it was sent. A ballot belongs to a single holder.
+// summarizeTarget counts overlaps and stale actions in the health checks that one target received, and updates the
+// largest share of warmUpBudget used. The ID of a health check is the ballot under which it was sent. A ballot belongs
+// to a single holder.
 func (r *experimentRun) summarizeTarget(probes []cache.HealthCheck) {
 	if len(probes) == 0 {
 		r.result.TargetsNeverProbed++
@@ -101,7 +102,7 @@
 	return cost
 }
 
-// brokenBounds names the bounds that a result breaks, each followed by "; ".
+// brokenBounds names the bounds that a result breaks, each followed by "; ". It returns "" if there are none.
 func brokenBounds(result Result) string {
 	bounds := []struct {
 		name     string
--- a/internal/experiment/sharedconfigsim/result.go
+++ b/internal/experiment/sharedconfigsim/result.go
@@ -45,7 +45,7 @@
 	contradictions     int
 	maxOverlapMS       float64
 	timesToInForce     []float64        // ms from the acceptance of each change until all used it
-	acceptedAt         map[uint64]int64 // ns; when a change was accepted that is not yet in force, by version number
+	acceptedAt         map[uint64]int64 // ns; acceptance time of each change not yet in force, by version number
 	firstUsedAt        map[uint64]int64 // ns; when each version was first seen in use, by version number
 	runningInstances   int              // running instances, summed over the observations
 	inactiveInstances  int              // running instances without an active version, summed over the observations
--- a/internal/experiment/testcluster/load.go
+++ b/internal/experiment/testcluster/load.go
@@ -39,7 +39,7 @@
 type LoadResult struct {
 	Sent      int
 	Served    int
-	Failed    int                     // requests not sent or answered with an error; responses to no request
+	Failed    int                     // requests not sent or answered with an error; responses to no pending request
 	Lost      int                     // requests without a response
 	Latencies *hdrhistogram.Histogram // latencies in µs of requests with a response
 }
