--- a/internal/emulator/cache/cache.go
+++ b/internal/emulator/cache/cache.go
@@ -19,7 +19,7 @@
 
 // HealthCheck is one health check that a cache has received.
 type HealthCheck struct {
-	At time.Time // when it was received
+	At time.Time // when the cache received it
 	ID string    // the identifier that the router gave it
 }
 
--- a/internal/emulator/relay/relay.go
+++ b/internal/emulator/relay/relay.go
@@ -23,7 +23,7 @@
 type Conditions struct {
 	CutForward  bool          // blocks data from the dialling side to the target
 	CutBackward bool          // blocks data from the target to the dialling side
-	Delay       time.Duration // from reading data to forwarding it, in each direction
+	Delay       time.Duration // time from reading data to forwarding it, in each direction
 }
 
 // Relay is one emulated network path.
--- a/internal/experiment/coldstart/play.go
+++ b/internal/experiment/coldstart/play.go
@@ -28,7 +28,7 @@
 
 	routerMemoryMB   = 32
 	routerMaxSockets = 256
-	warmUpDuration   = 8 * time.Second // until a cache that has just started has its full capacity
+	warmUpDuration   = 8 * time.Second // time until a cache that has just started has its full capacity
 )
 
 // startupPhaseChanged is the name of the event that routers log when they enter another startup phase.
--- a/internal/experiment/coldstart/simulation.go
+++ b/internal/experiment/coldstart/simulation.go
@@ -28,7 +28,7 @@
 type Simulation struct {
 	Routers      int
 	Seed         uint64
-	DownDuration time.Duration // how long the discovery service is down, from the start
+	DownDuration time.Duration // time from the start until the discovery service accepts calls
 	Duration     time.Duration // simulated time from the start of the routers to the end
 }
 
--- a/internal/experiment/descriptors/descriptors.go
+++ b/internal/experiment/descriptors/descriptors.go
@@ -21,7 +21,7 @@
 	Method             string  `json:"way"`
 	Connections        int     `json:"count"`
 	BytesPerConnection float64 `json:"user_bytes_per_conn"` // heap and stacks after a garbage collection
-	WakeupP50Micros    float64 `json:"wake_p50_us"`         // from the write of a byte until the program notices it
+	WakeupP50Micros    float64 `json:"wake_p50_us"`         // time from the write of a byte until it is noticed
 	WakeupP99Micros    float64 `json:"wake_p99_us"`
 	Goroutines         int     `json:"goroutines"`
 }
--- a/internal/experiment/descriptors/methods.go
+++ b/internal/experiment/descriptors/methods.go
@@ -88,7 +88,7 @@
 
 	mu          sync.Mutex
 	descriptors []int32    // guarded by mu; by key: a connection's descriptor, or resumedDescriptor
-	resumed     []net.Conn // guarded by mu; the resumed connections, in the order in which they were resumed
+	resumed     []net.Conn // guarded by mu; connections resumed so far
 }
 
 // resume turns the suspended connection with a key back into a net.Conn, and reports whether that succeeded.
--- a/internal/experiment/heartbeatgossip/table.go
+++ b/internal/experiment/heartbeatgossip/table.go
@@ -17,8 +17,8 @@
 // incarnation holds the heartbeat counter of one start of an instance.
 type incarnation struct {
 	heartbeat     uint64
-	heardAt       int64 // when an entry with this counter was first received
-	incrementedAt int64 // when the instance incremented the counter, computed from the entry's age
+	heardAt       int64 // time at which an entry with this counter was first received
+	incrementedAt int64 // time at which the instance incremented the counter, computed from the entry's age
 }
 
 // Table holds the members that one instance knows. All times are ns of one monotonic clock.
--- a/internal/experiment/heartbeatgossip/types.go
+++ b/internal/experiment/heartbeatgossip/types.go
@@ -77,8 +77,8 @@
 type Member struct {
 	Entry
 	State   State
-	Since   int64 // when it entered this state
-	HeardAt int64 // when an entry with a higher counter was last received; 0 means never
+	Since   int64 // time at which the member entered this state
+	HeardAt int64 // time at which an entry with a higher counter was last received; 0 means never
 }
 
 // Change reports that a member's state has changed.
--- a/internal/experiment/idleconnections/client.go
+++ b/internal/experiment/idleconnections/client.go
@@ -19,7 +19,7 @@
 
 // Commands of client processes.
 const (
-	openCommand       command = "open"  // with a number: open that many more connections, and check health on each
+	openCommand       command = "open"  // followed by a number: open that many more connections, check health on each
 	wakeCommand       command = "wake"  // check health on all connections again
 	reconnectCommand  command = "renew" // close all connections and open as many new ones
 	waitForEndCommand command = "ended" // wait until the router has closed all connections
@@ -88,11 +88,11 @@
 
 // connectionHolder opens idle connections to a router and executes commands on them.
 type connectionHolder struct {
-	address string // of the router
+	address string // address of the router
 	from    net.IP // local address of the connections
 
 	mu    sync.Mutex
-	conns []net.Conn // guarded by mu while workers run
+	conns []net.Conn // the open connections; guarded by mu while workers run
 }
 
 // execute executes a command and returns the number of connections that failed. Unknown commands have no effect.
--- a/internal/experiment/idleconnections/experiment.go
+++ b/internal/experiment/idleconnections/experiment.go
@@ -77,14 +77,14 @@
 type Result struct {
 	Routers          int     `json:"routers"` // router processes, which share one core
 	Rows             []Row   `json:"rows"`
-	ReconnectSeconds float64 `json:"wave_s"` // until all connections were closed and opened again
+	ReconnectSeconds float64 `json:"wave_s"` // time until all connections were closed and opened again
 	ReconnectP99MS   float64 `json:"wave_active_p99_ms"`
-	WakeSeconds      float64 `json:"wake_s"` // until a health check was answered on every connection
+	WakeSeconds      float64 `json:"wake_s"` // time until a health check was answered on every connection
 	WakeP99MS        float64 `json:"wake_active_p99_ms"`
-	ExpirySeconds    float64 `json:"expiry_s"` // from 1% of the connections closed until nearly all closed
+	ExpirySeconds    float64 `json:"expiry_s"` // time from 1% of the connections closed until nearly all are
 	ExpiryP99MS      float64 `json:"expiry_active_p99_ms"`
 	Failed           int     `json:"failed"`                 // connections that could not be opened or were not answered
-	P99Ratio         float64 `json:"p99_ratio_most_to_none"` // of the row with the most idle connections
+	P99Ratio         float64 `json:"p99_ratio_most_to_none"` // ratio of the row with the most idle connections
 	ReconnectRatio   float64 `json:"p99_ratio_wave_to_none"`
 	ExpiryRatio      float64 `json:"p99_ratio_expiry_to_none"`
 }
--- a/internal/experiment/idleconnections/idleconnections_test.go
+++ b/internal/experiment/idleconnections/idleconnections_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// The commands open no connections, since a client that cannot connect retries for a minute.
+// The test opens no connections, since a client that cannot connect to its router retries for a minute.
 func TestClientCommands(t *testing.T) {
 	var out strings.Builder
 	in := strings.NewReader("open 0\n\nwake\nrenew\nended\nnonsense\nquit\nwake\n")
--- a/internal/experiment/leases/experiment.go
+++ b/internal/experiment/leases/experiment.go
@@ -48,7 +48,7 @@
 	Fault  Fault   `json:"how"`
 	Victim string  `json:"victim"`
 	Slots  int     `json:"slots"`
-	GapMS  float64 `json:"gap_ms"` // from the fault until the last of the victim's slots had a new holder
+	GapMS  float64 `json:"gap_ms"` // time from the fault until each of the victim's slots had a new holder
 }
 
 // Result is the outcome of an experiment.
@@ -72,7 +72,7 @@
 	IdleCPUPercent      float64 `json:"idle_cpu_percent_of_a_core"`
 	FramesPerSecond     float64 `json:"frames_per_second_an_instance"`
 	ResidentKB          int64   `json:"resident_kb"`
-	UnsharedCPUPercent  float64 `json:"cpu_percent_without_operator"` // of one instance that shares no leases
+	UnsharedCPUPercent  float64 `json:"cpu_percent_without_operator"` // of an instance that shares no leases
 	UnsharedResidentKB  int64   `json:"resident_kb_without_operator"`
 	GapBoundMS          float64 `json:"bound_ms"` // upper bound of GapP99MS
 	BrokenBounds        string  `json:"bounds_broken,omitempty"`
--- a/internal/experiment/leasesim/plan.go
+++ b/internal/experiment/leasesim/plan.go
@@ -53,7 +53,7 @@
 	ballots     []uint64             // by slot: highest ballot so far
 	lastProbes  map[string]sentProbe // last probe of each endpoint, by its name
 	leasedSlots int                  // slots that have a holder
-	leasedTime  float64              // ns with a holder, summed over all slots
+	leasedTime  float64              // ns in which a slot had a holder, summed over all slots
 	result      Result
 }
 
--- a/internal/experiment/membership/experiment.go
+++ b/internal/experiment/membership/experiment.go
@@ -20,9 +20,9 @@
 
 // Bounds of docs/membership.md, which apply to instances with operatorOptions, and durations of the experiment.
 const (
-	MaxDetectionMS       = 3000. // until all others have detected a kill
-	MaxOneWayDetectionMS = 5000. // until all others have detected an instance with a one-way fault
-	MaxDisagreementMS    = 5000. // until all views are equal after a fault
+	MaxDetectionMS       = 3000. // time until all others have detected a kill
+	MaxOneWayDetectionMS = 5000. // time until all others have detected an instance with a one-way fault
+	MaxDisagreementMS    = 5000. // time from the end of a fault until all instances have the same view
 	MaxLinks             = 16    // links between an instance and those that it monitors or that monitor it
 
 	operatorOptions = "(membership (interval 500ms) (silence 2100ms))"
@@ -52,20 +52,20 @@
 	Instances            int           `json:"instances"`
 	Seconds              float64       `json:"seconds"`
 	Kills                int           `json:"kills"`
-	DetectionP50MS       float64       `json:"detect_p50_ms"` // from a kill until all others have detected it
+	DetectionP50MS       float64       `json:"detect_p50_ms"` // time from a kill until all others have detected it
 	DetectionP99MS       float64       `json:"detect_p99_ms"`
 	DetectionMaxMS       float64       `json:"detect_max_ms"`
 	UndetectedKills      int           `json:"kills_not_believed_by_all"`
 	FalseDeaths          int           `json:"false_deaths"` // logged deaths of instances that were alive
 	Pauses               int           `json:"pauses"`
-	OneWayDetectionMaxMS float64       `json:"oneway_judged_max_ms"` // until all others have detected a one-way fault
+	OneWayDetectionMaxMS float64       `json:"oneway_judged_max_ms"` // time until all others detected a one-way fault
 	UndetectedOneWay     int           `json:"oneway_not_judged"`
-	DisagreementMaxMS    float64       `json:"disagree_max_ms"` // from the end of a fault until all have the same view
+	DisagreementMaxMS    float64       `json:"disagree_max_ms"` // time from a fault's end until all have the same view
 	BytesPerSecond       float64       `json:"bytes_per_member_per_s"`
 	MaxLinks             int           `json:"links_per_member_max"`
 	ViewChanges          float64       `json:"view_changes"`
-	FormedMS             float64       `json:"formed_ms"`          // until every instance believes all others alive
-	SlotsLeasedMS        float64       `json:"all_slots_owned_ms"` // from the start until all slots have a holder
+	FormedMS             float64       `json:"formed_ms"`          // time until each believes all others alive
+	SlotsLeasedMS        float64       `json:"all_slots_owned_ms"` // time from the start until all slots have a holder
 	IdleCPUShare         float64       `json:"cpu_share_idle"`     // fraction of a core, mean over all instances
 	ResidentKB           int64         `json:"resident_kb"`
 	Faults               []FaultResult `json:"-"`
--- a/internal/experiment/membership/fault.go
+++ b/internal/experiment/membership/fault.go
@@ -48,7 +48,7 @@
 	oneLinkDuration   = 8 * time.Second
 	partitionDuration = 10 * time.Second
 	partitionOneIn    = 3           // every third instance is on the smaller side
-	healDelay         = time.Second // from the detection of a one-way fault until its links heal
+	healDelay         = time.Second // time from the detection of a one-way fault until its links heal
 	flapCount         = 6
 	flapDuration      = time.Second
 	starveDuration    = 10 * time.Second
@@ -63,9 +63,9 @@
 type FaultResult struct {
 	Kind           Fault
 	Victim         string
-	DetectionMS    float64 `json:"MS"`       // until all others had detected it; 0 if they did not or need not
+	DetectionMS    float64 `json:"MS"`       // time until all others detected it; 0 if they did not or need not
 	FalseDeaths    int     `json:"False"`    // logged deaths of instances that were alive
-	DisagreementMS float64 `json:"AgreedMS"` // from the end of the fault until all have the same view
+	DisagreementMS float64 `json:"AgreedMS"` // time from the end of the fault until all have the same view
 }
 
 // injection is the state of one fault while it is injected.
--- a/internal/experiment/membershipsim/faults.go
+++ b/internal/experiment/membershipsim/faults.go
@@ -56,7 +56,7 @@
 	duplicateSettleTime = 2 * second
 	flapCount           = 8
 	flapSettleTime      = 6 * second
-	maxUndetectedPause  = 3 * second / 2 // after a longer one, members may believe the instance dead
+	maxUndetectedPause  = 3 * second / 2 // longest pause after which no member may believe the paused one dead
 
 	lossDuringFault    = 0.2        // share of messages that are lost
 	latencyDuringFault = second / 2 // mean latency of a message
--- a/internal/experiment/testcluster/frame.go
+++ b/internal/experiment/testcluster/frame.go
@@ -70,7 +70,7 @@
 	if err != nil {
 		return 0, false, err
 	}
-	const nameAt = 8 // after the version and the length of the method's name
+	const nameAt = 8 // offset of the name, after the version and the length of the name
 	if len(frame) < nameAt {
 		return 0, false, fmt.Errorf("response of %d bytes, want at least %d: %w",
 			len(frame), nameAt, io.ErrUnexpectedEOF)
--- a/internal/experiment/testcluster/load.go
+++ b/internal/experiment/testcluster/load.go
@@ -77,10 +77,10 @@
 	address string
 
 	mu       sync.Mutex
-	conn     net.Conn             // guarded by mu
+	conn     net.Conn             // guarded by mu; the latest connection
 	pending  map[uint32]time.Time // guarded by mu; due times of requests without a response, by sequence number
 	sequence uint32               // guarded by mu; sequence number of the last request
-	closed   bool                 // guarded by mu; the connection has ended
+	closed   bool                 // guarded by mu; conn has ended and none was opened since
 }
 
 func (r *loadRun) connect(load Load) error {
--- a/internal/experiment/testcluster/process.go
+++ b/internal/experiment/testcluster/process.go
@@ -89,7 +89,7 @@
 
 // LogLine is one event that a router logged.
 type LogLine struct {
-	At          time.Time // when the line was read
+	At          time.Time // when this process read the line
 	Instance    string
 	Incarnation int    // which start of the instance logged the event, counted from 1
 	Event       string // name of the event
--- a/internal/simulator/instance.go
+++ b/internal/simulator/instance.go
@@ -26,7 +26,7 @@
 	id        string
 	finished  bool
 	attempts  int   // number of attempts in flight
-	recheckAt int64 // ns; when Decide must be called again, 0: not at all
+	recheckAt int64 // ns; time of the next call of Decide, 0: none is needed
 }
 
 // instance is one router with its requests and timers.
--- a/internal/testkit/cache.go
+++ b/internal/testkit/cache.go
@@ -38,7 +38,7 @@
 type CacheRequest struct {
 	ID     string
 	Object string
-	Fields string // as they were received: NAME=VALUE, separated by commas
+	Fields string // the fields as received: NAME=VALUE, separated by commas
 	At     time.Time
 	Abort  bool // the router has aborted the request ID; Object and Fields are empty
 }
@@ -68,7 +68,7 @@
 	issued   func(CacheRequest) time.Time
 
 	mu          sync.Mutex
-	behavior    Behavior          // guarded by mu
+	behavior    Behavior          // guarded by mu; reaction to the next request
 	delay       time.Duration     // guarded by mu; time from a request to its response; 0: respond at once
 	connections map[net.Conn]bool // guarded by mu; whether the next request resets the connection
 	requests    []CacheRequest    // guarded by mu; all requests and aborts received
--- a/internal/testkit/processstalls.go
+++ b/internal/testkit/processstalls.go
@@ -38,7 +38,7 @@
 	mu      sync.Mutex
 	threads map[string]threadTimes // guarded by mu; the key is the thread's folder in /proc
 	readAt  time.Time              // guarded by mu; when threads was read
-	total   time.Duration          // guarded by mu; all stalls so far
+	total   time.Duration          // guarded by mu; total duration of all stalls so far
 }
 
 // WatchProcessStalls starts to measure the stalls of a process. The caller must call Stop to end the measurement. On a
