--- a/internal/experiment/coldstart/play.go
+++ b/internal/experiment/coldstart/play.go
@@ -28,7 +28,7 @@
 
 	routerMemoryMB   = 32
 	routerMaxSockets = 256
-	warmUpDuration   = 8 * time.Second // of a cache that has just started
+	warmUpDuration   = 8 * time.Second // time until a cache that has just started has its full capacity
 )
 
 // startupPhaseChanged is the name of the event that routers log when they enter another startup phase.
@@ -43,17 +43,17 @@
 	service      *discoveryserver.Service
 	caches       []*cache.Cache
 	endpoints    []string // the caches' entries in the endpoint list, as JSON
-	addresses    []string // at which the routers accept clients
-	operatorPath string   // of the operator's file; empty if there is none
+	addresses    []string // addresses on which the routers accept clients
+	operatorPath string   // path of the operator's file; empty if there is none
 	routers      []*testcluster.Process
 	startedAt    time.Time
-	healthyAtMS  []float64 // by router, since startedAt; 0 means not healthy yet
+	healthyAtMS  []float64 // by router: ms from startedAt until it was first healthy; 0: not yet
 
 	// attemptsBeforeDrain counts the attempts at the first cache before all routers had to stop sending to it.
 	attemptsBeforeDrain int
 
 	mu     sync.Mutex
-	warmMS []float64 // guarded by mu; time from each router start to the phase startup.Warm
+	warmMS []float64 // guarded by mu; ms from each router's start to the phase startup.Warm
 }
 
 func (r *experimentRun) run(ctx context.Context) (Result, error) {
@@ -145,7 +145,7 @@
 	}
 }
 
-// publishList makes the discovery service send a complete endpoint list.
+// publishList makes the discovery service send a complete endpoint list with the given generation.
 func (r *experimentRun) publishList(generation int) {
 	r.service.Publish(testcluster.EndpointListEvent(generation, r.endpoints))
 }
@@ -199,7 +199,7 @@
 	return nil
 }
 
-// startRouter starts a router, for the first time or again.
+// startRouter starts the router with an index, for the first time or again after it was killed.
 func (r *experimentRun) startRouter(index int) error {
 	startedAt := time.Now()
 	router, err := testcluster.StartProcess(testcluster.Command{
@@ -242,7 +242,7 @@
 	return served, errors.Join(faultErr, err)
 }
 
-// waitForHealth records when a router is healthy for the first time.
+// waitForHealth polls a router until it is healthy, and records when that was. It gives up when the context ends.
 func (r *experimentRun) waitForHealth(ctx context.Context, router int) {
 	for ctx.Err() == nil {
 		if testcluster.IsHealthy(r.addresses[router]) {
--- a/internal/experiment/idleconnections/bench.go
+++ b/internal/experiment/idleconnections/bench.go
@@ -128,7 +128,7 @@
 	goroutines  int
 	memoryBytes uint64 // heap and stacks after a garbage collection
 	residentKB  int64
-	cpuSeconds  float64 // since the routers started
+	cpuSeconds  float64 // processor time used since the routers started
 }
 
 // usage returns what all routers use together. For a router that has no admin socket, or does not answer on it, only
@@ -165,7 +165,7 @@
 	return count, nil
 }
 
-// load sends active traffic to all routers together, rate requests per second, for the duration.
+// load sends active traffic for the duration, at a rate in requests per second to all routers together.
 func (b *testbed) load(ctx context.Context, rate float64, duration time.Duration) (testcluster.LoadResult, error) {
 	addresses := b.ClientAddresses()
 	return testcluster.Load{
--- a/internal/experiment/idleconnections/experiment.go
+++ b/internal/experiment/idleconnections/experiment.go
@@ -50,9 +50,9 @@
 	ResultsDir     string
 	Counts         []int         // numbers of idle connections, in ascending order from 0
 	MaxPerRouter   int           // largest number of connections to one router process
-	Rate           float64       // active traffic, requests per second to all routers together
-	Duration       time.Duration // of active traffic for each row
-	IdleTimeout    time.Duration // for measuring the expiry of all connections; 0 skips that
+	Rate           float64       // requests per second of active traffic to all routers together
+	Duration       time.Duration // how long active traffic is sent for each Row
+	IdleTimeout    time.Duration // idle timeout of the routers in the expiry measurement; 0 skips it
 	Progress       io.Writer     // receives a line for each step
 }
 
@@ -68,7 +68,7 @@
 	LatencyP99MS        float64 `json:"active_p99_ms"`
 	LatencyP999MS       float64 `json:"active_p999_ms"`
 	ServedShare         float64 `json:"settled_share"`
-	CPUShare            float64 `json:"cpu_share"`   // of the core that all routers share
+	CPUShare            float64 `json:"cpu_share"`   // fraction of their shared core that the routers used
 	OpenSeconds         float64 `json:"opened_in_s"` // time to open the connections that the previous row did not have
 }
 
@@ -77,14 +77,14 @@
 type Result struct {
 	Routers          int     `json:"routers"` // router processes, which share one core
 	Rows             []Row   `json:"rows"`
-	ReconnectSeconds float64 `json:"wave_s"` // until all connections were closed and opened again
+	ReconnectSeconds float64 `json:"wave_s"` // time until all connections were closed and opened again
 	ReconnectP99MS   float64 `json:"wave_active_p99_ms"`
-	WakeSeconds      float64 `json:"wake_s"` // until a health check was answered on every connection
+	WakeSeconds      float64 `json:"wake_s"` // time until a health check was answered on every connection
 	WakeP99MS        float64 `json:"wake_active_p99_ms"`
-	ExpirySeconds    float64 `json:"expiry_s"` // from 1% of the connections closed until nearly all closed
+	ExpirySeconds    float64 `json:"expiry_s"` // time from 1% of the connections closed until nearly all are
 	ExpiryP99MS      float64 `json:"expiry_active_p99_ms"`
 	Failed           int     `json:"failed"`                 // connections that could not be opened or were not answered
-	P99Ratio         float64 `json:"p99_ratio_most_to_none"` // of the row with the most idle connections
+	P99Ratio         float64 `json:"p99_ratio_most_to_none"` // ratio of the row with the most idle connections
 	ReconnectRatio   float64 `json:"p99_ratio_wave_to_none"`
 	ExpiryRatio      float64 `json:"p99_ratio_expiry_to_none"`
 }
@@ -208,7 +208,7 @@
 	return r.chart().SaveAs(filepath.Join(r.ResultsDir, "idle"), "svg", "png")
 }
 
-// columns returns the row's columns in the table.
+// columns returns the values of the row, formatted and in the order of the columns in idle.csv.
 func (r Row) columns() []string {
 	columns := []string{string(r.Version), strconv.Itoa(r.Idle), strconv.Itoa(r.Suspended), strconv.Itoa(r.Goroutines)}
 	for _, value := range []float64{
--- a/internal/experiment/leasesim/result.go
+++ b/internal/experiment/leasesim/result.go
@@ -24,7 +24,7 @@
 	Partitions      int     `json:"splits"`
 	Messages        int     `json:"messages"`
 	Probes          int     `json:"probes"`
-	ExpectedProbes  float64 `json:"probes_of_an_undisturbed_owner"` // if each slot always had one holder
+	ExpectedProbes  float64 `json:"probes_of_an_undisturbed_owner"` // probes if each slot always had one holder
 	LeasedShare     float64 `json:"owned_share"`                    // share of time with a holder, mean over all slots
 }
 
@@ -84,7 +84,7 @@
 	s.holders[slot] = instance.index
 }
 
-// release records that an instance no longer holds a slot.
+// release records that an instance no longer holds a slot. It has no effect if the instance was not the holder.
 func (s *runState) release(index, slot int) {
 	if s.holders[slot] == index {
 		s.holders[slot] = noHolder
--- a/internal/experiment/membership/experiment.go
+++ b/internal/experiment/membership/experiment.go
@@ -20,10 +20,10 @@
 
 // Bounds of docs/membership.md, which apply to instances with operatorOptions, and durations of the experiment.
 const (
-	MaxDetectionMS       = 3000. // until all others have detected a kill
-	MaxOneWayDetectionMS = 5000. // until all others have detected an instance with a one-way fault
-	MaxDisagreementMS    = 5000. // until all views are equal after a fault
-	MaxLinks             = 16    // between an instance and the instances that it monitors or that monitor it
+	MaxDetectionMS       = 3000. // time until all others have detected a kill
+	MaxOneWayDetectionMS = 5000. // time until all others have detected an instance with a one-way fault
+	MaxDisagreementMS    = 5000. // time from the end of a fault until all instances have the same view
+	MaxLinks             = 16    // links between an instance and those that it monitors or that monitor it
 
 	operatorOptions = "(membership (interval 500ms) (silence 2100ms))"
 	maxVoters       = 5
@@ -52,26 +52,26 @@
 	Instances            int           `json:"instances"`
 	Seconds              float64       `json:"seconds"`
 	Kills                int           `json:"kills"`
-	DetectionP50MS       float64       `json:"detect_p50_ms"` // from a kill until all others have detected it
+	DetectionP50MS       float64       `json:"detect_p50_ms"` // time from a kill until all others have detected it
 	DetectionP99MS       float64       `json:"detect_p99_ms"`
 	DetectionMaxMS       float64       `json:"detect_max_ms"`
 	UndetectedKills      int           `json:"kills_not_believed_by_all"`
-	FalseDeaths          int           `json:"false_deaths"` // logged deaths of live instances
+	FalseDeaths          int           `json:"false_deaths"` // logged deaths of instances that were alive
 	Pauses               int           `json:"pauses"`
-	OneWayDetectionMaxMS float64       `json:"oneway_judged_max_ms"` // until all others have detected a one-way fault
+	OneWayDetectionMaxMS float64       `json:"oneway_judged_max_ms"` // time until all others detected a one-way fault
 	UndetectedOneWay     int           `json:"oneway_not_judged"`
-	DisagreementMaxMS    float64       `json:"disagree_max_ms"` // from the end of a fault until all have the same view
+	DisagreementMaxMS    float64       `json:"disagree_max_ms"` // time from a fault's end until all have the same view
 	BytesPerSecond       float64       `json:"bytes_per_member_per_s"`
 	MaxLinks             int           `json:"links_per_member_max"`
 	ViewChanges          float64       `json:"view_changes"`
-	FormedMS             float64       `json:"formed_ms"`          // until every instance believes all others alive
-	SlotsLeasedMS        float64       `json:"all_slots_owned_ms"` // from the start until all slots have a holder
-	IdleCPUShare         float64       `json:"cpu_share_idle"`     // of a core, mean over all instances
+	FormedMS             float64       `json:"formed_ms"`          // time until each believes all others alive
+	SlotsLeasedMS        float64       `json:"all_slots_owned_ms"` // time from the start until all slots have a holder
+	IdleCPUShare         float64       `json:"cpu_share_idle"`     // fraction of a core, mean over all instances
 	ResidentKB           int64         `json:"resident_kb"`
 	Faults               []FaultResult `json:"-"`
 }
 
-// CheckBounds returns a *report.BoundError if the result breaks a bound.
+// CheckBounds returns a *report.BoundError if the result breaks a bound of docs/membership.md, otherwise nil.
 func (r Result) CheckBounds() error {
 	// A voter may have an additional link to each instance that asks it for leases.
 	maxLinks := MaxLinks + r.Instances
@@ -133,7 +133,7 @@
 	}, nil
 }
 
-// FaultNames returns the names of all faults, separated by commas.
+// FaultNames returns the names of all faults in the order of Faults, separated by commas.
 func FaultNames() string {
 	var names []string
 	for _, fault := range Faults() {
@@ -255,7 +255,7 @@
 	return nil
 }
 
-// report writes the result of each fault.
+// report writes the result of each fault to members.json in ResultsDir. It writes nothing if ResultsDir is empty.
 func (r *experimentRun) report() error {
 	if r.ResultsDir == "" {
 		return nil
--- a/internal/experiment/membership/fault.go
+++ b/internal/experiment/membership/fault.go
@@ -30,7 +30,7 @@
 	RestartAll Fault = "rolling" // all instances are restarted in turn
 )
 
-// Faults returns all faults.
+// Faults returns all faults that an Experiment can inject.
 func Faults() []Fault {
 	return []Fault{
 		Kill, Pause, LinkDelay, CutOneLink, CutInward, CutOutward, Partition, Flapping, PauseMany, Starve, RestartAll,
@@ -48,7 +48,7 @@
 	oneLinkDuration   = 8 * time.Second
 	partitionDuration = 10 * time.Second
 	partitionOneIn    = 3           // every third instance is on the smaller side
-	healDelay         = time.Second // from the detection of a one-way fault until its links heal
+	healDelay         = time.Second // time from the detection of a one-way fault until its links heal
 	flapCount         = 6
 	flapDuration      = time.Second
 	starveDuration    = 10 * time.Second
@@ -56,16 +56,16 @@
 	starveRunning     = 5 * time.Millisecond
 )
 
-// pauses are the durations of the fault Pause, which takes the next one each time.
+// pauses lists how long a Pause stops its victim. Successive faults of this kind take the durations in turn.
 var pauses = []time.Duration{500 * time.Millisecond, maxUndetectedPause, 5 * time.Second}
 
 // FaultResult is the outcome of one fault.
 type FaultResult struct {
 	Kind           Fault
 	Victim         string
-	DetectionMS    float64 `json:"MS"`       // until all others had detected it; 0 if they did not or need not
-	FalseDeaths    int     `json:"False"`    // logged deaths of live instances
-	DisagreementMS float64 `json:"AgreedMS"` // from the end of the fault until all have the same view
+	DetectionMS    float64 `json:"MS"`       // time until all others detected it; 0 if they did not or need not
+	FalseDeaths    int     `json:"False"`    // logged deaths of instances that were alive
+	DisagreementMS float64 `json:"AgreedMS"` // time from the end of the fault until all have the same view
 }
 
 // injection is the state of one fault while it is injected.
@@ -73,7 +73,7 @@
 	*experimentRun
 	victimIndex int
 	victim      string
-	others      []string // all but the victim
+	others      []string // names of all instances but the victim
 	startedAt   time.Time
 	excluded    []string // deaths of these instances, and deaths that they log, do not count as false
 	result      FaultResult
@@ -204,7 +204,7 @@
 	return err
 }
 
-// starve lets the victim run for a twentieth of the time.
+// starve lets the victim run for a twentieth of the time during starveDuration.
 func (in *injection) starve() error {
 	in.excluded = nil
 	deadline := time.Now().Add(starveDuration)
--- a/internal/experiment/membershipsim/faults.go
+++ b/internal/experiment/membershipsim/faults.go
@@ -36,7 +36,7 @@
 	FaultDuplicateSend,
 }
 
-// FaultNames returns the names of all faults.
+// FaultNames returns the names of all faults, in the order of Faults.
 func FaultNames() []string {
 	names := make([]string, len(Faults))
 	for i, fault := range Faults {
@@ -51,12 +51,12 @@
 	restartDelay        = 20 * second
 	networkFaultTime    = 10 * second
 	oneWayFaultTime     = 8 * second
-	maxOneWayDetection  = 5 * second // within which all others must believe an instance with a one-way fault dead
-	settleTime          = 5 * second // until all must agree again after most faults
+	maxOneWayDetection  = 5 * second // time until all others must believe an instance with a one-way fault dead
+	settleTime          = 5 * second // time until all must agree again after most faults
 	duplicateSettleTime = 2 * second
 	flapCount           = 8
 	flapSettleTime      = 6 * second
-	maxUndetectedPause  = 3 * second / 2 // after a longer one, members may believe the instance dead
+	maxUndetectedPause  = 3 * second / 2 // longest pause after which no member may believe the paused one dead
 
 	lossDuringFault    = 0.2        // share of messages that are lost
 	latencyDuringFault = second / 2 // mean latency of a message
--- a/internal/experiment/report/report.go
+++ b/internal/experiment/report/report.go
@@ -20,7 +20,7 @@
 const (
 	chartWidth  = 16 * vg.Centimeter
 	chartHeight = 10 * vg.Centimeter
-	dashLength  = 4 // points
+	dashLength  = 4 // length of dashes and of the gaps between them, in points
 )
 
 // Names of the two curves that most charts compare.
@@ -146,7 +146,7 @@
 	return nil
 }
 
-// label returns the name and the color of a series.
+// label returns the name and the color of a series: those that Baseline selects, unless Name or Color is set.
 func (s Series) label() (string, color.Color) {
 	name, lineColor := CurrentName, color.Color(currentColor)
 	if s.Baseline {
--- a/internal/experiment/sharedconfigsim/plan.go
+++ b/internal/experiment/sharedconfigsim/plan.go
@@ -17,7 +17,7 @@
 // Plan configures one run of the simulation.
 type Plan struct {
 	Instances     int
-	Duration      time.Duration // simulated time
+	Duration      time.Duration // simulated time from the start of the run to its end
 	Seed          uint64
 	LeaseDuration time.Duration
 	RenewInterval time.Duration
@@ -28,10 +28,10 @@
 	maxVoters     = 5    // the first instances are voters, up to this number
 	maxClockDrift = 0.01 // largest relative error of a monotonic clock's rate
 	slots         = 64
-	purgeWindow   = second * 6  // PurgeWindow of the first settings, ns
+	purgeWindow   = second * 6  // ns; PurgeWindow in the first version of the settings
 	second        = int64(1e9)  // one second in ns
 	millisecond   = int64(1e6)  // one millisecond in ns
-	wallClockMS   = int64(1e12) // what the wall clock shows at the start of the run
+	wallClockMS   = int64(1e12) // ms since the Unix epoch that the wall clock shows at the start of the run
 
 	observationsPerRenewal = 10
 	firstEventAfterLeases  = 4 // time of the first event, in lease durations
@@ -49,7 +49,7 @@
 	network   *simulation.Network
 	instances []*simulatedInstance
 	byName    map[string]*simulatedInstance
-	hosts     []*simulation.Host // of the instances
+	hosts     []*simulation.Host // one host for each instance
 	initial   []byte             // content of the first version of the configuration
 	voters    []string
 	measured  measurements
@@ -114,7 +114,7 @@
 
 func (s *runState) now() int64 { return s.scheduler.Now() }
 
-// wallMS returns the time of the wall clock, which all instances share, in ms since the epoch.
+// wallMS returns the time of the wall clock, which all instances share, in ms since the Unix epoch.
 func (s *runState) wallMS() int64 { return wallClockMS + s.now()/millisecond }
 
 func (s *runState) observationInterval() int64 {
--- a/internal/experiment/testcluster/load.go
+++ b/internal/experiment/testcluster/load.go
@@ -22,7 +22,7 @@
 	loadObjects = 200
 
 	maxLatencyMicros     = 10_000_000
-	latencyPrecision     = 3 // significant digits
+	latencyPrecision     = 3 // significant digits of recorded latencies
 	loadSeedA, loadSeedB = 1, 2
 )
 
@@ -32,16 +32,16 @@
 type Load struct {
 	Rate                  float64 // requests per second over all addresses together
 	Addresses             []string
-	ConnectionsPerAddress int // each connection acts as one client
+	ConnectionsPerAddress int // number of connections to each address, each of them a client
 }
 
 // LoadResult is the outcome of a load.
 type LoadResult struct {
 	Sent      int
 	Served    int
-	Failed    int                     // answered with an error, or not sent
-	Lost      int                     // without a response
-	Latencies *hdrhistogram.Histogram // of requests with a response, µs
+	Failed    int                     // requests not sent or answered with an error; responses to no pending request
+	Lost      int                     // requests without a response
+	Latencies *hdrhistogram.Histogram // latencies in µs of requests with a response
 }
 
 // LatencyMS returns a percentile of the latency in milliseconds.
@@ -77,10 +77,10 @@
 	address string
 
 	mu       sync.Mutex
-	conn     net.Conn             // guarded by mu
+	conn     net.Conn             // guarded by mu; the latest connection
 	pending  map[uint32]time.Time // guarded by mu; due times of requests without a response, by sequence number
 	sequence uint32               // guarded by mu; sequence number of the last request
-	closed   bool                 // guarded by mu; the connection has ended
+	closed   bool                 // guarded by mu; conn has ended and none was opened since
 }
 
 func (r *loadRun) connect(load Load) error {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// read reads responses until the connection ends.
+// read counts the responses on a connection until the connection ends.
 func (r *loadRun) read(connection *loadConnection, conn net.Conn) {
 	defer closeAll(conn)
 	for in := bufio.NewReader(conn); ; {
--- a/internal/testkit/stalls_test.go
+++ b/internal/testkit/stalls_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// The total is the sum of all stalls. Timer delays shorter than minStall do not count.
+// Total must include every stall, not only the longest, and leave out timer delays shorter than minStall.
 func TestStallsAddUp(t *testing.T) {
 	start := time.Now().Add(-time.Second)
 	watch := newStallWatch(start)
@@ -56,7 +56,7 @@
 	const ms = time.Millisecond
 	for _, c := range []struct {
 		name          string
-		before, after threadTimes   // of the first thread
+		before, after threadTimes   // two readings of the times of the first thread
 		secondWaited  time.Duration // time that a second thread waited for a core
 		want          time.Duration
 	}{
@@ -90,7 +90,8 @@
 	}
 }
 
-// A thread that was runnable may have waited for a core until it exited. A sleeping thread did not wait.
+// The waits of a thread that has exited cannot be read. If it was runnable before, all of the elapsed time must count
+// as a stall, and if it was sleeping, none of it.
 func TestStalledBetweenWithExitedThread(t *testing.T) {
 	const elapsed = 10 * time.Millisecond
 	for state, want := range map[byte]time.Duration{runnable: elapsed, 'S': 0} {
@@ -113,7 +114,7 @@
 	}
 }
 
-// The threads of the test's process are found, and at least one of them is running.
+// Guards against a misread /proc: the threads of the test's process must be found, and at least one must be running.
 func TestReadThreads(t *testing.T) {
 	if runtime.GOOS != "linux" {
 		t.Skip("thread times are read from /proc, which only Linux has")
