--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -24,7 +24,7 @@
 
 // system is the clock of the operating system.
 type system struct {
-	begin    time.Time // creation time, with a monotonic reading
+	begin    time.Time // creation time of this clock, with a monotonic reading
 	beginNow int64     // value of Now at begin: the Unix time of begin, ns
 }
 
@@ -41,7 +41,7 @@
 // Now implements Clock.
 func (s *system) Now() int64 { return s.beginNow + int64(time.Since(s.begin)) }
 
-// Wall implements Clock.
+// Wall implements Clock. It reads the wall clock at each call.
 func (s *system) Wall() int64 { return time.Now().UnixNano() }
 
 // Until returns the duration until a monotonic time of the clock. It is negative if that time has passed.
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -14,10 +14,10 @@
 	mu         sync.Mutex
 	running    bool
 	begin      time.Time
-	beginNow   int64         // value of Now at begin, ns
-	advanced   time.Duration // total of all calls of Advance
+	beginNow   int64         // value of Now when the clock was created, in ns
+	advanced   time.Duration // total time added by calls of Advance
 	wallOffset time.Duration // wall clock time minus monotonic time
-	nextSwing  time.Duration // step of the wall clock before its next reading; its sign alternates
+	nextSwing  time.Duration // change of wallOffset before the next call of Wall; its sign alternates; 0: no change
 }
 
 var _ clock.Clock = (*Clock)(nil)
--- a/internal/clock/usage_test.go
+++ b/internal/clock/usage_test.go
@@ -15,7 +15,7 @@
 // clock reading, and the difference of two readings is wrong if the wall clock is set between them.
 var wallReadings = []string{"Unix", "UnixNano", "UnixMilli", "UnixMicro"}
 
-// readsWall returns the names of all wallReadings that a file uses.
+// readsWall returns the selectors in a file that are in wallReadings, whatever their package or receiver.
 func readsWall(file *ast.File) (found []string) {
 	ast.Inspect(file, func(n ast.Node) bool {
 		if s, ok := n.(*ast.SelectorExpr); ok && slices.Contains(wallReadings, s.Sel.Name) {
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -7,7 +7,7 @@
 	"tealpath/internal/lifecycle/startup"
 )
 
-// pause waits for delay ns or until ctx ends.
+// pause returns after delay ns, or at once when ctx ends.
 func pause(ctx context.Context, delay int64) {
 	select {
 	case <-time.After(time.Duration(delay)):
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -23,7 +23,7 @@
 	watcher *Watcher
 	conn    net.Conn
 	stream  *sse.Stream // nil until the response headers have been received
-	hasData bool        // an event or comment has been received
+	hasData bool        // at least one event or comment has been received on this connection
 }
 
 // call connects to the service and processes events and comments until the connection ends. It returns how the call
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -20,7 +20,7 @@
 // FieldError reports an unusable field of a watch event.
 type FieldError struct {
 	Field  string // path of the field in the event's JSON
-	Value  string // the field's value or JSON type
+	Value  string // text of the field's value, or its JSON type if the type is wrong
 	Reason string
 }
 
@@ -39,10 +39,10 @@
 // firstPosition is the position of the first event of a service. An endpoint list at this position is always complete.
 const firstPosition = 1
 
-// defaultCapacity is the capacity of an instance without a weight.
+// defaultCapacity is the capacity, relative to other endpoints, of an instance whose entry has no weight.
 const defaultCapacity = 1
 
-// watchEvent is one decoded event of the watch.
+// watchEvent is the content of one watch event, converted to an event for the reducer.
 type watchEvent struct {
 	position int64
 	event    router.Event        // nil: the event is of an unknown type and is ignored
@@ -56,10 +56,10 @@
 	Expire   *wirePurge     `json:"expire"`
 }
 
-// wireInstances is an endpoint list or a change to it.
+// wireInstances is the JSON form of an endpoint list, or of a change to the list in use.
 type wireInstances struct {
 	Generation int64          `json:"generation"`
-	Reset      bool           `json:"reset"` // the list is complete, not a change
+	Reset      bool           `json:"reset"` // true: the complete list; false: a change to the list in use
 	Instances  []wireInstance `json:"instances"`
 }
 
@@ -74,7 +74,7 @@
 	StartedAtMS int64    `json:"startedAtMs"` // Unix ms
 }
 
-// wirePurge is a purge of one object or of a group of objects.
+// wirePurge is the JSON form of a purge of one object or of a group of objects.
 type wirePurge struct {
 	Object string    `json:"name"`
 	Group  *int64    `json:"set"`
--- a/internal/discovery/decode_test.go
+++ b/internal/discovery/decode_test.go
@@ -16,7 +16,7 @@
 	}
 	for _, test := range []struct {
 		name, in string
-		want     string // position and event; empty: an error is expected
+		want     string // text of the decoded position and event; empty: an error is expected
 	}{
 		{"the first list is complete", listJSON(1, false, "active"), "1 {true [" + endpoint("ready") + "]}"},
 		{"changes", listJSON(5, false, "leaving"), "5 {false [" + endpoint("draining") + "]}"},
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -22,7 +22,7 @@
 	waitLimit = 20 * time.Second
 )
 
-// purgeEvent returns a purge of group 1 as the lines of an event in the stream.
+// purgeEvent returns the lines that the service sends for a watch event with a purge of group 1.
 func purgeEvent(position int) string {
 	return fmt.Sprintf("id: %d\ndata: {\"pos\":%d,\"expire\":{\"set\":1,\"stamp\":1}}\n\n", position, position)
 }
@@ -93,8 +93,8 @@
 // testWatcher is a watcher that records the events it posts and logs.
 type testWatcher struct {
 	*Watcher
-	events chan router.Event   // without ServiceReached and EventProcessed
-	logged chan logevent.Event // never closed; events are dropped while it is full
+	events chan router.Event   // posted events, except ServiceReached and EventProcessed
+	logged chan logevent.Event // log events; never closed; further events are dropped while it is full
 }
 
 // newTestWatcher returns a watcher that has not been started. If schedule is nil, it uses the schedule of a single
--- a/internal/discovery/history.go
+++ b/internal/discovery/history.go
@@ -16,10 +16,10 @@
 
 // History is what the router knows of the watch before its first call of the service.
 type History struct {
-	Position     int64 // position of the last known event
+	Position     int64 // position of the last event known before the first call; 0: none is known
 	lists        startup.ListFilter
 	hasList      bool          // the known events include an endpoint list
-	snapshotList *snapshotList // nil: there is none
+	snapshotList *snapshotList // list that the service has to confirm; nil: none
 }
 
 // snapshotList is an endpoint list from a snapshot. The router uses it only after the service has confirmed it.
--- a/internal/discovery/history_test.go
+++ b/internal/discovery/history_test.go
@@ -17,7 +17,7 @@
 	for _, test := range []struct {
 		name, in string
 		position int64
-		events   int // number of decoded events; -1: an error is expected
+		events   int // number of events that ParseHistory returns; -1: it must fail
 	}{
 		{"empty", "", 0, 0},
 		{"null", "null", 0, 0},
@@ -68,9 +68,9 @@
 		name        string
 		change      func(*discoveryserver.Service)
 		digest      uint64
-		first       string // prefix of the first posted event
+		first       string // prefix of the text of the first event that the watcher posts
 		calls       int
-		resumeAfter int // Last-Event-ID of the last call
+		resumeAfter int // Last-Event-ID of the watcher's last call
 	}{
 		{"the same service", func(*discoveryserver.Service) {}, digest, confirmed, 1, 1},
 		{"the service has sent more since", func(s *discoveryserver.Service) { s.Publish(purge) }, digest, confirmed, 1, 1},
--- a/internal/discovery/logevents.go
+++ b/internal/discovery/logevents.go
@@ -10,10 +10,10 @@
 	return logevent.Kind{Name: "discovery_reconnected", Level: logevent.Info, Message: "discovery connected again"}
 }
 
-// Disconnected reports a call of the service that failed or ended. Further failures are not reported until
-// Reconnected.
+// Disconnected reports that a call of the discovery service failed or ended. Further failures are not reported until
+// Reconnected has been.
 type Disconnected struct {
-	Position int64  `log:"position"` // position of the last processed event
+	Position int64  `log:"position"` // position of the last processed watch event; 0: none yet
 	Result   string `log:"result"`   // one of refused, unreached, unanswered, broke, silent, cut, not called
 	Cause    error  `log:"cause"`
 }
--- a/internal/discovery/resume.go
+++ b/internal/discovery/resume.go
@@ -18,7 +18,8 @@
 	// errListUnconfirmed is returned for an endpoint list that is used only if the service sends it a second time.
 	errListUnconfirmed = errors.New("unconfirmed endpoint list")
 
-	// errUnexpectedPosition is returned for an event that is not the next one.
+	// errUnexpectedPosition is returned for a watch event whose position is not that of the last processed event plus
+	// 1.
 	errUnexpectedPosition = errors.New("unexpected position")
 )
 
@@ -44,7 +45,7 @@
 		}
 	}
 	if position > 0 && position <= w.position {
-		return nil // a repeated event
+		return nil // the event was processed before
 	}
 	if err := w.checkUsable(position, decodeErr); err != nil {
 		return err
--- a/internal/discovery/resume_test.go
+++ b/internal/discovery/resume_test.go
@@ -32,8 +32,8 @@
 	for _, test := range []struct {
 		name     string
 		in       []sse.Event
-		posted   int    // number of posted events
-		errors   int    // number of events for which processEvent fails
+		posted   int    // watch events that the watcher must post
+		errors   int    // events for which processEvent must return an error
 		position int64  // the watcher's position at the end
 		logged   string // names of the logged events
 	}{
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -20,7 +20,7 @@
 // Config configures a Watcher.
 type Config struct {
 	Address  string                // discovery service, as host:port
-	History  History               // events known before the first call
+	History  History               // what is known of the watch before the first call of the service
 	Schedule *startup.CallSchedule // decides when the service is called
 	Post     func(router.Event)    // receives the events, in order; it may block
 	Log      func(logevent.Event)
@@ -40,14 +40,14 @@
 	maxReadTimeout time.Duration // shortens read timeouts in tests; 0: no effect
 
 	disconnected bool  // a call has failed, and no data has been received since
-	position     int64 // position of the last processed event
-	eventRetries int   // number of times that the event after position was unusable or missing
+	position     int64 // position of the last processed or skipped event; 0: none yet
+	eventRetries int   // consecutive calls that failed because the event after position was unusable or missing
 	lists        startup.ListFilter
-	snapshotList *snapshotList // waits for confirmation; may be nil
+	snapshotList *snapshotList // list that the service has not confirmed yet; nil: none
 
 	mu         sync.Mutex
 	address    string             // guarded by mu
-	cancelCall context.CancelFunc // guarded by mu; cancels the current call or the delay before it
+	cancelCall context.CancelFunc // guarded by mu; cancels the current call of the service, or the delay before it
 }
 
 // dialFunc has the signature of net.Dialer.DialContext; tests replace it to inject errors.
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -100,7 +100,7 @@
 			if took := call.at.Sub(begun); call.resumeAfter != test.want || took > time.Second {
 				t.Errorf("resumed after event %s, %v after SetAddress, want event %s within 1s", call.resumeAfter, took, test.want)
 			}
-			for range 2 { // events 5 and 6, each posted once even if both services have sent it
+			for range 2 { // the purges 5 and 6, each posted once even if both services have sent it
 				testkit.Receive(t, watcher.events, waitLimit, "an event")
 			}
 			stop()
@@ -119,7 +119,7 @@
 	event := purgeEvent(5)
 	for _, test := range []struct {
 		name, response string
-		closes         bool // the service closes the connection; false: it stays open and silent
+		closes         bool // whether the service closes the connection after the partial event; false: it stays open and silent
 	}{
 		{"inside a line, and closed", responseHead + event[:20], true},
 		{"inside a line, and open", responseHead + event[:20], false},
--- a/internal/downstream/accept.go
+++ b/internal/downstream/accept.go
@@ -22,7 +22,7 @@
 	defer s.idle.closeAll()
 	defer s.goroutines.Wait()
 	serving, end := context.WithCancel(ctx)
-	defer end() // ends the connections even if the listener fails
+	defer end() // makes the connections close even if the listener fails
 	s.goroutines.Go(func() { s.maintain(serving) })
 	return s.acceptLoop(ctx, serving)
 }
@@ -36,7 +36,7 @@
 		backlogged := s.hasBacklog()
 		conn, err := s.listener.Accept()
 		if !backlogged {
-			waitingSince = time.Now() // the backlog was empty before the call: this connection did not wait
+			waitingSince = time.Now() // the backlog was empty before Accept: this connection did not wait in it
 		}
 		switch {
 		case err == nil:
@@ -111,8 +111,8 @@
 	}
 }
 
-// waitForPacer waits until the pacer lets the connection be accepted, possibly as a suspended one. It returns
-// idle.Defer if the context has ended.
+// waitForPacer blocks until the pacer allows the connection to be accepted. It returns idle.Accept or, for a silent
+// connection that is to be suspended at once, idle.AcceptSuspended. If the context ends first, it returns idle.Defer.
 func (s *Server) waitForPacer(ctx context.Context, conn net.Conn, waitingSince time.Time) idle.AcceptDecision {
 	for {
 		silent := s.idle.canSuspend() && !s.hasUnread(conn)
@@ -127,7 +127,7 @@
 	}
 }
 
-// start serves a connection in a new goroutine.
+// start serves a connection in a new goroutine, and counts it in s.serving until it is closed or suspended.
 func (s *Server) start(ctx context.Context, c *connection) {
 	s.serving.Add(1)
 	s.goroutines.Go(func() {
@@ -136,14 +136,15 @@
 	})
 }
 
-// hasBacklog reports whether a connection waits to be accepted. It also returns true if the kernel cannot tell.
+// hasBacklog reports whether a connection waits in the listener's backlog. It also returns true if the kernel cannot
+// tell.
 func (s *Server) hasBacklog() bool {
 	waits := false
 	withDescriptor(s.listener, func(fd int) { waits = s.config.SystemCalls.Readable(fd) })
 	return waits
 }
 
-// pause waits for the duration and returns true. It returns false at once if the context ends first.
+// pause returns true once the duration has passed, or false as soon as the context ends.
 func pause(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-time.After(duration):
--- a/internal/downstream/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -55,7 +55,7 @@
 		send(t, disconnected, emptyCall(5))
 		neterr.Close(disconnected)
 	}
-	halfClosed := dial(t, server) // may still read: its request is rejected, and not posted either
+	halfClosed := dial(t, server) // this client may still read, so its request is rejected rather than dropped; it is not posted either
 	send(t, halfClosed, emptyCall(7))
 	closeWrite(t, halfClosed)
 	connected := dial(t, server)
@@ -63,7 +63,7 @@
 	for _, conn := range ahead {
 		expectBytes(t, conn, 20, "connection ahead in the backlog")
 	}
-	expectEvents(t, events, "RequestReceived") // of the connected client, whose request is the last one
+	expectEvents(t, events, "RequestReceived") // the request of the client that is still connected, the last one in the backlog
 	select {
 	case e := <-events:
 		t.Errorf("event %s for a client that closed while it waited in the backlog", e)
--- a/internal/downstream/arrival.go
+++ b/internal/downstream/arrival.go
@@ -31,12 +31,13 @@
 // short intervals.
 type heartbeat struct {
 	mu         sync.Mutex
-	last       int64 // guarded by mu; time of the last heartbeat
-	pauseStart int64 // guarded by mu; last heartbeat before the most recent pause
-	pauseEnd   int64 // guarded by mu; first heartbeat after that pause; 0 if there was no pause
+	last       int64 // guarded by mu; time of the last heartbeat, ns; 0: none yet
+	pauseStart int64 // guarded by mu; time of the last heartbeat before the most recent pause, ns
+	pauseEnd   int64 // guarded by mu; time of the first heartbeat after that pause, ns; 0: no pause yet
 }
 
-// record records a heartbeat: the process is running.
+// record notes that the process is running at the time now, in ns. If the last heartbeat is longer ago than
+// maxHeartbeatInterval, the time in between counts as a pause.
 func (h *heartbeat) record(now int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -67,7 +68,7 @@
 	server     *Server
 	earliest   int64  // ns; earliest arrival of the data of the last read
 	emptySince int64  // ns; last time at which the connection was known to have no unread data
-	segments   uint32 // number of segments received by emptySince
+	segments   uint32 // TCP segments with data that were received until emptySince
 }
 
 // begin sets the time since which unread data may wait on the connection, and the number of segments received
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -42,16 +42,16 @@
 	id          router.ClientID
 	conn        net.Conn
 	slot        slotKey
-	activeSince time.Time     // when it was accepted or last resumed
+	activeSince time.Time     // time at which the connection was accepted or last resumed
 	writeSignal chan struct{} // holds an element if the writer has to check the queue and the phase
-	arrivals    arrivalReader // used only by the reader
+	arrivals    arrivalReader // reads from conn; used only by the reading goroutine
 
 	mu             sync.Mutex
 	phase          phase          // guarded by mu
 	inFlight       map[int32]bool // guarded by mu; sequence numbers of the requests in flight
 	excessRequests int            // guarded by mu; consecutive requests beyond MaxRequestsPerConnection
-	queue          net.Buffers    // guarded by mu; pieces of responses to be written
-	queuedBytes    int64          // guarded by mu; size of queue and of the batch being written
+	queue          net.Buffers    // guarded by mu; slices of encoded responses that are not being written yet
+	queuedBytes    int64          // guarded by mu; bytes in queue and in the batch being written
 	writing        bool           // guarded by mu; a batch is being written
 	reading        bool           // guarded by mu; received data has not been handled yet
 	responded      bool           // guarded by mu; at least one response has been queued
@@ -86,9 +86,9 @@
 	c.end(written, err)
 }
 
-// exchange reads requests and writes responses until nothing more can be read or the connection is suspended.
-// It returns the reason, which is errSuspend after suspension, and a channel that is closed when the writer
-// has ended.
+// exchange reads requests and writes responses until nothing more can be read or the connection is suspended. It
+// returns why the reading ended, or errSuspend after suspension, and a channel that is closed when the writing
+// goroutine has ended.
 func (c *connection) exchange(ctx context.Context) (written <-chan struct{}, err error) {
 	for {
 		written := c.startWriter(ctx)
@@ -165,7 +165,7 @@
 	c.server.memory.responseWritten(c.queuedBytes)
 }
 
-// setPhase sets the phase without recording the resulting state in idleConnections.table.
+// setPhase changes only the connection's phase. The state in idleConnections.table stays as it is.
 func (c *connection) setPhase(next phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -214,7 +214,8 @@
 	return requestAdmitted
 }
 
-// removeRequest removes a request that its client has cancelled, and reports whether it was in flight.
+// removeRequest ends a request that its client has cancelled, so that a later response to it is discarded. It reports
+// whether the request was in flight.
 func (c *connection) removeRequest(seq int32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -155,7 +155,7 @@
 	var group sync.WaitGroup
 	var mu sync.Mutex
 	answered, ended := 0, 0
-	// record counts the result of a request, and reports whether to send another one.
+	// record counts a request as answered or as lost with its connection, and reports whether to send another one.
 	record := func(err error) bool {
 		mu.Lock()
 		defer mu.Unlock()
