--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -56,7 +56,8 @@
 	return startup.Unreachable
 }
 
-// open requests the watch and reads the response headers. The result is valid only if the error is not nil.
+// open requests the watch and reads the response headers. If that fails, it returns the result of the call and the
+// error; with a nil error the result has no meaning.
 func (c *call) open(address string) (startup.CallResult, error) {
 	if err := c.conn.SetDeadline(c.watcher.readDeadline()); err != nil {
 		return c.result(err), err
@@ -67,7 +68,7 @@
 	}
 	stream, err := sse.Open(c)
 	if errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
-		return startup.Truncated, err // the service accepted the request but sent no complete response head
+		return startup.Truncated, err // the service ended the connection before the response headers were complete
 	}
 	c.stream = stream
 	return c.result(err), err
@@ -145,7 +146,8 @@
 	return c.conn.Read(p)
 }
 
-// readDeadline returns the deadline for the next byte between events, or for the first byte of the response.
+// readDeadline returns the time by which the next byte must arrive, if none of the response or of the next event has
+// arrived yet.
 func (w *Watcher) readDeadline() time.Time {
 	timeout := time.Duration(w.schedule.ReadTimeout())
 	if w.maxReadTimeout > 0 {
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -20,7 +20,7 @@
 // FieldError reports an unusable field of a watch event.
 type FieldError struct {
 	Field  string // path of the field in the event's JSON
-	Value  string // text of the field's value, or its JSON type if the type is wrong
+	Value  string // JSON type of a value that has the wrong type; empty for an empty value
 	Reason string
 }
 
@@ -46,7 +46,7 @@
 type watchEvent struct {
 	position int64
 	event    router.Event        // nil: the event is of an unknown type and is ignored
-	list     startup.ListSummary // summary of an endpoint list; otherwise only its position is set
+	list     startup.ListSummary // if event is an endpoint list: its summary; otherwise only Position is set
 }
 
 // wireEvent is the JSON form of a watch event.
@@ -71,7 +71,7 @@
 	Lifecycle   string   `json:"lifecycle"`
 	Cell        int64    `json:"cell"`
 	Weight      *float64 `json:"weight"`
-	StartedAtMS int64    `json:"startedAtMs"` // Unix ms
+	StartedAtMS int64    `json:"startedAtMs"` // start of the instance, Unix ms
 }
 
 // wirePurge is the JSON form of a purge of one object or of a group of objects.
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// decodeEvent decodes the JSON of one watch event. Even if it returns a FieldError, the position of the returned
-// event may be set.
+// decodeEvent decodes the JSON of one watch event. If a field is unusable, it returns a FieldError, and the returned
+// event still has its position if that could be decoded.
 func decodeEvent(raw []byte) (watchEvent, error) {
 	var wire wireEvent
 	if err := json.Unmarshal(raw, &wire); err != nil {
@@ -125,7 +125,7 @@
 	return decoded, nil
 }
 
-// fieldError converts a JSON type mismatch to a FieldError. It returns other errors unchanged.
+// fieldError returns a FieldError if err is a JSON type mismatch, and err itself otherwise.
 func fieldError(err error) error {
 	if mismatch, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
 		field := cmp.Or(mismatch.Field, "(whole event)")
@@ -207,7 +207,7 @@
 	return ready
 }
 
-// listDigest returns a digest of all fields of all entries, to tell whether two lists are equal.
+// listDigest returns a hash of all fields of all entries. Lists with different hashes are not equal.
 func listDigest(entries []router.EndpointEntry) uint64 {
 	hash := xxhash.New()
 	var encoded []byte
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -66,7 +66,7 @@
 	return service
 }
 
-// readRequest reads the headers of a request and returns its Last-Event-ID.
+// readRequest reads an HTTP request without a body, and returns the value of its header Last-Event-ID.
 func readRequest(conn net.Conn) (resumeAfter string) {
 	in := bufio.NewReader(conn)
 	for {
--- a/internal/discovery/history.go
+++ b/internal/discovery/history.go
@@ -42,8 +42,9 @@
 	return true
 }
 
-// ParseHistory decodes the value of the configuration's key "known". It returns the history up to the last known
-// event, and the known events in order.
+// ParseHistory decodes the value of the configuration's key "known": watch events that the router is to know before it
+// calls the service. It returns the history up to the last of them, and the events in order. An empty value or null
+// yields an empty history.
 func ParseHistory(raw []byte) (History, []router.Event, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return History{}, nil, nil
@@ -83,7 +84,7 @@
 		return true, nil
 	case restore.Outdated:
 		w.dropSnapshotList()
-		if !decoded.list.Complete { // a complete list replaces the snapshot's
+		if !decoded.list.Complete { // a complete list is used in place of the snapshot's
 			return true, fmt.Errorf("event %d: %w", decoded.position, errSnapshotListDenied)
 		}
 	}
@@ -106,7 +107,8 @@
 	w.position = 0
 }
 
-// useSnapshotList makes the router use the snapshot's list, which the service has confirmed.
+// useSnapshotList posts the snapshot's list, which the service has confirmed, and lets the watch resume after
+// position.
 func (w *Watcher) useSnapshotList(position int64, digest uint64) {
 	w.log(SnapshotListConfirmed{Position: position})
 	list := w.snapshotList.list
--- a/internal/discovery/logevents.go
+++ b/internal/discovery/logevents.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// EndpointListUnconfirmed reports a complete endpoint list without ready endpoints, or with far fewer endpoints than
-// the list in use. The new list is used only if the service sends it a second time.
+// EndpointListUnconfirmed reports a complete endpoint list that has no ready endpoints, or far fewer endpoints than
+// the list in use. The router uses it only if the service sends it a second time.
 type EndpointListUnconfirmed struct {
 	Endpoints      int `log:"endpoints"`
 	ReadyEndpoints int `log:"ready_endpoints"`
@@ -53,8 +53,8 @@
 	}
 }
 
-// Renumbered reports a newer endpoint list whose position is not above that of the last processed event. This means
-// that the service has restarted and numbers its events anew.
+// Renumbered reports that the service has restarted and numbers its events anew: it has sent a newer endpoint list
+// whose position is not above that of the last processed event.
 type Renumbered struct {
 	Position         int64 `log:"position"`
 	PreviousPosition int64 `log:"previous_position"`
@@ -69,7 +69,8 @@
 	}
 }
 
-// WatchEventsMissing reports events that the service has not sent even after they were requested again.
+// WatchEventsMissing reports events that the service has not sent even after they were requested again. The watch
+// continues without them.
 type WatchEventsMissing struct {
 	First int64 `log:"first"` // position of the first missing event
 	Last  int64 `log:"last"`  // position of the last missing event
@@ -80,7 +81,8 @@
 	return logevent.Kind{Name: "watch_events_missing", Level: logevent.Warn, Message: "watch events missing"}
 }
 
-// WatchEventSkipped reports an event that could not be decoded, even after it was requested again.
+// WatchEventSkipped reports an event that could not be decoded even after it was requested again. The watch continues
+// without it.
 type WatchEventSkipped struct {
 	Position int64 `log:"position"`
 	Cause    error `log:"cause"`
@@ -91,7 +93,7 @@
 	return logevent.Kind{Name: "watch_event_skipped", Level: logevent.Warn, Message: "watch event skipped"}
 }
 
-// LogEvents returns a zero value of each log event of this package.
+// LogEvents returns one event of each type that this package logs, with zero fields.
 func LogEvents() []logevent.Event {
 	return []logevent.Event{
 		Reconnected{},
--- a/internal/discovery/resume.go
+++ b/internal/discovery/resume.go
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// positionFromID returns the position in the stream's ID of an event, or fallback if the ID is not a number.
+// positionFromID parses the ID of a server-sent event, which is the position of its watch event. It returns fallback
+// if the ID is not a number.
 func positionFromID(id string, fallback int64) int64 {
 	if position, err := strconv.ParseInt(id, 10, 64); err == nil {
 		return position
@@ -67,8 +68,9 @@
 	return fallback
 }
 
-// evaluateList reports whether a complete endpoint list is accepted. If so, it sets the watcher's position to that of
-// the list minus 1, so that the list is the next expected event.
+// evaluateList reports whether a complete endpoint list is to be used. If so, it sets w.position to position-1, so
+// that the list counts as the next event whatever the last processed position was. It returns an error for a list that
+// the service has to send again.
 func (w *Watcher) evaluateList(position int64, list startup.ListSummary) (bool, error) {
 	switch w.lists.Evaluate(w.clock.Now(), list) {
 	case startup.Unconfirmed:
@@ -85,8 +87,8 @@
 	return true, nil
 }
 
-// checkUsable returns an error for an event that cannot be decoded or is not the next one. After maxEventRetries
-// errors it returns nil, so that the watch continues.
+// checkUsable returns an error for an event that cannot be decoded or does not follow the last processed one. Once
+// maxEventRetries calls have ended with such an error, it returns nil, so that the watch continues.
 func (w *Watcher) checkUsable(position int64, decodeErr error) error {
 	isNext := decodeErr == nil && position == w.position+1
 	if isNext || w.eventRetries >= maxEventRetries {
--- a/internal/discovery/resume_test.go
+++ b/internal/discovery/resume_test.go
@@ -8,13 +8,13 @@
 	"tealpath/internal/protocol/sse"
 )
 
-// newPurge returns an event of the stream that purges a group. The group's number is the event's position.
+// newPurge returns a server-sent event with a purge. The purged group has the number position.
 func newPurge(position int) sse.Event {
 	data := fmt.Appendf(nil, `{"pos":%d,"expire":{"set":%d,"stamp":1}}`, position, position)
 	return sse.Event{ID: fmt.Sprint(position), Data: data}
 }
 
-// newList returns a complete endpoint list with the given number of endpoints, as an event of the stream.
+// newList returns a server-sent event with a complete endpoint list of the given number of endpoints.
 func newList(position, generation, endpoints int) sse.Event {
 	var instances []string
 	for n := range endpoints {
@@ -34,8 +34,8 @@
 		in       []sse.Event
 		posted   int    // watch events that the watcher must post
 		errors   int    // events for which processEvent must return an error
-		position int64  // the watcher's position at the end
-		logged   string // names of the logged events
+		position int64  // position of the last processed or skipped event
+		logged   string // names of the logged events, separated by spaces
 	}{
 		{"in order", []sse.Event{purge(5), purge(6)}, 2, 0, 6, ""},
 		{"repetitions are ignored", []sse.Event{purge(4), purge(5), purge(5), purge(3)}, 1, 0, 5, ""},
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -56,7 +56,8 @@
 // ServiceReached is posted when the service has sent the first event or comment on a new connection.
 type ServiceReached struct{}
 
-// EventProcessed is posted after each processed watch event. Digest is a hash of the event's JSON.
+// EventProcessed is posted for each processed watch event, after the router event decoded from it, if any. Position is
+// the watch event's position, and Digest a hash of its JSON.
 type EventProcessed struct {
 	Position int64
 	Digest   uint64
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -43,7 +43,7 @@
 		t.Errorf("resumed after %v, %d events posted, want [4 5 5 5] and 1", resumed, len(watcher.events))
 	}
 	const want = "discovery_disconnected discovery_reconnected discovery_disconnected"
-	logged := watcher.loggedNames() // the fourth call may have received data already
+	logged := watcher.loggedNames() // may include a second Reconnected: the fourth call may have received data
 	if logged != want && logged != want+" discovery_reconnected" {
 		t.Errorf("logged %s, want %s, or discovery_reconnected in addition", logged, want)
 	}
@@ -119,7 +119,7 @@
 	event := purgeEvent(5)
 	for _, test := range []struct {
 		name, response string
-		closes         bool // whether the service closes the connection after the partial event; false: it stays open and silent
+		closes         bool // true: the service closes the connection; false: it keeps it open and sends nothing more
 	}{
 		{"inside a line, and closed", responseHead + event[:20], true},
 		{"inside a line, and open", responseHead + event[:20], false},
@@ -166,7 +166,7 @@
 	syscall.EADDRNOTAVAIL,
 }
 
-// dialError wraps err as net.Dialer does.
+// dialError returns err in the form in which net.Dialer returns an error of socket(2).
 func dialError(err error) error {
 	return &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", err)}
 }
@@ -223,7 +223,7 @@
 	}
 }
 
-// faultyConn fails every second read or write with fault.
+// faultyConn fails every second read or write with the error fault.
 type faultyConn struct {
 	net.Conn
 	fault error
@@ -245,7 +245,8 @@
 	return c.Conn.Write(p)
 }
 
-// After transient local errors, the watch must continue on the same connection.
+// If reads and writes fail with transient local errors, the watch must continue on the same connection: each new call
+// would load the service.
 func TestWatchSurvivesTransientErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS, syscall.EINTR} {
 		t.Run(errno.Error(), func(t *testing.T) {
--- a/internal/downstream/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -55,7 +55,8 @@
 		send(t, disconnected, emptyCall(5))
 		neterr.Close(disconnected)
 	}
-	halfClosed := dial(t, server) // this client may still read, so its request is rejected rather than dropped; it is not posted either
+	// This client may still be reading, so its request is rejected rather than dropped. It is not posted either.
+	halfClosed := dial(t, server)
 	send(t, halfClosed, emptyCall(7))
 	closeWrite(t, halfClosed)
 	connected := dial(t, server)
@@ -63,14 +64,15 @@
 	for _, conn := range ahead {
 		expectBytes(t, conn, 20, "connection ahead in the backlog")
 	}
-	expectEvents(t, events, "RequestReceived") // the request of the client that is still connected, the last one in the backlog
+	expectEvents(t, events, "RequestReceived") // for the request of the client that is still connected
 	select {
 	case e := <-events:
 		t.Errorf("event %s for a client that closed while it waited in the backlog", e)
 	case <-time.After(300 * time.Millisecond):
 	}
 	expectResponse(t, halfClosed, rejectionOf(7))
-	respondServed(server, 41, 6) // the clients ahead have the IDs 1 to 40, and the rejected ones get none
+	// The clients ahead have the IDs 1 to 40. Rejected connections get no ID, so the connected client has the ID 41.
+	respondServed(server, 41, 6)
 	expectResponse(t, connected, "whole")
 }
 
--- a/internal/downstream/arrival.go
+++ b/internal/downstream/arrival.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// minBlockedRead is the minimum duration, in ns, of a read or wait that counts as blocked: its data arrived only
-	// after it had begun.
+	// minBlockedRead is the minimum duration, in ns, of a read or wait that is taken to have blocked: its data arrived
+	// only after it had begun.
 	minBlockedRead = int64(time.Millisecond)
 
 	// minEmptyAgeForPeek is an age in ns. If a connection was last known to have no unread data longer ago than that,
-	// its reader checks for unread data before it reads. The duration of the read alone does not show whether the
-	// read blocked, since on a busy core a read may take long in any case.
+	// its reader checks for unread data before it reads. How long the read takes does not show whether the data
+	// arrived only during the read, since on a busy core any read may take long.
 	minEmptyAgeForPeek = int64(5 * time.Millisecond)
 
 	// maxHeartbeatInterval is the time without a heartbeat, in ns, after which the process is considered to
@@ -27,8 +27,8 @@
 	maxCatchUpTime = int64(20 * time.Millisecond)
 )
 
-// heartbeat detects pauses of the process, during which it got no processor time. record has to be called at
-// short intervals.
+// heartbeat detects pauses of the process, during which it got no processor time. A pause is noticed only if record is
+// called at intervals well below maxHeartbeatInterval.
 type heartbeat struct {
 	mu         sync.Mutex
 	last       int64 // guarded by mu; time of the last heartbeat, ns; 0: none yet
@@ -66,8 +66,8 @@
 type arrivalReader struct {
 	net.Conn
 	server     *Server
-	earliest   int64  // ns; earliest arrival of the data of the last read
-	emptySince int64  // ns; last time at which the connection was known to have no unread data
+	earliest   int64  // earliest time at which the data of the last read can have arrived, ns
+	emptySince int64  // last time at which the connection was known to have no unread data, ns
 	segments   uint32 // TCP segments with data that were received until emptySince
 }
 
@@ -77,7 +77,7 @@
 	a.emptySince, a.segments = since, segments
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader, and sets earliest if it returns data.
 func (a *arrivalReader) Read(buffer []byte) (int, error) {
 	called := a.server.now()
 	waiting := called-a.emptySince > minEmptyAgeForPeek && a.server.hasUnread(a.Conn)
--- a/internal/downstream/arrival_test.go
+++ b/internal/downstream/arrival_test.go
@@ -19,8 +19,8 @@
 	late = 100 * time.Millisecond
 )
 
-// recordArrivals runs a server on a listener. It returns the server and a channel with the requests that the
-// server posts. onRequest is called for each request.
+// recordArrivals runs a server on a listener. It returns the server and a channel with the requests that the server
+// posts. onRequest is called for each of them.
 func recordArrivals(
 	t *testing.T, listener net.Listener, config Config, onRequest func(router.RequestReceived),
 ) (*Server, chan router.RequestReceived) {
@@ -60,10 +60,11 @@
 	return time.Duration(r.ArrivedAt - (server.now() - int64(time.Since(sent))))
 }
 
-// unreadFor is how long the tests keep requests from being read.
+// unreadFor is how long the tests keep a request unread after its client has sent it.
 const unreadFor = 400 * time.Millisecond
 
-// The reported arrival time of a request is that of its first byte, however long the request waits to be read.
+// However long a request waits to be read, its reported arrival time is that of its first byte. A later time would
+// give the request a later deadline than its client has.
 func TestArrivalTime(t *testing.T) {
 	t.Run("in the backlog", func(t *testing.T) {
 		listener := gatedListener{listen(t), make(chan struct{})}
@@ -132,7 +133,8 @@
 	}
 }
 
-// Requests that follow a pause without requests are not reported as having waited.
+// A request that arrives on a connection without unread data must not be reported as having waited since the last
+// request, which would take away time that it has.
 func TestArrivalTimeAfterQuietTime(t *testing.T) {
 	for _, test := range []struct {
 		size         int
@@ -204,7 +206,7 @@
 	const ms = int64(time.Millisecond)
 	for _, test := range []struct {
 		name      string
-		beats     []int64 // ms
+		beats     []int64 // times of the heartbeats, ms
 		now, want int64
 	}{
 		{"no heartbeat yet", nil, 1000, 1000},
--- a/internal/downstream/closing.go
+++ b/internal/downstream/closing.go
@@ -12,26 +12,27 @@
 )
 
 const (
-	// lingerTimeout is how long a client may take to read its last responses and close its side.
+	// lingerTimeout is how long a client may take, after the server has closed its sending side, to read its last
+	// responses and to close its own side.
 	lingerTimeout = 2 * time.Second
 
-	// closeNotifyTimeout replaces lingerTimeout for a client without outstanding responses, which only has to
-	// see the end of the stream.
+	// closeNotifyTimeout replaces lingerTimeout for a client that waits for no response: it only has to see the end of
+	// the stream.
 	closeNotifyTimeout = 200 * time.Millisecond
 
-	// lingerInterval is the pause between two reads of data to be discarded, and lingerReadBytes is the maximum
-	// size of such a read. They limit the processor time for a client that never stops sending.
+	// lingerInterval is the pause between two reads whose data is discarded, and lingerReadBytes is the maximum number
+	// of bytes of such a read. They limit the processor time for a client that never stops sending.
 	lingerInterval  = time.Millisecond
 	lingerReadBytes = 32 << 10
 
-	// peerCloseCheckInterval is the maximum duration of a read of data to be discarded. After each such read,
-	// awaitPeerClose checks whether the writer has ended.
+	// peerCloseCheckInterval is the maximum duration of a read in awaitPeerClose, which discards the data and checks
+	// after each read whether all responses are written.
 	peerCloseCheckInterval = 20 * time.Millisecond
 )
 
-// notifyHalfClosed posts that the client has closed its sending side, if it has a request in flight. The
-// client may have disconnected, or it may still be reading: the router answers attempts in flight and starts
-// no further ones.
+// notifyHalfClosed posts ClientHalfClosed if the client, which has closed its sending side, has a request in flight.
+// The client may have disconnected, or it may still be reading: the router answers attempts in flight and starts no
+// further ones.
 func (c *connection) notifyHalfClosed() {
 	c.mu.Lock()
 	inFlight := len(c.inFlight) > 0
@@ -41,9 +42,9 @@
 	}
 }
 
-// awaitPeerClose waits until all responses are written, and detects whether the client closes its side before
-// then. It is used once no more requests are read from the client. Data from the client is discarded at a
-// limited rate.
+// awaitPeerClose discards data from the client, at a limited rate, until all responses are written, the client closes
+// its side or a read fails. If the client closes its side, ClientHalfClosed is posted; if the connection has ended,
+// the client's requests are dropped. It is used once no more requests are read from the client.
 func (c *connection) awaitPeerClose(written <-chan struct{}) {
 	for {
 		select {
@@ -67,7 +68,7 @@
 	}
 }
 
-// discard reads and discards up to lingerReadBytes of the data from the client.
+// discard reads up to lingerReadBytes from the client and drops them. It returns nil if that many were read.
 func (c *connection) discard() error {
 	_, err := io.CopyN(io.Discard, neterr.Reader{From: c.conn}, lingerReadBytes)
 	return err
@@ -83,7 +84,8 @@
 	c.signalWriter()
 }
 
-// linger closes the sending side of the connection and lets the client read its last responses.
+// linger closes the sending side of the connection and gives the client lingerTimeout, or closeNotifyTimeout if the
+// connection is draining, to read its last responses and close its side.
 func (c *connection) linger() {
 	c.mu.Lock()
 	c.phase = phaseLingering
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -13,8 +13,8 @@
 	"tealpath/internal/router"
 )
 
-// maxExcessRequests is how many consecutive requests beyond MaxRequestsPerConnection are only rejected. After
-// one more, the connection is closed for a protocol violation.
+// maxExcessRequests is the number of consecutive requests beyond MaxRequestsPerConnection that are merely rejected.
+// The next one is a protocol violation, for which the connection is closed.
 const maxExcessRequests = 8
 
 // Errors with which readRequests ends, besides those of the connection and of the decoder.
@@ -43,7 +43,7 @@
 	conn        net.Conn
 	slot        slotKey
 	activeSince time.Time     // time at which the connection was accepted or last resumed
-	writeSignal chan struct{} // holds an element if the writer has to check the queue and the phase
+	writeSignal chan struct{} // holds an element if the writer has to check queue and phase again
 	arrivals    arrivalReader // reads from conn; used only by the reading goroutine
 
 	mu             sync.Mutex
@@ -60,7 +60,7 @@
 	tableState     idle.State     // guarded by mu; state recorded in idleConnections.table
 }
 
-// newConnection returns a connection that other goroutines cannot access until register assigns its ID.
+// newConnection returns a connection without an ID. Other goroutines cannot access it until register assigns one.
 func newConnection(s *Server, conn net.Conn, slot slotKey) *connection {
 	return &connection{
 		server:      s,
@@ -101,7 +101,8 @@
 		if c.server.suspend(c) {
 			return written, errSuspend
 		}
-		c.setPhase(phaseOpen) // suspension failed, or the connection was evicted and its next read ends it
+		// Suspension failed, possibly because the connection was evicted, in which case readRequests ends at once.
+		c.setPhase(phaseOpen)
 	}
 }
 
@@ -115,8 +116,8 @@
 	return written
 }
 
-// end closes a connection from which nothing more is read. Requests in flight are answered first, unless the
-// client has disconnected or has violated the protocol.
+// end closes a connection from which nothing more is read, once its requests in flight are answered. If the client has
+// violated the protocol, they fail; if it has disconnected, they are dropped.
 func (c *connection) end(written <-chan struct{}, readError error) {
 	violated := c.beginEnding(readError)
 	halfClosed := errors.Is(readError, io.EOF) || errors.Is(readError, io.ErrUnexpectedEOF)
@@ -157,7 +158,7 @@
 // proves that it has disconnected. If it has closed both sides, the first write of a response fails.
 func mayStillRead(readError error) bool { return !neterr.IsConnectionEnded(readError) }
 
-// markClosed makes the connection queue no more responses, and releases the memory of the unwritten ones.
+// markClosed makes the connection discard all later responses, and releases the memory of the unwritten ones.
 func (c *connection) markClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -238,7 +239,7 @@
 	c.server.idle.setState(c.slot, state)
 }
 
-// currentState derives the connection's state in idleConnections.table from its fields. c.mu must be locked.
+// currentState returns the state that the connection should have in idleConnections.table. c.mu must be locked.
 func (c *connection) currentState() idle.State {
 	switch {
 	case c.phase >= phaseLingering:
--- a/internal/downstream/eviction.go
+++ b/internal/downstream/eviction.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// maxEvictionCandidates is the maximum number of connections to try to evict for one new connection.
+	// maxEvictionCandidates is how many connections are tried for eviction, at most, to make room for one new
+	// connection.
 	maxEvictionCandidates = 8
 
-	// requestGracePeriod is how long a request may take to arrive before its connection may be closed for a
-	// new one.
+	// requestGracePeriod is how long a request may take to arrive before its connection may be closed to make room for
+	// a new one.
 	requestGracePeriod = 300 * time.Millisecond
 )
 
@@ -39,8 +40,8 @@
 	return false
 }
 
-// evict closes a connection, or starts to close it, unless it has a request in flight, an unwritten response or
-// unread data. It reports whether it did so.
+// evict closes a connection, or starts to close it, and returns true. If the connection has a request in flight, an
+// unwritten response or unread data, evict leaves it open and returns false.
 func (s *Server) evict(id idle.ID) bool {
 	active, evicted := s.idle.evictSuspended(id)
 	if active == nil {
@@ -64,12 +65,13 @@
 	case c.draining:
 		return true
 	case c.phase >= phaseLingering:
-		neterr.Close(c.conn) // it lingers, so its last response has been written
+		neterr.Close(c.conn) // a lingering connection has written its last response
 		return true
 	}
 	hasUnread := c.server.hasUnread(c.conn)
 	if hasUnread {
-		c.reading = true // the reader sets this only later; until then the table could return the same candidate again
+		// Set here because the reader sets it only later: until then the table could return the same candidate again.
+		c.reading = true
 		c.updateTableState()
 	}
 	if hasUnread || !c.quiescent() {
--- a/internal/downstream/faultyconn_linux_test.go
+++ b/internal/downstream/faultyconn_linux_test.go
@@ -24,7 +24,7 @@
 	wrap   func(*net.TCPConn) net.Conn
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. It fails without accepting if l.accept returns an error.
 func (l faultyListener) Accept() (net.Conn, error) {
 	if err := l.accept(); err != nil {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", err)}
@@ -49,10 +49,10 @@
 	return c.Conn.(*net.TCPConn).SyscallConn()
 }
 
-// CloseWrite half-closes the connection.
+// CloseWrite closes the sending side of the connection and never fails on purpose.
 func (c faultyConn) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
 
-// Read implements io.Reader.
+// Read implements net.Conn. It fails without reading if c.read returns an error.
 func (c faultyConn) Read(p []byte) (int, error) {
 	if err := c.read(); err != nil {
 		return 0, os.NewSyscallError("read", err)
@@ -60,7 +60,7 @@
 	return c.Conn.Read(p)
 }
 
-// Write implements io.Writer.
+// Write implements net.Conn. If c.write returns an error, it sends half of p and fails.
 func (c faultyConn) Write(p []byte) (int, error) {
 	if err := c.write(); err != nil {
 		n, _ := c.Conn.Write(p[:len(p)/2])
@@ -79,7 +79,7 @@
 	return server, events
 }
 
-// noError makes a call succeed.
+// noError stands for a call that never fails.
 func noError() error { return nil }
 
 // Connections that cannot be accepted wait in the backlog with their requests, which are answered once
@@ -174,7 +174,7 @@
 	send(t, conn, emptyCall(5))
 	request := (<-events).(router.RequestReceived)
 	failing.Store(true)
-	send(t, conn, []byte{0}) // wakes the reader
+	send(t, conn, []byte{0}) // makes the pending read return, so that the next one fails
 	time.Sleep(50 * time.Millisecond)
 	respondServed(server, request.Client, 5)
 	expectResponse(t, conn, "whole")
--- a/internal/downstream/filter_linux_test.go
+++ b/internal/downstream/filter_linux_test.go
@@ -16,7 +16,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// refusal is a system call that a seccomp filter refuses, and the error that the call returns.
+// refusal is a system call that a seccomp filter refuses, and the errno that the call fails with.
 type refusal struct {
 	call  uintptr
 	errno unix.Errno
@@ -78,10 +78,10 @@
 	return nil
 }
 
-// filterEnv is the environment variable that names the filter for the child process of TestSystemCallFilters.
+// filterEnv is the environment variable in which TestSystemCallFilters passes the filter's name to its child process.
 const filterEnv = "TEALPATH_TEST_FILTER"
 
-// A filter cannot be removed from a process, so the test binary is run again for each filter.
+// The server is tested under each filter in a process of its own, because a filter cannot be removed from a process.
 func TestSystemCallFilters(t *testing.T) {
 	for name := range filters {
 		t.Run(name, func(t *testing.T) {
@@ -137,7 +137,7 @@
 		t.Skip("run by TestSystemCallFilters")
 	}
 	filter := filters[name]
-	listener := listen(t) // makes the runtime create its own epoll set before the filter refuses that
+	listener := listen(t) // makes the Go runtime create its epoll set before the filter refuses epoll calls
 	if err := installFilter(filter.refused); err != nil {
 		t.Skip(err)
 	}
@@ -160,7 +160,7 @@
 	if filter.suspends {
 		waitForSuspension(t, server)
 	} else {
-		time.Sleep(2500 * time.Millisecond) // more than twice the delay before suspension
+		time.Sleep(2500 * time.Millisecond) // more than twice the idle time after which a connection is suspended
 		if n := server.activeConnections(); n != len(conns) {
 			t.Errorf("%d of %d connections active, want all", n, len(conns))
 		}
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -24,7 +24,8 @@
 
 var smallConfig = Config{MaxConnections: 4, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20}
 
-// configWithIdleTimeout returns a configuration with the given connection limit and idle timeout.
+// configWithIdleTimeout returns a configuration for at most that many connections, in which idle ones are closed after
+// timeout without jitter.
 func configWithIdleTimeout(connections int, timeout time.Duration) Config {
 	policy := idle.Policy{FirstRequestTimeout: MaxIdleBeforeFirstRequest, IdleTimeout: int64(timeout)}
 	return Config{
@@ -133,7 +134,7 @@
 	}
 }
 
-// trySend writes data to a server that may close the connection before it has read all of it.
+// trySend writes data and ignores the error, because the server may close the connection before it has read all of it.
 func trySend(conn net.Conn, data []byte) { _, _ = conn.Write(data) }
 
 func closeWrite(t *testing.T, conn net.Conn) {
@@ -143,7 +144,7 @@
 	}
 }
 
-// reset closes a connection with a TCP reset.
+// reset closes a connection such that the server gets a TCP reset instead of the end of the stream.
 func reset(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
@@ -152,17 +153,17 @@
 	neterr.Close(conn)
 }
 
-// frame returns a framed message of the given message type, with encoded arguments.
+// frame returns a framed message. kind is its Thrift message type, args are its arguments in encoded form.
 func frame(kind byte, method string, seq uint32, args string) []byte {
 	m := binary.BigEndian.AppendUint32([]byte{0x80, 1, 0, kind}, uint32(len(method)))
 	m = binary.BigEndian.AppendUint32(append(m, method...), seq)
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(m)+len(args))), append(m, args...)...)
 }
 
-// emptyCall returns a call without arguments.
+// emptyCall returns a `call` message without arguments.
 func emptyCall(seq uint32) []byte { return frame(1, "call", seq, "\x00") }
 
-// call returns a call with a body of the given size. A large one is sent in several TCP segments.
+// call returns a `call` message with a body of size bytes. A large one is sent in several TCP segments.
 func call(seq uint32, size int) []byte {
 	args := binary.BigEndian.AppendUint32([]byte("\x0b\x00\x02"), uint32(size))
 	args = append(append(args, bytes.Repeat([]byte("x"), size)...), 0)
@@ -177,19 +178,20 @@
 	return frame(4, "cancel", 9, "\x08\x00\x01\x00\x00\x00"+string([]byte{seq})+"\x00")
 }
 
-// healthCall returns a health request.
+// healthCall returns a `health` message, which the server answers without the router.
 func healthCall(seq uint32) []byte { return frame(1, "health", seq, "\x00") }
 
-// healthResponseBytes is the size of the response to healthCall, including the frame length.
+// healthResponseBytes is the size in bytes of the response to healthCall, including its length field.
 const healthResponseBytes = 47
 
-// rejectedStruct is the start of a result that rejects a call: field 1, which is a struct.
+// rejectedStruct is the encoded start of a Thrift result that rejects a call: field 1, of type struct.
 const rejectedStruct = "\x0c\x00\x01"
 
-// rejectionOf returns a part of the response that rejects the call with the given sequence number.
+// rejectionOf returns the part of a response that shows that the call with the sequence number seq is rejected.
 func rejectionOf(seq byte) string { return "call\x00\x00\x00" + string([]byte{seq}) + rejectedStruct }
 
-// nextEvent returns the type name of the next event that the server posts.
+// nextEvent returns the type name of the next event that the server posts. It fails the test if there is none within
+// testTimeout.
 func nextEvent(t *testing.T, events chan string) string {
 	t.Helper()
 	select {
@@ -201,7 +203,7 @@
 	}
 }
 
-// expectEvents checks the type names of the next events.
+// expectEvents checks that the next events that the server posts have the given type names, in that order.
 func expectEvents(t *testing.T, events chan string, names ...string) {
 	t.Helper()
 	for _, want := range names {
@@ -211,12 +213,12 @@
 	}
 }
 
-// respondServed sends a response with the body "whole" to a request.
+// respondServed makes the server answer a client's request as served, with the body "whole".
 func respondServed(server *Server, client router.ClientID, seq int32) {
 	server.Respond(router.Respond{Client: client, Seq: seq, Body: []byte("whole")})
 }
 
-// expectResponse reads a response and checks that it contains part.
+// expectResponse checks that the next response on a connection contains the text part.
 func expectResponse(t *testing.T, conn net.Conn, part string) {
 	t.Helper()
 	if got, err := readResponse(conn); err != nil || !strings.Contains(got, part) {
@@ -296,7 +298,7 @@
 	})
 }
 
-// idleConnection returns a connection that has had a response and is idle or, on request, suspended.
+// idleConnection returns a connection that has had a response. It is idle, and suspended if suspended is true.
 func idleConnection(t *testing.T, server *Server, suspended bool) net.Conn {
 	t.Helper()
 	conn := dial(t, server)
@@ -335,14 +337,15 @@
 	}
 }
 
-// closingCount returns the number of suspended connections that are closing.
+// closingCount returns the number of connections that were suspended and whose sending side the server has closed, but
+// not yet their descriptor.
 func (s *Server) closingCount() int {
 	s.idle.mu.Lock()
 	defer s.idle.mu.Unlock()
 	return len(s.idle.closing)
 }
 
-// requestsInFlight returns the client of each request in flight, by sequence number.
+// requestsInFlight returns the ID of the client of each request in flight, by the request's sequence number.
 func (s *Server) requestsInFlight() map[int32]router.ClientID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/downstream/idle.go
+++ b/internal/downstream/idle.go
@@ -13,8 +13,9 @@
 	"tealpath/internal/logevent"
 )
 
-// closingDivisor limits the connections that do not count towards MaxConnections. About MaxConnections divided
-// by closingDivisor may be closing after suspension, and as many may be rejected, at the same time.
+// closingDivisor limits the connections that have no slot in the table and so do not count towards MaxConnections. At
+// the same time, about MaxConnections/closingDivisor connections may be closing after suspension, and as many may be
+// having their requests rejected.
 const closingDivisor = 8
 
 // slotKey identifies a connection by its slot in the table and the slot's generation, which changes whenever
@@ -32,10 +33,11 @@
 	return slotKey{id: idle.ID(int32(key >> 32)), generation: uint32(key)}
 }
 
-// slot is the content of one slot of idleConnections: an active connection, a suspended descriptor, or neither.
+// slot is the content of one slot of idleConnections: an active connection, the descriptor of a suspended one, or
+// neither.
 type slot struct {
 	connection         *connection
-	fd                 int32  // of a suspended connection, or noDescriptor
+	fd                 int32  // descriptor of the suspended connection, or noDescriptor
 	segments           uint16 // TCP segments received before suspension, modulo 2^16: enough to count later ones
 	beforeFirstRequest bool   // the connection was suspended before its first request
 }
@@ -61,12 +63,12 @@
 	emit           func(logevent.Event)
 
 	suspendDisabled atomic.Bool  // a system call that is needed to suspend connections failed for good
-	waiting         atomic.Int64 // suspended connections with received data that has not been handled yet
+	waiting         atomic.Int64 // suspended connections that the poller has reported and that are not resumed or closed yet
 
 	mu        sync.Mutex
 	table     *idle.Table         // guarded by mu
 	slots     []slot              // guarded by mu; indexed by the table's IDs
-	postponed []wakeUp            // guarded by mu; could not be resumed because a resource was exhausted
+	postponed []wakeUp            // guarded by mu; connections whose resumption failed or was put off, to be retried
 	retrying  bool                // guarded by mu; postponed connections are being retried
 	closing   []closingDescriptor // guarded by mu; suspended connections that are closing and no longer in the table
 }
@@ -90,7 +92,8 @@
 	return ic
 }
 
-// add assigns a slot to a new connection if the table admits it.
+// add assigns a slot to a new connection if the table admits it. Otherwise the verdict says which limit is reached,
+// and the key is invalid.
 func (ic *idleConnections) add(address net.Addr) (slotKey, idle.Verdict) {
 	client, policy := ic.policies.find(address)
 	ic.mu.Lock()
@@ -102,7 +105,7 @@
 	return slotKey{id: id, generation: ic.table.Generation(id)}, verdict
 }
 
-// attach puts an active connection into its slot and returns its state in the table.
+// attach stores an active connection in the slot that it was assigned, and returns its state in the table.
 func (ic *idleConnections) attach(c *connection) idle.State {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -119,13 +122,13 @@
 	ic.slots[id] = s
 }
 
-// isCurrent reports whether a key still identifies the connection in its slot. ic.mu must be locked.
+// isCurrent reports whether the connection that a key identifies still has its slot. ic.mu must be locked.
 func (ic *idleConnections) isCurrent(key slotKey) bool {
 	return ic.table.Generation(key.id) == key.generation
 }
 
-// suspended returns the slot of a suspended connection. found is false if the connection is not suspended, or not
-// any more. ic.mu must be locked.
+// suspended returns the slot of the connection with the given key. found is false if that connection has no slot any
+// more or is not suspended. ic.mu must be locked.
 func (ic *idleConnections) suspended(key slotKey) (s slot, found bool) {
 	if int(key.id) >= len(ic.slots) || !ic.isCurrent(key) {
 		return slot{}, false
@@ -134,7 +137,7 @@
 	return s, s.fd != noDescriptor
 }
 
-// setState sets the state of a connection in the table, unless its slot has been freed.
+// setState records a connection's state in the table. It has no effect once the connection's slot has been freed.
 func (ic *idleConnections) setState(key slotKey, state idle.State) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -172,7 +175,7 @@
 	return ic.table.Len() + len(ic.closing)
 }
 
-// counts returns the connection counts except Suspended.
+// counts returns the number of connections by state. Its field Suspended is 0, to be set by the caller.
 func (ic *idleConnections) counts() ConnectionCounts {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -187,7 +190,8 @@
 	}
 }
 
-// evictionCandidate returns the connection to close for a new one, or reports that a slot is free.
+// evictionCandidate returns the connection to close so that a new one gets a slot, or idle.None if none may be closed.
+// If a slot is free, it returns idle.None and true.
 func (ic *idleConnections) evictionCandidate() (id idle.ID, hasCapacity bool) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -197,16 +201,16 @@
 	return ic.table.EvictionCandidate(ic.clock.Now(), int64(requestGracePeriod)), false
 }
 
-// nextExpired returns a connection whose timeout has passed, if it may be closed now. Otherwise it returns
-// idle.None and the time of the next call.
+// nextExpired returns a connection whose timeout has passed, if one may be closed now. Otherwise it returns idle.None
+// and the time, in ns, at which to call it again.
 func (ic *idleConnections) nextExpired(saturated bool) (id idle.ID, next int64) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	return ic.table.NextExpired(ic.clock.Now(), saturated)
 }
 
-// evictSuspended closes a suspended connection unless it has received data. If the connection is active, it is
-// returned instead.
+// evictSuspended starts to close a suspended connection and returns true, unless the connection has unread data. If
+// the connection is active, it is returned instead.
 func (ic *idleConnections) evictSuspended(id idle.ID) (active *connection, evicted bool) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -215,10 +219,11 @@
 		return s.connection, false
 	}
 	switch ic.calls.Peek(int(s.fd)) {
-	case poller.Data: // the poller reports the data too, and the request is answered
+	case poller.Data: // the poller reports the data too, so the request is read
 		ic.table.SetState(ic.clock.Now(), id, idle.StateActive)
 		return nil, false
-	case poller.Undetermined: // the reader finds out once the connection is resumed
+	// The reader finds out whether there is unread data once the connection is resumed.
+	case poller.Undetermined:
 		ic.postpone(wakeUp{slot: slotKey{id: id, generation: ic.table.Generation(id)}, since: time.Now()})
 		return nil, false
 	}
@@ -241,7 +246,7 @@
 	ic.closing = append(ic.closing, closingDescriptor{fd: fd, deadline: time.Now().Add(closeNotifyTimeout)})
 }
 
-// closeAllIdle closes the sending side of each suspended connection that has received nothing.
+// closeAllIdle starts to close each suspended connection without unread data, as closeSuspended does.
 func (ic *idleConnections) closeAllIdle() {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
--- a/internal/downstream/idle/accept.go
+++ b/internal/downstream/idle/accept.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// backlogDelayThreshold is how long, in ns, a connection may have waited in the backlog before accepting
-	// speeds up.
+	// backlogDelayThreshold is the time in the listener's backlog, in ns. Once a connection may have waited longer,
+	// more connections are accepted per second.
 	backlogDelayThreshold = int64(200 * time.Millisecond)
 
-	// delayedAcceptFactor is the factor by which acceptRate is multiplied once a connection may have waited
-	// longer than backlogDelayThreshold, whether or not the router is saturated.
+	// delayedAcceptFactor is the factor by which acceptRate is multiplied once a connection may have waited in the
+	// backlog for longer than backlogDelayThreshold, whether or not the router is saturated.
 	delayedAcceptFactor = 2.
 
 	// maxWaitAfterPeerClose is how long, in ns, the request of a client that has closed its sending side may
@@ -25,7 +25,8 @@
 	acceptSuspended tokenBucket
 }
 
-// NewAcceptPacer returns a pacer for a process that may use the given number of cores.
+// NewAcceptPacer returns a pacer whose rates are those per core times cores, the number that the process may use; 0
+// means one core.
 func NewAcceptPacer(cores float64) *AcceptPacer {
 	cores = effectiveCores(cores)
 	return &AcceptPacer{
@@ -71,8 +72,8 @@
 	return Defer, min(wait, waitToSuspend)
 }
 
-// waitToAccept takes a token for accepting a connection. It returns 0, or how many ns to wait if no token is
-// available.
+// waitToAccept takes a token for accepting a connection and returns 0. If no token is available, it returns the time
+// until the next one, in ns.
 func (p *AcceptPacer) waitToAccept(now, waited int64, saturated bool) int64 {
 	if waited > backlogDelayThreshold {
 		return p.accept.takeAt(now, p.accept.rate*delayedAcceptFactor)
--- a/internal/downstream/idle/accept_test.go
+++ b/internal/downstream/idle/accept_test.go
@@ -43,7 +43,8 @@
 	}
 }
 
-// acceptWithRequest waits until the pacer accepts a connection that has sent a request, and returns that time.
+// acceptWithRequest calls the pacer until it accepts a connection that has sent a request, and returns the time of
+// that call in ns.
 func acceptWithRequest(t *testing.T, pacer *AcceptPacer, now int64, saturated bool) int64 {
 	t.Helper()
 	for {
--- a/internal/downstream/idle/expiry.go
+++ b/internal/downstream/idle/expiry.go
@@ -4,14 +4,14 @@
 
 // Policy sets the timeouts and limits for the connections from one network of clients.
 type Policy struct {
-	FirstRequestTimeout int64 // ns from connecting to the first byte of the first request
-	IdleTimeout         int64 // ns that an idle connection is kept
-	MaxJitter           int64 // ns; upper bound of a random addition to IdleTimeout that spreads expiry
-	MaxConnections      int   // from the network; 0 means no limit other than that of the table
-	MaxPerClient        int   // from one client; 0 means no limit
+	FirstRequestTimeout int64 // maximum time from connecting to the first byte of a request, ns
+	IdleTimeout         int64 // time for which an idle connection is kept, ns
+	MaxJitter           int64 // upper bound of a random addition to IdleTimeout, ns; spreads expiry; 0: none
+	MaxConnections      int   // maximum number from the network; 0: only the table's limit applies
+	MaxPerClient        int   // maximum number from one client; 0: no limit per client
 }
 
-// expiringStates are the states that have a timeout.
+// expiringStates are the states in which a connection has a timeout.
 var expiringStates = [...]State{StateNew, StateIdle}
 
 // NextExpired returns a connection whose timeout has passed, provided that another connection may be closed
@@ -32,7 +32,8 @@
 	return id, now
 }
 
-// firstToExpire returns the connection that expires first among the heads of all lists, and its expiry time.
+// firstToExpire returns the connection that expires first among the first entries of all lists, and its expiry time in
+// ns. Without such a connection it returns None and math.MaxInt64.
 func (t *Table) firstToExpire() (id ID, expiresAt int64) {
 	id, expiresAt = None, math.MaxInt64
 	for network := range t.lists {
--- a/internal/downstream/idle/expiry_test.go
+++ b/internal/downstream/idle/expiry_test.go
@@ -48,7 +48,7 @@
 	for _, tc := range []struct {
 		name      string
 		saturated bool
-		want      float64 // connections closed in 10 s
+		want      float64 // expected number of connections closed in 10 s
 	}{
 		{"not saturated", false, closeRate * 10},
 		{"saturated", true, closeRate * 10 * saturatedFactor},
@@ -75,7 +75,8 @@
 	}
 }
 
-// closeExpired removes the connections that may be closed now and returns their number.
+// closeExpired removes from the table all connections that NextExpired returns at the time now, and returns their
+// number.
 func closeExpired(t *testing.T, table *Table, now int64, saturated bool) (closed int) {
 	t.Helper()
 	for {
--- a/internal/downstream/idle/pacer_test.go
+++ b/internal/downstream/idle/pacer_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// takenPerSecond counts the tokens that a caller gets from a pacer in a second if it always waits as long as
-// it is told.
+// takenPerSecond counts how often wait returns 0 within a second if it is called again after each time that it
+// returns.
 func takenPerSecond(wait func(now int64, saturated bool) int64, saturated bool) (taken float64) {
 	for now := int64(0); now < second; {
 		next := wait(now, saturated)
--- a/internal/downstream/idle/resources.go
+++ b/internal/downstream/idle/resources.go
@@ -11,11 +11,11 @@
 	// service, files, and connections to other instances.
 	reservedDescriptors = 64
 
-	// bytesPerIdleConnection is the memory of an idle connection, including a margin over the measurement in
-	// docs/idle.md.
+	// bytesPerIdleConnection is the memory that an idle connection takes at most, in bytes. It includes a margin over
+	// the measurement in docs/idle.md.
 	bytesPerIdleConnection = 256
 
-	// idleMemoryShare is the maximum share of the process's memory for idle connections.
+	// idleMemoryShare is the share of the process's memory that idle connections may take, from 0 to 1.
 	idleMemoryShare = 0.25
 
 	// maxIdleTimeout is the longest idle timeout that a policy may set, in ns.
@@ -25,11 +25,12 @@
 // Resources are a process's descriptors and memory. They bound the number of its connections.
 type Resources struct {
 	Descriptors         int   // total of the process
-	UpstreamConnections int   // descriptors reserved for connections to endpoints
-	MemoryBytes         int64 // total of the process
+	UpstreamConnections int   // descriptors reserved for the connections to endpoints
+	MemoryBytes         int64 // memory that the process may use
 }
 
-// MaxConnections returns the number of client connections for which the descriptors suffice.
+// MaxConnections returns how many client connections can be open at once with the descriptors that are not reserved
+// for other uses.
 func (r Resources) MaxConnections() int {
 	return max(0, r.Descriptors-r.UpstreamConnections-reservedDescriptors)
 }
@@ -62,7 +63,7 @@
 
 // PolicyError means that a policy exceeds a limit.
 type PolicyError struct {
-	Index int // of the policy among those passed to Check
+	Index int // index of the policy in the policies passed to Check
 	Err   error
 }
 
@@ -74,8 +75,8 @@
 // LimitError means that a connection limit of a policy is above the limit for all connections.
 type LimitError struct {
 	Scope string // what the limit applies to: "a network" or "a client"
-	Limit int    // of the policy
-	Total int    // limit for all connections
+	Limit int    // connection limit that the policy sets
+	Total int    // limit for all connections of the process
 }
 
 func (e *LimitError) Error() string {
--- a/internal/downstream/idle/resources_test.go
+++ b/internal/downstream/idle/resources_test.go
@@ -24,7 +24,7 @@
 		maxConnections int
 		policy         Policy
 		want           string
-		target         any // pointer to the expected error type, for errors.As
+		target         any // pointer to a variable of the expected error type, for errors.As
 	}{
 		{"enough", enough, 10000, Policy{
 			MaxConnections: 10000,
--- a/internal/downstream/idle/state.go
+++ b/internal/downstream/idle/state.go
@@ -12,13 +12,13 @@
 	// StateActive is a connection with a request in flight or an unwritten response.
 	StateActive
 
-	// StateReading is a connection that has received at least a part of its next request.
+	// StateReading is a connection on which at least a part of the next request has been received.
 	StateReading
 
-	// StateIdle is a connection that has had a response and has received nothing since.
+	// StateIdle is a connection that has had a response and on which nothing has been received since.
 	StateIdle
 
-	// StateClosing is a connection whose last response has been written.
+	// StateClosing is a connection whose last response has been written and whose sending side is being closed.
 	StateClosing
 
 	numStates
--- a/internal/downstream/idle/suspend.go
+++ b/internal/downstream/idle/suspend.go
@@ -3,7 +3,7 @@
 import "time"
 
 const (
-	// suspendDelay is how long a connection is idle, in ns, before it is suspended.
+	// suspendDelay is the time, in ns, after which an idle connection is suspended.
 	suspendDelay = int64(time.Second)
 
 	// suspendDelayUnderPressure replaces suspendDelay while other connections need the memory. It is longer
@@ -11,15 +11,15 @@
 	// during such a pause, its next request would wait behind all other connections to be resumed.
 	suspendDelayUnderPressure = int64(300 * time.Millisecond)
 
-	// bytesPerActiveConnection is the memory of a connection that is not suspended: stacks, buffers and a
+	// bytesPerActiveConnection is the memory, in bytes, of a connection that is not suspended: stacks, buffers and a
 	// small request.
 	bytesPerActiveConnection = 24 << 10
 
-	// activeMemoryShare is the share of the memory for clients that active connections may use.
+	// activeMemoryShare is the share of the memory for clients that active connections may use, from 0 to 1.
 	activeMemoryShare = 0.5
 
-	// minActiveConnections is the number of connections that may be active at once however little memory there
-	// is.
+	// minActiveConnections is the number of connections that may be active at the same time however little memory the
+	// process has.
 	minActiveConnections = 64
 )
 
@@ -28,9 +28,9 @@
 // connections could otherwise delay it forever.
 const MaxResumeDelayMS = 20
 
-// SuspendDelay returns how long a connection is idle, in ns, before it is suspended. waiting is the number of
-// connections that wait to be resumed, and active the number of active connections, of which there should be
-// at most maxActive.
+// SuspendDelay returns the time, in ns, after which an idle connection is suspended. waiting is the number of
+// suspended connections that wait to be resumed. active is the number of active connections, and maxActive the number
+// that it should not exceed.
 func SuspendDelay(waiting, active, maxActive int) int64 {
 	if waiting > 0 || active > maxActive {
 		return suspendDelayUnderPressure
@@ -38,9 +38,9 @@
 	return suspendDelay
 }
 
-// MaxActiveConnections returns how many connections may hold goroutines and buffers at once. memoryBytes is
-// the memory for clients. All suspended connections may receive data at the same time. Those beyond the limit
-// wait to be resumed, and their data stays in the kernel's buffers.
+// MaxActiveConnections returns how many connections may hold goroutines and buffers at once if memoryBytes is the
+// memory for clients. All suspended connections may receive data at the same time: those beyond the limit wait to be
+// resumed, and their data stays in the kernel's buffers.
 func MaxActiveConnections(memoryBytes int64) int {
 	return max(minActiveConnections, int(activeMemoryShare*float64(memoryBytes)/bytesPerActiveConnection))
 }
--- a/internal/downstream/idle/table.go
+++ b/internal/downstream/idle/table.go
@@ -12,26 +12,26 @@
 	"math/rand/v2"
 )
 
-// ID is the index of a connection in the table. It is reused after its connection has been removed; Generation
-// tells the connections apart.
+// ID is the index of a connection in the table. It is reused after its connection has been removed; Generation tells
+// the connections that had the same ID apart.
 type ID int32
 
-// None is the ID that stands for no connection.
+// None is returned in place of an ID if there is no connection.
 const None ID = -1
 
 // Limits are the bounds of a table.
 type Limits struct {
-	MaxConnections int     // in all networks together
-	Cores          float64 // available to the process, 0 means one; closing is paced in proportion
+	MaxConnections int     // maximum number of connections, all networks together
+	Cores          float64 // processor cores for the process; 0: one; more connections are closed per second with more
 }
 
 // entry is one connection. It takes 40 bytes and refers to other entries by index: without pointers, the
 // garbage collector does not scan a hundred thousand entries individually.
 type entry struct {
-	expiresAt  int64  // ns; math.MaxInt64 in states without a timeout
-	stateSince int64  // ns; when the connection entered its state
+	expiresAt  int64  // time at which the connection expires, ns; math.MaxInt64 in states without a timeout
+	stateSince int64  // time at which the connection entered its state, ns
 	client     uint64 // hash of the client's address
-	prev, next ID     // neighbours in the list; in an unused entry, next is the next unused one
+	prev, next ID     // neighbours in the connection's list, or None; in an unused entry, next is the next unused one
 	generation uint32
 	network    uint16 // index in Table.policies
 	state      State
@@ -40,22 +40,22 @@
 // Table holds all client connections of a router. It is not safe for concurrent use.
 type Table struct {
 	limits      Limits
-	policies    []Policy // by network
-	entries     []entry  // by ID
-	firstUnused ID       // head of the list of unused entries, which are linked through next
-
-	lists        [][numStates]list // by network, then by state
-	stateCounts  [numStates]int    // over all networks
-	networkCount []int             // connections by network
-	clientCount  map[uint64]int32  // connections by client
+	policies    []Policy // timeouts and limits, by network
+	entries     []entry  // connections and unused entries, by ID
+	firstUnused ID       // first of the unused entries, which are linked through next; None: all are in use
+
+	lists        [][numStates]list // connections, by network and state
+	stateCounts  [numStates]int    // number of connections in all networks, by state
+	networkCount []int             // number of connections, by network
+	clientCount  map[uint64]int32  // number of connections, by hash of the client's address
 	total        int
 
 	jitter      *rand.Rand
-	closeBucket tokenBucket // paces NextExpired
+	closeBucket tokenBucket // limits the rate at which NextExpired returns connections
 }
 
-// NewTable returns an empty table. policies has one policy for each network; the first one also applies to
-// clients of unknown networks. seed determines the jitter of idle timeouts.
+// NewTable returns an empty table. policies is indexed by network; the first one also applies to clients of unknown
+// networks. seed determines the jitter of idle timeouts.
 func NewTable(limits Limits, policies []Policy, seed uint64) *Table {
 	t := &Table{
 		limits:       limits,
@@ -92,8 +92,9 @@
 	NetworkLimitReached
 )
 
-// Add admits a new connection in StateNew unless a limit is reached. client is a hash of the client's address.
-// The first policy applies to a network without a policy.
+// Add admits a new connection in StateNew and returns its ID, or returns None and the limit that is reached. client is
+// a hash of the client's address, network an index of the table's policies. If it is out of range, the first policy
+// applies.
 func (t *Table) Add(now int64, client uint64, network uint16) (ID, Verdict) {
 	if int(network) >= len(t.policies) {
 		network = 0
@@ -118,8 +119,9 @@
 	return id, Admitted
 }
 
-// admit checks the limits. Those of the client and its network are checked first: if one of them is reached,
-// evicting some other connection from a full table would not admit the new one.
+// admit returns the first limit that a new connection would exceed, or Admitted. The limits of the client and its
+// network are checked first: if one of them is reached, evicting some other connection from a full table would not
+// admit the new one.
 func (t *Table) admit(policy *Policy, client uint64, network uint16) Verdict {
 	switch {
 	case policy.MaxPerClient > 0 && int(t.clientCount[client]) >= policy.MaxPerClient:
@@ -143,8 +145,8 @@
 	return id
 }
 
-// SetState records the state of a connection. It has no effect if the connection is in that state already, so that
-// the connection keeps its place in the list, or if the connection has been removed.
+// SetState records that a connection is in a state since now, in ns. If it is in that state already, nothing changes,
+// so that it keeps its place in the list. Nothing changes either if the connection has been removed.
 func (t *Table) SetState(now int64, id ID, state State) {
 	changed := &t.entries[id]
 	if changed.state == state || changed.state == stateUnused {
@@ -168,7 +170,7 @@
 	return policy.IdleTimeout + t.jitter.Int64N(policy.MaxJitter)
 }
 
-// Remove removes a connection from the table. Removing it again has no effect until its ID is reused.
+// Remove frees the connection's ID for reuse. Removing a connection again has no effect until its ID is reused.
 func (t *Table) Remove(id ID) {
 	removed := &t.entries[id]
 	if removed.state == stateUnused {
@@ -186,17 +188,17 @@
 	t.firstUnused = id
 }
 
-// State returns the state that was last set for a connection in the table.
+// State returns the current state of the connection with that ID.
 func (t *Table) State(id ID) State { return t.entries[id].state }
 
-// StateSince returns when a connection entered its state, in ns.
+// StateSince returns the time, in ns, at which a connection entered its current state.
 func (t *Table) StateSince(id ID) int64 { return t.entries[id].stateSince }
 
-// Generation returns a number that differs between two consecutive connections with the same ID.
+// Generation returns a number that differs between a connection and the next one with the same ID.
 func (t *Table) Generation(id ID) uint32 { return t.entries[id].generation }
 
-// Count returns the number of connections in a state, over all networks.
+// Count returns how many connections, of all networks, are in the given state.
 func (t *Table) Count(state State) int { return t.stateCounts[state] }
 
-// Len returns the number of connections in the table.
+// Len returns how many connections, in all states, are in the table.
 func (t *Table) Len() int { return t.total }
--- a/internal/downstream/idle/table_test.go
+++ b/internal/downstream/idle/table_test.go
@@ -21,7 +21,7 @@
 	unknownNetwork   = 9
 )
 
-// newTestTable returns a table with two networks. The second one has connection limits.
+// newTestTable returns a table with two networks. The second one allows 3 connections, and 2 from one client.
 func newTestTable(maxConnections int) *Table {
 	policies := []Policy{
 		{FirstRequestTimeout: 2 * second, IdleTimeout: 10 * second},
@@ -90,7 +90,7 @@
 	}
 }
 
-// model holds the connections that a Table is expected to have, as a plain map by ID.
+// model holds the connections that a Table should hold, by ID. The test applies each change to both.
 type model map[ID]modelConnection
 
 type modelConnection struct {
