--- a/internal/downstream/idle.go
+++ b/internal/downstream/idle.go
@@ -63,12 +63,12 @@
 	emit           func(logevent.Event)
 
 	suspendDisabled atomic.Bool  // a system call that is needed to suspend connections failed for good
-	waiting         atomic.Int64 // suspended connections that the poller has reported and that are not resumed or closed yet
+	waiting         atomic.Int64 // suspended connections reported by the poller and not yet resumed or closed
 
 	mu        sync.Mutex
 	table     *idle.Table         // guarded by mu
 	slots     []slot              // guarded by mu; indexed by the table's IDs
-	postponed []wakeUp            // guarded by mu; connections whose resumption failed or was put off, to be retried
+	postponed []wakeUp            // guarded by mu; connections to be resumed later: a resource is exhausted, or unread data is possible
 	retrying  bool                // guarded by mu; postponed connections are being retried
 	closing   []closingDescriptor // guarded by mu; suspended connections that are closing and no longer in the table
 }
@@ -209,8 +209,8 @@
 	return ic.table.NextExpired(ic.clock.Now(), saturated)
 }
 
-// evictSuspended starts to close a suspended connection and returns true, unless the connection has unread data. If
-// the connection is active, it is returned instead.
+// evictSuspended starts to close a suspended connection and returns true, unless the connection has or may have unread
+// data. If the connection is active, it is returned instead.
 func (ic *idleConnections) evictSuspended(id idle.ID) (active *connection, evicted bool) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
--- a/internal/downstream/idle/resources.go
+++ b/internal/downstream/idle/resources.go
@@ -11,8 +11,8 @@
 	// service, files, and connections to other instances.
 	reservedDescriptors = 64
 
-	// bytesPerIdleConnection is the memory that an idle connection takes at most, in bytes. It includes a margin over
-	// the measurement in docs/idle.md.
+	// bytesPerIdleConnection is the memory reckoned for each idle connection, in bytes. It includes a margin over the
+	// measurement in docs/idle.md.
 	bytesPerIdleConnection = 256
 
 	// idleMemoryShare is the share of the process's memory that idle connections may take, from 0 to 1.
--- a/internal/downstream/logevents.go
+++ b/internal/downstream/logevents.go
@@ -20,8 +20,8 @@
 	return logevent.Kind{Name: "accept_restored", Level: logevent.Info, Message: "connections are accepted again"}
 }
 
-// ConnectionLimitReached is emitted when clients have as many connections as the limit allows. From then on,
-// an idle connection is closed for each new one.
+// ConnectionLimitReached is emitted when there are as many client connections as the limit allows. From then on, a
+// connection without requests is closed for each new one.
 type ConnectionLimitReached struct {
 	Limit int `log:"limit"`
 }
@@ -35,7 +35,8 @@
 	}
 }
 
-// ConnectionLimitCleared is emitted when the number of connections has fallen below half of the limit again.
+// ConnectionLimitCleared is emitted when, after ConnectionLimitReached, the number of client connections has fallen
+// below half of the limit.
 type ConnectionLimitCleared struct{}
 
 // Kind implements logevent.Event.
@@ -62,8 +63,8 @@
 	}
 }
 
-// ResponseMemoryRecovered is emitted when responses succeed again and use less than half of their share of the
-// memory.
+// ResponseMemoryRecovered is emitted when, after ResponseMemoryExhausted, a response with a body succeeds and
+// unwritten responses use less than half of their share of the memory.
 type ResponseMemoryRecovered struct{}
 
 // Kind implements logevent.Event.
@@ -90,7 +91,7 @@
 	}
 }
 
-// Values of ConnectionsRejected.Limit.
+// Values of ConnectionsRejected.Limit: whose connection limit, set by the operator, was reached.
 const (
 	limitOfClient  = "client"
 	limitOfNetwork = "network"
@@ -99,8 +100,8 @@
 // ConnectionsRejected is emitted, at most every 10 s, when connections are rejected because of a limit set by
 // the operator.
 type ConnectionsRejected struct {
-	Limit string `log:"limit"` // the limit that was reached: that of a "client" or of a "network"
-	Total int    `log:"total"` // connections rejected because of any of these limits since the start
+	Limit string `log:"limit"` // whose limit was reached: "client" or "network"
+	Total int    `log:"total"` // connections rejected since the process started, because of a limit of either kind
 }
 
 // Kind implements logevent.Event.
@@ -112,7 +113,7 @@
 	}
 }
 
-// LogEvents returns one event of each type that this package emits.
+// LogEvents returns one event of each type that this package emits, with zero fields.
 func LogEvents() []logevent.Event {
 	return []logevent.Event{
 		AcceptFailed{},
--- a/internal/downstream/logevents_test.go
+++ b/internal/downstream/logevents_test.go
@@ -32,14 +32,14 @@
 	}
 }
 
-// Responses fail while the memory is full and succeed again as soon as they fit. The recovery is logged only
-// once half of the memory is free.
+// Responses must succeed again as soon as they fit into the memory. The recovery must be logged only once half of the
+// memory is free: otherwise each response could log an event while the memory is nearly full.
 func TestResponseMemoryEvents(t *testing.T) {
 	const maxBytes = 1000
 	var emitted []logevent.Event
 	memory := newMemoryLimits(maxBytes, func(event logevent.Event) { emitted = append(emitted, event) })
 	for _, step := range []struct {
-		queued   int64 // change of the queued bytes
+		queued   int64 // change of the size of unwritten responses before the step, bytes
 		body     int
 		admitted bool
 		events   []logevent.Event
--- a/internal/downstream/memory.go
+++ b/internal/downstream/memory.go
@@ -21,11 +21,11 @@
 // memoryLimits limits the memory of large requests that are being read and, separately, of responses that wait
 // to be written.
 type memoryLimits struct {
-	maxBytes        int64 // limit for each of the two; for requests it is at least thrift.MaxFrameSize
+	maxBytes        int64 // limit for requests and for responses each, bytes; for requests at least thrift.MaxFrameSize
 	emit            func(logevent.Event)
-	requests        *semaphore.Weighted // bytes
-	queuedResponses atomic.Int64        // bytes
-	exhausted       atomic.Bool         // responses fail because no memory is left for them
+	requests        *semaphore.Weighted // free bytes for large requests
+	queuedResponses atomic.Int64        // bytes of unwritten responses
+	exhausted       atomic.Bool         // a response has failed for lack of memory, and ResponseMemoryRecovered is not emitted yet
 }
 
 func newMemoryLimits(maxBytes int64, emit func(logevent.Event)) *memoryLimits {
@@ -36,8 +36,8 @@
 	}
 }
 
-// acquireRequest acquires the memory for a large request. It returns false if too little memory becomes free
-// within requestMemoryTimeout.
+// acquireRequest reserves size bytes for a large request, and returns false if they do not become free within
+// requestMemoryTimeout or before ctx ends.
 func (m *memoryLimits) acquireRequest(ctx context.Context, size int) bool {
 	ctx, cancel := context.WithTimeout(ctx, requestMemoryTimeout)
 	defer cancel()
@@ -46,8 +46,8 @@
 
 func (m *memoryLimits) releaseRequest(size int) { m.requests.Release(int64(size)) }
 
-// admitResponse reports whether there is memory for a response with a body of the given size. Without this
-// limit, large responses to clients that do not read could use up all memory.
+// admitResponse reports whether a response with a body of bodyBytes may be queued. Without this limit, large responses
+// to clients that do not read could use up all memory.
 func (m *memoryLimits) admitResponse(bodyBytes int) bool {
 	if m.queuedResponses.Load()+int64(bodyBytes) > m.maxBytes {
 		if !m.exhausted.Swap(true) {
@@ -64,8 +64,9 @@
 func (m *memoryLimits) responseQueued(size int64)  { m.queuedResponses.Add(size) }
 func (m *memoryLimits) responseWritten(size int64) { m.queuedResponses.Add(-size) }
 
-// rejectLarge rejects a large request for which no memory is available. head is the start of its frame, which
-// identifies the request. The rest of the frame is read and discarded.
+// rejectLarge rejects a large request for which no memory is available, and discards the rest of its frame. head is
+// the start of the frame, from which the request is identified, and size the size of the whole frame in bytes. It
+// returns an error if nothing more can be read.
 func (c *connection) rejectLarge(in *bufio.Reader, head []byte, size int) error {
 	message, err := thrift.Parse(head)
 	if err != nil {
--- a/internal/downstream/memory_test.go
+++ b/internal/downstream/memory_test.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// A request for which no memory is available is rejected, and the other requests on its connection are served.
+// The rejection of one large request for lack of memory must affect no other request on its connection, whether sent
+// before or after it.
 func TestLargeRequestWithoutMemoryIsRejected(t *testing.T) {
 	server, events := startServer(t, smallConfig)
 	if !server.memory.requests.TryAcquire(smallConfig.MaxBytes) {
@@ -62,7 +63,7 @@
 	nextEvent(t, events)
 	send(t, conn, slices.Concat(largeCall(6), emptyCall(7)))
 	expectResponse(t, conn, rejectionOf(6))
-	expectEvents(t, events, "RequestReceived") // of the request after the rejected one
+	expectEvents(t, events, "RequestReceived") // for the request after the rejected one
 	for _, seq := range []int32{5, 7} {
 		respondServed(server, 1, seq)
 		expectResponse(t, conn, "whole")
@@ -70,7 +71,8 @@
 	server.memory.requests.Release(smallConfig.MaxBytes)
 }
 
-// A large request for which no memory is available is rejected promptly, and the requests after it are read.
+// After a large request for which no memory was available, the connection must not stay blocked: the rejection comes
+// promptly, and later requests, even large ones, are read.
 func TestReadingGoesOnAfterRejectedLargeRequest(t *testing.T) {
 	config := smallConfig
 	config.MaxBytes = thrift.MaxFrameSize
--- a/internal/downstream/policies.go
+++ b/internal/downstream/policies.go
@@ -11,9 +11,8 @@
 )
 
 const (
-	// firstRequestTimeout is the time within which a client must send its first request after its connection was
-	// accepted or resumed. It also applies to a client that has had no response because it has cancelled all its
-	// requests.
+	// firstRequestTimeout is how long a client may take to send a request after its connection was accepted or
+	// resumed, if the client has had no response on it. That includes a client that has cancelled all its requests.
 	firstRequestTimeout = 2 * time.Second
 
 	// defaultIdleTimeout is how long a connection without requests is kept. Clients close their idle
@@ -28,8 +27,8 @@
 
 // NetworkPolicies holds the policies for connections by the network of the client.
 type NetworkPolicies struct {
-	Policies  []idle.Policy       // the first one applies to clients outside all networks of ByAddress
-	ByAddress *bart.Table[uint16] // indexes in Policies by network; nil: no networks
+	Policies  []idle.Policy       // timeouts and limits; the first policy applies to clients outside all networks of ByAddress
+	ByAddress *bart.Table[uint16] // index in Policies for each network; nil: the first policy applies to all clients
 }
 
 // defaultPolicies returns a policy with the default timeouts and without limits for clients or networks.
@@ -42,7 +41,8 @@
 
 var addressSeed = maphash.MakeSeed()
 
-// find returns a hash of a client's address, which identifies the client, and the index of its policy.
+// find returns a hash that identifies the client with the address, and the index of the policy for it. Both are 0 for
+// an address that is not a TCP address.
 func (p *NetworkPolicies) find(address net.Addr) (client uint64, policy uint16) {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
--- a/internal/downstream/poller/fileconn_linux.go
+++ b/internal/downstream/poller/fileconn_linux.go
@@ -39,10 +39,10 @@
 // LocalAddr returns nil. Callers read the addresses of a connection before it is suspended.
 func (c fileConn) LocalAddr() net.Addr { return nil }
 
-// RemoteAddr returns nil for the same reason as LocalAddr.
+// RemoteAddr returns nil, as LocalAddr does.
 func (c fileConn) RemoteAddr() net.Addr { return nil }
 
-// CloseWrite half-closes the connection, as net.TCPConn.CloseWrite does.
+// CloseWrite closes the sending side of the connection, which can still be read from, as net.TCPConn.CloseWrite does.
 func (c fileConn) CloseWrite() error {
 	var shutdownErr error
 	err := Control(c.file, func(fd uintptr) { shutdownErr = unix.Shutdown(int(fd), unix.SHUT_WR) })
--- a/internal/downstream/poller/helpers_test.go
+++ b/internal/downstream/poller/helpers_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// testTimeout limits how long a test waits for one operation.
+// testTimeout limits how long a test waits for a read, a write or a call of Wait.
 const testTimeout = 10 * time.Second
 
 // connect returns both ends of a TCP connection on loopback.
@@ -78,7 +78,8 @@
 	return descriptor
 }
 
-// awaitReadable waits until a descriptor is readable.
+// awaitReadable returns once data or the end of the stream can be read from a descriptor. It fails the test after
+// testTimeout.
 func awaitReadable(t testing.TB, fd int) {
 	t.Helper()
 	polled := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
@@ -123,8 +124,8 @@
 	return conn
 }
 
-// faultyCalls are system calls that can be made to fail. Each counter is the number of times that the call of
-// the same name still fails.
+// faultyCalls are system calls of which some can be made to fail with errno. Each counter is the number of further
+// times that the system call of the same name fails.
 type faultyCalls struct {
 	SystemCalls
 	errno     error
@@ -137,7 +138,7 @@
 	pollable  int
 }
 
-// fail returns the injected error and decrements the counter, or returns nil if the counter is 0.
+// fail returns errno and counts one failure down, or returns nil if no failure remains.
 func (f *faultyCalls) fail(remaining *int) error {
 	if *remaining <= 0 {
 		return nil
@@ -146,7 +147,7 @@
 	return f.errno
 }
 
-// newFaultyCalls returns system calls that fail with errno while their counters are above 0.
+// newFaultyCalls returns system calls of which none fails until a test sets its counter. Those that fail return errno.
 func newFaultyCalls(errno error) *faultyCalls {
 	f := &faultyCalls{errno: errno}
 	f.Duplicate = func(fd int) (int, error) {
@@ -191,7 +192,7 @@
 	return f
 }
 
-// forEachErrno runs a subtest for each errno.
+// forEachErrno runs the test as a subtest for each errno, under the name of the errno.
 func forEachErrno(t *testing.T, errnos []unix.Errno, test func(t *testing.T, errno unix.Errno)) {
 	t.Helper()
 	for _, errno := range errnos {
--- a/internal/downstream/poller/poller.go
+++ b/internal/downstream/poller/poller.go
@@ -16,11 +16,11 @@
 	// ErrNoDescriptor is returned for a connection that is not backed by a socket, such as a net.Pipe.
 	ErrNoDescriptor = errors.New("connection has no descriptor")
 
-	// ErrInvalidDescriptor is returned for a number that cannot be a descriptor.
+	// ErrInvalidDescriptor is returned by Resume for a number that cannot be a descriptor, such as a negative one.
 	ErrInvalidDescriptor = errors.New("invalid descriptor")
 )
 
-// PeekResult is the result of looking for unread data on a descriptor.
+// PeekResult says what a read from a descriptor would find, without reading.
 type PeekResult int
 
 const (
@@ -37,8 +37,8 @@
 	Undetermined
 )
 
-// Control calls f with the descriptor of a connection, a listener or a file. The descriptor stays open during
-// the call.
+// Control calls f with the descriptor of a connection, a listener or a file, which stays open during the call. It
+// returns an error without calling f if there is no descriptor or it is closed.
 func Control(socket any, f func(fd uintptr)) error {
 	withDescriptor, ok := socket.(syscall.Conn)
 	if !ok {
--- a/internal/downstream/poller/poller_linux.go
+++ b/internal/downstream/poller/poller_linux.go
@@ -25,9 +25,10 @@
 
 	// file is the epoll set. Go's runtime poller waits for it, so that no thread blocks in epoll_wait.
 	file *os.File
-	fd   int // descriptor of file
+	fd   int // descriptor of the epoll set
 
-	// handling is set before Wait asks the kernel for events, and cleared once the kernel has returned none.
+	// handling is true from before Wait asks the kernel for events until the kernel has returned none. Meanwhile,
+	// events that Wait has returned may not be handled yet.
 	handling atomic.Bool
 
 	// unresumed maps each descriptor that could not be resumed to its file. The descriptor must be closed
@@ -37,7 +38,7 @@
 	mu        sync.Mutex
 }
 
-// New returns a poller without connections.
+// New returns a poller without suspended connections, which makes the real system calls.
 func New() (*Poller, error) { return NewWithSystemCalls(Kernel) }
 
 // NewWithSystemCalls returns a poller that uses the given system calls. Tests use it to make calls fail.
@@ -76,7 +77,7 @@
 	return fd, nil
 }
 
-// Watch makes Wait return key once a connection that stays a net.Conn is readable. It exists for the
+// Watch makes Wait return key once data can be read from a connection that is not suspended. It exists for the
 // comparison with Suspend in docs/idle.md.
 func (p *Poller) Watch(conn net.Conn, key uint64) error {
 	var registerErr error
@@ -84,7 +85,7 @@
 	return errors.Join(err, registerErr)
 }
 
-// register adds a descriptor to the epoll set and requests a single event.
+// register adds a descriptor to the epoll set. The first event on it is reported under key, and no further ones.
 func (p *Poller) register(fd int, key uint64) error {
 	event := newEvent(key)
 	err := p.calls.EpollCtl(p.fd, unix.EPOLL_CTL_ADD, fd, &event)
@@ -98,7 +99,8 @@
 	return nil
 }
 
-// newEvent returns the event to register for a key. The key occupies both fields that epoll returns unchanged.
+// newEvent returns the event to register in the epoll set under a key. The key occupies both fields that the kernel
+// returns unchanged.
 func newEvent(key uint64) unix.EpollEvent {
 	return unix.EpollEvent{
 		Events: unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLONESHOT,
@@ -107,7 +109,7 @@
 	}
 }
 
-// keyOf returns the key stored in an event.
+// keyOf returns the key under which the descriptor of an event was registered.
 func keyOf(event *unix.EpollEvent) uint64 {
 	return uint64(uint32(event.Fd)) | uint64(uint32(event.Pad))<<32
 }
@@ -136,7 +138,8 @@
 	return keys, errors.Join(readErr, waitErr)
 }
 
-// collect returns the pending events without blocking.
+// collect stores pending events of the epoll set in events and returns their number, which is 0 if there are none. It
+// does not block.
 func (p *Poller) collect(events []unix.EpollEvent) (count int, err error) {
 	// Set before the kernel returns the events, so that HasEvents never misses them.
 	p.handling.Store(true)
@@ -151,8 +154,8 @@
 	return count, nil
 }
 
-// HasEvents reports whether a suspended connection is readable and has not been handled yet. The connections
-// that a call of Wait returns count as handled once Wait is called again.
+// HasEvents reports whether a suspended connection can be read from and has not been handled yet. The connections
+// whose keys a call of Wait returns count as handled once Wait is called again.
 func (p *Poller) HasEvents() bool {
 	return p.handling.Load() || p.calls.Readable(p.fd)
 }
@@ -182,7 +185,7 @@
 	return nil, fmt.Errorf("resume descriptor %d: %w", fd, err)
 }
 
-// storeUnresumed stores the file of a descriptor that could not be resumed.
+// storeUnresumed keeps the file of a descriptor that could not be resumed, for the next try or for closing it.
 func (p *Poller) storeUnresumed(fd int, file *os.File) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -204,7 +207,7 @@
 // when the number is reused.
 func (p *Poller) Remove(fd int) { _ = p.calls.EpollCtl(p.fd, unix.EPOLL_CTL_DEL, fd, nil) }
 
-// CloseDescriptor closes a suspended connection, which may be one that could not be resumed.
+// CloseDescriptor closes a suspended connection, whether or not an attempt to resume it has failed.
 func (p *Poller) CloseDescriptor(fd int) {
 	if file := p.takeUnresumed(fd); file != nil {
 		neterr.Close(file)
--- a/internal/downstream/poller/poller_test.go
+++ b/internal/downstream/poller/poller_test.go
@@ -27,10 +27,10 @@
 }
 
 func TestSuspendWaitAndResume(t *testing.T) {
-	const key = 1<<63 | 7 // has bits in both fields of an event that store the key
+	const key = 1<<63 | 7 // sets bits in both fields of an epoll event that hold the key
 	for _, tc := range []struct {
 		name       string
-		sentBefore bool // before the connection is suspended
+		sentBefore bool // the client sends data before rather than after the connection is suspended
 	}{
 		{"received before", true},
 		{"received while suspended", false},
@@ -129,7 +129,7 @@
 	poller := newPoller(t, &calls.SystemCalls)
 	client, server := connect(t)
 	first := mustSuspend(t, poller, server, 1)
-	calls.epollCtl = 1 // makes the removal of the first descriptor fail
+	calls.epollCtl = 1 // makes the removal of the first descriptor from the epoll set fail
 	resumed := mustResume(t, poller, first)
 	second := mustSuspend(t, poller, resumed, 2)
 	defer poller.CloseDescriptor(second)
--- a/internal/downstream/poller/systemcalls_linux.go
+++ b/internal/downstream/poller/systemcalls_linux.go
@@ -19,11 +19,11 @@
 	EpollWait func(set int, events []unix.EpollEvent, milliseconds int) (int, error)
 	Receive   func(fd int, buffer []byte, flags int) (int, error)
 	Poll      func(descriptors []unix.PollFd, milliseconds int) (int, error)
-	FileConn  func(file *os.File) (net.Conn, error) // like net.FileConn, which duplicates the descriptor
+	FileConn  func(file *os.File) (net.Conn, error) // as net.FileConn: the connection uses a duplicate of the file's descriptor
 	Pollable  func(file *os.File) bool              // whether Go's runtime poller can wait for the file
 }
 
-// Kernel makes the real system calls.
+// Kernel holds the system calls of the operating system, none of them replaced.
 var Kernel = &SystemCalls{
 	Duplicate: func(fd int) (int, error) { return unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0) },
 	EpollCtl:  unix.EpollCtl,
@@ -47,7 +47,7 @@
 	}
 }
 
-// Peek reports whether unread data waits on a descriptor, without reading it.
+// Peek reports what can be read from a descriptor: data, nothing yet or the end of the stream. It reads nothing.
 func (c *SystemCalls) Peek(fd int) PeekResult {
 	var buffer [1]byte
 	n, err := retryInterrupted(func() (int, error) {
@@ -67,8 +67,8 @@
 }
 
 const (
-	discardBuffer = 4 << 10  // bytes per read of Discard
-	maxDiscard    = 32 << 10 // byte limit of one Discard call, so that no peer can keep it busy
+	discardBuffer = 4 << 10  // bytes read at a time by Discard
+	maxDiscard    = 32 << 10 // maximum bytes dropped by one call of Discard, so that no peer can keep it busy
 )
 
 // Discard reads and drops up to maxDiscard bytes from a descriptor. It reports whether the peer has closed its
@@ -103,7 +103,8 @@
 	return ready && err == nil && polled.Revents&closed != 0
 }
 
-// pollOnce polls one descriptor without blocking.
+// pollOnce reports, without blocking, whether one of the events in polled.Events, an error or a hang-up is pending,
+// and sets polled.Revents.
 func (c *SystemCalls) pollOnce(polled *unix.PollFd) (ready bool, err error) {
 	descriptors := []unix.PollFd{*polled}
 	n, err := retryInterrupted(func() (int, error) { return c.Poll(descriptors, 0) })
--- a/internal/downstream/poller/systemcalls_test.go
+++ b/internal/downstream/poller/systemcalls_test.go
@@ -14,7 +14,7 @@
 func TestPeekAndDiscardByError(t *testing.T) {
 	for errno, want := range map[unix.Errno]PeekResult{
 		unix.EAGAIN:       NoData,
-		unix.EINTR:        Data, // the interrupted call is repeated
+		unix.EINTR:        Data, // the interrupted call is repeated and finds the data
 		unix.ENOMEM:       Undetermined,
 		unix.ENOBUFS:      Undetermined,
 		unix.EIO:          Undetermined,
--- a/internal/downstream/poller/tcpstats_test.go
+++ b/internal/downstream/poller/tcpstats_test.go
@@ -45,8 +45,8 @@
 	expectSpan(t, "since the last data", stats.SinceLastData, step/10)
 }
 
-// expectSpan checks a duration measured by the kernel. It allows for the kernel's precision and for a slow
-// test run.
+// expectSpan checks a duration, in ns, that the kernel measured. It tolerates the kernel's steps of a few ms and a
+// slow test run.
 func expectSpan(t *testing.T, what string, nanoseconds int64, want time.Duration) {
 	t.Helper()
 	got := time.Duration(nanoseconds)
--- a/internal/downstream/poller/tcpstats_unsupported.go
+++ b/internal/downstream/poller/tcpstats_unsupported.go
@@ -4,5 +4,5 @@
 
 import "net"
 
-// ReadTCPStats returns no statistics: it is implemented on Linux only.
+// ReadTCPStats returns false, because the statistics are available on Linux only.
 func ReadTCPStats(net.Conn) (TCPStats, bool) { return TCPStats{}, false }
--- a/internal/downstream/poller/unsupported.go
+++ b/internal/downstream/poller/unsupported.go
@@ -8,16 +8,16 @@
 	"net"
 )
 
-// MaxEvents is the maximum number of keys that one call of Wait returns.
+// MaxEvents exists only so that callers compile: Wait returns no keys on this system.
 const MaxEvents = 1
 
 // Poller cannot be created on this system. Its methods exist only so that callers compile.
 type Poller struct{}
 
-// New returns errors.ErrUnsupported.
+// New returns errors.ErrUnsupported: connections cannot be suspended on this system.
 func New() (*Poller, error) { return nil, errors.ErrUnsupported }
 
-// NewWithSystemCalls returns errors.ErrUnsupported.
+// NewWithSystemCalls returns errors.ErrUnsupported, as New does.
 func NewWithSystemCalls(*SystemCalls) (*Poller, error) { return nil, errors.ErrUnsupported }
 
 // Suspend returns errors.ErrUnsupported.
@@ -44,16 +44,16 @@
 // SystemCalls is empty, because connections cannot be suspended on this system.
 type SystemCalls struct{}
 
-// Kernel makes no system calls.
+// Kernel holds no system calls on this system.
 var Kernel = &SystemCalls{}
 
-// Peek returns NoData.
+// Peek returns NoData: only a read detects data or the end of the stream.
 func (*SystemCalls) Peek(int) PeekResult { return NoData }
 
 // Discard returns true, so that the connection is closed at once.
 func (*SystemCalls) Discard(int) bool { return true }
 
-// Readable returns false.
+// Readable returns false: it is not known whether data or a connection waits.
 func (*SystemCalls) Readable(int) bool { return false }
 
 // PeerClosed returns false: only a read detects that the peer has closed.
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -16,19 +16,20 @@
 )
 
 const (
-	// requestReadTimeout is how long a request may take to arrive completely, counted from its first byte.
+	// requestReadTimeout is how long a request may take, from its first byte to its last, to arrive.
 	requestReadTimeout = 2 * time.Second
 
-	// maxSmallFrameBytes is the largest frame that is read without acquiring memory for large requests.
+	// maxSmallFrameBytes is the largest size of a frame that is read without reserving memory in memoryLimits.
 	maxSmallFrameBytes = 4096
 
-	// maxHeaderBytes is how many bytes at the start of a frame are kept to identify the request.
+	// maxHeaderBytes is how many bytes at the start of a frame are kept to tell, when it is rejected, whether it is a
+	// request and which one.
 	maxHeaderBytes = 64
 
 	// frameLengthBytes is the size of the length field at the start of a frame.
 	frameLengthBytes = 4
 
-	// maxMethodBytes is how many bytes of an unknown method name are returned to the client in the exception.
+	// maxMethodBytes is how many bytes of an unknown method's name are quoted in the exception that answers it.
 	maxMethodBytes = 64
 )
 
@@ -47,7 +48,7 @@
 		if err := c.awaitRequest(in); err != nil {
 			return err
 		}
-		arrivedAt := c.arrivals.earliest // the last read contained the first byte of the frame
+		arrivedAt := c.arrivals.earliest // the last read returned the first byte of this frame
 		c.setReading(true)
 		setReadDeadline(c.conn, time.Now().Add(requestReadTimeout))
 		if err := c.checkReadable(in); err != nil {
@@ -60,7 +61,8 @@
 	}
 }
 
-// awaitRequest waits until the first byte of a request has been received.
+// awaitRequest returns nil once the first byte of a request has been received, or the reason why no request is to be
+// read: the connection has ended, is draining or is idle.
 func (c *connection) awaitRequest(in *bufio.Reader) error {
 	for {
 		setReadDeadline(c.conn, c.nextReadDeadline())
@@ -99,15 +101,15 @@
 	return nil
 }
 
-// nextReadDeadline returns the time until which to wait for the next request. A client that has had no response,
-// because it has sent no request or has cancelled all of them, gets firstRequestTimeout. After that, its reader
-// checks at short intervals whether a request is still in flight.
+// nextReadDeadline returns how long to wait for the next request, as a point in time. A client that has had no
+// response, because it has sent no request or has cancelled all of them, gets firstRequestTimeout. After that, its
+// reader checks at short intervals whether a request is still in flight.
 func (c *connection) nextReadDeadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	if c.responded {
-		// At this deadline the connection is suspended if it is idle. The table decides when to close it.
+		// If the connection is idle at this time, it is suspended. The table decides when to close it.
 		return now.Add(time.Duration(c.server.suspendDelay()))
 	}
 	if first := c.activeSince.Add(firstRequestTimeout); now.Before(first) {
@@ -116,8 +118,9 @@
 	return now.Add(firstRequestTimeout / 10)
 }
 
-// idleTimeout decides what happens to an idle connection whose read deadline has passed. If it returns nil,
-// the connection keeps waiting until the table closes it.
+// idleTimeout handles a connection without a request whose read deadline has passed. It returns nil to keep waiting,
+// until the table closes the connection; errSuspend to suspend it; or another error to close it. A client that has had
+// no response gets the error timeout.
 func (c *connection) idleTimeout(timeout error) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,7 +198,7 @@
 		if err == nil && arguments.Has[thrift.FirstArgument] && c.removeRequest(arguments.CancelSeq) {
 			c.server.post(router.RequestCancelled{Client: c.id, Seq: arguments.CancelSeq})
 		}
-	case message.Type == thrift.Oneway: // an unknown one-way message is ignored, as it has no response
+	case message.Type == thrift.Oneway: // unknown one-way message: ignored, as it has no response
 	case message.Name != methodCall && message.Name != methodHealth:
 		name := message.Name[:min(len(message.Name), maxMethodBytes)]
 		c.sendException(message, thrift.UnknownMethod, "unknown method "+strconv.QuoteToASCII(name))
@@ -276,7 +279,8 @@
 	return err == nil && int64(binary.BigEndian.Uint32(length)) <= int64(in.Buffered()-frameLengthBytes)
 }
 
-// readHeader reads a frame and parses the start of its message: the name, type and sequence number.
+// readHeader reads a whole frame, but parses and returns only the start of its message: the name, type and sequence
+// number.
 func readHeader(in *bufio.Reader) (thrift.Message, error) {
 	size, err := thrift.ReadFrameSize(in)
 	if err != nil {
--- a/internal/downstream/reject.go
+++ b/internal/downstream/reject.go
@@ -11,11 +11,11 @@
 	"tealpath/internal/protocol/thrift"
 )
 
-// rejectionLogInterval is the minimum time between two log events about rejected connections.
+// rejectionLogInterval is the minimum time between two ConnectionsRejected events.
 const rejectionLogInterval = 10 * time.Second
 
-// rejectionLog counts the connections that were rejected because of limits set by the operator, and records
-// when they were last logged. It is guarded by Server.mu.
+// rejectionLog holds the number of connections that were rejected because of limits set by the operator, and the time
+// of the last ConnectionsRejected event. It is guarded by Server.mu.
 type rejectionLog struct {
 	total     int
 	emittedAt time.Time
@@ -34,7 +34,7 @@
 	s.rejections.emittedAt = time.Now()
 }
 
-// limitOfVerdict returns the name of the limit that a verdict refers to.
+// limitOfVerdict returns the value of ConnectionsRejected.Limit for a connection that got the verdict.
 func limitOfVerdict(verdict idle.Verdict) string {
 	if verdict == idle.ClientLimitReached {
 		return limitOfClient
@@ -61,7 +61,8 @@
 	})
 }
 
-// rejectRequests rejects the requests on a connection until requestGracePeriod has passed, and then lingers.
+// rejectRequests rejects each request on a connection until requestGracePeriod has passed or the client has closed its
+// side. It then closes the sending side and discards what the client still sends.
 func rejectRequests(conn net.Conn) {
 	deadline := time.Now().Add(requestGracePeriod)
 	setReadDeadline(conn, deadline)
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -21,7 +21,7 @@
 	cancel := func(seq byte) string { return string(cancelOf(seq)) }
 	for _, test := range []struct {
 		name, in string
-		want     string // types of the events until the client resets the connection
+		want     string // type names of the posted events, up to ClientDisconnected
 	}{
 		{
 			"a request and its cancel", request + cancel(5),
@@ -90,8 +90,8 @@
 	expectEvents(t, events, "ClientDisconnected")
 }
 
-// maxCloseEventDelay is the time within which a client's close has to be posted, because no attempt may begin
-// more than 100 ms after it.
+// maxCloseEventDelay is the time within which the event for a client's close or cancel has to be posted, because no
+// attempt may begin more than 100 ms after it.
 const maxCloseEventDelay = 100 * time.Millisecond
 
 // expectEventInTime checks that one of the named events is posted within maxCloseEventDelay; other events may
@@ -109,12 +109,12 @@
 	}
 }
 
-// peerCloses are the ways in which a client can end its requests. Each must be followed by one of the events.
+// peerCloses are the ways in which a client can end its requests. After each, one of its events must be posted.
 var peerCloses = []struct {
 	name      string
 	perform   func(*testing.T, net.Conn)
 	events    []string
-	isMessage bool // the client sends a message, which is detected only while messages are read
+	isMessage bool // the client sends a message, which is noticed only while messages are parsed
 }{
 	{"closes its side", closeWrite, []string{"ClientHalfClosed"}, false},
 	{
@@ -144,7 +144,7 @@
 	one := calls(1)
 	for _, before := range []struct {
 		name, in string
-		unparsed bool // messages sent afterwards are not parsed
+		unparsed bool // the server parses no messages that are sent after in
 		noMemory bool // no memory is available for large requests
 		inFlight int
 	}{
@@ -204,7 +204,7 @@
 	}
 	for _, test := range []struct {
 		name, in string
-		events   int // events before ClientDisconnected
+		events   int // number of events posted before ClientDisconnected
 		response string
 	}{
 		{"silence", "", 0, ""},
@@ -237,7 +237,7 @@
 				nextEvent(t, events)
 			}
 			expectEvents(t, events, "ClientDisconnected")
-			respondServed(server, 2, 5) // the client has disconnected
+			respondServed(server, 2, 5) // has no effect, as the client is disconnected
 			send(t, other, healthCall(2))
 			expectBytes(t, other, 2*healthResponseBytes, "the other client")
 		})
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -15,17 +15,18 @@
 // Config holds the limits and dependencies of a Server.
 type Config struct {
 	MaxConnections           int
-	MaxRequestsPerConnection int                 // maximum number of requests in flight
-	MaxBytes                 int64               // limit for large requests and, separately, for unwritten responses
+	MaxRequestsPerConnection int                 // maximum number of requests in flight on one connection
+	MaxBytes                 int64               // memory for large requests and, separately, for unwritten responses, bytes
 	Cores                    float64             // processor cores available to the process; 0: one
-	Seed                     uint64              // of the random jitter of idle timeouts
+	Seed                     uint64              // seed of the random jitter of idle timeouts
 	Saturated                func() bool         // whether events are waiting for the router's goroutine; nil: never
-	Policies                 *NetworkPolicies    // timeouts and limits; nil: default timeouts, no limits
+	Policies                 *NetworkPolicies    // timeouts and limits of connections; nil: default timeouts, no limits
 	Clock                    clock.Clock         // nil: clock.System
-	SystemCalls              *poller.SystemCalls // for suspended connections; nil: poller.Kernel
+	SystemCalls              *poller.SystemCalls // system calls on suspended connections; nil: poller.Kernel
 }
 
-// withDefaults returns a copy of the configuration in which nil fields have their default values.
+// withDefaults returns a copy of the configuration in which Policies, SystemCalls, Saturated and Clock have their
+// default values where they were nil.
 func (c Config) withDefaults() Config {
 	if c.Policies == nil {
 		c.Policies = defaultPolicies()
@@ -55,16 +56,16 @@
 	heartbeat  heartbeat
 	goroutines sync.WaitGroup
 
-	serving   atomic.Int64 // connections that have goroutines
-	rejecting atomic.Int64 // connections without a slot in the table whose requests are being rejected
+	serving   atomic.Int64 // number of connections that have goroutines
+	rejecting atomic.Int64 // number of connections without a slot in the table whose requests are being rejected
 
 	draining       atomic.Bool // CloseIdle has closed the listener
-	acceptFinished atomic.Bool // the accept loop has ended: each accepted connection has a slot or was rejected
+	acceptFinished atomic.Bool // no more connections are accepted: each accepted one has a slot or was rejected
 
 	mu          sync.Mutex
 	connections map[router.ClientID]*connection // guarded by mu; connections that are not suspended
 	lastID      router.ClientID                 // guarded by mu
-	atLimit     bool                            // guarded by mu; the limit was reached and is not cleared yet
+	atLimit     bool                            // guarded by mu; ConnectionLimitReached was emitted, and ConnectionLimitCleared not yet
 	rejections  rejectionLog                    // guarded by mu
 }
 
@@ -86,10 +87,10 @@
 	}
 }
 
-// now returns the process's monotonic time in ns.
+// now returns the monotonic time of the configured clock in ns.
 func (s *Server) now() int64 { return s.config.Clock.Now() }
 
-// SetReady sets whether health requests are answered as healthy.
+// SetReady sets whether later health requests are answered as healthy. Before the first call they are not.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
 // register assigns an ID to a connection, publishes it and puts it into its slot. The connection's fields have
@@ -107,7 +108,8 @@
 	}
 }
 
-// unregister removes a closed connection and frees its slot.
+// unregister removes a connection that is about to be marked as closed, so that lookup no longer returns it, and frees
+// its slot.
 func (s *Server) unregister(c *connection) {
 	s.mu.Lock()
 	delete(s.connections, c.id)
@@ -122,26 +124,26 @@
 	return s.connections[id]
 }
 
-// activeConnections returns the number of connections that hold goroutines and buffers.
+// activeConnections returns the number of connections that are not suspended, and so hold goroutines and buffers.
 func (s *Server) activeConnections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.connections)
 }
 
-// ConnectionCounts holds the number of connections by state.
+// ConnectionCounts holds the number of connections that have a slot: All, and how many of them are in each state.
 type ConnectionCounts struct {
 	All       int `json:"all"`
-	New       int `json:"fresh"` // no response has been sent yet
+	New       int `json:"fresh"` // no response has been queued yet
 	Active    int `json:"busy"`  // a request is in flight, or a response is unwritten
 	Reading   int `json:"reading"`
 	Idle      int `json:"idle"`
 	Closing   int `json:"closing"`
-	Suspended int `json:"parked"`  // of All, those that hold nothing but a descriptor
+	Suspended int `json:"parked"`  // of All, those for which only a descriptor is kept
 	Waiting   int `json:"waiting"` // suspended connections with unread data
 }
 
-// Counts returns the number of connections by state.
+// Counts returns the numbers at this moment. They are read one after the other, so they need not add up.
 func (s *Server) Counts() ConnectionCounts {
 	active := s.activeConnections()
 	counts := s.idle.counts()
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -7,9 +7,9 @@
 	"tealpath/internal/neterr"
 )
 
-// CloseIdle starts to close each connection without outstanding requests. It closes the listener once its
-// backlog is empty, so that the connections in the backlog are admitted first. Further calls close the
-// connections that have no outstanding requests any more.
+// CloseIdle starts to close each connection that has no request in flight, unwritten response or partly received
+// request. It closes the listener once its backlog is empty, so that the connections in the backlog are admitted
+// first. Further calls close the connections that have become idle since.
 func (s *Server) CloseIdle() {
 	if !s.draining.Load() && !s.hasBacklog() {
 		s.draining.Store(true)
@@ -47,7 +47,8 @@
 	return !s.idle.hasUnread()
 }
 
-// flushed reports whether every response is written and no received data has to be read.
+// flushed reports whether every response to the client is written and no data from it remains to be read, or none will
+// be read any more.
 func (c *connection) flushed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,7 +62,8 @@
 // accepts.
 func (s *Server) OpenConnections() int {
 	open := 0
-	if !s.acceptFinished.Load() { // checked first, so that a connection admitted meanwhile is counted below
+	// Checked first, so that a connection that is admitted in the meantime is counted below.
+	if !s.acceptFinished.Load() {
 		open = 1
 	}
 	return open + s.idle.openDescriptors() + int(s.rejecting.Load())
--- a/internal/downstream/shutdown_test.go
+++ b/internal/downstream/shutdown_test.go
@@ -60,9 +60,8 @@
 	stop()
 }
 
-// hasPartialRequest reports whether a reader has recorded that it received part of a request while no request
-// of its connection is in flight. Until the reader records it, received data is not visible to other
-// goroutines.
+// hasPartialRequest reports whether some connection without a request in flight has received a part of a request, as
+// far as its reader has recorded that.
 func hasPartialRequest(server *Server) bool {
 	server.mu.Lock()
 	defer server.mu.Unlock()
@@ -74,7 +73,8 @@
 	return false
 }
 
-// CloseIdle closes idle connections at once, and the others only after their requests have been answered.
+// A shutdown must neither wait for idle connections nor cut off the others: their requests, even partly received ones,
+// are answered first.
 func TestCloseIdleKeepsActiveConnections(t *testing.T) {
 	server, events := startServer(t, configWithIdleTimeout(10, time.Hour))
 	active, unused, partial := dial(t, server), dial(t, server), dial(t, server)
