--- a/internal/downstream/idle.go
+++ b/internal/downstream/idle.go
@@ -68,7 +68,7 @@
 	mu        sync.Mutex
 	table     *idle.Table         // guarded by mu
 	slots     []slot              // guarded by mu; indexed by the table's IDs
-	postponed []wakeUp            // guarded by mu; connections to be resumed later: a resource is exhausted, or unread data is possible
+	postponed []wakeUp            // guarded by mu; to be resumed later, for example once a descriptor is free
 	retrying  bool                // guarded by mu; postponed connections are being retried
 	closing   []closingDescriptor // guarded by mu; suspended connections that are closing and no longer in the table
 }
--- a/internal/downstream/memory.go
+++ b/internal/downstream/memory.go
@@ -21,11 +21,11 @@
 // memoryLimits limits the memory of large requests that are being read and, separately, of responses that wait
 // to be written.
 type memoryLimits struct {
-	maxBytes        int64 // limit for requests and for responses each, bytes; for requests at least thrift.MaxFrameSize
+	maxBytes        int64 // bytes, for requests and responses each; for requests at least thrift.MaxFrameSize
 	emit            func(logevent.Event)
-	requests        *semaphore.Weighted // free bytes for large requests
+	requests        *semaphore.Weighted // total size of large requests being read, bytes
 	queuedResponses atomic.Int64        // bytes of unwritten responses
-	exhausted       atomic.Bool         // a response has failed for lack of memory, and ResponseMemoryRecovered is not emitted yet
+	exhausted       atomic.Bool         // responses have failed for lack of memory; false again on recovery
 }
 
 func newMemoryLimits(maxBytes int64, emit func(logevent.Event)) *memoryLimits {
--- a/internal/downstream/policies.go
+++ b/internal/downstream/policies.go
@@ -27,7 +27,7 @@
 
 // NetworkPolicies holds the policies for connections by the network of the client.
 type NetworkPolicies struct {
-	Policies  []idle.Policy       // timeouts and limits; the first policy applies to clients outside all networks of ByAddress
+	Policies  []idle.Policy       // the first policy applies to clients outside all networks of ByAddress
 	ByAddress *bart.Table[uint16] // index in Policies for each network; nil: the first policy applies to all clients
 }
 
--- a/internal/downstream/poller/systemcalls_linux.go
+++ b/internal/downstream/poller/systemcalls_linux.go
@@ -19,7 +19,7 @@
 	EpollWait func(set int, events []unix.EpollEvent, milliseconds int) (int, error)
 	Receive   func(fd int, buffer []byte, flags int) (int, error)
 	Poll      func(descriptors []unix.PollFd, milliseconds int) (int, error)
-	FileConn  func(file *os.File) (net.Conn, error) // as net.FileConn: the connection uses a duplicate of the file's descriptor
+	FileConn  func(file *os.File) (net.Conn, error) // like net.FileConn: duplicates the file's descriptor
 	Pollable  func(file *os.File) bool              // whether Go's runtime poller can wait for the file
 }
 
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -16,11 +16,11 @@
 type Config struct {
 	MaxConnections           int
 	MaxRequestsPerConnection int                 // maximum number of requests in flight on one connection
-	MaxBytes                 int64               // memory for large requests and, separately, for unwritten responses, bytes
+	MaxBytes                 int64               // bytes for large requests and, separately, for unwritten responses
 	Cores                    float64             // processor cores available to the process; 0: one
 	Seed                     uint64              // seed of the random jitter of idle timeouts
 	Saturated                func() bool         // whether events are waiting for the router's goroutine; nil: never
-	Policies                 *NetworkPolicies    // timeouts and limits of connections; nil: default timeouts, no limits
+	Policies                 *NetworkPolicies    // by the client's network; nil: default timeouts, no limits
 	Clock                    clock.Clock         // nil: clock.System
 	SystemCalls              *poller.SystemCalls // system calls on suspended connections; nil: poller.Kernel
 }
@@ -65,7 +65,7 @@
 	mu          sync.Mutex
 	connections map[router.ClientID]*connection // guarded by mu; connections that are not suspended
 	lastID      router.ClientID                 // guarded by mu
-	atLimit     bool                            // guarded by mu; ConnectionLimitReached was emitted, and ConnectionLimitCleared not yet
+	atLimit     bool                            // guarded by mu; true from ConnectionLimitReached to ConnectionLimitCleared
 	rejections  rejectionLog                    // guarded by mu
 }
 
@@ -143,7 +143,8 @@
 	Waiting   int `json:"waiting"` // suspended connections with unread data
 }
 
-// Counts returns the numbers at this moment. They are read one after the other, so they need not add up.
+// Counts returns the current numbers of connections. Suspended may be slightly wrong while connections are suspended
+// or resumed, as it is the difference of two numbers that are read one after the other.
 func (s *Server) Counts() ConnectionCounts {
 	active := s.activeConnections()
 	counts := s.idle.counts()
--- a/internal/downstream/suspend.go
+++ b/internal/downstream/suspend.go
@@ -15,21 +15,22 @@
 	since time.Time
 }
 
-// canSuspend reports whether idle connections can be suspended on this system.
+// canSuspend reports whether idle connections can be suspended: the system supports it, and no system call for it has
+// failed for good.
 func (ic *idleConnections) canSuspend() bool {
 	return ic.poller != nil && !ic.suspendDisabled.Load()
 }
 
-// disableSuspend keeps idle connections active from now on. The first call emits an event.
+// disableSuspend ends the suspension of idle connections, which stay active from then on. The first call emits
+// SuspendDisabled.
 func (ic *idleConnections) disableSuspend(cause error) {
 	if !ic.suspendDisabled.Swap(true) {
 		ic.emit(SuspendDisabled{Cause: cause.Error()})
 	}
 }
 
-// suspendFailed handles an error of suspending a connection. If a resource is exhausted, suspension is retried
-// once the connection has been idle for the same time again. After any other error, no connection is suspended
-// from then on.
+// suspendFailed handles an error of suspending a connection. If a resource is exhausted, the connection is suspended
+// later, after it has been idle for as long again. After any other error, no connection is suspended from then on.
 func (ic *idleConnections) suspendFailed(cause error) {
 	if !neterr.IsExhausted(cause) {
 		ic.disableSuspend(cause)
@@ -76,15 +77,15 @@
 	return found && ic.calls.Peek(int(s.fd)) == poller.Data
 }
 
-// takeForResume removes a suspended connection from its slot in order to resume it. The caller owns its
-// descriptor. abandoned means that the client has closed its sending side and its data has waited too long to
-// be read. If the connection has ended, takeForResume closes it and returns found = false.
+// takeForResume empties the slot of a suspended connection, which is to be resumed. The caller then owns its
+// descriptor. abandoned means that the client has closed its sending side and its data has waited too long to be read.
+// If the connection is no longer suspended, found is false; if it has ended, takeForResume also closes it.
 func (ic *idleConnections) takeForResume(wake wakeUp) (taken slot, abandoned, found bool) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	taken, found = ic.suspended(wake.slot)
 	if !found {
-		return slot{}, false, false // the connection was evicted or has expired
+		return slot{}, false, false // the connection was evicted or has expired meanwhile
 	}
 	fd := int(taken.fd)
 	abandoned = idle.Abandoned(int64(time.Since(wake.since)), ic.calls.PeerClosed(fd))
@@ -98,7 +99,7 @@
 	return taken, abandoned, true
 }
 
-// putBack puts a connection back into its slot after its resumption has failed, and postpones the next try.
+// putBack returns a suspended connection to its slot after it could not be resumed, and schedules the next try.
 func (ic *idleConnections) putBack(w wakeUp, taken slot) {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -113,22 +114,22 @@
 	ic.table.Remove(key.id)
 }
 
-// postpone schedules a suspended connection for a retry of resuming it. The connection becomes active in the
-// table, so that it is not evicted meanwhile. ic.mu must be locked.
+// postpone schedules a suspended connection to be resumed later. In the table it counts as active, so that it is not
+// evicted before that. ic.mu must be locked.
 func (ic *idleConnections) postpone(w wakeUp) {
 	ic.table.SetState(ic.clock.Now(), w.slot.id, idle.StateActive)
 	ic.postponed = append(ic.postponed, w)
 }
 
-// hasPostponed reports whether connections are postponed or being retried.
+// hasPostponed reports whether suspended connections wait for another try to resume them, or are being retried.
 func (ic *idleConnections) hasPostponed() bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
 	return ic.retrying || len(ic.postponed) > 0
 }
 
-// beginRetry removes and returns the postponed connections. The caller has to call endRetry after retrying
-// them.
+// beginRetry returns the postponed connections, of which none is postponed any more. After trying to resume them, the
+// caller has to call endRetry.
 func (ic *idleConnections) beginRetry() []wakeUp {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -137,7 +138,7 @@
 	return again
 }
 
-// endRetry ends the retry that beginRetry began, and reports whether connections have been postponed again.
+// endRetry ends the retry that beginRetry began, and reports whether some connections are postponed again.
 func (ic *idleConnections) endRetry() bool {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
@@ -145,7 +146,7 @@
 	return len(ic.postponed) > 0
 }
 
-// allSuspended returns the keys of all suspended connections.
+// allSuspended returns the key of each connection that is suspended now.
 func (ic *idleConnections) allSuspended() []slotKey {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
--- a/internal/downstream/suspend_test.go
+++ b/internal/downstream/suspend_test.go
@@ -37,7 +37,7 @@
 	if open := server.idle.len(); open != count {
 		t.Errorf("%d connections while suspended, want %d", open, count)
 	}
-	// All are resumed at the same time, and each gets its response.
+	// All connections are resumed at the same time, and each client gets its response.
 	var group sync.WaitGroup
 	for _, conn := range conns {
 		group.Go(func() {
@@ -63,7 +63,7 @@
 	closeWrite(t, conns[2])
 	testkit.WaitUntil(t, 2*testTimeout, "all connections are closed", func() bool { return server.idle.len() == 0 })
 	expectEOF(t, conns[2], "client that closed its side")
-	// A new connection in one of the freed slots works, active and suspended.
+	// A new connection in one of the freed slots is served, can be suspended, and is served again.
 	reused := dial(t, server)
 	checkHealth(t, reused)
 	waitForSuspension(t, server)
@@ -87,8 +87,8 @@
 	checkHealth(t, kept)
 }
 
-// When a suspended connection receives part of a request, the rest has to arrive within the timeout for a
-// request rather than the idle timeout.
+// After a suspended connection has received part of a request, the rest must arrive within requestReadTimeout. If the
+// idle timeout applied, clients could hold connections with incomplete requests.
 func TestPartialRequestOnSuspendedConnectionTimesOut(t *testing.T) {
 	server, _ := startServer(t, configWithIdleTimeout(100, time.Hour))
 	requireSuspension(t, server)
@@ -100,7 +100,7 @@
 	testkit.WaitUntil(t, 2*testTimeout, "all connections are closed", func() bool { return server.idle.len() == 0 })
 }
 
-// A connection is kept for its idle timeout even if the wall clock is set forward or back meanwhile.
+// Setting the wall clock forward or back must neither close a connection before its idle timeout nor keep it longer.
 func TestClockStepDoesNotMoveTimeouts(t *testing.T) {
 	for _, step := range []time.Duration{2 * time.Second, -2 * time.Second, time.Hour, -time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
--- a/internal/downstream/systemcalls_linux_test.go
+++ b/internal/downstream/systemcalls_linux_test.go
@@ -80,13 +80,14 @@
 	return &calls
 }
 
-// faultWindow decides which calls fail: a given number of them, or all of them until a given time.
+// faultWindow decides which system calls fail: the next calls, as many as the number calls says, and all of them until
+// a given time.
 type faultWindow struct {
-	calls atomic.Int64 // number of calls that still fail
-	until atomic.Int64 // Unix time in ns
+	calls atomic.Int64 // number of further calls that fail
+	until atomic.Int64 // Unix time until which all calls fail, ns; 0: none fail because of the time
 }
 
-// open reports whether the current call fails.
+// open reports whether the current system call has to fail, and counts it.
 func (w *faultWindow) open() bool {
 	return w.calls.Add(-1) >= 0 || time.Now().UnixNano() < w.until.Load()
 }
@@ -141,7 +142,7 @@
 	for time.Now().UnixNano() < fault.until.Load() {
 		time.Sleep(10 * time.Millisecond)
 	}
-	if server.idle.canSuspend() { // false after a permanent error
+	if server.idle.canSuspend() { // false after an error that does not pass, such as EINVAL
 		testkit.WaitUntil(t, 2*testTimeout, "all connections are suspended again", func() bool {
 			return server.activeConnections() == 0 && server.Flushed()
 		})
@@ -175,7 +176,7 @@
 	if server.Flushed() {
 		t.Error("Flushed() = true with unread requests")
 	}
-	dial(t, server) // needs a slot
+	dial(t, server) // a new connection, for which another one would be evicted
 	for id := range 4 {
 		if server.evict(idle.ID(id)) {
 			t.Errorf("connection %d was evicted with an unread request", id)
@@ -192,7 +193,8 @@
 	testkit.WaitUntil(t, 2*testTimeout, "the server is flushed", server.Flushed)
 }
 
-// A suspended connection is not evicted if it is unknown whether it has unread data.
+// If the kernel cannot tell whether a suspended connection has unread data, evicting the connection could lose a
+// request.
 func TestUndeterminedPeekDoesNotEvict(t *testing.T) {
 	var unknown atomic.Bool
 	config := configWithIdleTimeout(4, time.Hour)
@@ -229,7 +231,7 @@
 	}
 	neterr.Close(closed)
 	testkit.WaitUntil(t, 2*testTimeout, "a failed resume has been postponed", server.idle.hasPostponed)
-	time.Sleep(100 * time.Millisecond) // exceeds the maximum wait of a half-closed client's request
+	time.Sleep(100 * time.Millisecond) // longer than a half-closed client's request may wait to be read
 	exhausted.Store(false)
 	expectResponse(t, conn, rejectionOf(7))
 	expectEnd(t, conn)
--- a/internal/downstream/wake.go
+++ b/internal/downstream/wake.go
@@ -9,8 +9,8 @@
 	"tealpath/internal/neterr"
 )
 
-// maxMaintenanceInterval is the maximum pause between two rounds of maintain. It is limited because a connection
-// that is added during the pause may expire before those that the pause was computed from.
+// maxMaintenanceInterval is the maximum pause between two rounds of maintain. The pause ends when the next known
+// connection expires, but one that is added during the pause may expire earlier.
 const maxMaintenanceInterval = 100 * time.Millisecond
 
 // maintain resumes suspended connections, and closes expired ones at the rate that the table allows, until the
@@ -36,8 +36,8 @@
 	}
 }
 
-// closeExpired closes the connections whose timeout has passed, and returns how long to wait until the next
-// call.
+// closeExpired closes the connections whose timeout has passed, as many as the table allows, and returns how long to
+// wait until the next call.
 func (s *Server) closeExpired() time.Duration {
 	for {
 		s.heartbeat.record(s.now())
@@ -50,7 +50,8 @@
 	}
 }
 
-// suspend suspends an active connection and reports whether it succeeded.
+// suspend suspends an active connection. If it returns false, the connection stays active: it is draining or was
+// evicted, or a system call failed.
 func (s *Server) suspend(c *connection) bool {
 	if c.isDraining() {
 		return false
@@ -64,7 +65,7 @@
 	return true
 }
 
-// suspendDelay returns how long a connection is idle, in ns, before it is suspended.
+// suspendDelay returns the time, in ns, after which an idle connection is suspended at present.
 func (s *Server) suspendDelay() int64 {
 	maxActive := idle.MaxActiveConnections(s.config.MaxBytes)
 	return idle.SuspendDelay(int(s.idle.waiting.Load()), int(s.serving.Load()), maxActive)
@@ -112,14 +113,15 @@
 	}
 }
 
-// waker resumes the suspended connections that have received data, as many at a time as the memory allows.
+// waker resumes the suspended connections that have received data, and limits how many connections are active at the
+// same time according to the memory.
 type waker struct {
 	server      *Server
-	maxActive   int // maximum number of connections with goroutines and buffers
+	maxActive   int // number of active connections from which resuming is delayed
 	resumePacer *idle.Pacer
 	closePacer  *idle.Pacer
-	emptyAt     time.Time // last time at which the poller was known to have reported all events
-	keys        []uint64  // returned by the last call of poller.Wait
+	emptyAt     time.Time // last time at which all events of the poller were known to have been returned
+	keys        []uint64  // keys of connections, returned by the last call of poller.Wait
 }
 
 func newWaker(s *Server) *waker {
@@ -172,9 +174,9 @@
 	return since, err
 }
 
-// handle resumes the connections that the poller has reported, and returns false if the context ends.
-// Connections with data are resumed first, because clients may close many connections at the same time. None
-// may be skipped, because the poller reports each of them only once.
+// handle resumes the connections that the poller has reported, and returns false if the context ends. Those with data
+// are resumed before those whose clients have closed them, because clients may close many connections at the same
+// time. None may be skipped, because the poller reports each of them only once.
 func (w *waker) handle(ctx context.Context, since time.Time) bool {
 	w.server.idle.waiting.Store(int64(len(w.keys)))
 	var withData, ended []wakeUp
@@ -189,7 +191,8 @@
 	return w.resume(ctx, withData, w.resumePacer) && w.resume(ctx, ended, w.closePacer)
 }
 
-// resume resumes connections at the rate of the pacer, and returns false if the context ends.
+// resume resumes connections as fast as the pacer and the number of active connections allow, and returns false if the
+// context ends.
 func (w *waker) resume(ctx context.Context, wakes []wakeUp, pacer *idle.Pacer) bool {
 	for _, wake := range wakes {
 		if !w.awaitPacer(ctx, pacer) || !w.awaitCapacity(ctx) {
@@ -201,7 +204,7 @@
 	return true
 }
 
-// awaitPacer waits until the pacer admits the next connection, and returns false if the context ends.
+// awaitPacer returns true once the pacer allows the next connection to be resumed, or false if the context ends.
 func (w *waker) awaitPacer(ctx context.Context, pacer *idle.Pacer) bool {
 	for {
 		wait := time.Duration(pacer.Wait(w.server.now(), w.server.config.Saturated()))
@@ -214,8 +217,8 @@
 	}
 }
 
-// awaitCapacity waits while too many connections are active, but for at most about idle.MaxResumeDelayMS. It
-// returns false if the context ends.
+// awaitCapacity waits until fewer than w.maxActive connections are active, but for at most about
+// idle.MaxResumeDelayMS. It returns false if the context ends.
 func (w *waker) awaitCapacity(ctx context.Context) bool {
 	for tries := 0; w.server.activeConnections() >= w.maxActive && tries < idle.MaxResumeDelayMS; tries++ {
 		if !pause(ctx, time.Millisecond) {
--- a/internal/downstream/write.go
+++ b/internal/downstream/write.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// writeTimeout is how long a client may take to accept a batch of responses.
+	// writeTimeout is how long a client may take to accept one batch of responses, of about maxBatchBytes.
 	writeTimeout = 10 * time.Second
 
 	// maxBatchBytes is the approximate number of bytes that are written under one deadline. It is small enough that
@@ -26,19 +26,21 @@
 	maxQueuedPieces = 3 * 1000
 )
 
-// Names of response fields in the protocol.
+// Names of the entries in the field map of a response.
 const (
 	fieldNotModified = "ok304"
-	fieldRetryAfter  = "later" // ms
+	fieldRetryAfter  = "later" // time after which the client may retry, ms
 )
 
-// Numbers of the fields of a Thrift result. An unsuccessful response sets one of these fields.
+// Numbers of the fields in the Thrift result of a call that was not served. The response sets one of them.
 const (
 	resultFieldRejected = 1
 	resultFieldFailed   = 2
 )
 
-// Respond sends the final response to a request, if its client is still connected. It never blocks.
+// Respond queues the final response to a request, and returns without waiting for it to be written. It does nothing if
+// the client has disconnected or the request is no longer in flight. If no memory is left for the body, the request
+// fails.
 func (s *Server) Respond(effect router.Respond) {
 	c := s.lookup(effect.Client)
 	if c == nil {
@@ -54,7 +56,7 @@
 	}
 }
 
-// newResponse converts the router's response to a Thrift response.
+// newResponse returns the Thrift response that tells the client the outcome in effect.
 func newResponse(effect router.Respond) thrift.Response {
 	response := thrift.Response{Method: methodCall, Seq: effect.Seq}
 	switch effect.Kind {
@@ -79,17 +81,17 @@
 	return response
 }
 
-// rejection returns the response to a request of which nothing has been executed.
+// rejection returns the response that rejects a request: nothing of it has been executed.
 func rejection(seq int32) thrift.Response {
 	return thrift.Response{Method: methodCall, Seq: seq, ResultField: resultFieldRejected}
 }
 
-// failure returns the response to a request that may have been executed.
+// failure returns the response that fails a request: it may have been executed.
 func failure(seq int32) thrift.Response {
 	return thrift.Response{Method: methodCall, Seq: seq, ResultField: resultFieldFailed}
 }
 
-// failRequests answers all requests in flight as failed.
+// failRequests answers each request in flight on the connection as failed.
 func (c *connection) failRequests() {
 	c.mu.Lock()
 	inFlight := slices.Sorted(maps.Keys(c.inFlight))
@@ -99,8 +101,9 @@
 	}
 }
 
-// respond queues the response to a request in flight. It removes the request and queues the response under one
-// lock. Otherwise a connection that ends once nothing is in flight could end in between, without the response.
+// respond queues the response to a request, or discards it if the request is not in flight. The request is removed and
+// its response queued under one lock. Otherwise a connection that ends once nothing is in flight could end in between,
+// without the response.
 func (c *connection) respond(response thrift.Response) {
 	pieces := thrift.EncodeResponse(response)
 	c.mu.Lock()
@@ -111,7 +114,7 @@
 	}
 }
 
-// send queues a response to a message that was never in flight.
+// send queues a response to a message that was not put in flight, such as a health request or a rejected call.
 func (c *connection) send(response thrift.Response) {
 	pieces := thrift.EncodeResponse(response)
 	c.mu.Lock()
@@ -119,7 +122,8 @@
 	c.enqueue(pieces)
 }
 
-// enqueue queues the pieces of a response. c.mu must be locked.
+// enqueue queues the pieces of a response, or discards them if the connection is closed. If the client leaves too many
+// responses unread, the connection is closed. c.mu must be locked.
 func (c *connection) enqueue(pieces [][]byte) {
 	if c.phase == phaseClosed {
 		return
@@ -167,8 +171,8 @@
 	}
 }
 
-// nextBatch removes the next pieces to write from the queue and returns them with their size in bytes. done
-// means that the writer has nothing left to do.
+// nextBatch removes up to about maxBatchBytes from the queue and returns them with their size in bytes. done means
+// that the writer may end: no request is in flight, nothing is queued and the connection is no longer open.
 func (c *connection) nextBatch() (batch net.Buffers, size int64, done bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,7 +202,7 @@
 	return err == nil
 }
 
-// writeAll writes all buffers and retries after transient errors.
+// writeAll writes all buffers. After a transient error it continues with the bytes that are not written yet.
 func writeAll(conn net.Conn, buffers *net.Buffers) error {
 	return neterr.Retry(func() error {
 		_, err := buffers.WriteTo(conn)
--- a/internal/neterr/neterr.go
+++ b/internal/neterr/neterr.go
@@ -15,16 +15,18 @@
 var localErrors = []syscall.Errno{
 	syscall.EMFILE, syscall.ENFILE, // no descriptor left, in this process or on this machine
 	syscall.ENOMEM, syscall.ENOBUFS, // no kernel memory left
-	syscall.ENOSPC,                            // limit of epoll watches reached
+	syscall.ENOSPC,                            // the user's limit of epoll watches is reached
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, // no local port available
 	syscall.EACCES, syscall.EPERM, // denied by a local firewall
 	syscall.ENETDOWN, syscall.EAGAIN, syscall.EINTR,
 }
 
-// transientErrors are the errors after which the same read or write can be retried.
+// transientErrors are the errors of a read or write after which the connection is intact, so that the read or write
+// can be retried.
 var transientErrors = []syscall.Errno{syscall.ENOMEM, syscall.ENOBUFS, syscall.EAGAIN, syscall.EINTR}
 
-// exhaustedErrors are the local errors that end when descriptors, memory or epoll watches are released.
+// exhaustedErrors are the local errors that no longer occur once descriptors, memory or epoll watches have been
+// released.
 var exhaustedErrors = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM, syscall.ENOBUFS, syscall.ENOSPC}
 
 // endErrors are the errors of a read, write or peek on a connection that has ended.
--- a/internal/neterr/neterr_test.go
+++ b/internal/neterr/neterr_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// flakyBuffer is a buffer that fails every second call, and reads or writes one byte in the others.
+// flakyBuffer is a buffer whose reads and writes alternately fail with the error fault and transfer one byte.
 type flakyBuffer struct {
 	bytes.Buffer
 	calls int
@@ -70,7 +70,7 @@
 	}
 	n, _ := f.Buffer.Write(p[:min(1, len(p))])
 	if n < len(p) {
-		return n, syscall.EINTR // a short write
+		return n, syscall.EINTR // short write: only one byte of p was written
 	}
 	return n, nil
 }
@@ -99,7 +99,7 @@
 	}
 }
 
-// failingCloser counts the calls of Close and fails each of them.
+// failingCloser returns an error from each call of Close, and counts the calls.
 type failingCloser struct{ closes int }
 
 func (c *failingCloser) Close() error {
--- a/internal/neterr/retry.go
+++ b/internal/neterr/retry.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// Delays before a retry after a transient error. The delay doubles from the minimum to the maximum.
+// Delays before a failed operation is retried after a transient error. The delay doubles with each retry in a row,
+// from the minimum to the maximum.
 const (
 	minRetryDelay = time.Millisecond
 	maxRetryDelay = 50 * time.Millisecond
@@ -29,7 +30,8 @@
 	}
 }
 
-// Write writes all of p. After a transient error it continues with the bytes that are not written yet.
+// Write writes all of p. After a transient error it continues with the bytes that are not written yet; after any other
+// error it returns the number of bytes written until then.
 func Write(to io.Writer, p []byte) (written int, err error) {
 	err = Retry(func() error {
 		n, err := to.Write(p[written:])
@@ -39,7 +41,8 @@
 	return written, err
 }
 
-// Retry calls operation until it succeeds or fails with an error that is not transient.
+// Retry calls operation until it succeeds or fails with an error that is not transient, and returns that error.
+// Between calls it waits, from minRetryDelay up to maxRetryDelay.
 func Retry(operation func() error) error {
 	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		err := operation()
--- a/internal/protocol/resp/reader.go
+++ b/internal/protocol/resp/reader.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// Read reads one array. It returns io.EOF if the input ends before the array begins, and io.ErrUnexpectedEOF if it
-// ends inside the array.
+// Read reads one array of bulk strings and returns the strings. It returns io.EOF if the input ends before the array
+// begins, and io.ErrUnexpectedEOF if it ends inside the array.
 func Read(in *bufio.Reader) ([][]byte, error) {
 	count, err := readLength(in, arrayType, MaxItems)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return items, nil
 }
 
-// readString reads one bulk string.
+// readString reads one bulk string and returns its bytes, without header line and line end.
 func readString(in *bufio.Reader) ([]byte, error) {
 	size, err := readLength(in, stringType, MaxStringSize)
 	if err != nil {
@@ -48,7 +48,8 @@
 	return err
 }
 
-// readLength reads the header line of an array or string: its type byte and a length from 0 to limit.
+// readLength reads the header line of an array or string, and returns the length in it: a number of strings or of
+// bytes. It returns an error if the line does not begin with typeByte or the length is above limit.
 func readLength(in *bufio.Reader, typeByte byte, limit int) (int, error) {
 	first, err := in.ReadByte()
 	if err != nil {
@@ -68,7 +69,7 @@
 	return int(length), nil
 }
 
-// readDigits reads the rest of a header line and returns it without the line end.
+// readDigits reads a header line after its type byte, and returns the characters before the line end.
 func readDigits(in *bufio.Reader) ([]byte, error) {
 	line := make([]byte, 0, maxLengthDigits)
 	for {
--- a/internal/protocol/resp/resp.go
+++ b/internal/protocol/resp/resp.go
@@ -9,8 +9,8 @@
 
 // Limits for input. Read returns an error for anything larger.
 const (
-	MaxItems      = 8       // strings in one array
-	MaxStringSize = 1 << 18 // bytes in one string; the largest object has 240,000 bytes
+	MaxItems      = 8       // maximum number of strings in one array
+	MaxStringSize = 1 << 18 // maximum size of one string, bytes; the largest object has 240,000 bytes
 
 	// maxLengthDigits is the maximum number of characters in a header line after the type byte, including the
 	// carriage return.
--- a/internal/protocol/sse/chunked.go
+++ b/internal/protocol/sse/chunked.go
@@ -10,14 +10,14 @@
 	"strings"
 )
 
-// chunkedReader decodes a body in HTTP's chunked transfer coding.
+// chunkedReader reads an HTTP body in the chunked transfer coding, and returns the body without chunk headers.
 type chunkedReader struct {
 	in      *bufio.Reader
-	left    int64 // bytes of the current chunk that are not read yet
-	started bool  // a chunk has been read, so a line end precedes the next chunk
+	left    int64 // number of bytes of the current chunk that are not read yet
+	started bool  // false before the first chunk; a line end precedes each later one
 }
 
-// Read reads from the current chunk, or from the next chunk once the current one is used up.
+// Read implements io.Reader. It returns io.EOF after the last chunk.
 func (c *chunkedReader) Read(p []byte) (int, error) {
 	for c.left == 0 {
 		if err := c.nextChunk(); err != nil {
@@ -32,7 +32,8 @@
 	return n, err
 }
 
-// nextChunk reads the header of the next chunk. It returns io.EOF for the last chunk, which is empty.
+// nextChunk reads the header of the next chunk and sets left to the chunk's size. It returns io.EOF for the last
+// chunk, which is empty.
 func (c *chunkedReader) nextChunk() error {
 	if c.started {
 		if end, err := readLine(c.in); err != nil || len(end) > 0 {
--- a/internal/protocol/sse/sse.go
+++ b/internal/protocol/sse/sse.go
@@ -10,10 +10,10 @@
 
 // Limits for input, and the size of the read buffer.
 const (
-	maxLineSize    = 4 << 20  // bytes; a complete endpoint list is one line, of 10,000 endpoints with 400 bytes each
-	maxEventSize   = 4 << 20  // bytes of data in an event
-	maxHeaderLines = 64       // header lines of the response
-	bufferSize     = 16 << 10 // bytes read from the connection at a time
+	maxLineSize    = 4 << 20  // maximum bytes in a line; an endpoint list is one line: 10,000 endpoints of 400 bytes
+	maxEventSize   = 4 << 20  // maximum bytes of data in an event
+	maxHeaderLines = 64       // maximum number of header lines of the response
+	bufferSize     = 16 << 10 // size of the read buffer, bytes
 )
 
 // ErrMalformed is the sentinel error that every MalformedError wraps.
@@ -33,7 +33,7 @@
 	return ErrMalformed
 }
 
-// StatusError reports a response with a status other than 200.
+// StatusError reports an HTTP response with a status other than 200, which carries no event stream.
 type StatusError struct {
 	Status string // status code and reason phrase
 }
--- a/internal/protocol/sse/sse_test.go
+++ b/internal/protocol/sse/sse_test.go
@@ -13,7 +13,7 @@
 	const chunked = "HTTP/1.1 200 OK\r\ntransfer-encoding: Chunked\r\n\r\n"
 	for _, test := range []struct {
 		name, in string
-		want     string // events as ID=DATA, comments as #, separated by spaces
+		want     string // expected events as ID=DATA and comments as #, separated by spaces
 		err      error
 	}{
 		{
@@ -60,12 +60,12 @@
 	}
 }
 
-// A complete endpoint list is one line. It must be readable with 3,200 endpoints that have long names, and with 10,000
-// endpoints that have names of the usual length.
+// The limit of a line's size must not exclude complete endpoint lists, each of which is one line: 3,200 endpoints with
+// long names, or 10,000 with names of the usual length.
 func TestLongLists(t *testing.T) {
 	for _, test := range []struct {
 		name             string
-		endpoints, bytes int // bytes of each endpoint
+		endpoints, bytes int // number of endpoints, and size of each in bytes
 	}{{"3,200 with long names", 3200, 1000}, {"10,000", 10_000, 400}} {
 		t.Run(test.name, func(t *testing.T) {
 			list := strings.Repeat("x", test.endpoints*test.bytes)
--- a/internal/protocol/sse/stream.go
+++ b/internal/protocol/sse/stream.go
@@ -13,22 +13,23 @@
 type Event struct {
 	ID      string
 	Data    []byte
-	Comment bool // a comment: ID and Data are empty
+	Comment bool // whether this is a comment; its ID and Data are empty
 }
 
-// Stream reads events and comments from the body of a response.
+// Stream is the sequence of events and comments in the body of an HTTP response.
 type Stream struct {
 	in      *bufio.Reader
 	partial bool // the current event or line has been read in part
 }
 
-// InsideEvent reports whether an event or line has been received in part. It may be called by the Read method of the
-// reader that was passed to Open, or after Next has returned an error.
+// InsideEvent reports whether a part of an event or line has been received that Next has not returned yet. It may be
+// called by the Read method of the reader that was passed to Open, or after Next has returned an error.
 func (s *Stream) InsideEvent() bool {
 	return s.partial || s.in.Buffered() > 0
 }
 
-// Open reads the status line and headers of a response, and returns the stream in its body.
+// Open reads the status line and headers of a response, and returns the stream in its body. A status other than 200 is
+// a StatusError.
 func Open(raw io.Reader) (*Stream, error) {
 	in := bufio.NewReaderSize(raw, bufferSize)
 	if err := readStatus(in); err != nil {
@@ -61,7 +62,8 @@
 	return nil
 }
 
-// readHeader reads the header lines and reports whether the body has the chunked transfer coding.
+// readHeader reads all header lines. It reports whether the body is in the chunked transfer coding, and ignores the
+// other headers.
 func readHeader(in *bufio.Reader) (chunked bool, err error) {
 	for lines := 0; ; lines++ {
 		line, err := readLine(in)
@@ -82,7 +84,7 @@
 	}
 }
 
-// Next reads the next event or comment. An event is complete once the empty line after it has been read.
+// Next returns the next event or comment. It returns an event only once the empty line after it has been read.
 func (s *Stream) Next() (Event, error) {
 	var event Event
 	hasData := false
@@ -98,7 +100,7 @@
 		case len(line) == 0 && hasData:
 			return event, nil
 		case len(line) == 0:
-			event = Event{} // a block of lines without data is not an event
+			event = Event{} // lines without data before an empty line are not an event
 		case line[0] == ':':
 			if !hasData && event.ID == "" {
 				s.partial = false
@@ -113,8 +115,8 @@
 	}
 }
 
-// addLine adds a line to the event. hasData tells whether the event has data before the line is added, and the result
-// whether it has data afterwards.
+// addLine adds a line of the stream to the event. hasData says whether an earlier line of the event was data; the
+// result says whether an earlier line or this one was.
 func (e *Event) addLine(line []byte, hasData bool) (bool, error) {
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	value = bytes.TrimPrefix(value, []byte(" "))
