--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -18,7 +18,7 @@
 const (
 	responseHead = "HTTP/1.1 200 OK\r\n\r\n"
 
-	// waitLimit bounds every wait for an expected event.
+	// waitLimit is how long a test waits, at most, for one expected event or call.
 	waitLimit = 20 * time.Second
 )
 
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,12 +17,12 @@
 // dialTimeout bounds the time to establish a connection to the service.
 const dialTimeout = 700 * time.Millisecond
 
-// Config configures a Watcher.
+// Config holds the settings and dependencies of a Watcher.
 type Config struct {
 	Address  string                // discovery service, as host:port
 	History  History               // what is known of the watch before the first call of the service
 	Schedule *startup.CallSchedule // decides when the service is called
-	Post     func(router.Event)    // receives the events, in order; it may block
+	Post     func(router.Event)    // receives the events for the router, in order; it may block
 	Log      func(logevent.Event)
 	Clock    clock.Clock // nil: clock.System
 }
@@ -63,7 +63,8 @@
 	Digest   uint64
 }
 
-// NewWatcher returns a watcher that resumes after the known events.
+// NewWatcher returns a watcher that calls the service once Run is called. The first call resumes after the events in
+// config.History.
 func NewWatcher(config Config) *Watcher {
 	watcher := &Watcher{
 		post:     config.Post,
--- a/internal/downstream/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -14,7 +14,7 @@
 	"github.com/gaissmai/bart"
 )
 
-// slowAcceptConfig limits a server to 120 accepts per second of connections that have already sent data.
+// slowAcceptConfig makes a server accept at most 120 connections per second of those that have already sent data.
 var slowAcceptConfig = Config{MaxConnections: 1000, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20, Cores: 0.05}
 
 // Connections that have sent nothing are suspended at a separate rate, so that a client behind them is served
--- a/internal/downstream/arrival_test.go
+++ b/internal/downstream/arrival_test.go
@@ -108,7 +108,8 @@
 	})
 }
 
-// The arrival time of a request that is received in parts is that of its first part.
+// A request received in parts must get the arrival time of its first part, even if that part arrived together with the
+// previous request.
 func TestArrivalTimeOfParts(t *testing.T) {
 	both := append(call(1, 10), call(2, 10)...)
 	for _, test := range []struct {
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -33,7 +33,7 @@
 	phaseSuspending       // the connection is idle, and its goroutines end so that it can be suspended
 	phaseEnding           // no more requests are read; the phase lasts until all responses are written
 	phaseLingering        // the server has closed its sending side, and the client may read what was written
-	phaseClosed           // no more responses are queued
+	phaseClosed           // the connection has ended, and further responses to it are discarded
 )
 
 // connection is a client connection that is not suspended.
--- a/internal/downstream/faultyconn_linux_test.go
+++ b/internal/downstream/faultyconn_linux_test.go
@@ -16,8 +16,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// faultyListener fails an accept if the accept function returns an error, and wraps the connections that it
-// accepts.
+// faultyListener is a listener whose accepts fail while the function accept returns an error. Accepted connections are
+// passed through wrap.
 type faultyListener struct {
 	*net.TCPListener
 	accept func() error
--- a/internal/downstream/filter_linux_test.go
+++ b/internal/downstream/filter_linux_test.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// logRecorder records the log events that a server emits.
+// logRecorder keeps the log events that a server emits, so that a test can check them.
 type logRecorder struct {
 	mu     sync.Mutex
 	events []logevent.Event // guarded by mu
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -264,7 +264,7 @@
 	return string(got), err
 }
 
-// checkHealth sends a health request and reads the response.
+// checkHealth fails the test if the server does not answer a health request on the connection.
 func checkHealth(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := requestHealth(conn); err != nil {
@@ -360,7 +360,8 @@
 	return inFlight
 }
 
-// isConnectionError reports whether a read or write failed with an error of the connection, such as a reset.
+// isConnectionError reports whether err is an error of the net package from a read or write, such as a reset, rather
+// than the end of the stream.
 func isConnectionError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation)
--- a/internal/downstream/idle/expiry_test.go
+++ b/internal/downstream/idle/expiry_test.go
@@ -23,7 +23,7 @@
 		expect(second, want)
 		table.Remove(want)
 	}
-	expect(second, None) // active connections are never evicted
+	expect(second, None) // the remaining connections are active and must not be evicted
 
 	// A new connection whose first request may still arrive is evicted after an idle one.
 	justConnected := add(second)
--- a/internal/downstream/idle/list.go
+++ b/internal/downstream/idle/list.go
@@ -7,7 +7,7 @@
 // emptyList is a list without connections. The zero value of list is not empty, because 0 is a valid ID.
 var emptyList = list{first: None, last: None}
 
-// link appends a connection to its network's list for a state.
+// link appends a connection to the list of its network and the given state, and sets the state.
 func (t *Table) link(id ID, state State) {
 	linked := &t.entries[id]
 	list := &t.lists[linked.network][state]
@@ -23,7 +23,7 @@
 	t.stateCounts[state]++
 }
 
-// unlink removes a connection from its current list.
+// unlink removes a connection from the list of its network and state.
 func (t *Table) unlink(id ID) {
 	unlinked := &t.entries[id]
 	list := &t.lists[unlinked.network][unlinked.state]
@@ -40,7 +40,8 @@
 	t.stateCounts[unlinked.state]--
 }
 
-// oldest returns the connection that has been in a state longest, over all networks, or None.
+// oldest returns the connection, of any network, that has been in the given state longest, or None if no connection is
+// in it.
 func (t *Table) oldest(state State) ID {
 	oldest := None
 	for network := range t.lists {
--- a/internal/downstream/idle/pacer.go
+++ b/internal/downstream/idle/pacer.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// Rates are in connections per second and core. They are low enough that most of a core remains for requests
-// while thousands of connections are opened or closed at once; docs/idle.md has the measurements.
+// Rates at which connections are closed, accepted and resumed, in connections per second and core. They are low enough
+// that most of a core remains for requests while thousands of connections are opened or closed at once; docs/idle.md
+// has the measurements.
 const (
 	closeRate           = 4000.
 	acceptRate          = 2400. // lower than acceptSuspendedRate, as the first request is read too
--- a/internal/downstream/idle/table.go
+++ b/internal/downstream/idle/table.go
@@ -19,7 +19,7 @@
 // None is returned in place of an ID if there is no connection.
 const None ID = -1
 
-// Limits are the bounds of a table.
+// Limits bound the number of connections in a Table and the rate at which it lets them be closed.
 type Limits struct {
 	MaxConnections int     // maximum number of connections, all networks together
 	Cores          float64 // processor cores for the process; 0: one; more connections are closed per second with more
@@ -37,7 +37,8 @@
 	state      State
 }
 
-// Table holds all client connections of a router. It is not safe for concurrent use.
+// Table holds the state, timeout and client of each client connection of a router, and enforces connection limits. It
+// is not safe for concurrent use.
 type Table struct {
 	limits      Limits
 	policies    []Policy // timeouts and limits, by network
@@ -134,7 +135,7 @@
 	return Admitted
 }
 
-// allocate returns the ID of an unused entry, and adds an entry if all are in use.
+// allocate returns the ID of an entry that holds no connection. If there is none, it adds one.
 func (t *Table) allocate() ID {
 	if t.firstUnused == None {
 		t.entries = append(t.entries, entry{})
--- a/internal/downstream/idle/table_test.go
+++ b/internal/downstream/idle/table_test.go
@@ -8,7 +8,7 @@
 	"unsafe"
 )
 
-// Durations in nanoseconds, the unit of all times in the package.
+// Durations in ns, the unit of all times in the package.
 const (
 	millisecond = int64(time.Millisecond)
 	second      = int64(time.Second)
--- a/internal/downstream/memory_test.go
+++ b/internal/downstream/memory_test.go
@@ -94,8 +94,7 @@
 	expectEvents(t, events, "RequestReceived")
 }
 
-// A large request for which no memory is available is a protocol violation if its sequence number is in
-// flight.
+// A large request whose sequence number is in flight is a protocol violation, even if there is no memory to read it.
 func TestLargeRequestWithDuplicateSequenceNumber(t *testing.T) {
 	server, events := startServer(t, smallConfig)
 	server.memory.requests.TryAcquire(smallConfig.MaxBytes)
--- a/internal/downstream/poller/poller_test.go
+++ b/internal/downstream/poller/poller_test.go
@@ -15,7 +15,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// waitForKey checks that the next call of Wait returns exactly the given key.
+// waitForKey calls Wait and fails the test unless it returns the key want and no other within testTimeout.
 func waitForKey(t *testing.T, poller *Poller, want uint64) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -122,8 +122,8 @@
 	}
 }
 
-// If a descriptor cannot be removed from the epoll set, the next connection with the same descriptor number is
-// watched under its own key.
+// If a descriptor cannot be removed from the epoll set, the next connection with the same descriptor number must not
+// be reported under the old key.
 func TestDescriptorNumberReusedAfterFailedRemoval(t *testing.T) {
 	calls := newFaultyCalls(unix.ENOMEM)
 	poller := newPoller(t, &calls.SystemCalls)
@@ -140,7 +140,7 @@
 	waitForKey(t, poller, 2)
 }
 
-// A connection whose suspension fails remains usable and can be suspended later.
+// A failed suspension must not harm the connection: it can be read from, and can be suspended later.
 func TestSuspendErrors(t *testing.T) {
 	errnos := []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOMEM, unix.ENOSPC, unix.EINVAL}
 	for _, tc := range []struct {
@@ -167,7 +167,7 @@
 	}
 }
 
-// A call of Wait that is interrupted or fails temporarily loses no event.
+// An interrupted or failed call of Wait must lose no event, because the event of a connection is reported only once.
 func TestWaitErrors(t *testing.T) {
 	forEachErrno(t, []unix.Errno{unix.EINTR, unix.ENOMEM}, func(t *testing.T, errno unix.Errno) {
 		calls := newFaultyCalls(errno)
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// A client that closes without a request in flight is reported as disconnected, not as half-closed.
+// If no request is in flight, a client's close must be posted only as ClientDisconnected: there is nothing to stop for
+// a ClientHalfClosed.
 func TestCloseWithoutRequestsPostsNoHalfClose(t *testing.T) {
 	server, events := startServer(t, smallConfig)
 	conn := dial(t, server)
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -64,9 +64,10 @@
 
 	mu          sync.Mutex
 	connections map[router.ClientID]*connection // guarded by mu; connections that are not suspended
-	lastID      router.ClientID                 // guarded by mu
-	atLimit     bool                            // guarded by mu; true from ConnectionLimitReached to ConnectionLimitCleared
-	rejections  rejectionLog                    // guarded by mu
+	lastID      router.ClientID                 // guarded by mu; ID that was assigned last; 0: none
+	// atLimit is true from ConnectionLimitReached to ConnectionLimitCleared. It is guarded by mu.
+	atLimit    bool
+	rejections rejectionLog // guarded by mu
 }
 
 // New returns a server for a listener. The server passes the events of clients to post, which may block, and
--- a/internal/downstream/shutdown_test.go
+++ b/internal/downstream/shutdown_test.go
@@ -110,7 +110,7 @@
 		})
 		expectFinalResponse(t, conn, "whole")
 	}
-	if took := time.Since(begun); took > 800*time.Millisecond { // well before suspension, which happens after a second
+	if took := time.Since(begun); took > 800*time.Millisecond { // an active connection is suspended only after 1 s
 		t.Errorf("closing the active connections took %v, want 800ms at most", took)
 	}
 }
@@ -122,7 +122,7 @@
 	conn := idleConnection(t, server, false)
 	c := server.lookup(1)
 	c.mu.Lock()
-	c.draining = true // as tryClose does before it wakes the reader
+	c.draining = true // as tryClose does before it interrupts the reader
 	c.mu.Unlock()
 	if c.addRequest(9) != requestWhileDraining {
 		t.Error("addRequest on a draining connection did not return requestWhileDraining")
--- a/internal/neterr/retry.go
+++ b/internal/neterr/retry.go
@@ -41,7 +41,7 @@
 	return written, err
 }
 
-// Retry calls operation until it succeeds or fails with an error that is not transient, and returns that error.
+// Retry calls operation until it succeeds or fails with an error that is not transient, and returns nil or that error.
 // Between calls it waits, from minRetryDelay up to maxRetryDelay.
 func Retry(operation func() error) error {
 	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
--- a/internal/protocol/thrift/message.go
+++ b/internal/protocol/thrift/message.go
@@ -6,7 +6,8 @@
 	"io"
 )
 
-// Message is a message with a parsed header. Body holds its arguments, which are still encoded.
+// Message is a message of which only the header is parsed: name, type and sequence number. Body holds the rest, the
+// encoded arguments.
 type Message struct {
 	Name string
 	Type byte
@@ -14,7 +15,8 @@
 	Body []byte
 }
 
-// ReadFrameSize reads the length prefix of a frame and returns the frame's size in bytes.
+// ReadFrameSize reads the length prefix of a frame and returns the number of bytes that follow it. It returns an
+// ErrFrameSize if that is not from 1 to MaxFrameSize.
 func ReadFrameSize(in io.Reader) (int, error) {
 	var header [frameHeaderSize]byte
 	if _, err := io.ReadFull(in, header[:]); err != nil {
@@ -27,7 +29,8 @@
 	return int(size), nil
 }
 
-// Parse parses the message in a frame, up to its arguments.
+// Parse parses the header of the message in a frame. The frame, which has no length prefix, may end within the
+// arguments, since these are not parsed.
 func Parse(frame []byte) (Message, error) {
 	r := reader{in: frame}
 	word := r.uint32()
@@ -46,10 +49,10 @@
 	return Message{Name: name, Type: byte(word), Seq: sequence, Body: r.in}, nil
 }
 
-// Field identifiers of the arguments of the service's methods.
+// Field identifiers of the arguments of the methods `call` and `cancel`.
 const (
-	FirstArgument  = 1 // the fields of `call`, or the sequence number of `cancel`
-	SecondArgument = 2 // the body of `call`
+	FirstArgument  = 1 // `call`: the map of its fields; `cancel`: the sequence number of the call to cancel
+	SecondArgument = 2 // `call`: its body
 )
 
 // Arguments are the arguments of the service's methods: `call` has Fields and Body, `cancel` has CancelSeq.
@@ -57,7 +60,7 @@
 	Fields    map[string]string
 	Body      []byte         // shares the frame's memory; nil if empty
 	CancelSeq int32          // sequence number of the call to cancel
-	Has       map[int16]bool // identifiers of the arguments that are present
+	Has       map[int16]bool // field identifiers of the arguments that are present
 }
 
 // ParseArguments parses the arguments of a method, which are the body of a message. Unknown arguments are skipped.
@@ -82,7 +85,8 @@
 	return arguments, input.err
 }
 
-// parse reads one argument. If the argument is unknown, it reads nothing and returns false.
+// parse reads the value of one argument, whose field identifier is id and whose value type is typ. If the argument is
+// unknown, it reads nothing and returns false.
 func (a *Arguments) parse(r *reader, id int16, typ byte) bool {
 	switch {
 	case id == FirstArgument && typ == typeMap:
--- a/internal/protocol/thrift/reader.go
+++ b/internal/protocol/thrift/reader.go
@@ -8,7 +8,7 @@
 	err error
 }
 
-// take returns the next n bytes. They share the frame's memory.
+// take returns the next n bytes, which share the frame's memory. If fewer are left, it returns nil and sets err.
 func (r *reader) take(n int) []byte {
 	if r.err != nil {
 		return nil
@@ -43,7 +43,7 @@
 	return 0
 }
 
-// count reads a length or a number of elements. The result may be negative.
+// count reads a 32-bit length or number of elements. It does not check the value, which may be negative.
 func (r *reader) count() int {
 	return int(int32(r.uint32()))
 }
@@ -52,7 +52,8 @@
 	return r.take(r.count())
 }
 
-// stringMap reads a map from strings to strings.
+// stringMap reads a map from strings to strings. It sets err if the keys or values are of another type, or if the
+// frame is too short for the number of entries.
 func (r *reader) stringMap() map[string]string {
 	keyType, valueType := r.byte(), r.byte()
 	count := r.count()
@@ -73,7 +74,7 @@
 	return entries
 }
 
-// skip skips a value of any type. depth is the number of values that contain it.
+// skip reads a value of type typ and drops it. depth is the number of skipped values that contain it.
 func (r *reader) skip(typ byte, depth int) {
 	if depth > maxSkipDepth {
 		r.err = ErrTooDeep
@@ -108,12 +109,13 @@
 		if r.err != nil || field == typeStop {
 			return
 		}
-		r.uint16() // the field's identifier
+		r.uint16() // reads the field identifier
 		r.skip(field, depth+1)
 	}
 }
 
-// skipElements skips count elements of a container. An element consists of one value of each type in types.
+// skipElements reads count elements of a container and drops them. An element consists of one value of each type in
+// types: of a map's key and value, or of one value.
 func (r *reader) skipElements(count, depth int, types ...byte) {
 	for i := 0; i < count && r.err == nil; i++ {
 		for _, typ := range types {
--- a/internal/protocol/thrift/thrift.go
+++ b/internal/protocol/thrift/thrift.go
@@ -8,10 +8,11 @@
 	"fmt"
 )
 
-// MaxFrameSize is the maximum size of a received frame, in bytes. The largest object has 240,000 bytes.
+// MaxFrameSize is the maximum size of a received frame without its length prefix, in bytes. The largest object has
+// 240,000 bytes.
 const MaxFrameSize = 1 << 18
 
-// Message types.
+// Types of messages, as Thrift numbers them.
 const (
 	Call      = 1
 	Reply     = 2
@@ -19,7 +20,7 @@
 	Oneway    = 4
 )
 
-// Application exception types.
+// Types of application exceptions, as Thrift numbers them.
 const (
 	UnknownMethod = 1
 	InvalidType   = 2
@@ -27,7 +28,7 @@
 	ProtocolError = 7
 )
 
-// Value types.
+// Types of values in a message, as Thrift numbers them. typeStop marks the end of a struct.
 const (
 	typeStop   = 0
 	typeBool   = 2
@@ -51,21 +52,21 @@
 )
 
 const (
-	frameHeaderSize = 4  // bytes of the length prefix of a frame
-	maxSkipDepth    = 16 // maximum nesting of values in an unknown field
+	frameHeaderSize = 4  // size of the length prefix of a frame, bytes
+	maxSkipDepth    = 16 // maximum number of values around a skipped one in an unknown field
 
 	// minMapEntrySize is the size in bytes of a map entry of two empty strings: their two lengths.
 	minMapEntrySize = 8
 )
 
 var (
-	// ErrFrameSize is returned for a frame size that is not positive or exceeds MaxFrameSize.
+	// ErrFrameSize is returned for a length prefix that is not from 1 to MaxFrameSize.
 	ErrFrameSize = errors.New("thrift: invalid frame size")
 	// ErrVersion is returned for a frame that does not begin with a message of the strict binary protocol.
 	ErrVersion = errors.New("thrift: not a message of the strict binary protocol")
 	// ErrTruncated is returned for a value that extends beyond the end of its frame or has a negative length.
 	ErrTruncated = errors.New("thrift: value cut short")
-	// ErrTrailingBytes is returned for a frame that continues after the end of its arguments.
+	// ErrTrailingBytes is returned for a message with bytes after the end of its arguments.
 	ErrTrailingBytes = errors.New("thrift: bytes behind the arguments")
 	// ErrInvalidMap is returned for a map whose keys or values are not strings, or whose size does not fit the frame.
 	ErrInvalidMap = errors.New("thrift: bad map")
--- a/internal/protocol/thrift/thrift_test.go
+++ b/internal/protocol/thrift/thrift_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// text encodes a string value.
+// text returns s as an encoded string value: its length and its bytes.
 func text(s string) string { return string(appendString(nil, s)) }
 
 func TestFrameSize(t *testing.T) {
@@ -110,7 +110,7 @@
 	for _, test := range []struct {
 		name string
 		in   Response
-		want string // the frame after the sequence number
+		want string // expected bytes of the frame after the sequence number
 	}{
 		{"served", Response{Body: []byte("xy"), Good: true}, "\x0c\x00\x00\x0b\x00\x01" + text("xy") +
 			"\x0d\x00\x02\x0b\x0b\x00\x00\x00\x00\x02\x00\x03\x01\x00\x00"},
--- a/internal/protocol/thrift/writer.go
+++ b/internal/protocol/thrift/writer.go
@@ -2,7 +2,8 @@
 
 import "encoding/binary"
 
-// Field identifier of a successful result. The others are exceptions of the service: 1 rejected, 2 failed.
+// Field identifier of a served result in the result struct of a method. The others are exceptions of the service: 1
+// rejected, 2 failed.
 const (
 	resultServed = 0
 )
@@ -19,14 +20,14 @@
 	applicationKind = 2
 )
 
-// replyHeadSize is the initial capacity, in bytes, for the part of a reply before its body, without the text of an
-// exception.
+// replyHeadSize is the capacity, in bytes, that is allocated for the part of a reply before its body. The size of an
+// exception's text is added to it.
 const replyHeadSize = 96
 
-// replyHeader is the first word of a reply. Its last byte is the message type.
+// replyHeader is the first word of a reply: the protocol version and, in the last byte, the message type.
 var replyHeader = [4]byte{0x80, 0x01, 0x00, Reply}
 
-// messageTypeOffset is the offset of the message type from the start of the length prefix.
+// messageTypeOffset is the position of the message type in a frame, in bytes from the start of the length prefix.
 const messageTypeOffset = frameHeaderSize + 3
 
 // Response is the response to a `call` or `health` message: an application exception if ExceptionType is set,
@@ -35,15 +36,15 @@
 	Method        string
 	Seq           int32
 	ExceptionType int         // application exception type; 0: no application exception
-	ExceptionText string      // message of the application exception
+	ExceptionText string      // text of the application exception
 	ResultField   int16       // field identifier of the result: 0 served, 1 rejected, 2 failed
-	Fields        [][2]string // name and value pairs
-	Body          []byte      // if served: the object
+	Fields        [][2]string // fields of the result, each a name and a value
+	Body          []byte      // if served: the object; may be empty
 	Good          bool        // if served: true for an object; for `health`, whether the router is ready
 }
 
-// EncodeResponse encodes a response as a frame with its length prefix. It returns the frame in three slices: the part
-// before the body, the body itself, which is not copied, and the rest.
+// EncodeResponse returns the frame of a response, with its length prefix, in three slices: the part before the body,
+// the body itself, which is not copied, and the rest.
 func EncodeResponse(response Response) [][]byte {
 	head := make([]byte, frameHeaderSize, replyHeadSize+len(response.ExceptionText))
 	head = append(head, replyHeader[:]...)
@@ -80,7 +81,7 @@
 	return append(out, typeStop)
 }
 
-// appendServedTail appends the fields after the body of a served object.
+// appendServedTail appends what follows the body in the reply of a served request.
 func appendServedTail(out []byte, response Response) []byte {
 	out = appendField(out, typeMap, servedFields)
 	out = appendStringMap(out, response.Fields)
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -30,10 +30,11 @@
 
 // connectionTest sends a request to an endpoint that behaves as serve says, and checks the events that follow.
 type connectionTest struct {
-	name  string
-	serve func(conn net.Conn, in *bufio.Reader) // called once the request has arrived; nil: the connection is refused
-	do    func(*Pool)                           // called once the request is queued; may be nil
-	want  string                                // expected events, in the form that run gives them
+	name string
+	// serve is called in the endpoint once the request has arrived; nil: the endpoint refuses the connection.
+	serve func(conn net.Conn, in *bufio.Reader)
+	do    func(*Pool) // called once the request is queued; nil: no call
+	want  string      // text of the expected events, as run formats them
 }
 
 // respond returns a serve function that sends text and closes the connection.
@@ -141,7 +142,8 @@
 	}
 }
 
-// listen starts the endpoint and returns its address. Without a serve function nothing listens there.
+// listen starts the endpoint and returns its address. If the test has no serve function, connections to the address
+// are refused.
 func (c connectionTest) listen(t *testing.T) string {
 	t.Helper()
 	if c.serve == nil {
@@ -167,7 +169,7 @@
 		}
 	})
 	p := newTestPool(t, Config{
-		MinResponseRate: responseTimeSlack * resp.MaxStringSize, // makes the response timeout 1s + stallTimeout
+		MinResponseRate: responseTimeSlack * resp.MaxStringSize, // the response timeout becomes 1 s + stallTimeout
 	})
 	p.dialEndpoint(address)
 	begun := time.Now()
@@ -191,7 +193,8 @@
 	os.NewSyscallError("connect", syscall.EPERM), os.NewSyscallError("epoll_ctl", syscall.ENOSPC),
 }
 
-// remoteDialErrors are the errors of a dial to an unreachable endpoint.
+// remoteDialErrors are errors of a dial that say something about the endpoint: it refuses connections or is
+// unreachable.
 var remoteDialErrors = []error{
 	os.NewSyscallError("connect", syscall.ECONNREFUSED), os.NewSyscallError("connect", syscall.ETIMEDOUT),
 	os.NewSyscallError("connect", syscall.EHOSTUNREACH), os.NewSyscallError("connect", syscall.ENETUNREACH),
@@ -227,12 +230,12 @@
 	}
 }
 
-// faultyConn injects a fault into a given number of reads and writes. Reads fail only after the first complete write;
-// writes are also split into short ones.
+// faultyConn makes the first reads and writes fail with the error fault, as many as reads and writes say. Reads fail
+// only after the first complete write. All other writes by faultyWrite are short.
 type faultyConn struct {
 	net.Conn
 	fault         error
-	reads, writes atomic.Int64 // faults still to be injected
+	reads, writes atomic.Int64 // number of further reads and writes that fail
 	once          sync.Once
 	written       chan struct{}
 }
@@ -246,7 +249,7 @@
 	return c.Conn.Read(p)
 }
 
-// faultyWrite replaces syscall.Write: it fails, or writes half of p.
+// faultyWrite replaces syscall.Write: it fails, or writes only the first half of p.
 func (c *faultyConn) faultyWrite(fd int, p []byte) (int, error) {
 	if c.writes.Add(-1) >= 0 {
 		return -1, c.fault
@@ -261,7 +264,7 @@
 
 // Write implements io.Writer.
 func (c *faultyConn) Write(p []byte) (int, error) {
-	if c.writes.Add(-1) >= 0 { // a short write
+	if c.writes.Add(-1) >= 0 { // writes half of p, then fails
 		n, err := c.Conn.Write(p[:len(p)/2])
 		if err != nil {
 			return n, err
@@ -279,8 +282,8 @@
 	for _, test := range []struct {
 		fault         syscall.Errno
 		reads, writes int64
-		responds      bool // the response arrives
-		unsent        bool // ConnectionDown lists the request as unsent
+		responds      bool // the endpoint's response is expected to be posted
+		unsent        bool // ConnectionDown is expected to list the request as unsent
 	}{
 		{syscall.ENOMEM, 5, 0, true, false},
 		{syscall.ENOBUFS, 5, 0, true, false},
--- a/internal/upstream/decode.go
+++ b/internal/upstream/decode.go
@@ -13,20 +13,22 @@
 	"tealpath/internal/router"
 )
 
-// Result words: the second string of a response. The words for failures are in resultsByWord.
+// Result words: the second string of a response, for responses that are not failures. The words for failures are in
+// resultsByWord.
 const (
 	wordServed      = "served"
 	wordNotModified = "still_good"
-	wordAlive       = "green" // the response to a health check
+	wordAlive       = "green" // the endpoint answers a health check
 )
 
-// responseWords is the number of strings in a response: ID, result, fields, body.
+// responseWords is the number of strings in the response to a request: ID, result word, fields, body.
 const responseWords = 4
 
-// maxTimeToFirstByte bounds the reported time to the first byte, in ms. Reports of this value or more are ignored.
+// maxTimeToFirstByte is the limit for the time to the first byte that an endpoint reports, in ms. A report of this
+// value or more is ignored.
 const maxTimeToFirstByte = 1e9
 
-// resultsByWord maps the second string of a response to the result of the attempt.
+// resultsByWord maps the result word of a response to the result of the attempt that it answers.
 var resultsByWord = map[string]control.Result{
 	wordServed:      control.Succeeded,
 	wordNotModified: control.Succeeded,
@@ -43,12 +45,13 @@
 	"FILL_FULL", "ROOT_FAIL",
 }
 
-// errNoResponse is returned for an array that answers no request: an empty one, or the response to a health check.
+// errNoResponse is returned for an array of strings that answers no request: an empty one, or the response to a health
+// check.
 var errNoResponse = errors.New("upstream: not a response to a request")
 
 // FieldError reports an unusable part of a response.
 type FieldError struct {
-	Field  string // name of the field on the wire, or a description of a part without a name
+	Field  string // name of the field in the protocol, or a description of a part without a name
 	Value  string
 	Reason string
 }
@@ -58,12 +61,12 @@
 	return fmt.Sprintf("field %s: %q %s", e.Field, e.Value, e.Reason)
 }
 
-// responseFields are the fields of a response, not yet decoded.
+// responseFields are the values of the fields of a response as text. A field that is missing is empty.
 type responseFields struct {
-	issued     string // time at which the origin issued the copy, Unix ms
+	issued     string // time at which the origin issued the object's copy, Unix ms
 	entity     string // entity tag of the copy
-	detail     string // one of detailWords, if known
-	delay      string // time to the first byte, ms, may have decimals
+	detail     string // how the endpoint got the copy: one of detailWords, or an unknown word
+	delay      string // time to the first byte, ms; may have decimals
 	loadReport string
 }
 
@@ -146,7 +149,8 @@
 	return nil
 }
 
-// decodeTimeToFirstByte converts a number of ms to ns. It returns 0 for text that is not a number or out of range.
+// decodeTimeToFirstByte converts the text of a number of ms to ns. It returns 0 if the text is not a number from 0 to
+// below maxTimeToFirstByte.
 func decodeTimeToFirstByte(text string) int64 {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(ms >= 0 && ms < maxTimeToFirstByte) {
--- a/internal/upstream/decode_test.go
+++ b/internal/upstream/decode_test.go
@@ -11,7 +11,7 @@
 	"tealpath/internal/router"
 )
 
-// wordsOf splits a response into its words, which are separated by |.
+// wordsOf returns the strings of a response that text lists, separated by |.
 func wordsOf(text string) (words [][]byte) {
 	for word := range strings.SplitSeq(text, "|") {
 		words = append(words, []byte(word))
@@ -19,7 +19,7 @@
 	return words
 }
 
-// Fields of responses in decodeResponseTests, and the decoded issue time.
+// versionFields are fields of responses in decodeResponseTests, and issued is the issue time in them, in ns.
 const (
 	versionFields = "entity=4be0c1927d55a6f3,issued=1764576000123"
 	issued        = int64(1764576000123e6)
@@ -31,9 +31,9 @@
 var serverError = response{ID: "i", Result: control.ServerError}
 
 var decodeResponseTests = []struct {
-	name, in string // words separated by |
+	name, in string // strings of the response, separated by |
 	want     response
-	field    string // the field of the expected FieldError; empty: no error
+	field    string // Field of the expected FieldError; empty: no error is expected
 }{
 	{
 		"served", "i|served|" + versionFields + ",detail=TCP_MISS,delay=12.5,use=inflight:7;x0:0.61|bytes",
--- a/internal/upstream/dial.go
+++ b/internal/upstream/dial.go
@@ -19,12 +19,12 @@
 type connection struct {
 	pool   *Pool
 	id     router.ConnectionID
-	cancel context.CancelFunc // closes the connection
-	wake   chan struct{}      // wakes the writer after an item is queued; has a buffer of one
+	cancel context.CancelFunc // closes the connection, or ends the attempt to establish it
+	wake   chan struct{}      // holds an element if the writer has to check the queue
 
 	mu        sync.Mutex
-	queue     []queueItem // guarded by mu; items of which no byte has been written
-	partial   string      // guarded by mu; ID of the partially written request, or ""
+	queue     []queueItem // guarded by mu; commands of which no byte has been written
+	partial   string      // guarded by mu; ID of the partially written request; "": none
 	withdrawn []string    // guarded by mu; IDs of removed requests whose AttemptWithdrawn is not posted yet
 }
 
@@ -32,7 +32,8 @@
 	return &connection{pool: pool, id: id, cancel: cancel, wake: make(chan struct{}, 1)}
 }
 
-// run dials, then reads and writes until either fails or ctx ends. It returns the first error.
+// run opens the connection, then reads and writes until either fails or ctx ends. It returns the first error, which is
+// never nil.
 func (c *connection) run(ctx context.Context, effect router.Dial) error {
 	dialled, err := c.dial(ctx, effect)
 	if err != nil {
@@ -58,7 +59,8 @@
 	return c.pool.dial(ctx, "tcp", effect.Address)
 }
 
-// down returns the event for a connection that ended with err.
+// down returns the ConnectionDown event for a connection that ended with err. Its Cause is router.Local if err is a
+// local error.
 func (c *connection) down(err error) router.ConnectionDown {
 	event := router.ConnectionDown{Connection: c.id, Unsent: c.unsent()}
 	if err != nil {
--- a/internal/upstream/encode.go
+++ b/internal/upstream/encode.go
@@ -17,7 +17,7 @@
 	commandAlive = "alive"
 )
 
-// fetchHeadSize is the approximate size in bytes of a fetch command without its fields and body.
+// fetchHeadSize is the capacity, in bytes, that is allocated for a fetch command in addition to its fields and body.
 const fetchHeadSize = 96
 
 // encodeFetch encodes the command that requests an object. budget is the time left for the response, in ns. The class,
@@ -41,10 +41,10 @@
 	return resp.AppendString(out, request.Body)
 }
 
-// encodeAbort encodes the command that tells an endpoint to stop working on a request.
+// encodeAbort returns the command that tells an endpoint to stop working on the request with the given ID.
 func encodeAbort(id string) []byte { return encodeCommand(commandAbort, id) }
 
-// encodeAlive encodes the health check command.
+// encodeAlive returns the command of a health check. The endpoint repeats the ID in its response.
 func encodeAlive(id string) []byte { return encodeCommand(commandAlive, id) }
 
 func encodeCommand(command, id string) []byte {
@@ -71,7 +71,7 @@
 	}
 }
 
-// addFill adds the fields that tell a cache how to fill a miss, and from which source.
+// addFill adds the fields that tell a cache which source to fill a missing object from, and how.
 func (l *fieldList) addFill(source string, attempt control.Attempt) {
 	l.add("miss", source)
 	if attempt.CachePriority > 0 {
@@ -83,7 +83,7 @@
 	l.addUnlessEmpty("f", fillFlags(attempt))
 }
 
-// fillFlags returns the options of a fill as words separated by plus signs.
+// fillFlags returns the words for the options of a fill that are set, joined by plus signs, or "" if none is set.
 func fillFlags(attempt control.Attempt) string {
 	var flags []string
 	if attempt.JoinFill {
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -16,12 +16,12 @@
 // local error while opening the connection. It says nothing about the endpoint's health.
 var ErrNotSent = errors.New("health check not sent")
 
-// HealthCheck is one health check of one endpoint.
+// HealthCheck says which endpoint to check and how to read its response.
 type HealthCheck struct {
 	Address          string      // host:port
-	ID               string      // repeated in the response
-	LoadReportFields []string    // names of the load report's fields, in the order in which they are returned
-	MayWrite         func() bool // called immediately before the check is written; false: don't write it
+	ID               string      // ID of the check, which the response must repeat
+	LoadReportFields []string    // names of the values that CheckHealth returns, in this order
+	MayWrite         func() bool // called just before the check is written; false: don't write it
 }
 
 // CheckHealth sends a health check on a new connection. It returns the load report, or nil if the response has none.
@@ -59,7 +59,8 @@
 	return check.decode(words)
 }
 
-// decode checks a response and returns its load report, or nil if it has none.
+// decode returns the load report in the response to a health check, or nil if it has none. It returns an error if the
+// response does not answer this check.
 func (check HealthCheck) decode(words [][]byte) ([]float64, error) {
 	if len(words) < 2 || string(words[0]) != check.ID || string(words[1]) != wordAlive {
 		return nil, fmt.Errorf("response %.40q does not answer health check %q: want its ID and %q",
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -18,11 +18,11 @@
 	"tealpath/internal/testkit"
 )
 
-// waitLimit bounds every wait for an expected event.
+// waitLimit is how long a test waits, at most, for one expected event.
 const waitLimit = 10 * time.Second
 
-// requestWithin returns a request for connection 1 whose deadlines, for sending and for the response, are timeout from
-// now.
+// requestWithin returns a request on connection 1. The time limits for sending it and for its response both end
+// timeout from now.
 func requestWithin(id string, timeout time.Duration) router.Send {
 	deadline := clock.System().Now() + int64(timeout)
 	return router.Send{
@@ -52,7 +52,7 @@
 	return tested
 }
 
-// dialEndpoint opens connection 1.
+// dialEndpoint starts to open connection 1 to the address, and does not wait for it.
 func (p *testPool) dialEndpoint(address string) {
 	p.Dial(router.Dial{Connection: 1, Address: address, Timeout: int64(time.Second)})
 }
@@ -63,7 +63,7 @@
 	return testkit.Receive(t, p.events, waitLimit, "an event")
 }
 
-// newTestConnection adds a connection to the pool without dialling it.
+// newTestConnection adds connection 1 to the pool without dialling it, so that requests on it stay queued.
 func newTestConnection(pool *Pool) *connection {
 	c := newConnection(pool, 1, func() {})
 	pool.connections[1] = c
@@ -81,7 +81,8 @@
 	return emulator
 }
 
-// startEndpoint starts an endpoint that accepts one connection and passes it to serve. It returns its address.
+// startEndpoint starts an endpoint that accepts one connection and passes it to serve. It returns the endpoint's
+// address.
 func startEndpoint(t *testing.T, serve func(conn net.Conn, in *bufio.Reader)) string {
 	t.Helper()
 	listener := testkit.Listen(t)
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -6,12 +6,13 @@
 	"strings"
 )
 
-// fieldLoadReport is the response field with the load report: name:value pairs separated by semicolons.
+// fieldLoadReport is the name of the response field with the load report. The report consists of name:value pairs
+// separated by semicolons.
 const fieldLoadReport = "use"
 
-// loadReportAliases maps the names of load report fields in the settings to the names that a report may have instead.
-// The first is the name in the wire protocol. The second, if any, is the name in site files. These files describe
-// deployments, which may use names of their own.
+// loadReportAliases maps the name of a load report field in the settings to the other names that the field may have in
+// a report. The first is the name in the wire protocol. The second, if any, is the name in site files, which describe
+// deployments and may use names of their own.
 var loadReportAliases = map[string][]string{
 	"inHand":       {"outstanding", "inflight"},
 	"busy":         {"utilization", "util"},
@@ -21,7 +22,8 @@
 	"errors_per_s": {"eps"},
 }
 
-// decodeLoadReport returns the values of a load report in the order of names. A value that is missing is 0.
+// decodeLoadReport returns the values of a load report for the given names, in that order. A value that is missing or
+// not a number is 0.
 func decodeLoadReport(text string, names []string) []float64 {
 	reported := map[string]float64{}
 	for field := range strings.SplitSeq(text, ";") {
--- a/internal/upstream/localerrors_test.go
+++ b/internal/upstream/localerrors_test.go
@@ -21,7 +21,7 @@
 	dials  atomic.Int64
 	mu     sync.Mutex
 	counts map[router.ResponseKind]int // guarded by mu
-	events []logevent.Event            // guarded by mu; log events
+	events []logevent.Event            // guarded by mu; log events of the reducer
 }
 
 // testSettings are the settings of a router with one class.
@@ -48,7 +48,7 @@
 	return settings
 }
 
-// newTestRouter starts a router with an origin and the given number of caches.
+// newTestRouter starts a reducer that knows an origin and the given number of emulated caches.
 func newTestRouter(t *testing.T, caches int) *testRouter {
 	t.Helper()
 	tested := &testRouter{pool: newTestPool(t, Config{}), counts: map[router.ResponseKind]int{}}
@@ -111,7 +111,8 @@
 	}
 }
 
-// request sends a request for an object that differs for each sequence number. The objects are spread over all caches.
+// request hands the reducer a request with the sequence number seq and the time limit. Each number stands for another
+// object, so that the requests are spread over all caches.
 func (r *testRouter) request(seq int32, limit time.Duration) {
 	request, err := router.DecodeRequest(map[string]string{
 		"verb":  "stills",
@@ -124,7 +125,7 @@
 	r.pool.events <- router.RequestReceived{Client: 1, Seq: seq, Request: request, DecodeError: err}
 }
 
-// responses returns the number of requests that were served, and of those that ended otherwise.
+// responses returns how many requests have been served and how many have ended otherwise.
 func (r *testRouter) responses() (served, others int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,7 +139,7 @@
 	return served, others
 }
 
-// waitForResponses waits until the wanted number of requests have ended, or for 4 s.
+// waitForResponses returns the result of responses once that many requests have ended, or after 4 s.
 func (r *testRouter) waitForResponses(want int) (served, others int) {
 	for end := time.Now().Add(4 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if served, others = r.responses(); served+others == want {
@@ -148,7 +149,7 @@
 	return served, others
 }
 
-// logged returns the events logged so far.
+// logged returns a copy of the log events so far.
 func (r *testRouter) logged() []logevent.Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -160,7 +161,7 @@
 // requests that have enough time left when the outage ends must be served.
 func TestServiceThroughLocalDialErrors(t *testing.T) {
 	const (
-		limit = 2500 * time.Millisecond // time limit of a request
+		limit = 2500 * time.Millisecond // time limit of each request
 
 		// Requests sent within margin before the end of the outage, or later, must be served. Earlier ones may fail:
 		// half of their time limit may have passed before the last backoff delay is over.
@@ -209,7 +210,8 @@
 	}
 }
 
-// checkOutageLog checks that the log has two events, for the beginning and the end of the outage.
+// checkOutageLog checks that two events were logged, and that each is either the beginning of the outage, with one of
+// the injected errors, or its end.
 func checkOutageLog(t *testing.T, events []logevent.Event, injected []error) {
 	t.Helper()
 	for _, event := range events {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,11 +13,11 @@
 	"tealpath/internal/router"
 )
 
-// Config configures a Pool.
+// Config holds the settings and dependencies of a Pool.
 type Config struct {
-	LoadReportFields []string           // names of the load report's fields, in the order in which they are returned
-	MinResponseRate  float64            // lowest expected transfer rate of a response, bytes per second; 0: unknown
-	Post             func(router.Event) // receives the events of the connections; it may block
+	LoadReportFields []string           // names of the load report values to return, in this order
+	MinResponseRate  float64            // lowest expected rate of a response, bytes per second; 0: no limit
+	Post             func(router.Event) // receives the events of all connections; it may block
 	Clock            clock.Clock        // nil: clock.System
 }
 
@@ -29,7 +29,7 @@
 	post             func(router.Event)
 	clock            clock.Clock
 	loadReportFields []string
-	responseTimeout  time.Duration // from a response's first byte to its last; 0: unlimited
+	responseTimeout  time.Duration // maximum time from a response's first byte to its last; 0: unlimited
 	dial             dialFunc
 	write            writeFunc
 	group            sync.WaitGroup
@@ -73,7 +73,8 @@
 	})
 }
 
-// Send queues a request on a connection. The request is encoded only when it is written.
+// Send queues a request on a connection, or does nothing if the pool has no such connection. The request is encoded
+// only when it is written.
 func (p *Pool) Send(effect router.Send) {
 	if c := p.find(effect.Connection); c != nil {
 		c.enqueue(queueItem{send: &effect})
@@ -84,7 +85,7 @@
 // request has been written.
 func (p *Pool) WithdrawAttempt(effect router.WithdrawAttempt) {
 	if c := p.find(effect.Connection); c != nil && c.withdraw(effect.ID) {
-		// In a separate goroutine, because post may block until this method's caller receives the event.
+		// Posted in a separate goroutine, because post may block until this method's caller receives the event.
 		p.group.Go(func() { c.postWithdrawn(effect.ID) })
 	}
 }
@@ -104,9 +105,9 @@
 	}
 }
 
-// RemoveConnection removes a connection that is down from the pool and returns its event with an updated Unsent. Call
-// it before the event is handled: otherwise a request that was queued after the event was posted would count as
-// written.
+// RemoveConnection removes a connection that is down from the pool. It returns the event with an Unsent that includes
+// the requests queued since the event was posted: without them, these requests would count as written. Call it before
+// the event is handled.
 func (p *Pool) RemoveConnection(event router.ConnectionDown) router.ConnectionDown {
 	c := p.find(event.Connection)
 	if c == nil {
@@ -119,7 +120,7 @@
 	return event
 }
 
-// find returns the connection with an ID, or nil if the pool has none.
+// find returns the connection with the ID, which may be down already, or nil if the pool has none.
 func (p *Pool) find(id router.ConnectionID) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/queue.go
+++ b/internal/upstream/queue.go
@@ -6,13 +6,13 @@
 	"tealpath/internal/router"
 )
 
-// queueItem is a command that waits to be written: a fetch or an abort.
+// queueItem is a command that waits to be written to an endpoint: a fetch or an abort.
 type queueItem struct {
 	send    *router.Send // the request to fetch; nil: an abort
-	abortID string       // with an abort: the ID of the request to abort
+	abortID string       // ID of the request to abort; used only if send is nil
 }
 
-// requestID returns the ID of the request to fetch, or "" for an abort.
+// requestID returns the ID of the request that the item fetches, or "" if the item is an abort.
 func (i queueItem) requestID() string {
 	if i.send == nil {
 		return ""
@@ -20,7 +20,8 @@
 	return i.send.Request.ID
 }
 
-// encode returns the item's command. The budget in a request is the time left until its deadline.
+// encode returns the command as it is written to the endpoint. The budget of a request is the time left until its
+// deadline.
 func (i queueItem) encode(now int64) []byte {
 	if i.send == nil {
 		return encodeAbort(i.abortID)
@@ -28,10 +29,10 @@
 	return encodeFetch(i.send.Request, i.send.Request.Deadline-now)
 }
 
-// isExpired reports whether the item is a request whose SendDeadline has passed.
+// isExpired reports whether the item is a fetch that must not be sent any more, because its SendDeadline has passed.
 func (i queueItem) isExpired(now int64) bool { return i.send != nil && now >= i.send.SendDeadline }
 
-// enqueue adds an item and wakes the writer.
+// enqueue appends an item to the queue and wakes the writer.
 func (c *connection) enqueue(item queueItem) {
 	c.mu.Lock()
 	c.queue = append(c.queue, item)
@@ -42,7 +43,7 @@
 	}
 }
 
-// removeLocked removes a request from the queue and reports whether it was queued. The caller holds mu.
+// removeLocked removes the request with the ID from the queue, and reports whether it was queued. The caller holds mu.
 func (c *connection) removeLocked(id string) bool {
 	before := len(c.queue)
 	c.queue = slices.DeleteFunc(c.queue, func(item queueItem) bool { return item.requestID() == id })
@@ -99,8 +100,8 @@
 	return ids
 }
 
-// expireLocked removes the expired requests from the queue and returns their IDs. The caller must then call
-// postWithdrawn for each. The caller holds mu.
+// expireLocked removes the requests whose SendDeadline has passed from the queue and returns their IDs. The caller,
+// which holds mu, must then call postWithdrawn for each of them.
 func (c *connection) expireLocked(now int64) (ids []string) {
 	c.queue = slices.DeleteFunc(c.queue, func(item queueItem) bool {
 		if !item.isExpired(now) {
@@ -113,8 +114,8 @@
 	return ids
 }
 
-// encodeLocked encodes items from the head of the queue until they have writeSize bytes or more. ends has the offset
-// at which each item ends. The caller holds mu.
+// encodeLocked encodes items from the head of the queue until the result has writeSize bytes or more. ends holds the
+// position in encoded at which each item ends. The caller holds mu.
 func (c *connection) encodeLocked(now int64) (encoded []byte, ends []int) {
 	for _, item := range c.queue {
 		if len(encoded) >= writeSize {
--- a/internal/upstream/read.go
+++ b/internal/upstream/read.go
@@ -20,9 +20,9 @@
 	responseTimeSlack = 4
 )
 
-// responseTimeout returns the time allowed for receiving a whole response, counted from its first byte; 0 is
-// unlimited. Without this limit, a response that arrives very slowly would block the other requests on its connection
-// until their deadlines.
+// responseTimeout returns the time allowed for receiving a whole response, from its first byte, if responses arrive
+// with at least bytesPerSecond; 0 is unlimited. Without this limit, a response that arrives very slowly would block
+// the other requests on its connection until their deadlines.
 func responseTimeout(bytesPerSecond float64) time.Duration {
 	if bytesPerSecond <= 0 {
 		return 0
@@ -35,10 +35,10 @@
 type responseReader struct {
 	net.Conn
 	inResponse bool
-	completeBy time.Time // zero: unlimited
+	completeBy time.Time // time by which the response must be complete; zero: unlimited
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. Inside a response it fails once the deadline has passed.
 func (r *responseReader) Read(p []byte) (int, error) {
 	if err := r.SetReadDeadline(r.deadline()); err != nil {
 		return 0, err
@@ -57,7 +57,7 @@
 	return deadline
 }
 
-// begin marks the start of a response, which must be complete within timeout; 0 is unlimited.
+// begin starts the deadlines of a response, which must be complete within timeout; 0 is unlimited.
 func (r *responseReader) begin(timeout time.Duration) {
 	r.inResponse = true
 	r.completeBy = time.Time{}
@@ -66,7 +66,8 @@
 	}
 }
 
-// read receives responses and posts them until the connection ends.
+// read posts the responses that it receives. It returns an error once the connection has ended, or if the input is
+// malformed or stalls.
 func (c *connection) read(conn net.Conn) error {
 	reader := &responseReader{Conn: conn}
 	in := bufio.NewReader(reader)
@@ -80,7 +81,7 @@
 		if err != nil {
 			return err
 		}
-		// With a FieldError, the response is posted too: its result is ServerError.
+		// The response is posted even if err is a FieldError: its result is then ServerError.
 		response, err := decodeResponse(words, c.pool.loadReportFields)
 		if errors.Is(err, errNoResponse) {
 			continue
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// writeSize limits how long the queue stays locked: once a write has this many bytes, no further item is added to
-	// it.
+	// writeSize limits how long the queue stays locked during a write: once this many bytes are encoded, no further
+	// item is added.
 	writeSize = 64 << 10
 
 	// transientErrorPause is the delay before a write is repeated after a transient error, such as a lack of kernel
@@ -33,7 +33,8 @@
 // writeFunc has the signature of syscall.Write; tests replace it to inject errors.
 type writeFunc func(fd int, out []byte) (int, error)
 
-// writeAvailable writes as many bytes as fit into the socket's buffer. It repeats calls that a signal interrupted.
+// writeAvailable writes as many bytes as fit into the socket's send buffer and returns their number. It repeats calls
+// that a signal interrupted.
 func (write writeFunc) writeAvailable(fd int, out []byte) (int, error) {
 	for {
 		n, err := write(fd, out)
@@ -78,7 +79,7 @@
 		})
 		if neterr.IsTransient(step.err) {
 			time.Sleep(transientErrorPause)
-			continue // nothing was written: the next step encodes the queue again
+			continue // nothing was written: encode the queue again, with current budgets
 		}
 		if err = errors.Join(err, step.err); err != nil || step.empty {
 			return err
@@ -89,7 +90,7 @@
 	}
 }
 
-// finishPartial writes the remainder of a partially written item, if there is one.
+// finishPartial writes the bytes that are left of a partially written item, if any, and blocks until they are written.
 func (c *connection) finishPartial(conn net.Conn, remainder []byte) error {
 	if len(remainder) == 0 {
 		return nil
@@ -105,10 +106,10 @@
 
 // writeStep is the outcome of one call of writeSome.
 type writeStep struct {
-	empty      bool     // nothing was queued
+	empty      bool     // the queue held nothing to write
 	wouldBlock bool     // the socket's send buffer is full
 	remainder  []byte   // unwritten bytes of a partially written item
-	expired    []string // IDs of requests whose SendDeadline has passed
+	expired    []string // IDs of the requests removed because their SendDeadline has passed
 	err        error
 }
 
@@ -148,7 +149,7 @@
 	for complete < len(ends) && ends[complete] <= written {
 		complete++
 	}
-	begin := 0 // offset of the first item that is not completely written
+	begin := 0 // position in encoded of the first item that is not completely written
 	if complete > 0 {
 		begin = ends[complete-1]
 	}
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// waitUntilPeerClosed waits until the peer's close has arrived, without reading it.
+// waitUntilPeerClosed waits until the end of the stream has arrived at conn, without reading it.
 func waitUntilPeerClosed(t *testing.T, conn net.Conn) {
 	t.Helper()
 	raw, err := conn.(syscall.Conn).SyscallConn()
@@ -59,7 +59,7 @@
 	t.Fatalf("the peer's close did not arrive within %v", waitLimit)
 }
 
-// Input that the reader has not read yet is not mistaken for the peer's close: requests are still written.
+// Data that has arrived and not been read yet must not be mistaken for the peer's close: requests are still written.
 func TestWriteWithUnreadInput(t *testing.T) {
 	local, peer := connectedPair(t)
 	if !send(peer, "*4") {
@@ -109,12 +109,13 @@
 }
 
 const (
-	fillers     = 48       // requests that fill the buffers between the router and a cache that reads nothing
-	fillerBytes = 200_000  // bytes in the body of each filler
-	smallBuffer = 16 << 10 // receive buffer of the cache's socket, bytes
+	fillers     = 48       // number of requests that fill the buffers up to a cache that reads nothing
+	fillerBytes = 200_000  // size of the body of each of these requests, bytes
+	smallBuffer = 16 << 10 // size of the receive buffer of the cache's socket, bytes
 )
 
-// fullConnection is a connection whose buffers are full. Its cache reads nothing until readUpTo is called.
+// fullConnection is a connection to a cache that reads nothing until readUpTo is called, with so many requests that
+// the buffers in between are full.
 type fullConnection struct {
 	*testPool
 	connection *connection
@@ -158,7 +159,7 @@
 	return len(f.connection.queue), f.connection.partial
 }
 
-// waitUntilFull waits until the queue's length has stayed the same for 100 ms.
+// waitUntilFull waits until the buffers are full: no request has left the queue for 100 ms.
 func (f *fullConnection) waitUntilFull(t *testing.T) {
 	t.Helper()
 	end := time.Now().Add(waitLimit)
@@ -178,7 +179,8 @@
 	}
 }
 
-// isWithdrawn reports whether AttemptWithdrawn is posted for a request within a second.
+// isWithdrawn reports whether AttemptWithdrawn is posted within a second for the request with the ID. It drops other
+// events.
 func (f *fullConnection) isWithdrawn(id string) bool {
 	for end := time.After(time.Second); ; {
 		select {
@@ -238,7 +240,7 @@
 	if !f.isWithdrawn("withdrawn") {
 		t.Error("AttemptWithdrawn was not posted while the connection was full")
 	}
-	time.Sleep(waited) // meanwhile the budget shrinks, and one request expires
+	time.Sleep(waited) // in this time the budgets shrink, and one request expires
 	f.Send(requestWithin("last", time.Minute))
 	budgets, aborts := f.readUpTo(t, "last")
 	for _, id := range []string{"withdrawn", "cancelled", "expires"} {
@@ -258,12 +260,14 @@
 	}
 }
 
-// A partially written request cannot be withdrawn. If it is cancelled, an abort follows it.
+// Withdrawing a partially written request would corrupt the stream of commands, so it has no effect. If the request is
+// cancelled, an abort follows it.
 func TestPartiallyWrittenRequestIsAborted(t *testing.T) {
 	f := newFullConnection(t)
 	_, partial := f.queued()
 	if partial == "" {
-		t.Fatal("precondition: no request is partially written") // each is larger than the write that fills the buffer
+		// Each request is larger than the write that fills the buffer, so one of them is written in part.
+		t.Fatal("precondition: no request is partially written")
 	}
 	f.WithdrawAttempt(router.WithdrawAttempt{Connection: 1, ID: partial})
 	f.CancelAttempt(router.CancelAttempt{Connection: 1, ID: partial})
