--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -17,12 +17,12 @@
 	// time; the two differ once the wall clock has been set. The monotonic time never goes back.
 	Now() int64
 
-	// Wall returns the wall clock's Unix time in ns. The wall clock may be set forward or back between two readings, so
-	// their difference must not be used as a duration.
+	// Wall returns the wall clock's Unix time in ns. The wall clock may be set forward or back between two readings,
+	// so that their difference must not be used as a duration.
 	Wall() int64
 }
 
-// system is the clock of the operating system.
+// system is a Clock that reads the clocks of the operating system.
 type system struct {
 	begin    time.Time // creation time of this clock, with a monotonic reading
 	beginNow int64     // value of Now at begin: the Unix time of begin, ns
--- a/internal/clock/clocktest/clocktest.go
+++ b/internal/clock/clocktest/clocktest.go
@@ -16,7 +16,7 @@
 	begin      time.Time
 	beginNow   int64         // value of Now when the clock was created, in ns
 	advanced   time.Duration // total time added by calls of Advance
-	wallOffset time.Duration // wall clock time minus monotonic time
+	wallOffset time.Duration // how far the wall clock is ahead of monotonic time; negative: behind
 	nextSwing  time.Duration // change of wallOffset before the next call of Wall; its sign alternates; 0: no change
 }
 
@@ -57,7 +57,7 @@
 	return c.now() + int64(c.wallOffset)
 }
 
-// Advance moves monotonic time and the wall clock forward.
+// Advance moves monotonic time and, by as much, the wall clock forward.
 func (c *Clock) Advance(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// backoff returns the delay, in ns, between a call that ended with result and the next call. It logs only the first
-// failure since the service last sent data.
+// backoff returns the delay, in ns, between a call that ended with result and the next call. It logs Disconnected for
+// the first failed call since the service last sent data, with cause as the reason, and nothing for further ones.
 func (w *Watcher) backoff(result startup.CallResult, cause error) int64 {
 	delay := w.schedule.CallEnded(w.clock.Now(), result)
 	if !w.disconnected {
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -45,11 +45,12 @@
 // watchEvent is the content of one watch event, converted to an event for the reducer.
 type watchEvent struct {
 	position int64
-	event    router.Event        // nil: the event is of an unknown type and is ignored
+	event    router.Event        // event for the reducer; nil: of an unknown type, ignored
 	list     startup.ListSummary // if event is an endpoint list: its summary; otherwise only Position is set
 }
 
-// wireEvent is the JSON form of a watch event.
+// wireEvent is the JSON form of a watch event. Hosts is nil unless it concerns the endpoint list, Expire unless it is
+// a purge.
 type wireEvent struct {
 	Position int64          `json:"pos"`
 	Hosts    *wireInstances `json:"hosts"`
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -37,7 +37,7 @@
 // receivedCall is a watch request that a fakeService has received.
 type receivedCall struct {
 	at          time.Time
-	resumeAfter string // the request's Last-Event-ID
+	resumeAfter string // value of the request's header Last-Event-ID; the position to resume after
 }
 
 // fakeService is a discovery service whose responses a test defines.
--- a/internal/discovery/history.go
+++ b/internal/discovery/history.go
@@ -18,7 +18,7 @@
 type History struct {
 	Position     int64 // position of the last event known before the first call; 0: none is known
 	lists        startup.ListFilter
-	hasList      bool          // the known events include an endpoint list
+	hasList      bool          // whether the events known before the first call include an endpoint list
 	snapshotList *snapshotList // list that the service has to confirm; nil: none
 }
 
--- a/internal/discovery/logevents.go
+++ b/internal/discovery/logevents.go
@@ -10,8 +10,8 @@
 	return logevent.Kind{Name: "discovery_reconnected", Level: logevent.Info, Message: "discovery connected again"}
 }
 
-// Disconnected reports that a call of the discovery service failed or ended. Further failures are not reported until
-// Reconnected has been.
+// Disconnected reports that a call of the discovery service failed or ended. A later failure is reported only if
+// Reconnected was reported in between.
 type Disconnected struct {
 	Position int64  `log:"position"` // position of the last processed watch event; 0: none yet
 	Result   string `log:"result"`   // one of refused, unreached, unanswered, broke, silent, cut, not called
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -19,9 +19,9 @@
 
 // Config holds the settings and dependencies of a Watcher.
 type Config struct {
-	Address  string                // discovery service, as host:port
+	Address  string                // address of the discovery service, as host:port
 	History  History               // what is known of the watch before the first call of the service
-	Schedule *startup.CallSchedule // decides when the service is called
+	Schedule *startup.CallSchedule // decides when the service is called, and the timeouts for reading
 	Post     func(router.Event)    // receives the events for the router, in order; it may block
 	Log      func(logevent.Event)
 	Clock    clock.Clock // nil: clock.System
@@ -37,7 +37,7 @@
 	clock          clock.Clock
 	dial           dialFunc
 	schedule       *startup.CallSchedule
-	maxReadTimeout time.Duration // shortens read timeouts in tests; 0: no effect
+	maxReadTimeout time.Duration // upper bound of read timeouts, set by tests; 0: none
 
 	disconnected bool  // a call has failed, and no data has been received since
 	position     int64 // position of the last processed or skipped event; 0: none yet
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -36,7 +36,8 @@
 	phaseClosed           // the connection has ended, and further responses to it are discarded
 )
 
-// connection is a client connection that is not suspended.
+// connection is a client connection with a goroutine that reads requests and one that writes responses. A suspended
+// connection has none of this type.
 type connection struct {
 	server      *Server
 	id          router.ClientID
@@ -52,12 +53,12 @@
 	excessRequests int            // guarded by mu; consecutive requests beyond MaxRequestsPerConnection
 	queue          net.Buffers    // guarded by mu; slices of encoded responses that are not being written yet
 	queuedBytes    int64          // guarded by mu; bytes in queue and in the batch being written
-	writing        bool           // guarded by mu; a batch is being written
-	reading        bool           // guarded by mu; received data has not been handled yet
+	writing        bool           // guarded by mu; the writer is writing a batch of responses
+	reading        bool           // guarded by mu; data from the client has been received and not handled yet
 	responded      bool           // guarded by mu; at least one response has been queued
 	violated       bool           // guarded by mu; the client has violated the protocol, so nothing more is read
 	draining       bool           // guarded by mu; the connection is being closed: requests read later are rejected
-	tableState     idle.State     // guarded by mu; state recorded in idleConnections.table
+	tableState     idle.State     // guarded by mu; state last recorded in idleConnections.table
 }
 
 // newConnection returns a connection without an ID. Other goroutines cannot access it until register assigns one.
@@ -179,7 +180,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violated = true
-	setReadDeadline(c.conn, time.Now()) // interrupts a reader that waits for data
+	setReadDeadline(c.conn, time.Now()) // makes a read that waits for data return at once
 }
 
 // requestAdmission is the result of trying to put a request in flight.
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -90,7 +90,7 @@
 	return server, events, stop
 }
 
-// listen returns a TCP listener on loopback.
+// listen returns a TCP listener on a free loopback port.
 func listen(t *testing.T) *net.TCPListener {
 	t.Helper()
 	return testkit.Listen(t).(*net.TCPListener)
--- a/internal/downstream/idle.go
+++ b/internal/downstream/idle.go
@@ -28,7 +28,7 @@
 // encode returns the key in the form in which the poller stores it.
 func (k slotKey) encode() uint64 { return uint64(uint32(k.id))<<32 | uint64(k.generation) }
 
-// decodeSlotKey is the inverse of encode.
+// decodeSlotKey returns the key that encode turned into the given number.
 func decodeSlotKey(key uint64) slotKey {
 	return slotKey{id: idle.ID(int32(key >> 32)), generation: uint32(key)}
 }
@@ -39,7 +39,7 @@
 	connection         *connection
 	fd                 int32  // descriptor of the suspended connection, or noDescriptor
 	segments           uint16 // TCP segments received before suspension, modulo 2^16: enough to count later ones
-	beforeFirstRequest bool   // the connection was suspended before its first request
+	beforeFirstRequest bool   // suspended connection on which no request has arrived yet
 }
 
 const noDescriptor = -1
@@ -59,7 +59,7 @@
 	calls          *poller.SystemCalls
 	poller         *poller.Poller // nil if the system does not support it: idle connections then stay active
 	policies       *NetworkPolicies
-	maxConnections int // maximum number of connections in the table
+	maxConnections int // maximum number of connections in table, active ones included
 	emit           func(logevent.Event)
 
 	suspendDisabled atomic.Bool  // a system call that is needed to suspend connections failed for good
@@ -67,9 +67,9 @@
 
 	mu        sync.Mutex
 	table     *idle.Table         // guarded by mu
-	slots     []slot              // guarded by mu; indexed by the table's IDs
+	slots     []slot              // guarded by mu; content of each slot, by ID in table
 	postponed []wakeUp            // guarded by mu; to be resumed later, for example once a descriptor is free
-	retrying  bool                // guarded by mu; postponed connections are being retried
+	retrying  bool                // guarded by mu; true between beginRetry and endRetry
 	closing   []closingDescriptor // guarded by mu; suspended connections that are closing and no longer in the table
 }
 
@@ -161,7 +161,7 @@
 	ic.table.Remove(id)
 }
 
-// len returns the number of connections that have a slot.
+// len returns the number of connections that have a slot, active and suspended ones together.
 func (ic *idleConnections) len() int {
 	ic.mu.Lock()
 	defer ic.mu.Unlock()
--- a/internal/downstream/idle/accept.go
+++ b/internal/downstream/idle/accept.go
@@ -39,7 +39,7 @@
 type AcceptDecision int
 
 const (
-	// Defer leaves the connection in the backlog.
+	// Defer means that the connection has to wait until Decide is called again.
 	Defer AcceptDecision = iota
 
 	// Accept accepts the connection and starts to read from it.
--- a/internal/downstream/idle/pacer.go
+++ b/internal/downstream/idle/pacer.go
@@ -19,7 +19,7 @@
 // tokenBucket limits how often take succeeds: each success uses a token, and tokens are added at a given rate. The
 // bucket holds at most the tokens that are added within burstSeconds, or one token if that is more.
 type tokenBucket struct {
-	rate     float64 // tokens per second
+	rate     float64 // tokens added per second while the router is not saturated
 	tokens   float64 // available now; may have a fraction
 	filledAt int64   // time at which tokens were last added, ns
 	started  bool    // false until the first take, which fills the bucket
--- a/internal/downstream/idle/resources.go
+++ b/internal/downstream/idle/resources.go
@@ -22,7 +22,7 @@
 	maxIdleTimeout = int64(7 * 24 * time.Hour)
 )
 
-// Resources are a process's descriptors and memory. They bound the number of its connections.
+// Resources are a process's descriptors and memory, which bound the number of its connections.
 type Resources struct {
 	Descriptors         int   // total of the process
 	UpstreamConnections int   // descriptors reserved for the connections to endpoints
@@ -61,7 +61,7 @@
 		e.Connections, bytesPerIdleConnection, e.NeededBytes>>10, e.AvailableBytes>>10)
 }
 
-// PolicyError means that a policy exceeds a limit.
+// PolicyError means that a policy passed to Check exceeds a limit; Err says which.
 type PolicyError struct {
 	Index int // index of the policy in the policies passed to Check
 	Err   error
@@ -69,7 +69,7 @@
 
 func (e *PolicyError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the error that describes the exceeded limit.
+// Unwrap returns Err, a *LimitError or an error that wraps ErrIdleTimeoutTooLong.
 func (e *PolicyError) Unwrap() error { return e.Err }
 
 // LimitError means that a connection limit of a policy is above the limit for all connections.
--- a/internal/downstream/idle/state.go
+++ b/internal/downstream/idle/state.go
@@ -3,7 +3,7 @@
 // State is the state of a connection in the table. It decides whether the connection can expire or be evicted.
 type State uint8
 
-// The states of a connection.
+// States of a connection, which its list in the table depends on.
 const (
 	// StateNew is a connection that has had no response yet: it has sent no request, or has cancelled all of
 	// them.
--- a/internal/downstream/idle/table.go
+++ b/internal/downstream/idle/table.go
@@ -33,7 +33,7 @@
 	client     uint64 // hash of the client's address
 	prev, next ID     // neighbours in the connection's list, or None; in an unused entry, next is the next unused one
 	generation uint32
-	network    uint16 // index in Table.policies
+	network    uint16 // index of the client's network in Table.policies
 	state      State
 }
 
--- a/internal/downstream/memory.go
+++ b/internal/downstream/memory.go
@@ -18,8 +18,8 @@
 // detected during the wait.
 const requestMemoryTimeout = 50 * time.Millisecond
 
-// memoryLimits limits the memory of large requests that are being read and, separately, of responses that wait
-// to be written.
+// memoryLimits limits two totals: the memory of large requests that are being read, and that of responses that wait to
+// be written.
 type memoryLimits struct {
 	maxBytes        int64 // bytes, for requests and responses each; for requests at least thrift.MaxFrameSize
 	emit            func(logevent.Event)
--- a/internal/downstream/memory_test.go
+++ b/internal/downstream/memory_test.go
@@ -12,8 +12,8 @@
 	"tealpath/internal/router"
 )
 
-// If clients do not read large responses, the memory for responses stays bounded: responses that do not fit
-// fail, and other clients are served.
+// If clients do not read large responses, these must not use up all memory: responses that do not fit fail, and other
+// clients are served.
 func TestQueuedResponsesAreBounded(t *testing.T) {
 	const size, limit, calls = 200 << 10, 8 << 20, 200
 	server, events := startServer(t, Config{MaxConnections: 4, MaxRequestsPerConnection: calls, MaxBytes: limit})
--- a/internal/downstream/read.go
+++ b/internal/downstream/read.go
@@ -33,7 +33,7 @@
 	maxMethodBytes = 64
 )
 
-// Method names of the protocol.
+// Names of the methods that clients call.
 const (
 	methodCall   = "call"
 	methodCancel = "cancel"
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -146,7 +146,7 @@
 	for _, before := range []struct {
 		name, in string
 		unparsed bool // the server parses no messages that are sent after in
-		noMemory bool // no memory is available for large requests
+		noMemory bool // the memory for large requests is used up while in is sent
 		inFlight int
 	}{
 		{"one request in flight", one, false, false, 1},
--- a/internal/downstream/server.go
+++ b/internal/downstream/server.go
@@ -43,13 +43,13 @@
 	return c
 }
 
-// Server serves the client connections of one listener.
+// Server accepts the client connections of one listener, posts their requests to the router and writes its responses.
 type Server struct {
 	listener   net.Listener
 	config     Config
 	post       func(router.Event)
 	emit       func(logevent.Event)
-	ready      atomic.Bool // whether health requests are answered as healthy
+	ready      atomic.Bool // the answer to health requests is "healthy"
 	pacer      *idle.AcceptPacer
 	memory     *memoryLimits
 	idle       *idleConnections
@@ -59,7 +59,7 @@
 	serving   atomic.Int64 // number of connections that have goroutines
 	rejecting atomic.Int64 // number of connections without a slot in the table whose requests are being rejected
 
-	draining       atomic.Bool // CloseIdle has closed the listener
+	draining       atomic.Bool // CloseIdle has closed the listener: no new connection can arrive
 	acceptFinished atomic.Bool // no more connections are accepted: each accepted one has a slot or was rejected
 
 	mu          sync.Mutex
@@ -141,7 +141,7 @@
 	Idle      int `json:"idle"`
 	Closing   int `json:"closing"`
 	Suspended int `json:"parked"`  // of All, those for which only a descriptor is kept
-	Waiting   int `json:"waiting"` // suspended connections with unread data
+	Waiting   int `json:"waiting"` // suspended connections reported by the poller, not yet handled
 }
 
 // Counts returns the current numbers of connections. Suspended may be slightly wrong while connections are suspended
--- a/internal/downstream/shutdown.go
+++ b/internal/downstream/shutdown.go
@@ -19,7 +19,7 @@
 	connections := slices.Collect(maps.Values(s.connections))
 	s.mu.Unlock()
 	for _, c := range connections {
-		if !c.isLingering() && !c.isReading() { // a partly received request may still be completed
+		if !c.isLingering() && !c.isReading() { // a partly received request may still become complete
 			c.tryClose()
 		}
 	}
--- a/internal/downstream/suspend_test.go
+++ b/internal/downstream/suspend_test.go
@@ -142,8 +142,8 @@
 	checkHealth(t, used)
 }
 
-// A resumed connection must be fully initialized before Flushed can access it. Otherwise the race detector reports a
-// data race.
+// A resumed connection must be fully initialized before Flushed can access it during a shutdown. Otherwise the race
+// detector reports a data race.
 func TestResumeDuringShutdownHasNoRace(t *testing.T) {
 	const count = 100
 	server, _ := startServer(t, configWithIdleTimeout(1000, time.Hour))
--- a/internal/downstream/systemcalls_linux_test.go
+++ b/internal/downstream/systemcalls_linux_test.go
@@ -128,7 +128,7 @@
 				if err := requestHealth(conn); err != nil {
 					t.Errorf("request during the fault: %v", err)
 				}
-				time.Sleep(time.Duration(100+150*i) * time.Millisecond) // long enough for some connections to be suspended
+				time.Sleep(time.Duration(100+150*i) * time.Millisecond) // long enough to suspend some connections
 			}
 		})
 	}
--- a/internal/protocol/sse/stream.go
+++ b/internal/protocol/sse/stream.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Event is an event or a comment of the stream.
+// Event is a server-sent event or a comment.
 type Event struct {
 	ID      string
 	Data    []byte
@@ -19,7 +19,7 @@
 // Stream is the sequence of events and comments in the body of an HTTP response.
 type Stream struct {
 	in      *bufio.Reader
-	partial bool // the current event or line has been read in part
+	partial bool // a part of the next event or line has been read
 }
 
 // InsideEvent reports whether a part of an event or line has been received that Next has not returned yet. It may be
--- a/internal/protocol/thrift/message.go
+++ b/internal/protocol/thrift/message.go
@@ -58,7 +58,7 @@
 // Arguments are the arguments of the service's methods: `call` has Fields and Body, `cancel` has CancelSeq.
 type Arguments struct {
 	Fields    map[string]string
-	Body      []byte         // shares the frame's memory; nil if empty
+	Body      []byte         // body of `call`; shares the frame's memory; nil if empty
 	CancelSeq int32          // sequence number of the call to cancel
 	Has       map[int16]bool // field identifiers of the arguments that are present
 }
@@ -96,7 +96,7 @@
 	case id == SecondArgument && typ == typeString:
 		a.Body = r.bytes()
 		if len(a.Body) == 0 {
-			a.Body = nil // an empty slice would keep the whole frame in memory
+			a.Body = nil // a non-nil empty slice would keep the frame in memory
 		}
 	default:
 		return false
--- a/internal/protocol/thrift/reader.go
+++ b/internal/protocol/thrift/reader.go
@@ -4,7 +4,7 @@
 
 // reader reads values from a frame. After the first error, which it keeps in err, all values it returns are zero.
 type reader struct {
-	in  []byte // unread part of the frame
+	in  []byte // part of the frame that is not read yet
 	err error
 }
 
--- a/internal/upstream/decode.go
+++ b/internal/upstream/decode.go
@@ -64,7 +64,7 @@
 // responseFields are the values of the fields of a response as text. A field that is missing is empty.
 type responseFields struct {
 	issued     string // time at which the origin issued the object's copy, Unix ms
-	entity     string // entity tag of the copy
+	entity     string // entity tag of the object's copy
 	detail     string // how the endpoint got the copy: one of detailWords, or an unknown word
 	delay      string // time to the first byte, ms; may have decimals
 	loadReport string
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -18,7 +18,7 @@
 
 // HealthCheck says which endpoint to check and how to read its response.
 type HealthCheck struct {
-	Address          string      // host:port
+	Address          string      // address of the endpoint, as host:port
 	ID               string      // ID of the check, which the response must repeat
 	LoadReportFields []string    // names of the values that CheckHealth returns, in this order
 	MayWrite         func() bool // called just before the check is written; false: don't write it
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// testPool is a pool that records the events it posts.
+// testPool is a pool whose posted events a test receives from a channel.
 type testPool struct {
 	*Pool
 	events chan router.Event
--- a/internal/upstream/localerrors_test.go
+++ b/internal/upstream/localerrors_test.go
@@ -24,7 +24,7 @@
 	events []logevent.Event            // guarded by mu; log events of the reducer
 }
 
-// testSettings are the settings of a router with one class.
+// testSettings returns the settings of a router that serves the single class "stills".
 func testSettings() control.Settings {
 	parent, origin := "parent", "origin"
 	settings := control.DefaultSettings()
--- a/internal/upstream/queue.go
+++ b/internal/upstream/queue.go
@@ -8,7 +8,7 @@
 
 // queueItem is a command that waits to be written to an endpoint: a fetch or an abort.
 type queueItem struct {
-	send    *router.Send // the request to fetch; nil: an abort
+	send    *router.Send // the request that a fetch sends; nil: the item is an abort
 	abortID string       // ID of the request to abort; used only if send is nil
 }
 
--- a/internal/upstream/write.go
+++ b/internal/upstream/write.go
@@ -104,11 +104,11 @@
 	return nil
 }
 
-// writeStep is the outcome of one call of writeSome.
+// writeStep is the outcome of one call of writeSome. If err is set or wouldBlock is true, nothing was written.
 type writeStep struct {
 	empty      bool     // the queue held nothing to write
 	wouldBlock bool     // the socket's send buffer is full
-	remainder  []byte   // unwritten bytes of a partially written item
+	remainder  []byte   // bytes of a partially written item that are still to be written; empty: there is no such item
 	expired    []string // IDs of the requests removed because their SendDeadline has passed
 	err        error
 }
