--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -39,7 +39,7 @@
 // firstPosition is the position of the first event of a service. An endpoint list at this position is always complete.
 const firstPosition = 1
 
-// defaultCapacity is the capacity, relative to other endpoints, of an instance whose entry has no weight.
+// defaultCapacity is the capacity of an endpoint whose instance has no weight in the watch event.
 const defaultCapacity = 1
 
 // watchEvent is the content of one watch event, converted to an event for the reducer.
