--- a/internal/discovery/logevents.go
+++ b/internal/discovery/logevents.go
@@ -14,7 +14,7 @@
 // Reconnected was reported in between.
 type Disconnected struct {
 	Position int64  `log:"position"` // position of the last processed watch event; 0: none yet
-	Result   string `log:"result"`   // how the call ended: refused, unreached, unanswered, broke, silent, cut or not called
+	Result   string `log:"result"`   // how it ended: refused, unreached, unanswered, broke, silent, cut, not called
 	Cause    error  `log:"cause"`
 }
 
