--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -17,14 +17,14 @@
 	// time; the two differ once the wall clock has been set. The monotonic time never goes back.
 	Now() int64
 
-	// Wall returns the wall clock's Unix time in ns. The wall clock may be set forward or back between two readings, so
-	// their difference must not be used as a duration.
+	// Wall returns the wall clock's Unix time in ns. The wall clock may be set forward or back between two readings,
+	// so that their difference must not be used as a duration.
 	Wall() int64
 }
 
-// system is the clock of the operating system.
+// system is a Clock that reads the clocks of the operating system.
 type system struct {
-	begin    time.Time // creation time, with a monotonic reading
+	begin    time.Time // creation time of this clock, with a monotonic reading
 	beginNow int64     // value of Now at begin: the Unix time of begin, ns
 }
 
@@ -41,7 +41,7 @@
 // Now implements Clock.
 func (s *system) Now() int64 { return s.beginNow + int64(time.Since(s.begin)) }
 
-// Wall implements Clock.
+// Wall implements Clock. It reads the wall clock at each call.
 func (s *system) Wall() int64 { return time.Now().UnixNano() }
 
 // Until returns the duration until a monotonic time of the clock. It is negative if that time has passed.
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -20,7 +20,7 @@
 // FieldError reports an unusable field of a watch event.
 type FieldError struct {
 	Field  string // path of the field in the event's JSON
-	Value  string // the field's value or JSON type
+	Value  string // JSON type of a value that has the wrong type; empty for an empty value
 	Reason string
 }
 
@@ -39,27 +39,28 @@
 // firstPosition is the position of the first event of a service. An endpoint list at this position is always complete.
 const firstPosition = 1
 
-// defaultCapacity is the capacity of an instance without a weight.
+// defaultCapacity is the capacity of an endpoint whose instance has no weight in the watch event.
 const defaultCapacity = 1
 
-// watchEvent is one decoded event of the watch.
+// watchEvent is the content of one watch event, converted to an event for the reducer.
 type watchEvent struct {
 	position int64
-	event    router.Event        // nil: the event is of an unknown type and is ignored
-	list     startup.ListSummary // summary of an endpoint list; otherwise only its position is set
+	event    router.Event        // event for the reducer; nil: of an unknown type, ignored
+	list     startup.ListSummary // if event is an endpoint list: its summary; otherwise only Position is set
 }
 
-// wireEvent is the JSON form of a watch event.
+// wireEvent is the JSON form of a watch event. Hosts is nil unless it concerns the endpoint list, Expire unless it is
+// a purge.
 type wireEvent struct {
 	Position int64          `json:"pos"`
 	Hosts    *wireInstances `json:"hosts"`
 	Expire   *wirePurge     `json:"expire"`
 }
 
-// wireInstances is an endpoint list or a change to it.
+// wireInstances is the JSON form of an endpoint list, or of a change to the list in use.
 type wireInstances struct {
 	Generation int64          `json:"generation"`
-	Reset      bool           `json:"reset"` // the list is complete, not a change
+	Reset      bool           `json:"reset"` // true: the complete list; false: a change to the list in use
 	Instances  []wireInstance `json:"instances"`
 }
 
@@ -71,10 +72,10 @@
 	Lifecycle   string   `json:"lifecycle"`
 	Cell        int64    `json:"cell"`
 	Weight      *float64 `json:"weight"`
-	StartedAtMS int64    `json:"startedAtMs"` // Unix ms
+	StartedAtMS int64    `json:"startedAtMs"` // start of the instance, Unix ms
 }
 
-// wirePurge is a purge of one object or of a group of objects.
+// wirePurge is the JSON form of a purge of one object or of a group of objects.
 type wirePurge struct {
 	Object string    `json:"name"`
 	Group  *int64    `json:"set"`
@@ -96,8 +97,8 @@
 	return nil
 }
 
-// decodeEvent decodes the JSON of one watch event. Even if it returns a FieldError, the position of the returned
-// event may be set.
+// decodeEvent decodes the JSON of one watch event. If a field is unusable, it returns a FieldError, and the returned
+// event still has its position if that could be decoded.
 func decodeEvent(raw []byte) (watchEvent, error) {
 	var wire wireEvent
 	if err := json.Unmarshal(raw, &wire); err != nil {
@@ -125,7 +126,7 @@
 	return decoded, nil
 }
 
-// fieldError converts a JSON type mismatch to a FieldError. It returns other errors unchanged.
+// fieldError returns a FieldError if err is a JSON type mismatch, and err itself otherwise.
 func fieldError(err error) error {
 	if mismatch, ok := errors.AsType[*json.UnmarshalTypeError](err); ok {
 		field := cmp.Or(mismatch.Field, "(whole event)")
@@ -207,7 +208,7 @@
 	return ready
 }
 
-// listDigest returns a digest of all fields of all entries, to tell whether two lists are equal.
+// listDigest returns a hash of all fields of all entries. Lists with different hashes are not equal.
 func listDigest(entries []router.EndpointEntry) uint64 {
 	hash := xxhash.New()
 	var encoded []byte
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -18,11 +18,11 @@
 const (
 	responseHead = "HTTP/1.1 200 OK\r\n\r\n"
 
-	// waitLimit bounds every wait for an expected event.
+	// waitLimit is how long a test waits, at most, for one expected event or call.
 	waitLimit = 20 * time.Second
 )
 
-// purgeEvent returns a purge of group 1 as the lines of an event in the stream.
+// purgeEvent returns the lines that the service sends for a watch event with a purge of group 1.
 func purgeEvent(position int) string {
 	return fmt.Sprintf("id: %d\ndata: {\"pos\":%d,\"expire\":{\"set\":1,\"stamp\":1}}\n\n", position, position)
 }
@@ -37,7 +37,7 @@
 // receivedCall is a watch request that a fakeService has received.
 type receivedCall struct {
 	at          time.Time
-	resumeAfter string // the request's Last-Event-ID
+	resumeAfter string // value of the request's header Last-Event-ID; the position to resume after
 }
 
 // fakeService is a discovery service whose responses a test defines.
@@ -66,7 +66,7 @@
 	return service
 }
 
-// readRequest reads the headers of a request and returns its Last-Event-ID.
+// readRequest reads an HTTP request without a body, and returns the value of its header Last-Event-ID.
 func readRequest(conn net.Conn) (resumeAfter string) {
 	in := bufio.NewReader(conn)
 	for {
@@ -93,8 +93,8 @@
 // testWatcher is a watcher that records the events it posts and logs.
 type testWatcher struct {
 	*Watcher
-	events chan router.Event   // without ServiceReached and EventProcessed
-	logged chan logevent.Event // never closed; events are dropped while it is full
+	events chan router.Event   // posted events, except ServiceReached and EventProcessed
+	logged chan logevent.Event // log events; never closed; further events are dropped while it is full
 }
 
 // newTestWatcher returns a watcher that has not been started. If schedule is nil, it uses the schedule of a single
--- a/internal/discovery/history.go
+++ b/internal/discovery/history.go
@@ -16,10 +16,10 @@
 
 // History is what the router knows of the watch before its first call of the service.
 type History struct {
-	Position     int64 // position of the last known event
+	Position     int64 // position of the last event known before the first call; 0: none is known
 	lists        startup.ListFilter
-	hasList      bool          // the known events include an endpoint list
-	snapshotList *snapshotList // nil: there is none
+	hasList      bool          // whether the events known before the first call include an endpoint list
+	snapshotList *snapshotList // list that the service has to confirm; nil: none
 }
 
 // snapshotList is an endpoint list from a snapshot. The router uses it only after the service has confirmed it.
@@ -42,8 +42,9 @@
 	return true
 }
 
-// ParseHistory decodes the value of the configuration's key "known". It returns the history up to the last known
-// event, and the known events in order.
+// ParseHistory decodes the value of the configuration's key "known": watch events that the router is to know before it
+// calls the service. It returns the history up to the last of them, and the events in order. An empty value or null
+// yields an empty history.
 func ParseHistory(raw []byte) (History, []router.Event, error) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return History{}, nil, nil
@@ -83,7 +84,7 @@
 		return true, nil
 	case restore.Outdated:
 		w.dropSnapshotList()
-		if !decoded.list.Complete { // a complete list replaces the snapshot's
+		if !decoded.list.Complete { // a complete list is used in place of the snapshot's
 			return true, fmt.Errorf("event %d: %w", decoded.position, errSnapshotListDenied)
 		}
 	}
@@ -106,7 +107,8 @@
 	w.position = 0
 }
 
-// useSnapshotList makes the router use the snapshot's list, which the service has confirmed.
+// useSnapshotList posts the snapshot's list, which the service has confirmed, and lets the watch resume after
+// position.
 func (w *Watcher) useSnapshotList(position int64, digest uint64) {
 	w.log(SnapshotListConfirmed{Position: position})
 	list := w.snapshotList.list
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -17,12 +17,12 @@
 // dialTimeout bounds the time to establish a connection to the service.
 const dialTimeout = 700 * time.Millisecond
 
-// Config configures a Watcher.
+// Config holds the settings and dependencies of a Watcher.
 type Config struct {
-	Address  string                // discovery service, as host:port
-	History  History               // events known before the first call
-	Schedule *startup.CallSchedule // decides when the service is called
-	Post     func(router.Event)    // receives the events, in order; it may block
+	Address  string                // address of the discovery service, as host:port
+	History  History               // what is known of the watch before the first call of the service
+	Schedule *startup.CallSchedule // decides when the service is called, and the timeouts for reading
+	Post     func(router.Event)    // receives the events for the router, in order; it may block
 	Log      func(logevent.Event)
 	Clock    clock.Clock // nil: clock.System
 }
@@ -37,17 +37,17 @@
 	clock          clock.Clock
 	dial           dialFunc
 	schedule       *startup.CallSchedule
-	maxReadTimeout time.Duration // shortens read timeouts in tests; 0: no effect
+	maxReadTimeout time.Duration // upper bound of read timeouts, set by tests; 0: none
 
 	disconnected bool  // a call has failed, and no data has been received since
-	position     int64 // position of the last processed event
-	eventRetries int   // number of times that the event after position was unusable or missing
+	position     int64 // position of the last processed or skipped event; 0: none yet
+	eventRetries int   // consecutive calls that failed because the event after position was unusable or missing
 	lists        startup.ListFilter
-	snapshotList *snapshotList // waits for confirmation; may be nil
+	snapshotList *snapshotList // list that the service has not confirmed yet; nil: none
 
 	mu         sync.Mutex
 	address    string             // guarded by mu
-	cancelCall context.CancelFunc // guarded by mu; cancels the current call or the delay before it
+	cancelCall context.CancelFunc // guarded by mu; cancels the current call of the service, or the delay before it
 }
 
 // dialFunc has the signature of net.Dialer.DialContext; tests replace it to inject errors.
@@ -56,13 +56,15 @@
 // ServiceReached is posted when the service has sent the first event or comment on a new connection.
 type ServiceReached struct{}
 
-// EventProcessed is posted after each processed watch event. Digest is a hash of the event's JSON.
+// EventProcessed is posted for each processed watch event, after the router event decoded from it, if any. Position is
+// the watch event's position, and Digest a hash of its JSON.
 type EventProcessed struct {
 	Position int64
 	Digest   uint64
 }
 
-// NewWatcher returns a watcher that resumes after the known events.
+// NewWatcher returns a watcher that calls the service once Run is called. The first call resumes after the events in
+// config.History.
 func NewWatcher(config Config) *Watcher {
 	watcher := &Watcher{
 		post:     config.Post,
--- a/internal/downstream/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -14,7 +14,7 @@
 	"github.com/gaissmai/bart"
 )
 
-// slowAcceptConfig limits a server to 120 accepts per second of connections that have already sent data.
+// slowAcceptConfig makes a server accept at most 120 connections per second of those that have already sent data.
 var slowAcceptConfig = Config{MaxConnections: 1000, MaxRequestsPerConnection: 32, MaxBytes: 1 << 20, Cores: 0.05}
 
 // Connections that have sent nothing are suspended at a separate rate, so that a client behind them is served
@@ -55,7 +55,8 @@
 		send(t, disconnected, emptyCall(5))
 		neterr.Close(disconnected)
 	}
-	halfClosed := dial(t, server) // may still read: its request is rejected, and not posted either
+	// This client may still be reading, so its request is rejected rather than dropped. It is not posted either.
+	halfClosed := dial(t, server)
 	send(t, halfClosed, emptyCall(7))
 	closeWrite(t, halfClosed)
 	connected := dial(t, server)
@@ -63,14 +64,15 @@
 	for _, conn := range ahead {
 		expectBytes(t, conn, 20, "connection ahead in the backlog")
 	}
-	expectEvents(t, events, "RequestReceived") // of the connected client, whose request is the last one
+	expectEvents(t, events, "RequestReceived") // for the request of the client that is still connected
 	select {
 	case e := <-events:
 		t.Errorf("event %s for a client that closed while it waited in the backlog", e)
 	case <-time.After(300 * time.Millisecond):
 	}
 	expectResponse(t, halfClosed, rejectionOf(7))
-	respondServed(server, 41, 6) // the clients ahead have the IDs 1 to 40, and the rejected ones get none
+	// The clients ahead have the IDs 1 to 40. Rejected connections get no ID, so the connected client has the ID 41.
+	respondServed(server, 41, 6)
 	expectResponse(t, connected, "whole")
 }
 
@@ -97,7 +99,7 @@
 		for _, seq := range []byte{5, 6} {
 			expectResponse(t, conn, rejectionOf(seq))
 		}
-		if n := server.OpenConnections(); n < 3 { // the listener, the kept connection and this one
+		if n := server.OpenConnections(); n < 3 { // listener, kept connection and this one
 			t.Errorf("OpenConnections() = %d while a connection is being rejected, want at least 3", n)
 		}
 		checkHalfClosed(t, conn)
--- a/internal/downstream/connection.go
+++ b/internal/downstream/connection.go
@@ -13,8 +13,8 @@
 	"tealpath/internal/router"
 )
 
-// maxExcessRequests is how many consecutive requests beyond MaxRequestsPerConnection are only rejected. After
-// one more, the connection is closed for a protocol violation.
+// maxExcessRequests is the number of consecutive requests beyond MaxRequestsPerConnection that are merely rejected.
+// The next one is a protocol violation, for which the connection is closed.
 const maxExcessRequests = 8
 
 // Errors with which readRequests ends, besides those of the connection and of the decoder.
@@ -33,34 +33,35 @@
 	phaseSuspending       // the connection is idle, and its goroutines end so that it can be suspended
 	phaseEnding           // no more requests are read; the phase lasts until all responses are written
 	phaseLingering        // the server has closed its sending side, and the client may read what was written
-	phaseClosed           // no more responses are queued
+	phaseClosed           // the connection has ended, and further responses to it are discarded
 )
 
-// connection is a client connection that is not suspended.
+// connection is a client connection with a goroutine that reads requests and one that writes responses. A suspended
+// connection has none of this type.
 type connection struct {
 	server      *Server
 	id          router.ClientID
 	conn        net.Conn
 	slot        slotKey
-	activeSince time.Time     // when it was accepted or last resumed
-	writeSignal chan struct{} // holds an element if the writer has to check the queue and the phase
-	arrivals    arrivalReader // used only by the reader
+	activeSince time.Time     // time at which the connection was accepted or last resumed
+	writeSignal chan struct{} // holds an element if the writer has to check queue and phase again
+	arrivals    arrivalReader // reads from conn; used only by the reading goroutine
 
 	mu             sync.Mutex
 	phase          phase          // guarded by mu
 	inFlight       map[int32]bool // guarded by mu; sequence numbers of the requests in flight
 	excessRequests int            // guarded by mu; consecutive requests beyond MaxRequestsPerConnection
-	queue          net.Buffers    // guarded by mu; pieces of responses to be written
-	queuedBytes    int64          // guarded by mu; size of queue and of the batch being written
-	writing        bool           // guarded by mu; a batch is being written
-	reading        bool           // guarded by mu; received data has not been handled yet
+	queue          net.Buffers    // guarded by mu; slices of encoded responses that are not being written yet
+	queuedBytes    int64          // guarded by mu; bytes in queue and in the batch being written
+	writing        bool           // guarded by mu; the writer is writing a batch of responses
+	reading        bool           // guarded by mu; data from the client has been received and not handled yet
 	responded      bool           // guarded by mu; at least one response has been queued
 	violated       bool           // guarded by mu; the client has violated the protocol, so nothing more is read
 	draining       bool           // guarded by mu; the connection is being closed: requests read later are rejected
-	tableState     idle.State     // guarded by mu; state recorded in idleConnections.table
+	tableState     idle.State     // guarded by mu; state last recorded in idleConnections.table
 }
 
-// newConnection returns a connection that other goroutines cannot access until register assigns its ID.
+// newConnection returns a connection without an ID. Other goroutines cannot access it until register assigns one.
 func newConnection(s *Server, conn net.Conn, slot slotKey) *connection {
 	return &connection{
 		server:      s,
@@ -86,9 +87,9 @@
 	c.end(written, err)
 }
 
-// exchange reads requests and writes responses until nothing more can be read or the connection is suspended.
-// It returns the reason, which is errSuspend after suspension, and a channel that is closed when the writer
-// has ended.
+// exchange reads requests and writes responses until nothing more can be read or the connection is suspended. It
+// returns why the reading ended, or errSuspend after suspension, and a channel that is closed when the writing
+// goroutine has ended.
 func (c *connection) exchange(ctx context.Context) (written <-chan struct{}, err error) {
 	for {
 		written := c.startWriter(ctx)
@@ -101,7 +102,8 @@
 		if c.server.suspend(c) {
 			return written, errSuspend
 		}
-		c.setPhase(phaseOpen) // suspension failed, or the connection was evicted and its next read ends it
+		// Suspension failed, possibly because the connection was evicted, in which case readRequests ends at once.
+		c.setPhase(phaseOpen)
 	}
 }
 
@@ -115,8 +117,8 @@
 	return written
 }
 
-// end closes a connection from which nothing more is read. Requests in flight are answered first, unless the
-// client has disconnected or has violated the protocol.
+// end closes a connection from which nothing more is read, once its requests in flight are answered. If the client has
+// violated the protocol, they fail; if it has disconnected, they are dropped.
 func (c *connection) end(written <-chan struct{}, readError error) {
 	violated := c.beginEnding(readError)
 	halfClosed := errors.Is(readError, io.EOF) || errors.Is(readError, io.ErrUnexpectedEOF)
@@ -157,7 +159,7 @@
 // proves that it has disconnected. If it has closed both sides, the first write of a response fails.
 func mayStillRead(readError error) bool { return !neterr.IsConnectionEnded(readError) }
 
-// markClosed makes the connection queue no more responses, and releases the memory of the unwritten ones.
+// markClosed makes the connection discard all later responses, and releases the memory of the unwritten ones.
 func (c *connection) markClosed() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,7 +167,7 @@
 	c.server.memory.responseWritten(c.queuedBytes)
 }
 
-// setPhase sets the phase without recording the resulting state in idleConnections.table.
+// setPhase changes only the connection's phase. The state in idleConnections.table stays as it is.
 func (c *connection) setPhase(next phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,7 +180,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violated = true
-	setReadDeadline(c.conn, time.Now()) // interrupts a reader that waits for data
+	setReadDeadline(c.conn, time.Now()) // makes a read that waits for data return at once
 }
 
 // requestAdmission is the result of trying to put a request in flight.
@@ -214,7 +216,8 @@
 	return requestAdmitted
 }
 
-// removeRequest removes a request that its client has cancelled, and reports whether it was in flight.
+// removeRequest ends a request that its client has cancelled, so that a later response to it is discarded. It reports
+// whether the request was in flight.
 func (c *connection) removeRequest(seq int32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -237,7 +240,7 @@
 	c.server.idle.setState(c.slot, state)
 }
 
-// currentState derives the connection's state in idleConnections.table from its fields. c.mu must be locked.
+// currentState returns the state that the connection should have in idleConnections.table. c.mu must be locked.
 func (c *connection) currentState() idle.State {
 	switch {
 	case c.phase >= phaseLingering:
--- a/internal/downstream/idle/state.go
+++ b/internal/downstream/idle/state.go
@@ -3,7 +3,7 @@
 // State is the state of a connection in the table. It decides whether the connection can expire or be evicted.
 type State uint8
 
-// The states of a connection.
+// States of a connection, which its list in the table depends on.
 const (
 	// StateNew is a connection that has had no response yet: it has sent no request, or has cancelled all of
 	// them.
@@ -12,13 +12,13 @@
 	// StateActive is a connection with a request in flight or an unwritten response.
 	StateActive
 
-	// StateReading is a connection that has received at least a part of its next request.
+	// StateReading is a connection on which at least a part of the next request has been received.
 	StateReading
 
-	// StateIdle is a connection that has had a response and has received nothing since.
+	// StateIdle is a connection that has had a response and on which nothing has been received since.
 	StateIdle
 
-	// StateClosing is a connection whose last response has been written.
+	// StateClosing is a connection whose last response has been written and whose sending side is being closed.
 	StateClosing
 
 	numStates
