--- a/control/admission.go
+++ b/control/admission.go
@@ -19,17 +19,17 @@
 	// until it has grown back to the initial value.
 	reducedShare = 0.5
 
-	// lowValueShare is the fraction of a limit that is open to clients' retries and to cache-only attempts. At least
-	// this fraction is open to a class of low value.
+	// lowValueShare is the fraction of a limit up to which clients' retries and cache-only attempts are admitted. At
+	// least this fraction of a limit is open to each class, however much is reserved for classes of higher value.
 	lowValueShare = 0.7
 
-	// For a request, a part of the limit is reserved for other classes whose value (priority weight divided by
-	// sending time) is more than higherValueRatio times that of the request. The reserved part is reserveFactor
-	// times the share of these classes in the offered work.
+	// A part of a limit is closed to a request and reserved for classes of higher value: those whose priority weight
+	// divided by sending time is more than higherValueRatio times that of the request. The reserved fraction is
+	// reserveFactor times the fraction of the offered work that is of these classes.
 	higherValueRatio = 2.
 	reserveFactor    = 2.
 
-	// minOffered is the lower bound of the offered work in s, where it is a divisor.
+	// minOffered is the lower bound, in s of sending time, of the offered work that other work is divided by.
 	minOffered = 0.01
 
 	// maxToleranceFactor is the maximum factor by which a class that tolerates longer delays may exceed a limit.
@@ -40,12 +40,12 @@
 	underservedFactor = 1.5
 	underservedShare  = 0.7
 
-	// divertShare is a fraction of the limit for hits. If an object's home cache is at its limit, a cache with a
-	// load below this fraction may fill the object instead.
+	// divertShare is the fraction of the limit for hits below which the load of a cache must be for the cache to fill
+	// an object whose home cache is at that limit.
 	divertShare = 0.5
 )
 
-// initialAdmissionLimits are the initial limits by kind of attempts.
+// initialAdmissionLimits are the limits of a new router, by attemptKind, as multiples of the caches' capacity.
 var initialAdmissionLimits = [attemptKinds]float64{2, 1.2, 0.4}
 
 // admission holds the admission limits, one for each kind of attempts. Responses in time raise them and late
@@ -137,7 +137,8 @@
 	return load < limit*r.admissionShare(now, request)
 }
 
-// admissionShare returns the fraction of a limit that is open to a request of its class. It may be above 1.
+// admissionShare returns the fraction of an admission limit up to which a request of its class is admitted. It may be
+// above 1.
 //
 //   - A part of the limit is reserved for classes whose value (priority weight divided by sending time) is more than
 //     higherValueRatio times that of the request. It is proportional to the work that these classes offer.
--- a/control/age.go
+++ b/control/age.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// missedUpdatesPerKB is the number of missed updates that cost as much as filling one KB: c in docs/design.md.
+	// missedUpdatesPerKB is the number of missed updates that cost as much as filling one KB of an object. It is c in
+	// docs/design.md.
 	missedUpdatesPerKB = 2e-2
 
-	// defaultSizeKB is the size of an object if the request does not give it: b in docs/design.md.
+	// defaultSizeKB is the assumed size in KB of an object whose size is not known. The size is b in docs/design.md.
 	defaultSizeKB = 500.
 
-	minMaxAge    = second / 1000 // ns; lower bound of an accepted age
-	maxFiniteAge = 1e9           // s; a greater age counts as unlimited
+	minMaxAge    = second / 1000 // ns; lower bound of the accepted age that the request and update rates give
+	maxFiniteAge = 1e9           // s; a greater accepted age counts as unlimited
 
-	// refreshThreshold is the expected number of requests within the accepted age, λ·age, from which an entry is
-	// refreshed in the background before it expires.
+	// refreshThreshold is how many requests for an object must be expected within the accepted age for its cache entry
+	// to be refreshed in the background before it expires.
 	refreshThreshold = 1.
 
-	// reuseThreshold is the number of earlier requests in the location, decayed over rateWindow, from which an
-	// object counts as reused.
+	// reuseThreshold is how many earlier requests for an object, decayed over rateWindow, the location must have had
+	// for the object to count as reused.
 	reuseThreshold = 0.2
 
 	// Cache priorities prevent objects that are requested only once from evicting reused objects. There is no
--- a/control/capacity.go
+++ b/control/capacity.go
@@ -8,19 +8,20 @@
 	// least minOwnInFlight.
 	minOwnInFlight = 20.
 
-	// minCapacity is the lower bound of a listed capacity.
+	// minCapacity is the lower bound of a listed capacity, and of the capacity of all caches together.
 	minCapacity = 0.01
 
-	// maxOfferedCapacity limits a measured capacity to this multiple of the best capacity that a cache has shown.
+	// maxOfferedCapacity is the upper bound of a measured capacity, as a multiple of the highest mean capacity that
+	// the caches have shown.
 	maxOfferedCapacity = maxAdmissionLimit
 )
 
 // capacityEstimate measures the capacity of the endpoints. A capacity is the number of responses that an endpoint can
 // send at the same time, each at a client's full rate. That equals seconds of sending time per second.
 type capacityEstimate struct {
-	byCaches  decayingWork // work that the caches of the location served in time
-	byParents decayingWork // work that the parents served in time
-	offered   decayingWork // work requested from the caches, served or not; decays over loadWindow
+	byCaches  decayingWork // s of sending time that the caches of the location served in time
+	byParents decayingWork // s of sending time that the parents served in time
+	offered   decayingWork // s of sending time requested from the caches, served or not; decays over loadWindow
 
 	// With each load report the attempts in flight at the reporting cache are added to these two sums, which decay
 	// over loadWindow.
@@ -74,10 +75,10 @@
 	return max(1, min(r.capacity.reportedInFlight/r.capacity.ownInFlight, r.settings.cacheRouters()))
 }
 
-// measuredCapacity estimates the capacity of a cache if the endpoint list does not give it. It is the best capacity
-// that a cache has shown by serving requests in time or, if more is requested now, the requested capacity, up to
-// maxOfferedCapacity times the best. During the first rateWindow after the router's start the best capacity is not yet
-// known, and the requested capacity is not limited.
+// measuredCapacity estimates the capacity of each cache if the endpoint list does not give it. This is the highest
+// mean capacity that the caches have shown by serving requests in time. If more is requested now, it is the requested
+// capacity, but at most maxOfferedCapacity times the highest one shown. That one is not known during the first
+// rateWindow after the router's start, and the requested capacity is not limited then.
 func (r *Router) measuredCapacity(now int64) float64 {
 	best := max(1, r.capacity.byCaches.best)
 	offered := r.perEndpoint(now, r.capacity.offered, loadWindow, r.activeRouters(), r.caches)
@@ -88,9 +89,9 @@
 }
 
 // sustainedCapacity returns the capacity that an endpoint is certain to have when it is warm. If capacities are
-// measured, it is what the endpoints of the tier serve on average now. The best capacity is not used here: at a
-// router with little traffic it depends on chance, and the shares that all routers derive from it would add up to
-// more than the endpoint can serve.
+// measured, it is what the endpoints of the tier serve on average now, not the highest capacity that they have shown:
+// at a router with little traffic the highest one depends on chance, and the shares that all routers derive from it
+// would add up to more than the endpoint can serve.
 func (r *Router) sustainedCapacity(now int64, endpoint *endpointState) float64 {
 	switch {
 	case r.settings.Weights == CapacityWeights:
@@ -120,15 +121,15 @@
 	}
 }
 
-// perEndpoint estimates the mean work per second that all routers together send to each endpoint of a tier. It
-// multiplies this router's work, which decays over the window in ns, by the number of routers.
+// perEndpoint estimates the mean work per second, for all routers together, of each endpoint of a tier: this router's
+// work, which decays over a window in ns, times the number of routers, divided by the number of endpoints.
 func (r *Router) perEndpoint(
 	now int64, work decayingWork, window int64, routers float64, endpoints []*endpointState,
 ) float64 {
 	return r.rates.perSecond(now, work.work, work.lastAt, window) * routers / float64(max(1, len(endpoints)))
 }
 
-// locationCapacity returns the capacity of all caches of the location together.
+// locationCapacity returns the total capacity of the location's caches, listed or measured, but at least minCapacity.
 func (r *Router) locationCapacity(now int64) float64 {
 	if r.settings.Weights == CapacityWeights {
 		return max(r.configuredCapacity().sum, minCapacity)
@@ -150,7 +151,7 @@
 	return *total
 }
 
-// equalTermsSum computes sums of equal terms. It keeps the last result.
+// equalTermsSum adds up a number of equal terms, and keeps the last sum so that it need not be computed again.
 type equalTermsSum struct {
 	count int
 	term  float64
--- a/control/classes.go
+++ b/control/classes.go
@@ -3,12 +3,12 @@
 import "cmp"
 
 const (
-	// initialSamples is the number of responses that a class's initial means count as. The initial means are
-	// derived from the latency objective.
+	// initialSamples is the weight, in responses, that a class's means give to their initial values. These are derived
+	// from the latency objective.
 	initialSamples = 10.
 
-	// maxSamples limits the weight of the past in a class's means: beyond this number of responses the means are
-	// exponential moving averages.
+	// maxSamples is the number of responses from which on a class's means are exponential moving averages, in which
+	// each new response has the weight 1/maxSamples.
 	maxSamples = 200.
 
 	// minSamplesForFastest is the number of responses of a class after which the fastest of them counts as the
@@ -16,19 +16,19 @@
 	minSamplesForFastest = initialSamples
 
 	minSendingTime         = 1e-3 // s; lower bound of a class's initial mean sending time
-	minSlowestResponseTime = 0.01 // s; lower bound of slowestResponseTime, the unit of the silence score
+	minSlowestResponseTime = 0.01 // s; lower bound of slowestResponseTime, which waits are divided by
 	minWeight              = 0.01 // lower bound of maxWeight, which weights are divided by
 )
 
 // classState holds a class's settings and what was learned from its responses.
 type classState struct {
 	ClassSettings
-	sendingTime     float64      // s; mean
-	responseTime    float64      // s; mean
-	samples         float64      // number of responses that the means count as, up to maxSamples
+	sendingTime     float64      // s; mean sending time of the class's responses
+	responseTime    float64      // s; mean time until a successful response
+	samples         float64      // weight of the means, in responses; at most maxSamples
 	fastestResponse int64        // ns; the shortest response time of a success; 0: no response yet
-	offered         decayingWork // work of all requests
-	admitted        decayingWork // work of the requests that were sent to a cache
+	offered         decayingWork // s of sending time; work of all requests, admitted or not
+	admitted        decayingWork // s of sending time; work of the requests that were sent to a cache
 }
 
 func newClassState(settings ClassSettings) *classState {
@@ -41,7 +41,7 @@
 	}
 }
 
-// observeResponse updates the mean and the fastest response time of a class after a successful response, which took
+// observeResponse updates the mean and the shortest response time of a class after a successful attempt, which took
 // elapsed ns.
 func (class *classState) observeResponse(elapsed int64) {
 	if class.fastestResponse == 0 || elapsed < class.fastestResponse {
@@ -57,8 +57,8 @@
 	class.sendingTime += (sendingTime - class.sendingTime) / class.samples
 }
 
-// minResponseTime returns the fastest response time of a class in ns, or 0 after too few responses. If it returned the
-// mean, the router would reject requests that a cache could still serve in time with a hit.
+// minResponseTime returns the shortest response time of a class in ns, or 0 before minSamplesForFastest responses. If
+// it returned the mean, the router would reject requests that a cache could still serve in time with a hit.
 func (class *classState) minResponseTime() int64 {
 	if class.samples < initialSamples+minSamplesForFastest {
 		return 0
--- a/control/control.go
+++ b/control/control.go
@@ -62,7 +62,7 @@
 	settings Settings
 	log      func(logevent.Event)
 	seed     uint64
-	draws    uint32 // number of random numbers returned so far
+	draws    uint32 // number of random numbers drawn so far
 
 	classes     []*classState // in the order of the settings
 	classByName map[string]*classState
@@ -71,10 +71,10 @@
 	caches     []*endpointState          // ready caches of the router's location, in the order of their IDs
 	parents    []*endpointState          // ready parents of all locations, in the order of their IDs
 	origin     *endpointState            // the ready origin with the lowest ID; nil if there is none
-	cacheTier  tier                      // the endpoints of caches, with their ranking keys
-	parentTier tier                      // the endpoints of parents, with their ranking keys
+	cacheTier  tier                      // the same endpoints as in caches, with their ranking keys
+	parentTier tier                      // the same endpoints as in parents, with their ranking keys
 	origins    endpointList              // ready origins
-	delisted   []*endpointState          // endpoints that are no longer listed
+	delisted   []*endpointState          // endpoints that are no longer listed but have attempts in flight
 
 	rates     requestRates
 	purges    purgeLog
@@ -85,7 +85,7 @@
 	outliers  outlierDetector
 
 	cacheOrder, sourceOrder candidates // reused by each decision, to avoid allocations
-	postponedUntil          int64      // the latest retryAt of all slow-start budgets
+	postponedUntil          int64      // ns; the latest retryAt of all slow-start budgets
 	keyBytes                []byte     // reused by objectHash, to avoid allocations
 }
 
@@ -186,14 +186,15 @@
 	return waitRecheckInterval
 }
 
-// EndRequest ends a request whose client has disconnected, or that the caller has ended for another reason.
-// Attempts may still be in flight.
+// EndRequest ends a request whose client has disconnected, or that the caller has ended for another reason. The
+// returned Decision lists the attempts in flight that the caller must cancel, if the settings allow cancelling.
 func (r *Router) EndRequest(_ int64, request *Request) Decision {
 	request.ended = true
 	return r.cancelInFlight(request)
 }
 
-// cancelInFlight cancels the attempts of an ended request that are in flight.
+// cancelInFlight returns a Decision that cancels all attempts of an ended request that are in flight. It cancels none
+// if the settings do not allow cancelling.
 func (r *Router) cancelInFlight(request *Request) (decision Decision) {
 	if !r.settings.CancelAttempts {
 		return decision
@@ -255,7 +256,7 @@
 	return Decision{Verdict: Send, Attempt: details}
 }
 
-// newAttempt returns the state of the next attempt of a request.
+// newAttempt returns an attempt that starts now. registerAttempt must be called before it is sent.
 func (r *Router) newAttempt(now int64, request *Request, cache, source *endpointState) *attemptState {
 	attempt := &attemptState{
 		sentAt:      now,
--- a/control/decode.go
+++ b/control/decode.go
@@ -31,7 +31,8 @@
 	"kinds", "routers",
 }
 
-// minClientKBPerSecond is the lower bound of Settings.ClientKBPerSecond. It keeps sending times finite.
+// minClientKBPerSecond is the lower bound of Settings.ClientKBPerSecond. It keeps sending times, which are sizes
+// divided by that rate, finite.
 const minClientKBPerSecond = 1
 
 // DecodeSettings checks and decodes settings. The error joins a *SettingError for each setting that is missing, has
@@ -54,7 +55,7 @@
 	return settings, errors.Join(decoder.errs...)
 }
 
-// settingsDecoder reads settings by their key and collects the errors.
+// settingsDecoder reads settings by their key and collects the errors of all of them.
 type settingsDecoder struct {
 	raw  RawSettings
 	errs []error
--- a/control/endpoints.go
+++ b/control/endpoints.go
@@ -12,33 +12,33 @@
 	Endpoint
 	role       role
 	listed     bool
-	isDelisted bool // it is in Router.delisted
+	isDelisted bool // the endpoint is in Router.delisted
 
 	// Health of the endpoint, by which outlierDetector ejects and restores it.
 	ejected             bool
 	wasUnreachable      bool    // it was not reachable, or rejected a fill, since its last restart or restoration
 	probing             bool    // a probe is in flight
-	successes, failures float64 // as of scoredAt; they decay over healthWindow
+	successes, failures float64 // sums of attemptScore, decayed over healthWindow until scoredAt
 	scoredAt            int64
 	lastResponseAt      int64
 	inFlight            []*attemptState
 	withinObjective     countsByKind // attempts of inFlight whose responses may still be in time
 	nextProbeAt         int64
-	probeBackoff        int64 // ns
+	probeBackoff        int64 // ns; time from the ejection or the last failed probe to the next probe
 
-	hashWeight float64 // weight in rendezvous hashing
+	hashWeight float64 // weight in rendezvous hashing: the listed capacity, or 1
 
 	// Slow start: when the endpoint started, and how much work this router may send to it meanwhile.
-	slowStartFrom       int64 // start time, from the endpoint list or inferred; 0: no recent start
-	slowStartReportedAt int64 // when this router learned of the start, by its own clock
+	slowStartFrom       int64 // ns; start time, from the endpoint list or inferred; 0: no recent start
+	slowStartReportedAt int64 // ns by this router's clock; when the router learned of the start
 	slowStart           slowStartBudget
 }
 
-// role is the function of an endpoint for this router.
+// role is what this router uses an endpoint for.
 type role int
 
 const (
-	noRole role = iota // not used: draining, gone, or a cache of another location
+	noRole role = iota // no request is sent to it: draining, gone, or a cache of another location
 	cacheRole
 	parentRole
 	originRole
@@ -53,7 +53,7 @@
 	return slices.BinarySearchFunc(l.endpoints, endpoint.ID, compareID)
 }
 
-// add inserts an endpoint unless it is already in the list.
+// add inserts an endpoint at the position of its ID, unless it is already in the list.
 func (l *endpointList) add(endpoint *endpointState) {
 	if index, found := l.search(endpoint); !found {
 		l.endpoints = slices.Insert(l.endpoints, index, endpoint)
--- a/control/inflight.go
+++ b/control/inflight.go
@@ -16,9 +16,9 @@
 // router with little traffic, a few attempts at an endpoint that does not respond would use up the whole admission
 // limit.
 type inFlightCounts struct {
-	caches        countsByKind                    // attempts at all caches of the location
+	caches        countsByKind                    // attempts at all caches of the location that are not late
 	lateTimers    timerqueue.Queue[*attemptState] // attempts that are not late yet, ordered by lateAt
-	lateCheckedAt int64                           // time up to which late attempts are subtracted
+	lateCheckedAt int64                           // ns; attempts that were late by this time are no longer counted
 }
 
 // attemptStarted counts an attempt that starts now at one of its endpoints, and makes the outlier detector watch that
@@ -112,11 +112,11 @@
 // loadScale holds the values that are common to the loads of all caches at a given time. The load of a cache is the
 // number of attempts in flight there, estimated for all routers, divided by its capacity.
 type loadScale struct {
-	meanLoad             float64 // load of all caches of the location together
-	routers              float64 // number of routers that send to the caches
+	meanLoad             float64 // attempts of all routers in flight at the caches, divided by the total capacity
+	routers              float64 // estimated number of routers that send to the location's caches
 	capacitiesConfigured bool
-	capacity             float64 // capacity of each cache, if capacities are not configured
-	minLoad              float64 // lower bound of all loads: that of the largest cache with nothing in flight
+	capacity             float64 // measured capacity of each cache; used if capacities are not configured
+	minLoad              float64 // load of the largest cache with nothing in flight; no load is lower
 }
 
 // loadScale computes the values that the loads of all caches have in common at a time.
--- a/control/logevents.go
+++ b/control/logevents.go
@@ -10,9 +10,9 @@
 // of them succeeds.
 type EndpointEjected struct {
 	Endpoint     uint32  `log:"endpoint"`
-	SilenceScore float64 `log:"silence_score"` // excess over the mean score of its peers; see evidence.excess
-	Failures     float64 `log:"failures"`      // recent failed attempts, decayed
-	Attempts     float64 `log:"attempts"`      // recent attempts that have ended, decayed
+	SilenceScore float64 `log:"silence_score"` // excess over the peers' mean; unit: see silenceThreshold
+	Failures     float64 `log:"failures"`      // failed attempts, decayed over healthWindow
+	Attempts     float64 `log:"attempts"`      // ended attempts, decayed over healthWindow
 }
 
 // Kind implements logevent.Event.
--- a/control/outcomes.go
+++ b/control/outcomes.go
@@ -8,7 +8,7 @@
 	noteHit            = 1
 	noteFilled         = 2 // filled from a parent
 	noteFilledOrigin   = 3 // filled from the origin
-	noteSourceRejected = 6 // the source rejected the fill; 7: the source could not be reached
+	noteSourceRejected = 6 // the source rejected the fill; a note of 7 means that it could not be reached
 	noteSourceLacks    = 8 // the source does not have the object
 	noteCacheRejected  = 9
 )
@@ -25,7 +25,8 @@
 // attemptScore is what an attempt adds to the successes and failures of an endpoint.
 type attemptScore struct{ success, failure float64 }
 
-// failureScores holds what each result adds to the failures of the cache and of the source.
+// failureScores holds what an attempt adds to the failures of its cache and of its source, by its result. Other
+// results add nothing, unless the response was late.
 var failureScores = map[Result]struct{ cache, source float64 }{
 	Overloaded:     {0.3, 0.5},
 	TimedOut:       {0.5, 0.5},
@@ -37,10 +38,10 @@
 // assessment is what the outcome of an attempt says about the load and about the health of its cache and its source.
 type assessment struct {
 	result         Result
-	sendingTime    float64 // s; of this response; 0: not known
-	inTime         bool    // the attempt took no longer than its latency objective allows
-	early          bool    // the attempt ran out of time too soon to say anything about the endpoints
-	timedOut       bool    // no response came although there was enough time
+	sendingTime    float64 // s; sending time of the response; 0: not known
+	inTime         bool    // the attempt took no longer than objectiveFor or noOverloadFactor allow
+	early          bool    // the attempt timed out too soon to count against an endpoint; see timedOutEarly
+	timedOut       bool    // no response came in at least the class's mean response time
 	sourceRejected bool    // see rejectedBySource; false if the cause was already reported with another attempt
 	cache          attemptScore
 	source         attemptScore
--- a/control/outliers.go
+++ b/control/outliers.go
@@ -11,11 +11,11 @@
 	// endpoint reaches a score of 6 is e^-6.
 	silenceThreshold = 6.
 
-	maxSilencePerAttempt = 2.  // maximum that one attempt adds to the silence score
+	maxSilencePerAttempt = 2.  // largest wait of one attempt that counts; unit as for silenceThreshold
 	minSilence           = 1.2 // silence counts only if one attempt has waited at least this long; same unit
 
 	// An endpoint may be ejected if it reaches both of these thresholds.
-	failureThreshold = 2.5 // decayed failures
+	failureThreshold = 2.5 // sum of the failures, decayed over healthWindow
 	failureShare     = 0.3 // excess of its failed fraction of attempts over that of its peers
 
 	healthWindow = 4 * second // ns; time over which successes and failures decay
@@ -48,14 +48,14 @@
 type outlierDetector struct {
 	scored      endpointList // endpoints with attempts in flight, or with scores that have not decayed to 0
 	watched     endpointList // endpoints that Tick checks: possible outliers and ejected endpoints
-	nextDecayed int          // index in scored of the endpoint that is checked next for decayed scores
+	nextDecayed int          // index in scored of the next endpoint that forgetDecayed checks
 }
 
-// evidence holds the signs of an endpoint's health, or their sums over several endpoints.
+// evidence is what speaks for and against the health of an endpoint, or the sum of this over several endpoints.
 type evidence struct {
-	silence   float64 // sum of the waits of attempts in flight, in mean response times; see evidence
-	successes float64 // decayed over healthWindow
-	failures  float64 // decayed over healthWindow
+	silence   float64 // waits of the attempts in flight, in mean response times of the slowest class
+	successes float64 // ended attempts that succeeded, decayed over healthWindow
+	failures  float64 // ended attempts that count as failed, decayed over healthWindow
 }
 
 func (e evidence) plus(other evidence) evidence {
@@ -67,7 +67,7 @@
 	return evidence{e.silence - other.silence, e.successes - other.successes, e.failures - other.failures}
 }
 
-// attempts returns the number of attempts that have ended, decayed over healthWindow.
+// attempts returns the number of ended attempts, each weighted by its attemptScore and decayed over healthWindow.
 func (e evidence) attempts() float64 { return e.successes + e.failures }
 
 // suffices reports whether the evidence is enough to eject an endpoint if its peers are healthy.
@@ -75,7 +75,8 @@
 	return e.silence >= silenceThreshold || e.failures >= failureThreshold
 }
 
-// excess returns by how much the silence score and the failed fraction of the attempts exceed those of the peers.
+// excess returns by how much an endpoint's silence score exceeds the mean score of its peers, and by how much the
+// failed fraction of its attempts exceeds that of all attempts at its peers.
 func (e evidence) excess(peers evidence, peerCount int) (silence, failed float64) {
 	silence = e.silence - peers.silence/float64(max(1, peerCount))
 	failed = e.failures/e.attempts() - peers.failures/max(peers.attempts(), 1)
@@ -180,13 +181,13 @@
 	endpoint.forgetScores(now)
 }
 
-// forgetScores resets the scores of an endpoint, so that it counts as healthy.
+// forgetScores resets the successes, failures and silence of an endpoint, so that it counts as healthy.
 func (endpoint *endpointState) forgetScores(now int64) {
 	endpoint.successes, endpoint.failures = 0, 0
 	endpoint.lastResponseAt = now
 }
 
-// addScore adds the score of an ended attempt to an endpoint's successes and failures.
+// addScore lets an endpoint's successes and failures decay until now and adds the score of an ended attempt.
 func (endpoint *endpointState) addScore(now int64, scored attemptScore) {
 	endpoint.successes = decay(endpoint.successes, now-endpoint.scoredAt, healthWindow) + scored.success
 	endpoint.failures = decay(endpoint.failures, now-endpoint.scoredAt, healthWindow) + scored.failure
@@ -310,7 +311,7 @@
 		decay(endpoint.failures, elapsed, healthWindow) > 0
 }
 
-// forget removes an endpoint that is no longer listed.
+// forget stops scoring and watching an endpoint, so that its state can be dropped.
 func (d *outlierDetector) forget(endpoint *endpointState) {
 	d.scored.remove(endpoint)
 	d.watched.remove(endpoint)
--- a/control/purges.go
+++ b/control/purges.go
@@ -18,21 +18,22 @@
 // docs/time.md has the details.
 
 const (
-	// purgeMargin is the amount in ns by which the accepted age is less than the time since a purge, because
-	// timestamps are in whole ms.
+	// purgeMargin is subtracted, in ns, from the time since a purge to get the accepted age, because timestamps are
+	// in whole ms.
 	purgeMargin = second / 1000
 
 	// minPurgedMaxAge is the lowest accepted age after a purge, in ns. 0 would mean the fresh duration.
 	minPurgedMaxAge = 1000
 
-	// purgeExpiryMargin is how long, in ns, a purge is kept after caches have dropped older entries by themselves.
+	// purgeExpiryMargin is how long, in ns, a purge is kept beyond Settings.PurgeDuration, after which no cache has
+	// an entry from before the purge any more.
 	purgeExpiryMargin = second / 2
 )
 
 // purgeState is the last purge of an object with all its parts, or of a group.
 type purgeState struct {
 	purgedAt   int64 // Unix ns by the clock of the discovery service; 0: not known, or invalid
-	receivedAt int64 // arrival at this router, by its clock
+	receivedAt int64 // ns by this router's clock; when the purge arrived here
 }
 
 // followedBy returns the state after another purge. The receiver is nil for the first purge. If the new timestamp is
@@ -47,9 +48,9 @@
 
 // purgeLog holds the recent purges, and what is known about the offset of this router's clock from other clocks.
 type purgeLog struct {
-	last              map[string]*purgeState // by purgeKey
-	clockAhead        bool                   // this clock is ahead of others, as shown by a Stale response
-	maxClockLead      int64                  // ns; upper bound of how far this clock is ahead, if clockLeadObserved
+	last              map[string]*purgeState // last purge of each object and group, by purgeKey
+	clockAhead        bool                   // a Stale response has shown that this router's clock is ahead of others
+	maxClockLead      int64                  // ns; upper bound of the clock's lead; valid if clockLeadObserved
 	clockLeadObserved bool
 }
 
@@ -72,8 +73,8 @@
 	l.last[key] = l.last[key].followedBy(now, purgedAt)
 }
 
-// removeExpired removes purges that are so old that all caches and parents have dropped older entries by themselves.
-// They do so within duration, in ns.
+// removeExpired removes the purges that are no longer needed, because caches and parents drop any entry from before a
+// purge by themselves within duration, in ns.
 func (l *purgeLog) removeExpired(now, duration int64) {
 	for key, purge := range l.last {
 		if now > purge.receivedAt+duration+purgeExpiryMargin {
--- a/control/ranking.go
+++ b/control/ranking.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// firstBatch is the size of the first batch of candidates. It is small because in most cases the first candidate
-	// is used. Each further batch is batchGrowth times as large as the one before.
+	// firstBatch is the number of candidates in the first batch. It is small because in most cases the first
+	// candidate is used. Each further batch is batchGrowth times as large as the previous batch.
 	firstBatch  = 4
 	batchGrowth = 8
 
-	// maxBatch is the size of the largest batch that is selected by a scan. For a larger batch, sorting all
-	// remaining candidates is faster.
+	// maxBatch is the number of candidates in the largest batch that is selected by a scan over the tier. For a
+	// larger batch it is faster to sort all remaining candidates.
 	maxBatch = 256
 
 	// An object is hot if its request rate at this router is above hotShare times the mean rate of all requests per
@@ -27,7 +27,8 @@
 	// maxHotCaches is the maximum number of caches that serve a hot object. It must be less than firstBatch.
 	maxHotCaches = 3
 
-	// roundingMargin allows for rounding errors when a lower bound of a score is compared with another score.
+	// roundingMargin is the factor by which a lower bound of a score must exceed another score, so that rounding
+	// errors cannot change the order.
 	roundingMargin = 1 + 1e-12
 )
 
@@ -35,7 +36,7 @@
 // array.
 type tier struct {
 	endpointList
-	keys []rankKey // keys[i] belongs to endpoints[i]
+	keys []rankKey // keys[i] is the key of endpoints[i]
 }
 
 // rankKey holds the properties of an endpoint that its score for an object depends on.
@@ -108,14 +109,14 @@
 // by capacity, which is the same at every router. It selects them in batches, on demand.
 type candidates struct {
 	tier      *tier
-	hash      uint64 // hash of the object
+	hash      uint64 // hash of the object, from objectHash
 	loads     loadScale
 	byLoad    bool           // endpoints are ordered by load before their score
 	hotCaches int            // how many of the first endpoints are reordered by load; less than firstBatch
 	limited   bool           // endpoints with a load of loadLimit or more are skipped
-	loadLimit float64        // used if limited; a multiple of the capacity
-	first     *endpointState // comes before the tier's endpoints; may be nil
-	last      *endpointState // comes after the tier's endpoints; may be nil
+	loadLimit float64        // attempts in flight, as a multiple of the capacity; used if limited
+	first     *endpointState // returned before the tier's endpoints; nil: none
+	last      *endpointState // returned after the tier's endpoints; nil: none
 
 	// If skipsPostponed is set, endpoints whose slow start is known not to admit the work now are skipped from the
 	// second batch on. The caller would reject them too, but at a greater cost when hundreds of endpoints are in
@@ -124,15 +125,15 @@
 	now            int64
 	work           float64 // s; sending time of the request
 
-	batch         []candidate // in order
+	batch         []candidate // selected candidates, the most preferred first
 	position      int         // index in batch of the next candidate
-	batchSize     int         // size of the next batch
+	batchSize     int         // number of candidates in the next batch
 	exhausted     bool        // no endpoint of the tier comes after the batch
 	firstReturned bool        // next has returned first
 	lastReturned  bool        // next has returned last
 }
 
-// rewind restarts the iteration.
+// rewind makes the next call of next return the first endpoint again.
 func (c *candidates) rewind() {
 	c.batch, c.position, c.batchSize, c.exhausted = c.batch[:0], 0, firstBatch, false
 	c.firstReturned, c.lastReturned = false, false
@@ -252,7 +253,7 @@
 		draw := uniform(c.hash, key.id)
 		exceeds := certainlyExceeds(draw, key.weight, worst.score)
 		if exceeds && worst.load <= c.loads.minLoad || c.isSkipped(index) {
-			continue // even with the lowest load it would come after worst
+			continue // even with the lowest load the endpoint would come after worst
 		}
 		endpoint := c.tier.endpoints[index]
 		if previous == nil || !endpoint.hasSameLoad(previous) { // consecutive endpoints often have the same load
@@ -271,8 +272,8 @@
 	return endpoint.Capacity == other.Capacity && endpoint.withinObjective == other.withinObjective
 }
 
-// certainlyExceeds reports whether the score of a draw and a weight certainly exceeds a bound. Instead of computing a
-// logarithm, it uses that -ln(draw) is at least 1-draw.
+// certainlyExceeds reports whether the score of a draw and a weight is above a bound by more than rounding errors. It
+// avoids the logarithm by using 1-draw, which is never above -ln(draw), and so returns false for some higher scores.
 func certainlyExceeds(draw, weight, bound float64) bool {
 	return 1-draw > bound*weight*roundingMargin
 }
--- a/control/rates.go
+++ b/control/rates.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	rateWindow   = 10 * second // ns; time over which rates decay
-	recentWindow = 10 * second // ns; time over which a decayingCount decays
+	rateWindow   = 10 * second // ns; time constant with which request counts and served work decay
+	recentWindow = 10 * second // ns; time constant with which a decayingCount decays
 
 	// maxObjects is the maximum number of records of recently requested objects, and of records of evicted objects.
 	maxObjects = 10000
@@ -24,9 +24,9 @@
 	return value * math.Exp(-float64(elapsed)/float64(window))
 }
 
-// decayingCount counts recent events. Each event's contribution decays over recentWindow.
+// decayingCount counts recent events. Each event adds 1, which decays exponentially over recentWindow.
 type decayingCount struct {
-	count  float64 // as of lastAt
+	count  float64 // recent events, decayed until lastAt
 	lastAt int64
 }
 
@@ -37,8 +37,8 @@
 // decayingWork is recent work in seconds of sending time. The methods let it decay over rateWindow.
 // capacityEstimate.offered does not use them and decays over loadWindow.
 type decayingWork struct {
-	work   float64 // as of lastAt
-	best   float64 // highest mean capacity per endpoint of a tier that was derived from this work
+	work   float64 // s of sending time, decayed until lastAt
+	best   float64 // highest mean capacity that the endpoints of the tier have shown by this work
 	lastAt int64
 }
 
@@ -56,16 +56,16 @@
 type objectRecord struct {
 	key               objectKey
 	group             int64
-	requestCount      float64 // as of countedAt; decays over rateWindow
+	requestCount      float64 // requests for the object, decayed over rateWindow until countedAt
 	countedAt         int64
 	firstSeenAt       int64
 	purgeCount        float64
 	maxAge            int64 // ns; accepted age of cache entries, valid until maxAgeUntil; 0: not computed yet
 	maxAgeUntil       int64
-	evicted           bool          // in evictedObjects rather than recentObjects
-	unservedAt        int64         // when a request for the object was last rejected or failed
-	likelyCachedUntil int64         // the object is likely cached until then
-	element           *list.Element // element of recentObjects or evictedObjects
+	evicted           bool          // the record is in evictedObjects rather than recentObjects
+	unservedAt        int64         // ns; when a request for the object was last rejected or failed
+	likelyCachedUntil int64         // ns; time until which a cache likely has the object
+	element           *list.Element // position in recentObjects or evictedObjects
 }
 
 // countRequest lets the request count decay until now and adds one request.
@@ -83,11 +83,11 @@
 // A new object evicts the least recently requested one. It also keeps the records, with their rates, of up to
 // maxObjects evicted objects.
 type requestRates struct {
-	startedAt      int64 // when counting started
+	startedAt      int64 // ns; when the counting of requests started
 	objects        map[objectKey]*objectRecord
 	recentObjects  *list.List // of *objectRecord, the last requested first
 	evictedObjects *list.List // of *objectRecord, the last evicted first
-	requestCount   float64    // all requests, as of requestCountAt; decays over rateWindow
+	requestCount   float64    // all requests, decayed over rateWindow until requestCountAt
 	requestCountAt int64
 }
 
--- a/control/requests.go
+++ b/control/requests.go
@@ -9,42 +9,42 @@
 // attemptKind determines the admission limit that an attempt counts against.
 type attemptKind int
 
-// Kinds of attempts.
+// Kinds of attempts, by where the object is expected to come from.
 const (
 	hits         attemptKind = iota // the cache likely has the object
 	fills                           // the cache likely has to fill the object from a parent
 	fetches                         // the object comes from the origin: a parent lacks it, or parents reject fills
-	attemptKinds = 3                // number of kinds
+	attemptKinds = 3                // number of the kinds above
 )
 
 func (k attemptKind) String() string { return [attemptKinds]string{"hits", "fills", "fetches"}[k] }
 
-// requestState is what a router knows about a request.
+// requestState is the part of a Request that only this package reads and writes.
 type requestState struct {
-	class        *classState // nil before the first call of Decide
+	class        *classState // nil before the first call of Decide, and if the class is unknown
 	record       *objectRecord
 	arrivedAt    int64
-	exhaustedAt  int64 // when the request last waited because this machine could not open connections
+	exhaustedAt  int64 // ns; last wait because this machine could not open connections; 0: none
 	attempts     []*attemptState
 	inFlight     int  // number of attempts that have not ended
 	ended        bool // the request has its final response, or needs none
-	sourceMissed bool // the source does not have the object, or the origin must fill it instead of a parent
+	sourceMissed bool // the origin must fill the object: a parent lacks it, or parents reject fills
 	diverted     bool // the home cache is at its limit, and another cache must fill the object
 }
 
-// attemptState is what a router knows about an attempt.
+// attemptState is the state of one attempt of a request, in flight or ended.
 type attemptState struct {
 	sentAt         int64
 	cache          *endpointState
 	source         *endpointState // nil if the cache may serve only a cached object
 	probed         *endpointState // the ejected endpoint that this attempt probes, or nil
 	ended          bool
-	result         Result // valid if ended
+	result         Result // how the attempt ended; valid if ended
 	sourceRejected bool   // the source rejected the fill, was unreachable or did not have the object
 	kind           attemptKind
-	sendTimeout    int64 // ns; time within which the attempt must be sent
-	lateAt         int64 // a response from this time on is late
-	isLate         bool  // lateAt has passed
+	sendTimeout    int64 // ns from sentAt; an attempt that is not sent within this time ends as Unreachable
+	lateAt         int64 // ns; a response from this time on is late
+	isLate         bool  // lateAt has passed, and the attempt is no longer counted in flight
 	lateTimer      *timerqueue.Timer[*attemptState]
 	minIssuedAt    int64 // Unix ns by the origin's clock; entries issued earlier are not accepted; 0: no limit
 }
@@ -133,7 +133,7 @@
 	return last != nil && last.sourceRejected
 }
 
-// attemptCount returns the number of attempts of a request, without those that failed on this machine.
+// attemptCount returns the number of attempts of a request, without those that ended with LocalError.
 func (request *Request) attemptCount() (count int) {
 	for _, attempt := range request.attempts {
 		if !attempt.ended || attempt.result != LocalError {
--- a/control/retries.go
+++ b/control/retries.go
@@ -1,8 +1,8 @@
 package control
 
 const (
-	// Retry tokens: a first attempt adds retryTokensPerRequest times its class's weight, divided by the largest
-	// weight. The token bucket holds at most maxRetryTokens.
+	// The first attempt of each request adds retryTokensPerRequest tokens, times the priority weight of its class
+	// divided by the largest weight of a class. The token bucket holds at most maxRetryTokens.
 	retryTokensPerRequest = 0.15
 	maxRetryTokens        = 10.
 
@@ -10,25 +10,26 @@
 	// attempt shows no sign of an overload.
 	freeAttempts = 3
 
-	// hedgeDelayShare is the fraction of the latency objective after which an attempt may be hedged.
+	// hedgeDelayShare is the fraction of its latency objective that an attempt must have taken to be hedged.
 	hedgeDelayShare = 0.6
 
-	// lostResponseThreshold is the decayed number of lost responses above which attempts may be hedged.
+	// lostResponseThreshold is the number of lost responses, decayed over recentWindow, above which attempts may be
+	// hedged.
 	lostResponseThreshold = 1.5
 
-	// sourceRejectionThreshold is the decayed number of fills rejected by parents above which requests that are not
-	// admitted as fills go to the origin.
+	// sourceRejectionThreshold is the number of fills rejected by parents, decayed over recentWindow, above which
+	// requests that are not admitted as fills go to the origin after a cache-only attempt.
 	sourceRejectionThreshold = 1.5
 
-	// maxHealthyFailureRatio is the ratio of failures to successes below which an endpoint is healthy.
+	// maxHealthyFailureRatio is the ratio of an endpoint's failures to its successes below which it counts as healthy.
 	maxHealthyFailureRatio = 0.03
 
 	// retryAfterShare is the lower bound of Retry-After as a fraction of the latency objective. The upper bound is
 	// twice that.
 	retryAfterShare = 0.2
 
-	// A class with weight 0 may make minAllowedAttempts per request, and the class with the largest weight
-	// attemptsByWeight more.
+	// A request of a class with weight 0 may have minAllowedAttempts attempts, and a request of the class with the
+	// largest weight attemptsByWeight more, but none more than Settings.MaxAttempts.
 	minAllowedAttempts = 2
 	attemptsByWeight   = 2
 )
@@ -41,7 +42,7 @@
 	sourceRejections decayingCount // fills that parents rejected
 }
 
-// deposit adds tokens, up to maxRetryTokens.
+// deposit adds tokens to the bucket. Those in excess of maxRetryTokens are lost.
 func (s *retryState) deposit(tokens float64) { s.tokens = min(s.tokens+tokens, maxRetryTokens) }
 
 // withdraw takes a token and reports whether there was one.
@@ -176,8 +177,8 @@
 	return float64(now-attempt.sentAt) > hedgeDelayShare*float64(r.objectiveFor(request, 0))
 }
 
-// isHealthy reports whether an endpoint is not ejected and has hardly any recent failures. Hedging attempts at
-// unhealthy endpoints would make an overload worse. A nil endpoint counts as healthy.
+// isHealthy reports whether an endpoint is not ejected and has hardly any recent failures. Only attempts at healthy
+// endpoints are hedged, because hedges would make an overload worse. A nil endpoint counts as healthy.
 func (endpoint *endpointState) isHealthy() bool {
 	return endpoint == nil || !endpoint.ejected && endpoint.failures < maxHealthyFailureRatio*endpoint.successes
 }
--- a/control/selection.go
+++ b/control/selection.go
@@ -1,7 +1,7 @@
 package control
 
 // selectEndpoints returns the cache that a request is sent to and the source that the cache fills a miss from. Each
-// is nil if there is none.
+// is nil if no endpoint can be used.
 func (r *Router) selectEndpoints(now int64, request *Request) (cache, source *endpointState) {
 	caches := r.cacheCandidates(now, request)
 	request.diverted = false
--- a/control/settings.go
+++ b/control/settings.go
@@ -16,17 +16,17 @@
 	LoadReportFields         []string // names of the figures in load reports, in the order of the reports
 	SubscribesToEndpointList bool     // the endpoint list is sent only after a subscription; used only by the simulator
 	OriginUnlimited          bool     // the origin cannot be overloaded
-	ClientKBPerSecond        float64  // rate at which one client receives a response; at least 1
+	ClientKBPerSecond        float64  // KB per second at which one client receives a response; at least 1
 
-	ResponseBytesPerSecond float64 // rate at which an endpoint sends one response; 0: not known
+	ResponseBytesPerSecond float64 // bytes per second at which an endpoint sends one response; 0: not known
 	Classes                []ClassSettings
 	LongestDeadline        int64 // ns; the longest time from arrival to deadline of any class
 	ResponseGrace          int64 // ns; a request without a final response is ended this long after its deadline
 	MaxInFlight            int   // maximum number of requests in flight; above 0
 
-	HealthChecks   bool  // health checks may be sent
+	HealthChecks   bool  // ejected caches may be probed with health checks
 	JoinFills      bool  // an attempt may wait for a fill of its object that is already in flight
-	Hedging        bool  // two attempts of a request may be in flight
+	Hedging        bool  // two or more attempts of a request may be in flight at the same time
 	CancelAttempts bool  // attempts that were sent can be cancelled
 	MaxAttempts    int   // maximum number of attempts of one request
 	RetryAfter     bool  // rejections carry Retry-After
@@ -47,22 +47,22 @@
 // ClassSettings are the settings of one class of requests.
 type ClassSettings struct {
 	Name             string
-	LatencyObjective int64   // ns; a response within this time is in time, not counting its sending time
+	LatencyObjective int64   // ns; objective for a response whose sending time is 0
 	ObjectiveStretch float64 // ns that are added to the objective for each ns of sending time
 	FreshDuration    int64   // ns; how long a cache entry may be served without revalidation; 0: without limit
-	PriorityWeight   float64 // value of serving a request, relative to other classes
+	PriorityWeight   float64 // value of serving a request of the class, relative to other classes
 	Idempotency      Idempotency
-	KeyScope         KeyScope // scope of idempotency keys; used only by Keyed classes
+	KeyScope         KeyScope // servers that recognize the same idempotency keys; used only by Keyed classes
 	KeyWindow        int64    // ns; how long a server drops repetitions of an idempotency key
-	Uncacheable      bool     // caches do not store responses
+	Uncacheable      bool     // caches do not store the class's responses
 }
 
 // SlowStartSettings describe the load that an endpoint can take while it is warming up after its start.
 type SlowStartSettings struct {
-	Share          float64 // part of its capacity that it has at its start; grows linearly to 1 during the warm-up
-	Factor         float64 // multiple of its capacity above which the endpoint is overloaded
-	Window         int64   // ns; the endpoint is overloaded by too much load within this time
-	WarmUpDuration int64   // ns; 0: the endpoint needs no warm-up
+	Share          float64 // fraction of the capacity at the start; grows linearly to 1 during the warm-up
+	Factor         float64 // load that the endpoint can take over Window, as a multiple of its current capacity
+	Window         int64   // ns; time over which requests are counted to tell whether it is overloaded
+	WarmUpDuration int64   // ns; time from the start until the endpoint has its full capacity; 0: none
 }
 
 // Idempotency tells whether a request may be sent again although an earlier attempt may have taken effect.
@@ -70,9 +70,9 @@
 
 // Values of Idempotency.
 const (
-	NonIdempotent Idempotency = iota // never
-	Keyed                            // within the window and scope of its idempotency key
-	Idempotent                       // always
+	NonIdempotent Idempotency = iota // must not be sent again
+	Keyed                            // may be sent again only within the window and scope of its idempotency key
+	Idempotent                       // may always be sent again
 )
 
 // KeyScope names the servers among which repetitions of an idempotency key are dropped. An unknown value allows the
@@ -94,11 +94,11 @@
 const (
 	CapacityWeights WeightMeaning = iota // the endpoint's capacity; see Endpoint.Capacity
 	LoadWeights                          // a value that changes with the load; capacities are measured
-	NoWeights                            // nothing; capacities are measured
+	NoWeights                            // weights have no meaning; capacities are measured
 )
 
 const (
-	noKind         = "none"   // stands for a machine type that the settings do not name
+	noKind         = "none"   // machine type of parents or origins that the settings do not name
 	reportInFlight = "inHand" // field of load reports: the requests in flight at the endpoint
 )
 
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -6,7 +6,8 @@
 	"math"
 )
 
-// Slow start: an endpoint that has started recently can take N requests of mean work within a window, where
+// Slow start limits the work sent to an endpoint that has started recently. Within a window such an endpoint can take
+// N requests of mean work, where
 //
 //	N = factor × its current capacity × window / mean sending time
 //
@@ -14,14 +15,14 @@
 // without communicating with each other. docs/coldstart.md derives how. Work is in seconds of sending time.
 
 const (
-	// largeLimitFrom is the N from which overloadLimit uses the smaller margin.
+	// largeLimitFrom is the N from which on overloadLimit is N + 2√N + 2 instead of N + 3√N + 3.
 	largeLimitFrom = 30.
 
-	// overloadProbability is the accepted probability per day that any endpoint is overloaded.
+	// overloadProbability is the accepted probability that at least one endpoint is overloaded in a day.
 	overloadProbability = 1e-3
 
-	// incarnationsPerWindow is how many times one router's share may be used up within a window: a router that has
-	// restarted does not know what it sent before.
+	// incarnationsPerWindow is how many times one router may use up its share of the limit within a window: a router
+	// that has restarted does not know what it sent before.
 	incarnationsPerWindow = 2
 
 	// tokenParams.rate searches for the best t of the Chernoff bound by tiltSteps bisections of an interval whose
@@ -47,7 +48,7 @@
 	return min(n+3*math.Sqrt(n)+3, large(largeLimitFrom))
 }
 
-// slowStartParams are the parameters of an endpoint's slow start.
+// slowStartParams are the settings for an endpoint's slow start and the number of routers that share its limit.
 type slowStartParams struct {
 	SlowStartSettings
 	routers int // number of routers that send to the endpoint
@@ -71,23 +72,23 @@
 
 // slowStartBudget limits the work that one router sends to one endpoint in slow start.
 type slowStartBudget struct {
-	sent []charge // work sent within the last window, in order of time
+	sent []charge // work that this router sent within the last window, the oldest first
 
 	// A router whose share of the work is less than one request collects tokens. Each admits a single request.
 	tokens    float64
-	tokensAt  int64 // when tokens was last updated
-	tokensFor int64 // slowStartFrom of the start that the tokens belong to
+	tokensAt  int64 // ns; when tokens was last updated
+	tokensFor int64 // the endpoint's slowStartFrom when collecting began; tokens do not outlast a restart
 
 	// Computing the token rate costs more than the rest of a decision, and hundreds of endpoints may be in slow start
 	// at the same time. Before retryAt there cannot be a whole token for retryWork, so the rate is not computed.
 	retryAt   int64
-	retryWork float64 // s; smallest work that retryAt applies to
+	retryWork float64 // s of sending time; retryAt applies to this work and to more
 }
 
-// charge is work that was sent to an endpoint.
+// charge is the work of one request that was sent to an endpoint, and when it was sent.
 type charge struct {
 	at     int64
-	amount float64 // s
+	amount float64 // s of sending time
 }
 
 // charge adds work that is sent to an endpoint now, if the endpoint is in slow start. The work can be a first
@@ -98,7 +99,7 @@
 	}
 }
 
-// dropUntil removes the charges up to a time.
+// dropUntil removes the charges that were made at or before a time.
 func (budget *slowStartBudget) dropUntil(until int64) {
 	for len(budget.sent) > 0 && budget.sent[0].at <= until {
 		budget.sent = budget.sent[1:]
@@ -113,7 +114,7 @@
 	}
 }
 
-// work returns the sum of the work sent within the last window, in s.
+// work returns the sum of the charges that dropUntil has not removed, in s of sending time.
 func (budget *slowStartBudget) work() (sum float64) {
 	for _, sent := range budget.sent {
 		sum += sent.amount
@@ -156,10 +157,10 @@
 	return now < budget.retryAt && budget.tokensFor == startedAt && work >= budget.retryWork
 }
 
-// tokenParams are the parameters that token rates are computed from.
+// tokenParams are the values that determine how fast a router collects tokens for an endpoint in slow start.
 type tokenParams struct {
-	limit  float64 // s; work within the window above which the endpoint is overloaded
-	trials float64 // number of trials in one window: at most one request for each incarnation of a router
+	limit  float64 // s of sending time within the window above which the endpoint is overloaded
+	trials float64 // incarnationsPerWindow times the number of routers; see rate
 	starts float64 // slow starts per day, assuming that each listed endpoint starts once a day
 }
 
@@ -246,7 +247,7 @@
 		starts: float64(len(r.endpoints)),
 	}
 	if r.minMeanSendingTime() <= fixedShare {
-		tokens.limit -= fixedShare * float64(params.routers) // lighter requests may use up the fixed shares
+		tokens.limit -= fixedShare * float64(params.routers) // lighter classes may use up the fixed shares
 	}
 	return tokens.rate(work, r.meanWork(now, fixedShare))
 }
@@ -262,8 +263,8 @@
 	return uniformDraw(hash.Sum64())
 }
 
-// uniformDraw maps a hash to a number from [0, 1). It uses the finalizer of MurmurHash3 (Appleby), because the last
-// input bytes alone have too little effect on the upper bits of an FNV hash.
+// uniformDraw maps an FNV hash to a number from [0, 1). It applies the finalizer of MurmurHash3 (Appleby) first,
+// because the last bytes of the hashed input have too little effect on the upper bits of an FNV hash.
 func uniformDraw(hash uint64) float64 {
 	hash = (hash ^ hash>>33) * 0xff51afd7ed558ccd
 	hash = (hash ^ hash>>33) * 0xc4ceb9fe1a85ec53
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -12,11 +12,11 @@
 // Times are in ns by the clock of the process that took the snapshot. CBOR stores the fields under the names in
 // their tags.
 type Snapshot struct {
-	StartedAt       int64            `cbor:"Started"` // when counting of requests started
+	StartedAt       int64            `cbor:"Started"` // ns; when the counting of requests started
 	TakenAt         int64            `cbor:"Taken"`
-	RequestCount    float64          `cbor:"Total"` // decayed, as of RequestCountAt
+	RequestCount    float64          `cbor:"Total"` // number of all requests, decayed until RequestCountAt
 	RequestCountAt  int64            `cbor:"TotalAt"`
-	AdmissionLimits [3]float64       `cbor:"Rooms"`    // indexed by attemptKind
+	AdmissionLimits [3]float64       `cbor:"Rooms"`    // multiples of the caches' capacity, by attemptKind
 	Classes         []ClassSnapshot  `cbor:"Products"` // ordered by name
 	Objects         []ObjectSnapshot // ordered by the last request, the most recent one at the end
 	Purges          []PurgeSnapshot  // ordered by name
@@ -25,25 +25,25 @@
 // ClassSnapshot is what was learned from the responses of a class.
 type ClassSnapshot struct {
 	Name         string
-	SendingTime  float64 `cbor:"Sending"` // s; mean
-	ResponseTime float64 `cbor:"Answer"`  // s; mean
-	Samples      float64 `cbor:"Seen"`    // number of responses that the means count as
+	SendingTime  float64 `cbor:"Sending"` // s; mean sending time of the responses
+	ResponseTime float64 `cbor:"Answer"`  // s; mean time until a successful response
+	Samples      float64 `cbor:"Seen"`    // weight of the means, in responses
 }
 
-// ObjectSnapshot is the record of one object.
+// ObjectSnapshot is what a router knows about the requests and purges of one part of an object.
 type ObjectSnapshot struct {
 	Object        string
 	Part, Group   int64
-	Count, Purges float64 // number of requests, decayed, as of CountedAt; total number of purges
+	Count, Purges float64 // requests, decayed until CountedAt; purges, not decayed
 	CountedAt     int64   `cbor:"Counted"`
 	FirstSeenAt   int64   `cbor:"Born"`
-	Evicted       bool    `cbor:"Ghost"` // evicted from the recently requested objects
+	Evicted       bool    `cbor:"Ghost"` // the record was evicted from the recently requested objects
 }
 
 // PurgeSnapshot is a purge that has not expired.
 type PurgeSnapshot struct {
 	Name     string // key of the object or group; see purgeKey
-	PurgedAt int64  `cbor:"When"` // Unix ns by the clock of the discovery service
+	PurgedAt int64  `cbor:"When"` // Unix ns by the clock of the discovery service; 0: not known
 }
 
 // Shifted returns the snapshot with its times shifted by an offset, in ns, to the clock of another process.
@@ -153,7 +153,7 @@
 	class.samples = max(class.samples, learned.Samples)
 }
 
-// record returns the record of an object, without its request count.
+// record returns the record of the object with a request count of 0 and with times no later than now.
 func (o ObjectSnapshot) record(now int64) *objectRecord {
 	return &objectRecord{
 		key:         objectKey{o.Object, o.Part},
