--- a/internal/connpool/config.go
+++ b/internal/connpool/config.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// Config is the configuration of a Plan.
+// Config describes the router that a Plan is for, and the limits of each cache that the Plan stays within.
 type Config struct {
-	Router         string  // name of the router, from which its subset is computed
-	Seed           uint64  // of the plan's random numbers
+	Router         string  // name of the router; its subset depends on this name and those of the caches
+	Seed           uint64  // seed of the plan's random numbers
 	Routers        int     // number of routers in the location, according to the settings
-	MaxConnections int     // connections that a cache accepts from all routers together
-	MaxConnectRate float64 // new connections per second that a cache accepts from all routers; 0: no limit
+	MaxConnections int     // maximum number of connections that a cache accepts from all routers together
+	MaxConnectRate float64 // new connections per second that a cache accepts from all routers together; 0: no limit
 }
 
 // maxConnectDuration limits how long all routers together may take to open one connection each to a cache. A cache
@@ -28,7 +28,7 @@
 // connection each to a cache.
 type ConnectRateError struct {
 	Routers        int
-	MaxConnectRate float64 // connections per second
+	MaxConnectRate float64 // new connections per second that a cache accepts from all routers together
 }
 
 func (e *ConnectRateError) Error() string {
--- a/internal/connpool/connections.go
+++ b/internal/connpool/connections.go
@@ -1,9 +1,9 @@
 package connpool
 
 const (
-	// Requests are sent on a connection outside the subset for outsideSendDuration after it is dialled. The
-	// connection is open for at most maxOutsideDuration, which includes dialling and the requests that are still in
-	// flight when sending ends.
+	// On a connection to a cache outside the subset, requests are sent for outsideSendDuration after it is dialled.
+	// Such a connection is assumed to be open for at most maxOutsideDuration, which includes dialling and the time
+	// until the requests in flight have ended.
 	outsideSendDuration = second
 	maxOutsideDuration  = outsideSendDuration + outsideSendDuration/2
 
@@ -14,12 +14,12 @@
 	maxRefusedDelay = 8 * second
 	backoffGrowth   = 3
 
-	// idleTimeout is how long a connection may be idle before it is closed while the router has more than
-	// MaxPerEndpoint connections to its cache.
+	// idleTimeout is how long a connection may be idle while the router has more than MaxPerEndpoint connections to
+	// the same cache. It is then closed.
 	idleTimeout = 500 * millisecond
 
-	// minConnectDelay is the least time between two dials to the same cache, so that two events at the same instant
-	// dial it only once.
+	// minConnectDelay is the least time between two dials to the same cache. It prevents two events that are handled
+	// at the same time from dialling it twice.
 	minConnectDelay = millisecond
 )
 
--- a/internal/connpool/connpool.go
+++ b/internal/connpool/connpool.go
@@ -21,12 +21,12 @@
 	millisecond = int64(1e6)
 )
 
-// maxPerEndpoint limits a router's connections to one cache, however many the cache accepts. Package router applies
-// the same limit without a plan.
+// maxPerEndpoint is the maximum number of a router's connections to one cache, however many the cache accepts. Package
+// router has the same limit where there is no plan.
 const maxPerEndpoint = 4
 
-// randomStream is the second half of the generator's seed. It makes the random numbers of a plan independent of those
-// that other packages generate from the same seed.
+// randomStream is the second half of the seed of a plan's random number generator. It makes the plan's random numbers
+// independent of those that other packages generate from the same Config.Seed.
 const randomStream = 0x6c696e6b
 
 // Plan decides on the connections of one router. A nil Plan allows all connections. It is not safe for concurrent
@@ -35,26 +35,26 @@
 	config       Config
 	random       *rand.Rand
 	endpoints    map[string]*endpoint
-	ranking      []*endpoint // most preferred first; the first SubsetSize are the subset
-	listNumber   int         // number of the last list passed to SetEndpoints
-	sizedFor     int         // number of endpoints for which SubsetSize was computed
-	outsideDelay int64       // least delay between two connections to the same endpoint outside the subset
+	ranking      []*endpoint // all caches, the most preferred first; the first SubsetSize are the subset
+	listNumber   int         // number of calls of SetEndpoints so far
+	sizedFor     int         // number of caches in the ranking when SubsetSize was computed
+	outsideDelay int64       // ns; least time between two dials to the same cache outside the subset
 
-	SubsetSize     int // number of endpoints in the subset
-	MaxPerEndpoint int // connections to one endpoint of the subset
+	SubsetSize     int // number of caches in the subset
+	MaxPerEndpoint int // maximum number of the router's connections to one cache of the subset
 }
 
 // endpoint is the state of one cache in a plan.
 type endpoint struct {
 	name         string
-	score        uint64 // of rendezvous hashing; the lowest scores are preferred
-	listNumber   int    // number of the last list that contained it
-	isNew        bool   // the current list is the first that contains it
+	score        uint64 // hash of the router's and the cache's name; the lowest scores are preferred
+	listNumber   int    // value of Plan.listNumber for the last list that contained the cache
+	isNew        bool   // the cache was just added, and its first connection is not delayed yet
 	inSubset     bool
-	preconnected bool  // Preconnect has returned it and need not return it again
-	connectAt    int64 // earliest time at which the next connection may be opened
-	refusedDelay int64 // backoff after the last refused connection; 0: none was refused since the last success
-	sendUntil    int64 // outside the subset, when sending requests on the open connection ends
+	preconnected bool  // Preconnect has returned the cache and must not return it again
+	connectAt    int64 // ns; earliest time at which the next connection may be opened
+	refusedDelay int64 // ns; delay after the last refused connection; 0: none since the last success
+	sendUntil    int64 // ns; when sending on the open connection ends, if the cache is not in the subset
 }
 
 // New returns a plan without caches; SetEndpoints adds them.
@@ -108,7 +108,7 @@
 	p.ranking = slices.Insert(p.ranking, rank, added)
 }
 
-// removeUnlisted removes the caches that are not in the last list.
+// removeUnlisted removes the caches that are not in the list that SetEndpoints is applying, with their state.
 func (p *Plan) removeUnlisted() {
 	p.ranking = slices.DeleteFunc(p.ranking, func(endpoint *endpoint) bool {
 		if endpoint.listNumber == p.listNumber {
--- a/internal/connpool/localbackoff.go
+++ b/internal/connpool/localbackoff.go
@@ -1,6 +1,7 @@
 package connpool
 
-// The first and the longest delay of a LocalBackoff are the connect timeout divided by these numbers.
+// The first delay of a LocalBackoff is the connect timeout divided by firstDelayDivisor, and the longest delay is the
+// connect timeout divided by maxDelayDivisor.
 const (
 	firstDelayDivisor = 16
 	maxDelayDivisor   = 4
@@ -11,9 +12,9 @@
 // The delay doubles with each dial that fails this way, up to a limit, until a dial reaches an endpoint. A
 // LocalBackoff is not safe for concurrent use.
 type LocalBackoff struct {
-	connectTimeout int64 // ns
-	delay          int64 // ns; the last delay; 0: there was no failure since the last success
-	until          int64 // ns; end of the last delay
+	connectTimeout int64 // ns; time within which a connection must be established
+	delay          int64 // ns; the last delay; 0: the backoff has not begun or was ended
+	until          int64 // ns; end of the last delay; 0: none
 }
 
 // NewLocalBackoff returns a LocalBackoff that is not active. connectTimeout is the time in ns within which a
@@ -36,13 +37,13 @@
 	return begins
 }
 
-// End ends the backoff and reports whether there was one. It is called when a dial succeeded, was refused or timed out:
-// none of these is an error on this machine.
+// End ends the backoff and reports whether there was one. The caller must call it when a dial succeeds, is refused or
+// times out, because none of these is an error on this machine.
 func (b *LocalBackoff) End() (ends bool) {
 	ends = b.delay > 0
 	b.delay, b.until = 0, 0
 	return ends
 }
 
-// Active reports whether dialling is suspended.
+// Active reports whether no endpoint may be dialled at the time now, in ns.
 func (b *LocalBackoff) Active(now int64) bool { return now < b.until }
--- a/internal/connpool/subset.go
+++ b/internal/connpool/subset.go
@@ -3,12 +3,12 @@
 import "math"
 
 const (
-	// subsetShare is the share of a cache's connections for routers that have the cache in their subset. The rest is
-	// for short-lived connections from other routers.
+	// subsetShare is the fraction of the connections a cache accepts that is for routers with the cache in their
+	// subset. The rest is for short-lived connections from other routers.
 	subsetShare = 0.75
 
-	// boundDeviations is the distance, in standard deviations, from the mean of a random number of connections to
-	// its upper bound. About one cache in 4,000 exceeds the bound.
+	// boundDeviations is by how many standard deviations the limit on the connections to a cache exceeds the mean of
+	// their number, which is random. About one cache in 4,000 exceeds the limit.
 	boundDeviations = 3.5
 )
 
@@ -33,8 +33,8 @@
 }
 
 // outsideConnectRate returns how many connections per second the routers that do not have a cache in their subset may
-// open to it together. At this rate the random number of their open connections stays within the connections that
-// subsetShare leaves.
+// open to it together. At this rate the number of their open connections, which is random, stays within the fraction
+// 1-subsetShare of the connections that the cache accepts.
 func outsideConnectRate(maxConnections int) float64 {
 	rest := (1 - subsetShare) * float64(maxConnections)
 	// The mean number of open connections solves mean + boundDeviations*sqrt(mean) = rest, and root is sqrt(mean).
--- a/internal/router/attempts.go
+++ b/internal/router/attempts.go
@@ -8,23 +8,23 @@
 	"tealpath/control"
 )
 
-// minResponseTime is the shortest time in ns that an endpoint is given to respond: timeouts are sent to endpoints in
-// whole milliseconds.
+// minResponseTime is the shortest time in ns that an endpoint is given to respond. It is 1 ms because timeouts are
+// sent to endpoints in whole milliseconds.
 const minResponseTime = millisecond
 
 // attempt is one try to get the response to a request from one endpoint.
 type attempt struct {
 	request      *inFlightRequest
-	number       int       // index in the request's attempts
+	number       int       // index of the attempt in request.attempts
 	cache        *endpoint // endpoint to send the request to; nil: it is unknown, so the attempt ends at once
-	source       *endpoint // endpoint from which the cache fills a miss; nil: the cache does not fill misses
+	source       *endpoint // endpoint from which the cache fills a miss; nil: CacheOnly, or it is unknown
 	connection   *connection
 	upstream     UpstreamRequest
-	startedAt    int64 // ns
-	deadline     int64 // ns; by when its response must have been received
-	sendDeadline int64 // ns; by when writing it must have begun
+	startedAt    int64 // ns; when startAttempt was called
+	deadline     int64 // ns; the attempt times out if its response is not received by then
+	sendDeadline int64 // ns; the attempt is not sent if writing it has not begun by then
 	timer        *timer
-	ended        bool // its outcome was reported to the policy
+	ended        bool // the outcome of the attempt was reported to the policy
 }
 
 // startAttempt starts an attempt that the policy decided on. The attempt is sent at once if its connection is
@@ -52,7 +52,8 @@
 	attempt.timer = r.timers.Push(attempt.sendDeadline, timerTask{kind: attemptTimer, attempt: attempt})
 }
 
-// newAttempt returns an attempt that the policy decided on. It has no connection yet.
+// newAttempt returns an attempt that the policy decided on, without a connection and not yet among the request's
+// attempts. Its deadline is the earlier one of the request's deadline and the policy's timeout.
 func (r *Router) newAttempt(request *inFlightRequest, decided control.Attempt) *attempt {
 	timeout := request.Deadline - r.now
 	if decided.Timeout > 0 {
@@ -89,7 +90,7 @@
 	return created
 }
 
-// send sends an attempt on its connection, which is established.
+// send emits the effect that sends an attempt on its connection, which must be established, and sets its timer.
 func (r *Router) send(attempt *attempt) {
 	r.setAttemptTimer(attempt)
 	r.emit(Send{
@@ -156,13 +157,13 @@
 	}
 	delete(connection.inFlight, id)
 	if !connection.established {
-		return // nothing was sent
+		return // nothing was sent, so there is nothing to cancel
 	}
 	connection.abandonedAt[id] = r.now
 	if r.config.CancelAttempts {
 		r.emit(CancelAttempt{Connection: connection.id, ID: id})
 	} else {
-		r.emit(WithdrawAttempt{Connection: connection.id, ID: id}) // an attempt that is not written yet is dropped
+		r.emit(WithdrawAttempt{Connection: connection.id, ID: id}) // the attempt is not sent if it is not written yet
 	}
 	r.drainIfUnresponsive(attempt)
 	r.closeIfDrained(connection)
@@ -206,7 +207,7 @@
 	}
 }
 
-// attemptWithdrawn ends an attempt that was sent on an established connection but was not written.
+// attemptWithdrawn ends an attempt as NotSent after its connection's writer has confirmed that no byte was written.
 func (r *Router) attemptWithdrawn(event AttemptWithdrawn) {
 	connection := r.connections[event.Connection]
 	if connection == nil || connection.inFlight[event.ID] == nil {
--- a/internal/router/config.go
+++ b/internal/router/config.go
@@ -7,19 +7,19 @@
 	"tealpath/internal/connpool"
 )
 
-// Limits contains the limits on a reducer's connections and requests.
+// Limits contains the limits on the connections and requests of one Router, in addition to those of the settings.
 type Limits struct {
-	MaxConnections int            // to all endpoints together
-	ConnectionPlan *connpool.Plan // limits connections to caches; nil: only the other limits apply
-	MaxInFlight    int            // requests in flight
-	MaxBodyBytes   int            // total size of the bodies of all requests in flight
+	MaxConnections int            // maximum number of connections to all endpoints together
+	ConnectionPlan *connpool.Plan // also limits the connections to caches; nil: no further limit
+	MaxInFlight    int            // maximum number of requests in flight
+	MaxBodyBytes   int            // maximum total size of the bodies of all requests in flight
 }
 
 // config contains the settings, with indexes for fast lookup.
 type config struct {
 	control.Settings
-	classes       map[string]control.ClassSettings // by name
-	nonCacheKinds []string                         // kinds of endpoints that are not caches
+	classes       map[string]control.ClassSettings // settings of each class, by its name
+	nonCacheKinds []string                         // values of EndpointEntry.Kind for parents and the origin
 }
 
 func newConfig(settings control.Settings) config {
--- a/internal/router/connection_selection.go
+++ b/internal/router/connection_selection.go
@@ -16,11 +16,11 @@
 	dialThreshold = 3
 )
 
-// connectionCandidates describes the connections to an endpoint that an attempt could use.
+// connectionCandidates is the outcome of findCandidates: the open connections to choose from, if there are any.
 type connectionCandidates struct {
-	preferred *connection // the best one that is not stalled, by isPreferred; nil: there is none
-	stalled   *connection // a stalled one; nil: there is none
-	atLimit   bool        // no further connection may be opened
+	preferred *connection // the first choice, by isPreferred, among those not stalled; nil: none
+	stalled   *connection // one of the stalled connections; nil: none is stalled
+	atLimit   bool        // no further connection to the endpoint may be opened
 }
 
 // pickConnection returns the connection to an endpoint that an attempt is to use: the least used one, which is an
@@ -40,12 +40,13 @@
 	}
 	dialled := r.dial(endpoint)
 	if preferred != nil && preferred.established {
-		return preferred // the new one is for later requests
+		return preferred // the connection that is being dialled is for later requests
 	}
 	return dialled
 }
 
-// findCandidates returns the connections to an endpoint that an attempt of a request could use.
+// findCandidates looks for open connections to an endpoint on which the request with an ID may be sent, and that are
+// not saturated.
 func (r *Router) findCandidates(endpoint *endpoint, id RequestID) connectionCandidates {
 	var candidates connectionCandidates
 	saturated := 0
@@ -100,7 +101,8 @@
 	return r.now-max(oldest, connection.lastReceivedAt) > r.config.ConnectTimeout
 }
 
-// canDial reports whether one more connection to an endpoint may be opened.
+// canDial reports whether one more connection to an endpoint may be opened now, according to the backoff after local
+// errors, MaxConnections and the connection plan.
 func (r *Router) canDial(endpoint *endpoint) bool {
 	if r.localBackoff.Active(r.now) || len(r.connections) >= r.limits.MaxConnections {
 		return false
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -7,25 +7,25 @@
 	"tealpath/control"
 )
 
-// connection is the state of one connection to an endpoint.
+// connection is the state of one connection to an endpoint, from the time it is dialled until it is closed.
 type connection struct {
 	id          ConnectionID
 	endpoint    *endpoint
 	address     string
 	established bool
-	draining    bool // no new attempt is sent on it, and it is closed once none is in flight
+	draining    bool // no new attempt may use the connection, which is closed once none is in flight
 	closed      bool
 	inFlight    map[RequestID]*attempt
 
-	// abandonedAt contains the times in ns at which attempts were abandoned, or non-idempotent ones got a response.
-	// Another response to them may still be received.
+	// abandonedAt contains the requests for which another response may still be received on this connection, and the
+	// time in ns at which their attempt was abandoned or, if it was not idempotent, got its first response.
 	abandonedAt map[RequestID]int64
 
-	lastReceivedAt int64 // ns; when it last received a response, or was dialled or established
-	lastUsedAt     int64 // ns; when an attempt was last started on it, or when it was dialled
+	lastReceivedAt int64 // ns; when a response was last received, or the connection dialled or established
+	lastUsedAt     int64 // ns; when an attempt last started on the connection, or when it was dialled
 }
 
-// dial starts opening another connection to an endpoint.
+// dial starts opening a connection to an endpoint and returns it. It does not check the limits.
 func (r *Router) dial(endpoint *endpoint) *connection {
 	r.lastConnection++
 	dialled := &connection{
@@ -73,7 +73,8 @@
 	}
 }
 
-// connectionDown handles a connection that has ended or was never established.
+// connectionDown handles a connection that has ended or could not be established: it tells the connection plan, and
+// ends the attempts on the connection.
 func (r *Router) connectionDown(event ConnectionDown) {
 	connection := r.connections[event.Connection]
 	if connection == nil {
@@ -138,7 +139,7 @@
 	return control.ConnectionLost
 }
 
-// removeConnection marks a connection as closed and removes it from its endpoint.
+// removeConnection marks a connection as closed and removes it from all tables. It does not end the attempts in flight.
 func (r *Router) removeConnection(connection *connection) {
 	connection.closed = true
 	delete(r.connections, connection.id)
@@ -171,7 +172,7 @@
 	}
 }
 
-// closeUnused closes the connections for which isUnused returns true.
+// closeUnused closes the idle connections that are no longer to be kept open; see isUnused.
 func (r *Router) closeUnused() {
 	var unused []ConnectionID
 	for id, connection := range r.connections {
--- a/internal/router/effects.go
+++ b/internal/router/effects.go
@@ -13,10 +13,10 @@
 
 // Each request gets a response of one of these kinds, unless its client cancels it or disconnects.
 const (
-	Served     ResponseKind = iota // with the response of an endpoint
-	Rejected                       // not executed; the client may retry
-	Failed                         // without a usable response; it may have been executed
-	BadRequest                     // malformed or not allowed; Respond.Reason says why
+	Served     ResponseKind = iota // the client gets the response of an endpoint
+	Rejected                       // the client may safely retry: the request was not executed or can be repeated
+	Failed                         // there is no usable response, and the request may have been executed
+	BadRequest                     // the request is malformed or not allowed; Respond.Reason says why
 )
 
 // String returns the kind's name in lower case, or "unknown" if the value is not one of the constants.
@@ -40,16 +40,16 @@
 	Seq         int32
 	Kind        ResponseKind
 	Body        []byte
-	NotModified bool  // the copy that the client has is still valid
-	RetryAfter  int64 // ns; how long the client should wait before it retries; 0: not stated
-	Reason      error // with BadRequest: a *FieldError, ErrSequenceInUse or ErrBodyTooLong
+	NotModified bool  // the copy that the client already has is still valid
+	RetryAfter  int64 // ns; time that a rejected client should wait before it retries; 0: not stated
+	Reason      error // a *FieldError, ErrSequenceInUse or ErrBodyTooLong if Kind is BadRequest, otherwise nil
 }
 
 // Dial opens a connection to an endpoint. ConnectionUp or ConnectionDown follows.
 type Dial struct {
 	Connection ConnectionID
 	Address    string
-	Timeout    int64 // ns
+	Timeout    int64 // ns; time within which the connection must be established
 }
 
 // Send writes a request to a connection. If writing cannot begin before SendDeadline, nothing is written and
@@ -57,7 +57,7 @@
 type Send struct {
 	Connection   ConnectionID
 	Request      UpstreamRequest
-	SendDeadline int64 // ns
+	SendDeadline int64 // ns; time by which writing must begin
 }
 
 // UpstreamRequest is a request as it is sent to an endpoint. The strings and the body that are from the client are
@@ -69,9 +69,9 @@
 	Part           string
 	Body           []byte
 	ClientETag     string // entity tag of the copy that the client has; empty: none
-	IdempotencyKey string // from the client, lets servers drop repeated requests; empty: none
-	Deadline       int64  // ns; when the response is due; the endpoint is sent the time left until then
-	Source         string // instance from which the cache fills a miss; empty: it does not fill misses
+	IdempotencyKey string // key by which servers recognize and drop a repeated request; empty: none
+	Deadline       int64  // ns; when the response must be received; the endpoint is sent the time left
+	Source         string // name of the instance from which the cache fills a miss; empty: none
 	Attempt        control.Attempt
 }
 
@@ -89,13 +89,13 @@
 	ID         RequestID
 }
 
-// Close closes a connection. No event follows.
+// Close closes a connection to an endpoint, on which all attempts have ended. No event follows.
 type Close struct{ Connection ConnectionID }
 
 // SetTimer sets the reducer's only timer and replaces its previous time. TimerFired follows at this time, in ns.
 type SetTimer struct{ At int64 }
 
-// Log writes an event to the log. Instance is the name of the endpoint that the event concerns; empty: none.
+// Log writes an event to the program's log. Instance is the name of the endpoint that the event concerns; empty: none.
 type Log struct {
 	Event    logevent.Event
 	Instance string
--- a/internal/router/endpoint_table.go
+++ b/internal/router/endpoint_table.go
@@ -12,11 +12,11 @@
 	phaseGone  = "gone"
 )
 
-// endpoint is the state of one instance in the endpoint list.
+// endpoint is one instance in the endpoint list, with the connections to it.
 type endpoint struct {
 	EndpointEntry
 	connections []*connection
-	inPlan      bool // it is one of the caches in the connection plan
+	inPlan      bool // the endpoint was in the last list passed to the connection plan
 }
 
 func (e *endpoint) isReady() bool { return e.Phase == phaseReady }
@@ -27,7 +27,7 @@
 	byID            map[uint32]*endpoint
 	byAddress       map[string][]*endpoint
 	gone            map[string]*endpoint // endpoints in phaseGone that still have connections, by name
-	removed         []*endpoint          // since the last assignIDs; byID may still contain them
+	removed         []*endpoint          // endpoints removed since the last assignIDs; byID may still contain them
 	displaced       int                  // number of endpoints whose ID is not the hash of their name
 	planInitialized bool                 // SetEndpoints of the connection plan was called
 }
@@ -50,7 +50,7 @@
 	return entries
 }
 
-// getOrAdd returns the endpoint with a name, and adds it if there is none.
+// getOrAdd returns the endpoint with a name. If there is none, it adds one that has no entry and no ID yet.
 func (table *endpointTable) getOrAdd(name string) (found *endpoint, added bool) {
 	if found = table.byName[name]; found != nil {
 		return found, false
@@ -68,7 +68,7 @@
 	table.byAddress[entry.Address] = append(table.byAddress[entry.Address], endpoint)
 }
 
-// removeAddress removes an endpoint from byAddress.
+// removeAddress removes an endpoint from byAddress. It must be called before the address of the endpoint changes.
 func (table *endpointTable) removeAddress(endpoint *endpoint) {
 	rest := without(table.byAddress[endpoint.Address], endpoint)
 	table.byAddress[endpoint.Address] = rest
@@ -77,7 +77,7 @@
 	}
 }
 
-// updateGone updates the set of gone endpoints after a change of some endpoints.
+// updateGone adds the changed endpoints that are in phaseGone to the gone ones, and removes those that no longer are.
 func (table *endpointTable) updateGone(changed endpointSet) {
 	for name, endpoint := range changed {
 		if endpoint.Phase == phaseGone {
@@ -88,7 +88,7 @@
 	}
 }
 
-// remove removes an endpoint from the table. The next assignIDs frees its ID.
+// remove removes an endpoint from the table, except for its ID, which the next assignIDs frees.
 func (table *endpointTable) remove(name string) {
 	endpoint := table.byName[name]
 	delete(table.byName, name)
--- a/internal/router/endpoints.go
+++ b/internal/router/endpoints.go
@@ -79,7 +79,7 @@
 	if !restarted && !moved {
 		return nil, added
 	}
-	for _, connection := range endpoint.connections { // a new endpoint has none
+	for _, connection := range endpoint.connections { // a new endpoint has no connections
 		connection.draining = true
 		stale = append(stale, connection)
 	}
@@ -99,7 +99,8 @@
 	}
 }
 
-// updatePolicy passes the changed endpoints to the policy, or all of them if IDs have changed.
+// updatePolicy passes the changed endpoints to the policy or, if all is true because IDs have changed, the complete
+// endpoint list.
 func (r *Router) updatePolicy(changed endpointSet, all bool) {
 	if all {
 		changed = r.endpoints.byName
@@ -126,7 +127,7 @@
 		return
 	}
 	r.endpoints.planInitialized = true
-	var caches []string // in any order, since the plan ranks them
+	var caches []string // names of the caches, in any order, since the plan ranks them
 	for name, endpoint := range r.endpoints.byName {
 		if endpoint.inPlan {
 			caches = append(caches, name)
--- a/internal/router/events.go
+++ b/internal/router/events.go
@@ -15,10 +15,10 @@
 // RequestReceived reports that a client's request has been read completely.
 type RequestReceived struct {
 	Client      ClientID
-	Seq         int32 // sequence number that the client gave its call
-	ArrivedAt   int64 // ns; earliest time at which its first byte can have arrived; 0: the time of the event
+	Seq         int32 // number that identifies the request among those of the client's connection
+	ArrivedAt   int64 // ns; earliest time at which the request can have arrived; 0: the time of the event
 	Request     Request
-	DecodeError error // returned by DecodeRequest; if it is set, the request is answered with BadRequest
+	DecodeError error // error of DecodeRequest, to be answered with BadRequest; nil: Request is valid
 }
 
 // RequestCancelled reports that a client has stopped waiting for one request.
@@ -34,25 +34,25 @@
 // get their responses, but no further attempt is made for them.
 type ClientHalfClosed struct{ Client ClientID }
 
-// ConnectionUp reports that a dialled connection is established.
+// ConnectionUp reports that the connection opened by a Dial is established and requests can be sent on it.
 type ConnectionUp struct{ Connection ConnectionID }
 
-// Cause says on which side the error that ended a connection occurred.
+// Cause tells whether a connection ended because of an error on this machine or for any other reason.
 type Cause int // Remote or Local
 
-// Local is an error on this machine, such as a lack of file descriptors, which says nothing about the endpoint. Remote
-// is any other cause.
+// Values of Cause. Local is an error on this machine, such as a lack of file descriptors, which says nothing about the
+// endpoint. Remote is any other cause.
 const (
 	Remote Cause = iota
 	Local
 )
 
-// ConnectionDown reports that a connection has ended or was never established.
+// ConnectionDown reports that a connection to an endpoint has ended, or that dialling it has failed.
 type ConnectionDown struct {
 	Connection ConnectionID
-	Unsent     []RequestID // requests that were not completely written and so cannot have been executed
+	Unsent     []RequestID // IDs of the requests that were not completely written, so cannot have been executed
 	Cause      Cause
-	Reason     string // text of the error; empty: no error
+	Reason     string // text of the error that ended the connection; empty: there was none
 }
 
 // AttemptWithdrawn reports that no byte of a request was written to its connection and none will be, because the
@@ -67,16 +67,16 @@
 	Connection      ConnectionID
 	ID              RequestID
 	Result          control.Result
-	NotModified     bool  // the copy that the client has is still valid
+	NotModified     bool  // the copy that the client already has is still valid
 	Unversioned     bool  // Result is ServerError only because the response names no version of the object
-	IssuedAt        int64 // when the origin issued the copy, Unix ns by its clock; 0: it is not a cacheable copy
+	IssuedAt        int64 // Unix ns by the origin's clock; when it issued the copy; 0: not a cacheable copy
 	Body            []byte
-	Note            int64     // code from the wire: where the response came from, or who rejected the attempt
-	TimeToFirstByte int64     // ns; until the first byte came from the source, as the endpoint reports it; 0: unknown
-	LoadReport      []float64 // the endpoint's load, in the order of the setting LoadReportFields
+	Note            int64     // code of where the response came from, or which server rejected the attempt; 0: unknown
+	TimeToFirstByte int64     // ns until the endpoint got the first byte from the source, as it reports; 0: unknown
+	LoadReport      []float64 // figures about the load, in the order of Settings.LoadReportFields; nil: none
 }
 
-// EndpointEntry is one entry of the endpoint list.
+// EndpointEntry is one entry of the endpoint list. The reducer ignores the ID of a received entry and assigns its own.
 type EndpointEntry struct {
 	Instance string
 	Address  string
@@ -85,7 +85,7 @@
 
 // EndpointListUpdated reports the complete endpoint list, or changes to it.
 type EndpointListUpdated struct {
-	Complete bool // Entries is the complete list; otherwise only the entries that were added or changed
+	Complete bool // Entries is the complete list, not only the entries that were added or changed
 	Entries  []EndpointEntry
 }
 
@@ -93,15 +93,15 @@
 type PurgeReceived struct {
 	Object   string
 	Group    int64
-	PurgedAt int64 // Unix ns by the clock of the discovery service
+	PurgedAt int64 // Unix ns by the clock of the discovery service; 0 or less: not known
 }
 
 // ProbeEnded reports the result of a health check of an endpoint. The check was made by this router or by another one
 // with which it shares the health checks.
 type ProbeEnded struct {
-	Instance   string // the endpoint that was checked
+	Instance   string // name of the endpoint that was checked
 	Healthy    bool
-	LoadReport []float64 // as in ResponseReceived
+	LoadReport []float64 // as in ResponseReceived; the policy does not use it
 }
 
 // TimerFired reports that the timer set by SetTimer has fired.
--- a/internal/router/logevents.go
+++ b/internal/router/logevents.go
@@ -5,7 +5,7 @@
 // ConnectUnavailable is logged when connections can no longer be opened because of an error on this machine, such as a
 // lack of file descriptors. Dialling is suspended with a backoff until a dial does not fail with such an error.
 type ConnectUnavailable struct {
-	Cause string `log:"cause"` // text of the error
+	Cause string `log:"cause"` // text of the error with which a dial failed
 }
 
 // Kind implements logevent.Event.
@@ -29,7 +29,7 @@
 // PanicRecovered is logged when handling an event panicked, which is a defect of this program. The affected request
 // fails shortly after its deadline at the latest.
 type PanicRecovered struct {
-	Cause string `log:"cause"` // text of the panic's value
+	Cause string `log:"cause"` // value passed to panic, as text
 }
 
 // Kind implements logevent.Event.
--- a/internal/router/request.go
+++ b/internal/router/request.go
@@ -13,21 +13,21 @@
 const (
 	fieldClass          = "verb"
 	fieldID             = "txn"
-	fieldTimeout        = "limit" // ms
+	fieldTimeout        = "limit" // in ms; how long the client waits for its response
 	fieldObject         = "item"
 	fieldPart           = "nth"
 	fieldGroup          = "batch"
 	fieldIdempotencyKey = "unique"
 	fieldClientETag     = "got"
 	fieldIsRetry        = "second"
-	fieldSize           = "ram" // KB
+	fieldSize           = "ram" // in KB; size of the response
 )
 
 const (
-	hexDigits      = 16 // number of digits in IDs, objects and entity tags
+	hexDigits      = 16 // number of digits of a request ID, an object and an entity tag
 	maxGroup       = 255
 	maxSizeKB      = 1e9
-	maxBodyBytes   = 240_000 // a request's body may be as long as an object
+	maxBodyBytes   = 240_000 // limit on a request's body, which may be as long as an object
 	retryIndicator = "1"     // value of fieldIsRetry in a retry by the client
 
 	// keyDelimiters are the characters that an idempotency key must not contain. The key is forwarded in a
@@ -43,15 +43,15 @@
 // them.
 type Request struct {
 	ID             RequestID
-	Class          string  // name of its class in the settings
-	Object         string  // the object requested, 16 hexadecimal digits
-	Part           Part    // of the object
-	Group          int64   // group that the object belongs to; the objects of a group can be purged together
+	Class          string  // name of the request's class in the settings
+	Object         string  // name of the requested object, 16 hexadecimal digits
+	Part           Part    // the part of the object that is requested
+	Group          int64   // number of the object's group, whose objects can be purged together
 	Timeout        int64   // ns; how long the client waits for its response
-	IsRetry        bool    // the client marked it as a retry
-	SizeKB         float64 // 0: not stated
+	IsRetry        bool    // the client marked the request as a retry of an earlier one
+	SizeKB         float64 // size of the response; 0: not stated
 	ClientETag     string  // entity tag of the copy that the client has; empty: none
-	IdempotencyKey string  // by which servers drop repeated requests; empty: none
+	IdempotencyKey string  // key by which servers recognize and drop a repeated request; empty: none
 	Body           []byte
 }
 
@@ -61,7 +61,7 @@
 	Text   string
 }
 
-// FieldReason says what is wrong with a field of a request.
+// FieldReason is what is wrong with a field of a request, in the words that are sent to the client.
 type FieldReason string
 
 // Reasons of a FieldError. Clients receive these texts after the field's name.
@@ -71,10 +71,10 @@
 	FieldIDInUse      FieldReason = "is in use" // responses to two requests with one ID could not be told apart
 )
 
-// FieldError reports an invalid field of a request.
+// FieldError reports a field for which a request is answered with BadRequest.
 type FieldError struct {
-	Field  string // its name on the wire
-	Value  string // empty also if the field is missing
+	Field  string // name of the field on the wire
+	Value  string // value that the client sent; empty: the field is empty or missing
 	Reason FieldReason
 }
 
@@ -154,7 +154,7 @@
 	return key
 }
 
-// clientETag decodes an optional field. An invalid entity tag is ignored.
+// clientETag decodes the entity tag of the client's copy. It returns an empty string if the tag is missing or invalid.
 func (d *fieldDecoder) clientETag() string {
 	if tag := d.fields[fieldClientETag]; isHexadecimal(tag) {
 		return tag
@@ -162,7 +162,8 @@
 	return ""
 }
 
-// size decodes an optional field, which only some deployments send. An invalid size is ignored.
+// size decodes the size of the response, which clients send only in some deployments. It returns 0 if the size is
+// missing or invalid.
 func (d *fieldDecoder) size() (kilobytes float64) {
 	size, err := strconv.ParseFloat(d.fields[fieldSize], 64)
 	if err == nil && size > 0 && size < maxSizeKB {
--- a/internal/router/request_table.go
+++ b/internal/router/request_table.go
@@ -1,11 +1,11 @@
 package router
 
-// requestTable holds the requests in flight.
+// requestTable holds the requests that have been accepted and have no final response yet.
 type requestTable struct {
 	byClient  map[ClientID]map[int32]*inFlightRequest // by client and sequence number
 	byID      map[RequestID]*inFlightRequest
 	count     int
-	bodyBytes int // total size of the bodies of all requests in flight
+	bodyBytes int // total size, in bytes, of the bodies of all requests in flight
 }
 
 func newRequestTable() requestTable {
@@ -30,7 +30,7 @@
 	return ordered
 }
 
-// all returns all requests, ordered by client and sequence number.
+// all returns the requests of all clients, ordered by client and sequence number.
 func (table *requestTable) all() []*inFlightRequest {
 	ordered := make([]*inFlightRequest, 0, table.count)
 	for _, client := range sortedKeys(table.byClient) {
--- a/internal/router/requests.go
+++ b/internal/router/requests.go
@@ -12,14 +12,14 @@
 
 // inFlightRequest is a request that has no final response yet.
 type inFlightRequest struct {
-	control.Request // the part that the policy needs, and the policy's state
+	control.Request // what the policy needs to know about the request, and the policy's own state
 	received        Request
 	client          ClientID
 	seq             int32
 	attempts        []*attempt
-	finished        bool // it has its final response, or it was abandoned
+	finished        bool // the request has its final response, or its client no longer waits for it
 	deadlineTimer   *timer
-	recheckTimer    *timer // fires when the policy decides on it again; nil: was never set
+	recheckTimer    *timer // fires when the policy must decide on the request again; nil: never set
 }
 
 // requestReceived puts a request in flight, or responds at once if the request cannot be accepted.
@@ -88,7 +88,7 @@
 	return r.requests.count < r.limits.MaxInFlight && r.requests.bodyBytes+len(request.Body) <= r.limits.MaxBodyBytes
 }
 
-// startRequest puts a valid request in flight.
+// startRequest puts a valid request in flight, with its deadline timer, and asks the policy for the first decision.
 func (r *Router) startRequest(event RequestReceived) {
 	arrivedAt := r.eventAt
 	if event.ArrivedAt > 0 {
@@ -154,14 +154,14 @@
 	r.requests.remove(request)
 }
 
-// requestCancelled ends a request that its client cancelled.
+// requestCancelled ends a request that its client cancelled. It ignores one that has already ended.
 func (r *Router) requestCancelled(event RequestCancelled) {
 	if request := r.requests.find(event.Client, event.Seq); request != nil {
 		r.abandonRequest(request)
 	}
 }
 
-// clientDisconnected ends all requests of a client.
+// clientDisconnected ends all requests of a client whose connection has ended, and cancels their attempts.
 func (r *Router) clientDisconnected(event ClientDisconnected) {
 	for _, request := range r.requests.ofClient(event.Client) {
 		r.abandonRequest(request)
--- a/internal/router/responses.go
+++ b/internal/router/responses.go
@@ -42,7 +42,7 @@
 	uncacheable := r.config.classes[attempt.request.Class].Uncacheable
 	switch {
 	case event.NotModified && attempt.upstream.ClientETag == "":
-		result = control.ServerError // the client named no copy that could be valid
+		result = control.ServerError // the client has no copy, so "not modified" is no answer to it
 	case event.Unversioned && uncacheable:
 		result = control.Succeeded // an object that no cache stores needs no version
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -17,24 +17,25 @@
 // millisecond is one millisecond in ns. Times in this package are in ns unless stated otherwise.
 const millisecond = int64(1e6)
 
-// Router is the reducer. It is not safe for concurrent use.
+// Router is the reducer: it holds the state of one router process and changes it in Handle. It is not safe for
+// concurrent use.
 type Router struct {
 	policy  *control.Router
 	limits  Limits
 	config  config
-	now     int64 // ns; never goes back
-	eventAt int64 // ns; when the event being handled occurred, at most now
+	now     int64 // ns; latest time that was passed to Handle or New, so that it never goes back
+	eventAt int64 // ns; time passed to Handle with the current event, at most now
 	effects []Effect
 
 	requests       requestTable
 	endpoints      endpointTable
 	connections    map[ConnectionID]*connection
 	lastConnection ConnectionID
-	localBackoff   *connpool.LocalBackoff // delays all dialling while this machine can open no connections
+	localBackoff   *connpool.LocalBackoff // suspends all dialling while this machine can open no connections
 
 	timers           timerqueue.Queue[timerTask]
-	nextTick         int64 // ns; when the periodic work is due next
-	timerSetFor      int64 // ns; time of the last SetTimer, 0 once it has fired
+	nextTick         int64 // ns; when tick is due next
+	timerSetFor      int64 // ns; time of the last SetTimer; 0: none, or the timer has fired
 	shutdownDeadline int64 // ns; by when every request must be answered; 0: no shutdown has begun
 }
 
@@ -92,7 +93,7 @@
 func (r *Router) handleEvent(event Event) {
 	switch event := event.(type) {
 	case TimerFired:
-		r.timerSetFor = 0 // so that Handle sets the timer again, even to the same time if it fired early
+		r.timerSetFor = 0 // makes Handle set the timer again, even to the same time if it fired early
 	case RequestReceived:
 		r.requestReceived(event)
 	case RequestCancelled:
--- a/internal/router/timers.go
+++ b/internal/router/timers.go
@@ -12,7 +12,7 @@
 // timer is a handle with which one of the reducer's timers can be removed before it fires.
 type timer = timerqueue.Timer[timerTask]
 
-// timerKind says what a timer is for.
+// timerKind is what happens when a timer fires.
 type timerKind int
 
 const (
@@ -21,14 +21,15 @@
 	deadlineTimer                  // a request's deadline, plus the grace for its final response
 )
 
-// timerTask says what to do when a timer fires.
+// timerTask is what a timer is set for: its kind, and the request or the attempt that it belongs to.
 type timerTask struct {
 	kind    timerKind
-	request *inFlightRequest // for recheckTimer and deadlineTimer
-	attempt *attempt         // for attemptTimer
+	request *inFlightRequest // set for recheckTimer and deadlineTimer
+	attempt *attempt         // set for attemptTimer
 }
 
-// runTimers runs all timers that are due.
+// runTimers runs the tasks of all timers that are due, in the order of their times. A task that panics does not
+// prevent the others from running.
 func (r *Router) runTimers() {
 	for r.timers.Next() <= r.now {
 		_, task := r.timers.Pop()
@@ -62,11 +63,11 @@
 	if attempt.ended {
 		return
 	}
-	result := control.Unreachable // nothing was written
+	result := control.Unreachable // the connection is not established, so nothing was written
 	if attempt.connection.established {
 		if r.now < attempt.deadline {
 			r.withdrawAttempt(attempt)
-			r.setAttemptTimer(attempt) // if it is already written, its response may arrive until the deadline
+			r.setAttemptTimer(attempt) // if the attempt is already written, its response is awaited until the deadline
 			return
 		}
 		result = control.TimedOut
@@ -109,7 +110,7 @@
 // opening those that the connection plan wants.
 func (r *Router) tick() {
 	r.nextTick = r.now + tickRetryDelay
-	_, delay := r.policy.Tick(r.now) // returns no endpoints to probe: see policySettings
+	_, delay := r.policy.Tick(r.now) // policySettings disables health checks, so there are no endpoints to probe
 	r.nextTick = r.now + delay
 	r.forgetAbandoned()
 	r.closeUnused()
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -14,22 +14,22 @@
 // removed is the heap index of a timer that is no longer in a queue.
 const removed = -1
 
-// Queue holds timers, each with a value. Its zero value is empty and ready for use. It is not safe for concurrent
-// use.
+// Queue holds timers, each with a value of type T. The zero Queue is empty and ready for use. A Queue is not safe for
+// concurrent use.
 type Queue[T any] struct {
 	timers timerHeap[T]
-	pushed int // number of timers pushed so far, which is the last one's sequence number
+	pushed int // number of timers pushed so far; Timer.sequence of the last one
 }
 
 // Timer is a handle for a pushed value, with which Remove takes the value out of the queue before its time.
 type Timer[T any] struct {
 	at       int64
 	sequence int
-	index    int // position in the heap, or removed
+	index    int // index of the timer in the heap, or the constant removed
 	value    T
 }
 
-// Push adds a value that is due at a time, in the unit of the caller's clock, and returns its handle.
+// Push adds a value that is due at the time at, in the unit of the caller's clock, and returns a handle for Remove.
 func (queue *Queue[T]) Push(at int64, value T) *Timer[T] {
 	queue.pushed++
 	timer := &Timer[T]{at: at, sequence: queue.pushed, value: value}
@@ -58,7 +58,7 @@
 	}
 }
 
-// Len returns the number of timers in the queue.
+// Len returns the number of timers that were pushed and neither popped nor removed.
 func (queue *Queue[T]) Len() int { return len(queue.timers) }
 
 // timerHeap implements heap.Interface and keeps each timer's index up to date.
@@ -89,7 +89,7 @@
 func (timers *timerHeap[T]) Pop() any {
 	old := *timers
 	last := old[len(old)-1]
-	old[len(old)-1] = nil // otherwise the array would keep the timer in memory
+	old[len(old)-1] = nil // otherwise the backing array would keep the timer in memory
 	last.index = removed
 	*timers = old[:len(old)-1]
 	return last
