--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -13,8 +13,8 @@
 	return router
 }
 
-// If fills are not admitted, a first attempt is sent to the cache on the condition that it serves only a cached
-// object. At a router with little traffic, many requests that look like fills are hits.
+// A router with little traffic takes many hits for fills. If fills are not admitted, it must not reject these requests
+// but let the cache serve them if the object is cached.
 func TestCacheOnlyAttempts(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -54,7 +54,7 @@
 func TestMissOfACacheOnlyAttempt(t *testing.T) {
 	for _, test := range []struct {
 		name       string
-		rejections int // fills that parents rejected
+		rejections int // number of fills that parents have just rejected
 		change     func(*Settings)
 		want       Verdict
 	}{
@@ -143,7 +143,7 @@
 	router.rejectOrFail(before, earlier)
 }
 
-// answerFill makes a router send a request for an object and receive the response after elapsed ns.
+// answerFill makes a router send a request for an object and receive a successful response after elapsed ns.
 func answerFill(router *Router, object string, elapsed int64) {
 	request := newRequest("harmless", object)
 	router.Decide(start, request)
@@ -185,7 +185,7 @@
 	first := newRequest("harmless", "a")
 	home := router.Decide(start, first).Attempt.Cache
 	router.AttemptEnded(start, first, Outcome{Result: Succeeded, RequestEnded: true, Elapsed: second / 10})
-	for range 12 { // above the limit of 2 times the capacity, shared by two routers
+	for range 12 { // more than half of 2 times the capacity of 5, the limit of one of two routers
 		endpoint := router.endpoints[home]
 		router.attemptStarted(endpoint, &attemptState{sentAt: start, cache: endpoint, lateAt: forever})
 	}
@@ -256,7 +256,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router, verdict := newRouter(t, nil), Send
-			for i := 0; verdict == Send; i++ { // until attempts without a response use up the limit
+			for i := 0; verdict == Send; i++ { // until attempts that get no response have used up the limit
 				request := newRequest("harmless", fmt.Sprint(i))
 				request.SizeKB = test.sizeKB
 				verdict = router.Decide(start, request).Verdict
@@ -274,7 +274,7 @@
 func TestLoadsOfOneRouterOfMany(t *testing.T) {
 	for _, test := range []struct {
 		routers  int
-		inFlight int // at one cache
+		inFlight int // attempts of the router in flight at one cache
 		admits   bool
 	}{{1, 12, false}, {1, 9, true}, {10, 1, true}, {10, 2, false}} {
 		t.Run(fmt.Sprintf("%d in flight, one of %d routers", test.inFlight, test.routers), func(t *testing.T) {
--- a/control/age_test.go
+++ b/control/age_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// In all cases the cost of a fill, c·b in docs/design.md, is 0.1. With a count of 100 the location has a request rate
-// of 20 per second: 100 requests within rateWindow, 10 s, times 2 routers.
+// In all cases the cost of a fill, c·b in docs/design.md, is 0.1 missed updates. With a count of 100 the location has
+// 20 requests per second for the object: 100 at each of 2 routers within rateWindow, which is 10 s.
 func TestAcceptedAge(t *testing.T) {
 	cases := []struct {
 		name   string
-		count  float64 // decayed number of requests at this router
+		count  float64 // requests for the object at this router, decayed over rateWindow
 		purges float64
-		fresh  int64 // fresh duration, ns
-		age    int64 // age of the record, in seconds
+		fresh  int64 // ns; fresh duration of the class; 0: without limit
+		age    int64 // s from the first request for the object to the last one
 		want   float64
 	}{
 		{"a rare object keeps the fresh duration", 0.01, 0, 8 * second, 0, 8},
@@ -54,9 +54,9 @@
 	cases := []struct {
 		name      string
 		class     string
-		object    string // purged object; "" purges the group
-		received  int64  // ns from the purge to its arrival
-		requested int64  // ns from the purge to the request
+		object    string // the purged object; empty: the object's group is purged
+		received  int64  // ns from the timestamp of the purge to its arrival at the router
+		requested int64  // ns from the timestamp of the purge to the request
 		maxAge    int64  // ns; largest accepted age; 0: the purge sets no limit
 	}{
 		{"an object, requested soon after", "harmless", "a", 0, second / 2, second / 2},
@@ -84,7 +84,7 @@
 	for _, test := range []struct {
 		routers int
 		between int64 // seconds between the first and the second request
-		want    int64 // priority of the second request
+		want    int64 // CachePriority of the second request
 	}{{1, 1, 2}, {1, 30, 1}, {20, 30, 2}} {
 		t.Run(fmt.Sprintf("again after %d s, one of %d routers", test.between, test.routers), func(t *testing.T) {
 			router := newRouter(t, func(s *Settings) { s.LocationRouters = test.routers })
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -36,7 +36,7 @@
 				requested++
 			}
 			if decision.Verdict != Send {
-				router.EndRequest(now, request) // a waiting request counts as rejected too
+				router.EndRequest(now, request) // a request that waits counts as rejected too
 				if now >= from+span-second {
 					rejected++
 				}
@@ -65,7 +65,7 @@
 				entries = append(entries, entry)
 			}
 			router.UpdateEndpoints(start, entries, true)
-			// Twelve requests at each of two caches, which can take them.
+			// The 24 requests are 12 at each of the two caches, which respond to all of them in time.
 			requested, rejected := runAtConcurrency(router, start, 4*second, 24)
 			if rejected > 0 || requested < 24 {
 				t.Errorf("in the fourth second %d of %d requests rejected, want 0 of at least 24", rejected, requested)
@@ -97,7 +97,7 @@
 			sent++
 		}
 	}
-	// The two caches have served four requests at a time each.
+	// So far each of the two caches has served four requests at a time.
 	if bound := int(2 * maxAdmissionLimit * maxAdmissionLimit * 4); sent > bound || sent < 8 {
 		t.Errorf("%d requests sent at the same time to caches that have served 8, want 8 to %d", sent, bound)
 	}
@@ -108,15 +108,15 @@
 // has less capacity than the other parent.
 func TestSlowStartOfMeasuredCapacities(t *testing.T) {
 	const (
-		mean             = 0.5 // s; mean work of a request
+		mean             = 0.5 // s of sending time; mean work of a request
 		parents          = 2
-		load             = 0.7 // mean load of the parents
-		capacity         = 20. // capacity of a parent according to the measurements
-		startingCapacity = 12. // capacity of the parent in slow start
+		load             = 0.7 // mean load of the parents, as a fraction of their capacity
+		capacity         = 20. // capacity of each parent that correct measurements would show
+		startingCapacity = 12. // actual capacity of the parent in slow start when it is warm
 	)
 	window := 2 * second
 	for _, routers := range []int{6, 24, 350} {
-		for _, from := range []int64{0, 8 * second} { // ns from the parent's start to the first requests
+		for _, from := range []int64{0, 8 * second} { // ns from the start of the parent to the first requests
 			var sentAt []int64
 			for n := range routers {
 				settings := testSettings(func(s *Settings) { s.Routers, s.Weights = routers, NoWeights })
@@ -128,12 +128,12 @@
 				}
 				entries[2].StartedAt = start
 				router.UpdateEndpoints(start, entries, true)
-				traffic := 0.5 // one router in ten has ten times the traffic of the others
+				traffic := 0.5 // relative to the other routers: one in ten has ten times as much
 				if n%10 == 0 {
 					traffic = 5
 				}
-				// The mean of traffic over all routers is 0.95, so that the sum over all routers corresponds to load.
-				// Measurements are between half and 1.5 times the correct value.
+				// measured is the work per second that this router measures, with an error of up to half. The
+				// mean of traffic over all routers is 0.95, so dividing by it makes the sum correspond to load.
 				measured := load * capacity * parents / float64(routers) * traffic / 0.95 * (0.5 + router.random())
 				endpoint := router.endpoints[3]
 				router.slowStartAdmits(start, endpoint, mean)
@@ -167,8 +167,8 @@
 	}
 }
 
-// While other routers of the location are down, this one gets their traffic too, and must not scale up its own
-// counts.
+// While other routers of the location are down, this one gets their traffic too. If it still multiplied its own counts
+// by the number of all routers, it would overestimate the load of the caches and reject requests.
 func TestActiveRouters(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// An uncacheable request has no home cache and goes to the least loaded cache.
+// A cache that stores no response gains nothing from getting all requests for an object, so writes must not overload
+// the home cache of a popular object while other caches have less load.
 func TestWritesGoToTheLeastLoadedCache(t *testing.T) {
 	router := routerOfClasses(t, nil)
 	for n := range 10 {
@@ -70,11 +71,11 @@
 	}
 }
 
-// The part of a limit that is reserved for a rare class of high value is proportional to the work of that class.
+// A class of high value that sends few requests must not keep a large part of the limit from the other classes.
 func TestRareClassReservesOnlyWhatItNeeds(t *testing.T) {
 	for _, test := range []struct {
-		rare float64 // fraction of the work that is of the rare class
-		want float64 // minimum fraction of the limit that is open to the other class
+		rare float64 // fraction of the offered work that is of the rare class
+		want float64 // minimum of admissionShare for the other class
 	}{{0.01, 0.95}, {0.5, 0.69}} {
 		router := routerOfClasses(t, func(s *Settings) { setWeights(s, 1, 40, 1) })
 		request := newRequest("harmless", "x")
@@ -91,13 +92,14 @@
 	}
 }
 
-// The class of the highest value could use up the limit alone. Other classes must be admitted too.
+// In an overload the class of the highest value could use up the limit alone. Some requests of each other class must
+// be admitted all the same.
 func TestNoClassIsShedEntirely(t *testing.T) {
 	router := routerOfClasses(t, func(s *Settings) {
 		setWeights(s, 1, 40, 1)
 		setObjectives(s, second/2, second/100, second/2)
 	})
-	router.classes[1].sendingTime = 0.4 // the same as class 0, which has a fortieth of the weight
+	router.classes[1].sendingTime = 0.4 // the same as that of class 0, which has a fortieth of the weight
 	router.classes[1].LatencyObjective = router.classes[0].LatencyObjective
 	requested, sent := map[string]int{}, map[string]int{}
 	type attempt struct {
@@ -176,7 +178,7 @@
 				decision = router.AttemptEnded(now, request, Outcome{Result: Overloaded, Note: 7, Attempt: last})
 			}
 			router.EndRequest(now, request)
-			retries-- // the first attempt
+			retries-- // the first attempt of the request is no retry
 		}
 		if free := retries > 60; free != (factor == 0) {
 			t.Errorf("overload factor %.1f: %d retries of 60 requests, more than 60 allowed: %v",
@@ -185,7 +187,7 @@
 	}
 }
 
-// With settings at their bounds there is no division by zero, and each class is admitted.
+// Weights or latency objectives of 0 could lead to a division by zero, and so to a class that is never admitted.
 func TestClassesWithExtremeSettings(t *testing.T) {
 	for _, test := range []struct {
 		name   string
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -35,7 +35,7 @@
 func TestUnsentRequestsAreRejectedAtHalfTheirTime(t *testing.T) {
 	for _, test := range []struct {
 		result Result
-		after  int64 // ns from the start of the attempt to its end
+		after  int64 // ns from the start of the first attempt to its end
 		want   Verdict
 	}{
 		{Unreachable, second - 1, Send},
@@ -59,7 +59,8 @@
 	}
 }
 
-// Whether a response is late depends on its own size if that is known, and otherwise on the mean of its class.
+// A large response takes longer to send than most responses of its class. It must not count as late because of that,
+// provided that its size is known.
 func TestLatencyObjectiveFollowsTheSize(t *testing.T) {
 	for _, test := range []struct {
 		name        string
--- a/control/deadline_test.go
+++ b/control/deadline_test.go
@@ -18,12 +18,13 @@
 	}
 }
 
-// No attempt starts if the time to the deadline is not longer than the fastest response of its class took.
+// An attempt whose response cannot come before the deadline would only load the cache. None is made if the time left
+// is not longer than the fastest response of the class took.
 func TestNoAttemptWithTooLittleTimeLeft(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		seen int   // number of earlier responses that took 40 ms; if not 0, one more took 20 ms
-		left int64 // ms until the deadline
+		seen int   // earlier responses that took 40 ms; if there are any, one more took 20 ms
+		left int64 // ms from the decision to the request's deadline
 		want Verdict
 	}{
 		{"no earlier responses", 0, 1, Send},
@@ -39,7 +40,7 @@
 				answerRequests(router, "harmless", 1, 20)
 				answerRequests(router, "harmless", test.seen, 40)
 			}
-			answerRequests(router, "stamped", 20, 300) // another class, which must not matter
+			answerRequests(router, "stamped", 20, 300) // responses of another class must not matter
 			request := newRequest("harmless", "a")
 			request.Deadline = start + test.left*second/1000
 			if decision := router.Decide(start, request); decision.Verdict != test.want {
@@ -57,8 +58,8 @@
 	}
 }
 
-// The send timeout of an attempt ends so early that the fastest response of its class could still come before the
-// deadline.
+// An attempt that waits too long for its connection would be sent although no response could come before the deadline.
+// Its send timeout leaves the time that the fastest response of its class took.
 func TestSendTimeoutLeavesTimeForTheResponse(t *testing.T) {
 	router := newRouter(t, nil)
 	answerRequests(router, "harmless", 10, 300)
@@ -74,10 +75,10 @@
 func TestAttemptsThatTimeOutEarly(t *testing.T) {
 	for _, test := range []struct {
 		name          string
-		left          int64 // ms
+		left          int64 // ms from the start of the attempt to the request's deadline
 		result        Result
-		elapsed       int64 // ms
-		countsAgainst bool  // counts against an endpoint
+		elapsed       int64 // ms from the start of the attempt to its end
+		countsAgainst bool  // the attempt counts as a failure of an endpoint
 		lowersLimit   bool
 	}{
 		{"timed out, with less time than the mean", 100, TimedOut, 100, false, false},
@@ -88,7 +89,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			router := newRouter(t, nil)
-			answerRequests(router, "harmless", 20, 10) // so that an attempt may start
+			answerRequests(router, "harmless", 20, 10) // short enough for an attempt with little time left to start
 			answerRequests(router, "harmless", 200, 150)
 			before := router.admission.limits
 			for n := range 100 {
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -21,12 +21,12 @@
 	rng      *rand.Rand
 	router   *Router
 	now      int64
-	entries  []Endpoint // current endpoint list
+	entries  []Endpoint // entries of the current endpoint list
 	nextID   uint32
 	requests []*Request      // requests that have not ended
-	digest   hash.Hash64     // hash of all decisions and of the numbers in log events
-	seen     map[string]int  // number of occurrences by kind of event or decision
-	failing  map[uint32]bool // endpoints at which half of the attempts fail now
+	digest   hash.Hash64     // hash of all decisions, and of the numbers in log events, so far
+	seen     map[string]int  // how often each kind of event and decision has occurred
+	failing  map[uint32]bool // IDs of the endpoints at which half of the attempts fail now
 }
 
 // randomSettings returns testSettings with random values for some of the settings.
@@ -79,7 +79,7 @@
 	return run
 }
 
-// addToDigest adds values to the digest.
+// addToDigest adds the text of values to the digest of the run, which depends on their order.
 func (run *randomRun) addToDigest(values ...any) {
 	if _, err := fmt.Fprintln(run.digest, values...); err != nil {
 		panic(err) // writing to a hash does not fail
@@ -142,7 +142,7 @@
 	}
 }
 
-// sendRequest makes the router decide on a new random request.
+// sendRequest passes a new random request to Decide and adds it to the requests of the run.
 func (run *randomRun) sendRequest() {
 	classes := []string{"harmless", "harmless", "stamped", "once"}
 	object := run.rng.IntN(1 + run.rng.IntN(60))
@@ -231,7 +231,7 @@
 	}
 }
 
-// step executes one random event.
+// step advances the clock by a random time and passes one random event to the router.
 func (run *randomRun) step() {
 	if run.rng.IntN(3) > 0 {
 		run.now += run.rng.Int64N(second / 20)
@@ -240,7 +240,7 @@
 		run.now += run.rng.Int64N(20 * second)
 	}
 	if run.rng.IntN(3000) == 0 {
-		run.now += 4000 * second // all scores have decayed to 0
+		run.now += 4000 * second // long enough for all health scores to decay to 0
 	}
 	router := run.router
 	switch n := run.rng.IntN(100); {
@@ -303,7 +303,7 @@
 
 const digestsFile = "testdata/decisions.digests"
 
-// recordedDigests reads the recorded digests. The file has one line for each run.
+// recordedDigests returns the lines of the file with the recorded digests, one for each run in the order of the seeds.
 func recordedDigests(t *testing.T) []string {
 	t.Helper()
 	raw, err := os.ReadFile(digestsFile)
@@ -317,7 +317,8 @@
 	return digests
 }
 
-// Decisions and the numbers in log events are the same, to the last bit, as when the digests were recorded.
+// A change of the code that is not meant to change decisions must not change any of them, nor a number in a log event,
+// even in the last bit. The random runs must therefore have the same digests as when they were recorded.
 func TestDecisionsAsRecorded(t *testing.T) {
 	seen := map[string]int{}
 	digests := make([]string, recordedRuns)
--- a/control/endings_test.go
+++ b/control/endings_test.go
@@ -10,7 +10,7 @@
 		class  string
 		result Result
 		after  int64 // ms from the start of the first attempt to its end
-		want   int64 // ms within which the retry must be sent; 0: no retry
+		want   int64 // ms; send timeout of the retry; 0: there is no retry
 	}{
 		{"late in the window", "stamped", ConnectionLost, 900, 100},
 		{"early in the window", "stamped", ConnectionLost, 50, 950},
@@ -44,9 +44,9 @@
 		class   string
 		hedging bool
 		result  Result
-		left    int64 // ms until the deadline
+		left    int64 // ms from the end of the first attempt to the deadline
 		want    Verdict
-		then    Verdict // verdict of the next decision
+		then    Verdict // verdict of the next call of Decide
 	}{
 		{"cancelled", "harmless", false, Cancelled, 2000, Wait, Send},
 		{"its connection was lost", "harmless", false, ConnectionLost, 2000, Wait, Send},
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// An endpoint that is draining, gone or no longer listed gets no attempts and fills nothing.
+// An endpoint that is draining, gone or no longer listed may stop at any time. Attempts that it serves or whose misses
+// it fills could then be lost, so none must use it.
 func TestDrainingAndGoneEndpointsGetNoAttempts(t *testing.T) {
 	for _, phase := range []string{"draining", "gone", "not listed"} {
 		t.Run(phase, func(t *testing.T) {
@@ -28,7 +29,8 @@
 	}
 }
 
-// The memory does not grow when endpoints are replaced again and again under new IDs.
+// Replacements of endpoints have new IDs. If the state of endpoints that are no longer listed were kept, memory would
+// grow without bound.
 func TestDelistedEndpointsAreForgotten(t *testing.T) {
 	router := newRouter(t, nil)
 	for n := range 5000 {
--- a/control/logevents_test.go
+++ b/control/logevents_test.go
@@ -83,7 +83,8 @@
 	}
 }
 
-// A limit that falls below half of its initial value is logged once, and again when it is back at the initial value.
+// An operator must see one log event when a limit falls below half of its initial value and one when it is back at the
+// initial value, but none for each small change in between.
 func TestAdmissionLimitChangesAreLogged(t *testing.T) {
 	var logged []logevent.Event
 	router := New(start, 7, testSettings(nil), func(event logevent.Event) { logged = append(logged, event) })
--- a/control/outliers_test.go
+++ b/control/outliers_test.go
@@ -8,9 +8,9 @@
 func TestEjection(t *testing.T) {
 	cases := []struct {
 		name    string
-		failing map[uint32]Result // result of all attempts at a cache, by its ID; others succeed
-		elapsed int64             // duration of these attempts, ns
-		want    uint32            // ID of the cache that is ejected; 0: none
+		failing map[uint32]Result // by ID of a cache: result of all attempts there; at other caches they succeed
+		elapsed int64             // ns; how long each attempt at a cache in failing takes
+		want    uint32            // ID of the cache that must be ejected; 0: none
 	}{
 		{"one cache loses connections", map[uint32]Result{1: ConnectionLost}, 0, 1},
 		{"one cache is unreachable", map[uint32]Result{2: Unreachable}, 0, 2},
@@ -65,7 +65,7 @@
 		}
 	}
 	later := start + second
-	for _, endpoint := range router.caches { // the caches still respond to hits
+	for _, endpoint := range router.caches { // the caches have just responded to hits
 		endpoint.lastResponseAt = later
 	}
 	router.Tick(later)
@@ -106,9 +106,9 @@
 	for _, test := range []struct {
 		name         string
 		responses    int  // number of responses from each parent
-		late         int  // one in this many responses of the first parent is late
-		otherEjected bool // the second parent is ejected
-		want         bool // the first parent is ejected
+		late         int  // one in this many responses of the first parent is late; the others are in time
+		otherEjected bool // the second parent was ejected before
+		want         bool // the first parent must be ejected
 	}{
 		{"a quarter of hundreds", 200, 4, false, true},
 		{"a quarter of a few", 12, 4, false, false},
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -50,7 +50,7 @@
 				router.Tick(at)
 			}
 			if sentAt > purgedAt+6*second {
-				return false // PurgeDuration is over: caches have dropped entries from before the purge by themselves
+				return false // after PurgeDuration no cache has an entry from before the purge any more
 			}
 			request := &Request{Class: class, Object: "a", Group: 1, Deadline: sentAt + offset + 5*second}
 			decision := router.Decide(sentAt+offset, request)
@@ -72,7 +72,7 @@
 					return true
 				}
 				if class != "harmless" {
-					return false // the request may have run and is not retried
+					return false // the request may have run, so it must not be retried
 				}
 				outcome := Outcome{Attempt: number, Result: Stale, Elapsed: second / 100}
 				decision = router.AttemptEnded(sentAt+offset, request, outcome)
@@ -87,7 +87,8 @@
 	}
 }
 
-// If the clocks agree, the purge's timestamp determines the accepted age and which entries are accepted.
+// If the clocks agree, entries that were issued between a purge and its arrival are valid. Counting from the arrival
+// would reject them and cause needless fills.
 func TestAcceptedAgeDependsOnTheTimestampIfClocksAgree(t *testing.T) {
 	router := newRouter(t, nil)
 	router.Purge(start+second, "a", 0, start)
@@ -106,7 +107,7 @@
 	for _, test := range []struct {
 		name        string
 		purgedAt    int64
-		maxAge      int64 // accepted age 2 s after the arrival; 0: at least the time since 1970
+		maxAge      int64 // ns; accepted age 2 s after the arrival; 0: at least the time since 1970
 		minIssuedAt int64
 	}{
 		{"valid", start, 3*second - purgeMargin, start},
@@ -134,13 +135,13 @@
 	}
 }
 
-// The last purge of an object counts. This is also so after a purge with an invalid timestamp, and after the clock
-// of the discovery service was set back.
+// A later purge must not be ignored because an earlier one had an invalid timestamp, or because the clock of the
+// discovery service was set back since then.
 func TestRepeatedPurges(t *testing.T) {
 	for _, test := range []struct {
 		name       string
-		timestamps []int64 // timestamps of purges that are received every second from start+second on
-		maxAge     int64   // accepted age 4 s after start; 0: only the issue time is checked
+		timestamps []int64 // ns; timestamps of purges that arrive one per second, from start+second on
+		maxAge     int64   // ns; accepted age 4 s after start; 0: the test checks the issue time instead
 	}{
 		{"two", []int64{start, start + 2*second}, 2*second - purgeMargin},
 		{"one after a timestamp in the far future", []int64{math.MaxInt64, start + 2*second}, 2*second - purgeMargin},
@@ -169,13 +170,14 @@
 	}
 }
 
-// A purge expires a fixed time after its arrival, by this router's clock, whatever its timestamp is.
+// A purge must not expire too early because its timestamp is from a clock that is behind this router's clock. It is
+// kept for PurgeDuration and purgeExpiryMargin after its arrival.
 func TestPurgesExpireByTheirArrival(t *testing.T) {
 	router := newRouter(t, nil)
 	const receivedAt = start + 3600*second
 	router.Purge(receivedAt, "a", 0, start)
 	for _, test := range []struct {
-		after int64 // ns since its arrival
+		after int64 // ns since the arrival of the purge
 		kept  bool
 	}{{6 * second, true}, {7 * second, false}} {
 		router.Tick(receivedAt + test.after)
@@ -188,12 +190,12 @@
 // The start time of an endpoint is by another machine's clock. If this router's clock is ahead of that one, the
 // endpoint must not count as warm too early.
 func TestSlowStartWithAnyClockOffset(t *testing.T) {
-	const startedAt = start + 100*second // by a correct clock
+	const startedAt = start + 100*second // start time by a correct clock
 	for _, offset := range []int64{0, 2 * second, 3600 * second, -2 * second, -3600 * second, year} {
 		for _, entryReceived := range []bool{false, true} {
 			t.Run(fmt.Sprintf("clock offset %d s, entry received: %v", offset/second, entryReceived), func(t *testing.T) {
 				router := newRouter(t, nil)
-				if entryReceived { // an entry that was issued 5 ms ago, and an older one
+				if entryReceived { // two entries: one was issued 5 ms ago, the other 1 s ago
 					request := newRequest("harmless", "a")
 					request.Deadline = startedAt + offset + second
 					router.Decide(startedAt+offset, request)
@@ -203,7 +205,7 @@
 				entry := testEndpoints[0]
 				entry.StartedAt = startedAt
 				router.UpdateEndpoints(startedAt+offset+second, []Endpoint{entry}, false)
-				since := router.slowStartSince(router.endpoints[1]) - offset // by a correct clock
+				since := router.slowStartSince(router.endpoints[1]) - offset // start time by a correct clock
 				switch {
 				case since > startedAt+second:
 					t.Errorf("slow start begins %d s after the arrival of the list, want no later than the arrival",
@@ -226,8 +228,8 @@
 	for _, test := range []struct {
 		name    string
 		starts  []int64
-		limited bool // the endpoint is in slow start when last listed, at start+second
-		warm    bool // the endpoint is warm after its warm-up, at start+12*second
+		limited bool // slow start limits the endpoint at start+second, when it was last listed
+		warm    bool // slow start no longer limits the endpoint at start+12*second
 	}{
 		{"long ago", []int64{0}, false, true},
 		{"negative", []int64{-1}, false, true},
@@ -246,7 +248,7 @@
 				router.UpdateEndpoints(start+second, []Endpoint{entry}, false)
 			}
 			endpoint := router.endpoints[1]
-			const work = 20. // s; more than an endpoint in slow start admits
+			const work = 20. // s of sending time; more than slow start admits
 			if limited := !router.slowStartAdmits(start+second, endpoint, work); limited != test.limited {
 				t.Errorf("limited when listed: %v, want %v", limited, test.limited)
 			}
@@ -259,7 +261,7 @@
 	entry := testEndpoints[0]
 	entry.StartedAt = start - 30*second
 	router.UpdateEndpoints(start, []Endpoint{entry}, false)
-	entry.StartedAt = start - 600*second // a restart after the clock of the timestamp was set back
+	entry.StartedAt = start - 600*second // a restart after the reporting machine's clock was set back
 	router.UpdateEndpoints(start+second, []Endpoint{entry}, false)
 	if endpoint := router.endpoints[1]; endpoint.slowStartReportedAt != start+second {
 		t.Errorf("a restart with an earlier timestamp was ignored: reported at %d, want %d",
@@ -269,7 +271,7 @@
 
 // A purge in a snapshot is effective at the router that restores it, whatever the clock offsets of both routers.
 func TestPurgesOfASnapshotWithAnyClockOffsets(t *testing.T) {
-	const purgedAt = 2*year + second // by a correct clock
+	const purgedAt = 2*year + second // time of the purge by a correct clock
 	for _, firstOffset := range []int64{0, 3600 * second, -3600 * second, year, -year} {
 		for _, offset := range []int64{0, 2 * second, -2 * second, 3600 * second, -3600 * second, year, -year} {
 			for _, rates := range []bool{false, true} {
@@ -301,7 +303,8 @@
 	}
 }
 
-// Shifted shifts the times of a snapshot to the clock of another process. Timestamps of purges do not change.
+// Times in a snapshot are by the clock of one process and must be shifted for another one. Timestamps of purges are by
+// the clock of the discovery service, so shifting them would make purged entries valid again.
 func TestShiftedSnapshot(t *testing.T) {
 	snapshot := Snapshot{
 		StartedAt:      1,
--- a/control/rates_test.go
+++ b/control/rates_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// The number of records is bounded, whatever the number of objects. The record of the least recently requested object
-// is dropped first.
+// Without a bound on the number of records, requests for ever new objects would use up the memory. The record of the
+// least recently requested object is dropped first.
 func TestRecordsAreBounded(t *testing.T) {
 	rates := newRequestRates(start)
 	for n := range 2*maxObjects + 2 {
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -183,7 +183,7 @@
 	}
 }
 
-// equal compares the fields that the selection of endpoints may change.
+// equal reports whether the fields that the selection of endpoints may change have the same values in both states.
 func (s routerState) equal(other routerState) bool {
 	return s.draws == other.draws && maps.EqualFunc(s.endpoints, other.endpoints, func(a, b endpointState) bool {
 		return a.ejected == b.ejected && a.nextProbeAt == b.nextProbeAt && a.probeBackoff == b.probeBackoff &&
@@ -251,8 +251,8 @@
 // propertyCases is the number of random cases that each property is tested with.
 const propertyCases = 10_000
 
-// The selected endpoints are the same as with the reference implementation, and so are the effects on the state of
-// all endpoints.
+// Selecting candidates in batches must neither change which endpoints are selected nor how the selection changes the
+// state of endpoints, compared with the reference implementation.
 func TestSelectionEqualsReference(t *testing.T) {
 	seen := map[string]int{}
 	for seed, cases := uint64(0), 0; cases < propertyCases; seed++ {
@@ -298,14 +298,15 @@
 	return endpoint.ID
 }
 
-// Incrementally updated counts equal sums over all endpoints to the last bit, also after the clock went backwards.
+// Counts that are updated with each attempt could drift away from the true sums over all endpoints, for example when
+// the clock goes backwards. They must equal the sums to the last bit.
 func TestCountsEqualReference(t *testing.T) {
 	for seed, cases := uint64(0), 0; cases < propertyCases; seed++ {
 		run := newRandomRun(t, 5000+seed)
 		for range 400 {
 			run.step()
 			if run.rng.IntN(50) == 0 {
-				run.now += run.rng.Int64N(200 * second) // scores decay, but not to 0
+				run.now += run.rng.Int64N(200 * second) // long enough for health scores to decay, but not to 0
 			}
 			cases++
 			if found := missedByTick(run.router, run.now); len(found) > 0 {
@@ -322,8 +323,8 @@
 	}
 }
 
-// Candidates come in the order of the reference ranking, down to the last one, for tiers of all sizes and with random
-// weights.
+// Selecting candidates in batches could skip, repeat or misplace an endpoint at the border of two batches. Their order
+// must be that of the reference ranking, for tiers of all sizes and with random weights.
 func TestCandidatesEqualReference(t *testing.T) {
 	run := newRandomRun(t, 1)
 	for round := range propertyCases / 100 {
--- a/control/retries_test.go
+++ b/control/retries_test.go
@@ -8,9 +8,9 @@
 // A fill that a parent rejects goes to the origin if the origin cannot be overloaded, even without retry tokens.
 func TestRejectedFillsGoToTheOrigin(t *testing.T) {
 	for _, test := range []struct {
-		note           int64   // 6: the source rejected it; 7: the source was unreachable; 9: the cache rejected it
-		overloadFactor float64 // overload factor of the origin; 0: it cannot be overloaded
-		want           uint32  // source of the retry; 0: any source but the origin, or no retry
+		note           int64   // who rejected the fill: 6: the source; 7: the source was unreachable; 9: the cache
+		overloadFactor float64 // the origin is overloaded above this multiple of its capacity; 0: never
+		want           uint32  // ID of the source of the retry; 0: any but the origin, or no retry
 	}{{6, 0, 5}, {7, 0, 5}, {9, 0, 0}, {6, 2, 0}} {
 		t.Run(fmt.Sprint("note ", test.note, ", overload factor ", test.overloadFactor), func(t *testing.T) {
 			router := newRouter(t, func(s *Settings) { s.OriginUnlimited = test.overloadFactor == 0 })
@@ -30,7 +30,7 @@
 		name    string
 		class   string
 		results []Result
-		want    Verdict // after the last result
+		want    Verdict // verdict after the last result
 	}{
 		{"idempotent, after a timeout", "harmless", []Result{TimedOut}, Send},
 		{
@@ -73,7 +73,8 @@
 	}
 }
 
-// Retries take a token only after results that may be signs of an overload.
+// Lost connections do not come from an overload. Retries after them must work even if the retries of an overload have
+// used up the tokens.
 func TestRetriesAfterLostConnectionsTakeNoTokens(t *testing.T) {
 	for _, test := range []struct {
 		result Result
@@ -103,7 +104,7 @@
 func TestHedging(t *testing.T) {
 	for _, test := range []struct {
 		name    string
-		lost    int   // number of lost responses
+		lost    int   // number of responses that were lost just before
 		elapsed int64 // time since the attempt was sent, in tenths of the latency objective
 		change  func(*Settings)
 		want    Verdict
@@ -153,7 +154,7 @@
 		idempotency Idempotency
 		scope       KeyScope
 		attempt     *attemptState
-		want        [3]bool // a retry is allowed in the same cell, in the same zone, elsewhere
+		want        [3]bool // whether a retry is allowed in the same cell, in the same zone and elsewhere
 	}{
 		{"cell", Keyed, ScopeCell, ran, [3]bool{true, false, false}},
 		{"zone", Keyed, ScopeZone, ran, [3]bool{true, true, false}},
@@ -176,7 +177,7 @@
 	}
 }
 
-// Rejections carry no Retry-After if the settings do not allow it.
+// If the settings do not allow Retry-After, clients must get rejections without it.
 func TestRejectionWithoutRetryAfter(t *testing.T) {
 	router := newRouter(t, func(s *Settings) { s.RetryAfter = false })
 	request := newRequest("harmless", "a")
--- a/control/settings_test.go
+++ b/control/settings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// The error names the key and the value of each invalid setting.
+// If several settings are invalid, the operator must learn of all of them at once, each with its key and its value.
 func TestInvalidSettings(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -241,11 +241,13 @@
 	}
 }
 
-// Settings that no decision depends on are decoded. A value of the wrong type counts as absent.
+// A setting that no decision depends on must not keep a router from starting: a value of the wrong type counts as
+// absent.
 func TestUncheckedSettings(t *testing.T) {
 	raw := rawTestSettings()
 	raw["list.mode"] = "ask"
-	raw["product.hardStop"] = []int64{second, 4 * second, 3 * second, 9 * second} // one more than there are classes
+	// The last element has no class.
+	raw["product.hardStop"] = []int64{second, 4 * second, 3 * second, 9 * second}
 	raw["answer.grace"] = 8 * second / 1000
 	raw["answer.bytesPerS"] = 310000.
 	raw["hands.most"] = int64(500)
@@ -287,7 +289,8 @@
 	}
 }
 
-// String returns a unique name for each enumeration value, and the number for any other value.
+// A value that is added to an enumeration but not to its names would be logged as a number, or under the name of
+// another value.
 func TestNamesOfValues(t *testing.T) {
 	seen := map[string]bool{}
 	for result := Overloaded; result <= LocalError; result++ {
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -169,8 +169,9 @@
 //
 // In the worst case all routers spend the tokens that they have collected at the same moment and continue to spend
 // new ones, so that one window sees the tokens of two windows. The work within that window is a sum of independent
-// trials. Each trial is a request with the probability q(work), with or without restarts. The Chernoff bound (A
-// measure of asymptotic efficiency for tests of a hypothesis, 1952) states for such a sum and any t > 0:
+// trials. In each trial one request is sent with the probability q, which is the token rate for its work, whether or
+// not routers restart. The Chernoff bound (A measure of asymptotic efficiency for tests of a hypothesis, 1952) states
+// for such a sum and any t > 0:
 //
 //	P(sum > limit) ≤ exp(trials·ln(1 + q·(exp(t·work) - 1)) - t·limit)
 //
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// sentWork is work that was sent to the endpoint in slow start.
+// sentWork is the work, in s of sending time, of one request that a router sent to the endpoint in slow start.
 type sentWork struct {
 	at   int64
 	work float64
@@ -39,7 +39,7 @@
 // sharedSlowStart is a set of routers that send to the same endpoint, which has just started.
 type sharedSlowStart struct {
 	routers []*Router
-	sent    []sentWork // work from all routers
+	sent    []sentWork // work that all routers together have sent to the endpoint
 }
 
 const (
@@ -73,7 +73,7 @@
 	}
 }
 
-// check compares the number of attempts within each window with the ruleLimit that applies at its end.
+// check fails the test if the number of attempts of all routers within any window exceeds the ruleLimit at its end.
 func (s *sharedSlowStart) check(t *testing.T, capacity float64) {
 	t.Helper()
 	slices.SortFunc(s.sent, func(a, b sentWork) int { return int(a.at - b.at) })
@@ -124,11 +124,12 @@
 	}
 }
 
-// The initial fractions of a token are distributed uniformly over routers, endpoints and restarts.
+// If the initial fractions of a token were not distributed uniformly over routers, endpoints and restarts, many
+// routers would get a whole token at the same time.
 func TestInitialTokensAreUniform(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		of   func(n int) (seed uint64, now int64, id uint32) // parameters of case n
+		of   func(n int) (seed uint64, now int64, id uint32) // arguments of draw n
 	}{
 		{"routers", func(n int) (uint64, int64, uint32) { return uint64(n), start, 3 }},
 		{"restarts", func(n int) (uint64, int64, uint32) { return 7, start + int64(n), 3 }},
@@ -143,7 +144,8 @@
 				count[int(router.initialTokens(now, &endpointState{Endpoint: Endpoint{ID: id}})*parts)]++
 			}
 			for part, n := range count {
-				if mean := draws / parts; n < mean*2/3 || n > mean*4/3 { // about five standard deviations
+				// A third of the mean is about five standard deviations.
+				if mean := draws / parts; n < mean*2/3 || n > mean*4/3 {
 					t.Errorf("interval %d of %d has %d of %d values, want %d to %d",
 						part, parts, n, draws, mean*2/3, mean*4/3)
 				}
@@ -165,7 +167,7 @@
 	return router
 }
 
-// checkCharged checks the amount of work, in s, that is charged to an endpoint in slow start.
+// checkCharged fails the test unless the work charged to an endpoint in slow start is want, in s of sending time.
 func checkCharged(t *testing.T, router *Router, id uint32, want float64) {
 	t.Helper()
 	if work := router.endpoints[id].slowStart.work(); math.Abs(work-want) > 1e-9 {
@@ -209,7 +211,7 @@
 	router := newRouterWithStart(t, 3, nil)
 	router.UpdateEndpoints(start, []Endpoint{{ID: 4, Location: "hub", Phase: PhaseGone}}, false)
 	large := newRequest("harmless", "a")
-	large.SizeKB = 5000 // 5 s by its size, but only the mean of its class counts
+	large.SizeKB = 5000 // takes 5 s to send, but only the mean sending time of its class counts
 	if decision := router.Decide(start, large); decision.Attempt.Source != 3 {
 		t.Fatalf("filled from %d, want 3", decision.Attempt.Source)
 	}
@@ -221,10 +223,10 @@
 	endpoint := router.endpoints[1]
 	for n := range 20 { // until the slow start does not admit any more probes
 		endpoint.ejected, endpoint.probing, endpoint.nextProbeAt = true, false, start
-		router.outliers.watched.add(endpoint) // as after an ejection
+		router.outliers.watched.add(endpoint) // Tick checks only watched endpoints
 		endpoint.lastResponseAt = start
 		probe, _ := router.Tick(start)
-		if want := n < 4; slices.Contains(probe, 1) != want { // ruleLimit(8), 19.5, for 2 incarnations of 2 routers
+		if want := n < 4; slices.Contains(probe, 1) != want { // 19.5 probes for 2 incarnations of 2 routers
 			t.Fatalf("probe %d sent: %v, want %v", n, !want, want)
 		}
 	}
@@ -234,11 +236,12 @@
 func TestSlowStartLimitsOneRouter(t *testing.T) {
 	cases := []struct {
 		name     string
-		endpoint int     // index in testEndpoints
-		since    int64   // ns since its start
-		budget   float64 // s; work that this router may send within the window
+		endpoint int     // index of the starting endpoint in testEndpoints
+		since    int64   // ns from the start of the endpoint to the requests
+		budget   float64 // s of sending time that this router may send within the window
 	}{
-		// The mean work is 0.5 s. Half of the limit is reserved for routers that restart.
+		// The limit, in requests, is divided by 2 for routers that restart and by the number of routers. The mean
+		// work of a request is 0.5 s.
 		{"a cache that has just started", 0, 0, (8 + 3*math.Sqrt(8) + 3) / 2 / 2 * 0.5},
 		{"a cache halfway through its warm-up", 0, 5 * second, (24 + 3*math.Sqrt(24) + 3) / 2 / 2 * 0.5},
 		{"a parent that has just started, used by all routers", 2, 0, (16 + 3*math.Sqrt(16) + 3) / 2 / 4 * 0.5},
--- a/control/slowstart_tokens_test.go
+++ b/control/slowstart_tokens_test.go
@@ -10,7 +10,7 @@
 // probabilityAbove returns the exact probability of more than the given number of successes in independent trials,
 // each of which succeeds with the probability chance.
 func probabilityAbove(trials, successes int, chance float64) float64 {
-	dist := make([]float64, successes+1) // dist[k]: probability of k successes so far
+	dist := make([]float64, successes+1) // dist[k] is the probability of k successes in the trials so far
 	dist[0] = 1
 	exceeded := 0.
 	for range trials {
@@ -32,7 +32,7 @@
 			for _, n := range []float64{0.1, 0.5, 1, 3, 10, 18, 29, 36, 100, 400} {
 				limit := int(ruleLimit(n))
 				if limit >= incarnationsPerWindow*routers {
-					continue // fixed shares suffice
+					continue // each router's fixed share is at least one request, so it needs no tokens
 				}
 				params := tokenParams{
 					limit:  ruleLimit(n),
@@ -58,8 +58,8 @@
 	}
 }
 
-// A mixture of heavy and light requests, each at the token rate for its work, does not overload an endpoint more
-// often.
+// The token rate for each work is computed as if all requests had that work. A mixture of heavy and light requests at
+// these rates must not overload an endpoint more often than overloadProbability allows.
 func TestTokensOfHeavyAndLightRequests(t *testing.T) {
 	// heavyWork and limit are in units of the work of a light request.
 	const routers, starts, heavyWork = 350, 256, 4
@@ -67,7 +67,8 @@
 		params := tokenParams{limit: float64(limit), trials: incarnationsPerWindow * routers, starts: starts}
 		light, heavy := params.rate(1, 1), params.rate(heavyWork, 1)
 		for part := 0.; part <= 1; part += 0.125 {
-			// dist[w] is the probability of work w so far, exceeded the probability of more than the limit.
+			// dist[w] is the probability that the work of the trials so far is w, and exceeded the probability that it
+			// is above the limit.
 			dist, exceeded := make([]float64, limit+1), 0.
 			dist[0] = 1
 			for range incarnationsPerWindow * routers {
@@ -102,9 +103,9 @@
 	window := 2 * second
 	for _, test := range []struct {
 		name     string
-		interval int64 // ns between two requests of a router for the endpoint
+		interval int64 // ns between two requests of one router for the endpoint
 		from     int64 // ns from the start of the endpoint to the first request
-		factor   int64 // one router in ten has this many times the requests of the others
+		factor   int64 // one router in ten has this many times as many requests as each other router
 	}{
 		{"many requests at all routers", second / 5, 0, 1},
 		{"few requests at each router", 5 * second, 0, 1},
@@ -144,7 +145,7 @@
 					}
 				}
 				share := 0.1 + 0.9*float64(first.at-start)/float64(20*second)
-				// The factor is 2, the capacity 20 and the window 2 s.
+				// The endpoint can take factor 2 times its capacity of 20, times share, in a window of 2 s.
 				if sustainable := 2 * 20 * share * 2; sum > sustainable {
 					t.Fatalf("%.1f s of work within the window from %.1f s after the start on, want at most %.1f s", sum,
 						float64(first.at-start)/1e9, sustainable)
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -125,7 +125,8 @@
 	}
 }
 
-// A request that is marked as a write is treated like a request of an uncacheable class.
+// Sending a write through a parent would take a detour, so a request that is marked as a write must go directly to the
+// origin even if its class is cacheable.
 func TestMarkedWritesGoToTheOrigin(t *testing.T) {
 	router := newWriteRouter(t, func(s *Settings) { s.Classes[1].Uncacheable = false })
 	for n := range 50 {
@@ -137,7 +138,8 @@
 	}
 }
 
-// The object of a cacheable request is filled from the parent that its hash selects, not directly from the origin.
+// If the objects of cacheable requests came directly from the origin, as writes do, the origin would get a request for
+// each miss of a cache. They must be filled from the parent that the object's hash selects.
 func TestReadsAreFilledFromParents(t *testing.T) {
 	router := newWriteRouter(t, nil)
 	for n := range 50 {
@@ -149,7 +151,7 @@
 
 // A write that the origin has rejected, or for which the origin could not be reached, is retried through a parent.
 func TestRejectedWritesGoThroughAParent(t *testing.T) {
-	for _, note := range []int64{6, 7} { // the source rejected it; the source could not be reached
+	for _, note := range []int64{6, 7} { // 6: the origin rejected the write; 7: the origin could not be reached
 		router := newWriteRouter(t, nil)
 		write := newRequest("write", "object")
 		router.Decide(start, write)
@@ -164,7 +166,7 @@
 	}
 }
 
-// If the endpoint list has no origin, writes go through a parent.
+// If the endpoint list has no origin, writes must not be rejected, because a parent can forward them.
 func TestWritesWithoutAnOriginListed(t *testing.T) {
 	router := newWriteRouter(t, nil)
 	entries := ringEndpoints()
--- a/internal/connpool/bench_test.go
+++ b/internal/connpool/bench_test.go
@@ -23,7 +23,7 @@
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
-				names[n%servers] = fmt.Sprintf("s-new-%d", n) // replaces one cache
+				names[n%servers] = fmt.Sprintf("s-new-%d", n) // a new name, so that the list replaces one cache
 				p.SetEndpoints(int64(n), names)
 			}
 		})
--- a/internal/connpool/connections_test.go
+++ b/internal/connpool/connections_test.go
@@ -14,18 +14,19 @@
 	idleSince int64
 }
 
-// simulatedRouters simulates all routers of a location, which open as many connections as their plans allow.
+// simulatedRouters is the simulated state of all routers of a location, which try to open connections to random caches
+// whenever their plans allow it.
 type simulatedRouters struct {
-	config  Config // of each router, except for its name and seed
+	config  Config // configuration of each router, except for its name and seed
 	caches  []string
 	rng     *rand.Rand
 	plans   []*Plan
-	open    [][]openConnection // by router
-	atCache map[string]int     // open connections of all routers, by cache
+	open    [][]openConnection // open connections, by index of the router
+	atCache map[string]int     // number of open connections from all routers, by cache
 
-	outsideSubset int                 // number of connections opened to caches outside the router's subset
-	opened        map[cacheSecond]int // number of connections opened, by cache and second
-	accepted      func(cache string)  // called after each connection is opened
+	outsideSubset int                 // number of connections opened so far to caches outside a router's subset
+	opened        map[cacheSecond]int // number of connections opened by all routers, by cache and second
+	accepted      func(cache string)  // called after a router has opened a connection to the cache
 }
 
 // cacheSecond identifies a cache and a second of the simulated time.
@@ -80,7 +81,7 @@
 		}
 		return closes
 	})
-	for range 6 { // the first caches are tried most often
+	for range 6 { // the caches at the beginning of the list are tried most often
 		cache := s.caches[int(float64(len(s.caches))*math.Pow(s.rng.Float64(), 3))]
 		if !plan.CanConnect(now, cache, own[cache]) {
 			continue
@@ -184,7 +185,7 @@
 	if len(returned) != plan.SubsetSize {
 		t.Errorf("Preconnect returned %d caches, want the %d of the subset", len(returned), plan.SubsetSize)
 	}
-	plan.SetEndpoints(3*second, names(11)) // the first ten keep their state
+	plan.SetEndpoints(3*second, names(11)) // one more cache; the first ten keep their state
 	for _, name := range plan.Preconnect(3 * second) {
 		if returned[name] {
 			t.Errorf("Preconnect returned %s again after an update of the list", name)
@@ -201,7 +202,8 @@
 	}
 }
 
-// Preconnect returns a cache again if dialling it failed because of an error on this machine.
+// If Preconnect did not return a cache again after a dial failed because of an error on this machine, the first
+// request for the cache would have to wait for a connection.
 func TestPreconnectAfterLocalError(t *testing.T) {
 	plan := New(Config{Router: "n", Routers: 10, MaxConnections: 100, MaxConnectRate: 100})
 	plan.SetEndpoints(0, names(1))
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -17,8 +17,8 @@
 	return out
 }
 
-// After any changes of the list, and in whatever order it lists the caches, the plan is the same as if all caches
-// were ranked from scratch.
+// The ranking is updated for each change of the list. If an update left a cache at the wrong rank, the subset of the
+// plan would differ from the subset of a router that has just started.
 func TestSetEndpointsEqualsRankingAllCaches(t *testing.T) {
 	rng := rand.New(rand.NewPCG(3, 4))
 	for run := range 100 {
--- a/internal/connpool/subset_test.go
+++ b/internal/connpool/subset_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// All caches are in about the same number of subsets, and none is in more than subsetShare of its connections allows.
+// If a cache were in the subsets of too many routers, it would have to refuse connections. All caches must be in about
+// the same number of subsets, and none in more than subsetShare of its connections.
 func TestSubsetsAreEven(t *testing.T) {
 	for _, test := range []struct{ routers, caches, maxConnections int }{
 		{300, 40, 225},
@@ -16,7 +17,7 @@
 		{1000, 40, 200},
 		{5000, 200, 500},
 	} {
-		routersAt := map[string]int{} // number of routers with the cache in their subset, by cache
+		routersAt := map[string]int{} // by cache: number of routers that have it in their subset
 		size := 0
 		for i := range test.routers {
 			plan := New(Config{Router: fmt.Sprint("n", i), Routers: test.routers, MaxConnections: test.maxConnections})
@@ -44,7 +45,8 @@
 	}
 }
 
-// Removing one cache from the list removes at most one other cache from a subset, and adds at most one.
+// When one cache leaves the list, routers must keep nearly all of their connections: each subset loses at most one
+// other cache and gains at most one.
 func TestSubsetsAreStable(t *testing.T) {
 	for i := range 200 {
 		plan := New(Config{Router: fmt.Sprint("n", i), Routers: 300, MaxConnections: 60})
--- a/internal/router/clients_test.go
+++ b/internal/router/clients_test.go
@@ -40,7 +40,8 @@
 	})
 }
 
-// A request that cannot be accepted does not affect the requests in flight.
+// A request that cannot be accepted must get its response at once, and must not replace or end one in flight that has
+// the same sequence number or ID.
 func TestInvalidRequestsAreAnsweredAtOnce(t *testing.T) {
 	runScenarios(t, newDefaultHarness, []scenario{
 		{"a sequence number in use", func(h *harness) {
@@ -106,14 +107,15 @@
 		{"while one request is in flight and one waits for a connection: served, and rejected", func(h *harness) {
 			h.request(1, nil)
 			h.connectNewest()
-			h.request(2, map[string]string{"item": objectOnOtherCache(h.t)}) // its cache has no connection yet
+			h.request(2, map[string]string{"item": objectOnOtherCache(h.t)}) // its cache has no connection
 			h.handle(halfClosed)
 			h.respond(success)
 		}, "dial, send 1, dial, rejected 2, served 1:bytes"},
 	})
 }
 
-// A client may repeat a request on another connection, with the same ID.
+// A client that has half-closed its connection may repeat a request on another one, with the same ID. The repetition
+// must not be refused because of that ID, nor executed a second time if it is not idempotent.
 func TestRepeatedRequestIDOnAnotherConnection(t *testing.T) {
 	halfClosed := ClientHalfClosed{Client: 1}
 	runScenarios(t, newTwoClassHarness, []scenario{
--- a/internal/router/connections.go
+++ b/internal/router/connections.go
@@ -139,7 +139,7 @@
 	return control.ConnectionLost
 }
 
-// removeConnection marks a connection as closed and removes it from all tables. It does not end the attempts in flight.
+// removeConnection marks a connection as closed and removes it from all tables. It does not end attempts in flight.
 func (r *Router) removeConnection(connection *connection) {
 	connection.closed = true
 	delete(r.connections, connection.id)
--- a/internal/router/connections_test.go
+++ b/internal/router/connections_test.go
@@ -81,7 +81,7 @@
 	for _, c := range []struct {
 		name     string
 		responds bool
-		want     int // connections to the cache
+		want     int // number of connections to the cache one second later
 	}{
 		{"no response since the request was sent: closed", false, 0},
 		{"a response to another request since then: kept", true, 1},
@@ -110,7 +110,7 @@
 func TestConnectionPlanIsFollowed(t *testing.T) {
 	plan := connpool.New(connpool.Config{Router: "n", Seed: 7, Routers: 3, MaxConnections: 3, MaxConnectRate: 30})
 	h := newHarness(t, func(limits *Limits, _ *control.Settings) { limits.ConnectionPlan = plan })
-	h.advance(second) // the two caches are dialled, the parent and the origin are not
+	h.advance(second) // both caches are dialled, but not the parent and the origin
 	if count := len(h.dialled); count != 2 {
 		t.Fatalf("%d connections are dialled before the first request, want 2; effects %v", count, h.observed)
 	}
--- a/internal/router/deadlines_test.go
+++ b/internal/router/deadlines_test.go
@@ -83,13 +83,14 @@
 	})
 }
 
-// The deadline of a request depends on when it arrived, not on when it was read.
+// A request may wait before it is read. If its deadline were counted from then on, the response would come after the
+// client has stopped waiting.
 func TestDeadlineRunsFromArrival(t *testing.T) {
 	const unknown = -1
 	for _, c := range []struct {
 		name     string
-		waitedMS int64 // ms between the request's arrival and the event
-		wantMS   int64 // ms left until its deadline; 0: it is rejected at once
+		waitedMS int64 // ms between the arrival of the request and its event; -1: arrival not known
+		wantMS   int64 // ms from the event to the request's deadline; 0: it is rejected at once
 	}{
 		{"read at once", 0, 2480},
 		{"unknown arrival", unknown, 2480},
@@ -133,7 +134,7 @@
 	}
 }
 
-// If the timer fires a little early, before anything is due, it is set again.
+// The timer may fire a little early, before anything is due. If it were not set again, no timer would fire any more.
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	h := newDefaultHarness(t)
 	h.now = h.timerSetFor - 1
@@ -157,12 +158,12 @@
 	}
 }
 
-// A request gets a response also if handling an event panics.
+// A panic while an event is handled must neither end the process nor leave the request without a response.
 func TestRequestIsAnsweredAfterPanic(t *testing.T) {
 	h := newDefaultHarness(t)
 	h.request(1, nil)
 	h.connectNewest()
-	h.connections[h.dialled[0]].endpoint = nil // no event can cause this state, in which the next event panics
+	h.connections[h.dialled[0]].endpoint = nil // makes the next event panic; no event leads to this state
 	h.handle(ConnectionDown{Connection: h.dialled[0]})
 	h.advance(3 * second)
 	if last := h.observed[len(h.observed)-1]; !strings.HasSuffix(last, " 1") || h.InFlight() != 0 {
@@ -170,7 +171,8 @@
 	}
 }
 
-// The deadline timer ends a request that the policy has not ended. The test removes the request's other timers.
+// If the policy does not end a request, the client must still get a response when the deadline timer fires. The test
+// removes the request's other timers, so that the policy is not asked again.
 func TestDeadlineTimerEndsRequestsWithoutThePolicy(t *testing.T) {
 	h := newDefaultHarness(t)
 	h.request(1, nil)
--- a/internal/router/drawn_events_test.go
+++ b/internal/router/drawn_events_test.go
@@ -38,7 +38,7 @@
 	}
 	if run.oneOf(15) && len(run.requests) > 0 {
 		earlier := pickNewest(run.rng, run.requests)
-		request.id = earlier.id // the earlier request may still be in flight
+		request.id = earlier.id // a repeated ID, of a request that may still be in flight
 		if run.oneOf(2) {
 			request.seq, request.client = earlier.seq, earlier.client
 		}
@@ -105,7 +105,7 @@
 	}
 	at := run.rng.IntN(len(run.sent))
 	attempt := run.sent[at]
-	if !run.oneOf(12) { // otherwise the attempt may get a second response
+	if !run.oneOf(12) { // an attempt that stays in sent may get a second response
 		run.sent = slices.Delete(run.sent, at, at+1)
 	}
 	if run.oneOf(40) && len(run.answered) > 0 {
@@ -254,7 +254,7 @@
 		run.handle(EndpointListUpdated{Complete: true, Entries: slices.Clone(run.entries)})
 		return
 	}
-	for i := range run.entries { // entries with the same name become equal to the changed one
+	for i := range run.entries { // entries with the same name are for the same instance, so they change too
 		if i != at && run.entries[i].Instance == run.entries[at].Instance {
 			run.entries[i] = run.entries[at]
 		}
@@ -347,6 +347,6 @@
 	case n < 99:
 		run.timerFired()
 	default:
-		run.handle(pick(run.rng, []Event{nil, 7, "no event"})) // unknown types of events are ignored
+		run.handle(pick(run.rng, []Event{nil, 7, "no event"})) // the reducer must ignore unknown types of events
 	}
 }
--- a/internal/router/drawn_test.go
+++ b/internal/router/drawn_test.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	drawnRuns         = 24   // runs with recorded digests; their seeds are 0, 1 and so on
-	drawnEventsPerRun = 1000 // 24,000 events in all runs
-	drawnBlockSize    = 250  // events between two recorded digests
+	drawnRuns         = 24   // number of runs with recorded digests; their seeds are 0, 1 and so on
+	drawnEventsPerRun = 1000 // number of events in each run; 24,000 in all runs
+	drawnBlockSize    = 250  // number of events between two recorded digests of a run
 	effectsDigestFile = "testdata/effects.digests"
 )
 
@@ -45,7 +45,7 @@
 	rng    *rand.Rand
 	router *Router
 	now    int64
-	timer  int64 // ns; time of the last SetTimer
+	timer  int64 // ns; time of the last SetTimer effect
 
 	requests    []drawnRequest
 	lastID      int
@@ -53,14 +53,14 @@
 	dialled     []ConnectionID
 	established []ConnectionID
 	closed      []ConnectionID
-	sent        []drawnAttempt // attempts without a response
-	answered    []drawnAttempt // attempts with a response
+	sent        []drawnAttempt // attempts that were sent and have no response yet
+	answered    []drawnAttempt // attempts that have got a response
 	withdrawals []drawnAttempt
 	entries     []EndpointEntry
 	shutdown    bool
 
-	digest hash.Hash64    // of all events' times, effects and states so far
-	seen   map[string]int // number of effects, by kind
+	digest hash.Hash64    // hash of the times of the events, their effects and the states after them
+	seen   map[string]int // how often each kind of effect has occurred
 }
 
 // drawnSettings returns random settings and limits for a run.
@@ -145,7 +145,8 @@
 	return run
 }
 
-// drawnRequestReceived returns the event of a request with these wire fields.
+// drawnRequestReceived returns the event for a request with the given wire fields and body. If they cannot be decoded,
+// the event has a DecodeError.
 func drawnRequestReceived(request drawnRequest, arrivedAt int64, fields map[string]string, body []byte) Event {
 	decoded, err := DecodeRequest(fields, body)
 	return RequestReceived{
@@ -157,10 +158,10 @@
 	}
 }
 
-// note adds values to the digest, as text.
+// note adds the text of values to the digest of the run, which depends on their order.
 func (run *drawnRun) note(values ...any) {
 	if _, err := fmt.Fprintln(run.digest, values...); err != nil {
-		panic(err) // impossible: writing to a hash never fails
+		panic(err) // cannot happen: writing to a hash never fails
 	}
 }
 
@@ -256,7 +257,8 @@
 	return digests
 }
 
-// The effects of random events must be exactly those whose digests were recorded.
+// A change of the code that is not meant to change effects must not change any of them. The effects of random events
+// must therefore have the same digests as when they were recorded.
 func TestDrawnEffectsAsRecorded(t *testing.T) {
 	var digests []string
 	seen := map[string]int{}
--- a/internal/router/endpoints_test.go
+++ b/internal/router/endpoints_test.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// Routers that learned of endpoints in different orders must have the same IDs for them.
+// Routers that learned of endpoints in different orders must have the same IDs for them. Otherwise they would disagree
+// on which cache has an object.
 func TestEndpointIDsAreIndependentOfOrder(t *testing.T) {
 	const a, b = "s-07e5ff", "s-0a3e80" // names with the same hash
 	named := func(instance string) EndpointEntry { return EndpointEntry{Instance: instance} }
@@ -113,7 +114,7 @@
 	}
 }
 
-// BenchmarkEndpointUpdate updates one entry of lists of several lengths.
+// BenchmarkEndpointUpdate measures the update of one entry of an endpoint list, for lists of several lengths.
 func BenchmarkEndpointUpdate(b *testing.B) {
 	for _, count := range []int{12, 200, 800, 3200} {
 		b.Run(fmt.Sprint("endpoints=", count), func(b *testing.B) {
--- a/internal/router/helpers_test.go
+++ b/internal/router/helpers_test.go
@@ -15,7 +15,7 @@
 	second = int64(1e9)
 	start  = 1000 * second
 
-	objectID = "7f3a9c21e0b4d655" // object of the requests, unless a test changes it
+	objectID = "7f3a9c21e0b4d655" // object of all requests of a harness, unless the test changes the field
 	seed     = 7
 )
 
@@ -46,12 +46,12 @@
 	*Router
 	t           *testing.T
 	now         int64
-	observed    []string // effects and marks, each as a short text
+	observed    []string // effects and marks so far, each as a short text
 	logged      []logevent.Event
-	dialled     []ConnectionID // in the order of the Dial effects
+	dialled     []ConnectionID // connections that were dialled, in the order of the Dial effects
 	sends       []Send
 	responses   []Respond
-	withdrawals []WithdrawAttempt // for which no AttemptWithdrawn was handled yet
+	withdrawals []WithdrawAttempt // withdrawals for which no AttemptWithdrawn was handled yet
 }
 
 // testSettings returns the settings of a location with caches, and a hub with parents and the origin. There is one
@@ -306,7 +306,7 @@
 type scenario struct {
 	name string
 	run  func(*harness)
-	want string // result of effectsInShort
+	want string // result of effectsInShort after run
 }
 
 // runScenarios runs each scenario on a harness of its own, and checks its effects.
--- a/internal/router/limits_test.go
+++ b/internal/router/limits_test.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// All requests have the same ID. A request is not sent on a connection on which one with its ID was abandoned, so each
-// needs another connection.
+// A request is not sent on a connection on which one with the same ID was abandoned. The requests of this test all
+// have the same ID, so that without a limit each would open another connection.
 func TestMaxConnectionsPerEndpoint(t *testing.T) {
 	h := newDefaultHarness(t)
 	for seq := range int32(8) {
@@ -155,7 +155,7 @@
 // requests and disconnects.
 func churn(h *harness, n int) {
 	entry := initialEndpoints[0]
-	entry.Instance, entry.Address = fmt.Sprint("s-", n), fmt.Sprint("10.0.1.", n%7, ":1") // addresses are reused
+	entry.Instance, entry.Address = fmt.Sprint("s-", n), fmt.Sprint("10.0.1.", n%7, ":1") // seven addresses
 	entry.StartedAt = h.now
 	gone := entry
 	gone.Instance, gone.Phase = fmt.Sprint("s-", n-3), "gone"
--- a/internal/router/local_errors_test.go
+++ b/internal/router/local_errors_test.go
@@ -18,7 +18,7 @@
 			h.request(1, nil)
 			h.failNewestDial()
 			h.mark("fails")
-			h.advance(24 * millisecond) // the first delay of the backoff is 25 ms, a sixteenth of the connect timeout
+			h.advance(24 * millisecond) // the first delay is 25 ms, a sixteenth of the connect timeout
 			h.mark("24 ms")
 			h.advance(60 * millisecond)
 			h.connectNewest()
@@ -150,7 +150,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		h.request(3, nil) // the only connection to its endpoint is saturated
+		h.request(3, nil) // the only connection to the request's cache is saturated
 		h.advance(3 * second)
 	}()
 	select {
--- a/internal/router/logevents_test.go
+++ b/internal/router/logevents_test.go
@@ -8,7 +8,8 @@
 	"tealpath/internal/logevent"
 )
 
-// A Log effect contains the name of the endpoint that its event concerns, and a panic is logged as an event.
+// The policy knows only the IDs of endpoints, which tell an operator nothing. Log effects must therefore contain the
+// name of the endpoint.
 func TestLogEffectsNameTheEndpoint(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/router/request_test.go
+++ b/internal/router/request_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// A request with an unusable field is answered as a bad request, with the field's name, and is not put in flight.
+// A request with an unusable field must not be forwarded. The client learns from the response which field is unusable.
 func TestUnusableFieldsAreBadRequests(t *testing.T) {
 	for _, c := range []struct{ field, value string }{
 		{"verb", ""},
@@ -74,7 +74,7 @@
 		{"nth", "+3"},
 		{"batch", "256"},
 		{"batch", ""},
-		{"unique", "a,miss=o-a"}, // would be read as two fields by the endpoint
+		{"unique", "a,miss=o-a"}, // an endpoint would read this key as two fields
 	} {
 		t.Run(c.field+"="+c.value, func(t *testing.T) {
 			event := requestEvent(1, 4, requestFields(4, map[string]string{c.field: c.value}), nil)
@@ -100,7 +100,7 @@
 func TestBadRequestsBySettingsAndRequestsInFlight(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		second RequestReceived // after a request with sequence number 1
+		second RequestReceived // received while a request with sequence number 1 is in flight
 		want   string
 	}{
 		{
@@ -143,7 +143,7 @@
 	h := newTwoClassHarness(t)
 	h.request(1, map[string]string{"unique": key})
 	h.connectNewest()
-	h.respond(ResponseReceived{Result: control.ServerError}) // the request is retried
+	h.respond(ResponseReceived{Result: control.ServerError}) // makes the policy retry the request
 	for i, send := range h.sends {
 		if got := send.Request.IdempotencyKey; got != key {
 			t.Errorf("attempt %d: key %q, want %q", i, got, key)
--- a/internal/router/responses_test.go
+++ b/internal/router/responses_test.go
@@ -78,12 +78,13 @@
 	})
 }
 
-// If the settings state the rate at which responses are sent, long responses may take longer without counting as late.
+// A long response takes longer to send. Unless the rate of sending is not known, this must not make its endpoint look
+// slow and get it ejected.
 func TestLongResponsesAreNotLate(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		bytesPerSecond float64
-		late           bool // the endpoint counts as late
+		late           bool // the endpoint counts as late, and is ejected
 	}{
 		{"at 10 bytes a second", 10, false},
 		{"at an unknown rate", 0, true},
--- a/internal/router/withdraw_test.go
+++ b/internal/router/withdraw_test.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// Attempts that are not written yet also end if their client half-closes, if their send deadline passes, or if their
-// connection ends.
+// An attempt that is not written yet must not stay in flight without end when its client half-closes, its send
+// deadline passes or its connection ends.
 func TestUnwrittenAttemptsEnd(t *testing.T) {
 	drain := func(h *harness) { h.setFirstPhase("draining") }
 	runScenarios(t, newTwoClassHarness, []scenario{
--- a/internal/timerqueue/queue_test.go
+++ b/internal/timerqueue/queue_test.go
@@ -23,7 +23,7 @@
 	for _, test := range []struct {
 		name  string
 		times []int64
-		want  []int // indexes in times, in the order of Pop
+		want  []int // values in the order of Pop; each is the timer's index in times
 	}{
 		{"empty", nil, nil},
 		{"by time", []int64{5, 1, 3}, []int{1, 2, 0}},
@@ -69,7 +69,7 @@
 			var got []int
 			for queue.Next() != Never {
 				_, i := queue.Pop()
-				queue.Remove(timers[i]) // ignored, since the timer is popped
+				queue.Remove(timers[i]) // must be ignored, because the timer was popped before
 				got = append(got, i)
 			}
 			if !slices.Equal(got, test.want) {
