--- a/control/control_test.go
+++ b/control/control_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// A large response takes longer to send than most responses of its class. It must not count as late because of that,
-// provided that its size is known.
+// A large response takes longer to send than most responses of its class, and a small one less long. If the size is
+// known, a large one must not count as late because of that, and a small one must not count as in time.
 func TestLatencyObjectiveFollowsTheSize(t *testing.T) {
 	for _, test := range []struct {
 		name        string
--- a/control/settings.go
+++ b/control/settings.go
@@ -34,7 +34,7 @@
 
 	PurgeDuration int64 // ns; how long caches and parents may still have entries from before a purge
 	PurgeGrace    int64 // ns; time within which a purge must take effect; 0 or less: not known
-	DrainGrace    int64 // ns from the start of draining until an endpoint must get no new requests; 0 or less: not known
+	DrainGrace    int64 // ns; a draining endpoint must get no new requests after this time; 0 or less: not known
 
 	ConnectTimeout          int64 // ns; timeout for connecting to an endpoint
 	IdleTimeout             int64 // ns; time after which an endpoint closes a connection without requests
