--- a/control/outliers.go
+++ b/control/outliers.go
@@ -51,7 +51,7 @@
 	nextDecayed int          // index in scored of the next endpoint that forgetDecayed checks
 }
 
-// evidence is what speaks for and against the health of an endpoint, or the sum of this over several endpoints.
+// evidence holds what an endpoint's health is judged by, or the sums of these values over several endpoints.
 type evidence struct {
 	silence   float64 // waits of the attempts in flight, in mean response times of the slowest class
 	successes float64 // ended attempts that succeeded, decayed over healthWindow
--- a/control/requests.go
+++ b/control/requests.go
@@ -44,7 +44,7 @@
 	kind           attemptKind
 	sendTimeout    int64 // ns from sentAt; an attempt that is not sent within this time ends as Unreachable
 	lateAt         int64 // ns; a response from this time on is late
-	isLate         bool  // lateAt has passed, and the attempt is no longer counted in flight
+	isLate         bool  // lateAt has passed, so the attempt no longer counts towards the load
 	lateTimer      *timerqueue.Timer[*attemptState]
 	minIssuedAt    int64 // Unix ns by the origin's clock; entries issued earlier are not accepted; 0: no limit
 }
