--- a/control/purges.go
+++ b/control/purges.go
@@ -50,7 +50,7 @@
 type purgeLog struct {
 	last              map[string]*purgeState // last purge of each object and group, by purgeKey
 	clockAhead        bool                   // a Stale response has shown that this router's clock is ahead of others
-	maxClockLead      int64                  // ns; this router's clock is ahead by at most this; valid if clockLeadObserved
+	maxClockLead      int64                  // ns; this clock is ahead by at most this; set if clockLeadObserved
 	clockLeadObserved bool
 }
 
