--- a/internal/cluster/lease/acquire.go
+++ b/internal/cluster/lease/acquire.go
@@ -6,20 +6,23 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// These constants decide which candidates request a free slot, and when. Those whose names end in Renewals are
-// durations in renewal intervals. Candidates other than the assigned one take turns in the order of their rank.
+// These constants decide which candidates request a free slot, and when. The unit of those whose names end in Renewals
+// is one renewal interval. A slot's candidates other than the assigned one request it one after another, in descending
+// order of their scores for the slot; see turnDelay.
 const (
-	ticksPerRenewal = 8  // ticks in one renewal interval
-	steadyRenewals  = 2  // time without a change of the assignment before slots are transferred
-	transferDivisor = 8  // about one in this many slots is transferred in one renewal interval
-	turnsPerRenewal = 2  // number of ranks whose turns come within one renewal interval
-	maxTurnRenewals = 2  // longest wait for a turn, not counting the extra wait
-	nearRanks       = 4  // number of the first ranks, which have no extra wait
-	farRankRenewals = 2  // extra wait for each rank after the near ranks
+	ticksPerRenewal = 8  // number of ticks (runs of Node.Tick) in one renewal interval
+	steadyRenewals  = 2  // how long the candidates must be unchanged before this node hands slots over
+	transferDivisor = 8  // a node hands over at most 1 + slots/transferDivisor slots in one renewal interval
+	turnsPerRenewal = 2  // number of candidates whose turns start within one renewal interval
+	maxTurnRenewals = 2  // longest wait for a turn, without the extra wait of candidates beyond nearRanks
+	nearRanks       = 4  // number of candidates, the best-ranked ones, that have no extra wait
+	farRankRenewals = 2  // extra wait per rank for candidates beyond nearRanks
 	maxFarRenewals  = 60 // longest extra wait
 )
 
-// updateFreeSlots records since when each slot has been free, as far as this node knows.
+// updateFreeSlots updates freeSince of each slot, and schedules an attempt for each slot that has become free. A slot
+// counts as free if this node does not hold it, has granted no lease on it that still lasts, and knows of no other
+// holder.
 func (node *Node) updateFreeSlots(now int64) {
 	isVoter := slices.Contains(node.voterNames, node.config.Self.Name) && now >= node.grantsFrom
 	for slot := range node.holdings {
@@ -37,8 +40,9 @@
 // assignedName returns the name of the candidate that a slot is assigned to. There must be candidates.
 func (node *Node) assignedName(slot int) string { return node.candidates[node.assigned[slot]].Name }
 
-// turnDelay returns how long, in ns, this node waits for better-ranked candidates to request a free slot before it
-// does so itself. The delay has a random part.
+// turnDelay returns how long, in ns, this node waits before it requests a free slot, so that candidates with a higher
+// score for the slot can request it first. The wait is 0 if the slot is assigned to this node or there are no
+// candidates; otherwise a part of it is random.
 func (node *Node) turnDelay(slot int) int64 {
 	if node.assigned == nil || node.assignedName(slot) == node.config.Self.Name {
 		return 0
@@ -83,7 +87,8 @@
 	}
 }
 
-// startAttempt starts an attempt to acquire the slot under a ballot.
+// startAttempt records a new attempt to acquire the slot under a ballot, and clears the votes of the previous attempt.
+// It sends nothing.
 func (holding *slotHolding) startAttempt(now int64, ballot uint64) {
 	holding.ballot, holding.preparedAt = ballot, now
 	holding.promises, holding.rejections, holding.proposing = 0, 0, false
@@ -92,7 +97,8 @@
 	}
 }
 
-// abandonAttempt ends an attempt and schedules the next one after a short random wait.
+// abandonAttempt tells the voters that this node's attempt for a slot is over, and schedules the next one after a
+// random wait of up to one tick.
 func (node *Node) abandonAttempt(now int64, slot int) {
 	node.releaseSlot(slot, "")
 	node.holdings[slot].attemptAt = now + 1 + node.random(node.config.RenewInterval/ticksPerRenewal)
--- a/internal/cluster/lease/assign.go
+++ b/internal/cluster/lease/assign.go
@@ -16,7 +16,8 @@
 	Weight float64
 }
 
-// pairing is a slot with one candidate for it and the rendezvous score of the two.
+// pairing is a slot, one candidate for it as an index into the list of candidates, and the rendezvous score of the
+// two.
 type pairing struct {
 	slot, candidate int
 	score           float64
@@ -44,7 +45,7 @@
 	return assigned
 }
 
-// unassigned marks a slot that has no candidate yet.
+// unassigned stands in place of a candidate's index for a slot that has no candidate yet.
 const unassigned = -1
 
 // rankedPairings returns all pairs of a slot and a candidate in descending order of score.
@@ -86,7 +87,7 @@
 	return quota
 }
 
-// rank returns how many candidates have a higher score for a slot than the named one.
+// rank returns how many candidates have a higher score for a slot than the candidate with the given name.
 func rank(slot int, candidates []Candidate, name string) int {
 	ownScore := 0.
 	for _, candidate := range candidates {
--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -19,21 +19,21 @@
 	nodes             map[string]*Node
 	startedAt         map[string]int64            // simulated time at which the node's clock read 0
 	rate              map[string]float64          // by node: ns that its clock advances in 1 ns of simulated time
-	frozen            map[string]bool             // nodes that are paused: they neither tick nor receive
-	cut               func(from, to string) bool  // whether a link drops messages; nil drops none
-	delay             func(from, to string) int64 // returns the delay of a link, ns; nil: 2 ms on all links
+	frozen            map[string]bool             // nodes that are paused: they neither tick nor receive messages
+	cut               func(from, to string) bool  // reports whether a link drops messages; nil: no link does
+	delay             func(from, to string) int64 // returns the delay of a link's messages, ns; nil: 2 ms on all links
 	inTransit         []inFlightMessage
-	wallMS            int64                            // wall clock at simulated time 0
-	starts            uint64                           // number of node starts, used as incarnations
-	highestBallots    map[int]uint64                   // ballot of the latest Acquired, by slot
-	overlaps          int                              // slots with more than one holder, summed over all steps
-	ballotRegressions int                              // Acquired effects whose ballot did not grow for the slot
-	observe           func(name string, effect Effect) // called for each effect unless nil
+	wallMS            int64                            // wall clock at simulated time 0, ms since 1970
+	starts            uint64                           // number of node starts; used as incarnations
+	highestBallots    map[int]uint64                   // by slot: ballot of the latest Acquired
+	overlaps          int                              // number of slots with two or more holders, summed over all steps
+	ballotRegressions int                              // number of Acquired effects without a higher ballot than before
+	observe           func(name string, effect Effect) // called for each effect of a node; may be nil
 }
 
 // inFlightMessage is a message that has been sent and not yet delivered.
 type inFlightMessage struct {
-	at      int64 // arrival
+	at      int64 // simulated time at which the message arrives, ns
 	from    Instance
 	to      string
 	message Message
@@ -57,7 +57,7 @@
 	return cluster
 }
 
-// clock returns the time on a node's clock.
+// clock returns what a node's clock reads now, in ns since the node's latest start.
 func (cluster *testCluster) clock(name string) int64 {
 	return int64(float64(cluster.now-cluster.startedAt[name]) * cluster.rate[name])
 }
@@ -98,7 +98,8 @@
 	}
 }
 
-// run advances the simulated time in steps of 5 ms.
+// run advances the simulated time by duration, in steps of 5 ms. In each step it delivers messages and ticks all nodes
+// that are not paused.
 func (cluster *testCluster) run(duration int64) {
 	const step = 5 * ms
 	for end := cluster.now + duration; cluster.now < end; cluster.now += step {
@@ -129,7 +130,7 @@
 	}
 }
 
-// countOverlaps counts the slots that have more than one holder at this step.
+// countOverlaps adds to overlaps the number of slots that have two or more holders now.
 func (cluster *testCluster) countOverlaps() {
 	for slot := range clusterSlots {
 		holders := 0
@@ -144,7 +145,7 @@
 	}
 }
 
-// send takes a node's effects and puts its messages in transit.
+// send takes the effects of a node, puts its messages in transit, and checks that acquired ballots grow.
 func (cluster *testCluster) send(name string) {
 	for _, effect := range cluster.nodes[name].TakeEffects() {
 		if cluster.observe != nil {
@@ -171,7 +172,7 @@
 	}
 }
 
-// holders returns the holder of each slot that has one.
+// holders returns the holder of each slot, by slot. Slots without a holder are missing.
 func (cluster *testCluster) holders() map[int]string {
 	holders := map[int]string{}
 	for name, node := range cluster.nodes {
@@ -194,7 +195,7 @@
 	return slots
 }
 
-// checkAllHeld checks that every slot has a holder.
+// checkAllHeld fails the test if a slot has no holder now. when completes the error message.
 func (cluster *testCluster) checkAllHeld(when string) {
 	cluster.t.Helper()
 	if held := len(cluster.holders()); held != clusterSlots {
@@ -202,7 +203,8 @@
 	}
 }
 
-// checkSafety checks that no slot ever had two holders and that the ballots of each slot always grew.
+// checkSafety fails the test if a slot had two holders at any step so far, or if the ballots under which a slot was
+// acquired did not grow.
 func (cluster *testCluster) checkSafety() {
 	cluster.t.Helper()
 	if cluster.overlaps != 0 || cluster.ballotRegressions != 0 {
--- a/internal/cluster/lease/config.go
+++ b/internal/cluster/lease/config.go
@@ -11,13 +11,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// These are the limits that Config.Check enforces.
+// These are the limits of a Config and its Voters that Check enforces.
 const (
-	MaxSlots  = 4096
-	MaxVoters = 64 // names in both sets of voters together: a holder keeps one bit per voter in a uint64
+	MaxSlots = 4096
+	// In both sets of voters together. A holder keeps one bit per voter in a uint64.
+	MaxVoters = 64
 
-	maxAllowedDrift     = 0.1 // largest valid MaxClockDrift
-	minRenewalsPerLease = 3   // two renewals in a row may be lost without losing the lease
+	maxAllowedDrift     = 0.1 // largest allowed Config.MaxClockDrift: 0.1 is 10%
+	minRenewalsPerLease = 3   // smallest LeaseDuration/RenewInterval, so that a lease outlasts two lost renewals in a row
 )
 
 // Instance identifies one run of a router: each start has its own incarnation.
@@ -38,16 +39,16 @@
 type Config struct {
 	Self          Instance
 	Slots         int
-	LeaseDuration int64   // how long a voter honors a lease after granting it
-	RenewInterval int64   // between two renewals of a lease by its holder
+	LeaseDuration int64   // how long a voter honors a lease after granting it, on the voter's clock
+	RenewInterval int64   // time between two renewals of a lease by its holder
 	MaxClockDrift float64 // largest relative error of a clock's rate: 0.01 is 1%
 	Voters        Voters
-	Seed          uint64 // of the random numbers that spread attempts over time
+	Seed          uint64 // seed of the random waits before attempts to acquire a slot
 }
 
 // ConfigError reports an invalid setting.
 type ConfigError struct {
-	Setting string // "name", "slots", "renewal", "lease", "drift" or "voters"
+	Setting string // the invalid setting: "name", "slots", "renewal", "lease", "drift" or "voters"
 	Reason  string
 }
 
@@ -59,7 +60,7 @@
 	return &ConfigError{Setting: setting, Reason: fmt.Sprintf(format, values...)}
 }
 
-// Check returns a *ConfigError for the first invalid setting.
+// Check returns nil if all settings are valid, and otherwise a *ConfigError for the first invalid one.
 func (config Config) Check() error {
 	switch {
 	case config.Self.Name == "":
@@ -77,7 +78,7 @@
 	return config.Voters.Check()
 }
 
-// Check returns a *ConfigError for the first problem found in the voters.
+// Check returns nil if the voters are valid, and otherwise a *ConfigError for the first problem found.
 func (voters Voters) Check() error {
 	if len(voters.Current) == 0 {
 		return configError("voters", "no voters: at least one is needed")
@@ -95,7 +96,8 @@
 	return nil
 }
 
-// checkNames checks one set of voters. namesByID holds the names checked so far in both sets, by proposer ID.
+// checkNames returns a *ConfigError if one of the two sets of voters is too large, or if a name in it is invalid.
+// namesByID holds, by proposer ID, the names of both sets that were checked so far; checkNames adds those of this set.
 func checkNames(set []string, namesByID map[uint64]string) error {
 	if len(set) > MaxVoters/2 {
 		return configError("voters", "%d voters in one set: at most %d are allowed", len(set), MaxVoters/2)
@@ -128,7 +130,7 @@
 	return count
 }
 
-// proposerID returns the proposer ID that the ballots of the instance with this name carry.
+// proposerID returns the low bits that all ballots of the instance with this name have in common.
 func proposerID(name string) uint64 { return paxos.ProposerID(xxhash.Sum64String(name)) }
 
 // HoldDuration returns how long a holder may act after it sent a renewal that a quorum accepted, in ns of the
--- a/internal/cluster/lease/config_test.go
+++ b/internal/cluster/lease/config_test.go
@@ -19,7 +19,7 @@
 		name    string
 		change  func(*Config)
 		setting string
-		reason  string // a part of the expected reason
+		reason  string // text that the reason of the expected error contains
 	}{
 		{"lease too short", func(c *Config) { c.LeaseDuration = 1499 * ms }, "lease", "1499 ms"},
 		{"renewal interval of 0", func(c *Config) { c.RenewInterval = 0 }, "renewal", "0 ns: must be above 0"},
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -21,10 +21,10 @@
 	exploreRenewal = int64(800)
 	exploreLease   = 3 * exploreRenewal
 	exploreDrift   = 0.1
-	maxInTransit   = 5 // if there are more messages, the oldest are lost
+	maxInTransit   = 5 // largest number of messages in transit; beyond it the oldest are lost
 )
 
-// explore returns one of these results.
+// explore returns one of these texts as its finding.
 const (
 	foundNothing     = ""
 	foundTwoHolders  = "two holders of the slot at one instant"
@@ -35,27 +35,29 @@
 
 // plantedFault selects faults that are planted in the nodes to verify that the exploration finds them.
 type plantedFault struct {
-	skipSilence   bool // a voter grants leases right after its start
-	forgetBallots bool // nodes forget all ballots, and the wall clock stays at 0
-	settableClock bool // each node's clock can be set back once
-	ignoreDrift   bool // nodes are configured with a drift of 0
+	skipSilence   bool // a voter grants leases at once after a start, without waiting for RestartSilence
+	forgetBallots bool // nodes forget all ballots they have seen, and the wall clock stays at 0
+	settableClock bool // each node's clock can be set back once, by two lease durations
+	ignoreDrift   bool // nodes are configured with a MaxClockDrift of 0, although their clocks drift
 }
 
-// exploreState is one state of all nodes, with the number of events that may still follow.
+// exploreState is one state of the three nodes and of the messages in transit, with the numbers of events that may
+// still follow.
 type exploreState struct {
 	fault         plantedFault
 	nodes         [3]*Node
-	startedAt     [3]int64 // simulated time at which a node's clock read 0
-	setBack       [3]int64 // by how much a node's clock was set back
+	startedAt     [3]int64 // simulated time of each node's latest start, at which its clock read 0, ns
+	setBack       [3]int64 // how far each node's clock was set back since its latest start, ns
 	now           int64
 	inTransit     []inFlightMessage
-	highestBallot uint64 // highest ballot under which the slot was acquired
+	highestBallot uint64 // highest ballot under which any node acquired the slot
 	starts        uint64
 
-	crashes, copies, steps int // how many crashes, duplicated messages and steps may still follow
+	// How many crashes, duplicated messages and events of any kind may still follow.
+	crashes, copies, steps int
 }
 
-// clock returns the time on the clock of node i.
+// clock returns what the clock of node i reads now, in ns.
 func (state *exploreState) clock(i int) int64 {
 	// a, the first holder, is slow; b, whose vote it needs, is fast.
 	rate := []float64{1 - exploreDrift, 1 + exploreDrift, 1}[i]
@@ -107,7 +109,8 @@
 	return &clone
 }
 
-// plantForgottenBallots makes node i forget all ballots if that fault is planted, so that it reuses ballots.
+// plantForgottenBallots makes node i forget all ballots if the fault forgetBallots is planted, so that the node uses
+// the same ballots again.
 func (state *exploreState) plantForgottenBallots(i int) {
 	if !state.fault.forgetBallots {
 		return
@@ -117,7 +120,8 @@
 	node.grants[0].promisedBallot, node.grants[0].ballot = 0, 0
 }
 
-// collect takes the effects of node i and reports whether it acquired the slot under a ballot that did not grow.
+// collect takes the effects of node i and puts its messages in transit. It reports whether the node acquired the slot
+// under a ballot that is not above all earlier ones.
 func (state *exploreState) collect(i int) (staleBallot bool) {
 	for _, effect := range state.nodes[i].TakeEffects() {
 		switch effect := effect.(type) {
@@ -137,7 +141,8 @@
 	return staleBallot
 }
 
-// deliver delivers message k in transit, and keeps a copy in transit if keep is set.
+// deliver delivers the message with index k in inTransit. If keep is true, the message stays in transit, so that it
+// can be delivered again. The result is that of collect.
 func (state *exploreState) deliver(k int, keep bool) (staleBallot bool) {
 	delivered := state.inTransit[k]
 	if !keep {
@@ -149,7 +154,7 @@
 	return state.collect(i)
 }
 
-// tick calls Tick on node i. A node that is not ticked for a while behaves like a slow one.
+// tick calls Tick on node i; the result is that of collect. The exploration may tick a node late, as a slow node does.
 func (state *exploreState) tick(i int) (staleBallot bool) {
 	wallMS := state.now/exploreRenewal + 1
 	if state.fault.forgetBallots {
@@ -170,7 +175,7 @@
 	return count
 }
 
-// key returns a hash of everything that the successors of the state depend on.
+// key returns a hash of everything that the following states depend on, except the number of steps left.
 func (state *exploreState) key() uint64 {
 	encoded := make([]byte, 0, 512)
 	put := func(values ...int64) {
@@ -205,8 +210,9 @@
 	return xxhash.Sum64(encoded)
 }
 
-// stateAfterFirstGrant returns the state in which all nodes have been running for Config.RestartSilence and a has
-// acquired the slot with the votes of a and b; after is the time in ns that has passed since then.
+// stateAfterFirstGrant returns a state in which all nodes have been running for longer than Config.RestartSilence, and
+// node a acquired the slot with the votes of a and b. after is the time in ns since the acquisition; steps is the
+// number of events that may follow.
 func stateAfterFirstGrant(fault plantedFault, after int64, steps int) *exploreState {
 	first := &exploreState{fault: fault, crashes: 1, copies: 1, steps: steps}
 	for i := range first.nodes {
@@ -226,8 +232,8 @@
 	return first
 }
 
-// next returns the states that can follow by one event and, for each, whether the slot was acquired in it under a
-// ballot that did not grow.
+// next returns all states that can follow by one event and, in staleBallot, for each of them whether the event
+// acquired the slot under a ballot that is not above all earlier ones.
 func (state *exploreState) next() (states []*exploreState, staleBallot []bool) {
 	addState := func(event func(*exploreState) (staleBallot bool)) {
 		next := state.clone()
@@ -256,14 +262,15 @@
 	return states, staleBallot
 }
 
-// explore visits up to limit states, depth first, until it finds a violation. It starts from stateAfterFirstGrant
-// with the given number of steps, and visits a state again only if more steps are left than at earlier visits.
+// explore visits up to limit states, depth first, until it finds a violation. It returns the number of states visited
+// and the finding. It starts from stateAfterFirstGrant with the given arguments, and visits a state again only if more
+// steps are left than at all earlier visits.
 func explore(fault plantedFault, after int64, steps, limit int) (states int, found string) {
 	first := stateAfterFirstGrant(fault, after, steps)
 	if after == 0 && first.holders() != 1 {
 		return 0, "node a did not acquire the slot in the first state"
 	}
-	seen := map[uint64]int{} // by key, the most steps that were left at a visit of the state
+	seen := map[uint64]int{} // by exploreState.key: the most steps that were left at a visit of the state
 	stack := []*exploreState{first}
 	for len(stack) > 0 && states < limit {
 		state := stack[len(stack)-1]
--- a/internal/cluster/lease/holder.go
+++ b/internal/cluster/lease/holder.go
@@ -7,8 +7,9 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// Holds reports whether the node holds a slot's lease at now, under which ballot and until when. The caller must
-// read the clock and call Holds immediately before each action under the lease.
+// Holds returns the ballot under which the node holds a slot's lease at now, and when the lease ends by the node's
+// clock; ok is false if the node does not hold it. The caller must read the clock and call Holds immediately before
+// each action under the lease.
 func (node *Node) Holds(now int64, slot int) (ballot uint64, until int64, ok bool) {
 	if slot < 0 || slot >= len(node.holdings) || !node.holdings[slot].held {
 		return 0, 0, false
@@ -17,7 +18,8 @@
 	return holding.ballot, holding.until, now < holding.until
 }
 
-// expireLeases ends the leases that were not renewed in time.
+// expireLeases ends the leases of this node that have run out because no quorum renewed them in time, and tells the
+// voters.
 func (node *Node) expireLeases(now int64) {
 	for slot := range node.holdings {
 		holding := &node.holdings[slot]
@@ -80,7 +82,8 @@
 	node.requestVotes(now, Propose, items)
 }
 
-// requestVotes sends a Prepare or Propose to all other voters. If this node is a voter, it then votes on it as well.
+// requestVotes sends a Prepare or Propose for the items to all other voters. If this node is a voter, it also votes on
+// the message itself and counts its own answer at once.
 func (node *Node) requestVotes(now int64, kind MessageKind, items []SlotBallot) {
 	if len(items) == 0 {
 		return
@@ -99,7 +102,8 @@
 	}
 }
 
-// receiveAnswer counts a voter's answer, and proposes the slots for which it completes a quorum of promises.
+// receiveAnswer counts the vote of a voter on each slot in its answer. For slots that a quorum has now promised to
+// this node, it sends a Propose.
 func (node *Node) receiveAnswer(now int64, name string, message Message) {
 	voter := slices.Index(node.voterNames, name)
 	if voter < 0 {
@@ -131,14 +135,15 @@
 	node.requestVotes(now, Propose, promised)
 }
 
-// receivePromise counts a voter's promise and reports whether a quorum has now promised.
+// receivePromise counts a voter's promise, and reports whether a quorum has now promised the ballot of the attempt.
 func (node *Node) receivePromise(voter int, holding *slotHolding) (quorum bool) {
 	holding.promises |= 1 << voter
 	holding.proposing = node.isQuorum(func(voter int) bool { return holding.promises&(1<<voter) != 0 })
 	return holding.proposing
 }
 
-// receiveAccept counts a voter's acceptance of a proposal. A quorum of them acquires or renews the lease.
+// receiveAccept records that a voter accepted a proposal sent at sentAt. The lease on the slot is acquired or renewed
+// if a quorum has accepted proposals.
 func (node *Node) receiveAccept(now int64, voter int, sentAt int64, slot int) {
 	holding := &node.holdings[slot]
 	holding.acceptedSentAt[voter] = max(holding.acceptedSentAt[voter], sentAt)
@@ -150,7 +155,8 @@
 	node.emit(Acquired{Slot: slot, Ballot: holding.ballot})
 }
 
-// receiveReject records who holds a slot, and abandons an attempt that can no longer get a quorum.
+// receiveReject records the holder that a Reject names, and abandons this node's attempt if it can no longer get a
+// quorum.
 func (node *Node) receiveReject(now int64, voter int, sentAt int64, item SlotBallot) {
 	node.ObserveBallot(item.Ballot)
 	holding := &node.holdings[item.Slot]
@@ -182,8 +188,9 @@
 	holding.busyUntil = max(holding.busyUntil, now+wait+node.random(node.config.RenewInterval/ticksPerRenewal))
 }
 
-// transferSlots hands slots that this node holds over to the candidates that they are assigned to, a few slots in
-// each renewal interval. For each slot it stops acting under the lease before it releases it.
+// transferSlots releases slots that this node holds but that are assigned to other candidates, so that those can
+// acquire them. It releases at most 1 + slots/transferDivisor slots in a renewal interval. For each slot, this node
+// stops acting under the lease before it releases it.
 func (node *Node) transferSlots(now int64) {
 	steadyFor := steadyRenewals * node.config.RenewInterval
 	if node.assigned == nil || now-node.assignedAt < steadyFor {
@@ -200,13 +207,14 @@
 		node.transferred++
 		node.loseLease(slot, "handed to "+successor)
 		node.releaseSlot(slot, successor)
-		holding.busyUntil = now + steadyFor // gives the successor time to acquire the slot
+		// The successor has this long to acquire the slot.
+		holding.busyUntil = now + steadyFor
 	}
 }
 
-// Reacquire releases a slot and requests it again if this node holds it under a ballot below seen, the ballot of
-// another action for the slot. That happens if all voters of a quorum have restarted with wall clocks that were set
-// back. Other instances ignore actions under the lower ballot.
+// Reacquire requests a slot again if this node holds it under a ballot below seen, the ballot of an earlier action for
+// the slot. Other instances ignore actions under the lower ballot. A ballot can be too low if all voters of a quorum
+// have restarted and their wall clocks were set back.
 func (node *Node) Reacquire(now int64, slot int, seen uint64) {
 	node.ObserveBallot(seen)
 	ballot, _, ok := node.Holds(now, slot)
@@ -220,7 +228,8 @@
 	node.requestFreeSlots(now)
 }
 
-// ReleaseAll releases all slots at once and names successors for them. The node requests no slots after that.
+// ReleaseAll releases all slots that this node holds or is requesting, because this instance shuts down. It names a
+// successor for each slot if there are any successors. From then on the node requests no slots.
 func (node *Node) ReleaseAll(successors []Candidate) {
 	node.releasing = true
 	assigned := Assign(node.config.Slots, successors)
--- a/internal/cluster/lease/message.go
+++ b/internal/cluster/lease/message.go
@@ -3,8 +3,9 @@
 // MessageKind is the kind of a message. Its values are sent on the wire.
 type MessageKind uint8
 
-// The message kinds of PaxosLease. Holders send Prepare and Propose to the voters, which answer with Promise,
-// Accept or Reject. Release reports that a holder no longer acts under a lease.
+// The kinds of messages. A node that wants to acquire or renew a lease sends Prepare and Propose to the voters, which
+// answer with Promise, Accept or Reject. With a Release, a node reports that its lease, or its attempt to acquire one,
+// is over.
 const (
 	Prepare MessageKind = iota + 1
 	Promise
@@ -16,18 +17,22 @@
 
 // Message is a protocol message between two nodes.
 type Message struct {
-	Kind   MessageKind  `cbor:"1,keyasint"`
-	Epoch  uint64       `cbor:"2,keyasint"` // epoch of the sender's voters
-	SentAt int64        `cbor:"3,keyasint"` // ns of the holder's clock; an answer copies it from the request
+	Kind  MessageKind `cbor:"1,keyasint"`
+	Epoch uint64      `cbor:"2,keyasint"` // epoch of the voters that the sender uses
+	// When the Prepare or Propose was sent, in ns of its sender's clock. The answer has the same value.
+	SentAt int64        `cbor:"3,keyasint"`
 	Items  []SlotBallot `cbor:"4,keyasint"`
 }
 
-// SlotBallot is the part of a message about one slot.
+// SlotBallot is the part of a message that concerns one slot.
 type SlotBallot struct {
-	Slot      int      `cbor:"1,keyasint"`
-	Ballot    uint64   `cbor:"2,keyasint"`
-	Holder    Instance `cbor:"3,keyasint,omitempty"` // Reject: the current holder; Release: the name of the successor
-	Remaining int64    `cbor:"4,keyasint,omitempty"` // Reject: time left until the current lease ends, ns
+	Slot   int    `cbor:"1,keyasint"`
+	Ballot uint64 `cbor:"2,keyasint"`
+	// In a Reject: the current holder, empty if there is none. In a Release: only the name, that of the successor, if
+	// any.
+	Holder Instance `cbor:"3,keyasint,omitempty"`
+	// In a Reject: time left until the lease of Holder ends, ns.
+	Remaining int64 `cbor:"4,keyasint,omitempty"`
 }
 
 // Effect is an action or report that a node passes to its caller: a Send, Acquired or Lost.
--- a/internal/cluster/lease/node_test.go
+++ b/internal/cluster/lease/node_test.go
@@ -54,7 +54,7 @@
 	cluster.run(4 * cluster.leaseDuration)
 	cluster.nodes["n1"].ReleaseAll([]Candidate{{"n0", 1}, {"n2", 1}})
 	cluster.send("n1")
-	cluster.frozen["n1"] = true // counts as dead, so it is not among the candidates
+	cluster.frozen["n1"] = true // the cluster counts a paused node as dead, so n1 is not among the candidates
 	cluster.updateCandidates()
 	cluster.frozen["n1"] = false
 	cluster.run(cluster.leaseDuration / 3)
@@ -70,7 +70,7 @@
 		name     string
 		count    int
 		side     map[string]int
-		majority int // the side that has a majority of the voters, or -1
+		majority int // side that has a majority of the voters; -1: neither has
 	}{
 		{"2|3", 5, map[string]int{"n0": 0, "n1": 0, "n2": 1, "n3": 1, "n4": 1}, 1},
 		{"1|1|3", 5, map[string]int{"n0": 0, "n1": 2, "n2": 1, "n3": 1, "n4": 1}, 1},
--- a/internal/cluster/lease/quorum.go
+++ b/internal/cluster/lease/quorum.go
@@ -12,18 +12,19 @@
 // EpochUnsettledError reports that the next voters can't take effect yet. A quorum must first have been at the current
 // epoch for Config.RestartSilence, so that all leases granted in the previous epoch have ended.
 type EpochUnsettledError struct {
-	Epoch    uint64 // the current epoch
+	Epoch    uint64 // epoch of the voters in force
 	SettleMS int64  // how long a quorum must have been at Epoch, ms
 }
 
-// Error names the epoch and the required time.
+// Error returns a text with the epoch and the time for which a majority must have been at it.
 func (err *EpochUnsettledError) Error() string {
 	return fmt.Sprintf("a majority must have been at epoch %d for %d ms before the voters can change",
 		err.Epoch, err.SettleMS)
 }
 
-// UpdateVoters replaces the voters by those of the next epoch. It returns an *EpochUnsettledError if that is not
-// possible yet, and a *ConfigError if the new voters can't follow the current ones.
+// UpdateVoters puts the voters of the next epoch in force. It returns an *EpochUnsettledError if the leases of the
+// previous epoch may still last, and a *ConfigError if the voters are invalid or don't follow those in force. It does
+// nothing if the voters are already in force.
 func (node *Node) UpdateVoters(now int64, voters Voters) error {
 	present := node.config.Voters
 	if err := voters.Check(); err != nil {
@@ -63,8 +64,8 @@
 	}
 }
 
-// indexVoters gives each voter of both sets an index, and discards the epochs and answer times that were recorded for
-// the earlier voters.
+// indexVoters gives each voter of both sets an index, and discards what was recorded about the voters in force until
+// now: their epochs, and when they answered.
 func (node *Node) indexVoters(voters Voters) {
 	node.voterNames, node.voterSets = nil, nil
 	for _, set := range [][]string{voters.Current, voters.Previous} {
@@ -89,14 +90,14 @@
 	}
 }
 
-// ObserveEpoch records the epoch that an instance is at.
+// ObserveEpoch records that an instance uses the voters of an epoch. It does nothing if the instance is not a voter.
 func (node *Node) ObserveEpoch(name string, epoch uint64) {
 	if voter := slices.Index(node.voterNames, name); voter >= 0 {
 		node.voterEpochs[voter] = epoch
 	}
 }
 
-// settleEpoch records since when a quorum has been at this node's epoch or a later one.
+// settleEpoch updates epochSettledAt: since when a quorum has been at this node's epoch or a later one.
 func (node *Node) settleEpoch(now int64) {
 	epoch := node.config.Voters.Epoch
 	settled := node.isQuorum(func(voter int) bool {
@@ -110,10 +111,10 @@
 	}
 }
 
-// isSelf reports whether a voter is this instance.
+// isSelf reports whether the voter with this index is this instance.
 func (node *Node) isSelf(voter int) bool { return node.voterNames[voter] == node.config.Self.Name }
 
-// isQuorum reports whether the voters for which counts returns true are a majority of every set.
+// isQuorum reports whether the voters for which counts returns true are a majority of each set of voters.
 func (node *Node) isQuorum(counts func(voter int) bool) bool {
 	for _, set := range node.voterSets {
 		count := 0
@@ -149,8 +150,8 @@
 	return sentAt + node.config.HoldDuration()
 }
 
-// HasQuorum reports whether a quorum of the voters answered within the last lease duration. This node counts as
-// having answered if it is a voter.
+// HasQuorum reports whether a quorum of the voters answered this node within the last LeaseDuration. If this node is a
+// voter, it counts as one that answered.
 func (node *Node) HasQuorum(now int64) bool {
 	return node.isQuorum(func(voter int) bool {
 		heardAt := node.voterHeardAt[voter]
@@ -158,5 +159,5 @@
 	})
 }
 
-// Voters returns the voters in force.
+// Voters returns the voters in force at this node.
 func (node *Node) Voters() Voters { return node.config.Voters }
--- a/internal/cluster/lease/record_test.go
+++ b/internal/cluster/lease/record_test.go
@@ -38,7 +38,7 @@
 	recorder.Check(recordedDigest)
 }
 
-// injectRandomFault starts or ends a random fault, or does nothing.
+// injectRandomFault starts or ends a random fault of a random node or link; some draws change nothing.
 func (cluster *testCluster) injectRandomFault(faults *rand.Rand) {
 	name := cluster.names[faults.IntN(len(cluster.names))]
 	other := cluster.names[faults.IntN(len(cluster.names))]
--- a/internal/cluster/lease/status.go
+++ b/internal/cluster/lease/status.go
@@ -6,16 +6,16 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// SlotStatus is the lease state of one slot as a node reports it to operators.
+// SlotStatus is what a node knows about the lease on one slot, as shown to operators.
 type SlotStatus struct {
 	Slot    int    `json:"slot"`
 	Own     bool   `json:"own"`
 	Holder  string `json:"holder,omitempty"`
 	Ballot  uint64 `json:"number,omitempty"`
-	Planned string `json:"planned,omitempty"` // the candidate that the slot is assigned to
-	Since   int64  `json:"-"`                 // when this node acquired the lease; 0 if it does not hold it
-	Until   int64  `json:"-"`                 // when the lease ends; 0 if that is not known
-	Reason  string `json:"why,omitempty"`     // why no holder is known
+	Planned string `json:"planned,omitempty"` // name of the candidate that the slot is assigned to; empty: no candidates
+	Since   int64  `json:"-"`                 // when this node acquired the lease, ns; 0: it does not hold it
+	Until   int64  `json:"-"`                 // when the lease ends, on this node's clock, ns; 0: not known
+	Reason  string `json:"why,omitempty"`     // why no holder is known; empty: Holder is known
 }
 
 // Slots returns the status of every slot as far as this node knows it. A voter knows the holders to which it
@@ -51,7 +51,8 @@
 	return status
 }
 
-// reasonNotHeld returns the text for operators that says why no holder of a slot is known.
+// reasonNotHeld says, in words for operators, why no holder of a slot is known. planned is the name of the candidate
+// that the slot is assigned to.
 func (node *Node) reasonNotHeld(now int64, holding *slotHolding, planned string) string {
 	switch {
 	case now < node.grantsFrom:
--- a/internal/cluster/lease/status_test.go
+++ b/internal/cluster/lease/status_test.go
@@ -6,7 +6,8 @@
 	"tealpath/internal/cluster/paxos"
 )
 
-// reasons counts the slots by the name of their holder or, if no holder is known, by the reason.
+// reasons returns the number of slots under each holder's name and, for slots without a known holder, under each
+// reason.
 func reasons(node *Node, now int64) map[string]int {
 	count := map[string]int{}
 	for _, status := range node.Slots(now) {
--- a/internal/cluster/lease/voter.go
+++ b/internal/cluster/lease/voter.go
@@ -37,7 +37,8 @@
 	return answers
 }
 
-// isOutdated reports whether the ballot is too low given what the voter has promised or granted.
+// isOutdated reports whether a request must be rejected because the voter has promised or granted a higher ballot, or
+// because the ballot may fall under a promise that was made before a restart.
 func (node *Node) isOutdated(now int64, grant *slotGrant, from Instance, kind MessageKind, ballot uint64) bool {
 	outdated := ballot < grant.promisedBallot || ballot == grant.promisedBallot && grant.promisedTo != from
 	if kind == Prepare {
@@ -64,7 +65,8 @@
 	return item
 }
 
-// recordGrant records a promise or, for a Propose, a lease.
+// recordGrant records that this voter promises a ballot to an instance (for a Prepare) or grants it a lease under the
+// ballot (for a Propose).
 func (node *Node) recordGrant(now int64, grant *slotGrant, to Instance, kind MessageKind, ballot uint64) {
 	if kind == Prepare || ballot >= grant.promisedBallot {
 		grant.promisedBallot = max(grant.promisedBallot, ballot)
@@ -89,7 +91,8 @@
 // SilentUntil returns until when this node grants nothing as a voter after its start. It may be in the past.
 func (node *Node) SilentUntil() int64 { return node.grantsFrom }
 
-// revokeLease ends a lease that its holder released. A Propose with its ballot that arrives later is rejected.
+// revokeLease forgets a lease that this voter granted, because its holder released it. It raises the slot's ballots,
+// so that a Propose with the old ballot that arrives late is rejected.
 func (node *Node) revokeLease(slot int, from Instance, ballot uint64) {
 	grant := &node.grants[slot]
 	if grant.holder != from || grant.ballot != ballot {
@@ -99,8 +102,8 @@
 	grant.promisedBallot = max(grant.promisedBallot, ballot+1)
 }
 
-// receiveRelease ends the leases that a holder has released, and schedules this node's own attempts to acquire the
-// slots.
+// receiveRelease ends leases and attempts that another instance has released. If this node does not hold or request
+// the slot itself, it schedules its own attempt.
 func (node *Node) receiveRelease(now int64, from Instance, message Message) {
 	for _, item := range message.Items {
 		if item.Slot < 0 || item.Slot >= len(node.grants) {
@@ -114,7 +117,8 @@
 		}
 		holding.busyUntil, holding.freeSince, holding.attemptAt = 0, now, now
 		if item.Holder.Name != node.config.Self.Name {
-			holding.attemptAt = now + node.turnDelay(item.Slot) // the named successor comes first
+			// The successor that the message names requests the slot first.
+			holding.attemptAt = now + node.turnDelay(item.Slot)
 		}
 	}
 	node.requestFreeSlots(now)
