--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -26,8 +26,8 @@
 	wallMS            int64                            // wall clock at simulated time 0, ms since 1970
 	starts            uint64                           // number of node starts; used as incarnations
 	highestBallots    map[int]uint64                   // by slot: ballot of the latest Acquired
-	overlaps          int                              // number of slots with two or more holders, summed over all steps
-	ballotRegressions int                              // number of Acquired effects without a higher ballot than before
+	overlaps          int                              // slots with two or more holders, summed over all steps
+	ballotRegressions int                              // Acquired effects without a higher ballot than before
 	observe           func(name string, effect Effect) // called for each effect of a node; may be nil
 }
 
--- a/internal/cluster/lease/config.go
+++ b/internal/cluster/lease/config.go
@@ -18,7 +18,7 @@
 	MaxVoters = 64
 
 	maxAllowedDrift     = 0.1 // largest allowed Config.MaxClockDrift: 0.1 is 10%
-	minRenewalsPerLease = 3   // smallest LeaseDuration/RenewInterval, so that a lease outlasts two lost renewals in a row
+	minRenewalsPerLease = 3   // smallest LeaseDuration/RenewInterval: a lease outlasts two lost renewals
 )
 
 // Instance identifies one run of a router: each start has its own incarnation.
--- a/internal/cluster/lease/status.go
+++ b/internal/cluster/lease/status.go
@@ -12,7 +12,7 @@
 	Own     bool   `json:"own"`
 	Holder  string `json:"holder,omitempty"`
 	Ballot  uint64 `json:"number,omitempty"`
-	Planned string `json:"planned,omitempty"` // name of the candidate that the slot is assigned to; empty: no candidates
+	Planned string `json:"planned,omitempty"` // candidate that the slot is assigned to; empty: none
 	Since   int64  `json:"-"`                 // when this node acquired the lease, ns; 0: it does not hold it
 	Until   int64  `json:"-"`                 // when the lease ends, on this node's clock, ns; 0: not known
 	Reason  string `json:"why,omitempty"`     // why no holder is known; empty: Holder is known
--- a/internal/cluster/membership/cluster_test.go
+++ b/internal/cluster/membership/cluster_test.go
@@ -16,9 +16,9 @@
 // plantedFault is a fault of a table that the tests' checks must detect. The test cluster plants it by changing
 // the table's input or state.
 type plantedFault struct {
-	cannotRefute     bool // a table receives nothing about its own instance
+	cannotRefute     bool // a table receives no entries and reports about its own instance
 	believesOneClaim bool // one peer's claim that a member is dead is enough
-	ignoresOwnDelay  bool // a table does not notice that it ticks late
+	ignoresOwnDelay  bool // a table does not notice that its ticks come late
 }
 
 // testCluster is a set of tables that exchange messages. Time advances in steps of 50 ms; a message takes one step.
@@ -27,20 +27,20 @@
 	now         int64
 	names       []string
 	tables      map[string]*Table
-	faults      map[string]plantedFault // by table: the value of fault when the table was started
+	faults      map[string]plantedFault // by table: its planted fault
 	down        map[string]bool
 	pausedUntil map[string]int64
-	cut         func(from, to string) bool // reports whether messages on this path are lost
-	loss        float64                    // share of messages that are lost
+	cut         func(from, to string) bool // reports whether messages between two instances are lost
+	loss        float64                    // probability that a message is lost
 	rng         *rand.Rand
 	inTransit   []message
-	fault       plantedFault // of tables to be started
+	fault       plantedFault // fault that tables get when they are started
 	twice       bool         // each message is delivered twice
 	starts      uint64
 	observe     func(name string, sends []Send, changes []Change) // called with a table's results; may be nil
 }
 
-// message is a message in transit.
+// message is a message in transit, with the incarnation of its sender.
 type message struct {
 	from        string
 	incarnation uint64
@@ -54,7 +54,7 @@
 	return newFaultyCluster(t, count, plantedFault{})
 }
 
-// newFaultyCluster returns a cluster in which each table has a planted fault.
+// newFaultyCluster starts count instances, each with the planted fault in its table.
 func newFaultyCluster(t *testing.T, count int, fault plantedFault) *testCluster {
 	t.Helper()
 	cluster := &testCluster{
@@ -79,7 +79,7 @@
 
 func (cluster *testCluster) wallMS() uint64 { return uint64(cluster.now / 1e6) }
 
-// start starts an instance with a new table. wallMS is its wall clock, ms since 1970.
+// start starts or restarts an instance with a new table. wallMS is the instance's wall clock, ms since 1970.
 func (cluster *testCluster) start(name string, wallMS uint64) {
 	var contacts []Contact
 	for _, other := range cluster.names {
@@ -101,7 +101,8 @@
 	delete(cluster.down, name)
 }
 
-// run advances time by a duration. In each step it delivers messages and ticks the running tables.
+// run advances the time by duration. In each step it delivers messages and ticks the tables that are neither down nor
+// paused.
 func (cluster *testCluster) run(duration int64) {
 	for end := cluster.now + duration; cluster.now < end; cluster.now += step {
 		cluster.deliver()
@@ -126,7 +127,7 @@
 	cluster.send(name, sends)
 }
 
-// observed passes a table's results to observe, if it is set.
+// observed calls observe, if it is set, with what a table returned.
 func (cluster *testCluster) observed(name string, sends []Send, changes []Change) {
 	if cluster.observe != nil {
 		cluster.observe(name, sends, changes)
@@ -154,7 +155,8 @@
 	}
 }
 
-// plantFault applies a table's planted fault to the table and to the gossip that it is about to receive.
+// plantFault plants the fault of a table in its state, and returns the gossip that the table receives in place of the
+// given gossip.
 func (cluster *testCluster) plantFault(to string, gossip Gossip) Gossip {
 	fault := cluster.faults[to]
 	if fault.cannotRefute {
@@ -165,7 +167,7 @@
 	}
 	if fault.believesOneClaim {
 		for _, member := range cluster.tables[to].members.byName {
-			member.deathClaims[to] = true // counts as the first of two claims
+			member.deathClaims[to] = true // the table itself is the first of the two claimants needed
 		}
 	}
 	return gossip
@@ -202,7 +204,7 @@
 	return believe > 0
 }
 
-// checkAll checks that all other instances that are up believe a member to be in a state.
+// checkAll fails the test unless all other instances that are up believe a member to be in a state.
 func (cluster *testCluster) checkAll(name string, state State) {
 	cluster.t.Helper()
 	if believe, all := cluster.believers(name, state); believe != all {
@@ -210,7 +212,7 @@
 	}
 }
 
-// checkAllAlive checks that all instances believe each other alive and publish the same view.
+// checkAllAlive fails the test unless all instances believe each other alive and publish the same view.
 func (cluster *testCluster) checkAllAlive() {
 	cluster.t.Helper()
 	for _, name := range cluster.names {
@@ -221,7 +223,8 @@
 	}
 }
 
-// differentView returns an instance that publishes another view than the first one, or an empty name.
+// differentView returns the name of an instance whose published view differs from that of the first instance, or "" if
+// there is none.
 func (cluster *testCluster) differentView() string {
 	_, first, _ := cluster.tables[cluster.names[0]].ViewInfo()
 	for _, name := range cluster.names {
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -7,18 +7,18 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// minWatched is the smallest number of watched neighbours whose silence lets this instance conclude that it is
-// cut off itself.
+// minWatched is the smallest number of watched neighbours for which this instance concludes, if all of them are
+// silent, that it is cut off itself.
 const minWatched = 3
 
-// quarterOf returns a quarter of a number of observers, at least 1. Once that many of a member's observers report the
-// member, its observers that may be unable to report (see countSilenced) count against it as well: when a zone is
-// lost, the members in it cannot report each other.
+// quarterOf returns a quarter of a member's number of observers, but at least 1. If that many of the observers report
+// the member, those that may be unable to report it count as well (see countSilenced): when a zone is lost, the
+// members in it cannot report each other.
 func quarterOf(observers int) int { return max(1, observers/4) }
 
-// checkOwnDelay checks whether this instance ticked late. It would otherwise report others for its own delay. An
-// instance that was away (late by an interval or more) drops the reports of other observers and restarts the
-// silence timeouts of its links.
+// checkOwnDelay checks whether this instance ticked late, because it would otherwise take others for silent. If it was
+// away (late by a heartbeat interval or more), it drops the reports of other observers and restarts the silence
+// timeouts of its links.
 func (table *Table) checkOwnDelay(now int64) {
 	interval := table.config.HeartbeatInterval
 	wasAway := table.health.recordTick(now, table.nextHeartbeat, interval)
@@ -31,22 +31,23 @@
 		}
 		member.confirmSince = timing.Never
 		maps.DeleteFunc(member.reports, func(observer string, _ receivedReport) bool {
-			return observer != table.self.entry.Name // their reports may date from before the pause
+			return observer != table.self.entry.Name // the other observers' reports may date from before the pause
 		})
 	}
 	table.recordSelfChange(now, ReasonAway)
 }
 
-// Away returns how long this instance did not run when it was last away, ns; 0 if it never was.
+// Away returns the length of this instance's last pause of a heartbeat interval or more, ns; 0 if there was none.
 func (table *Table) Away() int64 { return table.health.away }
 
-// LocalHealth returns this instance's local health score, from 0 (healthy) to 8.
+// LocalHealth returns this instance's local health score, from 0 (healthy) to maxLocalHealth; see localHealth.
 func (table *Table) LocalHealth() int { return table.health.score }
 
-// IsCutOff reports whether this instance receives heartbeats from none of its watched neighbours.
+// IsCutOff reports whether this instance watches minWatched neighbours or more and all of them are silent.
 func (table *Table) IsCutOff() bool { return table.health.cutOff }
 
-// silenceTimeout returns how long a neighbour may be silent, ns. It is longer if the local health is poor.
+// silenceTimeout returns how long a neighbour may be silent before it is reported, ns. A poor local health lengthens
+// it.
 func (table *Table) silenceTimeout() int64 {
 	return table.health.lengthen(table.config.SilenceTimeout)
 }
@@ -82,7 +83,8 @@
 	}
 }
 
-// evaluate returns the kind of report that a link's state calls for.
+// evaluate returns what this instance has to report about the member at the other end of a link: Silent, Deaf or
+// Healthy.
 func (link *link) evaluate(now, timeout int64) ReportKind {
 	switch {
 	case now-max(link.heardAt, link.since) > timeout:
@@ -93,7 +95,7 @@
 	return Healthy
 }
 
-// forgetInbound drops an inbound link without a heartbeat for forgetInbound intervals.
+// forgetInbound removes the inbound link of a member that has sent no heartbeat for forgetInbound intervals.
 func (table *Table) forgetInbound(now int64, member *record) {
 	if now-member.link.heardAt > table.config.intervals(forgetInbound) {
 		table.links.remove(member)
@@ -113,8 +115,8 @@
 	}
 }
 
-// reportNeighbour sends the other instances a report that a neighbour has a problem of this kind. With the kind
-// Healthy it withdraws the earlier report, if there is one.
+// reportNeighbour queues a report that a neighbour is Silent or Deaf for all other instances. With the kind Healthy it
+// withdraws this instance's earlier report, if there is one.
 func (table *Table) reportNeighbour(now int64, member *record, kind ReportKind) {
 	link := member.link
 	if kind == Healthy && link.reported == Healthy {
@@ -133,9 +135,9 @@
 	table.passOnReport(now, report, "")
 }
 
-// evaluateSuspects marks a member as dead once most of its observers have reported it for confirmIntervals. That is
-// the time in which the member can refute the reports. Instances with the same reports and rings come to the same
-// result.
+// evaluateSuspects marks a reported member as dead once most of its observers have reported it for confirmIntervals,
+// in which the member could have refuted the reports. Instances with the same reports and the same rings come to the
+// same result.
 func (table *Table) evaluateSuspects(now int64) {
 	if len(table.suspicion.members) == 0 {
 		return
@@ -160,21 +162,21 @@
 	}
 }
 
-// dropOutdatedReports drops reports that are older than lifetime, or about another incarnation or an earlier version
-// of the member.
+// dropOutdatedReports drops the reports of a member that arrived more than lifetime ns ago or that are about another
+// incarnation or an earlier version of the member.
 func (member *record) dropOutdatedReports(now, lifetime int64) {
 	maps.DeleteFunc(member.reports, func(_ string, report receivedReport) bool {
 		return now-report.at > lifetime || report.Incarnation != member.Incarnation || report.Version < member.Version
 	})
 }
 
-// isReportedBy reports whether an observer's report of a member counts against it.
+// isReportedBy reports whether an observer reports a member as silent or deaf and this report counts.
 func (table *Table) isReportedBy(member *record, observer string) bool {
 	report, ok := member.reports[observer]
 	return ok && report.Kind != Healthy && table.canReport(observer)
 }
 
-// canReport reports whether reports from an observer count. It must be this instance or a member believed alive.
+// canReport reports whether the reports of an observer count: it must be this instance or a member believed alive.
 func (table *Table) canReport(name string) bool {
 	if name == table.self.entry.Name {
 		return true
@@ -183,7 +185,8 @@
 	return member != nil && member.State == Alive
 }
 
-// evaluate decides from the reports of its observers whether a member is dead.
+// evaluate marks a member as dead if enough of its observers have reported it for confirmIntervals. reporting holds,
+// by member, the number of its observers that report it.
 func (table *Table) evaluate(now int64, member *record, reporting map[string]int) {
 	observers := table.links.observersOf(member.Name)
 	count := reporting[member.Name]
@@ -200,8 +203,8 @@
 	}
 }
 
-// countSilenced counts the observers of a member that do not report it but may be unable to: they are reported
-// by a quarter of their own observers, or are not believed alive.
+// countSilenced counts the observers of a member that do not report it but may be unable to: those that a quarter of
+// their own observers report, and those not believed alive.
 func (table *Table) countSilenced(member *record, observers []string, reporting map[string]int) int {
 	count := 0
 	for _, observer := range observers {
@@ -216,7 +219,7 @@
 	return count
 }
 
-// believeDead marks a member as dead and passes that on.
+// believeDead marks a member as dead and passes its entry on with that mark.
 func (table *Table) believeDead(now int64, member *record, reason string) {
 	table.setState(now, member, Dead, reason)
 	table.suspicion.remove(member)
--- a/internal/cluster/membership/detect_test.go
+++ b/internal/cluster/membership/detect_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// All other members believe a killed member alive 1.9 s after the kill and dead 3 s after it. They believe it alive
-// again after a restart.
+// A killed member must be believed dead by all others after at most 3 s, but not within 1.9 s, when it could still be
+// slow. After a restart all must believe it alive again.
 func TestKilledMemberIsBelievedDeadInTime(t *testing.T) {
 	for _, count := range []int{2, 3, 5, 30} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -25,9 +25,9 @@
 	}
 }
 
-// A member that is paused for up to 1.5 s is not believed dead. One that is paused for 5 s or longer is. After the
-// pause it is believed alive again and knows how long it was away. A member that was never paused is not believed
-// dead, neither by the members that were paused nor by the others.
+// A pause of up to 1.5 s must not make others believe a member dead; one of 5 s or longer must. After the pause the
+// member must be believed alive again and know how long it was away. Members that were not paused must not be believed
+// dead by any member, not even by those that were paused and may take their own pause for the silence of others.
 func TestPausedMembers(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -75,7 +75,7 @@
 	}
 }
 
-// ringNext returns the name that follows a name in a ring of count members.
+// ringNext returns the name whose number follows that of name; the first name follows the last of count names.
 func ringNext(t *testing.T, name string, count int) string {
 	t.Helper()
 	var number int
@@ -85,7 +85,7 @@
 	return fmt.Sprintf("n%03d", (number+1)%count)
 }
 
-// checkNobodyDead checks that no instance believes another one dead.
+// checkNobodyDead fails the test if an instance believes another one dead.
 func (cluster *testCluster) checkNobodyDead() {
 	cluster.t.Helper()
 	for _, name := range cluster.names {
@@ -95,9 +95,9 @@
 	}
 }
 
-// A member that receives no messages, and one whose messages are all lost, is believed dead by all others within
-// 5 s. Links that lose messages in one direction, between two members or around a ring, cause no member
-// to be believed dead.
+// A member that receives no messages, or whose messages are all lost, must be believed dead by all others within 5 s,
+// because it cannot do its part. If single links lose messages in one direction, between two members or around a ring,
+// no member must be believed dead.
 func TestOneWayCuts(t *testing.T) {
 	for _, test := range []struct {
 		name string
@@ -136,8 +136,8 @@
 	}
 }
 
-// During a network split each side believes its own members alive and the others dead. Once it is healed, all agree
-// within 5 s.
+// During a network split, each side must believe its own members alive and the others dead. Once the split is over,
+// all instances must believe each other alive again within 5 s.
 func TestSplit(t *testing.T) {
 	cluster := newCluster(t, 60)
 	cluster.run(4 * second)
@@ -161,12 +161,12 @@
 	cluster.checkAllAlive()
 }
 
-// When a fifth of all messages is lost, no member is believed dead. When two fifths are lost, some members may be, but
-// all are alive again once messages arrive.
+// If a fifth of all messages is lost, no member must be believed dead. If two fifths are lost, some members may be,
+// but all must be believed alive again once no more messages are lost.
 func TestLostMessages(t *testing.T) {
 	for _, test := range []struct {
 		loss    float64
-		maxDead int // members that may be believed dead
+		maxDead int // most members that may be believed dead while messages are lost
 	}{{0.05, 0}, {0.2, 0}, {0.4, 3}} {
 		cluster := newCluster(t, 40)
 		cluster.run(4 * second)
@@ -189,7 +189,8 @@
 	}
 }
 
-// A member that cannot refute stays dead after a pause, so the checks of the other tests detect that fault.
+// A member that cannot refute reports stays dead after a pause. If it did not, the other tests would not notice that
+// refutation is broken.
 func TestMemberThatCannotRefuteStaysDead(t *testing.T) {
 	cluster := newCluster(t, 30)
 	cluster.fault = plantedFault{cannotRefute: true}
@@ -202,7 +203,8 @@
 	}
 }
 
-// Members that were paused report no other member, unless the fault keeps them from noticing their own delay.
+// A member that was paused must not report others as silent, because the silence was its own. With the planted fault
+// that hides its delay it does report them, so the test can tell the difference.
 func TestLateMemberReportsNobody(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -232,7 +234,7 @@
 	}
 }
 
-// countReports counts the observers' own reports that a subject is silent or deaf, as their tables hold them.
+// countReports counts the reports that subjects are silent or deaf which the observers made themselves.
 func (cluster *testCluster) countReports(observers, subjects []string) int {
 	count := 0
 	for _, observer := range observers {
--- a/internal/cluster/membership/digest.go
+++ b/internal/cluster/membership/digest.go
@@ -6,15 +6,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// digests caches the digest of the entries of all members believed alive, and that of each bucket of these entries,
-// for one revision of the table.
+// digests caches digests of the entries of this instance and of all members believed alive: one of all these entries,
+// and one for each bucket of them. They are valid for one revision of the table.
 type digests struct {
 	revision uint64
 	all      uint64
 	buckets  []uint64
 }
 
-// of returns the current digests of a table.
+// of returns the digest of all entries and those of the buckets, computed again if the table has changed since the
+// last call.
 func (digests *digests) of(table *Table) (all uint64, buckets []uint64) {
 	if digests.buckets != nil && digests.revision == table.revision {
 		return digests.all, digests.buckets
@@ -50,9 +51,10 @@
 	return xxhash.Sum64(append(key, entry.Name...))
 }
 
-// answerBuckets sends the entries of the buckets whose digests differ from the asker's, starting at a random bucket.
-// It sends as many as one message holds. They include entries under the asker's own name: if the asker's clock was set
-// back, it learns from them that it has to raise its start time.
+// answerBuckets answers another instance's bucket digests with the entries of the buckets whose digests differ from
+// this instance's. It starts at a random bucket and sends as many entries as one message may have. They may include
+// the asker's own entry: if the asker's wall clock was set back, it learns from that entry that it has to raise its
+// start time.
 func (table *Table) answerBuckets(to string, theirs []uint64) []Send {
 	_, buckets := table.digests.of(table)
 	names := map[int][]string{}
--- a/internal/cluster/membership/explore_test.go
+++ b/internal/cluster/membership/explore_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// event is a fault or restart in a cluster of three members.
+// event is a fault or a restart in a cluster of three members.
 type event struct {
 	name     string
 	duration int64
 	begin    func(cluster *testCluster)
 }
 
-// end ends an event's effect on links. Pauses end by themselves.
+// end ends the loss or duplication of messages by an event. A pause ends by itself.
 func (event) end(cluster *testCluster) { cluster.cut, cluster.twice = noCut, false }
 
 // allEvents returns these events: no fault; the loss of all messages from one member to another, to one member, from
@@ -51,13 +51,15 @@
 	return events
 }
 
-// scenario runs a sequence of events and checks the versions that instances publish of themselves.
+// scenario is a cluster in which events run one after another, with the versions that its instances have published of
+// their own entries.
 type scenario struct {
 	*testCluster
-	issued map[string]map[uint64]uint64 // by name and incarnation: the version in the instance's own entry
+	issued map[string]map[uint64]uint64 // by name and incarnation: highest version in the instance's own entry
 }
 
-// check checks the present state and returns the first error, or an empty string.
+// check returns an error if an instance has lowered its own version, or if another knows a version that the instance
+// has not published. It returns "" if there is none.
 func (scenario *scenario) check() string {
 	for _, name := range scenario.names {
 		self := scenario.tables[name].Self()
@@ -81,7 +83,8 @@
 	return ""
 }
 
-// runChecked advances time until the duration is over or check finds an error, which it returns.
+// runChecked advances the time in steps of 0.2 s until duration has passed or check finds an error. It returns the
+// error, or "".
 func (scenario *scenario) runChecked(duration int64) (failure string) {
 	for end := scenario.now + duration; scenario.now < end && failure == ""; {
 		scenario.run(second / 5)
@@ -90,8 +93,8 @@
 	return failure
 }
 
-// checkEnd checks that all instances agree at the end: all know all others as alive, in their present incarnation
-// and version, and publish the same view. It returns the first error, or an empty string.
+// checkEnd returns an error unless each instance knows all others as alive, in their present incarnation and version,
+// and all publish the same view. It returns "" if there is no error.
 func (scenario *scenario) checkEnd() string {
 	for _, name := range scenario.names {
 		for _, member := range scenario.tables[name].Members() {
@@ -110,7 +113,8 @@
 	return ""
 }
 
-// explore runs events one after another in a new cluster and returns the first error, or an empty string.
+// explore runs the events one after another in a new cluster, waits 14 s for agreement, and returns the first error,
+// or "" if there is none.
 func explore(t *testing.T, events []event, fault plantedFault) string {
 	t.Helper()
 	scenario := &scenario{newFaultyCluster(t, 3, fault), map[string]map[uint64]uint64{}}
@@ -130,7 +134,8 @@
 	return scenario.checkEnd()
 }
 
-// randomScenarios returns the number of random scenarios: TEALPATH_EXPLORE if it is set, else a default.
+// randomScenarios returns the number of random scenarios to run: the value of the environment variable
+// TEALPATH_EXPLORE, or byDefault if that is not a number.
 func randomScenarios(byDefault int) int {
 	if asked, err := strconv.Atoi(os.Getenv("TEALPATH_EXPLORE")); err == nil {
 		return asked
@@ -138,9 +143,9 @@
 	return byDefault
 }
 
-// The test runs each scenario of two events, and random ones of four events. TEALPATH_EXPLORE=N sets the number of
-// random scenarios to N. With an N above 1,000,000, the test also runs each scenario of three events, and 1,000,000
-// random ones.
+// Whatever faults follow each other, all instances must agree in the end. The test runs every scenario of two events,
+// and random ones of four events. TEALPATH_EXPLORE=N sets the number of random ones to N. With an N above 1,000,000,
+// the test also runs every scenario of three events, and 1,000,000 random ones.
 func TestScenariosEndInAgreement(t *testing.T) {
 	const maxRandom = 1_000_000
 	all, random := allEvents(), randomScenarios(400)
@@ -176,7 +181,8 @@
 	t.Logf("%d scenarios", tried)
 }
 
-// Scenarios of one event are enough to detect members that cannot refute.
+// If members cannot refute reports, some scenario of one event must end in an error. Otherwise
+// TestScenariosEndInAgreement would not notice that refutation is broken.
 func TestScenariosDetectMembersThatCannotRefute(t *testing.T) {
 	found := 0
 	for _, one := range allEvents() {
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -5,35 +5,37 @@
 	"slices"
 )
 
-// queuedReport is a report to be passed on to all neighbours except the one that sent it.
+// queuedReport is a report to be passed on to all neighbours except from, the one that it came from. An empty from
+// excludes none.
 type queuedReport struct {
 	Report
 	from string
 }
 
-// queuedEntry is an entry to be passed on to all neighbours except the one that sent it.
+// queuedEntry is an entry to be passed on to all neighbours except from, the one that it came from. An empty from
+// excludes none.
 type queuedEntry struct {
 	Entry
 	from string
 }
 
-// queuedName marks a name whose entry at the time of sending is to be passed on to all neighbours except the one
-// that sent it.
+// queuedName stands for the entry of one name, as it will be at the time of sending. It is passed on to all neighbours
+// except from, the one that the entry came from; an empty from excludes none.
 type queuedName struct{ from string }
 
-// gossipQueue holds entries and reports to be passed on.
+// gossipQueue holds the entries and reports that wait to be passed on to neighbours.
 type gossipQueue struct {
 	entries map[string]queuedName
 	reports []queuedReport
-	sendAt  int64             // 0: nothing is queued
-	rumours map[string]uint64 // by member: the member's version in the last rumour passed on, plus one
+	sendAt  int64             // when the queue is to be sent; 0: nothing is queued
+	rumours map[string]uint64 // by member: 1 + the version that the last rumour passed on was about
 }
 
 func newGossipQueue() gossipQueue {
 	return gossipQueue{entries: map[string]queuedName{}, rumours: map[string]uint64{}}
 }
 
-// next returns when the queue is to be sent, or noTime.
+// next returns when the queue is to be sent, or noTime if it is empty.
 func (queue *gossipQueue) next() int64 {
 	if queue.sendAt == 0 {
 		return noTime
@@ -41,8 +43,8 @@
 	return queue.sendAt
 }
 
-// isNewRumour records a rumour that a member's present version is dead, and reports whether it is the first rumour
-// about that version.
+// isNewRumour reports whether no rumour that the member's present version is dead has been passed on yet, and records
+// that one is passed on now.
 func (queue *gossipQueue) isNewRumour(member *record) bool {
 	if queue.rumours[member.Name] == member.Version+1 {
 		return false
@@ -51,20 +53,20 @@
 	return true
 }
 
-// schedule sets the time to send the queue, unless one is set.
+// schedule sets the time at which the queue is sent to interval/batchDivisor after now, unless a time is set already.
 func (queue *gossipQueue) schedule(now, interval int64) {
 	if queue.sendAt == 0 {
 		queue.sendAt = now + interval/batchDivisor
 	}
 }
 
-// passOn queues a member's entry for all neighbours except from.
+// passOn queues the entry of a member for all neighbours except from, the one that it came from.
 func (table *Table) passOn(now int64, name, from string) {
 	table.gossip.entries[name] = queuedName{from}
 	table.gossip.schedule(now, table.config.HeartbeatInterval)
 }
 
-// passOnReport queues a report for all neighbours except from.
+// passOnReport queues a report for all neighbours except from, the one that it came from.
 func (table *Table) passOnReport(now int64, report Report, from string) {
 	table.gossip.reports = append(table.gossip.reports, queuedReport{report, from})
 	table.gossip.schedule(now, table.config.HeartbeatInterval)
@@ -76,8 +78,8 @@
 	reports []queuedReport
 }
 
-// take removes as much from the queue as one message holds and returns it. Of the reports that remain it keeps the
-// latest maxQueuedReports.
+// take removes as many entries and reports from the queue as one message may have, and returns them. If more than
+// maxQueuedReports reports remain in the queue, it drops the oldest of them.
 func (queue *gossipQueue) take(table *Table) gossipBatch {
 	var batch gossipBatch
 	names := slices.Sorted(maps.Keys(queue.entries))
@@ -97,7 +99,8 @@
 	return batch
 }
 
-// announcementOf returns the entry of a name as it is passed on, unless the name is unknown or unheard.
+// announcementOf returns the entry under a name as it is passed on to others; ok is false if the name is unknown or no
+// entry under it has arrived yet.
 func (table *Table) announcementOf(name string) (Entry, bool) {
 	if name == table.self.entry.Name {
 		return table.self.entry, true
@@ -109,7 +112,8 @@
 	return member.announcement(), true
 }
 
-// forPeer returns the batch as a message, without what the peer sent or reported itself.
+// forPeer returns the batch as a message to a peer. It leaves out the entries and reports that came from the peer, and
+// the peer's own reports.
 func (batch gossipBatch) forPeer(name string) Gossip {
 	var gossip Gossip
 	for _, entry := range batch.entries {
@@ -125,7 +129,8 @@
 	return gossip
 }
 
-// sendGossip sends a batch of the queue once on each link.
+// sendGossip takes one batch from the queue and returns a message with it for each link. What remains is scheduled to
+// be sent later.
 func (table *Table) sendGossip(now int64) []Send {
 	batch := table.gossip.take(table)
 	table.gossip.sendAt = 0
--- a/internal/cluster/membership/heartbeat.go
+++ b/internal/cluster/membership/heartbeat.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// heartbeats returns the messages of one heartbeat interval: a numbered heartbeat with an echo and queued gossip
-// for each link and, every reconnectEvery intervals, one to a member without a link.
+// heartbeats returns the messages that are sent once in a heartbeat interval: for each link a numbered heartbeat with
+// an echo and queued gossip and, every reconnectEvery intervals, a first heartbeat to a member without a link.
 func (table *Table) heartbeats(now int64) []Send {
 	table.pickReconnect(now)
 	batch := table.gossip.take(table)
@@ -21,8 +21,8 @@
 	return sends
 }
 
-// heartbeat turns gossip for a member with a link into the next heartbeat to it: it adds the number, the echo and any
-// entries that the member may lack.
+// heartbeat makes gossip for a member into the next heartbeat on the member's link: it adds the heartbeat's number,
+// the echo and the entries that the member may lack.
 func (table *Table) heartbeat(now int64, member *record, gossip Gossip) Gossip {
 	link := member.link
 	link.sent++
@@ -32,20 +32,20 @@
 	if mayNotKnowSelf && !slices.ContainsFunc(gossip.Entries, isSelf) {
 		gossip.Entries = append([]Entry{table.self.entry}, gossip.Entries...)
 	}
-	if member.State == Dead { // tell the member, so that it can refute
+	if member.State == Dead { // so that the member can refute it
 		gossip.Entries = append(gossip.Entries, member.announcement())
 	}
 	return gossip
 }
 
-// reconnect is the member without a link that the table tries to reach.
+// reconnect is the member without a link that the table currently tries to reach.
 type reconnect struct {
-	name    string // empty: none
+	name    string // empty: there is none
 	triedAt int64
 }
 
-// pickReconnect picks a random member without a link that is believed dead or unheard. After a network split, only
-// these attempts reconnect the two sides.
+// pickReconnect picks, every reconnectEvery intervals, a random member that has no link and is dead or unheard. These
+// attempts are the only way in which the two sides of a network split find each other again.
 func (table *Table) pickReconnect(now int64) {
 	if now-table.reconnect.triedAt < table.config.intervals(reconnectEvery) {
 		return
@@ -67,8 +67,8 @@
 	}
 }
 
-// receiveHeartbeat handles a heartbeat. A heartbeat from a member without a link creates an inbound link, unless
-// there are maxInbound already.
+// receiveHeartbeat handles a heartbeat and returns the replies to it. If the sender has no link, it gets an inbound
+// one, unless there are maxInbound already; then the heartbeat is ignored.
 func (table *Table) receiveHeartbeat(now int64, member *record, gossip Gossip) []Send {
 	if member.link == nil {
 		if len(table.links.inbound()) >= maxInbound {
@@ -89,8 +89,9 @@
 	return table.compareDigest(now, member, gossip.Digest)
 }
 
-// compareDigest sends bucket digests to request the entries that differ, at the first heartbeat and once the
-// digests have differed for syncAfter intervals.
+// compareDigest compares a member's digest with this instance's. It returns a message with bucket digests, which asks
+// the member for the entries that differ, at the member's first heartbeat and once the digests have differed for
+// syncAfter intervals.
 func (table *Table) compareDigest(now int64, member *record, theirs uint64) []Send {
 	link := member.link
 	own, buckets := table.digests.of(table)
--- a/internal/cluster/membership/localhealth.go
+++ b/internal/cluster/membership/localhealth.go
@@ -1,16 +1,16 @@
 package membership
 
-// localHealth is an instance's measure of its own health, as in Lifeguard: an instance that runs late may take
-// others for silent through its own fault.
+// localHealth measures how reliably this instance runs, as in Lifeguard: one that runs late may take others for silent
+// by its own fault.
 type localHealth struct {
 	score    int   // from 0 (healthy) to maxLocalHealth
-	tickedAt int64 // time of the last tick
-	away     int64 // how late the tick after the last absence was, ns; 0: never away
-	cutOff   bool  // no heartbeats arrive from any watched neighbour
+	tickedAt int64 // when the last tick was
+	away     int64 // length of the last pause of a heartbeat interval or more, ns; 0: there was none
+	cutOff   bool  // there are minWatched watched neighbours or more, and all are silent
 }
 
-// recordTick worsens the score if the tick is late. It reports whether the instance was away: late by an interval
-// or more.
+// recordTick records a tick at now that was due at due. If the tick is late by more than interval/lateDivisor, the
+// score gets worse by one point. wasAway reports whether it is late by interval or more.
 func (health *localHealth) recordTick(now, due, interval int64) (wasAway bool) {
 	late := now - max(health.tickedAt, due)
 	health.tickedAt = now
@@ -25,10 +25,10 @@
 	return true
 }
 
-// improve lowers the score by one point.
+// improve lowers the score by one point, to 0 at the least.
 func (health *localHealth) improve() { health.score = max(health.score-1, 0) }
 
-// lengthen returns a timeout lengthened by timeout/healthDivisor for each point of the score.
+// lengthen returns the timeout plus timeout/healthDivisor for each point of the score.
 func (health *localHealth) lengthen(timeout int64) int64 {
 	return timeout + timeout*int64(health.score)/healthDivisor
 }
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -11,11 +11,11 @@
 // noTime is the next due time of a component that has nothing to do. It is later than any other time.
 const noTime = int64(math.MaxInt64)
 
-// State is the state of a member as this instance sees it.
+// State is what this instance believes about a member.
 type State int
 
-// The states. An Unheard member is known, usually from the configuration, but no entry of it has arrived yet. A
-// member in the state Left has announced its shutdown.
+// The states of a member. Unheard: it is known, usually from the configuration, but no entry of it has arrived yet.
+// Left: it has announced its shutdown.
 const (
 	Unheard State = iota
 	Alive
@@ -30,31 +30,32 @@
 type Member struct {
 	Entry
 	State   State
-	Since   int64    // when it entered this state
-	HeardAt int64    // when a new entry of it or a heartbeat from it last arrived; 0: never
-	Reports []Report // of its observers, sorted by observer
-	HeldOut bool     // alive, but left out of the published view because it keeps failing
+	Since   int64    // when the member entered this state
+	HeardAt int64    // when a newer entry of the member, or a heartbeat from it, last arrived; 0: never
+	Reports []Report // reports about the member, sorted by observer
+	HeldOut bool     // alive, but not in the published view because it keeps failing
 }
 
-// Reasons of a Change of this instance's own condition.
+// These are the values of Change.Reason for a change of this instance's own condition.
 const (
-	ReasonAway        = "away"        // this instance did not run for an interval or longer
-	ReasonCutOff      = "cut off"     // no heartbeats arrive from any neighbour
-	ReasonReconnected = "heard again" // heartbeats from neighbours arrive again
+	ReasonAway        = "away"        // this instance was paused for a heartbeat interval or longer
+	ReasonCutOff      = "cut off"     // all watched neighbours are silent
+	ReasonReconnected = "heard again" // ReasonCutOff no longer holds
 )
 
-// Change is a change of a member's state, or of this instance's own condition. In the second case Reason is one
-// of the reasons above.
+// Change is a change of a member's state or of this instance's own condition. In the second case, Member has this
+// instance's entry and Reason is one of the constants above.
 type Change struct {
 	Member
 	Previous State
 	Reason   string
 }
 
-// incarnations holds the incarnations seen under one name, each with the time when it was last seen.
+// incarnations holds the incarnations seen under one name and, for each, the time when it was last seen.
 type incarnations map[uint64]int64
 
-// observe records that an incarnation was seen, unless too many others are recorded.
+// observe records that an incarnation was seen now. It returns false and records nothing if the incarnation is new and
+// maxIncarnations others are recorded.
 func (seen incarnations) observe(now int64, incarnation uint64) (kept bool) {
 	if _, known := seen[incarnation]; !known && len(seen) >= maxIncarnations {
 		return false
@@ -63,7 +64,7 @@
 	return true
 }
 
-// forget drops the incarnations, except the present one, that were last seen more than age ago.
+// forget removes the incarnations, except present, that were last seen more than age ns ago.
 func (seen incarnations) forget(now, age int64, present uint64) {
 	for incarnation, at := range seen {
 		if incarnation != present && now-at > age {
@@ -72,22 +73,22 @@
 	}
 }
 
-// receivedReport is a report with its time of arrival.
+// receivedReport is a report with the time at which it arrived here.
 type receivedReport struct {
 	Report
 	at int64
 }
 
-// record is a member in the table.
+// record holds all that a table knows about one member.
 type record struct {
 	Member
-	configured   bool // it is a contact of the configuration
+	configured   bool // the configuration names the member as a contact
 	incarnations incarnations
-	reports      map[string]receivedReport // by observer
-	confirmSince int64                     // since when most observers report it, or timing.Never
-	deathClaims  map[string]bool           // peers whose entries say that it is dead
-	deaths       []int64                   // times at which it was marked as dead, within flapWindow
-	link         *link                     // nil: none
+	reports      map[string]receivedReport // by observer: its latest report about the member
+	confirmSince int64                     // since when most observers have reported the member; timing.Never: they do not
+	deathClaims  map[string]bool           // names of peers that claim that the member is dead
+	deaths       []int64                   // when the member was marked as dead, for the last flapWindow intervals
+	link         *link                     // nil: no heartbeats are exchanged with the member
 }
 
 func newRecord(now int64, name string) *record {
@@ -100,7 +101,7 @@
 	}
 }
 
-// member returns a copy of the member with its reports.
+// member returns the exported part of the record, with a copy of the reports.
 func (member *record) member() Member {
 	copied := member.Member
 	for _, report := range member.reports {
@@ -110,15 +111,16 @@
 	return copied
 }
 
-// announcement returns the member's entry as it is passed on.
+// announcement returns the member's entry as this instance passes it on, marked as dead if the member is believed
+// dead.
 func (member *record) announcement() Entry {
 	entry := member.Entry
 	entry.Dead = member.State == Dead
 	return entry
 }
 
-// countPresent counts the incarnations under the name that may be running: those seen within timeout, and the
-// present one of a live member.
+// countPresent counts the incarnations under the member's name that may be running: those seen within the last timeout
+// ns and, if the member is alive, its present one.
 func (member *record) countPresent(now, timeout int64) int {
 	count := 0
 	for incarnation, at := range member.incarnations {
@@ -129,10 +131,11 @@
 	return count
 }
 
-// holdOut returns how long a member must have been alive before it is in the published view, ns. After two deaths
-// within flapWindow the time doubles with each death, because a member with a flapping link is of no use.
+// holdOut returns how long a member must have been alive before it returns to the published view, ns. It is 0 unless
+// the member died twice within flapWindow, and doubles with each further death up to maxHoldOut intervals, because a
+// member that keeps failing is of no use.
 func (member *record) holdOut(interval int64) int64 {
-	const maxShift = 10 // prevents overflow; maxHoldOut is reached before
+	const maxShift = 10 // prevents an overflow; maxHoldOut is reached at fewer deaths
 	deaths := len(member.deaths)
 	if deaths < 2 {
 		return 0
--- a/internal/cluster/membership/memberlist.go
+++ b/internal/cluster/membership/memberlist.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// memberList holds the known members, without this instance.
+// memberList holds the known members. This instance is not one of them.
 type memberList struct {
 	byName     map[string]*record
-	generation uint64   // increases with each name that is added or removed
-	names      []string // sorted, as of the generation namesAt
+	generation uint64   // incremented when a name is added or removed
+	names      []string // all names, sorted, as they were at the generation namesAt
 	namesAt    uint64
-	forgotAt   int64 // when Table.forget last dropped members
+	forgotAt   int64 // when Table.forget last ran
 }
 
 func newMemberList() memberList { return memberList{byName: map[string]*record{}} }
 
-// add adds a member in the state Unheard.
+// add adds a member under a name, in the state Unheard, and returns it.
 func (list *memberList) add(now int64, name string) *record {
 	member := newRecord(now, name)
 	list.byName[name] = member
@@ -24,13 +24,14 @@
 	return member
 }
 
-// remove deletes a member and increments generation.
+// remove removes a member from the list.
 func (list *memberList) remove(member *record) {
 	delete(list.byName, member.Name)
 	list.generation++
 }
 
-// sortedNames returns the names of all members. The returned slice is never modified.
+// sortedNames returns the names of all members in sorted order. The caller must not modify the slice; it stays as it
+// is when members are added or removed.
 func (list *memberList) sortedNames() []string {
 	if len(list.names) != len(list.byName) || list.namesAt != list.generation {
 		list.names, list.namesAt = slices.Sorted(maps.Keys(list.byName)), list.generation
--- a/internal/cluster/membership/neighbourhood.go
+++ b/internal/cluster/membership/neighbourhood.go
@@ -6,59 +6,61 @@
 	"slices"
 )
 
-// maxInbound bounds the inbound links. While views differ, an instance may send heartbeats to a member that does
-// not know yet that they are neighbours. The member answers on an inbound link.
+// maxInbound is the largest number of inbound links. An instance whose view differs may take this one for a neighbour
+// and send it heartbeats. This instance answers them on an inbound link.
 const maxInbound = 6
 
-// link is the state of the heartbeats exchanged with a member.
+// link is the state of the heartbeats exchanged with one member.
 type link struct {
-	since   int64 // silence counts from this time at the earliest
-	inbound bool  // the member sends heartbeats here, but is not a neighbour on this instance's rings
+	since   int64 // time from which the silence of the member counts, even if heardAt is earlier
+	inbound bool  // this instance does not watch the member, but the member sends it heartbeats
 
-	heardAt  int64  // when the last heartbeat arrived
-	received uint64 // number of the last heartbeat that arrived
-	sent     uint64 // number of the last heartbeat that was sent
-	echoed   uint64 // number of the last sent heartbeat that the member has confirmed
-	echoedAt int64  // when the member last confirmed a new one
+	heardAt  int64  // when the member's last heartbeat arrived
+	received uint64 // number of the member's last heartbeat; 0: none arrived
+	sent     uint64 // number of the last heartbeat that was sent to the member; 0: none
+	echoed   uint64 // highest number of a heartbeat that the member has echoed; 0: none
+	echoedAt int64  // when echoed last increased
 
-	reported   ReportKind // kind of this instance's last report of the member
-	reportedAt int64      // when that report was made
+	reported   ReportKind // kind of this instance's last report about the member
+	reportedAt int64      // when this instance made that report
 
-	differsSince int64 // since when the digests differ; 0: they are equal
-	syncedAt     int64 // when bucket digests were last sent
+	differsSince int64 // since when this instance's digest and the member's have differed; 0: they are equal
+	syncedAt     int64 // when bucket digests were last sent to the member; 0: never
 }
 
 func newLink(now int64, inbound bool) *link {
 	return &link{since: now, heardAt: now, echoedAt: now, inbound: inbound}
 }
 
-// neighbourhood holds the members with links, and the rings that determine who watches whom.
+// neighbourhood holds the members with a link, and the rings, which determine which members are neighbours and watch
+// each other.
 type neighbourhood struct {
 	members   map[string]*record // the members with a link, by name
-	names     []string           // the sorted names of members; nil: not computed
+	names     []string           // the sorted names of members; nil: to be computed again
 	rings     *Rings
-	ringNames []string            // the names that rings was built from; rings is rebuilt when they change
-	observers map[string][]string // cached observers of a name
+	ringNames []string            // names that rings was computed from
+	observers map[string][]string // by name: its observers on rings; computed when first needed
 }
 
 func newNeighbourhood() neighbourhood {
 	return neighbourhood{members: map[string]*record{}, observers: map[string][]string{}}
 }
 
-// add adds a member, whose link must be set, to the members with links.
+// add adds a member to the members with a link. The member's link must be set.
 func (links *neighbourhood) add(member *record) {
 	links.members[member.Name] = member
 	links.names = nil
 }
 
-// remove removes a member's link.
+// remove ends the link of a member, if it has one.
 func (links *neighbourhood) remove(member *record) {
 	member.link = nil
 	delete(links.members, member.Name)
 	links.names = nil
 }
 
-// sortedNames returns the names of the members with links. The returned slice is never modified.
+// sortedNames returns the sorted names of the members with a link. The slice does not change when links are added or
+// removed.
 func (links *neighbourhood) sortedNames() []string {
 	if links.names == nil {
 		links.names = slices.Sorted(maps.Keys(links.members))
@@ -66,8 +68,8 @@
 	return links.names
 }
 
-// nextSilence returns when the silence timeout of the first watched neighbour ends, or noTime. If timeouts were
-// checked only at heartbeats, silence would be detected up to an interval late.
+// nextSilence returns when the first silence timeout of a watched neighbour ends, or noTime if there is none. Without
+// this time, silence would be noticed only at the next heartbeat, up to an interval late.
 func (links *neighbourhood) nextSilence(timeout int64) int64 {
 	next := noTime
 	for _, member := range links.members {
@@ -80,7 +82,7 @@
 	return next
 }
 
-// observersOf returns the observers of a member on this instance's rings.
+// observersOf returns the observers of a member: its neighbours on this instance's rings.
 func (links *neighbourhood) observersOf(name string) []string {
 	if observers, ok := links.observers[name]; ok {
 		return observers
@@ -101,8 +103,8 @@
 	return members
 }
 
-// trimInbound drops the inbound links beyond maxInbound, those that have been silent longest first. Without it, a
-// series of view changes would keep links to all members that were neighbours in any of the views.
+// trimInbound drops inbound links until maxInbound are left, those that were silent for longest first. Otherwise,
+// after some changes of the view, links to all former neighbours would be kept.
 func (links *neighbourhood) trimInbound() {
 	inbound := links.inbound()
 	slices.SortStableFunc(inbound, func(a, b *record) int { return cmp.Compare(b.link.heardAt, a.link.heardAt) })
@@ -111,9 +113,9 @@
 	}
 }
 
-// ringMembers returns the names on the rings: this instance, the members of the published view and, for
-// unheardOnRings intervals after the start, contacts that are Unheard. Because of these contacts all instances start
-// with the same rings.
+// ringMembers returns the sorted names on the rings: this instance, the members in the published view and, for
+// unheardOnRings intervals after the start, the contacts that are Unheard. With these contacts, instances that start
+// at the same time have the same rings from the beginning.
 func (table *Table) ringMembers(now int64) []string {
 	starting := now-table.startedAt < table.config.intervals(unheardOnRings)
 	names := []string{table.self.entry.Name}
@@ -129,7 +131,8 @@
 	return names
 }
 
-// updateRings recomputes the rings, and the links to neighbours from them, if the names on the rings have changed.
+// updateRings computes the rings again if the names on them have changed. It gives each new neighbour a link; links to
+// former neighbours become inbound ones.
 func (table *Table) updateRings(now int64) {
 	names := table.ringMembers(now)
 	links := &table.links
@@ -162,8 +165,8 @@
 	table.links.add(member)
 }
 
-// Peers returns the members to connect to: those with links, inbound ones included, and the one that the table
-// tries to reconnect to.
+// Peers returns the members to connect to: those with a link, inbound ones included, and the one without a link that
+// the table currently tries to reach.
 func (table *Table) Peers() []Contact {
 	var peers []Contact
 	for _, name := range table.links.sortedNames() {
@@ -177,14 +180,14 @@
 	return peers
 }
 
-// LinkState is the state of the heartbeats exchanged with a member.
+// LinkState is the state of the heartbeats exchanged with one member.
 type LinkState struct {
-	HeardAgo  int64 // since its last heartbeat arrived, ns
-	EchoedAgo int64 // since it last confirmed a heartbeat from this instance, ns
-	Inbound   bool  // it sends heartbeats here, but is not a neighbour on this instance's rings
+	HeardAgo  int64 // time since the member's last heartbeat arrived, ns
+	EchoedAgo int64 // time since the member last echoed a new heartbeat of this instance, ns
+	Inbound   bool  // this instance does not watch the member, but the member sends it heartbeats
 }
 
-// LinkStates returns the states of all links, by the member's name.
+// LinkStates returns the state of each link, by the name of the member.
 func (table *Table) LinkStates(now int64) map[string]LinkState {
 	states := map[string]LinkState{}
 	for name, member := range table.links.members {
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -1,10 +1,11 @@
 package membership
 
-// minDeathClaims is how many peers must claim that a member is dead before a table believes it without reports.
+// minDeathClaims is the number of peers that must claim a member's death before a table that has not received enough
+// reports believes it.
 const minDeathClaims = 2
 
-// Receive handles a message from a member and returns the immediate replies. from is the sender's name as
-// authenticated by the link.
+// Receive handles a message from the instance named from, whose name the link has authenticated. It returns the
+// messages to send in reply and the changes that the message caused.
 func (table *Table) Receive(now int64, from string, gossip Gossip) ([]Send, []Change) {
 	if !gossip.withinBounds() {
 		table.rejected++
@@ -31,7 +32,8 @@
 	return sends, table.takeChanges()
 }
 
-// receiveEntry updates a member from a received entry.
+// receiveEntry handles an entry that arrived in a message from the instance named from: an unusable one is rejected,
+// one about this instance or with a death claim is handled separately, and a newer one replaces that of the member.
 func (table *Table) receiveEntry(now int64, entry Entry, from string) {
 	if !entry.usable() {
 		table.rejected++
@@ -46,7 +48,7 @@
 		return
 	}
 	if member.configured {
-		// The configuration decides: a peer must not be able to redirect links to a configured member.
+		// The configuration has precedence. Otherwise a peer could redirect links to a configured member.
 		entry.Address, entry.Weight = member.Address, member.Weight
 	}
 	sameVersion := entry.Incarnation == member.Incarnation && entry.Version == member.Version
@@ -64,8 +66,9 @@
 	table.update(now, member, entry, from)
 }
 
-// memberFor returns the member that an entry is about, or nil. It adds an unknown member, unless MaxMembers are known
-// already or the entry says that the member is dead or leaving: there is no use in remembering such a member.
+// memberFor returns the member that an entry is about, and adds it if it is unknown. It returns nil for an unknown
+// member if MaxMembers are known already, or if the entry says that the member is dead or leaving, since such a member
+// need not be remembered.
 func (table *Table) memberFor(now int64, entry Entry) *record {
 	if member := table.members.byName[entry.Name]; member != nil {
 		return member
@@ -80,7 +83,8 @@
 	return table.addMember(now, entry.Name)
 }
 
-// update replaces a member's entry with a newer one, drops suspicions of the earlier version and passes the entry on.
+// update replaces a member's entry by a newer one, drops reports and death claims about the earlier version, and
+// passes the new entry on.
 func (table *Table) update(now int64, member *record, entry Entry, from string) {
 	previous := member.Entry
 	if !member.incarnations.observe(now, entry.Incarnation) {
@@ -116,7 +120,7 @@
 	}
 }
 
-// dropSuspicion drops the reports and death claims about an earlier version of a member.
+// dropSuspicion drops all reports and death claims about a member, because they are about an earlier version of it.
 func (table *Table) dropSuspicion(member *record) {
 	clear(member.reports)
 	clear(member.deathClaims)
@@ -126,9 +130,9 @@
 	}
 }
 
-// receiveDeathClaim handles an entry in which a peer says that a member is dead. A single claim is only passed on
-// as a rumour, so that the member can refute it. Claims of minDeathClaims peers are believed, because these peers
-// may have received reports that were lost on the way to this instance.
+// receiveDeathClaim handles an entry in which a peer claims that a member is dead. If only one peer claims it, the
+// claim is passed on as a rumour, so that the member can refute it. If minDeathClaims peers claim it, it is believed:
+// they may have received reports that were lost on the way to this instance.
 func (table *Table) receiveDeathClaim(now int64, member *record, from string) {
 	if member.State != Alive {
 		return
@@ -148,17 +152,18 @@
 	table.passOnRumour(now, member, rumour, from)
 }
 
-// passOnRumour passes on a rumour that a member is dead, once for each version of the member.
+// passOnRumour queues a rumour that a member is dead for all neighbours except from. It does so once for each version
+// of the member.
 func (table *Table) passOnRumour(now int64, member *record, rumour Report, from string) {
 	if table.gossip.isNewRumour(member) {
 		table.passOnReport(now, rumour, from)
 	}
 }
 
-// receiveOwnEntry handles an entry under this instance's name. If an entry of this incarnation has a higher
-// version or says dead, this instance refutes it by raising its version above that of the entry. An entry of another
-// incarnation is from an earlier run of this instance, which the present entry has to outrank, or from a second
-// instance that runs under the same name.
+// receiveOwnEntry handles an entry under this instance's name. If it has this instance's incarnation and a higher
+// version or a death claim, this instance refutes it by raising its own version above that of the entry. If it has
+// another incarnation, it comes from an earlier run of this instance, which the present entry must outrank, or from a
+// second instance under the same name.
 func (table *Table) receiveOwnEntry(now int64, entry Entry) {
 	self := &table.self.entry
 	if entry.Incarnation == self.Incarnation {
@@ -181,7 +186,7 @@
 	}
 }
 
-// receiveReport stores and passes on an observer's report of a member's present version. Reports about this
+// receiveReport keeps an observer's report about the present version of a member and passes it on. Reports about this
 // instance go to receiveAccusation.
 func (table *Table) receiveReport(now int64, report Report, from string) {
 	if len(report.Subject) > maxNameSize || len(report.Observer) > maxNameSize || report.Kind > Rumour {
@@ -214,8 +219,8 @@
 	table.passOnReport(now, report, from)
 }
 
-// receiveAccusation handles a report about this instance. It refutes a rumour, and the reports of a quarter of the
-// observers. Fewer reports may be caused by broken links rather than by this instance.
+// receiveAccusation handles a report about this instance. The instance refutes a rumour at once, and other reports
+// once a quarter of its observers have made them: fewer may be due to broken links rather than to this instance.
 func (table *Table) receiveAccusation(now int64, report Report) {
 	if report.Incarnation != table.self.entry.Incarnation || report.Version != table.self.entry.Version {
 		return
--- a/internal/cluster/membership/receive_test.go
+++ b/internal/cluster/membership/receive_test.go
@@ -5,14 +5,15 @@
 	"testing"
 )
 
-// A member that restarts with its wall clock set back to 1970 is alive again and is not taken for a duplicate. Two
-// instances that run under one name are detected by the first of them and by the contacts of the second.
+// A member that restarts with its wall clock set back to 1970 must be believed alive again and must not be taken for
+// two instances under one name. Two instances that do run under one name must be detected by the first of them and by
+// the contacts of the second.
 func TestRestartsUnderOneName(t *testing.T) {
 	cluster := newCluster(t, 12)
 	cluster.run(4 * second)
 	cluster.down["n003"] = true
 	cluster.run(6 * second)
-	cluster.start("n003", 1) // its clock says 1970
+	cluster.start("n003", 1) // wall clock at 1 ms after the start of 1970
 	cluster.run(5 * second)
 	cluster.checkAllAlive()
 	for _, name := range cluster.names {
@@ -52,8 +53,9 @@
 	}
 }
 
-// One member sends false death claims and forges the reports of other observers. No instance may believe them. With
-// the planted fault believesOneClaim, a single claim is enough, and the test must notice that.
+// A faulty member that claims another's death, and forges reports of all its observers, must not make any instance
+// believe it. With the planted fault believesOneClaim a single claim is enough, which shows that the test can detect a
+// false belief.
 func TestFalseReportsOfOneMember(t *testing.T) {
 	for _, test := range []struct {
 		name  string
@@ -85,7 +87,8 @@
 	}
 }
 
-// forgeReports returns gossip that says that a member is dead and that each of its observers reports it.
+// forgeReports returns gossip with an entry that claims a member's death, and with one report about it for each of its
+// observers. It raises seq for each report.
 func forgeReports(sender *Table, name string, seq *uint64) Gossip {
 	subject, _ := sender.Member(name)
 	forged := Gossip{Entries: []Entry{subject.Entry}}
@@ -98,7 +101,8 @@
 	return forged
 }
 
-// A faulty instance must not be able to put unusable entries into the tables of others or to fill their memory.
+// A faulty instance must not get unusable entries and reports into the tables of others, nor make their memory grow
+// without bound.
 func TestUnusableInputIsRejectedAndMemoryBounded(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.run(2 * second)
--- a/internal/cluster/membership/record_test.go
+++ b/internal/cluster/membership/record_test.go
@@ -9,11 +9,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// recordedDigest is the SHA-256 of the lines that TestRecordedSequence records.
+// recordedDigest is the SHA-256 of the lines that TestRecordedSequence records, in order.
 const recordedDigest = "7d324924ea1aaccf715d82e5d0f51e3517ac35dc5b98ec2b3ad397e042032ec5"
 
-// TestRecordedSequence simulates 16 members for 300 s with random faults. It records each encoded message, each
-// change and each due time in one digest, so that it detects a rewrite that changes any of them or their order.
+// TestRecordedSequence simulates 16 members for 300 s with random faults. Each encoded message, each change and each
+// due time goes into one digest, so that the test detects a refactoring that changes any of them or their order.
 func TestRecordedSequence(t *testing.T) {
 	const members, seconds = 16, 300
 	cluster := newCluster(t, members)
@@ -53,7 +53,7 @@
 	recorder.Check(recordedDigest)
 }
 
-// injectRandomFault begins or ends a random fault, or does nothing.
+// injectRandomFault starts or ends a random fault of a random member; some draws change nothing.
 func (cluster *testCluster) injectRandomFault(faults *rand.Rand) {
 	name := cluster.names[faults.IntN(len(cluster.names))]
 	other := cluster.names[faults.IntN(len(cluster.names))]
@@ -66,7 +66,7 @@
 			cluster.start(name, cluster.wallMS())
 		}
 	case 5:
-		cluster.start(name, 1) // its wall clock was set back
+		cluster.start(name, 1) // wall clock set back to 1970
 	case 6:
 		cluster.pausedUntil[name] = cluster.now + duration
 	case 7:
@@ -93,7 +93,8 @@
 	}
 }
 
-// reconfigure gives a table all contacts except one, with new addresses, and another weight.
+// reconfigure gives a table a configuration without one of the contacts, with new addresses for the others and with
+// another weight and voter epoch.
 func (cluster *testCluster) reconfigure(name, without string) {
 	var contacts []Contact
 	for _, contact := range cluster.names {
--- a/internal/cluster/membership/rings.go
+++ b/internal/cluster/membership/rings.go
@@ -11,21 +11,21 @@
 const (
 	ringCount = 4
 
-	// MaxNeighbours is the largest number of neighbours of a member: the previous and the next one on each ring.
+	// MaxNeighbours is the largest number of neighbours of a member: the previous and the next member on each ring.
 	MaxNeighbours = 2 * ringCount
 )
 
-// Rings orders names by hash on four rings. All instances that know the same names compute the same rings. Each
-// member watches the previous and the next member on each ring and is watched by them. The links form an expander
-// graph with at most eight links per member, however many members there are. If a third of the members fail, the
-// others almost always stay connected.
+// Rings orders names by their hashes on four rings, so that all instances that know the same names compute the same
+// rings. Each member watches the previous and the next member on each ring and is watched by them, which are at most
+// eight neighbours, however many members there are. The links between neighbours form an expander graph: if a third of
+// the members fail, the others almost always stay connected.
 type Rings struct {
 	names  []string
 	rings  [ringCount][]ringPoint
 	hashes map[string][ringCount]uint64
 }
 
-// ringPoint is a name's position on one ring.
+// ringPoint is a name's place on one ring, which is ordered by hash.
 type ringPoint struct {
 	hash uint64
 	name string
@@ -35,7 +35,8 @@
 	return cmp.Or(cmp.Compare(point.hash, other.hash), cmp.Compare(point.name, other.name))
 }
 
-// NewRings returns rings on which each name is placed by its hashes.
+// NewRings returns the rings of the given names. It keeps the slice, which must be sorted and must not change any
+// more.
 func NewRings(names []string) *Rings {
 	rings := &Rings{names: names, hashes: make(map[string][ringCount]uint64, len(names))}
 	for _, name := range names {
@@ -51,7 +52,7 @@
 	return rings
 }
 
-// ringHashes returns a name's position on each ring.
+// ringHashes returns the hash of a name on each ring.
 func ringHashes(name string) (hashes [ringCount]uint64) {
 	for i := range hashes {
 		key := binary.LittleEndian.AppendUint32(nil, uint32(i))
@@ -60,8 +61,8 @@
 	return hashes
 }
 
-// Neighbours returns the sorted names that watch a name and are watched by it. The name itself need not be on the
-// rings.
+// Neighbours returns the sorted names of a member's neighbours, which watch it and are watched by it. If the name is
+// not on the rings, they are those that it would have there.
 func (rings *Rings) Neighbours(name string) []string {
 	if len(rings.names) <= MaxNeighbours+1 {
 		return slices.DeleteFunc(slices.Clone(rings.names), func(other string) bool { return other == name })
--- a/internal/cluster/membership/rings_test.go
+++ b/internal/cluster/membership/rings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// ringNames returns the names n0000, n0001 and so on, in sorted order.
+// ringNames returns count names in sorted order: n0000, n0001 and so on.
 func ringNames(count int) []string {
 	var names []string
 	for i := range count {
@@ -16,8 +16,9 @@
 	return names
 }
 
-// Each member has at most eight neighbours, and they watch each other. Without a random third of them, at most one of
-// the other members is disconnected. A new member changes the neighbours of few others.
+// Each member must have at most eight neighbours, and they must watch each other, so that no member is unobserved. If
+// a random third of the members fails, at most one of the others may be disconnected. A new member must change the
+// neighbours of few others, because each change replaces links.
 func TestRingsAreMutualAndConnected(t *testing.T) {
 	for _, count := range []int{1, 2, 3, 9, 10, 30, 300, 3000} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -30,8 +31,8 @@
 			checkNeighbours(t, names, neighbours)
 			for seed := range uint64(20) {
 				apart := countApart(names, neighbours, rand.New(rand.NewPCG(seed, 1)))
-				// The probability that all eight neighbours of a member are in the failed third is 1 in 6,600. Such a
-				// member gets new neighbours once the failures are detected.
+				// ^The probability that all eight neighbours of a member are among the failed ones is 1 in 6,600. Such
+				// a member gets new neighbours once the failures are detected.
 				if count >= 30 && apart > 1 {
 					t.Errorf("without a third of the members %d others are disconnected, want at most 1", apart)
 				}
@@ -52,7 +53,8 @@
 	}
 }
 
-// checkNeighbours checks that each name has a valid number of neighbours, and that neighbours watch each other.
+// checkNeighbours fails the test if a name has too few or too many neighbours, or one that does not have it as a
+// neighbour.
 func checkNeighbours(t *testing.T, names []string, neighbours map[string][]string) {
 	t.Helper()
 	for _, name := range names {
@@ -69,7 +71,8 @@
 	}
 }
 
-// countApart removes a random third of the names, and counts the remaining ones that the first of these cannot reach.
+// countApart removes about a third of the names at random. It returns how many of the others cannot be reached from
+// the first of them over neighbours.
 func countApart(names []string, neighbours map[string][]string, rng *rand.Rand) int {
 	there := map[string]bool{}
 	for _, name := range names {
--- a/internal/cluster/membership/self.go
+++ b/internal/cluster/membership/self.go
@@ -1,11 +1,11 @@
 package membership
 
-// selfState is a table's state of its own instance.
+// selfState is what a table knows about its own instance.
 type selfState struct {
 	entry             Entry
-	raisedAt          int64             // when the version of the entry was last raised
-	otherIncarnations incarnations      // seen under this instance's name
-	accusedVersions   map[string]uint64 // by observer: the version of this instance that the observer reports, plus one
+	raisedAt          int64             // when the version of entry was last raised
+	otherIncarnations incarnations      // other incarnations seen under this instance's name
+	accusedVersions   map[string]uint64 // by observer: 1 + the version of this instance that it reports
 }
 
 func newSelfState(now int64, config Config) selfState {
@@ -19,13 +19,13 @@
 	return self
 }
 
-// raise raises the entry's version, so that it outranks earlier entries of this instance.
+// raise increments the entry's version, so that the entry outranks those that were passed on before.
 func (own *selfState) raise(now int64) {
 	own.entry.Version++
 	own.raisedAt = now
 }
 
-// isDuplicated reports whether another incarnation under this instance's name was seen within a timeout.
+// isDuplicated reports whether another incarnation under this instance's name was seen within the last timeout ns.
 func (own *selfState) isDuplicated(now, timeout int64) bool {
 	for _, at := range own.otherIncarnations {
 		if now-at <= timeout {
@@ -35,8 +35,8 @@
 	return false
 }
 
-// recordAccusation records an observer's report of the present version of this instance, and returns how many
-// observers report that version. A Healthy report withdraws the observer's earlier one.
+// recordAccusation records a report about the present version of this instance, and returns how many observers now
+// report that version. A report of the kind Healthy withdraws the observer's earlier one.
 func (own *selfState) recordAccusation(report Report) (accusers int) {
 	if report.Kind == Healthy {
 		delete(own.accusedVersions, report.Observer)
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -19,8 +19,8 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// Table holds the known instances and their states. Its components below have their own state and methods; the
-// methods of Table work on several components.
+// Table holds the known instances and their states. Each of its components has its own state and methods; methods of
+// Table itself use several of them.
 type Table struct {
 	config    Config
 	rng       *rand.Rand
@@ -37,13 +37,13 @@
 	view      view
 
 	nextHeartbeat int64
-	revision      uint64 // increases with each change of an entry or state
-	version       uint64 // increases with each change of the published view or of the peers to link to
-	rejected      int64  // messages, entries and reports that were rejected
+	revision      uint64 // incremented with each change of an entry or of a member's state
+	version       uint64 // incremented with each change of the published view or of the result of Peers
+	rejected      int64  // number of messages, entries and reports that were rejected
 	changes       []Change
 }
 
-// New returns a table that knows only its contacts.
+// New returns a table that knows only the contacts of its configuration, all of them Unheard.
 func New(now int64, config Config) *Table {
 	config = config.withDefaults()
 	table := &Table{
@@ -62,12 +62,13 @@
 	}
 	table.Configure(now, config.Contacts, config.Self.Weight, config.Self.Epoch)
 	table.publish(now)
-	table.gossip = newGossipQueue() // nothing to pass on: the first heartbeat to a neighbour has this instance's entry
+	// Nothing has to be passed on yet: the first heartbeat to each neighbour contains this instance's entry.
+	table.gossip = newGossipQueue()
 	return table
 }
 
-// Configure applies the contacts, weight and voters' epoch of a reloaded configuration. A member that is no longer
-// a contact stays known while it is alive.
+// Configure applies a reloaded configuration: the contacts, the weight of this instance and the epoch of its voters. A
+// member that is no longer a contact stays in the table as long as it is alive.
 func (table *Table) Configure(now int64, contacts []Contact, weight float64, epoch uint64) {
 	for _, member := range table.members.byName {
 		member.configured = false
@@ -92,7 +93,8 @@
 	table.publish(now)
 }
 
-// Tick does the work that is due: it checks links and reports, sends heartbeats and gossip, and publishes the view.
+// Tick does the work that is due at now: it checks links and reports, sends heartbeats and gossip, and publishes the
+// view. It returns the messages to send and the changes since the last call of Tick or Receive.
 func (table *Table) Tick(now int64) ([]Send, []Change) {
 	var sends []Send
 	table.checkOwnDelay(now)
@@ -116,7 +118,7 @@
 	return changes
 }
 
-// Next returns when Tick next has work to do.
+// Next returns the earliest time at which Tick has work to do again.
 func (table *Table) Next() int64 {
 	return min(
 		table.nextHeartbeat,
@@ -127,7 +129,8 @@
 	)
 }
 
-// Leave marks this instance as leaving and returns the messages that tell its neighbours at once.
+// Leave marks this instance as leaving, takes it out of its view, and returns messages that tell its neighbours at
+// once.
 func (table *Table) Leave(now int64) []Send {
 	table.self.entry.Leaving = true
 	table.raiseSelf(now)
@@ -136,10 +139,10 @@
 	return table.sendGossip(now)
 }
 
-// Self returns this instance's entry as it is passed on.
+// Self returns this instance's entry as it is passed on to others.
 func (table *Table) Self() Entry { return table.self.entry }
 
-// Member returns a copy of the member with this name, or false if the name is unknown or that of this instance.
+// Member returns a copy of the member with this name. ok is false if the name is unknown or that of this instance.
 func (table *Table) Member(name string) (Member, bool) {
 	if member := table.members.byName[name]; member != nil {
 		return member.member(), true
@@ -147,7 +150,7 @@
 	return Member{}, false
 }
 
-// Members returns all members except this instance, sorted by name.
+// Members returns a copy of each member, sorted by name. This instance is not among them.
 func (table *Table) Members() []Member {
 	members := make([]Member, 0, len(table.members.byName))
 	for _, name := range table.members.sortedNames() {
@@ -156,14 +159,14 @@
 	return members
 }
 
-// Count returns the number of known members, without this instance.
+// Count returns the number of known members in any state. This instance is not counted.
 func (table *Table) Count() int { return len(table.members.byName) }
 
-// Rejected returns how many messages, entries and reports were rejected because they exceed a limit or are not
-// usable.
+// Rejected returns how many messages, entries and reports were rejected since the start, because they exceeded a limit
+// or were unusable.
 func (table *Table) Rejected() int64 { return table.rejected }
 
-// Version increases with each change of the published view or of the result of Peers.
+// Version returns a number that increases with each change of the published view or of the result of Peers.
 func (table *Table) Version() uint64 { return table.version }
 
 func (table *Table) addMember(now int64, name string) *record {
@@ -171,14 +174,16 @@
 	return table.members.add(now, name)
 }
 
-// raiseSelf raises the version of this instance's entry, so that it outranks earlier ones, and passes it on.
+// raiseSelf increments the version of this instance's entry, so that it outranks those passed on before, and queues
+// the entry for all neighbours.
 func (table *Table) raiseSelf(now int64) {
 	table.self.raise(now)
 	table.revision++
 	table.passOn(now, table.self.entry.Name, "")
 }
 
-// setState moves a member to a state and records the change.
+// setState moves a member to a state and records the change, with its reason. A member that is no longer alive loses
+// its link.
 func (table *Table) setState(now int64, member *record, state State, reason string) {
 	previous := member.State
 	member.State, member.Since, member.confirmSince = state, now, timing.Never
@@ -194,14 +199,15 @@
 	table.changes = append(table.changes, Change{Member: member.member(), Previous: previous, Reason: reason})
 }
 
-// recordSelfChange records a change of this instance's own condition.
+// recordSelfChange records a change of this instance's own condition; reason is one of the constants above Change.
 func (table *Table) recordSelfChange(now int64, reason string) {
 	self := Member{Entry: table.self.entry, State: Alive, Since: now}
 	table.changes = append(table.changes, Change{Member: self, Previous: Alive, Reason: reason})
 }
 
-// forget removes unconfigured members that are not alive and about which no news came for forgetAfter intervals. For
-// the other members it removes deaths and former incarnations that are too old to matter.
+// forget runs every forgetEvery intervals. It removes each unconfigured member that is not alive and of which nothing
+// was heard for forgetAfter intervals. It also removes recorded deaths and other incarnations that are too old to
+// matter.
 func (table *Table) forget(now int64) {
 	if now-table.members.forgotAt < table.config.intervals(forgetEvery) {
 		return
@@ -232,15 +238,15 @@
 	table.touch(now)
 }
 
-// ObserveIncarnation records that a message came from an incarnation of a member. The link has authenticated the
-// name.
+// ObserveIncarnation records that a message arrived from an incarnation of a member. The link has authenticated the
+// member's name.
 func (table *Table) ObserveIncarnation(now int64, name string, incarnation uint64) {
 	if member := table.members.byName[name]; member != nil {
 		member.incarnations.observe(now, incarnation)
 	}
 }
 
-// IsDuplicated reports whether two instances may be running under a name, which may be this instance's.
+// IsDuplicated reports whether two instances may be running under a name, which may be that of this instance.
 func (table *Table) IsDuplicated(now int64, name string) bool {
 	timeout := table.config.ReplacedTimeout
 	if name == table.self.entry.Name {
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -10,22 +10,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// view is the published view: the entries of live members. It is not updated while members keep changing.
+// view is the published view: the entries of the live members that users of the table see. It is not updated while
+// members keep changing state.
 type view struct {
 	entries      []Entry
-	number       uint64 // of the published view; the first is 1
+	number       uint64 // number of the published view at this instance, from 1; it differs between instances
 	publishedAt  int64
-	dirtySince   int64 // since when there are changes that are not in the view, or timing.Never
-	changedAt    int64 // when the last such change happened
+	dirtySince   int64 // since when there have been changes that are not in the view; timing.Never: there are none
+	changedAt    int64 // when the last change happened that marked the view as out of date
 	heldOutUntil int64 // when the first held-out member may return to the view; 0: no member is held out
 }
 
-// touch marks the published view as out of date.
+// touch marks the published view as out of date because of a change at now.
 func (table *Table) touch(now int64) {
 	table.view.touch(now)
 }
 
-// touch marks the view as out of date.
+// touch marks the view as out of date because of a change at now.
 func (view *view) touch(now int64) {
 	view.changedAt = now
 	if !timing.Happened(view.dirtySince) {
@@ -33,7 +34,7 @@
 	}
 }
 
-// next returns when the view may have to be published, or noTime.
+// next returns when the view may have to be published again, or noTime if it is up to date and no member is held out.
 func (view *view) next(interval int64) int64 {
 	next := noTime
 	if timing.Happened(view.dirtySince) {
@@ -45,8 +46,8 @@
 	return next
 }
 
-// settleView publishes the view once members have stopped changing, or have kept changing for maxChanging intervals.
-// So the loss of a whole zone is one change of the view.
+// settleView publishes the view once members have not changed for interval/quietDivisor, or have kept changing for
+// maxChanging intervals. The loss of a whole zone is therefore one change of the view.
 func (table *Table) settleView(now int64) {
 	view, interval := &table.view, table.config.HeartbeatInterval
 	if view.heldOutUntil > 0 && now >= view.heldOutUntil {
@@ -60,7 +61,8 @@
 	}
 }
 
-// publish updates the view and the rings from the members' present states.
+// publish updates the view and the rings to the members' present states. The view gets a new number only if it differs
+// from the previous one.
 func (table *Table) publish(now int64) {
 	view := &table.view
 	view.dirtySince = timing.Never
@@ -86,13 +88,13 @@
 	table.updateRings(now)
 }
 
-// sameInView reports whether two entries agree in the fields that matter to users of the view.
+// sameInView reports whether two entries agree in the fields whose change makes a new view.
 func sameInView(a, b Entry) bool {
 	return a.Name == b.Name && a.Weight == b.Weight && a.Address == b.Address && a.Incarnation == b.Incarnation
 }
 
-// updateHeldOut decides whether a member is left out of the view because it keeps failing, and records when it may
-// return.
+// updateHeldOut sets HeldOut of a member that must not be in the view yet because it keeps failing, and records when
+// it may return.
 func (table *Table) updateHeldOut(now int64, member *record) {
 	countsFrom := member.Since + member.holdOut(table.config.HeartbeatInterval)
 	member.HeldOut = member.State == Alive && now < countsFrom
@@ -104,12 +106,12 @@
 	}
 }
 
-// Alive returns the entries of the published view, sorted by name: this instance unless it is leaving, and all
-// members believed alive and not held out. These instances can hold leases.
+// Alive returns the entries of the published view, sorted by name: this instance unless it is leaving, and all members
+// that are believed alive and not held out. These instances can hold leases. The caller must not modify the slice.
 func (table *Table) Alive() []Entry { return table.view.entries }
 
-// ViewInfo returns the number that this instance gave the published view, the view's digest and the time at which it
-// was published. Instances with the same view have the same digest.
+// ViewInfo returns the published view's number at this instance, its digest and when it was published. The digest is
+// equal at instances with equal views.
 func (table *Table) ViewInfo() (number, digest uint64, since int64) {
 	for _, entry := range table.view.entries {
 		incarnation := binary.LittleEndian.AppendUint64(nil, entry.Incarnation)
