--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -45,7 +45,7 @@
 	return node
 }
 
-// testCluster is a set of nodes by name. Messages between them arrive at once.
+// testCluster holds the running nodes by name. A message between them arrives at the time at which it is sent.
 type testCluster map[string]*Node
 
 func newCluster(t testing.TB) testCluster {
@@ -57,7 +57,7 @@
 	return cluster
 }
 
-// withTarget gives every node the same list with a single probe target and returns the cluster.
+// withTarget gives every node a target list with one target, named t, and returns the cluster.
 func (cluster testCluster) withTarget() testCluster {
 	for _, node := range cluster {
 		node.Handle(0, TargetsUpdated{Targets: []probe.Target{{Name: "t", Address: "x", Capacity: 4}}})
@@ -65,7 +65,8 @@
 	return cluster
 }
 
-// run advances time in steps of 10 ms and returns the effects of the node named follow.
+// run advances the time between the two given instants in steps of 10 ms. It returns the effects of the node named follow, or nothing
+// if no node has that name.
 func (cluster testCluster) run(t testing.TB, from, to int64, follow string) []Effect {
 	t.Helper()
 	var followed []Effect
@@ -79,8 +80,8 @@
 	return followed
 }
 
-// tick fires one node's timer and delivers its messages until it sends no more. It returns the node's effects if
-// the node is the one named follow.
+// tick fires one node's timer at now and delivers the messages that it sends, and those that it sends on their
+// replies. It returns the node's effects if the node's name is follow.
 func (cluster testCluster) tick(t testing.TB, now int64, name, follow string) []Effect {
 	t.Helper()
 	var followed []Effect
@@ -98,7 +99,8 @@
 	return followed
 }
 
-// exchange delivers a message and the replies to it. It returns the sender's effects on the replies.
+// exchange delivers the message of a Send effect and, if the receiver replies at once, its replies to the sender. It
+// returns the sender's effects on the replies.
 func (cluster testCluster) exchange(t testing.TB, now int64, from string, send Send) []Effect {
 	t.Helper()
 	raw, err := send.Message.Encode()
@@ -120,7 +122,7 @@
 	return effects
 }
 
-// countHeld counts the slots that a node holds.
+// countHeld returns how many slots' leases a node holds at now.
 func countHeld(node *Node, now int64) int {
 	count := 0
 	for slot := range testSlots {
--- a/internal/cluster/events.go
+++ b/internal/cluster/events.go
@@ -7,31 +7,32 @@
 	"tealpath/internal/logevent"
 )
 
-// Event is an input of a Node: a MessageReceived, TargetsUpdated, ProbeEnded, TimerFired, ShutdownStarted or
+// Event is an input to Node.Handle: a MessageReceived, TargetsUpdated, ProbeEnded, TimerFired, ShutdownStarted or
 // ConfigChanged.
 type Event any
 
-// MessageReceived is a message from another instance. The link has authenticated the sender's name; the
-// incarnation is the one that the sender states in its hello frame.
+// MessageReceived is a message from another instance. The link has authenticated the name in From; the incarnation is
+// the one that the sender stated when the link was opened.
 type MessageReceived struct {
 	From    lease.Instance
 	Message Message
 }
 
-// TargetsUpdated replaces the list of probe targets.
+// TargetsUpdated replaces the list of targets to be probed.
 type TargetsUpdated struct{ Targets []probe.Target }
 
-// ProbeEnded reports the result of a probe that this instance sent.
+// ProbeEnded reports the result of a probe that this instance sent on a SendProbe.
 type ProbeEnded struct{ ProbeResult }
 
-// TimerFired reports that the time of the last SetTimer has come. It may also arrive early. WallMS is the wall
-// clock in ms since 1970.
+// TimerFired reports that the time requested by the last SetTimer has come. It may also arrive earlier, which does no
+// harm. WallMS is the wall clock in ms since 1970.
 type TimerFired struct{ WallMS int64 }
 
 // ShutdownStarted reports that this instance is shutting down.
 type ShutdownStarted struct{}
 
-// ConfigChanged is a reloaded configuration. Contacts, weight and voters can change while an instance runs.
+// ConfigChanged is a reloaded configuration, with those settings that may change while an instance runs: contacts,
+// weight and voters.
 type ConfigChanged struct {
 	Contacts []membership.Contact
 	Weight   float64
@@ -48,35 +49,36 @@
 	Message Message
 }
 
-// Peer is an instance to which a link is kept open.
+// Peer is an instance to which this one keeps a link open, with the address to dial.
 type Peer struct{ Name, Address string }
 
-// SetPeers opens links to these instances and closes all others.
+// SetPeers requests links to these instances, and the end of the links to all others.
 type SetPeers struct{ Peers []Peer }
 
-// SendProbe probes a target. The probe must be written before Until by this instance's clock, or not at all.
+// SendProbe requests a probe of a target. The probe must be written before its Until by this instance's clock, or not
+// at all.
 type SendProbe struct{ probe.Probe }
 
-// LeaseChanged reports the ballot under which this instance now holds a slot's lease. Ballot 0 reports that the
-// instance no longer holds the lease. That effect precedes any message that lets another instance acquire the slot,
-// so that work already started under the lease can be stopped in time.
+// LeaseChanged reports that this instance now holds a slot's lease under a ballot or, with ballot 0, that it no longer
+// holds the lease. In the second case the effect precedes any message that lets another instance acquire the slot, so
+// that work under the lease can be stopped in time.
 type LeaseChanged struct {
 	Slot   int
 	Ballot uint64
 }
 
-// TargetProbed passes a probe result to the router, whether this or another instance sent the probe.
+// TargetProbed hands the router the result of a probe that this or another instance sent.
 type TargetProbed struct{ ProbeResult }
 
-// Log writes an event to the log.
+// Log requests that an event is written to the log.
 type Log struct{ Event logevent.Event }
 
-// SetTimer requests a TimerFired at the time At and replaces the previous SetTimer.
+// SetTimer requests a TimerFired at the time At, in ns of this instance's clock. It replaces the previous SetTimer.
 type SetTimer struct{ At int64 }
 
-// combine merges messages to the same instance where one message can hold the parts of both, because receiving one
-// message with two parts costs less than receiving two messages. It moves lease changes to the front, so that they are
-// carried out before any message is sent.
+// combine merges messages to the same instance if they have no part of the same kind, because one message with two
+// parts costs the receiver less than two messages. It moves lease changes to the front, so that they are carried out
+// before any message is sent.
 func combine(effects []Effect) []Effect {
 	combined := make([]Effect, 0, len(effects))
 	for _, effect := range effects {
@@ -84,7 +86,7 @@
 			combined = append(combined, effect)
 		}
 	}
-	last := map[string]int{} // by instance: the index in combined of the last message to it
+	last := map[string]int{} // by receiver: the index in combined of the last message to it
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case LeaseChanged:
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -10,11 +10,13 @@
 	"tealpath/internal/logevent"
 )
 
-// holdsFunc reports whether this instance holds a slot's lease now, under which ballot and until when.
+// holdsFunc returns the ballot under which this instance holds a slot's lease now, and when the lease ends; ok is
+// false if it does not hold it.
 type holdsFunc = probe.HoldsFunc
 
-// periodicTask is one kind of periodic task. It is told which slots this instance holds, and returns the
-// effects that are due for tasks in these slots. Each kind maps its tasks to slots with lease.SlotOf.
+// periodicTask is one kind of periodic task. SlotAcquired and SlotLost tell it which slots' leases this instance
+// holds. Do returns the effects that are due in these slots, and Next when Do has work again. Each kind of task uses
+// lease.SlotOf to map its tasks to slots.
 type periodicTask interface {
 	SlotAcquired(now int64, slot int)
 	SlotLost(slot int)
@@ -22,8 +24,8 @@
 	Next(now int64) int64
 }
 
-// receiveLeaseMessage handles a lease message. While two instances may be running under one name, votes from
-// that name are ignored, and an instance with that name does not vote.
+// receiveLeaseMessage passes a lease message to the lease node. While two instances may be running under one name,
+// votes from that name are ignored, and an instance with that name does not vote.
 func (node *Node) receiveLeaseMessage(now int64, from lease.Instance, message lease.Message) {
 	switch message.Kind {
 	case lease.Promise, lease.Accept:
@@ -38,8 +40,8 @@
 	node.leases.Receive(now, from, message)
 }
 
-// applyLeaseEffects converts the effects of the lease node to effects of this node. Equal consecutive changes
-// of several slots are logged as one event.
+// applyLeaseEffects carries out the effects of the lease node: it emits its messages and lease changes, tells the
+// periodic tasks, and logs the changes. Equal consecutive changes of several slots are logged as one event.
 func (node *Node) applyLeaseEffects(now int64) {
 	var changes leaseChanges
 	for _, effect := range node.leases.TakeEffects() {
@@ -66,14 +68,14 @@
 	}
 }
 
-// leaseChange is a logged change of a slot's lease, without the slot's number.
+// leaseChange says what happened to a slot's lease. Slots with equal changes are logged together.
 type leaseChange struct {
-	acquired bool // false: the lease is lost
+	acquired bool // true: the lease was acquired; false: it was lost
 	ballot   uint64
 	cause    string
 }
 
-// slotsChange is a lease change with the slots that it applies to.
+// slotsChange is a lease change and the slots that it applies to.
 type slotsChange struct {
 	leaseChange
 	slots []int
@@ -86,7 +88,7 @@
 	return LeasesLost{Slots: change.slots, Ballot: change.ballot, Cause: change.cause}
 }
 
-// leaseChanges are lease changes in order. Equal consecutive changes are merged.
+// leaseChanges are lease changes in the order in which they happened. Equal consecutive ones are merged.
 type leaseChanges []slotsChange
 
 func (changes *leaseChanges) add(change leaseChange, slot int) {
@@ -100,7 +102,7 @@
 	*changes = append(*changes, slotsChange{change, []int{slot}})
 }
 
-// runTasks runs the periodic tasks that are due and returns when the next one is due.
+// runTasks emits the effects of the periodic tasks that are due, and returns when the next task is due.
 func (node *Node) runTasks(now int64) (next int64) {
 	next = math.MaxInt64
 	holds := func(slot int) (uint64, int64, bool) { return node.leases.Holds(now, slot) }
@@ -113,21 +115,23 @@
 	return next
 }
 
-// Holds reports whether this instance holds a slot's lease now, under which ballot and until when.
+// Holds returns the ballot under which this instance holds a slot's lease at now, and when the lease ends by this
+// instance's clock; ok is false if it does not hold the lease.
 func (node *Node) Holds(now int64, slot int) (ballot uint64, until int64, ok bool) {
 	return node.leases.Holds(now, slot)
 }
 
-// HasQuorum reports whether a quorum of the voters answers or is believed alive. The second condition covers an
-// instance that neither holds nor tries to acquire a lease and so gets no answers.
+// HasQuorum reports whether a quorum of the voters has recently answered this instance, or is believed alive. The
+// second condition covers an instance that neither holds nor requests a lease and so gets no answers.
 func (node *Node) HasQuorum(now int64) bool {
 	return node.leases.HasQuorum(now) || node.isQuorumAlive()
 }
 
-// isQuorumAlive reports whether a majority of each set of voters, current and previous, is believed alive.
+// isQuorumAlive reports whether a majority of each set of voters, the current and the previous one, is believed alive.
+// It returns false if this instance is cut off.
 func (node *Node) isQuorumAlive() bool {
 	if node.members.IsCutOff() {
-		return false // the member states are out of date
+		return false // what this instance believes about members is out of date
 	}
 	voters := node.leases.Voters()
 	for _, set := range [][]string{voters.Current, voters.Previous} {
@@ -149,7 +153,8 @@
 	return name == node.config.Self.Name || member.State == membership.Alive
 }
 
-// missingVoters lists the current voters that are not believed alive, each with its state.
+// missingVoters lists the current voters that are not believed alive, each with its state, for example "[b dead c
+// unheard]".
 func (node *Node) missingVoters() string {
 	var missing []string
 	for _, name := range node.leases.Voters().Current {
@@ -161,8 +166,9 @@
 	return fmt.Sprint(missing)
 }
 
-// logQuorum logs whether a quorum is reachable, when that changes. It logs nothing for lease.Config.RestartSilence
-// after the start, in which a voter grants no leases, nor in the two renewal intervals that follow.
+// logQuorum logs the first time, and whenever it changes, whether this instance has a quorum. It logs nothing in the
+// first lease.Config.RestartSilence after the start, in which voters that started at the same time grant no leases,
+// nor in the two renewal intervals that follow.
 func (node *Node) logQuorum(now int64) {
 	startup := node.config.Lease.RestartSilence() + 2*node.config.Lease.RenewInterval
 	if node.shuttingDown || now-node.startedAt < startup {
--- a/internal/cluster/logevents.go
+++ b/internal/cluster/logevents.go
@@ -2,7 +2,7 @@
 
 import "tealpath/internal/logevent"
 
-// LogEvents returns one zero value of each event that this package logs.
+// LogEvents returns one zero value of each type of event that this package logs.
 func LogEvents() []logevent.Event {
 	return []logevent.Event{
 		MemberAlive{},
@@ -25,10 +25,10 @@
 	}
 }
 
-// MemberAlive reports that another instance is now believed alive.
+// MemberAlive reports that this instance now believes another instance alive.
 type MemberAlive struct {
 	Member   string `log:"member"`
-	Previous string `log:"previous"` // the member's state before the change
+	Previous string `log:"previous"` // the member's state until now: "unheard", "alive", "dead" or "left"
 	Cause    string `log:"cause,omitempty"`
 }
 
@@ -37,7 +37,7 @@
 	return logevent.Kind{Name: "member_alive", Level: logevent.Info, Message: "another instance is alive"}
 }
 
-// MemberDead reports that another instance is now believed dead.
+// MemberDead reports that this instance now believes another instance dead.
 type MemberDead struct {
 	Member   string `log:"member"`
 	Previous string `log:"previous"`
@@ -61,7 +61,8 @@
 	return logevent.Kind{Name: "member_left", Level: logevent.Info, Message: "another instance has left"}
 }
 
-// MembersAlive replaces the MemberAlive events of more than maxChangesLogged instances that change at once.
+// MembersAlive is logged in place of the MemberAlive events if more than maxChangesLogged instances with the same
+// previous state are found alive at once.
 type MembersAlive struct {
 	Members  int    `log:"members"`
 	Previous string `log:"previous"`
@@ -72,7 +73,8 @@
 	return logevent.Kind{Name: "members_alive", Level: logevent.Info, Message: "many other instances are alive"}
 }
 
-// MembersDead replaces the MemberDead events of more than maxChangesLogged instances that change at once.
+// MembersDead is logged in place of the MemberDead events if more than maxChangesLogged instances with the same
+// previous state are believed dead at once.
 type MembersDead struct {
 	Members  int    `log:"members"`
 	Previous string `log:"previous"`
@@ -87,7 +89,8 @@
 	}
 }
 
-// MembersLeft replaces the MemberLeft events of more than maxChangesLogged instances that change at once.
+// MembersLeft is logged in place of the MemberLeft events if more than maxChangesLogged instances with the same
+// previous state leave at once.
 type MembersLeft struct {
 	Members  int    `log:"members"`
 	Previous string `log:"previous"`
@@ -98,8 +101,8 @@
 	return logevent.Kind{Name: "members_left", Level: logevent.Info, Message: "many other instances have left"}
 }
 
-// InstanceWasAway reports that this instance was paused for a heartbeat interval or longer. It does not count the time
-// of the pause as silence of other instances.
+// InstanceWasAway reports that this instance was paused for a heartbeat interval or longer. During the pause it could
+// not hear the other instances, so it does not take them for silent.
 type InstanceWasAway struct {
 	DurationMS int64 `log:"duration_ms"`
 }
@@ -113,7 +116,7 @@
 	}
 }
 
-// InstanceCutOff reports that this instance no longer receives heartbeats from any neighbour.
+// InstanceCutOff reports that heartbeats no longer arrive from any of the neighbours that this instance watches.
 type InstanceCutOff struct{}
 
 // Kind implements logevent.Event.
@@ -125,7 +128,7 @@
 	}
 }
 
-// InstanceReconnected reports that the condition of InstanceCutOff has ended.
+// InstanceReconnected reports that heartbeats arrive again after an InstanceCutOff.
 type InstanceReconnected struct{}
 
 // Kind implements logevent.Event.
@@ -137,8 +140,8 @@
 	}
 }
 
-// DuplicateNameDetected reports that a second instance runs under this instance's name. This instance does not
-// vote until nothing has been heard from the other one for lease.Config.RestartSilence.
+// DuplicateNameDetected reports that a second instance runs under this instance's name. This instance does not vote
+// until it has heard nothing from the second one for lease.Config.RestartSilence.
 type DuplicateNameDetected struct {
 	Member string `log:"member"` // the name that both use
 }
@@ -152,7 +155,8 @@
 	}
 }
 
-// DuplicateNameGone reports that the condition of DuplicateNameDetected has ended.
+// DuplicateNameGone reports that nothing has been heard for long enough from the second instance that a
+// DuplicateNameDetected reported.
 type DuplicateNameGone struct {
 	Member string `log:"member"`
 }
@@ -166,7 +170,7 @@
 	}
 }
 
-// LeasesAcquired reports slots whose leases this instance now holds.
+// LeasesAcquired reports that this instance now holds the leases on these slots, all under one ballot.
 type LeasesAcquired struct {
 	Slots  []int  `log:"slots"`
 	Ballot uint64 `log:"ballot"`
@@ -177,7 +181,7 @@
 	return logevent.Kind{Name: "leases_acquired", Level: logevent.Info, Message: "leases acquired"}
 }
 
-// LeasesLost reports slots whose leases this instance no longer holds.
+// LeasesLost reports that this instance no longer holds the leases on these slots, which it held under one ballot.
 type LeasesLost struct {
 	Slots  []int  `log:"slots"`
 	Ballot uint64 `log:"ballot"`
@@ -189,7 +193,7 @@
 	return logevent.Kind{Name: "leases_lost", Level: logevent.Info, Message: "leases lost"}
 }
 
-// QuorumReached reports that a majority of the voters is reachable.
+// QuorumReached reports that a quorum of the voters answers this instance or is believed alive.
 type QuorumReached struct{}
 
 // Kind implements logevent.Event.
@@ -201,9 +205,10 @@
 	}
 }
 
-// QuorumLost reports that no majority of the voters is reachable. Until one is, this instance cannot hold leases.
+// QuorumLost reports that no quorum of the voters answers this instance or is believed alive. Until one does, this
+// instance cannot hold leases.
 type QuorumLost struct {
-	MissingVoters string `log:"missing_voters"` // the voters not believed alive, each with its state
+	MissingVoters string `log:"missing_voters"` // the current voters that are not believed alive, each with its state
 }
 
 // Kind implements logevent.Event.
@@ -215,7 +220,8 @@
 	}
 }
 
-// VotersKept reports that the voters of a reloaded operator's file are invalid or cannot replace those in force yet.
+// VotersKept reports that the voters of a reloaded operator's file are invalid or cannot take effect yet, so that the
+// voters in force stay.
 type VotersKept struct {
 	Cause error `log:"cause"`
 }
@@ -229,10 +235,10 @@
 	}
 }
 
-// ConfigReloaded reports that the cluster's part of a reloaded operator's file is in force.
+// ConfigReloaded reports that this instance now uses the cluster settings of a reloaded operator's file.
 type ConfigReloaded struct {
 	Instances  int    `log:"instances"`
-	VoterEpoch uint64 `log:"voter_epoch"` // the epoch of the voters in force
+	VoterEpoch uint64 `log:"voter_epoch"` // epoch of the voters in force after the reload
 }
 
 // Kind implements logevent.Event.
--- a/internal/cluster/logevents_test.go
+++ b/internal/cluster/logevents_test.go
@@ -8,7 +8,7 @@
 	"tealpath/internal/logevent"
 )
 
-// checkKinds checks that each event has a message and a name that no other event has.
+// checkKinds fails the test if an event has no message, or if its name is empty or that of another event.
 func checkKinds(t *testing.T, events []logevent.Event) {
 	t.Helper()
 	seen := map[string]bool{}
@@ -23,7 +23,8 @@
 
 func TestLogEvents(t *testing.T) { checkKinds(t, LogEvents()) }
 
-// Each transition, of one member or of many, has its own event with the previous state.
+// Operators search the log by event name, so each change of state, of one member or of many, must have its own event,
+// which must contain the previous state.
 func TestTransitionEvents(t *testing.T) {
 	change := membership.Change{Member: membership.Member{Entry: membership.Entry{Name: "b"}}, Reason: "silent for c"}
 	for _, test := range []struct {
@@ -58,7 +59,8 @@
 	}
 }
 
-// Each reason for a change of this instance's own condition has its own event.
+// Each reason for a change of this instance's own condition must be logged as its own event, not as that of another
+// reason.
 func TestOwnChangeEvents(t *testing.T) {
 	for reason, want := range map[string]logevent.Event{
 		membership.ReasonAway:        InstanceWasAway{},
@@ -76,8 +78,8 @@
 	}
 }
 
-// A takeover of many slots must not fill the log with one event per slot. Changes that differ in ballot or cause, or
-// are not consecutive, must stay separate.
+// If an instance takes over many slots, one event per slot would fill the log. Changes that differ in ballot or cause,
+// or that are not consecutive, must not be merged.
 func TestLeaseChangesAreCombined(t *testing.T) {
 	var changes leaseChanges
 	changes.add(leaseChange{acquired: true, ballot: 7}, 1)
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -11,23 +11,24 @@
 	"tealpath/internal/logevent"
 )
 
-// leaseLinkDuration is how long a link is kept after a lease message was last sent on it, ns.
+// leaseLinkDuration is how long a link stays open after the last lease message on it, ns.
 const leaseLinkDuration = int64(10 * time.Second)
 
-// maxChangesLogged is how many simultaneous changes with the same transition are logged one by one. More are logged as
-// one event, for example when a zone is lost or when all members are found at the start.
+// maxChangesLogged is the largest number of simultaneous changes of members from one state to another that are logged
+// as one event each. If there are more, for example when a zone is lost or when all members are found at the start, a
+// single event has their number.
 const maxChangesLogged = 8
 
-// peers is the set of instances to which links are kept open.
+// peers holds the instances to which links are kept open.
 type peers struct {
-	linked            []Peer           // the peers of the last SetPeers
-	leaseUntil        map[string]int64 // by name: until when a link is kept for lease messages
-	leaseLinksChanged bool             // a name was added to or removed from leaseUntil
+	linked            []Peer           // peers in the last SetPeers
+	leaseUntil        map[string]int64 // by name: until when to keep the link after a lease message
+	leaseLinksChanged bool             // the names in leaseUntil changed since updateMembers used them
 }
 
 func newPeers() peers { return peers{leaseUntil: map[string]int64{}} }
 
-// dropExpired drops the links on which no lease message was sent for leaseLinkDuration.
+// dropExpired removes the instances to which no lease message was sent for leaseLinkDuration.
 func (peers *peers) dropExpired(now int64) {
 	maps.DeleteFunc(peers.leaseUntil, func(_ string, until int64) bool {
 		expired := now > until
@@ -36,7 +37,8 @@
 	})
 }
 
-// receiveGossip updates the membership table from gossip, and passes the voter epochs in it to the lease node.
+// receiveGossip updates the membership table from a message, sends its replies, and tells the lease node which voter
+// epochs the members use.
 func (node *Node) receiveGossip(now int64, from string, gossip membership.Gossip) {
 	sends, changes := node.members.Receive(now, from, gossip)
 	node.logChanges(changes)
@@ -47,7 +49,7 @@
 	}
 }
 
-// sendGossip emits the membership table's messages, each with the highest ballot known.
+// sendGossip sends the messages of the membership table. Each also has the highest ballot that this instance knows.
 func (node *Node) sendGossip(sends []membership.Send) {
 	for _, send := range sends {
 		message := Message{Gossip: &send.Gossip, HighestBallot: node.leases.HighestBallot()}
@@ -55,7 +57,8 @@
 	}
 }
 
-// updateMembers passes changes of the live instances to the lease node and updates the peers.
+// updateMembers gives the lease node the new candidates and requests links to the new peers, if the membership table
+// or the set of links for lease messages has changed.
 func (node *Node) updateMembers(now int64) {
 	node.peers.dropExpired(now)
 	version := node.members.Version()
@@ -72,8 +75,9 @@
 	}
 }
 
-// wantedPeers returns the members that the membership table wants links to, and those that were recently sent lease
-// messages. In a cluster so small that all members are neighbours, it returns all members that have not left.
+// wantedPeers returns the instances to link to, sorted by name: those that the membership table wants links to, and
+// those that were recently sent lease messages. If the cluster is so small that all members are neighbours, these are
+// all members that have not left.
 func (node *Node) wantedPeers() []Peer {
 	addresses := map[string]string{}
 	for _, contact := range node.members.Peers() {
@@ -93,7 +97,8 @@
 	return wanted
 }
 
-// keepLeaseLink keeps the link to an instance open for leaseLinkDuration, because a lease message is sent to it.
+// keepLeaseLink keeps the link to an instance open for leaseLinkDuration from now, because a lease message is about to
+// be sent to it.
 func (node *Node) keepLeaseLink(now int64, name string) {
 	_, had := node.peers.leaseUntil[name]
 	node.peers.leaseUntil[name] = now + leaseLinkDuration
@@ -103,7 +108,7 @@
 	}
 }
 
-// candidates converts members to candidates for holding leases.
+// candidates returns the members as candidates for leases, in the same order.
 func candidates(entries []membership.Entry) []lease.Candidate {
 	var candidates []lease.Candidate
 	for _, entry := range entries {
@@ -112,10 +117,11 @@
 	return candidates
 }
 
-// transition is a change of a member's state.
+// transition is a change of a member's state from previous to state.
 type transition struct{ state, previous membership.State }
 
-// logChanges logs changes of members' states and of this instance's own condition.
+// logChanges logs changes of members' states and of this instance's own condition. It groups the members by
+// transition, so that many simultaneous changes are logged as one event.
 func (node *Node) logChanges(changes []membership.Change) {
 	byTransition := map[transition][]membership.Change{}
 	for _, change := range changes {
@@ -126,7 +132,7 @@
 		kind := transition{change.State, change.Previous}
 		byTransition[kind] = append(byTransition[kind], change)
 	}
-	// No member returns to Unheard.
+	// No member returns to the state Unheard.
 	states := []membership.State{membership.Alive, membership.Dead, membership.Left}
 	for _, state := range states {
 		for _, previous := range append([]membership.State{membership.Unheard}, states...) {
@@ -136,7 +142,8 @@
 	}
 }
 
-// logOwnChange logs a change of this instance's own condition.
+// logOwnChange logs a change of this instance's own condition, such as a pause. reason is one of the Reason constants
+// of package membership.
 func (node *Node) logOwnChange(reason string) {
 	switch reason {
 	case membership.ReasonAway:
@@ -160,7 +167,7 @@
 	}
 }
 
-// memberEvent returns the event for one member's transition.
+// memberEvent returns the event to log for the transition of one member.
 func memberEvent(kind transition, change membership.Change) logevent.Event {
 	previous := kind.previous.String()
 	switch kind.state {
@@ -172,7 +179,7 @@
 	return MemberLeft{Member: change.Name, Previous: previous, Cause: change.Reason}
 }
 
-// membersEvent returns the event for a transition that many members make at once.
+// membersEvent returns the event to log for a transition that this number of members make at once.
 func membersEvent(kind transition, members int) logevent.Event {
 	previous := kind.previous.String()
 	switch kind.state {
@@ -184,7 +191,7 @@
 	return MembersLeft{Members: members, Previous: previous}
 }
 
-// logDuplicate logs when another instance appears or disappears under this instance's name.
+// logDuplicate logs a change of whether a second instance runs under this instance's name.
 func (node *Node) logDuplicate(now int64) {
 	self := node.config.Self.Name
 	duplicated := node.members.IsDuplicated(now, self)
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -85,7 +85,7 @@
 type Gossip struct {
 	Heartbeat     uint64   `cbor:"1,keyasint,omitempty"` // the heartbeat's number on its link; 0: not a heartbeat
 	Echo          uint64   `cbor:"2,keyasint,omitempty"` // number of the receiver's last heartbeat; 0: none
-	Digest        uint64   `cbor:"3,keyasint,omitempty"` // of the entries of all instances that the sender believes alive
+	Digest        uint64   `cbor:"3,keyasint,omitempty"` // of the entries of all instances alive at the sender
 	Entries       []Entry  `cbor:"4,keyasint,omitempty"`
 	Reports       []Report `cbor:"5,keyasint,omitempty"`
 	BucketDigests []uint64 `cbor:"6,keyasint,omitempty"` // asks for entries of buckets that differ; nil: for none
--- a/internal/cluster/message.go
+++ b/internal/cluster/message.go
@@ -10,38 +10,40 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// These limits apply to one message.
+// These limits apply to one message. Decode rejects a message that exceeds one of them.
 const (
 	maxProbeResults = 512
-	maxLoadFields   = 16 // in the load report of one probe result
-	// maxGossipItems bounds entries and reports together: those passed on, and the two entries that a heartbeat
-	// adds.
+	maxLoadFields   = 16 // values in the load report of one probe result
+	// maxGossipItems is the largest number of entries and reports together: those that are passed on, and two more
+	// entries that a heartbeat may have.
 	maxGossipItems = 2*membership.MaxPerMessage + 2
-	maxMapPairs    = 64 // in one CBOR map
-	maxNesting     = 8  // levels of CBOR arrays and maps inside each other
+	maxMapPairs    = 64 // key-value pairs in one CBOR map
+	maxNesting     = 8  // nested levels of CBOR arrays and maps
 )
 
-// ErrLoadReportTooLong is the error for a load report with more than maxLoadFields fields.
+// ErrLoadReportTooLong is the error of Decode for a probe result whose load report has more than maxLoadFields values.
 var ErrLoadReportTooLong = errors.New("load report has too many fields")
 
-// ProbeResult is the result of a health check of an endpoint.
+// ProbeResult is the result of a probe of one target.
 type ProbeResult struct {
-	Target  string    `cbor:"1,keyasint"`
-	Ballot  uint64    `cbor:"2,keyasint"` // of the lease under which the probe was sent
-	Healthy bool      `cbor:"3,keyasint"`
-	Load    []float64 `cbor:"4,keyasint,omitempty"` // the load report's values, in the order of the settings' fields
-	Seq     uint64    `cbor:"5,keyasint,omitempty"` // increases with each result of the instance that sent the probe
+	Target  string `cbor:"1,keyasint"`
+	Ballot  uint64 `cbor:"2,keyasint"` // ballot of the lease under which the probe was sent
+	Healthy bool   `cbor:"3,keyasint"`
+	// The values of the load report, in the order in which the settings name its fields; empty: no load report.
+	Load []float64 `cbor:"4,keyasint,omitempty"`
+	// Increases with each result of the instance that sent the probe.
+	Seq uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Message is a message between two instances. It may hold several parts.
+// Message is a message between two instances. It may have a lease message, probe results and gossip at the same time.
 type Message struct {
-	HighestBallot uint64             `cbor:"2,keyasint,omitempty"` // the highest ballot that the sender knows
+	HighestBallot uint64             `cbor:"2,keyasint,omitempty"` // highest ballot that the sender knows; 0: none
 	Lease         *lease.Message     `cbor:"3,keyasint,omitempty"`
 	ProbeResults  []ProbeResult      `cbor:"4,keyasint,omitempty"`
 	Gossip        *membership.Gossip `cbor:"5,keyasint,omitempty"`
 }
 
-// decoding limits the memory and time that decoding a message may take.
+// decoding has limits for the memory and time that decoding a message may take.
 var decoding = mustDecMode(cbor.DecOptions{
 	MaxArrayElements: lease.MaxSlots,
 	MaxMapPairs:      maxMapPairs,
@@ -54,15 +56,15 @@
 func mustDecMode(options cbor.DecOptions) cbor.DecMode {
 	mode, err := options.DecMode()
 	if err != nil {
-		panic(err) // the options are constants
+		panic(err) // cannot happen: the options are constants
 	}
 	return mode
 }
 
-// Encode returns a message in CBOR (RFC 8949).
+// Encode returns the message in CBOR (RFC 8949).
 func (message Message) Encode() ([]byte, error) { return cbor.Marshal(message) }
 
-// Decode decodes a message and checks its limits.
+// Decode returns the message that Encode encoded, or an error if raw is not one or exceeds the limits above.
 func Decode(raw []byte) (Message, error) {
 	var message Message
 	if err := decoding.Unmarshal(raw, &message); err != nil {
@@ -96,8 +98,8 @@
 	return nil
 }
 
-// merge adds the parts of another message to this one. If both have a part of the same kind, it changes nothing
-// and returns false.
+// merge adds the parts of another message to this one and returns true. If both messages have a part of the same kind,
+// it changes nothing and returns false.
 func (message *Message) merge(other Message) bool {
 	if message.Lease != nil && other.Lease != nil || message.Gossip != nil && other.Gossip != nil ||
 		message.ProbeResults != nil && other.ProbeResults != nil {
--- a/internal/cluster/message_test.go
+++ b/internal/cluster/message_test.go
@@ -16,7 +16,7 @@
 
 var update = flag.Bool("update", false, "overwrite the golden files with the actual results")
 
-// golden compares a result with a file in testdata, byte by byte.
+// golden fails the test if got differs from the named file in testdata.
 func golden(t *testing.T, name, got string) {
 	t.Helper()
 	path := "testdata/" + name
@@ -34,7 +34,7 @@
 	}
 }
 
-// fullMessage returns a message with a value in each field, so that the golden file shows each field's key.
+// fullMessage returns a message with a value in each field, so that the encoding contains the key of every field.
 func fullMessage() Message {
 	return Message{
 		HighestBallot: 1,
@@ -59,8 +59,8 @@
 	}
 }
 
-// During an upgrade, instances that run this version of the program and the previous one exchange messages. So the
-// encoding of a message must not change.
+// During an upgrade, instances of this version and the previous one exchange messages. If the encoding changed, they
+// would not understand each other.
 func TestMessageBytes(t *testing.T) {
 	message := fullMessage()
 	raw, err := message.Encode()
@@ -74,7 +74,8 @@
 	}
 }
 
-// Instances send the kinds of messages and reports as numbers, which must not change.
+// Instances send the kinds of messages and reports as numbers. If a number changed, instances of two versions would
+// take one kind for another.
 func TestMessageKindNumbers(t *testing.T) {
 	leaseKinds := []lease.MessageKind{
 		lease.Prepare, lease.Promise, lease.Propose, lease.Accept, lease.Reject, lease.Release,
@@ -94,7 +95,7 @@
 	}
 }
 
-// Operators' scripts read the status that commands print as JSON, so its fields must not change.
+// Operators' scripts read the status that commands print as JSON, and would break if a field's name or form changed.
 func TestStatusJSON(t *testing.T) {
 	a := newNode(t, "a", 1)
 	entry := membership.Entry{Name: "b", Incarnation: 2, Start: 1, Version: 1, Address: "b:1", Weight: 1, Epoch: 1}
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -13,26 +13,27 @@
 	"tealpath/internal/cluster/probe"
 )
 
-// minTimer is the shortest duration that the timer is set to, ns.
+// minTimer is the shortest time from now for which the timer is set, ns.
 const minTimer = int64(time.Millisecond)
 
-// Config is the initial configuration of an instance.
+// Config is the configuration with which an instance starts.
 type Config struct {
-	Self       lease.Instance
-	Address    string               // where this instance accepts links
-	Weight     float64              // this instance's share of the leases, relative to others
-	Contacts   []membership.Contact // the instances of the operator's file, with or without this instance
-	Lease      lease.Config         // New sets Self and Seed to those of this Config
-	Probe      *probe.Config        // nil: nothing is probed; New sets Slots and MaxClockDrift to those of Lease
-	Seed       uint64               // of random numbers
-	WallMS     int64                // wall clock at the start, ms since 1970
-	Membership MembershipConfig     // zero: derived from the renewal interval of leases
+	Self     lease.Instance
+	Address  string               // IP address and port at which this instance accepts links
+	Weight   float64              // this instance's share of the leases, in proportion to all weights
+	Contacts []membership.Contact // instances named in the operator's file; may include this one
+	Lease    lease.Config         // lease settings; New sets Self and Seed to those of this Config
+	// Probe settings; nil: this instance probes nothing. New sets Slots and MaxClockDrift to those of Lease.
+	Probe      *probe.Config
+	Seed       uint64           // seed of the random numbers of leases and membership
+	WallMS     int64            // wall clock at the start, ms since 1970
+	Membership MembershipConfig // failure detection; zero values have defaults
 }
 
-// MembershipConfig sets how members detect failures of each other.
+// MembershipConfig sets how fast members detect that another one has failed.
 type MembershipConfig struct {
-	HeartbeatInterval int64 // ns; 0 is the renewal interval of leases
-	SilenceTimeout    int64 // after which a silent neighbour is reported, ns; 0 is three heartbeat intervals
+	HeartbeatInterval int64 // time between two heartbeats, ns; 0: the renewal interval of leases
+	SilenceTimeout    int64 // a neighbour silent for longer is reported, ns; 0: three heartbeat intervals
 }
 
 // Node is the cluster state of one instance.
@@ -43,20 +44,20 @@
 	effects      []Effect
 
 	members     *membership.Table
-	viewVersion uint64 // the version of members that was last passed to leases and peers
-	duplicated  bool   // another instance runs under this instance's name
+	viewVersion uint64 // members.Version() when leases and peers were last updated from members
+	duplicated  bool   // a second instance runs under this instance's name
 	peers       peers
 
 	leases       *lease.Node
 	tasks        []periodicTask
 	hadQuorum    bool
-	quorumLogged bool // whether hadQuorum has been logged
+	quorumLogged bool // hadQuorum has been logged at least once
 
-	prober  *probe.Prober // nil: nothing is probed
+	prober  *probe.Prober // nil: this instance probes nothing
 	results probeResults
 }
 
-// New returns a node. If the configuration is invalid, it returns the error of the first invalid part.
+// New returns a node that starts at now. It returns an error if the lease or the probe settings are invalid.
 func New(now int64, config Config) (*Node, error) {
 	config.Lease.Self, config.Lease.Seed = config.Self, config.Seed
 	leases, err := lease.New(now, config.Lease)
@@ -98,8 +99,8 @@
 	}
 }
 
-// Handle processes an event and returns the effects to carry out, in order. The slice is valid until the next
-// call.
+// Handle processes an event and returns the effects to carry out, in this order. The slice is valid until the next
+// call of Handle.
 func (node *Node) Handle(now int64, event Event) []Effect {
 	clear(node.effects)
 	node.effects = node.effects[:0]
@@ -126,7 +127,8 @@
 
 func (node *Node) emit(effect Effect) { node.effects = append(node.effects, effect) }
 
-// receive passes the parts of a message from another instance to the components that they are for.
+// receive hands each part of a message to the component for it: gossip to the membership table, lease messages to the
+// lease node, and probe results to the router.
 func (node *Node) receive(now int64, event MessageReceived) {
 	from := event.From
 	node.members.ObserveIncarnation(now, from.Name, from.Incarnation)
@@ -142,7 +144,8 @@
 	}
 }
 
-// tick runs the timed work of all parts.
+// tick does the work that is due at now in the membership table, the lease node and the queue of probe results, and
+// logs changes of the duplicate name and of the quorum.
 func (node *Node) tick(now, wallMS int64) {
 	sends, changes := node.members.Tick(now)
 	node.logChanges(changes)
@@ -154,7 +157,8 @@
 	node.logQuorum(now)
 }
 
-// shutDown hands all leases to successors and announces to the other instances that this one leaves.
+// shutDown releases all leases, names successors for them, and announces to the other instances that this one leaves.
+// It does nothing when called again.
 func (node *Node) shutDown(now int64) {
 	if node.shuttingDown {
 		return
@@ -166,21 +170,22 @@
 	node.sendGossip(sends)
 }
 
-// reconfigure applies a reloaded configuration. If the new voters are invalid or cannot replace the present ones yet,
-// the present ones are kept.
+// reconfigure applies a reloaded configuration. If the new voters are invalid or cannot replace those in force yet,
+// those in force stay and the rest of the configuration is applied.
 func (node *Node) reconfigure(now int64, event ConfigChanged) {
 	if err := node.leases.UpdateVoters(now, event.Voters); err != nil {
 		node.emit(Log{VotersKept{Cause: err}})
 	}
 	node.members.Configure(now, event.Contacts, event.Weight, node.leases.Voters().Epoch)
 	for _, member := range node.members.Members() {
-		// A new set of voters starts without the members' epochs, and members send their entries only on changes.
+		// Epochs of the previous voters were discarded, and a member sends its entry again only when it changes.
 		node.leases.ObserveEpoch(member.Name, member.Epoch)
 	}
 	node.emit(Log{ConfigReloaded{Instances: len(event.Contacts), VoterEpoch: node.leases.Voters().Epoch}})
 }
 
-// followUp handles the consequences of changed members and leases, runs due tasks and sets the timer.
+// followUp passes on changes of members and leases, runs the periodic tasks that are due, and sets the timer to the
+// time at which work is next due.
 func (node *Node) followUp(now int64) {
 	node.updateMembers(now)
 	node.applyLeaseEffects(now)
