--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -87,7 +87,7 @@
 	reports      map[string]receivedReport // by observer: its latest report about the member
 	confirmSince int64                     // since when most observers have reported the member; timing.Never: they do not
 	deathClaims  map[string]bool           // names of peers that claim that the member is dead
-	deaths       []int64                   // when the member was marked as dead within flapWindow
+	deaths       []int64                   // when it was marked as dead, within flapWindow
 	link         *link                     // nil: no heartbeats are exchanged with the member
 }
 
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -7,7 +7,8 @@
 	"tealpath/internal/cluster/membership"
 )
 
-// Three instances hold all leases between them, and a target is probed once per period rather than by each instance.
+// Three instances must hold all leases between them. A target must be probed once in a period by the lease holder, not
+// by each instance.
 func TestInstancesShareLeasesAndProbes(t *testing.T) {
 	cluster := newCluster(t).withTarget()
 	cluster.run(t, 0, 6000*ms, "")
@@ -57,7 +58,7 @@
 	}
 }
 
-// While two instances run under one name, neither's votes count: otherwise one voter could vote twice.
+// While two instances run under one name, neither's votes may count. Otherwise one voter could vote for two holders.
 func TestDuplicateNamesHaveNoVote(t *testing.T) {
 	cluster := newCluster(t)
 	cluster.run(t, 0, 4000*ms, "")
@@ -130,7 +131,8 @@
 	}
 }
 
-// checkStopped checks that the work in each slot that a message releases was stopped before the message.
+// checkStopped fails the test if one of these released slots is not in stopped, the slots in which the work was
+// stopped before.
 func checkStopped(t *testing.T, items []lease.SlotBallot, stopped map[int]bool) {
 	t.Helper()
 	for _, item := range items {
--- a/internal/cluster/paxos/paxos.go
+++ b/internal/cluster/paxos/paxos.go
@@ -11,35 +11,36 @@
 
 import "slices"
 
-// ProposerIDBits is the number of low bits of a ballot that hold the ID of its proposer. They keep two proposers
-// from using the same ballot.
+// ProposerIDBits is the number of low bits of a ballot that hold the ID of the instance that proposes it. Two
+// instances with different IDs never use the same ballot.
 const ProposerIDBits = 16
 
-// MaxWallAheadMS is the number of ms by which the counter of a ballot may be ahead of the local wall clock; it is one
-// year. A ballot that is much farther ahead would use up the ballots above it, and wall clocks differ by far less
-// than a year.
+// MaxWallAheadMS is the largest accepted lead of a ballot's counter, which is in ms, over the local wall clock: one
+// year. Using a ballot much farther ahead would leave few ballots above it, and wall clocks differ by far less than a
+// year.
 const MaxWallAheadMS = 365 * 24 * 3600 * 1000
 
-// NextBallot returns a ballot above the highest one known. Its counter is at least the wall clock, wallMS in ms since
-// 1970, so that it is above ballots that no instance remembers after a restart. proposerID must be below
-// 1<<ProposerIDBits.
+// NextBallot returns a ballot of a proposer that is above highest, the highest ballot known. Its counter is at least
+// wallMS, the wall clock in ms since 1970, so that the ballot is also above those that instances used before a restart
+// and no longer know. proposerID must be below 1<<ProposerIDBits.
 func NextBallot(highest uint64, wallMS int64, proposerID uint64) uint64 {
 	counter := max(Counter(highest)+1, uint64(max(wallMS, 0)))
 	return counter<<ProposerIDBits | proposerID
 }
 
-// Counter returns a ballot without its proposer's ID.
+// Counter returns the part of a ballot above the proposer's ID. In a ballot of NextBallot it is at least the
+// proposer's wall clock in ms since 1970.
 func Counter(ballot uint64) uint64 { return ballot >> ProposerIDBits }
 
-// ProposerID returns the low ProposerIDBits bits of a hash that identifies a proposer.
+// ProposerID returns an ID for NextBallot: the low ProposerIDBits bits of a hash of the proposer's name.
 func ProposerID(hash uint64) uint64 { return hash & (1<<ProposerIDBits - 1) }
 
-// Majority returns the smallest number of voters that is more than half of all voters.
+// Majority returns the smallest number that is more than half of the given number of voters.
 func Majority(voters int) int { return voters/2 + 1 }
 
-// LatestMajority returns the latest instant for which a majority of the voters have that instant or a later one.
-// instants has at most one instant per voter, and is sorted by the call. ok is false if fewer than a majority of the
-// voters have an instant.
+// LatestMajority returns the latest instant that a majority of the voters has reached or passed. instants has the
+// instants of some or all voters, at most one of each, and is sorted by the call. ok is false if fewer than a majority
+// of the voters have one.
 func LatestMajority(instants []int64, voters int) (latest int64, ok bool) {
 	majority := Majority(voters)
 	if len(instants) < majority {
--- a/internal/cluster/peer/frame.go
+++ b/internal/cluster/peer/frame.go
@@ -19,29 +19,29 @@
 
 const (
 	maxHelloSize  = 512
-	frameReadStep = 16 << 10 // bytes that are allocated at a time
+	frameReadStep = 16 << 10 // largest number of bytes of a payload that are allocated before they arrive
 )
 
-// ErrMalformedFrame is the error for input that is not a valid frame.
+// ErrMalformedFrame is the error for bytes that are not a valid frame or hello.
 var ErrMalformedFrame = errors.New("malformed frame")
 
-// VersionError is the error for a peer with another protocol version.
+// VersionError is the error for a peer whose hello has another protocol version than ProtocolVersion.
 type VersionError struct{ Version uint64 }
 
-// Error names both versions.
+// Error returns a text with the peer's version and the supported one.
 func (err *VersionError) Error() string {
 	return fmt.Sprintf("peer has protocol version %d, only %d is supported", err.Version, ProtocolVersion)
 }
 
-// hello is the first frame on a link. The instance that dialled sends it.
+// hello is the first frame on a link. The instance that dialled sends it to say who it is and which protocol it uses.
 type hello struct {
 	Version     uint64 `cbor:"1,keyasint"`
 	Name        string `cbor:"2,keyasint"`
 	Incarnation uint64 `cbor:"3,keyasint"`
 }
 
-// readFrame reads a frame: a length of four bytes, big-endian, and a payload of that length. It allocates memory
-// as bytes arrive, so that a false length alone takes no memory.
+// readFrame reads a frame, which is a length of four bytes, big-endian, and a payload of that length, and returns the
+// payload. It allocates memory only as bytes arrive, so that a peer cannot use up memory by announcing a large frame.
 func readFrame(in io.Reader, maxSize int) ([]byte, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
@@ -63,13 +63,13 @@
 	return payload, nil
 }
 
-// appendFrame appends the payload's length and the payload to frames.
+// appendFrame appends a frame with this payload to frames and returns the result.
 func appendFrame(frames, payload []byte) []byte {
 	frames = binary.BigEndian.AppendUint32(frames, uint32(len(payload)))
 	return append(frames, payload...)
 }
 
-// readHello reads the first frame and checks its protocol version.
+// readHello reads and returns the first frame. It returns a *VersionError if the peer uses another protocol version.
 func readHello(in io.Reader) (hello, error) {
 	raw, err := readFrame(in, maxHelloSize)
 	if err != nil {
--- a/internal/cluster/peer/frame_test.go
+++ b/internal/cluster/peer/frame_test.go
@@ -9,7 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Another protocol version gives a VersionError, and an invalid frame gives ErrMalformedFrame.
+// Operators must be able to tell a peer of another version from one that sends garbage: the first must give a
+// VersionError, the second ErrMalformedFrame.
 func TestReadHello(t *testing.T) {
 	encode := func(sender hello) []byte {
 		raw, err := cbor.Marshal(sender)
--- a/internal/cluster/peer/incoming.go
+++ b/internal/cluster/peer/incoming.go
@@ -13,7 +13,8 @@
 	"tealpath/internal/logevent"
 )
 
-// accept accepts links from other instances until the context ends.
+// accept accepts connections from other instances, and starts a goroutine for each admitted one, until the context
+// ends. It returns an error if the listener is closed before that.
 func (links *Links) accept(ctx context.Context) error {
 	for {
 		conn, err := links.config.Listener.Accept()
@@ -41,7 +42,8 @@
 	}
 }
 
-// admit reports whether a connection may start the TLS handshake, and if so reserves one of maxHandshakes for it.
+// admit reports whether a connection may start the TLS handshake. If it may, admit has reserved one of maxHandshakes
+// for it, which the caller must free. If not, it has logged the reason.
 func (links *Links) admit(conn net.Conn) (from netip.Addr, admitted bool) {
 	remote, err := netip.ParseAddrPort(conn.RemoteAddr().String())
 	from = remote.Addr()
@@ -64,8 +66,8 @@
 	case links.handshakes <- struct{}{}:
 		return from, true
 	default:
-		// Close the connection instead of queueing it. In a flood of connections, a queue would delay the links of
-		// other instances for longer than a handshake takes.
+		// The connection is closed and not queued. In a flood of connections, a queue would delay the links of other
+		// instances for longer than a handshake takes.
 		links.refusals.log(func(times int) logevent.Event {
 			return HandshakeLimitReached{Address: from.String(), Limit: maxHandshakes, Times: times}
 		})
@@ -79,7 +81,8 @@
 	links.accepted += change
 }
 
-// serve does the handshake of an accepted link and reads its frames until the link or the context ends.
+// serve handles an accepted connection: it does the handshake and then passes on the received messages, until the
+// connection or the context ends. It closes the connection.
 func (links *Links) serve(ctx context.Context, raw net.Conn, from netip.Addr) {
 	conn := tls.Server(raw, links.keys.serverConfig())
 	defer closeConn(raw)
@@ -105,8 +108,8 @@
 	}
 }
 
-// handshake does the TLS handshake, reads the hello and checks that the certificate is valid for the name in the
-// hello, all within handshakeTimeout.
+// handshake does the TLS handshake, reads the hello and checks that the peer's certificate is valid for the name in
+// the hello. It returns an error if this takes longer than handshakeTimeout.
 func (links *Links) handshake(ctx context.Context, conn *tls.Conn) (hello, error) {
 	if err := conn.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return hello{}, err
@@ -124,7 +127,8 @@
 	return sender, conn.SetDeadline(time.Time{})
 }
 
-// readFrames passes received payloads on until the link ends.
+// readFrames passes the payloads of received frames to Config.Receive until the connection ends or nothing arrives for
+// idleTimeout.
 func (links *Links) readFrames(conn net.Conn, sender hello) error {
 	for {
 		if err := conn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
@@ -138,7 +142,8 @@
 	}
 }
 
-// addIncoming adds a link from a name. If the name has more than maxLinksPerName links, it closes the oldest.
+// addIncoming adds an accepted connection of the instance with this name. If there are now more than maxLinksPerName,
+// it closes the oldest.
 func (links *Links) addIncoming(name string, conn net.Conn) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
--- a/internal/cluster/peer/keys.go
+++ b/internal/cluster/peer/keys.go
@@ -10,20 +10,21 @@
 	"time"
 )
 
-// errNoCertificate is the error for a peer that sent no certificate.
+// errNoCertificate is the error for a peer that sent no certificate in the TLS handshake.
 var errNoCertificate = errors.New("peer sent no certificate")
 
 // KeyFiles are the paths of an instance's PEM files: its certificate with the chain to a root, its key, and the
 // root certificates that it trusts. While one root replaces another, the file of roots holds both.
 type KeyFiles struct{ Certificate, Key, Roots string }
 
-// Keys are the loaded contents of KeyFiles.
+// Keys are the certificate, key and roots that KeyFiles.Load has read.
 type Keys struct {
 	pair  tls.Certificate
 	roots *x509.CertPool
 }
 
-// Load reads the files. It returns an error if the key does not match the certificate.
+// Load reads the files. It returns an error if one cannot be read, if the key does not match the certificate, or if
+// the file of roots has no certificate.
 func (files KeyFiles) Load() (*Keys, error) {
 	pair, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
@@ -40,8 +41,8 @@
 	return keys, nil
 }
 
-// CheckName returns an error if the certificate is not valid for a name at the given time, both as a server and as a
-// client.
+// CheckName returns an error unless the certificate is valid for a name at the given time, both for accepting and for
+// dialling connections.
 func (keys *Keys) CheckName(name string, at time.Time) error {
 	chain := x509.NewCertPool()
 	for _, raw := range keys.pair.Certificate[1:] {
@@ -61,16 +62,18 @@
 	return nil
 }
 
-// keyHolder holds the current keys. New connections use them; replacing them leaves open connections alone.
+// keyHolder holds the keys for new connections. Replacing them does not affect open connections.
 type keyHolder struct{ atomic.Pointer[Keys] }
 
-// serverConfig returns the TLS configuration of accepted connections. It requires a client certificate.
+// serverConfig returns the TLS configuration for accepting connections. It requires that the peer sends a certificate
+// of a trusted root, and uses the keys that are current at each handshake.
 func (holder *keyHolder) serverConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			keys := holder.Load()
-			// Without session tickets, because a resumed session would skip the check against the current roots.
+			// Session tickets are disabled: a resumed session would skip the check of the peer's certificate against
+			// the current roots.
 			return &tls.Config{
 				MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{keys.pair}, ClientCAs: keys.roots,
 				ClientAuth: tls.RequireAndVerifyClientCert, SessionTicketsDisabled: true,
@@ -79,8 +82,8 @@
 	}
 }
 
-// clientConfig returns the TLS configuration of a dialled connection. The peer's certificate must be valid for
-// the name.
+// clientConfig returns the TLS configuration for dialling the peer with this name, whose certificate must be valid for
+// the name. It has the keys that are current now.
 func (holder *keyHolder) clientConfig(name string) *tls.Config {
 	keys := holder.Load()
 	return &tls.Config{
@@ -88,8 +91,8 @@
 	}
 }
 
-// verifyName returns an error if a peer's certificate is not valid for a name. The TLS handshake has verified the
-// certificate itself.
+// verifyName returns an error unless a peer's certificate is valid for a name. The TLS handshake has already checked
+// that the certificate is of a trusted root and has not expired.
 func verifyName(state tls.ConnectionState, name string) error {
 	if len(state.PeerCertificates) == 0 {
 		return fmt.Errorf("%w for the name %q", errNoCertificate, name)
--- a/internal/cluster/peer/links.go
+++ b/internal/cluster/peer/links.go
@@ -19,52 +19,53 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Limits and durations of links.
+// These limits apply to the links of one instance.
 const (
-	maxQueue      = 64 // frames waiting for one peer
-	maxHandshakes = 16 // at a time
-	// maxAccepted bounds the accepted links. All other instances of the largest fleet may link to a voter, and link
-	// to it again before their old links are detected as dead.
+	maxQueue      = 64 // frames that wait to be sent to one peer; beyond it the oldest is dropped
+	maxHandshakes = 16 // handshakes of accepted connections under way at a time
+	// maxAccepted is the largest number of accepted connections. In the largest fleet all other instances may link to
+	// a voter, and may link again before the voter detects that their old links are dead.
 	maxAccepted      = 2048
-	maxLinksPerName  = 3 // accepted links from one name; beyond it the oldest is closed
+	maxLinksPerName  = 3 // accepted connections of one instance; beyond it the oldest is closed
 	handshakeTimeout = 2 * time.Second
 	writeTimeout     = 2 * time.Second
-	idleTimeout      = time.Minute // an accepted link without a frame for this long is closed
+	idleTimeout      = time.Minute // an accepted connection without a frame for this long is closed
 	minBackoff       = 50 * time.Millisecond
 	maxBackoff       = 2 * time.Second
-	flushInterval    = 5 * time.Millisecond // between two checks in Flush
+	flushInterval    = 5 * time.Millisecond // pause between two checks by Flush whether the queues are empty
 )
 
-// Config is the configuration of Links.
+// Config is the configuration of the links of one instance.
 type Config struct {
-	Name        string // of this instance
+	Name        string // name of this instance, for which its certificate must be valid
 	Incarnation uint64
 	Listener    net.Listener
 	Keys        *Keys
-	Allow       *netipx.IPSet // addresses with which links are allowed
+	Allow       *netipx.IPSet // addresses that may be dialled and accepted
 
-	// Receive handles a payload. While it blocks, no more frames are read from that link.
+	// Receive is called with each payload that arrives and with the name and incarnation of its sender. It is called
+	// from several goroutines. While it blocks, no more frames are read from that sender's connection.
 	Receive func(name string, incarnation uint64, payload []byte)
 	Log     func(logevent.Event)
 }
 
-// Links holds all links of one instance. It is safe for concurrent use.
+// Links holds the dialled and accepted connections between this instance and others. It is safe for concurrent use.
 type Links struct {
 	config     Config
 	keys       keyHolder
 	refusals   refusals
-	handshakes chan struct{} // holds one element for each handshake under way
+	handshakes chan struct{} // has one element for each handshake of an accepted connection under way
 
 	mu       sync.Mutex
 	allowed  *netipx.IPSet
-	outgoing map[string]*outgoing  // by name
-	incoming map[string][]net.Conn // by name, the oldest first
+	outgoing map[string]*outgoing  // by the peer's name: the link that this instance dials
+	incoming map[string][]net.Conn // by the peer's name: accepted connections, the oldest first
 	accepted int
-	running  context.Context // the context of Run, with which all outgoing links end
-	group    *errgroup.Group // nil before Run
+	running  context.Context // context of Run; when it ends, so do all links; nil before Run
+	group    *errgroup.Group // goroutines that Run waits for; nil before Run
 }
 
-// New returns links that do not run yet.
+// New returns links that neither dial nor accept connections until Run is called.
 func New(config Config) *Links {
 	links := &Links{
 		config:     config,
@@ -78,10 +79,11 @@
 	return links
 }
 
-// UseKeys replaces the keys. New connections use them; open connections are left alone.
+// UseKeys replaces the keys for new connections. Open connections continue with the old keys.
 func (links *Links) UseKeys(keys *Keys) { links.keys.Store(keys) }
 
-// SetAllowed replaces the allowed addresses for new connections.
+// SetAllowed replaces the addresses that may be dialled and accepted. Open connections stay open even if their address
+// is no longer allowed.
 func (links *Links) SetAllowed(set *netipx.IPSet) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
@@ -94,7 +96,8 @@
 	return links.allowed.Contains(address.Unmap())
 }
 
-// Run accepts and dials links until the context ends.
+// Run accepts connections and dials the peers until the context ends or accepting fails. It closes the listener and
+// all connections before it returns.
 func (links *Links) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	links.mu.Lock()
@@ -110,7 +113,8 @@
 	return group.Wait()
 }
 
-// SetPeers opens links to the given peers, a map from name to address, and closes the links to all others.
+// SetPeers dials the given peers, a map from name to address, and closes the dialled links to all others and to those
+// whose address has changed. Frames queued for a closed link are lost.
 func (links *Links) SetPeers(peers map[string]string) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
@@ -132,7 +136,7 @@
 	}
 }
 
-// start starts a link to a peer, unless it runs already or Run has ended. The caller holds mu.
+// start starts to dial a peer, unless it has been started already or Run has ended. The caller holds mu.
 func (links *Links) start(link *outgoing) {
 	if links.running.Err() != nil || link.cancel != nil {
 		return
@@ -146,8 +150,8 @@
 	})
 }
 
-// Send queues a payload for a peer and never blocks. A full queue drops its oldest frame. Payloads for unknown peers
-// or larger than MaxFrameSize are dropped.
+// Send queues a payload for a peer and never blocks. It drops the payload if the peer is unknown or the payload is
+// larger than MaxFrameSize. If the queue is full, it drops the oldest frame.
 func (links *Links) Send(name string, payload []byte) {
 	links.mu.Lock()
 	link := links.outgoing[name]
@@ -157,13 +161,14 @@
 	}
 }
 
-// Dropped returns how many frames the queues of the current peers have dropped.
+// Dropped returns how many frames were dropped because the queue of a peer was full, for the peers of the last
+// SetPeers.
 func (links *Links) Dropped() uint64 {
 	dropped, _ := links.queueTotals()
 	return dropped
 }
 
-// Flush waits until all queues are empty, at most for the timeout.
+// Flush returns when all queues are empty, or after the timeout.
 func (links *Links) Flush(timeout time.Duration) {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(flushInterval) {
 		if _, queued := links.queueTotals(); queued == 0 {
@@ -172,7 +177,7 @@
 	}
 }
 
-// queueTotals returns the numbers of dropped and of queued frames over all outgoing links.
+// queueTotals returns how many frames the queues of all peers have dropped, and how many they hold.
 func (links *Links) queueTotals() (dropped uint64, queued int) {
 	links.mu.Lock()
 	defer links.mu.Unlock()
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -23,7 +23,7 @@
 
 const waitTimeout = 5 * time.Second
 
-// instance is one instance's links, with the messages that they received and the events that they logged.
+// instance is the links of one instance, with the messages that it received and the events that it logged.
 type instance struct {
 	*Links
 	address string
@@ -33,7 +33,7 @@
 	logged   []logevent.Event
 }
 
-// countReceived counts the received messages that contain a text.
+// countReceived returns how many received messages contain this text.
 func (instance *instance) countReceived(part string) int {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -46,7 +46,7 @@
 	return count
 }
 
-// countLogged counts the logged events for which holds returns true.
+// countLogged returns for how many logged events holds returns true.
 func (instance *instance) countLogged(holds func(logevent.Event) bool) int {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -59,7 +59,7 @@
 	return count
 }
 
-// isRefusal reports whether an event reports refused connections.
+// isRefusal reports whether an event is one that reports refused connections.
 func isRefusal(event logevent.Event) bool {
 	switch event.(type) {
 	case AddressRefused, LinkLimitReached, HandshakeLimitReached, HandshakeRefused:
@@ -68,7 +68,8 @@
 	return false
 }
 
-// forgetLogged drops the logged events and resets the counters of refusals.
+// forgetLogged removes the logged events and resets the counters of refusals, so that the next refusal is logged at
+// once.
 func (instance *instance) forgetLogged() {
 	instance.refusals.mu.Lock()
 	clear(instance.refusals.kinds)
@@ -78,7 +79,7 @@
 	instance.mu.Unlock()
 }
 
-// mustClose closes a connection or listener and fails the test on an error.
+// mustClose closes a connection or listener, and stops the test if that fails.
 func mustClose(t *testing.T, conn closer) {
 	t.Helper()
 	if err := conn.Close(); err != nil {
@@ -115,8 +116,8 @@
 	return loaded
 }
 
-// startLinks runs the links of an instance that listens on a loopback port. allow lists the addresses from which it
-// accepts connections.
+// startLinks runs the links of an instance that listens on a free loopback port. allow is the range of addresses that
+// the instance may dial and accept.
 func startLinks(t *testing.T, name string, loaded *Keys, allow string) *instance {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -148,7 +149,8 @@
 	return opened
 }
 
-// waitFor fails the test unless a condition holds within waitTimeout.
+// waitFor stops the test if the condition done does not hold within waitTimeout. what describes it in the error
+// message.
 func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for until := time.Now().Add(waitTimeout); !done(); time.Sleep(5 * time.Millisecond) {
@@ -167,7 +169,8 @@
 	return root
 }
 
-// issue writes the key files of an instance that trusts some roots.
+// issue writes the key files of an instance to a folder: a certificate issued by root, its key, and the roots that the
+// instance trusts.
 func issue(t *testing.T, root *certificates.Root, folder, name string, roots ...*certificates.Root) {
 	t.Helper()
 	if err := root.Write(folder, name, time.Now().Add(time.Hour), roots...); err != nil {
@@ -175,8 +178,9 @@
 	}
 }
 
-// Messages arrive while both instances change to keys of a new root. A link that is open continues with the old
-// keys. Once only the new root is trusted, a peer with a certificate of the old one gets no messages.
+// While the instances of a cluster change to keys of a new root, one after another, messages must keep arriving and
+// open links must stay open. Once only the new root is trusted, a peer with a certificate of the old one must get no
+// messages.
 func TestMessagesWhileKeysChange(t *testing.T) {
 	old, next, folder := newRoot(t, "old"), newRoot(t, "next"), t.TempDir()
 	issue(t, old, folder, "a", old)
@@ -186,7 +190,7 @@
 	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("one"))
 	waitFor(t, "the first message", func() bool { return b.countReceived("a:one") == 1 })
-	// Both instances trust both roots, and a gets a certificate of the new root. The open link continues.
+	// Both instances trust both roots, and a gets a certificate of the new root. The open link must stay usable.
 	for _, name := range []string{"a", "b"} {
 		issue(t, old, folder, name, old, next)
 	}
@@ -202,7 +206,7 @@
 	a.SetPeers(map[string]string{"b": b.address})
 	a.Send("b", []byte("three"))
 	waitFor(t, "a message on a link with the new key", func() bool { return b.countReceived("a:three") == 1 })
-	// a now trusts only the new root, so it no longer accepts b's certificate of the old root.
+	// a now trusts only the new root, so it must no longer accept b's certificate, which the old root issued.
 	issue(t, next, folder, "a", next)
 	a.UseKeys(loadKeys(t, folder, "a"))
 	a.SetPeers(nil)
@@ -219,7 +223,8 @@
 	}
 }
 
-// Peers with an invalid certificate, hello or frame are refused, with an event that says why.
+// A peer with an invalid certificate, hello or frame must be refused with an event that says why, and none of its
+// messages may be delivered.
 func TestRefusedPeers(t *testing.T) {
 	good, bad, folder := newRoot(t, "good"), newRoot(t, "bad"), t.TempDir()
 	issue(t, good, folder, "b", good)
@@ -273,7 +278,7 @@
 					return &test.pair, nil
 				},
 			})
-			_, _ = client.Write(test.bytes) // it may be refused before all is written
+			_, _ = client.Write(test.bytes) // the write may fail, because the peer may be refused before it ends
 			if test.name == "half a frame" {
 				mustClose(t, client)
 			}
@@ -289,11 +294,12 @@
 	}
 }
 
-// Connections from outside the allowed addresses are closed, leave no goroutines and are logged as one event.
+// A flood of connections from addresses that are not allowed must neither leave goroutines behind nor fill the log:
+// the connections are closed and logged as one event.
 func TestThousandRefusedConnections(t *testing.T) {
 	root, folder := newRoot(t, "r"), t.TempDir()
 	issue(t, root, folder, "b", root)
-	b := startLinks(t, "b", loadKeys(t, folder, "b"), "127.0.0.9-127.0.0.9") // 127.0.0.1 is outside
+	b := startLinks(t, "b", loadKeys(t, folder, "b"), "127.0.0.9-127.0.0.9") // the test dials from 127.0.0.1
 	before := runtime.NumGoroutine()
 	for range 1000 {
 		conn, err := net.Dial("tcp", b.address)
@@ -314,8 +320,8 @@
 	}
 }
 
-// The number of connections that send nothing is limited, and they block the links of other instances only until they
-// time out.
+// Connections that send nothing must not use up memory: their number is limited. They must block the links of other
+// instances only until they time out.
 func TestSilentConnectionsAreBounded(t *testing.T) {
 	root, folder := newRoot(t, "r"), t.TempDir()
 	issue(t, root, folder, "a", root)
@@ -340,8 +346,8 @@
 	waitFor(t, "a message after 300 silent connections", func() bool { return b.countReceived("a:x") == 1 })
 }
 
-// A voter accepts another link when it already has links from all others of a large fleet, each twice because of a
-// restart.
+// A voter of the largest fleet may have two links from each other instance, an old and a new one, if all have
+// restarted. It must still accept the last of them.
 func TestLinksFromTheLargestFleet(t *testing.T) {
 	root, folder := newRoot(t, "r"), t.TempDir()
 	issue(t, root, folder, "a", root)
@@ -367,7 +373,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.SetPeers(map[string]string{"b": listener.Addr().String()}) // connections are never answered
+	a.SetPeers(map[string]string{"b": listener.Addr().String()}) // the listener never answers a connection
 	started := time.Now()
 	for i := range 3 * maxQueue {
 		a.Send("b", fmt.Append(nil, i))
--- a/internal/cluster/peer/logevents.go
+++ b/internal/cluster/peer/logevents.go
@@ -2,7 +2,7 @@
 
 import "tealpath/internal/logevent"
 
-// LogEvents returns one zero value of each event that this package logs.
+// LogEvents returns one zero value of each type of event that this package logs.
 func LogEvents() []logevent.Event {
 	return []logevent.Event{
 		Connected{},
@@ -17,7 +17,7 @@
 	}
 }
 
-// Connected reports that the link to another instance is up: the first message was written to it.
+// Connected reports that a link to another instance is up: the first frames with messages were written to it.
 type Connected struct {
 	Member string `log:"member"`
 }
@@ -27,7 +27,7 @@
 	return logevent.Kind{Name: "peer_connected", Level: logevent.Info, Message: "connected to another instance"}
 }
 
-// Disconnected reports that the link to another instance ended. It is reopened after a backoff.
+// Disconnected reports that a link to another instance, which had been up, ended. It is dialled again after a backoff.
 type Disconnected struct {
 	Member string `log:"member"`
 	Cause  error  `log:"cause"`
@@ -42,11 +42,11 @@
 	}
 }
 
-// ConnectFailed reports that a link to another instance could not be opened. It is tried again after a backoff.
+// ConnectFailed reports that a link to another instance could not be opened. It is dialled again after a backoff.
 type ConnectFailed struct {
 	Member string `log:"member"`
 	Cause  error  `log:"cause"`
-	Times  int    `log:"times"` // failures since the last such event for this member
+	Times  int    `log:"times"` // failures for this member since the last such event for it
 }
 
 // Kind implements logevent.Event.
@@ -58,10 +58,10 @@
 	}
 }
 
-// AcceptFailed reports that the operating system returned an error when a connection was accepted.
+// AcceptFailed reports that the operating system returned an error in place of an incoming connection.
 type AcceptFailed struct {
 	Cause error `log:"cause"`
-	Times int   `log:"times"` // failures since the last such event
+	Times int   `log:"times"` // errors since the last such event
 }
 
 // Kind implements logevent.Event.
@@ -73,10 +73,10 @@
 	}
 }
 
-// AddressRefused reports connections from outside the allowed address sets. They were closed at once.
+// AddressRefused reports connections that were closed at once because they came from addresses that are not allowed.
 type AddressRefused struct {
 	Address string `log:"address"`
-	Times   int    `log:"times"` // refusals since the last such event
+	Times   int    `log:"times"` // refused connections since the last such event
 }
 
 // Kind implements logevent.Event.
@@ -88,11 +88,11 @@
 	}
 }
 
-// LinkLimitReached reports connections that were closed at once because too many are open.
+// LinkLimitReached reports connections that were closed at once because Limit accepted connections are open.
 type LinkLimitReached struct {
 	Address string `log:"address"`
 	Limit   int    `log:"limit"`
-	Times   int    `log:"times"` // refusals since the last such event
+	Times   int    `log:"times"` // refused connections since the last such event
 }
 
 // Kind implements logevent.Event.
@@ -104,11 +104,11 @@
 	}
 }
 
-// HandshakeLimitReached reports connections that were closed at once because too many handshakes are under way.
+// HandshakeLimitReached reports connections that were closed at once because Limit handshakes are under way.
 type HandshakeLimitReached struct {
 	Address string `log:"address"`
 	Limit   int    `log:"limit"`
-	Times   int    `log:"times"` // refusals since the last such event
+	Times   int    `log:"times"` // refused connections since the last such event
 }
 
 // Kind implements logevent.Event.
@@ -120,11 +120,11 @@
 	}
 }
 
-// HandshakeRefused reports connections whose TLS handshake or hello failed.
+// HandshakeRefused reports connections that were closed because the TLS handshake failed or the hello was invalid.
 type HandshakeRefused struct {
 	Address string `log:"address"`
 	Cause   error  `log:"cause"`
-	Times   int    `log:"times"` // refusals since the last such event
+	Times   int    `log:"times"` // refused connections since the last such event
 }
 
 // Kind implements logevent.Event.
@@ -132,11 +132,11 @@
 	return logevent.Kind{Name: "peer_handshake_refused", Level: logevent.Warn, Message: "handshake refused"}
 }
 
-// ProtocolViolation reports that a member sent an invalid frame. Its connection was closed.
+// ProtocolViolation reports that a member sent an invalid frame after the hello. Its connection was closed.
 type ProtocolViolation struct {
 	Member string `log:"member"`
 	Cause  error  `log:"cause"`
-	Times  int    `log:"times"` // violations since the last such event
+	Times  int    `log:"times"` // invalid frames, from any member, since the last such event
 }
 
 // Kind implements logevent.Event.
--- a/internal/cluster/peer/outgoing.go
+++ b/internal/cluster/peer/outgoing.go
@@ -15,11 +15,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// outgoing is the link to one peer.
+// outgoing is the link that this instance dials to one peer, with the payloads that wait to be sent.
 type outgoing struct {
 	name, address string
-	cancel        context.CancelFunc // nil before the link runs
-	wake          chan struct{}      // holds an element if the queue may hold frames
+	cancel        context.CancelFunc // ends the link; nil before it was started
+	wake          chan struct{}      // has an element if payloads may have been queued since the last wake-up
 
 	mu      sync.Mutex
 	queue   [][]byte
@@ -36,7 +36,7 @@
 	}
 }
 
-// enqueue adds a payload to the queue. If the queue is full, it drops the oldest one.
+// enqueue adds a payload to the queue. If the queue already has maxQueue payloads, it drops the oldest one.
 func (link *outgoing) enqueue(payload []byte) {
 	link.mu.Lock()
 	if len(link.queue) >= maxQueue {
@@ -51,7 +51,7 @@
 	}
 }
 
-// takeFrames empties the queue and returns its payloads as frames.
+// takeFrames empties the queue and returns its payloads as consecutive frames, or nil if there are none.
 func (link *outgoing) takeFrames() []byte {
 	link.mu.Lock()
 	payloads := link.queue
@@ -64,7 +64,8 @@
 	return frames
 }
 
-// keepConnected keeps a link to a peer open. When the link ends, it connects again after a backoff with jitter.
+// keepConnected dials a peer and sends the queued frames until the context ends. When the connection fails or ends, it
+// dials again after a backoff with jitter.
 func (links *Links) keepConnected(ctx context.Context, link *outgoing) {
 	for backoff := minBackoff; ctx.Err() == nil; backoff = min(2*backoff, maxBackoff) {
 		started, up := time.Now(), false
@@ -93,8 +94,8 @@
 	}
 }
 
-// connect dials a peer, sends the hello and writes the queue until the link ends. It calls onUp once the first
-// queued frames are written.
+// connect dials a peer, sends the hello and then the queued frames until the connection or the context ends, and
+// returns the reason. It calls onUp after it has written the first queued frames.
 func (links *Links) connect(ctx context.Context, link *outgoing, onUp func()) error {
 	address, err := netip.ParseAddrPort(link.address)
 	if err != nil || !links.isAllowed(address.Addr()) {
@@ -113,11 +114,11 @@
 	}
 	ended, wait := watchEnd(conn)
 	defer wait()
-	defer closeConn(conn) // runs before wait, which would block on an open connection
+	defer closeConn(conn) // this runs before wait, which would block on an open connection
 	return writeQueue(ctx, conn, link, ended, onUp)
 }
 
-// writeHello sends the first frame, which identifies this instance.
+// writeHello sends the hello, which tells the peer this instance's name, incarnation and protocol version.
 func (links *Links) writeHello(conn net.Conn) error {
 	raw, err := cbor.Marshal(hello{ProtocolVersion, links.config.Name, links.config.Incarnation})
 	if err != nil {
@@ -126,9 +127,9 @@
 	return write(conn, appendFrame(nil, raw))
 }
 
-// watchEnd reads from a dialled connection to detect its end. The peer sends no data on it. With TLS 1.3 this read
-// also returns the peer's refusal of this instance's certificate. wait blocks until the reading goroutine has
-// ended, for which the connection must be closed.
+// watchEnd reads from a dialled connection, on which the peer sends nothing, to detect its end. With TLS 1.3, the read
+// also returns the peer's refusal of this instance's certificate. The channel gets the error with which the connection
+// ended. wait returns when the reading goroutine has ended, which it does only after the connection is closed.
 func watchEnd(conn net.Conn) (ended <-chan error, wait func()) {
 	result, done := make(chan error, 1), make(chan struct{})
 	go func() {
@@ -142,7 +143,8 @@
 	return result, func() { <-done }
 }
 
-// writeQueue writes queued frames until the connection ends.
+// writeQueue writes the queued frames, and those queued later, until the connection or the context ends. It calls onUp
+// after the first write.
 func writeQueue(ctx context.Context, conn net.Conn, link *outgoing, ended <-chan error, onUp func()) error {
 	up := false
 	for {
--- a/internal/cluster/peer/refusals.go
+++ b/internal/cluster/peer/refusals.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	refusalInterval = 10 * time.Second // between two events of one kind
-	maxRefusalKinds = 512              // counted separately; beyond it all counters are reset
+	refusalInterval = 10 * time.Second // shortest time between two events of one kind
+	maxRefusalKinds = 512              // number of kinds that are counted separately; beyond it all counters are reset
 )
 
-// refusals logs refused and failed connections: at most one event of each kind in refusalInterval, with the number
-// of occurrences since the last one.
+// refusals logs refused and failed connections. Of each kind it logs at most one event in refusalInterval, with the
+// number of occurrences since the previous event.
 type refusals struct {
 	emit func(logevent.Event)
 
@@ -21,20 +21,21 @@
 	kinds map[string]*refusal
 }
 
-// refusal counts the occurrences of one kind since the last one that was logged.
+// refusal counts the occurrences of one kind since the last event of that kind was logged.
 type refusal struct {
 	loggedAt time.Time
-	times    int // since loggedAt
+	times    int // occurrences since loggedAt
 }
 
 func newRefusals(emit func(logevent.Event)) refusals {
 	return refusals{emit: emit, kinds: map[string]*refusal{}}
 }
 
-// repeatedEvent returns an event with the number of occurrences since it was last logged.
+// repeatedEvent returns the event to log for the given number of occurrences.
 type repeatedEvent func(times int) logevent.Event
 
-// log counts an occurrence under the event's name, and logs the event if it is due.
+// log counts an occurrence under the name of the event's kind, and logs the event unless one was logged within the
+// last refusalInterval.
 func (refusals *refusals) log(event repeatedEvent) {
 	refusals.logKind(event(0).Kind().Name, event)
 }
@@ -50,7 +51,8 @@
 	}
 }
 
-// count counts an occurrence of a kind. It returns the number of occurrences to log now, or 0 to log nothing.
+// count counts an occurrence of a kind. It returns the number of occurrences for the event that is due now, or 0 if
+// none is due.
 func (refusals *refusals) count(kind string) (times int) {
 	refusals.mu.Lock()
 	defer refusals.mu.Unlock()
--- a/internal/cluster/probe/config.go
+++ b/internal/cluster/probe/config.go
@@ -9,40 +9,40 @@
 	"time"
 )
 
-// MaxColdPart is the largest part of a cold target's limit that may be reserved for probing. The traffic of all
-// routers uses 0.6 of the limit, and 0.1 remains as a margin for errors of both estimates.
+// MaxColdPart is the largest allowed Config.ColdPart. The requests of all routers use up to 0.6 of a cold target's
+// limit, and 0.1 is a margin for errors in the estimates of both.
 const MaxColdPart = 0.3
 
-// ColdLimit is the load that a target can bear just after its start, from the deployment's settings.
+// ColdLimit is the load that a target can bear just after its start, as given in the deployment's settings.
 type ColdLimit struct {
-	Share          float64 // the part of its capacity that it has at its start
-	Factor         float64 // the multiple of that part at which it fails
-	Window         int64   // the time over which the load is summed, ns
-	WarmUpDuration int64   // from its start until it is warm, ns; 0: it is never cold
+	Share          float64 // fraction of Target.Capacity that the target has at its start
+	Factor         float64 // the target fails at this multiple of its capacity at the start
+	Window         int64   // duration over which the load is summed up, ns
+	WarmUpDuration int64   // time from the target's start until it is warm, ns; 0: it is never cold
 }
 
-// Config is the configuration of a Prober.
+// Config is the configuration of a Prober. Its clocks are those of the instances that probe.
 type Config struct {
-	Period        int64     // between two probes of a target, ns
-	Timeout       int64     // within which a probe must be answered, ns
-	ColdPart      float64   // the part of a cold target's limit that probing may use
-	Cost          float64   // of one probe, in seconds of sending time
-	MaxClockDrift float64   // the largest relative error of a clock's rate
-	Slots         int       // number of slots to which the targets hash
-	Cache         ColdLimit // of targets that are not parent caches
-	Parent        ColdLimit // of parent caches
+	Period        int64     // time between two probes of one target, ns
+	Timeout       int64     // time within which a probe must be answered, ns
+	ColdPart      float64   // fraction of a cold target's limit that probing may use; above 0, at most MaxColdPart
+	Cost          float64   // load of one probe, in seconds for which the target sends
+	MaxClockDrift float64   // largest relative error of an instance's clock rate: 0.01 is 1%
+	Slots         int       // number of slots to which the names of targets hash
+	Cache         ColdLimit // limit of targets that are not parent caches
+	Parent        ColdLimit // limit of targets that are parent caches
 }
 
 // ConfigError is the error for an invalid setting.
 type ConfigError struct {
-	Setting string // as the operator's file names it
+	Setting string // name of the setting in the operator's file
 	Reason  string
 }
 
 // Error returns the reason, which names the setting and its value.
 func (err *ConfigError) Error() string { return err.Reason }
 
-// Check returns a *ConfigError for the first invalid setting.
+// Check returns nil if the settings are valid, and otherwise a *ConfigError for the first invalid one.
 func (config Config) Check() error {
 	switch {
 	case config.Period <= 0 || config.Timeout <= 0:
@@ -51,7 +51,7 @@
 	case config.Timeout > config.Period:
 		return &ConfigError{"within", fmt.Sprintf("the probe timeout of %d ms is longer than the period of %d ms",
 			time.Duration(config.Timeout).Milliseconds(), time.Duration(config.Period).Milliseconds())}
-	case !(config.ColdPart > 0 && config.ColdPart <= MaxColdPart): // true for NaN as well
+	case !(config.ColdPart > 0 && config.ColdPart <= MaxColdPart): // also true for NaN
 		return &ConfigError{"cold-part", fmt.Sprintf(
 			"the cold part is %v, must be above 0 and at most %v, because traffic uses 0.6 of a cold target's limit",
 			config.ColdPart, MaxColdPart)}
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// limitOf returns the load limit of a target while it is cold.
+// limitOf returns the load limit that applies to a target while it is cold.
 func (config Config) limitOf(target Target) ColdLimit {
 	if target.Parent {
 		return config.Parent
@@ -69,7 +69,8 @@
 	return config.Cache
 }
 
-// withDrift lengthens a duration by the largest difference in rate between two clocks.
+// withDrift returns how long duration may last on a fast clock of one instance if it is measured with the slow clock
+// of another.
 func (config Config) withDrift(duration int64) int64 {
 	return int64(float64(duration) * (1 + 2*config.MaxClockDrift))
 }
--- a/internal/cluster/probe/prober.go
+++ b/internal/cluster/probe/prober.go
@@ -10,51 +10,53 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxWait is how far ahead of now the time that Next returns may be, ns.
+// maxWait is the longest time from now until the instant that Next returns, ns.
 const maxWait = int64(time.Second)
 
-// Target is one endpoint that is probed.
+// Target is an endpoint to be probed periodically.
 type Target struct {
 	Name, Address string
-	Parent        bool    // it is a parent cache, with the limits of Config.Parent
-	Capacity      float64 // seconds of sending time per second
-	WarmAt        int64   // when it will be warm, by the clock of the Prober's callers; 0: it is warm
+	Parent        bool    // whether it is a parent cache, so that Config.Parent is its limit
+	Capacity      float64 // load that the warm target can bear: seconds of sending per second
+	WarmAt        int64   // when the target will be warm, ns of this instance's clock; 0: it is warm
 }
 
 // Probe is a health check that the caller must send.
 type Probe struct {
 	Target, Address string
 	Slot            int
-	Ballot          uint64 // of the slot's lease
-	Until           int64  // when the lease ends; the probe must be sent before then, or not at all
-	Timeout         int64  // within which the probe must be answered, ns
+	Ballot          uint64 // ballot of the lease on Slot
+	Until           int64  // when the lease on Slot ends; the probe must be sent before that, or not at all
+	Timeout         int64  // time within which the probe must be answered, ns
 }
 
-// HoldsFunc reports whether this instance holds a slot's lease now, under which ballot and until when.
+// HoldsFunc returns the ballot under which this instance holds a slot's lease now, and when the lease ends; ok is
+// false if this instance does not hold it.
 type HoldsFunc = func(slot int) (ballot uint64, until int64, ok bool)
 
-// targetState is a target with the state of its probing.
+// targetState is a target, its slot, and what is known of its probes.
 type targetState struct {
 	Target
 	slot      int
-	nextAt    int64   // when the next probe is due
-	probedAt  []int64 // times of the probes within the cold limit's window
-	answered  bool    // whether the last probe was answered
-	wasProbed bool    // whether a probe has ended, so that answered is set
+	nextAt    int64   // when the next probe is due, if this instance holds the slot
+	probedAt  []int64 // when probes were sent, within the last ColdLimit.Window
+	answered  bool    // whether the last probe that ended was answered
+	wasProbed bool    // whether any probe has ended
 }
 
-// Prober decides which probes one instance sends.
+// Prober decides which probes one instance sends and when.
 type Prober struct {
 	config     Config
 	targets    []*targetState // sorted by name
-	acquiredAt map[int]int64  // by held slot: when its lease was acquired
+	acquiredAt map[int]int64  // by slot, for slots that this instance holds: when it acquired the lease
 	skipped    int64
 }
 
 // New returns a prober without targets.
 func New(config Config) *Prober { return &Prober{config: config, acquiredAt: map[int]int64{}} }
 
-// SetTargets replaces the list of targets. Targets that are in both lists keep their state.
+// SetTargets replaces the list of targets. A target that is also in the previous list keeps its schedule and the
+// results of its probes.
 func (prober *Prober) SetTargets(now int64, list []Target) {
 	known := map[string]*targetState{}
 	for _, state := range prober.targets {
@@ -66,7 +68,7 @@
 		if state == nil {
 			state = prober.newTarget(now, target)
 		}
-		target.WarmAt = max(target.WarmAt, state.WarmAt) // a list must not shorten a known warm-up
+		target.WarmAt = max(target.WarmAt, state.WarmAt) // the list must not make a target warm earlier than is known here
 		state.Target = target
 		prober.targets = append(prober.targets, state)
 	}
@@ -81,9 +83,10 @@
 	return state
 }
 
-// SlotAcquired tells the prober that this instance now holds a slot. The previous holder may have probed just before
-// it stopped, so the first probe of each target is due one period later. For a cold target it is due at least one
-// window later, so that only one holder at a time uses the capacity reserved for probing.
+// SlotAcquired tells the prober that this instance now holds the lease on a slot. The previous holder may have probed
+// the slot's targets just before its lease ended, so the first probe of each target is due at least one period later.
+// That of a cold target is due at least one ColdLimit.Window later, so that within a window only one holder uses the
+// capacity reserved for probing.
 func (prober *Prober) SlotAcquired(now int64, slot int) {
 	prober.acquiredAt[slot] = now
 	for _, state := range prober.targets {
@@ -93,7 +96,8 @@
 	}
 }
 
-// SlotLost tells the prober that this instance no longer holds a slot.
+// SlotLost tells the prober that this instance no longer holds the lease on a slot. It then sends no probes to the
+// slot's targets.
 func (prober *Prober) SlotLost(slot int) { delete(prober.acquiredAt, slot) }
 
 func (prober *Prober) holds(state *targetState) bool {
@@ -101,20 +105,22 @@
 	return held
 }
 
-// firstProbe returns when the first probe of a target is due after its slot was acquired.
+// firstProbe returns when the first probe of a target is due if the lease on its slot was acquired at acquiredAt.
 func (prober *Prober) firstProbe(acquiredAt int64, state *targetState) int64 {
 	wait := prober.config.Period
 	if state.isCold(acquiredAt) {
 		wait = max(wait, prober.config.limitOf(state.Target).Window)
 	}
-	// Spread by name, because otherwise all targets of a failed holder would be probed at the same time.
+	// The probes of different targets are spread out by their names. Otherwise all targets of a failed holder would be
+	// probed at the same time.
 	spread := int64(xxhash.Sum64String("phase "+state.Name) % uint64(prober.config.Period/2))
 	return acquiredAt + prober.config.withDrift(wait) + spread
 }
 
 func (state *targetState) isCold(now int64) bool { return now < state.WarmAt }
 
-// Due returns the probes to be sent now. It skips those that a cold target cannot bear.
+// Due returns the probes to be sent now and schedules the next ones. It leaves out probes that would be too much load
+// for a cold target.
 func (prober *Prober) Due(now int64, holds HoldsFunc) []Probe {
 	var probes []Probe
 	for _, state := range prober.targets {
@@ -138,8 +144,9 @@
 	return probes
 }
 
-// schedule sets when the next probe is due: a period after this one was due, so that delays do not lengthen the
-// period. If that time has passed, it is a period from now, so that missed probes are not made up for in a burst.
+// schedule sets the time of the next probe to one period after the time at which the present one was due, so that
+// delays do not lengthen the period. If that time has passed, it is one period after now, so that missed probes are
+// not sent in a burst.
 func (state *targetState) schedule(now, period int64) {
 	state.nextAt += period
 	if state.nextAt <= now {
@@ -147,8 +154,8 @@
 	}
 }
 
-// spend records a probe of a target and returns true, unless the target is cold and the probe would exceed its
-// ColdBudget.
+// spend records that a probe of a target is sent now. It returns false and records nothing if the target is cold and
+// the probes within its window would cost more than ColdBudget.
 func (prober *Prober) spend(now int64, state *targetState) bool {
 	window := prober.config.withDrift(prober.config.limitOf(state.Target).Window)
 	state.probedAt = slices.DeleteFunc(state.probedAt, func(at int64) bool { return at <= now-window })
@@ -160,16 +167,18 @@
 	return true
 }
 
-// ColdBudget returns how much all probes of a cold target within a window may cost together, in seconds of sending
-// time. It is computed from the target's capacity at its start, although the capacity rises during the warm-up.
+// ColdBudget returns the largest total cost of the probes that a cold target may get within its ColdLimit.Window, in
+// seconds for which the target sends. It is computed from the capacity at the target's start, although that rises
+// while the target warms up.
 func (prober *Prober) ColdBudget(target Target) float64 {
 	limit := prober.config.limitOf(target)
 	window := float64(limit.Window)
 	return prober.config.ColdPart * limit.Factor * limit.Share * target.Capacity * window / float64(time.Second)
 }
 
-// ProbeEnded handles the result of a probe. A target that answers after a failed probe counts as cold, because it
-// may have been restarted and the list of targets shows that only later.
+// ProbeEnded tells the prober the result of a probe. A target that answers again after a failed probe counts as cold
+// from now on, because it may have been restarted, which the list of targets shows only later. A result for an unknown
+// target is ignored.
 func (prober *Prober) ProbeEnded(now int64, name string, answered bool) {
 	index, found := slices.BinarySearchFunc(prober.targets, name, func(state *targetState, name string) int {
 		return cmp.Compare(state.Name, name)
@@ -184,7 +193,7 @@
 	state.answered, state.wasProbed = answered, true
 }
 
-// Next returns when Due is to be called next: when the next probe is due, at most maxWait from now.
+// Next returns when Due is to be called again: when the next probe is due, but at most maxWait from now.
 func (prober *Prober) Next(now int64) int64 {
 	next := now + maxWait
 	for _, state := range prober.targets {
@@ -195,10 +204,11 @@
 	return max(next, now)
 }
 
-// Skipped returns how many probes were not sent because a cold target could not bear them.
+// Skipped returns how many probes were left out since the start because they would have been too much load for a cold
+// target.
 func (prober *Prober) Skipped() int64 { return prober.skipped }
 
-// Count returns the number of all targets, and of those in slots that this instance holds.
+// Count returns the number of targets, and the number of those in slots whose leases this instance holds.
 func (prober *Prober) Count() (all, own int) {
 	for _, state := range prober.targets {
 		if prober.holds(state) {
--- a/internal/cluster/probe/prober_test.go
+++ b/internal/cluster/probe/prober_test.go
@@ -31,7 +31,7 @@
 func holdsAll(int) (ballot uint64, until int64, ok bool)  { return 7, 1 << 60, true }
 func holdsNone(int) (ballot uint64, until int64, ok bool) { return 0, 0, false }
 
-// newProber returns a prober with count targets that holds every slot.
+// newProber returns a prober with count targets, for an instance that holds the leases on all slots.
 func newProber(config Config, count int) *Prober {
 	prober := New(config)
 	prober.SetTargets(0, testTargets(count))
@@ -41,10 +41,10 @@
 	return prober
 }
 
-// probeTimes holds the times of the probes of each target.
+// probeTimes holds the times at which each target was probed, by the target's name.
 type probeTimes map[string][]int64
 
-// run advances time in steps of 10 ms and records the probes.
+// run advances the time in steps of 10 ms and records the probes that are due.
 func (times probeTimes) run(prober *Prober, from, to int64, holds HoldsFunc) {
 	for now := from; now < to; now += 10 * ms {
 		for _, probe := range prober.Due(now, holds) {
@@ -67,7 +67,8 @@
 	}
 }
 
-// A prober sends no probes while the leases are not held, even before SlotLost reports that, and none after SlotLost.
+// An instance whose lease has ended must not probe, because another one may already do so: neither before SlotLost
+// tells the prober that the lease is lost, nor after it.
 func TestNoProbesWithoutLease(t *testing.T) {
 	prober, times := newProber(testConfig(), 5), probeTimes{}
 	times.run(prober, 0, 5000*ms, holdsNone)
@@ -83,7 +84,7 @@
 	}
 }
 
-// A target that is removed from the list is not probed until it is on the list again.
+// A target that is no longer on the list must not be probed until it is on the list again.
 func TestRemovedTarget(t *testing.T) {
 	prober, times := newProber(testConfig(), 3), probeTimes{}
 	times.run(prober, 0, 5000*ms, holdsAll)
@@ -120,14 +121,15 @@
 	}
 }
 
-// sentProbe is a probe that one of several lease holders sent.
+// sentProbe is a probe with the holder that sent it, one of several successive ones.
 type sentProbe struct {
-	at     int64 // in real time
+	at     int64 // simulated time of the probe, ns
 	holder int
 }
 
-// Lease holders with fast and slow clocks follow each other at random times while the target is cold. In no window
-// of real time do the probes cost more than the budget, and no two holders probe within one period.
+// When leases on a cold target's slot change hands at random times, between instances with fast and slow clocks, the
+// target must not be overloaded: in no window of simulated time may the probes cost more than the budget, and no two
+// holders may probe within one period.
 func TestColdBudgetAndPeriodHoldOverTakeovers(t *testing.T) {
 	config := testConfig()
 	config.Period = 100 * ms // so short that the budget limits the probes
@@ -145,7 +147,8 @@
 	}
 }
 
-// runTakeovers runs holders one after another for ten seconds and returns their probes.
+// runTakeovers simulates ten seconds in which holders with random clock rates follow each other at random times. It
+// returns the probes that they sent.
 func runTakeovers(seed uint64, config Config, target Target) []sentProbe {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var sent []sentProbe
@@ -154,7 +157,7 @@
 		rate := 1 + 0.01*(2*rng.Float64()-1)
 		clock := func(at int64) int64 { return int64(float64(at) * rate) }
 		prober := New(config)
-		// Each holder's clock has its own reading of the time at which the target is warm.
+		// The target is warm at the same simulated time for all holders, which their clocks show differently.
 		target.WarmAt = clock(17000 * ms)
 		prober.SetTargets(clock(now), []Target{target})
 		prober.SlotAcquired(clock(now), lease.SlotOf(target.Name, config.Slots))
@@ -186,10 +189,11 @@
 	}
 }
 
-// A target that answers after a failed probe may have been restarted, so it counts as cold.
+// A target that answers after a failed probe may have been restarted and be cold. Probes at the rate for a warm target
+// could overload it.
 func TestTargetThatAnswersAgainCountsAsCold(t *testing.T) {
 	config := testConfig()
-	config.Cost = 1 // more than a cold target can bear
+	config.Cost = 1 // more than the budget of a cold target
 	prober, times := newProber(config, 1), probeTimes{}
 	times.run(prober, 0, 4000*ms, holdsAll)
 	prober.ProbeEnded(4000*ms, "t0", false)
--- a/internal/cluster/probes_test.go
+++ b/internal/cluster/probes_test.go
@@ -30,8 +30,9 @@
 	}
 }
 
-// After a whole quorum has restarted with wall clocks set back, a holder's ballot may be below one already seen
-// for its target. Its results would be dropped, so it must reacquire the lease under a higher ballot.
+// After all voters of a quorum have restarted with their wall clocks set back, a lease may be held under a ballot
+// below one already seen for a target in its slot. All instances would drop the holder's probe results for ever if it
+// did not acquire the lease again under a higher ballot.
 func TestHolderWithLowBallotReacquiresLease(t *testing.T) {
 	const ahead = 1 << 20
 	cluster := newCluster(t).withTarget()
--- a/internal/cluster/recordtest/recordtest.go
+++ b/internal/cluster/recordtest/recordtest.go
@@ -10,19 +10,19 @@
 	"testing"
 )
 
-// Recorder computes the SHA-256 of the recorded lines.
+// Recorder computes one SHA-256 over all recorded lines.
 type Recorder struct {
 	t      *testing.T
 	digest hash.Hash
 }
 
-// New returns a recorder without lines.
+// New returns a recorder that has no lines yet.
 func New(t *testing.T) *Recorder {
 	t.Helper()
 	return &Recorder{t: t, digest: sha256.New()}
 }
 
-// Record adds a formatted line.
+// Record adds the formatted line to the digest.
 func (recorder *Recorder) Record(format string, values ...any) {
 	recorder.t.Helper()
 	if _, err := fmt.Fprintf(recorder.digest, format+"\n", values...); err != nil {
@@ -30,7 +30,7 @@
 	}
 }
 
-// Check fails the test if the digest of the recorded lines is not want.
+// Check fails the test if the digest of the recorded lines differs from want, a SHA-256 in hexadecimal.
 func (recorder *Recorder) Check(want string) {
 	recorder.t.Helper()
 	if got := hex.EncodeToString(recorder.digest.Sum(nil)); got != want {
--- a/internal/cluster/size_test.go
+++ b/internal/cluster/size_test.go
@@ -10,8 +10,8 @@
 	"tealpath/internal/cluster/peer"
 )
 
-// If the probes of all cache servers of the largest fleet end within one renewal interval, the results are sent in
-// messages that fit a frame.
+// A frame limits the size of a message. Even if the probes of all cache servers of the largest fleet end within one
+// renewal interval, all results must be sent, in messages that each fit a frame.
 func TestProbeResultsOfTheLargestFleet(t *testing.T) {
 	const servers = 4096
 	node := newNode(t, "a", 1)
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -6,75 +6,76 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// Status shows an instance's leases and probes to operators.
+// Status is the state of an instance's leases and probes, as shown to operators.
 type Status struct {
 	Name         string         `json:"name"`
 	Incarnation  uint64         `json:"incarnation"`
 	Majority     bool           `json:"majority"`
-	Reason       string         `json:"why,omitempty"`       // why no leases are granted
-	SilentMS     int64          `json:"silent_ms,omitempty"` // time until this instance votes after its start
+	Reason       string         `json:"why,omitempty"`       // why leases are not granted or not held; empty: no such reason
+	SilentMS     int64          `json:"silent_ms,omitempty"` // time until this instance votes, ms; 0: it votes already
 	Voters       []string       `json:"voters"`
-	Epoch        uint64         `json:"epoch"` // of the voters in force
+	Epoch        uint64         `json:"epoch"` // epoch of the voters in force
 	Members      []MemberStatus `json:"members"`
 	Slots        []SlotStatus   `json:"slots"`
 	Targets      int            `json:"targets"`
-	OwnTargets   int            `json:"own_targets"`     // targets in slots whose leases this instance holds
-	Skipped      int64          `json:"probes_left_out"` // probes not sent to spare a cold target
-	StaleResults int64          `json:"stale_findings"`  // probe results dropped because a higher ballot was known
-	Frames       int64          `json:"frames_sent"`     // to other instances
-	FramesLost   uint64         `json:"frames_dropped"`  // because a link's queue was full
+	OwnTargets   int            `json:"own_targets"`     // number of targets in slots whose leases this instance holds
+	Skipped      int64          `json:"probes_left_out"` // number of probes not sent, to spare cold targets
+	StaleResults int64          `json:"stale_findings"`  // number of probe results dropped: a higher ballot was known
+	Frames       int64          `json:"frames_sent"`     // number of frames sent to other instances
+	FramesLost   uint64         `json:"frames_dropped"`  // number of frames dropped because a link's queue was full
 	Probes       int64          `json:"probes_sent"`
 }
 
-// MemberStatus is the state of one member as this instance sees it.
+// MemberStatus is the state of one member, which may be this instance, as this instance sees it.
 type MemberStatus struct {
 	Name       string  `json:"name"`
 	Address    string  `json:"address"`
 	State      string  `json:"state"`
-	SinceMS    int64   `json:"since_ms"` // how long it has been in this state
+	SinceMS    int64   `json:"since_ms"` // how long the member has been in this state, ms
 	Weight     float64 `json:"weight"`
-	Epoch      uint64  `json:"epoch"`             // of the voters that it uses
+	Epoch      uint64  `json:"epoch"`             // epoch of the voters that the member uses
 	Duplicated bool    `json:"doubled,omitempty"` // two instances may be running under this name
 }
 
-// SlotStatus is the state of one slot's lease.
+// SlotStatus is what this instance knows about one slot's lease, with the durations that operators see.
 type SlotStatus struct {
 	lease.SlotStatus
-	SinceMS int64 `json:"since_ms,omitempty"` // how long this instance has held the lease
-	LeftMS  int64 `json:"left_ms,omitempty"`  // how long it still holds the lease, unless it renews it
+	SinceMS int64 `json:"since_ms,omitempty"` // how long this instance has held the lease, ms; 0: it does not hold it
+	LeftMS  int64 `json:"left_ms,omitempty"`  // time until the lease ends unless it is renewed, ms; 0: not held here
 }
 
-// MembersStatus shows operators the membership as one instance sees it.
+// MembersStatus is the membership as one instance sees it, as shown to operators.
 type MembersStatus struct {
 	Name      string         `json:"name"`
-	View      uint64         `json:"view"`     // number that this instance gave the published view
-	Digest    uint64         `json:"digest"`   // of the published view; equal on instances with equal views
-	SinceMS   int64          `json:"since_ms"` // since the view was published
+	View      uint64         `json:"view"`     // number of the published view at this instance
+	Digest    uint64         `json:"digest"`   // digest of the published view; equal on instances with equal views
+	SinceMS   int64          `json:"since_ms"` // time since the published view last changed, ms
 	Alive     int            `json:"alive"`
-	Health    int            `json:"local_health"`      // 0 is healthy, 8 is worst
-	AwayMS    int64          `json:"away_ms,omitempty"` // how long this instance's last pause lasted
-	CutOff    bool           `json:"cut_off,omitempty"` // no heartbeats arrive from any watched neighbour
+	Health    int            `json:"local_health"`      // local health score: 0 is healthy, 8 is worst
+	AwayMS    int64          `json:"away_ms,omitempty"` // length of this instance's last pause, ms; 0: there was none
+	CutOff    bool           `json:"cut_off,omitempty"` // all neighbours that this instance watches are silent
 	Links     int            `json:"links"`
 	BytesSent int64          `json:"bytes_sent"`
-	Rejected  int64          `json:"refused"` // gossip entries and reports that were rejected
+	Rejected  int64          `json:"refused"` // number of gossip messages, entries and reports that were rejected
 	Members   []MemberBelief `json:"members"`
 }
 
-// MemberBelief is the membership state of another instance, as this instance sees it.
+// MemberBelief is what this instance believes about another one.
 type MemberBelief struct {
 	Name          string   `json:"name"`
 	State         string   `json:"state"`
 	SinceMS       int64    `json:"since_ms"`
 	Version       uint64   `json:"version"`
-	HeldOut       bool     `json:"held_out,omitempty"`    // left out of the view because it keeps failing
-	Duplicated    bool     `json:"doubled,omitempty"`     // two instances may be running under this name
-	Reported      []string `json:"reported_by,omitempty"` // an observer's name and its report: "b silent" or "b deaf"
-	Neighbour     bool     `json:"neighbour,omitempty"`   // this instance watches it
-	SinceHeardMS  int64    `json:"in_ms,omitempty"`       // since its last heartbeat arrived here
-	SinceEchoedMS int64    `json:"out_ms,omitempty"`      // since it last confirmed a heartbeat from this instance
+	HeldOut       bool     `json:"held_out,omitempty"`    // alive, but not in the published view because it keeps failing
+	Duplicated    bool     `json:"doubled,omitempty"`     // two instances may be running under its name
+	Reported      []string `json:"reported_by,omitempty"` // observers that report it and what they report, such as "b silent" or "b deaf"
+	Neighbour     bool     `json:"neighbour,omitempty"`   // this instance and the member watch each other
+	SinceHeardMS  int64    `json:"in_ms,omitempty"`       // time since its last heartbeat arrived, ms; 0 also without a link
+	SinceEchoedMS int64    `json:"out_ms,omitempty"`      // time since it last echoed a heartbeat of this instance, ms; 0 also without a link
 }
 
-// Status returns the state of this instance's leases and probes.
+// Status returns the state of this instance's leases and probes at now. Frames, FramesLost and Probes, which the node
+// does not know, are 0.
 func (node *Node) Status(now int64) Status {
 	voters := node.leases.Voters()
 	status := Status{
@@ -104,7 +105,7 @@
 	return status
 }
 
-// memberStatuses returns the state of all members, this instance first.
+// memberStatuses returns the status of each member, with this instance first and the others sorted by name.
 func (node *Node) memberStatuses(now int64) []MemberStatus {
 	self := node.members.Self()
 	statuses := []MemberStatus{{
@@ -130,7 +131,7 @@
 	return statuses
 }
 
-// Members returns the membership as this instance sees it.
+// Members returns the membership as this instance sees it at now. BytesSent, which the node does not know, is 0.
 func (node *Node) Members(now int64) MembersStatus {
 	number, digest, since := node.members.ViewInfo()
 	status := MembersStatus{
@@ -166,7 +167,8 @@
 	return status
 }
 
-// reportedBy lists the observers that report a member, each with the kind of its report.
+// reportedBy lists the observers that report a member, each with the kind of its report. Reports of the kind Healthy
+// are left out.
 func reportedBy(member membership.Member) []string {
 	var reported []string
 	for _, report := range member.Reports {
--- a/internal/cluster/timing/timing.go
+++ b/internal/cluster/timing/timing.go
@@ -1,5 +1,5 @@
-// Package timing has constants and functions for instants and durations that the packages of a cluster have in
-// common. Both are in ns of a monotonic clock that reads 0 or more and whose rate may be off by a known drift.
+// Package timing has the constants and functions for instants and durations that the packages below internal/cluster
+// share. Both are in ns of a monotonic clock that reads 0 or more and whose rate may be off by a known drift.
 package timing
 
 import "time"
@@ -7,7 +7,7 @@
 // Never stands for the instant of an event that has not happened.
 const Never = int64(-1)
 
-// Happened reports whether at is a real instant rather than Never.
+// Happened reports whether at is the instant of an event that has happened, which is any value but Never.
 func Happened(at int64) bool { return at >= 0 }
 
 // Milliseconds converts a duration from ns to ms and truncates it toward zero.
@@ -21,9 +21,8 @@
 	return int64(float64(leaseDuration) * (1 - maxDrift) / (1 + maxDrift))
 }
 
-// LongestLease returns how many ns pass on the fastest clock while leaseDuration passes on the slowest; the result is
-// not rounded. A restarted voter grants nothing for that time, because it may have granted a lease before the
-// restart that it has no record of.
+// LongestLease returns how many ns pass on the fastest allowed clock while leaseDuration ns pass on the slowest. A
+// restarted voter grants nothing for that time, because it no longer knows which leases it granted before.
 func LongestLease(leaseDuration int64, maxDrift float64) float64 {
 	return float64(leaseDuration) * (1 + maxDrift) / (1 - maxDrift)
 }
