--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -65,8 +65,8 @@
 	return cluster
 }
 
-// run advances the time from one instant to another in steps of 10 ms. It returns the effects of the node named follow, or nothing
-// if no node has that name.
+// run advances the time from one instant to another in steps of 10 ms. It returns the effects of the node named
+// follow, or nothing if no node has that name.
 func (cluster testCluster) run(t testing.TB, from, to int64, follow string) []Effect {
 	t.Helper()
 	var followed []Effect
--- a/internal/cluster/membership/member.go
+++ b/internal/cluster/membership/member.go
@@ -85,7 +85,7 @@
 	configured   bool // the configuration names the member as a contact
 	incarnations incarnations
 	reports      map[string]receivedReport // by observer: its latest report about the member
-	confirmSince int64                     // since when most observers have reported the member; timing.Never: they do not
+	confirmSince int64                     // since when most observers have reported it; timing.Never: they do not
 	deathClaims  map[string]bool           // names of peers that claim that the member is dead
 	deaths       []int64                   // when it was marked as dead, within flapWindow
 	link         *link                     // nil: no heartbeats are exchanged with the member
--- a/internal/cluster/probe/prober.go
+++ b/internal/cluster/probe/prober.go
@@ -68,7 +68,7 @@
 		if state == nil {
 			state = prober.newTarget(now, target)
 		}
-		target.WarmAt = max(target.WarmAt, state.WarmAt) // the list must not make a target warm earlier than is known here
+		target.WarmAt = max(target.WarmAt, state.WarmAt) // a list must not shorten a known warm-up
 		state.Target = target
 		prober.targets = append(prober.targets, state)
 	}
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -11,7 +11,7 @@
 	Name         string         `json:"name"`
 	Incarnation  uint64         `json:"incarnation"`
 	Majority     bool           `json:"majority"`
-	Reason       string         `json:"why,omitempty"`       // why leases are not granted or not held; empty: no such reason
+	Reason       string         `json:"why,omitempty"`       // why no leases are granted; empty: they can be
 	SilentMS     int64          `json:"silent_ms,omitempty"` // time until this instance votes, ms; 0: it votes already
 	Voters       []string       `json:"voters"`
 	Epoch        uint64         `json:"epoch"` // epoch of the voters in force
@@ -66,12 +66,12 @@
 	State         string   `json:"state"`
 	SinceMS       int64    `json:"since_ms"`
 	Version       uint64   `json:"version"`
-	HeldOut       bool     `json:"held_out,omitempty"`    // alive, but not in the published view because it keeps failing
+	HeldOut       bool     `json:"held_out,omitempty"`    // alive, but not in the view because it keeps failing
 	Duplicated    bool     `json:"doubled,omitempty"`     // two instances may be running under its name
-	Reported      []string `json:"reported_by,omitempty"` // observers that report it and what they report, such as "b silent" or "b deaf"
-	Neighbour     bool     `json:"neighbour,omitempty"`   // this instance and the member watch each other
-	SinceHeardMS  int64    `json:"in_ms,omitempty"`       // time since its last heartbeat arrived, ms; 0 also without a link
-	SinceEchoedMS int64    `json:"out_ms,omitempty"`      // time since it last echoed a heartbeat of this instance, ms; 0 also without a link
+	Reported      []string `json:"reported_by,omitempty"` // observers and their reports: "b silent" or "b deaf"
+	Neighbour     bool     `json:"neighbour,omitempty"`   // this instance watches it
+	SinceHeardMS  int64    `json:"in_ms,omitempty"`       // since its last heartbeat, ms; 0 also without a link
+	SinceEchoedMS int64    `json:"out_ms,omitempty"`      // since it last echoed a heartbeat, ms; 0 also without a link
 }
 
 // Status returns the state of this instance's leases and probes at now. Frames, FramesLost and Probes, which the node
