--- a/internal/cluster/probe/config.go
+++ b/internal/cluster/probe/config.go
@@ -69,8 +69,7 @@
 	return config.Cache
 }
 
-// withDrift returns how long duration may last on a fast clock of one instance if it is measured with the slow clock
-// of another.
+// withDrift returns about how many ns pass on the fastest clock while duration passes on the slowest.
 func (config Config) withDrift(duration int64) int64 {
 	return int64(float64(duration) * (1 + 2*config.MaxClockDrift))
 }
--- a/internal/cluster/sharedconfig/cluster_test.go
+++ b/internal/cluster/sharedconfig/cluster_test.go
@@ -19,16 +19,17 @@
 
 // plantedFault selects faults that are planted in the nodes' inputs or state to verify that the tests find them.
 type plantedFault struct {
-	clockSetBack   bool // the last instance's clock is set back by an hour after ten seconds
-	activeAtAccept bool // a voter treats a version as committed once it has accepted it
-	reuseNumbers   bool // version numbers depend on neither the wall clock nor the incarnation
+	clockSetBack   bool // after ten seconds the clock of the last instance is set back by an hour
+	activeAtAccept bool // a voter treats a version as committed as soon as it has accepted it
+	// Version numbers depend on neither the wall clock nor the incarnation, so that they are used again.
+	reuseNumbers bool
 }
 
-// errInvalidContent is the error of incompatible for the content "bad".
+// errInvalidContent is the error that incompatible returns for the content "bad".
 var errInvalidContent = errors.New(`content "bad" is invalid`)
 
-// incompatible compares contents such as "a3". Contents with different first letters are incompatible, and the content
-// "bad" is invalid.
+// incompatible implements IncompatibleFunc for test contents such as "a3": two contents are incompatible if their
+// first letters differ, and "bad" is invalid.
 func incompatible(current, proposed []byte) (bool, error) {
 	if string(proposed) == "bad" {
 		return true, errInvalidContent
@@ -36,48 +37,50 @@
 	return len(current) == 0 || len(proposed) == 0 || current[0] != proposed[0], nil
 }
 
-// testInstance is an instance of a testCluster, with its clock and its faults.
+// testInstance is one instance of a testCluster, with its node, its clock and its present faults.
 type testInstance struct {
 	name          string
 	node          *Node
-	rate          float64 // of its clock
-	startedAt     int64   // simulated time of its latest start
-	down          bool    // stopped
-	frozenUntil   int64   // paused until then: it neither ticks nor receives
-	side          int     // of a network partition; messages pass only within a side
+	rate          float64 // ns that its clock advances in 1 ns of simulated time
+	startedAt     int64   // simulated time of its latest start, ns
+	down          bool    // stopped: it neither ticks nor receives, and messages to it are lost
+	frozenUntil   int64   // paused until then: it neither ticks nor receives, and messages to it wait
+	side          int     // side of a network partition: messages between different sides are lost
 	dropsIncoming bool
-	setBack       int64 // by how much its clock was set back
+	setBack       int64 // how far its clock was set back since its latest start, ns
 }
 
 // inFlightMessage is a message that has not been delivered yet. It is lost if its sender restarts before that.
 type inFlightMessage struct {
-	at          int64 // arrival
+	at          int64 // earliest simulated time of delivery, ns
 	from, to    *testInstance
-	fromStarted int64 // startedAt of from when it sent the message
+	fromStarted int64 // startedAt of from at the time of sending
 	message     Message
 }
 
-// testCluster runs instances in simulated time, each with its own clock, and checks which versions are active at once.
+// testCluster runs instances in simulated time, each with its own clock, and checks that no incompatible versions are
+// active at the same time.
 type testCluster struct {
-	rng        *rand.Rand
-	now        int64
-	instances  []*testInstance
-	voters     []string
-	fault      plantedFault
-	loss       float64 // probability that a message is lost
-	inTransit  []inFlightMessage
-	starts     uint64            // number of starts, used as incarnations
-	violation  string            // the latest violation of an invariant; empty if there was none
-	maxOverlap int64             // longest time that an earlier version stayed active once a later one was
-	firstAt    map[uint64]int64  // when a version was first active, by number
-	contents   map[uint64]string // of versions that were active, by number
-	proposed   map[uint64][]byte // contents proposed, by number; used by plantActiveAtAccept
+	rng       *rand.Rand
+	now       int64
+	instances []*testInstance
+	voters    []string
+	fault     plantedFault
+	loss      float64 // probability that a message is lost when it is sent
+	inTransit []inFlightMessage
+	starts    uint64 // number of starts so far, used as incarnations
+	violation string // the latest violation that check found; empty: none
+	// Longest time, ns, for which an earlier version was still active after a later one was first active.
+	maxOverlap int64
+	firstAt    map[uint64]int64  // by version number: simulated time at which it was first active
+	contents   map[uint64]string // by version number: content with which it was last active
+	proposed   map[uint64][]byte // by version number: proposed content; used by plantActiveAtAccept
 	ended      []ProposalEnded
-	observe    func(name string, effect Effect) // called for each effect unless nil
+	observe    func(name string, effect Effect) // called for each effect of an instance; may be nil
 }
 
-// newCluster starts count instances, of which the first ones are the voters. Their clock rates are random within the
-// drift.
+// newCluster starts count instances, each with a random clock rate within the drift. The given number of them, the
+// first ones, are voters.
 func newCluster(seed uint64, count, voters int, fault plantedFault) *testCluster {
 	cluster := &testCluster{
 		rng: rand.New(rand.NewPCG(seed, uint64(count))), fault: fault,
@@ -96,7 +99,7 @@
 	return cluster
 }
 
-// start starts an instance, or restarts it without its state.
+// start starts an instance or restarts it, in both cases without any state.
 func (cluster *testCluster) start(instance *testInstance) {
 	cluster.starts++
 	instance.startedAt, instance.down, instance.frozenUntil, instance.setBack = cluster.now, false, 0, 0
@@ -111,12 +114,12 @@
 	})
 }
 
-// clock returns the time on an instance's clock.
+// clock returns what an instance's clock reads now, in ns.
 func (cluster *testCluster) clock(instance *testInstance) int64 {
 	return int64(float64(cluster.now-instance.startedAt)*instance.rate) - instance.setBack
 }
 
-// wallMS returns the wall clock, ms since 1970.
+// wallMS returns the wall clock of all instances in ms since 1970, or 0 if the fault reuseNumbers is planted.
 func (cluster *testCluster) wallMS() int64 {
 	if cluster.fault.reuseNumbers {
 		return 0
@@ -124,14 +127,14 @@
 	return wallStartMS + cluster.now/ms
 }
 
-// propose makes an instance propose a version with this content.
+// propose makes an instance propose this content as the next version. It returns the error of Node.Propose.
 func (cluster *testCluster) propose(instance *testInstance, content []byte) error {
 	err := instance.node.Propose(cluster.clock(instance), cluster.wallMS(), content)
 	cluster.send(instance)
 	return err
 }
 
-// mustPropose is like propose, but the test fails if the proposal is refused.
+// mustPropose is like propose, but it stops the test if Node.Propose returns an error.
 func (cluster *testCluster) mustPropose(t *testing.T, instance *testInstance, content string) {
 	t.Helper()
 	if err := cluster.propose(instance, []byte(content)); err != nil {
@@ -139,7 +142,8 @@
 	}
 }
 
-// send takes an instance's effects and puts its messages in transit.
+// send takes the effects of an instance: it puts messages in transit, unless they are lost, and keeps the outcomes of
+// proposals.
 func (cluster *testCluster) send(instance *testInstance) {
 	cluster.plantActiveAtAccept(instance)
 	for _, effect := range instance.node.TakeEffects() {
@@ -164,8 +168,8 @@
 	}
 }
 
-// plantActiveAtAccept changes a voter to a version that it has accepted but that is not committed, if that fault is
-// planted.
+// plantActiveAtAccept makes a voter treat the version that it accepted last as committed, if the fault activeAtAccept
+// is planted.
 func (cluster *testCluster) plantActiveAtAccept(instance *testInstance) {
 	node := instance.node
 	accepted := node.voter.accepted
@@ -176,7 +180,7 @@
 	node.voter.current, node.voter.next = accepted, accepted
 }
 
-// step advances the simulated time by 10 ms.
+// step advances the simulated time by 10 ms, delivers messages, ticks the instances that have work, and calls check.
 func (cluster *testCluster) step() {
 	cluster.now += 10 * ms
 	if last := cluster.instances[len(cluster.instances)-1]; cluster.fault.clockSetBack && cluster.now == 10*second {
@@ -206,7 +210,7 @@
 		case inFlight.at > cluster.now || to.frozenUntil > cluster.now:
 			later = append(later, inFlight)
 		case to.down || to.dropsIncoming || to.side != inFlight.from.side ||
-			inFlight.from.startedAt != inFlight.fromStarted: // the message is lost
+			inFlight.from.startedAt != inFlight.fromStarted: // lost
 		default:
 			to.node.Receive(cluster.clock(to), inFlight.from.name, inFlight.message)
 			cluster.send(to)
@@ -215,8 +219,8 @@
 	cluster.inTransit = append(later, cluster.inTransit...)
 }
 
-// check records a violation if incompatible versions are active now at running instances, or if a version has two
-// contents. Frozen instances are left out, since they read their clock again before they next act.
+// check records a violation if incompatible versions are active now at running instances, or if a version has had two
+// contents. Paused instances are left out, because they read their clock again before they next act.
 func (cluster *testCluster) check() {
 	active := map[uint64][]byte{}
 	for _, instance := range cluster.instances {
@@ -251,14 +255,14 @@
 	}
 }
 
-// run advances the simulated time by duration, or until there is a violation.
+// run advances the simulated time by duration in steps. It stops early if there is a violation.
 func (cluster *testCluster) run(duration int64) {
 	for end := cluster.now + duration; cluster.now < end && cluster.violation == ""; {
 		cluster.step()
 	}
 }
 
-// allActive reports whether content is active at every running instance.
+// allActive reports whether a version with this content is active at each running instance.
 func (cluster *testCluster) allActive(content string) bool {
 	return !slices.ContainsFunc(cluster.instances, func(instance *testInstance) bool {
 		version, _, ok := instance.node.Active(cluster.clock(instance))
--- a/internal/cluster/sharedconfig/node.go
+++ b/internal/cluster/sharedconfig/node.go
@@ -7,31 +7,32 @@
 	"tealpath/internal/cluster/timing"
 )
 
-// Node is the state of one instance, which may be a voter.
+// Node is the state of one instance, both as a user of versions and, if it is one of the voters, as a voter.
 type Node struct {
 	config      Config
-	grantsFrom  int64             // end of the restart silence; until then this node grants nothing as a voter
-	contents    map[uint64][]byte // by version number, for at most maxKnownVersions versions
-	newest      uint64            // newest committed version whose content is known
-	highest     uint64            // highest version number known
-	voterLeases []voterLease      // for each voter, the latest lease that it granted to this node
-	active      uint64            // active version, if isActive
+	grantsFrom  int64             // until RestartSilence after the start it grants nothing as a voter
+	contents    map[uint64][]byte // by version number: content; at most maxKnownVersions
+	newest      uint64            // number of the newest committed version whose content is known
+	highest     uint64            // highest version number seen
+	voterLeases []voterLease      // by voter: the latest lease that it granted to this node
+	active      uint64            // number of the active version, if isActive
 	isActive    bool
 	renewAt     int64
-	wallMS      int64 // wall clock at the last tick, ms since 1970
+	wallMS      int64 // wall clock at the last tick, ms since 1970; 0: no tick yet
 
 	voter    voterState
 	proposal proposal
 	effects  []Effect
 }
 
-// voterLease is the latest lease that a voter granted to this node.
+// voterLease is the latest lease that one voter granted to this node, on the version with this number.
 type voterLease struct {
 	number uint64
-	sentAt int64 // when this node sent the Renew that the voter answered, or timing.Never
+	sentAt int64 // when this node sent the Renew for the lease; timing.Never: no lease
 }
 
-// New returns a node that has just started at now and knows only version 0, with the content config.Initial.
+// New returns a node that starts at now. It knows only version 0, with the content config.Initial, and no version is
+// active until a quorum has granted leases.
 func New(now int64, config Config) *Node {
 	node := &Node{
 		config:      config,
@@ -46,7 +47,7 @@
 	return node
 }
 
-// TakeEffects returns the effects since the last call, in order.
+// TakeEffects returns the effects that were emitted since the last call, in order, and removes them.
 func (node *Node) TakeEffects() []Effect {
 	effects := node.effects
 	node.effects = nil
@@ -56,13 +57,14 @@
 // emit adds an effect to those that TakeEffects returns.
 func (node *Node) emit(effect Effect) { node.effects = append(node.effects, effect) }
 
-// isVoter reports whether this node is one of the voters.
+// isVoter reports whether this node is a voter.
 func (node *Node) isVoter() bool { return slices.Contains(node.config.Voters, node.config.Self) }
 
-// isQuorum reports whether count is a majority of the voters.
+// isQuorum reports whether this number of voters is a majority of all voters.
 func (node *Node) isQuorum(count int) bool { return count >= paxos.Majority(len(node.config.Voters)) }
 
-// Active returns the version that is active at now, and until when by this node's clock. ok is false if there is none.
+// Active returns the version that is active at now, and when the leases on it end, by this node's clock. ok is false
+// if no version is active.
 func (node *Node) Active(now int64) (version Version, until int64, ok bool) {
 	until = node.leasedUntil(node.active)
 	if !node.isActive || now >= until {
@@ -71,15 +73,16 @@
 	return node.version(node.active), until, true
 }
 
-// Newest returns the newest committed version that this node knows, whether or not it is active.
+// Newest returns the newest committed version that this node knows. It need not be active.
 func (node *Node) Newest() Version { return node.version(node.newest) }
 
-// version returns the version with the given number; its content is nil if this node does not have it.
+// version returns the version with this number; its content is nil if this node does not have it.
 func (node *Node) version(number uint64) Version {
 	return Version{Number: number, Content: node.contents[number]}
 }
 
-// leasedUntil returns when the leases of a quorum on a version end, or timing.Never if no quorum granted leases on it.
+// leasedUntil returns when this node's leases on a version from a quorum of voters end, by its clock, or timing.Never
+// if no quorum has granted any.
 func (node *Node) leasedUntil(number uint64) int64 {
 	var sentAt []int64
 	for _, lease := range node.voterLeases {
@@ -87,7 +90,7 @@
 			sentAt = append(sentAt, lease.sentAt)
 		}
 	}
-	// The leases of a majority end with the earliest of them: after that, only a minority of the voters may still
+	// The leases of a majority end with the earliest of them. From then on, only a minority of the voters may still
 	// honor a lease.
 	earliest, ok := paxos.LatestMajority(sentAt, len(node.config.Voters))
 	if !ok {
@@ -96,7 +99,7 @@
 	return earliest + node.config.holdDuration()
 }
 
-// Next returns when Tick next has work to do.
+// Next returns the earliest time at which Tick has work to do.
 func (node *Node) Next(now int64) int64 {
 	next := node.renewAt
 	if node.voter.next != node.voter.current {
@@ -111,7 +114,9 @@
 	return next
 }
 
-// Tick does the work that is due. wallMS is the wall clock, ms since 1970; it only raises version numbers.
+// Tick does the work that is due at now: it changes the voter's version, ends expired leases, retries a proposal and
+// requests leases. It uses wallMS, the wall clock in ms since 1970, only to draw version numbers and to ignore those
+// that are too far ahead.
 func (node *Node) Tick(now, wallMS int64) {
 	node.wallMS = wallMS
 	node.advance(now)
@@ -123,7 +128,7 @@
 	}
 }
 
-// Receive handles a message. The caller must have authenticated from as the sender.
+// Receive handles a message from the instance named from, whose name the caller must have authenticated.
 func (node *Node) Receive(now int64, from string, message Message) {
 	if node.isFarAhead(max(message.Number, message.Highest)) {
 		return
@@ -149,19 +154,19 @@
 	}
 }
 
-// isFarAhead reports whether a version number is too far ahead of the wall clock. Such a number would use up the
-// numbers above it.
+// isFarAhead reports whether a version number is so far ahead of the wall clock that using it would leave few numbers
+// above it (see paxos.MaxWallAheadMS).
 func (node *Node) isFarAhead(number uint64) bool {
 	return node.wallMS > 0 && paxos.Counter(number) > uint64(node.wallMS)+paxos.MaxWallAheadMS
 }
 
-// queue emits a Send of a message to another instance.
+// queue emits a Send of a message to another instance, with the highest version number that this node has seen.
 func (node *Node) queue(to string, message Message) {
 	message.Highest = node.highest
 	node.emit(Send{To: to, Message: message})
 }
 
-// send sends a message to an instance. If that is this instance, the message is handled at once.
+// send sends a message to an instance. A message to this instance itself is handled at once.
 func (node *Node) send(now int64, to string, message Message) {
 	if to != node.config.Self {
 		node.queue(to, message)
@@ -171,14 +176,14 @@
 	node.Receive(now, to, message)
 }
 
-// sendToVoters sends a message to every voter.
+// sendToVoters sends a message to each voter, this node included.
 func (node *Node) sendToVoters(now int64, message Message) {
 	for _, voter := range node.config.Voters {
 		node.send(now, voter, message)
 	}
 }
 
-// deactivate emits a Deactivated if the leases on the active version have ended.
+// deactivate reports that no version is active any more if the leases on the active one have ended.
 func (node *Node) deactivate(now int64) {
 	if _, _, ok := node.Active(now); node.isActive && !ok {
 		node.isActive = false
@@ -186,7 +191,8 @@
 	}
 }
 
-// receiveGrant records a voter's lease, and activates the version once a quorum has granted leases on it.
+// receiveGrant records a lease that a voter granted to this node, and activates the version if a quorum has now
+// granted leases on it and no later version is active.
 func (node *Node) receiveGrant(now int64, from string, message Message) {
 	voter := slices.Index(node.config.Voters, from)
 	if voter < 0 || message.SentAt > now || node.contents[message.Number] == nil {
@@ -194,7 +200,7 @@
 	}
 	lease := &node.voterLeases[voter]
 	if message.Number != lease.number && message.SentAt < lease.sentAt {
-		return // a late answer from before the voter changed to another version
+		return // the answer was sent before the voter changed to another version
 	}
 	if message.Number != lease.number || message.SentAt > lease.sentAt {
 		lease.number, lease.sentAt = message.Number, message.SentAt
@@ -206,7 +212,8 @@
 	node.emit(Activated{Version: node.version(message.Number)})
 }
 
-// receiveRedirect stores the content of a version, or requests it if the message has none.
+// receiveRedirect learns the version that a voter names, or asks the voter for the content if the message does not
+// have it.
 func (node *Node) receiveRedirect(now int64, from string, message Message) {
 	node.learn(now, message.Number, message.Content)
 	if message.Content == nil && message.Number > node.newest {
@@ -214,7 +221,8 @@
 	}
 }
 
-// learn stores a committed version and schedules a request for leases on it.
+// learn stores the content of a committed version if it is newer than all known ones, and makes the next Tick request
+// leases on it.
 func (node *Node) learn(now int64, number uint64, content []byte) {
 	if content == nil || number <= node.newest {
 		return
@@ -227,11 +235,11 @@
 		node.voter.next = number
 	}
 	node.advance(now)
-	node.renewAt = min(node.renewAt, now) // the next Tick requests the leases
+	node.renewAt = min(node.renewAt, now) // so that the next Tick requests leases on the version
 }
 
-// oldestUnused returns the oldest known version that is neither active here nor the one on which this node, as a
-// voter, grants leases.
+// oldestUnused returns the number of the oldest known version that is neither active at this node nor the one on which
+// it grants leases as a voter.
 func (node *Node) oldestUnused() uint64 {
 	oldest := node.newest
 	for number := range node.contents {
--- a/internal/cluster/sharedconfig/node_test.go
+++ b/internal/cluster/sharedconfig/node_test.go
@@ -26,7 +26,7 @@
 	if cluster.run(second); !cluster.allActive("a1") {
 		t.Error("a1 is not active at every instance after 2 s")
 	}
-	cluster.mustPropose(t, cluster.instances[0], "b1") // incompatible with a1: must wait for its leases to end
+	cluster.mustPropose(t, cluster.instances[0], "b1") // incompatible with a1: must wait until leases on a1 end
 	if cluster.run(second); cluster.allActive("b1") {
 		t.Error("b1 is active everywhere before leases on a1 can have ended")
 	}
@@ -54,7 +54,8 @@
 	}
 }
 
-// If two instances propose at the same time, one of the contents becomes active, and both proposals end.
+// If two instances propose at the same time, at least one of the contents must become active, and both proposals must
+// end. Otherwise the two could block each other for ever.
 func TestOneOfTwoProposalsWins(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
@@ -66,8 +67,8 @@
 	}
 }
 
-// A version number far ahead of the wall clock, which a faulty instance might send, must be ignored. Otherwise all
-// numbers drawn later would be lower.
+// A version number far ahead of the wall clock, which a faulty instance might send, must be ignored. Otherwise later
+// versions would need even higher numbers, of which few would be left.
 func TestNumberFarAheadIsIgnored(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
@@ -93,8 +94,9 @@
 	}
 }
 
-// An instance that is cut off has no active version once its leases have ended. When it is reachable again, the newest
-// version becomes active. The same holds for an instance that was paused.
+// An instance that is cut off must have no active version once its leases have ended, because the others may then
+// change to an incompatible one. When it is reachable again, or was paused and resumes, the newest version must become
+// active.
 func TestDisconnectedInstanceHasNoActiveVersion(t *testing.T) {
 	cluster := newCluster(7, 5, 3, plantedFault{})
 	cluster.run(4 * second)
@@ -110,7 +112,7 @@
 	if cluster.run(3 * second); !cluster.allActive("b1") {
 		t.Errorf("b1 is not active at every instance 3 s after %s was reconnected", cutOff.name)
 	}
-	// An instance that was paused for a minute must not use an old version, not even right after it resumes.
+	// An instance that was paused for a minute must not use its old version, not even right after it resumes.
 	cluster.instances[3].frozenUntil = cluster.now + 60*second
 	cluster.mustPropose(t, cluster.instances[0], "c1")
 	if cluster.run(65 * second); cluster.violation != "" || !cluster.allActive("c1") {
@@ -118,8 +120,9 @@
 	}
 }
 
-// runWithRandomFaults simulates a cluster for duration, or until there is a violation, with proposals and faults drawn
-// from seed: crashes, pauses, network partitions, instances that receive nothing, lost messages, and restarts of all.
+// runWithRandomFaults simulates a cluster for duration ns, or until there is a violation. Proposals and faults are
+// drawn from seed; the faults are crashes, pauses, network partitions, instances that receive nothing, lost messages,
+// and restarts of all instances.
 func runWithRandomFaults(seed uint64, count int, duration int64, fault plantedFault) *testCluster {
 	cluster := newCluster(seed, count, min(count, 3+2*int(seed%2)), fault)
 	for cluster.now < duration && cluster.violation == "" {
@@ -129,14 +132,14 @@
 	return cluster
 }
 
-// injectRandomFault starts or ends a random fault, or proposes a random content.
+// injectRandomFault starts or ends a random fault, or makes a random instance propose a random content.
 func (cluster *testCluster) injectRandomFault() {
 	instance := cluster.instances[cluster.rng.IntN(len(cluster.instances))]
 	switch cluster.rng.IntN(9) {
 	case 0, 1, 2:
 		if !instance.down && instance.frozenUntil <= cluster.now {
 			content := fmt.Appendf(nil, "%c%d", 'a'+rune(cluster.rng.IntN(3)), cluster.rng.IntN(1000))
-			_ = cluster.propose(instance, content) // an error means that a proposal is already pending
+			_ = cluster.propose(instance, content) // the only possible error is that a proposal is already pending
 		}
 	case 3:
 		instance.down = true
@@ -165,9 +168,9 @@
 	}
 }
 
-// Under random faults, incompatible versions are never active at the same time, a version is active for at most a
-// lease after a later one first was, and no version has two contents. The environment variable TEALPATH_EXPLORE sets
-// the number of runs.
+// Under random faults, incompatible versions must never be active at the same time, a version must stay active for at
+// most the duration of a lease after a later one was first active, and no version may have two contents. The
+// environment variable TEALPATH_EXPLORE sets the number of runs.
 func TestRandomFaultsCauseNoViolation(t *testing.T) {
 	runs := 120
 	if value, err := strconv.Atoi(os.Getenv("TEALPATH_EXPLORE")); err == nil {
@@ -193,7 +196,8 @@
 		versions, runs, longest/ms)
 }
 
-// The check that TestRandomFaultsCauseNoViolation relies on must find planted faults.
+// If a fault is planted in the protocol, testCluster.check must find a violation. Otherwise
+// TestRandomFaultsCauseNoViolation could pass although the protocol is broken.
 func TestRandomFaultsFindPlantedFaults(t *testing.T) {
 	for _, test := range []struct {
 		name  string
--- a/internal/cluster/sharedconfig/record_test.go
+++ b/internal/cluster/sharedconfig/record_test.go
@@ -39,7 +39,8 @@
 	recorder.Check(recordedDigest)
 }
 
-// injectRecordedFault starts or ends a random fault, proposes a content, or does nothing.
+// injectRecordedFault starts or ends a random fault, proposes a content, or does nothing, as drawn from faults. It
+// returns the error of the proposal, if any.
 func (cluster *testCluster) injectRecordedFault(faults *rand.Rand, round int) error {
 	instance := cluster.instances[faults.IntN(len(cluster.instances))]
 	duration := faults.Int64N(5 * second)
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -71,7 +71,7 @@
 	Reported      []string `json:"reported_by,omitempty"` // observers and their reports: "b silent" or "b deaf"
 	Neighbour     bool     `json:"neighbour,omitempty"`   // this instance watches it
 	SinceHeardMS  int64    `json:"in_ms,omitempty"`       // since its last heartbeat, ms; 0 also without a link
-	SinceEchoedMS int64    `json:"out_ms,omitempty"`      // since it last echoed a heartbeat, ms; 0 also without a link
+	SinceEchoedMS int64    `json:"out_ms,omitempty"`      // since it last echoed a heartbeat, ms; 0 if not linked
 }
 
 // Status returns the state of this instance's leases and probes at now. Frames, FramesLost and Probes, which the node
--- a/internal/compatibility/compare.go
+++ b/internal/compatibility/compare.go
@@ -9,7 +9,7 @@
 	"tealpath/internal/cluster/lease"
 )
 
-// These are the names of the settings in conflicts and errors.
+// These are the names of the settings in Conflict.Setting and SettingError.Setting.
 const (
 	settingRouters     = "routers"
 	settingSlots       = "slots"
@@ -22,35 +22,36 @@
 	settingProbePeriod = "probe-period"
 )
 
-// Severity is the severity of a conflict between two versions that are in force at the same time.
+// Severity says how much damage a conflict does while both versions are in force.
 type Severity int
 
-// The severities of conflicts. A Harmless conflict does no damage. A Bounded one may last as long as a lease,
-// because the rule that it affects allows for that time. An Exclusive one must not occur: no instance puts one of the
-// versions in force as long as another instance may act on the other version.
+// Harmless conflicts do no damage. Bounded ones may last as long as a lease, because the rule that they affect allows
+// for that time. Exclusive ones must not occur: no instance puts one of the versions in force as long as another
+// instance may still act on the other one.
 const (
 	Harmless Severity = iota
 	Bounded
 	Exclusive
 )
 
-// String returns the severity in lower case, as `tealpath diff` prints it.
+// String returns "harmless", "bounded" or "exclusive", as `tealpath diff` prints it.
 func (severity Severity) String() string {
 	return []string{"harmless", "bounded", "exclusive"}[severity]
 }
 
-// Rule is the number of the routing rule that a conflict affects (docs/design.md).
+// Rule is the number of a routing rule in docs/design.md.
 type Rule int
 
-// The rules that conflicts between shared settings can affect; NoRule stands for none.
+// These are the rules that a conflict can affect; NoRule means that it affects none.
 const (
 	NoRule         Rule = 0
 	RuleDrained    Rule = 3 // no new attempt goes to an endpoint that is draining or removed
-	RuleColdBudget Rule = 4 // all routers together stay within the capacity of an endpoint that is warming up
-	RulePurge      Rule = 5 // once a purge's grace period is over, no older copy is served
+	RuleColdBudget Rule = 4 // all routers together do not overload an endpoint that is warming up
+	RulePurge      Rule = 5 // once the grace period of a purge is over, no older copy is served
 )
 
-// Conflict describes a setting that differs between two versions, and the effect of the difference.
+// Conflict is a setting that differs between two versions, with the effect that the difference has while both are in
+// force.
 type Conflict struct {
 	Setting  string
 	Severity Severity
@@ -58,7 +59,7 @@
 	Reason   string
 }
 
-// String returns the conflict as one line, as `tealpath diff` prints it.
+// String returns the conflict in one line, as `tealpath diff` prints it.
 func (conflict Conflict) String() string {
 	rule := ""
 	if conflict.Rule != NoRule {
@@ -67,7 +68,7 @@
 	return fmt.Sprintf("%s (%s%s): %s", conflict.Setting, conflict.Severity, rule, conflict.Reason)
 }
 
-// Compare returns the conflicts between two versions in descending order of severity.
+// Compare returns the conflicts between two versions, the most severe ones first, or nil if there are none.
 func Compare(a, b Settings) []Conflict {
 	var conflicts []Conflict
 	for _, compare := range []func(a, b Settings) []Conflict{
@@ -80,7 +81,7 @@
 	return conflicts
 }
 
-// WorstSeverity returns the highest severity of conflicts, or Harmless if there are none.
+// WorstSeverity returns the highest severity of the conflicts, or Harmless if there are none.
 func WorstSeverity(conflicts []Conflict) Severity {
 	worst := Harmless
 	for _, conflict := range conflicts {
@@ -89,8 +90,9 @@
 	return worst
 }
 
-// Incompatible reports whether two encoded versions must never be in force at the same time. It returns an error if
-// the proposed version is invalid or one of them can't be decoded. It implements sharedconfig.IncompatibleFunc.
+// Incompatible reports whether two encoded versions must never be in force at the same time. It returns true and an
+// error if one of them cannot be decoded, if the proposed version is invalid, or if its voters cannot follow the
+// current ones. It implements sharedconfig.IncompatibleFunc.
 func Incompatible(current, proposed []byte) (incompatible bool, err error) {
 	before, err := Decode(current)
 	if err != nil {
@@ -111,7 +113,8 @@
 	return WorstSeverity(Compare(before, after)) == Exclusive, nil
 }
 
-// compareRouters compares the numbers of routers, by which slow-start budgets are divided.
+// compareRouters returns a conflict if the numbers of routers differ. Each router divides the slow-start budgets by
+// the number that it knows.
 func compareRouters(a, b Settings) []Conflict {
 	fewer, more := min(a.Routers, b.Routers), max(a.Routers, b.Routers)
 	if fewer == more {
@@ -122,7 +125,7 @@
 		more, fewer, float64(more)/float64(max(1, fewer)))}}
 }
 
-// compareSlots compares the numbers of slots to which periodic tasks hash.
+// compareSlots returns a conflict if the numbers of slots differ, because periodic tasks then hash to different slots.
 func compareSlots(a, b Settings) []Conflict {
 	if a.Slots == b.Slots {
 		return nil
@@ -131,7 +134,7 @@
 		"a duty hashes to other slots of %d than of %d: it has two owners", a.Slots, b.Slots)}}
 }
 
-// compareLeases compares the lease durations and clock drifts.
+// compareLeases returns a conflict if the lease durations or the clock drifts differ.
 func compareLeases(a, b Settings) []Conflict {
 	if a.LeaseDuration == b.LeaseDuration && a.MaxClockDrift == b.MaxClockDrift {
 		return nil
@@ -141,7 +144,7 @@
 		milliseconds(a.LeaseDuration), a.MaxClockDrift, milliseconds(b.LeaseDuration), b.MaxClockDrift)}}
 }
 
-// compareVoters returns a conflict if the sets of voters must not be in force at the same time.
+// compareVoters returns a conflict if the two sets of voters must not be in force at the same time.
 func compareVoters(a, b Settings) []Conflict {
 	reason := votersConflict(a.Voters, b.Voters)
 	if reason == "" {
@@ -150,7 +153,7 @@
 	return []Conflict{{settingVoters, Exclusive, NoRule, reason}}
 }
 
-// comparePurges compares the times during which purges are enforced.
+// comparePurges returns a conflict if the versions enforce a purge for different times.
 func comparePurges(a, b Settings) []Conflict {
 	shorter, longer := min(a.PurgeWindow, b.PurgeWindow), max(a.PurgeWindow, b.PurgeWindow)
 	if shorter == longer {
@@ -171,7 +174,7 @@
 	return conflicts
 }
 
-// compareConnections compares the connection limits of caches.
+// compareConnections returns a conflict if the connection limits of a cache differ.
 func compareConnections(a, b Settings) []Conflict {
 	if a.MaxConnections == b.MaxConnections {
 		return nil
@@ -181,7 +184,7 @@
 		a.MaxConnections, b.MaxConnections)}}
 }
 
-// compareProbes compares the periods of health checks.
+// compareProbes returns a conflict if the periods of health checks differ.
 func compareProbes(a, b Settings) []Conflict {
 	if a.ProbePeriod == b.ProbePeriod {
 		return nil
@@ -190,8 +193,8 @@
 }
 
 // votersConflict returns why two sets of voters must not be in force at the same time, or "" if they may be. They may
-// if every quorum of one set shares a voter with every quorum of the other, as for consecutive epochs that differ by
-// one voter.
+// be if every quorum of one set shares a voter with every quorum of the other. That holds for equal sets, and for sets
+// of consecutive epochs that differ by at most one voter.
 func votersConflict(a, b lease.Voters) string {
 	older, newer := a, b
 	if older.Epoch > newer.Epoch {
@@ -215,14 +218,14 @@
 // milliseconds converts a duration from ns to ms and truncates it toward zero.
 func milliseconds(nanoseconds int64) int64 { return time.Duration(nanoseconds).Milliseconds() }
 
-// symmetricDifference returns the names that are in exactly one of two lists, sorted.
+// symmetricDifference returns the sorted names that are in exactly one of two lists.
 func symmetricDifference(a, b []string) []string {
 	names := slices.Concat(difference(a, b), difference(b, a))
 	slices.Sort(names)
 	return slices.Compact(names)
 }
 
-// difference returns the names of a that are not in b, sorted.
+// difference returns the sorted names that are in a and not in b.
 func difference(a, b []string) []string {
 	var names []string
 	for _, name := range a {
--- a/internal/compatibility/compare_test.go
+++ b/internal/compatibility/compare_test.go
@@ -7,7 +7,7 @@
 	"tealpath/internal/cluster/lease"
 )
 
-// exampleSettings returns valid settings with a value in each field.
+// exampleSettings returns valid settings in which no field has its zero value.
 func exampleSettings() Settings {
 	return Settings{
 		Routers: 300, Slots: 64, LeaseDuration: 15e8, MaxClockDrift: .01,
@@ -16,16 +16,17 @@
 	}
 }
 
-// nextVoters returns voters of the epoch after that of exampleSettings.
+// nextVoters returns voters of epoch 5, which follows that of exampleSettings.
 func nextVoters(current, previous []string) lease.Voters {
 	return lease.Voters{Epoch: 5, Current: current, Previous: previous}
 }
 
-// differences are changes to exampleSettings, each with the most severe conflict that it causes.
+// differences has changes to exampleSettings, each with the most severe conflict between the changed and the unchanged
+// settings.
 var differences = []struct {
 	name     string
 	change   func(*Settings)
-	setting  string // empty if there is no conflict
+	setting  string // name of the setting in the conflict; empty: no conflict
 	severity Severity
 	rule     Rule
 }{
@@ -120,7 +121,7 @@
 	}
 	for _, test := range []struct {
 		name    string
-		setting string // the one that the error must name
+		setting string // setting that the error must name
 		change  func(*Settings)
 	}{
 		{"no routers", "routers", func(s *Settings) { s.Routers = 0 }},
--- a/internal/compatibility/conservative.go
+++ b/internal/compatibility/conservative.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Conservative returns settings that are safe with any of several versions, for an instance that does not know which
-// of them is in force. If there are no versions, or the first one has an exclusive conflict with another, no settings
-// are safe. Then ok is false, and the instance must not act under any lease.
+// Conservative returns settings that are safe whichever of the versions is in force, for an instance that does not
+// know which. ok is false if no settings are safe: if there are no versions, or if the first one has an exclusive
+// conflict with another. Then the instance must not act under any lease.
 func Conservative(versions ...Settings) (safe Settings, ok bool) {
 	if len(versions) == 0 {
 		return Settings{}, false
@@ -17,7 +17,7 @@
 			ok = false
 		}
 		safe.Routers = max(safe.Routers, version.Routers)             // the smallest share of a slow-start budget
-		safe.PurgeWindow = max(safe.PurgeWindow, version.PurgeWindow) // the longest enforcement of purges
+		safe.PurgeWindow = max(safe.PurgeWindow, version.PurgeWindow) // the longest enforcement of a purge
 		safe.DrainedEndpoints = append(safe.DrainedEndpoints, version.DrainedEndpoints...)
 		safe.ProbePeriod = max(safe.ProbePeriod, version.ProbePeriod)
 		safe.MaxConnections = fewerConnections(safe.MaxConnections, version.MaxConnections)
@@ -27,7 +27,7 @@
 	return safe, ok
 }
 
-// fewerConnections returns the lower of two limits; 0 stands for an unknown limit.
+// fewerConnections returns the lower of two limits. If one limit is 0, which means unknown, it returns the other.
 func fewerConnections(a, b int) int {
 	switch {
 	case a == 0:
--- a/internal/compatibility/migration.go
+++ b/internal/compatibility/migration.go
@@ -8,19 +8,20 @@
 	"tealpath/internal/cluster/lease"
 )
 
-// EpochOrderError reports that the voters of the target version belong to an earlier epoch than the current ones.
+// EpochOrderError reports that the voters of the target version have the epoch To, which is before From, the epoch of
+// the current voters.
 type EpochOrderError struct{ From, To uint64 }
 
-// Error names both epochs.
+// Error returns a text with both epochs.
 func (err *EpochOrderError) Error() string {
 	return fmt.Sprintf("voters of epoch %d can't follow those of epoch %d", err.To, err.From)
 }
 
-// MigrationPath returns the versions to put in force one after another to get from one version to another. The last
-// one equals the target, except that the epoch of its voters may differ. The first step makes all changes whose
-// conflicts are at most bounded. Then the voters change, one in each step. Exclusive changes come last, in one step,
-// because no instance may act under the old version any more when the new one takes effect. MigrationPath returns an
-// *EpochOrderError if the target's voters are of an earlier epoch.
+// MigrationPath returns the versions to put in force one after another to change the settings from one version to
+// another. The last one equals to, except that its voters may have another epoch. The first step makes all changes
+// whose conflicts are at most bounded. In the next steps the voters change, one in each step. The last step makes the
+// changes with exclusive conflicts, because no instance may still act under the old version when it takes effect.
+// MigrationPath returns an *EpochOrderError if the voters of to have an earlier epoch.
 func MigrationPath(from, to Settings) ([]Settings, error) {
 	if to.Voters.Epoch < from.Voters.Epoch {
 		return nil, &EpochOrderError{From: from.Voters.Epoch, To: to.Voters.Epoch}
@@ -40,13 +41,13 @@
 	return path.steps, nil
 }
 
-// migration is a migration path under construction.
+// migration is a migration path that is being computed.
 type migration struct {
-	current Settings // the version after the latest step
+	current Settings // version after the latest step, or the start if there is none
 	steps   []Settings
 }
 
-// add appends a step unless it equals the current version.
+// add appends a step to a version, unless the version equals the current one.
 func (path *migration) add(next Settings) {
 	if reflect.DeepEqual(path.current, next) {
 		return
@@ -55,8 +56,9 @@
 	path.steps = append(path.steps, next)
 }
 
-// changeVoters appends steps that each add or remove one voter. A voter is added before another is removed, so that at
-// every step a quorum tolerates at least as many failures as at the start, unless the target has fewer voters.
+// changeVoters appends steps that each add or remove one voter, until the voters are those of goal. A voter is added
+// before another is removed, so that at every step a quorum tolerates at least as many failures as at the start,
+// unless goal has fewer voters.
 func (path *migration) changeVoters(goal []string) {
 	start := path.current.Voters.Current
 	removed, added := difference(start, goal), difference(goal, start)
--- a/internal/compatibility/migration_test.go
+++ b/internal/compatibility/migration_test.go
@@ -10,8 +10,8 @@
 	"tealpath/internal/cluster/lease"
 )
 
-// Between any two random versions there must be a path on which each step changes at most one voter, and exclusive
-// settings change only in the last step.
+// Each step of a path between two random versions must change at most one voter, so that quorums before and after it
+// share a voter. Only the last step may have an exclusive conflict.
 func TestMigrationPath(t *testing.T) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}
@@ -39,7 +39,8 @@
 	}
 }
 
-// checkSteps checks that each step of a path may directly follow the previous one.
+// checkSteps fails the test if a step has a conflict with the previous one that is not allowed there, or invalid
+// voters.
 func checkSteps(t *testing.T, from Settings, steps []Settings) {
 	t.Helper()
 	current := from
--- a/internal/compatibility/settings.go
+++ b/internal/compatibility/settings.go
@@ -15,30 +15,31 @@
 // Settings are the settings that all instances of a fleet share. Durations are in nanoseconds. The tags name the
 // fields both in the CBOR that instances exchange and in the JSON of `tealpath diff --json`.
 type Settings struct {
-	Routers          int          `json:"Routers"`    // number of routers that share slow-start budgets
+	Routers          int          `json:"Routers"`    // number of routers that share a slow-start budget
 	Slots            int          `json:"Slots"`      // number of slots to which periodic tasks hash
 	LeaseDuration    int64        `json:"Lease"`      // how long a voter honors a lease after granting it
 	MaxClockDrift    float64      `json:"Drift"`      // largest relative error of a clock's rate: 0.01 is 1%
-	Voters           lease.Voters `json:"Voters"`     // instances whose quorum grants leases
+	Voters           lease.Voters `json:"Voters"`     // instances of which a quorum grants leases
 	PurgeWindow      int64        `json:"PurgeTakes"` // how long a purge is enforced
-	DrainedEndpoints []string     `json:"Withdrawn"`  // endpoints that get no new attempts, even if listed
-	MaxConnections   int          `json:"Holds"`      // that a cache accepts; 0 if not known
-	ProbePeriod      int64        `json:"ProbeEach"`  // between two health checks of a target; 0 disables them
+	DrainedEndpoints []string     `json:"Withdrawn"`  // names of endpoints that get no new attempts, even if listed
+	MaxConnections   int          `json:"Holds"`      // connections that a cache accepts; 0: not known
+	ProbePeriod      int64        `json:"ProbeEach"`  // time between two health checks of a target; 0: no checks
 }
 
-// SettingError reports a setting with an invalid value.
+// SettingError is the error for a setting with an invalid value.
 type SettingError struct {
-	Setting string // name of the setting, as in Conflict
+	Setting string // name of the setting, as in Conflict.Setting
 	Value   any
 	Reason  string
 }
 
-// Error names the setting, its value and the reason why it is invalid.
+// Error returns a text with the setting's name, its value and why it is invalid.
 func (err *SettingError) Error() string {
 	return fmt.Sprintf("%s is %v: %s", err.Setting, err.Value, err.Reason)
 }
 
-// Validate returns a *SettingError for the first invalid setting, or the wrapped error of lease.Voters.Check.
+// Validate returns nil if all settings are valid. Otherwise it returns a *SettingError for the first invalid one or,
+// for the voters, the wrapped error of lease.Voters.Check.
 func (settings Settings) Validate() error {
 	if err := settings.Voters.Check(); err != nil {
 		return fmt.Errorf("%s: %w", settingVoters, err)
@@ -56,10 +57,10 @@
 	return nil
 }
 
-// Encode encodes settings in CBOR (RFC 8949) as the content of a version.
+// Encode returns the settings in CBOR (RFC 8949), as the content of a sharedconfig.Version.
 func Encode(settings Settings) ([]byte, error) { return cbor.Marshal(settings) }
 
-// Decode decodes settings that Encode has encoded as the content of a version.
+// Decode returns the settings that Encode encoded, or an error if content is not their CBOR.
 func Decode(content []byte) (Settings, error) {
 	var settings Settings
 	if err := cbor.Unmarshal(content, &settings); err != nil {
