--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -17,7 +17,7 @@
 	leaseDuration     int64
 	names             []string
 	nodes             map[string]*Node
-	startedAt         map[string]int64            // simulated time at which the node's clock read 0
+	startedAt         map[string]int64            // simulated time, ns, at which its clock read 0
 	rate              map[string]float64          // by node: ns that its clock advances in 1 ns of simulated time
 	frozen            map[string]bool             // nodes that are paused: they neither tick nor receive messages
 	cut               func(from, to string) bool  // reports whether a link drops messages; nil: no link does
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -10,13 +10,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The tests in this file explore the reachable states of three nodes and one slot. Up to a number of steps, they try
-// every order in which messages arrive, are lost or are duplicated, nodes crash and restart, and time passes, on
-// clocks that are fast and slow by the maximum drift. Each node has only itself as a candidate, so all of them keep
-// requesting the slot.
-// A state is a violation if the slot has two holders, or if it was acquired under a ballot that did not grow.
-// Durations are small numbers of nanoseconds. The drift is 10%, so that during one lease the clocks of two nodes move
-// apart by more than a time step, which is half a renewal interval.
+// The tests in this file explore the states that three nodes with one slot can reach in a given number of steps. A
+// step delivers, loses or duplicates a message, crashes and restarts a node, or lets time pass; all orders of steps
+// are tried. Two of the clocks are fast and slow by the maximum drift. Each node has only itself as a candidate, so
+// all of them keep requesting the slot. A state is a violation if the slot has two holders, or if it was acquired
+// under a ballot that is not above all earlier ones. Durations are small numbers of nanoseconds. The drift is 10%, so
+// that during one lease the clocks of two nodes move apart by more than a time step, which is half a renewal interval.
 const (
 	exploreRenewal = int64(800)
 	exploreLease   = 3 * exploreRenewal
@@ -64,7 +63,7 @@
 	return int64(float64(state.now-state.startedAt[i])*rate) - state.setBack[i]
 }
 
-// start starts or restarts node i.
+// start starts or restarts node i without any state; its clock then reads 0.
 func (state *exploreState) start(i int) {
 	state.starts++
 	state.startedAt[i], state.setBack[i] = state.now, 0
--- a/internal/cluster/lease/node_test.go
+++ b/internal/cluster/lease/node_test.go
@@ -158,8 +158,8 @@
 	cluster.checkSafety()
 }
 
-// A majority of the voters restarts, one after another within a lease. They no longer know what they granted, so
-// they must not grant a lease to a second holder.
+// A majority of the voters restarts, one after another within one lease duration. They no longer know what they
+// granted, so they must not grant a lease to a second holder.
 func TestMajorityThatRestartsWithinALeaseIsSafe(t *testing.T) {
 	cluster := newCluster(t, 5)
 	cluster.run(4 * cluster.leaseDuration)
@@ -175,7 +175,7 @@
 func TestWallClocksSetBackAreSafe(t *testing.T) {
 	cluster := newCluster(t, 3)
 	cluster.run(4 * cluster.leaseDuration)
-	cluster.wallMS -= 3600e3 // on all nodes; ballots must keep growing
+	cluster.wallMS -= 3600e3 // wall clock of all nodes; ballots must still grow
 	cluster.start("n1")
 	cluster.run(4 * cluster.leaseDuration)
 	cluster.wallMS += 7200e3
--- a/internal/cluster/lease/status_test.go
+++ b/internal/cluster/lease/status_test.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// A node that is not a voter learns the holders of slots from the voters that reject its requests.
+// A node that is not a voter grants no leases, so it must learn the holders of slots from the voters that reject its
+// requests. Otherwise its status would not show them.
 func TestSlotsOfNodeThatIsNotAVoter(t *testing.T) {
 	cluster := newCluster(t, 4)
 	for _, node := range cluster.nodes {
--- a/internal/cluster/peer/logevents_test.go
+++ b/internal/cluster/peer/logevents_test.go
@@ -21,7 +21,8 @@
 }
 
 // A flood of refused connections must not fill the log: one event of each kind is logged in refusalInterval, with the
-// number of occurrences since the last one. Failed connections are counted for each member separately.
+// number of occurrences since the previous event of that kind. Failed connections are counted for each member
+// separately.
 func TestRefusalsAreCounted(t *testing.T) {
 	var logged []logevent.Event
 	refusals := newRefusals(func(event logevent.Event) { logged = append(logged, event) })
--- a/internal/compatibility/migration.go
+++ b/internal/compatibility/migration.go
@@ -17,11 +17,11 @@
 	return fmt.Sprintf("voters of epoch %d can't follow those of epoch %d", err.To, err.From)
 }
 
-// MigrationPath returns the versions to put in force one after another to change the settings from one version to
-// another. The last one equals to, except that its voters may have another epoch. The first step makes all changes
-// whose conflicts are at most bounded. In the next steps the voters change, one in each step. The last step makes the
+// MigrationPath returns the versions to put in force one after another to get from one version to a target. The last
+// of them equals the target, except that its voters may have another epoch. The first step makes all changes whose
+// conflicts are at most bounded. In the next steps the voters change, one in each step. The last step makes the
 // changes with exclusive conflicts, because no instance may still act under the old version when it takes effect.
-// MigrationPath returns an *EpochOrderError if the voters of to have an earlier epoch.
+// MigrationPath returns an *EpochOrderError if the target's voters have an earlier epoch.
 func MigrationPath(from, to Settings) ([]Settings, error) {
 	if to.Voters.Epoch < from.Voters.Epoch {
 		return nil, &EpochOrderError{From: from.Voters.Epoch, To: to.Voters.Epoch}
