--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -80,8 +80,8 @@
 	return followed
 }
 
-// tick fires one node's timer at now and delivers the messages that it sends, and those that it sends on their
-// replies. It returns the node's effects if the node's name is follow.
+// tick fires one node's timer at now. It delivers the node's messages, those that it sends in answer to replies
+// included, until it sends no more. It returns the node's effects if the node's name is follow, and nothing otherwise.
 func (cluster testCluster) tick(t testing.TB, now int64, name, follow string) []Effect {
 	t.Helper()
 	var followed []Effect
--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -145,7 +145,8 @@
 	}
 }
 
-// send takes the effects of a node, puts its messages in transit, and checks that acquired ballots grow.
+// send takes the effects of a node and puts its messages in transit. It counts in ballotRegressions each Acquired
+// whose ballot did not grow.
 func (cluster *testCluster) send(name string) {
 	for _, effect := range cluster.nodes[name].TakeEffects() {
 		if cluster.observe != nil {
--- a/internal/cluster/membership/detect_test.go
+++ b/internal/cluster/membership/detect_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A killed member must be believed dead by all others after at most 3 s, but not within 1.9 s, when it could still be
-// slow. After a restart all must believe it alive again.
+// A killed member must be believed dead by all others after 3 s, but not yet after 1.9 s, because it might only be
+// slow for a moment. After a restart all must believe it alive again.
 func TestKilledMemberIsBelievedDeadInTime(t *testing.T) {
 	for _, count := range []int{2, 3, 5, 30} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -96,7 +96,7 @@
 }
 
 // A member that receives no messages, or whose messages are all lost, must be believed dead by all others within 5 s,
-// because it cannot do its part. If single links lose messages in one direction, between two members or around a ring,
+// because it cannot work with them. If single links lose messages in one direction, between two members or around a ring,
 // no member must be believed dead.
 func TestOneWayCuts(t *testing.T) {
 	for _, test := range []struct {
@@ -189,8 +189,8 @@
 	}
 }
 
-// A member that cannot refute reports stays dead after a pause. If it did not, the other tests would not notice that
-// refutation is broken.
+// A member that cannot refute reports must stay dead after a pause. Otherwise the other tests, in which paused members
+// are believed alive again, would not notice that refutation is broken.
 func TestMemberThatCannotRefuteStaysDead(t *testing.T) {
 	cluster := newCluster(t, 30)
 	cluster.fault = plantedFault{cannotRefute: true}
@@ -234,7 +234,7 @@
 	}
 }
 
-// countReports counts the reports that subjects are silent or deaf which the observers made themselves.
+// countReports returns how many of the observers' own reports say that one of the subjects is silent or deaf.
 func (cluster *testCluster) countReports(observers, subjects []string) int {
 	count := 0
 	for _, observer := range observers {
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// queuedReport is a report to be passed on to all neighbours except from, the one that it came from. An empty from
-// excludes none.
+// queuedReport is a report that waits to be passed on to all neighbours except the sender named in from. If from is
+// empty, no neighbour is left out.
 type queuedReport struct {
 	Report
 	from string
 }
 
-// queuedEntry is an entry to be passed on to all neighbours except from, the one that it came from. An empty from
-// excludes none.
+// queuedEntry is an entry that is passed on to all neighbours except the sender named in from. If from is empty, no
+// neighbour is left out.
 type queuedEntry struct {
 	Entry
 	from string
 }
 
-// queuedName stands for the entry of one name, as it will be at the time of sending. It is passed on to all neighbours
-// except from, the one that the entry came from; an empty from excludes none.
+// queuedName marks a name whose entry, as it will be at the time of sending, is to be passed on to all neighbours
+// except the sender named in from. If from is empty, no neighbour is left out.
 type queuedName struct{ from string }
 
 // gossipQueue holds the entries and reports that wait to be passed on to neighbours.
@@ -60,13 +60,15 @@
 	}
 }
 
-// passOn queues the entry of a member for all neighbours except from, the one that it came from.
+// passOn queues the entry of a member for all neighbours except the named one, which sent the entry. An empty from
+// excludes none.
 func (table *Table) passOn(now int64, name, from string) {
 	table.gossip.entries[name] = queuedName{from}
 	table.gossip.schedule(now, table.config.HeartbeatInterval)
 }
 
-// passOnReport queues a report for all neighbours except from, the one that it came from.
+// passOnReport queues a report for all neighbours except the named one, which sent the report. An empty from excludes
+// none.
 func (table *Table) passOnReport(now int64, report Report, from string) {
 	table.gossip.reports = append(table.gossip.reports, queuedReport{report, from})
 	table.gossip.schedule(now, table.config.HeartbeatInterval)
--- a/internal/cluster/membership/localhealth.go
+++ b/internal/cluster/membership/localhealth.go
@@ -6,7 +6,7 @@
 	score    int   // from 0 (healthy) to maxLocalHealth
 	tickedAt int64 // when the last tick was
 	away     int64 // length of the last pause of a heartbeat interval or more, ns; 0: there was none
-	cutOff   bool  // there are minWatched watched neighbours or more, and all are silent
+	cutOff   bool  // at least minWatched neighbours are watched, and all are silent
 }
 
 // recordTick records a tick at now that was due at due. If the tick is late by more than interval/lateDivisor, the
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -152,8 +152,8 @@
 	table.passOnRumour(now, member, rumour, from)
 }
 
-// passOnRumour queues a rumour that a member is dead for all neighbours except from. It does so once for each version
-// of the member.
+// passOnRumour queues a rumour that a member is dead for all neighbours except the named sender. It does so once for
+// each version of the member.
 func (table *Table) passOnRumour(now int64, member *record, rumour Report, from string) {
 	if table.gossip.isNewRumour(member) {
 		table.passOnReport(now, rumour, from)
--- a/internal/cluster/sharedconfig/cluster_test.go
+++ b/internal/cluster/sharedconfig/cluster_test.go
@@ -210,7 +210,7 @@
 		case inFlight.at > cluster.now || to.frozenUntil > cluster.now:
 			later = append(later, inFlight)
 		case to.down || to.dropsIncoming || to.side != inFlight.from.side ||
-			inFlight.from.startedAt != inFlight.fromStarted: // lost
+			inFlight.from.startedAt != inFlight.fromStarted: // message lost
 		default:
 			to.node.Receive(cluster.clock(to), inFlight.from.name, inFlight.message)
 			cluster.send(to)
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -11,7 +11,7 @@
 	Name         string         `json:"name"`
 	Incarnation  uint64         `json:"incarnation"`
 	Majority     bool           `json:"majority"`
-	Reason       string         `json:"why,omitempty"`       // why no leases are granted; empty: they can be
+	Reason       string         `json:"why,omitempty"`       // why no leases are granted; empty: no reason
 	SilentMS     int64          `json:"silent_ms,omitempty"` // time until this instance votes, ms; 0: it votes already
 	Voters       []string       `json:"voters"`
 	Epoch        uint64         `json:"epoch"` // epoch of the voters in force
