--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -12,10 +12,11 @@
 
 // The tests in this file explore the states that three nodes with one slot can reach in a given number of steps. A
 // step delivers, loses or duplicates a message, crashes and restarts a node, or lets time pass; all orders of steps
-// are tried, up to a limit on the number of states. Two of the clocks are fast and slow by the maximum drift. Each node has only itself as a candidate, so
-// all of them keep requesting the slot. A state is a violation if the slot has two holders, or if it was acquired
-// under a ballot that is not above all earlier ones. Durations are small numbers of nanoseconds. The drift is 10%, so
-// that during one lease the clocks of two nodes move apart by more than a time step, which is half a renewal interval.
+// are tried, up to a limit on the number of states. Two of the clocks are fast and slow by the maximum drift. Each
+// node has only itself as a candidate, so all of them keep requesting the slot. A state is a violation if the slot has
+// two holders, or if it was acquired under a ballot that is not above all earlier ones. Durations are small numbers of
+// nanoseconds. The drift is 10%, so that during one lease the clocks of two nodes move apart by more than a time step,
+// which is half a renewal interval.
 const (
 	exploreRenewal = int64(800)
 	exploreLease   = 3 * exploreRenewal
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -153,8 +153,7 @@
 	return name == node.config.Self.Name || member.State == membership.Alive
 }
 
-// missingVoters lists the current voters that are not believed alive, each with its state, for example "[b dead c
-// unheard]".
+// missingVoters lists the current voters that are not believed alive, each with its state, for example "[b dead]".
 func (node *Node) missingVoters() string {
 	var missing []string
 	for _, name := range node.leases.Voters().Current {
--- a/internal/cluster/logevents.go
+++ b/internal/cluster/logevents.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// DuplicateNameGone reports that nothing has been heard for long enough from the second instance that a
-// DuplicateNameDetected reported.
+// DuplicateNameGone reports that the second instance that a DuplicateNameDetected reported has not been heard from for
+// lease.Config.RestartSilence.
 type DuplicateNameGone struct {
 	Member string `log:"member"`
 }
--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -2,7 +2,7 @@
 
 import "cmp"
 
-// These limits bound the memory that a table uses.
+// These limits apply to one table.
 const (
 	// MaxMembers bounds the known instances. Entries of further instances are rejected.
 	MaxMembers = 8192
--- a/internal/cluster/membership/detect_test.go
+++ b/internal/cluster/membership/detect_test.go
@@ -96,8 +96,8 @@
 }
 
 // A member that receives no messages, or whose messages are all lost, must be believed dead by all others within 5 s,
-// because it cannot work with them. If single links lose messages in one direction, between two members or around a ring,
-// no member must be believed dead.
+// because it cannot work with them. If single links lose messages in one direction, between two members or around a
+// ring, no member must be believed dead.
 func TestOneWayCuts(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/cluster/membership/rings_test.go
+++ b/internal/cluster/membership/rings_test.go
@@ -31,7 +31,7 @@
 			checkNeighbours(t, names, neighbours)
 			for seed := range uint64(20) {
 				apart := countApart(names, neighbours, rand.New(rand.NewPCG(seed, 1)))
-				// ^The probability that all eight neighbours of a member are among the failed ones is 1 in 6,600. Such
+				// The probability that all eight neighbours of a member are among the failed ones is 1 in 6,600. Such
 				// a member gets new neighbours once the failures are detected.
 				if count >= 30 && apart > 1 {
 					t.Errorf("without a third of the members %d others are disconnected, want at most 1", apart)
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -45,8 +45,8 @@
 	return slices.Sorted(maps.Keys(suspicion.members))
 }
 
-// next returns when the first suspected member will have been reported for confirmDuration, or noTime if most
-// observers report none.
+// next returns when the first suspected member is to be marked as dead: confirmDuration after most of its observers
+// have reported it. It returns noTime if no member is reported by most of its observers.
 func (suspicion *suspicion) next(confirmDuration int64) int64 {
 	next := noTime
 	for _, member := range suspicion.members {
--- a/internal/cluster/paxos/paxos.go
+++ b/internal/cluster/paxos/paxos.go
@@ -39,8 +39,8 @@
 func Majority(voters int) int { return voters/2 + 1 }
 
 // LatestMajority returns the latest instant that a majority of the voters has reached or passed. instants has the
-// instants of some or all voters, at most one of each, and is sorted by the call. ok is false if fewer than a majority
-// of the voters have one.
+// instants of some or all voters, at most one per voter, and is sorted by the call. ok is false if fewer than a
+// majority of the voters have an instant.
 func LatestMajority(instants []int64, voters int) (latest int64, ok bool) {
 	majority := Majority(voters)
 	if len(instants) < majority {
--- a/internal/cluster/probe/config.go
+++ b/internal/cluster/probe/config.go
@@ -21,7 +21,7 @@
 	WarmUpDuration int64   // time from the target's start until it is warm, ns; 0: it is never cold
 }
 
-// Config is the configuration of a Prober. Its clocks are those of the instances that probe.
+// Config is the configuration of a Prober.
 type Config struct {
 	Period        int64     // time between two probes of one target, ns
 	Timeout       int64     // time within which a probe must be answered, ns
--- a/internal/cluster/probe/prober_test.go
+++ b/internal/cluster/probe/prober_test.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// sentProbe is a probe with the holder that sent it, one of several successive ones.
+// sentProbe is a probe, with the number of the lease holder that sent it.
 type sentProbe struct {
 	at     int64 // simulated time of the probe, ns
 	holder int
