--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -7,7 +7,7 @@
 	MaxPerMessage = 256
 
 	// DigestBuckets is the number of buckets into which entries are divided by the hash of their name. Comparing a
-	// digest of each bucket shows which entries differ between two instances.
+	// digest of each bucket shows in which buckets the entries of two instances differ.
 	DigestBuckets = 64
 
 	// maxExtraEntries is the largest number of entries that a heartbeat has besides the queued ones: the sender's and,
--- a/internal/cluster/recordtest/recordtest_test.go
+++ b/internal/cluster/recordtest/recordtest_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A digest that left out a line would not detect a change in it. The expected digest is the output of `printf 'a 1\nb
-// 2\n' | sha256sum`.
+// A digest that left out a line would not detect a change in it. The expected digest is the output of
+// `printf 'a 1\nb 2\n' | sha256sum`.
 func TestDigestCoversAllLines(t *testing.T) {
 	recorder := New(t)
 	recorder.Record("a %d", 1)
--- a/internal/cluster/sharedconfig/config.go
+++ b/internal/cluster/sharedconfig/config.go
@@ -38,7 +38,7 @@
 	RenewInterval int64    // time between two requests for leases on the newest version
 	MaxClockDrift float64  // largest relative error of a clock's rate: 0.01 is 1%
 	Incompatible  IncompatibleFunc
-	Initial       []byte // content of version 0, which is active until another version is committed
+	Initial       []byte // content of version 0, read from the file and active until another is committed
 	Incarnation   uint64 // differs at each start, so that version numbers of two starts differ
 }
 
