--- a/internal/cluster/events.go
+++ b/internal/cluster/events.go
@@ -24,8 +24,8 @@
 // ProbeEnded reports the result of a probe that this instance sent on a SendProbe.
 type ProbeEnded struct{ ProbeResult }
 
-// TimerFired reports that the time requested by the last SetTimer has come. It may also arrive earlier, which does no
-// harm. WallMS is the wall clock in ms since 1970.
+// TimerFired reports that the time requested by the last SetTimer has come. It may also arrive early. WallMS is the
+// wall clock in ms since 1970.
 type TimerFired struct{ WallMS int64 }
 
 // ShutdownStarted reports that this instance is shutting down.
--- a/internal/cluster/leases.go
+++ b/internal/cluster/leases.go
@@ -165,9 +165,9 @@
 	return fmt.Sprint(missing)
 }
 
-// logQuorum logs the first time, and whenever it changes, whether this instance has a quorum. It logs nothing in the
-// first lease.Config.RestartSilence after the start, in which voters that started at the same time grant no leases,
-// nor in the two renewal intervals that follow.
+// logQuorum logs whether this instance has a quorum, at first and whenever that changes. It logs nothing in the first
+// lease.Config.RestartSilence after the start, in which a voter grants no leases, nor in the two renewal intervals
+// that follow.
 func (node *Node) logQuorum(now int64) {
 	startup := node.config.Lease.RestartSilence() + 2*node.config.Lease.RenewInterval
 	if node.shuttingDown || now-node.startedAt < startup {
