--- a/internal/cluster/lease/status_test.go
+++ b/internal/cluster/lease/status_test.go
@@ -6,7 +6,8 @@
 	"tealpath/internal/cluster/paxos"
 )
 
-// reasons counts the slots by the name of their holder or, if no holder is known, by the reason.
+// reasons returns the number of slots under each holder's name and, for slots without a known holder, under each
+// reason.
 func reasons(node *Node, now int64) map[string]int {
 	count := map[string]int{}
 	for _, status := range node.Slots(now) {
@@ -48,7 +49,8 @@
 	}
 }
 
-// A node that is not a voter learns the holders of slots from the voters that reject its requests.
+// A node that is not a voter grants no leases, so it must learn the holders of slots from the voters that reject its
+// requests. Otherwise its status would not show them.
 func TestSlotsOfNodeThatIsNotAVoter(t *testing.T) {
 	cluster := newCluster(t, 4)
 	for _, node := range cluster.nodes {
