--- a/cmd/tealpath/diff.go
+++ b/cmd/tealpath/diff.go
@@ -14,8 +14,9 @@
 // diffCommand defines tealpath diff, which takes the paths of two operator's files and the flag --json.
 func diffCommand() *cli.Command {
 	return &cli.Command{
-		Name:         "diff",
-		Usage:        "check whether instances with these two operator's files may run side by side, and show how to migrate",
+		Name: "diff",
+		Usage: "check whether instances with these two operator's files may run side by side, " +
+			"and show how to migrate",
 		ArgsUsage:    "A B",
 		OnUsageError: usageError,
 		Action:       diff,
@@ -51,7 +52,8 @@
 		return cli.Exit(pathErr, exitFailed)
 	case compatibility.WorstSeverity(conflicts) == compatibility.Exclusive:
 		return cli.Exit("instances with these files may not run side by side: "+
-			"follow the steps above, if any; to change slots, lease or drift, stop all instances at the same time", exitFailed)
+			"follow the steps above, if any; "+
+			"to change slots, lease or drift, stop all instances at the same time", exitFailed)
 	}
 	return nil
 }
--- a/internal/cluster/membership/neighbourhood.go
+++ b/internal/cluster/membership/neighbourhood.go
@@ -174,7 +174,8 @@
 			peers = append(peers, Contact{name, member.Address, member.Weight})
 		}
 	}
-	if target := table.members.byName[table.reconnect.name]; target != nil && target.link == nil && target.Address != "" {
+	target := table.members.byName[table.reconnect.name]
+	if target != nil && target.link == nil && target.Address != "" {
 		peers = append(peers, Contact{table.reconnect.name, target.Address, target.Weight})
 	}
 	return peers
--- a/internal/cluster/peer/frame.go
+++ b/internal/cluster/peer/frame.go
@@ -57,7 +57,8 @@
 		read := len(payload)
 		payload = append(payload, make([]byte, min(size-read, frameReadStep))...)
 		if count, err := io.ReadFull(in, payload[read:]); err != nil {
-			return nil, fmt.Errorf("%w: payload ends after %d of %d bytes: %w", ErrMalformedFrame, read+count, size, err)
+			return nil, fmt.Errorf("%w: payload ends after %d of %d bytes: %w",
+				ErrMalformedFrame, read+count, size, err)
 		}
 	}
 	return payload, nil
--- a/internal/experiment/command/duties.go
+++ b/internal/experiment/command/duties.go
@@ -44,8 +44,9 @@
 			},
 			binaryFlag(),
 			&cli.Float64Flag{
-				Name:  "virtual",
-				Usage: "simulate only the cluster module, for this many `HOURS` of simulated time; 0 starts real instances",
+				Name: "virtual",
+				Usage: "simulate only the cluster module, for this many `HOURS` of simulated time; " +
+					"0 starts real instances",
 			},
 		},
 	}
--- a/internal/experiment/command/members.go
+++ b/internal/experiment/command/members.go
@@ -45,8 +45,9 @@
 			outFlag(),
 			binaryFlag(),
 			&cli.Float64Flag{
-				Name:  "virtual",
-				Usage: "simulate only the membership module, for this many `HOURS` of simulated time; 0 starts real instances",
+				Name: "virtual",
+				Usage: "simulate only the membership module, for this many `HOURS` of simulated time; " +
+					"0 starts real instances",
 			},
 			&cli.Float64Flag{Name: "loss", Usage: "share of messages that are lost, from 0 to 1; only with --virtual"},
 			&cli.BoolFlag{
--- a/internal/experiment/idleconnections/experiment.go
+++ b/internal/experiment/idleconnections/experiment.go
@@ -83,7 +83,7 @@
 	WakeP99MS        float64 `json:"wake_active_p99_ms"`
 	ExpirySeconds    float64 `json:"expiry_s"` // time from 1% of the connections closed until nearly all are
 	ExpiryP99MS      float64 `json:"expiry_active_p99_ms"`
-	Failed           int     `json:"failed"`                 // connections that could not be opened or were not answered
+	Failed           int     `json:"failed"`                 // connections not opened or not answered
 	P99Ratio         float64 `json:"p99_ratio_most_to_none"` // ratio of the row with the most idle connections
 	ReconnectRatio   float64 `json:"p99_ratio_wave_to_none"`
 	ExpiryRatio      float64 `json:"p99_ratio_expiry_to_none"`
--- a/internal/operatorconfig/cluster.go
+++ b/internal/operatorconfig/cluster.go
@@ -233,7 +233,8 @@
 func (d *decoder) addAllowed(value *sexpr.Node, into *netipx.IPSetBuilder) bool {
 	if prefix, err := netip.ParsePrefix(value.Word); err == nil {
 		if prefix != prefix.Masked() {
-			d.errors.addf(value.Position, "allow: %s has address bits set after the prefix, want %s", value, prefix.Masked())
+			d.errors.addf(value.Position, "allow: %s has address bits set after the prefix, want %s",
+				value, prefix.Masked())
 		}
 		into.AddPrefix(prefix)
 		return true
