--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -67,8 +67,8 @@
 	testkit.ExpectNoError(t, ended, drainTimeout)
 }
 
-// blockedCache is a cache that accepts connections and reads nothing until it is released. The system buffers only
-// little data for it.
+// blockedCache is a cache that accepts connections and reads nothing until it is released. The kernel buffers only
+// a small amount of data for it.
 type blockedCache struct {
 	address  string
 	released <-chan struct{}
--- a/cmd/tealpath/faults_test.go
+++ b/cmd/tealpath/faults_test.go
@@ -9,7 +9,8 @@
 )
 
 // The tests of this file use real connections to routers in separate processes. They cover faults of caches that the
-// platform's documentation names but its bench does not simulate. docs/endings.md lists them.
+// documentation of the platform on which the routers run describes, but that the platform's test bench does not
+// simulate. docs/endings.md lists them.
 
 // kill ends a cache, so that connections to it are refused.
 func kill(cache *testkit.Cache) { cache.Kill() }
--- a/cmd/tealpath/helpers_test.go
+++ b/cmd/tealpath/helpers_test.go
@@ -113,7 +113,8 @@
 	testkit.WriteFile(t, r.configPath, []byte(text[:from]+`"known":null,`+text[to:]))
 }
 
-// replaceInConfig adds replacements of the configuration's text, and fails the test if they change nothing.
+// replaceInConfig replaces texts in the configuration and rewrites its file. changes alternates between old and new
+// texts. The test fails if nothing is replaced.
 func (r *testRouter) replaceInConfig(t *testing.T, changes ...string) {
 	t.Helper()
 	before := r.config("n0", r.discovery)
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -157,7 +157,7 @@
 					}
 				}
 				share := 0.1 + 0.9*float64(first-start)/float64(20*second)
-				n := 2 * startingCapacity * share * 2 / mean // the factor is 2, and the window 2 s
+				n := 2 * startingCapacity * share * 2 / mean // SlowStartSettings: Factor is 2, Window is 2 s
 				if limit := ruleLimit(n); sent > limit {
 					t.Fatalf("%d routers: %.0f attempts in the window from %.1f s after the start on, limit %.1f",
 						routers, sent, float64(first-start)/1e9, limit)
--- a/control/slowstart.go
+++ b/control/slowstart.go
@@ -15,7 +15,7 @@
 // without communicating with each other. docs/coldstart.md derives how. Work is in seconds of sending time.
 
 const (
-	// largeLimitFrom is the N from which on overloadLimit is N + 2√N + 2 instead of N + 3√N + 3.
+	// largeLimitFrom is the lowest N for which overloadLimit is N + 2√N + 2 instead of N + 3√N + 3.
 	largeLimitFrom = 30.
 
 	// overloadProbability is the accepted probability that at least one endpoint is overloaded in a day.
@@ -122,10 +122,11 @@
 	return sum
 }
 
-// collectTokens adds the tokens since the last call and reports whether there is a whole token. rate is the number of
-// tokens per window, and window is in ns. The first call for a start begins with a random fraction of a token, which
-// initialTokens returns, so that the routers get their tokens at different times. Whole tokens above 1 + rate are
-// dropped, so that a router spends at most the tokens of two windows within one window.
+// collectTokens adds the tokens that have accrued since the last call and reports whether there is a whole token. rate
+// is the number of tokens per window, and window is in ns. On the first call after an endpoint's start at startedAt,
+// the budget begins with a random fraction of a token, which initialTokens returns, so that the routers get their
+// tokens at different times. Whole tokens above 1 + rate are dropped, so that a router spends at most the tokens of two
+// windows within one window.
 func (budget *slowStartBudget) collectTokens(
 	now, startedAt, window int64, rate float64, initialTokens func(int64) float64,
 ) bool {
--- a/internal/cluster/lease/acquire.go
+++ b/internal/cluster/lease/acquire.go
@@ -14,10 +14,10 @@
 	steadyRenewals  = 2  // how long the candidates must be unchanged before this node hands slots over
 	transferDivisor = 8  // a node hands over at most 1 + slots/transferDivisor slots in one renewal interval
 	turnsPerRenewal = 2  // number of candidates whose turns start within one renewal interval
-	maxTurnRenewals = 2  // longest wait for a turn, without the extra wait of candidates beyond nearRanks
+	maxTurnRenewals = 2  // longest wait for a turn, in renewal intervals, without the extra wait beyond nearRanks
 	nearRanks       = 4  // number of candidates, the best-ranked ones, that have no extra wait
-	farRankRenewals = 2  // extra wait per rank for candidates beyond nearRanks
-	maxFarRenewals  = 60 // longest extra wait
+	farRankRenewals = 2  // extra wait, in renewal intervals, for each rank beyond nearRanks
+	maxFarRenewals  = 60 // longest extra wait, in renewal intervals
 )
 
 // updateFreeSlots updates freeSince of each slot, and schedules an attempt for each slot that has become free. A slot
--- a/internal/cluster/lease/assign.go
+++ b/internal/cluster/lease/assign.go
@@ -109,7 +109,7 @@
 func score(slot int, candidate Candidate) float64 {
 	key := binary.LittleEndian.AppendUint32(nil, uint32(slot))
 	key = append(key, candidate.Name...)
-	uniform := (float64(xxhash.Sum64(key)>>11) + 0.5) / (1 << 53) // a float64 has 53 bits; 0.5 keeps u above 0
+	uniform := (float64(xxhash.Sum64(key)>>11) + 0.5) / (1 << 53) // a float64 has 53 bits; 0.5 keeps uniform above 0
 	return -candidate.Weight / math.Log(uniform)
 }
 
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -142,7 +142,8 @@
 }
 
 // deliver delivers the message with index k in inTransit. If keep is true, the message stays in transit, so that it
-// can be delivered again. The result is that of collect.
+// can be delivered again. staleBallot is true if the receiving node acquired the slot under a ballot that is not above
+// all earlier ones.
 func (state *exploreState) deliver(k int, keep bool) (staleBallot bool) {
 	delivered := state.inTransit[k]
 	if !keep {
--- a/internal/cluster/members.go
+++ b/internal/cluster/members.go
@@ -21,7 +21,7 @@
 
 // peers holds the instances to which links are kept open.
 type peers struct {
-	linked            []Peer           // peers in the last SetPeers
+	linked            []Peer           // peers that the last SetPeers effect listed
 	leaseUntil        map[string]int64 // by name: until when to keep the link after a lease message
 	leaseLinksChanged bool             // the names in leaseUntil changed since updateMembers used them
 }
--- a/internal/cluster/membership/detect.go
+++ b/internal/cluster/membership/detect.go
@@ -95,7 +95,8 @@
 	return Healthy
 }
 
-// forgetInbound removes the inbound link of a member that has sent no heartbeat for forgetInbound intervals.
+// forgetInbound removes the inbound link of a member from which no heartbeat has arrived for more than as many
+// heartbeat intervals as the constant forgetInbound states.
 func (table *Table) forgetInbound(now int64, member *record) {
 	if now-member.link.heardAt > table.config.intervals(forgetInbound) {
 		table.links.remove(member)
--- a/internal/cluster/membership/receive_test.go
+++ b/internal/cluster/membership/receive_test.go
@@ -13,7 +13,7 @@
 	cluster.run(4 * second)
 	cluster.down["n003"] = true
 	cluster.run(6 * second)
-	cluster.start("n003", 1) // wall clock at 1 ms after the start of 1970
+	cluster.start("n003", 1) // its wall clock is 1 ms after the Unix epoch
 	cluster.run(5 * second)
 	cluster.checkAllAlive()
 	for _, name := range cluster.names {
--- a/internal/connpool/connections.go
+++ b/internal/connpool/connections.go
@@ -23,8 +23,8 @@
 	minConnectDelay = millisecond
 )
 
-// connectDelay returns the time in which all routers together may open one connection each to a cache. It is 0 for a
-// cache of the subset if the connect rate is not limited.
+// connectDelay returns the time, in ns, that all routers together need to open one connection each to a cache without
+// exceeding the connect rate. It is 0 for a cache of the subset if the connect rate is not limited.
 func (p *Plan) connectDelay(endpoint *endpoint) int64 {
 	delay := int64(0)
 	if p.config.MaxConnectRate > 0 {
--- a/internal/downstream/poller/poller_linux.go
+++ b/internal/downstream/poller/poller_linux.go
@@ -27,8 +27,8 @@
 	file *os.File
 	fd   int // descriptor of the epoll set
 
-	// handling is true from before Wait asks the kernel for events until the kernel has returned none. Meanwhile,
-	// events that Wait has returned may not be handled yet.
+	// handling is true while events that Wait has returned may still have to be handled. Wait sets it before it asks
+	// the kernel for events, and clears it when the kernel has returned none.
 	handling atomic.Bool
 
 	// unresumed maps each descriptor that could not be resumed to its file. The descriptor must be closed
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -230,8 +230,9 @@
 	}
 }
 
-// faultyConn makes the first reads and writes fail with the error fault, as many as reads and writes say. Reads fail
-// only after the first complete write. All other writes by faultyWrite are short.
+// faultyConn is a connection whose first reads and writes fail with the error fault. The fields reads and writes hold
+// how many still fail. A read that fails first waits for a complete write. Calls of faultyWrite that do not fail write
+// only the first half of the data.
 type faultyConn struct {
 	net.Conn
 	fault         error
