--- a/control/purges.go
+++ b/control/purges.go
@@ -22,7 +22,9 @@
 	// in whole ms.
 	purgeMargin = second / 1000
 
-	// minPurgedMaxAge is the lowest accepted age after a purge, in ns. 0 would mean the fresh duration.
+	// minPurgedMaxAge is the lowest value, in ns, to which a purge limits Attempt.MaxAge, the age of the oldest cache
+	// entry that may be served. It is not 0, because a MaxAge of 0 stands for the class's fresh duration, so it could
+	// allow entries from before the purge.
 	minPurgedMaxAge = 1000
 
 	// purgeExpiryMargin is how long, in ns, a purge is kept beyond Settings.PurgeDuration, after which no cache has
--- a/internal/cluster/membership/cluster_test.go
+++ b/internal/cluster/membership/cluster_test.go
@@ -27,7 +27,7 @@
 	now         int64
 	names       []string
 	tables      map[string]*Table
-	faults      map[string]plantedFault // by table: its planted fault
+	faults      map[string]plantedFault // by instance: value of fault when it was last started; zero: no fault
 	down        map[string]bool
 	pausedUntil map[string]int64
 	cut         func(from, to string) bool // reports whether messages between two instances are lost
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -79,7 +79,7 @@
 	instance.mu.Unlock()
 }
 
-// mustClose closes a connection or listener, and stops the test if that fails.
+// mustClose closes a connection or listener. If that fails, it marks the test as failed, but the test continues.
 func mustClose(t *testing.T, conn closer) {
 	t.Helper()
 	if err := conn.Close(); err != nil {
--- a/internal/emulator/cache/capacity_test.go
+++ b/internal/emulator/cache/capacity_test.go
@@ -28,8 +28,9 @@
 	if response := model.Request(now, "o"); response.Delay != second*3/20 || !response.Fill {
 		t.Errorf("first request: %+v, want a fill with a delay of %d ns", response, second*3/20)
 	}
-	// The limit while warming up is 36.4 requests in a window: with N = 2·4·0.25·1 s/0.1 s = 20 it is
-	// 20 + 3·sqrt(20) + 3.
+	// The cache has just started, so it crashes if more than N + 3·sqrt(N) + 3 requests arrive within OverloadWindow,
+	// where N = OverloadFactor·Concurrency·InitialShare·OverloadWindow/ServiceTime. Here N = 2·4·0.25·1 s/0.1 s = 20,
+	// so the limit is 36.4 requests.
 	for n := 2; n <= 36; n++ {
 		if model.Request(now, "o").Crashed {
 			t.Fatalf("crash at request %d, want one at request 37", n)
--- a/internal/emulator/discoveryserver/discoveryserver.go
+++ b/internal/emulator/discoveryserver/discoveryserver.go
@@ -135,8 +135,9 @@
 	return calls
 }
 
-// Notified returns the number of open calls to which the last event was sent. A call that started after the last
-// event and already had it does not count.
+// Notified returns the number of open calls on which the service has sent the last event, compared by number. A call
+// on which it has not sent that event does not count, even if the caller stated in its request that it already has
+// the event. If there are no events, the calls on which none was sent count.
 func (s *Service) Notified() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
