--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -13,8 +13,8 @@
 	return router
 }
 
-// A router with little traffic takes many hits for fills. If fills are not admitted, it must not reject these requests
-// but let the cache serve them if the object is cached.
+// A router with little traffic expects many requests to be fills although they are hits. If fills are not admitted, it
+// must not reject these requests but let the cache serve them if the object is cached.
 func TestCacheOnlyAttempts(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -82,7 +82,7 @@
 	}
 }
 
-// sendsFill decides on a request and reports whether it is sent without CacheOnly.
+// sendsFill decides on a request and reports whether it is sent and the cache may fill the object on a miss.
 func sendsFill(router *Router, request *Request) bool {
 	decision := router.Decide(start, request)
 	return decision.Verdict == Send && !decision.Attempt.CacheOnly
--- a/control/age_test.go
+++ b/control/age_test.go
@@ -13,7 +13,7 @@
 		name   string
 		count  float64 // requests for the object at this router, decayed over rateWindow
 		purges float64
-		fresh  int64 // ns; fresh duration of the class; 0: without limit
+		fresh  int64 // ns; fresh duration of the class; 0: unlimited
 		age    int64 // s from the first request for the object to the last one
 		want   float64
 	}{
--- a/control/benchmark_test.go
+++ b/control/benchmark_test.go
@@ -19,7 +19,8 @@
 // benchmarkWarmUp is the number of requests that are decided before the measured ones.
 const benchmarkWarmUp = 20
 
-// benchmarkEndpoints returns the caches of one location, one parent per 16 caches but at least two, and an origin.
+// benchmarkEndpoints returns as many caches of one location as servers says, one parent per 16 caches but at least
+// two, and an origin.
 func benchmarkEndpoints(servers int) []Endpoint {
 	var entries []Endpoint
 	nextID := func() uint32 { return uint32(len(entries)+1) * 2654435761 }
@@ -182,8 +183,8 @@
 	}
 }
 
-// BenchmarkListEvent measures a change of one entry of the endpoint list: the cache drains, and is ready again with
-// the next change.
+// BenchmarkListEvent measures updates of the endpoint list that each change the phase of one cache, alternately to
+// draining and to ready.
 func BenchmarkListEvent(b *testing.B) {
 	for _, servers := range benchmarkSizes {
 		b.Run(fmt.Sprint("servers=", servers), func(b *testing.B) {
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -8,8 +8,9 @@
 	"tealpath/internal/logevent"
 )
 
-// runAtConcurrency keeps a number of requests in flight for a duration, span, in ns. Each gets a response in time. It
-// returns how many requests were made in the last second, and how many of those were not sent.
+// runAtConcurrency keeps as many requests in flight as concurrency says, for span ns from the time from on. Each
+// request that is sent gets a response in time. The results are the number of requests made in the last second, and
+// the number of those that were not sent.
 func runAtConcurrency(router *Router, from, span int64, concurrency int) (requested, rejected int) {
 	type sent struct {
 		request *Request
@@ -111,8 +112,8 @@
 		mean             = 0.5 // s of sending time; mean work of a request
 		parents          = 2
 		load             = 0.7 // mean load of the parents, as a fraction of their capacity
-		capacity         = 20. // capacity of each parent that correct measurements would show
-		startingCapacity = 12. // actual capacity of the parent in slow start when it is warm
+		capacity         = 20. // capacity of each parent, in s of sending time per s, if measured correctly
+		startingCapacity = 12. // the same unit; actual capacity of the parent in slow start once it is warm
 	)
 	window := 2 * second
 	for _, routers := range []int{6, 24, 350} {
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -75,7 +75,7 @@
 func TestRareClassReservesOnlyWhatItNeeds(t *testing.T) {
 	for _, test := range []struct {
 		rare float64 // fraction of the offered work that is of the rare class
-		want float64 // minimum of admissionShare for the other class
+		want float64 // smallest admissionShare that the other class must have
 	}{{0.01, 0.95}, {0.5, 0.69}} {
 		router := routerOfClasses(t, func(s *Settings) { setWeights(s, 1, 40, 1) })
 		request := newRequest("harmless", "x")
--- a/control/deadline_test.go
+++ b/control/deadline_test.go
@@ -40,7 +40,7 @@
 				answerRequests(router, "harmless", 1, 20)
 				answerRequests(router, "harmless", test.seen, 40)
 			}
-			answerRequests(router, "stamped", 20, 300) // responses of another class must not matter
+			answerRequests(router, "stamped", 20, 300) // these are of another class, so they must not matter
 			request := newRequest("harmless", "a")
 			request.Deadline = start + test.left*second/1000
 			if decision := router.Decide(start, request); decision.Verdict != test.want {
--- a/control/endpoints_test.go
+++ b/control/endpoints_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// An endpoint that is draining, gone or no longer listed may stop at any time. Attempts that it serves or whose misses
-// it fills could then be lost, so none must use it.
+// An endpoint that is draining, gone or no longer listed may stop at any time. An attempt for which it is the
+// cache or the source could then be lost, so no new attempt must use it.
 func TestDrainingAndGoneEndpointsGetNoAttempts(t *testing.T) {
 	for _, phase := range []string{"draining", "gone", "not listed"} {
 		t.Run(phase, func(t *testing.T) {
--- a/control/logevents_test.go
+++ b/control/logevents_test.go
@@ -72,7 +72,7 @@
 		decimals int
 		want     float64
 	}{
-		{6.25, scoreDecimals, 6.2}, // a tie is rounded to even, as in package fmt
+		{6.25, scoreDecimals, 6.2}, // halfway between 6.2 and 6.3: rounded to the even digit, as in package fmt
 		{6.2501, scoreDecimals, 6.3},
 		{-0.589, limitDecimals, -0.59},
 		{math.Inf(1), scoreDecimals, math.Inf(1)},
--- a/control/purges_test.go
+++ b/control/purges_test.go
@@ -12,8 +12,8 @@
 
 const year = 365 * 24 * 3600 * second
 
-// In these tests, trueTime is the time of a correct clock. offset is the time in ns by which this router's clock is
-// ahead of it.
+// In these tests, trueTime is the time in ns by a correct clock, and offset is the number of ns by which this router's
+// clock is ahead of the correct one.
 
 // oldestIssuedAt returns the issue time of the oldest entry that a cache may serve for an attempt at trueTime.
 // fresh is the class's fresh duration.
@@ -107,7 +107,7 @@
 	for _, test := range []struct {
 		name        string
 		purgedAt    int64
-		maxAge      int64 // ns; accepted age 2 s after the arrival; 0: at least the time since 1970
+		maxAge      int64 // ns; accepted age 2 s after the purge arrives; 0: at least the time since 1970
 		minIssuedAt int64
 	}{
 		{"valid", start, 3*second - purgeMargin, start},
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -15,7 +15,7 @@
 // This file has simple reference implementations of ranking, loads and evidence, which scan all endpoints each
 // time. The tests compare the selection in batches and the incrementally updated counts with them.
 
-// referenceRank orders endpoints by rendezvous hashing weighted by capacity.
+// referenceRank returns the endpoints in the order of rendezvous hashing for an object, weighted by capacity.
 func referenceRank(key objectKey, endpoints []*endpointState) []*endpointState {
 	hash := fnv.New64a()
 	hash.Write(binary.LittleEndian.AppendUint64([]byte(key.object), uint64(key.part)))
@@ -64,7 +64,7 @@
 	return loads
 }
 
-// referenceEvidence computes the evidence on an endpoint.
+// referenceEvidence returns the evidence on an endpoint from its attempts in flight and its decayed health scores.
 func referenceEvidence(router *Router, now int64, endpoint *endpointState) evidence {
 	responseTime, longest, silence := 0.01, 0., 0.
 	for _, class := range router.classes {
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -65,7 +65,7 @@
 	return router
 }
 
-// sendAll makes a router send as much work as its slow start admits.
+// sendAll makes a router send as much work to the endpoint as the slow start admits at the time now.
 func (s *sharedSlowStart) sendAll(now int64, router *Router) {
 	for endpoint := router.endpoints[startingID]; router.slowStartAdmits(now, endpoint, meanWork); {
 		endpoint.charge(now, meanWork)
@@ -73,7 +73,8 @@
 	}
 }
 
-// check fails the test if the number of attempts of all routers within any window exceeds the ruleLimit at its end.
+// check fails the test if all routers together made more attempts within any window than ruleLimit allows at the end of
+// that window.
 func (s *sharedSlowStart) check(t *testing.T, capacity float64) {
 	t.Helper()
 	slices.SortFunc(s.sent, func(a, b sentWork) int { return int(a.at - b.at) })
@@ -226,7 +227,7 @@
 		router.outliers.watched.add(endpoint) // Tick checks only watched endpoints
 		endpoint.lastResponseAt = start
 		probe, _ := router.Tick(start)
-		if want := n < 4; slices.Contains(probe, 1) != want { // 19.5 probes for 2 incarnations of 2 routers
+		if want := n < 4; slices.Contains(probe, 1) != want { // a limit of 19.5 probes, shared by 2 incarnations of 2 routers
 			t.Fatalf("probe %d sent: %v, want %v", n, !want, want)
 		}
 	}
--- a/control/slowstart_tokens_test.go
+++ b/control/slowstart_tokens_test.go
@@ -45,8 +45,8 @@
 					t.Errorf("%d routers, %d starts, N %.1f: rate %.4f, probability of an overload %.2g a day, want %g to %g",
 						routers, starts, n, rate, chance, overloadProbability/1000, overloadProbability)
 				}
-				// If the routers spend tokens as soon as they get them, a window sees only the tokens of one window.
-				// Then the endpoint may even have less than the assumed capacity.
+				// If the routers spend tokens as soon as they get them, only the tokens of one window are spent within a
+				// window. In that case the endpoint may even have less than the assumed capacity.
 				const windows = 15
 				chance = probabilityAbove(routers, int(ruleLimit(0.6*n)), rate) * float64(starts) * windows
 				if chance > overloadProbability {
@@ -155,7 +155,7 @@
 	}
 }
 
-// While there cannot be a whole token, the token rate is not computed again. This reduces the number of attempts by
+// While a router cannot have collected a whole token yet, it does not compute the token rate again. This reduces the number of attempts by
 // at most 1 in 20, compared with computing the rate for each request.
 func TestPostponingRatesCostsFewAttempts(t *testing.T) {
 	const routers = 350
@@ -184,7 +184,8 @@
 	}
 }
 
-// Work does not wait for the token of heavier work, or for a token of an earlier start of the endpoint.
+// If computing the token rate is postponed for heavy work, this must not delay lighter work, or work after another
+// start of the endpoint.
 func TestPostponedWork(t *testing.T) {
 	budget := slowStartBudget{tokensFor: start, tokens: 0.5}
 	budget.postpone(start, 2*second, 0.1, 1)
--- a/control/snapshot_test.go
+++ b/control/snapshot_test.go
@@ -8,7 +8,7 @@
 )
 
 // A router that restores a snapshot with rates has the rates at the time of the snapshot, although time has passed.
-// Without rates it knows only which objects were requested and purged.
+// From a snapshot without rates it learns only which objects were requested and purged.
 func TestSnapshot(t *testing.T) {
 	settings := mustDecode(RawSettings{
 		"product.names":    []string{"stills"},
--- a/internal/connpool/connections_test.go
+++ b/internal/connpool/connections_test.go
@@ -54,7 +54,7 @@
 	return simulated
 }
 
-// crash ends all connections to a cache.
+// crash ends the connections of all routers to a cache.
 func (s *simulatedRouters) crash(now int64, cache string) {
 	for i, plan := range s.plans {
 		s.open[i] = slices.DeleteFunc(s.open[i], func(connection openConnection) bool {
@@ -67,7 +67,7 @@
 	s.atCache[cache] = 0
 }
 
-// step closes the connections of one router that its plan says are to be closed, and tries to open others.
+// step closes those connections of one router that its plan no longer keeps, and tries to open others.
 func (s *simulatedRouters) step(now int64, router int) {
 	plan, own := s.plans[router], map[string]int{}
 	for _, connection := range s.open[router] {
--- a/internal/connpool/subset.go
+++ b/internal/connpool/subset.go
@@ -7,8 +7,8 @@
 	// subset. The rest is for short-lived connections from other routers.
 	subsetShare = 0.75
 
-	// boundDeviations is by how many standard deviations the limit on the connections to a cache exceeds the mean of
-	// their number, which is random. About one cache in 4,000 exceeds the limit.
+	// The number of connections to a cache is random. Its limit is the mean plus boundDeviations standard deviations,
+	// which about one cache in 4,000 exceeds.
 	boundDeviations = 3.5
 )
 
--- a/internal/router/drawn_test.go
+++ b/internal/router/drawn_test.go
@@ -26,7 +26,7 @@
 // to change effects: any other commit must leave the digests as they are.
 var recordEffects = flag.Bool("record", false, "replace the recorded digests of the effects")
 
-// drawnRequest identifies a request that the reducer has received.
+// drawnRequest identifies a request that the reducer has received, by its client, sequence number and ID.
 type drawnRequest struct {
 	client ClientID
 	seq    int32
@@ -45,7 +45,7 @@
 	rng    *rand.Rand
 	router *Router
 	now    int64
-	timer  int64 // ns; time of the last SetTimer effect
+	timer  int64 // ns; time for which the last SetTimer effect set the timer
 
 	requests    []drawnRequest
 	lastID      int
@@ -63,7 +63,7 @@
 	seen   map[string]int // how often each kind of effect has occurred
 }
 
-// drawnSettings returns random settings and limits for a run.
+// drawnSettings returns random settings of the policy and random limits of the reducer.
 func drawnSettings(rng *rand.Rand) (control.RawSettings, Limits) {
 	oneOf := func(n int) bool { return rng.IntN(n) == 0 }
 	settings := control.RawSettings{
--- a/internal/router/helpers_test.go
+++ b/internal/router/helpers_test.go
@@ -184,7 +184,7 @@
 	}
 }
 
-// advance advances the clock by a duration in ns, and fires the timer whenever it is due.
+// advance moves the clock forward by a duration in ns, and passes the reducer a TimerFired whenever the timer is due.
 func (h *harness) advance(ns int64) {
 	for end := h.now + ns; h.now < end; {
 		h.now = min(end, max(h.timerSetFor, h.now+millisecond))
@@ -215,7 +215,7 @@
 	return RequestReceived{Client: client, Seq: seq, Request: request, DecodeError: err}
 }
 
-// request handles a request of client 1.
+// request passes the reducer a request of client 1, with some of the fields of requestFields changed or added.
 func (h *harness) request(seq int32, change map[string]string) {
 	h.handle(requestEvent(1, seq, requestFields(seq, change), []byte("q")))
 }
@@ -225,7 +225,7 @@
 	h.handle(requestEvent(2, seq, requestFields(seq, change), nil))
 }
 
-// respond handles a response to the attempt that was sent last.
+// respond passes the reducer a response to the attempt that was sent last.
 func (h *harness) respond(response ResponseReceived) {
 	last := h.sends[len(h.sends)-1]
 	response.Connection, response.ID = last.Connection, last.Request.ID
@@ -256,7 +256,7 @@
 	return initialEndpoints[at]
 }
 
-// update handles the change of some entries of the endpoint list.
+// update passes the reducer an incremental update of the endpoint list, with the given entries.
 func (h *harness) update(entries ...EndpointEntry) {
 	h.handle(EndpointListUpdated{Entries: entries})
 }
--- a/internal/router/limits_test.go
+++ b/internal/router/limits_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// stateSize returns the sizes of a reducer's tables, by name.
+// stateSize returns the number of entries in each table of a reducer's state, by the name of the table.
 func stateSize(h *harness) map[string]int {
 	abandoned := 0
 	for _, connection := range h.connections {
@@ -151,8 +151,8 @@
 	}
 }
 
-// churn is one step of TestStateIsBounded: an endpoint starts, another is gone, and a client connects, sends
-// requests and disconnects.
+// churn makes the changes of step n of TestStateIsBounded: an endpoint starts, another is gone, and a client connects,
+// sends requests and disconnects.
 func churn(h *harness, n int) {
 	entry := initialEndpoints[0]
 	entry.Instance, entry.Address = fmt.Sprint("s-", n), fmt.Sprint("10.0.1.", n%7, ":1") // seven addresses
--- a/internal/router/withdraw_test.go
+++ b/internal/router/withdraw_test.go
@@ -103,7 +103,7 @@
 	})
 }
 
-// Without cancellation of attempts at endpoints, attempts that are not written yet are still withdrawn.
+// If the policy cancels no attempts at endpoints, attempts that are not written yet must still be withdrawn.
 func TestUnwrittenAttemptsAreWithdrawnWithoutCancellation(t *testing.T) {
 	for _, c := range []struct {
 		name string
