--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -66,7 +66,7 @@
 				entries = append(entries, entry)
 			}
 			router.UpdateEndpoints(start, entries, true)
-			// The 24 requests are 12 at each of the two caches, which respond to all of them in time.
+			// Of the 24 requests in flight 12 are at each of the two caches, which respond to all of them in time.
 			requested, rejected := runAtConcurrency(router, start, 4*second, 24)
 			if rejected > 0 || requested < 24 {
 				t.Errorf("in the fourth second %d of %d requests rejected, want 0 of at least 24", rejected, requested)
@@ -117,7 +117,7 @@
 	)
 	window := 2 * second
 	for _, routers := range []int{6, 24, 350} {
-		for _, from := range []int64{0, 8 * second} { // ns from the start of the parent to the first requests
+		for _, from := range []int64{0, 8 * second} { // ns from the start of the parent to the routers' first requests
 			var sentAt []int64
 			for n := range routers {
 				settings := testSettings(func(s *Settings) { s.Routers, s.Weights = routers, NoWeights })
--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -6,8 +6,8 @@
 )
 
 // routerOfClasses returns a router with two idempotent classes and an uncacheable one. "harmless" has a mean
-// sending time of 0.4 s, "stamped" has 0.02 s and half the weight, and "once" is uncacheable. Each mean
-// counts as the mean of 100 responses, so that a single response hardly changes it.
+// sending time of 0.4 s, "stamped" has 0.02 s and half the weight, and "once" is uncacheable. Each mean has
+// the influence of 100 earlier responses, so that a single response hardly changes it.
 func routerOfClasses(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
 	router := newRouter(t, func(s *Settings) {
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// check fails the test if all routers together made more attempts within any window than ruleLimit allows at the end of
-// that window.
+// check fails the test if all routers together made more attempts within any window than ruleLimit allows at the end
+// of that window.
 func (s *sharedSlowStart) check(t *testing.T, capacity float64) {
 	t.Helper()
 	slices.SortFunc(s.sent, func(a, b sentWork) int { return int(a.at - b.at) })
@@ -227,7 +227,8 @@
 		router.outliers.watched.add(endpoint) // Tick checks only watched endpoints
 		endpoint.lastResponseAt = start
 		probe, _ := router.Tick(start)
-		if want := n < 4; slices.Contains(probe, 1) != want { // a limit of 19.5 probes, shared by 2 incarnations of 2 routers
+		// The limit of 19.5 probes is shared by 2 incarnations of each of 2 routers, which leaves 4 whole probes each.
+		if want := n < 4; slices.Contains(probe, 1) != want {
 			t.Fatalf("probe %d sent: %v, want %v", n, !want, want)
 		}
 	}
--- a/control/slowstart_tokens_test.go
+++ b/control/slowstart_tokens_test.go
@@ -45,8 +45,8 @@
 					t.Errorf("%d routers, %d starts, N %.1f: rate %.4f, probability of an overload %.2g a day, want %g to %g",
 						routers, starts, n, rate, chance, overloadProbability/1000, overloadProbability)
 				}
-				// If the routers spend tokens as soon as they get them, only the tokens of one window are spent within a
-				// window. In that case the endpoint may even have less than the assumed capacity.
+				// If the routers spend tokens as soon as they get them, only the tokens of one window are spent within
+				// a window. In that case the endpoint may even have less than the assumed capacity.
 				const windows = 15
 				chance = probabilityAbove(routers, int(ruleLimit(0.6*n)), rate) * float64(starts) * windows
 				if chance > overloadProbability {
@@ -155,8 +155,8 @@
 	}
 }
 
-// While a router cannot have collected a whole token yet, it does not compute the token rate again. This reduces the number of attempts by
-// at most 1 in 20, compared with computing the rate for each request.
+// While a router cannot have collected a whole token yet, it does not compute the token rate again. This reduces the
+// number of attempts by at most 1 in 20, compared with computing the rate for each request.
 func TestPostponingRatesCostsFewAttempts(t *testing.T) {
 	const routers = 350
 	for _, n := range []float64{0.3, 4, 17} {
--- a/control/writes_test.go
+++ b/control/writes_test.go
@@ -87,8 +87,8 @@
 
 // roundTrip returns the time in ns that a write takes through a source from a location at hub home. The delays are
 // those of a typical deployment. The one-way delays are 10 ms from the location to its hub, 35 ms from each hub to
-// the next and 15 ms from the first hub to the origin. The origin takes 45 ms to process the write and 30 ms to send the
-// response.
+// the next and 15 ms from the first hub to the origin. The origin takes 45 ms to process the write and 30 ms to send
+// the response.
 func roundTrip(home int, source uint32) int64 {
 	oneWay := 10 + 35*(hops(home, hubOf(source))+hops(hubOf(source), 0)) + 15
 	return int64(2*oneWay+45+30) * millisecond
--- a/internal/router/limits_test.go
+++ b/internal/router/limits_test.go
@@ -56,7 +56,7 @@
 		h.connectNewest()
 	}
 	for id, connection := range h.connections {
-		// A request that causes another dial is still sent on the established connection, hence the 1.
+		// The request that causes another dial is itself still sent on the established connection, hence the 1.
 		if len(connection.inFlight) > dialThreshold+1 {
 			t.Errorf("%d requests in flight on connection %d of %d, want at most %d",
 				len(connection.inFlight), id, len(h.dialled), dialThreshold+1)
