--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-// sendsFill decides on a request and reports whether it is sent and the cache may fill the object on a miss.
+// sendsFill decides on a request and reports whether it is sent to a cache that may fill the object on a miss.
 func sendsFill(router *Router, request *Request) bool {
 	decision := router.Decide(start, request)
 	return decision.Verdict == Send && !decision.Attempt.CacheOnly
--- a/control/reference_test.go
+++ b/control/reference_test.go
@@ -153,7 +153,8 @@
 	return cache, referencePick(router, now, request, sources)
 }
 
-// referencePick calls firstUsable with a complete ranking, as a single batch of candidates.
+// referencePick returns the endpoint that firstUsable selects if it gets the complete ranking as a single batch of
+// candidates.
 func referencePick(router *Router, now int64, request *Request, ranked []*endpointState) *endpointState {
 	complete := &candidates{tier: &tier{endpointList: endpointList{ranked}}, exhausted: true, lastReturned: true}
 	for i := range ranked {
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -145,7 +145,7 @@
 				count[int(router.initialTokens(now, &endpointState{Endpoint: Endpoint{ID: id}})*parts)]++
 			}
 			for part, n := range count {
-				// A third of the mean is about five standard deviations.
+				// The bounds are a third of the mean below and above it, which is about five standard deviations.
 				if mean := draws / parts; n < mean*2/3 || n > mean*4/3 {
 					t.Errorf("interval %d of %d has %d of %d values, want %d to %d",
 						part, parts, n, draws, mean*2/3, mean*4/3)
--- a/control/slowstart_tokens_test.go
+++ b/control/slowstart_tokens_test.go
@@ -103,7 +103,7 @@
 	window := 2 * second
 	for _, test := range []struct {
 		name     string
-		interval int64 // ns between two requests of one router for the endpoint
+		interval int64 // ns; time between two requests that one router has for the endpoint
 		from     int64 // ns from the start of the endpoint to the first request
 		factor   int64 // one router in ten has this many times as many requests as each other router
 	}{
--- a/internal/connpool/connections_test.go
+++ b/internal/connpool/connections_test.go
@@ -67,7 +67,8 @@
 	s.atCache[cache] = 0
 }
 
-// step closes those connections of one router that its plan no longer keeps, and tries to open others.
+// step closes the connections of one router for which ShouldClose of its plan returns true, and then tries to open
+// connections to six random caches.
 func (s *simulatedRouters) step(now int64, router int) {
 	plan, own := s.plans[router], map[string]int{}
 	for _, connection := range s.open[router] {
--- a/internal/connpool/connpool_test.go
+++ b/internal/connpool/connpool_test.go
@@ -50,7 +50,8 @@
 	}
 }
 
-// comparePlan compares a plan with the ranking of all caches by their hash.
+// comparePlan fails the test unless the ranking and the subset of a plan are those of the listed caches in the order
+// of their hashes.
 func comparePlan(t *testing.T, plan *Plan, listed []string) {
 	t.Helper()
 	ranked := slices.Clone(listed)
--- a/internal/router/drawn_events_test.go
+++ b/internal/router/drawn_events_test.go
@@ -17,7 +17,7 @@
 	return list[rng.IntN(len(list))]
 }
 
-// pickNewest returns one of the last eight items of a list at random.
+// pickNewest returns a random one of the last eight items of a list, or the zero value if the list is empty.
 func pickNewest[T any](rng *rand.Rand, list []T) T {
 	return pick(rng, list[max(0, len(list)-8):])
 }
