--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -240,7 +240,7 @@
 		run.now += run.rng.Int64N(20 * second)
 	}
 	if run.rng.IntN(3000) == 0 {
-		run.now += 4000 * second // ns; long enough for all health scores to decay to 0
+		run.now += 4000 * second // long enough for all health scores to decay to 0
 	}
 	router := run.router
 	switch n := run.rng.IntN(100); {
--- a/internal/connpool/subset.go
+++ b/internal/connpool/subset.go
@@ -7,8 +7,8 @@
 	// subset. The rest is for short-lived connections from other routers.
 	subsetShare = 0.75
 
-	// The number of connections to a cache is random. Its limit is the mean plus boundDeviations standard deviations,
-	// which about one cache in 4,000 exceeds.
+	// boundDeviations is the margin of the limit on the connections to a cache, in standard deviations above the mean
+	// number of connections. The number is random: at about one cache in 4,000 it would exceed the limit.
 	boundDeviations = 3.5
 )
 
