--- a/internal/connpool/subset.go
+++ b/internal/connpool/subset.go
@@ -7,8 +7,9 @@
 	// subset. The rest is for short-lived connections from other routers.
 	subsetShare = 0.75
 
-	// boundDeviations is the margin of the limit on the connections to a cache, in standard deviations above the mean
-	// number of connections. The number is random: at about one cache in 4,000 it would exceed the limit.
+	// boundDeviations is the margin between the mean number of open connections to a cache from routers without it in
+	// their subset and the limit on that number, in standard deviations. The number is random, and exceeds the limit
+	// at about one cache in 4,000.
 	boundDeviations = 3.5
 )
 
