--- a/control/classes_test.go
+++ b/control/classes_test.go
@@ -6,8 +6,8 @@
 )
 
 // routerOfClasses returns a router with two idempotent classes and an uncacheable one. "harmless" has a mean
-// sending time of 0.4 s, "stamped" has 0.02 s and half the weight, and "once" is uncacheable. Each mean
-// counts as the mean of 100 responses, so that a single response hardly changes it.
+// sending time of 0.4 s, "stamped" has 0.02 s and half the weight, and "once" is uncacheable. Each mean has
+// the influence of 100 earlier responses, so that a single response hardly changes it.
 func routerOfClasses(t *testing.T, change func(*Settings)) *Router {
 	t.Helper()
 	router := newRouter(t, func(s *Settings) {
@@ -75,7 +75,7 @@
 func TestRareClassReservesOnlyWhatItNeeds(t *testing.T) {
 	for _, test := range []struct {
 		rare float64 // fraction of the offered work that is of the rare class
-		want float64 // minimum of admissionShare for the other class
+		want float64 // smallest admissionShare that the other class must have
 	}{{0.01, 0.95}, {0.5, 0.69}} {
 		router := routerOfClasses(t, func(s *Settings) { setWeights(s, 1, 40, 1) })
 		request := newRequest("harmless", "x")
--- a/control/drawn_test.go
+++ b/control/drawn_test.go
@@ -231,7 +231,7 @@
 	}
 }
 
-// step advances the clock by a random time and passes one random event to the router.
+// step passes one random event to the router, mostly after advancing the clock by less than 50 ms.
 func (run *randomRun) step() {
 	if run.rng.IntN(3) > 0 {
 		run.now += run.rng.Int64N(second / 20)
--- a/control/slowstart_test.go
+++ b/control/slowstart_test.go
@@ -65,7 +65,7 @@
 	return router
 }
 
-// sendAll makes a router send as much work as its slow start admits.
+// sendAll makes a router send as much work to the endpoint as the slow start admits at the time now.
 func (s *sharedSlowStart) sendAll(now int64, router *Router) {
 	for endpoint := router.endpoints[startingID]; router.slowStartAdmits(now, endpoint, meanWork); {
 		endpoint.charge(now, meanWork)
@@ -73,7 +73,8 @@
 	}
 }
 
-// check fails the test if the number of attempts of all routers within any window exceeds the ruleLimit at its end.
+// check fails the test if all routers together made more attempts within any window than ruleLimit allows at the end
+// of that window.
 func (s *sharedSlowStart) check(t *testing.T, capacity float64) {
 	t.Helper()
 	slices.SortFunc(s.sent, func(a, b sentWork) int { return int(a.at - b.at) })
@@ -144,7 +145,7 @@
 				count[int(router.initialTokens(now, &endpointState{Endpoint: Endpoint{ID: id}})*parts)]++
 			}
 			for part, n := range count {
-				// A third of the mean is about five standard deviations.
+				// The bounds are a third of the mean below and above it, which is about five standard deviations.
 				if mean := draws / parts; n < mean*2/3 || n > mean*4/3 {
 					t.Errorf("interval %d of %d has %d of %d values, want %d to %d",
 						part, parts, n, draws, mean*2/3, mean*4/3)
@@ -226,7 +227,8 @@
 		router.outliers.watched.add(endpoint) // Tick checks only watched endpoints
 		endpoint.lastResponseAt = start
 		probe, _ := router.Tick(start)
-		if want := n < 4; slices.Contains(probe, 1) != want { // 19.5 probes for 2 incarnations of 2 routers
+		// The limit of 19.5 probes is shared by 2 incarnations of each of 2 routers, which leaves 4 whole probes each.
+		if want := n < 4; slices.Contains(probe, 1) != want {
 			t.Fatalf("probe %d sent: %v, want %v", n, !want, want)
 		}
 	}
--- a/control/slowstart_tokens_test.go
+++ b/control/slowstart_tokens_test.go
@@ -45,8 +45,8 @@
 					t.Errorf("%d routers, %d starts, N %.1f: rate %.4f, probability of an overload %.2g a day, want %g to %g",
 						routers, starts, n, rate, chance, overloadProbability/1000, overloadProbability)
 				}
-				// If the routers spend tokens as soon as they get them, a window sees only the tokens of one window.
-				// Then the endpoint may even have less than the assumed capacity.
+				// If the routers spend tokens as soon as they get them, only the tokens of one window are spent within
+				// a window. In that case the endpoint may even have less than the assumed capacity.
 				const windows = 15
 				chance = probabilityAbove(routers, int(ruleLimit(0.6*n)), rate) * float64(starts) * windows
 				if chance > overloadProbability {
@@ -103,7 +103,7 @@
 	window := 2 * second
 	for _, test := range []struct {
 		name     string
-		interval int64 // ns between two requests of one router for the endpoint
+		interval int64 // ns; time between two requests that one router has for the endpoint
 		from     int64 // ns from the start of the endpoint to the first request
 		factor   int64 // one router in ten has this many times as many requests as each other router
 	}{
@@ -155,8 +155,8 @@
 	}
 }
 
-// While there cannot be a whole token, the token rate is not computed again. This reduces the number of attempts by
-// at most 1 in 20, compared with computing the rate for each request.
+// While a router cannot have collected a whole token yet, it does not compute the token rate again. This reduces the
+// number of attempts by at most 1 in 20, compared with computing the rate for each request.
 func TestPostponingRatesCostsFewAttempts(t *testing.T) {
 	const routers = 350
 	for _, n := range []float64{0.3, 4, 17} {
@@ -184,7 +184,8 @@
 	}
 }
 
-// Work does not wait for the token of heavier work, or for a token of an earlier start of the endpoint.
+// If computing the token rate is postponed for heavy work, this must not delay lighter work, or work after another
+// start of the endpoint.
 func TestPostponedWork(t *testing.T) {
 	budget := slowStartBudget{tokensFor: start, tokens: 0.5}
 	budget.postpone(start, 2*second, 0.1, 1)
--- a/internal/connpool/subset.go
+++ b/internal/connpool/subset.go
@@ -7,8 +7,9 @@
 	// subset. The rest is for short-lived connections from other routers.
 	subsetShare = 0.75
 
-	// boundDeviations is by how many standard deviations the limit on the connections to a cache exceeds the mean of
-	// their number, which is random. About one cache in 4,000 exceeds the limit.
+	// boundDeviations is the margin between the mean number of open connections to a cache from routers without it in
+	// their subset and the limit on that number, in standard deviations. The number is random, and exceeds the limit
+	// at about one cache in 4,000.
 	boundDeviations = 3.5
 )
 
