--- a/internal/cluster/cluster_test.go
+++ b/internal/cluster/cluster_test.go
@@ -122,7 +122,7 @@
 	return effects
 }
 
-// countHeld returns how many slots' leases a node holds at now.
+// countHeld returns the number of slots whose lease a node holds at the time now.
 func countHeld(node *Node, now int64) int {
 	count := 0
 	for slot := range testSlots {
--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -17,7 +17,7 @@
 	leaseDuration     int64
 	names             []string
 	nodes             map[string]*Node
-	startedAt         map[string]int64            // simulated time, ns, at which its clock read 0
+	startedAt         map[string]int64            // by node: simulated time, ns, at which its clock read 0
 	rate              map[string]float64          // by node: ns that its clock advances in 1 ns of simulated time
 	frozen            map[string]bool             // nodes that are paused: they neither tick nor receive messages
 	cut               func(from, to string) bool  // reports whether a link drops messages; nil: no link does
@@ -25,9 +25,9 @@
 	inTransit         []inFlightMessage
 	wallMS            int64                            // wall clock at simulated time 0, ms since 1970
 	starts            uint64                           // number of node starts; used as incarnations
-	highestBallots    map[int]uint64                   // by slot: ballot of the latest Acquired
+	highestBallots    map[int]uint64                   // by slot: ballot under which it was last acquired; missing: never
 	overlaps          int                              // slots with two or more holders, summed over all steps
-	ballotRegressions int                              // Acquired effects without a higher ballot than before
+	ballotRegressions int                              // Acquired effects whose ballot is not above the slot's last
 	observe           func(name string, effect Effect) // called for each effect of a node; may be nil
 }
 
@@ -146,7 +146,7 @@
 }
 
 // send takes the effects of a node and puts its messages in transit. It counts in ballotRegressions each Acquired
-// whose ballot did not grow.
+// effect whose ballot is not above that of the slot's previous one.
 func (cluster *testCluster) send(name string) {
 	for _, effect := range cluster.nodes[name].TakeEffects() {
 		if cluster.observe != nil {
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -24,7 +24,7 @@
 	maxInTransit   = 5 // largest number of messages in transit; beyond it the oldest are lost
 )
 
-// explore returns one of these texts as its finding.
+// explore returns one of these texts as its finding, or another text if node a does not hold the slot at the start.
 const (
 	foundNothing     = ""
 	foundTwoHolders  = "two holders of the slot at one instant"
@@ -33,7 +33,7 @@
 
 var exploreNames = [3]string{"a", "b", "c"}
 
-// plantedFault selects faults that are planted in the nodes to verify that the exploration finds them.
+// plantedFault selects deliberate faults of the nodes, which the exploration must find. Zero selects none.
 type plantedFault struct {
 	skipSilence   bool // a voter grants leases at once after a start, without waiting for RestartSilence
 	forgetBallots bool // nodes forget all ballots they have seen, and the wall clock stays at 0
@@ -47,10 +47,10 @@
 	fault         plantedFault
 	nodes         [3]*Node
 	startedAt     [3]int64 // simulated time of each node's latest start, at which its clock read 0, ns
-	setBack       [3]int64 // how far each node's clock was set back since its latest start, ns
+	setBack       [3]int64 // time by which each node's clock was set back since its latest start, ns
 	now           int64
 	inTransit     []inFlightMessage
-	highestBallot uint64 // highest ballot under which any node acquired the slot
+	highestBallot uint64 // highest ballot under which any node acquired the slot; 0: none did yet
 	starts        uint64
 
 	// How many crashes, duplicated messages and events of any kind may still follow.
@@ -155,7 +155,7 @@
 	return state.collect(i)
 }
 
-// tick calls Tick on node i; the result is that of collect. The exploration may tick a node late, as a slow node does.
+// tick calls Tick on node i and returns the result of collect. The exploration may tick a node late, as a slow node does.
 func (state *exploreState) tick(i int) (staleBallot bool) {
 	wallMS := state.now/exploreRenewal + 1
 	if state.fault.forgetBallots {
--- a/internal/cluster/lease/status_test.go
+++ b/internal/cluster/lease/status_test.go
@@ -6,8 +6,8 @@
 	"tealpath/internal/cluster/paxos"
 )
 
-// reasons returns the number of slots under each holder's name and, for slots without a known holder, under each
-// reason.
+// reasons counts the slots of a node's status by holder and, where no holder is known, by the reason that the status
+// gives.
 func reasons(node *Node, now int64) map[string]int {
 	count := map[string]int{}
 	for _, status := range node.Slots(now) {
--- a/internal/cluster/membership/cluster_test.go
+++ b/internal/cluster/membership/cluster_test.go
@@ -27,10 +27,10 @@
 	now         int64
 	names       []string
 	tables      map[string]*Table
-	faults      map[string]plantedFault // by instance: value of fault when it was last started; zero: no fault
+	faults      map[string]plantedFault // by instance: fault planted at its latest start; zero: no fault
 	down        map[string]bool
 	pausedUntil map[string]int64
-	cut         func(from, to string) bool // reports whether messages between two instances are lost
+	cut         func(from, to string) bool // reports whether messages from one instance to another are lost
 	loss        float64                    // probability that a message is lost
 	rng         *rand.Rand
 	inTransit   []message
--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -24,7 +24,7 @@
 	unheardOnRings   = forgetAfter / 3 // contacts not yet heard from stay on the rings for this long
 	reconnectEvery   = 4               // time between two attempts to reach a member without a link
 	maxChanging      = 8               // the view is published after this long even if members keep changing state
-	flapWindow       = 120             // a member that is marked as dead twice within this time is flapping
+	flapWindow       = 120             // a member that is marked as dead twice within so many intervals is flapping
 	maxHoldOut       = 60              // longest time that a flapping member must be alive before it is in the view
 	syncAfter        = 2               // digests must differ for this long before bucket digests are sent
 	syncEvery        = 2 * syncAfter
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -43,8 +43,8 @@
 	return queue.sendAt
 }
 
-// isNewRumour reports whether no rumour that the member's present version is dead has been passed on yet, and records
-// that one is passed on now.
+// isNewRumour reports whether a rumour that the member is dead is the first one passed on for the member's present
+// version. It records that this rumour is passed on.
 func (queue *gossipQueue) isNewRumour(member *record) bool {
 	if queue.rumours[member.Name] == member.Version+1 {
 		return false
--- a/internal/cluster/membership/rings_test.go
+++ b/internal/cluster/membership/rings_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// checkNeighbours fails the test if a name has too few or too many neighbours, or one that does not have it as a
-// neighbour.
+// checkNeighbours fails the test if a name has too few or too many neighbours, or a neighbour that does not list it
+// among its own neighbours.
 func checkNeighbours(t *testing.T, names []string, neighbours map[string][]string) {
 	t.Helper()
 	for _, name := range names {
@@ -71,8 +71,8 @@
 	}
 }
 
-// countApart removes about a third of the names at random. It returns how many of the others cannot be reached from
-// the first of them over neighbours.
+// countApart removes about a third of the names at random. It returns how many of the remaining names cannot be
+// reached from the first remaining one by going from neighbour to neighbour.
 func countApart(names []string, neighbours map[string][]string, rng *rand.Rand) int {
 	there := map[string]bool{}
 	for _, name := range names {
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// checkStopped fails the test if one of these released slots is not in stopped, the slots in which the work was
-// stopped before.
+// checkStopped fails the test if items, which are released, contain a slot that is not in stopped. stopped has the
+// slots whose work had ended before the release.
 func checkStopped(t *testing.T, items []lease.SlotBallot, stopped map[int]bool) {
 	t.Helper()
 	for _, item := range items {
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -23,7 +23,7 @@
 
 const waitTimeout = 5 * time.Second
 
-// instance is the links of one instance, with the messages that it received and the events that it logged.
+// instance holds the Links of one instance, the messages that it received and the events that it logged.
 type instance struct {
 	*Links
 	address string
@@ -46,7 +46,7 @@
 	return count
 }
 
-// countLogged returns for how many logged events holds returns true.
+// countLogged returns the number of logged events for which the function holds returns true.
 func (instance *instance) countLogged(holds func(logevent.Event) bool) int {
 	instance.mu.Lock()
 	defer instance.mu.Unlock()
@@ -79,7 +79,7 @@
 	instance.mu.Unlock()
 }
 
-// mustClose closes a connection or listener. If that fails, it marks the test as failed, but the test continues.
+// mustClose closes a connection or listener. If that fails, the test fails but continues.
 func mustClose(t *testing.T, conn closer) {
 	t.Helper()
 	if err := conn.Close(); err != nil {
@@ -278,7 +278,7 @@
 					return &test.pair, nil
 				},
 			})
-			_, _ = client.Write(test.bytes) // the write may fail, because the peer may be refused before it ends
+			_, _ = client.Write(test.bytes) // the write fails if b refuses the connection before it ends
 			if test.name == "half a frame" {
 				mustClose(t, client)
 			}
--- a/internal/cluster/sharedconfig/cluster_test.go
+++ b/internal/cluster/sharedconfig/cluster_test.go
@@ -17,11 +17,11 @@
 	hour          = 3600 * second
 )
 
-// plantedFault selects faults that are planted in the nodes' inputs or state to verify that the tests find them.
+// plantedFault selects deliberate faults of the nodes' inputs or state, which the tests must find. Zero selects none.
 type plantedFault struct {
 	clockSetBack   bool // after ten seconds the clock of the last instance is set back by an hour
 	activeAtAccept bool // a voter treats a version as committed as soon as it has accepted it
-	// Version numbers depend on neither the wall clock nor the incarnation, so that they are used again.
+	// Version numbers depend on neither the wall clock nor the incarnation, so that a restarted node may use one again.
 	reuseNumbers bool
 }
 
@@ -44,17 +44,17 @@
 	rate          float64 // ns that its clock advances in 1 ns of simulated time
 	startedAt     int64   // simulated time of its latest start, ns
 	down          bool    // stopped: it neither ticks nor receives, and messages to it are lost
-	frozenUntil   int64   // paused until then: it neither ticks nor receives, and messages to it wait
+	frozenUntil   int64   // simulated time, ns, until which it is paused: it does not tick, and messages to it wait
 	side          int     // side of a network partition: messages between different sides are lost
 	dropsIncoming bool
-	setBack       int64 // how far its clock was set back since its latest start, ns
+	setBack       int64 // time by which its clock was set back since its latest start, ns
 }
 
 // inFlightMessage is a message that has not been delivered yet. It is lost if its sender restarts before that.
 type inFlightMessage struct {
 	at          int64 // earliest simulated time of delivery, ns
 	from, to    *testInstance
-	fromStarted int64 // startedAt of from at the time of sending
+	fromStarted int64 // value of from.startedAt when the message was sent
 	message     Message
 }
 
@@ -72,15 +72,15 @@
 	violation string // the latest violation that check found; empty: none
 	// Longest time, ns, for which an earlier version was still active after a later one was first active.
 	maxOverlap int64
-	firstAt    map[uint64]int64  // by version number: simulated time at which it was first active
+	firstAt    map[uint64]int64  // by version number: simulated time, ns, at which it was first active
 	contents   map[uint64]string // by version number: content with which it was last active
 	proposed   map[uint64][]byte // by version number: proposed content; used by plantActiveAtAccept
 	ended      []ProposalEnded
 	observe    func(name string, effect Effect) // called for each effect of an instance; may be nil
 }
 
-// newCluster starts count instances, each with a random clock rate within the drift. The given number of them, the
-// first ones, are voters.
+// newCluster starts count instances, each with a random clock rate within the maximum drift. The first instances, as
+// many as voters says, are voters.
 func newCluster(seed uint64, count, voters int, fault plantedFault) *testCluster {
 	cluster := &testCluster{
 		rng: rand.New(rand.NewPCG(seed, uint64(count))), fault: fault,
@@ -210,7 +210,7 @@
 		case inFlight.at > cluster.now || to.frozenUntil > cluster.now:
 			later = append(later, inFlight)
 		case to.down || to.dropsIncoming || to.side != inFlight.from.side ||
-			inFlight.from.startedAt != inFlight.fromStarted: // message lost
+			inFlight.from.startedAt != inFlight.fromStarted: // the message is lost
 		default:
 			to.node.Receive(cluster.clock(to), inFlight.from.name, inFlight.message)
 			cluster.send(to)
--- a/internal/cluster/timing/timing_test.go
+++ b/internal/cluster/timing/timing_test.go
@@ -24,8 +24,8 @@
 func TestHolderStopsBeforeAnyVotersLeaseEnds(t *testing.T) {
 	const lease = int64(1_500_000_000)
 	for _, drift := range []float64{0, 0.001, 0.01, 0.1} {
-		held := float64(HoldDuration(lease, drift)) / (1 - drift) // real time, ns, on the slowest holder clock
-		granted := float64(lease) / (1 + drift)                   // real time, ns, on the fastest voter clock
+		held := float64(HoldDuration(lease, drift)) / (1 - drift) // longest real time, ns, for which a holder acts
+		granted := float64(lease) / (1 + drift)                   // shortest real time, ns, of a voter's lease
 		if held > granted+1 {
 			t.Errorf("drift %v: held for %.0f ns, want at most the %.0f ns it is granted for", drift, held, granted)
 		}
--- a/internal/compatibility/migration_test.go
+++ b/internal/compatibility/migration_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// checkSteps fails the test if a step has a conflict with the previous one that is not allowed there, or invalid
-// voters.
+// checkSteps fails the test if a step has invalid voters, or a conflict with the previous step that is not allowed at
+// its place in the path.
 func checkSteps(t *testing.T, from Settings, steps []Settings) {
 	t.Helper()
 	current := from
