--- a/internal/cluster/lease/cluster_test.go
+++ b/internal/cluster/lease/cluster_test.go
@@ -25,7 +25,7 @@
 	inTransit         []inFlightMessage
 	wallMS            int64                            // wall clock at simulated time 0, ms since 1970
 	starts            uint64                           // number of node starts; used as incarnations
-	highestBallots    map[int]uint64                   // by slot: ballot under which it was last acquired; missing: never
+	highestBallots    map[int]uint64                   // by slot: ballot when last acquired; missing: never
 	overlaps          int                              // slots with two or more holders, summed over all steps
 	ballotRegressions int                              // Acquired effects whose ballot is not above the slot's last
 	observe           func(name string, effect Effect) // called for each effect of a node; may be nil
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -135,7 +135,7 @@
 		}
 	}
 	if len(state.inTransit) > maxInTransit {
-		// Drop the oldest messages. If a later message equals a dropped one, it is enough to deliver the later one.
+		// Drop the oldest messages. If one of them has an equal among the later ones, delivering that one is enough.
 		state.inTransit = slices.Clone(state.inTransit[len(state.inTransit)-maxInTransit:])
 	}
 	return staleBallot
@@ -155,7 +155,8 @@
 	return state.collect(i)
 }
 
-// tick calls Tick on node i and returns the result of collect. The exploration may tick a node late, as a slow node does.
+// tick calls Tick on node i and returns the result of collect. The exploration may tick a node late, as happens on a
+// slow machine.
 func (state *exploreState) tick(i int) (staleBallot bool) {
 	wallMS := state.now/exploreRenewal + 1
 	if state.fault.forgetBallots {
--- a/internal/cluster/membership/explore_test.go
+++ b/internal/cluster/membership/explore_test.go
@@ -58,8 +58,8 @@
 	issued map[string]map[uint64]uint64 // by name and incarnation: highest version in the instance's own entry
 }
 
-// check returns an error if an instance has lowered its own version, or if another knows a version that the instance
-// has not published. It returns "" if there is none.
+// check returns an error text if an instance has lowered its own version, or if another knows a version that the
+// instance has not published. It returns "" if there is no error.
 func (scenario *scenario) check() string {
 	for _, name := range scenario.names {
 		self := scenario.tables[name].Self()
--- a/internal/cluster/membership/record_test.go
+++ b/internal/cluster/membership/record_test.go
@@ -12,8 +12,8 @@
 // recordedDigest is the SHA-256 of the lines that TestRecordedSequence records, in order.
 const recordedDigest = "7d324924ea1aaccf715d82e5d0f51e3517ac35dc5b98ec2b3ad397e042032ec5"
 
-// TestRecordedSequence simulates 16 members for 300 s with random faults. Each encoded message, each change and the
-// times at which tables are next due go into one digest, so that the test detects a refactoring that changes any of
+// TestRecordedSequence simulates 16 members for 300 s with random faults. Each encoded message, each change and each
+// time at which a table is next due goes into one digest, so that the test detects a refactoring that changes any of
 // them or their order.
 func TestRecordedSequence(t *testing.T) {
 	const members, seconds = 16, 300
--- a/internal/cluster/message_test.go
+++ b/internal/cluster/message_test.go
@@ -16,7 +16,8 @@
 
 var update = flag.Bool("update", false, "overwrite the golden files with the actual results")
 
-// golden fails the test if got differs from the named file in testdata.
+// golden fails the test if got differs from the named file in testdata. With the flag update it first writes got to
+// that file.
 func golden(t *testing.T, name, got string) {
 	t.Helper()
 	path := "testdata/" + name
--- a/internal/cluster/peer/links_test.go
+++ b/internal/cluster/peer/links_test.go
@@ -278,7 +278,7 @@
 					return &test.pair, nil
 				},
 			})
-			_, _ = client.Write(test.bytes) // the write fails if b refuses the connection before it ends
+			_, _ = client.Write(test.bytes) // the write may fail, because b may refuse the connection first
 			if test.name == "half a frame" {
 				mustClose(t, client)
 			}
--- a/internal/cluster/probe/prober_test.go
+++ b/internal/cluster/probe/prober_test.go
@@ -157,7 +157,7 @@
 		rate := 1 + 0.01*(2*rng.Float64()-1)
 		clock := func(at int64) int64 { return int64(float64(at) * rate) }
 		prober := New(config)
-		// The target is warm from the same simulated time on for all holders, although their clocks then read differently.
+		// The target is warm from the same simulated time on for all holders, although their clocks read differently.
 		target.WarmAt = clock(17000 * ms)
 		prober.SetTargets(clock(now), []Target{target})
 		prober.SlotAcquired(clock(now), lease.SlotOf(target.Name, config.Slots))
