--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -135,7 +135,7 @@
 		}
 	}
 	if len(state.inTransit) > maxInTransit {
-		// Drop the oldest messages. If one of them has an equal among the later ones, delivering that one is enough.
+		// Drop the oldest messages. If one of them equals a later message, delivering the later one is enough.
 		state.inTransit = slices.Clone(state.inTransit[len(state.inTransit)-maxInTransit:])
 	}
 	return staleBallot
--- a/internal/cluster/sharedconfig/cluster_test.go
+++ b/internal/cluster/sharedconfig/cluster_test.go
@@ -180,7 +180,8 @@
 	node.voter.current, node.voter.next = accepted, accepted
 }
 
-// step advances the simulated time by 10 ms, delivers messages, ticks the running instances that are due, and calls check.
+// step advances the simulated time by 10 ms, delivers messages, ticks the running instances that are due, and calls
+// check.
 func (cluster *testCluster) step() {
 	cluster.now += 10 * ms
 	if last := cluster.instances[len(cluster.instances)-1]; cluster.fault.clockSetBack && cluster.now == 10*second {
--- a/internal/compatibility/conservative_test.go
+++ b/internal/compatibility/conservative_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// randomSettings returns exampleSettings with random values in the settings in which a difference is no
-// exclusive conflict. With a probability of 1/8 it also changes the number of slots, which is an exclusive conflict.
+// randomSettings returns exampleSettings with random values in the settings in which a difference is no exclusive
+// conflict. With a probability of 1/8 it also changes the number of slots, which is an exclusive conflict.
 func randomSettings(rng *rand.Rand) Settings {
 	settings := exampleSettings()
 	settings.Routers = 1 + rng.IntN(300)
