--- a/internal/cluster/membership/heartbeat.go
+++ b/internal/cluster/membership/heartbeat.go
@@ -89,9 +89,9 @@
 	return table.compareDigest(now, member, gossip.Digest)
 }
 
-// compareDigest compares a member's digest with this instance's. At the member's first heartbeat, and again once the
-// digests have differed for syncAfter intervals, it returns a message with bucket digests. The message asks the member
-// for the entries that differ.
+// compareDigest compares a member's digest with this instance's. If they differ, it returns a message with bucket
+// digests, which asks the member for the differing entries, in two cases: at the member's first heartbeat, and when the
+// digests have differed for syncAfter intervals. The second case occurs at most once in syncEvery intervals.
 func (table *Table) compareDigest(now int64, member *record, theirs uint64) []Send {
 	link := member.link
 	own, buckets := table.digests.of(table)
