--- a/internal/cluster/membership/heartbeat.go
+++ b/internal/cluster/membership/heartbeat.go
@@ -90,7 +90,7 @@
 }
 
 // compareDigest compares a member's digest with this instance's. If they differ, it returns a message with bucket
-// digests, which asks the member for the differing entries, in two cases: at the member's first heartbeat, and when the
+// digests, which asks the member for the differing entries, in two cases: at its first heartbeat, and when the
 // digests have differed for syncAfter intervals. The second case occurs at most once in syncEvery intervals.
 func (table *Table) compareDigest(now int64, member *record, theirs uint64) []Send {
 	link := member.link
