--- a/internal/cluster/sharedconfig/cluster_test.go
+++ b/internal/cluster/sharedconfig/cluster_test.go
@@ -21,7 +21,7 @@
 type plantedFault struct {
 	clockSetBack   bool // after ten seconds the clock of the last instance is set back by an hour
 	activeAtAccept bool // a voter treats a version as committed as soon as it has accepted it
-	// Version numbers depend on neither the wall clock nor the incarnation, so that a restarted node may use one again.
+	// Version numbers depend on neither the wall clock nor the incarnation, so a restarted node may use one again.
 	reuseNumbers bool
 }
 
