--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Now begins at the wall clock's time and then follows the monotonic clock, not the wall clock.
+// Now starts at the wall clock's time at which the clock was created. From then on it follows the monotonic clock, so
+// that setting the wall clock does not move it.
 func TestSystem(t *testing.T) {
 	begin := time.Now()
 	c := newSystem(begin)
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -97,8 +97,8 @@
 	logged chan logevent.Event // log events; never closed; further events are dropped while it is full
 }
 
-// newTestWatcher returns a watcher that has not been started. If schedule is nil, it uses the schedule of a single
-// router.
+// newTestWatcher returns a watcher that has not been started. If schedule is nil, the watcher uses a call schedule for
+// a single router.
 func newTestWatcher(address string, history History, schedule *startup.CallSchedule) *testWatcher {
 	if schedule == nil {
 		schedule = startup.NewCallSchedule(1, 1, startup.ReadinessHold{})
--- a/internal/downstream/accept_test.go
+++ b/internal/downstream/accept_test.go
@@ -99,7 +99,7 @@
 		for _, seq := range []byte{5, 6} {
 			expectResponse(t, conn, rejectionOf(seq))
 		}
-		if n := server.OpenConnections(); n < 3 { // listener, kept connection and this one
+		if n := server.OpenConnections(); n < 3 { // the listener, the kept connection and this one count
 			t.Errorf("OpenConnections() = %d while a connection is being rejected, want at least 3", n)
 		}
 		checkHalfClosed(t, conn)
--- a/internal/downstream/arrival_test.go
+++ b/internal/downstream/arrival_test.go
@@ -135,7 +135,7 @@
 }
 
 // A request that arrives on a connection without unread data must not be reported as having waited since the last
-// request, which would take away time that it has.
+// request. It would get an earlier deadline than its client has.
 func TestArrivalTimeAfterQuietTime(t *testing.T) {
 	for _, test := range []struct {
 		size         int
@@ -144,8 +144,8 @@
 		{10, early, unreadFor},
 		{5000, early, unreadFor},
 		// The request takes several segments, so the server cannot use the kernel's time of a single segment. If
-		// the process was paused, it reports the last heartbeat before the pause. A busy core causes short
-		// pauses.
+		// the process was paused, the server reports the time of the last heartbeat before the pause. A busy core
+		// causes short pauses, so the reported time may be earlier by up to unreadFor.
 		{200_000, unreadFor, 2 * unreadFor},
 	} {
 		t.Run(fmt.Sprint(test.size, " bytes"), func(t *testing.T) {
--- a/internal/downstream/eviction_test.go
+++ b/internal/downstream/eviction_test.go
@@ -80,8 +80,8 @@
 	expectResponse(t, third, "whole")
 }
 
-// A connection lingers after its last response, which its client has read. It must not keep its slot from a new
-// connection: it is closed at once.
+// A connection lingers after its last response, which its client has read. If a new connection needs its slot, the
+// lingering connection must be closed at once.
 func TestLingeringConnectionIsEvicted(t *testing.T) {
 	server, _ := startServer(t, configWithIdleTimeout(10, time.Hour))
 	conn := dial(t, server)
--- a/internal/downstream/faultyconn_linux_test.go
+++ b/internal/downstream/faultyconn_linux_test.go
@@ -44,12 +44,12 @@
 	read, write func() error
 }
 
-// SyscallConn implements syscall.Conn.
+// SyscallConn gives access to the descriptor of the TCP connection. Its use bypasses the functions read and write.
 func (c faultyConn) SyscallConn() (syscall.RawConn, error) {
 	return c.Conn.(*net.TCPConn).SyscallConn()
 }
 
-// CloseWrite closes the sending side of the connection and never fails on purpose.
+// CloseWrite closes the sending side of the connection. No error is injected into it.
 func (c faultyConn) CloseWrite() error { return c.Conn.(*net.TCPConn).CloseWrite() }
 
 // Read implements net.Conn. It fails without reading if c.read returns an error.
@@ -79,7 +79,7 @@
 	return server, events
 }
 
-// noError stands for a call that never fails.
+// noError always returns nil. It is passed to startFaultyServer for the calls that must not fail.
 func noError() error { return nil }
 
 // Connections that cannot be accepted wait in the backlog with their requests, which are answered once
--- a/internal/downstream/filter_linux_test.go
+++ b/internal/downstream/filter_linux_test.go
@@ -130,7 +130,8 @@
 	}
 }
 
-// Idle connections are served whether or not they can be suspended. If they cannot, one event is logged.
+// Idle connections are served whether or not they can be suspended. If they cannot, exactly one
+// SuspendDisabled is logged.
 func TestUnderSystemCallFilter(t *testing.T) {
 	name := os.Getenv(filterEnv)
 	if name == "" {
--- a/internal/downstream/helpers_test.go
+++ b/internal/downstream/helpers_test.go
@@ -102,7 +102,7 @@
 	released chan struct{}
 }
 
-// Accept implements net.Listener.
+// Accept waits until released is closed, and then accepts a connection.
 func (l gatedListener) Accept() (net.Conn, error) {
 	<-l.released
 	return l.TCPListener.Accept()
--- a/internal/downstream/idle/pacer_test.go
+++ b/internal/downstream/idle/pacer_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// takenPerSecond counts how often wait returns 0 within a second if it is called again after each time that it
-// returns.
+// takenPerSecond returns how often wait returns 0 in one second of simulated time. Any other result of wait is the
+// time in ns after which it is called again; after a 0 it is called again at once.
 func takenPerSecond(wait func(now int64, saturated bool) int64, saturated bool) (taken float64) {
 	for now := int64(0); now < second; {
 		next := wait(now, saturated)
--- a/internal/downstream/idle/table_test.go
+++ b/internal/downstream/idle/table_test.go
@@ -90,7 +90,8 @@
 	}
 }
 
-// model holds the connections that a Table should hold, by ID. The test applies each change to both.
+// model holds the connections that a Table should hold, by ID. The test applies each change to the table and to its
+// model.
 type model map[ID]modelConnection
 
 type modelConnection struct {
--- a/internal/downstream/poller/helpers_test.go
+++ b/internal/downstream/poller/helpers_test.go
@@ -100,7 +100,7 @@
 	return poller
 }
 
-// mustSuspend suspends a connection and fails the test if that fails.
+// mustSuspend suspends a connection under key and returns its descriptor. It fails the test on an error.
 func mustSuspend(t testing.TB, poller *Poller, conn net.Conn, key uint64) (fd int) {
 	t.Helper()
 	fd, err := poller.Suspend(conn, key)
@@ -110,7 +110,7 @@
 	return fd
 }
 
-// mustResume resumes a suspended connection and fails the test if that fails.
+// mustResume returns the resumed connection of a suspended descriptor. It fails the test on an error.
 func mustResume(t testing.TB, poller *Poller, fd int) net.Conn {
 	t.Helper()
 	conn, err := poller.Resume(fd)
@@ -138,7 +138,7 @@
 	pollable  int
 }
 
-// fail returns errno and counts one failure down, or returns nil if no failure remains.
+// fail decrements remaining and returns errno, or returns nil if remaining is 0.
 func (f *faultyCalls) fail(remaining *int) error {
 	if *remaining <= 0 {
 		return nil
--- a/internal/downstream/poller/poller_test.go
+++ b/internal/downstream/poller/poller_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestSuspendWaitAndResume(t *testing.T) {
-	const key = 1<<63 | 7 // sets bits in both fields of an epoll event that hold the key
+	const key = 1<<63 | 7 // has bits set in both of the epoll event's fields that hold the key
 	for _, tc := range []struct {
 		name       string
 		sentBefore bool // the client sends data before rather than after the connection is suspended
--- a/internal/downstream/request_test.go
+++ b/internal/downstream/request_test.go
@@ -119,7 +119,7 @@
 }{
 	{"closes its side", closeWrite, []string{"ClientHalfClosed"}, false},
 	{
-		// If a response is unread or still arrives, the close results in a reset.
+		// If a response is unread or still arrives, the close results in a reset, so either event may be posted.
 		"closes", func(_ *testing.T, conn net.Conn) { neterr.Close(conn) },
 		[]string{"ClientHalfClosed", "ClientDisconnected"},
 		false,
@@ -145,7 +145,7 @@
 	one := calls(1)
 	for _, before := range []struct {
 		name, in string
-		unparsed bool // the server parses no messages that are sent after in
+		unparsed bool // the server parses no messages that are sent after those of the field in
 		noMemory bool // the memory for large requests is used up while in is sent
 		inFlight int
 	}{
--- a/internal/downstream/shutdown_test.go
+++ b/internal/downstream/shutdown_test.go
@@ -13,8 +13,8 @@
 	"tealpath/internal/testkit"
 )
 
-// A server with a partly received request is not flushed, so that a process that shuts down does not abandon
-// the request.
+// Flushed must return false while a request is partly received. Otherwise a process that shuts down would abandon the
+// request.
 func TestNotFlushedWithPartialRequest(t *testing.T) {
 	server, events := startServer(t, smallConfig)
 	conn, request := dial(t, server), emptyCall(5)
--- a/internal/downstream/systemcalls_linux_test.go
+++ b/internal/downstream/systemcalls_linux_test.go
@@ -19,8 +19,9 @@
 )
 
 // documentedErrors are the errors that Linux documents for the system calls on suspended connections, except
-// those that prove the end of a connection. "connect" makes net.FileConn fail. With "poller" the runtime's
-// poller cannot wait for the file either. "all" makes all system calls of SystemCalls fail.
+// those that prove the end of a connection. Three keys are not plain call names: "connect" makes net.FileConn
+// fail, "poller" also makes the Go runtime's poller unable to wait for the file, and "all" makes all system calls
+// of SystemCalls fail.
 var documentedErrors = map[string][]unix.Errno{
 	"fcntl":      {unix.EMFILE, unix.EINVAL},
 	"epoll_ctl":  {unix.ENOMEM, unix.ENOSPC},
@@ -80,8 +81,8 @@
 	return &calls
 }
 
-// faultWindow decides which system calls fail: the next calls, as many as the number calls says, and all of them until
-// a given time.
+// faultWindow decides which system calls fail: the next ones, whose number is the field calls, and all that are made
+// before the time in the field until.
 type faultWindow struct {
 	calls atomic.Int64 // number of further calls that fail
 	until atomic.Int64 // Unix time until which all calls fail, ns; 0: none fail because of the time
--- a/internal/protocol/sse/sse_test.go
+++ b/internal/protocol/sse/sse_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// The limit of a line's size must not exclude complete endpoint lists, each of which is one line: 3,200 endpoints with
+// The maximum size of a line must not exclude complete endpoint lists, each of which is one line: 3,200 endpoints with
 // long names, or 10,000 with names of the usual length.
 func TestLongLists(t *testing.T) {
 	for _, test := range []struct {
--- a/internal/upstream/connection_test.go
+++ b/internal/upstream/connection_test.go
@@ -28,7 +28,7 @@
 	hugeResponse      = "*4\r\n$16\r\n00000000000000aa\r\n$6\r\nserved\r\n$1\r\n-\r\n$3221225472\r\n"
 )
 
-// connectionTest sends a request to an endpoint that behaves as serve says, and checks the events that follow.
+// connectionTest is a test case that sends a request to an endpoint and compares the posted events with want.
 type connectionTest struct {
 	name string
 	// serve is called in the endpoint once the request has arrived; nil: the endpoint refuses the connection.
@@ -114,7 +114,7 @@
 }
 
 // run sends a request as soon as the connection is up, and compares the text of the events with want. In that text,
-// "response" is followed by the number of its Result, and "down" by the IDs of the unsent requests.
+// "response" is followed by the numeric value of its Result, and "down" by the IDs of the unsent requests.
 func (c connectionTest) run(t *testing.T) {
 	address := c.listen(t)
 	begun := time.Now()
@@ -241,7 +241,7 @@
 	written       chan struct{}
 }
 
-// Read implements io.Reader.
+// Read fails with c.fault as long as c.reads is positive, each time after a write has completed.
 func (c *faultyConn) Read(p []byte) (int, error) {
 	if c.reads.Add(-1) >= 0 {
 		<-c.written
@@ -258,12 +258,12 @@
 	return syscall.Write(fd, p[:(len(p)+1)/2])
 }
 
-// SyscallConn implements syscall.Conn.
+// SyscallConn gives access to the descriptor of the wrapped connection.
 func (c *faultyConn) SyscallConn() (syscall.RawConn, error) {
 	return c.Conn.(syscall.Conn).SyscallConn()
 }
 
-// Write implements io.Writer.
+// Write sends only half of p and fails with c.fault as long as c.writes is positive.
 func (c *faultyConn) Write(p []byte) (int, error) {
 	if c.writes.Add(-1) >= 0 { // writes half of p, then fails
 		n, err := c.Conn.Write(p[:len(p)/2])
--- a/internal/upstream/decode_test.go
+++ b/internal/upstream/decode_test.go
@@ -11,7 +11,7 @@
 	"tealpath/internal/router"
 )
 
-// wordsOf returns the strings of a response that text lists, separated by |.
+// wordsOf splits text at each | and returns the parts, which are the strings of a response.
 func wordsOf(text string) (words [][]byte) {
 	for word := range strings.SplitSeq(text, "|") {
 		words = append(words, []byte(word))
@@ -19,7 +19,8 @@
 	return words
 }
 
-// versionFields are fields of responses in decodeResponseTests, and issued is the issue time in them, in ns.
+// versionFields are fields of responses in decodeResponseTests. issued is the issue time in these fields, converted
+// from ms to ns.
 const (
 	versionFields = "entity=4be0c1927d55a6f3,issued=1764576000123"
 	issued        = int64(1764576000123e6)
--- a/internal/upstream/localerrors_test.go
+++ b/internal/upstream/localerrors_test.go
@@ -20,7 +20,7 @@
 	pool   *testPool
 	dials  atomic.Int64
 	mu     sync.Mutex
-	counts map[router.ResponseKind]int // guarded by mu
+	counts map[router.ResponseKind]int // number of responses of each kind; guarded by mu
 	events []logevent.Event            // guarded by mu; log events of the reducer
 }
 
@@ -111,8 +111,8 @@
 	}
 }
 
-// request hands the reducer a request with the sequence number seq and the time limit. Each number stands for another
-// object, so that the requests are spread over all caches.
+// request hands the reducer a request with the given sequence number and time limit. Each sequence number requests a
+// different object, so that the requests are spread over all caches.
 func (r *testRouter) request(seq int32, limit time.Duration) {
 	request, err := router.DecodeRequest(map[string]string{
 		"verb":  "stills",
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -109,13 +109,13 @@
 }
 
 const (
-	fillers     = 48       // number of requests that fill the buffers up to a cache that reads nothing
+	fillers     = 48       // number of requests sent to fill the buffers between the pool and the cache
 	fillerBytes = 200_000  // size of the body of each of these requests, bytes
 	smallBuffer = 16 << 10 // size of the receive buffer of the cache's socket, bytes
 )
 
-// fullConnection is a connection to a cache that reads nothing until readUpTo is called, with so many requests that
-// the buffers in between are full.
+// fullConnection is a connection to a cache that reads nothing until readUpTo is called. Enough requests have been
+// sent on it to fill the buffers between the pool and the cache.
 type fullConnection struct {
 	*testPool
 	connection *connection
@@ -179,8 +179,8 @@
 	}
 }
 
-// isWithdrawn reports whether AttemptWithdrawn is posted within a second for the request with the ID. It drops other
-// events.
+// isWithdrawn reports whether AttemptWithdrawn is posted within a second for the request with the given ID. It drops
+// other events.
 func (f *fullConnection) isWithdrawn(id string) bool {
 	for end := time.After(time.Second); ; {
 		select {
