--- a/cmd/tealpath/clock_test.go
+++ b/cmd/tealpath/clock_test.go
@@ -91,8 +91,8 @@
 	})
 }
 
-// A step of the wall clock does not change the slow start of a cache, which gets few requests at first and its full
-// share after it.
+// A step of the wall clock does not change how long the slow start of a cache takes. A cache gets few requests during
+// its slow start, and its full share afterwards.
 func TestClockStepKeepsSlowStart(t *testing.T) {
 	forEachStep(t, func(t *testing.T, test clockTest, step time.Duration) {
 		const slowStart = 3200 * time.Millisecond
@@ -121,8 +121,8 @@
 	})
 }
 
-// sendRequests sends one request every 5 ms for the duration span, for a different object each, beginning with
-// firstObject. It returns the number of requests.
+// sendRequests sends one request every 5 ms during the time span, each for a different object, numbered from
+// firstObject. It returns the number of requests that it sent.
 func (test clockTest) sendRequests(t *testing.T, span time.Duration, firstObject int) (sent int) {
 	t.Helper()
 	const interval = 5 * time.Millisecond
@@ -135,7 +135,7 @@
 	return sent
 }
 
-// publishRestart publishes an entry of the endpoint list, according to which the second cache started at the time at.
+// publishRestart publishes a watch event that reports that the second cache started at the time at.
 func (test clockTest) publishRestart(t *testing.T, at time.Time) {
 	t.Helper()
 	test.discovery.Publish(t, fmt.Sprintf("id: 2\ndata: {\"pos\":2,\"hosts\":{\"generation\":2,\"instances\":["+
@@ -143,8 +143,8 @@
 		"\"lifecycle\":\"active\",\"weight\":4,\"startedAtMs\":%d}]}}\n\n", test.caches[1].Address(), at.UnixMilli()))
 }
 
-// sharedCopy is the copy of an object that all caches of a test hold. They refetch it if it is older than a request
-// accepts.
+// sharedCopy is the copy of an object that all caches of a test hold. If a request accepts only younger copies, the
+// caches refetch the object.
 type sharedCopy struct {
 	mu     sync.Mutex
 	issued time.Time // guarded by mu; when the copy was issued
--- a/cmd/tealpath/clockhelpers_test.go
+++ b/cmd/tealpath/clockhelpers_test.go
@@ -67,7 +67,7 @@
 	return at
 }
 
-// clockedRouter is a router in this process that uses a clock of the test and real connections.
+// clockedRouter is a router in this process, with real connections and a clock that the test provides.
 type clockedRouter struct {
 	log      *timedLog
 	shutDown func()
--- a/cmd/tealpath/departure_test.go
+++ b/cmd/tealpath/departure_test.go
@@ -142,7 +142,8 @@
 	const (
 		blockedFor = 600 * time.Millisecond
 		timeout    = 3 * time.Second
-		// The test cannot observe when the connections are full, or when the router has read a request.
+		// The connections are full after fillPause, and the router has read a request after arrivePause. The test
+		// can observe neither.
 		fillPause   = 300 * time.Millisecond
 		arrivePause = 50 * time.Millisecond
 		departedID  = "00000000000000aa"
--- a/cmd/tealpath/diff_test.go
+++ b/cmd/tealpath/diff_test.go
@@ -17,7 +17,8 @@
  (voters %s) (slots %d)
  (tls (certificate "a.pem") (key "a.key") (roots "roots.pem")) (allow "127.0.0.0/8"))`
 
-// The command diff compares two operator's files and fails if instances with them may not run side by side.
+// The command diff compares two operator's files and fails if instances with one file may not run
+// side by side with instances with the other.
 func TestDiff(t *testing.T) {
 	dir := t.TempDir()
 	root, err := certificates.NewRoot("root")
--- a/cmd/tealpath/discovery_test.go
+++ b/cmd/tealpath/discovery_test.go
@@ -111,9 +111,9 @@
 	}
 }
 
-// Discovery is slow: it sends few bytes per second and accepts few calls per second. Routers that know endpoints serve
-// at once, routers that know none fail health checks until they have received them, and all routers apply the watch
-// events that are published later.
+// The discovery service is slow: it sends few bytes per second and accepts few calls per second. Routers that start
+// with known endpoints serve at once. Routers that start without any fail health checks until they have received the
+// endpoint list. All routers apply the watch events that are published later.
 func TestSlowDiscoveryReachesAllRouters(t *testing.T) {
 	t.Parallel()
 	const count = 6
--- a/cmd/tealpath/faults_test.go
+++ b/cmd/tealpath/faults_test.go
@@ -30,7 +30,7 @@
 func TestRequestsServedDespiteFaultAfterIdleTime(t *testing.T) {
 	const (
 		idleTime  = 1500 * time.Millisecond
-		batchSize = 8 // requests sent at once, the capacity of one cache
+		batchSize = 8 // number of requests sent at once, which equals the capacity of one cache
 	)
 	for _, c := range []struct {
 		name        string
--- a/cmd/tealpath/growthfleet_test.go
+++ b/cmd/tealpath/growthfleet_test.go
@@ -30,7 +30,8 @@
 	skew     float64 // Zipf exponent of the objects' popularity; 0: all objects are equally popular
 }
 
-// listChanges is how often the endpoint list changes during the traffic. Each change replaces 1% of the cache servers.
+// listChanges is the number of changes of the endpoint list during the traffic. Each change replaces 1% of the cache
+// servers.
 const listChanges = 15
 
 // routerMemoryMB is the memory limit in the configuration of each router of the growth tests, MB.
@@ -56,7 +57,7 @@
 	router      *testkit.RouterProcess
 	connections atomic.Int64 // number of connections that cache servers have accepted
 	listening   atomic.Bool  // whether the router has accepted a connection
-	descriptors atomic.Int64 // largest number of open descriptors in a sample
+	descriptors atomic.Int64 // largest number of open descriptors sampled so far
 }
 
 // serverAddress returns an address with port 0 on a loopback host that only this process uses. On 127.0.0.1,
@@ -106,8 +107,8 @@
 	}
 }
 
-// instances returns the list entries of the servers from number first to number end - 1. A server that restarts gets a
-// new generation, which is part of its name.
+// instances returns the list entries of the servers from number first to number end - 1. generation is part of each
+// server's name; a higher one stands for a restart of the server.
 func (f *growthFleet) instances(first, end, generation int, lifecycle string) string {
 	var entries []string
 	for n := first; n < end; n++ {
@@ -116,7 +117,8 @@
 	return strings.Join(entries, ",")
 }
 
-// growthInstance returns the list entry of server n. The names are spread over the range of a 32-bit hash.
+// growthInstance returns the list entry of server n. The number in the server's name is spread over all 32-bit values,
+// as a hash would be.
 func growthInstance(n, generation int, address, zone, lifecycle string) string {
 	const nameFactor = 2654435761
 	return fmt.Sprintf(`{"instanceId":"s-%08x-%d","hostPort":%q,"zone":%q,"machineType":"cache","cell":%d,`+
@@ -129,7 +131,7 @@
 }
 
 // growthConfig is the format of a router's configuration. Its arguments are the router's address, its memory in MB, the
-// address of the discovery service, the known watch events, and twice the number of routers.
+// address of the discovery service, the known watch events, and the number of routers, which is passed twice.
 const growthConfig = `{"name":"n0","listen":%q,"seed":"07","limits":{"cores":1,"memory_mb":%d,"sockets":1024},
  "journal":%q,"known":%s,"settings":{"balancers":%d,"locality":"here","failureDomains":["here"],"machineTypes":["cache"],
  "familyInfo":{"zoneBalancers":[%d],"purgeTakesS":6},"limits":{"attemptsCap":6,"cancel":true,"mayProbe":true,
--- a/cmd/tealpath/help_test.go
+++ b/cmd/tealpath/help_test.go
@@ -17,7 +17,7 @@
 	stdout, stderr string
 }
 
-// runProgram runs the program without a configuration in an empty directory.
+// runProgram runs the program without a configuration in an empty directory, and returns its exit code and output.
 func runProgram(t *testing.T, binary string, arguments ...string) programRun {
 	t.Helper()
 	var stdout, stderr strings.Builder
--- a/cmd/tealpath/helpers_test.go
+++ b/cmd/tealpath/helpers_test.go
@@ -132,13 +132,15 @@
 	return `{"pos":%d,"hosts":{"instances":[` + r.endpointsJSON() + `]}}`
 }
 
-// drainEvent returns the format of the watch event that a cache is draining. Its argument is the position.
+// drainEvent returns the format of a watch event that reports a cache as draining. Its argument is the event's
+// position.
 func drainEvent(cache *testkit.Cache, name string) string {
 	instance := instanceJSON(name, cache.Address(), "here", "cache", "leaving")
 	return `{"pos":%d,"hosts":{"instances":[` + instance + `]}}`
 }
 
-// useEnvironment sets the environment variables for a router that runs in this process.
+// useEnvironment sets the environment variables from which a router in this process takes the path of its
+// configuration and its address.
 func (r *testRouter) useEnvironment(t *testing.T) {
 	t.Helper()
 	t.Setenv("LB_CONFIG", r.configPath)
--- a/cmd/tealpath/log_test.go
+++ b/cmd/tealpath/log_test.go
@@ -36,7 +36,7 @@
 	if out.String() != want.String() {
 		t.Errorf("written: %q, want %q", out.String(), want.String())
 	}
-	writeLine(t, w, "after the end") // as a goroutine does that still runs after Close
+	writeLine(t, w, "after the end") // a goroutine that still runs after Close may do this
 }
 
 // If nobody reads the log, neither Write nor Close blocks. Once the log is read, it says how many lines were lost.
--- a/cmd/tealpath/serve_test.go
+++ b/cmd/tealpath/serve_test.go
@@ -123,7 +123,7 @@
 func (s *serveTest) expectPurge(t *testing.T, position int, service *testkit.EventStream) {
 	t.Helper()
 	const effectTimeout = 100 * time.Millisecond
-	const agePause = 10 * time.Millisecond // after which the accepted age is at least 1 ms
+	const agePause = 10 * time.Millisecond // afterwards the maximum age that the router accepts is at least 1 ms
 	purgedAt := time.Now()
 	object := testkit.ObjectID(1000 + position)
 	service.Publish(t, fmt.Sprintf("id: %d\ndata: {\"pos\":%d,\"expire\":{\"name\":\"%s\",\"stamp\":%d}}\n\n",
@@ -177,8 +177,8 @@
 func (s *serveTest) testDrain(t *testing.T) {
 	const (
 		betweenSignals = 20 * time.Millisecond
-		idlePause      = 150 * time.Millisecond // without outstanding requests, while clients still connect
-		lastRequest    = 600 * time.Millisecond // time from SIGTERM, within the 0.7 s in which clients still connect
+		idlePause      = 150 * time.Millisecond // time without outstanding requests, while clients may still connect
+		lastRequest    = 600 * time.Millisecond // from SIGTERM to the last request; clients may connect for 0.7 s
 	)
 	inFlight := s.client.Call(testkit.UnansweredObjectID(3), 250*time.Millisecond)
 	testkit.WaitRequestFor(t, testkit.UnansweredObjectID(3), s.caches...)
--- a/cmd/tealpath/shutdownbusy_test.go
+++ b/cmd/tealpath/shutdownbusy_test.go
@@ -39,7 +39,7 @@
 
 	mu        sync.Mutex
 	exchanges []exchange // guarded by mu; the index is the sequence number - 1
-	endedAt   time.Time  // guarded by mu; end of the connection
+	endedAt   time.Time  // guarded by mu; when the connection ended
 }
 
 // run sends requests, for a different object each, beginning with firstObject. It returns the requests and when the
--- a/deploy/deploy_test.go
+++ b/deploy/deploy_test.go
@@ -27,9 +27,9 @@
 	return string(found[1])
 }
 
-// deployErrors returns why the bench of the full fleet could not run a program with these build and run lines. The
-// bench preloads a library into the process, so the program must be linked dynamically, and it observes one process
-// only.
+// deployErrors returns the reasons why the bench of the full fleet could not run a program with these build and run
+// lines. The bench preloads a library into the process, so the program must be linked dynamically, and it observes one
+// process only.
 func deployErrors(build, run string) (reasons []string) {
 	if !strings.Contains(build, "CGO_ENABLED=1") || !strings.Contains(build, "-ldflags=-linkmode=external") ||
 		strings.Contains(build, "-static") {
--- a/deploy/imports_test.go
+++ b/deploy/imports_test.go
@@ -70,8 +70,8 @@
 // impure lists the packages that no pure package may import, nor any package below them.
 var impure = []string{"net", "os", "syscall", "context", "sync", "log", "runtime", "crypto/rand", "golang.org/x/sys"}
 
-// pureSelectors maps packages to the names that pure packages may use of them. Their other names read a clock or
-// use a shared source of random numbers.
+// pureSelectors maps the import path of a package to the names from it that pure packages may use. Its other names
+// read a clock or use a shared source of random numbers.
 var pureSelectors = map[string][]string{
 	"time":         {"Duration", "Nanosecond", "Microsecond", "Millisecond", "Second", "Minute", "Hour"},
 	"math/rand/v2": {"New", "NewPCG", "Rand", "PCG"},
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// impureSelectors returns the names that a file uses of packages in pureSelectors although pureSelectors does not list
-// them.
+// impureSelectors returns the forbidden names that a file uses: names from the packages in pureSelectors that are not
+// listed there for their package.
 func impureSelectors(file *ast.File) (found []string) {
 	allowedNames := map[string][]string{} // allowed names of each package, by its name in the file
 	for _, spec := range file.Imports {
--- a/internal/adminsocket/adminsocket_test.go
+++ b/internal/adminsocket/adminsocket_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// echo is a handler that answers with its arguments.
+// echo is a handler that answers with its arguments, or returns an error if there are none.
 func echo(_ context.Context, arguments []string) (any, error) {
 	if len(arguments) == 0 {
 		return nil, errors.New("nothing to say")
--- a/internal/config/stored_test.go
+++ b/internal/config/stored_test.go
@@ -26,8 +26,8 @@
   {"name":"sign-off","points":1,"effect":"dedup","keyScope":"cell","dedupWindowS":1,"onTimeS":0.25,
   "deadlineS":1}]}`
 
-// Snapshots have the digest of the settings as fmt prints them, so neither keys nor types may change. The expected
-// text is that of commit 9be9074, whose snapshots can still be read.
+// A snapshot contains a digest of the text that fmt prints for the settings, so neither keys nor types may change. The
+// expected text is that of commit 9be9074, whose snapshots can still be read.
 func TestTextOfSettingsIsUnchanged(t *testing.T) {
 	set, err := ParseSettings([]byte(everySetting))
 	if err != nil {
--- a/internal/experiment/coldstart/coldstart_test.go
+++ b/internal/experiment/coldstart/coldstart_test.go
@@ -40,7 +40,7 @@
 			if !strings.Contains(string(fault), "killed") && r.Lost > 0 {
 				t.Errorf("%d requests lost although no router was killed: %+v", r.Lost, r)
 			}
-			// The baseline of Simulation would make 13 calls per router in the 5 s of the outage, and one after it.
+			// In the baseline of Simulation each router would make 13 calls in the 5 s of the outage, and one after it.
 			if fault == ServiceDown && r.Calls > routers*16 {
 				t.Errorf("%d calls to the discovery service, want at most %d", r.Calls, routers*16)
 			}
--- a/internal/experiment/command/command_test.go
+++ b/internal/experiment/command/command_test.go
@@ -19,7 +19,7 @@
 	stdout, stderr string
 }
 
-// run runs a program in a temporary directory.
+// run runs a program in a temporary directory, and returns its exit code and output.
 func run(t *testing.T, binary string, arguments ...string) programRun {
 	t.Helper()
 	var stdout, stderr strings.Builder
--- a/internal/experiment/testcluster/snapshot_test.go
+++ b/internal/experiment/testcluster/snapshot_test.go
@@ -17,7 +17,7 @@
 	name             string
 	change           func(t *testing.T, cluster *testcluster.Cluster, snapshot string)
 	wantEvent        string // name of the event that the restarted router logs
-	wantText         string // contained in the event's line
+	wantText         string // part of that event's log line
 	skipEventIDCheck int    // 1: the event ID of the last call to the discovery service is not checked; 0: it is
 }
 
--- a/internal/lifecycle/shutdown/shutdown_test.go
+++ b/internal/lifecycle/shutdown/shutdown_test.go
@@ -12,7 +12,7 @@
 	done, open := State{Flushed: true}, State{Flushed: true, OpenConnections: 2}
 	for _, test := range []struct {
 		name        string
-		maxDeadline time.Duration // longest deadline of a client
+		maxDeadline time.Duration // longest deadline of a request
 		at          int64         // time since the start of the shutdown, ms
 		state       State
 		want        Step
--- a/internal/lifecycle/startup/readiness_test.go
+++ b/internal/lifecycle/startup/readiness_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// With a hold all routers make their first calls at the operator's rate, each one early enough to be answered before
-// the hold ends.
+// If Check accepts a ReadinessHold, all routers make their first calls to the discovery service at its CallRate, each
+// early enough to be answered before the hold ends.
 func TestReadinessHold(t *testing.T) {
 	for _, test := range []struct {
 		routers int
--- a/internal/lifecycle/startup/schedule_test.go
+++ b/internal/lifecycle/startup/schedule_test.go
@@ -55,7 +55,7 @@
 	const until = 30 * second
 	for _, test := range []struct {
 		routers, configured int
-		bound               int // maximum calls in one second: the target rate and a margin for random peaks
+		bound               int // maximum number of calls in one second: the target rate and a margin for random peaks
 	}{
 		{1, 1, 6},
 		{3, 3, 15},
--- a/internal/server/disk_test.go
+++ b/internal/server/disk_test.go
@@ -30,7 +30,8 @@
 	return d
 }
 
-// set makes all writes fail with an error, unless it is nil, and makes an operation hang, unless its name is empty.
+// set makes writes fail with the error fail, and makes the operation with the name hangs block until the test ends. If
+// fail is nil, writes succeed; if hangs is empty, no operation blocks.
 func (d *faultyDisk) set(fail error, hangs string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -43,7 +44,8 @@
 	return len(d.files)
 }
 
-// do locks mu and runs an operation, unless the operation is made to hang or fail.
+// do runs an operation with mu locked. If the operation is set to hang, do blocks until the test ends and returns EIO
+// instead. If it is a write that is set to fail, do returns the error that was set.
 func (d *faultyDisk) do(operation string, run func()) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/server/limits_test.go
+++ b/internal/server/limits_test.go
@@ -21,7 +21,7 @@
 		name     string
 		operator *operatorconfig.File
 		want     int
-		policies int // number of policies; 0: the platform's defaults apply
+		policies int // number of idle policies; 0: the platform's defaults apply
 	}{
 		{"no operator's file", nil, 500, 0},
 		{"a file without idle connections", &operatorconfig.File{}, 500, 0},
--- a/internal/server/running_test.go
+++ b/internal/server/running_test.go
@@ -50,7 +50,7 @@
 	address  string
 	log      *lockedBuffer
 	shutdown chan struct{} // closed to begin the shutdown
-	ended    chan error    // gets the result of Run
+	ended    chan error    // receives the error that Run returns
 }
 
 // testConfig is the format of a router's configuration. Its arguments are the address of the router, the address of
--- a/internal/server/server_test.go
+++ b/internal/server/server_test.go
@@ -13,7 +13,7 @@
 	for _, test := range []struct {
 		name     string
 		memoryMB int64 // configured memory, MiB; 0: none is configured
-		want     int   // limit of the runtime, MiB
+		want     int   // memory limit of the Go runtime, MiB
 	}{
 		{"less than the default", 32, 22},
 		{"more than the default", 192, 134},
--- a/internal/simulator/drawn_test.go
+++ b/internal/simulator/drawn_test.go
@@ -27,8 +27,8 @@
 	eventsLeft int
 	requests   int
 	unfinished []string       // IDs of requests without a final response
-	attempts   [][2]string    // request ID and number of the attempts in flight
-	started    map[string]int // number of attempts started per request ID
+	attempts   [][2]string    // request ID and attempt number of each attempt in flight
+	started    map[string]int // number of attempts started so far, by request ID
 	timers     []pendingTimer
 	replies    []byte // all replies so far, without log lines
 }
@@ -159,7 +159,7 @@
 	for _, c := range []struct {
 		seed   uint64
 		lines  int
-		digest uint64 // FNV-1a of the replies
+		digest uint64 // 64-bit FNV-1a hash of the replies
 	}{{1, 13794, 0xfdf2974a5bb2a2df}, {2, 14051, 0x17851c650f8e9959}, {3, 13725, 0x79a2efb540088b70}} {
 		t.Run(fmt.Sprint(c.seed), func(t *testing.T) {
 			simulator := &randomSimulator{
--- a/internal/snapshot/disk_test.go
+++ b/internal/snapshot/disk_test.go
@@ -9,14 +9,15 @@
 	"slices"
 )
 
-// errKilled is the error of every operation once the simulated process was killed. The operation has no effect.
+// errKilled is the error that operations return once the simulated process was killed. Operations that begin later
+// have no effect.
 var errKilled = errors.New("killed")
 
 // inode is the content of a file: as processes read it (data), and as it is on the disk after a loss of power
 // (durable).
 type inode struct {
 	data, durable []byte
-	failed        bool // an fsync failed: the kernel marked the pages as clean, so they are never written
+	failed        bool // whether an fsync failed: the kernel marked the pages as clean, so they are never written
 }
 
 // simulatedDisk is a FileSystem in memory. Its operations can be made to fail, its process can be killed after any
@@ -146,8 +147,8 @@
 }
 
 // afterPowerLoss returns the possible states of the disk after a loss of power. The names are those of the last
-// SyncDir or the current ones. A file has the content that was synced or, if nothing was, none, half or all of what
-// was written; after a failed fsync, it has none.
+// SyncDir or the current ones. A file has the content that was last synced. A file that was never synced has
+// none, half or all of what was written, or none if an fsync of it failed.
 func (d *simulatedDisk) afterPowerLoss() (disks []*simulatedDisk) {
 	for _, names := range []map[string]*inode{d.durable, d.names} {
 		for _, part := range []float64{0, 0.5, 1} {
