--- a/internal/experiment/coldstart/coldstart_test.go
+++ b/internal/experiment/coldstart/coldstart_test.go
@@ -12,7 +12,7 @@
 	"tealpath/internal/experiment/testcluster/clustertest"
 )
 
-// Under each fault the bounds of docs/coldstart.md hold: calls to the discovery service stay within their rate, all
+// Under each fault the bounds of docs/coldstart.md hold: the rate of calls to the discovery service is limited, all
 // routers become healthy, and no request is lost except those at routers that were killed.
 func TestColdStart(t *testing.T) {
 	const routers = 12
@@ -40,7 +40,7 @@
 			if !strings.Contains(string(fault), "killed") && r.Lost > 0 {
 				t.Errorf("%d requests lost although no router was killed: %+v", r.Lost, r)
 			}
-			// In the baseline of Simulation each router would make 13 calls in the 5 s of the outage, and one after it.
+			// In the baseline of Simulation a router would make 13 calls in the 5 s of the outage, and one after it.
 			if fault == ServiceDown && r.Calls > routers*16 {
 				t.Errorf("%d calls to the discovery service, want at most %d", r.Calls, routers*16)
 			}
--- a/internal/experiment/testcluster/snapshot_test.go
+++ b/internal/experiment/testcluster/snapshot_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// sendLoad waits until a router is healthy and sends load to it.
+// sendLoad waits until a router is healthy, sends requests to it and returns their results.
 func sendLoad(t *testing.T, cluster *testcluster.Cluster, name string) testcluster.LoadResult {
 	t.Helper()
 	address := cluster.ClientAddress(name)
