--- a/cmd/tealpath/clocksnapshot_test.go
+++ b/cmd/tealpath/clocksnapshot_test.go
@@ -46,7 +46,7 @@
 
 // Parts of the log lines about the restoring of a snapshot.
 const (
-	restoredWhole = `"scope":"whole"`                                   // snapshot_restored: all of it is used
+	restoredWhole = `"scope":"whole"`                                   // snapshot_restored: whole snapshot is used
 	ignoredFuture = `"event":"snapshot_ignored","cause":"it was taken ` // followed by how far ahead the snapshot's time is
 )
 
