--- a/internal/adminsocket/accept_test.go
+++ b/internal/adminsocket/accept_test.go
@@ -39,8 +39,8 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			ended := make(chan error, 1)
 			answerOne := func(context.Context, []string) (any, error) { return 1, nil }
+			startedAt := time.Now() // before accept, which may begin at once
 			go func() { ended <- accept(ctx, listener, map[string]Handler{"x": answerOne}) }()
-			startedAt := time.Now()
 			answer := 0
 			err := Query(ctx, path, &answer, "x")
 			if took := time.Since(startedAt); err != nil || answer != 1 || took < 3*acceptRetryDelay {
